--- /dev/null
+++ b/crates/discovery/tests/golden.rs
@@ -0,0 +1,83 @@
+//! Discovery's list messages, pinned: every key, every default and every state.
+
+use std::time::Duration;
+use woadstall_discovery::{Listing, State};
+use woadstall_engine::{Entry, Lifecycle};
+use woadstall_settings::Names;
+
+const EVERY_KEY: &str = r#"{"rev":7,"all":true,"more":1,"targets":[
+    {"uid":"s-1","endpoint":"10.0.0.1:80","az":"b","pod_group":3,"state":"in_service","capacity_hint":2.5,"boot_ms":1700000000123},
+    {"uid":"s-2","endpoint":"[::1]:81","az":"a","pod_group":65535,"state":"terminating","capacity_hint":0.25,"boot_ms":1,"more":1},
+    {"uid":"s-3","endpoint":"nowhere","az":"z","pod_group":0,"state":"terminated","capacity_hint":1,"boot_ms":0},
+    {"uid":"s-4","endpoint":"","state":"never heard of"}]}"#;
+
+fn names() -> Names {
+    Names {
+        classes: Vec::new(),
+        tenants: Vec::new(),
+        zones: vec!["a".to_owned(), "b".to_owned()],
+        report_fields: Vec::new(),
+        connect_timeout: Duration::from_secs(1),
+    }
+}
+
+#[test]
+fn every_key_is_read() {
+    let listing: Listing = serde_json::from_str(EVERY_KEY).unwrap();
+    assert_eq!((listing.rev, listing.all, listing.targets.len()), (7, true, 4));
+    let first = &listing.targets[0];
+    assert_eq!((first.uid.as_str(), first.endpoint.as_str(), first.az.as_str()), ("s-1", "10.0.0.1:80", "b"));
+    assert_eq!((first.pod_group, first.state, first.capacity_hint), (3, State::InService, 2.5));
+    assert_eq!(first.boot_ms, 1_700_000_000_123);
+    let states: Vec<State> = listing.targets.iter().map(|target| target.state).collect();
+    assert_eq!(states, [State::InService, State::Terminating, State::Terminated, State::Terminating]);
+    let last = &listing.targets[3];
+    assert_eq!((last.az.as_str(), last.pod_group, last.capacity_hint, last.boot_ms), ("", 0, 1.0, 0));
+}
+
+#[test]
+fn a_list_has_defaults() {
+    let listing: Listing = serde_json::from_str(r#"{"rev":9}"#).unwrap();
+    assert!(listing.rev == 9 && !listing.all && listing.targets.is_empty());
+    let none = Listing::default();
+    assert!(none.rev == 0 && !none.all && none.targets.is_empty());
+}
+
+#[test]
+fn entries_as_the_engine_takes_them() {
+    let listing: Listing = serde_json::from_str(EVERY_KEY).unwrap();
+    let entries: Vec<Entry> = listing.entries(&names());
+    let zones: Vec<Option<u8>> = entries.iter().map(|entry| entry.zone.map(|zone| zone.0)).collect();
+    assert_eq!(zones, [Some(1), Some(0), None, None]);
+    let addresses: Vec<Option<String>> =
+        entries.iter().map(|entry| entry.address.map(|address| address.to_string())).collect();
+    assert_eq!(addresses, [Some("10.0.0.1:80".to_owned()), Some("[::1]:81".to_owned()), None, None]);
+    let names: Vec<&str> = entries.iter().map(|entry| entry.name.as_str()).collect();
+    assert_eq!(names, ["s-1", "s-2", "s-3", "s-4"]);
+    let cells: Vec<u16> = entries.iter().map(|entry| entry.cell).collect();
+    assert_eq!(cells, [3, 65535, 0, 0]);
+    let sizes: Vec<f32> = entries.iter().map(|entry| entry.size).collect();
+    assert_eq!(sizes, [2.5, 0.25, 1.0, 1.0]);
+    let boots: Vec<u64> = entries.iter().map(|entry| entry.boot_ms).collect();
+    assert_eq!(boots, [1_700_000_000_123, 1, 0, 0]);
+    assert!(matches!(entries[0].lifecycle, Lifecycle::Ready));
+    assert!(matches!(entries[1].lifecycle, Lifecycle::Draining));
+    assert!(matches!(entries[2].lifecycle, Lifecycle::Gone));
+    assert!(matches!(entries[3].lifecycle, Lifecycle::Draining));
+}
+
+#[test]
+fn every_error() {
+    let texts = [
+        "",
+        "{}",
+        r#"{"rev":-1}"#,
+        r#"{"rev":1,"all":1}"#,
+        r#"{"rev":1,"targets":[{"endpoint":"a","state":"in_service"}]}"#,
+        r#"{"rev":1,"targets":[{"uid":"a","state":"in_service"}]}"#,
+        r#"{"rev":1,"targets":[{"uid":"a","endpoint":"a"}]}"#,
+        r#"{"rev":1,"targets":[{"uid":"a","endpoint":"a","state":"in_service","pod_group":65536}]}"#,
+    ];
+    let errors = texts.map(|text| serde_json::from_str::<Listing>(text).unwrap_err().to_string());
+    assert_eq!(errors.join("\n") + "\n", include_str!("golden/errors.txt"));
+}
--- /dev/null
+++ b/crates/handover/tests/golden.rs
@@ -0,0 +1,103 @@
+//! The bytes that a process hands to its successor, pinned: either of the two may be of another version.
+
+use woadstall_decisions::api::{Learned, LearnedLatency, LearnedServer, ServerId};
+use woadstall_handover::State;
+
+/// Compares with the fixture of this name.
+fn assert_golden(name: &str, text: &str) {
+    let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
+    let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
+    assert_eq!(text, expected, "{name}");
+}
+
+fn learned() -> Learned {
+    Learned {
+        classes: vec![
+            (0, LearnedLatency { mean: 2e8, dev: 5e7, calm: 1.5e8, calls: 40 }),
+            (1, LearnedLatency { mean: 0.0, dev: 0.0, calm: 0.0, calls: 0 }),
+            (2, LearnedLatency { mean: 123456789.125, dev: 1e-7, calm: 1e21, calls: u32::MAX }),
+        ],
+        overall: LearnedLatency { mean: 1e8, dev: 2.5e7, calm: 9e7, calls: 41 },
+        rate: 12.5,
+        answers: 30.0,
+        held: 11.25,
+        failing: 0.25,
+        servers: vec![
+            LearnedServer { server: ServerId(1), started: None, slowness: 1.0, opens: 0, open_for: None },
+            LearnedServer {
+                server: ServerId(2),
+                started: Some(7),
+                slowness: 1.5,
+                opens: 2,
+                open_for: Some(9),
+            },
+            LearnedServer {
+                server: ServerId(3),
+                started: Some(u64::MAX),
+                slowness: 0.0,
+                opens: u32::MAX,
+                open_for: Some(u64::MAX),
+            },
+        ],
+    }
+}
+
+const CLASSES: [&str; 3] = ["look", "pay", "post \"é\""];
+
+fn state(learned: &Learned) -> State {
+    State::new(learned, |at| CLASSES.get(at).copied(), |server| Some(format!("s-{}", server.0)))
+}
+
+fn back(state: &State) -> Learned {
+    let upstream = |name: &str| name.strip_prefix("s-")?.parse().ok().map(ServerId);
+    state.learned(|name| CLASSES.iter().position(|class| *class == name), upstream)
+}
+
+#[test]
+fn each_field_is_written_as_before_and_read_back() {
+    let text = String::from_utf8(state(&learned()).write()).unwrap();
+    assert_golden("state.json", &text);
+    assert_eq!(back(&State::read(text.as_bytes()).unwrap()), learned());
+}
+
+#[test]
+fn the_state_of_a_process_that_has_learned_nothing() {
+    let text = String::from_utf8(state(&Learned::default()).write()).unwrap();
+    assert_golden("state-empty.json", &text);
+    assert_eq!(back(&State::read(text.as_bytes()).unwrap()), Learned::default());
+}
+
+#[test]
+fn each_error_names_its_field() {
+    let text = String::from_utf8(state(&learned()).write()).unwrap();
+    let replaced = |from: &str, to: &str| {
+        assert!(text.contains(from), "{from}");
+        text.replacen(from, to, 1)
+    };
+    let documents = [
+        String::new(),
+        "[]".to_owned(),
+        "{}".to_owned(),
+        "{\"version\":1}".to_owned(),
+        replaced("\"version\":1", "\"version\":2"),
+        replaced("\"version\":1", "\"version\":\"1\""),
+        replaced("\"mean\":200000000.0", "\"mean\":-1"),
+        replaced("\"deviation\":50000000.0", "\"deviation\":-2"),
+        replaced("\"calm\":150000000.0", "\"calm\":-3"),
+        replaced("\"calls\":40", "\"calls\":-4"),
+        replaced("\"mean\":100000000.0", "\"mean\":-5"),
+        replaced("\"mean\":100000000.0,", ""),
+        replaced("\"rate\":12.5", "\"rate\":-1"),
+        replaced("\"answers\":30.0", "\"answers\":-1"),
+        replaced("\"held\":11.25", "\"held\":-1"),
+        replaced("\"failing\":0.25", "\"failing\":2"),
+        replaced("\"slowness\":1.5", "\"slowness\":-1"),
+        replaced("\"slowness\":1.5", "\"slowness\":\"slow\""),
+        replaced("\"opens\":2", "\"opens\":2.5"),
+        replaced("\"open_for\":9", "\"open_for\":-9"),
+        replaced("\"started\":7", "\"started\":\"7\""),
+        text[..text.len() / 2].to_owned(),
+    ];
+    let errors = documents.map(|text| State::read(text.as_bytes()).unwrap_err().to_string() + "\n");
+    assert_golden("state-errors.txt", &errors.concat());
+}
--- /dev/null
+++ b/crates/settings/tests/golden.rs
@@ -0,0 +1,222 @@
+//! The settings' JSON form, pinned: every key, every default and the text of every error.
+
+use serde_json::{Value, json};
+use std::time::Duration;
+use woadstall_decisions::api::{Class, Effect, Group, Settings, Tenant, ZoneId};
+use woadstall_settings::{MOST_CLASSES, Names, Terms, names, settings};
+
+/// Compares with the fixture of this name.
+fn assert_golden(name: &str, text: &str) {
+    let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
+    let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
+    assert_eq!(text, expected, "{name}");
+}
+
+/// Every key that is read, each with a value of its own.
+const EVERY_KEY: &str = include_str!("golden/every-key.json");
+/// The keys that must be there.
+const LEAST: &str = include_str!("golden/least.json");
+
+#[test]
+fn every_key_of_the_settings_is_read() {
+    let class =
+        |effect, aim| Class { aim, aim_stretch: 1.5, deadline: 12, effect, late_worth: 0.25, worth: 2.5 };
+    let plain =
+        |effect, aim| Class { aim, aim_stretch: 0.0, deadline: 2, effect, late_worth: 0.0, worth: 1.0 };
+    let expected = Settings {
+        classes: vec![
+            class(Effect::Safe, 11),
+            plain(Effect::Unsafe, 21),
+            plain(Effect::Keyed(Group::All, 31), 31),
+            plain(Effect::Keyed(Group::Zone, 32), 32),
+            plain(Effect::Keyed(Group::Cell, 33), 33),
+        ],
+        tenants: vec![Tenant { quota_rps: 13.5 }, Tenant { quota_rps: 14.5 }],
+        over_quota_worth: 0.75,
+        worth_by_work: true,
+        zone: ZoneId(1),
+        zones: 3,
+        siblings: 15,
+        tier: 16,
+        passes_deadline: false,
+        ask_discovery: true,
+        ask_within: 17,
+        may_cancel: true,
+        max_retry_after: 18,
+        max_attempts: 19,
+        conn_idle: 20,
+        start_capacity: 0.3,
+        tip_multiple: 2.25,
+        ramp_time: 22,
+        report_inflight: Some(1),
+        cross_price: 0.125,
+        probe_price: 0.0625,
+        load_by_probe: true,
+    };
+    assert_eq!(settings(EVERY_KEY.as_bytes()).unwrap(), expected);
+}
+
+#[test]
+fn every_name_is_read() {
+    let names = names(EVERY_KEY.as_bytes()).unwrap();
+    assert_eq!(names.classes, ["look", "post", "pay-all", "pay-zone", "pay-cell"]);
+    assert_eq!(names.tenants, ["acme", "umbra"]);
+    assert_eq!(names.zones, ["a", "b", "c"]);
+    assert_eq!(names.report_fields, ["cpu", "inflight"]);
+    assert_eq!(names.connect_timeout, Duration::from_nanos(23));
+}
+
+#[test]
+fn every_default_of_the_settings() {
+    let expected = Settings {
+        classes: vec![Class {
+            aim: 1,
+            aim_stretch: 0.0,
+            deadline: 2,
+            effect: Effect::Safe,
+            late_worth: 0.0,
+            worth: 1.0,
+        }],
+        tenants: Vec::new(),
+        over_quota_worth: 1.0,
+        worth_by_work: false,
+        zone: ZoneId(0),
+        zones: 1,
+        siblings: 1,
+        tier: 0,
+        passes_deadline: true,
+        ask_discovery: false,
+        ask_within: 0,
+        may_cancel: false,
+        max_retry_after: 0,
+        max_attempts: 3,
+        conn_idle: u64::MAX,
+        start_capacity: 0.5,
+        tip_multiple: 2.0,
+        ramp_time: 4,
+        report_inflight: None,
+        cross_price: 0.0,
+        probe_price: 0.0,
+        load_by_probe: false,
+    };
+    assert_eq!(settings(LEAST.as_bytes()).unwrap(), expected);
+    let names = names(LEAST.as_bytes()).unwrap();
+    assert!(names.tenants.is_empty() && names.report_fields.is_empty());
+}
+
+/// The value at a path of keys and positions.
+fn at<'a>(value: &'a mut Value, path: &[&str]) -> &'a mut Value {
+    path.iter().fold(value, |value, key| match key.parse::<usize>() {
+        Ok(position) => &mut value[position],
+        Err(_) => &mut value[*key],
+    })
+}
+
+#[test]
+fn every_error() {
+    let mut errors = String::new();
+    let mut add = |text: &str| {
+        for (what, error) in [
+            ("settings", settings(text.as_bytes()).err().map(|error| error.to_string())),
+            ("names", names(text.as_bytes()).err().map(|error| error.to_string())),
+        ] {
+            errors += &format!("{what}: {}\n", error.as_deref().unwrap_or("sound"));
+        }
+    };
+    ["", "[]", "{}", "{\"Classes\":[]} x"].into_iter().for_each(&mut add);
+    add(&format!("{LEAST} x"));
+    let least: Value = serde_json::from_str(LEAST).unwrap();
+    let without = [
+        (&[][..], "Classes"),
+        (&[], "Discovery"),
+        (&[], "Layer"),
+        (&[], "Limits"),
+        (&[], "Safety"),
+        (&[], "Siblings"),
+        (&[], "ValueBy"),
+        (&[], "Zone"),
+        (&[], "Zones"),
+        (&["Classes", "0"], "Name"),
+        (&["Classes", "0"], "AimNs"),
+        (&["Classes", "0"], "DeadlineNs"),
+        (&["Classes", "0"], "Effect"),
+        (&["Classes", "0"], "Value"),
+        (&["Limits"], "Cancelling"),
+        (&["Limits"], "ConnectTimeoutNs"),
+        (&["Limits"], "TryLimit"),
+        (&["Safety"], "StartCapacity"),
+        (&["Safety"], "TipMultiple"),
+        (&["Safety"], "RampTimeNs"),
+    ];
+    for (path, key) in without {
+        let mut value = least.clone();
+        at(&mut value, path).as_object_mut().unwrap().remove(key).expect(key);
+        add(&value.to_string());
+    }
+    let with = [
+        (&["Discovery"][..], json!("ask")),
+        (&["Discovery"], json!("other")),
+        (&["ValueBy"], json!("other")),
+        (&["Zone"], json!(256)),
+        (&["Zones"], json!("a")),
+        (&["Tenants"], json!([{"Name": "acme"}])),
+        (&["Tenants"], json!([{"QuotaRps": 1.0}])),
+        (&["Classes", "0", "Effect"], json!("other")),
+        (&["Classes", "0", "Effect"], json!("idempotency_key")),
+        (&["Classes", "0", "Group"], json!("other")),
+        (&["Classes", "0", "DeadlineNs"], json!(-1)),
+        (&["Classes", "0", "Value"], json!("1")),
+        (&["Limits", "MayProbe"], json!(1)),
+        (&["Safety", "AskWithinNs"], json!(0.5)),
+        (&["Telemetry"], json!({"Fields": [1]})),
+        (&["Telemetry"], json!({"Via": 1})),
+        (&["Prices"], json!({"CrossZone": "1"})),
+        (&["FamilyInfo"], json!({"PassesDeadline": 1})),
+    ];
+    for (path, other) in with {
+        let mut value = least.clone();
+        *at(&mut value, path) = other;
+        add(&value.to_string());
+    }
+    let mut value = least.clone();
+    value["Classes"][0]["Effect"] = "idempotency_key".into();
+    value["Classes"][0]["Group"] = "zone".into();
+    add(&value.to_string());
+    assert_golden("errors.txt", &errors);
+}
+
+#[test]
+fn every_error_of_a_change() {
+    let first = || (settings(LEAST.as_bytes()).unwrap(), names(LEAST.as_bytes()).unwrap());
+    let (now_settings, now_names) = first();
+    let terms = Terms::new(now_settings, now_names);
+    let mut errors = String::new();
+    let mut add = |change: &dyn Fn(&mut Settings, &mut Names)| {
+        let (mut settings, mut names) = first();
+        change(&mut settings, &mut names);
+        errors += &(terms.retune(&settings, &names).unwrap_err().to_string() + "\n");
+    };
+    add(&|settings, _| settings.max_attempts = 0);
+    add(&|_, names| names.zones = vec!["b".into()]);
+    add(&|settings, names| {
+        (settings.zone, settings.zones) = (ZoneId(1), 2);
+        names.zones = vec!["a".into(), "b".into()];
+    });
+    add(&|settings, _| {
+        (settings.zone, settings.zones) = (ZoneId(1), 2);
+    });
+    add(&|settings, _| settings.tier = 1);
+    add(&|settings, _| (settings.ask_discovery, settings.ask_within) = (true, 1));
+    add(&|_, names| names.report_fields = vec!["cpu".into()]);
+    add(&|settings, names| {
+        settings.classes.push(settings.classes[0].clone());
+        names.classes.push(names.classes[0].clone());
+    });
+    add(&|settings, names| {
+        for at in 0..MOST_CLASSES {
+            settings.classes.push(settings.classes[0].clone());
+            names.classes.push(format!("c{at}"));
+        }
+    });
+    assert_golden("change-errors.txt", &errors);
+}
--- /dev/null
+++ b/tests/golden_daemon.rs
@@ -0,0 +1,204 @@
+//! What the daemon says on its sockets, pinned to the byte: answers to callers and to operators, and what upstreams
+//! get to read.
+
+mod common;
+
+use common::*;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::Path;
+use woadstall_standin::http1::{
+    Act, LONG, Upstream, config, in_service, named_request, ok, refusing, target,
+};
+
+/// Compares with the fixture of this name.
+fn assert_golden(name: &str, text: &str) {
+    let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
+    let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
+    assert_eq!(text, expected, "{name}");
+}
+
+/// All that comes back, the date left out.
+fn exchange(address: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(address).unwrap();
+    stream.write_all(request.as_bytes()).unwrap();
+    let mut bytes = Vec::new();
+    stream.read_to_end(&mut bytes).unwrap();
+    let text = String::from_utf8(bytes).unwrap();
+    text.split_inclusive("\r\n")
+        .filter(|line| !line.starts_with("date: "))
+        .collect::<String>()
+        .replace('\r', "")
+}
+
+/// Each run of digits as one `#`: what depends on ports and clocks.
+fn without_digits(text: &str) -> String {
+    let mut masked = String::new();
+    for letter in text.chars() {
+        match letter.is_ascii_digit() {
+            true if masked.ends_with('#') => {}
+            true => masked.push('#'),
+            false => masked.push(letter),
+        }
+    }
+    masked
+}
+
+/// A caller's request that ends its connection.
+fn closing(class: &str, body: &str) -> String {
+    named_request("9b1f03aa00000001", class, LONG, body).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
+}
+
+#[test]
+fn answers_to_callers() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
+    let (program, _) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let pay = closing("pay", "body");
+    let cases = [
+        ("it is served", pay.clone()),
+        ("no such path", pay.replace(" /pay", " /none")),
+        ("the method", pay.replace("POST", "GET")),
+        ("no key", pay.replace("Idempotency-Key", "Other")),
+        ("another class", pay.replace("X-Call-Class: pay", "X-Call-Class: look")),
+        ("no id", pay.replace("X-Call-Id", "Other")),
+        ("no caller", pay.replace("X-Caller", "Other")),
+        ("no budget", pay.replace("X-Budget", "Other")),
+        ("a budget that is none", pay.replace("X-Budget: ", "X-Budget: x")),
+        ("a header twice", pay.replace("X-Caller", "X-Call-Id: again\r\nX-Caller")),
+        ("a cost that is none", pay.replace("X-Caller", "X-Call-Cost: x\r\nX-Caller")),
+        ("a budget that is over", pay.replace(&format!("X-Budget: {LONG}"), "X-Budget: 0")),
+        ("too large", pay.replace("Content-Length: 4", "Content-Length: 40000000")),
+    ];
+    let mut text = String::new();
+    for (what, request) in cases {
+        assert!(what == "it is served" || request != pay, "{what}");
+        text += &format!("== {what}\n{}\n", exchange(program.address, &request));
+    }
+    assert_golden("answers.txt", &text);
+}
+
+#[test]
+fn answers_where_upstreams_fail_or_are_not_there() {
+    let failing = Upstream::start(|_| Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()));
+    let (program, _) = Program::start_with_admin(&config(refusing(), &in_service(&[&failing])));
+    let failed = exchange(program.address, &closing("post", "body"));
+    let gone = config(refusing(), &[target("s-0", refusing(), "in_service")]);
+    let (program, _) = Program::start_with_admin(&gone);
+    let refused = exchange(program.address, &closing("post", "body"));
+    let refused: String = refused
+        .split_inclusive('\n')
+        .map(|line| match line.starts_with("retry-after: ") {
+            true => without_digits(line), // drawn, and by the time that has passed
+            false => line.to_owned(),
+        })
+        .collect();
+    assert_golden("answers-failed.txt", &format!("== failing\n{failed}\n== not there\n{refused}\n"));
+}
+
+#[test]
+fn what_an_upstream_reads() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
+    let (program, _) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let mut text = String::new();
+    for class in ["look", "pay", "post"] {
+        exchange(program.address, &closing(class, if class == "look" { "" } else { "body" }));
+        let message = upstream.request();
+        let mut headers: Vec<_> = message.headers.iter().collect();
+        headers.sort();
+        text += &format!("{}\n", message.first_line);
+        for (name, value) in headers {
+            let masked = ["host", "x-budget"].contains(&name.as_str());
+            text += &format!("{name}: {}\n", if masked { without_digits(value) } else { value.clone() });
+        }
+        text += &format!("\n{}\n\n", String::from_utf8(message.body).unwrap());
+    }
+    assert_golden("forwarded.txt", &text);
+}
+
+/// Every call of operators, by every method that one might take.
+fn calls(admin: &Operators, paths: &[&str]) -> String {
+    let mut text = String::new();
+    for path in paths {
+        for method in ["GET", "POST", "DELETE"] {
+            let request = format!("{method} {path} HTTP/1.1\r\nHost: operators\r\nContent-Length: 0\r\n\r\n");
+            text += &format!("== {method} {path}\n{}\n", exchange(admin.address, &request));
+        }
+    }
+    text
+}
+
+#[test]
+fn answers_to_operators() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
+    let (_program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let paths = [
+        "/control/ready",
+        "/control/out-of-service",
+        "/control/ready",
+        "/control/in-service",
+        "/control/instances",
+        "/control/places",
+        "/control/places/leave/zone/a/10",
+        "/control/none",
+        "/",
+    ];
+    assert_golden("operators.txt", &calls(&admin, &paths));
+}
+
+#[test]
+fn the_counters() {
+    let upstream = Upstream::start(|message| match message.first_line.contains("post") {
+        true => Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()),
+        false => Act::Answer(ok("done")),
+    });
+    let (program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    for class in ["look", "look", "pay", "post", "none"] {
+        exchange(program.address, &closing(class, if class == "look" { "" } else { "body" }));
+    }
+    until("all have ended", || admin.figures()["balancer_active"] == 0.0);
+    assert_golden("counters.txt", &calls(&admin, &["/control/counters"]));
+}
+
+#[test]
+fn operators_of_a_fleet() {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-fleet-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let file = folder.join("operator.toml");
+    let text = format!(
+        "[instances]\nlisten = \"{free}\"\ninsecure = true\n\
+         [evacuation]\n[evacuation.regions]\na = \"west\"\n"
+    );
+    std::fs::write(&file, text).unwrap();
+    let environment =
+        [("LB_OPERATOR", file.to_str().unwrap().to_owned()), ("LB_NAME", "balancer-one".to_owned())];
+    let (_program, admin) = Program::start_in(&config(refusing(), &[]), &environment);
+    let counters = exchange(admin.address, "GET /control/counters HTTP/1.1\r\nHost: operators\r\n\r\n");
+    let varies = [
+        "content-length: ",
+        "balancer_members_bytes ",
+        "balancer_members_cut_off ",
+        "balancer_members_stalls ",
+    ];
+    let counters: String = counters
+        .split_inclusive('\n')
+        .map(|line| match varies.iter().any(|name| line.starts_with(name)) {
+            true => without_digits(line),
+            false => line.to_owned(),
+        })
+        .collect();
+    assert_golden("fleet-counters.txt", &counters);
+    let paths = [
+        "/control/instances",
+        "/control/places",
+        "/control/places/leave/zone/z/10",
+        "/control/places/leave/zone/a/0",
+        "/control/places/burn/zone/a/10",
+        "/control/places/hold/zone/a/10",
+        "/control/places/return/region/west/10",
+    ];
+    // It may just have stood still, where the machine is busy.
+    let answers = calls(&admin, &paths).replace("\"cut_off\":true", "\"cut_off\":false");
+    assert_golden("fleet-operators.txt", &without_digits(&answers));
+    std::fs::remove_dir_all(folder).unwrap();
+}
