--- /dev/null
+++ b/crates/consensus/tests/golden.rs
@@ -0,0 +1,119 @@
+//! The bytes of each message and each stored form: what this version writes, other versions on the wire and on disk read.
+
+use nanoserde::{DeBin, SerBin};
+use rstest::rstest;
+use std::fmt::Debug;
+use std::path::PathBuf;
+use woadstall_consensus::{
+    Body, Entry, Member, Membership, Message, Payload, Record, Snapshot, SnapshotHead, SnapshotPiece,
+};
+
+/// Compares a value's encoding with `tests/golden/NAME.hex`, and the value that those bytes are read as with the value.
+fn assert_golden<T: SerBin + DeBin + Debug + PartialEq>(name: &str, value: &T) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/golden/{name}.hex"));
+    let fixture = std::fs::read_to_string(&path).unwrap();
+    let expected = fixture.trim();
+    let encoded: String = value.serialize_bin().iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(encoded, expected, "{name}");
+    let read: T = DeBin::deserialize_bin(&decode_hex(expected)).unwrap();
+    assert_eq!(read, *value, "{name}");
+}
+
+fn decode_hex(text: &str) -> Vec<u8> {
+    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+}
+
+fn member(id: u64) -> Member {
+    Member { id, address: format!("10.0.0.{id}:7000") }
+}
+
+fn changing_membership() -> Membership {
+    Membership { voters: vec![member(1), member(2), member(3)], next: vec![member(1), member(4)] }
+}
+
+fn entry(index: u64, payload: Payload) -> Entry {
+    Entry { index, term: 3, payload }
+}
+
+fn entries() -> Vec<Entry> {
+    vec![
+        entry(11, Payload::Empty),
+        entry(12, Payload::Command(b"command".to_vec())),
+        entry(13, Payload::Members(changing_membership())),
+        entry(14, Payload::Members(Membership::new(vec![member(1), member(4)]))),
+    ]
+}
+
+fn snapshot() -> Snapshot {
+    Snapshot { index: 10, term: 2, members: changing_membership(), state: b"state".to_vec() }
+}
+
+fn head() -> SnapshotHead {
+    SnapshotHead { index: 10, term: 2, size: 70_000, checksum: 0x89ab_cdef }
+}
+
+fn piece() -> SnapshotPiece {
+    SnapshotPiece { head: head(), offset: 32_768, bytes: vec![1, 2, 3, 0xff] }
+}
+
+#[rstest]
+#[case::vote("message-vote", Body::Vote { pre: false, last_index: 14, last_term: 3, transfer: true })]
+#[case::pre_vote("message-pre-vote", Body::Vote { pre: true, last_index: 14, last_term: 3, transfer: false })]
+#[case::vote_reply("message-vote-reply", Body::VoteReply { pre: false, granted: true })]
+#[case::pre_vote_reply("message-pre-vote-reply", Body::VoteReply { pre: true, granted: false })]
+#[case::heartbeat(
+    "message-heartbeat",
+    Body::Append { previous_index: 14, previous_term: 3, entries: vec![], commit: 12, round: 99 }
+)]
+#[case::append(
+    "message-append",
+    Body::Append { previous_index: 10, previous_term: 2, entries: entries(), commit: 12, round: 100 }
+)]
+#[case::append_reply("message-append-reply", Body::AppendReply { success: true, index: 14, round: 100 })]
+#[case::append_reply_failed(
+    "message-append-reply-failed",
+    Body::AppendReply { success: false, index: 9, round: 101 }
+)]
+#[case::install("message-install", Body::Install { piece: piece(), round: 102 })]
+#[case::install_reply(
+    "message-install-reply",
+    Body::InstallReply { head: head(), received: 32_772, round: 102 }
+)]
+#[case::elect("message-elect", Body::Elect)]
+fn a_message_has_its_bytes(#[case] name: &str, #[case] body: Body) {
+    let message = Message { from: 1, to: 0x0102_0304_0506_0708, term: 5, body };
+    assert_golden(name, &message);
+}
+
+#[rstest]
+#[case::empty("entry-empty", entry(11, Payload::Empty))]
+#[case::command("entry-command", entry(12, Payload::Command(b"command".to_vec())))]
+#[case::members("entry-members", entry(13, Payload::Members(changing_membership())))]
+fn an_entry_has_its_bytes(#[case] name: &str, #[case] entry: Entry) {
+    assert_golden(name, &entry);
+}
+
+#[rstest]
+#[case::term("record-term", Record::Term { term: 7, vote: 2 })]
+#[case::append("record-append", Record::Append(entries()))]
+#[case::install("record-install", Record::Install(snapshot()))]
+#[case::commit("record-commit", Record::Commit(12))]
+fn a_record_has_its_bytes(#[case] name: &str, #[case] record: Record) {
+    assert_golden(name, &record);
+}
+
+#[test]
+fn a_snapshot_has_its_bytes() {
+    assert_golden("snapshot", &snapshot());
+}
+
+#[test]
+fn a_snapshots_head_has_its_bytes() {
+    let snapshot = snapshot();
+    assert_golden("snapshot-head", &SnapshotHead::of(&snapshot, &snapshot.serialize_bin()));
+}
+
+#[test]
+fn a_member_has_its_bytes() {
+    assert_golden("member", &member(4));
+}
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -216,3 +216,41 @@
     assert_eq!(group.state(1), &[9]);
     assert!(group.leader().is_none());
 }
+
+/// One course with every kind of fault, change and read; the checksum over all that the replicas wanted done.
+fn trace_of_course(seed: u64) -> u32 {
+    const SIZE: usize = 6;
+    let (mut group, mut taken) = (Group::new(seed, SIZE, ROUGH), Taken::default());
+    for step in 0..150 {
+        let place = group.random.usize(..SIZE);
+        match group.random.u8(..14) {
+            0 if step % 2 == 0 => group.stop(place),
+            0..=3 => (0..SIZE).for_each(|place| group.start(place)),
+            4 => {
+                let to = group.random.usize(..SIZE);
+                group.cuts.insert((place, to));
+            }
+            5 => group.cuts.clear(),
+            6 => group.stall_disk(place, 800),
+            7 => group.transfer(group.leader().unwrap_or(place)),
+            8 if step % 4 == 0 => {
+                group.wipe(place);
+                group.start(place);
+            }
+            8 | 9 => group.read(group.leader().unwrap_or(place), step),
+            _ => taken.propose(&mut group),
+        }
+        let time = group.random.u64(20..600);
+        group.run(time);
+    }
+    group.trace()
+}
+
+/// The decisions of the replicas, their order and their draws, as they were when these checksums were taken.
+#[test]
+fn each_course_has_the_outputs_that_it_had() {
+    const TRACES: [u32; 8] =
+        [1605864060, 4033664841, 3564011847, 442339125, 519440317, 4082559295, 2547960029, 210885475];
+    let traces: Vec<u32> = (0..TRACES.len() as u64).map(trace_of_course).collect();
+    assert_eq!(traces, TRACES);
+}
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,5 +1,6 @@
 //! A group of replicas in virtual time: network, disks, kills and lost disks, with the oracles of the log.
 
+use nanoserde::SerBin;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use woadstall_consensus::{
     DurableState, Entry, Member, Membership, Message, Output, Payload, Record, Replica, ReplicaId, Settings,
@@ -58,6 +59,8 @@
     /// The committed entry of each position, as the first replica applied it.
     committed: BTreeMap<u64, Entry>,
     next_id: ReplicaId,
+    /// Over all outputs of all replicas, in their order.
+    trace: crc32fast::Hasher,
 }
 
 impl Group {
@@ -91,6 +94,7 @@
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
             next_id: 1_000,
+            trace: crc32fast::Hasher::new(),
         };
         (0..machines).for_each(|place| group.start(place));
         group
@@ -156,6 +160,11 @@
         self.settle(place);
     }
 
+    pub fn read(&mut self, place: usize, number: u64) {
+        self.machines[place].replica.as_mut().into_iter().for_each(|replica| replica.read(number));
+        self.settle(place);
+    }
+
     /// Whether the entry at a position was committed in this term.
     pub fn is_committed(&self, index: u64, term: u64) -> bool {
         self.committed.get(&index).is_some_and(|entry| entry.term == term)
@@ -255,7 +264,27 @@
         assert_eq!(first, replica.id(), "two leaders of term {}", replica.term());
     }
 
+    fn record(&mut self, place: usize, output: &Output) {
+        let (kind, bytes) = match output {
+            Output::Persist { sequence, record } => (0, (*sequence, record.clone()).serialize_bin()),
+            Output::Send(message) => (1, message.serialize_bin()),
+            Output::Apply(entry) => (2, entry.serialize_bin()),
+            Output::Restore(snapshot) => (3, snapshot.serialize_bin()),
+            Output::ReadReady { read } => (4, read.serialize_bin()),
+            Output::ReadFailed { read } => (5, read.serialize_bin()),
+        };
+        self.trace.update(&self.now.to_le_bytes());
+        self.trace.update(&[place as u8, kind]);
+        self.trace.update(&bytes);
+    }
+
+    /// A checksum over all outputs of all replicas so far, with their times.
+    pub fn trace(&self) -> u32 {
+        self.trace.clone().finalize()
+    }
+
     fn carry_out(&mut self, place: usize, output: Output) {
+        self.record(place, &output);
         match output {
             Output::Persist { sequence, record } => {
                 let stall = self.machines[place].disk_stalls_until.saturating_sub(self.now);
--- a/crates/consensus/tests/voters.rs
+++ b/crates/consensus/tests/voters.rs
@@ -170,3 +170,39 @@
     group[2].place = None;
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 3, 4, 5]));
 }
+
+/// Drawn groups of every size, some with replicas whose place is not known.
+fn drawn_group(random: &mut fastrand::Rng) -> Vec<Candidate> {
+    let mut group: Vec<Candidate> = (1..=random.u64(1..MOST as u64))
+        .map(|id| {
+            let presence =
+                [Presence::Live, Presence::Live, Presence::Silent, Presence::Lost][random.usize(..4)];
+            let mut candidate = candidate(id, random.u8(..2 * REGIONS), presence, random.bool());
+            if random.u8(..10) == 0 {
+                candidate.place = None;
+            }
+            candidate
+        })
+        .collect();
+    let leader = random.usize(..group.len());
+    (group[leader].is_voter, group[leader].is_leader, group[leader].presence) = (true, true, Presence::Live);
+    group
+}
+
+/// The choices and their order, as they were when this checksum was taken.
+#[test]
+fn each_drawn_group_has_the_voters_that_it_had() {
+    const GROUPS: usize = 5_000;
+    const CHECKSUM: u32 = 702_419_999;
+    let mut random = fastrand::Rng::with_seed(7);
+    let mut checksum = crc32fast::Hasher::new();
+    for _ in 0..GROUPS {
+        let group = drawn_group(&mut random);
+        let least = random.usize(1..6);
+        for voter in choose_voters(&group, least) {
+            checksum.update(&voter.id.to_le_bytes());
+        }
+        checksum.update(&[0]);
+    }
+    assert_eq!(checksum.finalize(), CHECKSUM);
+}
--- /dev/null
+++ b/crates/storage/tests/golden.rs
@@ -0,0 +1,108 @@
+//! The bytes of the ring's files: what this version writes, and that files which it wrote are read back.
+
+use std::path::{Path, PathBuf};
+use woadstall_consensus::{DurableState, Entry, Member, Membership, Payload, Record, Snapshot};
+use woadstall_storage::{SEGMENT_BYTES, SEGMENTS, Storage};
+
+/// The bytes of a file of the ring, in hexadecimal; behind them the file holds zeros up to its size.
+fn golden(name: &str) -> String {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/golden/{name}.hex"));
+    std::fs::read_to_string(path).unwrap().trim().to_owned()
+}
+
+fn segment_path(folder: &Path, number: usize) -> PathBuf {
+    folder.join(format!("segment-{number}"))
+}
+
+fn assert_golden(name: &str, folder: &Path, segment: usize) {
+    let content = std::fs::read(segment_path(folder, segment)).unwrap();
+    assert_eq!(content.len() as u64, SEGMENT_BYTES, "{name}");
+    let expected = golden(name);
+    let end = content.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
+    let end = end.max(expected.len() / 2);
+    let written: String = content[..end].iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(written, expected, "{name}");
+}
+
+/// Lays a file of the ring out as an earlier process left it.
+fn place_golden(name: &str, folder: &Path, segment: usize) {
+    let text = golden(name);
+    assert!(!text.is_empty(), "{name}");
+    let mut content: Vec<u8> =
+        (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect();
+    content.resize(SEGMENT_BYTES as usize, 0);
+    std::fs::write(segment_path(folder, segment), content).unwrap();
+}
+
+fn member(id: u64) -> Member {
+    Member { id, address: format!("10.0.0.{id}:7000") }
+}
+
+fn founding() -> Snapshot {
+    let members = Membership::new(vec![member(1), member(2), member(3)]);
+    Snapshot { index: 1, term: 1, members, state: b"founding".to_vec() }
+}
+
+fn installed() -> Snapshot {
+    let members = Membership { voters: vec![member(1), member(2)], next: vec![member(2), member(4)] };
+    Snapshot { index: 3, term: 2, members, state: b"state".to_vec() }
+}
+
+fn entry(index: u64, payload: Payload) -> Entry {
+    Entry { index, term: 2, payload }
+}
+
+fn entries() -> Vec<Entry> {
+    vec![
+        entry(2, Payload::Empty),
+        entry(3, Payload::Members(installed().members)),
+        entry(4, Payload::Command(b"command".to_vec())),
+        entry(5, Payload::Members(Membership::new(vec![member(2), member(4)]))),
+    ]
+}
+
+/// A segment with an empty checkpoint and every kind of record, then one whose checkpoint holds a snapshot and entries.
+fn write_ring(folder: &Path) {
+    let mut storage = Storage::open(folder).unwrap();
+    storage.initialize(DurableState::new(7, founding())).unwrap();
+    storage.write(&[Record::Term { term: 2, vote: 9 }]).unwrap();
+    storage.write(&[Record::Append(entries()), Record::Commit(3)]).unwrap();
+    storage.write(&[Record::Install(installed())]).unwrap();
+    drop(storage);
+    let mut storage = Storage::open(folder).unwrap();
+    storage.write(&[Record::Commit(4)]).unwrap();
+    storage.write(&[Record::Term { term: 5, vote: 0 }]).unwrap();
+}
+
+#[test]
+fn the_ring_has_its_bytes() {
+    let folder = tempfile::tempdir().unwrap();
+    write_ring(folder.path());
+    assert_golden("segment-unused", folder.path(), 0);
+    assert_golden("segment-records", folder.path(), 1);
+    assert_golden("segment-checkpoint", folder.path(), 2);
+    assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), SEGMENTS);
+}
+
+#[test]
+fn a_segment_with_every_kind_of_record_is_read_back() {
+    let folder = tempfile::tempdir().unwrap();
+    place_golden("segment-records", folder.path(), 1);
+    let storage = Storage::open(folder.path()).unwrap();
+    let state = storage.state().unwrap();
+    assert_eq!((state.id, state.term, state.vote, state.commit), (7, 2, 9, 3));
+    assert_eq!(*state.log.snapshot(), installed());
+    assert_eq!(state.log.entries(), &entries()[2..]);
+}
+
+#[test]
+fn a_checkpoint_of_a_snapshot_and_entries_is_read_back() {
+    let folder = tempfile::tempdir().unwrap();
+    place_golden("segment-records", folder.path(), 1);
+    place_golden("segment-checkpoint", folder.path(), 2);
+    let storage = Storage::open(folder.path()).unwrap();
+    let state = storage.state().unwrap();
+    assert_eq!((state.id, state.term, state.vote, state.commit), (7, 5, 0, 4));
+    assert_eq!(*state.log.snapshot(), installed());
+    assert_eq!(state.log.entries(), &entries()[2..]);
+}
