--- /dev/null
+++ b/crates/decisions/tests/golden_decisions.rs
@@ -0,0 +1,568 @@
+//! Pins the decisions themselves: a balancer is driven through long fixed histories, and a digest of every
+//! action that it takes is compared with the one on record. The digest is made of numbers and ids alone, so
+//! a change of names or of the division into modules leaves it as it is, and a change of any decision, of
+//! the order of decisions or of a random draw does not.
+//!
+//! A history is played by a small model of a fleet: servers with a capacity, faults that come and go, calls
+//! that time out, are cancelled or lose their client, list changes, restarts, load reports and hand-overs.
+
+mod common;
+
+use common::*;
+use std::collections::BTreeMap;
+use woadstall_decisions::Balancer;
+use woadstall_decisions::api::*;
+
+const STEPS: u32 = 60_000;
+const SERVERS: u32 = 12;
+
+/// A 64-bit FNV-1a hash of numbers.
+struct Digest(u64);
+
+impl Digest {
+    fn new() -> Self {
+        Self(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn add(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+
+    fn add_float(&mut self, figure: f64) {
+        self.add(figure.to_bits());
+    }
+}
+
+/// SplitMix64: the draws of the model, apart from those of the balancer.
+struct Draws(u64);
+
+impl Draws {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    fn below(&mut self, bound: u64) -> u64 {
+        self.next() % bound
+    }
+
+    fn chance(&mut self, per_mille: u64) -> bool {
+        self.below(1000) < per_mille
+    }
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum Fault {
+    None,
+    Slow,
+    Erring,
+    Hanging,
+    Refusing,
+    Unreachable,
+    Resetting,
+}
+
+struct ServerModel {
+    entry: ListEntry,
+    service: u64,
+    capacity: u64,
+    in_flight: u64,
+    fault: Fault,
+}
+
+enum Incident {
+    Arrival,
+    AttemptEnds(u32),
+    AnswerBegins(u32),
+    ClientLeaves(u32),
+    ProbeEnds(ServerId),
+    TimerFires(u64),
+    Subscribed,
+    FleetChanges,
+}
+
+struct OpenAttempt {
+    number: u32,
+    server: usize,
+    sent: u64,
+    outcome: Outcome,
+    ends: (u64, u64),
+    begun: bool,
+}
+
+#[derive(Default)]
+struct Call {
+    attempts: u32,
+    open: Option<OpenAttempt>,
+    over: bool,
+}
+
+/// How often each kind of action was taken, in the order of `Fleet::record`.
+type Counts = [u32; 9];
+
+struct Fleet {
+    settings: Settings,
+    balancer: Balancer,
+    now: u64,
+    draws: Draws,
+    digest: Digest,
+    counts: Counts,
+    servers: Vec<ServerModel>,
+    calls: BTreeMap<u32, Call>,
+    next_call: u32,
+    /// What happens next, by time and by the order in which it was planned.
+    agenda: BTreeMap<(u64, u64), Incident>,
+    planned: u64,
+    /// Mean time between two requests, and what it is now.
+    usual_spacing: u64,
+    spacing: u64,
+}
+
+impl Fleet {
+    fn new(settings: Settings, seed: u64, spacing: u64) -> Self {
+        let server = |number: u32| ServerModel {
+            entry: ListEntry {
+                cell: (number % 2) as u16,
+                size: if number % 5 == 4 { 2.0 } else { 1.0 },
+                ..entry(number, (number % 3) as u8)
+            },
+            service: (12 + 4 * u64::from(number % 4)) * MS,
+            capacity: 1 + u64::from(number % 2),
+            in_flight: 0,
+            fault: Fault::None,
+        };
+        let mut fleet = Self {
+            balancer: Balancer::new(settings.clone(), seed, SECOND).unwrap(),
+            settings,
+            now: SECOND,
+            draws: Draws(seed),
+            digest: Digest::new(),
+            counts: Counts::default(),
+            servers: (0..SERVERS).map(server).collect(),
+            calls: BTreeMap::new(),
+            next_call: 0,
+            agenda: BTreeMap::new(),
+            planned: 0,
+            usual_spacing: spacing,
+            spacing,
+        };
+        fleet.send_whole_list();
+        fleet.plan(0, Incident::Arrival);
+        fleet.plan(2 * SECOND, Incident::FleetChanges);
+        fleet
+    }
+
+    fn play(mut self, steps: u32) -> (u64, Counts) {
+        for step in 0..steps {
+            let Some(((time, _), incident)) = self.agenda.pop_first() else { break };
+            self.now = self.now.max(time);
+            self.digest.add(self.now);
+            self.happen(incident);
+            if step % 500 == 499 {
+                self.record_learned();
+            }
+        }
+        (self.digest.0, self.counts)
+    }
+
+    fn plan(&mut self, after: u64, incident: Incident) -> (u64, u64) {
+        self.planned += 1;
+        let key = (self.now.saturating_add(after), self.planned);
+        self.agenda.insert(key, incident);
+        key
+    }
+
+    fn handle(&mut self, event: Event<'_>) {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        for action in actions {
+            self.record(&action);
+            self.carry_out(action);
+        }
+    }
+
+    fn record(&mut self, action: &Action) {
+        let (kind, numbers) = match *action {
+            Action::Send { id, server, until, begin_by } => {
+                (0, [u64::from(id.0), u64::from(server.0), until, begin_by])
+            }
+            Action::Refuse { id, retry_after } => (1, [u64::from(id.0), retry_after, 0, 0]),
+            Action::Fail(id) => (2, [u64::from(id.0), 0, 0, 0]),
+            Action::Cancel { id, attempt } => (3, [u64::from(id.0), u64::from(attempt), 0, 0]),
+            Action::Probe(server) => (4, [u64::from(server.0), 0, 0, 0]),
+            Action::Close(server) => (5, [u64::from(server.0), 0, 0, 0]),
+            Action::SetTimer { after, token } => (6, [after, token, 0, 0]),
+            Action::Watch => (7, [0; 4]),
+            Action::Log(_) => (8, [0; 4]),
+        };
+        self.counts[kind] += 1;
+        self.digest.add(kind as u64);
+        numbers.into_iter().for_each(|number| self.digest.add(number));
+    }
+
+    fn record_learned(&mut self) {
+        let mut learned = self.balancer.learned();
+        learned.servers.sort_by_key(|server| server.server);
+        let latencies = learned.classes.iter().map(|(class, latency)| (*class as u64, latency));
+        for (class, latency) in latencies.chain([(u64::MAX, &learned.overall)]) {
+            self.digest.add(class);
+            self.digest.add_float(latency.mean);
+            self.digest.add_float(latency.dev);
+            self.digest.add_float(latency.calm);
+            self.digest.add(u64::from(latency.calls));
+        }
+        for figure in [learned.rate, learned.answers, learned.held, learned.failing] {
+            self.digest.add_float(figure);
+        }
+        for server in &learned.servers {
+            self.digest.add(u64::from(server.server.0));
+            self.digest.add(server.started.map_or(0, |started| started + 1));
+            self.digest.add_float(server.slowness);
+            self.digest.add(u64::from(server.opens));
+            self.digest.add(server.open_for.map_or(0, |open_for| open_for + 1));
+        }
+        self.digest.add(self.balancer.avoided() as u64);
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { id, server, until, begin_by } => self.begin_attempt(id.0, server, until, begin_by),
+            Action::Refuse { id, .. } | Action::Fail(id) => {
+                self.calls.get_mut(&id.0).expect("a known call").over = true;
+            }
+            Action::Cancel { id, .. } => self.cancel(id.0),
+            Action::Probe(server) => {
+                let after = (1 + self.draws.below(6)) * MS;
+                self.plan(after, Incident::ProbeEnds(server));
+            }
+            Action::SetTimer { after, token } => {
+                self.plan(after, Incident::TimerFires(token));
+            }
+            Action::Watch => {
+                self.plan(20 * MS, Incident::Subscribed);
+            }
+            Action::Close(_) | Action::Log(_) => {}
+        }
+    }
+
+    fn begin_attempt(&mut self, id: u32, server: ServerId, until: u64, begin_by: u64) {
+        let at = server.0 as usize;
+        let (outcome, took) = self.outcome_at(at, begin_by);
+        let late = self.now.saturating_add(took) >= until;
+        let outcome = if late { Outcome::Timeout } else { outcome };
+        let took = if late { until.saturating_sub(self.now) } else { took };
+        let ends = self.plan(took, Incident::AttemptEnds(id));
+        if outcome == Outcome::Ok && self.draws.chance(60) {
+            self.plan(took / 2, Incident::AnswerBegins(id));
+        }
+        if self.draws.chance(15) {
+            self.plan(took / 3, Incident::ClientLeaves(id));
+        }
+        self.servers[at].in_flight += 1;
+        let call = self.calls.get_mut(&id).expect("a known call");
+        assert!(call.open.is_none(), "one attempt at a time");
+        let number = call.attempts;
+        call.attempts += 1;
+        call.open = Some(OpenAttempt { number, server: at, sent: self.now, outcome, ends, begun: false });
+    }
+
+    /// How an attempt at a server would end, and after how long.
+    fn outcome_at(&mut self, at: usize, begin_by: u64) -> (Outcome, u64) {
+        let (jitter, broken) = (self.draws.below(40), self.draws.chance(500));
+        let declined = self.draws.chance(5);
+        let server = &self.servers[at];
+        let queued = server.in_flight / server.capacity;
+        let took = server.service * (1 + queued) * (80 + jitter) / 100;
+        if begin_by < self.now + 5 * MS || self.draws.chance(3) {
+            return (Outcome::Moot, MS);
+        }
+        match server.fault {
+            Fault::Slow => (Outcome::Ok, 6 * took),
+            Fault::Erring if broken => (Outcome::Error, took / 2),
+            Fault::Hanging => (Outcome::Ok, 60 * SECOND),
+            Fault::Refusing if queued > 0 || broken => (Outcome::Full, MS),
+            Fault::Unreachable if broken => (Outcome::ConnectFailed, 200 * MS),
+            Fault::Unreachable => (Outcome::ConnectFailed, MS),
+            Fault::Resetting if broken => (Outcome::Reset, took / 4),
+            _ if declined => (Outcome::Declined, took / 2),
+            _ => (Outcome::Ok, took),
+        }
+    }
+
+    fn cancel(&mut self, id: u32) {
+        let Some(open) = self.calls.get_mut(&id).and_then(|call| call.open.as_mut()) else { return };
+        open.outcome = Outcome::Cancelled;
+        let ends = open.ends;
+        self.agenda.remove(&ends);
+        self.plan(MS, Incident::AttemptEnds(id));
+    }
+
+    fn happen(&mut self, incident: Incident) {
+        match incident {
+            Incident::Arrival => self.arrive(),
+            Incident::AttemptEnds(id) => self.end_attempt(id),
+            Incident::AnswerBegins(id) => self.begin_answer(id),
+            Incident::ClientLeaves(id) => {
+                let call = self.calls.get_mut(&id).expect("a known call");
+                if !std::mem::replace(&mut call.over, true) {
+                    self.handle(Event::ClientGone(RequestId(id)));
+                }
+            }
+            Incident::ProbeEnds(server) => self.end_probe(server),
+            Incident::TimerFires(token) => self.handle(Event::Timer(token)),
+            Incident::Subscribed if self.draws.chance(400) => self.handle(Event::ListFailed),
+            Incident::Subscribed => self.send_whole_list(),
+            Incident::FleetChanges => self.change_fleet(),
+        }
+    }
+
+    fn arrive(&mut self) {
+        let id = self.next_call;
+        self.next_call += 1;
+        self.calls.insert(id, Call::default());
+        let demand = Demand {
+            class: self.draws.below(5) as usize,
+            tenant: (self.draws.below(4) / 2) as usize,
+            time_left: (400 + self.draws.below(2000)) * MS,
+            work: self.draws.chance(300).then_some(20 * MS),
+            attempts: if self.draws.chance(50) { 1 } else { u32::MAX },
+        };
+        let class = if self.draws.chance(2) { 99 } else { demand.class };
+        self.handle(Event::Request(RequestId(id), Demand { class, ..demand }));
+        let after = self.spacing / 2 + self.draws.below(self.spacing.max(1));
+        self.plan(after, Incident::Arrival);
+    }
+
+    fn end_attempt(&mut self, id: u32) {
+        let call = self.calls.get_mut(&id).expect("a known call");
+        let Some(open) = call.open.take() else { return };
+        let closed = matches!(open.outcome, Outcome::Ok | Outcome::Declined) || open.begun || call.over;
+        call.over |= closed;
+        let server = &mut self.servers[open.server];
+        server.in_flight -= 1;
+        let end = End {
+            attempt: open.number,
+            outcome: open.outcome,
+            elapsed: self.now - open.sent,
+            closed,
+            load: held(server.in_flight as f32),
+        };
+        self.handle(Event::Ended(RequestId(id), end));
+    }
+
+    fn begin_answer(&mut self, id: u32) {
+        let call = self.calls.get_mut(&id).expect("a known call");
+        let Some(open) = call.open.as_mut().filter(|_| !call.over) else { return };
+        open.begun = true;
+        call.over = true;
+        let attempt = open.number;
+        self.handle(Event::Started(RequestId(id), attempt));
+    }
+
+    fn end_probe(&mut self, server: ServerId) {
+        let model = &self.servers[server.0 as usize];
+        let dead = matches!(model.fault, Fault::Hanging | Fault::Unreachable);
+        let load = held(model.in_flight as f32).filter(|_| !dead);
+        let outcome = if dead { Outcome::Timeout } else { Outcome::Ok };
+        self.handle(Event::Probed(server, outcome, load));
+    }
+
+    fn send_whole_list(&mut self) {
+        let list: Vec<ListEntry> = self.servers.iter().map(|server| server.entry.clone()).collect();
+        self.handle(Event::List(&list));
+    }
+
+    /// Every 1.5 seconds: faults, drains, restarts, loads, findings of the fleet, a hand-over, new settings.
+    fn change_fleet(&mut self) {
+        self.plan(1500 * MS, Incident::FleetChanges);
+        let at = self.draws.below(u64::from(SERVERS)) as usize;
+        match self.draws.below(16) {
+            0 => self.servers[at].fault = Fault::Slow,
+            1 => self.servers[at].fault = Fault::Erring,
+            2 => self.servers[at].fault = Fault::Hanging,
+            3 => self.servers[at].fault = Fault::Refusing,
+            4 => self.servers[at].fault = Fault::Unreachable,
+            5 => self.servers[at].fault = Fault::Resetting,
+            6 => self.fail_zone(at % 3),
+            7 | 8 => self.servers.iter_mut().for_each(|server| server.fault = Fault::None),
+            9 => self.change_lifecycle(at, Lifecycle::Draining),
+            10 => self.change_lifecycle(at, Lifecycle::Gone),
+            11 => self.restart_zone(at % 3),
+            12 => self.spacing = self.usual_spacing / 4 + self.draws.below(2 * self.usual_spacing),
+            13 => self.send_verdicts(at),
+            14 => self.hand_over(),
+            _ => self.change_settings(),
+        }
+        self.bring_back();
+    }
+
+    fn fail_zone(&mut self, zone: usize) {
+        let faults = [Fault::Erring, Fault::Slow, Fault::Unreachable];
+        let fault = faults[self.draws.below(3) as usize];
+        let servers = self.servers.iter_mut().filter(|server| usize::from(server.entry.zone.0) == zone);
+        servers.for_each(|server| server.fault = fault);
+    }
+
+    fn change_lifecycle(&mut self, at: usize, lifecycle: Lifecycle) {
+        self.servers[at].entry.lifecycle = lifecycle;
+        let entry = self.servers[at].entry.clone();
+        self.handle(Event::ListChange(&[entry]));
+    }
+
+    fn restart_zone(&mut self, zone: usize) {
+        let now = self.now;
+        let servers = self.servers.iter_mut().filter(|server| usize::from(server.entry.zone.0) == zone);
+        for server in servers {
+            server.entry.started = Some(now);
+            server.fault = Fault::None;
+        }
+        self.send_whole_list();
+    }
+
+    /// One server that is drained or gone comes back, half of the time as a new process.
+    fn bring_back(&mut self) {
+        if !self.draws.chance(400) {
+            return;
+        }
+        let away = |server: &ServerModel| server.entry.lifecycle != Lifecycle::Ready;
+        let Some(at) = self.servers.iter().position(away) else { return };
+        if self.draws.chance(500) {
+            self.servers[at].entry.started = Some(self.now);
+        }
+        self.change_lifecycle(at, Lifecycle::Ready);
+    }
+
+    fn send_verdicts(&mut self, at: usize) {
+        let zone = ZoneId(self.draws.below(3) as u8);
+        let places =
+            [Place::Zone(zone, None), Place::Zone(zone, Some(at % 5)), Place::Server(ServerId(at as u32))];
+        let shares = [0.0, 0.2, 0.6, 1.0];
+        let verdicts = places.map(|place| Verdict {
+            place,
+            share: shares[self.draws.below(4) as usize],
+            until: self.now + (1 + self.draws.below(4)) * SECOND,
+        });
+        self.handle(Event::Told(&verdicts));
+    }
+
+    /// A new process takes over; the calls that are out stay with the old one, and are left out from then on.
+    fn hand_over(&mut self) {
+        self.record_learned();
+        let learned = self.balancer.learned();
+        let seed = self.draws.next();
+        self.balancer = Balancer::new(self.settings.clone(), seed, self.now).unwrap();
+        self.send_whole_list();
+        self.balancer.learn_from(self.now, &learned);
+        for call in self.calls.values_mut() {
+            call.over = true;
+            if let Some(open) = call.open.take() {
+                self.servers[open.server].in_flight -= 1;
+            }
+        }
+        self.record_learned();
+    }
+
+    fn change_settings(&mut self) {
+        self.settings.max_attempts = 1 + self.draws.below(4) as u32;
+        self.settings.may_cancel = !self.settings.may_cancel;
+        self.settings.classes[UNSAFE].worth = 1.0 + self.draws.below(9) as f64;
+        if self.settings.classes.len() == 5 {
+            let class = self.settings.classes[SAFE].clone();
+            self.settings.classes.push(class);
+            let new = [ClassSuccession { class: 5, predecessor: SAFE }];
+            return self.balancer.retune(self.settings.clone(), &new).unwrap();
+        }
+        self.balancer.retune(self.settings.clone(), &[]).unwrap();
+    }
+}
+
+fn play(settings: Settings, seed: u64, spacing: u64) -> (String, Counts) {
+    let (digest, counts) = Fleet::new(settings, seed, spacing).play(STEPS);
+    (format!("{digest:016x}"), counts)
+}
+
+fn tenants() -> Vec<Tenant> {
+    vec![Tenant { quota_rps: 20.0 }, Tenant { quota_rps: 60.0 }]
+}
+
+#[test]
+fn light_traffic_decides_as_recorded() {
+    let (digest, counts) = play(settings(), 1, 40 * MS);
+    assert_eq!(digest, "18c584b69dd3c401", "{counts:?}");
+}
+
+#[test]
+fn overload_of_two_tenants_decides_as_recorded() {
+    let settings =
+        Settings { tenants: tenants(), worth_by_work: true, max_retry_after: 4 * SECOND, ..settings() };
+    let (digest, counts) = play(settings, 2, 3 * MS);
+    assert_eq!(digest, "27bce3b2c962ad06", "{counts:?}");
+}
+
+#[test]
+fn asking_servers_for_their_load_decides_as_recorded() {
+    let settings = Settings { report_inflight: Some(0), load_by_probe: true, ..settings() };
+    let (digest, counts) = play(settings, 3, 8 * MS);
+    assert_eq!(digest, "912e2e59df9af7f1", "{counts:?}");
+}
+
+#[test]
+fn deeper_tier_without_passed_deadlines_decides_as_recorded() {
+    let settings = Settings { tier: 1, passes_deadline: false, may_cancel: false, ..settings() };
+    let (digest, counts) = play(settings, 4, 6 * MS);
+    assert_eq!(digest, "2791c803c073d4bc", "{counts:?}");
+}
+
+#[test]
+fn polled_discovery_decides_as_recorded() {
+    let settings = Settings { ask_discovery: true, siblings: 40, zone: ZoneId(2), ..settings() };
+    let (digest, counts) = play(settings, 5, 15 * MS);
+    assert_eq!(digest, "a41f7fdaac91611a", "{counts:?}");
+}
+
+#[test]
+fn dear_crossings_of_zones_decide_as_recorded() {
+    let settings = Settings { cross_price: 0.05, conn_idle: 3 * SECOND, ..settings() };
+    let (digest, counts) = play(settings, 6, 5 * MS);
+    assert_eq!(digest, "c777113283f739bd", "{counts:?}");
+}
+
+#[test]
+fn slow_start_decides_as_recorded() {
+    let settings = Settings {
+        start_capacity: 0.1,
+        tip_multiple: 1.5,
+        ramp_time: 30 * SECOND,
+        siblings: 2,
+        ..settings()
+    };
+    let (digest, counts) = play(settings, 7, 6 * MS);
+    assert_eq!(digest, "3bb107bc512d0b67", "{counts:?}");
+}
+
+#[test]
+fn small_caller_decides_as_recorded() {
+    let mut settings = settings();
+    for class in &mut settings.classes {
+        (class.aim, class.aim_stretch, class.late_worth) = (60 * MS, 1.5, 0.0);
+    }
+    let (digest, counts) = play(settings, 8, 300 * MS);
+    assert_eq!(digest, "06fbef7d68bcc0d7", "{counts:?}");
+}
+
+#[test]
+fn cold_fleet_asked_for_its_load_in_an_overload_decides_as_recorded() {
+    let settings = Settings {
+        report_inflight: Some(0),
+        load_by_probe: true,
+        tenants: tenants(),
+        start_capacity: 0.2,
+        ..settings()
+    };
+    let (digest, counts) = play(settings, 9, 2 * MS);
+    assert_eq!(digest, "1c93600a7c616ef3", "{counts:?}");
+}
