--- /dev/null
+++ b/crates/control/tests/golden.rs
@@ -0,0 +1,322 @@
+//! Golden bytes: each frame, each stored form and each hash that decides ownership is the one that is in use. A difference means
+//! that processes of two versions no longer understand each other, or that stored data can no longer be read.
+//!
+//! The fixtures hold one form a line, its name and its bytes in hexadecimal.
+
+use nanoserde::{DeBin, SerBin};
+use rstest::rstest;
+use std::fmt::{Debug, Write};
+use woadstall_consensus::{Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece};
+use woadstall_control::balancers::{Heartbeat, StillThere};
+use woadstall_control::command::{Command, Outcome};
+use woadstall_control::configuration::Configuration;
+use woadstall_control::feed::Event;
+use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, Placement, UpstreamLoad};
+use woadstall_control::registry::{Registration, Status};
+use woadstall_control::shards::{monitors, replica_group, shard_of, short_hash};
+use woadstall_control::state::ControlState;
+use woadstall_control::wire::{
+    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION, ZoneBalancers,
+    decode_whole, frame,
+};
+
+const FRAMES: &str = include_str!("golden/frames.txt");
+const STORED: &str = include_str!("golden/stored.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        write!(text, "{byte:02x}").unwrap();
+        text
+    })
+}
+
+/// The bytes of a form in a fixture.
+fn golden(fixture: &str, name: &str) -> Vec<u8> {
+    let line = fixture.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let digits = line.unwrap_or_else(|| panic!("the fixture has no form {name}"));
+    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+}
+
+fn assert_golden(fixture: &str, name: &str, bytes: &[u8]) {
+    assert_eq!(hex(bytes), hex(&golden(fixture, name)), "the bytes of {name} have changed");
+}
+
+/// A packet is written as the fixture's frame, and that frame is read as the packet.
+fn assert_golden_frame(name: &str, packet: &Packet) {
+    assert_golden(FRAMES, name, &packet.frame());
+    assert_eq!(Packet::decode_datagram(&golden(FRAMES, name)).as_ref(), Ok(packet));
+}
+
+/// A value is written as the fixture's bytes, and these are read as the value.
+fn assert_golden_value<T: SerBin + DeBin + PartialEq + Debug>(name: &str, value: &T) {
+    assert_golden(STORED, name, &value.serialize_bin());
+    assert_eq!(T::deserialize_bin(&golden(STORED, name)).unwrap(), *value);
+}
+
+fn text(text: &str) -> String {
+    text.to_owned()
+}
+
+fn member(id: u64) -> Member {
+    Member { id, address: format!("10.0.0.{id}:7720") }
+}
+
+fn control_machine(id: u64) -> ControlMachine {
+    ControlMachine {
+        member: member(id),
+        zone: text("zone-1"),
+        region: text("region-1"),
+        control: format!("10.0.0.{id}:80"),
+    }
+}
+
+fn registration(status: Status) -> Registration {
+    Registration {
+        id: text("i-1"),
+        service: text("chat"),
+        address: text("10.0.1.9:8000"),
+        zone: text("zone-1"),
+        capacity: 64,
+        sequence: 3,
+        status,
+        cold_remaining_ms: 5_000,
+        remaining_ms: 6_000,
+        age_ms: 7,
+    }
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        name: text("front-1"),
+        incarnation: 11,
+        sequence: 12,
+        address: text("10.0.2.3:80"),
+        zone: text("zone-1"),
+        ready: true,
+    }
+}
+
+fn placement() -> Placement {
+    Placement { number: 1, upstream: 0xdead_beef, beginning: 5, tokens: 9_000, own_tokens: 20 }
+}
+
+const CALL: CallId = CallId { incarnation: 0x1122_3344_5566_7788, number: 9 };
+
+/// A configuration that is large enough to be compressed on its way.
+fn large_body() -> Vec<u8> {
+    let item = |number| format!("{{\"name\":\"r-{number}\",\"timeout_ms\":5000}},");
+    (0..60).map(item).collect::<String>().into_bytes()
+}
+
+fn put(body: &[u8]) -> Command {
+    Command::Put { base: 1, body: body.to_vec() }
+}
+
+fn order(command: Command) -> Packet {
+    Packet::Order { call: CALL, expires: LeaderTime { term: 3, at: 900 }, command }
+}
+
+fn outcome(outcome: Option<Outcome>) -> Packet {
+    Packet::OrderDone { call: CALL, outcome }
+}
+
+fn events(events: Vec<Event>) -> Packet {
+    Packet::Events { offset: 2, events }
+}
+
+#[rstest]
+#[case::hello("hello", Packet::Hello { machine: control_machine(1), known: vec![control_machine(1), control_machine(2)] })]
+#[case::join("join", Packet::Join(member(4)))]
+#[case::leaves("leaves", Packet::Leaves(4))]
+#[case::registrations("registrations", Packet::Registrations { call: CALL, registrations: vec![
+    registration(Status::Ready),
+    registration(Status::Silent),
+    registration(Status::Draining),
+    registration(Status::Gone),
+] })]
+#[case::registrations_taken("registrations_taken", Packet::RegistrationsTaken { call: CALL })]
+#[case::renewals("renewals", Packet::Renewals(vec![Renewal { id: text("i-1"), sequence: 4 }]))]
+#[case::balancers("balancers", Packet::Balancers(vec![heartbeat()]))]
+#[case::balancers_still_there("balancers_still_there", Packet::BalancersStillThere(vec![
+    StillThere { name: 1, incarnation: 2, sequence: 3 },
+]))]
+#[case::order_put("order_put", order(put(b"{}")))]
+#[case::order_put_compressed("order_put_compressed", order(put(&large_body())))]
+#[case::order_patch("order_patch", order(Command::Patch { base: 2, body: b"{\"generation\":3}".to_vec() }))]
+#[case::order_evacuate("order_evacuate", order(Command::Evacuate { zone: text("zone-1") }))]
+#[case::order_return("order_return", order(Command::Return { zone: text("zone-1") }))]
+#[case::order_done_unclear("order_done_unclear", outcome(None))]
+#[case::order_done_accepted("order_done_accepted", outcome(Some(Outcome::Accepted)))]
+#[case::order_done_conflict("order_done_conflict", outcome(Some(Outcome::Conflict { current: 4 })))]
+#[case::order_done_invalid("order_done_invalid", outcome(Some(Outcome::Invalid { findings: text("a: is missing\n") })))]
+#[case::read("read", Packet::Read { call: CALL })]
+#[case::read_done("read_done", Packet::ReadDone { call: CALL, index: Some(4) })]
+#[case::read_done_unclear("read_done_unclear", Packet::ReadDone { call: CALL, index: None })]
+#[case::subscribe("subscribe", Packet::Subscribe { balancer: text("front-1"), epoch: 1, offset: 2, index: 3 })]
+#[case::snapshot("snapshot", Packet::Snapshot {
+    epoch: 1,
+    offset: 2,
+    state: vec![1, 2, 3],
+    registrations: vec![registration(Status::Ready)],
+})]
+#[case::event_committed("event_committed", events(vec![Event::Committed { index: 1, command: put(b"{}") }]))]
+#[case::event_registered("event_registered", events(vec![Event::Registered(registration(Status::Draining))]))]
+#[case::events_compressed("events_compressed", events(vec![Event::Committed { index: 1, command: put(&large_body()) }]))]
+#[case::status("status", Packet::Status { in_quorum: true, machines: vec![control_machine(1)] })]
+#[case::balancing("balancing", Packet::Balancing(vec![ZoneBalancers { zone: text("zone-1"), balancers: vec![1, 2] }]))]
+#[case::heartbeat("heartbeat", Packet::Heartbeat(heartbeat()))]
+#[case::load("load", Packet::Load(LoadReport {
+    balancer: 1,
+    sequence: 2,
+    zone: text("zone-1"),
+    upstreams: vec![UpstreamLoad { upstream: 3, unread: 4_000, is_failing: true }],
+    placements: vec![placement()],
+}))]
+#[case::loads("loads", Packet::Loads(FleetLoads {
+    upstreams: vec![FleetLoad { upstream: 3, unread: 4_000, failing: 2 }],
+    placements: vec![placement()],
+}))]
+fn packets_have_their_golden_frames(#[case] name: &str, #[case] packet: Packet) {
+    assert_golden_frame(name, &packet);
+}
+
+fn entries() -> Vec<Entry> {
+    let members = Membership { voters: vec![member(1), member(2)], next: vec![member(3)] };
+    vec![
+        Entry { index: 1, term: 1, payload: Payload::Empty },
+        Entry { index: 2, term: 1, payload: Payload::Command(vec![1, 2, 3]) },
+        Entry { index: 3, term: 1, payload: Payload::Members(members) },
+    ]
+}
+
+const HEAD: SnapshotHead = SnapshotHead { index: 3, term: 1, size: 20, checksum: 7 };
+
+#[rstest]
+#[case::vote("vote", Body::Vote { pre: true, last_index: 5, last_term: 2, transfer: false })]
+#[case::vote_reply("vote_reply", Body::VoteReply { pre: false, granted: true })]
+#[case::append("append", Body::Append { previous_index: 4, previous_term: 1, entries: entries(), commit: 1, round: 9 })]
+#[case::append_reply("append_reply", Body::AppendReply { success: true, index: 3, round: 9 })]
+#[case::install("install", Body::Install { piece: SnapshotPiece { head: HEAD, offset: 8, bytes: vec![9; 12] }, round: 9 })]
+#[case::install_reply("install_reply", Body::InstallReply { head: HEAD, received: 20, round: 9 })]
+#[case::elect("elect", Body::Elect)]
+fn messages_of_the_log_have_their_golden_frames(#[case] name: &str, #[case] body: Body) {
+    let message = Message { from: 1, to: 2, term: 3, body };
+    assert_golden_frame(&format!("consensus_{name}"), &Packet::Consensus { message, clock: 77 });
+}
+
+#[test]
+fn values_beside_packets_have_their_golden_frames() {
+    let value = registration(Status::Ready);
+    assert_golden(FRAMES, "value_registration", &frame(&value));
+    assert_eq!(decode_whole(&golden(FRAMES, "value_registration")), Ok(value));
+    let many = vec![registration(Status::Draining); 40];
+    assert_golden(FRAMES, "value_registrations_compressed", &frame(&many));
+    assert_eq!(decode_whole(&golden(FRAMES, "value_registrations_compressed")), Ok(many));
+}
+
+#[test]
+fn a_frame_has_its_golden_limits() {
+    assert_eq!((VERSION, HEAD_BYTES, MOST_BYTES), (3, 12, 16_777_216));
+}
+
+#[rstest]
+#[case::put("command_put", put(b"{\"generation\":2}"), 0x021a_bba3_3304_d51e_fa14_90e0_9dfc_cdf7)]
+#[case::patch("command_patch", Command::Patch { base: 2, body: b"{}".to_vec() }, 0x6884_c946_4412_61ac_7da5_603a_5d28_2c43)]
+#[case::evacuate("command_evacuate", Command::Evacuate { zone: text("zone-1") }, 0xf300_7e87_a6b8_8da2_a194_1db3_0edb_a766)]
+#[case::a_return("command_return", Command::Return { zone: text("zone-1") }, 0xb852_55e1_18d0_abd6_b4bc_94bd_d1ce_35bf)]
+fn commands_have_their_golden_entries_and_digests(
+    #[case] name: &str,
+    #[case] command: Command,
+    #[case] digest: u128,
+) {
+    assert_golden_value(name, &command);
+    assert_eq!(command.digest(), digest, "{:#034x}", command.digest());
+}
+
+#[rstest]
+#[case::ready("registration_ready", Status::Ready)]
+#[case::silent("registration_silent", Status::Silent)]
+#[case::draining("registration_draining", Status::Draining)]
+#[case::gone("registration_gone", Status::Gone)]
+fn registrations_have_their_golden_bytes(#[case] name: &str, #[case] status: Status) {
+    assert_golden_value(name, &registration(status));
+}
+
+/// A configuration with every field that is known, and one that is not.
+const DOCUMENT: &str = concat!(
+    r#"{"generation":5,"limits":{"header_timeout_ms":3000,"idle_timeout_ms":15000,"max_body_bytes":4096,"#,
+    r#""max_header_bytes":1024},"routes":[{"allowed_regions":["region-1"],"gap_aim_ms":400,"host":"Chat.Example","#,
+    r#""max_attempts":3,"name":"r-1","path_prefix":"/v1/","priority":1,"resumable":true,"route_type":"streaming","#,
+    r#""session_affinity":true,"target_latency_ms":800,"timeout_ms":60000,"traffic_split":[{"service":"chat","weight":9}]}],"#,
+    r#""services":[{"cold_start_s":2.5,"engine":{"capacity":8,"kv_capacity_tokens":100000},"health_check":"/health","#,
+    r#""max_connections":50,"name":"chat","warmup_per_s":1.5}],"unknown":{"a":[1,2.5,null]}}"#
+);
+
+fn state() -> ControlState {
+    let mut state = ControlState::default();
+    let put = Command::Put { base: 0, body: DOCUMENT.as_bytes().to_vec() };
+    assert_eq!(state.apply(2, &put), Outcome::Accepted);
+    assert_eq!(state.apply(3, &Command::Evacuate { zone: text("zone-2") }), Outcome::Accepted);
+    assert_eq!(state.apply(4, &Command::Evacuate { zone: text("zone-1") }), Outcome::Accepted);
+    let patch = Command::Patch { base: 5, body: b"{\"generation\":6}".to_vec() };
+    assert_eq!(state.apply(5, &patch), Outcome::Accepted);
+    state
+}
+
+#[test]
+fn an_empty_state_has_its_golden_snapshot() {
+    let state = ControlState::default();
+    assert_golden(STORED, "state_empty", &state.encode());
+    let read = ControlState::decode(&golden(STORED, "state_empty")).unwrap();
+    assert_eq!((read.index, read.generation(), read.evacuated.len()), (0, 0, 0));
+}
+
+#[test]
+fn a_state_has_its_golden_snapshot() {
+    let state = state();
+    assert_golden(STORED, "state", &state.encode());
+    let mut read = ControlState::decode(&golden(STORED, "state")).unwrap();
+    assert_eq!(hex(&read.encode()), hex(&state.encode()));
+    assert_eq!((read.index, read.generation()), (5, 6));
+    assert_eq!(read.configuration, state.configuration);
+    assert_eq!(read.document(), state.document());
+    assert_eq!(read.evacuated.iter().collect::<Vec<_>>(), ["zone-1", "zone-2"]);
+    // An order that was accepted before is acknowledged again, although its base is an old one.
+    let again = Command::Put { base: 0, body: DOCUMENT.as_bytes().to_vec() };
+    assert_eq!(read.apply(6, &again), Outcome::Accepted);
+    assert_eq!(read.generation(), 6);
+}
+
+#[test]
+fn a_configuration_is_read_back_as_its_golden_document() {
+    let document = serde_json::to_vec(state().document()).unwrap();
+    let expected = DOCUMENT.replacen(r#""generation":5"#, r#""generation":6"#, 1);
+    assert_eq!(String::from_utf8(document).unwrap(), expected);
+}
+
+#[test]
+fn findings_have_their_golden_lines() {
+    let document = serde_json::json!({
+        "generation": -1,
+        "limits": { "max_body_bytes": "many" },
+        "services": [{ "name": "chat", "cold_start_s": -1 }, { "name": "chat" }],
+        "routes": [
+            { "name": "r", "host": "h", "path_prefix": "/a", "route_type": "odd", "timeout_ms": 0, "service": "nobody" },
+            { "name": "r", "host": "h", "path_prefix": "/a", "route_type": "safe", "timeout_ms": 5, "resumable": 1,
+              "traffic_split": [{ "service": "chat", "weight": 0 }], "allowed_regions": "all" },
+        ],
+    });
+    let findings = Configuration::read(&document).unwrap_err();
+    assert_eq!(findings.to_string(), include_str!("golden/findings.txt"));
+}
+
+#[test]
+fn ownership_has_its_golden_hashes() {
+    let machines = ["10.0.0.1:7720", "10.0.0.2:7720", "10.0.0.3:7720", "10.0.0.4:7720"];
+    let shards: Vec<u32> = ["chat", "embed", "rank"].map(shard_of).to_vec();
+    let names: Vec<u32> = ["front-1", "front-2"].map(short_hash).to_vec();
+    let groups: Vec<Vec<&str>> = [0, 1, 63].map(|shard| replica_group(shard, machines, 3)).to_vec();
+    let watched: Vec<Vec<&str>> = ["front-1", "front-2"].map(|name| monitors(name, machines, 3)).to_vec();
+    let lines = format!("{shards:?}\n{names:?}\n{groups:?}\n{watched:?}\n");
+    assert_eq!(lines, include_str!("golden/ownership.txt"));
+}
