--- a/crates/instances/tests/common/mod.rs
+++ b/crates/instances/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use woadstall_instances::{Card, Event, Life, Name, Node, Settings, State};
+use woadstall_instances::{Card, Event, Life, Name, Node, Out, Settings, State};
 
 pub const MS: u64 = 1_000_000;
 pub const SECOND: u64 = 1_000 * MS;
@@ -36,6 +36,9 @@
     /// Whether the hosts of the dead say so.
     pub hosts_answer: bool,
     pub events: Vec<(u64, usize, Event)>,
+    /// When and by whom each message was sent, where that is to be kept.
+    pub sent: Vec<(u64, usize, Out)>,
+    pub keeps_sent: bool,
     usual: Way,
     ways: BTreeMap<(usize, usize), Way>,
     paused: Vec<Option<Vec<Vec<u8>>>>,
@@ -79,6 +82,8 @@
             settings: Settings::default(),
             hosts_answer: true,
             events: Vec::new(),
+            sent: Vec::new(),
+            keeps_sent: false,
             usual: Way { delay: MS / 4, jitter: MS, ..Way::default() },
             ways: BTreeMap::new(),
             paused: Vec::new(),
@@ -163,6 +168,9 @@
         while let Some(out) = node.next_out() {
             let to = usize::from(out.to.port() - 10_000);
             self.bytes += out.bytes.len() as u64;
+            if self.keeps_sent {
+                self.sent.push((self.now, at, out.clone()));
+            }
             assert!(out.reliable || out.bytes.len() <= self.settings.datagram, "{}", out.bytes.len());
             let way = self.ways.get(&(at, to)).copied().unwrap_or(self.usual);
             let back = self.ways.get(&(to, at)).copied().unwrap_or(self.usual);
