--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -402,3 +402,7 @@
 }
 
 pub(crate) type Events = UnboundedSender<Event>;
+
+#[cfg(test)]
+#[path = "../../tests/unit/golden_core.rs"]
+mod golden;
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -235,3 +235,7 @@
 
 /// How long before the end of the grace period the process ends by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
+
+#[cfg(test)]
+#[path = "../../tests/unit/golden_front.rs"]
+mod golden;
--- /dev/null
+++ b/crates/node/tests/unit/golden_core.rs
@@ -0,0 +1,308 @@
+//! What a core process writes for others, to the byte: its disk, its identity, and its answers over HTTP.
+
+use super::hints::Hints;
+use super::{Event, Reply, api, first_state, founder_id};
+use crate::settings::NodeSettings;
+use serde_json::json;
+use std::fmt::Write;
+use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
+use std::thread;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use woadstall_consensus::{DurableState, Member};
+use woadstall_control::machine::{Answer, Machine, MachineSettings, Resolved, founding_snapshot};
+use woadstall_control::registry::{Registration, Status};
+use woadstall_control::wire::ControlMachine;
+
+const WRITTEN: Duration = Duration::from_millis(1_764_600_000_123);
+
+fn assert_golden(name: &str, bytes: &[u8]) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let expected = std::fs::read(&path).unwrap();
+    assert!(bytes == expected, "{name}:\n{}\ninstead of\n{}", shown(bytes), shown(&expected));
+}
+
+fn shown(bytes: &[u8]) -> String {
+    bytes.escape_ascii().to_string().replace("\\n", "\n")
+}
+
+fn registration(id: &str, status: Status) -> Registration {
+    Registration {
+        id: id.to_owned(),
+        service: "llm".to_owned(),
+        address: "10.1.0.1:80".to_owned(),
+        zone: "a-1".to_owned(),
+        capacity: 4,
+        sequence: 17,
+        status,
+        cold_remaining_ms: 1_500,
+        remaining_ms: 2_500,
+        age_ms: 350,
+    }
+}
+
+fn registrations() -> Vec<Registration> {
+    vec![
+        registration("i-1", Status::Ready),
+        registration("i-2", Status::Silent),
+        registration("i-3", Status::Draining),
+        registration("i-4", Status::Gone),
+    ]
+}
+
+/// More than a kilobyte: it is compressed.
+fn many_registrations() -> Vec<Registration> {
+    (0..40).map(|number| registration(&format!("i-{number}"), Status::Ready)).collect()
+}
+
+#[test]
+fn files_of_registrations_are_the_same() {
+    let folder = tempfile::tempdir().unwrap();
+    let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
+    hints.write(&registrations(), WRITTEN).unwrap();
+    hints.write(&many_registrations(), WRITTEN).unwrap();
+    let written = |name: &str| std::fs::read(folder.path().join(name)).unwrap();
+    assert_golden("registrations-1", &written("registrations-1"));
+    assert_golden("registrations-0", &written("registrations-0"));
+    assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 2);
+}
+
+#[test]
+fn files_of_registrations_are_read_back() {
+    let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
+    for (name, expected) in [("registrations-1", registrations()), ("registrations-0", many_registrations())]
+    {
+        let folder = tempfile::tempdir().unwrap();
+        std::fs::copy(golden.join(name), folder.path().join(name)).unwrap();
+        let (_, read) = Hints::open(folder.path(), WRITTEN);
+        assert_eq!(read, expected, "{name}");
+    }
+    let (_, newest) = Hints::open(&golden, WRITTEN + Duration::from_millis(7));
+    assert_eq!(newest.len(), 40, "the second writing is newer");
+    assert_eq!(newest[0].age_ms, 357);
+}
+
+fn settings(document: serde_json::Value) -> NodeSettings {
+    NodeSettings::from_document(&document).unwrap()
+}
+
+fn settings_with_seeds(bootstrap: bool) -> NodeSettings {
+    settings(json!({
+        "node": "m-1", "ip": "10.1.0.1", "zone": "a-1", "region": "a", "ephemeral_ports": [7001, 7009],
+        "seeds": ["10.1.0.1:7000", "10.2.0.1:7000", "10.3.0.1:7000"], "bootstrap": bootstrap,
+    }))
+}
+
+#[test]
+fn founders_have_the_same_identity_and_the_same_first_state() {
+    let control: SocketAddr = "10.2.0.1:7000".parse().unwrap();
+    let state = first_state(&settings_with_seeds(true), control);
+    let mut text =
+        format!("id={:x} term={} vote={} commit={}\n", state.id, state.term, state.vote, state.commit);
+    let snapshot = state.log.snapshot();
+    writeln!(text, "snapshot index={} term={}", snapshot.index, snapshot.term).unwrap();
+    writeln!(text, "last={} state={}", state.log.last_index(), snapshot.state.escape_ascii()).unwrap();
+    for member in snapshot.members.members() {
+        writeln!(text, "member {:x} {}", member.id, member.address).unwrap();
+    }
+    assert_golden("founder.txt", text.as_bytes());
+    assert_eq!(state.id, founder_id(control));
+}
+
+#[test]
+fn others_begin_without_members() {
+    let others = [(false, "10.2.0.1:7000"), (true, "10.4.0.1:7000")];
+    for (bootstrap, control) in others {
+        let state = first_state(&settings_with_seeds(bootstrap), control.parse().unwrap());
+        assert_eq!((state.term, state.vote, state.commit, state.log.last_index()), (0, 0, 0, 0));
+        assert_eq!(state.log.snapshot().members.members().count(), 0);
+    }
+}
+
+fn free_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+}
+
+/// The API of a machine that gives this answer to each call; the calls come out in the channel.
+fn start_api(answer: Reply) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
+    let (events, mut received) = mpsc::unbounded_channel();
+    let control = free_address();
+    api::start(&settings_with_seeds(true), control, &events).unwrap();
+    let (tell, calls) = std::sync::mpsc::channel();
+    thread::spawn(move || {
+        while let Some(event) = received.blocking_recv() {
+            if let Event::Call { call, reply, .. } = event {
+                tell.send(described(call)).ok();
+                reply.try_send(answer.clone()).ok();
+            }
+        }
+    });
+    (control, calls)
+}
+
+fn described(call: api::Call) -> String {
+    use woadstall_control::command::Command;
+    let shown = |body: &[u8]| body.escape_ascii().to_string();
+    match call {
+        api::Call::Order(Command::Put { base, body }) => format!("put base={base} body={}", shown(&body)),
+        api::Call::Order(Command::Patch { base, body }) => format!("patch base={base} body={}", shown(&body)),
+        api::Call::Order(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
+        api::Call::Order(Command::Return { zone }) => format!("return zone={zone}"),
+        api::Call::ReadConfiguration => "read configuration".to_owned(),
+        api::Call::Register(registration) => {
+            let Registration {
+                id,
+                service,
+                address,
+                zone,
+                capacity,
+                sequence,
+                status,
+                cold_remaining_ms,
+                remaining_ms,
+                age_ms,
+            } = registration;
+            format!(
+                "register id={id} service={service} address={address} zone={zone} capacity={capacity} \
+                 sequence={sequence} status={status:?} cold_remaining_ms={cold_remaining_ms} \
+                 remaining_ms={remaining_ms} age_ms={age_ms}"
+            )
+        }
+        api::Call::Deregister(id) => format!("deregister id={id}"),
+        api::Call::Resolve(question) => format!(
+            "resolve client={} host={} zone={} region={}",
+            question.client, question.host, question.zone, question.region
+        ),
+        api::Call::Status => "status".to_owned(),
+    }
+}
+
+/// Status, type and body of the answer.
+fn call(address: SocketAddr, method: &str, path: &str, if_match: Option<&str>, body: &str) -> String {
+    let method = method.parse().unwrap();
+    let mut request = attohttpc::RequestBuilder::try_new(method, format!("http://{address}{path}")).unwrap();
+    if let Some(value) = if_match {
+        request = request.header("if-match", value);
+    }
+    let response = request.text(body).send().unwrap();
+    let content_type = response.headers().get("content-type").map(|value| value.to_str().unwrap().to_owned());
+    let status = response.status().as_u16();
+    format!("{status} {} {}", content_type.unwrap_or_default(), shown(&response.bytes().unwrap()))
+}
+
+#[test]
+fn calls_are_read_as_before() {
+    let registered = |state: &str| {
+        format!(
+            r#"{{"service":"llm","address":"10.1.0.1:80","zone":"a-1","capacity":4,"sequence":17,{state}"cold_remaining_ms":1500.7,"remaining_ms":2500}}"#
+        )
+    };
+    let least = r#"{"service":"llm","address":"10.1.0.1:80","zone":"a-1","state":"ready"}"#;
+    let faulty = r#"{"service":"","address":"10.1.0.1","zone":1,"state":"asleep","capacity":-1}"#;
+    let (ready, draining) = (registered(r#""state":"ready","#), registered(r#""state":"draining","#));
+    let stateless = registered("");
+    let calls = [
+        ("PUT", "/v1/instances/i-1", None, ready.as_str()),
+        ("PUT", "/v1/instances/i-1", None, draining.as_str()),
+        ("PUT", "/v1/instances/i-1", None, stateless.as_str()),
+        ("PUT", "/v1/instances/i-1", None, least),
+        ("PUT", "/v1/instances/i-1", None, faulty),
+        ("PUT", "/v1/instances/i-1", None, "{"),
+        ("PUT", "/v1/instances/i-1", None, "{}"),
+        ("DELETE", "/v1/instances/i-1", None, ""),
+        ("POST", "/v1/instances/i-1", None, ""),
+        ("GET", "/v1/config", None, ""),
+        ("PUT", "/v1/config", Some("3"), r#"{"generation":4}"#),
+        ("PUT", "/v1/config", Some("\"3\""), r#"{"generation":4}"#),
+        ("PUT", "/v1/config", Some("W/3"), r#"{"generation":4}"#),
+        ("PUT", "/v1/config", None, r#"{"generation":4}"#),
+        ("PUT", "/v1/config", Some("3"), "{"),
+        ("PATCH", "/v1/config", Some("3"), r#"{"routes":{}}"#),
+        ("PATCH", "/v1/config", None, r#"{"routes":{}}"#),
+        ("DELETE", "/v1/config", None, ""),
+        ("POST", "/v1/evacuations/a-1", None, ""),
+        ("DELETE", "/v1/evacuations/a-1", None, ""),
+        ("PUT", "/v1/evacuations/a-1", None, ""),
+        ("GET", "/v1/resolve?name=shop.example&zone=a-1&region=a", None, ""),
+        ("GET", "/v1/resolve", None, ""),
+        ("POST", "/v1/resolve", None, ""),
+        ("GET", "/v1/status", None, ""),
+        ("PUT", "/v1/status", None, ""),
+        ("GET", "/v1/other", None, ""),
+        ("GET", "/", None, ""),
+    ];
+    let (address, received) = start_api(Reply::Answer(Answer::Done));
+    let mut text = String::new();
+    for (method, path, if_match, body) in calls {
+        let answer = call(address, method, path, if_match, body);
+        let received = received.try_recv().unwrap_or_else(|_| "-".to_owned());
+        writeln!(
+            text,
+            "{method} {path} if-match={if_match:?} {body}\n  call: {received}\n  answer: {answer}"
+        )
+        .unwrap();
+    }
+    assert_golden("api-calls.txt", text.as_bytes());
+}
+
+#[test]
+fn bodies_that_are_too_large_are_refused_as_before() {
+    let (address, _received) = start_api(Reply::Answer(Answer::Done));
+    let body = format!("\"{}\"", "x".repeat(6 << 20));
+    let answer = call(address, "PUT", "/v1/config", Some("3"), &body);
+    assert_eq!(answer, "413 text/plain; charset=utf-8 the body is too large\n");
+}
+
+#[test]
+fn answers_are_the_same() {
+    let addresses = vec!["10.1.0.2:80".to_owned(), "10.1.0.3:80".to_owned()];
+    let answers = [
+        ("done", Reply::Answer(Answer::Done)),
+        ("conflict", Reply::Answer(Answer::Conflict { current: 7 })),
+        ("invalid", Reply::Answer(Answer::Invalid { findings: "routes[0]: is missing\n".to_owned() })),
+        ("document", Reply::Answer(Answer::Document(br#"{"generation":3}"#.to_vec()))),
+        ("unclear", Reply::Answer(Answer::Unclear)),
+        ("registered", Reply::Registered("http://10.1.0.1:7000/v1/instances/i-1".to_owned())),
+        ("balancers", Reply::Balancers(Resolved { addresses, ttl_s: 5 })),
+        ("no balancers", Reply::Balancers(Resolved { addresses: Vec::new(), ttl_s: 5 })),
+        ("status", Reply::Status(r#"{"id":"1"}"#.to_owned())),
+    ];
+    let mut text = String::new();
+    for (name, reply) in answers {
+        let (address, _received) = start_api(reply);
+        writeln!(text, "{name}: {}", call(address, "GET", "/v1/status", None, "")).unwrap();
+    }
+    assert_golden("api-answers.txt", text.as_bytes());
+}
+
+fn machine(seeds: &[&str]) -> Machine {
+    let member = Member { id: 0x5eed, address: "10.1.0.1:7001".to_owned() };
+    let others = (1_u64..).zip(seeds);
+    let mut founders: Vec<Member> =
+        others.map(|(id, address)| Member { id, address: (*address).to_owned() }).collect();
+    founders.push(member.clone());
+    let settings = MachineSettings {
+        machine: ControlMachine {
+            member,
+            zone: "a-1".to_owned(),
+            region: "a".to_owned(),
+            control: "10.1.0.1:7000".to_owned(),
+        },
+        seeds: vec!["10.2.0.1:7001".to_owned()],
+        zones: [("a-1".to_owned(), "a".to_owned())].into(),
+        heartbeat_ms: 1_200,
+        tolerated: 1,
+        incarnation: 9,
+    };
+    Machine::new(settings, DurableState::new(0x5eed, founding_snapshot(&founders)), 0, 1)
+}
+
+#[test]
+fn the_status_is_the_same() {
+    let mut machine = machine(&["10.2.0.1:7001", "10.3.0.1:7001"]);
+    assert_golden("status-first.json", api::status(&machine, 0).as_bytes());
+    machine.remember(registrations());
+    machine.tick(100);
+    assert_golden("status-registrations.json", api::status(&machine, 100).as_bytes());
+}
--- /dev/null
+++ b/crates/node/tests/unit/golden_front.rs
@@ -0,0 +1,234 @@
+//! What a front writes to others, to the byte: its datagrams, its request for the feed, its requests to upstreams, and its
+//! own answers.
+
+use super::attempt::{Attempted, Outbound, attempt};
+use super::reply::{Reply, refusal, text};
+use super::{Front, feeds, heartbeat, loads};
+use crate::settings::NodeSettings;
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use hyper::header::HeaderValue;
+use hyper::{Request, StatusCode};
+use serde_json::json;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream, UdpSocket};
+use tokio::time::{Instant, timeout};
+use woadstall_consensus::Member;
+use woadstall_control::configuration::Configuration;
+use woadstall_control::registry::{Registration, Status};
+use woadstall_control::state::ControlState;
+use woadstall_control::wire::{ControlMachine, HEAD_BYTES, Packet, payload_length};
+use woadstall_inbound::lock;
+use woadstall_routing::{Decision, Prompt, Query, Target};
+
+const LOCAL: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+const PATIENCE: Duration = Duration::from_secs(10);
+
+fn assert_golden(name: &str, bytes: &[u8]) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let expected = std::fs::read(&path).unwrap();
+    assert!(bytes == expected, "{name}:\n{}\ninstead of\n{}", shown(bytes), shown(&expected));
+}
+
+fn shown(bytes: &[u8]) -> String {
+    bytes.escape_ascii().to_string().replace("\\n", "\n")
+}
+
+/// A front whose control machines listen on this port.
+fn front(internal_port: u16) -> Arc<Front> {
+    let document = json!({
+        "node": "m-1", "ip": LOCAL, "zone": "a-1", "region": "a", "zones": { "a-1": "a", "a-2": "a" },
+        "ephemeral_ports": [internal_port, internal_port], "seeds": ["127.0.0.1:7000"],
+        "listen": { "front": "10.1.0.1:80" },
+    });
+    Arc::new(Front::new(NodeSettings::from_document(&document).unwrap(), 0))
+}
+
+async fn datagram(socket: &UdpSocket) -> Vec<u8> {
+    let mut buffer = [0; 2_048];
+    let length = timeout(PATIENCE, socket.recv(&mut buffer)).await.unwrap().unwrap();
+    buffer[..length].to_vec()
+}
+
+fn state(generation: u64) -> ControlState {
+    let document = json!({
+        "generation": generation,
+        "routes": [{
+            "name": "r", "host": "shop.example", "path_prefix": "/", "route_type": "safe", "timeout_ms": 5000,
+            "target_latency_ms": 500, "priority": 1, "service": "llm", "max_attempts": 2, "session_affinity": true,
+        }],
+        "services": [{ "name": "llm", "max_connections": 100 }],
+    });
+    let mut state = ControlState::default();
+    state.configuration = Some(Arc::new(Configuration::read(&document).unwrap()));
+    state
+}
+
+#[tokio::test]
+async fn heartbeats_are_the_same() {
+    let socket = UdpSocket::bind((LOCAL, 0)).await.unwrap();
+    let front = front(socket.local_addr().unwrap().port());
+    heartbeat::start(&front);
+    for (sequence, name) in [(1, "heartbeat-first"), (2, "heartbeat-ready")] {
+        let frame = datagram(&socket).await;
+        let Packet::Heartbeat(mut heartbeat) = Packet::decode_datagram(&frame).unwrap() else { panic!() };
+        assert_eq!(heartbeat.sequence, sequence);
+        // The time of the start is another one each time.
+        assert!(heartbeat.incarnation > 1_700_000_000_000);
+        heartbeat.incarnation = 1_764_600_000_123;
+        assert_golden(name, &Packet::Heartbeat(heartbeat).frame());
+        front.update_state(|current| *current = state(3));
+    }
+}
+
+fn control_machine(address: SocketAddr, region: &str) -> ControlMachine {
+    ControlMachine {
+        member: Member { id: 1, address: address.to_string() },
+        zone: format!("{region}-1"),
+        region: region.to_owned(),
+        control: "10.1.0.1:7000".to_owned(),
+    }
+}
+
+fn registration(id: &str) -> Registration {
+    Registration {
+        id: id.to_owned(),
+        service: "llm".to_owned(),
+        address: "127.0.0.1:9".to_owned(),
+        zone: "a-1".to_owned(),
+        capacity: 4,
+        sequence: 1,
+        status: Status::Ready,
+        cold_remaining_ms: 0,
+        remaining_ms: 0,
+        age_ms: 0,
+    }
+}
+
+#[tokio::test]
+async fn reports_of_loads_are_the_same() {
+    let socket = UdpSocket::bind((LOCAL, 0)).await.unwrap();
+    let front = front(1);
+    let address = socket.local_addr().unwrap();
+    *lock(&front.machines) =
+        vec![control_machine("127.0.0.1:9".parse().unwrap(), "b"), control_machine(address, "a")];
+    let configuration = state(3).configuration.unwrap();
+    {
+        let mut router = lock(&front.router);
+        router.register(0, &registration("i-1"));
+        let prompt = Prompt { tokens: 20_000, shared: Some(77), shared_tokens: 15_000 };
+        let (route, service) = (&configuration.routes[0], &configuration.services["llm"]);
+        let decision = router.choose(front.now(), &Query { route, service, prompt, tried: &[] });
+        assert!(matches!(decision, Decision::Send(_)));
+    }
+    loads::start(&front);
+    let frame = datagram(&socket).await;
+    let Packet::Load(mut report) = Packet::decode_datagram(&frame).unwrap() else { panic!() };
+    assert!(report.sequence > 1_700_000_000_000);
+    report.sequence = 1_764_600_000_123;
+    // Drawn by chance.
+    report.placements.iter_mut().for_each(|placement| placement.number = 5);
+    assert_golden("load", &Packet::Load(report).frame());
+}
+
+#[tokio::test]
+async fn the_request_for_the_feed_is_the_same() {
+    let listener = TcpListener::bind((LOCAL, 0)).await.unwrap();
+    let front = front(listener.local_addr().unwrap().port());
+    feeds::start(&front);
+    let (mut stream, _) = timeout(PATIENCE, listener.accept()).await.unwrap().unwrap();
+    let mut frame = vec![0; HEAD_BYTES];
+    timeout(PATIENCE, stream.read_exact(&mut frame)).await.unwrap().unwrap();
+    let length = payload_length(frame[..].try_into().unwrap()).unwrap();
+    frame.resize(HEAD_BYTES + length, 0);
+    timeout(PATIENCE, stream.read_exact(&mut frame[HEAD_BYTES..])).await.unwrap().unwrap();
+    assert_golden("subscribe", &frame);
+}
+
+/// Reads a request's head and a body of `body` bytes.
+async fn read_request(stream: &mut TcpStream, body: usize) -> String {
+    let mut bytes = Vec::new();
+    loop {
+        let mut buffer = [0; 4_096];
+        let length = timeout(PATIENCE, stream.read(&mut buffer)).await.unwrap().unwrap();
+        assert!(length > 0, "{}", shown(&bytes));
+        bytes.extend_from_slice(&buffer[..length]);
+        let text = String::from_utf8(bytes.clone()).unwrap();
+        if text.split_once("\r\n\r\n").is_some_and(|(_, rest)| rest.len() >= body) {
+            return text;
+        }
+    }
+}
+
+#[tokio::test]
+async fn requests_to_upstreams_are_the_same() {
+    let listener = TcpListener::bind((LOCAL, 0)).await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let front = front(1);
+    lock(&front.router).register(0, &registration("i-1"));
+    let client = Request::builder().method("POST").uri("/safe/1?a=b").header("host", "shop.example");
+    let (head, ()) =
+        client.header("request-id", "r-1").header("x-other", "kept").body(()).unwrap().into_parts();
+    let outbound = Outbound {
+        head,
+        body: Bytes::from_static(b"{\"a\":1}"),
+        id: HeaderValue::from_static("r-1"),
+        priority: 2,
+        deadline: Instant::now() + Duration::from_secs(4),
+        is_stream: false,
+    };
+    let target = Target {
+        id: "i-1".into(),
+        address,
+        zone: "a-1".into(),
+        is_near: true,
+        connections: 4,
+        reading: 0,
+        total_reading: 0,
+        in_flight: 1,
+    };
+    let upstream = async {
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let request = read_request(&mut stream, 7).await;
+        let answer = "HTTP/1.1 200 OK\r\nrequest-id: r-1\r\nresponse-stamp: s\r\ncontent-length: 2\r\n\r\nok";
+        stream.write_all(answer.as_bytes()).await.unwrap();
+        request
+    };
+    let (attempted, request) = tokio::join!(attempt(&front, &outbound, target), upstream);
+    let Attempted::Whole(parts, body) = attempted else { panic!("no answer") };
+    assert_eq!((parts.status, &body[..]), (StatusCode::OK, &b"ok"[..]));
+    // The time that is left is another one each time.
+    let lines: Vec<String> = request
+        .split("\r\n")
+        .map(|line| match line.strip_prefix("deadline: ") {
+            Some(left) => {
+                assert!((3_000..=4_000).contains(&left.parse::<u64>().unwrap()), "{left}");
+                "deadline: 3999".to_owned()
+            }
+            None => line.to_owned(),
+        })
+        .collect();
+    assert_golden("request-to-upstream.txt", lines.join("\r\n").as_bytes());
+}
+
+async fn written(reply: Reply) -> String {
+    let (parts, body) = reply.into_parts();
+    let body = body.collect().await.unwrap().to_bytes();
+    format!("{} {:?} {}\n", parts.status, parts.headers, shown(&body))
+}
+
+#[tokio::test]
+async fn answers_of_its_own_are_the_same() {
+    assert_eq!(
+        written(text(StatusCode::NOT_FOUND, "no such route\n")).await,
+        "404 Not Found {} no such route\n\n"
+    );
+    assert_eq!(
+        written(refusal(Duration::from_micros(1_200_400))).await,
+        "503 Service Unavailable {\"retry-after\": \"1.200\"} not now\n\n"
+    );
+}
