--- /dev/null
+++ b/crates/routing/tests/golden.rs
@@ -0,0 +1,339 @@
+//! Every decision of a long seeded course, as one digest: what renames and splits must not change.
+//!
+//! The digest is over numbers and upstream ids alone, so that it does not depend on the names of types or variants.
+
+mod support;
+
+use serde_json::json;
+use std::collections::BTreeSet;
+use std::time::Duration;
+use support::{OWN, bounds, registration};
+use woadstall_control::configuration::Configuration;
+use woadstall_control::loads::{FleetLoad, FleetLoads, Placement};
+use woadstall_control::registry::{Registration, Status};
+use woadstall_control::shards::short_hash;
+use woadstall_routing::{Decision, Fleet, Outcome, Place, Prompt, Query, Router, Target, UpstreamId};
+
+const STEPS: u64 = 20_000;
+const ZONES: [(&str, &str); 5] =
+    [("n1", "north"), ("n2", "north"), ("s1", "south"), ("s2", "south"), ("w1", "west")];
+const UPSTREAMS_PER_ZONE: u64 = 5;
+const SERVICES: [&str; 2] = ["model", "plain"];
+const STATUSES: [Status; 4] = [Status::Ready, Status::Draining, Status::Silent, Status::Gone];
+const OUTCOMES: [Outcome; 7] = [
+    Outcome::Answered,
+    Outcome::Rejected,
+    Outcome::Unreachable,
+    Outcome::Broken,
+    Outcome::Error,
+    Outcome::TimedOut,
+    Outcome::Withdrawn,
+];
+
+/// FNV-1a over everything that is written to it.
+struct Digest(u64);
+
+impl Digest {
+    fn number(&mut self, number: u64) {
+        self.bytes(&number.to_le_bytes());
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+}
+
+/// The test's own random numbers (SplitMix64), apart from the router's.
+struct Draws(u64);
+
+impl Draws {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    fn below(&mut self, bound: u64) -> u64 {
+        self.next() % bound
+    }
+
+    fn one_in(&mut self, count: u64) -> bool {
+        self.below(count) == 0
+    }
+}
+
+fn configuration() -> Configuration {
+    let route = |name: &str, service: &str, kind: &str, resumable: bool, regions: &[&str]| {
+        json!({
+            "name": name, "host": name, "path_prefix": "/", "route_type": kind, "timeout_ms": 5000,
+            "service": service, "session_affinity": true, "max_attempts": 3, "resumable": resumable,
+            "allowed_regions": regions,
+        })
+    };
+    let document = json!({
+        "generation": 1,
+        "routes": [
+            route("r0", "model", "streaming", true, &[]),
+            route("r1", "model", "streaming", false, &[]),
+            route("r2", "plain", "safe", false, &[]),
+            route("r3", "plain", "non_idempotent", false, &["south", "west"]),
+            route("r4", "model", "safe", false, &["south"]),
+        ],
+        "services": [
+            {
+                "name": "model", "max_connections": 370, "cold_start_s": 3.0, "warmup_per_s": 21.0,
+                "engine": { "capacity": 8, "kv_capacity_tokens": 60_000 },
+            },
+            { "name": "plain", "max_connections": 40 },
+        ],
+    });
+    Configuration::read(&document).unwrap()
+}
+
+struct Course {
+    router: Router,
+    configuration: Configuration,
+    draws: Draws,
+    digest: Digest,
+    now: u64,
+    sequence: u64,
+    placement: u32,
+    in_flight: Vec<Target>,
+    /// What came up: the course has to reach every kind of decision and every obstacle.
+    sent: u64,
+    refused: u64,
+    obstacles: BTreeSet<u64>,
+}
+
+impl Course {
+    fn new() -> Self {
+        let place = Place {
+            region: "north".to_owned(),
+            zones: ZONES.map(|(zone, region)| (zone.to_owned(), region.to_owned())).into(),
+        };
+        let mut course = Self {
+            router: Router::new(place, bounds(), 4_711),
+            configuration: configuration(),
+            draws: Draws(20_260_101),
+            digest: Digest(0xcbf2_9ce4_8422_2325),
+            now: 1_000,
+            sequence: 1,
+            placement: 0,
+            in_flight: Vec::new(),
+            sent: 0,
+            refused: 0,
+            obstacles: BTreeSet::new(),
+        };
+        let registrations = course.all_registrations();
+        registrations.iter().for_each(|registration| course.router.register(0, registration));
+        course
+    }
+
+    fn all_registrations(&self) -> Vec<Registration> {
+        let of_zone = |(zone, _): (&'static str, &str)| {
+            (0..UPSTREAMS_PER_ZONE).map(move |number| {
+                let service = SERVICES[usize::from(number >= 3)].to_owned();
+                Registration { service, capacity: 4, ..registration(&format!("{zone}-{number}"), zone) }
+            })
+        };
+        ZONES.into_iter().flat_map(of_zone).collect()
+    }
+
+    fn any_registration(&mut self) -> Registration {
+        let all = self.all_registrations();
+        all[self.draws.below(all.len() as u64) as usize].clone()
+    }
+
+    fn any_prompt(&mut self) -> Prompt {
+        match self.draws.below(3) {
+            0 => Prompt::default(),
+            1 => Prompt { shared: None, shared_tokens: 0, tokens: self.draws.below(30_000) },
+            _ => {
+                let shared = self.draws.below(12) as u32;
+                let shared_tokens = 4_000 + 1_000 * u64::from(shared);
+                let tokens = shared_tokens + self.draws.below(2_000);
+                Prompt { shared: Some(shared), shared_tokens, tokens }
+            }
+        }
+    }
+
+    fn request(&mut self) {
+        let route = self.draws.below(self.configuration.routes.len() as u64) as usize;
+        let route = self.configuration.routes[route].clone();
+        let service = self.configuration.services[&route.targets[0].0].clone();
+        let prompt = self.any_prompt();
+        self.router.request(self.now, &service.name);
+        let mut tried: Vec<UpstreamId> = Vec::new();
+        loop {
+            let query = Query { route: &route, service: &service, prompt, tried: &tried };
+            let standing = self.router.standing(self.now, &query);
+            self.digest.number(standing.candidates as u64);
+            for (obstacle, count) in &standing.passed_over {
+                self.obstacles.insert(*obstacle as u64);
+                self.digest.number(*obstacle as u64);
+                self.digest.number(*count as u64);
+            }
+            match self.router.choose(self.now, &query) {
+                Decision::Send(target) => {
+                    self.sent += 1;
+                    self.digest.bytes(target.id.as_bytes());
+                    self.digest.bytes(target.address.to_string().as_bytes());
+                    self.digest.bytes(target.zone.as_bytes());
+                    self.digest.number(u64::from(target.is_near));
+                    self.digest.number(target.connections as u64);
+                    self.digest.number(target.reading);
+                    self.digest.number(target.total_reading);
+                    self.digest.number(u64::from(target.in_flight));
+                    tried.push(target.id.clone());
+                    self.in_flight.push(target);
+                }
+                Decision::Refuse(refusal) => {
+                    self.refused += 1;
+                    self.digest.number(refusal.retry_after.as_millis() as u64);
+                    self.digest.number(u64::from(refusal.none_usable));
+                    return;
+                }
+            }
+            let repeats = self.draws.one_in(6) && self.router.take_repeat(self.now, &service.name);
+            self.digest.number(u64::from(repeats));
+            if !repeats {
+                return;
+            }
+        }
+    }
+
+    /// Something happens to a request that is in flight. Zone `n2` loses all of its own now and then.
+    fn progress(&mut self) {
+        if self.in_flight.is_empty() {
+            return;
+        }
+        let index = self.draws.below(self.in_flight.len() as u64) as usize;
+        let id = self.in_flight[index].id.clone();
+        let is_dead_zone = &*self.in_flight[index].zone == "n2" && (self.now / 8_000).is_multiple_of(3);
+        match self.draws.below(4) {
+            _ if is_dead_zone => {
+                self.router.finish(self.now, &id, Outcome::Unreachable, self.in_flight[index].reading);
+                self.in_flight.swap_remove(index);
+            }
+            0 => {
+                self.router.heard(self.now, &id, self.in_flight[index].reading);
+                self.in_flight[index].reading = 0;
+            }
+            1 => self.router.answered(self.now, &id),
+            _ => {
+                let target = self.in_flight.swap_remove(index);
+                let outcome = if self.draws.one_in(4) {
+                    OUTCOMES[self.draws.below(OUTCOMES.len() as u64) as usize]
+                } else {
+                    self.router.answered(self.now, &id);
+                    Outcome::Answered
+                };
+                self.router.finish(self.now, &id, outcome, target.reading);
+            }
+        }
+    }
+
+    fn change_registration(&mut self) {
+        self.sequence += 1;
+        let status = if self.draws.one_in(3) {
+            STATUSES[self.draws.below(STATUSES.len() as u64) as usize]
+        } else {
+            Status::Ready
+        };
+        let cold_remaining_ms = if self.draws.one_in(3) { self.draws.below(4_000) } else { 0 };
+        let capacity = 1 + self.draws.below(6);
+        let base = self.any_registration();
+        // A process that has gone does not come back; its successor has another id.
+        let id = format!("{}-{}", base.id, self.now / 30_000);
+        let sequence = self.sequence;
+        let newer = Registration { id, status, sequence, cold_remaining_ms, capacity, ..base };
+        self.router.register(self.now, &newer);
+    }
+
+    fn snapshot(&mut self) {
+        let all = self.all_registrations();
+        let named: Vec<Registration> = all.into_iter().filter(|_| !self.draws.one_in(10)).collect();
+        self.router.snapshot(self.now, &named);
+    }
+
+    fn change_evacuation(&mut self) {
+        let zones: BTreeSet<String> =
+            ZONES.iter().filter(|_| self.draws.one_in(6)).map(|(zone, _)| (*zone).to_owned()).collect();
+        let cold = |service: &str| Duration::from_secs(if service == "model" { 3 } else { 0 });
+        self.router.set_evacuated(self.now, &zones, cold);
+    }
+
+    fn change_fleet(&mut self) {
+        let mut fleet = Fleet::new(OWN);
+        for (index, region) in ["north", "south", "west"].into_iter().enumerate() {
+            let first = 100 * index as u32 + 2;
+            let mut balancers: Vec<u32> = (first..first + self.draws.below(4) as u32).collect();
+            if region == "north" {
+                balancers.push(OWN);
+            }
+            fleet.by_region.insert(region.to_owned(), balancers);
+        }
+        self.router.set_fleet(fleet);
+    }
+
+    fn change_fleet_loads(&mut self) {
+        let mut loads = FleetLoads::default();
+        for _ in 0..self.draws.below(6) {
+            let upstream = short_hash(&self.any_registration().id);
+            let (unread, failing) = (self.draws.below(30_000) as u32, self.draws.below(4) as u16);
+            loads.upstreams.push(FleetLoad { upstream, unread, failing });
+            self.placement += 1;
+            let number = self.placement - self.draws.below(2) as u32;
+            let beginning = self.draws.below(12) as u32;
+            let tokens = 4_000 + 1_000 * beginning;
+            loads.placements.push(Placement { number, upstream, beginning, tokens, own_tokens: 500 });
+        }
+        self.router.set_fleet_loads(self.now, &loads);
+    }
+
+    fn report_loads(&mut self) {
+        for load in self.router.load(self.now) {
+            self.digest.number(u64::from(load.upstream));
+            self.digest.number(u64::from(load.unread));
+            self.digest.number(u64::from(load.is_failing));
+        }
+        for placement in self.router.placements(self.now) {
+            let Placement { number, upstream, beginning, tokens, own_tokens } = placement;
+            [number, upstream, beginning, tokens, own_tokens]
+                .into_iter()
+                .for_each(|field| self.digest.number(u64::from(field)));
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += self.draws.below(40);
+        match self.draws.below(100) {
+            0..45 => self.request(),
+            45..90 => self.progress(),
+            90..93 => self.change_registration(),
+            93 => self.router.sweep(self.now),
+            94 if self.draws.one_in(4) => self.snapshot(),
+            95 if self.draws.one_in(6) => self.change_evacuation(),
+            96 if self.draws.one_in(2) => self.change_fleet(),
+            97 => self.report_loads(),
+            _ => self.change_fleet_loads(),
+        }
+        let id = self.any_registration().id;
+        self.digest.number(u64::from(self.router.is_usable(&id)));
+        self.digest.number(self.router.known() as u64);
+    }
+}
+
+#[test]
+fn a_long_seeded_course_takes_the_same_decisions() {
+    let mut course = Course::new();
+    for _ in 0..STEPS {
+        course.step();
+    }
+    assert!(course.sent > 1_000 && course.refused > 100, "{} sent, {} refused", course.sent, course.refused);
+    assert_eq!(course.obstacles, (0..7).collect());
+    assert_eq!(format!("{:016x}", course.digest.0), "f6819980a098b23d");
+}
