--- /dev/null
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -0,0 +1,209 @@
+//! What the coordinators of a small fleet find in a fixed course of failures, as one digest: what renames and splits
+//! must not change.
+
+use std::collections::{HashMap, VecDeque};
+use std::net::SocketAddr;
+use woadstall_decisions::api::{Outcome, Place, ServerId};
+use woadstall_evacuation::{Coordinator, Order, Places, Settings, What};
+use woadstall_evidence::{Kind, Out, Saw};
+use woadstall_instances::{Card, Life, Name, Node};
+
+const MS: u64 = 1_000_000;
+const STEP: u64 = 100 * MS;
+const STEPS: u64 = 900;
+const UNIX_MS: u64 = 1_767_225_600_000;
+const ZONES: [(&str, &str); 3] = [("norte", "litoral"), ("centro", "litoral"), ("sur", "sierra")];
+const CLASSES: [&str; 2] = ["chat", "lote"];
+const BALANCERS_PER_ZONE: usize = 4;
+const NODOS_PER_ZONE: u32 = 4;
+const CALLS_PER_STEP: u32 = 6;
+
+/// FNV-1a over everything that is written to it.
+struct Digest(u64);
+
+impl Digest {
+    fn number(&mut self, number: u64) {
+        self.bytes(&number.to_le_bytes());
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+}
+
+/// The course's own random numbers (SplitMix64).
+struct Draws(u64);
+
+impl Draws {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (mixed ^ (mixed >> 31)) % bound
+    }
+}
+
+struct Balancer {
+    node: Node,
+    coordinator: Coordinator,
+    calls: u32,
+    /// Calls that hang: attempt, nodo, class, when they were sent.
+    hanging: Vec<((u32, u32), ServerId, usize, u64)>,
+}
+
+fn name(text: &str) -> Name {
+    Name::new(text).unwrap()
+}
+
+fn address(number: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, number as u8 + 1], 7_000))
+}
+
+fn balancer(number: usize) -> Balancer {
+    let zone = number / BALANCERS_PER_ZONE;
+    let (zone_name, region) = ZONES[zone];
+    let card = Card {
+        name: name(&format!("b-{number}")),
+        life: Life { started: UNIX_MS, id: number as u64 + 1 },
+        at: address(number),
+        zone: name(zone_name),
+        region: Some(name(region)),
+    };
+    let seeds = vec![address(0), address(BALANCERS_PER_ZONE)];
+    let node = Node::new(card, seeds, woadstall_instances::Settings::default(), number as u64, 0).unwrap();
+    let zones = ZONES.map(|(zone, region)| (zone.to_owned(), Some(region.to_owned())));
+    let places = Places::new("0", &zones, &CLASSES.map(str::to_owned));
+    let mut coordinator = Coordinator::new(Settings { places, zone });
+    let nodos: Vec<(ServerId, String, usize)> = (0..NODOS_PER_ZONE * ZONES.len() as u32)
+        .map(|nodo| (ServerId(nodo), format!("nodo-{nodo}"), (nodo / NODOS_PER_ZONE) as usize))
+        .collect();
+    coordinator.listed(nodos.iter().map(|(id, name, zone)| (*id, name.as_str(), 1, *zone, Some(1.0))));
+    Balancer { node, coordinator, calls: 0, hanging: Vec::new() }
+}
+
+/// What goes wrong at a nodo at a time, in seconds: percent of its calls that fail, and percent that are late.
+fn faults(second: u64, nodo: u32, class: usize) -> (u64, u64) {
+    let zone = nodo / NODOS_PER_ZONE;
+    match second {
+        10..22 if zone == 0 => (90, 5),
+        30..38 if nodo == 5 => (80, 0),
+        40..52 if zone == 1 && class == 1 => (70, 0),
+        55..63 if zone == 2 => (0, 70),
+        66..72 if zone < 2 => (100, 0),
+        _ => (1, 1),
+    }
+}
+
+impl Balancer {
+    fn calls(&mut self, now: u64, draws: &mut Draws) {
+        for _ in 0..CALLS_PER_STEP {
+            self.calls += 1;
+            let server = draws.below(u64::from(NODOS_PER_ZONE) * ZONES.len() as u64) as u32;
+            let class = draws.below(2) as usize;
+            let attempt = (self.calls, 1);
+            let (failing, late) = faults(now / (1_000 * MS), server, class);
+            let drawn = draws.below(100);
+            let usual = 20 * MS + draws.below(10) * MS;
+            let (outcome, took) = match drawn {
+                _ if drawn < failing && draws.below(3) == 0 => {
+                    self.hanging.push((attempt, ServerId(server), class, now));
+                    continue;
+                }
+                _ if drawn < failing / 2 => (Outcome::Error, usual),
+                _ if drawn < failing => (Outcome::Timeout, 80 * MS),
+                _ if drawn < failing + late => (Outcome::Ok, 8 * usual),
+                _ => (Outcome::Ok, usual),
+            };
+            let server = ServerId(server);
+            self.coordinator.saw(now, &Saw { attempt, server, class, outcome, took });
+        }
+        let hung = |sent: u64| now >= sent + 1_000 * MS;
+        for (attempt, server, class, _) in self.hanging.extract_if(.., |(.., sent)| hung(*sent)) {
+            let (outcome, took) = (Outcome::Timeout, 1_000 * MS);
+            self.coordinator.saw(now, &Saw { attempt, server, class, outcome, took });
+        }
+        let out = self.hanging.iter().map(|(attempt, server, class, sent)| Out {
+            attempt: *attempt,
+            server: *server,
+            class: *class,
+            age: now - sent,
+        });
+        self.coordinator.out(now, out);
+    }
+
+    fn turn(&mut self, now: u64, digest: &mut Digest) -> usize {
+        let turn = self.coordinator.turn(now, UNIX_MS + now / MS, &mut self.node);
+        digest.number(turn.lines.len() as u64);
+        for verdict in &turn.verdicts {
+            match verdict.place {
+                Place::Zone(zone, class) => {
+                    digest.number(u64::from(zone.0));
+                    digest.number(class.map_or(u64::MAX, |class| class as u64));
+                }
+                Place::Server(server) => digest.number(1_000 + u64::from(server.0)),
+            }
+            digest.number(u64::from(verdict.share.to_bits()));
+            digest.number(verdict.until);
+        }
+        turn.verdicts.len()
+    }
+}
+
+/// Hands all messages over, until none is left.
+fn deliver(fleet: &mut [Balancer], now: u64) {
+    let by_address: HashMap<SocketAddr, usize> =
+        (0..fleet.len()).map(|number| (address(number), number)).collect();
+    let mut messages: VecDeque<(usize, Vec<u8>)> = VecDeque::new();
+    for number in 0..fleet.len() {
+        while let Some(out) = fleet[number].node.next_out() {
+            messages.push_back((by_address[&out.to], out.bytes));
+        }
+        while let Some((to, bytes)) = messages.pop_front() {
+            fleet[to].node.heard(now, &bytes).unwrap();
+            while let Some(out) = fleet[to].node.next_out() {
+                messages.push_back((by_address[&out.to], out.bytes));
+            }
+        }
+    }
+}
+
+fn order(fleet: &mut [Balancer], now: u64, kind: Kind, place: &str, what: What) {
+    let coordinator = &mut fleet[1].coordinator;
+    let subject = coordinator.place(kind, place).unwrap();
+    let stamp_ms = UNIX_MS + now / MS;
+    let until_ms = stamp_ms + 4_000;
+    assert!(coordinator.order(stamp_ms, Order { subject, what, stamp_ms, until_ms, id: 1 }));
+}
+
+#[test]
+fn a_fleet_finds_the_same_in_a_fixed_course_of_failures() {
+    let mut fleet: Vec<Balancer> = (0..ZONES.len() * BALANCERS_PER_ZONE).map(balancer).collect();
+    let mut draws = Draws(4_711);
+    let mut digest = Digest(0xcbf2_9ce4_8422_2325);
+    let mut verdicts = 0;
+    for step in 1..=STEPS {
+        let now = step * STEP;
+        match step {
+            765 => order(&mut fleet, now, Kind::Zone, "sur", What::Leave),
+            770 => order(&mut fleet, now, Kind::Region, "litoral", What::Hold),
+            775 => order(&mut fleet, now, Kind::Nodo, "nodo-3", What::Leave),
+            155 => order(&mut fleet, now, Kind::Zone, "norte", What::Return),
+            _ => {}
+        }
+        for number in 0..fleet.len() {
+            fleet[number].node.tick(now);
+            deliver(&mut fleet, now);
+            fleet[number].calls(now, &mut draws);
+            verdicts += fleet[number].turn(now, &mut digest);
+            deliver(&mut fleet, now);
+        }
+    }
+    for balancer in &fleet {
+        let status = balancer.coordinator.status(STEPS * STEP, UNIX_MS + STEPS * STEP / MS);
+        digest.bytes(serde_json::to_string(&status).unwrap().as_bytes());
+    }
+    assert!(verdicts > 1_000, "{verdicts} verdicts");
+    assert_eq!(format!("{:016x}", digest.0), "0fb27549dc04d68c");
+}
