--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -55,7 +55,7 @@
     for command in commands {
         let mut arguments: Vec<&str> = command.split(' ').filter(|word| !word.is_empty()).collect();
         arguments.push("--help");
-        let name = ["help", command].join(" ").trim().replace(' ', "-");
+        let name = ["cli-help", command].join(" ").trim().replace(' ', "-");
         assert_golden(&format!("{name}.txt"), &output(Path::new("/"), &arguments));
     }
 }
