--- a/crates/consensus/src/durable.rs
+++ b/crates/consensus/src/durable.rs
@@ -41,7 +41,13 @@
 impl DurableState {
     /// The state of a new replica. One that founds the group begins with its members; one that joins with none.
     pub fn new(id: ReplicaId, founding: Snapshot) -> Self {
-        Self { id, term: 0, vote: 0, commit: founding.index, log: Log::new(founding, Vec::new()) }
+        Self {
+            id,
+            term: 0,
+            vote: 0,
+            commit: founding.index,
+            log: Log::new(founding, Vec::new()),
+        }
     }
 
     /// Folds one record into the state.
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -32,7 +32,10 @@
     }
 
     pub(crate) fn reset_election_timer(&mut self) {
-        self.election_due = self.now + self.random.u64(self.timing.election_min..=self.timing.election_max);
+        self.election_due = self.now
+            + self
+                .random
+                .u64(self.timing.election_min..=self.timing.election_max);
     }
 
     pub(crate) fn adopt_term(&mut self, term: u64) {
@@ -45,8 +48,9 @@
     pub(crate) fn step_down(&mut self, leader: Option<ReplicaId>) {
         let role = std::mem::replace(&mut self.role, Role::Follower { leader });
         if let Role::Leader(leadership) = role {
-            let failed =
-                leadership.into_reads().map(|Read { number, .. }| Output::ReadFailed { read: number });
+            let failed = leadership
+                .into_reads()
+                .map(|Read { number, .. }| Output::ReadFailed { read: number });
             self.outputs.extend(failed);
             self.reset_election_timer();
         }
@@ -61,9 +65,11 @@
     pub(crate) fn refuse_old_term(&mut self, message: &Message) {
         // The sender learns the newer term from the reply.
         let body = match message.body {
-            Body::Append { round, .. } | Body::Install { round, .. } => {
-                Body::AppendReply { success: false, index: self.log.last_index(), round }
-            }
+            Body::Append { round, .. } | Body::Install { round, .. } => Body::AppendReply {
+                success: false,
+                index: self.log.last_index(),
+                round,
+            },
             _ => return,
         };
         self.send_durably(message.from, body);
@@ -92,10 +98,16 @@
             let granted = term > self.term && up_to_date && !self.goes_before(from, last);
             if granted {
                 // Whoever may stand is given the time to be elected.
-                self.election_due = self.election_due.max(self.now + self.random.u64(FIRST_ELECTION));
+                self.election_due = self
+                    .election_due
+                    .max(self.now + self.random.u64(FIRST_ELECTION));
             }
-            let message =
-                Message { from: self.id, to: from, term, body: Body::VoteReply { pre: true, granted } };
+            let message = Message {
+                from: self.id,
+                to: from,
+                term,
+                body: Body::VoteReply { pre: true, granted },
+            };
             self.outputs.push_back(Output::Send(message));
             return;
         }
@@ -112,7 +124,13 @@
             self.persist(Record::Term { term, vote: from });
             self.reset_election_timer();
         }
-        self.send_durably(from, Body::VoteReply { pre: false, granted });
+        self.send_durably(
+            from,
+            Body::VoteReply {
+                pre: false,
+                granted,
+            },
+        );
     }
 
     /// Whether this replica stands itself, with as good a log: of two such the one with the greater identity goes before, so that
@@ -125,19 +143,35 @@
 
     pub(crate) fn ask_for_votes(&mut self, pre: bool, transfer: bool) {
         self.step_down(None);
-        self.role = Role::Candidate { pre, votes: BTreeSet::new() };
+        self.role = Role::Candidate {
+            pre,
+            votes: BTreeSet::new(),
+        };
         if !pre {
             self.term += 1;
             self.vote = self.id;
             self.vote_sequence = self.next_sequence;
-            self.persist(Record::Term { term: self.term, vote: self.id });
+            self.persist(Record::Term {
+                term: self.term,
+                vote: self.id,
+            });
         }
         let term = self.term + u64::from(pre);
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         let others: Vec<Member> = self.log.members().members().cloned().collect();
         for member in others.into_iter().filter(|member| member.id != self.id) {
-            let body = Body::Vote { pre, last_index, last_term, transfer };
-            let message = Message { from: self.id, to: member.id, term, body };
+            let body = Body::Vote {
+                pre,
+                last_index,
+                last_term,
+                transfer,
+            };
+            let message = Message {
+                from: self.id,
+                to: member.id,
+                term,
+                body,
+            };
             match pre {
                 true => self.outputs.push_back(Output::Send(message)),
                 false => self.held.push_back((self.vote_sequence, message)),
@@ -149,12 +183,18 @@
     }
 
     pub(crate) fn count_vote(&mut self, from: ReplicaId, pre_vote: bool) {
-        let Role::Candidate { pre, votes } = &mut self.role else { return };
+        let Role::Candidate { pre, votes } = &mut self.role else {
+            return;
+        };
         if *pre != pre_vote {
             return;
         }
         votes.insert(from);
-        if !self.log.members().is_quorum(|member| votes.contains(&member.id)) {
+        if !self
+            .log
+            .members()
+            .is_quorum(|member| votes.contains(&member.id))
+        {
             return;
         }
         if pre_vote {
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -18,18 +18,28 @@
     ) {
         let (previous_index, previous_term) = previous;
         let begin = self.log.snapshot().index;
-        let matches = previous_index < begin || self.log.term_at(previous_index) == Some(previous_term);
+        let matches =
+            previous_index < begin || self.log.term_at(previous_index) == Some(previous_term);
         if !matches {
             let index = self.log.last_index().min(previous_index.saturating_sub(1));
             // Positions up to the commit agree with every leader.
             let index = index.max(self.commit.min(previous_index.saturating_sub(1)));
-            self.send(from, Body::AppendReply { success: false, index, round });
+            self.send(
+                from,
+                Body::AppendReply {
+                    success: false,
+                    index,
+                    round,
+                },
+            );
             return;
         }
         let end = previous_index + entries.len() as u64;
         entries.retain(|entry| entry.index > begin);
-        let known =
-            entries.iter().take_while(|entry| self.log.term_at(entry.index) == Some(entry.term)).count();
+        let known = entries
+            .iter()
+            .take_while(|entry| self.log.term_at(entry.index) == Some(entry.term))
+            .count();
         entries.drain(..known);
         self.append(entries);
         if commit > self.commit {
@@ -38,9 +48,23 @@
         }
         if self.durable < end {
             let index = self.durable;
-            self.send(from, Body::AppendReply { success: true, index, round });
+            self.send(
+                from,
+                Body::AppendReply {
+                    success: true,
+                    index,
+                    round,
+                },
+            );
         }
-        self.send_durably(from, Body::AppendReply { success: true, index: end, round });
+        self.send_durably(
+            from,
+            Body::AppendReply {
+                success: true,
+                index: end,
+                round,
+            },
+        );
     }
 
     pub(crate) fn on_install(&mut self, from: ReplicaId, piece: SnapshotPiece, round: u64) {
@@ -49,12 +73,26 @@
             match IncomingSnapshot::receive(&mut self.incoming, piece) {
                 Received::Whole(snapshot) => self.take_snapshot(snapshot),
                 Received::Part(received) => {
-                    self.send(from, Body::InstallReply { head, received, round });
+                    self.send(
+                        from,
+                        Body::InstallReply {
+                            head,
+                            received,
+                            round,
+                        },
+                    );
                     return;
                 }
             }
         }
-        self.send_durably(from, Body::AppendReply { success: true, index: head.index, round });
+        self.send_durably(
+            from,
+            Body::AppendReply {
+                success: true,
+                index: head.index,
+                round,
+            },
+        );
     }
 
     fn take_snapshot(&mut self, snapshot: Snapshot) {
@@ -63,7 +101,8 @@
         (self.commit, self.applied) = (index, index);
         self.durable = self.durable.min(index);
         self.appended.retain(|(_, end, _)| *end > index);
-        self.appended.push_back((self.next_sequence, index, snapshot.term));
+        self.appended
+            .push_back((self.next_sequence, index, snapshot.term));
         self.persist(Record::Install(snapshot.clone()));
         self.outputs.push_back(Output::Restore(snapshot));
     }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -17,8 +17,13 @@
 impl Replica {
     /// Proposes a command; its position and term identify it when it is applied.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<(u64, u64), ProposeError> {
-        let Role::Leader(leadership) = &self.role else { return Err(ProposeError::NotLeader(self.leader())) };
-        if leadership.transfer_until.is_some_and(|until| self.now < until) {
+        let Role::Leader(leadership) = &self.role else {
+            return Err(ProposeError::NotLeader(self.leader()));
+        };
+        if leadership
+            .transfer_until
+            .is_some_and(|until| self.now < until)
+        {
             return Err(ProposeError::NotLeader(None));
         }
         if self.log.bytes_behind(self.commit) > MOST_UNCOMMITTED {
@@ -35,15 +40,21 @@
     pub fn transfer(&mut self) {
         let (now, members) = (self.now, self.log.members().clone());
         let (id, fresh) = (self.id, now.saturating_sub(3 * self.timing.heartbeat));
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         let best = leadership
             .progress
             .iter()
             .filter(|(other, progress)| {
-                **other != id && members.is_voter(**other) && progress.contact.is_some_and(|at| at >= fresh)
+                **other != id
+                    && members.is_voter(**other)
+                    && progress.contact.is_some_and(|at| at >= fresh)
             })
             .max_by_key(|(_, progress)| (progress.matched, progress.contact));
-        let Some(best) = best.map(|(best, _)| *best) else { return };
+        let Some(best) = best.map(|(best, _)| *best) else {
+            return;
+        };
         leadership.transfer_until = Some(now + TRANSFER_PATIENCE);
         self.send(best, Body::Elect);
     }
@@ -59,13 +70,23 @@
 
     /// Whether a snapshot is on its way to a follower: what it needs next is to be kept.
     pub fn is_sending_snapshot(&self) -> bool {
-        let Role::Leader(leadership) = &self.role else { return false };
-        leadership.progress.values().any(|progress| progress.snapshot.is_some())
+        let Role::Leader(leadership) = &self.role else {
+            return false;
+        };
+        leadership
+            .progress
+            .values()
+            .any(|progress| progress.snapshot.is_some())
     }
 
     pub(crate) fn become_leader(&mut self) {
         let first_index = self.log.last_index() + 1;
-        let others = self.log.members().members().map(|member| member.id).filter(|id| *id != self.id);
+        let others = self
+            .log
+            .members()
+            .members()
+            .map(|member| member.id)
+            .filter(|id| *id != self.id);
         let leadership = Leadership::new(self.now, first_index, others);
         self.role = Role::Leader(Box::new(leadership));
         let entry = self.next_entry(Payload::Empty);
@@ -76,7 +97,9 @@
 
     /// What a leader does as time passes.
     pub(crate) fn lead(&mut self) {
-        let Role::Leader(leadership) = &self.role else { return };
+        let Role::Leader(leadership) = &self.role else {
+            return;
+        };
         let due = leadership.heartbeat_due;
         if self.now > self.quorum_contact(leadership) + self.timing.election_max {
             self.step_down(None);
@@ -91,7 +114,9 @@
     /// Sends to all followers, entries or not, in a new round.
     pub(crate) fn heartbeat(&mut self) {
         let now = self.now;
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         leadership.begin_round(now);
         leadership.heartbeat_due = now + self.timing.heartbeat;
         let followers: Vec<ReplicaId> = leadership.progress.keys().copied().collect();
@@ -102,7 +127,9 @@
 
     /// Sends new entries to the followers that lack them.
     pub(crate) fn replicate(&mut self) {
-        let Role::Leader(leadership) = &self.role else { return };
+        let Role::Leader(leadership) = &self.role else {
+            return;
+        };
         let followers: Vec<ReplicaId> = leadership.progress.keys().copied().collect();
         for follower in followers {
             self.send_entries(follower, false);
@@ -113,12 +140,20 @@
     /// Sends the entries that a follower lacks, or a snapshot where they are gone.
     fn send_entries(&mut self, follower: ReplicaId, even_if_empty: bool) {
         let begin = self.log.snapshot().index;
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         let round = leadership.round;
-        let Some(progress) = leadership.progress.get_mut(&follower) else { return };
+        let Some(progress) = leadership.progress.get_mut(&follower) else {
+            return;
+        };
         let lacks_entries = progress.next <= begin;
         let previous_index = progress.next.max(begin + 1) - 1;
-        let entries = if lacks_entries { Vec::new() } else { self.log.from(progress.next, MOST_BYTES) };
+        let entries = if lacks_entries {
+            Vec::new()
+        } else {
+            self.log.from(progress.next, MOST_BYTES)
+        };
         progress.next += entries.len() as u64;
         match lacks_entries {
             true => self.send_snapshot(follower),
@@ -127,18 +162,35 @@
         if entries.is_empty() && !even_if_empty {
             return;
         }
-        let Some(previous_term) = self.log.term_at(previous_index) else { return };
+        let Some(previous_term) = self.log.term_at(previous_index) else {
+            return;
+        };
         let commit = self.commit;
-        self.send(follower, Body::Append { previous_index, previous_term, entries, commit, round });
+        self.send(
+            follower,
+            Body::Append {
+                previous_index,
+                previous_term,
+                entries,
+                commit,
+                round,
+            },
+        );
     }
 
     /// Sends the next pieces of a snapshot, of a new one where none is on its way.
     fn send_snapshot(&mut self, follower: ReplicaId) {
         let (now, newest) = (self.now, self.log.shared_snapshot());
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         let round = leadership.round;
-        let Some(progress) = leadership.progress.get_mut(&follower) else { return };
-        let outgoing = progress.snapshot.get_or_insert_with(|| OutgoingSnapshot::new(&newest, now));
+        let Some(progress) = leadership.progress.get_mut(&follower) else {
+            return;
+        };
+        let outgoing = progress
+            .snapshot
+            .get_or_insert_with(|| OutgoingSnapshot::new(&newest, now));
         for piece in outgoing.next_pieces(now) {
             self.send(follower, Body::Install { piece, round });
         }
@@ -146,24 +198,42 @@
 
     pub(crate) fn on_install_reply(&mut self, from: ReplicaId, received: u64, round: u64) {
         let now = self.now;
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         leadership.note_answer(from, round);
         let progress = leadership.progress.get_mut(&from);
-        let Some(outgoing) = progress.and_then(|progress| progress.snapshot.as_mut()) else { return };
+        let Some(outgoing) = progress.and_then(|progress| progress.snapshot.as_mut()) else {
+            return;
+        };
         outgoing.acknowledge(now, received);
         self.send_snapshot(from);
         self.confirm_reads();
     }
 
-    pub(crate) fn on_append_reply(&mut self, from: ReplicaId, success: bool, index: u64, round: u64) {
+    pub(crate) fn on_append_reply(
+        &mut self,
+        from: ReplicaId,
+        success: bool,
+        index: u64,
+        round: u64,
+    ) {
         let last = self.log.last_index();
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         leadership.note_answer(from, round);
-        let Some(progress) = leadership.progress.get_mut(&from) else { return };
+        let Some(progress) = leadership.progress.get_mut(&from) else {
+            return;
+        };
         if success {
             progress.matched = progress.matched.max(index);
             progress.next = progress.next.max(progress.matched + 1);
-            if progress.snapshot.as_ref().is_some_and(|snapshot| progress.matched >= snapshot.index()) {
+            if progress
+                .snapshot
+                .as_ref()
+                .is_some_and(|snapshot| progress.matched >= snapshot.index())
+            {
                 progress.snapshot = None;
             }
             let has_more = progress.next <= last;
@@ -182,10 +252,15 @@
     }
 
     pub(crate) fn advance_commit(&mut self) {
-        let Role::Leader(leadership) = &self.role else { return };
+        let Role::Leader(leadership) = &self.role else {
+            return;
+        };
         let matched = |member: &Member| match member.id == self.id {
             true => self.durable,
-            false => leadership.progress.get(&member.id).map_or(0, |progress| progress.matched),
+            false => leadership
+                .progress
+                .get(&member.id)
+                .map_or(0, |progress| progress.matched),
         };
         let index = self.log.members().quorum_value(matched);
         if index > self.commit && self.log.term_at(index) == Some(self.term) {
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -49,7 +49,10 @@
 impl Log {
     /// A log that begins with a snapshot.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
-        Self { snapshot: Arc::new(snapshot), entries }
+        Self {
+            snapshot: Arc::new(snapshot),
+            entries,
+        }
     }
 
     /// The snapshot at its beginning.
@@ -65,7 +68,11 @@
     /// The bytes that the entries behind a position count as.
     pub(crate) fn bytes_behind(&self, index: u64) -> usize {
         let skipped = index.saturating_sub(self.snapshot.index);
-        self.entries.iter().skip(usize::try_from(skipped).unwrap_or(usize::MAX)).map(size_of).sum()
+        self.entries
+            .iter()
+            .skip(usize::try_from(skipped).unwrap_or(usize::MAX))
+            .map(size_of)
+            .sum()
     }
 
     /// The entries behind the snapshot.
@@ -80,7 +87,9 @@
 
     /// The term of the last entry.
     pub fn last_term(&self) -> u64 {
-        self.entries.last().map_or(self.snapshot.term, |entry| entry.term)
+        self.entries
+            .last()
+            .map_or(self.snapshot.term, |entry| entry.term)
     }
 
     /// The term of the entry at a position, if it is known.
@@ -99,9 +108,14 @@
 
     /// The entries from a position on, as many as hold `most_bytes` of commands, one at least.
     pub fn from(&self, index: u64, most_bytes: usize) -> Vec<Entry> {
-        let Some(offset) = index.checked_sub(self.snapshot.index + 1) else { return Vec::new() };
+        let Some(offset) = index.checked_sub(self.snapshot.index + 1) else {
+            return Vec::new();
+        };
         let mut bytes = 0;
-        let entries = self.entries.iter().skip(usize::try_from(offset).unwrap_or(usize::MAX));
+        let entries = self
+            .entries
+            .iter()
+            .skip(usize::try_from(offset).unwrap_or(usize::MAX));
         let fits = |entry: &&Entry| {
             let before = bytes;
             bytes += size_of(entry);
@@ -114,7 +128,8 @@
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let keep = first.index.saturating_sub(self.snapshot.index + 1);
-        self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
+        self.entries
+            .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
         self.entries.extend_from_slice(entries);
     }
 
@@ -123,7 +138,9 @@
         let follows = self.term_at(snapshot.index) == Some(snapshot.term);
         if follows {
             let covered = snapshot.index.saturating_sub(self.snapshot.index);
-            let covered = usize::try_from(covered).unwrap_or(usize::MAX).min(self.entries.len());
+            let covered = usize::try_from(covered)
+                .unwrap_or(usize::MAX)
+                .min(self.entries.len());
             self.entries.drain(..covered);
         } else {
             self.entries.clear();
@@ -138,7 +155,11 @@
 
     /// The members as of a position.
     pub fn members_at(&self, index: u64) -> &Membership {
-        let newest = self.entries.iter().rev().filter(|entry| entry.index <= index);
+        let newest = self
+            .entries
+            .iter()
+            .rev()
+            .filter(|entry| entry.index <= index);
         newest
             .filter_map(|entry| match &entry.payload {
                 Payload::Members(members) => Some(members),
@@ -151,7 +172,11 @@
     /// The position of the newest entry that changes the members, if it is held.
     pub fn newest_change(&self) -> Option<u64> {
         let changes = |entry: &&Entry| matches!(entry.payload, Payload::Members(_));
-        self.entries.iter().rev().find(changes).map(|entry| entry.index)
+        self.entries
+            .iter()
+            .rev()
+            .find(changes)
+            .map(|entry| entry.index)
     }
 }
 
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -27,7 +27,10 @@
 impl Membership {
     /// Members that are not about to change.
     pub fn new(voters: Vec<Member>) -> Self {
-        Self { voters, next: Vec::new() }
+        Self {
+            voters,
+            next: Vec::new(),
+        }
     }
 
     /// Whether the voters are about to change.
@@ -38,7 +41,9 @@
     /// All voters, the former ones and those that come next, each once.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         let is_former = |member: &Member| self.voters.iter().any(|former| former.id == member.id);
-        self.voters.iter().chain(self.next.iter().filter(move |member| !is_former(member)))
+        self.voters
+            .iter()
+            .chain(self.next.iter().filter(move |member| !is_former(member)))
     }
 
     /// Whether a replica votes.
@@ -48,18 +53,27 @@
 
     /// Whether these members are a quorum: a majority of the voters, and during a change of the next ones too.
     pub fn is_quorum(&self, holds: impl Fn(&Member) -> bool) -> bool {
-        is_majority(&self.voters, &holds) && (!self.is_changing() || is_majority(&self.next, &holds))
+        is_majority(&self.voters, &holds)
+            && (!self.is_changing() || is_majority(&self.next, &holds))
     }
 
     /// The greatest value that each member of some quorum has reached.
     pub fn quorum_value(&self, value: impl Fn(&Member) -> u64) -> u64 {
         let former = majority_value(&self.voters, &value);
-        if self.is_changing() { former.min(majority_value(&self.next, &value)) } else { former }
+        if self.is_changing() {
+            former.min(majority_value(&self.next, &value))
+        } else {
+            former
+        }
     }
 
     /// The members once the change is complete.
     pub fn completed(&self) -> Self {
-        if self.is_changing() { Self::new(self.next.clone()) } else { self.clone() }
+        if self.is_changing() {
+            Self::new(self.next.clone())
+        } else {
+            self.clone()
+        }
     }
 }
 
@@ -75,5 +89,8 @@
 fn majority_value(voters: &[Member], value: impl Fn(&Member) -> u64) -> u64 {
     let mut values: Vec<u64> = voters.iter().map(value).collect();
     values.sort_unstable_by(|a, b| b.cmp(a));
-    values.get(majority(voters) - 1).copied().unwrap_or_default()
+    values
+        .get(majority(voters) - 1)
+        .copied()
+        .unwrap_or_default()
 }
--- a/crates/consensus/src/reads.rs
+++ b/crates/consensus/src/reads.rs
@@ -23,18 +23,23 @@
     }
 
     pub(crate) fn confirm_reads(&mut self) {
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         let members = self.log.members();
         let (id, progress) = (self.id, &leadership.progress);
         let confirmed = |read: &Read| {
             members.is_quorum(|member: &Member| {
-                let answered = progress.get(&member.id).is_some_and(|progress| progress.round >= read.round);
+                let answered = progress
+                    .get(&member.id)
+                    .is_some_and(|progress| progress.round >= read.round);
                 member.id == id || answered
             })
         };
         while leadership.reads.front().is_some_and(&confirmed) {
             let read = leadership.reads.pop_front();
-            self.outputs.extend(read.map(|read| Output::ReadReady { read: read.number }));
+            self.outputs
+                .extend(read.map(|read| Output::ReadReady { read: read.number }));
         }
     }
 }
--- a/crates/consensus/src/reconfiguration.rs
+++ b/crates/consensus/src/reconfiguration.rs
@@ -23,12 +23,19 @@
     pub fn join(&mut self, member: Member) {
         let (now, next) = (self.now, self.log.last_index() + 1);
         let is_voter = self.log.members().is_voter(member.id);
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         if is_voter || member.id == self.id {
             return;
         }
-        leadership.progress.entry(member.id).or_insert_with(|| Progress::from(next));
-        leadership.learners.insert(member.id, Learner { member, asked: now });
+        leadership
+            .progress
+            .entry(member.id)
+            .or_insert_with(|| Progress::from(next));
+        leadership
+            .learners
+            .insert(member.id, Learner { member, asked: now });
     }
 
     /// A replica says that its process is about to end: its vote goes to a learner, where there is one.
@@ -49,7 +56,9 @@
     }
 
     fn may_change_members(&self) -> Result<(), ProposeError> {
-        let Role::Leader(leadership) = &self.role else { return Err(ProposeError::NotLeader(self.leader())) };
+        let Role::Leader(leadership) = &self.role else {
+            return Err(ProposeError::NotLeader(self.leader()));
+        };
         if !self.is_change_committed()
             || self.commit < leadership.first_index
             || self.log.members().is_changing()
@@ -61,7 +70,9 @@
 
     /// Whether the newest change of members is committed, if there is one.
     fn is_change_committed(&self) -> bool {
-        self.log.newest_change().is_none_or(|index| index <= self.commit)
+        self.log
+            .newest_change()
+            .is_none_or(|index| index <= self.commit)
     }
 
     fn propose_members(&mut self, members: Membership) {
@@ -79,10 +90,17 @@
     fn keep_as_learners(&mut self, former: Vec<Member>) {
         let now = self.now;
         let members = self.log.members();
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
         for member in former.into_iter().filter(|member| member.id != self.id) {
-            if !members.members().any(|other| other.id == member.id || other.address == member.address) {
-                leadership.learners.insert(member.id, Learner { member, asked: now });
+            if !members
+                .members()
+                .any(|other| other.id == member.id || other.address == member.address)
+            {
+                leadership
+                    .learners
+                    .insert(member.id, Learner { member, asked: now });
             }
         }
     }
@@ -91,12 +109,23 @@
     fn follow_members(&mut self) {
         let next = self.log.last_index();
         let id = self.id;
-        let voters: Vec<ReplicaId> = self.log.members().members().map(|member| member.id).collect();
-        let Role::Leader(leadership) = &mut self.role else { return };
-        let Leadership { progress, learners, .. } = &mut **leadership;
+        let voters: Vec<ReplicaId> = self
+            .log
+            .members()
+            .members()
+            .map(|member| member.id)
+            .collect();
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
+        let Leadership {
+            progress, learners, ..
+        } = &mut **leadership;
         progress.retain(|other, _| voters.contains(other) || learners.contains_key(other));
         for voter in voters.into_iter().filter(|voter| *voter != id) {
-            progress.entry(voter).or_insert_with(|| Progress::from(next));
+            progress
+                .entry(voter)
+                .or_insert_with(|| Progress::from(next));
         }
     }
 
@@ -115,14 +144,18 @@
         }
         let chosen = choose_voters(&self.candidates(), self.least_voters);
         let is_same = chosen.len() == members.voters.len()
-            && chosen.iter().all(|chosen| members.voters.iter().any(|voter| voter.id == chosen.id));
+            && chosen
+                .iter()
+                .all(|chosen| members.voters.iter().any(|voter| voter.id == chosen.id));
         if !is_same {
             self.change_voters(chosen).ok();
         }
     }
 
     fn complete_change(&mut self) {
-        let Role::Leader(leadership) = &self.role else { return };
+        let Role::Leader(leadership) = &self.role else {
+            return;
+        };
         if self.is_change_committed() && self.commit >= leadership.first_index {
             let completed = self.log.members().completed();
             self.propose_members(completed);
@@ -141,8 +174,12 @@
     fn forget_learners(&mut self) {
         let now = self.now;
         let members = self.log.members();
-        let Role::Leader(leadership) = &mut self.role else { return };
-        let Leadership { progress, learners, .. } = &mut **leadership;
+        let Role::Leader(leadership) = &mut self.role else {
+            return;
+        };
+        let Leadership {
+            progress, learners, ..
+        } = &mut **leadership;
         learners.retain(|id, learner| {
             let is_voter = members.is_voter(*id);
             let stays = now < learner.asked + LEARNER_PATIENCE && !is_voter;
@@ -155,7 +192,9 @@
 
     /// The voters, and the learners that have caught up.
     fn candidates(&self) -> Vec<Candidate> {
-        let Role::Leader(leadership) = &self.role else { return Vec::new() };
+        let Role::Leader(leadership) = &self.role else {
+            return Vec::new();
+        };
         let learners: Vec<&Member> = self.ready_learners(leadership).collect();
         let voters = self.log.members().voters.iter();
         let candidate = |member: &Member, presence: Presence, is_voter: bool| Candidate {
@@ -165,32 +204,50 @@
             is_voter,
             is_leader: member.id == self.id && presence == Presence::Live,
         };
-        let voters = voters.map(|voter| candidate(voter, self.presence(leadership, voter, &learners), true));
-        let learners = learners.iter().map(|learner| candidate(learner, Presence::Live, false));
+        let voters =
+            voters.map(|voter| candidate(voter, self.presence(leadership, voter, &learners), true));
+        let learners = learners
+            .iter()
+            .map(|learner| candidate(learner, Presence::Live, false));
         voters.chain(learners).collect()
     }
 
     /// The learners that are there and have all that is committed.
-    fn ready_learners<'a>(&'a self, leadership: &'a Leadership) -> impl Iterator<Item = &'a Member> {
+    fn ready_learners<'a>(
+        &'a self,
+        leadership: &'a Leadership,
+    ) -> impl Iterator<Item = &'a Member> {
         let has_caught_up = |id: &ReplicaId| {
-            leadership.progress.get(id).is_some_and(|progress| progress.matched >= self.commit)
+            leadership
+                .progress
+                .get(id)
+                .is_some_and(|progress| progress.matched >= self.commit)
         };
         let is_live = |id: &ReplicaId, learner: &Learner| {
             self.now < learner.asked + LEARNER_LIVE
                 && !self.leaving.contains_key(id)
                 && leadership.silent_for(self.now, *id) < REPLACED_AFTER
         };
-        let ready =
-            leadership.learners.iter().filter(move |(id, learner)| has_caught_up(id) && is_live(id, learner));
+        let ready = leadership
+            .learners
+            .iter()
+            .filter(move |(id, learner)| has_caught_up(id) && is_live(id, learner));
         ready.map(|(_, learner)| &learner.member)
     }
 
     /// Whether a voter is there. Where a learner runs at its address, its disk is lost.
     fn presence(&self, leadership: &Leadership, voter: &Member, learners: &[&Member]) -> Presence {
-        if learners.iter().any(|learner| learner.address == voter.address) {
+        if learners
+            .iter()
+            .any(|learner| learner.address == voter.address)
+        {
             return Presence::Lost;
         }
-        let silent_for = if voter.id == self.id { 0 } else { leadership.silent_for(self.now, voter.id) };
+        let silent_for = if voter.id == self.id {
+            0
+        } else {
+            leadership.silent_for(self.now, voter.id)
+        };
         if silent_for > REMOVED_AFTER {
             Presence::Lost
         } else if silent_for > REPLACED_AFTER || self.leaving.contains_key(&voter.id) {
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -108,7 +108,10 @@
 impl Replica {
     /// A replica as it was when it last ran, at a time in milliseconds.
     pub fn new(state: DurableState, settings: Settings, now: u64, seed: u64) -> Self {
-        let Settings { timing, least_voters } = settings;
+        let Settings {
+            timing,
+            least_voters,
+        } = settings;
         let snapshot = state.log.snapshot().clone();
         let mut replica = Self {
             id: state.id,
@@ -195,7 +198,10 @@
     /// have been taken without its knowledge.
     pub fn wants_to_join(&self) -> bool {
         let patience = 2 * self.timing.election_max;
-        let is_left = self.leader_heard().is_none_or(|at| self.now > at + patience) && !self.is_leader();
+        let is_left = self
+            .leader_heard()
+            .is_none_or(|at| self.now > at + patience)
+            && !self.is_leader();
         !self.members().is_voter(self.id) || is_left
     }
 
@@ -206,8 +212,19 @@
 
     /// All that its future depends on beside time and chance, as text: replicas of which it is equal behave alike.
     pub fn description(&self) -> String {
-        let disk = (self.id, self.term, self.vote, self.durable, self.persisted + 1 - self.next_sequence);
-        let log = (self.log.snapshot().index, self.log.entries(), self.commit, self.applied);
+        let disk = (
+            self.id,
+            self.term,
+            self.vote,
+            self.durable,
+            self.persisted + 1 - self.next_sequence,
+        );
+        let log = (
+            self.log.snapshot().index,
+            self.log.entries(),
+            self.commit,
+            self.applied,
+        );
         format!("{disk:?} {log:?} {:?} {:?}", self.role, self.held)
     }
 
@@ -238,7 +255,11 @@
                 self.durable = self.durable.max(index);
             }
         }
-        while self.held.front().is_some_and(|(number, _)| *number <= self.persisted) {
+        while self
+            .held
+            .front()
+            .is_some_and(|(number, _)| *number <= self.persisted)
+        {
             let message = self.held.pop_front().map(|(_, message)| message);
             self.outputs.extend(message.map(Output::Send));
         }
@@ -255,8 +276,20 @@
         if message.to != self.id {
             return;
         }
-        if let Body::Vote { pre, last_index, last_term, transfer } = message.body {
-            self.on_vote(message.from, message.term, pre, (last_term, last_index), transfer);
+        if let Body::Vote {
+            pre,
+            last_index,
+            last_term,
+            transfer,
+        } = message.body
+        {
+            self.on_vote(
+                message.from,
+                message.term,
+                pre,
+                (last_term, last_index),
+                transfer,
+            );
             return;
         }
         let is_pre_reply = matches!(message.body, Body::VoteReply { pre: true, .. });
@@ -274,18 +307,36 @@
                     self.count_vote(message.from, pre);
                 }
             }
-            Body::Append { previous_index, previous_term, entries, commit, round } => {
+            Body::Append {
+                previous_index,
+                previous_term,
+                entries,
+                commit,
+                round,
+            } => {
                 self.follow(message.from);
-                self.on_append(message.from, (previous_index, previous_term), entries, commit, round);
+                self.on_append(
+                    message.from,
+                    (previous_index, previous_term),
+                    entries,
+                    commit,
+                    round,
+                );
             }
-            Body::AppendReply { success, index, round } => {
+            Body::AppendReply {
+                success,
+                index,
+                round,
+            } => {
                 self.on_append_reply(message.from, success, index, round);
             }
             Body::Install { piece, round } => {
                 self.follow(message.from);
                 self.on_install(message.from, piece, round);
             }
-            Body::InstallReply { received, round, .. } => {
+            Body::InstallReply {
+                received, round, ..
+            } => {
                 self.on_install_reply(message.from, received, round);
             }
             Body::Elect => {
@@ -298,18 +349,30 @@
 
     /// Replaces the entries up to a position by the state machine's encoding at that position, which is applied.
     pub fn compact(&mut self, index: u64, state: Vec<u8>) {
-        let Some(term) = self.log.term_at(index) else { return };
+        let Some(term) = self.log.term_at(index) else {
+            return;
+        };
         if index > self.applied || index <= self.log.snapshot().index {
             return;
         }
         let members = self.log.members_at(index).clone();
-        let snapshot = Snapshot { index, term, members, state };
+        let snapshot = Snapshot {
+            index,
+            term,
+            members,
+            state,
+        };
         self.log.install(snapshot.clone());
         self.persist(Record::Install(snapshot));
     }
 
     pub(crate) fn send(&mut self, to: ReplicaId, body: Body) {
-        let message = Message { from: self.id, to, term: self.term, body };
+        let message = Message {
+            from: self.id,
+            to,
+            term: self.term,
+            body,
+        };
         self.outputs.push_back(Output::Send(message));
     }
 
@@ -319,7 +382,12 @@
             self.send(to, body);
             return;
         }
-        let message = Message { from: self.id, to, term: self.term, body };
+        let message = Message {
+            from: self.id,
+            to,
+            term: self.term,
+            body,
+        };
         self.held.push_back((self.next_sequence - 1, message));
     }
 
@@ -346,7 +414,9 @@
 
     fn apply_up_to_commit(&mut self) {
         while self.applied < self.commit {
-            let Some(entry) = self.log.get(self.applied + 1).cloned() else { return };
+            let Some(entry) = self.log.get(self.applied + 1).cloned() else {
+                return;
+            };
             self.applied += 1;
             self.outputs.push_back(Output::Apply(entry));
         }
@@ -354,6 +424,10 @@
 
     /// The next entry of a leader.
     pub(crate) fn next_entry(&self, payload: Payload) -> Entry {
-        Entry { index: self.log.last_index() + 1, term: self.term, payload }
+        Entry {
+            index: self.log.last_index() + 1,
+            term: self.term,
+            payload,
+        }
     }
 }
--- a/crates/consensus/src/roles.rs
+++ b/crates/consensus/src/roles.rs
@@ -44,7 +44,10 @@
 impl Progress {
     /// The progress of a follower that is assumed to have all entries before this one.
     pub fn from(next: u64) -> Self {
-        Self { next, ..Self::default() }
+        Self {
+            next,
+            ..Self::default()
+        }
     }
 }
 
@@ -83,10 +86,16 @@
 
 impl Leadership {
     /// A leadership that begins with an entry at this position.
-    pub(crate) fn new(now: u64, first_index: u64, followers: impl Iterator<Item = ReplicaId>) -> Self {
+    pub(crate) fn new(
+        now: u64,
+        first_index: u64,
+        followers: impl Iterator<Item = ReplicaId>,
+    ) -> Self {
         Self {
             since: now,
-            progress: followers.map(|follower| (follower, Progress::from(first_index))).collect(),
+            progress: followers
+                .map(|follower| (follower, Progress::from(first_index)))
+                .collect(),
             learners: BTreeMap::new(),
             round: 0,
             rounds: VecDeque::new(),
@@ -108,15 +117,24 @@
 
     /// A follower has answered a round. It was in contact when the round began, whenever its answer comes.
     pub(crate) fn note_answer(&mut self, follower: ReplicaId, round: u64) {
-        let began = self.rounds.iter().find(|(number, _)| *number == round).map(|(_, began)| *began);
-        let Some(progress) = self.progress.get_mut(&follower) else { return };
+        let began = self
+            .rounds
+            .iter()
+            .find(|(number, _)| *number == round)
+            .map(|(_, began)| *began);
+        let Some(progress) = self.progress.get_mut(&follower) else {
+            return;
+        };
         progress.contact = progress.contact.max(began);
         progress.round = progress.round.max(round);
     }
 
     /// For how long a follower has not answered.
     pub(crate) fn silent_for(&self, now: u64, follower: ReplicaId) -> u64 {
-        let contact = self.progress.get(&follower).and_then(|progress| progress.contact);
+        let contact = self
+            .progress
+            .get(&follower)
+            .and_then(|progress| progress.contact);
         now.saturating_sub(contact.unwrap_or(self.since))
     }
 
--- a/crates/consensus/src/snapshots.rs
+++ b/crates/consensus/src/snapshots.rs
@@ -64,7 +64,13 @@
     pub fn new(snapshot: &Snapshot, now: u64) -> Self {
         let encoded = snapshot.serialize_bin();
         let head = SnapshotHead::of(snapshot, &encoded);
-        Self { head, encoded, acknowledged: 0, sent: 0, progressed: now }
+        Self {
+            head,
+            encoded,
+            acknowledged: 0,
+            sent: 0,
+            progressed: now,
+        }
     }
 
     /// The last entry that it covers.
@@ -74,13 +80,19 @@
 
     /// The follower holds the encoding up to a position. One that has started again begins anew.
     pub fn acknowledge(&mut self, now: u64, received: u64) {
-        let received = usize::try_from(received).unwrap_or(usize::MAX).min(self.encoded.len());
+        let received = usize::try_from(received)
+            .unwrap_or(usize::MAX)
+            .min(self.encoded.len());
         if received == self.acknowledged {
             return;
         }
         let has_restarted = received < self.acknowledged;
         self.acknowledged = received;
-        self.sent = if has_restarted { received } else { self.sent.max(received) };
+        self.sent = if has_restarted {
+            received
+        } else {
+            self.sent.max(received)
+        };
         self.progressed = now;
     }
 
@@ -94,7 +106,11 @@
         while self.sent < self.encoded.len() && self.sent - self.acknowledged < WINDOW_BYTES {
             let end = self.encoded.len().min(self.sent + PIECE_BYTES);
             let bytes = self.encoded[self.sent..end].to_vec();
-            pieces.push(SnapshotPiece { head: self.head, offset: self.sent as u64, bytes });
+            pieces.push(SnapshotPiece {
+                head: self.head,
+                offset: self.sent as u64,
+                bytes,
+            });
             self.sent = end;
         }
         pieces
@@ -120,15 +136,26 @@
 impl IncomingSnapshot {
     /// Takes a piece. A piece of another snapshot than the one that is under way replaces it where it is that one's first.
     pub fn receive(incoming: &mut Option<Self>, piece: SnapshotPiece) -> Received {
-        let SnapshotPiece { head, offset, bytes } = piece;
-        let is_known = incoming.as_ref().is_some_and(|incoming| incoming.head == head);
+        let SnapshotPiece {
+            head,
+            offset,
+            bytes,
+        } = piece;
+        let is_known = incoming
+            .as_ref()
+            .is_some_and(|incoming| incoming.head == head);
         if !is_known {
             if offset != 0 || head.size > MOST_BYTES {
                 return Received::Part(0);
             }
-            *incoming = Some(Self { head, encoded: Vec::new() });
+            *incoming = Some(Self {
+                head,
+                encoded: Vec::new(),
+            });
         }
-        let Some(current) = incoming else { return Received::Part(0) };
+        let Some(current) = incoming else {
+            return Received::Part(0);
+        };
         if offset == current.encoded.len() as u64 {
             current.encoded.extend_from_slice(&bytes);
         }
@@ -141,7 +168,8 @@
     }
 
     fn decode(&self) -> Option<Snapshot> {
-        if self.encoded.len() as u64 != self.head.size || crc32fast::hash(&self.encoded) != self.head.checksum
+        if self.encoded.len() as u64 != self.head.size
+            || crc32fast::hash(&self.encoded) != self.head.checksum
         {
             return None;
         }
--- a/crates/consensus/src/voters.rs
+++ b/crates/consensus/src/voters.rs
@@ -46,32 +46,54 @@
 /// unless another choice is better.
 pub fn choose_voters(candidates: &[Candidate], least: usize) -> Vec<Member> {
     let key = place_to_bear(candidates);
-    let current: Vec<&Candidate> = candidates.iter().filter(|candidate| candidate.is_voter).collect();
-    let live: Vec<&Candidate> =
-        candidates.iter().filter(|candidate| candidate.presence == Presence::Live).collect();
+    let current: Vec<&Candidate> = candidates
+        .iter()
+        .filter(|candidate| candidate.is_voter)
+        .collect();
+    let live: Vec<&Candidate> = candidates
+        .iter()
+        .filter(|candidate| candidate.presence == Presence::Live)
+        .collect();
     let chosen = match best_of(&live, least, key) {
         Some(chosen) if may_take(&current, chosen.len(), key) => chosen,
         _ => with_replacements(&current, &live),
     };
-    let chosen = if is_better(&chosen, &current, key) { chosen } else { current };
-    chosen.into_iter().map(|candidate| candidate.member.clone()).collect()
+    let chosen = if is_better(&chosen, &current, key) {
+        chosen
+    } else {
+        current
+    };
+    chosen
+        .into_iter()
+        .map(|candidate| candidate.member.clone())
+        .collect()
 }
 
 /// Tells a candidate's region or its zone. One of which nothing is known is at a place of its own.
 type Key = fn(&Candidate) -> &str;
 
 fn region(candidate: &Candidate) -> &str {
-    candidate.place.as_ref().map_or(&candidate.member.address, |place| &place.region)
+    candidate
+        .place
+        .as_ref()
+        .map_or(&candidate.member.address, |place| &place.region)
 }
 
 fn zone(candidate: &Candidate) -> &str {
-    candidate.place.as_ref().map_or(&candidate.member.address, |place| &place.zone)
+    candidate
+        .place
+        .as_ref()
+        .map_or(&candidate.member.address, |place| &place.zone)
 }
 
 /// What may be lost as a whole without its voters being a majority: a region, or where there is only one, a zone.
 fn place_to_bear(candidates: &[Candidate]) -> Key {
-    let mut known = candidates.iter().filter_map(|candidate| candidate.place.as_ref());
-    let is_one = known.next().is_some_and(|first| known.all(|place| place.region == first.region));
+    let mut known = candidates
+        .iter()
+        .filter_map(|candidate| candidate.place.as_ref());
+    let is_one = known
+        .next()
+        .is_some_and(|first| known.all(|place| place.region == first.region));
     if is_one { zone } else { region }
 }
 
@@ -81,7 +103,9 @@
     let sizes = (least.max(1)..=most).rev().filter(|size| size % 2 == 1);
     let mut choices = sizes.map(|size| spread(live, size)).peekable();
     let largest = choices.peek().cloned();
-    choices.find(|choice| !has_majority_place(choice, key)).or(largest)
+    choices
+        .find(|choice| !has_majority_place(choice, key))
+        .or(largest)
 }
 
 /// Whether a group may get this size: it shrinks only by members that are lost, to become odd, or to bear the loss of a place.
@@ -90,7 +114,9 @@
         let is = |candidate: &&Candidate| [Presence::Live, presence].contains(&candidate.presence);
         current.iter().all(is)
     };
-    let has_lost = current.iter().any(|candidate| candidate.presence == Presence::Lost);
+    let has_lost = current
+        .iter()
+        .any(|candidate| candidate.presence == Presence::Lost);
     let becomes_odd = current.len().is_multiple_of(2) && size + 1 == current.len();
     let is_ill_placed = becomes_odd || has_majority_place(current, key);
     size >= current.len()
@@ -101,7 +127,9 @@
 /// As many voters as now, with live candidates in the places of those that are not there.
 fn with_replacements<'a>(current: &[&'a Candidate], live: &[&'a Candidate]) -> Vec<&'a Candidate> {
     let mut chosen = spread(live, current.len());
-    let absent = current.iter().filter(|candidate| candidate.presence != Presence::Live);
+    let absent = current
+        .iter()
+        .filter(|candidate| candidate.presence != Presence::Live);
     chosen.extend(absent.take(current.len().saturating_sub(chosen.len())));
     chosen
 }
@@ -112,7 +140,10 @@
     let mut chosen: Vec<&Candidate> = Vec::new();
     while chosen.len() < size && !left.is_empty() {
         let same = |key: Key, candidate: &Candidate| {
-            chosen.iter().filter(|other| key(other) == key(candidate)).count()
+            chosen
+                .iter()
+                .filter(|other| key(other) == key(candidate))
+                .count()
         };
         let rank = |candidate: &&Candidate| {
             (
@@ -123,7 +154,9 @@
                 candidate.member.id,
             )
         };
-        let Some(best) = (0..left.len()).min_by_key(|position| rank(&left[*position])) else { break };
+        let Some(best) = (0..left.len()).min_by_key(|position| rank(&left[*position])) else {
+            break;
+        };
         chosen.push(left.swap_remove(best));
     }
     chosen
@@ -151,11 +184,20 @@
 fn is_better(chosen: &[&Candidate], current: &[&Candidate], key: Key) -> bool {
     let knows_places = current.iter().all(|candidate| candidate.place.is_some());
     let measure = |choice: &[&Candidate]| {
-        let absent = choice.iter().filter(|candidate| candidate.presence != Presence::Live).count();
+        let absent = choice
+            .iter()
+            .filter(|candidate| candidate.presence != Presence::Live)
+            .count();
         let is_even = choice.len().is_multiple_of(2);
         let size = std::cmp::Reverse(choice.len());
         let spread = knows_places.then(|| (counts(choice, region), counts(choice, zone)));
-        (absent, knows_places && has_majority_place(choice, key), is_even, size, spread)
+        (
+            absent,
+            knows_places && has_majority_place(choice, key),
+            is_even,
+            size,
+            spread,
+        )
     };
     measure(chosen) < measure(current)
 }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -8,12 +8,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use woadstall_consensus::{
-    Body, DurableState, Entry, Member, Membership, Message, Output, Replica, ReplicaId, Settings, Snapshot,
-    Timing,
+    Body, DurableState, Entry, Member, Membership, Message, Output, Replica, ReplicaId, Settings,
+    Snapshot, Timing,
 };
 
-const SETTINGS: Settings =
-    Settings { timing: Timing { heartbeat: 150, election_min: 900, election_max: 1_500 }, least_voters: 1 };
+const SETTINGS: Settings = Settings {
+    timing: Timing {
+        heartbeat: 150,
+        election_min: 900,
+        election_max: 1_500,
+    },
+    least_voters: 1,
+};
 /// A replica's own chance decides nothing here.
 const SEED: u64 = 1;
 const NOW: u64 = 0;
@@ -83,7 +89,10 @@
 }
 
 fn member(id: ReplicaId) -> Member {
-    Member { id, address: format!("machine-{id}") }
+    Member {
+        id,
+        address: format!("machine-{id}"),
+    }
 }
 
 fn membership(ids: &[ReplicaId]) -> Vec<Member> {
@@ -101,8 +110,17 @@
 
 impl State {
     fn key(&self) -> Key<'_> {
-        let nodes = self.nodes.iter().map(|node| node.replica.description()).collect();
-        Key { nodes, network: &self.network, left: self.left, floors: &self.floors }
+        let nodes = self
+            .nodes
+            .iter()
+            .map(|node| node.replica.description())
+            .collect();
+        Key {
+            nodes,
+            network: &self.network,
+            left: self.left,
+            floors: &self.floors,
+        }
     }
 
     fn fail(&mut self, what: String) {
@@ -116,7 +134,9 @@
             if outputs.is_empty() {
                 break;
             }
-            outputs.into_iter().for_each(|output| self.carry_out(place, output));
+            outputs
+                .into_iter()
+                .for_each(|output| self.carry_out(place, output));
         }
         let replica = &self.nodes[place].replica;
         if replica.is_leader() {
@@ -137,7 +157,10 @@
             }
             Output::Send(message) => drop(self.network.insert(message.serialize_bin())),
             Output::Apply(entry) => {
-                let first = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
+                let first = self
+                    .committed
+                    .entry(entry.index)
+                    .or_insert_with(|| entry.clone());
                 if *first != entry {
                     let index = entry.index;
                     self.fail(format!("two entries are committed at {index}"));
@@ -156,7 +179,11 @@
     }
 
     fn newest_committed(&self) -> u64 {
-        self.committed.keys().next_back().copied().unwrap_or_default()
+        self.committed
+            .keys()
+            .next_back()
+            .copied()
+            .unwrap_or_default()
     }
 
     fn place_of(&self, id: ReplicaId) -> Option<usize> {
@@ -172,10 +199,18 @@
     /// Replica 1 leads, and all have its first entry.
     fn begin(&self) -> State {
         let members = Membership::new(membership(&self.voters));
-        let founding = Snapshot { index: 1, term: 1, members, state: Vec::new() };
+        let founding = Snapshot {
+            index: 1,
+            term: 1,
+            members,
+            state: Vec::new(),
+        };
         let node = |id: ReplicaId| {
             let disk = DurableState::new(id, founding.clone());
-            Node { replica: Replica::new(disk.clone(), SETTINGS, NOW, SEED), disk }
+            Node {
+                replica: Replica::new(disk.clone(), SETTINGS, NOW, SEED),
+                disk,
+            }
         };
         let mut state = State {
             nodes: self.ids().into_iter().map(node).collect(),
@@ -200,7 +235,15 @@
 fn campaign(state: &mut State, place: usize) {
     let replica = &mut state.nodes[place].replica;
     let (id, term) = (replica.id(), replica.term());
-    replica.receive(NOW, Message { from: id, to: id, term, body: Body::Elect });
+    replica.receive(
+        NOW,
+        Message {
+            from: id,
+            to: id,
+            term,
+            body: Body::Elect,
+        },
+    );
     state.settle(place);
 }
 
@@ -260,12 +303,18 @@
             }
             Action::Command(place) => {
                 state.left.commands -= 1;
-                state.nodes[place].replica.propose(vec![state.left.commands]).ok()?;
+                state.nodes[place]
+                    .replica
+                    .propose(vec![state.left.commands])
+                    .ok()?;
                 state.settle(place);
             }
             Action::Change(place) => {
                 state.left.changes -= 1;
-                state.nodes[place].replica.change_voters(membership(&self.next)).ok()?;
+                state.nodes[place]
+                    .replica
+                    .change_voters(membership(&self.next))
+                    .ok()?;
                 state.settle(place);
             }
             Action::Complete(place) => {
@@ -291,16 +340,20 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("one leader a term, one entry a position, no old reads", |_, state: &State| {
-            state.violation.is_none()
-        })]
+        vec![Property::always(
+            "one leader a term, one entry a position, no old reads",
+            |_, state: &State| state.violation.is_none(),
+        )]
     }
 }
 
 /// States that are looked at, unless `WOADSTALL_STATES` names another number.
 fn most_states() -> usize {
     const STATES: usize = 300_000;
-    std::env::var("WOADSTALL_STATES").ok().and_then(|states| states.parse().ok()).unwrap_or(STATES)
+    std::env::var("WOADSTALL_STATES")
+        .ok()
+        .and_then(|states| states.parse().ok())
+        .unwrap_or(STATES)
 }
 
 #[rstest]
@@ -316,8 +369,17 @@
     #[case] next: &[ReplicaId],
     #[case] most: Events,
 ) {
-    let group = Group { voters: voters.to_vec(), next: next.to_vec(), most };
-    let checker = group.checker().target_state_count(most_states()).threads(2).spawn_bfs().join();
+    let group = Group {
+        voters: voters.to_vec(),
+        next: next.to_vec(),
+        most,
+    };
+    let checker = group
+        .checker()
+        .target_state_count(most_states())
+        .threads(2)
+        .spawn_bfs()
+        .join();
     println!(
         "{} states, {} of them different, depth {}",
         checker.state_count(),
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -5,7 +5,8 @@
 use std::fmt::Debug;
 use std::path::PathBuf;
 use woadstall_consensus::{
-    Body, Entry, Member, Membership, Message, Payload, Record, Snapshot, SnapshotHead, SnapshotPiece,
+    Body, Entry, Member, Membership, Message, Payload, Record, Snapshot, SnapshotHead,
+    SnapshotPiece,
 };
 
 /// Compares a value's encoding with `tests/golden/NAME.hex`, and the value that those bytes are read as with the value.
@@ -13,26 +14,43 @@
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/golden/{name}.hex"));
     let fixture = std::fs::read_to_string(&path).unwrap();
     let expected = fixture.trim();
-    let encoded: String = value.serialize_bin().iter().map(|byte| format!("{byte:02x}")).collect();
+    let encoded: String = value
+        .serialize_bin()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     assert_eq!(encoded, expected, "{name}");
     let read: T = DeBin::deserialize_bin(&decode_hex(expected)).unwrap();
     assert_eq!(read, *value, "{name}");
 }
 
 fn decode_hex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn member(id: u64) -> Member {
-    Member { id, address: format!("10.0.0.{id}:7000") }
+    Member {
+        id,
+        address: format!("10.0.0.{id}:7000"),
+    }
 }
 
 fn changing_membership() -> Membership {
-    Membership { voters: vec![member(1), member(2), member(3)], next: vec![member(1), member(4)] }
+    Membership {
+        voters: vec![member(1), member(2), member(3)],
+        next: vec![member(1), member(4)],
+    }
 }
 
 fn entry(index: u64, payload: Payload) -> Entry {
-    Entry { index, term: 3, payload }
+    Entry {
+        index,
+        term: 3,
+        payload,
+    }
 }
 
 fn entries() -> Vec<Entry> {
@@ -40,20 +58,37 @@
         entry(11, Payload::Empty),
         entry(12, Payload::Command(b"command".to_vec())),
         entry(13, Payload::Members(changing_membership())),
-        entry(14, Payload::Members(Membership::new(vec![member(1), member(4)]))),
+        entry(
+            14,
+            Payload::Members(Membership::new(vec![member(1), member(4)])),
+        ),
     ]
 }
 
 fn snapshot() -> Snapshot {
-    Snapshot { index: 10, term: 2, members: changing_membership(), state: b"state".to_vec() }
+    Snapshot {
+        index: 10,
+        term: 2,
+        members: changing_membership(),
+        state: b"state".to_vec(),
+    }
 }
 
 fn head() -> SnapshotHead {
-    SnapshotHead { index: 10, term: 2, size: 70_000, checksum: 0x89ab_cdef }
+    SnapshotHead {
+        index: 10,
+        term: 2,
+        size: 70_000,
+        checksum: 0x89ab_cdef,
+    }
 }
 
 fn piece() -> SnapshotPiece {
-    SnapshotPiece { head: head(), offset: 32_768, bytes: vec![1, 2, 3, 0xff] }
+    SnapshotPiece {
+        head: head(),
+        offset: 32_768,
+        bytes: vec![1, 2, 3, 0xff],
+    }
 }
 
 #[rstest]
@@ -81,7 +116,12 @@
 )]
 #[case::elect("message-elect", Body::Elect)]
 fn a_message_has_its_bytes(#[case] name: &str, #[case] body: Body) {
-    let message = Message { from: 1, to: 0x0102_0304_0506_0708, term: 5, body };
+    let message = Message {
+        from: 1,
+        to: 0x0102_0304_0506_0708,
+        term: 5,
+        body,
+    };
     assert_golden(name, &message);
 }
 
@@ -110,7 +150,10 @@
 #[test]
 fn a_snapshots_head_has_its_bytes() {
     let snapshot = snapshot();
-    assert_golden("snapshot-head", &SnapshotHead::of(&snapshot, &snapshot.serialize_bin()));
+    assert_golden(
+        "snapshot-head",
+        &SnapshotHead::of(&snapshot, &snapshot.serialize_bin()),
+    );
 }
 
 #[test]
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -4,11 +4,19 @@
 use woadstall_consensus::{Member, Membership, ReplicaId};
 
 fn members(ids: &[ReplicaId]) -> Vec<Member> {
-    ids.iter().map(|id| Member { id: *id, address: format!("machine-{id}") }).collect()
+    ids.iter()
+        .map(|id| Member {
+            id: *id,
+            address: format!("machine-{id}"),
+        })
+        .collect()
 }
 
 fn membership(voters: &[ReplicaId], next: &[ReplicaId]) -> Membership {
-    Membership { voters: members(voters), next: members(next) }
+    Membership {
+        voters: members(voters),
+        next: members(next),
+    }
 }
 
 #[rstest]
@@ -29,7 +37,10 @@
     #[case] expected: bool,
 ) {
     let membership = membership(voters, next);
-    assert_eq!(membership.is_quorum(|member| holds.contains(&member.id)), expected);
+    assert_eq!(
+        membership.is_quorum(|member| holds.contains(&member.id)),
+        expected
+    );
     // What a quorum has reached is a value that each member of some quorum has.
     let value = |member: &Member| u64::from(holds.contains(&member.id));
     assert_eq!(membership.quorum_value(value) == 1, expected);
@@ -39,14 +50,23 @@
 fn the_value_of_a_quorum_is_the_lesser_one_of_both_groups() {
     let changing = membership(&[1, 2, 3], &[3, 4, 5]);
     assert_eq!(changing.quorum_value(|member| member.id * 10), 20);
-    assert_eq!(changing.completed().quorum_value(|member| member.id * 10), 40);
+    assert_eq!(
+        changing.completed().quorum_value(|member| member.id * 10),
+        40
+    );
 }
 
 #[test]
 fn the_next_voters_vote_during_a_change_and_each_member_is_named_once() {
     let changing = membership(&[1, 2, 3], &[3, 4, 5]);
     assert!((1..=5).all(|id| changing.is_voter(id)) && !changing.is_voter(6));
-    assert_eq!(changing.members().map(|member| member.id).collect::<Vec<_>>(), [1, 2, 3, 4, 5]);
+    assert_eq!(
+        changing
+            .members()
+            .map(|member| member.id)
+            .collect::<Vec<_>>(),
+        [1, 2, 3, 4, 5]
+    );
     let completed = changing.completed();
     assert!(!completed.is_changing() && !completed.is_voter(1));
 }
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -6,18 +6,32 @@
 use rstest::rstest;
 use single::SETTINGS;
 use woadstall_consensus::{
-    Body, DurableState, Entry, Member, Membership, Message, Output, Payload, ProposeError, Record, Replica,
-    ReplicaId, Snapshot, SnapshotHead, SnapshotPiece,
+    Body, DurableState, Entry, Member, Membership, Message, Output, Payload, ProposeError, Record,
+    Replica, ReplicaId, Snapshot, SnapshotHead, SnapshotPiece,
 };
 
 fn entry(index: u64, term: u64) -> Entry {
-    Entry { index, term, payload: Payload::Command(vec![index as u8]) }
+    Entry {
+        index,
+        term,
+        payload: Payload::Command(vec![index as u8]),
+    }
 }
 
 /// The state of replica 1 of three, in term 5, with entries up to position 4 of terms 2, 2 and 4 behind the founding snapshot.
 fn durable() -> DurableState {
-    let voters = (1..=3).map(|id| Member { id, address: format!("machine-{id}") }).collect();
-    let founding = Snapshot { index: 1, term: 1, members: Membership::new(voters), state: Vec::new() };
+    let voters = (1..=3)
+        .map(|id| Member {
+            id,
+            address: format!("machine-{id}"),
+        })
+        .collect();
+    let founding = Snapshot {
+        index: 1,
+        term: 1,
+        members: Membership::new(voters),
+        state: Vec::new(),
+    };
     let mut state = DurableState::new(1, founding);
     state.fold(&Record::Term { term: 5, vote: 0 });
     state.fold(&Record::Append(vec![entry(2, 2), entry(3, 2), entry(4, 4)]));
@@ -35,26 +49,48 @@
 fn install(snapshot: &Snapshot, round: u64) -> Body {
     let bytes = snapshot.serialize_bin();
     let head = SnapshotHead::of(snapshot, &bytes);
-    Body::Install { piece: SnapshotPiece { head, offset: 0, bytes }, round }
+    Body::Install {
+        piece: SnapshotPiece {
+            head,
+            offset: 0,
+            bytes,
+        },
+        round,
+    }
 }
 
 fn message(from: ReplicaId, term: u64, body: Body) -> Message {
-    Message { from, to: 1, term, body }
+    Message {
+        from,
+        to: 1,
+        term,
+        body,
+    }
 }
 
 /// Makes all records durable, and gives the bodies of all messages sent so far, with their terms.
 fn settled(replica: &mut Replica) -> Vec<(ReplicaId, u64, Body)> {
     let sent = single::settled(replica).into_iter();
-    sent.map(|message| (message.to, message.term, message.body)).collect()
+    sent.map(|message| (message.to, message.term, message.body))
+        .collect()
 }
 
 /// What is sent before anything is durable.
 fn sent_at_once(replica: &mut Replica) -> usize {
-    replica.take_outputs().iter().filter(|output| matches!(output, Output::Send(_))).count()
+    replica
+        .take_outputs()
+        .iter()
+        .filter(|output| matches!(output, Output::Send(_)))
+        .count()
 }
 
 fn vote(last_term: u64, last_index: u64) -> Body {
-    Body::Vote { pre: false, last_index, last_term, transfer: false }
+    Body::Vote {
+        pre: false,
+        last_index,
+        last_term,
+        transfer: false,
+    }
 }
 
 fn is_granted(sent: &[(ReplicaId, u64, Body)]) -> Option<bool> {
@@ -85,7 +121,12 @@
     let mut replica = replica();
     replica.receive(10, message(2, 6, vote(4, 4)));
     let outputs = replica.take_outputs();
-    assert!(!outputs.iter().any(|output| matches!(output, Output::Send(_))), "{outputs:?}");
+    assert!(
+        !outputs
+            .iter()
+            .any(|output| matches!(output, Output::Send(_))),
+        "{outputs:?}"
+    );
     let records: Vec<(u64, Record)> = outputs
         .into_iter()
         .filter_map(|output| match output {
@@ -100,26 +141,53 @@
     replica.receive(20, message(3, 6, vote(4, 4)));
     assert_eq!(is_granted(&settled(&mut replica)), Some(false));
     replica.receive(20, message(3, 7, vote(4, 4)));
-    assert_eq!(is_granted(&settled(&mut replica)), Some(true), "a new term, a new vote");
+    assert_eq!(
+        is_granted(&settled(&mut replica)),
+        Some(true),
+        "a new term, a new vote"
+    );
 }
 
 #[test]
 fn a_live_leader_is_not_disturbed_unless_it_asks_for_it() {
     let mut replica = replica();
-    let heartbeat =
-        Body::Append { previous_index: 4, previous_term: 4, entries: Vec::new(), commit: 1, round: 1 };
+    let heartbeat = Body::Append {
+        previous_index: 4,
+        previous_term: 4,
+        entries: Vec::new(),
+        commit: 1,
+        round: 1,
+    };
     replica.receive(10, message(2, 5, heartbeat));
     settled(&mut replica);
     replica.receive(500, message(3, 6, vote(4, 4)));
-    assert_eq!((is_granted(&settled(&mut replica)), replica.term()), (None, 5));
-    let transfer = Body::Vote { pre: false, last_index: 4, last_term: 4, transfer: true };
+    assert_eq!(
+        (is_granted(&settled(&mut replica)), replica.term()),
+        (None, 5)
+    );
+    let transfer = Body::Vote {
+        pre: false,
+        last_index: 4,
+        last_term: 4,
+        transfer: true,
+    };
     replica.receive(510, message(3, 6, transfer));
     assert_eq!(is_granted(&settled(&mut replica)), Some(true));
 }
 
 fn append(previous: (u64, u64), entries: Vec<Entry>, commit: u64) -> Message {
     let (previous_index, previous_term) = previous;
-    message(2, 5, Body::Append { previous_index, previous_term, entries, commit, round: 7 })
+    message(
+        2,
+        5,
+        Body::Append {
+            previous_index,
+            previous_term,
+            entries,
+            commit,
+            round: 7,
+        },
+    )
 }
 
 fn replies(sent: &[(ReplicaId, u64, Body)]) -> Vec<(bool, u64)> {
@@ -143,17 +211,35 @@
             _ => None,
         })
         .collect();
-    assert_eq!(at_once, [Body::AppendReply { success: true, index: 4, round: 7 }]);
+    assert_eq!(
+        at_once,
+        [Body::AppendReply {
+            success: true,
+            index: 4,
+            round: 7
+        }]
+    );
     replica.persisted(1);
     assert_eq!(replies(&settled(&mut replica)), [(true, 6)]);
 }
 
 /// The positions that are acknowledged before any further record is durable.
 fn acknowledged_at_once(replica: &mut Replica) -> Vec<u64> {
-    let sent = replica.take_outputs().into_iter().filter_map(|output| match output {
-        Output::Send(Message { body: Body::AppendReply { success: true, index, .. }, .. }) => Some(index),
-        _ => None,
-    });
+    let sent = replica
+        .take_outputs()
+        .into_iter()
+        .filter_map(|output| match output {
+            Output::Send(Message {
+                body:
+                    Body::AppendReply {
+                        success: true,
+                        index,
+                        ..
+                    },
+                ..
+            }) => Some(index),
+            _ => None,
+        });
     sent.collect()
 }
 
@@ -170,12 +256,24 @@
 fn a_run_that_was_replaced_before_it_was_durable_does_not_count() {
     let mut replica = replica();
     replica.receive(10, append((4, 4), vec![entry(5, 5)], 1));
-    replica.receive(20, Message { term: 6, ..append((4, 4), vec![entry(5, 6)], 1) });
+    replica.receive(
+        20,
+        Message {
+            term: 6,
+            ..append((4, 4), vec![entry(5, 6)], 1)
+        },
+    );
     replica.take_outputs();
     const FIRST_RUN: u64 = 1;
     replica.persisted(FIRST_RUN);
     replica.take_outputs();
-    replica.receive(30, Message { term: 6, ..append((5, 6), Vec::new(), 1) });
+    replica.receive(
+        30,
+        Message {
+            term: 6,
+            ..append((5, 6), Vec::new(), 1)
+        },
+    );
     assert_eq!(acknowledged_at_once(&mut replica), [4]);
 }
 
@@ -205,7 +303,10 @@
     let mut replica = replica();
     replica.receive(10, append((2, 2), vec![entry(3, 5)], 1));
     settled(&mut replica);
-    assert_eq!((replica.log().last_index(), replica.log().last_term()), (3, 5));
+    assert_eq!(
+        (replica.log().last_index(), replica.log().last_term()),
+        (3, 5)
+    );
 }
 
 #[test]
@@ -219,18 +320,34 @@
 #[test]
 fn a_leader_of_a_former_term_hears_of_the_new_one() {
     let mut replica = replica();
-    let old =
-        Body::Append { previous_index: 4, previous_term: 4, entries: vec![entry(5, 4)], commit: 4, round: 7 };
+    let old = Body::Append {
+        previous_index: 4,
+        previous_term: 4,
+        entries: vec![entry(5, 4)],
+        commit: 4,
+        round: 7,
+    };
     replica.receive(10, message(2, 4, old));
     let sent = settled(&mut replica);
-    assert_eq!(sent.iter().map(|(to, term, _)| (*to, *term)).collect::<Vec<_>>(), [(2, 5)]);
+    assert_eq!(
+        sent.iter()
+            .map(|(to, term, _)| (*to, *term))
+            .collect::<Vec<_>>(),
+        [(2, 5)]
+    );
     assert_eq!((replica.log().last_index(), replica.commit_index()), (4, 1));
 }
 
 #[test]
 fn a_message_for_a_former_identity_is_not_taken() {
     let mut replica = replica();
-    replica.receive(10, Message { to: 9, ..message(2, 6, vote(4, 4)) });
+    replica.receive(
+        10,
+        Message {
+            to: 9,
+            ..message(2, 6, vote(4, 4))
+        },
+    );
     assert!(settled(&mut replica).is_empty());
     assert_eq!(replica.term(), 5);
 }
@@ -238,7 +355,12 @@
 #[test]
 fn an_old_snapshot_changes_nothing_and_a_new_one_replaces_what_does_not_follow() {
     let members = replica().members().clone();
-    let snapshot = |index, term| Snapshot { index, term, members: members.clone(), state: vec![1] };
+    let snapshot = |index, term| Snapshot {
+        index,
+        term,
+        members: members.clone(),
+        state: vec![1],
+    };
     let mut replica = replica();
     replica.receive(10, append((4, 4), Vec::new(), 3));
     settled(&mut replica);
@@ -247,7 +369,14 @@
     assert_eq!((replica.commit_index(), replica.log().last_index()), (3, 4));
     replica.receive(30, message(2, 5, install(&snapshot(4, 5), 9)));
     settled(&mut replica);
-    assert_eq!((replica.commit_index(), replica.log().last_index(), replica.log().last_term()), (4, 4, 5));
+    assert_eq!(
+        (
+            replica.commit_index(),
+            replica.log().last_index(),
+            replica.log().last_term()
+        ),
+        (4, 4, 5)
+    );
     assert!(replica.log().entries().is_empty());
 }
 
@@ -256,7 +385,17 @@
     let mut replica = replica();
     replica.receive(10, message(2, 5, Body::Elect));
     settled(&mut replica);
-    replica.receive(20, message(2, 6, Body::VoteReply { pre: false, granted: true }));
+    replica.receive(
+        20,
+        message(
+            2,
+            6,
+            Body::VoteReply {
+                pre: false,
+                granted: true,
+            },
+        ),
+    );
     assert!(replica.is_leader());
     settled(&mut replica);
     replica
@@ -265,19 +404,63 @@
 #[test]
 fn a_leader_commits_entries_of_former_terms_only_with_one_of_its_own() {
     let mut replica = leader();
-    replica.receive(30, message(2, 6, Body::AppendReply { success: true, index: 4, round: 1 }));
+    replica.receive(
+        30,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 4,
+                round: 1,
+            },
+        ),
+    );
     assert_eq!(replica.commit_index(), 1);
-    replica.receive(40, message(2, 6, Body::AppendReply { success: true, index: 5, round: 1 }));
+    replica.receive(
+        40,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 1,
+            },
+        ),
+    );
     assert_eq!(replica.commit_index(), 5);
 }
 
 #[test]
 fn a_leader_counts_its_own_entries_only_once_they_are_durable() {
     let mut replica = leader();
-    replica.receive(30, message(2, 6, Body::AppendReply { success: true, index: 5, round: 1 }));
+    replica.receive(
+        30,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 1,
+            },
+        ),
+    );
     settled(&mut replica);
     replica.propose(vec![1]).unwrap();
-    replica.receive(40, message(2, 6, Body::AppendReply { success: true, index: 6, round: 2 }));
+    replica.receive(
+        40,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 6,
+                round: 2,
+            },
+        ),
+    );
     assert_eq!(replica.commit_index(), 5);
     settled(&mut replica);
     assert_eq!(replica.commit_index(), 6);
@@ -286,13 +469,50 @@
 #[test]
 fn a_read_waits_for_answers_to_a_round_that_began_after_it() {
     let mut replica = leader();
-    replica.receive(30, message(2, 6, Body::AppendReply { success: true, index: 5, round: 1 }));
+    replica.receive(
+        30,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 1,
+            },
+        ),
+    );
     settled(&mut replica);
     replica.read(77);
-    let is_ready = |replica: &mut Replica| replica.take_outputs().contains(&Output::ReadReady { read: 77 });
-    replica.receive(40, message(2, 6, Body::AppendReply { success: true, index: 5, round: 2 }));
+    let is_ready = |replica: &mut Replica| {
+        replica
+            .take_outputs()
+            .contains(&Output::ReadReady { read: 77 })
+    };
+    replica.receive(
+        40,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 2,
+            },
+        ),
+    );
     assert!(!is_ready(&mut replica), "an answer to an earlier round");
-    replica.receive(50, message(3, 6, Body::AppendReply { success: true, index: 5, round: 3 }));
+    replica.receive(
+        50,
+        message(
+            3,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 3,
+            },
+        ),
+    );
     assert!(is_ready(&mut replica));
 }
 
@@ -300,18 +520,58 @@
 fn members_change_one_at_a_time_and_only_once_a_term_has_committed() {
     let mut replica = leader();
     let others = |replica: &Replica, gone: ReplicaId| {
-        replica.members().voters.iter().filter(|member| member.id != gone).cloned().collect::<Vec<_>>()
+        replica
+            .members()
+            .voters
+            .iter()
+            .filter(|member| member.id != gone)
+            .cloned()
+            .collect::<Vec<_>>()
     };
     let (without_2, without_3) = (others(&replica, 2), others(&replica, 3));
-    assert!(replica.change_voters(without_3.clone()).is_err(), "nothing of this term is committed");
-    replica.receive(30, message(2, 6, Body::AppendReply { success: true, index: 5, round: 1 }));
+    assert!(
+        replica.change_voters(without_3.clone()).is_err(),
+        "nothing of this term is committed"
+    );
+    replica.receive(
+        30,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 1,
+            },
+        ),
+    );
     settled(&mut replica);
     assert!(replica.change_voters(without_3).is_ok());
-    assert!(replica.change_voters(without_2.clone()).is_err(), "the first change is not committed");
-    assert_eq!(replica.change_voters(Vec::new()), Err(ProposeError::NoVoters));
-    replica.receive(40, message(2, 6, Body::AppendReply { success: true, index: 6, round: 3 }));
+    assert!(
+        replica.change_voters(without_2.clone()).is_err(),
+        "the first change is not committed"
+    );
+    assert_eq!(
+        replica.change_voters(Vec::new()),
+        Err(ProposeError::NoVoters)
+    );
+    replica.receive(
+        40,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 6,
+                round: 3,
+            },
+        ),
+    );
     settled(&mut replica);
-    assert!(replica.change_voters(without_2).is_err(), "it is committed and not complete");
+    assert!(
+        replica.change_voters(without_2).is_err(),
+        "it is committed and not complete"
+    );
 }
 
 #[test]
@@ -325,35 +585,80 @@
 fn entries_behind_a_snapshot_that_they_do_not_follow_go() {
     let members = replica().members().clone();
     let mut replica = replica();
-    let snapshot = Snapshot { index: 3, term: 5, members, state: vec![1] };
+    let snapshot = Snapshot {
+        index: 3,
+        term: 5,
+        members,
+        state: vec![1],
+    };
     replica.receive(10, message(2, 5, install(&snapshot, 8)));
     settled(&mut replica);
-    assert_eq!((replica.log().last_index(), replica.log().last_term()), (3, 5));
+    assert_eq!(
+        (replica.log().last_index(), replica.log().last_term()),
+        (3, 5)
+    );
 }
 
 /// A leader that has committed in its term, and a replica that asks it to join.
 fn leader_and_learner(id: ReplicaId, address: &str) -> Replica {
     let mut replica = leader();
-    replica.receive(30, message(2, 6, Body::AppendReply { success: true, index: 5, round: 1 }));
+    replica.receive(
+        30,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 1,
+            },
+        ),
+    );
     settled(&mut replica);
-    replica.join(Member { id, address: address.to_owned() });
+    replica.join(Member {
+        id,
+        address: address.to_owned(),
+    });
     replica
 }
 
 fn voters(replica: &Replica) -> Vec<ReplicaId> {
-    replica.members().voters.iter().map(|member| member.id).collect()
+    replica
+        .members()
+        .voters
+        .iter()
+        .map(|member| member.id)
+        .collect()
 }
 
 /// All voters, also those that come next.
 fn all_voters(replica: &Replica) -> Vec<ReplicaId> {
-    replica.members().members().map(|member| member.id).collect()
+    replica
+        .members()
+        .members()
+        .map(|member| member.id)
+        .collect()
 }
 
 /// Two learners, of which one has caught up so far.
 fn leader_and_two_learners() -> Replica {
     let mut replica = leader_and_learner(4, "machine-4");
-    replica.join(Member { id: 5, address: "machine-5".to_owned() });
-    replica.receive(210, message(4, 6, Body::AppendReply { success: true, index: 5, round: 2 }));
+    replica.join(Member {
+        id: 5,
+        address: "machine-5".to_owned(),
+    });
+    replica.receive(
+        210,
+        message(
+            4,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 2,
+            },
+        ),
+    );
     replica
 }
 
@@ -361,27 +666,104 @@
 fn a_learner_votes_only_once_it_has_caught_up_and_the_number_stays_odd() {
     let mut replica = leader_and_two_learners();
     replica.tick(220);
-    assert_eq!(all_voters(&replica), [1, 2, 3], "four voters bear no more than three");
-    replica.receive(230, message(5, 6, Body::AppendReply { success: true, index: 4, round: 2 }));
+    assert_eq!(
+        all_voters(&replica),
+        [1, 2, 3],
+        "four voters bear no more than three"
+    );
+    replica.receive(
+        230,
+        message(
+            5,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 4,
+                round: 2,
+            },
+        ),
+    );
     replica.tick(250);
     assert_eq!(all_voters(&replica), [1, 2, 3], "one entry is missing");
-    replica.receive(260, message(5, 6, Body::AppendReply { success: true, index: 5, round: 2 }));
+    replica.receive(
+        260,
+        message(
+            5,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 2,
+            },
+        ),
+    );
     replica.tick(300);
     assert_eq!(all_voters(&replica), [1, 2, 3, 4, 5]);
-    assert!(replica.members().is_changing(), "the former voters agree first");
+    assert!(
+        replica.members().is_changing(),
+        "the former voters agree first"
+    );
 }
 
 #[test]
 fn a_change_counts_only_with_a_majority_of_the_former_and_of_the_next_voters() {
     let mut replica = leader_and_two_learners();
-    replica.receive(260, message(5, 6, Body::AppendReply { success: true, index: 5, round: 2 }));
+    replica.receive(
+        260,
+        message(
+            5,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 2,
+            },
+        ),
+    );
     replica.tick(300);
     settled(&mut replica);
     let change = replica.log().last_index();
-    replica.receive(310, message(4, 6, Body::AppendReply { success: true, index: change, round: 3 }));
-    replica.receive(320, message(5, 6, Body::AppendReply { success: true, index: change, round: 3 }));
-    assert_eq!(replica.commit_index(), change - 1, "three of five next voters, one of three former ones");
-    replica.receive(330, message(2, 6, Body::AppendReply { success: true, index: change, round: 3 }));
+    replica.receive(
+        310,
+        message(
+            4,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: change,
+                round: 3,
+            },
+        ),
+    );
+    replica.receive(
+        320,
+        message(
+            5,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: change,
+                round: 3,
+            },
+        ),
+    );
+    assert_eq!(
+        replica.commit_index(),
+        change - 1,
+        "three of five next voters, one of three former ones"
+    );
+    replica.receive(
+        330,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: change,
+                round: 3,
+            },
+        ),
+    );
     settled(&mut replica);
     assert_eq!(replica.commit_index(), change);
     replica.tick(400);
@@ -393,35 +775,109 @@
 #[test]
 fn a_member_that_lost_its_disk_is_replaced_by_its_new_identity_in_one_joint_change() {
     let mut replica = leader_and_learner(9, "machine-3");
-    replica.receive(210, message(9, 6, Body::AppendReply { success: true, index: 5, round: 2 }));
+    replica.receive(
+        210,
+        message(
+            9,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 2,
+            },
+        ),
+    );
     replica.tick(250);
     let members = replica.members().clone();
     assert_eq!((voters(&replica), members.next.len()), (vec![1, 2, 3], 3));
     assert!(
-        members.next.iter().any(|member| member.id == 9) && !members.next.iter().any(|member| member.id == 3)
+        members.next.iter().any(|member| member.id == 9)
+            && !members.next.iter().any(|member| member.id == 3)
     );
     settled(&mut replica);
-    replica.receive(255, message(9, 6, Body::AppendReply { success: true, index: 6, round: 3 }));
-    assert_eq!(replica.commit_index(), 5, "a majority of the next voters alone");
-    replica.receive(260, message(2, 6, Body::AppendReply { success: true, index: 6, round: 3 }));
+    replica.receive(
+        255,
+        message(
+            9,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 6,
+                round: 3,
+            },
+        ),
+    );
+    assert_eq!(
+        replica.commit_index(),
+        5,
+        "a majority of the next voters alone"
+    );
+    replica.receive(
+        260,
+        message(
+            2,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 6,
+                round: 3,
+            },
+        ),
+    );
     settled(&mut replica);
     replica.tick(300);
     settled(&mut replica);
-    assert_eq!((voters(&replica), replica.members().is_changing()), (vec![1, 2, 9], false));
+    assert_eq!(
+        (voters(&replica), replica.members().is_changing()),
+        (vec![1, 2, 9], false)
+    );
 }
 
 #[test]
 fn a_sound_member_that_leaves_votes_until_its_replacement_does() {
     let mut replica = leader_and_learner(4, "machine-4");
-    replica.receive(210, message(4, 6, Body::AppendReply { success: true, index: 5, round: 2 }));
+    replica.receive(
+        210,
+        message(
+            4,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 2,
+            },
+        ),
+    );
     replica.leaves(220, 3);
     replica.tick(250);
     assert_eq!(all_voters(&replica), [1, 2, 3, 4]);
     settled(&mut replica);
     // A majority of the former voters (1 and 3) is none of the next ones (1, 2 and 4).
-    replica.receive(255, message(3, 6, Body::AppendReply { success: true, index: 6, round: 3 }));
+    replica.receive(
+        255,
+        message(
+            3,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 6,
+                round: 3,
+            },
+        ),
+    );
     assert_eq!(replica.commit_index(), 5);
-    replica.receive(260, message(4, 6, Body::AppendReply { success: true, index: 6, round: 3 }));
+    replica.receive(
+        260,
+        message(
+            4,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 6,
+                round: 3,
+            },
+        ),
+    );
     settled(&mut replica);
     assert_eq!(replica.commit_index(), 6);
     replica.tick(300);
@@ -431,12 +887,26 @@
 #[test]
 fn a_leader_that_is_replaced_stays_until_the_change_is_complete_and_hands_over() {
     let mut replica = leader_and_learner(4, "machine-4");
-    let voters_after = [2, 3, 4].map(|id| Member { id, address: format!("machine-{id}") });
+    let voters_after = [2, 3, 4].map(|id| Member {
+        id,
+        address: format!("machine-{id}"),
+    });
     replica.change_voters(voters_after.to_vec()).unwrap();
     settled(&mut replica);
     for (round, index) in [(3, 6), (4, 7)] {
         for follower in [2, 3, 4] {
-            replica.receive(210, message(follower, 6, Body::AppendReply { success: true, index, round }));
+            replica.receive(
+                210,
+                message(
+                    follower,
+                    6,
+                    Body::AppendReply {
+                        success: true,
+                        index,
+                        round,
+                    },
+                ),
+            );
         }
         settled(&mut replica);
         if index == 6 {
@@ -452,17 +922,32 @@
 #[test]
 fn a_change_is_completed_only_once_it_is_committed() {
     let mut replica = leader_and_two_learners();
-    replica.receive(260, message(5, 6, Body::AppendReply { success: true, index: 5, round: 2 }));
+    replica.receive(
+        260,
+        message(
+            5,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 2,
+            },
+        ),
+    );
     replica.tick(300);
     settled(&mut replica);
     replica.tick(350);
     settled(&mut replica);
-    assert_eq!((replica.log().last_index(), replica.members().is_changing()), (6, true));
+    assert_eq!(
+        (replica.log().last_index(), replica.members().is_changing()),
+        (6, true)
+    );
 }
 
 /// Those that are sent entries or heartbeats.
 fn appended_to(sent: &[(ReplicaId, u64, Body)]) -> Vec<ReplicaId> {
-    let append = |(to, _, body): &(ReplicaId, u64, Body)| matches!(body, Body::Append { .. }).then_some(*to);
+    let append =
+        |(to, _, body): &(ReplicaId, u64, Body)| matches!(body, Body::Append { .. }).then_some(*to);
     let mut all: Vec<ReplicaId> = sent.iter().filter_map(append).collect();
     all.dedup();
     all
@@ -471,12 +956,34 @@
 #[test]
 fn a_member_without_a_vote_hears_of_it_for_a_while() {
     let mut replica = leader_and_learner(4, "machine-4");
-    replica.receive(210, message(4, 6, Body::AppendReply { success: true, index: 5, round: 2 }));
+    replica.receive(
+        210,
+        message(
+            4,
+            6,
+            Body::AppendReply {
+                success: true,
+                index: 5,
+                round: 2,
+            },
+        ),
+    );
     replica.leaves(220, 3);
     replica.tick(250);
     settled(&mut replica);
     for follower in [2, 4] {
-        replica.receive(255, message(follower, 6, Body::AppendReply { success: true, index: 6, round: 3 }));
+        replica.receive(
+            255,
+            message(
+                follower,
+                6,
+                Body::AppendReply {
+                    success: true,
+                    index: 6,
+                    round: 3,
+                },
+            ),
+        );
     }
     settled(&mut replica);
     replica.tick(300);
@@ -489,17 +996,36 @@
     for now in [500, 1_000, 1_500] {
         for follower in [2, 4] {
             let round = (now - 300) / 20;
-            replica.receive(now, message(follower, 6, Body::AppendReply { success: true, index: 7, round }));
+            replica.receive(
+                now,
+                message(
+                    follower,
+                    6,
+                    Body::AppendReply {
+                        success: true,
+                        index: 7,
+                        round,
+                    },
+                ),
+            );
         }
         replica.tick(now);
-        assert!(appended_to(&settled(&mut replica)).contains(&3), "at {now} ms");
+        assert!(
+            appended_to(&settled(&mut replica)).contains(&3),
+            "at {now} ms"
+        );
     }
 }
 
 #[test]
 fn a_replica_without_a_vote_never_stands() {
     let mut state = DurableState::new(9, Snapshot::default());
-    let voters = (1..=3).map(|id| Member { id, address: format!("machine-{id}") }).collect();
+    let voters = (1..=3)
+        .map(|id| Member {
+            id,
+            address: format!("machine-{id}"),
+        })
+        .collect();
     state.fold(&Record::Install(Snapshot {
         index: 1,
         term: 1,
@@ -512,7 +1038,13 @@
         replica.tick(now);
         assert!(settled(&mut replica).is_empty(), "at {now} ms");
     }
-    replica.receive(20_000, Message { to: 9, ..message(2, 1, Body::Elect) });
+    replica.receive(
+        20_000,
+        Message {
+            to: 9,
+            ..message(2, 1, Body::Elect)
+        },
+    );
     assert!(settled(&mut replica).is_empty());
     assert!(replica.wants_to_join());
 }
@@ -523,7 +1055,12 @@
     for seed in 0..50 {
         let mut replica = Replica::new(durable(), SETTINGS, 0, seed);
         replica.take_outputs();
-        let pre_vote = Body::Vote { pre: true, last_index: 4, last_term: 4, transfer: false };
+        let pre_vote = Body::Vote {
+            pre: true,
+            last_index: 4,
+            last_term: 4,
+            transfer: false,
+        };
         replica.receive(240, message(2, 6, pre_vote));
         assert_eq!(is_granted(&settled(&mut replica)), Some(true));
         replica.tick(240 + ROUND_TRIP);
@@ -538,11 +1075,22 @@
 #[case::of_two_with_equal_logs_the_greater_identity(1, 4, true)]
 #[case::a_longer_log_goes_before(9, 5, true)]
 #[case::the_lesser_identity_waits(9, 4, false)]
-fn of_two_that_stand_one_goes_before(#[case] own: ReplicaId, #[case] last_index: u64, #[case] granted: bool) {
+fn of_two_that_stand_one_goes_before(
+    #[case] own: ReplicaId,
+    #[case] last_index: u64,
+    #[case] granted: bool,
+) {
     let mut state = durable();
-    let voters = [own, 2, 3].map(|id| Member { id, address: format!("machine-{id}") });
-    let founding =
-        Snapshot { index: 1, term: 1, members: Membership::new(voters.to_vec()), state: Vec::new() };
+    let voters = [own, 2, 3].map(|id| Member {
+        id,
+        address: format!("machine-{id}"),
+    });
+    let founding = Snapshot {
+        index: 1,
+        term: 1,
+        members: Membership::new(voters.to_vec()),
+        state: Vec::new(),
+    };
     let mut own_state = DurableState::new(own, founding);
     own_state.fold(&Record::Term { term: 5, vote: 0 });
     own_state.fold(&Record::Append(state.log.entries().to_vec()));
@@ -550,8 +1098,19 @@
     let mut replica = Replica::new(state, SETTINGS, 0, 1);
     replica.tick(700);
     settled(&mut replica);
-    let pre_vote = Body::Vote { pre: true, last_index, last_term: 4, transfer: false };
-    replica.receive(710, Message { to: own, ..message(2, 6, pre_vote) });
+    let pre_vote = Body::Vote {
+        pre: true,
+        last_index,
+        last_term: 4,
+        transfer: false,
+    };
+    replica.receive(
+        710,
+        Message {
+            to: own,
+            ..message(2, 6, pre_vote)
+        },
+    );
     assert_eq!(is_granted(&settled(&mut replica)), Some(granted));
 }
 
@@ -565,11 +1124,25 @@
     }
     assert!(replica.is_leader());
     for follower in [2, 3] {
-        replica.receive(1_500, message(follower, 6, Body::AppendReply { success: true, index: 5, round: 1 }));
+        replica.receive(
+            1_500,
+            message(
+                follower,
+                6,
+                Body::AppendReply {
+                    success: true,
+                    index: 5,
+                    round: 1,
+                },
+            ),
+        );
     }
     settled(&mut replica);
     replica.tick(1_600);
-    assert!(!replica.is_leader(), "nobody has answered anything that was sent within the last 1.5 s");
+    assert!(
+        !replica.is_leader(),
+        "nobody has answered anything that was sent within the last 1.5 s"
+    );
 }
 
 #[test]
@@ -577,7 +1150,18 @@
     let mut replica = leader();
     replica.read(77);
     for round in 1..5 {
-        replica.receive(30, message(2, 6, Body::AppendReply { success: true, index: 4, round }));
+        replica.receive(
+            30,
+            message(
+                2,
+                6,
+                Body::AppendReply {
+                    success: true,
+                    index: 4,
+                    round,
+                },
+            ),
+        );
     }
     let outputs = replica.take_outputs();
     assert!(outputs.contains(&Output::ReadFailed { read: 77 }));
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -9,7 +9,10 @@
 const SEEDS: u64 = 60;
 
 fn seeds() -> u64 {
-    std::env::var("WOADSTALL_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS)
+    std::env::var("WOADSTALL_SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(SEEDS)
 }
 
 /// Commands that were taken, and where.
@@ -34,20 +37,36 @@
 fn assert_recovers(group: &mut Group, taken: &mut Taken) {
     group.cuts.clear();
     group.weather = CALM;
-    let committed: Vec<(u64, u64, u8)> =
-        taken.places.iter().copied().filter(|(index, term, _)| group.is_committed(*index, *term)).collect();
+    let committed: Vec<(u64, u64, u8)> = taken
+        .places
+        .iter()
+        .copied()
+        .filter(|(index, term, _)| group.is_committed(*index, *term))
+        .collect();
     (0..group.len()).for_each(|place| group.start(place));
     group.run(15_000);
     let leader = group.leader().expect("no leader although all are there");
-    let place = group.propose(leader, &[255]).expect("the leader takes a command");
+    let place = group
+        .propose(leader, &[255])
+        .expect("the leader takes a command");
     group.run(3_000);
-    assert!(group.is_committed(place.0, place.1), "a command in a calm time is not committed");
+    assert!(
+        group.is_committed(place.0, place.1),
+        "a command in a calm time is not committed"
+    );
     for machine in 0..group.len() {
-        assert_eq!(group.state(machine), group.state(leader), "machine {machine} has another state");
+        assert_eq!(
+            group.state(machine),
+            group.state(leader),
+            "machine {machine} has another state"
+        );
     }
     let mut state = group.state(leader).iter();
     for (index, _, command) in committed {
-        assert!(state.any(|other| *other == command), "the committed command {command} at {index} is lost");
+        assert!(
+            state.any(|other| *other == command),
+            "the committed command {command} at {index} is lost"
+        );
     }
 }
 
@@ -129,7 +148,9 @@
                 group.run(time);
             }
             let wiped = group.random.usize(..size);
-            (0..size).filter(|place| *place != wiped).for_each(|place| group.stop(place));
+            (0..size)
+                .filter(|place| *place != wiped)
+                .for_each(|place| group.stop(place));
             group.wipe(wiped);
             (0..size).for_each(|place| group.start(place));
             // As long as the deployment allows until the next loss.
@@ -164,12 +185,24 @@
     group.stop(3);
     group.run(10_000);
     let leader = group.leader().expect("a leader");
-    assert_eq!(group.replica(leader).expect("it runs").members().voters.len(), 3);
+    assert_eq!(
+        group
+            .replica(leader)
+            .expect("it runs")
+            .members()
+            .voters
+            .len(),
+        3
+    );
     group.stop((leader + 1) % 3);
     group.run(10_000);
     let leader = group.leader().expect("two of three are a quorum");
     let members = group.replica(leader).expect("it runs").members();
-    assert_eq!(members.voters.len(), 3, "a vote was taken although too few are left");
+    assert_eq!(
+        members.voters.len(),
+        3,
+        "a vote was taken although too few are left"
+    );
 }
 
 #[test]
@@ -249,8 +282,9 @@
 /// The decisions of the replicas, their order and their draws, as they were when these checksums were taken.
 #[test]
 fn each_course_has_the_outputs_that_it_had() {
-    const TRACES: [u32; 8] =
-        [1605864060, 4033664841, 3564011847, 442339125, 519440317, 4082559295, 2547960029, 210885475];
+    const TRACES: [u32; 8] = [
+        1605864060, 4033664841, 3564011847, 442339125, 519440317, 4082559295, 2547960029, 210885475,
+    ];
     let traces: Vec<u32> = (0..TRACES.len() as u64).map(trace_of_course).collect();
     assert_eq!(traces, TRACES);
 }
--- a/crates/consensus/tests/single/mod.rs
+++ b/crates/consensus/tests/single/mod.rs
@@ -3,8 +3,14 @@
 use woadstall_consensus::{Message, Output, Replica, Settings, Timing};
 
 /// As in the shipped control plane.
-pub const SETTINGS: Settings =
-    Settings { timing: Timing { heartbeat: 150, election_min: 900, election_max: 1_500 }, least_voters: 3 };
+pub const SETTINGS: Settings = Settings {
+    timing: Timing {
+        heartbeat: 150,
+        election_min: 900,
+        election_max: 1_500,
+    },
+    least_voters: 3,
+};
 
 /// Makes all records durable, and gives the messages sent so far.
 pub fn settled(replica: &mut Replica) -> Vec<Message> {
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -6,35 +6,70 @@
 use rstest::rstest;
 use single::{SETTINGS, settled};
 use woadstall_consensus::{
-    Body, DurableState, Entry, Member, Membership, Message, Payload, Record, Replica, ReplicaId, Snapshot,
-    SnapshotPiece,
+    Body, DurableState, Entry, Member, Membership, Message, Payload, Record, Replica, ReplicaId,
+    Snapshot, SnapshotPiece,
 };
 
 const STATE_BYTES: usize = 500_000;
 const FAR: u64 = 1_000;
 
 fn members() -> Membership {
-    Membership::new((1..=3).map(|id| Member { id, address: format!("machine-{id}") }).collect())
+    Membership::new(
+        (1..=3)
+            .map(|id| Member {
+                id,
+                address: format!("machine-{id}"),
+            })
+            .collect(),
+    )
 }
 
 fn founding() -> Snapshot {
-    Snapshot { index: 1, term: 1, members: members(), state: Vec::new() }
+    Snapshot {
+        index: 1,
+        term: 1,
+        members: members(),
+        state: Vec::new(),
+    }
 }
 
 fn state(seed: u8) -> Vec<u8> {
-    (0..STATE_BYTES).map(|position| (position % 251) as u8 ^ seed).collect()
+    (0..STATE_BYTES)
+        .map(|position| (position % 251) as u8 ^ seed)
+        .collect()
 }
 
 /// Replica 1 as a leader whose log begins with a snapshot far behind where the others are.
 fn leader(seed: u8) -> Replica {
     let mut durable = DurableState::new(1, founding());
-    durable.fold(&Record::Install(Snapshot { index: FAR, term: 1, members: members(), state: state(seed) }));
+    durable.fold(&Record::Install(Snapshot {
+        index: FAR,
+        term: 1,
+        members: members(),
+        state: state(seed),
+    }));
     let mut replica = Replica::new(durable, SETTINGS, 0, 1);
-    replica.receive(10, Message { from: 2, to: 1, term: 1, body: Body::Elect });
+    replica.receive(
+        10,
+        Message {
+            from: 2,
+            to: 1,
+            term: 1,
+            body: Body::Elect,
+        },
+    );
     settled(&mut replica);
     replica.receive(
         20,
-        Message { from: 2, to: 1, term: 2, body: Body::VoteReply { pre: false, granted: true } },
+        Message {
+            from: 2,
+            to: 1,
+            term: 2,
+            body: Body::VoteReply {
+                pre: false,
+                granted: true,
+            },
+        },
     );
     assert!(replica.is_leader());
     replica
@@ -57,14 +92,20 @@
     leader.tick(now);
     loop {
         let mut passed = false;
-        for message in settled(leader).into_iter().filter(|message| message.to == 3) {
+        for message in settled(leader)
+            .into_iter()
+            .filter(|message| message.to == 3)
+        {
             pieces += usize::from(matches!(message.body, Body::Install { .. }));
             if !loses(&message) {
                 follower.receive(now, message);
                 passed = true;
             }
         }
-        for message in settled(follower).into_iter().filter(|message| message.to == 1) {
+        for message in settled(follower)
+            .into_iter()
+            .filter(|message| message.to == 1)
+        {
             leader.receive(now, message);
             passed = true;
         }
@@ -83,7 +124,10 @@
     let (mut leader, mut follower) = (leader(0), follower());
     // The first heartbeat finds the follower behind.
     let mut first = Vec::new();
-    for message in settled(&mut leader).into_iter().filter(|message| message.to == 3) {
+    for message in settled(&mut leader)
+        .into_iter()
+        .filter(|message| message.to == 3)
+    {
         follower.receive(30, message);
     }
     for message in settled(&mut follower) {
@@ -114,7 +158,15 @@
             count += usize::from(matches!(message.body, Body::Install { .. }));
             matches!(message.body, Body::Install { .. }) && count % 7 == 3
         });
-        leader.receive(round * 1_100, Message { from: 2, to: 1, term: 2, body: answer(round * 20) });
+        leader.receive(
+            round * 1_100,
+            Message {
+                from: 2,
+                to: 1,
+                term: 2,
+                body: answer(round * 20),
+            },
+        );
         if has_caught_up(&follower) {
             break;
         }
@@ -125,7 +177,11 @@
 
 /// Keeps the leader in office.
 fn answer(round: u64) -> Body {
-    Body::AppendReply { success: true, index: 1, round }
+    Body::AppendReply {
+        success: true,
+        index: 1,
+        round,
+    }
 }
 
 #[test]
@@ -173,7 +229,15 @@
 }
 
 fn deliver(follower: &mut Replica, piece: SnapshotPiece) -> Vec<Message> {
-    follower.receive(300, Message { from: 1, to: 3, term: 2, body: Body::Install { piece, round: 9 } });
+    follower.receive(
+        300,
+        Message {
+            from: 1,
+            to: 3,
+            term: 2,
+            body: Body::Install { piece, round: 9 },
+        },
+    );
     settled(follower)
 }
 
@@ -185,7 +249,10 @@
     let (mut leader, mut follower) = (leader(0), follower());
     let mut whole = first_pieces(&mut leader, &mut follower, 1);
     let encoded = whole.remove(0);
-    assert!(Snapshot::deserialize_bin(&encoded.bytes).is_err(), "the first piece alone");
+    assert!(
+        Snapshot::deserialize_bin(&encoded.bytes).is_err(),
+        "the first piece alone"
+    );
     let mut fresh = self::follower();
     let mut source = self::leader(0);
     let mut all = Vec::new();
@@ -211,12 +278,18 @@
     let (mut leader, mut follower) = (leader(0), follower());
     let first = first_pieces(&mut leader, &mut follower, 1).remove(0);
     let mut fresh = self::follower();
-    let middle = SnapshotPiece { offset: 32 << 10, ..first.clone() };
+    let middle = SnapshotPiece {
+        offset: 32 << 10,
+        ..first.clone()
+    };
     let mut claim = first;
     claim.head.size = 1 << 40;
     for piece in [middle, claim] {
         let replies = deliver(&mut fresh, piece);
-        assert!(matches!(replies[0].body, Body::InstallReply { received: 0, .. }), "{replies:?}");
+        assert!(
+            matches!(replies[0].body, Body::InstallReply { received: 0, .. }),
+            "{replies:?}"
+        );
     }
 }
 
@@ -224,8 +297,13 @@
 fn entries_that_wait_to_be_committed_are_bounded() {
     let mut leader = leader(0);
     settled(&mut leader);
-    let taken = (0..100).take_while(|_| leader.propose(vec![0; 100 << 10]).is_ok()).count();
-    assert!((35..=45).contains(&taken), "{taken} entries of 0.1 MB are held, 4 MB are the bound");
+    let taken = (0..100)
+        .take_while(|_| leader.propose(vec![0; 100 << 10]).is_ok())
+        .count();
+    assert!(
+        (35..=45).contains(&taken),
+        "{taken} entries of 0.1 MB are held, 4 MB are the bound"
+    );
     let held: usize = leader.log().entries().iter().map(bytes).sum();
     assert!(held < 5 << 20);
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -3,13 +3,19 @@
 use nanoserde::SerBin;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use woadstall_consensus::{
-    DurableState, Entry, Member, Membership, Message, Output, Payload, Record, Replica, ReplicaId, Settings,
-    Snapshot, Timing,
+    DurableState, Entry, Member, Membership, Message, Output, Payload, Record, Replica, ReplicaId,
+    Settings, Snapshot, Timing,
 };
 
 /// As in the shipped control plane.
-const SETTINGS: Settings =
-    Settings { timing: Timing { heartbeat: 150, election_min: 900, election_max: 1_500 }, least_voters: 3 };
+const SETTINGS: Settings = Settings {
+    timing: Timing {
+        heartbeat: 150,
+        election_min: 900,
+        election_max: 1_500,
+    },
+    least_voters: 3,
+};
 const TICK: u64 = 50;
 
 /// What the network and the disks do, in parts of 100 and in milliseconds.
@@ -21,8 +27,18 @@
     pub sync: u64,
 }
 
-pub const CALM: Weather = Weather { lost: 0, doubled: 0, delay: 5, sync: 2 };
-pub const ROUGH: Weather = Weather { lost: 10, doubled: 5, delay: 150, sync: 40 };
+pub const CALM: Weather = Weather {
+    lost: 0,
+    doubled: 0,
+    delay: 5,
+    sync: 2,
+};
+pub const ROUGH: Weather = Weather {
+    lost: 10,
+    doubled: 5,
+    delay: 150,
+    sync: 40,
+};
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
@@ -66,11 +82,21 @@
 impl Group {
     /// A group that is founded by its first three machines; the others join.
     pub fn new(seed: u64, machines: usize, weather: Weather) -> Self {
-        let founders: Vec<Member> =
-            (0..3.min(machines)).map(|place| member(place as u64 + 1, place)).collect();
-        let founding = Snapshot { index: 1, term: 1, members: Membership::new(founders), state: Vec::new() };
+        let founders: Vec<Member> = (0..3.min(machines))
+            .map(|place| member(place as u64 + 1, place))
+            .collect();
+        let founding = Snapshot {
+            index: 1,
+            term: 1,
+            members: Membership::new(founders),
+            state: Vec::new(),
+        };
         let machine = |place: usize| {
-            let snapshot = if place < 3 { founding.clone() } else { Snapshot::default() };
+            let snapshot = if place < 3 {
+                founding.clone()
+            } else {
+                Snapshot::default()
+            };
             Machine {
                 replica: None,
                 disk: DurableState::new(place as u64 + 1, snapshot),
@@ -150,24 +176,38 @@
 
     /// Proposes a command at a machine; whether it took it.
     pub fn propose(&mut self, place: usize, command: &[u8]) -> Option<(u64, u64)> {
-        let place_and_term = self.machines[place].replica.as_mut()?.propose(command.to_vec()).ok();
+        let place_and_term = self.machines[place]
+            .replica
+            .as_mut()?
+            .propose(command.to_vec())
+            .ok();
         self.settle(place);
         place_and_term
     }
 
     pub fn transfer(&mut self, place: usize) {
-        self.machines[place].replica.as_mut().into_iter().for_each(Replica::transfer);
+        self.machines[place]
+            .replica
+            .as_mut()
+            .into_iter()
+            .for_each(Replica::transfer);
         self.settle(place);
     }
 
     pub fn read(&mut self, place: usize, number: u64) {
-        self.machines[place].replica.as_mut().into_iter().for_each(|replica| replica.read(number));
+        self.machines[place]
+            .replica
+            .as_mut()
+            .into_iter()
+            .for_each(|replica| replica.read(number));
         self.settle(place);
     }
 
     /// Whether the entry at a position was committed in this term.
     pub fn is_committed(&self, index: u64, term: u64) -> bool {
-        self.committed.get(&index).is_some_and(|entry| entry.term == term)
+        self.committed
+            .get(&index)
+            .is_some_and(|entry| entry.term == term)
     }
 
     /// The commands that a machine has applied, in order, as its state machine holds them.
@@ -180,8 +220,14 @@
         let end = self.now + time;
         while self.now < end {
             let next_tick = self.now + TICK - self.now % TICK;
-            while self.due.peek().is_some_and(|std::cmp::Reverse((at, _, _))| *at <= next_tick) {
-                let Some(std::cmp::Reverse((at, _, due))) = self.due.pop() else { break };
+            while self
+                .due
+                .peek()
+                .is_some_and(|std::cmp::Reverse((at, _, _))| *at <= next_tick)
+            {
+                let Some(std::cmp::Reverse((at, _, due))) = self.due.pop() else {
+                    break;
+                };
                 self.now = self.now.max(at);
                 self.happen(due);
             }
@@ -194,7 +240,9 @@
 
     fn tick(&mut self, place: usize) {
         let now = self.now;
-        let Some(replica) = self.machines[place].replica.as_mut() else { return };
+        let Some(replica) = self.machines[place].replica.as_mut() else {
+            return;
+        };
         replica.tick(now);
         let joining = replica.wants_to_join().then(|| member(replica.id(), place));
         self.settle(place);
@@ -225,7 +273,11 @@
                 if machine.incarnation != incarnation || machine.replica.is_none() {
                     return;
                 }
-                let synced = machine.pending.iter().take_while(|(number, _)| *number <= sequence).count();
+                let synced = machine
+                    .pending
+                    .iter()
+                    .take_while(|(number, _)| *number <= sequence)
+                    .count();
                 for (_, record) in machine.pending.drain(..synced) {
                     machine.disk.fold(&record);
                 }
@@ -239,34 +291,49 @@
 
     fn schedule(&mut self, after: u64, due: Due) {
         self.sequence += 1;
-        self.due.push(std::cmp::Reverse((self.now + after, self.sequence, due)));
+        self.due
+            .push(std::cmp::Reverse((self.now + after, self.sequence, due)));
     }
 
     fn settle(&mut self, place: usize) {
         loop {
-            let Some(replica) = self.machines[place].replica.as_mut() else { return };
+            let Some(replica) = self.machines[place].replica.as_mut() else {
+                return;
+            };
             let outputs = replica.take_outputs();
             self.note_leader(place);
             if outputs.is_empty() {
                 return;
             }
-            outputs.into_iter().for_each(|output| self.carry_out(place, output));
+            outputs
+                .into_iter()
+                .for_each(|output| self.carry_out(place, output));
             self.compact(place);
         }
     }
 
     fn note_leader(&mut self, place: usize) {
-        let Some(replica) = self.machines[place].replica.as_ref().filter(|replica| replica.is_leader())
+        let Some(replica) = self.machines[place]
+            .replica
+            .as_ref()
+            .filter(|replica| replica.is_leader())
         else {
             return;
         };
         let first = *self.leaders.entry(replica.term()).or_insert(replica.id());
-        assert_eq!(first, replica.id(), "two leaders of term {}", replica.term());
+        assert_eq!(
+            first,
+            replica.id(),
+            "two leaders of term {}",
+            replica.term()
+        );
     }
 
     fn record(&mut self, place: usize, output: &Output) {
         let (kind, bytes) = match output {
-            Output::Persist { sequence, record } => (0, (*sequence, record.clone()).serialize_bin()),
+            Output::Persist { sequence, record } => {
+                (0, (*sequence, record.clone()).serialize_bin())
+            }
             Output::Send(message) => (1, message.serialize_bin()),
             Output::Apply(entry) => (2, entry.serialize_bin()),
             Output::Restore(snapshot) => (3, snapshot.serialize_bin()),
@@ -287,7 +354,9 @@
         self.record(place, &output);
         match output {
             Output::Persist { sequence, record } => {
-                let stall = self.machines[place].disk_stalls_until.saturating_sub(self.now);
+                let stall = self.machines[place]
+                    .disk_stalls_until
+                    .saturating_sub(self.now);
                 let after = stall + self.random.u64(1..=self.weather.sync);
                 let machine = &mut self.machines[place];
                 machine.pending.push((sequence, record));
@@ -298,7 +367,10 @@
             Output::Apply(entry) => self.apply(place, entry),
             Output::Restore(snapshot) => {
                 let machine = &mut self.machines[place];
-                assert!(snapshot.index >= machine.state_index, "a state machine went back");
+                assert!(
+                    snapshot.index >= machine.state_index,
+                    "a state machine went back"
+                );
                 (machine.state, machine.state_index) = (snapshot.state, snapshot.index);
                 machine.applied.clear();
             }
@@ -308,7 +380,9 @@
 
     fn send(&mut self, from: usize, message: Message) {
         let of = |machine: &Machine| machine.replica.as_ref().map(Replica::id) == Some(message.to);
-        let Some(to) = self.machines.iter().position(of) else { return };
+        let Some(to) = self.machines.iter().position(of) else {
+            return;
+        };
         let percent = self.random.u8(..100);
         if self.cuts.contains(&(from, to)) || percent < self.weather.lost {
             return;
@@ -324,10 +398,21 @@
     }
 
     fn apply(&mut self, place: usize, entry: Entry) {
-        let first = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
-        assert_eq!(first, &entry, "two replicas applied different entries at {}", entry.index);
+        let first = self
+            .committed
+            .entry(entry.index)
+            .or_insert_with(|| entry.clone());
+        assert_eq!(
+            first, &entry,
+            "two replicas applied different entries at {}",
+            entry.index
+        );
         let machine = &mut self.machines[place];
-        assert_eq!(entry.index, machine.state_index + 1, "an entry was passed over or applied twice");
+        assert_eq!(
+            entry.index,
+            machine.state_index + 1,
+            "an entry was passed over or applied twice"
+        );
         machine.state_index = entry.index;
         if let Payload::Command(command) = &entry.payload {
             machine.state.extend_from_slice(command);
@@ -338,7 +423,9 @@
     fn compact(&mut self, place: usize) {
         const ENTRIES: usize = 40;
         let machine = &mut self.machines[place];
-        let Some(replica) = machine.replica.as_mut() else { return };
+        let Some(replica) = machine.replica.as_mut() else {
+            return;
+        };
         if replica.log().entries().len() > ENTRIES {
             replica.compact(machine.state_index, machine.state.clone());
         }
@@ -346,5 +433,8 @@
 }
 
 pub fn member(id: ReplicaId, place: usize) -> Member {
-    Member { id, address: format!("machine-{place}") }
+    Member {
+        id,
+        address: format!("machine-{place}"),
+    }
 }
--- a/crates/consensus/tests/voters.rs
+++ b/crates/consensus/tests/voters.rs
@@ -10,8 +10,14 @@
 
 fn candidate(id: ReplicaId, zone: u8, presence: Presence, is_voter: bool) -> Candidate {
     Candidate {
-        member: Member { id, address: format!("machine-{id}") },
-        place: Some(Place { zone: format!("zone-{zone}"), region: format!("region-{}", zone % REGIONS) }),
+        member: Member {
+            id,
+            address: format!("machine-{id}"),
+        },
+        place: Some(Place {
+            zone: format!("zone-{zone}"),
+            region: format!("region-{}", zone % REGIONS),
+        }),
         presence,
         is_voter,
         is_leader: false,
@@ -52,11 +58,20 @@
 }
 
 fn leader_of(group: &[Candidate]) -> ReplicaId {
-    group.iter().find(|candidate| candidate.is_leader).expect("one leads").member.id
+    group
+        .iter()
+        .find(|candidate| candidate.is_leader)
+        .expect("one leads")
+        .member
+        .id
 }
 
 fn voters_of(group: &[Candidate]) -> Vec<Member> {
-    group.iter().filter(|candidate| candidate.is_voter).map(|candidate| candidate.member.clone()).collect()
+    group
+        .iter()
+        .filter(|candidate| candidate.is_voter)
+        .map(|candidate| candidate.member.clone())
+        .collect()
 }
 
 fn with_voters(group: &[Candidate], voters: &BTreeSet<ReplicaId>) -> Vec<Candidate> {
@@ -67,19 +82,29 @@
     group.iter().map(with).collect()
 }
 
-fn live<'a>(group: &'a [Candidate], voters: &'a BTreeSet<ReplicaId>) -> impl Iterator<Item = &'a Candidate> {
-    group
-        .iter()
-        .filter(|candidate| candidate.presence == Presence::Live && voters.contains(&candidate.member.id))
+fn live<'a>(
+    group: &'a [Candidate],
+    voters: &'a BTreeSet<ReplicaId>,
+) -> impl Iterator<Item = &'a Candidate> {
+    group.iter().filter(|candidate| {
+        candidate.presence == Presence::Live && voters.contains(&candidate.member.id)
+    })
 }
 
 /// Whether the loss of a region leaves no majority.
 fn has_majority_region(group: &[Candidate], voters: &BTreeSet<ReplicaId>) -> bool {
     let mut regions: BTreeMap<&str, usize> = BTreeMap::new();
-    for candidate in group.iter().filter(|candidate| voters.contains(&candidate.member.id)) {
-        *regions.entry(&candidate.place.as_ref().unwrap().region).or_default() += 1;
+    for candidate in group
+        .iter()
+        .filter(|candidate| voters.contains(&candidate.member.id))
+    {
+        *regions
+            .entry(&candidate.place.as_ref().unwrap().region)
+            .or_default() += 1;
     }
-    regions.values().any(|count| 2 * (voters.len() - count) <= voters.len())
+    regions
+        .values()
+        .any(|count| 2 * (voters.len() - count) <= voters.len())
 }
 
 proptest! {
@@ -147,8 +172,9 @@
 
 #[test]
 fn of_six_machines_in_three_regions_five_vote_and_no_region_has_more_than_two() {
-    let group: Vec<Candidate> =
-        (0..6).map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 3)).collect();
+    let group: Vec<Candidate> = (0..6)
+        .map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 3))
+        .collect();
     let chosen = choose(&group, 5);
     assert_eq!(chosen.len(), 5);
     assert!(!has_majority_region(&group, &chosen));
@@ -156,8 +182,9 @@
 
 #[test]
 fn the_sixth_takes_the_vote_of_one_that_falls_silent() {
-    let mut group: Vec<Candidate> =
-        (0..6).map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 5)).collect();
+    let mut group: Vec<Candidate> = (0..6)
+        .map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 5))
+        .collect();
     group[2].presence = Presence::Silent;
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 4, 5, 6]));
 }
@@ -165,8 +192,9 @@
 #[test]
 fn nobody_loses_a_vote_for_a_better_place_while_the_place_of_another_voter_is_not_known() {
     // The first five vote; the sixth would spread them better if the third were anywhere else.
-    let mut group: Vec<Candidate> =
-        (0..6).map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 5)).collect();
+    let mut group: Vec<Candidate> = (0..6)
+        .map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 5))
+        .collect();
     group[2].place = None;
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 3, 4, 5]));
 }
@@ -175,8 +203,12 @@
 fn drawn_group(random: &mut fastrand::Rng) -> Vec<Candidate> {
     let mut group: Vec<Candidate> = (1..=random.u64(1..MOST as u64))
         .map(|id| {
-            let presence =
-                [Presence::Live, Presence::Live, Presence::Silent, Presence::Lost][random.usize(..4)];
+            let presence = [
+                Presence::Live,
+                Presence::Live,
+                Presence::Silent,
+                Presence::Lost,
+            ][random.usize(..4)];
             let mut candidate = candidate(id, random.u8(..2 * REGIONS), presence, random.bool());
             if random.u8(..10) == 0 {
                 candidate.place = None;
@@ -185,7 +217,11 @@
         })
         .collect();
     let leader = random.usize(..group.len());
-    (group[leader].is_voter, group[leader].is_leader, group[leader].presence) = (true, true, Presence::Live);
+    (
+        group[leader].is_voter,
+        group[leader].is_leader,
+        group[leader].presence,
+    ) = (true, true, Presence::Live);
     group
 }
 
--- a/crates/control-simulation/src/cluster.rs
+++ b/crates/control-simulation/src/cluster.rs
@@ -38,8 +38,16 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Packet { to: usize, incarnation: Option<Incarnation>, from: usize, number: usize },
-    Synced { place: usize, incarnation: Incarnation },
+    Packet {
+        to: usize,
+        incarnation: Option<Incarnation>,
+        from: usize,
+        number: usize,
+    },
+    Synced {
+        place: usize,
+        incarnation: Incarnation,
+    },
 }
 
 struct Host {
@@ -100,19 +108,29 @@
 impl Cluster {
     /// So many machines, which found the group together in a calm network.
     pub fn new(seed: u64, machines: usize) -> Self {
-        let layout =
-            Layout { machines, founders: machines, regions: machines, tolerated: (machines - 1) / 2 };
+        let layout = Layout {
+            machines,
+            founders: machines,
+            regions: machines,
+            tolerated: (machines - 1) / 2,
+        };
         Self::with(seed, layout, CALM)
     }
 
     /// A deployment in a network.
     pub fn with(seed: u64, layout: Layout, weather: Weather) -> Self {
         let founders: Vec<Member> = (0..layout.founders)
-            .map(|place| Member { id: place as u64 + 1, address: address(place) })
+            .map(|place| Member {
+                id: place as u64 + 1,
+                address: address(place),
+            })
             .collect();
         let host = |place: usize| {
-            let snapshot =
-                if place < layout.founders { founding_snapshot(&founders) } else { Snapshot::default() };
+            let snapshot = if place < layout.founders {
+                founding_snapshot(&founders)
+            } else {
+                Snapshot::default()
+            };
             Host::new(DurableState::new(place as u64 + 1, snapshot))
         };
         let mut cluster = Self {
@@ -146,11 +164,19 @@
         let host = &mut self.hosts[place];
         host.incarnation += 1;
         host.frozen_until = 0;
-        let member = Member { id: host.disk.durable().id, address: address(place) };
+        let member = Member {
+            id: host.disk.durable().id,
+            address: address(place),
+        };
         let zone = format!("zone-{place}");
         let region = format!("region-{}", place % self.layout.regions);
         let settings = MachineSettings {
-            machine: ControlMachine { member, zone, region, control: String::new() },
+            machine: ControlMachine {
+                member,
+                zone,
+                region,
+                control: String::new(),
+            },
             seeds,
             zones: BTreeMap::new(),
             heartbeat_ms: 1_200,
@@ -259,7 +285,10 @@
 
     /// The leader of the newest term.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |place: &usize| self.machine(*place).is_some_and(|machine| machine.replica().is_leader());
+        let leads = |place: &usize| {
+            self.machine(*place)
+                .is_some_and(|machine| machine.replica().is_leader())
+        };
         let term = |place: &usize| self.machine(*place).map(|machine| machine.replica().term());
         (0..self.len()).filter(leads).max_by_key(term)
     }
@@ -282,7 +311,9 @@
     pub fn order(&mut self, place: usize, command: Command) -> u64 {
         let token = self.next_token + 1;
         self.history.begin(token, self.now, Call::of(&command));
-        self.call(place, |machine, now, token| machine.order(now, token, command))
+        self.call(place, |machine, now, token| {
+            machine.order(now, token, command)
+        })
     }
 
     /// An operator's read.
@@ -295,22 +326,37 @@
     /// An upstream's heartbeat.
     pub fn register(&mut self, place: usize, registration: Registration) -> u64 {
         if registration.status.is_leaving() {
-            self.leaving_calls.insert(self.next_token + 1, registration.id.clone());
+            self.leaving_calls
+                .insert(self.next_token + 1, registration.id.clone());
         }
-        self.call(place, |machine, now, token| machine.register(now, token, registration))
+        self.call(place, |machine, now, token| {
+            machine.register(now, token, registration)
+        })
     }
 
     /// An upstream leaves.
     pub fn deregister(&mut self, place: usize, id: &str) -> u64 {
-        self.leaving_calls.insert(self.next_token + 1, id.to_owned());
-        self.call(place, |machine, now, token| machine.deregister(now, token, id))
+        self.leaving_calls
+            .insert(self.next_token + 1, id.to_owned());
+        self.call(place, |machine, now, token| {
+            machine.deregister(now, token, id)
+        })
     }
 
     /// A balancer reads a machine's feed.
     pub fn subscribe(&mut self, place: usize, subscriber: u64) {
-        self.hosts[place].fronts.insert(subscriber, Front::default());
-        let packet = Packet::Subscribe { balancer: "front".to_owned(), epoch: 0, offset: 0, index: 0 };
-        self.call(place, |machine, now, _| machine.subscribe(now, subscriber, &packet));
+        self.hosts[place]
+            .fronts
+            .insert(subscriber, Front::default());
+        let packet = Packet::Subscribe {
+            balancer: "front".to_owned(),
+            epoch: 0,
+            offset: 0,
+            index: 0,
+        };
+        self.call(place, |machine, now, _| {
+            machine.subscribe(now, subscriber, &packet)
+        });
     }
 
     /// A balancer's connection ends; the balancer stays.
@@ -323,8 +369,15 @@
     pub fn resubscribe(&mut self, place: usize, subscriber: u64, front: Front) {
         let (epoch, offset, index) = (front.epoch, front.offset, front.state.index);
         self.hosts[place].fronts.insert(subscriber, front);
-        let packet = Packet::Subscribe { balancer: "front".to_owned(), epoch, offset, index };
-        self.call(place, |machine, now, _| machine.subscribe(now, subscriber, &packet));
+        let packet = Packet::Subscribe {
+            balancer: "front".to_owned(),
+            epoch,
+            offset,
+            index,
+        };
+        self.call(place, |machine, now, _| {
+            machine.subscribe(now, subscriber, &packet)
+        });
     }
 
     /// A balancer that reads a machine's feed.
@@ -337,8 +390,14 @@
         let end = self.now + time;
         while self.now < end {
             let next_tick = self.now + TICK - self.now % TICK;
-            while self.due.peek().is_some_and(|Reverse((at, _, _))| *at <= next_tick) {
-                let Some(Reverse((at, _, due))) = self.due.pop() else { break };
+            while self
+                .due
+                .peek()
+                .is_some_and(|Reverse((at, _, _))| *at <= next_tick)
+            {
+                let Some(Reverse((at, _, due))) = self.due.pop() else {
+                    break;
+                };
                 self.now = self.now.max(at);
                 self.happen(due);
             }
@@ -370,7 +429,15 @@
         for (from, to, packets) in self.network.released() {
             for number in packets {
                 let incarnation = Some(self.hosts[to].incarnation);
-                self.schedule(1, Due::Packet { to, incarnation, from, number });
+                self.schedule(
+                    1,
+                    Due::Packet {
+                        to,
+                        incarnation,
+                        from,
+                        number,
+                    },
+                );
             }
         }
         for (from, to) in self.network.overdue(self.now) {
@@ -421,21 +488,42 @@
         }
         let after = self.random.u64(..strays);
         for number in packets {
-            self.schedule(after, Due::Packet { to, incarnation: None, from, number });
+            self.schedule(
+                after,
+                Due::Packet {
+                    to,
+                    incarnation: None,
+                    from,
+                    number,
+                },
+            );
         }
     }
 
     fn happen(&mut self, due: Due) {
         let now = self.now;
         match due {
-            Due::Packet { to, incarnation, from, number } => {
+            Due::Packet {
+                to,
+                incarnation,
+                from,
+                number,
+            } => {
                 let host = &mut self.hosts[to];
                 if incarnation.is_some_and(|incarnation| incarnation != host.incarnation) {
                     return;
                 }
                 if now < host.frozen_until {
                     let wait = host.frozen_until - now;
-                    self.schedule(wait, Due::Packet { to, incarnation, from, number });
+                    self.schedule(
+                        wait,
+                        Due::Packet {
+                            to,
+                            incarnation,
+                            from,
+                            number,
+                        },
+                    );
                 } else if let Some(machine) = host.machine.as_mut() {
                     machine.packet(now, &address(from), self.packets[number].clone());
                     self.settle(to);
@@ -471,17 +559,22 @@
 
     fn schedule(&mut self, after: u64, due: Due) {
         self.sequence += 1;
-        self.due.push(Reverse((self.now + after, self.sequence, due)));
+        self.due
+            .push(Reverse((self.now + after, self.sequence, due)));
     }
 
     fn settle(&mut self, place: usize) {
         loop {
-            let Some(machine) = self.hosts[place].machine.as_mut() else { return };
+            let Some(machine) = self.hosts[place].machine.as_mut() else {
+                return;
+            };
             let actions = machine.take_actions();
             if actions.is_empty() {
                 break;
             }
-            actions.into_iter().for_each(|action| self.carry_out(place, action));
+            actions
+                .into_iter()
+                .for_each(|action| self.carry_out(place, action));
         }
         let host = &self.hosts[place];
         if let Some(machine) = &host.machine {
@@ -492,23 +585,35 @@
     fn carry_out(&mut self, place: usize, action: Action) {
         match action {
             Action::Connect { .. } | Action::Disconnect { .. } => {}
-            Action::Log(line) => self.log.push((self.now, format!("machine {place}: {line}"))),
-            Action::Send { address: to, packet } => self.send(place, &to, packet),
+            Action::Log(line) => self
+                .log
+                .push((self.now, format!("machine {place}: {line}"))),
+            Action::Send {
+                address: to,
+                packet,
+            } => self.send(place, &to, packet),
             Action::Persist { sequence, record } => {
                 self.hosts[place].disk.write(sequence, record);
                 self.schedule_sync(place);
             }
             Action::KeepRegistrations { number } => {
-                let registrations = self.machine(place).map(Machine::registrations).unwrap_or_default();
+                let registrations = self
+                    .machine(place)
+                    .map(Machine::registrations)
+                    .unwrap_or_default();
                 self.hosts[place].disk.keep(number, registrations);
                 self.schedule_sync(place);
             }
             Action::Answer { token, answer } => self.take_answer(place, token, answer),
-            Action::Deliver { subscribers, packet } => {
+            Action::Deliver {
+                subscribers,
+                packet,
+            } => {
                 for subscriber in subscribers {
                     if let Some(front) = self.hosts[place].fronts.get_mut(&subscriber) {
                         front.take(packet.clone());
-                        self.oracle.look_at_front(&format!("{place}/{subscriber}"), front);
+                        self.oracle
+                            .look_at_front(&format!("{place}/{subscriber}"), front);
                     }
                 }
             }
@@ -521,19 +626,33 @@
     }
 
     fn send(&mut self, from: usize, to: &str, packet: Packet) {
-        let Some(to) = (0..self.len()).find(|other| address(*other) == to) else { return };
+        let Some(to) = (0..self.len()).find(|other| address(*other) == to) else {
+            return;
+        };
         if !self.network.is_up(from, to) {
             return;
         }
         let is_narrow = self.network.weather.bytes_per_ms > 0;
-        let bytes = if is_narrow { packet.frame().len() as u64 } else { 0 };
+        let bytes = if is_narrow {
+            packet.frame().len() as u64
+        } else {
+            0
+        };
         let (shortest, longest) = self.network.weather.delay;
         let delay = self.random.u64(shortest..=longest);
         self.packets.push(packet);
         let number = self.packets.len() - 1;
         if let Fate::Arrives(at) = self.network.send(self.now, from, to, number, bytes, delay) {
             let incarnation = Some(self.hosts[to].incarnation);
-            self.schedule(at - self.now, Due::Packet { to, incarnation, from, number });
+            self.schedule(
+                at - self.now,
+                Due::Packet {
+                    to,
+                    incarnation,
+                    from,
+                    number,
+                },
+            );
         }
     }
 
@@ -543,9 +662,12 @@
         {
             self.oracle.note_leaving(&id);
         }
-        let state = self
-            .machine(place)
-            .map(|machine| (machine.state().generation(), machine.state().evacuated.clone()));
+        let state = self.machine(place).map(|machine| {
+            (
+                machine.state().generation(),
+                machine.state().evacuated.clone(),
+            )
+        });
         if let Some((generation, evacuated)) = state {
             let reply = Reply::of(&answer, generation, evacuated);
             self.check_majority_of_disks(token, &reply);
@@ -558,31 +680,45 @@
 
     /// A configuration that is acknowledged is on the disks of a quorum.
     fn check_majority_of_disks(&mut self, token: u64, reply: &Reply) {
-        let Some(Call::Put { generation, .. }) = self.history.call(token) else { return };
+        let Some(Call::Put { generation, .. }) = self.history.call(token) else {
+            return;
+        };
         let generation = *generation;
         if *reply != Reply::Done {
             return;
         }
         let newest = (0..self.len()).filter_map(|place| self.machine(place));
-        let Some(newest) = newest.max_by_key(|machine| machine.replica().commit_index()) else { return };
+        let Some(newest) = newest.max_by_key(|machine| machine.replica().commit_index()) else {
+            return;
+        };
         let members = newest.replica().members().clone();
         let holds = |member: &Member| {
-            let of_member = self.hosts.iter().find(|host| host.disk.durable().id == member.id);
+            let of_member = self
+                .hosts
+                .iter()
+                .find(|host| host.disk.durable().id == member.id);
             of_member.is_some_and(|host| holds_generation(host.disk.durable(), generation))
         };
         if !members.is_quorum(holds) {
-            self.oracle.fail(format!("version {generation} was acknowledged and is on too few disks"));
+            self.oracle.fail(format!(
+                "version {generation} was acknowledged and is on too few disks"
+            ));
         }
     }
 
     /// What the machines have logged, and how they stand.
     pub fn describe(&self) -> String {
         let logged = self.log.iter().map(|(at, line)| format!("{at} {line}"));
-        let stand =
-            (0..self.len()).filter_map(|place| self.machine(place).map(|machine| (place, machine.replica())));
+        let stand = (0..self.len()).filter_map(|place| {
+            self.machine(place)
+                .map(|machine| (place, machine.replica()))
+        });
         let stand = stand.map(|(place, replica)| {
             let (term, leader, commit) = (replica.term(), replica.leader(), replica.commit_index());
-            format!("machine {place}: term {term} leader {leader:?} commit {commit} {:?}", replica.members())
+            format!(
+                "machine {place}: term {term} leader {leader:?} commit {commit} {:?}",
+                replica.members()
+            )
         });
         logged.chain(stand).collect::<Vec<_>>().join("\n")
     }
@@ -591,15 +727,20 @@
     /// one machine.
     pub fn check_all(&mut self) {
         for place in 0..self.len() {
-            let Some(machine) = self.machine(place) else { continue };
+            let Some(machine) = self.machine(place) else {
+                continue;
+            };
             let statuses: BTreeMap<String, Status> = machine
                 .registrations()
                 .into_iter()
                 .map(|registration| (registration.id, registration.status))
                 .collect();
             self.oracle.check_acknowledged(place, &statuses);
-            let fronts: Vec<BTreeMap<String, Status>> =
-                self.hosts[place].fronts.values().map(|front| front.statuses.clone()).collect();
+            let fronts: Vec<BTreeMap<String, Status>> = self.hosts[place]
+                .fronts
+                .values()
+                .map(|front| front.statuses.clone())
+                .collect();
             for statuses in fronts {
                 self.oracle.check_acknowledged(place, &statuses);
             }
--- a/crates/control-simulation/src/disk.rs
+++ b/crates/control-simulation/src/disk.rs
@@ -45,7 +45,9 @@
     /// A disk that holds a replica's first state.
     pub fn new(first: DurableState) -> Self {
         let mut storage = Storage::read(Platter::empty()).expect("an empty disk can be read");
-        storage.initialize(first.clone()).expect("a first state fits");
+        storage
+            .initialize(first.clone())
+            .expect("a first state fits");
         Self {
             storage,
             synced: first,
@@ -70,7 +72,8 @@
 
     /// Begins to write the registrations.
     pub fn keep(&mut self, number: u64, registrations: Vec<Registration>) {
-        self.writes.push_back(Write::Registrations(number, registrations));
+        self.writes
+            .push_back(Write::Registrations(number, registrations));
     }
 
     /// The writes that wait.
@@ -90,7 +93,8 @@
             Some(Write::Record(sequence, record)) => self.sync_records(sequence, &[record]),
             Some(Write::Registrations(number, registrations)) => {
                 if now < self.refuses_until {
-                    self.writes.push_front(Write::Registrations(number, registrations));
+                    self.writes
+                        .push_front(Write::Registrations(number, registrations));
                     return None;
                 }
                 self.registrations = registrations;
@@ -110,7 +114,9 @@
             self.newest_refused = Some(sequence);
             return None;
         }
-        self.refused.drain(..).for_each(|record| self.synced.fold(&record));
+        self.refused
+            .drain(..)
+            .for_each(|record| self.synced.fold(&record));
         self.newest_refused = None;
         Some(Synced::Records(sequence))
     }
@@ -137,6 +143,10 @@
         let mut platter = std::mem::take(self.storage.medium());
         platter.lose_power(random);
         self.storage = Storage::read(platter).expect("what was synced can be read");
-        self.synced = self.storage.state().cloned().expect("the disk was initialized");
+        self.synced = self
+            .storage
+            .state()
+            .cloned()
+            .expect("the disk was initialized");
     }
 }
--- a/crates/control-simulation/src/front.rs
+++ b/crates/control-simulation/src/front.rs
@@ -27,13 +27,21 @@
     /// Takes a packet of a feed.
     pub fn take(&mut self, packet: Packet) {
         match packet {
-            Packet::Snapshot { epoch, offset, state, registrations } => {
+            Packet::Snapshot {
+                epoch,
+                offset,
+                state,
+                registrations,
+            } => {
                 (self.epoch, self.offset) = (epoch, offset);
                 if !state.is_empty() {
-                    let state = ControlState::decode(&state).expect("a machine's state can be read");
+                    let state =
+                        ControlState::decode(&state).expect("a machine's state can be read");
                     self.state.replace_if_newer(state);
                 }
-                registrations.into_iter().for_each(|registration| self.register(registration));
+                registrations
+                    .into_iter()
+                    .for_each(|registration| self.register(registration));
             }
             Packet::Events { offset, events } => {
                 self.offset = offset;
@@ -53,7 +61,10 @@
     }
 
     fn register(&mut self, registration: Registration) {
-        let status = self.statuses.entry(registration.id).or_insert(registration.status);
+        let status = self
+            .statuses
+            .entry(registration.id)
+            .or_insert(registration.status);
         if *status != Status::Gone {
             *status = registration.status;
         }
--- a/crates/control-simulation/src/history.rs
+++ b/crates/control-simulation/src/history.rs
@@ -38,7 +38,11 @@
             Command::Put { base, body } | Command::Patch { base, body } => {
                 let document: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
                 let generation = document["generation"].as_u64().unwrap_or_default();
-                Self::Put { base: *base, generation, digest: command.digest() }
+                Self::Put {
+                    base: *base,
+                    generation,
+                    digest: command.digest(),
+                }
             }
             Command::Evacuate { zone } => Self::Evacuate(zone.clone()),
             Command::Return { zone } => Self::Return(zone.clone()),
@@ -70,7 +74,10 @@
         match answer {
             Answer::Done => Self::Done,
             Answer::Conflict { current } => Self::Conflict(*current),
-            Answer::Document(_) => Self::Read { generation, evacuated },
+            Answer::Document(_) => Self::Read {
+                generation,
+                evacuated,
+            },
             Answer::Invalid { .. } | Answer::Unclear => Self::Unclear,
         }
     }
@@ -106,7 +113,11 @@
     fn after(&self, operation: &Operation) -> Option<Self> {
         let mut next = self.clone();
         let answered = match &operation.call {
-            Call::Put { base, generation, digest } => {
+            Call::Put {
+                base,
+                generation,
+                digest,
+            } => {
                 if next.accepted.contains(digest) {
                     Reply::Done
                 } else if *base == next.generation {
@@ -125,7 +136,10 @@
                 next.evacuated.remove(zone);
                 Reply::Done
             }
-            Call::Read => Reply::Read { generation: next.generation, evacuated: next.evacuated.clone() },
+            Call::Read => Reply::Read {
+                generation: next.generation,
+                evacuated: next.evacuated.clone(),
+            },
         };
         (operation.reply == Reply::Unclear || operation.reply == answered).then_some(next)
     }
@@ -145,7 +159,12 @@
     /// A call is answered.
     pub fn end(&mut self, token: u64, now: u64, reply: Reply) {
         if let Some((began, call)) = self.open.remove(&token) {
-            self.operations.push(Operation { call, began, ended: now, reply });
+            self.operations.push(Operation {
+                call,
+                began,
+                ended: now,
+                reply,
+            });
         }
     }
 
@@ -162,16 +181,25 @@
             ended: began + PATIENCE,
             reply: Reply::Unclear,
         });
-        let mut operations: Vec<Operation> = self.operations.iter().cloned().chain(given_up).collect();
+        let mut operations: Vec<Operation> =
+            self.operations.iter().cloned().chain(given_up).collect();
         operations.sort_by_key(|operation| (operation.began, operation.ended));
         // A read that gave nothing says nothing.
-        operations.retain(|operation| operation.call != Call::Read || operation.reply != Reply::Unclear);
+        operations
+            .retain(|operation| operation.call != Call::Read || operation.reply != Reply::Unclear);
         let mut starts = BTreeSet::from([Model::default()]);
         for part in parts(operations) {
-            let ends: BTreeSet<Model> = starts.iter().flat_map(|start| ends(&part, start)).collect();
+            let ends: BTreeSet<Model> =
+                starts.iter().flat_map(|start| ends(&part, start)).collect();
             if ends.is_empty() {
-                let calls: Vec<String> = part.iter().map(|operation| format!("{operation:?}")).collect();
-                return Err(format!("no order of these calls gives their answers:\n{}", calls.join("\n")));
+                let calls: Vec<String> = part
+                    .iter()
+                    .map(|operation| format!("{operation:?}"))
+                    .collect();
+                return Err(format!(
+                    "no order of these calls gives their answers:\n{}",
+                    calls.join("\n")
+                ));
             }
             starts = ends;
         }
@@ -196,8 +224,16 @@
 
 /// All states in which the calls can end, beginning with this one.
 fn ends(operations: &[Operation], start: &Model) -> Vec<Model> {
-    assert!(operations.len() <= MOST_CALLS, "{} calls at a time can't be checked", operations.len());
-    let all = if operations.len() == MOST_CALLS { u128::MAX } else { (1 << operations.len()) - 1 };
+    assert!(
+        operations.len() <= MOST_CALLS,
+        "{} calls at a time can't be checked",
+        operations.len()
+    );
+    let all = if operations.len() == MOST_CALLS {
+        u128::MAX
+    } else {
+        (1 << operations.len()) - 1
+    };
     let mut seen: HashSet<(u128, Model)> = HashSet::new();
     let mut stack = vec![(0u128, start.clone())];
     let mut ends = Vec::new();
@@ -210,8 +246,16 @@
             continue;
         }
         let is_left = |number: usize| taken >> number & 1 == 0;
-        let left = || operations.iter().enumerate().filter(|(number, _)| is_left(*number));
-        let first_end = left().map(|(_, operation)| operation.ended).min().unwrap_or(u64::MAX);
+        let left = || {
+            operations
+                .iter()
+                .enumerate()
+                .filter(|(number, _)| is_left(*number))
+        };
+        let first_end = left()
+            .map(|(_, operation)| operation.ended)
+            .min()
+            .unwrap_or(u64::MAX);
         for (number, operation) in left().filter(|(_, operation)| operation.began <= first_end) {
             let with = taken | 1 << number;
             stack.extend(model.after(operation).map(|next| (with, next)));
--- a/crates/control-simulation/src/network.rs
+++ b/crates/control-simulation/src/network.rs
@@ -19,9 +19,17 @@
 }
 
 /// As between regions.
-pub const CALM: Weather = Weather { delay: (60, 60), bytes_per_ms: 0, strays: 0 };
+pub const CALM: Weather = Weather {
+    delay: (60, 60),
+    bytes_per_ms: 0,
+    strays: 0,
+};
 /// With old bytes that come late, over newer connections.
-pub const ROUGH: Weather = Weather { delay: (5, 120), bytes_per_ms: 0, strays: 25_000 };
+pub const ROUGH: Weather = Weather {
+    delay: (5, 120),
+    bytes_per_ms: 0,
+    strays: 25_000,
+};
 
 /// The connection from one machine to another.
 #[derive(Clone, Debug, Default)]
@@ -60,7 +68,11 @@
 impl Network {
     /// A network without connections.
     pub fn new(weather: Weather) -> Self {
-        Self { weather, connections: BTreeMap::new(), cuts: BTreeSet::new() }
+        Self {
+            weather,
+            connections: BTreeMap::new(),
+            cuts: BTreeSet::new(),
+        }
     }
 
     /// Nothing passes from one machine to another any more.
@@ -86,14 +98,27 @@
 
     /// Whether a connection is up.
     pub fn is_up(&self, from: usize, to: usize) -> bool {
-        self.connections.get(&(from, to)).is_some_and(|connection| connection.is_up)
+        self.connections
+            .get(&(from, to))
+            .is_some_and(|connection| connection.is_up)
     }
 
     /// Sends a packet of so many bytes.
-    pub fn send(&mut self, now: u64, from: usize, to: usize, packet: usize, bytes: u64, delay: u64) -> Fate {
+    pub fn send(
+        &mut self,
+        now: u64,
+        from: usize,
+        to: usize,
+        packet: usize,
+        bytes: u64,
+        delay: u64,
+    ) -> Fate {
         let passes = self.passes(from, to);
         let bytes_per_ms = self.weather.bytes_per_ms;
-        let Some(connection) = self.connections.get_mut(&(from, to)).filter(|connection| connection.is_up)
+        let Some(connection) = self
+            .connections
+            .get_mut(&(from, to))
+            .filter(|connection| connection.is_up)
         else {
             return Fate::Nothing;
         };
@@ -115,25 +140,37 @@
         if connection.is_up || !reaches || now < connection.retry_at {
             return false;
         }
-        *connection = Connection { is_up: true, ..Connection::default() };
+        *connection = Connection {
+            is_up: true,
+            ..Connection::default()
+        };
         true
     }
 
     /// Ends a connection. Gives the packets that it held.
     pub fn reset(&mut self, now: u64, from: usize, to: usize) -> Vec<usize> {
-        let Some(connection) = self.connections.get_mut(&(from, to)) else { return Vec::new() };
+        let Some(connection) = self.connections.get_mut(&(from, to)) else {
+            return Vec::new();
+        };
         let held = std::mem::take(&mut connection.held);
-        *connection = Connection { retry_at: now + RECONNECT, ..Connection::default() };
+        *connection = Connection {
+            retry_at: now + RECONNECT,
+            ..Connection::default()
+        };
         held
     }
 
     /// The connections whose sender gives them up by now: what they hold was not acknowledged for long.
     pub fn overdue(&self, now: u64) -> Vec<(usize, usize)> {
         let is_overdue = |connection: &Connection| {
-            connection.held_since.is_some_and(|since| now >= since + UNACKNOWLEDGED)
+            connection
+                .held_since
+                .is_some_and(|since| now >= since + UNACKNOWLEDGED)
         };
-        let overdue =
-            self.connections.iter().filter(|(_, connection)| connection.is_up && is_overdue(connection));
+        let overdue = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_up && is_overdue(connection));
         overdue.map(|(pair, _)| *pair).collect()
     }
 
--- a/crates/control-simulation/src/oracle.rs
+++ b/crates/control-simulation/src/oracle.rs
@@ -55,18 +55,27 @@
         }
         let first = *self.leaders.entry(replica.term()).or_insert(replica.id());
         if first != replica.id() {
-            self.fail(format!("term {} has two leaders, {first} and {}", replica.term(), replica.id()));
+            self.fail(format!(
+                "term {} has two leaders, {first} and {}",
+                replica.term(),
+                replica.id()
+            ));
         }
     }
 
     /// All machines have the same state after the same position.
     fn check_state(&mut self, place: usize, index: u64, machine: &Machine) {
         let state = machine.state();
-        let found = (state.generation(), state.evacuated.iter().cloned().collect::<Vec<_>>());
+        let found = (
+            state.generation(),
+            state.evacuated.iter().cloned().collect::<Vec<_>>(),
+        );
         let first = self.states.entry(index).or_insert_with(|| found.clone());
         if *first != found {
             let first = first.clone();
-            self.fail(format!("machine {place} has {found:?} after position {index}, another one {first:?}"));
+            self.fail(format!(
+                "machine {place} has {found:?} after position {index}, another one {first:?}"
+            ));
         }
     }
 
@@ -82,7 +91,9 @@
             }
         }
         if let Some(id) = undone {
-            self.fail(format!("machine {place} knew that {id} leaves, and takes it back"));
+            self.fail(format!(
+                "machine {place} knew that {id} leaves, and takes it back"
+            ));
         }
     }
 
@@ -92,7 +103,9 @@
         if let [.., before, now] = generations[..]
             && now < before
         {
-            self.fail(format!("balancer {name} went from version {before} back to {now}"));
+            self.fail(format!(
+                "balancer {name} went from version {before} back to {now}"
+            ));
         }
     }
 
@@ -116,7 +129,8 @@
     };
     let log = &durable.log;
     log.entries().iter().rev().any(is_in_entry)
-        || ControlState::decode(&log.snapshot().state).is_ok_and(|state| state.generation() >= generation)
+        || ControlState::decode(&log.snapshot().state)
+            .is_ok_and(|state| state.generation() >= generation)
 }
 
 fn is_of_generation(bytes: &[u8], generation: u64) -> bool {
@@ -125,5 +139,7 @@
         _ => return false,
     };
     let document: Option<serde_json::Value> = serde_json::from_slice(&body).ok();
-    document.and_then(|document| document["generation"].as_u64()).is_some_and(|found| found >= generation)
+    document
+        .and_then(|document| document["generation"].as_u64())
+        .is_some_and(|found| found >= generation)
 }
--- a/crates/control-simulation/src/platter.rs
+++ b/crates/control-simulation/src/platter.rs
@@ -33,12 +33,23 @@
     /// An empty disk.
     pub fn empty() -> Self {
         let files = vec![Vec::new(); SEGMENTS];
-        Self { seen: files.clone(), durable: files, unsynced: Vec::new(), refuses: false, cuts_power: false }
+        Self {
+            seen: files.clone(),
+            durable: files,
+            unsynced: Vec::new(),
+            refuses: false,
+            cuts_power: false,
+        }
     }
 
     /// Power fails: of each write that was not synced all, nothing, a beginning or single sectors are there.
     pub fn lose_power(&mut self, random: &mut fastrand::Rng) {
-        for Unsynced { file, offset, bytes } in std::mem::take(&mut self.unsynced) {
+        for Unsynced {
+            file,
+            offset,
+            bytes,
+        } in std::mem::take(&mut self.unsynced)
+        {
             let mode = random.u8(..4);
             let cut = random.usize(..=bytes.len());
             for (number, sector) in bytes.chunks(SECTOR).enumerate() {
@@ -77,24 +88,45 @@
     }
 
     fn write(&mut self, file: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        assert!(offset + bytes.len() as u64 <= SEGMENT_BYTES, "a write behind the end of a file");
+        assert!(
+            offset + bytes.len() as u64 <= SEGMENT_BYTES,
+            "a write behind the end of a file"
+        );
         let offset = usize::try_from(offset).unwrap_or(usize::MAX);
         // A refused write may have come as far as its first sector.
-        let taken = if self.refuses { &bytes[..bytes.len().min(SECTOR)] } else { bytes };
+        let taken = if self.refuses {
+            &bytes[..bytes.len().min(SECTOR)]
+        } else {
+            bytes
+        };
         write(&mut self.seen[file], offset, taken);
-        self.unsynced.push(Unsynced { file, offset, bytes: taken.to_vec() });
-        if self.refuses { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        self.unsynced.push(Unsynced {
+            file,
+            offset,
+            bytes: taken.to_vec(),
+        });
+        if self.refuses {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
     }
 
     fn sync(&mut self, file: usize) -> io::Result<()> {
         if self.refuses || self.cuts_power {
             return Err(io::ErrorKind::Other.into());
         }
-        let (synced, left) =
-            std::mem::take(&mut self.unsynced).into_iter().partition(|write| write.file == file);
+        let (synced, left) = std::mem::take(&mut self.unsynced)
+            .into_iter()
+            .partition(|write| write.file == file);
         self.unsynced = left;
         let synced: Vec<Unsynced> = synced;
-        for Unsynced { file, offset, bytes } in synced {
+        for Unsynced {
+            file,
+            offset,
+            bytes,
+        } in synced
+        {
             write(&mut self.durable[file], offset, &bytes);
         }
         Ok(())
--- a/crates/control-simulation/src/scenario.rs
+++ b/crates/control-simulation/src/scenario.rs
@@ -10,7 +10,10 @@
 
 /// What happens in a day.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[allow(missing_docs, reason = "the fields are named in the text of their variant")]
+#[allow(
+    missing_docs,
+    reason = "the fields are named in the text of their variant"
+)]
 pub enum Event {
     /// An operator sends a configuration on top of the newest version that it knows; `race` sends another one on the same
     /// version at the next machine.
@@ -50,7 +53,11 @@
     /// A disk refuses all writes.
     RefuseWrites { place: usize, time: u64 },
     /// A machine is cut off from all others, or in one direction.
-    CutOff { place: usize, to_it: bool, from_it: bool },
+    CutOff {
+        place: usize,
+        to_it: bool,
+        from_it: bool,
+    },
     /// The machines are cut into two halves.
     Halves { first: usize },
     /// Two machines can't reach each other.
@@ -79,7 +86,13 @@
 }
 
 /// All of them.
-pub const ALL: Kinds = Kinds { processes: true, cuts: true, stalls: true, wipes: true, power: true };
+pub const ALL: Kinds = Kinds {
+    processes: true,
+    cuts: true,
+    stalls: true,
+    wipes: true,
+    power: true,
+};
 
 /// Milliseconds that a machine with a new disk has before the next loss.
 const CATCH_UP: u64 = 9_000;
@@ -96,27 +109,60 @@
     while events.len() < steps {
         let place = random.usize(..layout.machines);
         match random.u8(..32) {
-            0..=5 => events.push(Event::Put { place, race: random.u8(..4) == 0 }),
+            0..=5 => events.push(Event::Put {
+                place,
+                race: random.u8(..4) == 0,
+            }),
             6..=7 => events.push(Event::PutAgain { place }),
-            8 => events.push(Event::Evacuate { place, zone: random.u8(..ZONES) }),
-            9 => events.push(Event::Return { place, zone: random.u8(..ZONES) }),
+            8 => events.push(Event::Evacuate {
+                place,
+                zone: random.u8(..ZONES),
+            }),
+            9 => events.push(Event::Return {
+                place,
+                zone: random.u8(..ZONES),
+            }),
             10..=11 => events.push(Event::Read { place }),
-            12..=13 => events.push(Event::Ready { place, upstream: random.u8(..UPSTREAMS) }),
-            14 => events.push(Event::Drain { place, upstream: random.u8(..UPSTREAMS) }),
-            15 => events.push(Event::Leave { place, upstream: random.u8(..UPSTREAMS) }),
+            12..=13 => events.push(Event::Ready {
+                place,
+                upstream: random.u8(..UPSTREAMS),
+            }),
+            14 => events.push(Event::Drain {
+                place,
+                upstream: random.u8(..UPSTREAMS),
+            }),
+            15 => events.push(Event::Leave {
+                place,
+                upstream: random.u8(..UPSTREAMS),
+            }),
             16 if kinds.processes => events.push(Event::Kill { place }),
             17 if kinds.processes => events.push(Event::Terminate { place }),
             18..=19 => events.push(Event::StartAll),
-            20 if kinds.processes => events.push(Event::Freeze { place, time: random.u64(200..20_000) }),
+            20 if kinds.processes => events.push(Event::Freeze {
+                place,
+                time: random.u64(200..20_000),
+            }),
             21 if kinds.stalls && random.bool() => {
-                events.push(Event::RefuseWrites { place, time: random.u64(200..8_000) });
+                events.push(Event::RefuseWrites {
+                    place,
+                    time: random.u64(200..8_000),
+                });
             }
-            21 if kinds.stalls => events.push(Event::StallDisk { place, time: random.u64(200..8_000) }),
+            21 if kinds.stalls => events.push(Event::StallDisk {
+                place,
+                time: random.u64(200..8_000),
+            }),
             22 if kinds.cuts => {
                 let way = random.u8(..3);
-                events.push(Event::CutOff { place, to_it: way != 0, from_it: way != 1 });
+                events.push(Event::CutOff {
+                    place,
+                    to_it: way != 0,
+                    from_it: way != 1,
+                });
             }
-            23 if kinds.cuts => events.push(Event::Halves { first: random.usize(1..layout.machines) }),
+            23 if kinds.cuts => events.push(Event::Halves {
+                first: random.usize(1..layout.machines),
+            }),
             24 if kinds.cuts => {
                 let other = (place + random.usize(1..layout.machines)) % layout.machines;
                 events.push(Event::Bridge { one: place, other });
@@ -134,9 +180,13 @@
                 events.extend([loss]);
                 events.extend(all_well);
             }
-            _ => events.push(Event::Wait { time: random.u64(10..3_000) }),
+            _ => events.push(Event::Wait {
+                time: random.u64(10..3_000),
+            }),
         }
-        events.push(Event::Wait { time: random.u64(1..250) });
+        events.push(Event::Wait {
+            time: random.u64(1..250),
+        });
     }
     events
 }
@@ -155,7 +205,10 @@
 
 /// An order that puts the configuration of a version on top of another one.
 pub fn put(base: u64, generation: u64) -> Command {
-    Command::Put { base, body: configuration(generation, 0) }
+    Command::Put {
+        base,
+        body: configuration(generation, 0),
+    }
 }
 
 /// An upstream's registration.
@@ -190,7 +243,10 @@
     fn next(&mut self) -> Command {
         self.mark += 1;
         let generation = self.newest + 2;
-        let command = Command::Put { base: self.newest, body: configuration(generation, self.mark) };
+        let command = Command::Put {
+            base: self.newest,
+            body: configuration(generation, self.mark),
+        };
         self.last = Some(command.clone());
         command
     }
@@ -213,7 +269,12 @@
 }
 
 /// Plays a day, heals everything, and tells what did not hold.
-pub fn play(seed: u64, layout: Layout, weather: Weather, events: &[Event]) -> Result<Cluster, String> {
+pub fn play(
+    seed: u64,
+    layout: Layout,
+    weather: Weather,
+    events: &[Event],
+) -> Result<Cluster, String> {
     let mut cluster = Cluster::with(seed, layout, weather);
     let mut operator = Operator::default();
     let mut sequence = 0;
@@ -244,13 +305,18 @@
     }
     let (token, _) = operator.sent[operator.sent.len() - 1];
     if cluster.answers.get(&token) != Some(&Answer::Done) {
-        return Err(format!("no order is taken after all troubles: {:?}", cluster.answers.get(&token)));
+        return Err(format!(
+            "no order is taken after all troubles: {:?}",
+            cluster.answers.get(&token)
+        ));
     }
     for place in 0..layout.machines {
         let token = cluster.read(place);
         cluster.run(1_100);
         if !matches!(cluster.answers.get(&token), Some(Answer::Document(_))) {
-            return Err(format!("machine {place} can't tell the configuration after all troubles"));
+            return Err(format!(
+                "machine {place} can't tell the configuration after all troubles"
+            ));
         }
     }
     cluster.check_all();
@@ -274,10 +340,16 @@
                 cluster.order(place, command);
             }
         }
-        Event::Evacuate { place, zone: number } => {
+        Event::Evacuate {
+            place,
+            zone: number,
+        } => {
             cluster.order(place, Command::Evacuate { zone: zone(number) });
         }
-        Event::Return { place, zone: number } => {
+        Event::Return {
+            place,
+            zone: number,
+        } => {
             cluster.order(place, Command::Return { zone: zone(number) });
         }
         Event::Read { place } => drop(cluster.read(place)),
@@ -311,14 +383,20 @@
             cluster.start(place);
         }
         Event::WipeAndPowerOff { place } => {
-            (0..cluster.len()).filter(|other| *other != place).for_each(|other| cluster.kill(other));
+            (0..cluster.len())
+                .filter(|other| *other != place)
+                .for_each(|other| cluster.kill(other));
             cluster.wipe(place);
             (0..cluster.len()).for_each(|other| cluster.start(other));
         }
         Event::Freeze { place, time } => cluster.freeze(place, time),
         Event::RefuseWrites { place, time } => cluster.refuse_writes(place, time),
         Event::StallDisk { place, time } => cluster.stall_disk(place, time),
-        Event::CutOff { place, to_it, from_it } => {
+        Event::CutOff {
+            place,
+            to_it,
+            from_it,
+        } => {
             for other in (0..cluster.len()).filter(|other| *other != place) {
                 if to_it {
                     cluster.network.cut(other, place);
@@ -377,6 +455,10 @@
     play(seed, layout, weather, &events).map_err(|violation| {
         let needed = shrink(seed, layout, weather, &events);
         let steps: Vec<String> = needed.iter().map(|event| format!("  {event:?}")).collect();
-        format!("seed {seed}: {violation}\nit needs these {} steps:\n{}", needed.len(), steps.join("\n"))
+        format!(
+            "seed {seed}: {violation}\nit needs these {} steps:\n{}",
+            needed.len(),
+            steps.join("\n")
+        )
     })
 }
--- a/crates/control-simulation/tests/cluster.rs
+++ b/crates/control-simulation/tests/cluster.rs
@@ -45,7 +45,11 @@
     assert!(cluster.answers.contains_key(&token));
     let again = cluster.order(1, put(0, 5));
     cluster.run(1_000);
-    assert_eq!(cluster.answers.get(&again), Some(&Answer::Done), "the same order again");
+    assert_eq!(
+        cluster.answers.get(&again),
+        Some(&Answer::Done),
+        "the same order again"
+    );
 }
 
 #[test]
@@ -59,8 +63,14 @@
         let (one, other) = (cluster.order(1, put(5, 7)), cluster.order(2, put(5, 8)));
         cluster.run(1_000);
         let answers = [&cluster.answers[&one], &cluster.answers[&other]];
-        let won = answers.iter().filter(|answer| ***answer == Answer::Done).count();
-        let lost = answers.iter().filter(|answer| matches!(answer, Answer::Conflict { .. })).count();
+        let won = answers
+            .iter()
+            .filter(|answer| ***answer == Answer::Done)
+            .count();
+        let lost = answers
+            .iter()
+            .filter(|answer| matches!(answer, Answer::Conflict { .. }))
+            .count();
         assert_eq!((won, lost), (1, 1), "{answers:?}");
     }
 }
@@ -104,12 +114,17 @@
                 generation += 3;
             }
             let wiped = cluster.random.usize(..3);
-            (0..3).filter(|place| *place != wiped).for_each(|place| cluster.stop(place));
+            (0..3)
+                .filter(|place| *place != wiped)
+                .for_each(|place| cluster.stop(place));
             cluster.wipe(wiped);
             (0..3).for_each(|place| cluster.start(place));
             cluster.run(8_000);
             let read = read_back(&mut cluster, wiped).expect("a quorum is there");
-            assert!(read >= generation, "round {round}: {read} instead of {generation}");
+            assert!(
+                read >= generation,
+                "round {round}: {read} instead of {generation}"
+            );
             generation = read;
         }
     }
@@ -120,17 +135,24 @@
     let mut cluster = Cluster::new(4, 3);
     cluster.run(5_000);
     (0..3).for_each(|place| cluster.subscribe(place, 1));
-    cluster
-        .call(0, |machine, now, token| machine.register(now, token, registration("i-1", 1, Status::Ready)));
+    cluster.call(0, |machine, now, token| {
+        machine.register(now, token, registration("i-1", 1, Status::Ready))
+    });
     cluster.run(500);
     let token = cluster.call(2, |machine, now, token| {
         machine.register(now, token, registration("i-1", 2, Status::Draining));
     });
-    assert!(!cluster.answers.contains_key(&token), "nobody else has it yet");
+    assert!(
+        !cluster.answers.contains_key(&token),
+        "nobody else has it yet"
+    );
     cluster.run(300);
     assert_eq!(cluster.answers.get(&token), Some(&Answer::Done));
     for place in 0..3 {
-        assert_eq!(cluster.reader(place, 1).statuses.get("i-1"), Some(&Status::Draining));
+        assert_eq!(
+            cluster.reader(place, 1).statuses.get("i-1"),
+            Some(&Status::Draining)
+        );
     }
 }
 
@@ -156,10 +178,12 @@
 fn an_upstream_that_falls_silent_is_judged_by_one_machine_and_believed_by_all() {
     let mut cluster = Cluster::new(6, 3);
     cluster.run(5_000);
-    cluster
-        .call(0, |machine, now, token| machine.register(now, token, registration("i-1", 1, Status::Ready)));
-    cluster
-        .call(0, |machine, now, token| machine.register(now, token, registration("i-2", 1, Status::Ready)));
+    cluster.call(0, |machine, now, token| {
+        machine.register(now, token, registration("i-1", 1, Status::Ready))
+    });
+    cluster.call(0, |machine, now, token| {
+        machine.register(now, token, registration("i-2", 1, Status::Ready))
+    });
     for beat in 2..8 {
         cluster.run(1_200);
         cluster.call(1, |machine, now, token| {
@@ -167,8 +191,13 @@
         });
     }
     for place in 0..3 {
-        let statuses: Vec<Status> =
-            cluster.machine(place).unwrap().registrations().iter().map(|upstream| upstream.status).collect();
+        let statuses: Vec<Status> = cluster
+            .machine(place)
+            .unwrap()
+            .registrations()
+            .iter()
+            .map(|upstream| upstream.status)
+            .collect();
         assert_eq!(statuses, [Status::Silent, Status::Ready], "machine {place}");
     }
 }
@@ -177,8 +206,9 @@
 fn a_machine_that_starts_again_hears_of_all_upstreams_from_the_others() {
     let mut cluster = Cluster::new(7, 3);
     cluster.run(5_000);
-    cluster
-        .call(0, |machine, now, token| machine.register(now, token, registration("i-1", 1, Status::Ready)));
+    cluster.call(0, |machine, now, token| {
+        machine.register(now, token, registration("i-1", 1, Status::Ready))
+    });
     cluster.run(500);
     cluster.stop(1);
     cluster.run(500);
@@ -232,7 +262,11 @@
         cluster.run(300);
     }
     let log = cluster.machine(0).unwrap().replica().log();
-    assert!(log.entries().len() <= 1_000, "{} entries", log.entries().len());
+    assert!(
+        log.entries().len() <= 1_000,
+        "{} entries",
+        log.entries().len()
+    );
     cluster.wipe(2);
     cluster.start(2);
     cluster.run(8_000);
--- a/crates/control-simulation/tests/days.rs
+++ b/crates/control-simulation/tests/days.rs
@@ -8,15 +8,39 @@
 const SEEDS: u64 = 40;
 const STEPS: usize = 60;
 
-const THREE: Layout = Layout { machines: 3, founders: 3, regions: 3, tolerated: 1 };
-const FOUR: Layout = Layout { machines: 4, founders: 3, regions: 2, tolerated: 1 };
-const SIX: Layout = Layout { machines: 6, founders: 3, regions: 3, tolerated: 2 };
+const THREE: Layout = Layout {
+    machines: 3,
+    founders: 3,
+    regions: 3,
+    tolerated: 1,
+};
+const FOUR: Layout = Layout {
+    machines: 4,
+    founders: 3,
+    regions: 2,
+    tolerated: 1,
+};
+const SIX: Layout = Layout {
+    machines: 6,
+    founders: 3,
+    regions: 3,
+    tolerated: 2,
+};
 
 /// Without losses of disks and power: what a group must bear whatever is lost at a time.
-const BRIEF: Kinds = Kinds { processes: true, cuts: true, stalls: true, wipes: false, power: false };
+const BRIEF: Kinds = Kinds {
+    processes: true,
+    cuts: true,
+    stalls: true,
+    wipes: false,
+    power: false,
+};
 
 fn seeds() -> u64 {
-    std::env::var("WOADSTALL_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS)
+    std::env::var("WOADSTALL_SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(SEEDS)
 }
 
 #[rstest]
@@ -26,7 +50,11 @@
 #[case::six(SIX, ROUGH, ALL)]
 #[case::six_without_losses(SIX, ROUGH, BRIEF)]
 #[case::a_narrow_network(THREE, Weather { bytes_per_ms: 20, ..ROUGH }, ALL)]
-fn nothing_that_was_promised_breaks(#[case] layout: Layout, #[case] weather: Weather, #[case] kinds: Kinds) {
+fn nothing_that_was_promised_breaks(
+    #[case] layout: Layout,
+    #[case] weather: Weather,
+    #[case] kinds: Kinds,
+) {
     let mut answered = 0;
     for seed in 0..seeds() {
         match hunt(seed, layout, weather, kinds, STEPS) {
@@ -34,5 +62,8 @@
             Err(violation) => panic!("{violation}"),
         }
     }
-    assert!(answered as u64 > seeds() * 5, "only {answered} calls were answered");
+    assert!(
+        answered as u64 > seeds() * 5,
+        "only {answered} calls were answered"
+    );
 }
--- a/crates/control-simulation/tests/incidents.rs
+++ b/crates/control-simulation/tests/incidents.rs
@@ -9,8 +9,18 @@
 use woadstall_control_simulation::network::{CALM, ROUGH, Weather};
 use woadstall_control_simulation::scenario::{configuration, put, registration};
 
-const THREE: Layout = Layout { machines: 3, founders: 3, regions: 3, tolerated: 1 };
-const SIX: Layout = Layout { machines: 6, founders: 3, regions: 3, tolerated: 2 };
+const THREE: Layout = Layout {
+    machines: 3,
+    founders: 3,
+    regions: 3,
+    tolerated: 1,
+};
+const SIX: Layout = Layout {
+    machines: 6,
+    founders: 3,
+    regions: 3,
+    tolerated: 2,
+};
 const SEEDS: u64 = 12;
 /// A caller goes elsewhere after a second.
 const PATIENCE: u64 = 1_000;
@@ -18,11 +28,15 @@
 const CATCH_UP: u64 = 4_000;
 
 fn evacuate() -> Command {
-    Command::Evacuate { zone: "zone-0".to_owned() }
+    Command::Evacuate {
+        zone: "zone-0".to_owned(),
+    }
 }
 
 fn give_back() -> Command {
-    Command::Return { zone: "zone-0".to_owned() }
+    Command::Return {
+        zone: "zone-0".to_owned(),
+    }
 }
 
 /// Sends an order until it is taken, at one machine after the other.
@@ -86,7 +100,14 @@
         let mut version = 5;
         for second in 0..CUT {
             asked.push(cluster.order(cut, put(version, version + 100 + second)));
-            asked.push(cluster.order(cut, if second % 2 == 0 { evacuate() } else { give_back() }));
+            asked.push(cluster.order(
+                cut,
+                if second % 2 == 0 {
+                    evacuate()
+                } else {
+                    give_back()
+                },
+            ));
             asked.push(cluster.read(cut));
             asked.push(cluster.register(cut, registration("i-1", second + 1, Status::Draining)));
             asked.push(cluster.deregister(cut, "i-unknown"));
@@ -115,11 +136,18 @@
         cluster.heal();
         cluster.run(3_000);
         for place in 0..3 {
-            assert_eq!(version_read(&mut cluster, place), Some(version), "seed {seed}, machine {place}");
+            assert_eq!(
+                version_read(&mut cluster, place),
+                Some(version),
+                "seed {seed}, machine {place}"
+            );
         }
         cluster.run(weather.strays);
         let evacuated = &cluster.machine(others[0]).unwrap().state().evacuated;
-        assert!(evacuated.is_empty(), "seed {seed}: nobody was told that {evacuated:?} is evacuated");
+        assert!(
+            evacuated.is_empty(),
+            "seed {seed}: nobody was told that {evacuated:?} is evacuated"
+        );
         assert_sound(&mut cluster);
     }
 }
@@ -137,13 +165,25 @@
         cluster.network.cut(other, leader);
         let held_up = cluster.order(other, evacuate());
         cluster.run(PATIENCE);
-        assert_eq!(cluster.answers.get(&held_up), Some(&Answer::Unclear), "seed {seed}");
+        assert_eq!(
+            cluster.answers.get(&held_up),
+            Some(&Answer::Unclear),
+            "seed {seed}"
+        );
         let again = cluster.order(leader, evacuate());
         cluster.run(400);
-        assert_eq!(cluster.answers.get(&again), Some(&Answer::Done), "seed {seed}");
+        assert_eq!(
+            cluster.answers.get(&again),
+            Some(&Answer::Done),
+            "seed {seed}"
+        );
         let back = cluster.order(leader, give_back());
         cluster.run(400);
-        assert_eq!(cluster.answers.get(&back), Some(&Answer::Done), "seed {seed}");
+        assert_eq!(
+            cluster.answers.get(&back),
+            Some(&Answer::Done),
+            "seed {seed}"
+        );
         // Now they come, while the same leader leads.
         cluster.heal();
         cluster.run(ROUGH.strays + 3_000);
@@ -163,11 +203,15 @@
         let mut version = 5;
         for round in 0..6 {
             let rivals: Vec<Command> = (0..2)
-                .map(|mark| Command::Put { base: version, body: configuration(version + 3, mark) })
+                .map(|mark| Command::Put {
+                    base: version,
+                    body: configuration(version + 3, mark),
+                })
                 .collect();
             let places: Vec<usize> = rivals.iter().map(|_| cluster.random.usize(..6)).collect();
-            let first: Vec<u64> =
-                (0..2).map(|operator| cluster.order(places[operator], rivals[operator].clone())).collect();
+            let first: Vec<u64> = (0..2)
+                .map(|operator| cluster.order(places[operator], rivals[operator].clone()))
+                .collect();
             let wait = cluster.random.u64(..300);
             cluster.run(wait);
             // The machine between order and answer starts again.
@@ -197,7 +241,11 @@
                     }
                 }
             }
-            assert_eq!(won.len(), 1, "seed {seed}, round {round}: {won:?} were confirmed");
+            assert_eq!(
+                won.len(),
+                1,
+                "seed {seed}, round {round}: {won:?} were confirmed"
+            );
             version += 3;
         }
         cluster.calm();
@@ -230,13 +278,20 @@
         let answer = cluster.answers.get(&next);
         if current == 5 {
             confirmed += 1;
-            assert_ne!(answer, Some(&Answer::Done), "seed {seed}: version 6 was never taken");
+            assert_ne!(
+                answer,
+                Some(&Answer::Done),
+                "seed {seed}: version 6 was never taken"
+            );
         }
         cluster.calm();
         cluster.run(5_000);
         assert_sound(&mut cluster);
     }
-    assert!(confirmed > SEEDS, "only {confirmed} courses brought it about");
+    assert!(
+        confirmed > SEEDS,
+        "only {confirmed} courses brought it about"
+    );
 }
 
 /// What happens to a machine first.
@@ -289,7 +344,9 @@
         Second::Power => all.iter().for_each(|place| cluster.kill(*place)),
         Second::Wipe => cluster.wipe(place),
         Second::WipeAndPower => {
-            all.iter().filter(|other| **other != place).for_each(|other| cluster.kill(*other));
+            all.iter()
+                .filter(|other| **other != place)
+                .for_each(|other| cluster.kill(*other));
             cluster.wipe(place);
         }
         Second::Down => {
@@ -302,7 +359,10 @@
 
 /// Moments of the second loss, unless `WOADSTALL_SEEDS` names another number.
 fn steps() -> u64 {
-    std::env::var("WOADSTALL_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(16)
+    std::env::var("WOADSTALL_SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(16)
 }
 
 /// Point 3: every order of losses, round each step of the change of members.
@@ -322,16 +382,23 @@
             cluster.order(lost, put(5, 6));
             cluster.run(step * 13);
             let newcomer = happen_first(&mut cluster, first, lost);
-            let wait = if is_any_moment { step * 120 } else { CATCH_UP + step * 17 };
+            let wait = if is_any_moment {
+                step * 120
+            } else {
+                CATCH_UP + step * 17
+            };
             cluster.run(wait);
-            let victims = (0..cluster.len()).filter(|place| *place != newcomer && cluster.is_there(*place));
+            let victims =
+                (0..cluster.len()).filter(|place| *place != newcomer && cluster.is_there(*place));
             let victim = victims.cycle().nth(step as usize % 3).unwrap();
             let known = cluster.order(victim, put(5, 6));
             cluster.run(500);
             let acknowledged = cluster.answers.get(&known) == Some(&Answer::Done);
             happen_second(&mut cluster, second, victim);
             cluster.run(CATCH_UP);
-            let asked = (0..cluster.len()).find(|place| cluster.machine(*place).is_some()).unwrap();
+            let asked = (0..cluster.len())
+                .find(|place| cluster.machine(*place).is_some())
+                .unwrap();
             let Some(read) = version_read(&mut cluster, asked) else {
                 let course = cluster.describe();
                 panic!(
@@ -368,7 +435,9 @@
                 cluster.run(10);
             }
             assert_eq!(cluster.answers[&token], Answer::Done);
-            (0..3).filter(|place| *place != wiped).for_each(|place| cluster.kill(place));
+            (0..3)
+                .filter(|place| *place != wiped)
+                .for_each(|place| cluster.kill(place));
             cluster.wipe(wiped);
             (0..3).for_each(|place| cluster.start(place));
             cluster.run(CATCH_UP);
@@ -391,7 +460,10 @@
 fn a_member_that_missed_hundreds_of_changes_catches_up_and_is_as_good_as_any() {
     const CHANGES: u64 = 1_000;
     const AWAY: std::ops::Range<u64> = 50..950;
-    let narrow = Weather { bytes_per_ms: 100, ..CALM };
+    let narrow = Weather {
+        bytes_per_ms: 100,
+        ..CALM
+    };
     let mut cluster = Cluster::with(1, THREE, narrow);
     cluster.run(5_000);
     let leader = cluster.leader().unwrap();
@@ -404,7 +476,11 @@
         if change == AWAY.end {
             cluster.heal();
         }
-        take_at(&mut cluster, leader, large(change * 2, (change + 1) * 2, change));
+        take_at(
+            &mut cluster,
+            leader,
+            large(change * 2, (change + 1) * 2, change),
+        );
     }
     let newest = CHANGES * 2;
     // Its snapshot is on the way: it is killed in the middle, more than once.
@@ -415,7 +491,11 @@
         cluster.start(away);
     }
     cluster.run(20_000);
-    assert_eq!(cluster.machine(away).unwrap().state().generation(), newest, "it has not caught up");
+    assert_eq!(
+        cluster.machine(away).unwrap().state().generation(),
+        newest,
+        "it has not caught up"
+    );
     // The others are lost: one its disk, one for good.
     cluster.wipe(third);
     cluster.start(third);
@@ -429,13 +509,19 @@
 
 /// A configuration of 40 kB that can't be compressed much, now and then.
 fn large(base: u64, generation: u64, change: u64) -> Command {
-    let mut document: serde_json::Value = serde_json::from_slice(&configuration(generation, 0)).unwrap();
+    let mut document: serde_json::Value =
+        serde_json::from_slice(&configuration(generation, 0)).unwrap();
     if change % 100 == 99 {
         let mut random = fastrand::Rng::with_seed(change);
-        let note: String = std::iter::repeat_with(|| random.alphanumeric()).take(40_000).collect();
+        let note: String = std::iter::repeat_with(|| random.alphanumeric())
+            .take(40_000)
+            .collect();
         document["note"] = serde_json::Value::String(note);
     }
-    Command::Put { base, body: serde_json::to_vec(&document).unwrap() }
+    Command::Put {
+        base,
+        body: serde_json::to_vec(&document).unwrap(),
+    }
 }
 
 /// Sends an order to one machine until it is taken.
@@ -476,7 +562,11 @@
         let newest = 1_100 * 2;
         take_at(&mut cluster, leader, put(newest, newest + 2));
         cluster.run(500);
-        assert_eq!(cluster.reader(away, 1).state.generation(), newest + 2, "seed {seed}");
+        assert_eq!(
+            cluster.reader(away, 1).state.generation(),
+            newest + 2,
+            "seed {seed}"
+        );
         assert_sound(&mut cluster);
     }
 }
@@ -485,7 +575,9 @@
 #[rstest]
 #[case::cut_off(true)]
 #[case::just_started(false)]
-fn a_leaving_told_to_a_machine_that_does_not_know_the_upstream_is_no_secret(#[case] is_cut_off: bool) {
+fn a_leaving_told_to_a_machine_that_does_not_know_the_upstream_is_no_secret(
+    #[case] is_cut_off: bool,
+) {
     for seed in 0..SEEDS {
         let mut cluster = Cluster::with(seed, THREE, CALM);
         cluster.run(5_000);
@@ -504,16 +596,28 @@
         let token = cluster.deregister(1, "i-1");
         cluster.run(PATIENCE);
         if is_cut_off {
-            assert_eq!(cluster.answers.get(&token), Some(&Answer::Unclear), "seed {seed}");
+            assert_eq!(
+                cluster.answers.get(&token),
+                Some(&Answer::Unclear),
+                "seed {seed}"
+            );
             cluster.heal();
         }
         cluster.run(2_000);
         for place in 0..3 {
             let known = cluster.machine(place).unwrap().registrations();
-            assert_eq!(known[0].status, Status::Gone, "seed {seed}, machine {place}");
+            assert_eq!(
+                known[0].status,
+                Status::Gone,
+                "seed {seed}, machine {place}"
+            );
         }
         for place in [0, 2] {
-            assert_eq!(cluster.reader(place, 1).statuses["i-1"], Status::Gone, "seed {seed}");
+            assert_eq!(
+                cluster.reader(place, 1).statuses["i-1"],
+                Status::Gone,
+                "seed {seed}"
+            );
         }
         assert_sound(&mut cluster);
     }
--- a/crates/control-simulation/tests/unit/history.rs
+++ b/crates/control-simulation/tests/unit/history.rs
@@ -5,13 +5,20 @@
 use std::collections::BTreeSet;
 
 fn put(base: u64, generation: u64) -> Call {
-    Call::Put { base, generation, digest: u128::from(base) << 64 | u128::from(generation) }
+    Call::Put {
+        base,
+        generation,
+        digest: u128::from(base) << 64 | u128::from(generation),
+    }
 }
 
 fn read(generation: u64, zones: &[&str]) -> Reply {
     Reply::Read {
         generation,
-        evacuated: zones.iter().map(|zone| (*zone).to_owned()).collect::<BTreeSet<_>>(),
+        evacuated: zones
+            .iter()
+            .map(|zone| (*zone).to_owned())
+            .collect::<BTreeSet<_>>(),
     }
 }
 
