--- a/crates/control/src/balancers.rs
+++ b/crates/control/src/balancers.rs
@@ -76,24 +76,43 @@
             if !newer {
                 return Heard::Old;
             }
-            let as_known = Heartbeat { sequence: known.sequence, ..heartbeat.clone() };
+            let as_known = Heartbeat {
+                sequence: known.sequence,
+                ..heartbeat.clone()
+            };
             if as_known == *known {
                 heard = Heard::Renewed;
             }
         }
         let former = self.seen.get(&heartbeat.name);
         let former = former.filter(|former| former.heartbeat.incarnation == heartbeat.incarnation);
-        let ready_at = if heartbeat.ready { Some(now) } else { former.and_then(|former| former.ready_at) };
-        self.seen.insert(heartbeat.name.clone(), Seen { heartbeat, heard: now, ready_at });
+        let ready_at = if heartbeat.ready {
+            Some(now)
+        } else {
+            former.and_then(|former| former.ready_at)
+        };
+        self.seen.insert(
+            heartbeat.name.clone(),
+            Seen {
+                heartbeat,
+                heard: now,
+                ready_at,
+            },
+        );
         heard
     }
 
     /// Hears from another machine that balancers are still there.
     pub fn renew(&mut self, now: u64, still_there: &[StillThere]) {
-        let newest: BTreeMap<u32, &StillThere> = still_there.iter().map(|news| (news.name, news)).collect();
+        let newest: BTreeMap<u32, &StillThere> =
+            still_there.iter().map(|news| (news.name, news)).collect();
         for seen in self.seen.values_mut() {
-            let Some(news) = newest.get(&short_hash(&seen.heartbeat.name)) else { continue };
-            if news.incarnation == seen.heartbeat.incarnation && news.sequence > seen.heartbeat.sequence {
+            let Some(news) = newest.get(&short_hash(&seen.heartbeat.name)) else {
+                continue;
+            };
+            if news.incarnation == seen.heartbeat.incarnation
+                && news.sequence > seen.heartbeat.sequence
+            {
                 (seen.heartbeat.sequence, seen.heard) = (news.sequence, now);
                 if seen.heartbeat.ready {
                     seen.ready_at = Some(now);
@@ -105,7 +124,10 @@
     /// The balancers that were heard of within this time.
     pub fn alive(&self, now: u64, within: u64) -> impl Iterator<Item = &Heartbeat> {
         let lately = move |seen: &&Seen| now <= seen.heard + within;
-        self.seen.values().filter(lately).map(|seen| &seen.heartbeat)
+        self.seen
+            .values()
+            .filter(lately)
+            .map(|seen| &seen.heartbeat)
     }
 
     /// The balancers that are there and no longer ready, but were so within this time: they are being stopped, and still take
@@ -120,7 +142,10 @@
             let was_ready = seen.ready_at.is_some_and(|at| now <= at + ready_within);
             !seen.heartbeat.ready && was_ready && now <= seen.heard + alive_within
         };
-        self.seen.values().filter(is_stopping).map(|seen| &seen.heartbeat)
+        self.seen
+            .values()
+            .filter(is_stopping)
+            .map(|seen| &seen.heartbeat)
     }
 
     /// The zone of a balancer.
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -71,5 +71,7 @@
 fn fnv1a(bytes: impl Iterator<Item = u8>) -> u128 {
     const OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
     const PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
-    bytes.fold(OFFSET, |hash, byte| (hash ^ u128::from(byte)).wrapping_mul(PRIME))
+    bytes.fold(OFFSET, |hash, byte| {
+        (hash ^ u128::from(byte)).wrapping_mul(PRIME)
+    })
 }
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -136,11 +136,17 @@
         for item in root.field("services").items(findings) {
             let service = read_service(&item, findings);
             if services.insert(service.name.clone(), service).is_some() {
-                findings.add(item.field("name").place(), "is the name of another service too");
+                findings.add(
+                    item.field("name").place(),
+                    "is the name of another service too",
+                );
             }
         }
         let routes = root.field("routes").items(findings);
-        let routes: Vec<Route> = routes.iter().map(|item| read_route(item, &services, findings)).collect();
+        let routes: Vec<Route> = routes
+            .iter()
+            .map(|item| read_route(item, &services, findings))
+            .collect();
         check_places(&routes, findings);
         let limits = read_limits(&root.field("limits"), findings);
         if !findings.is_empty() {
@@ -153,19 +159,35 @@
         for indices in by_host.values_mut() {
             indices.sort_by_key(|index| std::cmp::Reverse(routes[*index].path_prefix.len()));
         }
-        Ok(Self { generation, routes, services, limits, by_host })
+        Ok(Self {
+            generation,
+            routes,
+            services,
+            limits,
+            by_host,
+        })
     }
 
     /// The route of a request: the one of its host with the longest prefix that begins the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        self.routes_of(host).find(|route| path.starts_with(&route.path_prefix))
+        self.routes_of(host)
+            .find(|route| path.starts_with(&route.path_prefix))
     }
 
     /// The routes of a host, with or without a port, in the order in which they are tried.
     pub fn routes_of(&self, host: &str) -> impl Iterator<Item = &Route> {
-        let host = host.rsplit_once(':').filter(|(_, port)| is_port(port)).map_or(host, |(name, _)| name);
-        let indices = self.by_host.get(host).or_else(|| self.by_host.get(&host.to_ascii_lowercase()));
-        indices.into_iter().flatten().map(|index| &self.routes[*index])
+        let host = host
+            .rsplit_once(':')
+            .filter(|(_, port)| is_port(port))
+            .map_or(host, |(name, _)| name);
+        let indices = self
+            .by_host
+            .get(host)
+            .or_else(|| self.by_host.get(&host.to_ascii_lowercase()));
+        indices
+            .into_iter()
+            .flatten()
+            .map(|index| &self.routes[*index])
     }
 }
 
@@ -181,12 +203,17 @@
     let engine = item.field("engine");
     let engine = engine.value().is_some().then(|| Engine {
         capacity: engine.field("capacity").whole_or(1, findings).max(1),
-        kv_capacity_tokens: engine.field("kv_capacity_tokens").whole_or(u64::MAX, findings),
+        kv_capacity_tokens: engine
+            .field("kv_capacity_tokens")
+            .whole_or(u64::MAX, findings),
     });
     let cold_start = item.field("cold_start_s").number_or(0.0, findings);
     Service {
         name: item.field("name").text(findings),
-        health_check: item.field("health_check").optional_text(findings).unwrap_or_default(),
+        health_check: item
+            .field("health_check")
+            .optional_text(findings)
+            .unwrap_or_default(),
         max_connections: item.field("max_connections").whole_or(u64::MAX, findings),
         cold_start: Duration::try_from_secs_f64(cold_start).unwrap_or(Duration::ZERO),
         warmup_per_s: item.field("warmup_per_s").number_or(0.0, findings),
@@ -194,11 +221,18 @@
     }
 }
 
-fn read_route(item: &Reader<'_>, services: &BTreeMap<String, Service>, findings: &mut Findings) -> Route {
+fn read_route(
+    item: &Reader<'_>,
+    services: &BTreeMap<String, Service>,
+    findings: &mut Findings,
+) -> Route {
     let path_prefix = item.field("path_prefix").text(findings);
     let has_slashes = path_prefix.starts_with('/') && path_prefix.ends_with('/');
     if !path_prefix.is_empty() && !has_slashes {
-        findings.add(item.field("path_prefix").place(), "must begin and end with a slash");
+        findings.add(
+            item.field("path_prefix").place(),
+            "must begin and end with a slash",
+        );
     }
     let route_type = item.field("route_type");
     let route_type = match route_type.text(findings).as_str() {
@@ -227,7 +261,8 @@
         gap_aim: gap_aim.value().map(|_| millis(&gap_aim, 0, findings)),
         priority: u8::try_from(item.field("priority").whole_or(0, findings)).unwrap_or(u8::MAX),
         targets: read_targets(item, services, findings),
-        max_attempts: u32::try_from(item.field("max_attempts").whole_or(1, findings)).unwrap_or(u32::MAX),
+        max_attempts: u32::try_from(item.field("max_attempts").whole_or(1, findings))
+            .unwrap_or(u32::MAX),
         session_affinity: item.field("session_affinity").flag_or(false, findings),
         resumable: item.field("resumable").flag_or(false, findings),
         allowed_regions: regions.iter().map(|region| region.text(findings)).collect(),
@@ -243,7 +278,10 @@
     let named = |reader: &Reader<'_>, findings: &mut Findings| {
         let service = reader.text(findings);
         if !service.is_empty() && !services.contains_key(&service) {
-            findings.add(reader.place(), format!("names an unknown service {service:?}"));
+            findings.add(
+                reader.place(),
+                format!("names an unknown service {service:?}"),
+            );
         }
         service
     };
@@ -266,10 +304,16 @@
     let (mut places, mut names) = (HashSet::new(), HashSet::new());
     for (index, route) in routes.iter().enumerate() {
         if !places.insert((&route.host, &route.path_prefix)) {
-            findings.add(format!("routes[{index}]"), "shares its host and path prefix with another route");
+            findings.add(
+                format!("routes[{index}]"),
+                "shares its host and path prefix with another route",
+            );
         }
         if !names.insert(&route.name) {
-            findings.add(format!("routes[{index}].name"), "is the name of another route too");
+            findings.add(
+                format!("routes[{index}].name"),
+                "is the name of another route too",
+            );
         }
     }
 }
@@ -280,12 +324,32 @@
         usize::try_from(field.whole_or(default as u64, findings)).unwrap_or(usize::MAX)
     };
     let time = |field: &Reader<'_>, default: Duration, findings: &mut Findings| {
-        millis(field, u64::try_from(default.as_millis()).unwrap_or(u64::MAX), findings)
+        millis(
+            field,
+            u64::try_from(default.as_millis()).unwrap_or(u64::MAX),
+            findings,
+        )
     };
     Limits {
-        max_header_bytes: size(&reader.field("max_header_bytes"), default.max_header_bytes, findings),
-        max_body_bytes: size(&reader.field("max_body_bytes"), default.max_body_bytes, findings),
-        header_timeout: time(&reader.field("header_timeout_ms"), default.header_timeout, findings),
-        idle_timeout: time(&reader.field("idle_timeout_ms"), default.idle_timeout, findings),
+        max_header_bytes: size(
+            &reader.field("max_header_bytes"),
+            default.max_header_bytes,
+            findings,
+        ),
+        max_body_bytes: size(
+            &reader.field("max_body_bytes"),
+            default.max_body_bytes,
+            findings,
+        ),
+        header_timeout: time(
+            &reader.field("header_timeout_ms"),
+            default.header_timeout,
+            findings,
+        ),
+        idle_timeout: time(
+            &reader.field("idle_timeout_ms"),
+            default.idle_timeout,
+            findings,
+        ),
     }
 }
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -35,7 +35,12 @@
 impl Journal {
     /// An empty journal. The epoch must differ from that of any earlier process of the machine.
     pub fn new(epoch: u64) -> Self {
-        Self { epoch, first: 0, events: VecDeque::new(), bytes: 0 }
+        Self {
+            epoch,
+            first: 0,
+            events: VecDeque::new(),
+            bytes: 0,
+        }
     }
 
     /// The epoch.
@@ -51,9 +56,10 @@
     /// Appends an event.
     pub fn append(&mut self, event: Event) {
         let size = match &event {
-            Event::Committed { command: Command::Put { body, .. } | Command::Patch { body, .. }, .. } => {
-                body.len()
-            }
+            Event::Committed {
+                command: Command::Put { body, .. } | Command::Patch { body, .. },
+                ..
+            } => body.len(),
             _ => 0,
         };
         const HEAD: usize = 200;
@@ -76,8 +82,18 @@
 
     /// The events from an offset of an epoch on; `None` where they are not kept, so that a snapshot is needed.
     pub fn tail(&self, epoch: u64, offset: u64) -> Option<Vec<Event>> {
-        let skipped = offset.checked_sub(self.first).filter(|_| epoch == self.epoch)?;
-        let skipped = usize::try_from(skipped).ok().filter(|skipped| *skipped <= self.events.len())?;
-        Some(self.events.iter().skip(skipped).map(|(_, event)| event.clone()).collect())
+        let skipped = offset
+            .checked_sub(self.first)
+            .filter(|_| epoch == self.epoch)?;
+        let skipped = usize::try_from(skipped)
+            .ok()
+            .filter(|skipped| *skipped <= self.events.len())?;
+        Some(
+            self.events
+                .iter()
+                .skip(skipped)
+                .map(|(_, event)| event.clone())
+                .collect(),
+        )
     }
 }
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -91,7 +91,9 @@
         let is_late = self
             .reports
             .get(&report.balancer)
-            .is_some_and(|(at, known)| now <= at + REPORT_HOLDS && known.sequence >= report.sequence);
+            .is_some_and(|(at, known)| {
+                now <= at + REPORT_HOLDS && known.sequence >= report.sequence
+            });
         if !is_late {
             self.reports.insert(report.balancer, (now, report));
         }
@@ -110,14 +112,24 @@
         for report in reports.filter(|report| is_of_region(&report.zone)) {
             placements.extend(&report.placements);
             for load in &report.upstreams {
-                let entry = FleetLoad { upstream: load.upstream, unread: 0, failing: 0 };
+                let entry = FleetLoad {
+                    upstream: load.upstream,
+                    unread: 0,
+                    failing: 0,
+                };
                 let entry = told.entry(load.upstream).or_insert(entry);
                 entry.unread = entry.unread.saturating_add(load.unread);
                 let counts = load.is_failing && report.zone == zone;
                 entry.failing = entry.failing.saturating_add(u16::from(counts));
             }
         }
-        let upstreams = told.into_values().filter(|load| load.unread > 0 || load.failing > 0).collect();
-        FleetLoads { upstreams, placements: placements.into_iter().collect() }
+        let upstreams = told
+            .into_values()
+            .filter(|load| load.unread > 0 || load.failing > 0)
+            .collect();
+        FleetLoads {
+            upstreams,
+            placements: placements.into_iter().collect(),
+        }
     }
 }
--- a/crates/control/src/machine/directory.rs
+++ b/crates/control/src/machine/directory.rs
@@ -48,9 +48,13 @@
         let machines = self.machines();
         let region = self.region_of(zone);
         let in_zone = machines.iter().filter(|machine| machine.zone == zone);
-        let in_region = machines.iter().filter(|machine| region == Some(&machine.region));
+        let in_region = machines
+            .iter()
+            .filter(|machine| region == Some(&machine.region));
         let weight = |machine: &&ControlMachine| hash(&(id, &machine.control));
-        let chosen = in_zone.max_by_key(weight).or_else(|| in_region.max_by_key(weight));
+        let chosen = in_zone
+            .max_by_key(weight)
+            .or_else(|| in_region.max_by_key(weight));
         chosen.map(|machine| machine.control.clone())
     }
 
@@ -58,12 +62,23 @@
     /// its host are bound, else all. A request that is bound to regions may be read there and in the client's region only:
     /// before its client is sent elsewhere, it goes to a balancer there that is being stopped.
     pub fn resolve(&self, question: &Question) -> Resolved {
-        let ready: Vec<&Heartbeat> =
-            self.balancers.alive(self.now, BALANCER_ALIVE).filter(|heartbeat| heartbeat.ready).collect();
+        let ready: Vec<&Heartbeat> = self
+            .balancers
+            .alive(self.now, BALANCER_ALIVE)
+            .filter(|heartbeat| heartbeat.ready)
+            .collect();
         let mut named = self.nearest(&ready, question);
         named.sort_by_cached_key(|address| hash(&(&question.client, address)));
-        let addresses = named.into_iter().take(MOST_NAMED).map(str::to_owned).collect();
-        let ttl_s = if ready.len() < MANY { TTL_S } else { TTL_OF_MANY_S };
+        let addresses = named
+            .into_iter()
+            .take(MOST_NAMED)
+            .map(str::to_owned)
+            .collect();
+        let ttl_s = if ready.len() < MANY {
+            TTL_S
+        } else {
+            TTL_OF_MANY_S
+        };
         Resolved { addresses, ttl_s }
     }
 
@@ -73,12 +88,18 @@
         if !in_zone.is_empty() {
             return in_zone;
         }
-        let in_region = addresses(ready, |heartbeat| self.region_of(&heartbeat.zone) == Some(region));
+        let in_region = addresses(ready, |heartbeat| {
+            self.region_of(&heartbeat.zone) == Some(region)
+        });
         if !in_region.is_empty() {
             return in_region;
         }
         let bound = self.within_bounds(ready, region, &self.allowed_regions(&question.host));
-        if bound.is_empty() { addresses(ready, |_| true) } else { bound }
+        if bound.is_empty() {
+            addresses(ready, |_| true)
+        } else {
+            bound
+        }
     }
 
     /// The balancers for a client without a ready one in its region, whose requests are bound to these regions, if to any.
@@ -92,27 +113,42 @@
             return Vec::new();
         }
         let is_allowed = |region: &String| allowed.contains(region);
-        let may_serve = |heartbeat: &Heartbeat| self.region_of(&heartbeat.zone).is_some_and(is_allowed);
+        let may_serve =
+            |heartbeat: &Heartbeat| self.region_of(&heartbeat.zone).is_some_and(is_allowed);
         let in_service = addresses(ready, may_serve);
         if !in_service.is_empty() {
             return in_service;
         }
-        let stopping: Vec<&Heartbeat> =
-            self.balancers.stopping(self.now, BALANCER_ALIVE, STOPPING_TAKES).collect();
-        let is_near =
-            |heartbeat: &Heartbeat| self.region_of(&heartbeat.zone).is_some_and(|own| own == region);
-        addresses(&stopping, |heartbeat| is_near(heartbeat) || may_serve(heartbeat))
+        let stopping: Vec<&Heartbeat> = self
+            .balancers
+            .stopping(self.now, BALANCER_ALIVE, STOPPING_TAKES)
+            .collect();
+        let is_near = |heartbeat: &Heartbeat| {
+            self.region_of(&heartbeat.zone)
+                .is_some_and(|own| own == region)
+        };
+        addresses(&stopping, |heartbeat| {
+            is_near(heartbeat) || may_serve(heartbeat)
+        })
     }
 
     /// The regions in which all routes of a host that are bound to regions may be served; where there is none, those of any.
     fn allowed_regions(&self, host: &str) -> BTreeSet<String> {
-        let Some(configuration) = &self.state.configuration else { return BTreeSet::new() };
+        let Some(configuration) = &self.state.configuration else {
+            return BTreeSet::new();
+        };
         let bound = || {
-            configuration.routes_of(host).map(|route| &route.allowed_regions).filter(|all| !all.is_empty())
+            configuration
+                .routes_of(host)
+                .map(|route| &route.allowed_regions)
+                .filter(|all| !all.is_empty())
         };
         let any: BTreeSet<String> = bound().flatten().cloned().collect();
-        let common: BTreeSet<String> =
-            any.iter().filter(|region| bound().all(|all| all.contains(region))).cloned().collect();
+        let common: BTreeSet<String> = any
+            .iter()
+            .filter(|region| bound().all(|all| all.contains(region)))
+            .cloned()
+            .collect();
         if common.is_empty() { any } else { common }
     }
 
@@ -121,6 +157,13 @@
     }
 }
 
-fn addresses<'a>(balancers: &[&'a Heartbeat], is_named: impl Fn(&Heartbeat) -> bool) -> Vec<&'a str> {
-    balancers.iter().filter(|heartbeat| is_named(heartbeat)).map(|heartbeat| &*heartbeat.address).collect()
+fn addresses<'a>(
+    balancers: &[&'a Heartbeat],
+    is_named: impl Fn(&Heartbeat) -> bool,
+) -> Vec<&'a str> {
+    balancers
+        .iter()
+        .filter(|heartbeat| is_named(heartbeat))
+        .map(|heartbeat| &*heartbeat.address)
+        .collect()
 }
--- a/crates/control/src/machine/feeds.rs
+++ b/crates/control/src/machine/feeds.rs
@@ -33,27 +33,52 @@
     /// when many come back at once, it is made and encoded once.
     pub fn subscribe(&mut self, now: u64, subscriber: u64, packet: &Packet) {
         self.now = self.now.max(now);
-        let Packet::Subscribe { balancer, epoch, offset, index } = packet else { return };
+        let Packet::Subscribe {
+            balancer,
+            epoch,
+            offset,
+            index,
+        } = packet
+        else {
+            return;
+        };
         self.tell_events();
         let balancer = balancer.clone();
         match self.journal.tail(*epoch, *offset) {
             Some(events) => {
-                let packet = Packet::Events { offset: self.journal.end(), events };
+                let packet = Packet::Events {
+                    offset: self.journal.end(),
+                    events,
+                };
                 self.subscribers.insert(subscriber, Subscriber { balancer });
                 self.begin_feed(vec![subscriber], packet);
             }
-            None => self.newcomers.push(Newcomer { subscriber, balancer, index: *index }),
+            None => self.newcomers.push(Newcomer {
+                subscriber,
+                balancer,
+                index: *index,
+            }),
         }
     }
 
     /// Balancers that wait for a snapshot get one.
     pub(super) fn admit_newcomers(&mut self) {
         let newcomers = std::mem::take(&mut self.newcomers);
-        let Some(index) = newcomers.iter().map(|newcomer| newcomer.index).min() else { return };
+        let Some(index) = newcomers.iter().map(|newcomer| newcomer.index).min() else {
+            return;
+        };
         self.tell_events();
         let packet = self.snapshot(index);
-        let admitted: Vec<u64> = newcomers.iter().map(|newcomer| newcomer.subscriber).collect();
-        for Newcomer { subscriber, balancer, .. } in newcomers {
+        let admitted: Vec<u64> = newcomers
+            .iter()
+            .map(|newcomer| newcomer.subscriber)
+            .collect();
+        for Newcomer {
+            subscriber,
+            balancer,
+            ..
+        } in newcomers
+        {
             self.subscribers.insert(subscriber, Subscriber { balancer });
         }
         self.begin_feed(admitted, packet);
@@ -63,26 +88,41 @@
     fn begin_feed(&mut self, subscribers: Vec<u64>, beginning: Packet) {
         let (status, balancing) = (self.status(), Packet::Balancing(self.balancing()));
         for packet in [beginning, status, balancing] {
-            self.actions.push(Action::Deliver { subscribers: subscribers.clone(), packet });
+            self.actions.push(Action::Deliver {
+                subscribers: subscribers.clone(),
+                packet,
+            });
         }
     }
 
     /// All that a reader needs who has applied the configuration's log up to a position.
     fn snapshot(&self, index: u64) -> Packet {
-        let state = if self.state.index > index { self.state.encode() } else { Vec::new() };
+        let state = if self.state.index > index {
+            self.state.encode()
+        } else {
+            Vec::new()
+        };
         let (epoch, offset) = (self.journal.epoch(), self.journal.end());
-        Packet::Snapshot { epoch, offset, state, registrations: self.registry.all(self.now) }
+        Packet::Snapshot {
+            epoch,
+            offset,
+            state,
+            registrations: self.registry.all(self.now),
+        }
     }
 
     /// A balancer's connection has ended.
     pub fn unsubscribe(&mut self, subscriber: u64) {
         self.subscribers.remove(&subscriber);
-        self.newcomers.retain(|newcomer| newcomer.subscriber != subscriber);
+        self.newcomers
+            .retain(|newcomer| newcomer.subscriber != subscriber);
     }
 
     /// The names of the balancers that read the feed here.
     pub fn readers(&self) -> impl Iterator<Item = &str> {
-        self.subscribers.values().map(|subscriber| subscriber.balancer.as_str())
+        self.subscribers
+            .values()
+            .map(|subscriber| subscriber.balancer.as_str())
     }
 
     /// Appends an event to the journal. Readers are told of orders at once, of registrations with the next tick: many come
@@ -113,7 +153,10 @@
     fn tell_all(&mut self, packet: Packet) {
         let subscribers: Vec<u64> = self.subscribers.keys().copied().collect();
         if !subscribers.is_empty() {
-            self.actions.push(Action::Deliver { subscribers, packet });
+            self.actions.push(Action::Deliver {
+                subscribers,
+                packet,
+            });
         }
     }
 
@@ -139,17 +182,25 @@
     }
 
     fn status(&self) -> Packet {
-        Packet::Status { in_quorum: self.in_quorum(), machines: self.machines() }
+        Packet::Status {
+            in_quorum: self.in_quorum(),
+            machines: self.machines(),
+        }
     }
 
     /// The balancers that share budgets, by zone.
     fn balancing(&self) -> Vec<ZoneBalancers> {
         let mut zones: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
         for heartbeat in self.balancers.alive(self.now, BALANCER_COUNTS) {
-            zones.entry(&heartbeat.zone).or_default().push(short_hash(&heartbeat.name));
+            zones
+                .entry(&heartbeat.zone)
+                .or_default()
+                .push(short_hash(&heartbeat.name));
         }
-        let of_zone =
-            |(zone, balancers): (&str, Vec<u32>)| ZoneBalancers { zone: zone.to_owned(), balancers };
+        let of_zone = |(zone, balancers): (&str, Vec<u32>)| ZoneBalancers {
+            zone: zone.to_owned(),
+            balancers,
+        };
         zones.into_iter().map(of_zone).collect()
     }
 }
--- a/crates/control/src/machine/loads.rs
+++ b/crates/control/src/machine/loads.rs
@@ -35,11 +35,17 @@
         self.loads.forget(self.now);
         for (zone, subscribers) in self.subscribers_by_zone() {
             let region = self.settings.zones.get(&zone);
-            let is_of_region = |other: &str| other == zone || self.settings.zones.get(other) == region;
+            let is_of_region =
+                |other: &str| other == zone || self.settings.zones.get(other) == region;
             let loads = self.loads.of_zone(&zone, is_of_region);
             if self.is_news(&zone, &loads) {
-                self.told_loads.zones.insert(zone, (self.now, loads.clone()));
-                self.actions.push(Action::Deliver { subscribers, packet: Packet::Loads(loads) });
+                self.told_loads
+                    .zones
+                    .insert(zone, (self.now, loads.clone()));
+                self.actions.push(Action::Deliver {
+                    subscribers,
+                    packet: Packet::Loads(loads),
+                });
             }
         }
     }
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -28,7 +28,9 @@
 use reads::PendingRead;
 use registrations::{PendingTaken, Spread};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use woadstall_consensus::{DurableState, Member, Membership, Record, Replica, Settings, Snapshot, Timing};
+use woadstall_consensus::{
+    DurableState, Member, Membership, Record, Replica, Settings, Snapshot, Timing,
+};
 
 /// What the shell has to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
@@ -119,7 +121,11 @@
 }
 
 /// Times of the replicated log: a round trip between regions is up to 110 ms, and a machine has a part of a core.
-pub const TIMING: Timing = Timing { heartbeat: 150, election_min: 900, election_max: 1_500 };
+pub const TIMING: Timing = Timing {
+    heartbeat: 150,
+    election_min: 900,
+    election_max: 1_500,
+};
 /// How often a machine that does not vote asks to join.
 const JOIN_EVERY: u64 = 500;
 /// How long a caller is kept waiting at most: after a second it goes to another machine.
@@ -182,7 +188,12 @@
     let mut voters = seeds.to_vec();
     voters.sort_by_key(|member| member.id);
     voters.dedup();
-    Snapshot { index: 1, term: 1, members: Membership::new(voters), state: ControlState::default().encode() }
+    Snapshot {
+        index: 1,
+        term: 1,
+        members: Membership::new(voters),
+        state: ControlState::default().encode(),
+    }
 }
 
 impl Machine {
@@ -193,7 +204,10 @@
             now,
             replica: Replica::new(
                 durable,
-                Settings { timing: TIMING, least_voters: 2 * settings.tolerated + 1 },
+                Settings {
+                    timing: TIMING,
+                    least_voters: 2 * settings.tolerated + 1,
+                },
                 now,
                 seed,
             ),
@@ -234,7 +248,9 @@
             settings,
         };
         let own = machine.settings.machine.clone();
-        machine.replica.set_place(own.member.address.clone(), peers::place_of(&own));
+        machine
+            .replica
+            .set_place(own.member.address.clone(), peers::place_of(&own));
         for seed in machine.settings.seeds.clone() {
             machine.connect(seed);
         }
@@ -324,7 +340,10 @@
                 self.settle();
             }
             Packet::Leaves(replica) => self.replica.leaves(self.now, replica),
-            Packet::Registrations { call, registrations } => self.on_registrations(from, call, registrations),
+            Packet::Registrations {
+                call,
+                registrations,
+            } => self.on_registrations(from, call, registrations),
             Packet::RegistrationsTaken { call } => self.on_taken(from, call),
             Packet::Renewals(renewals) => {
                 for Renewal { id, sequence } in renewals {
@@ -336,8 +355,14 @@
                     self.balancers.merge(self.now, heartbeat);
                 }
             }
-            Packet::BalancersStillThere(still_there) => self.balancers.renew(self.now, &still_there),
-            Packet::Order { call, expires, command } => self.on_forwarded_order(from, call, expires, command),
+            Packet::BalancersStillThere(still_there) => {
+                self.balancers.renew(self.now, &still_there)
+            }
+            Packet::Order {
+                call,
+                expires,
+                command,
+            } => self.on_forwarded_order(from, call, expires, command),
             Packet::OrderDone { call, outcome } => self.on_order_done(call, outcome),
             Packet::Read { call } => self.on_forwarded_read(from, call),
             Packet::ReadDone { call, index } => self.on_read_done(call, index),
@@ -360,8 +385,16 @@
             Heard::Old => {}
             Heard::Changed => drop(self.heartbeats.insert(name, heartbeat)),
             Heard::Renewed => {
-                let Heartbeat { incarnation, sequence, .. } = heartbeat;
-                let news = StillThere { name: short_hash(&name), incarnation, sequence };
+                let Heartbeat {
+                    incarnation,
+                    sequence,
+                    ..
+                } = heartbeat;
+                let news = StillThere {
+                    name: short_hash(&name),
+                    incarnation,
+                    sequence,
+                };
                 self.still_there.insert(name, news);
             }
         }
@@ -371,7 +404,10 @@
     pub fn in_quorum(&self) -> bool {
         let heard = match self.replica.is_leader() {
             true => self.replica.leader_heard(),
-            false => self.replica.leader().and_then(|_| self.leader_clock.last_sent(self.replica.term())),
+            false => self
+                .replica
+                .leader()
+                .and_then(|_| self.leader_clock.last_sent(self.replica.term())),
         };
         heard.is_some_and(|at| self.now <= at + TIMING.election_max)
     }
@@ -388,7 +424,10 @@
 
     /// The call of this process with a number.
     fn call(&self, number: u64) -> CallId {
-        CallId { incarnation: self.settings.incarnation, number }
+        CallId {
+            incarnation: self.settings.incarnation,
+            number,
+        }
     }
 
     /// The number of a call, if this process made it.
@@ -401,7 +440,10 @@
     }
 
     fn send(&mut self, address: &str, packet: Packet) {
-        self.actions.push(Action::Send { address: address.to_owned(), packet });
+        self.actions.push(Action::Send {
+            address: address.to_owned(),
+            packet,
+        });
     }
 
     fn note_quorum(&mut self) {
@@ -415,8 +457,16 @@
         }
         if self.replica.is_leader() != self.was_leader {
             self.was_leader = !self.was_leader;
-            let word = if self.was_leader { "leader elected" } else { "leadership ended" };
-            self.log(format!("{word} term={} id={:x}", self.replica.term(), self.replica.id()));
+            let word = if self.was_leader {
+                "leader elected"
+            } else {
+                "leadership ended"
+            };
+            self.log(format!(
+                "{word} term={} id={:x}",
+                self.replica.term(),
+                self.replica.id()
+            ));
             if !self.was_leader {
                 self.give_up_proposed();
             }
--- a/crates/control/src/machine/orders.rs
+++ b/crates/control/src/machine/orders.rs
@@ -61,21 +61,37 @@
         self.now = self.now.max(now);
         let number = self.number();
         let deadline = self.now + CALL_PATIENCE;
-        self.orders.insert(number, Order { token, command, passed_to: None, deadline });
+        self.orders.insert(
+            number,
+            Order {
+                token,
+                command,
+                passed_to: None,
+                deadline,
+            },
+        );
         self.pass_on(number);
         self.settle();
     }
 
     /// The leader of the current term, if it is known; it may be this machine.
     pub(super) fn leader(&self) -> Option<Leader> {
-        let address = self.replica.leader().and_then(|leader| self.address_of(leader))?;
-        Some(Leader { address, term: self.replica.term() })
+        let address = self
+            .replica
+            .leader()
+            .and_then(|leader| self.address_of(leader))?;
+        Some(Leader {
+            address,
+            term: self.replica.term(),
+        })
     }
 
     /// Proposes an order here, or passes it to the leader. It waits where there is none, and is taken by nobody once its caller's
     /// time is over.
     fn pass_on(&mut self, number: u64) {
-        let Some(order) = self.orders.get(&number) else { return };
+        let Some(order) = self.orders.get(&number) else {
+            return;
+        };
         if self.now >= order.deadline {
             return;
         }
@@ -83,21 +99,38 @@
             self.propose(number);
             return;
         }
-        let Some(leader) = self.leader().filter(|leader| order.passed_to.as_ref() != Some(leader)) else {
+        let Some(leader) = self
+            .leader()
+            .filter(|leader| order.passed_to.as_ref() != Some(leader))
+        else {
+            return;
+        };
+        let Some(expires) = self.leader_clock.by_leader(leader.term, order.deadline) else {
             return;
         };
-        let Some(expires) = self.leader_clock.by_leader(leader.term, order.deadline) else { return };
         let (address, command) = (leader.address.clone(), order.command.clone());
         if let Some(order) = self.orders.get_mut(&number) {
             order.passed_to = Some(leader);
         }
         let call = self.call(number);
-        self.send(&address, Packet::Order { call, expires, command });
+        self.send(
+            &address,
+            Packet::Order {
+                call,
+                expires,
+                command,
+            },
+        );
     }
 
     fn propose(&mut self, number: u64) {
-        let Some(order) = self.orders.remove(&number) else { return };
-        let waiting = Waiting { origin: Origin::Call(order.token), deadline: order.deadline };
+        let Some(order) = self.orders.remove(&number) else {
+            return;
+        };
+        let waiting = Waiting {
+            origin: Origin::Call(order.token),
+            deadline: order.deadline,
+        };
         if !self.propose_for(waiting, &order.command) {
             self.orders.insert(number, order);
         }
@@ -108,16 +141,26 @@
     fn propose_for(&mut self, waiting: Waiting, command: &Command) -> bool {
         let (digest, is_change) = (command.digest(), command.is_change());
         let term = self.replica.term();
-        let is_same =
-            |proposed: &&mut Proposed| is_change && (proposed.term, proposed.digest) == (term, digest);
+        let is_same = |proposed: &&mut Proposed| {
+            is_change && (proposed.term, proposed.digest) == (term, digest)
+        };
         if self.replica.is_leader()
             && let Some(proposed) = self.proposed.values_mut().find(is_same)
         {
             proposed.waiting.push(waiting);
             return true;
         }
-        let Ok((index, term)) = self.replica.propose(encoded(command)) else { return false };
-        self.proposed.insert(index, Proposed { term, digest, waiting: vec![waiting] });
+        let Ok((index, term)) = self.replica.propose(encoded(command)) else {
+            return false;
+        };
+        self.proposed.insert(
+            index,
+            Proposed {
+                term,
+                digest,
+                waiting: vec![waiting],
+            },
+        );
         true
     }
 
@@ -130,16 +173,30 @@
         command: Command,
     ) {
         let is_in_time = expires.term == self.replica.term() && self.now <= expires.at;
-        let origin = Origin::Peer { address: from.to_owned(), call };
-        let waiting = Waiting { origin, deadline: self.now + CALL_PATIENCE };
+        let origin = Origin::Peer {
+            address: from.to_owned(),
+            call,
+        };
+        let waiting = Waiting {
+            origin,
+            deadline: self.now + CALL_PATIENCE,
+        };
         if !is_in_time || !self.propose_for(waiting, &command) {
-            self.send(from, Packet::OrderDone { call, outcome: None });
+            self.send(
+                from,
+                Packet::OrderDone {
+                    call,
+                    outcome: None,
+                },
+            );
         }
         self.settle();
     }
 
     pub(super) fn on_order_done(&mut self, call: CallId, outcome: Option<Outcome>) {
-        let Some(number) = self.own_number(call) else { return };
+        let Some(number) = self.own_number(call) else {
+            return;
+        };
         match outcome {
             Some(outcome) => {
                 if let Some(order) = self.orders.remove(&number) {
@@ -157,7 +214,9 @@
 
     /// An entry was applied: whoever waits for this one hears of it.
     pub(super) fn finish_proposed(&mut self, index: u64, term: u64, outcome: Option<Outcome>) {
-        let Some(proposed) = self.proposed.remove(&index) else { return };
+        let Some(proposed) = self.proposed.remove(&index) else {
+            return;
+        };
         let outcome = outcome.filter(|_| proposed.term == term);
         for waiting in proposed.waiting {
             self.tell_outcome(waiting.origin, outcome.clone());
@@ -170,13 +229,19 @@
                 let answer = outcome.map_or(Answer::Unclear, answer_of);
                 self.answer(token, answer);
             }
-            Origin::Peer { address, call } => self.send(&address, Packet::OrderDone { call, outcome }),
+            Origin::Peer { address, call } => {
+                self.send(&address, Packet::OrderDone { call, outcome })
+            }
         }
     }
 
     /// This machine leads no longer: what it proposed may be taken or not, and those who wait ask the next leader.
     pub(super) fn give_up_proposed(&mut self) {
-        let given_up: Vec<Proposed> = self.proposed.drain().map(|(_, proposed)| proposed).collect();
+        let given_up: Vec<Proposed> = self
+            .proposed
+            .drain()
+            .map(|(_, proposed)| proposed)
+            .collect();
         for waiting in given_up.into_iter().flat_map(|proposed| proposed.waiting) {
             self.tell_outcome(waiting.origin, None);
         }
@@ -184,9 +249,16 @@
 
     /// What was passed to a machine over a former link may be lost: it is passed on again.
     pub(super) fn pass_calls_again(&mut self, address: &str) {
-        let is_there =
-            |leader: &Option<Leader>| leader.as_ref().is_some_and(|leader| leader.address == address);
-        for order in self.orders.values_mut().filter(|order| is_there(&order.passed_to)) {
+        let is_there = |leader: &Option<Leader>| {
+            leader
+                .as_ref()
+                .is_some_and(|leader| leader.address == address)
+        };
+        for order in self
+            .orders
+            .values_mut()
+            .filter(|order| is_there(&order.passed_to))
+        {
             order.passed_to = None;
         }
         self.ask_reads_again(address);
@@ -198,7 +270,9 @@
         let waiting: Vec<u64> = self.orders.keys().copied().collect();
         waiting.into_iter().for_each(|number| self.pass_on(number));
         let waiting: Vec<u64> = self.reads.keys().copied().collect();
-        waiting.into_iter().for_each(|number| self.ask_leader(number));
+        waiting
+            .into_iter()
+            .for_each(|number| self.ask_leader(number));
         self.settle();
     }
 
@@ -206,8 +280,11 @@
     pub(super) fn give_up_overdue(&mut self) {
         self.pass_all_on();
         let now = self.now;
-        let overdue: Vec<u64> =
-            self.orders.extract_if(|_, order| now >= order.deadline).map(|(_, order)| order.token).collect();
+        let overdue: Vec<u64> = self
+            .orders
+            .extract_if(|_, order| now >= order.deadline)
+            .map(|(_, order)| order.token)
+            .collect();
         // Their entries may still be committed: nobody can tell now.
         let of_proposed = self.proposed.values_mut().flat_map(|proposed| {
             proposed
--- a/crates/control/src/machine/peers.rs
+++ b/crates/control/src/machine/peers.rs
@@ -35,7 +35,13 @@
         let registrations = self.registry.all(self.now);
         if !registrations.is_empty() {
             let call = self.next_call();
-            self.send(address, Packet::Registrations { call, registrations });
+            self.send(
+                address,
+                Packet::Registrations {
+                    call,
+                    registrations,
+                },
+            );
         }
         self.pass_calls_again(address);
     }
@@ -54,14 +60,22 @@
     pub fn is_being_replaced(&self) -> bool {
         let members = self.replica.members();
         let id = self.replica.id();
-        members.is_changing() && members.is_voter(id) && !members.next.iter().any(|member| member.id == id)
+        members.is_changing()
+            && members.is_voter(id)
+            && !members.next.iter().any(|member| member.id == id)
     }
 
     /// The control machines that are there, this one among them.
     pub fn machines(&self) -> Vec<ControlMachine> {
         let alive = |peer: &&Peer| self.now <= peer.heard + PEER_ALIVE;
-        let others = self.peers.values().filter(alive).map(|peer| peer.machine.clone());
-        std::iter::once(self.settings.machine.clone()).chain(others).collect()
+        let others = self
+            .peers
+            .values()
+            .filter(alive)
+            .map(|peer| peer.machine.clone());
+        std::iter::once(self.settings.machine.clone())
+            .chain(others)
+            .collect()
     }
 
     pub(super) fn broadcast(&mut self, packet: &Packet) {
@@ -71,28 +85,41 @@
     }
 
     pub(super) fn connect(&mut self, address: String) {
-        if address != self.settings.machine.member.address && self.connected.insert(address.clone()) {
+        if address != self.settings.machine.member.address && self.connected.insert(address.clone())
+        {
             self.actions.push(Action::Connect { address });
         }
     }
 
     fn hello(&self) -> Packet {
-        let known = self.peers.values().map(|peer| peer.machine.clone()).collect();
-        Packet::Hello { machine: self.settings.machine.clone(), known }
+        let known = self
+            .peers
+            .values()
+            .map(|peer| peer.machine.clone())
+            .collect();
+        Packet::Hello {
+            machine: self.settings.machine.clone(),
+            known,
+        }
     }
 
     pub(super) fn introduce(&mut self) {
         let members = self.replica.members().clone();
         let now = self.now;
-        self.peers
-            .retain(|_, peer| now <= peer.heard + FORGET_PEER || members.is_voter(peer.machine.member.id));
+        self.peers.retain(|_, peer| {
+            now <= peer.heard + FORGET_PEER || members.is_voter(peer.machine.member.id)
+        });
         let is_wanted = |address: &String| {
             self.peers.contains_key(address)
                 || self.settings.seeds.contains(address)
                 || members.members().any(|member| member.address == *address)
         };
-        let unwanted: Vec<String> =
-            self.connected.iter().filter(|address| !is_wanted(address)).cloned().collect();
+        let unwanted: Vec<String> = self
+            .connected
+            .iter()
+            .filter(|address| !is_wanted(address))
+            .cloned()
+            .collect();
         for address in unwanted {
             self.connected.remove(&address);
             self.actions.push(Action::Disconnect { address });
@@ -106,11 +133,18 @@
         self.connect(address.clone());
         if address != self.settings.machine.member.address {
             self.replica.set_place(address.clone(), place_of(&machine));
-            self.peers.insert(address, Peer { machine, heard: self.now });
+            self.peers.insert(
+                address,
+                Peer {
+                    machine,
+                    heard: self.now,
+                },
+            );
         }
         for machine in known {
             let address = machine.member.address.clone();
-            if address != self.settings.machine.member.address && !self.peers.contains_key(&address) {
+            if address != self.settings.machine.member.address && !self.peers.contains_key(&address)
+            {
                 self.connect(address);
             }
         }
@@ -125,7 +159,11 @@
 
     /// The internal address of a replica.
     pub(super) fn address_of(&self, id: ReplicaId) -> Option<String> {
-        let by_peer = self.peers.values().map(|peer| &peer.machine.member).find(|member| member.id == id);
+        let by_peer = self
+            .peers
+            .values()
+            .map(|peer| &peer.machine.member)
+            .find(|member| member.id == id);
         let mut members = self.replica.members().members();
         let member = by_peer.or_else(|| members.find(|member| member.id == id));
         member.map(|member| member.address.clone())
@@ -134,5 +172,8 @@
 
 /// Where a machine is.
 pub(super) fn place_of(machine: &ControlMachine) -> Place {
-    Place { zone: machine.zone.clone(), region: machine.region.clone() }
+    Place {
+        zone: machine.zone.clone(),
+        region: machine.region.clone(),
+    }
 }
--- a/crates/control/src/machine/reads.rs
+++ b/crates/control/src/machine/reads.rs
@@ -21,7 +21,12 @@
         self.now = self.now.max(now);
         let number = self.number();
         let deadline = self.now + CALL_PATIENCE;
-        let read = PendingRead { origin: Origin::Call(token), index: None, asked: None, deadline };
+        let read = PendingRead {
+            origin: Origin::Call(token),
+            index: None,
+            asked: None,
+            deadline,
+        };
         self.reads.insert(number, read);
         self.ask_leader(number);
         self.settle();
@@ -30,7 +35,9 @@
     /// Has the leader of the term confirm a read, unless it was asked before.
     pub(super) fn ask_leader(&mut self, number: u64) {
         let Some(leader) = self.leader() else { return };
-        let Some(read) = self.reads.get_mut(&number) else { return };
+        let Some(read) = self.reads.get_mut(&number) else {
+            return;
+        };
         let is_of_peer = read.origin.call().is_none();
         if is_of_peer || read.index.is_some() || read.asked.as_ref() == Some(&leader) {
             return;
@@ -45,8 +52,11 @@
     }
 
     pub(super) fn ask_reads_again(&mut self, address: &str) {
-        let is_there =
-            |read: &&mut PendingRead| read.asked.as_ref().is_some_and(|asked| asked.address == address);
+        let is_there = |read: &&mut PendingRead| {
+            read.asked
+                .as_ref()
+                .is_some_and(|asked| asked.address == address)
+        };
         for read in self.reads.values_mut().filter(is_there) {
             read.asked = None;
         }
@@ -54,9 +64,20 @@
 
     pub(super) fn on_forwarded_read(&mut self, from: &str, call: CallId) {
         let number = self.number();
-        let origin = Origin::Peer { address: from.to_owned(), call };
+        let origin = Origin::Peer {
+            address: from.to_owned(),
+            call,
+        };
         let deadline = self.now + CALL_PATIENCE;
-        self.reads.insert(number, PendingRead { origin, index: None, asked: None, deadline });
+        self.reads.insert(
+            number,
+            PendingRead {
+                origin,
+                index: None,
+                asked: None,
+                deadline,
+            },
+        );
         self.replica.read(number);
         self.settle();
     }
@@ -65,7 +86,9 @@
     /// order whose caller was told that nobody can tell, it shows the effect, or there will never be one.
     pub(super) fn on_read_confirmed(&mut self, number: u64, confirmed: bool) {
         let index = confirmed.then_some(self.replica.log().last_index());
-        let Some(read) = self.reads.get_mut(&number) else { return };
+        let Some(read) = self.reads.get_mut(&number) else {
+            return;
+        };
         match &read.origin {
             Origin::Call(_) => {
                 read.index = index;
@@ -83,8 +106,12 @@
     }
 
     pub(super) fn on_read_done(&mut self, call: CallId, index: Option<u64>) {
-        let Some(number) = self.own_number(call) else { return };
-        let Some(read) = self.reads.get_mut(&number) else { return };
+        let Some(number) = self.own_number(call) else {
+            return;
+        };
+        let Some(read) = self.reads.get_mut(&number) else {
+            return;
+        };
         match index {
             Some(index) => read.index = Some(index),
             None => read.asked = None,
@@ -95,14 +122,23 @@
     /// Answers the reads of callers whose position is applied. Where there is no configuration yet, nobody can tell one.
     pub(super) fn answer_reads(&mut self) {
         let applied = self.applied;
-        let ready = self.reads.iter().filter(|(_, read)| read.index.is_some_and(|index| index <= applied));
+        let ready = self
+            .reads
+            .iter()
+            .filter(|(_, read)| read.index.is_some_and(|index| index <= applied));
         let ready: Vec<u64> = ready.map(|(number, _)| *number).collect();
         for number in ready {
-            let Some(PendingRead { origin: Origin::Call(token), .. }) = self.reads.remove(&number) else {
+            let Some(PendingRead {
+                origin: Origin::Call(token),
+                ..
+            }) = self.reads.remove(&number)
+            else {
                 continue;
             };
             let answer = match self.state.configuration {
-                Some(_) => Answer::Document(serde_json::to_vec(self.state.document()).unwrap_or_default()),
+                Some(_) => {
+                    Answer::Document(serde_json::to_vec(self.state.document()).unwrap_or_default())
+                }
                 None => Answer::Unclear,
             };
             self.answer(token, answer);
@@ -114,6 +150,8 @@
         let now = self.now;
         let overdue = self.reads.extract_if(|_, read| now >= read.deadline);
         let overdue: Vec<u64> = overdue.filter_map(|(_, read)| read.origin.call()).collect();
-        overdue.into_iter().for_each(|token| self.answer(token, Answer::Unclear));
+        overdue
+            .into_iter()
+            .for_each(|token| self.answer(token, Answer::Unclear));
     }
 }
--- a/crates/control/src/machine/registrations.rs
+++ b/crates/control/src/machine/registrations.rs
@@ -78,7 +78,10 @@
         ));
         self.publish(Event::Registered(registration.clone()));
         let call = self.next_call();
-        self.broadcast(&Packet::Registrations { call, registrations: vec![registration] });
+        self.broadcast(&Packet::Registrations {
+            call,
+            registrations: vec![registration],
+        });
         Some(call)
     }
 
@@ -87,13 +90,20 @@
     fn spread(&mut self, token: u64, id: &str) {
         let Some(call) = self.tell(id) else { return };
         let deadline = self.now + CALL_PATIENCE;
-        let spread = Spread { token, taken: BTreeSet::new(), deadline, keep: self.keep_wanted };
+        let spread = Spread {
+            token,
+            taken: BTreeSet::new(),
+            deadline,
+            keep: self.keep_wanted,
+        };
         self.spreads.insert(call.number, spread);
         self.finish_spread(call.number);
     }
 
     pub(super) fn on_taken(&mut self, from: &str, call: CallId) {
-        let Some(number) = self.own_number(call) else { return };
+        let Some(number) = self.own_number(call) else {
+            return;
+        };
         if let Some(spread) = self.spreads.get_mut(&number) {
             spread.taken.insert(from.to_owned());
             self.finish_spread(number);
@@ -101,7 +111,9 @@
     }
 
     fn finish_spread(&mut self, number: u64) {
-        let Some(spread) = self.spreads.get(&number) else { return };
+        let Some(spread) = self.spreads.get(&number) else {
+            return;
+        };
         let own = &self.settings.machine.member.address;
         let has_kept = self.kept >= spread.keep;
         let holds = |member: &Member| match member.address == *own {
@@ -120,13 +132,17 @@
         self.taken.retain(|taken| now < taken.deadline);
         let overdue = self.spreads.extract_if(|_, spread| now >= spread.deadline);
         let overdue: Vec<u64> = overdue.map(|(_, spread)| spread.token).collect();
-        overdue.into_iter().for_each(|token| self.answer(token, Answer::Unclear));
+        overdue
+            .into_iter()
+            .for_each(|token| self.answer(token, Answer::Unclear));
     }
 
     /// Has the disk keep the registrations as they are now.
     fn want_kept(&mut self) {
         self.keep_wanted += 1;
-        self.actions.push(Action::KeepRegistrations { number: self.keep_wanted });
+        self.actions.push(Action::KeepRegistrations {
+            number: self.keep_wanted,
+        });
     }
 
     /// The registrations are on disk as they were when this wish was made, or later.
@@ -134,22 +150,39 @@
         self.now = self.now.max(now);
         self.kept = self.kept.max(number);
         let kept = self.kept;
-        for PendingTaken { address, call, .. } in
-            self.taken.extract_if(.., |taken| taken.keep <= kept).collect::<Vec<_>>()
+        for PendingTaken { address, call, .. } in self
+            .taken
+            .extract_if(.., |taken| taken.keep <= kept)
+            .collect::<Vec<_>>()
         {
             self.send(&address, Packet::RegistrationsTaken { call });
         }
         let waiting: Vec<u64> = self.spreads.keys().copied().collect();
-        waiting.into_iter().for_each(|number| self.finish_spread(number));
+        waiting
+            .into_iter()
+            .for_each(|number| self.finish_spread(number));
     }
 
     /// Another machine tells of registrations.
-    pub(super) fn on_registrations(&mut self, from: &str, call: CallId, registrations: Vec<Registration>) {
-        let leaves = registrations.iter().any(|registration| registration.status.is_leaving());
+    pub(super) fn on_registrations(
+        &mut self,
+        from: &str,
+        call: CallId,
+        registrations: Vec<Registration>,
+    ) {
+        let leaves = registrations
+            .iter()
+            .any(|registration| registration.status.is_leaving());
         self.merge_all(registrations);
         if leaves && self.kept < self.keep_wanted {
-            let (address, keep, deadline) = (from.to_owned(), self.keep_wanted, self.now + CALL_PATIENCE);
-            self.taken.push(PendingTaken { address, call, keep, deadline });
+            let (address, keep, deadline) =
+                (from.to_owned(), self.keep_wanted, self.now + CALL_PATIENCE);
+            self.taken.push(PendingTaken {
+                address,
+                call,
+                keep,
+                deadline,
+            });
         } else {
             self.send(from, Packet::RegistrationsTaken { call });
         }
@@ -193,7 +226,9 @@
         }
         let still_there = std::mem::take(&mut self.still_there);
         if !still_there.is_empty() {
-            self.broadcast(&Packet::BalancersStillThere(still_there.into_values().collect()));
+            self.broadcast(&Packet::BalancersStillThere(
+                still_there.into_values().collect(),
+            ));
         }
     }
 
@@ -201,21 +236,37 @@
     /// heartbeats itself.
     pub(super) fn expire_upstreams(&mut self) {
         let after = self.settings.heartbeat_ms * SILENT_BEATS + SILENT_SLACK;
-        if self.quorum_since.is_none_or(|since| self.now < since + after) {
+        if self
+            .quorum_since
+            .is_none_or(|since| self.now < since + after)
+        {
             return;
         }
-        let machines: Vec<String> =
-            self.machines().into_iter().map(|machine| machine.member.address).collect();
+        let machines: Vec<String> = self
+            .machines()
+            .into_iter()
+            .map(|machine| machine.member.address)
+            .collect();
         let own = self.settings.machine.member.address.clone();
         let owns = |service: &str| {
-            let group = replica_group(shard_of(service), machines.iter().map(String::as_str), MONITORS);
+            let group = replica_group(
+                shard_of(service),
+                machines.iter().map(String::as_str),
+                MONITORS,
+            );
             group.first().is_some_and(|owner| *owner == own)
         };
         for silent in self.registry.expire(self.now, after, owns) {
-            self.log(format!("upstream silent id={} service={} after_ms={after}", silent.id, silent.service));
+            self.log(format!(
+                "upstream silent id={} service={} after_ms={after}",
+                silent.id, silent.service
+            ));
             self.publish(Event::Registered(silent.clone()));
             let call = self.next_call();
-            self.broadcast(&Packet::Registrations { call, registrations: vec![silent] });
+            self.broadcast(&Packet::Registrations {
+                call,
+                registrations: vec![silent],
+            });
         }
     }
 }
--- a/crates/control/src/machine/replication.rs
+++ b/crates/control/src/machine/replication.rs
@@ -38,16 +38,24 @@
                 self.carry_out(output);
             }
         }
-        let addresses: Vec<String> =
-            self.replica.members().members().map(|member| member.address.clone()).collect();
-        addresses.into_iter().for_each(|address| self.connect(address));
+        let addresses: Vec<String> = self
+            .replica
+            .members()
+            .members()
+            .map(|member| member.address.clone())
+            .collect();
+        addresses
+            .into_iter()
+            .for_each(|address| self.connect(address));
         self.answer_reads();
         self.compact();
     }
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Persist { sequence, record } => self.actions.push(Action::Persist { sequence, record }),
+            Output::Persist { sequence, record } => {
+                self.actions.push(Action::Persist { sequence, record })
+            }
             Output::Send(message) => {
                 if let Some(address) = self.address_of(message.to) {
                     let clock = self.now;
@@ -74,15 +82,24 @@
                 self.log_bytes += bytes.len();
                 match Command::deserialize_bin(&bytes) {
                     Ok(command) => self.apply(entry.index, entry.term, command),
-                    Err(error) => self.log(format!("entry {} can't be decoded: {error}", entry.index)),
+                    Err(error) => {
+                        self.log(format!("entry {} can't be decoded: {error}", entry.index))
+                    }
                 }
             }
             Payload::Members(members) => {
                 let addresses = |members: &[Member]| {
-                    members.iter().map(|member| member.address.clone()).collect::<Vec<_>>().join(",")
+                    members
+                        .iter()
+                        .map(|member| member.address.clone())
+                        .collect::<Vec<_>>()
+                        .join(",")
                 };
                 let (voters, next) = (addresses(&members.voters), addresses(&members.next));
-                self.log(format!("members changed index={} voters={voters} next={next}", entry.index));
+                self.log(format!(
+                    "members changed index={} voters={voters} next={next}",
+                    entry.index
+                ));
                 self.finish_proposed(entry.index, entry.term, None);
             }
             Payload::Empty => self.finish_proposed(entry.index, entry.term, None),
@@ -101,7 +118,11 @@
 
     fn compact(&mut self) {
         let entries = self.replica.log().entries().len();
-        let most = if self.replica.is_sending_snapshot() { COMPACT_ENTRIES_LATER } else { COMPACT_ENTRIES };
+        let most = if self.replica.is_sending_snapshot() {
+            COMPACT_ENTRIES_LATER
+        } else {
+            COMPACT_ENTRIES
+        };
         if self.log_bytes < COMPACT_BYTES && entries < most {
             return;
         }
--- a/crates/control/src/reader.rs
+++ b/crates/control/src/reader.rs
@@ -25,7 +25,10 @@
 impl Findings {
     /// Adds one.
     pub fn add(&mut self, place: impl Into<String>, problem: impl Into<String>) {
-        self.0.push(Finding { place: place.into(), problem: problem.into() });
+        self.0.push(Finding {
+            place: place.into(),
+            problem: problem.into(),
+        });
     }
 
     /// Whether there is none.
@@ -36,7 +39,9 @@
 
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.iter().try_for_each(|finding| writeln!(f, "{finding}"))
+        self.0
+            .iter()
+            .try_for_each(|finding| writeln!(f, "{finding}"))
     }
 }
 
@@ -52,12 +57,19 @@
 impl<'a> Reader<'a> {
     /// The whole document.
     pub fn new(document: &'a Value) -> Self {
-        Self { value: Some(document), place: String::new() }
+        Self {
+            value: Some(document),
+            place: String::new(),
+        }
     }
 
     /// The place, as findings name it.
     pub fn place(&self) -> &str {
-        if self.place.is_empty() { "(document)" } else { &self.place }
+        if self.place.is_empty() {
+            "(document)"
+        } else {
+            &self.place
+        }
     }
 
     /// The value, if there is one; `null` counts as none.
@@ -71,17 +83,25 @@
             true => name.to_owned(),
             false => format!("{}.{name}", self.place),
         };
-        Self { value: self.value.and_then(|value| value.get(name)), place }
+        Self {
+            value: self.value.and_then(|value| value.get(name)),
+            place,
+        }
     }
 
     /// The items of an array; none where the value is absent.
     pub fn items(&self, findings: &mut Findings) -> Vec<Self> {
-        let Some(value) = self.value() else { return Vec::new() };
+        let Some(value) = self.value() else {
+            return Vec::new();
+        };
         let Some(items) = value.as_array() else {
             findings.add(self.place(), "must be an array");
             return Vec::new();
         };
-        let item = |(index, value)| Self { value: Some(value), place: format!("{}[{index}]", self.place) };
+        let item = |(index, value)| Self {
+            value: Some(value),
+            place: format!("{}[{index}]", self.place),
+        };
         items.iter().enumerate().map(item).collect()
     }
 
@@ -111,7 +131,11 @@
 
     /// A whole number, or `default` where the value is absent.
     pub fn whole_or(&self, default: u64, findings: &mut Findings) -> u64 {
-        if self.value().is_some() { self.whole(findings) } else { default }
+        if self.value().is_some() {
+            self.whole(findings)
+        } else {
+            default
+        }
     }
 
     /// A number that is 0 or more, or `default` where the value is absent.
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -123,7 +123,12 @@
             if registration.status == Status::Ready && registration.age_ms > STALE {
                 registration.status = Status::Silent;
             }
-            let held = Held { registration, heard, changed: now, cold_until };
+            let held = Held {
+                registration,
+                heard,
+                changed: now,
+                cold_until,
+            };
             self.held.insert(id, held);
             return Merge::Changed;
         };
@@ -145,7 +150,10 @@
             held.heard = held.heard.max(heard);
         }
         let left = held.cold_until.saturating_sub(now);
-        let before = Registration { cold_remaining_ms: left + COLD_JITTER, ..old.clone() };
+        let before = Registration {
+            cold_remaining_ms: left + COLD_JITTER,
+            ..old.clone()
+        };
         let changed = registration.differs(&before);
         held.registration = registration;
         if changed || held.registration.cold_remaining_ms == 0 {
@@ -165,7 +173,12 @@
     }
 
     /// Marks upstreams of the given services silent whose last heartbeat is longer ago than this, and tells which.
-    pub fn expire(&mut self, now: u64, after: u64, owns: impl Fn(&str) -> bool) -> Vec<Registration> {
+    pub fn expire(
+        &mut self,
+        now: u64,
+        after: u64,
+        owns: impl Fn(&str) -> bool,
+    ) -> Vec<Registration> {
         let overdue = |held: &&mut Held| {
             let registration = &held.registration;
             let silent = now > held.heard + after && registration.status == Status::Ready;
@@ -190,7 +203,9 @@
 
     /// Hears that upstreams were still there at these sequence numbers; they were heard by another machine.
     pub fn renew(&mut self, now: u64, id: &str, sequence: u64) {
-        let Some(held) = self.held.get_mut(id) else { return };
+        let Some(held) = self.held.get_mut(id) else {
+            return;
+        };
         if sequence > held.registration.sequence && held.registration.status == Status::Ready {
             held.registration.sequence = sequence;
             held.heard = now;
@@ -225,6 +240,10 @@
     fn as_of(&self, now: u64) -> Registration {
         let cold_remaining_ms = self.cold_until.saturating_sub(now);
         let age_ms = now.saturating_sub(self.heard);
-        Registration { cold_remaining_ms, age_ms, ..self.registration.clone() }
+        Registration {
+            cold_remaining_ms,
+            age_ms,
+            ..self.registration.clone()
+        }
     }
 }
--- a/crates/control/src/shards.rs
+++ b/crates/control/src/shards.rs
@@ -20,10 +20,16 @@
     machines: impl IntoIterator<Item = &'a str>,
     most: usize,
 ) -> Vec<&'a str> {
-    let mut weighted: Vec<(u64, &str)> =
-        machines.into_iter().map(|machine| (hash(&(shard, machine)), machine)).collect();
+    let mut weighted: Vec<(u64, &str)> = machines
+        .into_iter()
+        .map(|machine| (hash(&(shard, machine)), machine))
+        .collect();
     weighted.sort_unstable_by(|a, b| b.cmp(a));
-    weighted.into_iter().take(most).map(|(_, machine)| machine).collect()
+    weighted
+        .into_iter()
+        .take(most)
+        .map(|(_, machine)| machine)
+        .collect()
 }
 
 /// The monitors of a balancer: the machines that follow its name on a ring.
@@ -34,10 +40,15 @@
 ) -> Vec<&'a str> {
     let position = hash(&balancer);
     let distance = |machine: &str| hash(&machine).wrapping_sub(position);
-    let mut ring: Vec<(u64, &str)> =
-        machines.into_iter().map(|machine| (distance(machine), machine)).collect();
+    let mut ring: Vec<(u64, &str)> = machines
+        .into_iter()
+        .map(|machine| (distance(machine), machine))
+        .collect();
     ring.sort_unstable();
-    ring.into_iter().take(most).map(|(_, machine)| machine).collect()
+    ring.into_iter()
+        .take(most)
+        .map(|(_, machine)| machine)
+        .collect()
 }
 
 /// A short hash of a name, for lists of many.
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -68,7 +68,9 @@
 
     /// The version in force, or 0.
     pub fn generation(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |configuration| configuration.generation)
+        self.configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.generation)
     }
 
     /// Applies a command at a position of the log.
@@ -116,7 +118,12 @@
                 Vec::new()
             },
             evacuated: self.evacuated.iter().cloned().collect(),
-            accepted: accepted.map(|d| u128Parts { high: (d >> 64) as u64, low: *d as u64 }).collect(),
+            accepted: accepted
+                .map(|d| u128Parts {
+                    high: (d >> 64) as u64,
+                    low: *d as u64,
+                })
+                .collect(),
         };
         encoded.serialize_bin()
     }
@@ -124,8 +131,12 @@
     /// The state from its bytes.
     pub fn decode(bytes: &[u8]) -> Result<Self, StateError> {
         let encoding = |error: String| StateError::Encoding(error);
-        let encoded = Encoded::deserialize_bin(bytes).map_err(|error| encoding(error.to_string()))?;
-        let mut state = Self { index: encoded.index, ..Self::default() };
+        let encoded =
+            Encoded::deserialize_bin(bytes).map_err(|error| encoding(error.to_string()))?;
+        let mut state = Self {
+            index: encoded.index,
+            ..Self::default()
+        };
         if !encoded.document.is_empty() {
             let document = serde_json::from_slice(&encoded.document);
             let document: Value = document.map_err(|error| encoding(error.to_string()))?;
@@ -166,7 +177,9 @@
                 }
                 let is_patch = matches!(command, Command::Patch { .. });
                 self.next(is_patch, body)
-                    .map_err(|findings| Outcome::Invalid { findings: findings.to_string() })
+                    .map_err(|findings| Outcome::Invalid {
+                        findings: findings.to_string(),
+                    })
             }
         }
     }
@@ -180,14 +193,21 @@
                 return Err(std::mem::take(findings));
             }
         };
-        let document = if is_patch { patched(&self.document, &body, findings) } else { body };
+        let document = if is_patch {
+            patched(&self.document, &body, findings)
+        } else {
+            body
+        };
         if !findings.is_empty() {
             return Err(std::mem::take(findings));
         }
         let configuration = Configuration::read(&document)?;
         let current = self.generation();
         if configuration.generation <= current {
-            findings.add("generation", format!("must be above the current one, {current}"));
+            findings.add(
+                "generation",
+                format!("must be above the current one, {current}"),
+            );
         }
         if serde_json::to_vec(&document).map_or(0, |bytes| bytes.len()) > MOST_BYTES {
             findings.add("(document)", format!("is larger than {MOST_BYTES} bytes"));
@@ -235,15 +255,25 @@
                 findings.add(place, "must be a list of routes or services");
                 continue;
             };
-            let present = fields.entry(list.clone()).or_insert_with(|| Value::Array(Vec::new()));
-            let Some(present) = present.as_array_mut() else { continue };
+            let present = fields
+                .entry(list.clone())
+                .or_insert_with(|| Value::Array(Vec::new()));
+            let Some(present) = present.as_array_mut() else {
+                continue;
+            };
             for (position, item) in items.iter().enumerate() {
-                let name = if is_delete { item.as_str() } else { item.get("name").and_then(Value::as_str) };
+                let name = if is_delete {
+                    item.as_str()
+                } else {
+                    item.get("name").and_then(Value::as_str)
+                };
                 let Some(name) = name else {
                     findings.add(format!("{place}[{position}]"), "has no name");
                     continue;
                 };
-                let at = present.iter().position(|old| old.get("name").and_then(Value::as_str) == Some(name));
+                let at = present
+                    .iter()
+                    .position(|old| old.get("name").and_then(Value::as_str) == Some(name));
                 match (is_delete, at) {
                     (true, Some(at)) => drop(present.remove(at)),
                     (true, None) => {}
--- a/crates/control/src/wire.rs
+++ b/crates/control/src/wire.rs
@@ -225,8 +225,9 @@
     let plain = value.serialize_bin();
     let packed = (plain.len() >= COMPRESSED_FROM).then(|| lz4_flex::compress_prepend_size(&plain));
     let packed = packed.filter(|packed| packed.len() < plain.len());
-    let (encoding, payload) =
-        packed.map_or((Encoding::Plain, plain), |packed| (Encoding::Compressed, packed));
+    let (encoding, payload) = packed.map_or((Encoding::Plain, plain), |packed| {
+        (Encoding::Compressed, packed)
+    });
     let mut bytes = Vec::with_capacity(HEAD_BYTES + payload.len());
     bytes.extend_from_slice(&VERSION.to_le_bytes());
     bytes.extend_from_slice(&(encoding as u16).to_le_bytes());
@@ -269,7 +270,11 @@
         return Err(WireError::Version(version));
     }
     let length = u32::from_le_bytes([head[4], head[5], head[6], head[7]]) as usize;
-    if length > MOST_BYTES { Err(WireError::TooLong(length)) } else { Ok(length) }
+    if length > MOST_BYTES {
+        Err(WireError::TooLong(length))
+    } else {
+        Ok(length)
+    }
 }
 
 /// The value of a whole frame.
@@ -305,6 +310,11 @@
 
 fn decode_plain<T: DeBin>(bytes: &[u8]) -> Result<T, WireError> {
     let mut offset = 0;
-    let value = T::de_bin(&mut offset, bytes).map_err(|error| WireError::Encoding(error.to_string()))?;
-    if offset == bytes.len() { Ok(value) } else { Err(WireError::Encoding("surplus bytes".to_owned())) }
+    let value =
+        T::de_bin(&mut offset, bytes).map_err(|error| WireError::Encoding(error.to_string()))?;
+    if offset == bytes.len() {
+        Ok(value)
+    } else {
+        Err(WireError::Encoding("surplus bytes".to_owned()))
+    }
 }
--- a/crates/control/tests/calls.rs
+++ b/crates/control/tests/calls.rs
@@ -22,7 +22,12 @@
 }
 
 fn members() -> Vec<Member> {
-    (1..=3).map(|id| Member { id, address: address(id) }).collect()
+    (1..=3)
+        .map(|id| Member {
+            id,
+            address: address(id),
+        })
+        .collect()
 }
 
 /// Machine 1 of three.
@@ -40,7 +45,12 @@
         tolerated: 1,
         incarnation: INCARNATION,
     };
-    let mut machine = Machine::new(settings, DurableState::new(1, founding_snapshot(&members())), 0, 1);
+    let mut machine = Machine::new(
+        settings,
+        DurableState::new(1, founding_snapshot(&members())),
+        0,
+        1,
+    );
     machine.take_actions();
     machine
 }
@@ -53,8 +63,19 @@
 }
 
 fn hear_leader(machine: &mut Machine, now: u64, clock: u64) {
-    let body = Body::Append { previous_index: 1, previous_term: 1, entries: Vec::new(), commit: 1, round: 1 };
-    let message = Message { from: 2, to: 1, term: TERM, body };
+    let body = Body::Append {
+        previous_index: 1,
+        previous_term: 1,
+        entries: Vec::new(),
+        commit: 1,
+        round: 1,
+    };
+    let message = Message {
+        from: 2,
+        to: 1,
+        term: TERM,
+        body,
+    };
     machine.packet(now, &address(2), Packet::Consensus { message, clock });
     settled(machine, now);
 }
@@ -62,17 +83,54 @@
 /// Machine 1 as the leader of a term, with its first entry committed.
 fn leader() -> Machine {
     let mut machine = machine();
-    let consensus =
-        |body| Packet::Consensus { message: Message { from: 2, to: 1, term: TERM, body }, clock: 0 };
+    let consensus = |body| Packet::Consensus {
+        message: Message {
+            from: 2,
+            to: 1,
+            term: TERM,
+            body,
+        },
+        clock: 0,
+    };
     machine.packet(1_000, &address(2), consensus(Body::Elect));
     settled(&mut machine, 1_000);
     let term = machine.replica().term();
-    let vote = Message { from: 2, to: 1, term, body: Body::VoteReply { pre: false, granted: true } };
-    machine.packet(1_010, &address(2), Packet::Consensus { message: vote, clock: 0 });
+    let vote = Message {
+        from: 2,
+        to: 1,
+        term,
+        body: Body::VoteReply {
+            pre: false,
+            granted: true,
+        },
+    };
+    machine.packet(
+        1_010,
+        &address(2),
+        Packet::Consensus {
+            message: vote,
+            clock: 0,
+        },
+    );
     settled(&mut machine, 1_010);
-    let reply =
-        Message { from: 2, to: 1, term, body: Body::AppendReply { success: true, index: 2, round: 1 } };
-    machine.packet(1_020, &address(2), Packet::Consensus { message: reply, clock: 0 });
+    let reply = Message {
+        from: 2,
+        to: 1,
+        term,
+        body: Body::AppendReply {
+            success: true,
+            index: 2,
+            round: 1,
+        },
+    };
+    machine.packet(
+        1_020,
+        &address(2),
+        Packet::Consensus {
+            message: reply,
+            clock: 0,
+        },
+    );
     settled(&mut machine, 1_020);
     assert!(machine.replica().is_leader() && machine.replica().commit_index() == 2);
     machine
@@ -117,7 +175,9 @@
 }
 
 fn evacuate() -> Command {
-    Command::Evacuate { zone: "z".to_owned() }
+    Command::Evacuate {
+        zone: "z".to_owned(),
+    }
 }
 
 fn order_of(packets: &[Packet]) -> Option<(CallId, LeaderTime)> {
@@ -140,8 +200,18 @@
     machine.order(1_010, TOKEN, evacuate());
     let (call, _) = order_of(&sent_to(&settled(&mut machine, 1_010), 2)).unwrap();
     assert_eq!(call.incarnation, INCARNATION);
-    let call = CallId { incarnation, number: call.number + more };
-    machine.packet(1_100, &address(2), Packet::OrderDone { call, outcome: Some(Outcome::Accepted) });
+    let call = CallId {
+        incarnation,
+        number: call.number + more,
+    };
+    machine.packet(
+        1_100,
+        &address(2),
+        Packet::OrderDone {
+            call,
+            outcome: Some(Outcome::Accepted),
+        },
+    );
     assert_eq!(!answers(&settled(&mut machine, 1_100)).is_empty(), taken);
 }
 
@@ -152,9 +222,21 @@
     let mut machine = follower();
     machine.read(1_010, TOKEN);
     let packets = sent_to(&settled(&mut machine, 1_010), 2);
-    let Some(Packet::Read { call }) = packets.first() else { panic!("{packets:?}") };
-    let call = CallId { incarnation, ..*call };
-    machine.packet(1_100, &address(2), Packet::ReadDone { call, index: Some(1) });
+    let Some(Packet::Read { call }) = packets.first() else {
+        panic!("{packets:?}")
+    };
+    let call = CallId {
+        incarnation,
+        ..*call
+    };
+    machine.packet(
+        1_100,
+        &address(2),
+        Packet::ReadDone {
+            call,
+            index: Some(1),
+        },
+    );
     let actions = settled(&mut machine, 1_100);
     // There is no configuration yet: nobody can tell it, which is no refusal.
     let expected: &[&Answer] = if taken { &[&Answer::Unclear] } else { &[] };
@@ -173,8 +255,13 @@
     let actions = settled(&mut machine, 1_010);
     assert!(answers(&actions).is_empty(), "one machine of three");
     let packets = sent_to(&actions, 3);
-    let Some(Packet::Registrations { call, .. }) = packets.first() else { panic!("{packets:?}") };
-    let call = CallId { incarnation, ..*call };
+    let Some(Packet::Registrations { call, .. }) = packets.first() else {
+        panic!("{packets:?}")
+    };
+    let call = CallId {
+        incarnation,
+        ..*call
+    };
     machine.packet(1_100, &address(3), Packet::RegistrationsTaken { call });
     let expected: &[&Answer] = if taken { &[&Answer::Done] } else { &[] };
     assert_eq!(answers(&settled(&mut machine, 1_100)), expected);
@@ -185,7 +272,13 @@
     let mut machine = follower();
     machine.order(1_400, TOKEN, evacuate());
     let (_, expires) = order_of(&sent_to(&settled(&mut machine, 1_400), 2)).unwrap();
-    assert_eq!(expires, LeaderTime { term: TERM, at: LEADER_CLOCK + 400 + 900 });
+    assert_eq!(
+        expires,
+        LeaderTime {
+            term: TERM,
+            at: LEADER_CLOCK + 400 + 900
+        }
+    );
 }
 
 #[test]
@@ -211,14 +304,31 @@
 ) {
     let mut machine = leader();
     let own = machine.replica().term();
-    let expires = LeaderTime { term: own.checked_add_signed(term).unwrap(), at: 1_600 };
-    let call = CallId { incarnation: 5, number: 1 };
+    let expires = LeaderTime {
+        term: own.checked_add_signed(term).unwrap(),
+        at: 1_600,
+    };
+    let call = CallId {
+        incarnation: 5,
+        number: 1,
+    };
     let now = 1_100 + after;
     let before = machine.replica().log().last_index();
-    machine.packet(now, &address(3), Packet::Order { call, expires, command: evacuate() });
+    machine.packet(
+        now,
+        &address(3),
+        Packet::Order {
+            call,
+            expires,
+            command: evacuate(),
+        },
+    );
     let actions = settled(&mut machine, now);
     assert_eq!(machine.replica().log().last_index() > before, taken);
-    let refused = sent_to(&actions, 3).contains(&Packet::OrderDone { call, outcome: None });
+    let refused = sent_to(&actions, 3).contains(&Packet::OrderDone {
+        call,
+        outcome: None,
+    });
     assert_eq!(refused, !taken);
 }
 
@@ -240,13 +350,37 @@
     let mut machine = follower();
     machine.order(1_010, TOKEN, evacuate());
     settled(&mut machine, 1_010);
-    let body = Body::Append { previous_index: 1, previous_term: 1, entries: Vec::new(), commit: 1, round: 1 };
-    let message = Message { from: 3, to: 1, term: TERM + 1, body };
-    machine.packet(1_300, &address(3), Packet::Consensus { message, clock: 7_000 });
+    let body = Body::Append {
+        previous_index: 1,
+        previous_term: 1,
+        entries: Vec::new(),
+        commit: 1,
+        round: 1,
+    };
+    let message = Message {
+        from: 3,
+        to: 1,
+        term: TERM + 1,
+        body,
+    };
+    machine.packet(
+        1_300,
+        &address(3),
+        Packet::Consensus {
+            message,
+            clock: 7_000,
+        },
+    );
     settled(&mut machine, 1_300);
     machine.tick(1_350);
     let (_, expires) = order_of(&sent_to(&settled(&mut machine, 1_350), 3)).unwrap();
-    assert_eq!(expires, LeaderTime { term: TERM + 1, at: 7_000 + (1_910 - 1_300) });
+    assert_eq!(
+        expires,
+        LeaderTime {
+            term: TERM + 1,
+            at: 7_000 + (1_910 - 1_300)
+        }
+    );
 }
 
 #[test]
@@ -255,7 +389,11 @@
     machine.order(1_010, TOKEN, evacuate());
     let first = order_of(&sent_to(&settled(&mut machine, 1_010), 2));
     machine.tick(1_050);
-    assert_eq!(order_of(&sent_to(&settled(&mut machine, 1_050), 2)), None, "once over one link");
+    assert_eq!(
+        order_of(&sent_to(&settled(&mut machine, 1_050), 2)),
+        None,
+        "once over one link"
+    );
     machine.link_up(1_100, &address(2));
     assert_eq!(order_of(&sent_to(&settled(&mut machine, 1_100), 2)), first);
 }
@@ -263,8 +401,14 @@
 /// Whether another machine's registrations are confirmed before this machine's disk has them, and after.
 fn confirmed(status: Status) -> (bool, bool) {
     let mut machine = follower();
-    let call = CallId { incarnation: 5, number: 1 };
-    let packet = Packet::Registrations { call, registrations: vec![registration(3, status)] };
+    let call = CallId {
+        incarnation: 5,
+        number: 1,
+    };
+    let packet = Packet::Registrations {
+        call,
+        registrations: vec![registration(3, status)],
+    };
     machine.packet(1_100, &address(3), packet);
     let actions = machine.take_actions();
     let taken = Packet::RegistrationsTaken { call };
@@ -274,7 +418,10 @@
             machine.kept(1_105, number);
         }
     }
-    (before, before || sent_to(&machine.take_actions(), 3).contains(&taken))
+    (
+        before,
+        before || sent_to(&machine.take_actions(), 3).contains(&taken),
+    )
 }
 
 #[rstest]
@@ -291,17 +438,25 @@
 #[test]
 fn a_balancer_that_comes_back_after_a_snapshot_gets_one_too() {
     let mut machine = machine();
-    let subscribe =
-        |epoch, offset| Packet::Subscribe { balancer: "front".to_owned(), epoch, offset, index: 0 };
+    let subscribe = |epoch, offset| Packet::Subscribe {
+        balancer: "front".to_owned(),
+        epoch,
+        offset,
+        index: 0,
+    };
     machine.subscribe(1_000, 1, &subscribe(0, 0));
     machine.subscribe(1_000, 2, &subscribe(0, 0));
     machine.tick(1_050);
-    let begun = machine.take_actions().into_iter().find_map(|action| match action {
-        Action::Deliver { subscribers, packet: Packet::Snapshot { epoch, offset, .. } } => {
-            Some((subscribers, epoch, offset))
-        }
-        _ => None,
-    });
+    let begun = machine
+        .take_actions()
+        .into_iter()
+        .find_map(|action| match action {
+            Action::Deliver {
+                subscribers,
+                packet: Packet::Snapshot { epoch, offset, .. },
+            } => Some((subscribers, epoch, offset)),
+            _ => None,
+        });
     let (readers, epoch, offset) = begun.expect("new readers get a snapshot");
     assert_eq!(readers, [1, 2], "one for both");
     machine.unsubscribe(1);
@@ -309,20 +464,40 @@
     let mut state = woadstall_control::state::ControlState::default();
     state.apply(500, &evacuate());
     let members = machine.replica().members().clone();
-    let snapshot = Snapshot { index: 500, term: 3, members, state: state.encode() };
+    let snapshot = Snapshot {
+        index: 500,
+        term: 3,
+        members,
+        state: state.encode(),
+    };
     let bytes = nanoserde::SerBin::serialize_bin(&snapshot);
     let head = woadstall_consensus::SnapshotHead::of(&snapshot, &bytes);
-    let piece = woadstall_consensus::SnapshotPiece { head, offset: 0, bytes };
-    let message = Message { from: 2, to: 1, term: TERM, body: Body::Install { piece, round: 1 } };
+    let piece = woadstall_consensus::SnapshotPiece {
+        head,
+        offset: 0,
+        bytes,
+    };
+    let message = Message {
+        from: 2,
+        to: 1,
+        term: TERM,
+        body: Body::Install { piece, round: 1 },
+    };
     machine.packet(1_100, &address(2), Packet::Consensus { message, clock: 0 });
     machine.take_actions();
     machine.subscribe(1_200, 3, &subscribe(epoch, offset));
     machine.tick(1_250);
-    let delivered = machine.take_actions().into_iter().find_map(|action| match action {
-        Action::Deliver { packet, .. } => Some(packet),
-        _ => None,
-    });
-    assert!(matches!(&delivered, Some(Packet::Snapshot { state, .. }) if !state.is_empty()), "{delivered:?}");
+    let delivered = machine
+        .take_actions()
+        .into_iter()
+        .find_map(|action| match action {
+            Action::Deliver { packet, .. } => Some(packet),
+            _ => None,
+        });
+    assert!(
+        matches!(&delivered, Some(Packet::Snapshot { state, .. }) if !state.is_empty()),
+        "{delivered:?}"
+    );
 }
 
 /// Machine 1, which follows machine 2 and has a configuration at position 3.
@@ -331,16 +506,38 @@
     let body = br#"{"generation":5,"services":[],"routes":[]}"#.to_vec();
     let command = nanoserde::SerBin::serialize_bin(&Command::Put { base: 0, body });
     let entries = vec![
-        woadstall_consensus::Entry { index: 2, term: TERM, payload: woadstall_consensus::Payload::Empty },
+        woadstall_consensus::Entry {
+            index: 2,
+            term: TERM,
+            payload: woadstall_consensus::Payload::Empty,
+        },
         woadstall_consensus::Entry {
             index: 3,
             term: TERM,
             payload: woadstall_consensus::Payload::Command(command),
         },
     ];
-    let body = Body::Append { previous_index: 1, previous_term: 1, entries, commit: 3, round: 2 };
-    let message = Message { from: 2, to: 1, term: TERM, body };
-    machine.packet(1_005, &address(2), Packet::Consensus { message, clock: LEADER_CLOCK + 5 });
+    let body = Body::Append {
+        previous_index: 1,
+        previous_term: 1,
+        entries,
+        commit: 3,
+        round: 2,
+    };
+    let message = Message {
+        from: 2,
+        to: 1,
+        term: TERM,
+        body,
+    };
+    machine.packet(
+        1_005,
+        &address(2),
+        Packet::Consensus {
+            message,
+            clock: LEADER_CLOCK + 5,
+        },
+    );
     settled(&mut machine, 1_005);
     assert_eq!(machine.state().generation(), 5);
     machine
@@ -357,10 +554,16 @@
     let mut machine = follower_with_configuration();
     machine.read(1_010, TOKEN);
     let packets = sent_to(&settled(&mut machine, 1_010), 2);
-    let Some(Packet::Read { call }) = packets.first() else { panic!("{packets:?}") };
+    let Some(Packet::Read { call }) = packets.first() else {
+        panic!("{packets:?}")
+    };
     machine.packet(1_100, &address(2), Packet::ReadDone { call: *call, index });
     let actions = settled(&mut machine, 1_100);
-    assert_eq!(matches!(answers(&actions)[..], [Answer::Document(_)]), answered, "{actions:?}");
+    assert_eq!(
+        matches!(answers(&actions)[..], [Answer::Document(_)]),
+        answered,
+        "{actions:?}"
+    );
     machine.tick(1_910);
     let late = settled(&mut machine, 1_910);
     assert_eq!(answers(&late) == [&Answer::Unclear], !answered, "{late:?}");
@@ -370,21 +573,43 @@
 fn a_read_at_the_leader_waits_for_what_is_in_doubt() {
     let mut machine = leader();
     let term = machine.replica().term();
-    machine.order(1_100, TOKEN, Command::Evacuate { zone: "z".to_owned() });
+    machine.order(
+        1_100,
+        TOKEN,
+        Command::Evacuate {
+            zone: "z".to_owned(),
+        },
+    );
     settled(&mut machine, 1_100);
     machine.read(1_110, TOKEN + 1);
     settled(&mut machine, 1_110);
     // Both others confirm the leader; the disks of both are slow.
     let reply = |index| Packet::Consensus {
-        message: Message { from: 2, to: 1, term, body: Body::AppendReply { success: true, index, round: 9 } },
+        message: Message {
+            from: 2,
+            to: 1,
+            term,
+            body: Body::AppendReply {
+                success: true,
+                index,
+                round: 9,
+            },
+        },
         clock: 0,
     };
     machine.packet(1_200, &address(2), reply(2));
     let actions = settled(&mut machine, 1_200);
-    assert!(answers(&actions).is_empty(), "the order may be taken yet: {actions:?}");
+    assert!(
+        answers(&actions).is_empty(),
+        "the order may be taken yet: {actions:?}"
+    );
     machine.packet(1_300, &address(2), reply(3));
     let actions = settled(&mut machine, 1_300);
-    assert_eq!(answers(&actions).len(), 2, "the order is taken, and the read shows it: {actions:?}");
+    assert_eq!(
+        answers(&actions).len(),
+        2,
+        "the order is taken, and the read shows it: {actions:?}"
+    );
 }
 
 #[test]
@@ -394,11 +619,28 @@
     machine.order(1_100, TOKEN, evacuate());
     settled(&mut machine, 1_100);
     // The next leader never had the order, and has another one in its place.
-    let command = nanoserde::SerBin::serialize_bin(&Command::Evacuate { zone: "other".to_owned() });
+    let command = nanoserde::SerBin::serialize_bin(&Command::Evacuate {
+        zone: "other".to_owned(),
+    });
     let payload = woadstall_consensus::Payload::Command(command);
-    let entries = vec![woadstall_consensus::Entry { index: 3, term: term + 1, payload }];
-    let body = Body::Append { previous_index: 2, previous_term: term, entries, commit: 3, round: 1 };
-    let message = Message { from: 3, to: 1, term: term + 1, body };
+    let entries = vec![woadstall_consensus::Entry {
+        index: 3,
+        term: term + 1,
+        payload,
+    }];
+    let body = Body::Append {
+        previous_index: 2,
+        previous_term: term,
+        entries,
+        commit: 3,
+        round: 1,
+    };
+    let message = Message {
+        from: 3,
+        to: 1,
+        term: term + 1,
+        body,
+    };
     machine.packet(1_200, &address(3), Packet::Consensus { message, clock: 0 });
     let mut actions = settled(&mut machine, 1_200);
     machine.tick(1_250);
@@ -411,19 +653,40 @@
 fn the_same_change_waits_for_its_own_entry_and_another_one_does_not() {
     let mut machine = leader();
     let put = |generation: u64| {
-        let body = format!("{{\"generation\":{generation},\"services\":[],\"routes\":[]}}").into_bytes();
+        let body =
+            format!("{{\"generation\":{generation},\"services\":[],\"routes\":[]}}").into_bytes();
         Command::Put { base: 0, body }
     };
     machine.order(1_100, 1, put(5));
     machine.order(1_110, 2, put(5));
     machine.order(1_120, 3, put(6));
     settled(&mut machine, 1_120);
-    assert_eq!(machine.replica().log().last_index(), 4, "two entries for three calls");
-    let reply = Body::AppendReply { success: true, index: 4, round: 9 };
-    let message = Message { from: 2, to: 1, term: machine.replica().term(), body: reply };
+    assert_eq!(
+        machine.replica().log().last_index(),
+        4,
+        "two entries for three calls"
+    );
+    let reply = Body::AppendReply {
+        success: true,
+        index: 4,
+        round: 9,
+    };
+    let message = Message {
+        from: 2,
+        to: 1,
+        term: machine.replica().term(),
+        body: reply,
+    };
     machine.packet(1_200, &address(2), Packet::Consensus { message, clock: 0 });
     let actions = settled(&mut machine, 1_200);
-    assert_eq!(answers(&actions), [&Answer::Done, &Answer::Done, &Answer::Conflict { current: 5 }]);
+    assert_eq!(
+        answers(&actions),
+        [
+            &Answer::Done,
+            &Answer::Done,
+            &Answer::Conflict { current: 5 }
+        ]
+    );
 }
 
 #[test]
@@ -434,11 +697,23 @@
     machine.order(1_110, 2, Command::Return { zone: zone() });
     machine.order(1_120, 3, Command::Evacuate { zone: zone() });
     settled(&mut machine, 1_120);
-    let reply = Body::AppendReply { success: true, index: 5, round: 9 };
-    let message = Message { from: 2, to: 1, term: machine.replica().term(), body: reply };
+    let reply = Body::AppendReply {
+        success: true,
+        index: 5,
+        round: 9,
+    };
+    let message = Message {
+        from: 2,
+        to: 1,
+        term: machine.replica().term(),
+        body: reply,
+    };
     machine.packet(1_200, &address(2), Packet::Consensus { message, clock: 0 });
     settled(&mut machine, 1_200);
-    assert!(machine.state().evacuated.contains("z"), "the third is not the first one said again");
+    assert!(
+        machine.state().evacuated.contains("z"),
+        "the third is not the first one said again"
+    );
 }
 
 #[test]
@@ -462,8 +737,14 @@
         _ => None,
     });
     let packets = sent_to(&actions, 3);
-    let Some(Packet::Registrations { call, .. }) = packets.first() else { panic!("{packets:?}") };
-    machine.packet(1_100, &address(3), Packet::RegistrationsTaken { call: *call });
+    let Some(Packet::Registrations { call, .. }) = packets.first() else {
+        panic!("{packets:?}")
+    };
+    machine.packet(
+        1_100,
+        &address(3),
+        Packet::RegistrationsTaken { call: *call },
+    );
     assert!(
         answers(&machine.take_actions()).is_empty(),
         "one other of three, and this disk has not written it"
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -27,11 +27,17 @@
 }
 
 fn put(base: u64, value: &Value) -> Command {
-    Command::Put { base, body: bytes(value) }
+    Command::Put {
+        base,
+        body: bytes(value),
+    }
 }
 
 fn patch(base: u64, value: &Value) -> Command {
-    Command::Patch { base, body: bytes(value) }
+    Command::Patch {
+        base,
+        body: bytes(value),
+    }
 }
 
 /// A sound document with one value changed, or removed where it is null.
@@ -51,7 +57,11 @@
 #[test]
 fn a_sound_document_is_read_and_routes_by_the_longest_prefix() {
     let configuration = Configuration::read(&document(5)).unwrap();
-    let name = |host: &str, path: &str| configuration.route(host, path).map(|route| route.name.as_str());
+    let name = |host: &str, path: &str| {
+        configuration
+            .route(host, path)
+            .map(|route| route.name.as_str())
+    };
     assert_eq!(name("a.example", "/a/x"), Some("r1"));
     assert_eq!(name("A.example:8161", "/a/b/x"), Some("r2"));
     assert_eq!(name("a.example", "/a"), None);
@@ -76,9 +86,16 @@
 #[case::no_generation("/generation", json!(null), "generation")]
 #[case::routes("/routes", json!({}), "routes")]
 #[case::limits("/limits/idle_timeout_ms", json!(true), "limits.idle_timeout_ms")]
-fn a_fault_is_told_with_its_place(#[case] pointer: &str, #[case] value: Value, #[case] place: &str) {
+fn a_fault_is_told_with_its_place(
+    #[case] pointer: &str,
+    #[case] value: Value,
+    #[case] place: &str,
+) {
     let findings = Configuration::read(&mutated(pointer, value)).unwrap_err();
-    assert!(findings.0.iter().any(|finding| finding.place == place), "{findings}");
+    assert!(
+        findings.0.iter().any(|finding| finding.place == place),
+        "{findings}"
+    );
 }
 
 #[test]
@@ -102,9 +119,16 @@
     let mut state = ControlState::default();
     let first = put(0, &document(5));
     assert_eq!(state.apply(1, &first), Outcome::Accepted);
-    assert_eq!(state.apply(2, &put(0, &document(6))), Outcome::Conflict { current: 5 });
+    assert_eq!(
+        state.apply(2, &put(0, &document(6))),
+        Outcome::Conflict { current: 5 }
+    );
     assert_eq!(state.apply(3, &put(5, &document(9))), Outcome::Accepted);
-    assert_eq!(state.apply(4, &first), Outcome::Accepted, "the same change, sent again");
+    assert_eq!(
+        state.apply(4, &first),
+        Outcome::Accepted,
+        "the same change, sent again"
+    );
     assert_eq!(state.generation(), 9, "and it is not applied again");
 }
 
@@ -115,7 +139,10 @@
     let mut other = document(7);
     other["routes"][0]["timeout_ms"] = json!(900);
     assert_eq!(state.apply(2, &put(5, &document(7))), Outcome::Accepted);
-    assert_eq!(state.apply(3, &put(5, &other)), Outcome::Conflict { current: 7 });
+    assert_eq!(
+        state.apply(3, &put(5, &other)),
+        Outcome::Conflict { current: 7 }
+    );
     assert_eq!(state.document()["routes"][0]["timeout_ms"], json!(800));
 }
 
@@ -126,7 +153,9 @@
     let mut state = ControlState::default();
     state.apply(1, &put(0, &document(5)));
     let outcome = state.apply(2, &put(5, &document(generation)));
-    assert!(matches!(outcome, Outcome::Invalid { findings } if findings.starts_with("generation:")));
+    assert!(
+        matches!(outcome, Outcome::Invalid { findings } if findings.starts_with("generation:"))
+    );
     assert_eq!(state.generation(), 5);
 }
 
@@ -143,9 +172,16 @@
     });
     assert_eq!(state.apply(2, &patch(5, &change)), Outcome::Accepted);
     let configuration = state.configuration.clone().unwrap();
-    let names: Vec<&str> = configuration.routes.iter().map(|route| route.name.as_str()).collect();
+    let names: Vec<&str> = configuration
+        .routes
+        .iter()
+        .map(|route| route.name.as_str())
+        .collect();
     assert_eq!(names, ["r1", "r3"]);
-    assert_eq!(configuration.services.keys().collect::<Vec<_>>(), ["s1", "s3"]);
+    assert_eq!(
+        configuration.services.keys().collect::<Vec<_>>(),
+        ["s1", "s3"]
+    );
     assert_eq!(state.document()["routes"][0]["timeout_ms"], json!(1234));
     assert!(state.document().get("upsert").is_none());
 }
@@ -160,14 +196,24 @@
     let mut state = ControlState::default();
     state.apply(1, &put(0, &document(5)));
     let before = state.document().clone();
-    assert!(matches!(state.apply(2, &patch(5, &change)), Outcome::Invalid { .. }));
+    assert!(matches!(
+        state.apply(2, &patch(5, &change)),
+        Outcome::Invalid { .. }
+    ));
     assert_eq!(state.document(), &before);
 }
 
 #[test]
 fn evacuations_are_taken_again_and_taken_back() {
     let mut state = ControlState::default();
-    let (go, back) = (Command::Evacuate { zone: "z".to_owned() }, Command::Return { zone: "z".to_owned() });
+    let (go, back) = (
+        Command::Evacuate {
+            zone: "z".to_owned(),
+        },
+        Command::Return {
+            zone: "z".to_owned(),
+        },
+    );
     for order in [&go, &go] {
         assert_eq!(state.apply(1, order), Outcome::Accepted);
         assert!(state.evacuated.contains("z"));
@@ -183,9 +229,17 @@
     let mut state = ControlState::default();
     let first = put(0, &document(5));
     state.apply(1, &first);
-    state.apply(2, &Command::Evacuate { zone: "z".to_owned() });
+    state.apply(
+        2,
+        &Command::Evacuate {
+            zone: "z".to_owned(),
+        },
+    );
     let mut again = ControlState::decode(&state.encode()).unwrap();
-    assert_eq!((again.index, again.generation(), again.evacuated.len()), (2, 5, 1));
+    assert_eq!(
+        (again.index, again.generation(), again.evacuated.len()),
+        (2, 5, 1)
+    );
     assert_eq!(again.document(), state.document());
     assert_eq!(again.apply(3, &first), Outcome::Accepted);
 }
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -13,8 +13,12 @@
 
 /// A machine that leads a group of one, in a deployment of three regions with one zone each.
 fn machine() -> Machine {
-    let member = Member { id: 1, address: ADDRESS.to_owned() };
-    let zones = ["north", "east", "south"].map(|region| (format!("{region}-zone"), region.to_owned()));
+    let member = Member {
+        id: 1,
+        address: ADDRESS.to_owned(),
+    };
+    let zones =
+        ["north", "east", "south"].map(|region| (format!("{region}-zone"), region.to_owned()));
     let settings = MachineSettings {
         machine: ControlMachine {
             member: member.clone(),
@@ -28,7 +32,12 @@
         tolerated: 0,
         incarnation: 1,
     };
-    let mut machine = Machine::new(settings, DurableState::new(1, founding_snapshot(&[member])), 0, 1);
+    let mut machine = Machine::new(
+        settings,
+        DurableState::new(1, founding_snapshot(&[member])),
+        0,
+        1,
+    );
     for now in (0..2_000).step_by(50) {
         machine.tick(now);
         sync(&mut machine, now);
@@ -56,10 +65,21 @@
         .iter()
         .enumerate()
         .map(|(number, regions)| route(number, "bound", regions.split(' ').collect()));
-    let routes: Vec<_> =
-        bound.chain([route(99, "free", Vec::new()), route(98, "bound", Vec::new())]).collect();
+    let routes: Vec<_> = bound
+        .chain([
+            route(99, "free", Vec::new()),
+            route(98, "bound", Vec::new()),
+        ])
+        .collect();
     let document = json!({ "generation": 1, "services": [{ "name": "s" }], "routes": routes });
-    machine.order(2_000, 1, Command::Put { base: 0, body: serde_json::to_vec(&document).unwrap() });
+    machine.order(
+        2_000,
+        1,
+        Command::Put {
+            base: 0,
+            body: serde_json::to_vec(&document).unwrap(),
+        },
+    );
     sync(machine, 2_000);
     assert_eq!(machine.state().generation(), 1);
 }
@@ -142,7 +162,11 @@
     assert_eq!(named(&machine, "bound", "east"), ["east"]);
     hear(&mut machine, 3_250, "north", true);
     machine.tick(3_350);
-    assert_eq!(named(&machine, "bound", "east"), ["north"], "nothing was heard of it for 1.1 s");
+    assert_eq!(
+        named(&machine, "bound", "east"),
+        ["north"],
+        "nothing was heard of it for 1.1 s"
+    );
 }
 
 #[test]
@@ -167,7 +191,11 @@
     hear(&mut machine, 3_000, "south", true);
     hear(&mut machine, 3_100, "north", false);
     assert_eq!(named(&machine, "bound", "east"), ["east", "north"]);
-    assert_eq!(named(&machine, "free", "east"), ["south"], "others go where it is ready");
+    assert_eq!(
+        named(&machine, "free", "east"),
+        ["south"],
+        "others go where it is ready"
+    );
     // They take nobody any more, and one that starts has nothing to go by yet.
     hear(&mut machine, 5_500, "north", false);
     hear(&mut machine, 5_500, "east", false);
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -6,7 +6,9 @@
 use nanoserde::{DeBin, SerBin};
 use rstest::rstest;
 use std::fmt::{Debug, Write};
-use woadstall_consensus::{Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece};
+use woadstall_consensus::{
+    Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece,
+};
 use woadstall_control::balancers::{Heartbeat, StillThere};
 use woadstall_control::command::{Command, Outcome};
 use woadstall_control::configuration::Configuration;
@@ -16,8 +18,8 @@
 use woadstall_control::shards::{monitors, replica_group, shard_of, short_hash};
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::{
-    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION, ZoneBalancers,
-    decode_whole, frame,
+    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION,
+    ZoneBalancers, decode_whole, frame,
 };
 
 const FRAMES: &str = include_str!("golden/frames.txt");
@@ -32,19 +34,31 @@
 
 /// The bytes of a form in a fixture.
 fn golden(fixture: &str, name: &str) -> Vec<u8> {
-    let line = fixture.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = fixture
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let digits = line.unwrap_or_else(|| panic!("the fixture has no form {name}"));
-    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+    (0..digits.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn assert_golden(fixture: &str, name: &str, bytes: &[u8]) {
-    assert_eq!(hex(bytes), hex(&golden(fixture, name)), "the bytes of {name} have changed");
+    assert_eq!(
+        hex(bytes),
+        hex(&golden(fixture, name)),
+        "the bytes of {name} have changed"
+    );
 }
 
 /// A packet is written as the fixture's frame, and that frame is read as the packet.
 fn assert_golden_frame(name: &str, packet: &Packet) {
     assert_golden(FRAMES, name, &packet.frame());
-    assert_eq!(Packet::decode_datagram(&golden(FRAMES, name)).as_ref(), Ok(packet));
+    assert_eq!(
+        Packet::decode_datagram(&golden(FRAMES, name)).as_ref(),
+        Ok(packet)
+    );
 }
 
 /// A value is written as the fixture's bytes, and these are read as the value.
@@ -58,7 +72,10 @@
 }
 
 fn member(id: u64) -> Member {
-    Member { id, address: format!("10.0.0.{id}:7720") }
+    Member {
+        id,
+        address: format!("10.0.0.{id}:7720"),
+    }
 }
 
 fn control_machine(id: u64) -> ControlMachine {
@@ -97,10 +114,19 @@
 }
 
 fn placement() -> Placement {
-    Placement { number: 1, upstream: 0xdead_beef, beginning: 5, tokens: 9_000, own_tokens: 20 }
+    Placement {
+        number: 1,
+        upstream: 0xdead_beef,
+        beginning: 5,
+        tokens: 9_000,
+        own_tokens: 20,
+    }
 }
 
-const CALL: CallId = CallId { incarnation: 0x1122_3344_5566_7788, number: 9 };
+const CALL: CallId = CallId {
+    incarnation: 0x1122_3344_5566_7788,
+    number: 9,
+};
 
 /// A configuration that is large enough to be compressed on its way.
 fn large_body() -> Vec<u8> {
@@ -109,15 +135,25 @@
 }
 
 fn put(body: &[u8]) -> Command {
-    Command::Put { base: 1, body: body.to_vec() }
+    Command::Put {
+        base: 1,
+        body: body.to_vec(),
+    }
 }
 
 fn order(command: Command) -> Packet {
-    Packet::Order { call: CALL, expires: LeaderTime { term: 3, at: 900 }, command }
+    Packet::Order {
+        call: CALL,
+        expires: LeaderTime { term: 3, at: 900 },
+        command,
+    }
 }
 
 fn outcome(outcome: Option<Outcome>) -> Packet {
-    Packet::OrderDone { call: CALL, outcome }
+    Packet::OrderDone {
+        call: CALL,
+        outcome,
+    }
 }
 
 fn events(events: Vec<Event>) -> Packet {
@@ -181,15 +217,35 @@
 }
 
 fn entries() -> Vec<Entry> {
-    let members = Membership { voters: vec![member(1), member(2)], next: vec![member(3)] };
+    let members = Membership {
+        voters: vec![member(1), member(2)],
+        next: vec![member(3)],
+    };
     vec![
-        Entry { index: 1, term: 1, payload: Payload::Empty },
-        Entry { index: 2, term: 1, payload: Payload::Command(vec![1, 2, 3]) },
-        Entry { index: 3, term: 1, payload: Payload::Members(members) },
+        Entry {
+            index: 1,
+            term: 1,
+            payload: Payload::Empty,
+        },
+        Entry {
+            index: 2,
+            term: 1,
+            payload: Payload::Command(vec![1, 2, 3]),
+        },
+        Entry {
+            index: 3,
+            term: 1,
+            payload: Payload::Members(members),
+        },
     ]
 }
 
-const HEAD: SnapshotHead = SnapshotHead { index: 3, term: 1, size: 20, checksum: 7 };
+const HEAD: SnapshotHead = SnapshotHead {
+    index: 3,
+    term: 1,
+    size: 20,
+    checksum: 7,
+};
 
 #[rstest]
 #[case::vote("vote", Body::Vote { pre: true, last_index: 5, last_term: 2, transfer: false })]
@@ -200,18 +256,32 @@
 #[case::install_reply("install_reply", Body::InstallReply { head: HEAD, received: 20, round: 9 })]
 #[case::elect("elect", Body::Elect)]
 fn messages_of_the_log_have_their_golden_frames(#[case] name: &str, #[case] body: Body) {
-    let message = Message { from: 1, to: 2, term: 3, body };
-    assert_golden_frame(&format!("consensus_{name}"), &Packet::Consensus { message, clock: 77 });
+    let message = Message {
+        from: 1,
+        to: 2,
+        term: 3,
+        body,
+    };
+    assert_golden_frame(
+        &format!("consensus_{name}"),
+        &Packet::Consensus { message, clock: 77 },
+    );
 }
 
 #[test]
 fn values_beside_packets_have_their_golden_frames() {
     let value = registration(Status::Ready);
     assert_golden(FRAMES, "value_registration", &frame(&value));
-    assert_eq!(decode_whole(&golden(FRAMES, "value_registration")), Ok(value));
+    assert_eq!(
+        decode_whole(&golden(FRAMES, "value_registration")),
+        Ok(value)
+    );
     let many = vec![registration(Status::Draining); 40];
     assert_golden(FRAMES, "value_registrations_compressed", &frame(&many));
-    assert_eq!(decode_whole(&golden(FRAMES, "value_registrations_compressed")), Ok(many));
+    assert_eq!(
+        decode_whole(&golden(FRAMES, "value_registrations_compressed")),
+        Ok(many)
+    );
 }
 
 #[test]
@@ -220,7 +290,11 @@
 }
 
 #[rstest]
-#[case::put("command_put", put(b"{\"generation\":2}"), 0x021a_bba3_3304_d51e_fa14_90e0_9dfc_cdf7)]
+#[case::put(
+    "command_put",
+    put(b"{\"generation\":2}"),
+    0x021a_bba3_3304_d51e_fa14_90e0_9dfc_cdf7
+)]
 #[case::patch("command_patch", Command::Patch { base: 2, body: b"{}".to_vec() }, 0x6884_c946_4412_61ac_7da5_603a_5d28_2c43)]
 #[case::evacuate("command_evacuate", Command::Evacuate { zone: text("zone-1") }, 0xf300_7e87_a6b8_8da2_a194_1db3_0edb_a766)]
 #[case::a_return("command_return", Command::Return { zone: text("zone-1") }, 0xb852_55e1_18d0_abd6_b4bc_94bd_d1ce_35bf)]
@@ -254,11 +328,33 @@
 
 fn state() -> ControlState {
     let mut state = ControlState::default();
-    let put = Command::Put { base: 0, body: DOCUMENT.as_bytes().to_vec() };
+    let put = Command::Put {
+        base: 0,
+        body: DOCUMENT.as_bytes().to_vec(),
+    };
     assert_eq!(state.apply(2, &put), Outcome::Accepted);
-    assert_eq!(state.apply(3, &Command::Evacuate { zone: text("zone-2") }), Outcome::Accepted);
-    assert_eq!(state.apply(4, &Command::Evacuate { zone: text("zone-1") }), Outcome::Accepted);
-    let patch = Command::Patch { base: 5, body: b"{\"generation\":6}".to_vec() };
+    assert_eq!(
+        state.apply(
+            3,
+            &Command::Evacuate {
+                zone: text("zone-2")
+            }
+        ),
+        Outcome::Accepted
+    );
+    assert_eq!(
+        state.apply(
+            4,
+            &Command::Evacuate {
+                zone: text("zone-1")
+            }
+        ),
+        Outcome::Accepted
+    );
+    let patch = Command::Patch {
+        base: 5,
+        body: b"{\"generation\":6}".to_vec(),
+    };
     assert_eq!(state.apply(5, &patch), Outcome::Accepted);
     state
 }
@@ -268,7 +364,10 @@
     let state = ControlState::default();
     assert_golden(STORED, "state_empty", &state.encode());
     let read = ControlState::decode(&golden(STORED, "state_empty")).unwrap();
-    assert_eq!((read.index, read.generation(), read.evacuated.len()), (0, 0, 0));
+    assert_eq!(
+        (read.index, read.generation(), read.evacuated.len()),
+        (0, 0, 0)
+    );
 }
 
 #[test]
@@ -280,9 +379,15 @@
     assert_eq!((read.index, read.generation()), (5, 6));
     assert_eq!(read.configuration, state.configuration);
     assert_eq!(read.document(), state.document());
-    assert_eq!(read.evacuated.iter().collect::<Vec<_>>(), ["zone-1", "zone-2"]);
+    assert_eq!(
+        read.evacuated.iter().collect::<Vec<_>>(),
+        ["zone-1", "zone-2"]
+    );
     // An order that was accepted before is acknowledged again, although its base is an old one.
-    let again = Command::Put { base: 0, body: DOCUMENT.as_bytes().to_vec() };
+    let again = Command::Put {
+        base: 0,
+        body: DOCUMENT.as_bytes().to_vec(),
+    };
     assert_eq!(read.apply(6, &again), Outcome::Accepted);
     assert_eq!(read.generation(), 6);
 }
@@ -312,11 +417,20 @@
 
 #[test]
 fn ownership_has_its_golden_hashes() {
-    let machines = ["10.0.0.1:7720", "10.0.0.2:7720", "10.0.0.3:7720", "10.0.0.4:7720"];
+    let machines = [
+        "10.0.0.1:7720",
+        "10.0.0.2:7720",
+        "10.0.0.3:7720",
+        "10.0.0.4:7720",
+    ];
     let shards: Vec<u32> = ["chat", "embed", "rank"].map(shard_of).to_vec();
     let names: Vec<u32> = ["front-1", "front-2"].map(short_hash).to_vec();
-    let groups: Vec<Vec<&str>> = [0, 1, 63].map(|shard| replica_group(shard, machines, 3)).to_vec();
-    let watched: Vec<Vec<&str>> = ["front-1", "front-2"].map(|name| monitors(name, machines, 3)).to_vec();
+    let groups: Vec<Vec<&str>> = [0, 1, 63]
+        .map(|shard| replica_group(shard, machines, 3))
+        .to_vec();
+    let watched: Vec<Vec<&str>> = ["front-1", "front-2"]
+        .map(|name| monitors(name, machines, 3))
+        .to_vec();
     let lines = format!("{shards:?}\n{names:?}\n{groups:?}\n{watched:?}\n");
     assert_eq!(lines, include_str!("golden/ownership.txt"));
 }
--- a/crates/control/tests/loads.rs
+++ b/crates/control/tests/loads.rs
@@ -6,12 +6,24 @@
 const UPSTREAM: u32 = 7;
 
 fn report(balancer: u32, zone: &str, unread: u32, is_failing: bool) -> LoadReport {
-    let upstreams = vec![UpstreamLoad { upstream: UPSTREAM, unread, is_failing }];
-    LoadReport { balancer, sequence: 10, zone: zone.to_owned(), upstreams, placements: Vec::new() }
+    let upstreams = vec![UpstreamLoad {
+        upstream: UPSTREAM,
+        unread,
+        is_failing,
+    }];
+    LoadReport {
+        balancer,
+        sequence: 10,
+        zone: zone.to_owned(),
+        upstreams,
+        placements: Vec::new(),
+    }
 }
 
 fn told(loads: &Loads, zone: &str) -> Vec<FleetLoad> {
-    loads.of_zone(zone, |other| other.starts_with('n')).upstreams
+    loads
+        .of_zone(zone, |other| other.starts_with('n'))
+        .upstreams
 }
 
 #[test]
@@ -21,15 +33,36 @@
     loads.take(0, report(2, "n1", 5_000, true));
     loads.take(0, report(3, "n2", 6_000, true));
     loads.take(0, report(4, "s1", 9_000, true));
-    assert_eq!(told(&loads, "n1"), [FleetLoad { upstream: UPSTREAM, unread: 15_000, failing: 2 }]);
-    assert_eq!(told(&loads, "n2"), [FleetLoad { upstream: UPSTREAM, unread: 15_000, failing: 1 }]);
+    assert_eq!(
+        told(&loads, "n1"),
+        [FleetLoad {
+            upstream: UPSTREAM,
+            unread: 15_000,
+            failing: 2
+        }]
+    );
+    assert_eq!(
+        told(&loads, "n2"),
+        [FleetLoad {
+            upstream: UPSTREAM,
+            unread: 15_000,
+            failing: 1
+        }]
+    );
 }
 
 #[test]
 fn a_report_replaces_the_former_one_of_its_balancer() {
     let mut loads = Loads::default();
     loads.take(0, report(1, "n1", 4_000, true));
-    loads.take(10, LoadReport { sequence: 11, upstreams: Vec::new(), ..report(1, "n1", 0, false) });
+    loads.take(
+        10,
+        LoadReport {
+            sequence: 11,
+            upstreams: Vec::new(),
+            ..report(1, "n1", 0, false)
+        },
+    );
     assert!(told(&loads, "n1").is_empty());
     // One that comes late changes nothing.
     loads.take(20, report(1, "n1", 4_000, true));
@@ -45,7 +78,13 @@
     loads.take(0, report(1, "n1", 4_000, true));
     loads.forget(now);
     assert_eq!(told(&loads, "n1").len(), expected);
-    loads.take(now, LoadReport { sequence: 1, ..report(1, "n1", 5_000, false) });
+    loads.take(
+        now,
+        LoadReport {
+            sequence: 1,
+            ..report(1, "n1", 5_000, false)
+        },
+    );
     let unread = told(&loads, "n1")[0].unread;
     assert_eq!(unread, if expected == 1 { 4_000 } else { 5_000 });
 }
@@ -61,11 +100,39 @@
 #[test]
 fn placements_of_a_region_are_told_once_each() {
     let mut loads = Loads::default();
-    let one = Placement { number: 1, upstream: UPSTREAM, beginning: 1, tokens: 9_000, own_tokens: 20 };
-    let other = Placement { number: 2, beginning: 2, ..one };
-    loads.take(0, LoadReport { placements: vec![one, other], ..report(1, "n1", 0, false) });
-    loads.take(0, LoadReport { placements: vec![other], ..report(2, "n2", 0, false) });
-    loads.take(0, LoadReport { placements: vec![one], ..report(3, "s1", 0, false) });
+    let one = Placement {
+        number: 1,
+        upstream: UPSTREAM,
+        beginning: 1,
+        tokens: 9_000,
+        own_tokens: 20,
+    };
+    let other = Placement {
+        number: 2,
+        beginning: 2,
+        ..one
+    };
+    loads.take(
+        0,
+        LoadReport {
+            placements: vec![one, other],
+            ..report(1, "n1", 0, false)
+        },
+    );
+    loads.take(
+        0,
+        LoadReport {
+            placements: vec![other],
+            ..report(2, "n2", 0, false)
+        },
+    );
+    loads.take(
+        0,
+        LoadReport {
+            placements: vec![one],
+            ..report(3, "s1", 0, false)
+        },
+    );
     let told = loads.of_zone("n2", |zone| zone.starts_with('n'));
     assert_eq!(told.placements, [one, other]);
     loads.forget(801);
--- a/crates/control/tests/registry.rs
+++ b/crates/control/tests/registry.rs
@@ -32,7 +32,12 @@
 }
 
 fn any_status() -> impl Strategy<Value = Status> {
-    prop_oneof![Just(Status::Ready), Just(Status::Silent), Just(Status::Draining), Just(Status::Gone)]
+    prop_oneof![
+        Just(Status::Ready),
+        Just(Status::Silent),
+        Just(Status::Draining),
+        Just(Status::Gone)
+    ]
 }
 
 proptest! {
@@ -52,12 +57,27 @@
 #[test]
 fn a_heartbeat_that_says_nothing_new_is_only_a_renewal() {
     let mut registry = Registry::default();
-    assert_eq!(registry.merge(0, registration(1, Status::Ready)), Merge::Changed);
-    assert_eq!(registry.merge(1_000, registration(2, Status::Ready)), Merge::Renewed);
-    assert_eq!(registry.merge(1_000, registration(2, Status::Ready)), Merge::Old);
-    let cold = Registration { cold_remaining_ms: 3_000, ..registration(3, Status::Ready) };
+    assert_eq!(
+        registry.merge(0, registration(1, Status::Ready)),
+        Merge::Changed
+    );
+    assert_eq!(
+        registry.merge(1_000, registration(2, Status::Ready)),
+        Merge::Renewed
+    );
+    assert_eq!(
+        registry.merge(1_000, registration(2, Status::Ready)),
+        Merge::Old
+    );
+    let cold = Registration {
+        cold_remaining_ms: 3_000,
+        ..registration(3, Status::Ready)
+    };
     assert_eq!(registry.merge(2_000, cold), Merge::Changed);
-    let warming = Registration { cold_remaining_ms: 2_000, ..registration(4, Status::Ready) };
+    let warming = Registration {
+        cold_remaining_ms: 2_000,
+        ..registration(4, Status::Ready)
+    };
     assert_eq!(registry.merge(3_000, warming), Merge::Renewed);
     assert_eq!(registry.get(4_000, "i-1").unwrap().cold_remaining_ms, 1_000);
 }
@@ -69,7 +89,10 @@
     assert!(registry.expire(5_000, 5_000, |_| true).is_empty());
     assert!(registry.expire(5_001, 5_000, |_| false).is_empty());
     assert_eq!(registry.expire(5_001, 5_000, |_| true).len(), 1);
-    assert!(registry.expire(9_000, 5_000, |_| true).is_empty(), "it is told once");
+    assert!(
+        registry.expire(9_000, 5_000, |_| true).is_empty(),
+        "it is told once"
+    );
     registry.merge(9_100, registration(2, Status::Ready));
     assert_eq!(registry.get(9_100, "i-1").unwrap().status, Status::Ready);
 }
@@ -89,7 +112,11 @@
     registry.merge(0, registration(1, Status::Ready));
     registry.leave(0, "i-1");
     registry.forget(60_000);
-    assert_eq!(registry.len(), 1, "a late heartbeat must not bring it back yet");
+    assert_eq!(
+        registry.len(),
+        1,
+        "a late heartbeat must not bring it back yet"
+    );
     registry.forget(121_000);
     assert!(registry.is_empty());
 }
@@ -99,7 +126,11 @@
     let mut registry = Registry::default();
     assert_eq!(registry.leave(0, "i-1"), Merge::Changed);
     assert_eq!(registry.leave(0, "i-1"), Merge::Old);
-    assert_eq!(registry.merge(10, registration(9, Status::Ready)), Merge::Old, "a late heartbeat");
+    assert_eq!(
+        registry.merge(10, registration(9, Status::Ready)),
+        Merge::Old,
+        "a late heartbeat"
+    );
     assert_eq!(registry.get(10, "i-1").unwrap().status, Status::Gone);
     // What another machine tells of it that did not know it either takes nothing from one that does.
     let departed = registry.get(10, "i-1").unwrap();
@@ -107,7 +138,10 @@
     other.merge(0, registration(9, Status::Ready));
     assert_eq!(other.merge(10, departed), Merge::Changed);
     let kept = other.get(10, "i-1").unwrap();
-    assert_eq!((kept.status, kept.address.as_str(), kept.sequence), (Status::Gone, "10.0.0.1:80", 9));
+    assert_eq!(
+        (kept.status, kept.address.as_str(), kept.sequence),
+        (Status::Gone, "10.0.0.1:80", 9)
+    );
 }
 
 #[rstest]
@@ -120,20 +154,34 @@
     #[case] expected: Status,
 ) {
     let mut registry = Registry::default();
-    registry.merge(100_000, Registration { age_ms, ..registration(3, status) });
+    registry.merge(
+        100_000,
+        Registration {
+            age_ms,
+            ..registration(3, status)
+        },
+    );
     let merged = registry.get(100_000, "i-1").unwrap();
     assert_eq!((merged.status, merged.age_ms), (expected, age_ms));
     registry.merge(100_100, registration(4, Status::Ready));
     let heard = registry.get(100_100, "i-1").unwrap();
-    assert_eq!((heard.status, heard.age_ms), (Status::Ready, 0), "its own heartbeat is");
+    assert_eq!(
+        (heard.status, heard.age_ms),
+        (Status::Ready, 0),
+        "its own heartbeat is"
+    );
 }
 
 fn machines(count: usize) -> Vec<String> {
-    (0..count).map(|number| format!("10.0.{number}.1:7720")).collect()
+    (0..count)
+        .map(|number| format!("10.0.{number}.1:7720"))
+        .collect()
 }
 
 fn owners(machines: &[String]) -> Vec<&str> {
-    (0..SHARDS).map(|shard| replica_group(shard, machines.iter().map(String::as_str), 3)[0]).collect()
+    (0..SHARDS)
+        .map(|shard| replica_group(shard, machines.iter().map(String::as_str), 3)[0])
+        .collect()
 }
 
 #[test]
@@ -141,13 +189,25 @@
     let nine = machines(9);
     let before = owners(&nine);
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-    before.iter().for_each(|owner| *counts.entry(owner).or_default() += 1);
+    before
+        .iter()
+        .for_each(|owner| *counts.entry(owner).or_default() += 1);
     let most = *counts.values().max().unwrap();
-    assert!(most <= 3 * SHARDS as usize / 9, "one machine owns {most} of {SHARDS}");
+    assert!(
+        most <= 3 * SHARDS as usize / 9,
+        "one machine owns {most} of {SHARDS}"
+    );
     let lost = &nine[4];
-    let eight: Vec<String> = nine.iter().filter(|machine| *machine != lost).cloned().collect();
+    let eight: Vec<String> = nine
+        .iter()
+        .filter(|machine| *machine != lost)
+        .cloned()
+        .collect();
     for (old, new) in before.iter().zip(owners(&eight)) {
-        assert!(old == lost || *old == new, "a shard moved though its owner stayed");
+        assert!(
+            old == lost || *old == new,
+            "a shard moved though its owner stayed"
+        );
     }
     assert!(shard_of("any") < SHARDS);
 }
@@ -156,31 +216,64 @@
 fn monitors_are_a_few_and_stay_when_others_go() {
     let nine = machines(9);
     let of = |name: &str, machines: &[String]| -> Vec<String> {
-        monitors(name, machines.iter().map(String::as_str), 3).into_iter().map(str::to_owned).collect()
+        monitors(name, machines.iter().map(String::as_str), 3)
+            .into_iter()
+            .map(str::to_owned)
+            .collect()
     };
     let before = of("front-1", &nine);
     assert_eq!(before.len(), 3);
-    let other = nine.iter().find(|machine| !before.contains(machine)).unwrap();
-    let eight: Vec<String> = nine.iter().filter(|machine| *machine != other).cloned().collect();
+    let other = nine
+        .iter()
+        .find(|machine| !before.contains(machine))
+        .unwrap();
+    let eight: Vec<String> = nine
+        .iter()
+        .filter(|machine| *machine != other)
+        .cloned()
+        .collect();
     assert_eq!(of("front-1", &eight), before);
-    let used: std::collections::BTreeSet<String> =
-        (0..60).flat_map(|number| of(&format!("front-{number}"), &nine)).collect();
+    let used: std::collections::BTreeSet<String> = (0..60)
+        .flat_map(|number| of(&format!("front-{number}"), &nine))
+        .collect();
     assert!(used.len() >= 7, "few machines monitor all");
 }
 
 fn heartbeat(incarnation: u64, sequence: u64, ready: bool) -> Heartbeat {
-    let (name, address, zone) = ("front-1".to_owned(), "10.0.0.1:80".to_owned(), "z".to_owned());
-    Heartbeat { name, incarnation, sequence, address, zone, ready }
+    let (name, address, zone) = (
+        "front-1".to_owned(),
+        "10.0.0.1:80".to_owned(),
+        "z".to_owned(),
+    );
+    Heartbeat {
+        name,
+        incarnation,
+        sequence,
+        address,
+        zone,
+        ready,
+    }
 }
 
 #[test]
 fn late_heartbeats_and_clocks_that_step_back_mislead_nobody() {
     let mut balancers = Balancers::default();
     assert_eq!(balancers.merge(0, heartbeat(10, 5, true)), Heard::Changed);
-    assert_eq!(balancers.merge(100, heartbeat(10, 4, false)), Heard::Old, "late");
-    assert_eq!(balancers.merge(100, heartbeat(9, 9, false)), Heard::Old, "of an earlier process");
+    assert_eq!(
+        balancers.merge(100, heartbeat(10, 4, false)),
+        Heard::Old,
+        "late"
+    );
+    assert_eq!(
+        balancers.merge(100, heartbeat(9, 9, false)),
+        Heard::Old,
+        "of an earlier process"
+    );
     assert_eq!(balancers.merge(150, heartbeat(10, 6, true)), Heard::Renewed);
-    assert_eq!(balancers.merge(200, heartbeat(11, 1, false)), Heard::Changed);
+    assert_eq!(
+        balancers.merge(200, heartbeat(11, 1, false)),
+        Heard::Changed
+    );
     assert_eq!(
         balancers.merge(2_000, heartbeat(8, 1, true)),
         Heard::Changed,
@@ -194,7 +287,11 @@
 fn news_of_another_incarnation_renews_nobody() {
     let mut balancers = Balancers::default();
     balancers.merge(0, heartbeat(10, 5, true));
-    let news = |incarnation, sequence| StillThere { name: short_hash("front-1"), incarnation, sequence };
+    let news = |incarnation, sequence| StillThere {
+        name: short_hash("front-1"),
+        incarnation,
+        sequence,
+    };
     balancers.renew(900, &[news(11, 9)]);
     balancers.renew(900, &[news(10, 5)]);
     assert_eq!(balancers.alive(1_100, 1_000).count(), 0);
@@ -221,7 +318,13 @@
     const BYTES: usize = 600 << 10;
     let mut journal = Journal::new(7);
     for index in 1..=6 {
-        journal.append(Event::Committed { index, command: Command::Put { base: 0, body: vec![0; BYTES] } });
+        journal.append(Event::Committed {
+            index,
+            command: Command::Put {
+                base: 0,
+                body: vec![0; BYTES],
+            },
+        });
     }
     assert_eq!(journal.end(), 6);
     assert_eq!(journal.tail(7, 0), None);
--- a/crates/control/tests/telling.rs
+++ b/crates/control/tests/telling.rs
@@ -9,7 +9,10 @@
 const OWN: &str = "10.0.0.1:1";
 
 fn machine() -> Machine {
-    let member = Member { id: 1, address: OWN.to_owned() };
+    let member = Member {
+        id: 1,
+        address: OWN.to_owned(),
+    };
     let own = ControlMachine {
         member,
         zone: "n1".to_owned(),
@@ -20,7 +23,9 @@
     let settings = MachineSettings {
         machine: own,
         seeds: vec![OWN.to_owned()],
-        zones: zones.map(|(zone, region)| (zone.to_owned(), region.to_owned())).into(),
+        zones: zones
+            .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
+            .into(),
         heartbeat_ms: 1_200,
         tolerated: 1,
         incarnation: 7,
@@ -41,12 +46,25 @@
             ready: true,
         };
         machine.heartbeat(0, heartbeat);
-        machine.subscribe(0, number, &Packet::Subscribe { balancer, epoch: 0, offset: 0, index: 0 });
+        machine.subscribe(
+            0,
+            number,
+            &Packet::Subscribe {
+                balancer,
+                epoch: 0,
+                offset: 0,
+                index: 0,
+            },
+        );
     }
 }
 
 fn report(sequence: u64, zone: &str, unread: u32) -> Packet {
-    let upstreams = vec![UpstreamLoad { upstream: 3, unread, is_failing: true }];
+    let upstreams = vec![UpstreamLoad {
+        upstream: 3,
+        unread,
+        is_failing: true,
+    }];
     Packet::Load(LoadReport {
         balancer: 1,
         sequence,
@@ -62,7 +80,11 @@
     for now in (from..until).step_by(50) {
         machine.tick(now);
         for action in machine.take_actions() {
-            if let Action::Deliver { subscribers, packet: Packet::Loads(loads) } = action {
+            if let Action::Deliver {
+                subscribers,
+                packet: Packet::Loads(loads),
+            } = action
+            {
                 told.push((now, subscribers, loads));
             }
         }
@@ -76,14 +98,23 @@
     subscribe(&mut machine, 1, 1, "n1");
     subscribe(&mut machine, 2, 1, "n2");
     subscribe(&mut machine, 3, 1, "s1");
-    assert!(told(&mut machine, 0, 200).is_empty(), "there is nothing to tell");
+    assert!(
+        told(&mut machine, 0, 200).is_empty(),
+        "there is nothing to tell"
+    );
     machine.packet(200, "10.0.0.9:9", report(1, "n1", 5_000));
     let loads = |failing| FleetLoads {
-        upstreams: vec![FleetLoad { upstream: 3, unread: 5_000, failing }],
+        upstreams: vec![FleetLoad {
+            upstream: 3,
+            unread: 5_000,
+            failing,
+        }],
         ..FleetLoads::default()
     };
-    let first: Vec<(Vec<u64>, FleetLoads)> =
-        told(&mut machine, 200, 350).into_iter().map(|(_, readers, loads)| (readers, loads)).collect();
+    let first: Vec<(Vec<u64>, FleetLoads)> = told(&mut machine, 200, 350)
+        .into_iter()
+        .map(|(_, readers, loads)| (readers, loads))
+        .collect();
     assert_eq!(first, [(vec![1], loads(1)), (vec![2], loads(0))]);
 }
 
@@ -96,8 +127,14 @@
     let all = told(&mut machine, 50, 1_500);
     let times: Vec<u64> = all.iter().map(|(now, ..)| *now).collect();
     assert!(times.len() >= 3, "told again before it has aged: {times:?}");
-    assert!(times.windows(2).all(|pair| pair[1] - pair[0] <= 350), "{times:?}");
-    assert!(all.last().unwrap().2.is_empty(), "and taken back once the report has aged");
+    assert!(
+        times.windows(2).all(|pair| pair[1] - pair[0] <= 350),
+        "{times:?}"
+    );
+    assert!(
+        all.last().unwrap().2.is_empty(),
+        "and taken back once the report has aged"
+    );
 }
 
 #[test]
@@ -108,11 +145,18 @@
         machine.tick(0);
         let mut count = 0;
         for step in 1..=20 {
-            machine.packet(step * 100, "10.0.0.9:9", report(step, "n1", 5_000 + step as u32));
+            machine.packet(
+                step * 100,
+                "10.0.0.9:9",
+                report(step, "n1", 5_000 + step as u32),
+            );
             count += told(&mut machine, step * 100, step * 100 + 100).len();
         }
         count
     };
     let (few, many) = (news(40), news(120));
-    assert!(many * 2 <= few && many > 0, "{few} times with 40 readers, {many} with 120");
+    assert!(
+        many * 2 <= few && many > 0,
+        "{few} times with 40 readers, {many} with 120"
+    );
 }
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,23 +1,33 @@
 //! Frames: one change of one message at a time is refused whole, with a typed error.
 
-use woadstall_consensus::{Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece};
+use woadstall_consensus::{
+    Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece,
+};
 use woadstall_control::balancers::{Heartbeat, StillThere};
 use woadstall_control::command::{Command, Outcome};
 use woadstall_control::feed::Event;
 use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, Placement, UpstreamLoad};
 use woadstall_control::registry::{Registration, Status};
 use woadstall_control::wire::{
-    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION, WireError,
-    ZoneBalancers, payload_length,
+    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION,
+    WireError, ZoneBalancers, payload_length,
 };
 
 fn member() -> Member {
-    Member { id: 7, address: "10.0.0.1:7720".to_owned() }
+    Member {
+        id: 7,
+        address: "10.0.0.1:7720".to_owned(),
+    }
 }
 
 fn machine() -> ControlMachine {
     let (zone, region, control) = ("z".to_owned(), "r".to_owned(), "10.0.0.1:80".to_owned());
-    ControlMachine { member: member(), zone, region, control }
+    ControlMachine {
+        member: member(),
+        zone,
+        region,
+        control,
+    }
 }
 
 fn registration() -> Registration {
@@ -36,7 +46,15 @@
 }
 
 fn consensus(body: Body) -> Packet {
-    Packet::Consensus { message: Message { from: 1, to: 2, term: 3, body }, clock: 77 }
+    Packet::Consensus {
+        message: Message {
+            from: 1,
+            to: 2,
+            term: 3,
+            body,
+        },
+        clock: 77,
+    }
 }
 
 /// A body that is compressed on its way.
@@ -50,31 +68,74 @@
 fn what_repeats_itself_takes_less_and_a_size_that_is_claimed_takes_nothing() {
     let packet = Packet::Events {
         offset: 1,
-        events: vec![Event::Committed { index: 1, command: Command::Put { base: 0, body: large_body() } }],
+        events: vec![Event::Committed {
+            index: 1,
+            command: Command::Put {
+                base: 0,
+                body: large_body(),
+            },
+        }],
     };
     let frame = packet.frame();
-    assert!(frame.len() < large_body().len() / 2, "{} bytes", frame.len());
+    assert!(
+        frame.len() < large_body().len() / 2,
+        "{} bytes",
+        frame.len()
+    );
     let mut claims = frame;
     claims[HEAD_BYTES..HEAD_BYTES + 4].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&claims[2..4]);
     hasher.update(&claims[HEAD_BYTES..]);
     claims[8..12].copy_from_slice(&hasher.finalize().to_le_bytes());
-    assert_eq!(Packet::decode_datagram(&claims), Err(WireError::TooLong(u32::MAX as usize)));
+    assert_eq!(
+        Packet::decode_datagram(&claims),
+        Err(WireError::TooLong(u32::MAX as usize))
+    );
 }
 
 /// One packet of each kind.
 fn packets() -> Vec<Packet> {
-    let command = Command::Put { base: 1, body: b"{}".to_vec() };
-    let members = Membership { voters: vec![member()], next: vec![member()] };
+    let command = Command::Put {
+        base: 1,
+        body: b"{}".to_vec(),
+    };
+    let members = Membership {
+        voters: vec![member()],
+        next: vec![member()],
+    };
     let entries = vec![
-        Entry { index: 1, term: 1, payload: Payload::Empty },
-        Entry { index: 2, term: 1, payload: Payload::Command(vec![1, 2, 3]) },
-        Entry { index: 3, term: 1, payload: Payload::Members(members) },
+        Entry {
+            index: 1,
+            term: 1,
+            payload: Payload::Empty,
+        },
+        Entry {
+            index: 2,
+            term: 1,
+            payload: Payload::Command(vec![1, 2, 3]),
+        },
+        Entry {
+            index: 3,
+            term: 1,
+            payload: Payload::Members(members),
+        },
     ];
-    let head = SnapshotHead { index: 3, term: 1, size: 20, checksum: 7 };
-    let piece = SnapshotPiece { head, offset: 0, bytes: vec![9; 20] };
-    let call = CallId { incarnation: 5, number: 1 };
+    let head = SnapshotHead {
+        index: 3,
+        term: 1,
+        size: 20,
+        checksum: 7,
+    };
+    let piece = SnapshotPiece {
+        head,
+        offset: 0,
+        bytes: vec![9; 20],
+    };
+    let call = CallId {
+        incarnation: 5,
+        number: 1,
+    };
     let expires = LeaderTime { term: 3, at: 900 };
     let heartbeat = Heartbeat {
         name: "front-1".to_owned(),
@@ -84,34 +145,115 @@
         zone: "z".to_owned(),
         ready: true,
     };
-    let placements = vec![Placement { number: 1, upstream: 3, beginning: 5, tokens: 9_000, own_tokens: 20 }];
-    let load = UpstreamLoad { upstream: 3, unread: 4_000, is_failing: true };
+    let placements = vec![Placement {
+        number: 1,
+        upstream: 3,
+        beginning: 5,
+        tokens: 9_000,
+        own_tokens: 20,
+    }];
+    let load = UpstreamLoad {
+        upstream: 3,
+        unread: 4_000,
+        is_failing: true,
+    };
     vec![
-        Packet::Hello { machine: machine(), known: vec![machine()] },
-        consensus(Body::Vote { pre: true, last_index: 1, last_term: 1, transfer: false }),
-        consensus(Body::VoteReply { pre: false, granted: true }),
-        consensus(Body::Append { previous_index: 0, previous_term: 0, entries, commit: 1, round: 9 }),
-        consensus(Body::AppendReply { success: true, index: 3, round: 9 }),
+        Packet::Hello {
+            machine: machine(),
+            known: vec![machine()],
+        },
+        consensus(Body::Vote {
+            pre: true,
+            last_index: 1,
+            last_term: 1,
+            transfer: false,
+        }),
+        consensus(Body::VoteReply {
+            pre: false,
+            granted: true,
+        }),
+        consensus(Body::Append {
+            previous_index: 0,
+            previous_term: 0,
+            entries,
+            commit: 1,
+            round: 9,
+        }),
+        consensus(Body::AppendReply {
+            success: true,
+            index: 3,
+            round: 9,
+        }),
         consensus(Body::Install { piece, round: 9 }),
-        consensus(Body::InstallReply { head, received: 20, round: 9 }),
+        consensus(Body::InstallReply {
+            head,
+            received: 20,
+            round: 9,
+        }),
         consensus(Body::Elect),
         Packet::Join(member()),
         Packet::Leaves(7),
-        Packet::Registrations { call, registrations: vec![registration()] },
+        Packet::Registrations {
+            call,
+            registrations: vec![registration()],
+        },
         Packet::RegistrationsTaken { call },
-        Packet::Renewals(vec![Renewal { id: "i-1".to_owned(), sequence: 4 }]),
+        Packet::Renewals(vec![Renewal {
+            id: "i-1".to_owned(),
+            sequence: 4,
+        }]),
         Packet::Balancers(vec![heartbeat.clone()]),
-        Packet::BalancersStillThere(vec![StillThere { name: 1, incarnation: 2, sequence: 3 }]),
-        Packet::Order { call, expires, command: command.clone() },
-        Packet::Order { call, expires, command: Command::Put { base: 1, body: large_body() } },
-        Packet::OrderDone { call, outcome: Some(Outcome::Conflict { current: 4 }) },
+        Packet::BalancersStillThere(vec![StillThere {
+            name: 1,
+            incarnation: 2,
+            sequence: 3,
+        }]),
+        Packet::Order {
+            call,
+            expires,
+            command: command.clone(),
+        },
+        Packet::Order {
+            call,
+            expires,
+            command: Command::Put {
+                base: 1,
+                body: large_body(),
+            },
+        },
+        Packet::OrderDone {
+            call,
+            outcome: Some(Outcome::Conflict { current: 4 }),
+        },
         Packet::Read { call },
-        Packet::ReadDone { call, index: Some(4) },
-        Packet::Subscribe { balancer: "front-1".to_owned(), epoch: 1, offset: 2, index: 3 },
-        Packet::Snapshot { epoch: 1, offset: 2, state: vec![1], registrations: vec![registration()] },
-        Packet::Events { offset: 2, events: vec![Event::Committed { index: 1, command }] },
-        Packet::Status { in_quorum: true, machines: vec![machine()] },
-        Packet::Balancing(vec![ZoneBalancers { zone: "z".to_owned(), balancers: vec![1, 2] }]),
+        Packet::ReadDone {
+            call,
+            index: Some(4),
+        },
+        Packet::Subscribe {
+            balancer: "front-1".to_owned(),
+            epoch: 1,
+            offset: 2,
+            index: 3,
+        },
+        Packet::Snapshot {
+            epoch: 1,
+            offset: 2,
+            state: vec![1],
+            registrations: vec![registration()],
+        },
+        Packet::Events {
+            offset: 2,
+            events: vec![Event::Committed { index: 1, command }],
+        },
+        Packet::Status {
+            in_quorum: true,
+            machines: vec![machine()],
+        },
+        Packet::Balancing(vec![ZoneBalancers {
+            zone: "z".to_owned(),
+            balancers: vec![1, 2],
+        }]),
         Packet::Heartbeat(heartbeat),
         Packet::Load(LoadReport {
             balancer: 1,
@@ -121,7 +263,11 @@
             placements: placements.clone(),
         }),
         Packet::Loads(FleetLoads {
-            upstreams: vec![FleetLoad { upstream: 3, unread: 4_000, failing: 2 }],
+            upstreams: vec![FleetLoad {
+                upstream: 3,
+                unread: 4_000,
+                failing: 2,
+            }],
             placements,
         }),
     ]
@@ -142,7 +288,10 @@
             for change in [1, 0x80, 0xff] {
                 let mut changed = frame.clone();
                 changed[position] ^= change;
-                assert!(Packet::decode_datagram(&changed).is_err(), "byte {position} of {packet:?}");
+                assert!(
+                    Packet::decode_datagram(&changed).is_err(),
+                    "byte {position} of {packet:?}"
+                );
             }
         }
     }
@@ -165,7 +314,10 @@
 fn heads_are_refused_before_anything_is_read() {
     let mut head: [u8; HEAD_BYTES] = packets()[0].frame()[..HEAD_BYTES].try_into().unwrap();
     head[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_eq!(payload_length(&head), Err(WireError::TooLong(u32::MAX as usize)));
+    assert_eq!(
+        payload_length(&head),
+        Err(WireError::TooLong(u32::MAX as usize))
+    );
     assert!(MOST_BYTES < u32::MAX as usize);
     head[0] = 99;
     assert_eq!(payload_length(&head), Err(WireError::Version(99)));
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -149,8 +149,15 @@
                 return error(format!("`classes[{at}].{field}` is 0"));
             }
         }
-        if let Some(at) = self.tenants.iter().position(|tenant| !sound(tenant.quota_rps)) {
-            return error(format!("`tenants[{at}].quota_rps` is {}", self.tenants[at].quota_rps));
+        if let Some(at) = self
+            .tenants
+            .iter()
+            .position(|tenant| !sound(tenant.quota_rps))
+        {
+            return error(format!(
+                "`tenants[{at}].quota_rps` is {}",
+                self.tenants[at].quota_rps
+            ));
         }
         if usize::from(self.zone.0) >= self.zones {
             return error(format!("`zone` is {} of {} zones", self.zone.0, self.zones));
@@ -159,7 +166,10 @@
             return error("`max_attempts` is 0".into());
         }
         if !(0.0..=1.0).contains(&self.start_capacity) {
-            return error(format!("`start_capacity` is {}, not between 0 and 1", self.start_capacity));
+            return error(format!(
+                "`start_capacity` is {}, not between 0 and 1",
+                self.start_capacity
+            ));
         }
         let figures = [
             ("over_quota_worth", self.over_quota_worth),
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -5,7 +5,9 @@
 //! source, and the condition under which each exception acts.
 
 use crate::api::*;
-use crate::state::{Asking, Breaker, IdleRisk, Latency, Pool, Recent, Request, Server, Shedding, Told};
+use crate::state::{
+    Asking, Breaker, IdleRisk, Latency, Pool, Recent, Request, Server, Shedding, Told,
+};
 use std::collections::{HashMap, HashSet};
 
 const SECOND: Duration = 1_000_000_000;
@@ -245,7 +247,11 @@
 
     /// Takes new settings. A class keeps its position; `new` names those that had another before.
     /// Fewer attempts bind requests under way as well.
-    pub fn retune(&mut self, settings: Settings, new: &[ClassSuccession]) -> Result<(), SettingsError> {
+    pub fn retune(
+        &mut self,
+        settings: Settings,
+        new: &[ClassSuccession],
+    ) -> Result<(), SettingsError> {
         settings.check()?;
         let classes = settings.classes.len().max(self.classes.len());
         self.classes.resize(classes, Latency::default());
@@ -253,7 +259,9 @@
             self.classes[succession.class] = self.classes[succession.predecessor].clone();
         }
         self.shed.demand.resize(classes, Recent::default());
-        self.shed.tenants.resize(settings.tenants.len(), Recent::default());
+        self.shed
+            .tenants
+            .resize(settings.tenants.len(), Recent::default());
         let asking = self.asking.values_mut().map(|asking| &mut asking.request);
         for request in self.requests.values_mut().chain(asking) {
             request.most = request.most.min(settings.max_attempts);
@@ -284,7 +292,9 @@
         let classes = learned.classes.iter().map(|(at, told)| (Some(*at), told));
         for (at, told) in classes.chain([(None, &learned.overall)]) {
             let own = at.map_or(Some(&mut self.overall), |at| self.classes.get_mut(at));
-            own.filter(|own| own.calls == 0).into_iter().for_each(|own| *own = Latency::from_told(told));
+            own.filter(|own| own.calls == 0)
+                .into_iter()
+                .for_each(|own| *own = Latency::from_told(told));
         }
         if self.served.sum == 0.0 {
             self.served = Recent::carried(learned.rate / 2.0, self.now, RATE_WINDOW);
@@ -296,7 +306,9 @@
             self.failing = learned.failing;
         }
         for told in &learned.servers {
-            let Some(&at) = self.index.get(&told.server) else { continue };
+            let Some(&at) = self.index.get(&told.server) else {
+                continue;
+            };
             let server = &mut self.servers[at];
             if server.started != told.started || server.answered_at > 0 {
                 continue;
@@ -319,8 +331,12 @@
 
     fn on_list(&mut self, entries: &[ListEntry], whole: bool) {
         if whole {
-            self.index.values().for_each(|&at| self.servers[at].gone = true);
-            self.servers.iter_mut().for_each(|server| server.ready = false);
+            self.index
+                .values()
+                .for_each(|&at| self.servers[at].gone = true);
+            self.servers
+                .iter_mut()
+                .for_each(|server| server.ready = false);
         }
         entries.iter().for_each(|entry| self.on_entry(entry));
         self.forget_gone();
@@ -344,7 +360,11 @@
         server.cell = entry.cell;
         server.ready = entry.lifecycle == Lifecycle::Ready;
         let size = f64::from(entry.size);
-        server.size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
+        server.size = if size.is_finite() && size > 0.0 {
+            size
+        } else {
+            1.0
+        };
         if entry.started.is_some() && entry.started != server.started {
             // A new process: its predecessor's failures say nothing of it. The random start of its budget
             // keeps all siblings from sending it their first call at once.
@@ -358,7 +378,13 @@
     fn add(&mut self, id: ServerId) -> usize {
         // Seeded, so that siblings that skip a server don't all hit the same next one.
         let (order, turn) = (self.rng.u64(..), self.rng.f64());
-        let server = Server { id, order, turn, slowness: 1.0, ..Server::default() };
+        let server = Server {
+            id,
+            order,
+            turn,
+            slowness: 1.0,
+            ..Server::default()
+        };
         let at = self.free.pop().unwrap_or(self.servers.len());
         match self.servers.get_mut(at) {
             Some(place) => *place = server,
@@ -375,8 +401,13 @@
             return;
         }
         let asking = self.asking.values();
-        let requests = self.requests.values().chain(asking.clone().map(|asking| &asking.request));
-        let sent = requests.flat_map(|request| [request.sent, request.may_have_run]).flatten();
+        let requests = self
+            .requests
+            .values()
+            .chain(asking.clone().map(|asking| &asking.request));
+        let sent = requests
+            .flat_map(|request| [request.sent, request.may_have_run])
+            .flatten();
         let asked = asking.flat_map(|asking| asking.proposals.iter().map(|&(at, _)| at));
         let needed: HashSet<usize> = sent.map(|(at, _)| at).chain(asked).collect();
         for (at, server) in self.servers.iter_mut().enumerate() {
@@ -389,17 +420,22 @@
     }
 
     fn rebuild_pools(&mut self) {
-        let mut ready: Vec<usize> = (0..self.servers.len()).filter(|&at| self.servers[at].ready).collect();
+        let mut ready: Vec<usize> = (0..self.servers.len())
+            .filter(|&at| self.servers[at].ready)
+            .collect();
         ready.sort_by_key(|&at| self.servers[at].order);
         self.pools.iter_mut().for_each(Pool::clear);
         for at in ready {
             let server = &self.servers[at];
-            both(&mut self.pools, server.zone).for_each(|pool| pool.add(at, server, self.settings.ramp_time));
+            both(&mut self.pools, server.zone)
+                .for_each(|pool| pool.add(at, server, self.settings.ramp_time));
         }
     }
 
     fn on_list_failed(&mut self) {
-        let failures = *self.watch_failures.insert(self.watch_failures.unwrap_or(0) + 1);
+        let failures = *self
+            .watch_failures
+            .insert(self.watch_failures.unwrap_or(0) + 1);
         self.watch_within(doubling(WATCH_BACKOFF, failures));
         self.log(
             Topic::Discovery,
@@ -408,14 +444,22 @@
     }
 
     fn watch_within(&mut self, most: Duration) {
-        self.actions.push(Action::SetTimer { after: self.rng.u64(..=most), token: WATCH_TOKEN });
+        self.actions.push(Action::SetTimer {
+            after: self.rng.u64(..=most),
+            token: WATCH_TOKEN,
+        });
     }
 
     // ---- Requests ----
 
     fn on_request(&mut self, id: RequestId, demand: Demand) {
         let class = demand.class;
-        let Some(aim) = self.settings.classes.get(class).map(|class| class.aim.max(1) as f64) else {
+        let Some(aim) = self
+            .settings
+            .classes
+            .get(class)
+            .map(|class| class.aim.max(1) as f64)
+        else {
             return self.actions.push(Action::Refuse { id, retry_after: 0 });
         };
         self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(RETRY_BUDGET.1);
@@ -439,11 +483,18 @@
     fn useful_time(&self, class: usize, demand: &Demand) -> Duration {
         let class = &self.settings.classes[class];
         let stretch = class.aim_stretch * demand.work.unwrap_or(0) as f64;
-        let aim = class.aim.saturating_add(stretch as Duration).min(class.deadline);
+        let aim = class
+            .aim
+            .saturating_add(stretch as Duration)
+            .min(class.deadline);
         // Where an answer after the aim is worth nothing, waiting on only blocks a slot. A deeper tier that
         // is told no budget must not work on for a client that is long gone.
         let guessed = self.settings.tier > 0 && !self.settings.passes_deadline;
-        if class.late_worth <= 0.0 || guessed { demand.time_left.min(aim) } else { demand.time_left }
+        if class.late_worth <= 0.0 || guessed {
+            demand.time_left.min(aim)
+        } else {
+            demand.time_left
+        }
     }
 
     fn attempt(&mut self, id: RequestId, request: Request) {
@@ -465,7 +516,10 @@
         let begin_by = self.repeat_until(&request);
         if latency.calls >= KNOWN {
             let token = u64::from(request.attempts) << 32 | u64::from(id.0);
-            self.actions.push(Action::SetTimer { after: latency.above(LATE_DEVS), token });
+            self.actions.push(Action::SetTimer {
+                after: latency.above(LATE_DEVS),
+                token,
+            });
         }
         request.idle = self.connection(at, request.class);
         self.count_in_flight(at, true);
@@ -475,7 +529,12 @@
         server.learn_peak(now, SPARE.1);
         server.budget -= if budgeted { 1.0 } else { 0.0 };
         server.breaker.trial |= server.breaker.tripped;
-        self.actions.push(Action::Send { id, server: server.id, until, begin_by });
+        self.actions.push(Action::Send {
+            id,
+            server: server.id,
+            until,
+            begin_by,
+        });
         request.trial = server.breaker.tripped;
         request.sent = Some((at, now));
         request.attempts += 1;
@@ -494,7 +553,11 @@
             return 0;
         }
         let step = self.idle_risk.step(idle, IDLE_FROM);
-        let bearable = if self.repeatable(class) { IDLE_RISK.1 } else { IDLE_RISK.0 };
+        let bearable = if self.repeatable(class) {
+            IDLE_RISK.1
+        } else {
+            IDLE_RISK.0
+        };
         if !self.idle_fails(step, bearable) {
             return step;
         }
@@ -518,10 +581,16 @@
     fn attempt_limit(&self, request: &Request) -> Time {
         let left = request.deadline.saturating_sub(self.now);
         let latency = &self.classes[request.class];
-        let overdue = latency.above(OVERDUE_DEVS).max(self.never_overdue(request.class));
+        let overdue = latency
+            .above(OVERDUE_DEVS)
+            .max(self.never_overdue(request.class));
         let again = request.attempts + 1 < request.most && self.repeatable(request.class);
         let cut = again && latency.calls >= KNOWN && overdue + latency.mean as Duration <= left;
-        if cut { self.now + overdue } else { request.deadline }
+        if cut {
+            self.now + overdue
+        } else {
+            request.deadline
+        }
     }
 
     fn never_overdue(&self, class: usize) -> Duration {
@@ -542,7 +611,11 @@
         let most = self.settings.max_retry_after;
         let retry_after = most / 2 + self.rng.u64(..=most / 2);
         let harmless = safe || request.may_have_run.is_none();
-        self.actions.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
+        self.actions.push(if harmless {
+            Action::Refuse { id, retry_after }
+        } else {
+            Action::Fail(id)
+        });
     }
 
     // ---- The mechanism: zone affinity, zone avoidance, availability-filtered round robin ----
@@ -550,23 +623,29 @@
     /// What the fleet has found of zones and servers: it shifts new work, and fades where it is not renewed.
     fn on_told(&mut self, verdicts: &[Verdict]) {
         for verdict in verdicts {
-            let told = Told { share: f64::from(verdict.share).clamp(0.0, 1.0), until: verdict.until };
+            let told = Told {
+                share: f64::from(verdict.share).clamp(0.0, 1.0),
+                until: verdict.until,
+            };
             match verdict.place {
                 Place::Zone(zone, class) if usize::from(zone.0) < self.settings.zones => {
                     let pool = &mut self.pools[usize::from(zone.0)];
                     match class {
                         None => pool.told = told,
                         Some(class) if class < self.settings.classes.len() => {
-                            pool.told_classes.resize(self.settings.classes.len(), Told::default());
+                            pool.told_classes
+                                .resize(self.settings.classes.len(), Told::default());
                             pool.told_classes[class] = told;
                         }
                         Some(_) => {}
                     }
                 }
                 Place::Zone(..) => {}
-                Place::Server(id) => {
-                    self.index.get(&id).into_iter().for_each(|&at| self.servers[at].told = told)
-                }
+                Place::Server(id) => self
+                    .index
+                    .get(&id)
+                    .into_iter()
+                    .for_each(|&at| self.servers[at].told = told),
             }
         }
     }
@@ -593,8 +672,9 @@
             let (zone, done) = (&self.pools[own], if left { "left" } else { "taken again" });
             let (healthy, servers, held) = (zone.healthy(), zone.members.len(), zone.in_flight);
             let failing = 100.0 * zone.failing.get(self.now, SURPLUS.1);
-            let text =
-                format!("zone {done}: {healthy} of {servers} healthy, {held} held, {failing:.0}% failing");
+            let text = format!(
+                "zone {done}: {healthy} of {servers} healthy, {held} held, {failing:.0}% failing"
+            );
             self.log(Topic::Zone, text);
         }
         if let Some(trial) = self.trial_of_dropped_zone(own, left, request) {
@@ -608,16 +688,31 @@
             (false, false, false) => self.surplus_zone(own).unwrap_or(own),
         };
         let picked = self.pick(first, request).map(|at| (first, at));
-        picked.or_else(|| if first == all { None } else { self.pick(all, request).map(|at| (all, at)) })
+        picked.or_else(|| {
+            if first == all {
+                None
+            } else {
+                self.pick(all, request).map(|at| (all, at))
+            }
+        })
     }
 
     /// A zone whose breakers have all opened is dropped, and with it the picks that would bring it a trial: a
     /// due one goes before. Other zones get theirs by calls that leave the own one anyhow.
-    fn trial_of_dropped_zone(&mut self, own: usize, left: bool, request: &Request) -> Option<(usize, usize)> {
+    fn trial_of_dropped_zone(
+        &mut self,
+        own: usize,
+        left: bool,
+        request: &Request,
+    ) -> Option<(usize, usize)> {
         let others = (0..self.settings.zones).filter(|zone| left && *zone != own);
         std::iter::once(own).chain(others).find_map(|zone| {
             let dropped = self.pools[zone].healthy() == 0 && !self.away.contains(&zone);
-            if dropped { self.pick(zone, request).map(|at| (zone, at)) } else { None }
+            if dropped {
+                self.pick(zone, request).map(|at| (zone, at))
+            } else {
+                None
+            }
         })
     }
 
@@ -625,7 +720,8 @@
     fn own_zone_will_do(&self, own: usize) -> bool {
         let zone = &self.pools[own];
         let blackout = zone.tripped as f64 >= BLACKOUT * zone.members.len() as f64;
-        let failing = zone.failing.get(self.now, SURPLUS.1) > ZONE_FAILING + self.settings.cross_price;
+        let failing =
+            zone.failing.get(self.now, SURPLUS.1) > ZONE_FAILING + self.settings.cross_price;
         zone.healthy() >= MIN_HEALTHY && !blackout && !failing && !self.overloaded(zone, zone.size)
     }
 
@@ -637,10 +733,12 @@
             return None;
         }
         let now = self.now;
-        let sound =
-            |pool: &Pool| pool.healthy() >= MIN_HEALTHY && pool.failing.get(now, SURPLUS.1) < BLACKOUT;
+        let sound = |pool: &Pool| {
+            pool.healthy() >= MIN_HEALTHY && pool.failing.get(now, SURPLUS.1) < BLACKOUT
+        };
         let away = std::mem::take(&mut self.away);
-        let zone = self.random_zone(|zone, pool| zone != own && !away.contains(&zone) && sound(pool));
+        let zone =
+            self.random_zone(|zone, pool| zone != own && !away.contains(&zone) && sound(pool));
         self.away = away;
         let zone = zone?;
         let calm = self.pools[own].lateness.calm;
@@ -653,7 +751,10 @@
     /// A random one of the zones that will do, larger ones more often.
     fn random_zone(&mut self, will_do: impl Fn(usize, &Pool) -> bool) -> Option<usize> {
         let (all, zones) = self.pools.split_last()?;
-        let (start, count) = (self.rng.usize(..all.members.len().max(1)), all.members.len());
+        let (start, count) = (
+            self.rng.usize(..all.members.len().max(1)),
+            all.members.len(),
+        );
         let mut drawn = (start..start + count).map(|at| self.servers[all.members[at % count]].zone);
         drawn.find(|&zone| zones.get(zone).is_some_and(|pool| will_do(zone, pool)))
     }
@@ -665,7 +766,8 @@
             return false; // at a cold start nothing is calm yet, and every zone would be left at once
         }
         let calm = self.calm_in_flight() * zone.size / normal_size.max(f64::MIN_POSITIVE);
-        f64::from(zone.in_flight) > (ZONE_RISE.0 * calm + ZONE_RISE.1 * calm.sqrt()).max(ZONE_RISE.2)
+        f64::from(zone.in_flight)
+            > (ZONE_RISE.0 * calm + ZONE_RISE.1 * calm.sqrt()).max(ZONE_RISE.2)
     }
 
     /// Calls that would be in flight if all were answered as fast as in calm times (Little's law).
@@ -677,15 +779,24 @@
     /// itself), and the worst over-loaded one. If any was dropped: one of the rest, larger ones more often.
     fn zone_after_avoidance(&mut self, own: usize) -> Option<usize> {
         let (all, zones) = self.pools.split_last()?;
-        let normal = zones.get(own).filter(|zone| zone.size > 0.0).unwrap_or(all).size;
+        let normal = zones
+            .get(own)
+            .filter(|zone| zone.size > 0.0)
+            .unwrap_or(all)
+            .size;
         let over = |z: &usize| zones[*z].healthy() > 0 && self.overloaded(&zones[*z], normal);
         let by_load = |a: &usize, b: &usize| zones[*a].load().total_cmp(&zones[*b].load());
         let worst = (0..zones.len()).filter(over).max_by(by_load);
         let now = self.now;
         let sound = |pool: &Pool| pool.healthy() > 0 && pool.failing.get(now, SURPLUS.1) < BLACKOUT;
         let away = self.away.clone();
-        let stays = |zone: usize, pool: &Pool| sound(pool) && Some(zone) != worst && !away.contains(&zone);
-        if zones.iter().enumerate().all(|(zone, pool)| stays(zone, pool) || pool.members.is_empty()) {
+        let stays =
+            |zone: usize, pool: &Pool| sound(pool) && Some(zone) != worst && !away.contains(&zone);
+        if zones
+            .iter()
+            .enumerate()
+            .all(|(zone, pool)| stays(zone, pool) || pool.members.is_empty())
+        {
             return None;
         }
         self.random_zone(stays)
@@ -693,7 +804,8 @@
 
     fn pick(&mut self, pool: usize, request: &Request) -> Option<usize> {
         let (count, start) = (self.pools[pool].members.len(), self.pools[pool].cursor);
-        let share = LOAD_RISE * self.calm_in_flight() / self.pools[pool].size.max(f64::MIN_POSITIVE);
+        let share =
+            LOAD_RISE * self.calm_in_flight() / self.pools[pool].size.max(f64::MIN_POSITIVE);
         let (mut proposals, mut spare, mut doubtful, mut next) = (0, None, None, None);
         for position in (start + 1..).take(ROUNDS * count).map(|step| step % count) {
             let at = self.pools[pool].members[position];
@@ -705,14 +817,17 @@
             let wary = unsure && (self.excess_failing(at, 2.0) > WARY || self.told_of(at) <= TRIED);
             // Where the fleet has few try a zone, those try it: each trial that is due goes.
             let zone = self.servers[at].zone;
-            let tried = self.servers[at].breaker.tripped && self.pools[zone].told.share(self.now) < 1.0;
+            let tried =
+                self.servers[at].breaker.tripped && self.pools[zone].told.share(self.now) < 1.0;
             if wary || self.away.contains(&zone) || !(self.takes_turn(pool, at) || tried) {
-                doubtful = doubtful.or(Some(position).filter(|_| !self.servers[at].breaker.tripped));
+                doubtful =
+                    doubtful.or(Some(position).filter(|_| !self.servers[at].breaker.tripped));
                 continue;
             }
             let server = &self.servers[at];
             let refusing = self.now < server.full_until || self.lacks_connection(at);
-            let full = refusing || f64::from(server.in_flight) >= (share * server.size).ceil().max(1.0);
+            let full =
+                refusing || f64::from(server.in_flight) >= (share * server.size).ceil().max(1.0);
             if !full && self.breaker_admits(at, request.class) {
                 self.pools[pool].cursor = position;
                 return Some(at);
@@ -726,7 +841,11 @@
         // The fallback only guarantees a quick return: better an over-full server than a tripped or refusing
         // one, and better one of another zone than those.
         let spare = spare.or(doubtful);
-        let fallback = if pool == self.settings.zones { spare.or(next)? } else { spare? };
+        let fallback = if pool == self.settings.zones {
+            spare.or(next)?
+        } else {
+            spare?
+        };
         self.pools[pool].cursor = fallback;
         Some(self.pools[pool].members[fallback])
     }
@@ -735,7 +854,9 @@
     /// servers that accept fewer than usual: each try costs the whole time of a failed connection.
     fn lacks_connection(&self, at: usize) -> bool {
         let server = &self.servers[at];
-        let Some((limit, since)) = server.conn_limit else { return false };
+        let Some((limit, since)) = server.conn_limit else {
+            return false;
+        };
         let room = Duration::from(limit) + self.now.saturating_sub(since) / CONN_GROWTH;
         server.open <= server.in_flight && Duration::from(server.in_flight) >= room
     }
@@ -750,7 +871,9 @@
     /// A keyed request that may have run stays with the servers that drop its repeats.
     fn in_group(&self, at: usize, request: &Request) -> bool {
         let server = &self.servers[at];
-        let first = request.may_have_run.map_or(server, |(first, _)| &self.servers[first]);
+        let first = request
+            .may_have_run
+            .map_or(server, |(first, _)| &self.servers[first]);
         match self.settings.classes[request.class].effect {
             Effect::Keyed(Group::Zone, _) => first.zone == server.zone,
             Effect::Keyed(Group::Cell, _) => first.cell == server.cell,
@@ -768,14 +891,26 @@
         }
         // Where servers tell their load before they get a call, a busy cold one is seen: half the multiple
         // that pushes it over is safe, and its share of proposals alone would leave it idle.
-        let ease = if self.asks() { (self.settings.tip_multiple / 2.0).max(1.0) } else { 1.0 };
+        let ease = if self.asks() {
+            (self.settings.tip_multiple / 2.0).max(1.0)
+        } else {
+            1.0
+        };
         let served = self.served.per_second(self.now, RATE_WINDOW);
         // A balancer that has just started has had nothing answered: where all servers are cold as well,
         // after a release, nothing would ever be. It goes by what it takes on until it knows better.
         let fresh = self.now < self.fresh_until;
-        let known = if fresh { served.max(self.taken_on.per_second(self.now, RATE_WINDOW)) } else { served };
+        let known = if fresh {
+            served.max(self.taken_on.per_second(self.now, RATE_WINDOW))
+        } else {
+            served
+        };
         let share = known * ease / self.pools[pool].size.max(f64::MIN_POSITIVE);
-        let beyond = if warmth < 1.0 { 1.0 } else { COLD_PART * self.settings.tip_multiple };
+        let beyond = if warmth < 1.0 {
+            1.0
+        } else {
+            COLD_PART * self.settings.tip_multiple
+        };
         let rate = warmth * self.cold_share(self.servers[at].zone, share) * beyond;
         let server = &mut self.servers[at];
         let passed = (self.now - server.budget_at) as f64 / SECOND as f64;
@@ -794,7 +929,10 @@
         let all = self.settings.zones;
         if self.now >= self.pools[all].warm_at.saturating_add(WARM_EVERY) {
             let members = &self.pools[all].members;
-            let warm = members.iter().map(|&at| self.servers[at].size * self.warmth(at)).sum();
+            let warm = members
+                .iter()
+                .map(|&at| self.servers[at].size * self.warmth(at))
+                .sum();
             (self.pools[all].warm, self.pools[all].warm_at) = (warm, self.now);
         }
         let most = (self.pools[all].size / self.pools[all].warm.max(f64::MIN_POSITIVE)).max(1.0);
@@ -809,13 +947,17 @@
     /// they end.
     fn has_budget(&self, at: usize) -> bool {
         let held_back = self.now < self.held_back_at.saturating_add(HELD_BACK);
-        let until = self.servers[at].started.map_or(0, |from| from + 2 * self.settings.ramp_time);
+        let until = self.servers[at]
+            .started
+            .map_or(0, |from| from + 2 * self.settings.ramp_time);
         held_back && self.now < until || self.warmth(at) < 1.0
     }
 
     /// Part of its capacity that a server surely has by now: it may warm up faster, but never slower.
     fn warmth(&self, at: usize) -> f64 {
-        let Some(started) = self.servers[at].started else { return 1.0 };
+        let Some(started) = self.servers[at].started else {
+            return 1.0;
+        };
         let age = self.now.saturating_sub(started) as f64 / self.settings.ramp_time.max(1) as f64;
         (self.settings.start_capacity + (1.0 - self.settings.start_capacity) * age).min(1.0)
     }
@@ -827,7 +969,8 @@
         let (warm, sound) = (self.warmth(at) >= 1.0, 1.0 - self.excess_failing(at, 1.0));
         let told = self.told_of(at);
         let server = &mut self.servers[at];
-        let worth = server.size * server.slowness.max(QUICKEST).powi(-2) * sound.powi(SOUND_POWER) * told;
+        let worth =
+            server.size * server.slowness.max(QUICKEST).powi(-2) * sound.powi(SOUND_POWER) * told;
         // The best one takes each turn; who that was is forgotten, as it may be no more.
         let best = &mut self.pools[pool].best;
         *best = worth.max(*best * BEST_KEPT);
@@ -862,7 +1005,9 @@
         for _ in 0..2 * ASKED {
             match self.pick(pool, &request) {
                 Some(_) if proposals.len() == ASKED => break,
-                Some(at) if proposals.iter().all(|&(other, _)| other != at) => proposals.push((at, None)),
+                Some(at) if proposals.iter().all(|&(other, _)| other != at) => {
+                    proposals.push((at, None))
+                }
                 Some(_) => {} // a quick one has turns more often
                 None => break,
             }
@@ -870,21 +1015,36 @@
         if proposals.len() == 1 {
             return self.send(id, request, first);
         }
-        let probes = proposals.iter().map(|&(at, _)| Action::Probe(self.servers[at].id));
+        let probes = proposals
+            .iter()
+            .map(|&(at, _)| Action::Probe(self.servers[at].id));
         self.actions.extend(probes);
-        self.actions.push(Action::SetTimer { after: ASK_WAIT, token: ASK_TOKEN | u64::from(id.0) });
+        self.actions.push(Action::SetTimer {
+            after: ASK_WAIT,
+            token: ASK_TOKEN | u64::from(id.0),
+        });
         self.asking.insert(id, Asking { request, proposals });
     }
 
     fn on_probed(&mut self, server: ServerId, outcome: Outcome, load: Option<LoadReport>) {
         let figure = |load: LoadReport| {
-            Some(f64::from(*load.figures[..load.len].get(self.settings.report_inflight?)?))
+            Some(f64::from(
+                *load.figures[..load.len].get(self.settings.report_inflight?)?,
+            ))
+        };
+        let Some(held) = load.filter(|_| outcome == Outcome::Ok).and_then(figure) else {
+            return;
+        };
+        let Some(&at) = self.index.get(&server) else {
+            return;
         };
-        let Some(held) = load.filter(|_| outcome == Outcome::Ok).and_then(figure) else { return };
-        let Some(&at) = self.index.get(&server) else { return };
         let mut done = Vec::new();
         for (&id, asking) in &mut self.asking {
-            for proposal in asking.proposals.iter_mut().filter(|(proposed, _)| *proposed == at) {
+            for proposal in asking
+                .proposals
+                .iter_mut()
+                .filter(|(proposed, _)| *proposed == at)
+            {
                 proposal.1 = Some(held);
             }
             if asking.proposals.iter().all(|(_, held)| held.is_some()) {
@@ -897,13 +1057,21 @@
 
     /// Sends to the first of the asked that holds the fewest calls, or to the first if none has told.
     fn on_asked(&mut self, id: RequestId) {
-        let Some(Asking { request, proposals }) = self.asking.remove(&id) else { return };
-        let load = |(at, held): (usize, Option<f64>)| held.unwrap_or(f64::INFINITY) / self.servers[at].size;
+        let Some(Asking { request, proposals }) = self.asking.remove(&id) else {
+            return;
+        };
+        let load = |(at, held): (usize, Option<f64>)| {
+            held.unwrap_or(f64::INFINITY) / self.servers[at].size
+        };
         // Since they were asked, a server may have drained, or the window of a keyed request passed.
         let harmless = self.harmless(&request);
-        let ready = proposals.into_iter().filter(|&(at, _)| harmless && self.servers[at].ready);
+        let ready = proposals
+            .into_iter()
+            .filter(|&(at, _)| harmless && self.servers[at].ready);
         match ready.min_by(|&a, &b| load(a).total_cmp(&load(b))) {
-            Some((_, Some(held))) if self.hopeless(&request, held + 1.0) => self.give_up(id, &request),
+            Some((_, Some(held))) if self.hopeless(&request, held + 1.0) => {
+                self.give_up(id, &request)
+            }
             Some((at, held)) => {
                 let asked = held.map_or(0.0, |held| held + 1.0);
                 self.send(id, Request { asked, ..request }, at);
@@ -925,8 +1093,13 @@
     /// repeated, unless none came by for another open time.
     fn breaker_admits(&self, at: usize, class: usize) -> bool {
         let breaker = &self.servers[at].breaker;
-        let patience = if self.repeatable(class) { 0 } else { doubling(OPEN, breaker.opens) };
-        !breaker.tripped || (!breaker.trial && self.now >= breaker.open_until.saturating_add(patience))
+        let patience = if self.repeatable(class) {
+            0
+        } else {
+            doubling(OPEN, breaker.opens)
+        };
+        !breaker.tripped
+            || (!breaker.trial && self.now >= breaker.open_until.saturating_add(patience))
     }
 
     fn breaker_failure(&mut self, at: usize) {
@@ -934,15 +1107,24 @@
         self.learn_failing(at, true);
         let breaker = &mut self.servers[at].breaker;
         let on_probation = breaker.opens > 0 && breaker.successes < PROBATION.0;
-        let (false_trip, least) = if on_probation { (FALSE_TRIP.1, 1.0) } else { (FALSE_TRIP.0, ROW.0) };
-        let row = (false_trip.ln() / self.failing.clamp(0.001, 0.999).ln()).ceil().clamp(least, ROW.1);
+        let (false_trip, least) = if on_probation {
+            (FALSE_TRIP.1, 1.0)
+        } else {
+            (FALSE_TRIP.0, ROW.0)
+        };
+        let row = (false_trip.ln() / self.failing.clamp(0.001, 0.999).ln())
+            .ceil()
+            .clamp(least, ROW.1);
         (breaker.failures, breaker.successes) = (breaker.failures + 1, 0);
         if f64::from(breaker.failures) >= row {
             (breaker.failures, breaker.opens) = (0, breaker.opens + 1);
             breaker.open_until = self.now + doubling(OPEN, breaker.opens);
             let (opens, server) = (breaker.opens, self.servers[at].id.0);
             self.set_tripped(at, true);
-            self.log(Topic::Breaker, format!("breaker of server {server} opened, {opens} times lately"));
+            self.log(
+                Topic::Breaker,
+                format!("breaker of server {server} opened, {opens} times lately"),
+            );
         }
     }
 
@@ -951,28 +1133,43 @@
         self.learn_failing(at, false);
         let breaker = &mut self.servers[at].breaker;
         (breaker.failures, breaker.successes) = (0, breaker.successes.saturating_add(1));
-        breaker.opens = if breaker.successes >= PROBATION.1 { 0 } else { breaker.opens };
+        breaker.opens = if breaker.successes >= PROBATION.1 {
+            0
+        } else {
+            breaker.opens
+        };
         self.set_tripped(at, false);
     }
 
     fn learn_failing(&mut self, at: usize, failed: bool) {
         let server = &mut self.servers[at];
-        server.failing.learn(failed, self.now, FAILING_GAIN, SURPLUS.1);
-        self.pools[server.zone].failing.learn(failed, self.now, GAIN, SURPLUS.1);
+        server
+            .failing
+            .learn(failed, self.now, FAILING_GAIN, SURPLUS.1);
+        self.pools[server.zone]
+            .failing
+            .learn(failed, self.now, GAIN, SURPLUS.1);
     }
 
     fn set_tripped(&mut self, at: usize, tripped: bool) {
         let server = &mut self.servers[at];
         if server.breaker.tripped != tripped && server.ready {
-            let step =
-                |pool: &mut Pool| pool.tripped = pool.tripped + usize::from(tripped) - usize::from(!tripped);
+            let step = |pool: &mut Pool| {
+                pool.tripped = pool.tripped + usize::from(tripped) - usize::from(!tripped)
+            };
             both(&mut self.pools, server.zone).for_each(step);
         }
         server.breaker.tripped = tripped;
     }
 
     fn count_in_flight(&mut self, at: usize, up: bool) {
-        let step = |count: &mut u32| *count = if up { *count + 1 } else { count.saturating_sub(1) };
+        let step = |count: &mut u32| {
+            *count = if up {
+                *count + 1
+            } else {
+                count.saturating_sub(1)
+            }
+        };
         let server = &mut self.servers[at];
         step(&mut server.in_flight);
         if server.ready {
@@ -984,7 +1181,9 @@
 
     fn on_started(&mut self, id: RequestId, attempt: u32) {
         let begun = |request: &&mut Request| request.attempts == attempt + 1 && !request.closed;
-        let Some(request) = self.requests.get_mut(&id).filter(begun) else { return };
+        let Some(request) = self.requests.get_mut(&id).filter(begun) else {
+            return;
+        };
         // An answer that has begun is not late any more, and its rest comes at its caller's pace.
         (request.marks, request.closed, request.begun) = (2, true, true);
         let (class, per_aim, sent) = (request.class, request.per_aim, request.sent);
@@ -997,8 +1196,12 @@
     /// A server that slows down or hangs shows by calls that don't end, long before they time out.
     fn on_late(&mut self, token: u64) {
         let id = RequestId(token as u32);
-        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.closed) else { return };
-        let Some((at, sent)) = request.sent.filter(|_| u64::from(request.attempts) == (token >> 32) + 1)
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.closed) else {
+            return;
+        };
+        let Some((at, sent)) = request
+            .sent
+            .filter(|_| u64::from(request.attempts) == (token >> 32) + 1)
         else {
             return;
         };
@@ -1013,7 +1216,9 @@
         let (class, held) = (request.class, std::mem::take(&mut request.per_aim));
         self.hold(-held);
         self.learn_slowness(at, class, self.now - sent);
-        let after = self.classes[class].above(OVERDUE_DEVS - LATE_DEVS).max(self.never_overdue(class));
+        let after = self.classes[class]
+            .above(OVERDUE_DEVS - LATE_DEVS)
+            .max(self.never_overdue(class));
         self.actions.push(Action::SetTimer { after, token });
     }
 
@@ -1034,20 +1239,31 @@
         if let Some(asking) = self.asking.remove(&id) {
             return self.answered(asking.request.per_aim, false);
         }
-        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.closed) else { return };
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.closed) else {
+            return;
+        };
         request.closed = true;
         if self.settings.may_cancel {
-            self.actions.push(Action::Cancel { id, attempt: request.attempts - 1 });
+            self.actions.push(Action::Cancel {
+                id,
+                attempt: request.attempts - 1,
+            });
         }
         let per_aim = request.per_aim;
         self.answered(per_aim, true);
     }
 
     fn on_ended(&mut self, id: RequestId, end: End) {
-        if self.requests.get(&id).is_none_or(|request| request.attempts != end.attempt + 1) {
+        if self
+            .requests
+            .get(&id)
+            .is_none_or(|request| request.attempts != end.attempt + 1)
+        {
             return;
         }
-        let Some(mut request) = self.requests.remove(&id) else { return };
+        let Some(mut request) = self.requests.remove(&id) else {
+            return;
+        };
         let Some((at, _)) = request.sent else { return };
         self.count_in_flight(at, false);
         let server = &mut self.servers[at];
@@ -1077,15 +1293,24 @@
 
     fn learn(&mut self, request: &Request, at: usize, end: &End) {
         let took = end.elapsed as f64;
-        let timed =
-            matches!(end.outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Timeout | Outcome::Full);
+        let timed = matches!(
+            end.outcome,
+            Outcome::Ok | Outcome::Cancelled | Outcome::Timeout | Outcome::Full
+        );
         if timed && !request.begun {
-            let least = if end.outcome == Outcome::Full { 1.0 } else { 0.0 };
-            let lateness = (took / self.settings.classes[request.class].aim.max(1) as f64).max(least);
+            let least = if end.outcome == Outcome::Full {
+                1.0
+            } else {
+                0.0
+            };
+            let lateness =
+                (took / self.settings.classes[request.class].aim.max(1) as f64).max(least);
             let (warm, zone) = (self.warmth(at) >= 1.0, self.servers[at].zone);
             self.pools[zone].learn_lateness(lateness, self.now, LATE_GAIN, CALM);
             if !warm {
-                let doubles = PACE_DOUBLES.0.max((PACE_DOUBLES.1 * self.overall.mean) as Duration);
+                let doubles = PACE_DOUBLES
+                    .0
+                    .max((PACE_DOUBLES.1 * self.overall.mean) as Duration);
                 self.pools[zone].learn_pace(lateness, self.now, PACED, doubles);
             }
         }
@@ -1095,18 +1320,21 @@
                 self.served.add(self.now, 1.0, RATE_WINDOW);
                 self.pools[self.servers[at].zone].prove(self.now, RATE_WINDOW, PROVEN_OVER);
                 self.servers[at].answered_at = self.now;
-                self.idle_risk.learn(request.idle, false, self.now, IDLE_GAIN.0, IDLE_GAIN.1);
+                self.idle_risk
+                    .learn(request.idle, false, self.now, IDLE_GAIN.0, IDLE_GAIN.1);
                 self.breaker_success(at);
             }
             // A limit that is short even for a sound server is the caller's fault.
-            Outcome::Timeout if request.marks >= 2 || took < 2.0 * self.classes[request.class].mean => {}
+            Outcome::Timeout
+                if request.marks >= 2 || took < 2.0 * self.classes[request.class].mean => {}
             // Answered at once, refusals never fill the limit: the only server that is not at its limit
             // would get all turns. It is at its limit until a call has had the time to end.
             Outcome::Full => self.servers[at].full_until = self.now + self.overall.calm as Duration,
             // One that answers has its connections all taken: it is at its limit with those it let us have.
             Outcome::ConnectFailed if alive => {
                 let server = &mut self.servers[at];
-                (server.open, server.conn_limit) = (server.in_flight, Some((server.in_flight, self.now)));
+                (server.open, server.conn_limit) =
+                    (server.in_flight, Some((server.in_flight, self.now)));
             }
             Outcome::Cancelled | Outcome::Moot | Outcome::Declined => {}
             Outcome::Error | Outcome::ConnectFailed => self.breaker_failure(at),
@@ -1125,7 +1353,8 @@
 
     /// A call without an answer tells of its server, or of its connection where idle ones fail.
     fn failure(&mut self, at: usize, idle: usize) {
-        self.idle_risk.learn(idle, true, self.now, IDLE_GAIN.0, IDLE_GAIN.1);
+        self.idle_risk
+            .learn(idle, true, self.now, IDLE_GAIN.0, IDLE_GAIN.1);
         if idle > 0 {
             self.close_idle(at); // the next failure there is not for this reason
         }
@@ -1136,7 +1365,10 @@
 
     /// Whether another attempt can do no harm: rule 2, but for the group of servers.
     fn harmless(&self, request: &Request) -> bool {
-        match (self.settings.classes[request.class].effect, request.may_have_run) {
+        match (
+            self.settings.classes[request.class].effect,
+            request.may_have_run,
+        ) {
             (_, None) | (Effect::Safe, _) => true,
             (Effect::Unsafe, _) => false,
             (Effect::Keyed(..), Some(_)) => self.now < self.repeat_until(request),
@@ -1145,7 +1377,10 @@
 
     /// When a repeat of keyed work must have begun: servers may have forgotten the first attempt by then.
     fn repeat_until(&self, request: &Request) -> Time {
-        match (self.settings.classes[request.class].effect, request.may_have_run) {
+        match (
+            self.settings.classes[request.class].effect,
+            request.may_have_run,
+        ) {
             (Effect::Keyed(_, window), Some((_, sent))) => sent.saturating_add(window),
             _ => Time::MAX,
         }
@@ -1153,8 +1388,8 @@
 
     fn may_retry(&mut self, request: &Request, ended: Outcome) -> bool {
         let harmless = self.harmless(request);
-        let in_time =
-            request.deadline.saturating_sub(self.now) as f64 > self.classes[request.class].mean / 2.0;
+        let in_time = request.deadline.saturating_sub(self.now) as f64
+            > self.classes[request.class].mean / 2.0;
         // What never ran is bounded too: where nothing can be reached, each call would make all its attempts.
         let attempts_left = request.attempts < request.most;
         // What was never sent has cost no server anything: calls that wait for a stream on a connection whose
@@ -1190,7 +1425,10 @@
         if (level > 0.0) != self.shedding {
             self.shedding = level > 0.0;
             let done = if self.shedding { "began" } else { "ended" };
-            self.log(Topic::Shedding, format!("shedding {done}: answers take {lateness:.2} of their aim"));
+            self.log(
+                Topic::Shedding,
+                format!("shedding {done}: answers take {lateness:.2} of their aim"),
+            );
         }
         level > 0.0 && self.is_of_least_worth(level.min(SHED_MOST), class, tenant)
     }
@@ -1217,8 +1455,18 @@
     /// come again, or come unevenly to balancers, all tenants are over their quotas alike, and none shows by
     /// the rate.
     fn tenants_worth(&self) -> Vec<(f64, f64)> {
-        let calls: Vec<_> = self.shed.tenants.iter().map(|calls| calls.get(self.now, RATE_WINDOW)).collect();
-        let quotas = || self.settings.tenants.iter().map(|tenant| tenant.quota_rps.max(f64::MIN_POSITIVE));
+        let calls: Vec<_> = self
+            .shed
+            .tenants
+            .iter()
+            .map(|calls| calls.get(self.now, RATE_WINDOW))
+            .collect();
+        let quotas = || {
+            self.settings
+                .tenants
+                .iter()
+                .map(|tenant| tenant.quota_rps.max(f64::MIN_POSITIVE))
+        };
         let (all, quota_of_all) = (calls.iter().sum::<f64>(), quotas().sum::<f64>());
         if all <= 0.0 {
             return vec![(1.0, 1.0)]; // no tenants are told apart
@@ -1227,7 +1475,10 @@
         let worth = |(calls, quota): (&f64, f64)| {
             let others = (all - calls) / (quota_of_all - quota).max(f64::MIN_POSITIVE);
             let within = (others.max(least) * quota / calls.max(f64::MIN_POSITIVE)).min(1.0);
-            (calls / all, within + (1.0 - within) * self.settings.over_quota_worth)
+            (
+                calls / all,
+                within + (1.0 - within) * self.settings.over_quota_worth,
+            )
         };
         calls.iter().zip(quotas()).map(worth).collect()
     }
@@ -1238,13 +1489,24 @@
     fn expected_lateness(&self) -> (f64, f64) {
         let window = self.answer_window();
         let answers = self.shed.answers.get(self.now, window);
-        (self.shed.held.get(self.now, window) / answers.max(f64::from(KNOWN)), answers)
+        (
+            self.shed.held.get(self.now, window) / answers.max(f64::from(KNOWN)),
+            answers,
+        )
     }
 
     /// A caller with few calls needs longer to see enough answers, or a jam looks like chance to it.
     fn answer_window(&self) -> Duration {
-        let aim = self.settings.classes.iter().map(|class| class.aim).max().unwrap_or(0);
-        let most = aim.saturating_mul(ANSWER_WINDOW.1).clamp(ANSWER_WINDOW.0, RATE_WINDOW);
+        let aim = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.aim)
+            .max()
+            .unwrap_or(0);
+        let most = aim
+            .saturating_mul(ANSWER_WINDOW.1)
+            .clamp(ANSWER_WINDOW.0, RATE_WINDOW);
         let rate = self.served.per_second(self.now, RATE_WINDOW).max(1.0);
         ((f64::from(KNOWN) / rate * SECOND as f64) as Duration).clamp(ANSWER_WINDOW.0, most)
     }
@@ -1257,12 +1519,20 @@
     /// on does not: quick refusals would pass for quick answers.
     fn answered(&mut self, per_aim: f64, worked_on: bool) {
         self.hold(-per_aim);
-        self.shed.answers.add(self.now, if worked_on { 1.0 } else { 0.0 }, self.answer_window());
+        self.shed.answers.add(
+            self.now,
+            if worked_on { 1.0 } else { 0.0 },
+            self.answer_window(),
+        );
     }
 
     /// Worth for each unit of work of a class.
     fn worth(&self, class: usize) -> f64 {
-        let work = if self.settings.worth_by_work { 1.0 } else { self.classes[class].mean.max(1.0) };
+        let work = if self.settings.worth_by_work {
+            1.0
+        } else {
+            self.classes[class].mean.max(1.0)
+        };
         self.settings.classes[class].worth / work
     }
 }
@@ -1270,7 +1540,11 @@
 /// The pools that a server of a zone is in.
 fn both(pools: &mut [Pool], zone: usize) -> impl Iterator<Item = &mut Pool> {
     let all = pools.len() - 1;
-    pools.iter_mut().enumerate().filter(move |(at, _)| *at == zone || *at == all).map(|(_, pool)| pool)
+    pools
+        .iter_mut()
+        .enumerate()
+        .filter(move |(at, _)| *at == zone || *at == all)
+        .map(|(_, pool)| pool)
 }
 
 /// A wait that doubles with each failure, up to a cap.
