--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -52,9 +52,24 @@
 
     /// What a successor is told of it.
     pub fn told(&self, now: Time) -> LearnedServer {
-        let open_for = self.breaker.tripped.then(|| self.breaker.open_until.saturating_sub(now));
-        let Self { id: server, started, slowness, breaker: Breaker { opens, .. }, .. } = *self;
-        LearnedServer { server, started, slowness, opens, open_for }
+        let open_for = self
+            .breaker
+            .tripped
+            .then(|| self.breaker.open_until.saturating_sub(now));
+        let Self {
+            id: server,
+            started,
+            slowness,
+            breaker: Breaker { opens, .. },
+            ..
+        } = *self;
+        LearnedServer {
+            server,
+            started,
+            slowness,
+            opens,
+            open_for,
+        }
     }
 
     pub fn learn_peak(&mut self, now: Time, fade: Duration) {
@@ -160,10 +175,21 @@
     }
 
     /// A cold server's answer took so much of its aim. Few answers change little: they tell of less time.
-    pub fn learn_pace(&mut self, lateness: f64, now: Time, (well, late): (f64, f64), doubles: Duration) {
-        let passed = now.saturating_sub(self.paced_at).min(doubles / 4) as f64 / doubles.max(1) as f64;
+    pub fn learn_pace(
+        &mut self,
+        lateness: f64,
+        now: Time,
+        (well, late): (f64, f64),
+        doubles: Duration,
+    ) {
+        let passed =
+            now.saturating_sub(self.paced_at).min(doubles / 4) as f64 / doubles.max(1) as f64;
         self.pace *= if lateness < well { passed.exp2() } else { 1.0 };
-        self.pace *= if lateness > late { (-2.0 * passed).exp2() } else { 1.0 };
+        self.pace *= if lateness > late {
+            (-2.0 * passed).exp2()
+        } else {
+            1.0
+        };
         self.paced_at = now;
     }
 
@@ -175,7 +201,10 @@
 
     /// The share of a class that the fleet finds right for the zone.
     pub fn share(&self, class: usize, now: Time) -> f64 {
-        let of_class = self.told_classes.get(class).map_or(1.0, |told| told.share(now));
+        let of_class = self
+            .told_classes
+            .get(class)
+            .map_or(1.0, |told| told.share(now));
         self.told.share(now).min(of_class)
     }
 
@@ -197,7 +226,9 @@
 
     /// Counts a ready server in.
     pub fn add(&mut self, at: usize, server: &Server, ramp: Duration) {
-        self.cold_until = self.cold_until.max(server.started.map_or(0, |from| from.saturating_add(ramp)));
+        self.cold_until = self
+            .cold_until
+            .max(server.started.map_or(0, |from| from.saturating_add(ramp)));
         self.members.push(at);
         self.size += server.size;
         self.tripped += usize::from(server.breaker.tripped);
@@ -253,13 +284,33 @@
 impl Latency {
     /// What a successor is told of it.
     pub fn told(&self) -> LearnedLatency {
-        let Self { mean, dev, calm, calls } = *self;
-        LearnedLatency { mean, dev, calm, calls }
+        let Self {
+            mean,
+            dev,
+            calm,
+            calls,
+        } = *self;
+        LearnedLatency {
+            mean,
+            dev,
+            calm,
+            calls,
+        }
     }
 
     pub fn from_told(told: &LearnedLatency) -> Self {
-        let LearnedLatency { mean, dev, calm, calls } = *told;
-        Self { mean, dev, calm, calls }
+        let LearnedLatency {
+            mean,
+            dev,
+            calm,
+            calls,
+        } = *told;
+        Self {
+            mean,
+            dev,
+            calm,
+            calls,
+        }
     }
 
     /// So many mean deviations above the mean.
@@ -287,12 +338,20 @@
 
 impl Recent {
     pub fn since(now: Time) -> Self {
-        Self { sum: 0.0, at: now, since: now }
+        Self {
+            sum: 0.0,
+            at: now,
+            since: now,
+        }
     }
 
     /// A sum that has come to a rate before.
     pub fn carried(per_second: f64, now: Time, window: Duration) -> Self {
-        Self { sum: per_second * window as f64 / 1e9, at: now, since: now.saturating_sub(8 * window) }
+        Self {
+            sum: per_second * window as f64 / 1e9,
+            at: now,
+            since: now.saturating_sub(8 * window),
+        }
     }
 
     /// The sum for each second, right from the first second on.
@@ -330,7 +389,9 @@
 
     /// The highest risk of an idle time up to a step.
     pub fn up_to(&self, step: usize, now: Time, fade: Duration) -> f64 {
-        (1..=step).map(|step| self.get(step, now, fade)).fold(0.0, f64::max)
+        (1..=step)
+            .map(|step| self.get(step, now, fade))
+            .fold(0.0, f64::max)
     }
 
     pub fn learn(&mut self, step: usize, failed: bool, now: Time, gain: f64, fade: Duration) {
@@ -356,7 +417,11 @@
     /// Changes what is held, and sums what was held until now.
     pub fn hold(&mut self, now: Time, change: f64, window: Duration) {
         let passed = now.saturating_sub(self.held.at) as f64 / window as f64;
-        self.held.add(now, self.waiting * window as f64 * (1.0 - (-passed).exp()), window);
+        self.held.add(
+            now,
+            self.waiting * window as f64 * (1.0 - (-passed).exp()),
+            window,
+        );
         self.waiting = (self.waiting + change).max(0.0);
     }
 }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -66,7 +66,9 @@
 
 /// Servers 0 to `each - 1` in zone 0, then `each` in zone 1 and so on.
 pub fn zones(zones: u8, each: u32) -> Vec<ListEntry> {
-    (0..zones).flat_map(|z| (0..each).map(move |n| entry(u32::from(z) * each + n, z))).collect()
+    (0..zones)
+        .flat_map(|z| (0..each).map(move |n| entry(u32::from(z) * each + n, z)))
+        .collect()
 }
 
 pub struct Rig {
@@ -77,8 +79,11 @@
 
 impl Rig {
     pub fn new(settings: Settings, list: &[ListEntry]) -> Self {
-        let mut rig =
-            Self { balancer: Balancer::new(settings, 11, SECOND).unwrap(), now: SECOND, next_id: 0 };
+        let mut rig = Self {
+            balancer: Balancer::new(settings, 11, SECOND).unwrap(),
+            now: SECOND,
+            next_id: 0,
+        };
         rig.tell(Event::List(list));
         rig
     }
@@ -92,13 +97,34 @@
     pub fn demand(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        let demand = Demand { class, tenant: 0, time_left: 2 * SECOND, work: None, attempts: u32::MAX };
+        let demand = Demand {
+            class,
+            tenant: 0,
+            time_left: 2 * SECOND,
+            work: None,
+            attempts: u32::MAX,
+        };
         (id, self.tell(Event::Request(id, demand)))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, elapsed: u64) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed: u64,
+    ) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
-        self.tell(Event::Ended(id, End { attempt, outcome, elapsed, closed, load: None }))
+        self.tell(Event::Ended(
+            id,
+            End {
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                load: None,
+            },
+        ))
     }
 
     /// A request that is answered after `took`; the server that it went to.
@@ -120,7 +146,11 @@
     }
 
     /// A request whose every attempt ends by `outcome(server)` at once; the servers that were tried.
-    pub fn run(&mut self, class: usize, outcome: impl Fn(u32) -> Outcome) -> (Vec<u32>, Option<Action>) {
+    pub fn run(
+        &mut self,
+        class: usize,
+        outcome: impl Fn(u32) -> Outcome,
+    ) -> (Vec<u32>, Option<Action>) {
         let (id, mut actions) = self.demand(class);
         let mut tried = Vec::new();
         while let Some(server) = sent(&actions) {
@@ -144,7 +174,9 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Refuse { .. }))
 }
 
 pub fn probed(actions: &[Action]) -> Vec<u32> {
@@ -157,5 +189,8 @@
 
 /// A load report of one figure.
 pub fn held(calls: f32) -> Option<LoadReport> {
-    Some(LoadReport { figures: [calls, 0.0, 0.0, 0.0], len: 1 })
+    Some(LoadReport {
+        figures: [calls, 0.0, 0.0, 0.0],
+        len: 1,
+    })
 }
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -19,7 +19,10 @@
             attempt += 1;
         }
     }
-    assert!(refusals <= 2, "{refusals} of 40 requests went to the refusing server");
+    assert!(
+        refusals <= 2,
+        "{refusals} of 40 requests went to the refusing server"
+    );
 }
 
 /// A zone whose servers all refuse looks idle by our own counts: it kept all calls of its balancers.
@@ -34,11 +37,18 @@
         for attempt in 0..4 {
             rig.now += MS;
             let Some(server) = sent(&actions) else { break };
-            let outcome = if server < 3 { Outcome::Full } else { Outcome::Ok };
+            let outcome = if server < 3 {
+                Outcome::Full
+            } else {
+                Outcome::Ok
+            };
             actions = rig.end(id, attempt, outcome, MS);
         }
     }
-    assert!(elsewhere >= 10, "{elsewhere} of 20 requests went elsewhere at once");
+    assert!(
+        elsewhere >= 10,
+        "{elsewhere} of 20 requests went elsewhere at once"
+    );
 }
 
 /// A small server took turns by its listed size, though it served far less, and timed out a third of them.
@@ -48,7 +58,9 @@
     let mut turns = [0; 4];
     for _ in 0..400 {
         let (id, actions) = rig.demand(SAFE);
-        let Some(server) = sent(&actions) else { continue };
+        let Some(server) = sent(&actions) else {
+            continue;
+        };
         turns[server as usize] += 1;
         let took = if server == 0 { 80 * MS } else { 20 * MS };
         rig.now += took;
@@ -97,10 +109,16 @@
         rig.serve(SAFE, if call % 5 == 0 { 60 * MS } else { 10 * MS });
     }
     let (_, actions) = rig.demand(SAFE);
-    let Some(Action::Send { until, .. }) = actions.iter().find(|a| matches!(a, Action::Send { .. })) else {
+    let Some(Action::Send { until, .. }) =
+        actions.iter().find(|a| matches!(a, Action::Send { .. }))
+    else {
         panic!("{actions:?}")
     };
-    assert!(until - rig.now > 150 * MS && until - rig.now < 2 * SECOND, "{} ms", (until - rig.now) / MS);
+    assert!(
+        until - rig.now > 150 * MS && until - rig.now < 2 * SECOND,
+        "{} ms",
+        (until - rig.now) / MS
+    );
 }
 
 /// The latency of past answers shows an overload late; what is held over the answers shows it at once.
@@ -125,7 +143,11 @@
         }
     }
     let longest = out.front().map_or(0, |(_, at)| rig.now - at);
-    assert!(first_refusal.is_some() && longest < 500 * MS, "the oldest waits {} ms", longest / MS);
+    assert!(
+        first_refusal.is_some() && longest < 500 * MS,
+        "the oldest waits {} ms",
+        longest / MS
+    );
     while let Some((id, at)) = out.pop_front() {
         rig.now += 2 * MS;
         rig.end(id, 0, Outcome::Ok, rig.now - at);
@@ -156,7 +178,10 @@
             actions = rig.end(id, attempt, Outcome::Full, MS / 10);
             attempt += 1;
         }
-        if out.front().is_some_and(|(_, _, sent)| rig.now - sent > 450 * MS) {
+        if out
+            .front()
+            .is_some_and(|(_, _, sent)| rig.now - sent > 450 * MS)
+        {
             let (id, attempt, sent) = out.pop_front().expect("one is out");
             rig.end(id, attempt, Outcome::Ok, rig.now - sent);
         }
@@ -172,7 +197,10 @@
     let (mut held, mut strays) = (std::collections::VecDeque::new(), 0);
     for step in 0..2000 {
         rig.now += 5 * MS;
-        while held.front().is_some_and(|(_, sent)| rig.now - sent >= 20 * MS) {
+        while held
+            .front()
+            .is_some_and(|(_, sent)| rig.now - sent >= 20 * MS)
+        {
             let (id, at): (RequestId, u64) = held.pop_front().expect("one is out");
             rig.end(id, 0, Outcome::Ok, rig.now - at);
         }
@@ -191,7 +219,10 @@
 fn cold_balancer_stays_in_its_zone() {
     let mut rig = Rig::new(settings(), &zones(2, 6));
     let servers: Vec<u32> = (0..20).filter_map(|_| sent(&rig.demand(SAFE).1)).collect();
-    assert!(servers.len() == 20 && servers.iter().all(|&server| server < 6), "{servers:?}");
+    assert!(
+        servers.len() == 20 && servers.iter().all(|&server| server < 6),
+        "{servers:?}"
+    );
 }
 
 /// A server whose connections are all taken refuses new ones and answers the rest: breakers took it for dead, and
@@ -207,8 +238,17 @@
         while let Some(server) = sent(&actions) {
             away += u32::from(server >= 4);
             rig.now += MS;
-            let outcome = if (call + attempt) % 4 != 0 { Outcome::ConnectFailed } else { Outcome::Ok };
-            actions = rig.end(id, attempt, outcome, if outcome == Outcome::Ok { 20 * MS } else { MS });
+            let outcome = if (call + attempt) % 4 != 0 {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Ok
+            };
+            actions = rig.end(
+                id,
+                attempt,
+                outcome,
+                if outcome == Outcome::Ok { 20 * MS } else { MS },
+            );
             if outcome == Outcome::Ok {
                 break;
             }
@@ -220,12 +260,18 @@
     // to each server is tried, calls stay there.
     rig.now += 5 * SECOND;
     let home = counts_home(&mut rig);
-    assert!(home >= 15, "{home} of 20 calls stay in the zone, {away} attempts left it");
+    assert!(
+        home >= 15,
+        "{home} of 20 calls stay in the zone, {away} attempts left it"
+    );
 }
 
 fn counts_home(rig: &mut Rig) -> usize {
     rig.now += SECOND / 2;
-    (0..20).filter_map(|_| rig.serve(UNSAFE, 20 * MS)).filter(|&server| server < 4).count()
+    (0..20)
+        .filter_map(|_| rig.serve(UNSAFE, 20 * MS))
+        .filter(|&server| server < 4)
+        .count()
 }
 
 /// The idle connections of a burst kept those of other balancers out of servers with small tables.
@@ -241,7 +287,10 @@
         .collect();
     let mut idle = [0u32; 2];
     rig.now += 30 * MS;
-    let mut ends: Vec<_> = burst.into_iter().map(|(id, server)| (id, server, 0)).collect();
+    let mut ends: Vec<_> = burst
+        .into_iter()
+        .map(|(id, server)| (id, server, 0))
+        .collect();
     // A few calls in the seconds that follow, one at a time.
     for at in 0..40 {
         for (id, server, wait) in std::mem::take(&mut ends) {
@@ -252,22 +301,34 @@
                 }
             }
         }
-        assert!(at > 0 || idle.iter().any(|&n| n > 2), "what was needed just now is kept: {idle:?}");
+        assert!(
+            at > 0 || idle.iter().any(|&n| n > 2),
+            "what was needed just now is kept: {idle:?}"
+        );
         rig.now += 100 * MS;
         let (id, actions) = rig.demand(SAFE);
         ends.extend(sent(&actions).map(|server| (id, server, 1)));
     }
-    assert!(idle.iter().all(|&n| n <= 2), "idle connections left: {idle:?}");
+    assert!(
+        idle.iter().all(|&n| n <= 2),
+        "idle connections left: {idle:?}"
+    );
     let closed = (0..20).any(|_| {
         let (id, _) = rig.demand(SAFE);
         rig.now += 20 * MS;
-        rig.end(id, 0, Outcome::Ok, 20 * MS).iter().any(|action| matches!(action, Action::Close(_)))
+        rig.end(id, 0, Outcome::Ok, 20 * MS)
+            .iter()
+            .any(|action| matches!(action, Action::Close(_)))
     });
     assert!(!closed, "a steady caller keeps its connection");
 }
 
 fn asking() -> Settings {
-    Settings { report_inflight: Some(0), load_by_probe: true, ..settings() }
+    Settings {
+        report_inflight: Some(0),
+        load_by_probe: true,
+        ..settings()
+    }
 }
 
 /// A caller with one call a second can't see by its own counts that others keep a server busy.
@@ -276,9 +337,16 @@
     let mut rig = Rig::new(asking(), &zones(2, 6));
     for _ in 0..20 {
         let (id, actions) = rig.demand(UNSAFE);
-        assert_eq!(sent(&actions), None, "nothing is sent before the asked have told");
+        assert_eq!(
+            sent(&actions),
+            None,
+            "nothing is sent before the asked have told"
+        );
         let asked = probed(&actions);
-        assert!(asked.len() == 4 && asked.iter().all(|&server| server < 6), "{asked:?}");
+        assert!(
+            asked.len() == 4 && asked.iter().all(|&server| server < 6),
+            "{asked:?}"
+        );
         let mut last = Vec::new();
         for (at, &server) in asked.iter().enumerate() {
             let load = if at == 2 { 0.0 } else { 3.0 };
@@ -306,16 +374,29 @@
     rig.tell(Event::Probed(ServerId(asked[3]), Outcome::Timeout, None));
     rig.now += after;
     assert_eq!(sent(&rig.tell(Event::Timer(token))), Some(asked[1]));
-    assert_eq!(sent(&rig.tell(Event::Timer(token))), None, "a stale timer sends nothing again");
+    assert_eq!(
+        sent(&rig.tell(Event::Timer(token))),
+        None,
+        "a stale timer sends nothing again"
+    );
 }
 
 /// A request with less time left than asking takes got no answer in its time.
 #[test]
 fn request_with_hardly_any_time_left_is_sent_unasked() {
     let mut rig = Rig::new(asking(), &zones(1, 6));
-    let demand = Demand { class: SAFE, tenant: 0, time_left: MS, work: None, attempts: u32::MAX };
+    let demand = Demand {
+        class: SAFE,
+        tenant: 0,
+        time_left: MS,
+        work: None,
+        attempts: u32::MAX,
+    };
     let actions = rig.tell(Event::Request(RequestId(7), demand));
-    assert!(sent(&actions).is_some() && probed(&actions).is_empty(), "{actions:?}");
+    assert!(
+        sent(&actions).is_some() && probed(&actions).is_empty(),
+        "{actions:?}"
+    );
 }
 
 /// The list may change while servers are asked: a drained one must not get the call for all its idleness.
@@ -324,14 +405,20 @@
     let mut rig = Rig::new(asking(), &zones(1, 6));
     let (_, actions) = rig.demand(SAFE);
     let asked = probed(&actions);
-    let drained = ListEntry { lifecycle: Lifecycle::Draining, ..entry(asked[0], 0) };
+    let drained = ListEntry {
+        lifecycle: Lifecycle::Draining,
+        ..entry(asked[0], 0)
+    };
     rig.tell(Event::ListChange(&[drained]));
     let mut last = Vec::new();
     for &server in &asked {
         let load = if server == asked[0] { 0.0 } else { 9.0 };
         last = rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load)));
     }
-    assert!(sent(&last).is_some_and(|server| server != asked[0]), "{last:?}");
+    assert!(
+        sent(&last).is_some_and(|server| server != asked[0]),
+        "{last:?}"
+    );
 }
 
 /// A balancer with one or two calls a second refused some by chance: its window held an answer or two.
@@ -364,33 +451,61 @@
         rig.now += took;
         rig.end(id, 0, Outcome::Ok, took);
     }
-    assert!(sent(&call(&mut rig, 10.0).1).is_some(), "eleven times 100 ms is within 2 s");
-    assert!(refused(&call(&mut rig, 30.0).1), "thirty-one times 100 ms is not");
+    assert!(
+        sent(&call(&mut rig, 10.0).1).is_some(),
+        "eleven times 100 ms is within 2 s"
+    );
+    assert!(
+        refused(&call(&mut rig, 30.0).1),
+        "thirty-one times 100 ms is not"
+    );
 }
 
 /// Where a probe is dear, asking four servers before each call costs more than a better choice brings.
 #[test]
 fn dear_probes_are_not_sent() {
-    let mut rig = Rig::new(Settings { probe_price: 0.01, ..asking() }, &zones(1, 6));
+    let mut rig = Rig::new(
+        Settings {
+            probe_price: 0.01,
+            ..asking()
+        },
+        &zones(1, 6),
+    );
     let (_, actions) = rig.demand(SAFE);
-    assert!(sent(&actions).is_some() && probed(&actions).is_empty(), "{actions:?}");
+    assert!(
+        sent(&actions).is_some() && probed(&actions).is_empty(),
+        "{actions:?}"
+    );
 }
 
 /// A caller with few calls sees each server too seldom for a breaker, and stayed in a zone where a fifth failed.
 #[test]
 fn zone_with_many_failures_is_left_though_no_breaker_trips() {
     let strays = |every: u32, cross_price: f64| {
-        let mut rig = Rig::new(Settings { cross_price, ..settings() }, &zones(2, 40));
+        let mut rig = Rig::new(
+            Settings {
+                cross_price,
+                ..settings()
+            },
+            &zones(2, 40),
+        );
         // As slow as the calls that follow: a zone that gets later has its own reason to be left.
         (0..100).for_each(|_| assert!(rig.serve(SAFE, 100 * MS).is_some()));
         let mut strays = 0;
         for call in 0..80 {
             let (id, actions) = rig.demand(UNSAFE);
-            let Some(server) = sent(&actions) else { continue };
+            let Some(server) = sent(&actions) else {
+                continue;
+            };
             strays += u32::from(server >= 40);
             rig.now += 100 * MS;
             let failed = server < 40 && call % every == 0;
-            rig.end(id, 0, if failed { Outcome::Error } else { Outcome::Ok }, 100 * MS);
+            rig.end(
+                id,
+                0,
+                if failed { Outcome::Error } else { Outcome::Ok },
+                100 * MS,
+            );
         }
         strays
     };
@@ -417,12 +532,21 @@
 #[test]
 fn asked_cold_server_gets_up_to_half_the_multiple_that_pushes_it_over() {
     let calls_to_the_cold_one = |tip_multiple: f64| {
-        let mut rig = Rig::new(Settings { tip_multiple, ..asking() }, &zones(1, 8));
+        let mut rig = Rig::new(
+            Settings {
+                tip_multiple,
+                ..asking()
+            },
+            &zones(1, 8),
+        );
         let mut served = 0;
         for call in 0..400 {
             if call == 200 {
                 let started = Some(rig.now);
-                rig.tell(Event::ListChange(&[ListEntry { started, ..entry(3, 0) }]));
+                rig.tell(Event::ListChange(&[ListEntry {
+                    started,
+                    ..entry(3, 0)
+                }]));
             }
             let (id, mut actions) = rig.demand(UNSAFE);
             for server in probed(&actions) {
@@ -439,14 +563,19 @@
     // 50 calls a second over 8 servers, at 0.25 to 0.55 of its capacity for 4 s: some 10.
     let (plain, eased) = (calls_to_the_cold_one(2.0), calls_to_the_cold_one(4.0));
     assert!((7..=13).contains(&plain), "{plain}");
-    assert!((plain * 3 / 2..=plain * 5 / 2).contains(&eased), "{eased} against {plain}");
+    assert!(
+        (plain * 3 / 2..=plain * 5 / 2).contains(&eased),
+        "{eased} against {plain}"
+    );
 }
 
 /// Whether the idle connections to the server of the only send were closed right before it.
 fn on_new_connection(actions: &[Action]) -> bool {
     let place = |wanted: &dyn Fn(&Action) -> bool| actions.iter().position(wanted);
-    let (close, send) =
-        (place(&|a| matches!(a, Action::Close(_))), place(&|a| matches!(a, Action::Send { .. })));
+    let (close, send) = (
+        place(&|a| matches!(a, Action::Close(_))),
+        place(&|a| matches!(a, Action::Send { .. })),
+    );
     close.is_some_and(|close| close < send.expect("sent"))
 }
 
@@ -468,15 +597,24 @@
 #[test]
 fn connections_that_idled_too_long_are_replaced_and_do_not_trip_servers() {
     let mut rig = Rig::new(settings(), &zones(1, 4));
-    (0..12).for_each(|_| assert!(!sparse_call(&mut rig, UNSAFE, Outcome::Ok), "sound while idle"));
+    (0..12).for_each(|_| {
+        assert!(
+            !sparse_call(&mut rig, UNSAFE, Outcome::Ok),
+            "sound while idle"
+        )
+    });
     let fail = |rig: &mut Rig| sparse_call_to(rig, SAFE, Outcome::Reset).0;
     let mut closed: std::collections::BTreeSet<_> = (0..2).map(|_| fail(&mut rig)).collect();
     // A connection on which a call failed is closed already; every other one is replaced before it is used.
     for _ in 0..12 {
         let (server, replaced) = sparse_call_to(&mut rig, UNSAFE, Outcome::Ok);
-        assert!(replaced || closed.remove(&server), "server {server} on a connection that would fail");
+        assert!(
+            replaced || closed.remove(&server),
+            "server {server} on a connection that would fail"
+        );
     }
-    let servers: std::collections::BTreeSet<_> = (0..8).filter_map(|_| rig.serve(SAFE, MS)).collect();
+    let servers: std::collections::BTreeSet<_> =
+        (0..8).filter_map(|_| rig.serve(SAFE, MS)).collect();
     assert_eq!(servers.len(), 4, "none is tripped: {servers:?}");
 }
 
@@ -498,7 +636,10 @@
     let (mut held, mut refusals) = (std::collections::VecDeque::new(), 0);
     for step in 0..2000 {
         rig.now += 10 * MS;
-        while held.front().is_some_and(|(_, sent)| rig.now - sent >= 180 * MS) {
+        while held
+            .front()
+            .is_some_and(|(_, sent)| rig.now - sent >= 180 * MS)
+        {
             let (id, at): (RequestId, u64) = held.pop_front().expect("one is out");
             rig.end(id, 0, Outcome::Ok, rig.now - at);
         }
@@ -513,7 +654,10 @@
 /// refused, as the few of a second are by chance now short and now long.
 #[test]
 fn few_calls_of_unlike_lengths_are_hardly_shed() {
-    let (mut rig, mut rng) = (Rig::new(settings(), &zones(1, 12)), fastrand::Rng::with_seed(7));
+    let (mut rig, mut rng) = (
+        Rig::new(settings(), &zones(1, 12)),
+        fastrand::Rng::with_seed(7),
+    );
     let (mut held, mut refusals, mut calls) = (Vec::new(), 0, 0);
     for step in 0..20_000 {
         rig.now += 10 * MS;
@@ -575,8 +719,14 @@
     rig.end(last, 0, Outcome::ConnectFailed, 250 * MS);
     rig.now += 30 * MS;
     let next: Vec<_> = (0..4).map(|_| hold(&mut rig).0).collect();
-    assert!(next.iter().all(|&server| server != tight), "it lets us have no more");
-    let (_, first) = *held.iter().find(|(server, _)| *server == tight).expect("sent there before");
+    assert!(
+        next.iter().all(|&server| server != tight),
+        "it lets us have no more"
+    );
+    let (_, first) = *held
+        .iter()
+        .find(|(server, _)| *server == tight)
+        .expect("sent there before");
     rig.end(first, 0, Outcome::Ok, 60 * MS);
     assert_eq!(hold(&mut rig).0, tight, "its connection is free again");
 }
@@ -584,19 +734,33 @@
 /// What a process refused says nothing of the one that replaced it.
 #[test]
 fn restarted_server_is_not_held_to_the_connections_of_its_predecessor() {
-    let mut rig = Rig::new(Settings { ramp_time: SECOND, ..settings() }, &zones(1, 2));
+    let mut rig = Rig::new(
+        Settings {
+            ramp_time: SECOND,
+            ..settings()
+        },
+        &zones(1, 2),
+    );
     rig.warm_up(40);
     // Both hold calls; server 1 takes no further connection.
     let held: Vec<_> = (0..8).map(|_| rig.demand(SAFE)).collect();
     let at_one = |held: &[(RequestId, Vec<Action>)]| -> Vec<RequestId> {
-        held.iter().filter(|(_, actions)| sent(actions) == Some(1)).map(|(id, _)| *id).collect()
+        held.iter()
+            .filter(|(_, actions)| sent(actions) == Some(1))
+            .map(|(id, _)| *id)
+            .collect()
     };
     let tight = at_one(&held);
-    tight.iter().for_each(|&id| drop(rig.end(id, 0, Outcome::ConnectFailed, MS)));
+    tight
+        .iter()
+        .for_each(|&id| drop(rig.end(id, 0, Outcome::ConnectFailed, MS)));
     rig.now += 60 * MS;
     let next: Vec<_> = (0..4).map(|_| rig.demand(SAFE)).collect();
     assert!(at_one(&next).is_empty(), "it takes none");
-    let warm = ListEntry { started: Some(1), ..entry(1, 0) };
+    let warm = ListEntry {
+        started: Some(1),
+        ..entry(1, 0)
+    };
     rig.now += 2 * SECOND;
     rig.tell(Event::ListChange(&[warm]));
     let again: Vec<_> = (0..4).map(|_| rig.demand(SAFE)).collect();
@@ -607,8 +771,15 @@
 /// all of them together sent on until nothing was answered in time.
 #[test]
 fn caller_with_few_calls_sheds_in_a_jam() {
-    let long = |class: Class| Class { aim: 2 * SECOND, deadline: 8 * SECOND, ..class };
-    let settings = Settings { classes: settings().classes.into_iter().map(long).collect(), ..settings() };
+    let long = |class: Class| Class {
+        aim: 2 * SECOND,
+        deadline: 8 * SECOND,
+        ..class
+    };
+    let settings = Settings {
+        classes: settings().classes.into_iter().map(long).collect(),
+        ..settings()
+    };
     let mut rig = Rig::new(settings, &zones(1, 12));
     let (mut held, mut refusals) = (std::collections::VecDeque::new(), 0);
     for step in 0..300 {
@@ -621,7 +792,13 @@
         }
         let id = RequestId(rig.next_id);
         rig.next_id += 1;
-        let demand = Demand { class: SAFE, tenant: 0, time_left: 8 * SECOND, work: None, attempts: u32::MAX };
+        let demand = Demand {
+            class: SAFE,
+            tenant: 0,
+            time_left: 8 * SECOND,
+            work: None,
+            attempts: u32::MAX,
+        };
         let actions = rig.tell(Event::Request(id, demand));
         refusals += u32::from(refused(&actions));
         assert!(step >= 100 || refusals == 0, "refused in calm times");
@@ -641,7 +818,9 @@
     let mut to_dead = [0, 0];
     for call in 0..240 {
         let (id, actions) = rig.demand(UNSAFE);
-        let Some(server) = sent(&actions) else { continue };
+        let Some(server) = sent(&actions) else {
+            continue;
+        };
         rig.now += 20 * MS;
         let outcome = match server / 20 {
             0 if call % 4 == 0 => Outcome::Error,
@@ -651,16 +830,30 @@
         rig.end(id, 0, outcome, 20 * MS);
         to_dead[call / 120] += u32::from(server / 20 == 1);
     }
-    assert!(to_dead[1] <= 3, "{to_dead:?}: a lost zone is found by all calls to it together");
+    assert!(
+        to_dead[1] <= 3,
+        "{to_dead:?}: a lost zone is found by all calls to it together"
+    );
 }
 
 /// A connection that was closed as idle is none that could fail: nothing is to be replaced, or blamed.
 #[test]
 fn connections_closed_as_idle_are_new_ones() {
-    let mut rig = Rig::new(Settings { conn_idle: SECOND, ..settings() }, &zones(1, 4));
+    let mut rig = Rig::new(
+        Settings {
+            conn_idle: SECOND,
+            ..settings()
+        },
+        &zones(1, 4),
+    );
     (0..12).for_each(|_| assert!(!sparse_call(&mut rig, SAFE, Outcome::Ok)));
     (0..2).for_each(|_| assert!(!sparse_call(&mut rig, SAFE, Outcome::Reset)));
-    (0..4).for_each(|_| assert!(!sparse_call(&mut rig, UNSAFE, Outcome::Ok), "closed long ago"));
+    (0..4).for_each(|_| {
+        assert!(
+            !sparse_call(&mut rig, UNSAFE, Outcome::Ok),
+            "closed long ago"
+        )
+    });
 }
 
 /// Calls with much work passed for failures of their servers, and breakers of sound ones opened.
@@ -671,7 +864,10 @@
     for call in 0..400 {
         rig.serve(UNSAFE, if call % 2 == 0 { 10 * MS } else { 30 * MS });
     }
-    let (mut marks, ids) = (Vec::new(), (0..6).map(|_| rig.demand(UNSAFE)).collect::<Vec<_>>());
+    let (mut marks, ids) = (
+        Vec::new(),
+        (0..6).map(|_| rig.demand(UNSAFE)).collect::<Vec<_>>(),
+    );
     for (_, actions) in &ids {
         marks.extend(actions.iter().filter_map(|action| match action {
             Action::SetTimer { token, after } => Some((*token, rig.now + after)),
@@ -692,7 +888,10 @@
             }
         }
     }
-    assert!(logs.iter().all(|text| !text.contains("breaker")), "{logs:?}");
+    assert!(
+        logs.iter().all(|text| !text.contains("breaker")),
+        "{logs:?}"
+    );
 }
 
 /// Where servers are ever new, all that were ever listed filled the memory, and each list took longer.
@@ -704,12 +903,18 @@
         // One attempt is out at a server that goes; its end still finds what it belongs to.
         let (id, actions) = rig.demand(KEYED_ZONE);
         let first = sent(&actions).expect("sent");
-        let list: Vec<ListEntry> = (0..3).map(|zone| entry(3 * round + u32::from(zone), zone)).collect();
+        let list: Vec<ListEntry> = (0..3)
+            .map(|zone| entry(3 * round + u32::from(zone), zone))
+            .collect();
         rig.tell(Event::List(&list));
         rig.now += 20 * MS;
         // The budget for retries does not grant each.
         if let Some(again) = sent(&rig.end(id, 0, Outcome::Error, 20 * MS)) {
-            assert_eq!(again % 3, first % 3, "the window of its key is that of its zone");
+            assert_eq!(
+                again % 3,
+                first % 3,
+                "the window of its key is that of its zone"
+            );
             rig.end(id, 1, Outcome::Ok, 20 * MS);
         }
         size.push(format!("{:?}", rig.balancer).len());
@@ -731,7 +936,10 @@
         assert!(sent(&again).is_some(), "{again:?}");
     }
     // What has reached a server still costs.
-    let refusals = calls.iter().filter(|(id, _)| refused(&rig.end(*id, 1, Outcome::Full, MS))).count();
+    let refusals = calls
+        .iter()
+        .filter(|(id, _)| refused(&rig.end(*id, 1, Outcome::Full, MS)))
+        .count();
     assert!(refusals >= 20, "{refusals} of 40 refused");
 }
 
@@ -748,12 +956,17 @@
         Action::Send { until, .. } => Some(*until - rig.now),
         _ => None,
     });
-    assert!(until.is_some_and(|until| (50 * MS..500 * MS).contains(&until)), "{until:?}");
+    assert!(
+        until.is_some_and(|until| (50 * MS..500 * MS).contains(&until)),
+        "{until:?}"
+    );
     // Nor is the server held to have failed before that: the look after the first one, which finds the call late,
     // comes no sooner.
     let (at, token) = timers(&actions, rig.now).pop().expect("a first look");
     rig.now = at;
-    let (again, _) = timers(&rig.tell(Event::Timer(token)), 0).pop().expect("a second look");
+    let (again, _) = timers(&rig.tell(Event::Timer(token)), 0)
+        .pop()
+        .expect("a second look");
     assert!(again >= 50 * MS, "{again}");
 }
 
@@ -779,7 +992,10 @@
         rig.now += 3 * MS;
         for id in calls {
             let actions = rig.end(id, 0, Outcome::Ok, 3 * MS);
-            closed += actions.iter().filter(|action| matches!(action, Action::Close(_))).count();
+            closed += actions
+                .iter()
+                .filter(|action| matches!(action, Action::Close(_)))
+                .count();
         }
     }
     assert_eq!(closed, 0, "idle connections are closed");
@@ -796,8 +1012,13 @@
         let class = if call % 2 == 0 { UNSAFE } else { KEYED_ALL };
         rig.now += 100 * MS;
         let errs = draw.u8(..10) < 3;
-        let (tried, _) =
-            rig.run(class, |server| if server == 3 && errs { Outcome::Error } else { Outcome::Ok });
+        let (tried, _) = rig.run(class, |server| {
+            if server == 3 && errs {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            }
+        });
         if class == UNSAFE && call > 200 {
             unsafe_calls += 1;
             failed += u32::from(tried == [3] && errs);
@@ -807,7 +1028,8 @@
     // Well again, it is found out, and has its turns back.
     let turns = (0..600).filter_map(|call| {
         rig.now += 100 * MS;
-        rig.serve(if call % 2 == 0 { UNSAFE } else { KEYED_ALL }, 20 * MS).filter(|_| call >= 300)
+        rig.serve(if call % 2 == 0 { UNSAFE } else { KEYED_ALL }, 20 * MS)
+            .filter(|_| call >= 300)
     });
     assert!(turns.filter(|&server| server == 3).count() > 20);
 }
@@ -822,7 +1044,9 @@
         rig.now += 20 * MS;
         let errs = draw.u8(..4) == 0;
         let (tried, _) = rig.run(UNSAFE, |_| if errs { Outcome::Error } else { Outcome::Ok });
-        tried.iter().for_each(|&server| turns[server as usize] += u32::from(call > 200));
+        tried
+            .iter()
+            .for_each(|&server| turns[server as usize] += u32::from(call > 200));
     }
     assert!(turns.iter().all(|&count| count > 300), "{turns:?}");
 }
@@ -841,7 +1065,10 @@
         rig.end(id, 0, Outcome::Ok, took);
         turns[server as usize] += u32::from(call > 200);
     }
-    let (quick, slow) = (turns[..3].iter().sum::<u32>() / 3, turns[3..].iter().sum::<u32>() / 7);
+    let (quick, slow) = (
+        turns[..3].iter().sum::<u32>() / 3,
+        turns[3..].iter().sum::<u32>() / 7,
+    );
     assert!(quick > 3 * slow && slow > 50, "{turns:?}");
 }
 
@@ -852,11 +1079,21 @@
     let mut rig = Rig::new(settings(), &zones(1, 12));
     rig.warm_up(50);
     let draw = std::cell::RefCell::new(fastrand::Rng::with_seed(5));
-    let full_tables = |_| if draw.borrow_mut().u8(..10) < 4 { Outcome::ConnectFailed } else { Outcome::Ok };
-    let refused = (0..400).filter(|_| rig.run(UNSAFE, full_tables).1.is_some()).count();
+    let full_tables = |_| {
+        if draw.borrow_mut().u8(..10) < 4 {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Ok
+        }
+    };
+    let refused = (0..400)
+        .filter(|_| rig.run(UNSAFE, full_tables).1.is_some())
+        .count();
     assert!(refused < 40, "{refused} of 400 refused");
     // Where nothing comes up at all, each call has two attempts on average, not all that it may have.
-    let attempts: usize = (0..400).map(|_| rig.run(UNSAFE, |_| Outcome::ConnectFailed).0.len()).sum();
+    let attempts: usize = (0..400)
+        .map(|_| rig.run(UNSAFE, |_| Outcome::ConnectFailed).0.len())
+        .sum();
     assert!(attempts < 900, "{attempts} attempts for 400 requests");
 }
 
@@ -871,7 +1108,13 @@
         rig.run(SAFE, |_| Outcome::ConnectFailed);
     }
     let born = rig.now;
-    let back: Vec<_> = zones(1, 4).into_iter().map(|e| ListEntry { started: Some(born), ..e }).collect();
+    let back: Vec<_> = zones(1, 4)
+        .into_iter()
+        .map(|e| ListEntry {
+            started: Some(born),
+            ..e
+        })
+        .collect();
     rig.tell(Event::List(&back));
     let mut sent_by = [0, 0];
     for call in 0..600 {
@@ -881,6 +1124,9 @@
     // They start with a quarter and are warm after ten seconds: 14 to 25 calls a second is their warm share, up to
     // 1.8 times as many are sent, of 200 that are asked for; three times as many would push them over.
     let first = f64::from(sent_by[0]) / 1.53;
-    assert!(first > 14.0 && first < 40.0, "{first} a second at first, {sent_by:?}");
+    assert!(
+        first > 14.0 && first < 40.0,
+        "{first} a second at first, {sent_by:?}"
+    );
     assert!(sent_by[1] > sent_by[0], "{sent_by:?}");
 }
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -22,7 +22,10 @@
         worth: 1.0,
     };
     Settings {
-        classes: vec![class(Effect::Unsafe), class(Effect::Keyed(Group::All, 3 * SECOND))],
+        classes: vec![
+            class(Effect::Unsafe),
+            class(Effect::Keyed(Group::All, 3 * SECOND)),
+        ],
         tenants: vec![],
         over_quota_worth: 0.2,
         worth_by_work: false,
@@ -61,7 +64,13 @@
     from: u64,
 }
 
-const STEADY: Kind = Kind { count: 0, rate: 0.0, burst: None, lives: None, from: 0 };
+const STEADY: Kind = Kind {
+    count: 0,
+    rate: 0.0,
+    burst: None,
+    lives: None,
+    from: 0,
+};
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum What {
@@ -134,7 +143,9 @@
                     let took = self.took / 2 + self.rng.u64(..self.took);
                     self.at(now + took, What::End(sender, id.0, 0));
                 }
-                Action::SetTimer { after, token } => self.at(now + after, What::Timer(sender, token)),
+                Action::SetTimer { after, token } => {
+                    self.at(now + after, What::Timer(sender, token))
+                }
                 Action::Refuse { .. } | Action::Fail(_) => self.refused += 1,
                 _ => {}
             }
@@ -145,7 +156,13 @@
         self.ids += 1;
         let class = self.rng.usize(..2);
         let time_left = 1500 * MS;
-        let demand = Demand { class, tenant: 0, time_left, work: None, attempts: u32::MAX };
+        let demand = Demand {
+            class,
+            tenant: 0,
+            time_left,
+            work: None,
+            attempts: u32::MAX,
+        };
         self.tell(now, sender, Event::Request(RequestId(self.ids), demand));
     }
 
@@ -154,9 +171,18 @@
     }
 
     /// What came of a run.
-    fn run(kinds: &[Kind], servers: u32, cold: u32, load: f64, restart: u64, seed: u64) -> Outcomes {
+    fn run(
+        kinds: &[Kind],
+        servers: u32,
+        cold: u32,
+        load: f64,
+        restart: u64,
+        seed: u64,
+    ) -> Outcomes {
         let rate = |kind: &Kind| {
-            let bursts = kind.burst.map_or(0.0, |(calls, every)| f64::from(calls) * 1e9 / every as f64);
+            let bursts = kind
+                .burst
+                .map_or(0.0, |(calls, every)| f64::from(calls) * 1e9 / every as f64);
             f64::from(kind.count) * (kind.rate + bursts)
         };
         let total: f64 = kinds.iter().map(rate).sum();
@@ -180,7 +206,10 @@
         for &kind in kinds {
             for _ in 0..kind.count {
                 let seed = fleet.rng.u64(..);
-                fleet.senders.push((Balancer::new(settings(siblings), seed, epoch).unwrap(), kind));
+                fleet.senders.push((
+                    Balancer::new(settings(siblings), seed, epoch).unwrap(),
+                    kind,
+                ));
                 let sender = fleet.senders.len() - 1;
                 let entries = fleet.entries(first);
                 fleet.tell(epoch, sender, Event::List(&entries));
@@ -236,7 +265,13 @@
                 What::End(sender, id, attempt) => {
                     fleet.served += 1;
                     let elapsed = fleet.took;
-                    let end = End { attempt, outcome: Outcome::Ok, elapsed, closed: true, load: None };
+                    let end = End {
+                        attempt,
+                        outcome: Outcome::Ok,
+                        elapsed,
+                        closed: true,
+                        load: None,
+                    };
                     fleet.tell(now, sender, Event::Ended(RequestId(id), end));
                 }
                 What::Timer(sender, token) => fleet.tell(now, sender, Event::Timer(token)),
@@ -251,7 +286,10 @@
             let sent: Vec<u64> = sent.iter().copied().filter(|at| *at >= start).collect();
             for (at, &from) in sent.iter().enumerate() {
                 // What counts is a window of full length: a short burst spends its budget early.
-                let in_window = sent[at..].iter().take_while(|&&later| later < from + WINDOW).count();
+                let in_window = sent[at..]
+                    .iter()
+                    .take_while(|&&later| later < from + WINDOW)
+                    .count();
                 let middle = can_do(from + WINDOW / 2);
                 worst = worst.max(in_window as f64 / (TIP * middle * WINDOW as f64 / 1e9));
                 let budget = TIP * can_do(from) * WINDOW as f64 / 1e9;
@@ -259,27 +297,54 @@
                 beyond_chance = beyond_chance.max(in_window as f64 - by_chance);
             }
         }
-        let used = fleet.sent.values().flatten().filter(|at| **at >= start).count();
-        Outcomes { worst, beyond_chance, used, served: fleet.served, refused: fleet.refused }
+        let used = fleet
+            .sent
+            .values()
+            .flatten()
+            .filter(|at| **at >= start)
+            .count();
+        Outcomes {
+            worst,
+            beyond_chance,
+            used,
+            served: fleet.served,
+            refused: fleet.refused,
+        }
     }
 }
 
 fn check(name: &str, kinds: &[Kind], servers: u32, cold: u32, load: f64, restart: u64) {
     let mut worst = 0.0_f64;
     for seed in 1..=5 {
-        let Outcomes { worst: most, used, served, refused, .. } =
-            Fleet::run(kinds, servers, cold, load, restart, seed);
+        let Outcomes {
+            worst: most,
+            used,
+            served,
+            refused,
+            ..
+        } = Fleet::run(kinds, servers, cold, load, restart, seed);
         println!(
             "{name}, seed {seed}: {most:.2} of what pushes it over, {used} calls to cold servers, {served} served, {refused} refused"
         );
         assert!(used > 0, "{name}: a cold server is used");
         worst = worst.max(most);
     }
-    assert!(worst < 1.0, "{name}: a cold server was sent {worst:.2} of what pushes it over");
+    assert!(
+        worst < 1.0,
+        "{name}: a cold server was sent {worst:.2} of what pushes it over"
+    );
 }
 
-const DAEMON: Kind = Kind { count: 1, rate: 30.0, ..STEADY };
-const PLUGINS: Kind = Kind { count: 200, rate: 2.0, ..STEADY };
+const DAEMON: Kind = Kind {
+    count: 1,
+    rate: 30.0,
+    ..STEADY
+};
+const PLUGINS: Kind = Kind {
+    count: 200,
+    rate: 2.0,
+    ..STEADY
+};
 
 #[test]
 fn two_hundred_callers_and_a_daemon_do_not_push_over_a_restarted_nodo() {
@@ -288,32 +353,93 @@
     // Round robin alone gives it its share of an overload, half as much again as a warm one can do.
     check("overload", &[DAEMON, PLUGINS], 10, 1, 1.5, 20 * SECOND);
     // The first call of each sender must not come at once: a hundred nodos, and hardly a call a second for each.
-    check("many nodos", &[DAEMON, Kind { count: 800, rate: 1.0, ..PLUGINS }], 100, 5, 1.5, 20 * SECOND);
+    check(
+        "many nodos",
+        &[
+            DAEMON,
+            Kind {
+                count: 800,
+                rate: 1.0,
+                ..PLUGINS
+            },
+        ],
+        100,
+        5,
+        1.5,
+        20 * SECOND,
+    );
     // A nodo that is small against the crowd: the first call of each sender alone is many times what it can do.
-    check("small", &[DAEMON, Kind { rate: 0.5, ..PLUGINS }], 20, 1, 0.7, 20 * SECOND);
+    check(
+        "small",
+        &[
+            DAEMON,
+            Kind {
+                rate: 0.5,
+                ..PLUGINS
+            },
+        ],
+        20,
+        1,
+        0.7,
+        20 * SECOND,
+    );
 }
 
 #[test]
 fn callers_that_come_and_go_do_not_push_over_a_restarted_nodo() {
-    let brief = Kind { lives: Some(2 * SECOND), ..PLUGINS };
+    let brief = Kind {
+        lives: Some(2 * SECOND),
+        ..PLUGINS
+    };
     check("short-lived", &[DAEMON, brief], 10, 1, 0.7, 20 * SECOND);
-    let once = Kind { lives: Some(SECOND / 2), ..PLUGINS };
+    let once = Kind {
+        lives: Some(SECOND / 2),
+        ..PLUGINS
+    };
     check("one call each", &[DAEMON, once], 10, 1, 0.7, 20 * SECOND);
 }
 
 #[test]
 fn callers_in_lock_step_do_not_push_over_a_restarted_nodo() {
-    let bursts = Kind { rate: 0.2, burst: Some((5, 3 * SECOND)), ..PLUGINS };
+    let bursts = Kind {
+        rate: 0.2,
+        burst: Some((5, 3 * SECOND)),
+        ..PLUGINS
+    };
     check("lock-step", &[DAEMON, bursts], 10, 1, 0.7, 20 * SECOND);
     // Silent for as long as the outage, then all at once.
-    let woken = Kind { rate: 4.0, from: 21 * SECOND, ..PLUGINS };
-    check("woken", &[Kind { rate: 100.0, ..DAEMON }, woken], 10, 1, 0.7, 20 * SECOND);
+    let woken = Kind {
+        rate: 4.0,
+        from: 21 * SECOND,
+        ..PLUGINS
+    };
+    check(
+        "woken",
+        &[
+            Kind {
+                rate: 100.0,
+                ..DAEMON
+            },
+            woken,
+        ],
+        10,
+        1,
+        0.7,
+        20 * SECOND,
+    );
 }
 
 #[test]
 fn a_release_of_all_nodos_and_callers_at_once_is_survived() {
     check("release", &[DAEMON, PLUGINS], 10, 10, 0.25, 0);
-    check("release of all nodos", &[DAEMON, PLUGINS], 10, 10, 0.25, 20 * SECOND);
+    check(
+        "release of all nodos",
+        &[DAEMON, PLUGINS],
+        10,
+        10,
+        0.25,
+        20 * SECOND,
+    );
 }
 
 /// Fleets drawn by chance: twenty to thirty senders that do not hear each other, from a few calls a minute each to several
@@ -324,13 +450,25 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = rng.u32(20..=30);
         let rate = 10.0_f64.powf(rng.f64() * 2.0 - 1.0); // 0.1 to 10 calls a second
-        let burst = rng.bool().then(|| (rng.u32(1..=3), rng.u64(1..=4) * SECOND));
+        let burst = rng
+            .bool()
+            .then(|| (rng.u32(1..=3), rng.u64(1..=4) * SECOND));
         let lives = (rng.u32(..3) == 0).then(|| rng.u64(1..=6) * SECOND);
         let servers = rng.u32(3..=12);
-        let cold = if rng.u32(..4) == 0 { servers } else { rng.u32(1..=servers.div_ceil(2)) };
+        let cold = if rng.u32(..4) == 0 {
+            servers
+        } else {
+            rng.u32(1..=servers.div_ceil(2))
+        };
         let load = 0.3 + 1.2 * rng.f64();
         let restart = if rng.u32(..3) == 0 { 0 } else { 20 * SECOND };
-        let kind = Kind { count, rate, burst, lives, ..STEADY };
+        let kind = Kind {
+            count,
+            rate,
+            burst,
+            lives,
+            ..STEADY
+        };
         let outcomes = Fleet::run(&[kind], servers, cold, load, restart, seed);
         println!(
             "seed {seed}: {count} senders at {rate:.2}/s, burst {burst:?}, lives {lives:?}, {cold} of {servers} cold \
--- a/crates/decisions/tests/golden_decisions.rs
+++ b/crates/decisions/tests/golden_decisions.rs
@@ -158,7 +158,9 @@
 
     fn play(mut self, steps: u32) -> (u64, Counts) {
         for step in 0..steps {
-            let Some(((time, _), incident)) = self.agenda.pop_first() else { break };
+            let Some(((time, _), incident)) = self.agenda.pop_first() else {
+                break;
+            };
             self.now = self.now.max(time);
             self.digest.add(self.now);
             self.happen(incident);
@@ -187,9 +189,12 @@
 
     fn record(&mut self, action: &Action) {
         let (kind, numbers) = match *action {
-            Action::Send { id, server, until, begin_by } => {
-                (0, [u64::from(id.0), u64::from(server.0), until, begin_by])
-            }
+            Action::Send {
+                id,
+                server,
+                until,
+                begin_by,
+            } => (0, [u64::from(id.0), u64::from(server.0), until, begin_by]),
             Action::Refuse { id, retry_after } => (1, [u64::from(id.0), retry_after, 0, 0]),
             Action::Fail(id) => (2, [u64::from(id.0), 0, 0, 0]),
             Action::Cancel { id, attempt } => (3, [u64::from(id.0), u64::from(attempt), 0, 0]),
@@ -201,13 +206,18 @@
         };
         self.counts[kind] += 1;
         self.digest.add(kind as u64);
-        numbers.into_iter().for_each(|number| self.digest.add(number));
+        numbers
+            .into_iter()
+            .for_each(|number| self.digest.add(number));
     }
 
     fn record_learned(&mut self) {
         let mut learned = self.balancer.learned();
         learned.servers.sort_by_key(|server| server.server);
-        let latencies = learned.classes.iter().map(|(class, latency)| (*class as u64, latency));
+        let latencies = learned
+            .classes
+            .iter()
+            .map(|(class, latency)| (*class as u64, latency));
         for (class, latency) in latencies.chain([(u64::MAX, &learned.overall)]) {
             self.digest.add(class);
             self.digest.add_float(latency.mean);
@@ -220,17 +230,24 @@
         }
         for server in &learned.servers {
             self.digest.add(u64::from(server.server.0));
-            self.digest.add(server.started.map_or(0, |started| started + 1));
+            self.digest
+                .add(server.started.map_or(0, |started| started + 1));
             self.digest.add_float(server.slowness);
             self.digest.add(u64::from(server.opens));
-            self.digest.add(server.open_for.map_or(0, |open_for| open_for + 1));
+            self.digest
+                .add(server.open_for.map_or(0, |open_for| open_for + 1));
         }
         self.digest.add(self.balancer.avoided() as u64);
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, until, begin_by } => self.begin_attempt(id.0, server, until, begin_by),
+            Action::Send {
+                id,
+                server,
+                until,
+                begin_by,
+            } => self.begin_attempt(id.0, server, until, begin_by),
             Action::Refuse { id, .. } | Action::Fail(id) => {
                 self.calls.get_mut(&id.0).expect("a known call").over = true;
             }
@@ -254,7 +271,11 @@
         let (outcome, took) = self.outcome_at(at, begin_by);
         let late = self.now.saturating_add(took) >= until;
         let outcome = if late { Outcome::Timeout } else { outcome };
-        let took = if late { until.saturating_sub(self.now) } else { took };
+        let took = if late {
+            until.saturating_sub(self.now)
+        } else {
+            took
+        };
         let ends = self.plan(took, Incident::AttemptEnds(id));
         if outcome == Outcome::Ok && self.draws.chance(60) {
             self.plan(took / 2, Incident::AnswerBegins(id));
@@ -267,7 +288,14 @@
         assert!(call.open.is_none(), "one attempt at a time");
         let number = call.attempts;
         call.attempts += 1;
-        call.open = Some(OpenAttempt { number, server: at, sent: self.now, outcome, ends, begun: false });
+        call.open = Some(OpenAttempt {
+            number,
+            server: at,
+            sent: self.now,
+            outcome,
+            ends,
+            begun: false,
+        });
     }
 
     /// How an attempt at a server would end, and after how long.
@@ -294,7 +322,9 @@
     }
 
     fn cancel(&mut self, id: u32) {
-        let Some(open) = self.calls.get_mut(&id).and_then(|call| call.open.as_mut()) else { return };
+        let Some(open) = self.calls.get_mut(&id).and_then(|call| call.open.as_mut()) else {
+            return;
+        };
         open.outcome = Outcome::Cancelled;
         let ends = open.ends;
         self.agenda.remove(&ends);
@@ -331,7 +361,11 @@
             work: self.draws.chance(300).then_some(20 * MS),
             attempts: if self.draws.chance(50) { 1 } else { u32::MAX },
         };
-        let class = if self.draws.chance(2) { 99 } else { demand.class };
+        let class = if self.draws.chance(2) {
+            99
+        } else {
+            demand.class
+        };
         self.handle(Event::Request(RequestId(id), Demand { class, ..demand }));
         let after = self.spacing / 2 + self.draws.below(self.spacing.max(1));
         self.plan(after, Incident::Arrival);
@@ -340,7 +374,8 @@
     fn end_attempt(&mut self, id: u32) {
         let call = self.calls.get_mut(&id).expect("a known call");
         let Some(open) = call.open.take() else { return };
-        let closed = matches!(open.outcome, Outcome::Ok | Outcome::Declined) || open.begun || call.over;
+        let closed =
+            matches!(open.outcome, Outcome::Ok | Outcome::Declined) || open.begun || call.over;
         call.over |= closed;
         let server = &mut self.servers[open.server];
         server.in_flight -= 1;
@@ -356,7 +391,9 @@
 
     fn begin_answer(&mut self, id: u32) {
         let call = self.calls.get_mut(&id).expect("a known call");
-        let Some(open) = call.open.as_mut().filter(|_| !call.over) else { return };
+        let Some(open) = call.open.as_mut().filter(|_| !call.over) else {
+            return;
+        };
         open.begun = true;
         call.over = true;
         let attempt = open.number;
@@ -372,7 +409,11 @@
     }
 
     fn send_whole_list(&mut self) {
-        let list: Vec<ListEntry> = self.servers.iter().map(|server| server.entry.clone()).collect();
+        let list: Vec<ListEntry> = self
+            .servers
+            .iter()
+            .map(|server| server.entry.clone())
+            .collect();
         self.handle(Event::List(&list));
     }
 
@@ -388,7 +429,10 @@
             4 => self.servers[at].fault = Fault::Unreachable,
             5 => self.servers[at].fault = Fault::Resetting,
             6 => self.fail_zone(at % 3),
-            7 | 8 => self.servers.iter_mut().for_each(|server| server.fault = Fault::None),
+            7 | 8 => self
+                .servers
+                .iter_mut()
+                .for_each(|server| server.fault = Fault::None),
             9 => self.change_lifecycle(at, Lifecycle::Draining),
             10 => self.change_lifecycle(at, Lifecycle::Gone),
             11 => self.restart_zone(at % 3),
@@ -403,7 +447,10 @@
     fn fail_zone(&mut self, zone: usize) {
         let faults = [Fault::Erring, Fault::Slow, Fault::Unreachable];
         let fault = faults[self.draws.below(3) as usize];
-        let servers = self.servers.iter_mut().filter(|server| usize::from(server.entry.zone.0) == zone);
+        let servers = self
+            .servers
+            .iter_mut()
+            .filter(|server| usize::from(server.entry.zone.0) == zone);
         servers.for_each(|server| server.fault = fault);
     }
 
@@ -415,7 +462,10 @@
 
     fn restart_zone(&mut self, zone: usize) {
         let now = self.now;
-        let servers = self.servers.iter_mut().filter(|server| usize::from(server.entry.zone.0) == zone);
+        let servers = self
+            .servers
+            .iter_mut()
+            .filter(|server| usize::from(server.entry.zone.0) == zone);
         for server in servers {
             server.entry.started = Some(now);
             server.fault = Fault::None;
@@ -429,7 +479,9 @@
             return;
         }
         let away = |server: &ServerModel| server.entry.lifecycle != Lifecycle::Ready;
-        let Some(at) = self.servers.iter().position(away) else { return };
+        let Some(at) = self.servers.iter().position(away) else {
+            return;
+        };
         if self.draws.chance(500) {
             self.servers[at].entry.started = Some(self.now);
         }
@@ -438,8 +490,11 @@
 
     fn send_verdicts(&mut self, at: usize) {
         let zone = ZoneId(self.draws.below(3) as u8);
-        let places =
-            [Place::Zone(zone, None), Place::Zone(zone, Some(at % 5)), Place::Server(ServerId(at as u32))];
+        let places = [
+            Place::Zone(zone, None),
+            Place::Zone(zone, Some(at % 5)),
+            Place::Server(ServerId(at as u32)),
+        ];
         let shares = [0.0, 0.2, 0.6, 1.0];
         let verdicts = places.map(|place| Verdict {
             place,
@@ -473,7 +528,10 @@
         if self.settings.classes.len() == 5 {
             let class = self.settings.classes[SAFE].clone();
             self.settings.classes.push(class);
-            let new = [ClassSuccession { class: 5, predecessor: SAFE }];
+            let new = [ClassSuccession {
+                class: 5,
+                predecessor: SAFE,
+            }];
             return self.balancer.retune(self.settings.clone(), &new).unwrap();
         }
         self.balancer.retune(self.settings.clone(), &[]).unwrap();
@@ -497,36 +555,58 @@
 
 #[test]
 fn overload_of_two_tenants_decides_as_recorded() {
-    let settings =
-        Settings { tenants: tenants(), worth_by_work: true, max_retry_after: 4 * SECOND, ..settings() };
+    let settings = Settings {
+        tenants: tenants(),
+        worth_by_work: true,
+        max_retry_after: 4 * SECOND,
+        ..settings()
+    };
     let (digest, counts) = play(settings, 2, 3 * MS);
     assert_eq!(digest, "27bce3b2c962ad06", "{counts:?}");
 }
 
 #[test]
 fn asking_servers_for_their_load_decides_as_recorded() {
-    let settings = Settings { report_inflight: Some(0), load_by_probe: true, ..settings() };
+    let settings = Settings {
+        report_inflight: Some(0),
+        load_by_probe: true,
+        ..settings()
+    };
     let (digest, counts) = play(settings, 3, 8 * MS);
     assert_eq!(digest, "912e2e59df9af7f1", "{counts:?}");
 }
 
 #[test]
 fn deeper_tier_without_passed_deadlines_decides_as_recorded() {
-    let settings = Settings { tier: 1, passes_deadline: false, may_cancel: false, ..settings() };
+    let settings = Settings {
+        tier: 1,
+        passes_deadline: false,
+        may_cancel: false,
+        ..settings()
+    };
     let (digest, counts) = play(settings, 4, 6 * MS);
     assert_eq!(digest, "2791c803c073d4bc", "{counts:?}");
 }
 
 #[test]
 fn polled_discovery_decides_as_recorded() {
-    let settings = Settings { ask_discovery: true, siblings: 40, zone: ZoneId(2), ..settings() };
+    let settings = Settings {
+        ask_discovery: true,
+        siblings: 40,
+        zone: ZoneId(2),
+        ..settings()
+    };
     let (digest, counts) = play(settings, 5, 15 * MS);
     assert_eq!(digest, "a41f7fdaac91611a", "{counts:?}");
 }
 
 #[test]
 fn dear_crossings_of_zones_decide_as_recorded() {
-    let settings = Settings { cross_price: 0.05, conn_idle: 3 * SECOND, ..settings() };
+    let settings = Settings {
+        cross_price: 0.05,
+        conn_idle: 3 * SECOND,
+        ..settings()
+    };
     let (digest, counts) = play(settings, 6, 5 * MS);
     assert_eq!(digest, "c777113283f739bd", "{counts:?}");
 }
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -18,7 +18,10 @@
     let mut rig = Rig::new(settings(), &zones(3, 4));
     let turns = counts((0..400).filter_map(|_| rig.serve(SAFE, 20 * MS)));
     assert_eq!(turns.keys().copied().collect::<Vec<_>>(), [0, 1, 2, 3]);
-    assert!(turns.values().all(|&n| (90..=110).contains(&n)), "{turns:?}");
+    assert!(
+        turns.values().all(|&n| (90..=110).contains(&n)),
+        "{turns:?}"
+    );
 }
 
 /// Guards small fleets: a zone of one sound server is no zone in trouble.
@@ -44,7 +47,11 @@
         assert!(!refused(&actions), "call {call}");
         open.push_back(id);
         if open.len() > 14 {
-            let outcome = if call % 2 == 0 { Outcome::Error } else { Outcome::Ok };
+            let outcome = if call % 2 == 0 {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
             rig.end(open.pop_front().unwrap(), 0, outcome, 140 * MS);
         }
     }
@@ -55,7 +62,13 @@
     let mut rig = Rig::new(settings(), &zones(3, 4));
     rig.warm_up(40);
     for _ in 0..60 {
-        rig.run(SAFE, |server| if server < 2 { Outcome::Error } else { Outcome::Ok });
+        rig.run(SAFE, |server| {
+            if server < 2 {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            }
+        });
     }
     let turns = counts((0..60).filter_map(|_| rig.serve(UNSAFE, 5 * MS)));
     assert!(turns.keys().any(|&server| server >= 4), "{turns:?}");
@@ -76,12 +89,21 @@
     rig.warm_up(40);
     rig.now += 2 * SECOND; // dead for so long that no answer tells otherwise
     for _ in 0..40 {
-        rig.run(SAFE, |server| if server < 3 { Outcome::ConnectFailed } else { Outcome::Ok });
+        rig.run(SAFE, |server| {
+            if server < 3 {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Ok
+            }
+        });
     }
     // Unsafe calls are no trials, so that what is left are the ordinary picks.
     let turns = counts((0..60).filter_map(|_| rig.serve(UNSAFE, MS)));
     assert!(turns.keys().all(|&server| server >= 3), "{turns:?}");
-    assert!(turns.keys().any(|&server| server < 6) && turns.keys().any(|&server| server >= 6), "{turns:?}");
+    assert!(
+        turns.keys().any(|&server| server < 6) && turns.keys().any(|&server| server >= 6),
+        "{turns:?}"
+    );
 }
 
 #[test]
@@ -97,7 +119,9 @@
 fn all_at_the_limit_still_sends_at_once() {
     let mut rig = Rig::new(settings(), &zones(1, 2));
     rig.warm_up(50);
-    let sends = (0..4).filter(|_| sent(&rig.demand(UNSAFE).1).is_some()).count();
+    let sends = (0..4)
+        .filter(|_| sent(&rig.demand(UNSAFE).1).is_some())
+        .count();
     assert_eq!(sends, 4);
 }
 
@@ -106,7 +130,13 @@
     let mut rig = Rig::new(settings(), &zones(1, 4));
     rig.warm_up(100);
     for _ in 0..20 {
-        rig.run(SAFE, |server| if server == 2 { Outcome::Reset } else { Outcome::Ok });
+        rig.run(SAFE, |server| {
+            if server == 2 {
+                Outcome::Reset
+            } else {
+                Outcome::Ok
+            }
+        });
     }
     let open = counts((0..20).filter_map(|_| rig.serve(UNSAFE, MS)));
     assert!(!open.contains_key(&2), "{open:?}");
@@ -120,11 +150,21 @@
     let mut rig = Rig::new(settings(), &zones(1, 4));
     rig.warm_up(100);
     for _ in 0..20 {
-        rig.run(SAFE, |server| if server == 2 { Outcome::Reset } else { Outcome::Ok });
+        rig.run(SAFE, |server| {
+            if server == 2 {
+                Outcome::Reset
+            } else {
+                Outcome::Ok
+            }
+        });
     }
     rig.now += 10 * SECOND;
     let first: Vec<u32> = (0..8).filter_map(|_| sent(&rig.demand(SAFE).1)).collect();
-    assert_eq!(first.iter().filter(|&&server| server == 2).count(), 1, "{first:?}");
+    assert_eq!(
+        first.iter().filter(|&&server| server == 2).count(),
+        1,
+        "{first:?}"
+    );
 }
 
 #[test]
@@ -132,7 +172,13 @@
     let mut rig = Rig::new(settings(), &zones(1, 2));
     rig.warm_up(50);
     for _ in 0..30 {
-        rig.run(SAFE, |server| if server == 1 { Outcome::Full } else { Outcome::Ok });
+        rig.run(SAFE, |server| {
+            if server == 1 {
+                Outcome::Full
+            } else {
+                Outcome::Ok
+            }
+        });
     }
     rig.now += SECOND / 2;
     let turns = counts((0..10).filter_map(|_| rig.serve(UNSAFE, 20 * MS)));
@@ -142,7 +188,12 @@
 #[test]
 fn rule_1_every_request_is_answered_once() {
     let mut rig = Rig::new(settings(), &zones(3, 2));
-    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Full, Outcome::Moot] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::Timeout,
+        Outcome::Full,
+        Outcome::Moot,
+    ] {
         for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
             let (tried, answer) = rig.run(class, |_| outcome);
             assert!(tried.len() <= 4);
@@ -173,12 +224,21 @@
 fn rule_2_keyed_work_is_repeated_inside_its_group_and_window_only() {
     let mut rig = Rig::new(settings(), &zones(3, 4));
     let (tried, _) = rig.run(KEYED_ZONE, |_| Outcome::Error);
-    assert!(tried.len() > 1 && tried.iter().all(|server| server / 4 == tried[0] / 4), "{tried:?}");
+    assert!(
+        tried.len() > 1 && tried.iter().all(|server| server / 4 == tried[0] / 4),
+        "{tried:?}"
+    );
     let (tried, _) = rig.run(KEYED_CELL, |_| Outcome::Error);
-    assert!(tried.len() > 1 && tried.iter().all(|server| server % 2 == tried[0] % 2), "{tried:?}");
+    assert!(
+        tried.len() > 1 && tried.iter().all(|server| server % 2 == tried[0] % 2),
+        "{tried:?}"
+    );
     let (id, _) = rig.demand(KEYED_ALL);
     rig.now += SECOND + MS;
-    assert_eq!(rig.end(id, 0, Outcome::Error, SECOND + MS), [Action::Fail(id)]);
+    assert_eq!(
+        rig.end(id, 0, Outcome::Error, SECOND + MS),
+        [Action::Fail(id)]
+    );
 }
 
 #[test]
@@ -187,7 +247,13 @@
     let mut drained = entry(1, 0);
     drained.lifecycle = Lifecycle::Draining;
     rig.tell(Event::ListChange(&[drained]));
-    rig.tell(Event::List(&[entry(0, 0), ListEntry { lifecycle: Lifecycle::Draining, ..entry(1, 0) }]));
+    rig.tell(Event::List(&[
+        entry(0, 0),
+        ListEntry {
+            lifecycle: Lifecycle::Draining,
+            ..entry(1, 0)
+        },
+    ]));
     let turns = counts((0..30).filter_map(|_| sent(&rig.demand(UNSAFE).1)));
     assert_eq!(turns.keys().copied().collect::<Vec<_>>(), [0]);
 }
@@ -225,16 +291,26 @@
     let (tried, _) = rig.run(SAFE, |_| Outcome::Error);
     assert_eq!(tried.len(), 4);
     assert!(tried.windows(2).all(|pair| pair[0] != pair[1]), "{tried:?}");
-    let attempts: usize = (0..200).map(|_| rig.run(SAFE, |_| Outcome::Error).0.len()).sum();
-    assert!((200..=260).contains(&attempts), "{attempts} attempts for 200 requests");
+    let attempts: usize = (0..200)
+        .map(|_| rig.run(SAFE, |_| Outcome::Error).0.len())
+        .sum();
+    assert!(
+        (200..=260).contains(&attempts),
+        "{attempts} attempts for 200 requests"
+    );
 }
 
 #[test]
 fn discovery_is_asked_once_and_again_after_a_jittered_wait() {
-    let mut rig =
-        Rig { balancer: woadstall_decisions::Balancer::new(asked(), 5, 0).unwrap(), now: 0, next_id: 0 };
+    let mut rig = Rig {
+        balancer: woadstall_decisions::Balancer::new(asked(), 5, 0).unwrap(),
+        now: 0,
+        next_id: 0,
+    };
     let first = rig.tell(Event::List(&zones(1, 2)));
-    let [Action::SetTimer { token, .. }] = first[..] else { panic!("{first:?}") };
+    let [Action::SetTimer { token, .. }] = first[..] else {
+        panic!("{first:?}")
+    };
     assert_eq!(rig.tell(Event::Timer(token)), [Action::Watch]);
     assert_eq!(rig.tell(Event::ListChange(&[])), []);
     let again = rig.tell(Event::ListFailed);
@@ -249,7 +325,11 @@
 fn discovery_is_asked_again_soon_however_often_it_failed() {
     for seed in 0..20 {
         let balancer = woadstall_decisions::Balancer::new(asked(), seed, 0).unwrap();
-        let mut rig = Rig { balancer, now: 0, next_id: 0 };
+        let mut rig = Rig {
+            balancer,
+            now: 0,
+            next_id: 0,
+        };
         rig.tell(Event::List(&zones(1, 2)));
         for failures in 1..=20 {
             rig.now += 10 * SECOND;
@@ -267,14 +347,20 @@
 }
 
 fn asked() -> Settings {
-    Settings { ask_discovery: true, ..settings() }
+    Settings {
+        ask_discovery: true,
+        ..settings()
+    }
 }
 
 #[test]
 fn client_that_left_gets_no_answer_and_its_attempt_is_cancelled() {
     let mut rig = Rig::new(settings(), &zones(1, 2));
     let (id, _) = rig.demand(SAFE);
-    assert_eq!(rig.tell(Event::ClientGone(id)), [Action::Cancel { id, attempt: 0 }]);
+    assert_eq!(
+        rig.tell(Event::ClientGone(id)),
+        [Action::Cancel { id, attempt: 0 }]
+    );
     assert_eq!(rig.tell(Event::ClientGone(id)), []);
     assert_eq!(rig.end(id, 0, Outcome::Cancelled, MS), []);
 }
@@ -301,7 +387,11 @@
         }
     }
     assert!(served[SAFE] * 10 < served[UNSAFE], "{served:?}");
-    assert!(out.len() < 100, "{} held at 100 answers a second and an aim of 500 ms", out.len());
+    assert!(
+        out.len() < 100,
+        "{} held at 100 answers a second and an aim of 500 ms",
+        out.len()
+    );
 }
 
 /// Callers that are refused come again, and so all tenants came to more than their quotas: the one that surged
@@ -309,7 +399,14 @@
 #[test]
 fn a_tenant_that_surges_is_shed_before_the_others() {
     let tenants = vec![Tenant { quota_rps: 160.0 }; 4];
-    let mut rig = Rig::new(Settings { tenants, worth_by_work: true, ..settings() }, &zones(1, 4));
+    let mut rig = Rig::new(
+        Settings {
+            tenants,
+            worth_by_work: true,
+            ..settings()
+        },
+        &zones(1, 4),
+    );
     rig.warm_up(100);
     let mut out = std::collections::VecDeque::new();
     let mut again = std::collections::VecDeque::<(u64, usize, u32)>::new();
@@ -318,8 +415,11 @@
     // their quotas, the first one wants 1,000; all try three times.
     for step in 0..8000 {
         rig.now += 5 * MS / 2;
-        let mut calls: Vec<(usize, u32)> =
-            [0, 0, 0, 0, 0].into_iter().take(step % 4 + 1).map(|t| (t, 1)).collect();
+        let mut calls: Vec<(usize, u32)> = [0, 0, 0, 0, 0]
+            .into_iter()
+            .take(step % 4 + 1)
+            .map(|t| (t, 1))
+            .collect();
         if step % 8 < 3 {
             calls.push((step % 8 + 1, 1));
         }
@@ -329,7 +429,13 @@
         for (tenant, tries) in calls {
             let id = RequestId(rig.next_id);
             rig.next_id += 1;
-            let demand = Demand { class: KEYED_ALL, tenant, time_left: 2 * SECOND, work: None, attempts: 9 };
+            let demand = Demand {
+                class: KEYED_ALL,
+                tenant,
+                time_left: 2 * SECOND,
+                work: None,
+                attempts: 9,
+            };
             let actions = rig.tell(Event::Request(id, demand));
             let taken = sent(&actions).is_some();
             asked[tenant] += u32::from(step > 2000 && tries == 1);
@@ -346,7 +452,10 @@
         }
     }
     for tenant in 1..4 {
-        assert!(served[tenant] * 20 > asked[tenant] * 19, "{served:?} of {asked:?}");
+        assert!(
+            served[tenant] * 20 > asked[tenant] * 19,
+            "{served:?} of {asked:?}"
+        );
     }
     assert!(served[0] * 4 < asked[0], "{served:?} of {asked:?}");
 }
@@ -357,13 +466,19 @@
     list[0].size = 0.5;
     let mut rig = Rig::new(settings(), &list);
     let turns = counts((0..350).filter_map(|_| rig.serve(SAFE, 20 * MS)));
-    assert!((40..=60).contains(&turns[&0]) && (90..=110).contains(&turns[&1]), "{turns:?}");
+    assert!(
+        (40..=60).contains(&turns[&0]) && (90..=110).contains(&turns[&1]),
+        "{turns:?}"
+    );
 }
 
 #[test]
 fn log_lines_tell_what_happens_without_flooding() {
     let log = |actions: &[Action], part: &str| {
-        actions.iter().filter(|a| matches!(a, Action::Log(text) if text.contains(part))).count()
+        actions
+            .iter()
+            .filter(|a| matches!(a, Action::Log(text) if text.contains(part)))
+            .count()
     };
     let mut rig = Rig::new(settings(), &zones(2, 4));
     rig.warm_up(100);
@@ -374,7 +489,11 @@
             all.extend(actions.clone());
             let Some(server) = sent(&actions) else { break };
             rig.now += 10 * MS;
-            let outcome = if server < 4 { Outcome::Error } else { Outcome::Ok };
+            let outcome = if server < 4 {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
             actions = rig.end(id, attempt, outcome, 10 * MS);
         }
         all.extend(actions);
@@ -389,10 +508,14 @@
 #[test]
 fn fresh_balancer_uses_a_fleet_that_is_cold() {
     let mut list = zones(3, 1);
-    list.iter_mut().for_each(|entry| entry.started = Some(SECOND / 2));
+    list.iter_mut()
+        .for_each(|entry| entry.started = Some(SECOND / 2));
     let mut rig = Rig::new(settings(), &list);
     let served = (0..200).filter_map(|_| rig.serve(SAFE, 20 * MS)).count();
-    assert!(served > 40, "{served} of 200 calls in 4 s, at a quarter of the capacity and more");
+    assert!(
+        served > 40,
+        "{served} of 200 calls in 4 s, at a quarter of the capacity and more"
+    );
 }
 
 #[test]
@@ -400,14 +523,31 @@
     let check = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
-        woadstall_decisions::Balancer::new(settings, 1, 0).map(|_| ()).unwrap_err().to_string()
+        woadstall_decisions::Balancer::new(settings, 1, 0)
+            .map(|_| ())
+            .unwrap_err()
+            .to_string()
     };
     assert_eq!(check(|s| s.classes.clear()), "`classes` is empty");
     assert_eq!(check(|s| s.zone = ZoneId(3)), "`zone` is 3 of 3 zones");
-    assert_eq!(check(|s| s.start_capacity = f64::NAN), "`start_capacity` is NaN, not between 0 and 1");
-    assert_eq!(check(|s| s.over_quota_worth = f64::INFINITY), "`over_quota_worth` is inf");
-    assert_eq!(check(|s| s.classes[2].late_worth = -1.0), "`classes[2].late_worth` is -1");
-    assert_eq!(check(|s| s.tenants = vec![Tenant { quota_rps: f64::NAN }]), "`tenants[0].quota_rps` is NaN");
+    assert_eq!(
+        check(|s| s.start_capacity = f64::NAN),
+        "`start_capacity` is NaN, not between 0 and 1"
+    );
+    assert_eq!(
+        check(|s| s.over_quota_worth = f64::INFINITY),
+        "`over_quota_worth` is inf"
+    );
+    assert_eq!(
+        check(|s| s.classes[2].late_worth = -1.0),
+        "`classes[2].late_worth` is -1"
+    );
+    assert_eq!(
+        check(|s| s.tenants = vec![Tenant {
+            quota_rps: f64::NAN
+        }]),
+        "`tenants[0].quota_rps` is NaN"
+    );
 }
 
 /// Guards against leaving a zone for good: dropped once all of its breakers were open, none of them ever got
@@ -421,11 +561,20 @@
         rig.warm_up(40);
         rig.now += 2 * SECOND;
         for _ in 0..40 {
-            rig.run(SAFE, |server| if server < servers { Outcome::ConnectFailed } else { Outcome::Ok });
+            rig.run(SAFE, |server| {
+                if server < servers {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                }
+            });
         }
         // Its servers are well again. What is known of failures fades within some ten seconds.
         let home = |rig: &mut Rig| {
-            (0..100).filter_map(|_| rig.serve(SAFE, 50 * MS)).filter(|at| *at < servers).count()
+            (0..100)
+                .filter_map(|_| rig.serve(SAFE, 50 * MS))
+                .filter(|at| *at < servers)
+                .count()
         };
         for _ in 0..10 {
             home(&mut rig);
--- a/crates/decisions/tests/properties.rs
+++ b/crates/decisions/tests/properties.rs
@@ -9,20 +9,53 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Demand { class: usize, time_left: u64 },
-    End { pick: usize, outcome: usize },
-    Leave { pick: usize },
-    List { server: u32, lifecycle: u8, size: f32, fresh: bool, whole: bool },
+    Demand {
+        class: usize,
+        time_left: u64,
+    },
+    End {
+        pick: usize,
+        outcome: usize,
+    },
+    Leave {
+        pick: usize,
+    },
+    List {
+        server: u32,
+        lifecycle: u8,
+        size: f32,
+        fresh: bool,
+        whole: bool,
+    },
     Failed,
-    Ring { pick: usize },
-    Noise { id: u32, attempt: u32, token: u64, load: f32 },
-    Probed { pick: usize, ok: bool, load: f32 },
-    Wait { time: u64 },
+    Ring {
+        pick: usize,
+    },
+    Noise {
+        id: u32,
+        attempt: u32,
+        token: u64,
+        load: f32,
+    },
+    Probed {
+        pick: usize,
+        ok: bool,
+        load: f32,
+    },
+    Wait {
+        time: u64,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let load = prop_oneof![Just(f32::NAN), Just(-1.0), 0.0f32..9.0];
-    let size = prop_oneof![Just(1.0f32), Just(0.0), Just(f32::NAN), Just(-3.0), 0.1f32..8.0];
+    let size = prop_oneof![
+        Just(1.0f32),
+        Just(0.0),
+        Just(f32::NAN),
+        Just(-3.0),
+        0.1f32..8.0
+    ];
     prop_oneof![
         6 => (0usize..6, 1u64..3000).prop_map(|(class, ms)| Step::Demand { class, time_left: ms * MS }),
         6 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
@@ -73,8 +106,15 @@
 impl World {
     fn new(settings: Settings) -> Self {
         let list = zones(3, 3);
-        let rig = Rig { balancer: Balancer::new(settings, 99, SECOND).unwrap(), now: SECOND, next_id: 0 };
-        let listed = list.iter().map(|entry| (entry.server.0, entry.clone())).collect();
+        let rig = Rig {
+            balancer: Balancer::new(settings, 99, SECOND).unwrap(),
+            now: SECOND,
+            next_id: 0,
+        };
+        let listed = list
+            .iter()
+            .map(|entry| (entry.server.0, entry.clone()))
+            .collect();
         let mut world = Self {
             rig,
             calls: BTreeMap::new(),
@@ -99,11 +139,18 @@
         match action {
             Action::Send { id, server, .. } => {
                 let call = self.calls.get_mut(&id.0).expect("a request that was given");
-                assert!(!call.answered && !call.left, "rule 1: sent after the end of {id:?}");
+                assert!(
+                    !call.answered && !call.left,
+                    "rule 1: sent after the end of {id:?}"
+                );
                 assert!(call.out.is_none(), "rule 2: two attempts out for {id:?}");
                 assert!(call.attempts < 4, "over the most attempts");
                 let entry = &self.listed[&server.0];
-                assert_eq!(entry.lifecycle, Lifecycle::Ready, "rule 3: sent to {server:?}");
+                assert_eq!(
+                    entry.lifecycle,
+                    Lifecycle::Ready,
+                    "rule 3: sent to {server:?}"
+                );
                 if let Some((first, sent)) = call.ran {
                     let (first, window) = (&self.listed[&first], SECOND);
                     match call.class {
@@ -120,17 +167,27 @@
             }
             Action::Refuse { id, .. } | Action::Fail(id) => {
                 let call = self.calls.get_mut(&id.0).expect("a request that was given");
-                assert!(!call.answered && !call.left, "rule 1: a second answer for {id:?}");
+                assert!(
+                    !call.answered && !call.left,
+                    "rule 1: a second answer for {id:?}"
+                );
                 assert!(call.out.is_none(), "rule 1: answered with an attempt out");
                 let refused = matches!(action, Action::Refuse { .. });
                 let harmless = call.ran.is_none() || call.class == SAFE || call.class == KEYED_ALL;
-                assert!(!refused || harmless, "rule 2: {id:?} refused though it may have run");
+                assert!(
+                    !refused || harmless,
+                    "rule 2: {id:?} refused though it may have run"
+                );
                 call.answered = true;
             }
             Action::SetTimer { token, .. } => self.timers.push(*token),
             Action::Cancel { id, attempt } => assert!(self.calls[&id.0].attempts > *attempt),
             Action::Probe(server) => {
-                assert_eq!(self.listed[&server.0].lifecycle, Lifecycle::Ready, "probed {server:?}");
+                assert_eq!(
+                    self.listed[&server.0].lifecycle,
+                    Lifecycle::Ready,
+                    "probed {server:?}"
+                );
                 self.probes.push(*server);
             }
             Action::Close(server) => assert!(self.listed.contains_key(&server.0)),
@@ -139,7 +196,12 @@
     }
 
     fn out(&self, pick: usize) -> Option<u32> {
-        let out: Vec<u32> = self.calls.iter().filter(|(_, c)| c.out.is_some()).map(|(id, _)| *id).collect();
+        let out: Vec<u32> = self
+            .calls
+            .iter()
+            .filter(|(_, c)| c.out.is_some())
+            .map(|(id, _)| *id)
+            .collect();
         out.get(pick % out.len().max(1)).copied()
     }
 
@@ -163,10 +225,22 @@
             Step::Demand { class, time_left } => {
                 let id = self.rig.next_id;
                 self.rig.next_id += 1;
-                let call = Call { class, attempts: 0, out: None, ran: None, answered: false, left: false };
+                let call = Call {
+                    class,
+                    attempts: 0,
+                    out: None,
+                    ran: None,
+                    answered: false,
+                    left: false,
+                };
                 self.calls.insert(id, call);
-                let demand =
-                    Demand { class, tenant: class, time_left, work: Some(time_left), attempts: u32::MAX };
+                let demand = Demand {
+                    class,
+                    tenant: class,
+                    time_left,
+                    work: Some(time_left),
+                    attempts: u32::MAX,
+                };
                 self.tell(Event::Request(RequestId(id), demand));
             }
             Step::End { pick, outcome } => {
@@ -181,26 +255,61 @@
                     self.tell(Event::ClientGone(RequestId(id)));
                 }
             }
-            Step::List { server, lifecycle, size, fresh, whole } => {
-                let lifecycle = [Lifecycle::Gone, Lifecycle::Ready, Lifecycle::Draining][lifecycle as usize];
+            Step::List {
+                server,
+                lifecycle,
+                size,
+                fresh,
+                whole,
+            } => {
+                let lifecycle =
+                    [Lifecycle::Gone, Lifecycle::Ready, Lifecycle::Draining][lifecycle as usize];
                 let started = fresh.then_some(self.rig.now);
-                let entry = ListEntry { lifecycle, size, started, ..entry(server, (server % 4) as u8) };
-                let entry = self.listed.get(&server).map_or(entry.clone(), |old| ListEntry {
-                    zone: old.zone,
-                    cell: old.cell,
-                    ..entry
-                });
+                let entry = ListEntry {
+                    lifecycle,
+                    size,
+                    started,
+                    ..entry(server, (server % 4) as u8)
+                };
+                let entry = self
+                    .listed
+                    .get(&server)
+                    .map_or(entry.clone(), |old| ListEntry {
+                        zone: old.zone,
+                        cell: old.cell,
+                        ..entry
+                    });
                 if whole {
-                    self.listed.values_mut().for_each(|entry| entry.lifecycle = Lifecycle::Gone);
+                    self.listed
+                        .values_mut()
+                        .for_each(|entry| entry.lifecycle = Lifecycle::Gone);
                 }
                 self.listed.insert(server, entry.clone());
-                let event = if whole { Event::List(&[entry]) } else { Event::ListChange(&[entry]) };
+                let event = if whole {
+                    Event::List(&[entry])
+                } else {
+                    Event::ListChange(&[entry])
+                };
                 self.tell(event);
             }
-            Step::Noise { id, attempt, token, load } => {
+            Step::Noise {
+                id,
+                attempt,
+                token,
+                load,
+            } => {
                 let id = RequestId(id);
-                let load = Some(LoadReport { figures: [load; 4], len: 4 });
-                let end = End { attempt, outcome: Outcome::Reset, elapsed: token, closed: false, load };
+                let load = Some(LoadReport {
+                    figures: [load; 4],
+                    len: 4,
+                });
+                let end = End {
+                    attempt,
+                    outcome: Outcome::Reset,
+                    elapsed: token,
+                    closed: false,
+                    load,
+                };
                 self.tell(Event::Ended(id, end));
                 self.tell(Event::ClientGone(id));
                 self.tell(Event::Started(id, attempt));
@@ -219,7 +328,16 @@
         call.answered |= outcome == Outcome::Ok && !call.left;
         let closed = call.answered || call.left;
         let elapsed = self.rig.now - sent;
-        self.tell(Event::Ended(RequestId(id), End { attempt, outcome, elapsed, closed, load: None }));
+        self.tell(Event::Ended(
+            RequestId(id),
+            End {
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                load: None,
+            },
+        ));
     }
 }
 
--- a/crates/decisions/tests/takeover.rs
+++ b/crates/decisions/tests/takeover.rs
@@ -10,7 +10,13 @@
     let mut rig = Rig::new(settings(), &zones(1, 6));
     rig.warm_up(200);
     for _ in 0..30 {
-        rig.run(SAFE, |server| if server == 3 { Outcome::Error } else { Outcome::Ok });
+        rig.run(SAFE, |server| {
+            if server == 3 {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            }
+        });
     }
     rig
 }
@@ -22,7 +28,9 @@
 }
 
 fn tried(rig: &mut Rig, calls: u32) -> Vec<u32> {
-    (0..calls).filter_map(|_| rig.serve(SAFE, 20 * MS)).collect()
+    (0..calls)
+        .filter_map(|_| rig.serve(SAFE, 20 * MS))
+        .collect()
 }
 
 #[test]
@@ -33,11 +41,17 @@
     assert!(!tried(&mut before, 10).contains(&3));
     let mut rig = successor(&zones(1, 6), &learned);
     assert_eq!(rig.balancer.avoided(), 1);
-    assert!(!tried(&mut rig, 20).contains(&3), "the breaker is open here too");
+    assert!(
+        !tried(&mut rig, 20).contains(&3),
+        "the breaker is open here too"
+    );
     rig.now += 10 * SECOND;
     assert!(tried(&mut rig, 20).contains(&3), "its time is over");
     let mut fresh = Rig::new(settings(), &zones(1, 6));
-    assert!(tried(&mut fresh, 20).contains(&3), "one that was told nothing finds it anew");
+    assert!(
+        tried(&mut fresh, 20).contains(&3),
+        "one that was told nothing finds it anew"
+    );
 }
 
 /// Guards against the first seconds after an upgrade: without an estimate of their own, calls a little under half
@@ -48,7 +62,10 @@
         let (mut held, mut refusals) = (std::collections::VecDeque::new(), 0);
         for _ in 0..steps {
             rig.now += 10 * MS;
-            while held.front().is_some_and(|(_, sent)| rig.now - sent >= 240 * MS) {
+            while held
+                .front()
+                .is_some_and(|(_, sent)| rig.now - sent >= 240 * MS)
+            {
                 let (id, at): (RequestId, u64) = held.pop_front().expect("one is out");
                 rig.end(id, 0, Outcome::Ok, rig.now - at);
             }
@@ -64,7 +81,10 @@
     let mut rig = successor(&zones(1, 12), &learned);
     assert_eq!(play(&mut rig, 100), 0);
     let mut fresh = Rig::new(settings(), &zones(1, 12));
-    assert!(play(&mut fresh, 100) > 0, "one that was told nothing refuses some");
+    assert!(
+        play(&mut fresh, 100) > 0,
+        "one that was told nothing refuses some"
+    );
 }
 
 #[test]
@@ -75,7 +95,11 @@
     let rig = successor(&list, &before.balancer.learned());
     assert_eq!(rig.balancer.avoided(), 0);
     let rig = successor(&zones(1, 2), &before.balancer.learned());
-    assert_eq!(rig.balancer.avoided(), 0, "a server that is not listed is nobody's");
+    assert_eq!(
+        rig.balancer.avoided(),
+        0,
+        "a server that is not listed is nobody's"
+    );
 }
 
 #[test]
@@ -83,9 +107,13 @@
     let mut rig = Rig::new(settings(), &zones(1, 6));
     rig.warm_up(60);
     let own = rig.balancer.learned();
-    rig.balancer.learn_from(rig.now, &served().balancer.learned());
+    rig.balancer
+        .learn_from(rig.now, &served().balancer.learned());
     let after = rig.balancer.learned();
-    assert_eq!((after.classes, after.rate, after.failing), (own.classes, own.rate, own.failing));
+    assert_eq!(
+        (after.classes, after.rate, after.failing),
+        (own.classes, own.rate, own.failing)
+    );
     assert_eq!(rig.balancer.avoided(), 0);
 }
 
@@ -96,12 +124,20 @@
     tried(&mut before, 400);
     let mut list = zones(1, 6);
     list[5].started = Some(before.now);
-    let count = |rig: &mut Rig| tried(rig, 200).into_iter().filter(|server| *server == 5).count();
+    let count = |rig: &mut Rig| {
+        tried(rig, 200)
+            .into_iter()
+            .filter(|server| *server == 5)
+            .count()
+    };
     let learned = before.balancer.learned();
     let mut rig = successor(&zones(1, 6), &learned);
     rig.now = before.now;
     rig.tell(Event::List(&list));
     before.tell(Event::List(&list));
     let (first, second) = (count(&mut before), count(&mut rig));
-    assert!(first > 0 && second <= first, "{second} beside {first} of 200");
+    assert!(
+        first > 0 && second <= first,
+        "{second} beside {first} of 200"
+    );
 }
--- a/crates/decisions/tests/told.rs
+++ b/crates/decisions/tests/told.rs
@@ -5,11 +5,17 @@
 use woadstall_decisions::api::*;
 
 fn zone(zone: u8, share: f32, until: u64) -> Verdict {
-    Verdict { place: Place::Zone(ZoneId(zone), None), share, until }
+    Verdict {
+        place: Place::Zone(ZoneId(zone), None),
+        share,
+        until,
+    }
 }
 
 fn own(rig: &mut Rig, class: usize, calls: u32) -> usize {
-    (0..calls).filter(|_| rig.serve(class, 20 * MS).is_some_and(|server| server < 4)).count()
+    (0..calls)
+        .filter(|_| rig.serve(class, 20 * MS).is_some_and(|server| server < 4))
+        .count()
 }
 
 /// Told that all is well, or told of what is not there, a balancer does the same as one that is told nothing: to the byte.
@@ -22,13 +28,25 @@
         let verdicts = [
             zone(0, 1.0, now + SECOND),
             zone(9, 0.0, now + SECOND),
-            Verdict { place: Place::Server(ServerId(77)), share: 0.0, until: now + SECOND },
-            Verdict { place: Place::Zone(ZoneId(1), Some(99)), share: 0.0, until: now + SECOND },
+            Verdict {
+                place: Place::Server(ServerId(77)),
+                share: 0.0,
+                until: now + SECOND,
+            },
+            Verdict {
+                place: Place::Zone(ZoneId(1), Some(99)),
+                share: 0.0,
+                until: now + SECOND,
+            },
             zone(0, 0.0, now), // over already
         ];
         assert!(told.tell(Event::Told(&verdicts)).is_empty());
         let outcome = |server: u32| {
-            if (server as usize + call).is_multiple_of(7) { Outcome::Error } else { Outcome::Ok }
+            if (server as usize + call).is_multiple_of(7) {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            }
         };
         let (a, b) = (plain.run(call % 5, outcome), told.run(call % 5, outcome));
         assert_eq!(a, b, "call {call}");
@@ -44,7 +62,9 @@
     assert_eq!(own(&mut rig, SAFE, 100), 0);
     // Other zones get it evenly, and one of them that is left as well gets none.
     rig.tell(Event::Told(&[zone(1, 0.0, until)]));
-    let third = (0..60).filter(|_| rig.serve(SAFE, 20 * MS).is_some_and(|server| server >= 8)).count();
+    let third = (0..60)
+        .filter(|_| rig.serve(SAFE, 20 * MS).is_some_and(|server| server >= 8))
+        .count();
     assert_eq!(third, 60);
     rig.now = until;
     assert_eq!(own(&mut rig, SAFE, 100), 100);
@@ -56,22 +76,32 @@
     let mut rig = Rig::new(settings(), &zones(3, 4));
     rig.warm_up(40);
     let until = rig.now + 40 * SECOND;
-    rig.tell(Event::Told(&[zone(0, 0.0, until), zone(1, 0.0, until), zone(2, 0.0, until)]));
+    rig.tell(Event::Told(&[
+        zone(0, 0.0, until),
+        zone(1, 0.0, until),
+        zone(2, 0.0, until),
+    ]));
     assert!((0..60).all(|_| rig.serve(SAFE, 20 * MS).is_some()));
 }
 
 /// A part stays as large as was said; what is only tried is tried by calls that may be sent again.
 #[test]
 fn shares_are_kept_and_unsafe_work_tries_nothing() {
-    for (share, class, least, most) in
-        [(0.6, SAFE, 500, 700), (0.6, UNSAFE, 500, 700), (0.25, KEYED_ALL, 180, 320), (0.25, UNSAFE, 0, 0)]
-    {
+    for (share, class, least, most) in [
+        (0.6, SAFE, 500, 700),
+        (0.6, UNSAFE, 500, 700),
+        (0.25, KEYED_ALL, 180, 320),
+        (0.25, UNSAFE, 0, 0),
+    ] {
         let mut rig = Rig::new(settings(), &zones(3, 4));
         rig.warm_up(40);
         let until = rig.now + 100 * SECOND;
         rig.tell(Event::Told(&[zone(0, share, until)]));
         let stayed = own(&mut rig, class, 1000);
-        assert!((least..=most).contains(&stayed), "{share} of class {class}: {stayed}");
+        assert!(
+            (least..=most).contains(&stayed),
+            "{share} of class {class}: {stayed}"
+        );
     }
 }
 
@@ -80,15 +110,32 @@
     let mut rig = Rig::new(settings(), &zones(3, 4));
     rig.warm_up(40);
     let until = rig.now + 100 * SECOND;
-    let class = Verdict { place: Place::Zone(ZoneId(0), Some(UNSAFE)), share: 0.0, until };
+    let class = Verdict {
+        place: Place::Zone(ZoneId(0), Some(UNSAFE)),
+        share: 0.0,
+        until,
+    };
     rig.tell(Event::Told(&[class]));
-    assert_eq!((own(&mut rig, UNSAFE, 60), own(&mut rig, SAFE, 60)), (0, 60));
-    let server = Verdict { place: Place::Server(ServerId(2)), share: 0.0, until };
+    assert_eq!(
+        (own(&mut rig, UNSAFE, 60), own(&mut rig, SAFE, 60)),
+        (0, 60)
+    );
+    let server = Verdict {
+        place: Place::Server(ServerId(2)),
+        share: 0.0,
+        until,
+    };
     rig.tell(Event::Told(&[server]));
     let turns: Vec<u32> = (0..90).filter_map(|_| rig.serve(SAFE, 20 * MS)).collect();
-    assert!(!turns.contains(&2) && turns.iter().all(|server| *server < 4), "{turns:?}");
+    assert!(
+        !turns.contains(&2) && turns.iter().all(|server| *server < 4),
+        "{turns:?}"
+    );
     // A new process at its address is another one.
-    rig.tell(Event::ListChange(&[ListEntry { started: Some(1), ..entry(2, 0) }]));
+    rig.tell(Event::ListChange(&[ListEntry {
+        started: Some(1),
+        ..entry(2, 0)
+    }]));
     let turns: Vec<u32> = (0..400).filter_map(|_| rig.serve(SAFE, 20 * MS)).collect();
     assert!(turns.contains(&2));
 }
@@ -101,8 +148,16 @@
     let (id, actions) = rig.demand(UNSAFE);
     let server = sent(&actions).unwrap();
     let until = rig.now + 10 * SECOND;
-    let verdict = Verdict { place: Place::Server(ServerId(server)), share: 0.0, until };
-    assert!(rig.tell(Event::Told(&[verdict, zone(0, 0.0, until)])).is_empty(), "nothing is withdrawn for it");
+    let verdict = Verdict {
+        place: Place::Server(ServerId(server)),
+        share: 0.0,
+        until,
+    };
+    assert!(
+        rig.tell(Event::Told(&[verdict, zone(0, 0.0, until)]))
+            .is_empty(),
+        "nothing is withdrawn for it"
+    );
     let actions = rig.end(id, 0, Outcome::Reset, 20 * MS);
     assert!(matches!(actions[..], [Action::Fail(_)]), "{actions:?}");
 }
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -50,23 +50,49 @@
 }
 
 fn tell(played: &Played) {
-    println!("\n{:<8} {:<14} {:<8} {:>8}", "path", "class", "answer", "requests");
+    println!(
+        "\n{:<8} {:<14} {:<8} {:>8}",
+        "path", "class", "answer", "requests"
+    );
     for ((path, class, heard), requests) in &played.tally {
         println!("{path:<8} {class:<14} {heard:<8} {requests:>8}");
     }
-    println!("\n{:<8} {:>6} {:>6} {:>12}", "nodo", "came", "ran", "turned away");
+    println!(
+        "\n{:<8} {:>6} {:>6} {:>12}",
+        "nodo", "came", "ran", "turned away"
+    );
     for nodo in &played.nodos {
-        println!("{:<8} {:>6} {:>6} {:>12}", nodo.name, nodo.came, nodo.ran, nodo.turned_away);
+        println!(
+            "{:<8} {:>6} {:>6} {:>12}",
+            nodo.name, nodo.came, nodo.ran, nodo.turned_away
+        );
     }
     let (counts, latency) = (&played.end.counts, &played.end.latency);
     println!(
         "\n{} calls: {} on time, {} late, {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms",
-        counts.offered, counts.on_time, counts.late, counts.refused, counts.failed, latency.p50, latency.p99
+        counts.offered,
+        counts.on_time,
+        counts.late,
+        counts.refused,
+        counts.failed,
+        latency.p50,
+        latency.p99
     );
     for (rule, count) in &played.end.breaches {
-        println!("{rule}: {}", if *count == 0 { "kept".to_owned() } else { format!("BROKEN {count} times") });
+        println!(
+            "{rule}: {}",
+            if *count == 0 {
+                "kept".to_owned()
+            } else {
+                format!("BROKEN {count} times")
+            }
+        );
     }
-    played.end.first_breaches.iter().for_each(|breach| println!("  {}", breach.text));
+    played
+        .end
+        .first_breaches
+        .iter()
+        .for_each(|breach| println!("  {}", breach.text));
 }
 
 fn demo(seconds: u64) -> Result<bool, String> {
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -25,10 +25,14 @@
     let is_served = |number: &usize| {
         let headers = format!("Request-Id: {step}-{number}\r\nDeadline: 2000\r\n");
         let front = system.front((number % 2) as u8);
-        call(front, "POST", "/drafts/1", &headers, b"{}").is_some_and(|answer| answer.status() == 200)
+        call(front, "POST", "/drafts/1", &headers, b"{}")
+            .is_some_and(|answer| answer.status() == 200)
     };
     let served = (0..REQUESTS).filter(is_served).count();
-    println!("{step:<28} {served} of {REQUESTS} requests served in {:.2} s", begin.elapsed().as_secs_f64());
+    println!(
+        "{step:<28} {served} of {REQUESTS} requests served in {:.2} s",
+        begin.elapsed().as_secs_f64()
+    );
     served
 }
 
@@ -43,7 +47,13 @@
         .map(|_| Upstream::start(|request: &Message| Act::Answer(answer(request, "a draft"))))
         .collect();
     for (number, upstream) in (0..).zip(&upstreams) {
-        system.register(number, &format!("upstream-{number}"), "drafts", upstream.address, number);
+        system.register(
+            number,
+            &format!("upstream-{number}"),
+            "drafts",
+            upstream.address,
+            number,
+        );
     }
     println!("three upstreams are registered, each at another core machine");
     let mut served = serve(&system, "a calm moment");
@@ -56,8 +66,17 @@
     println!("configuration 3 is taken and in force without it");
     system.start_core(0, false);
     served += serve(&system, "it is back");
-    let directory = call(system.directory(1), "GET", "/v1/resolve?name=shop.example&zone=zone-0", "", b"");
+    let directory = call(
+        system.directory(1),
+        "GET",
+        "/v1/resolve?name=shop.example&zone=zone-0",
+        "",
+        b"",
+    );
     let directory = directory.map(|answer| String::from_utf8_lossy(&answer.body).into_owned());
-    println!("the directory of another core machine: {}", directory.unwrap_or_default());
+    println!(
+        "the directory of another core machine: {}",
+        directory.unwrap_or_default()
+    );
     Ok(served == 4 * REQUESTS)
 }
--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -71,7 +71,11 @@
     mut subscribed: UnboundedReceiver<()>,
     mut addresses: watch::Receiver<SocketAddr>,
 ) {
-    let Follow { mut known, asked, seed } = follow;
+    let Follow {
+        mut known,
+        asked,
+        seed,
+    } = follow;
     let mut random = Rng::with_seed(seed);
     loop {
         let address = *addresses.borrow_and_update();
@@ -95,17 +99,27 @@
     tell: &mut impl FnMut(Update) -> bool,
     subscribed: &mut UnboundedReceiver<()>,
 ) {
-    let mut watch = Watch { address, sender: None };
+    let mut watch = Watch {
+        address,
+        sender: None,
+    };
     let (mut rev, mut whole, mut failures) = (known.unwrap_or(0), known.is_none(), 0_u32);
     if asked && !whole && subscribed.recv().await.is_none() {
         return;
     }
     let mut reopened = false;
     loop {
-        let wait = if asked { wait_asked(random) } else { WAIT_PUSHED };
+        let wait = if asked {
+            wait_asked(random)
+        } else {
+            WAIT_PUSHED
+        };
         let (path, patience) = match whole {
             true => ("/v1/servers".to_owned(), WHOLE_LIST_TIMEOUT),
-            false => (format!("/v1/servers?after={rev}&wait_ms={}", wait.as_millis()), wait + OVERDUE),
+            false => (
+                format!("/v1/servers?after={rev}&wait_ms={}", wait.as_millis()),
+                wait + OVERDUE,
+            ),
         };
         match watch.call(&path, patience).await {
             // A version that goes back means another discovery: only the whole list tells what it has.
@@ -115,7 +129,9 @@
             }
             Ok(listing) => {
                 if failures > 0 {
-                    tell(Update::Note(format!("discovery answers again after {failures} failures")));
+                    tell(Update::Note(format!(
+                        "discovery answers again after {failures} failures"
+                    )));
                 }
                 let unchanged = listing.rev == rev;
                 (rev, whole, failures, reopened) = (listing.rev, false, 0, false);
@@ -133,7 +149,11 @@
                 }
                 failures = failures.saturating_add(1);
                 // A watch that has fallen silent is opened anew at once: what it missed may be told already.
-                if asked && !whole && error.is::<NoAnswer>() && !std::mem::replace(&mut reopened, true) {
+                if asked
+                    && !whole
+                    && error.is::<NoAnswer>()
+                    && !std::mem::replace(&mut reopened, true)
+                {
                     continue;
                 }
                 if asked {
@@ -163,7 +183,9 @@
 /// How long to wait after so many failed calls in a row.
 fn backoff(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(16);
-    FIRST_BACKOFF.saturating_mul(1 << doublings).min(LONGEST_BACKOFF)
+    FIRST_BACKOFF
+        .saturating_mul(1 << doublings)
+        .min(LONGEST_BACKOFF)
 }
 
 struct Watch {
@@ -177,7 +199,9 @@
         path: &str,
         patience: Duration,
     ) -> Result<Listing, Box<dyn Error + Send + Sync>> {
-        timeout(patience, self.exchange(path)).await.map_err(|_| NoAnswer)?
+        timeout(patience, self.exchange(path))
+            .await
+            .map_err(|_| NoAnswer)?
     }
 
     async fn exchange(&mut self, path: &str) -> Result<Listing, Box<dyn Error + Send + Sync>> {
@@ -194,11 +218,15 @@
             }
         };
         sender.ready().await?;
-        let request =
-            Request::get(path).header("Host", self.address.to_string()).body(Empty::<Bytes>::new())?;
+        let request = Request::get(path)
+            .header("Host", self.address.to_string())
+            .body(Empty::<Bytes>::new())?;
         let response = sender.send_request(request).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MOST_BYTES).collect().await?.to_bytes();
+        let body = Limited::new(response.into_body(), MOST_BYTES)
+            .collect()
+            .await?
+            .to_bytes();
         if !status.is_success() {
             return Err(format!("status {status}").into());
         }
--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -24,15 +24,44 @@
 #[test]
 fn every_key_is_read() {
     let listing: Listing = serde_json::from_str(EVERY_KEY).unwrap();
-    assert_eq!((listing.rev, listing.all, listing.targets.len()), (7, true, 4));
+    assert_eq!(
+        (listing.rev, listing.all, listing.targets.len()),
+        (7, true, 4)
+    );
     let first = &listing.targets[0];
-    assert_eq!((first.uid.as_str(), first.endpoint.as_str(), first.az.as_str()), ("s-1", "10.0.0.1:80", "b"));
-    assert_eq!((first.pod_group, first.state, first.capacity_hint), (3, State::InService, 2.5));
+    assert_eq!(
+        (
+            first.uid.as_str(),
+            first.endpoint.as_str(),
+            first.az.as_str()
+        ),
+        ("s-1", "10.0.0.1:80", "b")
+    );
+    assert_eq!(
+        (first.pod_group, first.state, first.capacity_hint),
+        (3, State::InService, 2.5)
+    );
     assert_eq!(first.boot_ms, 1_700_000_000_123);
     let states: Vec<State> = listing.targets.iter().map(|target| target.state).collect();
-    assert_eq!(states, [State::InService, State::Terminating, State::Terminated, State::Terminating]);
+    assert_eq!(
+        states,
+        [
+            State::InService,
+            State::Terminating,
+            State::Terminated,
+            State::Terminating
+        ]
+    );
     let last = &listing.targets[3];
-    assert_eq!((last.az.as_str(), last.pod_group, last.capacity_hint, last.boot_ms), ("", 0, 1.0, 0));
+    assert_eq!(
+        (
+            last.az.as_str(),
+            last.pod_group,
+            last.capacity_hint,
+            last.boot_ms
+        ),
+        ("", 0, 1.0, 0)
+    );
 }
 
 #[test]
@@ -47,11 +76,24 @@
 fn entries_as_the_engine_takes_them() {
     let listing: Listing = serde_json::from_str(EVERY_KEY).unwrap();
     let entries: Vec<Entry> = listing.entries(&names());
-    let zones: Vec<Option<u8>> = entries.iter().map(|entry| entry.zone.map(|zone| zone.0)).collect();
+    let zones: Vec<Option<u8>> = entries
+        .iter()
+        .map(|entry| entry.zone.map(|zone| zone.0))
+        .collect();
     assert_eq!(zones, [Some(1), Some(0), None, None]);
-    let addresses: Vec<Option<String>> =
-        entries.iter().map(|entry| entry.address.map(|address| address.to_string())).collect();
-    assert_eq!(addresses, [Some("10.0.0.1:80".to_owned()), Some("[::1]:81".to_owned()), None, None]);
+    let addresses: Vec<Option<String>> = entries
+        .iter()
+        .map(|entry| entry.address.map(|address| address.to_string()))
+        .collect();
+    assert_eq!(
+        addresses,
+        [
+            Some("10.0.0.1:80".to_owned()),
+            Some("[::1]:81".to_owned()),
+            None,
+            None
+        ]
+    );
     let names: Vec<&str> = entries.iter().map(|entry| entry.name.as_str()).collect();
     assert_eq!(names, ["s-1", "s-2", "s-3", "s-4"]);
     let cells: Vec<u16> = entries.iter().map(|entry| entry.cell).collect();
@@ -78,6 +120,10 @@
         r#"{"rev":1,"targets":[{"uid":"a","endpoint":"a"}]}"#,
         r#"{"rev":1,"targets":[{"uid":"a","endpoint":"a","state":"in_service","pod_group":65536}]}"#,
     ];
-    let errors = texts.map(|text| serde_json::from_str::<Listing>(text).unwrap_err().to_string());
+    let errors = texts.map(|text| {
+        serde_json::from_str::<Listing>(text)
+            .unwrap_err()
+            .to_string()
+    });
     assert_eq!(errors.join("\n") + "\n", include_str!("golden/errors.txt"));
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 use woadstall_decisions::Balancer;
 use woadstall_decisions::api::{
-    Action, ClassSuccession, Demand, Duration, End, Event, Learned, Lifecycle, Outcome, RequestId, ServerId,
-    Settings, SettingsError, Time,
+    Action, ClassSuccession, Demand, Duration, End, Event, Learned, Lifecycle, Outcome, RequestId,
+    ServerId, Settings, SettingsError, Time,
 };
 
 /// The safety net answers this much after a request's time, when the module should long have done so.
@@ -74,7 +74,11 @@
             Input::ListFailed => self.tell(Event::ListFailed),
             Input::Call(call) => self.on_call(call),
             Input::Gone(id) => self.on_gone(id),
-            Input::Started { id, attempt, answer } => self.on_started(id, attempt, answer),
+            Input::Started {
+                id,
+                attempt,
+                answer,
+            } => self.on_started(id, attempt, answer),
             Input::Ended { id, attempt, ended } => self.on_ended(id, attempt, ended),
             Input::Probed(server, outcome, load) => self.tell(Event::Probed(server, outcome, load)),
             Input::Told(findings) => self.tell(Event::Told(findings)),
@@ -89,7 +93,10 @@
 
     /// The attempts that have ended since this was asked last.
     pub fn take_observed(&mut self) -> Vec<Observed> {
-        self.observed.iter_mut().flat_map(|observed| observed.drain(..)).collect()
+        self.observed
+            .iter_mut()
+            .flat_map(|observed| observed.drain(..))
+            .collect()
     }
 
     /// The attempts that are out.
@@ -97,7 +104,13 @@
         self.requests.iter().flat_map(move |(id, open)| {
             open.out.iter().map(move |&(attempt, sent, server)| {
                 let age = now.saturating_sub(sent);
-                Outstanding { id: *id, attempt, server, class: open.class, age }
+                Outstanding {
+                    id: *id,
+                    attempt,
+                    server,
+                    class: open.class,
+                    age,
+                }
             })
         })
     }
@@ -152,7 +165,11 @@
 
     /// Takes new settings: classes keep their positions, and `new` are those that had another one before. Fewer attempts
     /// bind requests under way as well.
-    pub fn retune(&mut self, settings: Settings, new: &[ClassSuccession]) -> Result<(), SettingsError> {
+    pub fn retune(
+        &mut self,
+        settings: Settings,
+        new: &[ClassSuccession],
+    ) -> Result<(), SettingsError> {
         let most = settings.max_attempts;
         self.balancer.retune(settings, new)?;
         self.max_attempts = most;
@@ -186,7 +203,10 @@
         let mut listed = Vec::with_capacity(entries.len());
         for entry in entries {
             if entry.address.is_none() {
-                self.log(format!("upstream {}: its address cannot be read", entry.name));
+                self.log(format!(
+                    "upstream {}: its address cannot be read",
+                    entry.name
+                ));
             }
             let (entry, retire) = self.members.take(entry);
             if retire {
@@ -202,13 +222,19 @@
         for server in self.members.forget_gone(entries, all) {
             self.commands.push_back(Command::Retire(server));
         }
-        self.ready |= listed.iter().any(|entry| entry.lifecycle == Lifecycle::Ready);
+        self.ready |= listed
+            .iter()
+            .any(|entry| entry.lifecycle == Lifecycle::Ready);
     }
 
     // ---- Timers ----
 
     fn on_tick(&mut self) {
-        while let Some(&Reverse((_, token))) = self.timers.peek().filter(|Reverse((at, _))| *at <= self.now) {
+        while let Some(&Reverse((_, token))) = self
+            .timers
+            .peek()
+            .filter(|Reverse((at, _))| *at <= self.now)
+        {
             self.timers.pop();
             self.tell(Event::Timer(token));
         }
@@ -222,20 +248,50 @@
     // ---- Requests ----
 
     fn on_call(&mut self, call: Call<R>) {
-        let Call { id, request, class, tenant, work, deadline, attempts: most } = call;
+        let Call {
+            id,
+            request,
+            class,
+            tenant,
+            work,
+            deadline,
+            attempts: most,
+        } = call;
         if self.requests.contains_key(&id) {
             // The front's mistake; the module could not tell the two apart.
             self.log(format!("request {} is open already", id.0));
-            return self.commands.push_back(Command::Answer { request, verdict: Verdict::Refused(0) });
+            return self.commands.push_back(Command::Answer {
+                request,
+                verdict: Verdict::Refused(0),
+            });
         }
         let time_left = deadline.saturating_sub(self.now);
         if time_left == 0 || most == 0 {
-            return self.commands.push_back(Command::Answer { request, verdict: Verdict::Refused(0) });
+            return self.commands.push_back(Command::Answer {
+                request,
+                verdict: Verdict::Refused(0),
+            });
         }
-        let open = Open { request: Some(request), deadline, most, class, attempts: 0, out: Vec::new() };
+        let open = Open {
+            request: Some(request),
+            deadline,
+            most,
+            class,
+            attempts: 0,
+            out: Vec::new(),
+        };
         self.requests.insert(id, open);
         self.nets.insert((deadline.saturating_add(NET_AFTER), id));
-        self.tell(Event::Request(id, Demand { class, tenant, time_left, work, attempts: most }));
+        self.tell(Event::Request(
+            id,
+            Demand {
+                class,
+                tenant,
+                time_left,
+                work,
+                attempts: most,
+            },
+        ));
     }
 
     fn on_gone(&mut self, id: RequestId) {
@@ -249,19 +305,25 @@
     fn close(&mut self, id: RequestId) -> Option<R> {
         let open = self.requests.get_mut(&id)?;
         let request = open.request.take()?;
-        self.nets.remove(&(open.deadline.saturating_add(NET_AFTER), id));
+        self.nets
+            .remove(&(open.deadline.saturating_add(NET_AFTER), id));
         Some(request)
     }
 
     fn answer(&mut self, id: RequestId, verdict: Verdict<A>) {
         if let Some(request) = self.close(id) {
-            self.commands.push_back(Command::Answer { request, verdict });
+            self.commands
+                .push_back(Command::Answer { request, verdict });
         }
         self.forget_if_done(id);
     }
 
     fn forget_if_done(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|open| open.request.is_none() && open.out.is_empty()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|open| open.request.is_none() && open.out.is_empty())
+        {
             self.requests.remove(&id);
         }
     }
@@ -269,12 +331,17 @@
     // ---- Attempts ----
 
     fn send(&mut self, id: RequestId, server: ServerId, until: Time, begin_by: Time) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (attempt, until) = (open.attempts, until.min(open.deadline));
         open.attempts += 1;
         let allowed = attempt < self.max_attempts.min(open.most);
         let possible = allowed && open.request.is_some() && self.now < until;
-        let to = self.members.peer(server).filter(|peer| possible && self.members.takes_new(peer));
+        let to = self
+            .members
+            .peer(server)
+            .filter(|peer| possible && self.members.takes_new(peer));
         let Some(to) = to else {
             let end = End {
                 attempt,
@@ -287,20 +354,36 @@
         };
         open.out.push((attempt, self.now, server));
         let deadline = open.deadline;
-        self.commands.push_back(Command::Send(Send { id, attempt, to, until, begin_by, deadline }));
+        self.commands.push_back(Command::Send(Send {
+            id,
+            attempt,
+            to,
+            until,
+            begin_by,
+            deadline,
+        }));
     }
 
     fn on_started(&mut self, id: RequestId, attempt: u32, answer: A) {
         let out = |open: &&Open<R>| open.out.iter().any(|(number, ..)| *number == attempt);
-        if self.requests.get(&id).filter(out).is_some_and(|open| open.request.is_some()) {
+        if self
+            .requests
+            .get(&id)
+            .filter(out)
+            .is_some_and(|open| open.request.is_some())
+        {
             self.tell(Event::Started(id, attempt));
             self.answer(id, Verdict::Served(answer));
         }
     }
 
     fn on_ended(&mut self, id: RequestId, attempt: u32, ended: Ended<A>) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(at) = open.out.iter().position(|(number, ..)| *number == attempt) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(at) = open.out.iter().position(|(number, ..)| *number == attempt) else {
+            return;
+        };
         let (_, sent, server) = open.out.swap_remove(at);
         let class = open.class;
         let closed = open.request.is_none() || ended.answer.is_some();
@@ -319,7 +402,13 @@
                 took: elapsed,
             });
         }
-        let end = End { attempt, outcome: ended.outcome, elapsed, closed, load: ended.load };
+        let end = End {
+            attempt,
+            outcome: ended.outcome,
+            elapsed,
+            closed,
+            load: ended.load,
+        };
         if let Some(answer) = ended.answer {
             self.answer(id, Verdict::Served(answer));
         }
@@ -346,7 +435,12 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, until, begin_by } => self.send(id, server, until, begin_by),
+            Action::Send {
+                id,
+                server,
+                until,
+                begin_by,
+            } => self.send(id, server, until, begin_by),
             Action::Refuse { id, retry_after } => self.answer(id, Verdict::Refused(retry_after)),
             Action::Fail(id) => self.answer(id, Verdict::Failed),
             Action::Cancel { id, attempt } => {
@@ -355,10 +449,13 @@
                     self.commands.push_back(Command::Withdraw { id, attempt });
                 }
             }
-            Action::Probe(server) => self.commands.extend(self.members.peer(server).map(Command::Probe)),
+            Action::Probe(server) => self
+                .commands
+                .extend(self.members.peer(server).map(Command::Probe)),
             Action::Close(server) => self.commands.push_back(Command::CloseIdle(server)),
             Action::SetTimer { after, token } => {
-                self.timers.push(Reverse((self.now.saturating_add(after), token)));
+                self.timers
+                    .push(Reverse((self.now.saturating_add(after), token)));
             }
             Action::Watch => self.commands.push_back(Command::Watch),
             Action::Log(text) => self.log(text),
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -84,11 +84,18 @@
         let in_service = entry.lifecycle == Lifecycle::Ready;
         let zone = entry.zone.unwrap_or(ZoneId(u8::MAX));
         let (address, boot_ms, size) = (entry.address, entry.boot_ms, entry.size);
-        let member = Member { address, boot_ms, in_service, zone, size };
+        let member = Member {
+            address,
+            boot_ms,
+            in_service,
+            zone,
+            size,
+        };
         let before = self.by_id.insert(server, member);
         self.changes += 1;
-        let same = before
-            .is_some_and(|was| (was.address, was.boot_ms, was.in_service) == (address, boot_ms, in_service));
+        let same = before.is_some_and(|was| {
+            (was.address, was.boot_ms, was.in_service) == (address, boot_ms, in_service)
+        });
         let listed = ListEntry {
             server,
             zone,
@@ -103,12 +110,20 @@
     /// Forgets the upstreams that are gone, by name or by not being on a whole list, and tells which. Guards
     /// the memory where upstreams are ever new.
     pub fn forget_gone(&mut self, entries: &[Entry], all: bool) -> Vec<ServerId> {
-        if !all && entries.iter().all(|entry| entry.lifecycle != Lifecycle::Gone) {
+        if !all
+            && entries
+                .iter()
+                .all(|entry| entry.lifecycle != Lifecycle::Gone)
+        {
             return Vec::new();
         }
         let named = |gone: bool| {
-            let entries = entries.iter().filter(move |e| (e.lifecycle == Lifecycle::Gone) == gone);
-            entries.map(|entry| entry.name.as_str()).collect::<HashSet<_>>()
+            let entries = entries
+                .iter()
+                .filter(move |e| (e.lifecycle == Lifecycle::Gone) == gone);
+            entries
+                .map(|entry| entry.name.as_str())
+                .collect::<HashSet<_>>()
         };
         let (named, gone) = (named(false), named(true));
         let (by_id, changes, mut forgotten) = (&mut self.by_id, &mut self.changes, Vec::new());
@@ -127,13 +142,22 @@
     /// The process that an attempt at an upstream goes to.
     pub fn peer(&self, server: ServerId) -> Option<Peer> {
         let member = self.by_id.get(&server)?;
-        Some(Peer { server, address: member.address?, boot_ms: member.boot_ms })
+        Some(Peer {
+            server,
+            address: member.address?,
+            boot_ms: member.boot_ms,
+        })
     }
 
     /// Whether a process is still the one to send to.
     pub fn takes_new(&self, peer: &Peer) -> bool {
-        let same = |member: &&Member| member.address == Some(peer.address) && member.boot_ms == peer.boot_ms;
-        self.by_id.get(&peer.server).filter(same).is_some_and(|member| member.in_service)
+        let same = |member: &&Member| {
+            member.address == Some(peer.address) && member.boot_ms == peer.boot_ms
+        };
+        self.by_id
+            .get(&peer.server)
+            .filter(same)
+            .is_some_and(|member| member.in_service)
     }
 
     /// All, and how often that has changed.
@@ -141,7 +165,13 @@
         let all = self.ids.iter().filter_map(|(name, server)| {
             let member = self.by_id.get(server)?;
             let size = member.in_service.then_some(member.size);
-            Some(Listed { server: *server, name, boot_ms: member.boot_ms, zone: member.zone, size })
+            Some(Listed {
+                server: *server,
+                name,
+                boot_ms: member.boot_ms,
+                zone: member.zone,
+                size,
+            })
         });
         (self.changes, all)
     }
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -72,13 +72,21 @@
 impl<A> Ended<A> {
     /// The same with another form of its answer.
     pub fn map<B>(self, into: impl FnOnce(A) -> B) -> Ended<B> {
-        Ended { outcome: self.outcome, answer: self.answer.map(into), load: self.load }
+        Ended {
+            outcome: self.outcome,
+            answer: self.answer.map(into),
+            load: self.load,
+        }
     }
 }
 
 impl<A> From<Outcome> for Ended<A> {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, answer: None, load: None }
+        Self {
+            outcome,
+            answer: None,
+            load: None,
+        }
     }
 }
 
--- a/crates/engine/tests/properties.rs
+++ b/crates/engine/tests/properties.rs
@@ -21,7 +21,11 @@
         worth: 1.0,
     };
     Settings {
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Keyed(Group::All, 300 * MS))],
+        classes: vec![
+            class(Effect::Safe),
+            class(Effect::Unsafe),
+            class(Effect::Keyed(Group::All, 300 * MS)),
+        ],
         tenants: vec![],
         over_quota_worth: 1.0,
         worth_by_work: false,
@@ -168,7 +172,10 @@
             match command {
                 Command::Send(send) => self.on_send(&send),
                 Command::Answer { request, verdict } => {
-                    let taken = self.taken.get_mut(&request).expect("a request that was taken");
+                    let taken = self
+                        .taken
+                        .get_mut(&request)
+                        .expect("a request that was taken");
                     assert!(!taken.over, "request {request} is answered again");
                     taken.over = true;
                     // Rule 2: a refusal promises that trying again is harmless.
@@ -186,11 +193,20 @@
     }
 
     fn on_send(&mut self, send: &Send) {
-        let taken = self.taken.get_mut(&send.id.0).expect("a request that was taken");
+        let taken = self
+            .taken
+            .get_mut(&send.id.0)
+            .expect("a request that was taken");
         assert!(!taken.over, "sent after its answer");
-        assert_eq!(send.attempt, taken.attempts, "attempts are numbered in order");
+        assert_eq!(
+            send.attempt, taken.attempts,
+            "attempts are numbered in order"
+        );
         taken.attempts = send.attempt + 1;
-        assert!(taken.attempts <= taken.most.min(self.max_attempts), "more attempts than allowed");
+        assert!(
+            taken.attempts <= taken.most.min(self.max_attempts),
+            "more attempts than allowed"
+        );
         assert!(self.now < send.until && send.until <= taken.deadline);
         assert_eq!(send.deadline, taken.deadline);
         assert!(self.now < send.begin_by);
@@ -201,7 +217,10 @@
             _ => {}
         }
         // Rule 3, and no attempt at a former process.
-        let listed = self.listed.values().find(|entry| entry.address == Some(send.to.address));
+        let listed = self
+            .listed
+            .values()
+            .find(|entry| entry.address == Some(send.to.address));
         let listed = listed.expect("a listed upstream");
         assert!(listed.lifecycle == Lifecycle::Ready && listed.boot_ms == send.to.boot_ms);
         assert!(self.engine.takes_new(&send.to));
@@ -215,8 +234,16 @@
             taken.may_have_run = taken.may_have_run.or(Some(self.now));
         }
         let is_final = matches!(outcome, Outcome::Ok | Outcome::Declined);
-        let ended = Ended { outcome, answer: is_final.then_some(id), load: None };
-        self.tell(Input::Ended { id: RequestId(id), attempt, ended });
+        let ended = Ended {
+            outcome,
+            answer: is_final.then_some(id),
+            load: None,
+        };
+        self.tell(Input::Ended {
+            id: RequestId(id),
+            attempt,
+            ended,
+        });
     }
 
     fn pick(&self, pick: usize) -> Option<(u32, u32)> {
@@ -225,18 +252,42 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Call { class, time_left, most } => {
+            Step::Call {
+                class,
+                time_left,
+                most,
+            } => {
                 let id = self.taken.len() as u32;
                 let deadline = self.now + time_left;
-                let taken = Taken { class, deadline, most, attempts: 0, may_have_run: None, over: false };
+                let taken = Taken {
+                    class,
+                    deadline,
+                    most,
+                    attempts: 0,
+                    may_have_run: None,
+                    over: false,
+                };
                 self.taken.insert(id, taken);
                 let attempts = most;
                 let id = RequestId(id);
-                let call = Call { id, request: id.0, class, tenant: 0, work: None, deadline, attempts };
+                let call = Call {
+                    id,
+                    request: id.0,
+                    class,
+                    tenant: 0,
+                    work: None,
+                    deadline,
+                    attempts,
+                };
                 self.tell(Input::Call(call));
             }
             Step::Gone { pick } => {
-                let open: Vec<u32> = self.taken.iter().filter(|(_, t)| !t.over).map(|(id, _)| *id).collect();
+                let open: Vec<u32> = self
+                    .taken
+                    .iter()
+                    .filter(|(_, t)| !t.over)
+                    .map(|(id, _)| *id)
+                    .collect();
                 if let Some(&id) = open.get(pick % open.len().max(1)) {
                     self.taken.get_mut(&id).unwrap().over = true;
                     self.tell(Input::Gone(RequestId(id)));
@@ -245,8 +296,15 @@
             Step::Started { pick } => {
                 if let Some((id, attempt)) = self.pick(pick) {
                     let owed = !self.taken[&id].over;
-                    self.tell(Input::Started { id: RequestId(id), attempt, answer: id });
-                    assert!(!owed || self.taken[&id].over, "an answer that has begun is the answer");
+                    self.tell(Input::Started {
+                        id: RequestId(id),
+                        attempt,
+                        answer: id,
+                    });
+                    assert!(
+                        !owed || self.taken[&id].over,
+                        "an answer that has begun is the answer"
+                    );
                 }
             }
             Step::End { pick, outcome } => {
@@ -254,8 +312,14 @@
                     self.end(out, OUTCOMES[outcome]);
                 }
             }
-            Step::List { upstream, state, restarted, whole } => {
-                let lifecycle = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone][usize::from(state)];
+            Step::List {
+                upstream,
+                state,
+                restarted,
+                whole,
+            } => {
+                let lifecycle =
+                    [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone][usize::from(state)];
                 let before = self.listed.get(&upstream).map_or(0, |entry| entry.boot_ms);
                 let boot_ms = if restarted { self.now / MS } else { before };
                 let entry = entry(upstream, lifecycle, boot_ms);
@@ -264,17 +328,32 @@
                 } else {
                     self.listed.insert(upstream, entry.clone());
                 }
-                let entries = if whole { self.listed.values().cloned().collect() } else { vec![entry] };
-                self.tell(Input::Listed { entries: &entries, all: whole });
+                let entries = if whole {
+                    self.listed.values().cloned().collect()
+                } else {
+                    vec![entry]
+                };
+                self.tell(Input::Listed {
+                    entries: &entries,
+                    all: whole,
+                });
                 assert_eq!(self.engine.upstreams(), self.listed.len());
             }
             Step::Failed => self.tell(Input::ListFailed),
             Step::Tick => self.tell(Input::Tick),
             Step::Noise { id, attempt } => {
                 if !self.out.contains(&(id, attempt)) {
-                    let ended = Ended { outcome: Outcome::Ok, answer: Some(id), load: None };
+                    let ended = Ended {
+                        outcome: Outcome::Ok,
+                        answer: Some(id),
+                        load: None,
+                    };
                     let count = self.done.len();
-                    self.tell(Input::Ended { id: RequestId(id), attempt, ended });
+                    self.tell(Input::Ended {
+                        id: RequestId(id),
+                        attempt,
+                        ended,
+                    });
                     assert_eq!(self.done.len(), count, "what was not out has no end");
                 }
             }
@@ -287,7 +366,10 @@
                 }
                 self.now = target;
                 let overdue = |taken: &Taken| !taken.over && taken.deadline + NET_AFTER <= self.now;
-                assert!(!self.taken.values().any(overdue), "a request is open past its time");
+                assert!(
+                    !self.taken.values().any(overdue),
+                    "a request is open past its time"
+                );
             }
         }
     }
@@ -332,12 +414,25 @@
 #[test]
 fn the_safety_net_answers_what_is_left_open() {
     let mut rig = Rig::new(false, 1, 1);
-    rig.step(Step::List { upstream: 0, state: 0, restarted: false, whole: true });
-    rig.step(Step::Call { class: 1, time_left: 100 * MS, most: u32::MAX });
+    rig.step(Step::List {
+        upstream: 0,
+        state: 0,
+        restarted: false,
+        whole: true,
+    });
+    rig.step(Step::Call {
+        class: 1,
+        time_left: 100 * MS,
+        most: u32::MAX,
+    });
     assert_eq!(rig.out.len(), 1);
     // The front never tells of an end: the attempt is stuck.
     rig.step(Step::Wait { ms: 200 });
-    assert!(rig.done.iter().any(|done| done.contains("Failed")), "{:?}", rig.done);
+    assert!(
+        rig.done.iter().any(|done| done.contains("Failed")),
+        "{:?}",
+        rig.done
+    );
     rig.end((0, 0), Outcome::Ok);
     assert_eq!(rig.engine.open(), 0);
 }
@@ -345,7 +440,13 @@
 #[test]
 fn a_number_that_is_open_is_not_taken_again() {
     let mut engine: Engine<&str, ()> = Engine::new(settings(true, 3), 1, START).unwrap();
-    engine.handle(START, Input::Listed { entries: &[entry(0, Lifecycle::Ready, 0)], all: true });
+    engine.handle(
+        START,
+        Input::Listed {
+            entries: &[entry(0, Lifecycle::Ready, 0)],
+            all: true,
+        },
+    );
     let call = |request| Call {
         id: RequestId(7),
         request,
@@ -371,13 +472,30 @@
 fn a_call_without_time_or_attempts_is_refused_at_once() {
     for (time_left, attempts) in [(0, 3), (500 * MS, 0)] {
         let mut engine: Engine<(), ()> = Engine::new(settings(true, 3), 1, START).unwrap();
-        engine.handle(START, Input::Listed { entries: &[entry(0, Lifecycle::Ready, 0)], all: true });
+        engine.handle(
+            START,
+            Input::Listed {
+                entries: &[entry(0, Lifecycle::Ready, 0)],
+                all: true,
+            },
+        );
         while engine.next_command().is_some() {}
         let deadline = START + time_left;
         let id = RequestId(0);
-        let call = Call { id, request: (), class: 0, tenant: 0, work: None, deadline, attempts };
+        let call = Call {
+            id,
+            request: (),
+            class: 0,
+            tenant: 0,
+            work: None,
+            deadline,
+            attempts,
+        };
         engine.handle(START, Input::Call(call));
-        let refused = Command::Answer { request: (), verdict: Verdict::Refused(0) };
+        let refused = Command::Answer {
+            request: (),
+            verdict: Verdict::Refused(0),
+        };
         assert_eq!(engine.next_command(), Some(refused));
         assert_eq!(engine.next_command(), None);
         assert_eq!(engine.open(), 0);
--- a/crates/evacuation/src/coordinator.rs
+++ b/crates/evacuation/src/coordinator.rs
@@ -81,11 +81,20 @@
             name: name.clone(),
             region: region.clone(),
             subject: Subject::zone(tier, name),
-            classes: classes.iter().map(|class| Subject::class(tier, name, class)).collect(),
-            words: (Subject::zone("", name), region.as_ref().map(|name| Subject::region("", name))),
+            classes: classes
+                .iter()
+                .map(|class| Subject::class(tier, name, class))
+                .collect(),
+            words: (
+                Subject::zone("", name),
+                region.as_ref().map(|name| Subject::region("", name)),
+            ),
             region_subject: region.as_ref().map(|name| Subject::region(tier, name)),
         };
-        Self { zones: zones.iter().map(zone).collect(), classes: classes.to_vec() }
+        Self {
+            zones: zones.iter().map(zone).collect(),
+            classes: classes.to_vec(),
+        }
     }
 
     /// The zone that a zone or class lies in, or one of a region's, by position; nothing for what is not here.
@@ -99,9 +108,17 @@
 
     /// What operators' words name a place by.
     pub(crate) fn word(&self, subject: &Subject) -> Subject {
-        let zone = self.zones.iter().find(|zone| zone.subject == *subject).map(|zone| zone.words.0);
-        let region = self.zones.iter().find(|zone| zone.region_subject == Some(*subject));
-        zone.or(region.and_then(|zone| zone.words.1)).unwrap_or(*subject)
+        let zone = self
+            .zones
+            .iter()
+            .find(|zone| zone.subject == *subject)
+            .map(|zone| zone.words.0);
+        let region = self
+            .zones
+            .iter()
+            .find(|zone| zone.region_subject == Some(*subject));
+        zone.or(region.and_then(|zone| zone.words.1))
+            .unwrap_or(*subject)
     }
 
     /// The name of a zone, class or region.
@@ -110,11 +127,13 @@
         zones
             .flat_map(|zone| {
                 let classes = zone.classes.iter().zip(&self.classes);
-                let classes =
-                    classes.map(|(subject, class)| (*subject, format!("{class} at zone {}", zone.name)));
+                let classes = classes
+                    .map(|(subject, class)| (*subject, format!("{class} at zone {}", zone.name)));
                 let region = zone.region_subject.iter().zip(&zone.region);
                 let region = region.map(|(subject, name)| (*subject, format!("region {name}")));
-                std::iter::once((zone.subject, format!("zone {}", zone.name))).chain(classes).chain(region)
+                std::iter::once((zone.subject, format!("zone {}", zone.name)))
+                    .chain(classes)
+                    .chain(region)
             })
             .find(|(known, _)| known == subject)
             .map(|(_, name)| name)
@@ -195,7 +214,9 @@
     /// One that has seen and heard nothing.
     pub fn new(settings: Settings) -> Self {
         let Places { zones, classes } = &settings.places;
-        let subjects = zones.iter().map(|zone| (zone.subject, zone.classes.clone()));
+        let subjects = zones
+            .iter()
+            .map(|zone| (zone.subject, zone.classes.clone()));
         let key = |text| Name::new(text).unwrap_or_else(|_| unreachable!("short, without blanks"));
         Self {
             ledger: Ledger::new(subjects, classes.len()),
@@ -222,7 +243,10 @@
     }
 
     /// The list of nodos as it is: number, name, start, zone by position, size; those in service alone have one.
-    pub fn listed<'a>(&mut self, all: impl Iterator<Item = (ServerId, &'a str, u64, usize, Option<f64>)>) {
+    pub fn listed<'a>(
+        &mut self,
+        all: impl Iterator<Item = (ServerId, &'a str, u64, usize, Option<f64>)>,
+    ) {
         self.listed.clear();
         self.in_service.clear();
         self.sizes.fill(0.0);
@@ -232,7 +256,12 @@
             }
             self.ledger.listed(server, name, boot_ms, zone);
             let subject = Subject::nodo(name, boot_ms);
-            let listed = Listed { name: name.to_owned(), subject, zone, size: size.unwrap_or(0.0) };
+            let listed = Listed {
+                name: name.to_owned(),
+                subject,
+                zone,
+                size: size.unwrap_or(0.0),
+            };
             if let Some(size) = size {
                 self.in_service.insert(server, size);
                 self.sizes[zone] += size;
@@ -273,11 +302,22 @@
     /// A line on an operator's word.
     fn tells(&self, order: &Order, now_ms: u64) -> String {
         let zones = &self.settings.places.zones;
-        let zone = zones.iter().find(|zone| zone.words.0 == order.subject).map(|zone| zone.subject);
-        let region = zones.iter().find(|zone| zone.words.1 == Some(order.subject));
-        let subject = zone.or(region.and_then(|zone| zone.region_subject)).unwrap_or(order.subject);
+        let zone = zones
+            .iter()
+            .find(|zone| zone.words.0 == order.subject)
+            .map(|zone| zone.subject);
+        let region = zones
+            .iter()
+            .find(|zone| zone.words.1 == Some(order.subject));
+        let subject = zone
+            .or(region.and_then(|zone| zone.region_subject))
+            .unwrap_or(order.subject);
         let holds = order.until_ms.saturating_sub(now_ms) / 1_000;
-        format!("{}: an operator's word, {}, for {holds} s", self.name_of(&subject), order.what.word())
+        format!(
+            "{}: an operator's word, {}, for {holds} s",
+            self.name_of(&subject),
+            order.what.word()
+        )
     }
 
     /// Finds those who say of a place the opposite of what was found of it, by those who look from where they do.
@@ -285,11 +325,15 @@
         for (at, zone) in self.settings.places.zones.iter().enumerate() {
             let here = &self.settings.places.zones[self.settings.zone].name;
             let own = Ill::Failing.weigh(&self.ledger.zone(at, now), 0.0);
-            let well = self.evacuation.opinion(&zone.subject).is_some_and(|opinion| opinion.wellness >= 0.5);
+            let well = self
+                .evacuation
+                .opinion(&zone.subject)
+                .is_some_and(|opinion| opinion.wellness >= 0.5);
             for (owner, of, said_at, counts) in self.hearing.words(&zone.subject) {
                 let says = Ill::Failing.weigh(counts, 0.0);
                 // Others have had the time to say the same.
-                let old = now >= said_at.saturating_add(SECOND) && now < said_at.saturating_add(3 * SECOND);
+                let old = now >= said_at.saturating_add(SECOND)
+                    && now < said_at.saturating_add(3 * SECOND);
                 let opposite = says >= SPEAKS && (well || own <= -ODD) && here == of;
                 let known = self.odd.get(owner).copied().unwrap_or_default();
                 if old && opposite && known.1 < said_at {
@@ -328,7 +372,11 @@
         self.find_odd(now);
         let lines = self.lines();
         self.tell(now, node, &members);
-        let verdicts = if quiet { Vec::new() } else { self.verdicts(now, node) };
+        let verdicts = if quiet {
+            Vec::new()
+        } else {
+            self.verdicts(now, node)
+        };
         Turn { verdicts, lines }
     }
 
@@ -336,7 +384,9 @@
     fn hear(&mut self, now: Time, now_ms: u64, node: &Node) -> BTreeMap<String, usize> {
         let mut members: BTreeMap<String, usize> = BTreeMap::new();
         let mut zones: HashMap<&Name, &Name> = HashMap::new();
-        *members.entry(node.me().zone.as_str().to_owned()).or_default() += 1;
+        *members
+            .entry(node.me().zone.as_str().to_owned())
+            .or_default() += 1;
         for seen in node.members(now) {
             if matches!(seen.state, Presence::Dead | Presence::Left) {
                 continue;
@@ -346,11 +396,17 @@
             if !matches!(seen.state, Presence::Alive | Presence::CutFromMe { .. }) {
                 continue;
             }
-            *members.entry(seen.card.zone.as_str().to_owned()).or_default() += 1;
+            *members
+                .entry(seen.card.zone.as_str().to_owned())
+                .or_default() += 1;
         }
         for (owner, key, fact) in node.facts() {
-            let Some(zone) = zones.get(owner) else { continue };
-            let Some(key) = KEYS.into_iter().find(|known| *known == key.as_str()) else { continue };
+            let Some(zone) = zones.get(owner) else {
+                continue;
+            };
+            let Some(key) = KEYS.into_iter().find(|known| *known == key.as_str()) else {
+                continue;
+            };
             let stamp = (fact.life.id, fact.counter);
             if self.heard.insert((owner.clone(), key), stamp) == Some(stamp) {
                 continue;
@@ -358,7 +414,9 @@
             // What cannot be read is nobody's evidence.
             match key {
                 "evidence" => {
-                    let heard = self.hearing.hear(owner.as_str(), zone.as_str(), fact.said_at, &fact.bytes);
+                    let heard =
+                        self.hearing
+                            .hear(owner.as_str(), zone.as_str(), fact.said_at, &fact.bytes);
                     self.unread += u64::from(heard.is_err());
                 }
                 "orders" => {
@@ -371,17 +429,21 @@
                 }
                 _ => {
                     let place_decisions = PlaceDecision::read(&fact.bytes).unwrap_or_default();
-                    self.place_decisions
-                        .insert(owner.as_str().to_owned(), (zone.as_str().to_owned(), place_decisions));
+                    self.place_decisions.insert(
+                        owner.as_str().to_owned(),
+                        (zone.as_str().to_owned(), place_decisions),
+                    );
                 }
             }
         }
         if self.heard.len() > 4 * zones.len() + 16 {
             self.heard.retain(|(owner, _), _| zones.contains_key(owner));
         }
-        let there: std::collections::HashSet<&str> = zones.keys().map(|name| name.as_str()).collect();
+        let there: std::collections::HashSet<&str> =
+            zones.keys().map(|name| name.as_str()).collect();
         self.hearing.retain(|owner| there.contains(owner));
-        self.place_decisions.retain(|owner, _| there.contains(owner.as_str()));
+        self.place_decisions
+            .retain(|owner, _| there.contains(owner.as_str()));
         self.odd.retain(|owner, _| there.contains(owner.as_str()));
         members
     }
@@ -410,7 +472,10 @@
 
     fn name_of(&self, subject: &Subject) -> String {
         let listed = || {
-            let nodo = self.listed.values().find(|listed| listed.subject == *subject)?;
+            let nodo = self
+                .listed
+                .values()
+                .find(|listed| listed.subject == *subject)?;
             Some(format!("nodo {}", nodo.name))
         };
         self.settings
@@ -422,16 +487,26 @@
 
     /// What a place's standing rests on, in words.
     fn why(&self, subject: &Subject) -> String {
-        let word = self.order_of(subject).map(|order| format!("an operator's word, {}", order.what.word()));
+        let word = self
+            .order_of(subject)
+            .map(|order| format!("an operator's word, {}", order.what.word()));
         let Some(opinion) = self.evacuation.opinion(subject) else {
             return word.unwrap_or_else(|| "as several others found".to_owned());
         };
         let (_, failing, _) = opinion.counts.failing();
         let (_, late, _) = opinion.counts.spoilt();
         let seen = match opinion.ill {
-            Ill::Failing => format!("{:.0}% of {:.0} calls fail", 100.0 * failing, opinion.counts.tries),
+            Ill::Failing => format!(
+                "{:.0}% of {:.0} calls fail",
+                100.0 * failing,
+                opinion.counts.tries
+            ),
             Ill::Late => {
-                format!("{:.0}% of {:.0} calls fail or come late", 100.0 * late, opinion.counts.tries)
+                format!(
+                    "{:.0}% of {:.0} calls fail or come late",
+                    100.0 * late,
+                    opinion.counts.tries
+                )
             }
         };
         match word {
@@ -453,7 +528,10 @@
             let own = node.me().zone.as_str();
             let needed = woadstall_evidence::liars(members.get(own).copied().unwrap_or(1)) + 2;
             let told = |place_decision: &&PlaceDecision| {
-                let said = self.place_decisions.values().filter(|(zone, _)| zone == own);
+                let said = self
+                    .place_decisions
+                    .values()
+                    .filter(|(zone, _)| zone == own);
                 let is_said = |of: &PlaceDecision| {
                     of.subject == place_decision.subject && of.epoch >= place_decision.epoch
                 };
@@ -464,7 +542,10 @@
                 .filter(|place_decision| place_decision.subject.kind != Kind::Nodo)
                 .any(|place_decision| !told(&place_decision));
             let priority = if first { FIRST } else { LATER };
-            if node.say(now, self.keys[1].clone(), priority, place_decisions.clone()).is_ok() {
+            if node
+                .say(now, self.keys[1].clone(), priority, place_decisions.clone())
+                .is_ok()
+            {
                 self.told_place_decisions = place_decisions;
             }
         }
@@ -479,8 +560,15 @@
             return;
         }
         let weight = |counts: &Counts| {
-            let (failing, late) = (Ill::Failing.weigh(counts, 0.0), Ill::Late.weigh(counts, 0.0));
-            if late.max(failing) > 0.0 { late.max(failing) } else { failing }
+            let (failing, late) = (
+                Ill::Failing.weigh(counts, 0.0),
+                Ill::Late.weigh(counts, 0.0),
+            );
+            if late.max(failing) > 0.0 {
+                late.max(failing)
+            } else {
+                failing
+            }
         };
         let mut lines: Vec<(Subject, Counts, f64)> = Vec::new();
         for (subject, counts, fresh) in self.ledger.all(now) {
@@ -490,7 +578,11 @@
             let weight = weight(&counts);
             // What is well is told where somebody finds it ill.
             // Of what is only tried each success counts.
-            let least = if self.evacuation.standing(&subject).share < 1.0 { TRIED } else { NEWS };
+            let least = if self.evacuation.standing(&subject).share < 1.0 {
+                TRIED
+            } else {
+                NEWS
+            };
             let asked = fresh && weight < -least && self.is_open(&subject, now);
             if weight >= SPEAKS || asked {
                 lines.push((subject, counts, weight));
@@ -498,8 +590,15 @@
         }
         // Where a zone is ill, its nodos tell nothing more, and short words go round sooner.
         let ill_zone = |zone: usize| {
-            let subject = self.settings.places.zones.get(zone).map(|zone| zone.subject);
-            lines.iter().any(|(known, _, weight)| Some(*known) == subject && *weight >= SPEAKS)
+            let subject = self
+                .settings
+                .places
+                .zones
+                .get(zone)
+                .map(|zone| zone.subject);
+            lines
+                .iter()
+                .any(|(known, _, weight)| Some(*known) == subject && *weight >= SPEAKS)
         };
         let ill: Vec<bool> = (0..self.sizes.len()).map(ill_zone).collect();
         let spared: std::collections::HashSet<Subject> = self
@@ -511,12 +610,16 @@
         lines.retain(|(subject, ..)| subject.kind != Kind::Nodo || !spared.contains(subject));
         // A zone that is ill in one class only is told by the others.
         for zone in &self.settings.places.zones {
-            let ill = lines.iter().any(|(subject, _, weight)| *subject == zone.subject && *weight > 0.0);
+            let ill = lines
+                .iter()
+                .any(|(subject, _, weight)| *subject == zone.subject && *weight > 0.0);
             let missing = |subject: &Subject| lines.iter().all(|(known, ..)| known != subject);
             let of = self.ledger.all(now).filter(|(subject, counts, _)| {
                 ill && counts.tries >= 1.0 && zone.classes.contains(subject) && missing(subject)
             });
-            let of: Vec<_> = of.map(|(subject, counts, _)| (subject, counts, weight(&counts))).collect();
+            let of: Vec<_> = of
+                .map(|(subject, counts, _)| (subject, counts, weight(&counts)))
+                .collect();
             lines.extend(of);
         }
         // What weighs no more to others is no news.
@@ -528,10 +631,19 @@
             let word = |weight: f64| weight.clamp(-most, most);
             // What all have found already needs no more witnesses.
             let decided = self.evacuation.opinion(subject).is_some_and(|opinion| {
-                if *weight > 0.0 { opinion.strength > 1.5 } else { opinion.wellness > 1.5 }
+                if *weight > 0.0 {
+                    opinion.strength > 1.5
+                } else {
+                    opinion.wellness > 1.5
+                }
             });
-            let least = if self.evacuation.standing(subject).share < 1.0 { TRIED } else { NEWS };
-            !decided && ((word(*weight) - word(known)).abs() >= least || again && weight.abs() >= NEWS)
+            let least = if self.evacuation.standing(subject).share < 1.0 {
+                TRIED
+            } else {
+                NEWS
+            };
+            !decided
+                && ((word(*weight) - word(known)).abs() >= least || again && weight.abs() >= NEWS)
         });
         if !changed {
             return;
@@ -543,14 +655,25 @@
             Kind::Nodo => 2,
         };
         lines.sort_by(|a, b| {
-            let order = |(subject, _, weight): &(Subject, Counts, f64)| (rank(subject), *weight <= 0.0);
-            order(a).cmp(&order(b)).then(b.2.abs().total_cmp(&a.2.abs())).then(a.0.cmp(&b.0))
+            let order =
+                |(subject, _, weight): &(Subject, Counts, f64)| (rank(subject), *weight <= 0.0);
+            order(a)
+                .cmp(&order(b))
+                .then(b.2.abs().total_cmp(&a.2.abs()))
+                .then(a.0.cmp(&b.0))
         });
-        let told =
-            HealthReport(lines.iter().map(|(subject, counts, _)| Told::new(*subject, counts)).collect());
+        let told = HealthReport(
+            lines
+                .iter()
+                .map(|(subject, counts, _)| Told::new(*subject, counts))
+                .collect(),
+        );
         let bytes = told.write(node.fact_room());
         if node.say(now, self.keys[0].clone(), EVIDENCE, bytes).is_ok() {
-            self.told = lines.into_iter().map(|(subject, _, weight)| (subject, weight)).collect();
+            self.told = lines
+                .into_iter()
+                .map(|(subject, _, weight)| (subject, weight))
+                .collect();
             self.told_at = now;
         }
     }
@@ -565,7 +688,11 @@
         };
         let known = self.hearing.counts(now, subject).tries >= COMPARED;
         let zones = &self.settings.places.zones;
-        let class = || zones.iter().find_map(|zone| zone.classes.iter().position(|of| of == subject));
+        let class = || {
+            zones
+                .iter()
+                .find_map(|zone| zone.classes.iter().position(|of| of == subject))
+        };
         let mut others = zones.iter().map(|zone| match subject.kind {
             Kind::Class => class().map(|class| zone.classes[class]),
             Kind::Zone => Some(zone.subject),
@@ -585,13 +712,17 @@
             if share >= TRIAL || word {
                 return share;
             }
-            let Some(triers) = triers(node, now, subject, epoch) else { return share };
+            let Some(triers) = triers(node, now, subject, epoch) else {
+                return share;
+            };
             let each = TRIES / triers as f64 / self.calls.a_second(now).max(TRIES);
             share.max(each.min(TRIAL))
         };
         let region = |subject: &Option<Subject>| subject.as_ref().map_or(1.0, share);
         // Never all places: where nothing is left to go to, everything is as if nothing had been found.
-        let any = zones.iter().any(|zone| share(&zone.subject).min(region(&zone.region_subject)) >= 1.0);
+        let any = zones
+            .iter()
+            .any(|zone| share(&zone.subject).min(region(&zone.region_subject)) >= 1.0);
         for (at, zone) in zones.iter().enumerate() {
             let of_zone = share(&zone.subject);
             let given = tried(&zone.subject, of_zone.min(region(&zone.region_subject)));
@@ -614,9 +745,14 @@
         for (place, share) in shares {
             let share = share as f32;
             let known = self.given.get(&place).copied();
-            let renew = known.is_some_and(|(_, at)| share < 1.0 && now >= at.saturating_add(RENEWED));
+            let renew =
+                known.is_some_and(|(_, at)| share < 1.0 && now >= at.saturating_add(RENEWED));
             if known.map_or(1.0, |(share, _)| share) != share || renew {
-                verdicts.push(Verdict { place, share, until: now.saturating_add(HOLDS) });
+                verdicts.push(Verdict {
+                    place,
+                    share,
+                    until: now.saturating_add(HOLDS),
+                });
                 match share < 1.0 {
                     true => drop(self.given.insert(place, (share, now))),
                     false => drop(self.given.remove(&place)),
@@ -629,7 +765,10 @@
     /// All that operators may want to see.
     pub fn status(&self, now: Time, now_ms: u64) -> Status {
         let zone_nodos = |zone: usize| {
-            self.listed.values().filter(move |listed| listed.zone == zone && listed.size > 0.0).count()
+            self.listed
+                .values()
+                .filter(move |listed| listed.zone == zone && listed.size > 0.0)
+                .count()
         };
         let place = |subject: &Subject, nodos: usize| {
             let standing = self.evacuation.standing(subject);
@@ -646,7 +785,11 @@
                 name: self.name_of(subject),
                 state: standing.state.word().to_owned(),
                 epoch: standing.epoch,
-                for_s: if standing.since > 0 { now.saturating_sub(standing.since) as f64 / 1e9 } else { 0.0 },
+                for_s: if standing.since > 0 {
+                    now.saturating_sub(standing.since) as f64 / 1e9
+                } else {
+                    0.0
+                },
                 share: self.share(subject),
                 why: self.why(subject),
                 against: opinion.map_or(0, |opinion| opinion.witnesses.0),
@@ -664,10 +807,16 @@
             }
         };
         let zones = self.settings.places.zones.iter().enumerate();
-        let mut places: Vec<PlaceStatus> =
-            zones.map(|(at, zone)| place(&zone.subject, zone_nodos(at))).collect();
-        let mut regions: Vec<Subject> =
-            self.settings.places.zones.iter().filter_map(|zone| zone.region_subject).collect();
+        let mut places: Vec<PlaceStatus> = zones
+            .map(|(at, zone)| place(&zone.subject, zone_nodos(at)))
+            .collect();
+        let mut regions: Vec<Subject> = self
+            .settings
+            .places
+            .zones
+            .iter()
+            .filter_map(|zone| zone.region_subject)
+            .collect();
         regions.sort();
         regions.dedup();
         places.extend(regions.iter().map(|region| place(region, 0)));
@@ -676,8 +825,14 @@
         });
         places.extend(rest.map(|(subject, _)| place(subject, 0)));
         let odd = self.odd.iter().filter(|(_, (times, _))| *times >= NAMED);
-        let odd = odd.map(|(name, (times, _))| (name.clone(), *times)).collect();
-        Status { places, odd, unread: self.unread }
+        let odd = odd
+            .map(|(name, (times, _))| (name.clone(), *times))
+            .collect();
+        Status {
+            places,
+            odd,
+            unread: self.unread,
+        }
     }
 
     fn order_of(&self, subject: &Subject) -> Option<&Order> {
@@ -696,16 +851,27 @@
     /// What an operator's word is about, by the name of a place.
     pub fn place(&self, kind: Kind, name: &str) -> Option<Subject> {
         match kind {
-            Kind::Zone => {
-                self.settings.places.zones.iter().find(|zone| zone.name == name).map(|zone| zone.words.0)
-            }
+            Kind::Zone => self
+                .settings
+                .places
+                .zones
+                .iter()
+                .find(|zone| zone.name == name)
+                .map(|zone| zone.words.0),
             Kind::Region => {
                 let is = |zone: &&ZonePlace| zone.region.as_deref() == Some(name);
-                self.settings.places.zones.iter().find(is).and_then(|zone| zone.words.1)
-            }
-            Kind::Nodo => {
-                self.listed.values().find(|listed| listed.name == name).map(|listed| listed.subject)
+                self.settings
+                    .places
+                    .zones
+                    .iter()
+                    .find(is)
+                    .and_then(|zone| zone.words.1)
             }
+            Kind::Nodo => self
+                .listed
+                .values()
+                .find(|listed| listed.name == name)
+                .map(|listed| listed.subject),
             Kind::Class => None,
         }
     }
@@ -724,7 +890,9 @@
     let own = rank(&me.name);
     let (mut of, mut before) = (1, 0);
     for seen in node.members(now) {
-        if seen.card.zone == me.zone && matches!(seen.state, Presence::Alive | Presence::CutFromMe { .. }) {
+        if seen.card.zone == me.zone
+            && matches!(seen.state, Presence::Alive | Presence::CutFromMe { .. })
+        {
             of += 1;
             before += usize::from(rank(&seen.card.name) < own);
         }
--- a/crates/evacuation/src/decide.rs
+++ b/crates/evacuation/src/decide.rs
@@ -105,16 +105,29 @@
     fn change(&mut self, subject: Subject, to: Standing, witnesses: (usize, usize)) {
         let was = self.standings.insert(subject, to).unwrap_or_default();
         if (was.state, was.epoch) != (to.state, to.epoch) {
-            self.changes.push(Change { subject, standing: to, witnesses });
+            self.changes.push(Change {
+                subject,
+                standing: to,
+                witnesses,
+            });
         }
     }
 
     /// Takes from several others what is later than the own. One alone may lie; as many as may lie and one more do not. Those
     /// of the own zone look from the same place, and those of a place's own zone know it best.
     fn follow(&mut self, now: Time, scene: &Scene<'_>) {
-        let nodos: HashMap<Subject, usize> =
-            scene.ledger.nodos(now).map(|(_, subject, zone, _)| (subject, zone)).collect();
-        let name = |zone: usize| scene.places.zones.get(zone).map_or("", |zone| zone.name.as_str());
+        let nodos: HashMap<Subject, usize> = scene
+            .ledger
+            .nodos(now)
+            .map(|(_, subject, zone, _)| (subject, zone))
+            .collect();
+        let name = |zone: usize| {
+            scene
+                .places
+                .zones
+                .get(zone)
+                .map_or("", |zone| zone.name.as_str())
+        };
         let own = name(scene.zone);
         let mut said: BTreeMap<(Subject, &str), Vec<&PlaceDecision>> = BTreeMap::new();
         for (zone, place_decisions) in scene.place_decisions.values() {
@@ -124,7 +137,9 @@
                     _ => scene.places.home(&place_decision.subject),
                 };
                 if home.is_some_and(|home| zone == own || zone == name(home)) {
-                    said.entry((place_decision.subject, zone)).or_default().push(place_decision);
+                    said.entry((place_decision.subject, zone))
+                        .or_default()
+                        .push(place_decision);
                 }
             }
         }
@@ -134,9 +149,16 @@
             place_decisions.sort_by_key(|place_decision| {
                 std::cmp::Reverse((place_decision.epoch, place_decision.state))
             });
-            let Some(place_decision) = place_decisions.get(needed - 1) else { continue };
+            let Some(place_decision) = place_decisions.get(needed - 1) else {
+                continue;
+            };
             let mut standing = self.standing(&subject);
-            if standing.follow(now, place_decision.state, place_decision.epoch, place_decision.share()) {
+            if standing.follow(
+                now,
+                place_decision.state,
+                place_decision.epoch,
+                place_decision.share(),
+            ) {
                 self.change(subject, standing, (place_decisions.len(), 0));
             }
         }
@@ -145,11 +167,14 @@
     fn zones(&mut self, now: Time, scene: &Scene<'_>) {
         let count = scene.places.zones.len();
         let subjects: Vec<Subject> = scene.places.zones.iter().map(|zone| zone.subject).collect();
-        let own: Vec<Counts> = (0..count).map(|zone| scene.ledger.zone(zone, now)).collect();
+        let own: Vec<Counts> = (0..count)
+            .map(|zone| scene.ledger.zone(zone, now))
+            .collect();
         let opinions = self.opinions(now, scene, &subjects, &own);
         for zone in 0..count {
-            let others: Vec<usize> =
-                (0..count).filter(|other| *other != zone && scene.sizes[*other] > 0.0).collect();
+            let others: Vec<usize> = (0..count)
+                .filter(|other| *other != zone && scene.sizes[*other] > 0.0)
+                .collect();
             let mut beside = self.beside(zone, &others, &subjects, &opinions);
             beside.better &= !opinions[zone].is_ill || !Self::is_one_class(now, scene, zone);
             self.go_on(now, subjects[zone], &opinions[zone], &beside);
@@ -157,18 +182,33 @@
     }
 
     /// What is found of what lies in each zone, beside what is usual in the others.
-    fn opinions(&self, now: Time, scene: &Scene<'_>, subjects: &[Subject], own: &[Counts]) -> Vec<Opinion> {
+    fn opinions(
+        &self,
+        now: Time,
+        scene: &Scene<'_>,
+        subjects: &[Subject],
+        own: &[Counts],
+    ) -> Vec<Opinion> {
         let count = subjects.len();
         // What was left already says nothing of what is usual: a second zone that dies looked hardly worse than it.
         let in_use = |zone: &usize| {
             let places = [&subjects[*zone], &scene.places.zones[*zone].subject];
-            places.iter().all(|subject| self.standing(subject).share >= 1.0)
+            places
+                .iter()
+                .all(|subject| self.standing(subject).share >= 1.0)
         };
         let of = |zone: usize| {
             let others = || (0..count).filter(move |other| *other != zone);
             let used: Vec<usize> = others().filter(in_use).collect();
-            let others = if used.is_empty() { others().collect() } else { used }.into_iter();
-            let usual = scene.hearing.usual(now, others.map(|other| (subjects[other], &own[other])));
+            let others = if used.is_empty() {
+                others().collect()
+            } else {
+                used
+            }
+            .into_iter();
+            let usual = scene
+                .hearing
+                .usual(now, others.map(|other| (subjects[other], &own[other])));
             self.ask(now, scene, subjects[zone], zone, &own[zone], usual, ENOUGH)
         };
         (0..count).map(of).collect()
@@ -178,17 +218,30 @@
     fn is_one_class(now: Time, scene: &Scene<'_>, zone: usize) -> bool {
         let subjects = scene.places.zones[zone].classes.iter().enumerate();
         let counts = subjects.map(|(class, subject)| {
-            scene.ledger.class(zone, class, now).and(&scene.hearing.counts(now, subject))
+            scene
+                .ledger
+                .class(zone, class, now)
+                .and(&scene.hearing.counts(now, subject))
         });
         let mut counts: Vec<Counts> = counts.collect();
         counts.sort_by(|a, b| a.failed.total_cmp(&b.failed));
-        let Some(worst) = counts.pop() else { return false };
-        let rest = counts.into_iter().fold(Counts::default(), |all, counts| all.and(&counts));
+        let Some(worst) = counts.pop() else {
+            return false;
+        };
+        let rest = counts
+            .into_iter()
+            .fold(Counts::default(), |all, counts| all.and(&counts));
         rest.tries >= KNOWN && rest.failed < ONE_CLASS * worst.failed
     }
 
     /// What there is beside a place, of those that are like it.
-    fn beside(&self, of: usize, others: &[usize], subjects: &[Subject], opinions: &[Opinion]) -> Beside {
+    fn beside(
+        &self,
+        of: usize,
+        others: &[usize],
+        subjects: &[Subject],
+        opinions: &[Opinion],
+    ) -> Beside {
         let (_, ill, _) = opinions[of].counts.failing();
         let (_, late, _) = opinions[of].counts.spoilt();
         let in_use = |other: &usize| self.standing(&subjects[*other]).share >= 1.0;
@@ -207,10 +260,16 @@
         };
         let used: Vec<usize> = others.iter().copied().filter(in_use).collect();
         let better = used.iter().any(|other| better(*other));
-        let lagging =
-            used.iter().map(|other| opinions[*other].counts).fold(Counts::default(), |a, b| a.and(&b));
+        let lagging = used
+            .iter()
+            .map(|other| opinions[*other].counts)
+            .fold(Counts::default(), |a, b| a.and(&b));
         let room = lagging.tries < 1.0 || lagging.spoilt().1 < ROOM_LATE;
-        Beside { better, room, last: used.is_empty() }
+        Beside {
+            better,
+            room,
+            last: used.is_empty(),
+        }
     }
 
     #[allow(clippy::too_many_arguments)] // one question, and where it is asked
@@ -224,9 +283,23 @@
         usual: [f64; 2],
         enough: f64,
     ) -> Opinion {
-        let name = |zone: usize| scene.places.zones.get(zone).map_or("", |zone| zone.name.as_str());
+        let name = |zone: usize| {
+            scene
+                .places
+                .zones
+                .get(zone)
+                .map_or("", |zone| zone.name.as_str())
+        };
         let (home, from, members) = (name(zone), name(scene.zone), scene.members);
-        let asked = Question { subject, home, from, own, usual, enough, members };
+        let asked = Question {
+            subject,
+            home,
+            from,
+            own,
+            usual,
+            enough,
+            members,
+        };
         scene.hearing.opinion(now, &asked)
     }
 
@@ -241,8 +314,15 @@
     fn classes(&mut self, now: Time, scene: &Scene<'_>) {
         let count = scene.places.zones.len();
         for class in 0..scene.places.classes.len() {
-            let subjects: Vec<Subject> = scene.places.zones.iter().map(|zone| zone.classes[class]).collect();
-            let own: Vec<Counts> = (0..count).map(|zone| scene.ledger.class(zone, class, now)).collect();
+            let subjects: Vec<Subject> = scene
+                .places
+                .zones
+                .iter()
+                .map(|zone| zone.classes[class])
+                .collect();
+            let own: Vec<Counts> = (0..count)
+                .map(|zone| scene.ledger.class(zone, class, now))
+                .collect();
             let quiet = |zone: usize| {
                 own[zone].failed < 0.5
                     && !scene.hearing.speaks_against(&subjects[zone], now)
@@ -253,8 +333,9 @@
             }
             let opinions = self.opinions(now, scene, &subjects, &own);
             for zone in 0..count {
-                let others: Vec<usize> =
-                    (0..count).filter(|other| *other != zone && scene.sizes[*other] > 0.0).collect();
+                let others: Vec<usize> = (0..count)
+                    .filter(|other| *other != zone && scene.sizes[*other] > 0.0)
+                    .collect();
                 let mut beside = self.beside(zone, &others, &subjects, &opinions);
                 // What is left as a whole needs nothing more, and comes back as a whole.
                 if self.standing(&scene.places.zones[zone].subject).share < 1.0 {
@@ -273,9 +354,15 @@
         let mut left = vec![0.0; scene.places.zones.len()];
         let (mut asked, mut known) = (Vec::new(), Vec::new());
         for (server, subject, zone, own) in scene.ledger.nodos(now) {
-            let Some(size) = scene.nodos.get(&server) else { continue };
+            let Some(size) = scene.nodos.get(&server) else {
+                continue;
+            };
             // Where the zone as a whole is found ill, its nodos are no better or worse than the rest of it.
-            let of_zone = scene.places.zones.get(zone).map(|zone| self.standing(&zone.subject).share);
+            let of_zone = scene
+                .places
+                .zones
+                .get(zone)
+                .map(|zone| self.standing(&zone.subject).share);
             if of_zone.is_none_or(|share| share < 1.0) {
                 continue;
             }
@@ -294,11 +381,14 @@
         // The same order everywhere, so that the same are left where not all may be.
         asked.sort_by_key(|(subject, ..)| *subject);
         for (subject, zone, own, size) in asked {
-            let (Some(place), Some(all)) = (scene.places.zones.get(zone), scene.sizes.get(zone)) else {
+            let (Some(place), Some(all)) = (scene.places.zones.get(zone), scene.sizes.get(zone))
+            else {
                 continue;
             };
-            let usual =
-                scene.hearing.usual(now, std::iter::once((place.subject, &scene.ledger.zone(zone, now))));
+            let usual = scene.hearing.usual(
+                now,
+                std::iter::once((place.subject, &scene.ledger.zone(zone, now))),
+            );
             let opinion = self.ask(now, scene, subject, zone, &own, usual, ROOM);
             let room = left[zone] + size <= all * ZONE_PART;
             let (_, failing, _) = opinion.counts.failing();
@@ -312,28 +402,46 @@
                 now,
                 subject,
                 &opinion,
-                &Beside { better: worse, room: true, last: !room && was >= 1.0 },
+                &Beside {
+                    better: worse,
+                    room: true,
+                    last: !room && was >= 1.0,
+                },
             );
             left[zone] += size * (was - self.standing(&subject).share).max(0.0);
         }
         known.sort();
-        self.standings
-            .retain(|subject, _| subject.kind != Kind::Nodo || known.binary_search(subject).is_ok());
-        self.opinions.retain(|subject, _| subject.kind != Kind::Nodo || known.binary_search(subject).is_ok());
+        self.standings.retain(|subject, _| {
+            subject.kind != Kind::Nodo || known.binary_search(subject).is_ok()
+        });
+        self.opinions.retain(|subject, _| {
+            subject.kind != Kind::Nodo || known.binary_search(subject).is_ok()
+        });
     }
 
     /// A region most of which is left is left as a whole, where there is another; in one step and not zone by zone.
     fn regions(&mut self, now: Time, scene: &Scene<'_>) {
         let mut regions: BTreeMap<Subject, (f64, f64)> = BTreeMap::new();
         for (zone, size) in scene.places.zones.iter().zip(scene.sizes) {
-            let Some(region) = zone.region_subject else { continue };
+            let Some(region) = zone.region_subject else {
+                continue;
+            };
             let (all, used) = regions.entry(region).or_default();
-            (*all, *used) = (*all + size, *used + size * self.standing(&zone.subject).share);
+            (*all, *used) = (
+                *all + size,
+                *used + size * self.standing(&zone.subject).share,
+            );
         }
         let sound = |(all, used): &(f64, f64)| *all > 0.0 && *used > all * REGION_PART;
-        let others = |of: &Subject| regions.iter().any(|(other, sizes)| other != of && sound(sizes));
-        let found: Vec<(Subject, bool)> =
-            regions.iter().map(|(of, sizes)| (*of, sizes.0 > 0.0 && !sound(sizes) && others(of))).collect();
+        let others = |of: &Subject| {
+            regions
+                .iter()
+                .any(|(other, sizes)| other != of && sound(sizes))
+        };
+        let found: Vec<(Subject, bool)> = regions
+            .iter()
+            .map(|(of, sizes)| (*of, sizes.0 > 0.0 && !sound(sizes) && others(of)))
+            .collect();
         for (subject, gone) in found {
             let mut standing = self.standing(&subject);
             let state = if gone { State::Left } else { State::InUse };
@@ -354,7 +462,10 @@
             .standings
             .iter()
             .filter(|(subject, standing)| {
-                let word = scene.orders.of(&scene.places.word(subject)).map(|order| order.what);
+                let word = scene
+                    .orders
+                    .of(&scene.places.word(subject))
+                    .map(|order| order.what);
                 word == Some(What::Return) && matches!(standing.state, State::Left | State::Leaving)
             })
             .map(|(subject, standing)| (*subject, *standing))
@@ -370,12 +481,21 @@
 
     /// What is to be told to those who were not there: of all that has ever changed, the latest first.
     pub fn place_decisions(&self) -> Vec<PlaceDecision> {
-        let told = self.standings.iter().filter(|(_, standing)| standing.epoch > 0);
+        let told = self
+            .standings
+            .iter()
+            .filter(|(_, standing)| standing.epoch > 0);
         let mut told: Vec<(&Subject, &Standing)> = told.collect();
         told.sort_by_key(|(subject, standing)| {
-            (standing.share >= 1.0, std::cmp::Reverse(standing.since), **subject)
+            (
+                standing.share >= 1.0,
+                std::cmp::Reverse(standing.since),
+                **subject,
+            )
         });
-        told.into_iter().map(|(subject, standing)| PlaceDecision::new(*subject, standing)).collect()
+        told.into_iter()
+            .map(|(subject, standing)| PlaceDecision::new(*subject, standing))
+            .collect()
     }
 
     /// Forgets what stands as if nothing had been.
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -70,12 +70,17 @@
 impl Orders {
     /// Takes a word, if it is later than what is known and not over. Whether it was.
     pub fn take(&mut self, now_ms: u64, order: Order) -> bool {
-        let until_ms = order.until_ms.min(order.stamp_ms.saturating_add(LONGEST_MS));
+        let until_ms = order
+            .until_ms
+            .min(order.stamp_ms.saturating_add(LONGEST_MS));
         let order = Order { until_ms, ..order };
         // A clock that is ahead must not give words that nobody can overrule for long.
         let ahead = order.stamp_ms > now_ms.saturating_add(LONGEST_MS);
         let key = |order: &Order| (order.stamp_ms, order.id);
-        let known = self.all.get(&order.subject).is_some_and(|known| key(known) >= key(&order));
+        let known = self
+            .all
+            .get(&order.subject)
+            .is_some_and(|known| key(known) >= key(&order));
         if known || ahead || order.until_ms <= now_ms {
             return false;
         }
--- a/crates/evacuation/src/packed.rs
+++ b/crates/evacuation/src/packed.rs
@@ -7,7 +7,9 @@
 pub fn write<T: Serialize>(form: u8, all: impl Iterator<Item = T>, most: usize) -> Vec<u8> {
     let mut bytes = vec![form];
     for one in all {
-        let Ok(one) = postcard::to_stdvec(&one) else { continue };
+        let Ok(one) = postcard::to_stdvec(&one) else {
+            continue;
+        };
         if bytes.len() + one.len() > most {
             break;
         }
--- a/crates/evacuation/src/place_decision.rs
+++ b/crates/evacuation/src/place_decision.rs
@@ -39,7 +39,12 @@
     /// Of a place as it stands.
     pub fn new(subject: Subject, standing: &Standing) -> Self {
         let share = (standing.share.clamp(0.0, 1.0) * 100.0).round() as u8;
-        Self { subject, epoch: standing.epoch, state: standing.state, share }
+        Self {
+            subject,
+            epoch: standing.epoch,
+            state: standing.state,
+            share,
+        }
     }
 
     /// Its share.
--- a/crates/evacuation/src/standing.rs
+++ b/crates/evacuation/src/standing.rs
@@ -29,7 +29,9 @@
 const WELL: f64 = 0.15;
 
 /// The states of a place, in the order in which a tie of epochs is settled: the more cautious one holds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub enum State {
     /// Nothing speaks against it.
     #[default]
@@ -95,7 +97,16 @@
 impl Default for Standing {
     fn default() -> Self {
         let (state, cause) = (State::default(), Cause::default());
-        Self { state, epoch: 0, since: 0, share: 1.0, relapses: 0, cause, stepped: 0, condemned: None }
+        Self {
+            state,
+            epoch: 0,
+            since: 0,
+            share: 1.0,
+            relapses: 0,
+            cause,
+            stepped: 0,
+            condemned: None,
+        }
     }
 }
 
@@ -125,11 +136,20 @@
                 };
                 if now >= since.saturating_add(CONFIRMED) {
                     self.condemned = None;
-                    self.enter(now, State::Leaving, self.epoch + 1, Cause::Evidence(opinion.ill));
+                    self.enter(
+                        now,
+                        State::Leaving,
+                        self.epoch + 1,
+                        Cause::Evidence(opinion.ill),
+                    );
                     self.step(now, opinion, beside);
                 } else {
                     let doubted = opinion.strength >= DOUBT;
-                    let state = if doubted { State::Doubted } else { State::InUse };
+                    let state = if doubted {
+                        State::Doubted
+                    } else {
+                        State::InUse
+                    };
                     if state != self.state {
                         self.enter(now, state, self.epoch, Cause::Evidence(opinion.ill));
                     }
@@ -146,7 +166,11 @@
                     self.step(now, opinion, beside);
                 } else if now >= self.since.saturating_add(HOLD.0) {
                     // What remains of its share serves, or nothing more is heard of it.
-                    let state = if self.share >= 1.0 { State::InUse } else { State::Left };
+                    let state = if self.share >= 1.0 {
+                        State::InUse
+                    } else {
+                        State::Left
+                    };
                     self.enter(now, state, self.epoch, self.cause);
                 }
             }
@@ -154,14 +178,24 @@
                 let hold = (HOLD.0 << self.relapses.min(8)).min(HOLD.1);
                 let held = now < self.since.saturating_add(hold);
                 if !held && opinion.wellness >= WELL && !opinion.is_ill || beside.last {
-                    self.enter(now, State::Returning, self.epoch + 1, Cause::Evidence(opinion.ill));
+                    self.enter(
+                        now,
+                        State::Returning,
+                        self.epoch + 1,
+                        Cause::Evidence(opinion.ill),
+                    );
                     (self.share, self.stepped) = (self.share.max(RETURN.0), now);
                 }
             }
             State::Returning => {
                 if opinion.is_ill && may_leave {
                     self.relapses += 1;
-                    self.enter(now, State::Left, self.epoch + 1, Cause::Evidence(opinion.ill));
+                    self.enter(
+                        now,
+                        State::Left,
+                        self.epoch + 1,
+                        Cause::Evidence(opinion.ill),
+                    );
                     self.share = 0.0;
                 } else if now >= self.stepped.saturating_add(RETURN.1) && opinion.strength < DOUBT {
                     (self.share, self.stepped) = ((self.share * 2.0).min(1.0), now);
@@ -179,7 +213,10 @@
         if surely >= HOPELESS || spoilt >= USELESS && beside.room {
             self.share = 0.0;
         } else if now >= self.stepped.saturating_add(STEP) && beside.room {
-            self.share = STEPS.into_iter().find(|step| *step < self.share).unwrap_or(0.0);
+            self.share = STEPS
+                .into_iter()
+                .find(|step| *step < self.share)
+                .unwrap_or(0.0);
             self.stepped = now;
         }
         if self.share == 0.0 {
@@ -189,7 +226,12 @@
 
     fn stays_after_all(&mut self, now: Time, opinion: &Opinion) {
         self.share = 1.0;
-        self.enter(now, State::Doubted, self.epoch + 1, Cause::Evidence(opinion.ill));
+        self.enter(
+            now,
+            State::Doubted,
+            self.epoch + 1,
+            Cause::Evidence(opinion.ill),
+        );
     }
 
     /// Takes what others have found, if that is later. Whether it was.
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -3,7 +3,9 @@
 
 use serde_json::json;
 use std::collections::BTreeMap;
-use woadstall_evacuation::{Order, Orders, PlaceDecision, PlaceStatus, Standing, State, Status, What};
+use woadstall_evacuation::{
+    Order, Orders, PlaceDecision, PlaceStatus, Standing, State, Status, What,
+};
 use woadstall_evidence::Subject;
 
 /// Compares bytes with the golden ones, written in hexadecimal digits.
@@ -20,8 +22,18 @@
     };
     vec![
         decision(Subject::zone("0", "norte"), State::InUse, 4, 1.0),
-        decision(Subject::class("0", "norte", "chat"), State::Doubted, 300, 1.0),
-        decision(Subject::nodo("nodo-7", 1_767_225_600_000), State::Returning, 2, 0.2),
+        decision(
+            Subject::class("0", "norte", "chat"),
+            State::Doubted,
+            300,
+            1.0,
+        ),
+        decision(
+            Subject::nodo("nodo-7", 1_767_225_600_000),
+            State::Returning,
+            2,
+            0.2,
+        ),
         decision(Subject::region("0", "litoral"), State::Leaving, 1, 0.6),
         decision(Subject::zone("0", "sur"), State::Left, 70_000, 0.0),
     ]
@@ -34,7 +46,10 @@
 
 #[test]
 fn place_decisions_have_the_golden_bytes() {
-    assert_golden(&PlaceDecision::write(&place_decisions(), 256), PLACE_DECISIONS);
+    assert_golden(
+        &PlaceDecision::write(&place_decisions(), 256),
+        PLACE_DECISIONS,
+    );
     assert_golden(&PlaceDecision::write(&[], 256), "01");
 }
 
@@ -60,7 +75,11 @@
     };
     let mut orders = vec![
         order(Subject::zone("", "norte"), What::Leave, 7),
-        order(Subject::nodo("nodo-7", 1_767_225_600_000), What::Hold, 3_000_000_000),
+        order(
+            Subject::nodo("nodo-7", 1_767_225_600_000),
+            What::Hold,
+            3_000_000_000,
+        ),
         order(Subject::region("", "litoral"), What::Return, 0),
     ];
     orders.sort_by_key(|order| order.subject);
@@ -101,9 +120,21 @@
 
 #[test]
 fn states_and_orders_have_the_words_that_operators_know() {
-    let states = [State::InUse, State::Doubted, State::Returning, State::Leaving, State::Left];
-    assert_eq!(states.map(State::word), ["in use", "doubted", "returning", "leaving", "left"]);
-    assert_eq!([What::Leave, What::Hold, What::Return].map(What::word), ["leave", "hold", "return"]);
+    let states = [
+        State::InUse,
+        State::Doubted,
+        State::Returning,
+        State::Leaving,
+        State::Left,
+    ];
+    assert_eq!(
+        states.map(State::word),
+        ["in use", "doubted", "returning", "leaving", "left"]
+    );
+    assert_eq!(
+        [What::Leave, What::Hold, What::Return].map(What::word),
+        ["leave", "hold", "return"]
+    );
 }
 
 fn status() -> Status {
@@ -161,6 +192,9 @@
         r#"{"places":[{"name":"","state":"","epoch":0,"for_s":0.0,"share":0.0,"why":"","against":0,"for_it":0,"#,
         r#""relapses":0,"nodos":0,"order":null,"order_ends_s":null,"not_followed":[]}],"odd":{},"unread":0}"#
     );
-    let status = Status { places: vec![PlaceStatus::default()], ..Status::default() };
+    let status = Status {
+        places: vec![PlaceStatus::default()],
+        ..Status::default()
+    };
     assert_eq!(serde_json::to_string(&status).unwrap(), golden);
 }
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -12,7 +12,11 @@
 const STEP: u64 = 100 * MS;
 const STEPS: u64 = 900;
 const UNIX_MS: u64 = 1_767_225_600_000;
-const ZONES: [(&str, &str); 3] = [("norte", "litoral"), ("centro", "litoral"), ("sur", "sierra")];
+const ZONES: [(&str, &str); 3] = [
+    ("norte", "litoral"),
+    ("centro", "litoral"),
+    ("sur", "sierra"),
+];
 const CLASSES: [&str; 2] = ["chat", "lote"];
 const BALANCERS_PER_ZONE: usize = 4;
 const NODOS_PER_ZONE: u32 = 4;
@@ -66,21 +70,46 @@
     let (zone_name, region) = ZONES[zone];
     let card = Card {
         name: name(&format!("b-{number}")),
-        life: Life { started: UNIX_MS, id: number as u64 + 1 },
+        life: Life {
+            started: UNIX_MS,
+            id: number as u64 + 1,
+        },
         at: address(number),
         zone: name(zone_name),
         region: Some(name(region)),
     };
     let seeds = vec![address(0), address(BALANCERS_PER_ZONE)];
-    let node = Node::new(card, seeds, woadstall_instances::Settings::default(), number as u64, 0).unwrap();
+    let node = Node::new(
+        card,
+        seeds,
+        woadstall_instances::Settings::default(),
+        number as u64,
+        0,
+    )
+    .unwrap();
     let zones = ZONES.map(|(zone, region)| (zone.to_owned(), Some(region.to_owned())));
     let places = Places::new("0", &zones, &CLASSES.map(str::to_owned));
     let mut coordinator = Coordinator::new(Settings { places, zone });
     let nodos: Vec<(ServerId, String, usize)> = (0..NODOS_PER_ZONE * ZONES.len() as u32)
-        .map(|nodo| (ServerId(nodo), format!("nodo-{nodo}"), (nodo / NODOS_PER_ZONE) as usize))
+        .map(|nodo| {
+            (
+                ServerId(nodo),
+                format!("nodo-{nodo}"),
+                (nodo / NODOS_PER_ZONE) as usize,
+            )
+        })
         .collect();
-    coordinator.listed(nodos.iter().map(|(id, name, zone)| (*id, name.as_str(), 1, *zone, Some(1.0))));
-    Balancer { node, coordinator, calls: 0, hanging: Vec::new() }
+    coordinator.listed(
+        nodos
+            .iter()
+            .map(|(id, name, zone)| (*id, name.as_str(), 1, *zone, Some(1.0))),
+    );
+    Balancer {
+        node,
+        coordinator,
+        calls: 0,
+        hanging: Vec::new(),
+    }
 }
 
 /// What goes wrong at a nodo at a time, in seconds: percent of its calls that fail, and percent that are late.
@@ -117,24 +146,47 @@
                 _ => (Outcome::Ok, usual),
             };
             let server = ServerId(server);
-            self.coordinator.saw(now, &Saw { attempt, server, class, outcome, took });
+            self.coordinator.saw(
+                now,
+                &Saw {
+                    attempt,
+                    server,
+                    class,
+                    outcome,
+                    took,
+                },
+            );
         }
         let hung = |sent: u64| now >= sent + 1_000 * MS;
         for (attempt, server, class, _) in self.hanging.extract_if(.., |(.., sent)| hung(*sent)) {
             let (outcome, took) = (Outcome::Timeout, 1_000 * MS);
-            self.coordinator.saw(now, &Saw { attempt, server, class, outcome, took });
+            self.coordinator.saw(
+                now,
+                &Saw {
+                    attempt,
+                    server,
+                    class,
+                    outcome,
+                    took,
+                },
+            );
         }
-        let out = self.hanging.iter().map(|(attempt, server, class, sent)| Out {
-            attempt: *attempt,
-            server: *server,
-            class: *class,
-            age: now - sent,
-        });
+        let out = self
+            .hanging
+            .iter()
+            .map(|(attempt, server, class, sent)| Out {
+                attempt: *attempt,
+                server: *server,
+                class: *class,
+                age: now - sent,
+            });
         self.coordinator.out(now, out);
     }
 
     fn turn(&mut self, now: u64, digest: &mut Digest) -> usize {
-        let turn = self.coordinator.turn(now, UNIX_MS + now / MS, &mut self.node);
+        let turn = self
+            .coordinator
+            .turn(now, UNIX_MS + now / MS, &mut self.node);
         digest.number(turn.lines.len() as u64);
         for verdict in &turn.verdicts {
             match verdict.place {
@@ -153,8 +205,9 @@
 
 /// Hands all messages over, until none is left.
 fn deliver(fleet: &mut [Balancer], now: u64) {
-    let by_address: HashMap<SocketAddr, usize> =
-        (0..fleet.len()).map(|number| (address(number), number)).collect();
+    let by_address: HashMap<SocketAddr, usize> = (0..fleet.len())
+        .map(|number| (address(number), number))
+        .collect();
     let mut messages: VecDeque<(usize, Vec<u8>)> = VecDeque::new();
     for number in 0..fleet.len() {
         while let Some(out) = fleet[number].node.next_out() {
@@ -174,12 +227,23 @@
     let subject = coordinator.place(kind, place).unwrap();
     let stamp_ms = UNIX_MS + now / MS;
     let until_ms = stamp_ms + 4_000;
-    assert!(coordinator.order(stamp_ms, Order { subject, what, stamp_ms, until_ms, id: 1 }));
+    assert!(coordinator.order(
+        stamp_ms,
+        Order {
+            subject,
+            what,
+            stamp_ms,
+            until_ms,
+            id: 1
+        }
+    ));
 }
 
 #[test]
 fn a_fleet_finds_the_same_in_a_fixed_course_of_failures() {
-    let mut fleet: Vec<Balancer> = (0..ZONES.len() * BALANCERS_PER_ZONE).map(balancer).collect();
+    let mut fleet: Vec<Balancer> = (0..ZONES.len() * BALANCERS_PER_ZONE)
+        .map(balancer)
+        .collect();
     let mut draws = Draws(4_711);
     let mut digest = Digest(0xcbf2_9ce4_8422_2325);
     let mut verdicts = 0;
@@ -201,7 +265,9 @@
         }
     }
     for balancer in &fleet {
-        let status = balancer.coordinator.status(STEPS * STEP, UNIX_MS + STEPS * STEP / MS);
+        let status = balancer
+            .coordinator
+            .status(STEPS * STEP, UNIX_MS + STEPS * STEP / MS);
         digest.bytes(serde_json::to_string(&status).unwrap().as_bytes());
     }
     assert!(verdicts > 1_000, "{verdicts} verdicts");
