--- a/crates/evacuation/tests/standing.rs
+++ b/crates/evacuation/tests/standing.rs
@@ -6,7 +6,11 @@
 
 const SECOND: u64 = 1_000_000_000;
 const STEP: u64 = SECOND / 10;
-const FREE: Beside = Beside { better: true, room: true, last: false };
+const FREE: Beside = Beside {
+    better: true,
+    room: true,
+    last: false,
+};
 
 fn opinion(strength: f64, failing: f64) -> Opinion {
     Opinion {
@@ -23,7 +27,9 @@
 /// Goes on for so long, in steps of a turn; the time after that.
 fn go(standing: &mut Standing, from: u64, time: u64, opinion: &Opinion, beside: &Beside) -> u64 {
     let until = from + time;
-    (from..until).step_by(STEP as usize).for_each(|now| standing.go_on(now, opinion, beside));
+    (from..until)
+        .step_by(STEP as usize)
+        .for_each(|now| standing.go_on(now, opinion, beside));
     until
 }
 
@@ -38,25 +44,62 @@
     assert!((0.3..1.0).contains(&grey.share), "{}", grey.share);
     // Those that remain have no room for more: a part stays.
     let share = grey.share;
-    let full = Beside { room: false, ..FREE };
+    let full = Beside {
+        room: false,
+        ..FREE
+    };
     go(&mut grey, now, 5 * SECOND, &opinion(2.0, 0.3), &full);
     assert_eq!((grey.state, grey.share), (State::Leaving, share));
-    go(&mut grey, now + 5 * SECOND, 3 * SECOND, &opinion(2.0, 0.3), &FREE);
+    go(
+        &mut grey,
+        now + 5 * SECOND,
+        3 * SECOND,
+        &opinion(2.0, 0.3),
+        &FREE,
+    );
     assert_eq!((grey.state, grey.share), (State::Left, 0.0));
 }
 
 #[test]
 fn nothing_is_left_for_what_is_no_better_nor_the_last() {
-    for beside in [Beside { better: false, ..FREE }, Beside { last: true, ..FREE }] {
+    for beside in [
+        Beside {
+            better: false,
+            ..FREE
+        },
+        Beside { last: true, ..FREE },
+    ] {
         let mut standing = Standing::default();
-        go(&mut standing, SECOND, 20 * SECOND, &opinion(3.0, 0.9), &beside);
-        assert_eq!((standing.state, standing.share, standing.epoch), (State::Doubted, 1.0, 0));
+        go(
+            &mut standing,
+            SECOND,
+            20 * SECOND,
+            &opinion(3.0, 0.9),
+            &beside,
+        );
+        assert_eq!(
+            (standing.state, standing.share, standing.epoch),
+            (State::Doubted, 1.0, 0)
+        );
     }
     // A moment's look at one zone before the others are known to be as bad is not enough.
     let mut standing = Standing::default();
     standing.go_on(SECOND, &opinion(3.0, 0.9), &FREE);
-    standing.go_on(SECOND + STEP, &opinion(3.0, 0.9), &Beside { better: false, ..FREE });
-    go(&mut standing, SECOND + 2 * STEP, STEP, &opinion(3.0, 0.9), &FREE);
+    standing.go_on(
+        SECOND + STEP,
+        &opinion(3.0, 0.9),
+        &Beside {
+            better: false,
+            ..FREE
+        },
+    );
+    go(
+        &mut standing,
+        SECOND + 2 * STEP,
+        STEP,
+        &opinion(3.0, 0.9),
+        &FREE,
+    );
     assert_eq!(standing.share, 1.0);
 }
 
@@ -86,8 +129,16 @@
     let mut standing = Standing::default();
     assert!(standing.follow(SECOND, State::Left, 3, 0.0));
     let held = standing;
-    for (state, epoch) in [(State::InUse, 2), (State::Left, 3), (State::Returning, 3), (State::InUse, 0)] {
-        assert!(!standing.follow(2 * SECOND, state, epoch, 1.0), "{state:?} of {epoch}");
+    for (state, epoch) in [
+        (State::InUse, 2),
+        (State::Left, 3),
+        (State::Returning, 3),
+        (State::InUse, 0),
+    ] {
+        assert!(
+            !standing.follow(2 * SECOND, state, epoch, 1.0),
+            "{state:?} of {epoch}"
+        );
     }
     assert_eq!(standing, held);
     assert!(standing.follow(3 * SECOND, State::Returning, 4, 0.2));
@@ -97,17 +148,35 @@
 #[test]
 fn the_last_word_holds_until_it_ends() {
     let subject = Subject::zone("", "norte");
-    let order = |what, stamp_ms, until_ms, id| Order { subject, what, stamp_ms, until_ms, id };
+    let order = |what, stamp_ms, until_ms, id| Order {
+        subject,
+        what,
+        stamp_ms,
+        until_ms,
+        id,
+    };
     let mut orders = Orders::default();
     assert!(orders.take(1_000, order(What::Leave, 1_000, 60_000, 7)));
     // Two operators in one millisecond: one of them holds, the same everywhere.
     assert!(orders.take(1_000, order(What::Hold, 1_000, 50_000, 9)));
     assert!(!orders.take(1_001, order(What::Leave, 1_000, 60_000, 8)));
-    assert!(!orders.take(1_001, order(What::Leave, 999, 60_000, 99)), "given before");
-    assert_eq!(orders.of(&subject).map(|order| order.what), Some(What::Hold));
-    assert!(!orders.take(70_000, order(What::Return, 2_000, 60_000, 1)), "over already");
+    assert!(
+        !orders.take(1_001, order(What::Leave, 999, 60_000, 99)),
+        "given before"
+    );
+    assert_eq!(
+        orders.of(&subject).map(|order| order.what),
+        Some(What::Hold)
+    );
+    assert!(
+        !orders.take(70_000, order(What::Return, 2_000, 60_000, 1)),
+        "over already"
+    );
     let day = 24 * 3_600_000;
-    assert!(!orders.take(1_000, order(What::Hold, 3 * day, 9 * day, 1)), "of a clock that is days ahead");
+    assert!(
+        !orders.take(1_000, order(What::Hold, 3 * day, 9 * day, 1)),
+        "of a clock that is days ahead"
+    );
     assert!(orders.take(2_000, order(What::Leave, 2_000, u64::MAX, 1)));
     assert!(
         !orders.forget(2_000 + day - 1) && orders.forget(2_000 + day),
--- a/crates/evidence/src/counts.rs
+++ b/crates/evidence/src/counts.rs
@@ -25,22 +25,48 @@
 impl Counts {
     /// So many, as they are at a time.
     pub fn new(tries: f64, failed: f64, late: f64, at: Time) -> Self {
-        Self { tries, failed, late, at }
+        Self {
+            tries,
+            failed,
+            late,
+            at,
+        }
     }
 
     /// As they are at a later time, where they fade over so long.
     fn faded(&self, now: Time, over: f64) -> Self {
         let passed = now.saturating_sub(self.at) as f64;
         let kept = (-passed / over + passed / FADES).exp();
-        let Self { tries, failed, late, at } = *self;
-        Self { tries: tries * kept, failed: failed * kept, late: late * kept, at }.at(now)
+        let Self {
+            tries,
+            failed,
+            late,
+            at,
+        } = *self;
+        Self {
+            tries: tries * kept,
+            failed: failed * kept,
+            late: late * kept,
+            at,
+        }
+        .at(now)
     }
 
     /// As they are at a later time.
     pub fn at(&self, now: Time) -> Self {
         let kept = (-(now.saturating_sub(self.at) as f64) / FADES).exp();
-        let Self { tries, failed, late, at } = *self;
-        Self { tries: tries * kept, failed: failed * kept, late: late * kept, at: at.max(now) }
+        let Self {
+            tries,
+            failed,
+            late,
+            at,
+        } = *self;
+        Self {
+            tries: tries * kept,
+            failed: failed * kept,
+            late: late * kept,
+            at: at.max(now),
+        }
     }
 
     /// One call more.
@@ -61,7 +87,12 @@
     pub fn and(&self, other: &Self) -> Self {
         let now = self.at.max(other.at);
         let (a, b) = (self.at(now), other.at(now));
-        Self { tries: a.tries + b.tries, failed: a.failed + b.failed, late: a.late + b.late, at: now }
+        Self {
+            tries: a.tries + b.tries,
+            failed: a.failed + b.failed,
+            late: a.late + b.late,
+            at: now,
+        }
     }
 
     /// The part that failed, with how far it may be off on both sides (two deviations).
@@ -100,13 +131,18 @@
         if !failed && !late {
             self.answered_at = now;
         }
-        for (rise, (is, (up, down))) in
-            self.rise.iter_mut().zip([failed, failed || late].into_iter().zip(RISES))
+        for (rise, (is, (up, down))) in self
+            .rise
+            .iter_mut()
+            .zip([failed, failed || late].into_iter().zip(RISES))
         {
             *rise = (*rise * kept + if is { up } else { down }).clamp(0.0, HIGH);
         }
         if self.rise == [0.0; 2] {
-            self.since = Counts { at: now, ..Counts::default() };
+            self.since = Counts {
+                at: now,
+                ..Counts::default()
+            };
         }
     }
 
@@ -128,7 +164,11 @@
 
     /// Since it turned bad, if it did; else all of late.
     pub fn counts(&self, now: Time) -> Counts {
-        if self.rise == [0.0; 2] { self.all.faded(now, WELL_FADES) } else { self.since.at(now) }
+        if self.rise == [0.0; 2] {
+            self.all.faded(now, WELL_FADES)
+        } else {
+            self.since.at(now)
+        }
     }
 }
 
@@ -137,5 +177,9 @@
     let (a, b) = (hits.max(0.0) + 0.5, (of - hits).max(0.0) + 0.5);
     let mean = a / (a + b);
     let deviation = (mean * (1.0 - mean) / (a + b + 1.0)).sqrt();
-    ((mean - 2.0 * deviation).max(0.0), mean, (mean + 2.0 * deviation).min(1.0))
+    (
+        (mean - 2.0 * deviation).max(0.0),
+        mean,
+        (mean + 2.0 * deviation).min(1.0),
+    )
 }
--- a/crates/evidence/src/health_report.rs
+++ b/crates/evidence/src/health_report.rs
@@ -30,7 +30,12 @@
     /// Counts as they are at a time.
     pub fn new(subject: Subject, counts: &Counts) -> Self {
         let part = |count: f64| (count.clamp(0.0, MOST) * PARTS).round() as u16;
-        Self { subject, tries: part(counts.tries), failed: part(counts.failed), late: part(counts.late) }
+        Self {
+            subject,
+            tries: part(counts.tries),
+            failed: part(counts.failed),
+            late: part(counts.late),
+        }
     }
 
     /// The counts, said at a time. No more can have failed than were tried, whatever is said.
@@ -63,7 +68,9 @@
     pub fn write(&self, most: usize) -> Vec<u8> {
         let mut bytes = vec![FORM];
         for line in &self.0 {
-            let Ok(line) = postcard::to_stdvec(line) else { continue };
+            let Ok(line) = postcard::to_stdvec(line) else {
+                continue;
+            };
             if bytes.len() + line.len() > most {
                 break;
             }
@@ -77,13 +84,18 @@
         let (form, mut rest) = bytes.split_first().ok_or(HealthReportError)?;
         let mut lines = Vec::new();
         while !rest.is_empty() {
-            let (line, after) = postcard::take_from_bytes::<Line>(rest).map_err(|_| HealthReportError)?;
+            let (line, after) =
+                postcard::take_from_bytes::<Line>(rest).map_err(|_| HealthReportError)?;
             lines.push(line);
             rest = after;
             if lines.len() > LINES {
                 return Err(HealthReportError);
             }
         }
-        if *form == FORM { Ok(Self(lines)) } else { Err(HealthReportError) }
+        if *form == FORM {
+            Ok(Self(lines))
+        } else {
+            Err(HealthReportError)
+        }
     }
 }
--- a/crates/evidence/src/hearing.rs
+++ b/crates/evidence/src/hearing.rs
@@ -67,10 +67,27 @@
 
 impl Hearing {
     /// A member of a zone has told something at a time.
-    pub fn hear(&mut self, owner: &str, zone: &str, at: Time, bytes: &[u8]) -> Result<(), HealthReportError> {
+    pub fn hear(
+        &mut self,
+        owner: &str,
+        zone: &str,
+        at: Time,
+        bytes: &[u8],
+    ) -> Result<(), HealthReportError> {
         let health_report = HealthReport::read(bytes)?;
-        let lines = health_report.0.iter().map(|line| (line.subject, line.counts(at))).collect();
-        self.words.insert(owner.to_owned(), Word { zone: zone.to_owned(), at, lines });
+        let lines = health_report
+            .0
+            .iter()
+            .map(|line| (line.subject, line.counts(at)))
+            .collect();
+        self.words.insert(
+            owner.to_owned(),
+            Word {
+                zone: zone.to_owned(),
+                at,
+                lines,
+            },
+        );
         Ok(())
     }
 
@@ -81,37 +98,59 @@
 
     /// Whether anybody speaks against a subject.
     pub fn speaks_against(&self, subject: &Subject, now: Time) -> bool {
-        self.words.values().filter_map(|word| word.lines.get(subject)).any(|said| {
-            let said = said.at(now);
-            said.failed + said.late >= LEAST * said.tries.max(1.0)
-        })
+        self.words
+            .values()
+            .filter_map(|word| word.lines.get(subject))
+            .any(|said| {
+                let said = said.at(now);
+                said.failed + said.late >= LEAST * said.tries.max(1.0)
+            })
     }
 
     /// All words on a subject: whose, of which zone, when it was said, and the counts as they were then.
     pub fn words(&self, subject: &Subject) -> impl Iterator<Item = (&str, &str, Time, &Counts)> {
         self.words.iter().filter_map(move |(owner, word)| {
-            Some((owner.as_str(), word.zone.as_str(), word.at, word.lines.get(subject)?))
+            Some((
+                owner.as_str(),
+                word.zone.as_str(),
+                word.at,
+                word.lines.get(subject)?,
+            ))
         })
     }
 
     /// What one has said of a subject, as it is now.
     pub fn says(&self, owner: &str, subject: &Subject, now: Time) -> Option<Counts> {
-        self.words.get(owner)?.lines.get(subject).map(|counts| counts.at(now))
+        self.words
+            .get(owner)?
+            .lines
+            .get(subject)
+            .map(|counts| counts.at(now))
     }
 
     /// The counts of all of some subjects, with the own ones: the part that usually fails, and that is usually late.
-    pub fn usual<'a>(&self, now: Time, of: impl Iterator<Item = (Subject, &'a Counts)>) -> [f64; 2] {
+    pub fn usual<'a>(
+        &self,
+        now: Time,
+        of: impl Iterator<Item = (Subject, &'a Counts)>,
+    ) -> [f64; 2] {
         let mut all = Counts::default();
         for (subject, own) in of {
             all = all.and(&own.at(now)).and(&self.counts(now, &subject));
         }
         let part = |(_, mean, _): (f64, f64, f64), known: bool| if known { mean } else { 0.0 };
-        [part(all.failing(), all.tries >= KNOWN), part(all.spoilt(), all.tries >= KNOWN)]
+        [
+            part(all.failing(), all.tries >= KNOWN),
+            part(all.spoilt(), all.tries >= KNOWN),
+        ]
     }
 
     /// The counts of all others together.
     pub fn counts(&self, now: Time, subject: &Subject) -> Counts {
-        let lines = self.words.values().filter_map(|word| word.lines.get(subject));
+        let lines = self
+            .words
+            .values()
+            .filter_map(|word| word.lines.get(subject));
         lines.fold(Counts::default(), |all, counts| all.and(&counts.at(now)))
     }
 
@@ -119,8 +158,16 @@
     pub fn opinion(&self, now: Time, asked: &Question<'_>) -> Opinion {
         let failing = self.weigh(now, asked, Ill::Failing);
         let late = self.weigh(now, asked, Ill::Late);
-        let worst = if late.strength > failing.strength { late } else { failing };
-        Opinion { wellness: failing.wellness, is_ill: failing.is_ill || late.is_ill, ..worst }
+        let worst = if late.strength > failing.strength {
+            late
+        } else {
+            failing
+        };
+        Opinion {
+            wellness: failing.wellness,
+            is_ill: failing.is_ill || late.is_ill,
+            ..worst
+        }
     }
 
     fn weigh(&self, now: Time, asked: &Question<'_>, ill: Ill) -> Opinion {
@@ -128,20 +175,30 @@
         let mut by_zone: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
         let mut counts = asked.own.at(now);
         for word in self.words.values() {
-            let Some(said) = word.lines.get(&asked.subject).map(|said| said.at(now)) else { continue };
+            let Some(said) = word.lines.get(&asked.subject).map(|said| said.at(now)) else {
+                continue;
+            };
             if said.tries < LEAST {
                 continue;
             }
             counts = counts.and(&said);
             // What was well a second ago may hang since: whoever finds it well says so again.
             let fresh = (-(now.saturating_sub(word.at) as f64) / STALE).exp();
-            by_zone.entry(&word.zone).or_default().push((ill.weigh(&said, usual), fresh));
+            by_zone
+                .entry(&word.zone)
+                .or_default()
+                .push((ill.weigh(&said, usual), fresh));
         }
         // The own calls that hang show by themselves, and late: what speaks for it weighs no more than others' word.
         let own = ill.weigh(&asked.own.at(now), usual);
         let of_zone = |zone: &str| {
             let others = by_zone.get(zone).cloned().unwrap_or_default();
-            let size = asked.members.get(zone).copied().unwrap_or(1).max(others.len());
+            let size = asked
+                .members
+                .get(zone)
+                .copied()
+                .unwrap_or(1)
+                .max(others.len());
             let own = if zone == asked.from { own } else { 0.0 };
             let (needed, word) = enough(asked.enough, size);
             (Sum::of(others, own, word, liars(size)), needed)
@@ -155,19 +212,31 @@
             .collect();
         // Two zones that find the same by themselves are more than one that finds it twice as clearly.
         let agreeing = others.iter().filter(|sum| sum.bad >= needed / 2.0).count();
-        let elsewhere =
-            if agreeing >= 2 { others.iter().map(|sum| sum.bad.max(0.0)).sum::<f64>() } else { 0.0 };
+        let elsewhere = if agreeing >= 2 {
+            others.iter().map(|sum| sum.bad.max(0.0)).sum::<f64>()
+        } else {
+            0.0
+        };
         // What lies in a zone is known best there, and what those who look have seen themselves goes before all: that
         // others cannot get there may be their way. What is cut off from the others still serves its own.
         let away = asked.from != asked.home;
-        let told = if away && here.well <= needed / 2.0 { home.bad.max(elsewhere) } else { 0.0 };
+        let told = if away && here.well <= needed / 2.0 {
+            home.bad.max(elsewhere)
+        } else {
+            0.0
+        };
         let bad = here.bad.max(told);
-        let well = if away { here.well.max(home.well) } else { here.well };
+        let well = if away {
+            here.well.max(home.well)
+        } else {
+            here.well
+        };
         let mut sums = vec![here];
         sums.extend(away.then_some(home));
         sums.extend(others);
-        let witnesses =
-            sums.iter().fold((0, 0), |all, sum| (all.0 + sum.witnesses.0, all.1 + sum.witnesses.1));
+        let witnesses = sums.iter().fold((0, 0), |all, sum| {
+            (all.0 + sum.witnesses.0, all.1 + sum.witnesses.1)
+        });
         let zones = sums.iter().filter(|sum| sum.bad >= needed / 2.0).count();
         Opinion {
             ill,
--- a/crates/evidence/src/ledger.rs
+++ b/crates/evidence/src/ledger.rs
@@ -77,7 +77,10 @@
         let zone = |(subject, classes): (Subject, Vec<Subject>)| Zone {
             subject,
             counts: Course::default(),
-            classes: classes.into_iter().map(|class| (class, Course::default())).collect(),
+            classes: classes
+                .into_iter()
+                .map(|class| (class, Course::default()))
+                .collect(),
         };
         Self {
             zones: zones.map(zone).collect(),
@@ -90,7 +93,11 @@
     /// A nodo as it is listed now. What was counted of a former process at its address goes.
     pub fn listed(&mut self, server: ServerId, name: &str, boot_ms: u64, zone: usize) {
         let subject = Subject::nodo(name, boot_ms);
-        let nodo = Nodo { subject, zone, counts: Course::default() };
+        let nodo = Nodo {
+            subject,
+            zone,
+            counts: Course::default(),
+        };
         let known = self.nodos.entry(server).or_insert_with(|| nodo.clone());
         if known.subject != subject || known.zone != zone {
             *known = nodo;
@@ -104,14 +111,20 @@
 
     /// Counts an attempt. What says nothing of the nodo is not counted.
     pub fn saw(&mut self, now: Time, saw: &Saw) {
-        let Some(usual) = self.usual.get_mut(saw.class) else { return };
+        let Some(usual) = self.usual.get_mut(saw.class) else {
+            return;
+        };
         let (took, known) = (saw.took as f64, usual.1 >= KNOWN);
         let failed = match saw.outcome {
             Outcome::Ok => false,
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => true,
             Outcome::Timeout if !known || took >= SHORT * usual.0 => true,
             // Full is load, and load is no illness; the rest is the request's or the caller's doing.
-            Outcome::Timeout | Outcome::Full | Outcome::Declined | Outcome::Cancelled | Outcome::Moot => {
+            Outcome::Timeout
+            | Outcome::Full
+            | Outcome::Declined
+            | Outcome::Cancelled
+            | Outcome::Moot => {
                 return;
             }
         };
@@ -134,7 +147,9 @@
         let mut counted = std::mem::take(&mut self.counted);
         let mut still = HashMap::new();
         for out in all {
-            let Some(&(usual, answers)) = self.usual.get(out.class) else { continue };
+            let Some(&(usual, answers)) = self.usual.get(out.class) else {
+                continue;
+            };
             let (age, was) = (out.age as f64, counted.remove(&out.attempt));
             if answers < KNOWN || age <= LATE * usual {
                 continue;
@@ -156,11 +171,18 @@
 
     /// All that a call at a nodo counts for.
     fn at(&mut self, server: ServerId, class: usize, count: impl Fn(&mut Course)) {
-        let Some(nodo) = self.nodos.get_mut(&server) else { return };
+        let Some(nodo) = self.nodos.get_mut(&server) else {
+            return;
+        };
         count(&mut nodo.counts);
-        let Some(zone) = self.zones.get_mut(nodo.zone) else { return };
+        let Some(zone) = self.zones.get_mut(nodo.zone) else {
+            return;
+        };
         count(&mut zone.counts);
-        zone.classes.get_mut(class).into_iter().for_each(|(_, counts)| count(counts));
+        zone.classes
+            .get_mut(class)
+            .into_iter()
+            .for_each(|(_, counts)| count(counts));
     }
 
     /// All that is counted, as it is now, and whether anything was answered just now: zones with their classes first.
@@ -177,7 +199,10 @@
 
     /// Counts of a zone, of a class at it, or of a nodo.
     pub fn zone(&self, zone: usize, now: Time) -> Counts {
-        self.zones.get(zone).map(|zone| zone.counts.counts(now)).unwrap_or_default()
+        self.zones
+            .get(zone)
+            .map(|zone| zone.counts.counts(now))
+            .unwrap_or_default()
     }
 
     /// The same of a class at it.
@@ -189,7 +214,10 @@
     }
 
     /// The nodos that are listed: number, subject, zone and counts.
-    pub fn nodos(&self, now: Time) -> impl Iterator<Item = (ServerId, Subject, usize, Counts)> + '_ {
+    pub fn nodos(
+        &self,
+        now: Time,
+    ) -> impl Iterator<Item = (ServerId, Subject, usize, Counts)> + '_ {
         self.nodos
             .iter()
             .map(move |(server, nodo)| (*server, nodo.subject, nodo.zone, nodo.counts.counts(now)))
--- a/crates/evidence/src/subject.rs
+++ b/crates/evidence/src/subject.rs
@@ -38,7 +38,10 @@
 
     /// A class of calls at a zone.
     pub fn class(tier: &str, zone: &str, class: &str) -> Self {
-        Self::of(Kind::Class, &[tier.as_bytes(), zone.as_bytes(), class.as_bytes()])
+        Self::of(
+            Kind::Class,
+            &[tier.as_bytes(), zone.as_bytes(), class.as_bytes()],
+        )
     }
 
     /// A region, likewise.
--- a/crates/evidence/src/weight.rs
+++ b/crates/evidence/src/weight.rs
@@ -28,7 +28,11 @@
 
 /// How many of so many may lie. One always may, but where there is nobody else.
 pub fn liars(of: usize) -> usize {
-    if of < 2 { 0 } else { (of as f64 * LIARS).ceil() as usize }
+    if of < 2 {
+        0
+    } else {
+        (of as f64 * LIARS).ceil() as usize
+    }
 }
 
 /// What is enough from so many that could bear witness, and what the word of one of them weighs at most: a few witnesses
@@ -66,15 +70,35 @@
     /// out on either side, and the own one. Old words that it is well do not speak against its being ill now.
     pub fn of(mut others: Vec<(f64, f64)>, own: f64, word: f64, liars: usize) -> Self {
         let cut = |weight: f64| weight.clamp(-word, word);
-        others.iter_mut().for_each(|(weight, _)| *weight = cut(*weight));
+        others
+            .iter_mut()
+            .for_each(|(weight, _)| *weight = cut(*weight));
         others.sort_by(|a, b| a.0.total_cmp(&b.0));
         let against = others.iter().filter(|(weight, _)| *weight > 0.0).count();
         let well = others.iter().filter(|(weight, _)| *weight < 0.0).count();
         // Liars cannot be told from those who are right: the strongest words of each side are left out, whoever says them.
         let bad = others[..others.len() - against.min(liars)].iter();
-        let bad: f64 = bad.map(|(weight, fresh)| if *weight < 0.0 { weight * fresh } else { *weight }).sum();
-        let sound: f64 = others[well.min(liars)..].iter().map(|(weight, _)| weight).sum();
-        let witnesses = (against + usize::from(own > 0.0), well + usize::from(own < 0.0));
-        Self { bad: bad + cut(own), well: -(sound + cut(own)), witnesses }
+        let bad: f64 = bad
+            .map(|(weight, fresh)| {
+                if *weight < 0.0 {
+                    weight * fresh
+                } else {
+                    *weight
+                }
+            })
+            .sum();
+        let sound: f64 = others[well.min(liars)..]
+            .iter()
+            .map(|(weight, _)| weight)
+            .sum();
+        let witnesses = (
+            against + usize::from(own > 0.0),
+            well + usize::from(own < 0.0),
+        );
+        Self {
+            bad: bad + cut(own),
+            well: -(sound + cut(own)),
+            witnesses,
+        }
     }
 }
--- a/crates/evidence/tests/evidence.rs
+++ b/crates/evidence/tests/evidence.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 use woadstall_decisions::api::{Outcome, ServerId};
 use woadstall_evidence::{
-    Counts, ENOUGH, HealthReport, Hearing, Ledger, Line, Opinion, Out, Question, Saw, Subject, liars,
+    Counts, ENOUGH, HealthReport, Hearing, Ledger, Line, Opinion, Out, Question, Saw, Subject,
+    liars,
 };
 
 const MS: u64 = 1_000_000;
@@ -16,17 +17,27 @@
 
 fn tell(hearing: &mut Hearing, owner: usize, zone: &str, counts: Counts, at: u64) {
     let bytes = HealthReport(vec![Line::new(Subject::zone("0", "norte"), &counts)]).write(256);
-    hearing.hear(&format!("b-{owner}"), zone, at, &bytes).unwrap();
+    hearing
+        .hear(&format!("b-{owner}"), zone, at, &bytes)
+        .unwrap();
 }
 
 /// What a member of a zone finds of `norte`, in a fleet of so many a zone.
 fn seen(hearing: &Hearing, from: &str, each: usize, own: Counts, now: u64) -> Opinion {
-    let members: BTreeMap<String, usize> =
-        ["norte", "centro", "sur"].map(|zone| (zone.to_owned(), each)).into();
+    let members: BTreeMap<String, usize> = ["norte", "centro", "sur"]
+        .map(|zone| (zone.to_owned(), each))
+        .into();
     let subject = Subject::zone("0", "norte");
     let usual = [0.0; 2];
-    let asked =
-        Question { subject, home: "norte", from, own: &own, usual, enough: ENOUGH, members: &members };
+    let asked = Question {
+        subject,
+        home: "norte",
+        from,
+        own: &own,
+        usual,
+        enough: ENOUGH,
+        members: &members,
+    };
     hearing.opinion(now, &asked)
 }
 
@@ -35,7 +46,13 @@
     for each in [3, 8, 100] {
         let mut hearing = Hearing::default();
         let needed = (0..each).find(|witness| {
-            tell(&mut hearing, *witness, "norte", counts(4.0, 4.0, SECOND), SECOND);
+            tell(
+                &mut hearing,
+                *witness,
+                "norte",
+                counts(4.0, 4.0, SECOND),
+                SECOND,
+            );
             seen(&hearing, "sur", each, Counts::default(), SECOND).is_ill
         });
         let needed = 1 + needed.expect("all of them are enough");
@@ -48,20 +65,39 @@
 #[test]
 fn one_zone_that_cannot_get_there_is_not_all() {
     let mut hearing = Hearing::default();
-    (0..8).for_each(|witness| tell(&mut hearing, witness, "centro", counts(6.0, 6.0, SECOND), SECOND));
+    (0..8).for_each(|witness| {
+        tell(
+            &mut hearing,
+            witness,
+            "centro",
+            counts(6.0, 6.0, SECOND),
+            SECOND,
+        )
+    });
     assert!(
         seen(&hearing, "centro", 8, Counts::default(), SECOND).is_ill,
         "those of its own zone are as badly off"
     );
     assert!(!seen(&hearing, "sur", 8, Counts::default(), SECOND).is_ill);
-    assert!(!seen(&hearing, "norte", 8, Counts::default(), SECOND).is_ill, "it serves its own");
+    assert!(
+        !seen(&hearing, "norte", 8, Counts::default(), SECOND).is_ill,
+        "it serves its own"
+    );
 }
 
 /// The word that something was well a second ago does not outweigh that it fails now.
 #[test]
 fn old_wellness_does_not_hide_what_fails_now() {
     let mut hearing = Hearing::default();
-    (0..4).for_each(|witness| tell(&mut hearing, witness, "norte", counts(40.0, 0.0, SECOND), SECOND));
+    (0..4).for_each(|witness| {
+        tell(
+            &mut hearing,
+            witness,
+            "norte",
+            counts(40.0, 0.0, SECOND),
+            SECOND,
+        )
+    });
     let now = 3 * SECOND;
     (4..8).for_each(|witness| tell(&mut hearing, witness, "norte", counts(5.0, 5.0, now), now));
     assert!(seen(&hearing, "norte", 8, counts(3.0, 3.0, now), now).is_ill);
@@ -70,29 +106,57 @@
 /// A sender's own calls: what hangs counts before it is given up, once, and successes before it count for nothing.
 #[test]
 fn what_hangs_is_counted_before_it_ends() {
-    let (norte, class) = (Subject::zone("0", "norte"), Subject::class("0", "norte", "carga"));
+    let (norte, class) = (
+        Subject::zone("0", "norte"),
+        Subject::class("0", "norte", "carga"),
+    );
     let mut ledger = Ledger::new([(norte, vec![class])].into_iter(), 1);
     let server = ServerId(1);
     ledger.listed(server, "posting-0", 0, 0);
-    let saw = |number, outcome, took| Saw { attempt: (number, 0), server, class: 0, outcome, took };
+    let saw = |number, outcome, took| Saw {
+        attempt: (number, 0),
+        server,
+        class: 0,
+        outcome,
+        took,
+    };
     for number in 0..50 {
-        ledger.saw(u64::from(number) * 20 * MS, &saw(number, Outcome::Ok, 20 * MS));
+        ledger.saw(
+            u64::from(number) * 20 * MS,
+            &saw(number, Outcome::Ok, 20 * MS),
+        );
     }
     assert_eq!(ledger.zone(0, SECOND).failed, 0.0);
-    let out = |age| [Out { attempt: (99, 0), server, class: 0, age }].into_iter();
+    let out = |age| {
+        [Out {
+            attempt: (99, 0),
+            server,
+            class: 0,
+            age,
+        }]
+        .into_iter()
+    };
     ledger.out(SECOND, out(60 * MS));
     assert_eq!(ledger.zone(0, SECOND).late, 0.0);
     ledger.out(SECOND, out(100 * MS));
     ledger.out(SECOND, out(110 * MS));
     let late = ledger.zone(0, SECOND);
-    assert_eq!((late.tries, late.failed, late.late), (1.0, 0.0, 1.0), "since it turned bad");
+    assert_eq!(
+        (late.tries, late.failed, late.late),
+        (1.0, 0.0, 1.0),
+        "since it turned bad"
+    );
     ledger.out(SECOND, out(200 * MS));
     ledger.saw(SECOND, &saw(99, Outcome::Timeout, 250 * MS));
     let stuck = ledger.zone(0, SECOND);
     assert_eq!((stuck.tries, stuck.failed, stuck.late), (1.0, 1.0, 0.0));
     // A new process at the address has no part in it; the zone has.
     ledger.listed(server, "posting-0", 7, 0);
-    assert!(ledger.nodos(SECOND).all(|(_, _, _, counts)| counts.tries == 0.0));
+    assert!(
+        ledger
+            .nodos(SECOND)
+            .all(|(_, _, _, counts)| counts.tries == 0.0)
+    );
     assert_eq!(ledger.zone(0, SECOND).failed, 1.0);
 }
 
--- a/crates/evidence/tests/golden.rs
+++ b/crates/evidence/tests/golden.rs
@@ -12,8 +12,14 @@
     let counts = |tries: f64, failed: f64, late: f64| Counts::new(tries, failed, late, 0);
     vec![
         Line::new(Subject::zone("0", "norte"), &counts(12.25, 6.5, 1.75)),
-        Line::new(Subject::class("0", "norte", "chat"), &counts(300.0, 0.0, 40.0)),
-        Line::new(Subject::nodo("nodo-7", 1_767_225_600_000), &counts(3.1, 3.1, 0.0)),
+        Line::new(
+            Subject::class("0", "norte", "chat"),
+            &counts(300.0, 0.0, 40.0),
+        ),
+        Line::new(
+            Subject::nodo("nodo-7", 1_767_225_600_000),
+            &counts(3.1, 3.1, 0.0),
+        ),
         Line::new(Subject::region("0", "litoral"), &counts(1e6, 1e6, 0.0)),
     ]
 }
--- a/crates/fabric/src/fabric.rs
+++ b/crates/fabric/src/fabric.rs
@@ -68,7 +68,9 @@
 
     pub fn direction(&self, from: Party, to: Party) -> watch::Receiver<Direction> {
         let mut ways = lock(&self.ways);
-        ways.entry((from, to)).or_insert_with(|| watch::Sender::new(Direction::default())).subscribe()
+        ways.entry((from, to))
+            .or_insert_with(|| watch::Sender::new(Direction::default()))
+            .subscribe()
     }
 
     /// The party whose address this is.
@@ -78,7 +80,9 @@
 
     pub fn up(&self, party: Party) -> watch::Receiver<bool> {
         let mut up = lock(&self.up);
-        up.entry(party).or_insert_with(|| watch::Sender::new(true)).subscribe()
+        up.entry(party)
+            .or_insert_with(|| watch::Sender::new(true))
+            .subscribe()
     }
 }
 
@@ -106,7 +110,11 @@
             stand: Mutex::default(),
             next: AtomicU64::new(0),
         };
-        Self { inner: Arc::new(inner), relays: Mutex::default(), known: Mutex::default() }
+        Self {
+            inner: Arc::new(inner),
+            relays: Mutex::default(),
+            known: Mutex::default(),
+        }
     }
 
     /// The address of its own on which a party listens to those that reach another one through it. Linux routes
@@ -121,7 +129,8 @@
         if let Some(known) = lock(&self.known).get(&(from, to, target)) {
             return Ok(*known);
         }
-        let (address, relay) = tcp::relay(self.inner.clone(), Self::address(from), from, to, target)?;
+        let (address, relay) =
+            tcp::relay(self.inner.clone(), Self::address(from), from, to, target)?;
         lock(&self.relays).spawn(relay);
         lock(&self.known).insert((from, to, target), address);
         Ok(address)
@@ -135,7 +144,8 @@
         (other, there): (Party, SocketAddr),
     ) -> io::Result<(SocketAddr, SocketAddr)> {
         let ips = (Self::address(one), Self::address(other));
-        let (addresses, relay) = udp::relay(self.inner.clone(), ips, (one, at), (other, there)).await?;
+        let (addresses, relay) =
+            udp::relay(self.inner.clone(), ips, (one, at), (other, there)).await?;
         lock(&self.relays).spawn(relay);
         Ok(addresses)
     }
@@ -157,7 +167,9 @@
     /// What is wrong one way, from now on. What is under way already keeps the time that it was given.
     pub fn set(&self, from: Party, to: Party, way: Way) {
         let mut ways = lock(&self.inner.ways);
-        let direction = ways.entry((from, to)).or_insert_with(|| watch::Sender::new(Direction::default()));
+        let direction = ways
+            .entry((from, to))
+            .or_insert_with(|| watch::Sender::new(Direction::default()));
         direction.send_if_modified(|direction| {
             let changed = direction.way != way;
             direction.way = way;
@@ -173,7 +185,9 @@
     /// Resets all streams that `from` has to `to`.
     pub fn reset(&self, from: Party, to: Party) {
         let ways = lock(&self.inner.ways);
-        ways.get(&(from, to)).iter().for_each(|way| way.send_modify(|direction| direction.resets += 1));
+        ways.get(&(from, to))
+            .iter()
+            .for_each(|way| way.send_modify(|direction| direction.resets += 1));
     }
 
     /// Whether a party's process runs. While it does not, new streams to it are refused, as its machine would:
--- a/crates/fabric/src/hub.rs
+++ b/crates/fabric/src/hub.rs
@@ -40,7 +40,13 @@
     }))
 }
 
-async fn streams(inner: Arc<Inner>, first: TcpListener, address: SocketAddr, to: Party, target: SocketAddr) {
+async fn streams(
+    inner: Arc<Inner>,
+    first: TcpListener,
+    address: SocketAddr,
+    to: Party,
+    target: SocketAddr,
+) {
     let (mut listener, mut open, mut up) = (Some(first), JoinSet::new(), inner.up(to));
     loop {
         if !*up.borrow_and_update() {
@@ -69,16 +75,24 @@
 async fn datagrams(inner: Arc<Inner>, socket: UdpSocket, to: Party, target: SocketAddr) {
     let socket = Arc::new(socket);
     let mut ways: HashMap<Party, (watch::Receiver<Direction>, Datagrams)> = HashMap::new();
-    let (mut buffer, mut passes) = (vec![0; LONGEST], Passes::new(inner.clone(), socket.clone(), target));
+    let (mut buffer, mut passes) = (
+        vec![0; LONGEST],
+        Passes::new(inner.clone(), socket.clone(), target),
+    );
     loop {
         let received = tokio::select! {
             received = socket.recv_from(&mut buffer) => received,
             () = passes.one_is_out() => continue,
         };
-        let Ok((length, peer)) = received else { continue };
-        let Some(from) = inner.stands_at(peer.ip()) else { continue };
-        let (direction, shape) =
-            ways.entry(from).or_insert_with(|| (inner.direction(from, to), Datagrams::default()));
+        let Ok((length, peer)) = received else {
+            continue;
+        };
+        let Some(from) = inner.stands_at(peer.ip()) else {
+            continue;
+        };
+        let (direction, shape) = ways
+            .entry(from)
+            .or_insert_with(|| (inner.direction(from, to), Datagrams::default()));
         let way = direction.borrow().way.clone();
         passes.pass(&way, shape, &buffer[..length]).await;
     }
--- a/crates/fabric/src/shape.rs
+++ b/crates/fabric/src/shape.rs
@@ -32,7 +32,15 @@
 impl Default for Way {
     fn default() -> Self {
         let (delay, jitter) = (Duration::ZERO, Duration::ZERO);
-        Self { delay, jitter, loss: 0.0, doubled: 0.0, overtaken: 0.0, rate: 0, cut: false }
+        Self {
+            delay,
+            jitter,
+            loss: 0.0,
+            doubled: 0.0,
+            overtaken: 0.0,
+            rate: 0,
+            cut: false,
+        }
     }
 }
 
@@ -51,7 +59,11 @@
 impl Way {
     /// Refuses what makes no sense.
     pub fn check(&self) -> Result<(), WayError> {
-        let parts = [("loss", self.loss), ("doubled", self.doubled), ("overtaken", self.overtaken)];
+        let parts = [
+            ("loss", self.loss),
+            ("doubled", self.doubled),
+            ("overtaken", self.overtaken),
+        ];
         for (name, part) in parts {
             if !(0.0..=1.0).contains(&part) {
                 return Err(WayError(format!("`{name}` is {part}, not from 0 to 1")));
@@ -78,7 +90,8 @@
         if self.rate == 0 {
             return now;
         }
-        let takes = (bytes as u128 * 1_000_000_000 / u128::from(self.rate)).min(u128::from(u64::MAX / 4));
+        let takes =
+            (bytes as u128 * 1_000_000_000 / u128::from(self.rate)).min(u128::from(u64::MAX / 4));
         *free = (*free).max(now).saturating_add(takes as u64);
         *free
     }
@@ -100,7 +113,10 @@
     pub fn release(&mut self, now: u64, bytes: usize, way: &Way, rng: &mut impl Rng) -> u64 {
         let sent = way.through(now, &mut self.free, bytes);
         let again = if hits(rng, way.loss) { SENT_AGAIN } else { 0 };
-        self.last = self.last.max(sent.saturating_add(way.under_way(rng)).saturating_add(again));
+        self.last = self.last.max(
+            sent.saturating_add(way.under_way(rng))
+                .saturating_add(again),
+        );
         self.last
     }
 }
@@ -119,7 +135,13 @@
 
 impl Datagrams {
     /// When a datagram that is sent now comes out: never, once or twice.
-    pub fn fate(&mut self, now: u64, bytes: usize, way: &Way, rng: &mut impl Rng) -> [Option<u64>; 2] {
+    pub fn fate(
+        &mut self,
+        now: u64,
+        bytes: usize,
+        way: &Way,
+        rng: &mut impl Rng,
+    ) -> [Option<u64>; 2] {
         // All draws are made for each, so that one fault does not change what another hits.
         let (lost, doubled) = (hits(rng, way.loss), hits(rng, way.doubled));
         let overtaken = hits(rng, way.overtaken);
@@ -130,6 +152,9 @@
         let sent = way.through(now, &mut self.free, bytes);
         // What is overtaken takes its time once more, and a millisecond where there is none to take.
         let late = if overtaken { second.max(1_000_000) } else { 0 };
-        [Some(sent + first + late), doubled.then_some(sent + first.max(second))]
+        [
+            Some(sent + first + late),
+            doubled.then_some(sent + first.max(second)),
+        ]
     }
 }
--- a/crates/fabric/src/tcp.rs
+++ b/crates/fabric/src/tcp.rs
@@ -71,7 +71,12 @@
 
 impl Pair {
     pub fn new(inner: Arc<Inner>, from: Party, to: Party, target: SocketAddr) -> Self {
-        Self { there: inner.direction(from, to), back: inner.direction(to, from), target, inner }
+        Self {
+            there: inner.direction(from, to),
+            back: inner.direction(to, from),
+            target,
+            inner,
+        }
     }
 
     /// A stream that was taken whatever the ways are: it goes on once neither is cut.
@@ -93,7 +98,12 @@
         self.there.borrow().way.cut || self.back.borrow().way.cut
     }
 
-    async fn run(mut self, listener: TcpListener, address: SocketAddr, mut up: watch::Receiver<bool>) {
+    async fn run(
+        mut self,
+        listener: TcpListener,
+        address: SocketAddr,
+        mut up: watch::Receiver<bool>,
+    ) {
         let (mut listener, mut streams) = (Some(listener), JoinSet::new());
         // Streams that keep the queue full while nothing may come up.
         let mut stoppers: Vec<TcpStream> = Vec::new();
@@ -222,7 +232,14 @@
 impl Forward {
     fn new(inner: Arc<Inner>, direction: watch::Receiver<Direction>, number: u64) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(inner.seed ^ number);
-        Self { inner, direction, shape: Stream::default(), rng, queue: VecDeque::new(), held: 0 }
+        Self {
+            inner,
+            direction,
+            shape: Stream::default(),
+            rng,
+            queue: VecDeque::new(),
+            held: 0,
+        }
     }
 
     async fn run(&mut self, from: &TcpStream, to: &TcpStream) -> io::Result<()> {
@@ -260,7 +277,10 @@
                 Next::Read(Err(error)) => ended = Some(Err(error)),
                 Next::Read(Ok(0)) => ended = Some(Ok(())),
                 Next::Read(Ok(read)) => {
-                    self.inner.tally.bytes.fetch_add(read as u64, Ordering::Relaxed);
+                    self.inner
+                        .tally
+                        .bytes
+                        .fetch_add(read as u64, Ordering::Relaxed);
                     let piece = buffer.split().freeze();
                     // As it is now: it may have changed while this waited for the piece.
                     let way = self.direction.borrow().way.clone();
@@ -268,12 +288,16 @@
                         write_all(to, piece).await?;
                         continue;
                     }
-                    let due = self.shape.release(self.inner.now(), read, &way, &mut self.rng);
+                    let due = self
+                        .shape
+                        .release(self.inner.now(), read, &way, &mut self.rng);
                     self.held += read;
                     self.queue.push_back((due, piece));
                 }
                 Next::Due => {
-                    let Some((_, piece)) = self.queue.pop_front() else { continue };
+                    let Some((_, piece)) = self.queue.pop_front() else {
+                        continue;
+                    };
                     self.held -= piece.len();
                     write_all(to, piece).await?;
                 }
--- a/crates/fabric/src/udp.rs
+++ b/crates/fabric/src/udp.rs
@@ -23,12 +23,21 @@
     ips: (IpAddr, IpAddr),
     (one, at): (Party, SocketAddr),
     (other, there): (Party, SocketAddr),
-) -> io::Result<((SocketAddr, SocketAddr), impl Future<Output = ()> + Send + 'static)> {
+) -> io::Result<(
+    (SocketAddr, SocketAddr),
+    impl Future<Output = ()> + Send + 'static,
+)> {
     // What comes in at the one's socket goes out by the other's, so that each hears from where it sends to.
     let for_one = Arc::new(UdpSocket::bind(SocketAddr::new(ips.0, 0)).await?);
     let for_other = Arc::new(UdpSocket::bind(SocketAddr::new(ips.1, 0)).await?);
     let addresses = (for_one.local_addr()?, for_other.local_addr()?);
-    let to = forward(inner.clone(), (one, at), for_one.clone(), for_other.clone(), (other, there));
+    let to = forward(
+        inner.clone(),
+        (one, at),
+        for_one.clone(),
+        for_other.clone(),
+        (other, there),
+    );
     let fro = forward(inner, (other, there), for_other, for_one, (one, at));
     Ok((addresses, async move {
         tokio::join!(to, fro);
@@ -50,7 +59,9 @@
             () = passes.one_is_out() => continue,
         };
         // An error tells of an earlier datagram that nobody took. What is not the sender's is not its word.
-        let Ok((length, peer)) = received else { continue };
+        let Ok((length, peer)) = received else {
+            continue;
+        };
         if peer == sender {
             let way = direction.borrow().way.clone();
             passes.pass(&way, &mut shape, &buffer[..length]).await;
@@ -71,7 +82,13 @@
     /// To a target, by a socket.
     pub fn new(inner: Arc<Inner>, output: Arc<UdpSocket>, target: SocketAddr) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(inner.seed ^ inner.number());
-        Self { inner, output, target, rng, under_way: JoinSet::new() }
+        Self {
+            inner,
+            output,
+            target,
+            rng,
+            under_way: JoinSet::new(),
+        }
     }
 
     /// One that was under way is out. Never returns while none is.
@@ -83,7 +100,12 @@
 
     /// Sends one on as its way has it: at once, later, twice or never.
     pub async fn pass(&mut self, way: &Way, shape: &mut Datagrams, datagram: &[u8]) {
-        let Self { inner, output, target, .. } = self;
+        let Self {
+            inner,
+            output,
+            target,
+            ..
+        } = self;
         let fate = shape.fate(inner.now(), datagram.len(), way, &mut self.rng);
         if fate[0].is_none() || self.under_way.len() >= WINDOW {
             inner.tally.lost.fetch_add(1, Ordering::Relaxed);
--- a/crates/fabric/tests/shape.rs
+++ b/crates/fabric/tests/shape.rs
@@ -8,16 +8,21 @@
 use woadstall_fabric::shape::{Datagrams, Stream};
 
 fn way() -> impl Strategy<Value = Way> {
-    (0u64..50, 0u64..50, 0.0..1.0f64, 0u64..5_000_000, any::<bool>()).prop_map(
-        |(delay, jitter, loss, rate, cut)| Way {
+    (
+        0u64..50,
+        0u64..50,
+        0.0..1.0f64,
+        0u64..5_000_000,
+        any::<bool>(),
+    )
+        .prop_map(|(delay, jitter, loss, rate, cut)| Way {
             delay: Duration::from_millis(delay),
             jitter: Duration::from_millis(jitter),
             loss,
             rate,
             cut,
             ..Way::default()
-        },
-    )
+        })
 }
 
 proptest! {
@@ -52,8 +57,13 @@
 #[test]
 fn datagrams_fare_as_the_way_says() {
     const SENT: u32 = 20_000;
-    let way =
-        Way { loss: 0.1, doubled: 0.05, overtaken: 0.2, delay: Duration::from_millis(3), ..Way::default() };
+    let way = Way {
+        loss: 0.1,
+        doubled: 0.05,
+        overtaken: 0.2,
+        delay: Duration::from_millis(3),
+        ..Way::default()
+    };
     let (mut datagrams, mut rng) = (Datagrams::default(), ChaCha8Rng::seed_from_u64(7));
     let (mut lost, mut doubled, mut late) = (0, 0, 0);
     for sent in 0..SENT {
@@ -73,22 +83,42 @@
         ("overtaken", late, arrived, 0.2),
     ] {
         let deviation = (of * part * (1.0 - part)).sqrt();
-        assert!((f64::from(seen) - of * part).abs() < 4.0 * deviation, "{what}: {seen} of {of}");
+        assert!(
+            (f64::from(seen) - of * part).abs() < 4.0 * deviation,
+            "{what}: {seen} of {of}"
+        );
     }
 }
 
 #[test]
 fn a_rate_holds_over_many_pieces() {
-    let way = Way { rate: 1_000_000, ..Way::default() };
+    let way = Way {
+        rate: 1_000_000,
+        ..Way::default()
+    };
     let (mut stream, mut rng) = (Stream::default(), ChaCha8Rng::seed_from_u64(1));
-    let last = (0..100).map(|_| stream.release(0, 10_000, &way, &mut rng)).last();
+    let last = (0..100)
+        .map(|_| stream.release(0, 10_000, &way, &mut rng))
+        .last();
     assert_eq!(last, Some(1_000_000_000));
 }
 
 #[test]
 fn unsound_ways_are_refused_by_field() {
-    let wrong = Way { loss: 1.5, ..Way::default() }.check().unwrap_err();
+    let wrong = Way {
+        loss: 1.5,
+        ..Way::default()
+    }
+    .check()
+    .unwrap_err();
     assert!(wrong.to_string().contains("`loss`"), "{wrong}");
-    assert!(Way { delay: Duration::from_secs(61), ..Way::default() }.check().is_err());
+    assert!(
+        Way {
+            delay: Duration::from_secs(61),
+            ..Way::default()
+        }
+        .check()
+        .is_err()
+    );
     assert!(Way::default().check().is_ok());
 }
--- a/crates/fabric/tests/sockets.rs
+++ b/crates/fabric/tests/sockets.rs
@@ -14,7 +14,10 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn cut() -> Way {
-    Way { cut: true, ..Way::default() }
+    Way {
+        cut: true,
+        ..Way::default()
+    }
 }
 
 async fn listener() -> (TcpListener, SocketAddr) {
@@ -26,13 +29,19 @@
 /// A pair of ends that are connected through a relay.
 async fn ends(listener: &TcpListener, through: SocketAddr) -> (TcpStream, TcpStream) {
     let near = TcpStream::connect(through).await.unwrap();
-    let (far, _) = timeout(PATIENCE, listener.accept()).await.expect("a stream").unwrap();
+    let (far, _) = timeout(PATIENCE, listener.accept())
+        .await
+        .expect("a stream")
+        .unwrap();
     (near, far)
 }
 
 async fn read(stream: &mut TcpStream, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
-    timeout(PATIENCE, stream.read_exact(&mut bytes)).await.expect("bytes").unwrap();
+    timeout(PATIENCE, stream.read_exact(&mut bytes))
+        .await
+        .expect("bytes")
+        .unwrap();
     bytes
 }
 
@@ -63,7 +72,11 @@
     for (near, far) in &mut all {
         assert_eq!(read(near, 256).await, numbers(100, 64));
         let nothing = far.try_read(&mut [0; 16]).map_err(|error| error.kind());
-        assert_eq!(nothing, Err(std::io::ErrorKind::WouldBlock), "something came over the cut");
+        assert_eq!(
+            nothing,
+            Err(std::io::ErrorKind::WouldBlock),
+            "something came over the cut"
+        );
     }
     for (near, _) in &mut all {
         near.write_all(&numbers(72, 8)).await.unwrap();
@@ -72,8 +85,15 @@
     fabric.set(A, B, Way::default());
     for (_, far) in &mut all {
         let mut rest = Vec::new();
-        timeout(PATIENCE, far.read_to_end(&mut rest)).await.expect("the end").unwrap();
-        assert!(rest == numbers(8, 72), "{} bytes, or not in order", rest.len());
+        timeout(PATIENCE, far.read_to_end(&mut rest))
+            .await
+            .expect("the end")
+            .unwrap();
+        assert!(
+            rest == numbers(8, 72),
+            "{} bytes, or not in order",
+            rest.len()
+        );
     }
     assert_eq!(fabric.counts().streams, 2_000);
 }
@@ -90,7 +110,10 @@
         tokio::time::sleep(Duration::from_millis(100)).await; // the relay's queue is full by then
         let mut tries = JoinSet::new();
         for _ in 0..5 {
-            tries.spawn(timeout(Duration::from_millis(300), TcpStream::connect(through)));
+            tries.spawn(timeout(
+                Duration::from_millis(300),
+                TcpStream::connect(through),
+            ));
         }
         while let Some(tried) = tries.join_next().await {
             assert!(tried.unwrap().is_err(), "it came up, or was refused");
@@ -98,7 +121,13 @@
         let waiting = tokio::spawn(timeout(PATIENCE, TcpStream::connect(through)));
         tokio::time::sleep(Duration::from_millis(50)).await;
         fabric.set(from, to, Way::default());
-        assert!(waiting.await.unwrap().expect("it comes up once healed").is_ok());
+        assert!(
+            waiting
+                .await
+                .unwrap()
+                .expect("it comes up once healed")
+                .is_ok()
+        );
         drop(ends(&listener, through).await);
     }
 }
@@ -138,14 +167,26 @@
     let (mut near, far) = ends(&listener, through).await;
     far.set_zero_linger().unwrap();
     drop(far);
-    let broken = timeout(PATIENCE, near.read(&mut [0; 8])).await.expect("the reset");
+    let broken = timeout(PATIENCE, near.read(&mut [0; 8]))
+        .await
+        .expect("the reset");
     assert!(broken.is_err(), "{broken:?}");
     let (mut near, mut far) = ends(&listener, through).await;
     near.write_all(b"before").await.unwrap();
     assert_eq!(read(&mut far, 6).await, b"before");
     fabric.reset(A, B);
-    assert!(timeout(PATIENCE, near.read(&mut [0; 8])).await.expect("the reset").is_err());
-    assert!(timeout(PATIENCE, far.read(&mut [0; 8])).await.expect("the reset").is_err());
+    assert!(
+        timeout(PATIENCE, near.read(&mut [0; 8]))
+            .await
+            .expect("the reset")
+            .is_err()
+    );
+    assert!(
+        timeout(PATIENCE, far.read(&mut [0; 8]))
+            .await
+            .expect("the reset")
+            .is_err()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -154,8 +195,22 @@
     let fabric = Fabric::new(3);
     let through = fabric.tcp(A, B, target).await.unwrap();
     let (mut near, mut far) = ends(&listener, through).await;
-    fabric.set(A, B, Way { delay: Duration::from_millis(60), ..Way::default() });
-    fabric.set(B, A, Way { rate: 100_000, ..Way::default() });
+    fabric.set(
+        A,
+        B,
+        Way {
+            delay: Duration::from_millis(60),
+            ..Way::default()
+        },
+    );
+    fabric.set(
+        B,
+        A,
+        Way {
+            rate: 100_000,
+            ..Way::default()
+        },
+    );
     let began = Instant::now();
     near.write_all(b"there").await.unwrap();
     read(&mut far, 5).await;
@@ -163,39 +218,72 @@
     let began = Instant::now();
     far.write_all(&[0; 20_000]).await.unwrap();
     read(&mut near, 20_000).await;
-    assert!(began.elapsed() >= Duration::from_millis(195), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() >= Duration::from_millis(195),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 /// Each hears the other from where it sends to, and a cut of one way keeps the other.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn datagrams_go_both_ways_and_over_no_cut() {
-    let (one, other) =
-        (UdpSocket::bind("127.0.0.1:0").await.unwrap(), UdpSocket::bind("127.0.0.1:0").await.unwrap());
+    let (one, other) = (
+        UdpSocket::bind("127.0.0.1:0").await.unwrap(),
+        UdpSocket::bind("127.0.0.1:0").await.unwrap(),
+    );
     let fabric = Fabric::new(3);
-    let (for_one, for_other) =
-        fabric.udp((A, one.local_addr().unwrap()), (B, other.local_addr().unwrap())).await.unwrap();
+    let (for_one, for_other) = fabric
+        .udp(
+            (A, one.local_addr().unwrap()),
+            (B, other.local_addr().unwrap()),
+        )
+        .await
+        .unwrap();
     let mut buffer = [0; 64];
     one.send_to(b"one", for_one).await.unwrap();
-    let (length, from) = timeout(PATIENCE, other.recv_from(&mut buffer)).await.expect("it").unwrap();
+    let (length, from) = timeout(PATIENCE, other.recv_from(&mut buffer))
+        .await
+        .expect("it")
+        .unwrap();
     assert_eq!((&buffer[..length], from), (&b"one"[..], for_other));
     other.send_to(b"other", from).await.unwrap();
-    let (length, from) = timeout(PATIENCE, one.recv_from(&mut buffer)).await.expect("it").unwrap();
+    let (length, from) = timeout(PATIENCE, one.recv_from(&mut buffer))
+        .await
+        .expect("it")
+        .unwrap();
     assert_eq!((&buffer[..length], from), (&b"other"[..], for_one));
     fabric.set(A, B, cut());
     one.send_to(b"lost", for_one).await.unwrap();
     other.send_to(b"not lost", for_other).await.unwrap();
-    let (length, _) = timeout(PATIENCE, one.recv_from(&mut buffer)).await.expect("it").unwrap();
+    let (length, _) = timeout(PATIENCE, one.recv_from(&mut buffer))
+        .await
+        .expect("it")
+        .unwrap();
     assert_eq!(&buffer[..length], b"not lost");
-    fabric.set(A, B, Way { doubled: 1.0, ..Way::default() });
+    fabric.set(
+        A,
+        B,
+        Way {
+            doubled: 1.0,
+            ..Way::default()
+        },
+    );
     one.send_to(b"twice", for_one).await.unwrap();
     for _ in 0..2 {
-        let (length, _) = timeout(PATIENCE, other.recv_from(&mut buffer)).await.expect("it").unwrap();
+        let (length, _) = timeout(PATIENCE, other.recv_from(&mut buffer))
+            .await
+            .expect("it")
+            .unwrap();
         assert_eq!(&buffer[..length], b"twice");
     }
     // A stranger that finds the relay is not taken for the one.
     let stranger = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     stranger.send_to(b"stranger", for_one).await.unwrap();
     one.send_to(b"known", for_one).await.unwrap();
-    let (length, _) = timeout(PATIENCE, other.recv_from(&mut buffer)).await.expect("it").unwrap();
+    let (length, _) = timeout(PATIENCE, other.recv_from(&mut buffer))
+        .await
+        .expect("it")
+        .unwrap();
     assert_eq!(&buffer[..length], b"known");
 }
--- a/crates/handover/src/socket.rs
+++ b/crates/handover/src/socket.rs
@@ -16,7 +16,11 @@
 
 /// The socket of the process that serves at an address.
 pub fn path(folder: &Path, serves_at: SocketAddr) -> PathBuf {
-    folder.join(format!("woadstall-{}-{}.state", serves_at.ip(), serves_at.port()))
+    folder.join(format!(
+        "woadstall-{}-{}.state",
+        serves_at.ip(),
+        serves_at.port()
+    ))
 }
 
 /// Asks the process at a path for what it has learned; `None` if there is none. The error is one line.
@@ -24,22 +28,37 @@
     let failed = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
     let asked = async {
         let mut stream = match UnixStream::connect(path).await {
-            Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::NotFound | ErrorKind::ConnectionRefused
+                ) =>
+            {
                 return Ok(None);
             }
             stream => stream?,
         };
         if !same_user(&stream)? {
-            return Err(io::Error::new(ErrorKind::PermissionDenied, "another user's process listens there"));
+            return Err(io::Error::new(
+                ErrorKind::PermissionDenied,
+                "another user's process listens there",
+            ));
         }
         let mut text = Vec::new();
-        (&mut stream).take(MOST_BYTES as u64 + 1).read_to_end(&mut text).await?;
+        (&mut stream)
+            .take(MOST_BYTES as u64 + 1)
+            .read_to_end(&mut text)
+            .await?;
         Ok(Some(text))
     };
-    let text = timeout(PATIENCE, asked).await.map_err(|_| failed(&"no answer in time"))?;
+    let text = timeout(PATIENCE, asked)
+        .await
+        .map_err(|_| failed(&"no answer in time"))?;
     match text.map_err(|error| failed(&error))? {
         None => Ok(None),
-        Some(text) if text.len() > MOST_BYTES => Err(failed(&format_args!("over {MOST_BYTES} bytes"))),
+        Some(text) if text.len() > MOST_BYTES => {
+            Err(failed(&format_args!("over {MOST_BYTES} bytes")))
+        }
         Some(text) => State::read(&text).map(Some).map_err(|error| failed(&error)),
     }
 }
--- a/crates/handover/src/state.rs
+++ b/crates/handover/src/state.rs
@@ -49,13 +49,23 @@
 
 impl From<LearnedLatency> for Latency {
     fn from(told: LearnedLatency) -> Self {
-        Self { mean: told.mean, deviation: told.dev, calm: told.calm, calls: told.calls }
+        Self {
+            mean: told.mean,
+            deviation: told.dev,
+            calm: told.calm,
+            calls: told.calls,
+        }
     }
 }
 
 impl From<Latency> for LearnedLatency {
     fn from(told: Latency) -> Self {
-        Self { mean: told.mean, dev: told.deviation, calm: told.calm, calls: told.calls }
+        Self {
+            mean: told.mean,
+            dev: told.deviation,
+            calm: told.calm,
+            calls: told.calls,
+        }
     }
 }
 
@@ -68,8 +78,22 @@
     ) -> Self {
         let classes = learned.classes.iter();
         let upstreams = learned.servers.iter().filter_map(|told| {
-            let LearnedServer { server, started, slowness, opens, open_for } = *told;
-            Some((upstream(server)?, Upstream { started, slowness, opens, open_for }))
+            let LearnedServer {
+                server,
+                started,
+                slowness,
+                opens,
+                open_for,
+            } = *told;
+            Some((
+                upstream(server)?,
+                Upstream {
+                    started,
+                    slowness,
+                    opens,
+                    open_for,
+                },
+            ))
         });
         Self {
             version: VERSION,
@@ -92,8 +116,19 @@
         upstream: impl Fn(&str) -> Option<ServerId>,
     ) -> Learned {
         let upstreams = self.upstreams.iter().filter_map(|(name, told)| {
-            let Upstream { started, slowness, opens, open_for } = *told;
-            Some(LearnedServer { server: upstream(name)?, started, slowness, opens, open_for })
+            let Upstream {
+                started,
+                slowness,
+                opens,
+                open_for,
+            } = *told;
+            Some(LearnedServer {
+                server: upstream(name)?,
+                started,
+                slowness,
+                opens,
+                open_for,
+            })
         });
         Learned {
             classes: self
@@ -124,7 +159,9 @@
         let error = |error: &dyn std::fmt::Display| format!("state: {error}");
         let Version { version } = serde_json::from_slice(text).map_err(|e| error(&e))?;
         if version != VERSION {
-            return Err(error(&format_args!("`version` is {version}, and only {VERSION} can be read")));
+            return Err(error(&format_args!(
+                "`version` is {version}, and only {VERSION} can be read"
+            )));
         }
         let mut text = serde_json::Deserializer::from_slice(text);
         let state: Self = serde_path_to_error::deserialize(&mut text).map_err(|e| error(&e))?;
@@ -133,17 +170,34 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let latencies = self.classes.iter().map(|(name, told)| (format!("classes.{name}"), told));
-        let latencies = latencies.chain([("overall".to_owned(), &self.overall)]).flat_map(|(name, told)| {
-            [("mean", told.mean), ("deviation", told.deviation), ("calm", told.calm)]
+        let latencies = self
+            .classes
+            .iter()
+            .map(|(name, told)| (format!("classes.{name}"), told));
+        let latencies = latencies
+            .chain([("overall".to_owned(), &self.overall)])
+            .flat_map(|(name, told)| {
+                [
+                    ("mean", told.mean),
+                    ("deviation", told.deviation),
+                    ("calm", told.calm),
+                ]
                 .map(|(field, figure)| (format!("{name}.{field}"), figure))
-        });
-        let slowness =
-            self.upstreams.iter().map(|(name, told)| (format!("upstreams.{name}.slowness"), told.slowness));
-        let rest = [("rate", self.rate), ("answers", self.answers), ("held", self.held)];
+            });
+        let slowness = self
+            .upstreams
+            .iter()
+            .map(|(name, told)| (format!("upstreams.{name}.slowness"), told.slowness));
+        let rest = [
+            ("rate", self.rate),
+            ("answers", self.answers),
+            ("held", self.held),
+        ];
         let rest = rest.map(|(field, figure)| (field.to_owned(), figure));
         let mut figures = latencies.chain(slowness).chain(rest);
-        if let Some((field, figure)) = figures.find(|(_, figure)| !(figure.is_finite() && *figure >= 0.0)) {
+        if let Some((field, figure)) =
+            figures.find(|(_, figure)| !(figure.is_finite() && *figure >= 0.0))
+        {
             return Err(format!("`{field}` is {figure}"));
         }
         match self.failing {
@@ -159,7 +213,12 @@
     use proptest::prelude::*;
 
     fn learned() -> Learned {
-        let latency = LearnedLatency { mean: 2e8, dev: 5e7, calm: 1.5e8, calls: 40 };
+        let latency = LearnedLatency {
+            mean: 2e8,
+            dev: 5e7,
+            calm: 1.5e8,
+            calls: 40,
+        };
         let server = |server, open_for| LearnedServer {
             server: ServerId(server),
             started: Some(7),
@@ -190,25 +249,49 @@
         let back = read.learned(|name| (name == "pay").then_some(7), upstream);
         let told = learned();
         assert_eq!(back.classes, [(7, told.classes[1].1)]);
-        assert_eq!(back.servers, [LearnedServer { server: ServerId(5), ..told.servers[1] }]);
-        assert_eq!((back.rate, back.answers, back.held, back.failing), (12.5, 30.0, 11.0, 0.25));
+        assert_eq!(
+            back.servers,
+            [LearnedServer {
+                server: ServerId(5),
+                ..told.servers[1]
+            }]
+        );
+        assert_eq!(
+            (back.rate, back.answers, back.held, back.failing),
+            (12.5, 30.0, 11.0, 0.25)
+        );
     }
 
     #[test]
     fn what_is_wrong_is_named_and_nothing_is_used() {
         let text = String::from_utf8(state().write()).unwrap();
         let cases = [
-            (text.replace("\"version\":1", "\"version\":2"), "`version` is 2"),
+            (
+                text.replace("\"version\":1", "\"version\":2"),
+                "`version` is 2",
+            ),
             (text.replace("\"rate\":12.5", "\"rate\":-1"), "`rate` is -1"),
-            (text.replace("\"failing\":0.25", "\"failing\":2"), "`failing` is 2"),
-            (text.replace("\"slowness\":1.5", "\"slowness\":\"slow\""), "upstreams.s-1.slowness"),
-            (text.replace("\"mean\":200000000.0", "\"mean\":-1"), "classes.look.mean"),
+            (
+                text.replace("\"failing\":0.25", "\"failing\":2"),
+                "`failing` is 2",
+            ),
+            (
+                text.replace("\"slowness\":1.5", "\"slowness\":\"slow\""),
+                "upstreams.s-1.slowness",
+            ),
+            (
+                text.replace("\"mean\":200000000.0", "\"mean\":-1"),
+                "classes.look.mean",
+            ),
             (text[..text.len() / 2].to_owned(), "EOF"),
             (String::new(), "EOF"),
         ];
         for (text, what) in cases {
             let error = State::read(text.as_bytes()).expect_err(what);
-            assert!(error.contains(what) && error.lines().count() == 1, "{error}");
+            assert!(
+                error.contains(what) && error.lines().count() == 1,
+                "{error}"
+            );
         }
     }
 
--- a/crates/handover/tests/golden.rs
+++ b/crates/handover/tests/golden.rs
@@ -13,17 +13,52 @@
 fn learned() -> Learned {
     Learned {
         classes: vec![
-            (0, LearnedLatency { mean: 2e8, dev: 5e7, calm: 1.5e8, calls: 40 }),
-            (1, LearnedLatency { mean: 0.0, dev: 0.0, calm: 0.0, calls: 0 }),
-            (2, LearnedLatency { mean: 123456789.125, dev: 1e-7, calm: 1e21, calls: u32::MAX }),
+            (
+                0,
+                LearnedLatency {
+                    mean: 2e8,
+                    dev: 5e7,
+                    calm: 1.5e8,
+                    calls: 40,
+                },
+            ),
+            (
+                1,
+                LearnedLatency {
+                    mean: 0.0,
+                    dev: 0.0,
+                    calm: 0.0,
+                    calls: 0,
+                },
+            ),
+            (
+                2,
+                LearnedLatency {
+                    mean: 123456789.125,
+                    dev: 1e-7,
+                    calm: 1e21,
+                    calls: u32::MAX,
+                },
+            ),
         ],
-        overall: LearnedLatency { mean: 1e8, dev: 2.5e7, calm: 9e7, calls: 41 },
+        overall: LearnedLatency {
+            mean: 1e8,
+            dev: 2.5e7,
+            calm: 9e7,
+            calls: 41,
+        },
         rate: 12.5,
         answers: 30.0,
         held: 11.25,
         failing: 0.25,
         servers: vec![
-            LearnedServer { server: ServerId(1), started: None, slowness: 1.0, opens: 0, open_for: None },
+            LearnedServer {
+                server: ServerId(1),
+                started: None,
+                slowness: 1.0,
+                opens: 0,
+                open_for: None,
+            },
             LearnedServer {
                 server: ServerId(2),
                 started: Some(7),
@@ -45,12 +80,19 @@
 const CLASSES: [&str; 3] = ["look", "pay", "post \"é\""];
 
 fn state(learned: &Learned) -> State {
-    State::new(learned, |at| CLASSES.get(at).copied(), |server| Some(format!("s-{}", server.0)))
+    State::new(
+        learned,
+        |at| CLASSES.get(at).copied(),
+        |server| Some(format!("s-{}", server.0)),
+    )
 }
 
 fn back(state: &State) -> Learned {
     let upstream = |name: &str| name.strip_prefix("s-")?.parse().ok().map(ServerId);
-    state.learned(|name| CLASSES.iter().position(|class| *class == name), upstream)
+    state.learned(
+        |name| CLASSES.iter().position(|class| *class == name),
+        upstream,
+    )
 }
 
 #[test]
@@ -64,7 +106,10 @@
 fn the_state_of_a_process_that_has_learned_nothing() {
     let text = String::from_utf8(state(&Learned::default()).write()).unwrap();
     assert_golden("state-empty.json", &text);
-    assert_eq!(back(&State::read(text.as_bytes()).unwrap()), Learned::default());
+    assert_eq!(
+        back(&State::read(text.as_bytes()).unwrap()),
+        Learned::default()
+    );
 }
 
 #[test]
--- a/crates/inbound/src/gate.rs
+++ b/crates/inbound/src/gate.rs
@@ -126,7 +126,9 @@
     /// Whether an answer that is of no use any more stands still, at its upstream or at its caller. One that moves is
     /// passed on: to cut it off would be this side's fault.
     fn is_answer_overdue(&self) -> bool {
-        let Some((until, whole)) = self.answer else { return false };
+        let Some((until, whole)) = self.answer else {
+            return false;
+        };
         let owed = !whole || self.blocked;
         owed && until.elapsed() > ANSWER_GRACE && self.moved.elapsed() > STANDSTILL
     }
@@ -210,10 +212,15 @@
                 return;
             }
         };
-        let named =
-            |name: &'static str| head.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
+        let named = |name: &'static str| {
+            head.headers
+                .iter()
+                .filter(move |h| h.name.eq_ignore_ascii_case(name))
+        };
         let chunked = named("transfer-encoding").next().is_some();
-        let body = named("content-length").next().map(|header| whole_number(header.value));
+        let body = named("content-length")
+            .next()
+            .map(|header| whole_number(header.value));
         (self.both_lengths, self.answered) = (chunked && body.is_some(), false);
         self.head_came = self.came;
         self.answer = None;
@@ -229,7 +236,10 @@
         match self.phase {
             Phase::Head | Phase::Whole => 0,
             Phase::Unbounded => self.ahead.len(),
-            Phase::Passing(left) => self.ahead.len().min(usize::try_from(left).unwrap_or(usize::MAX)),
+            Phase::Passing(left) => self
+                .ahead
+                .len()
+                .min(usize::try_from(left).unwrap_or(usize::MAX)),
         }
     }
 
@@ -254,7 +264,11 @@
 
 fn whole_number(text: &[u8]) -> Option<u64> {
     let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(text).ok().filter(|_| digits)?.parse().ok()
+    std::str::from_utf8(text)
+        .ok()
+        .filter(|_| digits)?
+        .parse()
+        .ok()
 }
 
 /// A socket that hands on no byte of a request before the one in front of it is answered. So the end of a caller
@@ -269,7 +283,13 @@
     /// A gate on a caller's socket, and what will be known of it.
     pub fn new(stream: SharedStream) -> (Self, Arc<Mutex<Seen>>) {
         let seen = Arc::new(Mutex::new(Seen::new()));
-        (Self { stream, seen: seen.clone() }, seen)
+        (
+            Self {
+                stream,
+                seen: seen.clone(),
+            },
+            seen,
+        )
     }
 
     /// Reads more into what has come; `Pending` where there is nothing.
@@ -282,7 +302,8 @@
             let begin = seen.ahead.len();
             seen.ahead.resize(begin + room.min(MOST_HEAD / 2), 0);
             let read = self.stream.read_now(&mut seen.ahead[begin..]);
-            seen.ahead.truncate(begin + read.as_ref().map_or(0, |got| *got));
+            seen.ahead
+                .truncate(begin + read.as_ref().map_or(0, |got| *got));
             match read {
                 Ok(got) => {
                     seen.take_in(got);
@@ -343,7 +364,11 @@
 }
 
 impl AsyncWrite for Gate {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(bytes)])
     }
 
--- a/crates/inbound/src/linger.rs
+++ b/crates/inbound/src/linger.rs
@@ -50,7 +50,10 @@
     pub fn keep(&self, most: usize) {
         let mut open = lock(&self.open);
         while open.tasks.len() > most {
-            open.tasks.pop_first().into_iter().for_each(|(_, oldest)| oldest.abort());
+            open.tasks
+                .pop_first()
+                .into_iter()
+                .for_each(|(_, oldest)| oldest.abort());
         }
         self.closed.notify_one();
     }
--- a/crates/inbound/src/listen.rs
+++ b/crates/inbound/src/listen.rs
@@ -10,7 +10,11 @@
 
 /// Listens where another process of this program may listen too: its successor at an upgrade.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
--- a/crates/inbound/src/room.rs
+++ b/crates/inbound/src/room.rs
@@ -13,7 +13,11 @@
 impl<'a> BodyRoom<'a> {
     /// No room yet, of `most` bytes that all bodies may hold together; `held` counts what they do.
     pub fn new(held: &'a AtomicUsize, most: usize) -> Self {
-        Self { held, bytes: 0, most }
+        Self {
+            held,
+            bytes: 0,
+            most,
+        }
     }
 
     /// What this body has taken.
--- a/crates/instances-net/src/budget.rs
+++ b/crates/instances-net/src/budget.rs
@@ -16,7 +16,10 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { left: MOST as i64, at: 0 }
+        Self {
+            left: MOST as i64,
+            at: 0,
+        }
     }
 }
 
@@ -32,7 +35,9 @@
 
     /// So much was spent. It may be more than there was; then it is paid off first.
     pub fn spend(&mut self, time: Duration) {
-        self.left = self.left.saturating_sub(time.as_nanos().min(MOST.into()) as i64);
+        self.left = self
+            .left
+            .saturating_sub(time.as_nanos().min(MOST.into()) as i64);
     }
 }
 
--- a/crates/instances-net/src/core.rs
+++ b/crates/instances-net/src/core.rs
@@ -26,7 +26,13 @@
 impl Core {
     /// One that begins.
     pub fn new(node: Node, seals: Option<Seals>) -> Self {
-        Self { node, seals, counts: Counts::default(), budget: Budget::default(), turn: 0 }
+        Self {
+            node,
+            seals,
+            counts: Counts::default(),
+            budget: Budget::default(),
+            turn: 0,
+        }
     }
 
     /// Bytes have come, from whomever.
@@ -62,6 +68,11 @@
         let all: Vec<SocketAddr> = self.node.to_look_for(now).map(|card| card.at).collect();
         let from = self.turn.checked_rem(all.len()).unwrap_or(0);
         self.turn = self.turn.wrapping_add(LOOKED_FOR);
-        all.iter().cycle().skip(from).take(LOOKED_FOR.min(all.len())).copied().collect()
+        all.iter()
+            .cycle()
+            .skip(from)
+            .take(LOOKED_FOR.min(all.len()))
+            .copied()
+            .collect()
     }
 }
--- a/crates/instances-net/src/report.rs
+++ b/crates/instances-net/src/report.rs
@@ -150,13 +150,19 @@
     /// Of a member, whose clock began at 0.
     pub fn new(node: &Node, counts: Counts, now: u64) -> Self {
         let (size, sure, tallies) = (node.size(), node.sure(now), node.tallies());
-        let ways = node.cuts(now).into_iter().map(|((from, to), between)| Ways {
-            from: from.to_string(),
-            to: to.to_string(),
-            of: between.of,
-            cut: between.cut,
-        });
-        let mut members: Vec<Row> = node.members(now).map(|seen| Row::new(node, &seen, now)).collect();
+        let ways = node
+            .cuts(now)
+            .into_iter()
+            .map(|((from, to), between)| Ways {
+                from: from.to_string(),
+                to: to.to_string(),
+                of: between.of,
+                cut: between.cut,
+            });
+        let mut members: Vec<Row> = node
+            .members(now)
+            .map(|seen| Row::new(node, &seen, now))
+            .collect();
         members.sort_by(|one, other| one.name.cmp(&other.name));
         Self {
             name: node.me().name.to_string(),
--- a/crates/instances-net/src/setup.rs
+++ b/crates/instances-net/src/setup.rs
@@ -49,34 +49,43 @@
             return Err("`advertise` is missing, and `listen` is all addresses".to_owned());
         }
         match self.advertise {
-            Some(at) if at.ip().is_unspecified() || at.port() == 0 => {
-                Err(format!("`advertise` is no address at which it is found: {at}"))
+            Some(at) if at.ip().is_unspecified() || at.port() == 0 => Err(format!(
+                "`advertise` is no address at which it is found: {at}"
+            )),
+            _ if self.seeds.len() > MOST_SEEDS => {
+                Err(format!("`seeds` has more than {MOST_SEEDS}"))
             }
-            _ if self.seeds.len() > MOST_SEEDS => Err(format!("`seeds` has more than {MOST_SEEDS}")),
             _ => Ok(()),
         }
     }
 
     /// The keys in force, if there are any to be.
     pub fn keys(&self) -> Result<Option<Keys>, String> {
-        let Some(path) = &self.key_file else { return Ok(None) };
+        let Some(path) = &self.key_file else {
+            return Ok(None);
+        };
         let failed = |error: String| format!("`key_file` {}: {error}", path.display());
         let text = read(path).map_err(failed)?;
-        Keys::read(&text).map(Some).map_err(|error| failed(error.to_string()))
+        Keys::read(&text)
+            .map(Some)
+            .map_err(|error| failed(error.to_string()))
     }
 
     /// All seeds, those of the file as well.
     pub fn all_seeds(&self) -> Result<Vec<SocketAddr>, String> {
         let mut seeds = self.seeds.clone();
-        let Some(path) = &self.seeds_file else { return Ok(seeds) };
+        let Some(path) = &self.seeds_file else {
+            return Ok(seeds);
+        };
         let failed = |error: String| format!("`seeds_file` {}: {error}", path.display());
         for (at, line) in read(path).map_err(failed)?.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
             if line.is_empty() {
                 continue;
             }
-            let seed =
-                line.parse().map_err(|_| failed(format!("line {}: not an address with a port", at + 1)))?;
+            let seed = line
+                .parse()
+                .map_err(|_| failed(format!("line {}: not an address with a port", at + 1)))?;
             seeds.push(seed);
         }
         match seeds.len() > MOST_SEEDS {
@@ -89,6 +98,12 @@
 fn read(path: &Path) -> Result<String, String> {
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|error| error.to_string())?;
-    file.take(MOST_BYTES + 1).read_to_string(&mut text).map_err(|error| error.to_string())?;
-    if text.len() as u64 > MOST_BYTES { Err(format!("over {MOST_BYTES} bytes")) } else { Ok(text) }
+    file.take(MOST_BYTES + 1)
+        .read_to_string(&mut text)
+        .map_err(|error| error.to_string())?;
+    if text.len() as u64 > MOST_BYTES {
+        Err(format!("over {MOST_BYTES} bytes"))
+    } else {
+        Ok(text)
+    }
 }
--- a/crates/instances-net/src/shell.rs
+++ b/crates/instances-net/src/shell.rs
@@ -114,7 +114,11 @@
 
 impl Drop for Last {
     fn drop(&mut self) {
-        self.0.ends.send_if_modified(|ends| ends.is_none().then(|| *ends = Some(Leave::Untold)).is_some());
+        self.0.ends.send_if_modified(|ends| {
+            ends.is_none()
+                .then(|| *ends = Some(Leave::Untold))
+                .is_some()
+        });
     }
 }
 
@@ -137,7 +141,11 @@
     datagrams.set_recv_buffer_size(HELD)?;
     datagrams.set_nonblocking(true)?;
     datagrams.bind(&at.into())?;
-    Ok(Sockets { datagrams: datagrams.into(), streams, at })
+    Ok(Sockets {
+        datagrams: datagrams.into(),
+        streams,
+        at,
+    })
 }
 
 impl Instances {
@@ -147,15 +155,29 @@
         setup.check()?;
         let (keys, seeds) = (setup.keys()?, setup.all_seeds()?);
         let sockets = match bind(setup.listen) {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && setup.listen.port() != 0 => None,
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && setup.listen.port() != 0 => {
+                None
+            }
             bound => Some(bound.map_err(|error| format!("`listen` {}: {error}", setup.listen))?),
         };
         let at = sockets.as_ref().map_or(setup.listen, |sockets| sockets.at);
         let chance = || getrandom::u64().map_err(|error| format!("no random numbers: {error}"));
-        let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let life = Life { started, id: chance()? };
+        let started = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as u64;
+        let life = Life {
+            started,
+            id: chance()?,
+        };
         let (name, zone, region) = (setup.name.clone(), setup.zone.clone(), setup.region.clone());
-        let me = Card { name, life, at: setup.advertise.unwrap_or(at), zone, region };
+        let me = Card {
+            name,
+            life,
+            at: setup.advertise.unwrap_or(at),
+            zone,
+            region,
+        };
         let node = Node::new(me, seeds, setup.settings.clone(), chance()?, 0);
         let node = node.map_err(|error| error.to_string())?;
         let shared = Arc::new(Shared {
@@ -168,7 +190,9 @@
             is_bound: AtomicBool::new(sockets.is_some()),
         });
         if setup.insecure {
-            log(format_args!("instances: without a key, any machine that gets here is believed"));
+            log(format_args!(
+                "instances: without a key, any machine that gets here is believed"
+            ));
         }
         let runtime = Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|error| format!("cannot start the runtime: {error}"))?;
@@ -179,7 +203,11 @@
             member.has_ended.send_replace(true);
         });
         spawned.map_err(|error| format!("cannot start a thread: {error}"))?;
-        Ok(Self { _last: Arc::new(Last(shared.clone())), shared, setup: Arc::new(setup) })
+        Ok(Self {
+            _last: Arc::new(Last(shared.clone())),
+            shared,
+            setup: Arc::new(setup),
+        })
     }
 
     /// Where others find it.
@@ -206,7 +234,9 @@
     /// The calls' thread goes on. Once this was said, the member stands still where it is not said for a second: one
     /// whose calls do not move is not well.
     pub fn beat(&self) {
-        self.shared.beat.store(self.shared.now().max(1), Ordering::Relaxed);
+        self.shared
+            .beat
+            .store(self.shared.now().max(1), Ordering::Relaxed);
     }
 
     /// Says something to all, in place of what it said under the key.
@@ -241,7 +271,9 @@
     pub async fn leave(&self) {
         self.shared.ends.send_replace(Some(Leave::Told));
         let mut ended = self.shared.has_ended.subscribe();
-        tokio::time::timeout(4 * LEAVES, ended.wait_for(|ended| *ended)).await.ok();
+        tokio::time::timeout(4 * LEAVES, ended.wait_for(|ended| *ended))
+            .await
+            .ok();
     }
 }
 
@@ -250,7 +282,9 @@
     let sockets = match sockets {
         Some(sockets) => sockets,
         None => {
-            log(format_args!("instances: another process holds {listen}, waiting for it to end"));
+            log(format_args!(
+                "instances: another process holds {listen}, waiting for it to end"
+            ));
             tokio::select! {
                 sockets = bind_later(listen, &log) => sockets,
                 _ = ends.wait_for(|ends| ends.is_some()) => return,
@@ -265,12 +299,22 @@
         Ok(opened) => opened,
         Err(error) => return log(format_args!("instances: `listen` {at}: {error}")),
     };
-    log(format_args!("instances: takes messages at {at}, found at {}", shared.core().node.me().at));
+    log(format_args!(
+        "instances: takes messages at {at}, found at {}",
+        shared.core().node.me().at
+    ));
     let (orders, waiting) = mpsc::channel(WAITING);
     let mut tasks = JoinSet::new();
     tasks.spawn(streams::bring(shared.clone(), waiting, from));
     tasks.spawn(streams::take(shared.clone(), listener));
-    let mut member = Living { shared, datagrams, orders, log, told_at: None, told: 0 };
+    let mut member = Living {
+        shared,
+        datagrams,
+        orders,
+        log,
+        told_at: None,
+        told: 0,
+    };
     let mut buffer = vec![0; LONGEST];
     let mut look = tokio::time::interval(LOOK);
     loop {
@@ -340,7 +384,10 @@
             if let Event::Suspected { name, .. } = &event {
                 // At once: its machine may say that it is gone.
                 let suspect = core.node.suspects().find(|card| card.name == *name);
-                let order = suspect.map(|card| Order { to: card.at, bytes: Vec::new() });
+                let order = suspect.map(|card| Order {
+                    to: card.at,
+                    bytes: Vec::new(),
+                });
                 order.and_then(|order| self.orders.try_send(order).ok());
             }
             say(&self.log, &event, &core.node);
@@ -375,7 +422,12 @@
     fn look_for(&self) {
         let now = self.shared.now();
         for to in self.shared.core().look_for(now) {
-            self.orders.try_send(Order { to, bytes: Vec::new() }).ok();
+            self.orders
+                .try_send(Order {
+                    to,
+                    bytes: Vec::new(),
+                })
+                .ok();
         }
     }
 }
@@ -389,23 +441,42 @@
     };
     match event {
         Event::Joined(card) => {
-            log(format_args!("instances: {} joined, zone {}, at {}", card.name, card.zone, card.at));
+            log(format_args!(
+                "instances: {} joined, zone {}, at {}",
+                card.name, card.zone, card.at
+            ));
         }
-        Event::Back(name) => log(format_args!("instances: {name} is there: it says so itself")),
+        Event::Back(name) => log(format_args!(
+            "instances: {name} is there: it says so itself"
+        )),
         Event::Suspected { name, by: who } => {
-            log(format_args!("instances: {name} suspected: no answer by any way, {}", by(who)));
+            log(format_args!(
+                "instances: {name} suspected: no answer by any way, {}",
+                by(who)
+            ));
         }
         Event::Dead { name, by: who } => {
-            log(format_args!("instances: {name} dead: nobody contradicted, {}", by(who)));
+            log(format_args!(
+                "instances: {name} dead: nobody contradicted, {}",
+                by(who)
+            ));
         }
         Event::Left(name) => log(format_args!("instances: {name} left: it said so")),
         Event::StoodStill(time) => {
-            log(format_args!("instances: stood still for {} ms", time.as_millis()));
+            log(format_args!(
+                "instances: stood still for {} ms",
+                time.as_millis()
+            ));
         }
         Event::NameTwice { name, at } => {
-            log(format_args!("instances: two use the name {name}: at {} and at {}", at[0], at[1]));
+            log(format_args!(
+                "instances: two use the name {name}: at {} and at {}",
+                at[0], at[1]
+            ));
         }
-        Event::CutOff(true) => log(format_args!("instances: cut off from most others, judges nobody")),
+        Event::CutOff(true) => log(format_args!(
+            "instances: cut off from most others, judges nobody"
+        )),
         Event::CutOff(false) => log(format_args!("instances: no longer cut off")),
     }
 }
--- a/crates/instances-net/src/streams.rs
+++ b/crates/instances-net/src/streams.rs
@@ -39,7 +39,9 @@
 pub async fn bring(shared: Arc<Shared>, mut orders: mpsc::Receiver<Order>, from: IpAddr) {
     let (places, mut open) = (Arc::new(Semaphore::new(OUT)), JoinSet::new());
     while let Some(order) = orders.recv().await {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         let shared = shared.clone();
         open.spawn(async move {
             let _place = place;
@@ -55,7 +57,11 @@
 }
 
 async fn one(order: &Order, from: IpAddr) -> io::Result<()> {
-    let socket = if order.to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if order.to.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     if !from.is_unspecified() && from.is_ipv4() == order.to.is_ipv4() {
         socket.bind(SocketAddr::new(from, 0))?;
     }
@@ -63,7 +69,9 @@
     if order.bytes.is_empty() {
         return Ok(());
     }
-    stream.write_all(&(order.bytes.len() as u32).to_be_bytes()).await?;
+    stream
+        .write_all(&(order.bytes.len() as u32).to_be_bytes())
+        .await?;
     stream.write_all(&order.bytes).await?;
     stream.shutdown().await?;
     // Its end from the other side shows that it has read all; a reset would lose what is under way.
@@ -102,7 +110,10 @@
         }
         // Only what has come takes memory, whatever the length says.
         let mut bytes = Vec::new();
-        (&mut stream).take(length as u64).read_to_end(&mut bytes).await?;
+        (&mut stream)
+            .take(length as u64)
+            .read_to_end(&mut bytes)
+            .await?;
         while let Some(wait) = shared.wait() {
             sleep(wait).await;
         }
--- a/crates/instances-net/tests/golden.rs
+++ b/crates/instances-net/tests/golden.rs
@@ -11,7 +11,9 @@
 use woadstall_instances_net::{Instances, Setup};
 
 fn fixture(form: &str) -> String {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(form);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(form);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
@@ -50,14 +52,34 @@
         let streams = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = streams.local_addr().unwrap();
         let datagrams = UdpSocket::bind(at).unwrap();
-        datagrams.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-        let card = Card { name: name("b-1"), life: Life { started: 5, id: 6 }, at, zone: name("sur"), region: None };
-        Self { datagrams, streams, card }
+        datagrams
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
+        let card = Card {
+            name: name("b-1"),
+            life: Life { started: 5, id: 6 },
+            at,
+            zone: name("sur"),
+            region: None,
+        };
+        Self {
+            datagrams,
+            streams,
+            card,
+        }
     }
 
     fn message(&self, body: Body) -> Vec<u8> {
         let (from, news, facts) = (self.card.clone(), Vec::new(), Vec::new());
-        Message { from, incarnation: 0, to: None, body, news, facts }.write()
+        Message {
+            from,
+            incarnation: 0,
+            to: None,
+            body,
+            news,
+            facts,
+        }
+        .write()
     }
 }
 
@@ -65,8 +87,13 @@
 #[test]
 fn datagrams_are_messages() {
     let (peer, member) = (Peer::new(), start(setup()));
-    let ping = Body::Ping { number: 41, origin: None };
-    peer.datagrams.send_to(&peer.message(ping), member.address()).unwrap();
+    let ping = Body::Ping {
+        number: 41,
+        origin: None,
+    };
+    peer.datagrams
+        .send_to(&peer.message(ping), member.address())
+        .unwrap();
     let mut buffer = [0; 65_536];
     let answer = loop {
         let (length, from) = peer.datagrams.recv_from(&mut buffer).unwrap();
@@ -76,7 +103,13 @@
             break message;
         }
     };
-    assert_eq!(answer.body, Body::Ack { number: 41, heard: 41 });
+    assert_eq!(
+        answer.body,
+        Body::Ack {
+            number: 41,
+            heard: 41
+        }
+    );
     assert_eq!(answer.from.name, name("b-0"));
     assert_eq!(answer.to, Some((name("b-1"), Life { started: 5, id: 6 })));
 }
@@ -85,7 +118,9 @@
 #[test]
 fn streams_out_hold_lengths_and_messages() {
     let (peer, member) = (Peer::new(), start(setup()));
-    peer.datagrams.send_to(&peer.message(Body::Ask), member.address()).unwrap();
+    peer.datagrams
+        .send_to(&peer.message(Body::Ask), member.address())
+        .unwrap();
     let all = loop {
         let (mut stream, _) = peer.streams.accept().unwrap();
         let mut all = Vec::new();
@@ -98,7 +133,13 @@
     let (length, bytes) = all.split_first_chunk::<4>().unwrap();
     assert_eq!(u32::from_be_bytes(*length) as usize, bytes.len());
     let message = Message::read(bytes, 256).unwrap();
-    assert_eq!(message.body, Body::Parts { parts: (0..64).collect(), again: false });
+    assert_eq!(
+        message.body,
+        Body::Parts {
+            parts: (0..64).collect(),
+            again: false
+        }
+    );
     assert_eq!(message.news.len(), 2);
 }
 
@@ -109,12 +150,18 @@
     let mut stream = TcpStream::connect(member.address()).unwrap();
     for body in [Body::News, Body::Ask] {
         let message = peer.message(body);
-        stream.write_all(&(message.len() as u32).to_be_bytes()).unwrap();
+        stream
+            .write_all(&(message.len() as u32).to_be_bytes())
+            .unwrap();
         stream.write_all(&message).unwrap();
     }
     let began = Instant::now();
     while member.report().came < 2 {
-        assert!(began.elapsed() < Duration::from_secs(10), "{:?}", member.report());
+        assert!(
+            began.elapsed() < Duration::from_secs(10),
+            "{:?}",
+            member.report()
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(member.report().members[0].name, "b-1");
@@ -131,27 +178,72 @@
         Some(path)
     };
     let address = |text: &str| -> SocketAddr { text.parse().unwrap() };
-    let seeds = |count: u16| (1..=count).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
-    let keyed = |key_file| Setup { insecure: false, key_file, ..setup() };
+    let seeds = |count: u16| {
+        (1..=count)
+            .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+            .collect()
+    };
+    let keyed = |key_file| Setup {
+        insecure: false,
+        key_file,
+        ..setup()
+    };
     let wrong = [
-        Setup { insecure: false, ..setup() },
-        Setup { insecure: true, ..keyed(file("key", "")) },
-        Setup { listen: address("0.0.0.0:7946"), ..setup() },
-        Setup { advertise: Some(address("0.0.0.0:7946")), ..setup() },
-        Setup { advertise: Some(address("127.0.0.1:0")), ..setup() },
-        Setup { seeds: seeds(65), ..setup() },
-        Setup { settings: Settings { datagram: 1, ..Settings::default() }, ..setup() },
+        Setup {
+            insecure: false,
+            ..setup()
+        },
+        Setup {
+            insecure: true,
+            ..keyed(file("key", ""))
+        },
+        Setup {
+            listen: address("0.0.0.0:7946"),
+            ..setup()
+        },
+        Setup {
+            advertise: Some(address("0.0.0.0:7946")),
+            ..setup()
+        },
+        Setup {
+            advertise: Some(address("127.0.0.1:0")),
+            ..setup()
+        },
+        Setup {
+            seeds: seeds(65),
+            ..setup()
+        },
+        Setup {
+            settings: Settings {
+                datagram: 1,
+                ..Settings::default()
+            },
+            ..setup()
+        },
         keyed(file("no-key", "# none\n")),
         keyed(file("bad-key", "\nxyz\n")),
         keyed(file("long-key", &"# remark\n".repeat(8_000))),
         keyed(Some(folder.path().join("absent"))),
-        Setup { seeds_file: file("bad-seeds", "127.0.0.1:1 # one\n\n127.0.0.1\n"), ..setup() },
-        Setup { seeds: seeds(64), seeds_file: file("more-seeds", "127.0.0.1:1000\n"), ..setup() },
+        Setup {
+            seeds_file: file("bad-seeds", "127.0.0.1:1 # one\n\n127.0.0.1\n"),
+            ..setup()
+        },
+        Setup {
+            seeds: seeds(64),
+            seeds_file: file("more-seeds", "127.0.0.1:1000\n"),
+            ..setup()
+        },
     ];
     let line = |wrong: &Setup| {
-        let error = wrong.check().and_then(|()| wrong.keys().map(|_| ())).and_then(|()| wrong.all_seeds().map(|_| ()));
+        let error = wrong
+            .check()
+            .and_then(|()| wrong.keys().map(|_| ()))
+            .and_then(|()| wrong.all_seeds().map(|_| ()));
         let error = error.unwrap_err().to_string();
-        format!("{}\n", error.replace(&folder.path().display().to_string(), "FOLDER"))
+        format!(
+            "{}\n",
+            error.replace(&folder.path().display().to_string(), "FOLDER")
+        )
     };
     let lines: String = wrong.iter().map(line).collect();
     assert_eq!(lines, fixture("setups-at-fault.txt"));
--- a/crates/instances-net/tests/sockets.rs
+++ b/crates/instances-net/tests/sockets.rs
@@ -39,7 +39,11 @@
 
 fn sees(by: &Instances, name: &str) -> Option<String> {
     let report = by.report();
-    report.members.into_iter().find(|row| row.name == name).map(|row| row.state)
+    report
+        .members
+        .into_iter()
+        .find(|row| row.name == name)
+        .map(|row| row.state)
 }
 
 fn key(folder: &Path, text: &str) -> std::path::PathBuf {
@@ -55,23 +59,41 @@
     let folder = tempfile::tempdir().unwrap();
     let key = key(folder.path(), KEY);
     let first = start(setup("b-0", &key, &[]));
-    let others: Vec<Instances> =
-        (1..5).map(|at| start(setup(&format!("b-{at}"), &key, &[first.address()]))).collect();
-    until("all find each other", || others.iter().chain([&first]).all(|one| one.report().least == 5));
-    first.say(Name::new("load").unwrap(), 9, b"17".to_vec()).unwrap();
+    let others: Vec<Instances> = (1..5)
+        .map(|at| start(setup(&format!("b-{at}"), &key, &[first.address()])))
+        .collect();
+    until("all find each other", || {
+        others
+            .iter()
+            .chain([&first])
+            .all(|one| one.report().least == 5)
+    });
+    first
+        .say(Name::new("load").unwrap(), 9, b"17".to_vec())
+        .unwrap();
     let told = |one: &Instances| {
         let (owner, key) = (Name::new("b-0").unwrap(), Name::new("load").unwrap());
-        one.look(|node, _| node.fact(&owner, &key).is_some_and(|fact| fact.bytes == b"17"))
+        one.look(|node, _| {
+            node.fact(&owner, &key)
+                .is_some_and(|fact| fact.bytes == b"17")
+        })
     };
     until("a fact is told", || others.iter().all(told));
     let mut others = others.into_iter();
     let (gone, leaves) = (others.next().unwrap(), others.next().unwrap());
     let left: Vec<Instances> = others.collect();
     drop(gone);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .build()
+        .unwrap();
     runtime.block_on(leaves.leave());
     for (name, state) in [("b-1", "dead"), ("b-2", "left")] {
-        until(name, || left.iter().chain([&first]).all(|one| sees(one, name).as_deref() == Some(state)));
+        until(name, || {
+            left.iter()
+                .chain([&first])
+                .all(|one| sees(one, name).as_deref() == Some(state))
+        });
     }
 }
 
@@ -83,8 +105,14 @@
     let (one, stranger_folder) = (start(setup("b-0", &key, &[])), tempfile::tempdir().unwrap());
     let stranger_key = self::key(stranger_folder.path(), OTHER);
     let other = start(setup("b-1", &key, &[one.address()]));
-    let stranger = start(setup("b-9", &stranger_key, &[one.address(), other.address()]));
-    until("two of a key find each other", || one.report().least == 2 && other.report().least == 2);
+    let stranger = start(setup(
+        "b-9",
+        &stranger_key,
+        &[one.address(), other.address()],
+    ));
+    until("two of a key find each other", || {
+        one.report().least == 2 && other.report().least == 2
+    });
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let began = Instant::now();
     let mut datagram = [1_u8; 1_000];
@@ -108,10 +136,20 @@
     let mut all: Vec<Instances> = Vec::new();
     for (at, folder) in folders.iter().enumerate() {
         let seeds: Vec<SocketAddr> = all.first().iter().map(|first| first.address()).collect();
-        all.push(start(setup(&format!("b-{at}"), &key(folder.path(), KEY), &seeds)));
+        all.push(start(setup(
+            &format!("b-{at}"),
+            &key(folder.path(), KEY),
+            &seeds,
+        )));
     }
-    until("all find each other", || all.iter().all(|one| one.report().least == 3));
-    let steps = [format!("{KEY}\n{OTHER}\n"), format!("{OTHER}\n{KEY}\n"), format!("# new\n{OTHER}\n")];
+    until("all find each other", || {
+        all.iter().all(|one| one.report().least == 3)
+    });
+    let steps = [
+        format!("{KEY}\n{OTHER}\n"),
+        format!("{OTHER}\n{KEY}\n"),
+        format!("# new\n{OTHER}\n"),
+    ];
     for keys in steps {
         for (one, folder) in all.iter().zip(&folders) {
             key(folder.path(), &keys);
@@ -119,13 +157,21 @@
         }
         let came: Vec<u64> = all.iter().map(|one| one.report().came).collect();
         until("they hear each other", || {
-            all.iter().zip(&came).all(|(one, came)| one.report().came > came + 3)
+            all.iter()
+                .zip(&came)
+                .all(|(one, came)| one.report().came > came + 3)
         });
-        assert!(all.iter().all(|one| one.report().least == 3 && one.report().counts.other_key == 0));
+        assert!(
+            all.iter()
+                .all(|one| one.report().least == 3 && one.report().counts.other_key == 0)
+        );
     }
     key(folders[0].path(), "not a key");
     let error = all[0].reload().unwrap_err();
-    assert!(error.contains("`key_file`") && error.contains("line 1"), "{error}");
+    assert!(
+        error.contains("`key_file`") && error.contains("line 1"),
+        "{error}"
+    );
     assert!(all[0].report().least == 3);
 }
 
@@ -139,23 +185,44 @@
     let log: Log = Arc::new(move |line| heard.lock().unwrap().push(line.to_string()));
     let before = start(setup("b-0", &key, &[]));
     let other = start(setup("b-1", &key, &[before.address()]));
-    until("the predecessor is there", || sees(&other, "b-0").as_deref() == Some("alive"));
+    until("the predecessor is there", || {
+        sees(&other, "b-0").as_deref() == Some("alive")
+    });
     // A life begins with a millisecond, and the next is to be told from it by that.
     let started = other.report().members[0].started_ms;
-    let now = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
+    let now = || {
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_millis()
+    };
     until("a millisecond is over", || now() > started.into());
     let mut next = setup("b-0", &key, &[other.address()]);
     next.listen = before.address();
     let next = Instances::start(next, log).unwrap();
-    until("it waits", || lines.lock().unwrap().iter().any(|line| line.contains("another process holds")));
+    until("it waits", || {
+        lines
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|line| line.contains("another process holds"))
+    });
     assert!(!next.is_bound());
-    until("the predecessor is still there", || sees(&other, "b-0").as_deref() == Some("alive"));
+    until("the predecessor is still there", || {
+        sees(&other, "b-0").as_deref() == Some("alive")
+    });
     drop(before);
     until("it takes its place", || next.is_bound());
-    until("it is known", || other.report().members[0].started_ms > started);
+    until("it is known", || {
+        other.report().members[0].started_ms > started
+    });
     next.beat();
-    until("a hung one is suspected", || sees(&other, "b-0").as_deref() != Some("alive"));
-    until("it is told that it stood still", || next.report().counts.held_back > 0);
+    until("a hung one is suspected", || {
+        sees(&other, "b-0").as_deref() != Some("alive")
+    });
+    until("it is told that it stood still", || {
+        next.report().counts.held_back > 0
+    });
     let began = Instant::now();
     until("it is back", || {
         next.beat();
--- a/crates/instances-seal/src/keys.rs
+++ b/crates/instances-seal/src/keys.rs
@@ -53,7 +53,11 @@
             }
             keys.push(key);
         }
-        if keys.is_empty() { Err(KeyError("key file: no key in it".to_owned())) } else { Ok(Self(keys)) }
+        if keys.is_empty() {
+            Err(KeyError("key file: no key in it".to_owned()))
+        } else {
+            Ok(Self(keys))
+        }
     }
 
     /// The one that seals.
@@ -67,8 +71,15 @@
 }
 
 fn hexadecimal(text: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> =
-        text.chars().map(|digit| digit.to_digit(16).map(|digit| digit as u8)).collect();
+    let digits: Option<Vec<u8>> = text
+        .chars()
+        .map(|digit| digit.to_digit(16).map(|digit| digit as u8))
+        .collect();
     let digits = digits.filter(|digits| digits.len().is_multiple_of(2))?;
-    Some(digits.chunks_exact(2).map(|pair| pair[0] << 4 | pair[1]).collect())
+    Some(
+        digits
+            .chunks_exact(2)
+            .map(|pair| pair[0] << 4 | pair[1])
+            .collect(),
+    )
 }
--- a/crates/instances-seal/src/lib.rs
+++ b/crates/instances-seal/src/lib.rs
@@ -61,7 +61,12 @@
 impl Seals {
     /// For a life that was drawn at its start.
     pub fn new(keys: Keys, life: u64) -> Self {
-        Self { keys, life, number: 0, windows: Windows::default() }
+        Self {
+            keys,
+            life,
+            number: 0,
+            windows: Windows::default(),
+        }
     }
 
     /// Other keys from now on; what was had under the former ones is not believed again.
@@ -92,12 +97,17 @@
         }
         let (sealed, seal) = bytes.split_at(bytes.len() - MAC);
         // Compared in a time that does not tell where they differ; before anything within is looked at.
-        let sound = self.keys.all().any(|key| mac(key, sealed).verify_truncated_left(seal).is_ok());
+        let sound = self
+            .keys
+            .all()
+            .any(|key| mac(key, sealed).verify_truncated_left(seal).is_ok());
         if !sound {
             return Err(SealError::Key);
         }
         let number = |from: usize| {
-            sealed[from..from + 8].iter().fold(0_u64, |number, byte| number << 8 | u64::from(*byte))
+            sealed[from..from + 8]
+                .iter()
+                .fold(0_u64, |number, byte| number << 8 | u64::from(*byte))
         };
         let (life, count) = (number(1), number(9));
         match self.windows.is_new(life, count) {
@@ -109,7 +119,8 @@
 
 fn mac(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
     // HMAC takes keys of any length.
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| unreachable!("any length will do"));
+    let mut mac =
+        Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| unreachable!("any length will do"));
     mac.update(bytes);
     mac
 }
--- a/crates/instances-seal/tests/golden.rs
+++ b/crates/instances-seal/tests/golden.rs
@@ -10,7 +10,9 @@
 const LIFE: u64 = 0x0123_4567_89ab_cdef;
 
 fn fixture(form: &str) -> String {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(form);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(form);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
@@ -36,7 +38,11 @@
 #[test]
 fn sealed_messages() {
     let all: Vec<u8> = (0..=255).collect();
-    let messages: [(&str, &[u8]); 3] = [("empty.hex", b""), ("short.hex", b"ping"), ("all-bytes.hex", &all)];
+    let messages: [(&str, &[u8]); 3] = [
+        ("empty.hex", b""),
+        ("short.hex", b"ping"),
+        ("all-bytes.hex", &all),
+    ];
     let (mut sender, mut receiver) = (seals(KEY, LIFE), seals(KEY, 2));
     for (form, message) in messages {
         assert_golden(form, &sender.seal(message));
@@ -59,7 +65,10 @@
 fn sealed_under_a_long_key() {
     let long = "5a".repeat(100);
     assert_golden("long-key.hex", &seals(&long, LIFE).seal(b"ping"));
-    assert_eq!(seals(&long, 2).open(&bytes_of("long-key.hex")), Ok(&b"ping"[..]));
+    assert_eq!(
+        seals(&long, 2).open(&bytes_of("long-key.hex")),
+        Ok(&b"ping"[..])
+    );
 }
 
 #[test]
@@ -71,18 +80,32 @@
     let mut other_key = short.clone();
     *other_key.last_mut().unwrap() ^= 1;
     assert_eq!(receiver.open(&short), Ok(&b"ping"[..]));
-    let errors = [&short[..32], &other_form, &other_key, &short].map(|bytes| receiver.open(bytes).unwrap_err());
-    assert_eq!(errors, [SealError::Short, SealError::Form(2), SealError::Key, SealError::Again]);
+    let errors = [&short[..32], &other_form, &other_key, &short]
+        .map(|bytes| receiver.open(bytes).unwrap_err());
+    assert_eq!(
+        errors,
+        [
+            SealError::Short,
+            SealError::Form(2),
+            SealError::Key,
+            SealError::Again
+        ]
+    );
     let lines: String = errors.iter().map(|error| format!("{error}\n")).collect();
     assert_eq!(lines, fixture("reasons-not-to-believe.txt"));
 }
 
 #[test]
 fn key_files_at_fault() {
-    let many = (0..4).map(|number| format!("{number}{}\n", "0".repeat(31))).collect::<String>();
+    let many = (0..4)
+        .map(|number| format!("{number}{}\n", "0".repeat(31)))
+        .collect::<String>();
     let twice = format!("{KEY}\n{KEY}");
     let files = ["", "\nxyz", "abc", "0011", &twice, &many];
-    let lines: String = files.iter().map(|text| format!("{}\n", Keys::read(text).unwrap_err())).collect();
+    let lines: String = files
+        .iter()
+        .map(|text| format!("{}\n", Keys::read(text).unwrap_err()))
+        .collect();
     assert_eq!(lines, fixture("key-files-at-fault.txt"));
     assert_eq!(format!("{:?}", Keys::read(KEY).unwrap()), "1 keys");
 }
--- a/crates/instances-seal/tests/seals.rs
+++ b/crates/instances-seal/tests/seals.rs
@@ -40,7 +40,10 @@
         ("\nxyz", "line 2: not pairs"),
         ("abc", "line 1: not pairs"),
         ("0011", "a key of 2 bytes"),
-        (&format!("{ONE}\n{ONE}"), "line 2: a key that stands there twice"),
+        (
+            &format!("{ONE}\n{ONE}"),
+            "line 2: a key that stands there twice",
+        ),
     ] {
         let error = Keys::read(text).unwrap_err().to_string();
         assert!(error.contains(part), "{text:?}: {error}");
--- a/crates/instances/src/card.rs
+++ b/crates/instances/src/card.rs
@@ -14,8 +14,13 @@
 
     /// Refuses what is no name.
     pub fn new(text: &str) -> Result<Self, NameError> {
-        let sound = !text.is_empty() && text.len() <= Self::MOST && !text.contains(char::is_whitespace);
-        if sound { Ok(Self(text.into())) } else { Err(NameError) }
+        let sound =
+            !text.is_empty() && text.len() <= Self::MOST && !text.contains(char::is_whitespace);
+        if sound {
+            Ok(Self(text.into()))
+        } else {
+            Err(NameError)
+        }
     }
 
     /// As text.
--- a/crates/instances/src/claim.rs
+++ b/crates/instances/src/claim.rs
@@ -31,12 +31,18 @@
 impl Claim {
     /// Everything is earlier.
     pub fn left(life: Life) -> Self {
-        Self { life, incarnation: u32::MAX, said: Said::Left }
+        Self {
+            life,
+            incarnation: u32::MAX,
+            said: Said::Left,
+        }
     }
 
     /// The incarnation in which the member can contradict this; `None` if it cannot.
     pub fn contradiction(&self) -> Option<u32> {
         // The last is kept for those that left.
-        self.incarnation.checked_add(1).filter(|next| *next < u32::MAX)
+        self.incarnation
+            .checked_add(1)
+            .filter(|next| *next < u32::MAX)
     }
 }
--- a/crates/instances/src/cuts.rs
+++ b/crates/instances/src/cuts.rs
@@ -41,8 +41,12 @@
             return;
         }
         let rows = self.rows(now);
-        let Ok(bytes) = postcard::to_allocvec(&rows) else { return };
-        let was = self.fact(&self.me.name, &key).map(|fact| fact.bytes.as_slice());
+        let Ok(bytes) = postcard::to_allocvec(&rows) else {
+            return;
+        };
+        let was = self
+            .fact(&self.me.name, &key)
+            .map(|fact| fact.bytes.as_slice());
         let is_news = match was {
             Some(was) => was != bytes,
             None => !rows.is_empty(),
@@ -65,7 +69,11 @@
                 *froms = froms.saturating_add(u16::from(from == Way::Cut));
             }
         }
-        let rows = zones.into_iter().map(|(zone, (to, from))| Row { zone: zone.clone(), to, from });
+        let rows = zones.into_iter().map(|(zone, (to, from))| Row {
+            zone: zone.clone(),
+            to,
+            from,
+        });
         let mut rows: Vec<Row> = rows.collect();
         rows.sort_by_key(|row| std::cmp::Reverse(row.to.saturating_add(row.from)));
         let mut room = self.settings.fact_bytes.saturating_sub(4);
@@ -90,9 +98,14 @@
         }
         let mut ways: BTreeMap<(Name, Name), (u64, u64)> = BTreeMap::new();
         let own = self.rows(now);
-        let told = self.facts().filter(|(owner, key, _)| key.as_str() == CUTS && **owner != self.me.name);
+        let told = self
+            .facts()
+            .filter(|(owner, key, _)| key.as_str() == CUTS && **owner != self.me.name);
         let told = told.filter_map(|(owner, _, fact)| {
-            Some((*zone_of.get(owner)?, postcard::from_bytes::<Vec<Row>>(&fact.bytes).ok()?))
+            Some((
+                *zone_of.get(owner)?,
+                postcard::from_bytes::<Vec<Row>>(&fact.bytes).ok()?,
+            ))
         });
         for (zone, rows) in told.chain([(&self.me.zone, own)]) {
             for row in rows {
@@ -103,11 +116,21 @@
         let mut all = BTreeMap::new();
         for (from, there) in &members {
             for (to, here) in &members {
-                let of = if from == to { there * (there - 1) } else { there * here };
+                let of = if from == to {
+                    there * (there - 1)
+                } else {
+                    there * here
+                };
                 let pair = (from.clone(), to.clone());
                 let (to_cut, from_cut) = ways.get(&pair).copied().unwrap_or_default();
                 if of > 0 {
-                    all.insert(pair, Between { of, cut: to_cut.max(from_cut).min(of) });
+                    all.insert(
+                        pair,
+                        Between {
+                            of,
+                            cut: to_cut.max(from_cut).min(of),
+                        },
+                    );
                 }
             }
         }
--- a/crates/instances/src/facts.rs
+++ b/crates/instances/src/facts.rs
@@ -79,7 +79,13 @@
             return Err(FactError::Many);
         }
         self.counter += 1;
-        let fact = Fact { life: me.life, counter: self.counter, priority, said_at: now, bytes };
+        let fact = Fact {
+            life: me.life,
+            counter: self.counter,
+            priority,
+            said_at: now,
+            bytes,
+        };
         self.put(at, fact);
         Ok(())
     }
@@ -102,12 +108,19 @@
 
     fn put(&mut self, key: Key, fact: Fact) {
         let bytes = fact.bytes.len() + key.0.as_str().len() + key.1.as_str().len() + 48;
-        self.spread.tell(key.clone(), key.clone(), bytes, fact.priority);
+        self.spread
+            .tell(key.clone(), key.clone(), bytes, fact.priority);
         self.all.insert(key, fact);
     }
 
     /// Takes what another member passes on; `life` is the owner's, as far as it is known. Whether it was new.
-    pub fn hear(&mut self, now: u64, news: FactNews, life: Option<Life>, settings: &Settings) -> bool {
+    pub fn hear(
+        &mut self,
+        now: u64,
+        news: FactNews,
+        life: Option<Life>,
+        settings: &Settings,
+    ) -> bool {
         // Of one that nobody knows, or of a former life.
         if life != Some(news.life) || news.bytes.len() > settings.fact_bytes {
             self.dropped += u64::from(life.is_some());
@@ -127,14 +140,28 @@
         }
         let said_at = now.saturating_sub(u64::from(news.age_ms) * 1_000_000);
         let (life, counter, priority) = (news.life, news.counter, news.priority);
-        self.put(key, Fact { life, counter, priority, said_at, bytes: news.bytes });
+        self.put(
+            key,
+            Fact {
+                life,
+                counter,
+                priority,
+                said_at,
+                bytes: news.bytes,
+            },
+        );
         true
     }
 
     /// Lets the least important one go, of whoever has most, if there is one that matters less.
     fn make_room(&mut self, not_of: &Name, priority: u8) -> bool {
-        let least = self.all.iter().filter(|((owner, _), fact)| owner != not_of && fact.priority < priority);
-        let least = least.min_by_key(|(_, fact)| (fact.priority, fact.said_at)).map(|(key, _)| key.clone());
+        let least = self
+            .all
+            .iter()
+            .filter(|((owner, _), fact)| owner != not_of && fact.priority < priority);
+        let least = least
+            .min_by_key(|(_, fact)| (fact.priority, fact.said_at))
+            .map(|(key, _)| key.clone());
         let Some(key) = least else { return false };
         self.spread.forget(&key);
         self.dropped += 1;
@@ -154,7 +181,13 @@
     }
 
     /// What goes along in so many bytes, within the rate.
-    pub fn take(&mut self, now: u64, room: usize, times: u32, settings: &Settings) -> Vec<FactNews> {
+    pub fn take(
+        &mut self,
+        now: u64,
+        room: usize,
+        times: u32,
+        settings: &Settings,
+    ) -> Vec<FactNews> {
         let rate = f64::from(settings.fact_rate);
         let passed = now.saturating_sub(self.room.1) as f64 / 1e9;
         self.room = ((self.room.0 + rate * passed).min(SAVED * rate), now);
@@ -166,7 +199,8 @@
 
     fn news(&self, now: u64, key: &Key) -> Option<FactNews> {
         let fact = self.all.get(key)?;
-        let age_ms = u32::try_from(now.saturating_sub(fact.said_at) / 1_000_000).unwrap_or(u32::MAX);
+        let age_ms =
+            u32::try_from(now.saturating_sub(fact.said_at) / 1_000_000).unwrap_or(u32::MAX);
         Some(FactNews {
             owner: key.0.clone(),
             life: fact.life,
@@ -180,12 +214,18 @@
 
     /// All of some owners, for a comparison of whole states.
     pub fn all_of(&self, now: u64, owns: impl Fn(&Name) -> bool) -> Vec<FactNews> {
-        self.all.keys().filter(|(owner, _)| owns(owner)).filter_map(|key| self.news(now, key)).collect()
+        self.all
+            .keys()
+            .filter(|(owner, _)| owns(owner))
+            .filter_map(|key| self.news(now, key))
+            .collect()
     }
 
     /// Owner, key and fact.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &Name, &Fact)> {
-        self.all.iter().map(|((owner, key), fact)| (owner, key, fact))
+        self.all
+            .iter()
+            .map(|((owner, key), fact)| (owner, key, fact))
     }
 
     /// One.
--- a/crates/instances/src/health.rs
+++ b/crates/instances/src/health.rs
@@ -20,7 +20,10 @@
 impl Health {
     /// One that has shown nothing yet; plain, it never doubts itself.
     pub fn new(plain: bool) -> Self {
-        Self { plain, ..Self::default() }
+        Self {
+            plain,
+            ..Self::default()
+        }
     }
 
     /// How many times as long things take: 1 for a member in its full health.
@@ -33,7 +36,11 @@
         if self.plain {
             return;
         }
-        self.score = if worse { (self.score + 1).min(WORST) } else { self.score.saturating_sub(1) };
+        self.score = if worse {
+            (self.score + 1).min(WORST)
+        } else {
+            self.score.saturating_sub(1)
+        };
     }
 
     /// It has stood still until now. It accuses nobody before others had time to tell what happened.
--- a/crates/instances/src/judge.rs
+++ b/crates/instances/src/judge.rs
@@ -37,7 +37,8 @@
         let was = member.claim;
         if news.claim <= was {
             let same = news.claim == was && was.said == Said::Suspect;
-            if let (true, Some(by), Some(suspicion)) = (same, news.by.clone(), member.suspicion.as_mut())
+            if let (true, Some(by), Some(suspicion)) =
+                (same, news.by.clone(), member.suspicion.as_mut())
                 && suspicion.confirm(by)
             {
                 self.tell(news);
@@ -50,8 +51,15 @@
         }
         (member.claim, member.since) = (news.claim, now);
         let (name, by) = (news.card.name.clone(), news.by.clone());
-        let suspicion = (news.claim.said == Said::Suspect)
-            .then(|| Suspicion::new(now, &self.settings, self.fleet(), self.health.times(), by.clone()));
+        let suspicion = (news.claim.said == Said::Suspect).then(|| {
+            Suspicion::new(
+                now,
+                &self.settings,
+                self.fleet(),
+                self.health.times(),
+                by.clone(),
+            )
+        });
         match suspicion.is_some() {
             true => self.suspected.insert(name.clone()),
             false => self.suspected.remove(&name),
@@ -79,7 +87,13 @@
         let mut member = Member::new(news.card.clone(), news.claim, now);
         if news.claim.said == Said::Suspect {
             let (size, times) = (self.fleet(), self.health.times());
-            member.suspicion = Some(Suspicion::new(now, &self.settings, size, times, news.by.clone()));
+            member.suspicion = Some(Suspicion::new(
+                now,
+                &self.settings,
+                size,
+                times,
+                news.by.clone(),
+            ));
             self.suspected.insert(news.card.name.clone());
         }
         if member.counts() {
@@ -118,7 +132,8 @@
                 let (name, at) = (self.me.name.clone(), [self.me.at, news.card.at]);
                 self.event(Event::NameTwice { name, at });
             }
-            if known.is_none_or(|at| now >= at.saturating_add(TWIN_PAUSE)) && self.twins.len() < 64 {
+            if known.is_none_or(|at| now >= at.saturating_add(TWIN_PAUSE)) && self.twins.len() < 64
+            {
                 self.twins.insert(claim.life.id, now);
                 self.overtake(now, news);
                 self.tell_own();
@@ -128,7 +143,12 @@
 
     /// Begins a later life than one that its name is said to have had: after a clock that stepped back.
     fn overtake(&mut self, now: u64, news: &News) {
-        self.me.life.started = news.claim.life.started.saturating_add(1).max(self.me.life.started);
+        self.me.life.started = news
+            .claim
+            .life
+            .started
+            .saturating_add(1)
+            .max(self.me.life.started);
         self.incarnation = 0;
         let me = self.me.clone();
         self.facts.reborn(now, &me);
@@ -150,7 +170,10 @@
         self.lately.clear();
         for name in &self.suspected {
             let member = self.members.get_mut(name);
-            member.and_then(|member| member.suspicion.as_mut()).iter_mut().for_each(|it| it.hold(gap));
+            member
+                .and_then(|member| member.suspicion.as_mut())
+                .iter_mut()
+                .for_each(|it| it.hold(gap));
         }
         // It contradicts before anybody asks, and asks before it accuses.
         if self.incarnation < u32::MAX - 1 {
@@ -165,9 +188,18 @@
         if !self.health.may_accuse(now) || self.is_cut_off() {
             return;
         }
-        let Some(member) = self.members.get(name).filter(|member| member.counts()) else { return };
-        let claim = Claim { said: Said::Suspect, ..member.claim };
-        let news = News { card: member.card.clone(), claim, by: Some(self.me.name.clone()) };
+        let Some(member) = self.members.get(name).filter(|member| member.counts()) else {
+            return;
+        };
+        let claim = Claim {
+            said: Said::Suspect,
+            ..member.claim
+        };
+        let news = News {
+            card: member.card.clone(),
+            claim,
+            by: Some(self.me.name.clone()),
+        };
         self.learn(now, news);
     }
 
@@ -180,7 +212,11 @@
         if self.suspected.is_empty() {
             return;
         }
-        let others = self.members.values().filter(|member| member.counts()).count();
+        let others = self
+            .members
+            .values()
+            .filter(|member| member.counts())
+            .count();
         let silent = |member: &&Member| !member.refused;
         let together = self.suspected().filter(silent).count();
         let doubtful = cut_off || !self.health.may_accuse(now);
@@ -189,27 +225,59 @@
             self.held_at = now;
         }
         // When what held the judgement back is over, those that are suspected have all their time once more.
-        let held = now < self.held_at.saturating_add(self.settings.suspicion.as_nanos() as u64);
+        let held = now
+            < self
+                .held_at
+                .saturating_add(self.settings.suspicion.as_nanos() as u64);
         let due = |member: &&Member| {
-            let over = member.suspicion.as_ref().is_some_and(|suspicion| now >= suspicion.until());
-            over && !doubtful && (member.refused || !held && !member.spoke_since_suspected() || plain)
+            let over = member
+                .suspicion
+                .as_ref()
+                .is_some_and(|suspicion| now >= suspicion.until());
+            over && !doubtful
+                && (member.refused || !held && !member.spoke_since_suspected() || plain)
         };
         let asked = |member: &&Member| {
-            let at = member.suspicion.as_ref().and_then(|suspicion| suspicion.asked_at);
+            let at = member
+                .suspicion
+                .as_ref()
+                .and_then(|suspicion| suspicion.asked_at);
             plain || member.refused || at.is_some_and(|at| now >= at.saturating_add(self.period()))
         };
-        let (over, open): (Vec<&Member>, Vec<&Member>) = self.suspected().filter(due).partition(asked);
-        let over: Vec<(Card, Claim)> =
-            over.iter().map(|member| (member.card.clone(), member.claim)).collect();
-        let first = |member: &&&Member| member.suspicion.as_ref().is_some_and(|it| it.asked_at.is_none());
-        let open: Vec<Card> = open.iter().filter(first).map(|member| member.card.clone()).collect();
+        let (over, open): (Vec<&Member>, Vec<&Member>) =
+            self.suspected().filter(due).partition(asked);
+        let over: Vec<(Card, Claim)> = over
+            .iter()
+            .map(|member| (member.card.clone(), member.claim))
+            .collect();
+        let first = |member: &&&Member| {
+            member
+                .suspicion
+                .as_ref()
+                .is_some_and(|it| it.asked_at.is_none())
+        };
+        let open: Vec<Card> = open
+            .iter()
+            .filter(first)
+            .map(|member| member.card.clone())
+            .collect();
         open.into_iter().for_each(|card| self.ask_last(now, &card));
         if !plain {
             self.tell_suspects(now);
         }
         for (card, claim) in over {
-            let claim = Claim { said: Said::Dead, ..claim };
-            self.learn(now, News { card, claim, by: Some(self.me.name.clone()) });
+            let claim = Claim {
+                said: Said::Dead,
+                ..claim
+            };
+            self.learn(
+                now,
+                News {
+                    card,
+                    claim,
+                    by: Some(self.me.name.clone()),
+                },
+            );
         }
     }
 
@@ -218,39 +286,72 @@
     fn tell_suspects(&mut self, now: u64) {
         let mut cards = Vec::new();
         for name in &self.suspected {
-            let Some(member) = self.members.get_mut(name) else { continue };
-            if member.suspicion.as_mut().is_some_and(|suspicion| suspicion.is_to_be_told(now, TELL_AGAIN)) {
+            let Some(member) = self.members.get_mut(name) else {
+                continue;
+            };
+            if member
+                .suspicion
+                .as_mut()
+                .is_some_and(|suspicion| suspicion.is_to_be_told(now, TELL_AGAIN))
+            {
                 cards.push(member.card.clone());
             }
         }
         for card in cards {
             self.number += 1;
-            self.send(now, &card, Body::Ping { number: self.number, origin: None });
+            self.send(
+                now,
+                &card,
+                Body::Ping {
+                    number: self.number,
+                    origin: None,
+                },
+            );
         }
     }
 
     /// One in a thousand misses the news that a suspicion was contradicted: so the suspected one is asked once more, by
     /// this member and by helpers, and hears what it has to contradict.
     fn ask_last(&mut self, now: u64, card: &Card) {
-        if let Some(suspicion) = self.members.get_mut(&card.name).and_then(|member| member.suspicion.as_mut())
+        if let Some(suspicion) = self
+            .members
+            .get_mut(&card.name)
+            .and_then(|member| member.suspicion.as_mut())
         {
             suspicion.asked_at = Some(now);
         }
         self.number += 1;
         let number = self.number;
-        self.send(now, card, Body::Ping { number, origin: None });
+        self.send(
+            now,
+            card,
+            Body::Ping {
+                number,
+                origin: None,
+            },
+        );
         for helper in self.helpers(now, card) {
-            self.send_about(now, &helper, Body::PingFor { number, target: card.clone() }, Some(&card.name));
+            self.send_about(
+                now,
+                &helper,
+                Body::PingFor {
+                    number,
+                    target: card.clone(),
+                },
+                Some(&card.name),
+            );
         }
     }
 
     /// Forgets those that are long gone, and facts of theirs.
     pub(crate) fn forget(&mut self, now: u64) {
         let remembered = self.settings.remembered.as_nanos() as u64;
-        self.members.retain(|_, member| member.counts() || now < member.since.saturating_add(remembered));
+        self.members
+            .retain(|_, member| member.counts() || now < member.since.saturating_add(remembered));
         let mut facts = std::mem::take(&mut self.facts);
         facts.retain(|owner, life| {
-            self.keeps_facts_of(owner, now) == Some(life) || (owner, life) == (&self.me.name, self.me.life)
+            self.keeps_facts_of(owner, now) == Some(life)
+                || (owner, life) == (&self.me.name, self.me.life)
         });
         self.facts = facts;
     }
@@ -270,18 +371,25 @@
         }
         let well = self.lately.iter().filter(|well| **well).count();
         let enough = self.lately.len() >= LATELY.min(self.members.len().max(2));
-        let alone = !self.members.is_empty() && !self.members.values().any(|member| member.is_alive());
+        let alone =
+            !self.members.is_empty() && !self.members.values().any(|member| member.is_alive());
         alone && well == 0 || enough && well * 4 < self.lately.len()
     }
 
     /// How many there are, this member included.
     fn fleet(&self) -> usize {
-        1 + self.members.values().filter(|member| member.counts()).count()
+        1 + self
+            .members
+            .values()
+            .filter(|member| member.counts())
+            .count()
     }
 
     /// All that are known, the dead and those that left for a while as well, in no order.
     pub fn members(&self, now: u64) -> impl Iterator<Item = Seen<'_>> {
-        self.members.values().map(move |member| self.seen(member, now))
+        self.members
+            .values()
+            .map(move |member| self.seen(member, now))
     }
 
     fn seen<'a>(&self, member: &'a Member, now: u64) -> Seen<'a> {
@@ -294,40 +402,76 @@
             (Said::Suspect, _) if to == Way::Cut && member.spoke_since_suspected() => {
                 State::CutFromMe { to, from }
             }
-            (Said::Suspect, Some(suspicion)) if now >= suspicion.until() => State::UnknownSince(member.since),
+            (Said::Suspect, Some(suspicion)) if now >= suspicion.until() => {
+                State::UnknownSince(member.since)
+            }
             (Said::Suspect, _) => State::Suspect,
             (Said::Alive, _) if to == Way::Cut || from == Way::Cut => State::CutFromMe { to, from },
             (Said::Alive, _) => State::Alive,
         };
-        let suspected_by = member.suspicion.iter().flat_map(|suspicion| suspicion.by()).collect();
+        let suspected_by = member
+            .suspicion
+            .iter()
+            .flat_map(|suspicion| suspicion.by())
+            .collect();
         let (since, found_at) = (member.since, member.found_at);
-        Seen { card: &member.card, state, since, found_at, suspected_by }
+        Seen {
+            card: &member.card,
+            state,
+            since,
+            found_at,
+            suspected_by,
+        }
     }
 
     /// What is known of one.
     pub fn state(&self, name: &Name, now: u64) -> Option<State> {
-        self.members.get(name).map(|member| self.seen(member, now).state)
+        self.members
+            .get(name)
+            .map(|member| self.seen(member, now).state)
     }
 
     /// How much of the fleet is heard at this moment.
     pub fn sure(&self, now: u64) -> Sure {
         let holds = self.holds();
         let part = |own: bool| {
-            let of = self.members.values().filter(|m| m.counts() && (m.card.zone == self.me.zone) == own);
+            let of = self
+                .members
+                .values()
+                .filter(|m| m.counts() && (m.card.zone == self.me.zone) == own);
             let (mut all, mut found) = (0, 0);
             for member in of {
                 all += 1;
-                found += usize::from(member.found_at.is_some_and(|at| now < at.saturating_add(holds)));
+                found += usize::from(
+                    member
+                        .found_at
+                        .is_some_and(|at| now < at.saturating_add(holds)),
+                );
+            }
+            if all == 0 {
+                1.0
+            } else {
+                f64::from(found as u32) / f64::from(all)
             }
-            if all == 0 { 1.0 } else { f64::from(found as u32) / f64::from(all) }
         };
         let cut_off = self.is_cut_off() || !self.health.may_accuse(now);
-        Sure { own_zone: part(true), others: part(false), cut_off }
+        Sure {
+            own_zone: part(true),
+            others: part(false),
+            cut_off,
+        }
     }
 
     /// How large the fleet is.
     pub fn size(&self) -> Size {
-        let least = 1 + self.members.values().filter(|member| member.is_alive()).count();
-        Size { least, most: self.fleet() }
+        let least = 1 + self
+            .members
+            .values()
+            .filter(|member| member.is_alive())
+            .count();
+        Size {
+            least,
+            most: self.fleet(),
+        }
     }
 }
--- a/crates/instances/src/member.rs
+++ b/crates/instances/src/member.rs
@@ -48,8 +48,15 @@
 
     /// What is claimed of it, to be passed on.
     pub fn news(&self) -> News {
-        let by = self.suspicion.as_ref().and_then(|suspicion| suspicion.by().next().cloned());
-        News { card: self.card.clone(), claim: self.claim, by }
+        let by = self
+            .suspicion
+            .as_ref()
+            .and_then(|suspicion| suspicion.by().next().cloned());
+        News {
+            card: self.card.clone(),
+            claim: self.claim,
+            by,
+        }
     }
 
     /// Whether it counts as a part of the fleet: neither dead nor gone.
@@ -59,7 +66,9 @@
 
     /// Whether it has spoken to this member itself since it is suspected: then it is not gone.
     pub fn spoke_since_suspected(&self) -> bool {
-        self.suspicion.as_ref().is_some_and(|suspicion| self.reach.spoke_since(suspicion.began()))
+        self.suspicion
+            .as_ref()
+            .is_some_and(|suspicion| self.reach.spoke_since(suspicion.began()))
     }
 
     /// Whether nothing is said against it.
--- a/crates/instances/src/message.rs
+++ b/crates/instances/src/message.rs
@@ -160,13 +160,18 @@
         if bytes.len() > MOST {
             return Err(MessageError::Form);
         }
-        let (message, rest): (Self, _) = postcard::take_from_bytes(rest).map_err(|_| MessageError::Form)?;
+        let (message, rest): (Self, _) =
+            postcard::take_from_bytes(rest).map_err(|_| MessageError::Form)?;
         let long = message.facts.iter().any(|fact| fact.bytes.len() > facts);
         let parts = match &message.body {
             Body::Sums(sums) => sums.len() == PARTS,
             Body::Parts { parts, .. } => parts.iter().all(|part| usize::from(*part) < PARTS),
             _ => true,
         };
-        if rest.is_empty() && !long && parts { Ok(message) } else { Err(MessageError::Form) }
+        if rest.is_empty() && !long && parts {
+            Ok(message)
+        } else {
+            Err(MessageError::Form)
+        }
     }
 }
--- a/crates/instances/src/node.rs
+++ b/crates/instances/src/node.rs
@@ -222,31 +222,50 @@
     /// Those whose hosts are worth asking whether a process is there: who may be gone and, for a while after a host has
     /// said so of one, who was not heard since. Where many die at once, to probe them one by one takes rounds.
     pub fn to_look_for(&self, now: u64) -> impl Iterator<Item = &Card> {
-        let lately = self.refused_at.is_some_and(|at| now < at.saturating_add(MORE_GONE));
+        let lately = self
+            .refused_at
+            .is_some_and(|at| now < at.saturating_add(MORE_GONE));
         let since = now.saturating_sub(UNHEARD);
         let unheard = move |member: &&Member| {
             lately && member.is_alive() && member.found_at.is_none_or(|found_at| found_at < since)
         };
-        self.suspects().chain(self.members.values().filter(unheard).map(|member| &member.card))
+        self.suspects().chain(
+            self.members
+                .values()
+                .filter(unheard)
+                .map(|member| &member.card),
+        )
     }
 
     pub(crate) fn suspected(&self) -> impl Iterator<Item = &Member> {
-        self.suspected.iter().filter_map(|name| self.members.get(name))
+        self.suspected
+            .iter()
+            .filter_map(|name| self.members.get(name))
     }
 
     /// When it has to be called again, at the latest.
     pub fn wake_at(&self) -> u64 {
         // Often enough that a late turn shows.
-        let mut wake = self.next_probe.min(self.turn + self.settings.stall.as_nanos() as u64 / 2);
+        let mut wake = self
+            .next_probe
+            .min(self.turn + self.settings.stall.as_nanos() as u64 / 2);
         wake = wake.min(self.next_compare);
         if let Some(probe) = &self.probe {
             wake = wake.min(probe.next());
         }
-        wake = self.relays.iter().map(|relay| relay.next()).fold(wake, u64::min);
+        wake = self
+            .relays
+            .iter()
+            .map(|relay| relay.next())
+            .fold(wake, u64::min);
         if !self.spread.is_empty() || self.facts.is_waiting() {
             wake = wake.min(self.next_tell);
         }
-        if self.suspected.is_empty() { wake } else { wake.min(self.next_judge) }
+        if self.suspected.is_empty() {
+            wake
+        } else {
+            wake.min(self.next_judge)
+        }
     }
 
     /// Time has passed.
@@ -295,7 +314,9 @@
     /// Some of those that count, without those to whom the way is known to be cut: what goes along it is told to nobody.
     pub(crate) fn some_that_hear(&mut self, now: u64, most: usize) -> Vec<Card> {
         let (holds, plain) = (self.holds(), self.settings.plain);
-        self.some(most, |member| member.counts() && (plain || member.reach.to(now, holds) != Way::Cut))
+        self.some(most, |member| {
+            member.counts() && (plain || member.reach.to(now, holds) != Way::Cut)
+        })
     }
 
     /// A message has come. `from` is where it came from; what it says of itself counts.
@@ -313,15 +334,24 @@
 
     /// A host has said that no process listens at an address of its own.
     pub fn refused(&mut self, now: u64, at: SocketAddr) {
-        let name = self.members.values().find(|member| member.card.at == at && member.counts());
-        let Some(name) = name.map(|member| member.card.name.clone()) else { return };
+        let name = self
+            .members
+            .values()
+            .find(|member| member.card.at == at && member.counts());
+        let Some(name) = name.map(|member| member.card.name.clone()) else {
+            return;
+        };
         if let Some(member) = self.members.get_mut(&name) {
             member.refused = true;
         }
         self.refused_at = Some(now);
         self.accuse(now, &name);
         let refused = self.settings.refused.as_nanos() as u64;
-        if let Some(suspicion) = self.members.get_mut(&name).and_then(|member| member.suspicion.as_mut()) {
+        if let Some(suspicion) = self
+            .members
+            .get_mut(&name)
+            .and_then(|member| member.suspicion.as_mut())
+        {
             suspicion.hasten(now, refused);
         }
     }
@@ -332,16 +362,27 @@
             return;
         }
         let claim = Claim::left(self.me.life);
-        self.tell(News { card: self.me.clone(), claim, by: None });
+        self.tell(News {
+            card: self.me.clone(),
+            claim,
+            by: None,
+        });
         for to in self.some(3 * TOLD, |member| member.counts()) {
             self.send(now, &to, Body::News);
         }
     }
 
     /// Says something to all, in place of what it said under the key; nothing takes it back.
-    pub fn say(&mut self, now: u64, key: Name, priority: u8, bytes: Vec<u8>) -> Result<(), FactError> {
+    pub fn say(
+        &mut self,
+        now: u64,
+        key: Name,
+        priority: u8,
+        bytes: Vec<u8>,
+    ) -> Result<(), FactError> {
         let me = self.me.clone();
-        self.facts.say(now, &me, key, priority, bytes, &self.settings)?;
+        self.facts
+            .say(now, &me, key, priority, bytes, &self.settings)?;
         if priority >= URGENT {
             self.next_tell = self.next_tell.min(now);
         }
@@ -375,7 +416,11 @@
 
     /// Counts.
     pub fn tallies(&self) -> Tallies {
-        Tallies { facts_dropped: self.facts.dropped(), stalls: self.health.stalls(), ..self.tallies }
+        Tallies {
+            facts_dropped: self.facts.dropped(),
+            stalls: self.health.stalls(),
+            ..self.tallies
+        }
     }
 
     pub(crate) fn period(&self) -> u64 {
@@ -408,7 +453,10 @@
         let looks = if most < size / 4 { 4 * most } else { 0 };
         for _ in 0..looks {
             let at = self.rng.random_range(0..size);
-            let fits = self.members.get_index(at).is_some_and(|(_, member)| is_one(member));
+            let fits = self
+                .members
+                .get_index(at)
+                .is_some_and(|(_, member)| is_one(member));
             if fits && !chosen.contains(&at) {
                 chosen.push(at);
             }
@@ -418,23 +466,42 @@
         }
         if chosen.len() < most {
             chosen = (0..size).filter(|at| is_one(&self.members[*at])).collect();
-            let (some, _) = rand::seq::SliceRandom::partial_shuffle(&mut chosen[..], &mut self.rng, most);
+            let (some, _) =
+                rand::seq::SliceRandom::partial_shuffle(&mut chosen[..], &mut self.rng, most);
             chosen = some.to_vec();
         }
-        chosen.into_iter().map(|at| self.members[at].card.clone()).collect()
+        chosen
+            .into_iter()
+            .map(|at| self.members[at].card.clone())
+            .collect()
     }
 
     /// What this member says of itself.
     pub(crate) fn own_news(&self) -> News {
-        let claim = Claim { life: self.me.life, incarnation: self.incarnation, said: Said::Alive };
-        News { card: self.me.clone(), claim, by: None }
+        let claim = Claim {
+            life: self.me.life,
+            incarnation: self.incarnation,
+            said: Said::Alive,
+        };
+        News {
+            card: self.me.clone(),
+            claim,
+            by: None,
+        }
     }
 
     /// A message that nothing goes along with.
     pub(crate) fn message(&self, to: Option<&Card>, body: Body) -> Message {
         let (from, incarnation) = (self.me.clone(), self.incarnation);
         let to = to.map(|to| (to.name.clone(), to.life));
-        Message { from, incarnation, to, body, news: Vec::new(), facts: Vec::new() }
+        Message {
+            from,
+            incarnation,
+            to,
+            body,
+            news: Vec::new(),
+            facts: Vec::new(),
+        }
     }
 
     /// A message with as much of what is to be told as a datagram holds.
@@ -452,7 +519,9 @@
         // One that is suspected hears of it with whatever comes, so that it can contradict.
         let tells = |member: &&Member| !member.is_alive() && !self.settings.plain;
         let of_it = self.members.get(&to.name).filter(tells);
-        let of_another = about.and_then(|name| self.members.get(name)).filter(|_| !self.settings.plain);
+        let of_another = about
+            .and_then(|name| self.members.get(name))
+            .filter(|_| !self.settings.plain);
         for member in of_it.into_iter().chain(of_another) {
             let news = member.news();
             room = room.saturating_sub(size(&news));
@@ -470,9 +539,15 @@
 
     pub(crate) fn push(&mut self, to: SocketAddr, message: &Message, reliable: bool) {
         let bytes = message.write();
-        (self.tallies.sent, self.tallies.bytes) =
-            (self.tallies.sent + 1, self.tallies.bytes + bytes.len() as u64);
-        self.out.push_back(Out { to, bytes, reliable });
+        (self.tallies.sent, self.tallies.bytes) = (
+            self.tallies.sent + 1,
+            self.tallies.bytes + bytes.len() as u64,
+        );
+        self.out.push_back(Out {
+            to,
+            bytes,
+            reliable,
+        });
     }
 
     /// Asks whoever may know: the members that it had, and else the seeds.
@@ -483,23 +558,62 @@
         }
         if some.is_empty() || !self.was_told {
             let message = self.message(None, Body::Ask);
-            let seeds: Vec<SocketAddr> = self.seeds.iter().copied().filter(|at| *at != self.me.at).collect();
-            seeds.into_iter().for_each(|at| self.push(at, &message, false));
+            let seeds: Vec<SocketAddr> = self
+                .seeds
+                .iter()
+                .copied()
+                .filter(|at| *at != self.me.at)
+                .collect();
+            seeds
+                .into_iter()
+                .for_each(|at| self.push(at, &message, false));
         }
     }
 
     fn take(&mut self, now: u64, message: Message) {
-        let Message { from, incarnation, to, body, news, facts } = message;
+        let Message {
+            from,
+            incarnation,
+            to,
+            body,
+            news,
+            facts,
+        } = message;
         if from.name == self.me.name {
             if from.life != self.me.life {
-                let claim = Claim { life: from.life, incarnation, said: Said::Alive };
-                self.learn(now, News { card: from, claim, by: None });
+                let claim = Claim {
+                    life: from.life,
+                    incarnation,
+                    said: Said::Alive,
+                };
+                self.learn(
+                    now,
+                    News {
+                        card: from,
+                        claim,
+                        by: None,
+                    },
+                );
             }
             return;
         }
-        let claim = Claim { life: from.life, incarnation, said: Said::Alive };
-        self.learn(now, News { card: from.clone(), claim, by: None });
-        let current = self.members.get_mut(&from.name).filter(|member| member.claim.life == from.life);
+        let claim = Claim {
+            life: from.life,
+            incarnation,
+            said: Said::Alive,
+        };
+        self.learn(
+            now,
+            News {
+                card: from.clone(),
+                claim,
+                by: None,
+            },
+        );
+        let current = self
+            .members
+            .get_mut(&from.name)
+            .filter(|member| member.claim.life == from.life);
         if let Some(member) = current {
             member.reach.heard(now);
             member.found_at = Some(now);
@@ -517,7 +631,8 @@
             }
         }
         // What is meant for a former life of this name must not be answered by this one.
-        let mine = to.is_none_or(|(name, life)| (name, life) == (self.me.name.clone(), self.me.life));
+        let mine =
+            to.is_none_or(|(name, life)| (name, life) == (self.me.name.clone(), self.me.life));
         if !mine {
             self.tell(self.own_news());
             return self.send(now, &from, Body::News);
@@ -545,9 +660,11 @@
     /// The ways between this member and another one, as far as that is known: there and back.
     pub fn ways(&self, name: &Name, now: u64) -> (Way, Way) {
         let holds = self.holds();
-        self.members.get(name).map_or((Way::Unknown, Way::Unknown), |member| {
-            (member.reach.to(now, holds), member.reach.from(now, holds))
-        })
+        self.members
+            .get(name)
+            .map_or((Way::Unknown, Way::Unknown), |member| {
+                (member.reach.to(now, holds), member.reach.from(now, holds))
+            })
     }
 
     /// How long what was found of a member holds: three rounds of probes.
--- a/crates/instances/src/probe.rs
+++ b/crates/instances/src/probe.rs
@@ -31,7 +31,11 @@
 
 impl Probe {
     pub(crate) fn next(&self) -> u64 {
-        if self.asked { self.ends_at } else { self.ask_at }
+        if self.asked {
+            self.ends_at
+        } else {
+            self.ask_at
+        }
     }
 }
 
@@ -69,13 +73,21 @@
         }
         let target = loop {
             let Some(name) = self.round.pop() else {
-                self.round =
-                    self.members.values().filter(|m| m.counts()).map(|m| m.card.name.clone()).collect();
+                self.round = self
+                    .members
+                    .values()
+                    .filter(|m| m.counts())
+                    .map(|m| m.card.name.clone())
+                    .collect();
                 self.round.shuffle(&mut self.rng);
                 continue;
             };
             if let Some(member) = self.members.get(&name).filter(|member| member.counts()) {
-                break (member.card.clone(), member.is_alive(), member.reach.is_doubtful());
+                break (
+                    member.card.clone(),
+                    member.is_alive(),
+                    member.reach.is_doubtful(),
+                );
             }
         };
         self.number += 1;
@@ -91,8 +103,19 @@
             no_answers: 0,
             sound: target.1,
         });
-        for _ in 0..if target.2 && !self.settings.plain { IN_DOUBT } else { 1 } {
-            self.send(now, &target.0, Body::Ping { number: self.number, origin: None });
+        for _ in 0..if target.2 && !self.settings.plain {
+            IN_DOUBT
+        } else {
+            1
+        } {
+            self.send(
+                now,
+                &target.0,
+                Body::Ping {
+                    number: self.number,
+                    origin: None,
+                },
+            );
         }
     }
 
@@ -108,11 +131,21 @@
         // Once more itself: of two losses in a row a fleet that loses a tenth has a fifth as many as of one, and each
         // suspicion goes out to all.
         if !self.settings.plain {
-            self.send(now, &target, Body::Ping { number, origin: None });
+            self.send(
+                now,
+                &target,
+                Body::Ping {
+                    number,
+                    origin: None,
+                },
+            );
         }
         let helpers = self.helpers(now, &target);
         for helper in &helpers {
-            let body = Body::PingFor { number, target: target.clone() };
+            let body = Body::PingFor {
+                number,
+                target: target.clone(),
+            };
             self.send_about(now, helper, body, Some(&target.name));
         }
         if let Some(probe) = &mut self.probe {
@@ -133,10 +166,14 @@
             !plain && (to == Way::Cut || from == Way::Cut)
         };
         let known = self.members.get(name);
-        let doubtful = known.is_some_and(|member| is_cut(member) || member.reach.is_doubtful() && !plain);
-        let found_by = known.and_then(|member| member.found_by.clone()).or_else(|| self.got_through.clone());
-        let mut all =
-            self.some(usize::MAX, |member| member.is_alive() && member.card.name != *name && !is_cut(member));
+        let doubtful =
+            known.is_some_and(|member| is_cut(member) || member.reach.is_doubtful() && !plain);
+        let found_by = known
+            .and_then(|member| member.found_by.clone())
+            .or_else(|| self.got_through.clone());
+        let mut all = self.some(usize::MAX, |member| {
+            member.is_alive() && member.card.name != *name && !is_cut(member)
+        });
         if !plain {
             // Those that were heard themselves come first: the others may be beyond the same cut. Those that were asked in
             // vain lately come last, so that whoever finds others is come upon within a few.
@@ -152,10 +189,11 @@
             chosen.push(all.swap_remove(at));
         }
         let (own, theirs) = (self.me.zone.clone(), target.zone.clone());
-        let wanted: [&dyn Fn(&Card) -> bool; 3] =
-            [&|card| card.zone == theirs, &|card| card.zone != own && card.zone != theirs, &|card| {
-                card.zone == own
-            }];
+        let wanted: [&dyn Fn(&Card) -> bool; 3] = [
+            &|card| card.zone == theirs,
+            &|card| card.zone != own && card.zone != theirs,
+            &|card| card.zone == own,
+        ];
         let order = if doubtful { [1, 1, 1] } else { [0, 1, 2] };
         for wanted in order.map(|at: usize| wanted[at]) {
             if let Some(at) = all.iter().position(wanted).filter(|_| chosen.len() < most) {
@@ -173,7 +211,9 @@
 
     /// A probe has had no answer by any way.
     fn end_probe(&mut self, now: u64) {
-        let Some(probe) = self.probe.take() else { return };
+        let Some(probe) = self.probe.take() else {
+            return;
+        };
         // Where no helper said anything at all, it is this member's own ways that fail. Where one did, those that were
         // silent may be gone as well: half a fleet that dies at once must not make the other half slow to find it.
         if probe.no_answers == 0 {
@@ -185,7 +225,9 @@
         let (plain, holds) = (self.settings.plain, self.holds());
         let round = self.round();
         let member = self.members.get_mut(&probe.target.name);
-        let Some(member) = member.filter(|member| member.claim.life == probe.target.life) else { return };
+        let Some(member) = member.filter(|member| member.claim.life == probe.target.life) else {
+            return;
+        };
         // One that speaks and is never found hears nothing from here. With two zones alone nobody else finds both sides
         // of such a cut, so that its own words have to name it. What it said before the last probe shows nothing.
         let speaks = !plain && member.reach.spoke_since(probe.began.saturating_sub(round));
@@ -207,7 +249,9 @@
 
     /// Its target was found.
     fn found(&mut self, now: u64) {
-        let Some(probe) = self.probe.take() else { return };
+        let Some(probe) = self.probe.take() else {
+            return;
+        };
         self.health.shows(false);
         self.ended(true);
         if let Some(member) = self.members.get_mut(&probe.target.name) {
@@ -220,26 +264,50 @@
             if let Some(member) = self.members.get_mut(&from.name) {
                 member.reach.heard_number = member.reach.heard_number.max(number);
             }
-            return self.send(now, from, Body::Ack { number, heard: number });
+            return self.send(
+                now,
+                from,
+                Body::Ack {
+                    number,
+                    heard: number,
+                },
+            );
         };
-        let heard = self.members.get(&origin.card.name).filter(|m| m.claim.life == origin.card.life);
+        let heard = self
+            .members
+            .get(&origin.card.name)
+            .filter(|m| m.claim.life == origin.card.life);
         let heard = heard.map_or(0, |member| member.reach.heard_number);
         self.send(now, from, Body::Ack { number, heard });
         // Also by the straight way back: if that arrives, only the way here is cut.
         if origin.card.name != self.me.name && !self.settings.plain {
-            self.send(now, &origin.card, Body::Ack { number: origin.number, heard });
+            self.send(
+                now,
+                &origin.card,
+                Body::Ack {
+                    number: origin.number,
+                    heard,
+                },
+            );
         }
     }
 
     pub(crate) fn acked(&mut self, now: u64, from: &Card, number: u64, heard: u64) {
-        if let Some(at) =
-            self.relays.iter().position(|relay| relay.number == number && relay.target == from.name)
+        if let Some(at) = self
+            .relays
+            .iter()
+            .position(|relay| relay.number == number && relay.target == from.name)
         {
             let relay = self.relays.swap_remove(at);
-            let body = Body::Relayed { number: relay.origin_number, heard };
+            let body = Body::Relayed {
+                number: relay.origin_number,
+                heard,
+            };
             return self.send_about(now, &relay.origin, body, Some(&relay.target));
         }
-        let Some(probe) = self.probe.as_ref().filter(|probe| probe.number == number) else { return };
+        let Some(probe) = self.probe.as_ref().filter(|probe| probe.number == number) else {
+            return;
+        };
         if probe.target.name != from.name || probe.target.life != from.life {
             return;
         }
@@ -255,7 +323,9 @@
     }
 
     pub(crate) fn relayed(&mut self, now: u64, by: &Card, number: u64, heard: u64) {
-        let Some(probe) = self.probe.as_ref().filter(|probe| probe.number == number) else { return };
+        let Some(probe) = self.probe.as_ref().filter(|probe| probe.number == number) else {
+            return;
+        };
         let name = probe.target.name.clone();
         self.got_through = Some(by.name.clone());
         if let Some(helper) = self.members.get_mut(&by.name) {
@@ -292,17 +362,40 @@
         self.number += 1;
         let number = self.number;
         let ends_at = now + self.settings.patience.as_nanos() as u64;
-        let asked_for = Origin { card: origin.clone(), number: origin_number };
-        self.relays.push(Relay { origin, origin_number, target: target.name.clone(), number, ends_at });
-        self.send(now, &target, Body::Ping { number, origin: Some(asked_for) });
+        let asked_for = Origin {
+            card: origin.clone(),
+            number: origin_number,
+        };
+        self.relays.push(Relay {
+            origin,
+            origin_number,
+            target: target.name.clone(),
+            number,
+            ends_at,
+        });
+        self.send(
+            now,
+            &target,
+            Body::Ping {
+                number,
+                origin: Some(asked_for),
+            },
+        );
     }
 
     pub(crate) fn relays_end(&mut self, now: u64) {
-        let (over, going): (Vec<Relay>, Vec<Relay>) =
-            std::mem::take(&mut self.relays).into_iter().partition(|relay| now >= relay.ends_at);
+        let (over, going): (Vec<Relay>, Vec<Relay>) = std::mem::take(&mut self.relays)
+            .into_iter()
+            .partition(|relay| now >= relay.ends_at);
         self.relays = going;
         for relay in over {
-            self.send(now, &relay.origin, Body::NoAnswer { number: relay.origin_number });
+            self.send(
+                now,
+                &relay.origin,
+                Body::NoAnswer {
+                    number: relay.origin_number,
+                },
+            );
         }
     }
 }
--- a/crates/instances/src/reach.rs
+++ b/crates/instances/src/reach.rs
@@ -35,7 +35,8 @@
 
     /// The other has answered a probe itself, so both ways work.
     pub fn answered(&mut self, now: u64) {
-        (self.to, self.from, self.roundabout) = (Some((Way::Works, now)), Some((Way::Works, now)), 0);
+        (self.to, self.from, self.roundabout) =
+            (Some((Way::Works, now)), Some((Way::Works, now)), 0);
     }
 
     /// The other is there, as another member found, but has not answered this member's probe `number` itself; the last
@@ -54,7 +55,9 @@
         }
         // What came lately of itself shows that the way back works; otherwise its answer was lost on it, if the
         // probe got there, and nothing is known if it did not.
-        let lately = self.from.is_some_and(|(way, at)| way == Way::Works && now < at.saturating_add(period));
+        let lately = self
+            .from
+            .is_some_and(|(way, at)| way == Way::Works && now < at.saturating_add(period));
         if got_there && !lately {
             self.from = Some((Way::Cut, now));
         }
@@ -63,7 +66,8 @@
 
     /// Whether something came from the other itself since a time.
     pub fn spoke_since(&self, since: u64) -> bool {
-        self.from.is_some_and(|(way, at)| way == Way::Works && at >= since)
+        self.from
+            .is_some_and(|(way, at)| way == Way::Works && at >= since)
     }
 
     /// Whether the last answer came by way of others only.
@@ -82,6 +86,7 @@
     }
 
     fn lately(way: Option<(Way, u64)>, now: u64, holds: u64) -> Way {
-        way.filter(|(_, at)| now < at.saturating_add(holds)).map_or(Way::Unknown, |(way, _)| way)
+        way.filter(|(_, at)| now < at.saturating_add(holds))
+            .map_or(Way::Unknown, |(way, _)| way)
     }
 }
--- a/crates/instances/src/spread.rs
+++ b/crates/instances/src/spread.rs
@@ -28,7 +28,11 @@
 
 impl<K, V> Default for Spread<K, V> {
     fn default() -> Self {
-        Self { queue: BTreeMap::new(), places: BTreeMap::new(), next: 0 }
+        Self {
+            queue: BTreeMap::new(),
+            places: BTreeMap::new(),
+            next: 0,
+        }
     }
 }
 
@@ -51,7 +55,9 @@
 
     /// Whether something of at least this urgency waits.
     pub fn is_urgent(&self, least: u8) -> bool {
-        self.queue.first_key_value().is_some_and(|((Reverse(urgent), _, _), _)| *urgent >= least)
+        self.queue
+            .first_key_value()
+            .is_some_and(|((Reverse(urgent), _, _), _)| *urgent >= least)
     }
 
     /// Whether nothing waits.
@@ -75,7 +81,9 @@
         }
         let mut taken = Vec::with_capacity(chosen.len());
         for place in chosen {
-            let Some(piece) = self.queue.remove(&place) else { continue };
+            let Some(piece) = self.queue.remove(&place) else {
+                continue;
+            };
             taken.push(piece.news.clone());
             let next = (place.0, place.1 + 1, place.2);
             if next.1 >= times {
--- a/crates/instances/src/state.rs
+++ b/crates/instances/src/state.rs
@@ -41,7 +41,10 @@
             add(name, hash((name.as_str(), member.claim)));
         }
         for (owner, key, fact) in self.facts.iter() {
-            add(owner, hash((owner.as_str(), key.as_str(), fact.life, fact.counter)));
+            add(
+                owner,
+                hash((owner.as_str(), key.as_str(), fact.life, fact.counter)),
+            );
         }
         sums
     }
@@ -77,9 +80,17 @@
     }
 
     /// Sends all that it holds in some parts, in as many messages as that takes.
-    pub(crate) fn send_parts(&mut self, now: u64, to: &Card, wanted: impl Fn(u8) -> bool, again: bool) {
-        let mut parts: BTreeMap<u8, Vec<News>> =
-            (0..PARTS as u8).filter(|part| wanted(*part)).map(|part| (part, Vec::new())).collect();
+    pub(crate) fn send_parts(
+        &mut self,
+        now: u64,
+        to: &Card,
+        wanted: impl Fn(u8) -> bool,
+        again: bool,
+    ) {
+        let mut parts: BTreeMap<u8, Vec<News>> = (0..PARTS as u8)
+            .filter(|part| wanted(*part))
+            .map(|part| (part, Vec::new()))
+            .collect();
         let own = self.own_news();
         let members = self.members.values().map(Member::news);
         for news in std::iter::once(own).chain(members) {
@@ -87,15 +98,28 @@
                 part.push(news);
             }
         }
-        let mut message = self.message(Some(to), Body::Parts { parts: Vec::new(), again });
+        let mut message = self.message(
+            Some(to),
+            Body::Parts {
+                parts: Vec::new(),
+                again,
+            },
+        );
         let empty = size(&message) + PARTS;
         let mut room = PAGE.saturating_sub(empty);
         let mut pages = Vec::new();
         for (part, news) in parts {
             let facts = self.facts.all_of(now, |owner| part_of(owner) == part);
-            let bytes = news.iter().map(size).sum::<usize>() + facts.iter().map(size).sum::<usize>();
+            let bytes =
+                news.iter().map(size).sum::<usize>() + facts.iter().map(size).sum::<usize>();
             if bytes > room && room < PAGE - empty {
-                let next = self.message(Some(to), Body::Parts { parts: Vec::new(), again });
+                let next = self.message(
+                    Some(to),
+                    Body::Parts {
+                        parts: Vec::new(),
+                        again,
+                    },
+                );
                 pages.push(std::mem::replace(&mut message, next));
                 room = PAGE - empty;
             }
--- a/crates/instances/src/suspicion.rs
+++ b/crates/instances/src/suspicion.rs
@@ -24,8 +24,16 @@
         let size = (fleet.max(1) as f64).log10().max(1.0);
         let least = settings.suspicion.as_nanos() as f64 * size;
         // In a small fleet there may be nobody to confirm it.
-        let needed = if settings.plain { 0 } else { settings.confirmations.min(fleet.saturating_sub(3)) };
-        let unconfirmed = if needed == 0 { 1.0 } else { settings.unconfirmed };
+        let needed = if settings.plain {
+            0
+        } else {
+            settings.confirmations.min(fleet.saturating_sub(3))
+        };
+        let unconfirmed = if needed == 0 {
+            1.0
+        } else {
+            settings.unconfirmed
+        };
         let most = least * unconfirmed * f64::from(times);
         Self {
             began: now,
@@ -52,7 +60,8 @@
         }
         let part = (others as f64 + 1.0).ln() / (self.needed as f64 + 1.0).ln();
         let takes = self.most as f64 - (self.most as f64 - self.least as f64) * part;
-        self.began.saturating_add(takes.max(self.least as f64) as u64)
+        self.began
+            .saturating_add(takes.max(self.least as f64) as u64)
     }
 
     /// This member stood still for so long: nobody could contradict it meanwhile.
--- a/crates/instances/tests/common/mod.rs
+++ b/crates/instances/tests/common/mod.rs
@@ -63,7 +63,13 @@
 
 fn card_in(of: usize, name: Name, started: u64, id: u64, zones: usize) -> Card {
     let zone = self::name(ZONES[of % zones]);
-    Card { name, life: Life { started, id }, at: address(of), zone, region: None }
+    Card {
+        name,
+        life: Life { started, id },
+        at: address(of),
+        zone,
+        region: None,
+    }
 }
 
 impl Net {
@@ -84,7 +90,11 @@
             events: Vec::new(),
             sent: Vec::new(),
             keeps_sent: false,
-            usual: Way { delay: MS / 4, jitter: MS, ..Way::default() },
+            usual: Way {
+                delay: MS / 4,
+                jitter: MS,
+                ..Way::default()
+            },
             ways: BTreeMap::new(),
             paused: Vec::new(),
             agenda: BTreeMap::new(),
@@ -164,20 +174,29 @@
 
     /// Takes what a member has to say, and plans its next turn.
     pub fn after(&mut self, at: usize) {
-        let Some(mut node) = self.nodes[at].take() else { return };
+        let Some(mut node) = self.nodes[at].take() else {
+            return;
+        };
         while let Some(out) = node.next_out() {
             let to = usize::from(out.to.port() - 10_000);
             self.bytes += out.bytes.len() as u64;
             if self.keeps_sent {
                 self.sent.push((self.now, at, out.clone()));
             }
-            assert!(out.reliable || out.bytes.len() <= self.settings.datagram, "{}", out.bytes.len());
+            assert!(
+                out.reliable || out.bytes.len() <= self.settings.datagram,
+                "{}",
+                out.bytes.len()
+            );
             let way = self.ways.get(&(at, to)).copied().unwrap_or(self.usual);
             let back = self.ways.get(&(to, at)).copied().unwrap_or(self.usual);
             // All draws are made, so that one fault does not change what another hits.
-            let (lost, doubled) =
-                (self.rng.random::<f64>() < way.loss, self.rng.random::<f64>() < way.doubled);
-            let late = |rng: &mut ChaCha8Rng| way.delay + (rng.random::<f64>() * way.jitter as f64) as u64;
+            let (lost, doubled) = (
+                self.rng.random::<f64>() < way.loss,
+                self.rng.random::<f64>() < way.doubled,
+            );
+            let late =
+                |rng: &mut ChaCha8Rng| way.delay + (rng.random::<f64>() * way.jitter as f64) as u64;
             let (first, second) = (late(&mut self.rng), late(&mut self.rng));
             // A stream comes up by both ways, and its losses are made up for in time.
             let cut = way.cut || out.reliable && back.cut;
@@ -190,7 +209,11 @@
                 }
                 continue;
             }
-            let first = if out.reliable && lost { first + 200 * MS } else { first };
+            let first = if out.reliable && lost {
+                first + 200 * MS
+            } else {
+                first
+            };
             if doubled && !out.reliable {
                 self.at(self.now + second, What::Arrive(to, out.bytes.clone()));
             }
@@ -207,13 +230,22 @@
     /// Lets time pass.
     pub fn run(&mut self, time: u64) {
         let until = self.now + time;
-        while let Some(((at, _), _)) = self.agenda.first_key_value().filter(|((at, _), _)| *at <= until) {
+        while let Some(((at, _), _)) = self
+            .agenda
+            .first_key_value()
+            .filter(|((at, _), _)| *at <= until)
+        {
             self.now = *at;
-            let Some((_, what)) = self.agenda.pop_first() else { break };
+            let Some((_, what)) = self.agenda.pop_first() else {
+                break;
+            };
             match what {
                 What::Arrive(to, bytes) => self.arrive(to, &bytes),
                 What::Refuse(at, by) => {
-                    if let Some(node) = self.nodes[at].as_mut().filter(|_| self.paused[at].is_none()) {
+                    if let Some(node) = self.nodes[at]
+                        .as_mut()
+                        .filter(|_| self.paused[at].is_none())
+                    {
                         node.refused(self.now, address(by));
                         self.after(at);
                     }
@@ -239,18 +271,24 @@
     pub fn all_alive(&self, of: impl Iterator<Item = usize> + Clone) -> bool {
         let live = (0..self.nodes.len()).filter(|at| self.nodes[*at].is_some());
         live.clone().all(|by| {
-            of.clone()
-                .filter(|of| *of != by)
-                .all(|of| matches!(self.state(of, by), Some(State::Alive | State::CutFromMe { .. })))
+            of.clone().filter(|of| *of != by).all(|of| {
+                matches!(
+                    self.state(of, by),
+                    Some(State::Alive | State::CutFromMe { .. })
+                )
+            })
         })
     }
 
     /// Who was called dead, since the last look, by those that were there.
     pub fn dead(&mut self) -> Vec<Name> {
-        let dead = self.events.drain(..).filter_map(|(_, _, event)| match event {
-            Event::Dead { name, .. } => Some(name),
-            _ => None,
-        });
+        let dead = self
+            .events
+            .drain(..)
+            .filter_map(|(_, _, event)| match event {
+                Event::Dead { name, .. } => Some(name),
+                _ => None,
+            });
         let mut dead: Vec<Name> = dead.collect();
         dead.sort();
         dead.dedup();
--- a/crates/instances/tests/fleet.rs
+++ b/crates/instances/tests/fleet.rs
@@ -12,13 +12,22 @@
 fn all_find_each_other_and_leave() {
     let mut net = Net::new(30, 1);
     assert!(net.all_alive(0..30));
-    assert!(net.nodes.iter().flatten().all(|node| node.size().least == 30));
+    assert!(
+        net.nodes
+            .iter()
+            .flatten()
+            .all(|node| node.size().least == 30)
+    );
     let now = net.now;
     net.nodes[7].as_mut().unwrap().leave(now);
     net.after(7);
     net.kill(7);
     net.run(2 * SECOND);
-    assert!((0..30).filter(|by| *by != 7).all(|by| net.state(7, by) == Some(State::Left)));
+    assert!(
+        (0..30)
+            .filter(|by| *by != 7)
+            .all(|by| net.state(7, by) == Some(State::Left))
+    );
     assert_eq!(net.dead(), NONE);
 }
 
@@ -27,10 +36,19 @@
 fn losses_kill_nobody() {
     for (seed, loss) in [(1, 0.1), (2, 0.3), (3, 0.5)] {
         let mut net = Net::new(18, seed);
-        net.usual(Way { loss, doubled: 0.2, delay: MS, jitter: 50 * MS, cut: false });
+        net.usual(Way {
+            loss,
+            doubled: 0.2,
+            delay: MS,
+            jitter: 50 * MS,
+            cut: false,
+        });
         net.run(120 * SECOND);
         assert_eq!(net.dead(), NONE, "{loss}");
-        net.usual(Way { delay: MS, ..Way::default() });
+        net.usual(Way {
+            delay: MS,
+            ..Way::default()
+        });
         net.run(20 * SECOND);
         assert!(net.all_alive(0..18), "{loss}");
     }
@@ -45,7 +63,9 @@
         net.hosts_answer = hosts_answer;
         net.kill(5);
         net.run(within);
-        let known = (0..36).filter(|by| *by != 5 && net.state(5, *by) == Some(State::Dead)).count();
+        let known = (0..36)
+            .filter(|by| *by != 5 && net.state(5, *by) == Some(State::Dead))
+            .count();
         assert_eq!(known, 35, "{hosts_answer}");
         assert_eq!(net.dead(), [name("b-5")]);
     }
@@ -65,14 +85,18 @@
                 let now = net.now;
                 let node = net.nodes[by].as_mut().unwrap();
                 let at: Vec<_> = node.to_look_for(now).map(|card| card.at).collect();
-                let gone = at.into_iter().filter(|at| (4..9).any(|of| common::address(of) == *at));
+                let gone = at
+                    .into_iter()
+                    .filter(|at| (4..9).any(|of| common::address(of) == *at));
                 gone.for_each(|at| node.refused(now, at));
                 net.after(by);
             }
         }
         net.run(SECOND / 2);
         let known = (0..4).flat_map(|by| (4..9).map(move |of| (by, of)));
-        let known = known.filter(|(by, of)| net.state(*of, *by) == Some(State::Dead)).count();
+        let known = known
+            .filter(|(by, of)| net.state(*of, *by) == Some(State::Dead))
+            .count();
         assert_eq!(known, 20);
     }
 }
@@ -128,28 +152,54 @@
         .collect();
     for (seed, cuts) in [(1, pair), (2, half), (3, zones)] {
         let mut net = Net::new(36, seed);
-        cuts.iter().for_each(|(from, to)| net.way(*from, *to).cut = true);
+        cuts.iter()
+            .for_each(|(from, to)| net.way(*from, *to).cut = true);
         net.run(120 * SECOND);
         assert_eq!(net.dead(), NONE, "{} cuts", cuts.len());
         assert!(net.all_alive(0..36));
         use woadstall_instances::Way::{Cut, Works};
         let named = |from: usize, to: usize| {
-            let there = net.nodes[from].as_ref().unwrap().ways(&net.names[to], net.now).0;
-            let back = net.nodes[to].as_ref().unwrap().ways(&net.names[from], net.now).1;
+            let there = net.nodes[from]
+                .as_ref()
+                .unwrap()
+                .ways(&net.names[to], net.now)
+                .0;
+            let back = net.nodes[to]
+                .as_ref()
+                .unwrap()
+                .ways(&net.names[from], net.now)
+                .1;
             (there == Cut, back == Cut)
         };
-        let both = cuts.iter().filter(|(from, to)| named(*from, *to) == (true, true)).count();
-        assert!(both * 100 >= cuts.len() * 95, "{both} of {} cuts are named by both sides", cuts.len());
+        let both = cuts
+            .iter()
+            .filter(|(from, to)| named(*from, *to) == (true, true))
+            .count();
+        assert!(
+            both * 100 >= cuts.len() * 95,
+            "{both} of {} cuts are named by both sides",
+            cuts.len()
+        );
         let sound = (0..36).flat_map(|a| (0..36).map(move |b| (a, b)));
-        let sound = sound.filter(|(a, b)| a != b && !cuts.contains(&(*a, *b)) && !cuts.contains(&(*b, *a)));
+        let sound =
+            sound.filter(|(a, b)| a != b && !cuts.contains(&(*a, *b)) && !cuts.contains(&(*b, *a)));
         for (from, to) in sound {
-            let ways = net.nodes[from].as_ref().unwrap().ways(&net.names[to], net.now);
+            let ways = net.nodes[from]
+                .as_ref()
+                .unwrap()
+                .ways(&net.names[to], net.now);
             assert!(ways.0 != Cut && ways.1 != Cut, "{from} to {to}: {ways:?}");
         }
         net.heal();
         net.run(120 * SECOND);
         let (from, to) = cuts[0];
-        assert_eq!(net.nodes[from].as_ref().unwrap().ways(&net.names[to], net.now), (Works, Works));
+        assert_eq!(
+            net.nodes[from]
+                .as_ref()
+                .unwrap()
+                .ways(&net.names[to], net.now),
+            (Works, Works)
+        );
     }
 }
 
@@ -164,7 +214,11 @@
     }
     net.run(60 * SECOND);
     assert_eq!(net.dead(), NONE);
-    assert!(matches!(net.state(20, 3), Some(State::UnknownSince(_))), "{:?}", net.state(20, 3));
+    assert!(
+        matches!(net.state(20, 3), Some(State::UnknownSince(_))),
+        "{:?}",
+        net.state(20, 3)
+    );
     let size = net.nodes[3].as_ref().unwrap().size();
     assert_eq!((size.least, size.most), (18, 36));
     net.heal();
@@ -178,13 +232,21 @@
 fn a_cut_between_two_zones_alone_kills_nobody() {
     for seed in 11..15 {
         let mut net = Net::in_zones(24, seed, 2);
-        let pairs = (0..24).step_by(2).flat_map(|from| (1..24).step_by(2).map(move |to| (from, to)));
-        pairs.clone().for_each(|(from, to)| net.way(from, to).cut = true);
+        let pairs = (0..24)
+            .step_by(2)
+            .flat_map(|from| (1..24).step_by(2).map(move |to| (from, to)));
+        pairs
+            .clone()
+            .for_each(|(from, to)| net.way(from, to).cut = true);
         net.run(120 * SECOND);
         assert_eq!(net.dead(), NONE);
         let cut = |(from, to): &(usize, usize)| {
             let is_cut = matches!(net.state(*to, *from), Some(State::CutFromMe { .. }));
-            let there = net.nodes[*from].as_ref().unwrap().ways(&net.names[*to], net.now).0;
+            let there = net.nodes[*from]
+                .as_ref()
+                .unwrap()
+                .ways(&net.names[*to], net.now)
+                .0;
             is_cut && there == woadstall_instances::Way::Cut
         };
         let named = pairs.filter(cut).count();
@@ -207,11 +269,20 @@
         net.run(60 * SECOND);
         assert_eq!(net.dead(), NONE);
         let (key, now) = (name("zone-left"), net.now);
-        net.nodes[5].as_mut().unwrap().say(now, key.clone(), 200, b"sur".to_vec()).unwrap();
+        net.nodes[5]
+            .as_mut()
+            .unwrap()
+            .say(now, key.clone(), 200, b"sur".to_vec())
+            .unwrap();
         net.after(5);
         let owner = net.names[5].clone();
-        let know =
-            |net: &Net| net.nodes.iter().flatten().filter(|of| of.fact(&owner, &key).is_some()).count();
+        let know = |net: &Net| {
+            net.nodes
+                .iter()
+                .flatten()
+                .filter(|of| of.fact(&owner, &key).is_some())
+                .count()
+        };
         net.run(SECOND);
         // All beyond it or almost; the last ones when they compare what they hold.
         assert!(know(&net) >= 20, "{} of 25", know(&net));
@@ -257,8 +328,10 @@
         net.run(60 * SECOND);
         let now = net.now;
         assert!(net.nodes[0].as_ref().unwrap().sure(now).cut_off, "{there}");
-        let by_it =
-            net.events.iter().filter(|(_, by, event)| *by == 0 && matches!(event, Event::Dead { .. }));
+        let by_it = net
+            .events
+            .iter()
+            .filter(|(_, by, event)| *by == 0 && matches!(event, Event::Dead { .. }));
         assert_eq!(by_it.count(), 0, "{there}");
         assert!(net.dead().iter().all(|dead| *dead == name("b-0")));
         net.heal();
@@ -284,7 +357,13 @@
             .map(|seen| seen.card.life.started)
             .collect::<Vec<_>>()
     };
-    assert_eq!(lives(0).iter().filter(|started| **started == 2_000_000).count(), 25);
+    assert_eq!(
+        lives(0)
+            .iter()
+            .filter(|started| **started == 2_000_000)
+            .count(),
+        25
+    );
 }
 
 /// A clock that stepped back by an hour does not hide a new life behind a former one; two that use one name at once
@@ -297,7 +376,11 @@
     net.start(4, 500, 77);
     net.run(10 * SECOND);
     assert!(net.all_alive(0..12));
-    let seen = net.nodes[0].as_ref().unwrap().members(net.now).find(|seen| seen.card.name == net.names[4]);
+    let seen = net.nodes[0]
+        .as_ref()
+        .unwrap()
+        .members(net.now)
+        .find(|seen| seen.card.name == net.names[4]);
     assert_eq!(seen.unwrap().card.life.id, 77);
     // The last takes the name of the first.
     net.names[11] = net.names[2].clone();
@@ -305,7 +388,9 @@
     net.events.clear();
     net.run(60 * SECOND);
     let told = |at: usize| {
-        net.events.iter().any(|(_, by, event)| *by == at && matches!(event, Event::NameTwice { .. }))
+        net.events
+            .iter()
+            .any(|(_, by, event)| *by == at && matches!(event, Event::NameTwice { .. }))
     };
     assert!(told(2) && told(11), "{} {}", told(2), told(11));
 }
@@ -317,17 +402,27 @@
     let (key, owner) = (name("zone-left"), net.names[9].clone());
     for (counter, text) in [(1, b"norte".to_vec()), (2, b"sur".to_vec())] {
         let now = net.now;
-        net.nodes[9].as_mut().unwrap().say(now, key.clone(), 200, text.clone()).unwrap();
+        net.nodes[9]
+            .as_mut()
+            .unwrap()
+            .say(now, key.clone(), 200, text.clone())
+            .unwrap();
         net.after(9);
         net.run(SECOND);
         let known = |node: &&woadstall_instances::Node| {
-            node.fact(&owner, &key).is_some_and(|fact| fact.bytes == text && fact.counter == counter)
+            node.fact(&owner, &key)
+                .is_some_and(|fact| fact.bytes == text && fact.counter == counter)
         };
         assert_eq!(net.nodes.iter().flatten().filter(known).count(), 60);
     }
     net.kill(9);
     net.run(60 * SECOND);
-    assert!(net.nodes.iter().flatten().all(|node| node.fact(&owner, &key).is_none()));
+    assert!(
+        net.nodes
+            .iter()
+            .flatten()
+            .all(|node| node.fact(&owner, &key).is_none())
+    );
 }
 
 /// With all of a large fleet silent or telling, a member sends less than two kilobytes a second.
@@ -341,7 +436,11 @@
             let now = net.now;
             for number in 0..4 {
                 let key = name(&format!("k-{number}"));
-                net.nodes[at].as_mut().unwrap().say(now, key, 1, vec![7; 64]).unwrap();
+                net.nodes[at]
+                    .as_mut()
+                    .unwrap()
+                    .say(now, key, 1, vec![7; 64])
+                    .unwrap();
             }
             net.after(at);
         }
