--- a/crates/instances/tests/golden.rs
+++ b/crates/instances/tests/golden.rs
@@ -17,7 +17,9 @@
 };
 
 fn fixture(form: &str) -> String {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(form);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(form);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
@@ -43,7 +45,10 @@
 fn member(number: u64, region: Option<&str>, at: &str) -> Card {
     Card {
         name: name(&format!("b-{number}")),
-        life: Life { started: 1_764_000_000_000 + number, id: 0x0123_4567_89ab_cdef ^ number },
+        life: Life {
+            started: 1_764_000_000_000 + number,
+            id: 0x0123_4567_89ab_cdef ^ number,
+        },
         at: at.parse().unwrap(),
         zone: name("norte"),
         region: region.map(name),
@@ -63,45 +68,93 @@
 }
 
 fn claim(card: &Card, incarnation: u32, said: Said) -> Claim {
-    Claim { life: card.life, incarnation, said }
+    Claim {
+        life: card.life,
+        incarnation,
+        said,
+    }
 }
 
 /// From the first to the second, with nothing beside the body.
 fn plain(body: Body) -> Message {
     let to = Some((second().name, second().life));
-    Message { from: first(), incarnation: 300, to, body, news: Vec::new(), facts: Vec::new() }
+    Message {
+        from: first(),
+        incarnation: 300,
+        to,
+        body,
+        news: Vec::new(),
+        facts: Vec::new(),
+    }
 }
 
 /// The bytes are what they were, and what they were is read as the same value.
 fn assert_golden_message(form: &str, message: &Message) {
     assert_golden(form, &message.write());
-    assert_eq!(&Message::read(&bytes_of(form), 256).unwrap(), message, "{form}");
+    assert_eq!(
+        &Message::read(&bytes_of(form), 256).unwrap(),
+        message,
+        "{form}"
+    );
 }
 
 #[test]
 fn ping() {
-    assert_golden_message("ping.hex", &plain(Body::Ping { number: 1, origin: None }));
+    assert_golden_message(
+        "ping.hex",
+        &plain(Body::Ping {
+            number: 1,
+            origin: None,
+        }),
+    );
 }
 
 #[test]
 fn ping_for_another() {
-    let origin = Some(Origin { card: third(), number: 70_000 });
-    assert_golden_message("ping-for-another.hex", &plain(Body::Ping { number: u64::MAX, origin }));
+    let origin = Some(Origin {
+        card: third(),
+        number: 70_000,
+    });
+    assert_golden_message(
+        "ping-for-another.hex",
+        &plain(Body::Ping {
+            number: u64::MAX,
+            origin,
+        }),
+    );
 }
 
 #[test]
 fn ack() {
-    assert_golden_message("ack.hex", &plain(Body::Ack { number: 9, heard: 8 }));
+    assert_golden_message(
+        "ack.hex",
+        &plain(Body::Ack {
+            number: 9,
+            heard: 8,
+        }),
+    );
 }
 
 #[test]
 fn indirect_ping() {
-    assert_golden_message("indirect-ping.hex", &plain(Body::PingFor { number: 10, target: third() }));
+    assert_golden_message(
+        "indirect-ping.hex",
+        &plain(Body::PingFor {
+            number: 10,
+            target: third(),
+        }),
+    );
 }
 
 #[test]
 fn relayed_ack() {
-    assert_golden_message("relayed-ack.hex", &plain(Body::Relayed { number: 11, heard: 300 }));
+    assert_golden_message(
+        "relayed-ack.hex",
+        &plain(Body::Relayed {
+            number: 11,
+            heard: 300,
+        }),
+    );
 }
 
 #[test]
@@ -111,19 +164,33 @@
 
 #[test]
 fn ask_without_a_receiver() {
-    assert_golden_message("ask.hex", &Message { to: None, ..plain(Body::Ask) });
+    assert_golden_message(
+        "ask.hex",
+        &Message {
+            to: None,
+            ..plain(Body::Ask)
+        },
+    );
 }
 
 #[test]
 fn sums() {
-    let sums = (0..64_u64).map(|part| part.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
+    let sums = (0..64_u64)
+        .map(|part| part.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+        .collect();
     assert_golden_message("sums.hex", &plain(Body::Sums(sums)));
 }
 
 #[test]
 fn parts() {
     for (form, again) in [("parts-once.hex", false), ("parts-again.hex", true)] {
-        assert_golden_message(form, &plain(Body::Parts { parts: vec![0, 17, 63], again }));
+        assert_golden_message(
+            form,
+            &plain(Body::Parts {
+                parts: vec![0, 17, 63],
+                again,
+            }),
+        );
     }
 }
 
@@ -131,11 +198,31 @@
 #[test]
 fn news_and_facts() {
     let news = vec![
-        News { card: second(), claim: claim(&second(), 0, Said::Alive), by: None },
-        News { card: third(), claim: claim(&third(), 1, Said::Suspect), by: Some(name("b-1")) },
-        News { card: third(), claim: claim(&third(), 70_000, Said::Dead), by: Some(name("b-2")) },
-        News { card: third(), claim: claim(&third(), 2, Said::Left), by: None },
-        News { card: second(), claim: Claim::left(second().life), by: None },
+        News {
+            card: second(),
+            claim: claim(&second(), 0, Said::Alive),
+            by: None,
+        },
+        News {
+            card: third(),
+            claim: claim(&third(), 1, Said::Suspect),
+            by: Some(name("b-1")),
+        },
+        News {
+            card: third(),
+            claim: claim(&third(), 70_000, Said::Dead),
+            by: Some(name("b-2")),
+        },
+        News {
+            card: third(),
+            claim: claim(&third(), 2, Said::Left),
+            by: None,
+        },
+        News {
+            card: second(),
+            claim: Claim::left(second().life),
+            by: None,
+        },
     ];
     let fact = |key: &str, priority, age_ms, bytes: &[u8]| FactNews {
         owner: name("b-2"),
@@ -146,8 +233,18 @@
         age_ms,
         bytes: bytes.to_vec(),
     };
-    let facts = vec![fact("load", 0, 0, b""), fact("zone-left", 200, u32::MAX, b"\x00\xffsur")];
-    assert_golden_message("news-and-facts.hex", &Message { news, facts, ..plain(Body::News) });
+    let facts = vec![
+        fact("load", 0, 0, b""),
+        fact("zone-left", 200, u32::MAX, b"\x00\xffsur"),
+    ];
+    assert_golden_message(
+        "news-and-facts.hex",
+        &Message {
+            news,
+            facts,
+            ..plain(Body::News)
+        },
+    );
 }
 
 #[test]
@@ -168,17 +265,47 @@
     let usual = Settings::default;
     let (period, half) = (usual().period, usual().period / 2);
     let wrong = [
-        Settings { period: half / 100, ..usual() },
-        Settings { patience: period, ..usual() },
-        Settings { suspicion: half, ..usual() },
-        Settings { refused: usual().suspicion * 2, ..usual() },
-        Settings { stall: half, ..usual() },
-        Settings { unconfirmed: 0.5, ..usual() },
-        Settings { datagram: 100, ..usual() },
-        Settings { fact_bytes: 601, ..usual() },
-        Settings { members: 1, ..usual() },
+        Settings {
+            period: half / 100,
+            ..usual()
+        },
+        Settings {
+            patience: period,
+            ..usual()
+        },
+        Settings {
+            suspicion: half,
+            ..usual()
+        },
+        Settings {
+            refused: usual().suspicion * 2,
+            ..usual()
+        },
+        Settings {
+            stall: half,
+            ..usual()
+        },
+        Settings {
+            unconfirmed: 0.5,
+            ..usual()
+        },
+        Settings {
+            datagram: 100,
+            ..usual()
+        },
+        Settings {
+            fact_bytes: 601,
+            ..usual()
+        },
+        Settings {
+            members: 1,
+            ..usual()
+        },
     ];
-    let lines: String = wrong.iter().map(|wrong| format!("{}\n", wrong.check().unwrap_err())).collect();
+    let lines: String = wrong
+        .iter()
+        .map(|wrong| format!("{}\n", wrong.check().unwrap_err()))
+        .collect();
     assert_golden_text("settings-at-fault.txt", &lines);
 }
 
@@ -211,15 +338,31 @@
         age_ms: 0,
         bytes: bytes_of("cuts-heard.hex"),
     };
-    let news = vec![News { claim: claim(&far, 0, Said::Alive), card: far, by: None }];
-    let message = Message { to: None, news, facts: vec![fact], ..plain(Body::News) };
+    let news = vec![News {
+        claim: claim(&far, 0, Said::Alive),
+        card: far,
+        by: None,
+    }];
+    let message = Message {
+        to: None,
+        news,
+        facts: vec![fact],
+        ..plain(Body::News)
+    };
     node.heard(SECOND, &message.write()).unwrap();
     let cuts = node.cuts(SECOND);
     let cut: Vec<(&str, &str, u64, u64)> = cuts
         .iter()
         .map(|((from, to), between)| (from.as_str(), to.as_str(), between.of, between.cut))
         .collect();
-    assert_eq!(cut, [("norte", "norte", 2, 0), ("norte", "sur", 2, 1), ("sur", "norte", 2, 2)]);
+    assert_eq!(
+        cut,
+        [
+            ("norte", "norte", 2, 0),
+            ("norte", "sur", 2, 1),
+            ("sur", "norte", 2, 2)
+        ]
+    );
 }
 
 /// All that happens in a fleet, as numbers and names.
@@ -409,7 +552,13 @@
         if plain {
             (0..12).for_each(|at| net.start(at, 2_000_000, 100 + at as u64));
         }
-        net.usual(Way { loss: 0.1, doubled: 0.1, delay: MS, jitter: 20 * MS, cut: false });
+        net.usual(Way {
+            loss: 0.1,
+            doubled: 0.1,
+            delay: MS,
+            jitter: 20 * MS,
+            cut: false,
+        });
         net.run(20 * SECOND);
         digest(&mut all, &mut net);
         for number in 0..5_u8 {
@@ -452,7 +601,10 @@
         net.run(5 * SECOND);
         digest(&mut all, &mut net);
         let hash = all.0.finish128();
-        lines.insert((zones, plain), format!("{:016x}{:016x} {} bytes", hash.h1, hash.h2, net.bytes));
+        lines.insert(
+            (zones, plain),
+            format!("{:016x}{:016x} {} bytes", hash.h1, hash.h2, net.bytes),
+        );
     }
     let lines: String = lines
         .iter()
--- a/crates/instances/tests/long.rs
+++ b/crates/instances/tests/long.rs
@@ -9,7 +9,10 @@
 use woadstall_instances::{Event, State};
 
 fn number(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(usual)
 }
 
 /// A tenth of all messages lost, and one member in thirty asleep at any time, for up to five seconds; now and then one
@@ -17,10 +20,19 @@
 #[test]
 #[ignore = "a measurement"]
 fn hours_of_losses_and_pauses() {
-    let (members, minutes, seed) = (number("MEMBERS", 60) as usize, number("MINUTES", 60), number("SEED", 1));
+    let (members, minutes, seed) = (
+        number("MEMBERS", 60) as usize,
+        number("MINUTES", 60),
+        number("SEED", 1),
+    );
     let one_in = number("ASLEEP", 30);
     let mut net = Net::new(members, seed);
-    net.usual(Way { loss: 0.1, delay: MS, jitter: 5 * MS, ..Way::default() });
+    net.usual(Way {
+        loss: 0.1,
+        delay: MS,
+        jitter: 5 * MS,
+        ..Way::default()
+    });
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut asleep: Vec<(u64, usize)> = Vec::new();
     let (mut false_deaths, mut pauses, mut known, mut suspicions) = (0, 0, Vec::new(), 0);
@@ -33,13 +45,19 @@
         let (mut died_at, mut all_know) = (0, None);
         for _ in 0..600 {
             net.run(SECOND / 10);
-            let over: Vec<usize> =
-                asleep.iter().filter(|(until, _)| *until <= net.now).map(|(_, at)| *at).collect();
+            let over: Vec<usize> = asleep
+                .iter()
+                .filter(|(until, _)| *until <= net.now)
+                .map(|(_, at)| *at)
+                .collect();
             asleep.retain(|(until, _)| *until > net.now);
             over.into_iter().for_each(|at| net.pause(at, false));
             let at = rng.random_range(0..members);
             let may = at != victim && !asleep.iter().any(|(_, other)| *other == at);
-            if may && one_in > 0 && rng.random::<f64>() < members as f64 / one_in as f64 / 2.5 / 10.0 {
+            if may
+                && one_in > 0
+                && rng.random::<f64>() < members as f64 / one_in as f64 / 2.5 / 10.0
+            {
                 asleep.push((net.now + rng.random_range(50 * MS..5 * SECOND), at));
                 net.pause(at, true);
                 pauses += 1;
@@ -49,7 +67,8 @@
                 net.kill(victim);
             }
             if died_at > 0 && all_know.is_none() {
-                let awake = |by: &usize| *by != victim && !asleep.iter().any(|(_, other)| other == by);
+                let awake =
+                    |by: &usize| *by != victim && !asleep.iter().any(|(_, other)| other == by);
                 let mut others = (0..members).filter(awake);
                 if others.all(|by| matches!(net.state(victim, by), Some(State::Dead))) {
                     all_know = Some((net.now - died_at) as f64 / 1e9);
@@ -97,14 +116,23 @@
     let (members, seed) = (number("MEMBERS", 300) as usize, number("SEED", 1));
     for loss in [0.0, 0.1] {
         let mut net = Net::new(members, seed);
-        net.usual(Way { loss, delay: MS, jitter: 2 * MS, ..Way::default() });
+        net.usual(Way {
+            loss,
+            delay: MS,
+            jitter: 2 * MS,
+            ..Way::default()
+        });
         net.run(20 * SECOND);
         let key = common::name("evidence");
         let mut times = Vec::new();
         for round in 0..20_u8 {
             let owner = usize::from(round) * 7 % members;
             let now = net.now;
-            net.nodes[owner].as_mut().unwrap().say(now, key.clone(), 200, vec![round; 64]).unwrap();
+            net.nodes[owner]
+                .as_mut()
+                .unwrap()
+                .say(now, key.clone(), 200, vec![round; 64])
+                .unwrap();
             net.after(owner);
             let mut left: Vec<usize> = (0..members).filter(|of| *of != owner).collect();
             while !left.is_empty() && net.now < now + 60 * SECOND {
--- a/crates/instances/tests/messages.rs
+++ b/crates/instances/tests/messages.rs
@@ -8,12 +8,26 @@
 use woadstall_instances::{Claim, Message, Node, Said, Settings};
 
 fn node() -> Node {
-    Node::new(card(0, name("b-0"), 5, 1), vec![address(1)], Settings::default(), 1, 0).unwrap()
+    Node::new(
+        card(0, name("b-0"), 5, 1),
+        vec![address(1)],
+        Settings::default(),
+        1,
+        0,
+    )
+    .unwrap()
 }
 
 fn message(news: Vec<News>) -> Message {
     let from = card(1, name("b-1"), 5, 1);
-    Message { from, incarnation: 0, to: None, body: Body::News, news, facts: Vec::new() }
+    Message {
+        from,
+        incarnation: 0,
+        to: None,
+        body: Body::News,
+        news,
+        facts: Vec::new(),
+    }
 }
 
 fn news() -> impl Strategy<Value = News> {
@@ -21,8 +35,20 @@
         let card = card(of, name(&format!("b-{of}")), started, 1);
         let said = [Said::Alive, Said::Suspect, Said::Dead, Said::Left][usize::from(said)];
         let life = card.life;
-        let claim = if said == Said::Left { Claim::left(life) } else { Claim { life, incarnation, said } };
-        News { card, claim, by: None }
+        let claim = if said == Said::Left {
+            Claim::left(life)
+        } else {
+            Claim {
+                life,
+                incarnation,
+                said,
+            }
+        };
+        News {
+            card,
+            claim,
+            by: None,
+        }
     })
 }
 
@@ -70,15 +96,28 @@
 /// Names, settings and facts that are not sound are refused by name.
 #[test]
 fn what_is_not_sound_is_named() {
-    assert!(woadstall_instances::Name::new("").is_err() && woadstall_instances::Name::new("a b").is_err());
+    assert!(
+        woadstall_instances::Name::new("").is_err()
+            && woadstall_instances::Name::new("a b").is_err()
+    );
     assert!(woadstall_instances::Name::new(&"x".repeat(65)).is_err());
-    let wrong = Settings { patience: Settings::default().period, ..Settings::default() };
-    assert!(wrong.check().unwrap_err().to_string().contains("`patience`"));
+    let wrong = Settings {
+        patience: Settings::default().period,
+        ..Settings::default()
+    };
+    assert!(
+        wrong
+            .check()
+            .unwrap_err()
+            .to_string()
+            .contains("`patience`")
+    );
     let mut node = node();
     let (key, most) = (name("k"), Settings::default().fact_bytes);
     assert!(node.say(1, key.clone(), 1, vec![0; most + 1]).is_err());
     for number in 0..Settings::default().facts_each {
-        node.say(1, name(&format!("k-{number}")), 1, Vec::new()).unwrap();
+        node.say(1, name(&format!("k-{number}")), 1, Vec::new())
+            .unwrap();
     }
     assert!(node.say(1, key, 1, Vec::new()).is_err());
 }
@@ -88,15 +127,33 @@
 fn words_about_oneself_are_contradicted() {
     let mut node = node();
     let me = node.me().clone();
-    for claim in [Claim { life: me.life, incarnation: 7, said: Said::Dead }, Claim::left(me.life)] {
-        let news = News { card: me.clone(), claim, by: None };
+    for claim in [
+        Claim {
+            life: me.life,
+            incarnation: 7,
+            said: Said::Dead,
+        },
+        Claim::left(me.life),
+    ] {
+        let news = News {
+            card: me.clone(),
+            claim,
+            by: None,
+        };
         node.heard(1, &message(vec![news]).write()).unwrap();
     }
     node.tick(SECOND / 2);
-    assert!(node.me().life > me.life, "one that is said to have left begins a later life");
+    assert!(
+        node.me().life > me.life,
+        "one that is said to have left begins a later life"
+    );
     let mut said = Vec::new();
     while let Some(out) = node.next_out() {
         said.extend(Message::read(&out.bytes, 256).unwrap().news);
     }
-    assert!(said.iter().any(|news| news.card.name == me.name && news.claim.said == Said::Alive), "{said:?}");
+    assert!(
+        said.iter()
+            .any(|news| news.card.name == me.name && news.claim.said == Said::Alive),
+        "{said:?}"
+    );
 }
--- a/crates/lab-cli/src/compare.rs
+++ b/crates/lab-cli/src/compare.rs
@@ -78,11 +78,18 @@
     let mut pairs: BTreeMap<Place<'_>, Pairs<'_>> = BTreeMap::new();
     for (rows, is_left) in [(left, true), (right, false)] {
         for row in rows {
-            let pair = pairs.entry(place(row)).or_default().entry(row.key.seed).or_default();
+            let pair = pairs
+                .entry(place(row))
+                .or_default()
+                .entry(row.key.seed)
+                .or_default();
             let side = if is_left { &mut pair.0 } else { &mut pair.1 };
             if side.replace(row).is_some() {
                 let (scenario, _) = place(row);
-                return Err(format!("{scenario}, seed {}: there twice on one side", row.key.seed));
+                return Err(format!(
+                    "{scenario}, seed {}: there twice on one side",
+                    row.key.seed
+                ));
             }
         }
     }
@@ -94,7 +101,9 @@
                 return Err(format!("{scenario}, seed {seed}: on one side only"));
             };
             if left.key.digest != right.key.digest {
-                return Err(format!("{scenario}: the two sides ran different scenarios of this name"));
+                return Err(format!(
+                    "{scenario}: the two sides ran different scenarios of this name"
+                ));
             }
             let (left, right) = (figure.of(left), figure.of(right));
             sides = (sides.0 + left, sides.1 + right);
@@ -122,7 +131,12 @@
 pub fn interval(values: &[f64]) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(95);
     let count = values.len();
-    let mean = |_| (0..count).map(|_| values[rng.random_range(..count)]).sum::<f64>() / count as f64;
+    let mean = |_| {
+        (0..count)
+            .map(|_| values[rng.random_range(..count)])
+            .sum::<f64>()
+            / count as f64
+    };
     let mut means: Vec<f64> = (0..RESAMPLES).map(mean).collect();
     means.sort_by(f64::total_cmp);
     (means[RESAMPLES / 40], means[RESAMPLES - 1 - RESAMPLES / 40])
--- a/crates/lab-cli/src/grid.rs
+++ b/crates/lab-cli/src/grid.rs
@@ -73,14 +73,20 @@
     pub fn with(&self, set: &Set) -> Result<(Scenario, String), String> {
         let mut table = self.table.clone();
         for (key, value) in set {
-            put(&mut table, key, value).map_err(|error| format!("{}: {key}: {error}", self.name))?;
+            put(&mut table, key, value)
+                .map_err(|error| format!("{}: {key}: {error}", self.name))?;
         }
         let text = toml::to_string(&table).map_err(|error| format!("{}: {error}", self.name))?;
         let scenario = Scenario::read(&text).map_err(|error| format!("{}: {error}", self.name))?;
         // Of what it means, so that a comment or the order of keys makes no other scenario.
-        let meaning = toml::to_string(&scenario).map_err(|error| format!("{}: {error}", self.name))?;
+        let meaning =
+            toml::to_string(&scenario).map_err(|error| format!("{}: {error}", self.name))?;
         let digest = Sha256::digest(meaning.as_bytes());
-        let digest = digest.iter().take(8).map(|byte| format!("{byte:02x}")).collect();
+        let digest = digest
+            .iter()
+            .take(8)
+            .map(|byte| format!("{byte:02x}"))
+            .collect();
         Ok((scenario, digest))
     }
 }
@@ -88,10 +94,16 @@
 /// Sets a key, as in `limits.attempts` or `tier.0.nodos`. Tables on the way are made where they are missing.
 fn put(table: &mut Table, key: &str, value: &str) -> Result<(), String> {
     // A value that is no TOML stands for itself, so that times need no quotes.
-    let parsed = format!("value = {value}").parse::<Table>().ok().and_then(|mut table| table.remove("value"));
+    let parsed = format!("value = {value}")
+        .parse::<Table>()
+        .ok()
+        .and_then(|mut table| table.remove("value"));
     let value = parsed.unwrap_or_else(|| Value::String(value.to_owned()));
     let mut parts: Vec<&str> = key.split('.').collect();
-    let last = parts.pop().filter(|last| !last.is_empty()).ok_or("no key")?;
+    let last = parts
+        .pop()
+        .filter(|last| !last.is_empty())
+        .ok_or("no key")?;
     let mut at = table;
     let mut parts = parts.into_iter().peekable();
     while let Some(part) = parts.next() {
@@ -101,10 +113,17 @@
             Value::Array(list) => {
                 let number = parts.next().unwrap_or(last);
                 let count = list.len();
-                let item = number.parse::<usize>().ok().and_then(|number| list.get_mut(number));
+                let item = number
+                    .parse::<usize>()
+                    .ok()
+                    .and_then(|number| list.get_mut(number));
                 match item {
                     Some(Value::Table(table)) => table,
-                    _ => return Err(format!("`{part}` has {count} entries, and none is `{number}`")),
+                    _ => {
+                        return Err(format!(
+                            "`{part}` has {count} entries, and none is `{number}`"
+                        ));
+                    }
                 }
             }
             _ => return Err(format!("`{part}` holds no further keys")),
@@ -117,7 +136,9 @@
 /// `key=value`.
 pub fn pair(text: &str) -> Result<(String, String), String> {
     match text.split_once('=') {
-        Some((key, value)) if !key.trim().is_empty() => Ok((key.trim().to_owned(), value.trim().to_owned())),
+        Some((key, value)) if !key.trim().is_empty() => {
+            Ok((key.trim().to_owned(), value.trim().to_owned()))
+        }
         _ => Err("not of the form KEY=VALUE".to_owned()),
     }
 }
@@ -126,7 +147,11 @@
 pub fn seeds(text: &str) -> Result<Vec<u64>, String> {
     let mut seeds = Vec::new();
     for part in text.split(',') {
-        let number = |text: &str| text.trim().parse::<u64>().map_err(|_| format!("{text:?} is no seed"));
+        let number = |text: &str| {
+            text.trim()
+                .parse::<u64>()
+                .map_err(|_| format!("{text:?} is no seed"))
+        };
         match part.split_once("..") {
             Some((first, last)) => {
                 let (first, last) = (number(first)?, number(last)?);
@@ -150,7 +175,10 @@
             set.insert(key.clone(), value.trim().to_owned());
             set
         };
-        sets = sets.iter().flat_map(|set| values.split(',').map(|value| with(set, value))).collect();
+        sets = sets
+            .iter()
+            .flat_map(|set| values.split(',').map(|value| with(set, value)))
+            .collect();
     }
     sets
 }
@@ -169,7 +197,13 @@
             for &policy in policies {
                 for &seed in seeds {
                     let (scenario, digest, set) = (scenario.clone(), digest.clone(), set.clone());
-                    jobs.push(Job { scenario, digest, set, policy, seed });
+                    jobs.push(Job {
+                        scenario,
+                        digest,
+                        set,
+                        policy,
+                        seed,
+                    });
                 }
             }
         }
@@ -183,14 +217,30 @@
 
     #[test]
     fn keys_are_set_where_they_say() {
-        let mut table: Table = "a = 1\n[b]\nc = 2\n[[d]]\ne = 3\n[[d]]\ne = 4\n".parse().unwrap();
-        for (key, value) in [("a", "5"), ("b.c", "x y"), ("d.1.e", "[1, 2]"), ("new.key", "\"7 s\"")] {
+        let mut table: Table = "a = 1\n[b]\nc = 2\n[[d]]\ne = 3\n[[d]]\ne = 4\n"
+            .parse()
+            .unwrap();
+        for (key, value) in [
+            ("a", "5"),
+            ("b.c", "x y"),
+            ("d.1.e", "[1, 2]"),
+            ("new.key", "\"7 s\""),
+        ] {
             put(&mut table, key, value).unwrap();
         }
-        let expected = "a = 5\nnew = { key = \"7 s\" }\n[b]\nc = \"x y\"\n[[d]]\ne = 3\n[[d]]\ne = [1, 2]\n";
+        let expected =
+            "a = 5\nnew = { key = \"7 s\" }\n[b]\nc = \"x y\"\n[[d]]\ne = 3\n[[d]]\ne = [1, 2]\n";
         assert_eq!(table, expected.parse().unwrap());
-        assert!(put(&mut table, "d.2.e", "1").unwrap_err().contains("2 entries"));
-        assert!(put(&mut table, "a.b", "1").unwrap_err().contains("no further keys"));
+        assert!(
+            put(&mut table, "d.2.e", "1")
+                .unwrap_err()
+                .contains("2 entries")
+        );
+        assert!(
+            put(&mut table, "a.b", "1")
+                .unwrap_err()
+                .contains("no further keys")
+        );
         assert!(put(&mut table, "", "1").is_err());
     }
 
@@ -198,9 +248,15 @@
     fn lists_are_read() {
         assert_eq!(seeds("1..3, 9").unwrap(), [1, 2, 3, 9]);
         assert!(seeds("3..1").is_err() && seeds("x").is_err() && seeds("0..99999999").is_err());
-        let varied = [("a".to_owned(), "1,2".to_owned()), ("b".to_owned(), "x, y".to_owned())];
+        let varied = [
+            ("a".to_owned(), "1,2".to_owned()),
+            ("b".to_owned(), "x, y".to_owned()),
+        ];
         let all = combinations(&Set::new(), &varied);
-        let text: Vec<_> = all.iter().map(|set| format!("{}{}", set["a"], set["b"])).collect();
+        let text: Vec<_> = all
+            .iter()
+            .map(|set| format!("{}{}", set["a"], set["b"]))
+            .collect();
         assert_eq!(text, ["1x", "1y", "2x", "2y"]);
     }
 }
--- a/crates/lab-cli/src/log.rs
+++ b/crates/lab-cli/src/log.rs
@@ -16,12 +16,18 @@
 impl Log {
     /// Has all lines written in this form. `WOADSTALL_LOG` says which, as `info` or `warn`.
     pub fn start(self) {
-        let filter = EnvFilter::try_from_env("WOADSTALL_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
-        let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+        let filter =
+            EnvFilter::try_from_env("WOADSTALL_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
+        let log = tracing_subscriber::fmt()
+            .with_env_filter(filter)
+            .with_writer(std::io::stderr);
         match self {
             Self::Json => log.json().init(),
             Self::Text => {
-                log.with_target(false).with_ansi(std::io::stderr().is_terminal()).without_time().init();
+                log.with_target(false)
+                    .with_ansi(std::io::stderr().is_terminal())
+                    .without_time()
+                    .init();
             }
         }
     }
--- a/crates/lab-cli/src/main.rs
+++ b/crates/lab-cli/src/main.rs
@@ -21,7 +21,10 @@
 use woadstall_lab::rows::{self, Row};
 
 #[derive(Parser)]
-#[command(version, about = "Experiments over emulated fleets, round the real engine and module")]
+#[command(
+    version,
+    about = "Experiments over emulated fleets, round the real engine and module"
+)]
 struct Arguments {
     /// Form of the log lines, which go to standard error.
     #[arg(long, global = true, value_enum, default_value_t = Log::Text)]
@@ -152,9 +155,22 @@
 
 fn act(command: Command) -> Result<u8, String> {
     match command {
-        Command::Run { scenario, with, seed, policy, json, plot } => {
+        Command::Run {
+            scenario,
+            with,
+            seed,
+            policy,
+            json,
+            plot,
+        } => {
             let (scenario, digest) = Source::read(&scenario)?.with(&with.set())?;
-            let job = grid::Job { scenario, digest, set: with.set(), policy, seed };
+            let job = grid::Job {
+                scenario,
+                digest,
+                set: with.set(),
+                policy,
+                seed,
+            };
             let row = Row::run(&job, plot.is_some() || json);
             match json {
                 true => println!("{}", row.line()?),
@@ -166,8 +182,20 @@
             }
             Ok(u8::from(!kept))
         }
-        Command::Sweep { scenarios, with, vary, seeds, policies, out, timeline, threads } => {
-            let sources = scenarios.iter().map(|path| Source::read(path)).collect::<Result<Vec<_>, _>>()?;
+        Command::Sweep {
+            scenarios,
+            with,
+            vary,
+            seeds,
+            policies,
+            out,
+            timeline,
+            threads,
+        } => {
+            let sources = scenarios
+                .iter()
+                .map(|path| Source::read(path))
+                .collect::<Result<Vec<_>, _>>()?;
             let sets = grid::combinations(&with.set(), &vary);
             let jobs = grid::jobs(&sources, &sets, &policies, &grid::seeds(&seeds)?)?;
             let stop = Arc::new(AtomicBool::new(false));
@@ -177,40 +205,68 @@
             let swept = sweep::sweep(&jobs, &out, timeline, threads, &stop)?;
             let (rows, before) = (swept.rows, swept.before);
             if rows < jobs.len() {
-                warn!(rows, of = jobs.len(), "stopped; the same command goes on from here");
+                warn!(
+                    rows,
+                    of = jobs.len(),
+                    "stopped; the same command goes on from here"
+                );
                 return Ok(130);
             }
             info!(rows, before, broken = swept.broken, file = %out.display(), "done");
             Ok(u8::from(swept.broken > 0))
         }
-        Command::Compare { left, right, left_policy, right_policy, figure, json, fail_worse } => {
+        Command::Compare {
+            left,
+            right,
+            left_policy,
+            right_policy,
+            figure,
+            json,
+            fail_worse,
+        } => {
             let left_rows = rows::read(&left)?;
             let right_rows = rows::read(right.as_ref().unwrap_or(&left))?;
-            let (left, right) = (side(&left_rows, left_policy)?, side(&right_rows, right_policy)?);
+            let (left, right) = (
+                side(&left_rows, left_policy)?,
+                side(&right_rows, right_policy)?,
+            );
             let differences = compare::compare(&left, &right, figure)?;
             if json {
-                let text = serde_json::to_string(&differences).map_err(|error| error.to_string())?;
+                let text =
+                    serde_json::to_string(&differences).map_err(|error| error.to_string())?;
                 println!("{text}");
             } else {
                 tell_differences(&differences);
             }
             let better = matches!(figure, Figure::Score | Figure::Served);
-            let worse = |row: &compare::Difference| row.is_sure() && (row.difference < 0.0) == better;
+            let worse =
+                |row: &compare::Difference| row.is_sure() && (row.difference < 0.0) == better;
             Ok(u8::from(fail_worse && differences.iter().any(worse)))
         }
         Command::Report { results, out, svg } => {
-            let rows = results.iter().map(|path| rows::read(path)).collect::<Result<Vec<_>, _>>()?.concat();
+            let rows = results
+                .iter()
+                .map(|path| rows::read(path))
+                .collect::<Result<Vec<_>, _>>()?
+                .concat();
             let page = report::page(&rows, &[])?;
             report::write(&out, &page)?;
             if let Some(folder) = svg {
-                std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
+                std::fs::create_dir_all(&folder)
+                    .map_err(|error| format!("{}: {error}", folder.display()))?;
                 for (number, plot) in report::svgs(&page).enumerate() {
                     report::write(&folder.join(format!("plot-{:03}.svg", number + 1)), plot)?;
                 }
             }
             Ok(0)
         }
-        Command::Explain { scenario, call, with, seed, policy } => {
+        Command::Explain {
+            scenario,
+            call,
+            with,
+            seed,
+            policy,
+        } => {
             let (scenario, _) = Source::read(&scenario)?.with(&with.set())?;
             let mut world = World::new(&scenario, policy, seed);
             world.follow(call);
@@ -236,20 +292,38 @@
 /// The rows of one policy.
 fn side(rows: &[Row], policy: Option<Policy>) -> Result<Vec<&Row>, String> {
     let policy = policy.map(|policy| policy.to_string());
-    let chosen = |row: &&Row| policy.as_ref().is_none_or(|policy| *policy == row.key.policy);
+    let chosen = |row: &&Row| {
+        policy
+            .as_ref()
+            .is_none_or(|policy| *policy == row.key.policy)
+    };
     let chosen: Vec<&Row> = rows.iter().filter(chosen).collect();
     let first = chosen.first().ok_or("no rows of that policy")?;
     match chosen.iter().find(|row| row.key.policy != first.key.policy) {
-        Some(other) => Err(format!("rows of {} and {}: name one", first.key.policy, other.key.policy)),
+        Some(other) => Err(format!(
+            "rows of {} and {}: name one",
+            first.key.policy, other.key.policy
+        )),
         None => Ok(chosen),
     }
 }
 
 fn tell(row: &Row) {
-    let End { counts, latency, .. } = &row.end;
-    println!("{}, {}, seed {} {}", row.key.scenario, row.key.policy, row.key.seed, row.set());
+    let End {
+        counts, latency, ..
+    } = &row.end;
+    println!(
+        "{}, {}, seed {} {}",
+        row.key.scenario,
+        row.key.policy,
+        row.key.seed,
+        row.set()
+    );
     println!("  worth served   {:.3} of what was offered", row.end.served);
-    println!("  score          {:.3} of what a fluid bound allows ({:.3})", row.end.score, row.end.bound);
+    println!(
+        "  score          {:.3} of what a fluid bound allows ({:.3})",
+        row.end.score, row.end.bound
+    );
     println!(
         "  calls          {} offered, {} on time, {} late, {} refused, {} failed",
         counts.offered, counts.on_time, counts.late, counts.refused, counts.failed
@@ -284,15 +358,29 @@
     }
     report::kept(&row.end).for_each(|line| println!("{line}"));
     for breach in &row.end.first_breaches {
-        let call = breach.call.map_or(String::new(), |call| format!(", call {call}"));
-        println!("    {:.6} s, seed {}{call}: {}", breach.at as f64 / 1e9, row.key.seed, breach.text);
+        let call = breach
+            .call
+            .map_or(String::new(), |call| format!(", call {call}"));
+        println!(
+            "    {:.6} s, seed {}{call}: {}",
+            breach.at as f64 / 1e9,
+            row.key.seed,
+            breach.text
+        );
     }
 }
 
 fn tell_differences(differences: &[compare::Difference]) {
-    println!("{:<24} {:>6} {:>9} {:>9} {:>11}  95%", "scenario", "pairs", "left", "right", "difference");
+    println!(
+        "{:<24} {:>6} {:>9} {:>9} {:>11}  95%",
+        "scenario", "pairs", "left", "right", "difference"
+    );
     for row in differences {
-        let set: Vec<_> = row.set.iter().map(|(key, value)| format!("{key}={value}")).collect();
+        let set: Vec<_> = row
+            .set
+            .iter()
+            .map(|(key, value)| format!("{key}={value}"))
+            .collect();
         let (low, high) = row.interval;
         println!(
             "{:<24} {:>6} {:>9.4} {:>9.4} {:>+11.4}  {low:+.4} to {high:+.4}{} {}",
@@ -301,7 +389,11 @@
             row.left,
             row.right,
             row.difference,
-            if row.is_sure() { "" } else { "  (may be chance)" },
+            if row.is_sure() {
+                ""
+            } else {
+                "  (may be chance)"
+            },
             set.join(" ")
         );
     }
--- a/crates/lab-cli/src/report.rs
+++ b/crates/lab-cli/src/report.rs
@@ -28,14 +28,30 @@
     pub fn of(scenario: &Scenario) -> Vec<Self> {
         let band = |fault: &Fault| {
             let until = fault.until.unwrap_or(scenario.time).seconds();
-            let what = toml::Value::try_from(&fault.what).map_or(String::new(), |what| match what {
-                toml::Value::String(name) => name,
-                what => what.as_table().and_then(|table| table.keys().next().cloned()).unwrap_or_default(),
-            });
-            let place =
-                [&fault.tier, &fault.zone].into_iter().flatten().cloned().collect::<Vec<_>>().join(" ");
-            let part = if fault.part < 1.0 { format!(", {:.0}%", 100.0 * fault.part) } else { String::new() };
-            Self { from: fault.at.seconds(), until, name: format!("{what} {place}{part}").trim().to_owned() }
+            let what =
+                toml::Value::try_from(&fault.what).map_or(String::new(), |what| match what {
+                    toml::Value::String(name) => name,
+                    what => what
+                        .as_table()
+                        .and_then(|table| table.keys().next().cloned())
+                        .unwrap_or_default(),
+                });
+            let place = [&fault.tier, &fault.zone]
+                .into_iter()
+                .flatten()
+                .cloned()
+                .collect::<Vec<_>>()
+                .join(" ");
+            let part = if fault.part < 1.0 {
+                format!(", {:.0}%", 100.0 * fault.part)
+            } else {
+                String::new()
+            };
+            Self {
+                from: fault.at.seconds(),
+                until,
+                name: format!("{what} {place}{part}").trim().to_owned(),
+            }
         };
         scenario.fault.iter().map(band).collect()
     }
@@ -45,7 +61,9 @@
 type Line = (String, Vec<(f64, f64)>);
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 /// Lines over time.
@@ -64,7 +82,12 @@
                 .x_label_area_size(26)
                 .y_label_area_size(54)
                 .build_cartesian_2d(0.0..until, 0.0..most)?;
-            chart.configure_mesh().x_desc("seconds").y_desc(unit).light_line_style(WHITE).draw()?;
+            chart
+                .configure_mesh()
+                .x_desc("seconds")
+                .y_desc(unit)
+                .light_line_style(WHITE)
+                .draw()?;
             for band in bands.iter().filter(|band| band.from < until) {
                 let corners = [(band.from, 0.0), (band.until.min(until), most)];
                 chart.draw_series([Rectangle::new(corners, RED.mix(0.07).filled())])?;
@@ -72,12 +95,16 @@
             for (at, (name, points)) in lines.iter().enumerate() {
                 let color = Palette99::pick(at).to_rgba();
                 let series = LineSeries::new(points.iter().copied(), color.stroke_width(2));
-                let legend = move |(x, y)| PathElement::new([(x, y), (x + 14, y)], color.stroke_width(2));
+                let legend =
+                    move |(x, y)| PathElement::new([(x, y), (x + 14, y)], color.stroke_width(2));
                 chart.draw_series(series)?.label(name).legend(legend);
             }
             let mut legend = chart.configure_series_labels();
             legend.position(SeriesLabelPosition::UpperLeft);
-            legend.background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3)).draw()?;
+            legend
+                .background_style(WHITE.mix(0.8))
+                .border_style(BLACK.mix(0.3))
+                .draw()?;
             area.present()?;
             Ok(())
         };
@@ -93,25 +120,39 @@
     if rows == 0 {
         return Ok(String::new());
     }
-    let (share, until) = (hosts.div_ceil(rows), steps.last().map_or(1.0, |step| step.until));
+    let (share, until) = (
+        hosts.div_ceil(rows),
+        steps.last().map_or(1.0, |step| step.until),
+    );
     let cell = |step: &Step, row: usize| -> f64 {
         let from = row * share;
         let there = step.hosts.iter().skip(from).take(share).sum::<u32>();
         f64::from(there) / share.min(hosts.saturating_sub(from)).max(1) as f64
     };
-    let most = steps.iter().flat_map(|step| (0..rows).map(move |row| cell(step, row))).fold(1.0, f64::max);
+    let most = steps
+        .iter()
+        .flat_map(|step| (0..rows).map(move |row| cell(step, row)))
+        .fold(1.0, f64::max);
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (SIZE.0, SIZE.1 + 60)).into_drawing_area();
         let draw = || -> Result<(), Box<dyn std::error::Error>> {
             let mut chart = ChartBuilder::on(&area)
-                .caption(format!("{title} (darkest: {most:.0} a step)"), ("sans-serif", 15))
+                .caption(
+                    format!("{title} (darkest: {most:.0} a step)"),
+                    ("sans-serif", 15),
+                )
                 .margin(6)
                 .margin_right(22)
                 .x_label_area_size(26)
                 .y_label_area_size(54)
                 .build_cartesian_2d(0.0..until, 0.0..rows as f64)?;
-            chart.configure_mesh().disable_mesh().x_desc("seconds").y_desc("nodos").draw()?;
+            chart
+                .configure_mesh()
+                .disable_mesh()
+                .x_desc("seconds")
+                .y_desc("nodos")
+                .draw()?;
             let mut from = 0.0;
             for step in steps {
                 let cells = (0..rows).filter(|&row| cell(step, row) > 0.0).map(|row| {
@@ -134,7 +175,11 @@
 
 fn name(row: &Row) -> String {
     let set = row.set();
-    let set = if set.is_empty() { set } else { format!(", {set}") };
+    let set = if set.is_empty() {
+        set
+    } else {
+        format!(", {set}")
+    };
     format!("{}{set}, seed {}", row.key.policy, row.key.seed)
 }
 
@@ -146,7 +191,11 @@
         let mut before = 0.0;
         let point = |step: &Step| {
             let figure = figure(step);
-            let value = if rate { per_second(step, before, figure) } else { figure };
+            let value = if rate {
+                per_second(step, before, figure)
+            } else {
+                figure
+            };
             before = step.until;
             (step.until, value)
         };
@@ -154,20 +203,58 @@
     };
     let first = rows.first().ok_or("no rows")?;
     let each = |figure: &dyn Fn(&Step) -> f64, rate: bool| -> Vec<Line> {
-        rows.iter().map(|row| (name(row), series(row, figure, rate))).collect()
+        rows.iter()
+            .map(|row| (name(row), series(row, figure, rate)))
+            .collect()
     };
-    let mut worth = vec![("offered".to_owned(), series(first, &|step| step.counts.worth_offered, true))];
+    let mut worth = vec![(
+        "offered".to_owned(),
+        series(first, &|step| step.counts.worth_offered, true),
+    )];
     worth.extend(each(&|step| step.counts.worth, true));
     html += &lines("Worth served", "worth a second", bands, &worth)?;
-    let mut good = vec![("offered".to_owned(), series(first, &|step| step.counts.offered as f64, true))];
+    let mut good = vec![(
+        "offered".to_owned(),
+        series(first, &|step| step.counts.offered as f64, true),
+    )];
     good.extend(each(&|step| step.counts.on_time as f64, true));
-    html += &lines("Calls served within their aim", "calls a second", bands, &good)?;
-    html += &lines("Attempts at nodos", "a second", bands, &each(&|step| step.counts.attempts as f64, true))?;
+    html += &lines(
+        "Calls served within their aim",
+        "calls a second",
+        bands,
+        &good,
+    )?;
+    html += &lines(
+        "Attempts at nodos",
+        "a second",
+        bands,
+        &each(&|step| step.counts.attempts as f64, true),
+    )?;
     let unserved = |step: &Step| (step.counts.refused + step.counts.failed) as f64;
-    html += &lines("Refused and failed", "calls a second", bands, &each(&unserved, true))?;
-    html += &lines("Latency, 99th percentile", "ms", bands, &each(&|step| step.p99_ms, false))?;
-    html += &lines("Latency, median", "ms", bands, &each(&|step| step.p50_ms, false))?;
-    html += &lines("Open attempts", "attempts", bands, &each(&|step| step.open.1 as f64, false))?;
+    html += &lines(
+        "Refused and failed",
+        "calls a second",
+        bands,
+        &each(&unserved, true),
+    )?;
+    html += &lines(
+        "Latency, 99th percentile",
+        "ms",
+        bands,
+        &each(&|step| step.p99_ms, false),
+    )?;
+    html += &lines(
+        "Latency, median",
+        "ms",
+        bands,
+        &each(&|step| step.p50_ms, false),
+    )?;
+    html += &lines(
+        "Open attempts",
+        "attempts",
+        bands,
+        &each(&|step| step.open.1 as f64, false),
+    )?;
     let mut said: Vec<Line> = Vec::new();
     for topic in ["breaker", "zone", "shedding"] {
         let count = |step: &Step| step.lines.get(topic).copied().unwrap_or(0) as f64;
@@ -177,17 +264,36 @@
         }
     }
     if !said.is_empty() {
-        html += &lines(&format!("What balancers logged, {}", name(first)), "lines a step", bands, &said)?;
+        html += &lines(
+            &format!("What balancers logged, {}", name(first)),
+            "lines a step",
+            bands,
+            &said,
+        )?;
     }
-    for row in rows.iter().filter(|row| row.end.steps.iter().any(|step| step.up.is_some())) {
+    for row in rows
+        .iter()
+        .filter(|row| row.end.steps.iter().any(|step| step.up.is_some()))
+    {
         let balancers = |step: &Step| step.up.map_or(0.0, |up| up.0 as f64);
         let nodos = |step: &Step| step.up.map_or(0.0, |up| up.1 as f64);
-        let up = [("balancers", series(row, &balancers, false)), ("nodos", series(row, &nodos, false))];
+        let up = [
+            ("balancers", series(row, &balancers, false)),
+            ("nodos", series(row, &nodos, false)),
+        ];
         let up = up.map(|(name, points)| (name.to_owned(), points));
-        html += &lines(&format!("Processes that run, {}", name(row)), "processes", bands, &up)?;
+        html += &lines(
+            &format!("Processes that run, {}", name(row)),
+            "processes",
+            bands,
+            &up,
+        )?;
     }
     for row in rows {
-        html += &heat(&format!("Attempts at each nodo, {}", name(row)), &row.end.steps)?;
+        html += &heat(
+            &format!("Attempts at each nodo, {}", name(row)),
+            &row.end.steps,
+        )?;
     }
     Ok(html)
 }
@@ -202,17 +308,35 @@
          </style>\n<h1>woadstall-lab</h1>\n",
     );
     let mut scenarios: BTreeMap<&str, Vec<&Row>> = BTreeMap::new();
-    rows.iter().for_each(|row| scenarios.entry(&row.key.scenario).or_default().push(row));
+    rows.iter()
+        .for_each(|row| scenarios.entry(&row.key.scenario).or_default().push(row));
     for (scenario, rows) in scenarios {
-        let _ = writeln!(html, "<h2>{}</h2>\n{}{}", escape(scenario), table(&rows), price_list(&rows));
-        let with_time: Vec<&Row> = rows.iter().copied().filter(|row| !row.end.steps.is_empty()).collect();
+        let _ = writeln!(
+            html,
+            "<h2>{}</h2>\n{}{}",
+            escape(scenario),
+            table(&rows),
+            price_list(&rows)
+        );
+        let with_time: Vec<&Row> = rows
+            .iter()
+            .copied()
+            .filter(|row| !row.end.steps.is_empty())
+            .collect();
         // One seed of each policy: more lines cannot be told apart.
         let seed = with_time.first().map(|row| row.key.seed);
-        let shown: Vec<&Row> =
-            with_time.into_iter().filter(|row| Some(row.key.seed) == seed).take(6).collect();
+        let shown: Vec<&Row> = with_time
+            .into_iter()
+            .filter(|row| Some(row.key.seed) == seed)
+            .take(6)
+            .collect();
         for band in bands.iter().filter(|_| !shown.is_empty()) {
             let name = escape(&band.name);
-            let _ = writeln!(html, "<p>{:.1} to {:.1} s: {name}</p>", band.from, band.until);
+            let _ = writeln!(
+                html,
+                "<p>{:.1} to {:.1} s: {name}</p>",
+                band.from, band.until
+            );
         }
         if !shown.is_empty() {
             html += &plots(&shown, bands)?;
@@ -225,7 +349,12 @@
 /// A line for each policy and setting, means over the seeds.
 fn table(rows: &[&Row]) -> String {
     let mut groups: BTreeMap<(String, String), Vec<&Row>> = BTreeMap::new();
-    rows.iter().for_each(|row| groups.entry((row.set(), row.key.policy.clone())).or_default().push(row));
+    rows.iter().for_each(|row| {
+        groups
+            .entry((row.set(), row.key.policy.clone()))
+            .or_default()
+            .push(row)
+    });
     let mut html = String::from(
         "<table><tr><th>policy</th><th>set</th><th>seeds</th><th>score</th><th>95%</th><th>served</th>\
          <th>bound</th><th>p50 ms</th><th>p99 ms</th><th>attempts a request</th><th>refused</th><th>failed</th>\
@@ -233,7 +362,8 @@
     );
     for ((set, policy), rows) in groups {
         let count = rows.len() as f64;
-        let mean = |figure: &dyn Fn(&Row) -> f64| rows.iter().map(|row| figure(row)).sum::<f64>() / count;
+        let mean =
+            |figure: &dyn Fn(&Row) -> f64| rows.iter().map(|row| figure(row)).sum::<f64>() / count;
         let scores: Vec<f64> = rows.iter().map(|row| row.end.score).collect();
         let (low, high) = interval(&scores);
         let broken: u64 = rows.iter().map(|row| row.end.broken()).sum();
@@ -264,7 +394,12 @@
     let mut groups: BTreeMap<(String, String, String, String), Vec<&PriceRow>> = BTreeMap::new();
     for row in rows {
         for price in &row.end.prices {
-            let key = (row.key.policy.clone(), row.set(), price.tier.clone(), price.price.to_string());
+            let key = (
+                row.key.policy.clone(),
+                row.set(),
+                price.tier.clone(),
+                price.price.to_string(),
+            );
             groups.entry(key).or_default().push(price);
         }
     }
--- a/crates/lab-cli/src/rows.rs
+++ b/crates/lab-cli/src/rows.rs
@@ -51,7 +51,13 @@
 
     /// A row of a result.
     pub fn new(key: Key, end: End, lag: Option<Lag>) -> Self {
-        Self { version: VERSION, commit: env!("WOADSTALL_COMMIT").to_owned(), key, lag, end }
+        Self {
+            version: VERSION,
+            commit: env!("WOADSTALL_COMMIT").to_owned(),
+            key,
+            lag,
+            end,
+        }
     }
 
     /// As a line, without its end.
@@ -69,7 +75,12 @@
 
     /// What varies, for people.
     pub fn set(&self) -> String {
-        let set: Vec<_> = self.key.set.iter().map(|(key, value)| format!("{key}={value}")).collect();
+        let set: Vec<_> = self
+            .key
+            .set
+            .iter()
+            .map(|(key, value)| format!("{key}={value}"))
+            .collect();
         set.join(" ")
     }
 }
@@ -87,7 +98,10 @@
             Ok(row) if row.version == VERSION => rows.push(row),
             Ok(row) => {
                 let version = row.version;
-                return Err(format!("{name}: line {}: version {version}, not {VERSION}", at + 1));
+                return Err(format!(
+                    "{name}: line {}: version {version}, not {VERSION}",
+                    at + 1
+                ));
             }
             Err(error) if at + 1 == lines.len() && error.is_eof() => {}
             Err(error) => return Err(format!("{name}: line {}: {error}", at + 1)),
--- a/crates/lab-cli/src/sweep.rs
+++ b/crates/lab-cli/src/sweep.rs
@@ -30,34 +30,66 @@
     stop: &AtomicBool,
 ) -> Result<Swept, String> {
     let name = out.display();
-    let there = if out.exists() { rows::read(out)? } else { Vec::new() };
+    let there = if out.exists() {
+        rows::read(out)?
+    } else {
+        Vec::new()
+    };
     if there.len() > jobs.len() {
-        return Err(format!("{name}: has {} rows, of {} of this sweep", there.len(), jobs.len()));
+        return Err(format!(
+            "{name}: has {} rows, of {} of this sweep",
+            there.len(),
+            jobs.len()
+        ));
     }
     for (at, (row, job)) in there.iter().zip(jobs).enumerate() {
         if row.key != job.key() {
-            return Err(format!("{name}: line {}: a row of another sweep; name another file", at + 1));
+            return Err(format!(
+                "{name}: line {}: a row of another sweep; name another file",
+                at + 1
+            ));
         }
         if row.commit != env!("WOADSTALL_COMMIT") {
-            return Err(format!("{name}: line {}: a row of another build, {}", at + 1, row.commit));
+            return Err(format!(
+                "{name}: line {}: a row of another build, {}",
+                at + 1,
+                row.commit
+            ));
         }
     }
     let before = there.len();
     // Written anew as far as it is whole: the last line may be a part of a row.
     let temporary = out.with_extension("part");
     let error = |error: std::io::Error| format!("{name}: {error}");
-    let text = if before > 0 { std::fs::read_to_string(out).map_err(error)? } else { String::new() };
-    let whole: String = text.lines().take(before).map(|line| format!("{line}\n")).collect();
-    std::fs::write(&temporary, whole).and_then(|()| std::fs::rename(&temporary, out)).map_err(error)?;
+    let text = if before > 0 {
+        std::fs::read_to_string(out).map_err(error)?
+    } else {
+        String::new()
+    };
+    let whole: String = text
+        .lines()
+        .take(before)
+        .map(|line| format!("{line}\n"))
+        .collect();
+    std::fs::write(&temporary, whole)
+        .and_then(|()| std::fs::rename(&temporary, out))
+        .map_err(error)?;
     let file = OpenOptions::new().append(true).open(out).map_err(error)?;
     let progress = ProgressBar::new(jobs.len() as u64);
     let style = ProgressStyle::with_template("{wide_bar} {pos}/{len} runs, {eta} left");
     progress.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     progress.set_position(before as u64);
     progress.reset_eta();
-    let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().map_err(|e| e.to_string())?;
+    let pool = rayon::ThreadPoolBuilder::new()
+        .num_threads(threads)
+        .build()
+        .map_err(|e| e.to_string())?;
     let (sender, receiver) = mpsc::channel::<(usize, Row)>();
-    let mut swept = Swept { rows: before, before, broken: 0 };
+    let mut swept = Swept {
+        rows: before,
+        before,
+        broken: 0,
+    };
     let (swept_ref, progress) = (&mut swept, &progress);
     let written: Result<(), String> = std::thread::scope(|scope| {
         scope.spawn(move || {
@@ -84,7 +116,9 @@
                 swept_ref.rows += 1;
                 swept_ref.broken += row.end.broken();
                 let line = row.line()?;
-                writeln!(file, "{line}").and_then(|()| file.flush()).map_err(|e| format!("{name}: {e}"))?;
+                writeln!(file, "{line}")
+                    .and_then(|()| file.flush())
+                    .map_err(|e| format!("{name}: {e}"))?;
             }
         }
         Ok(())
--- a/crates/lab-cli/tests/cli.rs
+++ b/crates/lab-cli/tests/cli.rs
@@ -30,7 +30,12 @@
 
 fn lab(folder: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-lab"));
-    command.current_dir(folder).args(arguments).env_remove("WOADSTALL_LOG").output().unwrap()
+    command
+        .current_dir(folder)
+        .args(arguments)
+        .env_remove("WOADSTALL_LOG")
+        .output()
+        .unwrap()
 }
 
 fn text(output: &[u8]) -> String {
@@ -65,16 +70,48 @@
     assert!(text(&output.stdout).contains("rule 4 (cold nodos are not pushed over): kept"));
     let page = std::fs::read_to_string(folder.join("tiny.html")).unwrap();
     assert!(page.matches("<svg").count() >= 8 && page.ends_with("</html>\n"));
-    assert!(!page.contains("src=") && !page.contains("href="), "it opens without a network");
+    assert!(
+        !page.contains("src=") && !page.contains("href="),
+        "it opens without a network"
+    );
     let rows = ["--seeds", "1", "--timeline", "--out", "time.jsonl"];
-    assert_eq!(lab(&folder, &[&["sweep", "tiny.toml"], &rows[..]].concat()).status.code(), Some(0));
-    let output = lab(&folder, &["report", "time.jsonl", "--out", "time.html", "--svg", "plots"]);
+    assert_eq!(
+        lab(&folder, &[&["sweep", "tiny.toml"], &rows[..]].concat())
+            .status
+            .code(),
+        Some(0)
+    );
+    let output = lab(
+        &folder,
+        &[
+            "report",
+            "time.jsonl",
+            "--out",
+            "time.html",
+            "--svg",
+            "plots",
+        ],
+    );
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
     let plot = std::fs::read_to_string(folder.join("plots/plot-008.svg")).unwrap();
     assert!(plot.starts_with("<svg") && plot.ends_with("</svg>") && plot.contains("xmlns"));
-    let output = lab(&folder, &["run", "tiny.toml", "--json", "--seed", "2", "--set", "time=2 s"]);
+    let output = lab(
+        &folder,
+        &[
+            "run",
+            "tiny.toml",
+            "--json",
+            "--seed",
+            "2",
+            "--set",
+            "time=2 s",
+        ],
+    );
     let row: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert_eq!((&row["seed"], &row["set"]["time"]), (&2.into(), &"2 s".into()));
+    assert_eq!(
+        (&row["seed"], &row["set"]["time"]),
+        (&2.into(), &"2 s".into())
+    );
     assert_eq!(row["end"]["steps"].as_array().unwrap().len(), 2);
 }
 
@@ -83,7 +120,10 @@
 fn a_sweep_goes_on_where_it_stopped() {
     let (_kept, folder) = folder();
     let sweep = |out: &str, threads: &str| {
-        let output = lab(&folder, &[&SWEEP[..], &[out, "--threads", threads]].concat());
+        let output = lab(
+            &folder,
+            &[&SWEEP[..], &[out, "--threads", threads]].concat(),
+        );
         assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
         std::fs::read_to_string(folder.join(out)).unwrap()
     };
@@ -93,11 +133,31 @@
     std::fs::write(folder.join("cut.jsonl"), &whole[..whole.len() / 2]).unwrap();
     assert!(sweep("cut.jsonl", "2") == whole);
     // The rows of something else are not gone on with.
-    let output = lab(&folder, &["sweep", "tiny.toml", "--seeds", "9", "--out", "one.jsonl"]);
+    let output = lab(
+        &folder,
+        &["sweep", "tiny.toml", "--seeds", "9", "--out", "one.jsonl"],
+    );
     assert_eq!(output.status.code(), Some(3));
-    let fewer = lab(&folder, &["sweep", "tiny.toml", "--seeds", "1..20", "--out", "one.jsonl"]);
-    assert!(text(&fewer.stderr).contains("line 1: a row of another sweep"), "{}", text(&fewer.stderr));
-    assert!(std::fs::read_to_string(folder.join("one.jsonl")).unwrap() == whole, "and are not lost");
+    let fewer = lab(
+        &folder,
+        &[
+            "sweep",
+            "tiny.toml",
+            "--seeds",
+            "1..20",
+            "--out",
+            "one.jsonl",
+        ],
+    );
+    assert!(
+        text(&fewer.stderr).contains("line 1: a row of another sweep"),
+        "{}",
+        text(&fewer.stderr)
+    );
+    assert!(
+        std::fs::read_to_string(folder.join("one.jsonl")).unwrap() == whole,
+        "and are not lost"
+    );
 }
 
 #[test]
@@ -109,7 +169,13 @@
     let output = compare(&[]);
     assert_eq!(output.status.code(), Some(3));
     assert!(text(&output.stderr).contains("name one"));
-    let sides = ["--left-policy", "woadstall", "--right-policy", "random", "--json"];
+    let sides = [
+        "--left-policy",
+        "woadstall",
+        "--right-policy",
+        "random",
+        "--json",
+    ];
     let output = compare(&sides);
     let rows: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     let rows = rows.as_array().unwrap();
@@ -117,12 +183,27 @@
     assert!(rows.iter().all(|row| row["pairs"] == 4), "{rows:?}");
     // Half the nodos are not enough for anyone, and for random choice least of all.
     assert!(rows[0]["difference"].as_f64().unwrap() < 0.0, "{rows:?}");
-    assert_eq!(compare(&[&sides[..], &["--fail-worse"]].concat()).status.code(), Some(1));
-    let same = ["--left-policy", "random", "--right-policy", "random", "--fail-worse"];
+    assert_eq!(
+        compare(&[&sides[..], &["--fail-worse"]].concat())
+            .status
+            .code(),
+        Some(1)
+    );
+    let same = [
+        "--left-policy",
+        "random",
+        "--right-policy",
+        "random",
+        "--fail-worse",
+    ];
     assert_eq!(compare(&same).status.code(), Some(0));
     let output = lab(&folder, &["report", "rows.jsonl", "--out", "rows.html"]);
     assert_eq!(output.status.code(), Some(0));
-    assert!(std::fs::read_to_string(folder.join("rows.html")).unwrap().contains("tier.0.nodos=2"));
+    assert!(
+        std::fs::read_to_string(folder.join("rows.html"))
+            .unwrap()
+            .contains("tier.0.nodos=2")
+    );
 }
 
 #[test]
@@ -131,21 +212,41 @@
     let fails = |arguments: &[&str], code: i32, part: &str| {
         let output = lab(&folder, arguments);
         assert_eq!(output.status.code(), Some(code), "{arguments:?}");
-        assert!(text(&output.stderr).contains(part), "{arguments:?}: {}", text(&output.stderr));
+        assert!(
+            text(&output.stderr).contains(part),
+            "{arguments:?}: {}",
+            text(&output.stderr)
+        );
     };
     fails(&["run", "none.toml"], 3, "none.toml");
-    fails(&["run", "tiny.toml", "--set", "tier.7.nodos=1"], 3, "1 entries");
+    fails(
+        &["run", "tiny.toml", "--set", "tier.7.nodos=1"],
+        3,
+        "1 entries",
+    );
     fails(&["run", "tiny.toml", "--set", "nonsense=1"], 3, "nonsense");
     fails(&["run", "tiny.toml", "--set", "nonsense"], 2, "KEY=VALUE");
-    fails(&["run", "tiny.toml", "--policy", "best"], 2, "there is no policy");
-    fails(&["sweep", "tiny.toml", "--seeds", "x", "--out", "x.jsonl"], 3, "no seed");
+    fails(
+        &["run", "tiny.toml", "--policy", "best"],
+        2,
+        "there is no policy",
+    );
+    fails(
+        &["sweep", "tiny.toml", "--seeds", "x", "--out", "x.jsonl"],
+        3,
+        "no seed",
+    );
     fails(&["explain", "tiny.toml", "99999999"], 3, "no call");
     std::fs::write(folder.join("bad.jsonl"), "{}\n{}\n").unwrap();
     fails(&["report", "bad.jsonl", "--out", "x.html"], 3, "line 1");
     let output = lab(&folder, &["--log", "json", "run", "none.toml"]);
     assert!(serde_json::from_slice::<serde_json::Value>(&output.stderr).is_ok());
     let output = lab(&folder, &["explain", "tiny.toml", "5"]);
-    assert!(text(&output.stdout).contains("its caller has Served"), "{}", text(&output.stdout));
+    assert!(
+        text(&output.stdout).contains("its caller has Served"),
+        "{}",
+        text(&output.stdout)
+    );
     let output = lab(&folder, &["check", "tiny.toml"]);
     assert_eq!(text(&output.stdout), "tiny.toml: sound\n");
 }
--- a/crates/lab/src/agenda.rs
+++ b/crates/lab/src/agenda.rs
@@ -40,7 +40,11 @@
 
 impl<E> Default for Agenda<E> {
     fn default() -> Self {
-        Self { heap: BinaryHeap::new(), turn: 0, now: 0 }
+        Self {
+            heap: BinaryHeap::new(),
+            turn: 0,
+            now: 0,
+        }
     }
 }
 
@@ -53,7 +57,11 @@
     /// Plans an event; what lies in the past happens now.
     pub fn at(&mut self, at: Time, event: E) {
         self.turn += 1;
-        self.heap.push(Planned { at: at.max(self.now), turn: self.turn, event });
+        self.heap.push(Planned {
+            at: at.max(self.now),
+            turn: self.turn,
+            event,
+        });
     }
 
     /// Plans an event after a while.
@@ -82,7 +90,11 @@
 
 impl<T> Default for Numbered<T> {
     fn default() -> Self {
-        Self { first: 0, kept: VecDeque::new(), count: 0 }
+        Self {
+            first: 0,
+            kept: VecDeque::new(),
+            count: 0,
+        }
     }
 }
 
@@ -101,17 +113,24 @@
 
     /// One that is kept.
     pub fn get(&self, number: u64) -> Option<&T> {
-        self.kept.get(usize::try_from(number.checked_sub(self.first)?).ok()?)?.as_ref()
+        self.kept
+            .get(usize::try_from(number.checked_sub(self.first)?).ok()?)?
+            .as_ref()
     }
 
     /// One that is kept.
     pub fn get_mut(&mut self, number: u64) -> Option<&mut T> {
-        self.kept.get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?.as_mut()
+        self.kept
+            .get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?
+            .as_mut()
     }
 
     /// Forgets one.
     pub fn take(&mut self, number: u64) -> Option<T> {
-        let taken = self.kept.get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?.take();
+        let taken = self
+            .kept
+            .get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?
+            .take();
         self.count -= usize::from(taken.is_some());
         while let Some(None) = self.kept.front() {
             self.kept.pop_front();
@@ -132,6 +151,9 @@
 
     /// Those that are kept, oldest first, with their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
-        self.kept.iter().zip(self.first..).filter_map(|(thing, number)| Some((number, thing.as_ref()?)))
+        self.kept
+            .iter()
+            .zip(self.first..)
+            .filter_map(|(thing, number)| Some((number, thing.as_ref()?)))
     }
 }
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -33,8 +33,13 @@
 
 impl Rule {
     /// All of them.
-    pub const ALL: [Self; 5] =
-        [Self::OneAnswer, Self::NoEffectTwice, Self::Drained, Self::Cold, Self::Conservation];
+    pub const ALL: [Self; 5] = [
+        Self::OneAnswer,
+        Self::NoEffectTwice,
+        Self::Drained,
+        Self::Cold,
+        Self::Conservation,
+    ];
 }
 
 impl fmt::Display for Rule {
@@ -88,14 +93,28 @@
     fn breach(&mut self, rule: Rule, at: Time, call: Option<u64>, text: String) {
         self.counts[rule as usize] += 1;
         if self.breaches.len() < TOLD {
-            self.breaches.push(Breach { rule, at, call, text });
+            self.breaches.push(Breach {
+                rule,
+                at,
+                call,
+                text,
+            });
         }
     }
 
     /// A request reached a balancer. Its number is that of all requests, from 0.
     pub fn taken(&mut self, call: u64, effect: CallEffect, deadline: Time) -> u64 {
         let (answered, refused, out, ran, overdue) = (0, false, 0, 0, false);
-        self.cases.add(Case { call, effect, deadline, answered, refused, out, ran, overdue })
+        self.cases.add(Case {
+            call,
+            effect,
+            deadline,
+            answered,
+            refused,
+            out,
+            ran,
+            overdue,
+        })
     }
 
     /// A balancer answered. Its process stood still for `stalled` of late: that is not the program's doing.
@@ -124,10 +143,20 @@
             }
         }
         if answered > 1 {
-            self.breach(Rule::OneAnswer, now, Some(call), format!("answered {answered} times"));
+            self.breach(
+                Rule::OneAnswer,
+                now,
+                Some(call),
+                format!("answered {answered} times"),
+            );
         } else if late > GRACE + stalled {
             let late = late / MS;
-            self.breach(Rule::OneAnswer, now, Some(call), format!("answered {late} ms past its time"));
+            self.breach(
+                Rule::OneAnswer,
+                now,
+                Some(call),
+                format!("answered {late} ms past its time"),
+            );
         }
         self.forget(request, out);
     }
@@ -142,7 +171,12 @@
     }
 
     fn forget(&mut self, request: u64, out: u32) {
-        if out == 0 && self.cases.get(request).is_some_and(|case| case.answered > 0) {
+        if out == 0
+            && self
+                .cases
+                .get(request)
+                .is_some_and(|case| case.answered > 0)
+        {
             self.cases.take(request);
         }
     }
@@ -184,36 +218,59 @@
         case.out += 1;
         let (call, answered, late) = (case.call, case.answered, now.saturating_sub(case.deadline));
         if answered > 0 || late > GRACE {
-            self.breach(Rule::OneAnswer, now, Some(call), "sent for a request that is over".to_owned());
+            self.breach(
+                Rule::OneAnswer,
+                now,
+                Some(call),
+                "sent for a request that is over".to_owned(),
+            );
         }
-        let told = self.told.get(balancer).and_then(|told| told.get(host as usize));
+        let told = self
+            .told
+            .get(balancer)
+            .and_then(|told| told.get(host as usize));
         if let Some((_, Some(since))) = told
             && now > since + DRAIN
         {
             let after = (now - since) as f64 / SECOND as f64;
-            let text = format!("sent to host {host} {after:.3} s after it was told to drain, or gone");
+            let text =
+                format!("sent to host {host} {after:.3} s after it was told to drain, or gone");
             self.breach(Rule::Drained, now, Some(call), text);
         }
     }
 
     /// An attempt had its effect. One whose repeats nodos drop does not count if they dropped it.
     pub fn ran(&mut self, now: Time, request: u64) {
-        let Some(case) = self.cases.get_mut(request) else { return };
+        let Some(case) = self.cases.get_mut(request) else {
+            return;
+        };
         case.ran += 1;
         let (call, ran, refused) = (case.call, case.ran, case.refused);
         if case.effect == CallEffect::Safe {
             return;
         }
         if ran > 1 {
-            self.breach(Rule::NoEffectTwice, now, Some(call), format!("had its effect {ran} times"));
+            self.breach(
+                Rule::NoEffectTwice,
+                now,
+                Some(call),
+                format!("had its effect {ran} times"),
+            );
         } else if refused {
-            self.breach(Rule::NoEffectTwice, now, Some(call), "ran behind a refusal".to_owned());
+            self.breach(
+                Rule::NoEffectTwice,
+                now,
+                Some(call),
+                "ran behind a refusal".to_owned(),
+            );
         }
     }
 
     /// Nothing of an attempt is left anywhere.
     pub fn over(&mut self, now: Time, request: u64) {
-        let Some(case) = self.cases.get_mut(request) else { return };
+        let Some(case) = self.cases.get_mut(request) else {
+            return;
+        };
         match case.out.checked_sub(1) {
             Some(out) => {
                 case.out = out;
@@ -221,7 +278,12 @@
             }
             None => {
                 let call = case.call;
-                self.breach(Rule::Conservation, now, Some(call), "an attempt ended twice".to_owned());
+                self.breach(
+                    Rule::Conservation,
+                    now,
+                    Some(call),
+                    "an attempt ended twice".to_owned(),
+                );
             }
         }
     }
@@ -235,19 +297,31 @@
     /// Looks for requests without an answer whose time is over. `stalled`: as for answers.
     pub fn look(&mut self, now: Time, stalled: Time) {
         let late = |case: &Case| now > case.deadline + GRACE + stalled;
-        let open = self.cases.iter().filter(|(_, case)| case.answered == 0 && !case.overdue && late(case));
+        let open = self
+            .cases
+            .iter()
+            .filter(|(_, case)| case.answered == 0 && !case.overdue && late(case));
         let open: Vec<_> = open.map(|(request, case)| (request, case.call)).collect();
         for (request, call) in open {
             if let Some(case) = self.cases.get_mut(request) {
                 case.overdue = true;
             }
-            self.breach(Rule::OneAnswer, now, Some(call), "no answer when its time was over".to_owned());
+            self.breach(
+                Rule::OneAnswer,
+                now,
+                Some(call),
+                "no answer when its time was over".to_owned(),
+            );
         }
     }
 
     /// The end of the run, when all should be over. `open`: what the balancers hold by their own count.
     pub fn end(&mut self, now: Time, open: usize) {
-        let cases = self.cases.iter().map(|(_, case)| case.call).collect::<Vec<_>>();
+        let cases = self
+            .cases
+            .iter()
+            .map(|(_, case)| case.call)
+            .collect::<Vec<_>>();
         if let Some(&call) = cases.first() {
             let text = format!("{} requests are not over at the end", cases.len());
             self.breach(Rule::Conservation, now, Some(call), text);
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -26,7 +26,12 @@
 impl Discovery {
     /// One that can answer so many reads a second.
     pub fn new(reads: f64, patience: Time) -> Self {
-        Self { work: (1e9 / reads.max(1e-6)) as Time, patience, free_at: 0, down: false }
+        Self {
+            work: (1e9 / reads.max(1e-6)) as Time,
+            patience,
+            free_at: 0,
+            down: false,
+        }
     }
 
     /// It is down, or up again. What waits in it is answered all the same.
@@ -57,10 +62,17 @@
         assert_eq!(reads[0], Read::Answered(50 * MS));
         assert_eq!(reads[19], Read::Answered(SECOND));
         assert!(reads[20..].iter().all(|read| *read == Read::Failed(SECOND)));
-        assert_eq!(discovery.read(500 * MS), Read::Answered(1_050 * MS), "half of the queue is done");
+        assert_eq!(
+            discovery.read(500 * MS),
+            Read::Answered(1_050 * MS),
+            "half of the queue is done"
+        );
         discovery.set_down(true);
         assert_eq!(discovery.read(9 * SECOND), Read::Failed(10 * SECOND));
         discovery.set_down(false);
-        assert_eq!(discovery.read(9 * SECOND), Read::Answered(9 * SECOND + 50 * MS));
+        assert_eq!(
+            discovery.read(9 * SECOND),
+            Read::Answered(9 * SECOND + 50 * MS)
+        );
     }
 }
--- a/crates/lab/src/evacuated.rs
+++ b/crates/lab/src/evacuated.rs
@@ -58,7 +58,12 @@
     /// A balancer begins anew, in all zones.
     pub fn begins(&mut self, at: Time, balancer: usize) {
         for zone in 0..self.zones.len() as u8 {
-            self.moved(Move { at, balancer: balancer as u32, zone, share: 1.0 });
+            self.moved(Move {
+                at,
+                balancer: balancer as u32,
+                zone,
+                share: 1.0,
+            });
         }
     }
 
@@ -77,7 +82,12 @@
     /// The share of a zone, by its name, as it is seen at a balancer.
     pub fn seen(&mut self, at: Time, balancer: u32, zone: &str, share: f64) {
         if let Some(zone) = self.zones.iter().position(|known| known == zone) {
-            self.moved(Move { at, balancer, zone: zone as u8, share });
+            self.moved(Move {
+                at,
+                balancer,
+                zone: zone as u8,
+                share,
+            });
         }
     }
 
@@ -103,8 +113,17 @@
                 out.push((to.at as f64 / SECOND as f64, self.zones[zone].clone(), part));
             }
         }
-        let moved = self.zones.iter().cloned().zip(self.away.iter().map(|away| away / of)).collect();
-        EvacuatedEnd { out, moved, moves: self.moves.len() as u64 }
+        let moved = self
+            .zones
+            .iter()
+            .cloned()
+            .zip(self.away.iter().map(|away| away / of))
+            .collect();
+        EvacuatedEnd {
+            out,
+            moved,
+            moves: self.moves.len() as u64,
+        }
     }
 }
 
@@ -112,17 +131,30 @@
     /// How long after a second so large a part of the balancers was out of a zone.
     pub fn out_after(&self, zone: &str, from: f64, part: f64) -> Option<f64> {
         let of = self.out.iter().filter(|(_, name, _)| name == zone);
-        let before = of.clone().rfind(|(at, ..)| *at <= from).is_some_and(|(_, _, out)| *out >= part);
+        let before = of
+            .clone()
+            .rfind(|(at, ..)| *at <= from)
+            .is_some_and(|(_, _, out)| *out >= part);
         if before {
             return Some(0.0);
         }
-        of.into_iter().find(|(at, _, out)| *at > from && *out >= part).map(|(at, ..)| at - from)
+        of.into_iter()
+            .find(|(at, _, out)| *at > from && *out >= part)
+            .map(|(at, ..)| at - from)
     }
 
     /// The largest part of the balancers that was out of a zone from a second on.
     pub fn most_out(&self, zone: &str, from: f64, until: f64) -> f64 {
-        let of = self.out.iter().filter(|(at, name, _)| name == zone && *at < until);
-        let before = of.clone().rfind(|(at, ..)| *at <= from).map_or(0.0, |(_, _, part)| *part);
-        of.filter(|(at, ..)| *at > from).map(|(_, _, part)| *part).fold(before, f64::max)
+        let of = self
+            .out
+            .iter()
+            .filter(|(at, name, _)| name == zone && *at < until);
+        let before = of
+            .clone()
+            .rfind(|(at, ..)| *at <= from)
+            .map_or(0.0, |(_, _, part)| *part);
+        of.filter(|(at, ..)| *at > from)
+            .map(|(_, _, part)| *part)
+            .fold(before, f64::max)
     }
 }
--- a/crates/lab/src/front.rs
+++ b/crates/lab/src/front.rs
@@ -47,9 +47,15 @@
             weight: uneven.max(1.0).powf(rng.random::<f64>()),
             out: false,
         };
-        let zones: Vec<Vec<Dealt>> =
-            zones.iter().map(|there| there.iter().map(&mut dealt).collect()).collect();
-        Self { idle: vec![Vec::new(); zones.len()], zones, kept }
+        let zones: Vec<Vec<Dealt>> = zones
+            .iter()
+            .map(|there| there.iter().map(&mut dealt).collect())
+            .collect();
+        Self {
+            idle: vec![Vec::new(); zones.len()],
+            zones,
+            kept,
+        }
     }
 
     /// A connection for a call from a zone: the one that was idle last, or else a new one, whose life the caller
@@ -58,7 +64,10 @@
         let kept = self.kept;
         let idle = &mut self.idle[zone];
         // The rest of the pile has been idle for longer.
-        if idle.last().is_some_and(|(_, since)| now.saturating_sub(*since) >= kept) {
+        if idle
+            .last()
+            .is_some_and(|(_, since)| now.saturating_sub(*since) >= kept)
+        {
             idle.clear();
         }
         if let Some((line, _)) = idle.pop() {
@@ -67,14 +76,25 @@
         let zones = self.zones.len();
         (0..zones).find_map(|step| {
             let there = &self.zones[(zone + step) % zones];
-            let sum: f64 = there.iter().filter(|one| !one.out).map(|one| one.weight).sum();
+            let sum: f64 = there
+                .iter()
+                .filter(|one| !one.out)
+                .map(|one| one.weight)
+                .sum();
             let mut left = rng.random::<f64>() * sum;
             let drawn = there.iter().filter(|one| !one.out).find(|one| {
                 left -= one.weight;
                 left < 0.0
             });
             let balancer = drawn.or(there.iter().rev().find(|one| !one.out))?.balancer;
-            Some((Line { zone, balancer, life: 0 }, true))
+            Some((
+                Line {
+                    zone,
+                    balancer,
+                    life: 0,
+                },
+                true,
+            ))
         })
     }
 
@@ -88,13 +108,16 @@
 
     /// All connections to a balancer are closed.
     pub fn close(&mut self, balancer: u32) {
-        self.idle.iter_mut().for_each(|idle| idle.retain(|(line, _)| line.balancer != balancer));
+        self.idle
+            .iter_mut()
+            .for_each(|idle| idle.retain(|(line, _)| line.balancer != balancer));
     }
 
     /// It is known by now that a balancer is out, or back.
     pub fn notice(&mut self, balancer: u32, out: bool) {
         let all = self.zones.iter_mut().flatten();
-        all.filter(|one| one.balancer == balancer).for_each(|one| one.out = out);
+        all.filter(|one| one.balancer == balancer)
+            .for_each(|one| one.out = out);
     }
 
     /// How many connections are idle.
@@ -111,7 +134,10 @@
 
     fn front(uneven: f64) -> (Front, ChaCha8Rng) {
         let mut rng = ChaCha8Rng::seed_from_u64(3);
-        (Front::new(&[vec![0, 1, 2], vec![3]], uneven, 1_000, &mut rng), rng)
+        (
+            Front::new(&[vec![0, 1, 2], vec![3]], uneven, 1_000, &mut rng),
+            rng,
+        )
     }
 
     #[test]
@@ -122,7 +148,10 @@
         front.give_back(line, 10);
         assert_eq!(front.take(0, 500, &mut rng), Some((line, false)));
         front.give_back(line, 500);
-        assert!(front.take(0, 1_500, &mut rng).unwrap().1, "it has idled for 1,000");
+        assert!(
+            front.take(0, 1_500, &mut rng).unwrap().1,
+            "it has idled for 1,000"
+        );
         assert_eq!(front.idle(), 0);
         front.give_back(line, 1_500);
         front.close(line.balancer);
@@ -150,7 +179,13 @@
         let all: Vec<u32> = (0..400).collect();
         let front = Front::new(&[all], 20.0, 1_000, &mut rng);
         let weights = || front.zones[0].iter().map(|one| one.weight);
-        let (least, most) = (weights().fold(f64::MAX, f64::min), weights().fold(0.0, f64::max));
-        assert!((1.0..1.2).contains(&least) && (18.0..=20.0).contains(&most), "{least} {most}");
+        let (least, most) = (
+            weights().fold(f64::MAX, f64::min),
+            weights().fold(0.0, f64::max),
+        );
+        assert!(
+            (1.0..1.2).contains(&least) && (18.0..=20.0).contains(&most),
+            "{least} {most}"
+        );
     }
 }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -180,15 +180,25 @@
     /// Nothing is counted yet.
     pub fn new(scenario: &Scenario) -> Self {
         let classes = scenario.class.iter().map(|class| {
-            (class.worth, class.late_worth, class.aim.0, class.deadline.0, class.service.mean())
+            (
+                class.worth,
+                class.late_worth,
+                class.aim.0,
+                class.deadline.0,
+                class.service.mean(),
+            )
         });
         // How many requests of a tier one call of a caller makes.
         let mut multiple = vec![0.0; scenario.tier.len()];
         let (mut at, mut times) = (0, 1.0);
         loop {
             multiple[at] = times;
-            let Some(calls) = &scenario.tier[at].calls else { break };
-            let Some(next) = scenario.tier(&calls.tier) else { break };
+            let Some(calls) = &scenario.tier[at].calls else {
+                break;
+            };
+            let Some(next) = scenario.tier(&calls.tier) else {
+                break;
+            };
             (at, times) = (next, times * calls.mean);
         }
         Self {
@@ -243,7 +253,9 @@
     pub fn ended(&mut self, class: usize, outcome: Outcome, took: Time, measured: bool) {
         let (worth, late_worth, ..) = self.classes[class];
         let count = |counts: &mut Counts| match outcome {
-            Outcome::OnTime => (counts.on_time, counts.worth) = (counts.on_time + 1, counts.worth + worth),
+            Outcome::OnTime => {
+                (counts.on_time, counts.worth) = (counts.on_time + 1, counts.worth + worth)
+            }
             Outcome::Late => {
                 (counts.late, counts.worth) = (counts.late + 1, counts.worth + worth * late_worth);
             }
@@ -283,12 +295,17 @@
         let ms = |part: f64| self.step_latency.value_at_quantile(part) as f64 / 1e3;
         (step.p50_ms, step.p99_ms) = (ms(0.5), ms(0.99));
         let recorded = self.step_latency.iter_recorded();
-        step.latencies = recorded.map(|value| (value.value_iterated_to(), value.count_at_value())).collect();
+        step.latencies = recorded
+            .map(|value| (value.value_iterated_to(), value.count_at_value()))
+            .collect();
         step.speed = speed.to_vec();
         step.open = (requests as u64, attempts as u64);
         self.step_latency.reset();
         self.steps.push(step);
-        self.all_came.push(std::mem::replace(&mut self.came, vec![0; self.classes.len()]));
+        self.all_came.push(std::mem::replace(
+            &mut self.came,
+            vec![0; self.classes.len()],
+        ));
     }
 
     /// What can be served at most where work is a fluid: in each step the nodos' speed goes to the calls of the
@@ -296,8 +313,9 @@
     /// Queues within a step, the chance of arrivals and lost work are left out, so it is above what can be done.
     fn bound(&self) -> f64 {
         let mut waiting: Vec<VecDeque<(usize, f64)>> = vec![VecDeque::new(); self.classes.len()];
-        let mut order: Vec<(usize, bool)> =
-            (0..self.classes.len()).flat_map(|class| [(class, false), (class, true)]).collect();
+        let mut order: Vec<(usize, bool)> = (0..self.classes.len())
+            .flat_map(|class| [(class, false), (class, true)])
+            .collect();
         let worth_of = |&(class, late): &(usize, bool)| {
             let (worth, late_worth, _, _, work) = self.classes[class];
             worth * if late { late_worth } else { 1.0 } / work
@@ -305,17 +323,31 @@
         order.sort_by(|a, b| worth_of(b).total_cmp(&worth_of(a)));
         let mut worth = 0.0;
         // Until the last are past their time, the speed of the last step goes on.
-        let longest = self.classes.iter().map(|class| class.3 / self.step_length + 2).max().unwrap_or(0);
+        let longest = self
+            .classes
+            .iter()
+            .map(|class| class.3 / self.step_length + 2)
+            .max()
+            .unwrap_or(0);
         for at in 0..self.steps.len() + longest as usize {
             let step = &self.steps[at.min(self.steps.len() - 1)];
-            let least = step.speed.iter().zip(&self.multiple).filter(|(_, multiple)| **multiple > 0.0);
-            let least = least.map(|(speed, multiple)| speed / multiple).fold(f64::MAX, f64::min);
+            let least = step
+                .speed
+                .iter()
+                .zip(&self.multiple)
+                .filter(|(_, multiple)| **multiple > 0.0);
+            let least = least
+                .map(|(speed, multiple)| speed / multiple)
+                .fold(f64::MAX, f64::min);
             let mut room = least * self.step_length as f64;
             for (class, waiting) in waiting.iter_mut().enumerate() {
                 let came = self.all_came.get(at).map_or(0, |came| came[class]);
                 waiting.push_back((at, came as f64));
                 let deadline = (self.classes[class].3 / self.step_length) as usize + 1;
-                while waiting.front().is_some_and(|(came, _)| came + deadline < at) {
+                while waiting
+                    .front()
+                    .is_some_and(|(came, _)| came + deadline < at)
+                {
                     waiting.pop_front();
                 }
             }
@@ -323,8 +355,9 @@
                 let (each, late_worth, aim, _, work) = self.classes[*class];
                 let within = (aim / self.step_length) as usize + 1;
                 let each = if *late { each * late_worth } else { each };
-                for (came, left) in
-                    waiting[*class].iter_mut().filter(|(came, _)| *late == (came + within < at))
+                for (came, left) in waiting[*class]
+                    .iter_mut()
+                    .filter(|(came, _)| *late == (came + within < at))
                 {
                     let _ = came;
                     let done = left.min(room / work);
@@ -344,7 +377,11 @@
         events: u64,
         story: Vec<(Time, String)>,
     ) -> End {
-        let bound = if self.steps.is_empty() { 0.0 } else { self.bound() };
+        let bound = if self.steps.is_empty() {
+            0.0
+        } else {
+            self.bound()
+        };
         let mut all = self.all;
         // Of these it is not known which belong to calls of the warm-up.
         for step in &self.steps {
--- a/crates/lab/src/nodo.rs
+++ b/crates/lab/src/nodo.rs
@@ -101,7 +101,13 @@
 
 impl Nodo {
     /// A nodo of a tier, warm or cold.
-    pub fn new(name: String, tier: usize, like: &Tier, place: (u8, u16, u32), rng: ChaCha8Rng) -> Self {
+    pub fn new(
+        name: String,
+        tier: usize,
+        like: &Tier,
+        place: (u8, u16, u32),
+        rng: ChaCha8Rng,
+    ) -> Self {
         let (zone, cell, host) = place;
         Self {
             name,
@@ -161,7 +167,9 @@
 
     /// Part of its speed that it has while cold.
     pub fn warmth(&self, now: Time) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started) as f64 / self.ramp.max(1) as f64;
         (self.start_capacity + (1.0 - self.start_capacity) * age).min(1.0)
     }
@@ -239,7 +247,11 @@
 
     /// Whether this request is to get an error.
     pub fn errs(&mut self, class: usize) -> bool {
-        let share = self.ills.errors.iter().filter(|(_, only)| only.is_none_or(|only| only == class));
+        let share = self
+            .ills
+            .errors
+            .iter()
+            .filter(|(_, only)| only.is_none_or(|only| only == class));
         let share: f64 = share.map(|(share, _)| share).sum();
         chance(&mut self.rng, share)
     }
@@ -259,7 +271,9 @@
         let from = now.saturating_sub(WINDOW).max(started);
         let warm = |at: Time| self.warmth(at);
         let steps = 6;
-        let sum: f64 = (0..steps).map(|step| warm(from + WINDOW * (2 * step + 1) / (2 * steps))).sum();
+        let sum: f64 = (0..steps)
+            .map(|step| warm(from + WINDOW * (2 * step + 1) / (2 * steps)))
+            .sum();
         let can = capacity * sum / steps as f64 * WINDOW as f64 / 1e9;
         let part = self.came.len() as f64 / (self.tip * can).max(1.0);
         (part > 1.0).then_some(part)
--- a/crates/lab/src/prices.rs
+++ b/crates/lab/src/prices.rs
@@ -99,7 +99,13 @@
 
 fn most(counts: &[u32]) -> (usize, u32) {
     // Of equals the first, so that the same run names the same one.
-    counts.iter().copied().enumerate().rev().max_by_key(|(_, count)| *count).unwrap_or((0, 0))
+    counts
+        .iter()
+        .copied()
+        .enumerate()
+        .rev()
+        .max_by_key(|(_, count)| *count)
+        .unwrap_or((0, 0))
 }
 
 /// Counts while a run goes on.
@@ -111,7 +117,9 @@
 impl Prices {
     /// For so many tiers.
     pub fn new(tiers: usize) -> Self {
-        Self { tiers: vec![Default::default(); tiers] }
+        Self {
+            tiers: vec![Default::default(); tiers],
+        }
     }
 
     /// A balancer of a tier took a request.
@@ -131,9 +139,13 @@
     pub fn rows(&self, names: &[String]) -> Vec<PriceRow> {
         let tiers = self.tiers.iter().zip(names);
         let rows = tiers.flat_map(|((requests, tallies), tier)| {
-            Price::ALL.into_iter().zip(tallies).filter(|(_, tally)| tally.total > 0).map(
-                move |(price, tally)| {
-                    let ((sender, count), (second, worst)) = (most(&tally.senders), most(&tally.seconds));
+            Price::ALL
+                .into_iter()
+                .zip(tallies)
+                .filter(|(_, tally)| tally.total > 0)
+                .map(move |(price, tally)| {
+                    let ((sender, count), (second, worst)) =
+                        (most(&tally.senders), most(&tally.seconds));
                     PriceRow {
                         tier: tier.clone(),
                         price,
@@ -142,8 +154,7 @@
                         largest: (sender as u32, f64::from(count) / tally.total as f64),
                         worst: (second as u64, u64::from(worst)),
                     }
-                },
-            )
+                })
         });
         rows.collect()
     }
@@ -161,8 +172,13 @@
             prices.pay(second * SECOND + 1, 1, Price::Handshakes, sender);
         }
         let names = ["one".to_owned(), "two".to_owned()];
-        let [row] = &prices.rows(&names)[..] else { panic!("one line") };
-        assert_eq!((row.tier.as_str(), row.price, row.total), ("two", Price::Handshakes, 5));
+        let [row] = &prices.rows(&names)[..] else {
+            panic!("one line")
+        };
+        assert_eq!(
+            (row.tier.as_str(), row.price, row.total),
+            ("two", Price::Handshakes, 5)
+        );
         assert_eq!((row.each, row.largest, row.worst), (0.5, (7, 0.6), (2, 3)));
     }
 
--- a/crates/lab/src/rivals.rs
+++ b/crates/lab/src/rivals.rs
@@ -13,7 +13,8 @@
 use std::str::FromStr;
 use woadstall_engine::decisions::{Effect, Settings};
 use woadstall_engine::{
-    Call, Command, Ended, Entry, Input, Lifecycle, Outcome, Peer, RequestId, Send, ServerId, Time, Verdict,
+    Call, Command, Ended, Entry, Input, Lifecycle, Outcome, Peer, RequestId, Send, ServerId, Time,
+    Verdict,
 };
 
 /// How a server is picked.
@@ -87,7 +88,10 @@
 
 impl fmt::Display for Style {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = PICKS.iter().find(|(_, pick)| *pick == self.pick).map_or("", |(name, _)| name);
+        let name = PICKS
+            .iter()
+            .find(|(_, pick)| *pick == self.pick)
+            .map_or("", |(name, _)| name);
         f.write_str(name)?;
         f.write_str(if self.ejects { "+outlier" } else { "" })?;
         f.write_str(match self.limit {
@@ -111,9 +115,17 @@
         let name = parts.next().unwrap_or_default();
         let Some((_, pick)) = PICKS.iter().find(|(known, _)| *known == name) else {
             let known: Vec<_> = PICKS.iter().map(|(known, _)| *known).collect();
-            return Err(format!("there is no policy {name:?}; there are woadstall, {}", known.join(", ")));
+            return Err(format!(
+                "there is no policy {name:?}; there are woadstall, {}",
+                known.join(", ")
+            ));
+        };
+        let mut style = Self {
+            pick: *pick,
+            ejects: false,
+            limit: Limit::None,
+            retries: Retries::Never,
         };
-        let mut style = Self { pick: *pick, ejects: false, limit: Limit::None, retries: Retries::Never };
         for part in parts {
             match part {
                 "outlier" => style.ejects = true,
@@ -213,7 +225,9 @@
 
     fn on_listed(&mut self, entries: &[Entry], all: bool) {
         if all {
-            self.servers.iter_mut().for_each(|server| server.ready = false);
+            self.servers
+                .iter_mut()
+                .for_each(|server| server.ready = false);
         }
         for entry in entries {
             let next = self.servers.len();
@@ -248,8 +262,9 @@
             }
         }
         let servers = &self.servers;
-        self.ready =
-            (0..servers.len()).filter(|&at| servers[at].ready && servers[at].address.is_some()).collect();
+        self.ready = (0..servers.len())
+            .filter(|&at| servers[at].ready && servers[at].address.is_some())
+            .collect();
         // Copies that start together must not all begin with the same server.
         if all && !self.ready.is_empty() {
             self.cursor = self.rng.random_range(..self.ready.len());
@@ -257,19 +272,38 @@
     }
 
     fn on_call(&mut self, now: Time, call: Call<Ticket>) {
-        let Call { id, request: ticket, class, deadline, attempts: most, .. } = call;
-        let refused =
-            |retry_after| Command::Answer { request: ticket, verdict: Verdict::Refused(retry_after) };
+        let Call {
+            id,
+            request: ticket,
+            class,
+            deadline,
+            attempts: most,
+            ..
+        } = call;
+        let refused = |retry_after| Command::Answer {
+            request: ticket,
+            verdict: Verdict::Refused(retry_after),
+        };
         if deadline <= now || most == 0 {
             return self.commands.push_back(refused(0));
         }
         self.tokens = (self.tokens + BUDGET.0).min(BUDGET.1);
         if self.style.limit != Limit::None && f64::from(self.in_flight) >= self.limit {
-            return self.commands.push_back(refused(ADVICE.min(self.settings.max_retry_after)));
+            return self
+                .commands
+                .push_back(refused(ADVICE.min(self.settings.max_retry_after)));
         }
         let most = most.min(self.settings.max_attempts);
-        let open =
-            Open { ticket, class, deadline, attempts: 0, most, out: None, last: None, may_have_run: false };
+        let open = Open {
+            ticket,
+            class,
+            deadline,
+            attempts: 0,
+            most,
+            out: None,
+            last: None,
+            may_have_run: false,
+        };
         self.open.insert(id, open);
         self.attempt(now, id);
     }
@@ -277,43 +311,86 @@
     fn attempt(&mut self, now: Time, id: RequestId) {
         let last = self.open.get(&id).and_then(|open| open.last);
         let picked = self.pick(now, last);
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(at) = picked else { return self.give_up(id) };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(at) = picked else {
+            return self.give_up(id);
+        };
         let server = &mut self.servers[at];
-        let Some(address) = server.address else { return self.give_up(id) };
+        let Some(address) = server.address else {
+            return self.give_up(id);
+        };
         server.in_flight += 1;
         self.in_flight += 1;
         (open.out, open.last) = (Some((at, now)), Some(at));
         let (attempt, until) = (open.attempts, open.deadline);
         open.attempts += 1;
-        let to = Peer { server: server.id, address, boot_ms: server.boot_ms };
-        let send = Send { id, attempt, to, until, begin_by: Time::MAX, deadline: until };
+        let to = Peer {
+            server: server.id,
+            address,
+            boot_ms: server.boot_ms,
+        };
+        let send = Send {
+            id,
+            attempt,
+            to,
+            until,
+            begin_by: Time::MAX,
+            deadline: until,
+        };
         self.commands.push_back(Command::Send(send));
     }
 
     fn give_up(&mut self, id: RequestId) {
-        let Some(open) = self.open.remove(&id) else { return };
-        let safe = self.settings.classes.get(open.class).is_some_and(|class| class.effect == Effect::Safe);
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
+        let safe = self
+            .settings
+            .classes
+            .get(open.class)
+            .is_some_and(|class| class.effect == Effect::Safe);
         let verdict = match safe || !open.may_have_run {
             true => Verdict::Refused(ADVICE.min(self.settings.max_retry_after)),
             false => Verdict::Failed,
         };
-        self.commands.push_back(Command::Answer { request: open.ticket, verdict });
+        self.commands.push_back(Command::Answer {
+            request: open.ticket,
+            verdict,
+        });
     }
 
     fn on_ended(&mut self, now: Time, id: RequestId, attempt: u32, ended: &Ended<()>) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.attempts == attempt + 1) else { return };
-        let Some((at, sent)) = open.out.take() else { return };
+        let Some(open) = self
+            .open
+            .get_mut(&id)
+            .filter(|open| open.attempts == attempt + 1)
+        else {
+            return;
+        };
+        let Some((at, sent)) = open.out.take() else {
+            return;
+        };
         let (class, outcome, deadline) = (open.class, ended.outcome, open.deadline);
         open.may_have_run |= !outcome.never_ran();
         let (may_have_run, attempts, most) = (open.may_have_run, open.attempts, open.most);
         self.learn(now, at, now - sent, outcome);
         if ended.answer.is_some() {
-            let Some(open) = self.open.remove(&id) else { return };
-            let answer = Command::Answer { request: open.ticket, verdict: Verdict::Served(()) };
+            let Some(open) = self.open.remove(&id) else {
+                return;
+            };
+            let answer = Command::Answer {
+                request: open.ticket,
+                verdict: Verdict::Served(()),
+            };
             return self.commands.push_back(answer);
         }
-        let safe = self.settings.classes.get(class).is_some_and(|class| class.effect == Effect::Safe);
+        let safe = self
+            .settings
+            .classes
+            .get(class)
+            .is_some_and(|class| class.effect == Effect::Safe);
         let granted = match self.style.retries {
             Retries::Never => false,
             Retries::Fixed => true,
@@ -332,7 +409,10 @@
         let ribbon = self.style.pick == Pick::Ribbon;
         let server = &mut self.servers[at];
         server.in_flight = server.in_flight.saturating_sub(1);
-        let connection = matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset);
+        let connection = matches!(
+            outcome,
+            Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset
+        );
         let failed = connection || outcome == Outcome::Error;
         match outcome {
             Outcome::Ok | Outcome::Declined => (server.failures, server.trips) = (0, 0),
@@ -351,20 +431,39 @@
             let age = now.saturating_sub(server.cost_at) as f64;
             let weight = (-age / DECAY).exp();
             // A peak counts at once, and fades.
-            server.cost =
-                if took > server.cost { took } else { server.cost * weight + took * (1.0 - weight) };
+            server.cost = if took > server.cost {
+                took
+            } else {
+                server.cost * weight + took * (1.0 - weight)
+            };
             server.cost_at = now;
         }
         match self.style.limit {
             Limit::None => {}
-            Limit::Aimd if failed || outcome == Outcome::Full => self.limit = (0.9 * self.limit).max(1.0),
-            Limit::Aimd if f64::from(self.in_flight + 1) * 2.0 > self.limit => self.limit += 1.0 / self.limit,
+            Limit::Aimd if failed || outcome == Outcome::Full => {
+                self.limit = (0.9 * self.limit).max(1.0)
+            }
+            Limit::Aimd if f64::from(self.in_flight + 1) * 2.0 > self.limit => {
+                self.limit += 1.0 / self.limit
+            }
             Limit::Aimd => {}
             Limit::Gradient if matches!(outcome, Outcome::Ok | Outcome::Timeout) => {
                 let (short, long) = &mut self.latency;
-                *short = if *short == 0.0 { took } else { *short + 0.1 * (took - *short) };
-                *long = if *long == 0.0 { took } else { *long + 0.002 * (took - *long) };
-                *long = if *long / *short > 2.0 { *long * 0.95 } else { *long };
+                *short = if *short == 0.0 {
+                    took
+                } else {
+                    *short + 0.1 * (took - *short)
+                };
+                *long = if *long == 0.0 {
+                    took
+                } else {
+                    *long + 0.002 * (took - *long)
+                };
+                *long = if *long / *short > 2.0 {
+                    *long * 0.95
+                } else {
+                    *long
+                };
                 let gradient = (1.5 * *long / *short).clamp(0.5, 1.0);
                 if f64::from(self.in_flight + 1) * 2.0 > self.limit {
                     let next = self.limit * gradient + self.limit.sqrt();
@@ -378,7 +477,11 @@
 
     /// Leaves a server out for a while, unless too many are.
     fn eject(&mut self, now: Time, at: usize) {
-        let out = self.ready.iter().filter(|&&at| self.servers[at].out_until > now).count();
+        let out = self
+            .ready
+            .iter()
+            .filter(|&&at| self.servers[at].out_until > now)
+            .count();
         if (out as f64) < (EJECT.2 * self.ready.len() as f64).max(1.0) {
             let server = &mut self.servers[at];
             server.trips += 1;
@@ -394,15 +497,17 @@
         if self.style.pick == Pick::Ribbon {
             return self.pick_ribbon(now, not);
         }
-        let usable =
-            |this: &Self, at: usize| this.servers[at].out_until <= now && (Some(at) != not || count == 1);
+        let usable = |this: &Self, at: usize| {
+            this.servers[at].out_until <= now && (Some(at) != not || count == 1)
+        };
         match self.style.pick {
             Pick::RoundRobin | Pick::Ribbon => self.in_turn(count, |this, at| usable(this, at)),
             Pick::LeastConnections => {
                 let start = self.cursor;
                 self.cursor = (start + 1) % count;
                 let turn = (start..start + count).map(|at| self.ready[at % count]);
-                turn.filter(|&at| usable(self, at)).min_by_key(|&at| self.servers[at].in_flight)
+                turn.filter(|&at| usable(self, at))
+                    .min_by_key(|&at| self.servers[at].in_flight)
             }
             Pick::Random | Pick::TwoChoices | Pick::PeakEwma => {
                 let one = self.draw(usable)?;
@@ -415,7 +520,9 @@
                     let calls = f64::from(server.in_flight) + 1.0;
                     match self.style.pick {
                         // What is not known yet is dear while a call is out at it.
-                        Pick::PeakEwma if server.cost == 0.0 && server.in_flight > 0 => 1e12 * calls,
+                        Pick::PeakEwma if server.cost == 0.0 && server.in_flight > 0 => {
+                            1e12 * calls
+                        }
                         Pick::PeakEwma => {
                             let age = now.saturating_sub(server.cost_at) as f64;
                             server.cost * (-age / DECAY).exp() * calls
@@ -467,12 +574,17 @@
                 zone.in_flight += server.in_flight;
             }
         }
-        let load = |zone: &Zone| f64::from(zone.in_flight) / f64::from((zone.servers - zone.tripped).max(1));
+        let load = |zone: &Zone| {
+            f64::from(zone.in_flight) / f64::from((zone.servers - zone.tripped).max(1))
+        };
         let bad = |zone: &Zone| {
-            load(zone) >= ZONE.0 || f64::from(zone.tripped) >= ZONE.1 * f64::from(zone.servers.max(1))
+            load(zone) >= ZONE.0
+                || f64::from(zone.tripped) >= ZONE.1 * f64::from(zone.servers.max(1))
         };
         let own = usize::from(self.settings.zone.0);
-        let home = zones.get(own).is_some_and(|zone| zone.servers >= 2 && !bad(zone));
+        let home = zones
+            .get(own)
+            .is_some_and(|zone| zone.servers >= 2 && !bad(zone));
         let from: Vec<usize> = if home {
             vec![own]
         } else {
@@ -485,13 +597,18 @@
             }
             left
         };
-        let one = if from.is_empty() { None } else { Some(from[self.rng.random_range(..from.len())]) };
+        let one = if from.is_empty() {
+            None
+        } else {
+            Some(from[self.rng.random_range(..from.len())])
+        };
         let usable = |this: &Self, at: usize| {
             let server = &this.servers[at];
             Some(server.zone) == one && server.out_until <= now && Some(at) != not
         };
         let count = self.ready.len();
-        self.in_turn(count, usable).or_else(|| self.in_turn(1, |_, _| true))
+        self.in_turn(count, usable)
+            .or_else(|| self.in_turn(1, |_, _| true))
     }
 }
 
@@ -501,16 +618,28 @@
             Input::Listed { entries, all } => self.on_listed(entries, all),
             Input::Call(call) => self.on_call(now, call),
             Input::Gone(id) => {
-                if let Some(Open { attempts, out: Some((at, _)), .. }) = self.open.remove(&id) {
+                if let Some(Open {
+                    attempts,
+                    out: Some((at, _)),
+                    ..
+                }) = self.open.remove(&id)
+                {
                     self.learn(now, at, 0, Outcome::Cancelled);
                     if self.settings.may_cancel {
-                        self.commands.push_back(Command::Withdraw { id, attempt: attempts - 1 });
+                        self.commands.push_back(Command::Withdraw {
+                            id,
+                            attempt: attempts - 1,
+                        });
                     }
                 }
             }
             Input::Ended { id, attempt, ended } => self.on_ended(now, id, attempt, &ended),
             // Each for itself: what a fleet finds is told in vain.
-            Input::ListFailed | Input::Started { .. } | Input::Probed(..) | Input::Told(_) | Input::Tick => {}
+            Input::ListFailed
+            | Input::Started { .. }
+            | Input::Probed(..)
+            | Input::Told(_)
+            | Input::Tick => {}
         }
     }
 
--- a/crates/lab/src/scenario/bound.rs
+++ b/crates/lab/src/scenario/bound.rs
@@ -130,9 +130,15 @@
 
 impl fmt::Display for Kept {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seen = self.seen.map_or("nothing".to_owned(), |seen| format!("{seen:.3}"));
+        let seen = self
+            .seen
+            .map_or("nothing".to_owned(), |seen| format!("{seen:.3}"));
         let kept = if self.kept { "kept" } else { "BROKEN" };
-        write!(f, "bound {}: {kept}, {seen} seen, {:.3} wanted", self.name, self.wanted)
+        write!(
+            f,
+            "bound {}: {kept}, {seen} seen, {:.3} wanted",
+            self.name, self.wanted
+        )
     }
 }
 
@@ -183,19 +189,32 @@
             }
             Wanted::Told { from, least, .. } => {
                 window(from, &scenario.time)?;
-                if *least == 0 { Err("`least` is 0, which always holds".into()) } else { Ok(()) }
+                if *least == 0 {
+                    Err("`least` is 0, which always holds".into())
+                } else {
+                    Ok(())
+                }
             }
             Wanted::Attempts { most } => number("most", *most, 0.0, 1e6),
-            _ if scenario.members.is_none() => Err("there is no `[members]`: balancers do not speak".into()),
+            _ if scenario.members.is_none() => {
+                Err("there is no `[members]`: balancers do not speak".into())
+            }
             Wanted::FalseDeaths { .. } | Wanted::DeathsKnown { .. } => Ok(()),
             Wanted::Out { .. } | Wanted::Stays { .. } if scenario.evacuation.is_none() => {
                 Err("there is no `[evacuation]`: balancers leave nothing together".into())
             }
-            Wanted::Out { zone, from, part, .. } => {
+            Wanted::Out {
+                zone, from, part, ..
+            } => {
                 scenario.zone(&Some(zone.clone()))?;
                 window(from, &scenario.time).and_then(|()| number("part", *part, 0.0, 1.0))
             }
-            Wanted::Stays { zone, from, until, most } => {
+            Wanted::Stays {
+                zone,
+                from,
+                until,
+                most,
+            } => {
                 scenario.zone(&Some(zone.clone()))?;
                 window(from, until).and_then(|()| number("most", *most, 0.0, 1.0))
             }
@@ -209,8 +228,12 @@
     /// How it was kept in a run.
     pub fn judge(&self, scenario: &Scenario, end: &End) -> Kept {
         let steps = &end.steps;
-        let kept =
-            |wanted: f64, seen: Option<f64>, kept: bool| Kept { name: self.name.clone(), wanted, seen, kept };
+        let kept = |wanted: f64, seen: Option<f64>, kept: bool| Kept {
+            name: self.name.clone(),
+            wanted,
+            seen,
+            kept,
+        };
         match &self.what {
             Wanted::Served { from, until, least } => {
                 let sum = sum(steps, from.seconds(), until.seconds());
@@ -222,13 +245,30 @@
                 let seen = part(sum.refused as f64, sum.offered as f64);
                 kept(*most, seen, seen.is_some_and(|seen| seen <= *most))
             }
-            Wanted::Back { from, part: level, within } => {
-                let before = sum(steps, scenario.warm_up.seconds(), scenario.first_fault().seconds());
+            Wanted::Back {
+                from,
+                part: level,
+                within,
+            } => {
+                let before = sum(
+                    steps,
+                    scenario.warm_up.seconds(),
+                    scenario.first_fault().seconds(),
+                );
                 let level = level * part(before.worth, before.worth_offered).unwrap_or(0.0);
                 let seen = self.back(steps, from.seconds(), scenario.time.seconds(), level);
-                kept(within.seconds(), seen, seen.is_some_and(|seen| seen <= within.seconds()))
+                kept(
+                    within.seconds(),
+                    seen,
+                    seen.is_some_and(|seen| seen <= within.seconds()),
+                )
             }
-            Wanted::Told { topic, from, least, within } => {
+            Wanted::Told {
+                topic,
+                from,
+                least,
+                within,
+            } => {
                 let (mut told, mut begins) = (0, 0.0);
                 let seen = steps.iter().find_map(|step| {
                     let before = std::mem::replace(&mut begins, step.until);
@@ -237,34 +277,71 @@
                     }
                     (told >= *least).then_some(step.until - from.seconds())
                 });
-                kept(within.seconds(), seen, seen.is_some_and(|seen| seen <= within.seconds()))
+                kept(
+                    within.seconds(),
+                    seen,
+                    seen.is_some_and(|seen| seen <= within.seconds()),
+                )
             }
             Wanted::FalseDeaths { most } => {
                 let seen = end.members.as_ref().map(|members| members.false_deaths);
-                kept(*most as f64, seen.map(|seen| seen as f64), seen.is_some_and(|seen| seen <= *most))
+                kept(
+                    *most as f64,
+                    seen.map(|seen| seen as f64),
+                    seen.is_some_and(|seen| seen <= *most),
+                )
             }
             Wanted::DeathsKnown { within } => {
-                let known = end.members.as_ref().filter(|members| members.never_known == 0);
+                let known = end
+                    .members
+                    .as_ref()
+                    .filter(|members| members.never_known == 0);
                 let seen = known.map(|members| members.known_ms.max / 1e3);
-                kept(within.seconds(), seen, seen.is_some_and(|seen| seen <= within.seconds()))
+                kept(
+                    within.seconds(),
+                    seen,
+                    seen.is_some_and(|seen| seen <= within.seconds()),
+                )
             }
             Wanted::Together { from, within } => {
                 let (from, within) = (from.seconds(), *within);
                 let members = end.members.as_ref();
-                let seen = members.and_then(|members| members.together_after(from, within.seconds()));
-                kept(within.seconds(), seen, seen.is_some_and(|seen| seen <= within.seconds()))
+                let seen =
+                    members.and_then(|members| members.together_after(from, within.seconds()));
+                kept(
+                    within.seconds(),
+                    seen,
+                    seen.is_some_and(|seen| seen <= within.seconds()),
+                )
             }
             Wanted::CutsNamed { at, least } => {
                 let looks = end.members.iter().flat_map(|members| &members.cuts_named);
-                let seen = looks.copied().find(|(when, _)| *when >= at.seconds()).map(|(_, part)| part);
+                let seen = looks
+                    .copied()
+                    .find(|(when, _)| *when >= at.seconds())
+                    .map(|(_, part)| part);
                 kept(*least, seen, seen.is_some_and(|seen| seen >= *least))
             }
-            Wanted::Out { zone, from, part, within } => {
+            Wanted::Out {
+                zone,
+                from,
+                part,
+                within,
+            } => {
                 let out = end.evacuated.as_ref();
                 let seen = out.and_then(|out| out.out_after(zone, from.seconds(), *part));
-                kept(within.seconds(), seen, seen.is_some_and(|seen| seen <= within.seconds()))
+                kept(
+                    within.seconds(),
+                    seen,
+                    seen.is_some_and(|seen| seen <= within.seconds()),
+                )
             }
-            Wanted::Stays { zone, from, until, most } => {
+            Wanted::Stays {
+                zone,
+                from,
+                until,
+                most,
+            } => {
                 let out = end.evacuated.as_ref();
                 let seen = out.map(|out| out.most_out(zone, from.seconds(), until.seconds()));
                 kept(*most, seen, seen.is_some_and(|seen| seen <= *most))
@@ -282,24 +359,39 @@
         let begins = std::iter::once(0.0).chain(steps.iter().map(|step| step.until));
         let steps: Vec<(f64, &Step)> = begins.zip(steps).collect();
         let after = steps.iter().position(|(_, step)| step.until > from)?;
-        (after..steps.len()).filter(|&at| steps[at].0 < until).find_map(|at| {
-            let row = &steps[at..steps.len().min(at + IN_A_ROW)];
-            let (worth, offered) = row.iter().fold((0.0, 0.0), |(worth, offered), (_, step)| {
-                (worth + step.counts.worth, offered + step.counts.worth_offered)
-            });
-            part(worth, offered).is_none_or(|part| part >= level).then_some((steps[at].0 - from).max(0.0))
-        })
+        (after..steps.len())
+            .filter(|&at| steps[at].0 < until)
+            .find_map(|at| {
+                let row = &steps[at..steps.len().min(at + IN_A_ROW)];
+                let (worth, offered) =
+                    row.iter().fold((0.0, 0.0), |(worth, offered), (_, step)| {
+                        (
+                            worth + step.counts.worth,
+                            offered + step.counts.worth_offered,
+                        )
+                    });
+                part(worth, offered)
+                    .is_none_or(|part| part >= level)
+                    .then_some((steps[at].0 - from).max(0.0))
+            })
     }
 }
 
 impl Scenario {
     /// When the first fault begins; the end of the run, if there is none.
     pub fn first_fault(&self) -> Span {
-        self.fault.iter().map(|fault| fault.at).min().unwrap_or(self.time)
+        self.fault
+            .iter()
+            .map(|fault| fault.at)
+            .min()
+            .unwrap_or(self.time)
     }
 
     /// How the bounds were kept in a run.
     pub fn judge(&self, end: &End) -> Vec<Kept> {
-        self.bound.iter().map(|bound| bound.judge(self, end)).collect()
+        self.bound
+            .iter()
+            .map(|bound| bound.judge(self, end))
+            .collect()
     }
 }
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -16,9 +16,11 @@
         if self.time.0 / self.step.0 > 100_000 {
             return Err("`step`: more than 100,000 steps in `time`".into());
         }
-        for (what, count) in
-            [("zones", self.zones.len()), ("class", self.class.len()), ("tier", self.tier.len())]
-        {
+        for (what, count) in [
+            ("zones", self.zones.len()),
+            ("class", self.class.len()),
+            ("tier", self.tier.len()),
+        ] {
             if count == 0 {
                 return Err(format!("`{what}` is empty"));
             }
@@ -33,7 +35,10 @@
         unique("tenant", self.tenant.iter().map(|tenant| &tenant.name))?;
         for class in &self.class {
             let wrong = |text: String| Err(format!("class {}: {text}", class.name));
-            class.service.check().or_else(|text| wrong(format!("`service`: {text}")))?;
+            class
+                .service
+                .check()
+                .or_else(|text| wrong(format!("`service`: {text}")))?;
             if class.aim.0 == 0 || class.deadline < class.aim {
                 return wrong("`aim` must not be 0, nor `deadline` shorter".into());
             }
@@ -51,7 +56,9 @@
         self.check_evacuation()?;
         let (balancers, nodos) = self.sizes();
         if nodos > u64::from(MOST_NODOS) || balancers > u64::from(MOST_BALANCERS) {
-            return Err(format!("`tier`: at most {MOST_NODOS} nodos and {MOST_BALANCERS} balancers in all"));
+            return Err(format!(
+                "`tier`: at most {MOST_NODOS} nodos and {MOST_BALANCERS} balancers in all"
+            ));
         }
         for (at, tier) in self.tier.iter().enumerate() {
             let wrong = |text: String| Err(format!("tier {}: {text}", tier.name));
@@ -61,9 +68,13 @@
             match (tier.beside, self.caller_of(at)) {
                 (true, None) => return wrong("`beside`: no tier calls it".into()),
                 (true, Some(_)) if tier.balancers > 0 => {
-                    return wrong("`balancers`: with `beside` there are as many as nodos that call".into());
+                    return wrong(
+                        "`balancers`: with `beside` there are as many as nodos that call".into(),
+                    );
+                }
+                (false, _) if tier.balancers == 0 => {
+                    return wrong("`balancers` must not be 0".into());
                 }
-                (false, _) if tier.balancers == 0 => return wrong("`balancers` must not be 0".into()),
                 _ => {}
             }
             if tier.connections.trips > 10 {
@@ -84,7 +95,10 @@
         self.check_tiers()?;
         for callers in &self.callers {
             let wrong = |text: String| Err(format!("callers {}: {text}", callers.name));
-            callers.load.check().or_else(|text| wrong(format!("`load`: {text}")))?;
+            callers
+                .load
+                .check()
+                .or_else(|text| wrong(format!("`load`: {text}")))?;
             number("heeds-advice", callers.heeds_advice, 0.0, 1.0).or_else(wrong)?;
             for (class, share) in &callers.classes {
                 if self.class(class).is_none() {
@@ -101,18 +115,31 @@
                 return wrong(format!("`tenant`: there is no tenant {tenant}"));
             }
             self.zone(&callers.zone).map(drop).or_else(wrong)?;
-            if callers.again != Again::Never && matches!(callers.load, Load::Closed { think: Span(0), .. }) {
+            if callers.again != Again::Never
+                && matches!(callers.load, Load::Closed { think: Span(0), .. })
+            {
                 return wrong("`load`: a crowd that asks again needs a `think` over 0".into());
             }
         }
-        let calls: f64 = self.callers.iter().map(|callers| callers.load.most() * self.time.seconds()).sum();
+        let calls: f64 = self
+            .callers
+            .iter()
+            .map(|callers| callers.load.most() * self.time.seconds())
+            .sum();
         if calls > MOST_CALLS {
-            return Err(format!("`callers`: {calls:.0} calls, of {MOST_CALLS:.0} that one run may have"));
+            return Err(format!(
+                "`callers`: {calls:.0} calls, of {MOST_CALLS:.0} that one run may have"
+            ));
         }
         number("network.jitter", self.network.jitter, 0.0, 100.0)?;
         number("network.loss", self.network.loss, 0.0, 1.0)?;
         number("network.resets", self.network.resets, 0.0, 1.0)?;
-        number("network.bytes-per-second", self.network.bytes_per_second, 0.0, 1e12)?;
+        number(
+            "network.bytes-per-second",
+            self.network.bytes_per_second,
+            0.0,
+            1e12,
+        )?;
         if let Some(front) = &self.front {
             number("front.uneven", front.uneven, 1.0, 1e4)?;
         }
@@ -124,7 +151,12 @@
         }
         number("clocks.drift", self.clocks.drift, 0.0, 0.1)?;
         number("limits.cross-price", self.limits.cross_price, 0.0, 1.0)?;
-        number("limits.over-quota-worth", self.limits.over_quota_worth, 0.0, 1.0)?;
+        number(
+            "limits.over-quota-worth",
+            self.limits.over_quota_worth,
+            0.0,
+            1.0,
+        )?;
         if self.limits.attempts == 0 {
             return Err("`limits.attempts` is 0".into());
         }
@@ -144,7 +176,9 @@
                 What::Slow(times) | What::SlowLink(times) => {
                     number("what", *times, 0.01, 1e4).or_else(wrong)?
                 }
-                What::Lost(part) | What::Resets(part) => number("what", *part, 0.0, 1.0).or_else(wrong)?,
+                What::Lost(part) | What::Resets(part) => {
+                    number("what", *part, 0.0, 1.0).or_else(wrong)?
+                }
                 What::Errors { share, class } => {
                     number("share", *share, 0.0, 1.0).or_else(wrong)?;
                     if let Some(class) = class
@@ -166,7 +200,9 @@
                     return wrong("`tier`: its balancers go with their nodos".into());
                 }
                 What::CutTo | What::CutFrom | What::Link(_) if fault.zone.is_none() => {
-                    return wrong("`zone` is missing: a cut has one, and a link begins in one".into());
+                    return wrong(
+                        "`zone` is missing: a cut has one, and a link begins in one".into(),
+                    );
                 }
                 What::Link(link) => {
                     self.zone(&Some(link.to.clone())).map(drop).or_else(wrong)?;
@@ -178,27 +214,36 @@
                 What::Between(ill) => ill.check(self).or_else(wrong)?,
                 What::PowerLoss { .. } | What::Stop if fault.until.is_none() => {
                     return wrong(
-                        "`until` is missing: power comes back, and what stands still goes on".into(),
+                        "`until` is missing: power comes back, and what stands still goes on"
+                            .into(),
                     );
                 }
                 _ => {}
             }
         }
         if let Some(members) = &self.members {
-            let (period, patience, suspicion) = (members.period.0, members.patience.0, members.suspicion.0);
+            let (period, patience, suspicion) =
+                (members.period.0, members.patience.0, members.suspicion.0);
             if period == 0 || patience == 0 || patience > period / 2 || suspicion < period {
-                return Err("`members`: `patience` up to half of `period`, `suspicion` no shorter".into());
+                return Err(
+                    "`members`: `patience` up to half of `period`, `suspicion` no shorter".into(),
+                );
             }
         }
         for zone in self.regions.keys() {
-            self.zone(&Some(zone.clone())).map_err(|text| format!("`regions`: {text}"))?;
+            self.zone(&Some(zone.clone()))
+                .map_err(|text| format!("`regions`: {text}"))?;
         }
         unique("bound", self.bound.iter().map(|bound| &bound.name))?;
         for bound in &self.bound {
-            bound.check(self).map_err(|text| format!("bound {}: {text}", bound.name))?;
+            bound
+                .check(self)
+                .map_err(|text| format!("bound {}: {text}", bound.name))?;
         }
         for (zone, _) in self.zones.iter().enumerate() {
-            self.settings(0, zone as u8).check().map_err(|error| error.to_string())?;
+            self.settings(0, zone as u8)
+                .check()
+                .map_err(|error| error.to_string())?;
         }
         Ok(())
     }
@@ -209,10 +254,16 @@
             let (mut seen, mut next) = (HashSet::from([&tier.name]), tier);
             while let Some(calls) = &next.calls {
                 let Some(at) = self.tier(&calls.tier) else {
-                    return Err(format!("tier {}: `calls`: there is no tier {}", next.name, calls.tier));
+                    return Err(format!(
+                        "tier {}: `calls`: there is no tier {}",
+                        next.name, calls.tier
+                    ));
                 };
                 if !seen.insert(&calls.tier) {
-                    return Err(format!("tier {}: `calls` goes in a circle by {}", tier.name, calls.tier));
+                    return Err(format!(
+                        "tier {}: `calls` goes in a circle by {}",
+                        tier.name, calls.tier
+                    ));
                 }
                 next = &self.tier[at];
             }
@@ -225,7 +276,9 @@
     let mut seen = HashSet::new();
     for name in names {
         if name.is_empty() || !seen.insert(name) {
-            return Err(format!("`{what}`: the name {name:?} is empty or there twice"));
+            return Err(format!(
+                "`{what}`: the name {name:?} is empty or there twice"
+            ));
         }
     }
     Ok(())
--- a/crates/lab/src/scenario/evacuating.rs
+++ b/crates/lab/src/scenario/evacuating.rs
@@ -17,7 +17,10 @@
 
 impl Default for Evacuating {
     fn default() -> Self {
-        Self { every: Span(100 * MS), lie: None }
+        Self {
+            every: Span(100 * MS),
+            lie: None,
+        }
     }
 }
 
@@ -45,13 +48,17 @@
 
 impl Scenario {
     pub(super) fn check_evacuation(&self) -> Result<(), String> {
-        let Some(evacuation) = &self.evacuation else { return Ok(()) };
+        let Some(evacuation) = &self.evacuation else {
+            return Ok(());
+        };
         if self.members.is_none() {
             return Err("`evacuation`: there are no `members`, so nobody can tell anything".into());
         }
         if evacuation.every.0 < MS {
             return Err("`evacuation.every` is shorter than a millisecond".into());
         }
-        evacuation.lie.as_ref().map_or(Ok(()), |lie| number("evacuation.lie.part", lie.part, 0.0, 1.0))
+        evacuation.lie.as_ref().map_or(Ok(()), |lie| {
+            number("evacuation.lie.part", lie.part, 0.0, 1.0)
+        })
     }
 }
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -50,13 +50,22 @@
 impl Fault {
     /// What it stands for: itself, or one for each time that it comes.
     pub(super) fn each_time(self, place: u32) -> Result<Vec<Self>, String> {
-        let one = Self { again: None, place: Some(place), ..self.clone() };
-        let Some(again) = self.again else { return Ok(vec![one]) };
+        let one = Self {
+            again: None,
+            place: Some(place),
+            ..self.clone()
+        };
+        let Some(again) = self.again else {
+            return Ok(vec![one]);
+        };
         let wrong = |text: &str| Err(format!("fault {}: `again`: {text}", place + 1));
         if !(1..=MOST_TIMES).contains(&again.times) {
             return wrong("`times` is not from 1 to 1,000");
         }
-        if self.until.is_none_or(|until| until.0 < self.at.0 || until.0 - self.at.0 >= again.every.0) {
+        if self
+            .until
+            .is_none_or(|until| until.0 < self.at.0 || until.0 - self.at.0 >= again.every.0)
+        {
             return wrong("`until` is missing, or not before the next time");
         }
         let later = |span: Span, time: u32| Span(span.0 + u64::from(time) * again.every.0);
--- a/crates/lab/src/scenario/limits.rs
+++ b/crates/lab/src/scenario/limits.rs
@@ -103,7 +103,12 @@
 
 impl Default for Padron {
     fn default() -> Self {
-        Self { delay: Span(50 * MS), jitter: Span(200 * MS), notices: Span(2 * SECOND), asked: None }
+        Self {
+            delay: Span(50 * MS),
+            jitter: Span(200 * MS),
+            notices: Span(2 * SECOND),
+            asked: None,
+        }
     }
 }
 
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -62,7 +62,10 @@
             Self::Constant(rate) => *rate,
             Self::Curve(points) => {
                 let after = points.partition_point(|(time, _)| time.0 <= at);
-                match (after.checked_sub(1).and_then(|at| points.get(at)), points.get(after)) {
+                match (
+                    after.checked_sub(1).and_then(|at| points.get(at)),
+                    points.get(after),
+                ) {
                     (Some((from, low)), Some((to, high))) => {
                         let part = (at - from.0) as f64 / (to.0 - from.0).max(1) as f64;
                         low + (high - low) * part
@@ -71,7 +74,11 @@
                     (None, None) => 0.0,
                 }
             }
-            Self::Daily { mean, swing, period } => {
+            Self::Daily {
+                mean,
+                swing,
+                period,
+            } => {
                 let part = at as f64 / period.0.max(1) as f64;
                 mean * (1.0 - swing * (part * std::f64::consts::TAU).cos())
             }
@@ -98,7 +105,11 @@
                 }
                 points.iter().map(|(_, rate)| *rate).collect()
             }
-            Self::Daily { mean, swing, period } => {
+            Self::Daily {
+                mean,
+                swing,
+                period,
+            } => {
                 if !(0.0..=1.0).contains(swing) || period.0 == 0 {
                     return Err("`daily` needs a swing from 0 to 1 and a period".into());
                 }
@@ -109,7 +120,10 @@
             }
             Self::Closed { .. } => vec![],
         };
-        match rates.iter().find(|rate| !(rate.is_finite() && **rate >= 0.0)) {
+        match rates
+            .iter()
+            .find(|rate| !(rate.is_finite() && **rate >= 0.0))
+        {
             Some(rate) => Err(format!("a rate is {rate}, not a number from 0 on")),
             None => Ok(()),
         }
@@ -155,7 +169,10 @@
             Self::AtOnce { most } => (tries < most).then_some(0),
             Self::After { wait, most } => (tries < most).then_some(wait.0),
             Self::Backoff { first, cap, most } => (tries < most).then(|| {
-                let wait = first.0.saturating_mul(1 << tries.saturating_sub(1).min(20)).min(cap.0);
+                let wait = first
+                    .0
+                    .saturating_mul(1 << tries.saturating_sub(1).min(20))
+                    .min(cap.0);
                 wait / 2 + (draw() * (wait / 2) as f64) as u64
             }),
         }
--- a/crates/lab/src/scenario/members.rs
+++ b/crates/lab/src/scenario/members.rs
@@ -25,8 +25,18 @@
     fn default() -> Self {
         let usual = woadstall_instances::Settings::default();
         let span = |time: std::time::Duration| Span(time.as_nanos() as u64);
-        let (period, patience, suspicion) = (span(usual.period), span(usual.patience), span(usual.suspicion));
-        Self { period, patience, suspicion, pauses: Span(5 * SECOND), plain: usual.plain }
+        let (period, patience, suspicion) = (
+            span(usual.period),
+            span(usual.patience),
+            span(usual.suspicion),
+        );
+        Self {
+            period,
+            patience,
+            suspicion,
+            pauses: Span(5 * SECOND),
+            plain: usual.plain,
+        }
     }
 }
 
@@ -69,7 +79,16 @@
 impl Default for BetweenIll {
     fn default() -> Self {
         let (to, way, cut, delay) = (None, Direction::There, false, Span(0));
-        Self { to, way, cut, delay, loss: 0.0, doubled: 0.0, overtaken: 0.0, bridges: 0 }
+        Self {
+            to,
+            way,
+            cut,
+            delay,
+            loss: 0.0,
+            doubled: 0.0,
+            overtaken: 0.0,
+            bridges: 0,
+        }
     }
 }
 
@@ -98,10 +117,18 @@
 
     /// Whether what goes from one to the other is hit, of `all` balancers. `hit` are those that the fault hits, in the order of
     /// their numbers.
-    fn hits(&self, hit: &[u32], all: usize, to_zone: Option<u8>, from: (u32, u8), to: (u32, u8)) -> bool {
+    fn hits(
+        &self,
+        hit: &[u32],
+        all: usize,
+        to_zone: Option<u8>,
+        from: (u32, u8),
+        to: (u32, u8),
+    ) -> bool {
         let is_hit = |of: u32| hit.binary_search(&of).is_ok();
         let is_bridge = |of: u32| {
-            !is_hit(of) && (of as usize - hit.partition_point(|hit| *hit < of)) < self.bridges as usize
+            !is_hit(of)
+                && (of as usize - hit.partition_point(|hit| *hit < of)) < self.bridges as usize
         };
         let is_other = |(of, zone): (u32, u8)| match to_zone {
             _ if is_bridge(of) => false,
@@ -129,8 +156,16 @@
         faults: impl Iterator<Item = (&'a Fault, &'a [u32])>,
     ) -> Among {
         let network = &self.network;
-        let base = if from.1 == to.1 { network.within } else { network.across };
-        let mut among = Among { delay: base.0, loss: network.loss, ..Among::default() };
+        let base = if from.1 == to.1 {
+            network.within
+        } else {
+            network.across
+        };
+        let mut among = Among {
+            delay: base.0,
+            loss: network.loss,
+            ..Among::default()
+        };
         for (fault, hit) in faults {
             if let What::Between(ill) = &fault.what {
                 let zone = self.zone(&ill.to).unwrap_or(None);
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -180,7 +180,9 @@
         let mut scenario: Self = toml::from_str(text).map_err(|error| Error(error.to_string()))?;
         let faults = std::mem::take(&mut scenario.fault).into_iter().zip(0..);
         for (fault, place) in faults {
-            scenario.fault.extend(fault.each_time(place).map_err(Error)?);
+            scenario
+                .fault
+                .extend(fault.each_time(place).map_err(Error)?);
         }
         scenario.check()?;
         Ok(scenario)
@@ -194,7 +196,12 @@
     /// The tier whose nodos call this one.
     pub fn caller_of(&self, tier: usize) -> Option<usize> {
         let name = &self.tier[tier].name;
-        self.tier.iter().position(|other| other.calls.as_ref().is_some_and(|calls| calls.tier == *name))
+        self.tier.iter().position(|other| {
+            other
+                .calls
+                .as_ref()
+                .is_some_and(|calls| calls.tier == *name)
+        })
     }
 
     /// Zone of a nodo or balancer, by its number in its tier: they stand in the zones in turn.
@@ -204,21 +211,32 @@
 
     /// The longest that a caller waits.
     pub fn longest(&self) -> Span {
-        self.class.iter().map(|class| class.deadline).max().unwrap_or(Span(0))
+        self.class
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(Span(0))
     }
 
     /// How many balancers send to a tier.
     pub fn senders(&self, tier: usize) -> u32 {
         match self.tier[tier].beside {
-            true => self.caller_of(tier).map_or(0, |caller| self.tier[caller].nodos),
+            true => self
+                .caller_of(tier)
+                .map_or(0, |caller| self.tier[caller].nodos),
             false => self.tier[tier].balancers,
         }
     }
 
     /// How many balancers and nodos there are in all.
     pub fn sizes(&self) -> (u64, u64) {
-        let balancers = (0..self.tier.len()).map(|tier| u64::from(self.senders(tier))).sum();
-        (balancers, self.tier.iter().map(|tier| u64::from(tier.nodos)).sum())
+        let balancers = (0..self.tier.len())
+            .map(|tier| u64::from(self.senders(tier)))
+            .sum();
+        (
+            balancers,
+            self.tier.iter().map(|tier| u64::from(tier.nodos)).sum(),
+        )
     }
 
     /// Position of a class.
@@ -229,7 +247,9 @@
     /// The classes that a group of callers calls, by position, with the share of each.
     pub fn mix(&self, callers: &Callers) -> Vec<(f64, usize)> {
         let classes = callers.classes.iter();
-        classes.filter_map(|(name, share)| Some((*share, self.class(name)?))).collect()
+        classes
+            .filter_map(|(name, share)| Some((*share, self.class(name)?)))
+            .collect()
     }
 
     /// Position of a tier.
@@ -241,7 +261,8 @@
     pub fn zone(&self, name: &Option<String>) -> Result<Option<u8>, String> {
         let Some(name) = name else { return Ok(None) };
         let at = self.zones.iter().position(|zone| zone == name);
-        at.map(|at| Some(at as u8)).ok_or_else(|| format!("`zone`: there is no zone {name}"))
+        at.map(|at| Some(at as u8))
+            .ok_or_else(|| format!("`zone`: there is no zone {name}"))
     }
 
     /// Name of a zone, by its position.
--- a/crates/lab/src/scenario/settings.rs
+++ b/crates/lab/src/scenario/settings.rs
@@ -29,7 +29,13 @@
         let (depth, siblings, tier) = (self.depth(tier), self.senders(tier), &self.tier[tier]);
         Settings {
             classes: self.class.iter().map(class).collect(),
-            tenants: self.tenant.iter().map(|tenant| Tenant { quota_rps: tenant.quota }).collect(),
+            tenants: self
+                .tenant
+                .iter()
+                .map(|tenant| Tenant {
+                    quota_rps: tenant.quota,
+                })
+                .collect(),
             over_quota_worth: self.limits.over_quota_worth,
             worth_by_work: false,
             zone: ZoneId(zone),
--- a/crates/lab/src/scenario/tiers.rs
+++ b/crates/lab/src/scenario/tiers.rs
@@ -66,7 +66,11 @@
 
 impl Default for Connections {
     fn default() -> Self {
-        Self { work: Span(0), trips: 1, most: 0 }
+        Self {
+            work: Span(0),
+            trips: 1,
+            most: 0,
+        }
     }
 }
 
@@ -94,7 +98,11 @@
 
 impl Default for Dealing {
     fn default() -> Self {
-        Self { notices: Span(3 * SECOND), uneven: 1.0, kept: Span(15 * SECOND) }
+        Self {
+            notices: Span(3 * SECOND),
+            uneven: 1.0,
+            kept: Span(15 * SECOND),
+        }
     }
 }
 
--- a/crates/lab/src/units.rs
+++ b/crates/lab/src/units.rs
@@ -39,8 +39,9 @@
             }
 
             fn visit_str<E: de::Error>(self, text: &str) -> Result<Span, E> {
-                let time = humantime::parse_duration(text)
-                    .map_err(|error| E::custom(format!("{text:?} is no time with a unit: {error}")))?;
+                let time = humantime::parse_duration(text).map_err(|error| {
+                    E::custom(format!("{text:?} is no time with a unit: {error}"))
+                })?;
                 match Time::try_from(time.as_nanos()) {
                     Ok(nanos) if nanos <= MOST => Ok(Span(nanos)),
                     _ => Err(E::custom(format!("{text:?} is longer than a week"))),
@@ -53,6 +54,8 @@
 
 impl Serialize for Span {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.collect_str(&humantime::format_duration(std::time::Duration::from_nanos(self.0)))
+        serializer.collect_str(&humantime::format_duration(
+            std::time::Duration::from_nanos(self.0),
+        ))
     }
 }
--- a/crates/lab/src/witness.rs
+++ b/crates/lab/src/witness.rs
@@ -109,7 +109,12 @@
 impl Quantiles {
     fn of(times: &Histogram<u64>) -> Self {
         let at = |part| times.value_at_quantile(part) as f64;
-        Self { count: times.len(), p50: at(0.5), p99: at(0.99), max: times.max() as f64 }
+        Self {
+            count: times.len(),
+            p50: at(0.5),
+            p99: at(0.99),
+            max: times.max() as f64,
+        }
     }
 }
 
@@ -145,7 +150,10 @@
     /// How many pairs with one member are not as they should be.
     fn apart_with(&self, who: usize) -> usize {
         let all = 0..self.members.len();
-        all.map(|other| usize::from(self.is_apart(who, other)) + usize::from(self.is_apart(other, who))).sum()
+        all.map(|other| {
+            usize::from(self.is_apart(who, other)) + usize::from(self.is_apart(other, who))
+        })
+        .sum()
     }
 
     fn change(&mut self, now: Time, who: usize, change: impl FnOnce(&mut Self)) {
@@ -157,7 +165,12 @@
 
     fn note(&mut self, now: Time) {
         let together = self.apart == 0;
-        if self.together.last().is_none_or(|(_, last)| *last != together) && self.together.len() < CHANGES {
+        if self
+            .together
+            .last()
+            .is_none_or(|(_, last)| *last != together)
+            && self.together.len() < CHANGES
+        {
             self.together.push((now, together));
         }
     }
@@ -169,7 +182,11 @@
         }
         let size = self.members.len();
         self.change(now, who, |all| {
-            all.members[who] = Member { up, cut_off: all.members[who].cut_off, ..Member::default() };
+            all.members[who] = Member {
+                up,
+                cut_off: all.members[who].cut_off,
+                ..Member::default()
+            };
             if up {
                 for other in 0..size {
                     all.held[who * size + other] = Held::Unknown;
@@ -178,17 +195,31 @@
             }
         });
         if up {
-            if let Some(death) = self.deaths.remove(&who).filter(|death| now >= death.at + LASTS) {
+            if let Some(death) = self
+                .deaths
+                .remove(&who)
+                .filter(|death| now >= death.at + LASTS)
+            {
                 self.never_known += death.needed as u64;
             }
             return;
         }
         self.died += 1;
         // Those that held it for gone already hear nothing new.
-        let gone = |by: usize| matches!(self.held[by * size + who], Held::Dead | Held::Left | Held::Unknown);
-        let needed = (0..size).filter(|&by| self.members[by].up && !gone(by)).count();
+        let gone = |by: usize| {
+            matches!(
+                self.held[by * size + who],
+                Held::Dead | Held::Left | Held::Unknown
+            )
+        };
+        let needed = (0..size)
+            .filter(|&by| self.members[by].up && !gone(by))
+            .count();
         for (&of, death) in &mut self.deaths {
-            let knows = matches!(self.held[who * size + of], Held::Dead | Held::Left | Held::Unknown);
+            let knows = matches!(
+                self.held[who * size + of],
+                Held::Dead | Held::Left | Held::Unknown
+            );
             death.needed -= usize::from(!knows).min(death.needed);
         }
         self.deaths.insert(who, Death { at: now, needed });
@@ -218,8 +249,8 @@
         let size = self.members.len();
         for (who, member) in self.members.iter_mut().enumerate() {
             let mut others = (0..size).filter(|&other| other != who);
-            let off =
-                others.clone().all(|other| is_cut(who, other)) || others.all(|other| is_cut(other, who));
+            let off = others.clone().all(|other| is_cut(who, other))
+                || others.all(|other| is_cut(other, who));
             if std::mem::replace(&mut member.cut_off, off) && !off {
                 member.excused = member.excused.max(now + EXCUSED);
             }
@@ -240,7 +271,11 @@
         if self.members[of].up {
             return self.held_there(now, by, of, held);
         }
-        if let Some(death) = self.deaths.get_mut(&of).filter(|_| gone(held) && !gone(was)) {
+        if let Some(death) = self
+            .deaths
+            .get_mut(&of)
+            .filter(|_| gone(held) && !gone(was))
+        {
             let ms = now.saturating_sub(death.at) / 1_000_000;
             self.known.record(ms).ok();
             death.needed = death.needed.saturating_sub(1);
@@ -257,13 +292,19 @@
             return;
         }
         let sleeps = member.still_since.is_some_and(|since| now - since > pauses);
-        if member.cut_off || sleeps || now < member.excused || std::mem::replace(&mut member.wronged, true) {
+        if member.cut_off
+            || sleeps
+            || now < member.excused
+            || std::mem::replace(&mut member.wronged, true)
+        {
             return;
         }
         self.false_deaths += 1;
         if self.stories.len() < STORIES {
             let at = now as f64 / SECOND as f64;
-            self.stories.push(format!("{at:.3} s: {by} holds {of} for dead, which is there"));
+            self.stories.push(format!(
+                "{at:.3} s: {by} holds {of} for dead, which is there"
+            ));
         }
     }
 
@@ -277,15 +318,19 @@
             wrongly += u64::from(!is_cut && (by_first || by_second));
         }
         if cut > 0 {
-            self.cuts_named.push((now, (named as f64 - wrongly as f64) / cut as f64));
+            self.cuts_named
+                .push((now, (named as f64 - wrongly as f64) / cut as f64));
         }
     }
 
     /// All ordered pairs of those that are there and have spoken.
     pub fn pairs(&self, has_spoken: impl Fn(usize) -> bool) -> Vec<(usize, usize)> {
-        let there: Vec<usize> =
-            (0..self.members.len()).filter(|&who| self.is_there(who) && has_spoken(who)).collect();
-        let pairs = there.iter().flat_map(|&from| there.iter().map(move |&to| (from, to)));
+        let there: Vec<usize> = (0..self.members.len())
+            .filter(|&who| self.is_there(who) && has_spoken(who))
+            .collect();
+        let pairs = there
+            .iter()
+            .flat_map(|&from| there.iter().map(move |&to| (from, to)));
         pairs.filter(|(from, to)| from != to).collect()
     }
 
@@ -296,8 +341,12 @@
 
     /// All that was seen; `bytes` are those that each member sent, over so long.
     pub fn end(mut self, now: Time, bytes: &[u64], over: Time) -> MembersEnd {
-        let open: usize =
-            self.deaths.values().filter(|death| now >= death.at + LASTS).map(|death| death.needed).sum();
+        let open: usize = self
+            .deaths
+            .values()
+            .filter(|death| now >= death.at + LASTS)
+            .map(|death| death.needed)
+            .sum();
         self.never_known += open as u64;
         let seconds = |time: Time| time as f64 / SECOND as f64;
         let rate = |bytes: u64| bytes as f64 / seconds(over).max(1e-9);
@@ -309,9 +358,20 @@
             known_ms: Quantiles::of(&self.known),
             known_by_all_ms: Quantiles::of(&self.known_by_all),
             never_known: self.never_known,
-            together: self.together.iter().map(|(at, is)| (seconds(*at), *is)).collect(),
-            cuts_named: self.cuts_named.iter().map(|(at, part)| (seconds(*at), *part)).collect(),
-            bytes_a_second: (mean, bytes.iter().map(|bytes| rate(*bytes)).fold(0.0, f64::max)),
+            together: self
+                .together
+                .iter()
+                .map(|(at, is)| (seconds(*at), *is))
+                .collect(),
+            cuts_named: self
+                .cuts_named
+                .iter()
+                .map(|(at, part)| (seconds(*at), *part))
+                .collect(),
+            bytes_a_second: (
+                mean,
+                bytes.iter().map(|bytes| rate(*bytes)).fold(0.0, f64::max),
+            ),
         }
     }
 }
@@ -334,7 +394,10 @@
     fn three() -> Witness {
         let mut all = Witness::new(3, 5 * S);
         (0..3).for_each(|who| all.runs(0, who, true));
-        for (by, of) in (0..9).map(|pair| (pair / 3, pair % 3)).filter(|(by, of)| by != of) {
+        for (by, of) in (0..9)
+            .map(|pair| (pair / 3, pair % 3))
+            .filter(|(by, of)| by != of)
+        {
             all.holds(S, by, of, Held::Alive);
         }
         all
@@ -358,11 +421,25 @@
         all.holds(23 * S, 1, 2, Held::Dead);
         all.runs(60 * S, 2, true);
         let end = all.end(70 * S, &[7_000, 0, 0], 70 * S);
-        assert_eq!((end.false_deaths, end.stories.len(), end.deaths, end.never_known), (1, 1, 1, 0));
+        assert_eq!(
+            (
+                end.false_deaths,
+                end.stories.len(),
+                end.deaths,
+                end.never_known
+            ),
+            (1, 1, 1, 0)
+        );
         // To three digits.
-        assert!(end.known_ms.count == 2 && (3_000.0..3_010.0).contains(&end.known_by_all_ms.max), "{end:?}");
+        assert!(
+            end.known_ms.count == 2 && (3_000.0..3_010.0).contains(&end.known_by_all_ms.max),
+            "{end:?}"
+        );
         assert_eq!(end.together_after(2.5, 1.0), Some(0.5));
-        assert_eq!((end.together_after(14.0, 1.0), end.together_after(60.0, 5.0)), (Some(0.0), None));
+        assert_eq!(
+            (end.together_after(14.0, 1.0), end.together_after(60.0, 5.0)),
+            (Some(0.0), None)
+        );
         assert_eq!(end.bytes_a_second.1, 100.0);
     }
 
@@ -371,7 +448,15 @@
         let mut all = three();
         all.runs(2 * S, 0, false);
         all.holds(3 * S, 1, 0, Held::Dead);
-        all.ways(3 * S, [(true, true, true), (true, true, false), (false, false, true)].into_iter());
+        all.ways(
+            3 * S,
+            [
+                (true, true, true),
+                (true, true, false),
+                (false, false, true),
+            ]
+            .into_iter(),
+        );
         let end = all.end(40 * S, &[0; 3], S);
         assert_eq!((end.never_known, end.known_by_all_ms.count), (1, 0));
         assert_eq!(end.cuts_named, [(3.0, 0.0)]);
--- a/crates/lab/src/world/balancers.rs
+++ b/crates/lab/src/world/balancers.rs
@@ -15,7 +15,13 @@
             let due = balancer.world(due).max(now + RING);
             if due < balancer.planned {
                 balancer.planned = due;
-                self.agenda.at(due, Event::Wake { balancer: at as u32, at: due });
+                self.agenda.at(
+                    due,
+                    Event::Wake {
+                        balancer: at as u32,
+                        at: due,
+                    },
+                );
             }
         }
     }
@@ -27,7 +33,13 @@
         if let Some(until) = self.stands_still(at) {
             self.balancers[at].planned = until;
             let balancer = at as u32;
-            return self.agenda.at(until, Event::Wake { balancer, at: until });
+            return self.agenda.at(
+                until,
+                Event::Wake {
+                    balancer,
+                    at: until,
+                },
+            );
         }
         self.balancers[at].planned = Time::MAX;
         self.tell(at, Input::Tick);
@@ -39,7 +51,11 @@
 
     pub(super) fn stall_grace(&self, now: Time) -> Time {
         // Whoever stood still until lately answers late for that reason.
-        if now < self.stalled.saturating_add(SECOND) { self.stalled_most() } else { 0 }
+        if now < self.stalled.saturating_add(SECOND) {
+            self.stalled_most()
+        } else {
+            0
+        }
     }
 
     pub(super) fn stalled_most(&self) -> Time {
@@ -54,17 +70,23 @@
         match command {
             Command::Send(send) => self.send(at, &send),
             Command::Withdraw { id, attempt } => self.withdraw(id, attempt),
-            Command::Answer { request: Ticket(request), verdict } => {
+            Command::Answer {
+                request: Ticket(request),
+                verdict,
+            } => {
                 let now = self.agenda.now();
                 let grace = self.stall_grace(now);
                 self.auditor.answered(now, request, &verdict, grace);
-                let Some(known) = self.requests.get_mut(request) else { return };
+                let Some(known) = self.requests.get_mut(request) else {
+                    return;
+                };
                 if std::mem::replace(&mut known.answered, true) {
                     return;
                 }
                 let wish = known.wish;
                 if matches!(verdict, Verdict::Refused(_)) {
-                    self.prices.pay(now, self.balancers[at].tier, Price::Refusals, at);
+                    self.prices
+                        .pay(now, self.balancers[at].tier, Price::Refusals, at);
                 }
                 self.tell_story(wish, || format!("balancer {at} answers {verdict:?}"));
                 self.answered_wish(wish, &verdict);
@@ -80,7 +102,12 @@
 
     pub(super) fn forget_request(&mut self, request: u64) {
         let over = |request: &Request| request.answered && request.attempts == 0;
-        if let Some(wish) = self.requests.get(request).filter(|r| over(r)).map(|r| r.wish) {
+        if let Some(wish) = self
+            .requests
+            .get(request)
+            .filter(|r| over(r))
+            .map(|r| r.wish)
+        {
             self.requests.take(request);
             if let Some(wish) = self.wishes.get_mut(wish) {
                 wish.requests -= 1;
@@ -93,8 +120,12 @@
     /// again either.
     fn close_idle(&mut self, at: usize, server: ServerId, retire: bool) {
         let balancer = &mut self.balancers[at];
-        let Some(&host) = balancer.hosts.get(server.0 as usize) else { return };
-        let Some(links) = balancer.links.get_mut(host as usize) else { return };
+        let Some(&host) = balancer.hosts.get(server.0 as usize) else {
+            return;
+        };
+        let Some(links) = balancer.links.get_mut(host as usize) else {
+            return;
+        };
         links.epoch += u32::from(retire);
         let (closed, process) = (std::mem::take(&mut links.idle), links.process);
         self.closed(at, host as usize, process, closed);
@@ -116,8 +147,12 @@
             return true;
         }
         let links = self.balancers[at].links.iter_mut().enumerate();
-        let idle = links.filter(|(_, links)| links.idle > 0).min_by_key(|(_, links)| links.idle_since);
-        let Some((host, links)) = idle else { return false };
+        let idle = links
+            .filter(|(_, links)| links.idle > 0)
+            .min_by_key(|(_, links)| links.idle_since);
+        let Some((host, links)) = idle else {
+            return false;
+        };
         links.idle -= 1;
         let process = links.process;
         self.closed(at, host, process, 1);
@@ -133,16 +168,27 @@
 
     /// What is wrong now with what goes to a nodo, or comes back.
     fn link_ills(&self, at: usize, nodo: usize, to: bool) -> impl Iterator<Item = &LinkIll> {
-        let (now, there, here) = (self.agenda.now(), self.nodos[nodo].zone, self.balancers[at].zone);
+        let (now, there, here) = (
+            self.agenda.now(),
+            self.nodos[nodo].zone,
+            self.balancers[at].zone,
+        );
         let (from, into) = if to { (here, there) } else { (there, here) };
         let (from, into) = (self.scenario.zone_name(from), self.scenario.zone_name(into));
-        let in_force = self.scenario.fault.iter().filter(move |fault| fault.is_in_force(now));
+        let in_force = self
+            .scenario
+            .fault
+            .iter()
+            .filter(move |fault| fault.is_in_force(now));
         in_force.filter_map(move |fault| fault.link(from, into))
     }
 
     /// Whether a message gets lost by chance.
     pub(super) fn is_lost(&mut self, at: usize, nodo: usize, to: bool) -> bool {
-        let link = self.link_ills(at, nodo, to).map(|link| link.loss).fold(0.0, f64::max);
+        let link = self
+            .link_ills(at, nodo, to)
+            .map(|link| link.loss)
+            .fold(0.0, f64::max);
         let loss = self.scenario.network.loss.max(link);
         chance(&mut self.balancers[at].network, loss)
     }
@@ -151,7 +197,11 @@
         let more: Time = self.link_ills(at, nodo, to).map(|link| link.delay.0).sum();
         let (network, nodo) = (&self.scenario.network, &self.nodos[nodo]);
         let balancer = &mut self.balancers[at];
-        let base = if balancer.zone == nodo.zone { network.within } else { network.across };
+        let base = if balancer.zone == nodo.zone {
+            network.within
+        } else {
+            network.across
+        };
         let jitter = 1.0 + network.jitter * balancer.network.random::<f64>();
         (base.0 as f64 * jitter * nodo.ills.far) as Time + more
     }
@@ -168,9 +218,13 @@
         let host = Self::host_of(send.to.address);
         let request = self.request_of(send.id);
         self.auditor.sent(now, request, at, host);
-        let Some(&nodo) = self.hosts.get(host as usize) else { return };
+        let Some(&nodo) = self.hosts.get(host as usize) else {
+            return;
+        };
         let nodo = nodo as usize;
-        let Some(known) = self.requests.get_mut(request) else { return };
+        let Some(known) = self.requests.get_mut(request) else {
+            return;
+        };
         known.attempts += 1;
         let wish = known.wish;
         let other_zone = self.balancers[at].zone != self.nodos[nodo].zone;
@@ -184,7 +238,9 @@
         }
         let balancer = &mut self.balancers[at];
         if balancer.links.len() <= host as usize {
-            balancer.links.resize(self.hosts.len().max(host as usize + 1), Links::default());
+            balancer
+                .links
+                .resize(self.hosts.len().max(host as usize + 1), Links::default());
         }
         let (there, process) = (&self.nodos[nodo], self.nodos[nodo].process);
         let server = send.to.server.0 as usize;
@@ -196,7 +252,12 @@
         let (mut closed, former) = (0, links.process);
         if links.process != process {
             closed = links.idle;
-            *links = Links { epoch: links.epoch + 1, process, idle: 0, idle_since: 0 };
+            *links = Links {
+                epoch: links.epoch + 1,
+                process,
+                idle: 0,
+                idle_since: 0,
+            };
         }
         let http2 = self.scenario.limits.http2;
         let fresh = links.idle > 0 && now - links.idle_since < self.scenario.limits.idle.0;
@@ -213,7 +274,11 @@
         if !kept && has_socket {
             self.balancers[at].open += 1;
             crowded = self.nodos[nodo].alive && !self.nodos[nodo].connect();
-            let price = if crowded { Price::Crowded } else { Price::Handshakes };
+            let price = if crowded {
+                Price::Crowded
+            } else {
+                Price::Handshakes
+            };
             self.prices.pay(now, tier, price, at);
             if crowded {
                 self.balancers[at].open -= 1; // refused before it was one
@@ -240,22 +305,41 @@
             known.out.push((send.attempt, number));
         }
         let name = &self.nodos[nodo].name;
-        let text = format!("balancer {at} sends attempt {} to {name} (host {host})", send.attempt);
+        let text = format!(
+            "balancer {at} sends attempt {} to {name} (host {host})",
+            send.attempt
+        );
         self.tell_story(wish, || text);
         let until = self.balancers[at].world(send.until);
         self.agenda.at(until, Event::Until(number));
         if !has_socket {
             self.lose(number);
-            return self.agenda.after(0, Event::Back { attempt: number, outcome: Outcome::Moot });
+            return self.agenda.after(
+                0,
+                Event::Back {
+                    attempt: number,
+                    outcome: Outcome::Moot,
+                },
+            );
         }
         let way = self.delay(at, nodo, true);
         let lost = self.is_lost(at, nodo, true);
-        let reset = chance(&mut self.balancers[at].network, self.scenario.network.resets);
+        let reset = chance(
+            &mut self.balancers[at].network,
+            self.scenario.network.resets,
+        );
         let trips = Time::from(self.scenario.tier[tier].connections.trips);
         let connect = if kept { 0 } else { 2 * way * trips };
-        let bytes = self.wishes.get(wish).map_or(0.0, |wish| self.scenario.class[wish.class].bytes);
+        let bytes = self
+            .wishes
+            .get(wish)
+            .map_or(0.0, |wish| self.scenario.class[wish.class].bytes);
         let rate = self.scenario.network.bytes_per_second;
-        let body = if rate > 0.0 { (bytes / rate * 1e9) as Time } else { 0 };
+        let body = if rate > 0.0 {
+            (bytes / rate * 1e9) as Time
+        } else {
+            0
+        };
         let alive = self.nodos[nodo].alive;
         let cut = lost || self.is_cut(at, nodo, true) || !kept && self.is_cut(at, nodo, false);
         // A list may name a process that is no longer there; what listens at its address takes the request.
@@ -263,20 +347,40 @@
             (_, true) if !kept => {
                 let outcome = Outcome::ConnectFailed;
                 self.lose(number);
-                self.agenda.after(self.scenario.limits.connect.0, Event::Back { attempt: number, outcome });
+                self.agenda.after(
+                    self.scenario.limits.connect.0,
+                    Event::Back {
+                        attempt: number,
+                        outcome,
+                    },
+                );
             }
             (_, true) => self.lose(number),
             (alive, false) if !alive || crowded => {
                 let outcome = Outcome::ConnectFailed;
                 self.lose(number);
-                self.agenda.after(2 * way, Event::Back { attempt: number, outcome });
+                self.agenda.after(
+                    2 * way,
+                    Event::Back {
+                        attempt: number,
+                        outcome,
+                    },
+                );
             }
             (_, false) if reset => {
                 self.lose(number);
                 let outcome = Outcome::Reset;
-                self.agenda.after(connect + way, Event::Back { attempt: number, outcome });
+                self.agenda.after(
+                    connect + way,
+                    Event::Back {
+                        attempt: number,
+                        outcome,
+                    },
+                );
             }
-            (_, false) => self.agenda.after(connect + way + body, Event::Reach(number)),
+            (_, false) => self
+                .agenda
+                .after(connect + way + body, Event::Reach(number)),
         }
     }
 
@@ -285,7 +389,11 @@
         let next = self.requests.next();
         let high = next & !0xffff_ffff;
         let request = high | u64::from(id.0);
-        if request >= next { request.wrapping_sub(1 << 32) } else { request }
+        if request >= next {
+            request.wrapping_sub(1 << 32)
+        } else {
+            request
+        }
     }
 
     /// Nothing of an attempt is under way any more, though its balancer may still wait for it.
@@ -298,7 +406,9 @@
 
     pub(super) fn forget_attempt(&mut self, number: u64) {
         let over = |attempt: &Attempt| !attempt.out && !attempt.there;
-        let Some(attempt) = self.attempts.get(number).filter(|attempt| over(attempt)) else { return };
+        let Some(attempt) = self.attempts.get(number).filter(|attempt| over(attempt)) else {
+            return;
+        };
         let request = attempt.request;
         self.attempts.take(number);
         self.auditor.over(self.agenda.now(), request);
@@ -310,7 +420,10 @@
 
     pub(super) fn withdraw(&mut self, id: RequestId, attempt: u32) {
         let request = self.request_of(id);
-        let out = self.requests.get(request).and_then(|r| r.out.iter().find(|(n, _)| *n == attempt));
+        let out = self
+            .requests
+            .get(request)
+            .and_then(|r| r.out.iter().find(|(n, _)| *n == attempt));
         if let Some(&(_, number)) = out {
             self.end_attempt(number, Outcome::Cancelled);
         }
@@ -318,11 +431,17 @@
 
     /// Tells a balancer how an attempt ended, once.
     pub(super) fn end_attempt(&mut self, number: u64, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get_mut(number).filter(|attempt| attempt.out) else { return };
+        let Some(attempt) = self.attempts.get_mut(number).filter(|attempt| attempt.out) else {
+            return;
+        };
         attempt.out = false;
         let (request, at, tries) = (attempt.request, attempt.balancer as usize, attempt.number);
-        let (host, process, epoch, nodo) =
-            (attempt.host as usize, attempt.process, attempt.epoch, attempt.nodo as usize);
+        let (host, process, epoch, nodo) = (
+            attempt.host as usize,
+            attempt.process,
+            attempt.epoch,
+            attempt.nodo as usize,
+        );
         let socket = attempt.socket;
         let took = self.agenda.now() - attempt.sent;
         let mut wish = 0;
@@ -330,7 +449,10 @@
             known.out.retain(|(_, out)| *out != number);
             wish = known.wish;
         }
-        let whole = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined);
+        let whole = matches!(
+            outcome,
+            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined
+        );
         let now = self.agenda.now();
         let http2 = self.scenario.limits.http2;
         let mut kept = false;
@@ -340,7 +462,11 @@
             && links.process == process
             && self.nodos[nodo].process == process
         {
-            links.idle = if http2 { 1 } else { links.idle.saturating_add(1) };
+            links.idle = if http2 {
+                1
+            } else {
+                links.idle.saturating_add(1)
+            };
             links.idle_since = now;
             kept = true;
         }
@@ -348,12 +474,26 @@
             self.closed(at, host, process, 1);
         }
         self.tell_story(wish, || {
-            format!("balancer {at} has {outcome:?} for attempt {tries} after {:.1} ms", took as f64 / 1e6)
+            format!(
+                "balancer {at} has {outcome:?} for attempt {tries} after {:.1} ms",
+                took as f64 / 1e6
+            )
         });
         let answer = (outcome == Outcome::Ok).then_some(());
-        let ended = Ended { outcome, answer, load: None };
+        let ended = Ended {
+            outcome,
+            answer,
+            load: None,
+        };
         if self.balancers[at].alive {
-            self.tell(at, Input::Ended { id: RequestId(request as u32), attempt: tries, ended });
+            self.tell(
+                at,
+                Input::Ended {
+                    id: RequestId(request as u32),
+                    attempt: tries,
+                    ended,
+                },
+            );
         }
         self.forget_attempt(number);
     }
@@ -372,7 +512,9 @@
     }
 
     pub(super) fn until(&mut self, event: Event, number: u64) {
-        let Some(attempt) = self.attempts.get(number).filter(|attempt| attempt.out) else { return };
+        let Some(attempt) = self.attempts.get(number).filter(|attempt| attempt.out) else {
+            return;
+        };
         if let Some(until) = self.stands_still(attempt.balancer as usize) {
             return self.agenda.at(until, event);
         }
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -57,16 +57,29 @@
     }
 
     pub(super) fn ask(&mut self, wish: u64) {
-        let Some(known) = self.wishes.get_mut(wish) else { return };
+        let Some(known) = self.wishes.get_mut(wish) else {
+            return;
+        };
         known.tries += 1;
-        let (class, deadline, tries, group, parent) =
-            (known.class, known.deadline, known.tries, known.group, known.parent);
+        let (class, deadline, tries, group, parent) = (
+            known.class,
+            known.deadline,
+            known.tries,
+            known.group,
+            known.parent,
+        );
         let (tier, zone) = match (group, parent) {
             (Some(group), _) => (0, self.zones[group as usize]),
             (None, Some(parent)) => {
-                let nodo = self.attempts.get(parent).map_or(0, |attempt| attempt.nodo as usize);
+                let nodo = self
+                    .attempts
+                    .get(parent)
+                    .map_or(0, |attempt| attempt.nodo as usize);
                 let nodo = &self.nodos[nodo];
-                (self.calls[nodo.tier].map_or(0, |(tier, _)| tier), Some(nodo.zone))
+                (
+                    self.calls[nodo.tier].map_or(0, |(tier, _)| tier),
+                    Some(nodo.zone),
+                )
             }
             (None, None) => return,
         };
@@ -78,7 +91,9 @@
                 self.balancer_for(tier, zone, draw)
             }
             (None, _) => {
-                let host = parent.and_then(|parent| self.attempts.get(parent)).map_or(0, |a| a.nodo as usize);
+                let host = parent
+                    .and_then(|parent| self.attempts.get(parent))
+                    .map_or(0, |a| a.nodo as usize);
                 match self.scenario.tier[tier].beside {
                     true => self.beside_nodo(host),
                     false => {
@@ -96,7 +111,13 @@
         let effect = self.scenario.class[class].effect;
         let request = self.auditor.taken(wish, effect, deadline);
         let out = SmallVec::new();
-        let mine = self.requests.add(Request { wish, balancer, answered: false, attempts: 0, out });
+        let mine = self.requests.add(Request {
+            wish,
+            balancer,
+            answered: false,
+            attempts: 0,
+            out,
+        });
         debug_assert_eq!(request, mine);
         if let Some(known) = self.wishes.get_mut(wish) {
             known.requests += 1;
@@ -107,12 +128,20 @@
 
     /// A balancer reads a request, once its process does not stand still.
     pub(super) fn read(&mut self, number: u64) {
-        let Some(request) = self.requests.get(number).filter(|request| !request.answered) else { return };
+        let Some(request) = self
+            .requests
+            .get(number)
+            .filter(|request| !request.answered)
+        else {
+            return;
+        };
         let at = request.balancer as usize;
         if let Some(until) = self.stands_still(at) {
             return self.agenda.at(until, Event::Read(number));
         }
-        let Some(wish) = self.wishes.get(request.wish) else { return };
+        let Some(wish) = self.wishes.get(request.wish) else {
+            return;
+        };
         let call = Call {
             id: RequestId(number as u32),
             request: Ticket(number),
@@ -159,7 +188,9 @@
         let there = &self.balancers[line.balancer as usize];
         if there.alive && !there.leaving && there.life == line.life {
             let now = self.agenda.now();
-            self.front.iter_mut().for_each(|front| front.give_back(line, now));
+            self.front
+                .iter_mut()
+                .for_each(|front| front.give_back(line, now));
         }
     }
 
@@ -172,7 +203,10 @@
             let count = there.len();
             let start = draw as u32 as usize;
             let alive = (0..count).map(|at| there[(start + at) % count]);
-            if let Some(balancer) = alive.into_iter().find(|&at| self.balancers[at as usize].alive) {
+            if let Some(balancer) = alive
+                .into_iter()
+                .find(|&at| self.balancers[at as usize].alive)
+            {
                 return Some(balancer);
             }
         }
@@ -188,20 +222,28 @@
     fn conclude(&mut self, number: u64, verdict: &Verdict<()>, unseen: bool) {
         self.give_back(number);
         let now = self.agenda.now();
-        let Some(wish) = self.wishes.get(number) else { return };
+        let Some(wish) = self.wishes.get(number) else {
+            return;
+        };
         if wish.closed {
             return;
         }
         let (class, group, measured, tries) = (wish.class, wish.group, wish.measured, wish.tries);
         let (took, deadline) = (now - wish.born, wish.deadline);
-        self.tell_story(number, || format!("its caller has {verdict:?} after {:.1} ms", took as f64 / 1e6));
+        self.tell_story(number, || {
+            format!(
+                "its caller has {verdict:?} after {:.1} ms",
+                took as f64 / 1e6
+            )
+        });
         let group_at = group.map(|group| group as usize);
         if let Some(group) = group_at
             && *verdict != Verdict::Served(())
         {
             let effect = self.scenario.class[class].effect;
             // Callers know as well as balancers what must not run twice.
-            let may = unseen || matches!(verdict, Verdict::Refused(_)) || effect != CallEffect::Unsafe;
+            let may =
+                unseen || matches!(verdict, Verdict::Refused(_)) || effect != CallEffect::Unsafe;
             let callers = &self.scenario.callers[group];
             let rng = &mut self.habits[group];
             let wait = callers.again.wait(tries, || rng.random::<f64>());
@@ -231,19 +273,27 @@
         match (group_at, parent) {
             (Some(group), _) => {
                 self.meter.ended(class, result, took, measured);
-                if one_of_crowd && let Load::Closed { think, .. } = self.scenario.callers[group].load {
+                if one_of_crowd
+                    && let Load::Closed { think, .. } = self.scenario.callers[group].load
+                {
                     let wait = gap(&mut self.habits[group], 1e9 / (think.0.max(1)) as f64);
                     self.agenda.after(wait, Event::Crowd(group as u32));
                 }
             }
-            (None, Some(parent)) => self.call_back(parent, matches!(result, Result::OnTime | Result::Late)),
+            (None, Some(parent)) => {
+                self.call_back(parent, matches!(result, Result::OnTime | Result::Late))
+            }
             (None, None) => {}
         }
         self.forget_wish(number);
     }
 
     pub(super) fn forget_wish(&mut self, number: u64) {
-        if self.wishes.get(number).is_some_and(|wish| wish.closed && wish.requests == 0) {
+        if self
+            .wishes
+            .get(number)
+            .is_some_and(|wish| wish.closed && wish.requests == 0)
+        {
             self.wishes.take(number);
         }
     }
--- a/crates/lab/src/world/coordinators.rs
+++ b/crates/lab/src/world/coordinators.rs
@@ -21,9 +21,16 @@
 
 impl Coordinators {
     fn new(of: &Evacuating, scenario: &Scenario, balancers: &[Balancer]) -> Self {
-        let classes: Vec<String> = scenario.class.iter().map(|class| class.name.clone()).collect();
-        let zones: Vec<(String, Option<String>)> =
-            scenario.zones.iter().map(|zone| (zone.clone(), scenario.regions.get(zone).cloned())).collect();
+        let classes: Vec<String> = scenario
+            .class
+            .iter()
+            .map(|class| class.name.clone())
+            .collect();
+        let zones: Vec<(String, Option<String>)> = scenario
+            .zones
+            .iter()
+            .map(|zone| (zone.clone(), scenario.regions.get(zone).cloned()))
+            .collect();
         let settings: Vec<Settings> = balancers
             .iter()
             .map(|balancer| Settings {
@@ -34,7 +41,10 @@
         let mut liars = vec![None; balancers.len()];
         if let Some(lie) = &of.lie {
             let count = (balancers.len() as f64 * lie.part).round() as usize;
-            liars.iter_mut().take(count).for_each(|liar| *liar = Some(lie.says));
+            liars
+                .iter_mut()
+                .take(count)
+                .for_each(|liar| *liar = Some(lie.says));
         }
         Self {
             every: of.every.0,
@@ -51,11 +61,18 @@
         let own = self.settings[at].zone;
         match self.liars[at] {
             None => saw,
-            Some(Says::AllWell) => Saw { outcome: Outcome::Ok, ..saw },
-            Some(Says::AllBad) => Saw { outcome: Outcome::Error, ..saw },
-            Some(Says::OwnZoneBad) if zone_of(saw.server) == Some(own) => {
-                Saw { outcome: Outcome::Error, ..saw }
-            }
+            Some(Says::AllWell) => Saw {
+                outcome: Outcome::Ok,
+                ..saw
+            },
+            Some(Says::AllBad) => Saw {
+                outcome: Outcome::Error,
+                ..saw
+            },
+            Some(Says::OwnZoneBad) if zone_of(saw.server) == Some(own) => Saw {
+                outcome: Outcome::Error,
+                ..saw
+            },
             Some(Says::OwnZoneBad) => saw,
         }
     }
@@ -64,7 +81,9 @@
 impl World<'_> {
     /// All of them begin.
     pub(super) fn coordinators_begin(&mut self) {
-        let Some(of) = &self.scenario.evacuation else { return };
+        let Some(of) = &self.scenario.evacuation else {
+            return;
+        };
         let coordinators = Coordinators::new(of, self.scenario, &self.balancers);
         let every = coordinators.every;
         self.coordinators = Some(coordinators);
@@ -78,7 +97,9 @@
 
     /// A process of a balancer begins, and knows nothing.
     pub(super) fn coordinator_begins(&mut self, at: usize) {
-        let Some(coordinators) = &mut self.coordinators else { return };
+        let Some(coordinators) = &mut self.coordinators else {
+            return;
+        };
         coordinators.all[at] = Coordinator::new(coordinators.settings[at].clone());
         coordinators.seen[at] = u64::MAX;
         coordinators.evacuated.begins(self.agenda.now(), at);
@@ -88,10 +109,16 @@
     /// A balancer's coordinator has its turn.
     pub(super) fn coordinator(&mut self, at: usize) {
         let now = self.agenda.now();
-        let Some(coordinators) = &self.coordinators else { return };
-        self.agenda.after(coordinators.every, Event::Coordinator(at as u32));
+        let Some(coordinators) = &self.coordinators else {
+            return;
+        };
+        self.agenda
+            .after(coordinators.every, Event::Coordinator(at as u32));
         if self.balancers[at].alive && self.stands_still(at).is_none() {
-            let node = self.members.as_mut().and_then(|members| members.take_node(at));
+            let node = self
+                .members
+                .as_mut()
+                .and_then(|members| members.take_node(at));
             if let Some(mut node) = node {
                 let findings = self.coordinator_turns(now, at, &mut node);
                 if let Some(members) = &mut self.members {
@@ -106,23 +133,35 @@
     }
 
     fn coordinator_turns(&mut self, now: Time, at: usize, node: &mut Node) -> Vec<Finding> {
-        let Some(coordinators) = &mut self.coordinators else { return Vec::new() };
+        let Some(coordinators) = &mut self.coordinators else {
+            return Vec::new();
+        };
         let balancer = &mut self.balancers[at];
         let local = balancer.local(now);
         let observed = balancer.mind.take_observed();
         if let Some((changes, all)) = balancer.mind.listed(coordinators.seen[at]) {
             coordinators.seen[at] = changes;
             let all = all.into_iter();
-            coordinators.all[at].listed(
-                all.map(|of| {
-                    (of.server, of.name, of.boot_ms, usize::from(of.zone.0), of.size.map(f64::from))
-                }),
-            );
+            coordinators.all[at].listed(all.map(|of| {
+                (
+                    of.server,
+                    of.name,
+                    of.boot_ms,
+                    usize::from(of.zone.0),
+                    of.size.map(f64::from),
+                )
+            }));
         }
         for seen in observed {
             let attempt = (seen.id.0, seen.attempt);
             let (server, class, outcome, took) = (seen.server, seen.class, seen.outcome, seen.took);
-            let saw = Saw { attempt, server, class, outcome, took };
+            let saw = Saw {
+                attempt,
+                server,
+                class,
+                outcome,
+                took,
+            };
             let zone_of = |server| coordinators.all[at].zone_of(server);
             let saw = coordinators.spoil(at, zone_of, saw);
             coordinators.all[at].saw(now, &saw);
@@ -144,17 +183,32 @@
         for finding in &turn.verdicts {
             if let Place::Zone(zone, None) = finding.place {
                 let share = f64::from(finding.share);
-                coordinators.evacuated.moved(Move { at: now, balancer: at as u32, zone: zone.0, share });
+                coordinators.evacuated.moved(Move {
+                    at: now,
+                    balancer: at as u32,
+                    zone: zone.0,
+                    share,
+                });
             }
         }
         // The module's clock is the balancer's own.
         let until = |finding: &Finding| local + finding.until.saturating_sub(now);
-        turn.verdicts.iter().map(|finding| Finding { until: until(finding), ..*finding }).collect()
+        turn.verdicts
+            .iter()
+            .map(|finding| Finding {
+                until: until(finding),
+                ..*finding
+            })
+            .collect()
     }
 
     /// What came of it.
     pub(super) fn coordinators_end(&mut self) -> Option<crate::evacuated::EvacuatedEnd> {
         let coordinators = self.coordinators.take()?;
-        Some(coordinators.evacuated.end(self.agenda.now().min(self.scenario.time.0)))
+        Some(
+            coordinators
+                .evacuated
+                .end(self.agenda.now().min(self.scenario.time.0)),
+        )
     }
 }
