--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -5,42 +5,74 @@
 impl World<'_> {
     pub(super) fn fault(&mut self, at: usize, begins: bool) {
         let fault = &self.scenario.fault[at];
-        let tier = fault.tier.as_ref().and_then(|name| self.scenario.tier(name)).unwrap_or(0);
+        let tier = fault
+            .tier
+            .as_ref()
+            .and_then(|name| self.scenario.tier(name))
+            .unwrap_or(0);
         let zone = self.scenario.zone(&fault.zone).unwrap_or(None);
         if begins {
-            let there = |other: &Nodo| other.tier == tier && zone.is_none_or(|zone| zone == other.zone);
+            let there =
+                |other: &Nodo| other.tier == tier && zone.is_none_or(|zone| zone == other.zone);
             let nodos: Vec<u32> = (0..self.nodos.len() as u32)
-                .filter(|&nodo| there(&self.nodos[nodo as usize]) && self.nodos[nodo as usize].alive)
+                .filter(|&nodo| {
+                    there(&self.nodos[nodo as usize]) && self.nodos[nodo as usize].alive
+                })
                 .collect();
-            let there = |other: &Balancer| other.tier == tier && zone.is_none_or(|zone| zone == other.zone);
+            let there =
+                |other: &Balancer| other.tier == tier && zone.is_none_or(|zone| zone == other.zone);
             let balancers = 0..self.balancers.len() as u32;
-            let balancers: Vec<u32> = balancers.filter(|&at| there(&self.balancers[at as usize])).collect();
+            let balancers: Vec<u32> = balancers
+                .filter(|&at| there(&self.balancers[at as usize]))
+                .collect();
             let rng = &mut self.faults[at].0;
-            let hit = (sample(rng, &nodos, fault.part), sample(rng, &balancers, fault.part));
+            let hit = (
+                sample(rng, &nodos, fault.part),
+                sample(rng, &balancers, fault.part),
+            );
             (self.faults[at].1, self.faults[at].2) = hit;
         }
         let (nodos, balancers) = (self.faults[at].1.clone(), self.faults[at].2.clone());
         let until = fault.until.unwrap_or(self.scenario.time);
         match &fault.what {
-            What::Kill { done } if begins => nodos.iter().for_each(|&nodo| self.kill(nodo as usize, *done)),
+            What::Kill { done } if begins => nodos
+                .iter()
+                .for_each(|&nodo| self.kill(nodo as usize, *done)),
             What::Kill { .. } => nodos.iter().for_each(|&nodo| self.boot(nodo as usize)),
             What::Roll | What::Replace if begins => {
                 let half = (until.0 - fault.at.0) / 2;
                 for (turn, &nodo) in nodos.iter().enumerate() {
                     let wait = half * turn as Time / nodos.len().max(1) as Time;
-                    self.agenda.after(wait, Event::Roll { nodo, step: 0, fault: at as u32 });
+                    self.agenda.after(
+                        wait,
+                        Event::Roll {
+                            nodo,
+                            step: 0,
+                            fault: at as u32,
+                        },
+                    );
                 }
             }
             What::Roll | What::Replace => {}
             What::PadronSilent => {
-                self.discovery.iter_mut().for_each(|discovery| discovery.set_down(begins));
-                self.padron_silent = if begins { self.padron_silent + 1 } else { self.padron_silent - 1 };
+                self.discovery
+                    .iter_mut()
+                    .for_each(|discovery| discovery.set_down(begins));
+                self.padron_silent = if begins {
+                    self.padron_silent + 1
+                } else {
+                    self.padron_silent - 1
+                };
                 if self.padron_silent == 0 {
                     self.spread();
                 }
             }
             What::PadronWrong => {
-                let lifecycle = if begins { Lifecycle::Gone } else { Lifecycle::Ready };
+                let lifecycle = if begins {
+                    Lifecycle::Gone
+                } else {
+                    Lifecycle::Ready
+                };
                 for &nodo in &nodos {
                     let there = &self.nodos[nodo as usize];
                     if there.alive && !there.draining {
@@ -62,17 +94,32 @@
                 }
             }
             What::PowerLoss { .. } if begins => {
-                balancers.iter().for_each(|&balancer| self.member_ends(balancer as usize, false, false));
-                nodos.iter().for_each(|&nodo| self.kill(nodo as usize, false));
-                balancers.iter().for_each(|&balancer| self.stop(balancer as usize));
+                balancers
+                    .iter()
+                    .for_each(|&balancer| self.member_ends(balancer as usize, false, false));
+                nodos
+                    .iter()
+                    .for_each(|&nodo| self.kill(nodo as usize, false));
+                balancers
+                    .iter()
+                    .for_each(|&balancer| self.stop(balancer as usize));
             }
             What::PowerLoss { stale, over, .. } => {
                 for (turn, &nodo) in nodos.iter().enumerate() {
                     let wait = over.0 * turn as Time / nodos.len().max(1) as Time;
                     self.agenda.after(wait, Event::Boot(nodo));
                 }
-                for &balancer in balancers.iter().filter(|_| !self.scenario.tier[tier].beside) {
-                    self.agenda.after(0, Event::Start { balancer, stale: stale.0 });
+                for &balancer in balancers
+                    .iter()
+                    .filter(|_| !self.scenario.tier[tier].beside)
+                {
+                    self.agenda.after(
+                        0,
+                        Event::Start {
+                            balancer,
+                            stale: stale.0,
+                        },
+                    );
                 }
             }
             What::Link(_) | What::Between(_) => {} // looked up where something is sent
@@ -80,7 +127,13 @@
                 for &balancer in &balancers {
                     match begins {
                         true => self.stop(balancer as usize),
-                        false => self.agenda.after(0, Event::Start { balancer, stale: stale.0 }),
+                        false => self.agenda.after(
+                            0,
+                            Event::Start {
+                                balancer,
+                                stale: stale.0,
+                            },
+                        ),
                     }
                 }
             }
@@ -89,7 +142,14 @@
                 for (turn, &balancer) in balancers.iter().enumerate() {
                     let wait = time * turn as Time / balancers.len().max(1) as Time;
                     let life = self.balancers[balancer as usize].life;
-                    self.agenda.after(wait, Event::RollBalancer { balancer, life, drained: false });
+                    self.agenda.after(
+                        wait,
+                        Event::RollBalancer {
+                            balancer,
+                            life,
+                            drained: false,
+                        },
+                    );
                 }
             }
             What::RollBalancers => {}
@@ -101,7 +161,9 @@
                 self.members_stall(&balancers, true);
             }
             What::Stall => self.members_stall(&balancers, false),
-            _ => nodos.iter().for_each(|&nodo| self.refresh_ills(nodo, at, begins)),
+            _ => nodos
+                .iter()
+                .for_each(|&nodo| self.refresh_ills(nodo, at, begins)),
         }
         if matches!(fault.what, What::Link(_) | What::Between(_)) {
             self.members_cut();
@@ -124,7 +186,10 @@
                 What::Slow(times) => ills.slow *= times,
                 What::SlowLink(times) => ills.far *= times,
                 What::Errors { share, class } => {
-                    ills.errors.push((*share, class.as_ref().and_then(|name| self.scenario.class(name))));
+                    ills.errors.push((
+                        *share,
+                        class.as_ref().and_then(|name| self.scenario.class(name)),
+                    ));
                 }
                 What::Lost(part) => ills.lost = ills.lost.max(*part),
                 What::Resets(part) => ills.resets = ills.resets.max(*part),
@@ -139,7 +204,9 @@
         if goes_on {
             // All at once: what came meanwhile, and what would have been done.
             let waiting = std::mem::take(&mut self.stopped[nodo as usize]);
-            waiting.into_iter().for_each(|event| self.agenda.after(0, event));
+            waiting
+                .into_iter()
+                .for_each(|event| self.agenda.after(0, event));
         }
     }
 
@@ -153,7 +220,14 @@
                 // The word's way, the second that rule 3 allows, and the work.
                 let padron = &self.scenario.padron;
                 let wait = padron.delay.0 + padron.jitter.0 + SECOND + longest;
-                self.agenda.after(wait, Event::Roll { nodo, step: 1, fault: fault as u32 });
+                self.agenda.after(
+                    wait,
+                    Event::Roll {
+                        nodo,
+                        step: 1,
+                        fault: fault as u32,
+                    },
+                );
             }
             _ => {
                 self.kill(at, false);
@@ -198,10 +272,18 @@
         balancer.hosts.clear();
         balancer.words.clear();
         balancer.planned = Time::MAX;
-        let out = self.attempts.iter().filter(|(_, a)| a.balancer as usize == at && a.out);
+        let out = self
+            .attempts
+            .iter()
+            .filter(|(_, a)| a.balancer as usize == at && a.out);
         let out: Vec<u64> = out.map(|(number, _)| number).collect();
-        let held = self.requests.iter().filter(|(_, r)| r.balancer as usize == at && !r.answered);
-        let held: Vec<(u64, u64)> = held.map(|(number, request)| (number, request.wish)).collect();
+        let held = self
+            .requests
+            .iter()
+            .filter(|(_, r)| r.balancer as usize == at && !r.answered);
+        let held: Vec<(u64, u64)> = held
+            .map(|(number, request)| (number, request.wish))
+            .collect();
         for number in out {
             self.end_attempt(number, Outcome::Cancelled);
         }
@@ -222,9 +304,18 @@
         }
         if let Some(front) = &mut self.front {
             front.close(at as u32);
-            let (notices, life) =
-                (self.scenario.front.as_ref().map_or(0, |f| f.notices.0), self.balancers[at].life);
-            self.agenda.after(notices, Event::Noticed { balancer: at as u32, life, out: true });
+            let (notices, life) = (
+                self.scenario.front.as_ref().map_or(0, |f| f.notices.0),
+                self.balancers[at].life,
+            );
+            self.agenda.after(
+                notices,
+                Event::Noticed {
+                    balancer: at as u32,
+                    life,
+                    out: true,
+                },
+            );
         }
     }
 
@@ -249,7 +340,9 @@
     pub(super) fn noticed(&mut self, at: usize, life: u32, out: bool) {
         let balancer = &self.balancers[at];
         if balancer.life == life && (!out || !balancer.alive || balancer.leaving) {
-            self.front.iter_mut().for_each(|front| front.notice(at as u32, out));
+            self.front
+                .iter_mut()
+                .for_each(|front| front.notice(at as u32, out));
         }
     }
 
@@ -265,9 +358,18 @@
         }
         self.balancers[at].leaving = true;
         self.noticed(at, life, true);
-        self.front.iter_mut().for_each(|front| front.close(at as u32));
+        self.front
+            .iter_mut()
+            .for_each(|front| front.close(at as u32));
         let longest = self.scenario.longest().0;
         let balancer = at as u32;
-        self.agenda.after(longest + 700 * MS, Event::RollBalancer { balancer, life, drained: true });
+        self.agenda.after(
+            longest + 700 * MS,
+            Event::RollBalancer {
+                balancer,
+                life,
+                drained: true,
+            },
+        );
     }
 }
--- a/crates/lab/src/world/members.rs
+++ b/crates/lab/src/world/members.rs
@@ -71,7 +71,10 @@
             planned: vec![Time::MAX; count],
             looks: vec![false; count],
             power: vec![true; count],
-            chance: numbers.clone().map(|of| stream(seed, Actor::Member, of)).collect(),
+            chance: numbers
+                .clone()
+                .map(|of| stream(seed, Actor::Member, of))
+                .collect(),
             by_name: numbers.map(|of| (name(of), of)).collect(),
             mail: Numbered::default(),
             witness: Witness::new(count, of.pauses.0),
@@ -93,11 +96,18 @@
     fn ways(&mut self, now: Time, is_cut: impl Fn(usize, usize) -> bool) {
         let pairs = self.witness.pairs(|of| self.nodes[of].is_some());
         let says = |by: usize, of: usize| {
-            self.nodes[by].as_ref().map(|node| node.ways(&name(of as u32), now)).unwrap_or_default()
+            self.nodes[by]
+                .as_ref()
+                .map(|node| node.ways(&name(of as u32), now))
+                .unwrap_or_default()
         };
-        let named = pairs
-            .into_iter()
-            .map(|(from, to)| (is_cut(from, to), says(from, to).0 == Way::Cut, says(to, from).1 == Way::Cut));
+        let named = pairs.into_iter().map(|(from, to)| {
+            (
+                is_cut(from, to),
+                says(from, to).0 == Way::Cut,
+                says(to, from).1 == Way::Cut,
+            )
+        });
         self.witness.ways(now, named);
     }
 }
@@ -105,7 +115,9 @@
 impl World<'_> {
     /// All of them begin.
     pub(super) fn members_begin(&mut self) {
-        let Some(of) = &self.scenario.members else { return };
+        let Some(of) = &self.scenario.members else {
+            return;
+        };
         self.members = Some(Members::new(of, self.balancers.len(), self.seed));
         (0..self.balancers.len()).for_each(|at| self.member_begins(at));
         for bound in &self.scenario.bound {
@@ -119,19 +131,26 @@
     pub(super) fn member_begins(&mut self, at: usize) {
         let now = self.agenda.now();
         let (zone, local) = (self.balancers[at].zone, self.balancers[at].local(now));
-        let Some(members) = &mut self.members else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
         let zones = &self.scenario.zones;
         let label = |text: &str| Name::new(text).unwrap_or_else(|_| name(u32::from(zone)));
         let zone = &zones[usize::from(zone)];
         let chance = &mut members.chance[at];
         let me = Card {
             name: name(at as u32),
-            life: Life { started: local / MS, id: chance.next_u64() },
+            life: Life {
+                started: local / MS,
+                id: chance.next_u64(),
+            },
             at: address(at as u32),
             zone: label(zone),
             region: self.scenario.regions.get(zone).map(|region| label(region)),
         };
-        let seeds = (0..SEEDS.min(members.nodes.len() as u32)).map(address).collect();
+        let seeds = (0..SEEDS.min(members.nodes.len() as u32))
+            .map(address)
+            .collect();
         // What cannot work was refused with the scenario.
         let node = Node::new(me, seeds, members.settings.clone(), chance.next_u64(), now).ok();
         members.last_life[at] = node.as_ref().map(|node| node.me().life);
@@ -146,11 +165,18 @@
     /// A process of a balancer ends: it says that it leaves, or dies with its machine's power or without it.
     pub(super) fn member_ends(&mut self, at: usize, leaves: bool, power: bool) {
         let now = self.agenda.now();
-        if leaves && let Some(node) = self.members.as_mut().and_then(|members| members.nodes[at].as_mut()) {
+        if leaves
+            && let Some(node) = self
+                .members
+                .as_mut()
+                .and_then(|members| members.nodes[at].as_mut())
+        {
             node.leave(now);
             self.member_acts(at);
         }
-        let Some(members) = &mut self.members else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
         if let Some(node) = members.nodes[at].take() {
             members.bytes[at] += node.tallies().bytes;
             members.last_life[at] = Some(node.me().life);
@@ -162,20 +188,31 @@
     /// Some processes stand still until a time.
     pub(super) fn members_stall(&mut self, who: &[u32], still: bool) {
         let now = self.agenda.now();
-        let Some(members) = &mut self.members else { return };
-        who.iter().for_each(|&of| members.witness.stands_still(now, of as usize, still));
+        let Some(members) = &mut self.members else {
+            return;
+        };
+        who.iter()
+            .for_each(|&of| members.witness.stands_still(now, of as usize, still));
     }
 
     pub(super) fn member_wakes(&mut self, at: usize, planned: Time) {
         let still = self.stands_still(at);
-        let Some(members) = &mut self.members else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
         if members.planned[at] != planned || members.nodes[at].is_none() {
             return; // an earlier one was planned since
         }
         members.planned[at] = Time::MAX;
         if let Some(until) = still {
             members.planned[at] = until;
-            return self.agenda.at(until, Event::Member { balancer: at as u32, at: until });
+            return self.agenda.at(
+                until,
+                Event::Member {
+                    balancer: at as u32,
+                    at: until,
+                },
+            );
         }
         let now = self.agenda.now();
         if let Some(node) = &mut members.nodes[at] {
@@ -187,14 +224,26 @@
     /// Mail comes. While its process stands still, the machine holds it.
     pub(super) fn member_hears(&mut self, mail: u64) {
         let now = self.agenda.now();
-        let to = self.members.as_ref().and_then(|members| members.mail.get(mail)).map(|mail| mail.to);
-        let Some(to) = to.map(|to| to as usize) else { return };
+        let to = self
+            .members
+            .as_ref()
+            .and_then(|members| members.mail.get(mail))
+            .map(|mail| mail.to);
+        let Some(to) = to.map(|to| to as usize) else {
+            return;
+        };
         if let Some(until) = self.stands_still(to) {
             return self.agenda.at(until, Event::Mail(mail));
         }
-        let Some(members) = &mut self.members else { return };
-        let Some(mail) = members.mail.take(mail) else { return };
-        let Some(node) = &mut members.nodes[to] else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
+        let Some(mail) = members.mail.take(mail) else {
+            return;
+        };
+        let Some(node) = &mut members.nodes[to] else {
+            return;
+        };
         let understood = node.heard(now, &mail.bytes);
         debug_assert!(understood.is_ok(), "{understood:?}");
         self.member_acts(to);
@@ -203,14 +252,21 @@
     /// It looks whether processes listen where it suspects others.
     pub(super) fn member_looks(&mut self, at: usize) {
         let (now, still) = (self.agenda.now(), self.stands_still(at));
-        let Some(members) = &mut self.members else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
         members.looks[at] = false;
-        let Some(node) = members.nodes[at].as_ref().filter(|_| still.is_none()) else { return };
+        let Some(node) = members.nodes[at].as_ref().filter(|_| still.is_none()) else {
+            return;
+        };
         let sought: Vec<SocketAddr> = node.to_look_for(now).map(|card| card.at).collect();
         let refuses = |address: &SocketAddr| {
-            let of = number(*address).map(|of| of as usize).filter(|&of| members.nodes[of].is_none());
-            let is_cut =
-                |from, to| Self::way_of(self.scenario, &self.balancers, &self.faults, now, from, to).cut;
+            let of = number(*address)
+                .map(|of| of as usize)
+                .filter(|&of| members.nodes[of].is_none());
+            let is_cut = |from, to| {
+                Self::way_of(self.scenario, &self.balancers, &self.faults, now, from, to).cut
+            };
             of.is_some_and(|of| members.power[of] && !is_cut(at, of) && !is_cut(of, at))
         };
         let refused: Vec<SocketAddr> = sought.into_iter().filter(refuses).collect();
@@ -229,7 +285,11 @@
         from: usize,
         to: usize,
     ) -> crate::scenario::Among {
-        let in_force = scenario.fault.iter().zip(faults).filter(|(fault, _)| fault.is_in_force(now));
+        let in_force = scenario
+            .fault
+            .iter()
+            .zip(faults)
+            .filter(|(fault, _)| fault.is_in_force(now));
         let in_force = in_force.map(|(fault, (_, _, hit))| (fault, hit.as_slice()));
         let end = |of: usize| (of as u32, balancers[of].zone);
         scenario.among(end(from), end(to), balancers.len(), in_force)
@@ -238,8 +298,12 @@
     /// Sends what a member has to send, and notes what it found.
     pub(super) fn member_acts(&mut self, at: usize) {
         let now = self.agenda.now();
-        let Some(members) = &mut self.members else { return };
-        let Some(node) = &mut members.nodes[at] else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
+        let Some(node) = &mut members.nodes[at] else {
+            return;
+        };
         let (mut suspects, mut found) = (false, Vec::new());
         while let Some(change) = node.next_event() {
             suspects |= matches!(change, Change::Suspected { .. });
@@ -257,19 +321,34 @@
         let outs: Vec<woadstall_instances::Out> = std::iter::from_fn(|| node.next_out()).collect();
         let wake = node.wake_at().max(now + MS);
         if suspects && !std::mem::replace(&mut members.looks[at], true) {
-            self.agenda.after(2 * self.scenario.network.across.0, Event::MemberLooks(at as u32));
+            self.agenda.after(
+                2 * self.scenario.network.across.0,
+                Event::MemberLooks(at as u32),
+            );
         } else if !members.looks[at] && node.to_look_for(now).next().is_some() {
             members.looks[at] = true;
             self.agenda.after(LOOK, Event::MemberLooks(at as u32));
         }
         if wake < members.planned[at] {
             members.planned[at] = wake;
-            self.agenda.at(wake, Event::Member { balancer: at as u32, at: wake });
+            self.agenda.at(
+                wake,
+                Event::Member {
+                    balancer: at as u32,
+                    at: wake,
+                },
+            );
         }
         for (of, claim) in found {
-            let life = members.nodes[of].as_ref().map(|node| node.me().life).or(members.last_life[of]);
+            let life = members.nodes[of]
+                .as_ref()
+                .map(|node| node.me().life)
+                .or(members.last_life[of]);
             // What is held of a former life says nothing of the present one.
-            let held = match claim.filter(|claim| Some(claim.life) == life).map(|claim| claim.said) {
+            let held = match claim
+                .filter(|claim| Some(claim.life) == life)
+                .map(|claim| claim.said)
+            {
                 Some(Said::Alive) => Held::Alive,
                 Some(Said::Suspect) => Held::Suspect,
                 Some(Said::Dead) => Held::Dead,
@@ -290,7 +369,9 @@
         let now = self.agenda.now();
         let way = Self::way_of(self.scenario, &self.balancers, &self.faults, now, from, to);
         let jitter = self.scenario.network.jitter;
-        let Some(members) = &mut self.members else { return };
+        let Some(members) = &mut self.members else {
+            return;
+        };
         let chance = &mut members.chance[from];
         // All draws are made for each, so that one fault does not change what another hits.
         let (lost, doubled, overtaken, more): (f64, f64, f64, f64) = chance.random();
@@ -305,10 +386,16 @@
             delay = (2 * delay).max(delay + MS);
         }
         if !reliable && doubled < way.doubled {
-            let again = members.mail.add(Mail { to: to as u32, bytes: bytes.clone() });
+            let again = members.mail.add(Mail {
+                to: to as u32,
+                bytes: bytes.clone(),
+            });
             self.agenda.after(2 * delay, Event::Mail(again));
         }
-        let mail = members.mail.add(Mail { to: to as u32, bytes });
+        let mail = members.mail.add(Mail {
+            to: to as u32,
+            bytes,
+        });
         self.agenda.after(delay, Event::Mail(mail));
     }
 
@@ -317,7 +404,9 @@
         let now = self.agenda.now();
         let (scenario, balancers, faults) = (self.scenario, &self.balancers, &self.faults);
         let is_cut = |from, to| Self::way_of(scenario, balancers, faults, now, from, to).cut;
-        self.members.iter_mut().for_each(|members| members.ways(now, is_cut));
+        self.members
+            .iter_mut()
+            .for_each(|members| members.ways(now, is_cut));
     }
 
     /// Faults between them have begun or ended.
@@ -325,7 +414,9 @@
         let now = self.agenda.now();
         let (scenario, balancers, faults) = (self.scenario, &self.balancers, &self.faults);
         let is_cut = |from, to| Self::way_of(scenario, balancers, faults, now, from, to).cut;
-        self.members.iter_mut().for_each(|members| members.witness.cut(now, is_cut));
+        self.members
+            .iter_mut()
+            .for_each(|members| members.witness.cut(now, is_cut));
     }
 
     /// What was seen of them.
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -30,8 +30,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use woadstall_engine::decisions::ZoneId;
 use woadstall_engine::{
-    Call, Command, Ended, Entry, Input, Lifecycle, LoadReport, Outcome, Peer, RequestId, Send, ServerId,
-    Time, Verdict,
+    Call, Command, Ended, Entry, Input, Lifecycle, LoadReport, Outcome, Peer, RequestId, Send,
+    ServerId, Time, Verdict,
 };
 
 /// Unix time at the start of a run, on a clock that is right.
@@ -243,7 +243,9 @@
 
     /// When its clock shows a time.
     fn world(&self, local: Time) -> Time {
-        let passed = local.saturating_add_signed(-self.ahead).saturating_sub(EPOCH);
+        let passed = local
+            .saturating_add_signed(-self.ahead)
+            .saturating_sub(EPOCH);
         (passed as f64 / (1.0 + self.drift)).round() as Time
     }
 }
@@ -329,14 +331,22 @@
             beside: Vec::new(),
             front: None,
             dealing: stream(seed, Actor::Front, 0),
-            discovery: scenario.padron.asked.as_ref().map(|a| Discovery::new(a.reads, a.patience.0)),
+            discovery: scenario
+                .padron
+                .asked
+                .as_ref()
+                .map(|a| Discovery::new(a.reads, a.patience.0)),
             of_zone: Vec::new(),
             nodos: Vec::new(),
             stopped: Vec::new(),
             hosts: Vec::new(),
             changes: Vec::new(),
-            arrivals: (0..groups).map(|group| stream(seed, Actor::Arrivals, group)).collect(),
-            habits: (0..groups).map(|group| stream(seed, Actor::Habits, group)).collect(),
+            arrivals: (0..groups)
+                .map(|group| stream(seed, Actor::Arrivals, group))
+                .collect(),
+            habits: (0..groups)
+                .map(|group| stream(seed, Actor::Habits, group))
+                .collect(),
             mixes: Vec::new(),
             zones: Vec::new(),
             tenants: Vec::new(),
@@ -356,9 +366,12 @@
         };
         for callers in &scenario.callers {
             world.mixes.push(scenario.mix(callers));
-            world.zones.push(scenario.zone(&callers.zone).unwrap_or(None));
+            world
+                .zones
+                .push(scenario.zone(&callers.zone).unwrap_or(None));
             let tenant = callers.tenant.as_ref();
-            let tenant = tenant.and_then(|name| scenario.tenant.iter().position(|known| known.name == *name));
+            let tenant = tenant
+                .and_then(|name| scenario.tenant.iter().position(|known| known.name == *name));
             world.tenants.push(tenant.unwrap_or(0));
         }
         world.build();
@@ -384,12 +397,23 @@
         let zones = scenario.zones.len();
         for (at, tier) in scenario.tier.iter().enumerate() {
             let calls = tier.calls.as_ref();
-            self.calls.push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
+            self.calls
+                .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
             for nodo in 0..tier.nodos {
                 let host = self.nodos.len() as u32;
                 let rng = stream(self.seed, Actor::Nodo, host);
-                let place = (scenario.zone_in_turn(nodo), (nodo % u32::from(tier.cells)) as u16, host);
-                self.nodos.push(Nodo::new(format!("{}-{nodo}", tier.name), at, tier, place, rng));
+                let place = (
+                    scenario.zone_in_turn(nodo),
+                    (nodo % u32::from(tier.cells)) as u16,
+                    host,
+                );
+                self.nodos.push(Nodo::new(
+                    format!("{}-{nodo}", tier.name),
+                    at,
+                    tier,
+                    place,
+                    rng,
+                ));
                 self.hosts.push(host);
             }
             self.of_zone.push(vec![Vec::new(); zones]);
@@ -413,14 +437,35 @@
         }
         if let Some(front) = &scenario.front {
             let (uneven, kept) = (front.uneven, front.kept.0);
-            self.front = Some(Front::new(&self.of_zone[0], uneven, kept, &mut self.dealing));
+            self.front = Some(Front::new(
+                &self.of_zone[0],
+                uneven,
+                kept,
+                &mut self.dealing,
+            ));
         }
         for (at, fault) in scenario.fault.iter().enumerate() {
             let place = fault.place.unwrap_or(at as u32);
-            self.faults.push((stream(self.seed, Actor::Fault, place), Vec::new(), Vec::new()));
-            self.agenda.at(fault.at.0, Event::Fault { fault: at as u32, begins: true });
+            self.faults.push((
+                stream(self.seed, Actor::Fault, place),
+                Vec::new(),
+                Vec::new(),
+            ));
+            self.agenda.at(
+                fault.at.0,
+                Event::Fault {
+                    fault: at as u32,
+                    begins: true,
+                },
+            );
             if let Some(until) = fault.until {
-                self.agenda.at(until.0, Event::Fault { fault: at as u32, begins: false });
+                self.agenda.at(
+                    until.0,
+                    Event::Fault {
+                        fault: at as u32,
+                        begins: false,
+                    },
+                );
             }
         }
         for (group, callers) in scenario.callers.iter().enumerate() {
@@ -441,13 +486,19 @@
         let (scenario, number) = (self.scenario, self.balancers.len() as u32);
         let mut clock = stream(self.seed, Actor::Balancer, number);
         let offset = scenario.clocks.offset.0 as i64;
-        let ahead = if offset > 0 { clock.random_range(-offset..=offset) } else { 0 };
+        let ahead = if offset > 0 {
+            clock.random_range(-offset..=offset)
+        } else {
+            0
+        };
         let drift = scenario.clocks.drift * (2.0 * clock.random::<f64>() - 1.0);
         let (mind_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
         self.balancers.push(Balancer {
             tier,
             zone,
-            mind: self.policy.mind(scenario.settings(tier, zone), mind_seed, local),
+            mind: self
+                .policy
+                .mind(scenario.settings(tier, zone), mind_seed, local),
             ahead,
             drift,
             network: stream(self.seed, Actor::Network, number),
@@ -472,7 +523,10 @@
     fn mind(&mut self, at: usize) -> BoxedMind {
         let now = self.agenda.now();
         let balancer = &mut self.balancers[at];
-        let (settings, local) = (self.scenario.settings(balancer.tier, balancer.zone), balancer.local(now));
+        let (settings, local) = (
+            self.scenario.settings(balancer.tier, balancer.zone),
+            balancer.local(now),
+        );
         let mind = self.policy.mind(settings, balancer.seeds.next_u64(), local);
         match self.wrap {
             Some(wrap) => wrap(mind),
@@ -496,16 +550,33 @@
         }
         let now = self.agenda.now();
         self.auditor.look(now, self.stall_grace(now));
-        let open = self.balancers.iter().map(|balancer| balancer.mind.open()).sum();
+        let open = self
+            .balancers
+            .iter()
+            .map(|balancer| balancer.mind.open())
+            .sum();
         self.auditor.end(now, open);
         let members = self.members_end();
         let evacuated = self.coordinators_end();
         let story = self.story.map(|(_, story)| story).unwrap_or_default();
-        let names: Vec<String> = self.scenario.tier.iter().map(|tier| tier.name.clone()).collect();
+        let names: Vec<String> = self
+            .scenario
+            .tier
+            .iter()
+            .map(|tier| tier.name.clone())
+            .collect();
         let prices = self.prices.rows(&names);
         let end = self.meter.end(self.auditor.findings(), self.events, story);
-        let end = End { prices, members, evacuated, ..end };
-        End { bounds: self.scenario.judge(&end), ..end }
+        let end = End {
+            prices,
+            members,
+            evacuated,
+            ..end
+        };
+        End {
+            bounds: self.scenario.judge(&end),
+            ..end
+        }
     }
 
     fn tell_story(&mut self, wish: u64, text: impl FnOnce() -> String) {
@@ -527,16 +598,32 @@
             Event::Done { nodo, .. } if self.nodos[nodo as usize].ills.stopped => {
                 self.stopped[nodo as usize].push(event);
             }
-            Event::Done { attempt, nodo, process } => self.done(attempt, nodo as usize, process),
+            Event::Done {
+                attempt,
+                nodo,
+                process,
+            } => self.done(attempt, nodo as usize, process),
             Event::Back { attempt, outcome } => self.back(event, attempt, outcome),
             Event::Until(attempt) => self.until(event, attempt),
             Event::Wake { balancer, at } => self.wake(balancer as usize, at),
             Event::Told { balancer, life } => self.told(event, balancer as usize, life),
-            Event::Listed { balancer, life, well } => self.read_ends(balancer as usize, life, well),
+            Event::Listed {
+                balancer,
+                life,
+                well,
+            } => self.read_ends(balancer as usize, life, well),
             Event::Probe { probe } => self.probe_reaches(probe),
             Event::Probed { probe, held } => self.probe_ends(probe, held),
-            Event::Noticed { balancer, life, out } => self.noticed(balancer as usize, life, out),
-            Event::RollBalancer { balancer, life, drained } => {
+            Event::Noticed {
+                balancer,
+                life,
+                out,
+            } => self.noticed(balancer as usize, life, out),
+            Event::RollBalancer {
+                balancer,
+                life,
+                drained,
+            } => {
                 self.roll_balancer(balancer as usize, life, drained);
             }
             Event::Fault { fault, begins } => self.fault(fault as usize, begins),
@@ -571,7 +658,8 @@
                 speed[nodo.tier] += nodo.speed(now);
             }
         }
-        self.meter.step(now, &speed, self.requests.len(), self.attempts.len());
+        self.meter
+            .step(now, &speed, self.requests.len(), self.attempts.len());
         if now < self.scenario.time.0 {
             self.agenda.after(self.scenario.step.0, Event::Step);
         }
--- a/crates/lab/src/world/nodos.rs
+++ b/crates/lab/src/world/nodos.rs
@@ -5,7 +5,9 @@
 impl World<'_> {
     pub(super) fn reach(&mut self, event: Event, number: u64) {
         let now = self.agenda.now();
-        let Some(attempt) = self.attempts.get(number) else { return };
+        let Some(attempt) = self.attempts.get(number) else {
+            return;
+        };
         let (request, host) = (attempt.request, attempt.host);
         let (sent_to, process) = (attempt.nodo as usize, attempt.process);
         let nodo = self.hosts[host as usize] as usize;
@@ -16,8 +18,12 @@
         if self.nodos[nodo].ills.stopped {
             return self.stopped[nodo].push(event);
         }
-        let Some(wish) = self.requests.get(request).map(|request| request.wish) else { return };
-        let Some(class) = self.wishes.get(wish).map(|wish| wish.class) else { return };
+        let Some(wish) = self.requests.get(request).map(|request| request.wish) else {
+            return;
+        };
+        let Some(class) = self.wishes.get(wish).map(|wish| wish.class) else {
+            return;
+        };
         let mean = self.scenario.class[class].service.mean();
         let warm = f64::from(self.nodos[nodo].workers()) * 1e9 / mean;
         if let Some(part) = self.nodos[nodo].count_cold(now, warm) {
@@ -59,22 +65,42 @@
         let now = self.agenda.now();
         let mut took = self.nodos[nodo].service(now, &self.scenario.class[class].service);
         let connections = &self.scenario.tier[self.nodos[nodo].tier].connections;
-        if connections.work.0 > 0 && self.attempts.get(attempt).is_some_and(|attempt| attempt.fresh) {
+        if connections.work.0 > 0
+            && self
+                .attempts
+                .get(attempt)
+                .is_some_and(|attempt| attempt.fresh)
+        {
             took += self.nodos[nodo].overhead(now, connections.work.0);
         }
         let process = self.nodos[nodo].process;
-        self.agenda.after(took, Event::Done { attempt, nodo: nodo as u32, process });
+        self.agenda.after(
+            took,
+            Event::Done {
+                attempt,
+                nodo: nodo as u32,
+                process,
+            },
+        );
     }
 
     /// Sends an outcome back to the balancer of an attempt.
     pub(super) fn answer(&mut self, number: u64, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get(number) else { return };
+        let Some(attempt) = self.attempts.get(number) else {
+            return;
+        };
         let (at, nodo) = (attempt.balancer as usize, attempt.nodo as usize);
         if self.is_lost(at, nodo, false) || self.is_cut(at, nodo, false) {
             return self.lose(number);
         }
         let way = self.delay(at, nodo, false);
-        self.agenda.after(way, Event::Back { attempt: number, outcome });
+        self.agenda.after(
+            way,
+            Event::Back {
+                attempt: number,
+                outcome,
+            },
+        );
     }
 
     pub(super) fn done(&mut self, number: u64, nodo: usize, process: u32) {
@@ -85,7 +111,9 @@
         let calls = self.calls[self.nodos[nodo].tier];
         let parent = self.attempts.get(number).and_then(|attempt| {
             let wish = self.requests.get(attempt.request)?.wish;
-            self.wishes.get(wish).map(|wish| (wish.class, wish.deadline))
+            self.wishes
+                .get(wish)
+                .map(|wish| (wish.class, wish.deadline))
         });
         let (Some((_, mean)), Some((class, deadline))) = (calls, parent) else {
             return self.finish(number, nodo);
@@ -121,7 +149,13 @@
 
     /// A nodo's call to the next tier is answered.
     pub(super) fn call_back(&mut self, number: u64, well: bool) {
-        let Some(attempt) = self.attempts.get_mut(number).filter(|attempt| attempt.calls > 0) else { return };
+        let Some(attempt) = self
+            .attempts
+            .get_mut(number)
+            .filter(|attempt| attempt.calls > 0)
+        else {
+            return;
+        };
         attempt.calls -= 1;
         attempt.spoilt |= !well;
         let (left, nodo, process) = (attempt.calls, attempt.nodo as usize, attempt.process);
@@ -132,7 +166,10 @@
 
     /// A nodo is done with an attempt: it answers and takes the next.
     pub(super) fn finish(&mut self, number: u64, nodo: usize) {
-        let spoilt = self.attempts.get(number).is_some_and(|attempt| attempt.spoilt);
+        let spoilt = self
+            .attempts
+            .get(number)
+            .is_some_and(|attempt| attempt.spoilt);
         let there = &mut self.nodos[nodo];
         let (lost, resets) = (there.ills.lost, there.ills.resets / 2.0);
         if chance(&mut there.rng, lost) {
@@ -166,10 +203,16 @@
     /// The work of an attempt is done. Nodos drop the repeats of keyed work in their group and window.
     pub(super) fn take_effect(&mut self, number: u64) {
         let now = self.agenda.now();
-        let Some(attempt) = self.attempts.get(number) else { return };
+        let Some(attempt) = self.attempts.get(number) else {
+            return;
+        };
         let (request, nodo) = (attempt.request, &self.nodos[attempt.nodo as usize]);
-        let Some(wish_number) = self.requests.get(request).map(|request| request.wish) else { return };
-        let Some(wish) = self.wishes.get_mut(wish_number) else { return };
+        let Some(wish_number) = self.requests.get(request).map(|request| request.wish) else {
+            return;
+        };
+        let Some(wish) = self.wishes.get_mut(wish_number) else {
+            return;
+        };
         let class = &self.scenario.class[wish.class];
         let group = match class.group {
             CallGroup::All => 0,
@@ -196,7 +239,10 @@
         let process = self.nodos[nodo].process;
         self.nodos[nodo].die();
         let here = |attempt: &Attempt| attempt.nodo as usize == nodo && attempt.process == process;
-        let lost = self.attempts.iter().filter(|(_, attempt)| here(attempt) && attempt.there);
+        let lost = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| here(attempt) && attempt.there);
         let lost: Vec<u64> = lost.map(|(number, _)| number).collect();
         for number in lost {
             if done {
@@ -208,7 +254,13 @@
             self.answer(number, Outcome::Reset);
         }
         let notices = self.scenario.padron.notices.0;
-        self.agenda.after(notices, Event::Notice { nodo: nodo as u32, process });
+        self.agenda.after(
+            notices,
+            Event::Notice {
+                nodo: nodo as u32,
+                process,
+            },
+        );
         if let Some(balancer) = self.beside[self.nodos[nodo].host as usize] {
             self.stop(balancer as usize);
         }
@@ -238,14 +290,22 @@
         let (now, tier) = (self.agenda.now(), self.balancers[at].tier);
         self.prices.pay(now, tier, Price::Probes, at);
         let host = Self::host_of(peer.address) as usize;
-        let (Some(&nodo), Some(probed)) = (self.hosts.get(host), &self.scenario.tier[tier].probed) else {
+        let (Some(&nodo), Some(probed)) = (self.hosts.get(host), &self.scenario.tier[tier].probed)
+        else {
             return;
         };
         let patience = probed.patience.0;
         let (process, life) = (self.nodos[nodo as usize].process, self.balancers[at].life);
-        let out = ProbeOut { balancer: at as u32, life, nodo, process, server: peer.server };
+        let out = ProbeOut {
+            balancer: at as u32,
+            life,
+            nodo,
+            process,
+            server: peer.server,
+        };
         let probe = self.probes.add(out);
-        self.agenda.after(patience, Event::Probed { probe, held: None });
+        self.agenda
+            .after(patience, Event::Probed { probe, held: None });
         if !self.is_cut(at, nodo as usize, true) {
             let way = self.delay(at, nodo as usize, true);
             self.agenda.after(way, Event::Probe { probe });
@@ -253,7 +313,9 @@
     }
 
     pub(super) fn probe_reaches(&mut self, probe: u64) {
-        let Some(out) = self.probes.get(probe) else { return };
+        let Some(out) = self.probes.get(probe) else {
+            return;
+        };
         let (at, nodo, process) = (out.balancer as usize, out.nodo as usize, out.process);
         let there = &self.nodos[nodo];
         let mute = there.ills.silent || there.ills.stopped;
@@ -265,13 +327,22 @@
 
     /// A probe is over, by its answer or by its patience, whichever came first.
     pub(super) fn probe_ends(&mut self, probe: u64, held: Option<u32>) {
-        let Some(out) = self.probes.take(probe) else { return };
+        let Some(out) = self.probes.take(probe) else {
+            return;
+        };
         let (at, server) = (out.balancer as usize, out.server);
         if !self.balancers[at].alive || self.balancers[at].life != out.life {
             return;
         }
-        let outcome = if held.is_some() { Outcome::Ok } else { Outcome::Timeout };
-        let load = held.map(|held| LoadReport { figures: [held as f32, 0.0, 0.0, 0.0], len: 1 });
+        let outcome = if held.is_some() {
+            Outcome::Ok
+        } else {
+            Outcome::Timeout
+        };
+        let load = held.map(|held| LoadReport {
+            figures: [held as f32, 0.0, 0.0, 0.0],
+            len: 1,
+        });
         self.tell(at, Input::Probed(server, outcome, load));
     }
 }
--- a/crates/lab/src/world/padron.rs
+++ b/crates/lab/src/world/padron.rs
@@ -23,7 +23,12 @@
 
     pub(super) fn change(&mut self, nodo: u32, lifecycle: Lifecycle) {
         let boot_ms = Self::boot_ms(&self.nodos[nodo as usize]);
-        self.changes.push(Change { at: self.agenda.now(), nodo, lifecycle, boot_ms });
+        self.changes.push(Change {
+            at: self.agenda.now(),
+            nodo,
+            lifecycle,
+            boot_ms,
+        });
         if self.padron_silent == 0 {
             self.spread();
         }
@@ -84,7 +89,13 @@
             }
         }
         if !entries.is_empty() {
-            self.tell(at, Input::Listed { entries: &entries, all: false });
+            self.tell(
+                at,
+                Input::Listed {
+                    entries: &entries,
+                    all: false,
+                },
+            );
         }
     }
 
@@ -105,13 +116,24 @@
         for change in &self.changes[..upto] {
             state[change.nodo as usize] = Some((change.lifecycle, change.boot_ms));
         }
-        let listed = state.iter().enumerate().filter_map(|(nodo, state)| Some((nodo as u32, (*state)?)));
+        let listed = state
+            .iter()
+            .enumerate()
+            .filter_map(|(nodo, state)| Some((nodo as u32, (*state)?)));
         let listed = listed.filter(|(nodo, (lifecycle, _))| {
             self.nodos[*nodo as usize].tier == tier && *lifecycle != Lifecycle::Gone
         });
-        let entries: Vec<_> = listed.map(|(nodo, (life, boot))| self.entry(nodo, life, boot)).collect();
+        let entries: Vec<_> = listed
+            .map(|(nodo, (life, boot))| self.entry(nodo, life, boot))
+            .collect();
         self.balancers[at].heard = upto as u32;
-        self.tell(at, Input::Listed { entries: &entries, all: true });
+        self.tell(
+            at,
+            Input::Listed {
+                entries: &entries,
+                all: true,
+            },
+        );
         let all = self.changes.len() as u32;
         if all > upto as u32 && self.padron_silent == 0 && self.balancers[at].watches {
             self.send_word(at, all);
@@ -121,7 +143,9 @@
     /// A balancer asks discovery: what has changed, and to be told from then on.
     pub(super) fn read_list(&mut self, at: usize) {
         let (now, tier) = (self.agenda.now(), self.balancers[at].tier);
-        let Some(discovery) = &mut self.discovery else { return };
+        let Some(discovery) = &mut self.discovery else {
+            return;
+        };
         let read = discovery.read(now);
         self.prices.pay(now, tier, Price::Reads, at);
         let (balancer, life) = (at as u32, self.balancers[at].life);
@@ -129,7 +153,14 @@
             Read::Answered(until) => (until, true),
             Read::Failed(until) => (until, false),
         };
-        self.agenda.at(until + self.scenario.padron.delay.0, Event::Listed { balancer, life, well });
+        self.agenda.at(
+            until + self.scenario.padron.delay.0,
+            Event::Listed {
+                balancer,
+                life,
+                well,
+            },
+        );
     }
 
     pub(super) fn read_ends(&mut self, at: usize, life: u32, well: bool) {
@@ -146,7 +177,13 @@
         if self.balancers[at].heard < upto {
             self.send_word(at, upto);
         } else {
-            self.tell(at, Input::Listed { entries: &[], all: false });
+            self.tell(
+                at,
+                Input::Listed {
+                    entries: &[],
+                    all: false,
+                },
+            );
         }
     }
 }
--- a/crates/lab/tests/audit.rs
+++ b/crates/lab/tests/audit.rs
@@ -47,10 +47,19 @@
                 for entry in *entries {
                     let address = entry.address.unwrap();
                     let server = woadstall_emulator::engine::ServerId(0);
-                    self.peers.insert(entry.name.clone(), Peer { server, address, boot_ms: entry.boot_ms });
+                    self.peers.insert(
+                        entry.name.clone(),
+                        Peer {
+                            server,
+                            address,
+                            boot_ms: entry.boot_ms,
+                        },
+                    );
                     match entry.lifecycle {
                         Lifecycle::Draining => self.drained = Some((entry.name.clone(), now)),
-                        Lifecycle::Ready if entry.boot_ms > 0 => self.cold = Some(entry.name.clone()),
+                        Lifecycle::Ready if entry.boot_ms > 0 => {
+                            self.cold = Some(entry.name.clone())
+                        }
                         _ => {}
                     }
                 }
@@ -68,20 +77,27 @@
         }
         let mut command = self.mind.next_command()?;
         match (&mut command, self.does) {
-            (Command::Send(send), Does::SendsTwice) if self.classes.get(&send.id) == Some(&UNSAFE) => {
-                let again = woadstall_emulator::engine::Send { attempt: send.attempt + EXTRA, ..*send };
+            (Command::Send(send), Does::SendsTwice)
+                if self.classes.get(&send.id) == Some(&UNSAFE) =>
+            {
+                let again = woadstall_emulator::engine::Send {
+                    attempt: send.attempt + EXTRA,
+                    ..*send
+                };
                 self.more.push_back(Command::Send(again));
             }
             (Command::Send(send), Does::SendsToTheDrained) => {
                 if let Some((name, since)) = &self.drained
                     && self.now > since + SECOND + SECOND / 1_000
                 {
-                    (send.to.address, send.to.boot_ms) = (self.peers[name].address, self.peers[name].boot_ms);
+                    (send.to.address, send.to.boot_ms) =
+                        (self.peers[name].address, self.peers[name].boot_ms);
                 }
             }
             (Command::Send(send), Does::FloodsTheCold) => {
                 if let Some(name) = &self.cold {
-                    (send.to.address, send.to.boot_ms) = (self.peers[name].address, self.peers[name].boot_ms);
+                    (send.to.address, send.to.boot_ms) =
+                        (self.peers[name].address, self.peers[name].boot_ms);
                 }
             }
             (Command::Answer { request, .. }, Does::AnswersTwice | Does::NeverAnswers) => {
@@ -91,7 +107,10 @@
                 }
                 if self.done == 100 {
                     let verdict = woadstall_emulator::engine::Verdict::Failed;
-                    self.more.push_back(Command::Answer { request: *request, verdict });
+                    self.more.push_back(Command::Answer {
+                        request: *request,
+                        verdict,
+                    });
                 }
             }
             _ => {}
@@ -130,7 +149,11 @@
 const ROLL: &str = "[[fault]]\nat = \"1 s\"\nuntil = \"7 s\"\npart = 0.4\nwhat = \"roll\"\n";
 
 fn broken(end: &End) -> Vec<Rule> {
-    end.breaches.iter().filter(|(_, count)| **count > 0).map(|(rule, _)| *rule).collect()
+    end.breaches
+        .iter()
+        .filter(|(_, count)| **count > 0)
+        .map(|(rule, _)| *rule)
+        .collect()
 }
 
 #[test]
@@ -144,10 +167,16 @@
     let mut crowd = scenario.clone();
     crowd.callers[0].load = woadstall_emulator::Load::Constant(1_500.0);
     assert_eq!(broken(&sabotaged(&crowd, Does::Nothing)), []);
-    assert_eq!(broken(&sabotaged(&crowd, Does::FloodsTheCold)), [Rule::Cold]);
+    assert_eq!(
+        broken(&sabotaged(&crowd, Does::FloodsTheCold)),
+        [Rule::Cold]
+    );
     assert_eq!(rules(Does::AnswersTwice), [Rule::OneAnswer]);
     // It is not over at the end either.
-    assert_eq!(rules(Does::NeverAnswers), [Rule::OneAnswer, Rule::Conservation]);
+    assert_eq!(
+        rules(Does::NeverAnswers),
+        [Rule::OneAnswer, Rule::Conservation]
+    );
 }
 
 /// A breach names its call, and the call has a story.
@@ -161,7 +190,10 @@
     let story = world.run().story;
     let text: Vec<_> = story.iter().map(|(_, text)| text.as_str()).collect();
     assert!(text[0].contains("reaches balancer"), "{text:?}");
-    assert!(text.iter().any(|line| line.contains("sends attempt 0")), "{text:?}");
+    assert!(
+        text.iter().any(|line| line.contains("sends attempt 0")),
+        "{text:?}"
+    );
     assert!(text.last().unwrap().contains("its caller has"), "{text:?}");
     assert!(story.windows(2).all(|pair| pair[0].0 <= pair[1].0));
 }
@@ -176,7 +208,10 @@
 
 impl Mind for Recorder {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
-        self.tape.lock().unwrap().push((now, format!("{input:?}"), String::new()));
+        self.tape
+            .lock()
+            .unwrap()
+            .push((now, format!("{input:?}"), String::new()));
         self.mind.handle(now, input);
     }
 
@@ -210,14 +245,29 @@
             Input::Call(call) => {
                 let (id, class, tenant, work) = (call.id, call.class, call.tenant, call.work);
                 let (request, deadline, attempts) = (call.request, call.deadline, call.attempts);
-                let call =
-                    woadstall_emulator::engine::Call { id, request, class, tenant, work, deadline, attempts };
+                let call = woadstall_emulator::engine::Call {
+                    id,
+                    request,
+                    class,
+                    tenant,
+                    work,
+                    deadline,
+                    attempts,
+                };
                 Input::Call(call)
             }
             Input::Gone(id) => Input::Gone(*id),
             Input::Ended { id, attempt, ended } => {
-                let ended = Ended { outcome: ended.outcome, answer: ended.answer, load: ended.load };
-                Input::Ended { id: *id, attempt: *attempt, ended }
+                let ended = Ended {
+                    outcome: ended.outcome,
+                    answer: ended.answer,
+                    load: ended.load,
+                };
+                Input::Ended {
+                    id: *id,
+                    attempt: *attempt,
+                    ended,
+                }
             }
             Input::Tick => Input::Tick,
             other => unreachable!("the emulator does not tell this: {other:?}"),
@@ -252,7 +302,11 @@
     let compared = Arc::new(Mutex::new(0));
     let wrap = |_: Boxed| -> Boxed {
         let engine = || Engine::new(scenario.settings(0, 0), 5, 0).unwrap();
-        Box::new(Twin { mind: Box::new(engine()), twin: engine(), compared: compared.clone() })
+        Box::new(Twin {
+            mind: Box::new(engine()),
+            twin: engine(),
+            compared: compared.clone(),
+        })
     };
     let mut world = World::new(&scenario, Policy::Woadstall, 3);
     world.wrap_minds(&wrap);
@@ -266,7 +320,12 @@
     let scenario = small(ROLL);
     let run = |seed| {
         let tape = Recorded::default();
-        let wrap = |mind: Boxed| -> Boxed { Box::new(Recorder { mind, tape: tape.clone() }) };
+        let wrap = |mind: Boxed| -> Boxed {
+            Box::new(Recorder {
+                mind,
+                tape: tape.clone(),
+            })
+        };
         let mut world = World::new(&scenario, Policy::Woadstall, seed);
         world.wrap_minds(&wrap);
         let end = world.run();
@@ -276,7 +335,10 @@
     let alone = run(1);
     let threads = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..4).map(|_| scope.spawn(|| run(1))).collect();
-        threads.into_iter().map(|thread| thread.join().unwrap()).collect::<Vec<_>>()
+        threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap())
+            .collect::<Vec<_>>()
     });
     assert!(threads.iter().all(|other| *other == alone));
     assert_ne!(run(2).0, alone.0);
@@ -287,7 +349,10 @@
 fn actors_draw_for_themselves() {
     let offered = |scenario: &Scenario| {
         let end = woadstall_emulator::run(scenario, Policy::Woadstall, 1);
-        end.steps.iter().map(|step| step.counts.offered).collect::<Vec<_>>()
+        end.steps
+            .iter()
+            .map(|step| step.counts.offered)
+            .collect::<Vec<_>>()
     };
     let fewer = small("");
     let mut more = fewer.clone();
--- a/crates/lab/tests/evacuation.rs
+++ b/crates/lab/tests/evacuation.rs
@@ -16,14 +16,24 @@
 fn kept(name: &str, seed: u64) -> End {
     let end = played(name, seed);
     assert_eq!(end.broken(), 0, "{name}: {:?}", end.first_breaches);
-    assert!(end.bounds.iter().all(|bound| bound.kept), "{name}, seed {seed}: {:?}", end.bounds);
+    assert!(
+        end.bounds.iter().all(|bound| bound.kept),
+        "{name}, seed {seed}: {:?}",
+        end.bounds
+    );
     end
 }
 
 /// A zone dies: all are out of it soon, whether they ever called there or not, and those that restart learn it.
 #[test]
 fn a_zone_that_fails_is_left_by_all() {
-    for name in ["zone-dead", "zone-silent", "restarted", "liars-all-well", "zone-grey"] {
+    for name in [
+        "zone-dead",
+        "zone-silent",
+        "restarted",
+        "liars-all-well",
+        "zone-grey",
+    ] {
         kept(name, 1);
     }
 }
@@ -31,9 +41,15 @@
 /// Nobody leaves anything where nothing fails, all fail alike, all are as slow, or a tenth of the fleet lies.
 #[test]
 fn nobody_is_driven_out() {
-    for name in
-        ["calm", "shared-ill", "all-slow", "liars-all-bad", "liars-own-zone-bad", "nodos-bad", "one-class"]
-    {
+    for name in [
+        "calm",
+        "shared-ill",
+        "all-slow",
+        "liars-all-bad",
+        "liars-own-zone-bad",
+        "nodos-bad",
+        "one-class",
+    ] {
         kept(name, 2);
     }
 }
@@ -50,8 +66,15 @@
 #[test]
 fn a_fleet_loses_fewer_calls_than_its_members_alone() {
     let with = played("zone-silent", 1);
-    let alone =
-        run(&Scenario { evacuation: None, bound: Vec::new(), ..read("zone-silent") }, Policy::Woadstall, 1);
+    let alone = run(
+        &Scenario {
+            evacuation: None,
+            bound: Vec::new(),
+            ..read("zone-silent")
+        },
+        Policy::Woadstall,
+        1,
+    );
     let (with, alone) = (with.counts.failed, alone.counts.failed);
     println!("failed: {with} with it, {alone} without");
     assert!(with * 10 <= alone * 7, "{with} of {alone}");
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -37,18 +37,32 @@
 }
 
 fn paid(end: &End, tier: &str, price: Price) -> u64 {
-    end.prices.iter().find(|row| row.tier == tier && row.price == price).map_or(0, |row| row.total)
+    end.prices
+        .iter()
+        .find(|row| row.tier == tier && row.price == price)
+        .map_or(0, |row| row.total)
 }
 
 #[test]
 fn each_nodo_that_calls_has_a_balancer_of_its_own() {
     let scenario = tiers("");
-    assert_eq!((scenario.senders(0), scenario.senders(1), scenario.senders(2)), (3, 6, 9));
+    assert_eq!(
+        (
+            scenario.senders(0),
+            scenario.senders(1),
+            scenario.senders(2)
+        ),
+        (3, 6, 9)
+    );
     assert_eq!(scenario.settings(2, 0).siblings, 9);
     let end = play(&scenario);
     assert!(end.served > 0.97, "{}", end.served);
     // Each of nine senders opens connections to the nodos of its zone; none has more than its part of them.
-    let row = end.prices.iter().find(|row| row.tier == "ledger" && row.price == Price::Handshakes).unwrap();
+    let row = end
+        .prices
+        .iter()
+        .find(|row| row.tier == "ledger" && row.price == Price::Handshakes)
+        .unwrap();
     assert!(row.total >= 9 * 6 && row.largest.1 < 0.25, "{row:?}");
 }
 
@@ -59,29 +73,51 @@
     let fault = "[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\npart = 0.5\nwhat = { kill = {} }\n";
     let all = fault.to_owned() + &fault.replace("part = 0.5", "part = 0.34\ntier = \"posting\"");
     let end = play(&tiers(&all));
-    assert!(end.served > 0.9 && end.counts.failed > 0, "{} {:?}", end.served, end.counts);
+    assert!(
+        end.served > 0.9 && end.counts.failed > 0,
+        "{} {:?}",
+        end.served,
+        end.counts
+    );
     // The next process has no connections: it opens all of them again.
     let (calm, killed) = (play(&tiers("")), paid(&end, "ledger", Price::Handshakes));
-    assert!(killed >= paid(&calm, "ledger", Price::Handshakes) + 10, "{killed}");
+    assert!(
+        killed >= paid(&calm, "ledger", Price::Handshakes) + 10,
+        "{killed}"
+    );
     let after = |step: &&woadstall_emulator::Step| step.until > 6.5 && step.until < 8.0;
-    let (served, offered) = end.steps.iter().filter(after).fold((0, 0), |(served, offered), step| {
-        (served + step.counts.on_time, offered + step.counts.offered)
-    });
-    assert!(served * 100 > offered * 90, "{served} of {offered} once all are back");
+    let (served, offered) = end
+        .steps
+        .iter()
+        .filter(after)
+        .fold((0, 0), |(served, offered), step| {
+            (served + step.counts.on_time, offered + step.counts.offered)
+        });
+    assert!(
+        served * 100 > offered * 90,
+        "{served} of {offered} once all are back"
+    );
 }
 
 /// The front goes on dealing to the dead until it notices: the same death costs more where it notices late.
 #[test]
 fn a_front_that_notices_late_deals_to_the_dead() {
     let with = |notices: u64| {
-        let fault = "[[fault]]\nat = \"2 s\"\nuntil = \"6 s\"\npart = 0.67\nwhat = { restart = {} }\n";
+        let fault =
+            "[[fault]]\nat = \"2 s\"\nuntil = \"6 s\"\npart = 0.67\nwhat = { restart = {} }\n";
         let mut scenario = small(fault);
-        scenario.front = Some(Dealing { notices: Span(notices), ..Dealing::default() });
+        scenario.front = Some(Dealing {
+            notices: Span(notices),
+            ..Dealing::default()
+        });
         let end = play(&scenario);
         (paid(&end, "only", Price::Unreached), end.counts.failed)
     };
     let (soon, late) = (with(SECOND / 10), with(3 * SECOND));
-    assert!(soon.0 < 60 && late.0 > 3 * soon.0.max(20), "{soon:?} {late:?}");
+    assert!(
+        soon.0 < 60 && late.0 > 3 * soon.0.max(20),
+        "{soon:?} {late:?}"
+    );
     assert!(late.1 > soon.1, "{soon:?} {late:?}");
 }
 
@@ -89,10 +125,17 @@
 #[test]
 fn callers_keep_their_connections() {
     let mut scenario = small("");
-    scenario.front = Some(Dealing { uneven: 20.0, ..Dealing::default() });
+    scenario.front = Some(Dealing {
+        uneven: 20.0,
+        ..Dealing::default()
+    });
     let end = play(&scenario);
     let lines = paid(&end, "only", Price::Lines);
-    assert!(lines > 3 && lines * 20 < end.counts.offered, "{lines} of {}", end.counts.offered);
+    assert!(
+        lines > 3 && lines * 20 < end.counts.offered,
+        "{lines} of {}",
+        end.counts.offered
+    );
 }
 
 /// Nodos that accept few connections turn further ones away, and the work of a new one takes its time.
@@ -103,13 +146,28 @@
         scenario.tier[0].connections = connections;
         let end = play(&scenario);
         let crowded = paid(&end, "only", Price::Crowded);
-        (crowded, paid(&end, "only", Price::Handshakes), end.latency.mean, end.served)
+        (
+            crowded,
+            paid(&end, "only", Price::Handshakes),
+            end.latency.mean,
+            end.served,
+        )
     };
     let free = with(Connections::default());
-    let scarce = with(Connections { most: 2, ..Connections::default() });
-    let dear = with(Connections { work: Span(SECOND / 10), trips: 3, ..Connections::default() });
+    let scarce = with(Connections {
+        most: 2,
+        ..Connections::default()
+    });
+    let dear = with(Connections {
+        work: Span(SECOND / 10),
+        trips: 3,
+        ..Connections::default()
+    });
     assert!(free.0 == 0 && scarce.0 > 10, "{free:?} {scarce:?}");
-    assert!(scarce.3 > 0.8, "one in use at each nodo is enough for most: {scarce:?}");
+    assert!(
+        scarce.3 > 0.8,
+        "one in use at each nodo is enough for most: {scarce:?}"
+    );
     assert!(dear.2 > 1.1 * free.2, "{free:?} {dear:?}");
 }
 
@@ -132,15 +190,31 @@
 what = "replace"
 "#;
     let mut scenario = small(asked);
-    (scenario.time, scenario.tier[0].balancers, scenario.tier[0].nodos) = (Span(25 * SECOND), 24, 12);
+    (
+        scenario.time,
+        scenario.tier[0].balancers,
+        scenario.tier[0].nodos,
+    ) = (Span(25 * SECOND), 24, 12);
     let end = play(&scenario);
-    let (reads, failed) = (paid(&end, "only", Price::Reads), paid(&end, "only", Price::FailedReads));
-    assert!(reads - failed >= 48 && failed > 0, "{reads} reads, {failed} failed");
-    let late = end.steps.iter().filter(|step| step.until > 20.0 && step.until < 25.0);
+    let (reads, failed) = (
+        paid(&end, "only", Price::Reads),
+        paid(&end, "only", Price::FailedReads),
+    );
+    assert!(
+        reads - failed >= 48 && failed > 0,
+        "{reads} reads, {failed} failed"
+    );
+    let late = end
+        .steps
+        .iter()
+        .filter(|step| step.until > 20.0 && step.until < 25.0);
     let (served, offered) = late.fold((0, 0), |(served, offered), step| {
         (served + step.counts.on_time, offered + step.counts.offered)
     });
-    assert!(served * 100 > offered * 97, "{served} of {offered} once all know the new nodos");
+    assert!(
+        served * 100 > offered * 97,
+        "{served} of {offered} once all know the new nodos"
+    );
 }
 
 /// Balancers that are replaced one after another lose nothing: no new connections come, and what is held is answered.
@@ -160,13 +234,24 @@
 /// Where nodos tell their load when probed, balancers ask before they send; a cut or a dead nodo does not answer.
 #[test]
 fn probes_are_answered_by_what_lives() {
-    let mut scenario = small("[[fault]]\nat = \"3 s\"\nuntil = \"5 s\"\npart = 0.34\nwhat = \"silent\"\n");
-    scenario.tier[0].probed = Some(Probed { price: 0.001, patience: Span(SECOND / 20) });
+    let mut scenario =
+        small("[[fault]]\nat = \"3 s\"\nuntil = \"5 s\"\npart = 0.34\nwhat = \"silent\"\n");
+    scenario.tier[0].probed = Some(Probed {
+        price: 0.001,
+        patience: Span(SECOND / 20),
+    });
     let end = play(&scenario);
     let probes = paid(&end, "only", Price::Probes);
-    assert!(2 * probes > 3 * end.counts.offered, "{probes} for {}", end.counts.offered);
+    assert!(
+        2 * probes > 3 * end.counts.offered,
+        "{probes} for {}",
+        end.counts.offered
+    );
     assert!(end.served > 0.9, "{}", end.served);
-    scenario.tier[0].probed = Some(Probed { price: 0.5, patience: Span(SECOND / 20) });
+    scenario.tier[0].probed = Some(Probed {
+        price: 0.5,
+        patience: Span(SECOND / 20),
+    });
     assert_eq!(paid(&play(&scenario), "only", Price::Probes), 0, "too dear");
 }
 
@@ -176,20 +261,33 @@
     let with = |bytes: f64| {
         let mut scenario = small("");
         scenario.network.bytes_per_second = 1e6;
-        scenario.class.iter_mut().for_each(|class| class.bytes = bytes);
+        scenario
+            .class
+            .iter_mut()
+            .for_each(|class| class.bytes = bytes);
         play(&scenario).latency.mean
     };
     let (small, large) = (with(100.0), with(20_000.0));
-    assert!((15.0..30.0).contains(&(large - small)), "{small} ms, {large} ms");
+    assert!(
+        (15.0..30.0).contains(&(large - small)),
+        "{small} ms, {large} ms"
+    );
 }
 
 #[test]
 fn faults_of_the_new_keys_are_named() {
-    let error = |text: &str| Scenario::read(&(common::SMALL.to_owned() + text)).unwrap_err().to_string();
+    let error = |text: &str| {
+        Scenario::read(&(common::SMALL.to_owned() + text))
+            .unwrap_err()
+            .to_string()
+    };
     let tier = |keys: &str| error(&format!("[[tier]]\nname = \"more\"\nnodos = 2\n{keys}\n"));
     assert!(tier("beside = true").contains("no tier calls it"));
     assert!(tier("").contains("`balancers` must not be 0"));
-    assert!(tier("balancers = 1\nprobed = { price = 2.0, patience = \"1 s\" }").contains("probed.price"));
+    assert!(
+        tier("balancers = 1\nprobed = { price = 2.0, patience = \"1 s\" }")
+            .contains("probed.price")
+    );
     assert!(tier("balancers = 1\nconnections = { trips = 11 }").contains("connections.trips"));
     assert!(error("[front]\nuneven = 0.5\n").contains("front.uneven"));
     let asked = "[padron]\nasked = { reads = 0.0, patience = \"1 s\", within = \"1 s\" }\n";
--- a/crates/lab/tests/power.rs
+++ b/crates/lab/tests/power.rs
@@ -12,9 +12,13 @@
 }
 
 fn served(end: &End, from: f64, until: f64) -> f64 {
-    let steps = end.steps.iter().filter(|step| step.until > from && step.until <= until);
-    let (worth, offered) = steps
-        .fold((0.0, 0.0), |(worth, all), step| (worth + step.counts.worth, all + step.counts.worth_offered));
+    let steps = end
+        .steps
+        .iter()
+        .filter(|step| step.until > from && step.until <= until);
+    let (worth, offered) = steps.fold((0.0, 0.0), |(worth, all), step| {
+        (worth + step.counts.worth, all + step.counts.worth_offered)
+    });
     worth / offered
 }
 
@@ -22,10 +26,15 @@
 /// good answer nothing.
 #[test]
 fn stopped_nodos_answer_once_they_go_on() {
-    let stop = |until: &str| format!("[[fault]]\nat = \"3 s\"\nuntil = \"{until}\"\nwhat = \"stop\"\n");
+    let stop =
+        |until: &str| format!("[[fault]]\nat = \"3 s\"\nuntil = \"{until}\"\nwhat = \"stop\"\n");
     let short = played(&stop("3500 ms"));
     // Of the hundred calls that came meanwhile, those whose time has not run out are answered then.
-    assert!((1..90).contains(&(short.counts.failed + short.counts.refused)), "{:?}", short.counts);
+    assert!(
+        (1..90).contains(&(short.counts.failed + short.counts.refused)),
+        "{:?}",
+        short.counts
+    );
     assert!(served(&short, 5.0, 8.0) > 0.9);
     let long = played(&stop("6 s"));
     assert!(served(&long, 4.0, 6.0) < 0.05, "{:?}", long.steps);
@@ -47,7 +56,8 @@
 /// a nodo of its own zone each balancer serves on.
 #[test]
 fn one_way_is_cut() {
-    let cut = "[[fault]]\nat = \"3 s\"\nzone = \"a\"\nwhat = { link = { to = \"b\", cut = true } }\n";
+    let cut =
+        "[[fault]]\nat = \"3 s\"\nzone = \"a\"\nwhat = { link = { to = \"b\", cut = true } }\n";
     let end = played(cut);
     assert!(served(&end, 4.0, 8.0) > 0.9, "{}", served(&end, 4.0, 8.0));
 }
@@ -62,12 +72,28 @@
         [[bound]]\nname = \"back\"\nwhat = { back = { from = \"4 s\", part = 0.9, within = \"3 s\" } }\n\
         [[bound]]\nname = \"tries\"\nwhat = { attempts = { most = 0.01 } }\n";
     let end = played(text);
-    let kept: Vec<(&str, bool)> = end.bounds.iter().map(|kept| (kept.name.as_str(), kept.kept)).collect();
-    assert_eq!(kept, [("before", true), ("amid", false), ("few", true), ("back", true), ("tries", false)]);
+    let kept: Vec<(&str, bool)> = end
+        .bounds
+        .iter()
+        .map(|kept| (kept.name.as_str(), kept.kept))
+        .collect();
+    assert_eq!(
+        kept,
+        [
+            ("before", true),
+            ("amid", false),
+            ("few", true),
+            ("back", true),
+            ("tries", false)
+        ]
+    );
     assert!(!end.is_kept());
-    let refused = |text: &str| Scenario::read(&format!("{}{text}", common::SMALL)).unwrap_err().to_string();
-    let late =
-        "[[bound]]\nname = \"x\"\nwhat = { served = { from = \"9 s\", until = \"10 s\", least = 0.5 } }\n";
+    let refused = |text: &str| {
+        Scenario::read(&format!("{}{text}", common::SMALL))
+            .unwrap_err()
+            .to_string()
+    };
+    let late = "[[bound]]\nname = \"x\"\nwhat = { served = { from = \"9 s\", until = \"10 s\", least = 0.5 } }\n";
     assert!(refused(late).contains("`until`"), "{}", refused(late));
     assert!(refused("[[fault]]\nat = \"1 s\"\nwhat = \"stop\"\n").contains("until"));
 }
--- a/crates/lab/tests/returning.rs
+++ b/crates/lab/tests/returning.rs
@@ -41,10 +41,12 @@
 "#;
 
 fn play(changes: &[(&str, &str)]) -> End {
-    let text = changes.iter().fold(SCENARIO.to_owned(), |text, (from, to)| {
-        assert!(text.contains(from), "{from}");
-        text.replace(from, to)
-    });
+    let text = changes
+        .iter()
+        .fold(SCENARIO.to_owned(), |text, (from, to)| {
+            assert!(text.contains(from), "{from}");
+            text.replace(from, to)
+        });
     let scenario = Scenario::read(&text).unwrap();
     let end = run(&scenario, Policy::Woadstall, 1);
     println!("{:.3} of what is possible, {:?}", end.score, end.breaches);
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -7,7 +7,9 @@
 
 fn refused(from: &str, to: &str) -> String {
     assert!(SMALL.contains(from), "{from}");
-    Scenario::read(&SMALL.replace(from, to)).unwrap_err().to_string()
+    Scenario::read(&SMALL.replace(from, to))
+        .unwrap_err()
+        .to_string()
 }
 
 /// The error names the key, and where the text is at fault, the line.
@@ -32,28 +34,72 @@
     names("name = \"post\"", "name = \"look\"", "there twice");
     names("window = \"3 s\"", "", "`window` is missing");
     names("worth = 2.0", "worth = -1.0", "`worth` is -1");
-    names("aim = \"300 ms\"", "aim = \"3 s\"", "nor `deadline` shorter");
-    names("exponential = \"20 ms\"", "pareto = { mean = \"20 ms\", shape = 1.0 }", "no mean");
-    names("exponential = \"20 ms\"", "measured = []", "`measured` is empty");
+    names(
+        "aim = \"300 ms\"",
+        "aim = \"3 s\"",
+        "nor `deadline` shorter",
+    );
+    names(
+        "exponential = \"20 ms\"",
+        "pareto = { mean = \"20 ms\", shape = 1.0 }",
+        "no mean",
+    );
+    names(
+        "exponential = \"20 ms\"",
+        "measured = []",
+        "`measured` is empty",
+    );
     names("zones = [\"a\", \"b\"]", "zones = []", "`zones` is empty");
     let circle = "calls = { tier = \"other\", mean = 2.0 }\n[[tier]]\nname = \"other\"\nbalancers = 1\n\
                   nodos = 1\ncalls = { tier = \"only\", mean = 1.0 }\n";
-    names("workers = 2", &format!("workers = 2\n{circle}"), "goes in a circle");
-    let fault = |what: &str| Scenario::read(&format!("{SMALL}[[fault]]\nat = \"1 s\"\n{what}")).unwrap_err();
-    assert!(fault("what = \"cut-to\"").to_string().contains("`zone` is missing"));
-    assert!(fault("what = { slow = 0.0 }").to_string().contains("not from 0.01"));
-    assert!(fault("until = \"1 s\"\nwhat = \"silent\"").to_string().contains("not after"));
-    assert!(fault("zone = \"c\"\nwhat = \"silent\"").to_string().contains("no zone c"));
+    names(
+        "workers = 2",
+        &format!("workers = 2\n{circle}"),
+        "goes in a circle",
+    );
+    let fault = |what: &str| {
+        Scenario::read(&format!("{SMALL}[[fault]]\nat = \"1 s\"\n{what}")).unwrap_err()
+    };
+    assert!(
+        fault("what = \"cut-to\"")
+            .to_string()
+            .contains("`zone` is missing")
+    );
+    assert!(
+        fault("what = { slow = 0.0 }")
+            .to_string()
+            .contains("not from 0.01")
+    );
+    assert!(
+        fault("until = \"1 s\"\nwhat = \"silent\"")
+            .to_string()
+            .contains("not after")
+    );
+    assert!(
+        fault("zone = \"c\"\nwhat = \"silent\"")
+            .to_string()
+            .contains("no zone c")
+    );
     assert!(fault("what = \"explode\"").to_string().contains("explode"));
 }
 
 #[test]
 fn policies_are_named() {
-    for name in ["woadstall", "random", "peak-ewma+outlier+gradient+budget", "ribbon+retries"] {
+    for name in [
+        "woadstall",
+        "random",
+        "peak-ewma+outlier+gradient+budget",
+        "ribbon+retries",
+    ] {
         assert_eq!(name.parse::<Policy>().unwrap().to_string(), name);
     }
     assert!("best".parse::<Policy>().unwrap_err().contains("ribbon"));
-    assert!("random+luck".parse::<Policy>().unwrap_err().contains("outlier"));
+    assert!(
+        "random+luck"
+            .parse::<Policy>()
+            .unwrap_err()
+            .contains("outlier")
+    );
 }
 
 /// No nodos, one, no load, nothing reachable, callers that vanish with their balancer, clocks that differ: a
@@ -63,22 +109,38 @@
     let mut none = small("");
     none.tier[0].nodos = 0;
     let end = run(&none, Policy::Woadstall, 1);
-    assert_eq!((end.broken(), end.counts.on_time, end.counts.refused), (0, 0, end.counts.offered));
+    assert_eq!(
+        (end.broken(), end.counts.on_time, end.counts.refused),
+        (0, 0, end.counts.offered)
+    );
     let mut one = small("");
     (one.tier[0].nodos, one.tier[0].workers) = (1, 16);
     let end = run(&one, Policy::Woadstall, 1);
-    assert!(end.broken() == 0 && end.served > 0.95, "{} {:?}", end.served, end.first_breaches);
+    assert!(
+        end.broken() == 0 && end.served > 0.95,
+        "{} {:?}",
+        end.served,
+        end.first_breaches
+    );
     let idle = Scenario::read(&SMALL.replace("constant = 200.0", "constant = 0.0")).unwrap();
     let end = run(&idle, Policy::Woadstall, 1);
     assert_eq!((end.broken(), end.counts.offered), (0, 0));
-    let cut = |zone: &str| format!("[[fault]]\nat = \"0 s\"\nzone = \"{zone}\"\nwhat = \"silent\"\n");
+    let cut =
+        |zone: &str| format!("[[fault]]\nat = \"0 s\"\nzone = \"{zone}\"\nwhat = \"silent\"\n");
     let end = run(&small(&(cut("a") + &cut("b"))), Policy::Woadstall, 1);
-    assert_eq!((end.broken(), end.counts.on_time + end.counts.late), (0, 0), "{:?}", end.first_breaches);
-    let dying = "[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\nwhat = { restart = { stale = \"1 s\" } }\n";
+    assert_eq!(
+        (end.broken(), end.counts.on_time + end.counts.late),
+        (0, 0),
+        "{:?}",
+        end.first_breaches
+    );
+    let dying =
+        "[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\nwhat = { restart = { stale = \"1 s\" } }\n";
     let end = run(&small(dying), Policy::Woadstall, 1);
     assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
     assert!(end.counts.failed > 50, "nobody is there for two seconds");
-    let mut clocks = small("[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\npart = 0.5\nwhat = { kill = {} }\n");
+    let mut clocks =
+        small("[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\npart = 0.5\nwhat = { kill = {} }\n");
     (clocks.clocks.offset, clocks.clocks.drift) = (woadstall_emulator::Span(1_000_000_000), 0.001);
     let end = run(&clocks, Policy::Woadstall, 1);
     assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
@@ -89,8 +151,9 @@
 #[test]
 fn what_balancers_cannot_help_breaks_no_rule() {
     let with = |fault: &str, change: &dyn Fn(&mut Scenario)| {
-        let mut scenario =
-            small(&format!("[[fault]]\nat = \"2 s\"\nuntil = \"5 s\"\npart = 0.5\nwhat = {fault}\n"));
+        let mut scenario = small(&format!(
+            "[[fault]]\nat = \"2 s\"\nuntil = \"5 s\"\npart = 0.5\nwhat = {fault}\n"
+        ));
         change(&mut scenario);
         let end = run(&scenario, Policy::Woadstall, 1);
         assert_eq!(end.broken(), 0, "{fault}: {:?}", end.first_breaches);
@@ -105,7 +168,12 @@
         scenario.fault.clear();
         (scenario.network.loss, scenario.network.resets) = (0.02, 0.02);
     });
-    assert!(lossy.served > 0.85 && lossy.counts.failed > 20, "{} {:?}", lossy.served, lossy.counts);
+    assert!(
+        lossy.served > 0.85 && lossy.counts.failed > 20,
+        "{} {:?}",
+        lossy.served,
+        lossy.counts
+    );
     let few = |sockets| {
         let end = with("\"padron-wrong\"", &|scenario| {
             scenario.fault.clear();
@@ -124,7 +192,11 @@
 fn faults_hurt() {
     let served = |fault: &str| {
         let fault = format!("[[fault]]\nat = \"0 s\"\npart = 0.5\nwhat = {fault}\n");
-        let fault = if fault.contains("cut") { fault + "zone = \"a\"\n" } else { fault };
+        let fault = if fault.contains("cut") {
+            fault + "zone = \"a\"\n"
+        } else {
+            fault
+        };
         run(&small(&fault), "random".parse().unwrap(), 1).served
     };
     let sound = run(&small(""), "random".parse().unwrap(), 1).served;
@@ -151,21 +223,39 @@
 #[test]
 fn the_library_is_sound() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
-    let files = ["", "/fleet"].into_iter().flat_map(|of| std::fs::read_dir(format!("{folder}{of}")).unwrap());
+    let files = ["", "/fleet"]
+        .into_iter()
+        .flat_map(|of| std::fs::read_dir(format!("{folder}{of}")).unwrap());
     let files = files.map(|file| file.unwrap().path());
-    let files: Vec<_> = files.filter(|path| path.extension().is_some_and(|end| end == "toml")).collect();
+    let files: Vec<_> = files
+        .filter(|path| path.extension().is_some_and(|end| end == "toml"))
+        .collect();
     assert!(files.len() >= 24, "{}", files.len());
     for file in files {
         let text = std::fs::read_to_string(&file).unwrap();
-        let mut scenario = Scenario::read(&text).unwrap_or_else(|error| panic!("{file:?}: {error}"));
-        assert_eq!(file.file_stem().unwrap().to_str(), Some(scenario.name.as_str()));
+        let mut scenario =
+            Scenario::read(&text).unwrap_or_else(|error| panic!("{file:?}: {error}"));
+        assert_eq!(
+            file.file_stem().unwrap().to_str(),
+            Some(scenario.name.as_str())
+        );
         if scenario.tier[0].nodos > 1_000 {
             continue; // long even when optimized
         }
-        let most = if scenario.name == "fleet-soak" { 300 } else { 45 };
+        let most = if scenario.name == "fleet-soak" {
+            300
+        } else {
+            45
+        };
         scenario.time.0 = scenario.time.0.min(most * 1_000_000_000);
         let end = run(&scenario, Policy::Woadstall, 1);
-        assert_eq!(end.broken(), 0, "{}: {:?}", scenario.name, end.first_breaches);
+        assert_eq!(
+            end.broken(),
+            0,
+            "{}: {:?}",
+            scenario.name,
+            end.first_breaches
+        );
         assert!(end.score > 0.7, "{}: {}", scenario.name, end.score);
     }
 }
--- a/crates/lab/tests/theory.rs
+++ b/crates/lab/tests/theory.rs
@@ -66,14 +66,21 @@
 /// M/M/1: load over (1 - load) times the work; M/D/1: half of that (Pollaczek and Khinchine); M/M/c: Erlang C.
 fn expected(service: &str, workers: u32, load: f64) -> f64 {
     let wait = erlang_c(workers, load) / (f64::from(workers) * (1.0 - load)) * 10.0;
-    if service == CONSTANT { wait / 2.0 } else { wait }
+    if service == CONSTANT {
+        wait / 2.0
+    } else {
+        wait
+    }
 }
 
 fn holds(cases: &[(&str, u32, f64, f64)]) {
     std::thread::scope(|scope| {
         for &(service, workers, load, calls) in cases {
             scope.spawn(move || {
-                let (is, should) = (wait(service, workers, load, calls), expected(service, workers, load));
+                let (is, should) = (
+                    wait(service, workers, load, calls),
+                    expected(service, workers, load),
+                );
                 let off = (is / should - 1.0).abs();
                 assert!(
                     off < 0.02,
@@ -101,7 +108,11 @@
 #[test]
 #[ignore = "a minute and a half"]
 fn waiting_times_at_high_load() {
-    holds(&[(EXPONENTIAL, 1, 0.95, 40e6), (EXPONENTIAL, 4, 0.95, 40e6), (CONSTANT, 1, 0.95, 20e6)]);
+    holds(&[
+        (EXPONENTIAL, 1, 0.95, 40e6),
+        (EXPONENTIAL, 4, 0.95, 40e6),
+        (CONSTANT, 1, 0.95, 20e6),
+    ]);
 }
 
 /// Servers with one queue each, at a load of 0.9: choosing the shorter of two queues (Mitzenmacher) lets the
@@ -124,5 +135,8 @@
     // ln(4000) - ln(100) over -ln(0.9) is 35 more; ln ln of both differ by 0.6, over ln 2 by less than 1.
     assert!(many_one - few_one > 15.0, "{few_one} {many_one}");
     assert!(many_two - few_two <= 2.0, "{few_two} {many_two}");
-    assert!(many_two < 10.0 && many_one > 4.0 * many_two, "{many_one} {many_two}");
+    assert!(
+        many_two < 10.0 && many_one > 4.0 * many_two,
+        "{many_one} {many_two}"
+    );
 }
--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -45,7 +45,11 @@
 impl Door {
     /// One that is there.
     pub fn new(address: SocketAddr, in_zone: u8) -> Self {
-        Self { address, in_zone, open: Arc::new(AtomicBool::new(true)) }
+        Self {
+            address,
+            in_zone,
+            open: Arc::new(AtomicBool::new(true)),
+        }
     }
 
     /// Its zone, while it is there.
@@ -87,14 +91,36 @@
 
 impl Callers {
     /// None has called yet.
-    pub fn new(scenario: Arc<Scenario>, judge: Arc<Judge>, by: By, seed: u64, start: Instant) -> Self {
+    pub fn new(
+        scenario: Arc<Scenario>,
+        judge: Arc<Judge>,
+        by: By,
+        seed: u64,
+        start: Instant,
+    ) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new()).build(connector);
         let meter = Mutex::new(Meter::new(&scenario));
         let (numbers, lag, tally) = (AtomicU64::new(0), Mutex::default(), Mutex::default());
-        let mixes = scenario.callers.iter().map(|callers| scenario.mix(callers)).collect();
-        Self { scenario, judge, by, client, start, seed, meter, numbers, lag, tally, mixes }
+        let mixes = scenario
+            .callers
+            .iter()
+            .map(|callers| scenario.mix(callers))
+            .collect();
+        Self {
+            scenario,
+            judge,
+            by,
+            client,
+            start,
+            seed,
+            meter,
+            numbers,
+            lag,
+            tally,
+            mixes,
+        }
     }
 
     /// How late calls were begun.
@@ -175,11 +201,18 @@
 
     async fn one_of_crowd(self: Arc<Self>, group: usize, one: u32, think: u64) {
         let mut habits = stream(self.seed, Actor::Habits, (group as u32) << 16 | one);
-        sleep(Duration::from_nanos((habits.random::<f64>() * think as f64) as u64)).await;
+        sleep(Duration::from_nanos(
+            (habits.random::<f64>() * think as f64) as u64,
+        ))
+        .await;
         while self.now() < self.scenario.time.0 {
             let seed = habits.random();
             self.clone().call(group, self.now(), seed).await;
-            sleep(Duration::from_nanos(gap(&mut habits, 1e9 / think.max(1) as f64))).await;
+            sleep(Duration::from_nanos(gap(
+                &mut habits,
+                1e9 / think.max(1) as f64,
+            )))
+            .await;
         }
     }
 
@@ -197,7 +230,10 @@
         let callers = &self.scenario.callers[group];
         let class = by_share(&self.mixes[group], rng.random::<f64>()).unwrap_or(0);
         let known = &self.scenario.class[class];
-        let (number, deadline) = (self.numbers.fetch_add(1, Ordering::Relaxed), due + known.deadline.0);
+        let (number, deadline) = (
+            self.numbers.fetch_add(1, Ordering::Relaxed),
+            due + known.deadline.0,
+        );
         let measured = due >= self.scenario.warm_up.0;
         lock(&self.meter).offered(class, measured);
         let mut tries = 0;
@@ -210,10 +246,16 @@
             let verdict = self.ask(group, class, number, &id, tries, left, draw).await;
             let ended = self.now();
             match verdict {
-                Heard::Verdict(Verdict::Served(())) if ended <= due + known.aim.0 => break Outcome::OnTime,
+                Heard::Verdict(Verdict::Served(())) if ended <= due + known.aim.0 => {
+                    break Outcome::OnTime;
+                }
                 Heard::Verdict(Verdict::Served(())) => {
                     let in_time = ended <= deadline + PATIENCE.as_nanos() as u64;
-                    break if in_time { Outcome::Late } else { Outcome::Failed };
+                    break if in_time {
+                        Outcome::Late
+                    } else {
+                        Outcome::Failed
+                    };
                 }
                 _ => {}
             }
@@ -228,7 +270,9 @@
             };
             match wait.filter(|_| may).map(|wait| wait.max(advice)) {
                 Some(wait) if ended + wait < deadline => sleep(Duration::from_nanos(wait)).await,
-                _ if matches!(verdict, Heard::Verdict(Verdict::Refused(_))) => break Outcome::Refused,
+                _ if matches!(verdict, Heard::Verdict(Verdict::Refused(_))) => {
+                    break Outcome::Refused;
+                }
                 _ => break Outcome::Failed,
             }
         };
@@ -248,8 +292,14 @@
         draw: u64,
     ) -> Heard {
         let (known, callers) = (&self.scenario.class[class], &self.scenario.callers[group]);
-        let method = if known.effect == CallEffect::Safe { Method::GET } else { Method::POST };
-        let mut request = Request::builder().header("x-call-id", id).header("x-call-class", &known.name);
+        let method = if known.effect == CallEffect::Safe {
+            Method::GET
+        } else {
+            Method::POST
+        };
+        let mut request = Request::builder()
+            .header("x-call-id", id)
+            .header("x-call-class", &known.name);
         request = request.header("x-budget", format!("{:.6}", left.as_secs_f64()));
         if let Some(tenant) = &callers.tenant {
             request = request.header("x-caller", tenant);
@@ -274,21 +324,42 @@
         let zone = self.zone_of(group, draw);
         let (path, answer) = match by {
             By::Daemons(daemons) => {
-                let door = choose(daemons, self.scenario.zones.len(), zone, draw >> 1, Door::zone);
-                let Some(door) = door else { return Heard::Unseen };
+                let door = choose(
+                    daemons,
+                    self.scenario.zones.len(),
+                    zone,
+                    draw >> 1,
+                    Door::zone,
+                );
+                let Some(door) = door else {
+                    return Heard::Unseen;
+                };
                 through = Some(door.address);
-                let request = request.method(method).uri(format!("http://{}/{}", door.address, known.name));
-                let Ok(request) = request.body(Full::new(Bytes::new())) else { return Heard::Unseen };
-                ("daemon", timeout(left + PATIENCE, self.by_daemon(request)).await)
+                let request = request
+                    .method(method)
+                    .uri(format!("http://{}/{}", door.address, known.name));
+                let Ok(request) = request.body(Full::new(Bytes::new())) else {
+                    return Heard::Unseen;
+                };
+                (
+                    "daemon",
+                    timeout(left + PATIENCE, self.by_daemon(request)).await,
+                )
             }
             By::Plugins(plugins) => {
                 let zones = self.scenario.zones.len();
                 let plugin = choose(plugins, zones, zone, draw >> 1, |(_, zone)| Some(*zone));
-                let Some((balance, _)) = plugin else { return Heard::Unseen };
+                let Some((balance, _)) = plugin else {
+                    return Heard::Unseen;
+                };
                 let balance = balance.clone();
-                let request = request.method(Method::POST).uri(format!("/load.Nodo/{}", known.name));
+                let request = request
+                    .method(Method::POST)
+                    .uri(format!("/load.Nodo/{}", known.name));
                 let request = request.header("content-type", "application/grpc");
-                let Ok(request) = request.body(Full::new(message(b"work"))) else { return Heard::Unseen };
+                let Ok(request) = request.body(Full::new(message(b"work"))) else {
+                    return Heard::Unseen;
+                };
                 let answer = timeout(left + PATIENCE, by_plugin(balance, request)).await;
                 ("plug-in", answer.map(Heard::Verdict))
             }
@@ -302,7 +373,9 @@
             Heard::Verdict(Verdict::Failed) => "failed",
             Heard::Unseen => "unreached",
         };
-        *lock(&self.tally).entry((path, known.name.clone(), heard)).or_default() += 1;
+        *lock(&self.tally)
+            .entry((path, known.name.clone(), heard))
+            .or_default() += 1;
         if let Heard::Verdict(Verdict::Refused(_)) = verdict {
             self.judge.refused(id, known.effect);
         }
@@ -310,7 +383,10 @@
     }
 
     fn zone_of(&self, group: usize, draw: u64) -> u8 {
-        let zone = self.scenario.zone(&self.scenario.callers[group].zone).unwrap_or(None);
+        let zone = self
+            .scenario
+            .zone(&self.scenario.callers[group].zone)
+            .unwrap_or(None);
         zone.unwrap_or(((draw >> 32) as usize % self.scenario.zones.len()) as u8)
     }
 
@@ -321,8 +397,10 @@
             Err(_) => return Heard::Verdict(Verdict::Failed),
         };
         let status = answer.status();
-        let after =
-            answer.headers().get("retry-after").and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
+        let after = answer
+            .headers()
+            .get("retry-after")
+            .and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
         if answer.into_body().collect().await.is_err() {
             return Heard::Verdict(Verdict::Failed);
         }
@@ -347,10 +425,16 @@
 async fn by_plugin(mut balance: Balance, request: Request<Full<Bytes>>) -> Verdict<()> {
     let Ok(answer) = balance.call(request).await;
     let (head, body) = answer.into_parts();
-    let Ok(body) = body.collect().await else { return Verdict::Failed };
+    let Ok(body) = body.collect().await else {
+        return Verdict::Failed;
+    };
     let trailers = body.trailers().unwrap_or(&head.headers);
-    let text =
-        |name: &str| trailers.get(name).or(head.headers.get(name)).and_then(|value| value.to_str().ok());
+    let text = |name: &str| {
+        trailers
+            .get(name)
+            .or(head.headers.get(name))
+            .and_then(|value| value.to_str().ok())
+    };
     match text("grpc-status") {
         Some("0") => Verdict::Served(()),
         Some("14") => {
@@ -371,7 +455,12 @@
 ) -> Option<&T> {
     (0..zones).find_map(|step| {
         let zone = (usize::from(zone) + step) % zones;
-        let there: Vec<&T> = all.iter().filter(|one| zone_of(one).map(usize::from) == Some(zone)).collect();
-        there.get(draw as u32 as usize % there.len().max(1)).copied()
+        let there: Vec<&T> = all
+            .iter()
+            .filter(|one| zone_of(one).map(usize::from) == Some(zone))
+            .collect();
+        there
+            .get(draw as u32 as usize % there.len().max(1))
+            .copied()
     })
 }
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -39,7 +39,14 @@
         let discovery = Discovery::start();
         let (discovery_at, discovery) = (discovery.address, Mutex::new(discovery));
         let script = Script::new(scenario.clone(), start);
-        let fleet = Self { scenario, nodos, discovery, discovery_at, script, seed };
+        let fleet = Self {
+            scenario,
+            nodos,
+            discovery,
+            discovery_at,
+            script,
+            seed,
+        };
         fleet.tell();
         Ok(fleet)
     }
@@ -110,8 +117,9 @@
         let fault = &self.scenario.fault[at];
         let zone = self.scenario.zone(&fault.zone).unwrap_or(None);
         let there = |nodo: &Socketed| zone.is_none_or(|zone| nodo.listing().zone == zone);
-        let nodos: Vec<u32> =
-            (0..self.nodos.len() as u32).filter(|&nodo| there(&self.nodos[nodo as usize])).collect();
+        let nodos: Vec<u32> = (0..self.nodos.len() as u32)
+            .filter(|&nodo| there(&self.nodos[nodo as usize]))
+            .collect();
         let hit = sample(
             &mut stream(self.seed, Actor::Fault, fault.place.unwrap_or(at as u32)),
             &nodos,
@@ -120,7 +128,8 @@
         self.script.begin_of(fault).await;
         match &fault.what {
             What::Kill { .. } => {
-                hit.iter().for_each(|&nodo| self.nodos[nodo as usize].kill());
+                hit.iter()
+                    .for_each(|&nodo| self.nodos[nodo as usize].kill());
                 self.script.noticed(fault).await;
                 hit.iter().for_each(|&nodo| self.list(nodo, "gone"));
                 self.script.end_of(fault).await;
@@ -131,7 +140,8 @@
             What::Roll => {
                 let mut each = JoinSet::new();
                 for (turn, &nodo) in hit.iter().enumerate() {
-                    let (fleet, begins) = (self.clone(), self.script.turn(fault, 2, turn, hit.len()));
+                    let (fleet, begins) =
+                        (self.clone(), self.script.turn(fault, 2, turn, hit.len()));
                     each.spawn(async move {
                         fleet.script.wait(begins).await;
                         fleet.list(nodo, "terminating");
@@ -144,9 +154,11 @@
                 while each.join_next().await.is_some() {}
             }
             _ => {
-                hit.iter().for_each(|&nodo| self.nodos[nodo as usize].ail(&fault.what, true));
+                hit.iter()
+                    .for_each(|&nodo| self.nodos[nodo as usize].ail(&fault.what, true));
                 self.script.end_of(fault).await;
-                hit.iter().for_each(|&nodo| self.nodos[nodo as usize].ail(&fault.what, false));
+                hit.iter()
+                    .for_each(|&nodo| self.nodos[nodo as usize].ail(&fault.what, false));
             }
         }
     }
--- a/crates/load/src/judge.rs
+++ b/crates/load/src/judge.rs
@@ -42,7 +42,12 @@
     fn breach(&mut self, at: Duration, rule: Rule, text: String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.breaches.len() < TOLD {
-            self.breaches.push(Breach { rule, at: at.as_nanos() as u64, call: None, text });
+            self.breaches.push(Breach {
+                rule,
+                at: at.as_nanos() as u64,
+                call: None,
+                text,
+            });
         }
     }
 }
@@ -50,7 +55,10 @@
 impl Judge {
     /// Nothing was seen yet.
     pub fn new(start: Instant) -> Self {
-        Self { start, seen: Mutex::default() }
+        Self {
+            start,
+            seen: Mutex::default(),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, Seen> {
@@ -73,9 +81,17 @@
         seen.doubled += u64::from(ran == 2);
         if effect == CallEffect::Safe {
         } else if ran > 1 {
-            seen.breach(at, Rule::NoEffectTwice, format!("{request} had its effect {ran} times"));
+            seen.breach(
+                at,
+                Rule::NoEffectTwice,
+                format!("{request} had its effect {ran} times"),
+            );
         } else if refused {
-            seen.breach(at, Rule::NoEffectTwice, format!("{request} ran behind a refusal"));
+            seen.breach(
+                at,
+                Rule::NoEffectTwice,
+                format!("{request} ran behind a refusal"),
+            );
         }
     }
 
@@ -85,7 +101,11 @@
         let case = seen.requests.entry(request.to_owned()).or_default();
         case.refused = true;
         if case.ran > 0 && effect != CallEffect::Safe {
-            seen.breach(at, Rule::NoEffectTwice, format!("{request} was refused, though it has run"));
+            seen.breach(
+                at,
+                Rule::NoEffectTwice,
+                format!("{request} was refused, though it has run"),
+            );
         }
     }
 
@@ -94,11 +114,13 @@
         let mut seen = self.lock();
         match still {
             true => seen.excused.push((daemon, Instant::now(), None)),
-            false => {
-                seen.excused.iter_mut().filter(|(other, ..)| *other == daemon).for_each(|(.., until)| {
+            false => seen
+                .excused
+                .iter_mut()
+                .filter(|(other, ..)| *other == daemon)
+                .for_each(|(.., until)| {
                     until.get_or_insert_with(Instant::now);
-                })
-            }
+                }),
         }
     }
 
@@ -125,7 +147,11 @@
             seen.stood_still += 1;
             return;
         }
-        let what = if answered { "was answered" } else { "had no answer" };
+        let what = if answered {
+            "was answered"
+        } else {
+            "had no answer"
+        };
         let text = format!("{request} {what} {} ms past its time", late.as_millis());
         seen.breach(self.start.elapsed(), Rule::OneAnswer, text);
     }
@@ -148,9 +174,12 @@
     /// A request reached a nodo that was told to drain so long ago.
     pub fn drained(&self, nodo: &str, since: Duration) {
         if since > DRAIN {
-            let text =
-                format!("{nodo} got a request {:.3} s after it was told to drain", since.as_secs_f64());
-            self.lock().breach(self.start.elapsed(), Rule::Drained, text);
+            let text = format!(
+                "{nodo} got a request {:.3} s after it was told to drain",
+                since.as_secs_f64()
+            );
+            self.lock()
+                .breach(self.start.elapsed(), Rule::Drained, text);
         }
     }
 
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -72,7 +72,9 @@
         let (stop, stopped) = oneshot::channel();
         let (tell, told) = mpsc::channel();
         let thread = std::thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build();
             let runtime = match runtime {
                 Ok(runtime) => runtime,
                 Err(error) => return drop(tell.send(Err(error.to_string()))),
@@ -88,8 +90,14 @@
                 }
             });
         });
-        let address = told.recv().map_err(|_| "a daemon did not start".to_owned())??;
-        Ok(Self { address, stop: Some(stop), thread: Some(thread) })
+        let address = told
+            .recv()
+            .map_err(|_| "a daemon did not start".to_owned())??;
+        Ok(Self {
+            address,
+            stop: Some(stop),
+            thread: Some(thread),
+        })
     }
 }
 
@@ -116,13 +124,19 @@
 /// Plays a scenario. It stops by itself once its time and the longest deadline are over.
 pub async fn run(scenario: Scenario, path: Path, seed: u64) -> Result<Played, String> {
     check(&scenario)?;
-    let (scenario, start) = (Arc::new(scenario), Instant::now() + Duration::from_millis(300));
+    let (scenario, start) = (
+        Arc::new(scenario),
+        Instant::now() + Duration::from_millis(300),
+    );
     let judge = Arc::new(Judge::new(start));
     let (mut daemons, mut fleet) = (Vec::new(), None);
     let by = match &path {
-        Path::Target(addresses) => {
-            By::Daemons(addresses.iter().map(|address| Door::new(*address, 0)).collect())
-        }
+        Path::Target(addresses) => By::Daemons(
+            addresses
+                .iter()
+                .map(|address| Door::new(*address, 0))
+                .collect(),
+        ),
         Path::Daemon | Path::Plugin | Path::Both => {
             let started = Fleet::start(scenario.clone(), judge.clone(), seed, start).await;
             let started = Arc::new(started.map_err(|error| format!("nodos: {error}"))?);
@@ -131,7 +145,12 @@
             let (mut listening, mut plugins) = (Vec::new(), Vec::new());
             for number in 0..scenario.tier[0].balancers {
                 let zone = scenario.zone_in_turn(number);
-                let place = Place { tier: 0, zone, number, listen: (Ipv4Addr::LOCALHOST, 0).into() };
+                let place = Place {
+                    tier: 0,
+                    zone,
+                    number,
+                    listen: (Ipv4Addr::LOCALHOST, 0).into(),
+                };
                 let config = settings::config(&scenario, &place, seed, discovery, &known);
                 if path != Path::Plugin {
                     let daemon = Alone::start(Config::parse(&config.to_string(), None, None)?)?;
@@ -145,13 +164,30 @@
             match path {
                 Path::Daemon => By::Daemons(listening),
                 Path::Plugin => By::Plugins(plugins),
-                _ => By::Both(Box::new(By::Daemons(listening)), Box::new(By::Plugins(plugins))),
+                _ => By::Both(
+                    Box::new(By::Daemons(listening)),
+                    Box::new(By::Plugins(plugins)),
+                ),
             }
         }
     };
-    let callers = Arc::new(Callers::new(scenario.clone(), judge.clone(), by, seed, start));
-    let script = fleet.clone().map(|fleet| tokio::spawn(fleet.play()).abort_handle());
-    let steps = tokio::spawn(steps(scenario.clone(), callers.clone(), fleet.clone(), start)).abort_handle();
+    let callers = Arc::new(Callers::new(
+        scenario.clone(),
+        judge.clone(),
+        by,
+        seed,
+        start,
+    ));
+    let script = fleet
+        .clone()
+        .map(|fleet| tokio::spawn(fleet.play()).abort_handle());
+    let steps = tokio::spawn(steps(
+        scenario.clone(),
+        callers.clone(),
+        fleet.clone(),
+        start,
+    ))
+    .abort_handle();
     sleep(start.saturating_duration_since(Instant::now())).await;
     callers.clone().run().await;
     steps.abort();
@@ -160,21 +196,42 @@
     daemons.clear();
     let lag = callers.lag();
     let nodos = fleet.map_or(Vec::new(), |fleet| fleet.seen());
-    Ok(Played { end: callers.end(), lag, tally: callers.tally(), nodos })
+    Ok(Played {
+        end: callers.end(),
+        lag,
+        tally: callers.tally(),
+        nodos,
+    })
 }
 
-fn plugin(scenario: &Scenario, config: &serde_json::Value, discovery: SocketAddr) -> Result<Balance, String> {
+fn plugin(
+    scenario: &Scenario,
+    config: &serde_json::Value,
+    discovery: SocketAddr,
+) -> Result<Balance, String> {
     let settings = config["settings"].to_string();
-    let known = serde_json::from_value(config["known"].clone()).map_err(|error| error.to_string())?;
-    let mut builder = Balance::builder().settings(settings.as_bytes()).map_err(|error| error.to_string())?;
+    let known =
+        serde_json::from_value(config["known"].clone()).map_err(|error| error.to_string())?;
+    let mut builder = Balance::builder()
+        .settings(settings.as_bytes())
+        .map_err(|error| error.to_string())?;
     for class in &scenario.class {
         builder = builder.method(format!("/load.Nodo/{}", class.name), &class.name);
     }
-    builder.known(known).discovery(discovery).build().map_err(|error| error.to_string())
+    builder
+        .known(known)
+        .discovery(discovery)
+        .build()
+        .map_err(|error| error.to_string())
 }
 
 /// Counts what nodos saw, step by step.
-async fn steps(scenario: Arc<Scenario>, callers: Arc<Callers>, fleet: Option<Arc<Fleet>>, start: Instant) {
+async fn steps(
+    scenario: Arc<Scenario>,
+    callers: Arc<Callers>,
+    fleet: Option<Arc<Fleet>>,
+    start: Instant,
+) {
     let step = Duration::from_nanos(scenario.step.0);
     let (mut most, mut next) = (0, start + step);
     // Often enough to see a queue, cheap enough not to be seen.
@@ -186,7 +243,9 @@
         if Instant::now() < next {
             continue;
         }
-        let (speed, attempts) = fleet.as_ref().map_or((0.0, Vec::new()), |fleet| fleet.look());
+        let (speed, attempts) = fleet
+            .as_ref()
+            .map_or((0.0, Vec::new()), |fleet| fleet.look());
         callers.step(&[speed], &attempts, std::mem::take(&mut most));
         next += step;
     }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -96,7 +96,12 @@
         policy: path.name().to_owned(),
         seed: arguments.seed,
     };
-    info!(scenario = key.scenario, through = key.policy, "for {:.0} s", scenario.time.seconds());
+    info!(
+        scenario = key.scenario,
+        through = key.policy,
+        "for {:.0} s",
+        scenario.time.seconds()
+    );
     let started = SystemTime::now();
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
     let Played { end, lag, .. } = runtime.block_on(run(scenario, path, arguments.seed))?;
@@ -114,7 +119,12 @@
     }
     if lag.late as f64 > LATE_PART * lag.calls as f64 {
         let (late, calls, worst_ms) = (lag.late, lag.calls, lag.worst_ms);
-        warn!(late, calls, worst_ms, "this program was itself the bottleneck: lower the rate, or free cores");
+        warn!(
+            late,
+            calls,
+            worst_ms,
+            "this program was itself the bottleneck: lower the rate, or free cores"
+        );
         return Ok(if row.end.broken() > 0 { 1 } else { 4 });
     }
     Ok(u8::from(row.end.broken() > 0))
@@ -127,12 +137,18 @@
         "  calls          {} offered, {} on time, {} late, {} refused, {} failed",
         counts.offered, counts.on_time, counts.late, counts.refused, counts.failed
     );
-    println!("  attempts       {} for {} requests", counts.attempts, counts.requests);
+    println!(
+        "  attempts       {} for {} requests",
+        counts.attempts, counts.requests
+    );
     println!(
         "  latency        p50 {:.0} ms, p90 {:.0}, p99 {:.0}, p99.9 {:.0}, longest {:.0}",
         latency.p50, latency.p90, latency.p99, latency.p999, latency.max
     );
-    println!("  begun late     {} of {}, at worst by {:.1} ms", lag.late, lag.calls, lag.worst_ms);
+    println!(
+        "  begun late     {} of {}, at worst by {:.1} ms",
+        lag.late, lag.calls, lag.worst_ms
+    );
     report::kept(end).for_each(|line| println!("{line}"));
     for breach in &end.first_breaches {
         println!("    {:.3} s: {}", breach.at as f64 / 1e9, breach.text);
--- a/crates/load/src/nodo.rs
+++ b/crates/load/src/nodo.rs
@@ -23,7 +23,9 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
-use woadstall_emulator::{Actor, CallEffect, CallGroup, Ills, Nodo, Scenario, Taken, What, chance, stream};
+use woadstall_emulator::{
+    Actor, CallEffect, CallGroup, Ills, Nodo, Scenario, Taken, What, chance, stream,
+};
 use woadstall_standin::grpc::message;
 use woadstall_standin::nodo::serve_process;
 
@@ -72,8 +74,15 @@
 impl Listing {
     /// The same for one whose clock is ahead by so many milliseconds: the start seems longer ago.
     pub fn seen_from(&self, ahead_ms: i64) -> Self {
-        let boot_ms = if self.boot_ms == 0 { 0 } else { self.boot_ms.saturating_add_signed(-ahead_ms) };
-        Self { boot_ms, ..self.clone() }
+        let boot_ms = if self.boot_ms == 0 {
+            0
+        } else {
+            self.boot_ms.saturating_add_signed(-ahead_ms)
+        };
+        Self {
+            boot_ms,
+            ..self.clone()
+        }
     }
 
     /// The entry for a balancer that finds it at an address.
@@ -110,7 +119,10 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 impl Socketed {
@@ -128,7 +140,10 @@
         let zone = scenario.zone_in_turn(number);
         let place = (zone, (number % u32::from(tier.cells)) as u16, host);
         let name = format!("{}-{number}", tier.name);
-        let seen = Seen { name: name.clone(), ..Seen::default() };
+        let seen = Seen {
+            name: name.clone(),
+            ..Seen::default()
+        };
         let nodo = Nodo::new(name, at, tier, place, stream(seed, Actor::Nodo, host));
         let boot_ms = if tier.cold { unix_ms() } else { 0 };
         let brain = Brain {
@@ -164,8 +179,16 @@
     /// How it is listed.
     pub fn listing(&self) -> Listing {
         let brain = lock(&self.brain);
-        let Nodo { name, zone, cell, .. } = &brain.nodo;
-        Listing { name: name.clone(), zone: *zone, cell: *cell, state: brain.listed, boot_ms: brain.boot_ms }
+        let Nodo {
+            name, zone, cell, ..
+        } = &brain.nodo;
+        Listing {
+            name: name.clone(),
+            zone: *zone,
+            cell: *cell,
+            state: brain.listed,
+            boot_ms: brain.boot_ms,
+        }
     }
 
     /// How it is listed from now on, and since when all balancers know that it drains.
@@ -187,7 +210,11 @@
     }
 
     async fn goes_on(&self) {
-        self.stopped.subscribe().wait_for(|stopped| !stopped).await.ok();
+        self.stopped
+            .subscribe()
+            .wait_for(|stopped| !stopped)
+            .await
+            .ok();
     }
 
     /// Whether it has fallen over since this was asked last.
@@ -282,7 +309,8 @@
         if let Some(since) = brain.drained {
             self.judge.drained(&brain.nodo.name, since.elapsed());
         }
-        let warm = f64::from(brain.nodo.workers()) * 1e9 / self.scenario.class[class].service.mean();
+        let warm =
+            f64::from(brain.nodo.workers()) * 1e9 / self.scenario.class[class].service.mean();
         if let Some(part) = brain.nodo.count_cold(now, warm) {
             if !std::mem::replace(&mut brain.nodo.toppled, true) {
                 self.judge.pushed_over(&brain.nodo.name, part);
@@ -321,7 +349,10 @@
         let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         let grpc = text("content-type").is_some_and(|kind| kind.starts_with("application/grpc"));
         let name = head.uri.path().rsplit('/').next().unwrap_or_default();
-        let class = self.scenario.class(text("x-call-class").unwrap_or(name)).unwrap_or(0);
+        let class = self
+            .scenario
+            .class(text("x-call-class").unwrap_or(name))
+            .unwrap_or(0);
         let known = &self.scenario.class[class];
         body.collect().await.map_err(|_| Broken)?;
         let (number, turn) = match self.arrive(class) {
@@ -334,7 +365,12 @@
         self.goes_on().await;
         let process = lock(&self.brain).nodo.process;
         // From here on a place is held, and given on whatever happens to this request.
-        let mut held = Held { nodo: &self, process, number, begun: turn.is_none() };
+        let mut held = Held {
+            nodo: &self,
+            process,
+            number,
+            begun: turn.is_none(),
+        };
         if let Some(turn) = turn {
             turn.await.map_err(|_| Broken)?;
             held.begun = true;
@@ -359,12 +395,16 @@
             drop(brain);
             let window = Duration::from_nanos(known.window.0);
             let key = text("idempotency-key").filter(|_| known.effect == CallEffect::Keyed);
-            self.judge.ran(id, known.effect, key.map(|key| (key, group, window)));
+            self.judge
+                .ran(id, known.effect, key.map(|key| (key, group, window)));
         }
         let (lost, resets) = {
             let mut brain = lock(&self.brain);
             let (lost, resets) = (brain.nodo.ills.lost, brain.nodo.ills.resets / 2.0);
-            (chance(&mut brain.nodo.rng, lost), chance(&mut brain.nodo.rng, resets))
+            (
+                chance(&mut brain.nodo.rng, lost),
+                chance(&mut brain.nodo.rng, resets),
+            )
         };
         match (lost, resets) {
             (true, _) => std::future::pending().await,
@@ -377,16 +417,25 @@
     /// Makes the calls to the next tier that a request needs, all at once, and tells whether all went well. What
     /// it calls for has as much time as its own caller left it.
     async fn call_next(&self, class: usize, headers: &HeaderMap, came: Instant) -> bool {
-        let Some(Next { mean, doors }) = self.next.get() else { return true };
+        let Some(Next { mean, doors }) = self.next.get() else {
+            return true;
+        };
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let known = &self.scenario.class[class];
         let budget = text("x-budget").and_then(|budget| budget.parse::<f64>().ok());
-        let budget = budget.filter(|budget| budget.is_finite()).unwrap_or(known.deadline.seconds());
-        let left = Duration::from_secs_f64(budget.clamp(0.0, 3600.0)).saturating_sub(came.elapsed());
+        let budget = budget
+            .filter(|budget| budget.is_finite())
+            .unwrap_or(known.deadline.seconds());
+        let left =
+            Duration::from_secs_f64(budget.clamp(0.0, 3600.0)).saturating_sub(came.elapsed());
         let (zone, count, draw) = {
             let mut brain = lock(&self.brain);
             let more = chance(&mut brain.nodo.rng, mean.fract());
-            (brain.nodo.zone, mean.floor() as u32 + u32::from(more), brain.nodo.rng.random::<u64>())
+            (
+                brain.nodo.zone,
+                mean.floor() as u32 + u32::from(more),
+                brain.nodo.rng.random::<u64>(),
+            )
         };
         if left.is_zero() {
             return count == 0;
@@ -394,22 +443,31 @@
         let mut calls = JoinSet::new();
         for number in 0..count {
             let draw = draw.wrapping_add(u64::from(number) << 33);
-            let Some(door) = choose(doors, self.scenario.zones.len(), zone, draw, Door::zone) else {
+            let Some(door) = choose(doors, self.scenario.zones.len(), zone, draw, Door::zone)
+            else {
                 return false;
             };
             let id = format!("{:x}-n", CALLS.fetch_add(1, Ordering::Relaxed));
-            let method = if known.effect == CallEffect::Safe { Method::GET } else { Method::POST };
+            let method = if known.effect == CallEffect::Safe {
+                Method::GET
+            } else {
+                Method::POST
+            };
             let mut request = Request::builder()
                 .method(method)
                 .uri(format!("http://{}/{}", door.address, known.name))
                 .header("x-call-id", id)
                 .header("x-call-class", &known.name)
                 .header("x-budget", format!("{:.6}", left.as_secs_f64()));
-            if let Some(key) = text("idempotency-key").filter(|_| known.effect == CallEffect::Keyed) {
+            if let Some(key) = text("idempotency-key").filter(|_| known.effect == CallEffect::Keyed)
+            {
                 // The same for the same work, whichever nodo of this tier asks for it.
-                request = request.header("idempotency-key", format!("{key}-{}-{number}", self.tier));
+                request =
+                    request.header("idempotency-key", format!("{key}-{}-{number}", self.tier));
             }
-            let Ok(request) = request.body(Full::new(Bytes::new())) else { return false };
+            let Ok(request) = request.body(Full::new(Bytes::new())) else {
+                return false;
+            };
             let answer = outbound().request(request);
             calls.spawn(async move {
                 let answer = timeout(left, answer).await.ok()?.ok()?;
@@ -468,7 +526,11 @@
         }
         let Brain { nodo, waiting, .. } = &mut *brain;
         // A request whose caller has left is not begun.
-        nodo.next(|next| waiting.remove(&next).is_some_and(|waiter| waiter.send(()).is_ok()));
+        nodo.next(|next| {
+            waiting
+                .remove(&next)
+                .is_some_and(|waiter| waiter.send(()).is_ok())
+        });
     }
 }
 
@@ -490,11 +552,16 @@
     if !grpc {
         return Response::new(Full::new(Bytes::from_static(b"done")).boxed_unsync());
     }
-    let status = (HeaderName::from_static("grpc-status"), HeaderValue::from_static("0"));
+    let status = (
+        HeaderName::from_static("grpc-status"),
+        HeaderValue::from_static("0"),
+    );
     let trailers: HeaderMap = [status].into_iter().collect();
     let body = Full::new(message(b"done")).with_trailers(async move { Some(Ok(trailers)) });
     let mut response = Response::new(body.boxed_unsync());
-    response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
+    response
+        .headers_mut()
+        .insert("content-type", HeaderValue::from_static("application/grpc"));
     response
 }
 
@@ -507,11 +574,16 @@
         headers.insert("content-type", HeaderValue::from_static("application/grpc"));
         headers.insert("grpc-status", status);
     } else {
-        *response.status_mut() =
-            if full { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::INTERNAL_SERVER_ERROR };
+        *response.status_mut() = if full {
+            StatusCode::SERVICE_UNAVAILABLE
+        } else {
+            StatusCode::INTERNAL_SERVER_ERROR
+        };
     }
     if full {
-        response.headers_mut().insert("x-rejected", HeaderValue::from_static("1"));
+        response
+            .headers_mut()
+            .insert("x-rejected", HeaderValue::from_static("1"));
     }
     response
 }
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -14,17 +14,26 @@
         return Err("`tier`: one only on sockets".into());
     }
     if tier.nodos > MOST.0 || tier.balancers > MOST.1 {
-        return Err(format!("`tier`: at most {} nodos and {} balancers on sockets", MOST.0, MOST.1));
+        return Err(format!(
+            "`tier`: at most {} nodos and {} balancers on sockets",
+            MOST.0, MOST.1
+        ));
     }
     // What is not played must not look as if it were.
     let lab_alone = [
         ("front", scenario.front.is_some()),
         ("padron.asked", scenario.padron.asked.is_some()),
-        ("tier.connections", tier.connections != Connections::default()),
+        (
+            "tier.connections",
+            tier.connections != Connections::default(),
+        ),
         ("tier.probed", tier.probed.is_some()),
         ("members", scenario.members.is_some()),
         ("evacuation", scenario.evacuation.is_some()),
-        ("network.bytes-per-second", scenario.network.bytes_per_second > 0.0),
+        (
+            "network.bytes-per-second",
+            scenario.network.bytes_per_second > 0.0,
+        ),
     ];
     if let Some((key, _)) = lab_alone.into_iter().find(|(_, there)| *there) {
         return Err(format!("`{key}`: for the lab alone"));
@@ -34,7 +43,9 @@
             What::CutTo | What::CutFrom | What::SlowLink(_) => "cuts and slow links",
             What::PadronSilent | What::PadronWrong => "a silent or wrong padron",
             What::ClockStep(_) => "clocks that step",
-            What::Restart { .. } | What::RollBalancers | What::Stall => "restarts and stalls of balancers",
+            What::Restart { .. } | What::RollBalancers | What::Stall => {
+                "restarts and stalls of balancers"
+            }
             What::Replace => "replaced nodos",
             What::Between(_) => "faults between balancers",
             What::Stop | What::PowerLoss { .. } | What::Link(_) => {
@@ -87,8 +98,7 @@
     known: &[Value],
 ) -> Value {
     let (tier, limits) = (&scenario.tier[place.tier], &scenario.limits);
-    let tenant =
-        |tenant: &woadstall_emulator::CallTenant| json!({"Name": tenant.name, "QuotaRps": tenant.quota});
+    let tenant = |tenant: &woadstall_emulator::CallTenant| json!({"Name": tenant.name, "QuotaRps": tenant.quota});
     let asked = scenario.padron.asked.as_ref();
     let within = asked.map_or(0, |asked| asked.within.0);
     json!({
--- a/crates/load/tests/load.rs
+++ b/crates/load/tests/load.rs
@@ -29,14 +29,23 @@
     let scenario = short();
     let lab = woadstall_emulator::run(&scenario, Policy::Woadstall, 4);
     for path in [Path::Daemon, Path::Plugin, Path::Both] {
-        let Played { end, lag, tally, nodos } = run(scenario.clone(), path.clone(), 4).await.unwrap();
+        let Played {
+            end,
+            lag,
+            tally,
+            nodos,
+        } = run(scenario.clone(), path.clone(), 4).await.unwrap();
         assert_eq!(end.broken(), 0, "{path:?}: {:?}", end.first_breaches);
         assert_eq!(end.counts.offered, lab.counts.offered, "{path:?}");
         assert!(lag.calls >= end.counts.offered);
         assert!(end.served > 0.9, "{path:?}: {}", end.served);
         assert!(end.steps.iter().any(|step| !step.latencies.is_empty()));
         let paths: BTreeSet<&str> = tally.keys().map(|(path, ..)| *path).collect();
-        assert_eq!(paths.len(), if path == Path::Both { 2 } else { 1 }, "{paths:?}");
+        assert_eq!(
+            paths.len(),
+            if path == Path::Both { 2 } else { 1 },
+            "{paths:?}"
+        );
         let ran: u64 = nodos.iter().map(|nodo| nodo.ran).sum();
         assert!(ran * 2 > end.counts.offered, "{path:?}: nodos saw {ran}");
     }
@@ -59,7 +68,11 @@
         let end = run(scenario.clone(), Path::Daemon, 2).await.unwrap().end;
         assert_eq!(end.broken(), 0, "{what:?}: {:?}", end.first_breaches);
         assert_eq!(end.counts.on_time + end.counts.late, 0, "{what:?}");
-        assert_eq!(end.counts.refused + end.counts.failed, end.counts.offered, "{what:?}");
+        assert_eq!(
+            end.counts.refused + end.counts.failed,
+            end.counts.offered,
+            "{what:?}"
+        );
     }
 }
 
@@ -68,15 +81,31 @@
     let mut scenario = short();
     assert_eq!(check(&scenario), Ok(()));
     scenario.fault[0].what = What::PadronSilent;
-    assert!(check(&scenario).unwrap_err().contains("fault 1: a silent or wrong padron"));
+    assert!(
+        check(&scenario)
+            .unwrap_err()
+            .contains("fault 1: a silent or wrong padron")
+    );
     scenario.fault[0].what = What::RollBalancers;
-    assert!(check(&scenario).unwrap_err().contains("fault 1: restarts and stalls"));
+    assert!(
+        check(&scenario)
+            .unwrap_err()
+            .contains("fault 1: restarts and stalls")
+    );
     scenario.fault.clear();
     scenario.front = Some(Default::default());
-    assert!(check(&scenario).unwrap_err().contains("`front`: for the lab alone"));
+    assert!(
+        check(&scenario)
+            .unwrap_err()
+            .contains("`front`: for the lab alone")
+    );
     scenario.front = None;
     scenario.tier[0].connections.most = 8;
-    assert!(check(&scenario).unwrap_err().contains("`tier.connections`: for the lab alone"));
+    assert!(
+        check(&scenario)
+            .unwrap_err()
+            .contains("`tier.connections`: for the lab alone")
+    );
     scenario.tier[0].connections = Default::default();
     scenario.fault.clear();
     scenario.tier[0].nodos = 5_000;
@@ -86,7 +115,11 @@
 
 fn load(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-load"));
-    command.args(arguments).env("WOADSTALL_LOG", "error").output().unwrap()
+    command
+        .args(arguments)
+        .env("WOADSTALL_LOG", "error")
+        .output()
+        .unwrap()
 }
 
 /// The command writes a row that the lab's tools read, and latencies that HdrHistogram's tools do.
@@ -95,23 +128,52 @@
     use hdrhistogram::serialization::interval_log::{IntervalLogIterator, LogEntry};
     let folder = tempfile::tempdir().unwrap();
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/loopback.toml");
-    let (out, hdr) = (folder.path().join("rows.jsonl"), folder.path().join("log.hdr"));
-    let mut arguments =
-        vec![scenario, "--seed", "3", "--out", out.to_str().unwrap(), "--hdr", hdr.to_str().unwrap()];
-    let short = ["time=1500ms", "warm-up=0s", "step=500ms", "callers.0.load={constant=80.0}", "fault=[]"];
-    short.iter().for_each(|set| arguments.extend(["--set", set]));
+    let (out, hdr) = (
+        folder.path().join("rows.jsonl"),
+        folder.path().join("log.hdr"),
+    );
+    let mut arguments = vec![
+        scenario,
+        "--seed",
+        "3",
+        "--out",
+        out.to_str().unwrap(),
+        "--hdr",
+        hdr.to_str().unwrap(),
+    ];
+    let short = [
+        "time=1500ms",
+        "warm-up=0s",
+        "step=500ms",
+        "callers.0.load={constant=80.0}",
+        "fault=[]",
+    ];
+    short
+        .iter()
+        .for_each(|set| arguments.extend(["--set", set]));
     let output = load(&arguments);
     // Whether the machine was quick enough for the figures is not what is asked here.
-    assert!(matches!(output.status.code(), Some(0 | 4)), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        matches!(output.status.code(), Some(0 | 4)),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let rows = rows::read(&out).unwrap();
-    assert_eq!((rows.len(), rows[0].key.policy.as_str()), (1, "real-daemon"));
+    assert_eq!(
+        (rows.len(), rows[0].key.policy.as_str()),
+        (1, "real-daemon")
+    );
     assert!(rows[0].lag.as_ref().unwrap().calls > 50);
     let text = std::fs::read(&hdr).unwrap();
-    let logged =
-        IntervalLogIterator::new(&text).filter(|entry| matches!(entry, Ok(LogEntry::Interval(_)))).count();
+    let logged = IntervalLogIterator::new(&text)
+        .filter(|entry| matches!(entry, Ok(LogEntry::Interval(_))))
+        .count();
     assert_eq!(logged, rows[0].end.steps.len());
     let output = load(&[scenario, "--target", "192.0.2.1:80"]);
     assert_eq!(output.status.code(), Some(3));
     assert!(String::from_utf8_lossy(&output.stderr).contains("this machine only"));
-    assert_eq!(load(&[scenario, "--through", "luck"]).status.code(), Some(2));
+    assert_eq!(
+        load(&[scenario, "--through", "luck"]).status.code(),
+        Some(2)
+    );
 }
--- a/crates/measure/src/daemon.rs
+++ b/crates/measure/src/daemon.rs
@@ -16,14 +16,22 @@
 /// A daemon in front of one upstream. Its configuration lies in a file until it has started.
 fn daemon(program: &Path, upstream: SocketAddr) -> Result<Peer, Fault> {
     let target = woadstall_standin::http1::target("s-0", upstream, "in_service");
-    let mut config = woadstall_standin::http1::config(woadstall_standin::http1::refusing(), &[target]);
-    for class in config["settings"]["Classes"].as_array_mut().into_iter().flatten() {
+    let mut config =
+        woadstall_standin::http1::config(woadstall_standin::http1::refusing(), &[target]);
+    for class in config["settings"]["Classes"]
+        .as_array_mut()
+        .into_iter()
+        .flatten()
+    {
         (class["AimNs"], class["DeadlineNs"]) = (600_000_000_u64.into(), 1_500_000_000_u64.into());
     }
     let path = std::env::temp_dir().join(format!("woadstall-measure-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string())?;
     let mut command = Command::new(program);
-    command.env("LB_CONFIG", &path).env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
+    command
+        .env("LB_CONFIG", &path)
+        .env_remove("LB_LISTEN")
+        .env_remove("LB_DISCOVERY");
     let peer = Peer::start(&mut command, true);
     std::fs::remove_file(path)?;
     peer
@@ -63,33 +71,46 @@
 
 async fn round(peer: &Peer, callers: usize, length: Duration) -> Result<Figures, Fault> {
     let warm_up = Instant::now() + Duration::from_millis(200);
-    let warming: Vec<_> =
-        (0..callers).map(|caller| tokio::spawn(calls(peer.address, caller, warm_up))).collect();
+    let warming: Vec<_> = (0..callers)
+        .map(|caller| tokio::spawn(calls(peer.address, caller, warm_up)))
+        .collect();
     for caller in warming {
         caller.await??;
     }
     let (started, used) = (Instant::now(), cpu(peer.id()));
     let until = started + length;
-    let running: Vec<_> =
-        (0..callers).map(|caller| tokio::spawn(calls(peer.address, 0x1000 + caller, until))).collect();
+    let running: Vec<_> = (0..callers)
+        .map(|caller| tokio::spawn(calls(peer.address, 0x1000 + caller, until)))
+        .collect();
     let (mut latencies, mut failed) = (Vec::new(), 0);
     for caller in running {
         let (some, bad) = caller.await??;
         latencies.extend(some);
         failed += bad;
     }
-    Ok(Figures::new(&latencies, failed, cpu(peer.id()) - used, started.elapsed()))
+    Ok(Figures::new(
+        &latencies,
+        failed,
+        cpu(peer.id()) - used,
+        started.elapsed(),
+    ))
 }
 
 /// The floor, the daemon as it was and as it is, in turns.
 pub fn measure(times: Times, before: &Path, after: &Path) -> Result<(), Fault> {
     let upstream = Peer::own(&["upstream".into()])?;
     let peers = [
-        ("proxy without decisions", Peer::own(&["proxy".into(), upstream.address.to_string()])?),
+        (
+            "proxy without decisions",
+            Peer::own(&["proxy".into(), upstream.address.to_string()])?,
+        ),
         ("daemon before", daemon(before, upstream.address)?),
         ("daemon after", daemon(after, upstream.address)?),
     ];
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     for callers in [1, 64, 256] {
         let mut rounds = [const { Vec::new() }; 3];
         for _ in 0..times.rounds {
@@ -97,7 +118,10 @@
                 rounds.push(runtime.block_on(round(peer, callers, times.round))?);
             }
         }
-        println!("\n{callers} callers, as many requests as can be, 1 upstream\n{}", head());
+        println!(
+            "\n{callers} callers, as many requests as can be, 1 upstream\n{}",
+            head()
+        );
         let figures = rounds.map(|rounds| Figures::median(&rounds));
         for ((name, _), figures) in peers.iter().zip(&figures) {
             println!("{}", figures.row(name));
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -31,7 +31,9 @@
         // To three digits; it grows with what it is given.
         let mut histogram =
             Histogram::<u64>::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
-        latencies.iter().for_each(|&nanos| histogram.saturating_record(nanos.into()));
+        latencies
+            .iter()
+            .for_each(|&nanos| histogram.saturating_record(nanos.into()));
         let at = |part: f64| histogram.value_at_quantile(part) as f64 / 1e3;
         Self {
             calls,
@@ -70,12 +72,18 @@
 }
 
 pub fn head() -> String {
-    format!("{:<24} {:>9} {:>9} {:>9} {:>9} {:>7}", "", "calls/s", "CPU us", "p50 us", "p99 us", "failed")
+    format!(
+        "{:<24} {:>9} {:>9} {:>9} {:>9} {:>7}",
+        "", "calls/s", "CPU us", "p50 us", "p99 us", "failed"
+    )
 }
 
 /// CPU time that all threads of a process have used, to the nanosecond (proc(5), schedstat).
 pub fn cpu(id: u32) -> Duration {
-    let tasks = std::fs::read_dir(format!("/proc/{id}/task")).into_iter().flatten().flatten();
+    let tasks = std::fs::read_dir(format!("/proc/{id}/task"))
+        .into_iter()
+        .flatten()
+        .flatten();
     let nanos = tasks.filter_map(|task| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
         text.split_whitespace().next()?.parse::<u64>().ok()
@@ -87,5 +95,7 @@
 pub fn memory(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0) * 1024
+    line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok())
+        .unwrap_or(0)
+        * 1024
 }
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -71,8 +71,15 @@
 }
 
 fn main() -> Result<(), Box<dyn Error + Send + Sync>> {
-    let Arguments { round, rounds, what } = Arguments::parse();
-    let times = load::Times { round: std::time::Duration::from_millis(round), rounds };
+    let Arguments {
+        round,
+        rounds,
+        what,
+    } = Arguments::parse();
+    let times = load::Times {
+        round: std::time::Duration::from_millis(round),
+        rounds,
+    };
     match what {
         What::Plugin => plugin::measure(times),
         What::Daemon { before, after } => daemon::measure(times, &before, &after),
@@ -80,8 +87,12 @@
         What::Memory => plugin::memory(),
         What::Upstream => peers::upstream(),
         What::Proxy { upstream } => peers::proxy(upstream),
-        What::Caller { by, tasks, threads, rate, upstreams } => {
-            plugin::caller(times.round, by, tasks, threads, rate, &upstreams)
-        }
+        What::Caller {
+            by,
+            tasks,
+            threads,
+            rate,
+            upstreams,
+        } => plugin::caller(times.round, by, tasks, threads, rate, &upstreams),
     }
 }
--- a/crates/measure/src/peers.rs
+++ b/crates/measure/src/peers.rs
@@ -27,9 +27,16 @@
 
 impl Peer {
     /// Starts a program that says where it listens at the end of its first line.
-    pub fn start(command: &mut Command, on_stderr: bool) -> Result<Self, Box<dyn Error + Send + Sync>> {
+    pub fn start(
+        command: &mut Command,
+        on_stderr: bool,
+    ) -> Result<Self, Box<dyn Error + Send + Sync>> {
         let command = command.stdin(Stdio::null());
-        let command = if on_stderr { command.stderr(Stdio::piped()) } else { command.stdout(Stdio::piped()) };
+        let command = if on_stderr {
+            command.stderr(Stdio::piped())
+        } else {
+            command.stdout(Stdio::piped())
+        };
         let mut child = command.spawn()?;
         let mut line = String::new();
         match (child.stdout.take(), child.stderr.take()) {
@@ -49,7 +56,10 @@
 
     /// One of this program's own.
     pub fn own(arguments: &[String]) -> Result<Self, Box<dyn Error + Send + Sync>> {
-        Self::start(Command::new(std::env::current_exe()?).args(arguments), false)
+        Self::start(
+            Command::new(std::env::current_exe()?).args(arguments),
+            false,
+        )
     }
 
     /// Its number among the processes.
@@ -73,7 +83,9 @@
 
 /// Answers everything at once, over HTTP/1.1 and HTTP/2; ends when it is killed.
 pub fn upstream() -> Outcome {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let listener = listen().await?;
         loop {
@@ -85,7 +97,10 @@
                     Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(b"done"))))
                 });
                 let server = auto::Builder::new(TokioExecutor::new());
-                server.serve_connection(TokioIo::new(tcp), service).await.ok();
+                server
+                    .serve_connection(TokioIo::new(tcp), service)
+                    .await
+                    .ok();
             });
         }
     })
@@ -93,7 +108,9 @@
 
 /// The floor: hyper on both sides, one upstream, kept connections, and no decision at all.
 pub fn proxy(upstream: SocketAddr) -> Outcome {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let listener = listen().await?;
         let idle: Arc<Mutex<Vec<SendRequest<Full<Bytes>>>>> = Arc::default();
@@ -104,7 +121,10 @@
             tokio::spawn(async move {
                 let service = service_fn(|request| pass(request, &idle, upstream));
                 let server = hyper::server::conn::http1::Builder::new();
-                server.serve_connection(TokioIo::new(tcp), service).await.ok();
+                server
+                    .serve_connection(TokioIo::new(tcp), service)
+                    .await
+                    .ok();
             });
         }
     })
@@ -128,11 +148,15 @@
             sender
         }
     };
-    let answer = sender.send_request(Request::from_parts(head, Full::new(body))).await?;
+    let answer = sender
+        .send_request(Request::from_parts(head, Full::new(body)))
+        .await?;
     let (head, body) = answer.into_parts();
     let body = body.collect().await?.to_bytes();
     if sender.ready().await.is_ok() {
-        idle.lock().unwrap_or_else(PoisonError::into_inner).push(sender);
+        idle.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(sender);
     }
     Ok(Response::from_parts(head, Full::new(body)))
 }
--- a/crates/measure/src/plugin.rs
+++ b/crates/measure/src/plugin.rs
@@ -73,7 +73,9 @@
 impl Direct {
     async fn answer(self, mut request: Request<()>) -> Option<Bytes> {
         let Self(mut sender, address) = self;
-        *request.uri_mut() = format!("http://{address}{}", request.uri().path()).parse().ok()?;
+        *request.uri_mut() = format!("http://{address}{}", request.uri().path())
+            .parse()
+            .ok()?;
         let (response, _) = sender.send_request(request, true).ok()?;
         let mut body = response.await.ok()?.into_body();
         let mut whole = Bytes::new();
@@ -103,7 +105,8 @@
 type Pooled = p2c::Balance<ServiceList<Vec<PendingRequests<Direct>>>, Request<()>>;
 
 fn pooled(direct: &[Direct]) -> Pooled {
-    let load = |service: &Direct| PendingRequests::new(service.clone(), CompleteOnResponse::default());
+    let load =
+        |service: &Direct| PendingRequests::new(service.clone(), CompleteOnResponse::default());
     p2c::Balance::new(ServiceList::new(direct.iter().map(load).collect()))
 }
 
@@ -114,7 +117,8 @@
 }
 
 fn plugin(upstreams: &[SocketAddr]) -> Result<Balance, Fault> {
-    let mut settings = woadstall_standin::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
+    let mut settings =
+        woadstall_standin::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
     for class in settings["Classes"].as_array_mut().into_iter().flatten() {
         (class["AimNs"], class["DeadlineNs"]) = (600_000_000_u64.into(), 1_500_000_000_u64.into());
     }
@@ -128,14 +132,21 @@
         .collect();
     let known: Listing =
         serde_json::from_value(serde_json::json!({"rev": 1, "all": true, "targets": targets}))?;
-    Ok(Balance::builder().settings(settings.to_string().as_bytes())?.known(known).build()?)
+    Ok(Balance::builder()
+        .settings(settings.to_string().as_bytes())?
+        .known(known)
+        .build()?)
 }
 
 async fn through_plugin(balance: &mut Balance) -> bool {
     let request = request().map(|()| Empty::<Bytes>::new());
     let Ok::<_, Infallible>(answer) = balance.call(request).await;
     let ok = answer.status() == 200;
-    ok && answer.into_body().collect().await.is_ok_and(|body| body.to_bytes() == "done")
+    ok && answer
+        .into_body()
+        .collect()
+        .await
+        .is_ok_and(|body| body.to_bytes() == "done")
 }
 
 /// What a task calls through.
@@ -168,7 +179,13 @@
 }
 
 /// The upstreams in turn, or one of the others.
-fn service(by: By, direct: &[Direct], shared: &Shared, balance: &Balance, turn: &Arc<AtomicUsize>) -> Calls {
+fn service(
+    by: By,
+    direct: &[Direct],
+    shared: &Shared,
+    balance: &Balance,
+    turn: &Arc<AtomicUsize>,
+) -> Calls {
     match by {
         By::Direct => {
             let (direct, turn) = (direct.to_vec(), turn.clone());
@@ -204,7 +221,10 @@
     rate: u64,
     upstreams: &[SocketAddr],
 ) -> Result<(), Fault> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(threads)
+        .enable_all()
+        .build()?;
     let figures = runtime.block_on(async {
         let mut direct = Vec::new();
         for &address in upstreams {
@@ -241,8 +261,18 @@
         }
         Ok::<_, Fault>(Figures::new(&latencies, failed, used, took))
     })?;
-    let Figures { calls, failed, cpu, p50, p99, seconds } = figures;
-    println!("{}", serde_json::json!([calls, failed, cpu, p50, p99, seconds]));
+    let Figures {
+        calls,
+        failed,
+        cpu,
+        p50,
+        p99,
+        seconds,
+    } = figures;
+    println!(
+        "{}",
+        serde_json::json!([calls, failed, cpu, p50, p99, seconds])
+    );
     Ok(())
 }
 
@@ -254,15 +284,33 @@
     rate: u64,
     upstreams: &[Peer],
 ) -> Result<Figures, Fault> {
-    let name = by.to_possible_value().ok_or("no name")?.get_name().to_owned();
-    let mut arguments =
-        vec!["--round".to_owned(), times.round.as_millis().to_string(), "caller".into(), name];
+    let name = by
+        .to_possible_value()
+        .ok_or("no name")?
+        .get_name()
+        .to_owned();
+    let mut arguments = vec![
+        "--round".to_owned(),
+        times.round.as_millis().to_string(),
+        "caller".into(),
+        name,
+    ];
     arguments.extend([tasks, threads].map(|number| number.to_string()));
     arguments.push(rate.to_string());
     arguments.extend(upstreams.iter().map(|peer| peer.address.to_string()));
-    let output = Command::new(std::env::current_exe()?).args(arguments).stderr(Stdio::inherit()).output()?;
+    let output = Command::new(std::env::current_exe()?)
+        .args(arguments)
+        .stderr(Stdio::inherit())
+        .output()?;
     let (calls, failed, cpu, p50, p99, seconds) = serde_json::from_slice(&output.stdout)?;
-    Ok(Figures { calls, failed, cpu, p50, p99, seconds })
+    Ok(Figures {
+        calls,
+        failed,
+        cpu,
+        p50,
+        p99,
+        seconds,
+    })
 }
 
 fn side_by_side(
@@ -277,11 +325,16 @@
             rounds.push(run_caller(times, *by, tasks, threads, rate, upstreams)?);
         }
     }
-    Ok(rounds.iter().map(|rounds| Figures::median(rounds)).collect())
+    Ok(rounds
+        .iter()
+        .map(|rounds| Figures::median(rounds))
+        .collect())
 }
 
 fn upstreams(count: usize) -> Result<Vec<Peer>, Fault> {
-    (0..count).map(|_| Peer::own(&["upstream".into()])).collect()
+    (0..count)
+        .map(|_| Peer::own(&["upstream".into()]))
+        .collect()
 }
 
 /// The plug-in against p2c and a direct call.
@@ -289,13 +342,22 @@
     let upstreams = upstreams(2)?;
     let kinds = [By::Direct, By::P2c, By::P2cEach, By::Plugin];
     for (tasks, rate) in [(1, 0), (64, 0), (64, 1_400)] {
-        let load = if rate > 0 { format!("{rate} calls/s") } else { "as many as can be".to_owned() };
-        println!("\n{tasks} callers, {load}, 2 threads, 2 upstreams\n{}", head());
+        let load = if rate > 0 {
+            format!("{rate} calls/s")
+        } else {
+            "as many as can be".to_owned()
+        };
+        println!(
+            "\n{tasks} callers, {load}, 2 threads, 2 upstreams\n{}",
+            head()
+        );
         let figures = side_by_side(times, &kinds, (tasks, 2, rate), &upstreams)?;
         for (by, figures) in kinds.iter().zip(&figures) {
             println!("{}", figures.row(&format!("{by:?}")));
         }
-        let [direct, p2c, each, plugin] = &figures[..] else { continue };
+        let [direct, p2c, each, plugin] = &figures[..] else {
+            continue;
+        };
         println!(
             "CPU added to a direct call: p2c {:.1} us, p2c each {:.1} us, plug-in {:.1} us; p99 over direct {:+.0} us",
             p2c.cpu - direct.cpu,
@@ -303,7 +365,11 @@
             plugin.cpu - direct.cpu,
             plugin.p99 - direct.p99,
         );
-        println!("plug-in / p2c: CPU {:.2}, p99 {:.2}", plugin.cpu / p2c.cpu, plugin.p99 / p2c.p99);
+        println!(
+            "plug-in / p2c: CPU {:.2}, p99 {:.2}",
+            plugin.cpu / p2c.cpu,
+            plugin.p99 / p2c.p99
+        );
     }
     Ok(())
 }
@@ -311,7 +377,10 @@
 /// 1, 4 and 16 tasks on one plug-in.
 pub fn contention(times: Times) -> Result<(), Fault> {
     let upstreams = upstreams(1)?;
-    println!("1, 4 and 16 tasks on one plug-in, 3 threads, 1 upstream\n{}", head());
+    println!(
+        "1, 4 and 16 tasks on one plug-in, 3 threads, 1 upstream\n{}",
+        head()
+    );
     for tasks in [1, 4, 16] {
         for (by, figures) in [By::Direct, By::Plugin].iter().zip(side_by_side(
             times,
@@ -328,7 +397,10 @@
 /// What a call holds while it waits, by the growth of the resident memory; the stand-in's own share is in it.
 pub fn memory() -> Result<(), Fault> {
     const CALLS: usize = 10_000;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let silent = Grpc::start_with(Some(100_000), |_| Reply::Silence).await;
         let balance = plugin(&[silent.address])?;
@@ -346,7 +418,9 @@
         let with_direct = resident(own);
         for _ in 0..CALLS {
             let mut balance = balance.clone();
-            calls.push(tokio::spawn(async move { through_plugin(&mut balance).await }));
+            calls.push(tokio::spawn(
+                async move { through_plugin(&mut balance).await },
+            ));
         }
         let waited = Instant::now();
         while silent.held() < 2 * CALLS && waited.elapsed() < Duration::from_secs(1) {
@@ -356,8 +430,14 @@
         let came = silent.held().saturating_sub(CALLS).max(1);
         let per = |from: u64, to: u64, calls: usize| to.saturating_sub(from) / calls as u64;
         println!("a held call, with the stand-in's share of it, in one process:");
-        println!("direct  {:>6} bytes ({CALLS} calls)", per(empty, with_direct, CALLS));
-        println!("plug-in {:>6} bytes ({came} calls)", per(with_direct, with_plugin, came));
+        println!(
+            "direct  {:>6} bytes ({CALLS} calls)",
+            per(empty, with_direct, CALLS)
+        );
+        println!(
+            "plug-in {:>6} bytes ({came} calls)",
+            per(with_direct, with_plugin, came)
+        );
         calls.iter().for_each(|call| call.abort());
         held.iter().for_each(|call| call.abort());
         Ok(())
--- a/crates/operator/src/evacuation.rs
+++ b/crates/operator/src/evacuation.rs
@@ -15,7 +15,10 @@
 
 impl Default for Evacuation {
     fn default() -> Self {
-        Self { every_ms: 100, regions: BTreeMap::new() }
+        Self {
+            every_ms: 100,
+            regions: BTreeMap::new(),
+        }
     }
 }
 
@@ -23,9 +26,16 @@
     /// The field at fault, and what is wrong with it.
     pub(crate) fn check(&self) -> Result<(), (&'static str, String)> {
         if !(20..=5_000).contains(&self.every_ms) {
-            return Err(("every_ms", format!("is {}, not between 20 and 5000", self.every_ms)));
+            return Err((
+                "every_ms",
+                format!("is {}, not between 20 and 5000", self.every_ms),
+            ));
         }
-        match self.regions.iter().find(|(zone, region)| zone.is_empty() || region.is_empty()) {
+        match self
+            .regions
+            .iter()
+            .find(|(zone, region)| zone.is_empty() || region.is_empty())
+        {
             Some(_) => Err(("regions", "has an empty name".to_owned())),
             None => Ok(()),
         }
--- a/crates/operator/src/instances.rs
+++ b/crates/operator/src/instances.rs
@@ -56,35 +56,51 @@
 impl Instances {
     /// The field at fault, and what is wrong with it.
     pub(crate) fn check(&self) -> Result<(), (&'static str, String)> {
-        let names = [("name", &self.name), ("zone", &self.zone), ("region", &self.region)];
+        let names = [
+            ("name", &self.name),
+            ("zone", &self.zone),
+            ("region", &self.region),
+        ];
         for (field, name) in names {
             let sound = |name: &String| {
-                !name.is_empty() && name.len() <= LONGEST_NAME && !name.contains(char::is_whitespace)
+                !name.is_empty()
+                    && name.len() <= LONGEST_NAME
+                    && !name.contains(char::is_whitespace)
             };
             if !name.as_ref().is_none_or(sound) {
-                return Err((field, format!("is not 1 to {LONGEST_NAME} bytes without blanks")));
+                return Err((
+                    field,
+                    format!("is not 1 to {LONGEST_NAME} bytes without blanks"),
+                ));
             }
         }
         if self.insecure && self.key_file.is_some() {
             return Err(("insecure", "is true beside a `key_file`".to_owned()));
         }
         if !self.insecure && self.key_file.is_none() {
-            return Err(("key_file", "is missing, and `insecure` is not true".to_owned()));
+            return Err((
+                "key_file",
+                "is missing, and `insecure` is not true".to_owned(),
+            ));
         }
         match self.advertise {
             None if self.listen.ip().is_unspecified() => {
-                return Err(("advertise", "is missing, and `listen` is all addresses".to_owned()));
+                return Err((
+                    "advertise",
+                    "is missing, and `listen` is all addresses".to_owned(),
+                ));
             }
             Some(at) if at.ip().is_unspecified() || at.port() == 0 => {
                 return Err(("advertise", format!("is {at}, where nobody is found")));
             }
             _ => {}
         }
-        let within =
-            |field: &'static str, value: u64, least: u64, most: u64| match (least..=most).contains(&value) {
-                true => Ok(()),
-                false => Err((field, format!("is {value}, not between {least} and {most}"))),
-            };
+        let within = |field: &'static str, value: u64, least: u64, most: u64| match (least..=most)
+            .contains(&value)
+        {
+            true => Ok(()),
+            false => Err((field, format!("is {value}, not between {least} and {most}"))),
+        };
         within("period_ms", self.period_ms, 10, 60_000)?;
         within("patience_ms", self.patience_ms, 1, 30_000)?;
         within("suspicion_ms", self.suspicion_ms, 1, 3_600_000)?;
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -59,7 +59,12 @@
 impl Default for Plugin {
     fn default() -> Self {
         let methods = BTreeMap::new();
-        Self { protocol: Protocol::default(), replay_limit: 64 << 10, connections: 4, methods }
+        Self {
+            protocol: Protocol::default(),
+            replay_limit: 64 << 10,
+            connections: 4,
+            methods,
+        }
     }
 }
 
@@ -83,27 +88,47 @@
         let one_line = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
         let source = toml::Deserializer::parse(text).map_err(|error| {
             let before = error.span().map_or(0, |span| span.start).min(text.len());
-            let at = 1 + text.as_bytes()[..before].iter().filter(|byte| **byte == b'\n').count();
+            let at = 1 + text.as_bytes()[..before]
+                .iter()
+                .filter(|byte| **byte == b'\n')
+                .count();
             Fault(format!("line {at}: {}", one_line(error.message())))
         })?;
-        let file: Self = serde_path_to_error::deserialize(source)
-            .map_err(|error| Fault(format!("`{}`: {}", error.path(), one_line(error.inner().message()))))?;
+        let file: Self = serde_path_to_error::deserialize(source).map_err(|error| {
+            Fault(format!(
+                "`{}`: {}",
+                error.path(),
+                one_line(error.inner().message())
+            ))
+        })?;
         file.check()?;
         Ok(file)
     }
 
     fn check(&self) -> Result<(), Fault> {
-        let Plugin { replay_limit, connections, methods, .. } = &self.plugin;
-        let within =
-            |field: &str, value: usize, least: usize, most: usize| match (least..=most).contains(&value) {
-                true => Ok(()),
-                false => Err(Fault(format!("`plugin.{field}` is {value}, not between {least} and {most}"))),
-            };
+        let Plugin {
+            replay_limit,
+            connections,
+            methods,
+            ..
+        } = &self.plugin;
+        let within = |field: &str, value: usize, least: usize, most: usize| match (least..=most)
+            .contains(&value)
+        {
+            true => Ok(()),
+            false => Err(Fault(format!(
+                "`plugin.{field}` is {value}, not between {least} and {most}"
+            ))),
+        };
         if let Some(instances) = &self.instances {
-            instances.check().map_err(|fault| Fault(format!("`instances.{}` {}", fault.0, fault.1)))?;
+            instances
+                .check()
+                .map_err(|fault| Fault(format!("`instances.{}` {}", fault.0, fault.1)))?;
         }
         if let Some(evacuation) = &self.evacuation {
-            evacuation.check().map_err(|fault| Fault(format!("`evacuation.{}` {}", fault.0, fault.1)))?;
+            evacuation
+                .check()
+                .map_err(|fault| Fault(format!("`evacuation.{}` {}", fault.0, fault.1)))?;
             if self.instances.is_none() {
                 return Err(Fault(
                     "`evacuation`: there is no `[instances]`, so nobody tells anything".to_owned(),
@@ -118,9 +143,16 @@
                 methods.len()
             )));
         }
-        match methods.iter().find(|(path, class)| !path.starts_with('/') || class.is_empty()) {
+        match methods
+            .iter()
+            .find(|(path, class)| !path.starts_with('/') || class.is_empty())
+        {
             Some((path, class)) => {
-                let what = if class.is_empty() { "names no class" } else { "is not a path from `/` on" };
+                let what = if class.is_empty() {
+                    "names no class"
+                } else {
+                    "is not a path from `/` on"
+                };
                 Err(Fault(format!("`plugin.methods.{path:?}` {what}")))
             }
             None => Ok(()),
@@ -138,7 +170,10 @@
         let file = "[plugin]\nprotocol = \"http1\"\nreplay_limit = 1000\n\
                     [plugin.methods]\n\"/p.P/Load\" = \"cargo-lectura\"\n";
         let plugin = Operator::parse(file).unwrap().plugin;
-        assert_eq!((plugin.protocol, plugin.replay_limit, plugin.connections), (Protocol::Http1, 1000, 4));
+        assert_eq!(
+            (plugin.protocol, plugin.replay_limit, plugin.connections),
+            (Protocol::Http1, 1000, 4)
+        );
         assert_eq!(plugin.methods["/p.P/Load"], "cargo-lectura");
     }
 
@@ -152,20 +187,50 @@
     fn faults_are_named_in_one_line() {
         let cases = [
             ("[plugins]", "`plugins`: unknown field `plugins`"),
-            ("[plugin]\nconections = 3", "`plugin.conections`: unknown field `conections`"),
-            ("[plugin]\nconnections = \"3\"", "`plugin.connections`: invalid type: string"),
-            ("[plugin]\nconnections = 0", "`plugin.connections` is 0, not between 1 and 1000"),
-            ("[plugin]\nconnections = -1", "`plugin.connections`: invalid value: integer `-1`"),
-            ("[plugin]\nreplay_limit = 99999999999", "`plugin.replay_limit` is 99999999999"),
-            ("[plugin]\nprotocol = \"h3\"", "`plugin.protocol`: unknown variant `h3`"),
-            ("[plugin.methods]\n\"p.P/Load\" = \"x\"", "`plugin.methods.\"p.P/Load\"` is not a path"),
-            ("[plugin.methods]\n\"/p.P/Load\" = \"\"", "`plugin.methods.\"/p.P/Load\"` names no class"),
-            ("[plugin.methods]\n\"/a\" = \"x\"\n\"/a\" = \"y\"", "line 3: duplicate key"),
+            (
+                "[plugin]\nconections = 3",
+                "`plugin.conections`: unknown field `conections`",
+            ),
+            (
+                "[plugin]\nconnections = \"3\"",
+                "`plugin.connections`: invalid type: string",
+            ),
+            (
+                "[plugin]\nconnections = 0",
+                "`plugin.connections` is 0, not between 1 and 1000",
+            ),
+            (
+                "[plugin]\nconnections = -1",
+                "`plugin.connections`: invalid value: integer `-1`",
+            ),
+            (
+                "[plugin]\nreplay_limit = 99999999999",
+                "`plugin.replay_limit` is 99999999999",
+            ),
+            (
+                "[plugin]\nprotocol = \"h3\"",
+                "`plugin.protocol`: unknown variant `h3`",
+            ),
+            (
+                "[plugin.methods]\n\"p.P/Load\" = \"x\"",
+                "`plugin.methods.\"p.P/Load\"` is not a path",
+            ),
+            (
+                "[plugin.methods]\n\"/p.P/Load\" = \"\"",
+                "`plugin.methods.\"/p.P/Load\"` names no class",
+            ),
+            (
+                "[plugin.methods]\n\"/a\" = \"x\"\n\"/a\" = \"y\"",
+                "line 3: duplicate key",
+            ),
             ("[plugin]\nconnections = ", "line 2: "),
             ("[plugin\n", "line 1: "),
             ("é = \u{1}", "line 1: "),
             ("[instances]", "`instances`: missing field `listen`"),
-            ("[instances]\nlisten = \"here\"", "`instances.listen`: invalid socket address"),
+            (
+                "[instances]\nlisten = \"here\"",
+                "`instances.listen`: invalid socket address",
+            ),
             (
                 "[instances]\nlisten = \"1.2.3.4:5\"",
                 "`instances.key_file` is missing, and `insecure` is not true",
@@ -195,15 +260,32 @@
                 "`instances.suspicion_ms` is less than `period_ms`",
             ),
             ("[evacuation]", "`evacuation`: there is no `[instances]`"),
-            ("[evacuation]\nevery_ms = 1", "`evacuation.every_ms` is 1, not between 20 and 5000"),
-            ("[evacuation]\nevry_ms = 1", "`evacuation.evry_ms`: unknown field"),
-            ("[evacuation.regions]\nnorte = \"\"", "`evacuation.regions` has an empty name"),
+            (
+                "[evacuation]\nevery_ms = 1",
+                "`evacuation.every_ms` is 1, not between 20 and 5000",
+            ),
+            (
+                "[evacuation]\nevry_ms = 1",
+                "`evacuation.evry_ms`: unknown field",
+            ),
+            (
+                "[evacuation.regions]\nnorte = \"\"",
+                "`evacuation.regions` has an empty name",
+            ),
         ];
         for (text, expected) in cases {
             let fault = Operator::parse(text).unwrap_err().to_string();
-            assert!(fault.starts_with(expected) && fault.lines().count() == 1, "{text:?}: {fault}");
+            assert!(
+                fault.starts_with(expected) && fault.lines().count() == 1,
+                "{text:?}: {fault}"
+            );
         }
         let large = "#".repeat(MOST_BYTES + 1);
-        assert!(Operator::parse(&large).unwrap_err().to_string().contains("over"));
+        assert!(
+            Operator::parse(&large)
+                .unwrap_err()
+                .to_string()
+                .contains("over")
+        );
     }
 }
--- a/crates/operator/tests/golden.rs
+++ b/crates/operator/tests/golden.rs
@@ -48,7 +48,11 @@
         protocol: Protocol::Http1,
         replay_limit: 1000,
         connections: 7,
-        methods: [pair("/posting.Posting/Load", "cargo-lectura"), pair("/a", "b")].into(),
+        methods: [
+            pair("/posting.Posting/Load", "cargo-lectura"),
+            pair("/a", "b"),
+        ]
+        .into(),
     };
     let instances = Instances {
         listen: "10.0.0.5:7946".parse().unwrap(),
@@ -56,7 +60,10 @@
         name: Some("balancer-one".to_owned()),
         zone: Some("norte".to_owned()),
         region: Some("occidente".to_owned()),
-        seeds: vec!["10.0.0.6:7946".parse().unwrap(), "[::1]:7946".parse().unwrap()],
+        seeds: vec![
+            "10.0.0.6:7946".parse().unwrap(),
+            "[::1]:7946".parse().unwrap(),
+        ],
         seeds_file: Some("seeds".into()),
         key_file: Some("members.key".into()),
         insecure: false,
@@ -65,7 +72,10 @@
         suspicion_ms: 6001,
     };
     let regions = [pair("norte", "occidente"), pair("sur", "oriente")].into();
-    let evacuation = Evacuation { every_ms: 101, regions };
+    let evacuation = Evacuation {
+        every_ms: 101,
+        regions,
+    };
     assert_eq!(operator.plugin, plugin);
     assert_eq!(operator.instances, Some(instances));
     assert_eq!(operator.evacuation, Some(evacuation));
@@ -75,13 +85,23 @@
 fn every_default() {
     let operator = Operator::parse("").unwrap();
     assert_eq!(operator.plugin.protocol, Protocol::Http2);
-    assert_eq!((operator.plugin.replay_limit, operator.plugin.connections), (65_536, 4));
+    assert_eq!(
+        (operator.plugin.replay_limit, operator.plugin.connections),
+        (65_536, 4)
+    );
     assert!(operator.plugin.methods.is_empty());
     assert!(operator.instances.is_none() && operator.evacuation.is_none());
     let text = "[instances]\nlisten = \"1.2.3.4:5\"\nkey_file = \"k\"\n[evacuation]\n";
     let operator = Operator::parse(text).unwrap();
     let instances = operator.instances.unwrap();
-    assert_eq!((instances.period_ms, instances.patience_ms, instances.suspicion_ms), (500, 200, 6_000));
+    assert_eq!(
+        (
+            instances.period_ms,
+            instances.patience_ms,
+            instances.suspicion_ms
+        ),
+        (500, 200, 6_000)
+    );
     assert_eq!(instances.key_file.as_deref(), Some(Path::new("k")));
     assert!(instances.advertise.is_none() && instances.name.is_none() && instances.zone.is_none());
     assert!(instances.region.is_none() && instances.seeds_file.is_none());
@@ -97,7 +117,9 @@
 
 #[test]
 fn every_error() {
-    let many: String = (0..10_001).map(|at| format!("\"/{at}\" = \"c\"\n")).collect();
+    let many: String = (0..10_001)
+        .map(|at| format!("\"/{at}\" = \"c\"\n"))
+        .collect();
     let texts = [
         "#".repeat(MOST_BYTES + 1),
         "[plugins]".to_owned(),
--- a/crates/pacing/src/lease.rs
+++ b/crates/pacing/src/lease.rs
@@ -40,27 +40,54 @@
     pub fn give(&mut self, now: Time, to: u64, rate: f64, settings: &Settings) -> Lease {
         self.next = self.next.saturating_add(1);
         // What the receiver reads must not be more than what is given up.
-        let lease = Lease { to, number: self.next, rate: (rate as f32).next_down().max(0.0) };
+        let lease = Lease {
+            to,
+            number: self.next,
+            rate: (rate as f32).next_down().max(0.0),
+        };
         let until = now.saturating_add(settings.lease);
-        self.given.push((lease, until, until.saturating_add(settings.margin)));
+        self.given
+            .push((lease, until, until.saturating_add(settings.margin)));
         lease
     }
 
     /// Takes what another has given so long ago. One that is over is not taken, nor one that was had.
-    pub fn take(&mut self, now: Time, from: u64, lease: &Lease, age: Time, settings: &Settings) -> bool {
+    pub fn take(
+        &mut self,
+        now: Time,
+        from: u64,
+        lease: &Lease,
+        age: Time,
+        settings: &Settings,
+    ) -> bool {
         let until = now.saturating_sub(age).saturating_add(settings.lease);
         let rate = f64::from(lease.rate);
-        let known = self.taken.get(&from).is_some_and(|held| held.number >= lease.number);
+        let known = self
+            .taken
+            .get(&from)
+            .is_some_and(|held| held.number >= lease.number);
         if known || now >= until || !rate.is_finite() || rate <= 0.0 {
             return false;
         }
         self.forget(now);
         if self.taken.len() >= MOST && !self.taken.contains_key(&from) {
-            let least = self.taken.iter().min_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
-            let Some((&least, _)) = least.filter(|(_, held)| held.rate < rate) else { return false };
+            let least = self
+                .taken
+                .iter()
+                .min_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
+            let Some((&least, _)) = least.filter(|(_, held)| held.rate < rate) else {
+                return false;
+            };
             self.taken.remove(&least);
         }
-        self.taken.insert(from, Held { number: lease.number, rate, until });
+        self.taken.insert(
+            from,
+            Held {
+                number: lease.number,
+                rate,
+                until,
+            },
+        );
         true
     }
 
@@ -68,17 +95,26 @@
     pub fn forget(&mut self, now: Time) {
         self.given.retain(|(_, _, back)| now < *back);
         // The numbers of what was had have to outlast what may still come twice.
-        self.taken.retain(|_, held| now < held.until.saturating_add(60_000_000_000));
+        self.taken
+            .retain(|_, held| now < held.until.saturating_add(60_000_000_000));
     }
 
     /// What this sender does without, in calls a second.
     pub fn given(&self, now: Time) -> f64 {
-        self.given.iter().filter(|(_, _, back)| now < *back).map(|(lease, ..)| f64::from(lease.rate)).sum()
+        self.given
+            .iter()
+            .filter(|(_, _, back)| now < *back)
+            .map(|(lease, ..)| f64::from(lease.rate))
+            .sum()
     }
 
     /// What it was given.
     pub fn taken(&self, now: Time) -> f64 {
-        self.taken.values().filter(|held| now < held.until).map(|held| held.rate).sum()
+        self.taken
+            .values()
+            .filter(|held| now < held.until)
+            .map(|held| held.rate)
+            .sum()
     }
 
     /// Those that are to be told: all that still hold at their receivers, the last to each.
--- a/crates/pacing/src/pace.rs
+++ b/crates/pacing/src/pace.rs
@@ -54,8 +54,15 @@
     pub fn new(now: Time, senders: usize, settings: Settings) -> Result<Self, SettingsError> {
         settings.check()?;
         let proof = Proof::new(now, settings.window);
-        let mut pace =
-            Self { settings, proof, leases: Leases::default(), own: 0.0, floor: 0.0, tokens: 0.0, at: now };
+        let mut pace = Self {
+            settings,
+            proof,
+            leases: Leases::default(),
+            own: 0.0,
+            floor: 0.0,
+            tokens: 0.0,
+            at: now,
+        };
         pace.senders(senders);
         pace.own = pace.floor;
         Ok(pace)
@@ -148,16 +155,24 @@
         lacking.truncate(AT_ONCE);
         let all: f64 = lacking.iter().map(|(_, lacks)| lacks).sum();
         let settings = self.settings;
-        let parts = lacking.iter().map(|(to, lacks)| (*to, (spare * lacks / all).min(*lacks)));
+        let parts = lacking
+            .iter()
+            .map(|(to, lacks)| (*to, (spare * lacks / all).min(*lacks)));
         let parts: Vec<(u64, f64)> = parts.filter(|(_, part)| *part >= settings.least).collect();
-        parts.into_iter().map(|(to, part)| self.leases.give(now, to, part, &settings)).collect()
+        parts
+            .into_iter()
+            .map(|(to, part)| self.leases.give(now, to, part, &settings))
+            .collect()
     }
 
     /// Another has told something so long ago; `me` is how leases name this sender. Whether anything was given to it.
     pub fn hear(&mut self, now: Time, from: u64, me: u64, report: &Report, age: Time) -> bool {
         self.goes_on(now);
         let settings = self.settings;
-        let mine = report.leases.iter().filter(|lease| lease.to == me && from != me);
+        let mine = report
+            .leases
+            .iter()
+            .filter(|lease| lease.to == me && from != me);
         let taken = mine.filter(|lease| self.leases.take(now, from, lease, age, &settings));
         taken.count() > 0
     }
--- a/crates/pacing/src/proof.rs
+++ b/crates/pacing/src/proof.rs
@@ -31,7 +31,11 @@
 impl Counts {
     fn part(&self) -> f64 {
         let ended = self.in_time + self.spoilt;
-        if ended == 0 { 0.0 } else { f64::from(self.spoilt) / f64::from(ended) }
+        if ended == 0 {
+            0.0
+        } else {
+            f64::from(self.spoilt) / f64::from(ended)
+        }
     }
 }
 
@@ -48,7 +52,12 @@
 impl Proof {
     /// One that has seen nothing.
     pub fn new(now: Time, window: Duration) -> Self {
-        Self { window: window.max(1), began: now, counts: Counts::default(), past: VecDeque::new() }
+        Self {
+            window: window.max(1),
+            began: now,
+            counts: Counts::default(),
+            past: VecDeque::new(),
+        }
     }
 
     /// A call wants to go there.
@@ -58,7 +67,11 @@
 
     /// One has ended there.
     pub fn ended(&mut self, in_time: bool) {
-        let count = if in_time { &mut self.counts.in_time } else { &mut self.counts.spoilt };
+        let count = if in_time {
+            &mut self.counts.in_time
+        } else {
+            &mut self.counts.spoilt
+        };
         *count = count.saturating_add(1);
     }
 
@@ -76,7 +89,9 @@
 
     /// Of the last whole windows.
     pub fn last(&self) -> Rates {
-        let Some(latest) = self.past.front() else { return Rates::default() };
+        let Some(latest) = self.past.front() else {
+            return Rates::default();
+        };
         let all = self.past.iter().fold(Counts::default(), |all, one| Counts {
             asked: all.asked.saturating_add(one.asked),
             in_time: all.in_time.saturating_add(one.in_time),
--- a/crates/pacing/src/report.rs
+++ b/crates/pacing/src/report.rs
@@ -40,8 +40,15 @@
     pub fn new(rates: &Rates, unmet: f64, mut leases: Vec<Lease>) -> Self {
         leases.sort_by(|a, b| b.rate.total_cmp(&a.rate));
         leases.truncate(MOST);
-        let Rates { in_time, spoilt, .. } = *rates;
-        Self { unmet: unmet as f32, in_time: in_time as f32, spoilt: spoilt as f32, leases }
+        let Rates {
+            in_time, spoilt, ..
+        } = *rates;
+        Self {
+            unmet: unmet as f32,
+            in_time: in_time as f32,
+            spoilt: spoilt as f32,
+            leases,
+        }
     }
 
     /// As bytes, at most so many: the smallest leases are left out.
@@ -61,8 +68,15 @@
         let (report, rest): (Self, _) = postcard::take_from_bytes(rest).map_err(|_| ReportError)?;
         let figures = [report.unmet, report.in_time, report.spoilt];
         let rates = report.leases.iter().map(|lease| lease.rate);
-        let sound = figures.into_iter().chain(rates).all(|figure| figure.is_finite() && figure >= 0.0);
+        let sound = figures
+            .into_iter()
+            .chain(rates)
+            .all(|figure| figure.is_finite() && figure >= 0.0);
         let known = *form == FORM && rest.is_empty() && report.leases.len() <= MOST;
-        if sound && known { Ok(report) } else { Err(ReportError) }
+        if sound && known {
+            Ok(report)
+        } else {
+            Err(ReportError)
+        }
     }
 }
--- a/crates/pacing/src/settings.rs
+++ b/crates/pacing/src/settings.rs
@@ -58,7 +58,9 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let wrong = |text| Err(SettingsError(text));
         if self.window == 0 || self.lease < self.window {
-            return wrong("`window` is 0, or longer than `lease`: a lease would be over before it was used");
+            return wrong(
+                "`window` is 0, or longer than `lease`: a lease would be over before it was used",
+            );
         }
         if !(1.0..=2.5).contains(&self.growth) {
             return wrong("`growth` is not from 1 to 2.5: more would push over what is cold");
--- a/crates/pacing/tests/sum.rs
+++ b/crates/pacing/tests/sum.rs
@@ -13,9 +13,19 @@
 /// each takes itself for all. The most that was sent in any 3 s, as part of what could be ended then, and what was sent in the
 /// last second, as part of what was asked for.
 fn play(needs: &[f64], capacity: f64, fate: &[u8], halves: bool) -> (f64, f64) {
-    let settings = Settings { trying: 0.4 * capacity, ..Settings::default() };
-    let known = if halves { needs.len().div_ceil(2) } else { needs.len() };
-    let mut senders: Vec<Pace> = needs.iter().map(|_| Pace::new(0, known, settings).unwrap()).collect();
+    let settings = Settings {
+        trying: 0.4 * capacity,
+        ..Settings::default()
+    };
+    let known = if halves {
+        needs.len().div_ceil(2)
+    } else {
+        needs.len()
+    };
+    let mut senders: Vec<Pace> = needs
+        .iter()
+        .map(|_| Pace::new(0, known, settings).unwrap())
+        .collect();
     let (mut due, mut queue, mut free) = (vec![0.0; needs.len()], Vec::new(), 0.0_f64);
     let (mut sent, mut asked, mut under_way, mut draws) = (Vec::new(), 0_u32, Vec::new(), 0_usize);
     let mut proven = VecDeque::new();
@@ -42,17 +52,31 @@
         if now % (100 * MS) == 0 {
             // All that may be sent is what each was given to send by its own answers, while a lease of it may hold.
             let floor = settings.trying / known as f64;
-            proven
-                .push_front(senders.iter().map(|of| settings.growth * of.rates().in_time + floor).collect());
+            proven.push_front(
+                senders
+                    .iter()
+                    .map(|of| settings.growth * of.rates().in_time + floor)
+                    .collect(),
+            );
             proven.truncate(36);
-            let most = |of: usize| proven.iter().map(|then: &Vec<f64>| then[of]).fold(0.0, f64::max);
-            let (may, most): (f64, f64) =
-                (senders.iter().map(|of| of.allowance(now)).sum(), (0..needs.len()).map(most).sum());
+            let most = |of: usize| {
+                proven
+                    .iter()
+                    .map(|then: &Vec<f64>| then[of])
+                    .fold(0.0, f64::max)
+            };
+            let (may, most): (f64, f64) = (
+                senders.iter().map(|of| of.allowance(now)).sum(),
+                (0..needs.len()).map(most).sum(),
+            );
             assert!(may <= most + 1e-6, "{may} of {most} at {now}");
         }
         if now % (200 * MS) == 0 {
-            let lacking: Vec<(u64, f64)> =
-                senders.iter().enumerate().map(|(at, sender)| (at as u64, sender.unmet(now))).collect();
+            let lacking: Vec<(u64, f64)> = senders
+                .iter()
+                .enumerate()
+                .map(|(at, sender)| (at as u64, sender.unmet(now)))
+                .collect();
             for (from, sender) in senders.iter_mut().enumerate() {
                 sender.lend(now, &lacking);
                 let report = Report::read(&sender.report(now).write(256)).unwrap();
@@ -66,21 +90,36 @@
                 }
             }
         }
-        let (here, later): (Vec<_>, Vec<_>) = under_way.into_iter().partition(|(at, ..)| *at <= now);
+        let (here, later): (Vec<_>, Vec<_>) =
+            under_way.into_iter().partition(|(at, ..)| *at <= now);
         under_way = later;
         for (_, told, from, to, report) in here {
             // Its age is known but for what a message takes.
-            senders[to].hear(now, from as u64, to as u64, &report, (now - told).saturating_sub(900 * MS));
+            senders[to].hear(
+                now,
+                from as u64,
+                to as u64,
+                &report,
+                (now - told).saturating_sub(900 * MS),
+            );
         }
     }
     let worst = (0..sent.len()).map(|first| {
-        let window = sent[first..].iter().take_while(|at| **at < sent[first] + 3_000 * MS).count();
-        let can = (0..30).map(|tenth| can(sent[first] + tenth * 100 * MS) / 10.0).sum::<f64>();
+        let window = sent[first..]
+            .iter()
+            .take_while(|at| **at < sent[first] + 3_000 * MS)
+            .count();
+        let can = (0..30)
+            .map(|tenth| can(sent[first] + tenth * 100 * MS) / 10.0)
+            .sum::<f64>();
         // Each sender's first call comes by itself.
         (window as f64 - needs.len() as f64) / can
     });
     let last = sent.iter().filter(|at| **at >= 9_000 * MS).count();
-    (worst.fold(0.0, f64::max), last as f64 / f64::from(asked.max(1)))
+    (
+        worst.fold(0.0, f64::max),
+        last as f64 / f64::from(asked.max(1)),
+    )
 }
 
 proptest! {
@@ -116,7 +155,10 @@
     let lease = giver.give(0, 7, 6.0, &settings);
     assert_eq!(giver.told(0), [lease]);
     assert!(taker.take(300 * MS, 1, &lease, 200 * MS, &settings));
-    assert!(!taker.take(400 * MS, 1, &lease, 0, &settings), "had before, whatever age it says");
+    assert!(
+        !taker.take(400 * MS, 1, &lease, 0, &settings),
+        "had before, whatever age it says"
+    );
     for now in (0..4_000).map(|ms| ms * MS) {
         let all = taker.taken(now) + (6.0 - giver.given(now));
         assert!(all <= 6.0, "{all} at {now}");
--- a/crates/plugin/src/answer.rs
+++ b/crates/plugin/src/answer.rs
@@ -33,7 +33,10 @@
     };
     if stay_away > Duration::ZERO {
         let (name, value) = match grpc {
-            true => ("grpc-retry-pushback-ms".parse(), stay_away.as_millis().to_string()),
+            true => (
+                "grpc-retry-pushback-ms".parse(),
+                stay_away.as_millis().to_string(),
+            ),
             false => (Ok(RETRY_AFTER), format!("{:.3}", stay_away.as_secs_f64())),
         };
         name.into_iter().for_each(|name: http::HeaderName| {
@@ -54,7 +57,10 @@
 /// The caller's own body could not be read; nothing was sent.
 pub(crate) fn unreadable(grpc: bool) -> Response<Inbound> {
     match grpc {
-        true => trailers_only(code::CANCELLED, "the request's body could not be read; nothing was sent"),
+        true => trailers_only(
+            code::CANCELLED,
+            "the request's body could not be read; nothing was sent",
+        ),
         false => status(StatusCode::BAD_REQUEST),
     }
 }
@@ -62,7 +68,10 @@
 /// The body is larger than the wire to the upstreams takes; nothing was sent.
 pub(crate) fn too_large(grpc: bool) -> Response<Inbound> {
     match grpc {
-        true => trailers_only(code::RESOURCE_EXHAUSTED, "the request's body is too large; nothing was sent"),
+        true => trailers_only(
+            code::RESOURCE_EXHAUSTED,
+            "the request's body is too large; nothing was sent",
+        ),
         false => status(StatusCode::PAYLOAD_TOO_LARGE),
     }
 }
--- a/crates/plugin/src/ask.rs
+++ b/crates/plugin/src/ask.rs
@@ -52,18 +52,27 @@
 
 impl Classes {
     /// Adds the classes to the settings. The error names what is at fault.
-    pub fn new(settings: &mut Settings, names: Names, methods: &[(String, String)]) -> Result<Self, String> {
+    pub fn new(
+        settings: &mut Settings,
+        names: Names,
+        methods: &[(String, String)],
+    ) -> Result<Self, String> {
         let mut by_path = HashMap::new();
         for (path, class) in methods {
             let Some(at) = names.class(class) else {
-                return Err(format!("method {path}: the settings have no class {class:?}"));
+                return Err(format!(
+                    "method {path}: the settings have no class {class:?}"
+                ));
             };
             if by_path.insert(path.clone(), at).is_some() {
                 return Err(format!("method {path} is there twice"));
             }
         }
         let given = settings.classes.clone();
-        settings.classes.extend(given.iter().map(|class| Class { effect: Effect::Unsafe, ..class.clone() }));
+        settings.classes.extend(given.iter().map(|class| Class {
+            effect: Effect::Unsafe,
+            ..class.clone()
+        }));
         let longest = |time: fn(&Class) -> u64| given.iter().map(time).max().unwrap_or(1);
         let least = |figure: fn(&Class) -> f64| given.iter().map(figure).fold(f64::MAX, f64::min);
         settings.classes.push(Class {
@@ -76,7 +85,11 @@
         });
         Ok(Self {
             effects: settings.classes.iter().map(|class| class.effect).collect(),
-            deadlines: settings.classes.iter().map(|class| Duration::from_nanos(class.deadline)).collect(),
+            deadlines: settings
+                .classes
+                .iter()
+                .map(|class| Duration::from_nanos(class.deadline))
+                .collect(),
             names,
             methods: by_path,
         })
@@ -95,8 +108,11 @@
             None => by_path().or_else(by_segment),
         };
         let unknown = self.effects.len() - 1;
-        let keyed =
-            info.key.as_deref().or(text(headers, "idempotency-key")).is_some_and(|key| !key.is_empty());
+        let keyed = info
+            .key
+            .as_deref()
+            .or(text(headers, "idempotency-key"))
+            .is_some_and(|key| !key.is_empty());
         let class = match named {
             Some(class) if info.never_twice => self.names.classes.len() + class,
             // Without its key no server would drop a repeat.
@@ -109,7 +125,9 @@
         let told = info.within.into_iter().chain(told_time(headers)).min();
         let tenant = info.tenant.as_deref().or(text(headers, "x-caller"));
         let cost = text(headers, "x-call-cost").and_then(|cost| cost.parse::<f64>().ok());
-        let cost = cost.filter(|cost| cost.is_finite() && *cost >= 0.0).map(|micros| (micros * 1e3) as u64);
+        let cost = cost
+            .filter(|cost| cost.is_finite() && *cost >= 0.0)
+            .map(|micros| (micros * 1e3) as u64);
         Asked {
             class,
             // One that the settings do not name has no quota of its own.
@@ -159,11 +177,14 @@
 
     fn classes() -> Classes {
         let text =
-            woadstall_standin::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"].to_string();
+            woadstall_standin::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
+                .to_string();
         let mut settings = woadstall_settings::settings(text.as_bytes()).unwrap();
         let names = woadstall_settings::names(text.as_bytes()).unwrap();
-        let methods =
-            [("/p.P/Look".to_owned(), "look".to_owned()), ("/p.P/Pay".to_owned(), "pay".to_owned())];
+        let methods = [
+            ("/p.P/Look".to_owned(), "look".to_owned()),
+            ("/p.P/Pay".to_owned(), "pay".to_owned()),
+        ];
         Classes::new(&mut settings, names, &methods).unwrap()
     }
 
@@ -173,7 +194,8 @@
             request = request.header(*name, *value);
         }
         let (mut head, ()) = request.body(()).unwrap().into_parts();
-        info.into_iter().for_each(|info| drop(head.extensions.insert(info)));
+        info.into_iter()
+            .for_each(|info| drop(head.extensions.insert(info)));
         classes().ask(&head)
     }
 
@@ -186,39 +208,86 @@
     #[test]
     fn what_is_not_known_is_unsafe() {
         let effects = classes().effects;
-        assert!(effects[TWINS..].iter().all(|effect| *effect == Effect::Unsafe));
+        assert!(
+            effects[TWINS..]
+                .iter()
+                .all(|effect| *effect == Effect::Unsafe)
+        );
         assert_eq!(ask("/p.P/Look", &[], None).class, LOOK);
         assert_eq!(ask("/look?x=1", &[], None).class, LOOK);
-        assert_eq!(ask("/p.P/Pay", &[("idempotency-key", "k")], None).class, PAY);
+        assert_eq!(
+            ask("/p.P/Pay", &[("idempotency-key", "k")], None).class,
+            PAY
+        );
         assert_eq!(ask("/p.P/Pay", &[], None).class, TWINS + PAY);
-        assert_eq!(ask("/p.P/Pay", &[("idempotency-key", "")], None).class, TWINS + PAY);
+        assert_eq!(
+            ask("/p.P/Pay", &[("idempotency-key", "")], None).class,
+            TWINS + PAY
+        );
         assert_eq!(ask("/p.P/Look2", &[], None).class, UNKNOWN);
         assert_eq!(ask("/", &[], None).class, UNKNOWN);
         let info = |info: CallInfo| ask("/p.P/Look", &[], Some(info)).class;
-        assert_eq!(info(CallInfo { class: Some("lok".into()), ..Default::default() }), UNKNOWN);
-        assert_eq!(info(CallInfo { class: Some("post".into()), ..Default::default() }), 2);
-        assert_eq!(info(CallInfo { never_twice: true, ..Default::default() }), TWINS + LOOK);
-        let keyed = CallInfo { class: Some("pay".into()), key: Some("k".into()), ..Default::default() };
+        assert_eq!(
+            info(CallInfo {
+                class: Some("lok".into()),
+                ..Default::default()
+            }),
+            UNKNOWN
+        );
+        assert_eq!(
+            info(CallInfo {
+                class: Some("post".into()),
+                ..Default::default()
+            }),
+            2
+        );
+        assert_eq!(
+            info(CallInfo {
+                never_twice: true,
+                ..Default::default()
+            }),
+            TWINS + LOOK
+        );
+        let keyed = CallInfo {
+            class: Some("pay".into()),
+            key: Some("k".into()),
+            ..Default::default()
+        };
         assert_eq!(info(keyed), PAY);
     }
 
     #[test]
     fn the_least_time_counts() {
         let within = |headers: &[(&str, &str)], info: Option<u64>| {
-            let info =
-                info.map(|ms| CallInfo { within: Some(Duration::from_millis(ms)), ..Default::default() });
+            let info = info.map(|ms| CallInfo {
+                within: Some(Duration::from_millis(ms)),
+                ..Default::default()
+            });
             let asked = ask("/look", headers, info);
             (asked.within.as_millis(), asked.told)
         };
         assert_eq!(within(&[], None), (60_000, false), "the class's own");
         assert_eq!(within(&[("grpc-timeout", "80m")], None), (80, true));
-        assert_eq!(within(&[("grpc-timeout", "80m"), ("x-budget", "0.050")], None), (50, true));
-        assert_eq!(within(&[("grpc-timeout", "80m"), ("x-budget", "0.050")], Some(7)), (7, true));
-        assert_eq!(within(&[("grpc-timeout", "99999999H")], None), (3_600_000, true), "bounded");
+        assert_eq!(
+            within(&[("grpc-timeout", "80m"), ("x-budget", "0.050")], None),
+            (50, true)
+        );
+        assert_eq!(
+            within(&[("grpc-timeout", "80m"), ("x-budget", "0.050")], Some(7)),
+            (7, true)
+        );
+        assert_eq!(
+            within(&[("grpc-timeout", "99999999H")], None),
+            (3_600_000, true),
+            "bounded"
+        );
         for unreadable in ["", "m", "123456789m", "-1m", "1 m", "1x", "é", "1µ"] {
             assert_eq!(grpc_timeout(unreadable), None, "{unreadable:?}");
         }
-        assert_eq!(within(&[("x-budget", "NaN"), ("grpc-timeout", "oops")], None), (60_000, false));
+        assert_eq!(
+            within(&[("x-budget", "NaN"), ("grpc-timeout", "oops")], None),
+            (60_000, false)
+        );
         assert_eq!(within(&[("x-budget", "-1")], None), (60_000, false));
         assert_eq!(within(&[("x-budget", "0")], None), (0, true));
     }
@@ -226,7 +295,15 @@
     /// What goes upstream must never say more than is left, and stay within eight digits.
     #[test]
     fn a_time_is_written_as_it_is_read() {
-        for nanos in [0, 1, 99_999_999, 100_000_000, 123_456_789_012, 7 << 50, u64::MAX] {
+        for nanos in [
+            0,
+            1,
+            99_999_999,
+            100_000_000,
+            123_456_789_012,
+            7 << 50,
+            u64::MAX,
+        ] {
             let text = grpc_timeout_of(nanos);
             let read = grpc_timeout(&text).unwrap().as_nanos() as u64;
             assert!(
@@ -239,14 +316,24 @@
     #[test]
     fn faults_in_methods_are_named() {
         let text =
-            woadstall_standin::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"].to_string();
+            woadstall_standin::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
+                .to_string();
         let build = |methods: &[(&str, &str)]| {
             let mut settings = woadstall_settings::settings(text.as_bytes()).unwrap();
             let names = woadstall_settings::names(text.as_bytes()).unwrap();
-            let methods: Vec<_> = methods.iter().map(|(a, b)| (a.to_string(), b.to_string())).collect();
+            let methods: Vec<_> = methods
+                .iter()
+                .map(|(a, b)| (a.to_string(), b.to_string()))
+                .collect();
             Classes::new(&mut settings, names, &methods).err().unwrap()
         };
-        assert_eq!(build(&[("/a", "none")]), "method /a: the settings have no class \"none\"");
-        assert_eq!(build(&[("/a", "look"), ("/a", "pay")]), "method /a is there twice");
+        assert_eq!(
+            build(&[("/a", "none")]),
+            "method /a: the settings have no class \"none\""
+        );
+        assert_eq!(
+            build(&[("/a", "look"), ("/a", "pay")]),
+            "method /a is there twice"
+        );
     }
 }
