--- a/crates/plugin/src/builder.rs
+++ b/crates/plugin/src/builder.rs
@@ -87,7 +87,9 @@
 
     /// Takes the section `[plugin]` of the operators' file, in addition to methods that are named otherwise.
     pub fn operator(mut self, file: &str) -> Result<Self, BuildError> {
-        let plugin = Operator::parse(file).map_err(|fault| BuildError(fault.to_string()))?.plugin;
+        let plugin = Operator::parse(file)
+            .map_err(|fault| BuildError(fault.to_string()))?
+            .plugin;
         self.protocol = match plugin.protocol {
             woadstall_operator::Protocol::Http1 => Protocol::Http1,
             woadstall_operator::Protocol::Http2 => Protocol::Http2,
@@ -143,29 +145,51 @@
 
     /// Starts the plug-in on the tokio runtime that this is called in.
     pub fn build(self) -> Result<Balance, BuildError> {
-        let (mut settings, names) = self.settings.ok_or(BuildError("no settings are given".into()))?;
+        let (mut settings, names) = self
+            .settings
+            .ok_or(BuildError("no settings are given".into()))?;
         if self.connections == 0 {
             return Err(BuildError("`connections` is 0".into()));
         }
-        let classes = Classes::new(&mut settings, names.clone(), &self.methods).map_err(BuildError)?;
+        let classes =
+            Classes::new(&mut settings, names.clone(), &self.methods).map_err(BuildError)?;
         let idle = Duration::from_nanos(settings.conn_idle);
         let wire = match self.protocol {
-            Protocol::Http1 => {
-                Wire::Http1(Http1::new(&names, idle, self.connections.saturating_mul(128), self.replay_limit))
-            }
+            Protocol::Http1 => Wire::Http1(Http1::new(
+                &names,
+                idle,
+                self.connections.saturating_mul(128),
+                self.replay_limit,
+            )),
             Protocol::Http2 => {
-                let limits = Limits { connections: self.connections, ..Limits::new(&names, idle) };
+                let limits = Limits {
+                    connections: self.connections,
+                    ..Limits::new(&names, idle)
+                };
                 Wire::Http2(Http2::new(limits))
             }
         };
-        let seed = self.seed.unwrap_or_else(|| RandomState::new().build_hasher().finish());
-        let setup = Setup { settings, names, seed, known: self.known };
+        let seed = self
+            .seed
+            .unwrap_or_else(|| RandomState::new().build_hasher().finish());
+        let setup = Setup {
+            settings,
+            names,
+            seed,
+            known: self.known,
+        };
         let balance = woadstall_runtime::Balance::new(setup, wire, self.log).map_err(BuildError)?;
         let discovery = self.discovery.map(|address| {
             let (at, addresses) = watch::channel(address);
             balance.follow(addresses);
             at
         });
-        Ok(Balance::new(balance, classes, discovery, self.protocol, self.replay_limit))
+        Ok(Balance::new(
+            balance,
+            classes,
+            discovery,
+            self.protocol,
+            self.replay_limit,
+        ))
     }
 }
--- a/crates/plugin/src/same.rs
+++ b/crates/plugin/src/same.rs
@@ -19,10 +19,18 @@
             })
             .collect();
         let text = serde_json::json!({"rev": 1, "all": all, "targets": targets});
-        serde_json::from_value::<woadstall_discovery::Listing>(text).unwrap().entries(names)
+        serde_json::from_value::<woadstall_discovery::Listing>(text)
+            .unwrap()
+            .entries(names)
     };
     let first: Vec<_> = (0..9).map(|at| (at, "in_service", 0)).collect();
-    engine.handle(now, Input::Listed { entries: &listing(true, &first), all: true });
+    engine.handle(
+        now,
+        Input::Listed {
+            entries: &listing(true, &first),
+            all: true,
+        },
+    );
     for _ in 0..4000 {
         now += rng.u64(..8 * MS);
         while let Some(at) = engine.wake_at().filter(|at| *at <= now) {
@@ -33,23 +41,53 @@
                 let state = ["in_service", "terminating", "terminated"][rng.usize(..3)];
                 let boot = if rng.bool() { now / MS } else { 0 };
                 let changed = listing(false, &[(rng.usize(..9), state, boot)]);
-                engine.handle(now, Input::Listed { entries: &changed, all: false });
+                engine.handle(
+                    now,
+                    Input::Listed {
+                        entries: &changed,
+                        all: false,
+                    },
+                );
             }
             1 => engine.handle(now, Input::ListFailed),
             2..=45 => {
-                let (class, deadline) = (rng.usize(..names.classes.len()), now + rng.u64(..2_000 * MS));
+                let (class, deadline) = (
+                    rng.usize(..names.classes.len()),
+                    now + rng.u64(..2_000 * MS),
+                );
                 let (id, work) = (RequestId(next), rng.bool().then(|| rng.u64(..90 * MS)));
-                let call = Call { id, request: next, class, tenant: 0, work, deadline, attempts: u32::MAX };
+                let call = Call {
+                    id,
+                    request: next,
+                    class,
+                    tenant: 0,
+                    work,
+                    deadline,
+                    attempts: u32::MAX,
+                };
                 next += 1;
                 engine.handle(now, Input::Call(call));
             }
             46..=48 => engine.handle(now, Input::Gone(RequestId(rng.u32(..next.max(1))))),
             _ if !out.is_empty() => {
                 let (id, attempt) = out.swap_remove(rng.usize(..out.len()));
-                let outcomes = [Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
+                let outcomes = [
+                    Outcome::Error,
+                    Outcome::Full,
+                    Outcome::Reset,
+                    Outcome::ConnectFailed,
+                ];
                 let failed = rng.u32(..10) == 0;
-                let outcome = if failed { outcomes[rng.usize(..4)] } else { Outcome::Ok };
-                let ended = Ended { outcome, answer: (!failed).then_some(next), load: None };
+                let outcome = if failed {
+                    outcomes[rng.usize(..4)]
+                } else {
+                    Outcome::Ok
+                };
+                let ended = Ended {
+                    outcome,
+                    answer: (!failed).then_some(next),
+                    load: None,
+                };
                 engine.handle(now, Input::Ended { id, attempt, ended });
             }
             _ => {}
@@ -80,14 +118,26 @@
             let settings = woadstall_settings::settings(text.as_bytes()).unwrap();
             let names = woadstall_settings::names(text.as_bytes()).unwrap();
             let mut extended = settings.clone();
-            Classes::new(&mut extended, names.clone(), &[("/p.P/Look".into(), "look".into())]).unwrap();
+            Classes::new(
+                &mut extended,
+                names.clone(),
+                &[("/p.P/Look".into(), "look".into())],
+            )
+            .unwrap();
             assert!(extended.classes.len() > settings.classes.len());
             let start = 1_700_000_000_000 * MS;
             let daemon = play(Engine::new(settings, 5, start).unwrap(), &names, tape);
             let plugin = play(Engine::new(extended, 5, start).unwrap(), &names, tape);
             assert!(daemon.len() > 3000, "{} commands", daemon.len());
-            let differs = daemon.iter().zip(&plugin).find(|(daemon, plugin)| daemon != plugin);
-            assert_eq!((differs, daemon.len()), (None, plugin.len()), "tier {tier}, tape {tape}");
+            let differs = daemon
+                .iter()
+                .zip(&plugin)
+                .find(|(daemon, plugin)| daemon != plugin);
+            assert_eq!(
+                (differs, daemon.len()),
+                (None, plugin.len()),
+                "tier {tier}, tape {tape}"
+            );
         }
     }
 }
--- a/crates/plugin/src/service.rs
+++ b/crates/plugin/src/service.rs
@@ -48,7 +48,13 @@
         protocol: Protocol,
         replay_limit: usize,
     ) -> Self {
-        Self(Arc::new(Inner { balance, classes, discovery, protocol, replay_limit }))
+        Self(Arc::new(Inner {
+            balance,
+            classes,
+            discovery,
+            protocol,
+            replay_limit,
+        }))
     }
 
     /// Takes a list of upstreams, whole or what changed, from a source of the caller's own.
@@ -97,11 +103,22 @@
             request.headers_mut().insert("idempotency-key", key);
         }
         let (head, body) = request.into_parts();
-        let Asked { class, tenant, work, within, told } = self.0.classes.ask(&head);
+        let Asked {
+            class,
+            tenant,
+            work,
+            within,
+            told,
+        } = self.0.classes.ask(&head);
         let deadline = inherited.map_or(came + within, |outer| outer.min(came + within));
         let told = told || inherited.is_some();
         let most = self.0.replay_limit;
-        let held = Outbound::hold(Request::from_parts(head, body), most, grpc, told.then_some(deadline));
+        let held = Outbound::hold(
+            Request::from_parts(head, body),
+            most,
+            grpc,
+            told.then_some(deadline),
+        );
         let outbound = match timeout_at(deadline, held).await {
             Ok(Ok(outbound)) => outbound,
             Ok(Err(_)) => return answer::unreadable(grpc),
@@ -111,7 +128,13 @@
         if self.0.protocol == Protocol::Http1 && attempts == 1 {
             return answer::too_large(grpc);
         }
-        let ask = Ask { class, tenant, work, deadline, attempts };
+        let ask = Ask {
+            class,
+            tenant,
+            work,
+            deadline,
+            attempts,
+        };
         match self.0.balance.call(ask, outbound).await {
             Verdict::Served(answer) => answer,
             Verdict::Refused(nanos) => answer::refused(grpc, Duration::from_nanos(nanos)),
--- a/crates/plugin/src/wire.rs
+++ b/crates/plugin/src/wire.rs
@@ -27,7 +27,9 @@
             Self::Http1(wire) => match request.whole() {
                 Some(whole) => {
                     let ended = wire.ended(&whole, attempt);
-                    Box::pin(async move { Step::Ended(ended.await.map(|answer| answer.map(Inbound::new))) })
+                    Box::pin(async move {
+                        Step::Ended(ended.await.map(|answer| answer.map(Inbound::new)))
+                    })
                 }
                 None => Box::pin(std::future::ready(Step::Ended(Outcome::Moot.into()))),
             },
--- a/crates/plugin/tests/common/mod.rs
+++ b/crates/plugin/tests/common/mod.rs
@@ -34,30 +34,42 @@
 
 pub fn in_service(addresses: &[SocketAddr]) -> Listing {
     let names: Vec<String> = (0..addresses.len()).map(|at| format!("s-{at}")).collect();
-    let members: Vec<_> =
-        names.iter().zip(addresses).map(|(name, at)| Member(name, *at, "in_service", 0)).collect();
+    let members: Vec<_> = names
+        .iter()
+        .zip(addresses)
+        .map(|(name, at)| Member(name, *at, "in_service", 0))
+        .collect();
     listing(true, &members)
 }
 
 /// Settings with a class that is safe, one that is keyed and one that is unsafe, changed as told.
 pub fn settings(change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
-    let mut settings = woadstall_standin::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
+    let mut settings =
+        woadstall_standin::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
     change(&mut settings);
     settings.to_string().into_bytes()
 }
 
 pub fn builder(settings: &[u8]) -> Builder {
     let builder = Balance::builder().settings(settings).unwrap().seed(7);
-    builder.method(LOOK, "look").method(PAY, "pay").method(POST, "post")
+    builder
+        .method(LOOK, "look")
+        .method(PAY, "pay")
+        .method(POST, "post")
 }
 
 pub fn balance(upstreams: &[SocketAddr]) -> Balance {
-    builder(&settings(|_| {})).known(in_service(upstreams)).build().unwrap()
+    builder(&settings(|_| {}))
+        .known(in_service(upstreams))
+        .build()
+        .unwrap()
 }
 
 /// A gRPC call of one message.
 pub fn request(path: &str) -> Request<Full<Bytes>> {
-    let mut request = Request::post(path).header("content-type", "application/grpc").header("te", "trailers");
+    let mut request = Request::post(path)
+        .header("content-type", "application/grpc")
+        .header("te", "trailers");
     if path == PAY {
         request = request.header("idempotency-key", "r-1");
     }
@@ -133,7 +145,10 @@
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let patience = std::time::Instant::now();
     while !holds() {
-        assert!(patience.elapsed() < PATIENCE, "it never came to this: {what}");
+        assert!(
+            patience.elapsed() < PATIENCE,
+            "it never came to this: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/plugin/tests/grpc.rs
+++ b/crates/plugin/tests/grpc.rs
@@ -45,11 +45,20 @@
     let exhausted = Reply::Status(8, vec![("grpc-retry-pushback-ms", "5")]);
     let refused = Reply::Reset(Reason::REFUSED_STREAM);
     let http = Reply::Http(503, vec![("x-rejected", "1")], Bytes::new());
-    for (name, first) in [("full", full), ("exhausted", exhausted), ("refused", refused), ("http", http)] {
+    for (name, first) in [
+        ("full", full),
+        ("exhausted", exhausted),
+        ("refused", refused),
+        ("http", http),
+    ] {
         for path in [LOOK, PAY, POST] {
             let (outcome, attempts) = row(path, first.clone()).await;
             assert!(outcome.is_served(), "{name} {path}: {outcome:?}");
-            assert_eq!((attempts, &outcome.body), (2, &message(b"done")), "{name} {path}");
+            assert_eq!(
+                (attempts, &outcome.body),
+                (2, &message(b"done")),
+                "{name} {path}"
+            );
         }
     }
 }
@@ -59,7 +68,10 @@
 async fn unsafe_work_that_may_have_run_fails_with_no_promise() {
     let rows = [
         ("unavailable", Reply::Status(14, vec![])),
-        ("unavailable with pushback", Reply::Status(14, vec![("grpc-retry-pushback-ms", "5")])),
+        (
+            "unavailable with pushback",
+            Reply::Status(14, vec![("grpc-retry-pushback-ms", "5")]),
+        ),
         ("deadline exceeded", Reply::Status(4, vec![])),
         ("cancelled", Reply::Reset(Reason::CANCEL)),
         ("internal", Reply::Reset(Reason::INTERNAL_ERROR)),
@@ -71,11 +83,17 @@
     for (name, first) in rows {
         for path in [LOOK, PAY] {
             let (outcome, attempts) = row(path, first.clone()).await;
-            assert!(outcome.is_served() && attempts == 2, "{name} {path}: {outcome:?} after {attempts}");
+            assert!(
+                outcome.is_served() && attempts == 2,
+                "{name} {path}: {outcome:?} after {attempts}"
+            );
         }
         for path in [POST, "/test.Test/Unknown"] {
             let (outcome, attempts) = row(path, first.clone()).await;
-            assert!(outcome.is_failed() && attempts == 1, "{name} {path}: {outcome:?} after {attempts}");
+            assert!(
+                outcome.is_failed() && attempts == 1,
+                "{name} {path}: {outcome:?} after {attempts}"
+            );
         }
     }
 }
@@ -84,7 +102,8 @@
 #[tokio::test]
 async fn other_statuses_are_final() {
     for status in [1, 2, 3, 5, 6, 7, 8, 9, 10, 11, 12, 13, 15, 16] {
-        let (outcome, attempts) = row(LOOK, Reply::Status(status, vec![("x-from", "upstream")])).await;
+        let (outcome, attempts) =
+            row(LOOK, Reply::Status(status, vec![("x-from", "upstream")])).await;
         assert_eq!((outcome.status, attempts), (Some(status), 1));
     }
 }
@@ -102,8 +121,13 @@
         .collect();
     let sound = Grpc::start(|_| ok()).await;
     // All thirty are out before the other upstream is there to be sent to.
-    tokio::task::spawn_blocking(move || dying.wait_for(29)).await.unwrap();
-    balance.list(&listing(false, &[Member("other", sound.address, "in_service", 0)]));
+    tokio::task::spawn_blocking(move || dying.wait_for(29))
+        .await
+        .unwrap();
+    balance.list(&listing(
+        false,
+        &[Member("other", sound.address, "in_service", 0)],
+    ));
     for ended in calls {
         let outcome = ended.await.unwrap();
         assert!(outcome.is_failed(), "{outcome:?}");
@@ -122,16 +146,23 @@
             tokio::spawn(async move { call(&balance, POST).await })
         })
         .collect();
-    let leaving = tokio::task::spawn_blocking(move || (leaving.wait_for(29), leaving).1).await.unwrap();
+    let leaving = tokio::task::spawn_blocking(move || (leaving.wait_for(29), leaving).1)
+        .await
+        .unwrap();
     let sound = Grpc::start(|_| ok()).await;
-    let members = [("s-0", leaving.address, "terminating"), ("other", sound.address, "in_service")];
+    let members = [
+        ("s-0", leaving.address, "terminating"),
+        ("other", sound.address, "in_service"),
+    ];
     let members = members.map(|(name, address, state)| Member(name, address, state, 0));
     // The thirtieth opens the way out, on the same connection, before that is told to drain.
     let last = {
         let balance = balance.clone();
         tokio::spawn(async move { call(&balance, POST).await })
     };
-    let leaving = tokio::task::spawn_blocking(move || (leaving.wait_for(1), leaving).1).await.unwrap();
+    let leaving = tokio::task::spawn_blocking(move || (leaving.wait_for(1), leaving).1)
+        .await
+        .unwrap();
     balance.list(&listing(false, &members));
     let (mut served, mut failed) = (0, 0);
     for ended in calls.into_iter().chain([last]) {
@@ -150,7 +181,11 @@
     let reply = Reply::After(ring.clone(), Box::new(ok()));
     let draining = Grpc::start_with(Some(10), move |_| reply.clone()).await;
     let settings = settings(|settings| settings["Limits"]["TryLimit"] = 6.into());
-    let balance = builder(&settings).connections(1).known(in_service(&[draining.address])).build().unwrap();
+    let balance = builder(&settings)
+        .connections(1)
+        .known(in_service(&[draining.address]))
+        .build()
+        .unwrap();
     let calls: Vec<_> = (0..50)
         .map(|_| {
             let balance = balance.clone();
@@ -163,7 +198,10 @@
     let sound = Grpc::start(|_| ok()).await;
     balance.list(&listing(
         false,
-        &[Member("s-0", draining.address, "terminating", 0), Member("other", sound.address, "in_service", 0)],
+        &[
+            Member("s-0", draining.address, "terminating", 0),
+            Member("other", sound.address, "in_service", 0),
+        ],
     ));
     until("the forty went elsewhere", || sound.total() == 40).await;
     assert_eq!(draining.total(), 10, "nothing new after the drain was told");
@@ -173,9 +211,15 @@
         let outcome = ended.await.unwrap();
         assert!(outcome.is_served(), "{outcome:?}");
     }
-    assert_eq!((draining.total(), sound.total(), draining.connections()), (10, 40, 1));
+    assert_eq!(
+        (draining.total(), sound.total(), draining.connections()),
+        (10, 40, 1)
+    );
     // With its last stream the connection goes.
-    tokio::time::timeout(PATIENCE, open.wait_for(|open| *open == 0)).await.unwrap().unwrap();
+    tokio::time::timeout(PATIENCE, open.wait_for(|open| *open == 0))
+        .await
+        .unwrap()
+        .unwrap();
 }
 
 /// A server that asks for no more streams is no failure: what it has finishes, the next goes to a new connection.
@@ -204,18 +248,40 @@
 #[tokio::test]
 async fn each_attempt_carries_what_is_left() {
     let wait = Duration::from_millis(300);
-    let upstream = Grpc::start(once(Reply::Later(wait, Box::new(Reply::Status(14, vec![]))))).await;
+    let upstream = Grpc::start(once(Reply::Later(
+        wait,
+        Box::new(Reply::Status(14, vec![])),
+    )))
+    .await;
     let balance = balance(&[upstream.address]);
     let mut request = request(LOOK);
-    request.headers_mut().insert("grpc-timeout", "20S".parse().unwrap());
-    request.headers_mut().insert("x-budget", "10.0".parse().unwrap());
-    request.extensions_mut().insert(CallInfo { within: Some(Duration::from_secs(15)), ..Default::default() });
+    request
+        .headers_mut()
+        .insert("grpc-timeout", "20S".parse().unwrap());
+    request
+        .headers_mut()
+        .insert("x-budget", "10.0".parse().unwrap());
+    request.extensions_mut().insert(CallInfo {
+        within: Some(Duration::from_secs(15)),
+        ..Default::default()
+    });
     assert!(outcome(send(&balance, request).await).await.is_served());
     let (first, second) = (upstream.called().await, upstream.called().await);
-    assert!((9_000..=10_000).contains(&first.time_left()), "{}", first.time_left());
+    assert!(
+        (9_000..=10_000).contains(&first.time_left()),
+        "{}",
+        first.time_left()
+    );
     let spent = first.time_left() - second.time_left();
-    assert!((300..5_000).contains(&spent), "{spent} ms passed between the attempts");
-    let budget: f64 = second.headers["x-budget"].to_str().unwrap().parse().unwrap();
+    assert!(
+        (300..5_000).contains(&spent),
+        "{spent} ms passed between the attempts"
+    );
+    let budget: f64 = second.headers["x-budget"]
+        .to_str()
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!((budget * 1e3 - second.time_left() as f64).abs() < 2.0);
 }
 
@@ -227,7 +293,9 @@
     assert!(call(&balance, LOOK).await.is_served());
     for time in ["0n", "0S", "0m"] {
         let mut request = request(POST);
-        request.headers_mut().insert("grpc-timeout", time.parse().unwrap());
+        request
+            .headers_mut()
+            .insert("grpc-timeout", time.parse().unwrap());
         let outcome = outcome(send(&balance, request).await).await;
         assert!(outcome.is_refused(), "{outcome:?}");
     }
@@ -244,7 +312,10 @@
         async move { Ok::<_, std::convert::Infallible>(call(&balance, POST).await) }
     });
     let mut server = tower_layer::Layer::layer(&InheritTime, handler);
-    let request = Request::post("/up.Up/Load").header("grpc-timeout", "150m").body(()).unwrap();
+    let request = Request::post("/up.Up/Load")
+        .header("grpc-timeout", "150m")
+        .body(())
+        .unwrap();
     let asked = Instant::now();
     let outcome = server.call(request).await.unwrap();
     assert!(outcome.is_failed(), "{outcome:?}");
@@ -272,10 +343,17 @@
 /// Server streaming: after the first message there is no other attempt, whatever happens to the stream.
 #[tokio::test]
 async fn after_the_first_message_there_is_no_other_attempt() {
-    let upstream = Grpc::start(once(Reply::Broken(Bytes::from_static(b"one"), Reason::INTERNAL_ERROR))).await;
+    let upstream = Grpc::start(once(Reply::Broken(
+        Bytes::from_static(b"one"),
+        Reason::INTERNAL_ERROR,
+    )))
+    .await;
     let balance = balance(&[upstream.address]);
     let outcome = call(&balance, LOOK).await;
-    assert!(outcome.broken && outcome.body == message(b"one"), "{outcome:?}");
+    assert!(
+        outcome.broken && outcome.body == message(b"one"),
+        "{outcome:?}"
+    );
     assert_eq!((upstream.total(), balance.open_calls()), (1, 0));
 }
 
@@ -287,13 +365,26 @@
     let balance = balance(&[upstream.address]);
     let mut body = send(&balance, request(LOOK)).await.into_body();
     for _ in 0..2 {
-        let frame = tokio::time::timeout(PATIENCE, body.frame()).await.unwrap().unwrap().unwrap();
+        let frame = tokio::time::timeout(PATIENCE, body.frame())
+            .await
+            .unwrap()
+            .unwrap()
+            .unwrap();
         assert_eq!(frame.into_data().unwrap(), message(b"x"));
         assert_eq!(balance.open_calls(), 1, "the stream goes on");
         ring.notify_one();
     }
-    assert_eq!(body.frame().await.unwrap().unwrap().into_data().unwrap(), message(b"x"));
-    let trailers = body.frame().await.unwrap().unwrap().into_trailers().unwrap();
+    assert_eq!(
+        body.frame().await.unwrap().unwrap().into_data().unwrap(),
+        message(b"x")
+    );
+    let trailers = body
+        .frame()
+        .await
+        .unwrap()
+        .unwrap()
+        .into_trailers()
+        .unwrap();
     assert_eq!(trailers["grpc-status"], "0");
     assert!(body.frame().await.is_none());
     until("the stream is over", || balance.open_calls() == 0).await;
@@ -308,12 +399,18 @@
 /// A stream whose caller has said how long it waits ends then, at both ends.
 #[tokio::test]
 async fn a_stream_ends_in_its_callers_time() {
-    let upstream = Grpc::start(|_| Reply::Stream(Bytes::from_static(b"x"), 2, Arc::new(Notify::new()))).await;
+    let upstream =
+        Grpc::start(|_| Reply::Stream(Bytes::from_static(b"x"), 2, Arc::new(Notify::new()))).await;
     let balance = balance(&[upstream.address]);
     let mut request = request(LOOK);
-    request.headers_mut().insert("grpc-timeout", "200m".parse().unwrap());
+    request
+        .headers_mut()
+        .insert("grpc-timeout", "200m".parse().unwrap());
     let outcome = outcome(send(&balance, request).await).await;
-    assert!(outcome.broken && outcome.body == message(b"x"), "{outcome:?}");
+    assert!(
+        outcome.broken && outcome.body == message(b"x"),
+        "{outcome:?}"
+    );
     until("it is withdrawn", || upstream.held() == 0).await;
 }
 
@@ -324,9 +421,15 @@
         let upstream = Grpc::start(|_| Reply::HeadersOnly).await;
         let balance = balance(&[upstream.address]);
         let mut request = request(path);
-        request.headers_mut().insert("grpc-timeout", "200m".parse().unwrap());
+        request
+            .headers_mut()
+            .insert("grpc-timeout", "200m".parse().unwrap());
         let outcome = outcome(send(&balance, request).await).await;
-        assert_eq!((outcome.is_refused(), outcome.is_failed()), (refused, !refused), "{outcome:?}");
+        assert_eq!(
+            (outcome.is_refused(), outcome.is_failed()),
+            (refused, !refused),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -334,8 +437,10 @@
 #[tokio::test]
 async fn what_cannot_be_replayed_has_one_attempt() {
     let upstream = Grpc::start(|_| Reply::Status(14, vec![("x-rejected", "1")])).await;
-    let balance =
-        builder(&settings(|_| {})).replay_limit(1000).known(in_service(&[upstream.address])).build();
+    let balance = builder(&settings(|_| {}))
+        .replay_limit(1000)
+        .known(in_service(&[upstream.address]))
+        .build();
     let balance = balance.unwrap();
     let sized = |bytes: usize| request(POST).map(|_| Full::new(message(&vec![7; bytes])));
     let small = outcome(send(&balance, sized(900)).await).await;
@@ -348,7 +453,11 @@
     for _ in 0..attempts {
         upstream.called().await;
     }
-    assert_eq!(upstream.called().await.body, message(&vec![7; 300_000]), "and is sent whole");
+    assert_eq!(
+        upstream.called().await.body,
+        message(&vec![7; 300_000]),
+        "and is sent whole"
+    );
     // A body that comes in pieces, the second later.
     let parts = futures_util::stream::unfold(0, |at| async move {
         if at == 1 {
@@ -360,7 +469,10 @@
     let streamed = request(POST).map(|_| StreamBody::new(Box::pin(parts)));
     assert!(outcome(send(&balance, streamed).await).await.is_refused());
     assert_eq!(upstream.total(), attempts + 2);
-    assert_eq!(upstream.called().await.body, [message(b"part"), message(b"part")].concat());
+    assert_eq!(
+        upstream.called().await.body,
+        [message(b"part"), message(b"part")].concat()
+    );
 }
 
 /// The caller's runtime stands still, clones go in any order, and the last one goes with calls open: nothing is
@@ -369,7 +481,9 @@
 async fn stalls_and_dropped_clones_leave_nothing_behind() {
     let upstream = Grpc::start(|_| Reply::Later(Duration::from_millis(50), Box::new(ok()))).await;
     let balance = balance(&[upstream.address]);
-    let calls: Vec<_> = (0..20).map(|_| Box::pin(balance.clone().call(request(POST)))).collect();
+    let calls: Vec<_> = (0..20)
+        .map(|_| Box::pin(balance.clone().call(request(POST))))
+        .collect();
     let mut calls: Vec<_> = calls.into_iter().map(|call| tokio::spawn(call)).collect();
     until("they are out", || upstream.held() > 0).await;
     std::thread::sleep(Duration::from_millis(200)); // the whole runtime, upstream included
@@ -379,11 +493,16 @@
     drop(calls);
     let mut open = upstream.open();
     // The last clone goes with calls open, whose futures go after it.
-    let orphans: Vec<_> = (0..5).map(|_| balance.clone().call(request(POST))).collect();
+    let orphans: Vec<_> = (0..5)
+        .map(|_| balance.clone().call(request(POST)))
+        .collect();
     drop(balance);
     drop(orphans);
     let total = upstream.total();
-    tokio::time::timeout(PATIENCE, open.wait_for(|open| *open == 0)).await.unwrap().unwrap();
+    tokio::time::timeout(PATIENCE, open.wait_for(|open| *open == 0))
+        .await
+        .unwrap()
+        .unwrap();
     assert_eq!(upstream.total(), total);
 }
 
@@ -394,7 +513,15 @@
     let balance = balance(&[upstream.address]);
     assert!(call(&balance, POST).await.is_served());
     assert_eq!(upstream.called().await.connection, 0);
-    balance.list(&listing(false, &[Member("s-0", upstream.address, "in_service", 1_700_000_000_000)]));
+    balance.list(&listing(
+        false,
+        &[Member(
+            "s-0",
+            upstream.address,
+            "in_service",
+            1_700_000_000_000,
+        )],
+    ));
     assert!(call(&balance, POST).await.is_served());
     assert_eq!(upstream.called().await.connection, 1);
 }
@@ -404,13 +531,28 @@
 async fn where_nothing_listens_a_call_is_refused() {
     let settings = settings(|settings| settings["Limits"]["RetryAfter"] = true.into());
     let nowhere = woadstall_standin::http1::refusing();
-    let balance = builder(&settings).known(in_service(&[nowhere])).build().unwrap();
+    let balance = builder(&settings)
+        .known(in_service(&[nowhere]))
+        .build()
+        .unwrap();
     let outcome = call(&balance, POST).await;
-    assert!(outcome.is_refused() && outcome.pushback.is_some_and(|ms| ms > 0), "{outcome:?}");
-    let plain = Request::post("/post").body(Full::new(Bytes::new())).unwrap();
+    assert!(
+        outcome.is_refused() && outcome.pushback.is_some_and(|ms| ms > 0),
+        "{outcome:?}"
+    );
+    let plain = Request::post("/post")
+        .body(Full::new(Bytes::new()))
+        .unwrap();
     let answer = send(&balance, plain).await;
     assert_eq!(answer.status(), 503);
-    assert!(answer.headers()["retry-after"].to_str().unwrap().parse::<f64>().unwrap() > 0.0);
+    assert!(
+        answer.headers()["retry-after"]
+            .to_str()
+            .unwrap()
+            .parse::<f64>()
+            .unwrap()
+            > 0.0
+    );
 }
 
 /// HTTP/1.1 upstreams behind the same service.
@@ -423,18 +565,28 @@
         1 => Act::Silence,
         _ => Act::Answer(ok("second")),
     });
-    let builder = builder(&settings(|_| {})).protocol(Protocol::Http1).replay_limit(1000);
-    let balance = builder.known(in_service(&[upstream.address])).build().unwrap();
+    let builder = builder(&settings(|_| {}))
+        .protocol(Protocol::Http1)
+        .replay_limit(1000);
+    let balance = builder
+        .known(in_service(&[upstream.address]))
+        .build()
+        .unwrap();
     let post = |size: usize, budget: &str| {
         let request = Request::post("/post/1?x=2").header("x-budget", budget);
-        request.body(Full::new(Bytes::from(vec![b'b'; size]))).unwrap()
+        request
+            .body(Full::new(Bytes::from(vec![b'b'; size])))
+            .unwrap()
     };
     // Full, sent again; then silence: it may have run.
     let answer = send(&balance, post(4, "0.2")).await;
     assert_eq!((answer.status().as_u16(), upstream.requests()), (502, 2));
     let answer = send(&balance, post(4, "60")).await;
     assert_eq!(answer.status(), 200);
-    assert_eq!(answer.into_body().collect().await.unwrap().to_bytes(), "second");
+    assert_eq!(
+        answer.into_body().collect().await.unwrap().to_bytes(),
+        "second"
+    );
     let request = upstream.request();
     assert_eq!(
         (request.first_line.as_str(), request.body.as_slice()),
--- a/crates/plugin/tests/tonic.rs
+++ b/crates/plugin/tests/tonic.rs
@@ -25,7 +25,9 @@
 /// tonic's own server with its generated health service.
 async fn tonic_server() -> (SocketAddr, HealthReporter) {
     let (reporter, service) = tonic_health::server::health_reporter();
-    reporter.set_service_status("posting", ServingStatus::Serving).await;
+    reporter
+        .set_service_status("posting", ServingStatus::Serving)
+        .await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tonic::transport::Server::builder().add_service(service);
@@ -34,12 +36,16 @@
 }
 
 fn health(upstreams: &[SocketAddr]) -> Balance {
-    let builder = builder(&settings(|_| {})).method(CHECK, "look").method(WATCH, "look");
+    let builder = builder(&settings(|_| {}))
+        .method(CHECK, "look")
+        .method(WATCH, "look");
     builder.known(in_service(upstreams)).build().unwrap()
 }
 
 fn ask(service: &str) -> HealthCheckRequest {
-    HealthCheckRequest { service: service.into() }
+    HealthCheckRequest {
+        service: service.into(),
+    }
 }
 
 async fn through_a_generated_client() {
@@ -49,12 +55,18 @@
     let mut client = HealthClient::new(balance.clone());
     for _ in 0..20 {
         let answer = client.check(ask("posting")).await.unwrap().into_inner();
-        assert_eq!(answer.status(), tonic_health::pb::health_check_response::ServingStatus::Serving);
+        assert_eq!(
+            answer.status(),
+            tonic_health::pb::health_check_response::ServingStatus::Serving
+        );
     }
     assert_eq!(balance.open_connections(), 2, "both upstreams have served");
     // A server's own status comes through as it is, with its message.
     let error = client.check(ask("unknown")).await.unwrap_err();
-    assert_eq!((error.code(), error.message()), (Code::NotFound, "service not registered"));
+    assert_eq!(
+        (error.code(), error.message()),
+        (Code::NotFound, "service not registered")
+    );
     // Calls at once from many tasks, on clones.
     let calls: Vec<_> = (0..200)
         .map(|_| {
@@ -70,9 +82,14 @@
     let mut client = HealthClient::new(balance.clone());
     let mut watch = client.watch(ask("posting")).await.unwrap().into_inner();
     assert!(watch.message().await.unwrap().is_some());
-    reporter.set_service_status("posting", ServingStatus::NotServing).await;
+    reporter
+        .set_service_status("posting", ServingStatus::NotServing)
+        .await;
     let changed = watch.message().await.unwrap().unwrap();
-    assert_eq!(changed.status(), tonic_health::pb::health_check_response::ServingStatus::NotServing);
+    assert_eq!(
+        changed.status(),
+        tonic_health::pb::health_check_response::ServingStatus::NotServing
+    );
     assert_eq!(balance.open_calls(), 1);
     drop(watch);
     assert_eq!(balance.open_calls(), 0);
@@ -92,12 +109,18 @@
 #[tokio::test]
 async fn refusals_and_failures_are_statuses() {
     let nowhere = woadstall_standin::http1::refusing();
-    let error = HealthClient::new(health(&[nowhere])).check(ask("")).await.unwrap_err();
+    let error = HealthClient::new(health(&[nowhere]))
+        .check(ask(""))
+        .await
+        .unwrap_err();
     assert_eq!(error.code(), Code::Unavailable);
     assert!(error.metadata().get("grpc-retry-pushback-ms").is_some());
     // A service that nobody named a class for: unsafe, and it may have run.
     let upstream = Grpc::start(|_| Reply::Status(14, vec![])).await;
-    let balance = builder(&settings(|_| {})).known(in_service(&[upstream.address])).build().unwrap();
+    let balance = builder(&settings(|_| {}))
+        .known(in_service(&[upstream.address]))
+        .build()
+        .unwrap();
     let error = HealthClient::new(balance).check(ask("")).await.unwrap_err();
     assert_eq!((error.code(), upstream.total()), (Code::Unknown, 1));
     assert!(error.metadata().get("grpc-retry-pushback-ms").is_none());
@@ -105,8 +128,15 @@
     let upstream = Grpc::start(|_| Reply::Silence).await;
     let mut request = tonic::Request::new(ask(""));
     request.set_timeout(std::time::Duration::from_millis(150));
-    let error = HealthClient::new(health(&[upstream.address])).check(request).await.unwrap_err();
-    assert_eq!(error.code(), Code::Unavailable, "safe to repeat, so refused: {error:?}");
+    let error = HealthClient::new(health(&[upstream.address]))
+        .check(request)
+        .await
+        .unwrap_err();
+    assert_eq!(
+        error.code(),
+        Code::Unavailable,
+        "safe to repeat, so refused: {error:?}"
+    );
     assert!(upstream.called().await.time_left() <= 150);
     until("nothing is left", || upstream.held() == 0).await;
 }
@@ -127,31 +157,41 @@
 async fn hyper_utils_client_and_hypers_server_around_the_plug_in() {
     use woadstall_standin::http1::{Act, Upstream, full, ok};
     let count = std::sync::atomic::AtomicUsize::new(0);
-    let upstream =
-        Upstream::start(move |request| match count.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 2 {
+    let upstream = Upstream::start(move |request| {
+        match count.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 2 {
             0 => Act::Answer(full()),
             _ => Act::Answer(ok(&String::from_utf8(request.body.clone()).unwrap())),
-        });
+        }
+    });
     let builder = builder(&settings(|_| {})).protocol(Protocol::Http1);
-    let balance = builder.known(in_service(&[upstream.address])).build().unwrap();
+    let balance = builder
+        .known(in_service(&[upstream.address]))
+        .build()
+        .unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((tcp, _)) = listener.accept().await {
             let service = hyper_util::service::TowerToHyperService::new(balance.clone());
-            let serving =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(tcp), service);
+            let serving = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(tcp), service);
             tokio::spawn(serving);
         }
     });
     let client = hyper_util::client::legacy::Client::builder(TokioExecutor::new()).build_http();
     for number in 0..10 {
         let body = Full::new(Bytes::from(format!("reading {number}")));
-        let request = Request::post(format!("http://{address}/post")).body(body).unwrap();
+        let request = Request::post(format!("http://{address}/post"))
+            .body(body)
+            .unwrap();
         let answer = client.request(request).await.unwrap();
         assert_eq!(answer.status(), 200);
         let body = answer.into_body().collect().await.unwrap().to_bytes();
-        assert_eq!(body, format!("reading {number}"), "each caller has its own answer");
+        assert_eq!(
+            body,
+            format!("reading {number}"),
+            "each caller has its own answer"
+        );
     }
     assert_eq!(
         upstream.requests(),
--- a/crates/rig/src/agents.rs
+++ b/crates/rig/src/agents.rs
@@ -39,7 +39,10 @@
 impl Turns {
     /// Nobody has asked yet.
     pub fn new(asked: Asked) -> Self {
-        Self { asked, free: Mutex::new(Instant::now()) }
+        Self {
+            asked,
+            free: Mutex::new(Instant::now()),
+        }
     }
 
     /// Waits for a turn; `false` if that would take too long.
@@ -82,7 +85,10 @@
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let told = watch::Sender::new(Told { rev: 1, targets: Arc::new(first) });
+        let told = watch::Sender::new(Told {
+            rev: 1,
+            targets: Arc::new(first),
+        });
         let silent = watch::Sender::new(false);
         let (hears, speaks) = (told.subscribe(), silent.subscribe());
         let reads = Arc::new(AtomicU64::new(0));
@@ -116,15 +122,28 @@
     pub fn tell(&self, rev: u64, targets: Vec<Value>, padron: &Padron) -> Instant {
         let mut lag = self.lag.lock().unwrap_or_else(PoisonError::into_inner);
         let late = padron.delay.0 as f64 + padron.jitter.0 as f64 * lag.0.random::<f64>();
-        let due = lag.1.max(Instant::now() + Duration::from_nanos(late as u64));
+        let due = lag
+            .1
+            .max(Instant::now() + Duration::from_nanos(late as u64));
         lag.1 = due;
-        self.words.send((due, Told { rev, targets: Arc::new(targets) })).ok();
+        self.words
+            .send((
+                due,
+                Told {
+                    rev,
+                    targets: Arc::new(targets),
+                },
+            ))
+            .ok();
         due
     }
 
     /// It begins anew with a list from before; what came since has to be told to it once more.
     pub fn begin(&self, rev: u64, targets: Vec<Value>) {
-        self.told.send_replace(Told { rev, targets: Arc::new(targets) });
+        self.told.send_replace(Told {
+            rev,
+            targets: Arc::new(targets),
+        });
     }
 
     /// How often it was asked, watches that found nothing included.
@@ -154,11 +173,15 @@
     }
     let query = |name: &str| {
         let pairs = request.uri().query().unwrap_or_default().split('&');
-        pairs.filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, value)| value)
+        pairs
+            .filter_map(|pair| pair.split_once('='))
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| value)
     };
     let after = query("after").and_then(|after| after.parse::<u64>().ok());
-    let wait =
-        query("wait_ms").and_then(|wait| wait.parse().ok()).map_or(Duration::ZERO, Duration::from_millis);
+    let wait = query("wait_ms")
+        .and_then(|wait| wait.parse().ok())
+        .map_or(Duration::ZERO, Duration::from_millis);
     if let (Some(turns), None) = (turns, after)
         && !turns.take().await
     {
--- a/crates/rig/src/balancers.rs
+++ b/crates/rig/src/balancers.rs
@@ -68,7 +68,11 @@
     let [_, _, high, low] = number.to_be_bytes();
     // Several runs on one machine have different ones, so that a free port stays free until it is taken.
     let run = 80 + (std::process::id() % 170) as u8;
-    free(IpAddr::V4(Ipv4Addr::new(127, run, high, low.wrapping_add(1))), Port::Calls).await
+    free(
+        IpAddr::V4(Ipv4Addr::new(127, run, high, low.wrapping_add(1))),
+        Port::Calls,
+    )
+    .await
 }
 
 /// A free port at an address.
@@ -95,9 +99,23 @@
         ways: Vec<SocketAddr>,
         ahead_ms: i64,
     ) -> Self {
-        let (wanted, starts, peak_kb) = (AtomicBool::new(false), AtomicU32::new(0), AtomicU64::new(0));
+        let (wanted, starts, peak_kb) =
+            (AtomicBool::new(false), AtomicU32::new(0), AtomicU64::new(0));
         let admin = None;
-        Self { place, beside, door, process, agent, agent_at, ways, ahead_ms, admin, wanted, starts, peak_kb }
+        Self {
+            place,
+            beside,
+            door,
+            process,
+            agent,
+            agent_at,
+            ways,
+            ahead_ms,
+            admin,
+            wanted,
+            starts,
+            peak_kb,
+        }
     }
 
     /// Starts its process with a list that it knows, and returns once it serves.
@@ -119,13 +137,19 @@
         let told = std::fs::write(self.process.config(), config.to_string());
         told.map_err(|error| format!("{name}: {error}"))?;
         self.wanted.store(true, Ordering::Relaxed);
-        self.process.start(keeper).await.map_err(|error| format!("{name}: {error}"))?;
-        let client =
-            Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(HttpConnector::new());
+        self.process
+            .start(keeper)
+            .await
+            .map_err(|error| format!("{name}: {error}"))?;
+        let client = Client::builder(TokioExecutor::new())
+            .pool_max_idle_per_host(0)
+            .build(HttpConnector::new());
         let began = Instant::now();
         loop {
             let uri = format!("http://{}/healthz", self.place.listen);
-            let request = Request::get(uri).body(Empty::<Bytes>::new()).map_err(|error| error.to_string())?;
+            let request = Request::get(uri)
+                .body(Empty::<Bytes>::new())
+                .map_err(|error| error.to_string())?;
             if matches!(timeout(READY, client.request(request)).await, Ok(Ok(_))) {
                 break;
             }
@@ -136,7 +160,11 @@
                 return Err(format!("{name} did not start ({status}): {}", self.said()));
             }
             if began.elapsed() > READY {
-                return Err(format!("{name} does not serve after {} s: {}", READY.as_secs(), self.said()));
+                return Err(format!(
+                    "{name} does not serve after {} s: {}",
+                    READY.as_secs(),
+                    self.said()
+                ));
             }
             sleep(Duration::from_millis(10)).await;
         }
@@ -175,18 +203,30 @@
 
     /// Its process stands still, or goes on.
     pub fn stand_still(&self, still: bool) {
-        self.process.signal(if still { Signal::SIGSTOP } else { Signal::SIGCONT });
+        self.process.signal(if still {
+            Signal::SIGSTOP
+        } else {
+            Signal::SIGCONT
+        });
     }
 
     /// Whether its process is gone though nobody ended it.
     pub fn has_crashed(&self) -> Option<String> {
-        let status = self.process.ended().filter(|_| self.wanted.load(Ordering::Relaxed))?;
-        Some(format!("{} ended by itself ({status}): {}", self.process.name, self.said()))
+        let status = self
+            .process
+            .ended()
+            .filter(|_| self.wanted.load(Ordering::Relaxed))?;
+        Some(format!(
+            "{} ended by itself ({status}): {}",
+            self.process.name,
+            self.said()
+        ))
     }
 
     /// Notes how much memory it has.
     pub fn look(&self) {
-        self.peak_kb.fetch_max(self.process.peak_kb().unwrap_or(0), Ordering::Relaxed);
+        self.peak_kb
+            .fetch_max(self.process.peak_kb().unwrap_or(0), Ordering::Relaxed);
     }
 
     /// The most memory that a process of it was seen to have, in kB.
--- a/crates/rig/src/faults.rs
+++ b/crates/rig/src/faults.rs
@@ -37,7 +37,11 @@
                 let fleet = self.clone();
                 coming.spawn(async move {
                     sleep(TOPPLED).await;
-                    if fleet.is_held_down(nodo) { Ok(()) } else { fleet.boot_nodo(nodo).await }
+                    if fleet.is_held_down(nodo) {
+                        Ok(())
+                    } else {
+                        fleet.boot_nodo(nodo).await
+                    }
                 });
             }
             while let Some(ended) = coming.try_join_next() {
@@ -58,7 +62,11 @@
     /// What a fault hits: the lab's draws from among the same.
     fn hit(&self, at: usize) -> Hit {
         let fault = &self.scenario.fault[at];
-        let tier = fault.tier.as_ref().and_then(|name| self.scenario.tier(name)).unwrap_or(0);
+        let tier = fault
+            .tier
+            .as_ref()
+            .and_then(|name| self.scenario.tier(name))
+            .unwrap_or(0);
         let zone = self.scenario.zone(&fault.zone).unwrap_or(None);
         let is_there = |other: u8| zone.is_none_or(|zone| zone == other);
         let can_be = |nodo: &u32| {
@@ -73,7 +81,10 @@
             .collect();
         let mut rng = stream(self.seed, Actor::Fault, fault.place.unwrap_or(at as u32));
         let nodos = sample(&mut rng, &nodos, fault.part);
-        Hit { nodos, balancers: sample(&mut rng, &balancers, fault.part) }
+        Hit {
+            nodos,
+            balancers: sample(&mut rng, &balancers, fault.part),
+        }
     }
 
     async fn fault(self: Arc<Self>, at: usize) -> Result<(), String> {
@@ -86,14 +97,18 @@
             What::Kill { .. } => self.killed(&fault, at, hit).await,
             What::PowerLoss { stale, over, files } => {
                 let (stale, over) = (Duration::from_nanos(stale.0), Duration::from_nanos(over.0));
-                self.without_power(&fault, at, hit, (stale, over, *files)).await
+                self.without_power(&fault, at, hit, (stale, over, *files))
+                    .await
             }
             What::Roll => self.rolled(&fault, hit).await,
             What::Restart { stale, files } => {
-                hit.balancers.iter().for_each(|&balancer| self.kill_balancer(balancer));
+                hit.balancers
+                    .iter()
+                    .for_each(|&balancer| self.kill_balancer(balancer));
                 self.spoil_files(&hit.balancers, *files)?;
                 self.script.end_of(&fault).await;
-                self.start_balancers(&hit.balancers, Duration::from_nanos(stale.0)).await
+                self.start_balancers(&hit.balancers, Duration::from_nanos(stale.0))
+                    .await
             }
             What::RollBalancers => self.rolled_balancers(&fault, hit).await,
             What::Stall => {
@@ -103,9 +118,13 @@
                 Ok(())
             }
             What::Stop => {
-                hit.nodos.iter().for_each(|&nodo| self.nodos[nodo as usize].stop(true));
+                hit.nodos
+                    .iter()
+                    .for_each(|&nodo| self.nodos[nodo as usize].stop(true));
                 self.script.end_of(&fault).await;
-                hit.nodos.iter().for_each(|&nodo| self.nodos[nodo as usize].stop(false));
+                hit.nodos
+                    .iter()
+                    .for_each(|&nodo| self.nodos[nodo as usize].stop(false));
                 Ok(())
             }
             What::PadronSilent => {
@@ -116,7 +135,10 @@
             }
             What::PadronWrong => {
                 let listed = |state| {
-                    let listed = hit.nodos.iter().filter(|&&nodo| self.nodos[nodo as usize].is_alive());
+                    let listed = hit
+                        .nodos
+                        .iter()
+                        .filter(|&&nodo| self.nodos[nodo as usize].is_alive());
                     listed.for_each(|&nodo| self.list(nodo, state));
                 };
                 listed("gone");
@@ -132,9 +154,13 @@
                 Ok(())
             }
             what => {
-                hit.nodos.iter().for_each(|&nodo| self.nodos[nodo as usize].ail(what, true));
+                hit.nodos
+                    .iter()
+                    .for_each(|&nodo| self.nodos[nodo as usize].ail(what, true));
                 self.script.end_of(&fault).await;
-                hit.nodos.iter().for_each(|&nodo| self.nodos[nodo as usize].ail(what, false));
+                hit.nodos
+                    .iter()
+                    .for_each(|&nodo| self.nodos[nodo as usize].ail(what, false));
                 Ok(())
             }
         }
@@ -160,7 +186,9 @@
         (stale, over, files): (Duration, Duration, Files),
     ) -> Result<(), String> {
         // One instant: signals first, and nothing that takes time between them.
-        hit.balancers.iter().for_each(|&balancer| self.kill_balancer(balancer));
+        hit.balancers
+            .iter()
+            .for_each(|&balancer| self.kill_balancer(balancer));
         hit.nodos.iter().for_each(|&nodo| self.kill_nodo(nodo));
         self.darken(&hit, true);
         self.spoil_files(&hit.balancers, files)?;
@@ -175,7 +203,9 @@
         // Power is back for all at one time: nodos do not wait until the balancers are up, which may take long.
         let nodos = async {
             for (turn, &nodo) in hit.nodos.iter().enumerate() {
-                self.script.wait(until + over.as_nanos() as u64 * turn as u64 / hit.nodos.len() as u64).await;
+                self.script
+                    .wait(until + over.as_nanos() as u64 * turn as u64 / hit.nodos.len() as u64)
+                    .await;
                 self.boot_nodo(nodo).await?;
             }
             Ok(())
@@ -197,9 +227,13 @@
     fn spoil_files(&self, balancers: &[u32], files: Files) -> Result<(), String> {
         for &number in balancers {
             let next = (number as usize + 1) % self.balancers.len();
-            let (process, stranger) =
-                (&self.balancers[number as usize].process, &self.balancers[next].process);
-            process.spoil_files(files, stranger).map_err(|error| format!("{}: {error}", process.name))?;
+            let (process, stranger) = (
+                &self.balancers[number as usize].process,
+                &self.balancers[next].process,
+            );
+            process
+                .spoil_files(files, stranger)
+                .map_err(|error| format!("{}: {error}", process.name))?;
         }
         Ok(())
     }
@@ -207,7 +241,10 @@
     async fn rolled(self: Arc<Self>, fault: &Fault, hit: Hit) -> Result<(), String> {
         let mut each = JoinSet::new();
         for (turn, &nodo) in hit.nodos.iter().enumerate() {
-            let (fleet, begins) = (self.clone(), self.script.turn(fault, 2, turn, hit.nodos.len()));
+            let (fleet, begins) = (
+                self.clone(),
+                self.script.turn(fault, 2, turn, hit.nodos.len()),
+            );
             each.spawn(async move {
                 fleet.script.wait(begins).await;
                 fleet.list(nodo, "terminating");
@@ -223,7 +260,10 @@
     async fn rolled_balancers(self: Arc<Self>, fault: &Fault, hit: Hit) -> Result<(), String> {
         let mut each = JoinSet::new();
         for (turn, &number) in hit.balancers.iter().enumerate() {
-            let (fleet, begins) = (self.clone(), self.script.turn(fault, 1, turn, hit.balancers.len()));
+            let (fleet, begins) = (
+                self.clone(),
+                self.script.turn(fault, 1, turn, hit.balancers.len()),
+            );
             each.spawn(async move {
                 fleet.script.wait(begins).await;
                 let longest = Duration::from_nanos(fleet.scenario.longest().0);
@@ -240,7 +280,9 @@
             let balancer = &self.balancers[balancer as usize];
             self.judge.stands_still(balancer.door.address, still);
             balancer.stand_still(still);
-            self.mates.iter().for_each(|mates| mates.stands_still(balancer.place.number, still));
+            self.mates
+                .iter()
+                .for_each(|mates| mates.stands_still(balancer.place.number, still));
         }
     }
 }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -106,13 +106,21 @@
             _proxies: Vec::new(),
         };
         for place in fleet.places() {
-            let added = fleet.add(place, &targets, turns.clone(), &mut proxies).await;
+            let added = fleet
+                .add(place, &targets, turns.clone(), &mut proxies)
+                .await;
             fleet.balancers.push(Arc::new(added?));
         }
         fleet._proxies = proxies;
         if let Some(members) = &fleet.scenario.members {
             let zones = &fleet.scenario.zones;
-            let mates = Mates::new(members, (&fleet.fabric, &fleet.balancers), (seed, start), zones).await;
+            let mates = Mates::new(
+                members,
+                (&fleet.fabric, &fleet.balancers),
+                (seed, start),
+                zones,
+            )
+            .await;
             fleet.mates = Some(mates.map_err(|error| format!("members: {error}"))?);
         }
         fleet.link_tiers();
@@ -131,7 +139,9 @@
                 places.extend((0..tier.balancers).map(alone));
                 continue;
             }
-            let Some(above) = scenario.caller_of(at) else { continue };
+            let Some(above) = scenario.caller_of(at) else {
+                continue;
+            };
             let beside = |host: u32| (at, self.nodos[host as usize].listing().zone, Some(host));
             places.extend(self.of_tier(above).map(beside));
         }
@@ -151,13 +161,22 @@
         let listen = address(number).await.map_err(failed)?;
         let mut ways = Vec::new();
         for host in self.of_tier(tier) {
-            let way = self.fabric.tcp(me, ways::nodo(host), targets[host as usize]).await;
+            let way = self
+                .fabric
+                .tcp(me, ways::nodo(host), targets[host as usize])
+                .await;
             ways.push(way.map_err(failed)?);
         }
         let ahead_ms = self.ahead_ms(number);
         let first = self.entries(tier, &ways, ahead_ms, &self.listings());
-        let agent = Agent::start(number, self.seed, first, turns).await.map_err(failed)?;
-        let agent_at = self.fabric.tcp(me, mine, agent.address).await.map_err(failed)?;
+        let agent = Agent::start(number, self.seed, first, turns)
+            .await
+            .map_err(failed)?;
+        let agent_at = self
+            .fabric
+            .tcp(me, mine, agent.address)
+            .await
+            .map_err(failed)?;
         // What stands beside a nodo is called by it alone, without a network between.
         let door = match beside {
             Some(_) => listen,
@@ -168,15 +187,31 @@
                     target = proxy.address;
                     proxies.push(proxy);
                 }
-                self.fabric.tcp(ways::callers(zone), me, target).await.map_err(failed)?
+                self.fabric
+                    .tcp(ways::callers(zone), me, target)
+                    .await
+                    .map_err(failed)?
             }
         };
         let door = Door::new(door, zone);
         door.open.store(false, Ordering::Relaxed);
         let name = format!("balancer-{number:03}");
         let process = Process::new(&self.keeper, name).map_err(failed)?;
-        let place = Place { tier, zone, number, listen };
-        let mut added = Balancer::new(place, beside, door, process, (agent, agent_at), ways, ahead_ms);
+        let place = Place {
+            tier,
+            zone,
+            number,
+            listen,
+        };
+        let mut added = Balancer::new(
+            place,
+            beside,
+            door,
+            process,
+            (agent, agent_at),
+            ways,
+            ahead_ms,
+        );
         if self.scenario.members.is_some() {
             added.admin = Some(free(listen.ip(), Port::Operators).await.map_err(failed)?);
         }
@@ -187,29 +222,45 @@
     fn ahead_ms(&self, number: u32) -> i64 {
         let offset = self.scenario.clocks.offset.0 as i64;
         let mut clock = stream(self.seed, Actor::Balancer, number);
-        if offset > 0 { clock.random_range(-offset..=offset) / 1_000_000 } else { 0 }
+        if offset > 0 {
+            clock.random_range(-offset..=offset) / 1_000_000
+        } else {
+            0
+        }
     }
 
     /// Nodos that call a next tier learn by whom.
     fn link_tiers(&self) {
         for (at, tier) in self.scenario.tier.iter().enumerate() {
             let Some(calls) = &tier.calls else { continue };
-            let Some(next) = self.scenario.tier(&calls.tier) else { continue };
-            let senders = || self.balancers.iter().filter(|balancer| balancer.place.tier == next);
+            let Some(next) = self.scenario.tier(&calls.tier) else {
+                continue;
+            };
+            let senders = || {
+                self.balancers
+                    .iter()
+                    .filter(|balancer| balancer.place.tier == next)
+            };
             for host in self.bounds[at]..self.bounds[at + 1] {
                 let own = senders().find(|balancer| balancer.beside == Some(host as u32));
                 let doors = match own {
                     Some(own) => vec![own.door.clone()],
                     None => senders().map(|balancer| balancer.door.clone()).collect(),
                 };
-                self.nodos[host].calls(Next { mean: calls.mean, doors });
+                self.nodos[host].calls(Next {
+                    mean: calls.mean,
+                    doors,
+                });
             }
         }
     }
 
     /// Where callers call.
     pub fn doors(&self) -> Vec<Door> {
-        let first = self.balancers.iter().filter(|balancer| balancer.place.tier == 0);
+        let first = self
+            .balancers
+            .iter()
+            .filter(|balancer| balancer.place.tier == 0);
         first.map(|balancer| balancer.door.clone()).collect()
     }
 
@@ -218,7 +269,9 @@
         let in_force = lock(&self.in_force);
         let faults = || self.faults(&in_force, |hit| &hit.nodos);
         for balancer in &self.balancers {
-            let Place { tier, zone, number, .. } = balancer.place;
+            let Place {
+                tier, zone, number, ..
+            } = balancer.place;
             for host in self.bounds[tier]..self.bounds[tier + 1] {
                 let (me, other) = (ways::balancer(number), ways::nodo(host as u32));
                 let ends = |there| Ends {
@@ -227,12 +280,16 @@
                     host: host as u32,
                     there,
                 };
-                self.fabric.set(me, other, between(&self.scenario, ends(true), faults()));
-                self.fabric.set(other, me, between(&self.scenario, ends(false), faults()));
+                self.fabric
+                    .set(me, other, between(&self.scenario, ends(true), faults()));
+                self.fabric
+                    .set(other, me, between(&self.scenario, ends(false), faults()));
             }
         }
         if let Some(mates) = &self.mates {
-            mates.set_ways(&self.fabric, &self.scenario, |from, to| self.among(&in_force, from, to));
+            mates.set_ways(&self.fabric, &self.scenario, |from, to| {
+                self.among(&in_force, from, to)
+            });
         }
     }
 
@@ -250,7 +307,8 @@
     pub fn among(&self, in_force: &[Option<Hit>], from: usize, to: usize) -> Among {
         let end = |of: usize| (of as u32, self.balancers[of].place.zone);
         let faults = self.faults(in_force, |hit| &hit.balancers);
-        self.scenario.among(end(from), end(to), self.balancers.len(), faults)
+        self.scenario
+            .among(end(from), end(to), self.balancers.len(), faults)
     }
 
     /// The list as a balancer is to find it.
@@ -259,7 +317,13 @@
     }
 
     /// The nodos of a tier as one finds them at some addresses, whose clock is ahead by so much.
-    fn entries(&self, tier: usize, ways: &[SocketAddr], ahead_ms: i64, list: &[Listing]) -> Vec<Value> {
+    fn entries(
+        &self,
+        tier: usize,
+        ways: &[SocketAddr],
+        ahead_ms: i64,
+        list: &[Listing],
+    ) -> Vec<Value> {
         let mine = &list[self.bounds[tier]..self.bounds[tier + 1]];
         let entry = |(listing, at): (&Listing, &SocketAddr)| {
             listing.seen_from(ahead_ms).entry(&self.scenario.zones, *at)
@@ -282,10 +346,17 @@
         // Those of the first half stand in all zones.
         let half = self.balancers.len() as u32 / 2;
         let deaf = |number: u32| self.sabotage == Some(Sabotage::Deaf) && number < half;
-        let due = self.balancers.iter().map(|balancer| match deaf(balancer.place.number) {
-            true => Instant::now(),
-            false => balancer.agent.tell(rev, self.list_for(balancer, &list), &self.scenario.padron),
-        });
+        let due = self
+            .balancers
+            .iter()
+            .map(|balancer| match deaf(balancer.place.number) {
+                true => Instant::now(),
+                false => {
+                    balancer
+                        .agent
+                        .tell(rev, self.list_for(balancer, &list), &self.scenario.padron)
+                }
+            });
         due.max().unwrap_or_else(Instant::now)
     }
 
@@ -304,7 +375,9 @@
     pub fn silence(&self, silent: bool) {
         let mut count = lock(&self.silent);
         *count = if silent { *count + 1 } else { *count - 1 };
-        self.balancers.iter().for_each(|balancer| balancer.agent.silence(*count > 0));
+        self.balancers
+            .iter()
+            .for_each(|balancer| balancer.agent.silence(*count > 0));
         for nodo in self.nodos.iter().filter(|_| *count == 0) {
             if nodo.listing().state == "terminating" {
                 nodo.list("terminating", Some(Instant::now()));
@@ -316,7 +389,8 @@
     pub fn kill_nodo(&self, nodo: u32) {
         self.fabric.set_up(ways::nodo(nodo), false);
         self.nodos[nodo as usize].kill();
-        self.beside(nodo).for_each(|balancer| self.kill_balancer(balancer.place.number));
+        self.beside(nodo)
+            .for_each(|balancer| self.kill_balancer(balancer.place.number));
     }
 
     /// A nodo's process is started anew, and that of a balancer beside it.
@@ -324,12 +398,17 @@
         self.nodos[nodo as usize].clone().boot().await;
         self.fabric.set_up(ways::nodo(nodo), true);
         self.list(nodo, "in_service");
-        let beside: Vec<u32> = self.beside(nodo).map(|balancer| balancer.place.number).collect();
+        let beside: Vec<u32> = self
+            .beside(nodo)
+            .map(|balancer| balancer.place.number)
+            .collect();
         self.start_balancers(&beside, Duration::ZERO).await
     }
 
     fn beside(&self, nodo: u32) -> impl Iterator<Item = &Arc<Balancer>> {
-        self.balancers.iter().filter(move |balancer| balancer.beside == Some(nodo))
+        self.balancers
+            .iter()
+            .filter(move |balancer| balancer.beside == Some(nodo))
     }
 
     /// A balancer's process is killed.
@@ -351,12 +430,19 @@
 
     /// Starts balancers that do not run, all at once, with the list that there was so long ago.
     pub async fn start_balancers(&self, numbers: &[u32], stale: Duration) -> Result<(), String> {
-        let then = Instant::now().checked_sub(stale).unwrap_or(self.script.start);
+        let then = Instant::now()
+            .checked_sub(stale)
+            .unwrap_or(self.script.start);
         let ((rev, list), (last_rev, last)) = {
             let history = lock(&self.history);
-            let at = history.partition_point(|(since, _)| *since <= then).saturating_sub(1);
+            let at = history
+                .partition_point(|(since, _)| *since <= then)
+                .saturating_sub(1);
             let last = history.len() - 1;
-            ((at as u64 + 1, history[at].1.clone()), (last as u64 + 1, history[last].1.clone()))
+            (
+                (at as u64 + 1, history[at].1.clone()),
+                (last as u64 + 1, history[last].1.clone()),
+            )
         };
         let (mut starting, mut told) = (JoinSet::new(), Instant::now());
         for &number in numbers {
@@ -380,7 +466,11 @@
             starting.spawn(async move { balancer.start(&keeper, &scenario, seed, &known).await });
         }
         // A process that has not heard its list has not been told of drains.
-        for nodo in self.nodos.iter().filter(|nodo| nodo.listing().state == "terminating") {
+        for nodo in self
+            .nodos
+            .iter()
+            .filter(|nodo| nodo.listing().state == "terminating")
+        {
             nodo.told_no_sooner(told + HEARS);
         }
         all_end(starting).await
@@ -389,8 +479,15 @@
     /// What the nodos of each tier can do at present, in workers of sound warm ones, and the attempts that each
     /// nodo got since the last look.
     pub fn look(&self) -> (Vec<f64>, Vec<u32>) {
-        let (speeds, attempts): (Vec<f64>, Vec<u32>) = self.nodos.iter().map(|nodo| nodo.look()).unzip();
-        (self.bounds.windows(2).map(|tier| speeds[tier[0]..tier[1]].iter().sum()).collect(), attempts)
+        let (speeds, attempts): (Vec<f64>, Vec<u32>) =
+            self.nodos.iter().map(|nodo| nodo.look()).unzip();
+        (
+            self.bounds
+                .windows(2)
+                .map(|tier| speeds[tier[0]..tier[1]].iter().sum())
+                .collect(),
+            attempts,
+        )
     }
 
     /// The nodos of a tier.
@@ -402,12 +499,18 @@
     pub fn up(&self) -> (u64, u64) {
         let open = |balancer: &&Arc<Balancer>| balancer.door.open.load(Ordering::Relaxed);
         let balancers = self.balancers.iter().filter(open).count();
-        (balancers as u64, self.nodos.iter().filter(|nodo| nodo.is_alive()).count() as u64)
+        (
+            balancers as u64,
+            self.nodos.iter().filter(|nodo| nodo.is_alive()).count() as u64,
+        )
     }
 
     /// Whether a fault is one of the ways between balancers and nodos.
     pub fn is_of_ways(what: &What) -> bool {
-        matches!(what, What::CutTo | What::CutFrom | What::SlowLink(_) | What::Link(_) | What::Between(_))
+        matches!(
+            what,
+            What::CutTo | What::CutFrom | What::SlowLink(_) | What::Link(_) | What::Between(_)
+        )
     }
 }
 
@@ -421,7 +524,9 @@
     for nodo in nodos {
         let mut address = nodo.address;
         if let Some(kind) = sabotage.filter(|kind| kind.is_before_nodos()) {
-            let proxy = Proxy::start(kind, address).await.map_err(|error| error.to_string())?;
+            let proxy = Proxy::start(kind, address)
+                .await
+                .map_err(|error| error.to_string())?;
             address = proxy.address;
             proxies.push(proxy);
         }
--- a/crates/rig/src/keeper.rs
+++ b/crates/rig/src/keeper.rs
@@ -45,19 +45,32 @@
     pub fn new(launcher: &Path, program: &Path, limits: Limits) -> io::Result<Self> {
         let folder = tempfile::Builder::new().prefix(FOLDER).tempdir()?;
         let file = File::create(folder.path().join(LOCK))?;
-        let held = Flock::lock(file, FlockArg::LockExclusiveNonblock).map_err(|(_, error)| error)?;
+        let held =
+            Flock::lock(file, FlockArg::LockExclusiveNonblock).map_err(|(_, error)| error)?;
         let ledger = Mutex::new(File::create(folder.path().join(LEDGER))?);
         // A child is told of the death of the thread that started it, so one thread starts them all and waits.
         let (orders, taken) = mpsc::channel::<Order>();
-        let thread = std::thread::Builder::new().name("keeper".into()).spawn(move || {
-            for (mut command, tell) in taken {
-                tell.send(command.spawn()).ok();
-            }
-        })?;
+        let thread = std::thread::Builder::new()
+            .name("keeper".into())
+            .spawn(move || {
+                for (mut command, tell) in taken {
+                    tell.send(command.spawn()).ok();
+                }
+            })?;
         let (launcher, program) = (launcher.to_owned(), program.to_owned());
         let (orders, thread) = (Some(orders), Some(thread));
         let (path, folder) = (folder.path().to_owned(), Mutex::new(folder));
-        Ok(Self { _lock: held, ledger, launcher, program, limits, orders, thread, path, folder })
+        Ok(Self {
+            _lock: held,
+            ledger,
+            launcher,
+            program,
+            limits,
+            orders,
+            thread,
+            path,
+            folder,
+        })
     }
 
     /// The folder of the run.
@@ -71,11 +84,23 @@
     }
 
     async fn start(&self, process: &Process) -> io::Result<Child> {
-        let log = OpenOptions::new().create(true).append(true).open(process.log())?;
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(process.log())?;
         let mut command = Command::new(&self.launcher);
-        let limits = [self.limits.sockets.to_string(), self.limits.memory_mb.to_string()];
+        let limits = [
+            self.limits.sockets.to_string(),
+            self.limits.memory_mb.to_string(),
+        ];
         command
-            .args(["launch", "--parent", &std::process::id().to_string(), "--sockets", &limits[0]])
+            .args([
+                "launch",
+                "--parent",
+                &std::process::id().to_string(),
+                "--sockets",
+                &limits[0],
+            ])
             .args(["--memory-mb", &limits[1]])
             .arg(&self.program)
             .env_clear()
@@ -90,10 +115,19 @@
             .stderr(log);
         let (tell, told) = oneshot::channel();
         let gone = || io::Error::from(io::ErrorKind::BrokenPipe);
-        self.orders.as_ref().ok_or_else(gone)?.send((command, tell)).map_err(|_| gone())?;
+        self.orders
+            .as_ref()
+            .ok_or_else(gone)?
+            .send((command, tell))
+            .map_err(|_| gone())?;
         let child = told.await.map_err(|_| gone())??;
         let started = started(child.id() as i32).unwrap_or(0);
-        writeln!(lock(&self.ledger), "{} {started} {}", child.id(), process.name)?;
+        writeln!(
+            lock(&self.ledger),
+            "{} {started} {}",
+            child.id(),
+            process.name
+        )?;
         Ok(child)
     }
 }
@@ -119,7 +153,11 @@
     pub fn new(keeper: &Keeper, name: String) -> io::Result<Self> {
         let folder = keeper.folder().join(&name);
         std::fs::create_dir(&folder)?;
-        Ok(Self { name, folder, child: Mutex::default() })
+        Ok(Self {
+            name,
+            folder,
+            child: Mutex::default(),
+        })
     }
 
     /// Its configuration.
@@ -142,7 +180,8 @@
         let all = std::fs::read_dir(&self.folder)?.map(|entry| Ok(entry?.path()));
         let all = all.collect::<io::Result<Vec<PathBuf>>>()?;
         let told = Mates::FILES.map(|name| self.folder.join(name));
-        let own = |path: &PathBuf| *path != self.config() && *path != self.log() && !told.contains(path);
+        let own =
+            |path: &PathBuf| *path != self.config() && *path != self.log() && !told.contains(path);
         Ok(all.into_iter().filter(own).collect())
     }
 
@@ -152,8 +191,9 @@
         let mut others = stranger.files()?.into_iter();
         for path in self.files()? {
             let read = std::fs::read(&path).unwrap_or_default();
-            let replace =
-                |with: &[u8]| std::fs::remove_file(&path).and_then(|()| std::fs::write(&path, with));
+            let replace = |with: &[u8]| {
+                std::fs::remove_file(&path).and_then(|()| std::fs::write(&path, with))
+            };
             match how {
                 Files::Kept => {}
                 _ if path.is_dir() => std::fs::remove_dir_all(&path)?,
@@ -185,8 +225,13 @@
     /// Its number, while it runs.
     pub fn pid(&self) -> Option<i32> {
         let mut child = lock(&self.child);
-        let running = child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)));
-        child.as_ref().filter(|_| running).map(|child| child.id() as i32)
+        let running = child
+            .as_mut()
+            .is_some_and(|child| matches!(child.try_wait(), Ok(None)));
+        child
+            .as_ref()
+            .filter(|_| running)
+            .map(|child| child.id() as i32)
     }
 
     /// Sends it a signal, if it runs.
@@ -206,21 +251,32 @@
 
     /// How it ended, if it has ended by itself.
     pub fn ended(&self) -> Option<ExitStatus> {
-        lock(&self.child).as_mut().and_then(|child| child.try_wait().ok().flatten())
+        lock(&self.child)
+            .as_mut()
+            .and_then(|child| child.try_wait().ok().flatten())
     }
 
     /// What it has said since a place in its log, by the first word of each line; moves the place on.
     pub fn said_since(&self, place: &mut u64) -> BTreeMap<String, u64> {
         let mut topics = BTreeMap::new();
-        let Ok(mut log) = File::open(self.log()) else { return topics };
+        let Ok(mut log) = File::open(self.log()) else {
+            return topics;
+        };
         let mut text = String::new();
-        let read = log.seek(SeekFrom::Start(*place)).and_then(|_| log.read_to_string(&mut text));
+        let read = log
+            .seek(SeekFrom::Start(*place))
+            .and_then(|_| log.read_to_string(&mut text));
         // A line that is not whole yet is read with the next look.
-        let whole = read.ok().and_then(|_| text.rfind('\n')).map_or(0, |end| end + 1);
+        let whole = read
+            .ok()
+            .and_then(|_| text.rfind('\n'))
+            .map_or(0, |end| end + 1);
         *place += whole as u64;
         for line in text[..whole].lines() {
             let line = line.strip_prefix("woadstall: ").unwrap_or(line);
-            *topics.entry(line.split(' ').next().unwrap_or_default().to_owned()).or_default() += 1;
+            *topics
+                .entry(line.split(' ').next().unwrap_or_default().to_owned())
+                .or_default() += 1;
         }
         topics
     }
@@ -245,7 +301,9 @@
     /// The most memory that it has had resident, in kB.
     pub fn peak_kb(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid()?)).ok()?;
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))?;
         line.split_whitespace().next()?.parse().ok()
     }
 }
@@ -279,21 +337,33 @@
     let mut all = Vec::new();
     for entry in std::fs::read_dir(temporary)? {
         let folder = entry?.path();
-        let name = folder.file_name().and_then(|name| name.to_str()).unwrap_or_default();
+        let name = folder
+            .file_name()
+            .and_then(|name| name.to_str())
+            .unwrap_or_default();
         if !name.starts_with(FOLDER) {
             continue;
         }
-        let Ok(file) = File::open(folder.join(LOCK)) else { continue };
-        let Ok(_held) = Flock::lock(file, FlockArg::LockExclusiveNonblock) else { continue };
+        let Ok(file) = File::open(folder.join(LOCK)) else {
+            continue;
+        };
+        let Ok(_held) = Flock::lock(file, FlockArg::LockExclusiveNonblock) else {
+            continue;
+        };
         let ledger = std::fs::read_to_string(folder.join(LEDGER)).unwrap_or_default();
         let mut processes = Vec::new();
         for line in ledger.lines() {
             let mut words = line.split_whitespace();
-            let (Some(pid), Some(at), Some(name)) = (words.next(), words.next(), words.next()) else {
+            let (Some(pid), Some(at), Some(name)) = (words.next(), words.next(), words.next())
+            else {
+                continue;
+            };
+            let (Ok(pid), Ok(at)) = (pid.parse::<i32>(), at.parse::<u64>()) else {
                 continue;
             };
-            let (Ok(pid), Ok(at)) = (pid.parse::<i32>(), at.parse::<u64>()) else { continue };
-            if started(pid) == Some(at) && kill(Pid::from_raw(pid), Signal::SIGKILL) != Err(Errno::ESRCH) {
+            if started(pid) == Some(at)
+                && kill(Pid::from_raw(pid), Signal::SIGKILL) != Err(Errno::ESRCH)
+            {
                 processes.push((pid, name.to_owned()));
             }
         }
--- a/crates/rig/src/launch.rs
+++ b/crates/rig/src/launch.rs
@@ -26,7 +26,11 @@
             return Err(nix::Error::ESRCH); // it died before its death could be told
         }
         setrlimit(Resource::RLIMIT_NOFILE, limits.sockets, limits.sockets)?;
-        setrlimit(Resource::RLIMIT_DATA, limits.memory_mb << 20, limits.memory_mb << 20)?;
+        setrlimit(
+            Resource::RLIMIT_DATA,
+            limits.memory_mb << 20,
+            limits.memory_mb << 20,
+        )?;
         setrlimit(Resource::RLIMIT_CORE, 0, 0)
     };
     match ready() {
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -121,7 +121,11 @@
 fn clean() -> Result<usize, String> {
     let left = leftovers(&std::env::temp_dir()).map_err(|error| error.to_string())?;
     for left in &left {
-        let names: Vec<&str> = left.processes.iter().map(|(_, name)| name.as_str()).collect();
+        let names: Vec<&str> = left
+            .processes
+            .iter()
+            .map(|(_, name)| name.as_str())
+            .collect();
         warn!(folder = %left.folder.display(), ended = names.len(), "an earlier run had left this behind");
     }
     Ok(left.len())
@@ -129,20 +133,39 @@
 
 fn act(command: Command) -> Result<u8, String> {
     match command {
-        Command::Run { scenario, set, seed, program, sabotage, json, plot, out, keep } => {
+        Command::Run {
+            scenario,
+            set,
+            seed,
+            program,
+            sabotage,
+            json,
+            plot,
+            out,
+            keep,
+        } => {
             let set: Set = set.into_iter().collect();
             let (scenario, digest) = Source::read(&scenario)?.with(&set)?;
             check(&scenario)?;
             clean()?;
             let program = program.map_or_else(beside, Ok)?;
-            let program =
-                program.canonicalize().map_err(|error| format!("{}: {error}", program.display()))?;
+            let program = program
+                .canonicalize()
+                .map_err(|error| format!("{}: {error}", program.display()))?;
             let launcher = std::env::current_exe().map_err(|error| error.to_string())?;
-            let options = Options { program, launcher, seed, sabotage, keep, progress: !json };
+            let options = Options {
+                program,
+                launcher,
+                seed,
+                sabotage,
+                keep,
+                progress: !json,
+            };
             let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
             let played = runtime.block_on(async {
                 let end = |kind| signal(kind).map_err(|error| error.to_string());
-                let (mut told, mut asked) = (end(SignalKind::terminate())?, end(SignalKind::interrupt())?);
+                let (mut told, mut asked) =
+                    (end(SignalKind::terminate())?, end(SignalKind::interrupt())?);
                 // What is dropped here ends all processes.
                 tokio::select! {
                     played = play(scenario.clone(), &options) => Ok::<_, String>(Some(played)),
@@ -163,7 +186,13 @@
                 }
                 Some(Ok(played)) => played,
             };
-            let key = Key { scenario: scenario.name.clone(), digest, set, policy: "rig".into(), seed };
+            let key = Key {
+                scenario: scenario.name.clone(),
+                digest,
+                set,
+                policy: "rig".into(),
+                seed,
+            };
             let row = Row::new(key, played.end.clone(), Some(played.lag.clone()));
             match json {
                 true => println!("{}", tell::json(&played, &row)),
@@ -186,18 +215,27 @@
                 (None, kept) => Ok(u8::from(!kept)),
             }
         }
-        Command::Compare { lab, rig, within, plot } => {
+        Command::Compare {
+            lab,
+            rig,
+            within,
+            plot,
+        } => {
             let (lab, rig) = (last(&lab)?, last(&rig)?);
             let distance = tell::compare(&lab, &rig)?;
             println!("{:>8} {:>8} {:>8} {:>8}", "until s", "lab", "rig", "apart");
             for (until, lab, rig) in &distance.steps {
                 println!("{until:>8.0} {lab:>8.3} {rig:>8.3} {:>+8.3}", rig - lab);
             }
-            let ((lab_served, rig_served), (lab_refused, rig_refused)) = (distance.served, distance.refused);
+            let ((lab_served, rig_served), (lab_refused, rig_refused)) =
+                (distance.served, distance.refused);
             println!("served   {lab_served:.3} in the lab, {rig_served:.3} in the rig");
             println!("refused  {lab_refused:.3} in the lab, {rig_refused:.3} in the rig");
             let (until, worst) = distance.worst;
-            println!("apart    {:.3} on average, {worst:.3} in the step until {until:.0} s", distance.mean);
+            println!(
+                "apart    {:.3} on average, {worst:.3} in the step until {until:.0} s",
+                distance.mean
+            );
             if let Some(plot) = plot {
                 report::write(&plot, &report::page(&[lab, rig], &[])?)?;
             }
@@ -216,13 +254,18 @@
             println!("{left} earlier runs had left something behind");
             Ok(0)
         }
-        Command::Launch { parent, sockets, memory_mb, program } => {
-            Err(launch(parent, Limits { sockets, memory_mb }, &program).to_string())
-        }
+        Command::Launch {
+            parent,
+            sockets,
+            memory_mb,
+            program,
+        } => Err(launch(parent, Limits { sockets, memory_mb }, &program).to_string()),
     }
 }
 
 /// The last row of a file.
 fn last(path: &Path) -> Result<Row, String> {
-    rows::read(path)?.pop().ok_or_else(|| format!("{}: no rows", path.display()))
+    rows::read(path)?
+        .pop()
+        .ok_or_else(|| format!("{}: no rows", path.display()))
 }
--- a/crates/rig/src/members.rs
+++ b/crates/rig/src/members.rs
@@ -20,7 +20,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, timeout};
 use woadstall_emulator::{
-    Actor, Among, Evacuated, EvacuatedEnd, Held, Members, MembersEnd, Scenario, Wanted, Witness, stream,
+    Actor, Among, Evacuated, EvacuatedEnd, Held, Members, MembersEnd, Scenario, Wanted, Witness,
+    stream,
 };
 use woadstall_evacuation::Status;
 use woadstall_fabric::{Fabric, Way};
@@ -84,7 +85,15 @@
         let witness = Mutex::new(Witness::new(balancers.len(), of.pauses.0));
         let known = Mutex::new(vec![Known::default(); balancers.len()]);
         let evacuated = Mutex::new(Evacuated::new(zones.to_vec(), balancers.len()));
-        Ok(Self { at, key, witness, evacuated, known, dark: Mutex::default(), began: start })
+        Ok(Self {
+            at,
+            key,
+            witness,
+            evacuated,
+            known,
+            dark: Mutex::default(),
+            began: start,
+        })
     }
 
     fn now(&self) -> u64 {
@@ -93,7 +102,9 @@
 
     /// Writes what a balancer's next process is told of the others.
     pub fn write(&self, scenario: &Scenario, balancer: &Balancer) -> std::io::Result<()> {
-        let Some(of) = &scenario.members else { return Ok(()) };
+        let Some(of) = &scenario.members else {
+            return Ok(());
+        };
         let number = balancer.place.number as usize;
         let (listen, found) = self.at[number];
         let seeds: Vec<String> = self
@@ -150,7 +161,9 @@
     fn leaves(&self, number: usize, status: &Status) {
         let (at, balancer) = (self.now(), number as u32);
         for place in status.places.iter() {
-            let Some(name) = place.name.strip_prefix("zone ") else { continue };
+            let Some(name) = place.name.strip_prefix("zone ") else {
+                continue;
+            };
             lock(&self.evacuated).seen(at, balancer, name, place.share);
         }
     }
@@ -175,7 +188,12 @@
     }
 
     /// Sets the ways among all, as `among` has them from one to another.
-    pub fn set_ways(&self, fabric: &Fabric, scenario: &Scenario, among: impl Fn(usize, usize) -> Among) {
+    pub fn set_ways(
+        &self,
+        fabric: &Fabric,
+        scenario: &Scenario,
+        among: impl Fn(usize, usize) -> Among,
+    ) {
         let dark = lock(&self.dark);
         let size = self.at.len();
         let mut cut = vec![false; size * size];
@@ -185,7 +203,11 @@
                 let (sends, hears) = (from as u32, to as u32);
                 let out = among.cut || dark.contains(&sends) || dark.contains(&hears);
                 let delay = Duration::from_nanos(among.delay);
-                let delay = if delay < ways::LEAST_DELAY { Duration::ZERO } else { delay };
+                let delay = if delay < ways::LEAST_DELAY {
+                    Duration::ZERO
+                } else {
+                    delay
+                };
                 let way = Way {
                     delay,
                     jitter: delay.mul_f64(scenario.network.jitter),
@@ -210,7 +232,9 @@
         known[number].life = Some(report.started_ms);
         known[number].bytes.1 = report.bytes;
         for row in &report.members {
-            let Some(of) = of(&row.name).filter(|of| *of < known.len()) else { continue };
+            let Some(of) = of(&row.name).filter(|of| *of < known.len()) else {
+                continue;
+            };
             // Of one whose process has ended, its last life counts.
             let present = known[of].life.is_none_or(|life| life == row.started_ms);
             let held = match (present, row.state.as_str()) {
@@ -221,7 +245,11 @@
                 _ => Held::Unknown,
             };
             // One that has just begun has not said which life it is: what is held is of the former.
-            let held = if known[of].life.is_none() && witness.is_there(of) { Held::Unknown } else { held };
+            let held = if known[of].life.is_none() && witness.is_there(of) {
+                Held::Unknown
+            } else {
+                held
+            };
             witness.holds(now, number, of, held);
         }
         known[number].last = Some(report);
@@ -233,19 +261,34 @@
         let says = |by: usize, of: usize, to: bool| {
             let rows = known[by].last.iter().flat_map(|report| &report.members);
             let row = rows.into_iter().find(|row| self::of(&row.name) == Some(of));
-            row.is_some_and(|row| if to { row.to == "cut" } else { row.from == "cut" })
+            row.is_some_and(|row| {
+                if to {
+                    row.to == "cut"
+                } else {
+                    row.from == "cut"
+                }
+            })
         };
         let pairs = witness.pairs(|who| known[who].last.is_some()).into_iter();
         witness.ways(
             now,
-            pairs.map(|(from, to)| (is_cut(from, to), says(from, to, true), says(to, from, false))),
+            pairs.map(|(from, to)| {
+                (
+                    is_cut(from, to),
+                    says(from, to, true),
+                    says(to, from, false),
+                )
+            }),
         );
     }
 
     /// All that was seen.
     pub fn end(&self) -> MembersEnd {
         let known = lock(&self.known);
-        let bytes: Vec<u64> = known.iter().map(|known| known.bytes.0 + known.bytes.1).collect();
+        let bytes: Vec<u64> = known
+            .iter()
+            .map(|known| known.bytes.0 + known.bytes.1)
+            .collect();
         let now = self.now();
         lock(&self.witness).clone().end(now, &bytes, now)
     }
@@ -257,7 +300,11 @@
             let ran = balancer.process.thread_ns("instances")?;
             Some(ran as f64 / 1e9 / known.last.as_ref()?.for_s.max(1e-3))
         };
-        balancers.iter().zip(known.iter()).filter_map(part).collect()
+        balancers
+            .iter()
+            .zip(known.iter())
+            .filter_map(part)
+            .collect()
     }
 }
 
@@ -274,9 +321,14 @@
 }
 
 async fn ask<T: DeserializeOwned>(client: Asking, at: SocketAddr, path: &str) -> Option<T> {
-    let request = Request::get(format!("http://{at}{path}")).body(Empty::<Bytes>::new()).ok()?;
+    let request = Request::get(format!("http://{at}{path}"))
+        .body(Empty::<Bytes>::new())
+        .ok()?;
     let answer = client.request(request).await.ok()?;
-    let body = Limited::new(answer.into_body(), MOST_ANSWER).collect().await.ok()?;
+    let body = Limited::new(answer.into_body(), MOST_ANSWER)
+        .collect()
+        .await
+        .ok()?;
     serde_json::from_slice(&body.to_bytes()).ok()
 }
 
@@ -284,10 +336,18 @@
 pub async fn watch(fleet: Arc<Fleet>) {
     let Some(mates) = &fleet.mates else { return };
     let mut at: Vec<u64> = (fleet.scenario.bound.iter())
-        .filter_map(|bound| if let Wanted::CutsNamed { at, .. } = bound.what { Some(at.0) } else { None })
+        .filter_map(|bound| {
+            if let Wanted::CutsNamed { at, .. } = bound.what {
+                Some(at.0)
+            } else {
+                None
+            }
+        })
         .collect();
     at.sort_unstable();
-    let client = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(HttpConnector::new());
+    let client = Client::builder(TokioExecutor::new())
+        .pool_max_idle_per_host(0)
+        .build(HttpConnector::new());
     let (mut look, mut asking) = (interval(LOOK), JoinSet::new());
     loop {
         tokio::select! {
@@ -310,15 +370,30 @@
         if asking.len() > 2 * fleet.balancers.len() {
             continue;
         }
-        for balancer in fleet.balancers.iter().filter(|balancer| balancer.is_to_run()) {
-            let (number, Some(admin)) = (balancer.place.number as usize, balancer.admin) else { continue };
+        for balancer in fleet
+            .balancers
+            .iter()
+            .filter(|balancer| balancer.is_to_run())
+        {
+            let (number, Some(admin)) = (balancer.place.number as usize, balancer.admin) else {
+                continue;
+            };
             let asked = timeout(PATIENCE, ask(client.clone(), admin, "/control/instances"));
             asking.spawn(async move {
-                (number, asked.await.ok().flatten().map(|report| Answered::Members(Box::new(report))))
+                (
+                    number,
+                    asked
+                        .await
+                        .ok()
+                        .flatten()
+                        .map(|report| Answered::Members(Box::new(report))),
+                )
             });
             if fleet.scenario.evacuation.is_some() {
                 let asked = timeout(PATIENCE, ask(client.clone(), admin, "/control/places"));
-                asking.spawn(async move { (number, asked.await.ok().flatten().map(Answered::Places)) });
+                asking.spawn(
+                    async move { (number, asked.await.ok().flatten().map(Answered::Places)) },
+                );
             }
         }
     }
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -95,7 +95,12 @@
             (self.starved, 0.25, "of its time a balancer had no core"),
         ];
         let over = parts.into_iter().find(|(part, most, _)| part > most)?;
-        Some(format!("{:.1}% {}, {:.0}% at most", 100.0 * over.0, over.2, 100.0 * over.1))
+        Some(format!(
+            "{:.1}% {}, {:.0}% at most",
+            100.0 * over.0,
+            over.2,
+            100.0 * over.1
+        ))
     }
 }
 
@@ -118,7 +123,10 @@
 pub async fn play(scenario: Scenario, options: &Options) -> Result<Played, Failure> {
     check(&scenario).map_err(Failure::Wrong)?;
     let scenario = Arc::new(scenario);
-    let limits = Limits { sockets: 4_096 + 64, memory_mb: 512 + BESIDE_MB };
+    let limits = Limits {
+        sockets: 4_096 + 64,
+        memory_mb: 512 + BESIDE_MB,
+    };
     let keeper = Keeper::new(&options.launcher, &options.program, limits);
     let keeper = Arc::new(keeper.map_err(|error| Failure::Wrong(error.to_string()))?);
     let began = Instant::now();
@@ -134,13 +142,29 @@
     let fleet = Arc::new(fleet.await.map_err(Failure::Wrong)?);
     let up_after = began.elapsed();
     if Instant::now() >= start {
-        let text = format!("it took {:.1} s until all processes served", up_after.as_secs_f64());
+        let text = format!(
+            "it took {:.1} s until all processes served",
+            up_after.as_secs_f64()
+        );
         return Err(Failure::TooSlow(text));
     }
     let by = By::Daemons(fleet.doors());
-    let callers = Arc::new(Callers::new(scenario.clone(), judge.clone(), by, options.seed, start));
-    let watch = Watch { scenario: scenario.clone(), fleet: fleet.clone(), callers: callers.clone() };
-    let (ups, crashes) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(Vec::new())));
+    let callers = Arc::new(Callers::new(
+        scenario.clone(),
+        judge.clone(),
+        by,
+        options.seed,
+        start,
+    ));
+    let watch = Watch {
+        scenario: scenario.clone(),
+        fleet: fleet.clone(),
+        callers: callers.clone(),
+    };
+    let (ups, crashes) = (
+        Arc::new(Mutex::new(Vec::new())),
+        Arc::new(Mutex::new(Vec::new())),
+    );
     // Ended with this future, however it ends.
     let mut tasks = tokio::task::JoinSet::new();
     let script = fleet.clone().play();
@@ -159,16 +183,26 @@
     script::last_effects(&scenario).await;
     let length = start.elapsed();
     fleet.balancers.iter().for_each(|balancer| balancer.look());
-    let starved = fleet.balancers.iter().filter_map(|balancer| balancer.process.waited_ns());
+    let starved = fleet
+        .balancers
+        .iter()
+        .filter_map(|balancer| balancer.process.waited_ns());
     let starved = starved.max().unwrap_or(0) as f64 / length.as_nanos() as f64;
-    let members_cores = fleet.mates.iter().flat_map(|mates| mates.cores(&fleet.balancers)).collect();
+    let members_cores = fleet
+        .mates
+        .iter()
+        .flat_map(|mates| mates.cores(&fleet.balancers))
+        .collect();
     tasks.shutdown().await;
     let mut end = callers.end();
     for (step, seen) in end.steps.iter_mut().zip(lock(&ups).drain(..)) {
         (step.up, step.lines) = (Some(seen.up), seen.lines);
     }
     end.members = fleet.mates.as_ref().map(|mates| mates.end());
-    let evacuated = fleet.mates.as_ref().filter(|_| scenario.evacuation.is_some());
+    let evacuated = fleet
+        .mates
+        .as_ref()
+        .filter(|_| scenario.evacuation.is_some());
     end.evacuated = evacuated.map(|mates| mates.evacuated());
     end.bounds = scenario.judge(&end);
     let mut crashes = std::mem::take(&mut *lock(&crashes));
@@ -185,7 +219,10 @@
         balancers: fleet.balancers.len() as u32,
         starts: balancers.clone().map(|balancer| balancer.starts()).sum(),
         crashes,
-        peak_kb: balancers.clone().map(|balancer| balancer.peak_kb()).collect(),
+        peak_kb: balancers
+            .clone()
+            .map(|balancer| balancer.peak_kb())
+            .collect(),
         lost: judge.lost(),
         doubled: judge.doubled(),
         stood_still: judge.stood_still(),
@@ -230,14 +267,27 @@
 
 impl Watch {
     /// Counts what nodos saw and who is there, step by step, and notices processes that ended by themselves.
-    async fn steps(self, start: Instant, ups: Ups, crashes: Arc<Mutex<Vec<String>>>, progress: bool) {
+    async fn steps(
+        self,
+        start: Instant,
+        ups: Ups,
+        crashes: Arc<Mutex<Vec<String>>>,
+        progress: bool,
+    ) {
         let step = Duration::from_nanos(self.scenario.step.0);
         let (mut most, mut next) = (0, start + step);
         let mut places = vec![0; self.fleet.balancers.len()];
         let mut look = interval_at(start.into(), Duration::from_millis(20).min(step));
         loop {
             look.tick().await;
-            most = self.fleet.nodos.iter().map(|nodo| nodo.held()).max().unwrap_or(0).max(most);
+            most = self
+                .fleet
+                .nodos
+                .iter()
+                .map(|nodo| nodo.held())
+                .max()
+                .unwrap_or(0)
+                .max(most);
             if Instant::now() < next {
                 continue;
             }
@@ -251,7 +301,8 @@
                     *lines.entry(topic).or_default() += count;
                 }
             }
-            self.callers.step(&speeds, &attempts, std::mem::take(&mut most));
+            self.callers
+                .step(&speeds, &attempts, std::mem::take(&mut most));
             lock(&ups).push(Looked { up, lines });
             if progress {
                 let (of, time) = (self.fleet.balancers.len(), self.scenario.time.seconds());
--- a/crates/rig/src/refuse.rs
+++ b/crates/rig/src/refuse.rs
@@ -11,23 +11,47 @@
     let tiers = || 0..scenario.tier.len();
     let (balancers, nodos) = scenario.sizes();
     if balancers > MOST.0 || nodos > MOST.1 {
-        return Err(format!("`tier`: at most {} balancers and {} nodos in the rig", MOST.0, MOST.1));
+        return Err(format!(
+            "`tier`: at most {} balancers and {} nodos in the rig",
+            MOST.0, MOST.1
+        ));
     }
-    let pairs = tiers().map(|tier| u64::from(scenario.senders(tier)) * u64::from(scenario.tier[tier].nodos));
+    let pairs = tiers()
+        .map(|tier| u64::from(scenario.senders(tier)) * u64::from(scenario.tier[tier].nodos));
     if pairs.sum::<u64>() > MOST_PAIRS {
-        return Err(format!("`tier`: over {MOST_PAIRS} pairs of balancers and nodos"));
+        return Err(format!(
+            "`tier`: over {MOST_PAIRS} pairs of balancers and nodos"
+        ));
     }
     let tier = |wrong: &dyn Fn(&woadstall_emulator::Tier) -> bool| scenario.tier.iter().any(wrong);
     let lab_alone = [
         ("front", scenario.front.is_some()),
-        ("tier.connections", tier(&|tier| tier.connections != Connections::default())),
+        (
+            "tier.connections",
+            tier(&|tier| tier.connections != Connections::default()),
+        ),
         ("tier.probed", tier(&|tier| tier.probed.is_some())),
-        ("network.bytes-per-second", scenario.network.bytes_per_second > 0.0),
+        (
+            "network.bytes-per-second",
+            scenario.network.bytes_per_second > 0.0,
+        ),
         ("network.resets", scenario.network.resets > 0.0),
         ("clocks.drift", scenario.clocks.drift != 0.0),
         ("limits.http2", scenario.limits.http2),
-        ("evacuation.lie", scenario.evacuation.as_ref().is_some_and(|evacuation| evacuation.lie.is_some())),
-        ("members.plain", scenario.members.as_ref().is_some_and(|members| members.plain)),
+        (
+            "evacuation.lie",
+            scenario
+                .evacuation
+                .as_ref()
+                .is_some_and(|evacuation| evacuation.lie.is_some()),
+        ),
+        (
+            "members.plain",
+            scenario
+                .members
+                .as_ref()
+                .is_some_and(|members| members.plain),
+        ),
     ];
     if let Some((key, _)) = lab_alone.into_iter().find(|(_, there)| *there) {
         return Err(format!("`{key}`: for the lab alone"));
--- a/crates/rig/src/sabotage.rs
+++ b/crates/rig/src/sabotage.rs
@@ -72,7 +72,10 @@
                 pass(kind, &client, target, request).await.ok_or(Lost)
             }
         });
-        Ok(Self { address, _serving: serving })
+        Ok(Self {
+            address,
+            _serving: serving,
+        })
     }
 }
 
@@ -102,7 +105,9 @@
 ) -> Option<Response<Full<Bytes>>> {
     let (mut head, body) = request.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
-    head.uri = format!("http://{target}{}", head.uri.path()).parse::<Uri>().ok()?;
+    head.uri = format!("http://{target}{}", head.uri.path())
+        .parse::<Uri>()
+        .ok()?;
     strip(&mut head.headers);
     let safe = head.method == Method::GET;
     let copies = match kind {
@@ -118,8 +123,14 @@
             }
         });
     }
-    let answer = client.request(Request::from_parts(head, Full::new(body))).await.ok()?;
+    let answer = client
+        .request(Request::from_parts(head, Full::new(body)))
+        .await
+        .ok()?;
     let (mut head, body) = answer.into_parts();
     strip(&mut head.headers);
-    Some(Response::from_parts(head, Full::new(body.collect().await.ok()?.to_bytes())))
+    Some(Response::from_parts(
+        head,
+        Full::new(body.collect().await.ok()?.to_bytes()),
+    ))
 }
--- a/crates/rig/src/tell.rs
+++ b/crates/rig/src/tell.rs
@@ -12,7 +12,12 @@
 
 /// Everything, for programs. `row` has the timeline in the lab's form.
 pub fn json(played: &Played, row: &Row) -> Value {
-    let Played { end, peak_kb, fabric, .. } = played;
+    let Played {
+        end,
+        peak_kb,
+        fabric,
+        ..
+    } = played;
     let requests = end.counts.requests.max(1) as f64;
     json!({
         "scenario": row.key.scenario, "digest": row.key.digest, "seed": row.key.seed, "commit": row.commit,
@@ -38,7 +43,13 @@
 
 /// The same, shorter, for people.
 pub fn text(played: &Played, row: &Row) -> String {
-    let Played { end, lag, peak_kb, fabric, .. } = played;
+    let Played {
+        end,
+        lag,
+        peak_kb,
+        fabric,
+        ..
+    } = played;
     let (counts, latency) = (&end.counts, &end.latency);
     let mut text = String::new();
     let mut line = |line: String| {
@@ -51,12 +62,18 @@
         row.key.seed,
         row.set()
     ));
-    line(format!("  worth served   {:.3} of what was offered", end.served));
+    line(format!(
+        "  worth served   {:.3} of what was offered",
+        end.served
+    ));
     line(format!(
         "  calls          {} offered, {} on time, {} late, {} refused, {} failed",
         counts.offered, counts.on_time, counts.late, counts.refused, counts.failed
     ));
-    line(format!("  attempts       {} for {} requests", counts.attempts, counts.requests));
+    line(format!(
+        "  attempts       {} for {} requests",
+        counts.attempts, counts.requests
+    ));
     line(format!(
         "  latency        p50 {:.0} ms, p90 {:.0}, p99 {:.0}, longest {:.0}",
         latency.p50, latency.p90, latency.p99, latency.max
@@ -98,11 +115,17 @@
             100.0 * cores.iter().sum::<f64>() / cores.len().max(1) as f64,
             100.0 * cores.iter().copied().fold(0.0, f64::max)
         ));
-        members.stories.iter().for_each(|story| line(format!("    {story}")));
+        members
+            .stories
+            .iter()
+            .for_each(|story| line(format!("    {story}")));
     }
     if let Some(evacuated) = &end.evacuated {
-        let moved: Vec<String> =
-            evacuated.moved.iter().map(|(zone, seconds)| format!("{zone} {seconds:.1}")).collect();
+        let moved: Vec<String> = evacuated
+            .moved
+            .iter()
+            .map(|(zone, seconds)| format!("{zone} {seconds:.1}"))
+            .collect();
         line(format!(
             "  left           {} moves; seconds without, a balancer: {}",
             evacuated.moves,
@@ -111,9 +134,16 @@
     }
     report::kept(end).for_each(&mut line);
     for breach in &end.first_breaches {
-        line(format!("    {:.3} s: {}", breach.at as f64 / 1e9, breach.text));
+        line(format!(
+            "    {:.3} s: {}",
+            breach.at as f64 / 1e9,
+            breach.text
+        ));
     }
-    played.crashes.iter().for_each(|crash| line(format!("  CRASHED: {crash}")));
+    played
+        .crashes
+        .iter()
+        .for_each(|crash| line(format!("  CRASHED: {crash}")));
     text
 }
 
@@ -135,23 +165,31 @@
 /// Compares two rows that have a timeline.
 pub fn compare(lab: &Row, rig: &Row) -> Result<Distance, String> {
     if (&lab.key.scenario, &lab.key.digest) != (&rig.key.scenario, &rig.key.digest) {
-        return Err(format!("not of one scenario: {} and {}", lab.key.scenario, rig.key.scenario));
+        return Err(format!(
+            "not of one scenario: {} and {}",
+            lab.key.scenario, rig.key.scenario
+        ));
     }
     let part = |counts: &woadstall_emulator::Counts| match counts.worth_offered > 0.0 {
         true => counts.worth / counts.worth_offered,
         false => 1.0,
     };
     let pairs = lab.end.steps.iter().zip(&rig.end.steps);
-    let steps: Vec<(f64, f64, f64)> =
-        pairs.map(|(lab, rig)| (lab.until, part(&lab.counts), part(&rig.counts))).collect();
+    let steps: Vec<(f64, f64, f64)> = pairs
+        .map(|(lab, rig)| (lab.until, part(&lab.counts), part(&rig.counts)))
+        .collect();
     if steps.is_empty() {
         return Err(
-            "no timeline: write rows with `woadstall-lab run --json` and `woadstall-rig run --out`".into()
+            "no timeline: write rows with `woadstall-lab run --json` and `woadstall-rig run --out`"
+                .into(),
         );
     }
     let apart = |(_, lab, rig): &(f64, f64, f64)| (lab - rig).abs();
     let mean = steps.iter().map(apart).sum::<f64>() / steps.len() as f64;
-    let worst = steps.iter().max_by(|a, b| apart(a).total_cmp(&apart(b))).map(|step| (step.0, apart(step)));
+    let worst = steps
+        .iter()
+        .max_by(|a, b| apart(a).total_cmp(&apart(b)))
+        .map(|step| (step.0, apart(step)));
     let refused = |row: &Row| row.end.counts.refused as f64 / row.end.counts.offered.max(1) as f64;
     Ok(Distance {
         mean,
--- a/crates/rig/src/ways.rs
+++ b/crates/rig/src/ways.rs
@@ -49,14 +49,27 @@
 pub type InForce<'a> = (&'a Fault, &'a [u32]);
 
 /// The way between a balancer and a nodo under the faults that are in force.
-pub fn between<'a>(scenario: &Scenario, ends: Ends, faults: impl Iterator<Item = InForce<'a>>) -> Way {
+pub fn between<'a>(
+    scenario: &Scenario,
+    ends: Ends,
+    faults: impl Iterator<Item = InForce<'a>>,
+) -> Way {
     let network = &scenario.network;
-    let base = if ends.balancer == ends.nodo { network.within } else { network.across };
+    let base = if ends.balancer == ends.nodo {
+        network.within
+    } else {
+        network.across
+    };
     let (mut times, mut more, mut loss, mut cut) = (1.0, 0, network.loss, false);
-    let (from, to) = if ends.there { (ends.balancer, ends.nodo) } else { (ends.nodo, ends.balancer) };
+    let (from, to) = if ends.there {
+        (ends.balancer, ends.nodo)
+    } else {
+        (ends.nodo, ends.balancer)
+    };
     let (from, to) = (scenario.zone_name(from), scenario.zone_name(to));
     for (fault, hit) in faults {
-        let across = ends.balancer != ends.nodo && fault.zone.as_ref() == scenario.zone_name(ends.nodo);
+        let across =
+            ends.balancer != ends.nodo && fault.zone.as_ref() == scenario.zone_name(ends.nodo);
         match &fault.what {
             What::CutTo => cut |= across && ends.there,
             What::CutFrom => cut |= across && !ends.there,
@@ -68,6 +81,16 @@
         }
     }
     let delay = Duration::from_nanos((base.0 as f64 * times) as u64 + more);
-    let delay = if delay < LEAST_DELAY { Duration::ZERO } else { delay };
-    Way { delay, jitter: delay.mul_f64(network.jitter), loss, cut, ..Way::default() }
+    let delay = if delay < LEAST_DELAY {
+        Duration::ZERO
+    } else {
+        delay
+    };
+    Way {
+        delay,
+        jitter: delay.mul_f64(network.jitter),
+        loss,
+        cut,
+        ..Way::default()
+    }
 }
--- a/crates/rig/tests/common/mod.rs
+++ b/crates/rig/tests/common/mod.rs
@@ -59,7 +59,10 @@
         if !program.is_file() {
             let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
             let mut build = Command::new(env!("CARGO"));
-            let built = build.current_dir(root).args(["build", "--locked", "--bin", "woadstall"]).status();
+            let built = build
+                .current_dir(root)
+                .args(["build", "--locked", "--bin", "woadstall"])
+                .status();
             assert!(built.unwrap().success());
         }
         program
@@ -81,14 +84,28 @@
 
 pub fn rig(folder: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-rig"));
-    command.current_dir(folder).env("TMPDIR", folder).env_remove("WOADSTALL_LOG").args(arguments);
-    command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    command
+        .current_dir(folder)
+        .env("TMPDIR", folder)
+        .env_remove("WOADSTALL_LOG")
+        .args(arguments);
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
     command
 }
 
 pub fn run(folder: &Path, more: &[&str]) -> Command {
     let program = program().to_str().unwrap();
-    rig(folder, &[&["run", "scenario.toml", "--json", "--program", program], more].concat())
+    rig(
+        folder,
+        &[
+            &["run", "scenario.toml", "--json", "--program", program],
+            more,
+        ]
+        .concat(),
+    )
 }
 
 /// What a run printed. Its folder is gone, unless it kept its logs since something was broken.
@@ -99,7 +116,10 @@
     let code = output.status.code();
     // A machine that is too slow gives no verdict; what it saw is there all the same.
     let wanted = if told["kept"] == true { 0 } else { 1 };
-    assert!(code == Some(wanted) || code == Some(4) && told["too-slow"].is_string(), "{code:?}: {said}");
+    assert!(
+        code == Some(wanted) || code == Some(4) && told["too-slow"].is_string(),
+        "{code:?}: {said}"
+    );
     told
 }
 
@@ -118,20 +138,33 @@
 
 /// Folders of runs that are there.
 pub fn runs(folder: &Path) -> Vec<PathBuf> {
-    let all = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
-    all.filter(|path| path.file_name().unwrap().to_str().unwrap().starts_with("woadstall-rig-")).collect()
+    let all = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path());
+    all.filter(|path| {
+        path.file_name()
+            .unwrap()
+            .to_str()
+            .unwrap()
+            .starts_with("woadstall-rig-")
+    })
+    .collect()
 }
 
 /// The processes that a run has started, by its ledger.
 pub fn processes(run: &Path) -> Vec<i32> {
     let ledger = std::fs::read_to_string(run.join("processes")).unwrap_or_default();
-    ledger.lines().filter_map(|line| line.split(' ').next()?.parse().ok()).collect()
+    ledger
+        .lines()
+        .filter_map(|line| line.split(' ').next()?.parse().ok())
+        .collect()
 }
 
 pub fn lives(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     // What nobody has waited for yet is dead all the same.
-    stat.rsplit_once(") ").is_some_and(|(_, rest)| !rest.starts_with('Z'))
+    stat.rsplit_once(") ")
+        .is_some_and(|(_, rest)| !rest.starts_with('Z'))
 }
 
 pub fn until(what: &str, mut there: impl FnMut() -> bool) {
@@ -143,9 +176,15 @@
 }
 
 pub fn broken(told: &Value, rule: &str) -> u64 {
-    told["breaches"][rule].as_u64().unwrap_or_else(|| panic!("{}", told["breaches"]))
+    told["breaches"][rule]
+        .as_u64()
+        .unwrap_or_else(|| panic!("{}", told["breaches"]))
 }
 
 pub fn all_kept(told: &Value) {
-    assert_eq!(told["kept"], true, "{} {} {}", told["first-breaches"], told["bounds"], told["processes"]);
+    assert_eq!(
+        told["kept"], true,
+        "{} {} {}",
+        told["first-breaches"], told["bounds"], told["processes"]
+    );
 }
--- a/crates/rig/tests/evacuation.rs
+++ b/crates/rig/tests/evacuation.rs
@@ -4,7 +4,12 @@
 
 use common::{all_kept, alone, play};
 
-const NINE: [&str; 4] = ["--set", "tier.0.balancers=9", "--set", "zones=[\"a\",\"b\",\"c\"]"];
+const NINE: [&str; 4] = [
+    "--set",
+    "tier.0.balancers=9",
+    "--set",
+    "zones=[\"a\",\"b\",\"c\"]",
+];
 
 /// A zone falls silent under nine processes: those that call there and those that do not are out of it together, three
 /// that restart meanwhile know it, nobody leaves another, and unsafe calls that stood there ran once at most.
@@ -43,7 +48,11 @@
 "#;
     let told = play(20, more, &NINE);
     all_kept(&told);
-    assert!(told["evacuated"]["moves"].as_u64().unwrap() >= 9, "{}", told["evacuated"]);
+    assert!(
+        told["evacuated"]["moves"].as_u64().unwrap() >= 9,
+        "{}",
+        told["evacuated"]
+    );
 }
 
 /// Halves that do not hear each other, and what all zones depend on ill: each half does what it can prove, and nobody
--- a/crates/rig/tests/judge.rs
+++ b/crates/rig/tests/judge.rs
@@ -13,8 +13,15 @@
     let near = |more: &str| format!("{more}\n[network]\nwithin = \"0 s\"\nacross = \"0 s\"\n");
     let sound = play(4, &near(ROLL), &[]);
     all_kept(&sound);
-    assert_eq!((sound["lost"].as_u64(), sound["doubled"].as_u64()), (Some(0), Some(0)));
-    assert!(sound["served"].as_f64().unwrap() > 0.95, "{}", sound["served"]);
+    assert_eq!(
+        (sound["lost"].as_u64(), sound["doubled"].as_u64()),
+        (Some(0), Some(0))
+    );
+    assert!(
+        sound["served"].as_f64().unwrap() > 0.95,
+        "{}",
+        sound["served"]
+    );
     // A flood matters where nodos are cold, and takes three seconds to push one over.
     for (kind, rule, seconds, set) in [
         ("swallow", "one-answer", 2, "tier.0.cold=false"),
@@ -25,10 +32,18 @@
         let told = play(seconds, &near(ROLL), &["--sabotage", kind, "--set", set]);
         assert!(broken(&told, rule) > 0, "{kind}: {}", told["breaches"]);
         assert_eq!(told["kept"], false);
-        let others =
-            ["one-answer", "no-effect-twice", "drained", "cold"].into_iter().filter(|other| *other != rule);
+        let others = ["one-answer", "no-effect-twice", "drained", "cold"]
+            .into_iter()
+            .filter(|other| *other != rule);
         // What a flood pushes over answers nothing for a while, which is not a rule of its own.
-        others.for_each(|other| assert_eq!(broken(&told, other), 0, "{kind}: {}", told["first-breaches"]));
+        others.for_each(|other| {
+            assert_eq!(
+                broken(&told, other),
+                0,
+                "{kind}: {}",
+                told["first-breaches"]
+            )
+        });
     }
 }
 
@@ -40,10 +55,19 @@
     let stall = "\n[[fault]]\nat = \"500 ms\"\nuntil = \"3500 ms\"\npart = 0.5\nwhat = \"stall\"\n";
     let told = play(4, stall, &[]);
     all_kept(&told);
-    let (lost, still) = (told["lost"].as_u64().unwrap(), told["stood-still"].as_u64().unwrap());
-    assert!(still > 0 && lost <= still, "{lost} lost, {still} since their balancer stood still");
+    let (lost, still) = (
+        told["lost"].as_u64().unwrap(),
+        told["stood-still"].as_u64().unwrap(),
+    );
+    assert!(
+        still > 0 && lost <= still,
+        "{lost} lost, {still} since their balancer stood still"
+    );
     let counts = &told["counts"];
-    assert!(counts["on-time"].as_u64() > counts["offered"].as_u64().map(|offered| offered / 3), "{counts}");
+    assert!(
+        counts["on-time"].as_u64() > counts["offered"].as_u64().map(|offered| offered / 3),
+        "{counts}"
+    );
 }
 
 /// The same seed twice: the same calls, the same faults at the same points, the same verdict.
@@ -53,7 +77,10 @@
     let faults = "\n[[fault]]\nat = \"1500 ms\"\nuntil = \"2500 ms\"\npart = 0.34\nwhat = { kill = {} }\n\
         [[fault]]\nat = \"1500 ms\"\nuntil = \"2500 ms\"\npart = 0.5\nwhat = { restart = { stale = \"1 s\" } }\n\
         [[bound]]\nname = \"back\"\nwhat = { back = { from = \"3 s\", part = 0.9, within = \"1 s\" } }\n";
-    let [one, other] = [play(4, faults, &["--seed", "7"]), play(4, faults, &["--seed", "7"])];
+    let [one, other] = [
+        play(4, faults, &["--seed", "7"]),
+        play(4, faults, &["--seed", "7"]),
+    ];
     for told in [&one, &other] {
         all_kept(told);
         assert_eq!(told["processes"]["starts"], 6, "two of four started again");
@@ -61,7 +88,12 @@
     }
     assert_eq!(one["counts"]["offered"], other["counts"]["offered"]);
     let ups = |told: &serde_json::Value| {
-        told["steps"].as_array().unwrap().iter().map(|step| step["up"].clone()).collect::<Vec<_>>()
+        told["steps"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(|step| step["up"].clone())
+            .collect::<Vec<_>>()
     };
     assert_eq!(ups(&one)[1], serde_json::json!([2, 4]), "{:?}", ups(&one));
     assert_eq!(ups(&one)[..4], ups(&other)[..4]);
@@ -79,7 +111,10 @@
         .replace("time = \"4 s\"", "time = \"3 s\"")
         .replace("deadline = \"2 s\"", "deadline = \"1500 ms\"");
     let told = play_folder(&folder_of(&(scenario + silent)), &[]);
-    assert_eq!((&told["kept"], &told["bounds"][0]["kept"]), (&false.into(), &false.into()));
+    assert_eq!(
+        (&told["kept"], &told["bounds"][0]["kept"]),
+        (&false.into(), &false.into())
+    );
     assert_eq!(told["bounds"][0]["seen"], 0.0);
     assert_eq!(
         told["bounds"][1]["kept"], true,
@@ -87,5 +122,9 @@
         told["bounds"]
     );
     let rules = told["breaches"].as_object().unwrap();
-    assert!(rules.values().all(|count| count == 0), "{}", told["first-breaches"]);
+    assert!(
+        rules.values().all(|count| count == 0),
+        "{}",
+        told["first-breaches"]
+    );
 }
--- a/crates/rig/tests/members.rs
+++ b/crates/rig/tests/members.rs
@@ -8,7 +8,12 @@
 
 const EIGHT: [&str; 2] = ["--set", "tier.0.balancers=8"];
 /// Three zones: between two alone nobody is left who finds both sides of a cut.
-const NINE: [&str; 4] = ["--set", "tier.0.balancers=9", "--set", "zones=[\"a\",\"b\",\"c\"]"];
+const NINE: [&str; 4] = [
+    "--set",
+    "tier.0.balancers=9",
+    "--set",
+    "zones=[\"a\",\"b\",\"c\"]",
+];
 
 /// Half of them die and come back as new lives, two sleep, then one zone is not heard by the other: nobody is held for
 /// dead who is there, the dead are known, the cut ways are named on both sides, and calls keep their rules.
@@ -63,8 +68,15 @@
     let told = play(31, faults, &NINE);
     all_kept(&told);
     let members = &told["members"];
-    assert_eq!((&members["deaths"], &members["false-deaths"]), (&5.into(), &0.into()), "{members}");
-    assert!(members["known-ms"]["count"].as_u64().unwrap() >= 5 * 4, "{members}");
+    assert_eq!(
+        (&members["deaths"], &members["false-deaths"]),
+        (&5.into(), &0.into()),
+        "{members}"
+    );
+    assert!(
+        members["known-ms"]["count"].as_u64().unwrap() >= 5 * 4,
+        "{members}"
+    );
 }
 
 /// One alone sees two halves, another comes and goes, a third gets a tenth of its time: nobody is called dead who is there,
@@ -125,12 +137,24 @@
     let rig = run(folder.path(), &EIGHT).spawn().unwrap();
     let listens = |number: usize| -> Option<SocketAddr> {
         let run = runs(folder.path()).pop()?;
-        let text = std::fs::read_to_string(run.join(format!("balancer-{number:03}/operator.toml"))).ok()?;
-        text.lines().find_map(|line| line.strip_prefix("listen = ")?.trim_matches('"').parse().ok())
+        let text = std::fs::read_to_string(run.join(format!("balancer-{number:03}/operator.toml")))
+            .ok()?;
+        text.lines().find_map(|line| {
+            line.strip_prefix("listen = ")?
+                .trim_matches('"')
+                .parse()
+                .ok()
+        })
     };
-    until("all are told where to listen", || (0..8).all(|number| listens(number).is_some()));
+    until("all are told where to listen", || {
+        (0..8).all(|number| listens(number).is_some())
+    });
     let at: Vec<SocketAddr> = (0..8).filter_map(listens).collect();
-    let (socket, began, mut sent) = (UdpSocket::bind("127.0.0.1:0").unwrap(), Instant::now(), 0_u32);
+    let (socket, began, mut sent) = (
+        UdpSocket::bind("127.0.0.1:0").unwrap(),
+        Instant::now(),
+        0_u32,
+    );
     let mut datagram = [1_u8; 600];
     while began.elapsed() < Duration::from_secs(7) {
         for to in &at {
@@ -144,6 +168,9 @@
     println!("{sent} datagrams");
     all_kept(&told);
     let cores = told["members-cores"].as_array().unwrap();
-    assert!(cores.len() == 8 && cores.iter().all(|part| part.as_f64().unwrap() < 0.15), "{cores:?}");
+    assert!(
+        cores.len() == 8 && cores.iter().all(|part| part.as_f64().unwrap() < 0.15),
+        "{cores:?}"
+    );
     assert!(told["served"].as_f64().unwrap() > 0.9, "{}", told["served"]);
 }
--- a/crates/routing/src/breaker.rs
+++ b/crates/routing/src/breaker.rs
@@ -54,7 +54,9 @@
     pub fn failed(&mut self, now: u64, weight: u32) {
         self.failures = self.failures.saturating_add(weight);
         if self.failures >= TRIP_AFTER && now >= self.open_until.saturating_sub(TRIAL) {
-            let open = FIRST_OPEN.saturating_mul(1 << self.trips.min(8)).min(LONGEST_OPEN);
+            let open = FIRST_OPEN
+                .saturating_mul(1 << self.trips.min(8))
+                .min(LONGEST_OPEN);
             self.trips = self.trips.saturating_add(1);
             self.open_until = now + open;
         }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -35,14 +35,24 @@
         let weight = |balancer: u32| hash(&(upstream, balancer));
         let mine = (weight(own), own);
         let others = sharers.iter().filter(|other| **other != own);
-        let rank = others.clone().filter(|other| (weight(**other), **other) < mine).count();
+        let rank = others
+            .clone()
+            .filter(|other| (weight(**other), **other) < mine)
+            .count();
         let count = others.count() + 1;
-        Self { per_second: total / count + usize::from(rank < total % count) }
+        Self {
+            per_second: total / count + usize::from(rank < total % count),
+        }
     }
 
     /// Whether one more may be sent now, after these sends (oldest first).
     pub fn allows(&self, now: u64, sends: &VecDeque<u64>) -> bool {
-        sends.iter().rev().take_while(|at| now < **at + COLD_WINDOW).count() < self.per_second
+        sends
+            .iter()
+            .rev()
+            .take_while(|at| now < **at + COLD_WINDOW)
+            .count()
+            < self.per_second
     }
 }
 
@@ -68,7 +78,13 @@
     pub fn new(ratio: f64, window: u64) -> Self {
         // One slot more than the window has: any span of its length lies within the slots.
         let slot_ms = (window / (SLOTS as u64 - 1)).max(1);
-        Self { ratio, slot_ms, newest: 0, requests: [0; SLOTS], repeats: [0; SLOTS] }
+        Self {
+            ratio,
+            slot_ms,
+            newest: 0,
+            requests: [0; SLOTS],
+            repeats: [0; SLOTS],
+        }
     }
 
     fn slot(&mut self, now: u64) -> usize {
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -53,11 +53,17 @@
     pub(crate) fn allowed(&self, query: &Query<'_>) -> Vec<UpstreamId> {
         let ready = self.with_status(query, Status::Ready);
         // Where all have fallen silent, it may be the control plane that hears nothing.
-        if ready.is_empty() { self.with_status(query, Status::Silent) } else { ready }
+        if ready.is_empty() {
+            self.with_status(query, Status::Silent)
+        } else {
+            ready
+        }
     }
 
     fn with_status(&self, query: &Query<'_>, status: Status) -> Vec<UpstreamId> {
-        let Some(ids) = self.by_service.get(&query.service.name) else { return Vec::new() };
+        let Some(ids) = self.by_service.get(&query.service.name) else {
+            return Vec::new();
+        };
         let homes = &query.route.allowed_regions;
         let fits = |id: &&UpstreamId| {
             self.upstreams.get(*id).is_some_and(|upstream| {
@@ -76,7 +82,11 @@
     }
 
     fn patience(&self, upstream: &Upstream) -> u64 {
-        if upstream.region == self.place.region { SILENT_NEAR } else { SILENT_FAR }
+        if upstream.region == self.place.region {
+            SILENT_NEAR
+        } else {
+            SILENT_FAR
+        }
     }
 
     /// Whether the balancers of this zone tell that an upstream fails. One whose breaker has tripped here tries it at its own
@@ -86,7 +96,12 @@
     }
 
     /// What speaks against the health of an upstream, as far as this balancer can tell.
-    pub(crate) fn ailment(&self, now: u64, query: &Query<'_>, upstream: &Upstream) -> Option<Obstacle> {
+    pub(crate) fn ailment(
+        &self,
+        now: u64,
+        query: &Query<'_>,
+        upstream: &Upstream,
+    ) -> Option<Obstacle> {
         if !upstream.breaker.allows(now) {
             return Some(Obstacle::Tripped);
         }
@@ -96,12 +111,19 @@
         if self.is_told_failing(now, upstream) {
             return Some(Obstacle::ToldFailing);
         }
-        let is_allowed = self.outages.allows(now, &upstream.zone, query.route.is_idempotent());
+        let is_allowed = self
+            .outages
+            .allows(now, &upstream.zone, query.route.is_idempotent());
         (!is_allowed).then_some(Obstacle::LostZone)
     }
 
     /// Why a request passes over an upstream, if it does.
-    pub(crate) fn obstacle(&self, now: u64, query: &Query<'_>, upstream: &Upstream) -> Option<Obstacle> {
+    pub(crate) fn obstacle(
+        &self,
+        now: u64,
+        query: &Query<'_>,
+        upstream: &Upstream,
+    ) -> Option<Obstacle> {
         if let Some(ailment) = self.ailment(now, query, upstream) {
             return Some(ailment);
         }
@@ -115,16 +137,22 @@
     }
 
     pub(crate) fn has_room(&self, now: u64, query: &Query<'_>, id: &str) -> bool {
-        self.upstreams.get(id).is_some_and(|upstream| self.obstacle(now, query, upstream).is_none())
+        self.upstreams
+            .get(id)
+            .is_some_and(|upstream| self.obstacle(now, query, upstream).is_none())
     }
 
     /// Whether all that speaks against an upstream is its breaker, its silence or what others tell. A zone that seems lost gets its trials and no
     /// more: whoever waited there for a connection would be refused late.
     pub(crate) fn may_fall_back(&self, now: u64, query: &Query<'_>, id: &str) -> bool {
-        let Some(upstream) = self.upstreams.get(id) else { return false };
+        let Some(upstream) = self.upstreams.get(id) else {
+            return false;
+        };
         let ailment = self.ailment(now, query, upstream);
         ailment.is_some_and(|ailment| ailment != Obstacle::LostZone)
-            && self.outages.allows(now, &upstream.zone, query.route.is_idempotent())
+            && self
+                .outages
+                .allows(now, &upstream.zone, query.route.is_idempotent())
             && self.is_within_limit(upstream)
             && self.is_within_cold_budget(now, query, upstream)
     }
@@ -141,6 +169,8 @@
             return true;
         }
         let bound = query.service.warmup_per_s * self.bounds.cold_over + self.bounds.cold_slack;
-        self.fleet.cold_share(bound, &upstream.id, &upstream.region).allows(now, &upstream.cold_sends)
+        self.fleet
+            .cold_share(bound, &upstream.id, &upstream.region)
+            .allows(now, &upstream.cold_sends)
     }
 }
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -15,7 +15,10 @@
 impl Fleet {
     /// A fleet as this balancer sees it, without any yet.
     pub fn new(own: u32) -> Self {
-        Self { own, by_region: BTreeMap::new() }
+        Self {
+            own,
+            by_region: BTreeMap::new(),
+        }
     }
 
     /// All balancers, one at least.
@@ -32,7 +35,11 @@
     pub(crate) fn cold_share(&self, bound: f64, upstream: &str, region: &str) -> ColdShare {
         let local = self.by_region.get(region).map_or(&[][..], Vec::as_slice);
         let is_local = local.contains(&self.own);
-        if !self.by_region.values().any(|balancers| balancers.contains(&self.own)) {
+        if !self
+            .by_region
+            .values()
+            .any(|balancers| balancers.contains(&self.own))
+        {
             return ColdShare { per_second: 1 }; // nothing is known of the others yet
         }
         let has_others = self.total() > local.len();
@@ -41,7 +48,9 @@
             local.to_vec()
         } else {
             let remote = self.by_region.iter().filter(|(other, _)| *other != region);
-            remote.flat_map(|(_, balancers)| balancers.iter().copied()).collect()
+            remote
+                .flat_map(|(_, balancers)| balancers.iter().copied())
+                .collect()
         };
         ColdShare::of(total, upstream, self.own, &sharers)
     }
--- a/crates/routing/src/fleet_loads.rs
+++ b/crates/routing/src/fleet_loads.rs
@@ -60,13 +60,18 @@
     }
 
     fn note_heard(&mut self, now: u64) {
-        let since = self.heard.filter(|(_, last)| now <= last + MOST_PAUSE).map_or(now, |(since, _)| since);
+        let since = self
+            .heard
+            .filter(|(_, last)| now <= last + MOST_PAUSE)
+            .map_or(now, |(since, _)| since);
         self.heard = Some((since, now));
     }
 
     /// Whether a beginning that is not known to be kept has most likely not been placed.
     pub fn are_known(&self, now: u64) -> bool {
-        self.heard.is_some_and(|(since, last)| now <= last + MOST_PAUSE && now >= since + WELL_INFORMED_AFTER)
+        self.heard.is_some_and(|(since, last)| {
+            now <= last + MOST_PAUSE && now >= since + WELL_INFORMED_AFTER
+        })
     }
 }
 
@@ -75,19 +80,40 @@
     pub fn load(&self, now: u64) -> Vec<UpstreamLoad> {
         let load = |upstream: &Upstream| {
             let is_failing = self.is_silent(now, upstream) || upstream.breaker.is_open(now);
-            let unread = if upstream.reading >= WORTH_TELLING { upstream.reading } else { 0 };
+            let unread = if upstream.reading >= WORTH_TELLING {
+                upstream.reading
+            } else {
+                0
+            };
             let unread = u32::try_from(unread).unwrap_or(u32::MAX);
-            UpstreamLoad { upstream: upstream.key, unread, is_failing }
+            UpstreamLoad {
+                upstream: upstream.key,
+                unread,
+                is_failing,
+            }
         };
         let is_worth_telling = |load: &UpstreamLoad| load.unread > 0 || load.is_failing;
-        self.upstreams.values().map(load).filter(is_worth_telling).take(MOST_TOLD).collect()
+        self.upstreams
+            .values()
+            .map(load)
+            .filter(is_worth_telling)
+            .take(MOST_TOLD)
+            .collect()
     }
 
     /// A prompt goes to an upstream: what that keeps from then on. Of short prompts a balancer knows its own alone; those of others
     /// are taken to be alike.
-    pub(crate) fn note_sent_prompt(&mut self, now: u64, id: &str, prompt: &Prompt, capacity: Option<u64>) {
+    pub(crate) fn note_sent_prompt(
+        &mut self,
+        now: u64,
+        id: &str,
+        prompt: &Prompt,
+        capacity: Option<u64>,
+    ) {
         let number = self.random.u32(..);
-        let Some(upstream) = self.upstreams.get_mut(id) else { return };
+        let Some(upstream) = self.upstreams.get_mut(id) else {
+            return;
+        };
         if let Some(tokens) = capacity {
             upstream.kept.set_capacity(tokens);
         }
@@ -97,38 +123,61 @@
             upstream.kept.note_own(own_tokens * sharers);
             return;
         };
-        upstream.kept.note_beginning(beginning, prompt.shared_tokens);
+        upstream
+            .kept
+            .note_beginning(beginning, prompt.shared_tokens);
         upstream.kept.note_own(own_tokens);
         let told = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
         let (tokens, own_tokens) = (told(prompt.shared_tokens), told(own_tokens));
-        let placement = Placement { number, upstream: upstream.key, beginning, tokens, own_tokens };
+        let placement = Placement {
+            number,
+            upstream: upstream.key,
+            beginning,
+            tokens,
+            own_tokens,
+        };
         self.placements.note_made(now, placement);
     }
 
     /// The placements that this balancer made a moment ago.
     pub fn placements(&mut self, now: u64) -> Vec<Placement> {
         let made = &mut self.placements.made;
-        while made.front().is_some_and(|(at, _)| now > at + PLACEMENT_TOLD) {
+        while made
+            .front()
+            .is_some_and(|(at, _)| now > at + PLACEMENT_TOLD)
+        {
             made.pop_front();
         }
-        made.iter().rev().take(MOST_TOLD).map(|(_, placement)| *placement).collect()
+        made.iter()
+            .rev()
+            .take(MOST_TOLD)
+            .map(|(_, placement)| *placement)
+            .collect()
     }
 
     /// The balancers near this one tell how upstreams stand with them, whole each time, and what they have placed.
     pub fn set_fleet_loads(&mut self, now: u64, loads: &FleetLoads) {
         self.placements.note_heard(now);
-        let by_key: HashMap<u32, FleetLoad> =
-            loads.upstreams.iter().map(|load| (load.upstream, *load)).collect();
+        let by_key: HashMap<u32, FleetLoad> = loads
+            .upstreams
+            .iter()
+            .map(|load| (load.upstream, *load))
+            .collect();
         let mut placed: HashMap<u32, Vec<&Placement>> = HashMap::new();
         for placement in &loads.placements {
             if self.placements.is_new(placement.number) {
-                placed.entry(placement.upstream).or_default().push(placement);
+                placed
+                    .entry(placement.upstream)
+                    .or_default()
+                    .push(placement);
             }
         }
         for upstream in self.upstreams.values_mut() {
             upstream.told = by_key.get(&upstream.key).map(|load| (now, *load));
             for placement in placed.get(&upstream.key).into_iter().flatten() {
-                upstream.kept.note_beginning(placement.beginning, u64::from(placement.tokens));
+                upstream
+                    .kept
+                    .note_beginning(placement.beginning, u64::from(placement.tokens));
                 upstream.kept.note_own(u64::from(placement.own_tokens));
             }
         }
@@ -148,7 +197,9 @@
 
     /// Whether others tell that it fails, and nothing has come from it here within so many milliseconds before that.
     pub(crate) fn is_told_failing(&self, now: u64, patience: u64) -> bool {
-        let Some((at, load)) = self.told(now) else { return false };
+        let Some((at, load)) = self.told(now) else {
+            return false;
+        };
         let is_contradicted = self.heard.is_some_and(|heard| heard + patience >= at);
         load.failing >= WITNESSES && !is_contradicted
     }
--- a/crates/routing/src/kept.rs
+++ b/crates/routing/src/kept.rs
@@ -27,7 +27,11 @@
 
 impl Default for KeptPrompts {
     fn default() -> Self {
-        Self { entries: VecDeque::new(), tokens: 0, capacity: u64::MAX }
+        Self {
+            entries: VecDeque::new(),
+            tokens: 0,
+            capacity: u64::MAX,
+        }
     }
 }
 
@@ -40,17 +44,25 @@
 
     /// Whether a beginning is kept.
     pub fn has(&self, beginning: u32) -> bool {
-        self.entries.iter().any(|entry| entry.beginning == Some(beginning))
+        self.entries
+            .iter()
+            .any(|entry| entry.beginning == Some(beginning))
     }
 
     /// A beginning is used, and read if it is not kept.
     pub fn note_beginning(&mut self, beginning: u32, tokens: u64) {
-        if let Some(position) = self.entries.iter().position(|entry| entry.beginning == Some(beginning))
+        if let Some(position) = self
+            .entries
+            .iter()
+            .position(|entry| entry.beginning == Some(beginning))
             && let Some(former) = self.entries.remove(position)
         {
             self.tokens -= former.tokens;
         }
-        self.push(Entry { beginning: Some(beginning), tokens });
+        self.push(Entry {
+            beginning: Some(beginning),
+            tokens,
+        });
     }
 
     /// Parts are read that only one prompt has.
@@ -61,7 +73,10 @@
                 self.tokens += tokens;
                 self.make_room();
             }
-            _ => self.push(Entry { beginning: None, tokens }),
+            _ => self.push(Entry {
+                beginning: None,
+                tokens,
+            }),
         }
     }
 
@@ -73,7 +88,9 @@
 
     fn make_room(&mut self) {
         while self.tokens > self.capacity || self.entries.len() > MOST_ENTRIES {
-            let Some(oldest) = self.entries.pop_front() else { return };
+            let Some(oldest) = self.entries.pop_front() else {
+                return;
+            };
             self.tokens -= oldest.tokens;
         }
     }
--- a/crates/routing/src/locality.rs
+++ b/crates/routing/src/locality.rs
@@ -44,7 +44,10 @@
 impl Locality {
     /// Decides for a request whose own region is `home`, among the regions that it may go to.
     pub fn decide(home: &str, regions: &[RegionLoad]) -> Self {
-        if regions.iter().any(|load| load.region == home && load.is_healthy()) {
+        if regions
+            .iter()
+            .any(|load| load.region == home && load.is_healthy())
+        {
             return Self::Home;
         }
         let usable: Vec<&RegionLoad> = regions
@@ -58,7 +61,9 @@
             .map(|load| load.region.clone());
         let dropped = usable.len() < regions.len() || worst.is_some();
         let others = usable.iter().map(|load| load.region.clone());
-        let remaining: Vec<String> = others.filter(|region| Some(region) != worst.as_ref()).collect();
+        let remaining: Vec<String> = others
+            .filter(|region| Some(region) != worst.as_ref())
+            .collect();
         match (remaining.is_empty(), dropped) {
             (true, _) => Self::All(regions.iter().map(|load| load.region.clone()).collect()),
             (false, true) => Self::OneOf(remaining),
--- a/crates/routing/src/outage.rs
+++ b/crates/routing/src/outage.rs
@@ -43,9 +43,12 @@
     /// A request goes to a zone.
     pub fn sent(&mut self, now: u64, zone: &str) {
         if self.lost.contains(zone) {
-            let pause =
-                self.trials.get(zone).map_or(FIRST_TRIAL, |trial| (trial.pause * 2).min(LONGEST_TRIAL));
-            self.trials.insert(zone.to_owned(), Trial { at: now, pause });
+            let pause = self
+                .trials
+                .get(zone)
+                .map_or(FIRST_TRIAL, |trial| (trial.pause * 2).min(LONGEST_TRIAL));
+            self.trials
+                .insert(zone.to_owned(), Trial { at: now, pause });
         }
     }
 
@@ -74,6 +77,8 @@
             return true;
         }
         let wait = if is_repeatable { 1 } else { UNREPEATABLE };
-        self.trials.get(zone).is_none_or(|trial| now >= trial.at + trial.pause * wait)
+        self.trials
+            .get(zone)
+            .is_none_or(|trial| now >= trial.at + trial.pause * wait)
     }
 }
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -53,7 +53,10 @@
         let upstreams = allowed.iter().filter_map(|id| self.upstreams.get(id));
         let is_suspect =
             |upstream: &&Upstream| upstream.breaker.has_failed() || self.is_silent(now, upstream);
-        outages.update(now, upstreams.filter(is_suspect).map(|upstream| &*upstream.zone));
+        outages.update(
+            now,
+            upstreams.filter(is_suspect).map(|upstream| &*upstream.zone),
+        );
         self.outages = outages;
     }
 
@@ -66,7 +69,10 @@
             count.busy += f64::from(upstream.in_flight) * self.sharers(&upstream.region);
             count.places += upstream.capacity as f64;
         }
-        regions.into_iter().map(|(region, count)| count.into_load(region)).collect()
+        regions
+            .into_iter()
+            .map(|(region, count)| count.into_load(region))
+            .collect()
     }
 
     /// The region that a request belongs to: this balancer's, or where its route does not allow that, one drawn from the
@@ -90,7 +96,9 @@
 
     fn within(&self, allowed: &[UpstreamId], regions: &[String]) -> Vec<UpstreamId> {
         let is_there = |id: &&UpstreamId| {
-            self.upstreams.get(*id).is_some_and(|upstream| regions.contains(&upstream.region))
+            self.upstreams
+                .get(*id)
+                .is_some_and(|upstream| regions.contains(&upstream.region))
         };
         allowed.iter().filter(is_there).cloned().collect()
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -85,7 +85,12 @@
 
     /// The zones that get nothing. Upstreams of a zone that is taken back count as cold for their service's time, as they may
     /// have turned cold shortly before.
-    pub fn set_evacuated(&mut self, now: u64, zones: &BTreeSet<String>, cold: impl Fn(&str) -> Duration) {
+    pub fn set_evacuated(
+        &mut self,
+        now: u64,
+        zones: &BTreeSet<String>,
+        cold: impl Fn(&str) -> Duration,
+    ) {
         let returned: Vec<String> = self.evacuated.difference(zones).cloned().collect();
         self.evacuated = zones.clone();
         for upstream in self
@@ -104,31 +109,55 @@
             upstream.update(now, registration);
             return;
         }
-        let Ok(address) = registration.address.parse() else { return };
-        let region = self.place.zones.get(&registration.zone).cloned().unwrap_or_default();
+        let Ok(address) = registration.address.parse() else {
+            return;
+        };
+        let region = self
+            .place
+            .zones
+            .get(&registration.zone)
+            .cloned()
+            .unwrap_or_default();
         let upstream = Upstream::new(now, registration, region, address);
-        self.by_service.entry(upstream.service.clone()).or_default().push(upstream.id.clone());
+        self.by_service
+            .entry(upstream.service.clone())
+            .or_default()
+            .push(upstream.id.clone());
         self.upstreams.insert(upstream.id.clone(), upstream);
     }
 
     /// A new snapshot names these upstreams. Others are kept for a while, since its source may have just started.
     pub fn snapshot(&mut self, now: u64, registrations: &[Registration]) {
-        let named: BTreeSet<&str> =
-            registrations.iter().map(|registration| registration.id.as_str()).collect();
-        for upstream in self.upstreams.values_mut().filter(|upstream| !named.contains(&*upstream.id)) {
+        let named: BTreeSet<&str> = registrations
+            .iter()
+            .map(|registration| registration.id.as_str())
+            .collect();
+        for upstream in self
+            .upstreams
+            .values_mut()
+            .filter(|upstream| !named.contains(&*upstream.id))
+        {
             upstream.unconfirmed_since.get_or_insert(now);
         }
-        registrations.iter().for_each(|registration| self.register(now, registration));
+        registrations
+            .iter()
+            .for_each(|registration| self.register(now, registration));
     }
 
     /// Forgets upstreams that are gone and idle, and those that no source has told of for long.
     pub fn sweep(&mut self, now: u64) {
         let is_over = |upstream: &Upstream| {
-            let unknown = upstream.unconfirmed_since.is_some_and(|since| now > since + UNCONFIRMED);
+            let unknown = upstream
+                .unconfirmed_since
+                .is_some_and(|since| now > since + UNCONFIRMED);
             unknown && upstream.in_flight == 0
         };
-        let over: Vec<UpstreamId> =
-            self.upstreams.values().filter(|upstream| is_over(upstream)).map(|u| u.id.clone()).collect();
+        let over: Vec<UpstreamId> = self
+            .upstreams
+            .values()
+            .filter(|upstream| is_over(upstream))
+            .map(|u| u.id.clone())
+            .collect();
         for id in over {
             if let Some(upstream) = self.upstreams.remove(&id)
                 && let Some(ids) = self.by_service.get_mut(&upstream.service)
@@ -148,7 +177,10 @@
 
     /// The upstreams that are known and not gone.
     pub fn known(&self) -> usize {
-        self.upstreams.values().filter(|upstream| upstream.status != Status::Gone).count()
+        self.upstreams
+            .values()
+            .filter(|upstream| upstream.status != Status::Gone)
+            .count()
     }
 
     /// A request has come for a service: repeats are budgeted by these.
@@ -164,7 +196,9 @@
 
     fn budget(&mut self, service: &str) -> &mut RetryBudget {
         let (ratio, window) = (self.bounds.retry_budget_ratio, self.bounds.budget_window);
-        self.budgets.entry(service.to_owned()).or_insert_with(|| RetryBudget::new(ratio, window))
+        self.budgets
+            .entry(service.to_owned())
+            .or_insert_with(|| RetryBudget::new(ratio, window))
     }
 
     /// Chooses an upstream, or refuses.
@@ -175,12 +209,16 @@
         }
         self.note_outages(now, &allowed);
         let candidates = self.candidates(now, query, &allowed);
-        let chosen = self.pick(now, query, &candidates).or_else(|| self.pick(now, query, &allowed));
+        let chosen = self
+            .pick(now, query, &candidates)
+            .or_else(|| self.pick(now, query, &allowed));
         match chosen {
             Some(id) => self.send(now, query, &id),
             None => {
                 let is_lost = |id: &UpstreamId| {
-                    self.upstreams.get(id).is_some_and(|upstream| self.outages.is_lost(&upstream.zone))
+                    self.upstreams
+                        .get(id)
+                        .is_some_and(|upstream| self.outages.is_lost(&upstream.zone))
                 };
                 self.refuse(allowed.iter().all(is_lost))
             }
@@ -190,7 +228,10 @@
     /// How the upstreams stand for a request.
     pub fn standing(&self, now: u64, query: &Query<'_>) -> Standing {
         let allowed = self.allowed(query);
-        let mut standing = Standing { candidates: allowed.len(), ..Standing::default() };
+        let mut standing = Standing {
+            candidates: allowed.len(),
+            ..Standing::default()
+        };
         for upstream in allowed.iter().filter_map(|id| self.upstreams.get(id)) {
             if let Some(obstacle) = self.obstacle(now, query, upstream) {
                 *standing.passed_over.entry(obstacle).or_default() += 1;
@@ -201,8 +242,13 @@
 
     /// A request at an upstream has ended.
     pub fn finish(&mut self, now: u64, id: &str, outcome: Outcome, unread: u64) {
-        let was_silent = self.upstreams.get(id).is_some_and(|upstream| self.is_silent(now, upstream));
-        let Some(upstream) = self.upstreams.get_mut(id) else { return };
+        let was_silent = self
+            .upstreams
+            .get(id)
+            .is_some_and(|upstream| self.is_silent(now, upstream));
+        let Some(upstream) = self.upstreams.get_mut(id) else {
+            return;
+        };
         upstream.reading = upstream.reading.saturating_sub(unread);
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         const UNREACHABLE_WEIGHT: u32 = 2;
@@ -243,7 +289,9 @@
         const LEAST_CONNECTIONS: f64 = 2.0;
         let total = self.fleet.total() as f64;
         let near = self.place.region.clone();
-        let Some(upstream) = self.upstreams.get_mut(id) else { return self.refuse(true) };
+        let Some(upstream) = self.upstreams.get_mut(id) else {
+            return self.refuse(true);
+        };
         if upstream.in_flight == 0 {
             upstream.silent_since = now;
         }
@@ -272,8 +320,15 @@
     }
 
     fn refuse(&mut self, none_usable: bool) -> Decision {
-        let range = if none_usable { RETRY_AFTER_LOST_MS } else { RETRY_AFTER_MS };
+        let range = if none_usable {
+            RETRY_AFTER_LOST_MS
+        } else {
+            RETRY_AFTER_MS
+        };
         let retry_after = Duration::from_millis(self.random.u64(range));
-        Decision::Refuse(Refusal { retry_after, none_usable })
+        Decision::Refuse(Refusal {
+            retry_after,
+            none_usable,
+        })
     }
 }
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -27,7 +27,10 @@
         if candidates.is_empty() {
             return None;
         }
-        let holder = query.prompt.shared.and_then(|shared| self.pick_holder(now, query, candidates, shared));
+        let holder = query
+            .prompt
+            .shared
+            .and_then(|shared| self.pick_holder(now, query, candidates, shared));
         holder.or_else(|| self.pick_in_turn(now, query, candidates))
     }
 
@@ -40,8 +43,10 @@
         candidates: &[UpstreamId],
         shared: u32,
     ) -> Option<UpstreamId> {
-        let mut ranked: Vec<&UpstreamId> =
-            candidates.iter().filter(|id| self.has_room(now, query, id)).collect();
+        let mut ranked: Vec<&UpstreamId> = candidates
+            .iter()
+            .filter(|id| self.has_room(now, query, id))
+            .collect();
         ranked.sort_by_cached_key(|id| std::cmp::Reverse(hash(&(shared, &***id))));
         let patience = HOLDER_PATIENCE * query.prompt.shared_tokens;
         let is_free = |id: &&&UpstreamId| self.reads_less(now, id, patience);
@@ -49,33 +54,56 @@
         let ranks = || ranked.iter();
         let reading = |id: &&&UpstreamId| self.reading(now, id);
         let keeper = ranks().filter(keeps).min_by_key(reading);
-        let presumed = || ranks().find(is_free).filter(|_| !self.placements.are_known(now));
-        keeper.or_else(presumed).or_else(|| ranks().min_by_key(reading)).map(|id| (*id).clone())
+        let presumed = || {
+            ranks()
+                .find(is_free)
+                .filter(|_| !self.placements.are_known(now))
+        };
+        keeper
+            .or_else(presumed)
+            .or_else(|| ranks().min_by_key(reading))
+            .map(|id| (*id).clone())
     }
 
     /// Round robin.
-    fn pick_in_turn(&mut self, now: u64, query: &Query<'_>, candidates: &[UpstreamId]) -> Option<UpstreamId> {
+    fn pick_in_turn(
+        &mut self,
+        now: u64,
+        query: &Query<'_>,
+        candidates: &[UpstreamId],
+    ) -> Option<UpstreamId> {
         let begin = self.next_turn(&query.service.name);
-        let order =
-            || (0..candidates.len()).map(|step| &candidates[begin.wrapping_add(step) % candidates.len()]);
+        let order = || {
+            (0..candidates.len())
+                .map(|step| &candidates[begin.wrapping_add(step) % candidates.len()])
+        };
         let proposals = || order().take(PROPOSALS.max(candidates.len()));
         let has_room = |id: &&UpstreamId| self.has_room(now, query, id);
         let is_free = |id: &&UpstreamId| has_room(id) && self.reads_less(now, id, READING);
-        let chosen = proposals().find(is_free).or_else(|| proposals().find(has_room));
+        let chosen = proposals()
+            .find(is_free)
+            .or_else(|| proposals().find(has_room));
         // The fallback: the next in order that is not known to be full; a breaker may be wrong, a cold budget may not.
-        chosen.or_else(|| order().find(|id| self.may_fall_back(now, query, id))).cloned()
+        chosen
+            .or_else(|| order().find(|id| self.may_fall_back(now, query, id)))
+            .cloned()
     }
 
     fn next_turn(&mut self, service: &str) -> usize {
         let random = &mut self.random;
-        let cursor = self.cursors.entry(service.to_owned()).or_insert_with(|| random.usize(..1 << 16));
+        let cursor = self
+            .cursors
+            .entry(service.to_owned())
+            .or_insert_with(|| random.usize(..1 << 16));
         let turn = *cursor;
         *cursor = turn.wrapping_add(1);
         turn
     }
 
     fn keeps(&self, id: &str, shared: u32) -> bool {
-        self.upstreams.get(id).is_some_and(|upstream| upstream.kept.has(shared))
+        self.upstreams
+            .get(id)
+            .is_some_and(|upstream| upstream.kept.has(shared))
     }
 
     fn reads_less(&self, now: u64, id: &str, tokens: u64) -> bool {
@@ -83,6 +111,8 @@
     }
 
     fn reading(&self, now: u64, id: &str) -> u64 {
-        self.upstreams.get(id).map_or(u64::MAX, |upstream| upstream.fleet_reading(now))
+        self.upstreams
+            .get(id)
+            .map_or(u64::MAX, |upstream| upstream.fleet_reading(now))
     }
 }
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -111,7 +111,8 @@
     pub fn update(&mut self, now: u64, registration: &Registration) {
         self.unconfirmed_since = None;
         let old = (self.sequence, self.status);
-        let is_old = self.status == Status::Gone || (registration.sequence, registration.status) < old;
+        let is_old =
+            self.status == Status::Gone || (registration.sequence, registration.status) < old;
         if is_old && registration.status != Status::Gone {
             return;
         }
@@ -139,7 +140,11 @@
     /// The tokens of a prompt that it has to read, as far as this balancer knows.
     pub fn unread(&self, prompt: &Prompt) -> u64 {
         let is_kept = prompt.shared.is_some_and(|shared| self.kept.has(shared));
-        if is_kept { prompt.tokens.saturating_sub(prompt.shared_tokens) } else { prompt.tokens }
+        if is_kept {
+            prompt.tokens.saturating_sub(prompt.shared_tokens)
+        } else {
+            prompt.tokens
+        }
     }
 
     pub fn note_cold_send(&mut self, now: u64) {
--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -9,11 +9,21 @@
 use woadstall_routing::{Outcome, Prompt, Router};
 
 fn told(id: &str, unread: u32, failing: u16) -> FleetLoad {
-    FleetLoad { upstream: short_hash(id), unread, failing }
+    FleetLoad {
+        upstream: short_hash(id),
+        unread,
+        failing,
+    }
 }
 
 fn tell(router: &mut Router, now: u64, upstreams: &[FleetLoad]) {
-    router.set_fleet_loads(now, &FleetLoads { upstreams: upstreams.to_vec(), placements: Vec::new() });
+    router.set_fleet_loads(
+        now,
+        &FleetLoads {
+            upstreams: upstreams.to_vec(),
+            placements: Vec::new(),
+        },
+    );
 }
 
 fn sends_to(router: &mut Router, now: u64, id: &str) -> bool {
@@ -53,7 +63,10 @@
     let mut router = router_with(&[("n", 3)]);
     tell(&mut router, 1_000, &[told("n0", 0, 5)]);
     assert!(!sends_to(&mut router, 1_700, "n0"));
-    assert!(sends_to(&mut router, 1_701, "n0"), "told for the last time 0.7 s ago");
+    assert!(
+        sends_to(&mut router, 1_701, "n0"),
+        "told for the last time 0.7 s ago"
+    );
     tell(&mut router, 2_000, &[told("n0", 0, 5)]);
     tell(&mut router, 2_100, &[]);
     assert!(sends_to(&mut router, 2_100, "n0"));
@@ -71,7 +84,15 @@
     let mut router = router_with(&[("n", 3)]);
     tell(&mut router, 0, &[told("n0", 20_000, 0)]);
     assert!(!sends_to(&mut router, 0, "n0"));
-    tell(&mut router, 0, &[told("n0", 20_000, 0), told("n1", 20_000, 0), told("n2", 20_000, 0)]);
+    tell(
+        &mut router,
+        0,
+        &[
+            told("n0", 20_000, 0),
+            told("n1", 20_000, 0),
+            told("n2", 20_000, 0),
+        ],
+    );
     assert!(sends_to(&mut router, 0, "n0"), "a preference, and no bar");
 }
 
@@ -80,18 +101,37 @@
     let mut router = router_with(&[("n", 2)]);
     assert_eq!(router.load(0), []);
     let mut long = request();
-    long.prompt = Prompt { shared: None, shared_tokens: 0, tokens: 20_000 };
+    long.prompt = Prompt {
+        shared: None,
+        shared_tokens: 0,
+        tokens: 20_000,
+    };
     let reader = long.target(&mut router, 0);
-    let load = UpstreamLoad { upstream: short_hash(&reader.id), unread: 20_000, is_failing: false };
+    let load = UpstreamLoad {
+        upstream: short_hash(&reader.id),
+        unread: 20_000,
+        is_failing: false,
+    };
     assert_eq!(router.load(100), [load]);
-    assert_eq!(router.load(601), [UpstreamLoad { is_failing: true, ..load }], "silent for long");
+    assert_eq!(
+        router.load(601),
+        [UpstreamLoad {
+            is_failing: true,
+            ..load
+        }],
+        "silent for long"
+    );
     router.heard(700, &reader.id, 20_000);
     assert_eq!(router.load(700), []);
     router.finish(700, &reader.id, Outcome::Answered, 0);
     (0..3).for_each(|_| router.finish(700, &reader.id, Outcome::Broken, 0));
     assert_eq!(
         router.load(710),
-        [UpstreamLoad { unread: 0, is_failing: true, ..load }],
+        [UpstreamLoad {
+            unread: 0,
+            is_failing: true,
+            ..load
+        }],
         "its breaker is open"
     );
 }
@@ -106,22 +146,31 @@
 ) {
     let mut router = router_with(&[("n", 4)]);
     let mut quote = request();
-    quote.prompt = Prompt { shared: Some(5), shared_tokens: 10_000, tokens: 12_000 };
+    quote.prompt = Prompt {
+        shared: Some(5),
+        shared_tokens: 10_000,
+        tokens: 12_000,
+    };
     let first = quote.target(&mut router, 0);
     router.finish(0, &first.id, Outcome::Withdrawn, first.reading);
     tell(&mut router, 10, &[told(&first.id, unread, 0)]);
     let again = quote.target(&mut router, 10);
     assert_eq!(again.id == first.id, waits);
     // Where all have much to read, the one with the least takes it.
-    let all: Vec<FleetLoad> =
-        (0..4).map(|number| told(&format!("n{number}"), 90_000 - 1_000 * number, 0)).collect();
+    let all: Vec<FleetLoad> = (0..4)
+        .map(|number| told(&format!("n{number}"), 90_000 - 1_000 * number, 0))
+        .collect();
     tell(&mut router, 20, &all);
     assert_eq!(&*quote.target(&mut router, 20).id, "n3");
 }
 
 fn quote(beginning: u32) -> support::Request {
     let mut quote = request();
-    quote.prompt = Prompt { shared: Some(beginning), shared_tokens: 10_000, tokens: 12_000 };
+    quote.prompt = Prompt {
+        shared: Some(beginning),
+        shared_tokens: 10_000,
+        tokens: 12_000,
+    };
     quote
 }
 
@@ -130,11 +179,26 @@
     let mut router = router_with(&[("n", 4)]);
     let quote = quote(5);
     let first = quote.target(&mut router, 0).id;
-    let other = ["n0", "n1", "n2", "n3"].into_iter().find(|id| **id != *first).unwrap();
+    let other = ["n0", "n1", "n2", "n3"]
+        .into_iter()
+        .find(|id| **id != *first)
+        .unwrap();
     let mut informed = router_with(&[("n", 4)]);
     let upstream = short_hash(other);
-    let placements = vec![Placement { number: 1, upstream, beginning: 5, tokens: 10_000, own_tokens: 20 }];
-    informed.set_fleet_loads(0, &FleetLoads { upstreams: Vec::new(), placements });
+    let placements = vec![Placement {
+        number: 1,
+        upstream,
+        beginning: 5,
+        tokens: 10_000,
+        own_tokens: 20,
+    }];
+    informed.set_fleet_loads(
+        0,
+        &FleetLoads {
+            upstreams: Vec::new(),
+            placements,
+        },
+    );
     assert_eq!(&*quote.target(&mut informed, 10).id, other);
 }
 
@@ -146,7 +210,16 @@
     let told = router.placements(400);
     let number = told[0].number;
     let upstream = short_hash("n0");
-    assert_eq!(told, [Placement { number, upstream, beginning: 5, tokens: 10_000, own_tokens: 2_000 }]);
+    assert_eq!(
+        told,
+        [Placement {
+            number,
+            upstream,
+            beginning: 5,
+            tokens: 10_000,
+            own_tokens: 2_000
+        }]
+    );
     assert_eq!(router.placements(401), []);
 }
 
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -12,14 +12,26 @@
 use woadstall_control::loads::{FleetLoad, FleetLoads, Placement};
 use woadstall_control::registry::{Registration, Status};
 use woadstall_control::shards::short_hash;
-use woadstall_routing::{Decision, Fleet, Outcome, Place, Prompt, Query, Router, Target, UpstreamId};
+use woadstall_routing::{
+    Decision, Fleet, Outcome, Place, Prompt, Query, Router, Target, UpstreamId,
+};
 
 const STEPS: u64 = 20_000;
-const ZONES: [(&str, &str); 5] =
-    [("n1", "north"), ("n2", "north"), ("s1", "south"), ("s2", "south"), ("w1", "west")];
+const ZONES: [(&str, &str); 5] = [
+    ("n1", "north"),
+    ("n2", "north"),
+    ("s1", "south"),
+    ("s2", "south"),
+    ("w1", "west"),
+];
 const UPSTREAMS_PER_ZONE: u64 = 5;
 const SERVICES: [&str; 2] = ["model", "plain"];
-const STATUSES: [Status; 4] = [Status::Ready, Status::Draining, Status::Silent, Status::Gone];
+const STATUSES: [Status; 4] = [
+    Status::Ready,
+    Status::Draining,
+    Status::Silent,
+    Status::Gone,
+];
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Answered,
     Outcome::Rejected,
@@ -112,7 +124,9 @@
     fn new() -> Self {
         let place = Place {
             region: "north".to_owned(),
-            zones: ZONES.map(|(zone, region)| (zone.to_owned(), region.to_owned())).into(),
+            zones: ZONES
+                .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
+                .into(),
         };
         let mut course = Self {
             router: Router::new(place, bounds(), 4_711),
@@ -128,7 +142,9 @@
             obstacles: BTreeSet::new(),
         };
         let registrations = course.all_registrations();
-        registrations.iter().for_each(|registration| course.router.register(0, registration));
+        registrations
+            .iter()
+            .for_each(|registration| course.router.register(0, registration));
         course
     }
 
@@ -136,7 +152,11 @@
         let of_zone = |(zone, _): (&'static str, &str)| {
             (0..UPSTREAMS_PER_ZONE).map(move |number| {
                 let service = SERVICES[usize::from(number >= 3)].to_owned();
-                Registration { service, capacity: 4, ..registration(&format!("{zone}-{number}"), zone) }
+                Registration {
+                    service,
+                    capacity: 4,
+                    ..registration(&format!("{zone}-{number}"), zone)
+                }
             })
         };
         ZONES.into_iter().flat_map(of_zone).collect()
@@ -150,12 +170,20 @@
     fn any_prompt(&mut self) -> Prompt {
         match self.draws.below(3) {
             0 => Prompt::default(),
-            1 => Prompt { shared: None, shared_tokens: 0, tokens: self.draws.below(30_000) },
+            1 => Prompt {
+                shared: None,
+                shared_tokens: 0,
+                tokens: self.draws.below(30_000),
+            },
             _ => {
                 let shared = self.draws.below(12) as u32;
                 let shared_tokens = 4_000 + 1_000 * u64::from(shared);
                 let tokens = shared_tokens + self.draws.below(2_000);
-                Prompt { shared: Some(shared), shared_tokens, tokens }
+                Prompt {
+                    shared: Some(shared),
+                    shared_tokens,
+                    tokens,
+                }
             }
         }
     }
@@ -168,7 +196,12 @@
         self.router.request(self.now, &service.name);
         let mut tried: Vec<UpstreamId> = Vec::new();
         loop {
-            let query = Query { route: &route, service: &service, prompt, tried: &tried };
+            let query = Query {
+                route: &route,
+                service: &service,
+                prompt,
+                tried: &tried,
+            };
             let standing = self.router.standing(self.now, &query);
             self.digest.number(standing.candidates as u64);
             for (obstacle, count) in &standing.passed_over {
@@ -212,14 +245,21 @@
         }
         let index = self.draws.below(self.in_flight.len() as u64) as usize;
         let id = self.in_flight[index].id.clone();
-        let is_dead_zone = &*self.in_flight[index].zone == "n2" && (self.now / 8_000).is_multiple_of(3);
+        let is_dead_zone =
+            &*self.in_flight[index].zone == "n2" && (self.now / 8_000).is_multiple_of(3);
         match self.draws.below(4) {
             _ if is_dead_zone => {
-                self.router.finish(self.now, &id, Outcome::Unreachable, self.in_flight[index].reading);
+                self.router.finish(
+                    self.now,
+                    &id,
+                    Outcome::Unreachable,
+                    self.in_flight[index].reading,
+                );
                 self.in_flight.swap_remove(index);
             }
             0 => {
-                self.router.heard(self.now, &id, self.in_flight[index].reading);
+                self.router
+                    .heard(self.now, &id, self.in_flight[index].reading);
                 self.in_flight[index].reading = 0;
             }
             1 => self.router.answered(self.now, &id),
@@ -243,13 +283,24 @@
         } else {
             Status::Ready
         };
-        let cold_remaining_ms = if self.draws.one_in(3) { self.draws.below(4_000) } else { 0 };
+        let cold_remaining_ms = if self.draws.one_in(3) {
+            self.draws.below(4_000)
+        } else {
+            0
+        };
         let capacity = 1 + self.draws.below(6);
         let base = self.any_registration();
         // A process that has gone does not come back; its successor has another id.
         let id = format!("{}-{}", base.id, self.now / 30_000);
         let sequence = self.sequence;
-        let newer = Registration { id, status, sequence, cold_remaining_ms, capacity, ..base };
+        let newer = Registration {
+            id,
+            status,
+            sequence,
+            cold_remaining_ms,
+            capacity,
+            ..base
+        };
         self.router.register(self.now, &newer);
     }
 
@@ -260,8 +311,11 @@
     }
 
     fn change_evacuation(&mut self) {
-        let zones: BTreeSet<String> =
-            ZONES.iter().filter(|_| self.draws.one_in(6)).map(|(zone, _)| (*zone).to_owned()).collect();
+        let zones: BTreeSet<String> = ZONES
+            .iter()
+            .filter(|_| self.draws.one_in(6))
+            .map(|(zone, _)| (*zone).to_owned())
+            .collect();
         let cold = |service: &str| Duration::from_secs(if service == "model" { 3 } else { 0 });
         self.router.set_evacuated(self.now, &zones, cold);
     }
@@ -284,12 +338,22 @@
         for _ in 0..self.draws.below(6) {
             let upstream = short_hash(&self.any_registration().id);
             let (unread, failing) = (self.draws.below(30_000) as u32, self.draws.below(4) as u16);
-            loads.upstreams.push(FleetLoad { upstream, unread, failing });
+            loads.upstreams.push(FleetLoad {
+                upstream,
+                unread,
+                failing,
+            });
             self.placement += 1;
             let number = self.placement - self.draws.below(2) as u32;
             let beginning = self.draws.below(12) as u32;
             let tokens = 4_000 + 1_000 * beginning;
-            loads.placements.push(Placement { number, upstream, beginning, tokens, own_tokens: 500 });
+            loads.placements.push(Placement {
+                number,
+                upstream,
+                beginning,
+                tokens,
+                own_tokens: 500,
+            });
         }
         self.router.set_fleet_loads(self.now, &loads);
     }
@@ -301,7 +365,13 @@
             self.digest.number(u64::from(load.is_failing));
         }
         for placement in self.router.placements(self.now) {
-            let Placement { number, upstream, beginning, tokens, own_tokens } = placement;
+            let Placement {
+                number,
+                upstream,
+                beginning,
+                tokens,
+                own_tokens,
+            } = placement;
             [number, upstream, beginning, tokens, own_tokens]
                 .into_iter()
                 .for_each(|field| self.digest.number(u64::from(field)));
@@ -333,7 +403,12 @@
     for _ in 0..STEPS {
         course.step();
     }
-    assert!(course.sent > 1_000 && course.refused > 100, "{} sent, {} refused", course.sent, course.refused);
+    assert!(
+        course.sent > 1_000 && course.refused > 100,
+        "{} sent, {} refused",
+        course.sent,
+        course.refused
+    );
     assert_eq!(course.obstacles, (0..7).collect());
     assert_eq!(format!("{:016x}", course.digest.0), "f6819980a098b23d");
 }
--- a/crates/routing/tests/locality.rs
+++ b/crates/routing/tests/locality.rs
@@ -4,7 +4,12 @@
 use woadstall_routing::{Locality, RegionLoad};
 
 fn region(name: &str, upstreams: usize, healthy: usize, load: f64) -> RegionLoad {
-    RegionLoad { region: name.to_owned(), upstreams, healthy, load }
+    RegionLoad {
+        region: name.to_owned(),
+        upstreams,
+        healthy,
+        load,
+    }
 }
 
 fn names(names: &[&str]) -> Vec<String> {
@@ -17,19 +22,32 @@
 #[case::blackout(region("a", 4, 1, 0.5), Locality::OneOf(names(&["b", "c"])))]
 #[case::none_healthy(region("a", 4, 0, 0.0), Locality::OneOf(names(&["b", "c"])))]
 #[case::overloaded(region("a", 4, 4, 1.2), Locality::OneOf(names(&["b", "c"])))]
-fn the_home_region_is_left_on_its_health_alone(#[case] home: RegionLoad, #[case] expected: Locality) {
+fn the_home_region_is_left_on_its_health_alone(
+    #[case] home: RegionLoad,
+    #[case] expected: Locality,
+) {
     let regions = [home, region("b", 3, 3, 0.4), region("c", 2, 2, 0.1)];
     assert_eq!(Locality::decide("a", &regions), expected);
 }
 
 #[test]
 fn the_worst_of_the_overloaded_is_dropped() {
-    let regions = [region("a", 4, 4, 1.5), region("b", 3, 3, 2.0), region("c", 2, 2, 1.1)];
-    assert_eq!(Locality::decide("a", &regions), Locality::OneOf(names(&["a", "c"])));
+    let regions = [
+        region("a", 4, 4, 1.5),
+        region("b", 3, 3, 2.0),
+        region("c", 2, 2, 1.1),
+    ];
+    assert_eq!(
+        Locality::decide("a", &regions),
+        Locality::OneOf(names(&["a", "c"]))
+    );
 }
 
 #[test]
 fn where_nothing_is_left_all_may_be_tried() {
     let regions = [region("a", 4, 0, 0.0), region("b", 3, 0, 0.0)];
-    assert_eq!(Locality::decide("a", &regions), Locality::All(names(&["a", "b"])));
+    assert_eq!(
+        Locality::decide("a", &regions),
+        Locality::All(names(&["a", "b"]))
+    );
 }
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -40,11 +40,18 @@
     let mut router = router_with(&[("n", 2), ("s", 2), ("w", 2)]);
     let mut request = request();
     request.route.allowed_regions = vec!["south".to_owned(), "west".to_owned()];
-    let zones: BTreeSet<String> =
-        (0..40).map(|_| request.target(&mut router, 0).id[..1].to_owned()).collect();
+    let zones: BTreeSet<String> = (0..40)
+        .map(|_| request.target(&mut router, 0).id[..1].to_owned())
+        .collect();
     assert_eq!(zones, ["s".to_owned(), "w".to_owned()].into());
     request.route.allowed_regions = vec!["elsewhere".to_owned()];
-    assert!(matches!(request.choose(&mut router, 0), Decision::Refuse(Refusal { none_usable: true, .. })));
+    assert!(matches!(
+        request.choose(&mut router, 0),
+        Decision::Refuse(Refusal {
+            none_usable: true,
+            ..
+        })
+    ));
 }
 
 #[rstest]
@@ -52,7 +59,14 @@
 #[case::gone(Status::Gone)]
 fn what_leaves_gets_nothing_new(#[case] status: Status) {
     let mut router = router_with(&[("n", 2)]);
-    router.register(0, &Registration { status, sequence: 2, ..registration("n0", "n") });
+    router.register(
+        0,
+        &Registration {
+            status,
+            sequence: 2,
+            ..registration("n0", "n")
+        },
+    );
     let request = request();
     assert!((0..10).all(|_| &*request.target(&mut router, 0).id == "n1"));
     assert!(!router.is_usable("n0"));
@@ -65,7 +79,13 @@
 fn where_all_have_fallen_silent_they_are_tried_all_the_same() {
     let mut router = router_with(&[("n", 1), ("s", 1)]);
     for id in ["n0", "s0"] {
-        router.register(0, &Registration { status: Status::Silent, ..registration(id, &id[..1]) });
+        router.register(
+            0,
+            &Registration {
+                status: Status::Silent,
+                ..registration(id, &id[..1])
+            },
+        );
     }
     assert_eq!(&*request().target(&mut router, 0).id, "n0");
 }
@@ -79,7 +99,9 @@
     router.set_evacuated(10_000, &BTreeSet::new(), cold);
     // A cold upstream gets this balancer's share of a second, and no more.
     let request = request();
-    let near = (0..40).filter(|_| request.target(&mut router, 10_000).id.starts_with('n')).count();
+    let near = (0..40)
+        .filter(|_| request.target(&mut router, 10_000).id.starts_with('n'))
+        .count();
     // 21 a second by half more and five, of which 0.85 is given out and 0.75 of that to the region's three balancers.
     let share = ColdShare::of(23, "n0", OWN, &[OWN, 2, 3]).per_second;
     assert!(share == 7 || share == 8);
@@ -96,7 +118,9 @@
     assert!((0..6).all(|_| &*request.target(&mut router, 100).id == "n1"));
     let later = 1_500;
     router.heard(later, "n1", 0);
-    let trials = (0..6).filter(|_| &*request.target(&mut router, later).id == "n0").count();
+    let trials = (0..6)
+        .filter(|_| &*request.target(&mut router, later).id == "n0")
+        .count();
     assert_eq!(trials, 1, "one request tries");
     router.answered(later + 50, "n0");
     assert!((0..6).any(|_| &*request.target(&mut router, later + 60).id == "n0"));
@@ -110,7 +134,10 @@
     }
     assert!(matches!(
         request().choose(&mut router, 10),
-        Decision::Refuse(Refusal { none_usable: false, .. })
+        Decision::Refuse(Refusal {
+            none_usable: false,
+            ..
+        })
     ));
     assert_eq!(&*request().target(&mut router, 200).id, "n0");
 }
@@ -158,7 +185,9 @@
         router.finish(600, id, Outcome::Unreachable, 0);
     }
     let request = request();
-    let sent = (0..20).filter(|_| matches!(request.choose(&mut router, 700), Decision::Send(_))).count();
+    let sent = (0..20)
+        .filter(|_| matches!(request.choose(&mut router, 700), Decision::Send(_)))
+        .count();
     assert_eq!(sent, 2, "one trial each");
 }
 
@@ -166,7 +195,10 @@
 fn one_upstream_that_fails_does_not_give_up_its_zone() {
     let mut router = router_with(&[("n", 3), ("s", 2)]);
     router.finish(600, "n1", Outcome::Unreachable, 0);
-    assert_eq!(zones_of_unanswered(&mut router, 700, 6), [("n".to_owned(), 6)].into());
+    assert_eq!(
+        zones_of_unanswered(&mut router, 700, 6),
+        [("n".to_owned(), 6)].into()
+    );
 }
 
 fn zones_of_unanswered(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
@@ -184,19 +216,41 @@
     let mut router = router_with(&[("n", 6)]);
     let mut request = request();
     let place = |router: &mut Router, request: &mut support::Request, shared: u32| {
-        request.prompt = Prompt { shared: Some(shared), shared_tokens: 13_000, tokens: 14_000 };
+        request.prompt = Prompt {
+            shared: Some(shared),
+            shared_tokens: 13_000,
+            tokens: 14_000,
+        };
         let target = request.target(router, 0);
         router.finish(0, &target.id, Outcome::Answered, target.reading);
         target.id.to_string()
     };
-    let before: Vec<String> = (0..60).map(|shared| place(&mut router, &mut request, shared)).collect();
-    let again: Vec<String> = (0..60).map(|shared| place(&mut router, &mut request, shared)).collect();
+    let before: Vec<String> = (0..60)
+        .map(|shared| place(&mut router, &mut request, shared))
+        .collect();
+    let again: Vec<String> = (0..60)
+        .map(|shared| place(&mut router, &mut request, shared))
+        .collect();
     assert_eq!(before, again);
-    assert_eq!(before.iter().collect::<BTreeSet<_>>().len(), 6, "all are used");
-    router.register(0, &Registration { status: Status::Draining, sequence: 2, ..registration("n3", "n") });
+    assert_eq!(
+        before.iter().collect::<BTreeSet<_>>().len(),
+        6,
+        "all are used"
+    );
+    router.register(
+        0,
+        &Registration {
+            status: Status::Draining,
+            sequence: 2,
+            ..registration("n3", "n")
+        },
+    );
     for (shared, old) in before.iter().enumerate() {
         let new = place(&mut router, &mut request, shared as u32);
-        assert!(old == "n3" || new == *old, "a prompt moved though its upstream stayed");
+        assert!(
+            old == "n3" || new == *old,
+            "a prompt moved though its upstream stayed"
+        );
     }
 }
 
@@ -204,7 +258,11 @@
 fn a_kept_prompt_counts_only_for_what_is_new() {
     let mut router = router_with(&[("n", 1)]);
     let mut request = request();
-    request.prompt = Prompt { shared: Some(5), shared_tokens: 13_000, tokens: 14_000 };
+    request.prompt = Prompt {
+        shared: Some(5),
+        shared_tokens: 13_000,
+        tokens: 14_000,
+    };
     assert_eq!(request.target(&mut router, 0).reading, 14_000);
     assert_eq!(request.target(&mut router, 0).reading, 1_000);
 }
@@ -213,7 +271,11 @@
 fn short_requests_avoid_who_reads_a_long_prompt() {
     let mut router = router_with(&[("n", 2)]);
     let mut long = request();
-    long.prompt = Prompt { shared: None, shared_tokens: 0, tokens: 20_000 };
+    long.prompt = Prompt {
+        shared: None,
+        shared_tokens: 0,
+        tokens: 20_000,
+    };
     let reader = long.target(&mut router, 0);
     let short = request();
     assert!((0..6).all(|_| short.target(&mut router, 10).id != reader.id));
@@ -230,13 +292,18 @@
     let second = request.target(&mut router, 0);
     assert_ne!(first.id, second.id);
     request.tried.push(second.id);
-    assert!(matches!(request.choose(&mut router, 0), Decision::Refuse(_)));
+    assert!(matches!(
+        request.choose(&mut router, 0),
+        Decision::Refuse(_)
+    ));
 }
 
 #[test]
 fn a_refusal_says_when_to_come_back() {
     let mut router = router_with(&[]);
-    let Decision::Refuse(refusal) = request().choose(&mut router, 0) else { panic!("nobody is there") };
+    let Decision::Refuse(refusal) = request().choose(&mut router, 0) else {
+        panic!("nobody is there")
+    };
     assert!(refusal.retry_after >= Duration::from_millis(200));
     assert!(refusal.none_usable);
 }
@@ -286,8 +353,8 @@
 fn a_request_given_up_on_a_silent_upstream_opens_its_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     let request = request();
-    let waiting =
-        std::iter::repeat_with(|| request.target(&mut router, 0)).find(|target| &*target.id == "n0");
+    let waiting = std::iter::repeat_with(|| request.target(&mut router, 0))
+        .find(|target| &*target.id == "n0");
     let waiting = waiting.unwrap();
     router.heard(1_400, "n1", 0);
     router.finish(1_500, "n0", outcome, waiting.reading);
--- a/crates/routing/tests/support.rs
+++ b/crates/routing/tests/support.rs
@@ -23,7 +23,9 @@
     let zones = [("n", "north"), ("s", "south"), ("w", "west")];
     let place = Place {
         region: "north".to_owned(),
-        zones: zones.map(|(zone, region)| (zone.to_owned(), region.to_owned())).into(),
+        zones: zones
+            .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
+            .into(),
     };
     let mut router = Router::new(place, bounds(), 1);
     let mut fleet = Fleet::new(OWN);
@@ -76,14 +78,26 @@
         "services": [{ "name": "s1", "max_connections": 370, "cold_start_s": 3.0, "warmup_per_s": 21.0 }],
     });
     let configuration = Configuration::read(&document).unwrap();
-    let (route, service) = (configuration.routes[0].clone(), configuration.services["s1"].clone());
-    Request { route, service, prompt: Prompt::default(), tried: Vec::new() }
+    let (route, service) = (
+        configuration.routes[0].clone(),
+        configuration.services["s1"].clone(),
+    );
+    Request {
+        route,
+        service,
+        prompt: Prompt::default(),
+        tried: Vec::new(),
+    }
 }
 
 impl Request {
     pub fn choose(&self, router: &mut Router, now: u64) -> Decision {
-        let query =
-            Query { route: &self.route, service: &self.service, prompt: self.prompt, tried: &self.tried };
+        let query = Query {
+            route: &self.route,
+            service: &self.service,
+            prompt: self.prompt,
+            tried: &self.tried,
+        };
         router.choose(now, &query)
     }
 
--- a/crates/runtime/src/attempt.rs
+++ b/crates/runtime/src/attempt.rs
@@ -19,7 +19,12 @@
 impl Attempt {
     /// An attempt for a caller that waits until `deadline`, whose first byte must be written before `begin_by`.
     pub fn new(to: Peer, deadline: Instant, begin_by: Option<Instant>) -> Self {
-        Self { to, deadline, begin_by, start: Arc::default() }
+        Self {
+            to,
+            deadline,
+            begin_by,
+            start: Arc::default(),
+        }
     }
 
     /// The process of the upstream that it goes to.
@@ -52,14 +57,20 @@
 
 impl Start {
     fn begin(&self) -> bool {
-        match self.0.compare_exchange(PENDING, BEGUN, Ordering::AcqRel, Ordering::Acquire) {
+        match self
+            .0
+            .compare_exchange(PENDING, BEGUN, Ordering::AcqRel, Ordering::Acquire)
+        {
             Ok(_) => true,
             Err(state) => state == BEGUN,
         }
     }
 
     fn revoke(&self) -> bool {
-        match self.0.compare_exchange(PENDING, REVOKED, Ordering::AcqRel, Ordering::Acquire) {
+        match self
+            .0
+            .compare_exchange(PENDING, REVOKED, Ordering::AcqRel, Ordering::Acquire)
+        {
             Ok(_) => true,
             Err(state) => state == REVOKED,
         }
--- a/crates/runtime/src/balance.rs
+++ b/crates/runtime/src/balance.rs
@@ -16,8 +16,8 @@
 use woadstall_discovery::{Follow, Listing, Update, follow};
 use woadstall_engine::decisions::{Verdict as Finding, ZoneId};
 use woadstall_engine::{
-    Call, Command, Ended, Engine, Input, Learned, Listed, Observed, Outcome, Outstanding, Peer, RequestId,
-    ServerId, Settings, Time, Verdict,
+    Call, Command, Ended, Engine, Input, Learned, Listed, Observed, Outcome, Outstanding, Peer,
+    RequestId, ServerId, Settings, Time, Verdict,
 };
 use woadstall_settings::{Change, Names};
 
@@ -138,7 +138,10 @@
                 },
                 Command::Withdraw { id, attempt } => {
                     // A call that is answered or dropped withdraws its attempt by itself.
-                    engine.request(id).into_iter().for_each(|slot| slot.push(Order::Withdraw(attempt)));
+                    engine
+                        .request(id)
+                        .into_iter()
+                        .for_each(|slot| slot.push(Order::Withdraw(attempt)));
                 }
                 Command::Answer { request, verdict } => request.push(Order::Answer(verdict)),
                 Command::Probe(peer) => self.probe(peer),
@@ -160,19 +163,31 @@
     fn probe(self: &Arc<Self>, peer: Peer) {
         let (shared, probe) = (self.clone(), self.transport.probe(peer, PROBE_PATIENCE));
         self.runtime.spawn(async move {
-            let (outcome, load) = timeout(PROBE_PATIENCE, probe).await.unwrap_or((Outcome::Timeout, None));
-            shared.tell(&mut shared.lock(), Input::Probed(peer.server, outcome, load));
+            let (outcome, load) = timeout(PROBE_PATIENCE, probe)
+                .await
+                .unwrap_or((Outcome::Timeout, None));
+            shared.tell(
+                &mut shared.lock(),
+                Input::Probed(peer.server, outcome, load),
+            );
         });
     }
 
     fn list(self: &Arc<Self>, listing: &Listing) {
         let entries = listing.entries(&self.names);
         let mut locked = self.lock();
-        self.tell(&mut locked, Input::Listed { entries: &entries, all: listing.all });
+        self.tell(
+            &mut locked,
+            Input::Listed {
+                entries: &entries,
+                all: listing.all,
+            },
+        );
         let ready = locked.engine.is_ready();
         drop(locked);
         if ready {
-            self.ready.send_if_modified(|now| !std::mem::replace(now, true));
+            self.ready
+                .send_if_modified(|now| !std::mem::replace(now, true));
         }
     }
 
@@ -193,7 +208,9 @@
 async fn ring<T: Transport>(shared: Weak<Shared<T>>) {
     let mut sweep_at = Instant::now() + SWEEP_EVERY;
     loop {
-        let Some(shared) = shared.upgrade() else { return };
+        let Some(shared) = shared.upgrade() else {
+            return;
+        };
         let now = Instant::now();
         if now >= sweep_at {
             shared.transport.sweep();
@@ -208,7 +225,11 @@
             let step = shared.clock.now() + RING_EVERY.as_nanos() as Time;
             let due = locked.engine.wake_at().map_or(sweep, |at| at.min(sweep));
             // While calls come, the next one finds a step planned that is early enough for its timer.
-            locked.planned = if std::mem::take(&mut locked.busy) { step } else { due.max(step) };
+            locked.planned = if std::mem::take(&mut locked.busy) {
+                step
+            } else {
+                due.max(step)
+            };
             shared.clock.instant(locked.planned)
         };
         tokio::select! {
@@ -238,7 +259,11 @@
 
 impl<T> Clone for Balance<T> {
     fn clone(&self) -> Self {
-        Self { shared: self.shared.clone(), tasks: self.tasks.clone(), subscribed: self.subscribed.clone() }
+        Self {
+            shared: self.shared.clone(),
+            tasks: self.tasks.clone(),
+            subscribed: self.subscribed.clone(),
+        }
     }
 }
 
@@ -247,13 +272,23 @@
     /// names the setting at fault.
     pub fn new(setup: Setup, transport: T, log: Log) -> Result<Self, String> {
         let clock = Clock::default();
-        let Setup { settings, names, seed, known } = setup;
+        let Setup {
+            settings,
+            names,
+            seed,
+            known,
+        } = setup;
         let (asked, may_cancel) = (settings.ask_discovery, settings.may_cancel);
-        let engine =
-            Engine::new(settings, seed, clock.now()).map_err(|error| format!("settings: {error}"))?;
+        let engine = Engine::new(settings, seed, clock.now())
+            .map_err(|error| format!("settings: {error}"))?;
         let (subscribe, subscribed) = unbounded_channel();
         let shared = Arc::new(Shared {
-            locked: Mutex::new(Locked { engine, next_id: 0, planned: 0, busy: false }),
+            locked: Mutex::new(Locked {
+                engine,
+                next_id: 0,
+                planned: 0,
+                busy: false,
+            }),
             transport,
             clock,
             names,
@@ -270,19 +305,34 @@
         shared.list(&Listing { all: true, ..known });
         let ringing = tokio::spawn(ring(Arc::downgrade(&shared))).abort_handle();
         let tasks = Arc::new(Tasks(Mutex::new(vec![ringing])));
-        Ok(Self { shared, tasks, subscribed: Arc::new(Mutex::new(Some(subscribed))) })
+        Ok(Self {
+            shared,
+            tasks,
+            subscribed: Arc::new(Mutex::new(Some(subscribed))),
+        })
     }
 
     /// Follows discovery at an address that may change, from the list that is known on. Once only.
     pub fn follow(&self, addresses: watch::Receiver<SocketAddr>) {
-        let subscribed = self.subscribed.lock().unwrap_or_else(PoisonError::into_inner).take();
+        let subscribed = self
+            .subscribed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take();
         let Some(subscribed) = subscribed else { return };
         let shared = Arc::downgrade(&self.shared);
         let hear = move |update| shared.upgrade().map(|shared| shared.hear(update)).is_some();
-        let from =
-            Follow { known: Some(self.shared.known), asked: self.shared.asked, seed: self.shared.seed };
+        let from = Follow {
+            known: Some(self.shared.known),
+            asked: self.shared.asked,
+            seed: self.shared.seed,
+        };
         let task = tokio::spawn(follow(from, hear, subscribed, addresses)).abort_handle();
-        self.tasks.0.lock().unwrap_or_else(PoisonError::into_inner).push(task);
+        self.tasks
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(task);
     }
 
     /// Takes a list of upstreams, whole or what changed.
@@ -312,7 +362,10 @@
 
     /// Takes new settings, see [`Engine::retune`]. The error names the setting at fault, and nothing has changed.
     pub fn retune(&self, change: Change) -> Result<(), String> {
-        let Change { settings, successions } = change;
+        let Change {
+            settings,
+            successions,
+        } = change;
         let retuned = self.shared.lock().engine.retune(settings, &successions);
         retuned.map_err(|error| format!("settings: {error}"))
     }
@@ -320,7 +373,11 @@
     /// What is worth knowing for a process that takes over, and the names of the upstreams in it.
     pub fn learned(&self) -> (Learned, HashMap<ServerId, String>) {
         let locked = self.shared.lock();
-        let names = locked.engine.names().iter().map(|(name, server)| (*server, name.clone()));
+        let names = locked
+            .engine
+            .names()
+            .iter()
+            .map(|(name, server)| (*server, name.clone()));
         (locked.engine.learned(), names.collect())
     }
 
@@ -358,7 +415,8 @@
     /// Tells the module what the fleet has found, as of the time on its clock.
     pub fn told(&self, findings: impl FnOnce(Time) -> Vec<Finding>) {
         let findings = findings(self.shared.clock.now());
-        self.shared.tell(&mut self.shared.lock(), Input::Told(&findings));
+        self.shared
+            .tell(&mut self.shared.lock(), Input::Told(&findings));
     }
 
     /// How many upstreams are listed, and how many of them are avoided.
@@ -381,9 +439,23 @@
                     break id;
                 }
             };
-            let Ask { class, tenant, work, deadline, attempts } = ask;
+            let Ask {
+                class,
+                tenant,
+                work,
+                deadline,
+                attempts,
+            } = ask;
             let deadline = shared.clock.time(deadline);
-            let call = Call { id, request: slot.clone(), class, tenant, work, deadline, attempts };
+            let call = Call {
+                id,
+                request: slot.clone(),
+                class,
+                tenant,
+                work,
+                deadline,
+                attempts,
+            };
             shared.tell(&mut locked, Input::Call(call));
             id
         };
