--- a/crates/runtime/src/call.rs
+++ b/crates/runtime/src/call.rs
@@ -33,8 +33,21 @@
 
 impl<T: Transport> Held<T> {
     /// A call that the engine has taken.
-    pub(crate) fn new(shared: Arc<Shared<T>>, id: RequestId, slot: Arc<Slot>, request: T::Request) -> Self {
-        Self { shared, id, slot, request, running: None, begun: None, answered: false }
+    pub(crate) fn new(
+        shared: Arc<Shared<T>>,
+        id: RequestId,
+        slot: Arc<Slot>,
+        request: T::Request,
+    ) -> Self {
+        Self {
+            shared,
+            id,
+            slot,
+            request,
+            running: None,
+            begun: None,
+            answered: false,
+        }
     }
 
     /// Does what the engine says until there is an answer.
@@ -60,27 +73,57 @@
                 Ok(Order::Answer(verdict)) => {
                     self.answered = true;
                     return match (verdict, brought) {
-                        (Verdict::Served(()), Some(Brought::Whole(answer))) => Verdict::Served(answer),
+                        (Verdict::Served(()), Some(Brought::Whole(answer))) => {
+                            Verdict::Served(answer)
+                        }
                         (Verdict::Served(()), Some(Brought::Begun(attempt, make))) => {
                             self.begun = None; // its end is the tail's to tell from here on
                             let shared: Arc<dyn Ends> = self.shared.clone();
-                            Verdict::Served(make(Tail { ends: Some((shared, self.id, attempt)) }))
+                            Verdict::Served(make(Tail {
+                                ends: Some((shared, self.id, attempt)),
+                            }))
                         }
                         (Verdict::Refused(after), _) => Verdict::Refused(after),
                         (Verdict::Served(()) | Verdict::Failed, _) => Verdict::Failed,
                     };
                 }
-                Err(Step::Ended(Ended { outcome, answer, load })) => {
-                    let Some(Outgoing { number: attempt, .. }) = self.running.take() else { continue };
+                Err(Step::Ended(Ended {
+                    outcome,
+                    answer,
+                    load,
+                })) => {
+                    let Some(Outgoing {
+                        number: attempt, ..
+                    }) = self.running.take()
+                    else {
+                        continue;
+                    };
                     let served = answer.is_some().then_some(());
                     brought = answer.map(Brought::Whole);
-                    self.shared.ended(self.id, attempt, Ended { outcome, answer: served, load });
+                    self.shared.ended(
+                        self.id,
+                        attempt,
+                        Ended {
+                            outcome,
+                            answer: served,
+                            load,
+                        },
+                    );
                 }
                 Err(Step::Started(make)) => {
-                    let Some(Outgoing { number: attempt, .. }) = self.running.take() else { continue };
+                    let Some(Outgoing {
+                        number: attempt, ..
+                    }) = self.running.take()
+                    else {
+                        continue;
+                    };
                     self.begun = Some(attempt);
                     brought = Some(Brought::Begun(attempt, make));
-                    let begun = Input::Started { id: self.id, attempt, answer: () };
+                    let begun = Input::Started {
+                        id: self.id,
+                        attempt,
+                        answer: (),
+                    };
                     self.shared.tell(&mut self.shared.lock(), begun);
                 }
             }
@@ -90,7 +133,9 @@
     /// Makes an attempt, unless its upstream was listed as draining or gone since it was decided on.
     fn start(&mut self, send: &SendOrder) {
         if !self.shared.lock().engine.takes_new(&send.to) {
-            return self.shared.ended(self.id, send.attempt, Outcome::Moot.into());
+            return self
+                .shared
+                .ended(self.id, send.attempt, Outcome::Moot.into());
         }
         let clock = &self.shared.clock;
         let until = clock.instant(send.until);
@@ -98,22 +143,38 @@
         let attempt = Attempt::new(send.to, clock.instant(send.deadline), begin_by);
         let made = self.shared.transport.attempt(&mut self.request, &attempt);
         let running = Box::pin(limited(until, attempt.clone(), made));
-        self.running = Some(Outgoing { number: send.attempt, attempt, running });
+        self.running = Some(Outgoing {
+            number: send.attempt,
+            attempt,
+            running,
+        });
     }
 
     /// Withdraws an attempt, and tells whether it can have run.
     fn withdraw(&self, out: Outgoing<T::Answer>) {
-        let outcome = if out.attempt.revoke() { Outcome::Moot } else { Outcome::Cancelled };
+        let outcome = if out.attempt.revoke() {
+            Outcome::Moot
+        } else {
+            Outcome::Cancelled
+        };
         drop(out.running);
         self.shared.ended(self.id, out.number, outcome.into());
     }
 }
 
 /// An attempt that is given up at a time. One that has not begun by then never ran.
-async fn limited<A>(until: Instant, attempt: Attempt, made: impl Future<Output = Step<A>>) -> Step<A> {
+async fn limited<A>(
+    until: Instant,
+    attempt: Attempt,
+    made: impl Future<Output = Step<A>>,
+) -> Step<A> {
     let ended = timeout_at(until, made).await;
     ended.unwrap_or_else(|_| {
-        let outcome = if attempt.revoke() { Outcome::ConnectFailed } else { Outcome::Timeout };
+        let outcome = if attempt.revoke() {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Timeout
+        };
         Step::Ended(outcome.into())
     })
 }
@@ -130,15 +191,18 @@
         let orders = self.slot.take_all();
         let left_out = self.running.take();
         if !self.answered {
-            self.shared.tell(&mut self.shared.lock(), Input::Gone(self.id));
+            self.shared
+                .tell(&mut self.shared.lock(), Input::Gone(self.id));
         }
         for order in orders {
             if let Order::Send(send) = order {
-                self.shared.ended(self.id, send.attempt, Outcome::Moot.into());
+                self.shared
+                    .ended(self.id, send.attempt, Outcome::Moot.into());
             }
         }
         if let Some(attempt) = self.begun.take() {
-            self.shared.ended(self.id, attempt, Outcome::Cancelled.into());
+            self.shared
+                .ended(self.id, attempt, Outcome::Cancelled.into());
         }
         let Some(out) = left_out else { return };
         // What has not begun is not to begin for a caller that has left, as when its connection still comes up.
@@ -148,7 +212,11 @@
         let (shared, id, attempt) = (self.shared.clone(), self.id, out.number);
         self.shared.runtime.spawn(async move {
             let ended = match out.running.await {
-                Step::Ended(Ended { outcome, load, .. }) => Ended { outcome, answer: None, load },
+                Step::Ended(Ended { outcome, load, .. }) => Ended {
+                    outcome,
+                    answer: None,
+                    load,
+                },
                 Step::Started(_) => Outcome::Cancelled.into(),
             };
             shared.ended(id, attempt, ended);
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -13,8 +13,13 @@
 
 impl Default for Clock {
     fn default() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_unix: unix.as_nanos() as Time }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            start: Instant::now(),
+            start_unix: unix.as_nanos() as Time,
+        }
     }
 }
 
--- a/crates/runtime/src/slot.rs
+++ b/crates/runtime/src/slot.rs
@@ -41,7 +41,11 @@
         if let Some(order) = inner.orders.pop_front() {
             return Poll::Ready(order);
         }
-        if !inner.waiting.as_ref().is_some_and(|waiting| waiting.will_wake(cx.waker())) {
+        if !inner
+            .waiting
+            .as_ref()
+            .is_some_and(|waiting| waiting.will_wake(cx.waker()))
+        {
             inner.waiting = Some(cx.waker().clone());
         }
         Poll::Pending
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -56,7 +56,10 @@
     pub fn tenant(&self, name: Option<&str>) -> Option<usize> {
         match self.tenants.is_empty() {
             true => Some(0),
-            false => self.tenants.iter().position(|tenant| Some(tenant.as_str()) == name),
+            false => self
+                .tenants
+                .iter()
+                .position(|tenant| Some(tenant.as_str()) == name),
         }
     }
 }
@@ -98,7 +101,9 @@
         classes: raw.classes.into_iter().map(|class| class.name).collect(),
         tenants: raw.tenants.into_iter().map(|tenant| tenant.name).collect(),
         zones: raw.zones,
-        report_fields: raw.telemetry.map_or(Vec::new(), |telemetry| telemetry.fields),
+        report_fields: raw
+            .telemetry
+            .map_or(Vec::new(), |telemetry| telemetry.fields),
         connect_timeout: StdDuration::from_nanos(raw.limits.connect_timeout_ns),
     })
 }
@@ -226,24 +231,38 @@
 /// Reads the settings that an instance starts with. The error names the key that is at fault.
 pub fn settings(text: &[u8]) -> Result<Settings, Error> {
     let raw: RawSettings = json(text)?;
-    let classes = raw.classes.into_iter().map(class).collect::<Result<Vec<_>, _>>()?;
+    let classes = raw
+        .classes
+        .into_iter()
+        .map(class)
+        .collect::<Result<Vec<_>, _>>()?;
     let ask_discovery = matches!(raw.discovery, RawDiscovery::Ask);
     if ask_discovery && raw.safety.ask_within_ns.is_none() {
         return Err(Error("settings: missing field `AskWithinNs`".to_owned()));
     }
     let prices = raw.prices.unwrap_or_default();
-    let (fields, via) =
-        raw.telemetry.map_or((Vec::new(), None), |telemetry| (telemetry.fields, telemetry.via));
+    let (fields, via) = raw.telemetry.map_or((Vec::new(), None), |telemetry| {
+        (telemetry.fields, telemetry.via)
+    });
     Ok(Settings {
         classes,
-        tenants: raw.tenants.into_iter().map(|t| Tenant { quota_rps: t.quota_rps }).collect(),
+        tenants: raw
+            .tenants
+            .into_iter()
+            .map(|t| Tenant {
+                quota_rps: t.quota_rps,
+            })
+            .collect(),
         over_quota_worth: raw.over_share_worth.unwrap_or(1.0),
         worth_by_work: matches!(raw.value_by, RawValueBy::Work),
         zone: ZoneId(raw.zone),
         zones: raw.zones.len(),
         siblings: raw.siblings,
         tier: raw.layer,
-        passes_deadline: raw.family_info.and_then(|f| f.passes_deadline).unwrap_or(true),
+        passes_deadline: raw
+            .family_info
+            .and_then(|f| f.passes_deadline)
+            .unwrap_or(true),
         ask_discovery,
         ask_within: raw.safety.ask_within_ns.unwrap_or(0),
         may_cancel: raw.limits.cancelling,
--- a/crates/settings/src/terms.rs
+++ b/crates/settings/src/terms.rs
@@ -33,7 +33,13 @@
     pub fn new(settings: Settings, names: Names) -> Self {
         let in_force = (0..settings.classes.len()).collect();
         let effects = effects(&settings);
-        Self { settings, names, effects, in_force, former: Vec::new() }
+        Self {
+            settings,
+            names,
+            effects,
+            in_force,
+            former: Vec::new(),
+        }
     }
 
     /// The same with new settings, and what to tell the decisions. The error is one line that names what cannot
@@ -44,11 +50,19 @@
             ("Zones", names.zones != self.names.zones),
             ("Zone", new.zone != self.settings.zone),
             ("Layer", new.tier != self.settings.tier),
-            ("Discovery", new.ask_discovery != self.settings.ask_discovery),
-            ("Telemetry.Fields", names.report_fields != self.names.report_fields),
+            (
+                "Discovery",
+                new.ask_discovery != self.settings.ask_discovery,
+            ),
+            (
+                "Telemetry.Fields",
+                names.report_fields != self.names.report_fields,
+            ),
         ];
         if let Some((field, _)) = fixed.into_iter().find(|(_, changed)| *changed) {
-            return Err(format!("settings: `{field}` cannot change without a new start"));
+            return Err(format!(
+                "settings: `{field}` cannot change without a new start"
+            ));
         }
         let (mut settings, mut all) = (new.clone(), self.names.clone());
         settings.classes = self.as_set();
@@ -57,19 +71,27 @@
             let same = |at: &usize| all.classes[*at] == *name && settings.classes[*at] == *class;
             let at = (0..all.classes.len()).find(same).unwrap_or_else(|| {
                 let position = all.classes.len();
-                let succession = |predecessor| ClassSuccession { class: position, predecessor };
+                let succession = |predecessor| ClassSuccession {
+                    class: position,
+                    predecessor,
+                };
                 successions.extend(self.class(name).map(succession));
                 all.classes.push(name.clone());
                 settings.classes.push(class.clone());
                 position
             });
-            if in_force.iter().any(|&other: &usize| all.classes[other] == *name) {
+            if in_force
+                .iter()
+                .any(|&other: &usize| all.classes[other] == *name)
+            {
                 return Err(format!("settings: class `{name}` is there twice"));
             }
             in_force.push(at);
         }
         if settings.classes.len() > MOST_CLASSES {
-            return Err(format!("settings: over {MOST_CLASSES} classes since the start, one is needed anew"));
+            return Err(format!(
+                "settings: over {MOST_CLASSES} classes since the start, one is needed anew"
+            ));
         }
         settings.tenants = self.settings.tenants.clone();
         for (tenant, name) in new.tenants.iter().zip(&names.tenants) {
@@ -83,16 +105,30 @@
         }
         all.connect_timeout = names.connect_timeout;
         let former = self.in_force.clone();
-        let mut terms = Self { effects: effects(&settings), settings, names: all, in_force, former };
+        let mut terms = Self {
+            effects: effects(&settings),
+            settings,
+            names: all,
+            in_force,
+            former,
+        };
         terms.tighten();
-        let change = Change { settings: terms.settings.clone(), successions };
+        let change = Change {
+            settings: terms.settings.clone(),
+            successions,
+        };
         Ok((terms, change))
     }
 
     /// All classes that ever were, as they were set.
     fn as_set(&self) -> Vec<Class> {
         let classes = self.settings.classes.iter().zip(&self.effects);
-        classes.map(|(class, effect)| Class { effect: *effect, ..class.clone() }).collect()
+        classes
+            .map(|(class, effect)| Class {
+                effect: *effect,
+                ..class.clone()
+            })
+            .collect()
     }
 
     /// Requests that came under former settings go by what is stricter, theirs or the effect in force: upstreams may go
@@ -138,11 +174,16 @@
 
     /// Names of the classes in force.
     pub fn in_force(&self) -> impl Iterator<Item = &str> {
-        self.in_force.iter().map(|&at| self.names.classes[at].as_str())
+        self.in_force
+            .iter()
+            .map(|&at| self.names.classes[at].as_str())
     }
 
     fn named(&self, positions: &[usize], name: &str) -> Option<usize> {
-        positions.iter().copied().find(|&at| self.names.classes[at] == name)
+        positions
+            .iter()
+            .copied()
+            .find(|&at| self.names.classes[at] == name)
     }
 }
 
@@ -175,7 +216,10 @@
         let class = |(name, effect): &(&str, &str)| {
             let figures = serde_json::json!({"AimNs": 1, "DeadlineNs": 2, "Value": 1.0});
             let mut class = serde_json::json!({"Name": name, "Effect": effect});
-            class.as_object_mut().unwrap().extend(figures.as_object().unwrap().clone());
+            class
+                .as_object_mut()
+                .unwrap()
+                .extend(figures.as_object().unwrap().clone());
             class
         };
         let text = serde_json::json!({
@@ -185,7 +229,10 @@
             "Tenants": [{"Name": "acme", "QuotaRps": 1.0}], "Zone": 0, "Zones": ["a"],
         })
         .to_string();
-        (crate::settings(text.as_bytes()).unwrap(), crate::names(text.as_bytes()).unwrap())
+        (
+            crate::settings(text.as_bytes()).unwrap(),
+            crate::names(text.as_bytes()).unwrap(),
+        )
     }
 
     #[test]
@@ -195,15 +242,33 @@
         let (settings, names) = terms(&[("pay", "non_idempotent"), ("look", "non_idempotent")]);
         let (second, change) = first.retune(&settings, &names).unwrap();
         assert_eq!(
-            (second.class("pay"), second.class("look"), second.class("post")),
+            (
+                second.class("pay"),
+                second.class("look"),
+                second.class("post")
+            ),
             (Some(2), Some(3), None)
         );
-        assert_eq!((second.former("post"), second.former("look")), (Some(1), Some(0)));
-        let succession = ClassSuccession { class: 3, predecessor: 0 };
-        assert_eq!(change.successions, [succession], "what is known of `look` goes on");
+        assert_eq!(
+            (second.former("post"), second.former("look")),
+            (Some(1), Some(0))
+        );
+        let succession = ClassSuccession {
+            class: 3,
+            predecessor: 0,
+        };
+        assert_eq!(
+            change.successions,
+            [succession],
+            "what is known of `look` goes on"
+        );
         let set = [Effect::Safe, Effect::Unsafe, Effect::Unsafe, Effect::Unsafe];
         for (at, effect) in set.iter().enumerate() {
-            assert_eq!(second.effect(at), *effect, "callers know each class as it was set");
+            assert_eq!(
+                second.effect(at),
+                *effect,
+                "callers know each class as it was set"
+            );
         }
         assert_eq!(
             change.settings.classes[0].effect,
@@ -215,7 +280,11 @@
         assert_eq!(third.class("look"), Some(0), "it comes back as it was");
         assert!(change.successions.is_empty() && change.settings.classes.len() == 4);
         assert_eq!(change.settings.classes[0].effect, Effect::Safe);
-        assert_eq!(change.settings.classes[3].effect, Effect::Unsafe, "what came as unsafe stays so");
+        assert_eq!(
+            change.settings.classes[3].effect,
+            Effect::Unsafe,
+            "what came as unsafe stays so"
+        );
     }
 
     #[test]
@@ -224,8 +293,16 @@
         let cases = [
             (Effect::Safe, Effect::Safe, Effect::Safe),
             (Effect::Safe, keyed(Group::Zone, 5), keyed(Group::Zone, 5)),
-            (keyed(Group::All, 9), keyed(Group::All, 5), keyed(Group::All, 5)),
-            (keyed(Group::All, 5), keyed(Group::Cell, 9), keyed(Group::Cell, 5)),
+            (
+                keyed(Group::All, 9),
+                keyed(Group::All, 5),
+                keyed(Group::All, 5),
+            ),
+            (
+                keyed(Group::All, 5),
+                keyed(Group::Cell, 9),
+                keyed(Group::Cell, 5),
+            ),
             (keyed(Group::Zone, 5), keyed(Group::Cell, 5), Effect::Unsafe),
             (keyed(Group::All, 5), Effect::Unsafe, Effect::Unsafe),
         ];
@@ -242,9 +319,30 @@
             let error = first.retune(settings, names).expect_err(text);
             assert!(error.contains(text), "{error}");
         };
-        wrong(&Settings { tier: 1, ..settings.clone() }, &names, "`Layer`");
-        wrong(&settings, &Names { zones: vec!["b".into()], ..names.clone() }, "`Zones`");
-        wrong(&Settings { max_attempts: 0, ..settings.clone() }, &names, "`max_attempts`");
+        wrong(
+            &Settings {
+                tier: 1,
+                ..settings.clone()
+            },
+            &names,
+            "`Layer`",
+        );
+        wrong(
+            &settings,
+            &Names {
+                zones: vec!["b".into()],
+                ..names.clone()
+            },
+            "`Zones`",
+        );
+        wrong(
+            &Settings {
+                max_attempts: 0,
+                ..settings.clone()
+            },
+            &names,
+            "`max_attempts`",
+        );
         let (twice, twice_names) = terms(&[("look", "read_like"), ("look", "read_like")]);
         wrong(&twice, &twice_names, "`look` is there twice");
     }
@@ -263,6 +361,9 @@
                 Err(error) => assert!(error.contains("since the start"), "{error}"),
             }
         }
-        assert_eq!((taken, now.settings().classes.len()), (MOST_CLASSES - 1, MOST_CLASSES));
+        assert_eq!(
+            (taken, now.settings().classes.len()),
+            (MOST_CLASSES - 1, MOST_CLASSES)
+        );
     }
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -19,10 +19,22 @@
 
 #[test]
 fn every_key_of_the_settings_is_read() {
-    let class =
-        |effect, aim| Class { aim, aim_stretch: 1.5, deadline: 12, effect, late_worth: 0.25, worth: 2.5 };
-    let plain =
-        |effect, aim| Class { aim, aim_stretch: 0.0, deadline: 2, effect, late_worth: 0.0, worth: 1.0 };
+    let class = |effect, aim| Class {
+        aim,
+        aim_stretch: 1.5,
+        deadline: 12,
+        effect,
+        late_worth: 0.25,
+        worth: 2.5,
+    };
+    let plain = |effect, aim| Class {
+        aim,
+        aim_stretch: 0.0,
+        deadline: 2,
+        effect,
+        late_worth: 0.0,
+        worth: 1.0,
+    };
     let expected = Settings {
         classes: vec![
             class(Effect::Safe, 11),
@@ -59,7 +71,10 @@
 #[test]
 fn every_name_is_read() {
     let names = names(EVERY_KEY.as_bytes()).unwrap();
-    assert_eq!(names.classes, ["look", "post", "pay-all", "pay-zone", "pay-cell"]);
+    assert_eq!(
+        names.classes,
+        ["look", "post", "pay-all", "pay-zone", "pay-cell"]
+    );
     assert_eq!(names.tenants, ["acme", "umbra"]);
     assert_eq!(names.zones, ["a", "b", "c"]);
     assert_eq!(names.report_fields, ["cpu", "inflight"]);
@@ -106,10 +121,11 @@
 
 /// The value at a path of keys and positions.
 fn at<'a>(value: &'a mut Value, path: &[&str]) -> &'a mut Value {
-    path.iter().fold(value, |value, key| match key.parse::<usize>() {
-        Ok(position) => &mut value[position],
-        Err(_) => &mut value[*key],
-    })
+    path.iter()
+        .fold(value, |value, key| match key.parse::<usize>() {
+            Ok(position) => &mut value[position],
+            Err(_) => &mut value[*key],
+        })
 }
 
 #[test]
@@ -117,13 +133,23 @@
     let mut errors = String::new();
     let mut add = |text: &str| {
         for (what, error) in [
-            ("settings", settings(text.as_bytes()).err().map(|error| error.to_string())),
-            ("names", names(text.as_bytes()).err().map(|error| error.to_string())),
+            (
+                "settings",
+                settings(text.as_bytes())
+                    .err()
+                    .map(|error| error.to_string()),
+            ),
+            (
+                "names",
+                names(text.as_bytes()).err().map(|error| error.to_string()),
+            ),
         ] {
             errors += &format!("{what}: {}\n", error.as_deref().unwrap_or("sound"));
         }
     };
-    ["", "[]", "{}", "{\"Classes\":[]} x"].into_iter().for_each(&mut add);
+    ["", "[]", "{}", "{\"Classes\":[]} x"]
+        .into_iter()
+        .for_each(&mut add);
     add(&format!("{LEAST} x"));
     let least: Value = serde_json::from_str(LEAST).unwrap();
     let without = [
@@ -150,7 +176,11 @@
     ];
     for (path, key) in without {
         let mut value = least.clone();
-        at(&mut value, path).as_object_mut().unwrap().remove(key).expect(key);
+        at(&mut value, path)
+            .as_object_mut()
+            .unwrap()
+            .remove(key)
+            .expect(key);
         add(&value.to_string());
     }
     let with = [
@@ -187,7 +217,12 @@
 
 #[test]
 fn every_error_of_a_change() {
-    let first = || (settings(LEAST.as_bytes()).unwrap(), names(LEAST.as_bytes()).unwrap());
+    let first = || {
+        (
+            settings(LEAST.as_bytes()).unwrap(),
+            names(LEAST.as_bytes()).unwrap(),
+        )
+    };
     let (now_settings, now_names) = first();
     let terms = Terms::new(now_settings, now_names);
     let mut errors = String::new();
--- a/crates/standin/src/grpc.rs
+++ b/crates/standin/src/grpc.rs
@@ -56,7 +56,12 @@
 impl Called {
     /// What is left of the caller's time, by `grpc-timeout`, in whole milliseconds.
     pub fn time_left(&self) -> u64 {
-        let text = self.headers.get("grpc-timeout").expect("a time").to_str().unwrap();
+        let text = self
+            .headers
+            .get("grpc-timeout")
+            .expect("a time")
+            .to_str()
+            .unwrap();
         let (digits, unit) = text.split_at(text.len() - 1);
         let count: u64 = digits.parse().unwrap();
         match unit {
@@ -136,7 +141,12 @@
                 }
             }
         });
-        Self { address, shared, seen: tokio::sync::Mutex::new(seen), accepting }
+        Self {
+            address,
+            shared,
+            seen: tokio::sync::Mutex::new(seen),
+            accepting,
+        }
     }
 
     /// The next call.
@@ -199,7 +209,9 @@
         if let Some(most) = self.most_streams {
             builder.max_concurrent_streams(most);
         }
-        let Ok(mut connection) = builder.handshake::<_, Bytes>(tcp).await else { return };
+        let Ok(mut connection) = builder.handshake::<_, Bytes>(tcp).await else {
+            return;
+        };
         self.open.send_modify(|open| *open += 1);
         let goaway = self.goaway.notified();
         tokio::pin!(goaway);
@@ -238,7 +250,12 @@
             body.extend_from_slice(&data);
         }
         let path = head.uri.path().to_owned();
-        let called = Called { path, headers: head.headers, body: body.freeze(), connection };
+        let called = Called {
+            path,
+            headers: head.headers,
+            body: body.freeze(),
+            connection,
+        };
         let reply = (self.script)(&called);
         self.tell.send(called).ok();
         answer(reply, respond).await;
@@ -248,7 +265,10 @@
 fn head(status: u16, headers: &[(&'static str, &'static str)]) -> Response<()> {
     let mut head = Response::builder().status(status).body(()).unwrap();
     for (name, value) in headers {
-        head.headers_mut().insert(HeaderName::from_static(name), HeaderValue::from_static(value));
+        head.headers_mut().insert(
+            HeaderName::from_static(name),
+            HeaderValue::from_static(value),
+        );
     }
     head
 }
@@ -258,7 +278,12 @@
 }
 
 fn ended_well() -> HeaderMap {
-    [(HeaderName::from_static("grpc-status"), HeaderValue::from_static("0"))].into_iter().collect()
+    [(
+        HeaderName::from_static("grpc-status"),
+        HeaderValue::from_static("0"),
+    )]
+    .into_iter()
+    .collect()
 }
 
 /// Gives the answer; a caller that has withdrawn its call gets no more of it. What fails, fails as the caller
@@ -285,7 +310,10 @@
             let mut head = grpc_head();
             head.headers_mut().insert("grpc-status", code.into());
             for (name, value) in more {
-                head.headers_mut().insert(HeaderName::from_static(name), HeaderValue::from_static(value));
+                head.headers_mut().insert(
+                    HeaderName::from_static(name),
+                    HeaderValue::from_static(value),
+                );
             }
             respond.send_response(head, true).ok();
         }
@@ -322,7 +350,9 @@
             }
         }
         Reply::Stream(data, count, ring) => {
-            let Ok(mut stream) = respond.send_response(grpc_head(), false) else { return };
+            let Ok(mut stream) = respond.send_response(grpc_head(), false) else {
+                return;
+            };
             for number in 0..count {
                 if number > 0 {
                     tokio::select! {
--- a/crates/standin/src/http1.rs
+++ b/crates/standin/src/http1.rs
@@ -39,10 +39,16 @@
                 None => break,
             };
         }
-        let length = headers.get("content-length").map_or(0, |length| length.parse().unwrap());
+        let length = headers
+            .get("content-length")
+            .map_or(0, |length| length.parse().unwrap());
         let mut body = vec![0; length];
         input.read_exact(&mut body).ok()?;
-        Some(Self { first_line, headers, body })
+        Some(Self {
+            first_line,
+            headers,
+            body,
+        })
     }
 
     pub fn status(&self) -> u16 {
@@ -64,7 +70,10 @@
 }
 
 pub fn ok(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 pub fn full() -> String {
@@ -106,17 +115,30 @@
 
     /// Waits until a connection has ended.
     pub fn closed(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("the end of a connection"), Seen::Closed) {}
+        while !matches!(
+            self.seen
+                .recv_timeout(PATIENCE)
+                .expect("the end of a connection"),
+            Seen::Closed
+        ) {}
     }
 
     /// Waits until something is written that belongs to no request.
     pub fn wrote(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("more than an answer"), Seen::Wrote) {}
+        while !matches!(
+            self.seen
+                .recv_timeout(PATIENCE)
+                .expect("more than an answer"),
+            Seen::Wrote
+        ) {}
     }
 
     /// The requests seen since the last look.
     pub fn requests(&self) -> usize {
-        self.seen.try_iter().filter(|seen| matches!(seen, Seen::Request(_))).count()
+        self.seen
+            .try_iter()
+            .filter(|seen| matches!(seen, Seen::Request(_)))
+            .count()
     }
 }
 
@@ -162,7 +184,9 @@
 /// An address at which nothing listens, and nothing will: the port stays taken.
 pub fn refusing() -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     std::mem::forget(socket);
     address
@@ -195,15 +219,21 @@
                 }
                 // A call for the whole list names no version.
                 let after = message.first_line.split("after=").nth(1);
-                let after: u64 = after.map_or(0, |after| after.split('&').next().unwrap().parse().unwrap());
+                let after: u64 =
+                    after.map_or(0, |after| after.split('&').next().unwrap().parse().unwrap());
                 tell.send(after).ok();
                 // A watch that names no wait is a call for the whole list, which is there at once.
                 let wait = message.first_line.split("wait_ms=").nth(1);
-                let wait = wait.and_then(|wait| wait.split([' ', '&']).next()?.parse().ok()).unwrap_or(0);
+                let wait = wait
+                    .and_then(|wait| wait.split([' ', '&']).next()?.parse().ok())
+                    .unwrap_or(0);
                 let (lock, changed) = &*shared;
                 let newer = |(rev, _): &mut (u64, String)| *rev <= after;
-                let waited =
-                    changed.wait_timeout_while(lock.lock().unwrap(), Duration::from_millis(wait), newer);
+                let waited = changed.wait_timeout_while(
+                    lock.lock().unwrap(),
+                    Duration::from_millis(wait),
+                    newer,
+                );
                 let state = waited.unwrap().0;
                 let (rev, targets) = &*state;
                 let body = match *rev > after {
@@ -216,7 +246,11 @@
                 }
             }
         });
-        Self { address, state, asked }
+        Self {
+            address,
+            state,
+            asked,
+        }
     }
 
     /// Tells of a new list, and waits until the balancer has taken it and watches for the next.
@@ -249,8 +283,9 @@
 }
 
 pub fn in_service(upstreams: &[&Upstream]) -> Vec<String> {
-    let entry =
-        |(at, upstream): (usize, &&Upstream)| target(&format!("s-{at}"), upstream.address, "in_service");
+    let entry = |(at, upstream): (usize, &&Upstream)| {
+        target(&format!("s-{at}"), upstream.address, "in_service")
+    };
     upstreams.iter().enumerate().map(entry).collect()
 }
 
@@ -261,8 +296,11 @@
             "AimNs": 30_000_000_000_u64, "DeadlineNs": 60_000_000_000_u64, "LateWorth": 0.5, "Value": 1.0,
             "Stream": false})
     };
-    let known: serde_json::Value =
-        serde_json::from_str(&format!(r#"{{"rev":1,"all":true,"targets":[{}]}}"#, known.join(","))).unwrap();
+    let known: serde_json::Value = serde_json::from_str(&format!(
+        r#"{{"rev":1,"all":true,"targets":[{}]}}"#,
+        known.join(",")
+    ))
+    .unwrap();
     serde_json::json!({
         "name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -290,7 +328,9 @@
     pub fn connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Some(Self { input: BufReader::new(stream) })
+        Some(Self {
+            input: BufReader::new(stream),
+        })
     }
 
     pub fn write(&mut self, text: &str) {
@@ -308,7 +348,10 @@
 
     /// Waits until some of an answer has come, and takes none of it.
     pub fn await_data(&mut self) {
-        self.input.get_ref().peek(&mut [0]).expect("the beginning of an answer");
+        self.input
+            .get_ref()
+            .peek(&mut [0])
+            .expect("the beginning of an answer");
     }
 
     /// The body of an answer that comes in chunks; `None` where it breaks off.
@@ -316,12 +359,18 @@
         let mut line = String::new();
         while line != "\r\n" {
             line.clear();
-            self.input.read_line(&mut line).ok().filter(|&got| got > 0)?;
+            self.input
+                .read_line(&mut line)
+                .ok()
+                .filter(|&got| got > 0)?;
         }
         let mut body = Vec::new();
         loop {
             line.clear();
-            self.input.read_line(&mut line).ok().filter(|&got| got > 0)?;
+            self.input
+                .read_line(&mut line)
+                .ok()
+                .filter(|&got| got > 0)?;
             let length = usize::from_str_radix(line.trim_end(), 16).ok()?;
             let start = body.len();
             body.resize(start + length, 0);
@@ -335,7 +384,10 @@
 
     /// One request and its answer; `None` where the connection has ended.
     pub fn call(&mut self, class: &str, budget: &str, body: &str) -> Option<Message> {
-        self.input.get_mut().write_all(request(class, budget, body).as_bytes()).ok()?;
+        self.input
+            .get_mut()
+            .write_all(request(class, budget, body).as_bytes())
+            .ok()?;
         self.answer()
     }
 }
@@ -343,7 +395,12 @@
 /// A request as a caller writes it, with an id of its own.
 pub fn request(class: &str, budget: &str, body: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    named_request(&format!("9b1f03aa{:08x}", NEXT.fetch_add(1, Ordering::Relaxed)), class, budget, body)
+    named_request(
+        &format!("9b1f03aa{:08x}", NEXT.fetch_add(1, Ordering::Relaxed)),
+        class,
+        budget,
+        body,
+    )
 }
 
 pub fn named_request(id: &str, class: &str, budget: &str, body: &str) -> String {
--- a/crates/standin/src/late.rs
+++ b/crates/standin/src/late.rs
@@ -25,11 +25,19 @@
     /// Listens on a free loopback port and fills its queue.
     pub fn start() -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        listener
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         listener.listen(0).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
-        let fillers = (0..FILLERS).map(|_| Self::filler(&address.into())).collect();
-        Self { listener, address, fillers }
+        let fillers = (0..FILLERS)
+            .map(|_| Self::filler(&address.into()))
+            .collect();
+        Self {
+            listener,
+            address,
+            fillers,
+        }
     }
 
     fn filler(address: &SockAddr) -> Socket {
@@ -84,18 +92,26 @@
     /// Makes room in the queue, and returns the next connection that is not one of its own; `None` where none comes up
     /// within this time.
     pub fn accept(&mut self, within: Duration) -> Option<TcpStream> {
-        let own: Vec<SockAddr> = self.fillers.drain(..).map(|filler| filler.local_addr().unwrap()).collect();
+        let own: Vec<SockAddr> = self
+            .fillers
+            .drain(..)
+            .map(|filler| filler.local_addr().unwrap())
+            .collect();
         self.listener.set_nonblocking(true).unwrap();
         let began = Instant::now();
         while began.elapsed() < within {
             match self.listener.accept() {
-                Ok((stream, peer)) if !own.iter().any(|own| own.as_socket() == peer.as_socket()) => {
+                Ok((stream, peer))
+                    if !own.iter().any(|own| own.as_socket() == peer.as_socket()) =>
+                {
                     stream.set_nonblocking(false).unwrap();
                     stream.set_read_timeout(Some(PATIENCE)).unwrap();
                     return Some(stream.into());
                 }
                 Ok(_) => {}
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => std::thread::sleep(LOOK_EVERY),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    std::thread::sleep(LOOK_EVERY)
+                }
                 Err(error) => panic!("{error}"),
             }
         }
--- a/crates/standin/src/nodo.rs
+++ b/crates/standin/src/nodo.rs
@@ -103,9 +103,19 @@
         let address = listener.local_addr().unwrap();
         let name = name.into();
         let slots = Semaphore::new(spec.slots);
-        let inner = Arc::new(Inner { name: name.clone(), spec, slots, state: Mutex::default() });
+        let inner = Arc::new(Inner {
+            name: name.clone(),
+            spec,
+            slots,
+            state: Mutex::default(),
+        });
         let process = Mutex::new(Some(serve(listener, inner.clone())));
-        Self { name, address, inner, process }
+        Self {
+            name,
+            address,
+            inner,
+            process,
+        }
     }
 
     /// Its process dies: connections are reset, new ones refused, work is lost.
@@ -125,7 +135,9 @@
         };
         let mut state = lock(&self.inner.state);
         state.started = Some(Instant::now());
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         (state.boot_ms, state.waiting) = (unix.as_millis() as u64, 0);
         state.came.clear();
         drop(state);
@@ -195,7 +207,9 @@
 
 impl Inner {
     fn warmth(&self, state: &State, at: Instant) -> f64 {
-        let Some(started) = state.started else { return 1.0 };
+        let Some(started) = state.started else {
+            return 1.0;
+        };
         let part = (at - started).as_secs_f64() / self.spec.ramp.as_secs_f64();
         (self.spec.start + (1.0 - self.spec.start) * part).min(1.0)
     }
@@ -208,7 +222,11 @@
         let warmth = self.warmth(&state, now);
         if warmth < 1.0 {
             state.came.push_back(now);
-            while state.came.front().is_some_and(|came| now - *came > spec.window) {
+            while state
+                .came
+                .front()
+                .is_some_and(|came| now - *came > spec.window)
+            {
                 state.came.pop_front();
             }
             let can_do = spec.capacity() * warmth * spec.window.as_secs_f64();
@@ -229,14 +247,20 @@
         let kind = head.headers.get("content-type");
         let grpc = kind.is_some_and(|kind| kind.as_bytes().starts_with(b"application/grpc"));
         body.collect().await.ok();
-        let Some(_waiting) = self.take() else { return turned_away(grpc) };
+        let Some(_waiting) = self.take() else {
+            return turned_away(grpc);
+        };
         let slot = self.slots.acquire().await;
         let speed = self.warmth(&lock(&self.state), Instant::now());
         sleep(self.spec.work.div_f64(speed)).await;
         drop(slot);
         let mut state = lock(&self.state);
         state.seen.ran += 1;
-        if let Some(key) = head.headers.get("x-call-id").and_then(|key| key.to_str().ok()) {
+        if let Some(key) = head
+            .headers
+            .get("x-call-id")
+            .and_then(|key| key.to_str().ok())
+        {
             *state.seen.keys.entry(key.to_owned()).or_default() += 1;
         }
         drop(state);
@@ -248,11 +272,17 @@
     if !grpc {
         return Response::new(Full::new(Bytes::copy_from_slice(name.as_bytes())).boxed_unsync());
     }
-    let status: HeaderMap =
-        [(HeaderName::from_static("grpc-status"), HeaderValue::from_static("0"))].into_iter().collect();
+    let status: HeaderMap = [(
+        HeaderName::from_static("grpc-status"),
+        HeaderValue::from_static("0"),
+    )]
+    .into_iter()
+    .collect();
     let body = Full::new(message(name.as_bytes())).with_trailers(async move { Some(Ok(status)) });
     let mut response = Response::new(body.boxed_unsync());
-    response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
+    response
+        .headers_mut()
+        .insert("content-type", HeaderValue::from_static("application/grpc"));
     response
 }
 
--- a/crates/standin/src/raw2.rs
+++ b/crates/standin/src/raw2.rs
@@ -57,7 +57,11 @@
 
     /// Waits until so many more streams are open.
     pub fn wait_for(&self, streams: usize) -> Vec<u32> {
-        let next = || self.opened.recv_timeout(crate::http1::PATIENCE).expect("one more stream");
+        let next = || {
+            self.opened
+                .recv_timeout(crate::http1::PATIENCE)
+                .expect("one more stream")
+        };
         (0..streams).map(|_| next()).collect()
     }
 }
@@ -83,7 +87,9 @@
         let mut payload = vec![0; length];
         stream.read_exact(&mut payload).ok()?;
         match head[3] {
-            SETTINGS if head[4] & ACK == 0 => stream.write_all(&frame(SETTINGS, ACK, 0, &[])).ok()?,
+            SETTINGS if head[4] & ACK == 0 => {
+                stream.write_all(&frame(SETTINGS, ACK, 0, &[])).ok()?
+            }
             PING if head[4] & ACK == 0 => stream.write_all(&frame(PING, ACK, 0, &payload)).ok()?,
             HEADERS => {
                 opened.push(id);
@@ -100,7 +106,10 @@
 fn act(stream: &mut TcpStream, opened: &[u32], then: &Then) -> Option<()> {
     match *then {
         Then::GoAway { acted_on } => {
-            let last = opened.get((acted_on as usize).wrapping_sub(1)).copied().unwrap_or(0);
+            let last = opened
+                .get((acted_on as usize).wrapping_sub(1))
+                .copied()
+                .unwrap_or(0);
             let mut payload = last.to_be_bytes().to_vec();
             payload.extend(0_u32.to_be_bytes()); // NO_ERROR
             stream.write_all(&frame(GOAWAY, 0, 0, &payload)).ok()?;
@@ -109,7 +118,9 @@
         }
         Then::ResetAll { error } => {
             for &id in opened {
-                stream.write_all(&frame(RST_STREAM, 0, id, &error.to_be_bytes())).ok()?;
+                stream
+                    .write_all(&frame(RST_STREAM, 0, id, &error.to_be_bytes()))
+                    .ok()?;
             }
             Some(())
         }
--- a/crates/standin/src/system.rs
+++ b/crates/standin/src/system.rs
@@ -44,7 +44,9 @@
 
     /// Sends a signal by its name.
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
+        let sent = Command::new("kill")
+            .args([&format!("-{name}"), &self.child.id().to_string()])
+            .status();
         assert!(sent.expect("kill runs").success());
     }
 
@@ -75,16 +77,23 @@
 impl System {
     /// Starts three core machines and so many fronts.
     pub fn start(program: &Path, fronts: u8) -> Self {
-        let held: Vec<TcpListener> =
-            (0..PORTS).map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
-        let ports: Vec<u16> = held.iter().map(|held| held.local_addr().expect("an address").port()).collect();
+        let held: Vec<TcpListener> = (0..PORTS)
+            .map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port"))
+            .collect();
+        let ports: Vec<u16> = held
+            .iter()
+            .map(|held| held.local_addr().expect("an address").port())
+            .collect();
         drop(held);
         let id = std::process::id().to_le_bytes();
         let mut system = Self {
             program: program.to_owned(),
             folder: tempfile::tempdir().expect("a folder"),
             ports: ports.try_into().expect("all ports"),
-            subnet: (id[0].clamp(1, 250), id[1].wrapping_add(NEXT_SUBNET.fetch_add(1, Ordering::Relaxed))),
+            subnet: (
+                id[0].clamp(1, 250),
+                id[1].wrapping_add(NEXT_SUBNET.fetch_add(1, Ordering::Relaxed)),
+            ),
             cores: (0..CORES).map(|_| None).collect(),
             fronts: (0..fronts).map(|_| None).collect(),
         };
@@ -122,7 +131,9 @@
     }
 
     fn settings(&self, name: &str, ip: IpAddr, zone: u8, listen: &Value) -> Value {
-        let seeds: Vec<String> = (0..CORES).map(|number| self.control(number).to_string()).collect();
+        let seeds: Vec<String> = (0..CORES)
+            .map(|number| self.control(number).to_string())
+            .collect();
         json!({
             "node": name, "ip": ip, "zone": format!("zone-{zone}"), "region": format!("region-{zone}"),
             "zones": { "zone-0": "region-0", "zone-1": "region-1", "zone-2": "region-2" },
@@ -139,7 +150,8 @@
     /// Starts a core machine, on the disk that it has.
     pub fn start_core(&mut self, number: u8, bootstrap: bool) {
         let name = format!("core-{number}");
-        let listen = json!({ "control": self.control(number), "directory": self.directory(number) });
+        let listen =
+            json!({ "control": self.control(number), "directory": self.directory(number) });
         let mut settings = self.settings(&name, self.core_ip(number), number, &listen);
         settings["bootstrap"] = bootstrap.into();
         settings["data_dir"] = json!(self.folder.path().join(format!("data-{number}")));
@@ -182,7 +194,11 @@
         let (tell, log) = channel();
         let lines = child.stderr.take().expect("its standard error");
         thread::spawn(move || pass_lines(lines, &tell));
-        Process { name: name.to_owned(), child, log }
+        Process {
+            name: name.to_owned(),
+            child,
+            log,
+        }
     }
 
     /// The process of a front.
@@ -194,9 +210,23 @@
     pub fn configure(&self, core: u8, base: u64, configuration: &Value) {
         let headers = format!("If-Match: {base}\r\n");
         let body = configuration.to_string();
-        self.until_done(|| call(self.control(core), "PUT", "/v1/config", &headers, body.as_bytes()));
-        let line = format!("configuration in force generation={}", configuration["generation"]);
-        self.fronts.iter().flatten().for_each(|front| drop(front.wait_for(&line)));
+        self.until_done(|| {
+            call(
+                self.control(core),
+                "PUT",
+                "/v1/config",
+                &headers,
+                body.as_bytes(),
+            )
+        });
+        let line = format!(
+            "configuration in force generation={}",
+            configuration["generation"]
+        );
+        self.fronts
+            .iter()
+            .flatten()
+            .for_each(|front| drop(front.wait_for(&line)));
     }
 
     /// Registers an upstream, and waits until all fronts know it.
@@ -206,9 +236,20 @@
             "cold_remaining_ms": 0, "sequence": 1,
         });
         let path = format!("/v1/instances/{id}");
-        self.until_done(|| call(self.control(core), "PUT", &path, "", body.to_string().as_bytes()));
+        self.until_done(|| {
+            call(
+                self.control(core),
+                "PUT",
+                &path,
+                "",
+                body.to_string().as_bytes(),
+            )
+        });
         let line = format!("registration id={id}");
-        self.fronts.iter().flatten().for_each(|front| drop(front.wait_for(&line)));
+        self.fronts
+            .iter()
+            .flatten()
+            .for_each(|front| drop(front.wait_for(&line)));
     }
 
     fn until_done(&self, order: impl Fn() -> Option<Message>) {
@@ -232,7 +273,13 @@
 }
 
 /// One call on a connection of its own; `None` where no answer comes.
-pub fn call(address: SocketAddr, method: &str, path: &str, headers: &str, body: &[u8]) -> Option<Message> {
+pub fn call(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    headers: &str,
+    body: &[u8],
+) -> Option<Message> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
     let head = format!(
@@ -243,7 +290,11 @@
     stream.write_all(body).ok()?;
     let mut input = BufReader::new(stream);
     let mut answer = Message::read(&mut input)?;
-    if answer.headers.get("transfer-encoding").is_some_and(|coding| coding == "chunked") {
+    if answer
+        .headers
+        .get("transfer-encoding")
+        .is_some_and(|coding| coding == "chunked")
+    {
         answer.body = read_chunks(&mut input)?;
     }
     Some(answer)
@@ -267,13 +318,19 @@
 
 /// An upstream's whole answer to a request, with its id and a stamp.
 pub fn answer(request: &Message, body: &str) -> String {
-    format!("{}Content-Length: {}\r\n\r\n{body}", head(request), body.len())
+    format!(
+        "{}Content-Length: {}\r\n\r\n{body}",
+        head(request),
+        body.len()
+    )
 }
 
 /// An upstream's events, of which all came if `is_whole`.
 pub fn events(request: &Message, events: &[&str], is_whole: bool) -> String {
-    let mut text =
-        format!("{}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", head(request));
+    let mut text = format!(
+        "{}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
+        head(request)
+    );
     for event in events {
         text += &format!("{:x}\r\n{event}\r\n", event.len());
     }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -93,11 +93,19 @@
             let sequence = match Reader::header(&medium, file).map_err(at())? {
                 Header::Unsound => continue,
                 Header::Version(version) => {
-                    return Err(StorageError::Version { path: medium.name(file), version });
+                    return Err(StorageError::Version {
+                        path: medium.name(file),
+                        version,
+                    });
                 }
                 Header::Segment(sequence) => sequence,
             };
-            let Some(state) = Reader::new(&medium, file, sequence).replay().map_err(at())? else { continue };
+            let Some(state) = Reader::new(&medium, file, sequence)
+                .replay()
+                .map_err(at())?
+            else {
+                continue;
+            };
             if newest.as_ref().is_none_or(|(best, _)| sequence > *best) {
                 newest = Some((sequence, state));
             }
@@ -106,7 +114,12 @@
         // could in the end reach the file of the only complete checkpoint.
         let last_sequence = newest.as_ref().map_or(0, |(sequence, _)| *sequence);
         let state = newest.map(|(_, state)| state);
-        Ok(Self { medium, state, current: None, last_sequence })
+        Ok(Self {
+            medium,
+            state,
+            current: None,
+            last_sequence,
+        })
     }
 
     /// The state as of the last write; `None` where the disk is empty.
@@ -130,7 +143,9 @@
     pub fn write(&mut self, records: &[Record]) -> Result<(), StorageError> {
         let state = self.state.as_mut().ok_or(StorageError::Uninitialized)?;
         records.iter().for_each(|record| state.fold(record));
-        let Some(mut segment) = self.current.take() else { return self.checkpoint() };
+        let Some(mut segment) = self.current.take() else {
+            return self.checkpoint();
+        };
         let mut bytes = Vec::new();
         for record in records {
             segment.encode(&Item::Record(record.clone()), &mut bytes);
--- a/crates/storage/src/medium.rs
+++ b/crates/storage/src/medium.rs
@@ -30,7 +30,9 @@
         let files = (0..SEGMENTS)
             .map(|number| open_file(&folder.join(format!("segment-{number}"))))
             .collect::<Result<Vec<_>, _>>()?;
-        File::open(folder).and_then(|folder| folder.sync_all()).map_err(StorageError::at(folder))?;
+        File::open(folder)
+            .and_then(|folder| folder.sync_all())
+            .map_err(StorageError::at(folder))?;
         Ok(Self { files })
     }
 }
@@ -65,11 +67,18 @@
 }
 
 fn open_file(path: &Path) -> Result<(PathBuf, File), StorageError> {
-    let opened = File::options().read(true).write(true).create(true).truncate(false).open(path);
+    let opened = File::options()
+        .read(true)
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .open(path);
     let file = opened.map_err(StorageError::at(path))?;
     let length = file.metadata().map_err(StorageError::at(path))?.len();
     if length != SEGMENT_BYTES {
-        file.set_len(SEGMENT_BYTES).and_then(|()| file.sync_all()).map_err(StorageError::at(path))?;
+        file.set_len(SEGMENT_BYTES)
+            .and_then(|()| file.sync_all())
+            .map_err(StorageError::at(path))?;
     }
     Ok((path.to_owned(), file))
 }
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -20,7 +20,13 @@
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Item {
     /// The beginning of a checkpoint.
-    Begin { id: ReplicaId, term: u64, vote: ReplicaId, commit: u64, snapshot: Snapshot },
+    Begin {
+        id: ReplicaId,
+        term: u64,
+        vote: ReplicaId,
+        commit: u64,
+        snapshot: Snapshot,
+    },
     /// Entries of a checkpoint.
     Entries(Vec<Entry>),
     /// The end of a checkpoint.
@@ -40,7 +46,11 @@
 
 impl Segment {
     pub fn new(file: usize, sequence: u64) -> Self {
-        Self { file, sequence, offset: 0 }
+        Self {
+            file,
+            sequence,
+            offset: 0,
+        }
     }
 
     pub fn has_room(&self, bytes: usize, most: u64) -> bool {
@@ -62,7 +72,16 @@
         let mut bytes = header(self.sequence);
         let (id, term, vote, commit) = (state.id, state.term, state.vote, state.commit);
         let snapshot = state.log.snapshot().clone();
-        self.encode(&Item::Begin { id, term, vote, commit, snapshot }, &mut bytes);
+        self.encode(
+            &Item::Begin {
+                id,
+                term,
+                vote,
+                commit,
+                snapshot,
+            },
+            &mut bytes,
+        );
         self.encode(&Item::Entries(state.log.entries().to_vec()), &mut bytes);
         self.encode(&Item::End, &mut bytes);
         bytes
@@ -90,7 +109,8 @@
 
 impl Header {
     fn read(bytes: &[u8; HEADER_BYTES]) -> Self {
-        let short = |at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap_or_default());
+        let short =
+            |at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap_or_default());
         let long = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap_or_default());
         let is_sound = long(0) == MAGIC && short(20) == crc32fast::hash(&bytes[..20]);
         match short(8) {
@@ -116,19 +136,42 @@
     pub fn header(medium: &M, file: usize) -> io::Result<Header> {
         let mut bytes = [0; HEADER_BYTES];
         let got = medium.read(file, 0, &mut bytes)?;
-        Ok(if got < HEADER_BYTES { Header::Unsound } else { Header::read(&bytes) })
+        Ok(if got < HEADER_BYTES {
+            Header::Unsound
+        } else {
+            Header::read(&bytes)
+        })
     }
 
     /// A reader behind the header of a segment.
     pub fn new(medium: &'a M, file: usize, sequence: u64) -> Self {
-        Self { medium, file, sequence, offset: HEADER_BYTES as u64, buffer: Vec::new() }
+        Self {
+            medium,
+            file,
+            sequence,
+            offset: HEADER_BYTES as u64,
+            buffer: Vec::new(),
+        }
     }
 
     /// The state; `None` where the checkpoint is not complete.
     pub fn replay(mut self) -> io::Result<Option<DurableState>> {
-        let Some(Item::Begin { id, term, vote, commit, snapshot }) = self.next()? else { return Ok(None) };
-        let Some(Item::Entries(entries)) = self.next()? else { return Ok(None) };
-        let Some(Item::End) = self.next()? else { return Ok(None) };
+        let Some(Item::Begin {
+            id,
+            term,
+            vote,
+            commit,
+            snapshot,
+        }) = self.next()?
+        else {
+            return Ok(None);
+        };
+        let Some(Item::Entries(entries)) = self.next()? else {
+            return Ok(None);
+        };
+        let Some(Item::End) = self.next()? else {
+            return Ok(None);
+        };
         let mut state = DurableState::new(id, snapshot);
         state.fold(&Record::Term { term, vote });
         state.fold(&Record::Append(entries));
@@ -145,7 +188,8 @@
         if !self.fill(PREFIX_BYTES)? {
             return Ok(None);
         }
-        let number = |at: usize| u32::from_le_bytes(self.buffer[at..at + 4].try_into().unwrap_or_default());
+        let number =
+            |at: usize| u32::from_le_bytes(self.buffer[at..at + 4].try_into().unwrap_or_default());
         let (length, expected) = (number(0) as usize, number(4));
         if length == 0 || !self.fill(PREFIX_BYTES + length)? {
             return Ok(None);
@@ -165,7 +209,11 @@
         while self.buffer.len() < bytes {
             let have = self.buffer.len();
             self.buffer.resize(have + READ_BYTES, 0);
-            let got = self.medium.read(self.file, self.offset + have as u64, &mut self.buffer[have..]);
+            let got = self.medium.read(
+                self.file,
+                self.offset + have as u64,
+                &mut self.buffer[have..],
+            );
             self.buffer.truncate(have + *got.as_ref().unwrap_or(&0));
             if got? == 0 {
                 return Ok(false);
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -18,9 +18,15 @@
     let content = std::fs::read(segment_path(folder, segment)).unwrap();
     assert_eq!(content.len() as u64, SEGMENT_BYTES, "{name}");
     let expected = golden(name);
-    let end = content.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
+    let end = content
+        .iter()
+        .rposition(|byte| *byte != 0)
+        .map_or(0, |last| last + 1);
     let end = end.max(expected.len() / 2);
-    let written: String = content[..end].iter().map(|byte| format!("{byte:02x}")).collect();
+    let written: String = content[..end]
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     assert_eq!(written, expected, "{name}");
 }
 
@@ -28,28 +34,50 @@
 fn place_golden(name: &str, folder: &Path, segment: usize) {
     let text = golden(name);
     assert!(!text.is_empty(), "{name}");
-    let mut content: Vec<u8> =
-        (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect();
+    let mut content: Vec<u8> = (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect();
     content.resize(SEGMENT_BYTES as usize, 0);
     std::fs::write(segment_path(folder, segment), content).unwrap();
 }
 
 fn member(id: u64) -> Member {
-    Member { id, address: format!("10.0.0.{id}:7000") }
+    Member {
+        id,
+        address: format!("10.0.0.{id}:7000"),
+    }
 }
 
 fn founding() -> Snapshot {
     let members = Membership::new(vec![member(1), member(2), member(3)]);
-    Snapshot { index: 1, term: 1, members, state: b"founding".to_vec() }
+    Snapshot {
+        index: 1,
+        term: 1,
+        members,
+        state: b"founding".to_vec(),
+    }
 }
 
 fn installed() -> Snapshot {
-    let members = Membership { voters: vec![member(1), member(2)], next: vec![member(2), member(4)] };
-    Snapshot { index: 3, term: 2, members, state: b"state".to_vec() }
+    let members = Membership {
+        voters: vec![member(1), member(2)],
+        next: vec![member(2), member(4)],
+    };
+    Snapshot {
+        index: 3,
+        term: 2,
+        members,
+        state: b"state".to_vec(),
+    }
 }
 
 fn entry(index: u64, payload: Payload) -> Entry {
-    Entry { index, term: 2, payload }
+    Entry {
+        index,
+        term: 2,
+        payload,
+    }
 }
 
 fn entries() -> Vec<Entry> {
@@ -57,16 +85,23 @@
         entry(2, Payload::Empty),
         entry(3, Payload::Members(installed().members)),
         entry(4, Payload::Command(b"command".to_vec())),
-        entry(5, Payload::Members(Membership::new(vec![member(2), member(4)]))),
+        entry(
+            5,
+            Payload::Members(Membership::new(vec![member(2), member(4)])),
+        ),
     ]
 }
 
 /// A segment with an empty checkpoint and every kind of record, then one whose checkpoint holds a snapshot and entries.
 fn write_ring(folder: &Path) {
     let mut storage = Storage::open(folder).unwrap();
-    storage.initialize(DurableState::new(7, founding())).unwrap();
+    storage
+        .initialize(DurableState::new(7, founding()))
+        .unwrap();
     storage.write(&[Record::Term { term: 2, vote: 9 }]).unwrap();
-    storage.write(&[Record::Append(entries()), Record::Commit(3)]).unwrap();
+    storage
+        .write(&[Record::Append(entries()), Record::Commit(3)])
+        .unwrap();
     storage.write(&[Record::Install(installed())]).unwrap();
     drop(storage);
     let mut storage = Storage::open(folder).unwrap();
@@ -90,7 +125,10 @@
     place_golden("segment-records", folder.path(), 1);
     let storage = Storage::open(folder.path()).unwrap();
     let state = storage.state().unwrap();
-    assert_eq!((state.id, state.term, state.vote, state.commit), (7, 2, 9, 3));
+    assert_eq!(
+        (state.id, state.term, state.vote, state.commit),
+        (7, 2, 9, 3)
+    );
     assert_eq!(*state.log.snapshot(), installed());
     assert_eq!(state.log.entries(), &entries()[2..]);
 }
@@ -102,7 +140,10 @@
     place_golden("segment-checkpoint", folder.path(), 2);
     let storage = Storage::open(folder.path()).unwrap();
     let state = storage.state().unwrap();
-    assert_eq!((state.id, state.term, state.vote, state.commit), (7, 5, 0, 4));
+    assert_eq!(
+        (state.id, state.term, state.vote, state.commit),
+        (7, 5, 0, 4)
+    );
     assert_eq!(*state.log.snapshot(), installed());
     assert_eq!(state.log.entries(), &entries()[2..]);
 }
--- a/crates/storage/tests/ring.rs
+++ b/crates/storage/tests/ring.rs
@@ -8,7 +8,11 @@
 use woadstall_storage::{Storage, StorageError};
 
 fn entry(index: u64, bytes: usize) -> Entry {
-    Entry { index, term: 1, payload: Payload::Command(vec![index as u8; bytes]) }
+    Entry {
+        index,
+        term: 1,
+        payload: Payload::Command(vec![index as u8; bytes]),
+    }
 }
 
 fn append(index: u64) -> Record {
@@ -18,12 +22,19 @@
 fn fresh(folder: &Path) -> Storage {
     let mut storage = Storage::open(folder).unwrap();
     assert!(storage.state().is_none());
-    storage.initialize(DurableState::new(7, Snapshot::default())).unwrap();
+    storage
+        .initialize(DurableState::new(7, Snapshot::default()))
+        .unwrap();
     storage
 }
 
 fn last_index(folder: &Path) -> u64 {
-    Storage::open(folder).unwrap().state().unwrap().log.last_index()
+    Storage::open(folder)
+        .unwrap()
+        .state()
+        .unwrap()
+        .log
+        .last_index()
 }
 
 /// Changes bytes of the newest segment, from its end backwards to the last byte that was written.
@@ -51,12 +62,19 @@
 fn what_was_written_is_there_again() {
     let folder = tempfile::tempdir().unwrap();
     let mut storage = fresh(folder.path());
-    storage.write(&[Record::Term { term: 3, vote: 9 }, append(1)]).unwrap();
-    storage.write(&[append(2), append(3), Record::Commit(2)]).unwrap();
+    storage
+        .write(&[Record::Term { term: 3, vote: 9 }, append(1)])
+        .unwrap();
+    storage
+        .write(&[append(2), append(3), Record::Commit(2)])
+        .unwrap();
     drop(storage);
     let storage = Storage::open(folder.path()).unwrap();
     let state = storage.state().unwrap();
-    assert_eq!((state.id, state.term, state.vote, state.commit), (7, 3, 9, 2));
+    assert_eq!(
+        (state.id, state.term, state.vote, state.commit),
+        (7, 3, 9, 2)
+    );
     assert_eq!(state.log.last_index(), 3);
 }
 
@@ -65,7 +83,12 @@
     let folder = tempfile::tempdir().unwrap();
     let mut storage = fresh(folder.path());
     storage.write(&[append(1), append(2), append(3)]).unwrap();
-    storage.write(&[Record::Append(vec![Entry { term: 2, ..entry(2, 1) }])]).unwrap();
+    storage
+        .write(&[Record::Append(vec![Entry {
+            term: 2,
+            ..entry(2, 1)
+        }])])
+        .unwrap();
     drop(storage);
     let storage = Storage::open(folder.path()).unwrap();
     let log = &storage.state().unwrap().log;
@@ -130,9 +153,16 @@
     let mut storage = fresh(folder.path());
     let before = folder_bytes(folder.path());
     for index in 1..=100 {
-        storage.write(&[Record::Append(vec![entry(index, BYTES)])]).unwrap();
+        storage
+            .write(&[Record::Append(vec![entry(index, BYTES)])])
+            .unwrap();
         if index % 4 == 0 {
-            let snapshot = Snapshot { index, term: 1, state: vec![1; BYTES], ..Snapshot::default() };
+            let snapshot = Snapshot {
+                index,
+                term: 1,
+                state: vec![1; BYTES],
+                ..Snapshot::default()
+            };
             storage.write(&[Record::Install(snapshot)]).unwrap();
         }
     }
@@ -146,23 +176,36 @@
 
 fn folder_bytes(folder: &Path) -> u64 {
     let files = std::fs::read_dir(folder).unwrap();
-    files.map(|file| file.unwrap().metadata().unwrap().len()).sum()
+    files
+        .map(|file| file.unwrap().metadata().unwrap().len())
+        .sum()
 }
 
 #[test]
 fn a_state_that_does_not_fit_is_refused_by_name() {
     let folder = tempfile::tempdir().unwrap();
     let mut storage = fresh(folder.path());
-    let snapshot = Snapshot { index: 1, term: 1, state: vec![0; 30 << 20], ..Snapshot::default() };
+    let snapshot = Snapshot {
+        index: 1,
+        term: 1,
+        state: vec![0; 30 << 20],
+        ..Snapshot::default()
+    };
     let refused = storage.write(&[Record::Install(snapshot)]);
-    assert!(matches!(refused, Err(StorageError::TooLarge { .. })), "{refused:?}");
+    assert!(
+        matches!(refused, Err(StorageError::TooLarge { .. })),
+        "{refused:?}"
+    );
 }
 
 #[test]
 fn nothing_is_written_before_it_is_initialized() {
     let folder = tempfile::tempdir().unwrap();
     let mut storage = Storage::open(folder.path()).unwrap();
-    assert!(matches!(storage.write(&[append(1)]), Err(StorageError::Uninitialized)));
+    assert!(matches!(
+        storage.write(&[append(1)]),
+        Err(StorageError::Uninitialized)
+    ));
 }
 
 #[test]
@@ -178,8 +221,15 @@
     content[CHECKSUM].copy_from_slice(&checksum.to_le_bytes());
     std::fs::write(&path, &content).unwrap();
     let error = Storage::open(folder.path()).unwrap_err();
-    assert!(matches!(error, StorageError::Version { version: 1, .. }), "{error}");
-    assert!(error.to_string().contains(path.file_name().unwrap().to_str().unwrap()));
+    assert!(
+        matches!(error, StorageError::Version { version: 1, .. }),
+        "{error}"
+    );
+    assert!(
+        error
+            .to_string()
+            .contains(path.file_name().unwrap().to_str().unwrap())
+    );
 }
 
 #[test]
@@ -188,10 +238,22 @@
     const FOLLOWING: usize = 4 << 20;
     let folder = tempfile::tempdir().unwrap();
     let mut storage = fresh(folder.path());
-    let snapshot = Snapshot { index: 1, term: 1, state: vec![7; ORDER + 20_000 * 16], ..Snapshot::default() };
+    let snapshot = Snapshot {
+        index: 1,
+        term: 1,
+        state: vec![7; ORDER + 20_000 * 16],
+        ..Snapshot::default()
+    };
     storage.write(&[Record::Install(snapshot)]).unwrap();
-    storage.write(&[Record::Append(vec![entry(2, FOLLOWING), entry(3, FOLLOWING)])]).unwrap();
-    storage.write(&[Record::Append(vec![entry(4, ORDER)])]).unwrap();
+    storage
+        .write(&[Record::Append(vec![
+            entry(2, FOLLOWING),
+            entry(3, FOLLOWING),
+        ])])
+        .unwrap();
+    storage
+        .write(&[Record::Append(vec![entry(4, ORDER)])])
+        .unwrap();
     drop(storage);
     assert_eq!(last_index(folder.path()), 4);
 }
--- a/crates/transport/src/classify.rs
+++ b/crates/transport/src/classify.rs
@@ -14,11 +14,17 @@
 
 impl Class {
     const fn last(outcome: Outcome) -> Self {
-        Self { outcome, is_final: true }
+        Self {
+            outcome,
+            is_final: true,
+        }
     }
 
     const fn open(outcome: Outcome) -> Self {
-        Self { outcome, is_final: false }
+        Self {
+            outcome,
+            is_final: false,
+        }
     }
 }
 
@@ -57,7 +63,9 @@
 /// The end of a gRPC call, by its trailers, or by its headers where these are all there is.
 #[cfg(feature = "http2")]
 pub fn grpc(trailers: &HeaderMap) -> Class {
-    let status = trailers.get("grpc-status").and_then(|value| value.to_str().ok()?.parse().ok());
+    let status = trailers
+        .get("grpc-status")
+        .and_then(|value| value.to_str().ok()?.parse().ok());
     let pushed_back = trailers.contains_key("grpc-retry-pushback-ms");
     match status {
         Some(code::OK) => Class::last(Outcome::Ok),
@@ -100,7 +108,10 @@
     type Pairs = &'static [(&'static str, &'static str)];
 
     fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
-        pairs.iter().map(|(name, value)| (name.parse().unwrap(), value.parse().unwrap())).collect()
+        pairs
+            .iter()
+            .map(|(name, value)| (name.parse().unwrap(), value.parse().unwrap()))
+            .collect()
     }
 
     /// Each row of the table. "Never ran" is what lets unsafe work be sent again: no row may claim it wrongly.
@@ -129,7 +140,11 @@
         for &(status, more, outcome, is_final) in cases {
             let mut trailers = headers(more);
             trailers.insert("grpc-status", status.parse().unwrap());
-            assert_eq!(grpc(&trailers), Class { outcome, is_final }, "{status} {more:?}");
+            assert_eq!(
+                grpc(&trailers),
+                Class { outcome, is_final },
+                "{status} {more:?}"
+            );
         }
         assert_eq!(grpc(&headers(&[])), Class::open(Outcome::Error));
         let http_cases: &[(u16, bool, Outcome, bool)] = &[
@@ -145,9 +160,17 @@
             (504, true, Outcome::Full, false),
         ];
         for &(status, turned_away, outcome, is_final) in http_cases {
-            let more = if turned_away { headers(REJECTED) } else { headers(&[]) };
+            let more = if turned_away {
+                headers(REJECTED)
+            } else {
+                headers(&[])
+            };
             let status = StatusCode::from_u16(status).unwrap();
-            assert_eq!(http(status, &more), Class { outcome, is_final }, "{status} {turned_away}");
+            assert_eq!(
+                http(status, &more),
+                Class { outcome, is_final },
+                "{status} {turned_away}"
+            );
         }
     }
 }
--- a/crates/transport/src/http1/answer.rs
+++ b/crates/transport/src/http1/answer.rs
@@ -56,7 +56,15 @@
         body: Incoming,
         connection: Connection,
     ) -> Self {
-        Self { first, length, left, body, connection, tail: None, home: None }
+        Self {
+            first,
+            length,
+            left,
+            body,
+            connection,
+            tail: None,
+            home: None,
+        }
     }
 
     /// Where the connection goes at the end.
@@ -73,7 +81,10 @@
     fn is_over(&mut self, asked: bool) -> bool {
         let over = asked || self.first.is_empty() && self.body.is_end_stream();
         if over {
-            self.tail.take().into_iter().for_each(|tail| tail.end(Outcome::Ok));
+            self.tail
+                .take()
+                .into_iter()
+                .for_each(|tail| tail.end(Outcome::Ok));
         }
         over
     }
@@ -91,11 +102,17 @@
                         self.left -= data.len();
                         return Poll::Ready(Some(Ok(data)));
                     }
-                    Ok(_) => (Outcome::Error, io::Error::other("an answer is larger than any may be")),
+                    Ok(_) => (
+                        Outcome::Error,
+                        io::Error::other("an answer is larger than any may be"),
+                    ),
                     Err(_) => continue, // trailers belong to the connection
                 },
             };
-            self.tail.take().into_iter().for_each(|tail| tail.end(outcome));
+            self.tail
+                .take()
+                .into_iter()
+                .for_each(|tail| tail.end(outcome));
             return Poll::Ready(Some(Err(error)));
         }
     }
@@ -116,7 +133,8 @@
                 let next = ready!(rest.poll_next(cx));
                 // Where the length was told, nobody asks for more than that.
                 if rest.is_over(next.is_none())
-                    && let Self::Rest(rest) = std::mem::replace(&mut *self, Self::Whole(Bytes::new()))
+                    && let Self::Rest(rest) =
+                        std::mem::replace(&mut *self, Self::Whole(Bytes::new()))
                 {
                     rest.go_home();
                 }
@@ -133,7 +151,9 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Rest(rest) => rest.length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            Self::Rest(rest) => rest
+                .length
+                .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -141,8 +161,18 @@
 impl Rest {
     /// Keeps the connection for the next attempt, once it is ready for it.
     fn go_home(self) {
-        let Self { mut connection, home: Some((pool, server, epoch)), .. } = self else { return };
-        connection.progress.answer_due.store(false, Ordering::Relaxed);
+        let Self {
+            mut connection,
+            home: Some((pool, server, epoch)),
+            ..
+        } = self
+        else {
+            return;
+        };
+        connection
+            .progress
+            .answer_due
+            .store(false, Ordering::Relaxed);
         tokio::spawn(async move {
             if connection.sender.ready().await.is_ok() {
                 lock(&pool).put(server, epoch, connection);
--- a/crates/transport/src/http1/connection.rs
+++ b/crates/transport/src/http1/connection.rs
@@ -27,7 +27,10 @@
     const EMFILE: i32 = 24;
     const ENOBUFS: i32 = 105;
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
-        || matches!(error.kind(), ErrorKind::AddrNotAvailable | ErrorKind::OutOfMemory)
+        || matches!(
+            error.kind(),
+            ErrorKind::AddrNotAvailable | ErrorKind::OutOfMemory
+        )
 }
 
 /// A connection to an upstream. Dropping it closes it.
@@ -54,10 +57,19 @@
         let socket = Socket::new(stream.clone(), progress.clone(), counts.clone());
         let builder = &mut Builder::new();
         let builder = builder.max_buf_size(READ_BUFFER);
-        let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
+        let (sender, connection) = builder
+            .handshake(TokioIo::new(socket))
+            .await
+            .map_err(io::Error::other)?;
         let task = tokio::spawn(connection).abort_handle();
         counts.open.fetch_add(1, Ordering::Relaxed);
-        Ok(Self { sender, progress, stream, task, counts })
+        Ok(Self {
+            sender,
+            progress,
+            stream,
+            task,
+            counts,
+        })
     }
 
     /// Whether nothing has come since the last answer. What an idle connection brings is its end, and the
@@ -124,10 +136,15 @@
 impl Outgoing {
     /// The body of the next request on a connection.
     pub fn new(body: Bytes, progress: Arc<Progress>) -> Self {
-        progress.body_taken.store(body.is_empty(), Ordering::Relaxed);
+        progress
+            .body_taken
+            .store(body.is_empty(), Ordering::Relaxed);
         progress.written.store(false, Ordering::Relaxed);
         progress.answer_due.store(true, Ordering::Relaxed);
-        Self { data: Some(body).filter(|body| !body.is_empty()), progress }
+        Self {
+            data: Some(body).filter(|body| !body.is_empty()),
+            progress,
+        }
     }
 }
 
@@ -163,7 +180,11 @@
 impl Socket {
     /// A socket for hyper.
     pub fn new(stream: SharedStream, progress: Arc<Progress>, counts: Arc<Counts>) -> Self {
-        Self { stream, progress, counts }
+        Self {
+            stream,
+            progress,
+            counts,
+        }
     }
 }
 
@@ -183,7 +204,11 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(bytes)])
     }
 
--- a/crates/transport/src/http1/exchange.rs
+++ b/crates/transport/src/http1/exchange.rs
@@ -25,15 +25,27 @@
 impl Finished {
     /// The end as the runtime takes it, with the load report by these fields.
     pub fn ended(self, fields: &[String]) -> Ended<Response<Bytes>> {
-        let report = self.response.as_ref().and_then(|response| response.headers().get("x-load-report"));
+        let report = self
+            .response
+            .as_ref()
+            .and_then(|response| response.headers().get("x-load-report"));
         let load = report.and_then(|report| load_report(report.as_bytes(), fields));
-        Ended { outcome: self.outcome, answer: self.response.filter(|_| self.is_final), load }
+        Ended {
+            outcome: self.outcome,
+            answer: self.response.filter(|_| self.is_final),
+            load,
+        }
     }
 }
 
 impl From<Outcome> for Finished {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, is_final: false, response: None, connection: None }
+        Self {
+            outcome,
+            is_final: false,
+            response: None,
+            connection: None,
+        }
     }
 }
 
@@ -63,7 +75,11 @@
 const BEGIN_AT: usize = 4 << 10;
 
 /// Sends a request on a connection and waits for its answer, whole or, where it is larger, its beginning.
-pub(super) async fn exchange(request: Request<Bytes>, mut connection: Connection, sizes: Sizes) -> Exchanged {
+pub(super) async fn exchange(
+    request: Request<Bytes>,
+    mut connection: Connection,
+    sizes: Sizes,
+) -> Exchanged {
     let progress = connection.progress.clone();
     let (head, body) = request.into_parts();
     let body = Outgoing::new(body, progress.clone());
@@ -71,7 +87,11 @@
         true => Outcome::Reset,
         false => Outcome::ConnectFailed,
     };
-    let response = match connection.sender.send_request(Request::from_parts(head, body)).await {
+    let response = match connection
+        .sender
+        .send_request(Request::from_parts(head, body))
+        .await
+    {
         Ok(response) => response,
         Err(error) => {
             if error.is_parse() {
@@ -93,8 +113,12 @@
     };
     let mut first = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return broken().into() };
-        let Ok(data) = frame.into_data() else { continue }; // trailers belong to the connection
+        let Ok(frame) = frame else {
+            return broken().into();
+        };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        }; // trailers belong to the connection
         first.extend_from_slice(&data);
         if first.len() > begin_at {
             if !may_begin || first.len() > sizes.most {
@@ -109,7 +133,12 @@
     let stays = !closes(&head);
     let connection = kept(connection, stays).await;
     let response = Some(Response::from_parts(head, first.freeze()));
-    Exchanged::Finished(Finished { outcome, is_final, response, connection })
+    Exchanged::Finished(Finished {
+        outcome,
+        is_final,
+        response,
+        connection,
+    })
 }
 
 /// Whether an upstream says that it closes the connection behind its answer.
--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -59,7 +59,10 @@
             pool: Arc::new(Mutex::new(pool)),
             counts,
             connect_timeout: AtomicU64::new(nanos(names.connect_timeout)),
-            sizes: Sizes { whole: most_body, most: most_body },
+            sizes: Sizes {
+                whole: most_body,
+                most: most_body,
+            },
             report_fields: names.report_fields.clone(),
         }
     }
@@ -72,7 +75,8 @@
 
     /// Takes new settings: what is open is kept for no longer than these say.
     pub fn retune(&self, names: &Names, keep: Duration) {
-        self.connect_timeout.store(nanos(names.connect_timeout), Ordering::Relaxed);
+        self.connect_timeout
+            .store(nanos(names.connect_timeout), Ordering::Relaxed);
         lock(&self.pool).keep(kept(keep));
     }
 
@@ -104,22 +108,28 @@
         let (pool, counts) = (self.pool.clone(), self.counts.clone());
         let connect_timeout = Duration::from_nanos(self.connect_timeout.load(Ordering::Relaxed));
         Box::pin(async move {
-            let Some((epoch, idle)) = taken else { return Outcome::Moot.into() };
+            let Some((epoch, idle)) = taken else {
+                return Outcome::Moot.into();
+            };
             let connection = match idle {
                 Some(connection) => connection,
-                None => match timeout(connect_timeout, Connection::open(peer.address, counts)).await {
-                    Ok(Ok(connection)) => connection,
-                    // Our own lack of descriptors or ports says nothing of the upstream.
-                    Ok(Err(error)) if is_local(&error) => return Outcome::Moot.into(),
-                    Ok(Err(_)) | Err(_) => return Outcome::ConnectFailed.into(),
-                },
+                None => {
+                    match timeout(connect_timeout, Connection::open(peer.address, counts)).await {
+                        Ok(Ok(connection)) => connection,
+                        // Our own lack of descriptors or ports says nothing of the upstream.
+                        Ok(Err(error)) if is_local(&error) => return Outcome::Moot.into(),
+                        Ok(Err(_)) | Err(_) => return Outcome::ConnectFailed.into(),
+                    }
+                }
             };
             // Guards rule 3: since it was begun, the upstream may have been listed as draining or gone.
             if !lock(&pool).is_current(peer.server, epoch) {
                 return Outcome::Moot.into();
             }
             // As late as this, since to connect takes its time.
-            let Some(left) = begin() else { return Outcome::Moot.into() };
+            let Some(left) = begin() else {
+                return Outcome::Moot.into();
+            };
             tell_budget(&mut request, left);
             let mut exchanged = exchange(request, connection, sizes).await;
             match &mut exchanged {
@@ -128,7 +138,9 @@
                         lock(&pool).put(peer.server, epoch, connection);
                     }
                 }
-                Exchanged::Begun(response) => response.body_mut().goes_home(pool, peer.server, epoch),
+                Exchanged::Begun(response) => {
+                    response.body_mut().goes_home(pool, peer.server, epoch)
+                }
             }
             exchanged
         })
@@ -144,7 +156,9 @@
     ) -> Pin<Box<dyn Future<Output = Exchanged> + Send>> {
         let attempt = attempt.clone();
         let peer = attempt.to();
-        self.exchange(forwarded(request, peer.address), peer, sizes, move || attempt.begin())
+        self.exchange(forwarded(request, peer.address), peer, sizes, move || {
+            attempt.begin()
+        })
     }
 
     /// An attempt to its end.
@@ -153,8 +167,14 @@
         request: &Request<Bytes>,
         attempt: &Attempt,
     ) -> impl Future<Output = Ended<Response<Bytes>>> + Send + use<> {
-        let sizes = Sizes { most: self.sizes.whole, ..self.sizes };
-        let (exchange, fields) = (self.exchange_of(request, attempt, sizes), self.report_fields.clone());
+        let sizes = Sizes {
+            most: self.sizes.whole,
+            ..self.sizes
+        };
+        let (exchange, fields) = (
+            self.exchange_of(request, attempt, sizes),
+            self.report_fields.clone(),
+        );
         async move {
             match exchange.await {
                 Exchanged::Finished(finished) => finished.ended(&fields),
@@ -173,12 +193,17 @@
         request: &mut Request<Bytes>,
         attempt: &Attempt,
     ) -> impl Future<Output = Step<Response<Answer>>> + Send + 'static {
-        let (exchange, fields) = (self.exchange_of(request, attempt, self.sizes), self.report_fields.clone());
+        let (exchange, fields) = (
+            self.exchange_of(request, attempt, self.sizes),
+            self.report_fields.clone(),
+        );
         async move {
             match exchange.await {
-                Exchanged::Finished(finished) => {
-                    Step::Ended(finished.ended(&fields).map(|response| response.map(Answer::Whole)))
-                }
+                Exchanged::Finished(finished) => Step::Ended(
+                    finished
+                        .ended(&fields)
+                        .map(|response| response.map(Answer::Whole)),
+                ),
                 Exchanged::Begun(response) => Step::Started(Box::new(|tail| {
                     response.map(|mut rest| {
                         rest.ends_at(tail);
@@ -197,14 +222,23 @@
         let mut request = Request::new(Bytes::new());
         *request.uri_mut() = Uri::from_static("/load");
         let request = forwarded(&request, peer.address);
-        let sizes = Sizes { most: self.sizes.whole, ..self.sizes };
+        let sizes = Sizes {
+            most: self.sizes.whole,
+            ..self.sizes
+        };
         let exchange = self.exchange(request, peer, sizes, move || Some(patience));
         let fields = self.report_fields.clone();
         async move {
-            let Exchanged::Finished(Finished { outcome, response, .. }) = exchange.await else {
+            let Exchanged::Finished(Finished {
+                outcome, response, ..
+            }) = exchange.await
+            else {
                 return (Outcome::Error, None); // larger than any report may be
             };
-            (outcome, response.and_then(|response| load_report(response.body(), &fields)))
+            (
+                outcome,
+                response.and_then(|response| load_report(response.body(), &fields)),
+            )
         }
     }
 
@@ -225,7 +259,11 @@
 fn forwarded(request: &Request<Bytes>, address: SocketAddr) -> Request<Bytes> {
     let mut request = request.clone();
     *request.version_mut() = Version::HTTP_11;
-    if let Some(path) = request.uri().path_and_query().filter(|_| request.uri().authority().is_some()) {
+    if let Some(path) = request
+        .uri()
+        .path_and_query()
+        .filter(|_| request.uri().authority().is_some())
+    {
         *request.uri_mut() = path.clone().into();
     }
     let headers = request.headers_mut();
@@ -239,7 +277,9 @@
 /// Tells the upstream how long the caller still waits, in seconds.
 fn tell_budget(request: &mut Request<Bytes>, left: Duration) {
     let budget = HeaderValue::from_str(&format!("{:.6}", left.as_secs_f64()));
-    request.headers_mut().insert("x-budget", budget.unwrap_or(HeaderValue::from_static("0")));
+    request
+        .headers_mut()
+        .insert("x-budget", budget.unwrap_or(HeaderValue::from_static("0")));
 }
 
 /// The load figures in a report, in the order of the settings.
--- a/crates/transport/src/http1/pool.rs
+++ b/crates/transport/src/http1/pool.rs
@@ -48,7 +48,13 @@
 impl Pool {
     /// No connection yet. Idle ones are kept for less than `keep`, and no more than `most` are open, idle or not.
     pub fn new(keep: Duration, most: usize, counts: Arc<Counts>) -> Self {
-        Self { keep, most, counts, upstreams: HashMap::new(), next_epoch: 0 }
+        Self {
+            keep,
+            most,
+            counts,
+            upstreams: HashMap::new(),
+            next_epoch: 0,
+        }
     }
 
     /// Keeps idle connections for less than this from now on.
@@ -79,10 +85,17 @@
         let next_epoch = &mut self.next_epoch;
         let kept = self.upstreams.entry(server).or_insert_with(|| {
             *next_epoch += 1;
-            Kept { epoch: *next_epoch, idle: Vec::new() }
+            Kept {
+                epoch: *next_epoch,
+                idle: Vec::new(),
+            }
         });
         let epoch = kept.epoch;
-        let settle = if self.counts.spoilt_within(SPOILT_MEMORY) { SETTLE } else { Duration::ZERO };
+        let settle = if self.counts.spoilt_within(SPOILT_MEMORY) {
+            SETTLE
+        } else {
+            Duration::ZERO
+        };
         let rested = |idle: &Idle| idle.since.elapsed() >= settle;
         // One look at a socket in most cases, not one at each that rests.
         while let Some(at) = kept.idle.iter().rposition(rested) {
@@ -97,7 +110,10 @@
             return Some((epoch, None));
         }
         // The one that has rested for longest.
-        let kept = self.upstreams.get_mut(&server).filter(|kept| !kept.idle.is_empty());
+        let kept = self
+            .upstreams
+            .get_mut(&server)
+            .filter(|kept| !kept.idle.is_empty());
         match kept {
             Some(kept) => Some((epoch, Some(kept.idle.remove(0).connection))),
             None => room.then_some((epoch, None)),
@@ -106,13 +122,22 @@
 
     /// Whether connections of this epoch are still of use.
     pub fn is_current(&self, server: ServerId, epoch: u64) -> bool {
-        self.upstreams.get(&server).is_some_and(|kept| kept.epoch == epoch)
+        self.upstreams
+            .get(&server)
+            .is_some_and(|kept| kept.epoch == epoch)
     }
 
     /// Keeps a connection for the next attempt.
     pub fn put(&mut self, server: ServerId, epoch: u64, connection: Connection) {
-        if let Some(kept) = self.upstreams.get_mut(&server).filter(|kept| kept.epoch == epoch) {
-            kept.idle.push(Idle { since: Instant::now(), connection });
+        if let Some(kept) = self
+            .upstreams
+            .get_mut(&server)
+            .filter(|kept| kept.epoch == epoch)
+        {
+            kept.idle.push(Idle {
+                since: Instant::now(),
+                connection,
+            });
         }
     }
 
@@ -133,7 +158,9 @@
                 .filter_map(|(server, kept)| Some((kept.idle.first()?.since, *server)))
                 .min();
             if let Some((_, server)) = oldest {
-                self.upstreams.get_mut(&server).map(|kept| kept.idle.remove(0));
+                self.upstreams
+                    .get_mut(&server)
+                    .map(|kept| kept.idle.remove(0));
             }
         }
         !full(self)
--- a/crates/transport/src/http1/tests.rs
+++ b/crates/transport/src/http1/tests.rs
@@ -21,16 +21,24 @@
             stream.read_exact(&mut byte).unwrap();
             got.push(byte[0]);
         }
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+            .unwrap();
         stream
     });
     let request = Request::new(Bytes::new());
     let connection = Connection::open(address, Arc::default()).await.unwrap();
-    let sizes = Sizes { whole: 1 << 10, most: 1 << 10 };
+    let sizes = Sizes {
+        whole: 1 << 10,
+        most: 1 << 10,
+    };
     let Exchanged::Finished(finished) = exchange(request, connection, sizes).await else {
         panic!("an answer that goes on")
     };
-    (finished.connection.expect("a connection to use again"), peer.await.unwrap())
+    (
+        finished.connection.expect("a connection to use again"),
+        peer.await.unwrap(),
+    )
 }
 
 /// Guards against a balancer that is held up: between the end of an idle connection and the runtime's
@@ -51,7 +59,9 @@
 #[tokio::test]
 async fn written_is_what_has_left_to_the_last_byte() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let tcp = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let tcp = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let progress = Arc::<Progress>::default();
     let stream = SharedStream::new(tcp).unwrap();
     let mut socket = Socket::new(stream, progress.clone(), Arc::default());
@@ -60,7 +70,10 @@
     assert!(!written(), "the body is still to come");
     progress.body_taken.store(true, Ordering::Relaxed);
     let most = socket.write(&vec![0; 64 << 20]).await.unwrap();
-    assert!(most < 64 << 20 && !written(), "the peer's buffer holds a part only");
+    assert!(
+        most < 64 << 20 && !written(),
+        "the peer's buffer holds a part only"
+    );
     let mut peer = listener.accept().unwrap().0;
     std::thread::spawn(move || std::io::copy(&mut peer, &mut std::io::sink()));
     socket.write_all(b"the rest").await.unwrap();
--- a/crates/transport/src/http2.rs
+++ b/crates/transport/src/http2.rs
@@ -64,7 +64,13 @@
     /// The usual limits, with the time for a connection from the settings.
     pub fn new(names: &Names, idle: Duration) -> Self {
         let connect_timeout = names.connect_timeout;
-        Self { connections: 4, streams: 1000, idle, connect_timeout, most_whole: 64 << 10 }
+        Self {
+            connections: 4,
+            streams: 1000,
+            idle,
+            connect_timeout,
+            most_whole: 64 << 10,
+        }
     }
 }
 
@@ -150,7 +156,12 @@
         link.streams.fetch_add(1, Ordering::Relaxed);
         link.counts.streams.fetch_add(1, Ordering::Relaxed);
         let taken = link.since_opened();
-        Self { link, changed, taken, answered: false }
+        Self {
+            link,
+            changed,
+            taken,
+            answered: false,
+        }
     }
 
     fn hear(&mut self) {
@@ -210,16 +221,27 @@
     /// a crowd that comes at once does not open one each.
     fn place(self: &Arc<Self>, peer: &Peer, epoch: u64) -> Place {
         let mut upstreams = lock(&self.upstreams);
-        let Some(links) = upstreams.get_mut(&peer.server).filter(|links| links.epoch == epoch) else {
+        let Some(links) = upstreams
+            .get_mut(&peer.server)
+            .filter(|links| links.epoch == epoch)
+        else {
             return Place::Retired;
         };
-        links.links.retain(|link| !link.closing.load(Ordering::Relaxed));
+        links
+            .links
+            .retain(|link| !link.closing.load(Ordering::Relaxed));
         // The fullest that has room, so that the others may fall idle.
-        let with_room = links.links.iter().filter(|link| link.has_room(self.limits.streams));
+        let with_room = links
+            .links
+            .iter()
+            .filter(|link| link.has_room(self.limits.streams));
         if let Some(link) = with_room.max_by_key(|link| link.streams.load(Ordering::Relaxed)) {
             return Place::Taken(Lease::new(link.clone(), links.changed.clone()));
         }
-        let waiting = Waiting { changed: links.changed.clone().notified_owned(), failed: links.failed.0 };
+        let waiting = Waiting {
+            changed: links.changed.clone().notified_owned(),
+            failed: links.failed.0,
+        };
         if !links.connecting && links.links.len() < self.limits.connections {
             links.connecting = true;
             // In a task of its own: others wait for it, and its caller may leave.
@@ -231,7 +253,9 @@
     /// How the connection failed that was being opened while this one waited, if it did.
     fn failure(&self, server: ServerId, epoch: u64, before: u64) -> Option<Outcome> {
         let upstreams = lock(&self.upstreams);
-        let links = upstreams.get(&server).filter(|links| links.epoch == epoch)?;
+        let links = upstreams
+            .get(&server)
+            .filter(|links| links.epoch == epoch)?;
         (links.failed.0 != before).then_some(links.failed.1)
     }
 
@@ -243,7 +267,10 @@
             Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
         };
         let mut upstreams = lock(&self.upstreams);
-        let Some(links) = upstreams.get_mut(&peer.server).filter(|links| links.epoch == epoch) else {
+        let Some(links) = upstreams
+            .get_mut(&peer.server)
+            .filter(|links| links.epoch == epoch)
+        else {
             return;
         };
         links.connecting = false;
@@ -258,9 +285,14 @@
         let tcp = TcpStream::connect(address).await?;
         tcp.set_nodelay(true)?;
         let mut builder = Builder::new();
-        builder.initial_window_size(WINDOWS.0).initial_connection_window_size(WINDOWS.1);
+        builder
+            .initial_window_size(WINDOWS.0)
+            .initial_connection_window_size(WINDOWS.1);
         builder.max_header_list_size(MOST_HEAD).enable_push(false);
-        let (sender, mut connection) = builder.handshake::<_, Bytes>(tcp).await.map_err(io::Error::other)?;
+        let (sender, mut connection) = builder
+            .handshake::<_, Bytes>(tcp)
+            .await
+            .map_err(io::Error::other)?;
         let (started, link_set) = tokio::sync::oneshot::channel::<std::sync::Weak<Link>>();
         let ping = connection.ping_pong();
         let task = tokio::spawn(async move {
@@ -274,7 +306,11 @@
         // connection would open more streams than the peer takes; and a peer that accepts connections without
         // reading them shows here, where nothing has been sent yet.
         let ready = match ping {
-            Some(mut ping) => ping.ping(Ping::opaque()).await.map(|_| ()).map_err(io::Error::other),
+            Some(mut ping) => ping
+                .ping(Ping::opaque())
+                .await
+                .map(|_| ())
+                .map_err(io::Error::other),
             None => Err(io::Error::other("no ping")),
         };
         if let Err(error) = ready {
@@ -322,12 +358,17 @@
             next_epoch: AtomicU64::new(0),
             counts: Arc::default(),
         };
-        Self { pool: Arc::new(pool) }
+        Self {
+            pool: Arc::new(pool),
+        }
     }
 
     /// Connections that are open, and streams on them.
     pub fn open(&self) -> (usize, usize) {
-        (self.pool.counts.open.load(Ordering::Relaxed), self.pool.counts.streams.load(Ordering::Relaxed))
+        (
+            self.pool.counts.open.load(Ordering::Relaxed),
+            self.pool.counts.streams.load(Ordering::Relaxed),
+        )
     }
 }
 
@@ -346,18 +387,34 @@
         let (body, until_closed) = (request.body.take(), request.body_deadline);
         let (pool, attempt) = (self.pool.clone(), attempt.clone());
         async move {
-            let Some(mut body) = body else { return Step::Ended(Outcome::Moot.into()) };
+            let Some(mut body) = body else {
+                return Step::Ended(Outcome::Moot.into());
+            };
             for _ in 0..TRIES {
                 let lease = match pool.lease(&peer, epoch).await {
                     Ok(lease) => lease,
                     Err(outcome) => return Step::Ended(outcome.into()),
                 };
-                let Some(left) = attempt.begin() else { return Step::Ended(Outcome::Moot.into()) };
+                let Some(left) = attempt.begin() else {
+                    return Step::Ended(Outcome::Moot.into());
+                };
                 tell_budget(&mut head, left, grpc);
-                match lease.link.sender.clone().send_request(head.clone(), body.is_empty()) {
+                match lease
+                    .link
+                    .sender
+                    .clone()
+                    .send_request(head.clone(), body.is_empty())
+                {
                     Ok((response, stream)) => {
                         let pump = body.send(stream);
-                        return receive(response, lease, pump, pool.limits.most_whole, until_closed).await;
+                        return receive(
+                            response,
+                            lease,
+                            pump,
+                            pool.limits.most_whole,
+                            until_closed,
+                        )
+                        .await;
                     }
                     // Not a byte of it is written: the connection is on its way out.
                     Err(_) => lease.close(),
@@ -378,7 +435,9 @@
 
     fn close_idle(&self, server: ServerId) {
         if let Some(links) = lock(&self.pool.upstreams).get_mut(&server) {
-            links.links.retain(|link| link.streams.load(Ordering::Relaxed) > 0);
+            links
+                .links
+                .retain(|link| link.streams.load(Ordering::Relaxed) > 0);
         }
     }
 
@@ -393,7 +452,9 @@
         let keep = self.pool.limits.idle.as_nanos() as u64;
         for links in lock(&self.pool.upstreams).values_mut() {
             links.links.retain(|link| {
-                let idle = link.since_opened().saturating_sub(link.idle_from.load(Ordering::Relaxed));
+                let idle = link
+                    .since_opened()
+                    .saturating_sub(link.idle_from.load(Ordering::Relaxed));
                 let unused = link.streams.load(Ordering::Relaxed) == 0;
                 !(link.closing.load(Ordering::Relaxed) || unused && idle >= keep)
             });
@@ -415,7 +476,11 @@
     let host = headers.remove(HOST);
     let named = named_by_connection(headers);
     let others = ["keep-alive", "proxy-connection"].map(HeaderName::from_static);
-    for name in [CONNECTION, TRANSFER_ENCODING, UPGRADE].into_iter().chain(others).chain(named) {
+    for name in [CONNECTION, TRANSFER_ENCODING, UPGRADE]
+        .into_iter()
+        .chain(others)
+        .chain(named)
+    {
         headers.remove(name);
     }
     if headers.get(TE).is_some_and(|value| value != "trailers") {
@@ -427,8 +492,13 @@
     let mut parts = uri::Parts::default();
     parts.scheme = Some(Scheme::HTTP);
     parts.authority = authority.or_else(|| Authority::try_from(address.to_string()).ok());
-    let path = uri.path_and_query().filter(|path| request.head.method != Method::CONNECT && *path != "");
-    parts.path_and_query = Some(path.cloned().unwrap_or_else(|| PathAndQuery::from_static("/")));
+    let path = uri
+        .path_and_query()
+        .filter(|path| request.head.method != Method::CONNECT && *path != "");
+    parts.path_and_query = Some(
+        path.cloned()
+            .unwrap_or_else(|| PathAndQuery::from_static("/")),
+    );
     *head.uri_mut() = Uri::from_parts(parts).unwrap_or_default();
     head
 }
@@ -442,16 +512,28 @@
         number
     };
     let headers = head.headers_mut();
-    headers.insert(X_BUDGET, number(format!("{}.{:06}", left.as_secs(), left.subsec_micros())));
+    headers.insert(
+        X_BUDGET,
+        number(format!("{}.{:06}", left.as_secs(), left.subsec_micros())),
+    );
     if grpc {
-        headers.insert(GRPC_TIMEOUT, number(grpc_timeout_of(left.as_nanos() as u64)));
+        headers.insert(
+            GRPC_TIMEOUT,
+            number(grpc_timeout_of(left.as_nanos() as u64)),
+        );
     }
 }
 
 /// A time in nanoseconds as the header says it: at most eight digits and a unit (gRPC over HTTP/2, Timeout).
 pub fn grpc_timeout_of(nanos: u64) -> String {
     const MOST: u64 = 99_999_999;
-    let units = [(1, 'n'), (1_000, 'u'), (1_000_000, 'm'), (1_000_000_000, 'S'), (60_000_000_000, 'M')];
+    let units = [
+        (1, 'n'),
+        (1_000, 'u'),
+        (1_000_000, 'm'),
+        (1_000_000_000, 'S'),
+        (60_000_000_000, 'M'),
+    ];
     let fits = units.into_iter().find(|(unit, _)| nanos / unit <= MOST);
     match fits {
         Some((unit, letter)) => format!("{}{letter}", nanos / unit),
@@ -475,14 +557,20 @@
         let last = self.rest.is_none() && self.trailers.is_none();
         let count = self.data.len();
         for (at, data) in self.data.iter().enumerate() {
-            if stream.send_data(data.clone(), last && at + 1 == count).is_err() {
+            if stream
+                .send_data(data.clone(), last && at + 1 == count)
+                .is_err()
+            {
                 return Pump(None); // the stream is over, as its answer tells
             }
         }
         if let Some(trailers) = self.trailers.clone() {
             stream.send_trailers(trailers).ok();
         }
-        let rest = self.rest.take().map(|rest| tokio::spawn(pump(rest, stream)).abort_handle());
+        let rest = self
+            .rest
+            .take()
+            .map(|rest| tokio::spawn(pump(rest, stream)).abort_handle());
         Pump(rest)
     }
 }
@@ -555,7 +643,11 @@
         return Step::Ended(early.outcome.into());
     }
     // gRPC messages are passed on from the first one on; of other answers it is known how large they are.
-    let wait_for = if grpc { 0 } else { told.filter(|told| *told <= most_whole).unwrap_or(0) };
+    let wait_for = if grpc {
+        0
+    } else {
+        told.filter(|told| *told <= most_whole).unwrap_or(0)
+    };
     let (mut data, mut length) = (Vec::new(), 0);
     loop {
         // Once there is something to pass on, only what has come already is taken along.
@@ -588,8 +680,23 @@
     }
     let begun = Box::new(move |tail| {
         let expiry = until.map(|until| Box::pin(tokio::time::sleep_until(until)));
-        let rest = Rest { body, lease, _pump: pump, tail: Some(tail), expiry, grpc, done: false };
-        Response::from_parts(head, Inbound { data: data.into(), trailers: None, rest: Some(Box::new(rest)) })
+        let rest = Rest {
+            body,
+            lease,
+            _pump: pump,
+            tail: Some(tail),
+            expiry,
+            grpc,
+            done: false,
+        };
+        Response::from_parts(
+            head,
+            Inbound {
+                data: data.into(),
+                trailers: None,
+                rest: Some(Box::new(rest)),
+            },
+        )
     });
     Step::Started(begun)
 }
@@ -605,8 +712,18 @@
         true => classify::grpc(trailers.as_ref().unwrap_or(head.headers())),
         false => classify::http(head.status(), head.headers()),
     };
-    let answer = is_final.then(|| head.map(|()| Inbound { data: data.into(), trailers, rest: None }));
-    Step::Ended(Ended { outcome, answer, load: None })
+    let answer = is_final.then(|| {
+        head.map(|()| Inbound {
+            data: data.into(),
+            trailers,
+            rest: None,
+        })
+    });
+    Step::Ended(Ended {
+        outcome,
+        answer,
+        load: None,
+    })
 }
 
 /// The body of an answer.
@@ -657,18 +774,32 @@
 impl Inbound {
     /// A body that is whole.
     pub fn new(data: Bytes) -> Self {
-        let data = if data.is_empty() { Default::default() } else { [data].into() };
-        Self { data, trailers: None, rest: None }
+        let data = if data.is_empty() {
+            Default::default()
+        } else {
+            [data].into()
+        };
+        Self {
+            data,
+            trailers: None,
+            rest: None,
+        }
     }
 }
 
 impl Rest {
     fn end(&mut self, outcome: Outcome) {
         self.done = true;
-        self.tail.take().into_iter().for_each(|tail| tail.end(outcome));
+        self.tail
+            .take()
+            .into_iter()
+            .for_each(|tail| tail.end(outcome));
     }
 
-    fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, InboundError>>> {
+    fn poll_frame(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, InboundError>>> {
         if let Some(expiry) = &mut self.expiry
             && expiry.as_mut().poll(cx).is_ready()
         {
@@ -688,7 +819,11 @@
             Ok(trailers) => {
                 let none = HeaderMap::new();
                 let class = classify::grpc(trailers.as_ref().unwrap_or(&none));
-                self.end(if self.grpc { class.outcome } else { Outcome::Ok });
+                self.end(if self.grpc {
+                    class.outcome
+                } else {
+                    Outcome::Ok
+                });
                 Poll::Ready(trailers.map(|trailers| Ok(Frame::trailers(trailers))))
             }
             Err(error) => Poll::Ready(Some(Err(self.broke(error)))),
@@ -720,7 +855,11 @@
             }
             return Poll::Ready(frame);
         }
-        Poll::Ready(self.trailers.take().map(|trailers| Ok(Frame::trailers(trailers))))
+        Poll::Ready(
+            self.trailers
+                .take()
+                .map(|trailers| Ok(Frame::trailers(trailers))),
+        )
     }
 
     fn is_end_stream(&self) -> bool {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -13,7 +13,9 @@
 mod stream;
 
 pub use classify::code;
-pub use http1::{Answer, Connection, Counts, Http1, Outgoing, Progress, closes, is_local, load_report};
+pub use http1::{
+    Answer, Connection, Counts, Http1, Outgoing, Progress, closes, is_local, load_report,
+};
 #[cfg(feature = "http2")]
 pub use http2::{Http2, Inbound, InboundError, Limits, grpc_timeout_of};
 #[cfg(feature = "http2")]
--- a/crates/transport/src/outbound.rs
+++ b/crates/transport/src/outbound.rs
@@ -35,9 +35,11 @@
 impl Held {
     pub fn take(&mut self) -> Option<Replay> {
         match self {
-            Self::Whole(Replay { data, trailers, .. }) => {
-                Some(Replay { data: data.clone(), trailers: trailers.clone(), rest: None })
-            }
+            Self::Whole(Replay { data, trailers, .. }) => Some(Replay {
+                data: data.clone(),
+                trailers: trailers.clone(),
+                rest: None,
+            }),
             Self::Once(body) => body.take(),
         }
     }
@@ -71,7 +73,10 @@
         B::Error: Into<BodyError>,
     {
         let (head, body) = request.into_parts();
-        let waits = body.size_hint().exact().is_some_and(|length| length <= most as u64);
+        let waits = body
+            .size_hint()
+            .exact()
+            .is_some_and(|length| length <= most as u64);
         let (mut data, mut trailers, mut length) = (Vec::new(), None, 0);
         let mut body = Box::pin(body);
         let whole = loop {
@@ -102,13 +107,26 @@
             }
         };
         let body = match whole {
-            true => Held::Whole(Replay { data, trailers, rest: None }),
+            true => Held::Whole(Replay {
+                data,
+                trailers,
+                rest: None,
+            }),
             false => {
                 let rest = Rest::new(PinnedBody(body).map_err(Into::into));
-                Held::Once(Some(Replay { data, trailers: None, rest: Some(rest) }))
+                Held::Once(Some(Replay {
+                    data,
+                    trailers: None,
+                    rest: Some(rest),
+                }))
             }
         };
-        Ok(Self { head, body, grpc, body_deadline })
+        Ok(Self {
+            head,
+            body,
+            grpc,
+            body_deadline,
+        })
     }
 
     /// Most attempts that can be made with it.
@@ -121,7 +139,9 @@
 
     /// The request with its body in one piece; `None` if that is not held whole.
     pub fn whole(&self) -> Option<Request<Bytes>> {
-        let Held::Whole(Replay { data, .. }) = &self.body else { return None };
+        let Held::Whole(Replay { data, .. }) = &self.body else {
+            return None;
+        };
         let body = match data.as_slice() {
             [] => Bytes::new(),
             [one] => one.clone(),
--- a/crates/transport/src/stream.rs
+++ b/crates/transport/src/stream.rs
@@ -35,14 +35,17 @@
 
     /// Whether the peer has closed or reset the connection, as far as the runtime has heard, behind any unread bytes.
     pub fn is_read_closed(&self) -> bool {
-        let ready = pin!(self.0.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
+        let ready =
+            pin!(self.0.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
     /// Waits for something new to come, without reading it: what is there already does not count. Bytes that are left
     /// unread so must be read with [`SharedStream::read_now`] first when reading goes on.
     pub fn poll_news(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let nothing: io::Result<()> = self.0.try_io(Interest::READABLE, || Err(ErrorKind::WouldBlock.into()));
+        let nothing: io::Result<()> = self
+            .0
+            .try_io(Interest::READABLE, || Err(ErrorKind::WouldBlock.into()));
         drop(nothing);
         self.0.poll_read_ready(cx)
     }
@@ -78,8 +81,15 @@
     }
 
     /// Writes the parts, as `AsyncWrite::poll_write_vectored` does.
-    pub fn poll_write_parts(&self, cx: &mut Context<'_>, parts: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
-        self.poll_io(|tcp| tcp.poll_write_ready(cx), |tcp| tcp.try_write_vectored(parts))
+    pub fn poll_write_parts(
+        &self,
+        cx: &mut Context<'_>,
+        parts: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.poll_io(
+            |tcp| tcp.poll_write_ready(cx),
+            |tcp| tcp.try_write_vectored(parts),
+        )
     }
 }
 
--- a/src/bin/woadstall-wirehost.rs
+++ b/src/bin/woadstall-wirehost.rs
@@ -11,7 +11,10 @@
 use woadstall_decisions::api::{Action, Event, ListEntry, Time};
 
 fn main() -> ExitCode {
-    match serve(BufReader::with_capacity(1 << 16, io::stdin().lock()), io::stdout().lock()) {
+    match serve(
+        BufReader::with_capacity(1 << 16, io::stdin().lock()),
+        io::stdout().lock(),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("woadstall-wirehost: {error}");
@@ -26,7 +29,10 @@
     while let Some(header) = read_header(&mut input)? {
         let header = BatchHeader::decode(&header)?;
         body.clear();
-        let got = input.by_ref().take(header.length as u64).read_to_end(&mut body)?;
+        let got = input
+            .by_ref()
+            .take(header.length as u64)
+            .read_to_end(&mut body)?;
         if got < header.length {
             return Err(format!("batch {}: truncated frame", header.sequence).into());
         }
@@ -69,8 +75,13 @@
 impl Host {
     fn apply(&mut self, now: Time, record: Record<'_>) {
         match record {
-            Record::PowerOn { instance, seed, settings } => {
-                let settings = woadstall_settings::settings(settings).map_err(|error| error.to_string());
+            Record::PowerOn {
+                instance,
+                seed,
+                settings,
+            } => {
+                let settings =
+                    woadstall_settings::settings(settings).map_err(|error| error.to_string());
                 let balancer = settings.and_then(|settings| {
                     Balancer::new(settings, seed, now).map_err(|error| format!("settings: {error}"))
                 });
@@ -81,9 +92,17 @@
             }
             Record::Retire(instance) => drop(self.instances.remove(&instance)),
             Record::Table(number, entries) => self.tables[number] = entries,
-            Record::Announce { instance, table, delta } => {
+            Record::Announce {
+                instance,
+                table,
+                delta,
+            } => {
                 let entries = &self.tables[table];
-                let event = if delta { Event::ListChange(entries) } else { Event::List(entries) };
+                let event = if delta {
+                    Event::ListChange(entries)
+                } else {
+                    Event::List(entries)
+                };
                 if let Some(balancer) = self.instances.get_mut(&instance) {
                     balancer.handle(now, event, &mut self.actions);
                 }
--- a/src/check.rs
+++ b/src/check.rs
@@ -16,7 +16,11 @@
         let verdict = outcome.err().unwrap_or_else(|| "sound".into());
         writeln!(out, "{}: {verdict}", path.display()).ok();
     }
-    if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if sound {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
 
 /// Checks one file, by its ending. The error is one line that names the field at fault.
@@ -25,7 +29,9 @@
     let file = std::fs::File::open(path).map_err(|error| error.to_string())?;
     // A configuration holds a list of upstreams, and may be larger than an operator file.
     let most = 16 * MOST_BYTES as u64;
-    file.take(most + 1).read_to_string(&mut text).map_err(|error| error.to_string())?;
+    file.take(most + 1)
+        .read_to_string(&mut text)
+        .map_err(|error| error.to_string())?;
     if text.len() as u64 > most {
         return Err(format!("the file is over {most} bytes"));
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -109,9 +109,10 @@
 /// Where operators ask.
 fn address(admin: Option<SocketAddr>) -> Result<SocketAddr, String> {
     let told = || {
-        let text =
-            std::env::var("LB_ADMIN").map_err(|_| "neither `--admin` nor `LB_ADMIN` says where to ask")?;
-        text.parse().map_err(|_| format!("`LB_ADMIN` is not an address with a port: {text:?}"))
+        let text = std::env::var("LB_ADMIN")
+            .map_err(|_| "neither `--admin` nor `LB_ADMIN` says where to ask")?;
+        text.parse()
+            .map_err(|_| format!("`LB_ADMIN` is not an address with a port: {text:?}"))
     };
     admin.map_or_else(told, Ok)
 }
@@ -124,7 +125,8 @@
         Word::Status { name, admin } => {
             let status = start()?.block_on(places::status(address(admin.admin)?))?;
             let out = &mut std::io::stdout().lock();
-            return places::write(&status, kind, name.as_deref(), out).map_err(|error| error.to_string());
+            return places::write(&status, kind, name.as_deref(), out)
+                .map_err(|error| error.to_string());
         }
     };
     let at = address(given.admin.admin)?;
@@ -136,7 +138,11 @@
     let answer = start()?.block_on(members::ask(at))?;
     let report = members::read(&answer)?;
     let mut out = std::io::stdout().lock();
-    let written = if json { out.write_all(&answer) } else { members::write(&report, &mut out) };
+    let written = if json {
+        out.write_all(&answer)
+    } else {
+        members::write(&report, &mut out)
+    };
     written.map_err(|error| error.to_string())
 }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -61,7 +61,16 @@
         evacuating: Option<Evacuating>,
     ) -> Self {
         let (ready, calls) = (balance.ready(), Mutex::default());
-        Self { ready, balance, figures, stopping, away, instances, evacuating, calls }
+        Self {
+            ready,
+            balance,
+            figures,
+            stopping,
+            away,
+            instances,
+            evacuating,
+            calls,
+        }
     }
 
     /// Serves for as long as the process lives.
@@ -71,7 +80,9 @@
             match listener.accept().await {
                 Ok((tcp, _)) => admin.clone().take(number, tcp),
                 Err(error) => {
-                    super::log(format_args!("cannot take an operator's connection: {error}"));
+                    super::log(format_args!(
+                        "cannot take an operator's connection: {error}"
+                    ));
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -84,9 +95,17 @@
         {
             let mut calls = lock(&self.calls);
             if calls.len() >= MOST {
-                let oldest = calls.iter().find(|(_, held)| !held.whole.load(Ordering::Relaxed));
-                if let Some(oldest) = oldest.or(calls.first_key_value()).map(|(number, _)| *number) {
-                    calls.remove(&oldest).into_iter().for_each(|held| held.cut.notify_one());
+                let oldest = calls
+                    .iter()
+                    .find(|(_, held)| !held.whole.load(Ordering::Relaxed));
+                if let Some(oldest) = oldest
+                    .or(calls.first_key_value())
+                    .map(|(number, _)| *number)
+                {
+                    calls
+                        .remove(&oldest)
+                        .into_iter()
+                        .for_each(|held| held.cut.notify_one());
                 }
             }
             calls.insert(number, held.clone());
@@ -97,8 +116,9 @@
                 let reply = self.reply(&request);
                 async { Ok::<_, Infallible>(reply) }
             });
-            let connection =
-                http1::Builder::new().keep_alive(false).serve_connection(TokioIo::new(tcp), service);
+            let connection = http1::Builder::new()
+                .keep_alive(false)
+                .serve_connection(TokioIo::new(tcp), service);
             tokio::select! {
                 _ = timeout(PATIENCE, connection) => {}
                 () = held.cut.notified() => {}
@@ -110,12 +130,18 @@
     /// An operator's word on a place.
     fn order(&self, evacuating: &Evacuating, order: &str) -> (StatusCode, String) {
         let Some((what, kind, name, holds)) = evacuation::read_order(order) else {
-            return (StatusCode::BAD_REQUEST, "the call is WHAT/KIND/NAME/SECONDS\n".to_owned());
+            return (
+                StatusCode::BAD_REQUEST,
+                "the call is WHAT/KIND/NAME/SECONDS\n".to_owned(),
+            );
         };
         match evacuating.order(what, kind, name, holds) {
             Ok(()) => {
                 let kind = evacuation::word(kind);
-                super::log(format_args!("places: {kind} {name}: told to {}", what.word()));
+                super::log(format_args!(
+                    "places: {kind} {name}: told to {}",
+                    what.word()
+                ));
                 (StatusCode::OK, "yes\n".to_owned())
             }
             Err(error) => (StatusCode::CONFLICT, error + "\n"),
@@ -123,7 +149,11 @@
     }
 
     fn reply(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let order = request.uri().path().strip_prefix("/control/places/").zip(self.evacuating.as_ref());
+        let order = request
+            .uri()
+            .path()
+            .strip_prefix("/control/places/")
+            .zip(self.evacuating.as_ref());
         if let Some((order, evacuating)) = order.filter(|_| request.method() == Method::POST) {
             let (code, text) = self.order(evacuating, order);
             return reply(code, text);
@@ -131,7 +161,15 @@
         let (method, code, text) = match request.uri().path() {
             "/control/ready" => {
                 let yes = *self.ready.borrow() && !*self.stopping.borrow();
-                (Method::GET, if yes { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, None)
+                (
+                    Method::GET,
+                    if yes {
+                        StatusCode::OK
+                    } else {
+                        StatusCode::SERVICE_UNAVAILABLE
+                    },
+                    None,
+                )
             }
             "/control/counters" => match request.method() == Method::GET {
                 true => match self.figures.text(&self.now()) {
@@ -143,7 +181,10 @@
             path @ ("/control/out-of-service" | "/control/in-service") => {
                 let away = path == "/control/out-of-service";
                 if request.method() == Method::POST && self.away.send_replace(away) != away {
-                    super::log(format_args!("{} service", if away { "sent out of" } else { "back in" }));
+                    super::log(format_args!(
+                        "{} service",
+                        if away { "sent out of" } else { "back in" }
+                    ));
                 }
                 (Method::POST, StatusCode::OK, None)
             }
@@ -151,22 +192,35 @@
                 let report = self.instances.as_ref().map(Instances::report);
                 match serde_json::to_string(&report) {
                     Ok(text) => (Method::GET, StatusCode::OK, Some(text + "\n")),
-                    Err(error) => (Method::GET, StatusCode::INTERNAL_SERVER_ERROR, Some(error.to_string())),
+                    Err(error) => (
+                        Method::GET,
+                        StatusCode::INTERNAL_SERVER_ERROR,
+                        Some(error.to_string()),
+                    ),
                 }
             }
             "/control/places" if self.evacuating.is_some() => {
                 let status = self.evacuating.as_ref().map(Evacuating::status);
                 match serde_json::to_string(&status) {
                     Ok(text) => (Method::GET, StatusCode::OK, Some(text + "\n")),
-                    Err(error) => (Method::GET, StatusCode::INTERNAL_SERVER_ERROR, Some(error.to_string())),
+                    Err(error) => (
+                        Method::GET,
+                        StatusCode::INTERNAL_SERVER_ERROR,
+                        Some(error.to_string()),
+                    ),
                 }
             }
             _ => return reply(StatusCode::NOT_FOUND, "no such call\n".into()),
         };
         if request.method() != method {
-            let mut reply = reply(StatusCode::METHOD_NOT_ALLOWED, format!("this call is a {method}\n"));
+            let mut reply = reply(
+                StatusCode::METHOD_NOT_ALLOWED,
+                format!("this call is a {method}\n"),
+            );
             let allowed = if method == Method::GET { "GET" } else { "POST" };
-            reply.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
+            reply
+                .headers_mut()
+                .insert(ALLOW, HeaderValue::from_static(allowed));
             return reply;
         }
         let yes = if code.is_success() { "yes\n" } else { "no\n" };
@@ -175,13 +229,20 @@
 
     fn now(&self) -> Now {
         let (listed, avoided) = self.balance.upstreams();
-        Now { tries: self.balance.transport().written(), listed, avoided }
+        Now {
+            tries: self.balance.transport().written(),
+            listed,
+            avoided,
+        }
     }
 }
 
 fn reply(code: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut reply = Response::new(Full::new(Bytes::from(text)));
     *reply.status_mut() = code;
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
+    reply.headers_mut().insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("text/plain; version=0.0.4"),
+    );
     reply
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -84,7 +84,11 @@
     pub fn load() -> Result<Self, String> {
         let mut config = Self::parse(&file()?, variable("LB_LISTEN"), variable("LB_DISCOVERY"))?;
         if let Some(path) = variable("LB_OPERATOR") {
-            let zone = config.names.zones.get(usize::from(config.settings.zone.0)).map(String::as_str);
+            let zone = config
+                .names
+                .zones
+                .get(usize::from(config.settings.zone.0))
+                .map(String::as_str);
             let read = instances::read(Path::new(&path), zone, config.name.as_deref());
             let read = read.map_err(|error| format!("`LB_OPERATOR` {path}: {error}"))?;
             (config.instances, config.evacuation) = (read.0, read.1);
@@ -98,34 +102,54 @@
     }
 
     /// Reads a configuration; addresses that are given go before those in the text.
-    pub fn parse(text: &str, listen: Option<String>, discovery: Option<String>) -> Result<Self, String> {
+    pub fn parse(
+        text: &str,
+        listen: Option<String>,
+        discovery: Option<String>,
+    ) -> Result<Self, String> {
         let raw: Raw = json("configuration", text)?;
         let settings = raw.settings.to_string();
-        let names = woadstall_settings::names(settings.as_bytes()).map_err(|error| error.to_string())?;
+        let names =
+            woadstall_settings::names(settings.as_bytes()).map_err(|error| error.to_string())?;
         let settings =
             woadstall_settings::settings(settings.as_bytes()).map_err(|error| error.to_string())?;
-        settings.check().map_err(|error| format!("settings: {error}"))?;
+        settings
+            .check()
+            .map_err(|error| format!("settings: {error}"))?;
         let sockets = raw.limits.sockets;
         if sockets < LEAST_SOCKETS {
-            return Err(format!("`limits.sockets` is {sockets}, fewer than {LEAST_SOCKETS}"));
+            return Err(format!(
+                "`limits.sockets` is {sockets}, fewer than {LEAST_SOCKETS}"
+            ));
         }
         let memory = raw.limits.memory_mb;
         if memory < LEAST_MEMORY {
-            return Err(format!("`limits.memory_mb` is {memory}, less than {LEAST_MEMORY}"));
+            return Err(format!(
+                "`limits.memory_mb` is {memory}, less than {LEAST_MEMORY}"
+            ));
         }
         // Every caller that waits has an attempt out.
         let share = (sockets - RESERVED) / 2;
         Ok(Self {
             listen: address("listen", listen.or(raw.listen))?,
-            admin: variable("LB_ADMIN").or(raw.admin).map(|text| address("admin", Some(text))).transpose()?,
+            admin: variable("LB_ADMIN")
+                .or(raw.admin)
+                .map(|text| address("admin", Some(text)))
+                .transpose()?,
             discovery: address("discovery", discovery.or(raw.discovery))?,
-            name: variable("LB_NAME").or(raw.name).filter(|name| !name.is_empty()),
+            name: variable("LB_NAME")
+                .or(raw.name)
+                .filter(|name| !name.is_empty()),
             instances: None,
             evacuation: None,
             shared: variable("TMPDIR").map(PathBuf::from),
             seed: u64::from_str_radix(&raw.seed, 16)
                 .map_err(|_| format!("`seed` is not a hexadecimal number: {:?}", raw.seed))?,
-            limits: Limits { callers: share, upstreams: share, memory: memory.saturating_mul(1 << 20) },
+            limits: Limits {
+                callers: share,
+                upstreams: share,
+                memory: memory.saturating_mul(1 << 20),
+            },
             known: raw.known,
             settings,
             names,
@@ -144,12 +168,14 @@
 
 fn json<T: DeserializeOwned>(what: &str, text: &str) -> Result<T, String> {
     let mut text = serde_json::Deserializer::from_str(text);
-    let value = serde_path_to_error::deserialize(&mut text).map_err(|error| format!("{what}: {error}"))?;
+    let value =
+        serde_path_to_error::deserialize(&mut text).map_err(|error| format!("{what}: {error}"))?;
     text.end().map_err(|error| format!("{what}: {error}"))?;
     Ok(value)
 }
 
 fn address(field: &str, text: Option<String>) -> Result<SocketAddr, String> {
     let text = text.ok_or_else(|| format!("`{field}` is missing"))?;
-    text.parse().map_err(|_| format!("`{field}` is not an address with a port: {text:?}"))
+    text.parse()
+        .map_err(|_| format!("`{field}` is not an address with a port: {text:?}"))
 }
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -24,12 +24,20 @@
 }
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 impl Evacuating {
     /// Starts it: from now on the balance is told what the fleet finds.
-    pub fn start(file: &Evacuation, config: &Config, instances: Instances, balance: Balance<Http1>) -> Self {
+    pub fn start(
+        file: &Evacuation,
+        config: &Config,
+        instances: Instances,
+        balance: Balance<Http1>,
+    ) -> Self {
         let zone = |name: &String| (name.clone(), file.regions.get(name).cloned());
         let zones: Vec<(String, Option<String>)> = config.names.zones.iter().map(zone).collect();
         let tier = config.settings.tier.to_string();
@@ -38,14 +46,23 @@
             zone: usize::from(config.settings.zone.0),
         };
         let coordinator = Arc::new(Mutex::new(Coordinator::new(settings)));
-        let evacuating = Self { coordinator, instances };
+        let evacuating = Self {
+            coordinator,
+            instances,
+        };
         balance.observe();
-        tokio::spawn(evacuating.clone().run(balance, Duration::from_millis(file.every_ms)));
+        tokio::spawn(
+            evacuating
+                .clone()
+                .run(balance, Duration::from_millis(file.every_ms)),
+        );
         evacuating
     }
 
     fn coordinator(&self) -> MutexGuard<'_, Coordinator> {
-        self.coordinator.lock().unwrap_or_else(PoisonError::into_inner)
+        self.coordinator
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn run(self, balance: Balance<Http1>, every: Duration) {
@@ -64,13 +81,25 @@
             *seen = changes;
             coordinator.listed(listed.iter().map(|of| {
                 let zone = usize::from(of.zone.0);
-                (of.server, of.name.as_str(), of.boot_ms, zone, of.size.map(f64::from))
+                (
+                    of.server,
+                    of.name.as_str(),
+                    of.boot_ms,
+                    zone,
+                    of.size.map(f64::from),
+                )
             }));
         }
         let now = self.instances.look(|_, now| now);
         for seen in observations.ended {
             let (attempt, server) = ((seen.id.0, seen.attempt), seen.server);
-            let saw = Saw { attempt, server, class: seen.class, outcome: seen.outcome, took: seen.took };
+            let saw = Saw {
+                attempt,
+                server,
+                class: seen.class,
+                outcome: seen.outcome,
+                took: seen.took,
+            };
             coordinator.saw(now, &saw);
         }
         let out = observations.out.into_iter();
@@ -83,7 +112,9 @@
                 age: out.age,
             }),
         );
-        let (now, turn) = self.instances.turn(|node, now| (now, coordinator.turn(now, now_ms(), node)));
+        let (now, turn) = self
+            .instances
+            .turn(|node, now| (now, coordinator.turn(now, now_ms(), node)));
         drop(coordinator);
         for line in turn.lines {
             super::log(format_args!("places: {line}"));
@@ -92,7 +123,13 @@
             // The member's clock began with it; the module's is Unix time.
             balance.told(|module| {
                 let until = |verdict: &Verdict| module + verdict.until.saturating_sub(now);
-                turn.verdicts.iter().map(|verdict| Verdict { until: until(verdict), ..*verdict }).collect()
+                turn.verdicts
+                    .iter()
+                    .map(|verdict| Verdict {
+                        until: until(verdict),
+                        ..*verdict
+                    })
+                    .collect()
             });
         }
     }
@@ -106,10 +143,21 @@
     /// Takes an operator's word for a while, and tells it to all. The error is one line.
     pub fn order(&self, what: What, kind: Kind, name: &str, holds: Duration) -> Result<(), String> {
         let mut coordinator = self.coordinator();
-        let subject = coordinator.place(kind, name).ok_or_else(|| format!("no {} {name}", word(kind)))?;
-        let (stamp_ms, holds) = (now_ms(), u64::try_from(holds.as_millis()).unwrap_or(u64::MAX));
+        let subject = coordinator
+            .place(kind, name)
+            .ok_or_else(|| format!("no {} {name}", word(kind)))?;
+        let (stamp_ms, holds) = (
+            now_ms(),
+            u64::try_from(holds.as_millis()).unwrap_or(u64::MAX),
+        );
         let until_ms = stamp_ms.saturating_add(holds);
-        let order = Order { subject, what, stamp_ms, until_ms, id: fastrand::u32(..) };
+        let order = Order {
+            subject,
+            what,
+            stamp_ms,
+            until_ms,
+            id: fastrand::u32(..),
+        };
         match coordinator.order(stamp_ms, order) {
             true => Ok(()),
             false => Err("a later word holds, or there are too many".to_owned()),
@@ -131,8 +179,15 @@
 pub fn read_order(path: &str) -> Option<(What, Kind, &str, Duration)> {
     let mut parts = path.split('/');
     let (what, kind, name, seconds) = (parts.next()?, parts.next()?, parts.next()?, parts.next()?);
-    let what = [What::Leave, What::Hold, What::Return].into_iter().find(|known| known.word() == what)?;
-    let kind = [Kind::Zone, Kind::Region, Kind::Nodo].into_iter().find(|known| word(*known) == kind)?;
+    let what = [What::Leave, What::Hold, What::Return]
+        .into_iter()
+        .find(|known| known.word() == what)?;
+    let kind = [Kind::Zone, Kind::Region, Kind::Nodo]
+        .into_iter()
+        .find(|known| word(*known) == kind)?;
     let seconds = seconds.parse().ok().filter(|seconds| *seconds > 0)?;
-    parts.next().is_none().then_some((what, kind, name, Duration::from_secs(seconds)))
+    parts
+        .next()
+        .is_none()
+        .then_some((what, kind, name, Duration::from_secs(seconds)))
 }
--- a/src/net/figures.rs
+++ b/src/net/figures.rs
@@ -2,7 +2,9 @@
 
 use super::evacuation::Evacuating;
 use hyper::StatusCode;
-use prometheus::{GaugeVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry, TextEncoder};
+use prometheus::{
+    GaugeVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry, TextEncoder,
+};
 use woadstall_instances_net::Instances;
 
 /// The figures since the start of this process.
@@ -39,8 +41,10 @@
             registry.register(Box::new(gauge.clone()))?;
             prometheus::Result::Ok(gauge)
         };
-        let share =
-            GaugeVec::new(options("share", "Part of its new work that a place gets, by name."), &["place"])?;
+        let share = GaugeVec::new(
+            options("share", "Part of its new work that a place gets, by name."),
+            &["place"],
+        )?;
         registry.register(Box::new(share.clone()))?;
         Ok(Self {
             evacuating,
@@ -59,7 +63,9 @@
             let name = [place.name.as_str()];
             self.share.with_label_values(&name).set(place.share);
             self.epoch.with_label_values(&name).set(place.epoch.into());
-            self.against.with_label_values(&name).set(place.against as i64);
+            self.against
+                .with_label_values(&name)
+                .set(place.against as i64);
         }
     }
 }
@@ -86,19 +92,30 @@
             registry.register(Box::new(gauge.clone()))?;
             prometheus::Result::Ok(gauge)
         };
-        let members =
-            IntGaugeVec::new(options("", "Other balancers, by their state as seen here."), &["state"])?;
+        let members = IntGaugeVec::new(
+            options("", "Other balancers, by their state as seen here."),
+            &["state"],
+        )?;
         registry.register(Box::new(members.clone()))?;
         Ok(Self {
             instances,
             members,
-            cut_ways: gauge("_cut_ways", "Ways between balancers that are cut, as all tell of them.")?,
+            cut_ways: gauge(
+                "_cut_ways",
+                "Ways between balancers that are cut, as all tell of them.",
+            )?,
             cut_off: gauge(
                 "_cut_off",
                 "1 while this balancer judges nobody, as it is cut off or has just woken.",
             )?,
-            stalls: gauge("_stalls", "How often this balancer stood still since its start.")?,
-            bytes: gauge("_bytes", "Bytes sent to other balancers since the start, without seals.")?,
+            stalls: gauge(
+                "_stalls",
+                "How often this balancer stood still since its start.",
+            )?,
+            bytes: gauge(
+                "_bytes",
+                "Bytes sent to other balancers since the start, without seals.",
+            )?,
             not_believed: gauge(
                 "_not_believed",
                 "Messages since the start that were not believed or understood.",
@@ -109,10 +126,15 @@
     fn look(&self) {
         let report = self.instances.report();
         for state in STATES {
-            let count = report.members.iter().filter(|member| member.state == state).count();
+            let count = report
+                .members
+                .iter()
+                .filter(|member| member.state == state)
+                .count();
             self.members.with_label_values(&[state]).set(count as i64);
         }
-        self.cut_ways.set(report.ways.iter().map(|ways| ways.cut).sum::<u64>() as i64);
+        self.cut_ways
+            .set(report.ways.iter().map(|ways| ways.cut).sum::<u64>() as i64);
         self.cut_off.set(report.cut_off.into());
         self.stalls.set(report.stalls as i64);
         self.bytes.set(report.bytes as i64);
@@ -163,7 +185,10 @@
             tries: counter("tries", "Attempts written whole to upstreams.")?,
             active: gauge("active", "Requests taken and not yet ended.")?,
             pool_size: gauge("pool_size", "Upstreams in the list.")?,
-            pool_ejected: gauge("pool_ejected", "Listed upstreams that are avoided at present.")?,
+            pool_ejected: gauge(
+                "pool_ejected",
+                "Listed upstreams that are avoided at present.",
+            )?,
             applied: counter("config_applied", "Configurations taken at SIGHUP.")?,
             rejected: counter("config_rejected", "Configurations turned down at SIGHUP.")?,
             members: None,
@@ -215,12 +240,15 @@
 
     /// All as text.
     pub fn text(&self, now: &Now) -> Result<String, String> {
-        self.tries.inc_by(now.tries.saturating_sub(self.tries.get()));
+        self.tries
+            .inc_by(now.tries.saturating_sub(self.tries.get()));
         self.pool_size.set(now.listed as i64);
         self.pool_ejected.set(now.avoided as i64);
         self.members.iter().for_each(Members::look);
         self.places.iter().for_each(Places::look);
-        TextEncoder::new().encode_to_string(&self.registry.gather()).map_err(|error| error.to_string())
+        TextEncoder::new()
+            .encode_to_string(&self.registry.gather())
+            .map_err(|error| error.to_string())
     }
 }
 
@@ -235,7 +263,12 @@
 impl Begun {
     pub fn new(figures: std::sync::Arc<Figures>, class: String) -> Self {
         let _taken = figures.taken();
-        Self { figures, class, whole: false, _taken }
+        Self {
+            figures,
+            class,
+            whole: false,
+            _taken,
+        }
     }
 
     /// The answer has come to its end.
@@ -246,7 +279,11 @@
 
 impl Drop for Begun {
     fn drop(&mut self) {
-        let status = if self.whole { StatusCode::OK } else { StatusCode::BAD_GATEWAY };
+        let status = if self.whole {
+            StatusCode::OK
+        } else {
+            StatusCode::BAD_GATEWAY
+        };
         self.figures.answered(&self.class, status);
     }
 }
@@ -271,7 +308,11 @@
         for status in [200, 200, 503, 429, 502, 404] {
             figures.answered("look", StatusCode::from_u16(status).unwrap());
         }
-        let now = Now { tries: 7, listed: 3, avoided: 1 };
+        let now = Now {
+            tries: 7,
+            listed: 3,
+            avoided: 1,
+        };
         let text = figures.text(&now).unwrap();
         let lines = [
             r#"balancer_ok{kind="look"} 2"#,
@@ -285,10 +326,16 @@
             "balancer_config_applied 0",
         ];
         for line in lines {
-            assert!(text.lines().any(|there| there == line), "{line} is not in\n{text}");
+            assert!(
+                text.lines().any(|there| there == line),
+                "{line} is not in\n{text}"
+            );
         }
         drop(taken);
         let text = figures.text(&now).unwrap();
-        assert!(text.contains("balancer_active 0") && text.contains("balancer_tries 7"), "{text}");
+        assert!(
+            text.contains("balancer_active 0") && text.contains("balancer_tries 7"),
+            "{text}"
+        );
     }
 }
--- a/src/net/instances.rs
+++ b/src/net/instances.rs
@@ -23,10 +23,15 @@
 ) -> Result<(Option<Setup>, Option<Evacuation>), String> {
     let mut text = String::new();
     let file = File::open(path).map_err(|error| error.to_string())?;
-    file.take(MOST_BYTES as u64 + 1).read_to_string(&mut text).map_err(|error| error.to_string())?;
+    file.take(MOST_BYTES as u64 + 1)
+        .read_to_string(&mut text)
+        .map_err(|error| error.to_string())?;
     let operator = Operator::parse(&text).map_err(|error| error.to_string())?;
     let folder = path.parent().unwrap_or(Path::new(""));
-    let setup = operator.instances.map(|file| setup(file, folder, zone, name)).transpose()?;
+    let setup = operator
+        .instances
+        .map(|file| setup(file, folder, zone, name))
+        .transpose()?;
     Ok((setup, operator.evacuation))
 }
 
@@ -41,12 +46,20 @@
     };
     let at = file.advertise.unwrap_or(file.listen).to_string();
     let name = named("name", file.name.as_deref().or(name).unwrap_or(&at))?;
-    let zone = file.zone.as_deref().or(zone).ok_or("`instances.zone` is missing")?;
+    let zone = file
+        .zone
+        .as_deref()
+        .or(zone)
+        .ok_or("`instances.zone` is missing")?;
     let millis = Duration::from_millis;
     let setup = Setup {
         name,
         zone: named("zone", zone)?,
-        region: file.region.as_deref().map(|region| named("region", region)).transpose()?,
+        region: file
+            .region
+            .as_deref()
+            .map(|region| named("region", region))
+            .transpose()?,
         listen: file.listen,
         advertise: file.advertise,
         seeds: file.seeds,
@@ -63,13 +76,16 @@
             ..Settings::default()
         },
     };
-    setup.check().map_err(|error| format!("`instances`: {error}"))?;
+    setup
+        .check()
+        .map_err(|error| format!("`instances`: {error}"))?;
     Ok(setup)
 }
 
 /// Starts it, and has it told that calls go on for as long as they do.
 pub fn start(setup: Setup) -> Result<Instances, String> {
-    let instances = Instances::start(setup, Arc::new(super::log)).map_err(|e| format!("instances: {e}"))?;
+    let instances =
+        Instances::start(setup, Arc::new(super::log)).map_err(|e| format!("instances: {e}"))?;
     let beating = instances.clone();
     tokio::spawn(async move {
         loop {
@@ -84,6 +100,13 @@
 pub fn check(path: &Path) -> Result<(), String> {
     // The zone may be the configuration's.
     let (setup, _) = read(path, Some("zone"), None)?;
-    let files = |setup: Setup| setup.keys().and_then(|_| setup.all_seeds()).map(|_: Vec<SocketAddr>| ());
-    setup.map_or(Ok(()), |setup| files(setup).map_err(|error| format!("`instances`: {error}")))
+    let files = |setup: Setup| {
+        setup
+            .keys()
+            .and_then(|_| setup.all_seeds())
+            .map(|_: Vec<SocketAddr>| ())
+    };
+    setup.map_or(Ok(()), |setup| {
+        files(setup).map_err(|error| format!("`instances`: {error}"))
+    })
 }
--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -19,29 +19,57 @@
 
 /// What a balancer answers, as it comes. The error is one line.
 pub async fn ask(at: SocketAddr) -> Result<Bytes, String> {
-    call(at, Method::GET, "/control/instances", "no `[instances]` in its operators' file").await
+    call(
+        at,
+        Method::GET,
+        "/control/instances",
+        "no `[instances]` in its operators' file",
+    )
+    .await
 }
 
 /// An operator's call to a balancer, and what it answers. `absent` says why there may be no such call.
-pub async fn call(at: SocketAddr, method: Method, path: &str, absent: &str) -> Result<Bytes, String> {
+pub async fn call(
+    at: SocketAddr,
+    method: Method,
+    path: &str,
+    absent: &str,
+) -> Result<Bytes, String> {
     let asked = async {
-        let stream = TcpStream::connect(at).await.map_err(|error| error.to_string())?;
+        let stream = TcpStream::connect(at)
+            .await
+            .map_err(|error| error.to_string())?;
         let shaken = http1::handshake(TokioIo::new(stream)).await;
         let (mut sender, connection) = shaken.map_err(|error| error.to_string())?;
         tokio::spawn(connection);
-        let request = Request::builder().method(method).uri(path).header("host", at.to_string());
-        let request = request.body(Empty::<Bytes>::new()).map_err(|error| error.to_string())?;
-        let answer = sender.send_request(request).await.map_err(|error| error.to_string())?;
+        let request = Request::builder()
+            .method(method)
+            .uri(path)
+            .header("host", at.to_string());
+        let request = request
+            .body(Empty::<Bytes>::new())
+            .map_err(|error| error.to_string())?;
+        let answer = sender
+            .send_request(request)
+            .await
+            .map_err(|error| error.to_string())?;
         let status = answer.status();
         let body = Limited::new(answer.into_body(), MOST).collect().await;
-        let body = body.map(|body| body.to_bytes()).map_err(|error| error.to_string())?;
+        let body = body
+            .map(|body| body.to_bytes())
+            .map_err(|error| error.to_string())?;
         match status {
             StatusCode::OK => Ok(body),
             StatusCode::NOT_FOUND => Err(absent.to_owned()),
-            status => Err(format!("answered {status}: {}", String::from_utf8_lossy(&body).trim())),
+            status => Err(format!(
+                "answered {status}: {}",
+                String::from_utf8_lossy(&body).trim()
+            )),
         }
     };
-    let answer = timeout(PATIENCE, asked).await.unwrap_or_else(|_| Err("no answer in time".to_owned()));
+    let answer = timeout(PATIENCE, asked)
+        .await
+        .unwrap_or_else(|_| Err("no answer in time".to_owned()));
     answer.map_err(|error| format!("{at}: {error}"))
 }
 
@@ -66,12 +94,22 @@
         false => format!("{} to {}", report.least, report.most),
     };
     let (own, others) = (part(report.own_zone), part(report.other_zones));
-    writeln!(out, "fleet of {size}; heard lately: {own} of its zone, {others} of the other zones")?;
+    writeln!(
+        out,
+        "fleet of {size}; heard lately: {own} of its zone, {others} of the other zones"
+    )?;
     if report.cut_off {
-        writeln!(out, "it judges nobody now: it is cut off from most others, or has just woken")?;
+        writeln!(
+            out,
+            "it judges nobody now: it is cut off from most others, or has just woken"
+        )?;
     }
     if report.slowed > 1 {
-        writeln!(out, "it does badly itself, and judges {} times as slowly", report.slowed)?;
+        writeln!(
+            out,
+            "it does badly itself, and judges {} times as slowly",
+            report.slowed
+        )?;
     }
     let counts = report.counts;
     writeln!(
@@ -100,9 +138,19 @@
 }
 
 fn members(rows: &[Row], out: &mut impl Write) -> io::Result<()> {
-    let longest = |of: fn(&Row) -> &str| rows.iter().map(|row| of(row).len()).max().unwrap_or(0).max(4);
+    let longest = |of: fn(&Row) -> &str| {
+        rows.iter()
+            .map(|row| of(row).len())
+            .max()
+            .unwrap_or(0)
+            .max(4)
+    };
     let (name, zone) = (longest(|row| &row.name), longest(|row| &row.zone));
-    writeln!(out, "\n{:name$}  {:zone$}  state    for      found    to       from     at", "name", "zone")?;
+    writeln!(
+        out,
+        "\n{:name$}  {:zone$}  state    for      found    to       from     at",
+        "name", "zone"
+    )?;
     for row in rows {
         let found = row.found_s.map_or("never".to_owned(), time);
         write!(
@@ -129,15 +177,33 @@
     if report.ways.iter().all(|ways| ways.cut == 0) {
         return writeln!(out, "\nno way between balancers is told to be cut");
     }
-    let zones: BTreeSet<&str> = report.ways.iter().flat_map(|ways| [&*ways.from, &*ways.to]).collect();
-    let wide = zones.iter().map(|zone| zone.len()).max().unwrap_or(0).max(9);
-    write!(out, "\ncut ways, of so many, from the zones on the left to those above\n{:wide$}", "")?;
-    zones.iter().try_for_each(|to| write!(out, "  {to:>wide$}"))?;
+    let zones: BTreeSet<&str> = report
+        .ways
+        .iter()
+        .flat_map(|ways| [&*ways.from, &*ways.to])
+        .collect();
+    let wide = zones
+        .iter()
+        .map(|zone| zone.len())
+        .max()
+        .unwrap_or(0)
+        .max(9);
+    write!(
+        out,
+        "\ncut ways, of so many, from the zones on the left to those above\n{:wide$}",
+        ""
+    )?;
+    zones
+        .iter()
+        .try_for_each(|to| write!(out, "  {to:>wide$}"))?;
     writeln!(out)?;
     for from in &zones {
         write!(out, "{from:wide$}")?;
         for to in &zones {
-            let ways = report.ways.iter().find(|ways| ways.from == *from && ways.to == *to);
+            let ways = report
+                .ways
+                .iter()
+                .find(|ways| ways.from == *from && ways.to == *to);
             let cell = ways.map_or("-".to_owned(), |ways| format!("{}/{}", ways.cut, ways.of));
             write!(out, "  {cell:>wide$}")?;
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -47,7 +47,11 @@
     *lately = Some((since, lines.saturating_add(1)));
     match lines {
         ..LOG_LINES => writeln!(io::stderr().lock(), "woadstall: {text}").ok(),
-        LOG_LINES => writeln!(io::stderr().lock(), "woadstall: more lines than may be written").ok(),
+        LOG_LINES => writeln!(
+            io::stderr().lock(),
+            "woadstall: more lines than may be written"
+        )
+        .ok(),
         _ => None,
     };
 }
@@ -76,8 +80,8 @@
     pub async fn start(config: Config) -> Result<Self, String> {
         let config = Arc::new(config);
         let keep = Duration::from_nanos(config.settings.conn_idle);
-        let transport =
-            Http1::new(&config.names, keep, config.limits.upstreams, WHOLE_ANSWER).passing_on(MOST_BODY);
+        let transport = Http1::new(&config.names, keep, config.limits.upstreams, WHOLE_ANSWER)
+            .passing_on(MOST_BODY);
         let setup = Setup {
             settings: config.settings.clone(),
             names: config.names.clone(),
@@ -102,7 +106,11 @@
         take_over(&config, &balance).await;
         // Last, as a process that listens beside its predecessor is given connections at once.
         let operators = match config.admin {
-            Some(admin) => Some(TcpListener::bind(admin).await.map_err(|e| format!("`admin` {admin}: {e}"))?),
+            Some(admin) => Some(
+                TcpListener::bind(admin)
+                    .await
+                    .map_err(|e| format!("`admin` {admin}: {e}"))?,
+            ),
             None => None,
         };
         let failed = |error: io::Error| format!("`listen` {}: {error}", config.listen);
@@ -138,9 +146,24 @@
             );
             tokio::spawn(admin.run(operators));
         }
-        let server = server::Server::new(config, balance.clone(), figures.clone(), in_service, sent_away);
+        let server = server::Server::new(
+            config,
+            balance.clone(),
+            figures.clone(),
+            in_service,
+            sent_away,
+        );
         let serving = tokio::spawn(server.run(listener, stopping));
-        Ok(Self { address, figures, discovery, balance, terms, stop, serving, instances })
+        Ok(Self {
+            address,
+            figures,
+            discovery,
+            balance,
+            terms,
+            stop,
+            serving,
+            instances,
+        })
     }
 
     /// Where it listens.
@@ -153,12 +176,17 @@
     fn reload(&self) {
         match Config::load_again().and_then(|config| self.retune(&config).map(|()| config)) {
             Ok(config) => {
-                log(format_args!("configuration read again, discovery at {}", config.discovery));
+                log(format_args!(
+                    "configuration read again, discovery at {}",
+                    config.discovery
+                ));
                 self.discovery.send_replace(config.discovery);
                 self.figures.applied.inc();
             }
             Err(error) => {
-                log(format_args!("configuration kept, as the new one is not sound: {error}"));
+                log(format_args!(
+                    "configuration kept, as the new one is not sound: {error}"
+                ));
                 self.figures.rejected.inc();
             }
         }
@@ -168,18 +196,31 @@
     }
 
     fn retune(&self, config: &Config) -> Result<(), String> {
-        let (terms, change) = self.terms.borrow().terms.retune(&config.settings, &config.names)?;
+        let (terms, change) = self
+            .terms
+            .borrow()
+            .terms
+            .retune(&config.settings, &config.names)?;
         self.balance.retune(change)?;
-        self.balance.transport().retune(terms.names(), Duration::from_nanos(config.settings.conn_idle));
+        self.balance.transport().retune(
+            terms.names(),
+            Duration::from_nanos(config.settings.conn_idle),
+        );
         self.figures.know(terms.in_force());
-        self.terms.send_replace(Arc::new(InService { terms, since: Some(tokio::time::Instant::now()) }));
+        self.terms.send_replace(Arc::new(InService {
+            terms,
+            since: Some(tokio::time::Instant::now()),
+        }));
         Ok(())
     }
 
     /// Stops taking connections, answers all that was taken, and returns.
     pub async fn stop(self) -> Result<(), String> {
         self.stop.send_replace(true);
-        let served = self.serving.await.map_err(|error| format!("the server stopped: {error}"));
+        let served = self
+            .serving
+            .await
+            .map_err(|error| format!("the server stopped: {error}"));
         // Last: until here it calls upstreams, and counts for those that share them.
         if let Some(instances) = &self.instances {
             instances.leave().await;
@@ -196,15 +237,26 @@
 /// Takes over what a predecessor at the same address has learned, if there is one in the folder that they share.
 async fn take_over(config: &Config, balance: &Balance<Http1>) {
     // At port 0 there is nobody before.
-    let Some(folder) = config.shared.as_deref().filter(|_| config.listen.port() != 0) else { return };
+    let Some(folder) = config
+        .shared
+        .as_deref()
+        .filter(|_| config.listen.port() != 0)
+    else {
+        return;
+    };
     match socket::ask(&socket::path(folder, config.listen)).await {
         Ok(None) => {}
         Ok(Some(state)) => {
             let class = |name: &str| config.names.class(name);
-            balance.learn_from(|upstreams| state.learned(class, |name| upstreams.get(name).copied()));
-            log(format_args!("taken over what the process before has learned"));
+            balance
+                .learn_from(|upstreams| state.learned(class, |name| upstreams.get(name).copied()));
+            log(format_args!(
+                "taken over what the process before has learned"
+            ));
         }
-        Err(error) => log(format_args!("nothing taken over from the process before: {error}")),
+        Err(error) => log(format_args!(
+            "nothing taken over from the process before: {error}"
+        )),
     }
 }
 
--- a/src/net/places.rs
+++ b/src/net/places.rs
@@ -11,7 +11,13 @@
 const ABSENT: &str = "no `[evacuation]` in its operators' file";
 
 /// Gives a word.
-pub async fn give(at: SocketAddr, what: What, kind: &str, name: &str, holds: Duration) -> Result<(), String> {
+pub async fn give(
+    at: SocketAddr,
+    what: What,
+    kind: &str,
+    name: &str,
+    holds: Duration,
+) -> Result<(), String> {
     let plain = |c: char| c.is_ascii_alphanumeric() || "._:-".contains(c);
     if name.is_empty() || !name.chars().all(plain) {
         return Err(format!("{name:?} is no name of a {kind}"));
@@ -27,7 +33,12 @@
 }
 
 /// Writes it as people read it: all, or the places of one name.
-pub fn write(status: &Status, kind: &str, name: Option<&str>, out: &mut impl Write) -> io::Result<()> {
+pub fn write(
+    status: &Status,
+    kind: &str,
+    name: Option<&str>,
+    out: &mut impl Write,
+) -> io::Result<()> {
     let wanted = |place: &&PlaceStatus| match name {
         Some(name) => place.name == format!("{kind} {name}"),
         None => place.name.starts_with(kind),
@@ -42,7 +53,11 @@
     }
     for place in places {
         let (state, epoch, share) = (&place.state, place.epoch, place.share * 100.0);
-        write!(out, "{}: {state}, epoch {epoch}, share {share:.0}%", place.name)?;
+        write!(
+            out,
+            "{}: {state}, epoch {epoch}, share {share:.0}%",
+            place.name
+        )?;
         if place.for_s > 0.0 {
             write!(out, ", for {:.1} s", place.for_s)?;
         }
@@ -50,20 +65,36 @@
             write!(out, ", {} nodos in service", place.nodos)?;
         }
         writeln!(out)?;
-        writeln!(out, "  why: {}; {} against it, {} for it", place.why, place.against, place.for_it)?;
+        writeln!(
+            out,
+            "  why: {}; {} against it, {} for it",
+            place.why, place.against, place.for_it
+        )?;
         if let (Some(order), Some(ends)) = (&place.order, place.order_ends_s) {
             writeln!(out, "  an operator's word: {order}, for {ends:.0} s more")?;
         }
         if place.relapses > 0 {
-            writeln!(out, "  failed again {} times while it was returned to", place.relapses)?;
+            writeln!(
+                out,
+                "  failed again {} times while it was returned to",
+                place.relapses
+            )?;
         }
         if !place.not_followed.is_empty() {
             writeln!(out, "  at another epoch: {}", place.not_followed.join(", "))?;
         }
     }
     if !status.odd.is_empty() {
-        let odd: Vec<String> = status.odd.iter().map(|(name, times)| format!("{name} ({times})")).collect();
-        writeln!(out, "said the opposite of what was found: {}", odd.join(", "))?;
+        let odd: Vec<String> = status
+            .odd
+            .iter()
+            .map(|(name, times)| format!("{name} ({times})"))
+            .collect();
+        writeln!(
+            out,
+            "said the opposite of what was found: {}",
+            odd.join(", ")
+        )?;
     }
     Ok(())
 }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -118,7 +118,8 @@
     }
 
     async fn drive(&self, gate: Gate, mut closing: watch::Receiver<bool>) -> Ended {
-        let service = service_fn(|request| async { Ok::<_, Infallible>(self.reply(request).await) });
+        let service =
+            service_fn(|request| async { Ok::<_, Infallible>(self.reply(request).await) });
         let connection = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
             .keep_alive(!self.caller.surplus)
@@ -148,7 +149,10 @@
 
     /// The answer to a request, with all that goes with it.
     async fn reply(&self, request: Request<Incoming>) -> Reply {
-        let (class, version) = (self.server.class_named(class_in_path(&request)), request.version());
+        let (class, version) = (
+            self.server.class_named(class_in_path(&request)),
+            request.version(),
+        );
         let (mut reply, deadline) = match self.caller.surplus {
             true => (refusal(COME_BACK), None),
             false => self.server.reply(request, &self.caller.seen).await,
@@ -165,7 +169,9 @@
             seen.answering(deadline, reply.body().is_whole());
         }
         if seen.is_last() || seen.both_lengths() || self.is_parting() && !seen.has_ahead() {
-            reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            reply
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         seen.answered();
         reply
@@ -181,7 +187,9 @@
         match deadline.filter(|_| !reply.body().is_whole()) {
             Some(deadline) => {
                 let begun = Begun::new(figures.clone(), class);
-                reply.body_mut().stream(begun, deadline, self.caller.seen.clone());
+                reply
+                    .body_mut()
+                    .stream(begun, deadline, self.caller.seen.clone());
             }
             None => figures.answered(&class, reply.status()),
         }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -115,22 +115,32 @@
         server.take_rest(listener, &closing);
         close.send_replace(true);
         let in_service = server.in_service.borrow().clone();
-        let longest =
-            in_service.terms.settings().classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = in_service
+            .terms
+            .settings()
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         let all_left = async {
             while server.count() > 0 {
                 server.left.notified().await;
             }
             server.lingering.all_closed().await;
         };
-        timeout(Duration::from_nanos(longest) + LAST_ANSWERS, all_left).await.ok();
+        timeout(Duration::from_nanos(longest) + LAST_ANSWERS, all_left)
+            .await
+            .ok();
         looking.abort();
     }
 
     /// Takes what waits in the backlog, and closes the listener: what waits there counts as taken, and would be
     /// reset. Nothing is waited for in between, so that hardly anything comes between the last look and the end.
     fn take_rest(self: &Arc<Self>, listener: TcpListener, closing: &watch::Receiver<bool>) {
-        let Ok(listener) = listener.into_std() else { return };
+        let Ok(listener) = listener.into_std() else {
+            return;
+        };
         let mut rest = Vec::new();
         while let Ok((tcp, _)) = listener.accept() {
             rest.push(tcp);
@@ -165,7 +175,10 @@
     /// Has all connections closed between requests.
     fn close_all(&self) {
         let callers = lock(&self.callers);
-        for caller in callers.values().filter(|caller| !caller.leaving.swap(true, Ordering::Relaxed)) {
+        for caller in callers
+            .values()
+            .filter(|caller| !caller.leaving.swap(true, Ordering::Relaxed))
+        {
             caller.close.notify_one();
         }
     }
@@ -173,7 +186,10 @@
     /// The class of a name, if there is one.
     fn class_named(&self, name: &str) -> Option<String> {
         let in_service = self.in_service.borrow();
-        let known = in_service.terms.class(name).or_else(|| in_service.terms.former(name));
+        let known = in_service
+            .terms
+            .class(name)
+            .or_else(|| in_service.terms.former(name));
         known.map(|_| name.to_owned())
     }
 
@@ -182,7 +198,9 @@
         loop {
             sleep(LOOK_EVERY).await;
             let callers = lock(&self.callers);
-            let overdue = callers.values().filter(|caller| lock(&caller.seen).overdue(PATIENCE));
+            let overdue = callers
+                .values()
+                .filter(|caller| lock(&caller.seen).overdue(PATIENCE));
             overdue.for_each(|caller| caller.cut.notify_one());
         }
     }
@@ -219,22 +237,32 @@
     /// that its request was not taken.
     fn close_idle(&self) -> bool {
         let callers = lock(&self.callers);
-        let staying = callers.values().filter(|caller| !caller.leaving.load(Ordering::Relaxed));
+        let staying = callers
+            .values()
+            .filter(|caller| !caller.leaving.load(Ordering::Relaxed));
         let idle = staying.filter_map(|caller| Some((caller.idle()?, caller)));
-        let Some((_, caller)) = idle.min_by_key(|(since, _)| *since) else { return false };
+        let Some((_, caller)) = idle.min_by_key(|(since, _)| *since) else {
+            return false;
+        };
         caller.leaving.store(true, Ordering::Relaxed);
         caller.close.notify_one();
         true
     }
 
     fn take(self: &Arc<Self>, tcp: TcpStream, closing: &watch::Receiver<bool>) {
-        let Ok(stream) = SharedStream::new(tcp) else { return }; // it has been reset already
+        let Ok(stream) = SharedStream::new(tcp) else {
+            return;
+        }; // it has been reset already
         let surplus = self.count() >= self.config.limits.callers && !self.close_idle();
         let (caller, gate) = Caller::new(surplus, stream);
         let number = self.next_caller.fetch_add(1, Ordering::Relaxed);
         lock(&self.callers).insert(number, caller.clone());
         self.bound_lingering();
-        let place = Place { server: self.clone(), number, caller };
+        let place = Place {
+            server: self.clone(),
+            number,
+            caller,
+        };
         tokio::spawn(place.serve(gate, closing.clone()));
     }
 
@@ -266,10 +294,18 @@
     }
 
     /// The answer to a request, and when it is of no use any more.
-    async fn reply(&self, request: Request<Incoming>, seen: &Mutex<Seen>) -> (Reply, Option<Instant>) {
+    async fn reply(
+        &self,
+        request: Request<Incoming>,
+        seen: &Mutex<Seen>,
+    ) -> (Reply, Option<Instant>) {
         if request.uri().path() == "/healthz" {
             let ready = *self.ready.borrow() && !*self.away.borrow();
-            let code = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+            let code = if ready {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            };
             return (status(code), None);
         }
         match self.call(request, seen).await {
@@ -293,17 +329,36 @@
         }
         let mut room = BodyRoom::new(&self.bodies, self.config.limits.memory / BODIES);
         let Some(_named) = Named::take(&self.open, asked.call_id) else {
-            return Err(Rejection::new(StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
+            return Err(Rejection::new(
+                StatusCode::CONFLICT,
+                "a request with this X-Call-Id is open\n",
+            ));
         };
         let (mut head, body) = request.into_parts();
         let body = whole_body(body, &mut room).await?;
         let deadline = lock(seen).whole() + asked.budget;
-        let Some(body) = body else { return Ok((refusal(COME_BACK), deadline)) };
+        let Some(body) = body else {
+            return Ok((refusal(COME_BACK), deadline));
+        };
         let _taken = self.figures.taken();
         end_to_end(&mut head.headers);
-        let Asked { class, tenant, work, .. } = asked;
-        let ask = Ask { class, tenant, work, deadline, attempts: u32::MAX };
-        let verdict = self.balance.call(ask, Request::from_parts(head, body)).await;
+        let Asked {
+            class,
+            tenant,
+            work,
+            ..
+        } = asked;
+        let ask = Ask {
+            class,
+            tenant,
+            work,
+            deadline,
+            attempts: u32::MAX,
+        };
+        let verdict = self
+            .balance
+            .call(ask, Request::from_parts(head, body))
+            .await;
         let reply = match verdict {
             Verdict::Served(response) => {
                 let mut reply = response.map(ReplyBody::from);
--- a/src/net/server/reply.rs
+++ b/src/net/server/reply.rs
@@ -32,13 +32,19 @@
 
 impl From<Bytes> for ReplyBody {
     fn from(bytes: Bytes) -> Self {
-        Self { answer: bytes.into(), streamed: None }
+        Self {
+            answer: bytes.into(),
+            streamed: None,
+        }
     }
 }
 
 impl From<Answer> for ReplyBody {
     fn from(answer: Answer) -> Self {
-        Self { answer, streamed: None }
+        Self {
+            answer,
+            streamed: None,
+        }
     }
 }
 
@@ -50,7 +56,11 @@
 
     /// Tells when an answer that is not whole has come to its end.
     pub fn stream(&mut self, begun: Begun, deadline: Instant, seen: Arc<Mutex<Seen>>) {
-        self.streamed = Some(Streamed { begun, deadline, seen });
+        self.streamed = Some(Streamed {
+            begun,
+            deadline,
+            seen,
+        });
     }
 }
 
--- a/src/net/server/request.rs
+++ b/src/net/server/request.rs
@@ -15,8 +15,14 @@
 /// No caller waits for longer.
 const MOST_BUDGET: Duration = Duration::from_secs(3600);
 /// Headers that one side might read one way and the other another, were they there twice.
-const ONLY_ONCE: [&str; 6] =
-    ["x-call-id", "x-call-class", "x-caller", "x-budget", "x-call-cost", "idempotency-key"];
+const ONLY_ONCE: [&str; 6] = [
+    "x-call-id",
+    "x-call-class",
+    "x-caller",
+    "x-budget",
+    "x-call-cost",
+    "idempotency-key",
+];
 
 /// Why a request cannot be taken.
 #[derive(Clone, Copy, Debug)]
@@ -57,13 +63,18 @@
     pub fn read(request: &Request<Incoming>, in_service: &InService) -> Result<Self, Rejection> {
         let headers = request.headers();
         let class = class_of(request, in_service)?;
-        if ONLY_ONCE.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
+        if ONLY_ONCE
+            .iter()
+            .any(|name| headers.get_all(*name).iter().nth(1).is_some())
+        {
             return Err(Rejection::bad("a header is there twice\n"));
         }
         let call_id = text(headers, "x-call-id").filter(|id| !id.is_empty());
         let tenant = in_service.terms.tenant(text(headers, "x-caller"));
         Ok(Self {
-            call_id: call_id.ok_or(Rejection::bad("X-Call-Id is missing or malformed\n"))?.to_owned(),
+            call_id: call_id
+                .ok_or(Rejection::bad("X-Call-Id is missing or malformed\n"))?
+                .to_owned(),
             class,
             tenant: tenant.ok_or(Rejection::bad("X-Caller is missing or not known\n"))?,
             budget: budget(headers).ok_or(Rejection::bad("X-Budget is missing or malformed\n"))?,
@@ -76,9 +87,13 @@
 fn class_of(request: &Request<Incoming>, in_service: &InService) -> Result<usize, Rejection> {
     let (headers, name) = (request.headers(), class_in_path(request));
     let mut classes = classes_named(in_service, name).peekable();
-    let first = *classes.peek().ok_or(Rejection::new(StatusCode::NOT_FOUND, "no such path\n"))?;
+    let first = *classes
+        .peek()
+        .ok_or(Rejection::new(StatusCode::NOT_FOUND, "no such path\n"))?;
     if text(headers, "x-call-class") != Some(name) {
-        return Err(Rejection::bad("X-Call-Class is missing or not that of the path\n"));
+        return Err(Rejection::bad(
+            "X-Call-Class is missing or not that of the path\n",
+        ));
     }
     let keyed = text(headers, "idempotency-key").is_some_and(|key| !key.is_empty());
     let fits = |class: &usize| match in_service.terms.effect(*class) {
@@ -86,23 +101,32 @@
         Effect::Keyed(..) => request.method() == Method::POST && keyed,
         Effect::Unsafe => request.method() == Method::POST,
     };
-    classes.find(fits).ok_or_else(|| match in_service.terms.effect(first) {
-        Effect::Keyed(..) if !keyed => Rejection::bad("Idempotency-Key is missing\n"),
-        _ => Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class\n"),
-    })
+    classes
+        .find(fits)
+        .ok_or_else(|| match in_service.terms.effect(first) {
+            Effect::Keyed(..) if !keyed => Rejection::bad("Idempotency-Key is missing\n"),
+            _ => Rejection::new(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "not the method of this class\n",
+            ),
+        })
 }
 
 /// The classes that a request may mean by a name: the one in force, and while callers may not have heard of a change,
 /// the one before.
 fn classes_named(in_service: &InService, name: &str) -> impl Iterator<Item = usize> {
-    let crossing = in_service.since.is_some_and(|since| since.elapsed() < CROSSING);
+    let crossing = in_service
+        .since
+        .is_some_and(|since| since.elapsed() < CROSSING);
     let former = in_service.terms.former(name).filter(|_| crossing);
     in_service.terms.class(name).into_iter().chain(former)
 }
 
 fn budget(headers: &HeaderMap) -> Option<Duration> {
     let seconds = text(headers, "x-budget")?.parse().ok()?;
-    Duration::try_from_secs_f64(seconds).ok().filter(|budget| *budget <= MOST_BUDGET)
+    Duration::try_from_secs_f64(seconds)
+        .ok()
+        .filter(|budget| *budget <= MOST_BUDGET)
 }
 
 fn work(headers: &HeaderMap) -> Result<Option<u64>, Rejection> {
@@ -125,7 +149,10 @@
 }
 
 /// Reads a body to its end; `None` if it finds no room. It need not mind its time: the caller is cut off.
-pub async fn whole_body(mut body: Incoming, room: &mut BodyRoom<'_>) -> Result<Option<Bytes>, Rejection> {
+pub async fn whole_body(
+    mut body: Incoming,
+    room: &mut BodyRoom<'_>,
+) -> Result<Option<Bytes>, Rejection> {
     let mut all = BytesMut::new();
     if let Some(size) = body.size_hint().exact() {
         if !room.grow(size as usize) {
@@ -134,8 +161,12 @@
         all.reserve(size as usize); // the system gives memory to what is written only
     }
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return Err(Rejection::bad("the body is broken\n")) };
-        let Ok(data) = frame.into_data() else { continue };
+        let Ok(frame) = frame else {
+            return Err(Rejection::bad("the body is broken\n"));
+        };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         if all.len() + data.len() > MOST_BODY {
             return Err(TOO_LARGE);
         }
@@ -150,4 +181,5 @@
 }
 
 /// The body is larger than any may be.
-pub const TOO_LARGE: Rejection = Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB\n");
+pub const TOO_LARGE: Rejection =
+    Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB\n");
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,7 +2,8 @@
 
 use std::fmt;
 use woadstall_decisions::api::{
-    Action, Demand, End, Event, Lifecycle, ListEntry, LoadReport, Outcome, RequestId, ServerId, Time, ZoneId,
+    Action, Demand, End, Event, Lifecycle, ListEntry, LoadReport, Outcome, RequestId, ServerId,
+    Time, ZoneId,
 };
 
 /// Bytes of a batch header.
@@ -120,16 +121,29 @@
 }
 
 /// The records of a batch, in order. `body` is what follows the header.
-pub fn records(header: BatchHeader, body: &[u8]) -> impl Iterator<Item = Result<Record<'_>, WireError>> {
+pub fn records(
+    header: BatchHeader,
+    body: &[u8],
+) -> impl Iterator<Item = Result<Record<'_>, WireError>> {
     let (records, tail) = body.split_at(header.records * EVENT_SIZE);
-    records.chunks_exact(EVENT_SIZE).map(move |record| decode_record(record, tail))
+    records
+        .chunks_exact(EVENT_SIZE)
+        .map(move |record| decode_record(record, tail))
 }
 
-fn tail_part<'a>(record: &[u8], at: usize, unit: usize, tail: &'a [u8]) -> Result<&'a [u8], WireError> {
+fn tail_part<'a>(
+    record: &[u8],
+    at: usize,
+    unit: usize,
+    tail: &'a [u8],
+) -> Result<&'a [u8], WireError> {
     let offset = u32_at(record, at) as usize;
     let length = u32_at(record, at + 4) as usize * unit;
     tail.get(offset..offset + length).ok_or_else(|| {
-        WireError::new(format!("offset {offset} and length {length} lie outside a tail of {}", tail.len()))
+        WireError::new(format!(
+            "offset {offset} and length {length} lie outside a tail of {}",
+            tail.len()
+        ))
     })
 }
 
@@ -139,12 +153,20 @@
     let event = match record[0] {
         0 => {
             let settings = tail_part(record, 13, 1, tail)?;
-            return Ok(Record::PowerOn { instance, seed: u64_at(record, 5), settings });
+            return Ok(Record::PowerOn {
+                instance,
+                seed: u64_at(record, 5),
+                settings,
+            });
         }
         1 => match record[13] {
             form @ 0..=2 => {
                 let table = table_number(u32_at(record, 9))?;
-                return Ok(Record::Announce { instance, table, delta: form == 0 });
+                return Ok(Record::Announce {
+                    instance,
+                    table,
+                    delta: form == 0,
+                });
             }
             3 => Event::ListFailed,
             form => return Err(WireError::new(format!("unknown form {form} of ANNOUNCE"))),
@@ -172,12 +194,19 @@
         ),
         5 => Event::ClientGone(id),
         6 => Event::Timer(u64_at(record, 5)),
-        7 => Event::Probed(ServerId(u32_at(record, 5)), outcome(record[9])?, load_report(record, 18)?),
+        7 => Event::Probed(
+            ServerId(u32_at(record, 5)),
+            outcome(record[9])?,
+            load_report(record, 18)?,
+        ),
         8 => return Ok(Record::Ignored),
         9 => return Ok(Record::Retire(instance)),
         10 => {
             let entries = tail_part(record, 5, ENTRY_SIZE, tail)?;
-            let entries = entries.chunks_exact(ENTRY_SIZE).map(entry).collect::<Result<_, _>>()?;
+            let entries = entries
+                .chunks_exact(ENTRY_SIZE)
+                .map(entry)
+                .collect::<Result<_, _>>()?;
             return Ok(Record::Table(table_number(u32_at(record, 1))?, entries));
         }
         code => return Err(WireError::new(format!("unknown event code {code}"))),
@@ -187,7 +216,11 @@
 
 fn table_number(number: u32) -> Result<usize, WireError> {
     let table = number as usize;
-    if table < TABLES { Ok(table) } else { Err(WireError::new(format!("list number {number} is over 15"))) }
+    if table < TABLES {
+        Ok(table)
+    } else {
+        Err(WireError::new(format!("list number {number} is over 15")))
+    }
 }
 
 fn outcome(code: u8) -> Result<Outcome, WireError> {
@@ -209,7 +242,10 @@
     if len > 4 {
         return Err(WireError::new(format!("load report of {len} values")));
     }
-    let mut report = LoadReport { len, ..LoadReport::default() };
+    let mut report = LoadReport {
+        len,
+        ..LoadReport::default()
+    };
     for (i, figure) in report.figures.iter_mut().enumerate().take(len) {
         *figure = f32_at(record, at + 1 + 4 * i);
     }
@@ -247,14 +283,20 @@
         match action {
             Action::SetTimer { after, token } => self.record(0, instance, &[after, token]),
             Action::Refuse { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
-            Action::Send { id, server, until, .. } => self.record(3, instance, &[&id.0, &server.0, until]),
+            Action::Send {
+                id, server, until, ..
+            } => self.record(3, instance, &[&id.0, &server.0, until]),
             Action::Log(text) => self.text(4, instance, text),
             Action::Fail(id) => self.record(6, instance, &[&id.0]),
             Action::Probe(server) => self.record(10, instance, &[&server.0]),
             Action::Close(server) => self.record(2, instance, &[&server.0]),
             Action::Watch => self.record(8, instance, &[&1u8]),
             Action::Cancel { id, attempt } => {
-                self.record(11, instance, &[&id.0, &u8::try_from(*attempt).unwrap_or(u8::MAX)]);
+                self.record(
+                    11,
+                    instance,
+                    &[&id.0, &u8::try_from(*attempt).unwrap_or(u8::MAX)],
+                );
             }
         }
     }
--- a/tests/beside.rs
+++ b/tests/beside.rs
@@ -24,7 +24,9 @@
             let mut asked = asked.lock().unwrap();
             *asked += 1;
             match *asked % 5 {
-                0 => Act::Answer("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into()),
+                0 => Act::Answer(
+                    "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into(),
+                ),
                 _ => Act::Answer(ok("done")),
             }
         })
@@ -60,8 +62,13 @@
 fn request_of(class: &str, effect: usize, id: usize) -> Request<Full<Bytes>> {
     let method = if effect == 0 { "GET" } else { "POST" };
     let mut request = Request::builder().method(method).uri(format!("/{class}"));
-    request = request.header("host", "backend.local").header("x-call-id", format!("{id:016x}"));
-    request = request.header("x-call-class", class).header("x-caller", "acme").header("x-budget", "60");
+    request = request
+        .header("host", "backend.local")
+        .header("x-call-id", format!("{id:016x}"));
+    request = request
+        .header("x-call-class", class)
+        .header("x-caller", "acme")
+        .header("x-budget", "60");
     if effect == 1 {
         request = request.header("idempotency-key", format!("k-{id}"));
     }
@@ -75,16 +82,26 @@
     for plugged_in in [false, true] {
         let (upstreams, order) = recording(6);
         let entry = |(at, upstream): (usize, &Upstream)| {
-            let zone = if at % 2 == 0 { "\"az\":\"a\"" } else { "\"az\":\"b\"" };
+            let zone = if at % 2 == 0 {
+                "\"az\":\"a\""
+            } else {
+                "\"az\":\"b\""
+            };
             target(&format!("s-{at}"), upstream.address, "in_service").replace("\"az\":\"a\"", zone)
         };
         let known: Vec<_> = upstreams.iter().enumerate().map(entry).collect();
         let config = many_classes(&known);
         if plugged_in {
             let seed = u64::from_str_radix(config["seed"].as_str().unwrap(), 16).unwrap();
-            let builder = Balance::builder().settings(config["settings"].to_string().as_bytes()).unwrap();
+            let builder = Balance::builder()
+                .settings(config["settings"].to_string().as_bytes())
+                .unwrap();
             let builder = builder.known(serde_json::from_value(config["known"].clone()).unwrap());
-            let mut balance = builder.seed(seed).protocol(Protocol::Http1).build().unwrap();
+            let mut balance = builder
+                .seed(seed)
+                .protocol(Protocol::Http1)
+                .build()
+                .unwrap();
             for (id, (class, effect)) in script().enumerate() {
                 balance.call(request_of(&class, effect, id)).await.unwrap();
             }
@@ -106,7 +123,10 @@
         }
         let order = order.lock().unwrap().clone();
         assert!(order.len() > CLASSES * CALLS, "there were retries");
-        assert!((0..6).filter(|at| order.contains(at)).count() >= 3, "the own zone's at least");
+        assert!(
+            (0..6).filter(|at| order.contains(at)).count() >= 3,
+            "the own zone's at least"
+        );
         orders.push(order);
     }
     assert_eq!(orders[0], orders[1]);
@@ -149,9 +169,16 @@
     let program = Program::start(&config);
     let settings = config["settings"].to_string();
     let build = |_| {
-        let builder = Balance::builder().settings(settings.as_bytes()).unwrap().discovery(discovery.address);
+        let builder = Balance::builder()
+            .settings(settings.as_bytes())
+            .unwrap()
+            .discovery(discovery.address);
         let known = serde_json::from_value(config["known"].clone()).unwrap();
-        builder.known(known).protocol(Protocol::Http2).build().unwrap()
+        builder
+            .known(known)
+            .protocol(Protocol::Http2)
+            .build()
+            .unwrap()
     };
     let plugins: Vec<Balance> = (0..40).map(build).collect();
     // 800 calls a second is what the four can do; a bit over half of that comes, a fifth of it by the daemon.
@@ -182,7 +209,10 @@
         callers.spawn_blocking(move || {
             let mut caller = Caller::connect(address).unwrap();
             while tokio::time::Instant::now() < stop {
-                if caller.call("post", "1.5", "").is_some_and(|answer| answer.status() == 200) {
+                if caller
+                    .call("post", "1.5", "")
+                    .is_some_and(|answer| answer.status() == 200)
+                {
                     served.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 }
                 std::thread::sleep(Duration::from_millis(20));
@@ -197,10 +227,18 @@
     discovery.set(&list("in_service"));
     while callers.join_next().await.is_some() {}
     let seen = nodos[0].seen();
-    assert!(!seen.toppled, "it was sent {:.2} of what pushes it over", seen.worst);
+    assert!(
+        !seen.toppled,
+        "it was sent {:.2} of what pushes it over",
+        seen.worst
+    );
     assert!(seen.worst > 0.0, "it was used while cold");
     let served = served.load(std::sync::atomic::Ordering::Relaxed);
     assert!(served > 1_000, "{served} served");
-    let twice = nodos.iter().flat_map(|nodo| nodo.seen().keys).filter(|(_, ran)| *ran > 1).count();
+    let twice = nodos
+        .iter()
+        .flat_map(|nodo| nodo.seen().keys)
+        .filter(|(_, ran)| *ran > 1)
+        .count();
     assert_eq!(twice, 0, "unsafe work ran twice");
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -5,13 +5,18 @@
 use woadstall_standin::http1::{config, refusing};
 
 fn file(name: &str, text: &str) -> PathBuf {
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("cli-{}-{name}", std::process::id()));
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("cli-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
 fn woadstall(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_woadstall")).args(arguments).env_remove("LB_CONFIG").output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_woadstall"))
+        .args(arguments)
+        .env_remove("LB_CONFIG")
+        .output()
+        .unwrap()
 }
 
 fn check(files: &[&PathBuf]) -> (bool, Vec<String>) {
@@ -19,7 +24,10 @@
     arguments.extend(files.iter().map(|path| path.to_str().unwrap()));
     let output = woadstall(&arguments);
     let lines = String::from_utf8(output.stdout).unwrap();
-    (output.status.success(), lines.lines().map(str::to_owned).collect())
+    (
+        output.status.success(),
+        lines.lines().map(str::to_owned).collect(),
+    )
 }
 
 #[test]
@@ -28,7 +36,10 @@
     let good = file("good.json", &sound.to_string());
     let operator = file("operator.toml", "[plugin]\nconnections = 2\n");
     let (passed, lines) = check(&[&good, &operator]);
-    assert!(passed && lines.len() == 2 && lines.iter().all(|line| line.ends_with(": sound")), "{lines:?}");
+    assert!(
+        passed && lines.len() == 2 && lines.iter().all(|line| line.ends_with(": sound")),
+        "{lines:?}"
+    );
 
     let mut faulty = sound.clone();
     faulty["settings"]["Limits"]["TryLimit"] = 0.into();
@@ -41,8 +52,14 @@
     let missing = PathBuf::from("nowhere.toml");
     let (passed, lines) = check(&[&good, &faulty, &short, &unknown, &other, &missing]);
     assert!(!passed);
-    let expected =
-        ["sound", "`max_attempts` is 0", "`limits`", "`plugin.conections`", "neither", "No such file"];
+    let expected = [
+        "sound",
+        "`max_attempts` is 0",
+        "`limits`",
+        "`plugin.conections`",
+        "neither",
+        "No such file",
+    ];
     assert_eq!(lines.len(), expected.len(), "{lines:?}");
     for (line, expected) in lines.iter().zip(expected) {
         assert!(line.contains(expected), "{line}: {expected}");
@@ -53,17 +70,28 @@
 fn help_and_version_name_the_program_and_its_commands() {
     let help = woadstall(&["--help"]);
     let text = String::from_utf8(help.stdout).unwrap();
-    assert!(help.status.success() && text.contains("check") && text.contains("LB_CONFIG"), "{text}");
+    assert!(
+        help.status.success() && text.contains("check") && text.contains("LB_CONFIG"),
+        "{text}"
+    );
     let version = woadstall(&["--version"]);
     let text = String::from_utf8(version.stdout).unwrap();
-    assert_eq!(text.trim(), format!("woadstall {}", env!("CARGO_PKG_VERSION")));
-    assert!(!woadstall(&["serve"]).status.success(), "an unknown command");
+    assert_eq!(
+        text.trim(),
+        format!("woadstall {}", env!("CARGO_PKG_VERSION"))
+    );
+    assert!(
+        !woadstall(&["serve"]).status.success(),
+        "an unknown command"
+    );
     assert!(!woadstall(&["check"]).status.success(), "no file");
     // Without a command it serves, and says in one line why it cannot.
     let serve = woadstall(&[]);
     let text = String::from_utf8(serve.stderr).unwrap();
     assert!(
-        !serve.status.success() && text.contains("`LB_CONFIG` is not set") && text.lines().count() == 1,
+        !serve.status.success()
+            && text.contains("`LB_CONFIG` is not set")
+            && text.lines().count() == 1,
         "{text}"
     );
 }
