--- a/tests/client_leaves.rs
+++ b/tests/client_leaves.rs
@@ -18,24 +18,39 @@
     let upstream = Upstream::start(|_| Act::Silence);
     let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
     let mut client = TcpStream::connect(program.address).unwrap();
-    client.write_all(request("post", LONG, "first").as_bytes()).unwrap();
+    client
+        .write_all(request("post", LONG, "first").as_bytes())
+        .unwrap();
     upstream.request();
-    let ahead: String =
-        std::iter::repeat_with(|| request("post", LONG, "ahead")).take(FAR_AHEAD / 200).collect();
+    let ahead: String = std::iter::repeat_with(|| request("post", LONG, "ahead"))
+        .take(FAR_AHEAD / 200)
+        .collect();
     client.write_all(ahead.as_bytes()).unwrap();
     drop(client);
     upstream.closed();
-    assert_eq!(upstream.requests(), 0, "nothing is sent for a client that has left");
+    assert_eq!(
+        upstream.requests(),
+        0,
+        "nothing is sent for a client that has left"
+    );
 }
 
 /// What was written far ahead is served in its order once there is room for it.
 #[test]
 fn what_is_written_far_ahead_is_answered_in_order() {
-    let upstream = Upstream::start(|message| Act::Answer(ok(&String::from_utf8_lossy(&message.body))));
+    let upstream =
+        Upstream::start(|message| Act::Answer(ok(&String::from_utf8_lossy(&message.body))));
     let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
     let mut caller = program.connect();
-    let bodies: Vec<String> = (0..200).map(|number| format!("{number:03}{}", "b".repeat(300))).collect();
-    caller.write(&bodies.iter().map(|body| request("post", LONG, body)).collect::<String>());
+    let bodies: Vec<String> = (0..200)
+        .map(|number| format!("{number:03}{}", "b".repeat(300)))
+        .collect();
+    caller.write(
+        &bodies
+            .iter()
+            .map(|body| request("post", LONG, body))
+            .collect::<String>(),
+    );
     for body in &bodies {
         let answer = caller.answer().expect("an answer");
         assert_eq!(answer.body, body.as_bytes());
@@ -55,14 +70,18 @@
     let crowd: Vec<TcpStream> = (0..200)
         .map(|number| {
             let mut client = TcpStream::connect(program.address).unwrap();
-            client.write_all(named_request(&id(number), "post", LONG, "held").as_bytes()).unwrap();
+            client
+                .write_all(named_request(&id(number), "post", LONG, "held").as_bytes())
+                .unwrap();
             upstream.request();
             client
         })
         .collect();
     for (number, client) in crowd.into_iter().enumerate() {
         if number % 2 == 0 {
-            socket2::SockRef::from(&client).set_linger(Some(std::time::Duration::ZERO)).unwrap();
+            socket2::SockRef::from(&client)
+                .set_linger(Some(std::time::Duration::ZERO))
+                .unwrap();
         }
     }
     for _ in 0..200 {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,7 +26,11 @@
     /// Starts it with so many descriptors as the system allows it.
     pub fn start_limited(config: &serde_json::Value, descriptors: u32) -> Self {
         let mut shell = Command::new("sh");
-        shell.args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), PROGRAM]);
+        shell.args([
+            "-c",
+            &format!("ulimit -n {descriptors}; exec \"$0\""),
+            PROGRAM,
+        ]);
         Self::started(spawn_as(shell, &config.to_string(), &[]))
     }
 
@@ -39,14 +43,22 @@
         let mut line = String::new();
         while !line.contains("listening on ") {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the program has ended before it listened");
+            assert!(
+                log.read_line(&mut line).unwrap() > 0,
+                "the program has ended before it listened"
+            );
         }
         let address = line.trim().rsplit(' ').next().unwrap().parse();
         let address = address.unwrap_or_else(|_| {
             child.kill().ok();
             panic!("no address in {line:?}")
         });
-        Self { child, config, address, log }
+        Self {
+            child,
+            config,
+            address,
+            log,
+        }
     }
 
     /// Starts it with a second address, for operators.
@@ -55,12 +67,21 @@
     }
 
     /// The same with more in its environment.
-    pub fn start_in(config: &serde_json::Value, environment: &[(&str, String)]) -> (Self, Operators) {
+    pub fn start_in(
+        config: &serde_json::Value,
+        environment: &[(&str, String)],
+    ) -> (Self, Operators) {
         let mut config = config.clone();
         config["admin"] = "127.0.0.1:0".into();
         let mut program = Self::start_with(&config, environment);
         let line = program.logged("operators call at ");
-        let address = line.trim().rsplit(' ').next().unwrap().parse().expect("an address");
+        let address = line
+            .trim()
+            .rsplit(' ')
+            .next()
+            .unwrap()
+            .parse()
+            .expect("an address");
         (program, Operators { address })
     }
 
@@ -76,7 +97,10 @@
     }
 
     fn signal(&self, signal: &str) {
-        let sent = Command::new("kill").args([signal, &self.child.id().to_string()]).status().unwrap();
+        let sent = Command::new("kill")
+            .args([signal, &self.child.id().to_string()])
+            .status()
+            .unwrap();
         assert!(sent.success());
     }
 
@@ -84,7 +108,10 @@
     pub fn logged(&mut self, text: &str) -> String {
         loop {
             let mut line = String::new();
-            assert!(self.log.read_line(&mut line).unwrap() > 0, "the program has ended, not logged {text:?}");
+            assert!(
+                self.log.read_line(&mut line).unwrap() > 0,
+                "the program has ended, not logged {text:?}"
+            );
             if line.contains(text) {
                 return line;
             }
@@ -93,13 +120,18 @@
 
     /// Descriptors that it holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 
     /// Resident memory, in KiB.
     pub fn memory(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
-        let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("its memory");
+        let line = status
+            .lines()
+            .find(|line| line.starts_with("VmRSS"))
+            .expect("its memory");
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
@@ -151,7 +183,9 @@
 
     fn ask(&self, method: &str, path: &str) -> Message {
         let mut caller = self.connect();
-        caller.write(&format!("{method} {path} HTTP/1.1\r\nHost: operators\r\nContent-Length: 0\r\n\r\n"));
+        caller.write(&format!(
+            "{method} {path} HTTP/1.1\r\nHost: operators\r\nContent-Length: 0\r\n\r\n"
+        ));
         caller.answer().expect("an answer to operators")
     }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -23,15 +23,28 @@
             "timeout_ms": timeout_ms, "service": "s", "max_attempts": attempts, "resumable": false,
         })
     };
-    let routes: Vec<Value> =
-        vec![route("safe", "safe"), route("once", "non_idempotent"), route("stream", "streaming")];
+    let routes: Vec<Value> = vec![
+        route("safe", "safe"),
+        route("once", "non_idempotent"),
+        route("stream", "streaming"),
+    ];
     let services = json!([{ "name": "s", "max_connections": 100 }]);
-    system.configure(0, 0, &json!({ "generation": 1, "routes": routes, "services": services }));
+    system.configure(
+        0,
+        0,
+        &json!({ "generation": 1, "routes": routes, "services": services }),
+    );
     system
 }
 
 fn ask(front: SocketAddr, path: &str, id: &str, body: &[u8]) -> Option<Message> {
-    call(front, "POST", path, &format!("Request-Id: {id}\r\nDeadline: 8000\r\n"), body)
+    call(
+        front,
+        "POST",
+        path,
+        &format!("Request-Id: {id}\r\nDeadline: 8000\r\n"),
+        body,
+    )
 }
 
 /// An upstream whose connections are in the test's hands.
@@ -53,17 +66,24 @@
                 }
             }
         });
-        Self { address, connections }
+        Self {
+            address,
+            connections,
+        }
     }
 
     fn next(&self) -> TcpStream {
-        self.connections.recv_timeout(PATIENCE).expect("a connection comes")
+        self.connections
+            .recv_timeout(PATIENCE)
+            .expect("a connection comes")
     }
 }
 
 /// Makes the kernel reset the connection instead of ending it in order.
 fn reset(stream: &TcpStream) {
-    socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
+    socket2::SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
 }
 
 #[test]
@@ -77,7 +97,9 @@
     system.register(0, "i-1", "s", upstream.address, 0);
     for number in 0..8 {
         let id = format!("r-{number}");
-        let Some(reply) = ask(front, "/once/1", &id, b"{}") else { continue };
+        let Some(reply) = ask(front, "/once/1", &id, b"{}") else {
+            continue;
+        };
         if reply.status() == 200 {
             assert_eq!(reply.headers["request-id"], id);
             assert_eq!(reply.headers["response-stamp"], format!("stamp-{id}"));
@@ -97,14 +119,25 @@
         let stream = raw.next();
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let request = Message::read(&mut input).unwrap();
-        (&stream).write_all(answer(&request, "first").as_bytes()).unwrap();
+        (&stream)
+            .write_all(answer(&request, "first").as_bytes())
+            .unwrap();
         assert_eq!(first.join().unwrap().unwrap().body, b"first");
         // The next request goes out over the same connection, where it still is: what comes then is the old one's.
         let second = scope.spawn(|| ask(front, "/once/1", "r-2", b"{}"));
         let next = Message::read(&mut input);
-        assert_eq!(next.expect("the connection is kept").headers["request-id"], "r-2");
-        (&stream).write_all(answer(&request, "first").as_bytes()).unwrap();
-        assert_eq!(second.join().unwrap().expect("an answer").status(), 502, "it may have run");
+        assert_eq!(
+            next.expect("the connection is kept").headers["request-id"],
+            "r-2"
+        );
+        (&stream)
+            .write_all(answer(&request, "first").as_bytes())
+            .unwrap();
+        assert_eq!(
+            second.join().unwrap().expect("an answer").status(),
+            502,
+            "it may have run"
+        );
         // The connection is in doubt: nothing more is sent on it.
         assert!(Message::read(&mut input).is_none());
     });
@@ -126,7 +159,11 @@
     system.register(0, "i-1", "s", upstream.address, 0);
     for id in ["r-1", "r-2"] {
         let reply = ask(front, "/once/1", id, b"{}").expect("an answer");
-        assert_eq!((reply.status(), reply.headers.get("response-stamp")), (502, None), "{id}");
+        assert_eq!(
+            (reply.status(), reply.headers.get("response-stamp")),
+            (502, None),
+            "{id}"
+        );
     }
 }
 
@@ -147,15 +184,28 @@
             stream.read_exact(&mut byte).unwrap();
             head.push(byte[0]);
         }
-        let early = "HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\nResponse-Stamp: s\r\nContent-Length: 0\r\n\r\n";
+        let early =
+            "HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\nResponse-Stamp: s\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(early.as_bytes()).unwrap();
         assert_eq!(asked.join().unwrap().expect("an answer").status(), 200);
         // The rest of the body is owed in full, or nothing more comes on this connection.
         let next = scope.spawn(|| ask(front, "/once/1", "r-2", b"{}"));
         let mut rest = Vec::new();
-        stream.try_clone().unwrap().take(BODY as u64).read_to_end(&mut rest).ok();
-        assert!(rest[..] == body[..rest.len()], "other bytes where the body is due");
-        let mut carrier = if rest.len() == BODY { stream } else { raw.next() };
+        stream
+            .try_clone()
+            .unwrap()
+            .take(BODY as u64)
+            .read_to_end(&mut rest)
+            .ok();
+        assert!(
+            rest[..] == body[..rest.len()],
+            "other bytes where the body is due"
+        );
+        let mut carrier = if rest.len() == BODY {
+            stream
+        } else {
+            raw.next()
+        };
         let request = match Message::read(&mut BufReader::new(carrier.try_clone().unwrap())) {
             Some(request) => request,
             None => {
@@ -164,7 +214,9 @@
             }
         };
         assert_eq!(request.headers["request-id"], "r-2");
-        carrier.write_all(answer(&request, "second").as_bytes()).unwrap();
+        carrier
+            .write_all(answer(&request, "second").as_bytes())
+            .unwrap();
         assert_eq!(next.join().unwrap().expect("an answer").body, b"second");
     });
 }
@@ -203,7 +255,10 @@
     for number in 0..10 {
         let reply = ask(front, "/once/1", &format!("r-{number}"), b"{}").expect("an answer");
         assert_eq!(reply.status(), 200, "request {number}");
-        assert_eq!(upstream.request().headers["request-id"], format!("r-{number}"));
+        assert_eq!(
+            upstream.request().headers["request-id"],
+            format!("r-{number}")
+        );
         upstream.closed();
     }
     assert_eq!(upstream.requests(), 0, "each was sent once");
@@ -226,7 +281,9 @@
             let asked = scope.spawn(|| ask(front, path, "r-1", b"{}"));
             while !asked.is_finished() {
                 for raw in [&one, &other] {
-                    let Ok(stream) = raw.connections.recv_timeout(Duration::from_millis(5)) else { continue };
+                    let Ok(stream) = raw.connections.recv_timeout(Duration::from_millis(5)) else {
+                        continue;
+                    };
                     if Message::read(&mut BufReader::new(stream.try_clone().unwrap())).is_some() {
                         count.send(()).unwrap();
                     }
@@ -234,7 +291,10 @@
                 }
             }
             drop(count);
-            (counted.iter().count(), asked.join().unwrap().expect("an answer").status())
+            (
+                counted.iter().count(),
+                asked.join().unwrap().expect("an answer").status(),
+            )
         })
     };
     assert_eq!(sent("/once/1"), (1, 502));
@@ -251,7 +311,10 @@
     let reply = ask(front, "/once/1", "r-1", b"{}").expect("an answer");
     let took = begin.elapsed();
     assert_eq!(reply.status(), 504);
-    assert!(took >= Duration::from_millis(650) && took < Duration::from_millis(700) + HEARD_OF, "{took:?}");
+    assert!(
+        took >= Duration::from_millis(650) && took < Duration::from_millis(700) + HEARD_OF,
+        "{took:?}"
+    );
     upstream.request();
     upstream.closed();
     assert_eq!(upstream.requests(), 0, "it was sent once");
@@ -272,7 +335,9 @@
         let mut stream = raw.next();
         let request = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
         if begins {
-            stream.write_all(events(&request, &["id: 1\ndata: a\n\n"], false).as_bytes()).unwrap();
+            stream
+                .write_all(events(&request, &["id: 1\ndata: a\n\n"], false).as_bytes())
+                .unwrap();
             let mut first = [0; 12];
             client.read_exact(&mut first).unwrap();
         }
@@ -281,10 +346,17 @@
         let left = Instant::now();
         let mut rest = Vec::new();
         stream.read_to_end(&mut rest).ok();
-        assert!(left.elapsed() < HEARD_OF, "{path}: the upstream hears of it after {:?}", left.elapsed());
+        assert!(
+            left.elapsed() < HEARD_OF,
+            "{path}: the upstream hears of it after {:?}",
+            left.elapsed()
+        );
         assert!(rest.is_empty(), "{path}: more is sent");
         let quiet = raw.connections.recv_timeout(HEARD_OF);
-        assert!(quiet.is_err(), "{path}: it is sent elsewhere after its client has left");
+        assert!(
+            quiet.is_err(),
+            "{path}: it is sent elsewhere after its client has left"
+        );
     }
 }
 
@@ -301,23 +373,38 @@
         let asked = scope.spawn(|| ask(front, "/safe/1", "r-1", b"{}"));
         while told.len() < 2 {
             for raw in [&one, &other] {
-                let Ok(mut stream) = raw.connections.recv_timeout(Duration::from_millis(5)) else { continue };
-                let Some(request) = Message::read(&mut BufReader::new(stream.try_clone().unwrap())) else {
+                let Ok(mut stream) = raw.connections.recv_timeout(Duration::from_millis(5)) else {
+                    continue;
+                };
+                let Some(request) = Message::read(&mut BufReader::new(stream.try_clone().unwrap()))
+                else {
                     continue;
                 };
                 told.push(request.headers["deadline"].parse().unwrap());
                 if told.len() == 1 {
-                    let elsewhere = if raw.address == one.address { &other } else { &one };
+                    let elsewhere = if raw.address == one.address {
+                        &other
+                    } else {
+                        &one
+                    };
                     let sent_elsewhere = elsewhere.connections.recv_timeout(WORKED);
-                    assert!(sent_elsewhere.is_err(), "nobody else gets it while this one works");
+                    assert!(
+                        sent_elsewhere.is_err(),
+                        "nobody else gets it while this one works"
+                    );
                     reset(&stream);
                 } else {
-                    stream.write_all(answer(&request, "own").as_bytes()).unwrap();
+                    stream
+                        .write_all(answer(&request, "own").as_bytes())
+                        .unwrap();
                 }
             }
         }
         assert_eq!(asked.join().unwrap().expect("an answer").status(), 200);
     });
     assert!(told[0] <= 8_000 && told[0] > 7_000, "{told:?}");
-    assert!(told[1] + u64::try_from(WORKED.as_millis()).unwrap() <= told[0], "{told:?}");
+    assert!(
+        told[1] + u64::try_from(WORKED.as_millis()).unwrap() <= told[0],
+        "{told:?}"
+    );
 }
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -43,20 +43,28 @@
 /// An answer that never ends, to a client that reads all of it: it is given up at the largest size of any answer.
 #[test]
 fn an_answer_without_end_breaks_off() {
-    let (address, closed) = endless("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunk());
+    let (address, closed) = endless(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+        chunk(),
+    );
     let program = Program::start(&config(refusing(), &[target("s-0", address, "in_service")]));
     let asked = Instant::now();
     let mut caller = program.connect();
     caller.send("post", BUDGET.0, "b");
     assert!(caller.chunked_answer().is_none(), "it has no end");
     assert!(asked.elapsed() < ENDED, "{:?}", asked.elapsed());
-    closed.recv_timeout(PATIENCE).expect("its upstream is told to stop");
+    closed
+        .recv_timeout(PATIENCE)
+        .expect("its upstream is told to stop");
 }
 
 /// An answer that stands still in its midst.
 #[test]
 fn an_answer_that_stands_still_breaks_off_after_its_deadline() {
-    let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk());
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
+        chunk()
+    );
     let upstream = Upstream::start(move |_| Act::Answer(text.clone()));
     let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
     let asked = Instant::now();
@@ -71,12 +79,19 @@
 /// A client that reads nothing of a large answer: its upstream is not held beyond the deadline.
 #[test]
 fn an_answer_that_nobody_reads_is_given_up_after_its_deadline() {
-    let (address, closed) = endless("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunk());
+    let (address, closed) = endless(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+        chunk(),
+    );
     let program = Program::start(&config(refusing(), &[target("s-0", address, "in_service")]));
     let mut client = TcpStream::connect(program.address).unwrap();
     let asked = Instant::now();
-    client.write_all(request("post", BUDGET.0, "b").as_bytes()).unwrap();
-    closed.recv_timeout(PATIENCE).expect("its upstream is told to stop");
+    client
+        .write_all(request("post", BUDGET.0, "b").as_bytes())
+        .unwrap();
+    closed
+        .recv_timeout(PATIENCE)
+        .expect("its upstream is told to stop");
     assert!(asked.elapsed() >= BUDGET.1);
 }
 
@@ -84,12 +99,21 @@
 /// connection is reset.
 #[test]
 fn a_broken_answer_does_not_look_whole_to_an_old_client() {
-    let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk());
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
+        chunk()
+    );
     let upstream = Upstream::start(move |_| Act::AnswerAndClose(text.clone()));
     let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
     let mut client = TcpStream::connect(program.address).unwrap();
     client.set_read_timeout(Some(PATIENCE)).unwrap();
-    client.write_all(request("post", LONG, "b").replace("HTTP/1.1", "HTTP/1.0").as_bytes()).unwrap();
+    client
+        .write_all(
+            request("post", LONG, "b")
+                .replace("HTTP/1.1", "HTTP/1.0")
+                .as_bytes(),
+        )
+        .unwrap();
     let read = client.read_to_end(&mut Vec::new());
     assert!(read.is_err(), "it looks whole, with {read:?} bytes");
 }
@@ -97,7 +121,10 @@
 /// A large answer that comes to its end in time leaves a connection that may rest for longer than that.
 #[test]
 fn a_connection_rests_after_a_large_answer() {
-    let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", chunk());
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n",
+        chunk()
+    );
     let upstream = Upstream::start(move |_| Act::Answer(text.clone()));
     let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
     let mut caller = program.connect();
@@ -118,7 +145,9 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             assert!(stream.read(&mut [0; 4096]).unwrap() > 0);
-            stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+            stream
+                .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                .unwrap();
             for _ in 0..PIECES {
                 stream.write_all(chunk().as_bytes()).unwrap();
                 std::thread::sleep(BUDGET.1 / 2);
@@ -129,5 +158,8 @@
     let program = Program::start(&config(refusing(), &[target("s-0", address, "in_service")]));
     let mut caller = program.connect();
     caller.send("post", BUDGET.0, "b");
-    assert_eq!(caller.chunked_answer().expect("all of it").len(), PIECES * LARGE);
+    assert_eq!(
+        caller.chunked_answer().expect("all of it").len(),
+        PIECES * LARGE
+    );
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -25,8 +25,10 @@
 /// A crowd that never asks: calls are served beside it, over new connections on both sides, and the list is followed.
 #[test]
 fn a_crowd_of_idle_clients_keeps_neither_calls_nor_discovery_out() {
-    let (first, second) =
-        (Upstream::start(|_| Act::Answer(ok("first"))), Upstream::start(|_| Act::Answer(ok("second"))));
+    let (first, second) = (
+        Upstream::start(|_| Act::Answer(ok("first"))),
+        Upstream::start(|_| Act::Answer(ok("second"))),
+    );
     let discovery = Discovery::start();
     let (program, crowd) = crowded(&discovery, &first);
     for _ in 0..20 {
@@ -62,9 +64,12 @@
 /// the crowd is there from its first moment and discovery comes back late.
 #[test]
 fn a_process_that_starts_under_a_crowd_is_ready_and_follows_discovery() {
-    let (stale, present) =
-        (Upstream::start(|_| Act::Answer(ok("stale"))), Upstream::start(|_| Act::Answer(ok("present"))));
-    let discovery = Discovery::start_failing("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    let (stale, present) = (
+        Upstream::start(|_| Act::Answer(ok("stale"))),
+        Upstream::start(|_| Act::Answer(ok("present"))),
+    );
+    let discovery =
+        Discovery::start_failing("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     let (program, _crowd) = crowded(&discovery, &stale);
     let mut front = program.connect();
     front.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
@@ -84,8 +89,10 @@
     let mut config = config(refusing(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 200.into(); // room for so many callers, and as many connections to upstreams
     let program = Program::start_limited(&config, 1024);
-    let at_fault = request("post", LONG, "")
-        .replace("Content-Length: 0", "Content-Length: 0\r\nTransfer-Encoding: chunked");
+    let at_fault = request("post", LONG, "").replace(
+        "Content-Length: 0",
+        "Content-Length: 0\r\nTransfer-Encoding: chunked",
+    );
     let ended: Vec<Caller> = (0..CALLERS)
         .map(|_| {
             let mut caller = program.connect();
@@ -102,7 +109,11 @@
             caller
         })
         .collect();
-    assert!(program.descriptors() <= 200, "{} descriptors", program.descriptors());
+    assert!(
+        program.descriptors() <= 200,
+        "{} descriptors",
+        program.descriptors()
+    );
     drop((ended, held));
 }
 
@@ -119,8 +130,9 @@
     drop(crowd);
     until("it serves again", || {
         let caller = program.try_connect();
-        let served =
-            caller.and_then(|mut caller| caller.call("look", LONG, "")).is_some_and(|a| a.status() == 200);
+        let served = caller
+            .and_then(|mut caller| caller.call("look", LONG, ""))
+            .is_some_and(|a| a.status() == 200);
         served || {
             std::thread::sleep(Duration::from_millis(20));
             false
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -21,7 +21,10 @@
 }
 
 fn whole_list(rev: u64, targets: &[String]) -> String {
-    format!(r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#, targets.join(","))
+    format!(
+        r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#,
+        targets.join(",")
+    )
 }
 
 fn asked(mut config: Value) -> Value {
@@ -39,7 +42,10 @@
 impl Two {
     fn start() -> Self {
         let answering = |text: &'static str| Upstream::start(move |_| Act::Answer(ok(text)));
-        Self { old: answering("old"), new: answering("new") }
+        Self {
+            old: answering("old"),
+            new: answering("new"),
+        }
     }
 
     fn list(&self, rev: u64) -> String {
@@ -47,12 +53,17 @@
     }
 
     fn config(&self, discovery: std::net::SocketAddr) -> Value {
-        config(discovery, &[target("s-old", self.old.address, "in_service")])
+        config(
+            discovery,
+            &[target("s-old", self.old.address, "in_service")],
+        )
     }
 
     /// Waits until the list is acted on, and checks that nothing goes back to the old one.
     fn taken(&self, program: &Program) {
-        until("the list is acted on", || program.call("look").body == b"new");
+        until("the list is acted on", || {
+            program.call("look").body == b"new"
+        });
         for _ in 0..4 {
             assert_eq!(program.call("look").body, b"new");
         }
@@ -74,7 +85,11 @@
     let silent = Instant::now();
     discovery.request();
     discovery.request();
-    assert!(silent.elapsed() < TOLD, "the third call comes after {:?}", silent.elapsed());
+    assert!(
+        silent.elapsed() < TOLD,
+        "the third call comes after {:?}",
+        silent.elapsed()
+    );
     two.taken(&program);
 }
 
@@ -92,11 +107,22 @@
     let program = Program::start(&asked(two.config(discovery.address)));
     let watch = discovery.request();
     let silent = Instant::now();
-    let wait: f64 =
-        watch.first_line.split("wait_ms=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
+    let wait: f64 = watch
+        .first_line
+        .split("wait_ms=")
+        .nth(1)
+        .unwrap()
+        .split(' ')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     discovery.request();
     let late = silent.elapsed().as_secs_f64() - wait / 1e3;
-    assert!((0.0..1.5).contains(&late), "opened anew {late:.2} s after its wait");
+    assert!(
+        (0.0..1.5).contains(&late),
+        "opened anew {late:.2} s after its wait"
+    );
     two.taken(&program);
 }
 
@@ -107,7 +133,8 @@
     let discovery = scripted(move |_, _| Act::Answer(ok(unchanged)));
     let upstream = Upstream::start(|_| Act::Answer(ok("")));
     let _program = Program::start(&asked(config(discovery.address, &in_service(&[&upstream]))));
-    let waits: std::collections::HashSet<String> = (0..8).map(|_| discovery.request().first_line).collect();
+    let waits: std::collections::HashSet<String> =
+        (0..8).map(|_| discovery.request().first_line).collect();
     assert!(waits.len() > 4, "{waits:?}");
 }
 
@@ -128,7 +155,8 @@
 fn lists_may_come_in_any_form() {
     let two = Two::start();
     let list = two.list(5);
-    let indented = serde_json::to_string_pretty(&serde_json::from_str::<Value>(&list).unwrap()).unwrap();
+    let indented =
+        serde_json::to_string_pretty(&serde_json::from_str::<Value>(&list).unwrap()).unwrap();
     let chunks: String = list
         .as_bytes()
         .chunks(7)
@@ -137,12 +165,20 @@
     let closing = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{list}");
     let forms = [
         Act::Answer(ok(&indented)),
-        Act::Answer(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")),
+        Act::Answer(format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"
+        )),
         Act::AnswerAndClose(closing),
         Act::AnswerAndMore(ok(&list)[..40].to_owned(), ok(&list)[40..].to_owned()),
     ];
     for form in forms {
-        let discovery = scripted(move |call, _| if call == 0 { form.clone() } else { Act::Silence });
+        let discovery = scripted(move |call, _| {
+            if call == 0 {
+                form.clone()
+            } else {
+                Act::Silence
+            }
+        });
         two.taken(&Program::start(&two.config(discovery.address)));
     }
 }
@@ -152,8 +188,11 @@
 fn failed_calls_are_made_again() {
     let two = Two::start();
     let list = two.list(5);
-    let half =
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", list.len(), &list[..list.len() / 2]);
+    let half = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
+        list.len(),
+        &list[..list.len() / 2]
+    );
     let failures = [
         Act::AnswerAndClose(String::new()),
         Act::Answer("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into()),
@@ -217,8 +256,10 @@
 fn a_late_answer_of_the_former_address_is_dropped() {
     let two = Two::start();
     let answering = Arc::new(Barrier::new(2));
-    let (hold, former_list) =
-        (answering.clone(), whole_list(90, &[target("s-old", two.old.address, "in_service")]));
+    let (hold, former_list) = (
+        answering.clone(),
+        whole_list(90, &[target("s-old", two.old.address, "in_service")]),
+    );
     let former = scripted(move |call, _| match call {
         0 => Act::Answer(ok(&former_list)),
         1 => {
@@ -228,7 +269,13 @@
         _ => Act::Silence,
     });
     let list = two.list(2);
-    let next = scripted(move |call, _| if call == 0 { Act::Answer(ok(&list)) } else { Act::Silence });
+    let next = scripted(move |call, _| {
+        if call == 0 {
+            Act::Answer(ok(&list))
+        } else {
+            Act::Silence
+        }
+    });
     let before = two.config(former.address);
     let program = Program::start(&before);
     former.request();
@@ -237,7 +284,12 @@
     after["discovery"] = next.address.to_string().into();
     let signal = Instant::now();
     program.reload(&after.to_string());
-    assert!(next.request().first_line.starts_with("GET /v1/servers HTTP"), "the whole list, at once");
+    assert!(
+        next.request()
+            .first_line
+            .starts_with("GET /v1/servers HTTP"),
+        "the whole list, at once"
+    );
     assert!(signal.elapsed() < Duration::from_secs(4));
     two.taken(&program);
     answering.wait();
@@ -256,13 +308,20 @@
         Some(list) => Act::Answer(ok(&list)),
         None => Act::AnswerAndClose(String::new()),
     });
-    let stale = config(discovery.address, &[target("s-gone", refusing(), "in_service")]);
+    let stale = config(
+        discovery.address,
+        &[target("s-gone", refusing(), "in_service")],
+    );
     let program = Program::start(&stale);
     let mut front = program.connect();
     front.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
     assert_eq!(front.answer().expect("an answer").status(), 200);
     discovery.request();
-    assert_eq!(program.call("post").status(), 503, "it never ran, and trying again is harmless");
+    assert_eq!(
+        program.call("post").status(),
+        503,
+        "it never ran, and trying again is harmless"
+    );
     *list.lock().unwrap() = Some(two.list(9));
     two.taken(&program);
 }
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -9,7 +9,8 @@
 use woadstall_standin::http1::{Act, Upstream, config, ok, refusing, target};
 
 fn folder(name: &str) -> PathBuf {
-    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+    let path =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     std::fs::write(path.join("key"), "00112233445566778899aabbccddeeff\n").unwrap();
     path
@@ -18,8 +19,10 @@
 /// Two zones with an upstream each, which says where it is.
 fn upstreams() -> (Vec<Upstream>, serde_json::Value) {
     let zones: [&'static str; 2] = ["a", "b"];
-    let all: Vec<Upstream> =
-        zones.into_iter().map(|zone| Upstream::start(move |_| Act::Answer(ok(zone)))).collect();
+    let all: Vec<Upstream> = zones
+        .into_iter()
+        .map(|zone| Upstream::start(move |_| Act::Answer(ok(zone))))
+        .collect();
     let targets: Vec<String> = all
         .iter()
         .zip(zones)
@@ -33,24 +36,43 @@
     (all, config)
 }
 
-fn start(folder: &Path, name: &str, seeds: &str, config: &serde_json::Value) -> (Program, Operators, String) {
-    let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+fn start(
+    folder: &Path,
+    name: &str,
+    seeds: &str,
+    config: &serde_json::Value,
+) -> (Program, Operators, String) {
+    let free = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let text = format!(
         "[instances]\nlisten = \"{free}\"\nkey_file = \"key\"\nseeds = [{seeds}]\n\
          [evacuation]\n[evacuation.regions]\na = \"west\"\nb = \"east\"\n"
     );
     let file = folder.join(format!("{name}.toml"));
     std::fs::write(&file, text).unwrap();
-    let environment = [("LB_OPERATOR", file.to_str().unwrap().to_owned()), ("LB_NAME", name.to_owned())];
+    let environment = [
+        ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
+        ("LB_NAME", name.to_owned()),
+    ];
     let (program, admin) = Program::start_in(config, &environment);
     (program, admin, free)
 }
 
 fn word(admin: &Operators, words: &[&str]) -> (bool, String) {
     let at = admin.address.to_string();
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_woadstall")).args(words).args(["--admin", &at]).output().unwrap();
-    let said = if output.status.success() { output.stdout } else { output.stderr };
+    let output = Command::new(env!("CARGO_BIN_EXE_woadstall"))
+        .args(words)
+        .args(["--admin", &at])
+        .output()
+        .unwrap();
+    let said = if output.status.success() {
+        output.stdout
+    } else {
+        output.stderr
+    };
     (output.status.success(), String::from_utf8(said).unwrap())
 }
 
@@ -65,32 +87,55 @@
     let (one, admin, at) = start(&folder, "balancer-one", "", &config);
     let (mut two, other, _) = start(&folder, "balancer-two", &format!("{at:?}"), &config);
     until("they find each other", || {
-        [&admin, &other].iter().all(|admin| admin.figures()[r#"balancer_members{state="alive"}"#] == 1.0)
+        [&admin, &other]
+            .iter()
+            .all(|admin| admin.figures()[r#"balancer_members{state="alive"}"#] == 1.0)
     });
     assert!((0..10).all(|_| zone_of(&one) == "a" && zone_of(&two) == "a"));
     let (_, text) = word(&other, &["zone", "status"]);
-    assert!(text.contains("zone a: in use, epoch 0, share 100%, 1 nodos in service"), "{text}");
+    assert!(
+        text.contains("zone a: in use, epoch 0, share 100%, 1 nodos in service"),
+        "{text}"
+    );
 
-    assert_eq!(word(&admin, &["zone", "leave", "a", "--for", "5m"]), (true, String::new()));
-    until("all are out", || zone_of(&one) == "b" && zone_of(&two) == "b");
+    assert_eq!(
+        word(&admin, &["zone", "leave", "a", "--for", "5m"]),
+        (true, String::new())
+    );
+    until("all are out", || {
+        zone_of(&one) == "b" && zone_of(&two) == "b"
+    });
     assert!((0..20).all(|_| zone_of(&two) == "b"));
     two.logged("places: zone a: an operator's word, leave, for ");
     let (_, text) = word(&other, &["zone", "status", "a"]);
-    assert!(text.contains("share 0%") && text.contains("an operator's word: leave, for "), "{text}");
-    assert_eq!(other.figures()[r#"balancer_place_share{place="zone a"}"#], 0.0);
+    assert!(
+        text.contains("share 0%") && text.contains("an operator's word: leave, for "),
+        "{text}"
+    );
+    assert_eq!(
+        other.figures()[r#"balancer_place_share{place="zone a"}"#],
+        0.0
+    );
 
     // Another operator, elsewhere, later: the last word holds. Never all places: where both are left, none is.
     assert!(word(&other, &["zone", "hold", "a", "--for", "1m"]).0);
-    until("the last word holds", || zone_of(&one) == "a" && zone_of(&two) == "a");
+    until("the last word holds", || {
+        zone_of(&one) == "a" && zone_of(&two) == "a"
+    });
     assert!(word(&other, &["region", "leave", "west", "--for", "1m"]).0);
     until("a region is its zones", || zone_of(&one) == "b");
     assert!(word(&other, &["region", "leave", "east", "--for", "1m"]).0);
     until("all is left, so nothing is", || zone_of(&one) == "a");
-    assert!(word(&other, &["region", "return", "east"]).0 && word(&admin, &["region", "return", "west"]).0);
+    assert!(
+        word(&other, &["region", "return", "east"]).0
+            && word(&admin, &["region", "return", "west"]).0
+    );
     // A word that is over is over.
     assert!(word(&admin, &["zone", "leave", "a", "--for", "1s"]).0);
     until("it is left", || zone_of(&two) == "b");
-    until("it ends by itself", || zone_of(&two) == "a" && zone_of(&one) == "a");
+    until("it ends by itself", || {
+        zone_of(&two) == "a" && zone_of(&one) == "a"
+    });
 
     let (sound, text) = word(&admin, &["zone", "leave", "c"]);
     assert!(!sound && text.contains("no zone c"), "{text}");
@@ -112,7 +157,10 @@
     assert_eq!(admin.get("/control/places").status(), 404);
     assert!(!admin.figures().keys().any(|name| name.contains("place")));
     let (sound, text) = word(&admin, &["zone", "status"]);
-    assert!(!sound && text.contains("no `[evacuation]` in its operators' file"), "{text}");
+    assert!(
+        !sound && text.contains("no `[evacuation]` in its operators' file"),
+        "{text}"
+    );
     let (sound, _) = word(&admin, &["zone", "leave", "a"]);
     assert!(!sound);
 }
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -16,16 +16,28 @@
 /// What the program writes, standard output first, and its exit code.
 fn output(folder: &Path, arguments: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall"));
-    for variable in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN", "LB_OPERATOR"] {
+    for variable in [
+        "LB_CONFIG",
+        "LB_NAME",
+        "LB_LISTEN",
+        "LB_DISCOVERY",
+        "LB_ADMIN",
+        "LB_OPERATOR",
+    ] {
         command.env_remove(variable);
     }
-    let output = command.current_dir(folder).args(arguments).output().unwrap();
+    let output = command
+        .current_dir(folder)
+        .args(arguments)
+        .output()
+        .unwrap();
     let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
     format!("{text}exit code {}\n", output.status.code().unwrap())
 }
 
 fn folder(name: &str) -> PathBuf {
-    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-{name}-{}", std::process::id()));
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("golden-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     path
 }
@@ -80,17 +92,21 @@
     ];
     for command in commands {
         let arguments: Vec<&str> = command.split(' ').filter(|word| !word.is_empty()).collect();
-        text += &format!("$ woadstall {command}\n{}\n", output(Path::new("/"), &arguments));
+        text += &format!(
+            "$ woadstall {command}\n{}\n",
+            output(Path::new("/"), &arguments)
+        );
     }
     assert_golden("command-errors.txt", &text);
 }
 
 /// The value at a path of keys and positions.
 fn at<'a>(value: &'a mut Value, path: &[&str]) -> &'a mut Value {
-    path.iter().fold(value, |value, key| match key.parse::<usize>() {
-        Ok(position) => &mut value[position],
-        Err(_) => &mut value[*key],
-    })
+    path.iter()
+        .fold(value, |value, key| match key.parse::<usize>() {
+            Ok(position) => &mut value[position],
+            Err(_) => &mut value[*key],
+        })
 }
 
 #[test]
@@ -132,7 +148,10 @@
     for (number, (path, value)) in changed.into_iter().enumerate() {
         let mut file = sound.clone();
         *at(&mut file, path) = value;
-        files.push((format!("{number:02}-{}.json", path.join("-")), file.to_string()));
+        files.push((
+            format!("{number:02}-{}.json", path.join("-")),
+            file.to_string(),
+        ));
     }
     assert_golden("check-json.txt", &checked(&folder, &files));
 }
@@ -149,7 +168,10 @@
         ("insecure.toml", instances("insecure = true")),
         ("no-key.toml", instances("")),
         ("absent-key.toml", instances("key_file = \"absent\"")),
-        ("absent-seeds.toml", instances("insecure = true\nseeds_file = \"absent\"")),
+        (
+            "absent-seeds.toml",
+            instances("insecure = true\nseeds_file = \"absent\""),
+        ),
         ("name.toml", instances("insecure = true\nname = \"a b\"")),
         ("evacuation.toml", "[evacuation]\n".to_owned()),
         ("other.yaml", String::new()),
@@ -189,7 +211,10 @@
             "members": [member("balancer-two", "alive", json!(0.5), json!([])),
                 member("b3", "suspect", Value::Null, json!(["balancer-two", "b4"]))],
             "ways": [{"from": "a", "to": "norte", "of": 2, "cut": 0}]});
-        report.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+        report
+            .as_object_mut()
+            .unwrap()
+            .extend(more.as_object().unwrap().clone());
         let read = members::read(report.to_string().as_bytes()).unwrap();
         assert_eq!(serde_json::to_value(&read).unwrap(), report);
         let mut text = Vec::new();
@@ -202,7 +227,10 @@
     let texts = [report(json!({})), report(cut)].join("\n---\n");
     assert_golden("instances.txt", &texts);
     let error = members::read(b"{}").unwrap_err().to_string();
-    assert_eq!(error, "not an answer of a balancer: missing field `name` at line 1 column 2");
+    assert_eq!(
+        error,
+        "not an answer of a balancer: missing field `name` at line 1 column 2"
+    );
 }
 
 #[test]
@@ -211,7 +239,10 @@
         let mut place = json!({"name": name, "state": "in use", "epoch": 0, "for_s": 0.0, "share": 1.0,
             "why": "nothing is known", "against": 0, "for_it": 0, "relapses": 0, "nodos": 0, "order": null,
             "order_ends_s": null, "not_followed": []});
-        place.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+        place
+            .as_object_mut()
+            .unwrap()
+            .extend(more.as_object().unwrap().clone());
         place
     };
     let full = json!({"state": "left", "epoch": 7, "for_s": 12.34, "share": 0.256, "why": "it fails",
@@ -221,7 +252,12 @@
         place("region west", json!({}))], "odd": {"balancer-four": 4, "balancer-five": 5}, "unread": 6});
     let status: woadstall_evacuation::Status = serde_json::from_value(status).unwrap();
     let mut text = String::new();
-    for (kind, name) in [("zone", None), ("zone", Some("b")), ("zone", Some("c")), ("nodo", None)] {
+    for (kind, name) in [
+        ("zone", None),
+        ("zone", Some("b")),
+        ("zone", Some("c")),
+        ("nodo", None),
+    ] {
         let mut written = Vec::new();
         places::write(&status, kind, name, &mut written).unwrap();
         text += &format!("{kind} {name:?}\n{}\n", String::from_utf8(written).unwrap());
--- a/tests/golden_daemon.rs
+++ b/tests/golden_daemon.rs
@@ -46,7 +46,8 @@
 
 /// A caller's request that ends its connection.
 fn closing(class: &str, body: &str) -> String {
-    named_request("9b1f03aa00000001", class, LONG, body).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
+    named_request("9b1f03aa00000001", class, LONG, body)
+        .replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
 }
 
 #[test]
@@ -59,15 +60,33 @@
         ("no such path", pay.replace(" /pay", " /none")),
         ("the method", pay.replace("POST", "GET")),
         ("no key", pay.replace("Idempotency-Key", "Other")),
-        ("another class", pay.replace("X-Call-Class: pay", "X-Call-Class: look")),
+        (
+            "another class",
+            pay.replace("X-Call-Class: pay", "X-Call-Class: look"),
+        ),
         ("no id", pay.replace("X-Call-Id", "Other")),
         ("no caller", pay.replace("X-Caller", "Other")),
         ("no budget", pay.replace("X-Budget", "Other")),
-        ("a budget that is none", pay.replace("X-Budget: ", "X-Budget: x")),
-        ("a header twice", pay.replace("X-Caller", "X-Call-Id: again\r\nX-Caller")),
-        ("a cost that is none", pay.replace("X-Caller", "X-Call-Cost: x\r\nX-Caller")),
-        ("a budget that is over", pay.replace(&format!("X-Budget: {LONG}"), "X-Budget: 0")),
-        ("too large", pay.replace("Content-Length: 4", "Content-Length: 40000000")),
+        (
+            "a budget that is none",
+            pay.replace("X-Budget: ", "X-Budget: x"),
+        ),
+        (
+            "a header twice",
+            pay.replace("X-Caller", "X-Call-Id: again\r\nX-Caller"),
+        ),
+        (
+            "a cost that is none",
+            pay.replace("X-Caller", "X-Call-Cost: x\r\nX-Caller"),
+        ),
+        (
+            "a budget that is over",
+            pay.replace(&format!("X-Budget: {LONG}"), "X-Budget: 0"),
+        ),
+        (
+            "too large",
+            pay.replace("Content-Length: 4", "Content-Length: 40000000"),
+        ),
     ];
     let mut text = String::new();
     for (what, request) in cases {
@@ -79,7 +98,8 @@
 
 #[test]
 fn answers_where_upstreams_fail_or_are_not_there() {
-    let failing = Upstream::start(|_| Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()));
+    let failing =
+        Upstream::start(|_| Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()));
     let (program, _) = Program::start_with_admin(&config(refusing(), &in_service(&[&failing])));
     let failed = exchange(program.address, &closing("post", "body"));
     let gone = config(refusing(), &[target("s-0", refusing(), "in_service")]);
@@ -92,7 +112,10 @@
             false => line.to_owned(),
         })
         .collect();
-    assert_golden("answers-failed.txt", &format!("== failing\n{failed}\n== not there\n{refused}\n"));
+    assert_golden(
+        "answers-failed.txt",
+        &format!("== failing\n{failed}\n== not there\n{refused}\n"),
+    );
 }
 
 #[test]
@@ -101,14 +124,24 @@
     let (program, _) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     let mut text = String::new();
     for class in ["look", "pay", "post"] {
-        exchange(program.address, &closing(class, if class == "look" { "" } else { "body" }));
+        exchange(
+            program.address,
+            &closing(class, if class == "look" { "" } else { "body" }),
+        );
         let message = upstream.request();
         let mut headers: Vec<_> = message.headers.iter().collect();
         headers.sort();
         text += &format!("{}\n", message.first_line);
         for (name, value) in headers {
             let masked = ["host", "x-budget"].contains(&name.as_str());
-            text += &format!("{name}: {}\n", if masked { without_digits(value) } else { value.clone() });
+            text += &format!(
+                "{name}: {}\n",
+                if masked {
+                    without_digits(value)
+                } else {
+                    value.clone()
+                }
+            );
         }
         text += &format!("\n{}\n\n", String::from_utf8(message.body).unwrap());
     }
@@ -120,8 +153,12 @@
     let mut text = String::new();
     for path in paths {
         for method in ["GET", "POST", "DELETE"] {
-            let request = format!("{method} {path} HTTP/1.1\r\nHost: operators\r\nContent-Length: 0\r\n\r\n");
-            text += &format!("== {method} {path}\n{}\n", exchange(admin.address, &request));
+            let request =
+                format!("{method} {path} HTTP/1.1\r\nHost: operators\r\nContent-Length: 0\r\n\r\n");
+            text += &format!(
+                "== {method} {path}\n{}\n",
+                exchange(admin.address, &request)
+            );
         }
     }
     text
@@ -130,7 +167,8 @@
 #[test]
 fn answers_to_operators() {
     let upstream = Upstream::start(|_| Act::Answer(ok("done")));
-    let (_program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (_program, admin) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     let paths = [
         "/control/ready",
         "/control/out-of-service",
@@ -151,29 +189,44 @@
         true => Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()),
         false => Act::Answer(ok("done")),
     });
-    let (program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, admin) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     for class in ["look", "look", "pay", "post", "none"] {
-        exchange(program.address, &closing(class, if class == "look" { "" } else { "body" }));
+        exchange(
+            program.address,
+            &closing(class, if class == "look" { "" } else { "body" }),
+        );
     }
-    until("all have ended", || admin.figures()["balancer_active"] == 0.0);
+    until("all have ended", || {
+        admin.figures()["balancer_active"] == 0.0
+    });
     assert_golden("counters.txt", &calls(&admin, &["/control/counters"]));
 }
 
 #[test]
 fn operators_of_a_fleet() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-fleet-{}", std::process::id()));
+    let folder =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let free = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let file = folder.join("operator.toml");
     let text = format!(
         "[instances]\nlisten = \"{free}\"\ninsecure = true\n\
          [evacuation]\n[evacuation.regions]\na = \"west\"\n"
     );
     std::fs::write(&file, text).unwrap();
-    let environment =
-        [("LB_OPERATOR", file.to_str().unwrap().to_owned()), ("LB_NAME", "balancer-one".to_owned())];
+    let environment = [
+        ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
+        ("LB_NAME", "balancer-one".to_owned()),
+    ];
     let (_program, admin) = Program::start_in(&config(refusing(), &[]), &environment);
-    let counters = exchange(admin.address, "GET /control/counters HTTP/1.1\r\nHost: operators\r\n\r\n");
+    let counters = exchange(
+        admin.address,
+        "GET /control/counters HTTP/1.1\r\nHost: operators\r\n\r\n",
+    );
     let varies = [
         "content-length: ",
         "balancer_members_bytes ",
@@ -182,10 +235,12 @@
     ];
     let counters: String = counters
         .split_inclusive('\n')
-        .map(|line| match varies.iter().any(|name| line.starts_with(name)) {
-            true => without_digits(line),
-            false => line.to_owned(),
-        })
+        .map(
+            |line| match varies.iter().any(|name| line.starts_with(name)) {
+                true => without_digits(line),
+                false => line.to_owned(),
+            },
+        )
         .collect();
     assert_golden("fleet-counters.txt", &counters);
     let paths = [
--- a/tests/golden_help.rs
+++ b/tests/golden_help.rs
@@ -28,7 +28,11 @@
     let output = run(arguments);
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     let code = output.status.code().unwrap();
-    format!("exit code {code}\n--- output\n{}--- errors\n{}", text(output.stdout), text(output.stderr))
+    format!(
+        "exit code {code}\n--- output\n{}--- errors\n{}",
+        text(output.stdout),
+        text(output.stderr)
+    )
 }
 
 #[test]
@@ -42,7 +46,11 @@
         &["status", "--help"],
         &["check-system", "--help"],
     ] {
-        text += &format!("=== woadstall {}\n{}\n", arguments.join(" "), written(arguments));
+        text += &format!(
+            "=== woadstall {}\n{}\n",
+            arguments.join(" "),
+            written(arguments)
+        );
     }
     assert_golden("help.txt", &text);
 }
@@ -63,7 +71,11 @@
         &["status", "127.0.0.1:1"],
         &["check-system", "nowhere.json"],
     ] {
-        text += &format!("=== woadstall {}\n{}\n", arguments.join(" "), written(arguments));
+        text += &format!(
+            "=== woadstall {}\n{}\n",
+            arguments.join(" "),
+            written(arguments)
+        );
     }
     assert_golden("wrong-command-lines.txt", &text);
 }
@@ -76,7 +88,8 @@
 
 #[test]
 fn why_draws_the_same_plot() {
-    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("why-{}.svg", std::process::id()));
+    let path =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("why-{}.svg", std::process::id()));
     let output = run(&["why", "--plot", path.to_str().unwrap(), "front-1.log"]);
     assert!(output.status.success());
     assert_golden("why.svg", &std::fs::read_to_string(&path).unwrap());
@@ -85,9 +98,18 @@
 
 #[test]
 fn check_system_prints_the_same_findings() {
-    assert_golden("check-sound.txt", &written(&["check-system", "boot.json", "configuration.json"]));
+    assert_golden(
+        "check-sound.txt",
+        &written(&["check-system", "boot.json", "configuration.json"]),
+    );
     assert_golden(
         "check-faults.txt",
-        &written(&["check-system", "boot.json", "boot-faults.json", "configuration-faults.json", "cut.log"]),
+        &written(&[
+            "check-system",
+            "boot.json",
+            "boot-faults.json",
+            "configuration-faults.json",
+            "cut.log",
+        ]),
     );
 }
--- a/tests/golden_membership.rs
+++ b/tests/golden_membership.rs
@@ -10,7 +10,9 @@
 const SECOND: u64 = 1_000_000_000;
 
 fn fixture(form: &str) -> String {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(form);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(form);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
@@ -20,8 +22,16 @@
     let mut text = Vec::new();
     members::write(report, &mut text).unwrap();
     assert_eq!(json, fixture(&format!("{form}.json")).trim(), "{form}");
-    assert_eq!(String::from_utf8(text).unwrap(), fixture(&format!("{form}.txt")), "{form}");
-    assert_eq!(members::read(fixture(&format!("{form}.json")).as_bytes()).unwrap(), *report, "{form}");
+    assert_eq!(
+        String::from_utf8(text).unwrap(),
+        fixture(&format!("{form}.txt")),
+        "{form}"
+    );
+    assert_eq!(
+        members::read(fixture(&format!("{form}.json")).as_bytes()).unwrap(),
+        *report,
+        "{form}"
+    );
 }
 
 fn row(name: &str, state: &str, to: &str, from: &str) -> Row {
@@ -43,7 +53,12 @@
 /// Each field with a value of its own.
 #[test]
 fn a_report_of_each_state() {
-    let way = |from: &str, to: &str, of, cut| Ways { from: from.to_owned(), to: to.to_owned(), of, cut };
+    let way = |from: &str, to: &str, of, cut| Ways {
+        from: from.to_owned(),
+        to: to.to_owned(),
+        of,
+        cut,
+    };
     let report = Report {
         name: "b-0".to_owned(),
         zone: "norte".to_owned(),
@@ -77,11 +92,19 @@
                 ..row("b-2", "suspect", "unknown", "works")
             },
             row("b-3", "cut", "cut", "works"),
-            Row { region: None, found_s: None, ..row("b-4", "dead", "unknown", "unknown") },
+            Row {
+                region: None,
+                found_s: None,
+                ..row("b-4", "dead", "unknown", "unknown")
+            },
             row("b-5", "left", "unknown", "unknown"),
             row("b-6", "unknown", "unknown", "unknown"),
         ],
-        ways: vec![way("norte", "norte", 30, 0), way("norte", "sur", 18, 4), way("sur", "norte", 18, 0)],
+        ways: vec![
+            way("norte", "norte", 30, 0),
+            way("norte", "sur", 18, 4),
+            way("sur", "norte", 18, 0),
+        ],
     };
     assert_golden_report("membership-report", &report);
 }
@@ -89,7 +112,10 @@
 fn card(number: u16, zone: &str) -> Card {
     Card {
         name: Name::new(&format!("b-{number}")).unwrap(),
-        life: Life { started: 1_764_000_000_000 + u64::from(number), id: u64::from(number) },
+        life: Life {
+            started: 1_764_000_000_000 + u64::from(number),
+            id: u64::from(number),
+        },
         at: ([127, 0, 0, 1], 10_000 + number).into(),
         zone: Name::new(zone).unwrap(),
         region: None,
@@ -110,7 +136,15 @@
     let news = said.into_iter().map(|(number, said)| {
         let card = card(number, if number == 2 { "sur" } else { "norte" });
         let by = (said == Said::Suspect).then(|| Name::new("b-1").unwrap());
-        News { claim: Claim { life: card.life, incarnation: 1, said }, card, by }
+        News {
+            claim: Claim {
+                life: card.life,
+                incarnation: 1,
+                said,
+            },
+            card,
+            by,
+        }
     });
     let message = Message {
         from: card(1, "sur"),
@@ -121,15 +155,25 @@
         facts: Vec::new(),
     };
     node.heard(SECOND / 4, &message.write()).unwrap();
-    node.say(SECOND / 4, Name::new("load").unwrap(), 9, b"17".to_vec()).unwrap();
+    node.say(SECOND / 4, Name::new("load").unwrap(), 9, b"17".to_vec())
+        .unwrap();
     node.tick(SECOND / 2);
     while node.next_out().is_some() {}
-    let counts = Counts { other_key: 3, ..Counts::default() };
-    assert_golden_report("membership-report-of-a-member", &Report::new(&node, counts, SECOND / 2 + 7_654_321));
+    let counts = Counts {
+        other_key: 3,
+        ..Counts::default()
+    };
+    assert_golden_report(
+        "membership-report-of-a-member",
+        &Report::new(&node, counts, SECOND / 2 + 7_654_321),
+    );
     // Much later: the suspicion is over, and nobody was heard.
     for turn in 1..60 {
         node.tick(SECOND / 2 + turn * SECOND / 4);
         while node.next_out().is_some() {}
     }
-    assert_golden_report("membership-report-of-a-lonely-member", &Report::new(&node, counts, 20 * SECOND));
+    assert_golden_report(
+        "membership-report-of-a-lonely-member",
+        &Report::new(&node, counts, 20 * SECOND),
+    );
 }
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -2,7 +2,8 @@
 
 use woadstall::wire::{BATCH_HEADER, BatchHeader, Record, Reply, WireError, records};
 use woadstall_decisions::api::{
-    Action, Demand, End, Event, Lifecycle, ListEntry, LoadReport, Outcome, RequestId, ServerId, ZoneId,
+    Action, Demand, End, Event, Lifecycle, ListEntry, LoadReport, Outcome, RequestId, ServerId,
+    ZoneId,
 };
 
 /// Compares with the fixture of this name.
@@ -21,13 +22,21 @@
 
 /// What a batch of one record and a tail says.
 fn decoded(record: &[u8], tail: &[u8]) -> Result<Record<'static>, WireError> {
-    let header = BatchHeader { now: 1, length: record.len() + tail.len(), records: 1, sequence: 2 };
+    let header = BatchHeader {
+        now: 1,
+        length: record.len() + tail.len(),
+        records: 1,
+        sequence: 2,
+    };
     let body = [record, tail].concat().leak();
     records(header, body).next().unwrap()
 }
 
 fn u32s(values: &[u32]) -> Vec<u8> {
-    values.iter().flat_map(|value| value.to_le_bytes()).collect()
+    values
+        .iter()
+        .flat_map(|value| value.to_le_bytes())
+        .collect()
 }
 
 #[test]
@@ -35,7 +44,12 @@
     let mut bytes = [0; BATCH_HEADER];
     bytes[..8].copy_from_slice(&7_000_000_000_u64.to_le_bytes());
     bytes[8..].copy_from_slice(&u32s(&[100, 2, 9]));
-    let expected = BatchHeader { now: 7_000_000_000, length: 100, records: 2, sequence: 9 };
+    let expected = BatchHeader {
+        now: 7_000_000_000,
+        length: 100,
+        records: 2,
+        sequence: 9,
+    };
     assert_eq!(BatchHeader::decode(&bytes).unwrap(), expected);
     bytes[12] = 3;
     let error = BatchHeader::decode(&bytes).unwrap_err().to_string();
@@ -45,22 +59,44 @@
 #[test]
 fn every_record_is_read() {
     let cases = [
-        (record(&[&[0], &u32s(&[5]), &9_u64.to_le_bytes(), &u32s(&[1, 2])]), b"abcd".to_vec()),
+        (
+            record(&[&[0], &u32s(&[5]), &9_u64.to_le_bytes(), &u32s(&[1, 2])]),
+            b"abcd".to_vec(),
+        ),
         (record(&[&[1], &u32s(&[5, 0, 3]), &[0]]), Vec::new()),
         (record(&[&[1], &u32s(&[5, 0, 3]), &[1]]), Vec::new()),
         (record(&[&[1], &u32s(&[5, 0, 3]), &[2]]), Vec::new()),
         (record(&[&[1], &u32s(&[5, 0, 3]), &[3]]), Vec::new()),
         (record(&[&[5], &u32s(&[5, 6])]), Vec::new()),
-        (record(&[&[6], &u32s(&[5]), &77_u64.to_le_bytes()]), Vec::new()),
+        (
+            record(&[&[6], &u32s(&[5]), &77_u64.to_le_bytes()]),
+            Vec::new(),
+        ),
         (record(&[&[8], &u32s(&[5])]), Vec::new()),
         (record(&[&[9], &u32s(&[5])]), Vec::new()),
         (record(&[&[3], &u32s(&[5, 6]), &[4]]), Vec::new()),
     ];
     let expected = [
-        Record::PowerOn { instance: 5, seed: 9, settings: b"bc" },
-        Record::Announce { instance: 5, table: 3, delta: true },
-        Record::Announce { instance: 5, table: 3, delta: false },
-        Record::Announce { instance: 5, table: 3, delta: false },
+        Record::PowerOn {
+            instance: 5,
+            seed: 9,
+            settings: b"bc",
+        },
+        Record::Announce {
+            instance: 5,
+            table: 3,
+            delta: true,
+        },
+        Record::Announce {
+            instance: 5,
+            table: 3,
+            delta: false,
+        },
+        Record::Announce {
+            instance: 5,
+            table: 3,
+            delta: false,
+        },
         Record::Event(5, Event::ListFailed),
         Record::Event(5, Event::ClientGone(RequestId(6))),
         Record::Event(5, Event::Timer(77)),
@@ -76,11 +112,22 @@
 #[test]
 fn a_request_and_its_work() {
     let request = |flags: u8| {
-        let demand = [&u32s(&[2])[..], &3_u16.to_le_bytes(), &11_u64.to_le_bytes(), &13_u64.to_le_bytes()];
+        let demand = [
+            &u32s(&[2])[..],
+            &3_u16.to_le_bytes(),
+            &11_u64.to_le_bytes(),
+            &13_u64.to_le_bytes(),
+        ];
         record(&[&[2], &u32s(&[5, 6]), &[0; 8], &demand.concat(), &[flags]])
     };
     let expected = |work| {
-        let demand = Demand { class: 3, tenant: 2, time_left: 11, work, attempts: u32::MAX };
+        let demand = Demand {
+            class: 3,
+            tenant: 2,
+            time_left: 11,
+            work,
+            attempts: u32::MAX,
+        };
         Record::Event(5, Event::Request(RequestId(6), demand))
     };
     assert_eq!(decoded(&request(1), &[]).unwrap(), expected(Some(13)));
@@ -101,12 +148,34 @@
     ];
     for (code, outcome) in outcomes.into_iter().enumerate() {
         let code = code as u8;
-        let ended = record(&[&[4], &u32s(&[5, 6]), &21_u64.to_le_bytes(), &[1, 3], &[0; 4], &[code, 0]]);
-        let end = End { attempt: 3, outcome, elapsed: 21, closed: true, load: None };
-        assert_eq!(decoded(&ended, &[]).unwrap(), Record::Event(5, Event::Ended(RequestId(6), end)));
-        let figures: Vec<u8> = [1.5_f32, 2.5].iter().flat_map(|figure| figure.to_le_bytes()).collect();
+        let ended = record(&[
+            &[4],
+            &u32s(&[5, 6]),
+            &21_u64.to_le_bytes(),
+            &[1, 3],
+            &[0; 4],
+            &[code, 0],
+        ]);
+        let end = End {
+            attempt: 3,
+            outcome,
+            elapsed: 21,
+            closed: true,
+            load: None,
+        };
+        assert_eq!(
+            decoded(&ended, &[]).unwrap(),
+            Record::Event(5, Event::Ended(RequestId(6), end))
+        );
+        let figures: Vec<u8> = [1.5_f32, 2.5]
+            .iter()
+            .flat_map(|figure| figure.to_le_bytes())
+            .collect();
         let probed = record(&[&[7], &u32s(&[5, 6]), &[code], &[0; 8], &[2], &figures]);
-        let mut load = LoadReport { len: 2, ..LoadReport::default() };
+        let mut load = LoadReport {
+            len: 2,
+            ..LoadReport::default()
+        };
         load.figures[..2].copy_from_slice(&[1.5, 2.5]);
         let event = Event::Probed(ServerId(6), outcome, Some(load));
         assert_eq!(decoded(&probed, &[]).unwrap(), Record::Event(5, event));
@@ -117,7 +186,13 @@
 fn a_list_with_every_lifecycle() {
     let entry = |server: u32, lifecycle: u8, started: u64| {
         let size = 2.5_f32.to_le_bytes();
-        let parts = [&u32s(&[server])[..], &[1, 0, 0], &4_u16.to_le_bytes(), &[lifecycle], &size];
+        let parts = [
+            &u32s(&[server])[..],
+            &[1, 0, 0],
+            &4_u16.to_le_bytes(),
+            &[lifecycle],
+            &size,
+        ];
         [&parts.concat()[..], &started.to_le_bytes()].concat()
     };
     let tail = [entry(1, 0, 0), entry(2, 1, 8), entry(3, 2, 9)].concat();
@@ -149,11 +224,17 @@
         record(&[&[10], &u32s(&[16, 0, 0])]),
         record(&[&[11]]),
     ];
-    let mut errors: Vec<String> =
-        cases.iter().map(|case| decoded(case, &[]).unwrap_err().to_string()).collect();
+    let mut errors: Vec<String> = cases
+        .iter()
+        .map(|case| decoded(case, &[]).unwrap_err().to_string())
+        .collect();
     let mut entry = [0; 22];
     entry[9] = 3;
-    errors.push(decoded(&record(&[&[10], &u32s(&[0, 0, 1])]), &entry).unwrap_err().to_string());
+    errors.push(
+        decoded(&record(&[&[10], &u32s(&[0, 0, 1])]), &entry)
+            .unwrap_err()
+            .to_string(),
+    );
     assert_golden("wire-errors.txt", &(errors.join("\n") + "\n"));
 }
 
@@ -163,7 +244,12 @@
     let actions = [
         Action::SetTimer { after: 1, token: 2 },
         Action::Refuse { id, retry_after: 3 },
-        Action::Send { id, server, until: 4, begin_by: 5 },
+        Action::Send {
+            id,
+            server,
+            until: 4,
+            begin_by: 5,
+        },
         Action::Log("a line".to_owned()),
         Action::Fail(id),
         Action::Probe(server),
@@ -180,7 +266,13 @@
     reply.finish(0x0a0b_0c0d, &mut frame);
     let (header, rest) = frame.split_at(12);
     let (records, tail) = rest.split_at(24 * (actions.len() + 1));
-    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
+    let hex = |bytes: &[u8]| {
+        bytes
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect::<String>()
+            + "\n"
+    };
     let lines: String = records.chunks(24).map(hex).collect();
     assert_golden("wire-reply.txt", &(hex(header) + &lines + &hex(tail)));
 }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -9,7 +9,8 @@
 use woadstall_standin::http1::{config, refusing};
 
 fn folder() -> PathBuf {
-    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("members-{}", std::process::id()));
+    let path =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("members-{}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     std::fs::write(path.join("key"), "00112233445566778899aabbccddeeff\n").unwrap();
     path
@@ -17,11 +18,18 @@
 
 /// A balancer with an operators' file; where others find it.
 fn start(folder: &Path, name: &str, seeds: &str) -> (Program, Operators, String) {
-    let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let free = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let text = format!("[instances]\nlisten = \"{free}\"\nkey_file = \"key\"\nseeds = [{seeds}]\n");
     let file = folder.join(format!("{name}.toml"));
     std::fs::write(&file, text).unwrap();
-    let environment = [("LB_OPERATOR", file.to_str().unwrap().to_owned()), ("LB_NAME", name.to_owned())];
+    let environment = [
+        ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
+        ("LB_NAME", name.to_owned()),
+    ];
     let (program, admin) = Program::start_in(&config(refusing(), &[]), &environment);
     (program, admin, free)
 }
@@ -29,8 +37,16 @@
 fn told(admin: &Operators, more: &[&str]) -> (bool, String) {
     let at = admin.address.to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall"));
-    let output = command.args(["instances", "--admin", &at]).args(more).output().unwrap();
-    let said = if output.status.success() { output.stdout } else { output.stderr };
+    let output = command
+        .args(["instances", "--admin", &at])
+        .args(more)
+        .output()
+        .unwrap();
+    let said = if output.status.success() {
+        output.stdout
+    } else {
+        output.stderr
+    };
     (output.status.success(), String::from_utf8(said).unwrap())
 }
 
@@ -40,17 +56,28 @@
     let folder = folder();
     let (mut one, admin, at) = start(&folder, "balancer-one", "");
     let (two, other, _) = start(&folder, "balancer-two", &format!("{at:?}"));
-    until("they find each other", || told(&admin, &["--json"]).1.contains("balancer-two"));
-    until("both ways", || told(&other, &["--json"]).1.contains("balancer-one"));
+    until("they find each other", || {
+        told(&admin, &["--json"]).1.contains("balancer-two")
+    });
+    until("both ways", || {
+        told(&other, &["--json"]).1.contains("balancer-one")
+    });
     let (_, text) = told(&admin, &[]);
     assert!(text.starts_with("balancer-one in zone a"), "{text}");
     assert!(
         text.contains("fleet of 2") && text.contains("no way between balancers is told to be cut"),
         "{text}"
     );
-    assert!(text.lines().any(|line| line.starts_with("balancer-two") && line.contains("alive")), "{text}");
+    assert!(
+        text.lines()
+            .any(|line| line.starts_with("balancer-two") && line.contains("alive")),
+        "{text}"
+    );
     let figures = admin.figures();
-    assert_eq!(figures[r#"balancer_members{state="alive"}"#], 1.0, "{figures:?}");
+    assert_eq!(
+        figures[r#"balancer_members{state="alive"}"#], 1.0,
+        "{figures:?}"
+    );
     assert!(figures["balancer_members_bytes"] > 0.0 && figures["balancer_members_cut_off"] == 0.0);
     one.logged("instances: balancer-two joined, zone a");
     two.terminate();
@@ -65,7 +92,10 @@
     assert_eq!(admin.get("/control/instances").status(), 404);
     assert!(!admin.figures().keys().any(|name| name.contains("members")));
     let (sound, text) = told(&admin, &[]);
-    assert!(!sound && text.contains("no `[instances]` in its operators' file"), "{text}");
+    assert!(
+        !sound && text.contains("no `[instances]` in its operators' file"),
+        "{text}"
+    );
 }
 
 /// What cannot work is refused before anything listens, by the field and the file.
@@ -81,14 +111,24 @@
         ("", "`instances.key_file`"),
     ];
     for (more, field) in cases {
-        std::fs::write(&file, format!("[instances]\nlisten = \"127.0.0.1:0\"\n{more}\n")).unwrap();
+        std::fs::write(
+            &file,
+            format!("[instances]\nlisten = \"127.0.0.1:0\"\n{more}\n"),
+        )
+        .unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall"));
         let checked = command.arg("check").arg(&file).output().unwrap();
         let said = String::from_utf8(checked.stdout).unwrap();
-        assert!(!checked.status.success() && said.contains(field) && said.lines().count() == 1, "{said}");
+        assert!(
+            !checked.status.success() && said.contains(field) && said.lines().count() == 1,
+            "{said}"
+        );
         let environment = [("LB_OPERATOR", file.to_str().unwrap().to_owned())];
         let (status, said) = run_to_end_in(&config(refusing(), &[]).to_string(), &environment);
-        assert!(!status.success() && said.contains(field) && said.lines().count() == 1, "{said}");
+        assert!(
+            !status.success() && said.contains(field) && said.lines().count() == 1,
+            "{said}"
+        );
     }
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -9,16 +9,29 @@
 #[test]
 fn ready_is_told_at_the_second_address_alone() {
     let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let (program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, admin) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     assert_eq!(admin.get("/control/ready").status(), 200);
     assert_eq!(admin.get("/control/nothing").status(), 404);
-    assert_eq!(admin.get("/control/out-of-service").status(), 405, "a look changes nothing");
+    assert_eq!(
+        admin.get("/control/out-of-service").status(),
+        405,
+        "a look changes nothing"
+    );
     let mut caller = program.connect();
     caller.write("GET /control/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-    assert_eq!(caller.answer().unwrap().status(), 404, "callers can't reach the operators' calls");
+    assert_eq!(
+        caller.answer().unwrap().status(),
+        404,
+        "callers can't reach the operators' calls"
+    );
 
     let (_program, admin) = Program::start_with_admin(&config(refusing(), &[]));
-    assert_eq!(admin.get("/control/ready").status(), 503, "there is no upstream to send to");
+    assert_eq!(
+        admin.get("/control/ready").status(),
+        503,
+        "there is no upstream to send to"
+    );
 }
 
 #[test]
@@ -28,7 +41,8 @@
         line if line.contains("pay") => Act::Answer(full()),
         _ => Act::AnswerAndClose(String::new()),
     });
-    let (program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, admin) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     for (class, status) in [("look", 200), ("look", 200), ("post", 502), ("pay", 503)] {
         assert_eq!(program.call(class).status(), status);
     }
@@ -66,7 +80,8 @@
 #[test]
 fn a_drain_sends_clients_away_and_turns_no_request_back() {
     let upstream = Upstream::start(|_| Act::Answer(ok("done")));
-    let (program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, admin) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     let healthy = || {
         let mut caller = program.connect();
         caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
@@ -87,23 +102,38 @@
     loop {
         let answer = busy.call("look", LONG, "").expect("an answer");
         assert_eq!(answer.status(), 200);
-        if answer.headers.get("connection").is_some_and(|value| value == "close") {
+        if answer
+            .headers
+            .get("connection")
+            .is_some_and(|value| value == "close")
+        {
             break;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
     writing.write(start);
     assert!(idle.answer().is_none(), "an idle connection is closed");
-    assert!(asked.elapsed() < Duration::from_millis(3500), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(3500),
+        "{:?}",
+        asked.elapsed()
+    );
     writing.write(end);
-    assert_eq!(writing.answer().unwrap().status(), 200, "whoever was writing gets its answer");
+    assert_eq!(
+        writing.answer().unwrap().status(),
+        200,
+        "whoever was writing gets its answer"
+    );
 
     assert_eq!(admin.post("/control/in-service").status(), 200);
     assert_eq!(healthy(), 200);
     let mut caller = program.connect();
     for _ in 0..3 {
         let answer = caller.call("look", LONG, "").expect("an answer");
-        assert!(!answer.headers.contains_key("connection"), "clients stay again");
+        assert!(
+            !answer.headers.contains_key("connection"),
+            "clients stay again"
+        );
     }
 }
 
@@ -124,7 +154,11 @@
     let (status, log) = first.end();
     assert!(status.success(), "{log}");
     for _ in 0..20 {
-        assert_eq!(second.call("look").status(), 200, "all goes to the one that stayed");
+        assert_eq!(
+            second.call("look").status(),
+            200,
+            "all goes to the one that stayed"
+        );
     }
 }
 
@@ -165,10 +199,22 @@
     program.logged("configuration read again");
     let mut caller = program.connect();
     caller.send("fresh", "0.2", "b");
-    assert_eq!(caller.answer().unwrap().status(), 502, "it is sent, and the upstream is silent");
+    assert_eq!(
+        caller.answer().unwrap().status(),
+        502,
+        "it is sent, and the upstream is silent"
+    );
     assert_eq!(upstream.request().first_line, "POST /fresh?x=1 HTTP/1.1");
-    assert_eq!(program.call("look").status(), 200, "a caller that has not heard of the change yet");
-    assert_eq!(under_way.answer().unwrap().status(), 502, "it ends as it began, at its deadline");
+    assert_eq!(
+        program.call("look").status(),
+        200,
+        "a caller that has not heard of the change yet"
+    );
+    assert_eq!(
+        under_way.answer().unwrap().status(),
+        502,
+        "it ends as it began, at its deadline"
+    );
     let figures = admin.figures();
     assert_eq!(figures[r#"balancer_errors{kind="fresh"}"#], 1.0);
     assert_eq!(figures[r#"balancer_errors{kind="post"}"#], 1.0);
@@ -191,7 +237,9 @@
     assert_eq!(program.call("pay").status(), 502);
     assert_eq!(upstream.requests(), 1);
 
-    let strict = with_classes(&before, |classes| classes[1]["Effect"] = "non_idempotent".into());
+    let strict = with_classes(&before, |classes| {
+        classes[1]["Effect"] = "non_idempotent".into()
+    });
     program.reload(&strict.to_string());
     program.logged("configuration read again");
     let mut caller = program.connect();
@@ -217,7 +265,14 @@
         text[..text.len() / 2].to_owned(),
         wrong(&|file| drop(file.as_object_mut().unwrap().remove("settings"))),
         wrong(&|file| drop(file["settings"].as_object_mut().unwrap().remove("Classes"))),
-        wrong(&|file| drop(file["settings"]["Classes"][0].as_object_mut().unwrap().remove("DeadlineNs"))),
+        wrong(&|file| {
+            drop(
+                file["settings"]["Classes"][0]
+                    .as_object_mut()
+                    .unwrap()
+                    .remove("DeadlineNs"),
+            )
+        }),
         wrong(&|file| file["settings"]["Classes"][0]["DeadlineNs"] = 0.into()),
         wrong(&|file| file["settings"]["Classes"][0]["DeadlineNs"] = (-1).into()),
         wrong(&|file| file["settings"]["Limits"]["TryLimit"] = 0.into()),
@@ -242,27 +297,42 @@
 fn large_bodies_and_answers_pass_unchanged_and_their_connections_are_used_again() {
     let answer = large(3 << 20);
     let chunked = {
-        let parts = answer
-            .as_bytes()
-            .chunks(100_000)
-            .map(|part| format!("{:x}\r\n{}\r\n", part.len(), std::str::from_utf8(part).unwrap()));
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", parts.collect::<String>())
+        let parts = answer.as_bytes().chunks(100_000).map(|part| {
+            format!(
+                "{:x}\r\n{}\r\n",
+                part.len(),
+                std::str::from_utf8(part).unwrap()
+            )
+        });
+        format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n",
+            parts.collect::<String>()
+        )
     };
     let (whole, sent) = (answer.clone(), large(2 << 20));
     let upstream = Upstream::start(move |message| match message.first_line.contains("pay") {
         true => Act::Answer(chunked.clone()),
         false => Act::Answer(ok(&whole)),
     });
-    let (program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, admin) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     for _ in 0..3 {
         let got = caller.call("post", LONG, &sent).expect("an answer");
-        assert!(got.status() == 200 && got.body == answer.as_bytes(), "{}", got.first_line);
+        assert!(
+            got.status() == 200 && got.body == answer.as_bytes(),
+            "{}",
+            got.first_line
+        );
         assert!(upstream.request().body == sent.as_bytes());
     }
     caller.send("pay", LONG, "b");
     assert!(caller.chunked_answer().expect("an answer") == answer.as_bytes());
-    let connections = upstream.seen.try_iter().filter(|seen| matches!(seen, Seen::Connected)).count();
+    let connections = upstream
+        .seen
+        .try_iter()
+        .filter(|seen| matches!(seen, Seen::Connected))
+        .count();
     assert_eq!(connections, 0, "the first connection serves them all");
     assert_eq!(admin.figures()[r#"balancer_ok{kind="post"}"#], 3.0);
     assert_eq!(admin.figures()["balancer_active"], 0.0);
@@ -272,11 +342,14 @@
 #[test]
 fn answers_that_nobody_reads_take_no_memory() {
     let upstream = Upstream::start(|_| Act::Answer(ok(&large(16 << 20))));
-    let (program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, admin) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     program.call("look");
     let before = program.memory();
     let mut callers: Vec<_> = (0..12).map(|_| program.connect()).collect();
-    callers.iter_mut().for_each(|caller| caller.send("look", LONG, ""));
+    callers
+        .iter_mut()
+        .for_each(|caller| caller.send("look", LONG, ""));
     for caller in &mut callers {
         caller.await_data();
     }
@@ -284,7 +357,10 @@
     assert!(grown < 16 << 10, "{grown} KiB more for 192 MiB of answers");
     assert_eq!(admin.figures()["balancer_active"], 12.0);
     let mut last = callers.pop().unwrap();
-    assert_eq!(last.answer().expect("an answer").body.len(), large(16 << 20).len());
+    assert_eq!(
+        last.answer().expect("an answer").body.len(),
+        large(16 << 20).len()
+    );
     drop(callers);
     while admin.figures()["balancer_active"] > 0.0 {
         std::thread::sleep(Duration::from_millis(10));
@@ -294,12 +370,19 @@
 
 #[test]
 fn an_answer_that_breaks_off_shows_to_its_caller_and_is_not_tried_again() {
-    let broken = format!("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{}", large(200_000));
+    let broken = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{}",
+        large(200_000)
+    );
     let upstream = Upstream::start(move |_| Act::AnswerAndClose(broken.clone()));
-    let (program, admin) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, admin) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     caller.send("look", LONG, "");
-    assert!(caller.answer().is_none(), "the answer is short of its length");
+    assert!(
+        caller.answer().is_none(),
+        "the answer is short of its length"
+    );
     assert_eq!(upstream.requests(), 1);
     while admin.figures()["balancer_active"] > 0.0 {
         std::thread::sleep(Duration::from_millis(10));
@@ -315,14 +398,18 @@
     let (program, _) = Program::start_with_admin(&settings);
     let start = |length: usize| {
         let mut caller = program.connect();
-        let head =
-            request("post", LONG, "").replace("Content-Length: 0", &format!("Content-Length: {length}"));
+        let head = request("post", LONG, "")
+            .replace("Content-Length: 0", &format!("Content-Length: {length}"));
         caller.write(&head);
         caller
     };
     let (mut first, mut second) = (start(5 << 20), start(64 << 10));
     let mut third = start(5 << 20);
-    assert_eq!(third.answer().expect("an answer").status(), 503, "the first two have the room");
+    assert_eq!(
+        third.answer().expect("an answer").status(),
+        503,
+        "the first two have the room"
+    );
     assert_eq!(start(40 << 20).answer().expect("an answer").status(), 413);
     // Longer than any head may take: what counts is that it goes on.
     for part in large(64 << 10).as_bytes().chunks(4 << 10) {
@@ -330,13 +417,16 @@
         std::thread::sleep(Duration::from_millis(200));
     }
     assert_eq!(second.answer().expect("an answer").status(), 200);
-    assert!(first.answer().is_none(), "a body that does not come is not waited for");
+    assert!(
+        first.answer().is_none(),
+        "a body that does not come is not waited for"
+    );
 }
 
 /// A folder that two programs share.
 fn shared(name: &str) -> std::path::PathBuf {
-    let folder =
-        std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+    let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
@@ -346,7 +436,8 @@
     let folder = shared("upgrade");
     let environment = [("TMPDIR", folder.to_str().unwrap().to_owned())];
     let sound = Upstream::start(|_| Act::Answer(ok("done")));
-    let broken = Upstream::start(|_| Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()));
+    let broken =
+        Upstream::start(|_| Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()));
     let mut settings = config(refusing(), &in_service(&[&sound, &broken]));
     let (first, operators) = Program::start_in(&settings, &environment);
     while operators.figures()["balancer_pool_ejected"] == 0.0 {
@@ -354,7 +445,11 @@
     }
     settings["listen"] = first.address.to_string().into();
     let (second, operators) = Program::start_in(&settings, &environment);
-    assert_eq!(operators.figures()["balancer_pool_ejected"], 1.0, "before its first call");
+    assert_eq!(
+        operators.figures()["balancer_pool_ejected"],
+        1.0,
+        "before its first call"
+    );
     // The second can be asked in turn.
     first.terminate();
     assert!(first.end().0.success());
@@ -375,7 +470,10 @@
     let mut settings = config(refusing(), &in_service(&[&upstream]));
     let (first, _) = Program::start_in(&settings, &environment);
     settings["listen"] = first.address.to_string().into();
-    let path = folder.join(format!("woadstall-127.0.0.1-{}.state", first.address.port()));
+    let path = folder.join(format!(
+        "woadstall-127.0.0.1-{}.state",
+        first.address.port()
+    ));
     for nonsense in ["", "{\"version\":9}", "{\"version\":1,\"classes\""] {
         std::fs::remove_file(&path).unwrap();
         let listener = std::os::unix::net::UnixListener::bind(&path).unwrap();
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -29,14 +29,22 @@
             }
             false => Act::Answer(ok("served")),
         });
-        Self { upstream, held, broken }
+        Self {
+            upstream,
+            held,
+            broken,
+        }
     }
 }
 
 /// A keyed request is held at its upstream, the class `pay` changes at a SIGHUP, and then the attempt breaks. Returns
 /// the status that the caller gets, and how many attempts there were after the first.
 fn changed_under_way(change: impl Fn(&mut Value)) -> (u16, usize) {
-    let Breaking { upstream, held, broken } = Breaking::start();
+    let Breaking {
+        upstream,
+        held,
+        broken,
+    } = Breaking::start();
     let other = Upstream::start(|_| Act::Answer(ok("repeated")));
     let discovery = Discovery::start();
     let before = config(discovery.address, &in_service(&[&upstream]));
@@ -60,22 +68,38 @@
 fn a_keyed_request_under_way_is_repeated_while_its_terms_stay() {
     assert_eq!(changed_under_way(|_| {}), (200, 1));
     // A longer window is not its own.
-    assert_eq!(changed_under_way(|class| class["WindowNs"] = json!(90_000_000_000_u64)), (200, 1));
+    assert_eq!(
+        changed_under_way(|class| class["WindowNs"] = json!(90_000_000_000_u64)),
+        (200, 1)
+    );
     // Where repeats would be harmless now, they are harmless for it as well.
-    assert_eq!(changed_under_way(|class| class["Effect"] = json!("read_like")), (200, 1));
+    assert_eq!(
+        changed_under_way(|class| class["Effect"] = json!("read_like")),
+        (200, 1)
+    );
 }
 
 /// Guards rule 2: upstreams may go by the new terms already.
 #[test]
 fn stricter_terms_hold_for_a_keyed_request_under_way() {
-    assert_eq!(changed_under_way(|class| class["Effect"] = json!("non_idempotent")), (502, 0));
-    assert_eq!(changed_under_way(|class| class["WindowNs"] = json!(1)), (502, 0));
+    assert_eq!(
+        changed_under_way(|class| class["Effect"] = json!("non_idempotent")),
+        (502, 0)
+    );
+    assert_eq!(
+        changed_under_way(|class| class["WindowNs"] = json!(1)),
+        (502, 0)
+    );
 }
 
 /// A class that changes its place in the settings, or its name, leaves the requests under way as they are.
 #[test]
 fn positions_and_names_may_change_under_way() {
-    let Breaking { upstream, held, broken } = Breaking::start();
+    let Breaking {
+        upstream,
+        held,
+        broken,
+    } = Breaking::start();
     for rename in [false, true] {
         let before = config(refusing(), &in_service(&[&upstream]));
         let mut program = Program::start(&before);
@@ -92,10 +116,18 @@
         program.logged("configuration read again");
         upstream.seen.try_iter().for_each(drop);
         broken.wait();
-        assert_eq!(caller.answer().expect("an answer").status(), 502, "unsafe work stays so");
+        assert_eq!(
+            caller.answer().expect("an answer").status(),
+            502,
+            "unsafe work stays so"
+        );
         assert_eq!(upstream.requests(), 0, "it may have run");
         for class in ["look", "pay"] {
-            assert_eq!(program.call(class).status(), 200, "{class} means what it meant");
+            assert_eq!(
+                program.call(class).status(),
+                200,
+                "{class} means what it meant"
+            );
         }
         if rename {
             let request = request("post", LONG, "b").replace("post", "send");
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -17,7 +17,10 @@
     let held = Mutex::new(held);
     let upstream = Upstream::start(move |message| {
         if message.first_line.starts_with("POST") {
-            held.lock().unwrap().recv_timeout(PATIENCE).expect("to be let go");
+            held.lock()
+                .unwrap()
+                .recv_timeout(PATIENCE)
+                .expect("to be let go");
         }
         Act::Answer(ok(&String::from_utf8_lossy(&message.body)))
     });
@@ -27,14 +30,17 @@
 /// Sends SIGTERM, and waits until the program has heard of it.
 fn terminate(program: &Program, operators: &Operators) {
     program.terminate();
-    until("it stops", || operators.get("/control/ready").status() == 503);
+    until("it stops", || {
+        operators.get("/control/ready").status() == 503
+    });
 }
 
 /// What a client has written ahead was taken, and comes before the end of its connection.
 #[test]
 fn requests_written_ahead_are_answered_before_the_connection_ends() {
     let (upstream, let_go) = holding();
-    let (program, operators) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, operators) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     let bodies = ["one", "two", "three"];
     caller.write(&bodies.map(|body| request("post", LONG, body)).concat());
@@ -42,7 +48,9 @@
     terminate(&program, &operators);
     for body in bodies {
         let_go.send(()).unwrap();
-        let answer = caller.answer().unwrap_or_else(|| panic!("no answer to {body}"));
+        let answer = caller
+            .answer()
+            .unwrap_or_else(|| panic!("no answer to {body}"));
         assert_eq!((answer.status(), &answer.body[..]), (200, body.as_bytes()));
     }
     assert!(caller.answer().is_none(), "then it ends");
@@ -58,13 +66,21 @@
     let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
     let mut resting = TcpStream::connect(program.address).unwrap();
     resting.set_read_timeout(Some(PATIENCE)).unwrap();
-    resting.write_all(request("look", LONG, "").as_bytes()).unwrap();
+    resting
+        .write_all(request("look", LONG, "").as_bytes())
+        .unwrap();
     assert!(resting.read(&mut [0; 1024]).unwrap() > 0, "an answer");
     upstream.request();
     program.terminate();
     // Its answer was complete before the signal, so what comes next is the end.
-    assert_eq!(resting.read(&mut [0; 1024]).unwrap(), 0, "the end of the connection");
-    resting.write_all(request("post", LONG, "crossing").as_bytes()).unwrap();
+    assert_eq!(
+        resting.read(&mut [0; 1024]).unwrap(),
+        0,
+        "the end of the connection"
+    );
+    resting
+        .write_all(request("post", LONG, "crossing").as_bytes())
+        .unwrap();
     resting.shutdown(Shutdown::Write).unwrap();
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
@@ -78,14 +94,18 @@
 #[test]
 fn a_head_that_has_begun_may_come_to_its_end() {
     let upstream = Upstream::start(|_| Act::Answer(ok("served")));
-    let (program, operators) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let (program, operators) =
+        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
     let whole = request("post", LONG, "b");
     let (begin, rest) = whole.split_at(whole.len() / 2);
     let (mut caller, mut other) = (program.connect(), program.connect());
     caller.write(begin);
     assert_eq!(other.call("look", LONG, "").unwrap().status(), 200);
     terminate(&program, &operators);
-    assert!(other.answer().is_none(), "connections between requests are closed by now");
+    assert!(
+        other.answer().is_none(),
+        "connections between requests are closed by now"
+    );
     caller.write(rest);
     assert_eq!(caller.answer().expect("an answer").body, b"served");
     let (status, log) = program.end();
@@ -104,7 +124,11 @@
     terminate(&program, &operators);
     program.reload("{");
     program.terminate();
-    assert_eq!(operators.get("/control/ready").status(), 503, "it still runs");
+    assert_eq!(
+        operators.get("/control/ready").status(),
+        503,
+        "it still runs"
+    );
     let_go.send(()).unwrap();
     assert_eq!(caller.answer().expect("an answer").body, b"held");
     let (status, log) = program.end();
@@ -125,7 +149,11 @@
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
     // Half a second for new connections, a second for what may cross; the deadline of the classes is a minute.
-    assert!(signal.elapsed() < Duration::from_secs(20), "{:?}", signal.elapsed());
+    assert!(
+        signal.elapsed() < Duration::from_secs(20),
+        "{:?}",
+        signal.elapsed()
+    );
 }
 
 /// A client that sends more than it was answered for: its body is unread when it is refused, and the refusal arrives.
@@ -148,7 +176,11 @@
         assert!(written.is_ok(), "reset while it wrote: {written:?}");
         let mut answer = Vec::new();
         let read = stream.read_to_end(&mut answer);
-        assert!(read.as_ref().is_ok_and(|_| answer.starts_with(b"HTTP/1.1 503")), "{read:?}");
+        assert!(
+            read.as_ref()
+                .is_ok_and(|_| answer.starts_with(b"HTTP/1.1 503")),
+            "{read:?}"
+        );
         assert!(!matches!(read, Err(ref error) if error.kind() == ErrorKind::ConnectionReset));
     }
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -26,16 +26,27 @@
     let upstream = Upstream::start(|_| Act::Answer(ok("the answer")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
-    caller.write(&named_request("9b1f03aa5c7e2d41", "pay", "12.5", "the body"));
+    caller.write(&named_request(
+        "9b1f03aa5c7e2d41",
+        "pay",
+        "12.5",
+        "the body",
+    ));
     let answer = caller.answer().unwrap();
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"the answer"[..]));
+    assert_eq!(
+        (answer.status(), &answer.body[..]),
+        (200, &b"the answer"[..])
+    );
     let got = upstream.request();
     assert_eq!(got.first_line, "POST /pay?x=1 HTTP/1.1");
     assert_eq!(got.body, b"the body");
     assert_eq!(got.headers["x-call-id"], "9b1f03aa5c7e2d41");
     assert_eq!(got.headers["idempotency-key"], "5c0f6e1a");
     let budget: f64 = got.headers["x-budget"].parse().unwrap();
-    assert!(budget > 0.0 && budget < 12.5, "the upstream is told {budget}");
+    assert!(
+        budget > 0.0 && budget < 12.5,
+        "the upstream is told {budget}"
+    );
 }
 
 #[test]
@@ -46,7 +57,11 @@
     for _ in 0..20 {
         assert_eq!(caller.call("post", LONG, "b").unwrap().status(), 200);
     }
-    let connections = upstream.seen.try_iter().filter(|seen| matches!(seen, Seen::Connected)).count();
+    let connections = upstream
+        .seen
+        .try_iter()
+        .filter(|seen| matches!(seen, Seen::Connected))
+        .count();
     assert_eq!(connections, 1);
 }
 
@@ -70,7 +85,11 @@
         let upstream = Upstream::start(once(Act::AnswerAndClose(first.into())));
         let program = served_by(&upstream);
         let answer = program.call("post");
-        assert!(![200, 429, 503].contains(&answer.status()), "{first:?} became {}", answer.first_line);
+        assert!(
+            ![200, 429, 503].contains(&answer.status()),
+            "{first:?} became {}",
+            answer.first_line
+        );
         assert_eq!(upstream.requests(), 1, "{first:?}");
     }
 }
@@ -81,20 +100,35 @@
     for first in ["", partial] {
         let upstream = Upstream::start(once(Act::AnswerAndClose(first.into())));
         let answer = served_by(&upstream).call("pay");
-        assert_eq!((answer.status(), &answer.body[..]), (200, &b"second"[..]), "{first:?}");
+        assert_eq!(
+            (answer.status(), &answer.body[..]),
+            (200, &b"second"[..]),
+            "{first:?}"
+        );
     }
 }
 
 #[test]
 fn sends_unsafe_work_again_that_never_ran() {
     let upstream = Upstream::start(once(Act::Answer(full())));
-    assert_eq!(served_by(&upstream).call("post").status(), 200, "turned away, then served");
+    assert_eq!(
+        served_by(&upstream).call("post").status(),
+        200,
+        "turned away, then served"
+    );
 
     let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let list = [target("s-dead", refusing(), "in_service"), target("s-0", upstream.address, "in_service")];
+    let list = [
+        target("s-dead", refusing(), "in_service"),
+        target("s-0", upstream.address, "in_service"),
+    ];
     let program = Program::start(&config(refusing(), &list));
     for _ in 0..4 {
-        assert_eq!(program.call("post").status(), 200, "refused by one upstream, served by the other");
+        assert_eq!(
+            program.call("post").status(),
+            200,
+            "refused by one upstream, served by the other"
+        );
     }
 }
 
@@ -112,9 +146,15 @@
     let upstream = Upstream::start(|_| Act::Silence);
     let program = served_by(&upstream);
     let asked = Instant::now();
-    let answer = program.connect().call("post", "0.300", "b").expect("an answer, not an end");
+    let answer = program
+        .connect()
+        .call("post", "0.300", "b")
+        .expect("an answer, not an end");
     assert_eq!(answer.status(), 502);
-    assert!(asked.elapsed() >= Duration::from_millis(300), "it waits as long as the caller");
+    assert!(
+        asked.elapsed() >= Duration::from_millis(300),
+        "it waits as long as the caller"
+    );
     upstream.request();
     upstream.closed(); // or the upstream would work on for nobody
 }
@@ -143,21 +183,39 @@
         (good.replace("1.0", "1e300"), 400),
         (good.replace("acme", "nobody"), 400),
         (good.replace("X-Caller: acme\r\n", ""), 400),
-        (good.replace("X-Call-Id: 9b1f03aa5c7e2d41", "X-Call-Id: "), 400),
+        (
+            good.replace("X-Call-Id: 9b1f03aa5c7e2d41", "X-Call-Id: "),
+            400,
+        ),
         (good.replace("X-Call-Class: pay", "X-Call-Class: post"), 400),
         (good.replace("Idempotency-Key: 5c0f6e1a\r\n", ""), 400),
-        (good.replace("X-Caller", "X-Call-Cost: much\r\nX-Caller"), 400),
-        (good.replace("/pay", "/other").replace("Class: pay", "Class: other"), 404),
+        (
+            good.replace("X-Caller", "X-Call-Cost: much\r\nX-Caller"),
+            400,
+        ),
+        (
+            good.replace("/pay", "/other")
+                .replace("Class: pay", "Class: other"),
+            404,
+        ),
         (good.replace("/pay", "/"), 404),
         (good.replace("POST", "GET"), 405),
-        (good.replace("Content-Length: 4", "Content-Length: 33554433"), 413),
-        (good.replace("Content-Length: 4", "Content-Length: four"), 400),
+        (
+            good.replace("Content-Length: 4", "Content-Length: 33554433"),
+            413,
+        ),
+        (
+            good.replace("Content-Length: 4", "Content-Length: four"),
+            400,
+        ),
         ("nonsense\r\n\r\n".into(), 400),
     ];
     for (text, status) in cases {
         let mut caller = program.connect();
         caller.write(&text);
-        let answer = caller.answer().unwrap_or_else(|| panic!("no answer to {text:?}"));
+        let answer = caller
+            .answer()
+            .unwrap_or_else(|| panic!("no answer to {text:?}"));
         assert_eq!(answer.status(), status, "{text:?}");
     }
     assert_eq!(upstream.requests(), 0);
@@ -171,18 +229,30 @@
     let program = served_by(&upstream);
     let hidden = format!("0\r\n\r\n{}", request("post", LONG, "hidden"));
     let plain = request("pay", LONG, "");
-    let (length, chunked) =
-        (format!("Content-Length: {}\r\n", hidden.len()), "Transfer-Encoding: chunked\r\n");
+    let (length, chunked) = (
+        format!("Content-Length: {}\r\n", hidden.len()),
+        "Transfer-Encoding: chunked\r\n",
+    );
     for both in [format!("{length}{chunked}"), format!("{chunked}{length}")] {
         let mut caller = program.connect();
         caller.write(&(plain.replace("Content-Length: 0\r\n", &both) + &hidden));
         assert_eq!(caller.answer().expect("an answer").status(), 400, "{both}");
-        assert!(caller.answer().is_none(), "the connection is of no further use");
+        assert!(
+            caller.answer().is_none(),
+            "the connection is of no further use"
+        );
     }
     assert_eq!(upstream.requests(), 0);
     let mut caller = program.connect();
-    caller.write(&plain.replace("Content-Length: 0\r\n\r\n", &format!("{chunked}\r\n3\r\nabc\r\n0\r\n\r\n")));
-    assert_eq!(caller.answer().unwrap().status(), 200, "chunks alone are sound");
+    caller.write(&plain.replace(
+        "Content-Length: 0\r\n\r\n",
+        &format!("{chunked}\r\n3\r\nabc\r\n0\r\n\r\n"),
+    ));
+    assert_eq!(
+        caller.answer().unwrap().status(),
+        200,
+        "chunks alone are sound"
+    );
     assert_eq!(upstream.request().body, b"abc");
 }
 
@@ -193,21 +263,36 @@
     let program = served_by(&upstream);
     let good = request("pay", LONG, "body");
     let head = good.split("X-Budget").next().unwrap();
-    let cases = ["", head, &good[..good.len() - 2], &good.replace("Content-Length: 4", "Content-Length: 5")];
+    let cases = [
+        "",
+        head,
+        &good[..good.len() - 2],
+        &good.replace("Content-Length: 4", "Content-Length: 5"),
+    ];
     for begun in cases {
         let mut caller = program.connect();
         caller.write(begun);
         // An error or the end comes; the program would else wait for the rest, and the test with it.
-        assert!(caller.answer().is_none_or(|answer| answer.status() == 408), "{begun:?}");
+        assert!(
+            caller.answer().is_none_or(|answer| answer.status() == 408),
+            "{begun:?}"
+        );
     }
     let mut caller = program.connect();
     caller.write(&format!("{head}X-Pad: {}", "p".repeat(20 << 10)));
-    assert!(caller.answer().is_none_or(|answer| answer.status() == 431), "a head over 8 KiB");
+    assert!(
+        caller.answer().is_none_or(|answer| answer.status() == 431),
+        "a head over 8 KiB"
+    );
     assert_eq!(upstream.requests(), 0);
     let mut caller = program.connect();
     assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
     std::thread::sleep(Duration::from_secs(4));
-    assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200, "one that has asked may rest");
+    assert_eq!(
+        caller.call("pay", LONG, "b").unwrap().status(),
+        200,
+        "one that has asked may rest"
+    );
 }
 
 /// Guards usual clients against crowds: those that have never asked go first.
@@ -220,7 +305,11 @@
     let mut caller = program.connect();
     assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
     let crowd: Vec<Caller> = (0..150).map(|_| program.connect()).collect();
-    assert_eq!(program.call("post").status(), 200, "a new caller finds a place");
+    assert_eq!(
+        program.call("post").status(),
+        200,
+        "a new caller finds a place"
+    );
     assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
     drop(crowd);
 }
@@ -259,7 +348,11 @@
     let program = served_by(&upstream);
     let mut caller = program.connect();
     let requests = [("1.0", "slow"), ("0.2", "quick"), (LONG, "quick")];
-    caller.write(&requests.map(|(budget, body)| request("post", budget, body)).concat());
+    caller.write(
+        &requests
+            .map(|(budget, body)| request("post", budget, body))
+            .concat(),
+    );
     assert_eq!(caller.answer().unwrap().status(), 502);
     assert_ne!(caller.answer().unwrap().status(), 200, "its time is over");
     assert_eq!(caller.answer().unwrap().body, b"quick");
@@ -277,13 +370,19 @@
 fn takes_a_body_of_the_largest_size() {
     let upstream = Upstream::start(|message| Act::Answer(ok(&"a".repeat(message.body.len()))));
     let program = served_by(&upstream);
-    let answer = program.connect().call("post", LONG, &"b".repeat(64 << 10)).unwrap();
+    let answer = program
+        .connect()
+        .call("post", LONG, &"b".repeat(64 << 10))
+        .unwrap();
     assert_eq!((answer.status(), answer.body.len()), (200, 64 << 10));
 }
 
 #[test]
 fn does_not_pass_on_an_answer_that_is_too_large() {
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", (32 << 20) + 1);
+    let head = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+        (32 << 20) + 1
+    );
     let upstream = Upstream::start(move |_| Act::Answer(head.clone() + &"a".repeat(100_000)));
     assert_eq!(served_by(&upstream).call("post").status(), 502);
 }
@@ -311,7 +410,10 @@
     let nonsense = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{\"rev\":";
     for (mode, first) in [("push", failure), ("push", nonsense), ("ask", failure)] {
         let discovery = Discovery::start_failing(first);
-        let mut config = config(discovery.address, &[target("s-old", refusing(), "in_service")]);
+        let mut config = config(
+            discovery.address,
+            &[target("s-old", refusing(), "in_service")],
+        );
         config["settings"]["Discovery"] = mode.into();
         config["settings"]["Safety"]["AskWithinNs"] = 10_000_000_000_u64.into();
         let program = Program::start(&config);
@@ -349,8 +451,9 @@
     let program = Program::start(&config(discovery.address, &in_service(&[&upstream])));
     let publish = |round: usize| {
         let uid = |at: usize| format!("s-{round}-{at}-{}", "x".repeat(200));
-        let fleet: Vec<String> =
-            (0..300).map(|at| target(&uid(at), upstream.address, "in_service")).collect();
+        let fleet: Vec<String> = (0..300)
+            .map(|at| target(&uid(at), upstream.address, "in_service"))
+            .collect();
         discovery.publish(&fleet);
         assert_eq!(program.call("post").status(), 200);
     };
@@ -384,9 +487,13 @@
 /// is of no further use.
 #[test]
 fn gives_up_spoilt_answers_at_once() {
-    let endless = format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: pppppppppp\r\n".repeat(2000));
+    let endless = format!(
+        "HTTP/1.1 200 OK\r\n{}",
+        "X-Pad: pppppppppp\r\n".repeat(2000)
+    );
     let huge = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbegun".to_owned();
-    let chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_owned();
+    let chunks =
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_owned();
     for spoilt in [endless, huge, chunks, "noise\r\n\r\n".to_owned()] {
         let upstream = Upstream::start(once(Act::Answer(spoilt.clone())));
         let program = served_by(&upstream);
@@ -395,8 +502,7 @@
         assert_eq!(upstream.requests(), 0, "it may have run");
         assert_eq!(program.call("post").body, b"second");
     }
-    let sound =
-        "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Load-Report: {{\r\nContent-Length: 2\r\n\r\nok";
+    let sound = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Load-Report: {{\r\nContent-Length: 2\r\n\r\nok";
     let upstream = Upstream::start(move |_| Act::Answer(sound.into()));
     assert_eq!(served_by(&upstream).call("post").body, b"ok");
 }
@@ -421,8 +527,10 @@
 /// new one's versions say nothing of the old one's.
 #[test]
 fn follows_another_discovery_after_a_hangup() {
-    let (old, new) =
-        (Upstream::start(|_| Act::Answer(ok("old"))), Upstream::start(|_| Act::Answer(ok("new"))));
+    let (old, new) = (
+        Upstream::start(|_| Act::Answer(ok("old"))),
+        Upstream::start(|_| Act::Answer(ok("new"))),
+    );
     let (first, second) = (Discovery::start(), Discovery::start());
     let mut config = config(second.address, &in_service(&[&old]));
     let mut program = Program::start_with(&config, &[("LB_DISCOVERY", first.address.to_string())]);
@@ -431,7 +539,11 @@
     program.reload("{");
     assert!(program.logged("configuration kept").contains("not sound"));
     first.publish(&[target("s-old", old.address, "in_service")]);
-    assert_eq!(program.call("post").body, b"old", "the former configuration stays");
+    assert_eq!(
+        program.call("post").body,
+        b"old",
+        "the former configuration stays"
+    );
 
     config["discovery"] = second.address.to_string().into();
     second.set(&[target("s-new", new.address, "in_service")]);
@@ -444,7 +556,10 @@
 
 #[test]
 fn sends_nothing_new_to_an_upstream_that_drains_or_is_gone() {
-    let (old, new) = (Upstream::start(|_| Act::Answer(ok(""))), Upstream::start(|_| Act::Answer(ok(""))));
+    let (old, new) = (
+        Upstream::start(|_| Act::Answer(ok(""))),
+        Upstream::start(|_| Act::Answer(ok(""))),
+    );
     for listed in [vec![target("s-0", old.address, "terminating")], vec![]] {
         let discovery = Discovery::start();
         let program = Program::start(&config(discovery.address, &in_service(&[&old])));
@@ -463,7 +578,10 @@
 
 #[test]
 fn follows_an_upstream_to_its_new_address() {
-    let (old, new) = (Upstream::start(|_| Act::Answer(ok(""))), Upstream::start(|_| Act::Answer(ok(""))));
+    let (old, new) = (
+        Upstream::start(|_| Act::Answer(ok(""))),
+        Upstream::start(|_| Act::Answer(ok(""))),
+    );
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&old])));
     assert_eq!(program.call("post").status(), 200);
@@ -487,7 +605,10 @@
         assert_eq!(caller.call("look", LONG, "").expect("served").status(), 200);
     }
     for caller in &mut callers[..40] {
-        assert!(caller.answer().is_none(), "the connections idle for longest are closed");
+        assert!(
+            caller.answer().is_none(),
+            "the connections idle for longest are closed"
+        );
     }
     for caller in &mut callers[40..] {
         caller.send("post", LONG, "b");
@@ -495,7 +616,11 @@
     }
     for _ in 0..40 {
         let answer = program.call("look");
-        assert_eq!(answer.status(), 503, "told at once, not left in the backlog");
+        assert_eq!(
+            answer.status(),
+            503,
+            "told at once, not left in the backlog"
+        );
         assert!(answer.headers.contains_key("retry-after"));
     }
     callers.clear();
@@ -533,15 +658,21 @@
     let served = |answer: Option<Message>| answer.is_some_and(|answer| answer.status() == 200);
     let mut on_new = true;
     let last = open.call("look", LONG, "");
-    let on_open =
-        last.as_ref().is_some_and(|last| last.headers.get("connection").is_some_and(|c| c == "close"));
+    let on_open = last
+        .as_ref()
+        .is_some_and(|last| last.headers.get("connection").is_some_and(|c| c == "close"));
     let on_open = on_open && served(last) && open.answer().is_none();
     while signal.elapsed() < Duration::from_millis(300) {
-        on_new &= program.try_connect().is_some_and(|mut caller| served(caller.call("look", LONG, "")));
+        on_new &= program
+            .try_connect()
+            .is_some_and(|mut caller| served(caller.call("look", LONG, "")));
     }
     let judged = signal.elapsed() < Duration::from_millis(400);
     assert!(!judged || on_new, "new connections are still taken");
-    assert!(!judged || on_open, "open ones are served, and end with that answer");
+    assert!(
+        !judged || on_open,
+        "open ones are served, and end with that answer"
+    );
     assert!(idle.answer().is_none(), "then idle ones are closed");
     held.wait();
     assert_eq!(busy.answer().expect("the answer held").status(), 200);
@@ -566,14 +697,26 @@
         (break_at("/limits/memory_mb", 1.into()), "memory_mb"),
         (break_at("/settings/Zones", 3.into()), "Zones"),
         (break_at("/settings/Zone", 7.into()), "zone"),
-        (break_at("/settings/Classes", serde_json::json!([])), "classes"),
-        (break_at("/settings/Limits/TryLimit", "six".into()), "TryLimit"),
-        (good.to_string().replace("\"settings\"", "\"wishes\""), "settings"),
+        (
+            break_at("/settings/Classes", serde_json::json!([])),
+            "classes",
+        ),
+        (
+            break_at("/settings/Limits/TryLimit", "six".into()),
+            "TryLimit",
+        ),
+        (
+            good.to_string().replace("\"settings\"", "\"wishes\""),
+            "settings",
+        ),
         ("{".into(), "configuration"),
     ];
     for (text, field) in cases {
         let (status, log) = run_to_end(&text);
         assert!(!status.success(), "{field}");
-        assert!(log.contains(field) && log.lines().count() == 1, "{field}: {log:?}");
+        assert!(
+            log.contains(field) && log.lines().count() == 1,
+            "{field}: {log:?}"
+        );
     }
 }
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -34,7 +34,13 @@
 }
 
 fn ask(system: &System, path: &str) -> Option<Message> {
-    call(system.front(0), "POST", path, "Request-Id: r-1\r\nDeadline: 4000\r\n", b"{}")
+    call(
+        system.front(0),
+        "POST",
+        path,
+        "Request-Id: r-1\r\nDeadline: 4000\r\n",
+        b"{}",
+    )
 }
 
 fn status(system: &System, path: &str) -> u16 {
@@ -53,7 +59,10 @@
     let upstream = Upstream::start(|request| Act::Answer(answer(request, "hello")));
     system.register(1, "i-1", "s", upstream.address, 0);
     let reply = ask(&system, "/safe/1?a=b").expect("an answer");
-    assert_eq!((reply.status(), reply.body.as_slice()), (200, &b"hello"[..]));
+    assert_eq!(
+        (reply.status(), reply.body.as_slice()),
+        (200, &b"hello"[..])
+    );
     assert_eq!(reply.headers["response-stamp"], "stamp-r-1");
     let request = upstream.request();
     assert_eq!(request.first_line, "POST /safe/1?a=b HTTP/1.1");
@@ -88,7 +97,14 @@
     let read: Value = serde_json::from_slice(&read.body).unwrap();
     assert_eq!(read, configuration(8, &all_routes()));
 
-    let directory = call(system.directory(1), "GET", "/v1/resolve?zone=zone-0", "", b"").expect("an answer");
+    let directory = call(
+        system.directory(1),
+        "GET",
+        "/v1/resolve?zone=zone-0",
+        "",
+        b"",
+    )
+    .expect("an answer");
     assert!(String::from_utf8_lossy(&directory.body).contains(&system.front(0).to_string()));
     let ready = call(system.ready(0), "GET", "/v1/readiness", "", b"").expect("an answer");
     assert_eq!(ready.status(), 200);
@@ -106,7 +122,10 @@
     let ready = call(system.ready(0), "GET", "/v1/readiness", "", b"").expect("an answer");
     assert_eq!(ready.status(), 503);
     let reply = ask(&system, "/safe/1").expect("clients that heard late are still served");
-    assert_eq!((reply.status(), reply.headers["connection"].as_str()), (200, "close"));
+    assert_eq!(
+        (reply.status(), reply.headers["connection"].as_str()),
+        (200, "close")
+    );
     assert!(front.wait().success());
 }
 
@@ -118,10 +137,18 @@
     let other = Upstream::start(|_| Act::AnswerAndClose(String::new()));
     system.register(0, "i-1", "s", one.address, 0);
     system.register(0, "i-2", "s", other.address, 0);
-    assert_eq!(status(&system, "/once/1"), 502, "no promise that it has not run");
+    assert_eq!(
+        status(&system, "/once/1"),
+        502,
+        "no promise that it has not run"
+    );
     assert_eq!(one.requests() + other.requests(), 1);
     assert_eq!(status(&system, "/safe/1"), 502);
-    assert_eq!(one.requests() + other.requests(), 2, "a safe one goes to two upstreams");
+    assert_eq!(
+        one.requests() + other.requests(),
+        2,
+        "a safe one goes to two upstreams"
+    );
 }
 
 #[test]
@@ -130,7 +157,8 @@
     system.configure(0, 0, &configuration(1, &all_routes()));
     let full = Upstream::start(|_| {
         Act::Answer(
-            "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+                .to_owned(),
         )
     });
     system.register(0, "i-1", "s", full.address, 0);
@@ -148,11 +176,15 @@
 fn an_upstreams_error_is_passed_on_unless_another_one_may_do_better() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let error = |request: &Message| Act::Answer(answer(request, "broken").replace("200 OK", "500 Broken"));
+    let error =
+        |request: &Message| Act::Answer(answer(request, "broken").replace("200 OK", "500 Broken"));
     let failing = Upstream::start(error);
     system.register(0, "i-1", "s", failing.address, 0);
     let passed_on = ask(&system, "/safe/1").expect("an answer");
-    assert_eq!((passed_on.status(), passed_on.body.as_slice()), (500, &b"broken"[..]));
+    assert_eq!(
+        (passed_on.status(), passed_on.body.as_slice()),
+        (500, &b"broken"[..])
+    );
     let sound = Upstream::start(|request| Act::Answer(answer(request, "hello")));
     system.register(0, "i-2", "s", sound.address, 0);
     assert_eq!(status(&system, "/safe/1"), 200);
@@ -163,21 +195,27 @@
 fn an_upstreams_error_of_a_request_that_may_run_once_is_passed_on() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let error = |request: &Message| Act::Answer(answer(request, "broken").replace("200 OK", "500 Broken"));
+    let error =
+        |request: &Message| Act::Answer(answer(request, "broken").replace("200 OK", "500 Broken"));
     let (one, other) = (Upstream::start(error), Upstream::start(error));
     system.register(0, "i-1", "s", one.address, 0);
     system.register(0, "i-2", "s", other.address, 0);
     assert_eq!(status(&system, "/once/1"), 500);
     assert_eq!(one.requests() + other.requests(), 1);
     assert_eq!(status(&system, "/safe/1"), 500);
-    assert_eq!(one.requests() + other.requests(), 2, "a safe one is tried at both");
+    assert_eq!(
+        one.requests() + other.requests(),
+        2,
+        "a safe one is tried at both"
+    );
 }
 
 #[test]
 fn an_answer_that_belongs_to_another_request_is_no_answer() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let mixed = Upstream::start(|request| Act::Answer(answer(request, "hello").replace("r-1", "r-2")));
+    let mixed =
+        Upstream::start(|request| Act::Answer(answer(request, "hello").replace("r-1", "r-2")));
     system.register(0, "i-1", "s", mixed.address, 0);
     assert_eq!(status(&system, "/once/1"), 502);
 }
@@ -207,10 +245,14 @@
     let mut route = route("stream", "/stream/", "streaming");
     route["resumable"] = false.into();
     system.configure(0, 0, &configuration(1, &[route]));
-    let upstream =
-        Upstream::start(|request| Act::AnswerAndClose(events(request, &["id: 1\ndata: a\n\n"], false)));
+    let upstream = Upstream::start(|request| {
+        Act::AnswerAndClose(events(request, &["id: 1\ndata: a\n\n"], false))
+    });
     system.register(0, "i-1", "s", upstream.address, 0);
-    assert!(ask(&system, "/stream/1").is_none(), "a stream without its end");
+    assert!(
+        ask(&system, "/stream/1").is_none(),
+        "a stream without its end"
+    );
 }
 
 #[test]
@@ -224,7 +266,8 @@
     let body = |system: &System| ask(system, "/safe/1").expect("an answer").body;
     assert_eq!(body(&system), b"near");
     let order = |method: &str| {
-        let done = call(system.control(2), method, "/v1/evacuations/zone-0", "", b"").expect("an answer");
+        let done =
+            call(system.control(2), method, "/v1/evacuations/zone-0", "", b"").expect("an answer");
         assert_eq!(done.status(), 200);
         system.front_process(0).wait_for("evacuated zones");
     };
@@ -235,7 +278,13 @@
     let draining = json!({
         "service": "s", "address": near.address, "zone": "zone-0", "capacity": 8, "state": "draining", "sequence": 2,
     });
-    let done = call(system.control(0), "PUT", "/v1/instances/i-1", "", draining.to_string().as_bytes());
+    let done = call(
+        system.control(0),
+        "PUT",
+        "/v1/instances/i-1",
+        "",
+        draining.to_string().as_bytes(),
+    );
     assert_eq!(done.expect("an answer").status(), 200);
     system.front_process(0).wait_for("registration id=i-1");
     assert_eq!(body(&system), b"far");
@@ -245,12 +294,19 @@
 fn settings_that_change_are_read_again_and_those_at_fault_change_nothing() {
     let system = system();
     system.front_process(0).wait_for("front starts");
-    system.rewrite_settings("front-0", |settings| settings["seeds"] = json!(["127.0.0.1:1"]));
-    system.front_process(0).wait_for("settings read again seeds=[127.0.0.1:1]");
+    system.rewrite_settings("front-0", |settings| {
+        settings["seeds"] = json!(["127.0.0.1:1"])
+    });
+    system
+        .front_process(0)
+        .wait_for("settings read again seeds=[127.0.0.1:1]");
     system.rewrite_settings("front-0", |settings| settings["seeds"] = json!("none"));
     system.front_process(0).signal("HUP");
     let refused = system.front_process(0).wait_for("new settings refused");
-    assert!(refused.contains("node.json") || refused.contains("front-0.json"), "{refused}");
+    assert!(
+        refused.contains("node.json") || refused.contains("front-0.json"),
+        "{refused}"
+    );
     system.front_process(0).wait_for("seeds: must be an array");
 }
 
@@ -258,11 +314,24 @@
 fn settings_at_fault_are_told_with_their_places() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("node.json");
-    std::fs::write(&path, r#"{ "node": "n", "ip": "10.0.0", "unknown": 1, "zone": 5 }"#).unwrap();
-    let output = Command::new(PROGRAM).arg("front").env("WOADSTALL_BOOT", &path).output().unwrap();
+    std::fs::write(
+        &path,
+        r#"{ "node": "n", "ip": "10.0.0", "unknown": 1, "zone": 5 }"#,
+    )
+    .unwrap();
+    let output = Command::new(PROGRAM)
+        .arg("front")
+        .env("WOADSTALL_BOOT", &path)
+        .output()
+        .unwrap();
     assert!(!output.status.success());
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
-    for place in ["ip: ", "zone: must be a string", "region: is missing", "ephemeral_ports: "] {
+    for place in [
+        "ip: ",
+        "zone: must be a string",
+        "region: is missing",
+        "ephemeral_ports: ",
+    ] {
         assert!(text.contains(place), "{place} is not in {text}");
     }
     assert!(!text.contains("unknown"));
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -23,7 +23,10 @@
 #[test]
 fn the_budget_is_told_as_of_the_first_byte() {
     let mut late = LateListener::start();
-    let program = Program::start(&config(refusing(), &[target("s-0", late.address(), "in_service")]));
+    let program = Program::start(&config(
+        refusing(),
+        &[target("s-0", late.address(), "in_service")],
+    ));
     let mut caller = program.connect();
     caller.send("look", "20", "");
     late.dialled();
@@ -33,7 +36,10 @@
     let request = Message::read(&mut BufReader::new(stream)).expect("the request");
     let told: f64 = request.headers["x-budget"].parse().unwrap();
     // Half, as the accepting side may hear of a connection late.
-    assert!(told <= 20.0 - took.as_secs_f64() / 2.0, "told {told} after {took:?}");
+    assert!(
+        told <= 20.0 - took.as_secs_f64() / 2.0,
+        "told {told} after {took:?}"
+    );
 }
 
 /// Where attempts may not be cancelled, one that has not begun is still given up with its caller.
@@ -49,7 +55,10 @@
         late.dialled();
         drop(caller);
         late.given_up(CONNECT_TIMEOUT / 2);
-        assert!(late.accept(NOTHING_COMES).is_none(), "cancelling {cancelling}");
+        assert!(
+            late.accept(NOTHING_COMES).is_none(),
+            "cancelling {cancelling}"
+        );
     }
 }
 
@@ -77,9 +86,15 @@
     discovery.publish(&[target("s-1", late.address(), "in_service")]);
     first_ends.wait();
     late.dialled();
-    let request = late.accept(DIALLED_AGAIN).and_then(|stream| Message::read(&mut BufReader::new(stream)));
+    let request = late
+        .accept(DIALLED_AGAIN)
+        .and_then(|stream| Message::read(&mut BufReader::new(stream)));
     assert!(request.is_none(), "sent after its window: {request:?}");
-    assert_eq!(caller.answer().expect("an answer").status(), 502, "it may have run");
+    assert_eq!(
+        caller.answer().expect("an answer").status(),
+        502,
+        "it may have run"
+    );
 }
 
 /// An upstream that turns a request away before it has read it, and never reads the rest.
@@ -101,13 +116,26 @@
             held.push(stream);
         }
     });
-    let list = [target("s-hasty", address, "in_service"), target("s-0", served.address, "in_service")];
+    let list = [
+        target("s-hasty", address, "in_service"),
+        target("s-0", served.address, "in_service"),
+    ];
     let program = Program::start(&config(refusing(), &list));
     let body = "b".repeat(16 << 20); // more than the buffers of both sockets
     for _ in 0..2 {
         let asked = Instant::now();
-        let answer = program.connect().call("post", "20", &body).expect("an answer");
-        assert_eq!(answer.status(), 200, "turned away, then served, or served at once");
-        assert!(asked.elapsed() < Duration::from_secs(15), "not only when its time is over");
+        let answer = program
+            .connect()
+            .call("post", "20", &body)
+            .expect("an answer");
+        assert_eq!(
+            answer.status(),
+            200,
+            "turned away, then served, or served at once"
+        );
+        assert!(
+            asked.elapsed() < Duration::from_secs(15),
+            "not only when its time is over"
+        );
     }
 }
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -28,7 +28,9 @@
 }
 
 fn reset(stream: &TcpStream) {
-    SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
 }
 
 /// Reads a request to its end.
@@ -46,16 +48,28 @@
     /// Both are listed: calls go to either, in turn.
     fn start(first: SocketAddr) -> Self {
         let second = Upstream::start(|_| Act::Answer(ok("second")));
-        let list = [target("s-first", first, "in_service"), target("s-second", second.address, "in_service")];
+        let list = [
+            target("s-first", first, "in_service"),
+            target("s-second", second.address, "in_service"),
+        ];
         let mut config = config(refusing(), &list);
         config["settings"]["Limits"]["ConnectTimeoutNs"] = json!(300_000_000);
-        Self { program: Program::start(&config), second }
+        Self {
+            program: Program::start(&config),
+            second,
+        }
     }
 }
 
 /// Two calls go to both of them in turn; the bodies are of this size. Returns how many were served.
 fn served_of_two(pair: &Pair, class: &str, body: &str) -> usize {
-    let call = |_| pair.program.connect().call(class, LONG, body).expect("an answer").status();
+    let call = |_| {
+        pair.program
+            .connect()
+            .call(class, LONG, body)
+            .expect("an answer")
+            .status()
+    };
     (0..2).map(call).filter(|status| *status == 200).count()
 }
 
@@ -65,7 +79,9 @@
         let (first, connected) = raw(handle.clone());
         let pair = Pair::start(first);
         assert_eq!(served_of_two(&pair, class, ""), served, "{class}");
-        connected.recv_timeout(PATIENCE).expect("the first one was tried");
+        connected
+            .recv_timeout(PATIENCE)
+            .expect("the first one was tried");
         assert_eq!(pair.second.requests(), served, "{class}");
     }
 }
@@ -88,8 +104,14 @@
     });
     let pair = Pair::start(first);
     let body = "b".repeat(16 << 20); // more than the buffers of both sockets
-    assert_eq!(served_of_two(&pair, "post", &body), 2, "unsafe work is sent again");
-    connected.recv_timeout(PATIENCE).expect("the first one was tried");
+    assert_eq!(
+        served_of_two(&pair, "post", &body),
+        2,
+        "unsafe work is sent again"
+    );
+    connected
+        .recv_timeout(PATIENCE)
+        .expect("the first one was tried");
     assert_eq!(pair.second.requests(), 2);
 }
 
@@ -107,7 +129,9 @@
 fn a_reset_is_no_end_of_an_answer() {
     may_have_run(|mut stream| {
         read_request(&mut stream);
-        stream.write_all(b"HTTP/1.1 200 OK\r\n\r\na part of it").unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\n\r\na part of it")
+            .unwrap();
         // Until the other side has it, a reset would take it back.
         std::thread::sleep(Duration::from_millis(100));
         reset(&stream);
@@ -120,7 +144,9 @@
     let (first, _connected) = raw(|mut stream| {
         read_request(&mut stream);
         let head = "HTTP/1.1 200 OK\r\n\r\n";
-        stream.write_all(format!("{head}{}", "c".repeat(200 << 10)).as_bytes()).unwrap();
+        stream
+            .write_all(format!("{head}{}", "c".repeat(200 << 10)).as_bytes())
+            .unwrap();
         std::thread::sleep(Duration::from_millis(100));
         reset(&stream);
     });
@@ -146,7 +172,10 @@
     let mut late = LateListener::start();
     let other = Upstream::start(|_| Act::Answer(ok("other")));
     let discovery = Discovery::start();
-    let config = config(discovery.address, &[target("s-late", late.address(), "in_service")]);
+    let config = config(
+        discovery.address,
+        &[target("s-late", late.address(), "in_service")],
+    );
     discovery.set(&[target("s-late", late.address(), "in_service")]);
     let program = Program::start(&config);
     discovery.watched();
@@ -178,7 +207,9 @@
     let mut output = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     for before in 0.. {
-        let Some(request) = Message::read(&mut input) else { return };
+        let Some(request) = Message::read(&mut input) else {
+            return;
+        };
         let answer = ok(&String::from_utf8_lossy(&request.body));
         let text = match (number, before) {
             (0, 0) => answer + "more than belongs to it",
@@ -196,7 +227,10 @@
 #[test]
 fn a_second_answer_is_not_taken_for_that_of_the_next_request() {
     const REST: Duration = Duration::from_millis(20);
-    let program = Program::start(&config(refusing(), &[target("s-0", answering_twice(), "in_service")]));
+    let program = Program::start(&config(
+        refusing(),
+        &[target("s-0", answering_twice(), "in_service")],
+    ));
     let mut caller = program.connect();
     assert_eq!(caller.call("post", LONG, "first").unwrap().body, b"first");
     // On a machine too busy to ask again within the rest, a try tells nothing.
@@ -206,7 +240,11 @@
         let one = caller.call("post", LONG, "one").unwrap();
         let two = caller.call("post", LONG, "two").unwrap();
         let judged = asked.elapsed() < REST;
-        assert!(!judged || two.body == b"two", "{}", String::from_utf8_lossy(&two.body));
+        assert!(
+            !judged || two.body == b"two",
+            "{}",
+            String::from_utf8_lossy(&two.body)
+        );
         judged && one.body == b"one"
     });
     assert!(judged, "no try was fast enough");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -7,7 +7,10 @@
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits.chunks(2).map(|pair| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|pair| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn padded(text: &str, size: usize) -> Vec<u8> {
@@ -23,14 +26,18 @@
     for value in [length as u32, records.len() as u32, 12] {
         frame.extend(value.to_le_bytes());
     }
-    records.iter().for_each(|record| frame.extend(padded(record, 48)));
+    records
+        .iter()
+        .for_each(|record| frame.extend(padded(record, 48)));
     frame.extend(tail);
     frame
 }
 
 fn decode(frame: &[u8]) -> Vec<Record<'_>> {
     let header = BatchHeader::decode(frame[..BATCH_HEADER].try_into().unwrap()).unwrap();
-    wire::records(header, &frame[BATCH_HEADER..]).collect::<Result<_, _>>().unwrap()
+    wire::records(header, &frame[BATCH_HEADER..])
+        .collect::<Result<_, _>>()
+        .unwrap()
 }
 
 #[test]
@@ -45,9 +52,20 @@
         "07 03000000 f211902c 00 c05c150000000000 00",
         "08 03000000 02000000 00000000 04000000",
     ];
-    let demand =
-        Demand { class: 0, tenant: 0, time_left: 240_000_000, work: Some(12_000_000), attempts: u32::MAX };
-    let end = End { attempt: 0, outcome: Outcome::Ok, elapsed: 18_500_000, closed: true, load: None };
+    let demand = Demand {
+        class: 0,
+        tenant: 0,
+        time_left: 240_000_000,
+        work: Some(12_000_000),
+        attempts: u32::MAX,
+    };
+    let end = End {
+        attempt: 0,
+        outcome: Outcome::Ok,
+        elapsed: 18_500_000,
+        closed: true,
+        load: None,
+    };
     let id = RequestId(0x5d3a_91c4);
     assert_eq!(
         decode(&batch(&records, &[])),
@@ -69,7 +87,13 @@
     let tail = hex(
         "074a1203 00 0000 0000 01 0000803f 0000000000000000 f211902c 01 0000 0000 01 0000c03f 009d966b01000000",
     );
-    let frame = batch(&["0a 00000000 00000000 02000000", "01 03000000 29000000 00000000 02"], &tail);
+    let frame = batch(
+        &[
+            "0a 00000000 00000000 02000000",
+            "01 03000000 29000000 00000000 02",
+        ],
+        &tail,
+    );
     let records = decode(&frame);
     let entry = |server, zone, size, started| ListEntry {
         server: ServerId(server),
@@ -79,27 +103,71 @@
         size,
         started,
     };
-    let entries = vec![entry(0x0312_4a07, 0, 1.0, None), entry(0x2c90_11f2, 1, 1.5, Some(6_100_000_000))];
+    let entries = vec![
+        entry(0x0312_4a07, 0, 1.0, None),
+        entry(0x2c90_11f2, 1, 1.5, Some(6_100_000_000)),
+    ];
     assert_eq!(records[0], Record::Table(0, entries));
-    assert_eq!(records[1], Record::Announce { instance: 3, table: 0, delta: false });
+    assert_eq!(
+        records[1],
+        Record::Announce {
+            instance: 3,
+            table: 0,
+            delta: false
+        }
+    );
 }
 
 #[test]
 fn load_reports_decode() {
-    let frame = batch(&["04 03000000 c4913a5d a0491a0100000000 00 01 074a1203 02 02 0000803f 00002041"], &[]);
-    let Record::Event(3, Event::Ended(_, end)) = &decode(&frame)[0] else { panic!() };
-    assert_eq!(end.load, Some(LoadReport { figures: [1.0, 10.0, 0.0, 0.0], len: 2 }));
-    assert_eq!((end.attempt, end.outcome, end.closed), (1, Outcome::Full, false));
+    let frame = batch(
+        &["04 03000000 c4913a5d a0491a0100000000 00 01 074a1203 02 02 0000803f 00002041"],
+        &[],
+    );
+    let Record::Event(3, Event::Ended(_, end)) = &decode(&frame)[0] else {
+        panic!()
+    };
+    assert_eq!(
+        end.load,
+        Some(LoadReport {
+            figures: [1.0, 10.0, 0.0, 0.0],
+            len: 2
+        })
+    );
+    assert_eq!(
+        (end.attempt, end.outcome, end.closed),
+        (1, Outcome::Full, false)
+    );
 }
 
 #[test]
 fn documented_actions_encode() {
     let mut reply = Reply::default();
     let id = RequestId(0x5d3a_91c4);
-    reply.push(3, &Action::Send { id, server: ServerId(0x0312_4a07), until: 8492250000, begin_by: u64::MAX });
-    reply.push(3, &Action::SetTimer { after: 500_000_000, token: 0x4d });
+    reply.push(
+        3,
+        &Action::Send {
+            id,
+            server: ServerId(0x0312_4a07),
+            until: 8492250000,
+            begin_by: u64::MAX,
+        },
+    );
+    reply.push(
+        3,
+        &Action::SetTimer {
+            after: 500_000_000,
+            token: 0x4d,
+        },
+    );
     reply.push(5, &Action::Log("two servers known".into()));
-    reply.push(3, &Action::Refuse { id: RequestId(0x0e6f_2b19), retry_after: 250_000_000 });
+    reply.push(
+        3,
+        &Action::Refuse {
+            id: RequestId(0x0e6f_2b19),
+            retry_after: 250_000_000,
+        },
+    );
     reply.push(3, &Action::Fail(RequestId(0x0e6f_2b19)));
     reply.push(3, &Action::Watch);
     reply.push(3, &Action::Cancel { id, attempt: 0 });
@@ -121,7 +189,9 @@
         "09 03000000 11000000 12000000",
     ];
     let mut expected = hex("13010000 0a000000 0c000000");
-    records.iter().for_each(|record| expected.extend(padded(record, 24)));
+    records
+        .iter()
+        .for_each(|record| expected.extend(padded(record, 24)));
     expected.extend(b"two servers knownindex out of range");
     assert_eq!(frame, expected);
 }
@@ -130,20 +200,44 @@
 fn settings_read_what_decisions_need_and_ignore_the_rest() {
     let settings = woadstall_settings::settings(SETTINGS.as_bytes()).unwrap();
     assert_eq!(settings.classes[0].effect, Effect::Safe);
-    assert_eq!(settings.classes[1].effect, Effect::Keyed(Group::Zone, 5_000_000_000));
-    assert_eq!((settings.siblings, settings.zones, settings.max_attempts), (4, 2, 4));
+    assert_eq!(
+        settings.classes[1].effect,
+        Effect::Keyed(Group::Zone, 5_000_000_000)
+    );
+    assert_eq!(
+        (settings.siblings, settings.zones, settings.max_attempts),
+        (4, 2, 4)
+    );
     assert_eq!(settings.report_inflight, Some(1));
     assert!(settings.ask_discovery && settings.passes_deadline);
-    assert_eq!(settings.conn_idle, u64::MAX, "idle connections stay where nothing is said");
+    assert_eq!(
+        settings.conn_idle,
+        u64::MAX,
+        "idle connections stay where nothing is said"
+    );
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
-    assert_eq!(woadstall_settings::settings(text.as_bytes()).unwrap().conn_idle, 5_000_000_000);
+    assert_eq!(
+        woadstall_settings::settings(text.as_bytes())
+            .unwrap()
+            .conn_idle,
+        5_000_000_000
+    );
 }
 
 #[test]
 fn settings_that_lack_a_key_name_it() {
-    for key in ["Siblings", "TryLimit", "StartCapacity", "AimNs", "AskWithinNs", "WindowNs"] {
+    for key in [
+        "Siblings",
+        "TryLimit",
+        "StartCapacity",
+        "AimNs",
+        "AskWithinNs",
+        "WindowNs",
+    ] {
         let text = SETTINGS.replace(&format!("\"{key}\""), "\"Other\"");
-        let error = woadstall_settings::settings(text.as_bytes()).unwrap_err().to_string();
+        let error = woadstall_settings::settings(text.as_bytes())
+            .unwrap_err()
+            .to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
 }
@@ -174,7 +268,10 @@
     let empty = hex("90bf68f501000000 00000000 00000000 01000000");
     let output = run_adapter(&[empty.clone(), empty].concat());
     assert!(output.status.success());
-    assert_eq!(output.stdout, hex("000000000000000001000000 000000000000000001000000"));
+    assert_eq!(
+        output.stdout,
+        hex("000000000000000001000000 000000000000000001000000")
+    );
 }
 
 #[test]
@@ -183,24 +280,50 @@
     let mut tail = SETTINGS.as_bytes().to_vec();
     let at = tail.len() as u32;
     for server in ["01000000", "02000000"] {
-        tail.extend(hex(&format!("{server} 01 0000 0000 01 0000803f 0000000000000000")));
+        tail.extend(hex(&format!(
+            "{server} 01 0000 0000 01 0000803f 0000000000000000"
+        )));
     }
-    let le = |value: u32| value.to_le_bytes().map(|byte| format!("{byte:02x}")).concat();
+    let le = |value: u32| {
+        value
+            .to_le_bytes()
+            .map(|byte| format!("{byte:02x}"))
+            .concat()
+    };
     let power = |instance| format!("00 {} 0100000000000000 00000000 {}", le(instance), le(at));
     let table = |offset| format!("0a 00000000 {} 01000000", le(at + offset));
     let announce = |instance| format!("01 {} 01000000 00000000 02", le(instance));
-    let demand =
-        |instance| format!("02 {} 09000000 0000000000000000 00000000 0000 001c4e0e00000000", le(instance));
-    let records = [power(1), table(0), announce(1), power(2), table(22), announce(2), demand(1), demand(2)];
+    let demand = |instance| {
+        format!(
+            "02 {} 09000000 0000000000000000 00000000 0000 001c4e0e00000000",
+            le(instance)
+        )
+    };
+    let records = [
+        power(1),
+        table(0),
+        announce(1),
+        power(2),
+        table(22),
+        announce(2),
+        demand(1),
+        demand(2),
+    ];
     let output = run_adapter(&batch(&records.each_ref().map(String::as_str), &tail));
-    let sends: Vec<_> = output.stdout[12..].chunks(24).filter(|record| record[0] == 3).collect();
+    let sends: Vec<_> = output.stdout[12..]
+        .chunks(24)
+        .filter(|record| record[0] == 3)
+        .collect();
     let targets: Vec<_> = sends.iter().map(|record| (record[1], record[9])).collect();
     assert_eq!(targets, [(1, 1), (2, 2)]);
 }
 
 #[test]
 fn adapter_reports_bad_settings_as_a_fault_of_the_instance() {
-    let output = run_adapter(&batch(&["00 03000000 0100000000000000 00000000 02000000"], b"{}"));
+    let output = run_adapter(&batch(
+        &["00 03000000 0100000000000000 00000000 02000000"],
+        b"{}",
+    ));
     assert!(output.status.success());
     assert_eq!(output.stdout[12], 9);
     assert!(String::from_utf8_lossy(&output.stdout).contains("missing field `Classes`"));
@@ -210,7 +333,10 @@
     let length = format!("{:02x}{:02x}0000", text.len() % 256, text.len() / 256);
     let record = format!("00 03000000 0100000000000000 00000000 {length}");
     let output = run_adapter(&batch(&[&record], text.as_bytes()));
-    assert!(output.status.success(), "one instance's settings are no fault of the others");
+    assert!(
+        output.status.success(),
+        "one instance's settings are no fault of the others"
+    );
     assert_eq!(output.stdout[12], 9, "the wire's fault action");
     String::from_utf8_lossy(&output.stdout[36..]).into_owned()
 }
@@ -219,18 +345,42 @@
 fn settings_that_make_no_sense_are_faults_that_name_the_field() {
     let cases = [
         (("{", "["), "settings: "),
-        (("\"Siblings\": 4", "\"Siblings\": \"four\""), "expected u32"),
+        (
+            ("\"Siblings\": 4", "\"Siblings\": \"four\""),
+            "expected u32",
+        ),
         (("\"Zone\": 1", "\"Zone\": 2"), "`zone` is 2 of 2 zones"),
-        (("\"TryLimit\": 4", "\"TryLimit\": 0"), "`max_attempts` is 0"),
-        (("\"StartCapacity\": 0.39", "\"StartCapacity\": 1.5"), "`start_capacity` is 1.5"),
-        (("\"Value\": 5.0", "\"Value\": -5.0"), "`classes[0].worth` is -5"),
-        (("\"Value\": 5.0", "\"Value\": 1e999"), "number out of range"),
-        (("\"Effect\": \"read_like\"", "\"Effect\": \"maybe\""), "maybe"),
-        (("\"AimNs\": 750000000", "\"AimNs\": 0"), "`classes[0].aim` is 0"),
+        (
+            ("\"TryLimit\": 4", "\"TryLimit\": 0"),
+            "`max_attempts` is 0",
+        ),
+        (
+            ("\"StartCapacity\": 0.39", "\"StartCapacity\": 1.5"),
+            "`start_capacity` is 1.5",
+        ),
+        (
+            ("\"Value\": 5.0", "\"Value\": -5.0"),
+            "`classes[0].worth` is -5",
+        ),
+        (
+            ("\"Value\": 5.0", "\"Value\": 1e999"),
+            "number out of range",
+        ),
+        (
+            ("\"Effect\": \"read_like\"", "\"Effect\": \"maybe\""),
+            "maybe",
+        ),
+        (
+            ("\"AimNs\": 750000000", "\"AimNs\": 0"),
+            "`classes[0].aim` is 0",
+        ),
     ];
     for ((from, to), expected) in cases {
         let fault = settings_fault(&SETTINGS.replacen(from, to, 1));
-        assert!(fault.contains(expected) && fault.lines().count() == 1, "{expected}: {fault}");
+        assert!(
+            fault.contains(expected) && fault.lines().count() == 1,
+            "{expected}: {fault}"
+        );
     }
 }
 
@@ -239,7 +389,12 @@
     let mut tail = SETTINGS.as_bytes().to_vec();
     let at = tail.len() as u32;
     tail.extend(hex("01000000 01 0000 0000 01 0000c07f 0000000000000000")); // a size that is no number
-    let le = |value: u32| value.to_le_bytes().map(|byte| format!("{byte:02x}")).concat();
+    let le = |value: u32| {
+        value
+            .to_le_bytes()
+            .map(|byte| format!("{byte:02x}"))
+            .concat()
+    };
     let power = format!("00 03000000 0100000000000000 00000000 {}", le(at));
     let table = format!("0a 00000000 {} 01000000", le(at));
     let records = [
@@ -257,10 +412,23 @@
         "06 09000000 4d00000000000000", // an instance nobody started
     ];
     let output = run_adapter(&batch(&records, &tail));
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let codes: Vec<(u8, u8)> = output.stdout[12..].chunks(24).map(|r| (r[0], r[5])).collect();
-    assert!(codes.contains(&(1, 9)), "the class out of range is refused: {codes:?}");
-    assert!(codes.contains(&(3, 10)), "the tenant out of range is served: {codes:?}");
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    let codes: Vec<(u8, u8)> = output.stdout[12..]
+        .chunks(24)
+        .map(|r| (r[0], r[5]))
+        .collect();
+    assert!(
+        codes.contains(&(1, 9)),
+        "the class out of range is refused: {codes:?}"
+    );
+    assert!(
+        codes.contains(&(3, 10)),
+        "the tenant out of range is served: {codes:?}"
+    );
 }
 
 #[test]
@@ -273,25 +441,58 @@
         (good[..40].to_vec(), "truncated frame"),
         (impossible, "do not fit"),
         (batch(&["63 03000000"], &[]), "unknown event code 99"),
-        (batch(&["0a 00000000 05000000 02000000"], &[]), "outside a tail"),
+        (
+            batch(&["0a 00000000 05000000 02000000"], &[]),
+            "outside a tail",
+        ),
         (batch(&["0a 10000000"], &[]), "over 15"),
         (batch(&["01 03000000 00000000 10000000 02"], &[]), "over 15"),
-        (batch(&["0a 00000000 00000000 ffffffff"], &[]), "outside a tail"),
         (
-            batch(&["0a 00000000 00000000 01000000"], &[&[0; 9][..], &[7], &[0; 12]].concat()),
+            batch(&["0a 00000000 00000000 ffffffff"], &[]),
+            "outside a tail",
+        ),
+        (
+            batch(
+                &["0a 00000000 00000000 01000000"],
+                &[&[0; 9][..], &[7], &[0; 12]].concat(),
+            ),
             "unknown lifecycle 7",
         ),
-        (batch(&["04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 00 05"], &[]), "load report of 5"),
-        (batch(&["07 03000000 f211902c 09"], &[]), "unknown outcome 9"),
-        (batch(&["01 03000000 00000000 00000000 07"], &[]), "unknown form 7"),
-        (batch(&["04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 09"], &[]), "unknown outcome 9"),
+        (
+            batch(
+                &["04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 00 05"],
+                &[],
+            ),
+            "load report of 5",
+        ),
+        (
+            batch(&["07 03000000 f211902c 09"], &[]),
+            "unknown outcome 9",
+        ),
+        (
+            batch(&["01 03000000 00000000 00000000 07"], &[]),
+            "unknown form 7",
+        ),
+        (
+            batch(
+                &["04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 09"],
+                &[],
+            ),
+            "unknown outcome 9",
+        ),
     ];
     for (input, text) in cases {
         let output = run_adapter(&input);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && error.contains(text), "{text}: {error}");
+        assert!(
+            !output.status.success() && error.contains(text),
+            "{text}: {error}"
+        );
         assert_eq!(error.lines().count(), 1, "{error}");
         // Cut inside its header, a batch has no number yet.
-        assert!(input.len() < BATCH_HEADER || error.contains("batch "), "{text}: {error}");
+        assert!(
+            input.len() < BATCH_HEADER || error.contains("batch "),
+            "{text}: {error}"
+        );
     }
 }
