--- a/crates/measure/src/plugin.rs
+++ b/crates/benchmarks/src/plugin.rs
@@ -26,7 +26,7 @@
 use tower::load::{CompleteOnResponse, PendingRequests};
 use tower::util::BoxService;
 use tower_service::Service;
-use woadstall_standin::grpc::{Grpc, Reply};
+use woadstall_mock_servers::grpc::{Grpc, Reply};
 use woadstall_tower::{Balance, Listing};
 
 type Fault = Box<dyn Error + Send + Sync>;
@@ -118,7 +118,7 @@
 
 fn plugin(upstreams: &[SocketAddr]) -> Result<Balance, Fault> {
     let mut settings =
-        woadstall_standin::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
+        woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
     for class in settings["Classes"].as_array_mut().into_iter().flatten() {
         (class["AimNs"], class["DeadlineNs"]) = (600_000_000_u64.into(), 1_500_000_000_u64.into());
     }
--- a/crates/rig/src/balancers.rs
+++ b/crates/cluster-test/src/balancers.rs
@@ -16,8 +16,8 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 use woadstall_emulator::Scenario;
-use woadstall_load::callers::Door;
-use woadstall_load::settings::{Place, config};
+use woadstall_load_test::callers::Door;
+use woadstall_load_test::settings::{Place, config};
 
 /// A process that does not serve by then has not come up.
 const READY: Duration = Duration::from_secs(10);
--- a/crates/rig/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -7,8 +7,8 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use woadstall_emulator::{Actor, Fault, Files, What, sample, stream};
-use woadstall_load::lock;
-use woadstall_load::script::{GONE, TOPPLED};
+use woadstall_load_test::lock;
+use woadstall_load_test::script::{GONE, TOPPLED};
 
 /// How long a process that is told to stop may take beyond its callers' time.
 const STOPS: Duration = Duration::from_secs(5);
--- a/crates/rig/src/fleet.rs
+++ b/crates/cluster-test/src/fleet.rs
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use woadstall_emulator::{Actor, Among, Scenario, What, stream};
-use woadstall_fabric::Fabric;
-use woadstall_load::callers::Door;
-use woadstall_load::judge::Judge;
-use woadstall_load::lock;
-use woadstall_load::nodo::{Listing, Next, Socketed};
-use woadstall_load::script::Script;
-use woadstall_load::settings::Place;
+use woadstall_fault_proxy::Fabric;
+use woadstall_load_test::callers::Door;
+use woadstall_load_test::judge::Judge;
+use woadstall_load_test::lock;
+use woadstall_load_test::nodo::{Listing, Next, Socketed};
+use woadstall_load_test::script::Script;
+use woadstall_load_test::settings::Place;
 
 /// What a process that begins needs to hear its list, at the most, once its agent has it.
 const HEARS: Duration = Duration::from_secs(1);
--- a/crates/rig/src/keeper.rs
+++ b/crates/cluster-test/src/keeper.rs
@@ -17,7 +17,7 @@
 use tempfile::TempDir;
 use tokio::sync::oneshot;
 use woadstall_emulator::Files;
-use woadstall_load::lock;
+use woadstall_load_test::lock;
 
 /// How the folders of runs begin.
 const FOLDER: &str = "woadstall-rig-";
--- a/crates/rig/src/main.rs
+++ b/crates/cluster-test/src/main.rs
@@ -11,13 +11,13 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::{error, info, warn};
-use woadstall_lab::grid::{self, Key, Set, Source};
-use woadstall_lab::log::Log;
-use woadstall_lab::report::{self, Band};
-use woadstall_lab::rows::{self, Row};
-use woadstall_rig::launch::{Limits, launch};
-use woadstall_rig::play::Failure;
-use woadstall_rig::{Options, Sabotage, check, leftovers, play, tell};
+use woadstall_cluster_test::launch::{Limits, launch};
+use woadstall_cluster_test::play::Failure;
+use woadstall_cluster_test::{Options, Sabotage, check, leftovers, play, tell};
+use woadstall_emulator_cli::grid::{self, Key, Set, Source};
+use woadstall_emulator_cli::log::Log;
+use woadstall_emulator_cli::report::{self, Band};
+use woadstall_emulator_cli::rows::{self, Row};
 
 #[derive(Parser)]
 #[command(
--- a/crates/rig/src/members.rs
+++ b/crates/cluster-test/src/members.rs
@@ -24,9 +24,9 @@
     stream,
 };
 use woadstall_evacuation::Status;
-use woadstall_fabric::{Fabric, Way};
-use woadstall_instances_net::Report;
-use woadstall_load::lock;
+use woadstall_fault_proxy::{Fabric, Way};
+use woadstall_load_test::lock;
+use woadstall_membership_net::Report;
 
 /// Members that a new one asks.
 const SEEDS: usize = 3;
--- a/crates/rig/src/play.rs
+++ b/crates/cluster-test/src/play.rs
@@ -12,11 +12,11 @@
 use std::time::{Duration, Instant};
 use tokio::time::{interval_at, sleep};
 use woadstall_emulator::{End, Scenario};
-use woadstall_fabric::Counts;
-use woadstall_lab::rows::Lag;
-use woadstall_load::callers::{By, Callers};
-use woadstall_load::judge::Judge;
-use woadstall_load::{Seen, lock, script};
+use woadstall_emulator_cli::rows::Lag;
+use woadstall_fault_proxy::Counts;
+use woadstall_load_test::callers::{By, Callers};
+use woadstall_load_test::judge::Judge;
+use woadstall_load_test::{Seen, lock, script};
 
 /// What the program needs beyond what it was told that it may use: its own code and stack.
 const BESIDE_MB: u64 = 64;
--- a/crates/rig/src/tell.rs
+++ b/crates/cluster-test/src/tell.rs
@@ -3,8 +3,8 @@
 use crate::play::Played;
 use serde_json::{Value, json};
 use std::fmt::Write;
-use woadstall_lab::report;
-use woadstall_lab::rows::Row;
+use woadstall_emulator_cli::report;
+use woadstall_emulator_cli::rows::Row;
 
 fn mean(of: &[u64]) -> u64 {
     of.iter().sum::<u64>() / (of.len() as u64).max(1)
@@ -180,7 +180,7 @@
         .collect();
     if steps.is_empty() {
         return Err(
-            "no timeline: write rows with `woadstall-lab run --json` and `woadstall-rig run --out`"
+            "no timeline: write rows with `woadstall-emulator-cli run --json` and `woadstall-cluster-test run --out`"
                 .into(),
         );
     }
--- a/crates/rig/src/ways.rs
+++ b/crates/cluster-test/src/ways.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use woadstall_emulator::{Fault, Scenario, What};
-use woadstall_fabric::{Party, Way};
+use woadstall_fault_proxy::{Party, Way};
 
 /// Delays shorter than this are left out: timers are not finer, and the relays take a tenth of a millisecond.
 pub const LEAST_DELAY: Duration = Duration::from_micros(500);
--- a/crates/rig/tests/common/mod.rs
+++ b/crates/cluster-test/tests/common/mod.rs
@@ -55,7 +55,8 @@
 pub fn program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
-        let program = Path::new(env!("CARGO_BIN_EXE_woadstall-rig")).with_file_name("woadstall");
+        let program =
+            Path::new(env!("CARGO_BIN_EXE_woadstall-cluster-test")).with_file_name("woadstall");
         if !program.is_file() {
             let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
             let mut build = Command::new(env!("CARGO"));
@@ -83,7 +84,7 @@
 }
 
 pub fn rig(folder: &Path, arguments: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-rig"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-cluster-test"));
     command
         .current_dir(folder)
         .env("TMPDIR", folder)
--- a/crates/rig/tests/processes.rs
+++ b/crates/cluster-test/tests/processes.rs
@@ -137,7 +137,7 @@
         "fault 1: replaced nodos",
     );
     refused("\n[front]\n", &[], "`front`");
-    let library = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/rig");
+    let library = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/cluster-test");
     let files = std::fs::read_dir(library)
         .unwrap()
         .map(|entry| entry.unwrap().path());
@@ -156,7 +156,7 @@
     );
     let folder = folder(4, "");
     // A program that takes this for a wrong command line.
-    let other = env!("CARGO_BIN_EXE_woadstall-rig");
+    let other = env!("CARGO_BIN_EXE_woadstall-cluster-test");
     let output = rig(folder.path(), &["run", "scenario.toml", "--program", other])
         .output()
         .unwrap();
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -11,7 +11,7 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 use woadstall_emulator::{Scenario, Span};
-use woadstall_load::{Path, Played, run};
+use woadstall_load_test::{Path, Played, run};
 
 /// What is played, with times for a minute.
 const SCENARIO: &str = include_str!("../demo.toml");
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{Value, json};
 use std::time::Instant;
-use woadstall_standin::http1::{Act, Message, Upstream};
-use woadstall_standin::system::{System, answer, call};
+use woadstall_mock_servers::http1::{Act, Message, Upstream};
+use woadstall_mock_servers::system::{System, answer, call};
 
 /// Requests that are sent in each step.
 const REQUESTS: usize = 40;
--- a/crates/lab-cli/src/lib.rs
+++ b/crates/emulator-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! What `woadstall-lab`, `woadstall-load` and `woadstall-rig` share: which runs there are, the form of their results
+//! What `woadstall-emulator-cli`, `woadstall-load-test` and `woadstall-cluster-test` share: which runs there are, the form of their results
 //! and of their log lines, and pages of results.
 
 #![forbid(unsafe_code)]
--- a/crates/lab-cli/src/main.rs
+++ b/crates/emulator-cli/src/main.rs
@@ -14,11 +14,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tracing::{error, info, warn};
 use woadstall_emulator::{End, Policy, World};
-use woadstall_lab::compare::{self, Figure};
-use woadstall_lab::grid::{self, Set, Source};
-use woadstall_lab::log::Log;
-use woadstall_lab::report::{self, Band};
-use woadstall_lab::rows::{self, Row};
+use woadstall_emulator_cli::compare::{self, Figure};
+use woadstall_emulator_cli::grid::{self, Set, Source};
+use woadstall_emulator_cli::log::Log;
+use woadstall_emulator_cli::report::{self, Band};
+use woadstall_emulator_cli::rows::{self, Row};
 
 #[derive(Parser)]
 #[command(
--- a/crates/lab-cli/src/report.rs
+++ b/crates/emulator-cli/src/report.rs
@@ -301,11 +301,11 @@
 /// The whole page. Bands are drawn into all plots over time, and named below the tables.
 pub fn page(rows: &[Row], bands: &[Band]) -> Result<String, String> {
     let mut html = String::from(
-        "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>woadstall-lab</title>\n<style>\
+        "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>woadstall-emulator-cli</title>\n<style>\
          body{font:15px sans-serif;margin:2em auto;max-width:1540px;color:#222}table{border-collapse:collapse}\
          td,th{padding:.25em .8em;border-bottom:1px solid #ddd;text-align:right}td:first-child,th:first-child,\
          td:nth-child(2),th:nth-child(2){text-align:left}svg{margin:.4em}.bad{color:#b00}\
-         </style>\n<h1>woadstall-lab</h1>\n",
+         </style>\n<h1>woadstall-emulator-cli</h1>\n",
     );
     let mut scenarios: BTreeMap<&str, Vec<&Row>> = BTreeMap::new();
     rows.iter()
--- a/crates/lab-cli/src/sweep.rs
+++ b/crates/emulator-cli/src/sweep.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc;
-use woadstall_lab::grid::Job;
-use woadstall_lab::rows::{self, Row};
+use woadstall_emulator_cli::grid::Job;
+use woadstall_emulator_cli::rows::{self, Row};
 
 /// How a sweep ended.
 #[derive(Debug, PartialEq, Eq)]
--- a/crates/lab-cli/tests/cli.rs
+++ b/crates/emulator-cli/tests/cli.rs
@@ -29,7 +29,7 @@
 "#;
 
 fn lab(folder: &Path, arguments: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-emulator-cli"));
     command
         .current_dir(folder)
         .args(arguments)
--- a/crates/lab/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -23,7 +23,7 @@
 
 impl Default for Members {
     fn default() -> Self {
-        let usual = woadstall_instances::Settings::default();
+        let usual = woadstall_membership::Settings::default();
         let span = |time: std::time::Duration| Span(time.as_nanos() as u64);
         let (period, patience, suspicion) = (
             span(usual.period),
--- a/crates/lab/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -5,8 +5,8 @@
 use crate::scenario::{Evacuating, Says};
 use woadstall_engine::decisions::{Place, Verdict as Finding};
 use woadstall_evacuation::{Coordinator, Places, Settings};
-use woadstall_evidence::{Out, Saw};
-use woadstall_instances::Node;
+use woadstall_health_reports::{Out, Saw};
+use woadstall_membership::Node;
 
 /// See the module's documentation.
 pub(super) struct Coordinators {
--- a/crates/lab/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -4,7 +4,7 @@
 use crate::units::Span;
 use crate::witness::{Held, MembersEnd, Witness};
 use std::net::IpAddr;
-use woadstall_instances::{Card, Event as Change, Life, Name, Node, Said, Settings, Way};
+use woadstall_membership::{Card, Event as Change, Life, Name, Node, Said, Settings, Way};
 
 /// Members that a new one asks.
 const SEEDS: u32 = 3;
@@ -318,7 +318,7 @@
                 found.push((number as usize, node.claim(&of)));
             }
         }
-        let outs: Vec<woadstall_instances::Out> = std::iter::from_fn(|| node.next_out()).collect();
+        let outs: Vec<woadstall_membership::Out> = std::iter::from_fn(|| node.next_out()).collect();
         let wake = node.wake_at().max(now + MS);
         if suspects && !std::mem::replace(&mut members.looks[at], true) {
             self.agenda.after(
--- a/crates/evacuation/src/coordinator.rs
+++ b/crates/evacuation/src/coordinator.rs
@@ -11,10 +11,10 @@
 use std::fmt;
 use std::hash::Hasher;
 use woadstall_decisions::api::{Place, ServerId, Time, Verdict, ZoneId};
-use woadstall_evidence::{
+use woadstall_health_reports::{
     Counts, ENOUGH, HealthReport, Hearing, Ill, Kind, Ledger, Line as Told, Out, Saw, Subject,
 };
-use woadstall_instances::{Name, Node, State as Presence};
+use woadstall_membership::{Name, Node, State as Presence};
 
 const SECOND: Time = 1_000_000_000;
 /// Verdicts hold for so long: where nothing renews them, the module goes by its own eyes again.
@@ -526,7 +526,8 @@
             // The first few to say that a zone is left, or not, are waited for by those who were not there; who else
             // follows, and what nodos do, is for operators.
             let own = node.me().zone.as_str();
-            let needed = woadstall_evidence::liars(members.get(own).copied().unwrap_or(1)) + 2;
+            let needed =
+                woadstall_health_reports::liars(members.get(own).copied().unwrap_or(1)) + 2;
             let told = |place_decision: &&PlaceDecision| {
                 let said = self
                     .place_decisions
@@ -624,7 +625,7 @@
         }
         // What weighs no more to others is no news.
         let own = members.get(node.me().zone.as_str()).copied().unwrap_or(1);
-        let (_, most) = woadstall_evidence::enough(ENOUGH, own);
+        let (_, most) = woadstall_health_reports::enough(ENOUGH, own);
         let again = now >= self.told_at.saturating_add(TELLS_AGAIN);
         let changed = lines.iter().any(|(subject, _, weight)| {
             let known = self.told.get(subject).copied().unwrap_or(0.0);
--- a/crates/evacuation/src/decide.rs
+++ b/crates/evacuation/src/decide.rs
@@ -6,7 +6,7 @@
 use crate::standing::{Beside, Cause, Standing, State};
 use std::collections::{BTreeMap, HashMap};
 use woadstall_decisions::api::{ServerId, Time};
-use woadstall_evidence::{
+use woadstall_health_reports::{
     Counts, ENOUGH, Hearing, Ill, Kind, Ledger, Opinion, Question, ROOM, Subject, liars,
 };
 
--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -1,9 +1,9 @@
 //! Leaving nodos, zones and regions that fail as a fleet, and not one by one.
 //!
-//! Each balancer weighs what all have told (`woadstall-evidence`) and goes through the same states: in use, doubted,
+//! Each balancer weighs what all have told (`woadstall-health-reports`) and goes through the same states: in use, doubted,
 //! leaving, left, returning. Those that hear the same find the same; what they found they tell as a [`PlaceDecision`], so that
 //! one that was not there learns it from several who were. [`Evacuation`] decides, [`Coordinator`] puts it between a member
-//! (`woadstall-instances`) and the decision module, which is told shares of new work and still chooses. Nothing here does
+//! (`woadstall-membership`) and the decision module, which is told shares of new work and still chooses. Nothing here does
 //! input or output or reads a clock. The design is in `docs/evacuation.md`.
 
 #![forbid(unsafe_code)]
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
-use woadstall_evidence::Subject;
+use woadstall_health_reports::Subject;
 
 /// Form of the bytes: raised when what they mean changes.
 const FORM: u8 = 1;
--- a/crates/evacuation/src/standing.rs
+++ b/crates/evacuation/src/standing.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use woadstall_decisions::api::Time;
-use woadstall_evidence::{Ill, Opinion};
+use woadstall_health_reports::{Ill, Opinion};
 
 const SECOND: Time = 1_000_000_000;
 /// For so long something must be ill, and others better, before it is left: where all fail together, word of one comes
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -6,7 +6,7 @@
 use woadstall_evacuation::{
     Order, Orders, PlaceDecision, PlaceStatus, Standing, State, Status, What,
 };
-use woadstall_evidence::Subject;
+use woadstall_health_reports::Subject;
 
 /// Compares bytes with the golden ones, written in hexadecimal digits.
 fn assert_golden(bytes: &[u8], golden: &str) {
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use woadstall_decisions::api::{Outcome, Place, ServerId};
 use woadstall_evacuation::{Coordinator, Order, Places, Settings, What};
-use woadstall_evidence::{Kind, Out, Saw};
-use woadstall_instances::{Card, Life, Name, Node};
+use woadstall_health_reports::{Kind, Out, Saw};
+use woadstall_membership::{Card, Life, Name, Node};
 
 const MS: u64 = 1_000_000;
 const STEP: u64 = 100 * MS;
@@ -82,7 +82,7 @@
     let node = Node::new(
         card,
         seeds,
-        woadstall_instances::Settings::default(),
+        woadstall_membership::Settings::default(),
         number as u64,
         0,
     )
--- a/crates/evacuation/tests/standing.rs
+++ b/crates/evacuation/tests/standing.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use woadstall_evacuation::{Beside, Order, Orders, PlaceDecision, Standing, State, What};
-use woadstall_evidence::{Counts, Ill, Opinion, Subject};
+use woadstall_health_reports::{Counts, Ill, Opinion, Subject};
 
 const SECOND: u64 = 1_000_000_000;
 const STEP: u64 = SECOND / 10;
--- a/crates/fabric/tests/overhead.rs
+++ b/crates/fault-proxy/tests/overhead.rs
@@ -1,10 +1,10 @@
-//! What a relay costs: `cargo test --release -p woadstall-fabric --test overhead -- --ignored --nocapture`.
+//! What a relay costs: `cargo test --release -p woadstall-fault-proxy --test overhead -- --ignored --nocapture`.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use woadstall_fabric::{Fabric, Party};
+use woadstall_fault_proxy::{Fabric, Party};
 
 const ROUNDS: usize = 5_000;
 
--- a/crates/fabric/tests/shape.rs
+++ b/crates/fault-proxy/tests/shape.rs
@@ -4,8 +4,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
-use woadstall_fabric::Way;
-use woadstall_fabric::shape::{Datagrams, Stream};
+use woadstall_fault_proxy::Way;
+use woadstall_fault_proxy::shape::{Datagrams, Stream};
 
 fn way() -> impl Strategy<Value = Way> {
     (
--- a/crates/fabric/tests/sockets.rs
+++ b/crates/fault-proxy/tests/sockets.rs
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::JoinSet;
 use tokio::time::timeout;
-use woadstall_fabric::{Fabric, Party, Way};
+use woadstall_fault_proxy::{Fabric, Party, Way};
 
 const A: Party = Party(1);
 const B: Party = Party(2);
--- a/crates/evidence/tests/evidence.rs
+++ b/crates/health-reports/tests/evidence.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use woadstall_decisions::api::{Outcome, ServerId};
-use woadstall_evidence::{
+use woadstall_health_reports::{
     Counts, ENOUGH, HealthReport, Hearing, Ledger, Line, Opinion, Out, Question, Saw, Subject,
     liars,
 };
--- a/crates/evidence/tests/golden.rs
+++ b/crates/health-reports/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The bytes of a health report, as members of other versions write and read them.
 
-use woadstall_evidence::{Counts, HealthReport, Line, Subject};
+use woadstall_health_reports::{Counts, HealthReport, Line, Subject};
 
 /// Compares bytes with the golden ones, written in hexadecimal digits.
 fn assert_golden(bytes: &[u8], golden: &str) {
--- a/crates/handover/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The bytes that a process hands to its successor, pinned: either of the two may be of another version.
 
 use woadstall_decisions::api::{Learned, LearnedLatency, LearnedServer, ServerId};
-use woadstall_handover::State;
+use woadstall_hot_restart::State;
 
 /// Compares with the fixture of this name.
 fn assert_golden(name: &str, text: &str) {
--- a/crates/load/src/callers.rs
+++ b/crates/load-test/src/callers.rs
@@ -22,8 +22,8 @@
 use woadstall_emulator::{
     Actor, CallEffect, End, Load, Meter, Outcome, Scenario, by_share, chance, gap, stream,
 };
-use woadstall_lab::rows::Lag;
-use woadstall_standin::grpc::message;
+use woadstall_emulator_cli::rows::Lag;
+use woadstall_mock_servers::grpc::message;
 use woadstall_tower::Balance;
 
 /// A call that begins later than this is counted as late.
--- a/crates/load/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use woadstall_emulator::{Actor, Scenario, What, sample, stream};
-use woadstall_standin::http1::Discovery;
+use woadstall_mock_servers::http1::Discovery;
 
 /// All nodos of a scenario, and the list of them.
 pub struct Fleet {
--- a/crates/load/src/lib.rs
+++ b/crates/load-test/src/lib.rs
@@ -27,7 +27,7 @@
 use woadstall::net::Daemon;
 use woadstall::net::config::Config;
 use woadstall_emulator::{End, Scenario};
-use woadstall_lab::rows::Lag;
+use woadstall_emulator_cli::rows::Lag;
 use woadstall_tower::Balance;
 
 /// Locks, also what somebody panicked over.
--- a/crates/load/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -16,11 +16,11 @@
 use std::time::{Duration, SystemTime};
 use tracing::{error, info, warn};
 use woadstall_emulator::End;
-use woadstall_lab::grid::{self, Key, Set, Source};
-use woadstall_lab::log::Log;
-use woadstall_lab::report;
-use woadstall_lab::rows::{Lag, Row};
-use woadstall_load::{Path, Played, run};
+use woadstall_emulator_cli::grid::{self, Key, Set, Source};
+use woadstall_emulator_cli::log::Log;
+use woadstall_emulator_cli::report;
+use woadstall_emulator_cli::rows::{Lag, Row};
+use woadstall_load_test::{Path, Played, run};
 
 /// Part of the calls that may begin late before the figures are doubted.
 const LATE_PART: f64 = 0.01;
--- a/crates/load/src/nodo.rs
+++ b/crates/load-test/src/nodo.rs
@@ -26,8 +26,8 @@
 use woadstall_emulator::{
     Actor, CallEffect, CallGroup, Ills, Nodo, Scenario, Taken, What, chance, stream,
 };
-use woadstall_standin::grpc::message;
-use woadstall_standin::nodo::serve_process;
+use woadstall_mock_servers::grpc::message;
+use woadstall_mock_servers::nodo::serve_process;
 
 /// Numbers of the calls that nodos make, so that each has an id of its own.
 static CALLS: AtomicU64 = AtomicU64::new(0);
--- a/crates/load/tests/load.rs
+++ b/crates/load-test/tests/load.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::process::{Command, Output};
 use woadstall_emulator::{CallEffect, Load, Policy, Scenario, Span, What};
-use woadstall_lab::rows;
-use woadstall_load::{Path, Played, check, run};
+use woadstall_emulator_cli::rows;
+use woadstall_load_test::{Path, Played, check, run};
 
 const MS: u64 = 1_000_000;
 
@@ -114,7 +114,7 @@
 }
 
 fn load(arguments: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-load"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-load-test"));
     command
         .args(arguments)
         .env("WOADSTALL_LOG", "error")
--- a/crates/instances-net/src/core.rs
+++ b/crates/membership-net/src/core.rs
@@ -3,8 +3,8 @@
 use crate::budget::Budget;
 use crate::report::Counts;
 use std::net::SocketAddr;
-use woadstall_instances::{MessageError, Node};
-use woadstall_instances_seal::{SealError, Seals};
+use woadstall_membership::{MessageError, Node};
+use woadstall_message_auth::{SealError, Seals};
 
 /// Members that are looked for at once.
 const LOOKED_FOR: usize = 8;
--- a/crates/instances-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -1,4 +1,4 @@
-//! `woadstall-instances` on sockets: UDP datagrams, TCP for what is longer or has to arrive, seals under a shared key,
+//! `woadstall-membership` on sockets: UDP datagrams, TCP for what is longer or has to arrive, seals under a shared key,
 //! and what operators read of it. Nothing here judges who is there.
 //!
 //! It runs on a thread of its own, so that nothing of it is waited for by calls, and spends a bounded part of its time
--- a/crates/instances-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use woadstall_instances::{Node, Seen, State, Way};
+use woadstall_membership::{Node, Seen, State, Way};
 
 /// What was not believed, or not sent, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/instances-net/src/setup.rs
+++ b/crates/membership-net/src/setup.rs
@@ -3,8 +3,8 @@
 use std::io::Read;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use woadstall_instances::{Name, Settings};
-use woadstall_instances_seal::Keys;
+use woadstall_membership::{Name, Settings};
+use woadstall_message_auth::Keys;
 
 /// Bytes of a file of keys or seeds at most.
 const MOST_BYTES: u64 = 64 << 10;
--- a/crates/instances-net/src/shell.rs
+++ b/crates/membership-net/src/shell.rs
@@ -16,8 +16,8 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_instances::{Card, Event, FactError, Life, Name, Node};
-use woadstall_instances_seal::Seals;
+use woadstall_membership::{Card, Event, FactError, Life, Name, Node};
+use woadstall_message_auth::Seals;
 
 /// Datagrams that are read before anything else has its turn.
 const BATCH: usize = 16;
--- a/crates/instances-net/src/streams.rs
+++ b/crates/membership-net/src/streams.rs
@@ -12,8 +12,8 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
-use woadstall_instances::message::MOST;
-use woadstall_instances_seal::ADDS;
+use woadstall_membership::message::MOST;
+use woadstall_message_auth::ADDS;
 
 /// How long a stream may last.
 const PATIENCE: Duration = Duration::from_secs(3);
--- a/crates/instances-net/tests/golden.rs
+++ b/crates/membership-net/tests/golden.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use woadstall_instances::message::Body;
-use woadstall_instances::{Card, Life, Message, Name, Settings};
-use woadstall_instances_net::{Instances, Setup};
+use woadstall_membership::message::Body;
+use woadstall_membership::{Card, Life, Message, Name, Settings};
+use woadstall_membership_net::{Instances, Setup};
 
 fn fixture(form: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
--- a/crates/instances-net/tests/sockets.rs
+++ b/crates/membership-net/tests/sockets.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use woadstall_instances::{Name, Settings};
-use woadstall_instances_net::{Instances, Log, Setup};
+use woadstall_membership::{Name, Settings};
+use woadstall_membership_net::{Instances, Log, Setup};
 
 const KEY: &str = "00112233445566778899aabbccddeeff";
 const OTHER: &str = "ffeeddccbbaa99887766554433221100";
--- a/crates/instances/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use woadstall_instances::{Card, Event, Life, Name, Node, Out, Settings, State};
+use woadstall_membership::{Card, Event, Life, Name, Node, Out, Settings, State};
 
 pub const MS: u64 = 1_000_000;
 pub const SECOND: u64 = 1_000 * MS;
--- a/crates/instances/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{MS, Net, SECOND, Way, name};
-use woadstall_instances::{Event, State};
+use woadstall_membership::{Event, State};
 
-const NONE: [woadstall_instances::Name; 0] = [];
+const NONE: [woadstall_membership::Name; 0] = [];
 
 /// Thirty that know one or two find each other; the one that leaves is known to have left, not to have died.
 #[test]
@@ -157,7 +157,7 @@
         net.run(120 * SECOND);
         assert_eq!(net.dead(), NONE, "{} cuts", cuts.len());
         assert!(net.all_alive(0..36));
-        use woadstall_instances::Way::{Cut, Works};
+        use woadstall_membership::Way::{Cut, Works};
         let named = |from: usize, to: usize| {
             let there = net.nodes[from]
                 .as_ref()
@@ -247,7 +247,7 @@
                 .unwrap()
                 .ways(&net.names[*to], net.now)
                 .0;
-            is_cut && there == woadstall_instances::Way::Cut
+            is_cut && there == woadstall_membership::Way::Cut
         };
         let named = pairs.filter(cut).count();
         assert!(named * 100 >= 144 * 90, "{named} of 144");
@@ -409,7 +409,7 @@
             .unwrap();
         net.after(9);
         net.run(SECOND);
-        let known = |node: &&woadstall_instances::Node| {
+        let known = |node: &&woadstall_membership::Node| {
             node.fact(&owner, &key)
                 .is_some_and(|fact| fact.bytes == text && fact.counter == counter)
         };
--- a/crates/instances/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -11,8 +11,8 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use woadstall_instances::message::{Body, FactNews, News, Origin};
-use woadstall_instances::{
+use woadstall_membership::message::{Body, FactNews, News, Origin};
+use woadstall_membership::{
     CUTS, Card, Claim, Event, Life, Message, MessageError, Name, Node, Said, Settings, State,
 };
 
@@ -441,11 +441,11 @@
         }
     }
 
-    fn way(&mut self, way: woadstall_instances::Way) {
+    fn way(&mut self, way: woadstall_membership::Way) {
         self.number(match way {
-            woadstall_instances::Way::Unknown => 0,
-            woadstall_instances::Way::Works => 1,
-            woadstall_instances::Way::Cut => 2,
+            woadstall_membership::Way::Unknown => 0,
+            woadstall_membership::Way::Works => 1,
+            woadstall_membership::Way::Cut => 2,
         });
     }
 
--- a/crates/instances/tests/long.rs
+++ b/crates/membership/tests/long.rs
@@ -1,4 +1,4 @@
-//! Hours in simulated time: `cargo test --release -p woadstall-instances --test long -- --ignored --nocapture`.
+//! Hours in simulated time: `cargo test --release -p woadstall-membership --test long -- --ignored --nocapture`.
 //! `MEMBERS`, `MINUTES` and `SEED` say how many, how long and which; `ASLEEP=30` that one in 30 sleeps at any time, 0 none.
 
 mod common;
@@ -6,7 +6,7 @@
 use common::{MS, Net, SECOND, Way};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use woadstall_instances::{Event, State};
+use woadstall_membership::{Event, State};
 
 fn number(name: &str, usual: u64) -> u64 {
     std::env::var(name)
--- a/crates/instances/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -4,8 +4,8 @@
 
 use common::{SECOND, address, card, name};
 use proptest::prelude::*;
-use woadstall_instances::message::{Body, News};
-use woadstall_instances::{Claim, Message, Node, Said, Settings};
+use woadstall_membership::message::{Body, News};
+use woadstall_membership::{Claim, Message, Node, Said, Settings};
 
 fn node() -> Node {
     Node::new(
@@ -97,10 +97,10 @@
 #[test]
 fn what_is_not_sound_is_named() {
     assert!(
-        woadstall_instances::Name::new("").is_err()
-            && woadstall_instances::Name::new("a b").is_err()
+        woadstall_membership::Name::new("").is_err()
+            && woadstall_membership::Name::new("a b").is_err()
     );
-    assert!(woadstall_instances::Name::new(&"x".repeat(65)).is_err());
+    assert!(woadstall_membership::Name::new(&"x".repeat(65)).is_err());
     let wrong = Settings {
         patience: Settings::default().period,
         ..Settings::default()
--- a/crates/instances-seal/tests/golden.rs
+++ b/crates/message-auth/tests/golden.rs
@@ -3,7 +3,7 @@
 //! Each file of `tests/golden/` holds what one form was when it was written down, as hexadecimal digits or as text.
 
 use std::path::PathBuf;
-use woadstall_instances_seal::{ADDS, Keys, SealError, Seals};
+use woadstall_message_auth::{ADDS, Keys, SealError, Seals};
 
 const KEY: &str = "00112233445566778899aabbccddeeff";
 const OTHER: &str = "ffeeddccbbaa99887766554433221100";
--- a/crates/instances-seal/tests/seals.rs
+++ b/crates/message-auth/tests/seals.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeSet;
-use woadstall_instances_seal::{ADDS, Keys, SealError, Seals};
+use woadstall_message_auth::{ADDS, Keys, SealError, Seals};
 
 const ONE: &str = "00112233445566778899aabbccddeeff";
 const OTHER: &str = "ffeeddccbbaa99887766554433221100";
--- a/crates/node/src/front/course.rs
+++ b/crates/node/src/front/course.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use woadstall_control::configuration::{Route, Service};
-use woadstall_explain::{AttemptOutcome, Cause};
 use woadstall_inbound::lock;
+use woadstall_request_reports::{AttemptOutcome, Cause};
 use woadstall_routing::{Decision, Prompt, Query, Refusal, Target, UpstreamId};
 
 /// Attempts whose connection does not come up, at most.
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -15,8 +15,8 @@
 use tokio::time::Instant;
 use woadstall_control::configuration::{Configuration, Route, RouteType};
 use woadstall_control::shards::short_hash;
-use woadstall_explain::Cause;
 use woadstall_inbound::{BodyRoom, lock};
+use woadstall_request_reports::Cause;
 use woadstall_routing::Prompt;
 use woadstall_transport::end_to_end;
 
--- a/crates/node/src/front/reports.rs
+++ b/crates/node/src/front/reports.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use woadstall_control::configuration::Route;
-use woadstall_explain::{AttemptOutcome, AttemptReport, Cause, RequestReport};
 use woadstall_inbound::lock;
+use woadstall_request_reports::{AttemptOutcome, AttemptReport, Cause, RequestReport};
 use woadstall_routing::{Prompt, Standing, Target};
 
 /// Writes reports, so many a second at most.
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
-use woadstall_explain::{AttemptOutcome, Cause};
+use woadstall_request_reports::{AttemptOutcome, Cause};
 use woadstall_routing::Outcome;
 
 /// The header with the id of the last event that a client has.
--- a/crates/node/src/why.rs
+++ b/crates/node/src/why.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
-use woadstall_explain::{MARK, ReportError, RequestReport, Summary};
+use woadstall_request_reports::{MARK, ReportError, RequestReport, Summary};
 
 /// Logs can't be folded.
 #[derive(Debug, Error)]
@@ -41,7 +41,7 @@
     }
     write!(io::stdout(), "{summary}").map_err(io_error(Path::new("standard output")))?;
     let Some(path) = plot else { return Ok(()) };
-    let picture = woadstall_explain::plot(&summary).map_err(WhyError::Plot)?;
+    let picture = woadstall_request_reports::plot(&summary).map_err(WhyError::Plot)?;
     std::fs::write(path, picture).map_err(io_error(path))
 }
 
--- a/crates/operator/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The operators' file, pinned: every key, every default and the text of every error.
 
 use std::path::Path;
-use woadstall_operator::{Evacuation, Instances, MOST_BYTES, Operator, Plugin, Protocol};
+use woadstall_operator_config::{Evacuation, Instances, MOST_BYTES, Operator, Plugin, Protocol};
 
 /// Compares with the fixture of this name.
 fn assert_golden(name: &str, text: &str) {
--- a/crates/explain/tests/golden.rs
+++ b/crates/request-reports/tests/golden.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 use std::path::Path;
-use woadstall_explain::{AttemptOutcome, AttemptReport, Cause, MARK, RequestReport, Summary, plot};
+use woadstall_request_reports::{
+    AttemptOutcome, AttemptReport, Cause, MARK, RequestReport, Summary, plot,
+};
 
 const CAUSES: [Cause; 7] = [
     Cause::Late,
--- a/crates/explain/tests/reports.rs
+++ b/crates/request-reports/tests/reports.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use std::collections::BTreeMap;
-use woadstall_explain::{
+use woadstall_request_reports::{
     AttemptOutcome, AttemptReport, Cause, MARK, ReportError, RequestReport, Summary, plot,
 };
 
--- a/crates/pacing/tests/sum.rs
+++ b/crates/slow-start/tests/sum.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use std::collections::VecDeque;
-use woadstall_pacing::{Leases, Pace, Report, Settings, Work};
+use woadstall_slow_start::{Leases, Pace, Report, Settings, Work};
 
 const MS: u64 = 1_000_000;
 const STEP: u64 = 10 * MS;
--- a/crates/plugin/src/ask.rs
+++ b/crates/tower/src/ask.rs
@@ -177,7 +177,7 @@
 
     fn classes() -> Classes {
         let text =
-            woadstall_standin::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
+            woadstall_mock_servers::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
                 .to_string();
         let mut settings = woadstall_settings::settings(text.as_bytes()).unwrap();
         let names = woadstall_settings::names(text.as_bytes()).unwrap();
@@ -316,7 +316,7 @@
     #[test]
     fn faults_in_methods_are_named() {
         let text =
-            woadstall_standin::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
+            woadstall_mock_servers::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
                 .to_string();
         let build = |methods: &[(&str, &str)]| {
             let mut settings = woadstall_settings::settings(text.as_bytes()).unwrap();
--- a/crates/plugin/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use woadstall_discovery::Listing;
 use woadstall_engine::Settings;
-use woadstall_operator::Operator;
+use woadstall_operator_config::Operator;
 use woadstall_runtime::{Log, Setup};
 use woadstall_settings::Names;
 use woadstall_transport::{Http1, Http2, Limits};
@@ -91,8 +91,8 @@
             .map_err(|fault| BuildError(fault.to_string()))?
             .plugin;
         self.protocol = match plugin.protocol {
-            woadstall_operator::Protocol::Http1 => Protocol::Http1,
-            woadstall_operator::Protocol::Http2 => Protocol::Http2,
+            woadstall_operator_config::Protocol::Http1 => Protocol::Http1,
+            woadstall_operator_config::Protocol::Http2 => Protocol::Http2,
         };
         (self.replay_limit, self.connections) = (plugin.replay_limit, plugin.connections);
         self.methods.extend(plugin.methods);
--- a/crates/plugin/src/same.rs
+++ b/crates/tower/src/same.rs
@@ -107,7 +107,7 @@
     // Both tiers that tell the two apart: only the first sheds, by the classes that there are.
     for tier in [0, 1] {
         for tape in 0..8 {
-            let mut config = woadstall_standin::http1::config(([127, 0, 0, 1], 1).into(), &[]);
+            let mut config = woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[]);
             config["settings"]["Layer"] = tier.into();
             config["settings"]["Zones"] = serde_json::json!(["a", "b", "c"]);
             for class in config["settings"]["Classes"].as_array_mut().unwrap() {
--- a/crates/plugin/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tower_service::Service;
-use woadstall_standin::grpc::message;
+use woadstall_mock_servers::grpc::message;
 use woadstall_tower::{Balance, Builder, Inbound, Listing};
 
 pub const LOOK: &str = "/test.Test/Look";
@@ -45,7 +45,7 @@
 /// Settings with a class that is safe, one that is keyed and one that is unsafe, changed as told.
 pub fn settings(change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
     let mut settings =
-        woadstall_standin::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
+        woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
     change(&mut settings);
     settings.to_string().into_bytes()
 }
--- a/crates/plugin/tests/grpc.rs
+++ b/crates/tower/tests/grpc.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 use tower_service::Service;
-use woadstall_standin::grpc::{Called, Grpc, Reply, message};
-use woadstall_standin::raw2::{Raw2, Then};
+use woadstall_mock_servers::grpc::{Called, Grpc, Reply, message};
+use woadstall_mock_servers::raw2::{Raw2, Then};
 use woadstall_tower::{CallInfo, InheritTime, Protocol};
 
 fn ok() -> Reply {
@@ -530,7 +530,7 @@
 #[tokio::test]
 async fn where_nothing_listens_a_call_is_refused() {
     let settings = settings(|settings| settings["Limits"]["RetryAfter"] = true.into());
-    let nowhere = woadstall_standin::http1::refusing();
+    let nowhere = woadstall_mock_servers::http1::refusing();
     let balance = builder(&settings)
         .known(in_service(&[nowhere]))
         .build()
@@ -558,7 +558,7 @@
 /// HTTP/1.1 upstreams behind the same service.
 #[tokio::test]
 async fn http1_upstreams_are_served_alike() {
-    use woadstall_standin::http1::{Act, Upstream, full, ok};
+    use woadstall_mock_servers::http1::{Act, Upstream, full, ok};
     let count = AtomicUsize::new(0);
     let upstream = Upstream::start(move |_| match count.fetch_add(1, Ordering::Relaxed) {
         0 => Act::Answer(full()),
--- a/crates/plugin/tests/tonic.rs
+++ b/crates/tower/tests/tonic.rs
@@ -16,7 +16,7 @@
 use tonic_health::pb::HealthCheckRequest;
 use tonic_health::pb::health_client::HealthClient;
 use tonic_health::server::HealthReporter;
-use woadstall_standin::grpc::{Grpc, Reply};
+use woadstall_mock_servers::grpc::{Grpc, Reply};
 use woadstall_tower::{Balance, Protocol};
 
 const CHECK: &str = "/grpc.health.v1.Health/Check";
@@ -108,7 +108,7 @@
 /// What the decisions refuse or fail reaches a tonic client as a status that it knows what to do with.
 #[tokio::test]
 async fn refusals_and_failures_are_statuses() {
-    let nowhere = woadstall_standin::http1::refusing();
+    let nowhere = woadstall_mock_servers::http1::refusing();
     let error = HealthClient::new(health(&[nowhere]))
         .check(ask(""))
         .await
@@ -155,7 +155,7 @@
 /// hyper's server with the plug-in as its service, hyper-util's client in front, HTTP/1.1 upstreams behind.
 #[tokio::test]
 async fn hyper_utils_client_and_hypers_server_around_the_plug_in() {
-    use woadstall_standin::http1::{Act, Upstream, full, ok};
+    use woadstall_mock_servers::http1::{Act, Upstream, full, ok};
     let count = std::sync::atomic::AtomicUsize::new(0);
     let upstream = Upstream::start(move |request| {
         match count.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 2 {
--- a/src/bin/woadstall-wirehost.rs
+++ b/src/bin/woadstall-simulation-adapter.rs
@@ -17,7 +17,7 @@
     ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("woadstall-wirehost: {error}");
+            eprintln!("woadstall-simulation-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/check.rs
+++ b/src/check.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::path::Path;
 use std::process::ExitCode;
-use woadstall_operator::MOST_BYTES;
+use woadstall_operator_config::MOST_BYTES;
 
 /// Checks each file and writes a line on it; failure if any has a fault.
 pub fn files(files: &[impl AsRef<Path>], out: &mut impl Write) -> ExitCode {
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 use woadstall_inbound::lock;
-use woadstall_instances_net::Instances;
+use woadstall_membership_net::Instances;
 use woadstall_runtime::Balance;
 use woadstall_transport::Http1;
 
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 use woadstall_decisions::api::Settings;
 use woadstall_discovery::Listing;
-use woadstall_instances_net::Setup;
-use woadstall_operator::Evacuation;
+use woadstall_membership_net::Setup;
+use woadstall_operator_config::Evacuation;
 use woadstall_settings::Names;
 
 /// Descriptors that are neither callers' nor upstreams': standard streams, listener, discovery, the runtime's,
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -7,9 +7,9 @@
 use tokio::time::{MissedTickBehavior, interval};
 use woadstall_decisions::api::Verdict;
 use woadstall_evacuation::{Coordinator, Order, Places, Settings, Status, What};
-use woadstall_evidence::{Kind, Out, Saw};
-use woadstall_instances_net::Instances;
-use woadstall_operator::Evacuation;
+use woadstall_health_reports::{Kind, Out, Saw};
+use woadstall_membership_net::Instances;
+use woadstall_operator_config::Evacuation;
 use woadstall_runtime::Balance;
 use woadstall_transport::Http1;
 
--- a/src/net/figures.rs
+++ b/src/net/figures.rs
@@ -5,7 +5,7 @@
 use prometheus::{
     GaugeVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry, TextEncoder,
 };
-use woadstall_instances_net::Instances;
+use woadstall_membership_net::Instances;
 
 /// The figures since the start of this process.
 pub struct Figures {
--- a/src/net/instances.rs
+++ b/src/net/instances.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::sleep;
-use woadstall_instances::{Name, Settings};
-use woadstall_instances_net::{Instances, Setup};
-use woadstall_operator::{Evacuation, MOST_BYTES, Operator};
+use woadstall_membership::{Name, Settings};
+use woadstall_membership_net::{Instances, Setup};
+use woadstall_operator_config::{Evacuation, MOST_BYTES, Operator};
 
 /// How often the calls' thread says that it goes on. The member stands still a second after it last did.
 const BEAT: Duration = Duration::from_millis(200);
@@ -36,7 +36,7 @@
 }
 
 fn setup(
-    file: woadstall_operator::Instances,
+    file: woadstall_operator_config::Instances,
     folder: &Path,
     zone: Option<&str>,
     name: Option<&str>,
--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use woadstall_instances_net::{Report, Row};
+use woadstall_membership_net::{Report, Row};
 
 const PATIENCE: Duration = Duration::from_secs(5);
 /// Bytes of an answer at most: a row for each of a few thousand.
--- a/tests/beside.rs
+++ b/tests/beside.rs
@@ -9,8 +9,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tower_service::Service;
-use woadstall_standin::http1::*;
-use woadstall_standin::nodo::{Nodo, Spec};
+use woadstall_mock_servers::http1::*;
+use woadstall_mock_servers::nodo::{Nodo, Spec};
 use woadstall_tower::{Balance, Protocol};
 
 /// Six upstreams that write down the order in which they are asked. Every fifth request at one ends with a
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
-use woadstall_standin::http1::{config, refusing};
+use woadstall_mock_servers::http1::{config, refusing};
 
 fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
--- a/tests/client_leaves.rs
+++ b/tests/client_leaves.rs
@@ -6,7 +6,7 @@
 use common::*;
 use std::io::Write;
 use std::net::TcpStream;
-use woadstall_standin::http1::*;
+use woadstall_mock_servers::http1::*;
 
 /// More than a balancer reads ahead behind an open request, and less than the kernel takes in for it: behind a full
 /// window, the end of a client does not even reach the balancer's machine.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::{Caller, LONG, Message};
+use woadstall_mock_servers::http1::{Caller, LONG, Message};
 
 /// The program, running.
 pub struct Program {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -8,8 +8,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::{Act, Message, PATIENCE, Upstream};
-use woadstall_standin::system::{System, answer, call, events};
+use woadstall_mock_servers::http1::{Act, Message, PATIENCE, Upstream};
+use woadstall_mock_servers::system::{System, answer, call, events};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_woadstall");
 /// How soon after a client has left its upstreams hear of it.
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -8,7 +8,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::*;
+use woadstall_mock_servers::http1::*;
 
 /// More than is read whole before an answer is passed on.
 const LARGE: usize = 100 << 10;
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use std::time::Duration;
-use woadstall_standin::http1::*;
+use woadstall_mock_servers::http1::*;
 
 /// What the program may hold, as its configuration says and as the system allows.
 const DESCRIPTORS: u32 = 104;
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Barrier, Mutex};
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::*;
-use woadstall_standin::late::LateListener;
+use woadstall_mock_servers::http1::*;
+use woadstall_mock_servers::late::LateListener;
 
 /// Within this, a change counts as told.
 const TOLD: Duration = Duration::from_secs(6);
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use woadstall::net::{members, places};
-use woadstall_standin::http1::{config, refusing};
+use woadstall_mock_servers::http1::{config, refusing};
 
 /// Compares with the fixture of this name.
 fn assert_golden(name: &str, text: &str) {
--- a/tests/golden_daemon.rs
+++ b/tests/golden_daemon.rs
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
-use woadstall_standin::http1::{
+use woadstall_mock_servers::http1::{
     Act, LONG, Upstream, config, in_service, named_request, ok, refusing, target,
 };
 
--- a/tests/golden_membership.rs
+++ b/tests/golden_membership.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use woadstall::net::members;
-use woadstall_instances::message::{Body, News};
-use woadstall_instances::{Card, Claim, Life, Message, Name, Node, Said, Settings};
-use woadstall_instances_net::{Counts, Report, Row, Ways};
+use woadstall_membership::message::{Body, News};
+use woadstall_membership::{Card, Claim, Life, Message, Name, Node, Said, Settings};
+use woadstall_membership_net::{Counts, Report, Row, Ways};
 
 const SECOND: u64 = 1_000_000_000;
 
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use woadstall_standin::http1::{config, refusing};
+use woadstall_mock_servers::http1::{config, refusing};
 
 fn folder() -> PathBuf {
     let path =
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::*;
+use woadstall_mock_servers::http1::*;
 
 #[test]
 fn ready_is_told_at_the_second_address_alone() {
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -6,7 +6,7 @@
 use common::*;
 use serde_json::{Value, json};
 use std::sync::{Arc, Barrier};
-use woadstall_standin::http1::*;
+use woadstall_mock_servers::http1::*;
 
 /// An upstream that holds a request with the body `first` until the test lets its attempt break, and answers all others.
 struct Breaking {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 use std::sync::mpsc::{Sender, channel};
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::*;
+use woadstall_mock_servers::http1::*;
 
 /// An upstream that holds each answer to a POST until the test lets it go.
 fn holding() -> (Upstream, Sender<()>) {
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::*;
+use woadstall_mock_servers::http1::*;
 
 fn served_by(upstream: &Upstream) -> Program {
     Program::start(&config(refusing(), &in_service(&[upstream])))
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -3,8 +3,8 @@
 use serde_json::{Value, json};
 use std::path::Path;
 use std::process::Command;
-use woadstall_standin::http1::{Act, Message, Upstream};
-use woadstall_standin::system::{System, answer, call, events};
+use woadstall_mock_servers::http1::{Act, Message, Upstream};
+use woadstall_mock_servers::system::{System, answer, call, events};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_woadstall");
 
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -9,8 +9,8 @@
 use std::net::TcpListener;
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::*;
-use woadstall_standin::late::LateListener;
+use woadstall_mock_servers::http1::*;
+use woadstall_mock_servers::late::LateListener;
 
 /// Longer than the kernel takes to dial again.
 const DIALLED_AGAIN: Duration = Duration::from_secs(10);
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -10,8 +10,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
-use woadstall_standin::http1::*;
-use woadstall_standin::late::LateListener;
+use woadstall_mock_servers::http1::*;
+use woadstall_mock_servers::late::LateListener;
 
 /// An upstream that handles each connection as it is told, and tells how many there were.
 fn raw(handle: impl Fn(TcpStream) + Send + 'static) -> (SocketAddr, Receiver<()>) {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -253,7 +253,7 @@
   "Zones": ["x", "y"]}"#;
 
 fn run_adapter(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_woadstall-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_woadstall-simulation-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
