--- a/crates/control-simulation/src/cluster.rs
+++ b/crates/control-simulation/src/cluster.rs
@@ -5,6 +5,7 @@
 use crate::history::{Call, History, Reply};
 use crate::network::{CALM, Fate, Network, Weather};
 use crate::oracle::{Oracle, holds_generation};
+use crate::recording::{Observation, Recording};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use woadstall_consensus::{DurableState, Member, Snapshot};
@@ -87,6 +88,8 @@
     pub log: Vec<(u64, String)>,
     /// The answers so far, by call.
     pub answers: BTreeMap<u64, Answer>,
+    /// The digest of all that happens, where it is wanted.
+    pub recording: Option<Recording>,
     leaving_calls: BTreeMap<u64, String>,
     next_token: u64,
     next_id: u64,
@@ -128,6 +131,7 @@
             sequence: 0,
             log: Vec::new(),
             answers: BTreeMap::new(),
+            recording: None,
             leaving_calls: BTreeMap::new(),
             next_token: 0,
             next_id: 1_000,
@@ -160,6 +164,9 @@
         let mut machine = Machine::new(settings, host.disk.durable().clone(), self.now, seed);
         machine.remember(host.disk.registrations.clone());
         host.machine = Some(machine);
+        self.record(Observation::Start, |recording| {
+            recording.number(place as u64).number(incarnation).number(seed)
+        });
         self.settle(place);
     }
 
@@ -175,6 +182,7 @@
     }
 
     fn end(&mut self, place: usize, begun: usize) {
+        self.record(Observation::End, |recording| recording.number(place as u64).number(begun as u64));
         let host = &mut self.hosts[place];
         host.machine = None;
         host.fronts = BTreeMap::new();
@@ -409,6 +417,7 @@
     fn connect(&mut self, from: usize, to: usize) {
         let run = self.hosts[from].machine.is_some() && self.hosts[to].machine.is_some();
         if run && !self.is_frozen(from) && self.network.connect(self.now, from, to) {
+            self.record(Observation::Connect, |recording| recording.number(from as u64).number(to as u64));
             self.call(from, |machine, now, _| machine.link_up(now, &address(to)));
         }
     }
@@ -437,6 +446,10 @@
                     let wait = host.frozen_until - now;
                     self.schedule(wait, Due::Packet { to, incarnation, from, number });
                 } else if let Some(machine) = host.machine.as_mut() {
+                    if let Some(recording) = &mut self.recording {
+                        let observed = recording.observe(Observation::Receive, now);
+                        observed.number(to as u64).number(from as u64).bytes(&self.packets[number].frame());
+                    }
                     machine.packet(now, &address(from), self.packets[number].clone());
                     self.settle(to);
                 }
@@ -457,6 +470,14 @@
             return;
         }
         let synced = host.disk.sync(now);
+        if let Some(recording) = &mut self.recording {
+            let (kind, number) = match synced {
+                Some(Synced::Records(sequence)) => (1, sequence),
+                Some(Synced::Registrations(number)) => (2, number),
+                None => (0, 0),
+            };
+            recording.observe(Observation::Sync, now).number(place as u64).number(kind).number(number);
+        }
         if let (Some(synced), Some(machine)) = (synced, host.machine.as_mut()) {
             match synced {
                 Synced::Records(sequence) => machine.persisted(now, sequence),
@@ -486,10 +507,14 @@
         let host = &self.hosts[place];
         if let Some(machine) = &host.machine {
             self.oracle.look_at(place, host.incarnation, machine);
+            if let Some(recording) = &mut self.recording {
+                recording.observe(Observation::State, self.now).number(place as u64).standing(machine);
+            }
         }
     }
 
     fn carry_out(&mut self, place: usize, action: Action) {
+        self.record_action(place, &action);
         match action {
             Action::Connect { .. } | Action::Disconnect { .. } => {}
             Action::Log(line) => self.log.push((self.now, format!("machine {place}: {line}"))),
@@ -515,6 +540,65 @@
         }
     }
 
+    fn record(&mut self, observation: Observation, add: impl FnOnce(&mut Recording) -> &mut Recording) {
+        let now = self.now;
+        if let Some(recording) = &mut self.recording {
+            add(recording.observe(observation, now));
+        }
+    }
+
+    fn record_action(&mut self, place: usize, action: &Action) {
+        let Some(recording) = &mut self.recording else { return };
+        let (now, place) = (self.now, place as u64);
+        match action {
+            Action::Log(_) => {}
+            Action::Connect { address } => {
+                let observed = recording.observe(Observation::Address, now);
+                observed.number(place).number(1).bytes(address.as_bytes());
+            }
+            Action::Disconnect { address } => {
+                let observed = recording.observe(Observation::Address, now);
+                observed.number(place).number(0).bytes(address.as_bytes());
+            }
+            Action::Send { address, packet } => {
+                let observed = recording.observe(Observation::Send, now);
+                observed.number(place).bytes(address.as_bytes()).bytes(&packet.frame());
+            }
+            Action::Persist { sequence, record } => {
+                let observed = recording.observe(Observation::Write, now);
+                observed.number(place).number(*sequence).encoded(record);
+            }
+            Action::KeepRegistrations { number } => {
+                recording.observe(Observation::WriteRegistrations, now).number(place).number(*number);
+            }
+            Action::Answer { token, answer } => {
+                recording.observe(Observation::Answer, now).number(place).number(*token).answer(answer);
+            }
+            Action::Deliver { subscribers, packet } => {
+                let observed = recording.observe(Observation::Deliver, now).number(place);
+                for subscriber in subscribers.iter() {
+                    observed.number(*subscriber);
+                }
+                observed.bytes(&packet.frame());
+            }
+        }
+    }
+
+    /// The digest of all that has happened since it was wanted, of the states in which the machines and balancers are now, and
+    /// of the oracles' verdict; and the number of observations that it holds.
+    pub fn finish_recording(&mut self) -> (u64, u64) {
+        let mut recording = self.recording.take().unwrap_or_default();
+        let verdict =
+            u64::from(self.oracle.violation.is_none()) + 2 * u64::from(self.history.check().is_ok());
+        let chance = self.random.u64(..);
+        let all = recording.observe(Observation::Final, self.now).number(verdict).number(chance);
+        all.number(self.history.answered() as u64).number(self.packets.len() as u64).number(self.sequence);
+        for host in &self.hosts {
+            record_host(&mut recording, host, self.now);
+        }
+        recording.finish()
+    }
+
     fn schedule_sync(&mut self, place: usize) {
         let incarnation = self.hosts[place].incarnation;
         self.schedule(SYNC, Due::Synced { place, incarnation });
@@ -609,3 +693,38 @@
         }
     }
 }
+
+/// Adds what a machine's disk, its process and its balancers hold at the end.
+fn record_host(recording: &mut Recording, host: &Host, now: u64) {
+    let durable = host.disk.durable();
+    let all = recording.observe(Observation::Final, now);
+    all.number(host.incarnation).number(u64::from(host.is_there)).number(host.frozen_until);
+    all.number(durable.id).number(durable.term).number(durable.vote).number(durable.commit);
+    all.encoded(durable.log.snapshot());
+    for entry in durable.log.entries().iter() {
+        all.encoded(entry);
+    }
+    for registration in host.disk.registrations.iter() {
+        all.encoded(registration);
+    }
+    all.number(host.disk.pending() as u64).number(u64::from(host.machine.is_some()));
+    if let Some(machine) = &host.machine {
+        all.standing(machine).bytes(&machine.state().encode());
+        for registration in machine.registrations().iter() {
+            all.encoded(registration);
+        }
+        for entry in machine.replica().log().entries().iter() {
+            all.encoded(entry);
+        }
+    }
+    for (subscriber, front) in &host.fronts {
+        all.number(*subscriber).bytes(&front.state.encode());
+        all.number(front.epoch).number(front.offset).number(u64::from(front.in_quorum));
+        for generation in front.generations.iter() {
+            all.number(*generation);
+        }
+        for (id, status) in &front.statuses {
+            all.bytes(id.as_bytes()).encoded(status);
+        }
+    }
+}
--- a/crates/control-simulation/src/lib.rs
+++ b/crates/control-simulation/src/lib.rs
@@ -13,4 +13,5 @@
 pub mod network;
 pub mod oracle;
 pub mod platter;
+pub mod recording;
 pub mod scenario;
--- a/crates/control-simulation/src/scenario.rs
+++ b/crates/control-simulation/src/scenario.rs
@@ -214,7 +214,11 @@
 
 /// Plays a day, heals everything, and tells what did not hold.
 pub fn play(seed: u64, layout: Layout, weather: Weather, events: &[Event]) -> Result<Cluster, String> {
-    let mut cluster = Cluster::with(seed, layout, weather);
+    play_in(Cluster::with(seed, layout, weather), layout, events)
+}
+
+/// Plays a day with machines that were just started.
+pub fn play_in(mut cluster: Cluster, layout: Layout, events: &[Event]) -> Result<Cluster, String> {
     let mut operator = Operator::default();
     let mut sequence = 0;
     cluster.run(6_000);
