--- a/crates/control-simulation/src/scenario.rs
+++ b/crates/control-simulation/src/scenario.rs
@@ -275,7 +275,11 @@
     weather: Weather,
     events: &[Event],
 ) -> Result<Cluster, String> {
-    let mut cluster = Cluster::with(seed, layout, weather);
+    play_in(Cluster::with(seed, layout, weather), layout, events)
+}
+
+/// Plays a day with machines that were just started.
+pub fn play_in(mut cluster: Cluster, layout: Layout, events: &[Event]) -> Result<Cluster, String> {
     let mut operator = Operator::default();
     let mut sequence = 0;
     cluster.run(6_000);
