--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -26,14 +26,14 @@
     /// Safe to repeat and to refuse at any time.
     Safe,
     /// Repeats are dropped by the servers of one group for a while.
-    Keyed(Group, Duration),
+    Keyed(DedupScope, Duration),
     /// Must never run twice.
     Unsafe,
 }
 
 /// The servers that drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All servers.
     All,
     /// Those in the zone of the first server that may have run it.
@@ -46,17 +46,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub latency_target_stretch: f64,
     /// The longest that a client waits, over all its tries.
     pub deadline: Duration,
     /// What repeating does.
     pub effect: Effect,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
-    /// Worth of one request, or of a unit of its work if `Settings::worth_by_work`.
-    pub worth: f64,
+    pub late_value: f64,
+    /// Worth of one request, or of a unit of its work if `Settings::value_by_work`.
+    pub value: f64,
 }
 
 /// A tenant of the deployment.
@@ -74,23 +74,23 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Part of its worth that a request beyond its tenant's quota keeps.
-    pub over_quota_worth: f64,
+    pub over_quota_value: f64,
     /// Worth is measured per unit of work, not per request.
-    pub worth_by_work: bool,
+    pub value_by_work: bool,
     /// The zone of this balancer.
     pub zone: ZoneId,
     /// Number of zones.
     pub zones: usize,
     /// Number of balancers that send to the same tier, this one included.
-    pub siblings: u32,
+    pub balancers: u32,
     /// The tier that this balancer sends to; 0 serves the clients.
     pub tier: u32,
     /// A call to a deeper tier carries the time its caller has left.
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// Discovery answers only when asked.
-    pub ask_discovery: bool,
+    pub subscribes_to_discovery: bool,
     /// Without a subscription, a balancer counts as told of whatever was listed this long ago.
-    pub ask_within: Duration,
+    pub subscribe_within: Duration,
     /// Attempts that may be cancelled.
     pub may_cancel: bool,
     /// The longest advice on when to come back that clients follow.
@@ -98,21 +98,21 @@
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Idle connections are closed after this time.
-    pub conn_idle: Duration,
+    pub idle_timeout: Duration,
     /// A cold server starts with this part of its capacity.
-    pub start_capacity: f64,
+    pub slow_start_capacity: f64,
     /// A cold server sent more than this multiple of what it can do falls over.
-    pub tip_multiple: f64,
+    pub slow_start_overload: f64,
     /// A cold server is warm after this time.
-    pub ramp_time: Duration,
+    pub slow_start_window: Duration,
     /// Position of the requests-held figure in load reports, if they carry it.
-    pub report_inflight: Option<usize>,
+    pub in_flight_report_field: Option<usize>,
     /// Load reports come with probes alone, and probes are allowed.
-    pub load_by_probe: bool,
+    pub probes_for_load: bool,
     /// What a crossing of zones for each request costs, as part of all requests' worth.
-    pub cross_price: f64,
+    pub cross_zone_cost: f64,
     /// What a probe for each request costs, as part of all requests' worth.
-    pub probe_price: f64,
+    pub probe_cost: f64,
 }
 
 /// What is wrong with settings; the text names the field.
@@ -137,15 +137,19 @@
         }
         for (at, class) in self.classes.iter().enumerate() {
             let figures = [
-                ("aim_stretch", class.aim_stretch),
-                ("late_worth", class.late_worth),
-                ("worth", class.worth),
+                ("aim_stretch", class.latency_target_stretch),
+                ("late_worth", class.late_value),
+                ("worth", class.value),
             ];
             if let Some((field, figure)) = figures.into_iter().find(|&(_, figure)| !sound(figure)) {
                 return error(format!("`classes[{at}].{field}` is {figure}"));
             }
-            if class.aim == 0 || class.deadline == 0 {
-                let field = if class.aim == 0 { "aim" } else { "deadline" };
+            if class.latency_target == 0 || class.deadline == 0 {
+                let field = if class.latency_target == 0 {
+                    "aim"
+                } else {
+                    "deadline"
+                };
                 return error(format!("`classes[{at}].{field}` is 0"));
             }
         }
@@ -165,17 +169,17 @@
         if self.max_attempts == 0 {
             return error("`max_attempts` is 0".into());
         }
-        if !(0.0..=1.0).contains(&self.start_capacity) {
+        if !(0.0..=1.0).contains(&self.slow_start_capacity) {
             return error(format!(
                 "`start_capacity` is {}, not between 0 and 1",
-                self.start_capacity
+                self.slow_start_capacity
             ));
         }
         let figures = [
-            ("over_quota_worth", self.over_quota_worth),
-            ("probe_price", self.probe_price),
-            ("cross_price", self.cross_price),
-            ("tip_multiple", self.tip_multiple),
+            ("over_quota_worth", self.over_quota_value),
+            ("probe_price", self.probe_cost),
+            ("cross_price", self.cross_zone_cost),
+            ("tip_multiple", self.slow_start_overload),
         ];
         match figures.into_iter().find(|&(_, figure)| !sound(figure)) {
             Some((field, figure)) => error(format!("`{field}` is {figure}")),
@@ -192,12 +196,12 @@
     /// Finishes what it has; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One server as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListEntry {
+pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Its zone.
@@ -262,7 +266,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Demand {
+pub struct RequestParameters {
     /// Its class.
     pub class: usize,
     /// Its tenant.
@@ -272,12 +276,12 @@
     /// Its work, roughly, where that is known.
     pub work: Option<Duration>,
     /// Most attempts for it, whatever the settings allow beyond that: 1 where it cannot be sent again.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
+pub struct AttemptEnd {
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// How it ended.
@@ -292,7 +296,7 @@
 
 /// A place that the fleet has found something of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Place {
+pub enum FailureDomain {
     /// A zone, or one class (by position) at it.
     Zone(ZoneId, Option<usize>),
     /// A server, as its process is now.
@@ -302,9 +306,9 @@
 /// What the fleet has found of a place: evidence, not a command. It shifts new work only. It proves nothing of a call
 /// that is out, and no rule is lifted for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Verdict {
+pub struct HealthVerdict {
     /// The place.
-    pub place: Place,
+    pub domain: FailureDomain,
     /// The part of its usual new work that it should get, from 1 down to 0.
     pub share: f32,
     /// It holds until then: what is not renewed is as if it had not been said.
@@ -315,23 +319,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
     /// Changed entries of the list of servers.
-    ListChange(&'a [ListEntry]),
+    ServerListChange(&'a [ServerEntry]),
     /// The whole list of servers; what is missing from it is gone.
-    List(&'a [ListEntry]),
+    ServerList(&'a [ServerEntry]),
     /// A call to discovery failed or the subscription broke; the list stays as it was.
-    ListFailed,
+    SubscriptionFailed,
     /// A request to be answered once.
-    Request(RequestId, Demand),
+    Request(RequestId, RequestParameters),
     /// The answer of a streamed request began at this attempt; no deadline runs any more.
-    Started(RequestId, u32),
+    ResponseStarted(RequestId, u32),
     /// An attempt ended.
-    Ended(RequestId, End),
+    AttemptEnded(RequestId, AttemptEnd),
     /// The client left; no answer is owed any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A probe of a server ended, with the server's own figures if any came along.
-    Probed(ServerId, Outcome, Option<LoadReport>),
+    ProbeEnded(ServerId, Outcome, Option<LoadReport>),
     /// What the fleet has found of zones and servers.
-    Told(&'a [Verdict]),
+    HealthVerdicts(&'a [HealthVerdict]),
     /// A timer that this balancer set.
     Timer(u64),
 }
@@ -352,7 +356,7 @@
         begin_by: Time,
     },
     /// Final answer: refused, and trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Advice on how long to stay away; 0 for none.
@@ -370,7 +374,7 @@
     /// Ask a server for its figures.
     Probe(ServerId),
     /// Close the idle connections to a server.
-    Close(ServerId),
+    CloseIdleConnections(ServerId),
     /// Ask for `Event::Timer` after a while.
     SetTimer {
         /// From now.
@@ -379,7 +383,7 @@
         token: u64,
     },
     /// Subscribe to changes of the list.
-    Watch,
+    Subscribe,
     /// A line for the operators.
     Log(String),
 }
@@ -390,9 +394,9 @@
     /// Its mean.
     pub mean: f64,
     /// Its mean deviation.
-    pub dev: f64,
+    pub mean_deviation: f64,
     /// What it is in calm times.
-    pub calm: f64,
+    pub baseline: f64,
     /// Calls that it rests on.
     pub calls: u32,
 }
@@ -407,26 +411,26 @@
     /// How long its calls take, as a multiple of their class's mean.
     pub slowness: f64,
     /// How often its breaker opened lately.
-    pub opens: u32,
+    pub recent_opens: u32,
     /// For how much longer its breaker stays open, if it has tripped.
     pub open_for: Option<Duration>,
 }
 
 /// What a balancer has learned that is worth knowing for the process that takes over from it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct LearnedState {
     /// Latencies of classes, by position.
     pub classes: Vec<(usize, LearnedLatency)>,
     /// The latency of all calls.
     pub overall: LearnedLatency,
     /// Answers a second.
-    pub rate: f64,
+    pub responses_per_second: f64,
     /// Answers counted lately.
-    pub answers: f64,
+    pub responses: f64,
     /// Requests held meanwhile, each as one over its aim, summed over that time.
-    pub held: f64,
+    pub pending: f64,
     /// Part of the attempts that fail.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// What is known of servers.
     pub servers: Vec<LearnedServer>,
 }
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -6,7 +6,7 @@
 
 use crate::api::*;
 use crate::state::{
-    Asking, Breaker, IdleRisk, Latency, Pool, Recent, Request, Server, Shedding, Told,
+    Asking, Breaker, IdleRisk, Latency, Pool, Recent, Request, Server, Shedding, TrafficShare,
 };
 use std::collections::{HashMap, HashSet};
 
@@ -221,16 +221,16 @@
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::ListChange(entries) => self.on_list(entries, false),
-            Event::List(entries) => self.on_list(entries, true),
-            Event::ListFailed => self.on_list_failed(),
+            Event::ServerListChange(entries) => self.on_list(entries, false),
+            Event::ServerList(entries) => self.on_list(entries, true),
+            Event::SubscriptionFailed => self.on_list_failed(),
             Event::Request(id, demand) => self.on_request(id, demand),
-            Event::Started(id, attempt) => self.on_started(id, attempt),
-            Event::Ended(id, end) => self.on_ended(id, end),
-            Event::ClientGone(id) => self.on_client_gone(id),
-            Event::Probed(server, outcome, load) => self.on_probed(server, outcome, load),
-            Event::Told(verdicts) => self.on_told(verdicts),
-            Event::Timer(WATCH_TOKEN) => self.actions.push(Action::Watch),
+            Event::ResponseStarted(id, attempt) => self.on_started(id, attempt),
+            Event::AttemptEnded(id, end) => self.on_ended(id, end),
+            Event::ClientDisconnected(id) => self.on_client_gone(id),
+            Event::ProbeEnded(server, outcome, load) => self.on_probed(server, outcome, load),
+            Event::HealthVerdicts(verdicts) => self.on_told(verdicts),
+            Event::Timer(WATCH_TOKEN) => self.actions.push(Action::Subscribe),
             Event::Timer(token) if token & ASK_TOKEN != 0 => self.on_asked(RequestId(token as u32)),
             Event::Timer(token) => self.on_late(token),
         }
@@ -247,7 +247,7 @@
 
     /// Takes new settings. A class keeps its position; `new` names those that had another before.
     /// Fewer attempts bind requests under way as well.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         settings: Settings,
         new: &[ClassSuccession],
@@ -271,23 +271,23 @@
     }
 
     /// What is worth knowing for a process that takes over.
-    pub fn learned(&self) -> Learned {
+    pub fn learned_state(&self) -> LearnedState {
         let window = self.answer_window();
         let servers = self.index.values().map(|&at| &self.servers[at]);
-        Learned {
+        LearnedState {
             classes: self.classes.iter().map(Latency::told).enumerate().collect(),
             overall: self.overall.told(),
-            rate: self.served.per_second(self.now, RATE_WINDOW),
-            answers: self.shed.answers.get(self.now, window),
-            held: self.shed.held.get(self.now, window),
-            failing: self.failing,
+            responses_per_second: self.served.per_second(self.now, RATE_WINDOW),
+            responses: self.shed.answers.get(self.now, window),
+            pending: self.shed.held.get(self.now, window),
+            failure_rate: self.failing,
             servers: servers.map(|server| server.told(self.now)).collect(),
         }
     }
 
     /// Takes what a predecessor has learned, where nothing is known yet. It goes on sending for a while, so
     /// its rate counts by half: the two together must not send cold servers more than one would.
-    pub fn learn_from(&mut self, now: Time, learned: &Learned) {
+    pub fn restore(&mut self, now: Time, learned: &LearnedState) {
         self.now = self.now.max(now);
         let classes = learned.classes.iter().map(|(at, told)| (Some(*at), told));
         for (at, told) in classes.chain([(None, &learned.overall)]) {
@@ -297,13 +297,14 @@
                 .for_each(|own| *own = Latency::from_told(told));
         }
         if self.served.sum == 0.0 {
-            self.served = Recent::carried(learned.rate / 2.0, self.now, RATE_WINDOW);
+            self.served =
+                Recent::carried(learned.responses_per_second / 2.0, self.now, RATE_WINDOW);
             self.fresh_until = self.now;
-            (self.shed.answers.sum, self.shed.answers.at) = (learned.answers, self.now);
+            (self.shed.answers.sum, self.shed.answers.at) = (learned.responses, self.now);
             // A jam is believed when it is seen: with two processes at work, it may be over.
-            let held = learned.held.min(SHED_BETWEEN.0 * learned.answers);
+            let held = learned.pending.min(SHED_BETWEEN.0 * learned.responses);
             (self.shed.held.sum, self.shed.held.at) = (held, self.now);
-            self.failing = learned.failing;
+            self.failing = learned.failure_rate;
         }
         for told in &learned.servers {
             let Some(&at) = self.index.get(&told.server) else {
@@ -314,7 +315,7 @@
                 continue;
             }
             server.slowness = told.slowness;
-            server.breaker.opens = told.opens;
+            server.breaker.opens = told.recent_opens;
             if let Some(open_for) = told.open_for {
                 server.breaker.open_until = self.now.saturating_add(open_for.min(OPEN.1));
                 self.set_tripped(at, true);
@@ -323,13 +324,13 @@
     }
 
     /// Listed servers that take work and are passed over by their breakers.
-    pub fn avoided(&self) -> usize {
+    pub fn ejected_servers(&self) -> usize {
         self.pools.last().map_or(0, |all| all.tripped)
     }
 
     // ---- Discovery ----
 
-    fn on_list(&mut self, entries: &[ListEntry], whole: bool) {
+    fn on_list(&mut self, entries: &[ServerEntry], whole: bool) {
         if whole {
             self.index
                 .values()
@@ -341,14 +342,14 @@
         entries.iter().for_each(|entry| self.on_entry(entry));
         self.forget_gone();
         self.rebuild_pools();
-        if self.watch_failures.replace(0).is_none() && self.settings.ask_discovery {
-            let spread = WATCH_SPACING * Duration::from(self.settings.siblings);
-            self.watch_within(spread.min(self.settings.ask_within / 2));
+        if self.watch_failures.replace(0).is_none() && self.settings.subscribes_to_discovery {
+            let spread = WATCH_SPACING * Duration::from(self.settings.balancers);
+            self.watch_within(spread.min(self.settings.subscribe_within / 2));
         }
     }
 
-    fn on_entry(&mut self, entry: &ListEntry) {
-        let gone = entry.lifecycle == Lifecycle::Gone;
+    fn on_entry(&mut self, entry: &ServerEntry) {
+        let gone = entry.lifecycle == Lifecycle::Removed;
         let at = match self.index.get(&entry.server) {
             Some(&at) => at,
             None if gone => return,
@@ -368,7 +369,7 @@
         if entry.started.is_some() && entry.started != server.started {
             // A new process: its predecessor's failures say nothing of it. The random start of its budget
             // keeps all siblings from sending it their first call at once.
-            (server.breaker, server.told) = (Breaker::default(), Told::default());
+            (server.breaker, server.told) = (Breaker::default(), TrafficShare::default());
             (server.budget, server.budget_at, server.slowness) = (self.rng.f64(), self.now, 1.0);
             (server.open, server.conn_limit) = (server.in_flight, None); // nor do its connections
         }
@@ -428,7 +429,7 @@
         for at in ready {
             let server = &self.servers[at];
             both(&mut self.pools, server.zone)
-                .for_each(|pool| pool.add(at, server, self.settings.ramp_time));
+                .for_each(|pool| pool.add(at, server, self.settings.slow_start_window));
         }
     }
 
@@ -452,22 +453,22 @@
 
     // ---- Requests ----
 
-    fn on_request(&mut self, id: RequestId, demand: Demand) {
+    fn on_request(&mut self, id: RequestId, demand: RequestParameters) {
         let class = demand.class;
         let Some(aim) = self
             .settings
             .classes
             .get(class)
-            .map(|class| class.aim.max(1) as f64)
+            .map(|class| class.latency_target.max(1) as f64)
         else {
-            return self.actions.push(Action::Refuse { id, retry_after: 0 });
+            return self.actions.push(Action::Reject { id, retry_after: 0 });
         };
         self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(RETRY_BUDGET.1);
         let request = Request {
             class,
             per_aim: 1.0 / aim,
             deadline: self.now.saturating_add(self.useful_time(class, &demand)),
-            most: self.settings.max_attempts.min(demand.attempts),
+            most: self.settings.max_attempts.min(demand.max_attempts),
             ..Request::default()
         };
         if self.sheds(class, demand.tenant) {
@@ -480,17 +481,17 @@
     }
 
     /// How long an answer is worth waiting for.
-    fn useful_time(&self, class: usize, demand: &Demand) -> Duration {
+    fn useful_time(&self, class: usize, demand: &RequestParameters) -> Duration {
         let class = &self.settings.classes[class];
-        let stretch = class.aim_stretch * demand.work.unwrap_or(0) as f64;
+        let stretch = class.latency_target_stretch * demand.work.unwrap_or(0) as f64;
         let aim = class
-            .aim
+            .latency_target
             .saturating_add(stretch as Duration)
             .min(class.deadline);
         // Where an answer after the aim is worth nothing, waiting on only blocks a slot. A deeper tier that
         // is told no budget must not work on for a client that is long gone.
-        let guessed = self.settings.tier > 0 && !self.settings.passes_deadline;
-        if class.late_worth <= 0.0 || guessed {
+        let guessed = self.settings.tier > 0 && !self.settings.propagates_deadline;
+        if class.late_value <= 0.0 || guessed {
             demand.time_left.min(aim)
         } else {
             demand.time_left
@@ -548,7 +549,7 @@
     fn connection(&mut self, at: usize, class: usize) -> usize {
         let server = &mut self.servers[at];
         let idle = self.now.saturating_sub(server.idle_from);
-        if server.open <= server.in_flight || idle >= self.settings.conn_idle {
+        if server.open <= server.in_flight || idle >= self.settings.idle_timeout {
             server.open = server.in_flight;
             return 0;
         }
@@ -574,7 +575,7 @@
     fn close_idle(&mut self, at: usize) {
         let server = &mut self.servers[at];
         server.open = server.in_flight;
-        self.actions.push(Action::Close(server.id));
+        self.actions.push(Action::CloseIdleConnections(server.id));
     }
 
     /// When an attempt is given up. Work that must not run twice, or has no time to, may still finish.
@@ -594,7 +595,7 @@
     }
 
     fn never_overdue(&self, class: usize) -> Duration {
-        (OVERDUE_LEAST * self.settings.classes[class].aim as f64) as Duration
+        (OVERDUE_LEAST * self.settings.classes[class].latency_target as f64) as Duration
     }
 
     fn repeatable(&self, class: usize) -> bool {
@@ -612,7 +613,7 @@
         let retry_after = most / 2 + self.rng.u64(..=most / 2);
         let harmless = safe || request.may_have_run.is_none();
         self.actions.push(if harmless {
-            Action::Refuse { id, retry_after }
+            Action::Reject { id, retry_after }
         } else {
             Action::Fail(id)
         });
@@ -621,27 +622,27 @@
     // ---- The mechanism: zone affinity, zone avoidance, availability-filtered round robin ----
 
     /// What the fleet has found of zones and servers: it shifts new work, and fades where it is not renewed.
-    fn on_told(&mut self, verdicts: &[Verdict]) {
+    fn on_told(&mut self, verdicts: &[HealthVerdict]) {
         for verdict in verdicts {
-            let told = Told {
+            let told = TrafficShare {
                 share: f64::from(verdict.share).clamp(0.0, 1.0),
                 until: verdict.until,
             };
-            match verdict.place {
-                Place::Zone(zone, class) if usize::from(zone.0) < self.settings.zones => {
+            match verdict.domain {
+                FailureDomain::Zone(zone, class) if usize::from(zone.0) < self.settings.zones => {
                     let pool = &mut self.pools[usize::from(zone.0)];
                     match class {
                         None => pool.told = told,
                         Some(class) if class < self.settings.classes.len() => {
                             pool.told_classes
-                                .resize(self.settings.classes.len(), Told::default());
+                                .resize(self.settings.classes.len(), TrafficShare::default());
                             pool.told_classes[class] = told;
                         }
                         Some(_) => {}
                     }
                 }
-                Place::Zone(..) => {}
-                Place::Server(id) => self
+                FailureDomain::Zone(..) => {}
+                FailureDomain::Server(id) => self
                     .index
                     .get(&id)
                     .into_iter()
@@ -721,7 +722,7 @@
         let zone = &self.pools[own];
         let blackout = zone.tripped as f64 >= BLACKOUT * zone.members.len() as f64;
         let failing =
-            zone.failing.get(self.now, SURPLUS.1) > ZONE_FAILING + self.settings.cross_price;
+            zone.failing.get(self.now, SURPLUS.1) > ZONE_FAILING + self.settings.cross_zone_cost;
         zone.healthy() >= MIN_HEALTHY && !blackout && !failing && !self.overloaded(zone, zone.size)
     }
 
@@ -743,7 +744,7 @@
         let zone = zone?;
         let calm = self.pools[own].lateness.calm;
         let late = |zone: usize| self.pools[zone].expected(calm, self.now, SURPLUS.1);
-        let least = SURPLUS_GAIN.0 * self.settings.cross_price + SURPLUS_GAIN.1;
+        let least = SURPLUS_GAIN.0 * self.settings.cross_zone_cost + SURPLUS_GAIN.1;
         let gain = late(own) - late(zone) - least;
         Some(zone).filter(|_| self.rng.f64() < SURPLUS.0 * gain)
     }
@@ -875,8 +876,8 @@
             .may_have_run
             .map_or(server, |(first, _)| &self.servers[first]);
         match self.settings.classes[request.class].effect {
-            Effect::Keyed(Group::Zone, _) => first.zone == server.zone,
-            Effect::Keyed(Group::Cell, _) => first.cell == server.cell,
+            Effect::Keyed(DedupScope::Zone, _) => first.zone == server.zone,
+            Effect::Keyed(DedupScope::Cell, _) => first.cell == server.cell,
             _ => true,
         }
     }
@@ -892,7 +893,7 @@
         // Where servers tell their load before they get a call, a busy cold one is seen: half the multiple
         // that pushes it over is safe, and its share of proposals alone would leave it idle.
         let ease = if self.asks() {
-            (self.settings.tip_multiple / 2.0).max(1.0)
+            (self.settings.slow_start_overload / 2.0).max(1.0)
         } else {
             1.0
         };
@@ -909,7 +910,7 @@
         let beyond = if warmth < 1.0 {
             1.0
         } else {
-            COLD_PART * self.settings.tip_multiple
+            COLD_PART * self.settings.slow_start_overload
         };
         let rate = warmth * self.cold_share(self.servers[at].zone, share) * beyond;
         let server = &mut self.servers[at];
@@ -938,7 +939,7 @@
         let most = (self.pools[all].size / self.pools[all].warm.max(f64::MIN_POSITIVE)).max(1.0);
         let pool = &mut self.pools[zone];
         pool.pace = pool.pace.clamp(1.0, most);
-        let safe = (COLD_PART * self.settings.tip_multiple).clamp(1.0, most);
+        let safe = (COLD_PART * self.settings.slow_start_overload).clamp(1.0, most);
         (share * pool.pace).max(pool.proven * safe.max(pool.pace))
     }
 
@@ -949,7 +950,7 @@
         let held_back = self.now < self.held_back_at.saturating_add(HELD_BACK);
         let until = self.servers[at]
             .started
-            .map_or(0, |from| from + 2 * self.settings.ramp_time);
+            .map_or(0, |from| from + 2 * self.settings.slow_start_window);
         held_back && self.now < until || self.warmth(at) < 1.0
     }
 
@@ -958,8 +959,10 @@
         let Some(started) = self.servers[at].started else {
             return 1.0;
         };
-        let age = self.now.saturating_sub(started) as f64 / self.settings.ramp_time.max(1) as f64;
-        (self.settings.start_capacity + (1.0 - self.settings.start_capacity) * age).min(1.0)
+        let age =
+            self.now.saturating_sub(started) as f64 / self.settings.slow_start_window.max(1) as f64;
+        (self.settings.slow_start_capacity + (1.0 - self.settings.slow_start_capacity) * age)
+            .min(1.0)
     }
 
     /// Unequal servers: a smaller or slower one takes a fraction of the turns that the best takes; in an
@@ -996,8 +999,10 @@
     // ---- Where load is told on request only: the next servers in turn are asked before a call is sent ----
 
     fn asks(&self) -> bool {
-        let affordable = ASKED as f64 * self.settings.probe_price <= ASK_SPEND;
-        affordable && self.settings.load_by_probe && self.settings.report_inflight.is_some()
+        let affordable = ASKED as f64 * self.settings.probe_cost <= ASK_SPEND;
+        affordable
+            && self.settings.probes_for_load
+            && self.settings.in_flight_report_field.is_some()
     }
 
     fn ask(&mut self, id: RequestId, request: Request, pool: usize, first: usize) {
@@ -1029,7 +1034,7 @@
     fn on_probed(&mut self, server: ServerId, outcome: Outcome, load: Option<LoadReport>) {
         let figure = |load: LoadReport| {
             Some(f64::from(
-                *load.figures[..load.len].get(self.settings.report_inflight?)?,
+                *load.figures[..load.len].get(self.settings.in_flight_report_field?)?,
             ))
         };
         let Some(held) = load.filter(|_| outcome == Outcome::Ok).and_then(figure) else {
@@ -1253,7 +1258,7 @@
         self.answered(per_aim, true);
     }
 
-    fn on_ended(&mut self, id: RequestId, end: End) {
+    fn on_ended(&mut self, id: RequestId, end: AttemptEnd) {
         if self
             .requests
             .get(&id)
@@ -1291,7 +1296,7 @@
         }
     }
 
-    fn learn(&mut self, request: &Request, at: usize, end: &End) {
+    fn learn(&mut self, request: &Request, at: usize, end: &AttemptEnd) {
         let took = end.elapsed as f64;
         let timed = matches!(
             end.outcome,
@@ -1303,8 +1308,9 @@
             } else {
                 0.0
             };
-            let lateness =
-                (took / self.settings.classes[request.class].aim.max(1) as f64).max(least);
+            let lateness = (took
+                / self.settings.classes[request.class].latency_target.max(1) as f64)
+                .max(least);
             let (warm, zone) = (self.warmth(at) >= 1.0, self.servers[at].zone);
             self.pools[zone].learn_lateness(lateness, self.now, LATE_GAIN, CALM);
             if !warm {
@@ -1471,13 +1477,13 @@
         if all <= 0.0 {
             return vec![(1.0, 1.0)]; // no tenants are told apart
         }
-        let least = RATE_WINDOW as f64 / SECOND as f64 / f64::from(self.settings.siblings.max(1));
+        let least = RATE_WINDOW as f64 / SECOND as f64 / f64::from(self.settings.balancers.max(1));
         let worth = |(calls, quota): (&f64, f64)| {
             let others = (all - calls) / (quota_of_all - quota).max(f64::MIN_POSITIVE);
             let within = (others.max(least) * quota / calls.max(f64::MIN_POSITIVE)).min(1.0);
             (
                 calls / all,
-                within + (1.0 - within) * self.settings.over_quota_worth,
+                within + (1.0 - within) * self.settings.over_quota_value,
             )
         };
         calls.iter().zip(quotas()).map(worth).collect()
@@ -1501,7 +1507,7 @@
             .settings
             .classes
             .iter()
-            .map(|class| class.aim)
+            .map(|class| class.latency_target)
             .max()
             .unwrap_or(0);
         let most = aim
@@ -1528,12 +1534,12 @@
 
     /// Worth for each unit of work of a class.
     fn worth(&self, class: usize) -> f64 {
-        let work = if self.settings.worth_by_work {
+        let work = if self.settings.value_by_work {
             1.0
         } else {
             self.classes[class].mean.max(1.0)
         };
-        self.settings.classes[class].worth / work
+        self.settings.classes[class].value / work
     }
 }
 
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -41,7 +41,7 @@
     pub failing: Faded,
     pub breaker: Breaker,
     /// What the fleet has found of it.
-    pub told: Told,
+    pub told: TrafficShare,
 }
 
 impl Server {
@@ -67,7 +67,7 @@
             server,
             started,
             slowness,
-            opens,
+            recent_opens: opens,
             open_for,
         }
     }
@@ -80,12 +80,12 @@
 
 /// The share of new work that the fleet finds right for a place, for a while.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct TrafficShare {
     pub share: f64,
     pub until: Time,
 }
 
-impl Told {
+impl TrafficShare {
     pub fn share(&self, now: Time) -> f64 {
         if now < self.until { self.share } else { 1.0 }
     }
@@ -151,8 +151,8 @@
     pub lateness: Latency,
     late_at: Time,
     /// What the fleet has found of the zone, and of classes at it.
-    pub told: Told,
-    pub told_classes: Vec<Told>,
+    pub told: TrafficShare,
+    pub told_classes: Vec<TrafficShare>,
 }
 
 impl Pool {
@@ -292,8 +292,8 @@
         } = *self;
         LearnedLatency {
             mean,
-            dev,
-            calm,
+            mean_deviation: dev,
+            baseline: calm,
             calls,
         }
     }
@@ -301,8 +301,8 @@
     pub fn from_told(told: &LearnedLatency) -> Self {
         let LearnedLatency {
             mean,
-            dev,
-            calm,
+            mean_deviation: dev,
+            baseline: calm,
             calls,
         } = *told;
         Self {
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -13,48 +13,48 @@
 pub const KEYED_CELL: usize = 4;
 
 pub fn settings() -> Settings {
-    let class = |effect, worth| Class {
-        aim: 500 * MS,
-        aim_stretch: 0.0,
+    let class = |effect, value| Class {
+        latency_target: 500 * MS,
+        latency_target_stretch: 0.0,
         deadline: 2 * SECOND,
         effect,
-        late_worth: 0.2,
-        worth,
+        late_value: 0.2,
+        value,
     };
     Settings {
         classes: vec![
             class(Effect::Safe, 1.0),
             class(Effect::Unsafe, 5.0),
-            class(Effect::Keyed(Group::All, SECOND), 2.0),
-            class(Effect::Keyed(Group::Zone, SECOND), 2.0),
-            class(Effect::Keyed(Group::Cell, SECOND), 2.0),
+            class(Effect::Keyed(DedupScope::All, SECOND), 2.0),
+            class(Effect::Keyed(DedupScope::Zone, SECOND), 2.0),
+            class(Effect::Keyed(DedupScope::Cell, SECOND), 2.0),
         ],
         tenants: vec![],
-        over_quota_worth: 0.1,
-        worth_by_work: false,
+        over_quota_value: 0.1,
+        value_by_work: false,
         zone: ZoneId(0),
         zones: 3,
-        siblings: 4,
+        balancers: 4,
         tier: 0,
-        passes_deadline: true,
-        ask_discovery: false,
-        ask_within: 10 * SECOND,
+        propagates_deadline: true,
+        subscribes_to_discovery: false,
+        subscribe_within: 10 * SECOND,
         may_cancel: true,
         max_retry_after: 0,
         max_attempts: 4,
-        conn_idle: 60 * SECOND,
-        start_capacity: 0.25,
-        tip_multiple: 3.0,
-        ramp_time: 10 * SECOND,
-        report_inflight: None,
-        load_by_probe: false,
-        cross_price: 0.0,
-        probe_price: 0.0,
+        idle_timeout: 60 * SECOND,
+        slow_start_capacity: 0.25,
+        slow_start_overload: 3.0,
+        slow_start_window: 10 * SECOND,
+        in_flight_report_field: None,
+        probes_for_load: false,
+        cross_zone_cost: 0.0,
+        probe_cost: 0.0,
     }
 }
 
-pub fn entry(server: u32, zone: u8) -> ListEntry {
-    ListEntry {
+pub fn entry(server: u32, zone: u8) -> ServerEntry {
+    ServerEntry {
         server: ServerId(server),
         zone: ZoneId(zone),
         cell: (server % 2) as u16,
@@ -65,7 +65,7 @@
 }
 
 /// Servers 0 to `each - 1` in zone 0, then `each` in zone 1 and so on.
-pub fn zones(zones: u8, each: u32) -> Vec<ListEntry> {
+pub fn zones(zones: u8, each: u32) -> Vec<ServerEntry> {
     (0..zones)
         .flat_map(|z| (0..each).map(move |n| entry(u32::from(z) * each + n, z)))
         .collect()
@@ -78,13 +78,13 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, list: &[ListEntry]) -> Self {
+    pub fn new(settings: Settings, list: &[ServerEntry]) -> Self {
         let mut rig = Self {
             balancer: Balancer::new(settings, 11, SECOND).unwrap(),
             now: SECOND,
             next_id: 0,
         };
-        rig.tell(Event::List(list));
+        rig.tell(Event::ServerList(list));
         rig
     }
 
@@ -97,12 +97,12 @@
     pub fn demand(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        let demand = Demand {
+        let demand = RequestParameters {
             class,
             tenant: 0,
             time_left: 2 * SECOND,
             work: None,
-            attempts: u32::MAX,
+            max_attempts: u32::MAX,
         };
         (id, self.tell(Event::Request(id, demand)))
     }
@@ -115,9 +115,9 @@
         elapsed: u64,
     ) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
-        self.tell(Event::Ended(
+        self.tell(Event::AttemptEnded(
             id,
-            End {
+            AttemptEnd {
                 attempt,
                 outcome,
                 elapsed,
@@ -176,7 +176,7 @@
 pub fn refused(actions: &[Action]) -> bool {
     actions
         .iter()
-        .any(|action| matches!(action, Action::Refuse { .. }))
+        .any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub fn probed(actions: &[Action]) -> Vec<u32> {
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -296,7 +296,7 @@
         for (id, server, wait) in std::mem::take(&mut ends) {
             idle[server as usize] += u32::from(wait == 0);
             for action in rig.end(id, 0, Outcome::Ok, 30 * MS) {
-                if let Action::Close(closed) = action {
+                if let Action::CloseIdleConnections(closed) = action {
                     idle[closed.0 as usize] = 0;
                 }
             }
@@ -318,15 +318,15 @@
         rig.now += 20 * MS;
         rig.end(id, 0, Outcome::Ok, 20 * MS)
             .iter()
-            .any(|action| matches!(action, Action::Close(_)))
+            .any(|action| matches!(action, Action::CloseIdleConnections(_)))
     });
     assert!(!closed, "a steady caller keeps its connection");
 }
 
 fn asking() -> Settings {
     Settings {
-        report_inflight: Some(0),
-        load_by_probe: true,
+        in_flight_report_field: Some(0),
+        probes_for_load: true,
         ..settings()
     }
 }
@@ -350,7 +350,7 @@
         let mut last = Vec::new();
         for (at, &server) in asked.iter().enumerate() {
             let load = if at == 2 { 0.0 } else { 3.0 };
-            last = rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load)));
+            last = rig.tell(Event::ProbeEnded(ServerId(server), Outcome::Ok, held(load)));
         }
         assert_eq!(sent(&last), Some(asked[2]));
         rig.now += 20 * MS;
@@ -370,8 +370,16 @@
     });
     let (after, token) = timer.expect("an end to the wait");
     assert!(after <= 10 * MS);
-    rig.tell(Event::Probed(ServerId(asked[1]), Outcome::Ok, held(5.0)));
-    rig.tell(Event::Probed(ServerId(asked[3]), Outcome::Timeout, None));
+    rig.tell(Event::ProbeEnded(
+        ServerId(asked[1]),
+        Outcome::Ok,
+        held(5.0),
+    ));
+    rig.tell(Event::ProbeEnded(
+        ServerId(asked[3]),
+        Outcome::Timeout,
+        None,
+    ));
     rig.now += after;
     assert_eq!(sent(&rig.tell(Event::Timer(token))), Some(asked[1]));
     assert_eq!(
@@ -385,12 +393,12 @@
 #[test]
 fn request_with_hardly_any_time_left_is_sent_unasked() {
     let mut rig = Rig::new(asking(), &zones(1, 6));
-    let demand = Demand {
+    let demand = RequestParameters {
         class: SAFE,
         tenant: 0,
         time_left: MS,
         work: None,
-        attempts: u32::MAX,
+        max_attempts: u32::MAX,
     };
     let actions = rig.tell(Event::Request(RequestId(7), demand));
     assert!(
@@ -405,15 +413,15 @@
     let mut rig = Rig::new(asking(), &zones(1, 6));
     let (_, actions) = rig.demand(SAFE);
     let asked = probed(&actions);
-    let drained = ListEntry {
+    let drained = ServerEntry {
         lifecycle: Lifecycle::Draining,
         ..entry(asked[0], 0)
     };
-    rig.tell(Event::ListChange(&[drained]));
+    rig.tell(Event::ServerListChange(&[drained]));
     let mut last = Vec::new();
     for &server in &asked {
         let load = if server == asked[0] { 0.0 } else { 9.0 };
-        last = rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load)));
+        last = rig.tell(Event::ProbeEnded(ServerId(server), Outcome::Ok, held(load)));
     }
     assert!(
         sent(&last).is_some_and(|server| server != asked[0]),
@@ -440,7 +448,7 @@
         let (id, actions) = rig.demand(UNSAFE);
         let mut last = Vec::new();
         for server in probed(&actions) {
-            last = rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load)));
+            last = rig.tell(Event::ProbeEnded(ServerId(server), Outcome::Ok, held(load)));
         }
         (id, last)
     };
@@ -466,7 +474,7 @@
 fn dear_probes_are_not_sent() {
     let mut rig = Rig::new(
         Settings {
-            probe_price: 0.01,
+            probe_cost: 0.01,
             ..asking()
         },
         &zones(1, 6),
@@ -481,10 +489,10 @@
 /// A caller with few calls sees each server too seldom for a breaker, and stayed in a zone where a fifth failed.
 #[test]
 fn zone_with_many_failures_is_left_though_no_breaker_trips() {
-    let strays = |every: u32, cross_price: f64| {
+    let strays = |every: u32, cross_zone_cost: f64| {
         let mut rig = Rig::new(
             Settings {
-                cross_price,
+                cross_zone_cost,
                 ..settings()
             },
             &zones(2, 40),
@@ -531,10 +539,10 @@
 /// A cold server that tells of no calls got only its share of the proposals, and stood idle in a loaded zone.
 #[test]
 fn asked_cold_server_gets_up_to_half_the_multiple_that_pushes_it_over() {
-    let calls_to_the_cold_one = |tip_multiple: f64| {
+    let calls_to_the_cold_one = |slow_start_overload: f64| {
         let mut rig = Rig::new(
             Settings {
-                tip_multiple,
+                slow_start_overload,
                 ..asking()
             },
             &zones(1, 8),
@@ -543,7 +551,7 @@
         for call in 0..400 {
             if call == 200 {
                 let started = Some(rig.now);
-                rig.tell(Event::ListChange(&[ListEntry {
+                rig.tell(Event::ServerListChange(&[ServerEntry {
                     started,
                     ..entry(3, 0)
                 }]));
@@ -551,7 +559,11 @@
             let (id, mut actions) = rig.demand(UNSAFE);
             for server in probed(&actions) {
                 let load = if server == 3 { 0.0 } else { 1.0 };
-                actions.extend(rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load))));
+                actions.extend(rig.tell(Event::ProbeEnded(
+                    ServerId(server),
+                    Outcome::Ok,
+                    held(load),
+                )));
             }
             let server = sent(&actions).expect("a server is free");
             served += u32::from(call >= 200 && server == 3);
@@ -573,7 +585,7 @@
 fn on_new_connection(actions: &[Action]) -> bool {
     let place = |wanted: &dyn Fn(&Action) -> bool| actions.iter().position(wanted);
     let (close, send) = (
-        place(&|a| matches!(a, Action::Close(_))),
+        place(&|a| matches!(a, Action::CloseIdleConnections(_))),
         place(&|a| matches!(a, Action::Send { .. })),
     );
     close.is_some_and(|close| close < send.expect("sent"))
@@ -736,7 +748,7 @@
 fn restarted_server_is_not_held_to_the_connections_of_its_predecessor() {
     let mut rig = Rig::new(
         Settings {
-            ramp_time: SECOND,
+            slow_start_window: SECOND,
             ..settings()
         },
         &zones(1, 2),
@@ -757,12 +769,12 @@
     rig.now += 60 * MS;
     let next: Vec<_> = (0..4).map(|_| rig.demand(SAFE)).collect();
     assert!(at_one(&next).is_empty(), "it takes none");
-    let warm = ListEntry {
+    let warm = ServerEntry {
         started: Some(1),
         ..entry(1, 0)
     };
     rig.now += 2 * SECOND;
-    rig.tell(Event::ListChange(&[warm]));
+    rig.tell(Event::ServerListChange(&[warm]));
     let again: Vec<_> = (0..4).map(|_| rig.demand(SAFE)).collect();
     assert!(!at_one(&again).is_empty(), "the new process takes calls");
 }
@@ -772,7 +784,7 @@
 #[test]
 fn caller_with_few_calls_sheds_in_a_jam() {
     let long = |class: Class| Class {
-        aim: 2 * SECOND,
+        latency_target: 2 * SECOND,
         deadline: 8 * SECOND,
         ..class
     };
@@ -792,12 +804,12 @@
         }
         let id = RequestId(rig.next_id);
         rig.next_id += 1;
-        let demand = Demand {
+        let demand = RequestParameters {
             class: SAFE,
             tenant: 0,
             time_left: 8 * SECOND,
             work: None,
-            attempts: u32::MAX,
+            max_attempts: u32::MAX,
         };
         let actions = rig.tell(Event::Request(id, demand));
         refusals += u32::from(refused(&actions));
@@ -841,7 +853,7 @@
 fn connections_closed_as_idle_are_new_ones() {
     let mut rig = Rig::new(
         Settings {
-            conn_idle: SECOND,
+            idle_timeout: SECOND,
             ..settings()
         },
         &zones(1, 4),
@@ -903,10 +915,10 @@
         // One attempt is out at a server that goes; its end still finds what it belongs to.
         let (id, actions) = rig.demand(KEYED_ZONE);
         let first = sent(&actions).expect("sent");
-        let list: Vec<ListEntry> = (0..3)
+        let list: Vec<ServerEntry> = (0..3)
             .map(|zone| entry(3 * round + u32::from(zone), zone))
             .collect();
-        rig.tell(Event::List(&list));
+        rig.tell(Event::ServerList(&list));
         rig.now += 20 * MS;
         // The budget for retries does not grant each.
         if let Some(again) = sent(&rig.end(id, 0, Outcome::Error, 20 * MS)) {
@@ -994,7 +1006,7 @@
             let actions = rig.end(id, 0, Outcome::Ok, 3 * MS);
             closed += actions
                 .iter()
-                .filter(|action| matches!(action, Action::Close(_)))
+                .filter(|action| matches!(action, Action::CloseIdleConnections(_)))
                 .count();
         }
     }
@@ -1110,12 +1122,12 @@
     let born = rig.now;
     let back: Vec<_> = zones(1, 4)
         .into_iter()
-        .map(|e| ListEntry {
+        .map(|e| ServerEntry {
             started: Some(born),
             ..e
         })
         .collect();
-    rig.tell(Event::List(&back));
+    rig.tell(Event::ServerList(&back));
     let mut sent_by = [0, 0];
     for call in 0..600 {
         rig.now += 5 * MS;
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -12,41 +12,41 @@
 const TIP: f64 = 2.5;
 const WINDOW: u64 = 3 * SECOND;
 
-fn settings(siblings: u32) -> Settings {
+fn settings(balancers: u32) -> Settings {
     let class = |effect| Class {
-        aim: 600 * MS,
-        aim_stretch: 0.0,
+        latency_target: 600 * MS,
+        latency_target_stretch: 0.0,
         deadline: 1500 * MS,
         effect,
-        late_worth: 0.5,
-        worth: 1.0,
+        late_value: 0.5,
+        value: 1.0,
     };
     Settings {
         classes: vec![
             class(Effect::Unsafe),
-            class(Effect::Keyed(Group::All, 3 * SECOND)),
+            class(Effect::Keyed(DedupScope::All, 3 * SECOND)),
         ],
         tenants: vec![],
-        over_quota_worth: 0.2,
-        worth_by_work: false,
+        over_quota_value: 0.2,
+        value_by_work: false,
         zone: ZoneId(0),
         zones: 1,
-        siblings,
+        balancers,
         tier: 1,
-        passes_deadline: true,
-        ask_discovery: false,
-        ask_within: 0,
+        propagates_deadline: true,
+        subscribes_to_discovery: false,
+        subscribe_within: 0,
         may_cancel: true,
         max_retry_after: SECOND,
         max_attempts: 6,
-        conn_idle: 60 * SECOND,
-        start_capacity: START,
-        tip_multiple: TIP,
-        ramp_time: RAMP,
-        report_inflight: None,
-        load_by_probe: false,
-        cross_price: 0.2,
-        probe_price: 0.0,
+        idle_timeout: 60 * SECOND,
+        slow_start_capacity: START,
+        slow_start_overload: TIP,
+        slow_start_window: RAMP,
+        in_flight_report_field: None,
+        probes_for_load: false,
+        cross_zone_cost: 0.2,
+        probe_cost: 0.0,
     }
 }
 
@@ -78,7 +78,7 @@
     Replace(usize),
     Call(usize),
     Burst(usize),
-    End(usize, u32, u32),
+    AttemptEnd(usize, u32, u32),
     Timer(usize, u64),
 }
 
@@ -114,8 +114,8 @@
 }
 
 impl Fleet {
-    fn entries(&self, since: Option<u64>) -> Vec<ListEntry> {
-        let entry = |server| ListEntry {
+    fn entries(&self, since: Option<u64>) -> Vec<ServerEntry> {
+        let entry = |server| ServerEntry {
             server: ServerId(server),
             zone: ZoneId(0),
             cell: 0,
@@ -141,12 +141,12 @@
                         self.sent.entry(server.0).or_default().push(now);
                     }
                     let took = self.took / 2 + self.rng.u64(..self.took);
-                    self.at(now + took, What::End(sender, id.0, 0));
+                    self.at(now + took, What::AttemptEnd(sender, id.0, 0));
                 }
                 Action::SetTimer { after, token } => {
                     self.at(now + after, What::Timer(sender, token))
                 }
-                Action::Refuse { .. } | Action::Fail(_) => self.refused += 1,
+                Action::Reject { .. } | Action::Fail(_) => self.refused += 1,
                 _ => {}
             }
         }
@@ -156,12 +156,12 @@
         self.ids += 1;
         let class = self.rng.usize(..2);
         let time_left = 1500 * MS;
-        let demand = Demand {
+        let demand = RequestParameters {
             class,
             tenant: 0,
             time_left,
             work: None,
-            attempts: u32::MAX,
+            max_attempts: u32::MAX,
         };
         self.tell(now, sender, Event::Request(RequestId(self.ids), demand));
     }
@@ -186,7 +186,7 @@
             f64::from(kind.count) * (kind.rate + bursts)
         };
         let total: f64 = kinds.iter().map(rate).sum();
-        let siblings = kinds.iter().map(|kind| kind.count).sum();
+        let balancers = kinds.iter().map(|kind| kind.count).sum();
         let mut fleet = Self {
             senders: Vec::new(),
             servers,
@@ -207,12 +207,12 @@
             for _ in 0..kind.count {
                 let seed = fleet.rng.u64(..);
                 fleet.senders.push((
-                    Balancer::new(settings(siblings), seed, epoch).unwrap(),
+                    Balancer::new(settings(balancers), seed, epoch).unwrap(),
                     kind,
                 ));
                 let sender = fleet.senders.len() - 1;
                 let entries = fleet.entries(first);
-                fleet.tell(epoch, sender, Event::List(&entries));
+                fleet.tell(epoch, sender, Event::ServerList(&entries));
                 if kind.rate > 0.0 {
                     let gap = fleet.gap(kind.rate);
                     fleet.at(epoch + kind.from + gap, What::Call(sender));
@@ -241,15 +241,16 @@
                     since = cold;
                     let entries = fleet.entries(cold);
                     for sender in 0..fleet.senders.len() {
-                        fleet.tell(now, sender, Event::ListChange(&entries));
+                        fleet.tell(now, sender, Event::ServerListChange(&entries));
                     }
                 }
                 What::Replace(sender) => {
                     let kind = fleet.senders[sender].1;
                     let seed = fleet.rng.u64(..);
-                    fleet.senders[sender].0 = Balancer::new(settings(siblings), seed, now).unwrap();
+                    fleet.senders[sender].0 =
+                        Balancer::new(settings(balancers), seed, now).unwrap();
                     let entries = fleet.entries(since);
-                    fleet.tell(now, sender, Event::List(&entries));
+                    fleet.tell(now, sender, Event::ServerList(&entries));
                     fleet.at(now + kind.lives.unwrap(), What::Replace(sender));
                 }
                 What::Call(sender) => {
@@ -262,17 +263,17 @@
                     (0..calls).for_each(|_| fleet.call(now, sender));
                     fleet.at(now + every, What::Burst(sender));
                 }
-                What::End(sender, id, attempt) => {
+                What::AttemptEnd(sender, id, attempt) => {
                     fleet.served += 1;
                     let elapsed = fleet.took;
-                    let end = End {
+                    let end = AttemptEnd {
                         attempt,
                         outcome: Outcome::Ok,
                         elapsed,
                         closed: true,
                         load: None,
                     };
-                    fleet.tell(now, sender, Event::Ended(RequestId(id), end));
+                    fleet.tell(now, sender, Event::AttemptEnded(RequestId(id), end));
                 }
                 What::Timer(sender, token) => fleet.tell(now, sender, Event::Timer(token)),
             }
--- a/crates/decisions/tests/golden_decisions.rs
+++ b/crates/decisions/tests/golden_decisions.rs
@@ -67,7 +67,7 @@
 }
 
 struct ServerModel {
-    entry: ListEntry,
+    entry: ServerEntry,
     service: u64,
     capacity: u64,
     in_flight: u64,
@@ -125,7 +125,7 @@
 impl Fleet {
     fn new(settings: Settings, seed: u64, spacing: u64) -> Self {
         let server = |number: u32| ServerModel {
-            entry: ListEntry {
+            entry: ServerEntry {
                 cell: (number % 2) as u16,
                 size: if number % 5 == 4 { 2.0 } else { 1.0 },
                 ..entry(number, (number % 3) as u8)
@@ -195,13 +195,13 @@
                 until,
                 begin_by,
             } => (0, [u64::from(id.0), u64::from(server.0), until, begin_by]),
-            Action::Refuse { id, retry_after } => (1, [u64::from(id.0), retry_after, 0, 0]),
+            Action::Reject { id, retry_after } => (1, [u64::from(id.0), retry_after, 0, 0]),
             Action::Fail(id) => (2, [u64::from(id.0), 0, 0, 0]),
             Action::Cancel { id, attempt } => (3, [u64::from(id.0), u64::from(attempt), 0, 0]),
             Action::Probe(server) => (4, [u64::from(server.0), 0, 0, 0]),
-            Action::Close(server) => (5, [u64::from(server.0), 0, 0, 0]),
+            Action::CloseIdleConnections(server) => (5, [u64::from(server.0), 0, 0, 0]),
             Action::SetTimer { after, token } => (6, [after, token, 0, 0]),
-            Action::Watch => (7, [0; 4]),
+            Action::Subscribe => (7, [0; 4]),
             Action::Log(_) => (8, [0; 4]),
         };
         self.counts[kind] += 1;
@@ -212,7 +212,7 @@
     }
 
     fn record_learned(&mut self) {
-        let mut learned = self.balancer.learned();
+        let mut learned = self.balancer.learned_state();
         learned.servers.sort_by_key(|server| server.server);
         let latencies = learned
             .classes
@@ -221,11 +221,16 @@
         for (class, latency) in latencies.chain([(u64::MAX, &learned.overall)]) {
             self.digest.add(class);
             self.digest.add_float(latency.mean);
-            self.digest.add_float(latency.dev);
-            self.digest.add_float(latency.calm);
+            self.digest.add_float(latency.mean_deviation);
+            self.digest.add_float(latency.baseline);
             self.digest.add(u64::from(latency.calls));
         }
-        for figure in [learned.rate, learned.answers, learned.held, learned.failing] {
+        for figure in [
+            learned.responses_per_second,
+            learned.responses,
+            learned.pending,
+            learned.failure_rate,
+        ] {
             self.digest.add_float(figure);
         }
         for server in &learned.servers {
@@ -233,11 +238,11 @@
             self.digest
                 .add(server.started.map_or(0, |started| started + 1));
             self.digest.add_float(server.slowness);
-            self.digest.add(u64::from(server.opens));
+            self.digest.add(u64::from(server.recent_opens));
             self.digest
                 .add(server.open_for.map_or(0, |open_for| open_for + 1));
         }
-        self.digest.add(self.balancer.avoided() as u64);
+        self.digest.add(self.balancer.ejected_servers() as u64);
     }
 
     fn carry_out(&mut self, action: Action) {
@@ -248,7 +253,7 @@
                 until,
                 begin_by,
             } => self.begin_attempt(id.0, server, until, begin_by),
-            Action::Refuse { id, .. } | Action::Fail(id) => {
+            Action::Reject { id, .. } | Action::Fail(id) => {
                 self.calls.get_mut(&id.0).expect("a known call").over = true;
             }
             Action::Cancel { id, .. } => self.cancel(id.0),
@@ -259,10 +264,10 @@
             Action::SetTimer { after, token } => {
                 self.plan(after, Incident::TimerFires(token));
             }
-            Action::Watch => {
+            Action::Subscribe => {
                 self.plan(20 * MS, Incident::Subscribed);
             }
-            Action::Close(_) | Action::Log(_) => {}
+            Action::CloseIdleConnections(_) | Action::Log(_) => {}
         }
     }
 
@@ -339,12 +344,14 @@
             Incident::ClientLeaves(id) => {
                 let call = self.calls.get_mut(&id).expect("a known call");
                 if !std::mem::replace(&mut call.over, true) {
-                    self.handle(Event::ClientGone(RequestId(id)));
+                    self.handle(Event::ClientDisconnected(RequestId(id)));
                 }
             }
             Incident::ProbeEnds(server) => self.end_probe(server),
             Incident::TimerFires(token) => self.handle(Event::Timer(token)),
-            Incident::Subscribed if self.draws.chance(400) => self.handle(Event::ListFailed),
+            Incident::Subscribed if self.draws.chance(400) => {
+                self.handle(Event::SubscriptionFailed)
+            }
             Incident::Subscribed => self.send_whole_list(),
             Incident::FleetChanges => self.change_fleet(),
         }
@@ -354,19 +361,22 @@
         let id = self.next_call;
         self.next_call += 1;
         self.calls.insert(id, Call::default());
-        let demand = Demand {
+        let demand = RequestParameters {
             class: self.draws.below(5) as usize,
             tenant: (self.draws.below(4) / 2) as usize,
             time_left: (400 + self.draws.below(2000)) * MS,
             work: self.draws.chance(300).then_some(20 * MS),
-            attempts: if self.draws.chance(50) { 1 } else { u32::MAX },
+            max_attempts: if self.draws.chance(50) { 1 } else { u32::MAX },
         };
         let class = if self.draws.chance(2) {
             99
         } else {
             demand.class
         };
-        self.handle(Event::Request(RequestId(id), Demand { class, ..demand }));
+        self.handle(Event::Request(
+            RequestId(id),
+            RequestParameters { class, ..demand },
+        ));
         let after = self.spacing / 2 + self.draws.below(self.spacing.max(1));
         self.plan(after, Incident::Arrival);
     }
@@ -379,14 +389,14 @@
         call.over |= closed;
         let server = &mut self.servers[open.server];
         server.in_flight -= 1;
-        let end = End {
+        let end = AttemptEnd {
             attempt: open.number,
             outcome: open.outcome,
             elapsed: self.now - open.sent,
             closed,
             load: held(server.in_flight as f32),
         };
-        self.handle(Event::Ended(RequestId(id), end));
+        self.handle(Event::AttemptEnded(RequestId(id), end));
     }
 
     fn begin_answer(&mut self, id: u32) {
@@ -397,7 +407,7 @@
         open.begun = true;
         call.over = true;
         let attempt = open.number;
-        self.handle(Event::Started(RequestId(id), attempt));
+        self.handle(Event::ResponseStarted(RequestId(id), attempt));
     }
 
     fn end_probe(&mut self, server: ServerId) {
@@ -405,16 +415,16 @@
         let dead = matches!(model.fault, Fault::Hanging | Fault::Unreachable);
         let load = held(model.in_flight as f32).filter(|_| !dead);
         let outcome = if dead { Outcome::Timeout } else { Outcome::Ok };
-        self.handle(Event::Probed(server, outcome, load));
+        self.handle(Event::ProbeEnded(server, outcome, load));
     }
 
     fn send_whole_list(&mut self) {
-        let list: Vec<ListEntry> = self
+        let list: Vec<ServerEntry> = self
             .servers
             .iter()
             .map(|server| server.entry.clone())
             .collect();
-        self.handle(Event::List(&list));
+        self.handle(Event::ServerList(&list));
     }
 
     /// Every 1.5 seconds: faults, drains, restarts, loads, findings of the fleet, a hand-over, new settings.
@@ -434,7 +444,7 @@
                 .iter_mut()
                 .for_each(|server| server.fault = Fault::None),
             9 => self.change_lifecycle(at, Lifecycle::Draining),
-            10 => self.change_lifecycle(at, Lifecycle::Gone),
+            10 => self.change_lifecycle(at, Lifecycle::Removed),
             11 => self.restart_zone(at % 3),
             12 => self.spacing = self.usual_spacing / 4 + self.draws.below(2 * self.usual_spacing),
             13 => self.send_verdicts(at),
@@ -457,7 +467,7 @@
     fn change_lifecycle(&mut self, at: usize, lifecycle: Lifecycle) {
         self.servers[at].entry.lifecycle = lifecycle;
         let entry = self.servers[at].entry.clone();
-        self.handle(Event::ListChange(&[entry]));
+        self.handle(Event::ServerListChange(&[entry]));
     }
 
     fn restart_zone(&mut self, zone: usize) {
@@ -491,27 +501,27 @@
     fn send_verdicts(&mut self, at: usize) {
         let zone = ZoneId(self.draws.below(3) as u8);
         let places = [
-            Place::Zone(zone, None),
-            Place::Zone(zone, Some(at % 5)),
-            Place::Server(ServerId(at as u32)),
+            FailureDomain::Zone(zone, None),
+            FailureDomain::Zone(zone, Some(at % 5)),
+            FailureDomain::Server(ServerId(at as u32)),
         ];
         let shares = [0.0, 0.2, 0.6, 1.0];
-        let verdicts = places.map(|place| Verdict {
-            place,
+        let verdicts = places.map(|domain| HealthVerdict {
+            domain,
             share: shares[self.draws.below(4) as usize],
             until: self.now + (1 + self.draws.below(4)) * SECOND,
         });
-        self.handle(Event::Told(&verdicts));
+        self.handle(Event::HealthVerdicts(&verdicts));
     }
 
     /// A new process takes over; the calls that are out stay with the old one, and are left out from then on.
     fn hand_over(&mut self) {
         self.record_learned();
-        let learned = self.balancer.learned();
+        let learned = self.balancer.learned_state();
         let seed = self.draws.next();
         self.balancer = Balancer::new(self.settings.clone(), seed, self.now).unwrap();
         self.send_whole_list();
-        self.balancer.learn_from(self.now, &learned);
+        self.balancer.restore(self.now, &learned);
         for call in self.calls.values_mut() {
             call.over = true;
             if let Some(open) = call.open.take() {
@@ -524,7 +534,7 @@
     fn change_settings(&mut self) {
         self.settings.max_attempts = 1 + self.draws.below(4) as u32;
         self.settings.may_cancel = !self.settings.may_cancel;
-        self.settings.classes[UNSAFE].worth = 1.0 + self.draws.below(9) as f64;
+        self.settings.classes[UNSAFE].value = 1.0 + self.draws.below(9) as f64;
         if self.settings.classes.len() == 5 {
             let class = self.settings.classes[SAFE].clone();
             self.settings.classes.push(class);
@@ -532,9 +542,14 @@
                 class: 5,
                 predecessor: SAFE,
             }];
-            return self.balancer.retune(self.settings.clone(), &new).unwrap();
+            return self
+                .balancer
+                .reconfigure(self.settings.clone(), &new)
+                .unwrap();
         }
-        self.balancer.retune(self.settings.clone(), &[]).unwrap();
+        self.balancer
+            .reconfigure(self.settings.clone(), &[])
+            .unwrap();
     }
 }
 
@@ -557,7 +572,7 @@
 fn overload_of_two_tenants_decides_as_recorded() {
     let settings = Settings {
         tenants: tenants(),
-        worth_by_work: true,
+        value_by_work: true,
         max_retry_after: 4 * SECOND,
         ..settings()
     };
@@ -568,8 +583,8 @@
 #[test]
 fn asking_servers_for_their_load_decides_as_recorded() {
     let settings = Settings {
-        report_inflight: Some(0),
-        load_by_probe: true,
+        in_flight_report_field: Some(0),
+        probes_for_load: true,
         ..settings()
     };
     let (digest, counts) = play(settings, 3, 8 * MS);
@@ -580,7 +595,7 @@
 fn deeper_tier_without_passed_deadlines_decides_as_recorded() {
     let settings = Settings {
         tier: 1,
-        passes_deadline: false,
+        propagates_deadline: false,
         may_cancel: false,
         ..settings()
     };
@@ -591,8 +606,8 @@
 #[test]
 fn polled_discovery_decides_as_recorded() {
     let settings = Settings {
-        ask_discovery: true,
-        siblings: 40,
+        subscribes_to_discovery: true,
+        balancers: 40,
         zone: ZoneId(2),
         ..settings()
     };
@@ -603,8 +618,8 @@
 #[test]
 fn dear_crossings_of_zones_decide_as_recorded() {
     let settings = Settings {
-        cross_price: 0.05,
-        conn_idle: 3 * SECOND,
+        cross_zone_cost: 0.05,
+        idle_timeout: 3 * SECOND,
         ..settings()
     };
     let (digest, counts) = play(settings, 6, 5 * MS);
@@ -614,10 +629,10 @@
 #[test]
 fn slow_start_decides_as_recorded() {
     let settings = Settings {
-        start_capacity: 0.1,
-        tip_multiple: 1.5,
-        ramp_time: 30 * SECOND,
-        siblings: 2,
+        slow_start_capacity: 0.1,
+        slow_start_overload: 1.5,
+        slow_start_window: 30 * SECOND,
+        balancers: 2,
         ..settings()
     };
     let (digest, counts) = play(settings, 7, 6 * MS);
@@ -628,7 +643,11 @@
 fn small_caller_decides_as_recorded() {
     let mut settings = settings();
     for class in &mut settings.classes {
-        (class.aim, class.aim_stretch, class.late_worth) = (60 * MS, 1.5, 0.0);
+        (
+            class.latency_target,
+            class.latency_target_stretch,
+            class.late_value,
+        ) = (60 * MS, 1.5, 0.0);
     }
     let (digest, counts) = play(settings, 8, 300 * MS);
     assert_eq!(digest, "06fbef7d68bcc0d7", "{counts:?}");
@@ -637,10 +656,10 @@
 #[test]
 fn cold_fleet_asked_for_its_load_in_an_overload_decides_as_recorded() {
     let settings = Settings {
-        report_inflight: Some(0),
-        load_by_probe: true,
+        in_flight_report_field: Some(0),
+        probes_for_load: true,
         tenants: tenants(),
-        start_capacity: 0.2,
+        slow_start_capacity: 0.2,
         ..settings()
     };
     let (digest, counts) = play(settings, 9, 2 * MS);
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -198,7 +198,7 @@
             let (tried, answer) = rig.run(class, |_| outcome);
             assert!(tried.len() <= 4);
             assert!(
-                matches!(answer, Some(Action::Refuse { .. } | Action::Fail(_))),
+                matches!(answer, Some(Action::Reject { .. } | Action::Fail(_))),
                 "{outcome:?} {answer:?}"
             );
         }
@@ -246,10 +246,10 @@
     let mut rig = Rig::new(settings(), &zones(1, 3));
     let mut drained = entry(1, 0);
     drained.lifecycle = Lifecycle::Draining;
-    rig.tell(Event::ListChange(&[drained]));
-    rig.tell(Event::List(&[
+    rig.tell(Event::ServerListChange(&[drained]));
+    rig.tell(Event::ServerList(&[
         entry(0, 0),
-        ListEntry {
+        ServerEntry {
             lifecycle: Lifecycle::Draining,
             ..entry(1, 0)
         },
@@ -264,7 +264,7 @@
     let mut rig = Rig::new(settings(), &list);
     rig.warm_up(500);
     list[3].started = Some(rig.now);
-    rig.tell(Event::ListChange(&list[3..]));
+    rig.tell(Event::ServerListChange(&list[3..]));
     let turns = counts((0..100).filter_map(|_| rig.serve(SAFE, 20 * MS)));
     let cold = turns.get(&3).copied().unwrap_or(0);
     assert!((1..=11).contains(&cold), "{turns:?}");
@@ -278,7 +278,7 @@
     for server in &mut list[..4] {
         server.started = Some(rig.now);
     }
-    rig.tell(Event::List(&list));
+    rig.tell(Event::ServerList(&list));
     let turns = counts((0..100).filter_map(|_| rig.serve(SAFE, 20 * MS)));
     let cold: u32 = turns.range(..4).map(|(_, n)| n).sum();
     assert!((1..=45).contains(&cold), "{turns:?}");
@@ -307,13 +307,13 @@
         now: 0,
         next_id: 0,
     };
-    let first = rig.tell(Event::List(&zones(1, 2)));
+    let first = rig.tell(Event::ServerList(&zones(1, 2)));
     let [Action::SetTimer { token, .. }] = first[..] else {
         panic!("{first:?}")
     };
-    assert_eq!(rig.tell(Event::Timer(token)), [Action::Watch]);
-    assert_eq!(rig.tell(Event::ListChange(&[])), []);
-    let again = rig.tell(Event::ListFailed);
+    assert_eq!(rig.tell(Event::Timer(token)), [Action::Subscribe]);
+    assert_eq!(rig.tell(Event::ServerListChange(&[])), []);
+    let again = rig.tell(Event::SubscriptionFailed);
     assert!(
         matches!(again[..], [Action::SetTimer { after, .. }, Action::Log(_)] if after <= SECOND),
         "{again:?}"
@@ -330,10 +330,10 @@
             now: 0,
             next_id: 0,
         };
-        rig.tell(Event::List(&zones(1, 2)));
+        rig.tell(Event::ServerList(&zones(1, 2)));
         for failures in 1..=20 {
             rig.now += 10 * SECOND;
-            let actions = rig.tell(Event::ListFailed);
+            let actions = rig.tell(Event::SubscriptionFailed);
             let after = actions.iter().find_map(|action| match action {
                 Action::SetTimer { after, .. } => Some(*after),
                 _ => None,
@@ -348,7 +348,7 @@
 
 fn asked() -> Settings {
     Settings {
-        ask_discovery: true,
+        subscribes_to_discovery: true,
         ..settings()
     }
 }
@@ -358,10 +358,10 @@
     let mut rig = Rig::new(settings(), &zones(1, 2));
     let (id, _) = rig.demand(SAFE);
     assert_eq!(
-        rig.tell(Event::ClientGone(id)),
+        rig.tell(Event::ClientDisconnected(id)),
         [Action::Cancel { id, attempt: 0 }]
     );
-    assert_eq!(rig.tell(Event::ClientGone(id)), []);
+    assert_eq!(rig.tell(Event::ClientDisconnected(id)), []);
     assert_eq!(rig.end(id, 0, Outcome::Cancelled, MS), []);
 }
 
@@ -402,7 +402,7 @@
     let mut rig = Rig::new(
         Settings {
             tenants,
-            worth_by_work: true,
+            value_by_work: true,
             ..settings()
         },
         &zones(1, 4),
@@ -429,12 +429,12 @@
         for (tenant, tries) in calls {
             let id = RequestId(rig.next_id);
             rig.next_id += 1;
-            let demand = Demand {
+            let demand = RequestParameters {
                 class: KEYED_ALL,
                 tenant,
                 time_left: 2 * SECOND,
                 work: None,
-                attempts: 9,
+                max_attempts: 9,
             };
             let actions = rig.tell(Event::Request(id, demand));
             let taken = sent(&actions).is_some();
@@ -500,7 +500,7 @@
     }
     let lines = [log(&all, "breaker of server"), log(&all, "zone left")];
     assert!(lines.iter().all(|n| (1..=2).contains(n)), "{lines:?}");
-    let failed = rig.tell(Event::ListFailed);
+    let failed = rig.tell(Event::SubscriptionFailed);
     assert_eq!(log(&failed, "discovery failed 1 times"), 1);
 }
 
@@ -531,15 +531,15 @@
     assert_eq!(check(|s| s.classes.clear()), "`classes` is empty");
     assert_eq!(check(|s| s.zone = ZoneId(3)), "`zone` is 3 of 3 zones");
     assert_eq!(
-        check(|s| s.start_capacity = f64::NAN),
+        check(|s| s.slow_start_capacity = f64::NAN),
         "`start_capacity` is NaN, not between 0 and 1"
     );
     assert_eq!(
-        check(|s| s.over_quota_worth = f64::INFINITY),
+        check(|s| s.over_quota_value = f64::INFINITY),
         "`over_quota_worth` is inf"
     );
     assert_eq!(
-        check(|s| s.classes[2].late_worth = -1.0),
+        check(|s| s.classes[2].late_value = -1.0),
         "`classes[2].late_worth` is -1"
     );
     assert_eq!(
--- a/crates/decisions/tests/properties.rs
+++ b/crates/decisions/tests/properties.rs
@@ -9,11 +9,11 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Demand {
+    RequestParameters {
         class: usize,
         time_left: u64,
     },
-    End {
+    AttemptEnd {
         pick: usize,
         outcome: usize,
     },
@@ -57,8 +57,8 @@
         0.1f32..8.0
     ];
     prop_oneof![
-        6 => (0usize..6, 1u64..3000).prop_map(|(class, ms)| Step::Demand { class, time_left: ms * MS }),
-        6 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
+        6 => (0usize..6, 1u64..3000).prop_map(|(class, ms)| Step::RequestParameters { class, time_left: ms * MS }),
+        6 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| Step::AttemptEnd { pick, outcome }),
         1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
         2 => (0u32..12, 0u8..3, size, any::<bool>(), prop::bool::weighted(0.1)).prop_map(
             |(server, lifecycle, size, fresh, whole)| Step::List { server, lifecycle, size, fresh, whole }
@@ -97,7 +97,7 @@
 struct World {
     rig: Rig,
     calls: BTreeMap<u32, Call>,
-    listed: BTreeMap<u32, ListEntry>,
+    listed: BTreeMap<u32, ServerEntry>,
     timers: Vec<u64>,
     probes: Vec<ServerId>,
     log: Vec<Action>,
@@ -123,7 +123,7 @@
             probes: Vec::new(),
             log: Vec::new(),
         };
-        world.tell(Event::List(&list));
+        world.tell(Event::ServerList(&list));
         world
     }
 
@@ -165,14 +165,14 @@
                 call.attempts += 1;
                 call.out = Some((server.0, now));
             }
-            Action::Refuse { id, .. } | Action::Fail(id) => {
+            Action::Reject { id, .. } | Action::Fail(id) => {
                 let call = self.calls.get_mut(&id.0).expect("a request that was given");
                 assert!(
                     !call.answered && !call.left,
                     "rule 1: a second answer for {id:?}"
                 );
                 assert!(call.out.is_none(), "rule 1: answered with an attempt out");
-                let refused = matches!(action, Action::Refuse { .. });
+                let refused = matches!(action, Action::Reject { .. });
                 let harmless = call.ran.is_none() || call.class == SAFE || call.class == KEYED_ALL;
                 assert!(
                     !refused || harmless,
@@ -190,8 +190,8 @@
                 );
                 self.probes.push(*server);
             }
-            Action::Close(server) => assert!(self.listed.contains_key(&server.0)),
-            Action::Watch | Action::Log(_) => {}
+            Action::CloseIdleConnections(server) => assert!(self.listed.contains_key(&server.0)),
+            Action::Subscribe | Action::Log(_) => {}
         }
     }
 
@@ -214,15 +214,19 @@
                 }
                 let server = self.probes.swap_remove(pick % self.probes.len());
                 let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
-                self.tell(Event::Probed(server, outcome, held(load).filter(|_| ok)));
+                self.tell(Event::ProbeEnded(
+                    server,
+                    outcome,
+                    held(load).filter(|_| ok),
+                ));
             }
-            Step::Failed => self.tell(Event::ListFailed),
+            Step::Failed => self.tell(Event::SubscriptionFailed),
             Step::Ring { pick } if !self.timers.is_empty() => {
                 let token = self.timers[pick % self.timers.len()];
                 self.tell(Event::Timer(token));
             }
             Step::Ring { pick } => self.tell(Event::Timer(pick as u64)),
-            Step::Demand { class, time_left } => {
+            Step::RequestParameters { class, time_left } => {
                 let id = self.rig.next_id;
                 self.rig.next_id += 1;
                 let call = Call {
@@ -234,16 +238,16 @@
                     left: false,
                 };
                 self.calls.insert(id, call);
-                let demand = Demand {
+                let demand = RequestParameters {
                     class,
                     tenant: class,
                     time_left,
                     work: Some(time_left),
-                    attempts: u32::MAX,
+                    max_attempts: u32::MAX,
                 };
                 self.tell(Event::Request(RequestId(id), demand));
             }
-            Step::End { pick, outcome } => {
+            Step::AttemptEnd { pick, outcome } => {
                 let Some(id) = self.out(pick) else { return };
                 self.end(id, OUTCOMES[outcome]);
             }
@@ -252,7 +256,7 @@
                 let call = self.calls.get_mut(&id).expect("it is out");
                 if !call.answered && !call.left {
                     call.left = true;
-                    self.tell(Event::ClientGone(RequestId(id)));
+                    self.tell(Event::ClientDisconnected(RequestId(id)));
                 }
             }
             Step::List {
@@ -263,9 +267,9 @@
                 whole,
             } => {
                 let lifecycle =
-                    [Lifecycle::Gone, Lifecycle::Ready, Lifecycle::Draining][lifecycle as usize];
+                    [Lifecycle::Removed, Lifecycle::Ready, Lifecycle::Draining][lifecycle as usize];
                 let started = fresh.then_some(self.rig.now);
-                let entry = ListEntry {
+                let entry = ServerEntry {
                     lifecycle,
                     size,
                     started,
@@ -274,7 +278,7 @@
                 let entry = self
                     .listed
                     .get(&server)
-                    .map_or(entry.clone(), |old| ListEntry {
+                    .map_or(entry.clone(), |old| ServerEntry {
                         zone: old.zone,
                         cell: old.cell,
                         ..entry
@@ -282,13 +286,13 @@
                 if whole {
                     self.listed
                         .values_mut()
-                        .for_each(|entry| entry.lifecycle = Lifecycle::Gone);
+                        .for_each(|entry| entry.lifecycle = Lifecycle::Removed);
                 }
                 self.listed.insert(server, entry.clone());
                 let event = if whole {
-                    Event::List(&[entry])
+                    Event::ServerList(&[entry])
                 } else {
-                    Event::ListChange(&[entry])
+                    Event::ServerListChange(&[entry])
                 };
                 self.tell(event);
             }
@@ -303,16 +307,16 @@
                     figures: [load; 4],
                     len: 4,
                 });
-                let end = End {
+                let end = AttemptEnd {
                     attempt,
                     outcome: Outcome::Reset,
                     elapsed: token,
                     closed: false,
                     load,
                 };
-                self.tell(Event::Ended(id, end));
-                self.tell(Event::ClientGone(id));
-                self.tell(Event::Started(id, attempt));
+                self.tell(Event::AttemptEnded(id, end));
+                self.tell(Event::ClientDisconnected(id));
+                self.tell(Event::ResponseStarted(id, attempt));
                 self.tell(Event::Timer(token & !(1 << 63)));
             }
         }
@@ -328,9 +332,9 @@
         call.answered |= outcome == Outcome::Ok && !call.left;
         let closed = call.answered || call.left;
         let elapsed = self.rig.now - sent;
-        self.tell(Event::Ended(
+        self.tell(Event::AttemptEnded(
             RequestId(id),
-            End {
+            AttemptEnd {
                 attempt,
                 outcome,
                 elapsed,
@@ -344,12 +348,12 @@
 fn settings_of(kind: u8) -> Settings {
     Settings {
         tier: u32::from(kind & 1),
-        passes_deadline: kind & 2 == 0,
-        ask_discovery: kind & 4 == 0,
-        siblings: if kind & 8 == 0 { 0 } else { 3 },
+        propagates_deadline: kind & 2 == 0,
+        subscribes_to_discovery: kind & 4 == 0,
+        balancers: if kind & 8 == 0 { 0 } else { 3 },
         zone: ZoneId(if kind & 16 == 0 { 0 } else { 2 }),
-        report_inflight: Some(0),
-        load_by_probe: kind & 32 != 0,
+        in_flight_report_field: Some(0),
+        probes_for_load: kind & 32 != 0,
         tenants: vec![Tenant { quota_rps: 0.0 }, Tenant { quota_rps: 10.0 }],
         ..settings()
     }
--- a/crates/decisions/tests/takeover.rs
+++ b/crates/decisions/tests/takeover.rs
@@ -21,9 +21,9 @@
     rig
 }
 
-fn successor(list: &[ListEntry], learned: &Learned) -> Rig {
+fn successor(list: &[ServerEntry], learned: &LearnedState) -> Rig {
     let mut rig = Rig::new(settings(), list);
-    rig.balancer.learn_from(rig.now, learned);
+    rig.balancer.restore(rig.now, learned);
     rig
 }
 
@@ -36,11 +36,11 @@
 #[test]
 fn a_successor_passes_over_what_has_tripped_until_its_time_is_over() {
     let mut before = served();
-    let learned = before.balancer.learned();
-    assert_eq!(before.balancer.avoided(), 1);
+    let learned = before.balancer.learned_state();
+    assert_eq!(before.balancer.ejected_servers(), 1);
     assert!(!tried(&mut before, 10).contains(&3));
     let mut rig = successor(&zones(1, 6), &learned);
-    assert_eq!(rig.balancer.avoided(), 1);
+    assert_eq!(rig.balancer.ejected_servers(), 1);
     assert!(
         !tried(&mut rig, 20).contains(&3),
         "the breaker is open here too"
@@ -77,7 +77,7 @@
     };
     let mut before = Rig::new(settings(), &zones(1, 12));
     play(&mut before, 1000);
-    let learned = before.balancer.learned();
+    let learned = before.balancer.learned_state();
     let mut rig = successor(&zones(1, 12), &learned);
     assert_eq!(play(&mut rig, 100), 0);
     let mut fresh = Rig::new(settings(), &zones(1, 12));
@@ -92,11 +92,11 @@
     let before = served();
     let mut list = zones(1, 6);
     list[3].started = Some(1);
-    let rig = successor(&list, &before.balancer.learned());
-    assert_eq!(rig.balancer.avoided(), 0);
-    let rig = successor(&zones(1, 2), &before.balancer.learned());
+    let rig = successor(&list, &before.balancer.learned_state());
+    assert_eq!(rig.balancer.ejected_servers(), 0);
+    let rig = successor(&zones(1, 2), &before.balancer.learned_state());
     assert_eq!(
-        rig.balancer.avoided(),
+        rig.balancer.ejected_servers(),
         0,
         "a server that is not listed is nobody's"
     );
@@ -106,15 +106,19 @@
 fn what_was_learned_here_goes_before_what_is_told() {
     let mut rig = Rig::new(settings(), &zones(1, 6));
     rig.warm_up(60);
-    let own = rig.balancer.learned();
+    let own = rig.balancer.learned_state();
     rig.balancer
-        .learn_from(rig.now, &served().balancer.learned());
-    let after = rig.balancer.learned();
+        .restore(rig.now, &served().balancer.learned_state());
+    let after = rig.balancer.learned_state();
     assert_eq!(
-        (after.classes, after.rate, after.failing),
-        (own.classes, own.rate, own.failing)
+        (
+            after.classes,
+            after.responses_per_second,
+            after.failure_rate
+        ),
+        (own.classes, own.responses_per_second, own.failure_rate)
     );
-    assert_eq!(rig.balancer.avoided(), 0);
+    assert_eq!(rig.balancer.ejected_servers(), 0);
 }
 
 /// Guards rule 4 while two processes send: what both together let a cold server have is what one would.
@@ -130,11 +134,11 @@
             .filter(|server| *server == 5)
             .count()
     };
-    let learned = before.balancer.learned();
+    let learned = before.balancer.learned_state();
     let mut rig = successor(&zones(1, 6), &learned);
     rig.now = before.now;
-    rig.tell(Event::List(&list));
-    before.tell(Event::List(&list));
+    rig.tell(Event::ServerList(&list));
+    before.tell(Event::ServerList(&list));
     let (first, second) = (count(&mut before), count(&mut rig));
     assert!(
         first > 0 && second <= first,
--- a/crates/decisions/tests/told.rs
+++ b/crates/decisions/tests/told.rs
@@ -4,9 +4,9 @@
 use common::*;
 use woadstall_decisions::api::*;
 
-fn zone(zone: u8, share: f32, until: u64) -> Verdict {
-    Verdict {
-        place: Place::Zone(ZoneId(zone), None),
+fn zone(zone: u8, share: f32, until: u64) -> HealthVerdict {
+    HealthVerdict {
+        domain: FailureDomain::Zone(ZoneId(zone), None),
         share,
         until,
     }
@@ -28,19 +28,19 @@
         let verdicts = [
             zone(0, 1.0, now + SECOND),
             zone(9, 0.0, now + SECOND),
-            Verdict {
-                place: Place::Server(ServerId(77)),
+            HealthVerdict {
+                domain: FailureDomain::Server(ServerId(77)),
                 share: 0.0,
                 until: now + SECOND,
             },
-            Verdict {
-                place: Place::Zone(ZoneId(1), Some(99)),
+            HealthVerdict {
+                domain: FailureDomain::Zone(ZoneId(1), Some(99)),
                 share: 0.0,
                 until: now + SECOND,
             },
             zone(0, 0.0, now), // over already
         ];
-        assert!(told.tell(Event::Told(&verdicts)).is_empty());
+        assert!(told.tell(Event::HealthVerdicts(&verdicts)).is_empty());
         let outcome = |server: u32| {
             if (server as usize + call).is_multiple_of(7) {
                 Outcome::Error
@@ -58,10 +58,10 @@
     let mut rig = Rig::new(settings(), &zones(3, 4));
     rig.warm_up(40);
     let until = rig.now + 4 * SECOND;
-    rig.tell(Event::Told(&[zone(0, 0.0, until)]));
+    rig.tell(Event::HealthVerdicts(&[zone(0, 0.0, until)]));
     assert_eq!(own(&mut rig, SAFE, 100), 0);
     // Other zones get it evenly, and one of them that is left as well gets none.
-    rig.tell(Event::Told(&[zone(1, 0.0, until)]));
+    rig.tell(Event::HealthVerdicts(&[zone(1, 0.0, until)]));
     let third = (0..60)
         .filter(|_| rig.serve(SAFE, 20 * MS).is_some_and(|server| server >= 8))
         .count();
@@ -76,7 +76,7 @@
     let mut rig = Rig::new(settings(), &zones(3, 4));
     rig.warm_up(40);
     let until = rig.now + 40 * SECOND;
-    rig.tell(Event::Told(&[
+    rig.tell(Event::HealthVerdicts(&[
         zone(0, 0.0, until),
         zone(1, 0.0, until),
         zone(2, 0.0, until),
@@ -96,7 +96,7 @@
         let mut rig = Rig::new(settings(), &zones(3, 4));
         rig.warm_up(40);
         let until = rig.now + 100 * SECOND;
-        rig.tell(Event::Told(&[zone(0, share, until)]));
+        rig.tell(Event::HealthVerdicts(&[zone(0, share, until)]));
         let stayed = own(&mut rig, class, 1000);
         assert!(
             (least..=most).contains(&stayed),
@@ -110,29 +110,29 @@
     let mut rig = Rig::new(settings(), &zones(3, 4));
     rig.warm_up(40);
     let until = rig.now + 100 * SECOND;
-    let class = Verdict {
-        place: Place::Zone(ZoneId(0), Some(UNSAFE)),
+    let class = HealthVerdict {
+        domain: FailureDomain::Zone(ZoneId(0), Some(UNSAFE)),
         share: 0.0,
         until,
     };
-    rig.tell(Event::Told(&[class]));
+    rig.tell(Event::HealthVerdicts(&[class]));
     assert_eq!(
         (own(&mut rig, UNSAFE, 60), own(&mut rig, SAFE, 60)),
         (0, 60)
     );
-    let server = Verdict {
-        place: Place::Server(ServerId(2)),
+    let server = HealthVerdict {
+        domain: FailureDomain::Server(ServerId(2)),
         share: 0.0,
         until,
     };
-    rig.tell(Event::Told(&[server]));
+    rig.tell(Event::HealthVerdicts(&[server]));
     let turns: Vec<u32> = (0..90).filter_map(|_| rig.serve(SAFE, 20 * MS)).collect();
     assert!(
         !turns.contains(&2) && turns.iter().all(|server| *server < 4),
         "{turns:?}"
     );
     // A new process at its address is another one.
-    rig.tell(Event::ListChange(&[ListEntry {
+    rig.tell(Event::ServerListChange(&[ServerEntry {
         started: Some(1),
         ..entry(2, 0)
     }]));
@@ -148,13 +148,13 @@
     let (id, actions) = rig.demand(UNSAFE);
     let server = sent(&actions).unwrap();
     let until = rig.now + 10 * SECOND;
-    let verdict = Verdict {
-        place: Place::Server(ServerId(server)),
+    let verdict = HealthVerdict {
+        domain: FailureDomain::Server(ServerId(server)),
         share: 0.0,
         until,
     };
     assert!(
-        rig.tell(Event::Told(&[verdict, zone(0, 0.0, until)]))
+        rig.tell(Event::HealthVerdicts(&[verdict, zone(0, 0.0, until)]))
             .is_empty(),
         "nothing is withdrawn for it"
     );
--- a/crates/discovery/src/listing.rs
+++ b/crates/discovery/src/listing.rs
@@ -53,7 +53,7 @@
             lifecycle: match target.state {
                 State::InService => Lifecycle::Ready,
                 State::Terminating => Lifecycle::Draining,
-                State::Terminated => Lifecycle::Gone,
+                State::Terminated => Lifecycle::Removed,
             },
             size: target.capacity_hint,
             boot_ms: target.boot_ms,
--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -104,7 +104,7 @@
     assert_eq!(boots, [1_700_000_000_123, 1, 0, 0]);
     assert!(matches!(entries[0].lifecycle, Lifecycle::Ready));
     assert!(matches!(entries[1].lifecycle, Lifecycle::Draining));
-    assert!(matches!(entries[2].lifecycle, Lifecycle::Gone));
+    assert!(matches!(entries[2].lifecycle, Lifecycle::Removed));
     assert!(matches!(entries[3].lifecycle, Lifecycle::Draining));
 }
 
--- a/crates/emulator/src/rivals.rs
+++ b/crates/emulator/src/rivals.rs
@@ -257,7 +257,7 @@
             }
             (server.address, server.boot_ms, server.ready) = (entry.address, entry.boot_ms, ready);
             server.zone = entry.zone.map_or(0, |zone| usize::from(zone.0));
-            if entry.lifecycle == Lifecycle::Gone {
+            if entry.lifecycle == Lifecycle::Removed {
                 self.by_name.remove(&entry.name);
             }
         }
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::evacuated::{Evacuated, Move};
 use crate::scenario::{Evacuating, Says};
-use woadstall_engine::decisions::{Place, Verdict as Finding};
+use woadstall_engine::decisions::{FailureDomain, HealthVerdict as Finding};
 use woadstall_evacuation::{Coordinator, Places, Settings};
 use woadstall_health_reports::{Out, Saw};
 use woadstall_membership::Node;
@@ -181,7 +181,7 @@
             self.meter.log_line(&line.to_string());
         }
         for finding in &turn.verdicts {
-            if let Place::Zone(zone, None) = finding.place {
+            if let FailureDomain::Zone(zone, None) = finding.domain {
                 let share = f64::from(finding.share);
                 coordinators.evacuated.moved(Move {
                     at: now,
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -69,7 +69,7 @@
             }
             What::PadronWrong => {
                 let lifecycle = if begins {
-                    Lifecycle::Gone
+                    Lifecycle::Removed
                 } else {
                     Lifecycle::Ready
                 };
@@ -241,7 +241,7 @@
 
     /// A new nodo at the address of one that is gone.
     pub(super) fn replace(&mut self, old: u32) {
-        self.change(old, Lifecycle::Gone);
+        self.change(old, Lifecycle::Removed);
         let (now, number) = (self.agenda.now(), self.nodos.len() as u32);
         let gone = &self.nodos[old as usize];
         let (tier, place) = (gone.tier, (gone.zone, gone.cell, gone.host));
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -633,7 +633,7 @@
                 let dead = &self.nodos[nodo as usize];
                 let there = self.hosts[dead.host as usize] == nodo;
                 if there && !dead.alive && dead.process == process {
-                    self.change(nodo, Lifecycle::Gone);
+                    self.change(nodo, Lifecycle::Removed);
                 }
             }
             Event::Start { balancer, stale } => self.start(balancer as usize, stale),
--- a/crates/emulator/src/world/padron.rs
+++ b/crates/emulator/src/world/padron.rs
@@ -121,7 +121,7 @@
             .enumerate()
             .filter_map(|(nodo, state)| Some((nodo as u32, (*state)?)));
         let listed = listed.filter(|(nodo, (lifecycle, _))| {
-            self.nodos[*nodo as usize].tier == tier && *lifecycle != Lifecycle::Gone
+            self.nodos[*nodo as usize].tier == tier && *lifecycle != Lifecycle::Removed
         });
         let entries: Vec<_> = listed
             .map(|(nodo, (life, boot))| self.entry(nodo, life, boot))
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -54,7 +54,7 @@
         ),
         (3, 6, 9)
     );
-    assert_eq!(scenario.settings(2, 0).siblings, 9);
+    assert_eq!(scenario.settings(2, 0).balancers, 9);
     let end = play(&scenario);
     assert!(end.served > 0.97, "{}", end.served);
     // Each of nine senders opens connections to the nodos of its zone; none has more than its part of them.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 use woadstall_decisions::Balancer;
 use woadstall_decisions::api::{
-    Action, ClassSuccession, Demand, Duration, End, Event, Learned, Lifecycle, Outcome, RequestId,
-    ServerId, Settings, SettingsError, Time,
+    Action, AttemptEnd, ClassSuccession, Duration, Event, LearnedState, Lifecycle, Outcome,
+    RequestId, RequestParameters, ServerId, Settings, SettingsError, Time,
 };
 
 /// The safety net answers this much after a request's time, when the module should long have done so.
@@ -40,7 +40,7 @@
     nets: BTreeSet<(Time, RequestId)>,
     actions: Vec<Action>,
     /// Ends that the module hears of once it is done with what it is at.
-    pending: VecDeque<(RequestId, End)>,
+    pending: VecDeque<(RequestId, AttemptEnd)>,
     commands: VecDeque<Command<R, A>>,
     ready: bool,
     /// Ends of attempts, where somebody wants to see them.
@@ -71,7 +71,7 @@
         self.now = self.now.max(now);
         match input {
             Input::Listed { entries, all } => self.on_listed(entries, all),
-            Input::ListFailed => self.tell(Event::ListFailed),
+            Input::ListFailed => self.tell(Event::SubscriptionFailed),
             Input::Call(call) => self.on_call(call),
             Input::Gone(id) => self.on_gone(id),
             Input::Started {
@@ -80,8 +80,10 @@
                 answer,
             } => self.on_started(id, attempt, answer),
             Input::Ended { id, attempt, ended } => self.on_ended(id, attempt, ended),
-            Input::Probed(server, outcome, load) => self.tell(Event::Probed(server, outcome, load)),
-            Input::Told(findings) => self.tell(Event::Told(findings)),
+            Input::Probed(server, outcome, load) => {
+                self.tell(Event::ProbeEnded(server, outcome, load))
+            }
+            Input::Told(findings) => self.tell(Event::HealthVerdicts(findings)),
             Input::Tick => self.on_tick(),
         }
     }
@@ -171,7 +173,7 @@
         new: &[ClassSuccession],
     ) -> Result<(), SettingsError> {
         let most = settings.max_attempts;
-        self.balancer.retune(settings, new)?;
+        self.balancer.reconfigure(settings, new)?;
         self.max_attempts = most;
         Ok(())
     }
@@ -182,19 +184,19 @@
     }
 
     /// What is worth knowing for a process that takes over.
-    pub fn learned(&self) -> Learned {
-        self.balancer.learned()
+    pub fn learned(&self) -> LearnedState {
+        self.balancer.learned_state()
     }
 
     /// Takes what a predecessor has learned.
-    pub fn learn_from(&mut self, now: Time, learned: &Learned) {
+    pub fn learn_from(&mut self, now: Time, learned: &LearnedState) {
         self.now = self.now.max(now);
-        self.balancer.learn_from(self.now, learned);
+        self.balancer.restore(self.now, learned);
     }
 
     /// How many of them take work and are avoided all the same.
     pub fn avoided(&self) -> usize {
-        self.balancer.avoided()
+        self.balancer.ejected_servers()
     }
 
     // ---- Membership ----
@@ -215,9 +217,9 @@
             listed.push(entry);
         }
         if all {
-            self.tell(Event::List(&listed));
+            self.tell(Event::ServerList(&listed));
         } else if !listed.is_empty() {
-            self.tell(Event::ListChange(&listed));
+            self.tell(Event::ServerListChange(&listed));
         }
         for server in self.members.forget_gone(entries, all) {
             self.commands.push_back(Command::Retire(server));
@@ -241,7 +243,7 @@
         while let Some(&(_, id)) = self.nets.first().filter(|(at, _)| *at <= self.now) {
             self.log(format!("request {} was left open past its time", id.0));
             self.answer(id, Verdict::Failed);
-            self.tell(Event::ClientGone(id));
+            self.tell(Event::ClientDisconnected(id));
         }
     }
 
@@ -284,19 +286,19 @@
         self.nets.insert((deadline.saturating_add(NET_AFTER), id));
         self.tell(Event::Request(
             id,
-            Demand {
+            RequestParameters {
                 class,
                 tenant,
                 time_left,
                 work,
-                attempts: most,
+                max_attempts: most,
             },
         ));
     }
 
     fn on_gone(&mut self, id: RequestId) {
         if self.close(id).is_some() {
-            self.tell(Event::ClientGone(id));
+            self.tell(Event::ClientDisconnected(id));
             self.forget_if_done(id);
         }
     }
@@ -343,7 +345,7 @@
             .peer(server)
             .filter(|peer| possible && self.members.takes_new(peer));
         let Some(to) = to else {
-            let end = End {
+            let end = AttemptEnd {
                 attempt,
                 outcome: Outcome::Moot,
                 elapsed: 0,
@@ -372,7 +374,7 @@
             .filter(out)
             .is_some_and(|open| open.request.is_some())
         {
-            self.tell(Event::Started(id, attempt));
+            self.tell(Event::ResponseStarted(id, attempt));
             self.answer(id, Verdict::Served(answer));
         }
     }
@@ -402,7 +404,7 @@
                 took: elapsed,
             });
         }
-        let end = End {
+        let end = AttemptEnd {
             attempt,
             outcome: ended.outcome,
             elapsed,
@@ -412,7 +414,7 @@
         if let Some(answer) = ended.answer {
             self.answer(id, Verdict::Served(answer));
         }
-        self.tell(Event::Ended(id, end));
+        self.tell(Event::AttemptEnded(id, end));
         self.forget_if_done(id);
     }
 
@@ -422,7 +424,7 @@
     fn tell(&mut self, event: Event<'_>) {
         self.tell_one(event);
         while let Some((id, end)) = self.pending.pop_front() {
-            self.tell_one(Event::Ended(id, end));
+            self.tell_one(Event::AttemptEnded(id, end));
         }
     }
 
@@ -441,7 +443,7 @@
                 until,
                 begin_by,
             } => self.send(id, server, until, begin_by),
-            Action::Refuse { id, retry_after } => self.answer(id, Verdict::Refused(retry_after)),
+            Action::Reject { id, retry_after } => self.answer(id, Verdict::Refused(retry_after)),
             Action::Fail(id) => self.answer(id, Verdict::Failed),
             Action::Cancel { id, attempt } => {
                 let out = self.requests.get(&id).map(|open| &open.out);
@@ -452,12 +454,14 @@
             Action::Probe(server) => self
                 .commands
                 .extend(self.members.peer(server).map(Command::Probe)),
-            Action::Close(server) => self.commands.push_back(Command::CloseIdle(server)),
+            Action::CloseIdleConnections(server) => {
+                self.commands.push_back(Command::CloseIdle(server))
+            }
             Action::SetTimer { after, token } => {
                 self.timers
                     .push(Reverse((self.now.saturating_add(after), token)));
             }
-            Action::Watch => self.commands.push_back(Command::Watch),
+            Action::Subscribe => self.commands.push_back(Command::Watch),
             Action::Log(text) => self.log(text),
         }
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -25,5 +25,5 @@
 pub use messages::{Call, Command, Ended, Input, Observed, Outstanding, Send, Verdict};
 pub use woadstall_decisions::api as decisions;
 pub use woadstall_decisions::api::{
-    Learned, Lifecycle, LoadReport, Outcome, RequestId, ServerId, Settings, Time,
+    LearnedState, Lifecycle, LoadReport, Outcome, RequestId, ServerId, Settings, Time,
 };
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
-use woadstall_decisions::api::{Lifecycle, ListEntry, ServerId, ZoneId};
+use woadstall_decisions::api::{Lifecycle, ServerEntry, ServerId, ZoneId};
 
 /// An upstream as a list names it.
 #[derive(Clone, Debug, PartialEq)]
@@ -72,7 +72,7 @@
 impl Members {
     /// Takes an entry; tells the module's form of it, and whether connections to it are of no use any more:
     /// those to a former process, or to one that takes nothing new.
-    pub fn take(&mut self, entry: &Entry) -> (ListEntry, bool) {
+    pub fn take(&mut self, entry: &Entry) -> (ServerEntry, bool) {
         let server = match self.ids.get(&entry.name) {
             Some(&server) => server,
             None => {
@@ -96,7 +96,7 @@
         let same = before.is_some_and(|was| {
             (was.address, was.boot_ms, was.in_service) == (address, boot_ms, in_service)
         });
-        let listed = ListEntry {
+        let listed = ServerEntry {
             server,
             zone,
             cell: entry.cell,
@@ -113,14 +113,14 @@
         if !all
             && entries
                 .iter()
-                .all(|entry| entry.lifecycle != Lifecycle::Gone)
+                .all(|entry| entry.lifecycle != Lifecycle::Removed)
         {
             return Vec::new();
         }
         let named = |gone: bool| {
             let entries = entries
                 .iter()
-                .filter(move |e| (e.lifecycle == Lifecycle::Gone) == gone);
+                .filter(move |e| (e.lifecycle == Lifecycle::Removed) == gone);
             entries
                 .map(|entry| entry.name.as_str())
                 .collect::<HashSet<_>>()
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{Entry, Peer};
 use woadstall_decisions::api::{
-    Duration, LoadReport, Outcome, RequestId, ServerId, Time, Verdict as Finding,
+    Duration, HealthVerdict as Finding, LoadReport, Outcome, RequestId, ServerId, Time,
 };
 
 /// A request, as a front takes it.
--- a/crates/engine/tests/properties.rs
+++ b/crates/engine/tests/properties.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
-use woadstall_engine::decisions::{Class, Effect, Group};
+use woadstall_engine::decisions::{Class, DedupScope, Effect};
 use woadstall_engine::*;
 
 const MS: u64 = 1_000_000;
@@ -13,40 +13,40 @@
 
 fn settings(may_cancel: bool, max_attempts: u32) -> Settings {
     let class = |effect| Class {
-        aim: 200 * MS,
-        aim_stretch: 0.0,
+        latency_target: 200 * MS,
+        latency_target_stretch: 0.0,
         deadline: 1000 * MS,
         effect,
-        late_worth: 0.5,
-        worth: 1.0,
+        late_value: 0.5,
+        value: 1.0,
     };
     Settings {
         classes: vec![
             class(Effect::Safe),
             class(Effect::Unsafe),
-            class(Effect::Keyed(Group::All, 300 * MS)),
+            class(Effect::Keyed(DedupScope::All, 300 * MS)),
         ],
         tenants: vec![],
-        over_quota_worth: 1.0,
-        worth_by_work: false,
+        over_quota_value: 1.0,
+        value_by_work: false,
         zone: decisions::ZoneId(0),
         zones: 2,
-        siblings: 3,
+        balancers: 3,
         tier: 1,
-        passes_deadline: true,
-        ask_discovery: false,
-        ask_within: 0,
+        propagates_deadline: true,
+        subscribes_to_discovery: false,
+        subscribe_within: 0,
         may_cancel,
         max_retry_after: 500 * MS,
         max_attempts,
-        conn_idle: 10_000 * MS,
-        start_capacity: 0.3,
-        tip_multiple: 2.5,
-        ramp_time: 8_000 * MS,
-        report_inflight: None,
-        load_by_probe: false,
-        cross_price: 0.0,
-        probe_price: 0.0,
+        idle_timeout: 10_000 * MS,
+        slow_start_capacity: 0.3,
+        slow_start_overload: 2.5,
+        slow_start_window: 8_000 * MS,
+        in_flight_report_field: None,
+        probes_for_load: false,
+        cross_zone_cost: 0.0,
+        probe_cost: 0.0,
     }
 }
 
@@ -319,11 +319,11 @@
                 whole,
             } => {
                 let lifecycle =
-                    [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone][usize::from(state)];
+                    [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed][usize::from(state)];
                 let before = self.listed.get(&upstream).map_or(0, |entry| entry.boot_ms);
                 let boot_ms = if restarted { self.now / MS } else { before };
                 let entry = entry(upstream, lifecycle, boot_ms);
-                if lifecycle == Lifecycle::Gone {
+                if lifecycle == Lifecycle::Removed {
                     self.listed.remove(&upstream);
                 } else {
                     self.listed.insert(upstream, entry.clone());
--- a/crates/evacuation/src/coordinator.rs
+++ b/crates/evacuation/src/coordinator.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::hash::Hasher;
-use woadstall_decisions::api::{Place, ServerId, Time, Verdict, ZoneId};
+use woadstall_decisions::api::{FailureDomain, HealthVerdict, ServerId, Time, ZoneId};
 use woadstall_health_reports::{
     Counts, ENOUGH, HealthReport, Hearing, Ill, Kind, Ledger, Line as Told, Out, Saw, Subject,
 };
@@ -163,7 +163,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Turn {
     /// What the module is to be told.
-    pub verdicts: Vec<Verdict>,
+    pub verdicts: Vec<HealthVerdict>,
     /// What operators are.
     pub lines: Vec<Line>,
 }
@@ -196,7 +196,7 @@
     told_at: Time,
     told_place_decisions: Vec<u8>,
     /// Verdicts as the module has them, and when they were given.
-    given: HashMap<Place, (f32, Time)>,
+    given: HashMap<FailureDomain, (f32, Time)>,
     /// How often what one said was the opposite of what was found, and when it said the last such thing.
     odd: BTreeMap<String, (u32, Time)>,
     /// Lines that are waiting.
@@ -271,8 +271,8 @@
         let listed = &self.listed;
         self.ledger.retain(|server| listed.contains_key(&server));
         self.given.retain(|place, _| match place {
-            Place::Server(server) => listed.contains_key(server),
-            Place::Zone(..) => true,
+            FailureDomain::Server(server) => listed.contains_key(server),
+            FailureDomain::Zone(..) => true,
         });
     }
 
@@ -703,8 +703,8 @@
     }
 
     /// The shares that the module is to go by, as far as they are new to it or have to be renewed.
-    fn verdicts(&mut self, now: Time, node: &Node) -> Vec<Verdict> {
-        let mut shares: Vec<(Place, f64)> = Vec::new();
+    fn verdicts(&mut self, now: Time, node: &Node) -> Vec<HealthVerdict> {
+        let mut shares: Vec<(FailureDomain, f64)> = Vec::new();
         let zones = &self.settings.places.zones;
         let share = |subject: &Subject| self.share(subject);
         let tried = |subject: &Subject, share: f64| {
@@ -728,17 +728,23 @@
             let of_zone = share(&zone.subject);
             let given = tried(&zone.subject, of_zone.min(region(&zone.region_subject)));
             let id = ZoneId(at as u8);
-            shares.push((Place::Zone(id, None), if any { given } else { 1.0 }));
+            shares.push((FailureDomain::Zone(id, None), if any { given } else { 1.0 }));
             for (class, subject) in zone.classes.iter().enumerate() {
                 let all = zones.iter().all(|zone| share(&zone.classes[class]) < 1.0);
                 let given = tried(subject, share(subject));
-                shares.push((Place::Zone(id, Some(class)), if all { 1.0 } else { given }));
+                shares.push((
+                    FailureDomain::Zone(id, Some(class)),
+                    if all { 1.0 } else { given },
+                ));
             }
         }
         for (server, listed) in self.listed.iter().filter(|(_, listed)| listed.size > 0.0) {
             let of_nodo = share(&listed.subject);
-            if of_nodo < 1.0 || self.given.contains_key(&Place::Server(*server)) {
-                shares.push((Place::Server(*server), tried(&listed.subject, of_nodo)));
+            if of_nodo < 1.0 || self.given.contains_key(&FailureDomain::Server(*server)) {
+                shares.push((
+                    FailureDomain::Server(*server),
+                    tried(&listed.subject, of_nodo),
+                ));
             }
         }
         shares.sort_by_key(|(place, _)| *place);
@@ -749,8 +755,8 @@
             let renew =
                 known.is_some_and(|(_, at)| share < 1.0 && now >= at.saturating_add(RENEWED));
             if known.map_or(1.0, |(share, _)| share) != share || renew {
-                verdicts.push(Verdict {
-                    place,
+                verdicts.push(HealthVerdict {
+                    domain: place,
                     share,
                     until: now.saturating_add(HOLDS),
                 });
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
-use woadstall_decisions::api::{Outcome, Place, ServerId};
+use woadstall_decisions::api::{FailureDomain, Outcome, ServerId};
 use woadstall_evacuation::{Coordinator, Order, Places, Settings, What};
 use woadstall_health_reports::{Kind, Out, Saw};
 use woadstall_membership::{Card, Life, Name, Node};
@@ -189,12 +189,12 @@
             .turn(now, UNIX_MS + now / MS, &mut self.node);
         digest.number(turn.lines.len() as u64);
         for verdict in &turn.verdicts {
-            match verdict.place {
-                Place::Zone(zone, class) => {
+            match verdict.domain {
+                FailureDomain::Zone(zone, class) => {
                     digest.number(u64::from(zone.0));
                     digest.number(class.map_or(u64::MAX, |class| class as u64));
                 }
-                Place::Server(server) => digest.number(1_000 + u64::from(server.0)),
+                FailureDomain::Server(server) => digest.number(1_000 + u64::from(server.0)),
             }
             digest.number(u64::from(verdict.share.to_bits()));
             digest.number(verdict.until);
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -3,7 +3,9 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use woadstall_decisions::api::{Duration, Learned, LearnedLatency, LearnedServer, ServerId, Time};
+use woadstall_decisions::api::{
+    Duration, LearnedLatency, LearnedServer, LearnedState, ServerId, Time,
+};
 
 /// The form that is written, and the only one that is read: what another one means is not guessed.
 const VERSION: u32 = 1;
@@ -51,8 +53,8 @@
     fn from(told: LearnedLatency) -> Self {
         Self {
             mean: told.mean,
-            deviation: told.dev,
-            calm: told.calm,
+            deviation: told.mean_deviation,
+            calm: told.baseline,
             calls: told.calls,
         }
     }
@@ -62,8 +64,8 @@
     fn from(told: Latency) -> Self {
         Self {
             mean: told.mean,
-            dev: told.deviation,
-            calm: told.calm,
+            mean_deviation: told.deviation,
+            baseline: told.calm,
             calls: told.calls,
         }
     }
@@ -72,7 +74,7 @@
 impl State {
     /// What was learned, under the names of classes and upstreams. What has none is left out.
     pub fn new<'a>(
-        learned: &Learned,
+        learned: &LearnedState,
         class: impl Fn(usize) -> Option<&'a str>,
         upstream: impl Fn(ServerId) -> Option<String>,
     ) -> Self {
@@ -82,7 +84,7 @@
                 server,
                 started,
                 slowness,
-                opens,
+                recent_opens: opens,
                 open_for,
             } = *told;
             Some((
@@ -101,10 +103,10 @@
                 .filter_map(|(at, told)| Some((class(*at)?.to_owned(), (*told).into())))
                 .collect(),
             overall: learned.overall.into(),
-            rate: learned.rate,
-            answers: learned.answers,
-            held: learned.held,
-            failing: learned.failing,
+            rate: learned.responses_per_second,
+            answers: learned.responses,
+            held: learned.pending,
+            failing: learned.failure_rate,
             upstreams: upstreams.collect(),
         }
     }
@@ -114,7 +116,7 @@
         &self,
         class: impl Fn(&str) -> Option<usize>,
         upstream: impl Fn(&str) -> Option<ServerId>,
-    ) -> Learned {
+    ) -> LearnedState {
         let upstreams = self.upstreams.iter().filter_map(|(name, told)| {
             let Upstream {
                 started,
@@ -126,21 +128,21 @@
                 server: upstream(name)?,
                 started,
                 slowness,
-                opens,
+                recent_opens: opens,
                 open_for,
             })
         });
-        Learned {
+        LearnedState {
             classes: self
                 .classes
                 .iter()
                 .filter_map(|(name, told)| Some((class(name)?, (*told).into())))
                 .collect(),
             overall: self.overall.into(),
-            rate: self.rate,
-            answers: self.answers,
-            held: self.held,
-            failing: self.failing,
+            responses_per_second: self.rate,
+            responses: self.answers,
+            pending: self.held,
+            failure_rate: self.failing,
             servers: upstreams.collect(),
         }
     }
@@ -212,27 +214,27 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn learned() -> Learned {
+    fn learned() -> LearnedState {
         let latency = LearnedLatency {
             mean: 2e8,
-            dev: 5e7,
-            calm: 1.5e8,
+            mean_deviation: 5e7,
+            baseline: 1.5e8,
             calls: 40,
         };
         let server = |server, open_for| LearnedServer {
             server: ServerId(server),
             started: Some(7),
             slowness: 1.5,
-            opens: 2,
+            recent_opens: 2,
             open_for,
         };
-        Learned {
+        LearnedState {
             classes: vec![(0, latency), (1, latency)],
             overall: latency,
-            rate: 12.5,
-            answers: 30.0,
-            held: 11.0,
-            failing: 0.25,
+            responses_per_second: 12.5,
+            responses: 30.0,
+            pending: 11.0,
+            failure_rate: 0.25,
             servers: vec![server(1, None), server(2, Some(9))],
         }
     }
@@ -257,7 +259,12 @@
             }]
         );
         assert_eq!(
-            (back.rate, back.answers, back.held, back.failing),
+            (
+                back.responses_per_second,
+                back.responses,
+                back.pending,
+                back.failure_rate
+            ),
             (12.5, 30.0, 11.0, 0.25)
         );
     }
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The bytes that a process hands to its successor, pinned: either of the two may be of another version.
 
-use woadstall_decisions::api::{Learned, LearnedLatency, LearnedServer, ServerId};
+use woadstall_decisions::api::{LearnedLatency, LearnedServer, LearnedState, ServerId};
 use woadstall_hot_restart::State;
 
 /// Compares with the fixture of this name.
@@ -10,15 +10,15 @@
     assert_eq!(text, expected, "{name}");
 }
 
-fn learned() -> Learned {
-    Learned {
+fn learned() -> LearnedState {
+    LearnedState {
         classes: vec![
             (
                 0,
                 LearnedLatency {
                     mean: 2e8,
-                    dev: 5e7,
-                    calm: 1.5e8,
+                    mean_deviation: 5e7,
+                    baseline: 1.5e8,
                     calls: 40,
                 },
             ),
@@ -26,8 +26,8 @@
                 1,
                 LearnedLatency {
                     mean: 0.0,
-                    dev: 0.0,
-                    calm: 0.0,
+                    mean_deviation: 0.0,
+                    baseline: 0.0,
                     calls: 0,
                 },
             ),
@@ -35,42 +35,42 @@
                 2,
                 LearnedLatency {
                     mean: 123456789.125,
-                    dev: 1e-7,
-                    calm: 1e21,
+                    mean_deviation: 1e-7,
+                    baseline: 1e21,
                     calls: u32::MAX,
                 },
             ),
         ],
         overall: LearnedLatency {
             mean: 1e8,
-            dev: 2.5e7,
-            calm: 9e7,
+            mean_deviation: 2.5e7,
+            baseline: 9e7,
             calls: 41,
         },
-        rate: 12.5,
-        answers: 30.0,
-        held: 11.25,
-        failing: 0.25,
+        responses_per_second: 12.5,
+        responses: 30.0,
+        pending: 11.25,
+        failure_rate: 0.25,
         servers: vec![
             LearnedServer {
                 server: ServerId(1),
                 started: None,
                 slowness: 1.0,
-                opens: 0,
+                recent_opens: 0,
                 open_for: None,
             },
             LearnedServer {
                 server: ServerId(2),
                 started: Some(7),
                 slowness: 1.5,
-                opens: 2,
+                recent_opens: 2,
                 open_for: Some(9),
             },
             LearnedServer {
                 server: ServerId(3),
                 started: Some(u64::MAX),
                 slowness: 0.0,
-                opens: u32::MAX,
+                recent_opens: u32::MAX,
                 open_for: Some(u64::MAX),
             },
         ],
@@ -79,7 +79,7 @@
 
 const CLASSES: [&str; 3] = ["look", "pay", "post \"é\""];
 
-fn state(learned: &Learned) -> State {
+fn state(learned: &LearnedState) -> State {
     State::new(
         learned,
         |at| CLASSES.get(at).copied(),
@@ -87,7 +87,7 @@
     )
 }
 
-fn back(state: &State) -> Learned {
+fn back(state: &State) -> LearnedState {
     let upstream = |name: &str| name.strip_prefix("s-")?.parse().ok().map(ServerId);
     state.learned(
         |name| CLASSES.iter().position(|class| *class == name),
@@ -104,11 +104,11 @@
 
 #[test]
 fn the_state_of_a_process_that_has_learned_nothing() {
-    let text = String::from_utf8(state(&Learned::default()).write()).unwrap();
+    let text = String::from_utf8(state(&LearnedState::default()).write()).unwrap();
     assert_golden("state-empty.json", &text);
     assert_eq!(
         back(&State::read(text.as_bytes()).unwrap()),
-        Learned::default()
+        LearnedState::default()
     );
 }
 
--- a/crates/runtime/src/balance.rs
+++ b/crates/runtime/src/balance.rs
@@ -14,10 +14,10 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until, timeout};
 use woadstall_discovery::{Follow, Listing, Update, follow};
-use woadstall_engine::decisions::{Verdict as Finding, ZoneId};
+use woadstall_engine::decisions::{HealthVerdict as Finding, ZoneId};
 use woadstall_engine::{
-    Call, Command, Ended, Engine, Input, Learned, Listed, Observed, Outcome, Outstanding, Peer,
-    RequestId, ServerId, Settings, Time, Verdict,
+    Call, Command, Ended, Engine, Input, LearnedState, Listed, Observed, Outcome, Outstanding,
+    Peer, RequestId, ServerId, Settings, Time, Verdict,
 };
 use woadstall_settings::{Change, Names};
 
@@ -278,7 +278,7 @@
             seed,
             known,
         } = setup;
-        let (asked, may_cancel) = (settings.ask_discovery, settings.may_cancel);
+        let (asked, may_cancel) = (settings.subscribes_to_discovery, settings.may_cancel);
         let engine = Engine::new(settings, seed, clock.now())
             .map_err(|error| format!("settings: {error}"))?;
         let (subscribe, subscribed) = unbounded_channel();
@@ -371,7 +371,7 @@
     }
 
     /// What is worth knowing for a process that takes over, and the names of the upstreams in it.
-    pub fn learned(&self) -> (Learned, HashMap<ServerId, String>) {
+    pub fn learned(&self) -> (LearnedState, HashMap<ServerId, String>) {
         let locked = self.shared.lock();
         let names = locked
             .engine
@@ -382,7 +382,7 @@
     }
 
     /// Takes what a predecessor has learned of the upstreams that are listed here.
-    pub fn learn_from(&self, learned: impl FnOnce(&BTreeMap<String, ServerId>) -> Learned) {
+    pub fn learn_from(&self, learned: impl FnOnce(&BTreeMap<String, ServerId>) -> LearnedState) {
         let mut locked = self.shared.lock();
         let learned = learned(locked.engine.names());
         locked.engine.learn_from(self.shared.clock.now(), &learned);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration as StdDuration;
-use woadstall_decisions::api::{Class, Duration, Effect, Group, Settings, Tenant, ZoneId};
+use woadstall_decisions::api::{Class, DedupScope, Duration, Effect, Settings, Tenant, ZoneId};
 
 /// What is wrong with settings; the text names the key that is at fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -253,29 +253,29 @@
                 quota_rps: t.quota_rps,
             })
             .collect(),
-        over_quota_worth: raw.over_share_worth.unwrap_or(1.0),
-        worth_by_work: matches!(raw.value_by, RawValueBy::Work),
+        over_quota_value: raw.over_share_worth.unwrap_or(1.0),
+        value_by_work: matches!(raw.value_by, RawValueBy::Work),
         zone: ZoneId(raw.zone),
         zones: raw.zones.len(),
-        siblings: raw.siblings,
+        balancers: raw.siblings,
         tier: raw.layer,
-        passes_deadline: raw
+        propagates_deadline: raw
             .family_info
             .and_then(|f| f.passes_deadline)
             .unwrap_or(true),
-        ask_discovery,
-        ask_within: raw.safety.ask_within_ns.unwrap_or(0),
+        subscribes_to_discovery: ask_discovery,
+        subscribe_within: raw.safety.ask_within_ns.unwrap_or(0),
         may_cancel: raw.limits.cancelling,
         max_retry_after: raw.limits.max_retry_after_ns.unwrap_or(0),
         max_attempts: raw.limits.try_limit,
-        conn_idle: raw.limits.conn_idle_ns.unwrap_or(Duration::MAX),
-        start_capacity: raw.safety.start_capacity,
-        tip_multiple: raw.safety.tip_multiple,
-        ramp_time: raw.safety.ramp_time_ns,
-        report_inflight: fields.iter().position(|field| field == "inflight"),
-        cross_price: prices.cross_zone,
-        probe_price: prices.probe,
-        load_by_probe: raw.limits.may_probe && via.as_deref() == Some("probe"),
+        idle_timeout: raw.limits.conn_idle_ns.unwrap_or(Duration::MAX),
+        slow_start_capacity: raw.safety.start_capacity,
+        slow_start_overload: raw.safety.tip_multiple,
+        slow_start_window: raw.safety.ramp_time_ns,
+        in_flight_report_field: fields.iter().position(|field| field == "inflight"),
+        cross_zone_cost: prices.cross_zone,
+        probe_cost: prices.probe,
+        probes_for_load: raw.limits.may_probe && via.as_deref() == Some("probe"),
     })
 }
 
@@ -286,19 +286,19 @@
         RawEffect::IdempotencyKey => {
             let missing = |key| Error(format!("settings: missing field `{key}`"));
             let group = match raw.group.ok_or_else(|| missing("Group"))? {
-                RawGroup::All => Group::All,
-                RawGroup::Zone => Group::Zone,
-                RawGroup::Cell => Group::Cell,
+                RawGroup::All => DedupScope::All,
+                RawGroup::Zone => DedupScope::Zone,
+                RawGroup::Cell => DedupScope::Cell,
             };
             Effect::Keyed(group, raw.window_ns.ok_or_else(|| missing("WindowNs"))?)
         }
     };
     Ok(Class {
-        aim: raw.aim_ns,
-        aim_stretch: raw.aim_stretch.unwrap_or(0.0),
+        latency_target: raw.aim_ns,
+        latency_target_stretch: raw.aim_stretch.unwrap_or(0.0),
         deadline: raw.deadline_ns,
         effect,
-        late_worth: raw.late_worth.unwrap_or(0.0),
-        worth: raw.value,
+        late_value: raw.late_worth.unwrap_or(0.0),
+        value: raw.value,
     })
 }
--- a/crates/settings/src/terms.rs
+++ b/crates/settings/src/terms.rs
@@ -1,7 +1,7 @@
 //! Settings that change while requests are under way.
 
 use crate::Names;
-use woadstall_decisions::api::{Class, ClassSuccession, Effect, Group, Settings};
+use woadstall_decisions::api::{Class, ClassSuccession, DedupScope, Effect, Settings};
 
 /// Positions of classes at most, over all changes: guards the memory, and the time that shedding takes.
 pub const MOST_CLASSES: usize = 1024;
@@ -52,7 +52,7 @@
             ("Layer", new.tier != self.settings.tier),
             (
                 "Discovery",
-                new.ask_discovery != self.settings.ask_discovery,
+                new.subscribes_to_discovery != self.settings.subscribes_to_discovery,
             ),
             (
                 "Telemetry.Fields",
@@ -199,7 +199,9 @@
         (Effect::Keyed(group, window), Effect::Keyed(other, other_window)) => {
             let window = window.min(other_window);
             match (group, other) {
-                (Group::All, narrower) | (narrower, Group::All) => Effect::Keyed(narrower, window),
+                (DedupScope::All, narrower) | (narrower, DedupScope::All) => {
+                    Effect::Keyed(narrower, window)
+                }
                 _ if group == other => Effect::Keyed(group, window),
                 // Nothing is known of how zones and cells overlap.
                 _ => Effect::Unsafe,
@@ -292,19 +294,27 @@
         let keyed = |group, window| Effect::Keyed(group, window);
         let cases = [
             (Effect::Safe, Effect::Safe, Effect::Safe),
-            (Effect::Safe, keyed(Group::Zone, 5), keyed(Group::Zone, 5)),
             (
-                keyed(Group::All, 9),
-                keyed(Group::All, 5),
-                keyed(Group::All, 5),
+                Effect::Safe,
+                keyed(DedupScope::Zone, 5),
+                keyed(DedupScope::Zone, 5),
+            ),
+            (
+                keyed(DedupScope::All, 9),
+                keyed(DedupScope::All, 5),
+                keyed(DedupScope::All, 5),
+            ),
+            (
+                keyed(DedupScope::All, 5),
+                keyed(DedupScope::Cell, 9),
+                keyed(DedupScope::Cell, 5),
             ),
             (
-                keyed(Group::All, 5),
-                keyed(Group::Cell, 9),
-                keyed(Group::Cell, 5),
+                keyed(DedupScope::Zone, 5),
+                keyed(DedupScope::Cell, 5),
+                Effect::Unsafe,
             ),
-            (keyed(Group::Zone, 5), keyed(Group::Cell, 5), Effect::Unsafe),
-            (keyed(Group::All, 5), Effect::Unsafe, Effect::Unsafe),
+            (keyed(DedupScope::All, 5), Effect::Unsafe, Effect::Unsafe),
         ];
         for (one, other, both) in cases {
             assert_eq!((stricter(one, other), stricter(other, one)), (both, both));
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use std::time::Duration;
-use woadstall_decisions::api::{Class, Effect, Group, Settings, Tenant, ZoneId};
+use woadstall_decisions::api::{Class, DedupScope, Effect, Settings, Tenant, ZoneId};
 use woadstall_settings::{MOST_CLASSES, Names, Terms, names, settings};
 
 /// Compares with the fixture of this name.
@@ -20,50 +20,50 @@
 #[test]
 fn every_key_of_the_settings_is_read() {
     let class = |effect, aim| Class {
-        aim,
-        aim_stretch: 1.5,
+        latency_target: aim,
+        latency_target_stretch: 1.5,
         deadline: 12,
         effect,
-        late_worth: 0.25,
-        worth: 2.5,
+        late_value: 0.25,
+        value: 2.5,
     };
     let plain = |effect, aim| Class {
-        aim,
-        aim_stretch: 0.0,
+        latency_target: aim,
+        latency_target_stretch: 0.0,
         deadline: 2,
         effect,
-        late_worth: 0.0,
-        worth: 1.0,
+        late_value: 0.0,
+        value: 1.0,
     };
     let expected = Settings {
         classes: vec![
             class(Effect::Safe, 11),
             plain(Effect::Unsafe, 21),
-            plain(Effect::Keyed(Group::All, 31), 31),
-            plain(Effect::Keyed(Group::Zone, 32), 32),
-            plain(Effect::Keyed(Group::Cell, 33), 33),
+            plain(Effect::Keyed(DedupScope::All, 31), 31),
+            plain(Effect::Keyed(DedupScope::Zone, 32), 32),
+            plain(Effect::Keyed(DedupScope::Cell, 33), 33),
         ],
         tenants: vec![Tenant { quota_rps: 13.5 }, Tenant { quota_rps: 14.5 }],
-        over_quota_worth: 0.75,
-        worth_by_work: true,
+        over_quota_value: 0.75,
+        value_by_work: true,
         zone: ZoneId(1),
         zones: 3,
-        siblings: 15,
+        balancers: 15,
         tier: 16,
-        passes_deadline: false,
-        ask_discovery: true,
-        ask_within: 17,
+        propagates_deadline: false,
+        subscribes_to_discovery: true,
+        subscribe_within: 17,
         may_cancel: true,
         max_retry_after: 18,
         max_attempts: 19,
-        conn_idle: 20,
-        start_capacity: 0.3,
-        tip_multiple: 2.25,
-        ramp_time: 22,
-        report_inflight: Some(1),
-        cross_price: 0.125,
-        probe_price: 0.0625,
-        load_by_probe: true,
+        idle_timeout: 20,
+        slow_start_capacity: 0.3,
+        slow_start_overload: 2.25,
+        slow_start_window: 22,
+        in_flight_report_field: Some(1),
+        cross_zone_cost: 0.125,
+        probe_cost: 0.0625,
+        probes_for_load: true,
     };
     assert_eq!(settings(EVERY_KEY.as_bytes()).unwrap(), expected);
 }
@@ -85,34 +85,34 @@
 fn every_default_of_the_settings() {
     let expected = Settings {
         classes: vec![Class {
-            aim: 1,
-            aim_stretch: 0.0,
+            latency_target: 1,
+            latency_target_stretch: 0.0,
             deadline: 2,
             effect: Effect::Safe,
-            late_worth: 0.0,
-            worth: 1.0,
+            late_value: 0.0,
+            value: 1.0,
         }],
         tenants: Vec::new(),
-        over_quota_worth: 1.0,
-        worth_by_work: false,
+        over_quota_value: 1.0,
+        value_by_work: false,
         zone: ZoneId(0),
         zones: 1,
-        siblings: 1,
+        balancers: 1,
         tier: 0,
-        passes_deadline: true,
-        ask_discovery: false,
-        ask_within: 0,
+        propagates_deadline: true,
+        subscribes_to_discovery: false,
+        subscribe_within: 0,
         may_cancel: false,
         max_retry_after: 0,
         max_attempts: 3,
-        conn_idle: u64::MAX,
-        start_capacity: 0.5,
-        tip_multiple: 2.0,
-        ramp_time: 4,
-        report_inflight: None,
-        cross_price: 0.0,
-        probe_price: 0.0,
-        load_by_probe: false,
+        idle_timeout: u64::MAX,
+        slow_start_capacity: 0.5,
+        slow_start_overload: 2.0,
+        slow_start_window: 4,
+        in_flight_report_field: None,
+        cross_zone_cost: 0.0,
+        probe_cost: 0.0,
+        probes_for_load: false,
     };
     assert_eq!(settings(LEAST.as_bytes()).unwrap(), expected);
     let names = names(LEAST.as_bytes()).unwrap();
@@ -241,7 +241,7 @@
         (settings.zone, settings.zones) = (ZoneId(1), 2);
     });
     add(&|settings, _| settings.tier = 1);
-    add(&|settings, _| (settings.ask_discovery, settings.ask_within) = (true, 1));
+    add(&|settings, _| (settings.subscribes_to_discovery, settings.subscribe_within) = (true, 1));
     add(&|_, names| names.report_fields = vec!["cpu".into()]);
     add(&|settings, names| {
         settings.classes.push(settings.classes[0].clone());
--- a/crates/tower/src/ask.rs
+++ b/crates/tower/src/ask.rs
@@ -76,12 +76,12 @@
         let longest = |time: fn(&Class) -> u64| given.iter().map(time).max().unwrap_or(1);
         let least = |figure: fn(&Class) -> f64| given.iter().map(figure).fold(f64::MAX, f64::min);
         settings.classes.push(Class {
-            aim: longest(|class| class.aim),
-            aim_stretch: 0.0,
+            latency_target: longest(|class| class.latency_target),
+            latency_target_stretch: 0.0,
             deadline: longest(|class| class.deadline),
             effect: Effect::Unsafe,
-            late_worth: least(|class| class.late_worth),
-            worth: least(|class| class.worth),
+            late_value: least(|class| class.late_value),
+            value: least(|class| class.value),
         });
         Ok(Self {
             effects: settings.classes.iter().map(|class| class.effect).collect(),
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -153,7 +153,7 @@
         }
         let classes =
             Classes::new(&mut settings, names.clone(), &self.methods).map_err(BuildError)?;
-        let idle = Duration::from_nanos(settings.conn_idle);
+        let idle = Duration::from_nanos(settings.idle_timeout);
         let wire = match self.protocol {
             Protocol::Http1 => Wire::Http1(Http1::new(
                 &names,
--- a/src/bin/woadstall-simulation-adapter.rs
+++ b/src/bin/woadstall-simulation-adapter.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use woadstall::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply, TABLES};
 use woadstall_decisions::Balancer;
-use woadstall_decisions::api::{Action, Event, ListEntry, Time};
+use woadstall_decisions::api::{Action, Event, ServerEntry, Time};
 
 fn main() -> ExitCode {
     match serve(
@@ -67,7 +67,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u32, Balancer>,
-    tables: [Vec<ListEntry>; TABLES],
+    tables: [Vec<ServerEntry>; TABLES],
     actions: Vec<Action>,
     reply: Reply,
 }
@@ -99,9 +99,9 @@
             } => {
                 let entries = &self.tables[table];
                 let event = if delta {
-                    Event::ListChange(entries)
+                    Event::ServerListChange(entries)
                 } else {
-                    Event::List(entries)
+                    Event::ServerList(entries)
                 };
                 if let Some(balancer) = self.instances.get_mut(&instance) {
                     balancer.handle(now, event, &mut self.actions);
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{MissedTickBehavior, interval};
-use woadstall_decisions::api::Verdict;
+use woadstall_decisions::api::HealthVerdict;
 use woadstall_evacuation::{Coordinator, Order, Places, Settings, Status, What};
 use woadstall_health_reports::{Kind, Out, Saw};
 use woadstall_membership_net::Instances;
@@ -122,10 +122,10 @@
         if !turn.verdicts.is_empty() {
             // The member's clock began with it; the module's is Unix time.
             balance.told(|module| {
-                let until = |verdict: &Verdict| module + verdict.until.saturating_sub(now);
+                let until = |verdict: &HealthVerdict| module + verdict.until.saturating_sub(now);
                 turn.verdicts
                     .iter()
-                    .map(|verdict| Verdict {
+                    .map(|verdict| HealthVerdict {
                         until: until(verdict),
                         ..*verdict
                     })
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -79,7 +79,7 @@
     /// Listens and serves. The error is one line that names the setting at fault.
     pub async fn start(config: Config) -> Result<Self, String> {
         let config = Arc::new(config);
-        let keep = Duration::from_nanos(config.settings.conn_idle);
+        let keep = Duration::from_nanos(config.settings.idle_timeout);
         let transport = Http1::new(&config.names, keep, config.limits.upstreams, WHOLE_ANSWER)
             .passing_on(MOST_BODY);
         let setup = Setup {
@@ -204,7 +204,7 @@
         self.balance.retune(change)?;
         self.balance.transport().retune(
             terms.names(),
-            Duration::from_nanos(config.settings.conn_idle),
+            Duration::from_nanos(config.settings.idle_timeout),
         );
         self.figures.know(terms.in_force());
         self.terms.send_replace(Arc::new(InService {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 use woadstall_decisions::api::{
-    Action, Demand, End, Event, Lifecycle, ListEntry, LoadReport, Outcome, RequestId, ServerId,
-    Time, ZoneId,
+    Action, AttemptEnd, Event, Lifecycle, LoadReport, Outcome, RequestId, RequestParameters,
+    ServerEntry, ServerId, Time, ZoneId,
 };
 
 /// Bytes of a batch header.
@@ -82,7 +82,7 @@
     /// An instance is gone.
     Retire(u32),
     /// A numbered list of servers.
-    Table(usize, Vec<ListEntry>),
+    Table(usize, Vec<ServerEntry>),
     /// Discovery tells an instance of the numbered list.
     Announce {
         /// The instance.
@@ -168,23 +168,23 @@
                     delta: form == 0,
                 });
             }
-            3 => Event::ListFailed,
+            3 => Event::SubscriptionFailed,
             form => return Err(WireError::new(format!("unknown form {form} of ANNOUNCE"))),
         },
         2 => Event::Request(
             id,
-            Demand {
+            RequestParameters {
                 class: u16_at(record, 21) as usize,
                 tenant: u32_at(record, 17) as usize,
                 time_left: u64_at(record, 23),
                 work: (record[39] & 1 != 0).then(|| u64_at(record, 31)),
-                attempts: u32::MAX,
+                max_attempts: u32::MAX,
             },
         ),
-        3 => Event::Started(id, record[9] as u32),
-        4 => Event::Ended(
+        3 => Event::ResponseStarted(id, record[9] as u32),
+        4 => Event::AttemptEnded(
             id,
-            End {
+            AttemptEnd {
                 attempt: record[18] as u32,
                 outcome: outcome(record[23])?,
                 elapsed: u64_at(record, 9),
@@ -192,9 +192,9 @@
                 load: load_report(record, 24)?,
             },
         ),
-        5 => Event::ClientGone(id),
+        5 => Event::ClientDisconnected(id),
         6 => Event::Timer(u64_at(record, 5)),
-        7 => Event::Probed(
+        7 => Event::ProbeEnded(
             ServerId(u32_at(record, 5)),
             outcome(record[9])?,
             load_report(record, 18)?,
@@ -252,15 +252,15 @@
     Ok((len > 0).then_some(report))
 }
 
-fn entry(bytes: &[u8]) -> Result<ListEntry, WireError> {
+fn entry(bytes: &[u8]) -> Result<ServerEntry, WireError> {
     let lifecycle = match bytes[9] {
-        0 => Lifecycle::Gone,
+        0 => Lifecycle::Removed,
         1 => Lifecycle::Ready,
         2 => Lifecycle::Draining,
         code => return Err(WireError::new(format!("unknown lifecycle {code}"))),
     };
     let started = u64_at(bytes, 14);
-    Ok(ListEntry {
+    Ok(ServerEntry {
         server: ServerId(u32_at(bytes, 0)),
         zone: ZoneId(bytes[4]),
         cell: u16_at(bytes, 7),
@@ -282,15 +282,15 @@
     pub fn push(&mut self, instance: u32, action: &Action) {
         match action {
             Action::SetTimer { after, token } => self.record(0, instance, &[after, token]),
-            Action::Refuse { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
+            Action::Reject { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
             Action::Send {
                 id, server, until, ..
             } => self.record(3, instance, &[&id.0, &server.0, until]),
             Action::Log(text) => self.text(4, instance, text),
             Action::Fail(id) => self.record(6, instance, &[&id.0]),
             Action::Probe(server) => self.record(10, instance, &[&server.0]),
-            Action::Close(server) => self.record(2, instance, &[&server.0]),
-            Action::Watch => self.record(8, instance, &[&1u8]),
+            Action::CloseIdleConnections(server) => self.record(2, instance, &[&server.0]),
+            Action::Subscribe => self.record(8, instance, &[&1u8]),
             Action::Cancel { id, attempt } => {
                 self.record(
                     11,
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -2,8 +2,8 @@
 
 use woadstall::wire::{BATCH_HEADER, BatchHeader, Record, Reply, WireError, records};
 use woadstall_decisions::api::{
-    Action, Demand, End, Event, Lifecycle, ListEntry, LoadReport, Outcome, RequestId, ServerId,
-    ZoneId,
+    Action, AttemptEnd, Event, Lifecycle, LoadReport, Outcome, RequestId, RequestParameters,
+    ServerEntry, ServerId, ZoneId,
 };
 
 /// Compares with the fixture of this name.
@@ -97,12 +97,12 @@
             table: 3,
             delta: false,
         },
-        Record::Event(5, Event::ListFailed),
-        Record::Event(5, Event::ClientGone(RequestId(6))),
+        Record::Event(5, Event::SubscriptionFailed),
+        Record::Event(5, Event::ClientDisconnected(RequestId(6))),
         Record::Event(5, Event::Timer(77)),
         Record::Ignored,
         Record::Retire(5),
-        Record::Event(5, Event::Started(RequestId(6), 4)),
+        Record::Event(5, Event::ResponseStarted(RequestId(6), 4)),
     ];
     for ((record, tail), expected) in cases.iter().zip(expected) {
         assert_eq!(decoded(record, tail).unwrap(), expected);
@@ -121,12 +121,12 @@
         record(&[&[2], &u32s(&[5, 6]), &[0; 8], &demand.concat(), &[flags]])
     };
     let expected = |work| {
-        let demand = Demand {
+        let demand = RequestParameters {
             class: 3,
             tenant: 2,
             time_left: 11,
             work,
-            attempts: u32::MAX,
+            max_attempts: u32::MAX,
         };
         Record::Event(5, Event::Request(RequestId(6), demand))
     };
@@ -156,7 +156,7 @@
             &[0; 4],
             &[code, 0],
         ]);
-        let end = End {
+        let end = AttemptEnd {
             attempt: 3,
             outcome,
             elapsed: 21,
@@ -165,7 +165,7 @@
         };
         assert_eq!(
             decoded(&ended, &[]).unwrap(),
-            Record::Event(5, Event::Ended(RequestId(6), end))
+            Record::Event(5, Event::AttemptEnded(RequestId(6), end))
         );
         let figures: Vec<u8> = [1.5_f32, 2.5]
             .iter()
@@ -177,7 +177,7 @@
             ..LoadReport::default()
         };
         load.figures[..2].copy_from_slice(&[1.5, 2.5]);
-        let event = Event::Probed(ServerId(6), outcome, Some(load));
+        let event = Event::ProbeEnded(ServerId(6), outcome, Some(load));
         assert_eq!(decoded(&probed, &[]).unwrap(), Record::Event(5, event));
     }
 }
@@ -196,7 +196,7 @@
         [&parts.concat()[..], &started.to_le_bytes()].concat()
     };
     let tail = [entry(1, 0, 0), entry(2, 1, 8), entry(3, 2, 9)].concat();
-    let expected = |server, lifecycle, started| ListEntry {
+    let expected = |server, lifecycle, started| ServerEntry {
         server: ServerId(server),
         zone: ZoneId(1),
         cell: 4,
@@ -205,7 +205,7 @@
         started,
     };
     let entries = vec![
-        expected(1, Lifecycle::Gone, None),
+        expected(1, Lifecycle::Removed, None),
         expected(2, Lifecycle::Ready, Some(8)),
         expected(3, Lifecycle::Draining, Some(9)),
     ];
@@ -243,7 +243,7 @@
     let (id, server) = (RequestId(0x0102_0304), ServerId(0x0506_0708));
     let actions = [
         Action::SetTimer { after: 1, token: 2 },
-        Action::Refuse { id, retry_after: 3 },
+        Action::Reject { id, retry_after: 3 },
         Action::Send {
             id,
             server,
@@ -253,8 +253,8 @@
         Action::Log("a line".to_owned()),
         Action::Fail(id),
         Action::Probe(server),
-        Action::Close(server),
-        Action::Watch,
+        Action::CloseIdleConnections(server),
+        Action::Subscribe,
         Action::Cancel { id, attempt: 6 },
         Action::Cancel { id, attempt: 256 },
         Action::Log("an é".to_owned()),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -52,14 +52,14 @@
         "07 03000000 f211902c 00 c05c150000000000 00",
         "08 03000000 02000000 00000000 04000000",
     ];
-    let demand = Demand {
+    let demand = RequestParameters {
         class: 0,
         tenant: 0,
         time_left: 240_000_000,
         work: Some(12_000_000),
-        attempts: u32::MAX,
+        max_attempts: u32::MAX,
     };
-    let end = End {
+    let end = AttemptEnd {
         attempt: 0,
         outcome: Outcome::Ok,
         elapsed: 18_500_000,
@@ -72,11 +72,14 @@
         [
             Record::Event(3, Event::Request(id, demand)),
             Record::Event(3, Event::Timer(0x4d)),
-            Record::Event(5, Event::ClientGone(RequestId(0x0e6f_2b19))),
-            Record::Event(3, Event::Started(id, 0)),
-            Record::Event(3, Event::Ended(id, end)),
+            Record::Event(5, Event::ClientDisconnected(RequestId(0x0e6f_2b19))),
+            Record::Event(3, Event::ResponseStarted(id, 0)),
+            Record::Event(3, Event::AttemptEnded(id, end)),
             Record::Retire(3),
-            Record::Event(3, Event::Probed(ServerId(0x2c90_11f2), Outcome::Ok, None)),
+            Record::Event(
+                3,
+                Event::ProbeEnded(ServerId(0x2c90_11f2), Outcome::Ok, None)
+            ),
             Record::Ignored,
         ]
     );
@@ -95,7 +98,7 @@
         &tail,
     );
     let records = decode(&frame);
-    let entry = |server, zone, size, started| ListEntry {
+    let entry = |server, zone, size, started| ServerEntry {
         server: ServerId(server),
         zone: ZoneId(zone),
         cell: 0,
@@ -124,7 +127,7 @@
         &["04 03000000 c4913a5d a0491a0100000000 00 01 074a1203 02 02 0000803f 00002041"],
         &[],
     );
-    let Record::Event(3, Event::Ended(_, end)) = &decode(&frame)[0] else {
+    let Record::Event(3, Event::AttemptEnded(_, end)) = &decode(&frame)[0] else {
         panic!()
     };
     assert_eq!(
@@ -163,16 +166,16 @@
     reply.push(5, &Action::Log("two servers known".into()));
     reply.push(
         3,
-        &Action::Refuse {
+        &Action::Reject {
             id: RequestId(0x0e6f_2b19),
             retry_after: 250_000_000,
         },
     );
     reply.push(3, &Action::Fail(RequestId(0x0e6f_2b19)));
-    reply.push(3, &Action::Watch);
+    reply.push(3, &Action::Subscribe);
     reply.push(3, &Action::Cancel { id, attempt: 0 });
     reply.push(3, &Action::Probe(ServerId(0x2c90_11f2)));
-    reply.push(3, &Action::Close(ServerId(0x2c90_11f2)));
+    reply.push(3, &Action::CloseIdleConnections(ServerId(0x2c90_11f2)));
     reply.fault(3, "index out of range");
     let mut frame = Vec::new();
     reply.finish(12, &mut frame);
@@ -202,16 +205,16 @@
     assert_eq!(settings.classes[0].effect, Effect::Safe);
     assert_eq!(
         settings.classes[1].effect,
-        Effect::Keyed(Group::Zone, 5_000_000_000)
+        Effect::Keyed(DedupScope::Zone, 5_000_000_000)
     );
     assert_eq!(
-        (settings.siblings, settings.zones, settings.max_attempts),
+        (settings.balancers, settings.zones, settings.max_attempts),
         (4, 2, 4)
     );
-    assert_eq!(settings.report_inflight, Some(1));
-    assert!(settings.ask_discovery && settings.passes_deadline);
+    assert_eq!(settings.in_flight_report_field, Some(1));
+    assert!(settings.subscribes_to_discovery && settings.propagates_deadline);
     assert_eq!(
-        settings.conn_idle,
+        settings.idle_timeout,
         u64::MAX,
         "idle connections stay where nothing is said"
     );
@@ -219,7 +222,7 @@
     assert_eq!(
         woadstall_settings::settings(text.as_bytes())
             .unwrap()
-            .conn_idle,
+            .idle_timeout,
         5_000_000_000
     );
 }
