--- a/crates/node/src/front/attempt.rs
+++ b/crates/node/src/front/attempt.rs
@@ -81,11 +81,11 @@
 
 impl Held {
     pub fn new(front: &Arc<Front>, target: Target) -> Self {
-        let unread = target.reading;
+        let unread = target.prefill_tokens;
         Self {
             front: front.clone(),
             target,
-            outcome: Outcome::Withdrawn,
+            outcome: Outcome::Cancelled,
             unread,
         }
     }
@@ -93,7 +93,7 @@
     /// Something has come from the upstream.
     pub fn heard(&mut self) {
         let read = std::mem::take(&mut self.unread);
-        lock(&self.front.router).heard(self.front.now(), &self.target.id, read);
+        lock(&self.front.router).record_activity(self.front.now(), &self.target.id, read);
     }
 
     /// Ends it.
@@ -121,7 +121,7 @@
         }
         Ok(Err(PoolError::Unreachable(error))) => {
             log::debug!("unreachable upstream={}: {error}", held.target.id);
-            held.end(Outcome::Unreachable);
+            held.end(Outcome::ConnectFailed);
             return Attempted::NotSent;
         }
         Err(_) => return Attempted::NotSent,
@@ -151,9 +151,9 @@
             let was_written = was_written();
             // An idle connection that its upstream has just closed says nothing of the upstream.
             held.end(if connection.is_reused && !was_written {
-                Outcome::Withdrawn
+                Outcome::Cancelled
             } else {
-                Outcome::Broken
+                Outcome::ConnectionError
             });
             return if was_written {
                 Attempted::Broken
@@ -174,7 +174,7 @@
                 "another instance answers at the address of upstream={}",
                 held.target.id
             );
-            held.end(Outcome::Unreachable);
+            held.end(Outcome::ConnectFailed);
         } else {
             held.end(Outcome::Rejected);
         }
@@ -186,14 +186,14 @@
             held.target.id,
             parts.status
         );
-        held.end(Outcome::Broken);
+        held.end(Outcome::ConnectionError);
         return Attempted::Broken;
     }
     let is_error = parts.status.is_server_error();
     if is_error {
-        lock(&front.router).heard(front.now(), &held.target.id, 0);
+        lock(&front.router).record_activity(front.now(), &held.target.id, 0);
     } else {
-        lock(&front.router).answered(front.now(), &held.target.id);
+        lock(&front.router).record_response(front.now(), &held.target.id);
     }
     let keep = keep_alive(&parts);
     end_to_end(&mut parts.headers);
@@ -210,14 +210,14 @@
         Ok(Some(bytes)) => {
             give_back(front, connection, &held, keep);
             held.end(if is_error {
-                Outcome::Error
+                Outcome::UpstreamError
             } else {
                 Outcome::Answered
             });
             Attempted::Whole(parts, bytes)
         }
         Ok(None) => {
-            held.end(Outcome::Broken);
+            held.end(Outcome::ConnectionError);
             Attempted::Broken
         }
         Err(_) => {
--- a/crates/node/src/front/course.rs
+++ b/crates/node/src/front/course.rs
@@ -10,7 +10,7 @@
 use woadstall_control::configuration::{Route, Service};
 use woadstall_inbound::lock;
 use woadstall_request_reports::{AttemptOutcome, Cause};
-use woadstall_routing::{Decision, Prompt, Query, Refusal, Target, UpstreamId};
+use woadstall_routing::{Decision, Prompt, Query, Rejection, Target, UpstreamId};
 
 /// Attempts whose connection does not come up, at most.
 const MOST_UNSENT: u32 = 4;
@@ -68,7 +68,7 @@
         }
         let now = front.now();
         let mut router = lock(&front.router);
-        if self.sends + self.rejections > 0 && !router.take_repeat(now, &self.service.name) {
+        if self.sends + self.rejections > 0 && !router.try_withdraw_retry(now, &self.service.name) {
             return Err(GivenUp);
         }
         let query = Query {
@@ -77,21 +77,24 @@
             prompt: self.prompt,
             tried: &self.tried,
         };
-        let standing = self.trace.is_some().then(|| router.standing(now, &query));
+        let standing = self
+            .trace
+            .is_some()
+            .then(|| router.summarize_candidates(now, &query));
         match router.choose(now, &query) {
-            Decision::Send(target) => {
+            Decision::Forward(target) => {
                 if let (Some(trace), Some(standing)) = (&mut self.trace, standing) {
                     trace.begin_attempt(&target, &standing);
                 }
                 self.tried.push(target.id.clone());
                 Ok(target)
             }
-            Decision::Refuse(Refusal {
+            Decision::Reject(Rejection {
                 retry_after,
-                none_usable,
+                no_usable_upstream,
             }) => {
                 self.retry_after = retry_after;
-                if none_usable && self.tried.is_empty() {
+                if no_usable_upstream && self.tried.is_empty() {
                     log::debug!("no upstream for service={}", self.service.name);
                 }
                 Err(GivenUp)
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -131,7 +131,7 @@
                     "snapshot taken from={address} upstreams={}",
                     registrations.len()
                 );
-                lock(&front.router).snapshot(front.now(), &registrations);
+                lock(&front.router).apply_snapshot(front.now(), &registrations);
             }
             Packet::Events { offset, events } => {
                 position.offset = offset;
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -66,7 +66,7 @@
     let Some(service) = service.cloned().map(Arc::new) else {
         return text(StatusCode::BAD_GATEWAY, "the route has no service\n");
     };
-    lock(&front.router).request(front.now(), &service.name);
+    lock(&front.router).record_request(front.now(), &service.name);
     let outbound = Outbound {
         head,
         body,
@@ -170,7 +170,7 @@
         .filter_map(|(id, tokens)| Some((id, tokens.trim().parse().ok()?)))
         .collect();
     let mut prompt = Prompt {
-        tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
+        total_tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
         ..Prompt::default()
     };
     let Some((_, shared)) = parts.split_last() else {
@@ -179,14 +179,14 @@
     let mut ids = Vec::new();
     for (id, tokens) in shared {
         ids.push(*id);
-        prompt.shared_tokens += tokens;
-        if prompt.shared_tokens >= LONG_PROMPT {
-            prompt.shared = Some(short_hash(&ids.join(",")));
+        prompt.prefix_tokens += tokens;
+        if prompt.prefix_tokens >= LONG_PROMPT {
+            prompt.prefix_hash = Some(short_hash(&ids.join(",")));
             return prompt;
         }
     }
     Prompt {
-        shared_tokens: 0,
+        prefix_tokens: 0,
         ..prompt
     }
 }
--- a/crates/node/src/front/loads.rs
+++ b/crates/node/src/front/loads.rs
@@ -37,7 +37,10 @@
         looks.tick().await;
         let (upstreams, placements) = {
             let mut router = lock(&front.router);
-            (router.load(front.now()), router.placements(front.now()))
+            (
+                router.upstream_loads(front.now()),
+                router.recent_placements(front.now()),
+            )
         };
         let has_something = !upstreams.is_empty() || !placements.is_empty();
         let is_due = has_something && told_at.elapsed() >= REPEAT_EVERY;
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -32,7 +32,7 @@
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::{ControlMachine, ZoneBalancers};
 use woadstall_inbound::{listen, lock};
-use woadstall_routing::{Fleet, Place, Router};
+use woadstall_routing::{Fleet, Location, Router};
 
 /// How often what is over is forgotten.
 const SWEEP_EVERY: Duration = Duration::from_secs(1);
@@ -81,9 +81,9 @@
 
 impl Front {
     fn new(settings: NodeSettings, reports_per_second: u64) -> Self {
-        let place = Place {
+        let place = Location {
             region: settings.region.clone(),
-            zones: settings.zones.clone(),
+            region_by_zone: settings.zones.clone(),
         };
         let router = Router::new(place, settings.bounds, fastrand::u64(..));
         Self {
@@ -150,7 +150,7 @@
                     .and_then(|configuration| configuration.services.get(service));
                 service.map_or(Duration::ZERO, |service| service.cold_start)
             };
-            lock(&self.router).set_evacuated(self.now(), &state.evacuated, cold);
+            lock(&self.router).set_evacuated_zones(self.now(), &state.evacuated, cold);
         }
     }
 
--- a/crates/node/src/front/pool.rs
+++ b/crates/node/src/front/pool.rs
@@ -105,7 +105,7 @@
                     return Ok(idle.connection);
                 }
             }
-            let full = upstream.open.load(Ordering::Relaxed) >= target.connections
+            let full = upstream.open.load(Ordering::Relaxed) >= target.max_connections
                 || self.open.load(Ordering::Relaxed) >= self.most;
             if full {
                 return Err(PoolError::Full);
@@ -114,7 +114,7 @@
             self.open.fetch_add(1, Ordering::Relaxed);
             Counted(upstream.open.clone(), self.open.clone())
         };
-        let patience = if target.is_near {
+        let patience = if target.is_local_region {
             CONNECT_NEAR
         } else {
             CONNECT_FAR
--- a/crates/node/src/front/reports.rs
+++ b/crates/node/src/front/reports.rs
@@ -9,7 +9,7 @@
 use woadstall_control::configuration::Route;
 use woadstall_inbound::lock;
 use woadstall_request_reports::{AttemptOutcome, AttemptReport, Cause, RequestReport};
-use woadstall_routing::{Prompt, Standing, Target};
+use woadstall_routing::{CandidateSummary, Prompt, Target};
 
 /// Writes reports, so many a second at most.
 pub(crate) struct Reports {
@@ -108,10 +108,10 @@
     }
 
     /// An attempt at an upstream begins.
-    pub fn begin_attempt(&mut self, target: &Target, standing: &Standing) {
+    pub fn begin_attempt(&mut self, target: &Target, standing: &CandidateSummary) {
         self.attempt_began = Instant::now();
         let passed_over: BTreeMap<String, usize> = standing
-            .passed_over
+            .skipped
             .iter()
             .map(|(obstacle, count)| (obstacle.to_string(), *count))
             .collect();
@@ -122,7 +122,7 @@
             began: milliseconds(self.arrived.elapsed()),
             took: 0,
             in_flight: target.in_flight,
-            reading: target.total_reading,
+            reading: target.prefill_backlog,
             candidates: standing.candidates,
             passed_over,
         });
@@ -174,8 +174,8 @@
             first: self.first.map(|first| milliseconds(first - self.arrived)),
             pause: milliseconds(self.pause),
             target: milliseconds(self.route.target_latency),
-            prompt: self.prompt.tokens,
-            shared: self.prompt.shared_tokens,
+            prompt: self.prompt.total_tokens,
+            shared: self.prompt.prefix_tokens,
             attempts: std::mem::take(&mut self.attempts),
         });
     }
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -89,7 +89,7 @@
             }
             End::Broken => {
                 log::info!("stream broken upstream={}", begun.held.target.id);
-                begun.held.end(Outcome::Broken);
+                begun.held.end(Outcome::ConnectionError);
                 course.end_attempt(AttemptOutcome::BrokenOff);
             }
         }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 use woadstall_control::reader::{Findings, Reader};
-use woadstall_routing::Bounds;
+use woadstall_routing::RoutingLimits;
 
 /// The variable that names the settings file.
 pub const PATH_VARIABLE: &str = "WOADSTALL_BOOT";
@@ -77,7 +77,7 @@
     /// How long a process may go on after SIGTERM, in milliseconds.
     pub grace_ms: u64,
     /// Bounds that routing keeps to.
-    pub bounds: Bounds,
+    pub bounds: RoutingLimits,
 }
 
 impl NodeSettings {
@@ -154,12 +154,12 @@
             max_fds: usize::try_from(limits.field("max_fds").whole_or(1_024, findings))
                 .unwrap_or(usize::MAX),
             grace_ms: seconds("grace_s", 8.0, findings),
-            bounds: Bounds {
+            bounds: RoutingLimits {
                 retry_budget_ratio: bounds.field("retry_budget_ratio").number_or(0.2, findings),
-                budget_window: seconds("budget_window_s", 10.0, findings),
-                budget_slack: bounds.field("budget_slack").number_or(0.0, findings),
-                cold_over: bounds.field("cold_over").number_or(1.0, findings),
-                cold_slack: bounds.field("cold_slack").number_or(0.0, findings),
+                retry_budget_window_ms: seconds("budget_window_s", 10.0, findings),
+                retry_budget_slack: bounds.field("budget_slack").number_or(0.0, findings),
+                warmup_factor: bounds.field("cold_over").number_or(1.0, findings),
+                warmup_slack: bounds.field("cold_slack").number_or(0.0, findings),
             },
         };
         if findings.is_empty() {
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -64,13 +64,13 @@
          ephemeral_ports={internal_ports:?}\nseeds={seeds:?}\nbootstrap={bootstrap}\ndata_dir={data_dir:?}\n\
          fault_tolerance.machines={tolerated}\nheartbeat_ms={heartbeat_ms}\nlimits.memory={memory} bytes\n\
          limits.max_fds={max_fds}\nbounds.grace={grace_ms} ms\nbounds.retry_budget_ratio={}\n\
-         bounds.budget_window={} ms\nbounds.budget_slack={}\nbounds.cold_over={}\nbounds.cold_slack={}\n\
+         bounds.retry_budget_window_ms={} ms\nbounds.retry_budget_slack={}\nbounds.warmup_factor={}\nbounds.warmup_slack={}\n\
          internal_address={}\ninternal_seeds={:?}\nlisten.control={:?}\nlisten.ready={:?}\n",
         bounds.retry_budget_ratio,
-        bounds.budget_window,
-        bounds.budget_slack,
-        bounds.cold_over,
-        bounds.cold_slack,
+        bounds.retry_budget_window_ms,
+        bounds.retry_budget_slack,
+        bounds.warmup_factor,
+        bounds.warmup_slack,
         settings.internal_address(),
         settings.internal_seeds(),
         settings.listens("control"),
--- a/crates/node/tests/unit/golden_front.rs
+++ b/crates/node/tests/unit/golden_front.rs
@@ -141,9 +141,9 @@
         let mut router = lock(&front.router);
         router.register(0, &registration("i-1"));
         let prompt = Prompt {
-            tokens: 20_000,
-            shared: Some(77),
-            shared_tokens: 15_000,
+            total_tokens: 20_000,
+            prefix_hash: Some(77),
+            prefix_tokens: 15_000,
         };
         let (route, service) = (&configuration.routes[0], &configuration.services["llm"]);
         let decision = router.choose(
@@ -155,7 +155,7 @@
                 tried: &[],
             },
         );
-        assert!(matches!(decision, Decision::Send(_)));
+        assert!(matches!(decision, Decision::Forward(_)));
     }
     loads::start(&front);
     let frame = datagram(&socket).await;
@@ -241,10 +241,10 @@
         id: "i-1".into(),
         address,
         zone: "a-1".into(),
-        is_near: true,
-        connections: 4,
-        reading: 0,
-        total_reading: 0,
+        is_local_region: true,
+        max_connections: 4,
+        prefill_tokens: 0,
+        prefill_backlog: 0,
         in_flight: 1,
     };
     let upstream = async {
--- a/crates/routing/src/breaker.rs
+++ b/crates/routing/src/breaker.rs
@@ -11,13 +11,13 @@
 
 /// The state of one upstream's breaker, with times in milliseconds.
 #[derive(Clone, Debug, Default)]
-pub struct Breaker {
+pub struct CircuitBreaker {
     failures: u32,
     trips: u32,
     open_until: u64,
 }
 
-impl Breaker {
+impl CircuitBreaker {
     /// Whether requests may go there: always while closed, one at a time once it has been open.
     pub fn allows(&self, now: u64) -> bool {
         now >= self.open_until
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -5,7 +5,7 @@
 
 /// A balancer's share of what a cold upstream may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ColdShare {
+pub struct WarmupQuota {
     /// Requests in one second.
     pub per_second: usize,
 }
@@ -17,9 +17,9 @@
 /// The part of that for balancers of the upstream's own region; the others share the rest.
 const COLD_LOCAL: f64 = 0.75;
 
-impl ColdShare {
+impl WarmupQuota {
     /// What all balancers of one side, the upstream's region or the other regions, may send in a second.
-    pub fn given(bound: f64, is_local: bool, has_local: bool, has_others: bool) -> usize {
+    pub fn group_total(bound: f64, is_local: bool, has_local: bool, has_others: bool) -> usize {
         let given = bound * COLD_GIVEN;
         let part = match (is_local, has_local, has_others) {
             (true, _, false) | (false, false, _) => given,
@@ -31,7 +31,7 @@
 
     /// The share of one balancer. The shares of all sharers add up to the total: where there are fewer requests than sharers,
     /// some get none, others for each upstream.
-    pub fn of(total: usize, upstream: &str, own: u32, sharers: &[u32]) -> Self {
+    pub fn of_balancer(total: usize, upstream: &str, own: u32, sharers: &[u32]) -> Self {
         let weight = |balancer: u32| hash(&(upstream, balancer));
         let mine = (weight(own), own);
         let others = sharers.iter().filter(|other| **other != own);
@@ -101,13 +101,13 @@
     }
 
     /// A request has come for the service.
-    pub fn request(&mut self, now: u64) {
+    pub fn deposit(&mut self, now: u64) {
         let slot = self.slot(now);
         self.requests[slot] += 1;
     }
 
     /// Takes one repeat, if there is room, with this many balancers sharing the slack.
-    pub fn take(&mut self, now: u64, slack: f64, balancers: usize) -> bool {
+    pub fn try_withdraw(&mut self, now: u64, slack: f64, balancers: usize) -> bool {
         let slot = self.slot(now);
         let requests: u32 = self.requests.iter().sum();
         let repeats: u32 = self.repeats.iter().sum();
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -1,5 +1,5 @@
 //! Which upstreams a request may go to: those that it must not go to are left out, those that had better be passed over
-//! have an [`Obstacle`].
+//! have an [`SkipReason`].
 
 use crate::query::Query;
 use crate::router::Router;
@@ -17,33 +17,33 @@
 
 /// Why a request passes over an upstream that it may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Obstacle {
+pub enum SkipReason {
     /// Its breaker is open.
-    Tripped,
+    BreakerOpen,
     /// It tells nothing, though requests wait there.
-    Silent,
+    Unresponsive,
     /// Other balancers of the zone tell that it fails.
-    ToldFailing,
+    ReportedFailing,
     /// Its zone seems to be lost.
-    LostZone,
+    ZoneOutage,
     /// It has just turned a request away as full.
-    Full,
+    Saturated,
     /// It has as many requests of this balancer as it may have.
-    OverLimit,
+    OverConcurrencyLimit,
     /// It is cold, and this balancer's share of what it bears is used up.
-    Cold,
+    WarmingUp,
 }
 
-impl fmt::Display for Obstacle {
+impl fmt::Display for SkipReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::Tripped => "tripped",
-            Self::Silent => "silent",
-            Self::ToldFailing => "told-failing",
-            Self::LostZone => "lost-zone",
-            Self::Full => "full",
-            Self::OverLimit => "over-limit",
-            Self::Cold => "cold",
+            Self::BreakerOpen => "tripped",
+            Self::Unresponsive => "silent",
+            Self::ReportedFailing => "told-failing",
+            Self::ZoneOutage => "lost-zone",
+            Self::Saturated => "full",
+            Self::OverConcurrencyLimit => "over-limit",
+            Self::WarmingUp => "cold",
         })
     }
 }
@@ -101,20 +101,20 @@
         now: u64,
         query: &Query<'_>,
         upstream: &Upstream,
-    ) -> Option<Obstacle> {
+    ) -> Option<SkipReason> {
         if !upstream.breaker.allows(now) {
-            return Some(Obstacle::Tripped);
+            return Some(SkipReason::BreakerOpen);
         }
         if self.is_silent(now, upstream) {
-            return Some(Obstacle::Silent);
+            return Some(SkipReason::Unresponsive);
         }
         if self.is_told_failing(now, upstream) {
-            return Some(Obstacle::ToldFailing);
+            return Some(SkipReason::ReportedFailing);
         }
         let is_allowed = self
             .outages
             .allows(now, &upstream.zone, query.route.is_idempotent());
-        (!is_allowed).then_some(Obstacle::LostZone)
+        (!is_allowed).then_some(SkipReason::ZoneOutage)
     }
 
     /// Why a request passes over an upstream, if it does.
@@ -123,17 +123,17 @@
         now: u64,
         query: &Query<'_>,
         upstream: &Upstream,
-    ) -> Option<Obstacle> {
+    ) -> Option<SkipReason> {
         if let Some(ailment) = self.ailment(now, query, upstream) {
             return Some(ailment);
         }
         if now < upstream.full_until {
-            return Some(Obstacle::Full);
+            return Some(SkipReason::Saturated);
         }
         if !self.is_within_limit(upstream) {
-            return Some(Obstacle::OverLimit);
+            return Some(SkipReason::OverConcurrencyLimit);
         }
-        (!self.is_within_cold_budget(now, query, upstream)).then_some(Obstacle::Cold)
+        (!self.is_within_cold_budget(now, query, upstream)).then_some(SkipReason::WarmingUp)
     }
 
     pub(crate) fn has_room(&self, now: u64, query: &Query<'_>, id: &str) -> bool {
@@ -149,7 +149,7 @@
             return false;
         };
         let ailment = self.ailment(now, query, upstream);
-        ailment.is_some_and(|ailment| ailment != Obstacle::LostZone)
+        ailment.is_some_and(|ailment| ailment != SkipReason::ZoneOutage)
             && self
                 .outages
                 .allows(now, &upstream.zone, query.route.is_idempotent())
@@ -168,7 +168,8 @@
         if !upstream.is_cold(now) || query.service.warmup_per_s <= 0.0 {
             return true;
         }
-        let bound = query.service.warmup_per_s * self.bounds.cold_over + self.bounds.cold_slack;
+        let bound =
+            query.service.warmup_per_s * self.bounds.warmup_factor + self.bounds.warmup_slack;
         self.fleet
             .cold_share(bound, &upstream.id, &upstream.region)
             .allows(now, &upstream.cold_sends)
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The balancers that share budgets with this one.
 
-use crate::budget::ColdShare;
+use crate::budget::WarmupQuota;
 use std::collections::BTreeMap;
 
 /// The balancers that share budgets.
@@ -32,7 +32,7 @@
     }
 
     /// This balancer's share of a cold upstream's bound.
-    pub(crate) fn cold_share(&self, bound: f64, upstream: &str, region: &str) -> ColdShare {
+    pub(crate) fn cold_share(&self, bound: f64, upstream: &str, region: &str) -> WarmupQuota {
         let local = self.by_region.get(region).map_or(&[][..], Vec::as_slice);
         let is_local = local.contains(&self.own);
         if !self
@@ -40,10 +40,10 @@
             .values()
             .any(|balancers| balancers.contains(&self.own))
         {
-            return ColdShare { per_second: 1 }; // nothing is known of the others yet
+            return WarmupQuota { per_second: 1 }; // nothing is known of the others yet
         }
         let has_others = self.total() > local.len();
-        let total = ColdShare::given(bound, is_local, !local.is_empty(), has_others);
+        let total = WarmupQuota::group_total(bound, is_local, !local.is_empty(), has_others);
         let sharers: Vec<u32> = if is_local {
             local.to_vec()
         } else {
@@ -52,6 +52,6 @@
                 .flat_map(|(_, balancers)| balancers.iter().copied())
                 .collect()
         };
-        ColdShare::of(total, upstream, self.own, &sharers)
+        WarmupQuota::of_balancer(total, upstream, self.own, &sharers)
     }
 }
--- a/crates/routing/src/fleet_loads.rs
+++ b/crates/routing/src/fleet_loads.rs
@@ -77,7 +77,7 @@
 
 impl Router {
     /// What others should know of upstreams.
-    pub fn load(&self, now: u64) -> Vec<UpstreamLoad> {
+    pub fn upstream_loads(&self, now: u64) -> Vec<UpstreamLoad> {
         let load = |upstream: &Upstream| {
             let is_failing = self.is_silent(now, upstream) || upstream.breaker.is_open(now);
             let unread = if upstream.reading >= WORTH_TELLING {
@@ -117,18 +117,18 @@
         if let Some(tokens) = capacity {
             upstream.kept.set_capacity(tokens);
         }
-        let own_tokens = prompt.tokens.saturating_sub(prompt.shared_tokens);
-        let Some(beginning) = prompt.shared else {
+        let own_tokens = prompt.total_tokens.saturating_sub(prompt.prefix_tokens);
+        let Some(beginning) = prompt.prefix_hash else {
             let sharers = self.fleet.of(&upstream.region).max(1) as u64;
             upstream.kept.note_own(own_tokens * sharers);
             return;
         };
         upstream
             .kept
-            .note_beginning(beginning, prompt.shared_tokens);
+            .note_beginning(beginning, prompt.prefix_tokens);
         upstream.kept.note_own(own_tokens);
         let told = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
-        let (tokens, own_tokens) = (told(prompt.shared_tokens), told(own_tokens));
+        let (tokens, own_tokens) = (told(prompt.prefix_tokens), told(own_tokens));
         let placement = Placement {
             number,
             upstream: upstream.key,
@@ -140,7 +140,7 @@
     }
 
     /// The placements that this balancer made a moment ago.
-    pub fn placements(&mut self, now: u64) -> Vec<Placement> {
+    pub fn recent_placements(&mut self, now: u64) -> Vec<Placement> {
         let made = &mut self.placements.made;
         while made
             .front()
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -23,11 +23,11 @@
 mod selection;
 mod upstream;
 
-pub use breaker::Breaker;
-pub use budget::{ColdShare, RetryBudget};
-pub use eligibility::Obstacle;
+pub use breaker::CircuitBreaker;
+pub use budget::{RetryBudget, WarmupQuota};
+pub use eligibility::SkipReason;
 pub use fleet::Fleet;
 pub use locality::{Locality, RegionLoad};
-pub use query::{Decision, Query, Refusal, Standing, Target};
-pub use router::{Bounds, Place, Router};
+pub use query::{CandidateSummary, Decision, Query, Rejection, Target};
+pub use router::{Location, Router, RoutingLimits};
 pub use upstream::{Outcome, Prompt, UpstreamId};
--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -1,6 +1,6 @@
 //! What is asked of the router, and what it answers.
 
-use crate::eligibility::Obstacle;
+use crate::eligibility::SkipReason;
 use crate::upstream::{Prompt, UpstreamId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,40 +31,40 @@
     /// Its zone.
     pub zone: Arc<str>,
     /// Whether it is in this balancer's region.
-    pub is_near: bool,
+    pub is_local_region: bool,
     /// Connections that this balancer may have to it.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The tokens that it is expected to read for this request.
-    pub reading: u64,
+    pub prefill_tokens: u64,
     /// The tokens that it has to read for all requests of this balancer, this one included.
-    pub total_reading: u64,
+    pub prefill_backlog: u64,
     /// Requests of this balancer that it has, this one included.
     pub in_flight: u32,
 }
 
 /// A request that goes to no upstream now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// When its client may come back.
     pub retry_after: Duration,
     /// Whether no upstream may be used at all, rather than all having their fill.
-    pub none_usable: bool,
+    pub no_usable_upstream: bool,
 }
 
 /// What to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Send it. [`crate::Router::finish`] must follow.
-    Send(Target),
+    Forward(Target),
     /// Refuse it at once.
-    Refuse(Refusal),
+    Reject(Rejection),
 }
 
 /// How the upstreams stand for a request, for those who want to know why it went where it did.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct CandidateSummary {
     /// Upstreams that it may go to.
     pub candidates: usize,
     /// How many of them it passes over for which reason.
-    pub passed_over: BTreeMap<Obstacle, usize>,
+    pub skipped: BTreeMap<SkipReason, usize>,
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::fleet_loads::Placements;
 use crate::outage::Outages;
-use crate::query::{Decision, Query, Refusal, Standing, Target};
+use crate::query::{CandidateSummary, Decision, Query, Rejection, Target};
 use crate::upstream::{Outcome, Upstream, UpstreamId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -22,33 +22,33 @@
 
 /// Bounds of the deployment that routing keeps to.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct RoutingLimits {
     /// Repeats over requests.
     pub retry_budget_ratio: f64,
     /// The window of that, in milliseconds.
-    pub budget_window: u64,
+    pub retry_budget_window_ms: u64,
     /// Repeats beyond the ratio, of all balancers together.
-    pub budget_slack: f64,
+    pub retry_budget_slack: f64,
     /// A cold upstream's bound over its `warmup_per_s`.
-    pub cold_over: f64,
+    pub warmup_factor: f64,
     /// Requests beyond that.
-    pub cold_slack: f64,
+    pub warmup_slack: f64,
 }
 
 /// Where this balancer is.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Location {
     /// Its region.
     pub region: String,
     /// The region of each zone.
-    pub zones: BTreeMap<String, String>,
+    pub region_by_zone: BTreeMap<String, String>,
 }
 
 /// Chooses upstreams for requests, from this balancer's own counts.
 #[derive(Debug)]
 pub struct Router {
-    pub(crate) place: Place,
-    pub(crate) bounds: Bounds,
+    pub(crate) place: Location,
+    pub(crate) bounds: RoutingLimits,
     pub(crate) fleet: Fleet,
     pub(crate) evacuated: BTreeSet<String>,
     pub(crate) upstreams: BTreeMap<UpstreamId, Upstream>,
@@ -62,7 +62,7 @@
 
 impl Router {
     /// A router that knows no upstream yet.
-    pub fn new(place: Place, bounds: Bounds, seed: u64) -> Self {
+    pub fn new(place: Location, bounds: RoutingLimits, seed: u64) -> Self {
         Self {
             place,
             bounds,
@@ -85,7 +85,7 @@
 
     /// The zones that get nothing. Upstreams of a zone that is taken back count as cold for their service's time, as they may
     /// have turned cold shortly before.
-    pub fn set_evacuated(
+    pub fn set_evacuated_zones(
         &mut self,
         now: u64,
         zones: &BTreeSet<String>,
@@ -114,7 +114,7 @@
         };
         let region = self
             .place
-            .zones
+            .region_by_zone
             .get(&registration.zone)
             .cloned()
             .unwrap_or_default();
@@ -127,7 +127,7 @@
     }
 
     /// A new snapshot names these upstreams. Others are kept for a while, since its source may have just started.
-    pub fn snapshot(&mut self, now: u64, registrations: &[Registration]) {
+    pub fn apply_snapshot(&mut self, now: u64, registrations: &[Registration]) {
         let named: BTreeSet<&str> = registrations
             .iter()
             .map(|registration| registration.id.as_str())
@@ -176,7 +176,7 @@
     }
 
     /// The upstreams that are known and not gone.
-    pub fn known(&self) -> usize {
+    pub fn known_upstreams(&self) -> usize {
         self.upstreams
             .values()
             .filter(|upstream| upstream.status != Status::Gone)
@@ -184,18 +184,21 @@
     }
 
     /// A request has come for a service: repeats are budgeted by these.
-    pub fn request(&mut self, now: u64, service: &str) {
-        self.budget(service).request(now);
+    pub fn record_request(&mut self, now: u64, service: &str) {
+        self.budget(service).deposit(now);
     }
 
     /// Takes one repeat from a service's budget, if there is room.
-    pub fn take_repeat(&mut self, now: u64, service: &str) -> bool {
-        let (slack, balancers) = (self.bounds.budget_slack, self.fleet.total());
-        self.budget(service).take(now, slack, balancers)
+    pub fn try_withdraw_retry(&mut self, now: u64, service: &str) -> bool {
+        let (slack, balancers) = (self.bounds.retry_budget_slack, self.fleet.total());
+        self.budget(service).try_withdraw(now, slack, balancers)
     }
 
     fn budget(&mut self, service: &str) -> &mut RetryBudget {
-        let (ratio, window) = (self.bounds.retry_budget_ratio, self.bounds.budget_window);
+        let (ratio, window) = (
+            self.bounds.retry_budget_ratio,
+            self.bounds.retry_budget_window_ms,
+        );
         self.budgets
             .entry(service.to_owned())
             .or_insert_with(|| RetryBudget::new(ratio, window))
@@ -226,15 +229,15 @@
     }
 
     /// How the upstreams stand for a request.
-    pub fn standing(&self, now: u64, query: &Query<'_>) -> Standing {
+    pub fn summarize_candidates(&self, now: u64, query: &Query<'_>) -> CandidateSummary {
         let allowed = self.allowed(query);
-        let mut standing = Standing {
+        let mut standing = CandidateSummary {
             candidates: allowed.len(),
-            ..Standing::default()
+            ..CandidateSummary::default()
         };
         for upstream in allowed.iter().filter_map(|id| self.upstreams.get(id)) {
             if let Some(obstacle) = self.obstacle(now, query, upstream) {
-                *standing.passed_over.entry(obstacle).or_default() += 1;
+                *standing.skipped.entry(obstacle).or_default() += 1;
             }
         }
         standing
@@ -257,17 +260,19 @@
         match outcome {
             Outcome::Answered => {}
             Outcome::Rejected => upstream.full_until = now + FULL_PAUSE,
-            Outcome::Unreachable => upstream.breaker.failed(now, UNREACHABLE_WEIGHT),
-            Outcome::Broken | Outcome::TimedOut | Outcome::Withdrawn if was_silent => {
+            Outcome::ConnectFailed => upstream.breaker.failed(now, UNREACHABLE_WEIGHT),
+            Outcome::ConnectionError | Outcome::TimedOut | Outcome::Cancelled if was_silent => {
                 upstream.breaker.failed(now, SILENT_WEIGHT);
             }
-            Outcome::Broken | Outcome::Error | Outcome::TimedOut => upstream.breaker.failed(now, 1),
-            Outcome::Withdrawn => {}
+            Outcome::ConnectionError | Outcome::UpstreamError | Outcome::TimedOut => {
+                upstream.breaker.failed(now, 1)
+            }
+            Outcome::Cancelled => {}
         }
     }
 
     /// An upstream has begun to answer soundly: with a success, or with what it finds at fault with the request.
-    pub fn answered(&mut self, now: u64, id: &str) {
+    pub fn record_response(&mut self, now: u64, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.breaker.succeeded();
             upstream.note_heard(now);
@@ -276,7 +281,7 @@
     }
 
     /// Something has come from an upstream; the first event of a stream tells that it has read so many tokens.
-    pub fn heard(&mut self, now: u64, id: &str, read: u64) {
+    pub fn record_activity(&mut self, now: u64, id: &str, read: u64) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.note_heard(now);
             self.outages.heard(now, &upstream.zone);
@@ -308,27 +313,27 @@
             id: upstream.id.clone(),
             address: upstream.address,
             zone: upstream.zone.clone(),
-            is_near: upstream.region == near,
-            connections: connections.max(LEAST_CONNECTIONS) as usize,
-            reading,
-            total_reading: upstream.reading,
+            is_local_region: upstream.region == near,
+            max_connections: connections.max(LEAST_CONNECTIONS) as usize,
+            prefill_tokens: reading,
+            prefill_backlog: upstream.reading,
             in_flight: upstream.in_flight,
         };
         let capacity = query.service.engine.map(|engine| engine.kv_capacity_tokens);
         self.note_sent_prompt(now, id, &query.prompt, capacity);
-        Decision::Send(target)
+        Decision::Forward(target)
     }
 
-    fn refuse(&mut self, none_usable: bool) -> Decision {
-        let range = if none_usable {
+    fn refuse(&mut self, no_usable_upstream: bool) -> Decision {
+        let range = if no_usable_upstream {
             RETRY_AFTER_LOST_MS
         } else {
             RETRY_AFTER_MS
         };
         let retry_after = Duration::from_millis(self.random.u64(range));
-        Decision::Refuse(Refusal {
+        Decision::Reject(Rejection {
             retry_after,
-            none_usable,
+            no_usable_upstream,
         })
     }
 }
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -29,7 +29,7 @@
         }
         let holder = query
             .prompt
-            .shared
+            .prefix_hash
             .and_then(|shared| self.pick_holder(now, query, candidates, shared));
         holder.or_else(|| self.pick_in_turn(now, query, candidates))
     }
@@ -48,7 +48,7 @@
             .filter(|id| self.has_room(now, query, id))
             .collect();
         ranked.sort_by_cached_key(|id| std::cmp::Reverse(hash(&(shared, &***id))));
-        let patience = HOLDER_PATIENCE * query.prompt.shared_tokens;
+        let patience = HOLDER_PATIENCE * query.prompt.prefix_tokens;
         let is_free = |id: &&&UpstreamId| self.reads_less(now, id, patience);
         let keeps = |id: &&&UpstreamId| self.keeps(id, shared) && is_free(id);
         let ranks = || ranked.iter();
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -1,6 +1,6 @@
 //! What a balancer knows of one upstream.
 
-use crate::breaker::Breaker;
+use crate::breaker::CircuitBreaker;
 use crate::kept::KeptPrompts;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -20,26 +20,26 @@
     /// The upstream turned it away unseen.
     Rejected,
     /// No connection came up.
-    Unreachable,
+    ConnectFailed,
     /// The connection broke, or what came was no answer to it.
-    Broken,
+    ConnectionError,
     /// It was answered with an error of the upstream's own.
-    Error,
+    UpstreamError,
     /// Its deadline passed at the upstream.
     TimedOut,
     /// It was given up here, as its client left.
-    Withdrawn,
+    Cancelled,
 }
 
 /// What a request tells of its prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// The hash of the long beginning that it shares with others, if it has one.
-    pub shared: Option<u32>,
+    pub prefix_hash: Option<u32>,
     /// The tokens of that beginning.
-    pub shared_tokens: u64,
+    pub prefix_tokens: u64,
     /// All its tokens.
-    pub tokens: u64,
+    pub total_tokens: u64,
 }
 
 /// An upstream.
@@ -59,7 +59,7 @@
     pub cold_until: u64,
     /// When requests were sent to it while it was cold, oldest first.
     pub cold_sends: VecDeque<u64>,
-    pub breaker: Breaker,
+    pub breaker: CircuitBreaker,
     /// Requests of this balancer that it has now.
     pub in_flight: u32,
     /// It has said that it is full, and is passed over until then.
@@ -95,7 +95,7 @@
             sequence: registration.sequence,
             cold_until: now + registration.cold_remaining_ms,
             cold_sends: VecDeque::new(),
-            breaker: Breaker::default(),
+            breaker: CircuitBreaker::default(),
             in_flight: 0,
             full_until: 0,
             silent_since: 0,
@@ -139,11 +139,13 @@
 
     /// The tokens of a prompt that it has to read, as far as this balancer knows.
     pub fn unread(&self, prompt: &Prompt) -> u64 {
-        let is_kept = prompt.shared.is_some_and(|shared| self.kept.has(shared));
+        let is_kept = prompt
+            .prefix_hash
+            .is_some_and(|shared| self.kept.has(shared));
         if is_kept {
-            prompt.tokens.saturating_sub(prompt.shared_tokens)
+            prompt.total_tokens.saturating_sub(prompt.prefix_tokens)
         } else {
-            prompt.tokens
+            prompt.total_tokens
         }
     }
 
--- a/crates/routing/tests/budgets.rs
+++ b/crates/routing/tests/budgets.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use std::collections::VecDeque;
-use woadstall_routing::{ColdShare, RetryBudget};
+use woadstall_routing::{RetryBudget, WarmupQuota};
 
 proptest! {
     #[test]
@@ -15,9 +15,9 @@
         let local: Vec<u32> = local.into_iter().collect();
         let remote: Vec<u32> = remote.into_iter().filter(|balancer| !local.contains(balancer)).collect();
         let sum = |is_local: bool, sharers: &[u32]| -> usize {
-            let total = ColdShare::given(bound, is_local, true, !remote.is_empty());
+            let total = WarmupQuota::group_total(bound, is_local, true, !remote.is_empty());
             let shares: usize =
-                sharers.iter().map(|own| ColdShare::of(total, &upstream, *own, sharers).per_second).sum();
+                sharers.iter().map(|own| WarmupQuota::of_balancer(total, &upstream, *own, sharers).per_second).sum();
             prop_assert_eq_or_panic(shares, if sharers.is_empty() { 0 } else { total });
             shares
         };
@@ -29,7 +29,7 @@
         pauses in prop::collection::vec(0..700_u64, 1..200),
         per_second in 0..12_usize,
     ) {
-        let share = ColdShare { per_second };
+        let share = WarmupQuota { per_second };
         let (mut now, mut sends) = (10_000, VecDeque::new());
         for pause in pauses {
             now += pause;
@@ -56,9 +56,9 @@
             let (mut budget, mut now) = (RetryBudget::new(RATIO, WINDOW), 0);
             for (pause, fails) in course {
                 now += pause;
-                budget.request(now);
+                budget.deposit(now);
                 requests.push(now);
-                if fails && budget.take(now, SLACK, balancers) {
+                if fails && budget.try_withdraw(now, SLACK, balancers) {
                     repeats.push(now);
                 }
             }
@@ -80,8 +80,8 @@
 #[test]
 fn a_budget_refills_as_its_window_passes() {
     let mut budget = RetryBudget::new(0.0, 10_000);
-    let taken = (0..20).filter(|_| budget.take(0, 10.0, 1)).count();
+    let taken = (0..20).filter(|_| budget.try_withdraw(0, 10.0, 1)).count();
     assert_eq!(taken, 7);
-    assert!(!budget.take(9_000, 10.0, 1));
-    assert!(budget.take(11_000, 10.0, 1));
+    assert!(!budget.try_withdraw(9_000, 10.0, 1));
+    assert!(budget.try_withdraw(11_000, 10.0, 1));
 }
--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -30,7 +30,7 @@
     let request = request();
     (0..6).any(|_| {
         let target = request.target(router, now);
-        router.finish(now, &target.id, Outcome::Withdrawn, target.reading);
+        router.finish(now, &target.id, Outcome::Cancelled, target.prefill_tokens);
         &*target.id == id
     })
 }
@@ -50,11 +50,11 @@
 #[case::heard_long_before(300, false)]
 fn what_was_seen_here_is_stronger_than_what_is_told(#[case] heard: u64, #[case] is_used: bool) {
     let mut router = router_with(&[("n", 3)]);
-    router.heard(heard, "n0", 0);
+    router.record_activity(heard, "n0", 0);
     tell(&mut router, 1_000, &[told("n0", 0, 9)]);
     assert_eq!(sends_to(&mut router, 1_000, "n0"), is_used);
     // What comes afterwards, too.
-    router.answered(1_010, "n0");
+    router.record_response(1_010, "n0");
     assert!(sends_to(&mut router, 1_010, "n0"));
 }
 
@@ -99,12 +99,12 @@
 #[test]
 fn a_balancer_tells_of_long_reading_and_of_failures() {
     let mut router = router_with(&[("n", 2)]);
-    assert_eq!(router.load(0), []);
+    assert_eq!(router.upstream_loads(0), []);
     let mut long = request();
     long.prompt = Prompt {
-        shared: None,
-        shared_tokens: 0,
-        tokens: 20_000,
+        prefix_hash: None,
+        prefix_tokens: 0,
+        total_tokens: 20_000,
     };
     let reader = long.target(&mut router, 0);
     let load = UpstreamLoad {
@@ -112,21 +112,21 @@
         unread: 20_000,
         is_failing: false,
     };
-    assert_eq!(router.load(100), [load]);
+    assert_eq!(router.upstream_loads(100), [load]);
     assert_eq!(
-        router.load(601),
+        router.upstream_loads(601),
         [UpstreamLoad {
             is_failing: true,
             ..load
         }],
         "silent for long"
     );
-    router.heard(700, &reader.id, 20_000);
-    assert_eq!(router.load(700), []);
+    router.record_activity(700, &reader.id, 20_000);
+    assert_eq!(router.upstream_loads(700), []);
     router.finish(700, &reader.id, Outcome::Answered, 0);
-    (0..3).for_each(|_| router.finish(700, &reader.id, Outcome::Broken, 0));
+    (0..3).for_each(|_| router.finish(700, &reader.id, Outcome::ConnectionError, 0));
     assert_eq!(
-        router.load(710),
+        router.upstream_loads(710),
         [UpstreamLoad {
             unread: 0,
             is_failing: true,
@@ -147,12 +147,12 @@
     let mut router = router_with(&[("n", 4)]);
     let mut quote = request();
     quote.prompt = Prompt {
-        shared: Some(5),
-        shared_tokens: 10_000,
-        tokens: 12_000,
+        prefix_hash: Some(5),
+        prefix_tokens: 10_000,
+        total_tokens: 12_000,
     };
     let first = quote.target(&mut router, 0);
-    router.finish(0, &first.id, Outcome::Withdrawn, first.reading);
+    router.finish(0, &first.id, Outcome::Cancelled, first.prefill_tokens);
     tell(&mut router, 10, &[told(&first.id, unread, 0)]);
     let again = quote.target(&mut router, 10);
     assert_eq!(again.id == first.id, waits);
@@ -167,9 +167,9 @@
 fn quote(beginning: u32) -> support::Request {
     let mut quote = request();
     quote.prompt = Prompt {
-        shared: Some(beginning),
-        shared_tokens: 10_000,
-        tokens: 12_000,
+        prefix_hash: Some(beginning),
+        prefix_tokens: 10_000,
+        total_tokens: 12_000,
     };
     quote
 }
@@ -207,7 +207,7 @@
     let mut router = router_with(&[("n", 1)]);
     let quote = quote(5);
     quote.target(&mut router, 0);
-    let told = router.placements(400);
+    let told = router.recent_placements(400);
     let number = told[0].number;
     let upstream = short_hash("n0");
     assert_eq!(
@@ -220,7 +220,7 @@
             own_tokens: 2_000
         }]
     );
-    assert_eq!(router.placements(401), []);
+    assert_eq!(router.recent_placements(401), []);
 }
 
 /// Whoever has been told of placements for long, without a pause, knows that a beginning has not been placed.
@@ -248,7 +248,11 @@
     let mut router = router_with(&[("n", 1)]);
     for beginning in 0..1_000 {
         let target = quote(beginning).target(&mut router, 0);
-        router.finish(0, &target.id, Outcome::Answered, target.reading);
+        router.finish(0, &target.id, Outcome::Answered, target.prefill_tokens);
     }
-    assert_eq!(router.placements(0).len(), 64, "a report holds so many");
+    assert_eq!(
+        router.recent_placements(0).len(),
+        64,
+        "a report holds so many"
+    );
 }
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -13,7 +13,7 @@
 use woadstall_control::registry::{Registration, Status};
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{
-    Decision, Fleet, Outcome, Place, Prompt, Query, Router, Target, UpstreamId,
+    Decision, Fleet, Location, Outcome, Prompt, Query, Router, Target, UpstreamId,
 };
 
 const STEPS: u64 = 20_000;
@@ -35,11 +35,11 @@
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Answered,
     Outcome::Rejected,
-    Outcome::Unreachable,
-    Outcome::Broken,
-    Outcome::Error,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionError,
+    Outcome::UpstreamError,
     Outcome::TimedOut,
-    Outcome::Withdrawn,
+    Outcome::Cancelled,
 ];
 
 /// FNV-1a over everything that is written to it.
@@ -122,9 +122,9 @@
 
 impl Course {
     fn new() -> Self {
-        let place = Place {
+        let place = Location {
             region: "north".to_owned(),
-            zones: ZONES
+            region_by_zone: ZONES
                 .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
                 .into(),
         };
@@ -171,18 +171,18 @@
         match self.draws.below(3) {
             0 => Prompt::default(),
             1 => Prompt {
-                shared: None,
-                shared_tokens: 0,
-                tokens: self.draws.below(30_000),
+                prefix_hash: None,
+                prefix_tokens: 0,
+                total_tokens: self.draws.below(30_000),
             },
             _ => {
                 let shared = self.draws.below(12) as u32;
-                let shared_tokens = 4_000 + 1_000 * u64::from(shared);
-                let tokens = shared_tokens + self.draws.below(2_000);
+                let prefix_tokens = 4_000 + 1_000 * u64::from(shared);
+                let total_tokens = prefix_tokens + self.draws.below(2_000);
                 Prompt {
-                    shared: Some(shared),
-                    shared_tokens,
-                    tokens,
+                    prefix_hash: Some(shared),
+                    prefix_tokens,
+                    total_tokens,
                 }
             }
         }
@@ -193,7 +193,7 @@
         let route = self.configuration.routes[route].clone();
         let service = self.configuration.services[&route.targets[0].0].clone();
         let prompt = self.any_prompt();
-        self.router.request(self.now, &service.name);
+        self.router.record_request(self.now, &service.name);
         let mut tried: Vec<UpstreamId> = Vec::new();
         loop {
             let query = Query {
@@ -202,35 +202,36 @@
                 prompt,
                 tried: &tried,
             };
-            let standing = self.router.standing(self.now, &query);
+            let standing = self.router.summarize_candidates(self.now, &query);
             self.digest.number(standing.candidates as u64);
-            for (obstacle, count) in &standing.passed_over {
+            for (obstacle, count) in &standing.skipped {
                 self.obstacles.insert(*obstacle as u64);
                 self.digest.number(*obstacle as u64);
                 self.digest.number(*count as u64);
             }
             match self.router.choose(self.now, &query) {
-                Decision::Send(target) => {
+                Decision::Forward(target) => {
                     self.sent += 1;
                     self.digest.bytes(target.id.as_bytes());
                     self.digest.bytes(target.address.to_string().as_bytes());
                     self.digest.bytes(target.zone.as_bytes());
-                    self.digest.number(u64::from(target.is_near));
-                    self.digest.number(target.connections as u64);
-                    self.digest.number(target.reading);
-                    self.digest.number(target.total_reading);
+                    self.digest.number(u64::from(target.is_local_region));
+                    self.digest.number(target.max_connections as u64);
+                    self.digest.number(target.prefill_tokens);
+                    self.digest.number(target.prefill_backlog);
                     self.digest.number(u64::from(target.in_flight));
                     tried.push(target.id.clone());
                     self.in_flight.push(target);
                 }
-                Decision::Refuse(refusal) => {
+                Decision::Reject(refusal) => {
                     self.refused += 1;
                     self.digest.number(refusal.retry_after.as_millis() as u64);
-                    self.digest.number(u64::from(refusal.none_usable));
+                    self.digest.number(u64::from(refusal.no_usable_upstream));
                     return;
                 }
             }
-            let repeats = self.draws.one_in(6) && self.router.take_repeat(self.now, &service.name);
+            let repeats =
+                self.draws.one_in(6) && self.router.try_withdraw_retry(self.now, &service.name);
             self.digest.number(u64::from(repeats));
             if !repeats {
                 return;
@@ -252,26 +253,27 @@
                 self.router.finish(
                     self.now,
                     &id,
-                    Outcome::Unreachable,
-                    self.in_flight[index].reading,
+                    Outcome::ConnectFailed,
+                    self.in_flight[index].prefill_tokens,
                 );
                 self.in_flight.swap_remove(index);
             }
             0 => {
                 self.router
-                    .heard(self.now, &id, self.in_flight[index].reading);
-                self.in_flight[index].reading = 0;
+                    .record_activity(self.now, &id, self.in_flight[index].prefill_tokens);
+                self.in_flight[index].prefill_tokens = 0;
             }
-            1 => self.router.answered(self.now, &id),
+            1 => self.router.record_response(self.now, &id),
             _ => {
                 let target = self.in_flight.swap_remove(index);
                 let outcome = if self.draws.one_in(4) {
                     OUTCOMES[self.draws.below(OUTCOMES.len() as u64) as usize]
                 } else {
-                    self.router.answered(self.now, &id);
+                    self.router.record_response(self.now, &id);
                     Outcome::Answered
                 };
-                self.router.finish(self.now, &id, outcome, target.reading);
+                self.router
+                    .finish(self.now, &id, outcome, target.prefill_tokens);
             }
         }
     }
@@ -307,7 +309,7 @@
     fn snapshot(&mut self) {
         let all = self.all_registrations();
         let named: Vec<Registration> = all.into_iter().filter(|_| !self.draws.one_in(10)).collect();
-        self.router.snapshot(self.now, &named);
+        self.router.apply_snapshot(self.now, &named);
     }
 
     fn change_evacuation(&mut self) {
@@ -317,7 +319,7 @@
             .map(|(zone, _)| (*zone).to_owned())
             .collect();
         let cold = |service: &str| Duration::from_secs(if service == "model" { 3 } else { 0 });
-        self.router.set_evacuated(self.now, &zones, cold);
+        self.router.set_evacuated_zones(self.now, &zones, cold);
     }
 
     fn change_fleet(&mut self) {
@@ -359,12 +361,12 @@
     }
 
     fn report_loads(&mut self) {
-        for load in self.router.load(self.now) {
+        for load in self.router.upstream_loads(self.now) {
             self.digest.number(u64::from(load.upstream));
             self.digest.number(u64::from(load.unread));
             self.digest.number(u64::from(load.is_failing));
         }
-        for placement in self.router.placements(self.now) {
+        for placement in self.router.recent_placements(self.now) {
             let Placement {
                 number,
                 upstream,
@@ -393,7 +395,7 @@
         }
         let id = self.any_registration().id;
         self.digest.number(u64::from(self.router.is_usable(&id)));
-        self.digest.number(self.router.known() as u64);
+        self.digest.number(self.router.known_upstreams() as u64);
     }
 }
 
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use support::{OWN, registration, request, router_with};
 use woadstall_control::registry::{Registration, Status};
-use woadstall_routing::{ColdShare, Decision, Outcome, Prompt, Refusal, Router};
+use woadstall_routing::{Decision, Outcome, Prompt, Rejection, Router, WarmupQuota};
 
 fn zones_of(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
     let request = request();
@@ -15,8 +15,8 @@
     for _ in 0..count {
         let target = request.target(router, now);
         *zones.entry(target.id[..1].to_owned()).or_default() += 1;
-        router.answered(now, &target.id);
-        router.finish(now, &target.id, Outcome::Answered, target.reading);
+        router.record_response(now, &target.id);
+        router.finish(now, &target.id, Outcome::Answered, target.prefill_tokens);
     }
     zones
 }
@@ -28,7 +28,7 @@
     let mut ids: Vec<String> = Vec::new();
     for _ in 0..6 {
         let target = request.target(&mut router, 0);
-        assert!(target.is_near);
+        assert!(target.is_local_region);
         ids.push(target.id.to_string());
     }
     assert_eq!(ids[..3], ids[3..]);
@@ -47,8 +47,8 @@
     request.route.allowed_regions = vec!["elsewhere".to_owned()];
     assert!(matches!(
         request.choose(&mut router, 0),
-        Decision::Refuse(Refusal {
-            none_usable: true,
+        Decision::Reject(Rejection {
+            no_usable_upstream: true,
             ..
         })
     ));
@@ -94,16 +94,16 @@
 fn an_evacuated_zone_gets_nothing_and_returns_cold() {
     let mut router = router_with(&[("n", 1), ("s", 1)]);
     let cold = |_: &str| Duration::from_secs(3);
-    router.set_evacuated(0, &["n".to_owned()].into(), cold);
+    router.set_evacuated_zones(0, &["n".to_owned()].into(), cold);
     assert_eq!(&*request().target(&mut router, 0).id, "s0");
-    router.set_evacuated(10_000, &BTreeSet::new(), cold);
+    router.set_evacuated_zones(10_000, &BTreeSet::new(), cold);
     // A cold upstream gets this balancer's share of a second, and no more.
     let request = request();
     let near = (0..40)
         .filter(|_| request.target(&mut router, 10_000).id.starts_with('n'))
         .count();
     // 21 a second by half more and five, of which 0.85 is given out and 0.75 of that to the region's three balancers.
-    let share = ColdShare::of(23, "n0", OWN, &[OWN, 2, 3]).per_second;
+    let share = WarmupQuota::of_balancer(23, "n0", OWN, &[OWN, 2, 3]).per_second;
     assert!(share == 7 || share == 8);
     assert_eq!(near, share);
 }
@@ -112,17 +112,17 @@
 fn failures_open_the_breaker_and_a_trial_closes_it() {
     let mut router = router_with(&[("n", 2)]);
     for _ in 0..3 {
-        router.finish(0, "n0", Outcome::Broken, 0);
+        router.finish(0, "n0", Outcome::ConnectionError, 0);
     }
     let request = request();
     assert!((0..6).all(|_| &*request.target(&mut router, 100).id == "n1"));
     let later = 1_500;
-    router.heard(later, "n1", 0);
+    router.record_activity(later, "n1", 0);
     let trials = (0..6)
         .filter(|_| &*request.target(&mut router, later).id == "n0")
         .count();
     assert_eq!(trials, 1, "one request tries");
-    router.answered(later + 50, "n0");
+    router.record_response(later + 50, "n0");
     assert!((0..6).any(|_| &*request.target(&mut router, later + 60).id == "n0"));
 }
 
@@ -134,8 +134,8 @@
     }
     assert!(matches!(
         request().choose(&mut router, 10),
-        Decision::Refuse(Refusal {
-            none_usable: false,
+        Decision::Reject(Rejection {
+            no_usable_upstream: false,
             ..
         })
     ));
@@ -146,7 +146,7 @@
 fn a_region_whose_upstreams_have_all_tripped_is_left_and_returned_to() {
     let mut router = router_with(&[("n", 2), ("s", 2)]);
     for id in ["n0", "n1"] {
-        (0..3).for_each(|_| router.finish(0, id, Outcome::Broken, 0));
+        (0..3).for_each(|_| router.finish(0, id, Outcome::ConnectionError, 0));
     }
     assert_eq!(zones_of(&mut router, 10, 20), [("s".to_owned(), 20)].into());
     let back = zones_of(&mut router, 1_500, 20);
@@ -159,22 +159,22 @@
     let request = request();
     let first = request.target(&mut router, 0);
     let other = request.target(&mut router, 0);
-    router.heard(500, &other.id, 0);
+    router.record_activity(500, &other.id, 0);
     assert!((0..8).all(|_| request.target(&mut router, 700).id == other.id));
-    router.heard(710, &first.id, 0);
+    router.record_activity(710, &first.id, 0);
     assert!((0..8).any(|_| request.target(&mut router, 720).id == first.id));
 }
 
 #[test]
 fn a_zone_whose_upstreams_fail_together_is_left_before_each_is_tried() {
     let mut router = router_with(&[("n", 8), ("s", 2)]);
-    router.heard(0, "n0", 0);
+    router.record_activity(0, "n0", 0);
     for id in ["n1", "n2"] {
-        router.finish(600, id, Outcome::Unreachable, 0);
+        router.finish(600, id, Outcome::ConnectFailed, 0);
     }
     let near = zones_of_unanswered(&mut router, 700, 10).get("n").copied();
     assert_eq!(near, Some(1), "one request tries");
-    router.heard(750, "n5", 0);
+    router.record_activity(750, "n5", 0);
     assert!(zones_of_unanswered(&mut router, 760, 10).contains_key("n"));
 }
 
@@ -182,11 +182,11 @@
 fn where_all_zones_seem_lost_requests_are_refused_at_once_but_for_trials() {
     let mut router = router_with(&[("n", 4), ("s", 4)]);
     for id in ["n1", "n2", "s1", "s2"] {
-        router.finish(600, id, Outcome::Unreachable, 0);
+        router.finish(600, id, Outcome::ConnectFailed, 0);
     }
     let request = request();
     let sent = (0..20)
-        .filter(|_| matches!(request.choose(&mut router, 700), Decision::Send(_)))
+        .filter(|_| matches!(request.choose(&mut router, 700), Decision::Forward(_)))
         .count();
     assert_eq!(sent, 2, "one trial each");
 }
@@ -194,7 +194,7 @@
 #[test]
 fn one_upstream_that_fails_does_not_give_up_its_zone() {
     let mut router = router_with(&[("n", 3), ("s", 2)]);
-    router.finish(600, "n1", Outcome::Unreachable, 0);
+    router.finish(600, "n1", Outcome::ConnectFailed, 0);
     assert_eq!(
         zones_of_unanswered(&mut router, 700, 6),
         [("n".to_owned(), 6)].into()
@@ -217,12 +217,12 @@
     let mut request = request();
     let place = |router: &mut Router, request: &mut support::Request, shared: u32| {
         request.prompt = Prompt {
-            shared: Some(shared),
-            shared_tokens: 13_000,
-            tokens: 14_000,
+            prefix_hash: Some(shared),
+            prefix_tokens: 13_000,
+            total_tokens: 14_000,
         };
         let target = request.target(router, 0);
-        router.finish(0, &target.id, Outcome::Answered, target.reading);
+        router.finish(0, &target.id, Outcome::Answered, target.prefill_tokens);
         target.id.to_string()
     };
     let before: Vec<String> = (0..60)
@@ -259,12 +259,12 @@
     let mut router = router_with(&[("n", 1)]);
     let mut request = request();
     request.prompt = Prompt {
-        shared: Some(5),
-        shared_tokens: 13_000,
-        tokens: 14_000,
+        prefix_hash: Some(5),
+        prefix_tokens: 13_000,
+        total_tokens: 14_000,
     };
-    assert_eq!(request.target(&mut router, 0).reading, 14_000);
-    assert_eq!(request.target(&mut router, 0).reading, 1_000);
+    assert_eq!(request.target(&mut router, 0).prefill_tokens, 14_000);
+    assert_eq!(request.target(&mut router, 0).prefill_tokens, 1_000);
 }
 
 #[test]
@@ -272,14 +272,14 @@
     let mut router = router_with(&[("n", 2)]);
     let mut long = request();
     long.prompt = Prompt {
-        shared: None,
-        shared_tokens: 0,
-        tokens: 20_000,
+        prefix_hash: None,
+        prefix_tokens: 0,
+        total_tokens: 20_000,
     };
     let reader = long.target(&mut router, 0);
     let short = request();
     assert!((0..6).all(|_| short.target(&mut router, 10).id != reader.id));
-    router.heard(20, &reader.id, reader.reading);
+    router.record_activity(20, &reader.id, reader.prefill_tokens);
     assert!((0..6).any(|_| short.target(&mut router, 30).id == reader.id));
 }
 
@@ -294,24 +294,24 @@
     request.tried.push(second.id);
     assert!(matches!(
         request.choose(&mut router, 0),
-        Decision::Refuse(_)
+        Decision::Reject(_)
     ));
 }
 
 #[test]
 fn a_refusal_says_when_to_come_back() {
     let mut router = router_with(&[]);
-    let Decision::Refuse(refusal) = request().choose(&mut router, 0) else {
+    let Decision::Reject(refusal) = request().choose(&mut router, 0) else {
         panic!("nobody is there")
     };
     assert!(refusal.retry_after >= Duration::from_millis(200));
-    assert!(refusal.none_usable);
+    assert!(refusal.no_usable_upstream);
 }
 
 #[test]
 fn a_new_snapshot_forgets_nobody_at_once() {
     let mut router = router_with(&[("n", 2)]);
-    router.snapshot(0, &[registration("n0", "n")]);
+    router.apply_snapshot(0, &[registration("n0", "n")]);
     router.sweep(9_000);
     assert!(router.is_usable("n1"));
     router.sweep(10_001);
@@ -320,14 +320,14 @@
 }
 
 #[rstest]
-#[case::no_answer(Outcome::Broken)]
-#[case::own_error(Outcome::Error)]
+#[case::no_answer(Outcome::ConnectionError)]
+#[case::own_error(Outcome::UpstreamError)]
 #[case::time_out(Outcome::TimedOut)]
 fn consecutive_failures_of_any_kind_open_the_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     for _ in 0..3 {
         // An error is a sign of life, but no success.
-        router.heard(0, "n0", 0);
+        router.record_activity(0, "n0", 0);
         router.finish(0, "n0", outcome, 0);
     }
     let request = request();
@@ -335,7 +335,7 @@
 }
 
 #[rstest]
-#[case::client_left(Outcome::Withdrawn)]
+#[case::client_left(Outcome::Cancelled)]
 #[case::full(Outcome::Rejected)]
 fn what_says_nothing_of_health_opens_no_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
@@ -347,8 +347,8 @@
 }
 
 #[rstest]
-#[case::client_left(Outcome::Withdrawn)]
-#[case::connection_broke(Outcome::Broken)]
+#[case::client_left(Outcome::Cancelled)]
+#[case::connection_broke(Outcome::ConnectionError)]
 #[case::time_out(Outcome::TimedOut)]
 fn a_request_given_up_on_a_silent_upstream_opens_its_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
@@ -356,7 +356,7 @@
     let waiting = std::iter::repeat_with(|| request.target(&mut router, 0))
         .find(|target| &*target.id == "n0");
     let waiting = waiting.unwrap();
-    router.heard(1_400, "n1", 0);
-    router.finish(1_500, "n0", outcome, waiting.reading);
+    router.record_activity(1_400, "n1", 0);
+    router.finish(1_500, "n0", outcome, waiting.prefill_tokens);
     assert!((0..6).all(|_| &*request.target(&mut router, 1_600).id == "n1"));
 }
--- a/crates/routing/tests/support.rs
+++ b/crates/routing/tests/support.rs
@@ -4,26 +4,26 @@
 use serde_json::json;
 use woadstall_control::configuration::{Configuration, Route, Service};
 use woadstall_control::registry::{Registration, Status};
-use woadstall_routing::{Bounds, Decision, Fleet, Place, Prompt, Query, Router, Target};
+use woadstall_routing::{Decision, Fleet, Location, Prompt, Query, Router, RoutingLimits, Target};
 
 pub const OWN: u32 = 1;
 
-pub fn bounds() -> Bounds {
-    Bounds {
+pub fn bounds() -> RoutingLimits {
+    RoutingLimits {
         retry_budget_ratio: 0.2,
-        budget_window: 10_000,
-        budget_slack: 56.0,
-        cold_over: 1.5,
-        cold_slack: 5.0,
+        retry_budget_window_ms: 10_000,
+        retry_budget_slack: 56.0,
+        warmup_factor: 1.5,
+        warmup_slack: 5.0,
     }
 }
 
 /// A router in region `north` of three regions with a zone each, one of four balancers, three of them in `north`.
 pub fn router() -> Router {
     let zones = [("n", "north"), ("s", "south"), ("w", "west")];
-    let place = Place {
+    let place = Location {
         region: "north".to_owned(),
-        zones: zones
+        region_by_zone: zones
             .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
             .into(),
     };
@@ -103,8 +103,8 @@
 
     pub fn target(&self, router: &mut Router, now: u64) -> Target {
         match self.choose(router, now) {
-            Decision::Send(target) => target,
-            Decision::Refuse(refusal) => panic!("refused: {refusal:?}"),
+            Decision::Forward(target) => target,
+            Decision::Reject(refusal) => panic!("refused: {refusal:?}"),
         }
     }
 }
