--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,9 +1,10 @@
-//! What a process hands to its successor at an upgrade: [`State`] is its form, [`socket`] how it gets there.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! Hot restart: a new process takes over what the process before it has learned about latencies and upstreams.
+//!
+//! [`TransferredState`] is the document that crosses from one process to the other, and [`socket`] the Unix domain
+//! socket that carries it. The two processes may run different versions of the program, so the form of the document
+//! is versioned and checked.
 
 pub mod socket;
 mod state;
 
-pub use state::{MOST_BYTES, State};
+pub use state::{DecodeError, MAX_STATE_BYTES, TransferredState};
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -1,110 +1,169 @@
-//! The form of what is handed over. Everything goes by name, and times are lengths: the two processes have
-//! positions and clocks of their own.
+//! The document that is transferred. Classes and upstreams go by name and times are lengths, since the two processes
+//! have positions and clocks of their own.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use woadstall_decisions::api::{Duration, Learned, LearnedLatency, LearnedServer, ServerId, Time};
 
-/// The form that is written, and the only one that is read: what another one means is not guessed.
+#[cfg(test)]
+mod tests;
+
+/// The version that is written, and the only one that is read: what another one means is not guessed.
 const VERSION: u32 = 1;
-/// Largest document: some 20,000 upstreams. Guards the memory.
-pub const MOST_BYTES: usize = 4 << 20;
 
-/// What a process has learned, in the form that it is handed over in.
+/// Largest document, in bytes: some 20,000 upstreams. Bounds the memory.
+pub const MAX_STATE_BYTES: usize = 4 << 20;
+
+/// Why a document could not be decoded. The text names the field, and nothing of the document is used.
+#[derive(Debug, thiserror::Error)]
+pub enum DecodeError {
+    /// It is not JSON, or has no version.
+    #[error("state: {0}")]
+    Syntax(#[source] serde_json::Error),
+    /// Another version of the form.
+    #[error("state: `version` is {found}, and only {VERSION} can be read")]
+    UnsupportedVersion {
+        /// The version of the document.
+        found: u32,
+    },
+    /// A field is missing or of another type.
+    #[error("state: {0}")]
+    Field(#[source] serde_path_to_error::Error<serde_json::Error>),
+    /// A figure is negative or not finite.
+    #[error("state: `{field}` is {value}")]
+    InvalidNumber {
+        /// Path of the field.
+        field: String,
+        /// Its value.
+        value: f64,
+    },
+    /// A ratio lies outside 0 to 1.
+    #[error("state: `{field}` is {value}, not between 0 and 1")]
+    InvalidRatio {
+        /// Path of the field.
+        field: &'static str,
+        /// Its value.
+        value: f64,
+    },
+}
+
+/// What a process has learned, as its successor gets it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct State {
+pub struct TransferredState {
     version: u32,
-    classes: BTreeMap<String, Latency>,
-    overall: Latency,
-    /// Answers a second.
+    /// Latency by class.
+    classes: BTreeMap<String, LatencyEstimate>,
+    /// Latency over all classes.
+    overall: LatencyEstimate,
+    /// Responses a second.
     rate: f64,
-    /// Answers counted lately, and requests held meanwhile, each as one over its aim, over the same time.
+    /// Responses counted lately, decayed.
     answers: f64,
-    held: f64,
-    /// Part of the attempts that fail.
-    failing: f64,
-    upstreams: BTreeMap<String, Upstream>,
+    /// Requests in flight meanwhile, each weighted by one over its latency target, decayed over the same time.
+    #[serde(rename = "held")]
+    in_flight: f64,
+    /// Ratio of attempts that fail, 0 to 1.
+    #[serde(rename = "failing")]
+    failure_ratio: f64,
+    upstreams: BTreeMap<String, UpstreamRecord>,
 }
 
-/// In nanoseconds.
+/// A latency in nanoseconds, and the calls that it rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct Latency {
+struct LatencyEstimate {
     mean: f64,
     deviation: f64,
-    calm: f64,
+    /// The mean without load.
+    #[serde(rename = "calm")]
+    unloaded: f64,
     calls: u32,
 }
 
+/// What is known of one process of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct Upstream {
-    /// When its process started, in Unix nanoseconds: what is known of another one does not hold.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    started: Option<Time>,
-    slowness: f64,
-    /// How often its breaker opened lately, and for how much longer it is open.
-    opens: u32,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    open_for: Option<Duration>,
+struct UpstreamRecord {
+    /// When the process started, in Unix nanoseconds: the record does not hold for another process.
+    #[serde(rename = "started", skip_serializing_if = "Option::is_none")]
+    started_at: Option<Time>,
+    /// Latency of its calls as a multiple of their class's mean.
+    #[serde(rename = "slowness")]
+    latency_ratio: f64,
+    /// How often its circuit breaker opened lately.
+    #[serde(rename = "opens")]
+    breaker_openings: u32,
+    /// For how much longer the breaker stays open, in nanoseconds; `None` if it is closed.
+    #[serde(rename = "open_for", skip_serializing_if = "Option::is_none")]
+    breaker_open_for: Option<Duration>,
+}
+
+impl From<LearnedLatency> for LatencyEstimate {
+    fn from(learned: LearnedLatency) -> Self {
+        Self {
+            mean: learned.mean,
+            deviation: learned.dev,
+            unloaded: learned.calm,
+            calls: learned.calls,
+        }
+    }
 }
 
-impl From<LearnedLatency> for Latency {
-    fn from(told: LearnedLatency) -> Self {
+impl From<LatencyEstimate> for LearnedLatency {
+    fn from(estimate: LatencyEstimate) -> Self {
         Self {
-            mean: told.mean,
-            deviation: told.dev,
-            calm: told.calm,
-            calls: told.calls,
+            mean: estimate.mean,
+            dev: estimate.deviation,
+            calm: estimate.unloaded,
+            calls: estimate.calls,
         }
     }
 }
 
-impl From<Latency> for LearnedLatency {
-    fn from(told: Latency) -> Self {
+impl From<&LearnedServer> for UpstreamRecord {
+    fn from(learned: &LearnedServer) -> Self {
         Self {
-            mean: told.mean,
-            dev: told.deviation,
-            calm: told.calm,
-            calls: told.calls,
+            started_at: learned.started,
+            latency_ratio: learned.slowness,
+            breaker_openings: learned.opens,
+            breaker_open_for: learned.open_for,
         }
     }
 }
 
-impl State {
-    /// What was learned, under the names of classes and upstreams. What has none is left out.
+impl UpstreamRecord {
+    /// The record as the decision module takes it, under the number that the upstream has here.
+    fn learned(&self, server: ServerId) -> LearnedServer {
+        LearnedServer {
+            server,
+            started: self.started_at,
+            slowness: self.latency_ratio,
+            opens: self.breaker_openings,
+            open_for: self.breaker_open_for,
+        }
+    }
+}
+
+impl TransferredState {
+    /// What was learned, under the names of classes and upstreams. What has no name is left out.
     pub fn new<'a>(
         learned: &Learned,
-        class: impl Fn(usize) -> Option<&'a str>,
-        upstream: impl Fn(ServerId) -> Option<String>,
+        class_name: impl Fn(usize) -> Option<&'a str>,
+        upstream_name: impl Fn(ServerId) -> Option<String>,
     ) -> Self {
-        let classes = learned.classes.iter();
-        let upstreams = learned.servers.iter().filter_map(|told| {
-            let LearnedServer {
-                server,
-                started,
-                slowness,
-                opens,
-                open_for,
-            } = *told;
-            Some((
-                upstream(server)?,
-                Upstream {
-                    started,
-                    slowness,
-                    opens,
-                    open_for,
-                },
-            ))
+        let classes = learned.classes.iter().filter_map(|(position, latency)| {
+            Some((class_name(*position)?.to_owned(), (*latency).into()))
         });
+        let upstreams = learned
+            .servers
+            .iter()
+            .filter_map(|server| Some((upstream_name(server.server)?, server.into())));
         Self {
             version: VERSION,
-            classes: classes
-                .filter_map(|(at, told)| Some((class(*at)?.to_owned(), (*told).into())))
-                .collect(),
+            classes: classes.collect(),
             overall: learned.overall.into(),
             rate: learned.rate,
             answers: learned.answers,
-            held: learned.held,
-            failing: learned.failing,
+            in_flight: learned.held,
+            failure_ratio: learned.failing,
             upstreams: upstreams.collect(),
         }
     }
@@ -112,202 +171,96 @@
     /// What was learned, of the classes and upstreams that are known here.
     pub fn learned(
         &self,
-        class: impl Fn(&str) -> Option<usize>,
-        upstream: impl Fn(&str) -> Option<ServerId>,
+        class_position: impl Fn(&str) -> Option<usize>,
+        upstream_id: impl Fn(&str) -> Option<ServerId>,
     ) -> Learned {
-        let upstreams = self.upstreams.iter().filter_map(|(name, told)| {
-            let Upstream {
-                started,
-                slowness,
-                opens,
-                open_for,
-            } = *told;
-            Some(LearnedServer {
-                server: upstream(name)?,
-                started,
-                slowness,
-                opens,
-                open_for,
-            })
-        });
+        let classes = self
+            .classes
+            .iter()
+            .filter_map(|(name, latency)| Some((class_position(name)?, (*latency).into())));
+        let servers = self
+            .upstreams
+            .iter()
+            .filter_map(|(name, record)| Some(record.learned(upstream_id(name)?)));
         Learned {
-            classes: self
-                .classes
-                .iter()
-                .filter_map(|(name, told)| Some((class(name)?, (*told).into())))
-                .collect(),
+            classes: classes.collect(),
             overall: self.overall.into(),
             rate: self.rate,
             answers: self.answers,
-            held: self.held,
-            failing: self.failing,
-            servers: upstreams.collect(),
+            held: self.in_flight,
+            failing: self.failure_ratio,
+            servers: servers.collect(),
         }
     }
 
-    /// As a document.
-    pub fn write(&self) -> Vec<u8> {
-        serde_json::to_vec(self).unwrap_or_default() // no map here has keys that are not text
+    /// Encodes the document as JSON.
+    pub fn encode(&self) -> Vec<u8> {
+        // Cannot fail: all keys are text, and figures that are not finite become `null`.
+        serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads a document. The error is one line that names what is wrong; nothing of it is used then.
-    pub fn read(text: &[u8]) -> Result<Self, String> {
+    /// Decodes a document.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the document is not JSON of the version that is known here, or holds a figure that makes no sense.
+    pub fn decode(document: &[u8]) -> Result<Self, DecodeError> {
         #[derive(Deserialize)]
         struct Version {
             version: u32,
         }
-        let error = |error: &dyn std::fmt::Display| format!("state: {error}");
-        let Version { version } = serde_json::from_slice(text).map_err(|e| error(&e))?;
-        if version != VERSION {
-            return Err(error(&format_args!(
-                "`version` is {version}, and only {VERSION} can be read"
-            )));
+        let Version { version: found } =
+            serde_json::from_slice(document).map_err(DecodeError::Syntax)?;
+        if found != VERSION {
+            return Err(DecodeError::UnsupportedVersion { found });
         }
-        let mut text = serde_json::Deserializer::from_slice(text);
-        let state: Self = serde_path_to_error::deserialize(&mut text).map_err(|e| error(&e))?;
-        state.check().map_err(|text| error(&text))?;
+        let mut deserializer = serde_json::Deserializer::from_slice(document);
+        let state: Self =
+            serde_path_to_error::deserialize(&mut deserializer).map_err(DecodeError::Field)?;
+        state.check()?;
         Ok(state)
     }
 
-    fn check(&self) -> Result<(), String> {
-        let latencies = self
-            .classes
-            .iter()
-            .map(|(name, told)| (format!("classes.{name}"), told));
-        let latencies = latencies
-            .chain([("overall".to_owned(), &self.overall)])
-            .flat_map(|(name, told)| {
-                [
-                    ("mean", told.mean),
-                    ("deviation", told.deviation),
-                    ("calm", told.calm),
-                ]
-                .map(|(field, figure)| (format!("{name}.{field}"), figure))
-            });
-        let slowness = self
-            .upstreams
-            .iter()
-            .map(|(name, told)| (format!("upstreams.{name}.slowness"), told.slowness));
-        let rest = [
-            ("rate", self.rate),
-            ("answers", self.answers),
-            ("held", self.held),
-        ];
-        let rest = rest.map(|(field, figure)| (field.to_owned(), figure));
-        let mut figures = latencies.chain(slowness).chain(rest);
-        if let Some((field, figure)) =
-            figures.find(|(_, figure)| !(figure.is_finite() && *figure >= 0.0))
-        {
-            return Err(format!("`{field}` is {figure}"));
+    /// Checks that figures make sense.
+    fn check(&self) -> Result<(), DecodeError> {
+        for (class, latency) in &self.classes {
+            latency.check(&format!("classes.{class}"))?;
         }
-        match self.failing {
+        self.overall.check("overall")?;
+        for (name, record) in &self.upstreams {
+            check_number(
+                || format!("upstreams.{name}.slowness"),
+                record.latency_ratio,
+            )?;
+        }
+        check_number(|| "rate".to_owned(), self.rate)?;
+        check_number(|| "answers".to_owned(), self.answers)?;
+        check_number(|| "held".to_owned(), self.in_flight)?;
+        match self.failure_ratio {
             0.0..=1.0 => Ok(()),
-            failing => Err(format!("`failing` is {failing}, not between 0 and 1")),
+            value => Err(DecodeError::InvalidRatio {
+                field: "failing",
+                value,
+            }),
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn learned() -> Learned {
-        let latency = LearnedLatency {
-            mean: 2e8,
-            dev: 5e7,
-            calm: 1.5e8,
-            calls: 40,
-        };
-        let server = |server, open_for| LearnedServer {
-            server: ServerId(server),
-            started: Some(7),
-            slowness: 1.5,
-            opens: 2,
-            open_for,
-        };
-        Learned {
-            classes: vec![(0, latency), (1, latency)],
-            overall: latency,
-            rate: 12.5,
-            answers: 30.0,
-            held: 11.0,
-            failing: 0.25,
-            servers: vec![server(1, None), server(2, Some(9))],
-        }
-    }
-
-    fn state() -> State {
-        let class = |at: usize| ["look", "pay"].get(at).copied();
-        State::new(&learned(), class, |server| Some(format!("s-{}", server.0)))
-    }
-
-    #[test]
-    fn comes_back_under_other_positions_and_without_what_is_not_known_there() {
-        let read = State::read(&state().write()).unwrap();
-        let upstream = |name: &str| (name == "s-2").then_some(ServerId(5));
-        let back = read.learned(|name| (name == "pay").then_some(7), upstream);
-        let told = learned();
-        assert_eq!(back.classes, [(7, told.classes[1].1)]);
-        assert_eq!(
-            back.servers,
-            [LearnedServer {
-                server: ServerId(5),
-                ..told.servers[1]
-            }]
-        );
-        assert_eq!(
-            (back.rate, back.answers, back.held, back.failing),
-            (12.5, 30.0, 11.0, 0.25)
-        );
-    }
-
-    #[test]
-    fn what_is_wrong_is_named_and_nothing_is_used() {
-        let text = String::from_utf8(state().write()).unwrap();
-        let cases = [
-            (
-                text.replace("\"version\":1", "\"version\":2"),
-                "`version` is 2",
-            ),
-            (text.replace("\"rate\":12.5", "\"rate\":-1"), "`rate` is -1"),
-            (
-                text.replace("\"failing\":0.25", "\"failing\":2"),
-                "`failing` is 2",
-            ),
-            (
-                text.replace("\"slowness\":1.5", "\"slowness\":\"slow\""),
-                "upstreams.s-1.slowness",
-            ),
-            (
-                text.replace("\"mean\":200000000.0", "\"mean\":-1"),
-                "classes.look.mean",
-            ),
-            (text[..text.len() / 2].to_owned(), "EOF"),
-            (String::new(), "EOF"),
-        ];
-        for (text, what) in cases {
-            let error = State::read(text.as_bytes()).expect_err(what);
-            assert!(
-                error.contains(what) && error.lines().count() == 1,
-                "{error}"
-            );
-        }
+impl LatencyEstimate {
+    fn check(&self, path: &str) -> Result<(), DecodeError> {
+        check_number(|| format!("{path}.mean"), self.mean)?;
+        check_number(|| format!("{path}.deviation"), self.deviation)?;
+        check_number(|| format!("{path}.calm"), self.unloaded)
     }
+}
 
-    proptest! {
-        /// Guards the start of a process: whatever a predecessor says, it is read or refused.
-        #[test]
-        fn torn_and_twisted_documents_are_read_or_refused(
-            cut in 0usize..2000, at in 0usize..2000, byte in any::<u8>(),
-        ) {
-            let mut text = state().write();
-            text.truncate(cut.max(1));
-            let at = at % text.len();
-            text[at] = byte;
-            if let Ok(state) = State::read(&text) {
-                prop_assert_eq!(State::read(&state.write()).ok(), Some(state));
-            }
-        }
+/// Checks that a figure is finite and not negative. The path of its field is made only for the error.
+fn check_number(field: impl FnOnce() -> String, value: f64) -> Result<(), DecodeError> {
+    if value.is_finite() && value >= 0.0 {
+        return Ok(());
     }
+    Err(DecodeError::InvalidNumber {
+        field: field(),
+        value,
+    })
 }
--- /dev/null
+++ b/crates/hot-restart/src/state/tests.rs
@@ -0,0 +1,105 @@
+//! Tests of the transferred document.
+
+use super::*;
+use proptest::prelude::*;
+
+fn learned() -> Learned {
+    let latency = LearnedLatency {
+        mean: 2e8,
+        dev: 5e7,
+        calm: 1.5e8,
+        calls: 40,
+    };
+    let server = |server, open_for| LearnedServer {
+        server: ServerId(server),
+        started: Some(7),
+        slowness: 1.5,
+        opens: 2,
+        open_for,
+    };
+    Learned {
+        classes: vec![(0, latency), (1, latency)],
+        overall: latency,
+        rate: 12.5,
+        answers: 30.0,
+        held: 11.0,
+        failing: 0.25,
+        servers: vec![server(1, None), server(2, Some(9))],
+    }
+}
+
+fn state() -> TransferredState {
+    let class = |at: usize| ["look", "pay"].get(at).copied();
+    TransferredState::new(&learned(), class, |server| Some(format!("s-{}", server.0)))
+}
+
+#[test]
+fn learned_figures_come_back_under_the_positions_of_the_successor() {
+    let decoded = TransferredState::decode(&state().encode()).unwrap();
+    let upstream = |name: &str| (name == "s-2").then_some(ServerId(5));
+    let back = decoded.learned(|name| (name == "pay").then_some(7), upstream);
+    let expected = learned();
+    assert_eq!(back.classes, [(7, expected.classes[1].1)]);
+    assert_eq!(
+        back.servers,
+        [LearnedServer {
+            server: ServerId(5),
+            ..expected.servers[1]
+        }]
+    );
+    assert_eq!(
+        (back.rate, back.answers, back.held, back.failing),
+        (12.5, 30.0, 11.0, 0.25)
+    );
+}
+
+#[test]
+fn an_invalid_document_is_rejected_by_the_name_of_its_field() {
+    let text = String::from_utf8(state().encode()).unwrap();
+    let cases = [
+        (
+            text.replace("\"version\":1", "\"version\":2"),
+            "`version` is 2",
+        ),
+        (text.replace("\"rate\":12.5", "\"rate\":-1"), "`rate` is -1"),
+        (
+            text.replace("\"failing\":0.25", "\"failing\":2"),
+            "`failing` is 2",
+        ),
+        (
+            text.replace("\"slowness\":1.5", "\"slowness\":\"slow\""),
+            "upstreams.s-1.slowness",
+        ),
+        (
+            text.replace("\"mean\":200000000.0", "\"mean\":-1"),
+            "classes.look.mean",
+        ),
+        (text[..text.len() / 2].to_owned(), "EOF"),
+        (String::new(), "EOF"),
+    ];
+    for (text, expected) in cases {
+        let error = TransferredState::decode(text.as_bytes())
+            .expect_err(expected)
+            .to_string();
+        assert!(
+            error.contains(expected) && error.lines().count() == 1,
+            "{error}"
+        );
+    }
+}
+
+proptest! {
+    /// Guards the start of a process: no document of a predecessor may stop it.
+    #[test]
+    fn a_corrupted_document_is_decoded_or_rejected(
+        length in 0usize..2000, at in 0usize..2000, byte in any::<u8>(),
+    ) {
+        let mut document = state().encode();
+        document.truncate(length.max(1));
+        let at = at % document.len();
+        document[at] = byte;
+        if let Ok(state) = TransferredState::decode(&document) {
+            prop_assert_eq!(TransferredState::decode(&state.encode()).ok(), Some(state));
+        }
+    }
+}
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The bytes that a process hands to its successor, pinned: either of the two may be of another version.
 
 use woadstall_decisions::api::{Learned, LearnedLatency, LearnedServer, ServerId};
-use woadstall_hot_restart::State;
+use woadstall_hot_restart::TransferredState;
 
 /// Compares with the fixture of this name.
 fn assert_golden(name: &str, text: &str) {
@@ -10,84 +10,62 @@
     assert_eq!(text, expected, "{name}");
 }
 
+fn latency(mean: f64, dev: f64, calm: f64, calls: u32) -> LearnedLatency {
+    LearnedLatency {
+        mean,
+        dev,
+        calm,
+        calls,
+    }
+}
+
+/// An upstream with the figures of its breaker: how often it opened, and for how much longer it is open.
+fn server(
+    id: u32,
+    started: Option<u64>,
+    slowness: f64,
+    breaker: (u32, Option<u64>),
+) -> LearnedServer {
+    LearnedServer {
+        server: ServerId(id),
+        started,
+        slowness,
+        opens: breaker.0,
+        open_for: breaker.1,
+    }
+}
+
 fn learned() -> Learned {
     Learned {
         classes: vec![
-            (
-                0,
-                LearnedLatency {
-                    mean: 2e8,
-                    dev: 5e7,
-                    calm: 1.5e8,
-                    calls: 40,
-                },
-            ),
-            (
-                1,
-                LearnedLatency {
-                    mean: 0.0,
-                    dev: 0.0,
-                    calm: 0.0,
-                    calls: 0,
-                },
-            ),
-            (
-                2,
-                LearnedLatency {
-                    mean: 123456789.125,
-                    dev: 1e-7,
-                    calm: 1e21,
-                    calls: u32::MAX,
-                },
-            ),
+            (0, latency(2e8, 5e7, 1.5e8, 40)),
+            (1, latency(0.0, 0.0, 0.0, 0)),
+            (2, latency(123456789.125, 1e-7, 1e21, u32::MAX)),
         ],
-        overall: LearnedLatency {
-            mean: 1e8,
-            dev: 2.5e7,
-            calm: 9e7,
-            calls: 41,
-        },
+        overall: latency(1e8, 2.5e7, 9e7, 41),
         rate: 12.5,
         answers: 30.0,
         held: 11.25,
         failing: 0.25,
         servers: vec![
-            LearnedServer {
-                server: ServerId(1),
-                started: None,
-                slowness: 1.0,
-                opens: 0,
-                open_for: None,
-            },
-            LearnedServer {
-                server: ServerId(2),
-                started: Some(7),
-                slowness: 1.5,
-                opens: 2,
-                open_for: Some(9),
-            },
-            LearnedServer {
-                server: ServerId(3),
-                started: Some(u64::MAX),
-                slowness: 0.0,
-                opens: u32::MAX,
-                open_for: Some(u64::MAX),
-            },
+            server(1, None, 1.0, (0, None)),
+            server(2, Some(7), 1.5, (2, Some(9))),
+            server(3, Some(u64::MAX), 0.0, (u32::MAX, Some(u64::MAX))),
         ],
     }
 }
 
 const CLASSES: [&str; 3] = ["look", "pay", "post \"é\""];
 
-fn state(learned: &Learned) -> State {
-    State::new(
+fn state(learned: &Learned) -> TransferredState {
+    TransferredState::new(
         learned,
         |at| CLASSES.get(at).copied(),
         |server| Some(format!("s-{}", server.0)),
     )
 }
 
-fn back(state: &State) -> Learned {
+fn decoded_learned(state: &TransferredState) -> Learned {
     let upstream = |name: &str| name.strip_prefix("s-")?.parse().ok().map(ServerId);
     state.learned(
         |name| CLASSES.iter().position(|class| *class == name),
@@ -97,24 +75,27 @@
 
 #[test]
 fn each_field_is_written_as_before_and_read_back() {
-    let text = String::from_utf8(state(&learned()).write()).unwrap();
+    let text = String::from_utf8(state(&learned()).encode()).unwrap();
     assert_golden("state.json", &text);
-    assert_eq!(back(&State::read(text.as_bytes()).unwrap()), learned());
+    assert_eq!(
+        decoded_learned(&TransferredState::decode(text.as_bytes()).unwrap()),
+        learned()
+    );
 }
 
 #[test]
 fn the_state_of_a_process_that_has_learned_nothing() {
-    let text = String::from_utf8(state(&Learned::default()).write()).unwrap();
+    let text = String::from_utf8(state(&Learned::default()).encode()).unwrap();
     assert_golden("state-empty.json", &text);
     assert_eq!(
-        back(&State::read(text.as_bytes()).unwrap()),
+        decoded_learned(&TransferredState::decode(text.as_bytes()).unwrap()),
         Learned::default()
     );
 }
 
 #[test]
 fn each_error_names_its_field() {
-    let text = String::from_utf8(state(&learned()).write()).unwrap();
+    let text = String::from_utf8(state(&learned()).encode()).unwrap();
     let replaced = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
         text.replacen(from, to, 1)
@@ -143,6 +124,11 @@
         replaced("\"started\":7", "\"started\":\"7\""),
         text[..text.len() / 2].to_owned(),
     ];
-    let errors = documents.map(|text| State::read(text.as_bytes()).unwrap_err().to_string() + "\n");
+    let errors = documents.map(|text| {
+        TransferredState::decode(text.as_bytes())
+            .unwrap_err()
+            .to_string()
+            + "\n"
+    });
     assert_golden("state-errors.txt", &errors.concat());
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -22,7 +22,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
-use woadstall_hot_restart::{State, socket};
+use woadstall_hot_restart::{TransferredState, socket};
 use woadstall_inbound::listen;
 use woadstall_membership_net::Instances;
 use woadstall_runtime::{Balance, Setup};
@@ -126,8 +126,8 @@
         if let Some(folder) = &config.shared {
             let told = (balance.clone(), in_service.clone());
             let state = move || state(&told.0, &told.1.borrow().terms);
-            match socket::listen(&socket::path(folder, address)) {
-                Ok(listener) => drop(tokio::spawn(socket::tell(listener, state))),
+            match socket::bind(&socket::socket_path(folder, address)) {
+                Ok(listener) => drop(tokio::spawn(socket::serve_state(listener, state))),
                 Err(error) => log(format_args!("no successor can ask: {error}")),
             }
         }
@@ -244,7 +244,7 @@
     else {
         return;
     };
-    match socket::ask(&socket::path(folder, config.listen)).await {
+    match socket::fetch_state(&socket::socket_path(folder, config.listen)).await {
         Ok(None) => {}
         Ok(Some(state)) => {
             let class = |name: &str| config.names.class(name);
@@ -260,13 +260,13 @@
     }
 }
 
-fn state(balance: &Balance<Http1>, terms: &Terms) -> State {
+fn state(balance: &Balance<Http1>, terms: &Terms) -> TransferredState {
     let (learned, names) = balance.learned();
     let class = |at: usize| {
         let name = terms.names().classes.get(at)?.as_str();
         (terms.class(name) == Some(at)).then_some(name)
     };
-    State::new(&learned, class, |server| names.get(&server).cloned())
+    TransferredState::new(&learned, class, |server| names.get(&server).cloned())
 }
 
 /// Serves until a signal to stop, and then until all that was taken is answered. The error is one line.
