--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,19 +1,19 @@
-//! The balancers that share budgets with this one.
+//! The balancers that share budgets and quotas with this one.
 
-use crate::budget::WarmupQuota;
+use crate::warmup_quota::{QuotaGroup, WarmupQuota};
 use std::collections::BTreeMap;
 
-/// The balancers that share budgets.
+/// All balancers of the system, as this one knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// This balancer, as it stands in the lists.
+    /// The hash of this balancer's name.
     own: u32,
-    /// Balancers by region, by hashes of their names.
+    /// The hashes of the balancers' names, by region.
     pub by_region: BTreeMap<String, Vec<u32>>,
 }
 
 impl Fleet {
-    /// A fleet as this balancer sees it, without any yet.
+    /// A fleet without members, as seen by the balancer `own` (the hash of its name).
     pub fn new(own: u32) -> Self {
         Self {
             own,
@@ -21,37 +21,36 @@
         }
     }
 
-    /// All balancers, one at least.
+    /// The number of all balancers, at least 1.
     pub(crate) fn total(&self) -> usize {
         self.by_region.values().map(Vec::len).sum::<usize>().max(1)
     }
 
-    /// The balancers of a region.
-    pub(crate) fn of(&self, region: &str) -> usize {
-        self.by_region.get(region).map_or(0, Vec::len)
+    /// The number of balancers in a region, at least 1: those that send most of the requests to its upstreams.
+    pub(crate) fn balancers_in(&self, region: &str) -> usize {
+        self.by_region.get(region).map_or(0, Vec::len).max(1)
     }
 
-    /// This balancer's share of a cold upstream's bound.
-    pub(crate) fn cold_share(&self, bound: f64, upstream: &str, region: &str) -> WarmupQuota {
-        let local = self.by_region.get(region).map_or(&[][..], Vec::as_slice);
-        let is_local = local.contains(&self.own);
+    /// This balancer's quota for an upstream of `region` that is warming up and takes at most `bound` requests a second.
+    pub(crate) fn warmup_quota(&self, bound: f64, upstream: &str, region: &str) -> WarmupQuota {
         if !self
             .by_region
             .values()
             .any(|balancers| balancers.contains(&self.own))
         {
-            return WarmupQuota { per_second: 1 }; // nothing is known of the others yet
+            return WarmupQuota { per_second: 1 }; // the other balancers are not known yet
+        }
+        let local = self.by_region.get(region).map_or(&[][..], Vec::as_slice);
+        if local.contains(&self.own) {
+            let has_remote = self.total() > local.len();
+            let total = WarmupQuota::group_total(bound, QuotaGroup::Local, has_remote);
+            return WarmupQuota::of_balancer(total, upstream, self.own, local);
         }
-        let has_others = self.total() > local.len();
-        let total = WarmupQuota::group_total(bound, is_local, !local.is_empty(), has_others);
-        let sharers: Vec<u32> = if is_local {
-            local.to_vec()
-        } else {
-            let remote = self.by_region.iter().filter(|(other, _)| *other != region);
-            remote
-                .flat_map(|(_, balancers)| balancers.iter().copied())
-                .collect()
-        };
-        WarmupQuota::of_balancer(total, upstream, self.own, &sharers)
+        let other_regions = self.by_region.iter().filter(|(other, _)| *other != region);
+        let remote: Vec<u32> = other_regions
+            .flat_map(|(_, balancers)| balancers.iter().copied())
+            .collect();
+        let total = WarmupQuota::group_total(bound, QuotaGroup::Remote, !local.is_empty());
+        WarmupQuota::of_balancer(total, upstream, self.own, &remote)
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,33 +1,36 @@
-//! Which upstream a request goes to, or when it may come back.
+//! Upstream selection: which upstream takes a request, or when its client should retry.
 //!
-//! The design is Ribbon's: a balancer stays in its region unless the region's health says otherwise, round robin passes
-//! over tripped and over-full upstreams, breakers trip after a few consecutive failures. Requests that share a long
-//! beginning of their prompts go to the same upstream where it has room, since it keeps what it has read.
+//! [`Router`] holds all state of one balancer's routing: the registered upstreams with this balancer's own counts of
+//! them, circuit breakers, retry budgets, zone outages, and what the other balancers report. For each [`Query`] it
+//! returns a [`Decision`].
 //!
-//! No I/O, no clock: times are milliseconds of the caller's clock, randomness is seeded.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! The design follows Netflix's Ribbon: a balancer stays in its own region unless the region's health says otherwise,
+//! round robin skips upstreams with an open breaker or over their concurrency limit, and breakers open after a few
+//! consecutive failures. Requests whose prompts share a long prefix go to the same upstream while it has capacity, since
+//! its prefix cache holds the tokens already.
+//!
+//! The crate does no I/O and reads no clock. Every `now` is a time in milliseconds on the caller's monotonic clock;
+//! randomness comes from a generator that the caller seeds.
 
-mod breaker;
-mod budget;
-mod eligibility;
+mod circuit_breaker;
 mod fleet;
-mod fleet_loads;
-mod kept;
 mod locality;
-mod outage;
+mod placement_log;
+mod prefix_cache;
 mod query;
-mod regions;
+mod retry_budget;
 mod router;
-mod selection;
+mod skip_reason;
 mod upstream;
+mod warmup_quota;
+mod zone_outage;
 
-pub use breaker::CircuitBreaker;
-pub use budget::{RetryBudget, WarmupQuota};
-pub use eligibility::SkipReason;
+pub use circuit_breaker::CircuitBreaker;
 pub use fleet::Fleet;
 pub use locality::{Locality, RegionLoad};
 pub use query::{CandidateSummary, Decision, Query, Rejection, Target};
+pub use retry_budget::RetryBudget;
 pub use router::{Location, Router, RoutingLimits};
+pub use skip_reason::SkipReason;
 pub use upstream::{Outcome, Prompt, UpstreamId};
+pub use warmup_quota::{QuotaGroup, WarmupQuota};
--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -1,6 +1,6 @@
-//! What is asked of the router, and what it answers.
+//! The input of a routing decision and its result.
 
-use crate::eligibility::SkipReason;
+use crate::skip_reason::SkipReason;
 use crate::upstream::{Prompt, UpstreamId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,63 +8,63 @@
 use std::time::Duration;
 use woadstall_control::configuration::{Route, Service};
 
-/// A request that wants an upstream.
+/// A request that needs an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// Its route.
+    /// The request's route.
     pub route: &'a Route,
-    /// Its service.
+    /// The service that the request goes to.
     pub service: &'a Service,
-    /// Its prompt, where it goes to a model.
+    /// The request's prompt; empty where the service runs no model.
     pub prompt: Prompt,
-    /// Upstreams that it was sent to already.
+    /// Upstreams that were tried for this request already; none of them is chosen again.
     pub tried: &'a [UpstreamId],
 }
 
-/// An upstream to send to.
+/// The upstream that a request is forwarded to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The upstream.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Arc<str>,
     /// Whether it is in this balancer's region.
     pub is_local_region: bool,
-    /// Connections that this balancer may have to it.
+    /// The most connections that this balancer may have open to it.
     pub max_connections: usize,
-    /// The tokens that it is expected to read for this request.
+    /// Prompt tokens that it is expected to prefill for this request; tokens in its prefix cache are not counted.
     pub prefill_tokens: u64,
-    /// The tokens that it has to read for all requests of this balancer, this one included.
+    /// Prompt tokens that it has to prefill for all requests of this balancer, this one included.
     pub prefill_backlog: u64,
-    /// Requests of this balancer that it has, this one included.
+    /// Requests of this balancer that it has in flight, this one included.
     pub in_flight: u32,
 }
 
-/// A request that goes to no upstream now.
+/// A request that no upstream takes now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// When its client may come back.
+    /// When the client may retry, for `Retry-After`.
     pub retry_after: Duration,
-    /// Whether no upstream may be used at all, rather than all having their fill.
+    /// Whether no upstream is usable at all; otherwise all of them are at capacity.
     pub no_usable_upstream: bool,
 }
 
 /// What to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it. [`crate::Router::finish`] must follow.
+    /// Forward it. The caller must report the end of the attempt with [`crate::Router::finish`].
     Forward(Target),
-    /// Refuse it at once.
+    /// Reject it without an attempt.
     Reject(Rejection),
 }
 
-/// How the upstreams stand for a request, for those who want to know why it went where it did.
+/// The state of a request's candidate upstreams, to explain a decision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CandidateSummary {
-    /// Upstreams that it may go to.
+    /// The number of upstreams that the request may go to.
     pub candidates: usize,
-    /// How many of them it passes over for which reason.
+    /// How many of them are skipped, by reason.
     pub skipped: BTreeMap<SkipReason, usize>,
 }
--- /dev/null
+++ b/crates/routing/src/router/fleet_loads.rs
@@ -0,0 +1,124 @@
+//! Load reports between balancers that are near each other.
+//!
+//! Each balancer sees a small share of an upstream's requests; without reports, every balancer would find by itself that an
+//! upstream prefills a batch of long prompts, or that it is dead. Reports expire within a second and never outweigh what
+//! this balancer has observed itself since.
+
+use super::Router;
+use crate::placement_log::MAX_REPORTED;
+use crate::upstream::{Prompt, ReportedLoad, Upstream};
+use std::collections::HashMap;
+use woadstall_control::loads::{FleetLoad, FleetLoads, Placement, UpstreamLoad};
+
+/// The prefill backlog, in tokens, from which on an upstream is reported: a shorter one is prefilled within one step of an
+/// engine.
+const MIN_REPORTED_BACKLOG: u64 = 4_096;
+
+impl Router {
+    /// This balancer's load report: the upstreams with a long prefill backlog or that fail.
+    pub fn upstream_loads(&self, now: u64) -> Vec<UpstreamLoad> {
+        let is_reported = |load: &UpstreamLoad| load.unread > 0 || load.is_failing;
+        let loads = self
+            .upstreams
+            .values()
+            .map(|upstream| self.upstream_load(now, upstream));
+        loads.filter(is_reported).take(MAX_REPORTED).collect()
+    }
+
+    fn upstream_load(&self, now: u64, upstream: &Upstream) -> UpstreamLoad {
+        let is_long = upstream.prefill_backlog >= MIN_REPORTED_BACKLOG;
+        UpstreamLoad {
+            upstream: upstream.id_hash,
+            unread: if is_long {
+                saturating_u32(upstream.prefill_backlog)
+            } else {
+                0
+            },
+            is_failing: self.is_unresponsive(now, upstream) || upstream.breaker.is_open(now),
+        }
+    }
+
+    /// Updates the model of an upstream's prefix cache (of `capacity` tokens, where that is known) with a prompt that is
+    /// sent there, and records the placement of its shared prefix.
+    ///
+    /// Balancers report no prompts without a shared prefix; other balancers are assumed to send as many of them.
+    pub(super) fn record_prompt(
+        &mut self,
+        now: u64,
+        id: &str,
+        prompt: &Prompt,
+        capacity: Option<u64>,
+    ) {
+        let number = self.random.u32(..);
+        let Some(upstream) = self.upstreams.get_mut(id) else {
+            return;
+        };
+        if let Some(tokens) = capacity {
+            upstream.prefix_cache.set_capacity(tokens);
+        }
+        let unshared_tokens = prompt.total_tokens.saturating_sub(prompt.prefix_tokens);
+        let Some(prefix_hash) = prompt.prefix_hash else {
+            let balancers = self.fleet.balancers_in(&upstream.region) as u64;
+            upstream
+                .prefix_cache
+                .insert_unshared(unshared_tokens * balancers);
+            return;
+        };
+        upstream
+            .prefix_cache
+            .insert_prefix(prefix_hash, prompt.prefix_tokens);
+        upstream.prefix_cache.insert_unshared(unshared_tokens);
+        let placement = Placement {
+            number,
+            upstream: upstream.id_hash,
+            beginning: prefix_hash,
+            tokens: saturating_u32(prompt.prefix_tokens),
+            own_tokens: saturating_u32(unshared_tokens),
+        };
+        self.placements.record_own(now, placement);
+    }
+
+    /// The placements of shared prefixes that this balancer made a moment ago, for its load report; newest first.
+    pub fn recent_placements(&mut self, now: u64) -> Vec<Placement> {
+        self.placements.recent(now)
+    }
+
+    /// Applies a report of the near balancers: it replaces the former loads of all upstreams and adds placements.
+    pub fn set_fleet_loads(&mut self, now: u64, loads: &FleetLoads) {
+        self.placements.record_report(now);
+        let load_of: HashMap<u32, FleetLoad> = loads
+            .upstreams
+            .iter()
+            .map(|load| (load.upstream, *load))
+            .collect();
+        let mut placements_at: HashMap<u32, Vec<&Placement>> = HashMap::new();
+        for placement in &loads.placements {
+            if self.placements.insert(placement.number) {
+                placements_at
+                    .entry(placement.upstream)
+                    .or_default()
+                    .push(placement);
+            }
+        }
+        for upstream in self.upstreams.values_mut() {
+            let load = load_of.get(&upstream.id_hash);
+            upstream.reported_load = load.map(|load| ReportedLoad {
+                at: now,
+                load: *load,
+            });
+            for placement in placements_at.get(&upstream.id_hash).into_iter().flatten() {
+                let (prefix_tokens, unshared_tokens) = (placement.tokens, placement.own_tokens);
+                upstream
+                    .prefix_cache
+                    .insert_prefix(placement.beginning, u64::from(prefix_tokens));
+                upstream
+                    .prefix_cache
+                    .insert_unshared(u64::from(unshared_tokens));
+            }
+        }
+    }
+}
+
+fn saturating_u32(tokens: u64) -> u32 {
+    u32::try_from(tokens).unwrap_or(u32::MAX)
+}
--- a/crates/routing/tests/budgets.rs
+++ b/crates/routing/tests/budgets.rs
@@ -1,12 +1,12 @@
-//! Budgets that all balancers share.
+//! Retry budgets and warm-up quotas: the shares of all balancers together stay within the bound.
 
 use proptest::prelude::*;
 use std::collections::VecDeque;
-use woadstall_routing::{RetryBudget, WarmupQuota};
+use woadstall_routing::{QuotaGroup, RetryBudget, WarmupQuota};
 
 proptest! {
     #[test]
-    fn cold_shares_add_up_to_what_is_given(
+    fn quotas_of_a_group_add_up_to_its_total_and_stay_within_the_bound(
         local in prop::collection::btree_set(any::<u32>(), 1..120),
         remote in prop::collection::btree_set(any::<u32>(), 0..120),
         bound in 1.0_f64..200.0,
@@ -14,26 +14,28 @@
     ) {
         let local: Vec<u32> = local.into_iter().collect();
         let remote: Vec<u32> = remote.into_iter().filter(|balancer| !local.contains(balancer)).collect();
-        let sum = |is_local: bool, sharers: &[u32]| -> usize {
-            let total = WarmupQuota::group_total(bound, is_local, true, !remote.is_empty());
-            let shares: usize =
-                sharers.iter().map(|own| WarmupQuota::of_balancer(total, &upstream, *own, sharers).per_second).sum();
-            prop_assert_eq_or_panic(shares, if sharers.is_empty() { 0 } else { total });
-            shares
+        let sum_of_quotas = |group: QuotaGroup, members: &[u32]| -> usize {
+            let has_other_group = group == QuotaGroup::Remote || !remote.is_empty();
+            let total = WarmupQuota::group_total(bound, group, has_other_group);
+            let quota = |own: &u32| WarmupQuota::of_balancer(total, &upstream, *own, members);
+            let quotas: usize = members.iter().map(|own| quota(own).per_second).sum();
+            prop_assert_eq_or_panic(quotas, if members.is_empty() { 0 } else { total });
+            quotas
         };
-        prop_assert!((sum(true, &local) + sum(false, &remote)) as f64 <= bound);
+        let (local, remote) = (sum_of_quotas(QuotaGroup::Local, &local), sum_of_quotas(QuotaGroup::Remote, &remote));
+        prop_assert!((local + remote) as f64 <= bound);
     }
 
     #[test]
-    fn a_share_holds_for_any_second(
+    fn a_quota_bounds_the_requests_of_any_second(
         pauses in prop::collection::vec(0..700_u64, 1..200),
         per_second in 0..12_usize,
     ) {
-        let share = WarmupQuota { per_second };
+        let quota = WarmupQuota { per_second };
         let (mut now, mut sends) = (10_000, VecDeque::new());
         for pause in pauses {
             now += pause;
-            if share.allows(now, &sends) {
+            if quota.allows(now, &sends) {
                 sends.push_back(now);
             }
         }
@@ -44,37 +46,37 @@
     }
 
     #[test]
-    fn repeats_of_all_balancers_stay_within_the_budget_of_any_window(
-        courses in prop::collection::vec(prop::collection::vec((0..400_u64, any::<bool>()), 1..250), 1..6),
+    fn retries_of_all_balancers_stay_within_the_budget_of_any_window(
+        histories in prop::collection::vec(prop::collection::vec((0..400_u64, any::<bool>()), 1..250), 1..6),
     ) {
         const RATIO: f64 = 0.2;
         const WINDOW: u64 = 10_000;
         const SLACK: f64 = 56.0;
-        let balancers = courses.len();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
-        for course in courses {
+        let balancers = histories.len();
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
+        for history in histories {
             let (mut budget, mut now) = (RetryBudget::new(RATIO, WINDOW), 0);
-            for (pause, fails) in course {
+            for (pause, fails) in history {
                 now += pause;
                 budget.deposit(now);
                 requests.push(now);
                 if fails && budget.try_withdraw(now, SLACK, balancers) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let begin = end.saturating_sub(WINDOW);
             let count = |times: &[u64], from: u64, to: u64| times.iter().filter(|at| (from..=to).contains(at)).count();
-            let owed = count(&requests, begin, *end).max(count(&requests, begin.saturating_sub(WINDOW), begin));
-            let most = RATIO * owed as f64 + SLACK;
-            prop_assert!(count(&repeats, begin, *end) as f64 <= most);
+            let earning = count(&requests, begin, *end).max(count(&requests, begin.saturating_sub(WINDOW), begin));
+            let most = RATIO * earning as f64 + SLACK;
+            prop_assert!(count(&retries, begin, *end) as f64 <= most);
         }
     }
 }
 
 fn prop_assert_eq_or_panic(left: usize, right: usize) {
-    assert_eq!(left, right, "the shares do not add up");
+    assert_eq!(left, right, "the quotas do not add up");
 }
 
 #[test]
