--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -1,4 +1,4 @@
-//! What balancers near each other tell of upstreams, and how much of it is believed.
+//! Load reports between balancers, and how far they are trusted.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{Outcome, Prompt, Router};
 
-fn told(id: &str, unread: u32, failing: u16) -> FleetLoad {
+fn reported(id: &str, unread: u32, failing: u16) -> FleetLoad {
     FleetLoad {
         upstream: short_hash(id),
         unread,
@@ -16,7 +16,7 @@
     }
 }
 
-fn tell(router: &mut Router, now: u64, upstreams: &[FleetLoad]) {
+fn report(router: &mut Router, now: u64, upstreams: &[FleetLoad]) {
     router.set_fleet_loads(
         now,
         &FleetLoads {
@@ -39,65 +39,72 @@
 #[case::nobody(0, true)]
 #[case::one_balancer(1, true)]
 #[case::two_balancers(2, false)]
-fn an_upstream_that_fails_with_others_is_passed_over(#[case] failing: u16, #[case] is_used: bool) {
+fn an_upstream_that_others_report_as_failing_is_skipped(
+    #[case] failing: u16,
+    #[case] is_used: bool,
+) {
     let mut router = router_with(&[("n", 3)]);
-    tell(&mut router, 1_000, &[told("n0", 0, failing)]);
+    report(&mut router, 1_000, &[reported("n0", 0, failing)]);
     assert_eq!(sends_to(&mut router, 1_000, "n0"), is_used);
 }
 
 #[rstest]
-#[case::heard_just_before(500, true)]
-#[case::heard_long_before(300, false)]
-fn what_was_seen_here_is_stronger_than_what_is_told(#[case] heard: u64, #[case] is_used: bool) {
+#[case::activity_just_before(500, true)]
+#[case::activity_long_before(300, false)]
+fn own_observations_outweigh_reports(#[case] heard: u64, #[case] is_used: bool) {
     let mut router = router_with(&[("n", 3)]);
     router.record_activity(heard, "n0", 0);
-    tell(&mut router, 1_000, &[told("n0", 0, 9)]);
+    report(&mut router, 1_000, &[reported("n0", 0, 9)]);
     assert_eq!(sends_to(&mut router, 1_000, "n0"), is_used);
-    // What comes afterwards, too.
+    // Activity after the report outweighs it, too.
     router.record_response(1_010, "n0");
     assert!(sends_to(&mut router, 1_010, "n0"));
 }
 
 #[test]
-fn what_was_told_ages_and_is_replaced() {
+fn reports_expire_and_are_replaced() {
     let mut router = router_with(&[("n", 3)]);
-    tell(&mut router, 1_000, &[told("n0", 0, 5)]);
+    report(&mut router, 1_000, &[reported("n0", 0, 5)]);
     assert!(!sends_to(&mut router, 1_700, "n0"));
     assert!(
         sends_to(&mut router, 1_701, "n0"),
-        "told for the last time 0.7 s ago"
+        "reported for the last time 0.7 s ago"
     );
-    tell(&mut router, 2_000, &[told("n0", 0, 5)]);
-    tell(&mut router, 2_100, &[]);
+    report(&mut router, 2_000, &[reported("n0", 0, 5)]);
+    report(&mut router, 2_100, &[]);
     assert!(sends_to(&mut router, 2_100, "n0"));
 }
 
 #[test]
-fn where_all_are_said_to_fail_they_are_tried_all_the_same() {
+fn upstreams_are_used_where_all_are_reported_as_failing() {
     let mut router = router_with(&[("n", 2)]);
-    tell(&mut router, 1_000, &[told("n0", 0, 5), told("n1", 0, 5)]);
+    report(
+        &mut router,
+        1_000,
+        &[reported("n0", 0, 5), reported("n1", 0, 5)],
+    );
     assert!(sends_to(&mut router, 1_000, "n0"));
 }
 
 #[test]
-fn short_requests_avoid_who_reads_for_other_balancers() {
+fn short_requests_avoid_an_upstream_that_prefills_for_other_balancers() {
     let mut router = router_with(&[("n", 3)]);
-    tell(&mut router, 0, &[told("n0", 20_000, 0)]);
+    report(&mut router, 0, &[reported("n0", 20_000, 0)]);
     assert!(!sends_to(&mut router, 0, "n0"));
-    tell(
+    report(
         &mut router,
         0,
         &[
-            told("n0", 20_000, 0),
-            told("n1", 20_000, 0),
-            told("n2", 20_000, 0),
+            reported("n0", 20_000, 0),
+            reported("n1", 20_000, 0),
+            reported("n2", 20_000, 0),
         ],
     );
     assert!(sends_to(&mut router, 0, "n0"), "a preference, and no bar");
 }
 
 #[test]
-fn a_balancer_tells_of_long_reading_and_of_failures() {
+fn long_prefill_backlogs_and_failures_are_reported() {
     let mut router = router_with(&[("n", 2)]);
     assert_eq!(router.upstream_loads(0), []);
     let mut long = request();
@@ -106,9 +113,9 @@
         prefix_tokens: 0,
         total_tokens: 20_000,
     };
-    let reader = long.target(&mut router, 0);
+    let prefilling = long.target(&mut router, 0);
     let load = UpstreamLoad {
-        upstream: short_hash(&reader.id),
+        upstream: short_hash(&prefilling.id),
         unread: 20_000,
         is_failing: false,
     };
@@ -119,12 +126,12 @@
             is_failing: true,
             ..load
         }],
-        "silent for long"
+        "unresponsive"
     );
-    router.record_activity(700, &reader.id, 20_000);
+    router.record_activity(700, &prefilling.id, 20_000);
     assert_eq!(router.upstream_loads(700), []);
-    router.finish(700, &reader.id, Outcome::Answered, 0);
-    (0..3).for_each(|_| router.finish(700, &reader.id, Outcome::ConnectionError, 0));
+    router.finish(700, &prefilling.id, Outcome::Answered, 0);
+    (0..3).for_each(|_| router.finish(700, &prefilling.id, Outcome::ConnectionError, 0));
     assert_eq!(
         router.upstream_loads(710),
         [UpstreamLoad {
@@ -136,49 +143,49 @@
     );
 }
 
-/// The upstream that is ranked first for a prompt keeps its beginning or is to keep it: it is waited for in proportion.
+/// The upstream that is ranked first for a prefix has it cached or will have it: a request waits for it in proportion.
 #[rstest]
 #[case::a_short_queue(20_000, true)]
 #[case::a_long_queue(31_000, false)]
-fn a_prompt_waits_for_its_holder_as_long_as_reading_it_elsewhere_would_cost(
+fn a_prompt_waits_for_its_cache_owner_as_long_as_prefill_elsewhere_would_take(
     #[case] unread: u32,
     #[case] waits: bool,
 ) {
     let mut router = router_with(&[("n", 4)]);
-    let mut quote = request();
-    quote.prompt = Prompt {
+    let mut request = request();
+    request.prompt = Prompt {
         prefix_hash: Some(5),
         prefix_tokens: 10_000,
         total_tokens: 12_000,
     };
-    let first = quote.target(&mut router, 0);
+    let first = request.target(&mut router, 0);
     router.finish(0, &first.id, Outcome::Cancelled, first.prefill_tokens);
-    tell(&mut router, 10, &[told(&first.id, unread, 0)]);
-    let again = quote.target(&mut router, 10);
+    report(&mut router, 10, &[reported(&first.id, unread, 0)]);
+    let again = request.target(&mut router, 10);
     assert_eq!(again.id == first.id, waits);
-    // Where all have much to read, the one with the least takes it.
+    // Where all backlogs are long, the upstream with the shortest one takes it.
     let all: Vec<FleetLoad> = (0..4)
-        .map(|number| told(&format!("n{number}"), 90_000 - 1_000 * number, 0))
+        .map(|number| reported(&format!("n{number}"), 90_000 - 1_000 * number, 0))
         .collect();
-    tell(&mut router, 20, &all);
-    assert_eq!(&*quote.target(&mut router, 20).id, "n3");
+    report(&mut router, 20, &all);
+    assert_eq!(&*request.target(&mut router, 20).id, "n3");
 }
 
-fn quote(beginning: u32) -> support::Request {
-    let mut quote = request();
-    quote.prompt = Prompt {
-        prefix_hash: Some(beginning),
+fn prompt_with_prefix(prefix_hash: u32) -> support::Request {
+    let mut request = request();
+    request.prompt = Prompt {
+        prefix_hash: Some(prefix_hash),
         prefix_tokens: 10_000,
         total_tokens: 12_000,
     };
-    quote
+    request
 }
 
 #[test]
-fn a_prompt_goes_where_another_balancer_has_placed_its_beginning() {
+fn a_prompt_goes_where_another_balancer_has_placed_its_prefix() {
     let mut router = router_with(&[("n", 4)]);
-    let quote = quote(5);
-    let first = quote.target(&mut router, 0).id;
+    let request = prompt_with_prefix(5);
+    let first = request.target(&mut router, 0).id;
     let other = ["n0", "n1", "n2", "n3"]
         .into_iter()
         .find(|id| **id != *first)
@@ -199,19 +206,19 @@
             placements,
         },
     );
-    assert_eq!(&*quote.target(&mut informed, 10).id, other);
+    assert_eq!(&*request.target(&mut informed, 10).id, other);
 }
 
 #[test]
-fn a_placement_is_told_for_a_moment() {
+fn a_placement_is_reported_for_a_moment() {
     let mut router = router_with(&[("n", 1)]);
-    let quote = quote(5);
-    quote.target(&mut router, 0);
-    let told = router.recent_placements(400);
-    let number = told[0].number;
+    let request = prompt_with_prefix(5);
+    request.target(&mut router, 0);
+    let recent = router.recent_placements(400);
+    let number = recent[0].number;
     let upstream = short_hash("n0");
     assert_eq!(
-        told,
+        recent,
         [Placement {
             number,
             upstream,
@@ -223,31 +230,31 @@
     assert_eq!(router.recent_placements(401), []);
 }
 
-/// Whoever has been told of placements for long, without a pause, knows that a beginning has not been placed.
+/// A balancer that has received placements for long, without a gap, knows that a prefix has not been placed.
 #[rstest]
-#[case::told_for_long(12_000, 2_000, true)]
-#[case::told_for_a_short_time(8_000, 2_000, false)]
-#[case::told_with_pauses(15_000, 5_000, false)]
-fn a_beginning_that_nobody_keeps_goes_where_least_is_read(
+#[case::reported_for_long(12_000, 2_000, true)]
+#[case::reported_for_a_short_time(8_000, 2_000, false)]
+#[case::reported_with_gaps(15_000, 5_000, false)]
+fn a_prefix_that_is_cached_nowhere_goes_to_the_shortest_backlog(
     #[case] until: u64,
     #[case] period: usize,
     #[case] is_known: bool,
 ) {
     let mut router = router_with(&[("n", 4)]);
-    let quote = quote(5);
-    let first = quote.target(&mut router_with(&[("n", 4)]), 0).id;
+    let request = prompt_with_prefix(5);
+    let first = request.target(&mut router_with(&[("n", 4)]), 0).id;
     for now in (0..=until).step_by(period) {
-        tell(&mut router, now, &[told(&first, 5_000, 0)]);
+        report(&mut router, now, &[reported(&first, 5_000, 0)]);
     }
-    let chosen = quote.target(&mut router, until).id;
+    let chosen = request.target(&mut router, until).id;
     assert_eq!(chosen != first, is_known);
 }
 
 #[test]
-fn placements_that_nobody_asks_for_are_bounded() {
+fn unreported_placements_are_bounded() {
     let mut router = router_with(&[("n", 1)]);
-    for beginning in 0..1_000 {
-        let target = quote(beginning).target(&mut router, 0);
+    for prefix_hash in 0..1_000 {
+        let target = prompt_with_prefix(prefix_hash).target(&mut router, 0);
         router.finish(0, &target.id, Outcome::Answered, target.prefill_tokens);
     }
     assert_eq!(
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Every decision of a long seeded course, as one digest: what renames and splits must not change.
+//! Every decision of a long seeded run, as one digest: refactorings must not change it.
 //!
 //! The digest is over numbers and upstream ids alone, so that it does not depend on the names of types or variants.
 
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use support::{OWN, bounds, registration};
+use support::{OWN, limits, registration};
 use woadstall_control::configuration::Configuration;
 use woadstall_control::loads::{FleetLoad, FleetLoads, Placement};
 use woadstall_control::registry::{Registration, Status};
@@ -105,7 +105,7 @@
     Configuration::read(&document).unwrap()
 }
 
-struct Course {
+struct Run {
     router: Router,
     configuration: Configuration,
     draws: Draws,
@@ -114,22 +114,22 @@
     sequence: u64,
     placement: u32,
     in_flight: Vec<Target>,
-    /// What came up: the course has to reach every kind of decision and every obstacle.
+    /// What came up: the run has to reach every kind of decision and every reason to skip an upstream.
     sent: u64,
-    refused: u64,
-    obstacles: BTreeSet<u64>,
+    rejected: u64,
+    skip_reasons: BTreeSet<u64>,
 }
 
-impl Course {
+impl Run {
     fn new() -> Self {
-        let place = Location {
+        let location = Location {
             region: "north".to_owned(),
             region_by_zone: ZONES
                 .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
                 .into(),
         };
-        let mut course = Self {
-            router: Router::new(place, bounds(), 4_711),
+        let mut run = Self {
+            router: Router::new(location, limits(), 4_711),
             configuration: configuration(),
             draws: Draws(20_260_101),
             digest: Digest(0xcbf2_9ce4_8422_2325),
@@ -138,14 +138,14 @@
             placement: 0,
             in_flight: Vec::new(),
             sent: 0,
-            refused: 0,
-            obstacles: BTreeSet::new(),
+            rejected: 0,
+            skip_reasons: BTreeSet::new(),
         };
-        let registrations = course.all_registrations();
+        let registrations = run.all_registrations();
         registrations
             .iter()
-            .for_each(|registration| course.router.register(0, registration));
-        course
+            .for_each(|registration| run.router.register(0, registration));
+        run
     }
 
     fn all_registrations(&self) -> Vec<Registration> {
@@ -202,11 +202,11 @@
                 prompt,
                 tried: &tried,
             };
-            let standing = self.router.summarize_candidates(self.now, &query);
-            self.digest.number(standing.candidates as u64);
-            for (obstacle, count) in &standing.skipped {
-                self.obstacles.insert(*obstacle as u64);
-                self.digest.number(*obstacle as u64);
+            let summary = self.router.summarize_candidates(self.now, &query);
+            self.digest.number(summary.candidates as u64);
+            for (reason, count) in &summary.skipped {
+                self.skip_reasons.insert(*reason as u64);
+                self.digest.number(*reason as u64);
                 self.digest.number(*count as u64);
             }
             match self.router.choose(self.now, &query) {
@@ -224,16 +224,16 @@
                     self.in_flight.push(target);
                 }
                 Decision::Reject(refusal) => {
-                    self.refused += 1;
+                    self.rejected += 1;
                     self.digest.number(refusal.retry_after.as_millis() as u64);
                     self.digest.number(u64::from(refusal.no_usable_upstream));
                     return;
                 }
             }
-            let repeats =
+            let is_retried =
                 self.draws.one_in(6) && self.router.try_withdraw_retry(self.now, &service.name);
-            self.digest.number(u64::from(repeats));
-            if !repeats {
+            self.digest.number(u64::from(is_retried));
+            if !is_retried {
                 return;
             }
         }
@@ -318,8 +318,8 @@
             .filter(|_| self.draws.one_in(6))
             .map(|(zone, _)| (*zone).to_owned())
             .collect();
-        let cold = |service: &str| Duration::from_secs(if service == "model" { 3 } else { 0 });
-        self.router.set_evacuated_zones(self.now, &zones, cold);
+        let warmup = |service: &str| Duration::from_secs(if service == "model" { 3 } else { 0 });
+        self.router.set_evacuated_zones(self.now, &zones, warmup);
     }
 
     fn change_fleet(&mut self) {
@@ -347,12 +347,12 @@
             });
             self.placement += 1;
             let number = self.placement - self.draws.below(2) as u32;
-            let beginning = self.draws.below(12) as u32;
-            let tokens = 4_000 + 1_000 * beginning;
+            let prefix_hash = self.draws.below(12) as u32;
+            let tokens = 4_000 + 1_000 * prefix_hash;
             loads.placements.push(Placement {
                 number,
                 upstream,
-                beginning,
+                beginning: prefix_hash,
                 tokens,
                 own_tokens: 500,
             });
@@ -400,17 +400,17 @@
 }
 
 #[test]
-fn a_long_seeded_course_takes_the_same_decisions() {
-    let mut course = Course::new();
+fn a_seeded_run_takes_the_golden_decisions() {
+    let mut run = Run::new();
     for _ in 0..STEPS {
-        course.step();
+        run.step();
     }
     assert!(
-        course.sent > 1_000 && course.refused > 100,
-        "{} sent, {} refused",
-        course.sent,
-        course.refused
+        run.sent > 1_000 && run.rejected > 100,
+        "{} sent, {} rejected",
+        run.sent,
+        run.rejected
     );
-    assert_eq!(course.obstacles, (0..7).collect());
-    assert_eq!(format!("{:016x}", course.digest.0), "f6819980a098b23d");
+    assert_eq!(run.skip_reasons, (0..7).collect());
+    assert_eq!(format!("{:016x}", run.digest.0), "f6819980a098b23d");
 }
--- a/crates/routing/tests/locality.rs
+++ b/crates/routing/tests/locality.rs
@@ -18,11 +18,11 @@
 
 #[rstest]
 #[case::healthy(region("a", 4, 4, 0.5), Locality::Home)]
-#[case::some_tripped(region("a", 4, 2, 0.5), Locality::Home)]
+#[case::some_unhealthy(region("a", 4, 2, 0.5), Locality::Home)]
 #[case::blackout(region("a", 4, 1, 0.5), Locality::OneOf(names(&["b", "c"])))]
 #[case::none_healthy(region("a", 4, 0, 0.0), Locality::OneOf(names(&["b", "c"])))]
 #[case::overloaded(region("a", 4, 4, 1.2), Locality::OneOf(names(&["b", "c"])))]
-fn the_home_region_is_left_on_its_health_alone(
+fn the_home_region_is_avoided_for_its_health_alone(
     #[case] home: RegionLoad,
     #[case] expected: Locality,
 ) {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_worst_of_the_overloaded_is_dropped() {
+fn the_most_overloaded_region_is_dropped() {
     let regions = [
         region("a", 4, 4, 1.5),
         region("b", 3, 3, 2.0),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn where_nothing_is_left_all_may_be_tried() {
+fn all_regions_are_allowed_where_none_is_available() {
     let regions = [region("a", 4, 0, 0.0), region("b", 3, 0, 0.0)];
     assert_eq!(
         Locality::decide("a", &regions),
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_ordinary_path_stays_in_the_region_and_goes_round() {
+fn requests_stay_in_the_region_by_round_robin() {
     let mut router = router_with(&[("n", 3), ("s", 3), ("w", 3)]);
     let request = request();
     let mut ids: Vec<String> = Vec::new();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_route_with_homes_never_goes_beyond_them() {
+fn a_route_stays_within_its_allowed_regions() {
     let mut router = router_with(&[("n", 2), ("s", 2), ("w", 2)]);
     let mut request = request();
     request.route.allowed_regions = vec!["south".to_owned(), "west".to_owned()];
@@ -57,7 +57,7 @@
 #[rstest]
 #[case::draining(Status::Draining)]
 #[case::gone(Status::Gone)]
-fn what_leaves_gets_nothing_new(#[case] status: Status) {
+fn a_draining_or_gone_upstream_gets_no_request(#[case] status: Status) {
     let mut router = router_with(&[("n", 2)]);
     router.register(
         0,
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn where_all_have_fallen_silent_they_are_tried_all_the_same() {
+fn unresponsive_upstreams_are_used_where_there_are_no_others() {
     let mut router = router_with(&[("n", 1), ("s", 1)]);
     for id in ["n0", "s0"] {
         router.register(
@@ -91,25 +91,25 @@
 }
 
 #[test]
-fn an_evacuated_zone_gets_nothing_and_returns_cold() {
+fn an_evacuated_zone_gets_no_request_and_warms_up_when_it_returns() {
     let mut router = router_with(&[("n", 1), ("s", 1)]);
-    let cold = |_: &str| Duration::from_secs(3);
-    router.set_evacuated_zones(0, &["n".to_owned()].into(), cold);
+    let warmup = |_: &str| Duration::from_secs(3);
+    router.set_evacuated_zones(0, &["n".to_owned()].into(), warmup);
     assert_eq!(&*request().target(&mut router, 0).id, "s0");
-    router.set_evacuated_zones(10_000, &BTreeSet::new(), cold);
-    // A cold upstream gets this balancer's share of a second, and no more.
+    router.set_evacuated_zones(10_000, &BTreeSet::new(), warmup);
+    // An upstream that is warming up gets this balancer's quota of requests in a second, and no more.
     let request = request();
     let near = (0..40)
         .filter(|_| request.target(&mut router, 10_000).id.starts_with('n'))
         .count();
-    // 21 a second by half more and five, of which 0.85 is given out and 0.75 of that to the region's three balancers.
-    let share = WarmupQuota::of_balancer(23, "n0", OWN, &[OWN, 2, 3]).per_second;
-    assert!(share == 7 || share == 8);
-    assert_eq!(near, share);
+    // The bound is 21 * 1.5 + 5; 0.85 of it is allocated, and 0.75 of that to the region's three balancers.
+    let quota = WarmupQuota::of_balancer(23, "n0", OWN, &[OWN, 2, 3]).per_second;
+    assert!(quota == 7 || quota == 8);
+    assert_eq!(near, quota);
 }
 
 #[test]
-fn failures_open_the_breaker_and_a_trial_closes_it() {
+fn failures_open_the_breaker_and_a_successful_trial_closes_it() {
     let mut router = router_with(&[("n", 2)]);
     for _ in 0..3 {
         router.finish(0, "n0", Outcome::ConnectionError, 0);
@@ -121,13 +121,13 @@
     let trials = (0..6)
         .filter(|_| &*request.target(&mut router, later).id == "n0")
         .count();
-    assert_eq!(trials, 1, "one request tries");
+    assert_eq!(trials, 1, "one trial request");
     router.record_response(later + 50, "n0");
     assert!((0..6).any(|_| &*request.target(&mut router, later + 60).id == "n0"));
 }
 
 #[test]
-fn refusals_as_full_are_no_failures() {
+fn rejections_for_lack_of_capacity_open_no_breaker() {
     let mut router = router_with(&[("n", 1)]);
     for _ in 0..20 {
         router.finish(0, "n0", Outcome::Rejected, 0);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_region_whose_upstreams_have_all_tripped_is_left_and_returned_to() {
+fn a_region_is_avoided_while_all_its_breakers_are_open() {
     let mut router = router_with(&[("n", 2), ("s", 2)]);
     for id in ["n0", "n1"] {
         (0..3).for_each(|_| router.finish(0, id, Outcome::ConnectionError, 0));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_silent_upstream_is_passed_over_while_requests_wait_there() {
+fn an_unresponsive_upstream_is_skipped_while_requests_are_pending_there() {
     let mut router = router_with(&[("n", 2)]);
     let request = request();
     let first = request.target(&mut router, 0);
@@ -166,20 +166,22 @@
 }
 
 #[test]
-fn a_zone_whose_upstreams_fail_together_is_left_before_each_is_tried() {
+fn a_zone_outage_is_detected_before_each_upstream_is_tried() {
     let mut router = router_with(&[("n", 8), ("s", 2)]);
     router.record_activity(0, "n0", 0);
     for id in ["n1", "n2"] {
         router.finish(600, id, Outcome::ConnectFailed, 0);
     }
-    let near = zones_of_unanswered(&mut router, 700, 10).get("n").copied();
-    assert_eq!(near, Some(1), "one request tries");
+    let near = zones_without_responses(&mut router, 700, 10)
+        .get("n")
+        .copied();
+    assert_eq!(near, Some(1), "one trial request");
     router.record_activity(750, "n5", 0);
-    assert!(zones_of_unanswered(&mut router, 760, 10).contains_key("n"));
+    assert!(zones_without_responses(&mut router, 760, 10).contains_key("n"));
 }
 
 #[test]
-fn where_all_zones_seem_lost_requests_are_refused_at_once_but_for_trials() {
+fn requests_are_rejected_at_once_but_for_trials_while_all_zones_are_down() {
     let mut router = router_with(&[("n", 4), ("s", 4)]);
     for id in ["n1", "n2", "s1", "s2"] {
         router.finish(600, id, Outcome::ConnectFailed, 0);
@@ -192,16 +194,16 @@
 }
 
 #[test]
-fn one_upstream_that_fails_does_not_give_up_its_zone() {
+fn one_failing_upstream_is_no_zone_outage() {
     let mut router = router_with(&[("n", 3), ("s", 2)]);
     router.finish(600, "n1", Outcome::ConnectFailed, 0);
     assert_eq!(
-        zones_of_unanswered(&mut router, 700, 6),
+        zones_without_responses(&mut router, 700, 6),
         [("n".to_owned(), 6)].into()
     );
 }
 
-fn zones_of_unanswered(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
+fn zones_without_responses(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
     let request = request();
     let mut zones = BTreeMap::new();
     for _ in 0..count {
@@ -212,10 +214,10 @@
 }
 
 #[test]
-fn a_shared_prompt_goes_where_it_was_and_few_move_when_one_leaves() {
+fn a_shared_prefix_keeps_its_upstream_and_moves_only_when_that_drains() {
     let mut router = router_with(&[("n", 6)]);
     let mut request = request();
-    let place = |router: &mut Router, request: &mut support::Request, shared: u32| {
+    let send = |router: &mut Router, request: &mut support::Request, shared: u32| {
         request.prompt = Prompt {
             prefix_hash: Some(shared),
             prefix_tokens: 13_000,
@@ -226,10 +228,10 @@
         target.id.to_string()
     };
     let before: Vec<String> = (0..60)
-        .map(|shared| place(&mut router, &mut request, shared))
+        .map(|shared| send(&mut router, &mut request, shared))
         .collect();
     let again: Vec<String> = (0..60)
-        .map(|shared| place(&mut router, &mut request, shared))
+        .map(|shared| send(&mut router, &mut request, shared))
         .collect();
     assert_eq!(before, again);
     assert_eq!(
@@ -246,7 +248,7 @@
         },
     );
     for (shared, old) in before.iter().enumerate() {
-        let new = place(&mut router, &mut request, shared as u32);
+        let new = send(&mut router, &mut request, shared as u32);
         assert!(
             old == "n3" || new == *old,
             "a prompt moved though its upstream stayed"
@@ -255,7 +257,7 @@
 }
 
 #[test]
-fn a_kept_prompt_counts_only_for_what_is_new() {
+fn a_cached_prefix_is_not_counted_as_prefill() {
     let mut router = router_with(&[("n", 1)]);
     let mut request = request();
     request.prompt = Prompt {
@@ -268,7 +270,7 @@
 }
 
 #[test]
-fn short_requests_avoid_who_reads_a_long_prompt() {
+fn short_requests_avoid_an_upstream_that_prefills_a_long_prompt() {
     let mut router = router_with(&[("n", 2)]);
     let mut long = request();
     long.prompt = Prompt {
@@ -276,15 +278,15 @@
         prefix_tokens: 0,
         total_tokens: 20_000,
     };
-    let reader = long.target(&mut router, 0);
+    let prefilling = long.target(&mut router, 0);
     let short = request();
-    assert!((0..6).all(|_| short.target(&mut router, 10).id != reader.id));
-    router.record_activity(20, &reader.id, reader.prefill_tokens);
-    assert!((0..6).any(|_| short.target(&mut router, 30).id == reader.id));
+    assert!((0..6).all(|_| short.target(&mut router, 10).id != prefilling.id));
+    router.record_activity(20, &prefilling.id, prefilling.prefill_tokens);
+    assert!((0..6).any(|_| short.target(&mut router, 30).id == prefilling.id));
 }
 
 #[test]
-fn a_request_is_never_sent_twice_to_one_upstream() {
+fn a_request_never_goes_to_one_upstream_twice() {
     let mut router = router_with(&[("n", 1), ("s", 1)]);
     let mut request = request();
     let first = request.target(&mut router, 0);
@@ -299,17 +301,17 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn a_rejection_says_when_to_retry() {
     let mut router = router_with(&[]);
-    let Decision::Reject(refusal) = request().choose(&mut router, 0) else {
-        panic!("nobody is there")
+    let Decision::Reject(rejection) = request().choose(&mut router, 0) else {
+        panic!("there is no upstream")
     };
-    assert!(refusal.retry_after >= Duration::from_millis(200));
-    assert!(refusal.no_usable_upstream);
+    assert!(rejection.retry_after >= Duration::from_millis(200));
+    assert!(rejection.no_usable_upstream);
 }
 
 #[test]
-fn a_new_snapshot_forgets_nobody_at_once() {
+fn a_snapshot_removes_no_upstream_at_once() {
     let mut router = router_with(&[("n", 2)]);
     router.apply_snapshot(0, &[registration("n0", "n")]);
     router.sweep(9_000);
@@ -326,7 +328,7 @@
 fn consecutive_failures_of_any_kind_open_the_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     for _ in 0..3 {
-        // An error is a sign of life, but no success.
+        // An error counts as activity, but not as a success.
         router.record_activity(0, "n0", 0);
         router.finish(0, "n0", outcome, 0);
     }
@@ -335,9 +337,9 @@
 }
 
 #[rstest]
-#[case::client_left(Outcome::Cancelled)]
-#[case::full(Outcome::Rejected)]
-fn what_says_nothing_of_health_opens_no_breaker(#[case] outcome: Outcome) {
+#[case::client_disconnected(Outcome::Cancelled)]
+#[case::no_capacity(Outcome::Rejected)]
+fn outcomes_that_are_no_sign_of_health_open_no_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     for _ in 0..6 {
         router.finish(0, "n0", outcome, 0);
@@ -347,10 +349,10 @@
 }
 
 #[rstest]
-#[case::client_left(Outcome::Cancelled)]
+#[case::client_disconnected(Outcome::Cancelled)]
 #[case::connection_broke(Outcome::ConnectionError)]
 #[case::time_out(Outcome::TimedOut)]
-fn a_request_given_up_on_a_silent_upstream_opens_its_breaker(#[case] outcome: Outcome) {
+fn an_attempt_abandoned_at_an_unresponsive_upstream_opens_its_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     let request = request();
     let waiting = std::iter::repeat_with(|| request.target(&mut router, 0))
--- a/crates/routing/tests/support.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -8,7 +8,7 @@
 
 pub const OWN: u32 = 1;
 
-pub fn bounds() -> RoutingLimits {
+pub fn limits() -> RoutingLimits {
     RoutingLimits {
         retry_budget_ratio: 0.2,
         retry_budget_window_ms: 10_000,
@@ -21,13 +21,13 @@
 /// A router in region `north` of three regions with a zone each, one of four balancers, three of them in `north`.
 pub fn router() -> Router {
     let zones = [("n", "north"), ("s", "south"), ("w", "west")];
-    let place = Location {
+    let location = Location {
         region: "north".to_owned(),
         region_by_zone: zones
             .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
             .into(),
     };
-    let mut router = Router::new(place, bounds(), 1);
+    let mut router = Router::new(location, limits(), 1);
     let mut fleet = Fleet::new(OWN);
     fleet.by_region.insert("north".to_owned(), vec![OWN, 2, 3]);
     fleet.by_region.insert("south".to_owned(), vec![4]);
@@ -50,7 +50,7 @@
     }
 }
 
-/// A router with so many upstreams in each zone, named after it.
+/// A router with the given number of upstreams in each zone, named after the zone and numbered.
 pub fn router_with(upstreams: &[(&str, usize)]) -> Router {
     let mut router = router();
     for (zone, count) in upstreams {
@@ -104,7 +104,7 @@
     pub fn target(&self, router: &mut Router, now: u64) -> Target {
         match self.choose(router, now) {
             Decision::Forward(target) => target,
-            Decision::Reject(refusal) => panic!("refused: {refusal:?}"),
+            Decision::Reject(rejection) => panic!("rejected: {rejection:?}"),
         }
     }
 }
