--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -4,7 +4,9 @@
 use crate::units::Span;
 use crate::witness::{Held, MembersEnd, Witness};
 use std::net::IpAddr;
-use woadstall_membership::{Card, Event as Change, Life, Name, Node, Said, Settings, Way};
+use woadstall_membership::{
+    Event as Change, Generation, MemberMetadata, MemberState, Name, Node, PathState, Settings,
+};
 
 /// Members that a new one asks.
 const SEEDS: u32 = 3;
@@ -34,7 +36,7 @@
     mail: Numbered<Mail>,
     witness: Witness,
     /// The life that each had last.
-    last_life: Vec<Option<Life>>,
+    last_life: Vec<Option<Generation>>,
     /// Bytes that former lives have sent.
     bytes: Vec<u64>,
 }
@@ -104,8 +106,8 @@
         let named = pairs.into_iter().map(|(from, to)| {
             (
                 is_cut(from, to),
-                says(from, to).0 == Way::Cut,
-                says(to, from).1 == Way::Cut,
+                says(from, to).0 == PathState::Partitioned,
+                says(to, from).1 == PathState::Partitioned,
             )
         });
         self.witness.ways(now, named);
@@ -138,9 +140,9 @@
         let label = |text: &str| Name::new(text).unwrap_or_else(|_| name(u32::from(zone)));
         let zone = &zones[usize::from(zone)];
         let chance = &mut members.chance[at];
-        let me = Card {
+        let me = MemberMetadata {
             name: name(at as u32),
-            life: Life {
+            life: Generation {
                 started: local / MS,
                 id: chance.next_u64(),
             },
@@ -309,7 +311,7 @@
             suspects |= matches!(change, Change::Suspected { .. });
             let of = match change {
                 Change::Joined(card) => card.name,
-                Change::Back(of) | Change::Left(of) => of,
+                Change::Recovered(of) | Change::Left(of) => of,
                 Change::Suspected { name, .. } | Change::Dead { name, .. } => name,
                 _ => continue,
             };
@@ -318,7 +320,8 @@
                 found.push((number as usize, node.claim(&of)));
             }
         }
-        let outs: Vec<woadstall_membership::Out> = std::iter::from_fn(|| node.next_out()).collect();
+        let outs: Vec<woadstall_membership::OutgoingMessage> =
+            std::iter::from_fn(|| node.next_out()).collect();
         let wake = node.wake_at().max(now + MS);
         if suspects && !std::mem::replace(&mut members.looks[at], true) {
             self.agenda.after(
@@ -349,10 +352,10 @@
                 .filter(|claim| Some(claim.life) == life)
                 .map(|claim| claim.said)
             {
-                Some(Said::Alive) => Held::Alive,
-                Some(Said::Suspect) => Held::Suspect,
-                Some(Said::Dead) => Held::Dead,
-                Some(Said::Left) => Held::Left,
+                Some(MemberState::Alive) => Held::Alive,
+                Some(MemberState::Suspect) => Held::Suspect,
+                Some(MemberState::Dead) => Held::Dead,
+                Some(MemberState::Left) => Held::Left,
                 None => Held::Unknown,
             };
             members.witness.holds(now, at, of, held);
--- a/crates/evacuation/src/coordinator.rs
+++ b/crates/evacuation/src/coordinator.rs
@@ -14,7 +14,7 @@
 use woadstall_health_reports::{
     Counts, ENOUGH, HealthReport, Hearing, Ill, Kind, Ledger, Line as Told, Out, Saw, Subject,
 };
-use woadstall_membership::{Name, Node, State as Presence};
+use woadstall_membership::{Name, Node, Verdict as Presence};
 
 const SECOND: Time = 1_000_000_000;
 /// Verdicts hold for so long: where nothing renews them, the module goes by its own eyes again.
@@ -393,7 +393,7 @@
             }
             zones.insert(&seen.card.name, &seen.card.zone);
             // Whoever is not heard cannot bear witness here.
-            if !matches!(seen.state, Presence::Alive | Presence::CutFromMe { .. }) {
+            if !matches!(seen.state, Presence::Alive | Presence::Partitioned { .. }) {
                 continue;
             }
             *members
@@ -892,7 +892,7 @@
     let (mut of, mut before) = (1, 0);
     for seen in node.members(now) {
         if seen.card.zone == me.zone
-            && matches!(seen.state, Presence::Alive | Presence::CutFromMe { .. })
+            && matches!(seen.state, Presence::Alive | Presence::Partitioned { .. })
         {
             of += 1;
             before += usize::from(rank(&seen.card.name) < own);
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -6,7 +6,7 @@
 use woadstall_decisions::api::{Outcome, Place, ServerId};
 use woadstall_evacuation::{Coordinator, Order, Places, Settings, What};
 use woadstall_health_reports::{Kind, Out, Saw};
-use woadstall_membership::{Card, Life, Name, Node};
+use woadstall_membership::{Generation, MemberMetadata, Name, Node};
 
 const MS: u64 = 1_000_000;
 const STEP: u64 = 100 * MS;
@@ -68,9 +68,9 @@
 fn balancer(number: usize) -> Balancer {
     let zone = number / BALANCERS_PER_ZONE;
     let (zone_name, region) = ZONES[zone];
-    let card = Card {
+    let card = MemberMetadata {
         name: name(&format!("b-{number}")),
-        life: Life {
+        life: Generation {
             started: UNIX_MS,
             id: number as u64 + 1,
         },
--- a/crates/membership-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use woadstall_membership::{Node, Seen, State, Way};
+use woadstall_membership::{Node, Observation, PathState, Verdict};
 
 /// What was not believed, or not sent, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -106,11 +106,11 @@
     pub ways: Vec<Ways>,
 }
 
-fn way(way: Way) -> String {
+fn way(way: PathState) -> String {
     match way {
-        Way::Unknown => "unknown",
-        Way::Works => "works",
-        Way::Cut => "cut",
+        PathState::Unknown => "unknown",
+        PathState::Open => "works",
+        PathState::Partitioned => "cut",
     }
     .to_owned()
 }
@@ -120,14 +120,14 @@
 }
 
 impl Row {
-    fn new(node: &Node, seen: &Seen<'_>, now: u64) -> Self {
+    fn new(node: &Node, seen: &Observation<'_>, now: u64) -> Self {
         let state = match seen.state {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::CutFromMe { .. } => "cut",
-            State::Dead => "dead",
-            State::Left => "left",
-            State::UnknownSince(_) => "unknown",
+            Verdict::Alive => "alive",
+            Verdict::Suspect => "suspect",
+            Verdict::Partitioned { .. } => "cut",
+            Verdict::Dead => "dead",
+            Verdict::Left => "left",
+            Verdict::UnknownSince(_) => "unknown",
         };
         let (to, from) = node.ways(&seen.card.name, now);
         Self {
--- a/crates/membership-net/src/shell.rs
+++ b/crates/membership-net/src/shell.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_membership::{Card, Event, FactError, Life, Name, Node};
+use woadstall_membership::{Event, Generation, MemberMetadata, Name, Node, PublishError};
 use woadstall_message_auth::Seals;
 
 /// Datagrams that are read before anything else has its turn.
@@ -166,12 +166,12 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as u64;
-        let life = Life {
+        let life = Generation {
             started,
             id: chance()?,
         };
         let (name, zone, region) = (setup.name.clone(), setup.zone.clone(), setup.region.clone());
-        let me = Card {
+        let me = MemberMetadata {
             name,
             life,
             at: setup.advertise.unwrap_or(at),
@@ -240,7 +240,7 @@
     }
 
     /// Says something to all, in place of what it said under the key.
-    pub fn say(&self, key: Name, priority: u8, bytes: Vec<u8>) -> Result<(), FactError> {
+    pub fn say(&self, key: Name, priority: u8, bytes: Vec<u8>) -> Result<(), PublishError> {
         let now = self.shared.now();
         self.shared.core().node.say(now, key, priority, bytes)?;
         self.shared.poke();
@@ -446,7 +446,7 @@
                 card.name, card.zone, card.at
             ));
         }
-        Event::Back(name) => log(format_args!(
+        Event::Recovered(name) => log(format_args!(
             "instances: {name} is there: it says so itself"
         )),
         Event::Suspected { name, by: who } => {
@@ -462,21 +462,21 @@
             ));
         }
         Event::Left(name) => log(format_args!("instances: {name} left: it said so")),
-        Event::StoodStill(time) => {
+        Event::ProcessPaused(time) => {
             log(format_args!(
                 "instances: stood still for {} ms",
                 time.as_millis()
             ));
         }
-        Event::NameTwice { name, at } => {
+        Event::NameConflict { name, at } => {
             log(format_args!(
                 "instances: two use the name {name}: at {} and at {}",
                 at[0], at[1]
             ));
         }
-        Event::CutOff(true) => log(format_args!(
+        Event::IsolationChanged(true) => log(format_args!(
             "instances: cut off from most others, judges nobody"
         )),
-        Event::CutOff(false) => log(format_args!("instances: no longer cut off")),
+        Event::IsolationChanged(false) => log(format_args!("instances: no longer cut off")),
     }
 }
--- a/crates/membership-net/tests/golden.rs
+++ b/crates/membership-net/tests/golden.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use woadstall_membership::message::Body;
-use woadstall_membership::{Card, Life, Message, Name, Settings};
+use woadstall_membership::{Generation, MemberMetadata, Message, Name, Settings};
 use woadstall_membership_net::{Instances, Setup};
 
 fn fixture(form: &str) -> String {
@@ -44,7 +44,7 @@
 struct Peer {
     datagrams: UdpSocket,
     streams: TcpListener,
-    card: Card,
+    card: MemberMetadata,
 }
 
 impl Peer {
@@ -55,9 +55,9 @@
         datagrams
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
-        let card = Card {
+        let card = MemberMetadata {
             name: name("b-1"),
-            life: Life { started: 5, id: 6 },
+            life: Generation { started: 5, id: 6 },
             at,
             zone: name("sur"),
             region: None,
@@ -111,7 +111,10 @@
         }
     );
     assert_eq!(answer.from.name, name("b-0"));
-    assert_eq!(answer.to, Some((name("b-1"), Life { started: 5, id: 6 })));
+    assert_eq!(
+        answer.to,
+        Some((name("b-1"), Generation { started: 5, id: 6 }))
+    );
 }
 
 /// A stream holds messages, each behind its length in four bytes, the highest first, and ends after the last.
@@ -119,7 +122,7 @@
 fn streams_out_hold_lengths_and_messages() {
     let (peer, member) = (Peer::new(), start(setup()));
     peer.datagrams
-        .send_to(&peer.message(Body::Ask), member.address())
+        .send_to(&peer.message(Body::StateRequest), member.address())
         .unwrap();
     let all = loop {
         let (mut stream, _) = peer.streams.accept().unwrap();
@@ -135,7 +138,7 @@
     let message = Message::read(bytes, 256).unwrap();
     assert_eq!(
         message.body,
-        Body::Parts {
+        Body::ShardState {
             parts: (0..64).collect(),
             again: false
         }
@@ -148,7 +151,7 @@
 fn streams_in_hold_lengths_and_messages() {
     let (peer, member) = (Peer::new(), start(setup()));
     let mut stream = TcpStream::connect(member.address()).unwrap();
-    for body in [Body::News, Body::Ask] {
+    for body in [Body::Gossip, Body::StateRequest] {
         let message = peer.message(body);
         stream
             .write_all(&(message.len() as u32).to_be_bytes())
--- a/crates/membership/src/card.rs
+++ b/crates/membership/src/card.rs
@@ -62,7 +62,7 @@
 
 /// One life of a name: what is known of a former one says nothing about the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Generation {
     /// When it started, Unix time in milliseconds; raised where a former life of the name claims to be later, as
     /// after a clock has stepped back.
     pub started: u64,
@@ -72,11 +72,11 @@
 
 /// All that does not change in a life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct MemberMetadata {
     /// Its name.
     pub name: Name,
     /// Which of its lives.
-    pub life: Life,
+    pub life: Generation,
     /// Where others find it.
     pub at: SocketAddr,
     /// Its zone.
--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -1,12 +1,12 @@
 //! What is claimed about a life. Claims have one order, and the last of two wins wherever they meet, so that members
 //! that heard the same, in any order and however often, hold the same.
 
-use crate::card::Life;
+use crate::card::Generation;
 use serde::{Deserialize, Serialize};
 
 /// What is said of a member; each outranks the ones before it in the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Said {
+pub enum MemberState {
     /// It is there.
     Alive,
     /// It may be gone.
@@ -19,22 +19,22 @@
 
 /// A claim about a life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Claim {
+pub struct MemberStatus {
     /// The life that it is about.
-    pub life: Life,
+    pub life: Generation,
     /// Raised by the member alone, to contradict what is said of it.
     pub incarnation: u32,
     /// What is said.
-    pub said: Said,
+    pub said: MemberState,
 }
 
-impl Claim {
+impl MemberStatus {
     /// Everything is earlier.
-    pub fn left(life: Life) -> Self {
+    pub fn left(life: Generation) -> Self {
         Self {
             life,
             incarnation: u32::MAX,
-            said: Said::Left,
+            said: MemberState::Left,
         }
     }
 
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -1,18 +1,18 @@
 //! Small facts that members tell all others: the last of its owner wins, and none outlives its owner for long.
 
-use crate::card::{Card, Life, Name};
-use crate::message::{FactNews, size};
+use crate::card::{Generation, MemberMetadata, Name};
+use crate::message::{RecordUpdate, size};
 use crate::node::URGENT;
 use crate::settings::Settings;
-use crate::spread::Spread;
+use crate::spread::GossipQueue;
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// A fact as it is known here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fact {
+pub struct Record {
     /// The life of its owner that said it.
-    pub life: Life,
+    pub life: Generation,
     /// Raised with each change.
     pub counter: u64,
     /// Facts of higher ones go first.
@@ -25,14 +25,14 @@
 
 /// Why a fact is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FactError {
+pub enum PublishError {
     /// Too long.
     Long,
     /// Too many of this owner.
     Many,
 }
 
-impl fmt::Display for FactError {
+impl fmt::Display for PublishError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Long => "a fact of too many bytes",
@@ -41,7 +41,7 @@
     }
 }
 
-impl std::error::Error for FactError {}
+impl std::error::Error for PublishError {}
 
 type Key = (Name, Name);
 
@@ -51,35 +51,35 @@
 
 /// All facts, by owner and key.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
-    all: BTreeMap<Key, Fact>,
-    spread: Spread<Key, Key>,
+pub struct RecordStore {
+    all: BTreeMap<Key, Record>,
+    spread: GossipQueue<Key, Key>,
     counter: u64,
     /// Bytes that may go out now, and since when that holds.
     room: (f64, u64),
     dropped: u64,
 }
 
-impl Facts {
+impl RecordStore {
     /// This member says something, in place of what it said under the key.
     pub fn say(
         &mut self,
         now: u64,
-        me: &Card,
+        me: &MemberMetadata,
         key: Name,
         priority: u8,
         bytes: Vec<u8>,
         settings: &Settings,
-    ) -> Result<(), FactError> {
+    ) -> Result<(), PublishError> {
         if bytes.len() > settings.fact_bytes {
-            return Err(FactError::Long);
+            return Err(PublishError::Long);
         }
         let at = (me.name.clone(), key);
         if !self.all.contains_key(&at) && self.of(&me.name).count() >= settings.facts_each {
-            return Err(FactError::Many);
+            return Err(PublishError::Many);
         }
         self.counter += 1;
-        let fact = Fact {
+        let fact = Record {
             life: me.life,
             counter: self.counter,
             priority,
@@ -91,7 +91,7 @@
     }
 
     /// Its owner begins a new life: what it said before is said anew.
-    pub fn reborn(&mut self, now: u64, me: &Card) {
+    pub fn reborn(&mut self, now: u64, me: &MemberMetadata) {
         let own: Vec<Key> = self.of(&me.name).cloned().collect();
         for key in own {
             if let Some(mut fact) = self.all.remove(&key) {
@@ -106,7 +106,7 @@
         self.all.keys().filter(move |(of, _)| of == owner)
     }
 
-    fn put(&mut self, key: Key, fact: Fact) {
+    fn put(&mut self, key: Key, fact: Record) {
         let bytes = fact.bytes.len() + key.0.as_str().len() + key.1.as_str().len() + 48;
         self.spread
             .tell(key.clone(), key.clone(), bytes, fact.priority);
@@ -117,8 +117,8 @@
     pub fn hear(
         &mut self,
         now: u64,
-        news: FactNews,
-        life: Option<Life>,
+        news: RecordUpdate,
+        life: Option<Generation>,
         settings: &Settings,
     ) -> bool {
         // Of one that nobody knows, or of a former life.
@@ -142,7 +142,7 @@
         let (life, counter, priority) = (news.life, news.counter, news.priority);
         self.put(
             key,
-            Fact {
+            Record {
                 life,
                 counter,
                 priority,
@@ -169,7 +169,7 @@
     }
 
     /// Keeps the facts of those that `keeps` says, by owner and life.
-    pub fn retain(&mut self, keeps: impl Fn(&Name, Life) -> bool) {
+    pub fn retain(&mut self, keeps: impl Fn(&Name, Generation) -> bool) {
         let spread = &mut self.spread;
         self.all.retain(|key, fact| {
             let kept = keeps(&key.0, fact.life);
@@ -187,21 +187,21 @@
         room: usize,
         times: u32,
         settings: &Settings,
-    ) -> Vec<FactNews> {
+    ) -> Vec<RecordUpdate> {
         let rate = f64::from(settings.fact_rate);
         let passed = now.saturating_sub(self.room.1) as f64 / 1e9;
         self.room = ((self.room.0 + rate * passed).min(SAVED * rate), now);
         let keys = self.spread.take(room.min(self.room.0 as usize), times);
-        let news: Vec<FactNews> = keys.iter().filter_map(|key| self.news(now, key)).collect();
+        let news: Vec<RecordUpdate> = keys.iter().filter_map(|key| self.news(now, key)).collect();
         self.room.0 -= news.iter().map(|news| size(news) as f64).sum::<f64>();
         news
     }
 
-    fn news(&self, now: u64, key: &Key) -> Option<FactNews> {
+    fn news(&self, now: u64, key: &Key) -> Option<RecordUpdate> {
         let fact = self.all.get(key)?;
         let age_ms =
             u32::try_from(now.saturating_sub(fact.said_at) / 1_000_000).unwrap_or(u32::MAX);
-        Some(FactNews {
+        Some(RecordUpdate {
             owner: key.0.clone(),
             life: fact.life,
             counter: fact.counter,
@@ -213,7 +213,7 @@
     }
 
     /// All of some owners, for a comparison of whole states.
-    pub fn all_of(&self, now: u64, owns: impl Fn(&Name) -> bool) -> Vec<FactNews> {
+    pub fn all_of(&self, now: u64, owns: impl Fn(&Name) -> bool) -> Vec<RecordUpdate> {
         self.all
             .keys()
             .filter(|(owner, _)| owns(owner))
@@ -222,14 +222,14 @@
     }
 
     /// Owner, key and fact.
-    pub fn iter(&self) -> impl Iterator<Item = (&Name, &Name, &Fact)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Name, &Name, &Record)> {
         self.all
             .iter()
             .map(|((owner, key), fact)| (owner, key, fact))
     }
 
     /// One.
-    pub fn get(&self, owner: &Name, key: &Name) -> Option<&Fact> {
+    pub fn get(&self, owner: &Name, key: &Name) -> Option<&Record> {
         self.all.get(&(owner.clone(), key.clone()))
     }
 
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -7,7 +7,7 @@
 
 /// See the module's documentation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Health {
+pub struct LocalHealth {
     score: u32,
     /// Until when nobody is accused, after a stand-still.
     quiet_until: u64,
@@ -17,7 +17,7 @@
     plain: bool,
 }
 
-impl Health {
+impl LocalHealth {
     /// One that has shown nothing yet; plain, it never doubts itself.
     pub fn new(plain: bool) -> Self {
         Self {
--- a/crates/membership/src/judge.rs
+++ b/crates/membership/src/judge.rs
@@ -1,15 +1,15 @@
 //! What is believed of others, and when one is called dead: late, and never by a member that has reason to doubt
 //! itself.
 
-use crate::card::{Card, Life, Name};
-use crate::claim::{Claim, Said};
+use crate::card::{Generation, MemberMetadata, Name};
+use crate::claim::{MemberState, MemberStatus};
 use crate::member::Member;
-use crate::message::{Body, News};
+use crate::message::{Body, MemberUpdate};
 use crate::node::{Event, Node};
 use crate::probe::LATELY;
-use crate::reach::Way;
+use crate::reach::PathState;
 use crate::suspicion::Suspicion;
-use crate::view::{Seen, Size, State, Sure};
+use crate::view::{Confidence, FleetSize, Observation, Verdict};
 use std::time::Duration;
 
 /// A member that has just woken accuses nobody for so many periods: others have to be heard first.
@@ -24,7 +24,7 @@
 
 impl Node {
     /// Takes a claim. The last in the order of claims holds; equal ones confirm each other.
-    pub(crate) fn learn(&mut self, now: u64, news: News) {
+    pub(crate) fn learn(&mut self, now: u64, news: MemberUpdate) {
         if news.card.life != news.claim.life {
             return; // about nobody
         }
@@ -36,7 +36,7 @@
         };
         let was = member.claim;
         if news.claim <= was {
-            let same = news.claim == was && was.said == Said::Suspect;
+            let same = news.claim == was && was.said == MemberState::Suspect;
             if let (true, Some(by), Some(suspicion)) =
                 (same, news.by.clone(), member.suspicion.as_mut())
                 && suspicion.confirm(by)
@@ -51,7 +51,7 @@
         }
         (member.claim, member.since) = (news.claim, now);
         let (name, by) = (news.card.name.clone(), news.by.clone());
-        let suspicion = (news.claim.said == Said::Suspect).then(|| {
+        let suspicion = (news.claim.said == MemberState::Suspect).then(|| {
             Suspicion::new(
                 now,
                 &self.settings,
@@ -68,24 +68,24 @@
             member.suspicion = suspicion;
         }
         let event = match news.claim.said {
-            Said::Alive if is_new_life => Some(Event::Joined(news.card.clone())),
-            Said::Alive if was.said != Said::Alive => Some(Event::Back(name)),
-            Said::Alive => None,
-            Said::Suspect => Some(Event::Suspected { name, by }),
-            Said::Dead => Some(Event::Dead { name, by }),
-            Said::Left => Some(Event::Left(name)),
+            MemberState::Alive if is_new_life => Some(Event::Joined(news.card.clone())),
+            MemberState::Alive if was.said != MemberState::Alive => Some(Event::Recovered(name)),
+            MemberState::Alive => None,
+            MemberState::Suspect => Some(Event::Suspected { name, by }),
+            MemberState::Dead => Some(Event::Dead { name, by }),
+            MemberState::Left => Some(Event::Left(name)),
         };
         event.into_iter().for_each(|event| self.event(event));
         self.tell(news);
     }
 
-    fn learn_new(&mut self, now: u64, news: News) {
+    fn learn_new(&mut self, now: u64, news: MemberUpdate) {
         if self.members.len() >= self.settings.members {
             self.tallies.no_place += 1;
             return;
         }
         let mut member = Member::new(news.card.clone(), news.claim, now);
-        if news.claim.said == Said::Suspect {
+        if news.claim.said == MemberState::Suspect {
             let (size, times) = (self.fleet(), self.health.times());
             member.suspicion = Some(Suspicion::new(
                 now,
@@ -107,10 +107,10 @@
     }
 
     /// What is said of this member itself. It alone may contradict.
-    fn about_me(&mut self, now: u64, news: &News) {
+    fn about_me(&mut self, now: u64, news: &MemberUpdate) {
         let claim = news.claim;
         if claim.life == self.me.life {
-            if claim.said == Said::Alive && claim.incarnation <= self.incarnation {
+            if claim.said == MemberState::Alive && claim.incarnation <= self.incarnation {
                 return;
             }
             if claim.incarnation < self.incarnation || self.has_left {
@@ -120,17 +120,17 @@
                 Some(next) => self.incarnation = next,
                 None => self.overtake(now, news), // somebody says that it left
             }
-            if claim.said != Said::Alive {
+            if claim.said != MemberState::Alive {
                 self.health.shows(true);
             }
             return self.tell_own();
         }
         // A former life is over, whatever is said of it.
-        if claim.life > self.me.life && claim.said != Said::Left {
+        if claim.life > self.me.life && claim.said != MemberState::Left {
             let known = self.twins.get(&claim.life.id).copied();
-            if known.is_some() && claim.said == Said::Alive {
+            if known.is_some() && claim.said == MemberState::Alive {
                 let (name, at) = (self.me.name.clone(), [self.me.at, news.card.at]);
-                self.event(Event::NameTwice { name, at });
+                self.event(Event::NameConflict { name, at });
             }
             if known.is_none_or(|at| now >= at.saturating_add(TWIN_PAUSE)) && self.twins.len() < 64
             {
@@ -142,7 +142,7 @@
     }
 
     /// Begins a later life than one that its name is said to have had: after a clock that stepped back.
-    fn overtake(&mut self, now: u64, news: &News) {
+    fn overtake(&mut self, now: u64, news: &MemberUpdate) {
         self.me.life.started = news
             .claim
             .life
@@ -160,7 +160,7 @@
 
     /// This member did not run for a while: what it held against others may be its own doing.
     pub(crate) fn woke(&mut self, now: u64, gap: u64) {
-        self.event(Event::StoodStill(Duration::from_nanos(gap)));
+        self.event(Event::ProcessPaused(Duration::from_nanos(gap)));
         if self.settings.plain {
             return;
         }
@@ -191,11 +191,11 @@
         let Some(member) = self.members.get(name).filter(|member| member.counts()) else {
             return;
         };
-        let claim = Claim {
-            said: Said::Suspect,
+        let claim = MemberStatus {
+            said: MemberState::Suspect,
             ..member.claim
         };
-        let news = News {
+        let news = MemberUpdate {
             card: member.card.clone(),
             claim,
             by: Some(self.me.name.clone()),
@@ -207,7 +207,7 @@
     pub(crate) fn judge(&mut self, now: u64) {
         let cut_off = self.is_cut_off();
         if cut_off != std::mem::replace(&mut self.was_cut_off, cut_off) {
-            self.event(Event::CutOff(cut_off));
+            self.event(Event::IsolationChanged(cut_off));
         }
         if self.suspected.is_empty() {
             return;
@@ -246,7 +246,7 @@
         };
         let (over, open): (Vec<&Member>, Vec<&Member>) =
             self.suspected().filter(due).partition(asked);
-        let over: Vec<(Card, Claim)> = over
+        let over: Vec<(MemberMetadata, MemberStatus)> = over
             .iter()
             .map(|member| (member.card.clone(), member.claim))
             .collect();
@@ -256,7 +256,7 @@
                 .as_ref()
                 .is_some_and(|it| it.asked_at.is_none())
         };
-        let open: Vec<Card> = open
+        let open: Vec<MemberMetadata> = open
             .iter()
             .filter(first)
             .map(|member| member.card.clone())
@@ -266,13 +266,13 @@
             self.tell_suspects(now);
         }
         for (card, claim) in over {
-            let claim = Claim {
-                said: Said::Dead,
+            let claim = MemberStatus {
+                said: MemberState::Dead,
                 ..claim
             };
             self.learn(
                 now,
-                News {
+                MemberUpdate {
                     card,
                     claim,
                     by: Some(self.me.name.clone()),
@@ -312,7 +312,7 @@
 
     /// One in a thousand misses the news that a suspicion was contradicted: so the suspected one is asked once more, by
     /// this member and by helpers, and hears what it has to contradict.
-    fn ask_last(&mut self, now: u64, card: &Card) {
+    fn ask_last(&mut self, now: u64, card: &MemberMetadata) {
         if let Some(suspicion) = self
             .members
             .get_mut(&card.name)
@@ -334,7 +334,7 @@
             self.send_about(
                 now,
                 &helper,
-                Body::PingFor {
+                Body::IndirectPing {
                     number,
                     target: card.clone(),
                 },
@@ -357,7 +357,7 @@
     }
 
     /// The life of a member whose facts are kept: while it counts, and for a while after.
-    pub(crate) fn keeps_facts_of(&self, owner: &Name, now: u64) -> Option<Life> {
+    pub(crate) fn keeps_facts_of(&self, owner: &Name, now: u64) -> Option<Generation> {
         let member = self.members.get(owner)?;
         let outlives = self.settings.fact_outlives.as_nanos() as u64;
         let kept = member.counts() || now < member.since.saturating_add(outlives);
@@ -386,28 +386,34 @@
     }
 
     /// All that are known, the dead and those that left for a while as well, in no order.
-    pub fn members(&self, now: u64) -> impl Iterator<Item = Seen<'_>> {
+    pub fn members(&self, now: u64) -> impl Iterator<Item = Observation<'_>> {
         self.members
             .values()
             .map(move |member| self.seen(member, now))
     }
 
-    fn seen<'a>(&self, member: &'a Member, now: u64) -> Seen<'a> {
+    fn seen<'a>(&self, member: &'a Member, now: u64) -> Observation<'a> {
         let holds = self.holds();
         let (to, from) = (member.reach.to(now, holds), member.reach.from(now, holds));
         let state = match (member.claim.said, &member.suspicion) {
-            (Said::Left, _) => State::Left,
-            (Said::Dead, _) => State::Dead,
+            (MemberState::Left, _) => Verdict::Left,
+            (MemberState::Dead, _) => Verdict::Dead,
             // It says itself that it is there, but hears too little from here to contradict.
-            (Said::Suspect, _) if to == Way::Cut && member.spoke_since_suspected() => {
-                State::CutFromMe { to, from }
+            (MemberState::Suspect, _)
+                if to == PathState::Partitioned && member.spoke_since_suspected() =>
+            {
+                Verdict::Partitioned { to, from }
+            }
+            (MemberState::Suspect, Some(suspicion)) if now >= suspicion.until() => {
+                Verdict::UnknownSince(member.since)
             }
-            (Said::Suspect, Some(suspicion)) if now >= suspicion.until() => {
-                State::UnknownSince(member.since)
+            (MemberState::Suspect, _) => Verdict::Suspect,
+            (MemberState::Alive, _)
+                if to == PathState::Partitioned || from == PathState::Partitioned =>
+            {
+                Verdict::Partitioned { to, from }
             }
-            (Said::Suspect, _) => State::Suspect,
-            (Said::Alive, _) if to == Way::Cut || from == Way::Cut => State::CutFromMe { to, from },
-            (Said::Alive, _) => State::Alive,
+            (MemberState::Alive, _) => Verdict::Alive,
         };
         let suspected_by = member
             .suspicion
@@ -415,7 +421,7 @@
             .flat_map(|suspicion| suspicion.by())
             .collect();
         let (since, found_at) = (member.since, member.found_at);
-        Seen {
+        Observation {
             card: &member.card,
             state,
             since,
@@ -425,14 +431,14 @@
     }
 
     /// What is known of one.
-    pub fn state(&self, name: &Name, now: u64) -> Option<State> {
+    pub fn state(&self, name: &Name, now: u64) -> Option<Verdict> {
         self.members
             .get(name)
             .map(|member| self.seen(member, now).state)
     }
 
     /// How much of the fleet is heard at this moment.
-    pub fn sure(&self, now: u64) -> Sure {
+    pub fn sure(&self, now: u64) -> Confidence {
         let holds = self.holds();
         let part = |own: bool| {
             let of = self
@@ -455,7 +461,7 @@
             }
         };
         let cut_off = self.is_cut_off() || !self.health.may_accuse(now);
-        Sure {
+        Confidence {
             own_zone: part(true),
             others: part(false),
             cut_off,
@@ -463,13 +469,13 @@
     }
 
     /// How large the fleet is.
-    pub fn size(&self) -> Size {
+    pub fn size(&self) -> FleetSize {
         let least = 1 + self
             .members
             .values()
             .filter(|member| member.is_alive())
             .count();
-        Size {
+        FleetSize {
             least,
             most: self.fleet(),
         }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,18 +1,18 @@
 //! One other member, as this one knows it.
 
-use crate::card::{Card, Name};
-use crate::claim::{Claim, Said};
-use crate::message::News;
-use crate::reach::Reach;
+use crate::card::{MemberMetadata, Name};
+use crate::claim::{MemberState, MemberStatus};
+use crate::message::MemberUpdate;
+use crate::reach::Paths;
 use crate::suspicion::Suspicion;
 
 /// See the module's documentation.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Who it is.
-    pub card: Card,
+    pub card: MemberMetadata,
     /// The last that is claimed of it.
-    pub claim: Claim,
+    pub claim: MemberStatus,
     /// Since when that is claimed.
     pub since: u64,
     /// While it is suspected.
@@ -20,7 +20,7 @@
     /// Its host has said that no such process is there.
     pub refused: bool,
     /// Which ways between it and this member work.
-    pub reach: Reach,
+    pub reach: Paths,
     /// When it was last found to be there, directly or by way of others.
     pub found_at: Option<u64>,
     /// The last helper by whose way it was found: where few see both sides, they have to be asked again.
@@ -31,8 +31,8 @@
 
 impl Member {
     /// One that was just heard of.
-    pub fn new(card: Card, claim: Claim, now: u64) -> Self {
-        let (suspicion, reach) = (None, Reach::default());
+    pub fn new(card: MemberMetadata, claim: MemberStatus, now: u64) -> Self {
+        let (suspicion, reach) = (None, Paths::default());
         Self {
             card,
             claim,
@@ -47,12 +47,12 @@
     }
 
     /// What is claimed of it, to be passed on.
-    pub fn news(&self) -> News {
+    pub fn news(&self) -> MemberUpdate {
         let by = self
             .suspicion
             .as_ref()
             .and_then(|suspicion| suspicion.by().next().cloned());
-        News {
+        MemberUpdate {
             card: self.card.clone(),
             claim: self.claim,
             by,
@@ -61,7 +61,7 @@
 
     /// Whether it counts as a part of the fleet: neither dead nor gone.
     pub fn counts(&self) -> bool {
-        matches!(self.claim.said, Said::Alive | Said::Suspect)
+        matches!(self.claim.said, MemberState::Alive | MemberState::Suspect)
     }
 
     /// Whether it has spoken to this member itself since it is suspected: then it is not gone.
@@ -73,6 +73,6 @@
 
     /// Whether nothing is said against it.
     pub fn is_alive(&self) -> bool {
-        self.claim.said == Said::Alive
+        self.claim.said == MemberState::Alive
     }
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,7 +1,7 @@
 //! What members say to each other, and its bytes. Lengths are checked before anything is held.
 
-use crate::card::{Card, Life, Name};
-use crate::claim::Claim;
+use crate::card::{Generation, MemberMetadata, Name};
+use crate::claim::MemberStatus;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -10,23 +10,23 @@
 /// Most bytes of a message, those that compare whole states included.
 pub const MOST: usize = 64 << 10;
 /// Parts by which whole states are compared.
-pub const PARTS: usize = 64;
+pub const SHARDS: usize = 64;
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// Who sends it.
-    pub from: Card,
+    pub from: MemberMetadata,
     /// Its incarnation.
     pub incarnation: u32,
     /// Whom it is for; a former life of a name must not answer for a later one. `None` where it is not known yet.
-    pub to: Option<(Name, Life)>,
+    pub to: Option<(Name, Generation)>,
     /// What it is.
     pub body: Body,
     /// What goes along about members.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
     /// What goes along of facts.
-    pub facts: Vec<FactNews>,
+    pub facts: Vec<RecordUpdate>,
 }
 
 /// What a message is.
@@ -37,7 +37,7 @@
         /// Its number.
         number: u64,
         /// For whom it is asked, if not for the sender.
-        origin: Option<Origin>,
+        origin: Option<ProbeOrigin>,
     },
     /// Yes.
     Ack {
@@ -47,66 +47,66 @@
         heard: u64,
     },
     /// Ask that one for me.
-    PingFor {
+    IndirectPing {
         /// The number of the sender's own probe.
         number: u64,
         /// Whom.
-        target: Card,
+        target: MemberMetadata,
     },
     /// It has answered me.
-    Relayed {
+    RelayedAck {
         /// The sender's number.
         number: u64,
         /// The last number that it had heard from the one that asked.
         heard: u64,
     },
     /// I ask for you, and have no answer yet: so at least I hear you.
-    NoAnswer {
+    Nack {
         /// The number of the probe.
         number: u64,
     },
     /// I am new here, or awake again: what do you know?
-    Ask,
+    StateRequest,
     /// Sums of the parts of what the sender holds.
-    Sums(Vec<u64>),
+    ShardDigests(Vec<u64>),
     /// All that the sender holds in these parts, in `news` and `facts`; the other answers in kind if asked.
-    Parts {
+    ShardState {
         /// Which.
         parts: Vec<u8>,
         /// Whether the sender wants the other's, too.
         again: bool,
     },
     /// News alone.
-    News,
+    Gossip,
 }
 
 /// For whom a probe is asked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Origin {
+pub struct ProbeOrigin {
     /// Who.
-    pub card: Card,
+    pub card: MemberMetadata,
     /// The number of its own probe.
     pub number: u64,
 }
 
 /// A claim, and who makes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct MemberUpdate {
     /// About whom.
-    pub card: Card,
+    pub card: MemberMetadata,
     /// What.
-    pub claim: Claim,
+    pub claim: MemberStatus,
     /// Who says so first hand, of a suspicion or death.
     pub by: Option<Name>,
 }
 
 /// A fact under way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FactNews {
+pub struct RecordUpdate {
     /// Whose it is.
     pub owner: Name,
     /// Of which of its lives.
-    pub life: Life,
+    pub life: Generation,
     /// Raised with each change.
     pub counter: u64,
     /// Its name.
@@ -164,8 +164,8 @@
             postcard::take_from_bytes(rest).map_err(|_| MessageError::Form)?;
         let long = message.facts.iter().any(|fact| fact.bytes.len() > facts);
         let parts = match &message.body {
-            Body::Sums(sums) => sums.len() == PARTS,
-            Body::Parts { parts, .. } => parts.iter().all(|part| usize::from(*part) < PARTS),
+            Body::ShardDigests(sums) => sums.len() == SHARDS,
+            Body::ShardState { parts, .. } => parts.iter().all(|part| usize::from(*part) < SHARDS),
             _ => true,
         };
         if rest.is_empty() && !long && parts {
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,15 +1,15 @@
 //! One member: what it is handed, and what it says and finds.
 
-use crate::card::{Card, Name};
-use crate::claim::{Claim, Said};
-use crate::facts::{Fact, FactError, Facts};
-use crate::health::Health;
+use crate::card::{MemberMetadata, Name};
+use crate::claim::{MemberState, MemberStatus};
+use crate::facts::{PublishError, Record, RecordStore};
+use crate::health::LocalHealth;
 use crate::member::Member;
-use crate::message::{Body, Message, MessageError, News, size};
+use crate::message::{Body, MemberUpdate, Message, MessageError, size};
 use crate::probe::{Probe, Relay};
-use crate::reach::Way;
+use crate::reach::PathState;
 use crate::settings::{Settings, SettingsError};
-use crate::spread::Spread;
+use crate::spread::GossipQueue;
 use indexmap::IndexMap;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -35,7 +35,7 @@
 
 /// A message to be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Out {
+pub struct OutgoingMessage {
     /// To whom.
     pub to: SocketAddr,
     /// What.
@@ -48,9 +48,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A member that was not known, or a new life of one.
-    Joined(Card),
+    Joined(MemberMetadata),
     /// One that was suspected or dead is there.
-    Back(Name),
+    Recovered(Name),
     /// One may be gone.
     Suspected {
         /// Which.
@@ -68,21 +68,21 @@
     /// One has left.
     Left(Name),
     /// This member did not run for so long.
-    StoodStill(Duration),
+    ProcessPaused(Duration),
     /// A name is used by two processes at once.
-    NameTwice {
+    NameConflict {
         /// The name.
         name: Name,
         /// Where they are.
         at: [SocketAddr; 2],
     },
     /// This member is cut off from most others, or no longer.
-    CutOff(bool),
+    IsolationChanged(bool),
 }
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tallies {
+pub struct Counters {
     /// Messages that came.
     pub came: u64,
     /// Of these, those that were none.
@@ -102,7 +102,7 @@
 /// See the crate's documentation.
 pub struct Node {
     pub(crate) settings: Settings,
-    pub(crate) me: Card,
+    pub(crate) me: MemberMetadata,
     pub(crate) incarnation: u32,
     pub(crate) has_left: bool,
     /// In the order in which they were heard of.
@@ -129,24 +129,24 @@
     next_judge: u64,
     young_until: u64,
     turn: u64,
-    pub(crate) spread: Spread<Name, News>,
-    pub(crate) facts: Facts,
-    pub(crate) health: Health,
+    pub(crate) spread: GossipQueue<Name, MemberUpdate>,
+    pub(crate) facts: RecordStore,
+    pub(crate) health: LocalHealth,
     pub(crate) rng: ChaCha8Rng,
     seeds: Vec<SocketAddr>,
     /// Somebody has told it all that it knows.
     pub(crate) was_told: bool,
     /// Lives of this member's own name that it had to overtake, and when it last did.
     pub(crate) twins: BTreeMap<u64, u64>,
-    out: VecDeque<Out>,
+    out: VecDeque<OutgoingMessage>,
     events: VecDeque<Event>,
-    pub(crate) tallies: Tallies,
+    pub(crate) tallies: Counters,
 }
 
 impl Node {
     /// One that knows nobody but where to ask. `now` is of the clock that all later times are of.
     pub fn new(
-        me: Card,
+        me: MemberMetadata,
         seeds: Vec<SocketAddr>,
         settings: Settings,
         seed: u64,
@@ -181,21 +181,21 @@
             next_judge: now,
             young_until: now.saturating_add(3 * often),
             turn: now,
-            spread: Spread::default(),
-            facts: Facts::default(),
-            health: Health::new(plain),
+            spread: GossipQueue::default(),
+            facts: RecordStore::default(),
+            health: LocalHealth::new(plain),
             rng,
             seeds,
             was_told: false,
             twins: BTreeMap::new(),
             out: VecDeque::new(),
             events: VecDeque::new(),
-            tallies: Tallies::default(),
+            tallies: Counters::default(),
         })
     }
 
     /// Itself.
-    pub fn me(&self) -> &Card {
+    pub fn me(&self) -> &MemberMetadata {
         &self.me
     }
 
@@ -210,18 +210,18 @@
     }
 
     /// The last that is claimed of a member.
-    pub fn claim(&self, name: &Name) -> Option<Claim> {
+    pub fn claim(&self, name: &Name) -> Option<MemberStatus> {
         self.members.get(name).map(|member| member.claim)
     }
 
     /// Those that may be gone.
-    pub fn suspects(&self) -> impl Iterator<Item = &Card> {
+    pub fn suspects(&self) -> impl Iterator<Item = &MemberMetadata> {
         self.suspected().map(|member| &member.card)
     }
 
     /// Those whose hosts are worth asking whether a process is there: who may be gone and, for a while after a host has
     /// said so of one, who was not heard since. Where many die at once, to probe them one by one takes rounds.
-    pub fn to_look_for(&self, now: u64) -> impl Iterator<Item = &Card> {
+    pub fn to_look_for(&self, now: u64) -> impl Iterator<Item = &MemberMetadata> {
         let lately = self
             .refused_at
             .is_some_and(|at| now < at.saturating_add(MORE_GONE));
@@ -306,16 +306,16 @@
             let (wait, told) = if urgent { (TELL, TOLD) } else { (5 * TELL, 1) };
             self.next_tell = now + wait;
             for to in self.some_that_hear(now, told) {
-                self.send(now, &to, Body::News);
+                self.send(now, &to, Body::Gossip);
             }
         }
     }
 
     /// Some of those that count, without those to whom the way is known to be cut: what goes along it is told to nobody.
-    pub(crate) fn some_that_hear(&mut self, now: u64, most: usize) -> Vec<Card> {
+    pub(crate) fn some_that_hear(&mut self, now: u64, most: usize) -> Vec<MemberMetadata> {
         let (holds, plain) = (self.holds(), self.settings.plain);
         self.some(most, |member| {
-            member.counts() && (plain || member.reach.to(now, holds) != Way::Cut)
+            member.counts() && (plain || member.reach.to(now, holds) != PathState::Partitioned)
         })
     }
 
@@ -361,14 +361,14 @@
         if std::mem::replace(&mut self.has_left, true) {
             return;
         }
-        let claim = Claim::left(self.me.life);
-        self.tell(News {
+        let claim = MemberStatus::left(self.me.life);
+        self.tell(MemberUpdate {
             card: self.me.clone(),
             claim,
             by: None,
         });
         for to in self.some(3 * TOLD, |member| member.counts()) {
-            self.send(now, &to, Body::News);
+            self.send(now, &to, Body::Gossip);
         }
     }
 
@@ -379,7 +379,7 @@
         key: Name,
         priority: u8,
         bytes: Vec<u8>,
-    ) -> Result<(), FactError> {
+    ) -> Result<(), PublishError> {
         let me = self.me.clone();
         self.facts
             .say(now, &me, key, priority, bytes, &self.settings)?;
@@ -395,17 +395,17 @@
     }
 
     /// What is known: owner, key, fact. It is evidence, never a command.
-    pub fn facts(&self) -> impl Iterator<Item = (&Name, &Name, &Fact)> {
+    pub fn facts(&self) -> impl Iterator<Item = (&Name, &Name, &Record)> {
         self.facts.iter()
     }
 
     /// One fact.
-    pub fn fact(&self, owner: &Name, key: &Name) -> Option<&Fact> {
+    pub fn fact(&self, owner: &Name, key: &Name) -> Option<&Record> {
         self.facts.get(owner, key)
     }
 
     /// The next message to be sent.
-    pub fn next_out(&mut self) -> Option<Out> {
+    pub fn next_out(&mut self) -> Option<OutgoingMessage> {
         self.out.pop_front()
     }
 
@@ -415,8 +415,8 @@
     }
 
     /// Counts.
-    pub fn tallies(&self) -> Tallies {
-        Tallies {
+    pub fn tallies(&self) -> Counters {
+        Counters {
             facts_dropped: self.facts.dropped(),
             stalls: self.health.stalls(),
             ..self.tallies
@@ -440,13 +440,17 @@
         (self.settings.spread * size.log10()).ceil().max(1.0) as u32
     }
 
-    pub(crate) fn tell(&mut self, news: News) {
+    pub(crate) fn tell(&mut self, news: MemberUpdate) {
         let bytes = size(&news);
         self.spread.tell(news.card.name.clone(), news, bytes, 0);
     }
 
     /// Some members, chosen by chance, in no order.
-    pub(crate) fn some(&mut self, most: usize, is_one: impl Fn(&Member) -> bool) -> Vec<Card> {
+    pub(crate) fn some(
+        &mut self,
+        most: usize,
+        is_one: impl Fn(&Member) -> bool,
+    ) -> Vec<MemberMetadata> {
         let size = self.members.len();
         let mut chosen: Vec<usize> = Vec::new();
         // Where most of many will do, a few looks find them; else all are looked at.
@@ -477,13 +481,13 @@
     }
 
     /// What this member says of itself.
-    pub(crate) fn own_news(&self) -> News {
-        let claim = Claim {
+    pub(crate) fn own_news(&self) -> MemberUpdate {
+        let claim = MemberStatus {
             life: self.me.life,
             incarnation: self.incarnation,
-            said: Said::Alive,
+            said: MemberState::Alive,
         };
-        News {
+        MemberUpdate {
             card: self.me.clone(),
             claim,
             by: None,
@@ -491,7 +495,7 @@
     }
 
     /// A message that nothing goes along with.
-    pub(crate) fn message(&self, to: Option<&Card>, body: Body) -> Message {
+    pub(crate) fn message(&self, to: Option<&MemberMetadata>, body: Body) -> Message {
         let (from, incarnation) = (self.me.clone(), self.incarnation);
         let to = to.map(|to| (to.name.clone(), to.life));
         Message {
@@ -505,13 +509,19 @@
     }
 
     /// A message with as much of what is to be told as a datagram holds.
-    pub(crate) fn send(&mut self, now: u64, to: &Card, body: Body) {
+    pub(crate) fn send(&mut self, now: u64, to: &MemberMetadata, body: Body) {
         self.send_about(now, to, body, None);
     }
 
     /// The same, with what is claimed of another: who asks for a member tells what is held against it, and who found it
     /// what it said, so that one word more or less under way does not leave it suspected.
-    pub(crate) fn send_about(&mut self, now: u64, to: &Card, body: Body, about: Option<&Name>) {
+    pub(crate) fn send_about(
+        &mut self,
+        now: u64,
+        to: &MemberMetadata,
+        body: Body,
+        about: Option<&Name>,
+    ) {
         let mut message = self.message(Some(to), body);
         let times = self.goes_out();
         // The counts of news and facts, and the version.
@@ -531,7 +541,7 @@
         room -= news.iter().map(size).sum::<usize>().min(room);
         message.news.extend(news);
         message.facts = self.facts.take(now, room, times, &self.settings);
-        if message.body == Body::News && message.news.is_empty() && message.facts.is_empty() {
+        if message.body == Body::Gossip && message.news.is_empty() && message.facts.is_empty() {
             return;
         }
         self.push(to.at, &message, false);
@@ -543,7 +553,7 @@
             self.tallies.sent + 1,
             self.tallies.bytes + bytes.len() as u64,
         );
-        self.out.push_back(Out {
+        self.out.push_back(OutgoingMessage {
             to,
             bytes,
             reliable,
@@ -552,12 +562,12 @@
 
     /// Asks whoever may know: the members that it had, and else the seeds.
     pub(crate) fn ask_around(&mut self, now: u64) {
-        let some = self.some(TOLD, |member| member.claim.said != Said::Left);
+        let some = self.some(TOLD, |member| member.claim.said != MemberState::Left);
         for to in &some {
-            self.send(now, to, Body::Ask);
+            self.send(now, to, Body::StateRequest);
         }
         if some.is_empty() || !self.was_told {
-            let message = self.message(None, Body::Ask);
+            let message = self.message(None, Body::StateRequest);
             let seeds: Vec<SocketAddr> = self
                 .seeds
                 .iter()
@@ -581,14 +591,14 @@
         } = message;
         if from.name == self.me.name {
             if from.life != self.me.life {
-                let claim = Claim {
+                let claim = MemberStatus {
                     life: from.life,
                     incarnation,
-                    said: Said::Alive,
+                    said: MemberState::Alive,
                 };
                 self.learn(
                     now,
-                    News {
+                    MemberUpdate {
                         card: from,
                         claim,
                         by: None,
@@ -597,14 +607,14 @@
             }
             return;
         }
-        let claim = Claim {
+        let claim = MemberStatus {
             life: from.life,
             incarnation,
-            said: Said::Alive,
+            said: MemberState::Alive,
         };
         self.learn(
             now,
-            News {
+            MemberUpdate {
                 card: from.clone(),
                 claim,
                 by: None,
@@ -635,34 +645,34 @@
             to.is_none_or(|(name, life)| (name, life) == (self.me.name.clone(), self.me.life));
         if !mine {
             self.tell(self.own_news());
-            return self.send(now, &from, Body::News);
+            return self.send(now, &from, Body::Gossip);
         }
         self.answer(now, from, body);
     }
 
-    fn answer(&mut self, now: u64, from: Card, body: Body) {
+    fn answer(&mut self, now: u64, from: MemberMetadata, body: Body) {
         match body {
             Body::Ping { number, origin } => self.pinged(now, &from, number, origin),
             Body::Ack { number, heard } => self.acked(now, &from, number, heard),
-            Body::PingFor { number, target } => self.ping_for(now, from, number, target),
-            Body::Relayed { number, heard } => self.relayed(now, &from, number, heard),
-            Body::NoAnswer { number } => self.no_answer(number),
-            Body::Ask => self.send_parts(now, &from, |_| true, false),
-            Body::Sums(sums) => self.compared(now, &from, &sums),
-            Body::Parts { again: false, .. } if !self.was_told => self.was_told = true,
-            Body::Parts { parts, again: true } => {
+            Body::IndirectPing { number, target } => self.ping_for(now, from, number, target),
+            Body::RelayedAck { number, heard } => self.relayed(now, &from, number, heard),
+            Body::Nack { number } => self.no_answer(number),
+            Body::StateRequest => self.send_parts(now, &from, |_| true, false),
+            Body::ShardDigests(sums) => self.compared(now, &from, &sums),
+            Body::ShardState { again: false, .. } if !self.was_told => self.was_told = true,
+            Body::ShardState { parts, again: true } => {
                 self.send_parts(now, &from, |part| parts.contains(&part), false);
             }
-            Body::Parts { .. } | Body::News => {}
+            Body::ShardState { .. } | Body::Gossip => {}
         }
     }
 
     /// The ways between this member and another one, as far as that is known: there and back.
-    pub fn ways(&self, name: &Name, now: u64) -> (Way, Way) {
+    pub fn ways(&self, name: &Name, now: u64) -> (PathState, PathState) {
         let holds = self.holds();
         self.members
             .get(name)
-            .map_or((Way::Unknown, Way::Unknown), |member| {
+            .map_or((PathState::Unknown, PathState::Unknown), |member| {
                 (member.reach.to(now, holds), member.reach.from(now, holds))
             })
     }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,10 +1,10 @@
 //! Probes: each member in turn, by way of others where it does not answer, and which way was cut.
 
-use crate::card::{Card, Name};
+use crate::card::{MemberMetadata, Name};
 use crate::member::Member;
-use crate::message::{Body, Origin};
+use crate::message::{Body, ProbeOrigin};
 use crate::node::Node;
-use crate::reach::Way;
+use crate::reach::PathState;
 use rand::seq::SliceRandom;
 
 /// How many ends of probes say whether this member is cut off.
@@ -17,7 +17,7 @@
 /// One under way.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
-    target: Card,
+    target: MemberMetadata,
     number: u64,
     began: u64,
     ask_at: u64,
@@ -42,7 +42,7 @@
 /// One that is asked for another.
 #[derive(Clone, Debug)]
 pub(crate) struct Relay {
-    origin: Card,
+    origin: MemberMetadata,
     origin_number: u64,
     target: Name,
     number: u64,
@@ -142,7 +142,7 @@
         }
         let helpers = self.helpers(now, &target);
         for helper in &helpers {
-            let body = Body::PingFor {
+            let body = Body::IndirectPing {
                 number,
                 target: target.clone(),
             };
@@ -158,12 +158,12 @@
     /// target's straight way is in doubt, third zones go first: its own zone and this one share the cut if there is one.
     /// Before all of them whoever found it last, or any other: where one member alone sees two halves, chance would seldom
     /// ask that one.
-    pub(crate) fn helpers(&mut self, now: u64, target: &Card) -> Vec<Card> {
+    pub(crate) fn helpers(&mut self, now: u64, target: &MemberMetadata) -> Vec<MemberMetadata> {
         let (most, holds, plain) = (self.settings.helpers, self.holds(), self.settings.plain);
         let name = &target.name;
         let is_cut = |member: &Member| {
             let (to, from) = (member.reach.to(now, holds), member.reach.from(now, holds));
-            !plain && (to == Way::Cut || from == Way::Cut)
+            !plain && (to == PathState::Partitioned || from == PathState::Partitioned)
         };
         let known = self.members.get(name);
         let doubtful =
@@ -189,7 +189,7 @@
             chosen.push(all.swap_remove(at));
         }
         let (own, theirs) = (self.me.zone.clone(), target.zone.clone());
-        let wanted: [&dyn Fn(&Card) -> bool; 3] = [
+        let wanted: [&dyn Fn(&MemberMetadata) -> bool; 3] = [
             &|card| card.zone == theirs,
             &|card| card.zone != own && card.zone != theirs,
             &|card| card.zone == own,
@@ -233,7 +233,7 @@
         let speaks = !plain && member.reach.spoke_since(probe.began.saturating_sub(round));
         if speaks {
             member.reach.answered_roundabout(now, probe.number, 0, 0);
-            if member.reach.to(now, holds) == Way::Cut {
+            if member.reach.to(now, holds) == PathState::Partitioned {
                 return;
             }
         }
@@ -259,7 +259,13 @@
         }
     }
 
-    pub(crate) fn pinged(&mut self, now: u64, from: &Card, number: u64, origin: Option<Origin>) {
+    pub(crate) fn pinged(
+        &mut self,
+        now: u64,
+        from: &MemberMetadata,
+        number: u64,
+        origin: Option<ProbeOrigin>,
+    ) {
         let Some(origin) = origin else {
             if let Some(member) = self.members.get_mut(&from.name) {
                 member.reach.heard_number = member.reach.heard_number.max(number);
@@ -292,14 +298,14 @@
         }
     }
 
-    pub(crate) fn acked(&mut self, now: u64, from: &Card, number: u64, heard: u64) {
+    pub(crate) fn acked(&mut self, now: u64, from: &MemberMetadata, number: u64, heard: u64) {
         if let Some(at) = self
             .relays
             .iter()
             .position(|relay| relay.number == number && relay.target == from.name)
         {
             let relay = self.relays.swap_remove(at);
-            let body = Body::Relayed {
+            let body = Body::RelayedAck {
                 number: relay.origin_number,
                 heard,
             };
@@ -322,7 +328,7 @@
         self.found(now);
     }
 
-    pub(crate) fn relayed(&mut self, now: u64, by: &Card, number: u64, heard: u64) {
+    pub(crate) fn relayed(&mut self, now: u64, by: &MemberMetadata, number: u64, heard: u64) {
         let Some(probe) = self.probe.as_ref().filter(|probe| probe.number == number) else {
             return;
         };
@@ -355,14 +361,20 @@
         }
     }
 
-    pub(crate) fn ping_for(&mut self, now: u64, origin: Card, origin_number: u64, target: Card) {
+    pub(crate) fn ping_for(
+        &mut self,
+        now: u64,
+        origin: MemberMetadata,
+        origin_number: u64,
+        target: MemberMetadata,
+    ) {
         if target.name == self.me.name || self.relays.len() >= RELAYS {
             return;
         }
         self.number += 1;
         let number = self.number;
         let ends_at = now + self.settings.patience.as_nanos() as u64;
-        let asked_for = Origin {
+        let asked_for = ProbeOrigin {
             card: origin.clone(),
             number: origin_number,
         };
@@ -392,7 +404,7 @@
             self.send(
                 now,
                 &relay.origin,
-                Body::NoAnswer {
+                Body::Nack {
                     number: relay.origin_number,
                 },
             );
--- a/crates/membership/src/reach.rs
+++ b/crates/membership/src/reach.rs
@@ -3,21 +3,21 @@
 
 /// What is known of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Way {
+pub enum PathState {
     /// Nothing yet, or nothing that still holds.
     #[default]
     Unknown,
     /// It works.
-    Works,
+    Open,
     /// Nothing comes through, though the other side is there.
-    Cut,
+    Partitioned,
 }
 
 /// Both directions, with when that was last seen.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reach {
-    to: Option<(Way, u64)>,
-    from: Option<(Way, u64)>,
+pub struct Paths {
+    to: Option<(PathState, u64)>,
+    from: Option<(PathState, u64)>,
     /// The last direct probe that the other has had from here.
     pub heard_number: u64,
     /// Direct probes in a row that were answered by way of others only.
@@ -27,16 +27,19 @@
 /// So many roundabout answers in a row show a cut; fewer may be losses.
 const SHOWS: u32 = 3;
 
-impl Reach {
+impl Paths {
     /// Something came from the other itself.
     pub fn heard(&mut self, now: u64) {
-        self.from = Some((Way::Works, now));
+        self.from = Some((PathState::Open, now));
     }
 
     /// The other has answered a probe itself, so both ways work.
     pub fn answered(&mut self, now: u64) {
-        (self.to, self.from, self.roundabout) =
-            (Some((Way::Works, now)), Some((Way::Works, now)), 0);
+        (self.to, self.from, self.roundabout) = (
+            Some((PathState::Open, now)),
+            Some((PathState::Open, now)),
+            0,
+        );
     }
 
     /// The other is there, as another member found, but has not answered this member's probe `number` itself; the last
@@ -45,21 +48,21 @@
         let got_there = heard >= number && number > 0;
         self.roundabout = self.roundabout.saturating_add(1);
         if got_there {
-            self.to = Some((Way::Works, now));
+            self.to = Some((PathState::Open, now));
         }
         if self.roundabout < SHOWS {
             return false;
         }
         if !got_there {
-            self.to = Some((Way::Cut, now));
+            self.to = Some((PathState::Partitioned, now));
         }
         // What came lately of itself shows that the way back works; otherwise its answer was lost on it, if the
         // probe got there, and nothing is known if it did not.
         let lately = self
             .from
-            .is_some_and(|(way, at)| way == Way::Works && now < at.saturating_add(period));
+            .is_some_and(|(way, at)| way == PathState::Open && now < at.saturating_add(period));
         if got_there && !lately {
-            self.from = Some((Way::Cut, now));
+            self.from = Some((PathState::Partitioned, now));
         }
         true
     }
@@ -67,7 +70,7 @@
     /// Whether something came from the other itself since a time.
     pub fn spoke_since(&self, since: u64) -> bool {
         self.from
-            .is_some_and(|(way, at)| way == Way::Works && at >= since)
+            .is_some_and(|(way, at)| way == PathState::Open && at >= since)
     }
 
     /// Whether the last answer came by way of others only.
@@ -76,17 +79,17 @@
     }
 
     /// The direction from this member to the other.
-    pub fn to(&self, now: u64, holds: u64) -> Way {
+    pub fn to(&self, now: u64, holds: u64) -> PathState {
         Self::lately(self.to, now, holds)
     }
 
     /// The direction from the other to this member.
-    pub fn from(&self, now: u64, holds: u64) -> Way {
+    pub fn from(&self, now: u64, holds: u64) -> PathState {
         Self::lately(self.from, now, holds)
     }
 
-    fn lately(way: Option<(Way, u64)>, now: u64, holds: u64) -> Way {
+    fn lately(way: Option<(PathState, u64)>, now: u64, holds: u64) -> PathState {
         way.filter(|(_, at)| now < at.saturating_add(holds))
-            .map_or(Way::Unknown, |(way, _)| way)
+            .map_or(PathState::Unknown, |(way, _)| way)
     }
 }
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -9,24 +9,24 @@
 
 /// Where a piece stands: the urgent ones first, then the least told, then the newest. Were it the name that decides,
 /// all would tell the same few first, and the last of many would wait for long.
-type Place = (Reverse<u8>, u32, Reverse<u64>);
+type Rank = (Reverse<u8>, u32, Reverse<u64>);
 
 /// What is still to be told, by its key.
 #[derive(Clone, Debug)]
-pub struct Spread<K, V> {
-    queue: BTreeMap<Place, Piece<K, V>>,
-    places: BTreeMap<K, Place>,
+pub struct GossipQueue<K, V> {
+    queue: BTreeMap<Rank, QueuedItem<K, V>>,
+    places: BTreeMap<K, Rank>,
     next: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Piece<K, V> {
+struct QueuedItem<K, V> {
     key: K,
     news: V,
     bytes: usize,
 }
 
-impl<K, V> Default for Spread<K, V> {
+impl<K, V> Default for GossipQueue<K, V> {
     fn default() -> Self {
         Self {
             queue: BTreeMap::new(),
@@ -36,14 +36,14 @@
     }
 }
 
-impl<K: Ord + Clone, V: Clone> Spread<K, V> {
+impl<K: Ord + Clone, V: Clone> GossipQueue<K, V> {
     /// Tell this from now on, in place of what was told under the key.
     pub fn tell(&mut self, key: K, news: V, bytes: usize, urgent: u8) {
         self.forget(&key);
         self.next += 1;
         let place = (Reverse(urgent), 0, Reverse(self.next));
         self.places.insert(key.clone(), place);
-        self.queue.insert(place, Piece { key, news, bytes });
+        self.queue.insert(place, QueuedItem { key, news, bytes });
     }
 
     /// No longer.
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,9 +1,9 @@
 //! Whole states compared: what news has missed is found by sums over parts of what each holds, and sent.
 
-use crate::card::{Card, Name};
-use crate::claim::Said;
+use crate::card::{MemberMetadata, Name};
+use crate::claim::MemberState;
 use crate::member::Member;
-use crate::message::{Body, MOST, News, PARTS, size};
+use crate::message::{Body, MOST, MemberUpdate, SHARDS, size};
 use crate::node::Node;
 use rand::seq::SliceRandom;
 use siphasher::sip::SipHasher13;
@@ -24,13 +24,13 @@
 }
 
 fn part_of(name: &Name) -> u8 {
-    (hash(name.as_str()) % PARTS as u64) as u8
+    (hash(name.as_str()) % SHARDS as u64) as u8
 }
 
 impl Node {
     /// A sum over all claims and facts of each part. The order in which they came does not matter.
     fn sums(&self) -> Vec<u64> {
-        let mut sums = vec![0_u64; PARTS];
+        let mut sums = vec![0_u64; SHARDS];
         let mut add = |name: &Name, of: u64| {
             let sum = &mut sums[usize::from(part_of(name))];
             *sum = sum.wrapping_add(of);
@@ -58,19 +58,19 @@
             false => self.some_that_hear(now, 1),
         };
         if to.is_empty() {
-            to = self.some(1, |member| member.claim.said != Said::Left);
+            to = self.some(1, |member| member.claim.said != MemberState::Left);
         }
         let Some(to) = to.pop() else { return };
-        let body = Body::Sums(self.sums());
+        let body = Body::ShardDigests(self.sums());
         let message = self.message(Some(&to), body);
         self.push(to.at, &message, true);
     }
 
     /// Another one's sums have come.
-    pub(crate) fn compared(&mut self, now: u64, from: &Card, sums: &[u64]) {
+    pub(crate) fn compared(&mut self, now: u64, from: &MemberMetadata, sums: &[u64]) {
         let own = self.sums();
         let differ = |part: &u8| own.get(usize::from(*part)) != sums.get(usize::from(*part));
-        let mut parts: Vec<u8> = (0..PARTS as u8).filter(differ).collect();
+        let mut parts: Vec<u8> = (0..SHARDS as u8).filter(differ).collect();
         // A few at a time: where much has changed, the news of it is under way anyhow.
         let (some, _) = parts.partial_shuffle(&mut self.rng, AT_ONCE);
         if !some.is_empty() {
@@ -83,11 +83,11 @@
     pub(crate) fn send_parts(
         &mut self,
         now: u64,
-        to: &Card,
+        to: &MemberMetadata,
         wanted: impl Fn(u8) -> bool,
         again: bool,
     ) {
-        let mut parts: BTreeMap<u8, Vec<News>> = (0..PARTS as u8)
+        let mut parts: BTreeMap<u8, Vec<MemberUpdate>> = (0..SHARDS as u8)
             .filter(|part| wanted(*part))
             .map(|part| (part, Vec::new()))
             .collect();
@@ -100,12 +100,12 @@
         }
         let mut message = self.message(
             Some(to),
-            Body::Parts {
+            Body::ShardState {
                 parts: Vec::new(),
                 again,
             },
         );
-        let empty = size(&message) + PARTS;
+        let empty = size(&message) + SHARDS;
         let mut room = PAGE.saturating_sub(empty);
         let mut pages = Vec::new();
         for (part, news) in parts {
@@ -115,7 +115,7 @@
             if bytes > room && room < PAGE - empty {
                 let next = self.message(
                     Some(to),
-                    Body::Parts {
+                    Body::ShardState {
                         parts: Vec::new(),
                         again,
                     },
@@ -123,7 +123,7 @@
                 pages.push(std::mem::replace(&mut message, next));
                 room = PAGE - empty;
             }
-            if let Body::Parts { parts, .. } = &mut message.body {
+            if let Body::ShardState { parts, .. } = &mut message.body {
                 parts.push(part);
             }
             // A part that is larger than a page goes as far as it fits; the rest comes by news.
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -4,22 +4,22 @@
 //! incarnation, or to a worse state of the same. `Left` is the end of a life. What this member cannot know, since it was
 //! cut off or has just woken, it says as such: then no state of another gets worse by its own judgement.
 
-use crate::card::{Card, Name};
-use crate::reach::Way;
+use crate::card::{MemberMetadata, Name};
+use crate::reach::PathState;
 
 /// What is known of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum Verdict {
     /// It was found lately, or another says so and nothing speaks against it.
     Alive,
     /// It may be gone: nobody found it, and there is time to contradict.
     Suspect,
     /// Others find it; between it and this member a way is cut.
-    CutFromMe {
+    Partitioned {
         /// From this member to it.
-        to: Way,
+        to: PathState,
         /// From it to this member.
-        from: Way,
+        from: PathState,
     },
     /// It is gone.
     Dead,
@@ -32,11 +32,11 @@
 
 /// One line of a view.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen<'a> {
+pub struct Observation<'a> {
     /// Who.
-    pub card: &'a Card,
+    pub card: &'a MemberMetadata,
     /// Its state.
-    pub state: State,
+    pub state: Verdict,
     /// Since when that is claimed.
     pub since: u64,
     /// When it was last found to be there.
@@ -47,7 +47,7 @@
 
 /// How much of the fleet is heard at this moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sure {
+pub struct Confidence {
     /// Part of the own zone's other members that were found lately; 1 where there is none.
     pub own_zone: f64,
     /// Part of the other zones' members.
@@ -58,7 +58,7 @@
 
 /// How large the fleet is, this member included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Size {
+pub struct FleetSize {
     /// Those that nothing is said against.
     pub least: usize,
     /// Those that are not known to be gone.
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -6,7 +6,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use woadstall_membership::{Card, Event, Life, Name, Node, Out, Settings, State};
+use woadstall_membership::{
+    Event, Generation, MemberMetadata, Name, Node, OutgoingMessage, Settings, Verdict,
+};
 
 pub const MS: u64 = 1_000_000;
 pub const SECOND: u64 = 1_000 * MS;
@@ -14,7 +16,7 @@
 
 /// One direction between two.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Way {
+pub struct Link {
     pub cut: bool,
     pub loss: f64,
     pub doubled: f64,
@@ -37,10 +39,10 @@
     pub hosts_answer: bool,
     pub events: Vec<(u64, usize, Event)>,
     /// When and by whom each message was sent, where that is to be kept.
-    pub sent: Vec<(u64, usize, Out)>,
+    pub sent: Vec<(u64, usize, OutgoingMessage)>,
     pub keeps_sent: bool,
-    usual: Way,
-    ways: BTreeMap<(usize, usize), Way>,
+    usual: Link,
+    ways: BTreeMap<(usize, usize), Link>,
     paused: Vec<Option<Vec<Vec<u8>>>>,
     agenda: BTreeMap<(u64, u64), What>,
     next: u64,
@@ -57,15 +59,15 @@
     ([127, 0, 0, 1], 10_000 + of as u16).into()
 }
 
-pub fn card(of: usize, name: Name, started: u64, id: u64) -> Card {
+pub fn card(of: usize, name: Name, started: u64, id: u64) -> MemberMetadata {
     card_in(of, name, started, id, ZONES.len())
 }
 
-fn card_in(of: usize, name: Name, started: u64, id: u64, zones: usize) -> Card {
+fn card_in(of: usize, name: Name, started: u64, id: u64, zones: usize) -> MemberMetadata {
     let zone = self::name(ZONES[of % zones]);
-    Card {
+    MemberMetadata {
         name,
-        life: Life { started, id },
+        life: Generation { started, id },
         at: address(of),
         zone,
         region: None,
@@ -90,10 +92,10 @@
             events: Vec::new(),
             sent: Vec::new(),
             keeps_sent: false,
-            usual: Way {
+            usual: Link {
                 delay: MS / 4,
                 jitter: MS,
-                ..Way::default()
+                ..Link::default()
             },
             ways: BTreeMap::new(),
             paused: Vec::new(),
@@ -143,11 +145,11 @@
         self.after(at);
     }
 
-    pub fn usual(&mut self, way: Way) {
+    pub fn usual(&mut self, way: Link) {
         self.usual = way;
     }
 
-    pub fn way(&mut self, from: usize, to: usize) -> &mut Way {
+    pub fn way(&mut self, from: usize, to: usize) -> &mut Link {
         let usual = self.usual;
         self.ways.entry((from, to)).or_insert(usual)
     }
@@ -263,7 +265,7 @@
         self.now = until;
     }
 
-    pub fn state(&self, of: usize, by: usize) -> Option<State> {
+    pub fn state(&self, of: usize, by: usize) -> Option<Verdict> {
         self.nodes[by].as_ref()?.state(&self.names[of], self.now)
     }
 
@@ -274,7 +276,7 @@
             of.clone().filter(|of| *of != by).all(|of| {
                 matches!(
                     self.state(of, by),
-                    Some(State::Alive | State::CutFromMe { .. })
+                    Some(Verdict::Alive | Verdict::Partitioned { .. })
                 )
             })
         })
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{MS, Net, SECOND, Way, name};
-use woadstall_membership::{Event, State};
+use common::{Link, MS, Net, SECOND, name};
+use woadstall_membership::{Event, Verdict};
 
 const NONE: [woadstall_membership::Name; 0] = [];
 
@@ -26,7 +26,7 @@
     assert!(
         (0..30)
             .filter(|by| *by != 7)
-            .all(|by| net.state(7, by) == Some(State::Left))
+            .all(|by| net.state(7, by) == Some(Verdict::Left))
     );
     assert_eq!(net.dead(), NONE);
 }
@@ -36,7 +36,7 @@
 fn losses_kill_nobody() {
     for (seed, loss) in [(1, 0.1), (2, 0.3), (3, 0.5)] {
         let mut net = Net::new(18, seed);
-        net.usual(Way {
+        net.usual(Link {
             loss,
             doubled: 0.2,
             delay: MS,
@@ -45,9 +45,9 @@
         });
         net.run(120 * SECOND);
         assert_eq!(net.dead(), NONE, "{loss}");
-        net.usual(Way {
+        net.usual(Link {
             delay: MS,
-            ..Way::default()
+            ..Link::default()
         });
         net.run(20 * SECOND);
         assert!(net.all_alive(0..18), "{loss}");
@@ -64,7 +64,7 @@
         net.kill(5);
         net.run(within);
         let known = (0..36)
-            .filter(|by| *by != 5 && net.state(5, *by) == Some(State::Dead))
+            .filter(|by| *by != 5 && net.state(5, *by) == Some(Verdict::Dead))
             .count();
         assert_eq!(known, 35, "{hosts_answer}");
         assert_eq!(net.dead(), [name("b-5")]);
@@ -95,7 +95,7 @@
         net.run(SECOND / 2);
         let known = (0..4).flat_map(|by| (4..9).map(move |of| (by, of)));
         let known = known
-            .filter(|(by, of)| net.state(*of, *by) == Some(State::Dead))
+            .filter(|(by, of)| net.state(*of, *by) == Some(Verdict::Dead))
             .count();
         assert_eq!(known, 20);
     }
@@ -157,7 +157,7 @@
         net.run(120 * SECOND);
         assert_eq!(net.dead(), NONE, "{} cuts", cuts.len());
         assert!(net.all_alive(0..36));
-        use woadstall_membership::Way::{Cut, Works};
+        use woadstall_membership::PathState::{Open, Partitioned};
         let named = |from: usize, to: usize| {
             let there = net.nodes[from]
                 .as_ref()
@@ -169,7 +169,7 @@
                 .unwrap()
                 .ways(&net.names[from], net.now)
                 .1;
-            (there == Cut, back == Cut)
+            (there == Partitioned, back == Partitioned)
         };
         let both = cuts
             .iter()
@@ -188,7 +188,10 @@
                 .as_ref()
                 .unwrap()
                 .ways(&net.names[to], net.now);
-            assert!(ways.0 != Cut && ways.1 != Cut, "{from} to {to}: {ways:?}");
+            assert!(
+                ways.0 != Partitioned && ways.1 != Partitioned,
+                "{from} to {to}: {ways:?}"
+            );
         }
         net.heal();
         net.run(120 * SECOND);
@@ -198,7 +201,7 @@
                 .as_ref()
                 .unwrap()
                 .ways(&net.names[to], net.now),
-            (Works, Works)
+            (Open, Open)
         );
     }
 }
@@ -215,7 +218,7 @@
     net.run(60 * SECOND);
     assert_eq!(net.dead(), NONE);
     assert!(
-        matches!(net.state(20, 3), Some(State::UnknownSince(_))),
+        matches!(net.state(20, 3), Some(Verdict::UnknownSince(_))),
         "{:?}",
         net.state(20, 3)
     );
@@ -241,13 +244,13 @@
         net.run(120 * SECOND);
         assert_eq!(net.dead(), NONE);
         let cut = |(from, to): &(usize, usize)| {
-            let is_cut = matches!(net.state(*to, *from), Some(State::CutFromMe { .. }));
+            let is_cut = matches!(net.state(*to, *from), Some(Verdict::Partitioned { .. }));
             let there = net.nodes[*from]
                 .as_ref()
                 .unwrap()
                 .ways(&net.names[*to], net.now)
                 .0;
-            is_cut && there == woadstall_membership::Way::Cut
+            is_cut && there == woadstall_membership::PathState::Partitioned
         };
         let named = pairs.filter(cut).count();
         assert!(named * 100 >= 144 * 90, "{named} of 144");
@@ -390,7 +393,7 @@
     let told = |at: usize| {
         net.events
             .iter()
-            .any(|(_, by, event)| *by == at && matches!(event, Event::NameTwice { .. }))
+            .any(|(_, by, event)| *by == at && matches!(event, Event::NameConflict { .. }))
     };
     assert!(told(2) && told(11), "{} {}", told(2), told(11));
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -5,15 +5,16 @@
 
 mod common;
 
-use common::{MS, Net, SECOND, Way, address, name};
+use common::{Link, MS, Net, SECOND, address, name};
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use woadstall_membership::message::{Body, FactNews, News, Origin};
+use woadstall_membership::message::{Body, MemberUpdate, ProbeOrigin, RecordUpdate};
 use woadstall_membership::{
-    CUTS, Card, Claim, Event, Life, Message, MessageError, Name, Node, Said, Settings, State,
+    Event, Generation, MemberMetadata, MemberState, MemberStatus, Message, MessageError, Name,
+    Node, PARTITIONS_KEY, Settings, Verdict,
 };
 
 fn fixture(form: &str) -> String {
@@ -42,10 +43,10 @@
     assert_eq!(text, fixture(form), "{form}");
 }
 
-fn member(number: u64, region: Option<&str>, at: &str) -> Card {
-    Card {
+fn member(number: u64, region: Option<&str>, at: &str) -> MemberMetadata {
+    MemberMetadata {
         name: name(&format!("b-{number}")),
-        life: Life {
+        life: Generation {
             started: 1_764_000_000_000 + number,
             id: 0x0123_4567_89ab_cdef ^ number,
         },
@@ -55,20 +56,20 @@
     }
 }
 
-fn first() -> Card {
+fn first() -> MemberMetadata {
     member(1, Some("europa"), "127.0.0.1:7946")
 }
 
-fn second() -> Card {
+fn second() -> MemberMetadata {
     member(2, None, "[2001:db8::2]:7947")
 }
 
-fn third() -> Card {
+fn third() -> MemberMetadata {
     member(3, Some("asia"), "10.1.2.3:65535")
 }
 
-fn claim(card: &Card, incarnation: u32, said: Said) -> Claim {
-    Claim {
+fn claim(card: &MemberMetadata, incarnation: u32, said: MemberState) -> MemberStatus {
+    MemberStatus {
         life: card.life,
         incarnation,
         said,
@@ -111,7 +112,7 @@
 
 #[test]
 fn ping_for_another() {
-    let origin = Some(Origin {
+    let origin = Some(ProbeOrigin {
         card: third(),
         number: 70_000,
     });
@@ -139,7 +140,7 @@
 fn indirect_ping() {
     assert_golden_message(
         "indirect-ping.hex",
-        &plain(Body::PingFor {
+        &plain(Body::IndirectPing {
             number: 10,
             target: third(),
         }),
@@ -150,7 +151,7 @@
 fn relayed_ack() {
     assert_golden_message(
         "relayed-ack.hex",
-        &plain(Body::Relayed {
+        &plain(Body::RelayedAck {
             number: 11,
             heard: 300,
         }),
@@ -159,7 +160,7 @@
 
 #[test]
 fn no_answer() {
-    assert_golden_message("no-answer.hex", &plain(Body::NoAnswer { number: 12 }));
+    assert_golden_message("no-answer.hex", &plain(Body::Nack { number: 12 }));
 }
 
 #[test]
@@ -168,7 +169,7 @@
         "ask.hex",
         &Message {
             to: None,
-            ..plain(Body::Ask)
+            ..plain(Body::StateRequest)
         },
     );
 }
@@ -178,7 +179,7 @@
     let sums = (0..64_u64)
         .map(|part| part.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .collect();
-    assert_golden_message("sums.hex", &plain(Body::Sums(sums)));
+    assert_golden_message("sums.hex", &plain(Body::ShardDigests(sums)));
 }
 
 #[test]
@@ -186,7 +187,7 @@
     for (form, again) in [("parts-once.hex", false), ("parts-again.hex", true)] {
         assert_golden_message(
             form,
-            &plain(Body::Parts {
+            &plain(Body::ShardState {
                 parts: vec![0, 17, 63],
                 again,
             }),
@@ -198,33 +199,33 @@
 #[test]
 fn news_and_facts() {
     let news = vec![
-        News {
+        MemberUpdate {
             card: second(),
-            claim: claim(&second(), 0, Said::Alive),
+            claim: claim(&second(), 0, MemberState::Alive),
             by: None,
         },
-        News {
+        MemberUpdate {
             card: third(),
-            claim: claim(&third(), 1, Said::Suspect),
+            claim: claim(&third(), 1, MemberState::Suspect),
             by: Some(name("b-1")),
         },
-        News {
+        MemberUpdate {
             card: third(),
-            claim: claim(&third(), 70_000, Said::Dead),
+            claim: claim(&third(), 70_000, MemberState::Dead),
             by: Some(name("b-2")),
         },
-        News {
+        MemberUpdate {
             card: third(),
-            claim: claim(&third(), 2, Said::Left),
+            claim: claim(&third(), 2, MemberState::Left),
             by: None,
         },
-        News {
+        MemberUpdate {
             card: second(),
-            claim: Claim::left(second().life),
+            claim: MemberStatus::left(second().life),
             by: None,
         },
     ];
-    let fact = |key: &str, priority, age_ms, bytes: &[u8]| FactNews {
+    let fact = |key: &str, priority, age_ms, bytes: &[u8]| RecordUpdate {
         owner: name("b-2"),
         life: second().life,
         counter: 129,
@@ -242,7 +243,7 @@
         &Message {
             news,
             facts,
-            ..plain(Body::News)
+            ..plain(Body::Gossip)
         },
     );
 }
@@ -318,7 +319,7 @@
     }
     net.run(60 * SECOND);
     let node = net.nodes[0].as_ref().unwrap();
-    let fact = node.fact(&net.names[0], &name(CUTS)).unwrap();
+    let fact = node.fact(&net.names[0], &name(PARTITIONS_KEY)).unwrap();
     assert_golden("cuts-told.hex", &fact.bytes);
 }
 
@@ -329,17 +330,17 @@
     let mut node = Node::new(me, vec![address(1)], Settings::default(), 1, 0).unwrap();
     let mut far = second();
     far.zone = name("sur");
-    let fact = FactNews {
+    let fact = RecordUpdate {
         owner: first().name,
         life: first().life,
         counter: 1,
-        key: name(CUTS),
+        key: name(PARTITIONS_KEY),
         priority: 64,
         age_ms: 0,
         bytes: bytes_of("cuts-heard.hex"),
     };
-    let news = vec![News {
-        claim: claim(&far, 0, Said::Alive),
+    let news = vec![MemberUpdate {
+        claim: claim(&far, 0, MemberState::Alive),
         card: far,
         by: None,
     }];
@@ -347,7 +348,7 @@
         to: None,
         news,
         facts: vec![fact],
-        ..plain(Body::News)
+        ..plain(Body::Gossip)
     };
     node.heard(SECOND, &message.write()).unwrap();
     let cuts = node.cuts(SECOND);
@@ -392,7 +393,7 @@
         self.bytes(at.to_string().as_bytes());
     }
 
-    fn card(&mut self, card: &Card) {
+    fn card(&mut self, card: &MemberMetadata) {
         self.name(&card.name);
         self.number(card.life.started);
         self.number(card.life.id);
@@ -407,7 +408,7 @@
                 self.number(1);
                 self.card(card);
             }
-            Event::Back(name) => {
+            Event::Recovered(name) => {
                 self.number(2);
                 self.name(name);
             }
@@ -425,42 +426,42 @@
                 self.number(5);
                 self.name(name);
             }
-            Event::StoodStill(time) => {
+            Event::ProcessPaused(time) => {
                 self.number(6);
                 self.number(time.as_nanos() as u64);
             }
-            Event::NameTwice { name, at } => {
+            Event::NameConflict { name, at } => {
                 self.number(7);
                 self.name(name);
                 at.iter().for_each(|at| self.address(*at));
             }
-            Event::CutOff(cut_off) => {
+            Event::IsolationChanged(cut_off) => {
                 self.number(8);
                 self.number(u64::from(*cut_off));
             }
         }
     }
 
-    fn way(&mut self, way: woadstall_membership::Way) {
+    fn way(&mut self, way: woadstall_membership::PathState) {
         self.number(match way {
-            woadstall_membership::Way::Unknown => 0,
-            woadstall_membership::Way::Works => 1,
-            woadstall_membership::Way::Cut => 2,
+            woadstall_membership::PathState::Unknown => 0,
+            woadstall_membership::PathState::Open => 1,
+            woadstall_membership::PathState::Partitioned => 2,
         });
     }
 
-    fn state(&mut self, state: State) {
+    fn state(&mut self, state: Verdict) {
         match state {
-            State::Alive => self.number(1),
-            State::Suspect => self.number(2),
-            State::CutFromMe { to, from } => {
+            Verdict::Alive => self.number(1),
+            Verdict::Suspect => self.number(2),
+            Verdict::Partitioned { to, from } => {
                 self.number(3);
                 self.way(to);
                 self.way(from);
             }
-            State::Dead => self.number(4),
-            State::Left => self.number(5),
-            State::UnknownSince(since) => {
+            Verdict::Dead => self.number(4),
+            Verdict::Left => self.number(5),
+            Verdict::UnknownSince(since) => {
                 self.number(6);
                 self.number(since);
             }
@@ -552,7 +553,7 @@
         if plain {
             (0..12).for_each(|at| net.start(at, 2_000_000, 100 + at as u64));
         }
-        net.usual(Way {
+        net.usual(Link {
             loss: 0.1,
             doubled: 0.1,
             delay: MS,
--- a/crates/membership/tests/long.rs
+++ b/crates/membership/tests/long.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use common::{MS, Net, SECOND, Way};
+use common::{Link, MS, Net, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use woadstall_membership::{Event, State};
+use woadstall_membership::{Event, Verdict};
 
 fn number(name: &str, usual: u64) -> u64 {
     std::env::var(name)
@@ -27,11 +27,11 @@
     );
     let one_in = number("ASLEEP", 30);
     let mut net = Net::new(members, seed);
-    net.usual(Way {
+    net.usual(Link {
         loss: 0.1,
         delay: MS,
         jitter: 5 * MS,
-        ..Way::default()
+        ..Link::default()
     });
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut asleep: Vec<(u64, usize)> = Vec::new();
@@ -70,7 +70,7 @@
                 let awake =
                     |by: &usize| *by != victim && !asleep.iter().any(|(_, other)| other == by);
                 let mut others = (0..members).filter(awake);
-                if others.all(|by| matches!(net.state(victim, by), Some(State::Dead))) {
+                if others.all(|by| matches!(net.state(victim, by), Some(Verdict::Dead))) {
                     all_know = Some((net.now - died_at) as f64 / 1e9);
                 }
             }
@@ -116,11 +116,11 @@
     let (members, seed) = (number("MEMBERS", 300) as usize, number("SEED", 1));
     for loss in [0.0, 0.1] {
         let mut net = Net::new(members, seed);
-        net.usual(Way {
+        net.usual(Link {
             loss,
             delay: MS,
             jitter: 2 * MS,
-            ..Way::default()
+            ..Link::default()
         });
         net.run(20 * SECOND);
         let key = common::name("evidence");
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -4,8 +4,8 @@
 
 use common::{SECOND, address, card, name};
 use proptest::prelude::*;
-use woadstall_membership::message::{Body, News};
-use woadstall_membership::{Claim, Message, Node, Said, Settings};
+use woadstall_membership::message::{Body, MemberUpdate};
+use woadstall_membership::{MemberState, MemberStatus, Message, Node, Settings};
 
 fn node() -> Node {
     Node::new(
@@ -18,33 +18,38 @@
     .unwrap()
 }
 
-fn message(news: Vec<News>) -> Message {
+fn message(news: Vec<MemberUpdate>) -> Message {
     let from = card(1, name("b-1"), 5, 1);
     Message {
         from,
         incarnation: 0,
         to: None,
-        body: Body::News,
+        body: Body::Gossip,
         news,
         facts: Vec::new(),
     }
 }
 
-fn news() -> impl Strategy<Value = News> {
+fn news() -> impl Strategy<Value = MemberUpdate> {
     (2_usize..6, 0_u64..3, 0_u32..3, 0_u8..4).prop_map(|(of, started, incarnation, said)| {
         let card = card(of, name(&format!("b-{of}")), started, 1);
-        let said = [Said::Alive, Said::Suspect, Said::Dead, Said::Left][usize::from(said)];
+        let said = [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Dead,
+            MemberState::Left,
+        ][usize::from(said)];
         let life = card.life;
-        let claim = if said == Said::Left {
-            Claim::left(life)
+        let claim = if said == MemberState::Left {
+            MemberStatus::left(life)
         } else {
-            Claim {
+            MemberStatus {
                 life,
                 incarnation,
                 said,
             }
         };
-        News {
+        MemberUpdate {
             card,
             claim,
             by: None,
@@ -56,7 +61,7 @@
     /// What two members hold of others does not depend on the order in which they heard it, nor on how often.
     #[test]
     fn claims_meet(mut all in prop::collection::vec(news(), 1..40), again in any::<prop::sample::Index>()) {
-        let told = |all: &[News]| {
+        let told = |all: &[MemberUpdate]| {
             let mut node = node();
             for news in all {
                 node.heard(SECOND / 2, &message(vec![news.clone()]).write()).unwrap();
@@ -79,9 +84,9 @@
         if node.heard(1, &bytes).is_err() {
             prop_assert_eq!(node.members(1).count(), 0);
         }
-        let whole = message(vec![News {
+        let whole = message(vec![MemberUpdate {
             card: card(2, name("b-2"), 1, 1),
-            claim: Claim { life: card(2, name("b-2"), 1, 1).life, incarnation: 0, said: Said::Alive },
+            claim: MemberStatus { life: card(2, name("b-2"), 1, 1).life, incarnation: 0, said: MemberState::Alive },
             by: None,
         }]).write();
         let mut other = self::node();
@@ -128,14 +133,14 @@
     let mut node = node();
     let me = node.me().clone();
     for claim in [
-        Claim {
+        MemberStatus {
             life: me.life,
             incarnation: 7,
-            said: Said::Dead,
+            said: MemberState::Dead,
         },
-        Claim::left(me.life),
+        MemberStatus::left(me.life),
     ] {
-        let news = News {
+        let news = MemberUpdate {
             card: me.clone(),
             claim,
             by: None,
@@ -153,7 +158,7 @@
     }
     assert!(
         said.iter()
-            .any(|news| news.card.name == me.name && news.claim.said == Said::Alive),
+            .any(|news| news.card.name == me.name && news.claim.said == MemberState::Alive),
         "{said:?}"
     );
 }
--- a/tests/golden_membership.rs
+++ b/tests/golden_membership.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use woadstall::net::members;
-use woadstall_membership::message::{Body, News};
-use woadstall_membership::{Card, Claim, Life, Message, Name, Node, Said, Settings};
+use woadstall_membership::message::{Body, MemberUpdate};
+use woadstall_membership::{
+    Generation, MemberMetadata, MemberState, MemberStatus, Message, Name, Node, Settings,
+};
 use woadstall_membership_net::{Counts, Report, Row, Ways};
 
 const SECOND: u64 = 1_000_000_000;
@@ -109,10 +111,10 @@
     assert_golden_report("membership-report", &report);
 }
 
-fn card(number: u16, zone: &str) -> Card {
-    Card {
+fn card(number: u16, zone: &str) -> MemberMetadata {
+    MemberMetadata {
         name: Name::new(&format!("b-{number}")).unwrap(),
-        life: Life {
+        life: Generation {
             started: 1_764_000_000_000 + u64::from(number),
             id: u64::from(number),
         },
@@ -128,16 +130,16 @@
     let settings = Settings::default();
     let mut node = Node::new(card(0, "norte"), Vec::new(), settings, 1, 0).unwrap();
     let said = BTreeMap::from([
-        (2, Said::Alive),
-        (3, Said::Suspect),
-        (4, Said::Dead),
-        (5, Said::Left),
+        (2, MemberState::Alive),
+        (3, MemberState::Suspect),
+        (4, MemberState::Dead),
+        (5, MemberState::Left),
     ]);
     let news = said.into_iter().map(|(number, said)| {
         let card = card(number, if number == 2 { "sur" } else { "norte" });
-        let by = (said == Said::Suspect).then(|| Name::new("b-1").unwrap());
-        News {
-            claim: Claim {
+        let by = (said == MemberState::Suspect).then(|| Name::new("b-1").unwrap());
+        MemberUpdate {
+            claim: MemberStatus {
                 life: card.life,
                 incarnation: 1,
                 said,
@@ -150,7 +152,7 @@
         from: card(1, "sur"),
         incarnation: 2,
         to: None,
-        body: Body::News,
+        body: Body::Gossip,
         news: news.collect(),
         facts: Vec::new(),
     };
