--- a/crates/consensus/src/durable.rs
+++ b/crates/consensus/src/durable.rs
@@ -17,7 +17,7 @@
     /// Entries, which replace all from the first one's position on.
     Append(Vec<Entry>),
     /// A snapshot, which replaces what it covers.
-    Install(Snapshot),
+    InstallSnapshot(Snapshot),
     /// All entries up to this position are committed. It may be behind; it lets a replica that starts again apply what it has
     /// before there is a leader.
     Commit(u64),
@@ -51,11 +51,11 @@
     }
 
     /// Folds one record into the state.
-    pub fn fold(&mut self, record: &Record) {
+    pub fn apply_record(&mut self, record: &Record) {
         match record {
             Record::Term { term, vote } => (self.term, self.vote) = (*term, *vote),
             Record::Append(entries) => self.log.append(entries),
-            Record::Install(snapshot) => self.log.install(snapshot.clone()),
+            Record::InstallSnapshot(snapshot) => self.log.install(snapshot.clone()),
             Record::Commit(index) => self.commit = self.commit.max(*index),
         }
     }
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -2,7 +2,7 @@
 
 use crate::durable::Record;
 use crate::membership::{Member, ReplicaId};
-use crate::message::{Body, Message};
+use crate::message::{Message, MessageBody};
 use crate::replica::{Output, Replica};
 use crate::roles::{Read, Role};
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
             // Whoever could not be reached may be there soon.
             self.wait_for_first_election();
         }
-        if self.log.members().is_voter(self.id) {
+        if self.log.membership().is_voter(self.id) {
             self.ask_for_votes(true, false);
         } else {
             self.role = Role::Follower { leader: None };
@@ -35,7 +35,7 @@
         self.election_due = self.now
             + self
                 .random
-                .u64(self.timing.election_min..=self.timing.election_max);
+                .u64(self.timing.election_timeout_min..=self.timing.election_timeout_max);
     }
 
     pub(crate) fn adopt_term(&mut self, term: u64) {
@@ -50,7 +50,7 @@
         if let Role::Leader(leadership) = role {
             let failed = leadership
                 .into_reads()
-                .map(|Read { number, .. }| Output::ReadFailed { read: number });
+                .map(|Read { number, .. }| Output::ReadFailed { read_id: number });
             self.outputs.extend(failed);
             self.reset_election_timer();
         }
@@ -65,11 +65,13 @@
     pub(crate) fn refuse_old_term(&mut self, message: &Message) {
         // The sender learns the newer term from the reply.
         let body = match message.body {
-            Body::Append { round, .. } | Body::Install { round, .. } => Body::AppendReply {
-                success: false,
-                index: self.log.last_index(),
-                round,
-            },
+            MessageBody::Append { round, .. } | MessageBody::Install { round, .. } => {
+                MessageBody::AppendReply {
+                    success: false,
+                    index: self.log.last_index(),
+                    round,
+                }
+            }
             _ => return,
         };
         self.send_durably(message.from, body);
@@ -77,8 +79,8 @@
 
     /// Whether a leader was heard from so lately that no election is due.
     pub(crate) fn has_live_leader(&self) -> bool {
-        let heard = self.leader_heard();
-        let lately = heard.is_some_and(|at| self.now < at + self.timing.election_min);
+        let heard = self.last_leader_contact();
+        let lately = heard.is_some_and(|at| self.now < at + self.timing.election_timeout_min);
         lately && self.leader().is_some()
     }
 
@@ -106,7 +108,7 @@
                 from: self.id,
                 to: from,
                 term,
-                body: Body::VoteReply { pre: true, granted },
+                body: MessageBody::VoteReply { pre: true, granted },
             };
             self.outputs.push_back(Output::Send(message));
             return;
@@ -126,7 +128,7 @@
         }
         self.send_durably(
             from,
-            Body::VoteReply {
+            MessageBody::VoteReply {
                 pre: false,
                 granted,
             },
@@ -158,9 +160,9 @@
         }
         let term = self.term + u64::from(pre);
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
-        let others: Vec<Member> = self.log.members().members().cloned().collect();
+        let others: Vec<Member> = self.log.membership().all_voters().cloned().collect();
         for member in others.into_iter().filter(|member| member.id != self.id) {
-            let body = Body::Vote {
+            let body = MessageBody::Vote {
                 pre,
                 last_index,
                 last_term,
@@ -192,7 +194,7 @@
         votes.insert(from);
         if !self
             .log
-            .members()
+            .membership()
             .is_quorum(|member| votes.contains(&member.id))
         {
             return;
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -3,9 +3,9 @@
 use crate::durable::Record;
 use crate::log::{Entry, Snapshot};
 use crate::membership::ReplicaId;
-use crate::message::Body;
+use crate::message::MessageBody;
 use crate::replica::{Output, Replica};
-use crate::snapshots::{IncomingSnapshot, Received, SnapshotPiece};
+use crate::snapshots::{IncomingSnapshot, Received, SnapshotChunk};
 
 impl Replica {
     pub(crate) fn on_append(
@@ -26,7 +26,7 @@
             let index = index.max(self.commit.min(previous_index.saturating_sub(1)));
             self.send(
                 from,
-                Body::AppendReply {
+                MessageBody::AppendReply {
                     success: false,
                     index,
                     round,
@@ -50,7 +50,7 @@
             let index = self.durable;
             self.send(
                 from,
-                Body::AppendReply {
+                MessageBody::AppendReply {
                     success: true,
                     index,
                     round,
@@ -59,7 +59,7 @@
         }
         self.send_durably(
             from,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: end,
                 round,
@@ -67,7 +67,7 @@
         );
     }
 
-    pub(crate) fn on_install(&mut self, from: ReplicaId, piece: SnapshotPiece, round: u64) {
+    pub(crate) fn on_install(&mut self, from: ReplicaId, piece: SnapshotChunk, round: u64) {
         let head = piece.head;
         if head.index > self.commit {
             match IncomingSnapshot::receive(&mut self.incoming, piece) {
@@ -75,7 +75,7 @@
                 Received::Part(received) => {
                     self.send(
                         from,
-                        Body::InstallReply {
+                        MessageBody::InstallReply {
                             head,
                             received,
                             round,
@@ -87,7 +87,7 @@
         }
         self.send_durably(
             from,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: head.index,
                 round,
@@ -103,7 +103,7 @@
         self.appended.retain(|(_, end, _)| *end > index);
         self.appended
             .push_back((self.next_sequence, index, snapshot.term));
-        self.persist(Record::Install(snapshot.clone()));
+        self.persist(Record::InstallSnapshot(snapshot.clone()));
         self.outputs.push_back(Output::Restore(snapshot));
     }
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,8 +1,8 @@
 //! What a leader does: heartbeats, replication, commits, transfer of leadership.
 
-use crate::log::Payload;
+use crate::log::EntryPayload;
 use crate::membership::{Member, ReplicaId};
-use crate::message::Body;
+use crate::message::MessageBody;
 use crate::replica::{ProposeError, Replica};
 use crate::roles::{Leadership, Role};
 use crate::snapshots::OutgoingSnapshot;
@@ -26,10 +26,10 @@
         {
             return Err(ProposeError::NotLeader(None));
         }
-        if self.log.bytes_behind(self.commit) > MOST_UNCOMMITTED {
+        if self.log.bytes_after(self.commit) > MOST_UNCOMMITTED {
             return Err(ProposeError::Busy);
         }
-        let entry = self.next_entry(Payload::Command(command));
+        let entry = self.next_entry(EntryPayload::Command(command));
         let place = (entry.index, entry.term);
         self.append(vec![entry]);
         self.replicate();
@@ -37,9 +37,12 @@
     }
 
     /// Hands leadership to the follower that has most of the log, before this process stops.
-    pub fn transfer(&mut self) {
-        let (now, members) = (self.now, self.log.members().clone());
-        let (id, fresh) = (self.id, now.saturating_sub(3 * self.timing.heartbeat));
+    pub fn transfer_leadership(&mut self) {
+        let (now, members) = (self.now, self.log.membership().clone());
+        let (id, fresh) = (
+            self.id,
+            now.saturating_sub(3 * self.timing.heartbeat_interval),
+        );
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
@@ -56,7 +59,7 @@
             return;
         };
         leadership.transfer_until = Some(now + TRANSFER_PATIENCE);
-        self.send(best, Body::Elect);
+        self.send(best, MessageBody::Elect);
     }
 
     /// The latest time at which a quorum is known to have been in contact with this leader.
@@ -65,7 +68,7 @@
             true => self.now,
             false => self.now - leadership.silent_for(self.now, member.id).min(self.now),
         };
-        self.log.members().quorum_value(contact)
+        self.log.membership().quorum_value(contact)
     }
 
     /// Whether a snapshot is on its way to a follower: what it needs next is to be kept.
@@ -83,13 +86,13 @@
         let first_index = self.log.last_index() + 1;
         let others = self
             .log
-            .members()
-            .members()
+            .membership()
+            .all_voters()
             .map(|member| member.id)
             .filter(|id| *id != self.id);
         let leadership = Leadership::new(self.now, first_index, others);
         self.role = Role::Leader(Box::new(leadership));
-        let entry = self.next_entry(Payload::Empty);
+        let entry = self.next_entry(EntryPayload::Blank);
         self.append(vec![entry]);
         self.heartbeat();
         self.advance_commit();
@@ -101,7 +104,7 @@
             return;
         };
         let due = leadership.heartbeat_due;
-        if self.now > self.quorum_contact(leadership) + self.timing.election_max {
+        if self.now > self.quorum_contact(leadership) + self.timing.election_timeout_max {
             self.step_down(None);
             return;
         }
@@ -118,7 +121,7 @@
             return;
         };
         leadership.begin_round(now);
-        leadership.heartbeat_due = now + self.timing.heartbeat;
+        leadership.heartbeat_due = now + self.timing.heartbeat_interval;
         let followers: Vec<ReplicaId> = leadership.progress.keys().copied().collect();
         for follower in followers {
             self.send_entries(follower, true);
@@ -168,7 +171,7 @@
         let commit = self.commit;
         self.send(
             follower,
-            Body::Append {
+            MessageBody::Append {
                 previous_index,
                 previous_term,
                 entries,
@@ -192,7 +195,7 @@
             .snapshot
             .get_or_insert_with(|| OutgoingSnapshot::new(&newest, now));
         for piece in outgoing.next_pieces(now) {
-            self.send(follower, Body::Install { piece, round });
+            self.send(follower, MessageBody::Install { piece, round });
         }
     }
 
@@ -262,7 +265,7 @@
                 .get(&member.id)
                 .map_or(0, |progress| progress.matched),
         };
-        let index = self.log.members().quorum_value(matched);
+        let index = self.log.membership().quorum_value(matched);
         if index > self.commit && self.log.term_at(index) == Some(self.term) {
             self.commit = index;
             self.apply_committed();
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -22,10 +22,10 @@
 mod voters;
 
 pub use durable::{DurableState, Record};
-pub use log::{Entry, Log, Payload, Snapshot};
+pub use log::{Entry, EntryPayload, Log, Snapshot};
 pub use membership::{Member, Membership, ReplicaId};
-pub use message::{Body, Message};
+pub use message::{Message, MessageBody};
 pub use replica::{Output, ProposeError, Replica, Settings, Timing};
 pub use roles::Role;
-pub use snapshots::{SnapshotHead, SnapshotPiece};
-pub use voters::{Candidate, Place, Presence, choose_voters};
+pub use snapshots::{SnapshotChunk, SnapshotMeta};
+pub use voters::{FailureDomain, Liveness, VoterCandidate, choose_voters};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -6,13 +6,13 @@
 
 /// What an entry carries.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum Payload {
+pub enum EntryPayload {
     /// Nothing: a leader begins its term with it.
-    Empty,
+    Blank,
     /// A command of the state machine.
     Command(Vec<u8>),
     /// New members, in force from the moment that the entry is in the log.
-    Members(Membership),
+    Membership(Membership),
 }
 
 /// An entry of the log.
@@ -23,7 +23,7 @@
     /// The term of the leader that created it.
     pub term: u64,
     /// What it carries.
-    pub payload: Payload,
+    pub payload: EntryPayload,
 }
 
 /// The state of the state machine at a position, which replaces all entries up to there.
@@ -34,7 +34,7 @@
     /// That entry's term.
     pub term: u64,
     /// The members at that position.
-    pub members: Membership,
+    pub membership: Membership,
     /// The state machine's own encoding.
     pub state: Vec<u8>,
 }
@@ -66,7 +66,7 @@
     }
 
     /// The bytes that the entries behind a position count as.
-    pub(crate) fn bytes_behind(&self, index: u64) -> usize {
+    pub(crate) fn bytes_after(&self, index: u64) -> usize {
         let skipped = index.saturating_sub(self.snapshot.index);
         self.entries
             .iter()
@@ -149,12 +149,12 @@
     }
 
     /// The members as of the last entry.
-    pub fn members(&self) -> &Membership {
-        self.members_at(u64::MAX)
+    pub fn membership(&self) -> &Membership {
+        self.membership_at(u64::MAX)
     }
 
     /// The members as of a position.
-    pub fn members_at(&self, index: u64) -> &Membership {
+    pub fn membership_at(&self, index: u64) -> &Membership {
         let newest = self
             .entries
             .iter()
@@ -162,16 +162,16 @@
             .filter(|entry| entry.index <= index);
         newest
             .filter_map(|entry| match &entry.payload {
-                Payload::Members(members) => Some(members),
+                EntryPayload::Membership(members) => Some(members),
                 _ => None,
             })
             .next()
-            .unwrap_or(&self.snapshot.members)
+            .unwrap_or(&self.snapshot.membership)
     }
 
     /// The position of the newest entry that changes the members, if it is held.
-    pub fn newest_change(&self) -> Option<u64> {
-        let changes = |entry: &&Entry| matches!(entry.payload, Payload::Members(_));
+    pub fn last_membership_index(&self) -> Option<u64> {
+        let changes = |entry: &&Entry| matches!(entry.payload, EntryPayload::Membership(_));
         self.entries
             .iter()
             .rev()
@@ -184,7 +184,7 @@
 pub(crate) fn size_of(entry: &Entry) -> usize {
     const HEAD: usize = 32;
     match &entry.payload {
-        Payload::Command(command) => HEAD + command.len(),
-        Payload::Empty | Payload::Members(_) => HEAD,
+        EntryPayload::Command(command) => HEAD + command.len(),
+        EntryPayload::Blank | EntryPayload::Membership(_) => HEAD,
     }
 }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -21,7 +21,7 @@
     /// The voters; during a change, the former ones.
     pub voters: Vec<Member>,
     /// During a change, the voters that come next; else none.
-    pub next: Vec<Member>,
+    pub next_voters: Vec<Member>,
 }
 
 impl Membership {
@@ -29,39 +29,41 @@
     pub fn new(voters: Vec<Member>) -> Self {
         Self {
             voters,
-            next: Vec::new(),
+            next_voters: Vec::new(),
         }
     }
 
     /// Whether the voters are about to change.
-    pub fn is_changing(&self) -> bool {
-        !self.next.is_empty()
+    pub fn is_joint(&self) -> bool {
+        !self.next_voters.is_empty()
     }
 
     /// All voters, the former ones and those that come next, each once.
-    pub fn members(&self) -> impl Iterator<Item = &Member> {
+    pub fn all_voters(&self) -> impl Iterator<Item = &Member> {
         let is_former = |member: &Member| self.voters.iter().any(|former| former.id == member.id);
-        self.voters
-            .iter()
-            .chain(self.next.iter().filter(move |member| !is_former(member)))
+        self.voters.iter().chain(
+            self.next_voters
+                .iter()
+                .filter(move |member| !is_former(member)),
+        )
     }
 
     /// Whether a replica votes.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
-        self.members().any(|member| member.id == id)
+        self.all_voters().any(|member| member.id == id)
     }
 
     /// Whether these members are a quorum: a majority of the voters, and during a change of the next ones too.
     pub fn is_quorum(&self, holds: impl Fn(&Member) -> bool) -> bool {
         is_majority(&self.voters, &holds)
-            && (!self.is_changing() || is_majority(&self.next, &holds))
+            && (!self.is_joint() || is_majority(&self.next_voters, &holds))
     }
 
     /// The greatest value that each member of some quorum has reached.
     pub fn quorum_value(&self, value: impl Fn(&Member) -> u64) -> u64 {
         let former = majority_value(&self.voters, &value);
-        if self.is_changing() {
-            former.min(majority_value(&self.next, &value))
+        if self.is_joint() {
+            former.min(majority_value(&self.next_voters, &value))
         } else {
             former
         }
@@ -69,8 +71,8 @@
 
     /// The members once the change is complete.
     pub fn completed(&self) -> Self {
-        if self.is_changing() {
-            Self::new(self.next.clone())
+        if self.is_joint() {
+            Self::new(self.next_voters.clone())
         } else {
             self.clone()
         }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::log::Entry;
 use crate::membership::ReplicaId;
-use crate::snapshots::{SnapshotHead, SnapshotPiece};
+use crate::snapshots::{SnapshotChunk, SnapshotMeta};
 use nanoserde::{DeBin, SerBin};
 
 /// A message between two replicas.
@@ -15,12 +15,12 @@
     /// The sender's term; in a pre-vote, the term that it would stand in.
     pub term: u64,
     /// The message itself.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 /// The kinds of messages.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum Body {
+pub enum MessageBody {
     /// Asks for a vote, or with `pre` whether one would be given.
     Vote {
         /// Whether this is a pre-vote, which changes nobody's term.
@@ -64,14 +64,14 @@
     /// A piece of a snapshot for a follower whose missing entries are gone.
     Install {
         /// The piece.
-        piece: SnapshotPiece,
+        piece: SnapshotChunk,
         /// The leader's counter of heartbeat rounds.
         round: u64,
     },
     /// Tells how much of a snapshot has come; a whole one is answered like entries.
     InstallReply {
         /// The snapshot.
-        head: SnapshotHead,
+        head: SnapshotMeta,
         /// The bytes that are held.
         received: u64,
         /// The round that is answered.
--- a/crates/consensus/src/reads.rs
+++ b/crates/consensus/src/reads.rs
@@ -6,14 +6,16 @@
 
 impl Replica {
     /// Asks to read the state machine as of now; [`Output::ReadReady`] or [`Output::ReadFailed`] answers.
-    pub fn read(&mut self, number: u64) {
+    pub fn request_read(&mut self, number: u64) {
         let committed = self.commit;
         let Role::Leader(leadership) = &mut self.role else {
-            self.outputs.push_back(Output::ReadFailed { read: number });
+            self.outputs
+                .push_back(Output::ReadFailed { read_id: number });
             return;
         };
         if committed < leadership.first_index {
-            self.outputs.push_back(Output::ReadFailed { read: number });
+            self.outputs
+                .push_back(Output::ReadFailed { read_id: number });
             return;
         }
         let round = leadership.round + 1;
@@ -26,7 +28,7 @@
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
-        let members = self.log.members();
+        let members = self.log.membership();
         let (id, progress) = (self.id, &leadership.progress);
         let confirmed = |read: &Read| {
             members.is_quorum(|member: &Member| {
@@ -38,8 +40,9 @@
         };
         while leadership.reads.front().is_some_and(&confirmed) {
             let read = leadership.reads.pop_front();
-            self.outputs
-                .extend(read.map(|read| Output::ReadReady { read: read.number }));
+            self.outputs.extend(read.map(|read| Output::ReadReady {
+                read_id: read.number,
+            }));
         }
     }
 }
--- a/crates/consensus/src/reconfiguration.rs
+++ b/crates/consensus/src/reconfiguration.rs
@@ -1,10 +1,10 @@
 //! Changes of members by joint consensus: the former and the next voters agree together until the next ones stand alone.
 
-use crate::log::Payload;
+use crate::log::EntryPayload;
 use crate::membership::{Member, Membership, ReplicaId};
 use crate::replica::{ProposeError, Replica};
 use crate::roles::{Leadership, Learner, Progress, Role};
-use crate::voters::{Candidate, Presence, choose_voters};
+use crate::voters::{Liveness, VoterCandidate, choose_voters};
 
 /// Milliseconds for which a learner that no longer asks to join is still replicated to.
 const LEARNER_PATIENCE: u64 = 5_000;
@@ -20,9 +20,9 @@
 
 impl Replica {
     /// A replica asks to join as a voter. It is replicated to at once.
-    pub fn join(&mut self, member: Member) {
+    pub fn add_learner(&mut self, member: Member) {
         let (now, next) = (self.now, self.log.last_index() + 1);
-        let is_voter = self.log.members().is_voter(member.id);
+        let is_voter = self.log.membership().is_voter(member.id);
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
@@ -39,7 +39,7 @@
     }
 
     /// A replica says that its process is about to end: its vote goes to a learner, where there is one.
-    pub fn leaves(&mut self, now: u64, id: ReplicaId) {
+    pub fn set_retiring(&mut self, now: u64, id: ReplicaId) {
         self.now = self.now.max(now);
         self.leaving.insert(id, self.now + LEAVING_FOR);
     }
@@ -50,8 +50,11 @@
             return Err(ProposeError::NoVoters);
         }
         self.may_change_members()?;
-        let voters = self.log.members().voters.clone();
-        self.propose_members(Membership { voters, next });
+        let voters = self.log.membership().voters.clone();
+        self.propose_members(Membership {
+            voters,
+            next_voters: next,
+        });
         Ok(())
     }
 
@@ -61,7 +64,7 @@
         };
         if !self.is_change_committed()
             || self.commit < leadership.first_index
-            || self.log.members().is_changing()
+            || self.log.membership().is_joint()
         {
             return Err(ProposeError::Busy);
         }
@@ -71,13 +74,13 @@
     /// Whether the newest change of members is committed, if there is one.
     fn is_change_committed(&self) -> bool {
         self.log
-            .newest_change()
+            .last_membership_index()
             .is_none_or(|index| index <= self.commit)
     }
 
     fn propose_members(&mut self, members: Membership) {
-        let former: Vec<Member> = self.log.members().members().cloned().collect();
-        let entry = self.next_entry(Payload::Members(members));
+        let former: Vec<Member> = self.log.membership().all_voters().cloned().collect();
+        let entry = self.next_entry(EntryPayload::Membership(members));
         self.append(vec![entry]);
         self.keep_as_learners(former);
         self.follow_members();
@@ -89,13 +92,13 @@
     /// another identity has taken is gone.
     fn keep_as_learners(&mut self, former: Vec<Member>) {
         let now = self.now;
-        let members = self.log.members();
+        let members = self.log.membership();
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
         for member in former.into_iter().filter(|member| member.id != self.id) {
             if !members
-                .members()
+                .all_voters()
                 .any(|other| other.id == member.id || other.address == member.address)
             {
                 leadership
@@ -111,8 +114,8 @@
         let id = self.id;
         let voters: Vec<ReplicaId> = self
             .log
-            .members()
-            .members()
+            .membership()
+            .all_voters()
             .map(|member| member.id)
             .collect();
         let Role::Leader(leadership) = &mut self.role else {
@@ -134,15 +137,15 @@
         self.forget_learners();
         let now = self.now;
         self.leaving.retain(|_, until| now < *until);
-        let members = self.log.members();
-        if members.is_changing() {
+        let members = self.log.membership();
+        if members.is_joint() {
             self.complete_change();
             return;
         }
         if self.may_change_members().is_err() {
             return;
         }
-        let chosen = choose_voters(&self.candidates(), self.least_voters);
+        let chosen = choose_voters(&self.candidates(), self.min_voters);
         let is_same = chosen.len() == members.voters.len()
             && chosen
                 .iter()
@@ -157,15 +160,18 @@
             return;
         };
         if self.is_change_committed() && self.commit >= leadership.first_index {
-            let completed = self.log.members().completed();
+            let completed = self.log.membership().completed();
             self.propose_members(completed);
         }
     }
 
     /// A leader that has no vote any more hands leadership over, once the others have the change.
     pub(crate) fn retire_without_vote(&mut self) {
-        if self.is_leader() && self.is_change_committed() && !self.log.members().is_voter(self.id) {
-            self.transfer();
+        if self.is_leader()
+            && self.is_change_committed()
+            && !self.log.membership().is_voter(self.id)
+        {
+            self.transfer_leadership();
             self.step_down(None);
         }
     }
@@ -173,7 +179,7 @@
     /// Learners that no longer ask, or have a vote now, are learners no more.
     fn forget_learners(&mut self) {
         let now = self.now;
-        let members = self.log.members();
+        let members = self.log.membership();
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
@@ -191,24 +197,24 @@
     }
 
     /// The voters, and the learners that have caught up.
-    fn candidates(&self) -> Vec<Candidate> {
+    fn candidates(&self) -> Vec<VoterCandidate> {
         let Role::Leader(leadership) = &self.role else {
             return Vec::new();
         };
         let learners: Vec<&Member> = self.ready_learners(leadership).collect();
-        let voters = self.log.members().voters.iter();
-        let candidate = |member: &Member, presence: Presence, is_voter: bool| Candidate {
+        let voters = self.log.membership().voters.iter();
+        let candidate = |member: &Member, presence: Liveness, is_voter: bool| VoterCandidate {
             member: member.clone(),
             place: self.places.get(&member.address).cloned(),
             presence,
             is_voter,
-            is_leader: member.id == self.id && presence == Presence::Live,
+            is_leader: member.id == self.id && presence == Liveness::Live,
         };
         let voters =
             voters.map(|voter| candidate(voter, self.presence(leadership, voter, &learners), true));
         let learners = learners
             .iter()
-            .map(|learner| candidate(learner, Presence::Live, false));
+            .map(|learner| candidate(learner, Liveness::Live, false));
         voters.chain(learners).collect()
     }
 
@@ -236,12 +242,12 @@
     }
 
     /// Whether a voter is there. Where a learner runs at its address, its disk is lost.
-    fn presence(&self, leadership: &Leadership, voter: &Member, learners: &[&Member]) -> Presence {
+    fn presence(&self, leadership: &Leadership, voter: &Member, learners: &[&Member]) -> Liveness {
         if learners
             .iter()
             .any(|learner| learner.address == voter.address)
         {
-            return Presence::Lost;
+            return Liveness::Lost;
         }
         let silent_for = if voter.id == self.id {
             0
@@ -249,11 +255,11 @@
             leadership.silent_for(self.now, voter.id)
         };
         if silent_for > REMOVED_AFTER {
-            Presence::Lost
+            Liveness::Lost
         } else if silent_for > REPLACED_AFTER || self.leaving.contains_key(&voter.id) {
-            Presence::Silent
+            Liveness::Unresponsive
         } else {
-            Presence::Live
+            Liveness::Live
         }
     }
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -2,23 +2,23 @@
 //! modules of their own.
 
 use crate::durable::{DurableState, Record};
-use crate::log::{Entry, Log, Payload, Snapshot};
+use crate::log::{Entry, EntryPayload, Log, Snapshot};
 use crate::membership::{Membership, ReplicaId};
-use crate::message::{Body, Message};
+use crate::message::{Message, MessageBody};
 use crate::roles::Role;
 use crate::snapshots::IncomingSnapshot;
-use crate::voters::Place;
+use crate::voters::FailureDomain;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// How often a leader is heard from at least.
-    pub heartbeat: u64,
+    pub heartbeat_interval: u64,
     /// The shortest silence of a leader after which an election begins.
-    pub election_min: u64,
+    pub election_timeout_min: u64,
     /// The longest one; each replica draws its own between the two each time.
-    pub election_max: u64,
+    pub election_timeout_max: u64,
 }
 
 /// What a group is built for.
@@ -28,13 +28,13 @@
     pub timing: Timing,
     /// Voters that must be there beside a silent one before that one's vote is taken: twice the members that may be lost at
     /// a time, and one.
-    pub least_voters: usize,
+    pub min_voters: usize,
 }
 
 /// What the shell has to do, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Make a record durable, then call [`Replica::persisted`] with its number.
+    /// Make a record durable, then call [`Replica::handle_persisted`] with its number.
     Persist {
         /// The record's number; numbers rise by one.
         sequence: u64,
@@ -49,13 +49,13 @@
     Restore(Snapshot),
     /// The read with this number may be answered once all entries up to `index` are applied, as they are now.
     ReadReady {
-        /// The number that [`Replica::read`] was called with.
-        read: u64,
+        /// The number that [`Replica::request_read`] was called with.
+        read_id: u64,
     },
     /// The read with this number can't be answered here.
     ReadFailed {
-        /// The number that [`Replica::read`] was called with.
-        read: u64,
+        /// The number that [`Replica::request_read`] was called with.
+        read_id: u64,
     },
 }
 
@@ -75,9 +75,9 @@
 pub struct Replica {
     pub(crate) id: ReplicaId,
     pub(crate) timing: Timing,
-    pub(crate) least_voters: usize,
+    pub(crate) min_voters: usize,
     /// Where the replicas at an address are, as far as it is known.
-    pub(crate) places: BTreeMap<String, Place>,
+    pub(crate) places: BTreeMap<String, FailureDomain>,
     /// Replicas that have said that they leave, and until when that holds.
     pub(crate) leaving: BTreeMap<ReplicaId, u64>,
     pub(crate) now: u64,
@@ -108,15 +108,12 @@
 impl Replica {
     /// A replica as it was when it last ran, at a time in milliseconds.
     pub fn new(state: DurableState, settings: Settings, now: u64, seed: u64) -> Self {
-        let Settings {
-            timing,
-            least_voters,
-        } = settings;
+        let Settings { timing, min_voters } = settings;
         let snapshot = state.log.snapshot().clone();
         let mut replica = Self {
             id: state.id,
             timing,
-            least_voters,
+            min_voters,
             places: BTreeMap::new(),
             leaving: BTreeMap::new(),
             now,
@@ -167,8 +164,8 @@
     }
 
     /// The members as of the last entry.
-    pub fn members(&self) -> &Membership {
-        self.log.members()
+    pub fn membership(&self) -> &Membership {
+        self.log.membership()
     }
 
     /// Whether this replica leads.
@@ -187,7 +184,7 @@
 
     /// When a leader that holds a quorum was last heard from, on this replica's clock. A leader has heard from itself
     /// when a quorum last answered it.
-    pub fn leader_heard(&self) -> Option<u64> {
+    pub fn last_leader_contact(&self) -> Option<u64> {
         match &self.role {
             Role::Leader(leadership) => Some(self.quorum_contact(leadership)),
             _ => self.leader_heard,
@@ -196,22 +193,22 @@
 
     /// Whether this replica should ask to join: it has no vote, or no leader has told it anything for so long that its vote may
     /// have been taken without its knowledge.
-    pub fn wants_to_join(&self) -> bool {
-        let patience = 2 * self.timing.election_max;
+    pub fn should_join(&self) -> bool {
+        let patience = 2 * self.timing.election_timeout_max;
         let is_left = self
-            .leader_heard()
+            .last_leader_contact()
             .is_none_or(|at| self.now > at + patience)
             && !self.is_leader();
-        !self.members().is_voter(self.id) || is_left
+        !self.membership().is_voter(self.id) || is_left
     }
 
     /// Hears where the replicas at an address are: voters are spread over regions and zones.
-    pub fn set_place(&mut self, address: String, place: Place) {
+    pub fn set_failure_domain(&mut self, address: String, place: FailureDomain) {
         self.places.insert(address, place);
     }
 
     /// All that its future depends on beside time and chance, as text: replicas of which it is equal behave alike.
-    pub fn description(&self) -> String {
+    pub fn state_key(&self) -> String {
         let disk = (
             self.id,
             self.term,
@@ -244,7 +241,7 @@
     }
 
     /// Records up to this number are durable.
-    pub fn persisted(&mut self, sequence: u64) {
+    pub fn handle_persisted(&mut self, sequence: u64) {
         self.persisted = self.persisted.max(sequence);
         while let Some((number, index, term)) = self.appended.front().copied() {
             if number > self.persisted {
@@ -271,12 +268,12 @@
     }
 
     /// Handles a message from another replica.
-    pub fn receive(&mut self, now: u64, message: Message) {
+    pub fn handle_message(&mut self, now: u64, message: Message) {
         self.now = self.now.max(now);
         if message.to != self.id {
             return;
         }
-        if let Body::Vote {
+        if let MessageBody::Vote {
             pre,
             last_index,
             last_term,
@@ -292,7 +289,7 @@
             );
             return;
         }
-        let is_pre_reply = matches!(message.body, Body::VoteReply { pre: true, .. });
+        let is_pre_reply = matches!(message.body, MessageBody::VoteReply { pre: true, .. });
         if message.term > self.term && !is_pre_reply {
             self.adopt_term(message.term);
         }
@@ -301,13 +298,13 @@
             return;
         }
         match message.body {
-            Body::Vote { .. } => {}
-            Body::VoteReply { pre, granted } => {
+            MessageBody::Vote { .. } => {}
+            MessageBody::VoteReply { pre, granted } => {
                 if granted {
                     self.count_vote(message.from, pre);
                 }
             }
-            Body::Append {
+            MessageBody::Append {
                 previous_index,
                 previous_term,
                 entries,
@@ -323,24 +320,24 @@
                     round,
                 );
             }
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success,
                 index,
                 round,
             } => {
                 self.on_append_reply(message.from, success, index, round);
             }
-            Body::Install { piece, round } => {
+            MessageBody::Install { piece, round } => {
                 self.follow(message.from);
                 self.on_install(message.from, piece, round);
             }
-            Body::InstallReply {
+            MessageBody::InstallReply {
                 received, round, ..
             } => {
                 self.on_install_reply(message.from, received, round);
             }
-            Body::Elect => {
-                if self.log.members().is_voter(self.id) {
+            MessageBody::Elect => {
+                if self.log.membership().is_voter(self.id) {
                     self.ask_for_votes(false, true);
                 }
             }
@@ -355,18 +352,18 @@
         if index > self.applied || index <= self.log.snapshot().index {
             return;
         }
-        let members = self.log.members_at(index).clone();
+        let membership = self.log.membership_at(index).clone();
         let snapshot = Snapshot {
             index,
             term,
-            members,
+            membership,
             state,
         };
         self.log.install(snapshot.clone());
-        self.persist(Record::Install(snapshot));
+        self.persist(Record::InstallSnapshot(snapshot));
     }
 
-    pub(crate) fn send(&mut self, to: ReplicaId, body: Body) {
+    pub(crate) fn send(&mut self, to: ReplicaId, body: MessageBody) {
         let message = Message {
             from: self.id,
             to,
@@ -377,7 +374,7 @@
     }
 
     /// Sends a message once all that was handed out for the disk is durable.
-    pub(crate) fn send_durably(&mut self, to: ReplicaId, body: Body) {
+    pub(crate) fn send_durably(&mut self, to: ReplicaId, body: MessageBody) {
         if self.persisted + 1 == self.next_sequence {
             self.send(to, body);
             return;
@@ -423,7 +420,7 @@
     }
 
     /// The next entry of a leader.
-    pub(crate) fn next_entry(&self, payload: Payload) -> Entry {
+    pub(crate) fn next_entry(&self, payload: EntryPayload) -> Entry {
         Entry {
             index: self.log.last_index() + 1,
             term: self.term,
--- a/crates/consensus/src/snapshots.rs
+++ b/crates/consensus/src/snapshots.rs
@@ -15,7 +15,7 @@
 
 /// Names a snapshot that is being sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct SnapshotHead {
+pub struct SnapshotMeta {
     /// The last entry that it covers.
     pub index: u64,
     /// That entry's term.
@@ -26,7 +26,7 @@
     pub checksum: u32,
 }
 
-impl SnapshotHead {
+impl SnapshotMeta {
     /// The name of a snapshot with this encoding.
     pub fn of(snapshot: &Snapshot, encoded: &[u8]) -> Self {
         Self {
@@ -40,9 +40,9 @@
 
 /// A piece of a snapshot's encoding.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct SnapshotPiece {
+pub struct SnapshotChunk {
     /// The snapshot.
-    pub head: SnapshotHead,
+    pub head: SnapshotMeta,
     /// The position of the piece.
     pub offset: u64,
     /// Its bytes.
@@ -52,7 +52,7 @@
 /// A snapshot as the leader sends it to one follower.
 #[derive(Clone, Debug)]
 pub struct OutgoingSnapshot {
-    head: SnapshotHead,
+    head: SnapshotMeta,
     encoded: Vec<u8>,
     acknowledged: usize,
     sent: usize,
@@ -63,7 +63,7 @@
     /// Begins to send a snapshot, at a time.
     pub fn new(snapshot: &Snapshot, now: u64) -> Self {
         let encoded = snapshot.serialize_bin();
-        let head = SnapshotHead::of(snapshot, &encoded);
+        let head = SnapshotMeta::of(snapshot, &encoded);
         Self {
             head,
             encoded,
@@ -97,7 +97,7 @@
     }
 
     /// The pieces to send now.
-    pub fn next_pieces(&mut self, now: u64) -> Vec<SnapshotPiece> {
+    pub fn next_pieces(&mut self, now: u64) -> Vec<SnapshotChunk> {
         if now >= self.progressed + RETRY {
             self.sent = self.acknowledged;
             self.progressed = now;
@@ -106,7 +106,7 @@
         while self.sent < self.encoded.len() && self.sent - self.acknowledged < WINDOW_BYTES {
             let end = self.encoded.len().min(self.sent + PIECE_BYTES);
             let bytes = self.encoded[self.sent..end].to_vec();
-            pieces.push(SnapshotPiece {
+            pieces.push(SnapshotChunk {
                 head: self.head,
                 offset: self.sent as u64,
                 bytes,
@@ -120,7 +120,7 @@
 /// A snapshot as a follower receives it.
 #[derive(Clone, Debug)]
 pub struct IncomingSnapshot {
-    head: SnapshotHead,
+    head: SnapshotMeta,
     encoded: Vec<u8>,
 }
 
@@ -135,8 +135,8 @@
 
 impl IncomingSnapshot {
     /// Takes a piece. A piece of another snapshot than the one that is under way replaces it where it is that one's first.
-    pub fn receive(incoming: &mut Option<Self>, piece: SnapshotPiece) -> Received {
-        let SnapshotPiece {
+    pub fn receive(incoming: &mut Option<Self>, piece: SnapshotChunk) -> Received {
+        let SnapshotChunk {
             head,
             offset,
             bytes,
--- a/crates/consensus/src/voters.rs
+++ b/crates/consensus/src/voters.rs
@@ -9,7 +9,7 @@
 
 /// Where a replica is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct FailureDomain {
     /// Its zone.
     pub zone: String,
     /// Its region.
@@ -18,24 +18,24 @@
 
 /// Whether a replica is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum Liveness {
     /// It answers, and does not say that it leaves.
     Live,
     /// It has been silent for so long that another one may take its vote.
-    Silent,
+    Unresponsive,
     /// It has been silent for so long that it may lose its vote without another one taking it.
     Lost,
 }
 
 /// A replica that votes or could.
 #[derive(Clone, Debug)]
-pub struct Candidate {
+pub struct VoterCandidate {
     /// The replica.
     pub member: Member,
     /// Where it is, if that is known.
-    pub place: Option<Place>,
+    pub place: Option<FailureDomain>,
     /// Whether it is there.
-    pub presence: Presence,
+    pub presence: Liveness,
     /// Whether it votes now.
     pub is_voter: bool,
     /// Whether it leads; a leader that is there stays a voter.
@@ -44,15 +44,15 @@
 
 /// The voters that these candidates should have, for a group that is built for `least` voters or more. The current ones stay
 /// unless another choice is better.
-pub fn choose_voters(candidates: &[Candidate], least: usize) -> Vec<Member> {
+pub fn choose_voters(candidates: &[VoterCandidate], least: usize) -> Vec<Member> {
     let key = place_to_bear(candidates);
-    let current: Vec<&Candidate> = candidates
+    let current: Vec<&VoterCandidate> = candidates
         .iter()
         .filter(|candidate| candidate.is_voter)
         .collect();
-    let live: Vec<&Candidate> = candidates
+    let live: Vec<&VoterCandidate> = candidates
         .iter()
-        .filter(|candidate| candidate.presence == Presence::Live)
+        .filter(|candidate| candidate.presence == Liveness::Live)
         .collect();
     let chosen = match best_of(&live, least, key) {
         Some(chosen) if may_take(&current, chosen.len(), key) => chosen,
@@ -70,16 +70,16 @@
 }
 
 /// Tells a candidate's region or its zone. One of which nothing is known is at a place of its own.
-type Key = fn(&Candidate) -> &str;
+type Key = fn(&VoterCandidate) -> &str;
 
-fn region(candidate: &Candidate) -> &str {
+fn region(candidate: &VoterCandidate) -> &str {
     candidate
         .place
         .as_ref()
         .map_or(&candidate.member.address, |place| &place.region)
 }
 
-fn zone(candidate: &Candidate) -> &str {
+fn zone(candidate: &VoterCandidate) -> &str {
     candidate
         .place
         .as_ref()
@@ -87,7 +87,7 @@
 }
 
 /// What may be lost as a whole without its voters being a majority: a region, or where there is only one, a zone.
-fn place_to_bear(candidates: &[Candidate]) -> Key {
+fn place_to_bear(candidates: &[VoterCandidate]) -> Key {
     let mut known = candidates
         .iter()
         .filter_map(|candidate| candidate.place.as_ref());
@@ -98,7 +98,11 @@
 }
 
 /// The largest odd number of live candidates, spread so that no place holds a majority where that can be.
-fn best_of<'a>(live: &[&'a Candidate], least: usize, key: Key) -> Option<Vec<&'a Candidate>> {
+fn best_of<'a>(
+    live: &[&'a VoterCandidate],
+    least: usize,
+    key: Key,
+) -> Option<Vec<&'a VoterCandidate>> {
     let most = live.len().min(MOST_VOTERS.max(least));
     let sizes = (least.max(1)..=most).rev().filter(|size| size % 2 == 1);
     let mut choices = sizes.map(|size| spread(live, size)).peekable();
@@ -109,43 +113,47 @@
 }
 
 /// Whether a group may get this size: it shrinks only by members that are lost, to become odd, or to bear the loss of a place.
-fn may_take(current: &[&Candidate], size: usize, key: Key) -> bool {
-    let are_live_or = |presence: Presence| {
-        let is = |candidate: &&Candidate| [Presence::Live, presence].contains(&candidate.presence);
+fn may_take(current: &[&VoterCandidate], size: usize, key: Key) -> bool {
+    let are_live_or = |presence: Liveness| {
+        let is =
+            |candidate: &&VoterCandidate| [Liveness::Live, presence].contains(&candidate.presence);
         current.iter().all(is)
     };
     let has_lost = current
         .iter()
-        .any(|candidate| candidate.presence == Presence::Lost);
+        .any(|candidate| candidate.presence == Liveness::Lost);
     let becomes_odd = current.len().is_multiple_of(2) && size + 1 == current.len();
     let is_ill_placed = becomes_odd || has_majority_place(current, key);
     size >= current.len()
-        || has_lost && are_live_or(Presence::Lost)
-        || size > 1 && is_ill_placed && are_live_or(Presence::Live)
+        || has_lost && are_live_or(Liveness::Lost)
+        || size > 1 && is_ill_placed && are_live_or(Liveness::Live)
 }
 
 /// As many voters as now, with live candidates in the places of those that are not there.
-fn with_replacements<'a>(current: &[&'a Candidate], live: &[&'a Candidate]) -> Vec<&'a Candidate> {
+fn with_replacements<'a>(
+    current: &[&'a VoterCandidate],
+    live: &[&'a VoterCandidate],
+) -> Vec<&'a VoterCandidate> {
     let mut chosen = spread(live, current.len());
     let absent = current
         .iter()
-        .filter(|candidate| candidate.presence != Presence::Live);
+        .filter(|candidate| candidate.presence != Liveness::Live);
     chosen.extend(absent.take(current.len().saturating_sub(chosen.len())));
     chosen
 }
 
 /// So many candidates, each time from the region and zone that has the fewest; the leader first, then present voters.
-fn spread<'a>(live: &[&'a Candidate], size: usize) -> Vec<&'a Candidate> {
-    let mut left: Vec<&Candidate> = live.to_vec();
-    let mut chosen: Vec<&Candidate> = Vec::new();
+fn spread<'a>(live: &[&'a VoterCandidate], size: usize) -> Vec<&'a VoterCandidate> {
+    let mut left: Vec<&VoterCandidate> = live.to_vec();
+    let mut chosen: Vec<&VoterCandidate> = Vec::new();
     while chosen.len() < size && !left.is_empty() {
-        let same = |key: Key, candidate: &Candidate| {
+        let same = |key: Key, candidate: &VoterCandidate| {
             chosen
                 .iter()
                 .filter(|other| key(other) == key(candidate))
                 .count()
         };
-        let rank = |candidate: &&Candidate| {
+        let rank = |candidate: &&VoterCandidate| {
             (
                 !candidate.is_leader,
                 same(region, candidate),
@@ -163,7 +171,7 @@
 }
 
 /// How many candidates each region or zone has, the greatest number first.
-fn counts(chosen: &[&Candidate], key: Key) -> Vec<usize> {
+fn counts(chosen: &[&VoterCandidate], key: Key) -> Vec<usize> {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for candidate in chosen {
         *counts.entry(key(candidate)).or_default() += 1;
@@ -174,19 +182,19 @@
 }
 
 /// Whether the loss of one place would leave no majority.
-fn has_majority_place(chosen: &[&Candidate], key: Key) -> bool {
+fn has_majority_place(chosen: &[&VoterCandidate], key: Key) -> bool {
     let most = counts(chosen, key).first().copied().unwrap_or_default();
     2 * (chosen.len() - most) <= chosen.len()
 }
 
 /// Whether a choice has fewer voters that are not there, bears the loss of a place better, or has a better number or spread.
 /// Where the place of a current voter is not known, nothing can be said of places.
-fn is_better(chosen: &[&Candidate], current: &[&Candidate], key: Key) -> bool {
+fn is_better(chosen: &[&VoterCandidate], current: &[&VoterCandidate], key: Key) -> bool {
     let knows_places = current.iter().all(|candidate| candidate.place.is_some());
-    let measure = |choice: &[&Candidate]| {
+    let measure = |choice: &[&VoterCandidate]| {
         let absent = choice
             .iter()
-            .filter(|candidate| candidate.presence != Presence::Live)
+            .filter(|candidate| candidate.presence != Liveness::Live)
             .count();
         let is_even = choice.len().is_multiple_of(2);
         let size = std::cmp::Reverse(choice.len());
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -8,17 +8,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use woadstall_consensus::{
-    Body, DurableState, Entry, Member, Membership, Message, Output, Replica, ReplicaId, Settings,
-    Snapshot, Timing,
+    DurableState, Entry, Member, Membership, Message, MessageBody, Output, Replica, ReplicaId,
+    Settings, Snapshot, Timing,
 };
 
 const SETTINGS: Settings = Settings {
     timing: Timing {
-        heartbeat: 150,
-        election_min: 900,
-        election_max: 1_500,
+        heartbeat_interval: 150,
+        election_timeout_min: 900,
+        election_timeout_max: 1_500,
     },
-    least_voters: 1,
+    min_voters: 1,
 };
 /// A replica's own chance decides nothing here.
 const SEED: u64 = 1;
@@ -113,7 +113,7 @@
         let nodes = self
             .nodes
             .iter()
-            .map(|node| node.replica.description())
+            .map(|node| node.replica.state_key())
             .collect();
         Key {
             nodes,
@@ -152,8 +152,8 @@
         let node = &mut self.nodes[place];
         match output {
             Output::Persist { sequence, record } => {
-                node.disk.fold(&record);
-                node.replica.persisted(sequence);
+                node.disk.apply_record(&record);
+                node.replica.handle_persisted(sequence);
             }
             Output::Send(message) => drop(self.network.insert(message.serialize_bin())),
             Output::Apply(entry) => {
@@ -166,8 +166,8 @@
                     self.fail(format!("two entries are committed at {index}"));
                 }
             }
-            Output::ReadReady { read } => {
-                let (floor, held) = (self.floors[&read], node.replica.log().last_index());
+            Output::ReadReady { read_id } => {
+                let (floor, held) = (self.floors[&read_id], node.replica.log().last_index());
                 if held < floor {
                     self.fail(format!(
                         "a read is confirmed at {held} though {floor} was committed before it"
@@ -202,7 +202,7 @@
         let founding = Snapshot {
             index: 1,
             term: 1,
-            members,
+            membership: members,
             state: Vec::new(),
         };
         let node = |id: ReplicaId| {
@@ -235,13 +235,13 @@
 fn campaign(state: &mut State, place: usize) {
     let replica = &mut state.nodes[place].replica;
     let (id, term) = (replica.id(), replica.term());
-    replica.receive(
+    replica.handle_message(
         NOW,
         Message {
             from: id,
             to: id,
             term,
-            body: Body::Elect,
+            body: MessageBody::Elect,
         },
     );
     state.settle(place);
@@ -250,7 +250,7 @@
 fn deliver(state: &mut State, bytes: &[u8]) {
     let message = Message::deserialize_bin(bytes).expect("a message that was sent");
     if let Some(place) = state.place_of(message.to) {
-        state.nodes[place].replica.receive(NOW, message);
+        state.nodes[place].replica.handle_message(NOW, message);
         state.settle(place);
     }
 }
@@ -269,16 +269,16 @@
         for (place, node) in state.nodes.iter().enumerate() {
             let replica = &node.replica;
             let is_leader = replica.is_leader();
-            if left.elections > 0 && replica.members().is_voter(replica.id()) && !is_leader {
+            if left.elections > 0 && replica.membership().is_voter(replica.id()) && !is_leader {
                 actions.push(Action::Campaign(place));
             }
             if left.commands > 0 && is_leader {
                 actions.push(Action::Command(place));
             }
-            if left.changes > 0 && is_leader && !replica.members().is_changing() {
+            if left.changes > 0 && is_leader && !replica.membership().is_joint() {
                 actions.push(Action::Change(place));
             }
-            if is_leader && replica.members().is_changing() {
+            if is_leader && replica.membership().is_joint() {
                 actions.push(Action::Complete(place));
             }
             if left.reads > 0 && is_leader {
@@ -326,7 +326,7 @@
                 let number = u64::from(state.left.reads);
                 let floor = state.newest_committed();
                 state.floors.insert(number, floor);
-                state.nodes[place].replica.read(number);
+                state.nodes[place].replica.request_read(number);
                 state.settle(place);
             }
             Action::Restart(place) => {
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -5,8 +5,8 @@
 use std::fmt::Debug;
 use std::path::PathBuf;
 use woadstall_consensus::{
-    Body, Entry, Member, Membership, Message, Payload, Record, Snapshot, SnapshotHead,
-    SnapshotPiece,
+    Entry, EntryPayload, Member, Membership, Message, MessageBody, Record, Snapshot, SnapshotChunk,
+    SnapshotMeta,
 };
 
 /// Compares a value's encoding with `tests/golden/NAME.hex`, and the value that those bytes are read as with the value.
@@ -41,11 +41,11 @@
 fn changing_membership() -> Membership {
     Membership {
         voters: vec![member(1), member(2), member(3)],
-        next: vec![member(1), member(4)],
+        next_voters: vec![member(1), member(4)],
     }
 }
 
-fn entry(index: u64, payload: Payload) -> Entry {
+fn entry(index: u64, payload: EntryPayload) -> Entry {
     Entry {
         index,
         term: 3,
@@ -55,12 +55,12 @@
 
 fn entries() -> Vec<Entry> {
     vec![
-        entry(11, Payload::Empty),
-        entry(12, Payload::Command(b"command".to_vec())),
-        entry(13, Payload::Members(changing_membership())),
+        entry(11, EntryPayload::Blank),
+        entry(12, EntryPayload::Command(b"command".to_vec())),
+        entry(13, EntryPayload::Membership(changing_membership())),
         entry(
             14,
-            Payload::Members(Membership::new(vec![member(1), member(4)])),
+            EntryPayload::Membership(Membership::new(vec![member(1), member(4)])),
         ),
     ]
 }
@@ -69,13 +69,13 @@
     Snapshot {
         index: 10,
         term: 2,
-        members: changing_membership(),
+        membership: changing_membership(),
         state: b"state".to_vec(),
     }
 }
 
-fn head() -> SnapshotHead {
-    SnapshotHead {
+fn head() -> SnapshotMeta {
+    SnapshotMeta {
         index: 10,
         term: 2,
         size: 70_000,
@@ -83,8 +83,8 @@
     }
 }
 
-fn piece() -> SnapshotPiece {
-    SnapshotPiece {
+fn piece() -> SnapshotChunk {
+    SnapshotChunk {
         head: head(),
         offset: 32_768,
         bytes: vec![1, 2, 3, 0xff],
@@ -92,30 +92,30 @@
 }
 
 #[rstest]
-#[case::vote("message-vote", Body::Vote { pre: false, last_index: 14, last_term: 3, transfer: true })]
-#[case::pre_vote("message-pre-vote", Body::Vote { pre: true, last_index: 14, last_term: 3, transfer: false })]
-#[case::vote_reply("message-vote-reply", Body::VoteReply { pre: false, granted: true })]
-#[case::pre_vote_reply("message-pre-vote-reply", Body::VoteReply { pre: true, granted: false })]
+#[case::vote("message-vote", MessageBody::Vote { pre: false, last_index: 14, last_term: 3, transfer: true })]
+#[case::pre_vote("message-pre-vote", MessageBody::Vote { pre: true, last_index: 14, last_term: 3, transfer: false })]
+#[case::vote_reply("message-vote-reply", MessageBody::VoteReply { pre: false, granted: true })]
+#[case::pre_vote_reply("message-pre-vote-reply", MessageBody::VoteReply { pre: true, granted: false })]
 #[case::heartbeat(
     "message-heartbeat",
-    Body::Append { previous_index: 14, previous_term: 3, entries: vec![], commit: 12, round: 99 }
+    MessageBody::Append { previous_index: 14, previous_term: 3, entries: vec![], commit: 12, round: 99 }
 )]
 #[case::append(
     "message-append",
-    Body::Append { previous_index: 10, previous_term: 2, entries: entries(), commit: 12, round: 100 }
+    MessageBody::Append { previous_index: 10, previous_term: 2, entries: entries(), commit: 12, round: 100 }
 )]
-#[case::append_reply("message-append-reply", Body::AppendReply { success: true, index: 14, round: 100 })]
+#[case::append_reply("message-append-reply", MessageBody::AppendReply { success: true, index: 14, round: 100 })]
 #[case::append_reply_failed(
     "message-append-reply-failed",
-    Body::AppendReply { success: false, index: 9, round: 101 }
+    MessageBody::AppendReply { success: false, index: 9, round: 101 }
 )]
-#[case::install("message-install", Body::Install { piece: piece(), round: 102 })]
+#[case::install("message-install", MessageBody::Install { piece: piece(), round: 102 })]
 #[case::install_reply(
     "message-install-reply",
-    Body::InstallReply { head: head(), received: 32_772, round: 102 }
+    MessageBody::InstallReply { head: head(), received: 32_772, round: 102 }
 )]
-#[case::elect("message-elect", Body::Elect)]
-fn a_message_has_its_bytes(#[case] name: &str, #[case] body: Body) {
+#[case::elect("message-elect", MessageBody::Elect)]
+fn a_message_has_its_bytes(#[case] name: &str, #[case] body: MessageBody) {
     let message = Message {
         from: 1,
         to: 0x0102_0304_0506_0708,
@@ -126,9 +126,12 @@
 }
 
 #[rstest]
-#[case::empty("entry-empty", entry(11, Payload::Empty))]
-#[case::command("entry-command", entry(12, Payload::Command(b"command".to_vec())))]
-#[case::members("entry-members", entry(13, Payload::Members(changing_membership())))]
+#[case::empty("entry-empty", entry(11, EntryPayload::Blank))]
+#[case::command("entry-command", entry(12, EntryPayload::Command(b"command".to_vec())))]
+#[case::members(
+    "entry-members",
+    entry(13, EntryPayload::Membership(changing_membership()))
+)]
 fn an_entry_has_its_bytes(#[case] name: &str, #[case] entry: Entry) {
     assert_golden(name, &entry);
 }
@@ -136,7 +139,7 @@
 #[rstest]
 #[case::term("record-term", Record::Term { term: 7, vote: 2 })]
 #[case::append("record-append", Record::Append(entries()))]
-#[case::install("record-install", Record::Install(snapshot()))]
+#[case::install("record-install", Record::InstallSnapshot(snapshot()))]
 #[case::commit("record-commit", Record::Commit(12))]
 fn a_record_has_its_bytes(#[case] name: &str, #[case] record: Record) {
     assert_golden(name, &record);
@@ -152,7 +155,7 @@
     let snapshot = snapshot();
     assert_golden(
         "snapshot-head",
-        &SnapshotHead::of(&snapshot, &snapshot.serialize_bin()),
+        &SnapshotMeta::of(&snapshot, &snapshot.serialize_bin()),
     );
 }
 
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -15,7 +15,7 @@
 fn membership(voters: &[ReplicaId], next: &[ReplicaId]) -> Membership {
     Membership {
         voters: members(voters),
-        next: members(next),
+        next_voters: members(next),
     }
 }
 
@@ -62,11 +62,11 @@
     assert!((1..=5).all(|id| changing.is_voter(id)) && !changing.is_voter(6));
     assert_eq!(
         changing
-            .members()
+            .all_voters()
             .map(|member| member.id)
             .collect::<Vec<_>>(),
         [1, 2, 3, 4, 5]
     );
     let completed = changing.completed();
-    assert!(!completed.is_changing() && !completed.is_voter(1));
+    assert!(!completed.is_joint() && !completed.is_voter(1));
 }
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -6,15 +6,15 @@
 use rstest::rstest;
 use single::SETTINGS;
 use woadstall_consensus::{
-    Body, DurableState, Entry, Member, Membership, Message, Output, Payload, ProposeError, Record,
-    Replica, ReplicaId, Snapshot, SnapshotHead, SnapshotPiece,
+    DurableState, Entry, EntryPayload, Member, Membership, Message, MessageBody, Output,
+    ProposeError, Record, Replica, ReplicaId, Snapshot, SnapshotChunk, SnapshotMeta,
 };
 
 fn entry(index: u64, term: u64) -> Entry {
     Entry {
         index,
         term,
-        payload: Payload::Command(vec![index as u8]),
+        payload: EntryPayload::Command(vec![index as u8]),
     }
 }
 
@@ -29,12 +29,12 @@
     let founding = Snapshot {
         index: 1,
         term: 1,
-        members: Membership::new(voters),
+        membership: Membership::new(voters),
         state: Vec::new(),
     };
     let mut state = DurableState::new(1, founding);
-    state.fold(&Record::Term { term: 5, vote: 0 });
-    state.fold(&Record::Append(vec![entry(2, 2), entry(3, 2), entry(4, 4)]));
+    state.apply_record(&Record::Term { term: 5, vote: 0 });
+    state.apply_record(&Record::Append(vec![entry(2, 2), entry(3, 2), entry(4, 4)]));
     state
 }
 
@@ -46,11 +46,11 @@
 }
 
 /// A snapshot as one piece.
-fn install(snapshot: &Snapshot, round: u64) -> Body {
+fn install(snapshot: &Snapshot, round: u64) -> MessageBody {
     let bytes = snapshot.serialize_bin();
-    let head = SnapshotHead::of(snapshot, &bytes);
-    Body::Install {
-        piece: SnapshotPiece {
+    let head = SnapshotMeta::of(snapshot, &bytes);
+    MessageBody::Install {
+        piece: SnapshotChunk {
             head,
             offset: 0,
             bytes,
@@ -59,7 +59,7 @@
     }
 }
 
-fn message(from: ReplicaId, term: u64, body: Body) -> Message {
+fn message(from: ReplicaId, term: u64, body: MessageBody) -> Message {
     Message {
         from,
         to: 1,
@@ -69,7 +69,7 @@
 }
 
 /// Makes all records durable, and gives the bodies of all messages sent so far, with their terms.
-fn settled(replica: &mut Replica) -> Vec<(ReplicaId, u64, Body)> {
+fn settled(replica: &mut Replica) -> Vec<(ReplicaId, u64, MessageBody)> {
     let sent = single::settled(replica).into_iter();
     sent.map(|message| (message.to, message.term, message.body))
         .collect()
@@ -84,8 +84,8 @@
         .count()
 }
 
-fn vote(last_term: u64, last_index: u64) -> Body {
-    Body::Vote {
+fn vote(last_term: u64, last_index: u64) -> MessageBody {
+    MessageBody::Vote {
         pre: false,
         last_index,
         last_term,
@@ -93,9 +93,9 @@
     }
 }
 
-fn is_granted(sent: &[(ReplicaId, u64, Body)]) -> Option<bool> {
+fn is_granted(sent: &[(ReplicaId, u64, MessageBody)]) -> Option<bool> {
     sent.iter().find_map(|(_, _, body)| match body {
-        Body::VoteReply { granted, .. } => Some(*granted),
+        MessageBody::VoteReply { granted, .. } => Some(*granted),
         _ => None,
     })
 }
@@ -112,14 +112,14 @@
     #[case] granted: bool,
 ) {
     let mut replica = replica();
-    replica.receive(10, message(2, 6, vote(last_term, last_index)));
+    replica.handle_message(10, message(2, 6, vote(last_term, last_index)));
     assert_eq!(is_granted(&settled(&mut replica)), Some(granted));
 }
 
 #[test]
 fn a_vote_leaves_only_once_it_is_durable_and_goes_to_one_candidate() {
     let mut replica = replica();
-    replica.receive(10, message(2, 6, vote(4, 4)));
+    replica.handle_message(10, message(2, 6, vote(4, 4)));
     let outputs = replica.take_outputs();
     assert!(
         !outputs
@@ -136,11 +136,11 @@
         .collect();
     let (sequence, record) = records.last().unwrap();
     assert_eq!(record, &Record::Term { term: 6, vote: 2 });
-    replica.persisted(*sequence);
+    replica.handle_persisted(*sequence);
     assert_eq!(is_granted(&settled(&mut replica)), Some(true));
-    replica.receive(20, message(3, 6, vote(4, 4)));
+    replica.handle_message(20, message(3, 6, vote(4, 4)));
     assert_eq!(is_granted(&settled(&mut replica)), Some(false));
-    replica.receive(20, message(3, 7, vote(4, 4)));
+    replica.handle_message(20, message(3, 7, vote(4, 4)));
     assert_eq!(
         is_granted(&settled(&mut replica)),
         Some(true),
@@ -151,27 +151,27 @@
 #[test]
 fn a_live_leader_is_not_disturbed_unless_it_asks_for_it() {
     let mut replica = replica();
-    let heartbeat = Body::Append {
+    let heartbeat = MessageBody::Append {
         previous_index: 4,
         previous_term: 4,
         entries: Vec::new(),
         commit: 1,
         round: 1,
     };
-    replica.receive(10, message(2, 5, heartbeat));
+    replica.handle_message(10, message(2, 5, heartbeat));
     settled(&mut replica);
-    replica.receive(500, message(3, 6, vote(4, 4)));
+    replica.handle_message(500, message(3, 6, vote(4, 4)));
     assert_eq!(
         (is_granted(&settled(&mut replica)), replica.term()),
         (None, 5)
     );
-    let transfer = Body::Vote {
+    let transfer = MessageBody::Vote {
         pre: false,
         last_index: 4,
         last_term: 4,
         transfer: true,
     };
-    replica.receive(510, message(3, 6, transfer));
+    replica.handle_message(510, message(3, 6, transfer));
     assert_eq!(is_granted(&settled(&mut replica)), Some(true));
 }
 
@@ -180,7 +180,7 @@
     message(
         2,
         5,
-        Body::Append {
+        MessageBody::Append {
             previous_index,
             previous_term,
             entries,
@@ -190,10 +190,10 @@
     )
 }
 
-fn replies(sent: &[(ReplicaId, u64, Body)]) -> Vec<(bool, u64)> {
+fn replies(sent: &[(ReplicaId, u64, MessageBody)]) -> Vec<(bool, u64)> {
     sent.iter()
         .filter_map(|(_, _, body)| match body {
-            Body::AppendReply { success, index, .. } => Some((*success, *index)),
+            MessageBody::AppendReply { success, index, .. } => Some((*success, *index)),
             _ => None,
         })
         .collect()
@@ -202,9 +202,9 @@
 #[test]
 fn entries_are_acknowledged_as_far_as_they_are_durable() {
     let mut replica = replica();
-    replica.receive(10, append((4, 4), vec![entry(5, 5), entry(6, 5)], 1));
+    replica.handle_message(10, append((4, 4), vec![entry(5, 5), entry(6, 5)], 1));
     let outputs = replica.take_outputs();
-    let at_once: Vec<Body> = outputs
+    let at_once: Vec<MessageBody> = outputs
         .into_iter()
         .filter_map(|output| match output {
             Output::Send(message) => Some(message.body),
@@ -213,13 +213,13 @@
         .collect();
     assert_eq!(
         at_once,
-        [Body::AppendReply {
+        [MessageBody::AppendReply {
             success: true,
             index: 4,
             round: 7
         }]
     );
-    replica.persisted(1);
+    replica.handle_persisted(1);
     assert_eq!(replies(&settled(&mut replica)), [(true, 6)]);
 }
 
@@ -231,7 +231,7 @@
         .filter_map(|output| match output {
             Output::Send(Message {
                 body:
-                    Body::AppendReply {
+                    MessageBody::AppendReply {
                         success: true,
                         index,
                         ..
@@ -246,17 +246,17 @@
 #[test]
 fn entries_that_replace_durable_ones_are_not_durable_yet() {
     let mut replica = replica();
-    replica.receive(10, append((2, 2), vec![entry(3, 5), entry(4, 5)], 1));
+    replica.handle_message(10, append((2, 2), vec![entry(3, 5), entry(4, 5)], 1));
     replica.take_outputs();
-    replica.receive(20, append((4, 5), Vec::new(), 1));
+    replica.handle_message(20, append((4, 5), Vec::new(), 1));
     assert_eq!(acknowledged_at_once(&mut replica), [2]);
 }
 
 #[test]
 fn a_run_that_was_replaced_before_it_was_durable_does_not_count() {
     let mut replica = replica();
-    replica.receive(10, append((4, 4), vec![entry(5, 5)], 1));
-    replica.receive(
+    replica.handle_message(10, append((4, 4), vec![entry(5, 5)], 1));
+    replica.handle_message(
         20,
         Message {
             term: 6,
@@ -265,9 +265,9 @@
     );
     replica.take_outputs();
     const FIRST_RUN: u64 = 1;
-    replica.persisted(FIRST_RUN);
+    replica.handle_persisted(FIRST_RUN);
     replica.take_outputs();
-    replica.receive(
+    replica.handle_message(
         30,
         Message {
             term: 6,
@@ -285,7 +285,7 @@
     #[case] index: u64,
 ) {
     let mut replica = replica();
-    replica.receive(10, message);
+    replica.handle_message(10, message);
     assert_eq!(replies(&settled(&mut replica)), [(false, index)]);
     assert_eq!(replica.log().last_index(), 4);
 }
@@ -293,7 +293,7 @@
 #[test]
 fn entries_that_agree_are_not_cut_by_an_older_message() {
     let mut replica = replica();
-    replica.receive(10, append((2, 2), vec![entry(3, 2)], 1));
+    replica.handle_message(10, append((2, 2), vec![entry(3, 2)], 1));
     settled(&mut replica);
     assert_eq!(replica.log().last_index(), 4);
 }
@@ -301,7 +301,7 @@
 #[test]
 fn entries_of_another_term_replace_what_is_there() {
     let mut replica = replica();
-    replica.receive(10, append((2, 2), vec![entry(3, 5)], 1));
+    replica.handle_message(10, append((2, 2), vec![entry(3, 5)], 1));
     settled(&mut replica);
     assert_eq!(
         (replica.log().last_index(), replica.log().last_term()),
@@ -312,7 +312,7 @@
 #[test]
 fn nothing_beyond_what_agrees_is_committed() {
     let mut replica = replica();
-    replica.receive(10, append((2, 2), Vec::new(), 4));
+    replica.handle_message(10, append((2, 2), Vec::new(), 4));
     settled(&mut replica);
     assert_eq!(replica.commit_index(), 2);
 }
@@ -320,14 +320,14 @@
 #[test]
 fn a_leader_of_a_former_term_hears_of_the_new_one() {
     let mut replica = replica();
-    let old = Body::Append {
+    let old = MessageBody::Append {
         previous_index: 4,
         previous_term: 4,
         entries: vec![entry(5, 4)],
         commit: 4,
         round: 7,
     };
-    replica.receive(10, message(2, 4, old));
+    replica.handle_message(10, message(2, 4, old));
     let sent = settled(&mut replica);
     assert_eq!(
         sent.iter()
@@ -341,7 +341,7 @@
 #[test]
 fn a_message_for_a_former_identity_is_not_taken() {
     let mut replica = replica();
-    replica.receive(
+    replica.handle_message(
         10,
         Message {
             to: 9,
@@ -354,20 +354,20 @@
 
 #[test]
 fn an_old_snapshot_changes_nothing_and_a_new_one_replaces_what_does_not_follow() {
-    let members = replica().members().clone();
+    let members = replica().membership().clone();
     let snapshot = |index, term| Snapshot {
         index,
         term,
-        members: members.clone(),
+        membership: members.clone(),
         state: vec![1],
     };
     let mut replica = replica();
-    replica.receive(10, append((4, 4), Vec::new(), 3));
+    replica.handle_message(10, append((4, 4), Vec::new(), 3));
     settled(&mut replica);
-    replica.receive(20, message(2, 5, install(&snapshot(2, 2), 8)));
+    replica.handle_message(20, message(2, 5, install(&snapshot(2, 2), 8)));
     settled(&mut replica);
     assert_eq!((replica.commit_index(), replica.log().last_index()), (3, 4));
-    replica.receive(30, message(2, 5, install(&snapshot(4, 5), 9)));
+    replica.handle_message(30, message(2, 5, install(&snapshot(4, 5), 9)));
     settled(&mut replica);
     assert_eq!(
         (
@@ -383,14 +383,14 @@
 /// Replica 1 as the leader of term 6, with the empty entry that begins it at position 5.
 fn leader() -> Replica {
     let mut replica = replica();
-    replica.receive(10, message(2, 5, Body::Elect));
+    replica.handle_message(10, message(2, 5, MessageBody::Elect));
     settled(&mut replica);
-    replica.receive(
+    replica.handle_message(
         20,
         message(
             2,
             6,
-            Body::VoteReply {
+            MessageBody::VoteReply {
                 pre: false,
                 granted: true,
             },
@@ -404,12 +404,12 @@
 #[test]
 fn a_leader_commits_entries_of_former_terms_only_with_one_of_its_own() {
     let mut replica = leader();
-    replica.receive(
+    replica.handle_message(
         30,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 4,
                 round: 1,
@@ -417,12 +417,12 @@
         ),
     );
     assert_eq!(replica.commit_index(), 1);
-    replica.receive(
+    replica.handle_message(
         40,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 1,
@@ -435,12 +435,12 @@
 #[test]
 fn a_leader_counts_its_own_entries_only_once_they_are_durable() {
     let mut replica = leader();
-    replica.receive(
+    replica.handle_message(
         30,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 1,
@@ -449,12 +449,12 @@
     );
     settled(&mut replica);
     replica.propose(vec![1]).unwrap();
-    replica.receive(
+    replica.handle_message(
         40,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 6,
                 round: 2,
@@ -469,12 +469,12 @@
 #[test]
 fn a_read_waits_for_answers_to_a_round_that_began_after_it() {
     let mut replica = leader();
-    replica.receive(
+    replica.handle_message(
         30,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 1,
@@ -482,18 +482,18 @@
         ),
     );
     settled(&mut replica);
-    replica.read(77);
+    replica.request_read(77);
     let is_ready = |replica: &mut Replica| {
         replica
             .take_outputs()
-            .contains(&Output::ReadReady { read: 77 })
+            .contains(&Output::ReadReady { read_id: 77 })
     };
-    replica.receive(
+    replica.handle_message(
         40,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 2,
@@ -501,12 +501,12 @@
         ),
     );
     assert!(!is_ready(&mut replica), "an answer to an earlier round");
-    replica.receive(
+    replica.handle_message(
         50,
         message(
             3,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 3,
@@ -521,7 +521,7 @@
     let mut replica = leader();
     let others = |replica: &Replica, gone: ReplicaId| {
         replica
-            .members()
+            .membership()
             .voters
             .iter()
             .filter(|member| member.id != gone)
@@ -533,12 +533,12 @@
         replica.change_voters(without_3.clone()).is_err(),
         "nothing of this term is committed"
     );
-    replica.receive(
+    replica.handle_message(
         30,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 1,
@@ -555,12 +555,12 @@
         replica.change_voters(Vec::new()),
         Err(ProposeError::NoVoters)
     );
-    replica.receive(
+    replica.handle_message(
         40,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 6,
                 round: 3,
@@ -583,15 +583,15 @@
 
 #[test]
 fn entries_behind_a_snapshot_that_they_do_not_follow_go() {
-    let members = replica().members().clone();
+    let members = replica().membership().clone();
     let mut replica = replica();
     let snapshot = Snapshot {
         index: 3,
         term: 5,
-        members,
+        membership: members,
         state: vec![1],
     };
-    replica.receive(10, message(2, 5, install(&snapshot, 8)));
+    replica.handle_message(10, message(2, 5, install(&snapshot, 8)));
     settled(&mut replica);
     assert_eq!(
         (replica.log().last_index(), replica.log().last_term()),
@@ -602,12 +602,12 @@
 /// A leader that has committed in its term, and a replica that asks it to join.
 fn leader_and_learner(id: ReplicaId, address: &str) -> Replica {
     let mut replica = leader();
-    replica.receive(
+    replica.handle_message(
         30,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 1,
@@ -615,7 +615,7 @@
         ),
     );
     settled(&mut replica);
-    replica.join(Member {
+    replica.add_learner(Member {
         id,
         address: address.to_owned(),
     });
@@ -624,7 +624,7 @@
 
 fn voters(replica: &Replica) -> Vec<ReplicaId> {
     replica
-        .members()
+        .membership()
         .voters
         .iter()
         .map(|member| member.id)
@@ -634,8 +634,8 @@
 /// All voters, also those that come next.
 fn all_voters(replica: &Replica) -> Vec<ReplicaId> {
     replica
-        .members()
-        .members()
+        .membership()
+        .all_voters()
         .map(|member| member.id)
         .collect()
 }
@@ -643,16 +643,16 @@
 /// Two learners, of which one has caught up so far.
 fn leader_and_two_learners() -> Replica {
     let mut replica = leader_and_learner(4, "machine-4");
-    replica.join(Member {
+    replica.add_learner(Member {
         id: 5,
         address: "machine-5".to_owned(),
     });
-    replica.receive(
+    replica.handle_message(
         210,
         message(
             4,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 2,
@@ -671,12 +671,12 @@
         [1, 2, 3],
         "four voters bear no more than three"
     );
-    replica.receive(
+    replica.handle_message(
         230,
         message(
             5,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 4,
                 round: 2,
@@ -685,12 +685,12 @@
     );
     replica.tick(250);
     assert_eq!(all_voters(&replica), [1, 2, 3], "one entry is missing");
-    replica.receive(
+    replica.handle_message(
         260,
         message(
             5,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 2,
@@ -700,7 +700,7 @@
     replica.tick(300);
     assert_eq!(all_voters(&replica), [1, 2, 3, 4, 5]);
     assert!(
-        replica.members().is_changing(),
+        replica.membership().is_joint(),
         "the former voters agree first"
     );
 }
@@ -708,12 +708,12 @@
 #[test]
 fn a_change_counts_only_with_a_majority_of_the_former_and_of_the_next_voters() {
     let mut replica = leader_and_two_learners();
-    replica.receive(
+    replica.handle_message(
         260,
         message(
             5,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 2,
@@ -723,24 +723,24 @@
     replica.tick(300);
     settled(&mut replica);
     let change = replica.log().last_index();
-    replica.receive(
+    replica.handle_message(
         310,
         message(
             4,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: change,
                 round: 3,
             },
         ),
     );
-    replica.receive(
+    replica.handle_message(
         320,
         message(
             5,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: change,
                 round: 3,
@@ -752,12 +752,12 @@
         change - 1,
         "three of five next voters, one of three former ones"
     );
-    replica.receive(
+    replica.handle_message(
         330,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: change,
                 round: 3,
@@ -769,18 +769,18 @@
     replica.tick(400);
     settled(&mut replica);
     assert_eq!(voters(&replica), [1, 2, 3, 4, 5]);
-    assert!(!replica.members().is_changing());
+    assert!(!replica.membership().is_joint());
 }
 
 #[test]
 fn a_member_that_lost_its_disk_is_replaced_by_its_new_identity_in_one_joint_change() {
     let mut replica = leader_and_learner(9, "machine-3");
-    replica.receive(
+    replica.handle_message(
         210,
         message(
             9,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 2,
@@ -788,19 +788,22 @@
         ),
     );
     replica.tick(250);
-    let members = replica.members().clone();
-    assert_eq!((voters(&replica), members.next.len()), (vec![1, 2, 3], 3));
+    let members = replica.membership().clone();
+    assert_eq!(
+        (voters(&replica), members.next_voters.len()),
+        (vec![1, 2, 3], 3)
+    );
     assert!(
-        members.next.iter().any(|member| member.id == 9)
-            && !members.next.iter().any(|member| member.id == 3)
+        members.next_voters.iter().any(|member| member.id == 9)
+            && !members.next_voters.iter().any(|member| member.id == 3)
     );
     settled(&mut replica);
-    replica.receive(
+    replica.handle_message(
         255,
         message(
             9,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 6,
                 round: 3,
@@ -812,12 +815,12 @@
         5,
         "a majority of the next voters alone"
     );
-    replica.receive(
+    replica.handle_message(
         260,
         message(
             2,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 6,
                 round: 3,
@@ -828,7 +831,7 @@
     replica.tick(300);
     settled(&mut replica);
     assert_eq!(
-        (voters(&replica), replica.members().is_changing()),
+        (voters(&replica), replica.membership().is_joint()),
         (vec![1, 2, 9], false)
     );
 }
@@ -836,29 +839,29 @@
 #[test]
 fn a_sound_member_that_leaves_votes_until_its_replacement_does() {
     let mut replica = leader_and_learner(4, "machine-4");
-    replica.receive(
+    replica.handle_message(
         210,
         message(
             4,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 2,
             },
         ),
     );
-    replica.leaves(220, 3);
+    replica.set_retiring(220, 3);
     replica.tick(250);
     assert_eq!(all_voters(&replica), [1, 2, 3, 4]);
     settled(&mut replica);
     // A majority of the former voters (1 and 3) is none of the next ones (1, 2 and 4).
-    replica.receive(
+    replica.handle_message(
         255,
         message(
             3,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 6,
                 round: 3,
@@ -866,12 +869,12 @@
         ),
     );
     assert_eq!(replica.commit_index(), 5);
-    replica.receive(
+    replica.handle_message(
         260,
         message(
             4,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 6,
                 round: 3,
@@ -895,12 +898,12 @@
     settled(&mut replica);
     for (round, index) in [(3, 6), (4, 7)] {
         for follower in [2, 3, 4] {
-            replica.receive(
+            replica.handle_message(
                 210,
                 message(
                     follower,
                     6,
-                    Body::AppendReply {
+                    MessageBody::AppendReply {
                         success: true,
                         index,
                         round,
@@ -922,12 +925,12 @@
 #[test]
 fn a_change_is_completed_only_once_it_is_committed() {
     let mut replica = leader_and_two_learners();
-    replica.receive(
+    replica.handle_message(
         260,
         message(
             5,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 2,
@@ -939,15 +942,16 @@
     replica.tick(350);
     settled(&mut replica);
     assert_eq!(
-        (replica.log().last_index(), replica.members().is_changing()),
+        (replica.log().last_index(), replica.membership().is_joint()),
         (6, true)
     );
 }
 
 /// Those that are sent entries or heartbeats.
-fn appended_to(sent: &[(ReplicaId, u64, Body)]) -> Vec<ReplicaId> {
-    let append =
-        |(to, _, body): &(ReplicaId, u64, Body)| matches!(body, Body::Append { .. }).then_some(*to);
+fn appended_to(sent: &[(ReplicaId, u64, MessageBody)]) -> Vec<ReplicaId> {
+    let append = |(to, _, body): &(ReplicaId, u64, MessageBody)| {
+        matches!(body, MessageBody::Append { .. }).then_some(*to)
+    };
     let mut all: Vec<ReplicaId> = sent.iter().filter_map(append).collect();
     all.dedup();
     all
@@ -956,28 +960,28 @@
 #[test]
 fn a_member_without_a_vote_hears_of_it_for_a_while() {
     let mut replica = leader_and_learner(4, "machine-4");
-    replica.receive(
+    replica.handle_message(
         210,
         message(
             4,
             6,
-            Body::AppendReply {
+            MessageBody::AppendReply {
                 success: true,
                 index: 5,
                 round: 2,
             },
         ),
     );
-    replica.leaves(220, 3);
+    replica.set_retiring(220, 3);
     replica.tick(250);
     settled(&mut replica);
     for follower in [2, 4] {
-        replica.receive(
+        replica.handle_message(
             255,
             message(
                 follower,
                 6,
-                Body::AppendReply {
+                MessageBody::AppendReply {
                     success: true,
                     index: 6,
                     round: 3,
@@ -996,12 +1000,12 @@
     for now in [500, 1_000, 1_500] {
         for follower in [2, 4] {
             let round = (now - 300) / 20;
-            replica.receive(
+            replica.handle_message(
                 now,
                 message(
                     follower,
                     6,
-                    Body::AppendReply {
+                    MessageBody::AppendReply {
                         success: true,
                         index: 7,
                         round,
@@ -1026,10 +1030,10 @@
             address: format!("machine-{id}"),
         })
         .collect();
-    state.fold(&Record::Install(Snapshot {
+    state.apply_record(&Record::InstallSnapshot(Snapshot {
         index: 1,
         term: 1,
-        members: Membership::new(voters),
+        membership: Membership::new(voters),
         state: Vec::new(),
     }));
     let mut replica = Replica::new(state, SETTINGS, 0, 1);
@@ -1038,15 +1042,15 @@
         replica.tick(now);
         assert!(settled(&mut replica).is_empty(), "at {now} ms");
     }
-    replica.receive(
+    replica.handle_message(
         20_000,
         Message {
             to: 9,
-            ..message(2, 1, Body::Elect)
+            ..message(2, 1, MessageBody::Elect)
         },
     );
     assert!(settled(&mut replica).is_empty());
-    assert!(replica.wants_to_join());
+    assert!(replica.should_join());
 }
 
 #[test]
@@ -1055,13 +1059,13 @@
     for seed in 0..50 {
         let mut replica = Replica::new(durable(), SETTINGS, 0, seed);
         replica.take_outputs();
-        let pre_vote = Body::Vote {
+        let pre_vote = MessageBody::Vote {
             pre: true,
             last_index: 4,
             last_term: 4,
             transfer: false,
         };
-        replica.receive(240, message(2, 6, pre_vote));
+        replica.handle_message(240, message(2, 6, pre_vote));
         assert_eq!(is_granted(&settled(&mut replica)), Some(true));
         replica.tick(240 + ROUND_TRIP);
         assert!(
@@ -1088,23 +1092,23 @@
     let founding = Snapshot {
         index: 1,
         term: 1,
-        members: Membership::new(voters.to_vec()),
+        membership: Membership::new(voters.to_vec()),
         state: Vec::new(),
     };
     let mut own_state = DurableState::new(own, founding);
-    own_state.fold(&Record::Term { term: 5, vote: 0 });
-    own_state.fold(&Record::Append(state.log.entries().to_vec()));
+    own_state.apply_record(&Record::Term { term: 5, vote: 0 });
+    own_state.apply_record(&Record::Append(state.log.entries().to_vec()));
     state = own_state;
     let mut replica = Replica::new(state, SETTINGS, 0, 1);
     replica.tick(700);
     settled(&mut replica);
-    let pre_vote = Body::Vote {
+    let pre_vote = MessageBody::Vote {
         pre: true,
         last_index,
         last_term: 4,
         transfer: false,
     };
-    replica.receive(
+    replica.handle_message(
         710,
         Message {
             to: own,
@@ -1124,12 +1128,12 @@
     }
     assert!(replica.is_leader());
     for follower in [2, 3] {
-        replica.receive(
+        replica.handle_message(
             1_500,
             message(
                 follower,
                 6,
-                Body::AppendReply {
+                MessageBody::AppendReply {
                     success: true,
                     index: 5,
                     round: 1,
@@ -1148,14 +1152,14 @@
 #[test]
 fn nothing_is_read_before_the_term_has_committed() {
     let mut replica = leader();
-    replica.read(77);
+    replica.request_read(77);
     for round in 1..5 {
-        replica.receive(
+        replica.handle_message(
             30,
             message(
                 2,
                 6,
-                Body::AppendReply {
+                MessageBody::AppendReply {
                     success: true,
                     index: 4,
                     round,
@@ -1164,6 +1168,6 @@
         );
     }
     let outputs = replica.take_outputs();
-    assert!(outputs.contains(&Output::ReadFailed { read: 77 }));
-    assert!(!outputs.contains(&Output::ReadReady { read: 77 }));
+    assert!(outputs.contains(&Output::ReadFailed { read_id: 77 }));
+    assert!(!outputs.contains(&Output::ReadReady { read_id: 77 }));
 }
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -94,7 +94,7 @@
         let mut group = Group::new(seed, 5, CALM);
         group.run(6_000);
         let leader = group.leader().expect("a leader");
-        let members = group.replica(leader).expect("it runs").members();
+        let members = group.replica(leader).expect("it runs").membership();
         assert_eq!(members.voters.len(), 5);
     }
 }
@@ -170,7 +170,7 @@
         group.start(1);
         group.run(5_000);
         let leader = group.leader().expect("a leader");
-        let members = group.replica(leader).expect("it runs").members().clone();
+        let members = group.replica(leader).expect("it runs").membership().clone();
         assert_eq!(members.voters.len(), 3);
         assert!(!members.is_voter(2), "the lost identity still votes");
         let own = group.replica(1).expect("it runs").id();
@@ -189,7 +189,7 @@
         group
             .replica(leader)
             .expect("it runs")
-            .members()
+            .membership()
             .voters
             .len(),
         3
@@ -197,7 +197,7 @@
     group.stop((leader + 1) % 3);
     group.run(10_000);
     let leader = group.leader().expect("two of three are a quorum");
-    let members = group.replica(leader).expect("it runs").members();
+    let members = group.replica(leader).expect("it runs").membership();
     assert_eq!(
         members.voters.len(),
         3,
--- a/crates/consensus/tests/single/mod.rs
+++ b/crates/consensus/tests/single/mod.rs
@@ -5,11 +5,11 @@
 /// As in the shipped control plane.
 pub const SETTINGS: Settings = Settings {
     timing: Timing {
-        heartbeat: 150,
-        election_min: 900,
-        election_max: 1_500,
+        heartbeat_interval: 150,
+        election_timeout_min: 900,
+        election_timeout_max: 1_500,
     },
-    least_voters: 3,
+    min_voters: 3,
 };
 
 /// Makes all records durable, and gives the messages sent so far.
@@ -22,7 +22,7 @@
         }
         for output in outputs {
             match output {
-                Output::Persist { sequence, .. } => replica.persisted(sequence),
+                Output::Persist { sequence, .. } => replica.handle_persisted(sequence),
                 Output::Send(message) => sent.push(message),
                 _ => {}
             }
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -6,8 +6,8 @@
 use rstest::rstest;
 use single::{SETTINGS, settled};
 use woadstall_consensus::{
-    Body, DurableState, Entry, Member, Membership, Message, Payload, Record, Replica, ReplicaId,
-    Snapshot, SnapshotPiece,
+    DurableState, Entry, EntryPayload, Member, Membership, Message, MessageBody, Record, Replica,
+    ReplicaId, Snapshot, SnapshotChunk,
 };
 
 const STATE_BYTES: usize = 500_000;
@@ -28,7 +28,7 @@
     Snapshot {
         index: 1,
         term: 1,
-        members: members(),
+        membership: members(),
         state: Vec::new(),
     }
 }
@@ -42,30 +42,30 @@
 /// Replica 1 as a leader whose log begins with a snapshot far behind where the others are.
 fn leader(seed: u8) -> Replica {
     let mut durable = DurableState::new(1, founding());
-    durable.fold(&Record::Install(Snapshot {
+    durable.apply_record(&Record::InstallSnapshot(Snapshot {
         index: FAR,
         term: 1,
-        members: members(),
+        membership: members(),
         state: state(seed),
     }));
     let mut replica = Replica::new(durable, SETTINGS, 0, 1);
-    replica.receive(
+    replica.handle_message(
         10,
         Message {
             from: 2,
             to: 1,
             term: 1,
-            body: Body::Elect,
+            body: MessageBody::Elect,
         },
     );
     settled(&mut replica);
-    replica.receive(
+    replica.handle_message(
         20,
         Message {
             from: 2,
             to: 1,
             term: 2,
-            body: Body::VoteReply {
+            body: MessageBody::VoteReply {
                 pre: false,
                 granted: true,
             },
@@ -96,9 +96,9 @@
             .into_iter()
             .filter(|message| message.to == 3)
         {
-            pieces += usize::from(matches!(message.body, Body::Install { .. }));
+            pieces += usize::from(matches!(message.body, MessageBody::Install { .. }));
             if !loses(&message) {
-                follower.receive(now, message);
+                follower.handle_message(now, message);
                 passed = true;
             }
         }
@@ -106,7 +106,7 @@
             .into_iter()
             .filter(|message| message.to == 1)
         {
-            leader.receive(now, message);
+            leader.handle_message(now, message);
             passed = true;
         }
         if !passed {
@@ -128,13 +128,13 @@
         .into_iter()
         .filter(|message| message.to == 3)
     {
-        follower.receive(30, message);
+        follower.handle_message(30, message);
     }
     for message in settled(&mut follower) {
-        leader.receive(30, message);
+        leader.handle_message(30, message);
     }
     for message in settled(&mut leader) {
-        if let Body::Install { piece, .. } = message.body {
+        if let MessageBody::Install { piece, .. } = message.body {
             first.push(piece.bytes.len());
         }
     }
@@ -155,10 +155,10 @@
     let (mut count, mut total) = (0, 0);
     for round in 1..40 {
         total += exchange(round * 1_100, &mut leader, &mut follower, |message| {
-            count += usize::from(matches!(message.body, Body::Install { .. }));
-            matches!(message.body, Body::Install { .. }) && count % 7 == 3
+            count += usize::from(matches!(message.body, MessageBody::Install { .. }));
+            matches!(message.body, MessageBody::Install { .. }) && count % 7 == 3
         });
-        leader.receive(
+        leader.handle_message(
             round * 1_100,
             Message {
                 from: 2,
@@ -176,8 +176,8 @@
 }
 
 /// Keeps the leader in office.
-fn answer(round: u64) -> Body {
-    Body::AppendReply {
+fn answer(round: u64) -> MessageBody {
+    MessageBody::AppendReply {
         success: true,
         index: 1,
         round,
@@ -189,7 +189,7 @@
     let (mut leader, mut follower) = (leader(0), follower());
     let mut count = 0;
     exchange(200, &mut leader, &mut follower, |message| {
-        count += usize::from(matches!(message.body, Body::Install { .. }));
+        count += usize::from(matches!(message.body, MessageBody::Install { .. }));
         count > 8
     });
     assert!(!has_caught_up(&follower));
@@ -201,10 +201,10 @@
     assert!(has_caught_up(&follower));
 }
 
-fn first_pieces(leader: &mut Replica, follower: &mut Replica, most: usize) -> Vec<SnapshotPiece> {
+fn first_pieces(leader: &mut Replica, follower: &mut Replica, most: usize) -> Vec<SnapshotChunk> {
     let mut pieces = Vec::new();
     exchange(200, leader, follower, |message| {
-        if let Body::Install { piece, .. } = &message.body
+        if let MessageBody::Install { piece, .. } = &message.body
             && pieces.len() < most
         {
             pieces.push(piece.clone());
@@ -228,24 +228,24 @@
     assert_eq!(follower.log().snapshot().state, state(seed));
 }
 
-fn deliver(follower: &mut Replica, piece: SnapshotPiece) -> Vec<Message> {
-    follower.receive(
+fn deliver(follower: &mut Replica, piece: SnapshotChunk) -> Vec<Message> {
+    follower.handle_message(
         300,
         Message {
             from: 1,
             to: 3,
             term: 2,
-            body: Body::Install { piece, round: 9 },
+            body: MessageBody::Install { piece, round: 9 },
         },
     );
     settled(follower)
 }
 
 #[rstest]
-#[case::a_changed_byte(|piece: &mut SnapshotPiece| piece.bytes[5_000] ^= 1)]
-#[case::another_checksum(|piece: &mut SnapshotPiece| piece.head.checksum ^= 1)]
-#[case::another_position(|piece: &mut SnapshotPiece| piece.head.index += 1)]
-fn a_snapshot_that_does_not_check_is_not_taken(#[case] change: fn(&mut SnapshotPiece)) {
+#[case::a_changed_byte(|piece: &mut SnapshotChunk| piece.bytes[5_000] ^= 1)]
+#[case::another_checksum(|piece: &mut SnapshotChunk| piece.head.checksum ^= 1)]
+#[case::another_position(|piece: &mut SnapshotChunk| piece.head.index += 1)]
+fn a_snapshot_that_does_not_check_is_not_taken(#[case] change: fn(&mut SnapshotChunk)) {
     let (mut leader, mut follower) = (leader(0), follower());
     let mut whole = first_pieces(&mut leader, &mut follower, 1);
     let encoded = whole.remove(0);
@@ -258,7 +258,7 @@
     let mut all = Vec::new();
     let mut sink = self::follower();
     exchange(200, &mut source, &mut sink, |message| {
-        if let Body::Install { piece, .. } = &message.body {
+        if let MessageBody::Install { piece, .. } = &message.body {
             all.push(piece.clone());
         }
         false
@@ -278,7 +278,7 @@
     let (mut leader, mut follower) = (leader(0), follower());
     let first = first_pieces(&mut leader, &mut follower, 1).remove(0);
     let mut fresh = self::follower();
-    let middle = SnapshotPiece {
+    let middle = SnapshotChunk {
         offset: 32 << 10,
         ..first.clone()
     };
@@ -287,7 +287,10 @@
     for piece in [middle, claim] {
         let replies = deliver(&mut fresh, piece);
         assert!(
-            matches!(replies[0].body, Body::InstallReply { received: 0, .. }),
+            matches!(
+                replies[0].body,
+                MessageBody::InstallReply { received: 0, .. }
+            ),
             "{replies:?}"
         );
     }
@@ -310,8 +313,8 @@
 
 fn bytes(entry: &Entry) -> usize {
     match &entry.payload {
-        Payload::Command(command) => command.len(),
-        Payload::Empty | Payload::Members(_) => 0,
+        EntryPayload::Command(command) => command.len(),
+        EntryPayload::Blank | EntryPayload::Membership(_) => 0,
     }
 }
 
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -3,18 +3,18 @@
 use nanoserde::SerBin;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use woadstall_consensus::{
-    DurableState, Entry, Member, Membership, Message, Output, Payload, Record, Replica, ReplicaId,
-    Settings, Snapshot, Timing,
+    DurableState, Entry, EntryPayload, Member, Membership, Message, Output, Record, Replica,
+    ReplicaId, Settings, Snapshot, Timing,
 };
 
 /// As in the shipped control plane.
 const SETTINGS: Settings = Settings {
     timing: Timing {
-        heartbeat: 150,
-        election_min: 900,
-        election_max: 1_500,
+        heartbeat_interval: 150,
+        election_timeout_min: 900,
+        election_timeout_max: 1_500,
     },
-    least_voters: 3,
+    min_voters: 3,
 };
 const TICK: u64 = 50;
 
@@ -88,7 +88,7 @@
         let founding = Snapshot {
             index: 1,
             term: 1,
-            members: Membership::new(founders),
+            membership: Membership::new(founders),
             state: Vec::new(),
         };
         let machine = |place: usize| {
@@ -145,7 +145,7 @@
         machine.replica = None;
         // Reading stops at the first record that is missing or torn.
         for (_, record) in machine.pending.drain(..).take(kept) {
-            machine.disk.fold(&record);
+            machine.disk.apply_record(&record);
         }
     }
 
@@ -190,7 +190,7 @@
             .replica
             .as_mut()
             .into_iter()
-            .for_each(Replica::transfer);
+            .for_each(Replica::transfer_leadership);
         self.settle(place);
     }
 
@@ -199,7 +199,7 @@
             .replica
             .as_mut()
             .into_iter()
-            .for_each(|replica| replica.read(number));
+            .for_each(|replica| replica.request_read(number));
         self.settle(place);
     }
 
@@ -244,12 +244,12 @@
             return;
         };
         replica.tick(now);
-        let joining = replica.wants_to_join().then(|| member(replica.id(), place));
+        let joining = replica.should_join().then(|| member(replica.id(), place));
         self.settle(place);
         if let Some(joining) = joining.filter(|_| now.is_multiple_of(500)) {
             for other in 0..self.len() {
                 if let Some(replica) = self.machines[other].replica.as_mut() {
-                    replica.join(joining.clone());
+                    replica.add_learner(joining.clone());
                     self.settle(other);
                 }
             }
@@ -264,7 +264,7 @@
                 if machine.incarnation == incarnation
                     && let Some(replica) = machine.replica.as_mut()
                 {
-                    replica.receive(now, self.messages[message].clone());
+                    replica.handle_message(now, self.messages[message].clone());
                     self.settle(place);
                 }
             }
@@ -279,10 +279,10 @@
                     .take_while(|(number, _)| *number <= sequence)
                     .count();
                 for (_, record) in machine.pending.drain(..synced) {
-                    machine.disk.fold(&record);
+                    machine.disk.apply_record(&record);
                 }
                 if let Some(replica) = machine.replica.as_mut() {
-                    replica.persisted(sequence);
+                    replica.handle_persisted(sequence);
                 }
                 self.settle(place);
             }
@@ -337,8 +337,8 @@
             Output::Send(message) => (1, message.serialize_bin()),
             Output::Apply(entry) => (2, entry.serialize_bin()),
             Output::Restore(snapshot) => (3, snapshot.serialize_bin()),
-            Output::ReadReady { read } => (4, read.serialize_bin()),
-            Output::ReadFailed { read } => (5, read.serialize_bin()),
+            Output::ReadReady { read_id } => (4, read_id.serialize_bin()),
+            Output::ReadFailed { read_id } => (5, read_id.serialize_bin()),
         };
         self.trace.update(&self.now.to_le_bytes());
         self.trace.update(&[place as u8, kind]);
@@ -414,7 +414,7 @@
             "an entry was passed over or applied twice"
         );
         machine.state_index = entry.index;
-        if let Payload::Command(command) = &entry.payload {
+        if let EntryPayload::Command(command) = &entry.payload {
             machine.state.extend_from_slice(command);
         }
         machine.applied.push(entry);
--- a/crates/consensus/tests/voters.rs
+++ b/crates/consensus/tests/voters.rs
@@ -3,18 +3,20 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
-use woadstall_consensus::{Candidate, Member, Place, Presence, ReplicaId, choose_voters};
+use woadstall_consensus::{
+    FailureDomain, Liveness, Member, ReplicaId, VoterCandidate, choose_voters,
+};
 
 const REGIONS: u8 = 3;
 const MOST: usize = 9;
 
-fn candidate(id: ReplicaId, zone: u8, presence: Presence, is_voter: bool) -> Candidate {
-    Candidate {
+fn candidate(id: ReplicaId, zone: u8, presence: Liveness, is_voter: bool) -> VoterCandidate {
+    VoterCandidate {
         member: Member {
             id,
             address: format!("machine-{id}"),
         },
-        place: Some(Place {
+        place: Some(FailureDomain {
             zone: format!("zone-{zone}"),
             region: format!("region-{}", zone % REGIONS),
         }),
@@ -25,25 +27,25 @@
 }
 
 /// Drawn candidates; learners are always there, and the last one leads.
-fn groups() -> impl Strategy<Value = Vec<Candidate>> {
+fn groups() -> impl Strategy<Value = Vec<VoterCandidate>> {
     let presences = prop_oneof![
-        4 => Just(Presence::Live),
-        1 => Just(Presence::Silent),
-        1 => Just(Presence::Lost)
+        4 => Just(Liveness::Live),
+        1 => Just(Liveness::Unresponsive),
+        1 => Just(Liveness::Lost)
     ];
     let drawn = prop::collection::vec((0..2 * REGIONS, presences, any::<bool>()), 1..MOST);
     drawn.prop_map(|drawn| {
-        let mut group: Vec<Candidate> = drawn
+        let mut group: Vec<VoterCandidate> = drawn
             .into_iter()
             .enumerate()
             .map(|(number, (zone, presence, is_voter))| {
-                let presence = if is_voter { presence } else { Presence::Live };
+                let presence = if is_voter { presence } else { Liveness::Live };
                 candidate(number as u64 + 1, zone, presence, is_voter)
             })
             .collect();
         // The last one: nothing but leading keeps its vote.
         if let Some(leader) = group.last_mut() {
-            (leader.is_voter, leader.is_leader, leader.presence) = (true, true, Presence::Live);
+            (leader.is_voter, leader.is_leader, leader.presence) = (true, true, Liveness::Live);
         }
         group
     })
@@ -53,11 +55,11 @@
     voters.iter().map(|voter| voter.id).collect()
 }
 
-fn choose(group: &[Candidate], least: usize) -> BTreeSet<ReplicaId> {
+fn choose(group: &[VoterCandidate], least: usize) -> BTreeSet<ReplicaId> {
     ids(&choose_voters(group, least))
 }
 
-fn leader_of(group: &[Candidate]) -> ReplicaId {
+fn leader_of(group: &[VoterCandidate]) -> ReplicaId {
     group
         .iter()
         .find(|candidate| candidate.is_leader)
@@ -66,7 +68,7 @@
         .id
 }
 
-fn voters_of(group: &[Candidate]) -> Vec<Member> {
+fn voters_of(group: &[VoterCandidate]) -> Vec<Member> {
     group
         .iter()
         .filter(|candidate| candidate.is_voter)
@@ -74,8 +76,8 @@
         .collect()
 }
 
-fn with_voters(group: &[Candidate], voters: &BTreeSet<ReplicaId>) -> Vec<Candidate> {
-    let with = |candidate: &Candidate| Candidate {
+fn with_voters(group: &[VoterCandidate], voters: &BTreeSet<ReplicaId>) -> Vec<VoterCandidate> {
+    let with = |candidate: &VoterCandidate| VoterCandidate {
         is_voter: voters.contains(&candidate.member.id),
         ..candidate.clone()
     };
@@ -83,16 +85,16 @@
 }
 
 fn live<'a>(
-    group: &'a [Candidate],
+    group: &'a [VoterCandidate],
     voters: &'a BTreeSet<ReplicaId>,
-) -> impl Iterator<Item = &'a Candidate> {
+) -> impl Iterator<Item = &'a VoterCandidate> {
     group.iter().filter(|candidate| {
-        candidate.presence == Presence::Live && voters.contains(&candidate.member.id)
+        candidate.presence == Liveness::Live && voters.contains(&candidate.member.id)
     })
 }
 
 /// Whether the loss of a region leaves no majority.
-fn has_majority_region(group: &[Candidate], voters: &BTreeSet<ReplicaId>) -> bool {
+fn has_majority_region(group: &[VoterCandidate], voters: &BTreeSet<ReplicaId>) -> bool {
     let mut regions: BTreeMap<&str, usize> = BTreeMap::new();
     for candidate in group
         .iter()
@@ -114,7 +116,7 @@
     fn the_choice_stands_once_it_is_made(group in groups(), least in 1usize..6) {
         // Absent voters are replaced first; an even number, a lost voter or a bad place is mended by a change of its own.
         const CHANGES: usize = 3;
-        let next = |group: &[Candidate]| with_voters(group, &choose(group, least));
+        let next = |group: &[VoterCandidate]| with_voters(group, &choose(group, least));
         let settled = (0..CHANGES).fold(group, |group, _| next(&group));
         let voters: BTreeSet<ReplicaId> = ids(&voters_of(&settled));
         prop_assert_eq!(choose(&settled, least), voters);
@@ -136,8 +138,8 @@
         group in groups(),
         least in 1usize..6,
     ) {
-        let group: Vec<Candidate> =
-            group.into_iter().map(|candidate| Candidate { presence: Presence::Live, ..candidate }).collect();
+        let group: Vec<VoterCandidate> =
+            group.into_iter().map(|candidate| VoterCandidate { presence: Liveness::Live, ..candidate }).collect();
         let voters = group.iter().filter(|candidate| candidate.is_voter).count();
         prop_assume!(voters >= 3 && voters >= least && group.len() >= least);
         let chosen = choose(&group, least);
@@ -161,9 +163,9 @@
     #[test]
     fn a_group_shrinks_only_by_lost_members_or_for_a_better_place(group in groups(), least in 1usize..6) {
         let chosen = choose(&group, least);
-        let voters: Vec<&Candidate> = group.iter().filter(|candidate| candidate.is_voter).collect();
+        let voters: Vec<&VoterCandidate> = group.iter().filter(|candidate| candidate.is_voter).collect();
         if chosen.len() < voters.len() {
-            let is_silent = |candidate: &&Candidate| candidate.presence == Presence::Silent;
+            let is_silent = |candidate: &&VoterCandidate| candidate.presence == Liveness::Unresponsive;
             prop_assert!(!voters.iter().any(is_silent), "a vote was taken too soon");
             prop_assert!(chosen.len() >= least);
         }
@@ -172,8 +174,8 @@
 
 #[test]
 fn of_six_machines_in_three_regions_five_vote_and_no_region_has_more_than_two() {
-    let group: Vec<Candidate> = (0..6)
-        .map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 3))
+    let group: Vec<VoterCandidate> = (0..6)
+        .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 3))
         .collect();
     let chosen = choose(&group, 5);
     assert_eq!(chosen.len(), 5);
@@ -182,32 +184,32 @@
 
 #[test]
 fn the_sixth_takes_the_vote_of_one_that_falls_silent() {
-    let mut group: Vec<Candidate> = (0..6)
-        .map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 5))
+    let mut group: Vec<VoterCandidate> = (0..6)
+        .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 5))
         .collect();
-    group[2].presence = Presence::Silent;
+    group[2].presence = Liveness::Unresponsive;
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 4, 5, 6]));
 }
 
 #[test]
 fn nobody_loses_a_vote_for_a_better_place_while_the_place_of_another_voter_is_not_known() {
     // The first five vote; the sixth would spread them better if the third were anywhere else.
-    let mut group: Vec<Candidate> = (0..6)
-        .map(|zone| candidate(u64::from(zone) + 1, zone, Presence::Live, zone < 5))
+    let mut group: Vec<VoterCandidate> = (0..6)
+        .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 5))
         .collect();
     group[2].place = None;
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 3, 4, 5]));
 }
 
 /// Drawn groups of every size, some with replicas whose place is not known.
-fn drawn_group(random: &mut fastrand::Rng) -> Vec<Candidate> {
-    let mut group: Vec<Candidate> = (1..=random.u64(1..MOST as u64))
+fn drawn_group(random: &mut fastrand::Rng) -> Vec<VoterCandidate> {
+    let mut group: Vec<VoterCandidate> = (1..=random.u64(1..MOST as u64))
         .map(|id| {
             let presence = [
-                Presence::Live,
-                Presence::Live,
-                Presence::Silent,
-                Presence::Lost,
+                Liveness::Live,
+                Liveness::Live,
+                Liveness::Unresponsive,
+                Liveness::Lost,
             ][random.usize(..4)];
             let mut candidate = candidate(id, random.u8(..2 * REGIONS), presence, random.bool());
             if random.u8(..10) == 0 {
@@ -221,7 +223,7 @@
         group[leader].is_voter,
         group[leader].is_leader,
         group[leader].presence,
-    ) = (true, true, Presence::Live);
+    ) = (true, true, Liveness::Live);
     group
 }
 
--- a/crates/control-simulation/src/cluster.rs
+++ b/crates/control-simulation/src/cluster.rs
@@ -816,7 +816,7 @@
         let Some(newest) = newest.max_by_key(|machine| machine.replica().commit_index()) else {
             return;
         };
-        let members = newest.replica().members().clone();
+        let members = newest.replica().membership().clone();
         let holds = |member: &Member| {
             let of_member = self
                 .hosts
@@ -842,7 +842,7 @@
             let (term, leader, commit) = (replica.term(), replica.leader(), replica.commit_index());
             format!(
                 "machine {place}: term {term} leader {leader:?} commit {commit} {:?}",
-                replica.members()
+                replica.membership()
             )
         });
         logged.chain(stand).collect::<Vec<_>>().join("\n")
--- a/crates/control-simulation/src/disk.rs
+++ b/crates/control-simulation/src/disk.rs
@@ -116,7 +116,7 @@
         }
         self.refused
             .drain(..)
-            .for_each(|record| self.synced.fold(&record));
+            .for_each(|record| self.synced.apply_record(&record));
         self.newest_refused = None;
         Some(Synced::Records(sequence))
     }
--- a/crates/control-simulation/src/oracle.rs
+++ b/crates/control-simulation/src/oracle.rs
@@ -3,7 +3,7 @@
 use crate::front::Front;
 use nanoserde::DeBin;
 use std::collections::{BTreeMap, BTreeSet};
-use woadstall_consensus::{DurableState, Entry, Payload, ReplicaId};
+use woadstall_consensus::{DurableState, Entry, EntryPayload, ReplicaId};
 use woadstall_control::command::Command;
 use woadstall_control::machine::Machine;
 use woadstall_control::registry::Status;
@@ -124,8 +124,8 @@
 /// Whether a disk holds the configuration of a version or a later one.
 pub fn holds_generation(durable: &DurableState, generation: u64) -> bool {
     let is_in_entry = |entry: &Entry| match &entry.payload {
-        Payload::Command(bytes) => is_of_generation(bytes, generation),
-        Payload::Empty | Payload::Members(_) => false,
+        EntryPayload::Command(bytes) => is_of_generation(bytes, generation),
+        EntryPayload::Blank | EntryPayload::Membership(_) => false,
     };
     let log = &durable.log;
     log.entries().iter().rev().any(is_in_entry)
--- a/crates/control/src/machine/leader_clock.rs
+++ b/crates/control/src/machine/leader_clock.rs
@@ -2,7 +2,7 @@
 //! is one that the leader itself can compare with its clock, however late it hears of it.
 
 use crate::wire::LeaderTime;
-use woadstall_consensus::{Body, Message};
+use woadstall_consensus::{Message, MessageBody};
 
 /// What was heard of the clock of one term's leader.
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,5 +41,8 @@
 
 /// Whether only the leader of a term sends such a message.
 pub(super) fn tells_time(message: &Message) -> bool {
-    matches!(message.body, Body::Append { .. } | Body::Install { .. })
+    matches!(
+        message.body,
+        MessageBody::Append { .. } | MessageBody::Install { .. }
+    )
 }
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -122,9 +122,9 @@
 
 /// Times of the replicated log: a round trip between regions is up to 110 ms, and a machine has a part of a core.
 pub const TIMING: Timing = Timing {
-    heartbeat: 150,
-    election_min: 900,
-    election_max: 1_500,
+    heartbeat_interval: 150,
+    election_timeout_min: 900,
+    election_timeout_max: 1_500,
 };
 /// How often a machine that does not vote asks to join.
 const JOIN_EVERY: u64 = 500;
@@ -191,7 +191,7 @@
     Snapshot {
         index: 1,
         term: 1,
-        members: Membership::new(voters),
+        membership: Membership::new(voters),
         state: ControlState::default().encode(),
     }
 }
@@ -206,7 +206,7 @@
                 durable,
                 Settings {
                     timing: TIMING,
-                    least_voters: 2 * settings.tolerated + 1,
+                    min_voters: 2 * settings.tolerated + 1,
                 },
                 now,
                 seed,
@@ -250,7 +250,7 @@
         let own = machine.settings.machine.clone();
         machine
             .replica
-            .set_place(own.member.address.clone(), peers::place_of(&own));
+            .set_failure_domain(own.member.address.clone(), peers::place_of(&own));
         for seed in machine.settings.seeds.clone() {
             machine.connect(seed);
         }
@@ -322,7 +322,7 @@
     /// Records up to this number are durable.
     pub fn persisted(&mut self, now: u64, sequence: u64) {
         self.now = self.now.max(now);
-        self.replica.persisted(sequence);
+        self.replica.handle_persisted(sequence);
         self.settle();
     }
 
@@ -336,10 +336,10 @@
             Packet::Hello { machine, known } => self.on_hello(machine, known),
             Packet::Consensus { message, clock } => self.on_consensus(message, clock),
             Packet::Join(member) => {
-                self.replica.join(member);
+                self.replica.add_learner(member);
                 self.settle();
             }
-            Packet::Leaves(replica) => self.replica.leaves(self.now, replica),
+            Packet::Leaves(replica) => self.replica.set_retiring(self.now, replica),
             Packet::Registrations {
                 call,
                 registrations,
@@ -403,13 +403,13 @@
     /// Whether a leader that holds a quorum was there lately.
     pub fn in_quorum(&self) -> bool {
         let heard = match self.replica.is_leader() {
-            true => self.replica.leader_heard(),
+            true => self.replica.last_leader_contact(),
             false => self
                 .replica
                 .leader()
                 .and_then(|_| self.leader_clock.last_sent(self.replica.term())),
         };
-        heard.is_some_and(|at| self.now <= at + TIMING.election_max)
+        heard.is_some_and(|at| self.now <= at + TIMING.election_timeout_max)
     }
 
     fn number(&mut self) -> u64 {
--- a/crates/control/src/machine/peers.rs
+++ b/crates/control/src/machine/peers.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Machine};
 use crate::wire::{ControlMachine, Packet};
-use woadstall_consensus::{Place, ReplicaId};
+use woadstall_consensus::{FailureDomain, ReplicaId};
 
 /// How often machines introduce themselves, in milliseconds, and how long one counts as there after it was last heard of.
 pub(super) const HELLO_EVERY: u64 = 1_000;
@@ -50,19 +50,19 @@
     pub fn leave(&mut self, now: u64) {
         self.now = self.now.max(now);
         let id = self.replica.id();
-        self.replica.leaves(self.now, id);
+        self.replica.set_retiring(self.now, id);
         self.broadcast(&Packet::Leaves(id));
-        self.replica.transfer();
+        self.replica.transfer_leadership();
         self.settle();
     }
 
     /// Whether this machine's vote is being given to another one.
     pub fn is_being_replaced(&self) -> bool {
-        let members = self.replica.members();
+        let members = self.replica.membership();
         let id = self.replica.id();
-        members.is_changing()
+        members.is_joint()
             && members.is_voter(id)
-            && !members.next.iter().any(|member| member.id == id)
+            && !members.next_voters.iter().any(|member| member.id == id)
     }
 
     /// The control machines that are there, this one among them.
@@ -104,7 +104,7 @@
     }
 
     pub(super) fn introduce(&mut self) {
-        let members = self.replica.members().clone();
+        let members = self.replica.membership().clone();
         let now = self.now;
         self.peers.retain(|_, peer| {
             now <= peer.heard + FORGET_PEER || members.is_voter(peer.machine.member.id)
@@ -112,7 +112,9 @@
         let is_wanted = |address: &String| {
             self.peers.contains_key(address)
                 || self.settings.seeds.contains(address)
-                || members.members().any(|member| member.address == *address)
+                || members
+                    .all_voters()
+                    .any(|member| member.address == *address)
         };
         let unwanted: Vec<String> = self
             .connected
@@ -132,7 +134,8 @@
         let address = machine.member.address.clone();
         self.connect(address.clone());
         if address != self.settings.machine.member.address {
-            self.replica.set_place(address.clone(), place_of(&machine));
+            self.replica
+                .set_failure_domain(address.clone(), place_of(&machine));
             self.peers.insert(
                 address,
                 Peer {
@@ -152,7 +155,7 @@
 
     pub(super) fn ask_to_join(&mut self) {
         let member = self.settings.machine.member.clone();
-        if self.replica.wants_to_join() {
+        if self.replica.should_join() {
             self.broadcast(&Packet::Join(member));
         }
     }
@@ -164,15 +167,15 @@
             .values()
             .map(|peer| &peer.machine.member)
             .find(|member| member.id == id);
-        let mut members = self.replica.members().members();
+        let mut members = self.replica.membership().all_voters();
         let member = by_peer.or_else(|| members.find(|member| member.id == id));
         member.map(|member| member.address.clone())
     }
 }
 
 /// Where a machine is.
-pub(super) fn place_of(machine: &ControlMachine) -> Place {
-    Place {
+pub(super) fn place_of(machine: &ControlMachine) -> FailureDomain {
+    FailureDomain {
         zone: machine.zone.clone(),
         region: machine.region.clone(),
     }
--- a/crates/control/src/machine/reads.rs
+++ b/crates/control/src/machine/reads.rs
@@ -44,7 +44,7 @@
         }
         read.asked = Some(leader.clone());
         if self.replica.is_leader() {
-            self.replica.read(number);
+            self.replica.request_read(number);
         } else {
             let call = self.call(number);
             self.send(&leader.address, Packet::Read { call });
@@ -78,7 +78,7 @@
                 deadline,
             },
         );
-        self.replica.read(number);
+        self.replica.request_read(number);
         self.settle();
     }
 
--- a/crates/control/src/machine/registrations.rs
+++ b/crates/control/src/machine/registrations.rs
@@ -120,7 +120,7 @@
             true => has_kept,
             false => spread.taken.contains(&member.address),
         };
-        if self.replica.members().is_quorum(holds) {
+        if self.replica.membership().is_quorum(holds) {
             let token = spread.token;
             self.spreads.remove(&number);
             self.answer(token, Answer::Done);
--- a/crates/control/src/machine/replication.rs
+++ b/crates/control/src/machine/replication.rs
@@ -6,7 +6,7 @@
 use crate::state::ControlState;
 use crate::wire::Packet;
 use nanoserde::{DeBin, SerBin};
-use woadstall_consensus::{Entry, Member, Message, Output, Payload};
+use woadstall_consensus::{Entry, EntryPayload, Member, Message, Output};
 
 /// Bytes and entries of the log behind its snapshot from which on a new one is taken.
 const COMPACT_BYTES: usize = 4 << 20;
@@ -20,7 +20,7 @@
     pub(super) fn on_consensus(&mut self, message: Message, clock: u64) {
         let (from, term) = (message.from, message.term);
         let is_of_leader = leader_clock::tells_time(&message);
-        self.replica.receive(self.now, message);
+        self.replica.handle_message(self.now, message);
         if is_of_leader && self.replica.term() == term && self.replica.leader() == Some(from) {
             self.leader_clock.hear(self.now, term, clock);
         }
@@ -40,8 +40,8 @@
         }
         let addresses: Vec<String> = self
             .replica
-            .members()
-            .members()
+            .membership()
+            .all_voters()
             .map(|member| member.address.clone())
             .collect();
         addresses
@@ -70,15 +70,15 @@
                 }
                 Err(error) => self.log(format!("snapshot {} refused: {error}", snapshot.index)),
             },
-            Output::ReadReady { read } => self.on_read_confirmed(read, true),
-            Output::ReadFailed { read } => self.on_read_confirmed(read, false),
+            Output::ReadReady { read_id } => self.on_read_confirmed(read_id, true),
+            Output::ReadFailed { read_id } => self.on_read_confirmed(read_id, false),
         }
     }
 
     fn apply_entry(&mut self, entry: Entry) {
         self.applied = entry.index;
         match entry.payload {
-            Payload::Command(bytes) => {
+            EntryPayload::Command(bytes) => {
                 self.log_bytes += bytes.len();
                 match Command::deserialize_bin(&bytes) {
                     Ok(command) => self.apply(entry.index, entry.term, command),
@@ -87,7 +87,7 @@
                     }
                 }
             }
-            Payload::Members(members) => {
+            EntryPayload::Membership(members) => {
                 let addresses = |members: &[Member]| {
                     members
                         .iter()
@@ -95,14 +95,14 @@
                         .collect::<Vec<_>>()
                         .join(",")
                 };
-                let (voters, next) = (addresses(&members.voters), addresses(&members.next));
+                let (voters, next) = (addresses(&members.voters), addresses(&members.next_voters));
                 self.log(format!(
                     "members changed index={} voters={voters} next={next}",
                     entry.index
                 ));
                 self.finish_proposed(entry.index, entry.term, None);
             }
-            Payload::Empty => self.finish_proposed(entry.index, entry.term, None),
+            EntryPayload::Blank => self.finish_proposed(entry.index, entry.term, None),
         }
     }
 
--- a/crates/control/tests/calls.rs
+++ b/crates/control/tests/calls.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use upstreams::registration;
-use woadstall_consensus::{Body, DurableState, Member, Message, Snapshot};
+use woadstall_consensus::{DurableState, Member, Message, MessageBody, Snapshot};
 use woadstall_control::command::{Command, Outcome};
 use woadstall_control::machine::{Action, Answer, Machine, MachineSettings, founding_snapshot};
 use woadstall_control::registry::Status;
@@ -63,7 +63,7 @@
 }
 
 fn hear_leader(machine: &mut Machine, now: u64, clock: u64) {
-    let body = Body::Append {
+    let body = MessageBody::Append {
         previous_index: 1,
         previous_term: 1,
         entries: Vec::new(),
@@ -92,14 +92,14 @@
         },
         clock: 0,
     };
-    machine.packet(1_000, &address(2), consensus(Body::Elect));
+    machine.packet(1_000, &address(2), consensus(MessageBody::Elect));
     settled(&mut machine, 1_000);
     let term = machine.replica().term();
     let vote = Message {
         from: 2,
         to: 1,
         term,
-        body: Body::VoteReply {
+        body: MessageBody::VoteReply {
             pre: false,
             granted: true,
         },
@@ -117,7 +117,7 @@
         from: 2,
         to: 1,
         term,
-        body: Body::AppendReply {
+        body: MessageBody::AppendReply {
             success: true,
             index: 2,
             round: 1,
@@ -350,7 +350,7 @@
     let mut machine = follower();
     machine.order(1_010, TOKEN, evacuate());
     settled(&mut machine, 1_010);
-    let body = Body::Append {
+    let body = MessageBody::Append {
         previous_index: 1,
         previous_term: 1,
         entries: Vec::new(),
@@ -463,16 +463,16 @@
     // Meanwhile this machine itself was far behind and got a snapshot.
     let mut state = woadstall_control::state::ControlState::default();
     state.apply(500, &evacuate());
-    let members = machine.replica().members().clone();
+    let members = machine.replica().membership().clone();
     let snapshot = Snapshot {
         index: 500,
         term: 3,
-        members,
+        membership: members,
         state: state.encode(),
     };
     let bytes = nanoserde::SerBin::serialize_bin(&snapshot);
-    let head = woadstall_consensus::SnapshotHead::of(&snapshot, &bytes);
-    let piece = woadstall_consensus::SnapshotPiece {
+    let head = woadstall_consensus::SnapshotMeta::of(&snapshot, &bytes);
+    let piece = woadstall_consensus::SnapshotChunk {
         head,
         offset: 0,
         bytes,
@@ -481,7 +481,7 @@
         from: 2,
         to: 1,
         term: TERM,
-        body: Body::Install { piece, round: 1 },
+        body: MessageBody::Install { piece, round: 1 },
     };
     machine.packet(1_100, &address(2), Packet::Consensus { message, clock: 0 });
     machine.take_actions();
@@ -509,15 +509,15 @@
         woadstall_consensus::Entry {
             index: 2,
             term: TERM,
-            payload: woadstall_consensus::Payload::Empty,
+            payload: woadstall_consensus::EntryPayload::Blank,
         },
         woadstall_consensus::Entry {
             index: 3,
             term: TERM,
-            payload: woadstall_consensus::Payload::Command(command),
+            payload: woadstall_consensus::EntryPayload::Command(command),
         },
     ];
-    let body = Body::Append {
+    let body = MessageBody::Append {
         previous_index: 1,
         previous_term: 1,
         entries,
@@ -589,7 +589,7 @@
             from: 2,
             to: 1,
             term,
-            body: Body::AppendReply {
+            body: MessageBody::AppendReply {
                 success: true,
                 index,
                 round: 9,
@@ -622,13 +622,13 @@
     let command = nanoserde::SerBin::serialize_bin(&Command::Evacuate {
         zone: "other".to_owned(),
     });
-    let payload = woadstall_consensus::Payload::Command(command);
+    let payload = woadstall_consensus::EntryPayload::Command(command);
     let entries = vec![woadstall_consensus::Entry {
         index: 3,
         term: term + 1,
         payload,
     }];
-    let body = Body::Append {
+    let body = MessageBody::Append {
         previous_index: 2,
         previous_term: term,
         entries,
@@ -666,7 +666,7 @@
         4,
         "two entries for three calls"
     );
-    let reply = Body::AppendReply {
+    let reply = MessageBody::AppendReply {
         success: true,
         index: 4,
         round: 9,
@@ -697,7 +697,7 @@
     machine.order(1_110, 2, Command::Return { zone: zone() });
     machine.order(1_120, 3, Command::Evacuate { zone: zone() });
     settled(&mut machine, 1_120);
-    let reply = Body::AppendReply {
+    let reply = MessageBody::AppendReply {
         success: true,
         index: 5,
         round: 9,
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::fmt::{Debug, Write};
 use woadstall_consensus::{
-    Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece,
+    Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
 };
 use woadstall_control::balancers::{Heartbeat, StillThere};
 use woadstall_control::command::{Command, Outcome};
@@ -219,28 +219,28 @@
 fn entries() -> Vec<Entry> {
     let members = Membership {
         voters: vec![member(1), member(2)],
-        next: vec![member(3)],
+        next_voters: vec![member(3)],
     };
     vec![
         Entry {
             index: 1,
             term: 1,
-            payload: Payload::Empty,
+            payload: EntryPayload::Blank,
         },
         Entry {
             index: 2,
             term: 1,
-            payload: Payload::Command(vec![1, 2, 3]),
+            payload: EntryPayload::Command(vec![1, 2, 3]),
         },
         Entry {
             index: 3,
             term: 1,
-            payload: Payload::Members(members),
+            payload: EntryPayload::Membership(members),
         },
     ]
 }
 
-const HEAD: SnapshotHead = SnapshotHead {
+const HEAD: SnapshotMeta = SnapshotMeta {
     index: 3,
     term: 1,
     size: 20,
@@ -248,14 +248,14 @@
 };
 
 #[rstest]
-#[case::vote("vote", Body::Vote { pre: true, last_index: 5, last_term: 2, transfer: false })]
-#[case::vote_reply("vote_reply", Body::VoteReply { pre: false, granted: true })]
-#[case::append("append", Body::Append { previous_index: 4, previous_term: 1, entries: entries(), commit: 1, round: 9 })]
-#[case::append_reply("append_reply", Body::AppendReply { success: true, index: 3, round: 9 })]
-#[case::install("install", Body::Install { piece: SnapshotPiece { head: HEAD, offset: 8, bytes: vec![9; 12] }, round: 9 })]
-#[case::install_reply("install_reply", Body::InstallReply { head: HEAD, received: 20, round: 9 })]
-#[case::elect("elect", Body::Elect)]
-fn messages_of_the_log_have_their_golden_frames(#[case] name: &str, #[case] body: Body) {
+#[case::vote("vote", MessageBody::Vote { pre: true, last_index: 5, last_term: 2, transfer: false })]
+#[case::vote_reply("vote_reply", MessageBody::VoteReply { pre: false, granted: true })]
+#[case::append("append", MessageBody::Append { previous_index: 4, previous_term: 1, entries: entries(), commit: 1, round: 9 })]
+#[case::append_reply("append_reply", MessageBody::AppendReply { success: true, index: 3, round: 9 })]
+#[case::install("install", MessageBody::Install { piece: SnapshotChunk { head: HEAD, offset: 8, bytes: vec![9; 12] }, round: 9 })]
+#[case::install_reply("install_reply", MessageBody::InstallReply { head: HEAD, received: 20, round: 9 })]
+#[case::elect("elect", MessageBody::Elect)]
+fn messages_of_the_log_have_their_golden_frames(#[case] name: &str, #[case] body: MessageBody) {
     let message = Message {
         from: 1,
         to: 2,
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Frames: one change of one message at a time is refused whole, with a typed error.
 
 use woadstall_consensus::{
-    Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece,
+    Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
 };
 use woadstall_control::balancers::{Heartbeat, StillThere};
 use woadstall_control::command::{Command, Outcome};
@@ -45,7 +45,7 @@
     }
 }
 
-fn consensus(body: Body) -> Packet {
+fn consensus(body: MessageBody) -> Packet {
     Packet::Consensus {
         message: Message {
             from: 1,
@@ -102,32 +102,32 @@
     };
     let members = Membership {
         voters: vec![member()],
-        next: vec![member()],
+        next_voters: vec![member()],
     };
     let entries = vec![
         Entry {
             index: 1,
             term: 1,
-            payload: Payload::Empty,
+            payload: EntryPayload::Blank,
         },
         Entry {
             index: 2,
             term: 1,
-            payload: Payload::Command(vec![1, 2, 3]),
+            payload: EntryPayload::Command(vec![1, 2, 3]),
         },
         Entry {
             index: 3,
             term: 1,
-            payload: Payload::Members(members),
+            payload: EntryPayload::Membership(members),
         },
     ];
-    let head = SnapshotHead {
+    let head = SnapshotMeta {
         index: 3,
         term: 1,
         size: 20,
         checksum: 7,
     };
-    let piece = SnapshotPiece {
+    let piece = SnapshotChunk {
         head,
         offset: 0,
         bytes: vec![9; 20],
@@ -162,35 +162,35 @@
             machine: machine(),
             known: vec![machine()],
         },
-        consensus(Body::Vote {
+        consensus(MessageBody::Vote {
             pre: true,
             last_index: 1,
             last_term: 1,
             transfer: false,
         }),
-        consensus(Body::VoteReply {
+        consensus(MessageBody::VoteReply {
             pre: false,
             granted: true,
         }),
-        consensus(Body::Append {
+        consensus(MessageBody::Append {
             previous_index: 0,
             previous_term: 0,
             entries,
             commit: 1,
             round: 9,
         }),
-        consensus(Body::AppendReply {
+        consensus(MessageBody::AppendReply {
             success: true,
             index: 3,
             round: 9,
         }),
-        consensus(Body::Install { piece, round: 9 }),
-        consensus(Body::InstallReply {
+        consensus(MessageBody::Install { piece, round: 9 }),
+        consensus(MessageBody::InstallReply {
             head,
             received: 20,
             round: 9,
         }),
-        consensus(Body::Elect),
+        consensus(MessageBody::Elect),
         Packet::Join(member()),
         Packet::Leaves(7),
         Packet::Registrations {
--- a/crates/node/src/core/api.rs
+++ b/crates/node/src/core/api.rs
@@ -226,8 +226,8 @@
 pub(super) fn status(machine: &Machine, now: u64) -> String {
     let replica = machine.replica();
     let members: Vec<Value> = replica
-        .members()
-        .members()
+        .membership()
+        .all_voters()
         .map(|member| json!({ "id": format!("{:x}", member.id), "address": member.address }))
         .collect();
     let machines: Vec<Value> = machine
--- a/crates/node/tests/unit/golden_core.rs
+++ b/crates/node/tests/unit/golden_core.rs
@@ -127,7 +127,7 @@
         snapshot.state.escape_ascii()
     )
     .unwrap();
-    for member in snapshot.members.members() {
+    for member in snapshot.membership.all_voters() {
         writeln!(text, "member {:x} {}", member.id, member.address).unwrap();
     }
     assert_golden("founder.txt", text.as_bytes());
@@ -143,7 +143,7 @@
             (state.term, state.vote, state.commit, state.log.last_index()),
             (0, 0, 0, 0)
         );
-        assert_eq!(state.log.snapshot().members.members().count(), 0);
+        assert_eq!(state.log.snapshot().membership.all_voters().count(), 0);
     }
 }
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -142,7 +142,7 @@
     /// them again together with its own.
     pub fn write(&mut self, records: &[Record]) -> Result<(), StorageError> {
         let state = self.state.as_mut().ok_or(StorageError::Uninitialized)?;
-        records.iter().for_each(|record| state.fold(record));
+        records.iter().for_each(|record| state.apply_record(record));
         let Some(mut segment) = self.current.take() else {
             return self.checkpoint();
         };
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -173,12 +173,12 @@
             return Ok(None);
         };
         let mut state = DurableState::new(id, snapshot);
-        state.fold(&Record::Term { term, vote });
-        state.fold(&Record::Append(entries));
-        state.fold(&Record::Commit(commit));
+        state.apply_record(&Record::Term { term, vote });
+        state.apply_record(&Record::Append(entries));
+        state.apply_record(&Record::Commit(commit));
         while let Some(item) = self.next()? {
             let Item::Record(record) = item else { break };
-            state.fold(&record);
+            state.apply_record(&record);
         }
         Ok(Some(state))
     }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,7 +1,9 @@
 //! The bytes of the ring's files: what this version writes, and that files which it wrote are read back.
 
 use std::path::{Path, PathBuf};
-use woadstall_consensus::{DurableState, Entry, Member, Membership, Payload, Record, Snapshot};
+use woadstall_consensus::{
+    DurableState, Entry, EntryPayload, Member, Membership, Record, Snapshot,
+};
 use woadstall_storage::{SEGMENT_BYTES, SEGMENTS, Storage};
 
 /// The bytes of a file of the ring, in hexadecimal; behind them the file holds zeros up to its size.
@@ -54,7 +56,7 @@
     Snapshot {
         index: 1,
         term: 1,
-        members,
+        membership: members,
         state: b"founding".to_vec(),
     }
 }
@@ -62,17 +64,17 @@
 fn installed() -> Snapshot {
     let members = Membership {
         voters: vec![member(1), member(2)],
-        next: vec![member(2), member(4)],
+        next_voters: vec![member(2), member(4)],
     };
     Snapshot {
         index: 3,
         term: 2,
-        members,
+        membership: members,
         state: b"state".to_vec(),
     }
 }
 
-fn entry(index: u64, payload: Payload) -> Entry {
+fn entry(index: u64, payload: EntryPayload) -> Entry {
     Entry {
         index,
         term: 2,
@@ -82,12 +84,12 @@
 
 fn entries() -> Vec<Entry> {
     vec![
-        entry(2, Payload::Empty),
-        entry(3, Payload::Members(installed().members)),
-        entry(4, Payload::Command(b"command".to_vec())),
+        entry(2, EntryPayload::Blank),
+        entry(3, EntryPayload::Membership(installed().membership)),
+        entry(4, EntryPayload::Command(b"command".to_vec())),
         entry(
             5,
-            Payload::Members(Membership::new(vec![member(2), member(4)])),
+            EntryPayload::Membership(Membership::new(vec![member(2), member(4)])),
         ),
     ]
 }
@@ -102,7 +104,9 @@
     storage
         .write(&[Record::Append(entries()), Record::Commit(3)])
         .unwrap();
-    storage.write(&[Record::Install(installed())]).unwrap();
+    storage
+        .write(&[Record::InstallSnapshot(installed())])
+        .unwrap();
     drop(storage);
     let mut storage = Storage::open(folder).unwrap();
     storage.write(&[Record::Commit(4)]).unwrap();
--- a/crates/storage/tests/ring.rs
+++ b/crates/storage/tests/ring.rs
@@ -4,14 +4,14 @@
 use std::fs::File;
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::Path;
-use woadstall_consensus::{DurableState, Entry, Payload, Record, Snapshot};
+use woadstall_consensus::{DurableState, Entry, EntryPayload, Record, Snapshot};
 use woadstall_storage::{Storage, StorageError};
 
 fn entry(index: u64, bytes: usize) -> Entry {
     Entry {
         index,
         term: 1,
-        payload: Payload::Command(vec![index as u8; bytes]),
+        payload: EntryPayload::Command(vec![index as u8; bytes]),
     }
 }
 
@@ -163,7 +163,7 @@
                 state: vec![1; BYTES],
                 ..Snapshot::default()
             };
-            storage.write(&[Record::Install(snapshot)]).unwrap();
+            storage.write(&[Record::InstallSnapshot(snapshot)]).unwrap();
         }
     }
     drop(storage);
@@ -191,7 +191,7 @@
         state: vec![0; 30 << 20],
         ..Snapshot::default()
     };
-    let refused = storage.write(&[Record::Install(snapshot)]);
+    let refused = storage.write(&[Record::InstallSnapshot(snapshot)]);
     assert!(
         matches!(refused, Err(StorageError::TooLarge { .. })),
         "{refused:?}"
@@ -244,7 +244,7 @@
         state: vec![7; ORDER + 20_000 * 16],
         ..Snapshot::default()
     };
-    storage.write(&[Record::Install(snapshot)]).unwrap();
+    storage.write(&[Record::InstallSnapshot(snapshot)]).unwrap();
     storage
         .write(&[Record::Append(vec![
             entry(2, FOLLOWING),
