--- a/crates/explain/src/report.rs
+++ b/crates/explain/src/report.rs
@@ -55,11 +55,17 @@
     const NAMES: &'static [(Self, &'static str)];
 
     fn name(self) -> &'static str {
-        Self::NAMES.iter().find(|(value, _)| *value == self).map_or(EMPTY, |(_, name)| name)
+        Self::NAMES
+            .iter()
+            .find(|(value, _)| *value == self)
+            .map_or(EMPTY, |(_, name)| name)
     }
 
     fn named(name: &str) -> Option<Self> {
-        Self::NAMES.iter().find(|(_, other)| *other == name).map(|(value, _)| *value)
+        Self::NAMES
+            .iter()
+            .find(|(_, other)| *other == name)
+            .map(|(value, _)| *value)
     }
 }
 
@@ -170,15 +176,33 @@
 
 impl fmt::Display for RequestReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{MARK}cause={} route={} ", self.cause, name(&self.route))?;
-        write!(formatter, "service={} zone={} ", name(&self.service), name(&self.zone))?;
-        write!(formatter, "priority={} total={} ", self.priority, self.total)?;
+        write!(
+            formatter,
+            "{MARK}cause={} route={} ",
+            self.cause,
+            name(&self.route)
+        )?;
+        write!(
+            formatter,
+            "service={} zone={} ",
+            name(&self.service),
+            name(&self.zone)
+        )?;
+        write!(
+            formatter,
+            "priority={} total={} ",
+            self.priority, self.total
+        )?;
         match self.first {
             Some(first) => write!(formatter, "first={first} ")?,
             None => write!(formatter, "first={EMPTY} ")?,
         }
         write!(formatter, "pause={} target={} ", self.pause, self.target)?;
-        write!(formatter, "prompt={} shared={} attempts=", self.prompt, self.shared)?;
+        write!(
+            formatter,
+            "prompt={} shared={} attempts=",
+            self.prompt, self.shared
+        )?;
         if self.attempts.is_empty() {
             return formatter.write_str(EMPTY);
         }
@@ -192,9 +216,22 @@
 
 impl fmt::Display for AttemptReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let AttemptReport { upstream, zone, outcome, began, took, in_flight, reading, candidates, .. } = self;
+        let AttemptReport {
+            upstream,
+            zone,
+            outcome,
+            began,
+            took,
+            in_flight,
+            reading,
+            candidates,
+            ..
+        } = self;
         let (upstream, zone) = (name(upstream), name(zone));
-        write!(formatter, "{upstream},{zone},{outcome},{began},{took},{in_flight},{reading},{candidates},")?;
+        write!(
+            formatter,
+            "{upstream},{zone},{outcome},{began},{took},{in_flight},{reading},{candidates},"
+        )?;
         if self.passed_over.is_empty() {
             return formatter.write_str(EMPTY);
         }
@@ -211,7 +248,15 @@
     if name.is_empty() {
         return EMPTY.to_owned();
     }
-    name.chars().map(|c| if c.is_whitespace() || ",;+*=".contains(c) { '_' } else { c }).collect()
+    name.chars()
+        .map(|c| {
+            if c.is_whitespace() || ",;+*=".contains(c) {
+                '_'
+            } else {
+                c
+            }
+        })
+        .collect()
 }
 
 impl FromStr for RequestReport {
@@ -220,9 +265,12 @@
     /// Reads a line of a log from the mark on.
     fn from_str(line: &str) -> Result<Self, ReportError> {
         let (_, text) = line.split_once(MARK).ok_or(ReportError::Missing("cause"))?;
-        let pairs: BTreeMap<&str, &str> =
-            text.split_whitespace().filter_map(|part| part.split_once('=')).collect();
-        let field = |field: &'static str| pairs.get(field).copied().ok_or(ReportError::Missing(field));
+        let pairs: BTreeMap<&str, &str> = text
+            .split_whitespace()
+            .filter_map(|part| part.split_once('='))
+            .collect();
+        let field =
+            |field: &'static str| pairs.get(field).copied().ok_or(ReportError::Missing(field));
         let first = match field("first")? {
             EMPTY => None,
             value => Some(read("first", value)?),
@@ -254,9 +302,22 @@
     fn from_str(text: &str) -> Result<Self, ReportError> {
         const FIELD: &str = "attempts";
         let parts: Vec<&str> = text.split(',').collect();
-        let [upstream, zone, outcome, began, took, in_flight, reading, candidates, passed_over] = parts[..]
+        let [
+            upstream,
+            zone,
+            outcome,
+            began,
+            took,
+            in_flight,
+            reading,
+            candidates,
+            passed_over,
+        ] = parts[..]
         else {
-            return Err(ReportError::Invalid { field: FIELD, value: text.to_owned() });
+            return Err(ReportError::Invalid {
+                field: FIELD,
+                value: text.to_owned(),
+            });
         };
         Ok(Self {
             upstream: upstream.to_owned(),
@@ -273,11 +334,17 @@
 }
 
 fn read<T: FromStr>(field: &'static str, value: &str) -> Result<T, ReportError> {
-    value.parse().map_err(|_| ReportError::Invalid { field, value: value.to_owned() })
+    value.parse().map_err(|_| ReportError::Invalid {
+        field,
+        value: value.to_owned(),
+    })
 }
 
 fn read_name<T: Named>(field: &'static str, value: &str) -> Result<T, ReportError> {
-    T::named(value).ok_or_else(|| ReportError::Invalid { field, value: value.to_owned() })
+    T::named(value).ok_or_else(|| ReportError::Invalid {
+        field,
+        value: value.to_owned(),
+    })
 }
 
 fn read_counts(field: &'static str, value: &str) -> Result<BTreeMap<String, usize>, ReportError> {
@@ -285,8 +352,10 @@
         return Ok(BTreeMap::new());
     }
     let read_count = |part: &str| {
-        let (reason, count) =
-            part.split_once('*').ok_or_else(|| ReportError::Invalid { field, value: value.to_owned() })?;
+        let (reason, count) = part.split_once('*').ok_or_else(|| ReportError::Invalid {
+            field,
+            value: value.to_owned(),
+        })?;
         Ok((reason.to_owned(), read(field, count)?))
     };
     value.split('+').map(read_count).collect()
--- a/crates/explain/tests/golden.rs
+++ b/crates/explain/tests/golden.rs
@@ -26,7 +26,9 @@
 ];
 
 fn assert_golden(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     let expected = std::fs::read_to_string(&path).unwrap();
     assert_eq!(text, expected, "{name}");
 }
@@ -72,9 +74,18 @@
         ..attempt(AttemptOutcome::Answered)
     };
     let first = None;
-    reports.push(RequestReport { first, attempts: vec![bare_attempt], ..report(Cause::Refused) });
+    reports.push(RequestReport {
+        first,
+        attempts: vec![bare_attempt],
+        ..report(Cause::Refused)
+    });
     let attempts = Vec::new();
-    reports.push(RequestReport { route: "a b=c;d,e+f*g".to_owned(), first, attempts, ..report(Cause::Late) });
+    reports.push(RequestReport {
+        route: "a b=c;d,e+f*g".to_owned(),
+        first,
+        attempts,
+        ..report(Cause::Late)
+    });
     reports
 }
 
@@ -125,9 +136,18 @@
     let error = |line: &str| line.parse::<RequestReport>().unwrap_err().to_string();
     let line = report(Cause::Late).to_string();
     assert_eq!(error("nothing"), "the field `cause` is missing");
-    assert_eq!(error(&line.replace("shared=13300 ", "")), "the field `shared` is missing");
-    assert_eq!(error(&line.replace("cause=late", "cause=why")), "the field `cause` can't be `why`");
-    assert_eq!(error(&line.replace("total=900", "total=-1")), "the field `total` can't be `-1`");
+    assert_eq!(
+        error(&line.replace("shared=13300 ", "")),
+        "the field `shared` is missing"
+    );
+    assert_eq!(
+        error(&line.replace("cause=late", "cause=why")),
+        "the field `cause` can't be `why`"
+    );
+    assert_eq!(
+        error(&line.replace("total=900", "total=-1")),
+        "the field `total` can't be `-1`"
+    );
     assert_eq!(
         error(&line.replace("silent*2", "silent")),
         "the field `attempts` can't be `silent+tripped*1`"
--- a/crates/explain/tests/reports.rs
+++ b/crates/explain/tests/reports.rs
@@ -33,7 +33,10 @@
         target: 600,
         prompt: 17_020,
         shared: 13_300,
-        attempts: vec![attempt(AttemptOutcome::Broken), attempt(AttemptOutcome::Answered)],
+        attempts: vec![
+            attempt(AttemptOutcome::Broken),
+            attempt(AttemptOutcome::Answered),
+        ],
     }
 }
 
@@ -49,13 +52,20 @@
     let whole = report(cause);
     let line = format!("10:20:30.123 INFO {whole}");
     assert_eq!(line.parse(), Ok(whole));
-    let bare = RequestReport { first: None, attempts: Vec::new(), ..report(cause) };
+    let bare = RequestReport {
+        first: None,
+        attempts: Vec::new(),
+        ..report(cause)
+    };
     assert_eq!(bare.to_string().parse(), Ok(bare));
 }
 
 #[test]
 fn names_with_separators_do_not_break_the_line() {
-    let odd = RequestReport { route: "a b=c;d,e+f*g".to_owned(), ..report(Cause::Late) };
+    let odd = RequestReport {
+        route: "a b=c;d,e+f*g".to_owned(),
+        ..report(Cause::Late)
+    };
     let read: RequestReport = odd.to_string().parse().unwrap();
     assert_eq!(read.route, "a_b_c_d_e_f_g");
 }
@@ -64,22 +74,30 @@
 #[rstest]
 fn what_is_wrong_is_named(
     #[values(
-        "cause", "route", "service", "zone", "priority", "total", "first", "pause", "target", "prompt",
-        "shared", "attempts"
+        "cause", "route", "service", "zone", "priority", "total", "first", "pause", "target",
+        "prompt", "shared", "attempts"
     )]
     field: &'static str,
 ) {
     let line = report(Cause::Late).to_string();
     let parts = line.strip_prefix(MARK).unwrap().split(' ');
-    let without: Vec<&str> = parts.filter(|part| !part.starts_with(&format!("{field}="))).collect();
+    let without: Vec<&str> = parts
+        .filter(|part| !part.starts_with(&format!("{field}=")))
+        .collect();
     let cut = format!("{MARK}{}", without.join(" "));
-    assert_eq!(cut.parse::<RequestReport>(), Err(ReportError::Missing(field)));
+    assert_eq!(
+        cut.parse::<RequestReport>(),
+        Err(ReportError::Missing(field))
+    );
     if ["route", "service", "zone"].contains(&field) {
         return; // any name will do
     }
     let spoilt = format!("{cut} {field}=what");
     let value = "what".to_owned();
-    assert_eq!(spoilt.parse::<RequestReport>(), Err(ReportError::Invalid { field, value }));
+    assert_eq!(
+        spoilt.parse::<RequestReport>(),
+        Err(ReportError::Invalid { field, value })
+    );
 }
 
 #[test]
@@ -92,7 +110,10 @@
     let text = summary.to_string();
     let row = |key: &str| {
         let line = text.lines().find(|line| line.starts_with(key)).unwrap();
-        line.split_whitespace().skip(1).map(str::to_owned).collect::<Vec<_>>()
+        line.split_whitespace()
+            .skip(1)
+            .map(str::to_owned)
+            .collect::<Vec<_>>()
     };
     assert_eq!(row("10 "), ["2", "0"]);
     assert_eq!(row("12 "), ["0", "1"]);
--- a/crates/node/src/command_line.rs
+++ b/crates/node/src/command_line.rs
@@ -30,9 +30,9 @@
         SystemCmd::Why(Why { plot, files }) => {
             why::run(&files, plot.as_deref()).map_err(|error| error.to_string())
         }
-        SystemCmd::Core(_) => {
-            with_settings(|settings, watch| core::run(&settings, watch).map_err(|error| error.to_string()))
-        }
+        SystemCmd::Core(_) => with_settings(|settings, watch| {
+            core::run(&settings, watch).map_err(|error| error.to_string())
+        }),
         SystemCmd::Status(Status { address }) => status(&address),
         SystemCmd::CheckSystem(CheckSystem { files }) => check(&files),
     };
@@ -45,7 +45,9 @@
     })
 }
 
-fn with_settings(role: impl FnOnce(NodeSettings, SettingsWatch) -> Result<(), String>) -> Result<(), String> {
+fn with_settings(
+    role: impl FnOnce(NodeSettings, SettingsWatch) -> Result<(), String>,
+) -> Result<(), String> {
     start_log()?;
     let (settings, watch) = SettingsWatch::load().map_err(|error| error.to_string())?;
     role(settings, watch)
@@ -54,28 +56,49 @@
 /// Lines go to standard error; `RUST_LOG` sets the level.
 fn start_log() -> Result<(), String> {
     let logger = Logger::try_with_env_or_str("info").map_err(|error| error.to_string())?;
-    let started = logger.format(line).log_to_stderr().start().map_err(|error| error.to_string())?;
+    let started = logger
+        .format(line)
+        .log_to_stderr()
+        .start()
+        .map_err(|error| error.to_string())?;
     // The handle would end the log when dropped.
     std::mem::forget(started);
     Ok(())
 }
 
 fn line(out: &mut dyn Write, now: &mut DeferredNow, record: &Record<'_>) -> std::io::Result<()> {
-    write!(out, "{} {} {}", now.now().format("%H:%M:%S%.3f"), record.level(), record.args())
+    write!(
+        out,
+        "{} {} {}",
+        now.now().format("%H:%M:%S%.3f"),
+        record.level(),
+        record.args()
+    )
 }
 
 fn status(address: &str) -> Result<(), String> {
     let url = format!("http://{address}/v1/status");
-    let response = attohttpc::get(url).timeout(PATIENCE).send().map_err(|error| error.to_string())?;
+    let response = attohttpc::get(url)
+        .timeout(PATIENCE)
+        .send()
+        .map_err(|error| error.to_string())?;
     let text = response.text().map_err(|error| error.to_string())?;
-    let value: serde_json::Value = serde_json::from_str(&text).map_err(|error| error.to_string())?;
+    let value: serde_json::Value =
+        serde_json::from_str(&text).map_err(|error| error.to_string())?;
     let pretty = serde_json::to_string_pretty(&value).map_err(|error| error.to_string())?;
     writeln!(std::io::stdout(), "{pretty}").map_err(|error| error.to_string())
 }
 
 fn check(files: &[PathBuf]) -> Result<(), String> {
-    let faults: Vec<String> = files.iter().filter_map(|file| check_file(file).err()).collect();
-    if faults.is_empty() { Ok(()) } else { Err(faults.join("\n")) }
+    let faults: Vec<String> = files
+        .iter()
+        .filter_map(|file| check_file(file).err())
+        .collect();
+    if faults.is_empty() {
+        Ok(())
+    } else {
+        Err(faults.join("\n"))
+    }
 }
 
 /// A document with routes is a configuration, any other a settings file.
--- a/crates/node/src/core/api.rs
+++ b/crates/node/src/core/api.rs
@@ -39,16 +39,25 @@
 }
 
 /// Serves control and directory, each on its address.
-pub(super) fn start(settings: &NodeSettings, control: SocketAddr, events: &Events) -> Result<(), CoreError> {
-    let addresses =
-        std::iter::once(control).chain(settings.listens("directory").filter(|other| *other != control));
+pub(super) fn start(
+    settings: &NodeSettings,
+    control: SocketAddr,
+    events: &Events,
+) -> Result<(), CoreError> {
+    let addresses = std::iter::once(control).chain(
+        settings
+            .listens("directory")
+            .filter(|other| *other != control),
+    );
     for address in addresses {
         let events = events.clone();
         let server = Server::new(address, move |request| answer(request, &events));
-        let server = server.map(|server| server.pool_size(WORKERS)).map_err(|source| CoreError::Io {
-            what: format!("address {address}"),
-            source: std::io::Error::other(source.to_string()),
-        })?;
+        let server = server
+            .map(|server| server.pool_size(WORKERS))
+            .map_err(|source| CoreError::Io {
+                what: format!("address {address}"),
+                source: std::io::Error::other(source.to_string()),
+            })?;
         thread::spawn(move || server.run());
     }
     Ok(())
@@ -60,7 +69,14 @@
         Err(response) => return response,
     };
     let (sender, receiver) = sync_channel(1);
-    if events.send(Event::Call { call, read_at: Instant::now(), reply: sender }).is_err() {
+    if events
+        .send(Event::Call {
+            call,
+            read_at: Instant::now(),
+            reply: sender,
+        })
+        .is_err()
+    {
         return unclear();
     }
     match receiver.recv_timeout(PATIENCE) {
@@ -73,7 +89,9 @@
     let path = request.url();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match (request.method(), parts.as_slice()) {
-        ("PUT", ["v1", "instances", id]) => read_registration(id, &json_body(request)?).map(Call::Register),
+        ("PUT", ["v1", "instances", id]) => {
+            read_registration(id, &json_body(request)?).map(Call::Register)
+        }
         ("DELETE", ["v1", "instances", id]) => Ok(Call::Deregister((*id).to_owned())),
         ("GET", ["v1", "config"]) => Ok(Call::ReadConfiguration),
         ("PUT", ["v1", "config"]) => {
@@ -84,12 +102,12 @@
             let (base, body) = change(request)?;
             Ok(Call::Order(Command::Patch { base, body }))
         }
-        ("POST", ["v1", "evacuations", zone]) => {
-            Ok(Call::Order(Command::Evacuate { zone: (*zone).to_owned() }))
-        }
-        ("DELETE", ["v1", "evacuations", zone]) => {
-            Ok(Call::Order(Command::Return { zone: (*zone).to_owned() }))
-        }
+        ("POST", ["v1", "evacuations", zone]) => Ok(Call::Order(Command::Evacuate {
+            zone: (*zone).to_owned(),
+        })),
+        ("DELETE", ["v1", "evacuations", zone]) => Ok(Call::Order(Command::Return {
+            zone: (*zone).to_owned(),
+        })),
         ("GET", ["v1", "resolve"]) => {
             let parameter = |name: &str| request.get_param(name).unwrap_or_default();
             Ok(Call::Resolve(Question {
@@ -100,18 +118,26 @@
             }))
         }
         ("GET", ["v1", "status"]) => Ok(Call::Status),
-        (_, ["v1", "instances", _] | ["v1", "evacuations", _] | ["v1", "config" | "resolve" | "status"]) => {
-            Err(text(405, "no such method here\n"))
-        }
+        (
+            _,
+            ["v1", "instances", _]
+            | ["v1", "evacuations", _]
+            | ["v1", "config" | "resolve" | "status"],
+        ) => Err(text(405, "no such method here\n")),
         _ => Err(text(404, "no such path\n")),
     }
 }
 
 /// The version that a change builds on, and the change. What can't be read at all is refused here and is never an order.
 fn change(request: &Request) -> Result<(u64, Vec<u8>), Response> {
-    let base = request.header("If-Match").map(|value| value.trim().trim_matches('"').parse());
+    let base = request
+        .header("If-Match")
+        .map(|value| value.trim().trim_matches('"').parse());
     let Some(Ok(base)) = base else {
-        return Err(text(400, "If-Match must hold the version that this builds on\n"));
+        return Err(text(
+            400,
+            "If-Match must hold the version that this builds on\n",
+        ));
     };
     let body = whole_body(request)?;
     serde_json::from_slice::<serde::de::IgnoredAny>(&body)
@@ -132,7 +158,8 @@
 
 fn json_body(request: &Request) -> Result<Value, Response> {
     let body = whole_body(request)?;
-    serde_json::from_slice(&body).map_err(|error| text(400, &format!("the body can't be read: {error}\n")))
+    serde_json::from_slice(&body)
+        .map_err(|error| text(400, &format!("the body can't be read: {error}\n")))
 }
 
 fn read_registration(id: &str, body: &Value) -> Result<Registration, Response> {
@@ -162,26 +189,35 @@
     if !registration.address.is_empty() && registration.address.parse::<SocketAddr>().is_err() {
         findings.add("address", "is no address with a port");
     }
-    if findings.is_empty() { Ok(registration) } else { Err(text(400, &findings.to_string())) }
+    if findings.is_empty() {
+        Ok(registration)
+    } else {
+        Err(text(400, &findings.to_string()))
+    }
 }
 
 fn response_of(reply: Reply) -> Response {
     match reply {
         Reply::Answer(Answer::Done) => json_text(200, "{}".to_owned()),
-        Reply::Registered(address) => json_text(200, json!({ "heartbeat_url": address }).to_string()),
+        Reply::Registered(address) => {
+            json_text(200, json!({ "heartbeat_url": address }).to_string())
+        }
         Reply::Answer(Answer::Conflict { current }) => json_text(
             412,
             json!({ "error": "another version is current", "generation": current }).to_string(),
         ),
         Reply::Answer(Answer::Invalid { findings }) => text(400, &findings),
-        Reply::Answer(Answer::Document(document)) => Response::from_data("application/json", document),
+        Reply::Answer(Answer::Document(document)) => {
+            Response::from_data("application/json", document)
+        }
         Reply::Answer(Answer::Unclear) => unclear(),
         Reply::Balancers(Resolved { addresses, .. }) if addresses.is_empty() => {
             text(503, "no balancer is known\n")
         }
-        Reply::Balancers(Resolved { addresses, ttl_s }) => {
-            json_text(200, json!({ "addresses": addresses, "ttl_s": ttl_s }).to_string())
-        }
+        Reply::Balancers(Resolved { addresses, ttl_s }) => json_text(
+            200,
+            json!({ "addresses": addresses, "ttl_s": ttl_s }).to_string(),
+        ),
         Reply::Status(status) => json_text(200, status),
     }
 }
--- a/crates/node/src/core/disk.rs
+++ b/crates/node/src/core/disk.rs
@@ -120,5 +120,7 @@
 
 /// The time since 1970.
 pub(super) fn time_of_day() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
--- a/crates/node/src/core/hints.rs
+++ b/crates/node/src/core/hints.rs
@@ -38,13 +38,27 @@
         for registration in &mut registrations {
             registration.age_ms = registration.age_ms.saturating_add(elapsed);
         }
-        (Self { folder: folder.to_owned(), number: newest.number }, registrations)
+        (
+            Self {
+                folder: folder.to_owned(),
+                number: newest.number,
+            },
+            registrations,
+        )
     }
 
     /// Writes the registrations durably.
-    pub fn write(&mut self, registrations: &[Registration], time_of_day: Duration) -> io::Result<()> {
+    pub fn write(
+        &mut self,
+        registrations: &[Registration],
+        time_of_day: Duration,
+    ) -> io::Result<()> {
         let written_at = u64::try_from(time_of_day.as_millis()).unwrap_or(u64::MAX);
-        let kept = Kept { number: self.number + 1, written_at, registrations: registrations.to_vec() };
+        let kept = Kept {
+            number: self.number + 1,
+            written_at,
+            registrations: registrations.to_vec(),
+        };
         let mut file = File::options()
             .write(true)
             .create(true)
@@ -63,7 +77,11 @@
 
 fn read(path: &Path) -> Option<Kept> {
     let mut bytes = Vec::new();
-    File::open(path).ok()?.take(MOST_BYTES as u64).read_to_end(&mut bytes).ok()?;
+    File::open(path)
+        .ok()?
+        .take(MOST_BYTES as u64)
+        .read_to_end(&mut bytes)
+        .ok()?;
     decode_whole(&bytes).ok()
 }
 
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -26,7 +26,9 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::time::{MissedTickBehavior, interval};
 use woadstall_consensus::{DurableState, Member, ReplicaId, Snapshot};
-use woadstall_control::machine::{Action, Answer, Machine, MachineSettings, Resolved, founding_snapshot};
+use woadstall_control::machine::{
+    Action, Answer, Machine, MachineSettings, Resolved, founding_snapshot,
+};
 use woadstall_control::shards::hash;
 use woadstall_control::wire::{ControlMachine, Packet};
 use woadstall_storage::{Storage, StorageError};
@@ -116,7 +118,9 @@
 
 /// Runs until SIGTERM.
 pub fn run(settings: &NodeSettings, watch: SettingsWatch) -> Result<(), CoreError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(io("the runtime"))?;
     runtime.block_on(serve(settings, watch))
 }
@@ -127,8 +131,13 @@
 }
 
 async fn serve(settings: &NodeSettings, watch: SettingsWatch) -> Result<(), CoreError> {
-    let control = settings.listens("control").ok_or(CoreError::Missing("listen.control"))?;
-    let folder = settings.data_dir.as_ref().ok_or(CoreError::Missing("data_dir"))?;
+    let control = settings
+        .listens("control")
+        .ok_or(CoreError::Missing("listen.control"))?;
+    let folder = settings
+        .data_dir
+        .as_ref()
+        .ok_or(CoreError::Missing("data_dir"))?;
     let mut storage = Storage::open(folder)?;
     let durable = match storage.state() {
         Some(state) => state.clone(),
@@ -139,8 +148,15 @@
         }
     };
     let internal = settings.internal_address();
-    let member = Member { id: durable.id, address: internal.to_string() };
-    log::info!("core starts id={:x} address={internal} last={}", durable.id, durable.log.last_index());
+    let member = Member {
+        id: durable.id,
+        address: internal.to_string(),
+    };
+    log::info!(
+        "core starts id={:x} address={internal} last={}",
+        durable.id,
+        durable.log.last_index()
+    );
     let machine = ControlMachine {
         member,
         zone: settings.zone.clone(),
@@ -149,15 +165,23 @@
     };
     let machine_settings = MachineSettings {
         machine,
-        seeds: settings.internal_seeds().iter().map(SocketAddr::to_string).collect(),
+        seeds: settings
+            .internal_seeds()
+            .iter()
+            .map(SocketAddr::to_string)
+            .collect(),
         zones: settings.zones.clone(),
         heartbeat_ms: settings.heartbeat_ms,
         tolerated: settings.tolerated,
         incarnation: fastrand::u64(1..),
     };
     let (events, received) = mpsc::unbounded_channel();
-    let listener = TcpListener::bind(internal).await.map_err(io("the internal address"))?;
-    let datagrams = UdpSocket::bind(internal).await.map_err(io("the internal address, UDP"))?;
+    let listener = TcpListener::bind(internal)
+        .await
+        .map_err(io("the internal address"))?;
+    let datagrams = UdpSocket::bind(internal)
+        .await
+        .map_err(io("the internal address, UDP"))?;
     tokio::spawn(peers::accept(listener, events.clone()));
     tokio::spawn(peers::receive(datagrams, events.clone()));
     api::start(settings, control, &events)?;
@@ -262,7 +286,11 @@
             if self.settings_read.elapsed() >= SETTINGS_EVERY {
                 self.take_settings(false);
             }
-            let patience = if self.machine.is_being_replaced() { LEAVING_REPLACED } else { LEAVING };
+            let patience = if self.machine.is_being_replaced() {
+                LEAVING_REPLACED
+            } else {
+                LEAVING
+            };
             if leaving.is_some_and(|since| since.elapsed() > patience) {
                 return Ok(());
             }
@@ -277,11 +305,16 @@
         let now = self.now();
         match event {
             Event::LinkUp(address) => self.machine.link_up(now, &address),
-            Event::Packet { packet: Packet::Heartbeat(heartbeat), .. } => {
-                self.machine.heartbeat(now, heartbeat)
-            }
+            Event::Packet {
+                packet: Packet::Heartbeat(heartbeat),
+                ..
+            } => self.machine.heartbeat(now, heartbeat),
             Event::Packet { from, packet } => self.machine.packet(now, &from, packet),
-            Event::Subscribe { subscriber, packet, queue } => {
+            Event::Subscribe {
+                subscriber,
+                packet,
+                queue,
+            } => {
                 self.subscribers.insert(subscriber, queue);
                 self.machine.subscribe(now, subscriber, &packet);
             }
@@ -291,9 +324,11 @@
             }
             Event::Persisted(sequence) => self.machine.persisted(now, sequence),
             Event::Kept(number) => self.machine.kept(now, number),
-            Event::Call { call: Call::Order(_), read_at, reply }
-                if self.stalls.is_stale(Instant::now(), read_at) =>
-            {
+            Event::Call {
+                call: Call::Order(_),
+                read_at,
+                reply,
+            } if self.stalls.is_stale(Instant::now(), read_at) => {
                 reply.try_send(Reply::Answer(Answer::Unclear)).ok();
             }
             Event::Call { call, reply, .. } => self.call(now, call, reply),
@@ -301,7 +336,13 @@
     }
 
     fn wait(&mut self, token: u64, reply: SyncSender<Reply>, heartbeat_address: Option<String>) {
-        self.calls.insert(token, Waiting { reply, heartbeat_address });
+        self.calls.insert(
+            token,
+            Waiting {
+                reply,
+                heartbeat_address,
+            },
+        );
     }
 
     fn call(&mut self, now: u64, call: Call, reply: SyncSender<Reply>) {
@@ -317,7 +358,9 @@
                 self.machine.read(now, token);
             }
             Call::Register(registration) => {
-                let address = self.machine.heartbeat_address(&registration.id, &registration.zone);
+                let address = self
+                    .machine
+                    .heartbeat_address(&registration.id, &registration.zone);
                 self.wait(token, reply, address);
                 self.machine.register(now, token, registration);
             }
@@ -341,7 +384,11 @@
         self.settings_read = Instant::now();
         if let Some(settings) = self.watch.changed(at_once) {
             log::info!("settings read again seeds={:?}", settings.seeds);
-            let seeds = settings.internal_seeds().iter().map(SocketAddr::to_string).collect();
+            let seeds = settings
+                .internal_seeds()
+                .iter()
+                .map(SocketAddr::to_string)
+                .collect();
             self.machine.set_seeds(seeds);
         }
     }
@@ -382,7 +429,10 @@
                 Action::Persist { sequence, record } => self.disk.write(sequence, record),
                 Action::KeepRegistrations { number } => keep = Some(number),
                 Action::Answer { token, answer } => self.answer(token, answer),
-                Action::Deliver { subscribers, packet } => self.deliver(&subscribers, &packet),
+                Action::Deliver {
+                    subscribers,
+                    packet,
+                } => self.deliver(&subscribers, &packet),
                 Action::Log(line) => log::info!("{line}"),
             }
         }
@@ -392,7 +442,13 @@
     }
 
     fn answer(&mut self, token: u64, answer: Answer) {
-        let Some(Waiting { reply, heartbeat_address }) = self.calls.remove(&token) else { return };
+        let Some(Waiting {
+            reply,
+            heartbeat_address,
+        }) = self.calls.remove(&token)
+        else {
+            return;
+        };
         let answer = match (answer, heartbeat_address) {
             (Answer::Done, Some(address)) => Reply::Registered(address),
             (answer, _) => Reply::Answer(answer),
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -43,7 +43,10 @@
 impl Links {
     /// No link yet.
     pub fn new(events: Events) -> Self {
-        Self { events, queues: HashMap::new() }
+        Self {
+            events,
+            queues: HashMap::new(),
+        }
     }
 
     /// Keeps a link to a machine; a former one to it ends.
@@ -64,7 +67,9 @@
 
     /// Sends a packet, if there is a link. One that is too slow is made anew.
     pub fn send(&mut self, address: &str, packet: &Packet) {
-        let Some(queue) = self.queues.get(address) else { return };
+        let Some(queue) = self.queues.get(address) else {
+            return;
+        };
         if queue.send(packet.frame().into()).is_err() {
             log::warn!("link too slow peer={address}: made anew");
             self.keep(address.to_owned());
@@ -142,19 +147,34 @@
         Packet::Hello { machine, .. } => {
             let from = machine.member.address.clone();
             let mut packet = first;
-            while events.send(Event::Packet { from: from.clone(), packet }).is_ok() {
+            while events
+                .send(Event::Packet {
+                    from: from.clone(),
+                    packet,
+                })
+                .is_ok()
+            {
                 packet = link::read(&mut stream).await?;
             }
             Ok(())
         }
         Packet::Subscribe { .. } => {
             let (queue, mut frames) = queue(FEED_FRAMES, FEED_BYTES);
-            events.send(Event::Subscribe { subscriber: number, packet: first, queue }).ok();
+            events
+                .send(Event::Subscribe {
+                    subscriber: number,
+                    packet: first,
+                    queue,
+                })
+                .ok();
             let ended = pass_on(&mut stream, &mut frames).await;
             events.send(Event::Unsubscribe(number)).ok();
             ended
         }
-        _ => Err(io::Error::new(io::ErrorKind::InvalidData, "neither a machine nor a balancer")),
+        _ => Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "neither a machine nor a balancer",
+        )),
     }
 }
 
@@ -165,7 +185,13 @@
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => match Packet::decode_datagram(&buffer[..length]) {
                 Ok(packet @ (Packet::Heartbeat(_) | Packet::Load(_))) => {
-                    if events.send(Event::Packet { from: from.to_string(), packet }).is_err() {
+                    if events
+                        .send(Event::Packet {
+                            from: from.to_string(),
+                            packet,
+                        })
+                        .is_err()
+                    {
                         return;
                     }
                 }
--- a/crates/node/src/core/queue.rs
+++ b/crates/node/src/core/queue.rs
@@ -28,7 +28,17 @@
 pub(crate) fn queue(most_frames: usize, most_bytes: usize) -> (FrameSender, FrameReceiver) {
     let (sender, receiver) = mpsc::channel(most_frames);
     let held = Arc::new(AtomicUsize::new(0));
-    (FrameSender { frames: sender, held: held.clone(), most_bytes }, FrameReceiver { frames: receiver, held })
+    (
+        FrameSender {
+            frames: sender,
+            held: held.clone(),
+            most_bytes,
+        },
+        FrameReceiver {
+            frames: receiver,
+            held,
+        },
+    )
 }
 
 impl FrameSender {
--- a/crates/node/src/core/stall.rs
+++ b/crates/node/src/core/stall.rs
@@ -20,7 +20,10 @@
 impl StallDetector {
     /// A detector for a process that has its first turn now.
     pub fn new(now: Instant) -> Self {
-        Self { last_turn: now, suspect_until: None }
+        Self {
+            last_turn: now,
+            suspect_until: None,
+        }
     }
 
     /// A turn begins.
--- a/crates/node/src/front/attempt.rs
+++ b/crates/node/src/front/attempt.rs
@@ -82,7 +82,12 @@
 impl Held {
     pub fn new(front: &Arc<Front>, target: Target) -> Self {
         let unread = target.reading;
-        Self { front: front.clone(), target, outcome: Outcome::Withdrawn, unread }
+        Self {
+            front: front.clone(),
+            target,
+            outcome: Outcome::Withdrawn,
+            unread,
+        }
     }
 
     /// Something has come from the upstream.
@@ -128,7 +133,12 @@
     exchange(front, outbound, connection, held).await
 }
 
-async fn exchange(front: &Arc<Front>, outbound: &Outbound, mut connection: Pooled, held: Held) -> Attempted {
+async fn exchange(
+    front: &Arc<Front>,
+    outbound: &Outbound,
+    mut connection: Pooled,
+    held: Held,
+) -> Attempted {
     let progress = connection.progress.clone();
     let body = Outgoing::new(outbound.body.clone(), progress.clone());
     let request = request_for(outbound, &held.target, body);
@@ -140,8 +150,16 @@
             log::debug!("broken upstream={}: {error}", held.target.id);
             let was_written = was_written();
             // An idle connection that its upstream has just closed says nothing of the upstream.
-            held.end(if connection.is_reused && !was_written { Outcome::Withdrawn } else { Outcome::Broken });
-            return if was_written { Attempted::Broken } else { Attempted::NotSent };
+            held.end(if connection.is_reused && !was_written {
+                Outcome::Withdrawn
+            } else {
+                Outcome::Broken
+            });
+            return if was_written {
+                Attempted::Broken
+            } else {
+                Attempted::NotSent
+            };
         }
         Err(_) if was_written() => {
             held.end(Outcome::TimedOut);
@@ -152,7 +170,10 @@
     let (mut parts, body) = response.into_parts();
     if is_rejection(&parts, &outbound.id) {
         if parts.status == StatusCode::MISDIRECTED_REQUEST {
-            log::info!("another instance answers at the address of upstream={}", held.target.id);
+            log::info!(
+                "another instance answers at the address of upstream={}",
+                held.target.id
+            );
             held.end(Outcome::Unreachable);
         } else {
             held.end(Outcome::Rejected);
@@ -160,7 +181,11 @@
         return Attempted::Rejected;
     }
     if !is_answer(&parts, &outbound.id) {
-        log::info!("no answer to the request upstream={} status={}", held.target.id, parts.status);
+        log::info!(
+            "no answer to the request upstream={} status={}",
+            held.target.id,
+            parts.status
+        );
         held.end(Outcome::Broken);
         return Attempted::Broken;
     }
@@ -174,12 +199,21 @@
     end_to_end(&mut parts.headers);
     if outbound.is_stream && parts.status.is_success() {
         parts.extensions.insert(keep);
-        return Attempted::Begun(Box::new(Begun { parts, body, connection, held }));
+        return Attempted::Begun(Box::new(Begun {
+            parts,
+            body,
+            connection,
+            held,
+        }));
     }
     match timeout_at(outbound.deadline, whole(body)).await {
         Ok(Some(bytes)) => {
             give_back(front, connection, &held, keep);
-            held.end(if is_error { Outcome::Error } else { Outcome::Answered });
+            held.end(if is_error {
+                Outcome::Error
+            } else {
+                Outcome::Answered
+            });
             Attempted::Whole(parts, bytes)
         }
         Ok(None) => {
@@ -214,7 +248,10 @@
     if !connection.progress.written.load(Ordering::Relaxed) {
         return;
     }
-    connection.progress.answer_due.store(false, Ordering::Relaxed);
+    connection
+        .progress
+        .answer_due
+        .store(false, Ordering::Relaxed);
     let (front, id) = (front.clone(), held.target.id.clone());
     tokio::spawn(async move {
         if connection.sender.ready().await.is_ok() {
@@ -229,8 +266,14 @@
     *request.uri_mut() = outbound.head.uri.clone();
     let headers = request.headers_mut();
     *headers = outbound.head.headers.clone();
-    let left = outbound.deadline.saturating_duration_since(Instant::now()).as_millis();
-    headers.insert(DEADLINE, HeaderValue::from(u64::try_from(left).unwrap_or(u64::MAX).max(1)));
+    let left = outbound
+        .deadline
+        .saturating_duration_since(Instant::now())
+        .as_millis();
+    headers.insert(
+        DEADLINE,
+        HeaderValue::from(u64::try_from(left).unwrap_or(u64::MAX).max(1)),
+    );
     headers.insert(PRIORITY, HeaderValue::from(u16::from(outbound.priority)));
     if let Ok(id) = HeaderValue::from_str(&target.id) {
         headers.insert(EXPECT_INSTANCE, id);
@@ -240,8 +283,12 @@
 
 /// Whether an answer says that its upstream did not run the request.
 fn is_rejection(parts: &Parts, id: &HeaderValue) -> bool {
-    let own = parts.headers.get(REQUEST_ID).is_none_or(|other| other == id);
-    let said = parts.headers.contains_key(NOT_EXECUTED) || parts.status == StatusCode::MISDIRECTED_REQUEST;
+    let own = parts
+        .headers
+        .get(REQUEST_ID)
+        .is_none_or(|other| other == id);
+    let said =
+        parts.headers.contains_key(NOT_EXECUTED) || parts.status == StatusCode::MISDIRECTED_REQUEST;
     own && said && !parts.status.is_success()
 }
 
@@ -258,16 +305,26 @@
     if closes(parts) {
         return Keep::Closes;
     }
-    let value = parts.headers.get(KEEP_ALIVE).and_then(|value| value.to_str().ok()).unwrap_or("");
-    let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse().ok());
-    seconds.map_or(Keep::Unsaid, |seconds| Keep::For(Duration::from_secs(seconds)))
+    let value = parts
+        .headers
+        .get(KEEP_ALIVE)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or("");
+    let seconds = value
+        .split(',')
+        .find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse().ok());
+    seconds.map_or(Keep::Unsaid, |seconds| {
+        Keep::For(Duration::from_secs(seconds))
+    })
 }
 
 /// The whole body; `None` where it breaks off or is larger than any may be.
 async fn whole(mut body: Incoming) -> Option<Bytes> {
     let mut all = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.ok()?.into_data() else { continue };
+        let Ok(data) = frame.ok()?.into_data() else {
+            continue;
+        };
         if all.len() + data.len() > MOST_WHOLE {
             return None;
         }
--- a/crates/node/src/front/clients.rs
+++ b/crates/node/src/front/clients.rs
@@ -49,7 +49,11 @@
 }
 
 /// Serves until told to stop, and then until all that was taken is answered.
-pub(super) async fn serve(front: Arc<Front>, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
+pub(super) async fn serve(
+    front: Arc<Front>,
+    listener: TcpListener,
+    mut stopping: watch::Receiver<bool>,
+) {
     let clients = Arc::new(Clients {
         front,
         open: AtomicUsize::new(0),
@@ -106,7 +110,11 @@
 }
 
 impl Clients {
-    async fn take(self: Arc<Self>, stream: TcpStream, closing: watch::Receiver<bool>) -> std::io::Result<()> {
+    async fn take(
+        self: Arc<Self>,
+        stream: TcpStream,
+        closing: watch::Receiver<bool>,
+    ) -> std::io::Result<()> {
         detect_silence(&stream, UNACKNOWLEDGED)?;
         let stream = SharedStream::new(stream)?;
         let (gate, seen) = Gate::new(stream.clone());
@@ -129,9 +137,12 @@
         stream: &SharedStream,
         mut closing: watch::Receiver<bool>,
     ) -> bool {
-        let service = service_fn(|request| async { Ok::<_, Infallible>(self.answer(request, seen).await) });
+        let service =
+            service_fn(|request| async { Ok::<_, Infallible>(self.answer(request, seen).await) });
         let mut builder = http1::Builder::new();
-        let connection = builder.max_buf_size(READ_BUFFER).serve_connection(TokioIo::new(gate), service);
+        let connection = builder
+            .max_buf_size(READ_BUFFER)
+            .serve_connection(TokioIo::new(gate), service);
         let mut connection = std::pin::pin!(connection);
         let mut looks = interval(LOOK_EVERY);
         let mut is_closing = false;
@@ -163,7 +174,11 @@
     /// waiting.
     fn is_overdue(&self, seen: &Arc<Mutex<Seen>>) -> bool {
         const ROOM: Duration = Duration::from_secs(1);
-        let limits = self.front.configuration().map(|configuration| configuration.limits).unwrap_or_default();
+        let limits = self
+            .front
+            .configuration()
+            .map(|configuration| configuration.limits)
+            .unwrap_or_default();
         let seen = lock(seen);
         match seen.idle() {
             Some((_, since)) => since.elapsed() > limits.idle_timeout + ROOM,
@@ -172,7 +187,11 @@
     }
 
     fn has_stalled(&self, seen: &Arc<Mutex<Seen>>) -> bool {
-        let limits = self.front.configuration().map(|configuration| configuration.limits).unwrap_or_default();
+        let limits = self
+            .front
+            .configuration()
+            .map(|configuration| configuration.limits)
+            .unwrap_or_default();
         lock(seen).overdue(limits.header_timeout)
     }
 
@@ -181,7 +200,9 @@
         let mut seen = lock(seen);
         let leaving = self.front.leaving.load(Ordering::Relaxed);
         if seen.is_last() || seen.both_lengths() || leaving && !seen.has_ahead() {
-            reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            reply
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         seen.whole();
         seen.answered();
--- a/crates/node/src/front/course.rs
+++ b/crates/node/src/front/course.rs
@@ -71,8 +71,12 @@
         if self.sends + self.rejections > 0 && !router.take_repeat(now, &self.service.name) {
             return Err(GivenUp);
         }
-        let query =
-            Query { route: &self.route, service: &self.service, prompt: self.prompt, tried: &self.tried };
+        let query = Query {
+            route: &self.route,
+            service: &self.service,
+            prompt: self.prompt,
+            tried: &self.tried,
+        };
         let standing = self.trace.is_some().then(|| router.standing(now, &query));
         match router.choose(now, &query) {
             Decision::Send(target) => {
@@ -82,7 +86,10 @@
                 self.tried.push(target.id.clone());
                 Ok(target)
             }
-            Decision::Refuse(Refusal { retry_after, none_usable }) => {
+            Decision::Refuse(Refusal {
+                retry_after,
+                none_usable,
+            }) => {
                 self.retry_after = retry_after;
                 if none_usable && self.tried.is_empty() {
                     log::debug!("no upstream for service={}", self.service.name);
@@ -97,7 +104,10 @@
         match attempted {
             Attempted::NotSent => self.unsent += 1,
             Attempted::Rejected => self.rejections += 1,
-            Attempted::Broken | Attempted::TimedOut | Attempted::Whole(..) | Attempted::Begun(_) => {
+            Attempted::Broken
+            | Attempted::TimedOut
+            | Attempted::Whole(..)
+            | Attempted::Begun(_) => {
                 self.sends += 1;
                 self.may_have_run = true;
             }
@@ -107,7 +117,9 @@
             Attempted::Rejected => AttemptOutcome::Rejected,
             Attempted::Broken => AttemptOutcome::Broken,
             Attempted::TimedOut => AttemptOutcome::TimedOut,
-            Attempted::Whole(parts, _) if parts.status.is_server_error() => AttemptOutcome::ErrorAnswer,
+            Attempted::Whole(parts, _) if parts.status.is_server_error() => {
+                AttemptOutcome::ErrorAnswer
+            }
             Attempted::Whole(..) => AttemptOutcome::Answered,
             Attempted::Begun(_) => return, // its end is still to come
         };
@@ -144,7 +156,11 @@
 
     /// The answer to a request that is given up: at once, and a promise only where it has not run.
     pub fn give_up(&mut self) -> Reply {
-        self.failed(if self.may_have_run { Cause::Failed } else { Cause::Refused });
+        self.failed(if self.may_have_run {
+            Cause::Failed
+        } else {
+            Cause::Refused
+        });
         if self.may_have_run {
             return text(StatusCode::BAD_GATEWAY, "no answer came\n");
         }
--- a/crates/node/src/front/datagrams.rs
+++ b/crates/node/src/front/datagrams.rs
@@ -8,7 +8,9 @@
 /// A socket for datagrams of this balancer; none, and a line in the log, where there is none to be had.
 pub(super) async fn socket(front: &Front, what_for: &str) -> Option<UdpSocket> {
     let bound = UdpSocket::bind(SocketAddr::new(front.settings.ip, 0)).await;
-    bound.inspect_err(|error| log::error!("no socket for {what_for}: {error}")).ok()
+    bound
+        .inspect_err(|error| log::error!("no socket for {what_for}: {error}"))
+        .ok()
 }
 
 /// The time of day in milliseconds: a number that is higher after a restart, as long as the clock is not set back.
--- a/crates/node/src/front/events.rs
+++ b/crates/node/src/front/events.rs
@@ -13,7 +13,9 @@
     /// Takes bytes in; gives all whole events that are there now.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
         self.pending.extend_from_slice(data);
-        let Some(end) = end_of_last_event(&self.pending) else { return Bytes::new() };
+        let Some(end) = end_of_last_event(&self.pending) else {
+            return Bytes::new();
+        };
         let whole = self.pending.split_to(end).freeze();
         if let Some(id) = last_id(&whole) {
             self.last_id = Some(id.to_vec());
@@ -34,7 +36,11 @@
 
 /// The position behind the last blank line.
 fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
-    let newlines = bytes.iter().enumerate().rev().filter(|(_, byte)| **byte == b'\n');
+    let newlines = bytes
+        .iter()
+        .enumerate()
+        .rev()
+        .filter(|(_, byte)| **byte == b'\n');
     for (position, _) in newlines {
         let before = &bytes[..position];
         if before.ends_with(b"\n") || before.ends_with(b"\n\r") {
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -62,20 +62,27 @@
 /// zone, the others those of the region's other zones, so that bytes between regions are few.
 fn candidates(front: &Front, number: usize) -> Vec<SocketAddr> {
     let settings = &front.settings;
-    let distance = |zone: &str, region: &str| match (zone == settings.zone, region == settings.region) {
-        (true, _) => 0,
-        (false, true) => 1,
-        (false, false) => 2,
-    };
+    let distance =
+        |zone: &str, region: &str| match (zone == settings.zone, region == settings.region) {
+            (true, _) => 0,
+            (false, true) => 1,
+            (false, false) => 2,
+        };
     let mut ordered: Vec<(u8, u64, SocketAddr)> = Vec::new();
     for machine in front.machines() {
-        let Ok(address) = machine.member.address.parse::<SocketAddr>() else { continue };
+        let Ok(address) = machine.member.address.parse::<SocketAddr>() else {
+            continue;
+        };
         let rank = match (number, distance(&machine.zone, &machine.region)) {
             (0, distance) => distance,
             (_, 1) => 0,
             (_, _) => 1,
         };
-        ordered.push((rank, hash(&(&settings.node, number, &machine.member.address)), address));
+        ordered.push((
+            rank,
+            hash(&(&settings.node, number, &machine.member.address)),
+            address,
+        ));
     }
     ordered.sort_unstable();
     let mut all: Vec<SocketAddr> = ordered.into_iter().map(|(_, _, address)| address).collect();
@@ -87,31 +94,57 @@
     all
 }
 
-async fn read_from(front: &Arc<Front>, address: SocketAddr, position: &mut Position) -> io::Result<()> {
+async fn read_from(
+    front: &Arc<Front>,
+    address: SocketAddr,
+    position: &mut Position,
+) -> io::Result<()> {
     let mut stream: TcpStream = link::connect(address).await?;
     let index = lock(&front.state).index;
     let Position { epoch, offset } = *position;
     let balancer = front.settings.node.clone();
-    link::write(&mut stream, &Packet::Subscribe { balancer, epoch, offset, index }).await?;
+    link::write(
+        &mut stream,
+        &Packet::Subscribe {
+            balancer,
+            epoch,
+            offset,
+            index,
+        },
+    )
+    .await?;
     let mut without_quorum = 0;
     loop {
         let packet = timeout(SILENT, link::read(&mut stream)).await??;
         match packet {
-            Packet::Snapshot { epoch, offset, state, registrations } => {
+            Packet::Snapshot {
+                epoch,
+                offset,
+                state,
+                registrations,
+            } => {
                 *position = Position { epoch, offset };
                 if !state.is_empty() {
                     take_snapshot(front, &state);
                 }
-                log::info!("snapshot taken from={address} upstreams={}", registrations.len());
+                log::info!(
+                    "snapshot taken from={address} upstreams={}",
+                    registrations.len()
+                );
                 lock(&front.router).snapshot(front.now(), &registrations);
             }
             Packet::Events { offset, events } => {
                 position.offset = offset;
-                events.into_iter().for_each(|event| take_event(front, event));
+                events
+                    .into_iter()
+                    .for_each(|event| take_event(front, event));
             }
             Packet::Balancing(zones) => front.count_balancers(&zones),
             Packet::Loads(loads) => lock(&front.router).set_fleet_loads(front.now(), &loads),
-            Packet::Status { in_quorum, machines } => {
+            Packet::Status {
+                in_quorum,
+                machines,
+            } => {
                 without_quorum = if in_quorum { 0 } else { without_quorum + 1 };
                 if in_quorum || front.machines().is_empty() {
                     *lock(&front.machines) = machines;
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -33,7 +33,9 @@
 /// Answers a request.
 pub(super) async fn reply(front: &Arc<Front>, request: Request<Incoming>) -> Reply {
     let arrived = Instant::now();
-    let Some(configuration) = front.configuration() else { return refusal(NO_CONFIGURATION) };
+    let Some(configuration) = front.configuration() else {
+        return refusal(NO_CONFIGURATION);
+    };
     let Some(route) = route_of(&configuration, &request) else {
         return text(StatusCode::NOT_FOUND, "no such route\n");
     };
@@ -41,15 +43,24 @@
         return text(StatusCode::BAD_REQUEST, "Request-Id is missing\n");
     };
     let route = Arc::new(route.clone());
-    let given = request.headers().get(DEADLINE).and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    let patience = given.map_or(route.timeout, Duration::from_millis).min(route.timeout);
+    let given = request
+        .headers()
+        .get(DEADLINE)
+        .and_then(|value| value.to_str().ok()?.trim().parse().ok());
+    let patience = given
+        .map_or(route.timeout, Duration::from_millis)
+        .min(route.timeout);
     let (mut head, body) = request.into_parts();
     let mut room = BodyRoom::new(&front.bodies, front.settings.memory / BODIES);
     let body = match whole_body(body, &mut room, configuration.limits.max_body_bytes).await {
         Ok(body) => body,
         Err(reply) => return *reply,
     };
-    let prompt = if route.session_affinity { prompt_of(&head.headers) } else { Prompt::default() };
+    let prompt = if route.session_affinity {
+        prompt_of(&head.headers)
+    } else {
+        Prompt::default()
+    };
     end_to_end(&mut head.headers);
     let service = target_service(&route).and_then(|name| configuration.services.get(name));
     let Some(service) = service.cloned().map(Arc::new) else {
@@ -101,7 +112,10 @@
             }
             Attempted::Begun(begun) => {
                 let parts = begun.parts.clone();
-                return Response::from_parts(parts, stream::pass_on(front, course, outbound, *begun));
+                return Response::from_parts(
+                    parts,
+                    stream::pass_on(front, course, outbound, *begun),
+                );
             }
         }
     }
@@ -114,9 +128,19 @@
     }
 }
 
-fn route_of<'a>(configuration: &'a Configuration, request: &Request<Incoming>) -> Option<&'a Route> {
-    let named = request.headers().get(HOST).and_then(|host| host.to_str().ok());
-    let host = request.uri().authority().map(|authority| authority.as_str()).or(named)?;
+fn route_of<'a>(
+    configuration: &'a Configuration,
+    request: &Request<Incoming>,
+) -> Option<&'a Route> {
+    let named = request
+        .headers()
+        .get(HOST)
+        .and_then(|host| host.to_str().ok());
+    let host = request
+        .uri()
+        .authority()
+        .map(|authority| authority.as_str())
+        .or(named)?;
     configuration.route(host, request.uri().path())
 }
 
@@ -136,14 +160,22 @@
 /// What a request tells of its prompt. What it shares with others is the parts up to the one that makes them long; the last
 /// part is the request's own.
 fn prompt_of(headers: &HeaderMap) -> Prompt {
-    let value = headers.get("prompt-prefix").and_then(|value| value.to_str().ok()).unwrap_or("");
+    let value = headers
+        .get("prompt-prefix")
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or("");
     let parts: Vec<(&str, u64)> = value
         .split(',')
         .filter_map(|part| part.trim().split_once(':'))
         .filter_map(|(id, tokens)| Some((id, tokens.trim().parse().ok()?)))
         .collect();
-    let mut prompt = Prompt { tokens: parts.iter().map(|(_, tokens)| tokens).sum(), ..Prompt::default() };
-    let Some((_, shared)) = parts.split_last() else { return prompt };
+    let mut prompt = Prompt {
+        tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
+        ..Prompt::default()
+    };
+    let Some((_, shared)) = parts.split_last() else {
+        return prompt;
+    };
     let mut ids = Vec::new();
     for (id, tokens) in shared {
         ids.push(*id);
@@ -153,7 +185,10 @@
             return prompt;
         }
     }
-    Prompt { shared_tokens: 0, ..prompt }
+    Prompt {
+        shared_tokens: 0,
+        ..prompt
+    }
 }
 
 /// Reads a body to its end.
@@ -162,14 +197,22 @@
     room: &mut BodyRoom<'_>,
     most_bytes: usize,
 ) -> Result<Bytes, Box<Reply>> {
-    let too_large = || Box::new(text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n"));
+    let too_large = || {
+        Box::new(text(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is too large\n",
+        ))
+    };
     if body.size_hint().lower() > most_bytes as u64 {
         return Err(too_large());
     }
     let mut all = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| Box::new(text(StatusCode::BAD_REQUEST, "the body is broken\n")))?;
-        let Ok(data) = frame.into_data() else { continue };
+        let frame =
+            frame.map_err(|_| Box::new(text(StatusCode::BAD_REQUEST, "the body is broken\n")))?;
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         if all.len() + data.len() > most_bytes {
             return Err(too_large());
         }
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -18,14 +18,20 @@
 }
 
 async fn announce(front: Arc<Front>) {
-    let Some(socket) = datagrams::socket(&front, "heartbeats").await else { return };
+    let Some(socket) = datagrams::socket(&front, "heartbeats").await else {
+        return;
+    };
     let incarnation = datagrams::number_of_start();
     for sequence in 1.. {
         let heartbeat = Heartbeat {
             name: front.settings.node.clone(),
             incarnation,
             sequence,
-            address: front.settings.listens("front").map(|address| address.to_string()).unwrap_or_default(),
+            address: front
+                .settings
+                .listens("front")
+                .map(|address| address.to_string())
+                .unwrap_or_default(),
             zone: front.settings.zone.clone(),
             ready: front.is_ready(),
         };
@@ -44,13 +50,20 @@
     if machines.is_empty() {
         return front.seeds();
     }
-    let addresses = machines.iter().map(|machine| machine.member.address.as_str());
+    let addresses = machines
+        .iter()
+        .map(|machine| machine.member.address.as_str());
     let mut chosen = monitors(&front.settings.node, addresses, MONITORS);
-    let near = machines.iter().find(|machine| machine.zone == front.settings.zone);
+    let near = machines
+        .iter()
+        .find(|machine| machine.zone == front.settings.zone);
     if let Some(near) = near.map(|machine| machine.member.address.as_str())
         && !chosen.contains(&near)
     {
         chosen.push(near);
     }
-    chosen.into_iter().filter_map(|address| address.parse().ok()).collect()
+    chosen
+        .into_iter()
+        .filter_map(|address| address.parse().ok())
+        .collect()
 }
--- a/crates/node/src/front/loads.rs
+++ b/crates/node/src/front/loads.rs
@@ -21,7 +21,9 @@
 }
 
 async fn tell(front: Arc<Front>) {
-    let Some(socket) = datagrams::socket(&front, "loads").await else { return };
+    let Some(socket) = datagrams::socket(&front, "loads").await else {
+        return;
+    };
     let first = datagrams::number_of_start();
     let mut told = LoadReport {
         balancer: short_hash(&front.settings.node),
@@ -42,7 +44,12 @@
         if upstreams == told.upstreams && placements == told.placements && !is_due {
             continue;
         }
-        told = LoadReport { sequence, upstreams, placements, ..told };
+        told = LoadReport {
+            sequence,
+            upstreams,
+            placements,
+            ..told
+        };
         told_at = Instant::now();
         let frame = Packet::Load(told.clone()).frame();
         for machine in machines_near(&front) {
@@ -54,6 +61,9 @@
 /// The control machines of this region: the balancers that share its upstreams read their feeds there.
 fn machines_near(front: &Front) -> Vec<SocketAddr> {
     let machines = front.machines();
-    let near = machines.iter().filter(|machine| machine.region == front.settings.region);
-    near.filter_map(|machine| machine.member.address.parse().ok()).collect()
+    let near = machines
+        .iter()
+        .filter(|machine| machine.region == front.settings.region);
+    near.filter_map(|machine| machine.member.address.parse().ok())
+        .collect()
 }
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -81,7 +81,10 @@
 
 impl Front {
     fn new(settings: NodeSettings, reports_per_second: u64) -> Self {
-        let place = Place { region: settings.region.clone(), zones: settings.zones.clone() };
+        let place = Place {
+            region: settings.region.clone(),
+            zones: settings.zones.clone(),
+        };
         let router = Router::new(place, settings.bounds, fastrand::u64(..));
         Self {
             started: Instant::now(),
@@ -94,7 +97,10 @@
             announce: Notify::new(),
             leaving: AtomicBool::new(false),
             bodies: AtomicUsize::new(0),
-            reports: Arc::new(reports::Reports::new(settings.zone.clone(), reports_per_second)),
+            reports: Arc::new(reports::Reports::new(
+                settings.zone.clone(),
+                reports_per_second,
+            )),
             settings,
         }
     }
@@ -139,8 +145,9 @@
             log::info!("evacuated zones: {:?}", state.evacuated);
             let configuration = state.configuration.clone();
             let cold = |service: &str| {
-                let service =
-                    configuration.as_ref().and_then(|configuration| configuration.services.get(service));
+                let service = configuration
+                    .as_ref()
+                    .and_then(|configuration| configuration.services.get(service));
                 service.map_or(Duration::ZERO, |service| service.cold_start)
             };
             lock(&self.router).set_evacuated(self.now(), &state.evacuated, cold);
@@ -176,8 +183,14 @@
 
 /// Runs until SIGTERM, and then until what was taken is answered. So many requests a second at most are reported in the log
 /// that were late, refused, failed or sent again.
-pub fn run(settings: NodeSettings, watch: SettingsWatch, reports_per_second: u64) -> Result<(), FrontError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+pub fn run(
+    settings: NodeSettings,
+    watch: SettingsWatch,
+    reports_per_second: u64,
+) -> Result<(), FrontError> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(io("the runtime"))?;
     let ended = runtime.block_on(serve(settings, watch, reports_per_second));
     runtime.shutdown_background();
@@ -194,7 +207,9 @@
     mut watch: SettingsWatch,
     reports_per_second: u64,
 ) -> Result<(), FrontError> {
-    let address = settings.listens("front").ok_or(FrontError::Missing("listen.front"))?;
+    let address = settings
+        .listens("front")
+        .ok_or(FrontError::Missing("listen.front"))?;
     let front = Arc::new(Front::new(settings, reports_per_second));
     let mut terminate = signal(SignalKind::terminate()).map_err(io("SIGTERM"))?;
     let mut hangup = signal(SignalKind::hangup()).map_err(io("SIGHUP"))?;
--- a/crates/node/src/front/pool.rs
+++ b/crates/node/src/front/pool.rs
@@ -87,7 +87,12 @@
     /// No connection yet, of a process with so many descriptors.
     pub fn new(descriptors: usize) -> Self {
         let most = (descriptors as f64 * FOR_UPSTREAMS) as usize;
-        Self { upstreams: Mutex::default(), open: Arc::default(), most, counts: Arc::default() }
+        Self {
+            upstreams: Mutex::default(),
+            open: Arc::default(),
+            most,
+            counts: Arc::default(),
+        }
     }
 
     /// A connection that rests and is sound, or a new one.
@@ -109,14 +114,23 @@
             self.open.fetch_add(1, Ordering::Relaxed);
             Counted(upstream.open.clone(), self.open.clone())
         };
-        let patience = if target.is_near { CONNECT_NEAR } else { CONNECT_FAR };
+        let patience = if target.is_near {
+            CONNECT_NEAR
+        } else {
+            CONNECT_FAR
+        };
         let connected = timeout(patience, TcpStream::connect(target.address)).await;
         let connected = connected.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         let stream = connected.map_err(PoolError::Unreachable)?;
         detect_silence(&stream, UNACKNOWLEDGED).map_err(PoolError::Unreachable)?;
-        let connection =
-            Connection::over(stream, self.counts.clone()).await.map_err(PoolError::Unreachable)?;
-        Ok(Pooled { connection, is_reused: false, _counted: counted })
+        let connection = Connection::over(stream, self.counts.clone())
+            .await
+            .map_err(PoolError::Unreachable)?;
+        Ok(Pooled {
+            connection,
+            is_reused: false,
+            _counted: counted,
+        })
     }
 
     /// Keeps a connection whose answer has come to its end, for as long as its upstream says that it does.
@@ -128,7 +142,10 @@
         connection.is_reused = true;
         let mut upstreams = lock(&self.upstreams);
         if let Some(upstream) = upstreams.get_mut(id) {
-            upstream.idle.push(Idle { connection, until: Instant::now() + rest });
+            upstream.idle.push(Idle {
+                connection,
+                until: Instant::now() + rest,
+            });
         }
     }
 
@@ -137,7 +154,9 @@
         let now = Instant::now();
         let mut upstreams = lock(&self.upstreams);
         for upstream in upstreams.values_mut() {
-            upstream.idle.retain(|idle| now < idle.until && idle.connection.is_quiet());
+            upstream
+                .idle
+                .retain(|idle| now < idle.until && idle.connection.is_quiet());
         }
         upstreams.retain(|_, upstream| upstream.open.load(Ordering::Relaxed) > 0);
     }
--- a/crates/node/src/front/reply.rs
+++ b/crates/node/src/front/reply.rs
@@ -32,9 +32,9 @@
         match &mut *self {
             Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Self::Stream(receiver) => {
-                receiver.poll_recv(cx).map(|data| data.map(|data| data.map(Frame::data)))
-            }
+            Self::Stream(receiver) => receiver
+                .poll_recv(cx)
+                .map(|data| data.map(|data| data.map(Frame::data))),
         }
     }
 
--- a/crates/node/src/front/reports.rs
+++ b/crates/node/src/front/reports.rs
@@ -29,12 +29,25 @@
 impl Reports {
     /// Reports of a balancer in a zone; none where the rate is 0.
     pub fn new(zone: String, most_per_second: u64) -> Self {
-        let second = Mutex::new(Second { began: Instant::now(), written: 0 });
-        Self { zone, most_per_second, second, left_out: AtomicU64::new(0) }
+        let second = Mutex::new(Second {
+            began: Instant::now(),
+            written: 0,
+        });
+        Self {
+            zone,
+            most_per_second,
+            second,
+            left_out: AtomicU64::new(0),
+        }
     }
 
     /// Begins to follow a request, if reports are written at all.
-    pub fn follow(self: &Arc<Self>, route: &Arc<Route>, service: &str, prompt: Prompt) -> Option<Trace> {
+    pub fn follow(
+        self: &Arc<Self>,
+        route: &Arc<Route>,
+        service: &str,
+        prompt: Prompt,
+    ) -> Option<Trace> {
         let is_on = self.most_per_second > 0;
         is_on.then(|| Trace::new(self.clone(), route.clone(), service.to_owned(), prompt))
     }
@@ -42,7 +55,10 @@
     fn write(&self, report: &RequestReport) {
         let mut second = lock(&self.second);
         if second.began.elapsed() >= Duration::from_secs(1) {
-            *second = Second { began: Instant::now(), written: 0 };
+            *second = Second {
+                began: Instant::now(),
+                written: 0,
+            };
         }
         if second.written >= self.most_per_second {
             self.left_out.fetch_add(1, Ordering::Relaxed);
@@ -94,8 +110,11 @@
     /// An attempt at an upstream begins.
     pub fn begin_attempt(&mut self, target: &Target, standing: &Standing) {
         self.attempt_began = Instant::now();
-        let passed_over: BTreeMap<String, usize> =
-            standing.passed_over.iter().map(|(obstacle, count)| (obstacle.to_string(), *count)).collect();
+        let passed_over: BTreeMap<String, usize> = standing
+            .passed_over
+            .iter()
+            .map(|(obstacle, count)| (obstacle.to_string(), *count))
+            .collect();
         self.attempts.push(AttemptReport {
             upstream: target.id.to_string(),
             zone: target.zone.to_string(),
@@ -129,8 +148,8 @@
     /// The request was answered; that is reported where it was late or was sent again.
     pub fn answered(mut self) {
         let first = self.first.unwrap_or_else(Instant::now) - self.arrived;
-        let is_late =
-            first > self.route.target_latency || self.route.gap_aim.is_some_and(|aim| self.pause > aim);
+        let is_late = first > self.route.target_latency
+            || self.route.gap_aim.is_some_and(|aim| self.pause > aim);
         match (is_late, self.attempts.len()) {
             (true, _) => self.end(Cause::Late),
             (false, 0 | 1) => self.has_ended = true,
--- a/crates/node/src/front/sources.rs
+++ b/crates/node/src/front/sources.rs
@@ -18,17 +18,28 @@
 impl Sources {
     /// So many feeds that read nothing yet.
     pub fn new(feeds: usize) -> Self {
-        Self { current: vec![None; feeds], left_at: HashMap::new() }
+        Self {
+            current: vec![None; feeds],
+            left_at: HashMap::new(),
+        }
     }
 
     /// The machine that a feed reads next: the first one by preference that no other feed reads and that was not left lately, else
     /// the one that was left longest ago.
-    pub fn choose(&mut self, now: Instant, feed: usize, preference: &[SocketAddr]) -> Option<SocketAddr> {
-        self.left_at.retain(|_, left_at| now < *left_at + AVOIDED_FOR);
+    pub fn choose(
+        &mut self,
+        now: Instant,
+        feed: usize,
+        preference: &[SocketAddr],
+    ) -> Option<SocketAddr> {
+        self.left_at
+            .retain(|_, left_at| now < *left_at + AVOIDED_FOR);
         self.current[feed] = None;
         let is_free = |address: &&SocketAddr| !self.current.contains(&Some(**address));
         let free: Vec<SocketAddr> = preference.iter().filter(is_free).copied().collect();
-        let first = free.iter().find(|address| !self.left_at.contains_key(address));
+        let first = free
+            .iter()
+            .find(|address| !self.left_at.contains_key(address));
         let longest_ago = || free.iter().min_by_key(|address| self.left_at.get(address));
         let chosen = first.or_else(longest_ago).copied();
         self.current[feed] = chosen;
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -29,7 +29,12 @@
 }
 
 /// Passes on what has begun; the body of the answer.
-pub(super) fn pass_on(front: &Arc<Front>, course: Course, outbound: Outbound, begun: Begun) -> ReplyBody {
+pub(super) fn pass_on(
+    front: &Arc<Front>,
+    course: Course,
+    outbound: Outbound,
+    begun: Begun,
+) -> ReplyBody {
     let (sender, receiver) = mpsc::channel(QUEUE);
     let front = front.clone();
     tokio::spawn(async move { run(&front, course, outbound, begun, &sender).await });
@@ -45,11 +50,27 @@
 ) {
     let mut buffer = course.route.resumable.then(EventBuffer::default);
     loop {
-        let keep = begun.parts.extensions.get::<Keep>().copied().unwrap_or(Keep::Closes);
-        let end = copy(&mut begun, &mut course, outbound.deadline, &mut buffer, client).await;
+        let keep = begun
+            .parts
+            .extensions
+            .get::<Keep>()
+            .copied()
+            .unwrap_or(Keep::Closes);
+        let end = copy(
+            &mut begun,
+            &mut course,
+            outbound.deadline,
+            &mut buffer,
+            client,
+        )
+        .await;
         match end {
             End::Complete => {
-                if let Some(rest) = buffer.as_mut().map(EventBuffer::rest).filter(|rest| !rest.is_empty()) {
+                if let Some(rest) = buffer
+                    .as_mut()
+                    .map(EventBuffer::rest)
+                    .filter(|rest| !rest.is_empty())
+                {
                     client.send(Ok(rest)).await.ok();
                 }
                 give_back(front, begun.connection, &begun.held, keep);
@@ -74,7 +95,10 @@
         }
         let Some(next) = resume(front, &mut course, &mut outbound, buffer.as_mut()).await else {
             course.failed(Cause::Failed);
-            client.send(Err(io::ErrorKind::ConnectionReset.into())).await.ok();
+            client
+                .send(Err(io::ErrorKind::ConnectionReset.into()))
+                .await
+                .ok();
             return;
         };
         begun = next;
@@ -131,7 +155,10 @@
     let buffer = buffer?;
     buffer.rest();
     if let Some(id) = buffer.last_id() {
-        outbound.head.headers.insert(LAST_EVENT_ID, HeaderValue::from_bytes(id).ok()?);
+        outbound
+            .head
+            .headers
+            .insert(LAST_EVENT_ID, HeaderValue::from_bytes(id).ok()?);
     }
     while let Ok(target) = course.next(front) {
         let attempted = attempt(front, outbound, target).await;
@@ -139,7 +166,8 @@
         match attempted {
             Attempted::Begun(begun) => return Some(*begun),
             Attempted::TimedOut => return None,
-            Attempted::NotSent | Attempted::Rejected | Attempted::Broken | Attempted::Whole(..) => {}
+            Attempted::NotSent | Attempted::Rejected | Attempted::Broken | Attempted::Whole(..) => {
+            }
         }
     }
     None
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -83,7 +83,9 @@
 impl NodeSettings {
     /// The file that the environment names.
     pub fn path() -> Result<PathBuf, SettingsError> {
-        std::env::var_os(PATH_VARIABLE).map(PathBuf::from).ok_or(SettingsError::NoPath)
+        std::env::var_os(PATH_VARIABLE)
+            .map(PathBuf::from)
+            .ok_or(SettingsError::NoPath)
     }
 
     /// Reads a file.
@@ -107,7 +109,10 @@
         let bounds = root.field("bounds");
         let limits = root.field("limits");
         let ports = root.field("ephemeral_ports").items(findings);
-        let ports: Vec<u16> = ports.iter().map(|port| parse_port(port, findings)).collect();
+        let ports: Vec<u16> = ports
+            .iter()
+            .map(|port| parse_port(port, findings))
+            .collect();
         if ports.len() != 2 && findings.is_empty() {
             findings.add("ephemeral_ports", "must hold the first and the last port");
         }
@@ -127,17 +132,27 @@
             ),
             seeds: {
                 let seeds = root.field("seeds").items(findings);
-                seeds.iter().filter_map(|seed| parsed(seed, findings)).collect()
+                seeds
+                    .iter()
+                    .filter_map(|seed| parsed(seed, findings))
+                    .collect()
             },
             bootstrap: root.field("bootstrap").flag_or(false, findings),
-            data_dir: root.field("data_dir").optional_text(findings).map(PathBuf::from),
+            data_dir: root
+                .field("data_dir")
+                .optional_text(findings)
+                .map(PathBuf::from),
             tolerated: {
-                let machines = root.field("fault_tolerance").field("machines").whole_or(1, findings);
+                let machines = root
+                    .field("fault_tolerance")
+                    .field("machines")
+                    .whole_or(1, findings);
                 usize::try_from(machines).unwrap_or(1)
             },
             heartbeat_ms: root.field("heartbeat_ms").whole_or(1_200, findings),
             memory: megabytes(limits.field("memory_mb").whole_or(256, findings)),
-            max_fds: usize::try_from(limits.field("max_fds").whole_or(1_024, findings)).unwrap_or(usize::MAX),
+            max_fds: usize::try_from(limits.field("max_fds").whole_or(1_024, findings))
+                .unwrap_or(usize::MAX),
             grace_ms: seconds("grace_s", 8.0, findings),
             bounds: Bounds {
                 retry_budget_ratio: bounds.field("retry_budget_ratio").number_or(0.2, findings),
@@ -147,7 +162,11 @@
                 cold_slack: bounds.field("cold_slack").number_or(0.0, findings),
             },
         };
-        if findings.is_empty() { Ok(settings) } else { Err(std::mem::take(findings)) }
+        if findings.is_empty() {
+            Ok(settings)
+        } else {
+            Err(std::mem::take(findings))
+        }
     }
 
     /// Where this process listens for other processes of the system.
@@ -162,7 +181,10 @@
 
     /// Internal addresses of the seeds.
     pub fn internal_seeds(&self) -> Vec<SocketAddr> {
-        self.seeds.iter().map(|seed| self.internal_address_of(*seed)).collect()
+        self.seeds
+            .iter()
+            .map(|seed| self.internal_address_of(*seed))
+            .collect()
     }
 
     /// Where the process serves something, if it does.
@@ -183,7 +205,9 @@
     if text.is_empty() {
         return None;
     }
-    text.parse().map_err(|error| findings.add(reader.place(), format!("{text:?}: {error}"))).ok()
+    text.parse()
+        .map_err(|error| findings.add(reader.place(), format!("{text:?}: {error}")))
+        .ok()
 }
 
 fn parse_port(reader: &Reader<'_>, findings: &mut Findings) -> u16 {
@@ -195,20 +219,29 @@
 }
 
 fn fields<'a>(reader: &Reader<'a>, findings: &mut Findings) -> Vec<(&'a String, Reader<'a>)> {
-    let Some(value) = reader.value() else { return Vec::new() };
+    let Some(value) = reader.value() else {
+        return Vec::new();
+    };
     let Some(object) = value.as_object() else {
         findings.add(reader.place(), "must be an object");
         return Vec::new();
     };
-    object.keys().map(|name| (name, reader.field(name))).collect()
+    object
+        .keys()
+        .map(|name| (name, reader.field(name)))
+        .collect()
 }
 
 fn texts(reader: &Reader<'_>, findings: &mut Findings) -> BTreeMap<String, String> {
     let all = fields(reader, findings);
-    all.into_iter().map(|(name, field)| (name.clone(), field.text(findings))).collect()
+    all.into_iter()
+        .map(|(name, field)| (name.clone(), field.text(findings)))
+        .collect()
 }
 
 fn addresses(reader: &Reader<'_>, findings: &mut Findings) -> BTreeMap<String, SocketAddr> {
     let all = fields(reader, findings);
-    all.into_iter().filter_map(|(name, field)| Some((name.clone(), parsed(&field, findings)?))).collect()
+    all.into_iter()
+        .filter_map(|(name, field)| Some((name.clone(), parsed(&field, findings)?)))
+        .collect()
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -15,7 +15,10 @@
 impl SettingsWatch {
     /// Reads the file that the environment names, and watches it from then on.
     pub fn load() -> Result<(NodeSettings, Self), SettingsError> {
-        let mut watch = Self { path: NodeSettings::path()?, modified: None };
+        let mut watch = Self {
+            path: NodeSettings::path()?,
+            modified: None,
+        };
         // As of before it is read: a change in between is noticed.
         watch.modified = watch.modification();
         Ok((NodeSettings::read(&watch.path)?, watch))
--- a/crates/node/src/why.rs
+++ b/crates/node/src/why.rs
@@ -47,7 +47,10 @@
 
 fn io_error(path: &Path) -> impl Fn(io::Error) -> WhyError {
     let path = path.to_owned();
-    move |source| WhyError::Io { path: path.clone(), source }
+    move |source| WhyError::Io {
+        path: path.clone(),
+        source,
+    }
 }
 
 /// Takes in the reports of one log.
@@ -59,7 +62,11 @@
         }
         let report: RequestReport = line.parse().map_err(|source| {
             let path = path.to_owned();
-            WhyError::Line { path, line: index + 1, source }
+            WhyError::Line {
+                path,
+                line: index + 1,
+                source,
+            }
         })?;
         summary.add(second_of(&line), &report);
     }
@@ -69,7 +76,9 @@
 /// The second of a line: the first time of day in it, else the first number; 0 where there is none.
 fn second_of(line: &str) -> u64 {
     let times = line.split_whitespace().filter_map(time_of_day);
-    let numbers = line.split(|c: char| !c.is_ascii_digit()).filter_map(|part| part.parse().ok());
+    let numbers = line
+        .split(|c: char| !c.is_ascii_digit())
+        .filter_map(|part| part.parse().ok());
     times.chain(numbers).next().unwrap_or(0)
 }
 
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -6,7 +6,9 @@
 use woadstall_node::settings::{NodeSettings, SettingsError};
 
 fn assert_golden(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     let expected = std::fs::read_to_string(&path).unwrap();
     assert_eq!(text, expected, "{name}");
 }
@@ -78,12 +80,18 @@
 
 #[test]
 fn defaults_are_the_same() {
-    assert_golden("settings-least.txt", &written(&NodeSettings::from_document(&least()).unwrap()));
+    assert_golden(
+        "settings-least.txt",
+        &written(&NodeSettings::from_document(&least()).unwrap()),
+    );
 }
 
 #[test]
 fn each_key_is_read_as_before() {
-    assert_golden("settings-most.txt", &written(&NodeSettings::from_document(&most()).unwrap()));
+    assert_golden(
+        "settings-most.txt",
+        &written(&NodeSettings::from_document(&most()).unwrap()),
+    );
 }
 
 #[test]
@@ -126,8 +134,16 @@
 
 #[test]
 fn findings_are_the_same() {
-    let wrong_values =
-        [json!(null), json!(""), json!("what"), json!(-1), json!(70_000), json!(0.5), json!([]), json!({})];
+    let wrong_values = [
+        json!(null),
+        json!(""),
+        json!("what"),
+        json!(-1),
+        json!(70_000),
+        json!(0.5),
+        json!([]),
+        json!({}),
+    ];
     let mut text = String::new();
     for key in KEYS {
         for value in &wrong_values {
@@ -140,13 +156,22 @@
             write!(text, "{key} = {value}\n{outcome}").unwrap();
         }
     }
-    for document in [json!({}), json!([]), json!({ "ephemeral_ports": [1, 2, 3] })] {
+    for document in [
+        json!({}),
+        json!([]),
+        json!({ "ephemeral_ports": [1, 2, 3] }),
+    ] {
         let findings = NodeSettings::from_document(&document).unwrap_err();
         write!(text, "{document}\n{findings}").unwrap();
     }
     let mut three_ports = least();
     three_ports["ephemeral_ports"] = json!([1, 2, 3]);
-    write!(text, "three ports\n{}", NodeSettings::from_document(&three_ports).unwrap_err()).unwrap();
+    write!(
+        text,
+        "three ports\n{}",
+        NodeSettings::from_document(&three_ports).unwrap_err()
+    )
+    .unwrap();
     assert_golden("settings-findings.txt", &text);
 }
 
@@ -161,12 +186,23 @@
         NodeSettings::read(&path).unwrap_err()
     };
     let path_shown = path.display();
-    assert_eq!(error(None).to_string(), format!("{path_shown}: No such file or directory (os error 2)"));
+    assert_eq!(
+        error(None).to_string(),
+        format!("{path_shown}: No such file or directory (os error 2)")
+    );
     assert_eq!(
         error(Some("{")).to_string(),
         format!("{path_shown}: EOF while parsing an object at line 1 column 1")
     );
-    let fields = error(Some(r#"{"node":"m-1","ip":"10.1.0.1","zone":"a-1","ephemeral_ports":[1,2]}"#));
-    assert_eq!(fields.to_string(), format!("{path_shown}:\nregion: is missing\n"));
-    assert_eq!(SettingsError::NoPath.to_string(), "WOADSTALL_BOOT does not name the settings file");
+    let fields = error(Some(
+        r#"{"node":"m-1","ip":"10.1.0.1","zone":"a-1","ephemeral_ports":[1,2]}"#,
+    ));
+    assert_eq!(
+        fields.to_string(),
+        format!("{path_shown}:\nregion: is missing\n")
+    );
+    assert_eq!(
+        SettingsError::NoPath.to_string(),
+        "WOADSTALL_BOOT does not name the settings file"
+    );
 }
--- a/crates/node/tests/unit/golden_core.rs
+++ b/crates/node/tests/unit/golden_core.rs
@@ -18,9 +18,16 @@
 const WRITTEN: Duration = Duration::from_millis(1_764_600_000_123);
 
 fn assert_golden(name: &str, bytes: &[u8]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     let expected = std::fs::read(&path).unwrap();
-    assert!(bytes == expected, "{name}:\n{}\ninstead of\n{}", shown(bytes), shown(&expected));
+    assert!(
+        bytes == expected,
+        "{name}:\n{}\ninstead of\n{}",
+        shown(bytes),
+        shown(&expected)
+    );
 }
 
 fn shown(bytes: &[u8]) -> String {
@@ -53,7 +60,9 @@
 
 /// More than a kilobyte: it is compressed.
 fn many_registrations() -> Vec<Registration> {
-    (0..40).map(|number| registration(&format!("i-{number}"), Status::Ready)).collect()
+    (0..40)
+        .map(|number| registration(&format!("i-{number}"), Status::Ready))
+        .collect()
 }
 
 #[test]
@@ -71,8 +80,10 @@
 #[test]
 fn files_of_registrations_are_read_back() {
     let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
-    for (name, expected) in [("registrations-1", registrations()), ("registrations-0", many_registrations())]
-    {
+    for (name, expected) in [
+        ("registrations-1", registrations()),
+        ("registrations-0", many_registrations()),
+    ] {
         let folder = tempfile::tempdir().unwrap();
         std::fs::copy(golden.join(name), folder.path().join(name)).unwrap();
         let (_, read) = Hints::open(folder.path(), WRITTEN);
@@ -98,11 +109,24 @@
 fn founders_have_the_same_identity_and_the_same_first_state() {
     let control: SocketAddr = "10.2.0.1:7000".parse().unwrap();
     let state = first_state(&settings_with_seeds(true), control);
-    let mut text =
-        format!("id={:x} term={} vote={} commit={}\n", state.id, state.term, state.vote, state.commit);
+    let mut text = format!(
+        "id={:x} term={} vote={} commit={}\n",
+        state.id, state.term, state.vote, state.commit
+    );
     let snapshot = state.log.snapshot();
-    writeln!(text, "snapshot index={} term={}", snapshot.index, snapshot.term).unwrap();
-    writeln!(text, "last={} state={}", state.log.last_index(), snapshot.state.escape_ascii()).unwrap();
+    writeln!(
+        text,
+        "snapshot index={} term={}",
+        snapshot.index, snapshot.term
+    )
+    .unwrap();
+    writeln!(
+        text,
+        "last={} state={}",
+        state.log.last_index(),
+        snapshot.state.escape_ascii()
+    )
+    .unwrap();
     for member in snapshot.members.members() {
         writeln!(text, "member {:x} {}", member.id, member.address).unwrap();
     }
@@ -115,13 +139,19 @@
     let others = [(false, "10.2.0.1:7000"), (true, "10.4.0.1:7000")];
     for (bootstrap, control) in others {
         let state = first_state(&settings_with_seeds(bootstrap), control.parse().unwrap());
-        assert_eq!((state.term, state.vote, state.commit, state.log.last_index()), (0, 0, 0, 0));
+        assert_eq!(
+            (state.term, state.vote, state.commit, state.log.last_index()),
+            (0, 0, 0, 0)
+        );
         assert_eq!(state.log.snapshot().members.members().count(), 0);
     }
 }
 
 fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 /// The API of a machine that gives this answer to each call; the calls come out in the channel.
@@ -145,8 +175,12 @@
     use woadstall_control::command::Command;
     let shown = |body: &[u8]| body.escape_ascii().to_string();
     match call {
-        api::Call::Order(Command::Put { base, body }) => format!("put base={base} body={}", shown(&body)),
-        api::Call::Order(Command::Patch { base, body }) => format!("patch base={base} body={}", shown(&body)),
+        api::Call::Order(Command::Put { base, body }) => {
+            format!("put base={base} body={}", shown(&body))
+        }
+        api::Call::Order(Command::Patch { base, body }) => {
+            format!("patch base={base} body={}", shown(&body))
+        }
         api::Call::Order(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
         api::Call::Order(Command::Return { zone }) => format!("return zone={zone}"),
         api::Call::ReadConfiguration => "read configuration".to_owned(),
@@ -179,16 +213,30 @@
 }
 
 /// Status, type and body of the answer.
-fn call(address: SocketAddr, method: &str, path: &str, if_match: Option<&str>, body: &str) -> String {
+fn call(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    if_match: Option<&str>,
+    body: &str,
+) -> String {
     let method = method.parse().unwrap();
-    let mut request = attohttpc::RequestBuilder::try_new(method, format!("http://{address}{path}")).unwrap();
+    let mut request =
+        attohttpc::RequestBuilder::try_new(method, format!("http://{address}{path}")).unwrap();
     if let Some(value) = if_match {
         request = request.header("if-match", value);
     }
     let response = request.text(body).send().unwrap();
-    let content_type = response.headers().get("content-type").map(|value| value.to_str().unwrap().to_owned());
+    let content_type = response
+        .headers()
+        .get("content-type")
+        .map(|value| value.to_str().unwrap().to_owned());
     let status = response.status().as_u16();
-    format!("{status} {} {}", content_type.unwrap_or_default(), shown(&response.bytes().unwrap()))
+    format!(
+        "{status} {} {}",
+        content_type.unwrap_or_default(),
+        shown(&response.bytes().unwrap())
+    )
 }
 
 #[test]
@@ -200,7 +248,10 @@
     };
     let least = r#"{"service":"llm","address":"10.1.0.1:80","zone":"a-1","state":"ready"}"#;
     let faulty = r#"{"service":"","address":"10.1.0.1","zone":1,"state":"asleep","capacity":-1}"#;
-    let (ready, draining) = (registered(r#""state":"ready","#), registered(r#""state":"draining","#));
+    let (ready, draining) = (
+        registered(r#""state":"ready","#),
+        registered(r#""state":"draining","#),
+    );
     let stateless = registered("");
     let calls = [
         ("PUT", "/v1/instances/i-1", None, ready.as_str()),
@@ -224,7 +275,12 @@
         ("POST", "/v1/evacuations/a-1", None, ""),
         ("DELETE", "/v1/evacuations/a-1", None, ""),
         ("PUT", "/v1/evacuations/a-1", None, ""),
-        ("GET", "/v1/resolve?name=shop.example&zone=a-1&region=a", None, ""),
+        (
+            "GET",
+            "/v1/resolve?name=shop.example&zone=a-1&region=a",
+            None,
+            "",
+        ),
         ("GET", "/v1/resolve", None, ""),
         ("POST", "/v1/resolve", None, ""),
         ("GET", "/v1/status", None, ""),
@@ -251,7 +307,10 @@
     let (address, _received) = start_api(Reply::Answer(Answer::Done));
     let body = format!("\"{}\"", "x".repeat(6 << 20));
     let answer = call(address, "PUT", "/v1/config", Some("3"), &body);
-    assert_eq!(answer, "413 text/plain; charset=utf-8 the body is too large\n");
+    assert_eq!(
+        answer,
+        "413 text/plain; charset=utf-8 the body is too large\n"
+    );
 }
 
 #[test]
@@ -260,27 +319,62 @@
     let answers = [
         ("done", Reply::Answer(Answer::Done)),
         ("conflict", Reply::Answer(Answer::Conflict { current: 7 })),
-        ("invalid", Reply::Answer(Answer::Invalid { findings: "routes[0]: is missing\n".to_owned() })),
-        ("document", Reply::Answer(Answer::Document(br#"{"generation":3}"#.to_vec()))),
+        (
+            "invalid",
+            Reply::Answer(Answer::Invalid {
+                findings: "routes[0]: is missing\n".to_owned(),
+            }),
+        ),
+        (
+            "document",
+            Reply::Answer(Answer::Document(br#"{"generation":3}"#.to_vec())),
+        ),
         ("unclear", Reply::Answer(Answer::Unclear)),
-        ("registered", Reply::Registered("http://10.1.0.1:7000/v1/instances/i-1".to_owned())),
-        ("balancers", Reply::Balancers(Resolved { addresses, ttl_s: 5 })),
-        ("no balancers", Reply::Balancers(Resolved { addresses: Vec::new(), ttl_s: 5 })),
+        (
+            "registered",
+            Reply::Registered("http://10.1.0.1:7000/v1/instances/i-1".to_owned()),
+        ),
+        (
+            "balancers",
+            Reply::Balancers(Resolved {
+                addresses,
+                ttl_s: 5,
+            }),
+        ),
+        (
+            "no balancers",
+            Reply::Balancers(Resolved {
+                addresses: Vec::new(),
+                ttl_s: 5,
+            }),
+        ),
         ("status", Reply::Status(r#"{"id":"1"}"#.to_owned())),
     ];
     let mut text = String::new();
     for (name, reply) in answers {
         let (address, _received) = start_api(reply);
-        writeln!(text, "{name}: {}", call(address, "GET", "/v1/status", None, "")).unwrap();
+        writeln!(
+            text,
+            "{name}: {}",
+            call(address, "GET", "/v1/status", None, "")
+        )
+        .unwrap();
     }
     assert_golden("api-answers.txt", text.as_bytes());
 }
 
 fn machine(seeds: &[&str]) -> Machine {
-    let member = Member { id: 0x5eed, address: "10.1.0.1:7001".to_owned() };
+    let member = Member {
+        id: 0x5eed,
+        address: "10.1.0.1:7001".to_owned(),
+    };
     let others = (1_u64..).zip(seeds);
-    let mut founders: Vec<Member> =
-        others.map(|(id, address)| Member { id, address: (*address).to_owned() }).collect();
+    let mut founders: Vec<Member> = others
+        .map(|(id, address)| Member {
+            id,
+            address: (*address).to_owned(),
+        })
+        .collect();
     founders.push(member.clone());
     let settings = MachineSettings {
         machine: ControlMachine {
@@ -295,7 +389,12 @@
         tolerated: 1,
         incarnation: 9,
     };
-    Machine::new(settings, DurableState::new(0x5eed, founding_snapshot(&founders)), 0, 1)
+    Machine::new(
+        settings,
+        DurableState::new(0x5eed, founding_snapshot(&founders)),
+        0,
+        1,
+    )
 }
 
 #[test]
@@ -304,5 +403,8 @@
     assert_golden("status-first.json", api::status(&machine, 0).as_bytes());
     machine.remember(registrations());
     machine.tick(100);
-    assert_golden("status-registrations.json", api::status(&machine, 100).as_bytes());
+    assert_golden(
+        "status-registrations.json",
+        api::status(&machine, 100).as_bytes(),
+    );
 }
--- a/crates/node/tests/unit/golden_front.rs
+++ b/crates/node/tests/unit/golden_front.rs
@@ -29,9 +29,16 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 
 fn assert_golden(name: &str, bytes: &[u8]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     let expected = std::fs::read(&path).unwrap();
-    assert!(bytes == expected, "{name}:\n{}\ninstead of\n{}", shown(bytes), shown(&expected));
+    assert!(
+        bytes == expected,
+        "{name}:\n{}\ninstead of\n{}",
+        shown(bytes),
+        shown(&expected)
+    );
 }
 
 fn shown(bytes: &[u8]) -> String {
@@ -45,12 +52,18 @@
         "ephemeral_ports": [internal_port, internal_port], "seeds": ["127.0.0.1:7000"],
         "listen": { "front": "10.1.0.1:80" },
     });
-    Arc::new(Front::new(NodeSettings::from_document(&document).unwrap(), 0))
+    Arc::new(Front::new(
+        NodeSettings::from_document(&document).unwrap(),
+        0,
+    ))
 }
 
 async fn datagram(socket: &UdpSocket) -> Vec<u8> {
     let mut buffer = [0; 2_048];
-    let length = timeout(PATIENCE, socket.recv(&mut buffer)).await.unwrap().unwrap();
+    let length = timeout(PATIENCE, socket.recv(&mut buffer))
+        .await
+        .unwrap()
+        .unwrap();
     buffer[..length].to_vec()
 }
 
@@ -75,7 +88,9 @@
     heartbeat::start(&front);
     for (sequence, name) in [(1, "heartbeat-first"), (2, "heartbeat-ready")] {
         let frame = datagram(&socket).await;
-        let Packet::Heartbeat(mut heartbeat) = Packet::decode_datagram(&frame).unwrap() else { panic!() };
+        let Packet::Heartbeat(mut heartbeat) = Packet::decode_datagram(&frame).unwrap() else {
+            panic!()
+        };
         assert_eq!(heartbeat.sequence, sequence);
         // The time of the start is another one each time.
         assert!(heartbeat.incarnation > 1_700_000_000_000);
@@ -87,7 +102,10 @@
 
 fn control_machine(address: SocketAddr, region: &str) -> ControlMachine {
     ControlMachine {
-        member: Member { id: 1, address: address.to_string() },
+        member: Member {
+            id: 1,
+            address: address.to_string(),
+        },
         zone: format!("{region}-1"),
         region: region.to_owned(),
         control: "10.1.0.1:7000".to_owned(),
@@ -114,24 +132,43 @@
     let socket = UdpSocket::bind((LOCAL, 0)).await.unwrap();
     let front = front(1);
     let address = socket.local_addr().unwrap();
-    *lock(&front.machines) =
-        vec![control_machine("127.0.0.1:9".parse().unwrap(), "b"), control_machine(address, "a")];
+    *lock(&front.machines) = vec![
+        control_machine("127.0.0.1:9".parse().unwrap(), "b"),
+        control_machine(address, "a"),
+    ];
     let configuration = state(3).configuration.unwrap();
     {
         let mut router = lock(&front.router);
         router.register(0, &registration("i-1"));
-        let prompt = Prompt { tokens: 20_000, shared: Some(77), shared_tokens: 15_000 };
+        let prompt = Prompt {
+            tokens: 20_000,
+            shared: Some(77),
+            shared_tokens: 15_000,
+        };
         let (route, service) = (&configuration.routes[0], &configuration.services["llm"]);
-        let decision = router.choose(front.now(), &Query { route, service, prompt, tried: &[] });
+        let decision = router.choose(
+            front.now(),
+            &Query {
+                route,
+                service,
+                prompt,
+                tried: &[],
+            },
+        );
         assert!(matches!(decision, Decision::Send(_)));
     }
     loads::start(&front);
     let frame = datagram(&socket).await;
-    let Packet::Load(mut report) = Packet::decode_datagram(&frame).unwrap() else { panic!() };
+    let Packet::Load(mut report) = Packet::decode_datagram(&frame).unwrap() else {
+        panic!()
+    };
     assert!(report.sequence > 1_700_000_000_000);
     report.sequence = 1_764_600_000_123;
     // Drawn by chance.
-    report.placements.iter_mut().for_each(|placement| placement.number = 5);
+    report
+        .placements
+        .iter_mut()
+        .for_each(|placement| placement.number = 5);
     assert_golden("load", &Packet::Load(report).frame());
 }
 
@@ -142,10 +179,16 @@
     feeds::start(&front);
     let (mut stream, _) = timeout(PATIENCE, listener.accept()).await.unwrap().unwrap();
     let mut frame = vec![0; HEAD_BYTES];
-    timeout(PATIENCE, stream.read_exact(&mut frame)).await.unwrap().unwrap();
+    timeout(PATIENCE, stream.read_exact(&mut frame))
+        .await
+        .unwrap()
+        .unwrap();
     let length = payload_length(frame[..].try_into().unwrap()).unwrap();
     frame.resize(HEAD_BYTES + length, 0);
-    timeout(PATIENCE, stream.read_exact(&mut frame[HEAD_BYTES..])).await.unwrap().unwrap();
+    timeout(PATIENCE, stream.read_exact(&mut frame[HEAD_BYTES..]))
+        .await
+        .unwrap()
+        .unwrap();
     assert_golden("subscribe", &frame);
 }
 
@@ -154,11 +197,17 @@
     let mut bytes = Vec::new();
     loop {
         let mut buffer = [0; 4_096];
-        let length = timeout(PATIENCE, stream.read(&mut buffer)).await.unwrap().unwrap();
+        let length = timeout(PATIENCE, stream.read(&mut buffer))
+            .await
+            .unwrap()
+            .unwrap();
         assert!(length > 0, "{}", shown(&bytes));
         bytes.extend_from_slice(&buffer[..length]);
         let text = String::from_utf8(bytes.clone()).unwrap();
-        if text.split_once("\r\n\r\n").is_some_and(|(_, rest)| rest.len() >= body) {
+        if text
+            .split_once("\r\n\r\n")
+            .is_some_and(|(_, rest)| rest.len() >= body)
+        {
             return text;
         }
     }
@@ -170,9 +219,16 @@
     let address = listener.local_addr().unwrap();
     let front = front(1);
     lock(&front.router).register(0, &registration("i-1"));
-    let client = Request::builder().method("POST").uri("/safe/1?a=b").header("host", "shop.example");
-    let (head, ()) =
-        client.header("request-id", "r-1").header("x-other", "kept").body(()).unwrap().into_parts();
+    let client = Request::builder()
+        .method("POST")
+        .uri("/safe/1?a=b")
+        .header("host", "shop.example");
+    let (head, ()) = client
+        .header("request-id", "r-1")
+        .header("x-other", "kept")
+        .body(())
+        .unwrap()
+        .into_parts();
     let outbound = Outbound {
         head,
         body: Bytes::from_static(b"{\"a\":1}"),
@@ -199,14 +255,19 @@
         request
     };
     let (attempted, request) = tokio::join!(attempt(&front, &outbound, target), upstream);
-    let Attempted::Whole(parts, body) = attempted else { panic!("no answer") };
+    let Attempted::Whole(parts, body) = attempted else {
+        panic!("no answer")
+    };
     assert_eq!((parts.status, &body[..]), (StatusCode::OK, &b"ok"[..]));
     // The time that is left is another one each time.
     let lines: Vec<String> = request
         .split("\r\n")
         .map(|line| match line.strip_prefix("deadline: ") {
             Some(left) => {
-                assert!((3_000..=4_000).contains(&left.parse::<u64>().unwrap()), "{left}");
+                assert!(
+                    (3_000..=4_000).contains(&left.parse::<u64>().unwrap()),
+                    "{left}"
+                );
                 "deadline: 3999".to_owned()
             }
             None => line.to_owned(),
--- a/crates/node/tests/unit/hints.rs
+++ b/crates/node/tests/unit/hints.rs
@@ -23,7 +23,10 @@
 
 fn statuses(folder: &std::path::Path, after: Duration) -> Vec<Status> {
     let (_, registrations) = Hints::open(folder, WRITTEN + after);
-    registrations.iter().map(|registration| registration.status).collect()
+    registrations
+        .iter()
+        .map(|registration| registration.status)
+        .collect()
 }
 
 #[test]
@@ -32,7 +35,9 @@
     let (mut hints, none) = Hints::open(folder.path(), WRITTEN);
     assert!(none.is_empty());
     for status in [Status::Ready, Status::Draining, Status::Gone] {
-        hints.write(&[registration("i-1", status)], WRITTEN).unwrap();
+        hints
+            .write(&[registration("i-1", status)], WRITTEN)
+            .unwrap();
         assert_eq!(statuses(folder.path(), Duration::ZERO), [status]);
     }
 }
@@ -41,16 +46,26 @@
 fn a_torn_file_leaves_the_one_before_it_and_is_written_next() {
     let folder = tempfile::tempdir().unwrap();
     let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
-    hints.write(&[registration("i-1", Status::Draining)], WRITTEN).unwrap();
-    hints.write(&[registration("i-1", Status::Gone)], WRITTEN).unwrap();
+    hints
+        .write(&[registration("i-1", Status::Draining)], WRITTEN)
+        .unwrap();
+    hints
+        .write(&[registration("i-1", Status::Gone)], WRITTEN)
+        .unwrap();
     let newest = path(folder.path(), hints.number % super::FILES);
     let whole = std::fs::read(&newest).unwrap();
     for length in 0..whole.len() {
         std::fs::write(&newest, &whole[..length]).unwrap();
-        assert_eq!(statuses(folder.path(), Duration::ZERO), [Status::Draining], "cut to {length} bytes");
+        assert_eq!(
+            statuses(folder.path(), Duration::ZERO),
+            [Status::Draining],
+            "cut to {length} bytes"
+        );
     }
     let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
-    hints.write(&[registration("i-1", Status::Gone)], WRITTEN).unwrap();
+    hints
+        .write(&[registration("i-1", Status::Gone)], WRITTEN)
+        .unwrap();
     assert_eq!(statuses(folder.path(), Duration::ZERO), [Status::Gone]);
 }
 
@@ -58,12 +73,22 @@
 fn registrations_age_while_the_machine_is_down() {
     let folder = tempfile::tempdir().unwrap();
     let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
-    let heard = Registration { age_ms: 500, ..registration("i-1", Status::Ready) };
+    let heard = Registration {
+        age_ms: 500,
+        ..registration("i-1", Status::Ready)
+    };
     hints.write(&[heard], WRITTEN).unwrap();
     let ages = |time_of_day: Duration| -> Vec<u64> {
         let (_, registrations) = Hints::open(folder.path(), time_of_day);
-        registrations.iter().map(|registration| registration.age_ms).collect()
+        registrations
+            .iter()
+            .map(|registration| registration.age_ms)
+            .collect()
     };
     assert_eq!(ages(WRITTEN + Duration::from_secs(90)), [90_500]);
-    assert_eq!(ages(WRITTEN - Duration::from_secs(90)), [500], "the time of day has stepped back");
+    assert_eq!(
+        ages(WRITTEN - Duration::from_secs(90)),
+        [500],
+        "the time of day has stepped back"
+    );
 }
--- a/crates/node/tests/unit/queue.rs
+++ b/crates/node/tests/unit/queue.rs
@@ -22,7 +22,9 @@
 #[test]
 fn a_queue_holds_so_many_frames() {
     let (sender, _receiver) = queue(3, 1_000);
-    let taken = (0..10).take_while(|_| sender.send(frame(1)).is_ok()).count();
+    let taken = (0..10)
+        .take_while(|_| sender.send(frame(1)).is_ok())
+        .count();
     assert_eq!(taken, 3);
 }
 
--- a/crates/node/tests/unit/sources.rs
+++ b/crates/node/tests/unit/sources.rs
@@ -8,7 +8,9 @@
 const A_MOMENT: Duration = Duration::from_millis(150);
 
 fn machines(count: u16) -> Vec<SocketAddr> {
-    (1..=count).map(|number| SocketAddr::from(([10, 0, 0, 1], number))).collect()
+    (1..=count)
+        .map(|number| SocketAddr::from(([10, 0, 0, 1], number)))
+        .collect()
 }
 
 #[test]
@@ -16,8 +18,16 @@
     let (mut sources, all, now) = (Sources::new(FEEDS), machines(3), Instant::now());
     assert_eq!(sources.choose(now, 0, &all), Some(all[0]));
     assert_eq!(sources.choose(now, 1, &all), Some(all[1]));
-    assert_eq!(sources.choose(now, 0, &all), Some(all[0]), "it may go on with its own");
-    assert_eq!(sources.choose(now, 1, &all[..1]), None, "the only one is taken");
+    assert_eq!(
+        sources.choose(now, 0, &all),
+        Some(all[0]),
+        "it may go on with its own"
+    );
+    assert_eq!(
+        sources.choose(now, 1, &all[..1]),
+        None,
+        "the only one is taken"
+    );
 }
 
 #[test]
--- a/crates/node/tests/unit/stall.rs
+++ b/crates/node/tests/unit/stall.rs
@@ -23,7 +23,10 @@
     let mut detector = StallDetector::new(start);
     let thawed = start + LONGEST_TURN + TURN;
     detector.turn(thawed);
-    assert!(detector.is_stale(thawed, thawed), "it may have waited at the socket all the while");
+    assert!(
+        detector.is_stale(thawed, thawed),
+        "it may have waited at the socket all the while"
+    );
     detector.turn(thawed + TURN);
     assert!(detector.is_stale(thawed + TURN, thawed + TURN));
     let later = thawed + SUSPECT;
