--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -90,7 +90,7 @@
 
 fn main() -> ExitCode {
     // The system's processes are this program again.
-    if let Some(code) = woadstall_node::command_line::run() {
+    if let Some(code) = woadstall_node::cli::run() {
         return code;
     }
     let arguments = Arguments::parse();
--- a/crates/explain/tests/golden.rs
+++ b/crates/explain/tests/golden.rs
@@ -90,12 +90,12 @@
 }
 
 #[test]
-fn the_mark_is_the_same() {
+fn the_mark_is_unchanged() {
     assert_eq!(MARK, "request report ");
 }
 
 #[test]
-fn report_lines_are_the_same() {
+fn report_lines_are_unchanged() {
     let lines: Vec<String> = reports().iter().map(RequestReport::to_string).collect();
     assert_golden("reports.log", &(lines.join("\n") + "\n"));
 }
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn tables_and_plot_are_the_same() {
+fn tables_and_plot_are_unchanged() {
     let mut summary = Summary::default();
     for (number, report) in reports().iter().enumerate() {
         summary.add(100 + 2 * number as u64, report);
@@ -125,14 +125,14 @@
 }
 
 #[test]
-fn empty_tables_and_plot_are_the_same() {
+fn empty_tables_and_plot_are_unchanged() {
     let summary = Summary::default();
     assert_golden("empty.txt", &summary.to_string());
     assert_golden("empty.svg", &plot(&summary).unwrap());
 }
 
 #[test]
-fn errors_are_the_same() {
+fn errors_are_unchanged() {
     let error = |line: &str| line.parse::<RequestReport>().unwrap_err().to_string();
     let line = report(Cause::Late).to_string();
     assert_eq!(error("nothing"), "the field `cause` is missing");
--- a/crates/node/tests/unit/why.rs
+++ b/crates/node/src/cli/why/tests.rs
@@ -1,3 +1,5 @@
+//! The lines that are reports, and the errors of files and lines.
+
 use super::*;
 
 const REPORT: &str = "request report cause=late route=r service=s zone=z priority=0 total=9 first=8 pause=0 target=5 \
@@ -10,22 +12,22 @@
 }
 
 #[test]
-fn reports_are_told_from_other_lines() {
-    let log = format!("00:00:01.500 INFO front starts\n00:01:02.250 INFO {REPORT}\n");
+fn reports_are_found_among_other_lines() {
+    let log = format!("00:00:01.500 INFO front_started\n00:01:02.250 INFO {REPORT}\n");
     let summary = fold(&log).unwrap();
     assert_eq!(summary.reports(), 1);
     assert!(summary.by_second().contains_key(&62));
 }
 
 #[test]
-fn a_report_that_is_cut_short_is_named_with_its_line() {
-    let cut = &REPORT[..REPORT.len() - 14];
-    let error = fold(&format!("first line\n{cut}\n")).unwrap_err();
+fn a_truncated_report_is_an_error_with_its_number() {
+    let truncated = &REPORT[..REPORT.len() - 14];
+    let error = fold(&format!("first line\n{truncated}\n")).unwrap_err();
     assert!(error.to_string().starts_with("a.log, line 2: "), "{error}");
 }
 
 #[test]
-fn a_log_that_is_not_there_is_named() {
+fn a_missing_log_is_an_error_with_its_path() {
     let error = run(&[PathBuf::from("/nowhere/a.log")], None).unwrap_err();
     assert!(error.to_string().starts_with("/nowhere/a.log: "));
 }
--- /dev/null
+++ b/crates/node/src/core/api/request.rs
@@ -0,0 +1,174 @@
+//! Parses requests to the API.
+
+use rouille::Request;
+use serde_json::Value;
+use std::io::{self, Read};
+use std::net::SocketAddr;
+use thiserror::Error;
+use woadstall_control::command::Command;
+use woadstall_control::machine::Question;
+use woadstall_control::reader::{Findings, Reader};
+use woadstall_control::registry::{Registration, Status};
+
+/// Bytes of a body at most.
+const MAX_BODY_BYTES: u64 = 6 << 20;
+
+/// A request that can be passed to the machine.
+#[derive(Clone, Debug)]
+pub(in crate::core) enum ApiRequest {
+    /// `PUT` or `PATCH /v1/config`, `POST` or `DELETE /v1/evacuations/ZONE`: a change of the replicated state.
+    Order(Command),
+    /// `GET /v1/config`.
+    ReadConfiguration,
+    /// `PUT /v1/instances/ID`: an upstream's heartbeat.
+    Register(Registration),
+    /// `DELETE /v1/instances/ID`: an upstream has left.
+    Deregister(String),
+    /// `GET /v1/resolve`: a client looks up balancers.
+    Resolve(Question),
+    /// `GET /v1/status`.
+    Status,
+}
+
+/// A request is rejected before it reaches the machine.
+#[derive(Debug, Error)]
+pub(super) enum RequestError {
+    /// Nothing has this path.
+    #[error("no such path\n")]
+    UnknownPath,
+    /// The path has no such method.
+    #[error("no such method here\n")]
+    UnknownMethod,
+    /// `If-Match` is missing or no number.
+    #[error("If-Match must hold the version that this builds on\n")]
+    InvalidIfMatch,
+    /// The request has no body.
+    #[error("no body\n")]
+    MissingBody,
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("the body is too large\n")]
+    BodyTooLarge,
+    /// The body can't be received.
+    #[error("the body can't be read: {0}\n")]
+    BodyIo(#[from] io::Error),
+    /// The body of a registration is not JSON.
+    #[error("the body can't be read: {0}\n")]
+    BodyJson(#[from] serde_json::Error),
+    /// The body of a change is not JSON.
+    #[error("(document): can't be read: {0}\n")]
+    ChangeJson(#[source] serde_json::Error),
+    /// Fields of a registration are missing or invalid.
+    #[error("{0}")]
+    InvalidFields(Findings),
+}
+
+/// Parses a request.
+///
+/// # Errors
+///
+/// The path or method is unknown, or headers or body are invalid.
+pub(super) fn parse(request: &Request) -> Result<ApiRequest, RequestError> {
+    let path = request.url();
+    let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+    match (request.method(), segments.as_slice()) {
+        ("PUT", ["v1", "instances", id]) => {
+            let body: Value = serde_json::from_slice(&read_body(request)?)?;
+            registration(id, &body).map(ApiRequest::Register)
+        }
+        ("DELETE", ["v1", "instances", id]) => Ok(ApiRequest::Deregister((*id).to_owned())),
+        ("GET", ["v1", "config"]) => Ok(ApiRequest::ReadConfiguration),
+        ("PUT", ["v1", "config"]) => {
+            let (base, body) = configuration_change(request)?;
+            Ok(ApiRequest::Order(Command::Put { base, body }))
+        }
+        ("PATCH", ["v1", "config"]) => {
+            let (base, body) = configuration_change(request)?;
+            Ok(ApiRequest::Order(Command::Patch { base, body }))
+        }
+        ("POST", ["v1", "evacuations", zone]) => Ok(ApiRequest::Order(Command::Evacuate {
+            zone: (*zone).to_owned(),
+        })),
+        ("DELETE", ["v1", "evacuations", zone]) => Ok(ApiRequest::Order(Command::Return {
+            zone: (*zone).to_owned(),
+        })),
+        ("GET", ["v1", "resolve"]) => Ok(ApiRequest::Resolve(directory_question(request))),
+        ("GET", ["v1", "status"]) => Ok(ApiRequest::Status),
+        (
+            _,
+            ["v1", "instances", _]
+            | ["v1", "evacuations", _]
+            | ["v1", "config" | "resolve" | "status"],
+        ) => Err(RequestError::UnknownMethod),
+        _ => Err(RequestError::UnknownPath),
+    }
+}
+
+fn directory_question(request: &Request) -> Question {
+    let parameter = |name: &str| request.get_param(name).unwrap_or_default();
+    Question {
+        client: request.remote_addr().ip().to_string(),
+        host: parameter("name"),
+        zone: parameter("zone"),
+        region: parameter("region"),
+    }
+}
+
+/// The version that a change builds on, and the change. One that is not JSON never becomes an order.
+fn configuration_change(request: &Request) -> Result<(u64, Vec<u8>), RequestError> {
+    let base = request
+        .header("If-Match")
+        .and_then(|value| value.trim().trim_matches('"').parse().ok())
+        .ok_or(RequestError::InvalidIfMatch)?;
+    let body = read_body(request)?;
+    serde_json::from_slice::<serde::de::IgnoredAny>(&body).map_err(RequestError::ChangeJson)?;
+    Ok((base, body))
+}
+
+fn read_body(request: &Request) -> Result<Vec<u8>, RequestError> {
+    let reader = request.data().ok_or(RequestError::MissingBody)?;
+    let mut body = Vec::new();
+    reader.take(MAX_BODY_BYTES + 1).read_to_end(&mut body)?;
+    if body.len() as u64 > MAX_BODY_BYTES {
+        return Err(RequestError::BodyTooLarge);
+    }
+    Ok(body)
+}
+
+fn registration(id: &str, body: &Value) -> Result<Registration, RequestError> {
+    let findings = &mut Findings::default();
+    let root = Reader::new(body);
+    let status = status(&root.field("state"), findings);
+    let registration = Registration {
+        id: id.to_owned(),
+        service: root.field("service").text(findings),
+        address: root.field("address").text(findings),
+        zone: root.field("zone").text(findings),
+        capacity: root.field("capacity").whole_or(1, findings),
+        sequence: root.field("sequence").whole_or(0, findings),
+        status,
+        cold_remaining_ms: root.field("cold_remaining_ms").number_or(0.0, findings) as u64,
+        remaining_ms: root.field("remaining_ms").number_or(0.0, findings) as u64,
+        age_ms: 0,
+    };
+    let address = &registration.address;
+    if !address.is_empty() && address.parse::<SocketAddr>().is_err() {
+        findings.add("address", "is no address with a port");
+    }
+    if findings.is_empty() {
+        Ok(registration)
+    } else {
+        Err(RequestError::InvalidFields(std::mem::take(findings)))
+    }
+}
+
+fn status(state: &Reader<'_>, findings: &mut Findings) -> Status {
+    match state.text(findings).as_str() {
+        // An empty or missing state has its finding already.
+        "ready" | "" => Status::Ready,
+        "draining" => Status::Draining,
+        other => {
+            findings.add(state.place(), format!("{other:?} is no state"));
+            Status::Ready
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/core/api/status.rs
@@ -0,0 +1,65 @@
+//! The status of a machine as JSON, for `woadstall status`. The keys are documented in `docs/system-operators.md`.
+
+use serde_json::{Value, json};
+use woadstall_control::machine::Machine;
+
+/// The status of a machine at a time of its clock, in milliseconds.
+pub(in crate::core) fn status(machine: &Machine, now: u64) -> String {
+    let replica = machine.replica();
+    json!({
+        "id": format!("{:x}", replica.id()),
+        "leader": replica.leader().map(|leader| format!("{leader:x}")),
+        "in_quorum": machine.in_quorum(),
+        "term": replica.term(),
+        "commit": replica.commit_index(),
+        "last": replica.log().last_index(),
+        "generation": machine.state().generation(),
+        "evacuated": machine.state().evacuated,
+        "members": members(machine),
+        "machines": machines(machine),
+        "readers": machine.readers().collect::<Vec<_>>(),
+        "upstreams": upstreams(machine, now),
+    })
+    .to_string()
+}
+
+fn members(machine: &Machine) -> Vec<Value> {
+    machine
+        .replica()
+        .members()
+        .members()
+        .map(|member| json!({ "id": format!("{:x}", member.id), "address": member.address }))
+        .collect()
+}
+
+fn machines(machine: &Machine) -> Vec<Value> {
+    machine
+        .machines()
+        .iter()
+        .map(|other| {
+            json!({
+                "address": other.member.address,
+                "zone": other.zone,
+                "control": other.control,
+            })
+        })
+        .collect()
+}
+
+fn upstreams(machine: &Machine, now: u64) -> Vec<Value> {
+    machine
+        .registry()
+        .all(now)
+        .iter()
+        .map(|upstream| {
+            json!({
+                "id": upstream.id,
+                "service": upstream.service,
+                "address": upstream.address,
+                "zone": upstream.zone,
+                "status": format!("{:?}", upstream.status),
+                "cold_remaining_ms": upstream.cold_remaining_ms,
+            })
+        })
+        .collect()
+}
--- a/crates/node/src/core/disk.rs
+++ b/crates/node/src/core/disk.rs
@@ -1,126 +1,171 @@
-//! The disk has a thread of its own: what waits while it writes is written together, with one sync.
+//! The disk's thread. Records that arrive while it writes are written together, with one sync.
 
-use super::hints::Hints;
-use super::{Event, Events};
+use super::event::{Event, EventSender};
+use super::registration_store::RegistrationStore;
+use crate::time::unix_time;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::thread;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use woadstall_consensus::Record;
 use woadstall_control::registry::Registration;
 use woadstall_storage::Storage;
 
-/// Wait after the disk has refused a write.
-const RETRY: Duration = Duration::from_millis(200);
+/// Time between attempts of a write that fails.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the thread is to do.
+/// A write.
 #[derive(Debug, PartialEq)]
-enum Job {
-    /// Make a record durable.
-    Record(u64, Record),
-    /// Keep the registrations, as the machine wishes under this number.
-    Registrations(u64, Vec<Registration>),
+enum WriteJob {
+    /// A record of the replicated log.
+    Record { sequence: u64, record: Record },
+    /// All registrations.
+    Registrations(RegistrationWrite),
 }
 
-/// The way to the disk's thread.
+/// Registrations to be written.
+#[derive(Debug, PartialEq)]
+struct RegistrationWrite {
+    /// The number of the machine's request that this write fulfils, or 0.
+    number: u64,
+    registrations: Vec<Registration>,
+}
+
+/// The handle of the disk's thread. Dropped, the thread ends.
 #[derive(Debug)]
 pub(super) struct Disk {
-    queue: Sender<Job>,
+    jobs: Sender<WriteJob>,
 }
 
 impl Disk {
     /// Starts the thread.
-    pub fn start(storage: Storage, hints: Hints, events: Events) -> Self {
-        let (queue, jobs) = channel();
-        thread::spawn(move || work(storage, hints, &jobs, &events));
-        Self { queue }
+    pub fn start(storage: Storage, store: RegistrationStore, events: EventSender) -> Self {
+        let (jobs, job_queue) = channel();
+        let writer = Writer {
+            storage,
+            store,
+            events,
+            pending_registrations: None,
+        };
+        thread::spawn(move || writer.run(&job_queue));
+        Self { jobs }
     }
 
-    /// Has a record written; [`Event::Persisted`] tells when it is durable.
-    pub fn write(&self, sequence: u64, record: Record) {
-        self.submit(Job::Record(sequence, record));
+    /// Writes a record; [`Event::RecordsPersisted`] follows when it is durable.
+    pub fn persist(&self, sequence: u64, record: Record) {
+        self.submit(WriteJob::Record { sequence, record });
     }
 
-    /// Has the registrations kept; [`Event::Kept`] tells when they are durable.
-    pub fn keep(&self, number: u64, registrations: Vec<Registration>) {
-        self.submit(Job::Registrations(number, registrations));
+    /// Writes the registrations; [`Event::RegistrationsSaved`] follows when they are durable.
+    pub fn save_registrations(&self, number: u64, registrations: Vec<Registration>) {
+        self.submit(WriteJob::Registrations(RegistrationWrite {
+            number,
+            registrations,
+        }));
     }
 
-    fn submit(&self, job: Job) {
-        if self.queue.send(job).is_err() {
-            log::error!("the disk's thread has ended");
+    fn submit(&self, job: WriteJob) {
+        if self.jobs.send(job).is_err() {
+            log::error!("disk_thread_ended");
         }
     }
 }
 
-/// Registrations that the disk has not taken yet, and the machine's wish that they meet.
-type Unkept = Option<(u64, Vec<Registration>)>;
+/// The receiver of events no longer exists: the process ends.
+struct Closed;
 
-fn work(mut storage: Storage, mut hints: Hints, jobs: &Receiver<Job>, events: &Events) {
-    let mut unkept: Unkept = None;
-    loop {
-        // What the disk has refused is tried again, without holding up the log.
-        let first = match unkept {
-            None => jobs.recv().map_err(|_| RecvTimeoutError::Disconnected),
-            Some(_) => jobs.recv_timeout(RETRY),
-        };
-        if first == Err(RecvTimeoutError::Disconnected) {
-            return;
+/// What the thread owns.
+struct Writer {
+    storage: Storage,
+    store: RegistrationStore,
+    events: EventSender,
+    /// Registrations that the disk has not accepted yet.
+    pending_registrations: Option<RegistrationWrite>,
+}
+
+impl Writer {
+    fn run(mut self, jobs: &Receiver<WriteJob>) {
+        loop {
+            let first = self.next_job(jobs);
+            if first == Err(RecvTimeoutError::Disconnected) {
+                return;
+            }
+            let batch: Vec<WriteJob> = first.into_iter().chain(jobs.try_iter()).collect();
+            if self.write(batch).is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Waits for a job, but not for longer than until registrations that could not be written are tried again.
+    fn next_job(&self, jobs: &Receiver<WriteJob>) -> Result<WriteJob, RecvTimeoutError> {
+        if self.pending_registrations.is_some() {
+            jobs.recv_timeout(RETRY_INTERVAL)
+        } else {
+            jobs.recv().map_err(|_| RecvTimeoutError::Disconnected)
         }
-        let (mut records, mut last) = (Vec::new(), None);
-        for job in first.into_iter().chain(jobs.try_iter()) {
+    }
+
+    fn write(&mut self, batch: Vec<WriteJob>) -> Result<(), Closed> {
+        let mut records = Vec::new();
+        let mut last_sequence = None;
+        for job in batch {
             match job {
-                Job::Record(sequence, record) => {
+                WriteJob::Record { sequence, record } => {
                     records.push(record);
-                    last = Some(sequence);
-                }
-                Job::Registrations(number, newest) => {
-                    let number = unkept.map_or(number, |(older, _)| older.max(number));
-                    unkept = Some((number, newest));
+                    last_sequence = Some(sequence);
                 }
+                WriteJob::Registrations(write) => self.replace_pending_registrations(write),
             }
         }
-        if let Some(last) = last {
-            write_until_done(&mut storage, &records);
-            if events.send(Event::Persisted(last)).is_err() {
-                return;
-            }
+        if let Some(sequence) = last_sequence {
+            self.persist_records(&records);
+            self.notify(Event::RecordsPersisted(sequence))?;
         }
-        if let Some(number) = keep(&mut hints, &mut unkept)
-            && events.send(Event::Kept(number)).is_err()
-        {
-            return;
+        if let Some(number) = self.try_save_registrations() {
+            self.notify(Event::RegistrationsSaved(number))?;
         }
+        Ok(())
     }
-}
 
-/// Writes the registrations, and tells the wish that this has met.
-fn keep(hints: &mut Hints, unkept: &mut Unkept) -> Option<u64> {
-    let (number, registrations) = unkept.as_ref()?;
-    match hints.write(registrations, time_of_day()) {
-        Ok(()) => {
-            let number = *number;
-            *unkept = None;
-            Some(number)
+    /// The newest registrations replace older ones, and fulfil the older requests too.
+    fn replace_pending_registrations(&mut self, mut write: RegistrationWrite) {
+        if let Some(older) = &self.pending_registrations {
+            write.number = write.number.max(older.number);
         }
-        Err(error) => {
-            log::warn!("registrations not kept: {error}");
-            None
+        self.pending_registrations = Some(write);
+    }
+
+    /// Writes records, however often that has to be tried.
+    fn persist_records(&mut self, records: &[Record]) {
+        let mut result = self.storage.write(records);
+        while let Err(error) = result {
+            log::warn!(
+                "log_write_failed retry_in_ms={} error={error}",
+                RETRY_INTERVAL.as_millis()
+            );
+            thread::sleep(RETRY_INTERVAL);
+            // The storage keeps records that it could not write.
+            result = self.storage.write(&[]);
         }
     }
-}
 
-fn write_until_done(storage: &mut Storage, records: &[Record]) {
-    let mut written = storage.write(records);
-    while let Err(error) = written {
-        log::warn!("write refused: {error}");
-        thread::sleep(RETRY);
-        written = storage.write(&[]);
+    /// Writes the pending registrations once. A failure does not delay the replicated log.
+    fn try_save_registrations(&mut self) -> Option<u64> {
+        let write = self.pending_registrations.take()?;
+        match self.store.save(&write.registrations, unix_time()) {
+            Ok(()) => Some(write.number),
+            Err(error) => {
+                log::warn!(
+                    "registration_write_failed retry_in_ms={} error={error}",
+                    RETRY_INTERVAL.as_millis()
+                );
+                self.pending_registrations = Some(write);
+                None
+            }
+        }
     }
-}
 
-/// The time since 1970.
-pub(super) fn time_of_day() -> Duration {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
+    fn notify(&self, event: Event) -> Result<(), Closed> {
+        self.events.send(event).map_err(|_| Closed)
+    }
 }
--- a/crates/node/tests/unit/queue.rs
+++ b/crates/node/src/core/frame_queue/tests.rs
@@ -1,6 +1,6 @@
 //! Bounds of the queues of frames.
 
-use super::{Overflow, queue};
+use super::{SendError, frame_queue};
 use bytes::Bytes;
 
 fn frame(size: usize) -> Bytes {
@@ -8,10 +8,10 @@
 }
 
 #[tokio::test]
-async fn a_queue_holds_so_many_bytes_and_has_room_again_once_they_are_taken() {
-    let (sender, mut receiver) = queue(100, 1_000);
+async fn the_limit_of_bytes_counts_queued_frames_only() {
+    let (sender, mut receiver) = frame_queue(100, 1_000);
     assert_eq!(sender.send(frame(600)), Ok(()));
-    assert_eq!(sender.send(frame(500)), Err(Overflow));
+    assert_eq!(sender.send(frame(500)), Err(SendError::Full));
     assert_eq!(sender.send(frame(400)), Ok(()));
     assert_eq!(receiver.receive().await.map(|frame| frame.len()), Some(600));
     assert_eq!(sender.send(frame(500)), Ok(()));
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_queue_holds_so_many_frames() {
-    let (sender, _receiver) = queue(3, 1_000);
+fn the_limit_of_frames_is_enforced() {
+    let (sender, _receiver) = frame_queue(3, 1_000);
     let taken = (0..10)
         .take_while(|_| sender.send(frame(1)).is_ok())
         .count();
@@ -29,11 +29,11 @@
 }
 
 #[test]
-fn one_frame_always_fits_and_a_closed_queue_takes_none() {
-    let (sender, receiver) = queue(3, 10);
+fn an_empty_queue_accepts_any_frame_and_a_closed_one_none() {
+    let (sender, receiver) = frame_queue(3, 10);
     assert_eq!(sender.send(frame(5_000)), Ok(()));
     drop(receiver);
-    let (sender, receiver) = queue(3, 10);
+    let (sender, receiver) = frame_queue(3, 10);
     drop(receiver);
-    assert_eq!(sender.send(frame(1)), Err(Overflow));
+    assert_eq!(sender.send(frame(1)), Err(SendError::Closed));
 }
--- a/crates/node/tests/unit/golden_core.rs
+++ b/crates/node/src/core/golden_tests.rs
@@ -1,7 +1,9 @@
 //! What a core process writes for others, to the byte: its disk, its identity, and its answers over HTTP.
 
-use super::hints::Hints;
-use super::{Event, Reply, api, first_state, founder_id};
+use super::api::{self, ApiRequest, ApiResponse};
+use super::bootstrap::{founder_id, initial_state};
+use super::event::Event;
+use super::registration_store::RegistrationStore;
 use crate::settings::NodeSettings;
 use serde_json::json;
 use std::fmt::Write;
@@ -66,11 +68,11 @@
 }
 
 #[test]
-fn files_of_registrations_are_the_same() {
+fn files_of_registrations_are_unchanged() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
-    hints.write(&registrations(), WRITTEN).unwrap();
-    hints.write(&many_registrations(), WRITTEN).unwrap();
+    let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
+    store.save(&registrations(), WRITTEN).unwrap();
+    store.save(&many_registrations(), WRITTEN).unwrap();
     let written = |name: &str| std::fs::read(folder.path().join(name)).unwrap();
     assert_golden("registrations-1", &written("registrations-1"));
     assert_golden("registrations-0", &written("registrations-0"));
@@ -86,10 +88,10 @@
     ] {
         let folder = tempfile::tempdir().unwrap();
         std::fs::copy(golden.join(name), folder.path().join(name)).unwrap();
-        let (_, read) = Hints::open(folder.path(), WRITTEN);
+        let (_, read) = RegistrationStore::open(folder.path(), WRITTEN);
         assert_eq!(read, expected, "{name}");
     }
-    let (_, newest) = Hints::open(&golden, WRITTEN + Duration::from_millis(7));
+    let (_, newest) = RegistrationStore::open(&golden, WRITTEN + Duration::from_millis(7));
     assert_eq!(newest.len(), 40, "the second writing is newer");
     assert_eq!(newest[0].age_ms, 357);
 }
@@ -106,9 +108,9 @@
 }
 
 #[test]
-fn founders_have_the_same_identity_and_the_same_first_state() {
+fn founders_keep_their_identity_and_initial_state() {
     let control: SocketAddr = "10.2.0.1:7000".parse().unwrap();
-    let state = first_state(&settings_with_seeds(true), control);
+    let state = initial_state(&settings_with_seeds(true), control);
     let mut text = format!(
         "id={:x} term={} vote={} commit={}\n",
         state.id, state.term, state.vote, state.commit
@@ -138,7 +140,7 @@
 fn others_begin_without_members() {
     let others = [(false, "10.2.0.1:7000"), (true, "10.4.0.1:7000")];
     for (bootstrap, control) in others {
-        let state = first_state(&settings_with_seeds(bootstrap), control.parse().unwrap());
+        let state = initial_state(&settings_with_seeds(bootstrap), control.parse().unwrap());
         assert_eq!(
             (state.term, state.vote, state.commit, state.log.last_index()),
             (0, 0, 0, 0)
@@ -154,37 +156,40 @@
         .unwrap()
 }
 
-/// The API of a machine that gives this answer to each call; the calls come out in the channel.
-fn start_api(answer: Reply) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
+/// The API of a machine that gives this response to each request; the requests come out in the channel.
+fn start_api(response: ApiResponse) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
     let (events, mut received) = mpsc::unbounded_channel();
     let control = free_address();
     api::start(&settings_with_seeds(true), control, &events).unwrap();
     let (tell, calls) = std::sync::mpsc::channel();
     thread::spawn(move || {
         while let Some(event) = received.blocking_recv() {
-            if let Event::Call { call, reply, .. } = event {
-                tell.send(described(call)).ok();
-                reply.try_send(answer.clone()).ok();
+            if let Event::Api {
+                request, responder, ..
+            } = event
+            {
+                tell.send(described(request)).ok();
+                responder.try_send(response.clone()).ok();
             }
         }
     });
     (control, calls)
 }
 
-fn described(call: api::Call) -> String {
+fn described(request: ApiRequest) -> String {
     use woadstall_control::command::Command;
     let shown = |body: &[u8]| body.escape_ascii().to_string();
-    match call {
-        api::Call::Order(Command::Put { base, body }) => {
+    match request {
+        ApiRequest::Order(Command::Put { base, body }) => {
             format!("put base={base} body={}", shown(&body))
         }
-        api::Call::Order(Command::Patch { base, body }) => {
+        ApiRequest::Order(Command::Patch { base, body }) => {
             format!("patch base={base} body={}", shown(&body))
         }
-        api::Call::Order(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
-        api::Call::Order(Command::Return { zone }) => format!("return zone={zone}"),
-        api::Call::ReadConfiguration => "read configuration".to_owned(),
-        api::Call::Register(registration) => {
+        ApiRequest::Order(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
+        ApiRequest::Order(Command::Return { zone }) => format!("return zone={zone}"),
+        ApiRequest::ReadConfiguration => "read configuration".to_owned(),
+        ApiRequest::Register(registration) => {
             let Registration {
                 id,
                 service,
@@ -203,12 +208,12 @@
                  remaining_ms={remaining_ms} age_ms={age_ms}"
             )
         }
-        api::Call::Deregister(id) => format!("deregister id={id}"),
-        api::Call::Resolve(question) => format!(
+        ApiRequest::Deregister(id) => format!("deregister id={id}"),
+        ApiRequest::Resolve(question) => format!(
             "resolve client={} host={} zone={} region={}",
             question.client, question.host, question.zone, question.region
         ),
-        api::Call::Status => "status".to_owned(),
+        ApiRequest::Status => "status".to_owned(),
     }
 }
 
@@ -288,7 +293,7 @@
         ("GET", "/v1/other", None, ""),
         ("GET", "/", None, ""),
     ];
-    let (address, received) = start_api(Reply::Answer(Answer::Done));
+    let (address, received) = start_api(ApiResponse::Machine(Answer::Done));
     let mut text = String::new();
     for (method, path, if_match, body) in calls {
         let answer = call(address, method, path, if_match, body);
@@ -304,7 +309,7 @@
 
 #[test]
 fn bodies_that_are_too_large_are_refused_as_before() {
-    let (address, _received) = start_api(Reply::Answer(Answer::Done));
+    let (address, _received) = start_api(ApiResponse::Machine(Answer::Done));
     let body = format!("\"{}\"", "x".repeat(6 << 20));
     let answer = call(address, "PUT", "/v1/config", Some("3"), &body);
     assert_eq!(
@@ -314,45 +319,50 @@
 }
 
 #[test]
-fn answers_are_the_same() {
+fn responses_are_unchanged() {
     let addresses = vec!["10.1.0.2:80".to_owned(), "10.1.0.3:80".to_owned()];
-    let answers = [
-        ("done", Reply::Answer(Answer::Done)),
-        ("conflict", Reply::Answer(Answer::Conflict { current: 7 })),
+    let responses = [
+        ("done", ApiResponse::Machine(Answer::Done)),
+        (
+            "conflict",
+            ApiResponse::Machine(Answer::Conflict { current: 7 }),
+        ),
         (
             "invalid",
-            Reply::Answer(Answer::Invalid {
+            ApiResponse::Machine(Answer::Invalid {
                 findings: "routes[0]: is missing\n".to_owned(),
             }),
         ),
         (
             "document",
-            Reply::Answer(Answer::Document(br#"{"generation":3}"#.to_vec())),
+            ApiResponse::Machine(Answer::Document(br#"{"generation":3}"#.to_vec())),
         ),
-        ("unclear", Reply::Answer(Answer::Unclear)),
+        ("unclear", ApiResponse::Machine(Answer::Unclear)),
         (
             "registered",
-            Reply::Registered("http://10.1.0.1:7000/v1/instances/i-1".to_owned()),
+            ApiResponse::Registered {
+                heartbeat_url: "http://10.1.0.1:7000/v1/instances/i-1".to_owned(),
+            },
         ),
         (
             "balancers",
-            Reply::Balancers(Resolved {
+            ApiResponse::Balancers(Resolved {
                 addresses,
                 ttl_s: 5,
             }),
         ),
         (
             "no balancers",
-            Reply::Balancers(Resolved {
+            ApiResponse::Balancers(Resolved {
                 addresses: Vec::new(),
                 ttl_s: 5,
             }),
         ),
-        ("status", Reply::Status(r#"{"id":"1"}"#.to_owned())),
+        ("status", ApiResponse::Status(r#"{"id":"1"}"#.to_owned())),
     ];
     let mut text = String::new();
-    for (name, reply) in answers {
-        let (address, _received) = start_api(reply);
+    for (name, response) in responses {
+        let (address, _received) = start_api(response);
         writeln!(
             text,
             "{name}: {}",
@@ -398,7 +408,7 @@
 }
 
 #[test]
-fn the_status_is_the_same() {
+fn the_status_is_unchanged() {
     let mut machine = machine(&["10.2.0.1:7001", "10.3.0.1:7001"]);
     assert_golden("status-first.json", api::status(&machine, 0).as_bytes());
     machine.remember(registrations());
--- /dev/null
+++ b/crates/node/src/core/listener.rs
@@ -0,0 +1,99 @@
+//! Incoming connections: other core machines that send packets, and balancers that subscribe to the change feed.
+
+use super::event::{Event, EventSender};
+use super::frame_queue::frame_queue;
+use super::peers::write_frames;
+use crate::packet_stream::{self, read_packet};
+use crate::tcp::enable_dead_peer_detection;
+use std::io::{self, ErrorKind};
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{sleep, timeout};
+use woadstall_control::wire::Packet;
+
+/// Limits of a subscriber's queue.
+const MAX_QUEUED_FRAMES: usize = 512;
+const MAX_QUEUED_BYTES: usize = 8 << 20;
+/// How long a new connection may take to send its first packet.
+const FIRST_PACKET_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause after a failed accept, such as for lack of descriptors.
+pub(super) const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Accepts connections, for as long as the process runs.
+pub(super) async fn run(listener: TcpListener, events: EventSender) {
+    for connection_number in 1.. {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                tokio::spawn(handle_connection(connection_number, stream, events.clone()));
+            }
+            Err(error) => {
+                log::warn!("accept_failed error={error}");
+                sleep(ACCEPT_RETRY_INTERVAL).await;
+            }
+        }
+    }
+}
+
+async fn handle_connection(number: u64, stream: TcpStream, events: EventSender) {
+    if let Err(error) = serve_connection(number, stream, events).await
+        && error.kind() == ErrorKind::InvalidData
+    {
+        log::warn!("connection_rejected error={error}");
+    }
+}
+
+/// The first packet of a connection tells who its peer is.
+async fn serve_connection(
+    number: u64,
+    mut stream: TcpStream,
+    events: EventSender,
+) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    enable_dead_peer_detection(&stream, packet_stream::USER_TIMEOUT)?;
+    let first = timeout(FIRST_PACKET_TIMEOUT, read_packet(&mut stream)).await??;
+    match &first {
+        Packet::Hello { machine, .. } => {
+            let peer = machine.member.address.clone();
+            receive_packets(peer, first, &mut stream, &events).await
+        }
+        Packet::Subscribe { .. } => serve_subscriber(number, first, &mut stream, &events).await,
+        _ => Err(io::Error::new(
+            ErrorKind::InvalidData,
+            "neither a machine nor a balancer",
+        )),
+    }
+}
+
+async fn receive_packets(
+    peer: String,
+    first: Packet,
+    stream: &mut TcpStream,
+    events: &EventSender,
+) -> io::Result<()> {
+    let mut packet = first;
+    loop {
+        let from = peer.clone();
+        if events.send(Event::Packet { from, packet }).is_err() {
+            return Ok(());
+        }
+        packet = read_packet(stream).await?;
+    }
+}
+
+async fn serve_subscriber(
+    number: u64,
+    request: Packet,
+    stream: &mut TcpStream,
+    events: &EventSender,
+) -> io::Result<()> {
+    let (queue, mut frames) = frame_queue(MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES);
+    let subscribe = Event::Subscribe {
+        subscriber: number,
+        packet: request,
+        queue,
+    };
+    events.send(subscribe).ok();
+    let result = write_frames(stream, &mut frames).await;
+    events.send(Event::Unsubscribe(number)).ok();
+    result
+}
--- /dev/null
+++ b/crates/node/src/core/process.rs
@@ -0,0 +1,322 @@
+//! The task that owns the control machine: it feeds events into the machine and executes the actions that come out.
+
+use super::api::{self, ApiRequest, ApiResponse};
+use super::disk::Disk;
+use super::event::{Event, EventSender};
+use super::frame_queue::FrameSender;
+use super::peers::Peers;
+use super::stall::StallDetector;
+use super::{CoreError, addresses};
+use crate::error::SetupError;
+use crate::settings::{NodeSettings, SettingsWatcher};
+use crate::time::millis;
+use bytes::Bytes;
+use std::collections::{BTreeMap, HashMap};
+use std::sync::mpsc::SyncSender;
+use std::time::{Duration, Instant};
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::{MissedTickBehavior, interval};
+use woadstall_control::machine::{Action, Answer, Machine};
+use woadstall_control::wire::Packet;
+
+/// How often the machine's clock advances.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often the settings file is checked for changes.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time between two writes of changed registrations.
+const REGISTRATION_SAVE_INTERVAL: Duration = Duration::from_millis(500);
+/// How often registrations are written although none has changed, so that their age is known after a restart.
+const REGISTRATION_REFRESH_INTERVAL: Duration = Duration::from_secs(10);
+/// How long requests are still answered after SIGTERM, while leadership is transferred.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(600);
+/// The same while another machine replaces this one as a voter.
+const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(2_000);
+
+/// What a process is made of.
+pub(super) struct Parts {
+    pub machine: Machine,
+    pub disk: Disk,
+    pub watcher: SettingsWatcher,
+    pub events: EventSender,
+}
+
+/// A core process while it runs.
+pub(super) struct Process {
+    started: Instant,
+    machine: Machine,
+    peers: Peers,
+    disk: Disk,
+    /// The registry's version that was last given to the disk.
+    saved_version: u64,
+    saved_at: Instant,
+    stalls: StallDetector,
+    watcher: SettingsWatcher,
+    settings_checked: Instant,
+    /// Queues of the balancers that read the feed, by the number of their connection.
+    subscribers: BTreeMap<u64, FrameSender>,
+    /// Requests that the machine has not answered, by their token.
+    pending_requests: HashMap<u64, PendingRequest>,
+    last_token: u64,
+}
+
+/// A request that waits for the machine's answer.
+struct PendingRequest {
+    responder: SyncSender<ApiResponse>,
+    /// For a registration: where the upstream sends its later heartbeats.
+    heartbeat_url: Option<String>,
+}
+
+impl Process {
+    /// A process that has not begun to run.
+    pub fn new(parts: Parts) -> Self {
+        let Parts {
+            machine,
+            disk,
+            watcher,
+            events,
+        } = parts;
+        let now = Instant::now();
+        Self {
+            started: now,
+            machine,
+            peers: Peers::new(events),
+            disk,
+            saved_version: 0,
+            saved_at: now,
+            stalls: StallDetector::new(now),
+            watcher,
+            settings_checked: now,
+            subscribers: BTreeMap::new(),
+            pending_requests: HashMap::new(),
+            last_token: 0,
+        }
+    }
+
+    /// Runs until SIGTERM, and then until leadership has been transferred or that has taken too long.
+    pub async fn run(mut self, mut events: UnboundedReceiver<Event>) -> Result<(), CoreError> {
+        let mut terminate =
+            signal(SignalKind::terminate()).map_err(SetupError::during("SIGTERM"))?;
+        let mut hangup = signal(SignalKind::hangup()).map_err(SetupError::during("SIGHUP"))?;
+        let mut ticks = interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut shutdown_began: Option<Instant> = None;
+        self.execute_actions();
+        loop {
+            tokio::select! {
+                event = events.recv() => {
+                    let Some(event) = event else { return Ok(()) };
+                    self.stalls.record_iteration(Instant::now());
+                    self.handle(event);
+                }
+                _ = ticks.tick() => {
+                    self.stalls.record_iteration(Instant::now());
+                    self.machine.tick(self.now());
+                }
+                _ = hangup.recv() => {
+                    let settings = self.watcher.reload();
+                    self.apply_settings(settings);
+                }
+                _ = terminate.recv() => {
+                    log::info!("shutdown_started signal=SIGTERM");
+                    self.machine.leave(self.now());
+                    shutdown_began = Some(Instant::now());
+                }
+            }
+            // Events that have arrived meanwhile are handled before anything is sent.
+            while let Ok(event) = events.try_recv() {
+                self.handle(event);
+            }
+            self.execute_actions();
+            self.save_registrations_if_due();
+            if self.settings_checked.elapsed() >= SETTINGS_CHECK_INTERVAL {
+                let settings = self.watcher.reload_if_modified();
+                self.apply_settings(settings);
+            }
+            if shutdown_began.is_some_and(|began| began.elapsed() > self.shutdown_timeout()) {
+                return Ok(());
+            }
+        }
+    }
+
+    fn shutdown_timeout(&self) -> Duration {
+        if self.machine.is_being_replaced() {
+            REPLACEMENT_TIMEOUT
+        } else {
+            SHUTDOWN_TIMEOUT
+        }
+    }
+
+    /// Milliseconds since the start: the machine's clock.
+    fn now(&self) -> u64 {
+        millis(self.started.elapsed())
+    }
+
+    fn handle(&mut self, event: Event) {
+        let now = self.now();
+        match event {
+            Event::PeerConnected(address) => self.machine.link_up(now, &address),
+            Event::Packet {
+                packet: Packet::Heartbeat(heartbeat),
+                ..
+            } => self.machine.heartbeat(now, heartbeat),
+            Event::Packet { from, packet } => self.machine.packet(now, &from, packet),
+            Event::Subscribe {
+                subscriber,
+                packet,
+                queue,
+            } => {
+                self.subscribers.insert(subscriber, queue);
+                self.machine.subscribe(now, subscriber, &packet);
+            }
+            Event::Unsubscribe(subscriber) => self.unsubscribe(subscriber),
+            Event::RecordsPersisted(sequence) => self.machine.persisted(now, sequence),
+            Event::RegistrationsSaved(number) => self.machine.kept(now, number),
+            Event::Api {
+                request,
+                received_at,
+                responder,
+            } => self.handle_request(now, request, received_at, responder),
+        }
+    }
+
+    fn unsubscribe(&mut self, subscriber: u64) {
+        self.subscribers.remove(&subscriber);
+        self.machine.unsubscribe(subscriber);
+    }
+
+    fn handle_request(
+        &mut self,
+        now: u64,
+        request: ApiRequest,
+        received_at: Instant,
+        responder: SyncSender<ApiResponse>,
+    ) {
+        let is_order = matches!(request, ApiRequest::Order(_));
+        if is_order && self.stalls.is_stale(Instant::now(), received_at) {
+            respond(&responder, ApiResponse::Machine(Answer::Unclear));
+            return;
+        }
+        self.last_token += 1;
+        let token = self.last_token;
+        match request {
+            ApiRequest::Order(command) => {
+                self.add_pending(token, responder, None);
+                self.machine.order(now, token, command);
+            }
+            ApiRequest::ReadConfiguration => {
+                self.add_pending(token, responder, None);
+                self.machine.read(now, token);
+            }
+            ApiRequest::Register(registration) => {
+                let heartbeat_url = self
+                    .machine
+                    .heartbeat_address(&registration.id, &registration.zone);
+                self.add_pending(token, responder, heartbeat_url);
+                self.machine.register(now, token, registration);
+            }
+            ApiRequest::Deregister(id) => {
+                self.add_pending(token, responder, None);
+                self.machine.deregister(now, token, &id);
+            }
+            ApiRequest::Resolve(question) => {
+                let balancers = self.machine.resolve(&question);
+                respond(&responder, ApiResponse::Balancers(balancers));
+            }
+            ApiRequest::Status => {
+                let status = api::status(&self.machine, now);
+                respond(&responder, ApiResponse::Status(status));
+            }
+        }
+    }
+
+    fn add_pending(
+        &mut self,
+        token: u64,
+        responder: SyncSender<ApiResponse>,
+        heartbeat_url: Option<String>,
+    ) {
+        let pending = PendingRequest {
+            responder,
+            heartbeat_url,
+        };
+        self.pending_requests.insert(token, pending);
+    }
+
+    /// Applies what may change while the process runs: the seeds.
+    fn apply_settings(&mut self, settings: Option<NodeSettings>) {
+        self.settings_checked = Instant::now();
+        if let Some(settings) = settings {
+            self.machine
+                .set_seeds(addresses(&settings.internal_seeds()));
+        }
+    }
+
+    fn save_registrations_if_due(&mut self) {
+        let has_changed = self.machine.registry_version() != self.saved_version;
+        let elapsed = self.saved_at.elapsed();
+        let is_due = elapsed >= REGISTRATION_REFRESH_INTERVAL
+            || has_changed && elapsed >= REGISTRATION_SAVE_INTERVAL;
+        if is_due {
+            self.save_registrations(0);
+        }
+    }
+
+    /// Has the disk write the registrations; `number` is that of the machine's request, or 0.
+    fn save_registrations(&mut self, number: u64) {
+        self.saved_version = self.machine.registry_version();
+        self.saved_at = Instant::now();
+        self.disk
+            .save_registrations(number, self.machine.registrations());
+    }
+
+    fn execute_actions(&mut self) {
+        let mut save_number = None;
+        for action in self.machine.take_actions() {
+            match action {
+                Action::Connect { address } => self.peers.connect(address),
+                Action::Disconnect { address } => self.peers.disconnect(&address),
+                Action::Send { address, packet } => self.peers.send(&address, &packet),
+                Action::Persist { sequence, record } => self.disk.persist(sequence, record),
+                Action::KeepRegistrations { number } => save_number = Some(number),
+                Action::Answer { token, answer } => self.complete_request(token, answer),
+                Action::Deliver {
+                    subscribers,
+                    packet,
+                } => self.deliver(&subscribers, &packet),
+                Action::Log(line) => log::info!("{line}"),
+            }
+        }
+        // After the other actions: one write includes all that they have changed.
+        if let Some(number) = save_number {
+            self.save_registrations(number);
+        }
+    }
+
+    /// Sends a packet to subscribers, encoded once. One whose queue is full is disconnected; it reconnects and gets a snapshot.
+    fn deliver(&mut self, subscribers: &[u64], packet: &Packet) {
+        let frame = Bytes::from(packet.frame());
+        for subscriber in subscribers {
+            let queue = self.subscribers.get(subscriber);
+            if queue.is_some_and(|queue| queue.send(frame.clone()).is_err()) {
+                self.unsubscribe(*subscriber);
+            }
+        }
+    }
+
+    fn complete_request(&mut self, token: u64, answer: Answer) {
+        let Some(pending) = self.pending_requests.remove(&token) else {
+            return;
+        };
+        let response = match (answer, pending.heartbeat_url) {
+            (Answer::Done, Some(url)) => ApiResponse::Registered { heartbeat_url: url },
+            (answer, _) => ApiResponse::Machine(answer),
+        };
+        respond(&pending.responder, response);
+    }
+}
+
+/// Hands a response to the thread that waits for it. One that has timed out takes none.
+fn respond(responder: &SyncSender<ApiResponse>, response: ApiResponse) {
+    responder.try_send(response).ok();
+}
--- a/crates/node/tests/unit/hints.rs
+++ b/crates/node/src/core/registration_store/tests.rs
@@ -1,6 +1,6 @@
-//! Registrations on disk: by turns in two files, and no longer believed when they are old.
+//! Registrations on the disk: two files that are written alternately, torn files, and ages.
 
-use super::{Hints, path};
+use super::{RegistrationStore, path};
 use std::time::Duration;
 use woadstall_control::registry::{Registration, Status};
 
@@ -22,7 +22,7 @@
 }
 
 fn statuses(folder: &std::path::Path, after: Duration) -> Vec<Status> {
-    let (_, registrations) = Hints::open(folder, WRITTEN + after);
+    let (_, registrations) = RegistrationStore::open(folder, WRITTEN + after);
     registrations
         .iter()
         .map(|registration| registration.status)
@@ -30,41 +30,39 @@
 }
 
 #[test]
-fn what_was_written_last_is_read() {
+fn the_newest_write_is_read() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut hints, none) = Hints::open(folder.path(), WRITTEN);
+    let (mut store, none) = RegistrationStore::open(folder.path(), WRITTEN);
     assert!(none.is_empty());
     for status in [Status::Ready, Status::Draining, Status::Gone] {
-        hints
-            .write(&[registration("i-1", status)], WRITTEN)
-            .unwrap();
+        store.save(&[registration("i-1", status)], WRITTEN).unwrap();
         assert_eq!(statuses(folder.path(), Duration::ZERO), [status]);
     }
 }
 
 #[test]
-fn a_torn_file_leaves_the_one_before_it_and_is_written_next() {
+fn a_torn_file_is_ignored_and_overwritten_next() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
-    hints
-        .write(&[registration("i-1", Status::Draining)], WRITTEN)
+    let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
+    store
+        .save(&[registration("i-1", Status::Draining)], WRITTEN)
         .unwrap();
-    hints
-        .write(&[registration("i-1", Status::Gone)], WRITTEN)
+    store
+        .save(&[registration("i-1", Status::Gone)], WRITTEN)
         .unwrap();
-    let newest = path(folder.path(), hints.number % super::FILES);
-    let whole = std::fs::read(&newest).unwrap();
-    for length in 0..whole.len() {
-        std::fs::write(&newest, &whole[..length]).unwrap();
+    let newest = path(folder.path(), store.number % super::FILES);
+    let complete = std::fs::read(&newest).unwrap();
+    for length in 0..complete.len() {
+        std::fs::write(&newest, &complete[..length]).unwrap();
         assert_eq!(
             statuses(folder.path(), Duration::ZERO),
             [Status::Draining],
-            "cut to {length} bytes"
+            "truncated to {length} bytes"
         );
     }
-    let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
-    hints
-        .write(&[registration("i-1", Status::Gone)], WRITTEN)
+    let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
+    store
+        .save(&[registration("i-1", Status::Gone)], WRITTEN)
         .unwrap();
     assert_eq!(statuses(folder.path(), Duration::ZERO), [Status::Gone]);
 }
@@ -72,14 +70,14 @@
 #[test]
 fn registrations_age_while_the_machine_is_down() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
+    let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
     let heard = Registration {
         age_ms: 500,
         ..registration("i-1", Status::Ready)
     };
-    hints.write(&[heard], WRITTEN).unwrap();
+    store.save(&[heard], WRITTEN).unwrap();
     let ages = |time_of_day: Duration| -> Vec<u64> {
-        let (_, registrations) = Hints::open(folder.path(), time_of_day);
+        let (_, registrations) = RegistrationStore::open(folder.path(), time_of_day);
         registrations
             .iter()
             .map(|registration| registration.age_ms)
--- a/crates/node/src/core/stall.rs
+++ b/crates/node/src/core/stall.rs
@@ -1,46 +1,45 @@
-//! Notices that the process stood still. What waits at its sockets then may be older than its callers' patience, and an order
-//! that its caller has given up must not be taken: another one may have been acknowledged since.
+//! Detects that the process was suspended or starved. Requests that wait at its sockets then may be older than their callers'
+//! time-out. An order that its caller has given up must not be executed: another one may have been acknowledged since.
 
 use std::time::{Duration, Instant};
 
-/// How long one turn of the process may take; a turn is due every 50 ms.
-const LONGEST_TURN: Duration = Duration::from_millis(500);
-/// How long after a stall calls may still come out of the sockets' queues.
-const SUSPECT: Duration = Duration::from_secs(1);
-/// How long a call may have waited inside the process.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+/// How long one iteration of the event loop may take; one is due every 50 ms.
+const MAX_ITERATION: Duration = Duration::from_millis(500);
+/// How long after a stall requests may still arrive from the sockets' buffers.
+const SUSPECT_PERIOD: Duration = Duration::from_secs(1);
+/// How long a request may have waited inside the process.
+const MAX_QUEUE_TIME: Duration = Duration::from_millis(500);
 
-/// Watches the process's turns.
+/// Measures the iterations of the event loop.
 #[derive(Debug)]
 pub(super) struct StallDetector {
-    last_turn: Instant,
+    last_iteration: Instant,
     suspect_until: Option<Instant>,
 }
 
 impl StallDetector {
-    /// A detector for a process that has its first turn now.
+    /// A detector for an event loop that begins now.
     pub fn new(now: Instant) -> Self {
         Self {
-            last_turn: now,
+            last_iteration: now,
             suspect_until: None,
         }
     }
 
-    /// A turn begins.
-    pub fn turn(&mut self, now: Instant) {
-        if now.duration_since(self.last_turn) > LONGEST_TURN {
-            self.suspect_until = Some(now + SUSPECT);
+    /// Notes that an iteration begins.
+    pub fn record_iteration(&mut self, now: Instant) {
+        if now.duration_since(self.last_iteration) > MAX_ITERATION {
+            self.suspect_until = Some(now + SUSPECT_PERIOD);
         }
-        self.last_turn = now;
+        self.last_iteration = now;
     }
 
-    /// Whether a call that was read at this time may be older than it seems.
-    pub fn is_stale(&self, now: Instant, read_at: Instant) -> bool {
+    /// Whether a request that was read at `received_at` may be older than its caller's time-out.
+    pub fn is_stale(&self, now: Instant, received_at: Instant) -> bool {
         let is_suspect = self.suspect_until.is_some_and(|until| now < until);
-        is_suspect || now.duration_since(read_at) > LONGEST_WAIT
+        is_suspect || now.duration_since(received_at) > MAX_QUEUE_TIME
     }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/stall.rs"]
 mod tests;
--- /dev/null
+++ b/crates/node/src/front/attempt/mod.rs
@@ -0,0 +1,319 @@
+//! One attempt of a request at one upstream: until the response is complete, or for a stream until its head has come.
+
+mod headers;
+mod in_flight;
+
+pub(super) use headers::{DEADLINE, KeepAlive, REQUEST_ID};
+pub(super) use in_flight::InFlight;
+
+use super::pool::{PoolError, PooledConnection};
+use super::state::Front;
+use bytes::{Bytes, BytesMut};
+use headers::{is_rejection, is_valid_response, keep_alive, upstream_request};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use hyper::header::HeaderValue;
+use hyper::http::request;
+use hyper::http::response::Parts;
+use hyper::{Response, StatusCode};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use thiserror::Error;
+use tokio::time::{Instant, timeout_at};
+use woadstall_inbound::lock;
+use woadstall_routing::{Outcome, Target};
+use woadstall_transport::{Outgoing, end_to_end};
+
+/// Bytes of a response at most that is received completely before it is forwarded.
+const MAX_BUFFERED_RESPONSE: usize = 8 << 20;
+
+/// A request as it is sent to upstreams.
+pub(super) struct ForwardedRequest {
+    /// The client's head without hop-by-hop headers.
+    pub head: request::Parts,
+    /// The body.
+    pub body: Bytes,
+    /// The value of `Request-Id`.
+    pub id: HeaderValue,
+    /// Its priority at the upstream; 0 is the highest.
+    pub priority: u8,
+    /// When it must be answered.
+    pub deadline: Instant,
+    /// How its response is forwarded.
+    pub response_mode: ResponseMode,
+}
+
+/// How a response is forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ResponseMode {
+    /// Once it is complete.
+    Buffered,
+    /// As it arrives, if its status is a success.
+    Streaming,
+}
+
+/// How an attempt has ended.
+pub(super) enum AttemptResult {
+    /// Nothing was sent.
+    NotSent,
+    /// The upstream did not execute the request.
+    Rejected,
+    /// There is no response, and the upstream may have executed the request.
+    Failed,
+    /// The deadline has passed, and the upstream may have executed the request.
+    TimedOut,
+    /// A complete response.
+    Complete(Parts, Bytes),
+    /// The head of a streamed response.
+    Streaming(Box<StreamingResponse>),
+}
+
+/// A response whose body is still to come.
+pub(super) struct StreamingResponse {
+    pub parts: Parts,
+    pub body: Incoming,
+    pub connection: PooledConnection,
+    pub in_flight: InFlight,
+    /// How long the upstream keeps the connection open after the response.
+    pub keep_alive: KeepAlive,
+}
+
+/// A request got no response.
+#[derive(Debug, Error)]
+enum SendError {
+    /// The connection broke before anything was written.
+    #[error("not sent: {0}")]
+    NotSent(#[source] hyper::Error),
+    /// The connection broke after something was written.
+    #[error("no response: {0}")]
+    NoResponse(#[source] hyper::Error),
+    /// The deadline passed before anything was written.
+    #[error("the deadline passed before the request was sent")]
+    DeadlineBeforeSend,
+    /// The deadline passed after something was written.
+    #[error("the deadline passed before a response came")]
+    DeadlineBeforeResponse,
+}
+
+/// Sends a request to an upstream.
+pub(super) async fn attempt(
+    front: &Arc<Front>,
+    request: &ForwardedRequest,
+    target: Target,
+) -> AttemptResult {
+    let in_flight = InFlight::new(front, target);
+    let acquired = timeout_at(request.deadline, front.pool.acquire(&in_flight.target)).await;
+    let connection = match acquired {
+        Ok(Ok(connection)) => connection,
+        Ok(Err(PoolError::Full)) => {
+            in_flight.end(Outcome::Rejected);
+            return AttemptResult::NotSent;
+        }
+        Ok(Err(PoolError::Unreachable(error))) => {
+            log::debug!(
+                "upstream_unreachable upstream={} error={error}",
+                in_flight.target.id
+            );
+            in_flight.end(Outcome::Unreachable);
+            return AttemptResult::NotSent;
+        }
+        Err(_) => return AttemptResult::NotSent,
+    };
+    // The upstream may have begun to drain, or its zone been evacuated, while the connection was established.
+    if !lock(&front.router).is_usable(&in_flight.target.id) {
+        return AttemptResult::NotSent;
+    }
+    exchange(front, request, connection, in_flight).await
+}
+
+async fn exchange(
+    front: &Arc<Front>,
+    request: &ForwardedRequest,
+    mut connection: PooledConnection,
+    in_flight: InFlight,
+) -> AttemptResult {
+    let response = match send(request, &mut connection, &in_flight.target).await {
+        Ok(response) => response,
+        Err(error) => return handle_send_error(&error, connection.is_reused, in_flight),
+    };
+    let (mut parts, body) = response.into_parts();
+    if is_rejection(&parts, &request.id) {
+        return handle_rejection(parts.status, in_flight);
+    }
+    if !is_valid_response(&parts, &request.id) {
+        log::info!(
+            "upstream_response_invalid upstream={} status={}",
+            in_flight.target.id,
+            parts.status.as_u16()
+        );
+        in_flight.end(Outcome::Broken);
+        return AttemptResult::Failed;
+    }
+    if parts.status.is_server_error() {
+        lock(&front.router).heard(front.now(), &in_flight.target.id, 0);
+    } else {
+        lock(&front.router).answered(front.now(), &in_flight.target.id);
+    }
+    // Read before `end_to_end` removes the headers that it is in.
+    let keep_alive = keep_alive(&parts);
+    end_to_end(&mut parts.headers);
+    let response = StreamingResponse {
+        parts,
+        body,
+        connection,
+        in_flight,
+        keep_alive,
+    };
+    if request.response_mode == ResponseMode::Streaming && response.parts.status.is_success() {
+        return AttemptResult::Streaming(Box::new(response));
+    }
+    receive_body(front, request.deadline, response).await
+}
+
+/// Sends a request over a connection, and waits for the head of the response.
+async fn send(
+    request: &ForwardedRequest,
+    connection: &mut PooledConnection,
+    target: &Target,
+) -> Result<Response<Incoming>, SendError> {
+    let progress = connection.progress.clone();
+    let body = Outgoing::new(request.body.clone(), progress.clone());
+    let request_to_send = upstream_request(request, target, body);
+    let result = timeout_at(
+        request.deadline,
+        connection.sender.send_request(request_to_send),
+    )
+    .await;
+    let was_written = progress.written.load(Ordering::Relaxed);
+    match (result, was_written) {
+        (Ok(Ok(response)), _) => Ok(response),
+        (Ok(Err(error)), true) => Err(SendError::NoResponse(error)),
+        (Ok(Err(error)), false) => Err(SendError::NotSent(error)),
+        (Err(_), true) => Err(SendError::DeadlineBeforeResponse),
+        (Err(_), false) => Err(SendError::DeadlineBeforeSend),
+    }
+}
+
+fn handle_send_error(
+    error: &SendError,
+    connection_is_reused: bool,
+    in_flight: InFlight,
+) -> AttemptResult {
+    log::debug!(
+        "attempt_failed upstream={} error={error}",
+        in_flight.target.id
+    );
+    match error {
+        // That an idle connection was just closed by its upstream says nothing about the upstream.
+        SendError::NotSent(_) if connection_is_reused => {
+            in_flight.end(Outcome::Withdrawn);
+            AttemptResult::NotSent
+        }
+        SendError::NotSent(_) => {
+            in_flight.end(Outcome::Broken);
+            AttemptResult::NotSent
+        }
+        SendError::NoResponse(_) => {
+            in_flight.end(Outcome::Broken);
+            AttemptResult::Failed
+        }
+        SendError::DeadlineBeforeSend => {
+            in_flight.end(Outcome::Withdrawn);
+            AttemptResult::NotSent
+        }
+        SendError::DeadlineBeforeResponse => {
+            in_flight.end(Outcome::TimedOut);
+            AttemptResult::TimedOut
+        }
+    }
+}
+
+fn handle_rejection(status: StatusCode, in_flight: InFlight) -> AttemptResult {
+    if status == StatusCode::MISDIRECTED_REQUEST {
+        log::info!(
+            "upstream_misdirected upstream={} address={}",
+            in_flight.target.id,
+            in_flight.target.address
+        );
+        in_flight.end(Outcome::Unreachable);
+    } else {
+        in_flight.end(Outcome::Rejected);
+    }
+    AttemptResult::Rejected
+}
+
+async fn receive_body(
+    front: &Arc<Front>,
+    deadline: Instant,
+    response: StreamingResponse,
+) -> AttemptResult {
+    let StreamingResponse {
+        parts,
+        body,
+        connection,
+        in_flight,
+        keep_alive,
+    } = response;
+    match timeout_at(deadline, collect(body)).await {
+        Ok(Some(bytes)) => {
+            release_connection(front, connection, &in_flight, keep_alive);
+            in_flight.end(if parts.status.is_server_error() {
+                Outcome::Error
+            } else {
+                Outcome::Answered
+            });
+            AttemptResult::Complete(parts, bytes)
+        }
+        Ok(None) => {
+            in_flight.end(Outcome::Broken);
+            AttemptResult::Failed
+        }
+        Err(_) => {
+            in_flight.end(Outcome::TimedOut);
+            AttemptResult::TimedOut
+        }
+    }
+}
+
+/// A complete body; `None` if it is truncated or too large.
+async fn collect(mut body: Incoming) -> Option<Bytes> {
+    let mut collected = BytesMut::new();
+    while let Some(frame) = body.frame().await {
+        let Ok(data) = frame.ok()?.into_data() else {
+            continue;
+        };
+        if collected.len() + data.len() > MAX_BUFFERED_RESPONSE {
+            return None;
+        }
+        collected.extend_from_slice(&data);
+    }
+    Some(collected.freeze())
+}
+
+/// Returns a connection to the pool after a complete response, if its upstream keeps it open.
+pub(super) fn release_connection(
+    front: &Arc<Front>,
+    mut connection: PooledConnection,
+    in_flight: &InFlight,
+    keep_alive: KeepAlive,
+) {
+    let idle_timeout = match keep_alive {
+        KeepAlive::Close => return,
+        KeepAlive::Unspecified => None,
+        KeepAlive::Timeout(timeout) => Some(timeout),
+    };
+    if !connection.progress.written.load(Ordering::Relaxed) {
+        return;
+    }
+    connection
+        .progress
+        .answer_due
+        .store(false, Ordering::Relaxed);
+    let front = front.clone();
+    let id = in_flight.target.id.clone();
+    tokio::spawn(async move {
+        if connection.sender.ready().await.is_ok() {
+            front.pool.release(&id, connection, idle_timeout);
+        }
+    });
+}
--- a/crates/node/src/front/datagrams.rs
+++ b/crates/node/src/front/datagrams.rs
@@ -1,20 +1,19 @@
-//! What the tasks share that tell control machines something in datagrams.
+//! What heartbeats and load reports have in common: both go to core machines in datagrams.
 
-use super::Front;
+use super::state::Front;
+use crate::time::{millis, unix_time};
 use std::net::SocketAddr;
-use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 
-/// A socket for datagrams of this balancer; none, and a line in the log, where there is none to be had.
-pub(super) async fn socket(front: &Front, what_for: &str) -> Option<UdpSocket> {
-    let bound = UdpSocket::bind(SocketAddr::new(front.settings.ip, 0)).await;
-    bound
-        .inspect_err(|error| log::error!("no socket for {what_for}: {error}"))
+/// A socket for datagrams of this balancer. `None`, and a line in the log, if it can't be bound.
+pub(super) async fn bind_socket(front: &Front, purpose: &str) -> Option<UdpSocket> {
+    UdpSocket::bind(SocketAddr::new(front.settings.ip, 0))
+        .await
+        .inspect_err(|error| log::error!("udp_bind_failed purpose={purpose} error={error}"))
         .ok()
 }
 
-/// The time of day in milliseconds: a number that is higher after a restart, as long as the clock is not set back.
-pub(super) fn number_of_start() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(0))
+/// The wall clock in milliseconds: a number that is higher after a restart, as long as the clock is not set back.
+pub(super) fn start_number() -> u64 {
+    millis(unix_time())
 }
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -1,9 +1,9 @@
-//! Reads the change feed, from two control machines at a time: what one that is cut off does not hear of, the other one
-//! tells. Each feed holds all commands behind its beginning in order, so whichever tells of one first may be followed.
+//! Reads the change feed from two core machines at a time, so that the changes come from the one if the other is partitioned.
+//! Each feed has all commands after its beginning in order; a change is applied from the feed that brings it first.
 
-use super::Front;
-use super::sources::Sources;
-use crate::link;
+use super::feed_sources::FeedSources;
+use super::state::Front;
+use crate::packet_stream::{self, read_packet, write_packet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -13,109 +13,108 @@
 use woadstall_control::feed::Event;
 use woadstall_control::shards::hash;
 use woadstall_control::state::ControlState;
-use woadstall_control::wire::Packet;
+use woadstall_control::wire::{ControlMachine, Packet};
 use woadstall_inbound::lock;
 
 /// Feeds that are read at a time.
 const FEEDS: usize = 2;
-/// A machine that has told nothing for so long is left: it tells its status twice a second.
-const SILENT: Duration = Duration::from_millis(1_800);
-/// How many statuses without a quorum a machine may tell before it is left.
-const WITHOUT_QUORUM: u32 = 2;
-/// Wait before the next machine is tried.
-const PAUSE: Duration = Duration::from_millis(150);
+/// How long a machine may send nothing before it is abandoned; it sends its status twice a second.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// How many statuses without a quorum in a row a machine may send before it is abandoned.
+const MAX_STATUSES_WITHOUT_QUORUM: u32 = 2;
+/// Time between attempts to read a feed.
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// How far a feed was read.
 #[derive(Clone, Copy, Debug, Default)]
 struct Position {
+    /// The epoch of the machine's journal; 0 before anything was read.
     epoch: u64,
+    /// The offset in it after the last event.
     offset: u64,
 }
 
-/// Starts reading.
+/// Starts a task for each feed.
 pub(super) fn start(front: &Arc<Front>) {
-    let sources = Arc::new(Mutex::new(Sources::new(FEEDS)));
+    let sources = Arc::new(Mutex::new(FeedSources::new(FEEDS)));
     for feed in 0..FEEDS {
         tokio::spawn(follow(front.clone(), feed, sources.clone()));
     }
 }
 
-async fn follow(front: Arc<Front>, feed: usize, sources: Arc<Mutex<Sources>>) {
+async fn follow(front: Arc<Front>, feed: usize, sources: Arc<Mutex<FeedSources>>) {
     let mut last: Option<(SocketAddr, Position)> = None;
     loop {
-        let preference = candidates(&front, feed);
-        let chosen = lock(&sources).choose(Instant::now(), feed, &preference);
-        if let Some(address) = chosen {
-            let former = last.filter(|(former, _)| *former == address);
-            let mut position = former.map(|(_, position)| position).unwrap_or_default();
-            if let Err(error) = read_from(&front, address, &mut position).await {
-                log::debug!("feed ended from={address}: {error}");
+        let preference = machines_by_preference(&front, feed);
+        let selected = lock(&sources).select(Instant::now(), feed, &preference);
+        if let Some(address) = selected {
+            let mut position = match last {
+                Some((last_address, position)) if last_address == address => position,
+                _ => Position::default(),
+            };
+            if let Err(error) = read_feed(&front, address, &mut position).await {
+                log::debug!("feed_ended peer={address} error={error}");
             }
-            lock(&sources).leave(Instant::now(), feed);
+            lock(&sources).abandon(Instant::now(), feed);
             last = Some((address, position));
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// The machines in the order in which a feed prefers them, each balancer in an order of its own: the first feed those of the
-/// zone, the others those of the region's other zones, so that bytes between regions are few.
-fn candidates(front: &Front, number: usize) -> Vec<SocketAddr> {
-    let settings = &front.settings;
-    let distance =
-        |zone: &str, region: &str| match (zone == settings.zone, region == settings.region) {
-            (true, _) => 0,
-            (false, true) => 1,
-            (false, false) => 2,
-        };
+/// The machines in the order in which a feed prefers them, then the seeds. The first feed prefers machines of the zone, the
+/// others those of the region's other zones, so that little traffic crosses regions. Machines of equal rank come in an order
+/// that is different for each balancer.
+fn machines_by_preference(front: &Front, feed: usize) -> Vec<SocketAddr> {
     let mut ordered: Vec<(u8, u64, SocketAddr)> = Vec::new();
-    for machine in front.machines() {
+    for machine in front.core_machines() {
         let Ok(address) = machine.member.address.parse::<SocketAddr>() else {
             continue;
         };
-        let rank = match (number, distance(&machine.zone, &machine.region)) {
-            (0, distance) => distance,
-            (_, 1) => 0,
-            (_, _) => 1,
-        };
-        ordered.push((
-            rank,
-            hash(&(&settings.node, number, &machine.member.address)),
-            address,
-        ));
+        let tie_breaker = hash(&(&front.settings.node, feed, &machine.member.address));
+        ordered.push((rank(front, feed, &machine), tie_breaker, address));
     }
     ordered.sort_unstable();
-    let mut all: Vec<SocketAddr> = ordered.into_iter().map(|(_, _, address)| address).collect();
+    let mut addresses: Vec<SocketAddr> =
+        ordered.into_iter().map(|(_, _, address)| address).collect();
     for address in front.seeds() {
-        if !all.contains(&address) {
-            all.push(address);
+        if !addresses.contains(&address) {
+            addresses.push(address);
         }
     }
-    all
+    addresses
+}
+
+/// How much a feed prefers a machine; 0 is best.
+fn rank(front: &Front, feed: usize, machine: &ControlMachine) -> u8 {
+    let same_zone = machine.zone == front.settings.zone;
+    let same_region = machine.region == front.settings.region;
+    match (feed, same_zone, same_region) {
+        (0, true, _) => 0,
+        (0, false, true) => 1,
+        (0, false, false) => 2,
+        (_, false, true) => 0,
+        (_, _, _) => 1,
+    }
 }
 
-async fn read_from(
+/// Subscribes to a machine's feed and applies what comes, until the machine has no quorum (`Ok`) or the connection ends.
+async fn read_feed(
     front: &Arc<Front>,
     address: SocketAddr,
     position: &mut Position,
 ) -> io::Result<()> {
-    let mut stream: TcpStream = link::connect(address).await?;
-    let index = lock(&front.state).index;
-    let Position { epoch, offset } = *position;
-    let balancer = front.settings.node.clone();
-    link::write(
-        &mut stream,
-        &Packet::Subscribe {
-            balancer,
-            epoch,
-            offset,
-            index,
-        },
-    )
-    .await?;
+    let mut stream: TcpStream = packet_stream::connect(address).await?;
+    let subscribe = Packet::Subscribe {
+        balancer: front.settings.node.clone(),
+        epoch: position.epoch,
+        offset: position.offset,
+        index: front.applied_index(),
+    };
+    write_packet(&mut stream, &subscribe).await?;
     let mut without_quorum = 0;
     loop {
-        let packet = timeout(SILENT, link::read(&mut stream)).await??;
+        let packet = timeout(READ_TIMEOUT, read_packet(&mut stream)).await??;
         match packet {
             Packet::Snapshot {
                 epoch,
@@ -125,60 +124,60 @@
             } => {
                 *position = Position { epoch, offset };
                 if !state.is_empty() {
-                    take_snapshot(front, &state);
+                    apply_snapshot(front, &state);
                 }
                 log::info!(
-                    "snapshot taken from={address} upstreams={}",
+                    "snapshot_applied peer={address} upstreams={}",
                     registrations.len()
                 );
                 lock(&front.router).snapshot(front.now(), &registrations);
             }
             Packet::Events { offset, events } => {
                 position.offset = offset;
-                events
-                    .into_iter()
-                    .for_each(|event| take_event(front, event));
+                for event in events {
+                    apply_event(front, event);
+                }
             }
-            Packet::Balancing(zones) => front.count_balancers(&zones),
+            Packet::Balancing(zones) => front.update_balancers(&zones),
             Packet::Loads(loads) => lock(&front.router).set_fleet_loads(front.now(), &loads),
             Packet::Status {
                 in_quorum,
                 machines,
             } => {
                 without_quorum = if in_quorum { 0 } else { without_quorum + 1 };
-                if in_quorum || front.machines().is_empty() {
-                    *lock(&front.machines) = machines;
+                if in_quorum || front.core_machines().is_empty() {
+                    front.set_core_machines(machines);
                 }
-                if without_quorum > WITHOUT_QUORUM {
+                if without_quorum > MAX_STATUSES_WITHOUT_QUORUM {
                     return Ok(());
                 }
             }
-            other => {
-                return Err(io::Error::new(
-                    io::ErrorKind::InvalidData,
-                    format!("{:?}", mem::discriminant(&other)),
-                ));
-            }
+            other => return Err(unexpected_packet(&other)),
         }
     }
 }
 
-/// Takes the state over, unless a newer one is in force: versions never go back.
-fn take_snapshot(front: &Front, bytes: &[u8]) {
+fn unexpected_packet(packet: &Packet) -> io::Error {
+    let kind = format!("{:?}", mem::discriminant(packet));
+    io::Error::new(io::ErrorKind::InvalidData, kind)
+}
+
+/// Replaces the state by that of a snapshot, unless a newer one is applied already.
+fn apply_snapshot(front: &Front, bytes: &[u8]) {
     match ControlState::decode(bytes) {
-        Ok(state) => front.update_state(|current| current.replace_if_newer(state)),
-        Err(error) => log::error!("snapshot refused: {error}"),
+        Ok(state) => front.update_control_state(|current| current.replace_if_newer(state)),
+        Err(error) => log::error!("snapshot_rejected error={error}"),
     }
 }
 
-fn take_event(front: &Front, event: Event) {
+fn apply_event(front: &Front, event: Event) {
     match event {
         Event::Committed { index, command } => {
-            front.update_state(|state| state.apply_if_newer(index, &command));
+            front.update_control_state(|state| state.apply_if_newer(index, &command));
         }
         Event::Registered(registration) => {
             log::info!(
-                "registration id={} service={} status={:?}",
+                "registration_applied upstream={} service={} status={:?}",
                 registration.id,
                 registration.service,
                 registration.status
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -1,9 +1,12 @@
-//! A client's request, from its head to its answer.
+//! A client's request, from its head to its response.
 
-use super::Front;
-use super::attempt::{Attempted, DEADLINE, Outbound, REQUEST_ID, attempt};
-use super::course::Course;
-use super::reply::{Reply, ReplyBody, refusal, text};
+use super::attempt::{
+    AttemptResult, DEADLINE, ForwardedRequest, REQUEST_ID, ResponseMode, attempt,
+};
+use super::prompt::prompt_of;
+use super::response::{ClientResponse, ResponseBody, service_unavailable, text_response};
+use super::retry::RetryState;
+use super::state::Front;
 use super::stream;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -12,49 +15,74 @@
 use hyper::{Request, Response, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::Instant;
-use woadstall_control::configuration::{Configuration, Route, RouteType};
-use woadstall_control::shards::short_hash;
+use woadstall_control::configuration::{Configuration, Route, RouteType, Service};
 use woadstall_explain::Cause;
 use woadstall_inbound::{BodyRoom, lock};
 use woadstall_routing::Prompt;
 use woadstall_transport::end_to_end;
 
-/// When a client may come back to a balancer that knows no configuration yet: about the time that an election and a snapshot
-/// take.
-const NO_CONFIGURATION: Duration = Duration::from_millis(1_200);
-/// When one may come back whose body finds no room.
-const NO_ROOM: Duration = Duration::from_millis(500);
-/// The part of the memory that bodies of open requests may fill.
-const BODIES: usize = 3;
-/// Tokens of a shared beginning from which on it pays to go where it was read: reading them takes some ten milliseconds.
-const LONG_PROMPT: u64 = 1_024;
+/// When a client may retry at a front that knows no configuration yet: about the time that an election and a snapshot take.
+const NO_CONFIGURATION_RETRY: Duration = Duration::from_millis(1_200);
+/// When a client may retry whose body exceeds the memory for bodies.
+const OVERLOAD_RETRY: Duration = Duration::from_millis(500);
+/// The bodies of all requests together may use one part in so many of the memory.
+const BODY_MEMORY_DIVISOR: usize = 3;
+
+/// The body of a request can't be received.
+#[derive(Debug, Error)]
+enum BodyError {
+    /// It is larger than the configuration allows.
+    #[error("the body is too large")]
+    TooLarge,
+    /// The client's connection broke, or its framing is invalid.
+    #[error("the body is broken")]
+    Broken,
+    /// The bodies of all requests together use too much memory.
+    #[error("the memory for bodies is used up")]
+    OutOfMemory,
+}
+
+impl BodyError {
+    fn into_response(self) -> ClientResponse {
+        match self {
+            Self::TooLarge => {
+                text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
+            }
+            Self::Broken => text_response(StatusCode::BAD_REQUEST, "the body is broken\n"),
+            Self::OutOfMemory => service_unavailable(OVERLOAD_RETRY),
+        }
+    }
+}
 
 /// Answers a request.
-pub(super) async fn reply(front: &Arc<Front>, request: Request<Incoming>) -> Reply {
+pub(super) async fn handle_request(
+    front: &Arc<Front>,
+    request: Request<Incoming>,
+) -> ClientResponse {
     let arrived = Instant::now();
     let Some(configuration) = front.configuration() else {
-        return refusal(NO_CONFIGURATION);
+        return service_unavailable(NO_CONFIGURATION_RETRY);
     };
-    let Some(route) = route_of(&configuration, &request) else {
-        return text(StatusCode::NOT_FOUND, "no such route\n");
+    let Some(route) = find_route(&configuration, &request) else {
+        return text_response(StatusCode::NOT_FOUND, "no such route\n");
     };
     let Some(id) = request.headers().get(REQUEST_ID).cloned() else {
-        return text(StatusCode::BAD_REQUEST, "Request-Id is missing\n");
+        return text_response(StatusCode::BAD_REQUEST, "Request-Id is missing\n");
     };
     let route = Arc::new(route.clone());
-    let given = request
-        .headers()
-        .get(DEADLINE)
-        .and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    let patience = given
-        .map_or(route.timeout, Duration::from_millis)
-        .min(route.timeout);
+    let timeout = request_timeout(request.headers(), &route);
     let (mut head, body) = request.into_parts();
-    let mut room = BodyRoom::new(&front.bodies, front.settings.memory / BODIES);
-    let body = match whole_body(body, &mut room, configuration.limits.max_body_bytes).await {
+    // Dropped, it gives the memory back: not before the request is answered or its stream begins.
+    let mut memory = BodyRoom::new(
+        &front.body_bytes,
+        front.settings.memory_bytes / BODY_MEMORY_DIVISOR,
+    );
+    let max_bytes = configuration.limits.max_body_bytes;
+    let body = match read_body(body, &mut memory, max_bytes).await {
         Ok(body) => body,
-        Err(reply) => return *reply,
+        Err(error) => return error.into_response(),
     };
     let prompt = if route.session_affinity {
         prompt_of(&head.headers)
@@ -62,77 +90,83 @@
         Prompt::default()
     };
     end_to_end(&mut head.headers);
-    let service = target_service(&route).and_then(|name| configuration.services.get(name));
-    let Some(service) = service.cloned().map(Arc::new) else {
-        return text(StatusCode::BAD_GATEWAY, "the route has no service\n");
+    let Some(service) = pick_service(&configuration, &route) else {
+        return text_response(StatusCode::BAD_GATEWAY, "the route has no service\n");
     };
     lock(&front.router).request(front.now(), &service.name);
-    let outbound = Outbound {
+    let forwarded = ForwardedRequest {
         head,
         body,
         id,
         priority: route.priority,
-        deadline: arrived + patience,
-        is_stream: route.route_type == RouteType::Streaming,
+        deadline: arrived + timeout,
+        response_mode: if route.route_type == RouteType::Streaming {
+            ResponseMode::Streaming
+        } else {
+            ResponseMode::Buffered
+        },
     };
-    let trace = front.reports.follow(&route, &service.name, prompt);
-    let course = Course::new(route, service, prompt, NO_CONFIGURATION, trace);
-    carry(front, course, outbound).await
+    let trace = front.reports.trace(&route, &service.name, prompt);
+    let retries = RetryState::new(route, service, prompt, NO_CONFIGURATION_RETRY, trace);
+    forward(front, retries, forwarded).await
 }
 
-/// Sends a request to upstreams until one answers or no further attempt may be made. An upstream's error is an answer too; where
-/// the request may run again, it is given only if no other upstream does better.
-async fn carry(front: &Arc<Front>, mut course: Course, outbound: Outbound) -> Reply {
-    let mut error_answer = None;
-    while let Ok(target) = course.next(front) {
-        if Instant::now() >= outbound.deadline {
+/// Sends a request to upstreams until one answers or no further attempt may be made. An upstream's error is a response too; a
+/// request that may be executed again gets it only if no other upstream does better.
+async fn forward(
+    front: &Arc<Front>,
+    mut retries: RetryState,
+    request: ForwardedRequest,
+) -> ClientResponse {
+    let is_idempotent = retries.route.is_idempotent();
+    let mut error_response = None;
+    while let Ok(target) = retries.next_target(front) {
+        if Instant::now() >= request.deadline {
             break;
         }
-        let attempted = attempt(front, &outbound, target).await;
-        course.attempted(&attempted);
-        match attempted {
-            Attempted::NotSent | Attempted::Rejected => {}
-            Attempted::Broken if course.route.is_idempotent() => {}
-            Attempted::Broken => break,
-            Attempted::TimedOut => {
-                course.failed(Cause::TimedOut);
-                return text(StatusCode::GATEWAY_TIMEOUT, "no answer came in time\n");
+        let result = attempt(front, &request, target).await;
+        retries.record(&result);
+        match result {
+            AttemptResult::NotSent | AttemptResult::Rejected => {}
+            AttemptResult::Failed if is_idempotent => {}
+            AttemptResult::Failed => break,
+            AttemptResult::TimedOut => {
+                retries.fail(Cause::TimedOut);
+                return text_response(StatusCode::GATEWAY_TIMEOUT, "no answer came in time\n");
             }
-            Attempted::Whole(parts, body) => {
+            AttemptResult::Complete(parts, body) => {
                 let is_error = parts.status.is_server_error();
-                let answer = Response::from_parts(parts, ReplyBody::Whole(body));
+                let response = Response::from_parts(parts, ResponseBody::Complete(body));
                 if !is_error {
-                    course.answered();
-                    return answer;
+                    retries.complete();
+                    return response;
                 }
-                error_answer = Some(answer);
-                if !course.route.is_idempotent() {
+                error_response = Some(response);
+                if !is_idempotent {
                     break;
                 }
             }
-            Attempted::Begun(begun) => {
-                let parts = begun.parts.clone();
-                return Response::from_parts(
-                    parts,
-                    stream::pass_on(front, course, outbound, *begun),
-                );
+            AttemptResult::Streaming(response) => {
+                let parts = response.parts.clone();
+                let body = stream::forward_stream(front, retries, request, *response);
+                return Response::from_parts(parts, body);
             }
         }
     }
-    match error_answer {
-        Some(answer) => {
-            course.failed(Cause::ErrorAnswer);
-            answer
+    match error_response {
+        Some(response) => {
+            retries.fail(Cause::ErrorAnswer);
+            response
         }
-        None => course.give_up(),
+        None => retries.into_failure(),
     }
 }
 
-fn route_of<'a>(
+fn find_route<'a>(
     configuration: &'a Configuration,
     request: &Request<Incoming>,
 ) -> Option<&'a Route> {
-    let named = request
+    let host_header = request
         .headers()
         .get(HOST)
         .and_then(|host| host.to_str().ok());
@@ -140,86 +174,54 @@
         .uri()
         .authority()
         .map(|authority| authority.as_str())
-        .or(named)?;
+        .or(host_header)?;
     configuration.route(host, request.uri().path())
 }
 
-/// One of the route's services, drawn by their weights.
-fn target_service(route: &Route) -> Option<&str> {
+/// The time for a request: what its header `Deadline` says, the route's time-out at most.
+fn request_timeout(headers: &HeaderMap, route: &Route) -> Duration {
+    headers
+        .get(DEADLINE)
+        .and_then(|value| value.to_str().ok()?.trim().parse().ok())
+        .map_or(route.timeout, Duration::from_millis)
+        .min(route.timeout)
+}
+
+/// One of the route's services, drawn by weight; `None` if it is not configured.
+fn pick_service(configuration: &Configuration, route: &Route) -> Option<Arc<Service>> {
     let total: u64 = route.targets.iter().map(|(_, weight)| weight).sum();
     let mut drawn = fastrand::u64(..total.max(1));
-    for (service, weight) in &route.targets {
+    for (name, weight) in &route.targets {
         match drawn.checked_sub(*weight) {
-            None => return Some(service),
-            Some(rest) => drawn = rest,
+            None => return configuration.services.get(name).cloned().map(Arc::new),
+            Some(remaining) => drawn = remaining,
         }
     }
     None
 }
 
-/// What a request tells of its prompt. What it shares with others is the parts up to the one that makes them long; the last
-/// part is the request's own.
-fn prompt_of(headers: &HeaderMap) -> Prompt {
-    let value = headers
-        .get("prompt-prefix")
-        .and_then(|value| value.to_str().ok())
-        .unwrap_or("");
-    let parts: Vec<(&str, u64)> = value
-        .split(',')
-        .filter_map(|part| part.trim().split_once(':'))
-        .filter_map(|(id, tokens)| Some((id, tokens.trim().parse().ok()?)))
-        .collect();
-    let mut prompt = Prompt {
-        tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
-        ..Prompt::default()
-    };
-    let Some((_, shared)) = parts.split_last() else {
-        return prompt;
-    };
-    let mut ids = Vec::new();
-    for (id, tokens) in shared {
-        ids.push(*id);
-        prompt.shared_tokens += tokens;
-        if prompt.shared_tokens >= LONG_PROMPT {
-            prompt.shared = Some(short_hash(&ids.join(",")));
-            return prompt;
-        }
-    }
-    Prompt {
-        shared_tokens: 0,
-        ..prompt
-    }
-}
-
-/// Reads a body to its end.
-async fn whole_body(
+/// Receives a complete body.
+async fn read_body(
     mut body: Incoming,
-    room: &mut BodyRoom<'_>,
-    most_bytes: usize,
-) -> Result<Bytes, Box<Reply>> {
-    let too_large = || {
-        Box::new(text(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            "the body is too large\n",
-        ))
-    };
-    if body.size_hint().lower() > most_bytes as u64 {
-        return Err(too_large());
+    memory: &mut BodyRoom<'_>,
+    max_bytes: usize,
+) -> Result<Bytes, BodyError> {
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err(BodyError::TooLarge);
     }
-    let mut all = BytesMut::new();
+    let mut received = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame =
-            frame.map_err(|_| Box::new(text(StatusCode::BAD_REQUEST, "the body is broken\n")))?;
+        let frame = frame.map_err(|_| BodyError::Broken)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if all.len() + data.len() > most_bytes {
-            return Err(too_large());
+        if received.len() + data.len() > max_bytes {
+            return Err(BodyError::TooLarge);
         }
-        if !room.grow(data.len()) {
-            return Err(Box::new(refusal(NO_ROOM)));
+        if !memory.grow(data.len()) {
+            return Err(BodyError::OutOfMemory);
         }
-        all.extend_from_slice(&data);
+        received.extend_from_slice(&data);
     }
-    Ok(all.freeze())
+    Ok(received.freeze())
 }
--- a/crates/node/tests/unit/golden_front.rs
+++ b/crates/node/src/front/golden_tests.rs
@@ -1,9 +1,10 @@
 //! What a front writes to others, to the byte: its datagrams, its request for the feed, its requests to upstreams, and its
 //! own answers.
 
-use super::attempt::{Attempted, Outbound, attempt};
-use super::reply::{Reply, refusal, text};
-use super::{Front, feeds, heartbeat, loads};
+use super::attempt::{AttemptResult, ForwardedRequest, ResponseMode, attempt};
+use super::response::{ClientResponse, service_unavailable, text_response};
+use super::state::Front;
+use super::{feeds, heartbeat, load_reports};
 use crate::settings::NodeSettings;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -82,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn heartbeats_are_the_same() {
+async fn heartbeats_are_unchanged() {
     let socket = UdpSocket::bind((LOCAL, 0)).await.unwrap();
     let front = front(socket.local_addr().unwrap().port());
     heartbeat::start(&front);
@@ -96,7 +97,7 @@
         assert!(heartbeat.incarnation > 1_700_000_000_000);
         heartbeat.incarnation = 1_764_600_000_123;
         assert_golden(name, &Packet::Heartbeat(heartbeat).frame());
-        front.update_state(|current| *current = state(3));
+        front.update_control_state(|current| *current = state(3));
     }
 }
 
@@ -128,14 +129,14 @@
 }
 
 #[tokio::test]
-async fn reports_of_loads_are_the_same() {
+async fn reports_of_loads_are_unchanged() {
     let socket = UdpSocket::bind((LOCAL, 0)).await.unwrap();
     let front = front(1);
     let address = socket.local_addr().unwrap();
-    *lock(&front.machines) = vec![
+    front.set_core_machines(vec![
         control_machine("127.0.0.1:9".parse().unwrap(), "b"),
         control_machine(address, "a"),
-    ];
+    ]);
     let configuration = state(3).configuration.unwrap();
     {
         let mut router = lock(&front.router);
@@ -157,7 +158,7 @@
         );
         assert!(matches!(decision, Decision::Send(_)));
     }
-    loads::start(&front);
+    load_reports::start(&front);
     let frame = datagram(&socket).await;
     let Packet::Load(mut report) = Packet::decode_datagram(&frame).unwrap() else {
         panic!()
@@ -173,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn the_request_for_the_feed_is_the_same() {
+async fn the_request_for_the_feed_is_unchanged() {
     let listener = TcpListener::bind((LOCAL, 0)).await.unwrap();
     let front = front(listener.local_addr().unwrap().port());
     feeds::start(&front);
@@ -214,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn requests_to_upstreams_are_the_same() {
+async fn requests_to_upstreams_are_unchanged() {
     let listener = TcpListener::bind((LOCAL, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     let front = front(1);
@@ -229,13 +230,13 @@
         .body(())
         .unwrap()
         .into_parts();
-    let outbound = Outbound {
+    let forwarded = ForwardedRequest {
         head,
         body: Bytes::from_static(b"{\"a\":1}"),
         id: HeaderValue::from_static("r-1"),
         priority: 2,
         deadline: Instant::now() + Duration::from_secs(4),
-        is_stream: false,
+        response_mode: ResponseMode::Buffered,
     };
     let target = Target {
         id: "i-1".into(),
@@ -254,8 +255,8 @@
         stream.write_all(answer.as_bytes()).await.unwrap();
         request
     };
-    let (attempted, request) = tokio::join!(attempt(&front, &outbound, target), upstream);
-    let Attempted::Whole(parts, body) = attempted else {
+    let (attempted, request) = tokio::join!(attempt(&front, &forwarded, target), upstream);
+    let AttemptResult::Complete(parts, body) = attempted else {
         panic!("no answer")
     };
     assert_eq!((parts.status, &body[..]), (StatusCode::OK, &b"ok"[..]));
@@ -276,20 +277,20 @@
     assert_golden("request-to-upstream.txt", lines.join("\r\n").as_bytes());
 }
 
-async fn written(reply: Reply) -> String {
-    let (parts, body) = reply.into_parts();
+async fn written(response: ClientResponse) -> String {
+    let (parts, body) = response.into_parts();
     let body = body.collect().await.unwrap().to_bytes();
     format!("{} {:?} {}\n", parts.status, parts.headers, shown(&body))
 }
 
 #[tokio::test]
-async fn answers_of_its_own_are_the_same() {
+async fn responses_of_its_own_are_unchanged() {
     assert_eq!(
-        written(text(StatusCode::NOT_FOUND, "no such route\n")).await,
+        written(text_response(StatusCode::NOT_FOUND, "no such route\n")).await,
         "404 Not Found {} no such route\n\n"
     );
     assert_eq!(
-        written(refusal(Duration::from_micros(1_200_400))).await,
+        written(service_unavailable(Duration::from_micros(1_200_400))).await,
         "503 Service Unavailable {\"retry-after\": \"1.200\"} not now\n\n"
     );
 }
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -1,6 +1,8 @@
-//! Tells a few control machines that this balancer is there.
+//! Sends heartbeats to some core machines, so that clients are directed to this balancer.
 
-use super::{Front, datagrams};
+use super::datagrams::{bind_socket, start_number};
+use super::state::Front;
+use crate::settings::Endpoint;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,60 +11,65 @@
 use woadstall_control::shards::{MONITORS, monitors};
 use woadstall_control::wire::Packet;
 
-/// How often.
-const EVERY: Duration = Duration::from_millis(300);
+/// The interval between heartbeats; one with something new is sent at once.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Starts.
+/// Starts the task that sends heartbeats.
 pub(super) fn start(front: &Arc<Front>) {
-    tokio::spawn(announce(front.clone()));
+    tokio::spawn(send_heartbeats(front.clone()));
 }
 
-async fn announce(front: Arc<Front>) {
-    let Some(socket) = datagrams::socket(&front, "heartbeats").await else {
+async fn send_heartbeats(front: Arc<Front>) {
+    let Some(socket) = bind_socket(&front, "heartbeats").await else {
         return;
     };
-    let incarnation = datagrams::number_of_start();
+    let incarnation = start_number();
     for sequence in 1.. {
-        let heartbeat = Heartbeat {
-            name: front.settings.node.clone(),
-            incarnation,
-            sequence,
-            address: front
-                .settings
-                .listens("front")
-                .map(|address| address.to_string())
-                .unwrap_or_default(),
-            zone: front.settings.zone.clone(),
-            ready: front.is_ready(),
-        };
-        let frame = Packet::Heartbeat(heartbeat).frame();
-        for monitor in monitors_of(&front) {
+        let frame = Packet::Heartbeat(heartbeat(&front, incarnation, sequence)).frame();
+        for monitor in monitor_addresses(&front) {
             socket.send_to(&frame, monitor).await.ok();
         }
-        timeout(EVERY, front.announce.notified()).await.ok();
+        timeout(HEARTBEAT_INTERVAL, front.announce.notified())
+            .await
+            .ok();
     }
 }
 
-/// The machines that follow this balancer on the ring, and one of its own zone: behind a cut that one is all there is. The
-/// seeds, before any is known.
-fn monitors_of(front: &Front) -> Vec<SocketAddr> {
-    let machines = front.machines();
+fn heartbeat(front: &Front, incarnation: u64, sequence: u64) -> Heartbeat {
+    let address = front.settings.listen_address(Endpoint::Front);
+    Heartbeat {
+        name: front.settings.node.clone(),
+        incarnation,
+        sequence,
+        address: address
+            .map(|address| address.to_string())
+            .unwrap_or_default(),
+        zone: front.settings.zone.clone(),
+        ready: front.is_ready(),
+    }
+}
+
+/// The machines that follow this balancer on the hash ring, and one of its own zone, which may be the only one that it reaches
+/// during a network partition. The seeds before any machine is known.
+fn monitor_addresses(front: &Front) -> Vec<SocketAddr> {
+    let machines = front.core_machines();
     if machines.is_empty() {
         return front.seeds();
     }
     let addresses = machines
         .iter()
         .map(|machine| machine.member.address.as_str());
-    let mut chosen = monitors(&front.settings.node, addresses, MONITORS);
-    let near = machines
+    let mut selected = monitors(&front.settings.node, addresses, MONITORS);
+    let same_zone = machines
         .iter()
-        .find(|machine| machine.zone == front.settings.zone);
-    if let Some(near) = near.map(|machine| machine.member.address.as_str())
-        && !chosen.contains(&near)
+        .find(|machine| machine.zone == front.settings.zone)
+        .map(|machine| machine.member.address.as_str());
+    if let Some(address) = same_zone
+        && !selected.contains(&address)
     {
-        chosen.push(near);
+        selected.push(address);
     }
-    chosen
+    selected
         .into_iter()
         .filter_map(|address| address.parse().ok())
         .collect()
--- /dev/null
+++ b/crates/node/src/front/load_reports.rs
@@ -0,0 +1,79 @@
+//! Reports upstreams' load, as this balancer sees it, to the core machines of its region, for the other balancers there.
+
+use super::datagrams::{bind_socket, start_number};
+use super::state::Front;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::{Instant, MissedTickBehavior, interval};
+use woadstall_control::loads::LoadReport;
+use woadstall_control::shards::short_hash;
+use woadstall_control::wire::Packet;
+use woadstall_inbound::lock;
+
+/// How often the load is checked for changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often a report without changes is repeated, as receivers let it expire.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Starts the task that sends reports.
+pub(super) fn start(front: &Arc<Front>) {
+    tokio::spawn(send_reports(front.clone()));
+}
+
+async fn send_reports(front: Arc<Front>) {
+    let Some(socket) = bind_socket(&front, "loads").await else {
+        return;
+    };
+    let first_sequence = start_number();
+    let mut last = LoadReport {
+        balancer: short_hash(&front.settings.node),
+        zone: front.settings.zone.clone(),
+        ..LoadReport::default()
+    };
+    let mut last_sent = Instant::now();
+    let mut checks = interval(CHECK_INTERVAL);
+    checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    for sequence in first_sequence.. {
+        checks.tick().await;
+        let report = LoadReport {
+            sequence,
+            ..current_load(&front, &last)
+        };
+        let is_empty = report.upstreams.is_empty() && report.placements.is_empty();
+        let is_due = !is_empty && last_sent.elapsed() >= REPEAT_INTERVAL;
+        let has_changed =
+            report.upstreams != last.upstreams || report.placements != last.placements;
+        if !has_changed && !is_due {
+            continue;
+        }
+        let frame = Packet::Load(report.clone()).frame();
+        last = report;
+        last_sent = Instant::now();
+        for machine in region_machines(&front) {
+            socket.send_to(&frame, machine).await.ok();
+        }
+    }
+}
+
+/// A report like the last one with the load of now.
+fn current_load(front: &Front, last: &LoadReport) -> LoadReport {
+    let mut router = lock(&front.router);
+    LoadReport {
+        balancer: last.balancer,
+        sequence: last.sequence,
+        zone: last.zone.clone(),
+        upstreams: router.load(front.now()),
+        placements: router.placements(front.now()),
+    }
+}
+
+/// The core machines of this region: the balancers that share its upstreams read their feeds from them.
+fn region_machines(front: &Front) -> Vec<SocketAddr> {
+    front
+        .core_machines()
+        .iter()
+        .filter(|machine| machine.region == front.settings.region)
+        .filter_map(|machine| machine.member.address.parse().ok())
+        .collect()
+}
--- /dev/null
+++ b/crates/node/src/front/prompt.rs
@@ -0,0 +1,45 @@
+//! The header `prompt-prefix`, in which a client describes the prompt of a request to a model.
+
+use hyper::header::HeaderMap;
+use woadstall_control::shards::short_hash;
+use woadstall_routing::Prompt;
+
+/// The header: `id:tokens` for each section of the prompt in order, separated by commas.
+const PROMPT_PREFIX: &str = "prompt-prefix";
+/// Tokens of a shared prefix from which on a prefix cache is worth looking for: to prefill them takes some ten milliseconds.
+const MIN_SHARED_TOKENS: u64 = 1_024;
+
+/// The prompt that a request's headers describe. Its shared prefix are the sections up to the one with which it reaches
+/// [`MIN_SHARED_TOKENS`]; the last section is never shared.
+pub(super) fn prompt_of(headers: &HeaderMap) -> Prompt {
+    let value = headers
+        .get(PROMPT_PREFIX)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or("");
+    let sections: Vec<(&str, u64)> = value.split(',').filter_map(parse_section).collect();
+    let mut prompt = Prompt {
+        tokens: sections.iter().map(|(_, tokens)| tokens).sum(),
+        ..Prompt::default()
+    };
+    let Some((_, shareable)) = sections.split_last() else {
+        return prompt;
+    };
+    let mut ids = Vec::new();
+    for (id, tokens) in shareable {
+        ids.push(*id);
+        prompt.shared_tokens += tokens;
+        if prompt.shared_tokens >= MIN_SHARED_TOKENS {
+            prompt.shared = Some(short_hash(&ids.join(",")));
+            return prompt;
+        }
+    }
+    Prompt {
+        shared_tokens: 0,
+        ..prompt
+    }
+}
+
+fn parse_section(section: &str) -> Option<(&str, u64)> {
+    let (id, tokens) = section.trim().split_once(':')?;
+    Some((id, tokens.trim().parse().ok()?))
+}
--- /dev/null
+++ b/crates/node/src/front/request_reports.rs
@@ -0,0 +1,209 @@
+//! Reports in the log of requests that were late, rejected, failed or retried: off unless the command line asks for them, and
+//! limited in rate.
+
+use crate::time::millis;
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::time::Instant;
+use woadstall_control::configuration::Route;
+use woadstall_explain::{AttemptOutcome, AttemptReport, Cause, RequestReport};
+use woadstall_inbound::lock;
+use woadstall_routing::{Prompt, Standing, Target};
+
+/// The window of the rate limit.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+
+/// Writes reports, at a limited rate.
+pub(super) struct ReportLog {
+    /// This balancer's zone.
+    zone: String,
+    max_per_second: u64,
+    window: Mutex<RateWindow>,
+    /// Reports above the rate limit that no line has counted yet.
+    dropped: AtomicU64,
+}
+
+/// The window of the rate limit in which reports were written last.
+struct RateWindow {
+    began: Instant,
+    written: u64,
+}
+
+impl RateWindow {
+    fn new() -> Self {
+        Self {
+            began: Instant::now(),
+            written: 0,
+        }
+    }
+}
+
+impl ReportLog {
+    /// The reports of a balancer in this zone; none if the rate is 0.
+    pub fn new(zone: String, max_per_second: u64) -> Self {
+        Self {
+            zone,
+            max_per_second,
+            window: Mutex::new(RateWindow::new()),
+            dropped: AtomicU64::new(0),
+        }
+    }
+
+    /// Begins to trace a request; `None` if reports are off.
+    pub fn trace(
+        self: &Arc<Self>,
+        route: &Arc<Route>,
+        service: &str,
+        prompt: Prompt,
+    ) -> Option<RequestTrace> {
+        let is_on = self.max_per_second > 0;
+        is_on.then(|| RequestTrace::new(self.clone(), route.clone(), service.to_owned(), prompt))
+    }
+
+    fn write(&self, report: &RequestReport) {
+        if !self.take_permit() {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
+            return;
+        }
+        log::info!("{report}");
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            log::info!("request_reports_dropped count={dropped}");
+        }
+    }
+
+    fn take_permit(&self) -> bool {
+        let mut window = lock(&self.window);
+        if window.began.elapsed() >= RATE_WINDOW {
+            *window = RateWindow::new();
+        }
+        if window.written >= self.max_per_second {
+            return false;
+        }
+        window.written += 1;
+        true
+    }
+}
+
+/// Collects what a report says about one request. Dropped before its end, it reports that the client has disconnected.
+pub(super) struct RequestTrace {
+    log: Arc<ReportLog>,
+    route: Arc<Route>,
+    service: String,
+    prompt: Prompt,
+    arrived: Instant,
+    attempt_began: Instant,
+    /// When the first and the last data of the response came.
+    first_data: Option<Instant>,
+    last_data: Option<Instant>,
+    longest_gap: Duration,
+    attempts: Vec<AttemptReport>,
+    has_ended: bool,
+}
+
+impl RequestTrace {
+    fn new(log: Arc<ReportLog>, route: Arc<Route>, service: String, prompt: Prompt) -> Self {
+        let now = Instant::now();
+        Self {
+            log,
+            route,
+            service,
+            prompt,
+            arrived: now,
+            attempt_began: now,
+            first_data: None,
+            last_data: None,
+            longest_gap: Duration::ZERO,
+            attempts: Vec::new(),
+            has_ended: false,
+        }
+    }
+
+    /// An attempt at an upstream begins.
+    pub fn begin_attempt(&mut self, target: &Target, standing: &Standing) {
+        self.attempt_began = Instant::now();
+        let passed_over: BTreeMap<String, usize> = standing
+            .passed_over
+            .iter()
+            .map(|(obstacle, count)| (obstacle.to_string(), *count))
+            .collect();
+        self.attempts.push(AttemptReport {
+            upstream: target.id.to_string(),
+            zone: target.zone.to_string(),
+            outcome: AttemptOutcome::Abandoned,
+            began: millis(self.arrived.elapsed()),
+            took: 0,
+            in_flight: target.in_flight,
+            reading: target.total_reading,
+            candidates: standing.candidates,
+            passed_over,
+        });
+    }
+
+    /// The attempt has ended, and so has its response.
+    pub fn end_attempt(&mut self, outcome: AttemptOutcome) {
+        let took = millis(self.attempt_began.elapsed());
+        if let Some(attempt) = self.attempts.last_mut() {
+            attempt.outcome = outcome;
+            attempt.took = took;
+        }
+    }
+
+    /// Data of the response has come.
+    pub fn record_data(&mut self) {
+        let now = Instant::now();
+        self.first_data.get_or_insert(now);
+        if let Some(last) = self.last_data.replace(now) {
+            self.longest_gap = self.longest_gap.max(now - last);
+        }
+    }
+
+    /// The request was answered completely; that is reported if it was late or retried.
+    pub fn complete(mut self) {
+        let latency = self.first_data.unwrap_or_else(Instant::now) - self.arrived;
+        let gap_limit = self.route.gap_aim;
+        let missed_target = latency > self.route.target_latency
+            || gap_limit.is_some_and(|limit| self.longest_gap > limit);
+        if missed_target {
+            self.report(Cause::Late);
+        } else if self.attempts.len() > 1 {
+            self.report(Cause::Repeated);
+        } else {
+            self.has_ended = true;
+        }
+    }
+
+    /// The request has ended otherwise.
+    pub fn fail(mut self, cause: Cause) {
+        self.report(cause);
+    }
+
+    fn report(&mut self, cause: Cause) {
+        self.has_ended = true;
+        let first = self.first_data.map(|first| millis(first - self.arrived));
+        self.log.write(&RequestReport {
+            cause,
+            route: self.route.name.clone(),
+            service: std::mem::take(&mut self.service),
+            zone: self.log.zone.clone(),
+            priority: self.route.priority,
+            total: millis(self.arrived.elapsed()),
+            first,
+            pause: millis(self.longest_gap),
+            target: millis(self.route.target_latency),
+            prompt: self.prompt.tokens,
+            shared: self.prompt.shared_tokens,
+            attempts: std::mem::take(&mut self.attempts),
+        });
+    }
+}
+
+impl Drop for RequestTrace {
+    fn drop(&mut self) {
+        if !self.has_ended {
+            self.report(Cause::ClientLeft);
+        }
+    }
+}
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -1,174 +1,191 @@
-//! Passes a stream on as it comes, and takes it up at another upstream where its route allows that.
+//! Forwards a streamed response as it arrives, and resumes it at another upstream if its route allows that.
 
-use super::Front;
-use super::attempt::{Attempted, Begun, Keep, Outbound, attempt, give_back};
-use super::course::Course;
-use super::events::EventBuffer;
-use super::reply::ReplyBody;
+use super::attempt::{
+    AttemptResult, ForwardedRequest, StreamingResponse, attempt, release_connection,
+};
+use super::event_buffer::EventBuffer;
+use super::pool::PooledConnection;
+use super::response::ResponseBody;
+use super::retry::RetryState;
+use super::state::Front;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::header::{HeaderName, HeaderValue};
-use std::io;
+use std::io::{self, ErrorKind};
+use std::ops::ControlFlow;
 use std::sync::Arc;
 use tokio::sync::mpsc;
-use tokio::time::{Instant, timeout_at};
+use tokio::time::timeout_at;
 use woadstall_explain::{AttemptOutcome, Cause};
 use woadstall_routing::Outcome;
 
-/// The header with the id of the last event that a client has.
+/// The id of the last event that a client has received (WHATWG HTML 9.2.4).
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Pieces that wait for a client at most.
-const QUEUE: usize = 16;
+/// Chunks at most that wait for a client.
+const MAX_QUEUED_CHUNKS: usize = 16;
 
 /// How a body has ended.
-enum End {
+enum StreamEnd {
     Complete,
-    Broken,
-    ClientLeft,
+    Truncated,
+    ClientDisconnected,
     TimedOut,
 }
 
-/// Passes on what has begun; the body of the answer.
-pub(super) fn pass_on(
+/// Forwards a response that has begun, in a task of its own; returns the body of the client's response.
+pub(super) fn forward_stream(
     front: &Arc<Front>,
-    course: Course,
-    outbound: Outbound,
-    begun: Begun,
-) -> ReplyBody {
-    let (sender, receiver) = mpsc::channel(QUEUE);
-    let front = front.clone();
-    tokio::spawn(async move { run(&front, course, outbound, begun, &sender).await });
-    ReplyBody::Stream(receiver)
+    retries: RetryState,
+    request: ForwardedRequest,
+    response: StreamingResponse,
+) -> ResponseBody {
+    let (client, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    let stream = Stream {
+        front: front.clone(),
+        event_buffer: retries.route.resumable.then(EventBuffer::default),
+        retries,
+        request,
+        client,
+    };
+    tokio::spawn(stream.run(response));
+    ResponseBody::Stream(receiver)
 }
 
-async fn run(
-    front: &Arc<Front>,
-    mut course: Course,
-    mut outbound: Outbound,
-    mut begun: Begun,
-    client: &mpsc::Sender<io::Result<Bytes>>,
-) {
-    let mut buffer = course.route.resumable.then(EventBuffer::default);
-    loop {
-        let keep = begun
-            .parts
-            .extensions
-            .get::<Keep>()
-            .copied()
-            .unwrap_or(Keep::Closes);
-        let end = copy(
-            &mut begun,
-            &mut course,
-            outbound.deadline,
-            &mut buffer,
-            client,
-        )
-        .await;
-        match end {
-            End::Complete => {
-                if let Some(rest) = buffer
-                    .as_mut()
-                    .map(EventBuffer::rest)
-                    .filter(|rest| !rest.is_empty())
-                {
-                    client.send(Ok(rest)).await.ok();
-                }
-                give_back(front, begun.connection, &begun.held, keep);
-                begun.held.end(Outcome::Answered);
-                course.end_attempt(AttemptOutcome::Answered);
-                course.answered();
-                return;
-            }
-            End::ClientLeft => return,
-            End::TimedOut => {
-                begun.held.end(Outcome::TimedOut);
-                course.end_attempt(AttemptOutcome::TimedOut);
-                course.failed(Cause::TimedOut);
-                client.send(Err(io::ErrorKind::TimedOut.into())).await.ok();
+/// A stream to a client, from one upstream after the other.
+struct Stream {
+    front: Arc<Front>,
+    retries: RetryState,
+    request: ForwardedRequest,
+    /// Present if the stream can be resumed: the client then gets complete events only.
+    event_buffer: Option<EventBuffer>,
+    client: mpsc::Sender<io::Result<Bytes>>,
+}
+
+impl Stream {
+    async fn run(mut self, mut response: StreamingResponse) {
+        loop {
+            let end = self.copy_body(&mut response).await;
+            // Until the next attempt has ended the broken connection still counts against the limits of connections.
+            let _broken = match self.end_attempt(end, response).await {
+                ControlFlow::Continue(connection) => connection,
+                ControlFlow::Break(()) => return,
+            };
+            let Some(next) = self.resume().await else {
+                self.retries.fail(Cause::Failed);
+                self.send_error(ErrorKind::ConnectionReset).await;
                 return;
+            };
+            response = next;
+        }
+    }
+
+    /// Copies a body to the client until it ends.
+    async fn copy_body(&mut self, response: &mut StreamingResponse) -> StreamEnd {
+        let deadline = self.request.deadline;
+        loop {
+            let frame = tokio::select! {
+                biased;
+                () = self.client.closed() => return StreamEnd::ClientDisconnected,
+                frame = timeout_at(deadline, response.body.frame()) => frame,
+            };
+            let data = match frame {
+                Err(_) => return StreamEnd::TimedOut,
+                Ok(None) => return StreamEnd::Complete,
+                Ok(Some(Err(_))) => return StreamEnd::Truncated,
+                Ok(Some(Ok(frame))) => match frame.into_data() {
+                    Ok(data) => data,
+                    Err(_) => continue,
+                },
+            };
+            response.in_flight.record_data();
+            self.retries.record_data();
+            let data = match &mut self.event_buffer {
+                Some(buffer) => buffer.push(&data),
+                None => data,
+            };
+            if data.is_empty() {
+                continue;
             }
-            End::Broken => {
-                log::info!("stream broken upstream={}", begun.held.target.id);
-                begun.held.end(Outcome::Broken);
-                course.end_attempt(AttemptOutcome::BrokenOff);
+            match timeout_at(deadline, self.client.send(Ok(data))).await {
+                Ok(Ok(())) => {}
+                Ok(Err(_)) => return StreamEnd::ClientDisconnected,
+                Err(_) => return StreamEnd::TimedOut,
             }
         }
-        let Some(next) = resume(front, &mut course, &mut outbound, buffer.as_mut()).await else {
-            course.failed(Cause::Failed);
-            client
-                .send(Err(io::ErrorKind::ConnectionReset.into()))
-                .await
-                .ok();
-            return;
-        };
-        begun = next;
     }
-}
 
-/// Copies a body to the client until it ends.
-async fn copy(
-    begun: &mut Begun,
-    course: &mut Course,
-    deadline: Instant,
-    buffer: &mut Option<EventBuffer>,
-    client: &mpsc::Sender<io::Result<Bytes>>,
-) -> End {
-    loop {
-        let frame = tokio::select! {
-            biased;
-            () = client.closed() => return End::ClientLeft,
-            frame = timeout_at(deadline, begun.body.frame()) => frame,
-        };
-        let data = match frame {
-            Err(_) => return End::TimedOut,
-            Ok(None) => return End::Complete,
-            Ok(Some(Err(_))) => return End::Broken,
-            Ok(Some(Ok(frame))) => match frame.into_data() {
-                Ok(data) => data,
-                Err(_) => continue,
-            },
-        };
-        begun.held.heard();
-        course.heard();
-        let data = match buffer {
-            Some(buffer) => buffer.push(&data),
-            None => data,
-        };
-        if data.is_empty() {
-            continue;
+    /// Ends an attempt; continues, with the broken connection, if the stream may be resumed.
+    async fn end_attempt(
+        &mut self,
+        end: StreamEnd,
+        response: StreamingResponse,
+    ) -> ControlFlow<(), PooledConnection> {
+        match end {
+            StreamEnd::Complete => {
+                self.complete(response).await;
+                ControlFlow::Break(())
+            }
+            StreamEnd::ClientDisconnected => ControlFlow::Break(()),
+            StreamEnd::TimedOut => {
+                response.in_flight.end(Outcome::TimedOut);
+                self.retries.end_attempt(AttemptOutcome::TimedOut);
+                self.retries.fail(Cause::TimedOut);
+                self.send_error(ErrorKind::TimedOut).await;
+                ControlFlow::Break(())
+            }
+            StreamEnd::Truncated => {
+                let upstream = &response.in_flight.target.id;
+                log::info!("stream_truncated upstream={upstream}");
+                response.in_flight.end(Outcome::Broken);
+                self.retries.end_attempt(AttemptOutcome::BrokenOff);
+                ControlFlow::Continue(response.connection)
+            }
         }
-        match timeout_at(deadline, client.send(Ok(data))).await {
-            Ok(Ok(())) => {}
-            Ok(Err(_)) => return End::ClientLeft,
-            Err(_) => return End::TimedOut,
+    }
+
+    async fn complete(&mut self, response: StreamingResponse) {
+        if let Some(buffer) = &mut self.event_buffer {
+            let incomplete = buffer.take_incomplete();
+            if !incomplete.is_empty() {
+                self.client.send(Ok(incomplete)).await.ok();
+            }
         }
+        let StreamingResponse {
+            connection,
+            in_flight,
+            keep_alive,
+            ..
+        } = response;
+        release_connection(&self.front, connection, &in_flight, keep_alive);
+        in_flight.end(Outcome::Answered);
+        self.retries.end_attempt(AttemptOutcome::Answered);
+        self.retries.complete();
     }
-}
 
-/// Takes the stream up behind its last whole event, at another upstream.
-async fn resume(
-    front: &Arc<Front>,
-    course: &mut Course,
-    outbound: &mut Outbound,
-    buffer: Option<&mut EventBuffer>,
-) -> Option<Begun> {
-    let buffer = buffer?;
-    buffer.rest();
-    if let Some(id) = buffer.last_id() {
-        outbound
-            .head
-            .headers
-            .insert(LAST_EVENT_ID, HeaderValue::from_bytes(id).ok()?);
+    async fn send_error(&self, kind: ErrorKind) {
+        self.client.send(Err(kind.into())).await.ok();
     }
-    while let Ok(target) = course.next(front) {
-        let attempted = attempt(front, outbound, target).await;
-        course.attempted(&attempted);
-        match attempted {
-            Attempted::Begun(begun) => return Some(*begun),
-            Attempted::TimedOut => return None,
-            Attempted::NotSent | Attempted::Rejected | Attempted::Broken | Attempted::Whole(..) => {
+
+    /// Requests the events after the last complete one from another upstream.
+    async fn resume(&mut self) -> Option<StreamingResponse> {
+        let buffer = self.event_buffer.as_mut()?;
+        buffer.take_incomplete();
+        if let Some(id) = buffer.last_id() {
+            let id = HeaderValue::from_bytes(id).ok()?;
+            self.request.head.headers.insert(LAST_EVENT_ID, id);
+        }
+        while let Ok(target) = self.retries.next_target(&self.front) {
+            let result = attempt(&self.front, &self.request, target).await;
+            self.retries.record(&result);
+            match result {
+                AttemptResult::Streaming(response) => return Some(*response),
+                AttemptResult::TimedOut => return None,
+                AttemptResult::NotSent
+                | AttemptResult::Rejected
+                | AttemptResult::Failed
+                | AttemptResult::Complete(..) => {}
             }
         }
+        None
     }
-    None
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,20 @@
-//! The processes of woadstall's serving system: `front` carries clients' requests to upstreams, `core` keeps what the
-//! fronts need to know. Sockets, disks and clocks are here; what decides is in `woadstall-control`, `woadstall-consensus` and
-//! `woadstall-routing`.
+//! The processes of woadstall's serving system, and the commands that operators have for them.
+//!
+//! - `front` forwards clients' requests to upstreams.
+//! - `core` holds the configuration, the registrations and the membership that fronts need.
+//!
+//! This crate has the sockets, disks, signals and clocks. The decisions are in crates without I/O: `woadstall-control` (state
+//! of a control machine), `woadstall-consensus` (replicated log) and `woadstall-routing` (choice of an upstream).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod command_line;
-pub mod core;
-mod flags;
-pub mod front;
-pub mod link;
+pub mod cli;
+mod core;
+mod error;
+mod front;
+mod http_server;
+mod packet_stream;
 pub mod settings;
-pub mod watch;
-pub mod why;
+mod tcp;
+mod time;
--- /dev/null
+++ b/crates/node/src/packet_stream.rs
@@ -0,0 +1,61 @@
+//! Packets of the internal protocol over TCP connections.
+
+use crate::tcp::enable_dead_peer_detection;
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+use woadstall_control::wire::{HEAD_BYTES, Packet, payload_length};
+
+/// How long sent data may stay unacknowledged before a connection is closed. A lost segment is retransmitted within a few
+/// hundred milliseconds, also between regions.
+pub(crate) const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// How long a connection may take to be established: some round trips between regions. To connect again is quicker than to
+/// wait for the retransmission of a lost SYN.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Connects to another process of the system.
+///
+/// # Errors
+///
+/// The connection is refused, or not established within [`CONNECT_TIMEOUT`] (`TimedOut`).
+pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+    let stream = connected.map_err(|_| io::Error::from(ErrorKind::TimedOut))??;
+    stream.set_nodelay(true)?;
+    enable_dead_peer_detection(&stream, USER_TIMEOUT)?;
+    Ok(stream)
+}
+
+/// Writes a packet.
+///
+/// # Errors
+///
+/// The connection is broken.
+pub(crate) async fn write_packet(
+    stream: &mut (impl AsyncWriteExt + Unpin),
+    packet: &Packet,
+) -> io::Result<()> {
+    stream.write_all(&packet.frame()).await
+}
+
+/// Reads a packet.
+///
+/// # Errors
+///
+/// The connection is broken or closed (`UnexpectedEof`), or the frame is invalid (`InvalidData`).
+pub(crate) async fn read_packet(stream: &mut (impl AsyncReadExt + Unpin)) -> io::Result<Packet> {
+    let mut header = [0; HEAD_BYTES];
+    stream.read_exact(&mut header).await?;
+    let invalid = |error| io::Error::new(ErrorKind::InvalidData, error);
+    let length = payload_length(&header).map_err(invalid)?;
+    let mut payload = Vec::new();
+    // The buffer grows with the data received, not with the length that a header claims.
+    let received = stream.take(length as u64).read_to_end(&mut payload).await?;
+    if received < length {
+        return Err(ErrorKind::UnexpectedEof.into());
+    }
+    Packet::decode(&header, &payload).map_err(invalid)
+}
--- /dev/null
+++ b/crates/node/src/settings/document.rs
@@ -0,0 +1,152 @@
+//! Parses the settings document. The findings come in the order in which the fields are parsed.
+
+use super::{NodeSettings, PortRange};
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::fmt::Display;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::path::PathBuf;
+use std::str::FromStr;
+use std::time::Duration;
+use woadstall_control::reader::{Findings, Reader};
+use woadstall_routing::Bounds;
+
+/// Stands for an address that is missing or invalid, so that the other fields are still checked.
+const INVALID_IP: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
+
+/// The settings in a document, or what is wrong with it.
+pub(super) fn parse(document: &Value) -> Result<NodeSettings, Findings> {
+    let findings = &mut Findings::default();
+    let root = Reader::new(document);
+    let limits = root.field("limits");
+    let internal_ports = port_range(&root.field("ephemeral_ports"), findings);
+    let settings = NodeSettings {
+        node: root.field("node").text(findings),
+        ip: parsed_text(&root.field("ip"), findings).unwrap_or(INVALID_IP),
+        zone: root.field("zone").text(findings),
+        region: root.field("region").text(findings),
+        zones: texts(&root.field("zones"), findings),
+        listen: addresses(&root.field("listen"), findings),
+        internal_ports,
+        seeds: address_list(&root.field("seeds"), findings),
+        bootstrap: root.field("bootstrap").flag_or(false, findings),
+        data_dir: root
+            .field("data_dir")
+            .optional_text(findings)
+            .map(PathBuf::from),
+        tolerated_failures: tolerated_failures(&root.field("fault_tolerance"), findings),
+        heartbeat_ms: root.field("heartbeat_ms").whole_or(1_200, findings),
+        memory_bytes: mebibytes(limits.field("memory_mb").whole_or(256, findings)),
+        max_fds: usize::try_from(limits.field("max_fds").whole_or(1_024, findings))
+            .unwrap_or(usize::MAX),
+        grace_period: Duration::from_millis(milliseconds(
+            &root.field("bounds").field("grace_s"),
+            8.0,
+            findings,
+        )),
+        bounds: routing_bounds(&root.field("bounds"), findings),
+    };
+    if findings.is_empty() {
+        Ok(settings)
+    } else {
+        Err(std::mem::take(findings))
+    }
+}
+
+fn routing_bounds(bounds: &Reader<'_>, findings: &mut Findings) -> Bounds {
+    Bounds {
+        retry_budget_ratio: bounds.field("retry_budget_ratio").number_or(0.2, findings),
+        budget_window: milliseconds(&bounds.field("budget_window_s"), 10.0, findings),
+        budget_slack: bounds.field("budget_slack").number_or(0.0, findings),
+        cold_over: bounds.field("cold_over").number_or(1.0, findings),
+        cold_slack: bounds.field("cold_slack").number_or(0.0, findings),
+    }
+}
+
+/// The milliseconds of a field in seconds.
+fn milliseconds(seconds: &Reader<'_>, default_seconds: f64, findings: &mut Findings) -> u64 {
+    (seconds.number_or(default_seconds, findings) * 1e3) as u64
+}
+
+fn mebibytes(count: u64) -> usize {
+    usize::try_from(count).unwrap_or(usize::MAX >> 20) << 20
+}
+
+fn tolerated_failures(fault_tolerance: &Reader<'_>, findings: &mut Findings) -> usize {
+    let machines = fault_tolerance.field("machines").whole_or(1, findings);
+    usize::try_from(machines).unwrap_or(1)
+}
+
+fn port_range(reader: &Reader<'_>, findings: &mut Findings) -> PortRange {
+    let ports: Vec<u16> = reader
+        .items(findings)
+        .iter()
+        .map(|item| port(item, findings))
+        .collect();
+    if ports.len() != 2 && findings.is_empty() {
+        findings.add("ephemeral_ports", "must hold the first and the last port");
+    }
+    PortRange {
+        first: ports.first().copied().unwrap_or_default(),
+        last: ports.last().copied().unwrap_or_default(),
+    }
+}
+
+fn port(reader: &Reader<'_>, findings: &mut Findings) -> u16 {
+    let number = reader.whole(findings);
+    u16::try_from(number).unwrap_or_else(|_| {
+        findings.add(reader.place(), format!("{number} is no port"));
+        0
+    })
+}
+
+/// A value that is written as a string; `None`, and a finding, where it is missing or invalid.
+fn parsed_text<T>(reader: &Reader<'_>, findings: &mut Findings) -> Option<T>
+where
+    T: FromStr<Err: Display>,
+{
+    let text = reader.text(findings);
+    if text.is_empty() {
+        return None;
+    }
+    text.parse()
+        .map_err(|error| findings.add(reader.place(), format!("{text:?}: {error}")))
+        .ok()
+}
+
+fn address_list(reader: &Reader<'_>, findings: &mut Findings) -> Vec<SocketAddr> {
+    reader
+        .items(findings)
+        .iter()
+        .filter_map(|item| parsed_text(item, findings))
+        .collect()
+}
+
+fn texts(reader: &Reader<'_>, findings: &mut Findings) -> BTreeMap<String, String> {
+    fields(reader, findings)
+        .into_iter()
+        .map(|(name, field)| (name.clone(), field.text(findings)))
+        .collect()
+}
+
+fn addresses(reader: &Reader<'_>, findings: &mut Findings) -> BTreeMap<String, SocketAddr> {
+    fields(reader, findings)
+        .into_iter()
+        .filter_map(|(name, field)| Some((name.clone(), parsed_text(&field, findings)?)))
+        .collect()
+}
+
+/// All fields of an object, by their names.
+fn fields<'a>(reader: &Reader<'a>, findings: &mut Findings) -> Vec<(&'a String, Reader<'a>)> {
+    let Some(value) = reader.value() else {
+        return Vec::new();
+    };
+    let Some(object) = value.as_object() else {
+        findings.add(reader.place(), "must be an object");
+        return Vec::new();
+    };
+    object
+        .keys()
+        .map(|name| (name, reader.field(name)))
+        .collect()
+}
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::path::Path;
-use woadstall_node::settings::{NodeSettings, SettingsError};
+use woadstall_node::settings::{Endpoint, NodeSettings, SettingsError};
 
 fn assert_golden(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -52,20 +52,23 @@
         seeds,
         bootstrap,
         data_dir,
-        tolerated,
+        tolerated_failures,
         heartbeat_ms,
-        memory,
+        memory_bytes,
         max_fds,
-        grace_ms,
+        grace_period,
         bounds,
     } = settings;
     format!(
         "node={node}\nip={ip}\nzone={zone}\nregion={region}\nzones={zones:?}\nlisten={listen:?}\n\
-         ephemeral_ports={internal_ports:?}\nseeds={seeds:?}\nbootstrap={bootstrap}\ndata_dir={data_dir:?}\n\
-         fault_tolerance.machines={tolerated}\nheartbeat_ms={heartbeat_ms}\nlimits.memory={memory} bytes\n\
-         limits.max_fds={max_fds}\nbounds.grace={grace_ms} ms\nbounds.retry_budget_ratio={}\n\
+         ephemeral_ports=({}, {})\nseeds={seeds:?}\nbootstrap={bootstrap}\ndata_dir={data_dir:?}\n\
+         fault_tolerance.machines={tolerated_failures}\nheartbeat_ms={heartbeat_ms}\nlimits.memory={memory_bytes} bytes\n\
+         limits.max_fds={max_fds}\nbounds.grace={} ms\nbounds.retry_budget_ratio={}\n\
          bounds.budget_window={} ms\nbounds.budget_slack={}\nbounds.cold_over={}\nbounds.cold_slack={}\n\
          internal_address={}\ninternal_seeds={:?}\nlisten.control={:?}\nlisten.ready={:?}\n",
+        internal_ports.first,
+        internal_ports.last,
+        grace_period.as_millis(),
         bounds.retry_budget_ratio,
         bounds.budget_window,
         bounds.budget_slack,
@@ -73,13 +76,13 @@
         bounds.cold_slack,
         settings.internal_address(),
         settings.internal_seeds(),
-        settings.listens("control"),
-        settings.listens("ready"),
+        settings.listen_address(Endpoint::Control),
+        settings.listen_address(Endpoint::Readiness),
     )
 }
 
 #[test]
-fn defaults_are_the_same() {
+fn defaults_are_unchanged() {
     assert_golden(
         "settings-least.txt",
         &written(&NodeSettings::from_document(&least()).unwrap()),
@@ -95,7 +98,7 @@
 }
 
 #[test]
-fn the_variable_is_the_same() {
+fn the_variable_is_unchanged() {
     assert_eq!(woadstall_node::settings::PATH_VARIABLE, "WOADSTALL_BOOT");
 }
 
@@ -133,7 +136,7 @@
 ];
 
 #[test]
-fn findings_are_the_same() {
+fn findings_are_unchanged() {
     let wrong_values = [
         json!(null),
         json!(""),
@@ -176,7 +179,7 @@
 }
 
 #[test]
-fn errors_are_the_same() {
+fn errors_are_unchanged() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("boot.json");
     let error = |text: Option<&str>| -> SettingsError {
--- a/crates/standin/src/system.rs
+++ b/crates/standin/src/system.rs
@@ -195,7 +195,7 @@
         let headers = format!("If-Match: {base}\r\n");
         let body = configuration.to_string();
         self.until_done(|| call(self.control(core), "PUT", "/v1/config", &headers, body.as_bytes()));
-        let line = format!("configuration in force generation={}", configuration["generation"]);
+        let line = format!("configuration_applied generation={}", configuration["generation"]);
         self.fronts.iter().flatten().for_each(|front| drop(front.wait_for(&line)));
     }
 
@@ -207,7 +207,7 @@
         });
         let path = format!("/v1/instances/{id}");
         self.until_done(|| call(self.control(core), "PUT", &path, "", body.to_string().as_bytes()));
-        let line = format!("registration id={id}");
+        let line = format!("registration_applied upstream={id}");
         self.fronts.iter().flatten().for_each(|front| drop(front.wait_for(&line)));
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -93,7 +93,7 @@
 }
 
 fn main() -> ExitCode {
-    if let Some(code) = woadstall_node::command_line::run() {
+    if let Some(code) = woadstall_node::cli::run() {
         return code;
     }
     match Arguments::parse().command {
--- a/tests/golden_help.rs
+++ b/tests/golden_help.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn help_is_the_same() {
+fn help_is_unchanged() {
     let mut text = String::new();
     for arguments in [
         &["--help"] as &[&str],
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -102,7 +102,7 @@
     system.register(0, "i-1", "s", upstream.address, 0);
     let front = system.fronts[0].take().expect("it runs");
     front.signal("TERM");
-    front.wait_for("no longer ready");
+    front.wait_for("shutdown_started");
     let ready = call(system.ready(0), "GET", "/v1/readiness", "", b"").expect("an answer");
     assert_eq!(ready.status(), 503);
     let reply = ask(&system, "/safe/1").expect("clients that heard late are still served");
@@ -226,7 +226,7 @@
     let order = |method: &str| {
         let done = call(system.control(2), method, "/v1/evacuations/zone-0", "", b"").expect("an answer");
         assert_eq!(done.status(), 200);
-        system.front_process(0).wait_for("evacuated zones");
+        system.front_process(0).wait_for("evacuations_applied zones=");
     };
     order("POST");
     assert_eq!(body(&system), b"far");
@@ -237,19 +237,19 @@
     });
     let done = call(system.control(0), "PUT", "/v1/instances/i-1", "", draining.to_string().as_bytes());
     assert_eq!(done.expect("an answer").status(), 200);
-    system.front_process(0).wait_for("registration id=i-1");
+    system.front_process(0).wait_for("registration_applied upstream=i-1");
     assert_eq!(body(&system), b"far");
 }
 
 #[test]
 fn settings_that_change_are_read_again_and_those_at_fault_change_nothing() {
     let system = system();
-    system.front_process(0).wait_for("front starts");
+    system.front_process(0).wait_for("front_started");
     system.rewrite_settings("front-0", |settings| settings["seeds"] = json!(["127.0.0.1:1"]));
-    system.front_process(0).wait_for("settings read again seeds=[127.0.0.1:1]");
+    system.front_process(0).wait_for("settings_reloaded seeds=[127.0.0.1:1]");
     system.rewrite_settings("front-0", |settings| settings["seeds"] = json!("none"));
     system.front_process(0).signal("HUP");
-    let refused = system.front_process(0).wait_for("new settings refused");
+    let refused = system.front_process(0).wait_for("settings_rejected");
     assert!(refused.contains("node.json") || refused.contains("front-0.json"), "{refused}");
     system.front_process(0).wait_for("seeds: must be an array");
 }
