--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,15 +1,20 @@
-//! Reports of requests that were late, refused, failed or sent again: one line each, written by balancers ([`RequestReport`]),
-//! and what many of them tell together ([`Summary`]).
+//! Reports of requests that were late, rejected, failed or retried: a front writes one log line for each ([`RequestReport`]), and
+//! many of them are summarized as tables ([`Summary`]) and a plot ([`render_svg`]).
 //!
 //! No I/O and no clock.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod line;
+mod outcome;
 mod plot;
 mod report;
 mod summary;
+mod tables;
 
-pub use plot::plot;
-pub use report::{AttemptOutcome, AttemptReport, Cause, MARK, ReportError, RequestReport};
-pub use summary::Summary;
+pub use line::{LINE_PREFIX, ParseReportError};
+pub use outcome::{AttemptOutcome, Cause};
+pub use plot::{PlotError, render_svg};
+pub use report::{AttemptReport, RequestReport};
+pub use summary::{CauseCounts, Summary};
--- a/crates/explain/src/plot.rs
+++ b/crates/explain/src/plot.rs
@@ -1,53 +1,67 @@
-//! Causes over time as a picture.
+//! A summary as a plot: the number of reports over time, a line for each cause.
 
+use crate::outcome::Cause;
 use crate::summary::Summary;
+use plotters::coord::types::{RangedCoordu64, RangedCoordusize};
 use plotters::prelude::*;
+use std::error::Error;
+use std::ops::Range;
+use thiserror::Error;
 
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (1_000, 420);
-const COLOURS: [RGBColor; 7] = [BLUE, GREEN, YELLOW, RED, MAGENTA, BLACK, CYAN];
+const MARGIN: u32 = 10;
+const X_LABEL_HEIGHT: u32 = 30;
+const Y_LABEL_WIDTH: u32 = 50;
+/// Length of a line in the legend.
+const LEGEND_LINE: i32 = 16;
+/// A colour for each cause.
+const PALETTE: [RGBColor; 7] = [BLUE, GREEN, YELLOW, RED, MAGENTA, BLACK, CYAN];
 
-/// A plot in SVG of the reports by second, a line for each cause. The message of the plotting library where it can't be drawn.
-pub fn plot(summary: &Summary) -> Result<String, String> {
+type Chart<'a, 'b> =
+    ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordu64, RangedCoordusize>>;
+
+/// The plot can't be drawn.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub struct PlotError(#[source] Box<dyn Error + Send + Sync>);
+
+impl<E> From<DrawingAreaErrorKind<E>> for PlotError
+where
+    E: Error + Send + Sync + 'static,
+{
+    fn from(source: DrawingAreaErrorKind<E>) -> Self {
+        Self(Box::new(source))
+    }
+}
+
+/// A plot of a summary in SVG.
+///
+/// # Errors
+///
+/// The plotting library can't draw it.
+pub fn render_svg(summary: &Summary) -> Result<String, PlotError> {
     let mut svg = String::new();
-    draw(summary, &mut svg).map_err(|error| error.to_string())?;
+    draw(summary, &mut svg)?;
     Ok(svg)
 }
 
-fn draw(summary: &Summary, svg: &mut String) -> Result<(), Box<dyn std::error::Error>> {
-    let seconds = summary.by_second();
-    let first = seconds.keys().next().copied().unwrap_or(0);
-    let last = seconds.keys().next_back().copied().unwrap_or(0) + 1;
-    let most = seconds
-        .values()
-        .flat_map(|counts| counts.values())
-        .max()
-        .copied()
-        .unwrap_or(1);
+fn draw(summary: &Summary, svg: &mut String) -> Result<(), PlotError> {
+    let seconds = seconds(summary);
     let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .margin(10)
-        .x_label_area_size(30)
-        .y_label_area_size(50)
-        .build_cartesian_2d(first..last, 0..most + 1)?;
+        .margin(MARGIN)
+        .x_label_area_size(X_LABEL_HEIGHT)
+        .y_label_area_size(Y_LABEL_WIDTH)
+        .build_cartesian_2d(seconds.clone(), 0..max_count(summary) + 1)?;
     chart
         .configure_mesh()
         .x_desc("second")
         .y_desc("requests reported")
         .draw()?;
-    for (cause, colour) in summary.causes().into_iter().zip(COLOURS) {
-        let count = |second: u64| {
-            seconds
-                .get(&second)
-                .and_then(|counts| counts.get(&cause))
-                .copied()
-                .unwrap_or(0)
-        };
-        let points = (first..last).map(|second| (second, count(second)));
-        chart
-            .draw_series(LineSeries::new(points, &colour))?
-            .label(cause.to_string())
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
+    for (cause, colour) in summary.causes().into_iter().zip(PALETTE) {
+        draw_cause(&mut chart, summary, seconds.clone(), cause, colour)?;
     }
     chart
         .configure_series_labels()
@@ -57,3 +71,44 @@
     area.present()?;
     Ok(())
 }
+
+fn draw_cause(
+    chart: &mut Chart<'_, '_>,
+    summary: &Summary,
+    seconds: Range<u64>,
+    cause: Cause,
+    colour: RGBColor,
+) -> Result<(), PlotError> {
+    let count = |second: u64| {
+        let counts = summary.by_second().get(&second);
+        counts
+            .and_then(|counts| counts.get(&cause))
+            .copied()
+            .unwrap_or(0)
+    };
+    let points = seconds.map(|second| (second, count(second)));
+    chart
+        .draw_series(LineSeries::new(points, &colour))?
+        .label(cause.to_string())
+        .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE, y)], colour));
+    Ok(())
+}
+
+/// The seconds from the first report to the last.
+fn seconds(summary: &Summary) -> Range<u64> {
+    let mut seconds = summary.by_second().keys().copied();
+    let first = seconds.next().unwrap_or(0);
+    let last = seconds.next_back().unwrap_or(first);
+    first..last + 1
+}
+
+/// The highest number of reports with one cause in one second; 1 if there is none.
+fn max_count(summary: &Summary) -> usize {
+    summary
+        .by_second()
+        .values()
+        .flat_map(|counts| counts.values())
+        .max()
+        .copied()
+        .unwrap_or(1)
+}
--- a/crates/explain/tests/golden.rs
+++ b/crates/explain/tests/golden.rs
@@ -2,27 +2,29 @@
 
 use std::collections::BTreeMap;
 use std::path::Path;
-use woadstall_explain::{AttemptOutcome, AttemptReport, Cause, MARK, RequestReport, Summary, plot};
+use woadstall_explain::{
+    AttemptOutcome, AttemptReport, Cause, LINE_PREFIX, RequestReport, Summary, render_svg,
+};
 
 const CAUSES: [Cause; 7] = [
-    Cause::Late,
-    Cause::Repeated,
-    Cause::Refused,
+    Cause::TargetMissed,
+    Cause::Retried,
+    Cause::Rejected,
     Cause::Failed,
     Cause::TimedOut,
-    Cause::ErrorAnswer,
-    Cause::ClientLeft,
+    Cause::ErrorResponse,
+    Cause::ClientDisconnected,
 ];
 
 const OUTCOMES: [AttemptOutcome; 8] = [
-    AttemptOutcome::Answered,
-    AttemptOutcome::ErrorAnswer,
+    AttemptOutcome::Completed,
+    AttemptOutcome::ErrorResponse,
     AttemptOutcome::Rejected,
     AttemptOutcome::NotSent,
-    AttemptOutcome::Broken,
-    AttemptOutcome::BrokenOff,
+    AttemptOutcome::NoResponse,
+    AttemptOutcome::Truncated,
     AttemptOutcome::TimedOut,
-    AttemptOutcome::Abandoned,
+    AttemptOutcome::Cancelled,
 ];
 
 fn assert_golden(name: &str, text: &str) {
@@ -38,12 +40,12 @@
         upstream: "i-7f3a".to_owned(),
         zone: "a-1".to_owned(),
         outcome,
-        began: 3,
-        took: 612,
+        began_ms: 3,
+        duration_ms: 612,
         in_flight: 2,
-        reading: 17_020,
+        prefill_tokens: 17_020,
         candidates: 28,
-        passed_over: BTreeMap::from([("silent".to_owned(), 2), ("tripped".to_owned(), 1)]),
+        excluded: BTreeMap::from([("silent".to_owned(), 2), ("tripped".to_owned(), 1)]),
     }
 }
 
@@ -52,14 +54,14 @@
         cause,
         route: "r-a".to_owned(),
         service: "llm".to_owned(),
-        zone: "a-2".to_owned(),
+        balancer_zone: "a-2".to_owned(),
         priority: 1,
-        total: 900,
-        first: Some(640),
-        pause: 12,
-        target: 600,
-        prompt: 17_021,
-        shared: 13_300,
+        total_ms: 900,
+        first_data_ms: Some(640),
+        longest_gap_ms: 12,
+        target_latency_ms: 600,
+        prompt_tokens: 17_021,
+        shared_tokens: 13_300,
         attempts: OUTCOMES.into_iter().map(attempt).collect(),
     }
 }
@@ -70,28 +72,28 @@
     let bare_attempt = AttemptReport {
         upstream: String::new(),
         zone: String::new(),
-        passed_over: BTreeMap::new(),
-        ..attempt(AttemptOutcome::Answered)
+        excluded: BTreeMap::new(),
+        ..attempt(AttemptOutcome::Completed)
     };
-    let first = None;
+    let first_data_ms = None;
     reports.push(RequestReport {
-        first,
+        first_data_ms,
         attempts: vec![bare_attempt],
-        ..report(Cause::Refused)
+        ..report(Cause::Rejected)
     });
     let attempts = Vec::new();
     reports.push(RequestReport {
         route: "a b=c;d,e+f*g".to_owned(),
-        first,
+        first_data_ms,
         attempts,
-        ..report(Cause::Late)
+        ..report(Cause::TargetMissed)
     });
     reports
 }
 
 #[test]
-fn the_mark_is_unchanged() {
-    assert_eq!(MARK, "request report ");
+fn the_prefix_is_unchanged() {
+    assert_eq!(LINE_PREFIX, "request report ");
 }
 
 #[test]
@@ -121,20 +123,20 @@
         summary.add(100 + 2 * number as u64, report);
     }
     assert_golden("summary.txt", &summary.to_string());
-    assert_golden("summary.svg", &plot(&summary).unwrap());
+    assert_golden("summary.svg", &render_svg(&summary).unwrap());
 }
 
 #[test]
 fn empty_tables_and_plot_are_unchanged() {
     let summary = Summary::default();
     assert_golden("empty.txt", &summary.to_string());
-    assert_golden("empty.svg", &plot(&summary).unwrap());
+    assert_golden("empty.svg", &render_svg(&summary).unwrap());
 }
 
 #[test]
 fn errors_are_unchanged() {
     let error = |line: &str| line.parse::<RequestReport>().unwrap_err().to_string();
-    let line = report(Cause::Late).to_string();
+    let line = report(Cause::TargetMissed).to_string();
     assert_eq!(error("nothing"), "the field `cause` is missing");
     assert_eq!(
         error(&line.replace("shared=13300 ", "")),
--- a/crates/explain/tests/reports.rs
+++ b/crates/explain/tests/reports.rs
@@ -3,7 +3,8 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use woadstall_explain::{
-    AttemptOutcome, AttemptReport, Cause, MARK, ReportError, RequestReport, Summary, plot,
+    AttemptOutcome, AttemptReport, Cause, LINE_PREFIX, ParseReportError, RequestReport, Summary,
+    render_svg,
 };
 
 fn attempt(outcome: AttemptOutcome) -> AttemptReport {
@@ -11,12 +12,12 @@
         upstream: "i-7f3a".to_owned(),
         zone: "a-1".to_owned(),
         outcome,
-        began: 3,
-        took: 612,
+        began_ms: 3,
+        duration_ms: 612,
         in_flight: 2,
-        reading: 17_020,
+        prefill_tokens: 17_020,
         candidates: 28,
-        passed_over: BTreeMap::from([("silent".to_owned(), 2), ("tripped".to_owned(), 1)]),
+        excluded: BTreeMap::from([("silent".to_owned(), 2), ("tripped".to_owned(), 1)]),
     }
 }
 
@@ -25,35 +26,35 @@
         cause,
         route: "r-a".to_owned(),
         service: "llm".to_owned(),
-        zone: "a-2".to_owned(),
+        balancer_zone: "a-2".to_owned(),
         priority: 1,
-        total: 900,
-        first: Some(640),
-        pause: 12,
-        target: 600,
-        prompt: 17_020,
-        shared: 13_300,
+        total_ms: 900,
+        first_data_ms: Some(640),
+        longest_gap_ms: 12,
+        target_latency_ms: 600,
+        prompt_tokens: 17_020,
+        shared_tokens: 13_300,
         attempts: vec![
-            attempt(AttemptOutcome::Broken),
-            attempt(AttemptOutcome::Answered),
+            attempt(AttemptOutcome::NoResponse),
+            attempt(AttemptOutcome::Completed),
         ],
     }
 }
 
 #[rstest]
-#[case::late(Cause::Late)]
-#[case::repeated(Cause::Repeated)]
-#[case::refused(Cause::Refused)]
+#[case::late(Cause::TargetMissed)]
+#[case::repeated(Cause::Retried)]
+#[case::refused(Cause::Rejected)]
 #[case::failed(Cause::Failed)]
 #[case::timed_out(Cause::TimedOut)]
-#[case::error_answer(Cause::ErrorAnswer)]
-#[case::client_left(Cause::ClientLeft)]
+#[case::error_answer(Cause::ErrorResponse)]
+#[case::client_left(Cause::ClientDisconnected)]
 fn a_report_is_read_as_it_was_written(#[case] cause: Cause) {
     let whole = report(cause);
     let line = format!("10:20:30.123 INFO {whole}");
     assert_eq!(line.parse(), Ok(whole));
     let bare = RequestReport {
-        first: None,
+        first_data_ms: None,
         attempts: Vec::new(),
         ..report(cause)
     };
@@ -64,7 +65,7 @@
 fn names_with_separators_do_not_break_the_line() {
     let odd = RequestReport {
         route: "a b=c;d,e+f*g".to_owned(),
-        ..report(Cause::Late)
+        ..report(Cause::TargetMissed)
     };
     let read: RequestReport = odd.to_string().parse().unwrap();
     assert_eq!(read.route, "a_b_c_d_e_f_g");
@@ -79,15 +80,15 @@
     )]
     field: &'static str,
 ) {
-    let line = report(Cause::Late).to_string();
-    let parts = line.strip_prefix(MARK).unwrap().split(' ');
+    let line = report(Cause::TargetMissed).to_string();
+    let parts = line.strip_prefix(LINE_PREFIX).unwrap().split(' ');
     let without: Vec<&str> = parts
         .filter(|part| !part.starts_with(&format!("{field}=")))
         .collect();
-    let cut = format!("{MARK}{}", without.join(" "));
+    let cut = format!("{LINE_PREFIX}{}", without.join(" "));
     assert_eq!(
         cut.parse::<RequestReport>(),
-        Err(ReportError::Missing(field))
+        Err(ParseReportError::MissingField(field))
     );
     if ["route", "service", "zone"].contains(&field) {
         return; // any name will do
@@ -96,15 +97,15 @@
     let value = "what".to_owned();
     assert_eq!(
         spoilt.parse::<RequestReport>(),
-        Err(ReportError::Invalid { field, value })
+        Err(ParseReportError::InvalidValue { field, value })
     );
 }
 
 #[test]
 fn reports_fold_into_tables_and_a_plot() {
     let mut summary = Summary::default();
-    summary.add(10, &report(Cause::Late));
-    summary.add(10, &report(Cause::Late));
+    summary.add(10, &report(Cause::TargetMissed));
+    summary.add(10, &report(Cause::TargetMissed));
     summary.add(12, &report(Cause::Failed));
     assert_eq!(summary.reports(), 3);
     let text = summary.to_string();
@@ -120,7 +121,7 @@
     assert_eq!(row("r-a "), ["2", "1"]);
     assert_eq!(row("silent "), ["8", "4"]);
     assert_eq!(row("a-1 "), ["i-7f3a", "answered=3", "broken=3"]);
-    let picture = plot(&summary).unwrap();
+    let picture = render_svg(&summary).unwrap();
     assert!(picture.starts_with("<svg") && picture.contains("late") && picture.contains("failed"));
 }
 
@@ -128,5 +129,5 @@
 fn nothing_folds_into_empty_tables() {
     let summary = Summary::default();
     assert!(summary.to_string().starts_with("0 reports"));
-    assert!(plot(&summary).is_ok());
+    assert!(render_svg(&summary).is_ok());
 }
--- a/crates/node/src/cli/why.rs
+++ b/crates/node/src/cli/why.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
-use woadstall_explain::{MARK, ReportError, RequestReport, Summary};
+use woadstall_explain::{LINE_PREFIX, ParseReportError, PlotError, RequestReport, Summary};
 
 /// Reports can't be summarized.
 #[derive(Debug, Error)]
@@ -25,11 +25,11 @@
         /// The number of the line, from 1 on.
         line_number: usize,
         /// What is wrong with it.
-        source: ReportError,
+        source: ParseReportError,
     },
     /// The plot can't be drawn.
     #[error("the plot: {0}")]
-    Plot(String),
+    Plot(#[from] PlotError),
 }
 
 /// Reads the log files, prints the tables, and writes the plot to `plot_path` if there is one.
@@ -47,7 +47,7 @@
     let Some(path) = plot_path else {
         return Ok(());
     };
-    let svg = woadstall_explain::plot(&summary).map_err(WhyError::Plot)?;
+    let svg = woadstall_explain::render_svg(&summary)?;
     std::fs::write(path, svg).map_err(io_error(path))
 }
 
@@ -63,7 +63,7 @@
 fn add_log(path: &Path, log: impl BufRead, summary: &mut Summary) -> Result<(), WhyError> {
     for (index, text) in log.lines().enumerate() {
         let text = text.map_err(io_error(path))?;
-        if !text.contains(MARK) {
+        if !text.contains(LINE_PREFIX) {
             continue;
         }
         let report: RequestReport = text.parse().map_err(|source| WhyError::InvalidReport {
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -155,7 +155,7 @@
     }
     match error_response {
         Some(response) => {
-            retries.fail(Cause::ErrorAnswer);
+            retries.fail(Cause::ErrorResponse);
             response
         }
         None => retries.into_failure(),
--- a/crates/node/src/front/request_reports.rs
+++ b/crates/node/src/front/request_reports.rs
@@ -124,7 +124,7 @@
     /// An attempt at an upstream begins.
     pub fn begin_attempt(&mut self, target: &Target, standing: &Standing) {
         self.attempt_began = Instant::now();
-        let passed_over: BTreeMap<String, usize> = standing
+        let excluded: BTreeMap<String, usize> = standing
             .passed_over
             .iter()
             .map(|(obstacle, count)| (obstacle.to_string(), *count))
@@ -132,22 +132,22 @@
         self.attempts.push(AttemptReport {
             upstream: target.id.to_string(),
             zone: target.zone.to_string(),
-            outcome: AttemptOutcome::Abandoned,
-            began: millis(self.arrived.elapsed()),
-            took: 0,
+            outcome: AttemptOutcome::Cancelled,
+            began_ms: millis(self.arrived.elapsed()),
+            duration_ms: 0,
             in_flight: target.in_flight,
-            reading: target.total_reading,
+            prefill_tokens: target.total_reading,
             candidates: standing.candidates,
-            passed_over,
+            excluded,
         });
     }
 
     /// The attempt has ended, and so has its response.
     pub fn end_attempt(&mut self, outcome: AttemptOutcome) {
-        let took = millis(self.attempt_began.elapsed());
+        let duration_ms = millis(self.attempt_began.elapsed());
         if let Some(attempt) = self.attempts.last_mut() {
             attempt.outcome = outcome;
-            attempt.took = took;
+            attempt.duration_ms = duration_ms;
         }
     }
 
@@ -167,9 +167,9 @@
         let missed_target = latency > self.route.target_latency
             || gap_limit.is_some_and(|limit| self.longest_gap > limit);
         if missed_target {
-            self.report(Cause::Late);
+            self.report(Cause::TargetMissed);
         } else if self.attempts.len() > 1 {
-            self.report(Cause::Repeated);
+            self.report(Cause::Retried);
         } else {
             self.has_ended = true;
         }
@@ -182,19 +182,19 @@
 
     fn report(&mut self, cause: Cause) {
         self.has_ended = true;
-        let first = self.first_data.map(|first| millis(first - self.arrived));
+        let first_data_ms = self.first_data.map(|first| millis(first - self.arrived));
         self.log.write(&RequestReport {
             cause,
             route: self.route.name.clone(),
             service: std::mem::take(&mut self.service),
-            zone: self.log.zone.clone(),
+            balancer_zone: self.log.zone.clone(),
             priority: self.route.priority,
-            total: millis(self.arrived.elapsed()),
-            first,
-            pause: millis(self.longest_gap),
-            target: millis(self.route.target_latency),
-            prompt: self.prompt.tokens,
-            shared: self.prompt.shared_tokens,
+            total_ms: millis(self.arrived.elapsed()),
+            first_data_ms,
+            longest_gap_ms: millis(self.longest_gap),
+            target_latency_ms: millis(self.route.target_latency),
+            prompt_tokens: self.prompt.tokens,
+            shared_tokens: self.prompt.shared_tokens,
             attempts: std::mem::take(&mut self.attempts),
         });
     }
@@ -203,7 +203,7 @@
 impl Drop for RequestTrace {
     fn drop(&mut self) {
         if !self.has_ended {
-            self.report(Cause::ClientLeft);
+            self.report(Cause::ClientDisconnected);
         }
     }
 }
--- a/crates/node/src/front/retry.rs
+++ b/crates/node/src/front/retry.rs
@@ -175,7 +175,7 @@
             self.fail(Cause::Failed);
             return text_response(StatusCode::BAD_GATEWAY, "no answer came\n");
         }
-        self.fail(Cause::Refused);
+        self.fail(Cause::Rejected);
         service_unavailable(self.retry_after)
     }
 }
@@ -185,12 +185,12 @@
     match result {
         AttemptResult::NotSent => Some(AttemptOutcome::NotSent),
         AttemptResult::Rejected => Some(AttemptOutcome::Rejected),
-        AttemptResult::Failed => Some(AttemptOutcome::Broken),
+        AttemptResult::Failed => Some(AttemptOutcome::NoResponse),
         AttemptResult::TimedOut => Some(AttemptOutcome::TimedOut),
         AttemptResult::Complete(parts, _) if parts.status.is_server_error() => {
-            Some(AttemptOutcome::ErrorAnswer)
+            Some(AttemptOutcome::ErrorResponse)
         }
-        AttemptResult::Complete(..) => Some(AttemptOutcome::Answered),
+        AttemptResult::Complete(..) => Some(AttemptOutcome::Completed),
         AttemptResult::Streaming(_) => None,
     }
 }
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -137,7 +137,7 @@
                 let upstream = &response.in_flight.target.id;
                 log::info!("stream_truncated upstream={upstream}");
                 response.in_flight.end(Outcome::Broken);
-                self.retries.end_attempt(AttemptOutcome::BrokenOff);
+                self.retries.end_attempt(AttemptOutcome::Truncated);
                 ControlFlow::Continue(response.connection)
             }
         }
@@ -158,7 +158,7 @@
         } = response;
         release_connection(&self.front, connection, &in_flight, keep_alive);
         in_flight.end(Outcome::Answered);
-        self.retries.end_attempt(AttemptOutcome::Answered);
+        self.retries.end_attempt(AttemptOutcome::Completed);
         self.retries.complete();
     }
 
