--- a/crates/evacuation/src/place_decision.rs
+++ b/crates/evacuation/src/place_decision.rs
@@ -4,7 +4,7 @@
 use crate::standing::{Standing, State};
 use serde::{Deserialize, Serialize};
 use std::fmt;
-use woadstall_evidence::Subject;
+use woadstall_health_reports::Subject;
 
 /// Form of the bytes: raised when what they mean changes.
 const FORM: u8 = 1;
@@ -39,7 +39,12 @@
     /// Of a place as it stands.
     pub fn new(subject: Subject, standing: &Standing) -> Self {
         let share = (standing.share.clamp(0.0, 1.0) * 100.0).round() as u8;
-        Self { subject, epoch: standing.epoch, state: standing.state, share }
+        Self {
+            subject,
+            epoch: standing.epoch,
+            state: standing.state,
+            share,
+        }
     }
 
     /// Its share.
--- a/crates/instances-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use woadstall_instances::{Node, Seen, State, Way};
+use woadstall_membership::{Node, Seen, State, Way};
 
 /// What was not believed, or not sent, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -150,13 +150,19 @@
     /// Of a member, whose clock began at 0.
     pub fn new(node: &Node, counts: Counts, now: u64) -> Self {
         let (size, sure, tallies) = (node.size(), node.sure(now), node.tallies());
-        let ways = node.cuts(now).into_iter().map(|((from, to), between)| Ways {
-            from: from.to_string(),
-            to: to.to_string(),
-            of: between.of,
-            cut: between.cut,
-        });
-        let mut members: Vec<Row> = node.members(now).map(|seen| Row::new(node, &seen, now)).collect();
+        let ways = node
+            .cuts(now)
+            .into_iter()
+            .map(|((from, to), between)| Ways {
+                from: from.to_string(),
+                to: to.to_string(),
+                of: between.of,
+                cut: between.cut,
+            });
+        let mut members: Vec<Row> = node
+            .members(now)
+            .map(|seen| Row::new(node, &seen, now))
+            .collect();
         members.sort_by(|one, other| one.name.cmp(&other.name));
         Self {
             name: node.me().name.to_string(),
--- a/crates/node/src/cli/why.rs
+++ b/crates/node/src/cli/why.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
-use woadstall_explain::{LINE_PREFIX, ParseReportError, PlotError, RequestReport, Summary};
+use woadstall_request_reports::{LINE_PREFIX, ParseReportError, PlotError, RequestReport, Summary};
 
 /// Reports can't be summarized.
 #[derive(Debug, Error)]
@@ -47,7 +47,7 @@
     let Some(path) = plot_path else {
         return Ok(());
     };
-    let svg = woadstall_explain::render_svg(&summary)?;
+    let svg = woadstall_request_reports::render_svg(&summary)?;
     std::fs::write(path, svg).map_err(io_error(path))
 }
 
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -18,8 +18,8 @@
 use thiserror::Error;
 use tokio::time::Instant;
 use woadstall_control::configuration::{Configuration, Route, RouteType, Service};
-use woadstall_explain::Cause;
 use woadstall_inbound::{BodyRoom, lock};
+use woadstall_request_reports::Cause;
 use woadstall_routing::Prompt;
 use woadstall_transport::end_to_end;
 
--- a/crates/node/src/front/retry.rs
+++ b/crates/node/src/front/retry.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use thiserror::Error;
 use woadstall_control::configuration::{Route, Service};
-use woadstall_explain::{AttemptOutcome, Cause};
 use woadstall_inbound::lock;
+use woadstall_request_reports::{AttemptOutcome, Cause};
 use woadstall_routing::{Decision, Prompt, Query, Refusal, Target, UpstreamId};
 
 /// Attempts at most for which no connection can be established.
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 use tokio::time::timeout_at;
-use woadstall_explain::{AttemptOutcome, Cause};
+use woadstall_request_reports::{AttemptOutcome, Cause};
 use woadstall_routing::Outcome;
 
 /// The id of the last event that a client has received (WHATWG HTML 9.2.4).
--- a/crates/explain/tests/golden.rs
+++ b/crates/request-reports/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::path::Path;
-use woadstall_explain::{
+use woadstall_request_reports::{
     AttemptOutcome, AttemptReport, Cause, LINE_PREFIX, RequestReport, Summary, render_svg,
 };
 
