--- a/crates/node/src/core/api/status.rs
+++ b/crates/node/src/core/api/status.rs
@@ -26,8 +26,8 @@
 fn members(machine: &Machine) -> Vec<Value> {
     machine
         .replica()
-        .members()
-        .members()
+        .membership()
+        .all_voters()
         .map(|member| json!({ "id": format!("{:x}", member.id), "address": member.address }))
         .collect()
 }
--- a/crates/node/src/front/attempt/in_flight.rs
+++ b/crates/node/src/front/attempt/in_flight.rs
@@ -5,7 +5,7 @@
 use woadstall_inbound::lock;
 use woadstall_routing::{Outcome, Target};
 
-/// A request in flight at an upstream. Dropped without [`Self::end`], it counts as withdrawn.
+/// A request in flight at an upstream. Dropped without [`Self::end`], it counts as cancelled.
 pub(in crate::front) struct InFlight {
     front: Arc<Front>,
     pub target: Target,
@@ -17,11 +17,11 @@
 impl InFlight {
     /// A request that the router has assigned to a target.
     pub fn new(front: &Arc<Front>, target: Target) -> Self {
-        let unread_tokens = target.reading;
+        let unread_tokens = target.prefill_tokens;
         Self {
             front: front.clone(),
             target,
-            outcome: Outcome::Withdrawn,
+            outcome: Outcome::Cancelled,
             unread_tokens,
         }
     }
@@ -30,7 +30,7 @@
     pub fn record_data(&mut self) {
         let prefilled = std::mem::take(&mut self.unread_tokens);
         let mut router = lock(&self.front.router);
-        router.heard(self.front.now(), &self.target.id, prefilled);
+        router.record_activity(self.front.now(), &self.target.id, prefilled);
     }
 
     /// Ends it with an outcome.
--- a/crates/node/src/front/attempt/mod.rs
+++ b/crates/node/src/front/attempt/mod.rs
@@ -114,7 +114,7 @@
                 "upstream_unreachable upstream={} error={error}",
                 in_flight.target.id
             );
-            in_flight.end(Outcome::Unreachable);
+            in_flight.end(Outcome::ConnectFailed);
             return AttemptResult::NotSent;
         }
         Err(_) => return AttemptResult::NotSent,
@@ -146,13 +146,13 @@
             in_flight.target.id,
             parts.status.as_u16()
         );
-        in_flight.end(Outcome::Broken);
+        in_flight.end(Outcome::ConnectionError);
         return AttemptResult::Failed;
     }
     if parts.status.is_server_error() {
-        lock(&front.router).heard(front.now(), &in_flight.target.id, 0);
+        lock(&front.router).record_activity(front.now(), &in_flight.target.id, 0);
     } else {
-        lock(&front.router).answered(front.now(), &in_flight.target.id);
+        lock(&front.router).record_response(front.now(), &in_flight.target.id);
     }
     // Read before `end_to_end` removes the headers that it is in.
     let keep_alive = keep_alive(&parts);
@@ -206,19 +206,19 @@
     match error {
         // That an idle connection was just closed by its upstream says nothing about the upstream.
         SendError::NotSent(_) if connection_is_reused => {
-            in_flight.end(Outcome::Withdrawn);
+            in_flight.end(Outcome::Cancelled);
             AttemptResult::NotSent
         }
         SendError::NotSent(_) => {
-            in_flight.end(Outcome::Broken);
+            in_flight.end(Outcome::ConnectionError);
             AttemptResult::NotSent
         }
         SendError::NoResponse(_) => {
-            in_flight.end(Outcome::Broken);
+            in_flight.end(Outcome::ConnectionError);
             AttemptResult::Failed
         }
         SendError::DeadlineBeforeSend => {
-            in_flight.end(Outcome::Withdrawn);
+            in_flight.end(Outcome::Cancelled);
             AttemptResult::NotSent
         }
         SendError::DeadlineBeforeResponse => {
@@ -235,7 +235,7 @@
             in_flight.target.id,
             in_flight.target.address
         );
-        in_flight.end(Outcome::Unreachable);
+        in_flight.end(Outcome::ConnectFailed);
     } else {
         in_flight.end(Outcome::Rejected);
     }
@@ -258,14 +258,14 @@
         Ok(Some(bytes)) => {
             release_connection(front, connection, &in_flight, keep_alive);
             in_flight.end(if parts.status.is_server_error() {
-                Outcome::Error
+                Outcome::UpstreamError
             } else {
                 Outcome::Answered
             });
             AttemptResult::Complete(parts, bytes)
         }
         Ok(None) => {
-            in_flight.end(Outcome::Broken);
+            in_flight.end(Outcome::ConnectionError);
             AttemptResult::Failed
         }
         Err(_) => {
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -130,7 +130,7 @@
                     "snapshot_applied peer={address} upstreams={}",
                     registrations.len()
                 );
-                lock(&front.router).snapshot(front.now(), &registrations);
+                lock(&front.router).apply_snapshot(front.now(), &registrations);
             }
             Packet::Events { offset, events } => {
                 position.offset = offset;
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -93,7 +93,7 @@
     let Some(service) = pick_service(&configuration, &route) else {
         return text_response(StatusCode::BAD_GATEWAY, "the route has no service\n");
     };
-    lock(&front.router).request(front.now(), &service.name);
+    lock(&front.router).record_request(front.now(), &service.name);
     let forwarded = ForwardedRequest {
         head,
         body,
--- a/crates/node/src/front/load_reports.rs
+++ b/crates/node/src/front/load_reports.rs
@@ -63,8 +63,8 @@
         balancer: last.balancer,
         sequence: last.sequence,
         zone: last.zone.clone(),
-        upstreams: router.load(front.now()),
-        placements: router.placements(front.now()),
+        upstreams: router.upstream_loads(front.now()),
+        placements: router.recent_placements(front.now()),
     }
 }
 
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -105,8 +105,8 @@
 
 /// Announces that no more clients should come, and waits until all accepted requests are answered.
 async fn shut_down(front: &Front, stop: &watch::Sender<bool>, clients: JoinHandle<()>) {
-    log::info!("shutdown_started signal=SIGTERM");
     front.shutting_down.store(true, Ordering::Relaxed);
+    log::info!("shutdown_started signal=SIGTERM");
     front.announce.notify_one();
     stop.send_replace(true);
     let grace_period = front.settings.grace_period.saturating_sub(GRACE_MARGIN);
--- a/crates/node/src/front/pool.rs
+++ b/crates/node/src/front/pool.rs
@@ -137,7 +137,7 @@
             Acquired::Idle(connection) => return Ok(connection),
             Acquired::Permit(permit) => permit,
         };
-        let connect_timeout = if target.is_near {
+        let connect_timeout = if target.is_local_region {
             LOCAL_CONNECT_TIMEOUT
         } else {
             REMOTE_CONNECT_TIMEOUT
@@ -161,7 +161,7 @@
                 return Ok(Acquired::Idle(idle.connection));
             }
         }
-        let is_full = upstream.open.load(Ordering::Relaxed) >= target.connections
+        let is_full = upstream.open.load(Ordering::Relaxed) >= target.max_connections
             || self.open.load(Ordering::Relaxed) >= self.max_open;
         if is_full {
             return Err(PoolError::Full);
--- a/crates/node/src/front/prompt.rs
+++ b/crates/node/src/front/prompt.rs
@@ -18,7 +18,7 @@
         .unwrap_or("");
     let sections: Vec<(&str, u64)> = value.split(',').filter_map(parse_section).collect();
     let mut prompt = Prompt {
-        tokens: sections.iter().map(|(_, tokens)| tokens).sum(),
+        total_tokens: sections.iter().map(|(_, tokens)| tokens).sum(),
         ..Prompt::default()
     };
     let Some((_, shareable)) = sections.split_last() else {
@@ -27,14 +27,14 @@
     let mut ids = Vec::new();
     for (id, tokens) in shareable {
         ids.push(*id);
-        prompt.shared_tokens += tokens;
-        if prompt.shared_tokens >= MIN_SHARED_TOKENS {
-            prompt.shared = Some(short_hash(&ids.join(",")));
+        prompt.prefix_tokens += tokens;
+        if prompt.prefix_tokens >= MIN_SHARED_TOKENS {
+            prompt.prefix_hash = Some(short_hash(&ids.join(",")));
             return prompt;
         }
     }
     Prompt {
-        shared_tokens: 0,
+        prefix_tokens: 0,
         ..prompt
     }
 }
--- a/crates/node/src/front/request_reports.rs
+++ b/crates/node/src/front/request_reports.rs
@@ -10,7 +10,7 @@
 use woadstall_control::configuration::Route;
 use woadstall_inbound::lock;
 use woadstall_request_reports::{AttemptOutcome, AttemptReport, Cause, RequestReport};
-use woadstall_routing::{Prompt, Standing, Target};
+use woadstall_routing::{CandidateSummary, Prompt, Target};
 
 /// The window of the rate limit.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
@@ -122,10 +122,10 @@
     }
 
     /// An attempt at an upstream begins.
-    pub fn begin_attempt(&mut self, target: &Target, standing: &Standing) {
+    pub fn begin_attempt(&mut self, target: &Target, candidates: &CandidateSummary) {
         self.attempt_began = Instant::now();
-        let excluded: BTreeMap<String, usize> = standing
-            .passed_over
+        let excluded: BTreeMap<String, usize> = candidates
+            .skipped
             .iter()
             .map(|(obstacle, count)| (obstacle.to_string(), *count))
             .collect();
@@ -136,8 +136,8 @@
             began_ms: millis(self.arrived.elapsed()),
             duration_ms: 0,
             in_flight: target.in_flight,
-            prefill_tokens: target.total_reading,
-            candidates: standing.candidates,
+            prefill_tokens: target.prefill_backlog,
+            candidates: candidates.candidates,
             excluded,
         });
     }
@@ -193,8 +193,8 @@
             first_data_ms,
             longest_gap_ms: millis(self.longest_gap),
             target_latency_ms: millis(self.route.target_latency),
-            prompt_tokens: self.prompt.tokens,
-            shared_tokens: self.prompt.shared_tokens,
+            prompt_tokens: self.prompt.total_tokens,
+            shared_tokens: self.prompt.prefix_tokens,
             attempts: std::mem::take(&mut self.attempts),
         });
     }
--- a/crates/node/src/front/retry.rs
+++ b/crates/node/src/front/retry.rs
@@ -11,7 +11,7 @@
 use woadstall_control::configuration::{Route, Service};
 use woadstall_inbound::lock;
 use woadstall_request_reports::{AttemptOutcome, Cause};
-use woadstall_routing::{Decision, Prompt, Query, Refusal, Target, UpstreamId};
+use woadstall_routing::{Decision, Prompt, Query, Rejection, Target, UpstreamId};
 
 /// Attempts at most for which no connection can be established.
 const MAX_UNSENT: u32 = 4;
@@ -86,7 +86,7 @@
         let now = front.now();
         let mut router = lock(&front.router);
         let is_retry = self.sent + self.rejected > 0;
-        if is_retry && !router.take_repeat(now, &self.service.name) {
+        if is_retry && !router.try_withdraw_retry(now, &self.service.name) {
             return Err(NoFurtherAttempt::RetryBudget);
         }
         let query = Query {
@@ -95,21 +95,24 @@
             prompt: self.prompt,
             tried: &self.attempted,
         };
-        let standing = self.trace.is_some().then(|| router.standing(now, &query));
+        let candidates = self
+            .trace
+            .is_some()
+            .then(|| router.summarize_candidates(now, &query));
         match router.choose(now, &query) {
-            Decision::Send(target) => {
-                if let (Some(trace), Some(standing)) = (&mut self.trace, standing) {
-                    trace.begin_attempt(&target, &standing);
+            Decision::Forward(target) => {
+                if let (Some(trace), Some(candidates)) = (&mut self.trace, candidates) {
+                    trace.begin_attempt(&target, &candidates);
                 }
                 self.attempted.push(target.id.clone());
                 Ok(target)
             }
-            Decision::Refuse(Refusal {
+            Decision::Reject(Rejection {
                 retry_after,
-                none_usable,
+                no_usable_upstream,
             }) => {
                 self.retry_after = retry_after;
-                if none_usable && self.attempted.is_empty() {
+                if no_usable_upstream && self.attempted.is_empty() {
                     log::debug!("no_usable_upstream service={}", self.service.name);
                 }
                 Err(NoFurtherAttempt::NoUpstream)
--- a/crates/node/src/front/state.rs
+++ b/crates/node/src/front/state.rs
@@ -15,7 +15,7 @@
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::{ControlMachine, ZoneBalancers};
 use woadstall_inbound::lock;
-use woadstall_routing::{Fleet, Place, Router};
+use woadstall_routing::{Fleet, Location, Router};
 
 /// How long a balancer counts among those that share limits after it was last listed, in milliseconds: one that can't be
 /// heard of may go on sending.
@@ -54,9 +54,9 @@
 impl Front {
     /// The state of a front that knows no configuration yet.
     pub fn new(settings: NodeSettings, reports_per_second: u64) -> Self {
-        let location = Place {
+        let location = Location {
             region: settings.region.clone(),
-            zones: settings.zones.clone(),
+            region_by_zone: settings.zones.clone(),
         };
         let router = Router::new(location, settings.bounds, fastrand::u64(..));
         Self {
@@ -139,7 +139,7 @@
                 .and_then(|services| services.get(service))
                 .map_or(Duration::ZERO, |service| service.cold_start)
         };
-        lock(&self.router).set_evacuated(self.now(), &state.evacuated, warmup);
+        lock(&self.router).set_evacuated_zones(self.now(), &state.evacuated, warmup);
     }
 
     /// Applies what may change while the process runs: the seeds.
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -136,7 +136,7 @@
             StreamEnd::Truncated => {
                 let upstream = &response.in_flight.target.id;
                 log::info!("stream_truncated upstream={upstream}");
-                response.in_flight.end(Outcome::Broken);
+                response.in_flight.end(Outcome::ConnectionError);
                 self.retries.end_attempt(AttemptOutcome::Truncated);
                 ControlFlow::Continue(response.connection)
             }
--- a/crates/node/src/settings/document.rs
+++ b/crates/node/src/settings/document.rs
@@ -9,7 +9,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 use woadstall_control::reader::{Findings, Reader};
-use woadstall_routing::Bounds;
+use woadstall_routing::RoutingLimits;
 
 /// Stands for an address that is missing or invalid, so that the other fields are still checked.
 const INVALID_IP: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
@@ -44,7 +44,7 @@
             8.0,
             findings,
         )),
-        bounds: routing_bounds(&root.field("bounds"), findings),
+        bounds: routing_limits(&root.field("bounds"), findings),
     };
     if findings.is_empty() {
         Ok(settings)
@@ -53,13 +53,13 @@
     }
 }
 
-fn routing_bounds(bounds: &Reader<'_>, findings: &mut Findings) -> Bounds {
-    Bounds {
+fn routing_limits(bounds: &Reader<'_>, findings: &mut Findings) -> RoutingLimits {
+    RoutingLimits {
         retry_budget_ratio: bounds.field("retry_budget_ratio").number_or(0.2, findings),
-        budget_window: milliseconds(&bounds.field("budget_window_s"), 10.0, findings),
-        budget_slack: bounds.field("budget_slack").number_or(0.0, findings),
-        cold_over: bounds.field("cold_over").number_or(1.0, findings),
-        cold_slack: bounds.field("cold_slack").number_or(0.0, findings),
+        retry_budget_window_ms: milliseconds(&bounds.field("budget_window_s"), 10.0, findings),
+        retry_budget_slack: bounds.field("budget_slack").number_or(0.0, findings),
+        warmup_factor: bounds.field("cold_over").number_or(1.0, findings),
+        warmup_slack: bounds.field("cold_slack").number_or(0.0, findings),
     }
 }
 
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use thiserror::Error;
 use woadstall_control::reader::Findings;
-use woadstall_routing::Bounds;
+use woadstall_routing::RoutingLimits;
 
 /// The environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "WOADSTALL_BOOT";
@@ -117,7 +117,7 @@
     /// `bounds.grace_s`: how long a process may go on after SIGTERM; default: 8 s.
     pub grace_period: Duration,
     /// The other fields of `bounds`: limits for routing.
-    pub bounds: Bounds,
+    pub bounds: RoutingLimits,
 }
 
 impl NodeSettings {
