--- a/crates/operator-config/src/evacuation.rs
+++ b/crates/operator-config/src/evacuation.rs
@@ -1,43 +1,44 @@
-//! Section `[evacuation]`: leaving nodos, zones and regions as a fleet.
+//! Section `[evacuation]`: all balancers together stop sending to a failing upstream, zone or region.
 
+use crate::ConfigError;
+use crate::error::check_range;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Section `[evacuation]`. It needs `[instances]`.
+/// Section `[evacuation]`. It needs section `[instances]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Evacuation {
-    /// What is known is looked at this often, in milliseconds.
-    pub every_ms: u64,
-    /// The region of each zone that lies in one.
+pub struct EvacuationConfig {
+    /// How often the evidence is evaluated, in milliseconds: 20 to 5000, 100 by default.
+    #[serde(rename = "every_ms")]
+    pub evaluation_interval_ms: u64,
+    /// The region of each zone that lies in one, by the zone's name.
     pub regions: BTreeMap<String, String>,
 }
 
-impl Default for Evacuation {
+impl Default for EvacuationConfig {
     fn default() -> Self {
         Self {
-            every_ms: 100,
+            evaluation_interval_ms: 100,
             regions: BTreeMap::new(),
         }
     }
 }
 
-impl Evacuation {
-    /// The field at fault, and what is wrong with it.
-    pub(crate) fn check(&self) -> Result<(), (&'static str, String)> {
-        if !(20..=5_000).contains(&self.every_ms) {
-            return Err((
-                "every_ms",
-                format!("is {}, not between 20 and 5000", self.every_ms),
-            ));
-        }
-        match self
-            .regions
-            .iter()
-            .find(|(zone, region)| zone.is_empty() || region.is_empty())
-        {
-            Some(_) => Err(("regions", "has an empty name".to_owned())),
-            None => Ok(()),
+impl EvacuationConfig {
+    /// Checks ranges and names.
+    pub(crate) fn check(&self) -> Result<(), ConfigError> {
+        check_range(
+            "evacuation.every_ms",
+            self.evaluation_interval_ms,
+            20,
+            5_000,
+        )?;
+        let has_empty_name =
+            |(zone, region): (&String, &String)| zone.is_empty() || region.is_empty();
+        if self.regions.iter().any(has_empty_name) {
+            return Err(ConfigError::EmptyRegionName);
         }
+        Ok(())
     }
 }
--- a/crates/operator-config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -1,7 +1,9 @@
 //! The operators' file, pinned: every key, every default and the text of every error.
 
 use std::path::Path;
-use woadstall_operator_config::{Evacuation, Instances, MOST_BYTES, Operator, Plugin, Protocol};
+use woadstall_operator_config::{
+    EvacuationConfig, MAX_FILE_BYTES, MembershipConfig, OperatorConfig, PluginConfig, Protocol,
+};
 
 /// Compares with the fixture of this name.
 fn assert_golden(name: &str, text: &str) {
@@ -42,19 +44,19 @@
 
 #[test]
 fn every_key_is_read() {
-    let operator = Operator::parse(EVERY_KEY).unwrap();
+    let operator = OperatorConfig::parse(EVERY_KEY).unwrap();
     let pair = |one: &str, other: &str| (one.to_owned(), other.to_owned());
-    let plugin = Plugin {
+    let plugin = PluginConfig {
         protocol: Protocol::Http1,
-        replay_limit: 1000,
-        connections: 7,
-        methods: [
+        replay_limit_bytes: 1000,
+        max_connections: 7,
+        method_classes: [
             pair("/posting.Posting/Load", "cargo-lectura"),
             pair("/a", "b"),
         ]
         .into(),
     };
-    let instances = Instances {
+    let instances = MembershipConfig {
         listen: "10.0.0.5:7946".parse().unwrap(),
         advertise: Some("10.0.0.7:7947".parse().unwrap()),
         name: Some("balancer-one".to_owned()),
@@ -67,38 +69,41 @@
         seeds_file: Some("seeds".into()),
         key_file: Some("members.key".into()),
         insecure: false,
-        period_ms: 501,
-        patience_ms: 201,
-        suspicion_ms: 6001,
+        probe_period_ms: 501,
+        probe_timeout_ms: 201,
+        suspicion_timeout_ms: 6001,
     };
     let regions = [pair("norte", "occidente"), pair("sur", "oriente")].into();
-    let evacuation = Evacuation {
-        every_ms: 101,
+    let evacuation = EvacuationConfig {
+        evaluation_interval_ms: 101,
         regions,
     };
     assert_eq!(operator.plugin, plugin);
-    assert_eq!(operator.instances, Some(instances));
+    assert_eq!(operator.membership, Some(instances));
     assert_eq!(operator.evacuation, Some(evacuation));
 }
 
 #[test]
 fn every_default() {
-    let operator = Operator::parse("").unwrap();
+    let operator = OperatorConfig::parse("").unwrap();
     assert_eq!(operator.plugin.protocol, Protocol::Http2);
     assert_eq!(
-        (operator.plugin.replay_limit, operator.plugin.connections),
+        (
+            operator.plugin.replay_limit_bytes,
+            operator.plugin.max_connections
+        ),
         (65_536, 4)
     );
-    assert!(operator.plugin.methods.is_empty());
-    assert!(operator.instances.is_none() && operator.evacuation.is_none());
+    assert!(operator.plugin.method_classes.is_empty());
+    assert!(operator.membership.is_none() && operator.evacuation.is_none());
     let text = "[instances]\nlisten = \"1.2.3.4:5\"\nkey_file = \"k\"\n[evacuation]\n";
-    let operator = Operator::parse(text).unwrap();
-    let instances = operator.instances.unwrap();
+    let operator = OperatorConfig::parse(text).unwrap();
+    let instances = operator.membership.unwrap();
     assert_eq!(
         (
-            instances.period_ms,
-            instances.patience_ms,
-            instances.suspicion_ms
+            instances.probe_period_ms,
+            instances.probe_timeout_ms,
+            instances.suspicion_timeout_ms
         ),
         (500, 200, 6_000)
     );
@@ -107,7 +112,7 @@
     assert!(instances.region.is_none() && instances.seeds_file.is_none());
     assert!(instances.seeds.is_empty() && !instances.insecure);
     let evacuation = operator.evacuation.unwrap();
-    assert!(evacuation.every_ms == 100 && evacuation.regions.is_empty());
+    assert!(evacuation.evaluation_interval_ms == 100 && evacuation.regions.is_empty());
 }
 
 /// A section `[instances]` that is sound but for what is added.
@@ -121,7 +126,7 @@
         .map(|at| format!("\"/{at}\" = \"c\"\n"))
         .collect();
     let texts = [
-        "#".repeat(MOST_BYTES + 1),
+        "#".repeat(MAX_FILE_BYTES + 1),
         "[plugins]".to_owned(),
         "[plugin\n".to_owned(),
         "[plugin]\nconnections = ".to_owned(),
@@ -165,6 +170,6 @@
         "[evacuation.regions]\nnorte = \"\"".to_owned(),
         "[evacuation.regions]\n\"\" = \"occidente\"".to_owned(),
     ];
-    let errors = texts.map(|text| Operator::parse(&text).unwrap_err().to_string() + "\n");
+    let errors = texts.map(|text| OperatorConfig::parse(&text).unwrap_err().to_string() + "\n");
     assert_golden("errors.txt", &errors.concat());
 }
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use woadstall_discovery::Listing;
 use woadstall_engine::Settings;
-use woadstall_operator_config::Operator;
+use woadstall_operator_config::OperatorConfig;
 use woadstall_runtime::{Log, Setup};
 use woadstall_settings::Names;
 use woadstall_transport::{Http1, Http2, Limits};
@@ -87,15 +87,15 @@
 
     /// Takes the section `[plugin]` of the operators' file, in addition to methods that are named otherwise.
     pub fn operator(mut self, file: &str) -> Result<Self, BuildError> {
-        let plugin = Operator::parse(file)
+        let plugin = OperatorConfig::parse(file)
             .map_err(|fault| BuildError(fault.to_string()))?
             .plugin;
         self.protocol = match plugin.protocol {
             woadstall_operator_config::Protocol::Http1 => Protocol::Http1,
             woadstall_operator_config::Protocol::Http2 => Protocol::Http2,
         };
-        (self.replay_limit, self.connections) = (plugin.replay_limit, plugin.connections);
-        self.methods.extend(plugin.methods);
+        (self.replay_limit, self.connections) = (plugin.replay_limit_bytes, plugin.max_connections);
+        self.methods.extend(plugin.method_classes);
         Ok(self)
     }
 
--- a/src/check.rs
+++ b/src/check.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::path::Path;
 use std::process::ExitCode;
-use woadstall_operator_config::MOST_BYTES;
+use woadstall_operator_config::MAX_FILE_BYTES;
 
 /// Checks each file and writes a line on it; failure if any has a fault.
 pub fn files(files: &[impl AsRef<Path>], out: &mut impl Write) -> ExitCode {
@@ -28,7 +28,7 @@
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|error| error.to_string())?;
     // A configuration holds a list of upstreams, and may be larger than an operator file.
-    let most = 16 * MOST_BYTES as u64;
+    let most = 16 * MAX_FILE_BYTES as u64;
     file.take(most + 1)
         .read_to_string(&mut text)
         .map_err(|error| error.to_string())?;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -9,7 +9,7 @@
 use woadstall_decisions::api::Settings;
 use woadstall_discovery::Listing;
 use woadstall_membership_net::Setup;
-use woadstall_operator_config::Evacuation;
+use woadstall_operator_config::EvacuationConfig;
 use woadstall_settings::Names;
 
 /// Descriptors that are neither callers' nor upstreams': standard streams, listener, discovery, the runtime's,
@@ -33,7 +33,7 @@
     /// Membership among balancers, where the operators' file has it.
     pub instances: Option<Setup>,
     /// Leaving places as a fleet, where the operators' file has it.
-    pub evacuation: Option<Evacuation>,
+    pub evacuation: Option<EvacuationConfig>,
     /// A folder that a successor shares, if there is one.
     pub shared: Option<PathBuf>,
     /// Seed of the random numbers, new with each start.
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -9,7 +9,7 @@
 use woadstall_evacuation::{Coordinator, Order, Places, Settings, Status, What};
 use woadstall_health_reports::{Kind, Out, Saw};
 use woadstall_membership_net::Instances;
-use woadstall_operator_config::Evacuation;
+use woadstall_operator_config::EvacuationConfig;
 use woadstall_runtime::Balance;
 use woadstall_transport::Http1;
 
@@ -33,7 +33,7 @@
 impl Evacuating {
     /// Starts it: from now on the balance is told what the fleet finds.
     pub fn start(
-        file: &Evacuation,
+        file: &EvacuationConfig,
         config: &Config,
         instances: Instances,
         balance: Balance<Http1>,
@@ -54,7 +54,7 @@
         tokio::spawn(
             evacuating
                 .clone()
-                .run(balance, Duration::from_millis(file.every_ms)),
+                .run(balance, Duration::from_millis(file.evaluation_interval_ms)),
         );
         evacuating
     }
--- a/src/net/instances.rs
+++ b/src/net/instances.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 use woadstall_membership::{Name, Settings};
 use woadstall_membership_net::{Instances, Setup};
-use woadstall_operator_config::{Evacuation, MOST_BYTES, Operator};
+use woadstall_operator_config::{EvacuationConfig, MAX_FILE_BYTES, OperatorConfig};
 
 /// How often the calls' thread says that it goes on. The member stands still a second after it last did.
 const BEAT: Duration = Duration::from_millis(200);
@@ -20,23 +20,23 @@
     path: &Path,
     zone: Option<&str>,
     name: Option<&str>,
-) -> Result<(Option<Setup>, Option<Evacuation>), String> {
+) -> Result<(Option<Setup>, Option<EvacuationConfig>), String> {
     let mut text = String::new();
     let file = File::open(path).map_err(|error| error.to_string())?;
-    file.take(MOST_BYTES as u64 + 1)
+    file.take(MAX_FILE_BYTES as u64 + 1)
         .read_to_string(&mut text)
         .map_err(|error| error.to_string())?;
-    let operator = Operator::parse(&text).map_err(|error| error.to_string())?;
+    let operator = OperatorConfig::parse(&text).map_err(|error| error.to_string())?;
     let folder = path.parent().unwrap_or(Path::new(""));
     let setup = operator
-        .instances
+        .membership
         .map(|file| setup(file, folder, zone, name))
         .transpose()?;
     Ok((setup, operator.evacuation))
 }
 
 fn setup(
-    file: woadstall_operator_config::Instances,
+    file: woadstall_operator_config::MembershipConfig,
     folder: &Path,
     zone: Option<&str>,
     name: Option<&str>,
@@ -68,11 +68,11 @@
         key_file: file.key_file.map(|path| folder.join(path)),
         insecure: file.insecure,
         settings: Settings {
-            period: millis(file.period_ms),
-            patience: millis(file.patience_ms),
-            suspicion: millis(file.suspicion_ms),
-            stall: millis(file.period_ms.saturating_mul(2).max(1_000)),
-            refused: millis(file.suspicion_ms.min(1_000)),
+            period: millis(file.probe_period_ms),
+            patience: millis(file.probe_timeout_ms),
+            suspicion: millis(file.suspicion_timeout_ms),
+            stall: millis(file.probe_period_ms.saturating_mul(2).max(1_000)),
+            refused: millis(file.suspicion_timeout_ms.min(1_000)),
             ..Settings::default()
         },
     };
