--- a/crates/runtime/src/balance.rs
+++ b/crates/runtime/src/balance.rs
@@ -19,7 +19,7 @@
     Call, Command, Ended, Engine, Input, Learned, Listed, Observed, Outcome, Outstanding, Peer,
     RequestId, ServerId, Settings, Time, Verdict,
 };
-use woadstall_settings::{Change, Names};
+use woadstall_settings::{Names, SettingsChange};
 
 /// How often idle connections are looked through.
 const SWEEP_EVERY: Duration = Duration::from_millis(500);
@@ -361,8 +361,8 @@
     }
 
     /// Takes new settings, see [`Engine::retune`]. The error names the setting at fault, and nothing has changed.
-    pub fn retune(&self, change: Change) -> Result<(), String> {
-        let Change {
+    pub fn retune(&self, change: SettingsChange) -> Result<(), String> {
+        let SettingsChange {
             settings,
             successions,
         } = change;
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 use woadstall_decisions::api::{Class, Effect, Group, Settings, Tenant, ZoneId};
-use woadstall_settings::{MOST_CLASSES, Names, Terms, names, settings};
+use woadstall_settings::{ActiveSettings, MAX_CLASSES, Names, parse_names, parse_settings};
 
 /// Compares with the fixture of this name.
 fn assert_golden(name: &str, text: &str) {
@@ -65,12 +65,12 @@
         probe_price: 0.0625,
         load_by_probe: true,
     };
-    assert_eq!(settings(EVERY_KEY.as_bytes()).unwrap(), expected);
+    assert_eq!(parse_settings(EVERY_KEY.as_bytes()).unwrap(), expected);
 }
 
 #[test]
 fn every_name_is_read() {
-    let names = names(EVERY_KEY.as_bytes()).unwrap();
+    let names = parse_names(EVERY_KEY.as_bytes()).unwrap();
     assert_eq!(
         names.classes,
         ["look", "post", "pay-all", "pay-zone", "pay-cell"]
@@ -114,8 +114,8 @@
         probe_price: 0.0,
         load_by_probe: false,
     };
-    assert_eq!(settings(LEAST.as_bytes()).unwrap(), expected);
-    let names = names(LEAST.as_bytes()).unwrap();
+    assert_eq!(parse_settings(LEAST.as_bytes()).unwrap(), expected);
+    let names = parse_names(LEAST.as_bytes()).unwrap();
     assert!(names.tenants.is_empty() && names.report_fields.is_empty());
 }
 
@@ -129,19 +129,22 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn every_error() {
     let mut errors = String::new();
     let mut add = |text: &str| {
         for (what, error) in [
             (
                 "settings",
-                settings(text.as_bytes())
+                parse_settings(text.as_bytes())
                     .err()
                     .map(|error| error.to_string()),
             ),
             (
                 "names",
-                names(text.as_bytes()).err().map(|error| error.to_string()),
+                parse_names(text.as_bytes())
+                    .err()
+                    .map(|error| error.to_string()),
             ),
         ] {
             errors += &format!("{what}: {}\n", error.as_deref().unwrap_or("sound"));
@@ -219,17 +222,17 @@
 fn every_error_of_a_change() {
     let first = || {
         (
-            settings(LEAST.as_bytes()).unwrap(),
-            names(LEAST.as_bytes()).unwrap(),
+            parse_settings(LEAST.as_bytes()).unwrap(),
+            parse_names(LEAST.as_bytes()).unwrap(),
         )
     };
     let (now_settings, now_names) = first();
-    let terms = Terms::new(now_settings, now_names);
+    let active = ActiveSettings::new(now_settings, now_names);
     let mut errors = String::new();
     let mut add = |change: &dyn Fn(&mut Settings, &mut Names)| {
         let (mut settings, mut names) = first();
         change(&mut settings, &mut names);
-        errors += &(terms.retune(&settings, &names).unwrap_err().to_string() + "\n");
+        errors += &(active.apply(&settings, &names).unwrap_err().to_string() + "\n");
     };
     add(&|settings, _| settings.max_attempts = 0);
     add(&|_, names| names.zones = vec!["b".into()]);
@@ -248,7 +251,7 @@
         names.classes.push(names.classes[0].clone());
     });
     add(&|settings, names| {
-        for at in 0..MOST_CLASSES {
+        for at in 0..MAX_CLASSES {
             settings.classes.push(settings.classes[0].clone());
             names.classes.push(format!("c{at}"));
         }
--- a/crates/tower/src/ask.rs
+++ b/crates/tower/src/ask.rs
@@ -179,8 +179,8 @@
         let text =
             woadstall_mock_servers::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
                 .to_string();
-        let mut settings = woadstall_settings::settings(text.as_bytes()).unwrap();
-        let names = woadstall_settings::names(text.as_bytes()).unwrap();
+        let mut settings = woadstall_settings::parse_settings(text.as_bytes()).unwrap();
+        let names = woadstall_settings::parse_names(text.as_bytes()).unwrap();
         let methods = [
             ("/p.P/Look".to_owned(), "look".to_owned()),
             ("/p.P/Pay".to_owned(), "pay".to_owned()),
@@ -319,8 +319,8 @@
             woadstall_mock_servers::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
                 .to_string();
         let build = |methods: &[(&str, &str)]| {
-            let mut settings = woadstall_settings::settings(text.as_bytes()).unwrap();
-            let names = woadstall_settings::names(text.as_bytes()).unwrap();
+            let mut settings = woadstall_settings::parse_settings(text.as_bytes()).unwrap();
+            let names = woadstall_settings::parse_names(text.as_bytes()).unwrap();
             let methods: Vec<_> = methods
                 .iter()
                 .map(|(a, b)| (a.to_string(), b.to_string()))
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -71,9 +71,12 @@
 impl Builder {
     /// The settings of the decisions, in the JSON form that the daemon gets too. Needed.
     pub fn settings(mut self, json: &[u8]) -> Result<Self, BuildError> {
-        let error = |error: woadstall_settings::Error| BuildError(error.to_string());
-        let settings = woadstall_settings::settings(json).map_err(error)?;
-        self.settings = Some((settings, woadstall_settings::names(json).map_err(error)?));
+        let error = |error: woadstall_settings::ParseError| BuildError(error.to_string());
+        let settings = woadstall_settings::parse_settings(json).map_err(error)?;
+        self.settings = Some((
+            settings,
+            woadstall_settings::parse_names(json).map_err(error)?,
+        ));
         Ok(self)
     }
 
--- a/crates/tower/src/same.rs
+++ b/crates/tower/src/same.rs
@@ -115,8 +115,8 @@
                 class["WindowNs"] = 300_000_000_u64.into();
             }
             let text = config["settings"].to_string();
-            let settings = woadstall_settings::settings(text.as_bytes()).unwrap();
-            let names = woadstall_settings::names(text.as_bytes()).unwrap();
+            let settings = woadstall_settings::parse_settings(text.as_bytes()).unwrap();
+            let names = woadstall_settings::parse_names(text.as_bytes()).unwrap();
             let mut extended = settings.clone();
             Classes::new(
                 &mut extended,
--- a/src/bin/woadstall-simulation-adapter.rs
+++ b/src/bin/woadstall-simulation-adapter.rs
@@ -81,7 +81,7 @@
                 settings,
             } => {
                 let settings =
-                    woadstall_settings::settings(settings).map_err(|error| error.to_string());
+                    woadstall_settings::parse_settings(settings).map_err(|error| error.to_string());
                 let balancer = settings.and_then(|settings| {
                     Balancer::new(settings, seed, now).map_err(|error| format!("settings: {error}"))
                 });
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -109,10 +109,10 @@
     ) -> Result<Self, String> {
         let raw: Raw = json("configuration", text)?;
         let settings = raw.settings.to_string();
-        let names =
-            woadstall_settings::names(settings.as_bytes()).map_err(|error| error.to_string())?;
-        let settings =
-            woadstall_settings::settings(settings.as_bytes()).map_err(|error| error.to_string())?;
+        let names = woadstall_settings::parse_names(settings.as_bytes())
+            .map_err(|error| error.to_string())?;
+        let settings = woadstall_settings::parse_settings(settings.as_bytes())
+            .map_err(|error| error.to_string())?;
         settings
             .check()
             .map_err(|error| format!("settings: {error}"))?;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -26,7 +26,7 @@
 use woadstall_inbound::listen;
 use woadstall_membership_net::Instances;
 use woadstall_runtime::{Balance, Setup};
-use woadstall_settings::Terms;
+use woadstall_settings::ActiveSettings;
 use woadstall_transport::Http1;
 
 /// Lines written in a second at most: in trouble, what they tell of happens many times a second.
@@ -58,7 +58,7 @@
 
 /// The settings that requests are taken under.
 pub struct InService {
-    terms: Terms,
+    terms: ActiveSettings,
     /// When they changed last.
     since: Option<tokio::time::Instant>,
 }
@@ -121,7 +121,7 @@
         let (stop, stopping) = watch::channel(false);
         let (discovery, discovery_at) = watch::channel(config.discovery);
         balance.follow(discovery_at);
-        let terms = Terms::new(config.settings.clone(), config.names.clone());
+        let terms = ActiveSettings::new(config.settings.clone(), config.names.clone());
         let (terms, in_service) = watch::channel(Arc::new(InService { terms, since: None }));
         if let Some(folder) = &config.shared {
             let told = (balance.clone(), in_service.clone());
@@ -200,13 +200,14 @@
             .terms
             .borrow()
             .terms
-            .retune(&config.settings, &config.names)?;
+            .apply(&config.settings, &config.names)
+            .map_err(|error| error.to_string())?;
         self.balance.retune(change)?;
         self.balance.transport().retune(
             terms.names(),
             Duration::from_nanos(config.settings.conn_idle),
         );
-        self.figures.know(terms.in_force());
+        self.figures.know(terms.active_class_names());
         self.terms.send_replace(Arc::new(InService {
             terms,
             since: Some(tokio::time::Instant::now()),
@@ -260,7 +261,7 @@
     }
 }
 
-fn state(balance: &Balance<Http1>, terms: &Terms) -> TransferredState {
+fn state(balance: &Balance<Http1>, terms: &ActiveSettings) -> TransferredState {
     let (learned, names) = balance.learned();
     let class = |at: usize| {
         let name = terms.names().classes.get(at)?.as_str();
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -189,7 +189,7 @@
         let known = in_service
             .terms
             .class(name)
-            .or_else(|| in_service.terms.former(name));
+            .or_else(|| in_service.terms.previous_class(name));
         known.map(|_| name.to_owned())
     }
 
--- a/src/net/server/request.rs
+++ b/src/net/server/request.rs
@@ -118,7 +118,7 @@
     let crossing = in_service
         .since
         .is_some_and(|since| since.elapsed() < CROSSING);
-    let former = in_service.terms.former(name).filter(|_| crossing);
+    let former = in_service.terms.previous_class(name).filter(|_| crossing);
     in_service.terms.class(name).into_iter().chain(former)
 }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -198,7 +198,7 @@
 
 #[test]
 fn settings_read_what_decisions_need_and_ignore_the_rest() {
-    let settings = woadstall_settings::settings(SETTINGS.as_bytes()).unwrap();
+    let settings = woadstall_settings::parse_settings(SETTINGS.as_bytes()).unwrap();
     assert_eq!(settings.classes[0].effect, Effect::Safe);
     assert_eq!(
         settings.classes[1].effect,
@@ -217,7 +217,7 @@
     );
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
     assert_eq!(
-        woadstall_settings::settings(text.as_bytes())
+        woadstall_settings::parse_settings(text.as_bytes())
             .unwrap()
             .conn_idle,
         5_000_000_000
@@ -235,7 +235,7 @@
         "WindowNs",
     ] {
         let text = SETTINGS.replace(&format!("\"{key}\""), "\"Other\"");
-        let error = woadstall_settings::settings(text.as_bytes())
+        let error = woadstall_settings::parse_settings(text.as_bytes())
             .unwrap_err()
             .to_string();
         assert!(error.contains(key), "{key}: {error}");
