--- a/crates/cluster-test/src/lib.rs
+++ b/crates/cluster-test/src/lib.rs
@@ -1,7 +1,7 @@
 //! Scenarios of the lab with many processes of the program on this machine, and faults to them and between them.
 //!
 //! What is the program's is the shipped binary, a process for each balancer. Callers, nodos and discovery are
-//! stand-ins in this process, and all reach each other through `woadstall-fault-proxy`. `docs/rig.md` says what was
+//! stand-ins in this process, and all reach each other through `woadstall-fault-proxy`. `docs/cluster-test.md` says what was
 //! considered, and what this cannot show.
 
 #![forbid(unsafe_code)]
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,7 +1,7 @@
 //! The world: callers, balancers, nodos, the network and the padron, in simulated time.
 //!
 //! One event at a time, in the order of their times, so one seed gives one result. What decides is the real
-//! engine (or a rival); all round it is a model, and docs/lab.md says what that leaves out.
+//! engine (or a rival); all round it is a model, and docs/emulator.md says what that leaves out.
 
 mod balancers;
 mod callers;
--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The processes know nothing of it: they are told, or announce, addresses that lead through it, as they would
 //! behind an address translator. [`shape`] says when bytes come out, without input or output; the rest is sockets.
-//! `docs/rig.md` has what this cannot show.
+//! `docs/cluster-test.md` has what this cannot show.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,7 +5,7 @@
 //! 2017), and on top: helpers from several zones, the two directions between members told apart, and no deaths where a
 //! third of the fleet vanishes at once or this member has reason to doubt itself. Nothing here does input or output or
 //! reads a clock: [`Node`] is handed times in nanoseconds of one clock that does not go back, datagrams and a seed. The
-//! design, with what was considered, is in `docs/instances.md`.
+//! design, with what was considered, is in `docs/membership.md`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -7,7 +7,7 @@
 //! twice can make the sum smaller, never larger. What is told in facts is a [`Report`].
 //!
 //! Nothing here does input or output or reads a clock, and nothing here chooses a server: it says how much of its new
-//! work a sender may send to a place. The sum, with its proof, is in `docs/returning.md`.
+//! work a sender may send to a place. The sum, with its proof, is in `docs/slow-start.md`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
