--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,15 +1,27 @@
-//! All decisions of woadstall: which server a call goes to, whether it is tried again, what is refused. Daemon,
-//! plug-in and the simulator's adapter share them. No input or output, no clock: events come with their time,
-//! actions go out.
+//! All decisions of woadstall's layer-7 balancer: which server a call goes to, whether it is retried,
+//! what is rejected.
 //!
-//! `policy` decides and holds the constants, `api` is the interface, `state` the memory. `docs/design.md` says
-//! what the decisions keep to.
+//! Daemon, plug-in and the simulator's adapter share them. There is no input or output and no clock
+//! here: events come with their time, actions go out.
+//!
+//! - [`api`] is the interface: settings, events, actions.
+//! - `balancer` holds a balancer's state and dispatches events; `membership` keeps its servers.
+//! - `policy` decides, a concern to a module.
+//! - `tuning` holds the thresholds, gains and windows; `state` the plain records; `log` the log lines.
+//!
+//! `docs/design.md` says what the decisions keep to.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod api;
-pub mod policy;
+mod balancer;
+mod handover;
+mod log;
+mod measurement;
+mod membership;
+mod policy;
 mod state;
+mod tuning;
 
-pub use policy::Balancer;
+pub use balancer::Balancer;
--- /dev/null
+++ b/crates/decisions/src/log.rs
@@ -0,0 +1,99 @@
+//! What a balancer logs, and how often.
+
+use crate::api::{ServerId, Time};
+use crate::tuning::LOG_INTERVAL;
+use std::fmt;
+
+/// What a log line reports.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum LogEvent {
+    /// Discovery failed so many times in a row.
+    SubscriptionFailed { failures: u32 },
+    /// The local zone was left, or is used again.
+    LocalZone {
+        left: bool,
+        healthy: usize,
+        servers: usize,
+        in_flight: u32,
+        failure_rate: f64,
+    },
+    /// The circuit breaker of a server opened.
+    BreakerOpened { server: ServerId, recent_opens: u32 },
+    /// Load shedding began or ended; the latency is a part of the target.
+    Shedding { began: bool, relative_latency: f64 },
+}
+
+impl LogEvent {
+    /// Position of its kind among all kinds.
+    fn kind(self) -> usize {
+        match self {
+            Self::SubscriptionFailed { .. } => 0,
+            Self::LocalZone { .. } => 1,
+            Self::BreakerOpened { .. } => 2,
+            Self::Shedding { .. } => 3,
+        }
+    }
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match *self {
+            Self::SubscriptionFailed { failures } => {
+                write!(
+                    f,
+                    "discovery failed {failures} times in a row; the list may be old"
+                )
+            }
+            Self::LocalZone {
+                left,
+                healthy,
+                servers,
+                in_flight,
+                failure_rate,
+            } => {
+                let change = if left { "left" } else { "taken again" };
+                let percent = 100.0 * failure_rate;
+                write!(f, "zone {change}: {healthy} of {servers} healthy, ")?;
+                write!(f, "{in_flight} held, {percent:.0}% failing")
+            }
+            Self::BreakerOpened {
+                server,
+                recent_opens,
+            } => {
+                let server = server.0;
+                write!(
+                    f,
+                    "breaker of server {server} opened, {recent_opens} times lately"
+                )
+            }
+            Self::Shedding {
+                began,
+                relative_latency,
+            } => {
+                let change = if began { "began" } else { "ended" };
+                write!(
+                    f,
+                    "shedding {change}: answers take {relative_latency:.2} of their aim"
+                )
+            }
+        }
+    }
+}
+
+/// Limits the log to one line of each kind per [`LOG_INTERVAL`].
+#[derive(Debug, Default)]
+pub(crate) struct LogThrottle {
+    next_at: [Time; 4],
+}
+
+impl LogThrottle {
+    /// Whether an event may be logged at `now`; if so, the next of its kind has to wait.
+    pub fn admits(&mut self, event: LogEvent, now: Time) -> bool {
+        let next_at = &mut self.next_at[event.kind()];
+        let admitted = now >= *next_at;
+        if admitted {
+            *next_at = now + LOG_INTERVAL;
+        }
+        admitted
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/measurement/load.rs
@@ -0,0 +1,67 @@
+//! Load: requests pending and responses given.
+
+use crate::api::Duration;
+use crate::balancer::Balancer;
+use crate::state::{InFlight, ServerIndex, WorkedOn, pools_of};
+use crate::tuning::{
+    MAX_RESPONSE_WINDOW_TARGETS, MIN_RESPONSE_WINDOW, MIN_SAMPLES, RATE_WINDOW, SECOND,
+};
+
+impl Balancer {
+    /// Changes the load that is pending, by requests each counted as one over its latency target.
+    pub(crate) fn change_pending(&mut self, change: f64) {
+        self.load
+            .change_pending(self.now, change, self.response_window());
+    }
+
+    /// A request is over. Failed responses count like others: they hold nothing up. What no server
+    /// has worked on does not: quick rejections would pass for quick responses.
+    pub(crate) fn close_pending(&mut self, target_inverse: f64, worked_on: WorkedOn) {
+        self.change_pending(-target_inverse);
+        let window = self.response_window();
+        let count = if worked_on == WorkedOn::Yes { 1.0 } else { 0.0 };
+        self.load.responses.add(self.now, count, window);
+    }
+
+    /// Time to a response that a new request can expect, as a part of its latency target, and the
+    /// responses it rests on: the requests pending over the responses per second. Unlike the latency
+    /// of responses, it shows a jam while that builds up. In a full jam no responses come, so fewer
+    /// than tell more than chance count as that many.
+    pub(crate) fn expected_relative_latency(&self) -> (f64, f64) {
+        let window = self.response_window();
+        let responses = self.load.responses.get(self.now, window);
+        let pending = self.load.pending_sum.get(self.now, window);
+        (pending / responses.max(f64::from(MIN_SAMPLES)), responses)
+    }
+
+    /// Time over which responses are counted. A balancer with few calls needs longer to see enough
+    /// of them, or a jam looks like chance to it.
+    pub(crate) fn response_window(&self) -> Duration {
+        let targets = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.latency_target);
+        let longest = targets
+            .max()
+            .unwrap_or(0)
+            .saturating_mul(MAX_RESPONSE_WINDOW_TARGETS);
+        let most = longest.clamp(MIN_RESPONSE_WINDOW, RATE_WINDOW);
+        let rate = self.responses.per_second(self.now, RATE_WINDOW).max(1.0);
+        let window = (f64::from(MIN_SAMPLES) / rate * SECOND as f64) as Duration;
+        window.clamp(MIN_RESPONSE_WINDOW, most)
+    }
+
+    pub(crate) fn count_in_flight(&mut self, index: ServerIndex, change: InFlight) {
+        let count = |count: &mut u32| match change {
+            InFlight::Begins => *count += 1,
+            InFlight::Ends => *count = count.saturating_sub(1),
+        };
+        let server = &mut self.servers[index];
+        count(&mut server.in_flight);
+        if server.ready {
+            let pools = pools_of(&mut self.pools, server.zone);
+            pools.for_each(|pool| count(&mut pool.in_flight));
+        }
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/membership.rs
@@ -0,0 +1,120 @@
+//! The servers as discovery lists them, and the pools that they form.
+
+use crate::api::{Lifecycle, ServerEntry, ServerId};
+use crate::balancer::{Balancer, ListKind};
+use crate::state::{CircuitBreaker, Pool, Server, ServerIndex, TrafficShare, pools_of};
+use std::collections::HashSet;
+
+impl Balancer {
+    pub(crate) fn on_server_list(&mut self, entries: &[ServerEntry], kind: ListKind) {
+        if kind == ListKind::Complete {
+            self.server_indices
+                .values()
+                .for_each(|&index| self.servers[index].removed = true);
+            self.servers
+                .iter_mut()
+                .for_each(|server| server.ready = false);
+        }
+        entries.iter().for_each(|entry| self.update_server(entry));
+        self.forget_removed();
+        self.rebuild_pools();
+        self.subscribe_first_time();
+    }
+
+    fn update_server(&mut self, entry: &ServerEntry) {
+        let removed = entry.lifecycle == Lifecycle::Removed;
+        let index = match self.server_indices.get(&entry.server) {
+            Some(&index) => index,
+            None if removed => return,
+            None => self.add_server(entry.server),
+        };
+        let server = &mut self.servers[index];
+        server.removed = removed;
+        server.zone = usize::from(entry.zone.0).min(self.settings.zones);
+        server.cell = entry.cell;
+        server.ready = entry.lifecycle == Lifecycle::Ready;
+        let size = f64::from(entry.size);
+        server.size = if size.is_finite() && size > 0.0 {
+            size
+        } else {
+            1.0
+        };
+        if entry.started.is_some() && entry.started != server.started_at {
+            self.reset_process(index);
+        }
+        self.servers[index].started_at = entry.started;
+    }
+
+    /// A new process: its predecessor's failures and connections say nothing of it. The random start
+    /// of its budget keeps all balancers from sending it their first call at once.
+    fn reset_process(&mut self, index: ServerIndex) {
+        let server = &mut self.servers[index];
+        server.breaker = CircuitBreaker::default();
+        server.traffic_share = TrafficShare::default();
+        server.slow_start_budget = self.rng.f64();
+        server.slow_start_budget_at = self.now;
+        server.slowness = 1.0;
+        server.open_connections = server.in_flight;
+        server.connection_limit = None;
+    }
+
+    fn add_server(&mut self, id: ServerId) -> ServerIndex {
+        // Seeded, so that balancers that pass over a server don't all hit the same next one.
+        let (round_robin_key, turn_credit) = (self.rng.u64(..), self.rng.f64());
+        let server = Server {
+            id,
+            round_robin_key,
+            turn_credit,
+            slowness: 1.0,
+            ..Server::default()
+        };
+        let index = self.free_indices.pop().unwrap_or(self.servers.len());
+        match self.servers.get_mut(index) {
+            Some(place) => *place = server,
+            None => self.servers.push(server),
+        }
+        self.server_indices.insert(id, index);
+        index
+    }
+
+    /// Forgets the removed servers, unless an attempt is in flight at them or they stand for the
+    /// scope of a keyed request. Guards the memory, and the time for each list, where servers are
+    /// ever new.
+    fn forget_removed(&mut self) {
+        if self.servers.iter().all(|server| !server.removed) {
+            return;
+        }
+        let needed = self.referenced_servers();
+        for (index, server) in self.servers.iter_mut().enumerate() {
+            if server.removed && !needed.contains(&index) {
+                self.server_indices.remove(&server.id);
+                *server = Server::default();
+                self.free_indices.push(index);
+            }
+        }
+    }
+
+    fn referenced_servers(&self) -> HashSet<ServerIndex> {
+        let comparisons = self.comparisons.values();
+        let compared = comparisons.clone().map(|comparison| &comparison.request);
+        let requests = self.requests.values().chain(compared);
+        let sent = requests
+            .flat_map(|request| [request.sent, request.may_have_run])
+            .flatten();
+        let candidates = comparisons.flat_map(|comparison| &comparison.candidates);
+        sent.map(|attempt| attempt.server)
+            .chain(candidates.map(|it| it.server))
+            .collect()
+    }
+
+    fn rebuild_pools(&mut self) {
+        let is_ready = |&index: &ServerIndex| self.servers[index].ready;
+        let mut ready: Vec<_> = (0..self.servers.len()).filter(is_ready).collect();
+        ready.sort_by_key(|&index| self.servers[index].round_robin_key);
+        self.pools.iter_mut().for_each(Pool::clear);
+        for index in ready {
+            let (server, window) = (&self.servers[index], self.settings.slow_start_window);
+            pools_of(&mut self.pools, server.zone).for_each(|pool| pool.add(index, server, window));
+        }
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/policy/requests.rs
@@ -0,0 +1,166 @@
+//! The way of a request: accepted or shed, sent, and given up.
+
+use crate::api::{Action, Duration, Effect, RequestId, RequestParameters, Time};
+use crate::balancer::Balancer;
+use crate::state::{AttemptDelay, InFlight, PendingRequest, SentAttempt, ServerIndex, WorkedOn};
+use crate::tuning::{
+    LATE_DEVIATIONS, MIN_SAMPLES, MIN_TIMEOUT_PART, PEAK_DECAY, PROBE_TIMEOUT, RATE_WINDOW,
+    TIMEOUT_DEVIATIONS,
+};
+
+impl Balancer {
+    pub(crate) fn on_request(&mut self, id: RequestId, parameters: RequestParameters) {
+        let class = parameters.class;
+        let Some(settings) = self.settings.classes.get(class) else {
+            return self.actions.push(Action::Reject { id, retry_after: 0 });
+        };
+        let target = settings.latency_target.max(1) as f64;
+        self.retry_budget.deposit();
+        let request = PendingRequest {
+            class,
+            target_inverse: 1.0 / target,
+            deadline: self.now.saturating_add(self.useful_time(&parameters)),
+            max_attempts: self.settings.max_attempts.min(parameters.max_attempts),
+            ..PendingRequest::default()
+        };
+        if self.sheds(class, parameters.tenant) {
+            self.reject_or_fail(id, &request);
+        } else {
+            self.change_pending(request.target_inverse);
+            self.accepted.add(self.now, 1.0, RATE_WINDOW);
+            self.attempt(id, request);
+        }
+    }
+
+    /// How long a response is worth waiting for.
+    fn useful_time(&self, parameters: &RequestParameters) -> Duration {
+        let class = &self.settings.classes[parameters.class];
+        let stretch = class.latency_target_stretch * parameters.work.unwrap_or(0) as f64;
+        let target = class
+            .latency_target
+            .saturating_add(stretch as Duration)
+            .min(class.deadline);
+        // Where a response after the target is worth nothing, waiting on only blocks a slot. A deeper
+        // tier that is given no deadline must not work on for a client that is long gone.
+        let is_deadline_guessed = self.settings.tier > 0 && !self.settings.propagates_deadline;
+        if class.late_value <= 0.0 || is_deadline_guessed {
+            parameters.time_left.min(target)
+        } else {
+            parameters.time_left
+        }
+    }
+
+    /// Chooses a server for the next attempt, and sends it or probes the candidates first.
+    pub(crate) fn attempt(&mut self, id: RequestId, request: PendingRequest) {
+        let Some(selection) = self.choose(&request) else {
+            self.unplaced_at = self.now;
+            return self.give_up(id, &request);
+        };
+        // With hardly any time left, the response would be due before the load reports.
+        let in_time = self.now.saturating_add(2 * PROBE_TIMEOUT) < request.deadline;
+        if in_time && self.probes_for_load() {
+            self.compare_loads(id, request, selection);
+        } else {
+            self.send(id, request, selection.server);
+        }
+    }
+
+    pub(crate) fn send(&mut self, id: RequestId, mut request: PendingRequest, index: ServerIndex) {
+        let (until, begin_by) = (self.attempt_timeout(&request), self.repeat_until(&request));
+        self.set_late_timer(id, &request);
+        request.idle_step = self.take_connection(index, request.class);
+        self.count_in_flight(index, InFlight::Begins);
+        let is_budgeted = self.has_slow_start_budget(index);
+        let (now, server) = (self.now, &mut self.servers[index]);
+        server.open_connections = server.open_connections.max(server.in_flight);
+        server.record_peak(now, PEAK_DECAY);
+        server.slow_start_budget -= if is_budgeted { 1.0 } else { 0.0 };
+        server.breaker.trial_in_flight |= server.breaker.tripped;
+        self.actions.push(Action::Send {
+            id,
+            server: server.id,
+            until,
+            begin_by,
+        });
+        request.is_breaker_trial = server.breaker.tripped;
+        request.sent = Some(SentAttempt {
+            server: index,
+            at: now,
+        });
+        request.attempts += 1;
+        request.delay = AttemptDelay::OnTime;
+        self.requests.insert(id, request);
+    }
+
+    fn set_late_timer(&mut self, id: RequestId, request: &PendingRequest) {
+        let latency = &self.class_latencies[request.class];
+        if latency.calls >= MIN_SAMPLES {
+            let token = u64::from(request.attempts) << 32 | u64::from(id.0);
+            let after = latency.above_mean(LATE_DEVIATIONS);
+            self.actions.push(Action::SetTimer { after, token });
+        }
+    }
+
+    /// When an attempt times out. Work that must not run twice, or has no time to, may still finish.
+    fn attempt_timeout(&self, request: &PendingRequest) -> Time {
+        let left = request.deadline.saturating_sub(self.now);
+        let latency = &self.class_latencies[request.class];
+        let timeout = latency
+            .above_mean(TIMEOUT_DEVIATIONS)
+            .max(self.min_timeout(request.class));
+        let attempts_left = request.attempts + 1 < request.max_attempts;
+        let may_repeat = attempts_left && self.is_idempotent(request.class);
+        let in_time = latency.calls >= MIN_SAMPLES && timeout + latency.mean as Duration <= left;
+        if may_repeat && in_time {
+            self.now + timeout
+        } else {
+            request.deadline
+        }
+    }
+
+    /// Time within which no attempt of a class times out.
+    pub(crate) fn min_timeout(&self, class: usize) -> Duration {
+        (MIN_TIMEOUT_PART * self.settings.classes[class].latency_target as f64) as Duration
+    }
+
+    pub(crate) fn on_client_disconnected(&mut self, id: RequestId) {
+        if let Some(comparison) = self.comparisons.remove(&id) {
+            return self.close_pending(comparison.request.target_inverse, WorkedOn::No);
+        }
+        let open = |request: &&mut PendingRequest| !request.closed;
+        let Some(request) = self.requests.get_mut(&id).filter(open) else {
+            return;
+        };
+        request.closed = true;
+        if self.settings.may_cancel {
+            self.actions.push(Action::Cancel {
+                id,
+                attempt: request.attempts - 1,
+            });
+        }
+        let target_inverse = request.target_inverse;
+        self.close_pending(target_inverse, WorkedOn::Yes);
+    }
+
+    pub(crate) fn give_up(&mut self, id: RequestId, request: &PendingRequest) {
+        let worked_on = match request.may_have_run {
+            Some(_) => WorkedOn::Yes,
+            None => WorkedOn::No,
+        };
+        self.close_pending(request.target_inverse, worked_on);
+        self.reject_or_fail(id, request);
+    }
+
+    fn reject_or_fail(&mut self, id: RequestId, request: &PendingRequest) {
+        let is_safe = self.settings.classes[request.class].effect == Effect::Safe;
+        let longest = self.settings.max_retry_after;
+        let retry_after = longest / 2 + self.rng.u64(..=longest / 2);
+        let is_harmless = is_safe || request.may_have_run.is_none();
+        let rejected = Action::Reject { id, retry_after };
+        self.actions.push(if is_harmless {
+            rejected
+        } else {
+            Action::Fail(id)
+        });
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/policy/round_robin.rs
@@ -0,0 +1,155 @@
+//! Which server of a pool a call goes to: a weighted round robin past servers that are not available.
+
+use crate::api::{DedupScope, Effect};
+use crate::balancer::Balancer;
+use crate::state::{PendingRequest, PoolIndex, ServerIndex};
+use crate::tuning::{
+    BEST_WEIGHT_DECAY, MAX_EXCESS_FAILURE_RATE, MAX_PROPOSALS, MAX_ROUNDS, MIN_SLOWNESS,
+    SERVER_OVERLOAD_RATIO, SUCCESS_RATE_POWER, TRIAL_SHARE,
+};
+
+/// Positions in a pool to fall back to where no server is available.
+#[derive(Debug, Default)]
+struct Fallback {
+    /// Overloaded, but neither tripped nor rejecting.
+    overloaded: Option<usize>,
+    /// Not its turn, or doubtful for the call.
+    doubtful: Option<usize>,
+    /// Any that may be sent to at all.
+    any: Option<usize>,
+}
+
+impl Balancer {
+    /// Picks the next available server of a pool. The fallback only guarantees a quick return:
+    /// better an overloaded server than a tripped or rejecting one, and better one of another zone
+    /// than those.
+    pub(crate) fn pick(
+        &mut self,
+        pool: PoolIndex,
+        request: &PendingRequest,
+    ) -> Option<ServerIndex> {
+        let (count, start) = (self.pools[pool].members.len(), self.pools[pool].cursor);
+        let size = self.pools[pool].size.max(f64::MIN_POSITIVE);
+        let usual_in_flight = SERVER_OVERLOAD_RATIO * self.baseline_in_flight() / size;
+        let (mut proposals, mut fallback) = (0, Fallback::default());
+        for position in (start + 1..)
+            .take(MAX_ROUNDS * count)
+            .map(|step| step % count)
+        {
+            let index = self.pools[pool].members[position];
+            if !self.is_candidate(pool, index, request) {
+                continue;
+            }
+            fallback.any = fallback.any.or(Some(position));
+            if !self.is_proposed(pool, index, request) {
+                let closed = !self.servers[index].breaker.tripped;
+                fallback.doubtful = fallback.doubtful.or(Some(position).filter(|_| closed));
+                continue;
+            }
+            let is_rejecting = self.is_rejecting(index);
+            let is_overloaded = is_rejecting || self.is_server_overloaded(index, usual_in_flight);
+            if !is_overloaded && self.breaker_admits(index, request.class) {
+                self.pools[pool].cursor = position;
+                return Some(index);
+            }
+            let usable = !self.servers[index].breaker.tripped && !is_rejecting;
+            fallback.overloaded = fallback.overloaded.or(Some(position).filter(|_| usable));
+            proposals += 1;
+            if proposals > MAX_PROPOSALS {
+                break;
+            }
+        }
+        self.pick_fallback(pool, &fallback)
+    }
+
+    fn pick_fallback(&mut self, pool: PoolIndex, fallback: &Fallback) -> Option<ServerIndex> {
+        let usable = fallback.overloaded.or(fallback.doubtful);
+        let has_all = pool == self.settings.zones;
+        let position = if has_all {
+            usable.or(fallback.any)?
+        } else {
+            usable?
+        };
+        self.pools[pool].cursor = position;
+        Some(self.pools[pool].members[position])
+    }
+
+    /// Whether a server may be sent to at all. Draining and removed ones are in no pool.
+    fn is_candidate(
+        &mut self,
+        pool: PoolIndex,
+        index: ServerIndex,
+        request: &PendingRequest,
+    ) -> bool {
+        let is_repeat = request.sent.is_some_and(|last| last.server == index);
+        let has_others = self.pools[pool].members.len() > 1;
+        !(is_repeat && has_others)
+            && self.is_in_dedup_scope(index, request)
+            && self.slow_start_admits(pool, index)
+    }
+
+    /// A keyed request that may have run stays with the servers that drop its repeats.
+    fn is_in_dedup_scope(&self, index: ServerIndex, request: &PendingRequest) -> bool {
+        let server = &self.servers[index];
+        let first = request
+            .may_have_run
+            .map_or(server, |first| &self.servers[first.server]);
+        match self.settings.classes[request.class].effect {
+            Effect::Keyed(DedupScope::Zone, _) => first.zone == server.zone,
+            Effect::Keyed(DedupScope::Cell, _) => first.cell == server.cell,
+            _ => true,
+        }
+    }
+
+    /// Whether it is a server's turn, and nothing speaks against it for this call. Where the fleet
+    /// has few calls try a zone, those try it: each trial call that is due goes.
+    fn is_proposed(
+        &mut self,
+        pool: PoolIndex,
+        index: ServerIndex,
+        request: &PendingRequest,
+    ) -> bool {
+        let zone = self.servers[index].zone;
+        let is_zone_tried = self.pools[zone].traffic_share.get(self.now) < 1.0;
+        let is_trial = self.servers[index].breaker.tripped && is_zone_tried;
+        !self.is_doubtful(index, request.class)
+            && !self.avoided_zones.contains(&zone)
+            && (self.takes_turn(pool, index) || is_trial)
+    }
+
+    /// Whether calls of a class that must not run twice should leave a server to others.
+    fn is_doubtful(&self, index: ServerIndex, class: usize) -> bool {
+        let is_failing = || self.excess_failure_rate(index, 2.0) > MAX_EXCESS_FAILURE_RATE;
+        let is_trial = || self.traffic_share_of_server(index) <= TRIAL_SHARE;
+        !self.is_idempotent(class) && (is_failing() || is_trial())
+    }
+
+    fn is_rejecting(&self, index: ServerIndex) -> bool {
+        self.now < self.servers[index].overloaded_until || self.is_at_connection_limit(index)
+    }
+
+    fn is_server_overloaded(&self, index: ServerIndex, usual_in_flight: f64) -> bool {
+        let server = &self.servers[index];
+        f64::from(server.in_flight) >= (usual_in_flight * server.size).ceil().max(1.0)
+    }
+
+    /// Weighted turns: a smaller or slower server takes a fraction of the turns that the best takes;
+    /// in an overload the slow ones would else be swamped while fast ones idle. One that fails some
+    /// of its calls, too few in a row to trip, takes few turns as well. One in slow start has its
+    /// budget instead.
+    fn takes_turn(&mut self, pool: PoolIndex, index: ServerIndex) -> bool {
+        let is_warm = self.warmth(index) >= 1.0;
+        let success_rate = 1.0 - self.excess_failure_rate(index, 1.0);
+        let share = self.traffic_share_of_server(index);
+        let server = &mut self.servers[index];
+        let speed = server.slowness.max(MIN_SLOWNESS).powi(-2);
+        let weight = server.size * speed * success_rate.powi(SUCCESS_RATE_POWER) * share;
+        // The best one takes each turn; which that was is forgotten, as it may be no more.
+        let best = &mut self.pools[pool].best_weight;
+        *best = weight.max(*best * BEST_WEIGHT_DECAY);
+        server.turn_credit += weight / best.max(f64::MIN_POSITIVE);
+        let takes_turn = server.turn_credit >= 1.0 - 1e-9;
+        server.turn_credit -= if takes_turn { 1.0 } else { 0.0 };
+        takes_turn || !is_warm && share >= 1.0
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/policy/subscription.rs
@@ -0,0 +1,32 @@
+//! When to subscribe to changes of the server list.
+
+use crate::api::{Action, Duration};
+use crate::balancer::Balancer;
+use crate::log::LogEvent;
+use crate::tuning::{SUBSCRIBE_BACKOFF, SUBSCRIBE_SPACING, SUBSCRIBE_TOKEN};
+
+impl Balancer {
+    /// Subscribes after the first list, with a random delay that spreads the balancers.
+    pub(crate) fn subscribe_first_time(&mut self) {
+        let is_first = self.subscription_failures.replace(0).is_none();
+        if is_first && self.settings.subscribes_to_discovery {
+            let max_delay = SUBSCRIBE_SPACING * Duration::from(self.settings.balancers);
+            self.subscribe_within(max_delay.min(self.settings.subscribe_within / 2));
+        }
+    }
+
+    pub(crate) fn on_subscription_failed(&mut self) {
+        let failures = self.subscription_failures.unwrap_or(0) + 1;
+        self.subscription_failures = Some(failures);
+        self.subscribe_within(SUBSCRIBE_BACKOFF.delay(failures));
+        self.log(LogEvent::SubscriptionFailed { failures });
+    }
+
+    fn subscribe_within(&mut self, longest: Duration) {
+        let after = self.rng.u64(..=longest);
+        self.actions.push(Action::SetTimer {
+            after,
+            token: SUBSCRIBE_TOKEN,
+        });
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/policy/zones.rs
@@ -0,0 +1,198 @@
+//! Which zone a call goes to: zone affinity, zone avoidance, and spillover of what is too much.
+
+use crate::api::Time;
+use crate::balancer::Balancer;
+use crate::log::LogEvent;
+use crate::state::{PendingRequest, Pool, PoolIndex, ServerIndex};
+use crate::tuning::{
+    BLACKOUT_THRESHOLD, HEALTH_DECAY, MAX_LOCAL_FAILURE_RATE, MIN_HEALTHY, MIN_SAMPLES,
+    SPILLOVER_COST_PART, SPILLOVER_GAIN, SPILLOVER_NOISE, TRIAL_SHARE, ZONE_OVERLOAD,
+};
+
+/// A server that was selected, and the pool it was selected from.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Selection {
+    pub pool: PoolIndex,
+    pub server: ServerIndex,
+}
+
+impl Balancer {
+    /// Chooses the server for the next attempt of a request; `None` if no server may take it.
+    pub(crate) fn choose(&mut self, request: &PendingRequest) -> Option<Selection> {
+        let (all, local) = (self.settings.zones, usize::from(self.settings.zone.0));
+        self.draw_avoided_zones(request.class);
+        let is_left = !self.is_local_zone_usable(local);
+        if is_left != self.local_zone_left {
+            self.local_zone_left = is_left;
+            self.log_local_zone(local);
+        }
+        if let Some(trial) = self.trial_in_tripped_zone(local, request) {
+            return Some(trial);
+        }
+        let first = self.first_pool(local, request.class);
+        let selected = self.select(first, request);
+        selected.or_else(|| {
+            if first == all {
+                None
+            } else {
+                self.select(all, request)
+            }
+        })
+    }
+
+    /// Draws the zones that a call avoids: by chance, by the share of traffic that is left to each.
+    fn draw_avoided_zones(&mut self, class: usize) {
+        self.avoided_zones.clear();
+        for zone in 0..self.settings.zones {
+            let share = self.pools[zone].traffic_share_of(class, self.now);
+            let is_trial = share <= TRIAL_SHARE && !self.is_idempotent(class);
+            if share < 1.0 && (is_trial || self.rng.f64() >= share) {
+                self.avoided_zones.push(zone);
+            }
+        }
+    }
+
+    fn select(&mut self, pool: PoolIndex, request: &PendingRequest) -> Option<Selection> {
+        self.pick(pool, request)
+            .map(|server| Selection { pool, server })
+    }
+
+    fn log_local_zone(&mut self, local: PoolIndex) {
+        let zone = &self.pools[local];
+        self.log(LogEvent::LocalZone {
+            left: self.local_zone_left,
+            healthy: zone.healthy(),
+            servers: zone.members.len(),
+            in_flight: zone.in_flight,
+            failure_rate: zone.failure_rate.get(self.now, HEALTH_DECAY),
+        });
+    }
+
+    /// The pool that a call tries first. What the fleet tries or returns to goes by the fleet's
+    /// pace: what this balancer has seen itself decays too slowly.
+    fn first_pool(&mut self, local: PoolIndex, class: usize) -> PoolIndex {
+        let is_paced = self.pools[local].traffic_share_of(class, self.now) < 1.0;
+        if self.avoided_zones.contains(&local) || (!is_paced && self.local_zone_left) {
+            self.zone_after_avoidance(local)
+                .unwrap_or(self.settings.zones)
+        } else if is_paced {
+            local
+        } else {
+            self.spillover_zone(local).unwrap_or(local)
+        }
+    }
+
+    /// A zone whose breakers have all opened is no longer used, and so would get no trial call: a
+    /// due one goes before. Other zones get theirs by calls that leave the local one anyhow.
+    fn trial_in_tripped_zone(
+        &mut self,
+        local: PoolIndex,
+        request: &PendingRequest,
+    ) -> Option<Selection> {
+        let is_left = self.local_zone_left;
+        let others = (0..self.settings.zones).filter(|zone| is_left && *zone != local);
+        std::iter::once(local).chain(others).find_map(|zone| {
+            let is_avoided = self.avoided_zones.contains(&zone);
+            let is_tripped = self.pools[zone].healthy() == 0 && !is_avoided;
+            if is_tripped {
+                self.select(zone, request)
+            } else {
+                None
+            }
+        })
+    }
+
+    /// The three tests of zone affinity, and for small callers a fourth.
+    fn is_local_zone_usable(&self, local: PoolIndex) -> bool {
+        let zone = &self.pools[local];
+        let is_blackout = zone.tripped as f64 >= BLACKOUT_THRESHOLD * zone.members.len() as f64;
+        let max_failure_rate = MAX_LOCAL_FAILURE_RATE + self.settings.cross_zone_cost;
+        let is_failing = zone.failure_rate.get(self.now, HEALTH_DECAY) > max_failure_rate;
+        let is_healthy = zone.healthy() >= MIN_HEALTHY && !is_blackout && !is_failing;
+        is_healthy && !self.is_overloaded(zone, zone.size)
+    }
+
+    /// Another zone for a call that the local zone, though healthy, has no capacity for: where it has
+    /// more traffic than its servers can carry, calls get slow at all of them, and a caller with few
+    /// calls has too few in flight to see it. Only the surplus spills over: as large a part of the
+    /// calls as the local zone is slower.
+    fn spillover_zone(&mut self, local: PoolIndex) -> Option<PoolIndex> {
+        if self.pools[local].relative_latency.calls < MIN_SAMPLES {
+            return None;
+        }
+        let now = self.now;
+        let avoided = std::mem::take(&mut self.avoided_zones);
+        let zone = self.random_zone(|zone, pool| {
+            let is_sound = pool.healthy() >= MIN_HEALTHY && failure_rate_is_low(pool, now);
+            zone != local && !avoided.contains(&zone) && is_sound
+        });
+        self.avoided_zones = avoided;
+        let zone = zone?;
+        let baseline = self.pools[local].relative_latency.baseline;
+        let expected = |zone: PoolIndex| {
+            self.pools[zone].expected_relative_latency(baseline, now, HEALTH_DECAY)
+        };
+        let least = SPILLOVER_COST_PART * self.settings.cross_zone_cost + SPILLOVER_NOISE;
+        let gain = expected(local) - expected(zone) - least;
+        (self.rng.f64() < SPILLOVER_GAIN * gain).then_some(zone)
+    }
+
+    /// A random one of the zones that are eligible, larger ones more often.
+    fn random_zone(&mut self, is_eligible: impl Fn(PoolIndex, &Pool) -> bool) -> Option<PoolIndex> {
+        let (all, zones) = self.pools.split_last()?;
+        let count = all.members.len();
+        let start = self.rng.usize(..count.max(1));
+        let positions = start..start + count;
+        let mut drawn = positions.map(|at| self.servers[all.members[at % count]].zone);
+        drawn.find(|&zone| zones.get(zone).is_some_and(|pool| is_eligible(zone, pool)))
+    }
+
+    /// Whether a zone has far more calls in flight than without load, if its load were that of a
+    /// zone of `normal_size`. A caller with few calls would never reach a fixed threshold.
+    fn is_overloaded(&self, zone: &Pool, normal_size: f64) -> bool {
+        if self.overall_latency.calls < MIN_SAMPLES {
+            return false; // at a start there is no baseline yet, and every zone would be left at once
+        }
+        let expected = self.baseline_in_flight() * zone.size / normal_size.max(f64::MIN_POSITIVE);
+        let limit = ZONE_OVERLOAD.ratio * expected + ZONE_OVERLOAD.deviations * expected.sqrt();
+        f64::from(zone.in_flight) > limit.max(ZONE_OVERLOAD.min_in_flight)
+    }
+
+    /// Drops the zones whose breakers have all tripped, those where half of the calls fail (a small
+    /// caller finds each server by itself), and the worst overloaded one. If any was dropped: one of
+    /// the rest, larger ones more often.
+    fn zone_after_avoidance(&mut self, local: PoolIndex) -> Option<PoolIndex> {
+        let now = self.now;
+        let worst = self.worst_overloaded_zone(local);
+        let avoided = self.avoided_zones.clone();
+        let is_eligible = |zone: PoolIndex, pool: &Pool| {
+            let is_sound = pool.healthy() > 0 && failure_rate_is_low(pool, now);
+            is_sound && Some(zone) != worst && !avoided.contains(&zone)
+        };
+        let (_, zones) = self.pools.split_last()?;
+        let keeps = |(zone, pool)| is_eligible(zone, pool) || pool.members.is_empty();
+        if zones.iter().enumerate().all(keeps) {
+            return None;
+        }
+        self.random_zone(is_eligible)
+    }
+
+    fn worst_overloaded_zone(&self, local: PoolIndex) -> Option<PoolIndex> {
+        let (all, zones) = self.pools.split_last()?;
+        let normal_size = zones
+            .get(local)
+            .filter(|zone| zone.size > 0.0)
+            .unwrap_or(all)
+            .size;
+        let is_overloaded = |zone: &PoolIndex| {
+            let pool = &zones[*zone];
+            pool.healthy() > 0 && self.is_overloaded(pool, normal_size)
+        };
+        let by_load = |a: &usize, b: &usize| zones[*a].load().total_cmp(&zones[*b].load());
+        (0..zones.len()).filter(is_overloaded).max_by(by_load)
+    }
+}
+
+fn failure_rate_is_low(pool: &Pool, now: Time) -> bool {
+    pool.failure_rate.get(now, HEALTH_DECAY) < BLACKOUT_THRESHOLD
+}
--- /dev/null
+++ b/crates/decisions/src/state/averages.rs
@@ -0,0 +1,137 @@
+//! Running averages whose older samples fade.
+
+use crate::api::{Duration, LearnedLatency, Time};
+
+/// Gains by which a baseline follows the mean.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct BaselineGain {
+    /// Gain while the mean is below the baseline.
+    pub down: f64,
+    /// Gain while the mean is above it.
+    pub up: f64,
+}
+
+/// Mean and mean deviation of a latency, in nanoseconds or as a part of another figure.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct LatencyEstimate {
+    /// Exponentially weighted mean.
+    pub mean: f64,
+    /// Exponentially weighted mean deviation.
+    pub mean_deviation: f64,
+    /// Latency without load: follows the mean, faster downwards than upwards.
+    pub baseline: f64,
+    /// Samples recorded.
+    pub calls: u32,
+}
+
+impl LatencyEstimate {
+    /// The form in which it is handed to a successor.
+    pub fn to_learned(&self) -> LearnedLatency {
+        LearnedLatency {
+            mean: self.mean,
+            mean_deviation: self.mean_deviation,
+            baseline: self.baseline,
+            calls: self.calls,
+        }
+    }
+
+    /// An estimate that a predecessor has handed over.
+    pub fn from_learned(learned: &LearnedLatency) -> Self {
+        Self {
+            mean: learned.mean,
+            mean_deviation: learned.mean_deviation,
+            baseline: learned.baseline,
+            calls: learned.calls,
+        }
+    }
+
+    /// The latency that lies this many mean deviations above the mean; one millisecond at least.
+    pub fn above_mean(&self, deviations: f64) -> Duration {
+        (self.mean + deviations * self.mean_deviation).max(1e6) as Duration
+    }
+
+    /// Records a sample. The first samples weigh more than `gain`, so that the estimate starts at
+    /// the first one.
+    pub fn record(&mut self, sample: f64, gain: f64, baseline_gain: BaselineGain) {
+        self.calls = self.calls.saturating_add(1);
+        let least = 1.0 / f64::from(self.calls);
+        let gain = gain.max(least);
+        self.mean += gain * (sample - self.mean);
+        self.mean_deviation += gain * ((sample - self.mean).abs() - self.mean_deviation);
+        let towards = if self.mean < self.baseline {
+            baseline_gain.down
+        } else {
+            baseline_gain.up
+        };
+        self.baseline += towards.max(least) * (self.mean - self.baseline);
+    }
+}
+
+/// The part of some calls that failed lately; it decays while nothing is recorded.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct FailureRate {
+    rate: f64,
+    updated_at: Time,
+}
+
+impl FailureRate {
+    /// The rate at `now`, between 0 and 1.
+    pub fn get(&self, now: Time, decay: Duration) -> f64 {
+        self.rate * (-(now.saturating_sub(self.updated_at) as f64) / decay as f64).exp()
+    }
+
+    /// Records the outcome of one call with the weight `gain`.
+    pub fn record(&mut self, failed: bool, now: Time, gain: f64, decay: Duration) {
+        let old = self.get(now, decay);
+        self.rate = old + gain * (f64::from(u8::from(failed)) - old);
+        self.updated_at = now;
+    }
+}
+
+/// A sum whose older parts decay exponentially over a window.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct DecayingSum {
+    /// The sum at `updated_at`.
+    pub sum: f64,
+    /// When it was counted last.
+    pub updated_at: Time,
+    started_at: Time,
+}
+
+impl DecayingSum {
+    /// An empty sum that begins at `now`.
+    pub fn starting_at(now: Time) -> Self {
+        Self {
+            sum: 0.0,
+            updated_at: now,
+            started_at: now,
+        }
+    }
+
+    /// A sum that has stood at a rate for long.
+    pub fn at_rate(per_second: f64, now: Time, window: Duration) -> Self {
+        Self {
+            sum: per_second * window as f64 / 1e9,
+            updated_at: now,
+            started_at: now.saturating_sub(8 * window),
+        }
+    }
+
+    /// The sum per second, unbiased from the first second on.
+    pub fn per_second(&self, now: Time, window: Duration) -> f64 {
+        let age = now.saturating_sub(self.started_at) as f64;
+        let seen = 1.0 - (-age / window as f64).exp();
+        self.get(now, window) * 1e9 / (window as f64 * seen.max(0.05))
+    }
+
+    /// The sum at `now`.
+    pub fn get(&self, now: Time, window: Duration) -> f64 {
+        self.sum * (-(now.saturating_sub(self.updated_at) as f64) / window as f64).exp()
+    }
+
+    /// Adds to the sum.
+    pub fn add(&mut self, now: Time, amount: f64, window: Duration) {
+        self.sum = self.get(now, window) + amount;
+        self.updated_at = now;
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/state/mod.rs
@@ -0,0 +1,24 @@
+//! What a balancer remembers: plain records and running averages.
+//!
+//! Nothing here decides anything. The gains, windows and decay times that steer the averages are
+//! handed in.
+
+mod averages;
+mod idle_risk;
+mod load;
+mod pool;
+mod request;
+mod retry_budget;
+mod server;
+
+pub(crate) use averages::{BaselineGain, DecayingSum, FailureRate, LatencyEstimate};
+pub(crate) use idle_risk::IdleRisk;
+pub(crate) use load::{LoadMeter, TenantLoad};
+pub(crate) use pool::{Pool, pools_of};
+pub(crate) use request::{
+    AttemptDelay, Candidate, InFlight, LoadComparison, PendingRequest, SentAttempt, WorkedOn,
+};
+pub(crate) use retry_budget::RetryBudget;
+pub(crate) use server::{
+    CircuitBreaker, ConnectionLimit, PoolIndex, Server, ServerIndex, TrafficShare,
+};
