--- a/crates/control-simulation/src/front.rs
+++ b/crates/control-simulation/src/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer that folds the feeds of two control machines.
+//! A simulated balancer, which folds the change feed of a control process.
 
 use std::collections::BTreeMap;
 use woadstall_control::feed::Event;
@@ -6,26 +6,30 @@
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::Packet;
 
-/// What a balancer holds.
+/// What a balancer has learnt from its feed.
 #[derive(Debug, Default)]
-pub struct Front {
-    /// The state that its requests go by.
+pub struct Balancer {
+    /// The configuration state that it routes by.
     pub state: ControlState,
-    /// The statuses of upstreams.
+    /// The statuses of upstreams by id.
     pub statuses: BTreeMap<String, Status>,
-    /// Versions in the order in which they came into force.
+    /// The generation in force after each packet of the feed.
     pub generations: Vec<u64>,
-    /// The feed's identity and how far it was read.
+    /// The epoch of the feed's journal.
     pub epoch: u64,
-    /// The position behind the last event that was read.
+    /// The offset behind the last event that was read.
     pub offset: u64,
-    /// Whether the feed that was heard last says that its machine holds a quorum.
+    /// Whether the control process last said that it hears of a leader with a quorum.
     pub in_quorum: bool,
 }
 
-impl Front {
-    /// Takes a packet of a feed.
-    pub fn take(&mut self, packet: Packet) {
+impl Balancer {
+    /// Applies a packet of the feed.
+    ///
+    /// # Panics
+    ///
+    /// If a snapshot cannot be decoded: control processes send none such.
+    pub fn receive(&mut self, packet: Packet) {
         match packet {
             Packet::Snapshot {
                 epoch,
@@ -34,18 +38,14 @@
                 registrations,
             } => {
                 (self.epoch, self.offset) = (epoch, offset);
-                if !state.is_empty() {
-                    let state =
-                        ControlState::decode(&state).expect("a machine's state can be read");
-                    self.state.replace_if_newer(state);
-                }
+                self.replace_state(&state);
                 registrations
                     .into_iter()
                     .for_each(|registration| self.register(registration));
             }
             Packet::Events { offset, events } => {
                 self.offset = offset;
-                events.into_iter().for_each(|event| self.follow(event));
+                events.into_iter().for_each(|event| self.apply(event));
             }
             Packet::Status { in_quorum, .. } => self.in_quorum = in_quorum,
             _ => {}
@@ -53,7 +53,16 @@
         self.generations.push(self.state.generation());
     }
 
-    fn follow(&mut self, event: Event) {
+    /// Replaces the state by an encoded one if that is newer. A feed leaves it empty where the balancer has it already.
+    fn replace_state(&mut self, encoded: &[u8]) {
+        if encoded.is_empty() {
+            return;
+        }
+        let state = ControlState::decode(encoded).expect("a control process's state is decodable");
+        self.state.replace_if_newer(state);
+    }
+
+    fn apply(&mut self, event: Event) {
         match event {
             Event::Committed { index, command } => self.state.apply_if_newer(index, &command),
             Event::Registered(registration) => self.register(registration),
--- /dev/null
+++ b/crates/control-simulation/src/cluster/checks.rs
@@ -0,0 +1,80 @@
+//! Checks over the whole cluster, and its state as text.
+
+use super::Cluster;
+use crate::NodeIndex;
+use crate::history::{Input, Output};
+use crate::invariants::{Violation, has_generation};
+use std::collections::BTreeMap;
+use woadstall_consensus::Member;
+use woadstall_control::registry::Status;
+
+impl Cluster {
+    /// A configuration that is acknowledged is on the disks of a quorum.
+    pub(super) fn check_durable_on_quorum(&mut self, token: u64, output: &Output) {
+        let Some(Input::Put { generation, .. }) = self.history.pending(token) else {
+            return;
+        };
+        let generation = *generation;
+        if *output != Output::Committed {
+            return;
+        }
+        let processes = (0..self.len()).filter_map(|node| self.process(node));
+        let newest = processes.max_by_key(|process| process.replica().commit_index());
+        let Some(newest) = newest else { return };
+        let is_durable_at = |member: &Member| self.is_durable_at(member, generation);
+        if !newest.replica().members().is_quorum(is_durable_at) {
+            self.invariants
+                .fail(Violation::AcknowledgedWithoutQuorum { generation });
+        }
+    }
+
+    fn is_durable_at(&self, member: &Member, generation: u64) -> bool {
+        let node = self
+            .nodes
+            .iter()
+            .find(|node| node.disk.durable().id == member.id);
+        node.is_some_and(|node| has_generation(node.disk.durable(), generation))
+    }
+
+    /// Checks, some time after all faults have ended, that each process and balancer knows what was acknowledged, and that the
+    /// history of operations is linearizable.
+    pub fn check_all(&mut self) {
+        (0..self.len()).for_each(|node| self.check_acknowledged(node));
+        if let Err(not_linearizable) = self.history.check() {
+            self.invariants.fail(not_linearizable.into());
+        }
+    }
+
+    fn check_acknowledged(&mut self, node: NodeIndex) {
+        let Some(process) = &self.nodes[node].process else {
+            return;
+        };
+        let registrations = process.registrations().into_iter();
+        let statuses: BTreeMap<String, Status> = registrations
+            .map(|registration| (registration.id, registration.status))
+            .collect();
+        self.invariants.check_acknowledged(node, &statuses);
+        for balancer in self.nodes[node].balancers.values() {
+            self.invariants.check_acknowledged(node, &balancer.statuses);
+        }
+    }
+
+    /// What processes have logged and the state of their replicas, one a line.
+    pub fn describe(&self) -> String {
+        let logged = self
+            .log
+            .iter()
+            .map(|line| format!("{} node={} {}", line.at_ms, line.node, line.text));
+        let replicas = (0..self.len()).filter_map(|node| self.describe_replica(node));
+        logged.chain(replicas).collect::<Vec<_>>().join("\n")
+    }
+
+    fn describe_replica(&self, node: NodeIndex) -> Option<String> {
+        let replica = self.process(node)?.replica();
+        let (term, leader) = (replica.term(), replica.leader());
+        let (commit, members) = (replica.commit_index(), replica.members());
+        Some(format!(
+            "node={node} term={term} leader={leader:?} commit={commit} {members:?}"
+        ))
+    }
+}
--- /dev/null
+++ b/crates/control-simulation/src/cluster/clients.rs
@@ -0,0 +1,105 @@
+//! Requests of operators, upstreams and balancers to processes.
+
+use super::Cluster;
+use crate::NodeIndex;
+use crate::balancer::Balancer;
+use crate::history::Input;
+use woadstall_control::command::Command;
+use woadstall_control::machine::Machine;
+use woadstall_control::registry::Registration;
+use woadstall_control::wire::Packet;
+
+/// The name of all simulated balancers.
+const BALANCER_NAME: &str = "front";
+
+impl Cluster {
+    /// Calls a process with the time in milliseconds and a new token, which it returns. Nothing happens where no process runs
+    /// or it is paused.
+    pub fn call(&mut self, node: NodeIndex, call: impl FnOnce(&mut Machine, u64, u64)) -> u64 {
+        self.last_token += 1;
+        let (now_ms, token) = (self.now_ms, self.last_token);
+        if self.is_paused(node) {
+            return token;
+        }
+        if let Some(process) = self.nodes[node].process.as_mut() {
+            call(process, now_ms, token);
+            self.carry_out_actions(node);
+        }
+        token
+    }
+
+    /// The token that the next call gets.
+    fn next_token(&self) -> u64 {
+        self.last_token + 1
+    }
+
+    /// An operator submits a command. Returns the token of the request.
+    pub fn submit(&mut self, node: NodeIndex, command: Command) -> u64 {
+        self.history
+            .invoke(self.next_token(), self.now_ms, Input::of(&command));
+        self.call(node, |process, now_ms, token| {
+            process.order(now_ms, token, command)
+        })
+    }
+
+    /// An operator reads the configuration. Returns the token of the request.
+    pub fn read(&mut self, node: NodeIndex) -> u64 {
+        self.history
+            .invoke(self.next_token(), self.now_ms, Input::Read);
+        self.call(node, |process, now_ms, token| process.read(now_ms, token))
+    }
+
+    /// An upstream sends a heartbeat. Returns the token of the request.
+    pub fn register(&mut self, node: NodeIndex, registration: Registration) -> u64 {
+        if registration.status.is_leaving() {
+            self.draining_requests
+                .insert(self.next_token(), registration.id.clone());
+        }
+        self.call(node, |process, now_ms, token| {
+            process.register(now_ms, token, registration)
+        })
+    }
+
+    /// An upstream deregisters. Returns the token of the request.
+    pub fn deregister(&mut self, node: NodeIndex, id: &str) -> u64 {
+        self.draining_requests
+            .insert(self.next_token(), id.to_owned());
+        self.call(node, |process, now_ms, token| {
+            process.deregister(now_ms, token, id)
+        })
+    }
+
+    /// A new balancer subscribes to a process's feed.
+    pub fn subscribe(&mut self, node: NodeIndex, subscriber: u64) {
+        self.resubscribe(node, subscriber, Balancer::default());
+    }
+
+    /// A balancer subscribes to a process's feed from where it has read so far.
+    pub fn resubscribe(&mut self, node: NodeIndex, subscriber: u64, balancer: Balancer) {
+        let packet = Packet::Subscribe {
+            balancer: BALANCER_NAME.to_owned(),
+            epoch: balancer.epoch,
+            offset: balancer.offset,
+            index: balancer.state.index,
+        };
+        self.nodes[node].balancers.insert(subscriber, balancer);
+        self.call(node, |process, now_ms, _| {
+            process.subscribe(now_ms, subscriber, &packet)
+        });
+    }
+
+    /// A balancer's subscription ends. Returns the balancer, if there was one.
+    pub fn unsubscribe(&mut self, node: NodeIndex, subscriber: u64) -> Option<Balancer> {
+        self.call(node, |process, _, _| process.unsubscribe(subscriber));
+        self.nodes[node].balancers.remove(&subscriber)
+    }
+
+    /// The balancer of a subscription.
+    ///
+    /// # Panics
+    ///
+    /// If there is no such subscription.
+    pub fn balancer(&self, node: NodeIndex, subscriber: u64) -> &Balancer {
+        &self.nodes[node].balancers[&subscriber]
+    }
+}
--- /dev/null
+++ b/crates/control-simulation/src/cluster/lifecycle.rs
@@ -0,0 +1,177 @@
+//! Faults and operations on nodes: processes start, stop, crash and pause; disks stall, reject writes and are lost.
+
+use super::node::Node;
+use super::{Cluster, address};
+use crate::NodeIndex;
+use crate::digest::Observation;
+use crate::disk::SimulatedDisk;
+use crate::network::Link;
+use std::collections::BTreeMap;
+use woadstall_consensus::{DurableState, Member, Snapshot};
+use woadstall_control::machine::{Machine, MachineSettings};
+use woadstall_control::wire::ControlMachine;
+
+/// How often upstreams send heartbeats, in milliseconds.
+const UPSTREAM_HEARTBEAT_MS: u64 = 1_200;
+
+impl Cluster {
+    /// Starts a node's process on its disk, unless it runs or the node was removed.
+    pub fn start(&mut self, node: NodeIndex) {
+        if self.nodes[node].process.is_some() || !self.nodes[node].is_present {
+            return;
+        }
+        let (incarnation, seed) = (self.random.u64(1..), self.random.u64(..));
+        let settings = self.settings(node, incarnation);
+        let host = &mut self.nodes[node];
+        host.incarnation += 1;
+        host.paused_until_ms = 0;
+        let durable = host.disk.durable().clone();
+        let mut process = Machine::new(settings, durable, self.now_ms, seed);
+        process.remember(host.disk.registrations.clone());
+        host.process = Some(process);
+        self.observe(Observation::Start, |digest| {
+            digest.node(node).number(incarnation).number(seed)
+        });
+        self.carry_out_actions(node);
+    }
+
+    /// Starts all processes that do not run.
+    pub fn start_all(&mut self) {
+        (0..self.len()).for_each(|node| self.start(node));
+    }
+
+    fn settings(&self, node: NodeIndex, incarnation: u64) -> MachineSettings {
+        let machine = ControlMachine {
+            member: Member {
+                id: self.disk(node).durable().id,
+                address: address(node),
+            },
+            zone: format!("zone-{node}"),
+            region: format!("region-{}", node % self.topology.regions),
+            control: String::new(),
+        };
+        MachineSettings {
+            machine,
+            seeds: (0..self.topology.founders).map(address).collect(),
+            zones: BTreeMap::new(),
+            heartbeat_ms: UPSTREAM_HEARTBEAT_MS,
+            tolerated: self.topology.tolerated_failures,
+            incarnation,
+        }
+    }
+
+    /// Ends a process; writes that were not synced are lost.
+    pub fn stop(&mut self, node: NodeIndex) {
+        self.end(node, 0);
+    }
+
+    /// Ends a process by a loss of power; a random part of what was not synced survives, perhaps torn.
+    pub fn crash(&mut self, node: NodeIndex) {
+        let started = self.random.usize(..=self.nodes[node].disk.queued());
+        self.end(node, started);
+    }
+
+    /// Crashes all processes.
+    pub fn crash_all(&mut self) {
+        (0..self.len()).for_each(|node| self.crash(node));
+    }
+
+    fn end(&mut self, node: NodeIndex, started_writes: usize) {
+        self.observe(Observation::End, |digest| {
+            digest.node(node).number(started_writes as u64)
+        });
+        let host = &mut self.nodes[node];
+        host.process = None;
+        host.balancers = BTreeMap::new();
+        host.disk.lose_power(started_writes, &mut self.random);
+        for other in 0..self.len() {
+            self.network.reset(
+                self.now_ms,
+                Link {
+                    from: node,
+                    to: other,
+                },
+            );
+            self.network.reset(
+                self.now_ms,
+                Link {
+                    from: other,
+                    to: node,
+                },
+            );
+        }
+    }
+
+    /// Ends a process and replaces its disk by an empty one: the node comes back under a new replica id.
+    pub fn wipe_disk(&mut self, node: NodeIndex) {
+        self.stop(node);
+        self.nodes[node].disk = SimulatedDisk::new(self.empty_disk_state());
+    }
+
+    fn empty_disk_state(&mut self) -> DurableState {
+        let id = self.next_replica_id;
+        self.next_replica_id += 1;
+        DurableState::new(id, Snapshot::default())
+    }
+
+    /// Removes a node for good.
+    pub fn remove(&mut self, node: NodeIndex) {
+        self.stop(node);
+        self.nodes[node].is_present = false;
+    }
+
+    /// Adds a node with an empty disk and starts it. Returns its number.
+    pub fn add(&mut self) -> NodeIndex {
+        let initial = self.empty_disk_state();
+        self.nodes.push(Node::new(initial));
+        let node = self.len() - 1;
+        self.start(node);
+        node
+    }
+
+    /// Pauses a process for some milliseconds; what arrives waits.
+    pub fn pause(&mut self, node: NodeIndex, duration_ms: u64) {
+        self.nodes[node].paused_until_ms = self.now_ms + duration_ms;
+    }
+
+    pub(super) fn is_paused(&self, node: NodeIndex) -> bool {
+        self.now_ms < self.nodes[node].paused_until_ms
+    }
+
+    /// A disk syncs nothing for some milliseconds.
+    pub fn stall_disk(&mut self, node: NodeIndex, duration_ms: u64) {
+        self.nodes[node].disk.stalled_until_ms = self.now_ms + duration_ms;
+    }
+
+    /// A disk rejects all writes for some milliseconds.
+    pub fn reject_writes(&mut self, node: NodeIndex, duration_ms: u64) {
+        self.nodes[node].disk.rejects_until_ms = self.now_ms + duration_ms;
+    }
+
+    /// Notifies a process that it is about to be stopped.
+    pub fn announce_shutdown(&mut self, node: NodeIndex) {
+        self.call(node, |process, now_ms, _| process.leave(now_ms));
+    }
+
+    /// Partitions a node from all others.
+    pub fn isolate(&mut self, node: NodeIndex) {
+        for other in self.others(node) {
+            self.network.partition(node, other);
+        }
+    }
+
+    /// Ends all partitions.
+    pub fn heal(&mut self) {
+        self.network.heal();
+    }
+
+    /// Ends all faults, and starts all processes.
+    pub fn clear_faults(&mut self) {
+        self.heal();
+        for node in &mut self.nodes {
+            node.paused_until_ms = 0;
+            node.disk.clear_faults();
+        }
+        self.start_all();
+    }
+}
--- /dev/null
+++ b/crates/control-simulation/src/scenario/run.rs
@@ -0,0 +1,266 @@
+//! A scenario is run: its steps one after the other, then the recovery from all faults.
+
+use super::client::{Operator, Upstreams};
+use super::{DiskStep, NetworkStep, ProcessStep, RequestStep, Scenario, Step};
+use crate::NodeIndex;
+use crate::cluster::Cluster;
+use crate::invariants::Violation;
+use thiserror::Error;
+use woadstall_control::command::Command;
+use woadstall_control::machine::Answer;
+
+/// Milliseconds that a cluster has to elect a leader before the first step.
+const STARTUP_MS: u64 = 6_000;
+/// Milliseconds that a cluster has to recover after the last fault.
+const RECOVERY_MS: u64 = 15_000;
+/// Configurations that are put after the recovery; the last one must be committed.
+const RECOVERY_PUTS: usize = 3;
+/// Milliseconds that each of them has.
+const RECOVERY_PUT_MS: u64 = 2_000;
+/// Milliseconds that a read has after the recovery.
+const RECOVERY_READ_MS: u64 = 1_100;
+/// Milliseconds from the notice of a shutdown to the end of the process.
+const SHUTDOWN_NOTICE_MS: u64 = 600;
+/// The subscription of the balancer at each node.
+const SUBSCRIBER: u64 = 1;
+
+/// A scenario has failed.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum ScenarioError {
+    /// An invariant does not hold.
+    #[error(transparent)]
+    Violation(#[from] Violation),
+    /// The cluster has not recovered: it commits no command.
+    #[error("no configuration is committed after all faults have ended: {response:?}")]
+    NotWritable {
+        /// The response to the last one that was put, if there was any.
+        response: Option<Answer>,
+    },
+    /// The cluster has not recovered: a node answers no read.
+    #[error("node {node} cannot read the configuration after all faults have ended")]
+    NotReadable {
+        /// The node.
+        node: NodeIndex,
+    },
+}
+
+impl Scenario {
+    /// Runs the scenario. Returns the cluster after it has recovered.
+    ///
+    /// # Errors
+    ///
+    /// If an invariant is violated, or the cluster does not recover.
+    pub fn run(&self) -> Result<Cluster, ScenarioError> {
+        let cluster = Cluster::with(
+            self.seed,
+            self.environment.topology,
+            self.environment.network,
+        );
+        self.run_on(cluster)
+    }
+
+    /// Runs the steps on a cluster that was just started.
+    ///
+    /// # Errors
+    ///
+    /// If an invariant is violated, or the cluster does not recover.
+    pub fn run_on(&self, cluster: Cluster) -> Result<Cluster, ScenarioError> {
+        let mut runner = Runner::new(cluster);
+        for step in &self.steps {
+            runner.apply(*step);
+            runner.check()?;
+        }
+        runner.recover()?;
+        Ok(runner.cluster)
+    }
+}
+
+struct Runner {
+    cluster: Cluster,
+    operator: Operator,
+    upstreams: Upstreams,
+    /// The number of the current step, from 1.
+    step: u64,
+}
+
+impl Runner {
+    fn new(mut cluster: Cluster) -> Self {
+        cluster.run(STARTUP_MS);
+        (0..cluster.len()).for_each(|node| cluster.subscribe(node, SUBSCRIBER));
+        Self {
+            cluster,
+            operator: Operator::default(),
+            upstreams: Upstreams::default(),
+            step: 0,
+        }
+    }
+
+    /// Fails if an invariant was violated.
+    fn check(&mut self) -> Result<(), ScenarioError> {
+        match self.cluster.invariants.violation.take() {
+            Some(violation) => Err(violation.into()),
+            None => Ok(()),
+        }
+    }
+
+    fn apply(&mut self, step: Step) {
+        self.operator.read_responses(&self.cluster);
+        self.step += 1;
+        match step {
+            Step::Request(request) => self.send_request(request),
+            Step::Process(step) => self.apply_to_process(step),
+            Step::Disk(step) => self.apply_to_disk(step),
+            Step::Network(step) => self.apply_to_network(step),
+            Step::ClearFaults => self.cluster.clear_faults(),
+            Step::Wait { duration_ms } => self.cluster.run(duration_ms),
+        }
+    }
+
+    fn send_request(&mut self, request: RequestStep) {
+        let Self {
+            cluster,
+            operator,
+            upstreams,
+            step,
+        } = self;
+        let zone_name = |zone: u8| format!("zone-{zone}");
+        match request {
+            RequestStep::Put { node, rival } => {
+                operator.put(cluster, node);
+                if rival {
+                    operator.put(cluster, (node + 1) % cluster.len());
+                }
+            }
+            RequestStep::RetryPut { node } => operator.retry_put(cluster, node),
+            RequestStep::Evacuate { node, zone } => {
+                cluster.submit(
+                    node,
+                    Command::Evacuate {
+                        zone: zone_name(zone),
+                    },
+                );
+            }
+            RequestStep::EndEvacuation { node, zone } => {
+                cluster.submit(
+                    node,
+                    Command::Return {
+                        zone: zone_name(zone),
+                    },
+                );
+            }
+            RequestStep::Read { node } => {
+                cluster.read(node);
+            }
+            RequestStep::Register { node, upstream } => {
+                upstreams.register(cluster, node, upstream, *step);
+            }
+            RequestStep::Drain { node, upstream } => {
+                upstreams.drain(cluster, node, upstream, *step);
+            }
+            RequestStep::Deregister { node, upstream } => {
+                upstreams.deregister(cluster, node, upstream, *step);
+            }
+        }
+    }
+
+    fn apply_to_process(&mut self, step: ProcessStep) {
+        let cluster = &mut self.cluster;
+        match step {
+            ProcessStep::Crash { node } => cluster.crash(node),
+            ProcessStep::CrashAll => cluster.crash_all(),
+            ProcessStep::Shutdown { node } => {
+                cluster.announce_shutdown(node);
+                cluster.run(SHUTDOWN_NOTICE_MS);
+                cluster.stop(node);
+            }
+            ProcessStep::Start { node } => cluster.start(node),
+            ProcessStep::StartAll => cluster.start_all(),
+            ProcessStep::Pause { node, duration_ms } => cluster.pause(node, duration_ms),
+        }
+    }
+
+    fn apply_to_disk(&mut self, step: DiskStep) {
+        let cluster = &mut self.cluster;
+        match step {
+            DiskStep::Wipe { node } => {
+                cluster.wipe_disk(node);
+                cluster.start(node);
+            }
+            DiskStep::WipeAndCrashAll { node } => {
+                let others = (0..cluster.len()).filter(|other| *other != node);
+                others.for_each(|other| cluster.crash(other));
+                cluster.wipe_disk(node);
+                cluster.start_all();
+            }
+            DiskStep::Stall { node, duration_ms } => cluster.stall_disk(node, duration_ms),
+            DiskStep::RejectWrites { node, duration_ms } => {
+                cluster.reject_writes(node, duration_ms)
+            }
+        }
+    }
+
+    fn apply_to_network(&mut self, step: NetworkStep) {
+        let nodes = self.cluster.len();
+        let network = &mut self.cluster.network;
+        match step {
+            NetworkStep::Isolate {
+                node,
+                inbound,
+                outbound,
+            } => {
+                for other in (0..nodes).filter(|other| *other != node) {
+                    if inbound {
+                        network.partition_one_way(other, node);
+                    }
+                    if outbound {
+                        network.partition_one_way(node, other);
+                    }
+                }
+            }
+            NetworkStep::Split { first } => {
+                for one in 0..first {
+                    (first..nodes).for_each(|other| network.partition(one, other));
+                }
+            }
+            NetworkStep::Partition { one, other } => network.partition(one, other),
+            NetworkStep::Heal => network.heal(),
+        }
+    }
+
+    /// All faults end: within a bounded time a configuration is committed, and each node answers reads.
+    fn recover(&mut self) -> Result<(), ScenarioError> {
+        self.cluster.clear_faults();
+        self.cluster
+            .run(RECOVERY_MS + self.cluster.network.conditions.delayed_delivery_ms);
+        self.check_writable()?;
+        for node in 0..self.cluster.len() {
+            self.check_readable(node)?;
+        }
+        self.cluster.check_all();
+        self.check()
+    }
+
+    fn check_writable(&mut self) -> Result<(), ScenarioError> {
+        self.operator.read_responses(&self.cluster);
+        let mut last_response = None;
+        for _ in 0..RECOVERY_PUTS {
+            let token = self.operator.put(&mut self.cluster, 0);
+            self.cluster.run(RECOVERY_PUT_MS);
+            self.operator.read_responses(&self.cluster);
+            last_response = self.cluster.responses.get(&token).cloned();
+        }
+        match last_response {
+            Some(Answer::Done) => Ok(()),
+            response => Err(ScenarioError::NotWritable { response }),
+        }
+    }
+
+    fn check_readable(&mut self, node: NodeIndex) -> Result<(), ScenarioError> {
+        let token = self.cluster.read(node);
+        self.cluster.run(RECOVERY_READ_MS);
+        match self.cluster.responses.get(&token) {
+            Some(Answer::Document(_)) => Ok(()),
+            _ => Err(ScenarioError::NotReadable { node }),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-simulation/tests/partitions.rs
@@ -0,0 +1,163 @@
+//! Isolated nodes and messages that arrive late.
+
+mod common;
+
+use common::{
+    CLIENT_TIMEOUT_MS, ClusterBuilder, assert_sound, commit, end_evacuation, evacuate,
+    read_generation,
+};
+use rstest::rstest;
+use woadstall_control::machine::Answer;
+use woadstall_control::registry::Status;
+use woadstall_control_simulation::network::{DELAYED_DELIVERY, NetworkConditions, STEADY};
+use woadstall_control_simulation::scenario::fixtures::{put, registration};
+
+/// Seeds of each test.
+const SEEDS: u64 = 20;
+/// Seeds of the tests of incidents.
+const INCIDENT_SEEDS: u64 = 12;
+
+#[test]
+fn an_isolated_node_gives_no_wrong_response_and_catches_up() {
+    for seed in 0..SEEDS {
+        println!("seed {seed}");
+        let mut cluster = ClusterBuilder::new(seed).build();
+        let isolated = cluster.leader().unwrap();
+        let other = (isolated + 1) % 3;
+        cluster.isolate(isolated);
+        let unknown = cluster.submit(isolated, put(0, 5));
+        cluster.run(5_000);
+        assert_eq!(cluster.responses.get(&unknown), Some(&Answer::Unclear));
+        assert_eq!(
+            read_generation(&mut cluster, isolated),
+            None,
+            "it cannot know the newest generation"
+        );
+        let committed = cluster.submit(other, put(0, 9));
+        cluster.run(1_000);
+        assert_eq!(cluster.responses.get(&committed), Some(&Answer::Done));
+        cluster.heal();
+        cluster.run(5_000);
+        assert_eq!(read_generation(&mut cluster, isolated), Some(9));
+    }
+}
+
+/// Incident 1: a node is isolated for twenty seconds with commands and reads, and what it sent arrives after the partition.
+#[rstest]
+#[case::the_leader(true, STEADY)]
+#[case::a_follower(false, STEADY)]
+#[case::the_leader_with_delayed_delivery(true, DELAYED_DELIVERY)]
+#[case::a_follower_with_delayed_delivery(false, DELAYED_DELIVERY)]
+fn an_isolated_node_neither_commits_nor_rejects_nor_reads(
+    #[case] is_leader: bool,
+    #[case] conditions: NetworkConditions,
+) {
+    const PARTITION_S: u64 = 20;
+    for seed in 0..INCIDENT_SEEDS {
+        let mut cluster = ClusterBuilder::new(seed).network(conditions).build();
+        commit(&mut cluster, &put(0, 5));
+        let leader = cluster.leader().unwrap();
+        let isolated = if is_leader { leader } else { (leader + 1) % 3 };
+        let others: Vec<usize> = (0..3).filter(|node| *node != isolated).collect();
+        cluster.subscribe(isolated, 1);
+        cluster.isolate(isolated);
+        let mut requests = Vec::new();
+        let mut generation = 5;
+        for second in 0..PARTITION_S {
+            requests.push(cluster.submit(isolated, put(generation, generation + 100 + second)));
+            requests.push(cluster.submit(
+                isolated,
+                if second % 2 == 0 {
+                    evacuate()
+                } else {
+                    end_evacuation()
+                },
+            ));
+            requests.push(cluster.read(isolated));
+            requests.push(
+                cluster.register(isolated, registration("i-1", second + 1, Status::Draining)),
+            );
+            requests.push(cluster.deregister(isolated, "i-unknown"));
+            let node = others[second as usize % 2];
+            let next = cluster.submit(node, put(generation, generation + 2));
+            cluster.run(CLIENT_TIMEOUT_MS);
+            if cluster.responses.get(&next) == Some(&Answer::Done) {
+                generation += 2;
+            }
+            for token in requests.drain(..) {
+                assert_eq!(
+                    cluster.responses.get(&token),
+                    Some(&Answer::Unclear),
+                    "seed {seed}, second {second}"
+                );
+            }
+            // What arrives later than any connection keeps it can't be told from a new leader's messages.
+            if second >= 2 && conditions.delayed_delivery_ms == 0 {
+                assert!(
+                    !cluster.balancer(isolated, 1).in_quorum,
+                    "its balancers know that it hears of no quorum"
+                );
+            }
+        }
+        assert!(
+            generation > 5 + PARTITION_S,
+            "the others went on: {generation}"
+        );
+        cluster.heal();
+        cluster.run(3_000);
+        for node in 0..3 {
+            assert_eq!(
+                read_generation(&mut cluster, node),
+                Some(generation),
+                "seed {seed}, node {node}"
+            );
+        }
+        cluster.run(conditions.delayed_delivery_ms);
+        let evacuated = &cluster.process(others[0]).unwrap().state().evacuated;
+        assert!(
+            evacuated.is_empty(),
+            "seed {seed}: nobody acknowledged that {evacuated:?} is evacuated"
+        );
+        assert_sound(&mut cluster);
+    }
+}
+
+/// Incident 1: an evacuation that has ended does not come into force again by messages that arrive late.
+#[test]
+fn a_delayed_evacuation_does_not_undo_later_commands() {
+    for seed in 0..INCIDENT_SEEDS * 4 {
+        let mut cluster = ClusterBuilder::new(seed).network(DELAYED_DELIVERY).build();
+        commit(&mut cluster, &put(0, 5));
+        let leader = cluster.leader().unwrap();
+        let other = (leader + 1) % 3;
+        // What this node sends to the leader is delayed.
+        cluster.network.partition_one_way(other, leader);
+        let delayed = cluster.submit(other, evacuate());
+        cluster.run(CLIENT_TIMEOUT_MS);
+        assert_eq!(
+            cluster.responses.get(&delayed),
+            Some(&Answer::Unclear),
+            "seed {seed}"
+        );
+        let again = cluster.submit(leader, evacuate());
+        cluster.run(400);
+        assert_eq!(
+            cluster.responses.get(&again),
+            Some(&Answer::Done),
+            "seed {seed}"
+        );
+        let back = cluster.submit(leader, end_evacuation());
+        cluster.run(400);
+        assert_eq!(
+            cluster.responses.get(&back),
+            Some(&Answer::Done),
+            "seed {seed}"
+        );
+        // Now it arrives, in the same term.
+        cluster.heal();
+        cluster.run(DELAYED_DELIVERY.delayed_delivery_ms + 3_000);
+        let state = cluster.process(leader).unwrap().state();
+        assert!(state.evacuated.is_empty(), "seed {seed}: evacuated again");
+        assert_sound(&mut cluster);
+    }
+}
--- /dev/null
+++ b/crates/control-simulation/tests/upstreams.rs
@@ -0,0 +1,176 @@
+//! Registrations of upstreams: draining, heartbeats, and what survives faults.
+
+mod common;
+
+use common::{CATCH_UP_MS, CLIENT_TIMEOUT_MS, ClusterBuilder, assert_sound};
+use rstest::rstest;
+use woadstall_control::machine::Answer;
+use woadstall_control::registry::Status;
+use woadstall_control_simulation::scenario::fixtures::registration;
+
+/// Seeds of each test.
+const SEEDS: u64 = 12;
+
+#[test]
+fn draining_is_acknowledged_by_a_majority_and_reaches_all_balancers() {
+    let mut cluster = ClusterBuilder::new(4).with_balancers().build();
+    cluster.call(0, |process, now_ms, token| {
+        process.register(now_ms, token, registration("i-1", 1, Status::Ready))
+    });
+    cluster.run(500);
+    let token = cluster.call(2, |process, now_ms, token| {
+        process.register(now_ms, token, registration("i-1", 2, Status::Draining));
+    });
+    assert!(
+        !cluster.responses.contains_key(&token),
+        "nobody else has it yet"
+    );
+    cluster.run(300);
+    assert_eq!(cluster.responses.get(&token), Some(&Answer::Done));
+    for node in 0..3 {
+        assert_eq!(
+            cluster.balancer(node, 1).statuses.get("i-1"),
+            Some(&Status::Draining)
+        );
+    }
+}
+
+#[test]
+fn an_isolated_node_does_not_acknowledge_draining() {
+    let mut cluster = ClusterBuilder::new(5).build();
+    cluster.isolate(1);
+    cluster.run(100);
+    let token = cluster.call(1, |process, now_ms, token| {
+        process.register(now_ms, token, registration("i-1", 1, Status::Draining));
+    });
+    cluster.run(1_500);
+    assert_eq!(cluster.responses.get(&token), Some(&Answer::Unclear));
+    // Once the partition ends, the others learn of it all the same.
+    cluster.heal();
+    cluster.run(1_000);
+    let known = cluster.process(0).unwrap().registrations();
+    assert_eq!(known[0].status, Status::Draining);
+}
+
+#[test]
+fn a_missed_heartbeat_is_judged_by_one_node_and_known_to_all() {
+    let mut cluster = ClusterBuilder::new(6).build();
+    cluster.call(0, |process, now_ms, token| {
+        process.register(now_ms, token, registration("i-1", 1, Status::Ready))
+    });
+    cluster.call(0, |process, now_ms, token| {
+        process.register(now_ms, token, registration("i-2", 1, Status::Ready))
+    });
+    for sequence in 2..8 {
+        cluster.run(1_200);
+        cluster.call(1, |process, now_ms, token| {
+            process.register(now_ms, token, registration("i-2", sequence, Status::Ready));
+        });
+    }
+    for node in 0..3 {
+        let statuses: Vec<Status> = cluster
+            .process(node)
+            .unwrap()
+            .registrations()
+            .iter()
+            .map(|upstream| upstream.status)
+            .collect();
+        assert_eq!(statuses, [Status::Silent, Status::Ready], "node {node}");
+    }
+}
+
+#[test]
+fn a_restarted_node_learns_all_upstreams_from_its_peers() {
+    let mut cluster = ClusterBuilder::new(7).build();
+    cluster.call(0, |process, now_ms, token| {
+        process.register(now_ms, token, registration("i-1", 1, Status::Ready))
+    });
+    cluster.run(500);
+    cluster.stop(1);
+    cluster.run(500);
+    cluster.start(1);
+    cluster.run(500);
+    assert_eq!(cluster.process(1).unwrap().registrations().len(), 1);
+}
+
+/// Incident 3: upstreams that have gone, and said nothing more, do not come back when power fails everywhere.
+#[rstest]
+#[case::drained(true)]
+#[case::deregistered_at_once(false)]
+fn acknowledged_draining_survives_a_loss_of_power_and_of_one_disk(#[case] drains: bool) {
+    for seed in 0..SEEDS {
+        for wiped in 0..3 {
+            let mut cluster = ClusterBuilder::new(seed).build();
+            cluster.register(0, registration("i-1", 1, Status::Ready));
+            cluster.run(1_000);
+            let at = cluster.random.usize(..3);
+            let token = match drains {
+                true => cluster.register(at, registration("i-1", 2, Status::Draining)),
+                false => cluster.deregister(at, "i-1"),
+            };
+            while !cluster.responses.contains_key(&token) {
+                cluster.run(10);
+            }
+            assert_eq!(cluster.responses[&token], Answer::Done);
+            (0..3)
+                .filter(|node| *node != wiped)
+                .for_each(|node| cluster.crash(node));
+            cluster.wipe_disk(wiped);
+            (0..3).for_each(|node| cluster.start(node));
+            cluster.run(CATCH_UP_MS);
+            for node in 0..3 {
+                let known = cluster.process(node).unwrap().registrations();
+                assert!(
+                    known[0].status.is_leaving(),
+                    "seed {seed}: node {node} has {:?}",
+                    known[0].status
+                );
+            }
+            assert_sound(&mut cluster);
+        }
+    }
+}
+
+/// Incident 5: an upstream deregisters at a node that does not know it, isolated or just started.
+#[rstest]
+#[case::isolated(true)]
+#[case::just_started(false)]
+fn deregistration_at_a_node_that_does_not_know_the_upstream_reaches_all(#[case] is_isolated: bool) {
+    for seed in 0..SEEDS {
+        let mut cluster = ClusterBuilder::new(seed).with_balancers().build();
+        if is_isolated {
+            cluster.isolate(1);
+        } else {
+            cluster.stop(1);
+        }
+        cluster.run(3_000);
+        cluster.register(0, registration("i-1", 1, Status::Ready));
+        cluster.run(1_000);
+        if !is_isolated {
+            cluster.start(1);
+        }
+        let token = cluster.deregister(1, "i-1");
+        cluster.run(CLIENT_TIMEOUT_MS);
+        if is_isolated {
+            assert_eq!(
+                cluster.responses.get(&token),
+                Some(&Answer::Unclear),
+                "seed {seed}"
+            );
+            cluster.heal();
+        }
+        cluster.run(2_000);
+        for node in 0..3 {
+            let known = cluster.process(node).unwrap().registrations();
+            assert_eq!(known[0].status, Status::Gone, "seed {seed}, node {node}");
+        }
+        for node in [0, 2] {
+            assert_eq!(
+                cluster.balancer(node, 1).statuses["i-1"],
+                Status::Gone,
+                "seed {seed}"
+            );
+        }
+        assert_sound(&mut cluster);
+    }
+}
