--- a/crates/control-simulation/src/cluster/checks.rs
+++ b/crates/control-simulation/src/cluster/checks.rs
@@ -22,7 +22,7 @@
         let newest = processes.max_by_key(|process| process.replica().commit_index());
         let Some(newest) = newest else { return };
         let is_durable_at = |member: &Member| self.is_durable_at(member, generation);
-        if !newest.replica().members().is_quorum(is_durable_at) {
+        if !newest.replica().membership().is_quorum(is_durable_at) {
             self.invariants
                 .fail(Violation::AcknowledgedWithoutQuorum { generation });
         }
@@ -72,7 +72,7 @@
     fn describe_replica(&self, node: NodeIndex) -> Option<String> {
         let replica = self.process(node)?.replica();
         let (term, leader) = (replica.term(), replica.leader());
-        let (commit, members) = (replica.commit_index(), replica.members());
+        let (commit, members) = (replica.commit_index(), replica.membership());
         Some(format!(
             "node={node} term={term} leader={leader:?} commit={commit} {members:?}"
         ))
--- a/crates/control-simulation/src/disk.rs
+++ b/crates/control-simulation/src/disk.rs
@@ -133,7 +133,7 @@
             return None;
         }
         for record in self.rejected.drain(..) {
-            self.synced.fold(&record);
+            self.synced.apply_record(&record);
         }
         self.newest_rejected = None;
         Some(Synced::Records(sequence))
--- a/crates/control-simulation/src/invariants.rs
+++ b/crates/control-simulation/src/invariants.rs
@@ -6,7 +6,7 @@
 use nanoserde::DeBin;
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
-use woadstall_consensus::{DurableState, Entry, Payload, ReplicaId};
+use woadstall_consensus::{DurableState, Entry, EntryPayload, ReplicaId};
 use woadstall_control::command::Command;
 use woadstall_control::machine::Machine;
 use woadstall_control::registry::Status;
@@ -218,8 +218,8 @@
 /// Whether a disk has the configuration of a generation or a later one.
 pub fn has_generation(durable: &DurableState, generation: u64) -> bool {
     let is_in_entry = |entry: &Entry| match &entry.payload {
-        Payload::Command(bytes) => command_has_generation(bytes, generation),
-        Payload::Empty | Payload::Members(_) => false,
+        EntryPayload::Command(bytes) => command_has_generation(bytes, generation),
+        EntryPayload::Blank | EntryPayload::Membership(_) => false,
     };
     let is_in_snapshot = |snapshot: &[u8]| {
         ControlState::decode(snapshot).is_ok_and(|state| state.generation() >= generation)
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Every decision of a long seeded course, as one digest: what renames and splits must not change.
+//! Every decision of a long seeded run, as one digest: refactorings must not change it.
 //!
 //! The digest is over numbers and upstream ids alone, so that it does not depend on the names of types or variants.
 
@@ -7,13 +7,13 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use support::{OWN, bounds, registration};
+use support::{OWN, limits, registration};
 use woadstall_control::configuration::Configuration;
 use woadstall_control::loads::{FleetLoad, FleetLoads, Placement};
 use woadstall_control::registry::{Registration, Status};
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{
-    Decision, Fleet, Outcome, Place, Prompt, Query, Router, Target, UpstreamId,
+    Decision, Fleet, Location, Outcome, Prompt, Query, Router, Target, UpstreamId,
 };
 
 const STEPS: u64 = 20_000;
@@ -35,11 +35,11 @@
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Answered,
     Outcome::Rejected,
-    Outcome::Unreachable,
-    Outcome::Broken,
-    Outcome::Error,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionError,
+    Outcome::UpstreamError,
     Outcome::TimedOut,
-    Outcome::Withdrawn,
+    Outcome::Cancelled,
 ];
 
 /// FNV-1a over everything that is written to it.
@@ -105,7 +105,7 @@
     Configuration::read(&document).unwrap()
 }
 
-struct Course {
+struct Run {
     router: Router,
     configuration: Configuration,
     draws: Draws,
@@ -114,22 +114,22 @@
     sequence: u64,
     placement: u32,
     in_flight: Vec<Target>,
-    /// What came up: the course has to reach every kind of decision and every obstacle.
+    /// What came up: the run has to reach every kind of decision and every reason to skip an upstream.
     sent: u64,
-    refused: u64,
-    obstacles: BTreeSet<u64>,
+    rejected: u64,
+    skip_reasons: BTreeSet<u64>,
 }
 
-impl Course {
+impl Run {
     fn new() -> Self {
-        let place = Place {
+        let location = Location {
             region: "north".to_owned(),
-            zones: ZONES
+            region_by_zone: ZONES
                 .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
                 .into(),
         };
-        let mut course = Self {
-            router: Router::new(place, bounds(), 4_711),
+        let mut run = Self {
+            router: Router::new(location, limits(), 4_711),
             configuration: configuration(),
             draws: Draws(20_260_101),
             digest: Digest(0xcbf2_9ce4_8422_2325),
@@ -138,14 +138,14 @@
             placement: 0,
             in_flight: Vec::new(),
             sent: 0,
-            refused: 0,
-            obstacles: BTreeSet::new(),
+            rejected: 0,
+            skip_reasons: BTreeSet::new(),
         };
-        let registrations = course.all_registrations();
+        let registrations = run.all_registrations();
         registrations
             .iter()
-            .for_each(|registration| course.router.register(0, registration));
-        course
+            .for_each(|registration| run.router.register(0, registration));
+        run
     }
 
     fn all_registrations(&self) -> Vec<Registration> {
@@ -171,18 +171,18 @@
         match self.draws.below(3) {
             0 => Prompt::default(),
             1 => Prompt {
-                shared: None,
-                shared_tokens: 0,
-                tokens: self.draws.below(30_000),
+                prefix_hash: None,
+                prefix_tokens: 0,
+                total_tokens: self.draws.below(30_000),
             },
             _ => {
                 let shared = self.draws.below(12) as u32;
-                let shared_tokens = 4_000 + 1_000 * u64::from(shared);
-                let tokens = shared_tokens + self.draws.below(2_000);
+                let prefix_tokens = 4_000 + 1_000 * u64::from(shared);
+                let total_tokens = prefix_tokens + self.draws.below(2_000);
                 Prompt {
-                    shared: Some(shared),
-                    shared_tokens,
-                    tokens,
+                    prefix_hash: Some(shared),
+                    prefix_tokens,
+                    total_tokens,
                 }
             }
         }
@@ -193,7 +193,7 @@
         let route = self.configuration.routes[route].clone();
         let service = self.configuration.services[&route.targets[0].0].clone();
         let prompt = self.any_prompt();
-        self.router.request(self.now, &service.name);
+        self.router.record_request(self.now, &service.name);
         let mut tried: Vec<UpstreamId> = Vec::new();
         loop {
             let query = Query {
@@ -202,37 +202,38 @@
                 prompt,
                 tried: &tried,
             };
-            let standing = self.router.standing(self.now, &query);
-            self.digest.number(standing.candidates as u64);
-            for (obstacle, count) in &standing.passed_over {
-                self.obstacles.insert(*obstacle as u64);
-                self.digest.number(*obstacle as u64);
+            let summary = self.router.summarize_candidates(self.now, &query);
+            self.digest.number(summary.candidates as u64);
+            for (reason, count) in &summary.skipped {
+                self.skip_reasons.insert(*reason as u64);
+                self.digest.number(*reason as u64);
                 self.digest.number(*count as u64);
             }
             match self.router.choose(self.now, &query) {
-                Decision::Send(target) => {
+                Decision::Forward(target) => {
                     self.sent += 1;
                     self.digest.bytes(target.id.as_bytes());
                     self.digest.bytes(target.address.to_string().as_bytes());
                     self.digest.bytes(target.zone.as_bytes());
-                    self.digest.number(u64::from(target.is_near));
-                    self.digest.number(target.connections as u64);
-                    self.digest.number(target.reading);
-                    self.digest.number(target.total_reading);
+                    self.digest.number(u64::from(target.is_local_region));
+                    self.digest.number(target.max_connections as u64);
+                    self.digest.number(target.prefill_tokens);
+                    self.digest.number(target.prefill_backlog);
                     self.digest.number(u64::from(target.in_flight));
                     tried.push(target.id.clone());
                     self.in_flight.push(target);
                 }
-                Decision::Refuse(refusal) => {
-                    self.refused += 1;
+                Decision::Reject(refusal) => {
+                    self.rejected += 1;
                     self.digest.number(refusal.retry_after.as_millis() as u64);
-                    self.digest.number(u64::from(refusal.none_usable));
+                    self.digest.number(u64::from(refusal.no_usable_upstream));
                     return;
                 }
             }
-            let repeats = self.draws.one_in(6) && self.router.take_repeat(self.now, &service.name);
-            self.digest.number(u64::from(repeats));
-            if !repeats {
+            let is_retried =
+                self.draws.one_in(6) && self.router.try_withdraw_retry(self.now, &service.name);
+            self.digest.number(u64::from(is_retried));
+            if !is_retried {
                 return;
             }
         }
@@ -252,26 +253,27 @@
                 self.router.finish(
                     self.now,
                     &id,
-                    Outcome::Unreachable,
-                    self.in_flight[index].reading,
+                    Outcome::ConnectFailed,
+                    self.in_flight[index].prefill_tokens,
                 );
                 self.in_flight.swap_remove(index);
             }
             0 => {
                 self.router
-                    .heard(self.now, &id, self.in_flight[index].reading);
-                self.in_flight[index].reading = 0;
+                    .record_activity(self.now, &id, self.in_flight[index].prefill_tokens);
+                self.in_flight[index].prefill_tokens = 0;
             }
-            1 => self.router.answered(self.now, &id),
+            1 => self.router.record_response(self.now, &id),
             _ => {
                 let target = self.in_flight.swap_remove(index);
                 let outcome = if self.draws.one_in(4) {
                     OUTCOMES[self.draws.below(OUTCOMES.len() as u64) as usize]
                 } else {
-                    self.router.answered(self.now, &id);
+                    self.router.record_response(self.now, &id);
                     Outcome::Answered
                 };
-                self.router.finish(self.now, &id, outcome, target.reading);
+                self.router
+                    .finish(self.now, &id, outcome, target.prefill_tokens);
             }
         }
     }
@@ -307,7 +309,7 @@
     fn snapshot(&mut self) {
         let all = self.all_registrations();
         let named: Vec<Registration> = all.into_iter().filter(|_| !self.draws.one_in(10)).collect();
-        self.router.snapshot(self.now, &named);
+        self.router.apply_snapshot(self.now, &named);
     }
 
     fn change_evacuation(&mut self) {
@@ -316,8 +318,8 @@
             .filter(|_| self.draws.one_in(6))
             .map(|(zone, _)| (*zone).to_owned())
             .collect();
-        let cold = |service: &str| Duration::from_secs(if service == "model" { 3 } else { 0 });
-        self.router.set_evacuated(self.now, &zones, cold);
+        let warmup = |service: &str| Duration::from_secs(if service == "model" { 3 } else { 0 });
+        self.router.set_evacuated_zones(self.now, &zones, warmup);
     }
 
     fn change_fleet(&mut self) {
@@ -345,12 +347,12 @@
             });
             self.placement += 1;
             let number = self.placement - self.draws.below(2) as u32;
-            let beginning = self.draws.below(12) as u32;
-            let tokens = 4_000 + 1_000 * beginning;
+            let prefix_hash = self.draws.below(12) as u32;
+            let tokens = 4_000 + 1_000 * prefix_hash;
             loads.placements.push(Placement {
                 number,
                 upstream,
-                beginning,
+                beginning: prefix_hash,
                 tokens,
                 own_tokens: 500,
             });
@@ -359,12 +361,12 @@
     }
 
     fn report_loads(&mut self) {
-        for load in self.router.load(self.now) {
+        for load in self.router.upstream_loads(self.now) {
             self.digest.number(u64::from(load.upstream));
             self.digest.number(u64::from(load.unread));
             self.digest.number(u64::from(load.is_failing));
         }
-        for placement in self.router.placements(self.now) {
+        for placement in self.router.recent_placements(self.now) {
             let Placement {
                 number,
                 upstream,
@@ -393,22 +395,22 @@
         }
         let id = self.any_registration().id;
         self.digest.number(u64::from(self.router.is_usable(&id)));
-        self.digest.number(self.router.known() as u64);
+        self.digest.number(self.router.known_upstreams() as u64);
     }
 }
 
 #[test]
-fn a_long_seeded_course_takes_the_same_decisions() {
-    let mut course = Course::new();
+fn a_seeded_run_takes_the_golden_decisions() {
+    let mut run = Run::new();
     for _ in 0..STEPS {
-        course.step();
+        run.step();
     }
     assert!(
-        course.sent > 1_000 && course.refused > 100,
-        "{} sent, {} refused",
-        course.sent,
-        course.refused
+        run.sent > 1_000 && run.rejected > 100,
+        "{} sent, {} rejected",
+        run.sent,
+        run.rejected
     );
-    assert_eq!(course.obstacles, (0..7).collect());
-    assert_eq!(format!("{:016x}", course.digest.0), "f6819980a098b23d");
+    assert_eq!(run.skip_reasons, (0..7).collect());
+    assert_eq!(format!("{:016x}", run.digest.0), "f6819980a098b23d");
 }
