--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -4,8 +4,8 @@
 use crate::evacuated::{Evacuated, Move};
 use crate::scenario::{Evacuating, Says};
 use woadstall_engine::decisions::{Place, Verdict as Finding};
-use woadstall_evacuation::{Coordinator, Places, Settings};
-use woadstall_health_reports::{Out, Saw};
+use woadstall_evacuation::{Coordinator, Settings, Topology};
+use woadstall_health_reports::{CompletedAttempt, PendingAttempt};
 use woadstall_membership::Node;
 
 /// See the module's documentation.
@@ -34,7 +34,7 @@
         let settings: Vec<Settings> = balancers
             .iter()
             .map(|balancer| Settings {
-                places: Places::new(&balancer.tier.to_string(), &zones, &classes),
+                places: Topology::new(&balancer.tier.to_string(), &zones, &classes),
                 zone: usize::from(balancer.zone),
             })
             .collect();
@@ -57,19 +57,24 @@
     }
 
     /// What a liar sees, whatever it is.
-    fn spoil(&self, at: usize, zone_of: impl Fn(ServerId) -> Option<usize>, saw: Saw) -> Saw {
+    fn spoil(
+        &self,
+        at: usize,
+        zone_of: impl Fn(ServerId) -> Option<usize>,
+        saw: CompletedAttempt,
+    ) -> CompletedAttempt {
         let own = self.settings[at].zone;
         match self.liars[at] {
             None => saw,
-            Some(Says::AllWell) => Saw {
+            Some(Says::AllWell) => CompletedAttempt {
                 outcome: Outcome::Ok,
                 ..saw
             },
-            Some(Says::AllBad) => Saw {
+            Some(Says::AllBad) => CompletedAttempt {
                 outcome: Outcome::Error,
                 ..saw
             },
-            Some(Says::OwnZoneBad) if zone_of(saw.server) == Some(own) => Saw {
+            Some(Says::OwnZoneBad) if zone_of(saw.server) == Some(own) => CompletedAttempt {
                 outcome: Outcome::Error,
                 ..saw
             },
@@ -155,7 +160,7 @@
         for seen in observed {
             let attempt = (seen.id.0, seen.attempt);
             let (server, class, outcome, took) = (seen.server, seen.class, seen.outcome, seen.took);
-            let saw = Saw {
+            let saw = CompletedAttempt {
                 attempt,
                 server,
                 class,
@@ -169,7 +174,7 @@
         let out = balancer.mind.outstanding(local).into_iter();
         coordinators.all[at].out(
             now,
-            out.map(|out| Out {
+            out.map(|out| PendingAttempt {
                 attempt: (out.id.0, out.attempt),
                 server: out.server,
                 class: out.class,
--- a/crates/evacuation/src/coordinator.rs
+++ b/crates/evacuation/src/coordinator.rs
@@ -1,10 +1,10 @@
 //! Between a member, the evidence and the decision module: takes what was seen, tells and hears, and says what the
 //! module is to be told.
 
-use crate::decide::{Evacuation, Scene};
-use crate::order::{Order, Orders, What};
+use crate::decide::{EngineInput, EvacuationEngine};
+use crate::order::{Order, OrderAction, OrderTable};
 use crate::place_decision::PlaceDecision;
-use crate::standing::State;
+use crate::standing::Phase;
 use crate::status::{PlaceStatus, Status};
 use siphasher::sip::SipHasher24;
 use std::collections::{BTreeMap, HashMap};
@@ -12,7 +12,8 @@
 use std::hash::Hasher;
 use woadstall_decisions::api::{Place, ServerId, Time, Verdict, ZoneId};
 use woadstall_health_reports::{
-    Counts, ENOUGH, HealthReport, Hearing, Ill, Kind, Ledger, Line as Told, Out, Saw, Subject,
+    CallCounts, CallStats, CompletedAttempt, HealthReport, Line as Told, PendingAttempt,
+    ReportTable, Subject, SubjectKind, Symptom, UNHEALTHY_LOG_ODDS,
 };
 use woadstall_membership::{Name, Node, Verdict as Presence};
 
@@ -53,7 +54,7 @@
 
 /// A zone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ZonePlace {
+pub struct Zone {
     /// Its name.
     pub name: String,
     /// Its region, if zones lie in some.
@@ -67,17 +68,17 @@
 
 /// What there is in a deployment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Places {
+pub struct Topology {
     /// Zones, in the order of the settings.
-    pub zones: Vec<ZonePlace>,
+    pub zones: Vec<Zone>,
     /// Classes, likewise.
     pub classes: Vec<String>,
 }
 
-impl Places {
+impl Topology {
     /// Of a tier's zones, each with its region if it lies in one, and classes.
     pub fn new(tier: &str, zones: &[(String, Option<String>)], classes: &[String]) -> Self {
-        let zone = |(name, region): &(String, Option<String>)| ZonePlace {
+        let zone = |(name, region): &(String, Option<String>)| Zone {
             name: name.clone(),
             region: region.clone(),
             subject: Subject::zone(tier, name),
@@ -144,7 +145,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// What there is.
-    pub places: Places,
+    pub places: Topology,
     /// The zone of this balancer, by position.
     pub zone: usize,
 }
@@ -161,7 +162,7 @@
 
 /// What came of a turn.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Turn {
+pub struct CoordinatorOutput {
     /// What the module is to be told.
     pub verdicts: Vec<Verdict>,
     /// What operators are.
@@ -180,10 +181,10 @@
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     settings: Settings,
-    ledger: Ledger,
-    hearing: Hearing,
-    evacuation: Evacuation,
-    orders: Orders,
+    ledger: CallStats,
+    hearing: ReportTable,
+    evacuation: EvacuationEngine,
+    orders: OrderTable,
     orders_changed: bool,
     listed: HashMap<ServerId, Listed>,
     in_service: HashMap<ServerId, f64>,
@@ -205,7 +206,7 @@
     /// Facts that could not be read.
     unread: u64,
     /// Calls of late.
-    calls: Counts,
+    calls: CallCounts,
 }
 
 const KEYS: [&str; 3] = ["evidence", "places", "orders"];
@@ -213,16 +214,16 @@
 impl Coordinator {
     /// One that has seen and heard nothing.
     pub fn new(settings: Settings) -> Self {
-        let Places { zones, classes } = &settings.places;
+        let Topology { zones, classes } = &settings.places;
         let subjects = zones
             .iter()
             .map(|zone| (zone.subject, zone.classes.clone()));
         let key = |text| Name::new(text).unwrap_or_else(|_| unreachable!("short, without blanks"));
         Self {
-            ledger: Ledger::new(subjects, classes.len()),
-            hearing: Hearing::default(),
-            evacuation: Evacuation::default(),
-            orders: Orders::default(),
+            ledger: CallStats::new(subjects, classes.len()),
+            hearing: ReportTable::default(),
+            evacuation: EvacuationEngine::default(),
+            orders: OrderTable::default(),
             orders_changed: false,
             listed: HashMap::new(),
             in_service: HashMap::new(),
@@ -237,7 +238,7 @@
             waiting: Vec::new(),
             keys: KEYS.map(key),
             unread: 0,
-            calls: Counts::default(),
+            calls: CallCounts::default(),
             settings,
         }
     }
@@ -255,7 +256,7 @@
                 continue;
             }
             self.ledger.listed(server, name, boot_ms, zone);
-            let subject = Subject::nodo(name, boot_ms);
+            let subject = Subject::server(name, boot_ms);
             let listed = Listed {
                 name: name.to_owned(),
                 subject,
@@ -282,13 +283,13 @@
     }
 
     /// An attempt of this balancer has ended.
-    pub fn saw(&mut self, now: Time, saw: &Saw) {
+    pub fn saw(&mut self, now: Time, saw: &CompletedAttempt) {
         self.calls.add(now, false, false);
         self.ledger.saw(now, saw);
     }
 
     /// The attempts of this balancer that are out.
-    pub fn out(&mut self, now: Time, all: impl Iterator<Item = Out>) {
+    pub fn out(&mut self, now: Time, all: impl Iterator<Item = PendingAttempt>) {
         self.ledger.out(now, all);
     }
 
@@ -324,13 +325,13 @@
     fn find_odd(&mut self, now: Time) {
         for (at, zone) in self.settings.places.zones.iter().enumerate() {
             let here = &self.settings.places.zones[self.settings.zone].name;
-            let own = Ill::Failing.weigh(&self.ledger.zone(at, now), 0.0);
+            let own = Symptom::Failing.weigh(&self.ledger.zone(at, now), 0.0);
             let well = self
                 .evacuation
                 .opinion(&zone.subject)
                 .is_some_and(|opinion| opinion.wellness >= 0.5);
             for (owner, of, said_at, counts) in self.hearing.words(&zone.subject) {
-                let says = Ill::Failing.weigh(counts, 0.0);
+                let says = Symptom::Failing.weigh(counts, 0.0);
                 // Others have had the time to say the same.
                 let old = now >= said_at.saturating_add(SECOND)
                     && now < said_at.saturating_add(3 * SECOND);
@@ -352,11 +353,11 @@
     }
 
     /// Hears, decides, tells. `now` is of the node's clock, which `saw` has, too; `now_ms` is Unix time.
-    pub fn turn(&mut self, now: Time, now_ms: u64, node: &mut Node) -> Turn {
+    pub fn turn(&mut self, now: Time, now_ms: u64, node: &mut Node) -> CoordinatorOutput {
         let members = self.hear(now, now_ms, node);
         self.orders_changed |= self.orders.forget(now_ms);
         let quiet = node.sure(now).cut_off;
-        let scene = Scene {
+        let scene = EngineInput {
             places: &self.settings.places,
             zone: self.settings.zone,
             ledger: &self.ledger,
@@ -377,7 +378,7 @@
         } else {
             self.verdicts(now, node)
         };
-        Turn { verdicts, lines }
+        CoordinatorOutput { verdicts, lines }
     }
 
     /// Takes what others have told since. How many members each zone has.
@@ -420,7 +421,7 @@
                     self.unread += u64::from(heard.is_err());
                 }
                 "orders" => {
-                    for order in Orders::read(&fact.bytes).unwrap_or_default() {
+                    for order in OrderTable::read(&fact.bytes).unwrap_or_default() {
                         if self.orders.take(now_ms, order) {
                             self.orders_changed = true;
                             self.waiting.push(Line(self.tells(&order, now_ms)));
@@ -453,10 +454,10 @@
         let changes = self.evacuation.take_changes();
         let told = changes.iter().filter(|change| {
             // That a nodo is doubted or not is for `status`.
-            !matches!(change.standing.state, State::Doubted | State::InUse)
-                || change.subject.kind != Kind::Nodo
+            !matches!(change.standing.state, Phase::Suspected | Phase::InUse)
+                || change.subject.kind != SubjectKind::Server
         });
-        told.filter(|change| change.standing.epoch > 0 || change.standing.state == State::Doubted)
+        told.filter(|change| change.standing.epoch > 0 || change.standing.state == Phase::Suspected)
             .map(|change| {
                 let standing = &change.standing;
                 let name = self.name_of(&change.subject);
@@ -496,12 +497,12 @@
         let (_, failing, _) = opinion.counts.failing();
         let (_, late, _) = opinion.counts.spoilt();
         let seen = match opinion.ill {
-            Ill::Failing => format!(
+            Symptom::Failing => format!(
                 "{:.0}% of {:.0} calls fail",
                 100.0 * failing,
                 opinion.counts.tries
             ),
-            Ill::Late => {
+            Symptom::Late => {
                 format!(
                     "{:.0}% of {:.0} calls fail or come late",
                     100.0 * late,
@@ -527,7 +528,7 @@
             // follows, and what nodos do, is for operators.
             let own = node.me().zone.as_str();
             let needed =
-                woadstall_health_reports::liars(members.get(own).copied().unwrap_or(1)) + 2;
+                woadstall_health_reports::max_faulty(members.get(own).copied().unwrap_or(1)) + 2;
             let told = |place_decision: &&PlaceDecision| {
                 let said = self
                     .place_decisions
@@ -540,7 +541,7 @@
             };
             let first = all
                 .iter()
-                .filter(|place_decision| place_decision.subject.kind != Kind::Nodo)
+                .filter(|place_decision| place_decision.subject.kind != SubjectKind::Server)
                 .any(|place_decision| !told(&place_decision));
             let priority = if first { FIRST } else { LATER };
             if node
@@ -560,10 +561,10 @@
         if now < self.told_at.saturating_add(TELLS) {
             return;
         }
-        let weight = |counts: &Counts| {
+        let weight = |counts: &CallCounts| {
             let (failing, late) = (
-                Ill::Failing.weigh(counts, 0.0),
-                Ill::Late.weigh(counts, 0.0),
+                Symptom::Failing.weigh(counts, 0.0),
+                Symptom::Late.weigh(counts, 0.0),
             );
             if late.max(failing) > 0.0 {
                 late.max(failing)
@@ -571,7 +572,7 @@
                 failing
             }
         };
-        let mut lines: Vec<(Subject, Counts, f64)> = Vec::new();
+        let mut lines: Vec<(Subject, CallCounts, f64)> = Vec::new();
         for (subject, counts, fresh) in self.ledger.all(now) {
             if counts.tries < 0.25 {
                 continue;
@@ -608,7 +609,9 @@
             .filter(|listed| ill.get(listed.zone).copied().unwrap_or(false))
             .map(|listed| listed.subject)
             .collect();
-        lines.retain(|(subject, ..)| subject.kind != Kind::Nodo || !spared.contains(subject));
+        lines.retain(|(subject, ..)| {
+            subject.kind != SubjectKind::Server || !spared.contains(subject)
+        });
         // A zone that is ill in one class only is told by the others.
         for zone in &self.settings.places.zones {
             let ill = lines
@@ -625,7 +628,7 @@
         }
         // What weighs no more to others is no news.
         let own = members.get(node.me().zone.as_str()).copied().unwrap_or(1);
-        let (_, most) = woadstall_health_reports::enough(ENOUGH, own);
+        let (_, most) = woadstall_health_reports::enough(UNHEALTHY_LOG_ODDS, own);
         let again = now >= self.told_at.saturating_add(TELLS_AGAIN);
         let changed = lines.iter().any(|(subject, _, weight)| {
             let known = self.told.get(subject).copied().unwrap_or(0.0);
@@ -651,13 +654,13 @@
         }
         // Zones before classes before nodos, each the worst first.
         let rank = |subject: &Subject| match subject.kind {
-            Kind::Zone | Kind::Region => 0,
-            Kind::Class => 1,
-            Kind::Nodo => 2,
+            SubjectKind::Zone | SubjectKind::Region => 0,
+            SubjectKind::Class => 1,
+            SubjectKind::Server => 2,
         };
         lines.sort_by(|a, b| {
             let order =
-                |(subject, _, weight): &(Subject, Counts, f64)| (rank(subject), *weight <= 0.0);
+                |(subject, _, weight): &(Subject, CallCounts, f64)| (rank(subject), *weight <= 0.0);
             order(a)
                 .cmp(&order(b))
                 .then(b.2.abs().total_cmp(&a.2.abs()))
@@ -695,9 +698,9 @@
                 .find_map(|zone| zone.classes.iter().position(|of| of == subject))
         };
         let mut others = zones.iter().map(|zone| match subject.kind {
-            Kind::Class => class().map(|class| zone.classes[class]),
-            Kind::Zone => Some(zone.subject),
-            Kind::Nodo | Kind::Region => None,
+            SubjectKind::Class => class().map(|class| zone.classes[class]),
+            SubjectKind::Zone => Some(zone.subject),
+            SubjectKind::Server | SubjectKind::Region => None,
         });
         doubted(subject) || !known && others.any(|other| other.is_some_and(|other| doubted(&other)))
     }
@@ -822,7 +825,8 @@
         regions.dedup();
         places.extend(regions.iter().map(|region| place(region, 0)));
         let rest = self.evacuation.standings().filter(|(subject, standing)| {
-            matches!(subject.kind, Kind::Nodo | Kind::Class) && standing.state != State::InUse
+            matches!(subject.kind, SubjectKind::Server | SubjectKind::Class)
+                && standing.state != Phase::InUse
         });
         places.extend(rest.map(|(subject, _)| place(subject, 0)));
         let odd = self.odd.iter().filter(|(_, (times, _))| *times >= NAMED);
@@ -843,24 +847,24 @@
     /// The share of a place under operators' words and the fleet's finding.
     fn share(&self, subject: &Subject) -> f64 {
         match self.order_of(subject).map(|order| order.what) {
-            Some(What::Leave) => 0.0,
-            Some(What::Hold) => 1.0,
-            Some(What::Return) | None => self.evacuation.standing(subject).share,
+            Some(OrderAction::Evacuate) => 0.0,
+            Some(OrderAction::Keep) => 1.0,
+            Some(OrderAction::Restore) | None => self.evacuation.standing(subject).share,
         }
     }
 
     /// What an operator's word is about, by the name of a place.
-    pub fn place(&self, kind: Kind, name: &str) -> Option<Subject> {
+    pub fn place(&self, kind: SubjectKind, name: &str) -> Option<Subject> {
         match kind {
-            Kind::Zone => self
+            SubjectKind::Zone => self
                 .settings
                 .places
                 .zones
                 .iter()
                 .find(|zone| zone.name == name)
                 .map(|zone| zone.words.0),
-            Kind::Region => {
-                let is = |zone: &&ZonePlace| zone.region.as_deref() == Some(name);
+            SubjectKind::Region => {
+                let is = |zone: &&Zone| zone.region.as_deref() == Some(name);
                 self.settings
                     .places
                     .zones
@@ -868,12 +872,12 @@
                     .find(is)
                     .and_then(|zone| zone.words.1)
             }
-            Kind::Nodo => self
+            SubjectKind::Server => self
                 .listed
                 .values()
                 .find(|listed| listed.name == name)
                 .map(|listed| listed.subject),
-            Kind::Class => None,
+            SubjectKind::Class => None,
         }
     }
 }
--- a/crates/evacuation/src/decide.rs
+++ b/crates/evacuation/src/decide.rs
@@ -1,13 +1,14 @@
 //! From what all have told to where each place stands.
 
-use crate::coordinator::Places;
-use crate::order::{Orders, What};
+use crate::coordinator::Topology;
+use crate::order::{OrderAction, OrderTable};
 use crate::place_decision::PlaceDecision;
-use crate::standing::{Beside, Cause, Standing, State};
+use crate::standing::{Alternatives, Cause, Phase, PlaceState};
 use std::collections::{BTreeMap, HashMap};
 use woadstall_decisions::api::{ServerId, Time};
 use woadstall_health_reports::{
-    Counts, ENOUGH, Hearing, Ill, Kind, Ledger, Opinion, Question, ROOM, Subject, liars,
+    Assessment, AssessmentQuery, CallCounts, CallStats, ReportTable, SERVER_UNHEALTHY_LOG_ODDS,
+    Subject, SubjectKind, Symptom, UNHEALTHY_LOG_ODDS, max_faulty,
 };
 
 /// A place is better than another where at worst so small a part of the other's calls fails there.
@@ -25,15 +26,15 @@
 
 /// What is looked at.
 #[derive(Clone, Copy)]
-pub struct Scene<'a> {
+pub struct EngineInput<'a> {
     /// Names of zones, regions and classes.
-    pub places: &'a Places,
+    pub places: &'a Topology,
     /// The zone of this balancer, by position.
     pub zone: usize,
     /// What its own calls came to.
-    pub ledger: &'a Ledger,
+    pub ledger: &'a CallStats,
     /// What others tell.
-    pub hearing: &'a Hearing,
+    pub hearing: &'a ReportTable,
     /// Size of what is in service in each zone.
     pub sizes: &'a [f64],
     /// Size of each nodo that is in service.
@@ -43,53 +44,53 @@
     /// What others have found, by owner, each with its zone.
     pub place_decisions: &'a BTreeMap<String, (String, Vec<PlaceDecision>)>,
     /// Operators' words.
-    pub orders: &'a Orders,
+    pub orders: &'a OrderTable,
     /// It is cut off, or has just woken: it proposes nothing and follows nobody.
     pub quiet: bool,
 }
 
 /// A place's state or epoch has changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Change {
+pub struct StateChange {
     /// Which place.
     pub subject: Subject,
     /// As it stands now.
-    pub standing: Standing,
+    pub standing: PlaceState,
     /// What that rests on.
     pub witnesses: (usize, usize),
 }
 
 /// Where all places stand, as this balancer has found.
 #[derive(Clone, Debug, Default)]
-pub struct Evacuation {
-    standings: BTreeMap<Subject, Standing>,
-    opinions: BTreeMap<Subject, Opinion>,
-    changes: Vec<Change>,
+pub struct EvacuationEngine {
+    standings: BTreeMap<Subject, PlaceState>,
+    opinions: BTreeMap<Subject, Assessment>,
+    changes: Vec<StateChange>,
 }
 
-impl Evacuation {
+impl EvacuationEngine {
     /// How a place stands.
-    pub fn standing(&self, subject: &Subject) -> Standing {
+    pub fn standing(&self, subject: &Subject) -> PlaceState {
         self.standings.get(subject).copied().unwrap_or_default()
     }
 
     /// What was last found of a place.
-    pub fn opinion(&self, subject: &Subject) -> Option<&Opinion> {
+    pub fn opinion(&self, subject: &Subject) -> Option<&Assessment> {
         self.opinions.get(subject)
     }
 
     /// All places of which something was found.
-    pub fn standings(&self) -> impl Iterator<Item = (&Subject, &Standing)> {
+    pub fn standings(&self) -> impl Iterator<Item = (&Subject, &PlaceState)> {
         self.standings.iter()
     }
 
     /// What has changed since this was asked last.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// Looks at everything once.
-    pub fn turn(&mut self, now: Time, scene: &Scene<'_>) {
+    pub fn turn(&mut self, now: Time, scene: &EngineInput<'_>) {
         if scene.quiet {
             return;
         }
@@ -102,10 +103,10 @@
         self.forget(now, scene);
     }
 
-    fn change(&mut self, subject: Subject, to: Standing, witnesses: (usize, usize)) {
+    fn change(&mut self, subject: Subject, to: PlaceState, witnesses: (usize, usize)) {
         let was = self.standings.insert(subject, to).unwrap_or_default();
         if (was.state, was.epoch) != (to.state, to.epoch) {
-            self.changes.push(Change {
+            self.changes.push(StateChange {
                 subject,
                 standing: to,
                 witnesses,
@@ -115,7 +116,7 @@
 
     /// Takes from several others what is later than the own. One alone may lie; as many as may lie and one more do not. Those
     /// of the own zone look from the same place, and those of a place's own zone know it best.
-    fn follow(&mut self, now: Time, scene: &Scene<'_>) {
+    fn follow(&mut self, now: Time, scene: &EngineInput<'_>) {
         let nodos: HashMap<Subject, usize> = scene
             .ledger
             .nodos(now)
@@ -133,7 +134,7 @@
         for (zone, place_decisions) in scene.place_decisions.values() {
             for place_decision in place_decisions {
                 let home = match place_decision.subject.kind {
-                    Kind::Nodo => nodos.get(&place_decision.subject).copied(),
+                    SubjectKind::Server => nodos.get(&place_decision.subject).copied(),
                     _ => scene.places.home(&place_decision.subject),
                 };
                 if home.is_some_and(|home| zone == own || zone == name(home)) {
@@ -144,7 +145,7 @@
             }
         }
         for ((subject, zone), mut place_decisions) in said {
-            let needed = liars(scene.members.get(zone).copied().unwrap_or(1)) + 1;
+            let needed = max_faulty(scene.members.get(zone).copied().unwrap_or(1)) + 1;
             // The latest that so many have reached: whoever went on has been there, too.
             place_decisions.sort_by_key(|place_decision| {
                 std::cmp::Reverse((place_decision.epoch, place_decision.state))
@@ -164,10 +165,10 @@
         }
     }
 
-    fn zones(&mut self, now: Time, scene: &Scene<'_>) {
+    fn zones(&mut self, now: Time, scene: &EngineInput<'_>) {
         let count = scene.places.zones.len();
         let subjects: Vec<Subject> = scene.places.zones.iter().map(|zone| zone.subject).collect();
-        let own: Vec<Counts> = (0..count)
+        let own: Vec<CallCounts> = (0..count)
             .map(|zone| scene.ledger.zone(zone, now))
             .collect();
         let opinions = self.opinions(now, scene, &subjects, &own);
@@ -185,10 +186,10 @@
     fn opinions(
         &self,
         now: Time,
-        scene: &Scene<'_>,
+        scene: &EngineInput<'_>,
         subjects: &[Subject],
-        own: &[Counts],
-    ) -> Vec<Opinion> {
+        own: &[CallCounts],
+    ) -> Vec<Assessment> {
         let count = subjects.len();
         // What was left already says nothing of what is usual: a second zone that dies looked hardly worse than it.
         let in_use = |zone: &usize| {
@@ -209,13 +210,21 @@
             let usual = scene
                 .hearing
                 .usual(now, others.map(|other| (subjects[other], &own[other])));
-            self.ask(now, scene, subjects[zone], zone, &own[zone], usual, ENOUGH)
+            self.ask(
+                now,
+                scene,
+                subjects[zone],
+                zone,
+                &own[zone],
+                usual,
+                UNHEALTHY_LOG_ODDS,
+            )
         };
         (0..count).map(of).collect()
     }
 
     /// Whether a zone's calls fail in one class alone: that is left, and the rest stays.
-    fn is_one_class(now: Time, scene: &Scene<'_>, zone: usize) -> bool {
+    fn is_one_class(now: Time, scene: &EngineInput<'_>, zone: usize) -> bool {
         let subjects = scene.places.zones[zone].classes.iter().enumerate();
         let counts = subjects.map(|(class, subject)| {
             scene
@@ -223,14 +232,14 @@
                 .class(zone, class, now)
                 .and(&scene.hearing.counts(now, subject))
         });
-        let mut counts: Vec<Counts> = counts.collect();
+        let mut counts: Vec<CallCounts> = counts.collect();
         counts.sort_by(|a, b| a.failed.total_cmp(&b.failed));
         let Some(worst) = counts.pop() else {
             return false;
         };
         let rest = counts
             .into_iter()
-            .fold(Counts::default(), |all, counts| all.and(&counts));
+            .fold(CallCounts::default(), |all, counts| all.and(&counts));
         rest.tries >= KNOWN && rest.failed < ONE_CLASS * worst.failed
     }
 
@@ -240,8 +249,8 @@
         of: usize,
         others: &[usize],
         subjects: &[Subject],
-        opinions: &[Opinion],
-    ) -> Beside {
+        opinions: &[Assessment],
+    ) -> Alternatives {
         let (_, ill, _) = opinions[of].counts.failing();
         let (_, late, _) = opinions[of].counts.spoilt();
         let in_use = |other: &usize| self.standing(&subjects[*other]).share >= 1.0;
@@ -254,8 +263,8 @@
             let known = opinions[other].counts.tries >= KNOWN;
             known
                 && match opinions[of].ill {
-                    Ill::Failing => failing < ill * BETTER,
-                    Ill::Late => !opinions[other].is_ill && lagging < late * BETTER,
+                    Symptom::Failing => failing < ill * BETTER,
+                    Symptom::Late => !opinions[other].is_ill && lagging < late * BETTER,
                 }
         };
         let used: Vec<usize> = others.iter().copied().filter(in_use).collect();
@@ -263,9 +272,9 @@
         let lagging = used
             .iter()
             .map(|other| opinions[*other].counts)
-            .fold(Counts::default(), |a, b| a.and(&b));
+            .fold(CallCounts::default(), |a, b| a.and(&b));
         let room = lagging.tries < 1.0 || lagging.spoilt().1 < ROOM_LATE;
-        Beside {
+        Alternatives {
             better,
             room,
             last: used.is_empty(),
@@ -276,13 +285,13 @@
     fn ask(
         &self,
         now: Time,
-        scene: &Scene<'_>,
+        scene: &EngineInput<'_>,
         subject: Subject,
         zone: usize,
-        own: &Counts,
+        own: &CallCounts,
         usual: [f64; 2],
         enough: f64,
-    ) -> Opinion {
+    ) -> Assessment {
         let name = |zone: usize| {
             scene
                 .places
@@ -291,7 +300,7 @@
                 .map_or("", |zone| zone.name.as_str())
         };
         let (home, from, members) = (name(zone), name(scene.zone), scene.members);
-        let asked = Question {
+        let asked = AssessmentQuery {
             subject,
             home,
             from,
@@ -303,7 +312,7 @@
         scene.hearing.opinion(now, &asked)
     }
 
-    fn go_on(&mut self, now: Time, subject: Subject, opinion: &Opinion, beside: &Beside) {
+    fn go_on(&mut self, now: Time, subject: Subject, opinion: &Assessment, beside: &Alternatives) {
         self.opinions.insert(subject, *opinion);
         let mut standing = self.standing(&subject);
         standing.go_on(now, opinion, beside);
@@ -311,7 +320,7 @@
     }
 
     /// A class that fails at a zone, where the zone as a whole does not.
-    fn classes(&mut self, now: Time, scene: &Scene<'_>) {
+    fn classes(&mut self, now: Time, scene: &EngineInput<'_>) {
         let count = scene.places.zones.len();
         for class in 0..scene.places.classes.len() {
             let subjects: Vec<Subject> = scene
@@ -320,7 +329,7 @@
                 .iter()
                 .map(|zone| zone.classes[class])
                 .collect();
-            let own: Vec<Counts> = (0..count)
+            let own: Vec<CallCounts> = (0..count)
                 .map(|zone| scene.ledger.class(zone, class, now))
                 .collect();
             let quiet = |zone: usize| {
@@ -343,13 +352,13 @@
                     continue;
                 }
                 // Late answers of a class are its size.
-                beside.better &= opinions[zone].ill == Ill::Failing;
+                beside.better &= opinions[zone].ill == Symptom::Failing;
                 self.go_on(now, subjects[zone], &opinions[zone], &beside);
             }
         }
     }
 
-    fn nodos(&mut self, now: Time, scene: &Scene<'_>) {
+    fn nodos(&mut self, now: Time, scene: &EngineInput<'_>) {
         // How much of each zone is left by its nodos alone.
         let mut left = vec![0.0; scene.places.zones.len()];
         let (mut asked, mut known) = (Vec::new(), Vec::new());
@@ -389,20 +398,28 @@
                 now,
                 std::iter::once((place.subject, &scene.ledger.zone(zone, now))),
             );
-            let opinion = self.ask(now, scene, subject, zone, &own, usual, ROOM);
+            let opinion = self.ask(
+                now,
+                scene,
+                subject,
+                zone,
+                &own,
+                usual,
+                SERVER_UNHEALTHY_LOG_ODDS,
+            );
             let room = left[zone] + size <= all * ZONE_PART;
             let (_, failing, _) = opinion.counts.failing();
             let (_, lagging, _) = opinion.counts.spoilt();
             let worse = match opinion.ill {
-                Ill::Failing => usual[0] < failing * BETTER,
-                Ill::Late => usual[1] < lagging * BETTER,
+                Symptom::Failing => usual[0] < failing * BETTER,
+                Symptom::Late => usual[1] < lagging * BETTER,
             };
             let was = self.standing(&subject).share;
             self.go_on(
                 now,
                 subject,
                 &opinion,
-                &Beside {
+                &Alternatives {
                     better: worse,
                     room: true,
                     last: !room && was >= 1.0,
@@ -412,15 +429,15 @@
         }
         known.sort();
         self.standings.retain(|subject, _| {
-            subject.kind != Kind::Nodo || known.binary_search(subject).is_ok()
+            subject.kind != SubjectKind::Server || known.binary_search(subject).is_ok()
         });
         self.opinions.retain(|subject, _| {
-            subject.kind != Kind::Nodo || known.binary_search(subject).is_ok()
+            subject.kind != SubjectKind::Server || known.binary_search(subject).is_ok()
         });
     }
 
     /// A region most of which is left is left as a whole, where there is another; in one step and not zone by zone.
-    fn regions(&mut self, now: Time, scene: &Scene<'_>) {
+    fn regions(&mut self, now: Time, scene: &EngineInput<'_>) {
         let mut regions: BTreeMap<Subject, (f64, f64)> = BTreeMap::new();
         for (zone, size) in scene.places.zones.iter().zip(scene.sizes) {
             let Some(region) = zone.region_subject else {
@@ -444,21 +461,21 @@
             .collect();
         for (subject, gone) in found {
             let mut standing = self.standing(&subject);
-            let state = if gone { State::Left } else { State::InUse };
+            let state = if gone { Phase::Evacuated } else { Phase::InUse };
             if gone == (standing.share < 1.0) {
                 continue;
             }
             standing.state = state;
             (standing.epoch, standing.since, standing.share) =
                 (standing.epoch + 1, now, f64::from(u8::from(!gone)));
-            standing.cause = Cause::Evidence(Ill::Failing);
+            standing.cause = Cause::Evidence(Symptom::Failing);
             self.change(subject, standing, (0, 0));
         }
     }
 
     /// What operators have returned begins to.
-    fn by_word(&mut self, now: Time, scene: &Scene<'_>) {
-        let returned: Vec<(Subject, Standing)> = self
+    fn by_word(&mut self, now: Time, scene: &EngineInput<'_>) {
+        let returned: Vec<(Subject, PlaceState)> = self
             .standings
             .iter()
             .filter(|(subject, standing)| {
@@ -466,7 +483,8 @@
                     .orders
                     .of(&scene.places.word(subject))
                     .map(|order| order.what);
-                word == Some(What::Return) && matches!(standing.state, State::Left | State::Leaving)
+                word == Some(OrderAction::Restore)
+                    && matches!(standing.state, Phase::Evacuated | Phase::Draining)
             })
             .map(|(subject, standing)| (*subject, *standing))
             .collect();
@@ -485,7 +503,7 @@
             .standings
             .iter()
             .filter(|(_, standing)| standing.epoch > 0);
-        let mut told: Vec<(&Subject, &Standing)> = told.collect();
+        let mut told: Vec<(&Subject, &PlaceState)> = told.collect();
         told.sort_by_key(|(subject, standing)| {
             (
                 standing.share >= 1.0,
@@ -499,11 +517,11 @@
     }
 
     /// Forgets what stands as if nothing had been.
-    fn forget(&mut self, now: Time, scene: &Scene<'_>) {
+    fn forget(&mut self, now: Time, scene: &EngineInput<'_>) {
         let spoken = |subject: &Subject| scene.hearing.speaks_against(subject, now);
         self.standings.retain(|subject, standing| {
             let old = now >= standing.since.saturating_add(120_000_000_000);
-            subject.kind != Kind::Nodo || standing.share < 1.0 || !old || spoken(subject)
+            subject.kind != SubjectKind::Server || standing.share < 1.0 || !old || spoken(subject)
         });
     }
 }
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -14,22 +14,22 @@
 
 /// What an operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum What {
+pub enum OrderAction {
     /// It is left.
-    Leave,
+    Evacuate,
     /// It stays in use, whatever is found.
-    Hold,
+    Keep,
     /// What was said is taken back, and it is returned to.
-    Return,
+    Restore,
 }
 
-impl What {
+impl OrderAction {
     /// Its word.
     pub fn word(self) -> &'static str {
         match self {
-            Self::Leave => "leave",
-            Self::Hold => "hold",
-            Self::Return => "return",
+            Self::Evacuate => "leave",
+            Self::Keep => "hold",
+            Self::Restore => "return",
         }
     }
 }
@@ -40,9 +40,9 @@
     /// About which place.
     pub subject: Subject,
     /// What.
-    pub what: What,
+    pub what: OrderAction,
     /// When it was given, Unix time in milliseconds: the last one holds.
-    pub stamp_ms: u64,
+    pub issued_ms: u64,
     /// When it ends.
     pub until_ms: u64,
     /// Drawn when it was given, so that two of one millisecond have an order.
@@ -63,20 +63,20 @@
 
 /// All that are in force, the last of each place.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Orders {
+pub struct OrderTable {
     all: BTreeMap<Subject, Order>,
 }
 
-impl Orders {
+impl OrderTable {
     /// Takes a word, if it is later than what is known and not over. Whether it was.
     pub fn take(&mut self, now_ms: u64, order: Order) -> bool {
         let until_ms = order
             .until_ms
-            .min(order.stamp_ms.saturating_add(LONGEST_MS));
+            .min(order.issued_ms.saturating_add(LONGEST_MS));
         let order = Order { until_ms, ..order };
         // A clock that is ahead must not give words that nobody can overrule for long.
-        let ahead = order.stamp_ms > now_ms.saturating_add(LONGEST_MS);
-        let key = |order: &Order| (order.stamp_ms, order.id);
+        let ahead = order.issued_ms > now_ms.saturating_add(LONGEST_MS);
+        let key = |order: &Order| (order.issued_ms, order.id);
         let known = self
             .all
             .get(&order.subject)
--- a/crates/evacuation/src/place_decision.rs
+++ b/crates/evacuation/src/place_decision.rs
@@ -1,7 +1,7 @@
 //! What a balancer has found of places, for those who were not there: few bytes, read with care.
 
 use crate::packed;
-use crate::standing::{Standing, State};
+use crate::standing::{Phase, PlaceState};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use woadstall_health_reports::Subject;
@@ -18,7 +18,7 @@
     /// Its epoch.
     pub epoch: u32,
     /// Its state.
-    pub state: State,
+    pub state: Phase,
     /// Its share, in hundredths.
     share: u8,
 }
@@ -37,7 +37,7 @@
 
 impl PlaceDecision {
     /// Of a place as it stands.
-    pub fn new(subject: Subject, standing: &Standing) -> Self {
+    pub fn new(subject: Subject, standing: &PlaceState) -> Self {
         let share = (standing.share.clamp(0.0, 1.0) * 100.0).round() as u8;
         Self {
             subject,
--- a/crates/evacuation/src/standing.rs
+++ b/crates/evacuation/src/standing.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use woadstall_decisions::api::Time;
-use woadstall_health_reports::{Ill, Opinion};
+use woadstall_health_reports::{Assessment, Symptom};
 
 const SECOND: Time = 1_000_000_000;
 /// For so long something must be ill, and others better, before it is left: where all fail together, word of one comes
@@ -32,29 +32,29 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub enum State {
+pub enum Phase {
     /// Nothing speaks against it.
     #[default]
     InUse,
     /// Something does, but not enough, or there is nowhere better to go.
-    Doubted,
+    Suspected,
     /// Its share grows.
-    Returning,
+    Restoring,
     /// Its share shrinks.
-    Leaving,
+    Draining,
     /// It gets nothing but trials.
-    Left,
+    Evacuated,
 }
 
-impl State {
+impl Phase {
     /// Its word.
     pub fn word(self) -> &'static str {
         match self {
             Self::InUse => "in use",
-            Self::Doubted => "doubted",
-            Self::Returning => "returning",
-            Self::Leaving => "leaving",
-            Self::Left => "left",
+            Self::Suspected => "doubted",
+            Self::Restoring => "returning",
+            Self::Draining => "leaving",
+            Self::Evacuated => "left",
         }
     }
 }
@@ -66,7 +66,7 @@
     #[default]
     Nothing,
     /// What all told was weighed.
-    Evidence(Ill),
+    Evidence(Symptom),
     /// Several others had found it before this balancer was there.
     Fleet,
     /// An operator's word.
@@ -75,9 +75,9 @@
 
 /// See the module's documentation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct PlaceState {
     /// Its state.
-    pub state: State,
+    pub state: Phase,
     /// Raised with each change between in use, leaving and returning.
     pub epoch: u32,
     /// Since when it has the state.
@@ -94,9 +94,9 @@
     condemned: Option<Time>,
 }
 
-impl Default for Standing {
+impl Default for PlaceState {
     fn default() -> Self {
-        let (state, cause) = (State::default(), Cause::default());
+        let (state, cause) = (Phase::default(), Cause::default());
         Self {
             state,
             epoch: 0,
@@ -112,7 +112,7 @@
 
 /// What there is beside a place.
 #[derive(Clone, Copy, Debug)]
-pub struct Beside {
+pub struct Alternatives {
     /// Another place is there, and better.
     pub better: bool,
     /// Those that remain have room for more.
@@ -121,12 +121,12 @@
     pub last: bool,
 }
 
-impl Standing {
+impl PlaceState {
     /// Goes on by one look at the evidence.
-    pub fn go_on(&mut self, now: Time, opinion: &Opinion, beside: &Beside) {
+    pub fn go_on(&mut self, now: Time, opinion: &Assessment, beside: &Alternatives) {
         let may_leave = beside.better && !beside.last;
         match self.state {
-            State::InUse | State::Doubted => {
+            Phase::InUse | Phase::Suspected => {
                 let since = match opinion.is_ill && may_leave {
                     true => *self.condemned.get_or_insert(now),
                     false => {
@@ -138,7 +138,7 @@
                     self.condemned = None;
                     self.enter(
                         now,
-                        State::Leaving,
+                        Phase::Draining,
                         self.epoch + 1,
                         Cause::Evidence(opinion.ill),
                     );
@@ -146,19 +146,19 @@
                 } else {
                     let doubted = opinion.strength >= DOUBT;
                     let state = if doubted {
-                        State::Doubted
+                        Phase::Suspected
                     } else {
-                        State::InUse
+                        Phase::InUse
                     };
                     if state != self.state {
                         self.enter(now, state, self.epoch, Cause::Evidence(opinion.ill));
                     }
-                    if self.state == State::InUse && now >= self.since.saturating_add(FORGOTTEN) {
+                    if self.state == Phase::InUse && now >= self.since.saturating_add(FORGOTTEN) {
                         self.relapses = 0;
                     }
                 }
             }
-            State::Leaving => {
+            Phase::Draining => {
                 if !may_leave && opinion.is_ill {
                     // Where all are alike, to leave one for another only moves the crowd.
                     self.stays_after_all(now, opinion);
@@ -167,32 +167,32 @@
                 } else if now >= self.since.saturating_add(HOLD.0) {
                     // What remains of its share serves, or nothing more is heard of it.
                     let state = if self.share >= 1.0 {
-                        State::InUse
+                        Phase::InUse
                     } else {
-                        State::Left
+                        Phase::Evacuated
                     };
                     self.enter(now, state, self.epoch, self.cause);
                 }
             }
-            State::Left => {
+            Phase::Evacuated => {
                 let hold = (HOLD.0 << self.relapses.min(8)).min(HOLD.1);
                 let held = now < self.since.saturating_add(hold);
                 if !held && opinion.wellness >= WELL && !opinion.is_ill || beside.last {
                     self.enter(
                         now,
-                        State::Returning,
+                        Phase::Restoring,
                         self.epoch + 1,
                         Cause::Evidence(opinion.ill),
                     );
                     (self.share, self.stepped) = (self.share.max(RETURN.0), now);
                 }
             }
-            State::Returning => {
+            Phase::Restoring => {
                 if opinion.is_ill && may_leave {
                     self.relapses += 1;
                     self.enter(
                         now,
-                        State::Left,
+                        Phase::Evacuated,
                         self.epoch + 1,
                         Cause::Evidence(opinion.ill),
                     );
@@ -200,14 +200,14 @@
                 } else if now >= self.stepped.saturating_add(RETURN.1) && opinion.strength < DOUBT {
                     (self.share, self.stepped) = ((self.share * 2.0).min(1.0), now);
                     if self.share >= 1.0 {
-                        self.enter(now, State::InUse, self.epoch + 1, self.cause);
+                        self.enter(now, Phase::InUse, self.epoch + 1, self.cause);
                     }
                 }
             }
         }
     }
 
-    fn step(&mut self, now: Time, opinion: &Opinion, beside: &Beside) {
+    fn step(&mut self, now: Time, opinion: &Assessment, beside: &Alternatives) {
         // Late answers still serve, and go only as fast as the others have room for them.
         let (surely, spoilt) = (opinion.counts.failing().0, opinion.counts.spoilt().0);
         if surely >= HOPELESS || spoilt >= USELESS && beside.room {
@@ -220,22 +220,22 @@
             self.stepped = now;
         }
         if self.share == 0.0 {
-            self.enter(now, State::Left, self.epoch, self.cause);
+            self.enter(now, Phase::Evacuated, self.epoch, self.cause);
         }
     }
 
-    fn stays_after_all(&mut self, now: Time, opinion: &Opinion) {
+    fn stays_after_all(&mut self, now: Time, opinion: &Assessment) {
         self.share = 1.0;
         self.enter(
             now,
-            State::Doubted,
+            Phase::Suspected,
             self.epoch + 1,
             Cause::Evidence(opinion.ill),
         );
     }
 
     /// Takes what others have found, if that is later. Whether it was.
-    pub fn follow(&mut self, now: Time, state: State, epoch: u32, share: f64) -> bool {
+    pub fn follow(&mut self, now: Time, state: Phase, epoch: u32, share: f64) -> bool {
         let later = epoch > self.epoch || epoch == self.epoch && state > self.state;
         if !later {
             return false;
@@ -249,12 +249,12 @@
     /// An operator has it returned to.
     pub fn return_by_word(&mut self, now: Time) {
         if self.share < 1.0 {
-            self.enter(now, State::Returning, self.epoch + 1, Cause::Operator);
+            self.enter(now, Phase::Restoring, self.epoch + 1, Cause::Operator);
             (self.share, self.stepped, self.relapses) = (self.share.max(RETURN.0), now, 0);
         }
     }
 
-    fn enter(&mut self, now: Time, state: State, epoch: u32, cause: Cause) {
+    fn enter(&mut self, now: Time, state: Phase, epoch: u32, cause: Cause) {
         (self.state, self.epoch, self.since, self.cause) = (state, epoch, now, cause);
     }
 }
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use woadstall_evacuation::{
-    Order, Orders, PlaceDecision, PlaceStatus, Standing, State, Status, What,
+    Order, OrderAction, OrderTable, Phase, PlaceDecision, PlaceState, PlaceStatus, Status,
 };
 use woadstall_health_reports::Subject;
 
@@ -15,27 +15,27 @@
 }
 
 fn place_decisions() -> Vec<PlaceDecision> {
-    let decision = |subject: Subject, state: State, epoch: u32, share: f64| {
-        let mut standing = Standing::default();
+    let decision = |subject: Subject, state: Phase, epoch: u32, share: f64| {
+        let mut standing = PlaceState::default();
         (standing.state, standing.epoch, standing.share) = (state, epoch, share);
         PlaceDecision::new(subject, &standing)
     };
     vec![
-        decision(Subject::zone("0", "norte"), State::InUse, 4, 1.0),
+        decision(Subject::zone("0", "norte"), Phase::InUse, 4, 1.0),
         decision(
             Subject::class("0", "norte", "chat"),
-            State::Doubted,
+            Phase::Suspected,
             300,
             1.0,
         ),
         decision(
-            Subject::nodo("nodo-7", 1_767_225_600_000),
-            State::Returning,
+            Subject::server("nodo-7", 1_767_225_600_000),
+            Phase::Restoring,
             2,
             0.2,
         ),
-        decision(Subject::region("0", "litoral"), State::Leaving, 1, 0.6),
-        decision(Subject::zone("0", "sur"), State::Left, 70_000, 0.0),
+        decision(Subject::region("0", "litoral"), Phase::Draining, 1, 0.6),
+        decision(Subject::zone("0", "sur"), Phase::Evacuated, 70_000, 0.0),
     ]
 }
 
@@ -66,21 +66,21 @@
 const NOW_MS: u64 = 1_767_225_600_000;
 
 fn orders() -> Vec<Order> {
-    let order = |subject: Subject, what: What, id: u32| Order {
+    let order = |subject: Subject, what: OrderAction, id: u32| Order {
         subject,
         what,
-        stamp_ms: NOW_MS - u64::from(id % 100),
+        issued_ms: NOW_MS - u64::from(id % 100),
         until_ms: NOW_MS + 600_000,
         id,
     };
     let mut orders = vec![
-        order(Subject::zone("", "norte"), What::Leave, 7),
+        order(Subject::zone("", "norte"), OrderAction::Evacuate, 7),
         order(
-            Subject::nodo("nodo-7", 1_767_225_600_000),
-            What::Hold,
+            Subject::server("nodo-7", 1_767_225_600_000),
+            OrderAction::Keep,
             3_000_000_000,
         ),
-        order(Subject::region("", "litoral"), What::Return, 0),
+        order(Subject::region("", "litoral"), OrderAction::Restore, 0),
     ];
     orders.sort_by_key(|order| order.subject);
     orders
@@ -92,7 +92,7 @@
 );
 
 fn written_orders() -> Vec<u8> {
-    let mut all = Orders::default();
+    let mut all = OrderTable::default();
     for order in orders() {
         assert!(all.take(NOW_MS, order));
     }
@@ -102,14 +102,14 @@
 #[test]
 fn orders_have_the_golden_bytes() {
     assert_golden(&written_orders(), ORDERS);
-    assert_golden(&Orders::default().write(256), "01");
+    assert_golden(&OrderTable::default().write(256), "01");
 }
 
 #[test]
 fn golden_bytes_are_read_back_to_the_same_orders() {
     let bytes = written_orders();
     assert_golden(&bytes, ORDERS);
-    assert_eq!(Orders::read(&bytes).unwrap(), orders());
+    assert_eq!(OrderTable::read(&bytes).unwrap(), orders());
 }
 
 #[test]
@@ -121,18 +121,23 @@
 #[test]
 fn states_and_orders_have_the_words_that_operators_know() {
     let states = [
-        State::InUse,
-        State::Doubted,
-        State::Returning,
-        State::Leaving,
-        State::Left,
+        Phase::InUse,
+        Phase::Suspected,
+        Phase::Restoring,
+        Phase::Draining,
+        Phase::Evacuated,
     ];
     assert_eq!(
-        states.map(State::word),
+        states.map(Phase::word),
         ["in use", "doubted", "returning", "leaving", "left"]
     );
     assert_eq!(
-        [What::Leave, What::Hold, What::Return].map(What::word),
+        [
+            OrderAction::Evacuate,
+            OrderAction::Keep,
+            OrderAction::Restore
+        ]
+        .map(OrderAction::word),
         ["leave", "hold", "return"]
     );
 }
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -4,8 +4,8 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use woadstall_decisions::api::{Outcome, Place, ServerId};
-use woadstall_evacuation::{Coordinator, Order, Places, Settings, What};
-use woadstall_health_reports::{Kind, Out, Saw};
+use woadstall_evacuation::{Coordinator, Order, OrderAction, Settings, Topology};
+use woadstall_health_reports::{CompletedAttempt, PendingAttempt, SubjectKind};
 use woadstall_membership::{Generation, MemberMetadata, Name, Node};
 
 const MS: u64 = 1_000_000;
@@ -88,7 +88,7 @@
     )
     .unwrap();
     let zones = ZONES.map(|(zone, region)| (zone.to_owned(), Some(region.to_owned())));
-    let places = Places::new("0", &zones, &CLASSES.map(str::to_owned));
+    let places = Topology::new("0", &zones, &CLASSES.map(str::to_owned));
     let mut coordinator = Coordinator::new(Settings { places, zone });
     let nodos: Vec<(ServerId, String, usize)> = (0..NODOS_PER_ZONE * ZONES.len() as u32)
         .map(|nodo| {
@@ -148,7 +148,7 @@
             let server = ServerId(server);
             self.coordinator.saw(
                 now,
-                &Saw {
+                &CompletedAttempt {
                     attempt,
                     server,
                     class,
@@ -162,7 +162,7 @@
             let (outcome, took) = (Outcome::Timeout, 1_000 * MS);
             self.coordinator.saw(
                 now,
-                &Saw {
+                &CompletedAttempt {
                     attempt,
                     server,
                     class,
@@ -174,7 +174,7 @@
         let out = self
             .hanging
             .iter()
-            .map(|(attempt, server, class, sent)| Out {
+            .map(|(attempt, server, class, sent)| PendingAttempt {
                 attempt: *attempt,
                 server: *server,
                 class: *class,
@@ -222,17 +222,17 @@
     }
 }
 
-fn order(fleet: &mut [Balancer], now: u64, kind: Kind, place: &str, what: What) {
+fn order(fleet: &mut [Balancer], now: u64, kind: SubjectKind, place: &str, what: OrderAction) {
     let coordinator = &mut fleet[1].coordinator;
     let subject = coordinator.place(kind, place).unwrap();
-    let stamp_ms = UNIX_MS + now / MS;
-    let until_ms = stamp_ms + 4_000;
+    let issued_ms = UNIX_MS + now / MS;
+    let until_ms = issued_ms + 4_000;
     assert!(coordinator.order(
-        stamp_ms,
+        issued_ms,
         Order {
             subject,
             what,
-            stamp_ms,
+            issued_ms,
             until_ms,
             id: 1
         }
@@ -250,10 +250,34 @@
     for step in 1..=STEPS {
         let now = step * STEP;
         match step {
-            765 => order(&mut fleet, now, Kind::Zone, "sur", What::Leave),
-            770 => order(&mut fleet, now, Kind::Region, "litoral", What::Hold),
-            775 => order(&mut fleet, now, Kind::Nodo, "nodo-3", What::Leave),
-            155 => order(&mut fleet, now, Kind::Zone, "norte", What::Return),
+            765 => order(
+                &mut fleet,
+                now,
+                SubjectKind::Zone,
+                "sur",
+                OrderAction::Evacuate,
+            ),
+            770 => order(
+                &mut fleet,
+                now,
+                SubjectKind::Region,
+                "litoral",
+                OrderAction::Keep,
+            ),
+            775 => order(
+                &mut fleet,
+                now,
+                SubjectKind::Server,
+                "nodo-3",
+                OrderAction::Evacuate,
+            ),
+            155 => order(
+                &mut fleet,
+                now,
+                SubjectKind::Zone,
+                "norte",
+                OrderAction::Restore,
+            ),
             _ => {}
         }
         for number in 0..fleet.len() {
--- a/crates/health-reports/src/counts.rs
+++ b/crates/health-reports/src/counts.rs
@@ -12,7 +12,7 @@
 
 /// Calls of late: tries, and of these the failed and the late ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct CallCounts {
     /// All that have ended, and those that are overdue.
     pub tries: f64,
     /// Those that failed.
@@ -22,7 +22,7 @@
     at: Time,
 }
 
-impl Counts {
+impl CallCounts {
     /// So many, as they are at a time.
     pub fn new(tries: f64, failed: f64, late: f64, at: Time) -> Self {
         Self {
@@ -114,14 +114,14 @@
 
 /// Calls of late, cut where they turn bad: what was well before says nothing of what is ill now (Page's cumulative sum).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Course {
-    all: Counts,
-    since: Counts,
+pub struct CusumCounts {
+    all: CallCounts,
+    since: CallCounts,
     rise: [f64; 2],
     answered_at: Time,
 }
 
-impl Course {
+impl CusumCounts {
     /// One call more.
     pub fn add(&mut self, now: Time, failed: bool, late: bool) {
         let kept = (-(now.saturating_sub(self.since.at) as f64) / FADES).exp();
@@ -139,9 +139,9 @@
             *rise = (*rise * kept + if is { up } else { down }).clamp(0.0, HIGH);
         }
         if self.rise == [0.0; 2] {
-            self.since = Counts {
+            self.since = CallCounts {
                 at: now,
-                ..Counts::default()
+                ..CallCounts::default()
             };
         }
     }
@@ -163,7 +163,7 @@
     }
 
     /// Since it turned bad, if it did; else all of late.
-    pub fn counts(&self, now: Time) -> Counts {
+    pub fn counts(&self, now: Time) -> CallCounts {
         if self.rise == [0.0; 2] {
             self.all.faded(now, WELL_FADES)
         } else {
--- a/crates/health-reports/src/health_report.rs
+++ b/crates/health-reports/src/health_report.rs
@@ -1,6 +1,6 @@
 //! What a balancer tells of its counts: the worst and the most of them that fit into a fact.
 
-use crate::counts::Counts;
+use crate::counts::CallCounts;
 use crate::subject::Subject;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -28,7 +28,7 @@
 
 impl Line {
     /// Counts as they are at a time.
-    pub fn new(subject: Subject, counts: &Counts) -> Self {
+    pub fn new(subject: Subject, counts: &CallCounts) -> Self {
         let part = |count: f64| (count.clamp(0.0, MOST) * PARTS).round() as u16;
         Self {
             subject,
@@ -39,11 +39,11 @@
     }
 
     /// The counts, said at a time. No more can have failed than were tried, whatever is said.
-    pub fn counts(&self, at: Time) -> Counts {
+    pub fn counts(&self, at: Time) -> CallCounts {
         let whole = |count: u16| f64::from(count) / PARTS;
         let tries = whole(self.tries);
         let failed = whole(self.failed).min(tries);
-        Counts::new(tries, failed, whole(self.late).min(tries - failed), at)
+        CallCounts::new(tries, failed, whole(self.late).min(tries - failed), at)
     }
 }
 
--- a/crates/health-reports/src/hearing.rs
+++ b/crates/health-reports/src/hearing.rs
@@ -1,9 +1,9 @@
 //! What all have told, and what it comes to when it is weighed.
 
-use crate::counts::Counts;
+use crate::counts::CallCounts;
 use crate::health_report::{HealthReport, HealthReportError};
 use crate::subject::Subject;
-use crate::weight::{Ill, Sum, enough, liars};
+use crate::weight::{EvidenceSum, Symptom, enough, max_faulty};
 use std::collections::BTreeMap;
 use woadstall_decisions::api::Time;
 
@@ -18,18 +18,18 @@
 struct Word {
     zone: String,
     at: Time,
-    lines: BTreeMap<Subject, Counts>,
+    lines: BTreeMap<Subject, CallCounts>,
 }
 
 /// The health reports of all others, the last of each.
 #[derive(Clone, Debug, Default)]
-pub struct Hearing {
+pub struct ReportTable {
     words: BTreeMap<String, Word>,
 }
 
 /// What is asked of a hearing.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
+pub struct AssessmentQuery<'a> {
     /// Of what.
     pub subject: Subject,
     /// The zone that it is, or lies in.
@@ -37,10 +37,10 @@
     /// The zone from which it is looked at.
     pub from: &'a str,
     /// What this balancer's own calls came to there.
-    pub own: &'a Counts,
+    pub own: &'a CallCounts,
     /// The part of calls that fails elsewhere, and that is late.
     pub usual: [f64; 2],
-    /// How strong evidence has to be: [`crate::ENOUGH`] or [`crate::ROOM`].
+    /// How strong evidence has to be: [`crate::UNHEALTHY_LOG_ODDS`] or [`crate::SERVER_UNHEALTHY_LOG_ODDS`].
     pub enough: f64,
     /// How many members there are in each zone, this balancer included.
     pub members: &'a BTreeMap<String, usize>,
@@ -48,9 +48,9 @@
 
 /// What evidence comes to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Opinion {
+pub struct Assessment {
     /// The way in which it is ill, or comes closest to it.
-    pub ill: Ill,
+    pub ill: Symptom,
     /// Whether it is, for those of the zone that looks.
     pub is_ill: bool,
     /// How strong the evidence for that is, where 1 is enough.
@@ -58,14 +58,14 @@
     /// How strong the evidence is that it is well, where 1 is enough.
     pub wellness: f64,
     /// All counts together.
-    pub counts: Counts,
+    pub counts: CallCounts,
     /// Those who speak against it, and for it.
     pub witnesses: (usize, usize),
     /// Zones whose witnesses speak against it by themselves.
     pub zones: usize,
 }
 
-impl Hearing {
+impl ReportTable {
     /// A member of a zone has told something at a time.
     pub fn hear(
         &mut self,
@@ -108,7 +108,10 @@
     }
 
     /// All words on a subject: whose, of which zone, when it was said, and the counts as they were then.
-    pub fn words(&self, subject: &Subject) -> impl Iterator<Item = (&str, &str, Time, &Counts)> {
+    pub fn words(
+        &self,
+        subject: &Subject,
+    ) -> impl Iterator<Item = (&str, &str, Time, &CallCounts)> {
         self.words.iter().filter_map(move |(owner, word)| {
             Some((
                 owner.as_str(),
@@ -120,7 +123,7 @@
     }
 
     /// What one has said of a subject, as it is now.
-    pub fn says(&self, owner: &str, subject: &Subject, now: Time) -> Option<Counts> {
+    pub fn says(&self, owner: &str, subject: &Subject, now: Time) -> Option<CallCounts> {
         self.words
             .get(owner)?
             .lines
@@ -132,9 +135,9 @@
     pub fn usual<'a>(
         &self,
         now: Time,
-        of: impl Iterator<Item = (Subject, &'a Counts)>,
+        of: impl Iterator<Item = (Subject, &'a CallCounts)>,
     ) -> [f64; 2] {
-        let mut all = Counts::default();
+        let mut all = CallCounts::default();
         for (subject, own) in of {
             all = all.and(&own.at(now)).and(&self.counts(now, &subject));
         }
@@ -146,31 +149,33 @@
     }
 
     /// The counts of all others together.
-    pub fn counts(&self, now: Time, subject: &Subject) -> Counts {
+    pub fn counts(&self, now: Time, subject: &Subject) -> CallCounts {
         let lines = self
             .words
             .values()
             .filter_map(|word| word.lines.get(subject));
-        lines.fold(Counts::default(), |all, counts| all.and(&counts.at(now)))
+        lines.fold(CallCounts::default(), |all, counts| {
+            all.and(&counts.at(now))
+        })
     }
 
     /// Weighs what is known of a subject.
-    pub fn opinion(&self, now: Time, asked: &Question<'_>) -> Opinion {
-        let failing = self.weigh(now, asked, Ill::Failing);
-        let late = self.weigh(now, asked, Ill::Late);
+    pub fn opinion(&self, now: Time, asked: &AssessmentQuery<'_>) -> Assessment {
+        let failing = self.weigh(now, asked, Symptom::Failing);
+        let late = self.weigh(now, asked, Symptom::Late);
         let worst = if late.strength > failing.strength {
             late
         } else {
             failing
         };
-        Opinion {
+        Assessment {
             wellness: failing.wellness,
             is_ill: failing.is_ill || late.is_ill,
             ..worst
         }
     }
 
-    fn weigh(&self, now: Time, asked: &Question<'_>, ill: Ill) -> Opinion {
+    fn weigh(&self, now: Time, asked: &AssessmentQuery<'_>, ill: Symptom) -> Assessment {
         let usual = asked.usual[ill as usize];
         let mut by_zone: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
         let mut counts = asked.own.at(now);
@@ -201,11 +206,11 @@
                 .max(others.len());
             let own = if zone == asked.from { own } else { 0.0 };
             let (needed, word) = enough(asked.enough, size);
-            (Sum::of(others, own, word, liars(size)), needed)
+            (EvidenceSum::of(others, own, word, max_faulty(size)), needed)
         };
         let (here, needed) = of_zone(asked.from);
         let (home, _) = of_zone(asked.home);
-        let others: Vec<Sum> = by_zone
+        let others: Vec<EvidenceSum> = by_zone
             .keys()
             .filter(|zone| **zone != asked.from && **zone != asked.home)
             .map(|zone| of_zone(zone).0)
@@ -238,7 +243,7 @@
             (all.0 + sum.witnesses.0, all.1 + sum.witnesses.1)
         });
         let zones = sums.iter().filter(|sum| sum.bad >= needed / 2.0).count();
-        Opinion {
+        Assessment {
             ill,
             is_ill: bad >= needed,
             strength: (bad / needed).max(0.0),
--- a/crates/health-reports/src/ledger.rs
+++ b/crates/health-reports/src/ledger.rs
@@ -1,6 +1,6 @@
 //! What this balancer's own calls came to, by nodo, by zone, and by class at a zone.
 
-use crate::counts::{Counts, Course};
+use crate::counts::{CallCounts, CusumCounts};
 use crate::subject::Subject;
 use std::collections::HashMap;
 use woadstall_decisions::api::{Duration, Outcome, ServerId, Time};
@@ -20,7 +20,7 @@
 
 /// An attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Out {
+pub struct PendingAttempt {
     /// Its request's number, and its own.
     pub attempt: (u32, u32),
     /// At which nodo.
@@ -33,7 +33,7 @@
 
 /// An attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Saw {
+pub struct CompletedAttempt {
     /// Its request's number, and its own.
     pub attempt: (u32, u32),
     /// At which nodo.
@@ -47,39 +47,39 @@
 }
 
 #[derive(Clone, Debug)]
-struct Nodo {
+struct Server {
     subject: Subject,
     zone: usize,
-    counts: Course,
+    counts: CusumCounts,
 }
 
 #[derive(Clone, Debug)]
 struct Zone {
     subject: Subject,
-    counts: Course,
-    classes: Vec<(Subject, Course)>,
+    counts: CusumCounts,
+    classes: Vec<(Subject, CusumCounts)>,
 }
 
 /// See the module's documentation.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct CallStats {
     zones: Vec<Zone>,
-    nodos: HashMap<ServerId, Nodo>,
+    nodos: HashMap<ServerId, Server>,
     /// What is usual for each class, in nanoseconds, and the answers that it rests on.
     usual: Vec<(f64, u32)>,
     /// Attempts that are out and were counted: as late, or as failed.
     counted: HashMap<(u32, u32), bool>,
 }
 
-impl Ledger {
+impl CallStats {
     /// One for zones, each with the subjects of its classes.
     pub fn new(zones: impl Iterator<Item = (Subject, Vec<Subject>)>, classes: usize) -> Self {
         let zone = |(subject, classes): (Subject, Vec<Subject>)| Zone {
             subject,
-            counts: Course::default(),
+            counts: CusumCounts::default(),
             classes: classes
                 .into_iter()
-                .map(|class| (class, Course::default()))
+                .map(|class| (class, CusumCounts::default()))
                 .collect(),
         };
         Self {
@@ -92,11 +92,11 @@
 
     /// A nodo as it is listed now. What was counted of a former process at its address goes.
     pub fn listed(&mut self, server: ServerId, name: &str, boot_ms: u64, zone: usize) {
-        let subject = Subject::nodo(name, boot_ms);
-        let nodo = Nodo {
+        let subject = Subject::server(name, boot_ms);
+        let nodo = Server {
             subject,
             zone,
-            counts: Course::default(),
+            counts: CusumCounts::default(),
         };
         let known = self.nodos.entry(server).or_insert_with(|| nodo.clone());
         if known.subject != subject || known.zone != zone {
@@ -110,7 +110,7 @@
     }
 
     /// Counts an attempt. What says nothing of the nodo is not counted.
-    pub fn saw(&mut self, now: Time, saw: &Saw) {
+    pub fn saw(&mut self, now: Time, saw: &CompletedAttempt) {
         let Some(usual) = self.usual.get_mut(saw.class) else {
             return;
         };
@@ -143,7 +143,7 @@
     }
 
     /// All attempts that are out: what hangs is counted as late, and then as failed, before anybody gives it up.
-    pub fn out(&mut self, now: Time, all: impl Iterator<Item = Out>) {
+    pub fn out(&mut self, now: Time, all: impl Iterator<Item = PendingAttempt>) {
         let mut counted = std::mem::take(&mut self.counted);
         let mut still = HashMap::new();
         for out in all {
@@ -170,7 +170,7 @@
     }
 
     /// All that a call at a nodo counts for.
-    fn at(&mut self, server: ServerId, class: usize, count: impl Fn(&mut Course)) {
+    fn at(&mut self, server: ServerId, class: usize, count: impl Fn(&mut CusumCounts)) {
         let Some(nodo) = self.nodos.get_mut(&server) else {
             return;
         };
@@ -186,7 +186,7 @@
     }
 
     /// All that is counted, as it is now, and whether anything was answered just now: zones with their classes first.
-    pub fn all(&self, now: Time) -> impl Iterator<Item = (Subject, Counts, bool)> + '_ {
+    pub fn all(&self, now: Time) -> impl Iterator<Item = (Subject, CallCounts, bool)> + '_ {
         let zones = self.zones.iter().flat_map(|zone| {
             std::iter::once((zone.subject, zone.counts)).chain(zone.classes.iter().copied())
         });
@@ -198,7 +198,7 @@
     }
 
     /// Counts of a zone, of a class at it, or of a nodo.
-    pub fn zone(&self, zone: usize, now: Time) -> Counts {
+    pub fn zone(&self, zone: usize, now: Time) -> CallCounts {
         self.zones
             .get(zone)
             .map(|zone| zone.counts.counts(now))
@@ -206,7 +206,7 @@
     }
 
     /// The same of a class at it.
-    pub fn class(&self, zone: usize, class: usize, now: Time) -> Counts {
+    pub fn class(&self, zone: usize, class: usize, now: Time) -> CallCounts {
         let zone = self.zones.get(zone);
         zone.and_then(|zone| zone.classes.get(class))
             .map(|(_, counts)| counts.counts(now))
@@ -217,7 +217,7 @@
     pub fn nodos(
         &self,
         now: Time,
-    ) -> impl Iterator<Item = (ServerId, Subject, usize, Counts)> + '_ {
+    ) -> impl Iterator<Item = (ServerId, Subject, usize, CallCounts)> + '_ {
         self.nodos
             .iter()
             .map(move |(server, nodo)| (*server, nodo.subject, nodo.zone, nodo.counts.counts(now)))
--- a/crates/health-reports/tests/evidence.rs
+++ b/crates/health-reports/tests/evidence.rs
@@ -4,18 +4,18 @@
 use std::collections::BTreeMap;
 use woadstall_decisions::api::{Outcome, ServerId};
 use woadstall_health_reports::{
-    Counts, ENOUGH, HealthReport, Hearing, Ledger, Line, Opinion, Out, Question, Saw, Subject,
-    liars,
+    Assessment, AssessmentQuery, CallCounts, CallStats, CompletedAttempt, HealthReport, Line,
+    PendingAttempt, ReportTable, Subject, UNHEALTHY_LOG_ODDS, max_faulty,
 };
 
 const MS: u64 = 1_000_000;
 const SECOND: u64 = 1_000 * MS;
 
-fn counts(tries: f64, failed: f64, at: u64) -> Counts {
-    Counts::new(tries, failed, 0.0, at)
+fn counts(tries: f64, failed: f64, at: u64) -> CallCounts {
+    CallCounts::new(tries, failed, 0.0, at)
 }
 
-fn tell(hearing: &mut Hearing, owner: usize, zone: &str, counts: Counts, at: u64) {
+fn tell(hearing: &mut ReportTable, owner: usize, zone: &str, counts: CallCounts, at: u64) {
     let bytes = HealthReport(vec![Line::new(Subject::zone("0", "norte"), &counts)]).write(256);
     hearing
         .hear(&format!("b-{owner}"), zone, at, &bytes)
@@ -23,19 +23,19 @@
 }
 
 /// What a member of a zone finds of `norte`, in a fleet of so many a zone.
-fn seen(hearing: &Hearing, from: &str, each: usize, own: Counts, now: u64) -> Opinion {
+fn seen(hearing: &ReportTable, from: &str, each: usize, own: CallCounts, now: u64) -> Assessment {
     let members: BTreeMap<String, usize> = ["norte", "centro", "sur"]
         .map(|zone| (zone.to_owned(), each))
         .into();
     let subject = Subject::zone("0", "norte");
     let usual = [0.0; 2];
-    let asked = Question {
+    let asked = AssessmentQuery {
         subject,
         home: "norte",
         from,
         own: &own,
         usual,
-        enough: ENOUGH,
+        enough: UNHEALTHY_LOG_ODDS,
         members: &members,
     };
     hearing.opinion(now, &asked)
@@ -44,7 +44,7 @@
 #[test]
 fn witnesses_of_a_zone_convince_all() {
     for each in [3, 8, 100] {
-        let mut hearing = Hearing::default();
+        let mut hearing = ReportTable::default();
         let needed = (0..each).find(|witness| {
             tell(
                 &mut hearing,
@@ -53,18 +53,21 @@
                 counts(4.0, 4.0, SECOND),
                 SECOND,
             );
-            seen(&hearing, "sur", each, Counts::default(), SECOND).is_ill
+            seen(&hearing, "sur", each, CallCounts::default(), SECOND).is_ill
         });
         let needed = 1 + needed.expect("all of them are enough");
-        assert!(needed > liars(each), "{needed} of {each}");
-        assert!(needed <= 2 + each / 3 + liars(each), "{needed} of {each}");
+        assert!(needed > max_faulty(each), "{needed} of {each}");
+        assert!(
+            needed <= 2 + each / 3 + max_faulty(each),
+            "{needed} of {each}"
+        );
     }
 }
 
 /// A witness in one other zone has seen its own way there; two zones that find the same have not.
 #[test]
 fn one_zone_that_cannot_get_there_is_not_all() {
-    let mut hearing = Hearing::default();
+    let mut hearing = ReportTable::default();
     (0..8).for_each(|witness| {
         tell(
             &mut hearing,
@@ -75,12 +78,12 @@
         )
     });
     assert!(
-        seen(&hearing, "centro", 8, Counts::default(), SECOND).is_ill,
+        seen(&hearing, "centro", 8, CallCounts::default(), SECOND).is_ill,
         "those of its own zone are as badly off"
     );
-    assert!(!seen(&hearing, "sur", 8, Counts::default(), SECOND).is_ill);
+    assert!(!seen(&hearing, "sur", 8, CallCounts::default(), SECOND).is_ill);
     assert!(
-        !seen(&hearing, "norte", 8, Counts::default(), SECOND).is_ill,
+        !seen(&hearing, "norte", 8, CallCounts::default(), SECOND).is_ill,
         "it serves its own"
     );
 }
@@ -88,7 +91,7 @@
 /// The word that something was well a second ago does not outweigh that it fails now.
 #[test]
 fn old_wellness_does_not_hide_what_fails_now() {
-    let mut hearing = Hearing::default();
+    let mut hearing = ReportTable::default();
     (0..4).for_each(|witness| {
         tell(
             &mut hearing,
@@ -110,10 +113,10 @@
         Subject::zone("0", "norte"),
         Subject::class("0", "norte", "carga"),
     );
-    let mut ledger = Ledger::new([(norte, vec![class])].into_iter(), 1);
+    let mut ledger = CallStats::new([(norte, vec![class])].into_iter(), 1);
     let server = ServerId(1);
     ledger.listed(server, "posting-0", 0, 0);
-    let saw = |number, outcome, took| Saw {
+    let saw = |number, outcome, took| CompletedAttempt {
         attempt: (number, 0),
         server,
         class: 0,
@@ -128,7 +131,7 @@
     }
     assert_eq!(ledger.zone(0, SECOND).failed, 0.0);
     let out = |age| {
-        [Out {
+        [PendingAttempt {
             attempt: (99, 0),
             server,
             class: 0,
@@ -168,11 +171,11 @@
         said in prop::collection::vec((0.0..500.0_f64, 0.0..=1.0_f64), 8),
         from in prop::sample::select(vec!["norte", "sur"]),
     ) {
-        let mut hearing = Hearing::default();
-        for (witness, (tries, part)) in said.into_iter().take(liars(each)).enumerate() {
+        let mut hearing = ReportTable::default();
+        for (witness, (tries, part)) in said.into_iter().take(max_faulty(each)).enumerate() {
             tell(&mut hearing, witness, "norte", counts(tries, tries * part, SECOND), SECOND);
         }
-        let opinion = seen(&hearing, from, each, Counts::default(), SECOND);
+        let opinion = seen(&hearing, from, each, CallCounts::default(), SECOND);
         prop_assert!(!opinion.is_ill, "{:?}", opinion);
         prop_assert!(opinion.wellness <= 0.0, "{:?}", opinion);
     }
@@ -180,9 +183,9 @@
     /// Evidence only fades: nothing gets worse by waiting.
     #[test]
     fn evidence_fades(tries in 0.0..50.0_f64, part in 0.0..=1.0_f64, witnesses in 1_usize..8, wait in 0_u64..20) {
-        let mut hearing = Hearing::default();
+        let mut hearing = ReportTable::default();
         (0..witnesses).for_each(|it| tell(&mut hearing, it, "norte", counts(tries, tries * part, SECOND), SECOND));
-        let strength = |now| seen(&hearing, "norte", 8, Counts::default(), now).strength;
+        let strength = |now| seen(&hearing, "norte", 8, CallCounts::default(), now).strength;
         let (then, later) = (SECOND + wait * 500 * MS, SECOND + (wait + 1) * 500 * MS);
         // Where words differ by a hair from break-even, rounding in quarters shows.
         prop_assert!(strength(later) <= strength(then) + 0.05);
@@ -206,7 +209,7 @@
     #[test]
     fn lines_come_back_as_they_were_told(told in prop::collection::vec((0.0..9000.0_f64, 0.0..=1.0_f64), 0..40)) {
         let line = |(at, (tries, part)): (usize, &(f64, f64))| {
-            Line::new(Subject::nodo(&format!("n-{at}"), 5), &counts(*tries, tries * part, 0))
+            Line::new(Subject::server(&format!("n-{at}"), 5), &counts(*tries, tries * part, 0))
         };
         let lines: Vec<Line> = told.iter().enumerate().map(line).collect();
         let bytes = HealthReport(lines.clone()).write(256);
--- a/crates/health-reports/tests/golden.rs
+++ b/crates/health-reports/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The bytes of a health report, as members of other versions write and read them.
 
-use woadstall_health_reports::{Counts, HealthReport, Line, Subject};
+use woadstall_health_reports::{CallCounts, HealthReport, Line, Subject};
 
 /// Compares bytes with the golden ones, written in hexadecimal digits.
 fn assert_golden(bytes: &[u8], golden: &str) {
@@ -9,7 +9,7 @@
 }
 
 fn lines() -> Vec<Line> {
-    let counts = |tries: f64, failed: f64, late: f64| Counts::new(tries, failed, late, 0);
+    let counts = |tries: f64, failed: f64, late: f64| CallCounts::new(tries, failed, late, 0);
     vec![
         Line::new(Subject::zone("0", "norte"), &counts(12.25, 6.5, 1.75)),
         Line::new(
@@ -17,7 +17,7 @@
             &counts(300.0, 0.0, 40.0),
         ),
         Line::new(
-            Subject::nodo("nodo-7", 1_767_225_600_000),
+            Subject::server("nodo-7", 1_767_225_600_000),
             &counts(3.1, 3.1, 0.0),
         ),
         Line::new(Subject::region("0", "litoral"), &counts(1e6, 1e6, 0.0)),
@@ -40,12 +40,12 @@
     assert_golden(&bytes, GOLDEN);
     let report = HealthReport::read(&bytes).unwrap();
     assert_eq!(report, HealthReport(lines()));
-    let counts: Vec<Counts> = report.0.iter().map(|line| line.counts(5)).collect();
+    let counts: Vec<CallCounts> = report.0.iter().map(|line| line.counts(5)).collect();
     let golden = [
-        Counts::new(12.25, 6.5, 1.75, 5),
-        Counts::new(300.0, 0.0, 40.0, 5),
-        Counts::new(3.0, 3.0, 0.0, 5),
-        Counts::new(10_000.0, 10_000.0, 0.0, 5),
+        CallCounts::new(12.25, 6.5, 1.75, 5),
+        CallCounts::new(300.0, 0.0, 40.0, 5),
+        CallCounts::new(3.0, 3.0, 0.0, 5),
+        CallCounts::new(10_000.0, 10_000.0, 0.0, 5),
     ];
     assert_eq!(counts, golden);
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 use tokio::runtime::{Builder, Runtime};
 use woadstall::check;
 use woadstall::net::{self, config::Config, members, places};
-use woadstall_evacuation::What;
+use woadstall_evacuation::OrderAction;
 
 /// A layer-7 load balancer for services that call services.
 ///
@@ -119,9 +119,9 @@
 
 fn place(kind: &str, word: Word) -> Result<(), String> {
     let (what, given) = match word {
-        Word::Leave(given) => (What::Leave, given),
-        Word::Hold(given) => (What::Hold, given),
-        Word::Return(given) => (What::Return, given),
+        Word::Leave(given) => (OrderAction::Evacuate, given),
+        Word::Hold(given) => (OrderAction::Keep, given),
+        Word::Return(given) => (OrderAction::Restore, given),
         Word::Status { name, admin } => {
             let status = start()?.block_on(places::status(address(admin.admin)?))?;
             let out = &mut std::io::stdout().lock();
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{MissedTickBehavior, interval};
 use woadstall_decisions::api::Verdict;
-use woadstall_evacuation::{Coordinator, Order, Places, Settings, Status, What};
-use woadstall_health_reports::{Kind, Out, Saw};
+use woadstall_evacuation::{Coordinator, Order, OrderAction, Settings, Status, Topology};
+use woadstall_health_reports::{CompletedAttempt, PendingAttempt, SubjectKind};
 use woadstall_membership_net::Instances;
 use woadstall_operator_config::Evacuation;
 use woadstall_runtime::Balance;
@@ -42,7 +42,7 @@
         let zones: Vec<(String, Option<String>)> = config.names.zones.iter().map(zone).collect();
         let tier = config.settings.tier.to_string();
         let settings = Settings {
-            places: Places::new(&tier, &zones, &config.names.classes),
+            places: Topology::new(&tier, &zones, &config.names.classes),
             zone: usize::from(config.settings.zone.0),
         };
         let coordinator = Arc::new(Mutex::new(Coordinator::new(settings)));
@@ -93,7 +93,7 @@
         let now = self.instances.look(|_, now| now);
         for seen in observations.ended {
             let (attempt, server) = ((seen.id.0, seen.attempt), seen.server);
-            let saw = Saw {
+            let saw = CompletedAttempt {
                 attempt,
                 server,
                 class: seen.class,
@@ -105,7 +105,7 @@
         let out = observations.out.into_iter();
         coordinator.out(
             now,
-            out.map(|out| Out {
+            out.map(|out| PendingAttempt {
                 attempt: (out.id.0, out.attempt),
                 server: out.server,
                 class: out.class,
@@ -141,24 +141,30 @@
     }
 
     /// Takes an operator's word for a while, and tells it to all. The error is one line.
-    pub fn order(&self, what: What, kind: Kind, name: &str, holds: Duration) -> Result<(), String> {
+    pub fn order(
+        &self,
+        what: OrderAction,
+        kind: SubjectKind,
+        name: &str,
+        holds: Duration,
+    ) -> Result<(), String> {
         let mut coordinator = self.coordinator();
         let subject = coordinator
             .place(kind, name)
             .ok_or_else(|| format!("no {} {name}", word(kind)))?;
-        let (stamp_ms, holds) = (
+        let (issued_ms, holds) = (
             now_ms(),
             u64::try_from(holds.as_millis()).unwrap_or(u64::MAX),
         );
-        let until_ms = stamp_ms.saturating_add(holds);
+        let until_ms = issued_ms.saturating_add(holds);
         let order = Order {
             subject,
             what,
-            stamp_ms,
+            issued_ms,
             until_ms,
             id: fastrand::u32(..),
         };
-        match coordinator.order(stamp_ms, order) {
+        match coordinator.order(issued_ms, order) {
             true => Ok(()),
             false => Err("a later word holds, or there are too many".to_owned()),
         }
@@ -166,23 +172,27 @@
 }
 
 /// What a kind of place is called.
-pub fn word(kind: Kind) -> &'static str {
+pub fn word(kind: SubjectKind) -> &'static str {
     match kind {
-        Kind::Nodo => "nodo",
-        Kind::Zone => "zone",
-        Kind::Class => "class",
-        Kind::Region => "region",
+        SubjectKind::Server => "nodo",
+        SubjectKind::Zone => "zone",
+        SubjectKind::Class => "class",
+        SubjectKind::Region => "region",
     }
 }
 
 /// A call of operators: `WHAT/KIND/NAME/SECONDS`.
-pub fn read_order(path: &str) -> Option<(What, Kind, &str, Duration)> {
+pub fn read_order(path: &str) -> Option<(OrderAction, SubjectKind, &str, Duration)> {
     let mut parts = path.split('/');
     let (what, kind, name, seconds) = (parts.next()?, parts.next()?, parts.next()?, parts.next()?);
-    let what = [What::Leave, What::Hold, What::Return]
-        .into_iter()
-        .find(|known| known.word() == what)?;
-    let kind = [Kind::Zone, Kind::Region, Kind::Nodo]
+    let what = [
+        OrderAction::Evacuate,
+        OrderAction::Keep,
+        OrderAction::Restore,
+    ]
+    .into_iter()
+    .find(|known| known.word() == what)?;
+    let kind = [SubjectKind::Zone, SubjectKind::Region, SubjectKind::Server]
         .into_iter()
         .find(|known| word(*known) == kind)?;
     let seconds = seconds.parse().ok().filter(|seconds| *seconds > 0)?;
--- a/src/net/places.rs
+++ b/src/net/places.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::time::Duration;
-use woadstall_evacuation::{PlaceStatus, Status, What};
+use woadstall_evacuation::{OrderAction, PlaceStatus, Status};
 
 const PATH: &str = "/control/places";
 const ABSENT: &str = "no `[evacuation]` in its operators' file";
@@ -13,7 +13,7 @@
 /// Gives a word.
 pub async fn give(
     at: SocketAddr,
-    what: What,
+    what: OrderAction,
     kind: &str,
     name: &str,
     holds: Duration,
