--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The bytes that a process hands to its successor, pinned: either of the two may be of another version.
 
-use woadstall_decisions::api::{Learned, LearnedLatency, LearnedServer, ServerId};
+use woadstall_decisions::api::{LearnedLatency, LearnedServer, LearnedState, ServerId};
 use woadstall_hot_restart::TransferredState;
 
 /// Compares with the fixture of this name.
@@ -13,8 +13,8 @@
 fn latency(mean: f64, dev: f64, calm: f64, calls: u32) -> LearnedLatency {
     LearnedLatency {
         mean,
-        dev,
-        calm,
+        mean_deviation: dev,
+        baseline: calm,
         calls,
     }
 }
@@ -30,23 +30,23 @@
         server: ServerId(id),
         started,
         slowness,
-        opens: breaker.0,
+        recent_opens: breaker.0,
         open_for: breaker.1,
     }
 }
 
-fn learned() -> Learned {
-    Learned {
+fn learned() -> LearnedState {
+    LearnedState {
         classes: vec![
             (0, latency(2e8, 5e7, 1.5e8, 40)),
             (1, latency(0.0, 0.0, 0.0, 0)),
             (2, latency(123456789.125, 1e-7, 1e21, u32::MAX)),
         ],
         overall: latency(1e8, 2.5e7, 9e7, 41),
-        rate: 12.5,
-        answers: 30.0,
-        held: 11.25,
-        failing: 0.25,
+        responses_per_second: 12.5,
+        responses: 30.0,
+        pending: 11.25,
+        failure_rate: 0.25,
         servers: vec![
             server(1, None, 1.0, (0, None)),
             server(2, Some(7), 1.5, (2, Some(9))),
@@ -57,7 +57,7 @@
 
 const CLASSES: [&str; 3] = ["look", "pay", "post \"é\""];
 
-fn state(learned: &Learned) -> TransferredState {
+fn state(learned: &LearnedState) -> TransferredState {
     TransferredState::new(
         learned,
         |at| CLASSES.get(at).copied(),
@@ -65,7 +65,7 @@
     )
 }
 
-fn decoded_learned(state: &TransferredState) -> Learned {
+fn decoded_learned(state: &TransferredState) -> LearnedState {
     let upstream = |name: &str| name.strip_prefix("s-")?.parse().ok().map(ServerId);
     state.learned(
         |name| CLASSES.iter().position(|class| *class == name),
@@ -85,11 +85,11 @@
 
 #[test]
 fn the_state_of_a_process_that_has_learned_nothing() {
-    let text = String::from_utf8(state(&Learned::default()).encode()).unwrap();
+    let text = String::from_utf8(state(&LearnedState::default()).encode()).unwrap();
     assert_golden("state-empty.json", &text);
     assert_eq!(
         decoded_learned(&TransferredState::decode(text.as_bytes()).unwrap()),
-        Learned::default()
+        LearnedState::default()
     );
 }
 
