--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -3,7 +3,9 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use woadstall_decisions::api::{Duration, Learned, LearnedLatency, LearnedServer, ServerId, Time};
+use woadstall_decisions::api::{
+    Duration, LearnedLatency, LearnedServer, LearnedState, ServerId, Time,
+};
 
 #[cfg(test)]
 mod tests;
@@ -100,8 +102,8 @@
     fn from(learned: LearnedLatency) -> Self {
         Self {
             mean: learned.mean,
-            deviation: learned.dev,
-            unloaded: learned.calm,
+            deviation: learned.mean_deviation,
+            unloaded: learned.baseline,
             calls: learned.calls,
         }
     }
@@ -111,8 +113,8 @@
     fn from(estimate: LatencyEstimate) -> Self {
         Self {
             mean: estimate.mean,
-            dev: estimate.deviation,
-            calm: estimate.unloaded,
+            mean_deviation: estimate.deviation,
+            baseline: estimate.unloaded,
             calls: estimate.calls,
         }
     }
@@ -123,7 +125,7 @@
         Self {
             started_at: learned.started,
             latency_ratio: learned.slowness,
-            breaker_openings: learned.opens,
+            breaker_openings: learned.recent_opens,
             breaker_open_for: learned.open_for,
         }
     }
@@ -136,7 +138,7 @@
             server,
             started: self.started_at,
             slowness: self.latency_ratio,
-            opens: self.breaker_openings,
+            recent_opens: self.breaker_openings,
             open_for: self.breaker_open_for,
         }
     }
@@ -145,7 +147,7 @@
 impl TransferredState {
     /// What was learned, under the names of classes and upstreams. What has no name is left out.
     pub fn new<'a>(
-        learned: &Learned,
+        learned: &LearnedState,
         class_name: impl Fn(usize) -> Option<&'a str>,
         upstream_name: impl Fn(ServerId) -> Option<String>,
     ) -> Self {
@@ -160,10 +162,10 @@
             version: VERSION,
             classes: classes.collect(),
             overall: learned.overall.into(),
-            rate: learned.rate,
-            answers: learned.answers,
-            in_flight: learned.held,
-            failure_ratio: learned.failing,
+            rate: learned.responses_per_second,
+            answers: learned.responses,
+            in_flight: learned.pending,
+            failure_ratio: learned.failure_rate,
             upstreams: upstreams.collect(),
         }
     }
@@ -173,7 +175,7 @@
         &self,
         class_position: impl Fn(&str) -> Option<usize>,
         upstream_id: impl Fn(&str) -> Option<ServerId>,
-    ) -> Learned {
+    ) -> LearnedState {
         let classes = self
             .classes
             .iter()
@@ -182,13 +184,13 @@
             .upstreams
             .iter()
             .filter_map(|(name, record)| Some(record.learned(upstream_id(name)?)));
-        Learned {
+        LearnedState {
             classes: classes.collect(),
             overall: self.overall.into(),
-            rate: self.rate,
-            answers: self.answers,
-            held: self.in_flight,
-            failing: self.failure_ratio,
+            responses_per_second: self.rate,
+            responses: self.answers,
+            pending: self.in_flight,
+            failure_rate: self.failure_ratio,
             servers: servers.collect(),
         }
     }
--- a/crates/settings/src/active/tests.rs
+++ b/crates/settings/src/active/tests.rs
@@ -82,19 +82,27 @@
     let keyed = |group, window| Effect::Keyed(group, window);
     let cases = [
         (Effect::Safe, Effect::Safe, Effect::Safe),
-        (Effect::Safe, keyed(Group::Zone, 5), keyed(Group::Zone, 5)),
         (
-            keyed(Group::All, 9),
-            keyed(Group::All, 5),
-            keyed(Group::All, 5),
+            Effect::Safe,
+            keyed(DedupScope::Zone, 5),
+            keyed(DedupScope::Zone, 5),
         ),
         (
-            keyed(Group::All, 5),
-            keyed(Group::Cell, 9),
-            keyed(Group::Cell, 5),
+            keyed(DedupScope::All, 9),
+            keyed(DedupScope::All, 5),
+            keyed(DedupScope::All, 5),
         ),
-        (keyed(Group::Zone, 5), keyed(Group::Cell, 5), Effect::Unsafe),
-        (keyed(Group::All, 5), Effect::Unsafe, Effect::Unsafe),
+        (
+            keyed(DedupScope::All, 5),
+            keyed(DedupScope::Cell, 9),
+            keyed(DedupScope::Cell, 5),
+        ),
+        (
+            keyed(DedupScope::Zone, 5),
+            keyed(DedupScope::Cell, 5),
+            Effect::Unsafe,
+        ),
+        (keyed(DedupScope::All, 5), Effect::Unsafe, Effect::Unsafe),
     ];
     for (one, other, both) in cases {
         assert_eq!((stricter(one, other), stricter(other, one)), (both, both));
