--- a/crates/decisions/src/log.rs
+++ b/crates/decisions/src/log.rs
@@ -36,13 +36,11 @@
 }
 
 impl fmt::Display for LogEvent {
+    /// The name of the event, and its figures as `key=value`. Latencies and rates are parts of one.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
             Self::SubscriptionFailed { failures } => {
-                write!(
-                    f,
-                    "discovery failed {failures} times in a row; the list may be old"
-                )
+                write!(f, "subscription_failed consecutive_failures={failures}")
             }
             Self::LocalZone {
                 left,
@@ -51,20 +49,17 @@
                 in_flight,
                 failure_rate,
             } => {
-                let change = if left { "left" } else { "taken again" };
-                let percent = 100.0 * failure_rate;
-                write!(f, "zone {change}: {healthy} of {servers} healthy, ")?;
-                write!(f, "{in_flight} held, {percent:.0}% failing")
+                let event = if left { "zone_left" } else { "zone_used_again" };
+                write!(f, "{event} healthy={healthy} servers={servers} ")?;
+                write!(f, "in_flight={in_flight} failure_rate={failure_rate:.2}")
             }
             Self::BreakerOpened {
                 server,
                 recent_opens,
             } => {
                 let server = server.0;
-                write!(
-                    f,
-                    "breaker of server {server} opened, {recent_opens} times lately"
-                )
+                write!(f, "circuit_breaker_opened server={server} ")?;
+                write!(f, "recent_opens={recent_opens}")
             }
             Self::Shedding {
                 began,
@@ -73,7 +68,7 @@
                 let change = if began { "began" } else { "ended" };
                 write!(
                     f,
-                    "shedding {change}: answers take {relative_latency:.2} of their aim"
+                    "load_shedding_{change} relative_latency={relative_latency:.2}"
                 )
             }
         }
--- a/crates/decisions/tests/behaviour/log.rs
+++ b/crates/decisions/tests/behaviour/log.rs
@@ -31,8 +31,14 @@
         }
         all.extend(actions);
     }
-    let lines = [log(&all, "breaker of server"), log(&all, "zone left")];
+    let lines = [
+        log(&all, "circuit_breaker_opened server="),
+        log(&all, "zone_left healthy="),
+    ];
     assert!(lines.iter().all(|n| (1..=2).contains(n)), "{lines:?}");
     let failed = harness.handle(Event::SubscriptionFailed);
-    assert_eq!(log(&failed, "discovery failed 1 times"), 1);
+    assert_eq!(
+        log(&failed, "subscription_failed consecutive_failures=1"),
+        1
+    );
 }
