--- a/crates/decisions/src/balancer.rs
+++ b/crates/decisions/src/balancer.rs
@@ -161,6 +161,7 @@
         self.pools.last().map_or(0, |all| all.tripped)
     }
 
+    /// Logs an event, unless one of its kind was logged a moment ago.
     pub(crate) fn log(&mut self, event: LogEvent) {
         if self.log_throttle.admits(event, self.now) {
             self.actions.push(Action::Log(event.to_string()));
--- a/crates/decisions/src/measurement/failures.rs
+++ b/crates/decisions/src/measurement/failures.rs
@@ -34,6 +34,7 @@
         (own - usual).clamp(0.0, 1.0)
     }
 
+    /// Ejects a server or takes it back, and counts that in its pools.
     pub(crate) fn set_tripped(&mut self, index: ServerIndex, tripped: bool) {
         let server = &mut self.servers[index];
         if server.breaker.tripped != tripped && server.ready {
@@ -45,6 +46,7 @@
         server.breaker.tripped = tripped;
     }
 
+    /// Records whether an attempt failed, by the idle time of its connection.
     pub(crate) fn record_idle_risk(&mut self, step: usize, failed: bool) {
         self.idle_risk
             .record(step, failed, self.now, IDLE_RISK_GAIN, IDLE_RISK_DECAY);
@@ -61,6 +63,7 @@
         });
     }
 
+    /// Records the response to an attempt at a server.
     pub(crate) fn record_success(&mut self, request: &PendingRequest, index: ServerIndex) {
         self.responses.add(self.now, 1.0, RATE_WINDOW);
         let zone = self.servers[index].zone;
--- a/crates/decisions/src/measurement/latency.rs
+++ b/crates/decisions/src/measurement/latency.rs
@@ -15,6 +15,7 @@
         per_second * self.overall_latency.baseline / SECOND as f64
     }
 
+    /// Records the latency of a call, in nanoseconds.
     pub(crate) fn record_latency(&mut self, index: ServerIndex, class: usize, took: Duration) {
         self.record_slowness(index, class, took);
         self.class_latencies[class].record(took as f64, OUTCOME_GAIN, BASELINE_GAIN);
@@ -22,6 +23,7 @@
             .record(took as f64, OUTCOME_GAIN, BASELINE_GAIN);
     }
 
+    /// Records the latency of a call against the mean of its class.
     pub(crate) fn record_slowness(&mut self, index: ServerIndex, class: usize, took: Duration) {
         let latency = &self.class_latencies[class];
         if latency.calls >= MIN_SAMPLES {
@@ -30,6 +32,7 @@
         }
     }
 
+    /// Records the latency of an attempt against its target, for its server's zone.
     pub(crate) fn record_relative_latency(
         &mut self,
         class: usize,
--- a/crates/decisions/src/measurement/load.rs
+++ b/crates/decisions/src/measurement/load.rs
@@ -52,6 +52,7 @@
         window.clamp(MIN_RESPONSE_WINDOW, most)
     }
 
+    /// Counts an attempt in or out, for its server and its pools.
     pub(crate) fn count_in_flight(&mut self, index: ServerIndex, change: InFlight) {
         let count = |count: &mut u32| match change {
             InFlight::Begins => *count += 1,
--- a/crates/decisions/src/measurement/verdicts.rs
+++ b/crates/decisions/src/measurement/verdicts.rs
@@ -5,6 +5,7 @@
 use crate::state::{ServerIndex, TrafficShare};
 
 impl Balancer {
+    /// Takes verdicts; those on what is not known here are dropped.
     pub(crate) fn on_health_verdicts(&mut self, verdicts: &[HealthVerdict]) {
         for verdict in verdicts {
             let share = f64::from(verdict.share).clamp(0.0, 1.0);
--- a/crates/decisions/src/measurement/warmth.rs
+++ b/crates/decisions/src/measurement/warmth.rs
@@ -16,6 +16,7 @@
         (initial + (1.0 - initial) * age).min(1.0)
     }
 
+    /// Counts the warm part of all servers, now and then.
     pub(crate) fn update_warm_size(&mut self) {
         let all = &self.pools[self.settings.zones];
         if self.now < all.warm_size_at.saturating_add(WARM_SIZE_INTERVAL) {
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -6,6 +6,7 @@
 use std::collections::HashSet;
 
 impl Balancer {
+    /// Takes a list of servers, or changes of it.
     pub(crate) fn on_server_list(&mut self, entries: &[ServerEntry], kind: ListKind) {
         if kind == ListKind::Complete {
             self.server_indices
--- a/crates/decisions/src/policy/breakers.rs
+++ b/crates/decisions/src/policy/breakers.rs
@@ -23,6 +23,7 @@
         !breaker.tripped || (!breaker.trial_in_flight && is_half_open)
     }
 
+    /// Counts a failure of a server, and opens its breaker after too many in a row.
     pub(crate) fn breaker_failure(&mut self, index: ServerIndex) {
         self.record_failure_rate(index, true);
         let failures_to_trip = self.failures_to_trip(&self.servers[index].breaker);
@@ -57,6 +58,7 @@
         failures.ceil().clamp(least, MAX_FAILURES_TO_TRIP)
     }
 
+    /// Counts a success of a server, and closes its breaker.
     pub(crate) fn breaker_success(&mut self, index: ServerIndex) {
         self.record_failure_rate(index, false);
         let breaker = &mut self.servers[index].breaker;
--- a/crates/decisions/src/policy/load_probes.rs
+++ b/crates/decisions/src/policy/load_probes.rs
@@ -62,6 +62,7 @@
         );
     }
 
+    /// Takes a load report, and sends the requests that have all of theirs.
     pub(crate) fn on_probe_ended(
         &mut self,
         server: ServerId,
--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Learns from the end of an attempt, and retries or gives up a request without response.
     pub(crate) fn on_attempt_ended(&mut self, id: RequestId, end: AttemptEnd) {
         let is_current = |request: &PendingRequest| request.attempts == end.attempt + 1;
         if !self.requests.get(&id).is_some_and(is_current) {
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -9,6 +9,7 @@
 };
 
 impl Balancer {
+    /// Accepts a new request and sends it, or rejects it.
     pub(crate) fn on_request(&mut self, id: RequestId, parameters: RequestParameters) {
         let class = parameters.class;
         let Some(settings) = self.settings.classes.get(class) else {
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Sends an attempt to a server.
     pub(crate) fn send(&mut self, id: RequestId, mut request: PendingRequest, index: ServerIndex) {
         let (until, begin_by) = (self.attempt_timeout(&request), self.repeat_until(&request));
         self.set_late_timer(id, &request);
@@ -123,6 +125,7 @@
         (MIN_TIMEOUT_PART * self.settings.classes[class].latency_target as f64) as Duration
     }
 
+    /// Closes a request, and cancels its attempt if that is allowed.
     pub(crate) fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(comparison) = self.comparisons.remove(&id) {
             return self.close_pending(comparison.request.target_inverse, WorkedOn::No);
@@ -142,6 +145,7 @@
         self.close_pending(target_inverse, WorkedOn::Yes);
     }
 
+    /// Ends a request without a response from a server.
     pub(crate) fn give_up(&mut self, id: RequestId, request: &PendingRequest) {
         let worked_on = match request.may_have_run {
             Some(_) => WorkedOn::Yes,
--- a/crates/decisions/src/policy/retries.rs
+++ b/crates/decisions/src/policy/retries.rs
@@ -6,6 +6,7 @@
 use crate::tuning::RETRY_DEPOSIT;
 
 impl Balancer {
+    /// Whether a request is attempted again after an attempt that ended so.
     pub(crate) fn may_retry(&mut self, request: &PendingRequest, ended: Outcome) -> bool {
         let left = request.deadline.saturating_sub(self.now) as f64;
         let is_in_time = left > self.class_latencies[request.class].mean / 2.0;
--- a/crates/decisions/src/policy/subscription.rs
+++ b/crates/decisions/src/policy/subscription.rs
@@ -15,6 +15,7 @@
         }
     }
 
+    /// Subscribes again after a backoff.
     pub(crate) fn on_subscription_failed(&mut self) {
         let failures = self.subscription_failures.unwrap_or(0) + 1;
         self.subscription_failures = Some(failures);
