--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -4,8 +4,8 @@
 use crate::evacuated::{Evacuated, Move};
 use crate::scenario::{Evacuating, Says};
 use woadstall_engine::decisions::{FailureDomain, HealthVerdict as Finding};
-use woadstall_evacuation::{Coordinator, Settings, Topology};
-use woadstall_health_reports::{CompletedAttempt, PendingAttempt};
+use woadstall_evacuation::{Coordinator, CoordinatorSettings, ListedServer, Topology};
+use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt};
 use woadstall_membership::Node;
 
 /// See the module's documentation.
@@ -14,7 +14,7 @@
     all: Vec<Coordinator>,
     /// How often the list of each had changed when its coordinator was told.
     seen: Vec<u64>,
-    settings: Vec<Settings>,
+    settings: Vec<CoordinatorSettings>,
     liars: Vec<Option<Says>>,
     evacuated: Evacuated,
 }
@@ -31,10 +31,10 @@
             .iter()
             .map(|zone| (zone.clone(), scenario.regions.get(zone).cloned()))
             .collect();
-        let settings: Vec<Settings> = balancers
+        let settings: Vec<CoordinatorSettings> = balancers
             .iter()
-            .map(|balancer| Settings {
-                places: Topology::new(&balancer.tier.to_string(), &zones, &classes),
+            .map(|balancer| CoordinatorSettings {
+                topology: Topology::new(&balancer.tier.to_string(), &zones, &classes),
                 zone: usize::from(balancer.zone),
             })
             .collect();
@@ -147,21 +147,22 @@
         if let Some((changes, all)) = balancer.mind.listed(coordinators.seen[at]) {
             coordinators.seen[at] = changes;
             let all = all.into_iter();
-            coordinators.all[at].listed(all.map(|of| {
-                (
-                    of.server,
-                    of.name,
-                    of.boot_ms,
-                    usize::from(of.zone.0),
-                    of.size.map(f64::from),
-                )
+            coordinators.all[at].set_servers(all.map(|of| ListedServer {
+                server: of.server,
+                name: of.name,
+                boot_ms: of.boot_ms,
+                zone: usize::from(of.zone.0),
+                size: of.size.map(f64::from),
             }));
         }
         for seen in observed {
-            let attempt = (seen.id.0, seen.attempt);
+            let id = AttemptId {
+                request: seen.id.0,
+                attempt: seen.attempt,
+            };
             let (server, class, outcome, took) = (seen.server, seen.class, seen.outcome, seen.took);
             let saw = CompletedAttempt {
-                attempt,
+                id,
                 server,
                 class,
                 outcome,
@@ -169,19 +170,22 @@
             };
             let zone_of = |server| coordinators.all[at].zone_of(server);
             let saw = coordinators.spoil(at, zone_of, saw);
-            coordinators.all[at].saw(now, &saw);
+            coordinators.all[at].record_completed(now, &saw);
         }
         let out = balancer.mind.outstanding(local).into_iter();
-        coordinators.all[at].out(
+        coordinators.all[at].record_pending(
             now,
             out.map(|out| PendingAttempt {
-                attempt: (out.id.0, out.attempt),
+                id: AttemptId {
+                    request: out.id.0,
+                    attempt: out.attempt,
+                },
                 server: out.server,
                 class: out.class,
                 age: out.age,
             }),
         );
-        let turn = coordinators.all[at].turn(now, local / MS, node);
+        let turn = coordinators.all[at].step(now, local / MS, node);
         for line in turn.lines {
             self.meter.log_line(&line.to_string());
         }
--- /dev/null
+++ b/crates/evacuation/src/coordinator/publish.rs
@@ -0,0 +1,127 @@
+//! Publishing what other members may not know.
+
+use super::Coordinator;
+use super::receive::FactKey;
+use crate::place_decision::PlaceDecision;
+use std::collections::BTreeMap;
+use woadstall_decisions::api::Time;
+use woadstall_health_reports::{HealthReport, ReportEntry, Subject, SubjectKind, max_faulty};
+use woadstall_membership::Node;
+
+/// The priorities of facts: orders, decisions that others still wait for, health reports, all other decisions.
+const ORDERS_PRIORITY: u8 = 250;
+const AWAITED_DECISIONS_PRIORITY: u8 = 220;
+const HEALTH_REPORT_PRIORITY: u8 = 200;
+const OTHER_DECISIONS_PRIORITY: u8 = 40;
+
+/// What this member has published.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Published {
+    /// The log odds of each subject in the newest health report.
+    pub log_odds: BTreeMap<Subject, f64>,
+    /// When that was published.
+    pub reported_at: Time,
+    decisions: Vec<u8>,
+    /// The orders have changed since they were published.
+    pub are_orders_stale: bool,
+}
+
+impl Coordinator {
+    pub(super) fn publish(
+        &mut self,
+        now: Time,
+        node: &mut Node,
+        members: &BTreeMap<String, usize>,
+    ) {
+        let own_zone = node.me().zone.as_str().to_owned();
+        let own_zone_members = members.get(&own_zone).copied().unwrap_or(1);
+        self.publish_health_report(now, node, own_zone_members);
+        self.publish_decisions(now, node, &own_zone, own_zone_members);
+        self.publish_orders(now, node);
+    }
+
+    fn publish_health_report(&mut self, now: Time, node: &mut Node, own_zone_members: usize) {
+        let Some(candidates) = self.select_report(now, own_zone_members) else {
+            return;
+        };
+        let entries = candidates
+            .iter()
+            .map(|candidate| ReportEntry::new(candidate.subject, &candidate.counts));
+        let bytes = HealthReport {
+            entries: entries.collect(),
+        }
+        .encode(node.fact_room());
+        if node
+            .say(
+                now,
+                FactKey::HealthReport.name(),
+                HEALTH_REPORT_PRIORITY,
+                bytes,
+            )
+            .is_ok()
+        {
+            let log_odds = candidates
+                .iter()
+                .map(|candidate| (candidate.subject, candidate.log_odds));
+            self.published.log_odds = log_odds.collect();
+            self.published.reported_at = now;
+        }
+    }
+
+    fn publish_decisions(
+        &mut self,
+        now: Time,
+        node: &mut Node,
+        own_zone: &str,
+        own_zone_members: usize,
+    ) {
+        let decisions = self.engine.place_decisions();
+        let bytes = PlaceDecision::encode(&decisions, node.fact_room());
+        let is_first_and_empty = bytes.len() <= 1 && self.published.decisions.is_empty();
+        if bytes == self.published.decisions || is_first_and_empty {
+            return;
+        }
+        // Members that were absent wait for the first few that publish a decision on a zone; further ones, and those on
+        // servers, are for operators.
+        let needed = max_faulty(own_zone_members) + 2;
+        let is_awaited = decisions.iter().any(|decision| {
+            decision.subject.kind != SubjectKind::Server
+                && self.publishers_of(decision, own_zone) < needed
+        });
+        let priority = if is_awaited {
+            AWAITED_DECISIONS_PRIORITY
+        } else {
+            OTHER_DECISIONS_PRIORITY
+        };
+        if node
+            .say(now, FactKey::PlaceDecisions.name(), priority, bytes.clone())
+            .is_ok()
+        {
+            self.published.decisions = bytes;
+        }
+    }
+
+    /// How many other members of a zone have published a decision, or a later one on the same place.
+    fn publishers_of(&self, decision: &PlaceDecision, zone: &str) -> usize {
+        let is_same_or_later = |other: &PlaceDecision| {
+            other.subject == decision.subject && other.epoch >= decision.epoch
+        };
+        let members = self
+            .member_decisions
+            .values()
+            .filter(|member| member.zone == zone);
+        members
+            .filter(|member| member.decisions.iter().any(is_same_or_later))
+            .count()
+    }
+
+    fn publish_orders(&mut self, now: Time, node: &mut Node) {
+        if !self.published.are_orders_stale {
+            return;
+        }
+        let bytes = self.orders.encode(node.fact_room());
+        self.published.are_orders_stale = node
+            .say(now, FactKey::Orders.name(), ORDERS_PRIORITY, bytes)
+            .is_err();
+    }
+}
--- /dev/null
+++ b/crates/evacuation/src/coordinator/status_view.rs
@@ -0,0 +1,180 @@
+//! What operators see: log lines and the status of all places.
+
+use super::{Coordinator, LogLine};
+use crate::engine::{MemberDecisions, StateChange};
+use crate::order::Order;
+use crate::place_state::{Phase, PlaceState};
+use crate::status::{PlaceStatus, Status};
+use std::collections::BTreeSet;
+use woadstall_decisions::api::Time;
+use woadstall_health_reports::{Subject, SubjectKind, Symptom};
+
+const NS_PER_SECOND: f64 = 1e9;
+const MS_PER_SECOND: f64 = 1e3;
+
+impl Coordinator {
+    /// Takes the log lines of the changes since the last step, and those of what was received.
+    pub(super) fn take_lines(&mut self) -> Vec<LogLine> {
+        let received = std::mem::take(&mut self.pending_lines);
+        let changes = self.engine.take_changes();
+        let logged = changes.iter().filter(|change| is_logged(change));
+        logged
+            .map(|change| self.describe_change(change))
+            .chain(received)
+            .collect()
+    }
+
+    fn describe_change(&self, change: &StateChange) -> LogLine {
+        let PlaceState {
+            phase,
+            epoch,
+            share,
+            ..
+        } = change.state;
+        LogLine(format!(
+            "{} {}, epoch {epoch}, share {:.0}%: {}; {} against it, {} for it",
+            self.name_of(&change.subject),
+            phase.as_str(),
+            100.0 * share,
+            self.reason(&change.subject),
+            change.witnesses.against,
+            change.witnesses.in_favor,
+        ))
+    }
+
+    pub(super) fn describe_order(&self, order: &Order, now_ms: u64) -> String {
+        let subject = self.settings.topology.ordered_place(&order.subject);
+        let remaining_s = order.until_ms.saturating_sub(now_ms) / 1_000;
+        let (name, action) = (self.name_of(&subject), order.action.as_str());
+        format!("{name}: an operator's word, {action}, for {remaining_s} s")
+    }
+
+    fn name_of(&self, subject: &Subject) -> String {
+        let server = || {
+            let server = self
+                .servers
+                .values()
+                .find(|server| server.subject == *subject)?;
+            Some(format!("nodo {}", server.name))
+        };
+        let name = self.settings.topology.name_of(subject).or_else(server);
+        name.unwrap_or_else(|| "a place not listed here".to_owned())
+    }
+
+    /// What the decision about a place rests on.
+    fn reason(&self, subject: &Subject) -> String {
+        let order = self.order_for(subject).map(|order| order.action.as_str());
+        let order = order.map(|action| format!("an operator's word, {action}"));
+        let Some(assessment) = self.engine.assessment(subject) else {
+            return order.unwrap_or_else(|| "as several others found".to_owned());
+        };
+        let counts = &assessment.counts;
+        let (rate, what) = match assessment.symptom {
+            Symptom::Failing => (counts.failure_rate().mean, "fail"),
+            Symptom::Late => (counts.degraded_rate().mean, "fail or come late"),
+        };
+        let observed = format!(
+            "{:.0}% of {:.0} calls {what}",
+            100.0 * rate,
+            counts.attempts
+        );
+        match order {
+            Some(order) => format!("{order}; {observed}"),
+            None => observed,
+        }
+    }
+
+    /// The status of all zones and regions, and of the servers and classes that are not in use. `now` is on the node's clock,
+    /// `now_ms` is Unix time.
+    pub fn status(&self, now: Time, now_ms: u64) -> Status {
+        let zones = &self.settings.topology.zones;
+        let regions: BTreeSet<Subject> = zones
+            .iter()
+            .filter_map(|zone| zone.region_subject)
+            .collect();
+        let not_in_use = self.engine.states().filter(|(subject, state)| {
+            matches!(subject.kind, SubjectKind::Server | SubjectKind::Class)
+                && state.phase != Phase::InUse
+        });
+        let zone_statuses = zones
+            .iter()
+            .enumerate()
+            .map(|(position, zone)| PlaceStatus {
+                servers: self.servers_in_service(position),
+                ..self.place_status(now, now_ms, &zone.subject)
+            });
+        let others = regions.iter().chain(not_in_use.map(|(subject, _)| subject));
+        let other_statuses = others.map(|subject| self.place_status(now, now_ms, subject));
+        Status {
+            places: zone_statuses.chain(other_statuses).collect(),
+            contradicting_members: self.contradictions.persistent(),
+            malformed_reports: self.malformed_reports,
+        }
+    }
+
+    fn servers_in_service(&self, zone: usize) -> usize {
+        let in_service = self.servers.values().filter(|server| server.is_in_service);
+        in_service.filter(|server| server.zone == zone).count()
+    }
+
+    fn place_status(&self, now: Time, now_ms: u64, subject: &Subject) -> PlaceStatus {
+        let state = self.engine.state(subject);
+        let witnesses = self
+            .engine
+            .assessment(subject)
+            .map(|assessment| assessment.witnesses)
+            .unwrap_or_default();
+        let order = self.order_for(subject);
+        let remaining_s =
+            |order: &Order| order.until_ms.saturating_sub(now_ms) as f64 / MS_PER_SECOND;
+        let phase_for_ns = if state.since > 0 {
+            now.saturating_sub(state.since)
+        } else {
+            0
+        };
+        PlaceStatus {
+            name: self.name_of(subject),
+            phase: state.phase.as_str().to_owned(),
+            epoch: state.epoch,
+            phase_for_s: phase_for_ns as f64 / NS_PER_SECOND,
+            share: self.share(subject),
+            reason: self.reason(subject),
+            witnesses_against: witnesses.against,
+            witnesses_in_favor: witnesses.in_favor,
+            relapses: state.relapses,
+            servers: 0,
+            order: order.map(|order| order.action.as_str().to_owned()),
+            order_remaining_s: order.map(remaining_s),
+            members_behind: self.members_behind(subject, &state),
+        }
+    }
+
+    /// The other members of this zone that have published decisions, but not this one on a place.
+    fn members_behind(&self, subject: &Subject, state: &PlaceState) -> Vec<String> {
+        if state.epoch == 0 {
+            return Vec::new();
+        }
+        let own_zone = self.settings.topology.zone_name(self.settings.zone);
+        let has_followed = |member: &MemberDecisions| {
+            let mut decisions = member.decisions.iter();
+            decisions.any(|decision| decision.subject == *subject && decision.epoch == state.epoch)
+        };
+        let members = self
+            .member_decisions
+            .iter()
+            .filter(|(_, member)| member.zone == own_zone);
+        members
+            .filter(|(_, member)| !has_followed(member))
+            .map(|(name, _)| name.clone())
+            .collect()
+    }
+}
+
+/// Whether a change is logged: that a server is suspected or not is for the status alone, and a place that is in use for the
+/// first time is no news.
+fn is_logged(change: &StateChange) -> bool {
+    let PlaceState { phase, epoch, .. } = change.state;
+    let is_server_in_use = change.subject.kind == SubjectKind::Server
+        && matches!(phase, Phase::Suspected | Phase::InUse);
+    !is_server_in_use && (epoch > 0 || phase == Phase::Suspected)
+}
--- /dev/null
+++ b/crates/evacuation/src/engine/adoption.rs
@@ -0,0 +1,65 @@
+//! Adopting what other members have decided.
+
+use super::{EngineInput, EvacuationEngine};
+use crate::place_decision::PlaceDecision;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, HashMap};
+use woadstall_decisions::api::Time;
+use woadstall_health_reports::{Subject, SubjectKind, Witnesses, max_faulty};
+
+/// The decisions of the members of one zone about one place.
+type DecisionsByPlace<'a> = BTreeMap<(Subject, &'a str), Vec<&'a PlaceDecision>>;
+
+impl EvacuationEngine {
+    /// Adopts decisions that are newer than the own ones, if one member more than may be faulty has made them. The members of
+    /// the own zone observe from the same position, and those of a place's own zone know it best; others are not asked.
+    pub(super) fn adopt_decisions(&mut self, now: Time, input: &EngineInput<'_>) {
+        for ((subject, zone), mut decisions) in relevant_decisions(now, input) {
+            let needed = max_faulty(input.members.get(zone).copied().unwrap_or(1)) + 1;
+            // The newest that so many have reached: a member that went on has been there, too.
+            decisions.sort_by_key(|decision| Reverse((decision.epoch, decision.phase)));
+            let Some(decision) = decisions.get(needed - 1) else {
+                continue;
+            };
+            let mut state = self.state(&subject);
+            if state.adopt(now, decision.phase, decision.epoch, decision.share()) {
+                self.set_state(
+                    subject,
+                    state,
+                    Witnesses {
+                        against: decisions.len(),
+                        in_favor: 0,
+                    },
+                );
+            }
+        }
+    }
+}
+
+fn relevant_decisions<'a>(now: Time, input: &EngineInput<'a>) -> DecisionsByPlace<'a> {
+    let server_zones: HashMap<Subject, usize> = input
+        .stats
+        .servers(now)
+        .map(|server| (server.subject, server.zone))
+        .collect();
+    let own_zone = input.topology.zone_name(input.own_zone);
+    let mut by_place = DecisionsByPlace::new();
+    for member in input.member_decisions.values() {
+        for decision in &member.decisions {
+            let home = match decision.subject.kind {
+                SubjectKind::Server => server_zones.get(&decision.subject).copied(),
+                _ => input.topology.home_zone(&decision.subject),
+            };
+            let is_relevant = home.is_some_and(|home| {
+                member.zone == own_zone || member.zone == input.topology.zone_name(home)
+            });
+            if is_relevant {
+                by_place
+                    .entry((decision.subject, member.zone.as_str()))
+                    .or_default()
+                    .push(decision);
+            }
+        }
+    }
+    by_place
+}
--- /dev/null
+++ b/crates/evacuation/src/engine/mod.rs
@@ -0,0 +1,226 @@
+//! The decision engine: from all members' reports to the state of each place.
+//!
+//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: what other members have decided, zones, classes, servers,
+//! regions, operators' orders. Each rule has its module.
+
+mod adoption;
+mod alternatives;
+mod classes;
+mod regions;
+mod servers;
+mod zones;
+
+use crate::order::{OrderAction, OrderTable};
+use crate::place_decision::PlaceDecision;
+use crate::place_state::{Alternatives, Cause, Phase, PlaceState};
+use crate::topology::Topology;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, HashMap};
+use woadstall_decisions::api::{ServerId, Time};
+use woadstall_health_reports::{
+    Assessment, AssessmentQuery, Baseline, CallCounts, CallStats, ReportTable, Subject,
+    SubjectKind, Witnesses,
+};
+
+/// The state of a server in use is removed after this long without evidence against it, in nanoseconds.
+const SERVER_STATE_TIMEOUT_NS: Time = 120_000_000_000;
+
+/// The decisions that another member has published.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MemberDecisions {
+    /// The member's zone.
+    pub zone: String,
+    /// Its decisions.
+    pub decisions: Vec<PlaceDecision>,
+}
+
+/// All that a step of the engine takes into account.
+#[derive(Clone, Copy)]
+pub struct EngineInput<'a> {
+    /// Zones, regions and classes.
+    pub topology: &'a Topology,
+    /// The position of this balancer's zone.
+    pub own_zone: usize,
+    /// The outcomes of this balancer's own calls.
+    pub stats: &'a CallStats,
+    /// The other members' health reports.
+    pub reports: &'a ReportTable,
+    /// The sum of the sizes of the servers in service, by zone.
+    pub zone_sizes: &'a [f64],
+    /// The size of each server in service.
+    pub server_sizes: &'a HashMap<ServerId, f64>,
+    /// The number of members of each zone, this balancer included.
+    pub members: &'a BTreeMap<String, usize>,
+    /// What the other members have decided, by member.
+    pub member_decisions: &'a BTreeMap<String, MemberDecisions>,
+    /// Operators' orders.
+    pub orders: &'a OrderTable,
+    /// This balancer is partitioned from the fleet or has just been suspended: it decides nothing and adopts nothing.
+    pub is_passive: bool,
+}
+
+impl EngineInput<'_> {
+    fn zone_count(&self) -> usize {
+        self.topology.zones.len()
+    }
+
+    /// The other zones that have servers in service.
+    fn other_zones_in_service(&self, zone: usize) -> Vec<usize> {
+        let in_service = |other: &usize| *other != zone && self.zone_sizes[*other] > 0.0;
+        (0..self.zone_count()).filter(in_service).collect()
+    }
+
+    /// Assesses a subject that is, or lies in, a zone.
+    fn assess(
+        &self,
+        now: Time,
+        subject: Subject,
+        zone: usize,
+        own: &CallCounts,
+        baseline: Baseline,
+        needed_log_odds: f64,
+    ) -> Assessment {
+        let query = AssessmentQuery {
+            subject,
+            home_zone: self.topology.zone_name(zone),
+            observer_zone: self.topology.zone_name(self.own_zone),
+            own,
+            baseline,
+            needed_log_odds,
+            members: self.members,
+        };
+        self.reports.assess(now, &query)
+    }
+}
+
+/// The phase or the epoch of a place has changed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StateChange {
+    /// The place.
+    pub subject: Subject,
+    /// Its new state.
+    pub state: PlaceState,
+    /// The witnesses that the change rests on.
+    pub witnesses: Witnesses,
+}
+
+/// The states of all places, as this balancer has decided.
+#[derive(Clone, Debug, Default)]
+pub struct EvacuationEngine {
+    states: BTreeMap<Subject, PlaceState>,
+    assessments: BTreeMap<Subject, Assessment>,
+    changes: Vec<StateChange>,
+}
+
+impl EvacuationEngine {
+    /// The state of a place.
+    pub fn state(&self, subject: &Subject) -> PlaceState {
+        self.states.get(subject).copied().unwrap_or_default()
+    }
+
+    /// The newest assessment of a place, if there is one.
+    pub fn assessment(&self, subject: &Subject) -> Option<&Assessment> {
+        self.assessments.get(subject)
+    }
+
+    /// The states of all places that there ever was evidence on.
+    pub fn states(&self) -> impl Iterator<Item = (&Subject, &PlaceState)> {
+        self.states.iter()
+    }
+
+    /// Takes the changes since the last call.
+    pub fn take_changes(&mut self) -> Vec<StateChange> {
+        std::mem::take(&mut self.changes)
+    }
+
+    /// Runs all rules once.
+    pub fn step(&mut self, now: Time, input: &EngineInput<'_>) {
+        if input.is_passive {
+            return;
+        }
+        self.adopt_decisions(now, input);
+        self.step_zones(now, input);
+        self.step_classes(now, input);
+        self.step_servers(now, input);
+        self.step_regions(now, input);
+        self.apply_restore_orders(now, input);
+        self.remove_old_states(now, input);
+    }
+
+    /// The decisions to publish: of all places that have ever changed, those not in full use first, then the newest.
+    pub fn place_decisions(&self) -> Vec<PlaceDecision> {
+        let mut changed: Vec<(&Subject, &PlaceState)> = self
+            .states
+            .iter()
+            .filter(|(_, state)| state.epoch > 0)
+            .collect();
+        changed
+            .sort_by_key(|(subject, state)| (state.share >= 1.0, Reverse(state.since), **subject));
+        changed
+            .into_iter()
+            .map(|(subject, state)| PlaceDecision::new(*subject, state))
+            .collect()
+    }
+
+    /// Whether a place gets its full share of new work.
+    fn is_in_full_use(&self, subject: &Subject) -> bool {
+        self.state(subject).share >= 1.0
+    }
+
+    fn set_state(&mut self, subject: Subject, state: PlaceState, witnesses: Witnesses) {
+        let former = self.states.insert(subject, state).unwrap_or_default();
+        if (former.phase, former.epoch) != (state.phase, state.epoch) {
+            self.changes.push(StateChange {
+                subject,
+                state,
+                witnesses,
+            });
+        }
+    }
+
+    /// Advances the state of a place by an assessment.
+    fn advance(
+        &mut self,
+        now: Time,
+        subject: Subject,
+        assessment: &Assessment,
+        alternatives: &Alternatives,
+    ) {
+        self.assessments.insert(subject, *assessment);
+        let mut state = self.state(&subject);
+        state.advance(now, assessment, alternatives);
+        self.set_state(subject, state, assessment.witnesses);
+    }
+
+    /// Begins to restore the places that operators have ordered to. A place that is evacuated again while the order holds is
+    /// restored again.
+    fn apply_restore_orders(&mut self, now: Time, input: &EngineInput<'_>) {
+        let is_to_be_restored = |(subject, state): &(&Subject, &PlaceState)| {
+            let order = input.orders.get(&input.topology.order_subject(subject));
+            order.is_some_and(|order| order.action == OrderAction::Restore)
+                && matches!(state.phase, Phase::Evacuated | Phase::Draining)
+                && state.cause != Cause::Operator
+        };
+        let to_restore: Vec<(Subject, PlaceState)> = self
+            .states
+            .iter()
+            .filter(is_to_be_restored)
+            .map(|(subject, state)| (*subject, *state))
+            .collect();
+        for (subject, mut state) in to_restore {
+            state.restore_by_order(now);
+            self.set_state(subject, state, Witnesses::default());
+        }
+    }
+
+    /// Removes the states of servers that are as if there had never been any evidence.
+    fn remove_old_states(&mut self, now: Time, input: &EngineInput<'_>) {
+        self.states.retain(|subject, state| {
+            let is_old = now >= state.since.saturating_add(SERVER_STATE_TIMEOUT_NS);
+            subject.kind != SubjectKind::Server
+                || state.share < 1.0
+                || !is_old
+                || input.reports.has_evidence_against(subject, now)
+        });
+    }
+}
--- /dev/null
+++ b/crates/evacuation/src/engine/regions.rs
@@ -0,0 +1,55 @@
+//! Regions most of which is evacuated.
+
+use super::{EngineInput, EvacuationEngine};
+use std::collections::BTreeMap;
+use woadstall_decisions::api::Time;
+use woadstall_health_reports::{Subject, Witnesses};
+
+/// The fraction of a region's size that must be in use for the region to be.
+const MIN_IN_USE_FRACTION: f64 = 0.5;
+
+#[derive(Clone, Copy, Default)]
+struct RegionSize {
+    total: f64,
+    in_use: f64,
+}
+
+impl RegionSize {
+    fn is_sound(&self) -> bool {
+        self.total > 0.0 && self.in_use > self.total * MIN_IN_USE_FRACTION
+    }
+}
+
+impl EvacuationEngine {
+    /// Evacuates a region most of which is evacuated, where there is a sound one: in one step, and not zone by zone.
+    pub(super) fn step_regions(&mut self, now: Time, input: &EngineInput<'_>) {
+        let sizes = self.region_sizes(input);
+        let has_sound_other = |region: &Subject| {
+            sizes
+                .iter()
+                .any(|(other, size)| other != region && size.is_sound())
+        };
+        for (subject, size) in &sizes {
+            let is_evacuated = size.total > 0.0 && !size.is_sound() && has_sound_other(subject);
+            let mut state = self.state(subject);
+            if is_evacuated == (state.share < 1.0) {
+                continue;
+            }
+            state.set_evacuated(now, is_evacuated);
+            self.set_state(*subject, state, Witnesses::default());
+        }
+    }
+
+    fn region_sizes(&self, input: &EngineInput<'_>) -> BTreeMap<Subject, RegionSize> {
+        let mut sizes: BTreeMap<Subject, RegionSize> = BTreeMap::new();
+        for (zone, zone_size) in input.topology.zones.iter().zip(input.zone_sizes) {
+            let Some(region) = zone.region_subject else {
+                continue;
+            };
+            let size = sizes.entry(region).or_default();
+            size.total += zone_size;
+            size.in_use += zone_size * self.state(&zone.subject).share;
+        }
+        sizes
+    }
+}
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -1,31 +1,34 @@
-//! Operators' words: they overrule what the fleet found, for a time, and the last of them holds.
+//! Operators' orders: they overrule what the fleet has decided, for a time, and the newest of them holds.
 
-use crate::packed;
+use crate::packed_list::{self, PackedListError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fmt;
+use std::time::Duration;
+use thiserror::Error;
 use woadstall_health_reports::Subject;
 
-/// Form of the bytes: raised when what they mean changes.
-const FORM: u8 = 1;
-const MOST: usize = 16;
-/// Words hold for so long at most: what is forgotten must end by itself.
-pub const LONGEST_MS: u64 = 24 * 3_600_000;
+/// The version of the format: raised when the meaning of the bytes changes.
+const VERSION: u8 = 1;
+/// The most places that have an order.
+const MAX_ORDERS: usize = 16;
+/// The longest validity of an order: one that is forgotten must end by itself.
+const MAX_VALIDITY: Duration = Duration::from_secs(24 * 3_600);
+const MAX_VALIDITY_MS: u64 = MAX_VALIDITY.as_millis() as u64;
 
-/// What an operator wants.
+/// What an operator orders. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum OrderAction {
-    /// It is left.
+    /// The place gets no new work.
     Evacuate,
-    /// It stays in use, whatever is found.
+    /// The place stays in use, whatever is observed.
     Keep,
-    /// What was said is taken back, and it is returned to.
+    /// Former orders are revoked, and the place is restored.
     Restore,
 }
 
 impl OrderAction {
-    /// Its word.
-    pub fn word(self) -> &'static str {
+    /// Its name in operators' commands and pages.
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Evacuate => "leave",
             Self::Keep => "hold",
@@ -34,87 +37,106 @@
     }
 }
 
-/// A word.
+/// An operator's order. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// About which place.
+    /// The place.
     pub subject: Subject,
-    /// What.
-    pub what: OrderAction,
-    /// When it was given, Unix time in milliseconds: the last one holds.
+    /// What is ordered.
+    pub action: OrderAction,
+    /// When it was given, in Unix milliseconds: the newest order holds.
     pub issued_ms: u64,
-    /// When it ends.
+    /// When it ends, in Unix milliseconds.
     pub until_ms: u64,
-    /// Drawn when it was given, so that two of one millisecond have an order.
+    /// Drawn at random when it was given, to order two orders of one millisecond.
     pub id: u32,
 }
 
-/// Bytes that are no orders.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OrderError;
+/// The bytes are no orders.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("cannot decode orders")]
+pub struct OrderError(#[from] PackedListError);
 
-impl fmt::Display for OrderError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("no orders of a form that is known here")
-    }
+/// Why an order is not taken.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum SubmitError {
+    /// A newer order for the place, or the same one, is known.
+    #[error("a newer order holds")]
+    Superseded,
+    /// Its time of issue is too far in the future: nobody could overrule it for long.
+    #[error("the order's time of issue is too far in the future")]
+    IssuedInFuture,
+    /// It has ended already.
+    #[error("the order has ended")]
+    Expired,
+    /// Too many other places have orders.
+    #[error("there are too many orders")]
+    TooMany,
 }
 
-impl std::error::Error for OrderError {}
-
-/// All that are in force, the last of each place.
+/// All orders that hold, the newest of each place.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderTable {
-    all: BTreeMap<Subject, Order>,
+    by_subject: BTreeMap<Subject, Order>,
 }
 
 impl OrderTable {
-    /// Takes a word, if it is later than what is known and not over. Whether it was.
-    pub fn take(&mut self, now_ms: u64, order: Order) -> bool {
+    /// Takes an order. It ends after 24 hours at the latest.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error, and changes nothing, if the order is not newer than the known one, not valid, or one too many.
+    pub fn submit(&mut self, now_ms: u64, order: Order) -> Result<(), SubmitError> {
         let until_ms = order
             .until_ms
-            .min(order.issued_ms.saturating_add(LONGEST_MS));
+            .min(order.issued_ms.saturating_add(MAX_VALIDITY_MS));
         let order = Order { until_ms, ..order };
-        // A clock that is ahead must not give words that nobody can overrule for long.
-        let ahead = order.issued_ms > now_ms.saturating_add(LONGEST_MS);
-        let key = |order: &Order| (order.issued_ms, order.id);
-        let known = self
-            .all
-            .get(&order.subject)
-            .is_some_and(|known| key(known) >= key(&order));
-        if known || ahead || order.until_ms <= now_ms {
-            return false;
+        let age_of = |order: &Order| (order.issued_ms, order.id);
+        let known = self.by_subject.get(&order.subject);
+        if known.is_some_and(|known| age_of(known) >= age_of(&order)) {
+            return Err(SubmitError::Superseded);
+        }
+        if order.issued_ms > now_ms.saturating_add(MAX_VALIDITY_MS) {
+            return Err(SubmitError::IssuedInFuture);
+        }
+        if order.until_ms <= now_ms {
+            return Err(SubmitError::Expired);
         }
-        if !self.all.contains_key(&order.subject) && self.all.len() >= MOST {
-            return false;
+        if known.is_none() && self.by_subject.len() >= MAX_ORDERS {
+            return Err(SubmitError::TooMany);
         }
-        self.all.insert(order.subject, order);
-        true
+        self.by_subject.insert(order.subject, order);
+        Ok(())
     }
 
-    /// Forgets those that are over. Whether there were any.
-    pub fn forget(&mut self, now_ms: u64) -> bool {
-        let before = self.all.len();
-        self.all.retain(|_, order| now_ms < order.until_ms);
-        before != self.all.len()
+    /// Removes the orders that have ended and returns whether there were any.
+    pub fn remove_expired(&mut self, now_ms: u64) -> bool {
+        let before = self.by_subject.len();
+        self.by_subject.retain(|_, order| now_ms < order.until_ms);
+        before != self.by_subject.len()
     }
 
-    /// The one that holds for a place.
-    pub fn of(&self, subject: &Subject) -> Option<&Order> {
-        self.all.get(subject)
+    /// The order that holds for a place.
+    pub fn get(&self, subject: &Subject) -> Option<&Order> {
+        self.by_subject.get(subject)
     }
 
-    /// All, as bytes: as many as fit.
-    pub fn write(&self, most: usize) -> Vec<u8> {
-        packed::write(FORM, self.all.values(), most)
+    /// Encodes the orders that fit into `max_bytes`.
+    pub fn encode(&self, max_bytes: usize) -> Vec<u8> {
+        packed_list::encode(VERSION, self.by_subject.values(), max_bytes)
     }
 
-    /// From bytes.
-    pub fn read(bytes: &[u8]) -> Result<Vec<Order>, OrderError> {
-        packed::read(FORM, bytes, MOST).ok_or(OrderError)
+    /// Decodes a list of orders.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the bytes are no list of this version.
+    pub fn decode(bytes: &[u8]) -> Result<Vec<Order>, OrderError> {
+        Ok(packed_list::decode(VERSION, bytes, MAX_ORDERS)?)
     }
 
-    /// Whether there are none.
+    /// Whether no order holds.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.by_subject.is_empty()
     }
 }
--- a/crates/evacuation/src/place_decision.rs
+++ b/crates/evacuation/src/place_decision.rs
@@ -1,64 +1,64 @@
-//! What a balancer has found of places, for those who were not there: few bytes, read with care.
+//! What a balancer has decided about places, published for members that were absent.
 
-use crate::packed;
-use crate::standing::{Phase, PlaceState};
+use crate::packed_list::{self, PackedListError};
+use crate::place_state::{Phase, PlaceState};
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 use woadstall_health_reports::Subject;
 
-/// Form of the bytes: raised when what they mean changes.
-const FORM: u8 = 1;
-const MOST: usize = 32;
+/// The version of the format: raised when the meaning of the bytes changes.
+const VERSION: u8 = 1;
+/// The most decisions in one fact.
+const MAX_DECISIONS: usize = 32;
+/// Shares are written in hundredths.
+const UNITS_PER_SHARE: f64 = 100.0;
 
-/// One place.
+/// A balancer's decision about one place. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlaceDecision {
-    /// Which.
+    /// The place.
     pub subject: Subject,
     /// Its epoch.
     pub epoch: u32,
-    /// Its state.
-    pub state: Phase,
+    /// Its phase.
+    pub phase: Phase,
     /// Its share, in hundredths.
     share: u8,
 }
 
-/// Bytes that are no decisions.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PlaceDecisionError;
-
-impl fmt::Display for PlaceDecisionError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("no decisions of a form that is known here")
-    }
-}
-
-impl std::error::Error for PlaceDecisionError {}
+/// The bytes are no place decisions.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("cannot decode place decisions")]
+pub struct PlaceDecisionError(#[from] PackedListError);
 
 impl PlaceDecision {
-    /// Of a place as it stands.
-    pub fn new(subject: Subject, standing: &PlaceState) -> Self {
-        let share = (standing.share.clamp(0.0, 1.0) * 100.0).round() as u8;
+    /// The decision that a place is in a state.
+    pub fn new(subject: Subject, state: &PlaceState) -> Self {
+        let share = (state.share.clamp(0.0, 1.0) * UNITS_PER_SHARE).round() as u8;
         Self {
             subject,
-            epoch: standing.epoch,
-            state: standing.state,
+            epoch: state.epoch,
+            phase: state.phase,
             share,
         }
     }
 
-    /// Its share.
+    /// The share of its usual new work that the place gets, from 0 to 1.
     pub fn share(&self) -> f64 {
-        f64::from(self.share.min(100)) / 100.0
+        f64::from(self.share.min(UNITS_PER_SHARE as u8)) / UNITS_PER_SHARE
     }
 
-    /// All as bytes: as many as fit.
-    pub fn write(all: &[Self], most: usize) -> Vec<u8> {
-        packed::write(FORM, all.iter().take(MOST), most)
+    /// Encodes the decisions that fit into `max_bytes`, in their order.
+    pub fn encode(decisions: &[Self], max_bytes: usize) -> Vec<u8> {
+        packed_list::encode(VERSION, decisions.iter().take(MAX_DECISIONS), max_bytes)
     }
 
-    /// All from bytes.
-    pub fn read(bytes: &[u8]) -> Result<Vec<Self>, PlaceDecisionError> {
-        packed::read(FORM, bytes, MOST).ok_or(PlaceDecisionError)
+    /// Decodes a list of decisions.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the bytes are no list of this version.
+    pub fn decode(bytes: &[u8]) -> Result<Vec<Self>, PlaceDecisionError> {
+        Ok(packed_list::decode(VERSION, bytes, MAX_DECISIONS)?)
     }
 }
--- a/crates/evacuation/src/status.rs
+++ b/crates/evacuation/src/status.rs
@@ -1,46 +1,56 @@
-//! What operators are shown.
+//! The status that operators are shown, as JSON. The names of its fields are part of the interface.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One place.
+/// The status of one place.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlaceStatus {
     /// `zone NAME`, `region NAME`, `nodo NAME`, or a class at a zone.
     pub name: String,
-    /// Its state, in a word.
-    pub state: String,
+    /// The name of its phase.
+    #[serde(rename = "state")]
+    pub phase: String,
     /// Raised with each change.
     pub epoch: u32,
-    /// For how long it has the state, in seconds.
-    pub for_s: f64,
-    /// Part of its new work that it gets, apart from trials.
+    /// How long it has been in its phase, in seconds.
+    #[serde(rename = "for_s")]
+    pub phase_for_s: f64,
+    /// The share of its usual new work that it gets, from 0 to 1, apart from trials.
     pub share: f64,
-    /// What that rests on.
-    pub why: String,
-    /// Witnesses against it.
-    pub against: usize,
-    /// And for it.
-    pub for_it: usize,
-    /// How often it failed again while it was returned to.
+    /// What the decision rests on.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// The witnesses against it.
+    #[serde(rename = "against")]
+    pub witnesses_against: usize,
+    /// The witnesses for it.
+    #[serde(rename = "for_it")]
+    pub witnesses_in_favor: usize,
+    /// How often it failed again while it was being restored.
     pub relapses: u32,
-    /// Its nodos in service, of a zone.
-    pub nodos: usize,
-    /// An operator's word that holds.
+    /// A zone's servers in service.
+    #[serde(rename = "nodos")]
+    pub servers: usize,
+    /// The operator's order that holds.
     pub order: Option<String>,
-    /// How long it still holds, in seconds.
-    pub order_ends_s: Option<f64>,
-    /// Members of this zone that have told another epoch.
-    pub not_followed: Vec<String>,
+    /// The remaining validity of that order, in seconds.
+    #[serde(rename = "order_ends_s")]
+    pub order_remaining_s: Option<f64>,
+    /// Members of this zone whose published decision has another epoch.
+    #[serde(rename = "not_followed")]
+    pub members_behind: Vec<String>,
 }
 
-/// All places.
+/// The status of all places.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Zones, regions, and what else is not in use.
+    /// Zones, regions, and everything else that is not in use.
     pub places: Vec<PlaceStatus>,
-    /// Members whose word was the opposite of what was found, and how often.
-    pub odd: BTreeMap<String, u32>,
-    /// Health reports that could not be read.
-    pub unread: u64,
+    /// How often members have reported the opposite of what was observed, by member.
+    #[serde(rename = "odd")]
+    pub contradicting_members: BTreeMap<String, u32>,
+    /// Health reports that could not be decoded.
+    #[serde(rename = "unread")]
+    pub malformed_reports: u64,
 }
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -15,10 +15,10 @@
 }
 
 fn place_decisions() -> Vec<PlaceDecision> {
-    let decision = |subject: Subject, state: Phase, epoch: u32, share: f64| {
-        let mut standing = PlaceState::default();
-        (standing.state, standing.epoch, standing.share) = (state, epoch, share);
-        PlaceDecision::new(subject, &standing)
+    let decision = |subject: Subject, phase: Phase, epoch: u32, share: f64| {
+        let mut state = PlaceState::default();
+        (state.phase, state.epoch, state.share) = (phase, epoch, share);
+        PlaceDecision::new(subject, &state)
     };
     vec![
         decision(Subject::zone("0", "norte"), Phase::InUse, 4, 1.0),
@@ -47,28 +47,28 @@
 #[test]
 fn place_decisions_have_the_golden_bytes() {
     assert_golden(
-        &PlaceDecision::write(&place_decisions(), 256),
+        &PlaceDecision::encode(&place_decisions(), 256),
         PLACE_DECISIONS,
     );
-    assert_golden(&PlaceDecision::write(&[], 256), "01");
+    assert_golden(&PlaceDecision::encode(&[], 256), "01");
 }
 
 #[test]
-fn golden_bytes_are_read_back_to_the_same_place_decisions() {
-    let bytes = PlaceDecision::write(&place_decisions(), 256);
+fn golden_bytes_are_decoded_to_the_same_place_decisions() {
+    let bytes = PlaceDecision::encode(&place_decisions(), 256);
     assert_golden(&bytes, PLACE_DECISIONS);
-    let read = PlaceDecision::read(&bytes).unwrap();
-    assert_eq!(read, place_decisions());
-    let shares: Vec<f64> = read.iter().map(PlaceDecision::share).collect();
+    let decoded = PlaceDecision::decode(&bytes).unwrap();
+    assert_eq!(decoded, place_decisions());
+    let shares: Vec<f64> = decoded.iter().map(PlaceDecision::share).collect();
     assert_eq!(shares, [1.0, 1.0, 0.2, 0.6, 0.0]);
 }
 
 const NOW_MS: u64 = 1_767_225_600_000;
 
 fn orders() -> Vec<Order> {
-    let order = |subject: Subject, what: OrderAction, id: u32| Order {
+    let order = |subject: Subject, action: OrderAction, id: u32| Order {
         subject,
-        what,
+        action,
         issued_ms: NOW_MS - u64::from(id % 100),
         until_ms: NOW_MS + 600_000,
         id,
@@ -91,36 +91,39 @@
     "00f9cfeab6b733c09f8fb7b7330703d5d45bc4aaef0280d0eab6b733c09f8fb7b73300"
 );
 
-fn written_orders() -> Vec<u8> {
+fn encoded_orders() -> Vec<u8> {
     let mut all = OrderTable::default();
     for order in orders() {
-        assert!(all.take(NOW_MS, order));
+        assert!(all.submit(NOW_MS, order).is_ok());
     }
-    all.write(256)
+    all.encode(256)
 }
 
 #[test]
 fn orders_have_the_golden_bytes() {
-    assert_golden(&written_orders(), ORDERS);
-    assert_golden(&OrderTable::default().write(256), "01");
+    assert_golden(&encoded_orders(), ORDERS);
+    assert_golden(&OrderTable::default().encode(256), "01");
 }
 
 #[test]
-fn golden_bytes_are_read_back_to_the_same_orders() {
-    let bytes = written_orders();
+fn golden_bytes_are_decoded_to_the_same_orders() {
+    let bytes = encoded_orders();
     assert_golden(&bytes, ORDERS);
-    assert_eq!(OrderTable::read(&bytes).unwrap(), orders());
+    assert_eq!(OrderTable::decode(&bytes).unwrap(), orders());
 }
 
 #[test]
-fn what_does_not_fit_is_left_out_at_the_end() {
-    let bytes = PlaceDecision::write(&place_decisions(), 25);
-    assert_eq!(PlaceDecision::read(&bytes).unwrap(), place_decisions()[..2]);
+fn decisions_that_do_not_fit_are_left_out_at_the_end() {
+    let bytes = PlaceDecision::encode(&place_decisions(), 25);
+    assert_eq!(
+        PlaceDecision::decode(&bytes).unwrap(),
+        place_decisions()[..2]
+    );
 }
 
 #[test]
-fn states_and_orders_have_the_words_that_operators_know() {
-    let states = [
+fn phases_and_orders_have_the_names_that_operators_know() {
+    let phases = [
         Phase::InUse,
         Phase::Suspected,
         Phase::Restoring,
@@ -128,7 +131,7 @@
         Phase::Evacuated,
     ];
     assert_eq!(
-        states.map(Phase::word),
+        phases.map(Phase::as_str),
         ["in use", "doubted", "returning", "leaving", "left"]
     );
     assert_eq!(
@@ -137,7 +140,7 @@
             OrderAction::Keep,
             OrderAction::Restore
         ]
-        .map(OrderAction::word),
+        .map(OrderAction::as_str),
         ["leave", "hold", "return"]
     );
 }
@@ -147,23 +150,23 @@
         places: vec![
             PlaceStatus {
                 name: "zone norte".to_owned(),
-                state: "left".to_owned(),
+                phase: "left".to_owned(),
                 epoch: 3,
-                for_s: 1.5,
+                phase_for_s: 1.5,
                 share: 0.0,
-                why: "an operator's word, leave; 90% of 40 calls fail".to_owned(),
-                against: 5,
-                for_it: 1,
+                reason: "an operator's word, leave; 90% of 40 calls fail".to_owned(),
+                witnesses_against: 5,
+                witnesses_in_favor: 1,
                 relapses: 2,
-                nodos: 8,
+                servers: 8,
                 order: Some("leave".to_owned()),
-                order_ends_s: Some(59.5),
-                not_followed: vec!["b-1".to_owned(), "b-2".to_owned()],
+                order_remaining_s: Some(59.5),
+                members_behind: vec!["b-1".to_owned(), "b-2".to_owned()],
             },
             PlaceStatus::default(),
         ],
-        odd: BTreeMap::from([("b-9".to_owned(), 3)]),
-        unread: 11,
+        contradicting_members: BTreeMap::from([("b-9".to_owned(), 3)]),
+        malformed_reports: 11,
     }
 }
 
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -1,11 +1,13 @@
-//! What the coordinators of a small fleet find in a fixed course of failures, as one digest: what renames and splits
-//! must not change.
+//! What the coordinators of a small fleet decide in a fixed sequence of failures, as one digest: refactorings must not
+//! change it.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use woadstall_decisions::api::{FailureDomain, Outcome, ServerId};
-use woadstall_evacuation::{Coordinator, Order, OrderAction, Settings, Topology};
-use woadstall_health_reports::{CompletedAttempt, PendingAttempt, SubjectKind};
+use woadstall_evacuation::{
+    Coordinator, CoordinatorSettings, ListedServer, Order, OrderAction, Topology,
+};
+use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt, SubjectKind};
 use woadstall_membership::{Generation, MemberMetadata, Name, Node};
 
 const MS: u64 = 1_000_000;
@@ -19,7 +21,7 @@
 ];
 const CLASSES: [&str; 2] = ["chat", "lote"];
 const BALANCERS_PER_ZONE: usize = 4;
-const NODOS_PER_ZONE: u32 = 4;
+const SERVERS_PER_ZONE: u32 = 4;
 const CALLS_PER_STEP: u32 = 6;
 
 /// FNV-1a over everything that is written to it.
@@ -37,7 +39,7 @@
     }
 }
 
-/// The course's own random numbers (SplitMix64).
+/// The test's own random numbers (SplitMix64).
 struct Draws(u64);
 
 impl Draws {
@@ -53,8 +55,8 @@
     node: Node,
     coordinator: Coordinator,
     calls: u32,
-    /// Calls that hang: attempt, nodo, class, when they were sent.
-    hanging: Vec<((u32, u32), ServerId, usize, u64)>,
+    /// Calls that hang, each with the time when it was sent.
+    hanging: Vec<(PendingAttempt, u64)>,
 }
 
 fn name(text: &str) -> Name {
@@ -88,22 +90,18 @@
     )
     .unwrap();
     let zones = ZONES.map(|(zone, region)| (zone.to_owned(), Some(region.to_owned())));
-    let places = Topology::new("0", &zones, &CLASSES.map(str::to_owned));
-    let mut coordinator = Coordinator::new(Settings { places, zone });
-    let nodos: Vec<(ServerId, String, usize)> = (0..NODOS_PER_ZONE * ZONES.len() as u32)
-        .map(|nodo| {
-            (
-                ServerId(nodo),
-                format!("nodo-{nodo}"),
-                (nodo / NODOS_PER_ZONE) as usize,
-            )
-        })
-        .collect();
-    coordinator.listed(
-        nodos
-            .iter()
-            .map(|(id, name, zone)| (*id, name.as_str(), 1, *zone, Some(1.0))),
-    );
+    let topology = Topology::new("0", &zones, &CLASSES.map(str::to_owned));
+    let mut coordinator = Coordinator::new(CoordinatorSettings { topology, zone });
+    let servers =
+        (0..SERVERS_PER_ZONE * ZONES.len() as u32).map(|server| (server, format!("nodo-{server}")));
+    let servers: Vec<(u32, String)> = servers.collect();
+    coordinator.set_servers(servers.iter().map(|(server, name)| ListedServer {
+        server: ServerId(*server),
+        name,
+        boot_ms: 1,
+        zone: (server / SERVERS_PER_ZONE) as usize,
+        size: Some(1.0),
+    }));
     Balancer {
         node,
         coordinator,
@@ -112,12 +110,12 @@
     }
 }
 
-/// What goes wrong at a nodo at a time, in seconds: percent of its calls that fail, and percent that are late.
-fn faults(second: u64, nodo: u32, class: usize) -> (u64, u64) {
-    let zone = nodo / NODOS_PER_ZONE;
+/// The faults of a server at a time, in seconds: percent of its calls that fail, and percent that are late.
+fn faults(second: u64, server: u32, class: usize) -> (u64, u64) {
+    let zone = server / SERVERS_PER_ZONE;
     match second {
         10..22 if zone == 0 => (90, 5),
-        30..38 if nodo == 5 => (80, 0),
+        30..38 if server == 5 => (80, 0),
         40..52 if zone == 1 && class == 1 => (70, 0),
         55..63 if zone == 2 => (0, 70),
         66..72 if zone < 2 => (100, 0),
@@ -128,67 +126,78 @@
 impl Balancer {
     fn calls(&mut self, now: u64, draws: &mut Draws) {
         for _ in 0..CALLS_PER_STEP {
-            self.calls += 1;
-            let server = draws.below(u64::from(NODOS_PER_ZONE) * ZONES.len() as u64) as u32;
-            let class = draws.below(2) as usize;
-            let attempt = (self.calls, 1);
-            let (failing, late) = faults(now / (1_000 * MS), server, class);
-            let drawn = draws.below(100);
-            let usual = 20 * MS + draws.below(10) * MS;
-            let (outcome, took) = match drawn {
-                _ if drawn < failing && draws.below(3) == 0 => {
-                    self.hanging.push((attempt, ServerId(server), class, now));
-                    continue;
-                }
-                _ if drawn < failing / 2 => (Outcome::Error, usual),
-                _ if drawn < failing => (Outcome::Timeout, 80 * MS),
-                _ if drawn < failing + late => (Outcome::Ok, 8 * usual),
-                _ => (Outcome::Ok, usual),
-            };
-            let server = ServerId(server);
-            self.coordinator.saw(
-                now,
-                &CompletedAttempt {
-                    attempt,
-                    server,
-                    class,
-                    outcome,
-                    took,
-                },
-            );
+            self.call(now, draws);
         }
-        let hung = |sent: u64| now >= sent + 1_000 * MS;
-        for (attempt, server, class, _) in self.hanging.extract_if(.., |(.., sent)| hung(*sent)) {
-            let (outcome, took) = (Outcome::Timeout, 1_000 * MS);
-            self.coordinator.saw(
-                now,
-                &CompletedAttempt {
-                    attempt,
+        self.end_hanging_calls(now);
+        let pending = self.hanging.iter().map(|(pending, sent)| PendingAttempt {
+            age: now - sent,
+            ..*pending
+        });
+        self.coordinator.record_pending(now, pending);
+    }
+
+    fn call(&mut self, now: u64, draws: &mut Draws) {
+        self.calls += 1;
+        let id = AttemptId {
+            request: self.calls,
+            attempt: 1,
+        };
+        let server = draws.below(u64::from(SERVERS_PER_ZONE) * ZONES.len() as u64) as u32;
+        let class = draws.below(2) as usize;
+        let (failing, late) = faults(now / (1_000 * MS), server, class);
+        let server = ServerId(server);
+        let drawn = draws.below(100);
+        let usual = 20 * MS + draws.below(10) * MS;
+        let (outcome, took) = match drawn {
+            _ if drawn < failing && draws.below(3) == 0 => {
+                let pending = PendingAttempt {
+                    id,
                     server,
                     class,
-                    outcome,
-                    took,
-                },
-            );
-        }
-        let out = self
+                    age: 0,
+                };
+                self.hanging.push((pending, now));
+                return;
+            }
+            _ if drawn < failing / 2 => (Outcome::Error, usual),
+            _ if drawn < failing => (Outcome::Timeout, 80 * MS),
+            _ if drawn < failing + late => (Outcome::Ok, 8 * usual),
+            _ => (Outcome::Ok, usual),
+        };
+        let completed = CompletedAttempt {
+            id,
+            server,
+            class,
+            outcome,
+            took,
+        };
+        self.coordinator.record_completed(now, &completed);
+    }
+
+    fn end_hanging_calls(&mut self, now: u64) {
+        let timeout = 1_000 * MS;
+        let has_timed_out = |sent: u64| now >= sent + timeout;
+        for (pending, _) in self
             .hanging
-            .iter()
-            .map(|(attempt, server, class, sent)| PendingAttempt {
-                attempt: *attempt,
-                server: *server,
-                class: *class,
-                age: now - sent,
-            });
-        self.coordinator.out(now, out);
+            .extract_if(.., |(_, sent)| has_timed_out(*sent))
+        {
+            let completed = CompletedAttempt {
+                id: pending.id,
+                server: pending.server,
+                class: pending.class,
+                outcome: Outcome::Timeout,
+                took: timeout,
+            };
+            self.coordinator.record_completed(now, &completed);
+        }
     }
 
-    fn turn(&mut self, now: u64, digest: &mut Digest) -> usize {
-        let turn = self
+    fn step(&mut self, now: u64, digest: &mut Digest) -> usize {
+        let output = self
             .coordinator
-            .turn(now, UNIX_MS + now / MS, &mut self.node);
-        digest.number(turn.lines.len() as u64);
-        for verdict in &turn.verdicts {
+            .step(now, UNIX_MS + now / MS, &mut self.node);
+        digest.number(output.lines.len() as u64);
+        for verdict in &output.verdicts {
             match verdict.domain {
                 FailureDomain::Zone(zone, class) => {
                     digest.number(u64::from(zone.0));
@@ -199,7 +208,7 @@
             digest.number(u64::from(verdict.share.to_bits()));
             digest.number(verdict.until);
         }
-        turn.verdicts.len()
+        output.verdicts.len()
     }
 }
 
@@ -222,25 +231,23 @@
     }
 }
 
-fn order(fleet: &mut [Balancer], now: u64, kind: SubjectKind, place: &str, what: OrderAction) {
+fn order(fleet: &mut [Balancer], now: u64, kind: SubjectKind, place: &str, action: OrderAction) {
     let coordinator = &mut fleet[1].coordinator;
-    let subject = coordinator.place(kind, place).unwrap();
+    let subject = coordinator.order_subject(kind, place).unwrap();
     let issued_ms = UNIX_MS + now / MS;
     let until_ms = issued_ms + 4_000;
-    assert!(coordinator.order(
+    let order = Order {
+        subject,
+        action,
         issued_ms,
-        Order {
-            subject,
-            what,
-            issued_ms,
-            until_ms,
-            id: 1
-        }
-    ));
+        until_ms,
+        id: 1,
+    };
+    assert!(coordinator.submit_order(issued_ms, order).is_ok());
 }
 
 #[test]
-fn a_fleet_finds_the_same_in_a_fixed_course_of_failures() {
+fn a_fleet_takes_the_golden_decisions_in_a_fixed_sequence_of_failures() {
     let mut fleet: Vec<Balancer> = (0..ZONES.len() * BALANCERS_PER_ZONE)
         .map(balancer)
         .collect();
@@ -284,7 +291,7 @@
             fleet[number].node.tick(now);
             deliver(&mut fleet, now);
             fleet[number].calls(now, &mut draws);
-            verdicts += fleet[number].turn(now, &mut digest);
+            verdicts += fleet[number].step(now, &mut digest);
             deliver(&mut fleet, now);
         }
     }
--- a/crates/health-reports/src/health_report.rs
+++ b/crates/health-reports/src/health_report.rs
@@ -1,101 +1,126 @@
-//! What a balancer tells of its counts: the worst and the most of them that fit into a fact.
+//! The wire format of a balancer's counts: as many of them as fit into one fact of the membership protocol.
 
-use crate::counts::CallCounts;
+use crate::call_counts::CallCounts;
 use crate::subject::Subject;
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 use woadstall_decisions::api::Time;
 
-/// Form of the bytes: raised when what they mean changes.
-const FORM: u8 = 1;
-/// Counts are told in quarters.
-const PARTS: f64 = 4.0;
-/// A count beyond this says no more.
-const MOST: f64 = 1e4;
-/// Lines that are read: what more there is comes from nobody who keeps to the bytes.
-const LINES: usize = 64;
+/// The version of the format: raised when the meaning of the bytes changes.
+const VERSION: u8 = 1;
+/// Counts are written in quarters of a call.
+const UNITS_PER_CALL: f64 = 4.0;
+/// The largest count that is written.
+const MAX_COUNT: f64 = 1e4;
+/// The most entries that are read: no sound sender writes more.
+const MAX_ENTRIES: usize = 64;
 
-/// One subject's counts.
+/// The counts of one subject. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
-    /// What it is about.
+pub struct ReportEntry {
+    /// The subject.
     pub subject: Subject,
-    /// In quarters of a call.
-    tries: u16,
+    /// In quarters of a call, as the other two.
+    attempts: u16,
     failed: u16,
     late: u16,
 }
 
-impl Line {
-    /// Counts as they are at a time.
+impl ReportEntry {
+    /// An entry with counts as they are at the time of the report.
     pub fn new(subject: Subject, counts: &CallCounts) -> Self {
-        let part = |count: f64| (count.clamp(0.0, MOST) * PARTS).round() as u16;
+        let units = |count: f64| (count.clamp(0.0, MAX_COUNT) * UNITS_PER_CALL).round() as u16;
         Self {
             subject,
-            tries: part(counts.tries),
-            failed: part(counts.failed),
-            late: part(counts.late),
+            attempts: units(counts.attempts),
+            failed: units(counts.failed),
+            late: units(counts.late),
         }
     }
 
-    /// The counts, said at a time. No more can have failed than were tried, whatever is said.
+    /// The counts of a report that was made at a time. No more calls can have failed than were made, whatever the bytes say.
     pub fn counts(&self, at: Time) -> CallCounts {
-        let whole = |count: u16| f64::from(count) / PARTS;
-        let tries = whole(self.tries);
-        let failed = whole(self.failed).min(tries);
-        CallCounts::new(tries, failed, whole(self.late).min(tries - failed), at)
+        let calls = |units: u16| f64::from(units) / UNITS_PER_CALL;
+        let attempts = calls(self.attempts);
+        let failed = calls(self.failed).min(attempts);
+        CallCounts::new(
+            attempts,
+            failed,
+            calls(self.late).min(attempts - failed),
+            at,
+        )
     }
 }
 
-/// What one tells.
+/// A balancer's report of what it has observed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HealthReport(pub Vec<Line>);
-
-/// Bytes that are no health report.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HealthReportError;
-
-impl fmt::Display for HealthReportError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("no health report of a form that is known here")
-    }
+pub struct HealthReport {
+    /// The counts by subject, the most important first.
+    pub entries: Vec<ReportEntry>,
 }
 
-impl std::error::Error for HealthReportError {}
+/// Why bytes are no health report.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum HealthReportError {
+    /// There are no bytes.
+    #[error("health report is empty")]
+    Empty,
+    /// The version is not known here.
+    #[error("health report of version {found}, expected {VERSION}")]
+    UnknownVersion {
+        /// The version of the bytes.
+        found: u8,
+    },
+    /// An entry cannot be decoded.
+    #[error("health report entry {index} cannot be decoded")]
+    Entry {
+        /// The position of the entry, from 0.
+        index: usize,
+        /// Why.
+        source: postcard::Error,
+    },
+    /// There are more entries than any sender writes.
+    #[error("health report has more than {MAX_ENTRIES} entries")]
+    TooManyEntries,
+}
 
 impl HealthReport {
-    /// As bytes: as many lines as fit, in their order.
-    pub fn write(&self, most: usize) -> Vec<u8> {
-        let mut bytes = vec![FORM];
-        for line in &self.0 {
-            let Ok(line) = postcard::to_stdvec(line) else {
+    /// Encodes as many entries as fit into `max_bytes`, in their order.
+    pub fn encode(&self, max_bytes: usize) -> Vec<u8> {
+        let mut bytes = vec![VERSION];
+        for entry in &self.entries {
+            let Ok(encoded) = postcard::to_stdvec(entry) else {
                 continue;
             };
-            if bytes.len() + line.len() > most {
+            if bytes.len() + encoded.len() > max_bytes {
                 break;
             }
-            bytes.extend(line);
+            bytes.extend(encoded);
         }
         bytes
     }
 
-    /// From bytes.
-    pub fn read(bytes: &[u8]) -> Result<Self, HealthReportError> {
-        let (form, mut rest) = bytes.split_first().ok_or(HealthReportError)?;
-        let mut lines = Vec::new();
+    /// Decodes a report.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the bytes are no report of this version.
+    pub fn decode(bytes: &[u8]) -> Result<Self, HealthReportError> {
+        let (version, mut rest) = bytes.split_first().ok_or(HealthReportError::Empty)?;
+        if *version != VERSION {
+            return Err(HealthReportError::UnknownVersion { found: *version });
+        }
+        let mut entries = Vec::new();
         while !rest.is_empty() {
-            let (line, after) =
-                postcard::take_from_bytes::<Line>(rest).map_err(|_| HealthReportError)?;
-            lines.push(line);
+            let index = entries.len();
+            let (entry, after) = postcard::take_from_bytes::<ReportEntry>(rest)
+                .map_err(|source| HealthReportError::Entry { index, source })?;
+            entries.push(entry);
             rest = after;
-            if lines.len() > LINES {
-                return Err(HealthReportError);
+            if entries.len() > MAX_ENTRIES {
+                return Err(HealthReportError::TooManyEntries);
             }
         }
-        if *form == FORM {
-            Ok(Self(lines))
-        } else {
-            Err(HealthReportError)
-        }
+        Ok(Self { entries })
     }
 }
--- a/crates/health-reports/src/lib.rs
+++ b/crates/health-reports/src/lib.rs
@@ -1,25 +1,32 @@
-//! What balancers saw of nodos and zones: counted by each, told in few bytes, weighed together.
+//! Health reports: what balancers observed of servers and zones, counted by each, reported in few bytes, and assessed
+//! together.
 //!
-//! A [`CallStats`] counts what this balancer's own calls came to. A [`HealthReport`] is what it tells of that. The
-//! [`ReportTable`] holds the health reports of all, and its [`Assessment`] of a subject says how strongly they speak against it,
-//! seen from one zone, with those left out that a tenth of liars could have made up. Nothing here does input or output
-//! or reads a clock, and nothing decides: `woadstall-evacuation` does. The design is in `docs/evacuation.md`.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! [`CallStats`] counts the outcomes of this balancer's own calls. A [`HealthReport`] carries those counts to the other
+//! balancers. The [`ReportTable`] holds the newest report of each, and its [`Assessment`] of a [`Subject`] says how strong
+//! the evidence against it is, as seen from one zone, without the weights that a tenth of faulty witnesses could have made
+//! up.
+//!
+//! The crate does no I/O and reads no clock: times are nanoseconds on the caller's clock. It takes no decisions; the
+//! evacuation crate does. The design is in `docs/evacuation.md`.
 
-mod counts;
+mod assessment;
+mod call_counts;
+mod call_stats;
+mod cusum;
 mod health_report;
-mod hearing;
-mod ledger;
+mod log_odds;
+mod report_table;
 mod subject;
-mod weight;
 
-pub use counts::CallCounts;
-pub use health_report::{HealthReport, HealthReportError, Line};
-pub use hearing::{Assessment, AssessmentQuery, ReportTable};
-pub use ledger::{CallStats, CompletedAttempt, PendingAttempt};
-pub use subject::{Subject, SubjectKind};
-pub use weight::{
-    EvidenceSum, SERVER_UNHEALTHY_LOG_ODDS, Symptom, UNHEALTHY_LOG_ODDS, enough, max_faulty,
+pub use assessment::{Assessment, AssessmentQuery, Baseline, Witnesses};
+pub use call_counts::{CallCounts, RateEstimate};
+pub use call_stats::{
+    AttemptId, CallStats, CompletedAttempt, PendingAttempt, ServerStats, SubjectStats,
 };
+pub use health_report::{HealthReport, HealthReportError, ReportEntry};
+pub use log_odds::{
+    EvidenceSum, EvidenceThreshold, SERVER_UNHEALTHY_LOG_ODDS, Symptom, UNHEALTHY_LOG_ODDS,
+    WeighedReport, max_faulty,
+};
+pub use report_table::{ReportTable, ReportedCounts};
+pub use subject::{Subject, SubjectKind};
--- /dev/null
+++ b/crates/health-reports/src/log_odds.rs
@@ -0,0 +1,136 @@
+//! How strongly the counts of one witness speak for a subject being unhealthy, and what remains of many witnesses without
+//! the faulty ones.
+
+use crate::assessment::Witnesses;
+use crate::call_counts::CallCounts;
+
+/// How a subject is unhealthy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum Symptom {
+    /// Calls fail.
+    Failing,
+    /// Answers come far later than usual, or not at all.
+    Late,
+}
+
+/// The rate of calls that fail, or are late, at an unhealthy subject: half of them would drive off the rest.
+const UNHEALTHY_RATE: f64 = 0.5;
+/// The lowest and highest rates that are assumed of a healthy subject: chance alone makes some calls fail, and where more
+/// than the highest is usual, a comparison with what is usual finds nothing.
+const HEALTHY_FAILURE_RATE: (f64, f64) = (0.02, 0.25);
+const HEALTHY_DEGRADED_RATE: (f64, f64) = (0.06, 0.35);
+/// The log odds at which a subject counts as unhealthy: one false alarm in a million assessments, ten of them a second, for
+/// subjects that fail independently. Faulty witnesses are accounted for by [`max_faulty`].
+pub const UNHEALTHY_LOG_ODDS: f64 = 13.8;
+/// The same for a single server: little is lost where it is avoided without need.
+pub const SERVER_UNHEALTHY_LOG_ODDS: f64 = 9.2;
+/// The most log odds of one witness: some failures in a row at one sender may be its own.
+const MAX_WITNESS_LOG_ODDS: f64 = 4.0;
+/// The fraction of the witnesses that may be faulty (lie, or be cut off).
+const FAULTY_FRACTION: f64 = 0.1;
+
+/// How many of a number of witnesses may be faulty: at least one, except where there is only one.
+pub fn max_faulty(witnesses: usize) -> usize {
+    if witnesses < 2 {
+        0
+    } else {
+        (witnesses as f64 * FAULTY_FRACTION).ceil() as usize
+    }
+}
+
+/// How much evidence is needed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EvidenceThreshold {
+    /// The log odds that are enough.
+    pub log_odds: f64,
+    /// The most log odds of one witness.
+    pub max_per_witness: f64,
+}
+
+impl EvidenceThreshold {
+    /// The threshold of `log_odds` among so many possible witnesses. The few that remain without the faulty ones must be able
+    /// to reach it, and a third of all have to.
+    pub fn among(log_odds: f64, witnesses: usize) -> Self {
+        let third = (witnesses as f64 / 3.0).max(1.0);
+        Self {
+            log_odds,
+            max_per_witness: MAX_WITNESS_LOG_ODDS.max(log_odds / third),
+        }
+    }
+}
+
+impl Symptom {
+    /// The log odds that counts give for a subject having this symptom, where `baseline` is the rate elsewhere.
+    pub fn log_odds(self, counts: &CallCounts, baseline: f64) -> f64 {
+        let (hits, (lowest, highest)) = match self {
+            Self::Failing => (counts.failed, HEALTHY_FAILURE_RATE),
+            Self::Late => (counts.failed + counts.late, HEALTHY_DEGRADED_RATE),
+        };
+        let healthy_rate = baseline.clamp(lowest, highest);
+        let misses = (counts.attempts - hits).max(0.0);
+        hits * (UNHEALTHY_RATE / healthy_rate).ln()
+            + misses * ((1.0 - UNHEALTHY_RATE) / (1.0 - healthy_rate)).ln()
+    }
+}
+
+/// The weight of one witness' report.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WeighedReport {
+    /// The log odds of the subject being unhealthy.
+    pub log_odds: f64,
+    /// How recent it is: 1 for now, falling to 0.
+    pub freshness: f64,
+}
+
+/// The evidence of many witnesses together.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct EvidenceSum {
+    /// The log odds of being unhealthy, without the strongest evidence for it of as many witnesses as may be faulty.
+    pub unhealthy: f64,
+    /// The log odds of being healthy, likewise.
+    pub healthy: f64,
+    /// The witnesses on either side.
+    pub witnesses: Witnesses,
+}
+
+impl EvidenceSum {
+    /// The sum of others' reports and the log odds of the own calls, each limited to `max_per_witness`, without the strongest
+    /// `faulty` reports on either side. Older evidence that the subject is healthy counts less against its being unhealthy now.
+    pub fn new(
+        mut others: Vec<WeighedReport>,
+        own: f64,
+        max_per_witness: f64,
+        faulty: usize,
+    ) -> Self {
+        let limited = |log_odds: f64| log_odds.clamp(-max_per_witness, max_per_witness);
+        others
+            .iter_mut()
+            .for_each(|report| report.log_odds = limited(report.log_odds));
+        others.sort_by(|a, b| a.log_odds.total_cmp(&b.log_odds));
+        let against = others.iter().filter(|report| report.log_odds > 0.0).count();
+        let in_favor = others.iter().filter(|report| report.log_odds < 0.0).count();
+        // Faulty witnesses cannot be told from sound ones: the strongest evidence of each side is left out, whosever it is.
+        let against_without_faulty = &others[..others.len() - against.min(faulty)];
+        let in_favor_without_faulty = &others[in_favor.min(faulty)..];
+        let discounted = |report: &WeighedReport| {
+            if report.log_odds < 0.0 {
+                report.log_odds * report.freshness
+            } else {
+                report.log_odds
+            }
+        };
+        let unhealthy: f64 = against_without_faulty.iter().map(discounted).sum();
+        let healthy: f64 = in_favor_without_faulty
+            .iter()
+            .map(|report| report.log_odds)
+            .sum();
+        Self {
+            unhealthy: unhealthy + limited(own),
+            healthy: -(healthy + limited(own)),
+            witnesses: Witnesses {
+                against: against + usize::from(own > 0.0),
+                in_favor: in_favor + usize::from(own < 0.0),
+            },
+        }
+    }
+}
--- /dev/null
+++ b/crates/health-reports/tests/assessment.rs
@@ -0,0 +1,236 @@
+//! Health reports and their assessment: faulty witnesses, old evidence, malformed bytes.
+
+use proptest::prelude::*;
+use std::collections::BTreeMap;
+use woadstall_decisions::api::{Outcome, ServerId};
+use woadstall_health_reports::{
+    Assessment, AssessmentQuery, AttemptId, Baseline, CallCounts, CallStats, CompletedAttempt,
+    HealthReport, PendingAttempt, ReportEntry, ReportTable, Subject, UNHEALTHY_LOG_ODDS,
+    max_faulty,
+};
+
+const MS: u64 = 1_000_000;
+const SECOND: u64 = 1_000 * MS;
+
+fn counts(attempts: f64, failed: f64, at: u64) -> CallCounts {
+    CallCounts::new(attempts, failed, 0.0, at)
+}
+
+fn report(table: &mut ReportTable, owner: usize, zone: &str, counts: CallCounts, at: u64) {
+    let entries = vec![ReportEntry::new(Subject::zone("0", "norte"), &counts)];
+    let bytes = HealthReport { entries }.encode(256);
+    table
+        .insert(&format!("b-{owner}"), zone, at, &bytes)
+        .unwrap();
+}
+
+/// How a member of a zone assesses `norte`, in a fleet of `each` members a zone.
+fn assess(
+    table: &ReportTable,
+    observer_zone: &str,
+    each: usize,
+    own: CallCounts,
+    now: u64,
+) -> Assessment {
+    let members: BTreeMap<String, usize> = ["norte", "centro", "sur"]
+        .map(|zone| (zone.to_owned(), each))
+        .into();
+    let query = AssessmentQuery {
+        subject: Subject::zone("0", "norte"),
+        home_zone: "norte",
+        observer_zone,
+        own: &own,
+        baseline: Baseline::default(),
+        needed_log_odds: UNHEALTHY_LOG_ODDS,
+        members: &members,
+    };
+    table.assess(now, &query)
+}
+
+#[test]
+fn the_witnesses_of_a_zone_convince_all_others() {
+    for each in [3, 8, 100] {
+        let mut table = ReportTable::default();
+        let needed = (0..each).find(|witness| {
+            report(
+                &mut table,
+                *witness,
+                "norte",
+                counts(4.0, 4.0, SECOND),
+                SECOND,
+            );
+            assess(&table, "sur", each, CallCounts::default(), SECOND).is_unhealthy
+        });
+        let needed = 1 + needed.expect("all of them are enough");
+        assert!(needed > max_faulty(each), "{needed} of {each}");
+        assert!(
+            needed <= 2 + each / 3 + max_faulty(each),
+            "{needed} of {each}"
+        );
+    }
+}
+
+/// Witnesses in one other zone may observe a fault of their network; two zones that agree do not.
+#[test]
+fn one_zone_that_is_partitioned_does_not_convince_the_others() {
+    let mut table = ReportTable::default();
+    (0..8).for_each(|witness| {
+        report(
+            &mut table,
+            witness,
+            "centro",
+            counts(6.0, 6.0, SECOND),
+            SECOND,
+        )
+    });
+    let is_unhealthy =
+        |observer: &str| assess(&table, observer, 8, CallCounts::default(), SECOND).is_unhealthy;
+    assert!(
+        is_unhealthy("centro"),
+        "the other members of that zone are partitioned, too"
+    );
+    assert!(!is_unhealthy("sur"));
+    assert!(!is_unhealthy("norte"), "it serves its own zone");
+}
+
+#[test]
+fn older_evidence_of_health_does_not_outweigh_present_failures() {
+    let mut table = ReportTable::default();
+    (0..4).for_each(|witness| {
+        report(
+            &mut table,
+            witness,
+            "norte",
+            counts(40.0, 0.0, SECOND),
+            SECOND,
+        )
+    });
+    let now = 3 * SECOND;
+    (4..8).for_each(|witness| report(&mut table, witness, "norte", counts(5.0, 5.0, now), now));
+    assert!(assess(&table, "norte", 8, counts(3.0, 3.0, now), now).is_unhealthy);
+}
+
+/// A sender's own calls: one that hangs counts before it times out, and once; successes before it count for nothing.
+#[test]
+fn a_hanging_call_is_counted_before_it_ends() {
+    let (norte, class) = (
+        Subject::zone("0", "norte"),
+        Subject::class("0", "norte", "carga"),
+    );
+    let mut stats = CallStats::new([(norte, vec![class])].into_iter(), 1);
+    let server = ServerId(1);
+    stats.upsert_server(server, "posting-0", 0, 0);
+    let id = |request| AttemptId {
+        request,
+        attempt: 0,
+    };
+    let completed = |request, outcome, took| CompletedAttempt {
+        id: id(request),
+        server,
+        class: 0,
+        outcome,
+        took,
+    };
+    for request in 0..50 {
+        let now = u64::from(request) * 20 * MS;
+        stats.record_completed(now, &completed(request, Outcome::Ok, 20 * MS));
+    }
+    assert_eq!(stats.zone(0, SECOND).failed, 0.0);
+    let pending = |age| {
+        [PendingAttempt {
+            id: id(99),
+            server,
+            class: 0,
+            age,
+        }]
+        .into_iter()
+    };
+    stats.record_pending(SECOND, pending(60 * MS));
+    assert_eq!(stats.zone(0, SECOND).late, 0.0);
+    stats.record_pending(SECOND, pending(100 * MS));
+    stats.record_pending(SECOND, pending(110 * MS));
+    let late = stats.zone(0, SECOND);
+    assert_eq!(
+        (late.attempts, late.failed, late.late),
+        (1.0, 0.0, 1.0),
+        "since it degraded"
+    );
+    stats.record_pending(SECOND, pending(200 * MS));
+    stats.record_completed(SECOND, &completed(99, Outcome::Timeout, 250 * MS));
+    let failed = stats.zone(0, SECOND);
+    assert_eq!(
+        (failed.attempts, failed.failed, failed.late),
+        (1.0, 1.0, 0.0)
+    );
+    // A new process at the address does not inherit it; the zone keeps it.
+    stats.upsert_server(server, "posting-0", 7, 0);
+    assert!(
+        stats
+            .servers(SECOND)
+            .all(|listed| listed.counts.attempts == 0.0)
+    );
+    assert_eq!(stats.zone(0, SECOND).failed, 1.0);
+}
+
+proptest! {
+    /// As many witnesses as may be faulty change nothing by themselves: neither that all is bad nor that all is well.
+    #[test]
+    fn faulty_witnesses_alone_decide_nothing(
+        each in 2_usize..60,
+        reported in prop::collection::vec((0.0..500.0_f64, 0.0..=1.0_f64), 8),
+        observer in prop::sample::select(vec!["norte", "sur"]),
+    ) {
+        let mut table = ReportTable::default();
+        for (witness, (attempts, rate)) in reported.into_iter().take(max_faulty(each)).enumerate() {
+            report(&mut table, witness, "norte", counts(attempts, attempts * rate, SECOND), SECOND);
+        }
+        let assessment = assess(&table, observer, each, CallCounts::default(), SECOND);
+        prop_assert!(!assessment.is_unhealthy, "{:?}", assessment);
+        prop_assert!(assessment.health <= 0.0, "{:?}", assessment);
+    }
+
+    /// Evidence only decays: it does not get stronger by waiting.
+    #[test]
+    fn evidence_decays(
+        attempts in 0.0..50.0_f64,
+        rate in 0.0..=1.0_f64,
+        witnesses in 1_usize..8,
+        wait in 0_u64..20,
+    ) {
+        let mut table = ReportTable::default();
+        let counts = counts(attempts, attempts * rate, SECOND);
+        (0..witnesses).for_each(|witness| report(&mut table, witness, "norte", counts, SECOND));
+        let strength = |now| assess(&table, "norte", 8, CallCounts::default(), now).strength;
+        let (then, later) = (SECOND + wait * 500 * MS, SECOND + (wait + 1) * 500 * MS);
+        // Where the counts are close to break-even, the rounding to quarters shows.
+        prop_assert!(strength(later) <= strength(then) + 0.05);
+    }
+
+    /// Any bytes are decoded or rejected; what is decoded is not contradictory.
+    #[test]
+    fn malformed_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300), is_version_valid in any::<bool>()) {
+        let mut bytes = bytes;
+        if is_version_valid && !bytes.is_empty() {
+            bytes[0] = 1;
+        }
+        if let Ok(HealthReport { entries }) = HealthReport::decode(&bytes) {
+            for entry in entries {
+                let counts = entry.counts(SECOND);
+                prop_assert!(counts.failed >= 0.0 && counts.failed + counts.late <= counts.attempts);
+            }
+        }
+    }
+
+    #[test]
+    fn entries_are_decoded_as_they_were_encoded(reported in prop::collection::vec((0.0..9000.0_f64, 0.0..=1.0_f64), 0..40)) {
+        let entry = |(number, (attempts, rate)): (usize, &(f64, f64))| {
+            ReportEntry::new(Subject::server(&format!("n-{number}"), 5), &counts(*attempts, attempts * rate, 0))
+        };
+        let entries: Vec<ReportEntry> = reported.iter().enumerate().map(entry).collect();
+        let bytes = HealthReport { entries: entries.clone() }.encode(256);
+        prop_assert!(bytes.len() <= 256);
+        let decoded = HealthReport::decode(&bytes).unwrap().entries;
+        prop_assert_eq!(&decoded[..], &entries[..decoded.len()]);
+        prop_assert!(decoded.len() == entries.len() || bytes.len() > 240);
+    }
+}
--- a/crates/health-reports/tests/golden.rs
+++ b/crates/health-reports/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The bytes of a health report, as members of other versions write and read them.
 
-use woadstall_health_reports::{CallCounts, HealthReport, Line, Subject};
+use woadstall_health_reports::{CallCounts, HealthReport, ReportEntry, Subject};
 
 /// Compares bytes with the golden ones, written in hexadecimal digits.
 fn assert_golden(bytes: &[u8], golden: &str) {
@@ -8,20 +8,21 @@
     assert_eq!(hex, golden);
 }
 
-fn lines() -> Vec<Line> {
-    let counts = |tries: f64, failed: f64, late: f64| CallCounts::new(tries, failed, late, 0);
-    vec![
-        Line::new(Subject::zone("0", "norte"), &counts(12.25, 6.5, 1.75)),
-        Line::new(
+fn report() -> HealthReport {
+    let counts = |attempts: f64, failed: f64, late: f64| CallCounts::new(attempts, failed, late, 0);
+    let entries = vec![
+        ReportEntry::new(Subject::zone("0", "norte"), &counts(12.25, 6.5, 1.75)),
+        ReportEntry::new(
             Subject::class("0", "norte", "chat"),
             &counts(300.0, 0.0, 40.0),
         ),
-        Line::new(
+        ReportEntry::new(
             Subject::server("nodo-7", 1_767_225_600_000),
             &counts(3.1, 3.1, 0.0),
         ),
-        Line::new(Subject::region("0", "litoral"), &counts(1e6, 1e6, 0.0)),
-    ]
+        ReportEntry::new(Subject::region("0", "litoral"), &counts(1e6, 1e6, 0.0)),
+    ];
+    HealthReport { entries }
 }
 
 const GOLDEN: &str = concat!(
@@ -31,16 +32,20 @@
 
 #[test]
 fn a_health_report_has_the_golden_bytes() {
-    assert_golden(&HealthReport(lines()).write(256), GOLDEN);
+    assert_golden(&report().encode(256), GOLDEN);
 }
 
 #[test]
-fn golden_bytes_are_read_back_to_the_same_health_report() {
-    let bytes = HealthReport(lines()).write(256);
+fn golden_bytes_are_decoded_to_the_same_health_report() {
+    let bytes = report().encode(256);
     assert_golden(&bytes, GOLDEN);
-    let report = HealthReport::read(&bytes).unwrap();
-    assert_eq!(report, HealthReport(lines()));
-    let counts: Vec<CallCounts> = report.0.iter().map(|line| line.counts(5)).collect();
+    let decoded = HealthReport::decode(&bytes).unwrap();
+    assert_eq!(decoded, report());
+    let counts: Vec<CallCounts> = decoded
+        .entries
+        .iter()
+        .map(|entry| entry.counts(5))
+        .collect();
     let golden = [
         CallCounts::new(12.25, 6.5, 1.75, 5),
         CallCounts::new(300.0, 0.0, 40.0, 5),
@@ -51,12 +56,15 @@
 }
 
 #[test]
-fn a_report_without_lines_is_its_form_alone() {
-    assert_golden(&HealthReport::default().write(256), "01");
+fn a_report_without_entries_is_its_version_alone() {
+    assert_golden(&HealthReport::default().encode(256), "01");
 }
 
 #[test]
-fn what_does_not_fit_is_left_out_at_the_end() {
-    let bytes = HealthReport(lines()).write(30);
-    assert_eq!(HealthReport::read(&bytes).unwrap().0, lines()[..2]);
+fn entries_that_do_not_fit_are_left_out_at_the_end() {
+    let bytes = report().encode(30);
+    assert_eq!(
+        HealthReport::decode(&bytes).unwrap().entries,
+        report().entries[..2]
+    );
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -140,7 +140,7 @@
                 let kind = evacuation::word(kind);
                 super::log(format_args!(
                     "places: {kind} {name}: told to {}",
-                    what.word()
+                    what.as_str()
                 ));
                 (StatusCode::OK, "yes\n".to_owned())
             }
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -6,8 +6,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{MissedTickBehavior, interval};
 use woadstall_decisions::api::HealthVerdict;
-use woadstall_evacuation::{Coordinator, Order, OrderAction, Settings, Status, Topology};
-use woadstall_health_reports::{CompletedAttempt, PendingAttempt, SubjectKind};
+use woadstall_evacuation::{
+    Coordinator, CoordinatorSettings, ListedServer, Order, OrderAction, Status, Topology,
+};
+use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt, SubjectKind};
 use woadstall_membership_net::Instances;
 use woadstall_operator_config::EvacuationConfig;
 use woadstall_runtime::Balance;
@@ -41,8 +43,8 @@
         let zone = |name: &String| (name.clone(), file.regions.get(name).cloned());
         let zones: Vec<(String, Option<String>)> = config.names.zones.iter().map(zone).collect();
         let tier = config.settings.tier.to_string();
-        let settings = Settings {
-            places: Topology::new(&tier, &zones, &config.names.classes),
+        let settings = CoordinatorSettings {
+            topology: Topology::new(&tier, &zones, &config.names.classes),
             zone: usize::from(config.settings.zone.0),
         };
         let coordinator = Arc::new(Mutex::new(Coordinator::new(settings)));
@@ -79,34 +81,37 @@
         let mut coordinator = self.coordinator();
         if let Some((changes, listed)) = observations.listed {
             *seen = changes;
-            coordinator.listed(listed.iter().map(|of| {
-                let zone = usize::from(of.zone.0);
-                (
-                    of.server,
-                    of.name.as_str(),
-                    of.boot_ms,
-                    zone,
-                    of.size.map(f64::from),
-                )
+            coordinator.set_servers(listed.iter().map(|of| ListedServer {
+                server: of.server,
+                name: &of.name,
+                boot_ms: of.boot_ms,
+                zone: usize::from(of.zone.0),
+                size: of.size.map(f64::from),
             }));
         }
         let now = self.instances.look(|_, now| now);
         for seen in observations.ended {
-            let (attempt, server) = ((seen.id.0, seen.attempt), seen.server);
+            let id = AttemptId {
+                request: seen.id.0,
+                attempt: seen.attempt,
+            };
             let saw = CompletedAttempt {
-                attempt,
-                server,
+                id,
+                server: seen.server,
                 class: seen.class,
                 outcome: seen.outcome,
                 took: seen.took,
             };
-            coordinator.saw(now, &saw);
+            coordinator.record_completed(now, &saw);
         }
         let out = observations.out.into_iter();
-        coordinator.out(
+        coordinator.record_pending(
             now,
             out.map(|out| PendingAttempt {
-                attempt: (out.id.0, out.attempt),
+                id: AttemptId {
+                    request: out.id.0,
+                    attempt: out.attempt,
+                },
                 server: out.server,
                 class: out.class,
                 age: out.age,
@@ -114,7 +119,7 @@
         );
         let (now, turn) = self
             .instances
-            .turn(|node, now| (now, coordinator.turn(now, now_ms(), node)));
+            .turn(|node, now| (now, coordinator.step(now, now_ms(), node)));
         drop(coordinator);
         for line in turn.lines {
             super::log(format_args!("places: {line}"));
@@ -150,7 +155,7 @@
     ) -> Result<(), String> {
         let mut coordinator = self.coordinator();
         let subject = coordinator
-            .place(kind, name)
+            .order_subject(kind, name)
             .ok_or_else(|| format!("no {} {name}", word(kind)))?;
         let (issued_ms, holds) = (
             now_ms(),
@@ -159,15 +164,14 @@
         let until_ms = issued_ms.saturating_add(holds);
         let order = Order {
             subject,
-            what,
+            action: what,
             issued_ms,
             until_ms,
             id: fastrand::u32(..),
         };
-        match coordinator.order(issued_ms, order) {
-            true => Ok(()),
-            false => Err("a later word holds, or there are too many".to_owned()),
-        }
+        coordinator
+            .submit_order(issued_ms, order)
+            .map_err(|_| "a later word holds, or there are too many".to_owned())
     }
 }
 
@@ -191,7 +195,7 @@
         OrderAction::Restore,
     ]
     .into_iter()
-    .find(|known| known.word() == what)?;
+    .find(|known| known.as_str() == what)?;
     let kind = [SubjectKind::Zone, SubjectKind::Region, SubjectKind::Server]
         .into_iter()
         .find(|known| word(*known) == kind)?;
--- a/src/net/places.rs
+++ b/src/net/places.rs
@@ -22,7 +22,7 @@
     if name.is_empty() || !name.chars().all(plain) {
         return Err(format!("{name:?} is no name of a {kind}"));
     }
-    let path = format!("{PATH}/{}/{kind}/{name}/{}", what.word(), holds.as_secs());
+    let path = format!("{PATH}/{}/{kind}/{name}/{}", what.as_str(), holds.as_secs());
     call(at, Method::POST, &path, ABSENT).await.map(drop)
 }
 
@@ -52,25 +52,25 @@
         );
     }
     for place in places {
-        let (state, epoch, share) = (&place.state, place.epoch, place.share * 100.0);
+        let (state, epoch, share) = (&place.phase, place.epoch, place.share * 100.0);
         write!(
             out,
             "{}: {state}, epoch {epoch}, share {share:.0}%",
             place.name
         )?;
-        if place.for_s > 0.0 {
-            write!(out, ", for {:.1} s", place.for_s)?;
+        if place.phase_for_s > 0.0 {
+            write!(out, ", for {:.1} s", place.phase_for_s)?;
         }
-        if place.nodos > 0 {
-            write!(out, ", {} nodos in service", place.nodos)?;
+        if place.servers > 0 {
+            write!(out, ", {} nodos in service", place.servers)?;
         }
         writeln!(out)?;
         writeln!(
             out,
             "  why: {}; {} against it, {} for it",
-            place.why, place.against, place.for_it
+            place.reason, place.witnesses_against, place.witnesses_in_favor
         )?;
-        if let (Some(order), Some(ends)) = (&place.order, place.order_ends_s) {
+        if let (Some(order), Some(ends)) = (&place.order, place.order_remaining_s) {
             writeln!(out, "  an operator's word: {order}, for {ends:.0} s more")?;
         }
         if place.relapses > 0 {
@@ -80,13 +80,17 @@
                 place.relapses
             )?;
         }
-        if !place.not_followed.is_empty() {
-            writeln!(out, "  at another epoch: {}", place.not_followed.join(", "))?;
+        if !place.members_behind.is_empty() {
+            writeln!(
+                out,
+                "  at another epoch: {}",
+                place.members_behind.join(", ")
+            )?;
         }
     }
-    if !status.odd.is_empty() {
+    if !status.contradicting_members.is_empty() {
         let odd: Vec<String> = status
-            .odd
+            .contradicting_members
             .iter()
             .map(|(name, times)| format!("{name} ({times})"))
             .collect();
