--- a/crates/evacuation/src/coordinator/contradictions.rs
+++ b/crates/evacuation/src/coordinator/contradictions.rs
@@ -5,11 +5,11 @@
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::Symptom;
 
-/// The log odds of a report from which on it speaks against a place.
+/// The log odds of a report from which on it speaks against a domain.
 const MIN_REPORTED_LOG_ODDS: f64 = 3.0;
 /// The log odds of the own calls at or below which they contradict that.
 const CONTRADICTING_LOG_ODDS: f64 = -4.0;
-/// The strength of the evidence that a place is healthy from which on it contradicts a report.
+/// The strength of the evidence that a domain is healthy from which on it contradicts a report.
 const CONTRADICTING_HEALTH: f64 = 0.5;
 /// The age of a report at which others have had the time to report the same, and until which it is current, in nanoseconds.
 const MIN_REPORT_AGE_NS: Time = 1_000_000_000;
--- a/crates/evacuation/src/coordinator/mod.rs
+++ b/crates/evacuation/src/coordinator/mod.rs
@@ -168,7 +168,7 @@
         let servers = &self.servers;
         self.stats
             .retain_servers(|server| servers.contains_key(&server));
-        self.given.retain(|place, _| match place {
+        self.given.retain(|domain, _| match domain {
             FailureDomain::Server(server) => servers.contains_key(server),
             FailureDomain::Zone(..) => true,
         });
@@ -230,13 +230,13 @@
         CoordinatorOutput { verdicts, lines }
     }
 
-    /// The order that holds for a place.
+    /// The order that holds for a domain.
     fn order_for(&self, subject: &Subject) -> Option<&Order> {
         self.orders
             .get(&self.settings.topology.order_subject(subject))
     }
 
-    /// The share of its usual new work that a place gets by orders and by the engine's decision, apart from trials.
+    /// The share of its usual new work that a domain gets by orders and by the engine's decision, apart from trials.
     fn share(&self, subject: &Subject) -> f64 {
         match self.order_for(subject).map(|order| order.action) {
             Some(OrderAction::Evacuate) => 0.0,
@@ -245,7 +245,7 @@
         }
     }
 
-    /// The subject of an order for a place, by the place's name. There are no orders for classes.
+    /// The subject of an order for a domain, by the domain's name. There are no orders for classes.
     pub fn order_subject(&self, kind: SubjectKind, name: &str) -> Option<Subject> {
         let zones = &self.settings.topology.zones;
         match kind {
--- a/crates/evacuation/src/coordinator/publish.rs
+++ b/crates/evacuation/src/coordinator/publish.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use super::receive::FactKey;
-use crate::place_decision::PlaceDecision;
+use crate::domain_decision::DomainDecision;
 use std::collections::BTreeMap;
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{HealthReport, ReportEntry, Subject, SubjectKind, max_faulty};
@@ -75,8 +75,8 @@
         own_zone: &str,
         own_zone_members: usize,
     ) {
-        let decisions = self.engine.place_decisions();
-        let bytes = PlaceDecision::encode(&decisions, node.fact_room());
+        let decisions = self.engine.domain_decisions();
+        let bytes = DomainDecision::encode(&decisions, node.fact_room());
         let is_first_and_empty = bytes.len() <= 1 && self.published.decisions.is_empty();
         if bytes == self.published.decisions || is_first_and_empty {
             return;
@@ -94,16 +94,21 @@
             OTHER_DECISIONS_PRIORITY
         };
         if node
-            .say(now, FactKey::PlaceDecisions.name(), priority, bytes.clone())
+            .say(
+                now,
+                FactKey::DomainDecisions.name(),
+                priority,
+                bytes.clone(),
+            )
             .is_ok()
         {
             self.published.decisions = bytes;
         }
     }
 
-    /// How many other members of a zone have published a decision, or a later one on the same place.
-    fn publishers_of(&self, decision: &PlaceDecision, zone: &str) -> usize {
-        let is_same_or_later = |other: &PlaceDecision| {
+    /// How many other members of a zone have published a decision, or a later one on the same domain.
+    fn publishers_of(&self, decision: &DomainDecision, zone: &str) -> usize {
+        let is_equal_or_later = |other: &DomainDecision| {
             other.subject == decision.subject && other.epoch >= decision.epoch
         };
         let members = self
@@ -111,7 +116,7 @@
             .values()
             .filter(|member| member.zone == zone);
         members
-            .filter(|member| member.decisions.iter().any(is_same_or_later))
+            .filter(|member| member.decisions.iter().any(is_equal_or_later))
             .count()
     }
 
--- a/crates/evacuation/src/coordinator/receive.rs
+++ b/crates/evacuation/src/coordinator/receive.rs
@@ -1,9 +1,9 @@
 //! Receiving the facts that other members have published.
 
 use super::{Coordinator, LogLine};
+use crate::domain_decision::DomainDecision;
 use crate::engine::MemberDecisions;
 use crate::order::OrderTable;
-use crate::place_decision::PlaceDecision;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use woadstall_decisions::api::Time;
 use woadstall_membership::{Name, Node, Record, Verdict as MemberState};
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum FactKey {
     HealthReport,
-    PlaceDecisions,
+    DomainDecisions,
     Orders,
 }
 
 impl FactKey {
     fn from_name(name: &str) -> Option<Self> {
-        [Self::HealthReport, Self::PlaceDecisions, Self::Orders]
+        [Self::HealthReport, Self::DomainDecisions, Self::Orders]
             .into_iter()
             .find(|key| key.as_str() == name)
     }
@@ -26,7 +26,7 @@
     fn as_str(self) -> &'static str {
         match self {
             Self::HealthReport => "evidence",
-            Self::PlaceDecisions => "places",
+            Self::DomainDecisions => "places",
             Self::Orders => "orders",
         }
     }
@@ -45,7 +45,7 @@
 }
 
 impl Coordinator {
-    /// Receives the facts that are new. Returns the number of members of each zone that can bear witness here.
+    /// Receives the facts that are new. Returns the number of members of each zone that can report here.
     pub(super) fn receive(
         &mut self,
         now: Time,
@@ -62,7 +62,7 @@
                 continue;
             }
             zones.insert(&member.card.name, &member.card.zone);
-            // A member that cannot be heard cannot bear witness here.
+            // A member that cannot be heard cannot report here.
             if matches!(
                 member.state,
                 MemberState::Alive | MemberState::Partitioned { .. }
@@ -107,8 +107,8 @@
                         .insert(owner.as_str(), zone.as_str(), fact.said_at, &fact.bytes);
                 self.malformed_reports += u64::from(result.is_err());
             }
-            FactKey::PlaceDecisions => {
-                let decisions = PlaceDecision::decode(&fact.bytes).unwrap_or_default();
+            FactKey::DomainDecisions => {
+                let decisions = DomainDecision::decode(&fact.bytes).unwrap_or_default();
                 let member = MemberDecisions {
                     zone: zone.as_str().to_owned(),
                     decisions,
--- a/crates/evacuation/src/coordinator/report_selection.rs
+++ b/crates/evacuation/src/coordinator/report_selection.rs
@@ -1,4 +1,4 @@
-//! Which counts are worth a health report: what speaks against a place, and what others need to compare it with.
+//! Which counts are worth a health report: what speaks against a domain, and what others need to compare it with.
 
 use super::Coordinator;
 use std::collections::HashSet;
@@ -15,15 +15,15 @@
 const MIN_ATTEMPTS: f64 = 0.25;
 /// The least attempts of a class that is reported to complete the report on its zone.
 const MIN_CLASS_ATTEMPTS: f64 = 1.0;
-/// The log odds from which on a subject is reported: one failure, or two late answers.
+/// The log odds from which on a subject is reported: one failure, or two slow answers.
 const MIN_LOG_ODDS: f64 = 3.0;
 /// The change of log odds that is reported: one more failure.
 const MIN_CHANGE: f64 = 2.5;
-/// The same for a place that is not in full use: one success.
+/// The same for a domain that is not in full use: one success.
 const MIN_TRIAL_CHANGE: f64 = 0.5;
-/// The strength of the evidence against a place from which on members that find it healthy report so.
+/// The strength of the evidence against a domain from which on members that find it healthy report so.
 const DISPUTED_STRENGTH: f64 = 0.2;
-/// The calls known of a place from which on nobody else needs to report that it is healthy for a comparison.
+/// The calls known of a domain from which on nobody else needs to report that it is healthy for a comparison.
 const COMPARABLE_CALLS: f64 = 10.0;
 /// The strength of the evidence on either side from which on more of it is not needed.
 const DECIDED_STRENGTH: f64 = 1.5;
@@ -40,9 +40,9 @@
 impl ReportCandidate {
     fn new(stats: &SubjectStats) -> Self {
         let failing = Symptom::Failing.log_odds(&stats.counts, 0.0);
-        let late = Symptom::Late.log_odds(&stats.counts, 0.0);
-        let log_odds = if late.max(failing) > 0.0 {
-            late.max(failing)
+        let slow = Symptom::Slow.log_odds(&stats.counts, 0.0);
+        let log_odds = if slow.max(failing) > 0.0 {
+            slow.max(failing)
         } else {
             failing
         };
@@ -76,7 +76,7 @@
         let mut candidates = self.relevant_counts(now);
         self.remove_servers_of_failing_zones(&mut candidates);
         self.add_missing_classes(now, &mut candidates);
-        if !self.has_news(now, &candidates, own_zone_members) {
+        if !self.has_update(now, &candidates, own_zone_members) {
             return None;
         }
         sort_by_importance(&mut candidates);
@@ -142,11 +142,16 @@
     }
 
     /// Whether any of the counts has changed so much since it was reported that it matters to others.
-    fn has_news(&self, now: Time, candidates: &[ReportCandidate], own_zone_members: usize) -> bool {
+    fn has_update(
+        &self,
+        now: Time,
+        candidates: &[ReportCandidate],
+        own_zone_members: usize,
+    ) -> bool {
         let threshold = EvidenceThreshold::among(UNHEALTHY_LOG_ODDS, own_zone_members);
-        // Evidence beyond what others count of one witness is no news.
+        // Evidence beyond what others count of one reporter is no news.
         let limited =
-            |log_odds: f64| log_odds.clamp(-threshold.max_per_witness, threshold.max_per_witness);
+            |log_odds: f64| log_odds.clamp(-threshold.max_per_reporter, threshold.max_per_reporter);
         let is_repeat_due = now
             >= self
                 .published
@@ -160,13 +165,13 @@
                 .copied()
                 .unwrap_or(0.0);
             let change = (limited(candidate.log_odds) - limited(published)).abs();
-            let is_news = change >= self.min_change(&candidate.subject)
+            let is_update = change >= self.min_change(&candidate.subject)
                 || is_repeat_due && candidate.log_odds.abs() >= MIN_CHANGE;
-            is_news && !self.is_decided(candidate)
+            is_update && !self.is_decided(candidate)
         })
     }
 
-    /// Whether all members have enough evidence already, so that no more witnesses are needed.
+    /// Whether all members have enough evidence already, so that no more reporters are needed.
     fn is_decided(&self, candidate: &ReportCandidate) -> bool {
         self.engine
             .assessment(&candidate.subject)
@@ -189,8 +194,8 @@
         }
     }
 
-    /// Whether a place is disputed: there is more evidence against it than one report, it is not in full use, or another
-    /// place is, and it is not known yet whether this one is better.
+    /// Whether a domain is disputed: there is more evidence against it than one report, it is not in full use, or another
+    /// domain is, and it is not known yet whether this one is better.
     fn is_disputed(&self, now: Time, subject: &Subject) -> bool {
         let is_suspect = |subject: &Subject| {
             let assessment = self.engine.assessment(subject);
--- a/crates/evacuation/src/coordinator/status_view.rs
+++ b/crates/evacuation/src/coordinator/status_view.rs
@@ -1,10 +1,10 @@
-//! What operators see: log lines and the status of all places.
+//! What operators see: log lines and the status of all domains.
 
 use super::{Coordinator, LogLine};
+use crate::domain_state::{DomainState, Phase};
 use crate::engine::{MemberDecisions, StateChange};
 use crate::order::Order;
-use crate::place_state::{Phase, PlaceState};
-use crate::status::{PlaceStatus, Status};
+use crate::status::{DomainStatus, Status};
 use std::collections::BTreeSet;
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Subject, SubjectKind, Symptom};
@@ -25,7 +25,7 @@
     }
 
     fn describe_change(&self, change: &StateChange) -> LogLine {
-        let PlaceState {
+        let DomainState {
             phase,
             epoch,
             share,
@@ -37,13 +37,13 @@
             phase.as_str(),
             100.0 * share,
             self.reason(&change.subject),
-            change.witnesses.against,
-            change.witnesses.in_favor,
+            change.reporters.against,
+            change.reporters.in_favor,
         ))
     }
 
     pub(super) fn describe_order(&self, order: &Order, now_ms: u64) -> String {
-        let subject = self.settings.topology.ordered_place(&order.subject);
+        let subject = self.settings.topology.ordered_domain(&order.subject);
         let remaining_s = order.until_ms.saturating_sub(now_ms) / 1_000;
         let (name, action) = (self.name_of(&subject), order.action.as_str());
         format!("{name}: an operator's word, {action}, for {remaining_s} s")
@@ -61,7 +61,7 @@
         name.unwrap_or_else(|| "a place not listed here".to_owned())
     }
 
-    /// What the decision about a place rests on.
+    /// What the decision about a domain rests on.
     fn reason(&self, subject: &Subject) -> String {
         let order = self.order_for(subject).map(|order| order.action.as_str());
         let order = order.map(|action| format!("an operator's word, {action}"));
@@ -71,7 +71,7 @@
         let counts = &assessment.counts;
         let (rate, what) = match assessment.symptom {
             Symptom::Failing => (counts.failure_rate().mean, "fail"),
-            Symptom::Late => (counts.degraded_rate().mean, "fail or come late"),
+            Symptom::Slow => (counts.degraded_rate().mean, "fail or come late"),
         };
         let observed = format!(
             "{:.0}% of {:.0} calls {what}",
@@ -99,12 +99,12 @@
         let zone_statuses = zones
             .iter()
             .enumerate()
-            .map(|(position, zone)| PlaceStatus {
+            .map(|(position, zone)| DomainStatus {
                 servers: self.servers_in_service(position),
-                ..self.place_status(now, now_ms, &zone.subject)
+                ..self.domain_status(now, now_ms, &zone.subject)
             });
         let others = regions.iter().chain(not_in_use.map(|(subject, _)| subject));
-        let other_statuses = others.map(|subject| self.place_status(now, now_ms, subject));
+        let other_statuses = others.map(|subject| self.domain_status(now, now_ms, subject));
         Status {
             places: zone_statuses.chain(other_statuses).collect(),
             contradicting_members: self.contradictions.persistent(),
@@ -117,12 +117,12 @@
         in_service.filter(|server| server.zone == zone).count()
     }
 
-    fn place_status(&self, now: Time, now_ms: u64, subject: &Subject) -> PlaceStatus {
+    fn domain_status(&self, now: Time, now_ms: u64, subject: &Subject) -> DomainStatus {
         let state = self.engine.state(subject);
-        let witnesses = self
+        let reporters = self
             .engine
             .assessment(subject)
-            .map(|assessment| assessment.witnesses)
+            .map(|assessment| assessment.reporters)
             .unwrap_or_default();
         let order = self.order_for(subject);
         let remaining_s =
@@ -132,15 +132,15 @@
         } else {
             0
         };
-        PlaceStatus {
+        DomainStatus {
             name: self.name_of(subject),
             phase: state.phase.as_str().to_owned(),
             epoch: state.epoch,
             phase_for_s: phase_for_ns as f64 / NS_PER_SECOND,
             share: self.share(subject),
             reason: self.reason(subject),
-            witnesses_against: witnesses.against,
-            witnesses_in_favor: witnesses.in_favor,
+            reporters_against: reporters.against,
+            reporters_in_favor: reporters.in_favor,
             relapses: state.relapses,
             servers: 0,
             order: order.map(|order| order.action.as_str().to_owned()),
@@ -149,8 +149,8 @@
         }
     }
 
-    /// The other members of this zone that have published decisions, but not this one on a place.
-    fn members_behind(&self, subject: &Subject, state: &PlaceState) -> Vec<String> {
+    /// The other members of this zone that have published decisions, but not this one on a domain.
+    fn members_behind(&self, subject: &Subject, state: &DomainState) -> Vec<String> {
         if state.epoch == 0 {
             return Vec::new();
         }
@@ -170,10 +170,10 @@
     }
 }
 
-/// Whether a change is logged: that a server is suspected or not is for the status alone, and a place that is in use for the
+/// Whether a change is logged: that a server is suspected or not is for the status alone, and a domain that is in use for the
 /// first time is no news.
 fn is_logged(change: &StateChange) -> bool {
-    let PlaceState { phase, epoch, .. } = change.state;
+    let DomainState { phase, epoch, .. } = change.state;
     let is_server_in_use = change.subject.kind == SubjectKind::Server
         && matches!(phase, Phase::Suspected | Phase::InUse);
     !is_server_in_use && (epoch > 0 || phase == Phase::Suspected)
--- a/crates/evacuation/src/coordinator/verdicts.rs
+++ b/crates/evacuation/src/coordinator/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts for the decision module: the share of its usual new work that each place is to get.
+//! Verdicts for the decision module: the share of its usual new work that each domain is to get.
 
 use super::Coordinator;
 use siphasher::sip::SipHasher24;
@@ -12,12 +12,12 @@
 const VALIDITY_NS: Time = 4 * SECOND_NS;
 /// The time after which a verdict is renewed, in nanoseconds.
 const RENEWAL_NS: Time = SECOND_NS;
-/// The largest share that a place gets for trials while it is evacuated.
+/// The largest share that a domain gets for trials while it is evacuated.
 const MAX_TRIAL_SHARE: f64 = 0.25;
 /// How many members of a zone send trials: a fraction of them, and at least a number.
 const TRIAL_MEMBERS_FRACTION: f64 = 0.05;
 const MIN_TRIAL_MEMBERS: usize = 5;
-/// The trial calls a second of all those members together: few are lost at a place that is still unhealthy, and some seconds
+/// The trial calls a second of all those members together: few are lost at a domain that is still unhealthy, and some seconds
 /// show that it is healthy again.
 const TRIALS_PER_SECOND: f64 = 6.0;
 
@@ -29,7 +29,7 @@
 }
 
 impl Coordinator {
-    /// The verdicts that are new to the decision module or have to be renewed, sorted by place.
+    /// The verdicts that are new to the decision module or have to be renewed, sorted by domain.
     pub(super) fn new_verdicts(&mut self, now: Time, node: &Node) -> Vec<HealthVerdict> {
         let mut shares = self.zone_shares(now, node);
         shares.extend(self.server_shares(now, node));
@@ -109,7 +109,7 @@
         shares
     }
 
-    /// The share of a place with the trials that this member sends there.
+    /// The share of a domain with the trials that this member sends there.
     fn share_with_trials(&self, now: Time, node: &Node, subject: &Subject, share: f64) -> f64 {
         if share >= MAX_TRIAL_SHARE || self.order_for(subject).is_some() {
             return share;
@@ -124,8 +124,8 @@
     }
 }
 
-/// How many members of this zone send trials to a place, if this member is one of them: those whose names come first in an
-/// order that each place and epoch has of its own, so that no agreement is needed.
+/// How many members of this zone send trials to a domain, if this member is one of them: those whose names come first in an
+/// order that each domain and epoch has of its own, so that no agreement is needed.
 fn trial_members(node: &Node, now: Time, subject: &Subject, epoch: u32) -> Option<usize> {
     let rank = |name: &Name| {
         let mut hasher = SipHasher24::new_with_keys(u64::from(epoch), 1);
--- a/crates/evacuation/src/place_decision.rs
+++ b/crates/evacuation/src/domain_decision.rs
@@ -1,7 +1,7 @@
-//! What a balancer has decided about places, published for members that were absent.
+//! What a balancer has decided about domains, published for members that were absent.
 
+use crate::domain_state::{DomainState, Phase};
 use crate::packed_list::{self, PackedListError};
-use crate::place_state::{Phase, PlaceState};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use woadstall_health_reports::Subject;
@@ -13,10 +13,10 @@
 /// Shares are written in hundredths.
 const UNITS_PER_SHARE: f64 = 100.0;
 
-/// A balancer's decision about one place. The order of the fields is the wire format.
+/// A balancer's decision about one domain. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlaceDecision {
-    /// The place.
+pub struct DomainDecision {
+    /// The domain.
     pub subject: Subject,
     /// Its epoch.
     pub epoch: u32,
@@ -26,14 +26,14 @@
     share: u8,
 }
 
-/// The bytes are no place decisions.
+/// The bytes are no domain decisions.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("cannot decode place decisions")]
-pub struct PlaceDecisionError(#[from] PackedListError);
+#[error("cannot decode domain decisions")]
+pub struct DomainDecisionError(#[from] PackedListError);
 
-impl PlaceDecision {
-    /// The decision that a place is in a state.
-    pub fn new(subject: Subject, state: &PlaceState) -> Self {
+impl DomainDecision {
+    /// The decision that a domain is in a state.
+    pub fn new(subject: Subject, state: &DomainState) -> Self {
         let share = (state.share.clamp(0.0, 1.0) * UNITS_PER_SHARE).round() as u8;
         Self {
             subject,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The share of its usual new work that the place gets, from 0 to 1.
+    /// The share of its usual new work that the domain gets, from 0 to 1.
     pub fn share(&self) -> f64 {
         f64::from(self.share.min(UNITS_PER_SHARE as u8)) / UNITS_PER_SHARE
     }
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// Returns an error if the bytes are no list of this version.
-    pub fn decode(bytes: &[u8]) -> Result<Vec<Self>, PlaceDecisionError> {
+    pub fn decode(bytes: &[u8]) -> Result<Vec<Self>, DomainDecisionError> {
         Ok(packed_list::decode(VERSION, bytes, MAX_DECISIONS)?)
     }
 }
--- a/crates/evacuation/src/place_state.rs
+++ b/crates/evacuation/src/domain_state.rs
@@ -1,36 +1,36 @@
-//! The state machine of a place: whether it is in use, and which share of its usual new work it gets.
+//! The state machine of a domain: whether it is in use, and which share of its usual new work it gets.
 
 use serde::{Deserialize, Serialize};
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Assessment, Symptom};
 
 const SECOND_NS: Time = 1_000_000_000;
-/// How long a place must be unhealthy, and others better, before it is drained: where all places fail together, the reports
+/// How long a domain must be unhealthy, and others better, before it is drained: where all domains fail together, the reports
 /// of one come before the reports of the others.
 const CONFIRMATION_NS: Time = 2 * SECOND_NS / 5;
-/// The time between two steps of draining a place that still does some of its work.
+/// The time between two steps of draining a domain that still does some of its work.
 const DRAIN_STEP_NS: Time = SECOND_NS / 2;
 /// The shares of those steps.
 const DRAIN_SHARES: [f64; 4] = [0.6, 0.3, 0.1, 0.0];
 /// The lower bound of the failure rate from which on nothing is lost by evacuating at once.
 const EVACUATE_AT_ONCE_FAILURE_RATE: f64 = 0.4;
-/// The same for the lower bound of calls that fail or are late.
+/// The same for the lower bound of calls that fail or are slow.
 const EVACUATE_AT_ONCE_DEGRADED_RATE: f64 = 0.5;
-/// The first share of a place that is being restored, and how long each doubling of it takes.
+/// The first share of a domain that is being restored, and how long each doubling of it takes.
 const INITIAL_RESTORED_SHARE: f64 = 0.1;
 const RESTORE_STEP_NS: Time = SECOND_NS;
-/// How long a place stays evacuated at least: doubled with each relapse, up to a maximum.
+/// How long a domain stays evacuated at least: doubled with each relapse, up to a maximum.
 const MIN_EVACUATED_NS: Time = 2 * SECOND_NS;
 const MAX_EVACUATED_NS: Time = 32 * SECOND_NS;
-/// A place that has been in use for this long has no relapses any more.
+/// A domain that has been in use for this long has no relapses any more.
 const RELAPSES_FORGOTTEN_NS: Time = 60 * SECOND_NS;
-/// The strength of the evidence from which on a place is suspected.
+/// The strength of the evidence from which on a domain is suspected.
 const SUSPICION_STRENGTH: f64 = 0.4;
-/// The strength of the evidence that a place is healthy from which on it is restored: the time evacuated and the steps of
+/// The strength of the evidence that a domain is healthy from which on it is restored: the time evacuated and the steps of
 /// restoring have to be gone through as well.
 const RESTORE_HEALTH: f64 = 0.15;
 
-/// The phases of a place. Their order settles ties of epochs (the more cautious phase wins) and is the wire format.
+/// The phases of a domain. Their order settles ties of epochs (the more cautious phase wins) and is the wire format.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -38,7 +38,7 @@
     /// There is no evidence against it.
     #[default]
     InUse,
-    /// There is evidence against it, but not enough, or there is no better place.
+    /// There is evidence against it, but not enough, or there is no better domain.
     Suspected,
     /// Its share grows.
     Restoring,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Why a place is in its phase.
+/// Why a domain is in its phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Cause {
     /// There never was any evidence.
@@ -75,9 +75,9 @@
     Operator,
 }
 
-/// The state of a place, as this balancer has decided.
+/// The state of a domain, as this balancer has decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlaceState {
+pub struct DomainState {
     /// Its phase.
     pub phase: Phase,
     /// Raised with each change between in use, draining and restoring.
@@ -96,7 +96,7 @@
     unhealthy_since: Option<Time>,
 }
 
-impl Default for PlaceState {
+impl Default for DomainState {
     fn default() -> Self {
         Self {
             phase: Phase::default(),
@@ -111,14 +111,14 @@
     }
 }
 
-/// The places that could take over the work of one.
+/// The domains that could take over the work of one.
 #[derive(Clone, Copy, Debug)]
 pub struct Alternatives {
     /// At least one of them is better.
     pub has_better: bool,
     /// They have capacity for more work.
     pub has_capacity: bool,
-    /// There are none, since all others are evacuated: this place may not be evacuated as well.
+    /// There are none, since all others are evacuated: this domain may not be evacuated as well.
     pub is_last: bool,
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-impl PlaceState {
+impl DomainState {
     /// Advances by one assessment.
     pub fn advance(&mut self, now: Time, assessment: &Assessment, alternatives: &Alternatives) {
         match self.phase {
@@ -180,7 +180,7 @@
         alternatives: &Alternatives,
     ) {
         if assessment.is_unhealthy && !alternatives.allow_draining() {
-            // Where all places are alike, to drain one for another only moves the load.
+            // Where all domains are alike, to drain one for another only moves the load.
             self.share = 1.0;
             self.enter(
                 now,
@@ -248,7 +248,7 @@
     }
 
     /// Takes a step of draining: to nothing at once where most calls fail, otherwise as fast as the others have capacity,
-    /// since late answers are still answers.
+    /// since slow answers are still answers.
     fn drain(&mut self, now: Time, assessment: &Assessment, alternatives: &Alternatives) {
         let failure_rate = assessment.counts.failure_rate().low;
         let degraded_rate = assessment.counts.degraded_rate().low;
@@ -281,7 +281,7 @@
         true
     }
 
-    /// Begins to restore the place by an operator's order, if it has not its full share.
+    /// Begins to restore the domain by an operator's order, if it has not its full share.
     pub fn restore_by_order(&mut self, now: Time) {
         if self.share < 1.0 {
             self.begin_restoring(now, Cause::Operator);
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Evacuates the place, or takes it back into use, in one step.
+    /// Evacuates the domain, or takes it back into use, in one step.
     pub(crate) fn set_evacuated(&mut self, now: Time, is_evacuated: bool) {
         let phase = if is_evacuated {
             Phase::Evacuated
--- a/crates/evacuation/src/engine/adoption.rs
+++ b/crates/evacuation/src/engine/adoption.rs
@@ -1,18 +1,18 @@
 //! Adopting what other members have decided.
 
 use super::{EngineInput, EvacuationEngine};
-use crate::place_decision::PlaceDecision;
+use crate::domain_decision::DomainDecision;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 use woadstall_decisions::api::Time;
-use woadstall_health_reports::{Subject, SubjectKind, Witnesses, max_faulty};
+use woadstall_health_reports::{Reporters, Subject, SubjectKind, max_faulty};
 
-/// The decisions of the members of one zone about one place.
-type DecisionsByPlace<'a> = BTreeMap<(Subject, &'a str), Vec<&'a PlaceDecision>>;
+/// The decisions of the members of one zone about one domain.
+type DecisionsByDomain<'a> = BTreeMap<(Subject, &'a str), Vec<&'a DomainDecision>>;
 
 impl EvacuationEngine {
     /// Adopts decisions that are newer than the own ones, if one member more than may be faulty has made them. The members of
-    /// the own zone observe from the same position, and those of a place's own zone know it best; others are not asked.
+    /// the own zone observe from the same position, and those of a domain's own zone know it best; others are not asked.
     pub(super) fn adopt_decisions(&mut self, now: Time, input: &EngineInput<'_>) {
         for ((subject, zone), mut decisions) in relevant_decisions(now, input) {
             let needed = max_faulty(input.members.get(zone).copied().unwrap_or(1)) + 1;
@@ -26,7 +26,7 @@
                 self.set_state(
                     subject,
                     state,
-                    Witnesses {
+                    Reporters {
                         against: decisions.len(),
                         in_favor: 0,
                     },
@@ -36,14 +36,14 @@
     }
 }
 
-fn relevant_decisions<'a>(now: Time, input: &EngineInput<'a>) -> DecisionsByPlace<'a> {
+fn relevant_decisions<'a>(now: Time, input: &EngineInput<'a>) -> DecisionsByDomain<'a> {
     let server_zones: HashMap<Subject, usize> = input
         .stats
         .servers(now)
         .map(|server| (server.subject, server.zone))
         .collect();
     let own_zone = input.topology.zone_name(input.own_zone);
-    let mut by_place = DecisionsByPlace::new();
+    let mut by_domain = DecisionsByDomain::new();
     for member in input.member_decisions.values() {
         for decision in &member.decisions {
             let home = match decision.subject.kind {
@@ -54,12 +54,12 @@
                 member.zone == own_zone || member.zone == input.topology.zone_name(home)
             });
             if is_relevant {
-                by_place
+                by_domain
                     .entry((decision.subject, member.zone.as_str()))
                     .or_default()
                     .push(decision);
             }
         }
     }
-    by_place
+    by_domain
 }
--- a/crates/evacuation/src/engine/alternatives.rs
+++ b/crates/evacuation/src/engine/alternatives.rs
@@ -1,15 +1,15 @@
-//! Assessments of the same kind of place in all zones, beside each other.
+//! Assessments of the same kind of domain in all zones, beside each other.
 
 use super::{EngineInput, EvacuationEngine};
-use crate::place_state::Alternatives;
+use crate::domain_state::Alternatives;
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Assessment, CallCounts, Subject, Symptom, UNHEALTHY_LOG_ODDS};
 
-/// A place is better than another where at worst this fraction of the other's rate of calls fails there.
+/// A domain is better than another where at worst this fraction of the other's rate of calls fails there.
 pub(super) const BETTER_FRACTION: f64 = 0.6;
-/// The calls that must be known of a place for it to be better.
+/// The calls that must be known of a domain for it to be better.
 pub(super) const MIN_KNOWN_CALLS: f64 = 8.0;
-/// The rate of failed or late calls up to which the other places have capacity for more work.
+/// The rate of failed or slow calls up to which the other domains have capacity for more work.
 const MAX_RATE_WITH_CAPACITY: f64 = 0.2;
 
 impl EvacuationEngine {
@@ -72,20 +72,21 @@
     }
 }
 
-/// Whether a place is better than another, at worst: of few calls, none may have failed by chance. It has to be observed
+/// Whether a domain is better than another, at worst: of few calls, none may have failed by chance. It has to be observed
 /// to be: what all zones depend on fails in one of them first.
-fn is_better(place: &Assessment, other: &Assessment) -> bool {
-    if place.counts.attempts < MIN_KNOWN_CALLS {
+fn is_better(candidate: &Assessment, other: &Assessment) -> bool {
+    if candidate.counts.attempts < MIN_KNOWN_CALLS {
         return false;
     }
     match other.symptom {
-        // Where calls fail, a place whose answers are late is better all the same.
+        // Where calls fail, a domain whose answers are slow is better all the same.
         Symptom::Failing => {
-            place.counts.failure_rate().high < other.counts.failure_rate().mean * BETTER_FRACTION
+            candidate.counts.failure_rate().high
+                < other.counts.failure_rate().mean * BETTER_FRACTION
         }
-        Symptom::Late => {
+        Symptom::Slow => {
             let limit = other.counts.degraded_rate().mean * BETTER_FRACTION;
-            !place.is_unhealthy && place.counts.degraded_rate().high < limit
+            !candidate.is_unhealthy && candidate.counts.degraded_rate().high < limit
         }
     }
 }
--- a/crates/evacuation/src/engine/mod.rs
+++ b/crates/evacuation/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The decision engine: from all members' reports to the state of each place.
+//! The decision engine: from all members' reports to the state of each domain.
 //!
 //! [`EvacuationEngine::step`] runs all rules once, in a fixed order: what other members have decided, zones, classes, servers,
 //! regions, operators' orders. Each rule has its module.
@@ -10,16 +10,16 @@
 mod servers;
 mod zones;
 
+use crate::domain_decision::DomainDecision;
+use crate::domain_state::{Alternatives, Cause, DomainState, Phase};
 use crate::order::{OrderAction, OrderTable};
-use crate::place_decision::PlaceDecision;
-use crate::place_state::{Alternatives, Cause, Phase, PlaceState};
 use crate::topology::Topology;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 use woadstall_decisions::api::{ServerId, Time};
 use woadstall_health_reports::{
-    Assessment, AssessmentQuery, Baseline, CallCounts, CallStats, ReportTable, Subject,
-    SubjectKind, Witnesses,
+    Assessment, AssessmentQuery, Baseline, CallCounts, CallStats, ReportTable, Reporters, Subject,
+    SubjectKind,
 };
 
 /// The state of a server in use is removed after this long without evidence against it, in nanoseconds.
@@ -31,7 +31,7 @@
     /// The member's zone.
     pub zone: String,
     /// Its decisions.
-    pub decisions: Vec<PlaceDecision>,
+    pub decisions: Vec<DomainDecision>,
 }
 
 /// All that a step of the engine takes into account.
@@ -93,38 +93,38 @@
     }
 }
 
-/// The phase or the epoch of a place has changed.
+/// The phase or the epoch of a domain has changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateChange {
-    /// The place.
+    /// The domain.
     pub subject: Subject,
     /// Its new state.
-    pub state: PlaceState,
-    /// The witnesses that the change rests on.
-    pub witnesses: Witnesses,
+    pub state: DomainState,
+    /// The reporters that the change rests on.
+    pub reporters: Reporters,
 }
 
-/// The states of all places, as this balancer has decided.
+/// The states of all domains, as this balancer has decided.
 #[derive(Clone, Debug, Default)]
 pub struct EvacuationEngine {
-    states: BTreeMap<Subject, PlaceState>,
+    states: BTreeMap<Subject, DomainState>,
     assessments: BTreeMap<Subject, Assessment>,
     changes: Vec<StateChange>,
 }
 
 impl EvacuationEngine {
-    /// The state of a place.
-    pub fn state(&self, subject: &Subject) -> PlaceState {
+    /// The state of a domain.
+    pub fn state(&self, subject: &Subject) -> DomainState {
         self.states.get(subject).copied().unwrap_or_default()
     }
 
-    /// The newest assessment of a place, if there is one.
+    /// The newest assessment of a domain, if there is one.
     pub fn assessment(&self, subject: &Subject) -> Option<&Assessment> {
         self.assessments.get(subject)
     }
 
-    /// The states of all places that there ever was evidence on.
-    pub fn states(&self) -> impl Iterator<Item = (&Subject, &PlaceState)> {
+    /// The states of all domains that there ever was evidence on.
+    pub fn states(&self) -> impl Iterator<Item = (&Subject, &DomainState)> {
         self.states.iter()
     }
 
@@ -147,9 +147,9 @@
         self.remove_old_states(now, input);
     }
 
-    /// The decisions to publish: of all places that have ever changed, those not in full use first, then the newest.
-    pub fn place_decisions(&self) -> Vec<PlaceDecision> {
-        let mut changed: Vec<(&Subject, &PlaceState)> = self
+    /// The decisions to publish: of all domains that have ever changed, those not in full use first, then the newest.
+    pub fn domain_decisions(&self) -> Vec<DomainDecision> {
+        let mut changed: Vec<(&Subject, &DomainState)> = self
             .states
             .iter()
             .filter(|(_, state)| state.epoch > 0)
@@ -158,27 +158,27 @@
             .sort_by_key(|(subject, state)| (state.share >= 1.0, Reverse(state.since), **subject));
         changed
             .into_iter()
-            .map(|(subject, state)| PlaceDecision::new(*subject, state))
+            .map(|(subject, state)| DomainDecision::new(*subject, state))
             .collect()
     }
 
-    /// Whether a place gets its full share of new work.
+    /// Whether a domain gets its full share of new work.
     fn is_in_full_use(&self, subject: &Subject) -> bool {
         self.state(subject).share >= 1.0
     }
 
-    fn set_state(&mut self, subject: Subject, state: PlaceState, witnesses: Witnesses) {
+    fn set_state(&mut self, subject: Subject, state: DomainState, reporters: Reporters) {
         let former = self.states.insert(subject, state).unwrap_or_default();
         if (former.phase, former.epoch) != (state.phase, state.epoch) {
             self.changes.push(StateChange {
                 subject,
                 state,
-                witnesses,
+                reporters,
             });
         }
     }
 
-    /// Advances the state of a place by an assessment.
+    /// Advances the state of a domain by an assessment.
     fn advance(
         &mut self,
         now: Time,
@@ -189,19 +189,19 @@
         self.assessments.insert(subject, *assessment);
         let mut state = self.state(&subject);
         state.advance(now, assessment, alternatives);
-        self.set_state(subject, state, assessment.witnesses);
+        self.set_state(subject, state, assessment.reporters);
     }
 
-    /// Begins to restore the places that operators have ordered to. A place that is evacuated again while the order holds is
+    /// Begins to restore the domains that operators have ordered to. A domain that is evacuated again while the order holds is
     /// restored again.
     fn apply_restore_orders(&mut self, now: Time, input: &EngineInput<'_>) {
-        let is_to_be_restored = |(subject, state): &(&Subject, &PlaceState)| {
+        let is_to_be_restored = |(subject, state): &(&Subject, &DomainState)| {
             let order = input.orders.get(&input.topology.order_subject(subject));
             order.is_some_and(|order| order.action == OrderAction::Restore)
                 && matches!(state.phase, Phase::Evacuated | Phase::Draining)
                 && state.cause != Cause::Operator
         };
-        let to_restore: Vec<(Subject, PlaceState)> = self
+        let to_restore: Vec<(Subject, DomainState)> = self
             .states
             .iter()
             .filter(is_to_be_restored)
@@ -209,7 +209,7 @@
             .collect();
         for (subject, mut state) in to_restore {
             state.restore_by_order(now);
-            self.set_state(subject, state, Witnesses::default());
+            self.set_state(subject, state, Reporters::default());
         }
     }
 
--- a/crates/evacuation/src/engine/regions.rs
+++ b/crates/evacuation/src/engine/regions.rs
@@ -3,7 +3,7 @@
 use super::{EngineInput, EvacuationEngine};
 use std::collections::BTreeMap;
 use woadstall_decisions::api::Time;
-use woadstall_health_reports::{Subject, Witnesses};
+use woadstall_health_reports::{Reporters, Subject};
 
 /// The fraction of a region's size that must be in use for the region to be.
 const MIN_IN_USE_FRACTION: f64 = 0.5;
@@ -36,7 +36,7 @@
                 continue;
             }
             state.set_evacuated(now, is_evacuated);
-            self.set_state(*subject, state, Witnesses::default());
+            self.set_state(*subject, state, Reporters::default());
         }
     }
 
--- a/crates/evacuation/src/engine/servers.rs
+++ b/crates/evacuation/src/engine/servers.rs
@@ -2,7 +2,7 @@
 
 use super::alternatives::BETTER_FRACTION;
 use super::{EngineInput, EvacuationEngine};
-use crate::place_state::Alternatives;
+use crate::domain_state::Alternatives;
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{
     Assessment, Baseline, CallCounts, SERVER_UNHEALTHY_LOG_ODDS, ServerStats, Subject, SubjectKind,
@@ -11,7 +11,7 @@
 
 /// The fraction of a zone's size that may be evacuated server by server; beyond that it is the zone that fails.
 const MAX_EVACUATED_FRACTION: f64 = 1.0 / 3.0;
-/// The own failed or late calls of a server from which on it is assessed.
+/// The own failed or slow calls of a server from which on it is assessed.
 const MIN_OWN_EVIDENCE: f64 = 0.5;
 
 /// A server to be assessed.
@@ -77,7 +77,7 @@
                 evacuated_sizes[zone] += size * (1.0 - state.share);
             }
             let has_evidence = state.is_some()
-                || counts.failed + counts.late >= MIN_OWN_EVIDENCE
+                || counts.failed + counts.slow >= MIN_OWN_EVIDENCE
                 || input.reports.has_evidence_against(&subject, now);
             if has_evidence {
                 candidates.push(Candidate {
@@ -139,7 +139,7 @@
         Symptom::Failing => {
             baseline.failure_rate < assessment.counts.failure_rate().mean * BETTER_FRACTION
         }
-        Symptom::Late => {
+        Symptom::Slow => {
             baseline.degraded_rate < assessment.counts.degraded_rate().mean * BETTER_FRACTION
         }
     }
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -9,7 +9,7 @@
 
 /// The version of the format: raised when the meaning of the bytes changes.
 const VERSION: u8 = 1;
-/// The most places that have an order.
+/// The most domains that have an order.
 const MAX_ORDERS: usize = 16;
 /// The longest validity of an order: one that is forgotten must end by itself.
 const MAX_VALIDITY: Duration = Duration::from_secs(24 * 3_600);
@@ -18,11 +18,11 @@
 /// What an operator orders. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum OrderAction {
-    /// The place gets no new work.
+    /// The domain gets no new work.
     Evacuate,
-    /// The place stays in use, whatever is observed.
+    /// The domain stays in use, whatever is observed.
     Keep,
-    /// Former orders are revoked, and the place is restored.
+    /// Former orders are revoked, and the domain is restored.
     Restore,
 }
 
@@ -40,7 +40,7 @@
 /// An operator's order. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The place.
+    /// The domain.
     pub subject: Subject,
     /// What is ordered.
     pub action: OrderAction,
@@ -60,7 +60,7 @@
 /// Why an order is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// A newer order for the place, or the same one, is known.
+    /// A newer order for the domain, or the same one, is known.
     #[error("a newer order holds")]
     Superseded,
     /// Its time of issue is too far in the future: nobody could overrule it for long.
@@ -69,12 +69,12 @@
     /// It has ended already.
     #[error("the order has ended")]
     Expired,
-    /// Too many other places have orders.
+    /// Too many other domains have orders.
     #[error("there are too many orders")]
     TooMany,
 }
 
-/// All orders that hold, the newest of each place.
+/// All orders that hold, the newest of each domain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderTable {
     by_subject: BTreeMap<Subject, Order>,
@@ -116,7 +116,7 @@
         before != self.by_subject.len()
     }
 
-    /// The order that holds for a place.
+    /// The order that holds for a domain.
     pub fn get(&self, subject: &Subject) -> Option<&Order> {
         self.by_subject.get(subject)
     }
--- a/crates/evacuation/src/status.rs
+++ b/crates/evacuation/src/status.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The status of one place.
+/// The status of one domain.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PlaceStatus {
+pub struct DomainStatus {
     /// `zone NAME`, `region NAME`, `nodo NAME`, or a class at a zone.
     pub name: String,
     /// The name of its phase.
@@ -21,12 +21,12 @@
     /// What the decision rests on.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The witnesses against it.
+    /// The reporters against it.
     #[serde(rename = "against")]
-    pub witnesses_against: usize,
-    /// The witnesses for it.
+    pub reporters_against: usize,
+    /// The reporters for it.
     #[serde(rename = "for_it")]
-    pub witnesses_in_favor: usize,
+    pub reporters_in_favor: usize,
     /// How often it failed again while it was being restored.
     pub relapses: u32,
     /// A zone's servers in service.
@@ -42,11 +42,11 @@
     pub members_behind: Vec<String>,
 }
 
-/// The status of all places.
+/// The status of all domains.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// Zones, regions, and everything else that is not in use.
-    pub places: Vec<PlaceStatus>,
+    pub places: Vec<DomainStatus>,
     /// How often members have reported the opposite of what was observed, by member.
     #[serde(rename = "odd")]
     pub contradicting_members: BTreeMap<String, u32>,
--- a/crates/evacuation/src/topology.rs
+++ b/crates/evacuation/src/topology.rs
@@ -18,7 +18,7 @@
     pub(crate) region_order_subject: Option<Subject>,
 }
 
-/// All places of a deployment, as the balancers that send to one tier see them.
+/// All domains of a deployment, as the balancers that send to one tier see them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Topology {
     /// Zones, in the order of the settings.
@@ -62,7 +62,7 @@
         })
     }
 
-    /// The subject that operators' orders name a place by.
+    /// The subject that operators' orders name a domain by.
     pub(crate) fn order_subject(&self, subject: &Subject) -> Subject {
         let zone = self.zones.iter().find(|zone| zone.subject == *subject);
         let region = || {
@@ -75,8 +75,8 @@
             .unwrap_or(*subject)
     }
 
-    /// The subject of the place that an order is about.
-    pub(crate) fn ordered_place(&self, order_subject: &Subject) -> Subject {
+    /// The subject of the domain that an order is about.
+    pub(crate) fn ordered_domain(&self, order_subject: &Subject) -> Subject {
         let zone = self
             .zones
             .iter()
--- a/crates/evacuation/tests/place_state.rs
+++ b/crates/evacuation/tests/domain_state.rs
@@ -1,10 +1,10 @@
-//! The phases of a place, adopted decisions, operators' orders, and malformed bytes.
+//! The phases of a domain, adopted decisions, operators' orders, and malformed bytes.
 
 use proptest::prelude::*;
 use woadstall_evacuation::{
-    Alternatives, Order, OrderAction, OrderTable, Phase, PlaceDecision, PlaceState,
+    Alternatives, DomainDecision, DomainState, Order, OrderAction, OrderTable, Phase,
 };
-use woadstall_health_reports::{Assessment, CallCounts, Subject, Symptom, Witnesses};
+use woadstall_health_reports::{Assessment, CallCounts, Reporters, Subject, Symptom};
 
 const SECOND: u64 = 1_000_000_000;
 const STEP: u64 = SECOND / 10;
@@ -21,7 +21,7 @@
         strength,
         health: 1.0 - strength.min(1.0),
         counts: CallCounts::new(40.0, 40.0 * failure_rate, 0.0, 0),
-        witnesses: Witnesses {
+        reporters: Reporters {
             against: 5,
             in_favor: 0,
         },
@@ -31,7 +31,7 @@
 
 /// Advances a state step by step for a time; returns when that is over.
 fn advance_for(
-    state: &mut PlaceState,
+    state: &mut DomainState,
     from: u64,
     time: u64,
     assessment: &Assessment,
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn a_failing_place_is_evacuated_at_once_and_a_degraded_one_by_steps() {
-    let mut dead = PlaceState::default();
+fn a_failing_domain_is_evacuated_at_once_and_a_degraded_one_by_steps() {
+    let mut dead = DomainState::default();
     let now = advance_for(
         &mut dead,
         SECOND,
@@ -58,36 +58,36 @@
         (dead.phase, dead.share, dead.epoch),
         (Phase::Evacuated, 0.0, 1)
     );
-    let mut grey = PlaceState::default();
+    let mut degraded = DomainState::default();
     advance_for(
-        &mut grey,
+        &mut degraded,
         SECOND,
         SECOND / 2,
         &assessment(2.0, 0.3),
         &BETTER,
     );
-    assert_eq!(grey.phase, Phase::Draining);
-    assert!((0.3..1.0).contains(&grey.share), "{}", grey.share);
+    assert_eq!(degraded.phase, Phase::Draining);
+    assert!((0.3..1.0).contains(&degraded.share), "{}", degraded.share);
     // The others have no capacity for more work: a part stays.
-    let share = grey.share;
+    let share = degraded.share;
     let full = Alternatives {
         has_capacity: false,
         ..BETTER
     };
-    advance_for(&mut grey, now, 5 * SECOND, &assessment(2.0, 0.3), &full);
-    assert_eq!((grey.phase, grey.share), (Phase::Draining, share));
+    advance_for(&mut degraded, now, 5 * SECOND, &assessment(2.0, 0.3), &full);
+    assert_eq!((degraded.phase, degraded.share), (Phase::Draining, share));
     advance_for(
-        &mut grey,
+        &mut degraded,
         now + 5 * SECOND,
         3 * SECOND,
         &assessment(2.0, 0.3),
         &BETTER,
     );
-    assert_eq!((grey.phase, grey.share), (Phase::Evacuated, 0.0));
+    assert_eq!((degraded.phase, degraded.share), (Phase::Evacuated, 0.0));
 }
 
 #[test]
-fn no_place_is_drained_without_a_better_one_nor_the_last_one() {
+fn no_domain_is_drained_without_a_better_one_nor_the_last_one() {
     for alternatives in [
         Alternatives {
             has_better: false,
@@ -98,7 +98,7 @@
             ..BETTER
         },
     ] {
-        let mut state = PlaceState::default();
+        let mut state = DomainState::default();
         advance_for(
             &mut state,
             SECOND,
@@ -112,7 +112,7 @@
         );
     }
     // A first assessment, before the others are known to be as bad, is not enough.
-    let mut state = PlaceState::default();
+    let mut state = DomainState::default();
     state.advance(SECOND, &assessment(3.0, 0.9), &BETTER);
     state.advance(
         SECOND + STEP,
@@ -134,8 +134,8 @@
 
 /// Each relapse delays the next attempt to restore, up to a bound.
 #[test]
-fn a_flapping_place_is_restored_ever_later() {
-    let (mut state, mut now, mut evacuated_s) = (PlaceState::default(), SECOND, Vec::new());
+fn a_flapping_domain_is_restored_ever_later() {
+    let (mut state, mut now, mut evacuated_s) = (DomainState::default(), SECOND, Vec::new());
     for _ in 0..7 {
         now = advance_for(&mut state, now, SECOND, &assessment(2.0, 0.9), &BETTER);
         assert_eq!(state.phase, Phase::Evacuated);
@@ -157,7 +157,7 @@
 
 #[test]
 fn later_epochs_are_adopted_and_earlier_ones_change_nothing() {
-    let mut state = PlaceState::default();
+    let mut state = DomainState::default();
     assert!(state.adopt(SECOND, Phase::Evacuated, 3, 0.0));
     let adopted = state;
     for (phase, epoch) in [
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn the_newest_order_holds_until_it_ends() {
+fn the_newest_order_is_valid_until_it_ends() {
     let subject = Subject::zone("", "norte");
     let order = |action, issued_ms, until_ms, id| Order {
         subject,
@@ -238,12 +238,12 @@
 }
 
 proptest! {
-    /// Whatever is observed, the share stays within bounds, epochs only grow, and a place in use has its full share.
+    /// Whatever is observed, the share stays within bounds, epochs only grow, and a domain in use has its full share.
     #[test]
     fn any_history_of_evidence_keeps_to_the_phases(
         history in prop::collection::vec((0.0..3.0_f64, 0.0..=1.0_f64, any::<bool>(), any::<bool>(), any::<bool>(), 1_u64..40), 1..80),
     ) {
-        let (mut state, mut now) = (PlaceState::default(), SECOND);
+        let (mut state, mut now) = (DomainState::default(), SECOND);
         for (strength, failure_rate, has_better, has_capacity, is_last, steps) in history {
             for _ in 0..steps {
                 let before = state;
@@ -257,7 +257,7 @@
                 let is_in_use = matches!(state.phase, Phase::InUse | Phase::Suspected);
                 prop_assert!(!is_in_use || state.share >= 1.0, "{:?}", state);
                 prop_assert!(state.phase != Phase::Evacuated || state.share < 1.0, "{:?}", state);
-                // Never drained if it is the last place, nor if no other is better.
+                // Never drained if it is the last domain, nor if no other is better.
                 prop_assert!(state.share >= before.share || has_better && !is_last, "{:?} {:?}", before, state);
             }
         }
@@ -269,7 +269,7 @@
         if is_version_valid && !bytes.is_empty() {
             bytes[0] = 1;
         }
-        if let Ok(decisions) = PlaceDecision::decode(&bytes) {
+        if let Ok(decisions) = DomainDecision::decode(&bytes) {
             prop_assert!(decisions.iter().all(|decision| (0.0..=1.0).contains(&decision.share())));
         }
         if let Ok(decoded) = OrderTable::decode(&bytes) {
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -1,10 +1,10 @@
-//! The bytes of place decisions and orders and the JSON of a status, as members and tools of other versions write and
+//! The bytes of domain decisions and orders and the JSON of a status, as members and tools of other versions write and
 //! read them.
 
 use serde_json::json;
 use std::collections::BTreeMap;
 use woadstall_evacuation::{
-    Order, OrderAction, OrderTable, Phase, PlaceDecision, PlaceState, PlaceStatus, Status,
+    DomainDecision, DomainState, DomainStatus, Order, OrderAction, OrderTable, Phase, Status,
 };
 use woadstall_health_reports::Subject;
 
@@ -14,11 +14,11 @@
     assert_eq!(hex, golden);
 }
 
-fn place_decisions() -> Vec<PlaceDecision> {
+fn domain_decisions() -> Vec<DomainDecision> {
     let decision = |subject: Subject, phase: Phase, epoch: u32, share: f64| {
-        let mut state = PlaceState::default();
+        let mut state = DomainState::default();
         (state.phase, state.epoch, state.share) = (phase, epoch, share);
-        PlaceDecision::new(subject, &state)
+        DomainDecision::new(subject, &state)
     };
     vec![
         decision(Subject::zone("0", "norte"), Phase::InUse, 4, 1.0),
@@ -39,27 +39,27 @@
     ]
 }
 
-const PLACE_DECISIONS: &str = concat!(
+const DOMAIN_DECISIONS: &str = concat!(
     "01014bbf9a20c964040064021ec48fb5586fac0201640011264415c36202021403",
     "85292a682dcb01033c0179c5d737642ef0a2040400"
 );
 
 #[test]
-fn place_decisions_have_the_golden_bytes() {
+fn domain_decisions_have_the_golden_bytes() {
     assert_golden(
-        &PlaceDecision::encode(&place_decisions(), 256),
-        PLACE_DECISIONS,
+        &DomainDecision::encode(&domain_decisions(), 256),
+        DOMAIN_DECISIONS,
     );
-    assert_golden(&PlaceDecision::encode(&[], 256), "01");
+    assert_golden(&DomainDecision::encode(&[], 256), "01");
 }
 
 #[test]
-fn golden_bytes_are_decoded_to_the_same_place_decisions() {
-    let bytes = PlaceDecision::encode(&place_decisions(), 256);
-    assert_golden(&bytes, PLACE_DECISIONS);
-    let decoded = PlaceDecision::decode(&bytes).unwrap();
-    assert_eq!(decoded, place_decisions());
-    let shares: Vec<f64> = decoded.iter().map(PlaceDecision::share).collect();
+fn golden_bytes_are_decoded_to_the_original_domain_decisions() {
+    let bytes = DomainDecision::encode(&domain_decisions(), 256);
+    assert_golden(&bytes, DOMAIN_DECISIONS);
+    let decoded = DomainDecision::decode(&bytes).unwrap();
+    assert_eq!(decoded, domain_decisions());
+    let shares: Vec<f64> = decoded.iter().map(DomainDecision::share).collect();
     assert_eq!(shares, [1.0, 1.0, 0.2, 0.6, 0.0]);
 }
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn golden_bytes_are_decoded_to_the_same_orders() {
+fn golden_bytes_are_decoded_to_the_original_orders() {
     let bytes = encoded_orders();
     assert_golden(&bytes, ORDERS);
     assert_eq!(OrderTable::decode(&bytes).unwrap(), orders());
@@ -114,10 +114,10 @@
 
 #[test]
 fn decisions_that_do_not_fit_are_left_out_at_the_end() {
-    let bytes = PlaceDecision::encode(&place_decisions(), 25);
+    let bytes = DomainDecision::encode(&domain_decisions(), 25);
     assert_eq!(
-        PlaceDecision::decode(&bytes).unwrap(),
-        place_decisions()[..2]
+        DomainDecision::decode(&bytes).unwrap(),
+        domain_decisions()[..2]
     );
 }
 
@@ -148,22 +148,22 @@
 fn status() -> Status {
     Status {
         places: vec![
-            PlaceStatus {
+            DomainStatus {
                 name: "zone norte".to_owned(),
                 phase: "left".to_owned(),
                 epoch: 3,
                 phase_for_s: 1.5,
                 share: 0.0,
                 reason: "an operator's word, leave; 90% of 40 calls fail".to_owned(),
-                witnesses_against: 5,
-                witnesses_in_favor: 1,
+                reporters_against: 5,
+                reporters_in_favor: 1,
                 relapses: 2,
                 servers: 8,
                 order: Some("leave".to_owned()),
                 order_remaining_s: Some(59.5),
                 members_behind: vec!["b-1".to_owned(), "b-2".to_owned()],
             },
-            PlaceStatus::default(),
+            DomainStatus::default(),
         ],
         contradicting_members: BTreeMap::from([("b-9".to_owned(), 3)]),
         malformed_reports: 11,
@@ -201,7 +201,7 @@
         r#""relapses":0,"nodos":0,"order":null,"order_ends_s":null,"not_followed":[]}],"odd":{},"unread":0}"#
     );
     let status = Status {
-        places: vec![PlaceStatus::default()],
+        places: vec![DomainStatus::default()],
         ..Status::default()
     };
     assert_eq!(serde_json::to_string(&status).unwrap(), golden);
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// The faults of a server at a time, in seconds: percent of its calls that fail, and percent that are late.
+/// The faults of a server at a time, in seconds: percent of its calls that fail, and percent that are slow.
 fn faults(second: u64, server: u32, class: usize) -> (u64, u64) {
     let zone = server / SERVERS_PER_ZONE;
     match second {
@@ -144,7 +144,7 @@
         };
         let server = draws.below(u64::from(SERVERS_PER_ZONE) * ZONES.len() as u64) as u32;
         let class = draws.below(2) as usize;
-        let (failing, late) = faults(now / (1_000 * MS), server, class);
+        let (failing, slow) = faults(now / (1_000 * MS), server, class);
         let server = ServerId(server);
         let drawn = draws.below(100);
         let usual = 20 * MS + draws.below(10) * MS;
@@ -161,7 +161,7 @@
             }
             _ if drawn < failing / 2 => (Outcome::Error, usual),
             _ if drawn < failing => (Outcome::Timeout, 80 * MS),
-            _ if drawn < failing + late => (Outcome::Ok, 8 * usual),
+            _ if drawn < failing + slow => (Outcome::Ok, 8 * usual),
             _ => (Outcome::Ok, usual),
         };
         let completed = CompletedAttempt {
@@ -231,9 +231,9 @@
     }
 }
 
-fn order(fleet: &mut [Balancer], now: u64, kind: SubjectKind, place: &str, action: OrderAction) {
+fn order(fleet: &mut [Balancer], now: u64, kind: SubjectKind, name: &str, action: OrderAction) {
     let coordinator = &mut fleet[1].coordinator;
-    let subject = coordinator.order_subject(kind, place).unwrap();
+    let subject = coordinator.order_subject(kind, name).unwrap();
     let issued_ms = UNIX_MS + now / MS;
     let until_ms = issued_ms + 4_000;
     let order = Order {
--- a/crates/health-reports/src/assessment.rs
+++ b/crates/health-reports/src/assessment.rs
@@ -17,7 +17,7 @@
 pub struct Baseline {
     /// Of calls that fail.
     pub failure_rate: f64,
-    /// Of calls that fail or are late.
+    /// Of calls that fail or are slow.
     pub degraded_rate: f64,
 }
 
@@ -25,7 +25,7 @@
     fn rate(&self, symptom: Symptom) -> f64 {
         match symptom {
             Symptom::Failing => self.failure_rate,
-            Symptom::Late => self.degraded_rate,
+            Symptom::Slow => self.degraded_rate,
         }
     }
 }
@@ -49,9 +49,9 @@
     pub members: &'a BTreeMap<String, usize>,
 }
 
-/// How many witnesses stand on either side.
+/// How many reporters stand on either side.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Witnesses {
+pub struct Reporters {
     /// Those whose counts speak against the subject.
     pub against: usize,
     /// Those whose counts speak for it.
@@ -71,9 +71,9 @@
     pub health: f64,
     /// All counts together.
     pub counts: CallCounts,
-    /// The witnesses on either side.
-    pub witnesses: Witnesses,
-    /// The zones whose witnesses speak against it by themselves.
+    /// The reporters on either side.
+    pub reporters: Reporters,
+    /// The zones whose reporters speak against it by themselves.
     pub zones: usize,
 }
 
@@ -93,13 +93,13 @@
     /// Assesses a subject.
     pub fn assess(&self, now: Time, query: &AssessmentQuery<'_>) -> Assessment {
         let failing = self.assess_symptom(now, query, Symptom::Failing);
-        let late = self.assess_symptom(now, query, Symptom::Late);
-        let worst = if late.strength > failing.strength {
-            late
+        let slow = self.assess_symptom(now, query, Symptom::Slow);
+        let worst = if slow.strength > failing.strength {
+            slow
         } else {
             failing
         };
-        let is_unhealthy = failing.is_unhealthy || late.is_unhealthy;
+        let is_unhealthy = failing.is_unhealthy || slow.is_unhealthy;
         Assessment {
             health: failing.health,
             is_unhealthy,
@@ -155,7 +155,7 @@
                 0.0
             };
             let threshold = EvidenceThreshold::among(query.needed_log_odds, size);
-            EvidenceSum::new(others, own, threshold.max_per_witness, max_faulty(size))
+            EvidenceSum::new(others, own, threshold.max_per_reporter, max_faulty(size))
         };
         let is_other = |zone: &&&str| **zone != query.observer_zone && **zone != query.home_zone;
         Self {
@@ -185,7 +185,7 @@
             strength: (unhealthy / self.needed).max(0.0),
             health: (healthy / self.needed).max(0.0),
             counts,
-            witnesses: self.witnesses(),
+            reporters: self.reporters(),
             zones,
         }
     }
@@ -198,7 +198,7 @@
             .chain(&self.others)
     }
 
-    /// Whether a zone's witnesses speak against the subject by themselves.
+    /// Whether a zone's reporters speak against the subject by themselves.
     fn is_against(&self, sum: &EvidenceSum) -> bool {
         sum.unhealthy >= self.needed / 2.0
     }
@@ -227,11 +227,11 @@
         self.home.unhealthy.max(elsewhere)
     }
 
-    fn witnesses(&self) -> Witnesses {
+    fn reporters(&self) -> Reporters {
         self.all()
-            .fold(Witnesses::default(), |total, sum| Witnesses {
-                against: total.against + sum.witnesses.against,
-                in_favor: total.in_favor + sum.witnesses.in_favor,
+            .fold(Reporters::default(), |total, sum| Reporters {
+                against: total.against + sum.reporters.against,
+                in_favor: total.in_favor + sum.reporters.in_favor,
             })
     }
 }
--- a/crates/health-reports/src/call_counts.rs
+++ b/crates/health-reports/src/call_counts.rs
@@ -16,7 +16,7 @@
     /// Those that failed.
     pub failed: f64,
     /// Those that were answered far later than usual.
-    pub late: f64,
+    pub slow: f64,
     /// The time that the counts are decayed to.
     pub(crate) at: Time,
 }
@@ -48,11 +48,11 @@
 
 impl CallCounts {
     /// Counts as they are at the time `at`.
-    pub fn new(attempts: f64, failed: f64, late: f64, at: Time) -> Self {
+    pub fn new(attempts: f64, failed: f64, slow: f64, at: Time) -> Self {
         Self {
             attempts,
             failed,
-            late,
+            slow,
             at,
         }
     }
@@ -77,24 +77,24 @@
         let Self {
             attempts,
             failed,
-            late,
+            slow,
             at,
         } = *self;
         Self {
             attempts: attempts * factor,
             failed: failed * factor,
-            late: late * factor,
+            slow: slow * factor,
             at,
         }
     }
 
-    /// Adds a call. A failed call does not count as late.
-    pub fn add(&mut self, now: Time, failed: bool, late: bool) {
+    /// Adds a call. A failed call does not count as slow.
+    pub fn add(&mut self, now: Time, failed: bool, slow: bool) {
         let count = |is: bool| f64::from(u8::from(is));
         *self = self.at(now);
         self.attempts += 1.0;
         self.failed += count(failed);
-        self.late += count(late && !failed);
+        self.slow += count(slow && !failed);
     }
 
     /// The rate of calls at a time.
@@ -109,7 +109,7 @@
         Self {
             attempts: a.attempts + b.attempts,
             failed: a.failed + b.failed,
-            late: a.late + b.late,
+            slow: a.slow + b.slow,
             at: now,
         }
     }
@@ -119,8 +119,8 @@
         RateEstimate::new(self.failed, self.attempts)
     }
 
-    /// The rate of calls that fail or are late.
+    /// The rate of calls that fail or are slow.
     pub fn degraded_rate(&self) -> RateEstimate {
-        RateEstimate::new(self.failed + self.late, self.attempts)
+        RateEstimate::new(self.failed + self.slow, self.attempts)
     }
 }
--- a/crates/health-reports/src/call_stats.rs
+++ b/crates/health-reports/src/call_stats.rs
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 use woadstall_decisions::api::{Duration, Outcome, ServerId, Time};
 
-/// An answer that takes this many times the typical response time of its class is late.
-const LATE_FACTOR: f64 = 4.0;
+/// An answer that takes this many times the typical response time of its class is slow.
+const SLOW_FACTOR: f64 = 4.0;
 /// A timeout sooner than this many times the typical response time is not the server's fault: the limit was too short.
 const SHORT_TIMEOUT_FACTOR: f64 = 2.0;
 /// A pending attempt that has taken this many times the typical response time counts as failed before it times out.
@@ -16,7 +16,7 @@
 const GAIN_DOWN: f64 = 0.05;
 const GAIN_UP: f64 = 0.001;
 /// The answers from which on a response time is typical.
-const MIN_ANSWERS: u32 = 10;
+const MIN_RESPONSES: u32 = 10;
 /// How long an answer shows that a subject works, in nanoseconds: calls that hang since then are not counted yet.
 const FRESH_NS: Duration = 300_000_000;
 
@@ -99,29 +99,29 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ResponseTime {
     typical_ns: f64,
-    answers: u32,
+    responses: u32,
 }
 
 impl ResponseTime {
     fn is_known(&self) -> bool {
-        self.answers >= MIN_ANSWERS
+        self.responses >= MIN_RESPONSES
     }
 
     fn record(&mut self, took_ns: f64) {
-        self.answers = self.answers.saturating_add(1);
+        self.responses = self.responses.saturating_add(1);
         let gain = if took_ns < self.typical_ns {
             GAIN_DOWN
         } else {
             GAIN_UP
         };
-        self.typical_ns += gain.max(1.0 / f64::from(self.answers)) * (took_ns - self.typical_ns);
+        self.typical_ns += gain.max(1.0 / f64::from(self.responses)) * (took_ns - self.typical_ns);
     }
 }
 
 /// What a pending attempt was counted as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CountedAs {
-    Late,
+    Slow,
     Failed,
 }
 
@@ -183,20 +183,20 @@
         let Some(failed) = has_failed(completed.outcome, took_ns, response_time) else {
             return;
         };
-        let is_late =
-            response_time.is_known() && !failed && took_ns > LATE_FACTOR * response_time.typical_ns;
+        let is_slow =
+            response_time.is_known() && !failed && took_ns > SLOW_FACTOR * response_time.typical_ns;
         if completed.outcome == Outcome::Ok {
             response_time.record(took_ns);
         }
         match self.counted.remove(&completed.id) {
             Some(CountedAs::Failed) => {}
-            Some(CountedAs::Late) if !failed => {}
-            Some(CountedAs::Late) => self.late_to_failed(now, completed.server, completed.class),
-            None => self.add(now, completed.server, completed.class, failed, is_late),
+            Some(CountedAs::Slow) if !failed => {}
+            Some(CountedAs::Slow) => self.slow_to_failed(now, completed.server, completed.class),
+            None => self.add(now, completed.server, completed.class, failed, is_slow),
         }
     }
 
-    /// Counts pending attempts that hang: as late, and then as failed, before they time out. `pending` are all that there are.
+    /// Counts pending attempts that hang: as slow, and then as failed, before they time out. `pending` are all that there are.
     pub fn record_pending(&mut self, now: Time, pending: impl Iterator<Item = PendingAttempt>) {
         let former = std::mem::take(&mut self.counted);
         for attempt in pending {
@@ -204,32 +204,32 @@
                 continue;
             };
             let age_ns = attempt.age as f64;
-            if !response_time.is_known() || age_ns <= LATE_FACTOR * response_time.typical_ns {
+            if !response_time.is_known() || age_ns <= SLOW_FACTOR * response_time.typical_ns {
                 continue;
             }
             let is_stuck = age_ns > STUCK_FACTOR * response_time.typical_ns;
             match former.get(&attempt.id) {
                 None => self.add(now, attempt.server, attempt.class, is_stuck, !is_stuck),
-                Some(CountedAs::Late) if is_stuck => {
-                    self.late_to_failed(now, attempt.server, attempt.class);
+                Some(CountedAs::Slow) if is_stuck => {
+                    self.slow_to_failed(now, attempt.server, attempt.class);
                 }
                 Some(_) => {}
             }
             let counted_as = if is_stuck {
                 CountedAs::Failed
             } else {
-                CountedAs::Late
+                CountedAs::Slow
             };
             self.counted.insert(attempt.id, counted_as);
         }
     }
 
-    fn add(&mut self, now: Time, server: ServerId, class: usize, failed: bool, late: bool) {
-        self.for_each_subject(server, class, |counts| counts.add(now, failed, late));
+    fn add(&mut self, now: Time, server: ServerId, class: usize, failed: bool, slow: bool) {
+        self.for_each_subject(server, class, |counts| counts.add(now, failed, slow));
     }
 
-    fn late_to_failed(&mut self, now: Time, server: ServerId, class: usize) {
-        self.for_each_subject(server, class, |counts| counts.late_to_failed(now));
+    fn slow_to_failed(&mut self, now: Time, server: ServerId, class: usize) {
+        self.for_each_subject(server, class, |counts| counts.slow_to_failed(now));
     }
 
     /// Updates the counts of all subjects that a call at a server counts for.
--- a/crates/health-reports/src/cusum.rs
+++ b/crates/health-reports/src/cusum.rs
@@ -14,7 +14,7 @@
     miss: f64,
 }
 
-/// For calls that fail, and for calls that fail or are late.
+/// For calls that fail, and for calls that fail or are slow.
 const FAILING: Increments = Increments {
     hit: 3.2,
     miss: -0.67,
@@ -39,16 +39,16 @@
 
 impl CusumCounts {
     /// Adds a call.
-    pub fn add(&mut self, now: Time, failed: bool, late: bool) {
+    pub fn add(&mut self, now: Time, failed: bool, slow: bool) {
         let decay = (-(now.saturating_sub(self.since_change.at) as f64) / DECAY_NS).exp();
         self.all = self.all.at_with_decay(now, HEALTHY_DECAY_NS);
-        self.all.add(now, failed, late);
-        self.since_change.add(now, failed, late);
-        if !failed && !late {
+        self.all.add(now, failed, slow);
+        self.since_change.add(now, failed, slow);
+        if !failed && !slow {
             self.answered_at = now;
         }
         self.failing_sum = next_sum(self.failing_sum, decay, failed, &FAILING);
-        self.degraded_sum = next_sum(self.degraded_sum, decay, failed || late, &DEGRADED);
+        self.degraded_sum = next_sum(self.degraded_sum, decay, failed || slow, &DEGRADED);
         if !self.has_degraded() {
             self.since_change = CallCounts {
                 at: now,
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Counts a call that was counted as late as failed instead.
-    pub fn late_to_failed(&mut self, now: Time) {
+    /// Counts a call that was counted as slow as failed instead.
+    pub fn slow_to_failed(&mut self, now: Time) {
         self.all = self.all.at_with_decay(now, HEALTHY_DECAY_NS);
         self.since_change = self.since_change.at(now);
         for counts in [&mut self.all, &mut self.since_change] {
             counts.failed += 1.0;
-            counts.late = (counts.late - 1.0).max(0.0);
-            counts.attempts = counts.attempts.max(counts.failed + counts.late);
+            counts.slow = (counts.slow - 1.0).max(0.0);
+            counts.attempts = counts.attempts.max(counts.failed + counts.slow);
         }
         self.failing_sum = (self.failing_sum + FAILING.hit).min(MAX_SUM);
     }
--- a/crates/health-reports/src/health_report.rs
+++ b/crates/health-reports/src/health_report.rs
@@ -23,7 +23,7 @@
     /// In quarters of a call, as the other two.
     attempts: u16,
     failed: u16,
-    late: u16,
+    slow: u16,
 }
 
 impl ReportEntry {
@@ -34,7 +34,7 @@
             subject,
             attempts: units(counts.attempts),
             failed: units(counts.failed),
-            late: units(counts.late),
+            slow: units(counts.slow),
         }
     }
 
@@ -46,7 +46,7 @@
         CallCounts::new(
             attempts,
             failed,
-            calls(self.late).min(attempts - failed),
+            calls(self.slow).min(attempts - failed),
             at,
         )
     }
--- a/crates/health-reports/src/lib.rs
+++ b/crates/health-reports/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`CallStats`] counts the outcomes of this balancer's own calls. A [`HealthReport`] carries those counts to the other
 //! balancers. The [`ReportTable`] holds the newest report of each, and its [`Assessment`] of a [`Subject`] says how strong
-//! the evidence against it is, as seen from one zone, without the weights that a tenth of faulty witnesses could have made
+//! the evidence against it is, as seen from one zone, without the weights that a tenth of faulty reporters could have made
 //! up.
 //!
 //! The crate does no I/O and reads no clock: times are nanoseconds on the caller's clock. It takes no decisions; the
@@ -18,7 +18,7 @@
 mod report_table;
 mod subject;
 
-pub use assessment::{Assessment, AssessmentQuery, Baseline, Witnesses};
+pub use assessment::{Assessment, AssessmentQuery, Baseline, Reporters};
 pub use call_counts::{CallCounts, RateEstimate};
 pub use call_stats::{
     AttemptId, CallStats, CompletedAttempt, PendingAttempt, ServerStats, SubjectStats,
--- a/crates/health-reports/src/log_odds.rs
+++ b/crates/health-reports/src/log_odds.rs
@@ -1,7 +1,7 @@
-//! How strongly the counts of one witness speak for a subject being unhealthy, and what remains of many witnesses without
+//! How strongly the counts of one reporter speak for a subject being unhealthy, and what remains of many reporters without
 //! the faulty ones.
 
-use crate::assessment::Witnesses;
+use crate::assessment::Reporters;
 use crate::call_counts::CallCounts;
 
 /// How a subject is unhealthy.
@@ -10,31 +10,31 @@
     /// Calls fail.
     Failing,
     /// Answers come far later than usual, or not at all.
-    Late,
+    Slow,
 }
 
-/// The rate of calls that fail, or are late, at an unhealthy subject: half of them would drive off the rest.
+/// The rate of calls that fail, or are slow, at an unhealthy subject: half of them would drive off the rest.
 const UNHEALTHY_RATE: f64 = 0.5;
 /// The lowest and highest rates that are assumed of a healthy subject: chance alone makes some calls fail, and where more
 /// than the highest is usual, a comparison with what is usual finds nothing.
 const HEALTHY_FAILURE_RATE: (f64, f64) = (0.02, 0.25);
 const HEALTHY_DEGRADED_RATE: (f64, f64) = (0.06, 0.35);
 /// The log odds at which a subject counts as unhealthy: one false alarm in a million assessments, ten of them a second, for
-/// subjects that fail independently. Faulty witnesses are accounted for by [`max_faulty`].
+/// subjects that fail independently. Faulty reporters are accounted for by [`max_faulty`].
 pub const UNHEALTHY_LOG_ODDS: f64 = 13.8;
 /// The same for a single server: little is lost where it is avoided without need.
 pub const SERVER_UNHEALTHY_LOG_ODDS: f64 = 9.2;
-/// The most log odds of one witness: some failures in a row at one sender may be its own.
-const MAX_WITNESS_LOG_ODDS: f64 = 4.0;
-/// The fraction of the witnesses that may be faulty (lie, or be cut off).
+/// The most log odds of one reporter: some failures in a row at one sender may be its own.
+const MAX_REPORTER_LOG_ODDS: f64 = 4.0;
+/// The fraction of the reporters that may be faulty (lie, or be cut off).
 const FAULTY_FRACTION: f64 = 0.1;
 
-/// How many of a number of witnesses may be faulty: at least one, except where there is only one.
-pub fn max_faulty(witnesses: usize) -> usize {
-    if witnesses < 2 {
+/// How many of a number of reporters may be faulty: at least one, except where there is only one.
+pub fn max_faulty(reporters: usize) -> usize {
+    if reporters < 2 {
         0
     } else {
-        (witnesses as f64 * FAULTY_FRACTION).ceil() as usize
+        (reporters as f64 * FAULTY_FRACTION).ceil() as usize
     }
 }
 
@@ -43,18 +43,18 @@
 pub struct EvidenceThreshold {
     /// The log odds that are enough.
     pub log_odds: f64,
-    /// The most log odds of one witness.
-    pub max_per_witness: f64,
+    /// The most log odds of one reporter.
+    pub max_per_reporter: f64,
 }
 
 impl EvidenceThreshold {
-    /// The threshold of `log_odds` among so many possible witnesses. The few that remain without the faulty ones must be able
+    /// The threshold of `log_odds` among so many possible reporters. The few that remain without the faulty ones must be able
     /// to reach it, and a third of all have to.
-    pub fn among(log_odds: f64, witnesses: usize) -> Self {
-        let third = (witnesses as f64 / 3.0).max(1.0);
+    pub fn among(log_odds: f64, reporters: usize) -> Self {
+        let third = (reporters as f64 / 3.0).max(1.0);
         Self {
             log_odds,
-            max_per_witness: MAX_WITNESS_LOG_ODDS.max(log_odds / third),
+            max_per_reporter: MAX_REPORTER_LOG_ODDS.max(log_odds / third),
         }
     }
 }
@@ -64,7 +64,7 @@
     pub fn log_odds(self, counts: &CallCounts, baseline: f64) -> f64 {
         let (hits, (lowest, highest)) = match self {
             Self::Failing => (counts.failed, HEALTHY_FAILURE_RATE),
-            Self::Late => (counts.failed + counts.late, HEALTHY_DEGRADED_RATE),
+            Self::Slow => (counts.failed + counts.slow, HEALTHY_DEGRADED_RATE),
         };
         let healthy_rate = baseline.clamp(lowest, highest);
         let misses = (counts.attempts - hits).max(0.0);
@@ -73,7 +73,7 @@
     }
 }
 
-/// The weight of one witness' report.
+/// The weight of one reporter's report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeighedReport {
     /// The log odds of the subject being unhealthy.
@@ -82,34 +82,34 @@
     pub freshness: f64,
 }
 
-/// The evidence of many witnesses together.
+/// The evidence of many reporters together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EvidenceSum {
-    /// The log odds of being unhealthy, without the strongest evidence for it of as many witnesses as may be faulty.
+    /// The log odds of being unhealthy, without the strongest evidence for it of as many reporters as may be faulty.
     pub unhealthy: f64,
     /// The log odds of being healthy, likewise.
     pub healthy: f64,
-    /// The witnesses on either side.
-    pub witnesses: Witnesses,
+    /// The reporters on either side.
+    pub reporters: Reporters,
 }
 
 impl EvidenceSum {
-    /// The sum of others' reports and the log odds of the own calls, each limited to `max_per_witness`, without the strongest
+    /// The sum of others' reports and the log odds of the own calls, each limited to `max_per_reporter`, without the strongest
     /// `faulty` reports on either side. Older evidence that the subject is healthy counts less against its being unhealthy now.
     pub fn new(
         mut others: Vec<WeighedReport>,
         own: f64,
-        max_per_witness: f64,
+        max_per_reporter: f64,
         faulty: usize,
     ) -> Self {
-        let limited = |log_odds: f64| log_odds.clamp(-max_per_witness, max_per_witness);
+        let limited = |log_odds: f64| log_odds.clamp(-max_per_reporter, max_per_reporter);
         others
             .iter_mut()
             .for_each(|report| report.log_odds = limited(report.log_odds));
         others.sort_by(|a, b| a.log_odds.total_cmp(&b.log_odds));
         let against = others.iter().filter(|report| report.log_odds > 0.0).count();
         let in_favor = others.iter().filter(|report| report.log_odds < 0.0).count();
-        // Faulty witnesses cannot be told from sound ones: the strongest evidence of each side is left out, whosever it is.
+        // Faulty reporters cannot be told from sound ones: the strongest evidence of each side is left out, whosever it is.
         let against_without_faulty = &others[..others.len() - against.min(faulty)];
         let in_favor_without_faulty = &others[in_favor.min(faulty)..];
         let discounted = |report: &WeighedReport| {
@@ -127,7 +127,7 @@
         Self {
             unhealthy: unhealthy + limited(own),
             healthy: -(healthy + limited(own)),
-            witnesses: Witnesses {
+            reporters: Reporters {
                 against: against + usize::from(own > 0.0),
                 in_favor: in_favor + usize::from(own < 0.0),
             },
--- a/crates/health-reports/src/report_table.rs
+++ b/crates/health-reports/src/report_table.rs
@@ -74,11 +74,11 @@
         self.by_owner.retain(|owner, _| is_present(owner));
     }
 
-    /// Whether any member reports failed or late calls of a subject.
+    /// Whether any member reports failed or slow calls of a subject.
     pub fn has_evidence_against(&self, subject: &Subject, now: Time) -> bool {
         self.reports_on(subject).any(|report| {
             let counts = report.counts.at(now);
-            counts.failed + counts.late >= MIN_EVIDENCE * counts.attempts.max(1.0)
+            counts.failed + counts.slow >= MIN_EVIDENCE * counts.attempts.max(1.0)
         })
     }
 
--- a/crates/health-reports/tests/assessment.rs
+++ b/crates/health-reports/tests/assessment.rs
@@ -1,4 +1,4 @@
-//! Health reports and their assessment: faulty witnesses, old evidence, malformed bytes.
+//! Health reports and their assessment: faulty reporters, old evidence, malformed bytes.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn the_witnesses_of_a_zone_convince_all_others() {
+fn the_reporters_of_a_zone_convince_all_others() {
     for each in [3, 8, 100] {
         let mut table = ReportTable::default();
-        let needed = (0..each).find(|witness| {
+        let needed = (0..each).find(|reporter| {
             report(
                 &mut table,
-                *witness,
+                *reporter,
                 "norte",
                 counts(4.0, 4.0, SECOND),
                 SECOND,
@@ -70,14 +70,14 @@
     }
 }
 
-/// Witnesses in one other zone may observe a fault of their network; two zones that agree do not.
+/// Reporters in one other zone may observe a fault of their network; two zones that agree do not.
 #[test]
 fn one_zone_that_is_partitioned_does_not_convince_the_others() {
     let mut table = ReportTable::default();
-    (0..8).for_each(|witness| {
+    (0..8).for_each(|reporter| {
         report(
             &mut table,
-            witness,
+            reporter,
             "centro",
             counts(6.0, 6.0, SECOND),
             SECOND,
@@ -96,17 +96,17 @@
 #[test]
 fn older_evidence_of_health_does_not_outweigh_present_failures() {
     let mut table = ReportTable::default();
-    (0..4).for_each(|witness| {
+    (0..4).for_each(|reporter| {
         report(
             &mut table,
-            witness,
+            reporter,
             "norte",
             counts(40.0, 0.0, SECOND),
             SECOND,
         )
     });
     let now = 3 * SECOND;
-    (4..8).for_each(|witness| report(&mut table, witness, "norte", counts(5.0, 5.0, now), now));
+    (4..8).for_each(|reporter| report(&mut table, reporter, "norte", counts(5.0, 5.0, now), now));
     assert!(assess(&table, "norte", 8, counts(3.0, 3.0, now), now).is_unhealthy);
 }
 
@@ -146,12 +146,12 @@
         .into_iter()
     };
     stats.record_pending(SECOND, pending(60 * MS));
-    assert_eq!(stats.zone(0, SECOND).late, 0.0);
+    assert_eq!(stats.zone(0, SECOND).slow, 0.0);
     stats.record_pending(SECOND, pending(100 * MS));
     stats.record_pending(SECOND, pending(110 * MS));
-    let late = stats.zone(0, SECOND);
+    let slow = stats.zone(0, SECOND);
     assert_eq!(
-        (late.attempts, late.failed, late.late),
+        (slow.attempts, slow.failed, slow.slow),
         (1.0, 0.0, 1.0),
         "since it degraded"
     );
@@ -159,7 +159,7 @@
     stats.record_completed(SECOND, &completed(99, Outcome::Timeout, 250 * MS));
     let failed = stats.zone(0, SECOND);
     assert_eq!(
-        (failed.attempts, failed.failed, failed.late),
+        (failed.attempts, failed.failed, failed.slow),
         (1.0, 1.0, 0.0)
     );
     // A new process at the address does not inherit it; the zone keeps it.
@@ -173,16 +173,16 @@
 }
 
 proptest! {
-    /// As many witnesses as may be faulty change nothing by themselves: neither that all is bad nor that all is well.
+    /// As many reporters as may be faulty change nothing by themselves: neither that all is bad nor that all is well.
     #[test]
-    fn faulty_witnesses_alone_decide_nothing(
+    fn faulty_reporters_alone_decide_nothing(
         each in 2_usize..60,
         reported in prop::collection::vec((0.0..500.0_f64, 0.0..=1.0_f64), 8),
         observer in prop::sample::select(vec!["norte", "sur"]),
     ) {
         let mut table = ReportTable::default();
-        for (witness, (attempts, rate)) in reported.into_iter().take(max_faulty(each)).enumerate() {
-            report(&mut table, witness, "norte", counts(attempts, attempts * rate, SECOND), SECOND);
+        for (reporter, (attempts, rate)) in reported.into_iter().take(max_faulty(each)).enumerate() {
+            report(&mut table, reporter, "norte", counts(attempts, attempts * rate, SECOND), SECOND);
         }
         let assessment = assess(&table, observer, each, CallCounts::default(), SECOND);
         prop_assert!(!assessment.is_unhealthy, "{:?}", assessment);
@@ -194,12 +194,12 @@
     fn evidence_decays(
         attempts in 0.0..50.0_f64,
         rate in 0.0..=1.0_f64,
-        witnesses in 1_usize..8,
+        reporters in 1_usize..8,
         wait in 0_u64..20,
     ) {
         let mut table = ReportTable::default();
         let counts = counts(attempts, attempts * rate, SECOND);
-        (0..witnesses).for_each(|witness| report(&mut table, witness, "norte", counts, SECOND));
+        (0..reporters).for_each(|reporter| report(&mut table, reporter, "norte", counts, SECOND));
         let strength = |now| assess(&table, "norte", 8, CallCounts::default(), now).strength;
         let (then, later) = (SECOND + wait * 500 * MS, SECOND + (wait + 1) * 500 * MS);
         // Where the counts are close to break-even, the rounding to quarters shows.
@@ -216,7 +216,7 @@
         if let Ok(HealthReport { entries }) = HealthReport::decode(&bytes) {
             for entry in entries {
                 let counts = entry.counts(SECOND);
-                prop_assert!(counts.failed >= 0.0 && counts.failed + counts.late <= counts.attempts);
+                prop_assert!(counts.failed >= 0.0 && counts.failed + counts.slow <= counts.attempts);
             }
         }
     }
--- a/crates/health-reports/tests/golden.rs
+++ b/crates/health-reports/tests/golden.rs
@@ -9,7 +9,7 @@
 }
 
 fn report() -> HealthReport {
-    let counts = |attempts: f64, failed: f64, late: f64| CallCounts::new(attempts, failed, late, 0);
+    let counts = |attempts: f64, failed: f64, slow: f64| CallCounts::new(attempts, failed, slow, 0);
     let entries = vec![
         ReportEntry::new(Subject::zone("0", "norte"), &counts(12.25, 6.5, 1.75)),
         ReportEntry::new(
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn golden_bytes_are_decoded_to_the_same_health_report() {
+fn golden_bytes_are_decoded_to_the_original_health_report() {
     let bytes = report().encode(256);
     assert_golden(&bytes, GOLDEN);
     let decoded = HealthReport::decode(&bytes).unwrap();
--- a/src/net/figures.rs
+++ b/src/net/figures.rs
@@ -65,7 +65,7 @@
             self.epoch.with_label_values(&name).set(place.epoch.into());
             self.against
                 .with_label_values(&name)
-                .set(place.witnesses_against as i64);
+                .set(place.reporters_against as i64);
         }
     }
 }
--- a/src/net/places.rs
+++ b/src/net/places.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::time::Duration;
-use woadstall_evacuation::{OrderAction, PlaceStatus, Status};
+use woadstall_evacuation::{DomainStatus, OrderAction, Status};
 
 const PATH: &str = "/control/places";
 const ABSENT: &str = "no `[evacuation]` in its operators' file";
@@ -39,11 +39,11 @@
     name: Option<&str>,
     out: &mut impl Write,
 ) -> io::Result<()> {
-    let wanted = |place: &&PlaceStatus| match name {
+    let wanted = |place: &&DomainStatus| match name {
         Some(name) => place.name == format!("{kind} {name}"),
         None => place.name.starts_with(kind),
     };
-    let places: Vec<&PlaceStatus> = status.places.iter().filter(wanted).collect();
+    let places: Vec<&DomainStatus> = status.places.iter().filter(wanted).collect();
     if places.is_empty() {
         return writeln!(
             out,
@@ -68,7 +68,7 @@
         writeln!(
             out,
             "  why: {}; {} against it, {} for it",
-            place.reason, place.witnesses_against, place.witnesses_in_favor
+            place.reason, place.reporters_against, place.reporters_in_favor
         )?;
         if let (Some(order), Some(ends)) = (&place.order, place.order_remaining_s) {
             writeln!(out, "  an operator's word: {order}, for {ends:.0} s more")?;
