--- a/crates/evacuation/src/coordinator/contradictions.rs
+++ b/crates/evacuation/src/coordinator/contradictions.rs
@@ -11,7 +11,8 @@
 const CONTRADICTING_LOG_ODDS: f64 = -4.0;
 /// The strength of the evidence that a domain is healthy from which on it contradicts a report.
 const CONTRADICTING_HEALTH: f64 = 0.5;
-/// The age of a report at which others have had the time to report the same, and until which it is current, in nanoseconds.
+/// The age of a report at which others have had the time to report the same, and until which it is
+/// current, in nanoseconds.
 const MIN_REPORT_AGE_NS: Time = 1_000_000_000;
 const MAX_REPORT_AGE_NS: Time = 3_000_000_000;
 /// The contradicting reports of a member from which on operators are told.
@@ -62,7 +63,8 @@
 }
 
 impl Coordinator {
-    /// Finds the members of this zone that report a zone as failing which is observed to be healthy from here.
+    /// Finds the members of this zone that report a zone as failing which is observed to be healthy
+    /// from here.
     pub(super) fn find_contradictions(&mut self, now: Time) {
         let own_zone = self.settings.topology.zone_name(self.settings.zone);
         for (position, zone) in self.settings.topology.zones.iter().enumerate() {
--- a/crates/evacuation/src/coordinator/mod.rs
+++ b/crates/evacuation/src/coordinator/mod.rs
@@ -1,8 +1,10 @@
-//! The coordinator: connects a member of the fleet, the health reports, the engine and the decision module.
+//! The coordinator: connects a member of the fleet, the health reports, the engine and the decision
+//! module.
 //!
-//! Each [`Coordinator::step`] receives what the other members have published, runs the engine, publishes what others may
-//! not know, and returns the verdicts for the decision module. The parts are `receive`, `publish` (with `report_selection`),
-//! `verdicts`, `contradictions` and `status_view`.
+//! Each [`Coordinator::step`] receives what the other members have published, runs the engine,
+//! publishes what others may not know, and returns the verdicts for the decision module. The parts
+//! are `receive`, `publish` (with `report_selection`), `verdicts`, `contradictions` and
+//! `status_view`.
 
 mod contradictions;
 mod publish;
@@ -201,7 +203,8 @@
         Ok(())
     }
 
-    /// Receives, decides and publishes. `now` is on the node's clock, as in [`Self::record_completed`]; `now_ms` is Unix time.
+    /// Receives, decides and publishes. `now` is on the node's clock, as in
+    /// [`Self::record_completed`]; `now_ms` is Unix time.
     pub fn step(&mut self, now: Time, now_ms: u64, node: &mut Node) -> CoordinatorOutput {
         let members = self.receive(now, now_ms, node);
         self.published.are_orders_stale |= self.orders.remove_expired(now_ms);
@@ -236,7 +239,8 @@
             .get(&self.settings.topology.order_subject(subject))
     }
 
-    /// The share of its usual new work that a domain gets by orders and by the engine's decision, apart from trials.
+    /// The share of its usual new work that a domain gets by orders and by the engine's decision,
+    /// apart from trials.
     fn share(&self, subject: &Subject) -> f64 {
         match self.order_for(subject).map(|order| order.action) {
             Some(OrderAction::Evacuate) => 0.0,
--- a/crates/evacuation/src/coordinator/publish.rs
+++ b/crates/evacuation/src/coordinator/publish.rs
@@ -8,7 +8,8 @@
 use woadstall_health_reports::{HealthReport, ReportEntry, Subject, SubjectKind, max_faulty};
 use woadstall_membership::Node;
 
-/// The priorities of facts: orders, decisions that others still wait for, health reports, all other decisions.
+/// The priorities of facts: orders, decisions that others still wait for, health reports, all other
+/// decisions.
 const ORDERS_PRIORITY: u8 = 250;
 const AWAITED_DECISIONS_PRIORITY: u8 = 220;
 const HEALTH_REPORT_PRIORITY: u8 = 200;
@@ -81,8 +82,8 @@
         if bytes == self.published.decisions || is_first_and_empty {
             return;
         }
-        // Members that were absent wait for the first few that publish a decision on a zone; further ones, and those on
-        // servers, are for operators.
+        // Members that were absent wait for the first few that publish a decision on a zone;
+        // further ones, and those on servers, are for operators.
         let needed = max_faulty(own_zone_members) + 2;
         let is_awaited = decisions.iter().any(|decision| {
             decision.subject.kind != SubjectKind::Server
@@ -106,7 +107,8 @@
         }
     }
 
-    /// How many other members of a zone have published a decision, or a later one on the same domain.
+    /// How many other members of a zone have published a decision, or a later one on the same
+    /// domain.
     fn publishers_of(&self, decision: &DomainDecision, zone: &str) -> usize {
         let is_equal_or_later = |other: &DomainDecision| {
             other.subject == decision.subject && other.epoch >= decision.epoch
--- a/crates/evacuation/src/coordinator/receive.rs
+++ b/crates/evacuation/src/coordinator/receive.rs
@@ -45,7 +45,8 @@
 }
 
 impl Coordinator {
-    /// Receives the facts that are new. Returns the number of members of each zone that can report here.
+    /// Receives the facts that are new. Returns the number of members of each zone that can report
+    /// here.
     pub(super) fn receive(
         &mut self,
         now: Time,
--- a/crates/evacuation/src/coordinator/report_selection.rs
+++ b/crates/evacuation/src/coordinator/report_selection.rs
@@ -1,4 +1,5 @@
-//! Which counts are worth a health report: what speaks against a domain, and what others need to compare it with.
+//! Which counts are worth a health report: what speaks against a domain, and what others need to
+//! compare it with.
 
 use super::Coordinator;
 use std::collections::HashSet;
@@ -21,9 +22,11 @@
 const MIN_CHANGE: f64 = 2.5;
 /// The same for a domain that is not in full use: one success.
 const MIN_TRIAL_CHANGE: f64 = 0.5;
-/// The strength of the evidence against a domain from which on members that find it healthy report so.
+/// The strength of the evidence against a domain from which on members that find it healthy report
+/// so.
 const DISPUTED_STRENGTH: f64 = 0.2;
-/// The calls known of a domain from which on nobody else needs to report that it is healthy for a comparison.
+/// The calls known of a domain from which on nobody else needs to report that it is healthy for a
+/// comparison.
 const COMPARABLE_CALLS: f64 = 10.0;
 /// The strength of the evidence on either side from which on more of it is not needed.
 const DECIDED_STRENGTH: f64 = 1.5;
@@ -59,7 +62,8 @@
 }
 
 impl Coordinator {
-    /// The counts to report now, the most important first; nothing where it is too early or there is no news.
+    /// The counts to report now, the most important first; nothing where it is too early or there
+    /// is no news.
     pub(super) fn select_report(
         &self,
         now: Time,
@@ -101,7 +105,8 @@
             .collect()
     }
 
-    /// Where a zone is unhealthy, its servers are left out: they add nothing, and short reports are spread sooner.
+    /// Where a zone is unhealthy, its servers are left out: they add nothing, and short reports are
+    /// spread sooner.
     fn remove_servers_of_failing_zones(&self, candidates: &mut Vec<ReportCandidate>) {
         let is_failing = |zone: usize| {
             let subject = self.settings.topology.zones[zone].subject;
@@ -119,7 +124,8 @@
         });
     }
 
-    /// Where a zone is suspect, all its classes are reported: the others show whether it fails in one class only.
+    /// Where a zone is suspect, all its classes are reported: the others show whether it fails in
+    /// one class only.
     fn add_missing_classes(&self, now: Time, candidates: &mut Vec<ReportCandidate>) {
         for zone in &self.settings.topology.zones {
             let is_suspect = candidates
@@ -141,7 +147,8 @@
         }
     }
 
-    /// Whether any of the counts has changed so much since it was reported that it matters to others.
+    /// Whether any of the counts has changed so much since it was reported that it matters to
+    /// others.
     fn has_update(
         &self,
         now: Time,
@@ -194,8 +201,8 @@
         }
     }
 
-    /// Whether a domain is disputed: there is more evidence against it than one report, it is not in full use, or another
-    /// domain is, and it is not known yet whether this one is better.
+    /// Whether a domain is disputed: there is more evidence against it than one report, it is not
+    /// in full use, or another domain is, and it is not known yet whether this one is better.
     fn is_disputed(&self, now: Time, subject: &Subject) -> bool {
         let is_suspect = |subject: &Subject| {
             let assessment = self.engine.assessment(subject);
@@ -223,7 +230,8 @@
     }
 }
 
-/// Sorts zones before classes before servers; in each, what speaks against a subject first, the strongest evidence first.
+/// Sorts zones before classes before servers; in each, what speaks against a subject first, the
+/// strongest evidence first.
 fn sort_by_importance(candidates: &mut [ReportCandidate]) {
     let rank = |candidate: &ReportCandidate| match candidate.subject.kind {
         SubjectKind::Zone | SubjectKind::Region => 0,
--- a/crates/evacuation/src/coordinator/status_view.rs
+++ b/crates/evacuation/src/coordinator/status_view.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// The status of all zones and regions, and of the servers and classes that are not in use. `now` is on the node's clock,
-    /// `now_ms` is Unix time.
+    /// The status of all zones and regions, and of the servers and classes that are not in use.
+    /// `now` is on the node's clock, `now_ms` is Unix time.
     pub fn status(&self, now: Time, now_ms: u64) -> Status {
         let zones = &self.settings.topology.zones;
         let regions: BTreeSet<Subject> = zones
@@ -170,8 +170,8 @@
     }
 }
 
-/// Whether a change is logged: that a server is suspected or not is for the status alone, and a domain that is in use for the
-/// first time is no news.
+/// Whether a change is logged: that a server is suspected or not is for the status alone, and a
+/// domain that is in use for the first time is no news.
 fn is_logged(change: &StateChange) -> bool {
     let DomainState { phase, epoch, .. } = change.state;
     let is_server_in_use = change.subject.kind == SubjectKind::Server
--- a/crates/evacuation/src/coordinator/verdicts.rs
+++ b/crates/evacuation/src/coordinator/verdicts.rs
@@ -8,7 +8,8 @@
 use woadstall_membership::{Name, Node, Verdict as MemberState};
 
 const SECOND_NS: Time = 1_000_000_000;
-/// The validity of a verdict, in nanoseconds: where it is not renewed, the module goes by its own observations again.
+/// The validity of a verdict, in nanoseconds: where it is not renewed, the module goes by its own
+/// observations again.
 const VALIDITY_NS: Time = 4 * SECOND_NS;
 /// The time after which a verdict is renewed, in nanoseconds.
 const RENEWAL_NS: Time = SECOND_NS;
@@ -17,8 +18,8 @@
 /// How many members of a zone send trials: a fraction of them, and at least a number.
 const TRIAL_MEMBERS_FRACTION: f64 = 0.05;
 const MIN_TRIAL_MEMBERS: usize = 5;
-/// The trial calls a second of all those members together: few are lost at a domain that is still unhealthy, and some seconds
-/// show that it is healthy again.
+/// The trial calls a second of all those members together: few are lost at a domain that is still
+/// unhealthy, and some seconds show that it is healthy again.
 const TRIALS_PER_SECOND: f64 = 6.0;
 
 /// A verdict that holds at the decision module.
@@ -57,8 +58,8 @@
         verdicts
     }
 
-    /// The shares of all zones and of all classes at them. Where no zone, or for a class no zone, would be in full use, all
-    /// get their full share: there is nowhere to move work to.
+    /// The shares of all zones and of all classes at them. Where no zone, or for a class no zone,
+    /// would be in full use, all get their full share: there is nowhere to move work to.
     fn zone_shares(&self, now: Time, node: &Node) -> Vec<(FailureDomain, f64)> {
         let zones = &self.settings.topology.zones;
         let share_of_zone = |position: usize| {
@@ -124,8 +125,9 @@
     }
 }
 
-/// How many members of this zone send trials to a domain, if this member is one of them: those whose names come first in an
-/// order that each domain and epoch has of its own, so that no agreement is needed.
+/// How many members of this zone send trials to a domain, if this member is one of them: those
+/// whose names come first in an order that each domain and epoch has of its own, so that no
+/// agreement is needed.
 fn trial_members(node: &Node, now: Time, subject: &Subject, epoch: u32) -> Option<usize> {
     let rank = |name: &Name| {
         let mut hasher = SipHasher24::new_with_keys(u64::from(epoch), 1);
--- a/crates/evacuation/src/domain_state.rs
+++ b/crates/evacuation/src/domain_state.rs
@@ -1,12 +1,13 @@
-//! The state machine of a domain: whether it is in use, and which share of its usual new work it gets.
+//! The state machine of a domain: whether it is in use, and which share of its usual new work it
+//! gets.
 
 use serde::{Deserialize, Serialize};
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Assessment, Symptom};
 
 const SECOND_NS: Time = 1_000_000_000;
-/// How long a domain must be unhealthy, and others better, before it is drained: where all domains fail together, the reports
-/// of one come before the reports of the others.
+/// How long a domain must be unhealthy, and others better, before it is drained: where all domains
+/// fail together, the reports of one come before the reports of the others.
 const CONFIRMATION_NS: Time = 2 * SECOND_NS / 5;
 /// The time between two steps of draining a domain that still does some of its work.
 const DRAIN_STEP_NS: Time = SECOND_NS / 2;
@@ -26,11 +27,12 @@
 const RELAPSES_FORGOTTEN_NS: Time = 60 * SECOND_NS;
 /// The strength of the evidence from which on a domain is suspected.
 const SUSPICION_STRENGTH: f64 = 0.4;
-/// The strength of the evidence that a domain is healthy from which on it is restored: the time evacuated and the steps of
-/// restoring have to be gone through as well.
+/// The strength of the evidence that a domain is healthy from which on it is restored: the time
+/// evacuated and the steps of restoring have to be gone through as well.
 const RESTORE_HEALTH: f64 = 0.15;
 
-/// The phases of a domain. Their order settles ties of epochs (the more cautious phase wins) and is the wire format.
+/// The phases of a domain. Their order settles ties of epochs (the more cautious phase wins) and is
+/// the wire format.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -247,8 +249,8 @@
         self.share_changed_at = now;
     }
 
-    /// Takes a step of draining: to nothing at once where most calls fail, otherwise as fast as the others have capacity,
-    /// since slow answers are still answers.
+    /// Takes a step of draining: to nothing at once where most calls fail, otherwise as fast as the
+    /// others have capacity, since slow answers are still answers.
     fn drain(&mut self, now: Time, assessment: &Assessment, alternatives: &Alternatives) {
         let failure_rate = assessment.counts.failure_rate().low;
         let degraded_rate = assessment.counts.degraded_rate().low;
--- a/crates/evacuation/src/engine/adoption.rs
+++ b/crates/evacuation/src/engine/adoption.rs
@@ -11,8 +11,9 @@
 type DecisionsByDomain<'a> = BTreeMap<(Subject, &'a str), Vec<&'a DomainDecision>>;
 
 impl EvacuationEngine {
-    /// Adopts decisions that are newer than the own ones, if one member more than may be faulty has made them. The members of
-    /// the own zone observe from the same position, and those of a domain's own zone know it best; others are not asked.
+    /// Adopts decisions that are newer than the own ones, if one member more than may be faulty has
+    /// made them. The members of the own zone observe from the same position, and those of a
+    /// domain's own zone know it best; others are not asked.
     pub(super) fn adopt_decisions(&mut self, now: Time, input: &EngineInput<'_>) {
         for ((subject, zone), mut decisions) in relevant_decisions(now, input) {
             let needed = max_faulty(input.members.get(zone).copied().unwrap_or(1)) + 1;
--- a/crates/evacuation/src/engine/alternatives.rs
+++ b/crates/evacuation/src/engine/alternatives.rs
@@ -5,7 +5,8 @@
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Assessment, CallCounts, Subject, Symptom, UNHEALTHY_LOG_ODDS};
 
-/// A domain is better than another where at worst this fraction of the other's rate of calls fails there.
+/// A domain is better than another where at worst this fraction of the other's rate of calls fails
+/// there.
 pub(super) const BETTER_FRACTION: f64 = 0.6;
 /// The calls that must be known of a domain for it to be better.
 pub(super) const MIN_KNOWN_CALLS: f64 = 8.0;
@@ -21,7 +22,8 @@
         subjects: &[Subject],
         own: &[CallCounts],
     ) -> Vec<Assessment> {
-        // What is evacuated already says nothing of what is usual: a second zone that fails would look hardly worse.
+        // What is evacuated already says nothing of what is usual: a second zone that fails would
+        // look hardly worse.
         let is_in_use = |zone: &usize| {
             self.is_in_full_use(&subjects[*zone])
                 && self.is_in_full_use(&input.topology.zones[*zone].subject)
@@ -72,8 +74,8 @@
     }
 }
 
-/// Whether a domain is better than another, at worst: of few calls, none may have failed by chance. It has to be observed
-/// to be: what all zones depend on fails in one of them first.
+/// Whether a domain is better than another, at worst: of few calls, none may have failed by chance.
+/// It has to be observed to be: what all zones depend on fails in one of them first.
 fn is_better(candidate: &Assessment, other: &Assessment) -> bool {
     if candidate.counts.attempts < MIN_KNOWN_CALLS {
         return false;
--- a/crates/evacuation/src/engine/mod.rs
+++ b/crates/evacuation/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! The decision engine: from all members' reports to the state of each domain.
 //!
-//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: what other members have decided, zones, classes, servers,
-//! regions, operators' orders. Each rule has its module.
+//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: what other members have
+//! decided, zones, classes, servers, regions, operators' orders. Each rule has its module.
 
 mod adoption;
 mod alternatives;
@@ -22,7 +22,8 @@
     SubjectKind,
 };
 
-/// The state of a server in use is removed after this long without evidence against it, in nanoseconds.
+/// The state of a server in use is removed after this long without evidence against it, in
+/// nanoseconds.
 const SERVER_STATE_TIMEOUT_NS: Time = 120_000_000_000;
 
 /// The decisions that another member has published.
@@ -55,7 +56,8 @@
     pub member_decisions: &'a BTreeMap<String, MemberDecisions>,
     /// Operators' orders.
     pub orders: &'a OrderTable,
-    /// This balancer is partitioned from the fleet or has just been suspended: it decides nothing and adopts nothing.
+    /// This balancer is partitioned from the fleet or has just been suspended: it decides nothing
+    /// and adopts nothing.
     pub is_passive: bool,
 }
 
@@ -147,7 +149,8 @@
         self.remove_old_states(now, input);
     }
 
-    /// The decisions to publish: of all domains that have ever changed, those not in full use first, then the newest.
+    /// The decisions to publish: of all domains that have ever changed, those not in full use
+    /// first, then the newest.
     pub fn domain_decisions(&self) -> Vec<DomainDecision> {
         let mut changed: Vec<(&Subject, &DomainState)> = self
             .states
@@ -192,8 +195,8 @@
         self.set_state(subject, state, assessment.reporters);
     }
 
-    /// Begins to restore the domains that operators have ordered to. A domain that is evacuated again while the order holds is
-    /// restored again.
+    /// Begins to restore the domains that operators have ordered to. A domain that is evacuated
+    /// again while the order holds is restored again.
     fn apply_restore_orders(&mut self, now: Time, input: &EngineInput<'_>) {
         let is_to_be_restored = |(subject, state): &(&Subject, &DomainState)| {
             let order = input.orders.get(&input.topology.order_subject(subject));
--- a/crates/evacuation/src/engine/regions.rs
+++ b/crates/evacuation/src/engine/regions.rs
@@ -21,7 +21,8 @@
 }
 
 impl EvacuationEngine {
-    /// Evacuates a region most of which is evacuated, where there is a sound one: in one step, and not zone by zone.
+    /// Evacuates a region most of which is evacuated, where there is a sound one: in one step, and
+    /// not zone by zone.
     pub(super) fn step_regions(&mut self, now: Time, input: &EngineInput<'_>) {
         let sizes = self.region_sizes(input);
         let has_sound_other = |region: &Subject| {
--- a/crates/evacuation/src/engine/servers.rs
+++ b/crates/evacuation/src/engine/servers.rs
@@ -9,7 +9,8 @@
     Symptom,
 };
 
-/// The fraction of a zone's size that may be evacuated server by server; beyond that it is the zone that fails.
+/// The fraction of a zone's size that may be evacuated server by server; beyond that it is the zone
+/// that fails.
 const MAX_EVACUATED_FRACTION: f64 = 1.0 / 3.0;
 /// The own failed or slow calls of a server from which on it is assessed.
 const MIN_OWN_EVIDENCE: f64 = 0.5;
@@ -53,7 +54,8 @@
         self.assessments.retain(|subject, _| is_known(subject));
     }
 
-    /// The servers of a zone that is not in full use are no better or worse than the rest of it, and are left out.
+    /// The servers of a zone that is not in full use are no better or worse than the rest of it,
+    /// and are left out.
     fn servers_in_use(&self, now: Time, input: &EngineInput<'_>) -> ServersInUse {
         let mut evacuated_sizes = vec![0.0; input.zone_count()];
         let (mut subjects, mut candidates) = (Vec::new(), Vec::new());
@@ -88,7 +90,8 @@
                 });
             }
         }
-        // The same order at all members, so that they evacuate the same servers where not all may be.
+        // The same order at all members, so that they evacuate the same servers where not all may
+        // be.
         candidates.sort_by_key(|candidate| candidate.subject);
         ServersInUse {
             subjects,
--- a/crates/evacuation/src/engine/zones.rs
+++ b/crates/evacuation/src/engine/zones.rs
@@ -5,8 +5,8 @@
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{CallCounts, Subject};
 
-/// The failed calls of all other classes together over those of the worst one, up to which the class fails and not the
-/// zone.
+/// The failed calls of all other classes together over those of the worst one, up to which the
+/// class fails and not the zone.
 const SINGLE_CLASS_FRACTION: f64 = 0.15;
 
 impl EvacuationEngine {
@@ -31,7 +31,8 @@
     }
 }
 
-/// Whether a zone's calls fail in one class alone: that class is evacuated then, and the rest of the zone stays in use.
+/// Whether a zone's calls fail in one class alone: that class is evacuated then, and the rest of
+/// the zone stays in use.
 fn fails_in_single_class(now: Time, input: &EngineInput<'_>, zone: usize) -> bool {
     let classes = input.topology.zones[zone].classes.iter().enumerate();
     let counts = classes.map(|(class, subject)| {
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -1,4 +1,5 @@
-//! Operators' orders: they overrule what the fleet has decided, for a time, and the newest of them holds.
+//! Operators' orders: they overrule what the fleet has decided, for a time, and the newest of them
+//! holds.
 
 use crate::packed_list::{self, PackedListError};
 use serde::{Deserialize, Serialize};
@@ -85,7 +86,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error, and changes nothing, if the order is not newer than the known one, not valid, or one too many.
+    /// Returns an error, and changes nothing, if the order is not newer than the known one, not
+    /// valid, or one too many.
     pub fn submit(&mut self, now_ms: u64, order: Order) -> Result<(), SubmitError> {
         let until_ms = order
             .until_ms
--- a/crates/evacuation/tests/domain_state.rs
+++ b/crates/evacuation/tests/domain_state.rs
@@ -238,7 +238,8 @@
 }
 
 proptest! {
-    /// Whatever is observed, the share stays within bounds, epochs only grow, and a domain in use has its full share.
+    /// Whatever is observed, the share stays within bounds, epochs only grow, and a domain in use
+    /// has its full share.
     #[test]
     fn any_history_of_evidence_keeps_to_the_phases(
         history in prop::collection::vec((0.0..3.0_f64, 0.0..=1.0_f64, any::<bool>(), any::<bool>(), any::<bool>(), 1_u64..40), 1..80),
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of domain decisions and orders and the JSON of a status, as members and tools of other versions write and
-//! read them.
+//! The bytes of domain decisions and orders and the JSON of a status, as members and tools of other
+//! versions write and read them.
 
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -1,5 +1,5 @@
-//! What the coordinators of a small fleet decide in a fixed sequence of failures, as one digest: refactorings must not
-//! change it.
+//! What the coordinators of a small fleet decide in a fixed sequence of failures, as one digest:
+//! refactorings must not change it.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -110,7 +110,8 @@
     }
 }
 
-/// The faults of a server at a time, in seconds: percent of its calls that fail, and percent that are slow.
+/// The faults of a server at a time, in seconds: percent of its calls that fail, and percent that
+/// are slow.
 fn faults(second: u64, server: u32, class: usize) -> (u64, u64) {
     let zone = server / SERVERS_PER_ZONE;
     match second {
--- a/crates/health-reports/src/assessment.rs
+++ b/crates/health-reports/src/assessment.rs
@@ -9,7 +9,8 @@
 
 /// The time constant of the decay of evidence that a subject is healthy, in nanoseconds.
 const HEALTHY_EVIDENCE_DECAY_NS: f64 = 7e8;
-/// The zones that must agree before the evidence of zones that are neither the subject's nor the observer's counts.
+/// The zones that must agree before the evidence of zones that are neither the subject's nor the
+/// observer's counts.
 const MIN_AGREEING_ZONES: usize = 2;
 
 /// The rates that are usual elsewhere, from 0 to 1; 0 where they are not known.
@@ -43,7 +44,8 @@
     pub own: &'a CallCounts,
     /// The usual rates elsewhere.
     pub baseline: Baseline,
-    /// The log odds that are enough: [`crate::UNHEALTHY_LOG_ODDS`] or [`crate::SERVER_UNHEALTHY_LOG_ODDS`].
+    /// The log odds that are enough: [`crate::UNHEALTHY_LOG_ODDS`] or
+    /// [`crate::SERVER_UNHEALTHY_LOG_ODDS`].
     pub needed_log_odds: f64,
     /// The number of members of each zone, this balancer included.
     pub members: &'a BTreeMap<String, usize>,
@@ -122,7 +124,8 @@
                 continue;
             }
             counts = counts.merged(&reported);
-            // What was healthy a second ago may hang since: a member that finds it healthy reports so again.
+            // What was healthy a second ago may hang since: a member that finds it healthy reports
+            // so again.
             let age = now.saturating_sub(report.at) as f64;
             let freshness = (-age / HEALTHY_EVIDENCE_DECAY_NS).exp();
             let log_odds = symptom.log_odds(&reported, baseline);
@@ -139,8 +142,8 @@
 
 impl ZoneEvidence {
     fn collect(query: &AssessmentQuery<'_>, by_zone: &ReportsByZone<'_>, own: f64) -> Self {
-        // Own calls that hang show by themselves, and late: the own evidence that a subject is healthy weighs no more than
-        // any other member's.
+        // Own calls that hang show by themselves, and late: the own evidence that a subject is
+        // healthy weighs no more than any other member's.
         let of_zone = |zone: &str| {
             let others = by_zone.get(zone).cloned().unwrap_or_default();
             let size = query
@@ -203,9 +206,10 @@
         sum.unhealthy >= self.needed / 2.0
     }
 
-    /// The evidence of other zones against the subject. The members of its own zone know it best, and what the observer's
-    /// zone has observed itself goes before all: that others cannot reach the subject may be their network's fault. A zone
-    /// that is partitioned from the others still serves its own.
+    /// The evidence of other zones against the subject. The members of its own zone know it best,
+    /// and what the observer's zone has observed itself goes before all: that others cannot reach
+    /// the subject may be their network's fault. A zone that is partitioned from the others still
+    /// serves its own.
     fn reported_unhealthy(&self) -> f64 {
         if !self.is_remote || self.observer.healthy > self.needed / 2.0 {
             return 0.0;
--- a/crates/health-reports/src/call_counts.rs
+++ b/crates/health-reports/src/call_counts.rs
@@ -2,8 +2,9 @@
 
 use woadstall_decisions::api::Time;
 
-/// The time constant of the decay, in nanoseconds: a sender of one call in two seconds still has its last failure when the
-/// next one comes, and what has passed is forgotten soon enough to see that it has.
+/// The time constant of the decay, in nanoseconds: a sender of one call in two seconds still has
+/// its last failure when the next one comes, and what has passed is forgotten soon enough to see
+/// that it has.
 pub(crate) const DECAY_NS: f64 = 5e9;
 
 const NS_PER_SECOND: f64 = 1e9;
@@ -21,7 +22,8 @@
     pub(crate) at: Time,
 }
 
-/// An estimated rate with a bound of two standard deviations on either side. All three are from 0 to 1.
+/// An estimated rate with a bound of two standard deviations on either side. All three are from 0
+/// to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateEstimate {
     /// The lower bound.
--- a/crates/health-reports/src/call_stats.rs
+++ b/crates/health-reports/src/call_stats.rs
@@ -8,16 +8,20 @@
 
 /// An answer that takes this many times the typical response time of its class is slow.
 const SLOW_FACTOR: f64 = 4.0;
-/// A timeout sooner than this many times the typical response time is not the server's fault: the limit was too short.
+/// A timeout sooner than this many times the typical response time is not the server's fault: the
+/// limit was too short.
 const SHORT_TIMEOUT_FACTOR: f64 = 2.0;
-/// A pending attempt that has taken this many times the typical response time counts as failed before it times out.
+/// A pending attempt that has taken this many times the typical response time counts as failed
+/// before it times out.
 const STUCK_FACTOR: f64 = 6.0;
-/// The gain with which the typical response time follows shorter and longer ones: congestion must not become typical.
+/// The gain with which the typical response time follows shorter and longer ones: congestion must
+/// not become typical.
 const GAIN_DOWN: f64 = 0.05;
 const GAIN_UP: f64 = 0.001;
 /// The answers from which on a response time is typical.
 const MIN_RESPONSES: u32 = 10;
-/// How long an answer shows that a subject works, in nanoseconds: calls that hang since then are not counted yet.
+/// How long an answer shows that a subject works, in nanoseconds: calls that hang since then are
+/// not counted yet.
 const FRESH_NS: Duration = 300_000_000;
 
 /// An attempt of this balancer.
@@ -155,7 +159,8 @@
         }
     }
 
-    /// Adds or updates a server as it is listed now. The counts of a former process at its address are dropped.
+    /// Adds or updates a server as it is listed now. The counts of a former process at its address
+    /// are dropped.
     pub fn upsert_server(&mut self, server: ServerId, name: &str, boot_ms: u64, zone: usize) {
         let subject = Subject::server(name, boot_ms);
         let listed = Server {
@@ -196,7 +201,8 @@
         }
     }
 
-    /// Counts pending attempts that hang: as slow, and then as failed, before they time out. `pending` are all that there are.
+    /// Counts pending attempts that hang: as slow, and then as failed, before they time out.
+    /// `pending` are all that there are.
     pub fn record_pending(&mut self, now: Time, pending: impl Iterator<Item = PendingAttempt>) {
         let former = std::mem::take(&mut self.counted);
         for attempt in pending {
@@ -302,7 +308,8 @@
     }
 }
 
-/// Whether an attempt has failed by its server's fault; nothing for an outcome that is no sign of the server's health.
+/// Whether an attempt has failed by its server's fault; nothing for an outcome that is no sign of
+/// the server's health.
 fn has_failed(outcome: Outcome, took_ns: f64, response_time: &ResponseTime) -> Option<bool> {
     let is_short =
         response_time.is_known() && took_ns < SHORT_TIMEOUT_FACTOR * response_time.typical_ns;
--- a/crates/health-reports/src/cusum.rs
+++ b/crates/health-reports/src/cusum.rs
@@ -1,11 +1,12 @@
-//! Change detection on call counts (Page's cumulative sum, 1954): what a subject did before it degraded says nothing of how
-//! it does now.
+//! Change detection on call counts (Page's cumulative sum, 1954): what a subject did before it
+//! degraded says nothing of how it does now.
 
 use crate::call_counts::{CallCounts, DECAY_NS};
 use woadstall_decisions::api::Time;
 
-/// The time constant of the decay of counts while nothing has degraded, in nanoseconds: where all zones begin to fail
-/// together, each would look healthy by its past beside the first that is reported.
+/// The time constant of the decay of counts while nothing has degraded, in nanoseconds: where all
+/// zones begin to fail together, each would look healthy by its past beside the first that is
+/// reported.
 const HEALTHY_DECAY_NS: f64 = 1.5e9;
 
 /// The log odds that one call adds to a cumulative sum, by the lowest baseline.
@@ -23,7 +24,8 @@
     hit: 2.1,
     miss: -0.63,
 };
-/// The most that a cumulative sum grows to: a subject that was unhealthy for long must not look so for long afterwards.
+/// The most that a cumulative sum grows to: a subject that was unhealthy for long must not look so
+/// for long afterwards.
 const MAX_SUM: f64 = 8.0;
 
 /// Counts of recent calls, restarted where they turn bad.
--- a/crates/health-reports/src/health_report.rs
+++ b/crates/health-reports/src/health_report.rs
@@ -1,4 +1,5 @@
-//! The wire format of a balancer's counts: as many of them as fit into one fact of the membership protocol.
+//! The wire format of a balancer's counts: as many of them as fit into one fact of the membership
+//! protocol.
 
 use crate::call_counts::CallCounts;
 use crate::subject::Subject;
@@ -38,7 +39,8 @@
         }
     }
 
-    /// The counts of a report that was made at a time. No more calls can have failed than were made, whatever the bytes say.
+    /// The counts of a report that was made at a time. No more calls can have failed than were
+    /// made, whatever the bytes say.
     pub fn counts(&self, at: Time) -> CallCounts {
         let calls = |units: u16| f64::from(units) / UNITS_PER_CALL;
         let attempts = calls(self.attempts);
--- a/crates/health-reports/src/lib.rs
+++ b/crates/health-reports/src/lib.rs
@@ -1,13 +1,13 @@
-//! Health reports: what balancers observed of servers and zones, counted by each, reported in few bytes, and assessed
-//! together.
+//! Health reports: what balancers observed of servers and zones, counted by each, reported in few
+//! bytes, and assessed together.
 //!
-//! [`CallStats`] counts the outcomes of this balancer's own calls. A [`HealthReport`] carries those counts to the other
-//! balancers. The [`ReportTable`] holds the newest report of each, and its [`Assessment`] of a [`Subject`] says how strong
-//! the evidence against it is, as seen from one zone, without the weights that a tenth of faulty reporters could have made
-//! up.
+//! [`CallStats`] counts the outcomes of this balancer's own calls. A [`HealthReport`] carries those
+//! counts to the other balancers. The [`ReportTable`] holds the newest report of each, and its
+//! [`Assessment`] of a [`Subject`] says how strong the evidence against it is, as seen from one
+//! zone, without the weights that a tenth of faulty reporters could have made up.
 //!
-//! The crate does no I/O and reads no clock: times are nanoseconds on the caller's clock. It takes no decisions; the
-//! evacuation crate does. The design is in `docs/evacuation.md`.
+//! The crate does no I/O and reads no clock: times are nanoseconds on the caller's clock. It takes
+//! no decisions; the evacuation crate does. The design is in `docs/evacuation.md`.
 
 mod assessment;
 mod call_counts;
--- a/crates/health-reports/src/log_odds.rs
+++ b/crates/health-reports/src/log_odds.rs
@@ -1,8 +1,9 @@
-//! How strongly the counts of one reporter speak for a subject being unhealthy, and what remains of many reporters without
-//! the faulty ones.
+//! How strongly the counts of one reporter speak for a subject being unhealthy, and what remains of
+//! many reporters without the faulty ones.
 
 use crate::assessment::Reporters;
 use crate::call_counts::CallCounts;
+use std::ops::RangeInclusive;
 
 /// How a subject is unhealthy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -13,14 +14,17 @@
     Slow,
 }
 
-/// The rate of calls that fail, or are slow, at an unhealthy subject: half of them would drive off the rest.
+/// The rate of calls that fail, or are slow, at an unhealthy subject: half of them would drive off
+/// the rest.
 const UNHEALTHY_RATE: f64 = 0.5;
-/// The lowest and highest rates that are assumed of a healthy subject: chance alone makes some calls fail, and where more
-/// than the highest is usual, a comparison with what is usual finds nothing.
-const HEALTHY_FAILURE_RATE: (f64, f64) = (0.02, 0.25);
-const HEALTHY_DEGRADED_RATE: (f64, f64) = (0.06, 0.35);
-/// The log odds at which a subject counts as unhealthy: one false alarm in a million assessments, ten of them a second, for
-/// subjects that fail independently. Faulty reporters are accounted for by [`max_faulty`].
+/// The lowest and highest rates that are assumed of a healthy subject: chance alone makes some
+/// calls fail, and where more than the highest is usual, a comparison with what is usual finds
+/// nothing.
+const HEALTHY_FAILURE_RATE: RangeInclusive<f64> = 0.02..=0.25;
+const HEALTHY_DEGRADED_RATE: RangeInclusive<f64> = 0.06..=0.35;
+/// The log odds at which a subject counts as unhealthy: one false alarm in a million assessments,
+/// ten of them a second, for subjects that fail independently. Faulty reporters are accounted for
+/// by [`max_faulty`].
 pub const UNHEALTHY_LOG_ODDS: f64 = 13.8;
 /// The same for a single server: little is lost where it is avoided without need.
 pub const SERVER_UNHEALTHY_LOG_ODDS: f64 = 9.2;
@@ -48,8 +52,8 @@
 }
 
 impl EvidenceThreshold {
-    /// The threshold of `log_odds` among so many possible reporters. The few that remain without the faulty ones must be able
-    /// to reach it, and a third of all have to.
+    /// The threshold of `log_odds` among so many possible reporters. The few that remain without
+    /// the faulty ones must be able to reach it, and a third of all have to.
     pub fn among(log_odds: f64, reporters: usize) -> Self {
         let third = (reporters as f64 / 3.0).max(1.0);
         Self {
@@ -60,13 +64,14 @@
 }
 
 impl Symptom {
-    /// The log odds that counts give for a subject having this symptom, where `baseline` is the rate elsewhere.
+    /// The log odds that counts give for a subject having this symptom, where `baseline` is the
+    /// rate elsewhere.
     pub fn log_odds(self, counts: &CallCounts, baseline: f64) -> f64 {
-        let (hits, (lowest, highest)) = match self {
+        let (hits, healthy_rates) = match self {
             Self::Failing => (counts.failed, HEALTHY_FAILURE_RATE),
             Self::Slow => (counts.failed + counts.slow, HEALTHY_DEGRADED_RATE),
         };
-        let healthy_rate = baseline.clamp(lowest, highest);
+        let healthy_rate = baseline.clamp(*healthy_rates.start(), *healthy_rates.end());
         let misses = (counts.attempts - hits).max(0.0);
         hits * (UNHEALTHY_RATE / healthy_rate).ln()
             + misses * ((1.0 - UNHEALTHY_RATE) / (1.0 - healthy_rate)).ln()
@@ -85,7 +90,8 @@
 /// The evidence of many reporters together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EvidenceSum {
-    /// The log odds of being unhealthy, without the strongest evidence for it of as many reporters as may be faulty.
+    /// The log odds of being unhealthy, without the strongest evidence for it of as many reporters
+    /// as may be faulty.
     pub unhealthy: f64,
     /// The log odds of being healthy, likewise.
     pub healthy: f64,
@@ -94,8 +100,9 @@
 }
 
 impl EvidenceSum {
-    /// The sum of others' reports and the log odds of the own calls, each limited to `max_per_reporter`, without the strongest
-    /// `faulty` reports on either side. Older evidence that the subject is healthy counts less against its being unhealthy now.
+    /// The sum of others' reports and the log odds of the own calls, each limited to
+    /// `max_per_reporter`, without the strongest `faulty` reports on either side. Older evidence
+    /// that the subject is healthy counts less against its being unhealthy now.
     pub fn new(
         mut others: Vec<WeighedReport>,
         own: f64,
@@ -109,7 +116,8 @@
         others.sort_by(|a, b| a.log_odds.total_cmp(&b.log_odds));
         let against = others.iter().filter(|report| report.log_odds > 0.0).count();
         let in_favor = others.iter().filter(|report| report.log_odds < 0.0).count();
-        // Faulty reporters cannot be told from sound ones: the strongest evidence of each side is left out, whosever it is.
+        // Faulty reporters cannot be told from sound ones: the strongest evidence of each side is
+        // left out, whosever it is.
         let against_without_faulty = &others[..others.len() - against.min(faulty)];
         let in_favor_without_faulty = &others[in_favor.min(faulty)..];
         let discounted = |report: &WeighedReport| {
--- a/crates/health-reports/src/subject.rs
+++ b/crates/health-reports/src/subject.rs
@@ -28,7 +28,8 @@
 }
 
 impl Subject {
-    /// A process of a server, by the server's name and when the process started, in Unix milliseconds.
+    /// A process of a server, by the server's name and when the process started, in Unix
+    /// milliseconds.
     pub fn server(name: &str, boot_ms: u64) -> Self {
         Self::hashed(
             SubjectKind::Server,
--- a/crates/health-reports/tests/assessment.rs
+++ b/crates/health-reports/tests/assessment.rs
@@ -110,7 +110,8 @@
     assert!(assess(&table, "norte", 8, counts(3.0, 3.0, now), now).is_unhealthy);
 }
 
-/// A sender's own calls: one that hangs counts before it times out, and once; successes before it count for nothing.
+/// A sender's own calls: one that hangs counts before it times out, and once; successes before it
+/// count for nothing.
 #[test]
 fn a_hanging_call_is_counted_before_it_ends() {
     let (norte, class) = (
@@ -173,7 +174,8 @@
 }
 
 proptest! {
-    /// As many reporters as may be faulty change nothing by themselves: neither that all is bad nor that all is well.
+    /// As many reporters as may be faulty change nothing by themselves: neither that all is bad nor
+    /// that all is well.
     #[test]
     fn faulty_reporters_alone_decide_nothing(
         each in 2_usize..60,
--- a/crates/routing/src/circuit_breaker.rs
+++ b/crates/routing/src/circuit_breaker.rs
@@ -1,9 +1,11 @@
-//! A circuit breaker for one upstream: it opens after a few consecutive failures, with a capped exponential backoff.
+//! A circuit breaker for one upstream: it opens after a few consecutive failures, with a capped
+//! exponential backoff.
 
-/// The weighted consecutive failures that open it: one failure may be chance, and a dead upstream costs each balancer
-/// this many requests.
+/// The weighted consecutive failures that open it: one failure may be chance, and a dead upstream
+/// costs each balancer this many requests.
 const FAILURE_THRESHOLD: u32 = 3;
-/// How long it stays open the first time, in milliseconds; about the time that a process takes to restart.
+/// How long it stays open the first time, in milliseconds; about the time that a process takes to
+/// restart.
 const INITIAL_OPEN_MS: u64 = 1_000;
 /// The longest time that it stays open, in milliseconds.
 const MAX_OPEN_MS: u64 = 8_000;
@@ -12,8 +14,9 @@
 
 /// The state of one upstream's circuit breaker.
 ///
-/// It is closed until [`Self::record_failure`] opens it. When its open time has passed it is half-open: one trial request
-/// is let through at a time, until a success closes it or a failure opens it for longer.
+/// It is closed until [`Self::record_failure`] opens it. When its open time has passed it is
+/// half-open: one trial request is let through at a time, until a success closes it or a failure
+/// opens it for longer.
 #[derive(Clone, Debug, Default)]
 pub struct CircuitBreaker {
     /// Weighted failures since the last success.
@@ -52,13 +55,14 @@
         }
     }
 
-    /// Records a success, or another response that shows the upstream healthy, and closes the breaker.
+    /// Records a success, or another response that shows the upstream healthy, and closes the
+    /// breaker.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Records a failure. The `weight` is 1 for a failure that may be chance, more for one that shows that nothing
-    /// listens there.
+    /// Records a failure. The `weight` is 1 for a failure that may be chance, more for one that
+    /// shows that nothing listens there.
     pub fn record_failure(&mut self, now: u64, weight: u32) {
         self.failures = self.failures.saturating_add(weight);
         let was_let_through = now >= self.open_until.saturating_sub(TRIAL_INTERVAL_MS);
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -26,12 +26,14 @@
         self.by_region.values().map(Vec::len).sum::<usize>().max(1)
     }
 
-    /// The number of balancers in a region, at least 1: those that send most of the requests to its upstreams.
+    /// The number of balancers in a region, at least 1: those that send most of the requests to its
+    /// upstreams.
     pub(crate) fn balancers_in(&self, region: &str) -> usize {
         self.by_region.get(region).map_or(0, Vec::len).max(1)
     }
 
-    /// This balancer's quota for an upstream of `region` that is warming up and takes at most `bound` requests a second.
+    /// This balancer's quota for an upstream of `region` that is warming up and takes at most
+    /// `bound` requests a second.
     pub(crate) fn warmup_quota(&self, bound: f64, upstream: &str, region: &str) -> WarmupQuota {
         if !self
             .by_region
--- a/crates/routing/src/locality.rs
+++ b/crates/routing/src/locality.rs
@@ -44,10 +44,12 @@
 }
 
 impl Locality {
-    /// Decides for a request whose home region is `home`, among the `regions` that have upstreams for it.
+    /// Decides for a request whose home region is `home`, among the `regions` that have upstreams
+    /// for it.
     ///
-    /// The home region is kept while it is available and has capacity. Otherwise unavailable regions are dropped, and so
-    /// is the most loaded of the overloaded ones; where that leaves nothing, all regions are allowed.
+    /// The home region is kept while it is available and has capacity. Otherwise unavailable
+    /// regions are dropped, and so is the most loaded of the overloaded ones; where that leaves
+    /// nothing, all regions are allowed.
     pub fn decide(home: &str, regions: &[RegionLoad]) -> Self {
         let is_sound_home =
             |load: &RegionLoad| load.region == home && load.is_available() && !load.is_overloaded();
--- a/crates/routing/src/placement_log.rs
+++ b/crates/routing/src/placement_log.rs
@@ -1,19 +1,22 @@
-//! Which shared prefixes were sent to which upstreams a moment ago, by this balancer and by those near it.
+//! Which shared prefixes were sent to which upstreams a moment ago, by this balancer and by those
+//! near it.
 
 use std::collections::VecDeque;
 use woadstall_control::loads::Placement;
 
-/// The most placement numbers that are remembered to detect duplicates: those of all balancers of a region in the seconds
-/// in which they may be reported again.
+/// The most placement numbers that are remembered to detect duplicates: those of all balancers of a
+/// region in the seconds in which they may be reported again.
 const MAX_KNOWN: usize = 512;
 /// The most placements in one report, so that it fits into a datagram.
 pub(crate) const MAX_REPORTED: usize = 64;
-/// How long a placement is reported, in milliseconds: several reports and the period in which they are passed on.
+/// How long a placement is reported, in milliseconds: several reports and the period in which they
+/// are passed on.
 const REPORTED_FOR_MS: u64 = 400;
-/// The longest gap between reports, in milliseconds, after which placements of other balancers may have been missed.
+/// The longest gap between reports, in milliseconds, after which placements of other balancers may
+/// have been missed.
 const MAX_REPORT_GAP_MS: u64 = 3_000;
-/// How long reports must have come without such a gap before all placements count as known, in milliseconds: in that time
-/// most prefixes that are in use are requested again.
+/// How long reports must have come without such a gap before all placements count as known, in
+/// milliseconds: in that time most prefixes that are in use are requested again.
 const SYNCHRONIZED_AFTER_MS: u64 = 10_000;
 
 /// The placements of shared prefixes that this balancer makes and receives.
@@ -81,7 +84,8 @@
         self.reports = Some(ReportSpan { since, last: now });
     }
 
-    /// Whether a prefix that no known upstream has cached was most likely not placed by any balancer.
+    /// Whether a prefix that no known upstream has cached was most likely not placed by any
+    /// balancer.
     pub fn is_synchronized(&self, now: u64) -> bool {
         self.reports.is_some_and(|span| {
             now <= span.last + MAX_REPORT_GAP_MS && now >= span.since + SYNCHRONIZED_AFTER_MS
--- a/crates/routing/src/prefix_cache.rs
+++ b/crates/routing/src/prefix_cache.rs
@@ -1,7 +1,8 @@
 //! A model of an upstream's prefix cache, kept by a balancer.
 //!
-//! An upstream caches the tokens that it has prefilled and evicts the least recently used ones when its memory is full.
-//! Balancers cannot see that cache; they replay the prompts that they know of on this model.
+//! An upstream caches the tokens that it has prefilled and evicts the least recently used ones when
+//! its memory is full. Balancers cannot see that cache; they replay the prompts that they know of
+//! on this model.
 
 use std::collections::VecDeque;
 
@@ -53,7 +54,8 @@
             .any(|entry| entry.prefix_hash == Some(prefix_hash))
     }
 
-    /// Records the use of a shared prefix of `tokens` tokens, which becomes the most recently used entry.
+    /// Records the use of a shared prefix of `tokens` tokens, which becomes the most recently used
+    /// entry.
     pub fn insert_prefix(&mut self, prefix_hash: u32, tokens: u64) {
         let position = self
             .entries
@@ -68,7 +70,8 @@
         });
     }
 
-    /// Records `tokens` tokens that only one prompt contains: no later prompt uses them, but they take up capacity.
+    /// Records `tokens` tokens that only one prompt contains: no later prompt uses them, but they
+    /// take up capacity.
     pub fn insert_unshared(&mut self, tokens: u64) {
         match self.entries.back_mut() {
             Some(last)
--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -34,7 +34,8 @@
     pub is_local_region: bool,
     /// The most connections that this balancer may have open to it.
     pub max_connections: usize,
-    /// Prompt tokens that it is expected to prefill for this request; tokens in its prefix cache are not counted.
+    /// Prompt tokens that it is expected to prefill for this request; tokens in its prefix cache
+    /// are not counted.
     pub prefill_tokens: u64,
     /// Prompt tokens that it has to prefill for all requests of this balancer, this one included.
     pub prefill_backlog: u64,
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,11 +1,13 @@
-//! Retry budgets (as in Finagle): retries are bounded by a ratio of the requests in a sliding window.
+//! Retry budgets (as in Finagle): retries are bounded by a ratio of the requests in a sliding
+//! window.
 //!
-//! The bound holds for all balancers together. Each uses a share of it, so that the sum stays within the bound without
-//! coordination.
+//! The bound holds for all balancers together. Each uses a share of it, so that the sum stays
+//! within the bound without coordination.
 
 /// The slots that a window is divided into.
 const SLOTS: usize = 20;
-/// The fraction of the ratio that is used: other balancers' slots begin at other times than this one's.
+/// The fraction of the ratio that is used: other balancers' slots begin at other times than this
+/// one's.
 const RATIO_FRACTION: f64 = 0.7;
 /// The fraction of the slack that is allocated to the balancers.
 const SLACK_FRACTION: f64 = 0.7;
@@ -42,8 +44,8 @@
         self.requests[slot] += 1;
     }
 
-    /// Takes one retry from the budget and returns whether there was one. The `slack` is the number of retries that all
-    /// `balancers` together may make beyond the ratio.
+    /// Takes one retry from the budget and returns whether there was one. The `slack` is the number
+    /// of retries that all `balancers` together may make beyond the ratio.
     pub fn try_withdraw(&mut self, now: u64, slack: f64, balancers: usize) -> bool {
         let slot = self.advance_to(now);
         let requests: u32 = self.requests.iter().sum();
@@ -57,7 +59,8 @@
         is_within_budget
     }
 
-    /// Clears the slots that have passed since the last call and returns the index of the present one.
+    /// Clears the slots that have passed since the last call and returns the index of the present
+    /// one.
     fn advance_to(&mut self, now: u64) -> usize {
         let number = now / self.slot_ms;
         let passed = number.saturating_sub(self.newest).min(SLOTS as u64);
--- a/crates/routing/src/router/eligibility.rs
+++ b/crates/routing/src/router/eligibility.rs
@@ -6,19 +6,21 @@
 use crate::upstream::{Upstream, UpstreamId};
 use woadstall_control::registry::Status;
 
-/// Concurrent requests at an upstream over its capacity: those beyond its capacity wait in its queue, which costs them
-/// less than a rejection.
+/// Concurrent requests at an upstream over its capacity: those beyond its capacity wait in its
+/// queue, which costs them less than a rejection.
 const OVERCOMMIT: f64 = 1.5;
 /// The fewest concurrent requests that a balancer may have at an upstream.
 const MIN_CONCURRENCY: f64 = 2.0;
-/// How long nothing may come from an upstream of the own region while requests are pending there, in milliseconds: longer
-/// than the prefill of a long prompt beside others takes. What is sent to it until it is known to be gone is lost.
+/// How long nothing may come from an upstream of the own region while requests are pending there,
+/// in milliseconds: longer than the prefill of a long prompt beside others takes. What is sent to
+/// it until it is known to be gone is lost.
 const RESPONSE_TIMEOUT_LOCAL_MS: u64 = 600;
 /// The same for another region: two network delays between regions more.
 const RESPONSE_TIMEOUT_REMOTE_MS: u64 = 800;
 
 impl Router {
-    /// The upstreams of a service that a request may go to at all, in the order of their registration.
+    /// The upstreams of a service that a request may go to at all, in the order of their
+    /// registration.
     pub(super) fn allowed(&self, query: &Query<'_>) -> Vec<UpstreamId> {
         let ready = self.allowed_with_status(query, Status::Ready);
         // Where all upstreams are unresponsive, the control plane may be what is cut off.
@@ -45,7 +47,8 @@
         ids.iter().filter(is_allowed).cloned().collect()
     }
 
-    /// Whether nothing has come from an upstream for too long while requests of this balancer are pending there.
+    /// Whether nothing has come from an upstream for too long while requests of this balancer are
+    /// pending there.
     pub(super) fn is_unresponsive(&self, now: u64, upstream: &Upstream) -> bool {
         upstream.is_unresponsive(now, self.response_timeout(upstream))
     }
@@ -59,8 +62,9 @@
         }
     }
 
-    /// Whether the balancers of this zone report that an upstream fails. One whose breaker has opened here is still probed
-    /// on the breaker's schedule; otherwise no balancer would find that it has recovered.
+    /// Whether the balancers of this zone report that an upstream fails. One whose breaker has
+    /// opened here is still probed on the breaker's schedule; otherwise no balancer would find that
+    /// it has recovered.
     fn is_reported_failing(&self, now: u64, upstream: &Upstream) -> bool {
         !upstream.breaker.is_tripped()
             && upstream.is_reported_failing(now, self.response_timeout(upstream))
@@ -114,9 +118,9 @@
             .is_some_and(|upstream| self.skip_reason(now, query, upstream).is_none())
     }
 
-    /// Whether a request may go to an upstream as a last resort: all that speaks against it is its breaker, that it is
-    /// unresponsive, or what others report. A zone that seems to be down gets its trials and no more: a request that
-    /// waited there for a connection would be rejected late.
+    /// Whether a request may go to an upstream as a last resort: all that speaks against it is its
+    /// breaker, that it is unresponsive, or what others report. A zone that seems to be down gets
+    /// its trials and no more: a request that waited there for a connection would be rejected late.
     pub(super) fn may_fall_back(&self, now: u64, query: &Query<'_>, id: &str) -> bool {
         let Some(upstream) = self.upstreams.get(id) else {
             return false;
@@ -130,8 +134,8 @@
             && self.is_within_warmup_quota(now, query, upstream)
     }
 
-    /// Whether this balancer has fewer requests in flight than its share of an upstream's capacity (Ribbon's
-    /// `activeConnectionsLimit`).
+    /// Whether this balancer has fewer requests in flight than its share of an upstream's capacity
+    /// (Ribbon's `activeConnectionsLimit`).
     fn is_within_concurrency_limit(&self, upstream: &Upstream) -> bool {
         let balancers = self.fleet.balancers_in(&upstream.region) as f64;
         let limit = upstream.capacity as f64 * OVERCOMMIT / balancers;
--- a/crates/routing/src/router/fleet_loads.rs
+++ b/crates/routing/src/router/fleet_loads.rs
@@ -1,8 +1,8 @@
 //! Load reports between balancers that are near each other.
 //!
-//! Each balancer sees a small share of an upstream's requests; without reports, every balancer would find by itself that an
-//! upstream prefills a batch of long prompts, or that it is dead. Reports expire within a second and never outweigh what
-//! this balancer has observed itself since.
+//! Each balancer sees a small share of an upstream's requests; without reports, every balancer
+//! would find by itself that an upstream prefills a batch of long prompts, or that it is dead.
+//! Reports expire within a second and never outweigh what this balancer has observed itself since.
 
 use super::Router;
 use crate::placement_log::MAX_REPORTED;
@@ -10,8 +10,8 @@
 use std::collections::HashMap;
 use woadstall_control::loads::{FleetLoad, FleetLoads, Placement, UpstreamLoad};
 
-/// The prefill backlog, in tokens, from which on an upstream is reported: a shorter one is prefilled within one step of an
-/// engine.
+/// The prefill backlog, in tokens, from which on an upstream is reported: a shorter one is
+/// prefilled within one step of an engine.
 const MIN_REPORTED_BACKLOG: u64 = 4_096;
 
 impl Router {
@@ -38,10 +38,11 @@
         }
     }
 
-    /// Updates the model of an upstream's prefix cache (of `capacity` tokens, where that is known) with a prompt that is
-    /// sent there, and records the placement of its shared prefix.
+    /// Updates the model of an upstream's prefix cache (of `capacity` tokens, where that is known)
+    /// with a prompt that is sent there, and records the placement of its shared prefix.
     ///
-    /// Balancers report no prompts without a shared prefix; other balancers are assumed to send as many of them.
+    /// Balancers report no prompts without a shared prefix; other balancers are assumed to send as
+    /// many of them.
     pub(super) fn record_prompt(
         &mut self,
         now: u64,
@@ -78,12 +79,14 @@
         self.placements.record_own(now, placement);
     }
 
-    /// The placements of shared prefixes that this balancer made a moment ago, for its load report; newest first.
+    /// The placements of shared prefixes that this balancer made a moment ago, for its load report;
+    /// newest first.
     pub fn recent_placements(&mut self, now: u64) -> Vec<Placement> {
         self.placements.recent(now)
     }
 
-    /// Applies a report of the near balancers: it replaces the former loads of all upstreams and adds placements.
+    /// Applies a report of the near balancers: it replaces the former loads of all upstreams and
+    /// adds placements.
     pub fn set_fleet_loads(&mut self, now: u64, loads: &FleetLoads) {
         self.placements.record_report(now);
         let load_of: HashMap<u32, FleetLoad> = loads
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -1,8 +1,9 @@
 //! The router: all state of one balancer's routing.
 //!
-//! This module holds the state and the life of a request: its decision, its activity and its end. The other parts are
-//! `registry` (which upstreams there are), `eligibility` (which a request may go to), `regions` (which region it
-//! goes to), `selection` (which upstream takes it) and `fleet_loads` (reports to and from other balancers).
+//! This module holds the state and the life of a request: its decision, its activity and its end.
+//! The other parts are `registry` (which upstreams there are), `eligibility` (which a request may
+//! go to), `regions` (which region it goes to), `selection` (which upstream takes it) and
+//! `fleet_loads` (reports to and from other balancers).
 
 mod eligibility;
 mod fleet_loads;
@@ -20,13 +21,14 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How long an upstream that has rejected a request for lack of capacity is skipped, in milliseconds.
+/// How long an upstream that has rejected a request for lack of capacity is skipped, in
+/// milliseconds.
 const SATURATION_BACKOFF_MS: u64 = 150;
-/// The range that `Retry-After` is drawn from, in milliseconds, so that clients that are rejected together do not return
-/// together.
+/// The range that `Retry-After` is drawn from, in milliseconds, so that clients that are rejected
+/// together do not return together.
 const RETRY_AFTER_MS: Range<u64> = 200..600;
-/// The same where no upstream is usable: that takes seconds to change, and a client that returns too soon uses up its
-/// retries.
+/// The same where no upstream is usable: that takes seconds to change, and a client that returns
+/// too soon uses up its retries.
 const RETRY_AFTER_UNUSABLE_MS: Range<u64> = 1_000..1_800;
 /// The fraction of an upstream's connections that the balancers share.
 const CONNECTIONS_FRACTION: f64 = 0.9;
@@ -34,8 +36,8 @@
 const MIN_CONNECTIONS: f64 = 2.0;
 /// The weight of a failed connection for the circuit breaker.
 const CONNECT_FAILED_WEIGHT: u32 = 2;
-/// The weight of a failure at an unresponsive upstream: the request has waited for long, and the next one would wait for
-/// as long again.
+/// The weight of a failure at an unresponsive upstream: the request has waited for long, and the
+/// next one would wait for as long again.
 const UNRESPONSIVE_WEIGHT: u32 = 3;
 
 /// The limits of a deployment that routing keeps to.
@@ -47,7 +49,8 @@
     pub retry_budget_window_ms: u64,
     /// Retries in a window beyond the ratio, of all balancers together.
     pub retry_budget_slack: f64,
-    /// The most requests a second to an upstream that is warming up, over its service's `warmup_per_s`.
+    /// The most requests a second to an upstream that is warming up, over its service's
+    /// `warmup_per_s`.
     pub warmup_factor: f64,
     /// Requests a second beyond that.
     pub warmup_slack: f64,
@@ -62,7 +65,8 @@
     pub region_by_zone: BTreeMap<String, String>,
 }
 
-/// Selects upstreams for the requests of one balancer. See the crate's documentation for times and randomness.
+/// Selects upstreams for the requests of one balancer. See the crate's documentation for times and
+/// randomness.
 #[derive(Debug)]
 pub struct Router {
     location: Location,
@@ -163,8 +167,8 @@
         summary
     }
 
-    /// Records that the first part of a sound response has come from an upstream: a success, or an error that is the
-    /// request's own.
+    /// Records that the first part of a sound response has come from an upstream: a success, or an
+    /// error that is the request's own.
     pub fn record_response(&mut self, now: u64, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.breaker.record_success();
@@ -173,7 +177,8 @@
         }
     }
 
-    /// Records that something has come from an upstream, which shows that it has prefilled `prefilled` tokens since.
+    /// Records that something has come from an upstream, which shows that it has prefilled
+    /// `prefilled` tokens since.
     pub fn record_activity(&mut self, now: u64, id: &str, prefilled: u64) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.record_activity(now);
@@ -182,8 +187,8 @@
         }
     }
 
-    /// Records that an attempt at an upstream has ended, with `not_prefilled` of its prompt tokens still in the prefill
-    /// backlog.
+    /// Records that an attempt at an upstream has ended, with `not_prefilled` of its prompt tokens
+    /// still in the prefill backlog.
     pub fn finish(&mut self, now: u64, id: &str, outcome: Outcome, not_prefilled: u64) {
         let was_unresponsive = self
             .upstreams
--- a/crates/routing/src/router/regions.rs
+++ b/crates/routing/src/router/regions.rs
@@ -78,8 +78,8 @@
             .collect()
     }
 
-    /// The home region of a request: this balancer's, or where the route does not allow that or it has no upstreams, one
-    /// of the others, drawn with their healthy upstreams as weights.
+    /// The home region of a request: this balancer's, or where the route does not allow that or it
+    /// has no upstreams, one of the others, drawn with their healthy upstreams as weights.
     fn home_region(&mut self, route: &Route, loads: &[RegionLoad]) -> String {
         let own = &self.location.region;
         let is_allowed = route.allowed_regions.is_empty() || route.allowed_regions.contains(own);
--- a/crates/routing/src/router/registry.rs
+++ b/crates/routing/src/router/registry.rs
@@ -6,12 +6,13 @@
 use std::time::Duration;
 use woadstall_control::registry::{Registration, Status};
 
-/// How long an upstream that no snapshot names is kept, in milliseconds: a control machine that has just started learns of
-/// all upstreams within a few heartbeats.
+/// How long an upstream that no snapshot names is kept, in milliseconds: a control machine that has
+/// just started learns of all upstreams within a few heartbeats.
 const UNCONFIRMED_TIMEOUT_MS: u64 = 10_000;
 
 impl Router {
-    /// Adds an upstream, or updates it with a newer registration. A registration whose address is no `ip:port` is ignored.
+    /// Adds an upstream, or updates it with a newer registration. A registration whose address is
+    /// no `ip:port` is ignored.
     pub fn register(&mut self, now: u64, registration: &Registration) {
         if let Some(upstream) = self.upstreams.get_mut(registration.id.as_str()) {
             upstream.update(now, registration);
@@ -35,8 +36,8 @@
         self.upstreams.insert(upstream.id.clone(), upstream);
     }
 
-    /// Applies a snapshot of all registrations. Upstreams that it does not name are kept for a while, since its source may
-    /// have just started.
+    /// Applies a snapshot of all registrations. Upstreams that it does not name are kept for a
+    /// while, since its source may have just started.
     pub fn apply_snapshot(&mut self, now: u64, registrations: &[Registration]) {
         let named: BTreeSet<&str> = registrations
             .iter()
@@ -75,8 +76,9 @@
         }
     }
 
-    /// Sets the zones that get no requests. The upstreams of a zone that is no longer evacuated warm up again for the time
-    /// that `warmup` gives for their service, as their caches may have gone cold.
+    /// Sets the zones that get no requests. The upstreams of a zone that is no longer evacuated
+    /// warm up again for the time that `warmup` gives for their service, as their caches may have
+    /// gone cold.
     pub fn set_evacuated_zones(
         &mut self,
         now: u64,
@@ -95,7 +97,8 @@
         }
     }
 
-    /// Whether requests may still go to an upstream. Checked again once a connection to it is established.
+    /// Whether requests may still go to an upstream. Checked again once a connection to it is
+    /// established.
     pub fn is_usable(&self, id: &str) -> bool {
         self.upstreams.get(id).is_some_and(|upstream| {
             matches!(upstream.status, Status::Ready | Status::Silent)
--- a/crates/routing/src/router/selection.rs
+++ b/crates/routing/src/router/selection.rs
@@ -1,5 +1,5 @@
-//! Which of the candidates takes a request: round robin over the eligible ones, and for prompts with a shared prefix the
-//! upstream whose prefix cache holds it.
+//! Which of the candidates takes a request: round robin over the eligible ones, and for prompts
+//! with a shared prefix the upstream whose prefix cache holds it.
 
 use super::Router;
 use crate::query::Query;
@@ -9,11 +9,12 @@
 
 /// The most proposals of the round robin before it falls back (about ten, as in Ribbon).
 const MIN_PROPOSALS: usize = 10;
-/// The prefill backlog, in tokens, from which on an upstream is avoided by requests that could go elsewhere: about one
-/// step of an engine, a tenth of a second.
+/// The prefill backlog, in tokens, from which on an upstream is avoided by requests that could go
+/// elsewhere: about one step of an engine, a tenth of a second.
 const SHORT_BACKLOG_TOKENS: u64 = 4_096;
-/// The prefill backlog over the length of a shared prefix up to which its upstream is waited for. To prefill the prefix
-/// elsewhere takes as long as to wait for as many tokens, and then it is cached twice at the cost of other prefixes.
+/// The prefill backlog over the length of a shared prefix up to which its upstream is waited for.
+/// To prefill the prefix elsewhere takes as long as to wait for as many tokens, and then it is
+/// cached twice at the cost of other prefixes.
 const CACHE_OWNER_PATIENCE: u64 = 3;
 
 impl Router {
@@ -33,9 +34,10 @@
         by_prefix.or_else(|| self.pick_round_robin(now, query, candidates))
     }
 
-    /// Selects the upstream for a prompt with a shared prefix: of those that have it cached, the one with the shortest
-    /// prefill backlog. Where none is known to have it cached, the first by rendezvous hashing with a short backlog:
-    /// another balancer would have sent the prefix there. Otherwise the one with the shortest backlog.
+    /// Selects the upstream for a prompt with a shared prefix: of those that have it cached, the
+    /// one with the shortest prefill backlog. Where none is known to have it cached, the first by
+    /// rendezvous hashing with a short backlog: another balancer would have sent the prefix there.
+    /// Otherwise the one with the shortest backlog.
     fn pick_by_prefix(
         &self,
         now: u64,
@@ -64,7 +66,8 @@
         owner.or_else(presumed_owner).or_else(least_loaded).cloned()
     }
 
-    /// Round robin: the next eligible candidate with a short prefill backlog, or else the next eligible one.
+    /// Round robin: the next eligible candidate with a short prefill backlog, or else the next
+    /// eligible one.
     fn pick_round_robin(
         &mut self,
         now: u64,
@@ -90,8 +93,8 @@
             .cloned()
     }
 
-    /// The position of a service's round robin, which moves on by one. It begins at a random one, so that balancers that
-    /// start together do not all send to the same upstream.
+    /// The position of a service's round robin, which moves on by one. It begins at a random one,
+    /// so that balancers that start together do not all send to the same upstream.
     fn advance_cursor(&mut self, service: &str) -> usize {
         let random = &mut self.random;
         let cursor = self
--- a/crates/routing/src/skip_reason.rs
+++ b/crates/routing/src/skip_reason.rs
@@ -17,7 +17,8 @@
     ZoneOutage,
     /// It rejected a request for lack of capacity a moment ago.
     Saturated,
-    /// It has as many requests of this balancer in flight as this balancer's share of its capacity allows.
+    /// It has as many requests of this balancer in flight as this balancer's share of its capacity
+    /// allows.
     OverConcurrencyLimit,
     /// It is warming up, and this balancer's quota of requests to it is used up.
     WarmingUp,
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -42,9 +42,11 @@
     pub total_tokens: u64,
 }
 
-/// How long a load report of other balancers is valid, in milliseconds: reports are repeated every 300 ms.
+/// How long a load report of other balancers is valid, in milliseconds: reports are repeated every
+/// 300 ms.
 const REPORT_VALIDITY_MS: u64 = 700;
-/// The balancers of the zone that must report an upstream as failing: a single one may have a fault of its own.
+/// The balancers of the zone that must report an upstream as failing: a single one may have a fault
+/// of its own.
 const MIN_FAILURE_REPORTS: u16 = 2;
 /// The most requests to an upstream that is warming up whose times are kept.
 const MAX_WARMUP_SENDS: usize = 64;
@@ -81,7 +83,8 @@
     pub prefill_backlog: u64,
     /// The newest load report of the balancers near this one.
     pub reported_load: Option<ReportedLoad>,
-    /// What its prefix cache holds of the prompts that this balancer, or one near it, has sent there.
+    /// What its prefix cache holds of the prompts that this balancer, or one near it, has sent
+    /// there.
     pub prefix_cache: PrefixCache,
     /// Since when no snapshot has confirmed it; it is removed in the end unless it registers again.
     pub unconfirmed_since: Option<u64>,
@@ -139,7 +142,8 @@
         now < self.warmup_until
     }
 
-    /// Whether nothing has come from it for more than `timeout` milliseconds while requests are pending there.
+    /// Whether nothing has come from it for more than `timeout` milliseconds while requests are
+    /// pending there.
     pub fn is_unresponsive(&self, now: u64, timeout: u64) -> bool {
         self.in_flight > 0 && now > self.pending_since + timeout
     }
@@ -150,7 +154,8 @@
         self.last_activity = Some(now);
     }
 
-    /// The tokens of a prompt that it would have to prefill: those that its prefix cache does not hold.
+    /// The tokens of a prompt that it would have to prefill: those that its prefix cache does not
+    /// hold.
     pub fn tokens_to_prefill(&self, prompt: &Prompt) -> u64 {
         let is_cached = prompt
             .prefix_hash
@@ -162,7 +167,8 @@
         }
     }
 
-    /// Records that a request is sent to it; returns the prompt tokens that it will have to prefill.
+    /// Records that a request is sent to it; returns the prompt tokens that it will have to
+    /// prefill.
     pub fn record_sent(&mut self, now: u64, prompt: &Prompt) -> u64 {
         if self.in_flight == 0 {
             self.pending_since = now;
@@ -189,7 +195,8 @@
             .filter(|report| now <= report.at + REPORT_VALIDITY_MS)
     }
 
-    /// The prompt tokens that it has to prefill, by this balancer's requests or by the report of all near balancers.
+    /// The prompt tokens that it has to prefill, by this balancer's requests or by the report of
+    /// all near balancers.
     pub fn fleet_prefill_backlog(&self, now: u64) -> u64 {
         let reported = self
             .valid_report(now)
@@ -197,8 +204,8 @@
         self.prefill_backlog.max(reported)
     }
 
-    /// Whether other balancers report that it fails, and nothing has come from it here since `timeout` milliseconds before
-    /// that report.
+    /// Whether other balancers report that it fails, and nothing has come from it here since
+    /// `timeout` milliseconds before that report.
     pub fn is_reported_failing(&self, now: u64, timeout: u64) -> bool {
         let Some(report) = self.valid_report(now) else {
             return false;
--- a/crates/routing/src/warmup_quota.rs
+++ b/crates/routing/src/warmup_quota.rs
@@ -1,17 +1,20 @@
-//! Warm-up quotas (slow start): how many requests each balancer may send to an upstream that is warming up.
+//! Warm-up quotas (slow start): how many requests each balancer may send to an upstream that is
+//! warming up.
 //!
-//! An upstream that has just started bears a bounded number of requests a second from all balancers together. Each
-//! balancer computes its own quota, so that the sum stays within the bound without coordination.
+//! An upstream that has just started bears a bounded number of requests a second from all balancers
+//! together. Each balancer computes its own quota, so that the sum stays within the bound without
+//! coordination.
 
 use std::collections::VecDeque;
 use woadstall_control::shards::hash;
 
-/// The second that the bound holds for, in milliseconds, with a margin for packets that are delayed on the network and
-/// arrive together.
+/// The second that the bound holds for, in milliseconds, with a margin for packets that are delayed
+/// on the network and arrive together.
 const WINDOW_MS: u64 = 1_150;
 /// The fraction of the bound that is allocated: the rest covers balancers that are not known yet.
 const ALLOCATED_FRACTION: f64 = 0.85;
-/// The fraction of the allocation for balancers of the upstream's own region; the others share the rest.
+/// The fraction of the allocation for balancers of the upstream's own region; the others share the
+/// rest.
 const LOCAL_FRACTION: f64 = 0.75;
 
 /// A group of balancers that shares a part of an upstream's bound.
@@ -31,8 +34,9 @@
 }
 
 impl WarmupQuota {
-    /// The requests a second that all balancers of a group together may send, where all groups together may send `bound`.
-    /// Where the other group has no balancers, this one gets its part as well.
+    /// The requests a second that all balancers of a group together may send, where all groups
+    /// together may send `bound`. Where the other group has no balancers, this one gets its part as
+    /// well.
     pub fn group_total(bound: f64, group: QuotaGroup, has_other_group: bool) -> usize {
         let allocated = bound * ALLOCATED_FRACTION;
         let total = match (group, has_other_group) {
@@ -43,8 +47,9 @@
         total as usize
     }
 
-    /// The quota of balancer `own` among its group, `members`. The quotas of a group add up to `total`: where that does not
-    /// divide evenly, a hash decides for each upstream who gets one request more.
+    /// The quota of balancer `own` among its group, `members`. The quotas of a group add up to
+    /// `total`: where that does not divide evenly, a hash decides for each upstream who gets one
+    /// request more.
     pub fn of_balancer(total: usize, upstream: &str, own: u32, members: &[u32]) -> Self {
         let order = |balancer: u32| (hash(&(upstream, balancer)), balancer);
         let own_order = order(own);
--- a/crates/routing/src/zone_outage.rs
+++ b/crates/routing/src/zone_outage.rs
@@ -1,7 +1,7 @@
 //! Detection of zones that are down as a whole.
 //!
-//! A balancer sends few requests to each upstream; without this it would find each dead upstream of a lost zone with
-//! failed requests of its own.
+//! A balancer sends few requests to each upstream; without this it would find each dead upstream of
+//! a lost zone with failed requests of its own.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -9,11 +9,12 @@
 const MIN_SUSPECTS: usize = 2;
 /// How long nothing may have come from any upstream of the zone, in milliseconds.
 const INACTIVITY_MS: u64 = 500;
-/// The time between trial requests to a zone that is down, in milliseconds: at first, and at most. Each trial costs each
-/// balancer a request.
+/// The time between trial requests to a zone that is down, in milliseconds: at first, and at most.
+/// Each trial costs each balancer a request.
 const INITIAL_TRIAL_BACKOFF_MS: u64 = 500;
 const MAX_TRIAL_BACKOFF_MS: u64 = 2_000;
-/// By how much longer a request that is not idempotent waits for its trial, so that an idempotent one goes first.
+/// By how much longer a request that is not idempotent waits for its trial, so that an idempotent
+/// one goes first.
 const NON_IDEMPOTENT_FACTOR: u64 = 2;
 
 /// Which zones seem to be down. Times are in milliseconds.
@@ -60,8 +61,8 @@
         );
     }
 
-    /// Decides which zones are down, given the zone of each suspect upstream: one that has failed without a success
-    /// since, or that is unresponsive.
+    /// Decides which zones are down, given the zone of each suspect upstream: one that has failed
+    /// without a success since, or that is unresponsive.
     pub fn update<'a>(&mut self, now: u64, suspect_zones: impl Iterator<Item = &'a str>) {
         let mut suspects: HashMap<&str, usize> = HashMap::new();
         suspect_zones.for_each(|zone| *suspects.entry(zone).or_default() += 1);
@@ -79,7 +80,8 @@
         self.down.contains(zone)
     }
 
-    /// Whether a request may go to a zone: always while it is up, one trial at a time while it is down.
+    /// Whether a request may go to a zone: always while it is up, one trial at a time while it is
+    /// down.
     pub fn allows(&self, now: u64, zone: &str, is_idempotent: bool) -> bool {
         if !self.down.contains(zone) {
             return true;
--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -143,7 +143,8 @@
     );
 }
 
-/// The upstream that is ranked first for a prefix has it cached or will have it: a request waits for it in proportion.
+/// The upstream that is ranked first for a prefix has it cached or will have it: a request waits
+/// for it in proportion.
 #[rstest]
 #[case::a_short_queue(20_000, true)]
 #[case::a_long_queue(31_000, false)]
@@ -230,7 +231,8 @@
     assert_eq!(router.recent_placements(401), []);
 }
 
-/// A balancer that has received placements for long, without a gap, knows that a prefix has not been placed.
+/// A balancer that has received placements for long, without a gap, knows that a prefix has not
+/// been placed.
 #[rstest]
 #[case::reported_for_long(12_000, 2_000, true)]
 #[case::reported_for_a_short_time(8_000, 2_000, false)]
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -1,6 +1,7 @@
 //! Every decision of a long seeded run, as one digest: refactorings must not change it.
 //!
-//! The digest is over numbers and upstream ids alone, so that it does not depend on the names of types or variants.
+//! The digest is over numbers and upstream ids alone, so that it does not depend on the names of
+//! types or variants.
 
 mod support;
 
@@ -114,7 +115,8 @@
     sequence: u64,
     placement: u32,
     in_flight: Vec<Target>,
-    /// What came up: the run has to reach every kind of decision and every reason to skip an upstream.
+    /// What came up: the run has to reach every kind of decision and every reason to skip an
+    /// upstream.
     sent: u64,
     rejected: u64,
     skip_reasons: BTreeSet<u64>,
@@ -239,7 +241,8 @@
         }
     }
 
-    /// Something happens to a request that is in flight. Zone `n2` loses all of its own now and then.
+    /// Something happens to a request that is in flight. Zone `n2` loses all of its own now and
+    /// then.
     fn progress(&mut self) {
         if self.in_flight.is_empty() {
             return;
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -97,12 +97,14 @@
     router.set_evacuated_zones(0, &["n".to_owned()].into(), warmup);
     assert_eq!(&*request().target(&mut router, 0).id, "s0");
     router.set_evacuated_zones(10_000, &BTreeSet::new(), warmup);
-    // An upstream that is warming up gets this balancer's quota of requests in a second, and no more.
+    // An upstream that is warming up gets this balancer's quota of requests in a second, and no
+    // more.
     let request = request();
     let near = (0..40)
         .filter(|_| request.target(&mut router, 10_000).id.starts_with('n'))
         .count();
-    // The bound is 21 * 1.5 + 5; 0.85 of it is allocated, and 0.75 of that to the region's three balancers.
+    // The bound is 21 * 1.5 + 5; 0.85 of it is allocated, and 0.75 of that to the region's three
+    // balancers.
     let quota = WarmupQuota::of_balancer(23, "n0", OWN, &[OWN, 2, 3]).per_second;
     assert!(quota == 7 || quota == 8);
     assert_eq!(near, quota);
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -18,7 +18,8 @@
     }
 }
 
-/// A router in region `north` of three regions with a zone each, one of four balancers, three of them in `north`.
+/// A router in region `north` of three regions with a zone each, one of four balancers, three of
+/// them in `north`.
 pub fn router() -> Router {
     let zones = [("n", "north"), ("s", "south"), ("w", "west")];
     let location = Location {
