--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,9 +6,6 @@
 //! This crate has the sockets, disks, signals and clocks. The decisions are in crates without I/O: `woadstall-control` (state
 //! of a control machine), `woadstall-consensus` (replicated log) and `woadstall-routing` (choice of an upstream).
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 pub mod cli;
 mod core;
 mod error;
--- a/crates/request-reports/src/lib.rs
+++ b/crates/request-reports/src/lib.rs
@@ -3,9 +3,6 @@
 //!
 //! No I/O and no clock.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 mod line;
 mod outcome;
 mod plot;
