--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -46,8 +46,8 @@
     Check(#[from] InvalidFiles),
 }
 
-/// Runs the command that the process's arguments name; `None` if it is none of the system's. Prints an error to standard
-/// error, and ends the process itself if the arguments can't be parsed.
+/// Runs the command that the process's arguments name; `None` if it is none of the system's. Prints
+/// an error to standard error, and ends the process itself if the arguments can't be parsed.
 pub fn run() -> Option<ExitCode> {
     let command = std::env::args().nth(1)?;
     if !COMMANDS.contains(&command.as_str()) {
--- a/crates/node/src/cli/why.rs
+++ b/crates/node/src/cli/why.rs
@@ -76,7 +76,8 @@
     Ok(())
 }
 
-/// The second in which a line was written: the first time of day in it, else the first number, else 0.
+/// The second in which a line was written: the first time of day in it, else the first number, else
+/// 0.
 fn second_of(text: &str) -> u64 {
     let times = text.split_whitespace().filter_map(second_of_day);
     let numbers = text
--- a/crates/node/src/core/api/mod.rs
+++ b/crates/node/src/core/api/mod.rs
@@ -1,4 +1,5 @@
-//! The HTTP API for operators (configuration, evacuations, status), upstreams (registrations) and clients (directory).
+//! The HTTP API for operators (configuration, evacuations, status), upstreams (registrations) and
+//! clients (directory).
 
 mod request;
 mod response;
@@ -19,7 +20,8 @@
 
 /// How long a request waits for its response; the machine itself gives up a little sooner.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Threads that answer requests. Some wait for a quorum; at most eight orders are under way at a time.
+/// Threads that answer requests. Some wait for a quorum; at most eight orders are under way at a
+/// time.
 const WORKERS: usize = 24;
 
 /// Serves the API on the addresses of the control and directory endpoints, which may be the same.
--- a/crates/node/src/core/api/request.rs
+++ b/crates/node/src/core/api/request.rs
@@ -16,7 +16,8 @@
 /// A request that can be passed to the machine.
 #[derive(Clone, Debug)]
 pub(in crate::core) enum ApiRequest {
-    /// `PUT` or `PATCH /v1/config`, `POST` or `DELETE /v1/evacuations/ZONE`: a change of the replicated state.
+    /// `PUT` or `PATCH /v1/config`, `POST` or `DELETE /v1/evacuations/ZONE`: a change of the
+    /// replicated state.
     Order(Command),
     /// `GET /v1/config`.
     ReadConfiguration,
@@ -113,7 +114,8 @@
     }
 }
 
-/// The version that a change builds on, and the change. One that is not JSON never becomes an order.
+/// The version that a change builds on, and the change. One that is not JSON never becomes an
+/// order.
 fn configuration_change(request: &Request) -> Result<(u64, Vec<u8>), RequestError> {
     let base = request
         .header("If-Match")
--- a/crates/node/src/core/api/status.rs
+++ b/crates/node/src/core/api/status.rs
@@ -1,4 +1,5 @@
-//! The status of a machine as JSON, for `woadstall status`. The keys are documented in `docs/system-operators.md`.
+//! The status of a machine as JSON, for `woadstall status`. The keys are documented in
+//! `docs/system-operators.md`.
 
 use serde_json::{Value, json};
 use woadstall_control::machine::Machine;
--- a/crates/node/src/core/bootstrap.rs
+++ b/crates/node/src/core/bootstrap.rs
@@ -6,8 +6,8 @@
 use woadstall_control::machine::founding_snapshot;
 use woadstall_control::shards::hash;
 
-/// The state of a machine whose disk is empty. The seeds found the group at the first start of the whole system; any other
-/// machine gets a new identity and joins the group.
+/// The state of a machine whose disk is empty. The seeds found the group at the first start of the
+/// whole system; any other machine gets a new identity and joins the group.
 pub(super) fn initial_state(settings: &NodeSettings, control: SocketAddr) -> DurableState {
     let is_founder = settings.bootstrap && settings.seeds.contains(&control);
     if !is_founder {
@@ -22,7 +22,8 @@
     DurableState::new(founder_id(control), founding_snapshot(&founders))
 }
 
-/// The identity of a founder. Derived from its control address, so that all founders agree on it without a message.
+/// The identity of a founder. Derived from its control address, so that all founders agree on it
+/// without a message.
 pub(super) fn founder_id(seed: SocketAddr) -> ReplicaId {
     hash(&seed.to_string()).max(1)
 }
--- a/crates/node/src/core/disk.rs
+++ b/crates/node/src/core/disk.rs
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Waits for a job, but not for longer than until registrations that could not be written are tried again.
+    /// Waits for a job, but not for longer than until registrations that could not be written are
+    /// tried again.
     fn next_job(&self, jobs: &Receiver<WriteJob>) -> Result<WriteJob, RecvTimeoutError> {
         if self.pending_registrations.is_some() {
             jobs.recv_timeout(RETRY_INTERVAL)
--- a/crates/node/src/core/event.rs
+++ b/crates/node/src/core/event.rs
@@ -1,8 +1,8 @@
 //! What happens to a core process: the tasks and threads around it send it events.
 
-use super::api::{ApiRequest, ApiResponse};
+use super::api::ApiRequest;
 use super::frame_queue::FrameSender;
-use std::sync::mpsc::SyncSender;
+use super::pending_requests::Responder;
 use std::time::Instant;
 use tokio::sync::mpsc::UnboundedSender;
 use woadstall_control::wire::Packet;
@@ -44,6 +44,6 @@
         /// When it was read from its socket.
         received_at: Instant,
         /// Where the response goes.
-        responder: SyncSender<ApiResponse>,
+        responder: Responder,
     },
 }
--- a/crates/node/src/core/frame_queue.rs
+++ b/crates/node/src/core/frame_queue.rs
@@ -32,7 +32,8 @@
     queued_bytes: Arc<AtomicUsize>,
 }
 
-/// A queue of at most `max_frames` frames and `max_bytes` bytes. An empty queue accepts a frame of any size.
+/// A queue of at most `max_frames` frames and `max_bytes` bytes. An empty queue accepts a frame of
+/// any size.
 pub(super) fn frame_queue(max_frames: usize, max_bytes: usize) -> (FrameSender, FrameReceiver) {
     let (sender, receiver) = mpsc::channel(max_frames);
     let queued_bytes = Arc::new(AtomicUsize::new(0));
--- a/crates/node/src/core/golden_tests.rs
+++ b/crates/node/src/core/golden_tests.rs
@@ -1,9 +1,11 @@
-//! What a core process writes for others, to the byte: its disk, its identity, and its answers over HTTP.
+//! What a core process writes for others, to the byte: its disk, its identity, and its answers over
+//! HTTP.
 
 use super::api::{self, ApiRequest, ApiResponse};
 use super::bootstrap::{founder_id, initial_state};
 use super::event::Event;
 use super::registration_store::RegistrationStore;
+use crate::golden::{assert_golden, shown};
 use crate::settings::NodeSettings;
 use serde_json::json;
 use std::fmt::Write;
@@ -19,23 +21,6 @@
 
 const WRITTEN: Duration = Duration::from_millis(1_764_600_000_123);
 
-fn assert_golden(name: &str, bytes: &[u8]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(name);
-    let expected = std::fs::read(&path).unwrap();
-    assert!(
-        bytes == expected,
-        "{name}:\n{}\ninstead of\n{}",
-        shown(bytes),
-        shown(&expected)
-    );
-}
-
-fn shown(bytes: &[u8]) -> String {
-    bytes.escape_ascii().to_string().replace("\\n", "\n")
-}
-
 fn registration(id: &str, status: Status) -> Registration {
     Registration {
         id: id.to_owned(),
@@ -156,7 +141,8 @@
         .unwrap()
 }
 
-/// The API of a machine that gives this response to each request; the requests come out in the channel.
+/// The API of a machine that gives this response to each request; the requests come out in the
+/// channel.
 fn start_api(response: ApiResponse) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
     let (events, mut received) = mpsc::unbounded_channel();
     let control = free_address();
--- a/crates/node/src/core/listener.rs
+++ b/crates/node/src/core/listener.rs
@@ -1,4 +1,5 @@
-//! Incoming connections: other core machines that send packets, and balancers that subscribe to the change feed.
+//! Incoming connections: other core machines that send packets, and balancers that subscribe to the
+//! change feed.
 
 use super::event::{Event, EventSender};
 use super::frame_queue::frame_queue;
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The core process: a control machine (`woadstall-control`) with its sockets and its disk.
 //!
-//! One task owns the machine ([`process::Process`]). Around it are the peers' connections ([`peers`], [`listener`],
-//! [`datagrams`]), the HTTP API ([`api`]) and the disk's thread ([`disk`]); they send it [`event::Event`]s, and it executes the
-//! machine's actions.
+//! One task owns the machine ([`process::Process`]). Around it are the peers' connections
+//! ([`peers`], [`listener`], [`datagrams`]), the HTTP API ([`api`]) and the disk's thread
+//! ([`disk`]); they send it [`event::Event`]s, and it executes the machine's actions.
 
 mod api;
 mod bootstrap;
@@ -13,6 +13,7 @@
 mod frame_queue;
 mod listener;
 mod peers;
+mod pending_requests;
 mod process;
 mod registration_store;
 mod stall;
@@ -38,7 +39,8 @@
 ///
 /// # Errors
 ///
-/// The settings lack a field, the storage can't be opened, or the operating system refuses a socket or a signal handler.
+/// The settings lack a field, the storage can't be opened, or the operating system refuses a socket
+/// or a signal handler.
 pub fn run(settings: &NodeSettings, watcher: SettingsWatcher) -> Result<(), CoreError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -1,5 +1,5 @@
-//! Outgoing connections to other core machines. Each direction of a pair of machines has a connection of its own: a machine
-//! sends on those that it has opened.
+//! Outgoing connections to other core machines. Each direction of a pair of machines has a
+//! connection of its own: a machine sends on those that it has opened.
 
 use super::event::{Event, EventSender};
 use super::frame_queue::{FrameReceiver, FrameSender, frame_queue};
@@ -13,13 +13,14 @@
 use tokio::time::{sleep, timeout};
 use woadstall_control::wire::Packet;
 
-/// Limits of a peer's queue. Beyond them its connection is replaced, and the machine repeats what may have been lost. A
-/// frame may be as large as a configuration.
+/// Limits of a peer's queue. Beyond them its connection is replaced, and the machine repeats what
+/// may have been lost. A frame may be as large as a configuration.
 const MAX_QUEUED_FRAMES: usize = 4_096;
 const MAX_QUEUED_BYTES: usize = 8 << 20;
 /// Time between attempts to connect.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes in one write. A large frame may take longer than [`WRITE_TIMEOUT`], as long as its peer keeps reading.
+/// Bytes in one write. A large frame may take longer than [`WRITE_TIMEOUT`], as long as its peer
+/// keeps reading.
 const WRITE_CHUNK_BYTES: usize = 64 << 10;
 /// How long one write may take.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Connects to a machine, and again whenever the connection is lost, until [`Self::disconnect`]. Replaces a previous
-    /// connection to it.
+    /// Connects to a machine, and again whenever the connection is lost, until
+    /// [`Self::disconnect`]. Replaces a previous connection to it.
     pub fn connect(&mut self, address: String) {
         let Ok(socket_address) = address.parse::<SocketAddr>() else {
             log::warn!("peer_address_invalid peer={address:?}");
@@ -62,7 +63,8 @@
         self.queues.remove(address);
     }
 
-    /// Queues a packet for a machine, if it has a connection. A full queue is dropped with its connection, and a new one begins.
+    /// Queues a packet for a machine, if it has a connection. A full queue is dropped with its
+    /// connection, and a new one begins.
     pub fn send(&mut self, address: &str, packet: &Packet) {
         let Some(queue) = self.queues.get(address) else {
             return;
@@ -82,7 +84,8 @@
 ) {
     loop {
         if let Ok(mut stream) = packet_stream::connect(socket_address).await {
-            // Frames for the previous connection: on `PeerConnected` the machine repeats what matters.
+            // Frames for the previous connection: on `PeerConnected` the machine repeats what
+            // matters.
             frames.clear();
             if events.send(Event::PeerConnected(address.clone())).is_err() {
                 return;
--- /dev/null
+++ b/crates/node/src/core/pending_requests/tests.rs
@@ -0,0 +1,43 @@
+//! Requests are answered once, and registrations with the address of later heartbeats.
+
+use super::{ApiResponse, PendingRequests};
+use std::sync::mpsc::sync_channel;
+use woadstall_control::machine::Answer;
+
+const URL: &str = "http://10.1.0.1:7000/v1/instances/i-1";
+
+#[test]
+fn a_request_gets_the_answer_with_its_token() {
+    let mut pending = PendingRequests::default();
+    let tokens = [pending.next_token(), pending.next_token()];
+    assert_ne!(tokens[0], tokens[1]);
+    let (responder, response) = sync_channel(1);
+    pending.add(tokens[0], responder);
+    pending.complete(tokens[1], Answer::Unclear);
+    assert!(response.try_recv().is_err(), "it is another request's");
+    pending.complete(tokens[0], Answer::Done);
+    assert!(matches!(
+        response.try_recv(),
+        Ok(ApiResponse::Machine(Answer::Done))
+    ));
+    pending.complete(tokens[0], Answer::Done);
+    assert!(response.try_recv().is_err(), "it has its answer");
+}
+
+#[test]
+fn an_accepted_registration_gets_the_address_of_later_heartbeats() {
+    for (answer, is_accepted) in [(Answer::Done, true), (Answer::Unclear, false)] {
+        let mut pending = PendingRequests::default();
+        let token = pending.next_token();
+        let (responder, response) = sync_channel(1);
+        pending.add_registration(token, responder, Some(URL.to_owned()));
+        pending.complete(token, answer);
+        match response.try_recv() {
+            Ok(ApiResponse::Registered { heartbeat_url }) => {
+                assert!(is_accepted);
+                assert_eq!(heartbeat_url, URL);
+            }
+            other => assert!(!is_accepted, "{other:?}"),
+        }
+    }
+}
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -1,18 +1,19 @@
-//! The task that owns the control machine: it feeds events into the machine and executes the actions that come out.
+//! The task that owns the control machine: it feeds events into the machine and executes the
+//! actions that come out.
 
 use super::api::{self, ApiRequest, ApiResponse};
 use super::disk::Disk;
 use super::event::{Event, EventSender};
 use super::frame_queue::FrameSender;
 use super::peers::Peers;
+use super::pending_requests::{PendingRequests, Responder, respond};
 use super::stall::StallDetector;
 use super::{CoreError, addresses};
 use crate::error::SetupError;
 use crate::settings::{NodeSettings, SettingsWatcher};
 use crate::time::millis;
 use bytes::Bytes;
-use std::collections::{BTreeMap, HashMap};
-use std::sync::mpsc::SyncSender;
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -26,7 +27,8 @@
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum time between two writes of changed registrations.
 const REGISTRATION_SAVE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often registrations are written although none has changed, so that their age is known after a restart.
+/// How often registrations are written although none has changed, so that their age is known after
+/// a restart.
 const REGISTRATION_REFRESH_INTERVAL: Duration = Duration::from_secs(10);
 /// How long requests are still answered after SIGTERM, while leadership is transferred.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(600);
@@ -55,16 +57,7 @@
     settings_checked: Instant,
     /// Queues of the balancers that read the feed, by the number of their connection.
     subscribers: BTreeMap<u64, FrameSender>,
-    /// Requests that the machine has not answered, by their token.
-    pending_requests: HashMap<u64, PendingRequest>,
-    last_token: u64,
-}
-
-/// A request that waits for the machine's answer.
-struct PendingRequest {
-    responder: SyncSender<ApiResponse>,
-    /// For a registration: where the upstream sends its later heartbeats.
-    heartbeat_url: Option<String>,
+    pending_requests: PendingRequests,
 }
 
 impl Process {
@@ -88,12 +81,12 @@
             watcher,
             settings_checked: now,
             subscribers: BTreeMap::new(),
-            pending_requests: HashMap::new(),
-            last_token: 0,
+            pending_requests: PendingRequests::default(),
         }
     }
 
-    /// Runs until SIGTERM, and then until leadership has been transferred or that has taken too long.
+    /// Runs until SIGTERM, and then until leadership has been transferred or that has taken too
+    /// long.
     pub async fn run(mut self, mut events: UnboundedReceiver<Event>) -> Result<(), CoreError> {
         let mut terminate =
             signal(SignalKind::terminate()).map_err(SetupError::during("SIGTERM"))?;
@@ -190,33 +183,33 @@
         now: u64,
         request: ApiRequest,
         received_at: Instant,
-        responder: SyncSender<ApiResponse>,
+        responder: Responder,
     ) {
         let is_order = matches!(request, ApiRequest::Order(_));
         if is_order && self.stalls.is_stale(Instant::now(), received_at) {
             respond(&responder, ApiResponse::Machine(Answer::Unclear));
             return;
         }
-        self.last_token += 1;
-        let token = self.last_token;
+        let token = self.pending_requests.next_token();
         match request {
             ApiRequest::Order(command) => {
-                self.add_pending(token, responder, None);
+                self.pending_requests.add(token, responder);
                 self.machine.order(now, token, command);
             }
             ApiRequest::ReadConfiguration => {
-                self.add_pending(token, responder, None);
+                self.pending_requests.add(token, responder);
                 self.machine.read(now, token);
             }
             ApiRequest::Register(registration) => {
                 let heartbeat_url = self
                     .machine
                     .heartbeat_address(&registration.id, &registration.zone);
-                self.add_pending(token, responder, heartbeat_url);
+                self.pending_requests
+                    .add_registration(token, responder, heartbeat_url);
                 self.machine.register(now, token, registration);
             }
             ApiRequest::Deregister(id) => {
-                self.add_pending(token, responder, None);
+                self.pending_requests.add(token, responder);
                 self.machine.deregister(now, token, &id);
             }
             ApiRequest::Resolve(question) => {
@@ -230,19 +223,6 @@
         }
     }
 
-    fn add_pending(
-        &mut self,
-        token: u64,
-        responder: SyncSender<ApiResponse>,
-        heartbeat_url: Option<String>,
-    ) {
-        let pending = PendingRequest {
-            responder,
-            heartbeat_url,
-        };
-        self.pending_requests.insert(token, pending);
-    }
-
     /// Applies what may change while the process runs: the seeds.
     fn apply_settings(&mut self, settings: Option<NodeSettings>) {
         self.settings_checked = Instant::now();
@@ -279,7 +259,7 @@
                 Action::Send { address, packet } => self.peers.send(&address, &packet),
                 Action::Persist { sequence, record } => self.disk.persist(sequence, record),
                 Action::KeepRegistrations { number } => save_number = Some(number),
-                Action::Answer { token, answer } => self.complete_request(token, answer),
+                Action::Answer { token, answer } => self.pending_requests.complete(token, answer),
                 Action::Deliver {
                     subscribers,
                     packet,
@@ -293,7 +273,8 @@
         }
     }
 
-    /// Sends a packet to subscribers, encoded once. One whose queue is full is disconnected; it reconnects and gets a snapshot.
+    /// Sends a packet to subscribers, encoded once. One whose queue is full is disconnected; it
+    /// reconnects and gets a snapshot.
     fn deliver(&mut self, subscribers: &[u64], packet: &Packet) {
         let frame = Bytes::from(packet.frame());
         for subscriber in subscribers {
@@ -303,20 +284,4 @@
             }
         }
     }
-
-    fn complete_request(&mut self, token: u64, answer: Answer) {
-        let Some(pending) = self.pending_requests.remove(&token) else {
-            return;
-        };
-        let response = match (answer, pending.heartbeat_url) {
-            (Answer::Done, Some(url)) => ApiResponse::Registered { heartbeat_url: url },
-            (answer, _) => ApiResponse::Machine(answer),
-        };
-        respond(&pending.responder, response);
-    }
-}
-
-/// Hands a response to the thread that waits for it. One that has timed out takes none.
-fn respond(responder: &SyncSender<ApiResponse>, response: ApiResponse) {
-    responder.try_send(response).ok();
 }
--- a/crates/node/src/core/registration_store.rs
+++ b/crates/node/src/core/registration_store.rs
@@ -1,7 +1,9 @@
-//! Registrations on the disk. That an upstream leaves is durable before it is acknowledged; the other registrations are hints
-//! for the first moments after a restart, until upstreams send heartbeats again.
+//! Registrations on the disk. That an upstream leaves is durable before it is acknowledged; the
+//! other registrations are hints for the first moments after a restart, until upstreams send
+//! heartbeats again.
 //!
-//! Two files, `registrations-0` and `registrations-1`, are written alternately, so that a crash leaves one of them complete.
+//! Two files, `registrations-0` and `registrations-1`, are written alternately, so that a crash
+//! leaves one of them complete.
 
 use crate::time::millis;
 use nanoserde::{DeBin, SerBin};
@@ -34,8 +36,8 @@
 }
 
 impl RegistrationStore {
-    /// Opens the files in a directory and reads the newest one that is intact. The registrations' age includes the time since
-    /// they were written; `now` is the wall clock.
+    /// Opens the files in a directory and reads the newest one that is intact. The registrations'
+    /// age includes the time since they were written; `now` is the wall clock.
     pub fn open(directory: &Path, now: Duration) -> (Self, Vec<Registration>) {
         let newest = (0..FILES)
             .filter_map(|number| read(&path(directory, number)))
--- a/crates/node/src/core/stall.rs
+++ b/crates/node/src/core/stall.rs
@@ -1,5 +1,6 @@
-//! Detects that the process was suspended or starved. Requests that wait at its sockets then may be older than their callers'
-//! time-out. An order that its caller has given up must not be executed: another one may have been acknowledged since.
+//! Detects that the process was suspended or starved. Requests that wait at its sockets then may be
+//! older than their callers' time-out. An order that its caller has given up must not be executed:
+//! another one may have been acknowledged since.
 
 use std::time::{Duration, Instant};
 
--- a/crates/node/src/front/attempt/headers.rs
+++ b/crates/node/src/front/attempt/headers.rs
@@ -13,7 +13,8 @@
 pub(in crate::front) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
 /// The milliseconds that are left for a request.
 pub(in crate::front) const DEADLINE: HeaderName = HeaderName::from_static("deadline");
-/// The id of the upstream that a request is meant for; another one at its address rejects it with 421.
+/// The id of the upstream that a request is meant for; another one at its address rejects it with
+/// 421.
 const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("expect-instance");
 /// The priority of a request; 0 is the highest.
 const PRIORITY: HeaderName = HeaderName::from_static("priority");
@@ -70,7 +71,8 @@
     is_own && is_rejected && !parts.status.is_success()
 }
 
-/// Whether a response belongs to the request with this id and was written by the upstream's application.
+/// Whether a response belongs to the request with this id and was written by the upstream's
+/// application.
 pub(super) fn is_valid_response(parts: &Parts, id: &HeaderValue) -> bool {
     let headers = &parts.headers;
     let is_own = headers.get(REQUEST_ID) == Some(id);
--- a/crates/node/src/front/attempt/mod.rs
+++ b/crates/node/src/front/attempt/mod.rs
@@ -1,10 +1,15 @@
-//! One attempt of a request at one upstream: until the response is complete, or for a stream until its head has come.
+//! One attempt of a request at one upstream: until the response is complete, or for a stream until
+//! its head has come.
 
 mod headers;
 mod in_flight;
+mod request;
+mod result;
 
 pub(super) use headers::{DEADLINE, KeepAlive, REQUEST_ID};
 pub(super) use in_flight::InFlight;
+pub(super) use request::{ForwardedRequest, ResponseMode};
+pub(super) use result::{AttemptResult, StreamingResponse};
 
 use super::pool::{PoolError, PooledConnection};
 use super::state::Front;
@@ -12,9 +17,6 @@
 use headers::{is_rejection, is_valid_response, keep_alive, upstream_request};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use hyper::header::HeaderValue;
-use hyper::http::request;
-use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -27,57 +29,6 @@
 /// Bytes of a response at most that is received completely before it is forwarded.
 const MAX_BUFFERED_RESPONSE: usize = 8 << 20;
 
-/// A request as it is sent to upstreams.
-pub(super) struct ForwardedRequest {
-    /// The client's head without hop-by-hop headers.
-    pub head: request::Parts,
-    /// The body.
-    pub body: Bytes,
-    /// The value of `Request-Id`.
-    pub id: HeaderValue,
-    /// Its priority at the upstream; 0 is the highest.
-    pub priority: u8,
-    /// When it must be answered.
-    pub deadline: Instant,
-    /// How its response is forwarded.
-    pub response_mode: ResponseMode,
-}
-
-/// How a response is forwarded.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ResponseMode {
-    /// Once it is complete.
-    Buffered,
-    /// As it arrives, if its status is a success.
-    Streaming,
-}
-
-/// How an attempt has ended.
-pub(super) enum AttemptResult {
-    /// Nothing was sent.
-    NotSent,
-    /// The upstream did not execute the request.
-    Rejected,
-    /// There is no response, and the upstream may have executed the request.
-    Failed,
-    /// The deadline has passed, and the upstream may have executed the request.
-    TimedOut,
-    /// A complete response.
-    Complete(Parts, Bytes),
-    /// The head of a streamed response.
-    Streaming(Box<StreamingResponse>),
-}
-
-/// A response whose body is still to come.
-pub(super) struct StreamingResponse {
-    pub parts: Parts,
-    pub body: Incoming,
-    pub connection: PooledConnection,
-    pub in_flight: InFlight,
-    /// How long the upstream keeps the connection open after the response.
-    pub keep_alive: KeepAlive,
-}
-
 /// A request got no response.
 #[derive(Debug, Error)]
 enum SendError {
@@ -119,7 +70,8 @@
         }
         Err(_) => return AttemptResult::NotSent,
     };
-    // The upstream may have begun to drain, or its zone been evacuated, while the connection was established.
+    // The upstream may have begun to drain, or its zone been evacuated, while the connection was
+    // established.
     if !lock(&front.router).is_usable(&in_flight.target.id) {
         return AttemptResult::NotSent;
     }
--- a/crates/node/src/front/client_connection.rs
+++ b/crates/node/src/front/client_connection.rs
@@ -55,7 +55,8 @@
         Self { front, lingering }
     }
 
-    /// Serves the connection until it ends. `closing` becomes true when it is to be closed once it is idle.
+    /// Serves the connection until it ends. `closing` becomes true when it is to be closed once it
+    /// is idle.
     ///
     /// # Errors
     ///
@@ -112,7 +113,8 @@
         ConnectionEnd::of(&connection.await)
     }
 
-    /// Whether the connection has been idle, or has taken for a request's head, for longer than the configuration allows.
+    /// Whether the connection has been idle, or has taken for a request's head, for longer than the
+    /// configuration allows.
     fn has_timed_out(&self, seen: &Arc<Mutex<Seen>>) -> bool {
         let limits = self.limits();
         let seen = lock(seen);
--- a/crates/node/src/front/clients.rs
+++ b/crates/node/src/front/clients.rs
@@ -10,8 +10,8 @@
 use tokio::time::sleep;
 use woadstall_inbound::Lingering;
 
-/// How long connections are still accepted after SIGTERM. Clients use the directory's response for some seconds, and one whose
-/// connection is refused has lost an attempt.
+/// How long connections are still accepted after SIGTERM. Clients use the directory's response for
+/// some seconds, and one whose connection is refused has lost an attempt.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(3_000);
 /// How long idle connections are kept open after SIGTERM, so that no request crosses their close.
 const KEEP_IDLE_AFTER_STOP: Duration = Duration::from_millis(1_200);
--- a/crates/node/src/front/datagrams.rs
+++ b/crates/node/src/front/datagrams.rs
@@ -13,7 +13,8 @@
         .ok()
 }
 
-/// The wall clock in milliseconds: a number that is higher after a restart, as long as the clock is not set back.
+/// The wall clock in milliseconds: a number that is higher after a restart, as long as the clock is
+/// not set back.
 pub(super) fn start_number() -> u64 {
     millis(unix_time())
 }
--- a/crates/node/src/front/event_buffer.rs
+++ b/crates/node/src/front/event_buffer.rs
@@ -1,5 +1,5 @@
-//! Splits an event stream (`text/event-stream`, WHATWG HTML 9.2) into complete events, so that a stream which breaks can be
-//! resumed after the last one.
+//! Splits an event stream (`text/event-stream`, WHATWG HTML 9.2) into complete events, so that a
+//! stream which breaks can be resumed after the last one.
 
 use bytes::{Bytes, BytesMut};
 
--- a/crates/node/src/front/feed_sources.rs
+++ b/crates/node/src/front/feed_sources.rs
@@ -1,11 +1,12 @@
-//! Chooses the core machines that the feeds are read from: different ones, by preference, and for a while none that was
-//! abandoned because it did not respond or had no quorum.
+//! Chooses the core machines that the feeds are read from: different ones, by preference, and for a
+//! while none that was abandoned because it did not respond or had no quorum.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long an abandoned machine is avoided if there is another one: a partitioned machine has stale data.
+/// How long an abandoned machine is avoided if there is another one: a partitioned machine has
+/// stale data.
 const AVOIDANCE_PERIOD: Duration = Duration::from_secs(5);
 
 /// The machines that are read, and those that were abandoned lately.
@@ -25,8 +26,8 @@
         }
     }
 
-    /// Chooses the machine that a feed reads next: the first one by preference that no other feed reads and that was not
-    /// abandoned lately, else the one that was abandoned longest ago.
+    /// Chooses the machine that a feed reads next: the first one by preference that no other feed
+    /// reads and that was not abandoned lately, else the one that was abandoned longest ago.
     pub fn select(
         &mut self,
         now: Instant,
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -1,5 +1,6 @@
-//! Reads the change feed from two core machines at a time, so that the changes come from the one if the other is partitioned.
-//! Each feed has all commands after its beginning in order; a change is applied from the feed that brings it first.
+//! Reads the change feed from two core machines at a time, so that the changes come from the one if
+//! the other is partitioned. Each feed has all commands after its beginning in order; a change is
+//! applied from the feed that brings it first.
 
 use super::feed_sources::FeedSources;
 use super::state::Front;
@@ -62,9 +63,9 @@
     }
 }
 
-/// The machines in the order in which a feed prefers them, then the seeds. The first feed prefers machines of the zone, the
-/// others those of the region's other zones, so that little traffic crosses regions. Machines of equal rank come in an order
-/// that is different for each balancer.
+/// The machines in the order in which a feed prefers them, then the seeds. The first feed prefers
+/// machines of the zone, the others those of the region's other zones, so that little traffic
+/// crosses regions. Machines of equal rank come in an order that is different for each balancer.
 fn machines_by_preference(front: &Front, feed: usize) -> Vec<SocketAddr> {
     let mut ordered: Vec<(u8, u64, SocketAddr)> = Vec::new();
     for machine in front.core_machines() {
@@ -98,7 +99,8 @@
     }
 }
 
-/// Subscribes to a machine's feed and applies what comes, until the machine has no quorum (`Ok`) or the connection ends.
+/// Subscribes to a machine's feed and applies what comes, until the machine has no quorum (`Ok`) or
+/// the connection ends.
 async fn read_feed(
     front: &Arc<Front>,
     address: SocketAddr,
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -23,7 +23,8 @@
 use woadstall_routing::Prompt;
 use woadstall_transport::end_to_end;
 
-/// When a client may retry at a front that knows no configuration yet: about the time that an election and a snapshot take.
+/// When a client may retry at a front that knows no configuration yet: about the time that an
+/// election and a snapshot take.
 const NO_CONFIGURATION_RETRY: Duration = Duration::from_millis(1_200);
 /// When a client may retry whose body exceeds the memory for bodies.
 const OVERLOAD_RETRY: Duration = Duration::from_millis(500);
@@ -111,8 +112,9 @@
     forward(front, retries, forwarded).await
 }
 
-/// Sends a request to upstreams until one answers or no further attempt may be made. An upstream's error is a response too; a
-/// request that may be executed again gets it only if no other upstream does better.
+/// Sends a request to upstreams until one answers or no further attempt may be made. An upstream's
+/// error is a response too; a request that may be executed again gets it only if no other upstream
+/// does better.
 async fn forward(
     front: &Arc<Front>,
     mut retries: RetryState,
--- a/crates/node/src/front/golden_tests.rs
+++ b/crates/node/src/front/golden_tests.rs
@@ -1,10 +1,11 @@
-//! What a front writes to others, to the byte: its datagrams, its request for the feed, its requests to upstreams, and its
-//! own answers.
+//! What a front writes to others, to the byte: its datagrams, its request for the feed, its
+//! requests to upstreams, and its own answers.
 
 use super::attempt::{AttemptResult, ForwardedRequest, ResponseMode, attempt};
 use super::response::{ClientResponse, service_unavailable, text_response};
 use super::state::Front;
 use super::{feeds, heartbeat, load_reports};
+use crate::golden::{assert_golden, shown};
 use crate::settings::NodeSettings;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -12,7 +13,6 @@
 use hyper::{Request, StatusCode};
 use serde_json::json;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -29,23 +29,6 @@
 const LOCAL: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const PATIENCE: Duration = Duration::from_secs(10);
 
-fn assert_golden(name: &str, bytes: &[u8]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(name);
-    let expected = std::fs::read(&path).unwrap();
-    assert!(
-        bytes == expected,
-        "{name}:\n{}\ninstead of\n{}",
-        shown(bytes),
-        shown(&expected)
-    );
-}
-
-fn shown(bytes: &[u8]) -> String {
-    bytes.escape_ascii().to_string().replace("\\n", "\n")
-}
-
 /// A front whose control machines listen on this port.
 fn front(internal_port: u16) -> Arc<Front> {
     let document = json!({
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// The machines that follow this balancer on the hash ring, and one of its own zone, which may be the only one that it reaches
-/// during a network partition. The seeds before any machine is known.
+/// The machines that follow this balancer on the hash ring, and one of its own zone, which may be
+/// the only one that it reaches during a network partition. The seeds before any machine is known.
 fn monitor_addresses(front: &Front) -> Vec<SocketAddr> {
     let machines = front.core_machines();
     if machines.is_empty() {
--- a/crates/node/src/front/load_reports.rs
+++ b/crates/node/src/front/load_reports.rs
@@ -1,4 +1,5 @@
-//! Reports upstreams' load, as this balancer sees it, to the core machines of its region, for the other balancers there.
+//! Reports upstreams' load, as this balancer sees it, to the core machines of its region, for the
+//! other balancers there.
 
 use super::datagrams::{bind_socket, start_number};
 use super::state::Front;
@@ -68,7 +69,8 @@
     }
 }
 
-/// The core machines of this region: the balancers that share its upstreams read their feeds from them.
+/// The core machines of this region: the balancers that share its upstreams read their feeds from
+/// them.
 fn region_machines(front: &Front) -> Vec<SocketAddr> {
     front
         .core_machines()
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -1,11 +1,12 @@
 //! The front process: forwards clients' requests to upstreams.
 //!
-//! The way of a request: [`clients`] accepts its connection, [`client_connection`] reads it, [`forward`] finds its route and
-//! loops over attempts, [`retry`] decides on each further attempt, [`attempt`] sends it over a connection of the [`pool`], and
-//! [`stream`] forwards a streamed response. The router (`woadstall-routing`) chooses the upstreams.
+//! The way of a request: [`clients`] accepts its connection, [`client_connection`] reads it,
+//! [`forward`] finds its route and loops over attempts, [`retry`] decides on each further attempt,
+//! [`attempt`] sends it over a connection of the [`pool`], and [`stream`] forwards a streamed
+//! response. The router (`woadstall-routing`) chooses the upstreams.
 //!
-//! What the router knows comes from core machines: [`feeds`] reads their change feeds. [`heartbeat`] and [`load_reports`] tell
-//! them about this balancer.
+//! What the router knows comes from core machines: [`feeds`] reads their change feeds.
+//! [`heartbeat`] and [`load_reports`] tell them about this balancer.
 
 mod attempt;
 mod client_connection;
@@ -46,8 +47,9 @@
 /// How long before the end of the grace period the process ends by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Runs until SIGTERM, and then until all accepted requests are answered or the grace period ends. Logs at most
-/// `reports_per_second` reports of requests that were late, rejected, failed or retried; none if that is 0.
+/// Runs until SIGTERM, and then until all accepted requests are answered or the grace period ends.
+/// Logs at most `reports_per_second` reports of requests that were late, rejected, failed or
+/// retried; none if that is 0.
 ///
 /// # Errors
 ///
--- a/crates/node/src/front/pool.rs
+++ b/crates/node/src/front/pool.rs
@@ -14,15 +14,17 @@
 use woadstall_routing::{Target, UpstreamId};
 use woadstall_transport::{Connection, Counts};
 
-/// How long a connection to an upstream of this region may take to be established, and to one of another region: some round
-/// trips, far less than the second after which a lost SYN would be retransmitted.
+/// How long a connection to an upstream of this region may take to be established, and to one of
+/// another region: some round trips, far less than the second after which a lost SYN would be
+/// retransmitted.
 const LOCAL_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 const REMOTE_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long data sent to an upstream may stay unacknowledged.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long an idle connection is kept if its upstream does not say how long it keeps it.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long before its upstream an idle connection is closed here, at most: a round trip between regions and time in queues.
+/// How long before its upstream an idle connection is closed here, at most: a round trip between
+/// regions and time in queues.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
 /// The part of the descriptors that upstreams may use; the rest is for clients and other uses.
 const UPSTREAM_DESCRIPTOR_RATIO: f64 = 0.45;
@@ -170,7 +172,8 @@
         Ok(Acquired::Permit(permit))
     }
 
-    /// Keeps a connection after a complete response. `upstream_timeout` is the time after which its upstream closes it.
+    /// Keeps a connection after a complete response. `upstream_timeout` is the time after which its
+    /// upstream closes it.
     pub fn release(
         &self,
         id: &UpstreamId,
--- a/crates/node/src/front/prompt.rs
+++ b/crates/node/src/front/prompt.rs
@@ -6,11 +6,12 @@
 
 /// The header: `id:tokens` for each section of the prompt in order, separated by commas.
 const PROMPT_PREFIX: &str = "prompt-prefix";
-/// Tokens of a shared prefix from which on a prefix cache is worth looking for: to prefill them takes some ten milliseconds.
+/// Tokens of a shared prefix from which on a prefix cache is worth looking for: to prefill them
+/// takes some ten milliseconds.
 const MIN_SHARED_TOKENS: u64 = 1_024;
 
-/// The prompt that a request's headers describe. Its shared prefix are the sections up to the one with which it reaches
-/// [`MIN_SHARED_TOKENS`]; the last section is never shared.
+/// The prompt that a request's headers describe. Its shared prefix are the sections up to the one
+/// with which it reaches [`MIN_SHARED_TOKENS`]; the last section is never shared.
 pub(super) fn prompt_of(headers: &HeaderMap) -> Prompt {
     let value = headers
         .get(PROMPT_PREFIX)
@@ -43,3 +44,6 @@
     let (id, tokens) = section.trim().split_once(':')?;
     Some((id, tokens.trim().parse().ok()?))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/node/src/front/request_reports.rs
+++ b/crates/node/src/front/request_reports.rs
@@ -1,5 +1,5 @@
-//! Reports in the log of requests that were late, rejected, failed or retried: off unless the command line asks for them, and
-//! limited in rate.
+//! Reports in the log of requests that were late, rejected, failed or retried: off unless the
+//! command line asks for them, and limited in rate.
 
 use crate::time::millis;
 use std::collections::BTreeMap;
@@ -87,7 +87,8 @@
     }
 }
 
-/// Collects what a report says about one request. Dropped before its end, it reports that the client has disconnected.
+/// Collects what a report says about one request. Dropped before its end, it reports that the
+/// client has disconnected.
 pub(super) struct RequestTrace {
     log: Arc<ReportLog>,
     route: Arc<Route>,
--- a/crates/node/src/front/response.rs
+++ b/crates/node/src/front/response.rs
@@ -17,7 +17,8 @@
 pub(super) enum ResponseBody {
     /// All of it.
     Complete(Bytes),
-    /// A stream. An error closes the connection, so that the client does not take the body for complete.
+    /// A stream. An error closes the connection, so that the client does not take the body for
+    /// complete.
     Stream(mpsc::Receiver<io::Result<Bytes>>),
 }
 
@@ -58,8 +59,9 @@
     response
 }
 
-/// The rejection of a request that has not been executed and never will be, with the time after which the client may retry
-/// (`Retry-After` in seconds with three decimals; RFC 9110 has whole seconds).
+/// The rejection of a request that has not been executed and never will be, with the time after
+/// which the client may retry (`Retry-After` in seconds with three decimals; RFC 9110 has whole
+/// seconds).
 pub(super) fn service_unavailable(retry_after: Duration) -> ClientResponse {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "not now\n");
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
--- a/crates/node/src/front/retry.rs
+++ b/crates/node/src/front/retry.rs
@@ -51,8 +51,8 @@
 }
 
 impl RetryState {
-    /// The state of a request without an attempt. `retry_after` is for a client whose request is rejected before the router
-    /// has said when it may retry.
+    /// The state of a request without an attempt. `retry_after` is for a client whose request is
+    /// rejected before the router has said when it may retry.
     pub fn new(
         route: Arc<Route>,
         service: Arc<Service>,
@@ -172,7 +172,8 @@
         }
     }
 
-    /// The response to a request without a response from an upstream: with `Retry-After` only if it was not executed.
+    /// The response to a request without a response from an upstream: with `Retry-After` only if it
+    /// was not executed.
     pub fn into_failure(mut self) -> ClientResponse {
         if self.may_have_executed {
             self.fail(Cause::Failed);
--- a/crates/node/src/front/state.rs
+++ b/crates/node/src/front/state.rs
@@ -17,8 +17,8 @@
 use woadstall_inbound::lock;
 use woadstall_routing::{Fleet, Location, Router};
 
-/// How long a balancer counts among those that share limits after it was last listed, in milliseconds: one that can't be
-/// heard of may go on sending.
+/// How long a balancer counts among those that share limits after it was last listed, in
+/// milliseconds: one that can't be heard of may go on sending.
 const BALANCER_EXPIRY_MS: u64 = 30_000;
 
 /// The shared state of a front.
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Updates the balancers that share limits with this one. Those that were listed a while ago still count: they may still
-    /// send requests.
+    /// Updates the balancers that share limits with this one. Those that were listed a while ago
+    /// still count: they may still send requests.
     pub fn update_balancers(&self, zones: &[ZoneBalancers]) {
         let now = self.now();
         let mut known = lock(&self.balancers);
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -1,4 +1,5 @@
-//! Forwards a streamed response as it arrives, and resumes it at another upstream if its route allows that.
+//! Forwards a streamed response as it arrives, and resumes it at another upstream if its route
+//! allows that.
 
 use super::attempt::{
     AttemptResult, ForwardedRequest, StreamingResponse, attempt, release_connection,
@@ -32,7 +33,8 @@
     TimedOut,
 }
 
-/// Forwards a response that has begun, in a task of its own; returns the body of the client's response.
+/// Forwards a response that has begun, in a task of its own; returns the body of the client's
+/// response.
 pub(super) fn forward_stream(
     front: &Arc<Front>,
     retries: RetryState,
@@ -65,7 +67,8 @@
     async fn run(mut self, mut response: StreamingResponse) {
         loop {
             let end = self.copy_body(&mut response).await;
-            // Until the next attempt has ended the broken connection still counts against the limits of connections.
+            // Until the next attempt has ended the broken connection still counts against the
+            // limits of connections.
             let _broken = match self.end_attempt(end, response).await {
                 ControlFlow::Continue(connection) => connection,
                 ControlFlow::Break(()) => return,
--- /dev/null
+++ b/crates/node/src/golden.rs
@@ -0,0 +1,22 @@
+//! Golden files of unit tests, in `tests/golden`: bytes that must stay as they are.
+
+use std::path::Path;
+
+/// Asserts that bytes are those of a golden file.
+pub(crate) fn assert_golden(name: &str, bytes: &[u8]) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
+    let expected = std::fs::read(&path).unwrap();
+    assert!(
+        bytes == expected,
+        "{name}:\n{}\ninstead of\n{}",
+        shown(bytes),
+        shown(&expected)
+    );
+}
+
+/// Bytes as text.
+pub(crate) fn shown(bytes: &[u8]) -> String {
+    bytes.escape_ascii().to_string().replace("\\n", "\n")
+}
--- a/crates/node/src/http_server.rs
+++ b/crates/node/src/http_server.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::thread;
 
-/// Serves `handler` on `address` in threads of its own until the process ends. `workers` threads answer requests; where it is
-/// `None`, the server's default, which depends on the number of cores.
+/// Serves `handler` on `address` in threads of its own until the process ends. `workers` threads
+/// answer requests; where it is `None`, the server's default, which depends on the number of cores.
 ///
 /// # Errors
 ///
--- a/crates/node/src/packet_stream.rs
+++ b/crates/node/src/packet_stream.rs
@@ -9,11 +9,11 @@
 use tokio::time::timeout;
 use woadstall_control::wire::{HEAD_BYTES, Packet, payload_length};
 
-/// How long sent data may stay unacknowledged before a connection is closed. A lost segment is retransmitted within a few
-/// hundred milliseconds, also between regions.
+/// How long sent data may stay unacknowledged before a connection is closed. A lost segment is
+/// retransmitted within a few hundred milliseconds, also between regions.
 pub(crate) const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a connection may take to be established: some round trips between regions. To connect again is quicker than to
-/// wait for the retransmission of a lost SYN.
+/// How long a connection may take to be established: some round trips between regions. To connect
+/// again is quicker than to wait for the retransmission of a lost SYN.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Connects to another process of the system.
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -83,7 +83,8 @@
     pub last: u16,
 }
 
-/// The settings of a process. The comments name the field of the file and its default; a field without one is required.
+/// The settings of a process. The comments name the field of the file and its default; a field
+/// without one is required.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// `node`: the machine's name.
@@ -96,7 +97,8 @@
     pub region: String,
     /// `zones`: the region of each zone; default: empty.
     pub zones: BTreeMap<String, String>,
-    /// `listen`: the addresses that the process serves, by the name of the endpoint; default: empty.
+    /// `listen`: the addresses that the process serves, by the name of the endpoint; default:
+    /// empty.
     pub listen: BTreeMap<String, SocketAddr>,
     /// `ephemeral_ports`: ports for the internal protocol.
     pub internal_ports: PortRange,
@@ -108,7 +110,8 @@
     pub data_dir: Option<PathBuf>,
     /// `fault_tolerance.machines`: how many machines with a disk may fail at a time; default: 1.
     pub tolerated_failures: usize,
-    /// `heartbeat_ms`: the interval between heartbeats of an upstream, in milliseconds; default: 1,200.
+    /// `heartbeat_ms`: the interval between heartbeats of an upstream, in milliseconds; default:
+    /// 1,200.
     pub heartbeat_ms: u64,
     /// `limits.memory_mb`: memory of the process, here in bytes; default: 256 MiB.
     pub memory_bytes: usize,
@@ -164,7 +167,8 @@
         SocketAddr::new(self.ip, self.internal_ports.first)
     }
 
-    /// Where the machine with this control address listens for the internal protocol; all machines use the same ports.
+    /// Where the machine with this control address listens for the internal protocol; all machines
+    /// use the same ports.
     pub fn internal_address_of(&self, control: SocketAddr) -> SocketAddr {
         SocketAddr::new(control.ip(), self.internal_ports.first)
     }
--- a/crates/node/src/settings/watcher.rs
+++ b/crates/node/src/settings/watcher.rs
@@ -28,7 +28,8 @@
         Ok((NodeSettings::read(&watcher.path)?, watcher))
     }
 
-    /// Reads the file if it has been modified since it was last read. An invalid file is logged and ignored.
+    /// Reads the file if it has been modified since it was last read. An invalid file is logged and
+    /// ignored.
     pub fn reload_if_modified(&mut self) -> Option<NodeSettings> {
         if self.modification_time() == self.modified {
             return None;
--- a/crates/node/src/tcp.rs
+++ b/crates/node/src/tcp.rs
@@ -8,8 +8,9 @@
 /// Idle time before the first keepalive probe, and time between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Has the kernel close a connection whose peer no longer responds: one with data unacknowledged for `user_timeout`
-/// (`TCP_USER_TIMEOUT`, RFC 5482), or an idle one whose keepalive probes nobody answers.
+/// Has the kernel close a connection whose peer no longer responds: one with data unacknowledged
+/// for `user_timeout` (`TCP_USER_TIMEOUT`, RFC 5482), or an idle one whose keepalive probes nobody
+/// answers.
 ///
 /// # Errors
 ///
--- a/crates/request-reports/src/lib.rs
+++ b/crates/request-reports/src/lib.rs
@@ -1,5 +1,6 @@
-//! Reports of requests that were late, rejected, failed or retried: a front writes one log line for each ([`RequestReport`]), and
-//! many of them are summarized as tables ([`Summary`]) and a plot ([`render_svg`]).
+//! Reports of requests that were late, rejected, failed or retried: a front writes one log line for
+//! each ([`RequestReport`]), and many of them are summarized as tables ([`Summary`]) and a plot
+//! ([`render_svg`]).
 //!
 //! No I/O and no clock.
 
--- a/crates/request-reports/src/line.rs
+++ b/crates/request-reports/src/line.rs
@@ -1,7 +1,8 @@
-//! The log line of a report: `request report cause=... attempts=...`, written by `Display` and parsed by `FromStr`.
+//! The log line of a report: `request report cause=... attempts=...`, written by `Display` and
+//! parsed by `FromStr`.
 //!
-//! Attempts are separated by semicolons, their fields by commas, the counts of excluded upstreams (`reason*count`) by plus
-//! signs. `-` stands for what is empty or absent.
+//! Attempts are separated by semicolons, their fields by commas, the counts of excluded upstreams
+//! (`reason*count`) by plus signs. `-` stands for what is empty or absent.
 
 use crate::outcome::Named;
 use crate::report::{AttemptReport, RequestReport};
--- a/crates/request-reports/src/outcome.rs
+++ b/crates/request-reports/src/outcome.rs
@@ -1,4 +1,5 @@
-//! Why a request is reported, and how its attempts have ended, with the names that report lines have for that.
+//! Why a request is reported, and how its attempts have ended, with the names that report lines
+//! have for that.
 
 use std::fmt;
 
--- a/crates/request-reports/src/report.rs
+++ b/crates/request-reports/src/report.rs
@@ -3,7 +3,8 @@
 use crate::outcome::{AttemptOutcome, Cause};
 use std::collections::BTreeMap;
 
-/// A request that did not go well, as one balancer saw it. The comments name the field of the log line.
+/// A request that did not go well, as one balancer saw it. The comments name the field of the log
+/// line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestReport {
     /// `cause`: why it is reported.
@@ -18,7 +19,8 @@
     pub priority: u8,
     /// `total`: from its arrival to its end, in milliseconds.
     pub total_ms: u64,
-    /// `first`: from its arrival to the first data of the response, in milliseconds; `None` if there was none.
+    /// `first`: from its arrival to the first data of the response, in milliseconds; `None` if
+    /// there was none.
     pub first_data_ms: Option<u64>,
     /// `pause`: the longest gap between data of the response, in milliseconds.
     pub longest_gap_ms: u64,
@@ -47,7 +49,8 @@
     pub duration_ms: u64,
     /// This balancer's requests in flight at the upstream when the attempt began.
     pub in_flight: u32,
-    /// Prompt tokens of this balancer's requests that the upstream had to prefill then, this request's included.
+    /// Prompt tokens of this balancer's requests that the upstream had to prefill then, this
+    /// request's included.
     pub prefill_tokens: u64,
     /// Upstreams that the request could have been sent to.
     pub candidates: usize,
--- a/crates/request-reports/tests/golden.rs
+++ b/crates/request-reports/tests/golden.rs
@@ -66,7 +66,8 @@
     }
 }
 
-/// One report of each cause with attempts of each outcome, and one in which all that may be absent is absent.
+/// One report of each cause with attempts of each outcome, and one in which all that may be absent
+/// is absent.
 fn reports() -> Vec<RequestReport> {
     let mut reports: Vec<RequestReport> = CAUSES.into_iter().map(report).collect();
     let bare_attempt = AttemptReport {
--- a/crates/request-reports/tests/reports.rs
+++ b/crates/request-reports/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Reports go into a line and out of it again, and fold into tables.
+//! Reports written and parsed as lines, and summarized as tables and a plot.
 
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -49,10 +49,10 @@
 #[case::timed_out(Cause::TimedOut)]
 #[case::error_answer(Cause::ErrorResponse)]
 #[case::client_left(Cause::ClientDisconnected)]
-fn a_report_is_read_as_it_was_written(#[case] cause: Cause) {
-    let whole = report(cause);
-    let line = format!("10:20:30.123 INFO {whole}");
-    assert_eq!(line.parse(), Ok(whole));
+fn a_report_is_parsed_as_it_was_written(#[case] cause: Cause) {
+    let full = report(cause);
+    let line = format!("10:20:30.123 INFO {full}");
+    assert_eq!(line.parse(), Ok(full));
     let bare = RequestReport {
         first_data_ms: None,
         attempts: Vec::new(),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn names_with_separators_do_not_break_the_line() {
+fn names_with_separators_are_escaped() {
     let odd = RequestReport {
         route: "a b=c;d,e+f*g".to_owned(),
         ..report(Cause::TargetMissed)
@@ -73,7 +73,7 @@
 
 /// Each field in turn is taken away or spoilt: the error names it.
 #[rstest]
-fn what_is_wrong_is_named(
+fn errors_name_the_field(
     #[values(
         "cause", "route", "service", "zone", "priority", "total", "first", "pause", "target",
         "prompt", "shared", "attempts"
@@ -85,15 +85,15 @@
     let without: Vec<&str> = parts
         .filter(|part| !part.starts_with(&format!("{field}=")))
         .collect();
-    let cut = format!("{LINE_PREFIX}{}", without.join(" "));
+    let truncated = format!("{LINE_PREFIX}{}", without.join(" "));
     assert_eq!(
-        cut.parse::<RequestReport>(),
+        truncated.parse::<RequestReport>(),
         Err(ParseReportError::MissingField(field))
     );
     if ["route", "service", "zone"].contains(&field) {
         return; // any name will do
     }
-    let spoilt = format!("{cut} {field}=what");
+    let spoilt = format!("{truncated} {field}=what");
     let value = "what".to_owned();
     assert_eq!(
         spoilt.parse::<RequestReport>(),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn reports_fold_into_tables_and_a_plot() {
+fn reports_are_summarized_as_tables_and_a_plot() {
     let mut summary = Summary::default();
     summary.add(10, &report(Cause::TargetMissed));
     summary.add(10, &report(Cause::TargetMissed));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn nothing_folds_into_empty_tables() {
+fn no_reports_are_summarized_as_empty_tables() {
     let summary = Summary::default();
     assert!(summary.to_string().starts_with("0 reports"));
     assert!(render_svg(&summary).is_ok());
