--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -24,7 +24,7 @@
 use crate::settings::{Endpoint, NodeSettings, SettingsWatcher};
 use crate::time::unix_time;
 use disk::Disk;
-use process::{Parts, Process};
+use process::Process;
 use registration_store::RegistrationStore;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -83,12 +83,8 @@
     let mut machine = Machine::new(machine_settings, durable, 0, fastrand::u64(..));
     log::info!("registrations_loaded count={}", registrations.len());
     machine.remember(registrations);
-    let process = Process::new(Parts {
-        machine,
-        disk: Disk::start(storage, store, events.clone()),
-        watcher,
-        events,
-    });
+    let disk = Disk::start(storage, store, events.clone());
+    let process = Process::new(machine, disk, watcher, events);
     process.run(event_queue).await
 }
 
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -31,17 +31,9 @@
 /// a restart.
 const REGISTRATION_REFRESH_INTERVAL: Duration = Duration::from_secs(10);
 /// How long requests are still answered after SIGTERM, while leadership is transferred.
-const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(600);
+const SHUTDOWN_PERIOD: Duration = Duration::from_millis(600);
 /// The same while another machine replaces this one as a voter.
-const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(2_000);
-
-/// What a process is made of.
-pub(super) struct Parts {
-    pub machine: Machine,
-    pub disk: Disk,
-    pub watcher: SettingsWatcher,
-    pub events: EventSender,
-}
+const REPLACEMENT_PERIOD: Duration = Duration::from_millis(2_000);
 
 /// A core process while it runs.
 pub(super) struct Process {
@@ -62,13 +54,12 @@
 
 impl Process {
     /// A process that has not begun to run.
-    pub fn new(parts: Parts) -> Self {
-        let Parts {
-            machine,
-            disk,
-            watcher,
-            events,
-        } = parts;
+    pub fn new(
+        machine: Machine,
+        disk: Disk,
+        watcher: SettingsWatcher,
+        events: EventSender,
+    ) -> Self {
         let now = Instant::now();
         Self {
             started: now,
@@ -85,8 +76,7 @@
         }
     }
 
-    /// Runs until SIGTERM, and then until leadership has been transferred or that has taken too
-    /// long.
+    /// Runs until SIGTERM, and then for [`SHUTDOWN_PERIOD`] or [`REPLACEMENT_PERIOD`].
     pub async fn run(mut self, mut events: UnboundedReceiver<Event>) -> Result<(), CoreError> {
         let mut terminate =
             signal(SignalKind::terminate()).map_err(SetupError::during("SIGTERM"))?;
@@ -126,17 +116,17 @@
                 let settings = self.watcher.reload_if_modified();
                 self.apply_settings(settings);
             }
-            if shutdown_began.is_some_and(|began| began.elapsed() > self.shutdown_timeout()) {
+            if shutdown_began.is_some_and(|began| began.elapsed() > self.shutdown_period()) {
                 return Ok(());
             }
         }
     }
 
-    fn shutdown_timeout(&self) -> Duration {
+    fn shutdown_period(&self) -> Duration {
         if self.machine.is_being_replaced() {
-            REPLACEMENT_TIMEOUT
+            REPLACEMENT_PERIOD
         } else {
-            SHUTDOWN_TIMEOUT
+            SHUTDOWN_PERIOD
         }
     }
 
