--- /dev/null
+++ b/crates/emulator/src/front/tests.rs
@@ -0,0 +1,66 @@
+//! Tests of `front`.
+
+use super::*;
+use rand::SeedableRng;
+
+/// How many connections are idle.
+fn idle_connections(front: &Front) -> usize {
+    front.idle.iter().map(Vec::len).sum()
+}
+
+fn front(uneven: f64) -> (Front, ChaCha8Rng) {
+    let mut rng = ChaCha8Rng::seed_from_u64(3);
+    (
+        Front::new(&[vec![0, 1, 2], vec![3]], uneven, 1_000, &mut rng),
+        rng,
+    )
+}
+
+#[test]
+fn connections_are_used_again_until_they_idled_too_long_or_were_closed() {
+    let (mut front, mut rng) = front(1.0);
+    let (line, fresh) = front.take(0, 0, &mut rng).unwrap();
+    assert!(fresh && line.balancer < 3);
+    front.give_back(line, 10);
+    assert_eq!(front.take(0, 500, &mut rng), Some((line, false)));
+    front.give_back(line, 500);
+    assert!(
+        front.take(0, 1_500, &mut rng).unwrap().1,
+        "it has idled for 1,000"
+    );
+    assert_eq!(idle_connections(&front), 0);
+    front.give_back(line, 1_500);
+    front.close(line.balancer);
+    assert!(front.take(0, 1_500, &mut rng).unwrap().1);
+}
+
+#[test]
+fn the_dead_are_dealt_to_until_they_are_noticed_and_then_other_zones_stand_in() {
+    let (mut front, mut rng) = front(1.0);
+    front.notice(0, true);
+    front.notice(1, true);
+    assert!((0..50).all(|_| front.take(0, 0, &mut rng).unwrap().0.balancer == 2));
+    front.notice(2, true);
+    let line = front.take(0, 0, &mut rng).unwrap().0;
+    assert_eq!((line.zone, line.balancer), (0, 3));
+    front.notice(3, true);
+    assert_eq!(front.take(0, 0, &mut rng), None);
+    front.notice(1, false);
+    assert_eq!(front.take(1, 0, &mut rng).unwrap().0.balancer, 1);
+}
+
+#[test]
+fn weights_are_as_uneven_as_was_asked_for() {
+    let mut rng = ChaCha8Rng::seed_from_u64(9);
+    let all: Vec<u32> = (0..400).collect();
+    let front = Front::new(&[all], 20.0, 1_000, &mut rng);
+    let weights = || front.zones[0].iter().map(|one| one.weight);
+    let (least, most) = (
+        weights().fold(f64::MAX, f64::min),
+        weights().fold(0.0, f64::max),
+    );
+    assert!(
+        (1.0..1.2).contains(&least) && (18.0..=20.0).contains(&most),
+        "{least} {most}"
+    );
+}
--- /dev/null
+++ b/crates/emulator/src/witness/tests.rs
@@ -0,0 +1,77 @@
+//! Tests of `witness`.
+
+use super::*;
+
+const S: Time = SECOND;
+
+/// Three that hold each other for there.
+fn three() -> Witness {
+    let mut all = Witness::new(3, 5 * S);
+    (0..3).for_each(|who| all.runs(0, who, true));
+    for (by, of) in (0..9)
+        .map(|pair| (pair / 3, pair % 3))
+        .filter(|(by, of)| by != of)
+    {
+        all.holds(S, by, of, Held::Alive);
+    }
+    all
+}
+
+#[test]
+fn deaths_are_false_or_known() {
+    let mut all = three();
+    all.holds(2 * S, 0, 1, Held::Dead);
+    all.holds(2 * S, 2, 1, Held::Dead);
+    all.holds(3 * S, 0, 1, Held::Alive);
+    all.holds(3 * S, 2, 1, Held::Alive);
+    all.stands_still(4 * S, 1, true);
+    all.holds(10 * S, 0, 1, Held::Dead);
+    all.stands_still(11 * S, 1, false);
+    all.holds(12 * S, 2, 1, Held::Dead);
+    all.holds(13 * S, 0, 1, Held::Alive);
+    all.holds(13 * S, 2, 1, Held::Alive);
+    all.runs(20 * S, 2, false);
+    all.holds(21 * S, 0, 2, Held::Dead);
+    all.holds(23 * S, 1, 2, Held::Dead);
+    all.runs(60 * S, 2, true);
+    let end = all.end(70 * S, &[7_000, 0, 0], 70 * S);
+    assert_eq!(
+        (
+            end.false_deaths,
+            end.stories.len(),
+            end.deaths,
+            end.never_known
+        ),
+        (1, 1, 1, 0)
+    );
+    // To three digits.
+    assert!(
+        end.known_ms.count == 2 && (3_000.0..3_010.0).contains(&end.known_by_all_ms.max),
+        "{end:?}"
+    );
+    assert_eq!(end.together_after(2.5, 1.0), Some(0.5));
+    assert_eq!(
+        (end.together_after(14.0, 1.0), end.together_after(60.0, 5.0)),
+        (Some(0.0), None)
+    );
+    assert_eq!(end.bytes_a_second.1, 100.0);
+}
+
+#[test]
+fn what_was_not_heard_is_counted() {
+    let mut all = three();
+    all.runs(2 * S, 0, false);
+    all.holds(3 * S, 1, 0, Held::Dead);
+    all.ways(
+        3 * S,
+        [
+            (true, true, true),
+            (true, true, false),
+            (false, false, true),
+        ]
+        .into_iter(),
+    );
+    let end = all.end(40 * S, &[0; 3], S);
+    assert_eq!((end.never_known, end.known_by_all_ms.count), (1, 0));
+    assert_eq!(end.cuts_named, [(3.0, 0.0)]);
+}
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -28,7 +28,7 @@
 mod builder;
 mod inherit;
 #[cfg(test)]
-mod same;
+mod parity_tests;
 mod service;
 mod wire;
 
