--- a/crates/benchmarks/src/daemon.rs
+++ b/crates/benchmarks/src/daemon.rs
@@ -16,8 +16,10 @@
 /// A daemon in front of one upstream. Its configuration lies in a file until it has started.
 fn daemon(program: &Path, upstream: SocketAddr) -> Result<Peer, Fault> {
     let target = woadstall_mock_servers::http1::target("s-0", upstream, "in_service");
-    let mut config =
-        woadstall_mock_servers::http1::config(woadstall_mock_servers::http1::refusing(), &[target]);
+    let mut config = woadstall_mock_servers::http1::config(
+        woadstall_mock_servers::http1::refused_address(),
+        &[target],
+    );
     for class in config["settings"]["Classes"]
         .as_array_mut()
         .into_iter()
--- a/crates/benchmarks/src/plugin.rs
+++ b/crates/benchmarks/src/plugin.rs
@@ -26,7 +26,7 @@
 use tower::load::{CompleteOnResponse, PendingRequests};
 use tower::util::BoxService;
 use tower_service::Service;
-use woadstall_mock_servers::grpc::{Grpc, Reply};
+use woadstall_mock_servers::grpc::{GrpcUpstream, Reply};
 use woadstall_tower::{Balance, Listing};
 
 type Fault = Box<dyn Error + Send + Sync>;
@@ -402,7 +402,7 @@
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        let silent = Grpc::start_with(Some(100_000), |_| Reply::Silence).await;
+        let silent = GrpcUpstream::start_with(Some(100_000), |_| Reply::Stall).await;
         let balance = plugin(&[silent.address])?;
         let own = std::process::id();
         let mut calls = Vec::with_capacity(CALLS);
@@ -412,7 +412,7 @@
         for _ in 0..CALLS {
             held.push(tokio::spawn(direct.clone().answer(request())));
         }
-        while silent.held() < CALLS {
+        while silent.in_flight() < CALLS {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let with_direct = resident(own);
@@ -423,11 +423,11 @@
             ));
         }
         let waited = Instant::now();
-        while silent.held() < 2 * CALLS && waited.elapsed() < Duration::from_secs(1) {
+        while silent.in_flight() < 2 * CALLS && waited.elapsed() < Duration::from_secs(1) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let with_plugin = resident(own);
-        let came = silent.held().saturating_sub(CALLS).max(1);
+        let came = silent.in_flight().saturating_sub(CALLS).max(1);
         let per = |from: u64, to: u64, calls: usize| to.saturating_sub(from) / calls as u64;
         println!("a held call, with the stand-in's share of it, in one process:");
         println!(
--- a/crates/cluster-test/src/agents.rs
+++ b/crates/cluster-test/src/agents.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
 use woadstall_emulator::{Actor, Asked, Padron, stream};
-use woadstall_mock_servers::nodo::serve_process;
+use woadstall_mock_servers::simulated_upstream::serve_process;
 
 /// Longest wait of a watch.
 const LONGEST: Duration = Duration::from_secs(60);
--- a/crates/cluster-test/src/sabotage.rs
+++ b/crates/cluster-test/src/sabotage.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
-use woadstall_mock_servers::nodo::serve_process;
+use woadstall_mock_servers::simulated_upstream::serve_process;
 
 /// One request in so many is swallowed.
 const SWALLOWED: u64 = 20;
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{Value, json};
 use std::time::Instant;
-use woadstall_mock_servers::http1::{Act, Message, Upstream};
-use woadstall_mock_servers::system::{System, answer, call};
+use woadstall_mock_servers::http1::{Message, Reaction, Upstream};
+use woadstall_mock_servers::system::{System, call, response};
 
 /// Requests that are sent in each step.
 const REQUESTS: usize = 40;
@@ -26,7 +26,7 @@
         let headers = format!("Request-Id: {step}-{number}\r\nDeadline: 2000\r\n");
         let front = system.front((number % 2) as u8);
         call(front, "POST", "/drafts/1", &headers, b"{}")
-            .is_some_and(|answer| answer.status() == 200)
+            .is_some_and(|response| response.status() == 200)
     };
     let served = (0..REQUESTS).filter(is_served).count();
     println!(
@@ -44,7 +44,9 @@
     system.configure(0, 0, &configuration(1, 2_000));
     println!("configuration 1 is in force on both fronts");
     let upstreams: Vec<Upstream> = (0..3)
-        .map(|_| Upstream::start(|request: &Message| Act::Answer(answer(request, "a draft"))))
+        .map(|_| {
+            Upstream::start(|request: &Message| Reaction::Respond(response(request, "a draft")))
+        })
         .collect();
     for (number, upstream) in (0..).zip(&upstreams) {
         system.register(
@@ -73,7 +75,7 @@
         "",
         b"",
     );
-    let directory = directory.map(|answer| String::from_utf8_lossy(&answer.body).into_owned());
+    let directory = directory.map(|response| String::from_utf8_lossy(&response.body).into_owned());
     println!(
         "the directory of another core machine: {}",
         directory.unwrap_or_default()
--- a/crates/load-test/src/nodo.rs
+++ b/crates/load-test/src/nodo.rs
@@ -27,7 +27,7 @@
     Actor, CallEffect, CallGroup, Ills, Nodo, Scenario, Taken, What, chance, stream,
 };
 use woadstall_mock_servers::grpc::message;
-use woadstall_mock_servers::nodo::serve_process;
+use woadstall_mock_servers::simulated_upstream::serve_process;
 
 /// Numbers of the calls that nodos make, so that each has an id of its own.
 static CALLS: AtomicU64 = AtomicU64::new(0);
--- a/crates/mock-servers/src/grpc.rs
+++ b/crates/mock-servers/src/grpc.rs
@@ -1,4 +1,4 @@
-//! A gRPC upstream on `h2`, which does with each call as it is told, and tells what it sees.
+//! A scripted gRPC upstream on `h2`. It reports the calls that it receives.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use h2::server::{Builder, SendResponse};
@@ -13,21 +13,21 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// What is done with a call.
+/// What the upstream does with a call.
 #[derive(Clone)]
 pub enum Reply {
     /// One message and status 0.
     Ok(Bytes),
     /// The status alone, with further headers.
     Status(u32, Vec<(&'static str, &'static str)>),
-    /// A plain HTTP answer.
+    /// A plain HTTP response.
     Http(u16, Vec<(&'static str, &'static str)>, Bytes),
     /// One message, and trailers without a status.
     NoStatus(Bytes),
     /// Headers, and then nothing.
     HeadersOnly,
     /// Nothing.
-    Silence,
+    Stall,
     /// The stream is ended with this error.
     Reset(Reason),
     /// A message, and more whenever the notify rings, until the count is reached; then status 0.
@@ -40,9 +40,9 @@
     Later(Duration, Box<Reply>),
 }
 
-/// A call as it came.
+/// A call as it was received.
 #[derive(Clone, Debug)]
-pub struct Called {
+pub struct ReceivedCall {
     /// Path of its method.
     pub path: String,
     /// Its headers.
@@ -53,7 +53,7 @@
     pub connection: u32,
 }
 
-impl Called {
+impl ReceivedCall {
     /// What is left of the caller's time, by `grpc-timeout`, in whole milliseconds.
     pub fn time_left(&self) -> u64 {
         let text = self
@@ -74,26 +74,26 @@
     }
 }
 
-type Script = dyn Fn(&Called) -> Reply + Send + Sync;
+type Script = dyn Fn(&ReceivedCall) -> Reply + Send + Sync;
 
 /// The upstream. Dropping it resets its connections, and new ones are refused.
-pub struct Grpc {
+pub struct GrpcUpstream {
     /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    seen: tokio::sync::Mutex<mpsc::UnboundedReceiver<Called>>,
+    seen: tokio::sync::Mutex<mpsc::UnboundedReceiver<ReceivedCall>>,
     accepting: JoinHandle<()>,
 }
 
 struct Shared {
     script: Box<Script>,
     most_streams: Option<u32>,
-    tell: mpsc::UnboundedSender<Called>,
+    event_sender: mpsc::UnboundedSender<ReceivedCall>,
     connections: AtomicU32,
     open: watch::Sender<usize>,
-    held: AtomicUsize,
+    in_flight: AtomicUsize,
     total: AtomicUsize,
-    goaway: Notify,
+    go_away_requested: Notify,
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
@@ -106,29 +106,29 @@
     framed.freeze()
 }
 
-impl Grpc {
-    /// Does with each call as `script` says.
-    pub async fn start(script: impl Fn(&Called) -> Reply + Send + Sync + 'static) -> Self {
+impl GrpcUpstream {
+    /// Starts it; `script` decides on each call.
+    pub async fn start(script: impl Fn(&ReceivedCall) -> Reply + Send + Sync + 'static) -> Self {
         Self::start_with(None, script).await
     }
 
-    /// The same, with a bound on the streams of a connection.
+    /// Starts it with a limit on the concurrent streams of a connection.
     pub async fn start_with(
         most_streams: Option<u32>,
-        script: impl Fn(&Called) -> Reply + Send + Sync + 'static,
+        script: impl Fn(&ReceivedCall) -> Reply + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = mpsc::unbounded_channel();
+        let (event_sender, seen) = mpsc::unbounded_channel();
         let shared = Arc::new(Shared {
             script: Box::new(script),
             most_streams,
-            tell,
+            event_sender,
             connections: AtomicU32::new(0),
             open: watch::Sender::new(0),
-            held: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             total: AtomicUsize::new(0),
-            goaway: Notify::new(),
+            go_away_requested: Notify::new(),
             tasks: Mutex::default(),
         });
         let accepting = tokio::spawn({
@@ -150,20 +150,20 @@
     }
 
     /// The next call.
-    pub async fn called(&self) -> Called {
+    pub async fn called(&self) -> ReceivedCall {
         let mut seen = self.seen.lock().await;
-        let next = tokio::time::timeout(crate::http1::PATIENCE, seen.recv());
+        let next = tokio::time::timeout(crate::http1::TEST_TIMEOUT, seen.recv());
         next.await.expect("a call").expect("a call")
     }
 
-    /// Calls that came so far.
+    /// Calls received so far.
     pub fn total(&self) -> usize {
         self.shared.total.load(Ordering::Relaxed)
     }
 
-    /// Calls that are being worked on.
-    pub fn held(&self) -> usize {
-        self.shared.held.load(Ordering::Relaxed)
+    /// Calls in flight.
+    pub fn in_flight(&self) -> usize {
+        self.shared.in_flight.load(Ordering::Relaxed)
     }
 
     /// Connections so far.
@@ -176,13 +176,13 @@
         self.shared.open.subscribe()
     }
 
-    /// Asks all callers to open no more streams on their connections (GOAWAY), and goes on with those that are.
+    /// Sends GOAWAY on all connections; streams that are open continue.
     pub fn go_away(&self) {
-        self.shared.goaway.notify_waiters();
+        self.shared.go_away_requested.notify_waiters();
     }
 }
 
-impl Drop for Grpc {
+impl Drop for GrpcUpstream {
     fn drop(&mut self) {
         self.accepting.abort();
         self.shared.tasks().drain(..).for_each(|task| task.abort());
@@ -194,7 +194,7 @@
 
 impl Drop for Counted<'_> {
     fn drop(&mut self) {
-        self.0.held.fetch_sub(1, Ordering::Relaxed);
+        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -213,8 +213,8 @@
             return;
         };
         self.open.send_modify(|open| *open += 1);
-        let goaway = self.goaway.notified();
-        tokio::pin!(goaway);
+        let go_away_requested = self.go_away_requested.notified();
+        tokio::pin!(go_away_requested);
         let mut going = false;
         loop {
             tokio::select! {
@@ -225,7 +225,7 @@
                     }
                     _ => break,
                 },
-                () = &mut goaway, if !going => {
+                () = &mut go_away_requested, if !going => {
                     going = true;
                     connection.graceful_shutdown();
                 }
@@ -241,7 +241,7 @@
         connection: u32,
     ) {
         self.total.fetch_add(1, Ordering::Relaxed);
-        self.held.fetch_add(1, Ordering::Relaxed);
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
         let _counted = Counted(&self);
         let (head, mut incoming) = request.into_parts();
         let mut body = BytesMut::new();
@@ -250,15 +250,15 @@
             body.extend_from_slice(&data);
         }
         let path = head.uri.path().to_owned();
-        let called = Called {
+        let called = ReceivedCall {
             path,
             headers: head.headers,
             body: body.freeze(),
             connection,
         };
         let reply = (self.script)(&called);
-        self.tell.send(called).ok();
-        answer(reply, respond).await;
+        self.event_sender.send(called).ok();
+        send_reply(reply, respond).await;
     }
 }
 
@@ -286,56 +286,19 @@
     .collect()
 }
 
-/// Gives the answer; a caller that has withdrawn its call gets no more of it. What fails, fails as the caller
-/// has gone.
-async fn answer(mut reply: Reply, mut respond: SendResponse<Bytes>) {
-    loop {
-        reply = match reply {
-            Reply::After(ring, then) => tokio::select! {
-                _ = poll_fn(|cx| respond.poll_reset(cx)) => return,
-                () = ring.notified() => *then,
-            },
-            Reply::Later(wait, then) => tokio::select! {
-                _ = poll_fn(|cx| respond.poll_reset(cx)) => return,
-                () = tokio::time::sleep(wait) => *then,
-            },
-            _ => break,
-        };
-    }
+/// Sends the reply. A caller that has cancelled its call gets no more of it; errors mean that the caller has disconnected.
+async fn send_reply(reply: Reply, mut respond: SendResponse<Bytes>) {
+    let Some(reply) = wait_for_reply(reply, &mut respond).await else {
+        return;
+    };
     match reply {
         Reply::After(..) | Reply::Later(..) => {}
-        Reply::Silence => drop(poll_fn(|cx| respond.poll_reset(cx)).await),
+        Reply::Stall => drop(poll_fn(|cx| respond.poll_reset(cx)).await),
         Reply::Reset(reason) => respond.send_reset(reason),
-        Reply::Status(code, more) => {
-            let mut head = grpc_head();
-            head.headers_mut().insert("grpc-status", code.into());
-            for (name, value) in more {
-                head.headers_mut().insert(
-                    HeaderName::from_static(name),
-                    HeaderValue::from_static(value),
-                );
-            }
-            respond.send_response(head, true).ok();
-        }
-        Reply::Http(status, headers, body) => {
-            if let Ok(mut stream) = respond.send_response(head(status, &headers), body.is_empty())
-                && !body.is_empty()
-            {
-                stream.send_data(body, true).ok();
-            }
-        }
-        Reply::Ok(data) => {
-            if let Ok(mut stream) = respond.send_response(grpc_head(), false) {
-                stream.send_data(message(&data), false).ok();
-                stream.send_trailers(ended_well()).ok();
-            }
-        }
-        Reply::NoStatus(data) => {
-            if let Ok(mut stream) = respond.send_response(grpc_head(), false) {
-                stream.send_data(message(&data), false).ok();
-                stream.send_trailers(HeaderMap::new()).ok();
-            }
-        }
+        Reply::Status(code, headers) => send_status(&mut respond, code, headers),
+        Reply::Http(status, headers, body) => send_http(&mut respond, status, &headers, body),
+        Reply::Ok(data) => send_message(&mut respond, &data, ended_well()),
+        Reply::NoStatus(data) => send_message(&mut respond, &data, HeaderMap::new()),
         Reply::HeadersOnly => {
             if let Ok(mut stream) = respond.send_response(grpc_head(), false) {
                 poll_fn(|cx| stream.poll_reset(cx)).await.ok();
@@ -344,27 +307,81 @@
         Reply::Broken(data, reason) => {
             if let Ok(mut stream) = respond.send_response(grpc_head(), false) {
                 stream.send_data(message(&data), false).ok();
-                // The data is on its way before the end of the stream overtakes it.
+                // The reset would overtake data that is not on its way yet.
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 stream.send_reset(reason);
             }
         }
-        Reply::Stream(data, count, ring) => {
-            let Ok(mut stream) = respond.send_response(grpc_head(), false) else {
-                return;
-            };
-            for number in 0..count {
-                if number > 0 {
-                    tokio::select! {
-                        _ = poll_fn(|cx| stream.poll_reset(cx)) => return,
-                        () = ring.notified() => {}
-                    }
-                }
-                if stream.send_data(message(&data), false).is_err() {
-                    return;
-                }
+        Reply::Stream(data, count, ring) => send_stream(&mut respond, &data, count, &ring).await,
+    }
+}
+
+/// Waits as the reply says; `None` if the caller cancels its call meanwhile.
+async fn wait_for_reply(mut reply: Reply, respond: &mut SendResponse<Bytes>) -> Option<Reply> {
+    loop {
+        reply = match reply {
+            Reply::After(ring, then) => tokio::select! {
+                _ = poll_fn(|cx| respond.poll_reset(cx)) => return None,
+                () = ring.notified() => *then,
+            },
+            Reply::Later(wait, then) => tokio::select! {
+                _ = poll_fn(|cx| respond.poll_reset(cx)) => return None,
+                () = tokio::time::sleep(wait) => *then,
+            },
+            reply => return Some(reply),
+        };
+    }
+}
+
+fn send_status(
+    respond: &mut SendResponse<Bytes>,
+    code: u32,
+    headers: Vec<(&'static str, &'static str)>,
+) {
+    let mut head = grpc_head();
+    head.headers_mut().insert("grpc-status", code.into());
+    for (name, value) in headers {
+        let name = HeaderName::from_static(name);
+        head.headers_mut()
+            .insert(name, HeaderValue::from_static(value));
+    }
+    respond.send_response(head, true).ok();
+}
+
+fn send_http(
+    respond: &mut SendResponse<Bytes>,
+    status: u16,
+    headers: &[(&'static str, &'static str)],
+    body: Bytes,
+) {
+    if let Ok(mut stream) = respond.send_response(head(status, headers), body.is_empty())
+        && !body.is_empty()
+    {
+        stream.send_data(body, true).ok();
+    }
+}
+
+fn send_message(respond: &mut SendResponse<Bytes>, data: &[u8], trailers: HeaderMap) {
+    if let Ok(mut stream) = respond.send_response(grpc_head(), false) {
+        stream.send_data(message(data), false).ok();
+        stream.send_trailers(trailers).ok();
+    }
+}
+
+async fn send_stream(respond: &mut SendResponse<Bytes>, data: &[u8], count: u32, ring: &Notify) {
+    let Ok(mut stream) = respond.send_response(grpc_head(), false) else {
+        return;
+    };
+    for number in 0..count {
+        if number > 0 {
+            tokio::select! {
+                _ = poll_fn(|cx| stream.poll_reset(cx)) => return,
+                () = ring.notified() => {}
             }
-            stream.send_trailers(ended_well()).ok();
+        }
+        if stream.send_data(message(data), false).is_err() {
+            return;
         }
     }
+    stream.send_trailers(ended_well()).ok();
 }
--- a/crates/mock-servers/src/http1.rs
+++ b/crates/mock-servers/src/http1.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on plain threads: an upstream and discovery that do as they are told, and a caller.
+//! HTTP/1.1 on plain threads: a scripted upstream, discovery, and a caller.
 
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
@@ -9,28 +9,31 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Far more than anything takes here; reached only where something hangs.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// A caller's time where the test does not wait for its end.
-pub const LONG: &str = "60";
+/// How long a test waits for an event: far longer than any takes, so that only a hang reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// A budget (`X-Budget`, seconds) that does not expire within a test.
+pub const LONG_BUDGET: &str = "60";
 
-/// A request or an answer as it was on the socket.
+/// A request or a response as it was read from a socket.
 #[derive(Clone, Debug)]
 pub struct Message {
-    pub first_line: String,
+    /// The request line or status line, without its line end.
+    pub start_line: String,
+    /// Header values by lower-case name.
     pub headers: HashMap<String, String>,
+    /// The body as `Content-Length` gives it.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads the next message; `None` where the peer closes or breaks the connection first.
+    /// Reads the next message; `None` if the connection ends first.
     pub fn read(input: &mut impl BufRead) -> Option<Self> {
         let mut line = || {
             let mut line = String::new();
             input.read_line(&mut line).ok().filter(|&got| got > 0)?;
             Some(line.trim_end().to_owned())
         };
-        let first_line = line()?;
+        let start_line = line()?;
         let mut headers = HashMap::new();
         loop {
             let header = line()?;
@@ -45,126 +48,142 @@
         let mut body = vec![0; length];
         input.read_exact(&mut body).ok()?;
         Some(Self {
-            first_line,
+            start_line,
             headers,
             body,
         })
     }
 
+    /// The status code of a response.
     pub fn status(&self) -> u16 {
-        self.first_line.split(' ').nth(1).unwrap().parse().unwrap()
+        self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 }
 
-/// What a stand-in for an upstream does with a request.
+/// What an upstream does with a request.
 #[derive(Clone)]
-pub enum Act {
+pub enum Reaction {
     /// Writes this and keeps the connection.
-    Answer(String),
+    Respond(String),
     /// Writes this and closes the connection.
-    AnswerAndClose(String),
-    /// Writes the one, and then the other, which belongs to no request.
-    AnswerAndMore(String, String),
-    /// Says nothing until the peer closes.
-    Silence,
+    RespondAndClose(String),
+    /// Writes a response, and then surplus bytes that belong to no request.
+    RespondWithSurplus(String, String),
+    /// Writes nothing until the peer closes.
+    Stall,
 }
 
-pub fn ok(body: &str) -> String {
+/// A 200 response with a body.
+pub fn ok_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-pub fn full() -> String {
+/// A 503 response that says that the request was rejected and not executed (`X-Rejected`).
+pub fn overloaded_response() -> String {
     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".into()
 }
 
-/// What happens at an upstream.
+/// What an upstream observes.
 #[derive(Debug)]
-pub enum Seen {
+pub enum UpstreamEvent {
+    /// A connection was accepted.
     Connected,
+    /// A request was read.
     Request(Message),
-    /// What belongs to no request is written.
-    Wrote,
+    /// Surplus bytes were written.
+    SurplusWritten,
     /// A connection has ended.
     Closed,
 }
 
-/// A stand-in for an upstream; it tells what it sees in order.
+/// A scripted upstream. It reports its events in order.
 pub struct Upstream {
+    /// Where it listens.
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    /// Its events.
+    pub events: Receiver<UpstreamEvent>,
 }
 
 impl Upstream {
-    pub fn start(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Self {
-        let (tell, seen) = channel();
-        let address = listen(move |stream| upstream_connection(stream, &act, &tell));
-        Self { address, seen }
+    /// Starts it; `react` decides on each request.
+    pub fn start(react: impl Fn(&Message) -> Reaction + Send + Sync + 'static) -> Self {
+        let (event_sender, events) = channel();
+        let address = listen(move |stream| upstream_connection(stream, &react, &event_sender));
+        Self { address, events }
     }
 
-    /// The next request, whatever else is seen before.
+    /// Waits for the next request; skips other events.
     pub fn request(&self) -> Message {
         loop {
-            if let Seen::Request(message) = self.seen.recv_timeout(PATIENCE).expect("a request") {
+            if let UpstreamEvent::Request(message) =
+                self.events.recv_timeout(TEST_TIMEOUT).expect("a request")
+            {
                 return message;
             }
         }
     }
 
     /// Waits until a connection has ended.
-    pub fn closed(&self) {
+    pub fn wait_until_closed(&self) {
         while !matches!(
-            self.seen
-                .recv_timeout(PATIENCE)
+            self.events
+                .recv_timeout(TEST_TIMEOUT)
                 .expect("the end of a connection"),
-            Seen::Closed
+            UpstreamEvent::Closed
         ) {}
     }
 
-    /// Waits until something is written that belongs to no request.
-    pub fn wrote(&self) {
+    /// Waits until surplus bytes have been written.
+    pub fn wait_until_surplus_written(&self) {
         while !matches!(
-            self.seen
-                .recv_timeout(PATIENCE)
+            self.events
+                .recv_timeout(TEST_TIMEOUT)
                 .expect("more than an answer"),
-            Seen::Wrote
+            UpstreamEvent::SurplusWritten
         ) {}
     }
 
-    /// The requests seen since the last look.
-    pub fn requests(&self) -> usize {
-        self.seen
+    /// Counts the requests since the last call, and drops all pending events.
+    pub fn count_requests(&self) -> usize {
+        self.events
             .try_iter()
-            .filter(|seen| matches!(seen, Seen::Request(_)))
+            .filter(|events| matches!(events, UpstreamEvent::Request(_)))
             .count()
     }
 }
 
-fn upstream_connection(stream: TcpStream, act: &impl Fn(&Message) -> Act, tell: &Sender<Seen>) {
-    tell.send(Seen::Connected).ok();
+fn upstream_connection(
+    stream: TcpStream,
+    react: &impl Fn(&Message) -> Reaction,
+    event_sender: &Sender<UpstreamEvent>,
+) {
+    event_sender.send(UpstreamEvent::Connected).ok();
     let mut output = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     while let Some(message) = Message::read(&mut input) {
-        tell.send(Seen::Request(message.clone())).ok();
-        match act(&message) {
-            Act::Answer(text) => output.write_all(text.as_bytes()).unwrap_or(()),
-            Act::AnswerAndClose(text) => {
+        event_sender
+            .send(UpstreamEvent::Request(message.clone()))
+            .ok();
+        match react(&message) {
+            Reaction::Respond(text) => output.write_all(text.as_bytes()).unwrap_or(()),
+            Reaction::RespondAndClose(text) => {
                 output.write_all(text.as_bytes()).unwrap_or(());
                 break;
             }
-            Act::AnswerAndMore(text, more) => {
+            Reaction::RespondWithSurplus(text, more) => {
                 output.write_all(text.as_bytes()).unwrap_or(());
                 output.write_all(more.as_bytes()).unwrap_or(());
-                tell.send(Seen::Wrote).ok();
+                event_sender.send(UpstreamEvent::SurplusWritten).ok();
             }
-            Act::Silence => {}
+            Reaction::Stall => {}
         }
     }
-    // Not by dropping it: a test that starts its program just now holds a copy until that runs.
+    // Dropping it is not enough: a program that a test spawns at this moment inherits the descriptor until it executes.
     output.shutdown(Shutdown::Both).ok();
-    tell.send(Seen::Closed).ok();
+    event_sender.send(UpstreamEvent::Closed).ok();
 }
 
 /// Serves each connection to a free port on a thread of its own, until the test ends.
@@ -181,8 +200,8 @@
     address
 }
 
-/// An address at which nothing listens, and nothing will: the port stays taken.
-pub fn refusing() -> SocketAddr {
+/// An address that refuses connections. The port stays reserved until the test process ends.
+pub fn refused_address() -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -192,23 +211,26 @@
     address
 }
 
-/// A stand-in for discovery.
+/// A discovery server with long polling.
 pub struct Discovery {
+    /// Where it listens.
     pub address: SocketAddr,
     state: Arc<(Mutex<(u64, String)>, Condvar)>,
-    asked: Receiver<u64>,
+    queries: Receiver<u64>,
 }
 
 impl Discovery {
+    /// Starts it with an empty list.
     pub fn start() -> Self {
         Self::start_failing("")
     }
 
-    /// The first call gets this for an answer and the end of its connection, if it is not empty.
+    /// Starts it so that the first request gets `first` as its response and the end of its connection; no such failure if
+    /// `first` is empty.
     pub fn start_failing(first: &'static str) -> Self {
         let failed = AtomicBool::new(first.is_empty());
         let state = Arc::new((Mutex::new((1, String::new())), Condvar::new()));
-        let (shared, (tell, asked)) = (state.clone(), channel());
+        let (shared, (event_sender, queries)) = (state.clone(), channel());
         let address = listen(move |stream| {
             let mut output = stream.try_clone().unwrap();
             let mut input = BufReader::new(stream);
@@ -217,13 +239,13 @@
                     output.write_all(first.as_bytes()).unwrap();
                     return;
                 }
-                // A call for the whole list names no version.
-                let after = message.first_line.split("after=").nth(1);
+                // A request for the complete list names no version.
+                let after = message.start_line.split("after=").nth(1);
                 let after: u64 =
                     after.map_or(0, |after| after.split('&').next().unwrap().parse().unwrap());
-                tell.send(after).ok();
-                // A watch that names no wait is a call for the whole list, which is there at once.
-                let wait = message.first_line.split("wait_ms=").nth(1);
+                event_sender.send(after).ok();
+                // One without a wait asks for the complete list, which is available at once.
+                let wait = message.start_line.split("wait_ms=").nth(1);
                 let wait = wait
                     .and_then(|wait| wait.split([' ', '&']).next()?.parse().ok())
                     .unwrap_or(0);
@@ -241,7 +263,7 @@
                     false => format!(r#"{{"rev":{rev},"all":false,"targets":[]}}"#),
                 };
                 drop(state);
-                if output.write_all(ok(&body).as_bytes()).is_err() {
+                if output.write_all(ok_response(&body).as_bytes()).is_err() {
                     return;
                 }
             }
@@ -249,17 +271,17 @@
         Self {
             address,
             state,
-            asked,
+            queries,
         }
     }
 
-    /// Tells of a new list, and waits until the balancer has taken it and watches for the next.
+    /// Publishes a list, and waits until the balancer has applied it and watches for the next.
     pub fn publish(&self, targets: &[String]) {
         self.set(targets);
-        self.watched();
+        self.wait_until_watched();
     }
 
-    /// Has a new list from now on.
+    /// Publishes a list without waiting.
     pub fn set(&self, targets: &[String]) {
         let (lock, changed) = &*self.state;
         let mut state = lock.lock().unwrap();
@@ -268,20 +290,26 @@
         changed.notify_all();
     }
 
-    /// Waits until the balancer has taken the present list and watches for the next.
-    pub fn watched(&self) {
+    /// Waits until the balancer has applied the current list and watches for the next.
+    pub fn wait_until_watched(&self) {
         let rev = self.state.0.lock().unwrap().0;
-        while self.asked.recv_timeout(PATIENCE).expect("the next watch") < rev {}
+        while self
+            .queries
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the next watch")
+            < rev
+        {}
     }
 }
 
-/// An entry of a list: a warm upstream in the balancer's zone.
+/// An entry of discovery's list: a warm upstream in the balancer's zone.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
+/// Entries of upstreams in service, named `s-0`, `s-1`, ...
 pub fn in_service(upstreams: &[&Upstream]) -> Vec<String> {
     let entry = |(at, upstream): (usize, &&Upstream)| {
         target(&format!("s-{at}"), upstream.address, "in_service")
@@ -327,26 +355,28 @@
     /// Connects; `None` where that is refused.
     pub fn connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Some(Self {
             input: BufReader::new(stream),
         })
     }
 
+    /// Writes raw text.
     pub fn write(&mut self, text: &str) {
         self.input.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
+    /// Writes a request; see [`request`].
     pub fn send(&mut self, class: &str, budget: &str, body: &str) {
         self.write(&request(class, budget, body));
     }
 
-    /// The next answer; `None` where the connection ends without one.
-    pub fn answer(&mut self) -> Option<Message> {
+    /// Reads the next response; `None` if the connection ends first.
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.input)
     }
 
-    /// Waits until some of an answer has come, and takes none of it.
+    /// Waits until part of a response has arrived, without reading it.
     pub fn await_data(&mut self) {
         self.input
             .get_ref()
@@ -354,8 +384,8 @@
             .expect("the beginning of an answer");
     }
 
-    /// The body of an answer that comes in chunks; `None` where it breaks off.
-    pub fn chunked_answer(&mut self) -> Option<Vec<u8>> {
+    /// Reads a response in chunked coding and returns its body; `None` if it is truncated.
+    pub fn read_chunked_body(&mut self) -> Option<Vec<u8>> {
         let mut line = String::new();
         while line != "\r\n" {
             line.clear();
@@ -382,17 +412,17 @@
         }
     }
 
-    /// One request and its answer; `None` where the connection has ended.
+    /// Sends a request and reads its response; `None` if the connection has ended.
     pub fn call(&mut self, class: &str, budget: &str, body: &str) -> Option<Message> {
         self.input
             .get_mut()
             .write_all(request(class, budget, body).as_bytes())
             .ok()?;
-        self.answer()
+        self.read_response()
     }
 }
 
-/// A request as a caller writes it, with an id of its own.
+/// A request of a class (`look`, `pay` or `post`) with a unique id; `budget` is the header `X-Budget`, in seconds.
 pub fn request(class: &str, budget: &str, body: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     named_request(
@@ -403,6 +433,7 @@
     )
 }
 
+/// The same with a given id.
 pub fn named_request(id: &str, class: &str, budget: &str, body: &str) -> String {
     let (method, extra, body) = match class {
         "look" => ("GET", "", ""),
--- a/crates/mock-servers/src/raw2.rs
+++ b/crates/mock-servers/src/raw_http2.rs
@@ -1,5 +1,5 @@
-//! An HTTP/2 peer that writes its own frames (RFC 9113, section 4.1), for what a sound server never does: it
-//! counts the streams that are opened on it, and ends the connection as it is told.
+//! An HTTP/2 server that writes its own frames (RFC 9113, section 4.1), to do what a correct server never does: it
+//! counts the streams that are opened, and then ends the connection as scripted.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,53 +13,53 @@
 const ACK: u8 = 0x1;
 const PREFACE: usize = 24;
 
-/// What it does once so many streams have been opened on a connection.
+/// What the server does once a number of streams has been opened on a connection.
 #[derive(Clone, Debug)]
-pub enum Then {
-    /// Says that no stream above this one, counted from 1, was acted on, and ends the connection.
+pub enum ScriptedAction {
+    /// Sends GOAWAY, by which no stream after this one was processed, and ends the connection.
     GoAway {
-        /// How many it may have acted on.
+        /// Streams that may have been processed.
         acted_on: u32,
     },
-    /// Ends each stream with this error, and stays.
+    /// Resets each stream with this error, and keeps the connection.
     ResetAll {
         /// The error (RFC 9113, section 7).
         error: u32,
     },
-    /// Ends the connection without a word.
+    /// Closes the connection without a frame.
     Close,
-    /// Nothing, ever.
-    Silence,
+    /// Does nothing.
+    Stall,
 }
 
-/// The peer.
-pub struct Raw2 {
+/// The server.
+pub struct RawHttp2Server {
     /// Where it listens.
     pub address: SocketAddr,
     /// The number of each stream as it is opened, over all connections.
     pub opened: Receiver<u32>,
 }
 
-impl Raw2 {
-    /// Does as told once `streams` are open on a connection.
-    pub fn start(streams: usize, then: Then) -> Self {
+impl RawHttp2Server {
+    /// Starts it; `then` happens once `streams` have been opened on a connection.
+    pub fn start(streams: usize, then: ScriptedAction) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, opened) = channel();
+        let (event_sender, opened) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (tell, then) = (tell.clone(), then.clone());
-                std::thread::spawn(move || serve(stream, streams, &then, &tell));
+                let (event_sender, then) = (event_sender.clone(), then.clone());
+                std::thread::spawn(move || serve(stream, streams, &then, &event_sender));
             }
         });
         Self { address, opened }
     }
 
-    /// Waits until so many more streams are open.
+    /// Waits until `streams` more have been opened, and returns their ids.
     pub fn wait_for(&self, streams: usize) -> Vec<u32> {
         let next = || {
             self.opened
-                .recv_timeout(crate::http1::PATIENCE)
+                .recv_timeout(crate::http1::TEST_TIMEOUT)
                 .expect("one more stream")
         };
         (0..streams).map(|_| next()).collect()
@@ -74,7 +74,12 @@
     bytes
 }
 
-fn serve(mut stream: TcpStream, most: usize, then: &Then, tell: &Sender<u32>) -> Option<()> {
+fn serve(
+    mut stream: TcpStream,
+    most: usize,
+    then: &ScriptedAction,
+    event_sender: &Sender<u32>,
+) -> Option<()> {
     let mut preface = [0; PREFACE];
     stream.read_exact(&mut preface).ok()?;
     stream.write_all(&frame(SETTINGS, 0, 0, &[])).ok()?;
@@ -93,7 +98,7 @@
             PING if head[4] & ACK == 0 => stream.write_all(&frame(PING, ACK, 0, &payload)).ok()?,
             HEADERS => {
                 opened.push(id);
-                tell.send(id).ok();
+                event_sender.send(id).ok();
                 if opened.len() == most {
                     act(&mut stream, &opened, then)?;
                 }
@@ -103,9 +108,9 @@
     }
 }
 
-fn act(stream: &mut TcpStream, opened: &[u32], then: &Then) -> Option<()> {
+fn act(stream: &mut TcpStream, opened: &[u32], then: &ScriptedAction) -> Option<()> {
     match *then {
-        Then::GoAway { acted_on } => {
+        ScriptedAction::GoAway { acted_on } => {
             let last = opened
                 .get((acted_on as usize).wrapping_sub(1))
                 .copied()
@@ -116,7 +121,7 @@
             stream.shutdown(Shutdown::Write).ok()?;
             None
         }
-        Then::ResetAll { error } => {
+        ScriptedAction::ResetAll { error } => {
             for &id in opened {
                 stream
                     .write_all(&frame(RST_STREAM, 0, id, &error.to_be_bytes()))
@@ -124,10 +129,10 @@
             }
             Some(())
         }
-        Then::Close => {
+        ScriptedAction::Close => {
             stream.shutdown(Shutdown::Both).ok();
             None
         }
-        Then::Silence => Some(()),
+        ScriptedAction::Stall => Some(()),
     }
 }
--- a/crates/mock-servers/src/nodo.rs
+++ b/crates/mock-servers/src/simulated_upstream.rs
@@ -1,5 +1,5 @@
-//! A nodo with a capacity of its own: slots, a queue, a cold start, and a limit beyond which it falls over. It
-//! speaks HTTP/1.1 and HTTP/2 on one port, gRPC or plain, and can be killed and started again at its address.
+//! An upstream with a capacity: slots, a queue, a slow start, and a limit beyond which it becomes overloaded. It
+//! speaks HTTP/1.1 and HTTP/2 on one port, gRPC or plain, and can be killed and restarted at its address.
 
 use crate::grpc::message;
 use bytes::Bytes;
@@ -19,27 +19,28 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// What it can do.
+/// The capacity of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Spec {
-    /// Requests that are worked on at a time.
+    /// Requests that are executed at a time.
     pub slots: usize,
-    /// Work of a request on a warm nodo.
+    /// Time that a request takes once the upstream is warm.
     pub work: Duration,
-    /// Requests that may wait; what comes beyond is turned away unseen.
+    /// Requests that may wait for a slot; further ones are rejected.
     pub queue: usize,
-    /// Part of its capacity that it starts with.
+    /// Fraction of its capacity at its start.
     pub start: f64,
-    /// It is warm after this time, evenly.
-    pub ramp: Duration,
-    /// It falls over where it is sent more than this multiple of what it can do, while it is cold ...
-    pub tip: f64,
-    /// ... within this time.
+    /// Its capacity grows linearly to the full one over this time.
+    pub slow_start: Duration,
+    /// While it warms up, it becomes overloaded if it receives more than this multiple of its present capacity within
+    /// `window`, and then rejects everything.
+    pub overload_factor: f64,
+    /// The time over which that load is measured.
     pub window: Duration,
 }
 
 impl Spec {
-    /// Requests a second that it can do when warm.
+    /// Requests per second once it is warm.
     pub fn capacity(&self) -> f64 {
         self.slots as f64 / self.work.as_secs_f64()
     }
@@ -47,25 +48,25 @@
 
 type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// What it has seen.
+/// Counters of an upstream, over all its processes.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// Requests that came.
-    pub came: u64,
-    /// Requests that it has worked on.
-    pub ran: u64,
-    /// Requests that it has turned away.
-    pub turned_away: u64,
-    /// How often each key has run, where requests have one (`x-call-id`).
+    /// Requests received.
+    pub received: u64,
+    /// Requests executed.
+    pub executed: u64,
+    /// Requests rejected.
+    pub rejected: u64,
+    /// How often each key (`x-call-id`) was executed.
     pub keys: HashMap<String, u32>,
-    /// The most that it was sent within a window while cold, as part of what pushes it over.
-    pub worst: f64,
-    /// It has fallen over.
-    pub toppled: bool,
+    /// The highest load within a window while warming up, as a fraction of the overload limit.
+    pub peak_load: f64,
+    /// Whether it has become overloaded.
+    pub overloaded: bool,
 }
 
-/// The nodo.
-pub struct Nodo {
+/// The upstream.
+pub struct SimulatedUpstream {
     /// Its name.
     pub name: String,
     /// Where it listens, also after a restart.
@@ -87,17 +88,17 @@
     /// When its process started; `None` if long ago.
     started: Option<Instant>,
     boot_ms: u64,
-    waiting: usize,
+    queued: usize,
     /// When requests came lately, while it was cold.
-    came: VecDeque<Instant>,
+    received: VecDeque<Instant>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Nodo {
-    /// Starts it warm.
+impl SimulatedUpstream {
+    /// Starts it, warm.
     pub async fn start(name: impl Into<String>, spec: Spec) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -118,13 +119,13 @@
         }
     }
 
-    /// Its process dies: connections are reset, new ones refused, work is lost.
+    /// Ends its process: connections are reset, new ones refused, requests in flight lost.
     pub fn kill(&self) {
         lock(&self.process).take();
     }
 
-    /// A new process at its address, cold.
-    pub async fn start_again(&self) {
+    /// Starts a new process at its address, which warms up.
+    pub async fn restart(&self) {
         self.kill();
         let listener = loop {
             match TcpListener::bind(self.address).await {
@@ -138,13 +139,13 @@
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        (state.boot_ms, state.waiting) = (unix.as_millis() as u64, 0);
-        state.came.clear();
+        (state.boot_ms, state.queued) = (unix.as_millis() as u64, 0);
+        state.received.clear();
         drop(state);
         *lock(&self.process) = Some(serve(listener, self.inner.clone()));
     }
 
-    /// What it has seen so far.
+    /// Its counters.
     pub fn seen(&self) -> Seen {
         lock(&self.inner.state).seen.clone()
     }
@@ -161,13 +162,13 @@
 fn serve(listener: TcpListener, inner: Arc<Inner>) -> JoinSet<()> {
     serve_process(listener, move |request| {
         let inner = inner.clone();
-        async move { Ok::<_, Infallible>(inner.answer(request).await) }
+        async move { Ok::<_, Infallible>(inner.respond(request).await) }
     })
 }
 
 /// Serves HTTP/1.1 and HTTP/2 on a listener until what is returned is dropped: all of a process's connections end
-/// with it. An error of `answer` closes its connection.
-pub fn serve_process<F, A, B, E>(listener: TcpListener, answer: F) -> JoinSet<()>
+/// with it. An error of `send_reply` closes its connection.
+pub fn serve_process<F, A, B, E>(listener: TcpListener, respond: F) -> JoinSet<()>
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
     A: Future<Output = Result<Response<B>, E>> + Send + 'static,
@@ -182,7 +183,7 @@
                 accepted = listener.accept() => {
                     let Ok((tcp, _)) = accepted else { continue };
                     tcp.set_nodelay(true).ok();
-                    let service = hyper::service::service_fn(answer.clone());
+                    let service = hyper::service::service_fn(respond.clone());
                     connections.spawn(async move {
                         let server = auto::Builder::new(TokioExecutor::new());
                         server.serve_connection(TokioIo::new(tcp), service).await.ok();
@@ -196,12 +197,12 @@
 }
 
 /// A place in the queue, until it is given up.
-struct Waiting<'a>(&'a Inner);
+struct QueueSlot<'a>(&'a Inner);
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueSlot<'_> {
     fn drop(&mut self) {
         let mut state = lock(&self.0.state);
-        state.waiting = state.waiting.saturating_sub(1);
+        state.queued = state.queued.saturating_sub(1);
     }
 }
 
@@ -210,52 +211,52 @@
         let Some(started) = state.started else {
             return 1.0;
         };
-        let part = (at - started).as_secs_f64() / self.spec.ramp.as_secs_f64();
+        let part = (at - started).as_secs_f64() / self.spec.slow_start.as_secs_f64();
         (self.spec.start + (1.0 - self.spec.start) * part).min(1.0)
     }
 
     /// Counts a request, and tells whether there is a place for it.
-    fn take(&self) -> Option<Waiting<'_>> {
+    fn take(&self) -> Option<QueueSlot<'_>> {
         let (now, spec) = (Instant::now(), &self.spec);
         let mut state = lock(&self.state);
-        state.seen.came += 1;
+        state.seen.received += 1;
         let warmth = self.warmth(&state, now);
         if warmth < 1.0 {
-            state.came.push_back(now);
+            state.received.push_back(now);
             while state
-                .came
+                .received
                 .front()
-                .is_some_and(|came| now - *came > spec.window)
+                .is_some_and(|received| now - *received > spec.window)
             {
-                state.came.pop_front();
+                state.received.pop_front();
             }
             let can_do = spec.capacity() * warmth * spec.window.as_secs_f64();
-            let part = state.came.len() as f64 / (spec.tip * can_do);
-            state.seen.worst = state.seen.worst.max(part);
-            state.seen.toppled |= part > 1.0;
+            let part = state.received.len() as f64 / (spec.overload_factor * can_do);
+            state.seen.peak_load = state.seen.peak_load.max(part);
+            state.seen.overloaded |= part > 1.0;
         }
-        if state.seen.toppled || state.waiting >= spec.queue + spec.slots {
-            state.seen.turned_away += 1;
+        if state.seen.overloaded || state.queued >= spec.queue + spec.slots {
+            state.seen.rejected += 1;
             return None;
         }
-        state.waiting += 1;
-        Some(Waiting(self))
+        state.queued += 1;
+        Some(QueueSlot(self))
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn respond(&self, request: Request<Incoming>) -> Response<Body> {
         let (head, body) = request.into_parts();
         let kind = head.headers.get("content-type");
         let grpc = kind.is_some_and(|kind| kind.as_bytes().starts_with(b"application/grpc"));
         body.collect().await.ok();
         let Some(_waiting) = self.take() else {
-            return turned_away(grpc);
+            return rejected(grpc);
         };
         let slot = self.slots.acquire().await;
         let speed = self.warmth(&lock(&self.state), Instant::now());
         sleep(self.spec.work.div_f64(speed)).await;
         drop(slot);
         let mut state = lock(&self.state);
-        state.seen.ran += 1;
+        state.seen.executed += 1;
         if let Some(key) = head
             .headers
             .get("x-call-id")
@@ -286,7 +287,7 @@
     response
 }
 
-fn turned_away(grpc: bool) -> Response<Body> {
+fn rejected(grpc: bool) -> Response<Body> {
     let mut response = Response::new(Full::default().boxed_unsync());
     let headers = response.headers_mut();
     headers.insert("x-rejected", HeaderValue::from_static("1"));
--- a/crates/mock-servers/src/late.rs
+++ b/crates/mock-servers/src/stalled_listener.rs
@@ -1,6 +1,6 @@
-//! A listener whose connections do not come up until a test lets them.
+//! A listener whose connections are not established until a test allows it.
 
-use crate::http1::PATIENCE;
+use crate::http1::TEST_TIMEOUT;
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::fs;
 use std::io;
@@ -9,20 +9,20 @@
 
 /// State of a dialling socket in `/proc/net/tcp`.
 const SYN_SENT: &str = "02";
-/// How often `/proc/net/tcp` is looked at.
+/// How often `/proc/net/tcp` is polled.
 const LOOK_EVERY: Duration = Duration::from_millis(5);
-/// Connections that fill the queue of the listener, more than it takes.
+/// Connections that fill the backlog of the listener: more than it accepts.
 const FILLERS: usize = 4;
 
-/// A listener with a full queue: the kernel drops what else dials it, and the dialling side tries again after a second.
-pub struct LateListener {
+/// A listener with a full backlog: the kernel drops further SYNs, and the connecting side retransmits them after a second.
+pub struct StalledListener {
     listener: Socket,
     address: SocketAddr,
     fillers: Vec<Socket>,
 }
 
-impl LateListener {
-    /// Listens on a free loopback port and fills its queue.
+impl StalledListener {
+    /// Listens on a free loopback port and fills its backlog.
     pub fn start() -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener
@@ -52,7 +52,7 @@
         self.address
     }
 
-    /// Sockets that dial it now, without those that fill its queue.
+    /// Sockets that are connecting now, without those that fill the backlog.
     fn dialling(&self) -> usize {
         let port = |address: &SocketAddr| format!(":{:04X}", address.port());
         let own: Vec<String> = self
@@ -71,13 +71,13 @@
         sockets.lines().skip(1).filter(dials_it).count()
     }
 
-    /// Waits until somebody dials it.
-    pub fn dialled(&self) {
-        self.until("nobody dials", PATIENCE, || self.dialling() > 0);
+    /// Waits until a connection is being established.
+    pub fn wait_until_dialled(&self) {
+        self.until("nobody dials", TEST_TIMEOUT, || self.dialling() > 0);
     }
 
-    /// Waits until nobody dials it any more, for this time at most.
-    pub fn given_up(&self, within: Duration) {
+    /// Waits until no connection is being established, at most `within`.
+    pub fn wait_until_given_up(&self, within: Duration) {
         self.until("somebody still dials", within, || self.dialling() == 0);
     }
 
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Makes room in the queue, and returns the next connection that is not one of its own; `None` where none comes up
-    /// within this time.
+    /// Frees the backlog, and returns the next connection that is not one of its own; `None` if there is none within this
+    /// time.
     pub fn accept(&mut self, within: Duration) -> Option<TcpStream> {
         let own: Vec<SockAddr> = self
             .fillers
@@ -105,7 +105,7 @@
                     if !own.iter().any(|own| own.as_socket() == peer.as_socket()) =>
                 {
                     stream.set_nonblocking(false).unwrap();
-                    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
                     return Some(stream.into());
                 }
                 Ok(_) => {}
--- a/crates/mock-servers/src/system.rs
+++ b/crates/mock-servers/src/system.rs
@@ -1,6 +1,6 @@
 //! The system's processes on loopback addresses: core machines and fronts, with settings files, logs and an operator.
 
-use crate::http1::{Message, PATIENCE};
+use crate::http1::{Message, TEST_TIMEOUT};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -23,6 +23,7 @@
 
 /// A process of the system.
 pub struct Process {
+    /// The name in its settings, such as `core-0`.
     pub name: String,
     child: Child,
     log: Receiver<String>,
@@ -32,8 +33,8 @@
     /// Waits until its log has a line with this text, and gives the line.
     pub fn wait_for(&self, text: &str) -> String {
         let begin = Instant::now();
-        while begin.elapsed() < PATIENCE {
-            match self.log.recv_timeout(PATIENCE) {
+        while begin.elapsed() < TEST_TIMEOUT {
+            match self.log.recv_timeout(TEST_TIMEOUT) {
                 Ok(line) if line.contains(text) => return line,
                 Ok(_) => {}
                 Err(_) => break,
@@ -70,21 +71,23 @@
     ports: [u16; PORTS],
     /// The second and third part of all its addresses, so that several systems can run side by side.
     subnet: (u8, u8),
+    /// Core machines; `None` while one is down.
     pub cores: Vec<Option<Process>>,
+    /// Fronts; `None` while one is down.
     pub fronts: Vec<Option<Process>>,
 }
 
 impl System {
     /// Starts three core machines and so many fronts.
     pub fn start(program: &Path, fronts: u8) -> Self {
-        let held: Vec<TcpListener> = (0..PORTS)
+        let in_flight: Vec<TcpListener> = (0..PORTS)
             .map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port"))
             .collect();
-        let ports: Vec<u16> = held
+        let ports: Vec<u16> = in_flight
             .iter()
-            .map(|held| held.local_addr().expect("an address").port())
+            .map(|in_flight| in_flight.local_addr().expect("an address").port())
             .collect();
-        drop(held);
+        drop(in_flight);
         let id = std::process::id().to_le_bytes();
         let mut system = Self {
             program: program.to_owned(),
@@ -191,9 +194,9 @@
             .stderr(Stdio::piped())
             .spawn();
         let mut child = child.expect("the program starts");
-        let (tell, log) = channel();
+        let (event_sender, log) = channel();
         let lines = child.stderr.take().expect("its standard error");
-        thread::spawn(move || pass_lines(lines, &tell));
+        thread::spawn(move || pass_lines(lines, &event_sender));
         Process {
             name: name.to_owned(),
             child,
@@ -256,17 +259,17 @@
         let begin = Instant::now();
         loop {
             match order() {
-                Some(answer) if answer.status() == 200 => return,
-                Some(answer) if answer.status() < 500 => panic!("refused: {answer:?}"),
-                _ => assert!(begin.elapsed() < PATIENCE, "an order was never taken"),
+                Some(response) if response.status() == 200 => return,
+                Some(response) if response.status() < 500 => panic!("refused: {response:?}"),
+                _ => assert!(begin.elapsed() < TEST_TIMEOUT, "an order was never taken"),
             }
         }
     }
 }
 
-fn pass_lines(lines: impl Read, tell: &Sender<String>) {
+fn pass_lines(lines: impl Read, event_sender: &Sender<String>) {
     for line in BufReader::new(lines).lines().map_while(Result::ok) {
-        if tell.send(line).is_err() {
+        if event_sender.send(line).is_err() {
             return;
         }
     }
@@ -281,7 +284,7 @@
     body: &[u8],
 ) -> Option<Message> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: shop.example\r\n{headers}Connection: close\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -289,15 +292,15 @@
     stream.write_all(head.as_bytes()).ok()?;
     stream.write_all(body).ok()?;
     let mut input = BufReader::new(stream);
-    let mut answer = Message::read(&mut input)?;
-    if answer
+    let mut response = Message::read(&mut input)?;
+    if response
         .headers
         .get("transfer-encoding")
         .is_some_and(|coding| coding == "chunked")
     {
-        answer.body = read_chunks(&mut input)?;
+        response.body = read_chunks(&mut input)?;
     }
-    Some(answer)
+    Some(response)
 }
 
 /// The chunks of a body; `None` where they break off.
@@ -317,7 +320,7 @@
 }
 
 /// An upstream's whole answer to a request, with its id and a stamp.
-pub fn answer(request: &Message, body: &str) -> String {
+pub fn response(request: &Message, body: &str) -> String {
     format!(
         "{}Content-Length: {}\r\n\r\n{body}",
         head(request),
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -15,7 +15,7 @@
 pub const POST: &str = "/test.Test/Post";
 
 /// Far more than anything takes here; reached only where something hangs.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An upstream of a list, with its state and when it started.
 #[derive(Clone)]
@@ -146,7 +146,7 @@
     let patience = std::time::Instant::now();
     while !holds() {
         assert!(
-            patience.elapsed() < PATIENCE,
+            patience.elapsed() < TEST_TIMEOUT,
             "it never came to this: {what}"
         );
         tokio::time::sleep(Duration::from_millis(2)).await;
--- a/crates/tower/tests/grpc.rs
+++ b/crates/tower/tests/grpc.rs
@@ -12,26 +12,26 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 use tower_service::Service;
-use woadstall_mock_servers::grpc::{Called, Grpc, Reply, message};
-use woadstall_mock_servers::raw2::{Raw2, Then};
+use woadstall_mock_servers::grpc::{GrpcUpstream, ReceivedCall, Reply, message};
+use woadstall_mock_servers::raw_http2::{RawHttp2Server, ScriptedAction};
 use woadstall_tower::{CallInfo, InheritTime, Protocol};
 
-fn ok() -> Reply {
+fn ok_response() -> Reply {
     Reply::Ok(Bytes::from_static(b"done"))
 }
 
 /// The first call ends with `first`, all later ones are served.
-fn once(first: Reply) -> impl Fn(&Called) -> Reply + Send + Sync {
+fn once(first: Reply) -> impl Fn(&ReceivedCall) -> Reply + Send + Sync {
     let count = AtomicUsize::new(0);
     move |_| match count.fetch_add(1, Ordering::Relaxed) {
         0 => first.clone(),
-        _ => ok(),
+        _ => ok_response(),
     }
 }
 
 /// What a caller hears, and how many attempts came, where the first attempt ends so.
 async fn row(path: &str, first: Reply) -> (Outcome, usize) {
-    let upstream = Grpc::start(once(first)).await;
+    let upstream = GrpcUpstream::start(once(first)).await;
     let balance = balance(&[upstream.address]);
     let outcome = call(&balance, path).await;
     until("all is over", || balance.open_calls() == 0).await;
@@ -111,7 +111,7 @@
 /// Rule 2 on a connection with many streams: it dies, and what was on it may have run.
 #[tokio::test]
 async fn none_of_the_streams_on_a_dead_connection_is_sent_again() {
-    let dying = Raw2::start(30, Then::Close);
+    let dying = RawHttp2Server::start(30, ScriptedAction::Close);
     let balance = balance(&[dying.address]);
     let calls: Vec<_> = (0..30)
         .map(|_| {
@@ -119,7 +119,7 @@
             tokio::spawn(async move { call(&balance, POST).await })
         })
         .collect();
-    let sound = Grpc::start(|_| ok()).await;
+    let sound = GrpcUpstream::start(|_| ok_response()).await;
     // All thirty are out before the other upstream is there to be sent to.
     tokio::task::spawn_blocking(move || dying.wait_for(29))
         .await
@@ -138,7 +138,7 @@
 /// RFC 9113, section 6.8: what lies above GOAWAY's last stream was not acted on, and goes elsewhere.
 #[tokio::test]
 async fn streams_above_goaway_are_sent_elsewhere_and_only_those() {
-    let leaving = Raw2::start(30, Then::GoAway { acted_on: 20 });
+    let leaving = RawHttp2Server::start(30, ScriptedAction::GoAway { acted_on: 20 });
     let balance = balance(&[leaving.address]);
     let calls: Vec<_> = (0..29)
         .map(|_| {
@@ -149,7 +149,7 @@
     let leaving = tokio::task::spawn_blocking(move || (leaving.wait_for(29), leaving).1)
         .await
         .unwrap();
-    let sound = Grpc::start(|_| ok()).await;
+    let sound = GrpcUpstream::start(|_| ok_response()).await;
     let members = [
         ("s-0", leaving.address, "terminating"),
         ("other", sound.address, "in_service"),
@@ -178,8 +178,8 @@
 #[tokio::test]
 async fn a_drain_finishes_streams_and_opens_none() {
     let ring = Arc::new(Notify::new());
-    let reply = Reply::After(ring.clone(), Box::new(ok()));
-    let draining = Grpc::start_with(Some(10), move |_| reply.clone()).await;
+    let reply = Reply::After(ring.clone(), Box::new(ok_response()));
+    let draining = GrpcUpstream::start_with(Some(10), move |_| reply.clone()).await;
     let settings = settings(|settings| settings["Limits"]["TryLimit"] = 6.into());
     let balance = builder(&settings)
         .connections(1)
@@ -193,9 +193,9 @@
         })
         .collect();
     // Ten are out; forty wait behind MAX_CONCURRENT_STREAMS.
-    until("ten are held", || draining.held() == 10).await;
+    until("ten are held", || draining.in_flight() == 10).await;
     until("all are out", || balance.open_calls() == 50).await;
-    let sound = Grpc::start(|_| ok()).await;
+    let sound = GrpcUpstream::start(|_| ok_response()).await;
     balance.list(&listing(
         false,
         &[
@@ -216,7 +216,7 @@
         (10, 40, 1)
     );
     // With its last stream the connection goes.
-    tokio::time::timeout(PATIENCE, open.wait_for(|open| *open == 0))
+    tokio::time::timeout(TEST_TIMEOUT, open.wait_for(|open| *open == 0))
         .await
         .unwrap()
         .unwrap();
@@ -226,8 +226,8 @@
 #[tokio::test]
 async fn a_graceful_goaway_costs_nothing() {
     let ring = Arc::new(Notify::new());
-    let wait = Reply::After(ring.clone(), Box::new(ok()));
-    let upstream = Grpc::start(once(wait)).await;
+    let wait = Reply::After(ring.clone(), Box::new(ok_response()));
+    let upstream = GrpcUpstream::start(once(wait)).await;
     let balance = balance(&[upstream.address]);
     let held = {
         let balance = balance.clone();
@@ -248,7 +248,7 @@
 #[tokio::test]
 async fn each_attempt_carries_what_is_left() {
     let wait = Duration::from_millis(300);
-    let upstream = Grpc::start(once(Reply::Later(
+    let upstream = GrpcUpstream::start(once(Reply::Later(
         wait,
         Box::new(Reply::Status(14, vec![])),
     )))
@@ -288,7 +288,7 @@
 /// No time left: refused at once, nothing is sent.
 #[tokio::test]
 async fn without_time_nothing_is_sent() {
-    let upstream = Grpc::start(|_| ok()).await;
+    let upstream = GrpcUpstream::start(|_| ok_response()).await;
     let balance = balance(&[upstream.address]);
     assert!(call(&balance, LOOK).await.is_served());
     for time in ["0n", "0S", "0m"] {
@@ -305,7 +305,7 @@
 /// A service's calls wait no longer than its own caller.
 #[tokio::test]
 async fn what_a_services_caller_waits_is_inherited() {
-    let upstream = Grpc::start(|_| Reply::Silence).await;
+    let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
     let balance = balance(&[upstream.address]);
     let handler = tower::service_fn(move |_: Request<()>| {
         let balance = balance.clone();
@@ -326,7 +326,7 @@
 /// A dropped call is withdrawn: its stream is reset, and its next attempt never made.
 #[tokio::test]
 async fn a_dropped_call_is_withdrawn() {
-    let upstream = Grpc::start(|_| Reply::Silence).await;
+    let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
     let balance = balance(&[upstream.address]);
     let calls: Vec<_> = (0..200)
         .map(|_| {
@@ -334,16 +334,16 @@
             tokio::spawn(async move { call(&balance, LOOK).await })
         })
         .collect();
-    until("all are out", || upstream.held() == 200).await;
+    until("all are out", || upstream.in_flight() == 200).await;
     calls.iter().for_each(|call| call.abort());
-    until("all are withdrawn", || upstream.held() == 0).await;
+    until("all are withdrawn", || upstream.in_flight() == 0).await;
     assert_eq!((balance.open_calls(), upstream.total()), (0, 200));
 }
 
 /// Server streaming: after the first message there is no other attempt, whatever happens to the stream.
 #[tokio::test]
 async fn after_the_first_message_there_is_no_other_attempt() {
-    let upstream = Grpc::start(once(Reply::Broken(
+    let upstream = GrpcUpstream::start(once(Reply::Broken(
         Bytes::from_static(b"one"),
         Reason::INTERNAL_ERROR,
     )))
@@ -361,11 +361,11 @@
 async fn messages_of_a_stream_come_as_they_are_sent() {
     let ring = Arc::new(Notify::new());
     let reply = Reply::Stream(Bytes::from_static(b"x"), 3, ring.clone());
-    let upstream = Grpc::start(move |_| reply.clone()).await;
+    let upstream = GrpcUpstream::start(move |_| reply.clone()).await;
     let balance = balance(&[upstream.address]);
     let mut body = send(&balance, request(LOOK)).await.into_body();
     for _ in 0..2 {
-        let frame = tokio::time::timeout(PATIENCE, body.frame())
+        let frame = tokio::time::timeout(TEST_TIMEOUT, body.frame())
             .await
             .unwrap()
             .unwrap()
@@ -390,17 +390,19 @@
     until("the stream is over", || balance.open_calls() == 0).await;
     // A caller that has heard enough: the stream is reset.
     let body = send(&balance, request(LOOK)).await;
-    until("it is held", || upstream.held() == 1).await;
+    until("it is held", || upstream.in_flight() == 1).await;
     drop(body);
-    until("it is withdrawn", || upstream.held() == 0).await;
+    until("it is withdrawn", || upstream.in_flight() == 0).await;
     assert_eq!(balance.open_calls(), 0);
 }
 
 /// A stream whose caller has said how long it waits ends then, at both ends.
 #[tokio::test]
 async fn a_stream_ends_in_its_callers_time() {
-    let upstream =
-        Grpc::start(|_| Reply::Stream(Bytes::from_static(b"x"), 2, Arc::new(Notify::new()))).await;
+    let upstream = GrpcUpstream::start(|_| {
+        Reply::Stream(Bytes::from_static(b"x"), 2, Arc::new(Notify::new()))
+    })
+    .await;
     let balance = balance(&[upstream.address]);
     let mut request = request(LOOK);
     request
@@ -411,14 +413,14 @@
         outcome.broken && outcome.body == message(b"x"),
         "{outcome:?}"
     );
-    until("it is withdrawn", || upstream.held() == 0).await;
+    until("it is withdrawn", || upstream.in_flight() == 0).await;
 }
 
 /// A server that answers headers and then nothing: the call ends in its time, and unsafe work with no promise.
 #[tokio::test]
 async fn headers_and_then_nothing_is_no_answer() {
     for (path, refused) in [(LOOK, true), (POST, false)] {
-        let upstream = Grpc::start(|_| Reply::HeadersOnly).await;
+        let upstream = GrpcUpstream::start(|_| Reply::HeadersOnly).await;
         let balance = balance(&[upstream.address]);
         let mut request = request(path);
         request
@@ -436,7 +438,7 @@
 /// A body beyond the replay limit, or one still to come, is sent once: after that there is no other attempt.
 #[tokio::test]
 async fn what_cannot_be_replayed_has_one_attempt() {
-    let upstream = Grpc::start(|_| Reply::Status(14, vec![("x-rejected", "1")])).await;
+    let upstream = GrpcUpstream::start(|_| Reply::Status(14, vec![("x-rejected", "1")])).await;
     let balance = builder(&settings(|_| {}))
         .replay_limit(1000)
         .known(in_service(&[upstream.address]))
@@ -479,13 +481,15 @@
 /// left behind, and nothing is sent afterwards.
 #[tokio::test]
 async fn stalls_and_dropped_clones_leave_nothing_behind() {
-    let upstream = Grpc::start(|_| Reply::Later(Duration::from_millis(50), Box::new(ok()))).await;
+    let upstream =
+        GrpcUpstream::start(|_| Reply::Later(Duration::from_millis(50), Box::new(ok_response())))
+            .await;
     let balance = balance(&[upstream.address]);
     let calls: Vec<_> = (0..20)
         .map(|_| Box::pin(balance.clone().call(request(POST))))
         .collect();
     let mut calls: Vec<_> = calls.into_iter().map(|call| tokio::spawn(call)).collect();
-    until("they are out", || upstream.held() > 0).await;
+    until("they are out", || upstream.in_flight() > 0).await;
     std::thread::sleep(Duration::from_millis(200)); // the whole runtime, upstream included
     for call in calls.drain(..10) {
         assert_eq!(outcome(call.await.unwrap().unwrap()).await.status, Some(0));
@@ -499,7 +503,7 @@
     drop(balance);
     drop(orphans);
     let total = upstream.total();
-    tokio::time::timeout(PATIENCE, open.wait_for(|open| *open == 0))
+    tokio::time::timeout(TEST_TIMEOUT, open.wait_for(|open| *open == 0))
         .await
         .unwrap()
         .unwrap();
@@ -509,7 +513,7 @@
 /// A new process at the address of a former one: no stream of its goes on the old connection.
 #[tokio::test]
 async fn a_former_process_is_not_spoken_to() {
-    let upstream = Grpc::start(|_| ok()).await;
+    let upstream = GrpcUpstream::start(|_| ok_response()).await;
     let balance = balance(&[upstream.address]);
     assert!(call(&balance, POST).await.is_served());
     assert_eq!(upstream.called().await.connection, 0);
@@ -530,7 +534,7 @@
 #[tokio::test]
 async fn where_nothing_listens_a_call_is_refused() {
     let settings = settings(|settings| settings["Limits"]["RetryAfter"] = true.into());
-    let nowhere = woadstall_mock_servers::http1::refusing();
+    let nowhere = woadstall_mock_servers::http1::refused_address();
     let balance = builder(&settings)
         .known(in_service(&[nowhere]))
         .build()
@@ -558,12 +562,12 @@
 /// HTTP/1.1 upstreams behind the same service.
 #[tokio::test]
 async fn http1_upstreams_are_served_alike() {
-    use woadstall_mock_servers::http1::{Act, Upstream, full, ok};
+    use woadstall_mock_servers::http1::{Reaction, Upstream, ok_response, overloaded_response};
     let count = AtomicUsize::new(0);
     let upstream = Upstream::start(move |_| match count.fetch_add(1, Ordering::Relaxed) {
-        0 => Act::Answer(full()),
-        1 => Act::Silence,
-        _ => Act::Answer(ok("second")),
+        0 => Reaction::Respond(overloaded_response()),
+        1 => Reaction::Stall,
+        _ => Reaction::Respond(ok_response("second")),
     });
     let builder = builder(&settings(|_| {}))
         .protocol(Protocol::Http1)
@@ -580,7 +584,10 @@
     };
     // Full, sent again; then silence: it may have run.
     let answer = send(&balance, post(4, "0.2")).await;
-    assert_eq!((answer.status().as_u16(), upstream.requests()), (502, 2));
+    assert_eq!(
+        (answer.status().as_u16(), upstream.count_requests()),
+        (502, 2)
+    );
     let answer = send(&balance, post(4, "60")).await;
     assert_eq!(answer.status(), 200);
     assert_eq!(
@@ -589,9 +596,9 @@
     );
     let request = upstream.request();
     assert_eq!(
-        (request.first_line.as_str(), request.body.as_slice()),
+        (request.start_line.as_str(), request.body.as_slice()),
         ("POST /post/1?x=2 HTTP/1.1", &b"bbbb"[..])
     );
     assert_eq!(send(&balance, post(1001, "60")).await.status(), 413);
-    assert_eq!(upstream.requests(), 0);
+    assert_eq!(upstream.count_requests(), 0);
 }
--- a/crates/tower/tests/tonic.rs
+++ b/crates/tower/tests/tonic.rs
@@ -16,7 +16,7 @@
 use tonic_health::pb::HealthCheckRequest;
 use tonic_health::pb::health_client::HealthClient;
 use tonic_health::server::HealthReporter;
-use woadstall_mock_servers::grpc::{Grpc, Reply};
+use woadstall_mock_servers::grpc::{GrpcUpstream, Reply};
 use woadstall_tower::{Balance, Protocol};
 
 const CHECK: &str = "/grpc.health.v1.Health/Check";
@@ -108,7 +108,7 @@
 /// What the decisions refuse or fail reaches a tonic client as a status that it knows what to do with.
 #[tokio::test]
 async fn refusals_and_failures_are_statuses() {
-    let nowhere = woadstall_mock_servers::http1::refusing();
+    let nowhere = woadstall_mock_servers::http1::refused_address();
     let error = HealthClient::new(health(&[nowhere]))
         .check(ask(""))
         .await
@@ -116,7 +116,7 @@
     assert_eq!(error.code(), Code::Unavailable);
     assert!(error.metadata().get("grpc-retry-pushback-ms").is_some());
     // A service that nobody named a class for: unsafe, and it may have run.
-    let upstream = Grpc::start(|_| Reply::Status(14, vec![])).await;
+    let upstream = GrpcUpstream::start(|_| Reply::Status(14, vec![])).await;
     let balance = builder(&settings(|_| {}))
         .known(in_service(&[upstream.address]))
         .build()
@@ -125,7 +125,7 @@
     assert_eq!((error.code(), upstream.total()), (Code::Unknown, 1));
     assert!(error.metadata().get("grpc-retry-pushback-ms").is_none());
     // tonic's own time limit goes on to the upstream, and the call ends by it.
-    let upstream = Grpc::start(|_| Reply::Silence).await;
+    let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
     let mut request = tonic::Request::new(ask(""));
     request.set_timeout(std::time::Duration::from_millis(150));
     let error = HealthClient::new(health(&[upstream.address]))
@@ -138,13 +138,13 @@
         "safe to repeat, so refused: {error:?}"
     );
     assert!(upstream.called().await.time_left() <= 150);
-    until("nothing is left", || upstream.held() == 0).await;
+    until("nothing is left", || upstream.in_flight() == 0).await;
 }
 
 /// A message over the limit of the caller's library: its error, and the stream is ended, not read on.
 #[tokio::test]
 async fn a_message_over_the_limit_ends_its_stream() {
-    let upstream = Grpc::start(|_| Reply::Ok(Bytes::from(vec![0; 300_000]))).await;
+    let upstream = GrpcUpstream::start(|_| Reply::Ok(Bytes::from(vec![0; 300_000]))).await;
     let balance = health(&[upstream.address]);
     let mut client = HealthClient::new(balance.clone()).max_decoding_message_size(100_000);
     let error = client.check(ask("")).await.unwrap_err();
@@ -155,12 +155,14 @@
 /// hyper's server with the plug-in as its service, hyper-util's client in front, HTTP/1.1 upstreams behind.
 #[tokio::test]
 async fn hyper_utils_client_and_hypers_server_around_the_plug_in() {
-    use woadstall_mock_servers::http1::{Act, Upstream, full, ok};
+    use woadstall_mock_servers::http1::{Reaction, Upstream, ok_response, overloaded_response};
     let count = std::sync::atomic::AtomicUsize::new(0);
     let upstream = Upstream::start(move |request| {
         match count.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 2 {
-            0 => Act::Answer(full()),
-            _ => Act::Answer(ok(&String::from_utf8(request.body.clone()).unwrap())),
+            0 => Reaction::Respond(overloaded_response()),
+            _ => Reaction::Respond(ok_response(
+                &String::from_utf8(request.body.clone()).unwrap(),
+            )),
         }
     });
     let builder = builder(&settings(|_| {})).protocol(Protocol::Http1);
@@ -194,7 +196,7 @@
         );
     }
     assert_eq!(
-        upstream.requests(),
+        upstream.count_requests(),
         20,
         "each was turned away once and sent again, by nobody but the decisions"
     );
--- a/tests/beside.rs
+++ b/tests/beside.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tower_service::Service;
 use woadstall_mock_servers::http1::*;
-use woadstall_mock_servers::nodo::{Nodo, Spec};
+use woadstall_mock_servers::simulated_upstream::{SimulatedUpstream, Spec};
 use woadstall_tower::{Balance, Protocol};
 
 /// Six upstreams that write down the order in which they are asked. Every fifth request at one ends with a
@@ -24,10 +24,10 @@
             let mut asked = asked.lock().unwrap();
             *asked += 1;
             match *asked % 5 {
-                0 => Act::Answer(
+                0 => Reaction::Respond(
                     "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into(),
                 ),
-                _ => Act::Answer(ok("done")),
+                _ => Reaction::Respond(ok_response("done")),
             }
         })
     };
@@ -37,7 +37,7 @@
 /// A configuration of two zones, with so many classes that none is called often enough for its measured latency,
 /// which no two runs share, to weigh in.
 fn many_classes(known: &[String]) -> serde_json::Value {
-    let mut config = config(refusing(), known);
+    let mut config = config(refused_address(), known);
     config["settings"]["Zones"] = serde_json::json!(["a", "b"]);
     let classes = config["settings"]["Classes"].as_array().unwrap().clone();
     let classes: Vec<_> = (0..CLASSES)
@@ -118,7 +118,7 @@
                     "{method} /{class} HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: {id:016x}\r\n\
                      X-Call-Class: {class}\r\nX-Caller: acme\r\nX-Budget: 60\r\n{key}Content-Length: 0\r\n\r\n"
                 ));
-                caller.answer().expect("an answer");
+                caller.read_response().expect("an answer");
             }
         }
         let order = order.lock().unwrap().clone();
@@ -137,8 +137,8 @@
     work: Duration::from_millis(20),
     queue: 40,
     start: 0.3,
-    ramp: Duration::from_millis(4_000),
-    tip: 2.5,
+    slow_start: Duration::from_millis(4_000),
+    overload_factor: 2.5,
     window: Duration::from_millis(1_500),
 };
 
@@ -147,7 +147,7 @@
 async fn a_nodo_restarted_under_daemon_and_plug_ins_stays_up() {
     let mut nodos = Vec::new();
     for at in 0..4 {
-        nodos.push(Nodo::start(format!("n-{at}"), COLD).await);
+        nodos.push(SimulatedUpstream::start(format!("n-{at}"), COLD).await);
     }
     let list = |state: &str| {
         nodos
@@ -157,7 +157,7 @@
             .collect()
     };
     let known: Vec<String> = list("in_service");
-    let mut config = config(refusing(), &known);
+    let mut config = config(refused_address(), &known);
     config["settings"]["Safety"]["RampTimeNs"] = 4_000_000_000_u64.into();
     for class in config["settings"]["Classes"].as_array_mut().unwrap() {
         class["AimNs"] = 600_000_000_u64.into();
@@ -223,16 +223,16 @@
     nodos[0].kill();
     discovery.set(&list("terminating"));
     tokio::time::sleep(Duration::from_millis(500)).await;
-    nodos[0].start_again().await;
+    nodos[0].restart().await;
     discovery.set(&list("in_service"));
     while callers.join_next().await.is_some() {}
     let seen = nodos[0].seen();
     assert!(
-        !seen.toppled,
+        !seen.overloaded,
         "it was sent {:.2} of what pushes it over",
-        seen.worst
+        seen.peak_load
     );
-    assert!(seen.worst > 0.0, "it was used while cold");
+    assert!(seen.peak_load > 0.0, "it was used while cold");
     let served = served.load(std::sync::atomic::Ordering::Relaxed);
     assert!(served > 1_000, "{served} served");
     let twice = nodos
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
-use woadstall_mock_servers::http1::{config, refusing};
+use woadstall_mock_servers::http1::{config, refused_address};
 
 fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
@@ -32,7 +32,7 @@
 
 #[test]
 fn sound_files_pass_and_faults_are_named_one_line_each() {
-    let sound = config(refusing(), &[]);
+    let sound = config(refused_address(), &[]);
     let good = file("good.json", &sound.to_string());
     let operator = file("operator.toml", "[plugin]\nconnections = 2\n");
     let (passed, lines) = check(&[&good, &operator]);
--- a/tests/client_leaves.rs
+++ b/tests/client_leaves.rs
@@ -15,21 +15,21 @@
 /// A client whose end stands behind more than is read ahead.
 #[test]
 fn the_end_of_a_client_shows_behind_whatever_it_wrote_ahead() {
-    let upstream = Upstream::start(|_| Act::Silence);
-    let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(|_| Reaction::Stall);
+    let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut client = TcpStream::connect(program.address).unwrap();
     client
-        .write_all(request("post", LONG, "first").as_bytes())
+        .write_all(request("post", LONG_BUDGET, "first").as_bytes())
         .unwrap();
     upstream.request();
-    let ahead: String = std::iter::repeat_with(|| request("post", LONG, "ahead"))
+    let ahead: String = std::iter::repeat_with(|| request("post", LONG_BUDGET, "ahead"))
         .take(FAR_AHEAD / 200)
         .collect();
     client.write_all(ahead.as_bytes()).unwrap();
     drop(client);
-    upstream.closed();
+    upstream.wait_until_closed();
     assert_eq!(
-        upstream.requests(),
+        upstream.count_requests(),
         0,
         "nothing is sent for a client that has left"
     );
@@ -38,9 +38,10 @@
 /// What was written far ahead is served in its order once there is room for it.
 #[test]
 fn what_is_written_far_ahead_is_answered_in_order() {
-    let upstream =
-        Upstream::start(|message| Act::Answer(ok(&String::from_utf8_lossy(&message.body))));
-    let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(|message| {
+        Reaction::Respond(ok_response(&String::from_utf8_lossy(&message.body)))
+    });
+    let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     let bodies: Vec<String> = (0..200)
         .map(|number| format!("{number:03}{}", "b".repeat(300)))
@@ -48,30 +49,30 @@
     caller.write(
         &bodies
             .iter()
-            .map(|body| request("post", LONG, body))
+            .map(|body| request("post", LONG_BUDGET, body))
             .collect::<String>(),
     );
     for body in &bodies {
-        let answer = caller.answer().expect("an answer");
+        let answer = caller.read_response().expect("an answer");
         assert_eq!(answer.body, body.as_bytes());
     }
-    assert_eq!(upstream.requests(), bodies.len());
+    assert_eq!(upstream.count_requests(), bodies.len());
 }
 
 /// Hundreds at once, closed in order and by a reset; their places and their names are free at once.
 #[test]
 fn a_crowd_that_leaves_frees_its_places_and_names() {
     let upstream = Upstream::start(|message| match message.body == b"held" {
-        true => Act::Silence,
-        false => Act::Answer(ok("served")),
+        true => Reaction::Stall,
+        false => Reaction::Respond(ok_response("served")),
     });
-    let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
+    let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let id = |number: usize| format!("9b1f03aa{number:08x}");
     let crowd: Vec<TcpStream> = (0..200)
         .map(|number| {
             let mut client = TcpStream::connect(program.address).unwrap();
             client
-                .write_all(named_request(&id(number), "post", LONG, "held").as_bytes())
+                .write_all(named_request(&id(number), "post", LONG_BUDGET, "held").as_bytes())
                 .unwrap();
             upstream.request();
             client
@@ -85,12 +86,12 @@
         }
     }
     for _ in 0..200 {
-        upstream.closed();
+        upstream.wait_until_closed();
     }
     for number in 0..200 {
         let mut caller = program.connect();
-        caller.write(&named_request(&id(number), "post", LONG, "again"));
-        assert_eq!(caller.answer().expect("an answer").status(), 200);
+        caller.write(&named_request(&id(number), "post", LONG_BUDGET, "again"));
+        assert_eq!(caller.read_response().expect("an answer").status(), 200);
     }
-    assert_eq!(upstream.requests(), 200);
+    assert_eq!(upstream.count_requests(), 200);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use woadstall_mock_servers::http1::{Caller, LONG, Message};
+use woadstall_mock_servers::http1::{Caller, LONG_BUDGET, Message};
 
 /// The program, running.
 pub struct Program {
@@ -152,7 +152,9 @@
 
     /// One request on a connection of its own.
     pub fn call(&self, class: &str) -> Message {
-        self.connect().call(class, LONG, "body").expect("an answer")
+        self.connect()
+            .call(class, LONG_BUDGET, "body")
+            .expect("an answer")
     }
 }
 
@@ -186,7 +188,7 @@
         caller.write(&format!(
             "{method} {path} HTTP/1.1\r\nHost: operators\r\nContent-Length: 0\r\n\r\n"
         ));
-        caller.answer().expect("an answer to operators")
+        caller.read_response().expect("an answer to operators")
     }
 
     /// The figures by name, labels included.
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -8,8 +8,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 use std::time::{Duration, Instant};
-use woadstall_mock_servers::http1::{Act, Message, PATIENCE, Upstream};
-use woadstall_mock_servers::system::{System, answer, call, events};
+use woadstall_mock_servers::http1::{Message, Reaction, TEST_TIMEOUT, Upstream};
+use woadstall_mock_servers::system::{System, call, events, response};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_woadstall");
 /// How soon after a client has left its upstreams hear of it.
@@ -60,7 +60,7 @@
         let (sender, connections): (Sender<TcpStream>, _) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
                 if sender.send(stream).is_err() {
                     return;
                 }
@@ -74,7 +74,7 @@
 
     fn next(&self) -> TcpStream {
         self.connections
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a connection comes")
     }
 }
@@ -91,8 +91,8 @@
     let system = system(5_000, 1);
     let front = system.front(0);
     let upstream = Upstream::start(|request| {
-        let own = answer(request, "own");
-        Act::AnswerAndMore(own.clone(), own)
+        let own = response(request, "own");
+        Reaction::RespondWithSurplus(own.clone(), own)
     });
     system.register(0, "i-1", "s", upstream.address, 0);
     for number in 0..8 {
@@ -105,7 +105,7 @@
             assert_eq!(reply.headers["response-stamp"], format!("stamp-{id}"));
         }
     }
-    assert!(upstream.requests() <= 8, "each was sent once at most");
+    assert!(upstream.count_requests() <= 8, "each was sent once at most");
 }
 
 #[test]
@@ -120,7 +120,7 @@
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let request = Message::read(&mut input).unwrap();
         (&stream)
-            .write_all(answer(&request, "first").as_bytes())
+            .write_all(response(&request, "first").as_bytes())
             .unwrap();
         assert_eq!(first.join().unwrap().unwrap().body, b"first");
         // The next request goes out over the same connection, where it still is: what comes then is the old one's.
@@ -131,7 +131,7 @@
             "r-2"
         );
         (&stream)
-            .write_all(answer(&request, "first").as_bytes())
+            .write_all(response(&request, "first").as_bytes())
             .unwrap();
         assert_eq!(
             second.join().unwrap().expect("an answer").status(),
@@ -148,13 +148,13 @@
     let system = system(5_000, 1);
     let front = system.front(0);
     let upstream = Upstream::start(|request| {
-        let whole = answer(request, "own");
+        let whole = response(request, "own");
         let header = if request.headers["request-id"] == "r-1" {
             "Request-Id: r-1\r\n"
         } else {
             "Response-Stamp: stamp-r-2\r\n"
         };
-        Act::Answer(whole.replace(header, ""))
+        Reaction::Respond(whole.replace(header, ""))
     });
     system.register(0, "i-1", "s", upstream.address, 0);
     for id in ["r-1", "r-2"] {
@@ -215,7 +215,7 @@
         };
         assert_eq!(request.headers["request-id"], "r-2");
         carrier
-            .write_all(answer(&request, "second").as_bytes())
+            .write_all(response(&request, "second").as_bytes())
             .unwrap();
         assert_eq!(next.join().unwrap().expect("an answer").body, b"second");
     });
@@ -250,7 +250,7 @@
 fn a_kept_connection_that_its_upstream_has_closed_or_forgotten_swallows_nothing() {
     let system = system(5_000, 2);
     let front = system.front(0);
-    let upstream = Upstream::start(|request| Act::AnswerAndClose(answer(request, "own")));
+    let upstream = Upstream::start(|request| Reaction::RespondAndClose(response(request, "own")));
     system.register(0, "i-1", "s", upstream.address, 0);
     for number in 0..10 {
         let reply = ask(front, "/once/1", &format!("r-{number}"), b"{}").expect("an answer");
@@ -259,9 +259,9 @@
             upstream.request().headers["request-id"],
             format!("r-{number}")
         );
-        upstream.closed();
+        upstream.wait_until_closed();
     }
-    assert_eq!(upstream.requests(), 0, "each was sent once");
+    assert_eq!(upstream.count_requests(), 0, "each was sent once");
 }
 
 #[test]
@@ -305,7 +305,7 @@
 fn silence_ends_with_the_routes_time_and_frees_the_upstream() {
     let system = system(700, 2);
     let front = system.front(0);
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| Reaction::Stall);
     system.register(0, "i-1", "s", upstream.address, 0);
     let begin = Instant::now();
     let reply = ask(front, "/once/1", "r-1", b"{}").expect("an answer");
@@ -316,8 +316,8 @@
         "{took:?}"
     );
     upstream.request();
-    upstream.closed();
-    assert_eq!(upstream.requests(), 0, "it was sent once");
+    upstream.wait_until_closed();
+    assert_eq!(upstream.count_requests(), 0, "it was sent once");
 }
 
 #[test]
@@ -395,7 +395,7 @@
                     reset(&stream);
                 } else {
                     stream
-                        .write_all(answer(&request, "own").as_bytes())
+                        .write_all(response(&request, "own").as_bytes())
                         .unwrap();
                 }
             }
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -47,14 +47,17 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         chunk(),
     );
-    let program = Program::start(&config(refusing(), &[target("s-0", address, "in_service")]));
+    let program = Program::start(&config(
+        refused_address(),
+        &[target("s-0", address, "in_service")],
+    ));
     let asked = Instant::now();
     let mut caller = program.connect();
     caller.send("post", BUDGET.0, "b");
-    assert!(caller.chunked_answer().is_none(), "it has no end");
+    assert!(caller.read_chunked_body().is_none(), "it has no end");
     assert!(asked.elapsed() < ENDED, "{:?}", asked.elapsed());
     closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("its upstream is told to stop");
 }
 
@@ -65,15 +68,15 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
         chunk()
     );
-    let upstream = Upstream::start(move |_| Act::Answer(text.clone()));
-    let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(move |_| Reaction::Respond(text.clone()));
+    let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let asked = Instant::now();
     let mut caller = program.connect();
     caller.send("post", BUDGET.0, "b");
-    assert!(caller.chunked_answer().is_none(), "it has no end");
+    assert!(caller.read_chunked_body().is_none(), "it has no end");
     let took = asked.elapsed();
     assert!(took >= BUDGET.1 && took < ENDED, "{took:?}");
-    upstream.closed();
+    upstream.wait_until_closed();
 }
 
 /// A client that reads nothing of a large answer: its upstream is not held beyond the deadline.
@@ -83,14 +86,17 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         chunk(),
     );
-    let program = Program::start(&config(refusing(), &[target("s-0", address, "in_service")]));
+    let program = Program::start(&config(
+        refused_address(),
+        &[target("s-0", address, "in_service")],
+    ));
     let mut client = TcpStream::connect(program.address).unwrap();
     let asked = Instant::now();
     client
         .write_all(request("post", BUDGET.0, "b").as_bytes())
         .unwrap();
     closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("its upstream is told to stop");
     assert!(asked.elapsed() >= BUDGET.1);
 }
@@ -103,13 +109,13 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
         chunk()
     );
-    let upstream = Upstream::start(move |_| Act::AnswerAndClose(text.clone()));
-    let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(move |_| Reaction::RespondAndClose(text.clone()));
+    let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut client = TcpStream::connect(program.address).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     client
         .write_all(
-            request("post", LONG, "b")
+            request("post", LONG_BUDGET, "b")
                 .replace("HTTP/1.1", "HTTP/1.0")
                 .as_bytes(),
         )
@@ -125,12 +131,12 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n",
         chunk()
     );
-    let upstream = Upstream::start(move |_| Act::Answer(text.clone()));
-    let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(move |_| Reaction::Respond(text.clone()));
+    let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     for _ in 0..2 {
         caller.send("post", BUDGET.0, "b");
-        assert_eq!(caller.chunked_answer().expect("an answer").len(), LARGE);
+        assert_eq!(caller.read_chunked_body().expect("an answer").len(), LARGE);
         std::thread::sleep(BUDGET.1 * 2);
     }
 }
@@ -155,11 +161,14 @@
             stream.write_all(b"0\r\n\r\n").unwrap();
         }
     });
-    let program = Program::start(&config(refusing(), &[target("s-0", address, "in_service")]));
+    let program = Program::start(&config(
+        refused_address(),
+        &[target("s-0", address, "in_service")],
+    ));
     let mut caller = program.connect();
     caller.send("post", BUDGET.0, "b");
     assert_eq!(
-        caller.chunked_answer().expect("all of it").len(),
+        caller.read_chunked_body().expect("all of it").len(),
         PIECES * LARGE
     );
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -17,7 +17,7 @@
     config["limits"]["sockets"] = DESCRIPTORS.into();
     discovery.set(&in_service(&[upstream]));
     let program = Program::start_limited(&config, DESCRIPTORS);
-    discovery.watched();
+    discovery.wait_until_watched();
     let crowd = (0..CROWD).filter_map(|_| program.try_connect()).collect();
     (program, crowd)
 }
@@ -26,8 +26,8 @@
 #[test]
 fn a_crowd_of_idle_clients_keeps_neither_calls_nor_discovery_out() {
     let (first, second) = (
-        Upstream::start(|_| Act::Answer(ok("first"))),
-        Upstream::start(|_| Act::Answer(ok("second"))),
+        Upstream::start(|_| Reaction::Respond(ok_response("first"))),
+        Upstream::start(|_| Reaction::Respond(ok_response("second"))),
     );
     let discovery = Discovery::start();
     let (program, crowd) = crowded(&discovery, &first);
@@ -43,11 +43,11 @@
 /// A client in the midst of a head is not sent away for another one that only connects.
 #[test]
 fn a_client_that_has_begun_a_request_is_not_the_one_to_go() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("served")));
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
+    let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = DESCRIPTORS.into(); // room for twenty callers
     let program = Program::start_limited(&config, DESCRIPTORS);
-    let whole = request("post", LONG, "b");
+    let whole = request("post", LONG_BUDGET, "b");
     let (begin, rest) = whole.split_at(whole.len() / 2);
     let mut writing = program.connect();
     writing.write(begin);
@@ -56,7 +56,7 @@
     let crowd: Vec<Caller> = (0..60).filter_map(|_| program.try_connect()).collect();
     assert_eq!(program.call("look").status(), 200);
     writing.write(rest);
-    assert_eq!(writing.answer().expect("an answer").body, b"served");
+    assert_eq!(writing.read_response().expect("an answer").body, b"served");
     drop(crowd);
 }
 
@@ -65,15 +65,15 @@
 #[test]
 fn a_process_that_starts_under_a_crowd_is_ready_and_follows_discovery() {
     let (stale, present) = (
-        Upstream::start(|_| Act::Answer(ok("stale"))),
-        Upstream::start(|_| Act::Answer(ok("present"))),
+        Upstream::start(|_| Reaction::Respond(ok_response("stale"))),
+        Upstream::start(|_| Reaction::Respond(ok_response("present"))),
     );
     let discovery =
         Discovery::start_failing("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     let (program, _crowd) = crowded(&discovery, &stale);
     let mut front = program.connect();
     front.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-    assert_eq!(front.answer().expect("an answer").status(), 200);
+    assert_eq!(front.read_response().expect("an answer").status(), 200);
     discovery.publish(&in_service(&[&stale, &present])[1..]);
     assert_eq!(program.call("post").body, b"present");
 }
@@ -83,13 +83,13 @@
 fn connections_that_linger_take_no_descriptors_from_others() {
     const CALLERS: usize = 68;
     let upstream = Upstream::start(|message| match message.body == b"held" {
-        true => Act::Silence,
-        false => Act::Answer(ok("served")),
+        true => Reaction::Stall,
+        false => Reaction::Respond(ok_response("served")),
     });
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 200.into(); // room for so many callers, and as many connections to upstreams
     let program = Program::start_limited(&config, 1024);
-    let at_fault = request("post", LONG, "").replace(
+    let at_fault = request("post", LONG_BUDGET, "").replace(
         "Content-Length: 0",
         "Content-Length: 0\r\nTransfer-Encoding: chunked",
     );
@@ -97,14 +97,14 @@
         .map(|_| {
             let mut caller = program.connect();
             caller.write(&at_fault);
-            assert_eq!(caller.answer().expect("an answer").status(), 400);
+            assert_eq!(caller.read_response().expect("an answer").status(), 400);
             caller
         })
         .collect();
     let held: Vec<Caller> = (0..CALLERS)
         .map(|_| {
             let mut caller = program.connect();
-            caller.send("post", LONG, "held");
+            caller.send("post", LONG_BUDGET, "held");
             upstream.request();
             caller
         })
@@ -120,9 +120,9 @@
 /// The system gives no descriptor to accept with: what is idle goes, and accepting goes on.
 #[test]
 fn accepting_goes_on_after_the_descriptors_have_run_out() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
     // The configuration promises more than the system has.
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 1024.into();
     let mut program = Program::start_limited(&config, 64);
     let crowd: Vec<Caller> = (0..CROWD).filter_map(|_| program.try_connect()).collect();
@@ -131,7 +131,7 @@
     until("it serves again", || {
         let caller = program.try_connect();
         let served = caller
-            .and_then(|mut caller| caller.call("look", LONG, ""))
+            .and_then(|mut caller| caller.call("look", LONG_BUDGET, ""))
             .is_some_and(|a| a.status() == 200);
         served || {
             std::thread::sleep(Duration::from_millis(20));
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -9,13 +9,13 @@
 use std::sync::{Arc, Barrier, Mutex};
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::http1::*;
-use woadstall_mock_servers::late::LateListener;
+use woadstall_mock_servers::stalled_listener::StalledListener;
 
 /// Within this, a change counts as told.
 const TOLD: Duration = Duration::from_secs(6);
 
 /// Discovery that answers its calls by number with what is written here; each call is seen.
-fn scripted(answer: impl Fn(usize, &Message) -> Act + Send + Sync + 'static) -> Upstream {
+fn scripted(answer: impl Fn(usize, &Message) -> Reaction + Send + Sync + 'static) -> Upstream {
     let calls = AtomicUsize::new(0);
     Upstream::start(move |message| answer(calls.fetch_add(1, Ordering::SeqCst), message))
 }
@@ -41,7 +41,8 @@
 
 impl Two {
     fn start() -> Self {
-        let answering = |text: &'static str| Upstream::start(move |_| Act::Answer(ok(text)));
+        let answering =
+            |text: &'static str| Upstream::start(move |_| Reaction::Respond(ok_response(text)));
         Self {
             old: answering("old"),
             new: answering("new"),
@@ -76,9 +77,9 @@
     let two = Two::start();
     let list = two.list(5);
     let discovery = scripted(move |call, _| match call {
-        0 | 1 => Act::Silence,
-        2 => Act::Answer(ok(&list)),
-        _ => Act::Silence,
+        0 | 1 => Reaction::Stall,
+        2 => Reaction::Respond(ok_response(&list)),
+        _ => Reaction::Stall,
     });
     let program = Program::start(&two.config(discovery.address));
     discovery.request();
@@ -100,15 +101,15 @@
     let two = Two::start();
     let list = two.list(5);
     let discovery = scripted(move |call, _| match call {
-        0 => Act::Silence,
-        1 => Act::Answer(ok(&list)),
-        _ => Act::Silence,
+        0 => Reaction::Stall,
+        1 => Reaction::Respond(ok_response(&list)),
+        _ => Reaction::Stall,
     });
     let program = Program::start(&asked(two.config(discovery.address)));
     let watch = discovery.request();
     let silent = Instant::now();
     let wait: f64 = watch
-        .first_line
+        .start_line
         .split("wait_ms=")
         .nth(1)
         .unwrap()
@@ -130,11 +131,11 @@
 #[test]
 fn watches_on_a_service_that_is_asked_are_spread() {
     let unchanged = r#"{"rev":1,"all":false,"targets":[]}"#;
-    let discovery = scripted(move |_, _| Act::Answer(ok(unchanged)));
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let discovery = scripted(move |_, _| Reaction::Respond(ok_response(unchanged)));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let _program = Program::start(&asked(config(discovery.address, &in_service(&[&upstream]))));
     let waits: std::collections::HashSet<String> =
-        (0..8).map(|_| discovery.request().first_line).collect();
+        (0..8).map(|_| discovery.request().start_line).collect();
     assert!(waits.len() > 4, "{waits:?}");
 }
 
@@ -142,9 +143,9 @@
 #[test]
 fn a_dial_that_never_comes_up_is_given_up_in_time() {
     let two = Two::start();
-    let late = LateListener::start();
+    let late = StalledListener::start();
     let mut program = Program::start(&asked(two.config(late.address())));
-    late.dialled();
+    late.wait_until_dialled();
     let dialled = Instant::now();
     program.logged("discovery failed");
     assert!(dialled.elapsed() < TOLD, "{:?}", dialled.elapsed());
@@ -164,19 +165,22 @@
         .collect();
     let closing = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{list}");
     let forms = [
-        Act::Answer(ok(&indented)),
-        Act::Answer(format!(
+        Reaction::Respond(ok_response(&indented)),
+        Reaction::Respond(format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"
         )),
-        Act::AnswerAndClose(closing),
-        Act::AnswerAndMore(ok(&list)[..40].to_owned(), ok(&list)[40..].to_owned()),
+        Reaction::RespondAndClose(closing),
+        Reaction::RespondWithSurplus(
+            ok_response(&list)[..40].to_owned(),
+            ok_response(&list)[40..].to_owned(),
+        ),
     ];
     for form in forms {
         let discovery = scripted(move |call, _| {
             if call == 0 {
                 form.clone()
             } else {
-                Act::Silence
+                Reaction::Stall
             }
         });
         two.taken(&Program::start(&two.config(discovery.address)));
@@ -194,19 +198,19 @@
         &list[..list.len() / 2]
     );
     let failures = [
-        Act::AnswerAndClose(String::new()),
-        Act::Answer("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into()),
-        Act::AnswerAndClose(half),
-        Act::Answer(ok("{\"rev\":")),
-        Act::Answer(ok("[]")),
+        Reaction::RespondAndClose(String::new()),
+        Reaction::Respond("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into()),
+        Reaction::RespondAndClose(half),
+        Reaction::Respond(ok_response("{\"rev\":")),
+        Reaction::Respond(ok_response("[]")),
     ];
     for asking in [false, true] {
         for failure in failures.clone() {
             let list = list.clone();
             let discovery = scripted(move |call, _| match call {
                 0 => failure.clone(),
-                1 => Act::Answer(ok(&list)),
-                _ => Act::Silence,
+                1 => Reaction::Respond(ok_response(&list)),
+                _ => Reaction::Stall,
             });
             let config = two.config(discovery.address);
             let program = Program::start(&if asking { asked(config) } else { config });
@@ -227,8 +231,8 @@
         let two = Two::start();
         let list = two.list(rev);
         let discovery = scripted(move |call, _| match call {
-            0 => Act::Answer(ok(&list)),
-            _ => Act::Silence,
+            0 => Reaction::Respond(ok_response(&list)),
+            _ => Reaction::Stall,
         });
         two.taken(&Program::start(&two.config(discovery.address)));
     }
@@ -237,8 +241,9 @@
 /// Versions that go back again and again, with never a whole list: nonsense is not asked for in a loop.
 #[test]
 fn nonsense_is_not_asked_for_in_a_loop() {
-    let discovery = scripted(|_, _| Act::Answer(ok(r#"{"rev":0,"all":false,"targets":[]}"#)));
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let discovery =
+        scripted(|_, _| Reaction::Respond(ok_response(r#"{"rev":0,"all":false,"targets":[]}"#)));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let config = config(discovery.address, &in_service(&[&upstream]));
     let _program = Program::start(&config);
     discovery.request();
@@ -261,19 +266,19 @@
         whole_list(90, &[target("s-old", two.old.address, "in_service")]),
     );
     let former = scripted(move |call, _| match call {
-        0 => Act::Answer(ok(&former_list)),
+        0 => Reaction::Respond(ok_response(&former_list)),
         1 => {
             hold.wait();
-            Act::Answer(ok(&whole_list(91, &[])))
+            Reaction::Respond(ok_response(&whole_list(91, &[])))
         }
-        _ => Act::Silence,
+        _ => Reaction::Stall,
     });
     let list = two.list(2);
     let next = scripted(move |call, _| {
         if call == 0 {
-            Act::Answer(ok(&list))
+            Reaction::Respond(ok_response(&list))
         } else {
-            Act::Silence
+            Reaction::Stall
         }
     });
     let before = two.config(former.address);
@@ -286,14 +291,14 @@
     program.reload(&after.to_string());
     assert!(
         next.request()
-            .first_line
+            .start_line
             .starts_with("GET /v1/servers HTTP"),
         "the whole list, at once"
     );
     assert!(signal.elapsed() < Duration::from_secs(4));
     two.taken(&program);
     answering.wait();
-    former.closed();
+    former.wait_until_closed();
     two.taken(&program);
 }
 
@@ -305,17 +310,17 @@
     let list = Arc::new(list);
     let told = list.clone();
     let discovery = Upstream::start(move |_| match told.lock().unwrap().clone() {
-        Some(list) => Act::Answer(ok(&list)),
-        None => Act::AnswerAndClose(String::new()),
+        Some(list) => Reaction::Respond(ok_response(&list)),
+        None => Reaction::RespondAndClose(String::new()),
     });
     let stale = config(
         discovery.address,
-        &[target("s-gone", refusing(), "in_service")],
+        &[target("s-gone", refused_address(), "in_service")],
     );
     let program = Program::start(&stale);
     let mut front = program.connect();
     front.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-    assert_eq!(front.answer().expect("an answer").status(), 200);
+    assert_eq!(front.read_response().expect("an answer").status(), 200);
     discovery.request();
     assert_eq!(
         program.call("post").status(),
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -6,7 +6,9 @@
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use woadstall_mock_servers::http1::{Act, Upstream, config, ok, refusing, target};
+use woadstall_mock_servers::http1::{
+    Reaction, Upstream, config, ok_response, refused_address, target,
+};
 
 fn folder(name: &str) -> PathBuf {
     let path =
@@ -21,7 +23,7 @@
     let zones: [&'static str; 2] = ["a", "b"];
     let all: Vec<Upstream> = zones
         .into_iter()
-        .map(|zone| Upstream::start(move |_| Act::Answer(ok(zone))))
+        .map(|zone| Upstream::start(move |_| Reaction::Respond(ok_response(zone))))
         .collect();
     let targets: Vec<String> = all
         .iter()
@@ -31,7 +33,7 @@
                 .replace(r#""az":"a""#, &format!(r#""az":"{zone}""#))
         })
         .collect();
-    let mut config = config(refusing(), &targets);
+    let mut config = config(refused_address(), &targets);
     config["settings"]["Zones"] = serde_json::json!(zones);
     (all, config)
 }
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use woadstall::net::{members, places};
-use woadstall_mock_servers::http1::{config, refusing};
+use woadstall_mock_servers::http1::{config, refused_address};
 
 /// Compares with the fixture of this name.
 fn assert_golden(name: &str, text: &str) {
@@ -112,7 +112,7 @@
 #[test]
 fn the_findings_of_a_check_of_configurations() {
     let folder = folder("check-json");
-    let sound = config(refusing(), &[]);
+    let sound = config(refused_address(), &[]);
     let mut files: Vec<(String, String)> = vec![
         ("sound.json".to_owned(), sound.to_string()),
         ("empty.json".to_owned(), String::new()),
--- a/tests/golden_daemon.rs
+++ b/tests/golden_daemon.rs
@@ -8,7 +8,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
 use woadstall_mock_servers::http1::{
-    Act, LONG, Upstream, config, in_service, named_request, ok, refusing, target,
+    LONG_BUDGET, Reaction, Upstream, config, in_service, named_request, ok_response,
+    refused_address, target,
 };
 
 /// Compares with the fixture of this name.
@@ -46,14 +47,15 @@
 
 /// A caller's request that ends its connection.
 fn closing(class: &str, body: &str) -> String {
-    named_request("9b1f03aa00000001", class, LONG, body)
+    named_request("9b1f03aa00000001", class, LONG_BUDGET, body)
         .replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
 }
 
 #[test]
 fn answers_to_callers() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
-    let (program, _) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
+    let (program, _) =
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let pay = closing("pay", "body");
     let cases = [
         ("it is served", pay.clone()),
@@ -81,7 +83,7 @@
         ),
         (
             "a budget that is over",
-            pay.replace(&format!("X-Budget: {LONG}"), "X-Budget: 0"),
+            pay.replace(&format!("X-Budget: {LONG_BUDGET}"), "X-Budget: 0"),
         ),
         (
             "too large",
@@ -98,11 +100,16 @@
 
 #[test]
 fn answers_where_upstreams_fail_or_are_not_there() {
-    let failing =
-        Upstream::start(|_| Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()));
-    let (program, _) = Program::start_with_admin(&config(refusing(), &in_service(&[&failing])));
+    let failing = Upstream::start(|_| {
+        Reaction::Respond("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into())
+    });
+    let (program, _) =
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&failing])));
     let failed = exchange(program.address, &closing("post", "body"));
-    let gone = config(refusing(), &[target("s-0", refusing(), "in_service")]);
+    let gone = config(
+        refused_address(),
+        &[target("s-0", refused_address(), "in_service")],
+    );
     let (program, _) = Program::start_with_admin(&gone);
     let refused = exchange(program.address, &closing("post", "body"));
     let refused: String = refused
@@ -120,8 +127,9 @@
 
 #[test]
 fn what_an_upstream_reads() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
-    let (program, _) = Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
+    let (program, _) =
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let mut text = String::new();
     for class in ["look", "pay", "post"] {
         exchange(
@@ -131,7 +139,7 @@
         let message = upstream.request();
         let mut headers: Vec<_> = message.headers.iter().collect();
         headers.sort();
-        text += &format!("{}\n", message.first_line);
+        text += &format!("{}\n", message.start_line);
         for (name, value) in headers {
             let masked = ["host", "x-budget"].contains(&name.as_str());
             text += &format!(
@@ -166,9 +174,9 @@
 
 #[test]
 fn answers_to_operators() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let (_program, admin) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let paths = [
         "/control/ready",
         "/control/out-of-service",
@@ -185,12 +193,12 @@
 
 #[test]
 fn the_counters() {
-    let upstream = Upstream::start(|message| match message.first_line.contains("post") {
-        true => Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()),
-        false => Act::Answer(ok("done")),
+    let upstream = Upstream::start(|message| match message.start_line.contains("post") {
+        true => Reaction::Respond("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()),
+        false => Reaction::Respond(ok_response("done")),
     });
     let (program, admin) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     for class in ["look", "look", "pay", "post", "none"] {
         exchange(
             program.address,
@@ -222,7 +230,7 @@
         ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
         ("LB_NAME", "balancer-one".to_owned()),
     ];
-    let (_program, admin) = Program::start_in(&config(refusing(), &[]), &environment);
+    let (_program, admin) = Program::start_in(&config(refused_address(), &[]), &environment);
     let counters = exchange(
         admin.address,
         "GET /control/counters HTTP/1.1\r\nHost: operators\r\n\r\n",
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use woadstall_mock_servers::http1::{config, refusing};
+use woadstall_mock_servers::http1::{config, refused_address};
 
 fn folder() -> PathBuf {
     let path =
@@ -30,7 +30,7 @@
         ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
         ("LB_NAME", name.to_owned()),
     ];
-    let (program, admin) = Program::start_in(&config(refusing(), &[]), &environment);
+    let (program, admin) = Program::start_in(&config(refused_address(), &[]), &environment);
     (program, admin, free)
 }
 
@@ -88,7 +88,7 @@
 /// Without the section, operators' calls are what they were, and the command says why there is nothing.
 #[test]
 fn absent_there_is_nothing_of_it() {
-    let (_program, admin) = Program::start_with_admin(&config(refusing(), &[]));
+    let (_program, admin) = Program::start_with_admin(&config(refused_address(), &[]));
     assert_eq!(admin.get("/control/instances").status(), 404);
     assert!(!admin.figures().keys().any(|name| name.contains("members")));
     let (sound, text) = told(&admin, &[]);
@@ -124,7 +124,8 @@
             "{said}"
         );
         let environment = [("LB_OPERATOR", file.to_str().unwrap().to_owned())];
-        let (status, said) = run_to_end_in(&config(refusing(), &[]).to_string(), &environment);
+        let (status, said) =
+            run_to_end_in(&config(refused_address(), &[]).to_string(), &environment);
         assert!(
             !status.success() && said.contains(field) && said.lines().count() == 1,
             "{said}"
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -8,9 +8,9 @@
 
 #[test]
 fn ready_is_told_at_the_second_address_alone() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let (program, admin) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     assert_eq!(admin.get("/control/ready").status(), 200);
     assert_eq!(admin.get("/control/nothing").status(), 404);
     assert_eq!(
@@ -21,12 +21,12 @@
     let mut caller = program.connect();
     caller.write("GET /control/ready HTTP/1.1\r\nHost: b\r\n\r\n");
     assert_eq!(
-        caller.answer().unwrap().status(),
+        caller.read_response().unwrap().status(),
         404,
         "callers can't reach the operators' calls"
     );
 
-    let (_program, admin) = Program::start_with_admin(&config(refusing(), &[]));
+    let (_program, admin) = Program::start_with_admin(&config(refused_address(), &[]));
     assert_eq!(
         admin.get("/control/ready").status(),
         503,
@@ -36,18 +36,18 @@
 
 #[test]
 fn figures_are_what_callers_got() {
-    let upstream = Upstream::start(|message| match message.first_line.as_str() {
-        line if line.contains("look") => Act::Answer(ok("seen")),
-        line if line.contains("pay") => Act::Answer(full()),
-        _ => Act::AnswerAndClose(String::new()),
+    let upstream = Upstream::start(|message| match message.start_line.as_str() {
+        line if line.contains("look") => Reaction::Respond(ok_response("seen")),
+        line if line.contains("pay") => Reaction::Respond(overloaded_response()),
+        _ => Reaction::RespondAndClose(String::new()),
     });
     let (program, admin) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     for (class, status) in [("look", 200), ("look", 200), ("post", 502), ("pay", 503)] {
         assert_eq!(program.call(class).status(), status);
     }
     let figures = admin.figures();
-    let tries = upstream.requests();
+    let tries = upstream.count_requests();
     let expected = [
         (r#"balancer_ok{kind="look"}"#, 2),
         (r#"balancer_errors{kind="look"}"#, 0),
@@ -65,7 +65,7 @@
 /// Guards against a few silent connections that keep operators out when they are needed.
 #[test]
 fn held_connections_keep_no_operator_out() {
-    let (_program, admin) = Program::start_with_admin(&config(refusing(), &[]));
+    let (_program, admin) = Program::start_with_admin(&config(refused_address(), &[]));
     let held: Vec<_> = (0..50)
         .map(|_| {
             let mut held = admin.connect();
@@ -79,19 +79,19 @@
 
 #[test]
 fn a_drain_sends_clients_away_and_turns_no_request_back() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let (program, admin) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let healthy = || {
         let mut caller = program.connect();
         caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
-        caller.answer().unwrap().status()
+        caller.read_response().unwrap().status()
     };
     let mut idle = program.connect();
-    assert_eq!(idle.call("look", LONG, "").unwrap().status(), 200);
+    assert_eq!(idle.call("look", LONG_BUDGET, "").unwrap().status(), 200);
     let mut busy = program.connect();
     let mut writing = program.connect();
-    let request = request("look", LONG, "");
+    let request = request("look", LONG_BUDGET, "");
     let (start, end) = request.split_at(40);
     assert_eq!(healthy(), 200);
 
@@ -100,7 +100,7 @@
     assert_eq!(healthy(), 503);
     // A client in the midst of its requests goes when an answer tells it to, and no request of it is lost.
     loop {
-        let answer = busy.call("look", LONG, "").expect("an answer");
+        let answer = busy.call("look", LONG_BUDGET, "").expect("an answer");
         assert_eq!(answer.status(), 200);
         if answer
             .headers
@@ -112,7 +112,10 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     writing.write(start);
-    assert!(idle.answer().is_none(), "an idle connection is closed");
+    assert!(
+        idle.read_response().is_none(),
+        "an idle connection is closed"
+    );
     assert!(
         asked.elapsed() < Duration::from_millis(3500),
         "{:?}",
@@ -120,7 +123,7 @@
     );
     writing.write(end);
     assert_eq!(
-        writing.answer().unwrap().status(),
+        writing.read_response().unwrap().status(),
         200,
         "whoever was writing gets its answer"
     );
@@ -129,7 +132,7 @@
     assert_eq!(healthy(), 200);
     let mut caller = program.connect();
     for _ in 0..3 {
-        let answer = caller.call("look", LONG, "").expect("an answer");
+        let answer = caller.call("look", LONG_BUDGET, "").expect("an answer");
         assert!(
             !answer.headers.contains_key("connection"),
             "clients stay again"
@@ -140,8 +143,8 @@
 /// Guards the start of an upgrade: the successor must be able to listen while its predecessor serves.
 #[test]
 fn a_second_process_serves_beside_the_first_and_alone_after_it() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
-    let mut settings = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
+    let mut settings = config(refused_address(), &in_service(&[&upstream]));
     let (first, _) = Program::start_with_admin(&settings);
     settings["listen"] = first.address.to_string().into();
     let (second, admin) = Program::start_with_admin(&settings);
@@ -174,9 +177,9 @@
 
 #[test]
 fn classes_come_and_go_at_a_reload_and_requests_under_way_keep_theirs() {
-    let upstream = Upstream::start(|message| match message.first_line.contains("look") {
-        true => Act::Answer(ok("seen")),
-        false => Act::Silence,
+    let upstream = Upstream::start(|message| match message.start_line.contains("look") {
+        true => Reaction::Respond(ok_response("seen")),
+        false => Reaction::Stall,
     });
     let discovery = Discovery::start();
     let before = config(discovery.address, &in_service(&[&upstream]));
@@ -200,18 +203,18 @@
     let mut caller = program.connect();
     caller.send("fresh", "0.2", "b");
     assert_eq!(
-        caller.answer().unwrap().status(),
+        caller.read_response().unwrap().status(),
         502,
         "it is sent, and the upstream is silent"
     );
-    assert_eq!(upstream.request().first_line, "POST /fresh?x=1 HTTP/1.1");
+    assert_eq!(upstream.request().start_line, "POST /fresh?x=1 HTTP/1.1");
     assert_eq!(
         program.call("look").status(),
         200,
         "a caller that has not heard of the change yet"
     );
     assert_eq!(
-        under_way.answer().unwrap().status(),
+        under_way.read_response().unwrap().status(),
         502,
         "it ends as it began, at its deadline"
     );
@@ -224,18 +227,18 @@
 /// Guards rule 2 over a change: what is stricter holds for each request that comes after it.
 #[test]
 fn a_stricter_effect_and_fewer_attempts_hold_after_a_reload() {
-    let upstream = Upstream::start(|_| Act::AnswerAndClose(String::new()));
-    let before = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
+    let before = config(refused_address(), &in_service(&[&upstream]));
     let (mut program, _) = Program::start_with_admin(&before);
     assert_eq!(program.call("pay").status(), 502);
-    assert!(upstream.requests() > 1, "keyed work is sent again");
+    assert!(upstream.count_requests() > 1, "keyed work is sent again");
 
     let mut fewer = before.clone();
     fewer["settings"]["Limits"]["TryLimit"] = 1.into();
     program.reload(&fewer.to_string());
     program.logged("configuration read again");
     assert_eq!(program.call("pay").status(), 502);
-    assert_eq!(upstream.requests(), 1);
+    assert_eq!(upstream.count_requests(), 1);
 
     let strict = with_classes(&before, |classes| {
         classes[1]["Effect"] = "non_idempotent".into()
@@ -243,16 +246,16 @@
     program.reload(&strict.to_string());
     program.logged("configuration read again");
     let mut caller = program.connect();
-    let request = request("pay", LONG, "b").replace("Idempotency-Key: 5c0f6e1a\r\n", "");
+    let request = request("pay", LONG_BUDGET, "b").replace("Idempotency-Key: 5c0f6e1a\r\n", "");
     caller.write(&request);
-    assert_eq!(caller.answer().unwrap().status(), 502);
-    assert_eq!(upstream.requests(), 1);
+    assert_eq!(caller.read_response().unwrap().status(), 502);
+    assert_eq!(upstream.count_requests(), 1);
 }
 
 #[test]
 fn a_broken_file_changes_nothing_and_is_counted() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("seen")));
-    let good = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("seen")));
+    let good = config(refused_address(), &in_service(&[&upstream]));
     let (mut program, admin) = Program::start_with_admin(&good);
     let text = good.to_string();
     let wrong = |change: &dyn Fn(&mut serde_json::Value)| {
@@ -310,28 +313,28 @@
         )
     };
     let (whole, sent) = (answer.clone(), large(2 << 20));
-    let upstream = Upstream::start(move |message| match message.first_line.contains("pay") {
-        true => Act::Answer(chunked.clone()),
-        false => Act::Answer(ok(&whole)),
+    let upstream = Upstream::start(move |message| match message.start_line.contains("pay") {
+        true => Reaction::Respond(chunked.clone()),
+        false => Reaction::Respond(ok_response(&whole)),
     });
     let (program, admin) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     for _ in 0..3 {
-        let got = caller.call("post", LONG, &sent).expect("an answer");
+        let got = caller.call("post", LONG_BUDGET, &sent).expect("an answer");
         assert!(
             got.status() == 200 && got.body == answer.as_bytes(),
             "{}",
-            got.first_line
+            got.start_line
         );
         assert!(upstream.request().body == sent.as_bytes());
     }
-    caller.send("pay", LONG, "b");
-    assert!(caller.chunked_answer().expect("an answer") == answer.as_bytes());
+    caller.send("pay", LONG_BUDGET, "b");
+    assert!(caller.read_chunked_body().expect("an answer") == answer.as_bytes());
     let connections = upstream
-        .seen
+        .events
         .try_iter()
-        .filter(|seen| matches!(seen, Seen::Connected))
+        .filter(|seen| matches!(seen, UpstreamEvent::Connected))
         .count();
     assert_eq!(connections, 0, "the first connection serves them all");
     assert_eq!(admin.figures()[r#"balancer_ok{kind="post"}"#], 3.0);
@@ -341,15 +344,15 @@
 /// Guards the memory: answers of many callers that read nothing must not be held here.
 #[test]
 fn answers_that_nobody_reads_take_no_memory() {
-    let upstream = Upstream::start(|_| Act::Answer(ok(&large(16 << 20))));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response(&large(16 << 20))));
     let (program, admin) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     program.call("look");
     let before = program.memory();
     let mut callers: Vec<_> = (0..12).map(|_| program.connect()).collect();
     callers
         .iter_mut()
-        .for_each(|caller| caller.send("look", LONG, ""));
+        .for_each(|caller| caller.send("look", LONG_BUDGET, ""));
     for caller in &mut callers {
         caller.await_data();
     }
@@ -358,7 +361,7 @@
     assert_eq!(admin.figures()["balancer_active"], 12.0);
     let mut last = callers.pop().unwrap();
     assert_eq!(
-        last.answer().expect("an answer").body.len(),
+        last.read_response().expect("an answer").body.len(),
         large(16 << 20).len()
     );
     drop(callers);
@@ -374,16 +377,16 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{}",
         large(200_000)
     );
-    let upstream = Upstream::start(move |_| Act::AnswerAndClose(broken.clone()));
+    let upstream = Upstream::start(move |_| Reaction::RespondAndClose(broken.clone()));
     let (program, admin) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
-    caller.send("look", LONG, "");
+    caller.send("look", LONG_BUDGET, "");
     assert!(
-        caller.answer().is_none(),
+        caller.read_response().is_none(),
         "the answer is short of its length"
     );
-    assert_eq!(upstream.requests(), 1);
+    assert_eq!(upstream.count_requests(), 1);
     while admin.figures()["balancer_active"] > 0.0 {
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -392,13 +395,13 @@
 
 #[test]
 fn bodies_beyond_the_memory_are_refused_and_slow_ones_waited_for() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let mut settings = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
+    let mut settings = config(refused_address(), &in_service(&[&upstream]));
     settings["limits"]["memory_mb"] = 24.into();
     let (program, _) = Program::start_with_admin(&settings);
     let start = |length: usize| {
         let mut caller = program.connect();
-        let head = request("post", LONG, "")
+        let head = request("post", LONG_BUDGET, "")
             .replace("Content-Length: 0", &format!("Content-Length: {length}"));
         caller.write(&head);
         caller
@@ -406,19 +409,22 @@
     let (mut first, mut second) = (start(5 << 20), start(64 << 10));
     let mut third = start(5 << 20);
     assert_eq!(
-        third.answer().expect("an answer").status(),
+        third.read_response().expect("an answer").status(),
         503,
         "the first two have the room"
     );
-    assert_eq!(start(40 << 20).answer().expect("an answer").status(), 413);
+    assert_eq!(
+        start(40 << 20).read_response().expect("an answer").status(),
+        413
+    );
     // Longer than any head may take: what counts is that it goes on.
     for part in large(64 << 10).as_bytes().chunks(4 << 10) {
         second.write(std::str::from_utf8(part).unwrap());
         std::thread::sleep(Duration::from_millis(200));
     }
-    assert_eq!(second.answer().expect("an answer").status(), 200);
+    assert_eq!(second.read_response().expect("an answer").status(), 200);
     assert!(
-        first.answer().is_none(),
+        first.read_response().is_none(),
         "a body that does not come is not waited for"
     );
 }
@@ -435,10 +441,11 @@
 fn a_successor_knows_what_its_predecessor_has_learned() {
     let folder = shared("upgrade");
     let environment = [("TMPDIR", folder.to_str().unwrap().to_owned())];
-    let sound = Upstream::start(|_| Act::Answer(ok("done")));
-    let broken =
-        Upstream::start(|_| Act::Answer("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()));
-    let mut settings = config(refusing(), &in_service(&[&sound, &broken]));
+    let sound = Upstream::start(|_| Reaction::Respond(ok_response("done")));
+    let broken = Upstream::start(|_| {
+        Reaction::Respond("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into())
+    });
+    let mut settings = config(refused_address(), &in_service(&[&sound, &broken]));
     let (first, operators) = Program::start_in(&settings, &environment);
     while operators.figures()["balancer_pool_ejected"] == 0.0 {
         assert_eq!(first.call("look").status(), 200);
@@ -466,8 +473,8 @@
     use std::io::Write;
     let folder = shared("nonsense");
     let environment = [("TMPDIR", folder.to_str().unwrap().to_owned())];
-    let upstream = Upstream::start(|_| Act::Answer(ok("done")));
-    let mut settings = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
+    let mut settings = config(refused_address(), &in_service(&[&upstream]));
     let (first, _) = Program::start_in(&settings, &environment);
     settings["listen"] = first.address.to_string().into();
     let path = folder.join(format!(
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -25,9 +25,9 @@
             true => {
                 hold.wait();
                 broke.wait();
-                Act::AnswerAndClose(String::new())
+                Reaction::RespondAndClose(String::new())
             }
-            false => Act::Answer(ok("served")),
+            false => Reaction::Respond(ok_response("served")),
         });
         Self {
             upstream,
@@ -45,14 +45,14 @@
         held,
         broken,
     } = Breaking::start();
-    let other = Upstream::start(|_| Act::Answer(ok("repeated")));
+    let other = Upstream::start(|_| Reaction::Respond(ok_response("repeated")));
     let discovery = Discovery::start();
     let before = config(discovery.address, &in_service(&[&upstream]));
     discovery.set(&in_service(&[&upstream]));
     let mut program = Program::start(&before);
-    discovery.watched();
+    discovery.wait_until_watched();
     let mut caller = program.connect();
-    caller.send("pay", LONG, "first");
+    caller.send("pay", LONG_BUDGET, "first");
     held.wait();
     discovery.publish(&[target("s-other", other.address, "in_service")]);
     let mut after = before.clone();
@@ -60,8 +60,8 @@
     program.reload(&after.to_string());
     program.logged("configuration read again");
     broken.wait();
-    let status = caller.answer().expect("an answer").status();
-    (status, other.requests())
+    let status = caller.read_response().expect("an answer").status();
+    (status, other.count_requests())
 }
 
 #[test]
@@ -101,10 +101,10 @@
         broken,
     } = Breaking::start();
     for rename in [false, true] {
-        let before = config(refusing(), &in_service(&[&upstream]));
+        let before = config(refused_address(), &in_service(&[&upstream]));
         let mut program = Program::start(&before);
         let mut caller = program.connect();
-        caller.send("post", LONG, "first");
+        caller.send("post", LONG_BUDGET, "first");
         held.wait();
         let mut after = before.clone();
         let classes = after["settings"]["Classes"].as_array_mut().unwrap();
@@ -114,14 +114,14 @@
         }
         program.reload(&after.to_string());
         program.logged("configuration read again");
-        upstream.seen.try_iter().for_each(drop);
+        upstream.events.try_iter().for_each(drop);
         broken.wait();
         assert_eq!(
-            caller.answer().expect("an answer").status(),
+            caller.read_response().expect("an answer").status(),
             502,
             "unsafe work stays so"
         );
-        assert_eq!(upstream.requests(), 0, "it may have run");
+        assert_eq!(upstream.count_requests(), 0, "it may have run");
         for class in ["look", "pay"] {
             assert_eq!(
                 program.call(class).status(),
@@ -130,11 +130,11 @@
             );
         }
         if rename {
-            let request = request("post", LONG, "b").replace("post", "send");
+            let request = request("post", LONG_BUDGET, "b").replace("post", "send");
             let mut caller = program.connect();
             caller.write(&request);
-            assert_eq!(caller.answer().expect("an answer").status(), 200);
+            assert_eq!(caller.read_response().expect("an answer").status(), 200);
         }
-        upstream.seen.try_iter().for_each(drop);
+        upstream.events.try_iter().for_each(drop);
     }
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -16,13 +16,13 @@
     let (let_go, held) = channel();
     let held = Mutex::new(held);
     let upstream = Upstream::start(move |message| {
-        if message.first_line.starts_with("POST") {
+        if message.start_line.starts_with("POST") {
             held.lock()
                 .unwrap()
-                .recv_timeout(PATIENCE)
+                .recv_timeout(TEST_TIMEOUT)
                 .expect("to be let go");
         }
-        Act::Answer(ok(&String::from_utf8_lossy(&message.body)))
+        Reaction::Respond(ok_response(&String::from_utf8_lossy(&message.body)))
     });
     (upstream, let_go)
 }
@@ -40,20 +40,24 @@
 fn requests_written_ahead_are_answered_before_the_connection_ends() {
     let (upstream, let_go) = holding();
     let (program, operators) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     let bodies = ["one", "two", "three"];
-    caller.write(&bodies.map(|body| request("post", LONG, body)).concat());
+    caller.write(
+        &bodies
+            .map(|body| request("post", LONG_BUDGET, body))
+            .concat(),
+    );
     upstream.request();
     terminate(&program, &operators);
     for body in bodies {
         let_go.send(()).unwrap();
         let answer = caller
-            .answer()
+            .read_response()
             .unwrap_or_else(|| panic!("no answer to {body}"));
         assert_eq!((answer.status(), &answer.body[..]), (200, body.as_bytes()));
     }
-    assert!(caller.answer().is_none(), "then it ends");
+    assert!(caller.read_response().is_none(), "then it ends");
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
 }
@@ -62,12 +66,12 @@
 /// reset, which would overtake what was written last.
 #[test]
 fn a_request_that_crosses_the_close_finds_an_orderly_end() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
+    let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut resting = TcpStream::connect(program.address).unwrap();
-    resting.set_read_timeout(Some(PATIENCE)).unwrap();
+    resting.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     resting
-        .write_all(request("look", LONG, "").as_bytes())
+        .write_all(request("look", LONG_BUDGET, "").as_bytes())
         .unwrap();
     assert!(resting.read(&mut [0; 1024]).unwrap() > 0, "an answer");
     upstream.request();
@@ -79,7 +83,7 @@
         "the end of the connection"
     );
     resting
-        .write_all(request("post", LONG, "crossing").as_bytes())
+        .write_all(request("post", LONG_BUDGET, "crossing").as_bytes())
         .unwrap();
     resting.shutdown(Shutdown::Write).unwrap();
     let (status, log) = program.end();
@@ -87,27 +91,31 @@
     let after = resting.read(&mut [0; 1024]);
     assert!(matches!(after, Ok(0)), "reset: {after:?}");
     assert!(resting.take_error().unwrap().is_none());
-    assert_eq!(upstream.requests(), 0, "read after the end and sent on");
+    assert_eq!(
+        upstream.count_requests(),
+        0,
+        "read after the end and sent on"
+    );
 }
 
 /// Half a head that stands there at the signal is waited for, and the request is served.
 #[test]
 fn a_head_that_has_begun_may_come_to_its_end() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
     let (program, operators) =
-        Program::start_with_admin(&config(refusing(), &in_service(&[&upstream])));
-    let whole = request("post", LONG, "b");
+        Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
+    let whole = request("post", LONG_BUDGET, "b");
     let (begin, rest) = whole.split_at(whole.len() / 2);
     let (mut caller, mut other) = (program.connect(), program.connect());
     caller.write(begin);
-    assert_eq!(other.call("look", LONG, "").unwrap().status(), 200);
+    assert_eq!(other.call("look", LONG_BUDGET, "").unwrap().status(), 200);
     terminate(&program, &operators);
     assert!(
-        other.answer().is_none(),
+        other.read_response().is_none(),
         "connections between requests are closed by now"
     );
     caller.write(rest);
-    assert_eq!(caller.answer().expect("an answer").body, b"served");
+    assert_eq!(caller.read_response().expect("an answer").body, b"served");
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
 }
@@ -116,10 +124,10 @@
 #[test]
 fn further_signals_during_a_drain_change_nothing() {
     let (upstream, let_go) = holding();
-    let before = config(refusing(), &in_service(&[&upstream]));
+    let before = config(refused_address(), &in_service(&[&upstream]));
     let (program, operators) = Program::start_with_admin(&before);
     let mut caller = program.connect();
-    caller.send("post", LONG, "held");
+    caller.send("post", LONG_BUDGET, "held");
     upstream.request();
     terminate(&program, &operators);
     program.reload("{");
@@ -130,7 +138,7 @@
         "it still runs"
     );
     let_go.send(()).unwrap();
-    assert_eq!(caller.answer().expect("an answer").body, b"held");
+    assert_eq!(caller.read_response().expect("an answer").body, b"held");
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
 }
@@ -138,11 +146,11 @@
 /// Nothing is owed to idle clients: they hold up no exit, though they never close.
 #[test]
 fn exits_soon_where_nothing_is_owed() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let program = Program::start(&config(refusing(), &in_service(&[&upstream])));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
+    let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut idle: Vec<Caller> = (0..8).map(|_| program.connect()).collect();
     for caller in &mut idle {
-        assert_eq!(caller.call("look", LONG, "").unwrap().status(), 200);
+        assert_eq!(caller.call("look", LONG_BUDGET, "").unwrap().status(), 200);
     }
     let signal = Instant::now();
     program.terminate();
@@ -159,19 +167,19 @@
 /// A client that sends more than it was answered for: its body is unread when it is refused, and the refusal arrives.
 #[test]
 fn a_refusal_arrives_whole_though_the_body_is_not_read() {
-    let upstream = Upstream::start(|_| Act::Silence);
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| Reaction::Stall);
+    let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 104.into(); // room for twenty callers
     let program = Program::start(&config);
     let mut busy: Vec<Caller> = (0..20).map(|_| program.connect()).collect();
     for caller in &mut busy {
-        caller.send("post", LONG, "b");
+        caller.send("post", LONG_BUDGET, "b");
         upstream.request();
     }
     for _ in 0..20 {
         let mut stream = TcpStream::connect(program.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let refused = request("post", LONG, &"b".repeat(256 << 10));
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        let refused = request("post", LONG_BUDGET, &"b".repeat(256 << 10));
         let written = stream.write_all(refused.as_bytes());
         assert!(written.is_ok(), "reset while it wrote: {written:?}");
         let mut answer = Vec::new();
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -9,21 +9,21 @@
 use woadstall_mock_servers::http1::*;
 
 fn served_by(upstream: &Upstream) -> Program {
-    Program::start(&config(refusing(), &in_service(&[upstream])))
+    Program::start(&config(refused_address(), &in_service(&[upstream])))
 }
 
 /// The first request ends with `first`, all later ones are served.
-fn once(first: Act) -> impl Fn(&Message) -> Act + Send + Sync {
+fn once(first: Reaction) -> impl Fn(&Message) -> Reaction + Send + Sync {
     let count = AtomicUsize::new(0);
     move |_| match count.fetch_add(1, Ordering::Relaxed) {
         0 => first.clone(),
-        _ => Act::Answer(ok("second")),
+        _ => Reaction::Respond(ok_response("second")),
     }
 }
 
 #[test]
 fn forwards_a_request_and_its_answer_unchanged() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("the answer")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("the answer")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
     caller.write(&named_request(
@@ -32,13 +32,13 @@
         "12.5",
         "the body",
     ));
-    let answer = caller.answer().unwrap();
+    let answer = caller.read_response().unwrap();
     assert_eq!(
         (answer.status(), &answer.body[..]),
         (200, &b"the answer"[..])
     );
     let got = upstream.request();
-    assert_eq!(got.first_line, "POST /pay?x=1 HTTP/1.1");
+    assert_eq!(got.start_line, "POST /pay?x=1 HTTP/1.1");
     assert_eq!(got.body, b"the body");
     assert_eq!(got.headers["x-call-id"], "9b1f03aa5c7e2d41");
     assert_eq!(got.headers["idempotency-key"], "5c0f6e1a");
@@ -51,28 +51,28 @@
 
 #[test]
 fn uses_a_connection_again() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
     for _ in 0..20 {
-        assert_eq!(caller.call("post", LONG, "b").unwrap().status(), 200);
+        assert_eq!(caller.call("post", LONG_BUDGET, "b").unwrap().status(), 200);
     }
     let connections = upstream
-        .seen
+        .events
         .try_iter()
-        .filter(|seen| matches!(seen, Seen::Connected))
+        .filter(|seen| matches!(seen, UpstreamEvent::Connected))
         .count();
     assert_eq!(connections, 1);
 }
 
 #[test]
 fn does_not_write_to_a_connection_that_its_upstream_closed() {
-    let upstream = Upstream::start(|_| Act::AnswerAndClose(ok("")));
+    let upstream = Upstream::start(|_| Reaction::RespondAndClose(ok_response("")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
     for _ in 0..50 {
-        assert_eq!(caller.call("post", LONG, "b").unwrap().status(), 200);
-        upstream.closed();
+        assert_eq!(caller.call("post", LONG_BUDGET, "b").unwrap().status(), 200);
+        upstream.wait_until_closed();
     }
 }
 
@@ -82,15 +82,15 @@
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     let vague = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     for first in ["", partial, error, vague] {
-        let upstream = Upstream::start(once(Act::AnswerAndClose(first.into())));
+        let upstream = Upstream::start(once(Reaction::RespondAndClose(first.into())));
         let program = served_by(&upstream);
         let answer = program.call("post");
         assert!(
             ![200, 429, 503].contains(&answer.status()),
             "{first:?} became {}",
-            answer.first_line
+            answer.start_line
         );
-        assert_eq!(upstream.requests(), 1, "{first:?}");
+        assert_eq!(upstream.count_requests(), 1, "{first:?}");
     }
 }
 
@@ -98,7 +98,7 @@
 fn sends_keyed_work_again_after_an_answer_that_broke_off() {
     let partial = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part";
     for first in ["", partial] {
-        let upstream = Upstream::start(once(Act::AnswerAndClose(first.into())));
+        let upstream = Upstream::start(once(Reaction::RespondAndClose(first.into())));
         let answer = served_by(&upstream).call("pay");
         assert_eq!(
             (answer.status(), &answer.body[..]),
@@ -110,19 +110,19 @@
 
 #[test]
 fn sends_unsafe_work_again_that_never_ran() {
-    let upstream = Upstream::start(once(Act::Answer(full())));
+    let upstream = Upstream::start(once(Reaction::Respond(overloaded_response())));
     assert_eq!(
         served_by(&upstream).call("post").status(),
         200,
         "turned away, then served"
     );
 
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let list = [
-        target("s-dead", refusing(), "in_service"),
+        target("s-dead", refused_address(), "in_service"),
         target("s-0", upstream.address, "in_service"),
     ];
-    let program = Program::start(&config(refusing(), &list));
+    let program = Program::start(&config(refused_address(), &list));
     for _ in 0..4 {
         assert_eq!(
             program.call("post").status(),
@@ -134,7 +134,7 @@
 
 #[test]
 fn refuses_with_advice_when_all_upstreams_turn_work_away() {
-    let upstream = Upstream::start(|_| Act::Answer(full()));
+    let upstream = Upstream::start(|_| Reaction::Respond(overloaded_response()));
     let answer = served_by(&upstream).call("post");
     assert_eq!(answer.status(), 503);
     let back: f64 = answer.headers["retry-after"].parse().unwrap();
@@ -143,7 +143,7 @@
 
 #[test]
 fn answers_in_time_where_an_upstream_is_silent() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| Reaction::Stall);
     let program = served_by(&upstream);
     let asked = Instant::now();
     let answer = program
@@ -156,23 +156,23 @@
         "it waits as long as the caller"
     );
     upstream.request();
-    upstream.closed(); // or the upstream would work on for nobody
+    upstream.wait_until_closed(); // or the upstream would work on for nobody
 }
 
 #[test]
 fn withdraws_the_attempt_of_a_caller_that_left() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| Reaction::Stall);
     let program = served_by(&upstream);
     let mut caller = program.connect();
-    caller.send("post", LONG, "b");
+    caller.send("post", LONG_BUDGET, "b");
     upstream.request();
     drop(caller);
-    upstream.closed();
+    upstream.wait_until_closed();
 }
 
 #[test]
 fn answers_bad_requests_itself() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = served_by(&upstream);
     let good = named_request("9b1f03aa5c7e2d41", "pay", "1.0", "body");
     let cases = [
@@ -214,21 +214,21 @@
         let mut caller = program.connect();
         caller.write(&text);
         let answer = caller
-            .answer()
+            .read_response()
             .unwrap_or_else(|| panic!("no answer to {text:?}"));
         assert_eq!(answer.status(), status, "{text:?}");
     }
-    assert_eq!(upstream.requests(), 0);
+    assert_eq!(upstream.count_requests(), 0);
     assert_eq!(program.call("pay").status(), 200, "it serves on");
 }
 
 /// Guards against a request hidden in the body of another: one side goes by the length, the other by the chunks.
 #[test]
 fn refuses_a_request_with_both_lengths() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = served_by(&upstream);
-    let hidden = format!("0\r\n\r\n{}", request("post", LONG, "hidden"));
-    let plain = request("pay", LONG, "");
+    let hidden = format!("0\r\n\r\n{}", request("post", LONG_BUDGET, "hidden"));
+    let plain = request("pay", LONG_BUDGET, "");
     let (length, chunked) = (
         format!("Content-Length: {}\r\n", hidden.len()),
         "Transfer-Encoding: chunked\r\n",
@@ -236,20 +236,24 @@
     for both in [format!("{length}{chunked}"), format!("{chunked}{length}")] {
         let mut caller = program.connect();
         caller.write(&(plain.replace("Content-Length: 0\r\n", &both) + &hidden));
-        assert_eq!(caller.answer().expect("an answer").status(), 400, "{both}");
+        assert_eq!(
+            caller.read_response().expect("an answer").status(),
+            400,
+            "{both}"
+        );
         assert!(
-            caller.answer().is_none(),
+            caller.read_response().is_none(),
             "the connection is of no further use"
         );
     }
-    assert_eq!(upstream.requests(), 0);
+    assert_eq!(upstream.count_requests(), 0);
     let mut caller = program.connect();
     caller.write(&plain.replace(
         "Content-Length: 0\r\n\r\n",
         &format!("{chunked}\r\n3\r\nabc\r\n0\r\n\r\n"),
     ));
     assert_eq!(
-        caller.answer().unwrap().status(),
+        caller.read_response().unwrap().status(),
         200,
         "chunks alone are sound"
     );
@@ -259,9 +263,9 @@
 /// Guards the places and the memory: a request is owed within a few seconds, and a head has an end.
 #[test]
 fn sends_callers_away_that_never_finish_a_request() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = served_by(&upstream);
-    let good = request("pay", LONG, "body");
+    let good = request("pay", LONG_BUDGET, "body");
     let head = good.split("X-Budget").next().unwrap();
     let cases = [
         "",
@@ -274,22 +278,26 @@
         caller.write(begun);
         // An error or the end comes; the program would else wait for the rest, and the test with it.
         assert!(
-            caller.answer().is_none_or(|answer| answer.status() == 408),
+            caller
+                .read_response()
+                .is_none_or(|answer| answer.status() == 408),
             "{begun:?}"
         );
     }
     let mut caller = program.connect();
     caller.write(&format!("{head}X-Pad: {}", "p".repeat(20 << 10)));
     assert!(
-        caller.answer().is_none_or(|answer| answer.status() == 431),
+        caller
+            .read_response()
+            .is_none_or(|answer| answer.status() == 431),
         "a head over 8 KiB"
     );
-    assert_eq!(upstream.requests(), 0);
+    assert_eq!(upstream.count_requests(), 0);
     let mut caller = program.connect();
-    assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
+    assert_eq!(caller.call("pay", LONG_BUDGET, "b").unwrap().status(), 200);
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(
-        caller.call("pay", LONG, "b").unwrap().status(),
+        caller.call("pay", LONG_BUDGET, "b").unwrap().status(),
         200,
         "one that has asked may rest"
     );
@@ -298,28 +306,28 @@
 /// Guards usual clients against crowds: those that have never asked go first.
 #[test]
 fn a_silent_crowd_pushes_out_nobody_else() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
+    let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 100.into();
     let program = Program::start(&config);
     let mut caller = program.connect();
-    assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
+    assert_eq!(caller.call("pay", LONG_BUDGET, "b").unwrap().status(), 200);
     let crowd: Vec<Caller> = (0..150).map(|_| program.connect()).collect();
     assert_eq!(
         program.call("post").status(),
         200,
         "a new caller finds a place"
     );
-    assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
+    assert_eq!(caller.call("pay", LONG_BUDGET, "b").unwrap().status(), 200);
     drop(crowd);
 }
 
 /// Guards against answers that cannot be told apart.
 #[test]
 fn refuses_a_second_request_of_the_same_name() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| Reaction::Stall);
     let program = served_by(&upstream);
-    let same = named_request("9b1f03aa5c7e2d41", "post", LONG, "b");
+    let same = named_request("9b1f03aa5c7e2d41", "post", LONG_BUDGET, "b");
     let asking = || {
         let mut caller = program.connect();
         caller.write(&same);
@@ -327,14 +335,14 @@
     };
     let first = asking();
     upstream.request();
-    assert_eq!(asking().answer().unwrap().status(), 409);
+    assert_eq!(asking().read_response().unwrap().status(), 409);
     drop(first);
-    upstream.closed();
+    upstream.wait_until_closed();
     let _third = asking();
     upstream.request(); // the name is free again
     let mut caller = program.connect();
     caller.write(&same.replace("X-Budget", "X-Call-Id: 9b1f03aa5c7e2d42\r\nX-Budget"));
-    assert_eq!(caller.answer().unwrap().status(), 400);
+    assert_eq!(caller.read_response().unwrap().status(), 400);
 }
 
 /// Guards against a request whose time begins only once the one in front of it is answered, and against a
@@ -342,37 +350,42 @@
 #[test]
 fn a_request_behind_another_has_its_time_and_its_caller() {
     let upstream = Upstream::start(|message| match message.body == b"quick" {
-        true => Act::Answer(ok("quick")),
-        false => Act::Silence,
+        true => Reaction::Respond(ok_response("quick")),
+        false => Reaction::Stall,
     });
     let program = served_by(&upstream);
     let mut caller = program.connect();
-    let requests = [("1.0", "slow"), ("0.2", "quick"), (LONG, "quick")];
+    let requests = [("1.0", "slow"), ("0.2", "quick"), (LONG_BUDGET, "quick")];
     caller.write(
         &requests
             .map(|(budget, body)| request("post", budget, body))
             .concat(),
     );
-    assert_eq!(caller.answer().unwrap().status(), 502);
-    assert_ne!(caller.answer().unwrap().status(), 200, "its time is over");
-    assert_eq!(caller.answer().unwrap().body, b"quick");
-    assert_eq!(upstream.requests(), 2);
-    upstream.seen.try_iter().for_each(drop);
+    assert_eq!(caller.read_response().unwrap().status(), 502);
+    assert_ne!(
+        caller.read_response().unwrap().status(),
+        200,
+        "its time is over"
+    );
+    assert_eq!(caller.read_response().unwrap().body, b"quick");
+    assert_eq!(upstream.count_requests(), 2);
+    upstream.events.try_iter().for_each(drop);
 
     let mut caller = program.connect();
-    caller.write(&(request("post", LONG, "slow") + &request("post", LONG, "quick")));
+    caller.write(&(request("post", LONG_BUDGET, "slow") + &request("post", LONG_BUDGET, "quick")));
     upstream.request();
     drop(caller);
-    upstream.closed();
+    upstream.wait_until_closed();
 }
 
 #[test]
 fn takes_a_body_of_the_largest_size() {
-    let upstream = Upstream::start(|message| Act::Answer(ok(&"a".repeat(message.body.len()))));
+    let upstream =
+        Upstream::start(|message| Reaction::Respond(ok_response(&"a".repeat(message.body.len()))));
     let program = served_by(&upstream);
     let answer = program
         .connect()
-        .call("post", LONG, &"b".repeat(64 << 10))
+        .call("post", LONG_BUDGET, &"b".repeat(64 << 10))
         .unwrap();
     assert_eq!((answer.status(), answer.body.len()), (200, 64 << 10));
 }
@@ -383,19 +396,19 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
         (32 << 20) + 1
     );
-    let upstream = Upstream::start(move |_| Act::Answer(head.clone() + &"a".repeat(100_000)));
+    let upstream = Upstream::start(move |_| Reaction::Respond(head.clone() + &"a".repeat(100_000)));
     assert_eq!(served_by(&upstream).call("post").status(), 502);
 }
 
 #[test]
 fn is_ready_once_there_is_an_upstream() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &[]));
     let ready = || {
         let mut caller = program.connect();
         caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-        caller.answer().unwrap().status()
+        caller.read_response().unwrap().status()
     };
     assert_eq!(ready(), 503);
     discovery.publish(&in_service(&[&upstream]));
@@ -405,14 +418,14 @@
 
 #[test]
 fn asks_discovery_again_after_a_failure() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let failure = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     let nonsense = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{\"rev\":";
     for (mode, first) in [("push", failure), ("push", nonsense), ("ask", failure)] {
         let discovery = Discovery::start_failing(first);
         let mut config = config(
             discovery.address,
-            &[target("s-old", refusing(), "in_service")],
+            &[target("s-old", refused_address(), "in_service")],
         );
         config["settings"]["Discovery"] = mode.into();
         config["settings"]["Safety"]["AskWithinNs"] = 10_000_000_000_u64.into();
@@ -429,24 +442,24 @@
     let gate = held.clone();
     let old = Upstream::start(move |_| {
         gate.wait();
-        Act::Answer(ok("old"))
+        Reaction::Respond(ok_response("old"))
     });
-    let new = Upstream::start(|_| Act::Answer(ok("new")));
+    let new = Upstream::start(|_| Reaction::Respond(ok_response("new")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&old])));
     let mut caller = program.connect();
-    caller.send("post", LONG, "b");
+    caller.send("post", LONG_BUDGET, "b");
     old.request();
     discovery.publish(&in_service(&[&new]));
     held.wait();
-    assert_eq!(caller.answer().unwrap().body, b"old");
+    assert_eq!(caller.read_response().unwrap().body, b"old");
     assert_eq!(program.call("post").body, b"new");
 }
 
 /// Guards the memory where upstreams are ever new: what is gone is forgotten.
 #[test]
 fn forgets_upstreams_that_are_gone() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&upstream])));
     let publish = |round: usize| {
@@ -467,18 +480,27 @@
 /// Guards against answers that belong to nobody: the next request must not be given one.
 #[test]
 fn takes_no_answer_for_another_request() {
-    for more in [ok("stale"), "noise".into()] {
-        let together = ok("first") + &more;
-        for first in [Act::Answer(together), Act::AnswerAndMore(ok("first"), more)] {
-            let apart = matches!(first, Act::AnswerAndMore(..));
+    for more in [ok_response("stale"), "noise".into()] {
+        let together = ok_response("first") + &more;
+        for first in [
+            Reaction::Respond(together),
+            Reaction::RespondWithSurplus(ok_response("first"), more),
+        ] {
+            let apart = matches!(first, Reaction::RespondWithSurplus(..));
             let upstream = Upstream::start(once(first));
             let program = served_by(&upstream);
             let mut caller = program.connect();
-            assert_eq!(caller.call("post", LONG, "b").unwrap().body, b"first");
+            assert_eq!(
+                caller.call("post", LONG_BUDGET, "b").unwrap().body,
+                b"first"
+            );
             if apart {
-                upstream.wrote();
+                upstream.wait_until_surplus_written();
             }
-            assert_eq!(caller.call("post", LONG, "b").unwrap().body, b"second");
+            assert_eq!(
+                caller.call("post", LONG_BUDGET, "b").unwrap().body,
+                b"second"
+            );
         }
     }
 }
@@ -495,15 +517,15 @@
     let chunks =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_owned();
     for spoilt in [endless, huge, chunks, "noise\r\n\r\n".to_owned()] {
-        let upstream = Upstream::start(once(Act::Answer(spoilt.clone())));
+        let upstream = Upstream::start(once(Reaction::Respond(spoilt.clone())));
         let program = served_by(&upstream);
         assert_eq!(program.call("post").status(), 502, "{}", &spoilt[..20]);
-        upstream.closed();
-        assert_eq!(upstream.requests(), 0, "it may have run");
+        upstream.wait_until_closed();
+        assert_eq!(upstream.count_requests(), 0, "it may have run");
         assert_eq!(program.call("post").body, b"second");
     }
     let sound = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Load-Report: {{\r\nContent-Length: 2\r\n\r\nok";
-    let upstream = Upstream::start(move |_| Act::Answer(sound.into()));
+    let upstream = Upstream::start(move |_| Reaction::Respond(sound.into()));
     assert_eq!(served_by(&upstream).call("post").body, b"ok");
 }
 
@@ -511,15 +533,17 @@
 #[test]
 fn passes_on_that_a_request_is_at_fault() {
     let upstream = Upstream::start(|message| match message.body == b"bad" {
-        true => Act::Answer("HTTP/1.1 422 Unprocessable\r\nContent-Length: 3\r\n\r\nwhy".into()),
-        false => Act::Answer(ok("")),
+        true => {
+            Reaction::Respond("HTTP/1.1 422 Unprocessable\r\nContent-Length: 3\r\n\r\nwhy".into())
+        }
+        false => Reaction::Respond(ok_response("")),
     });
     let program = served_by(&upstream);
     for _ in 0..12 {
-        let answer = program.connect().call("pay", LONG, "bad").unwrap();
+        let answer = program.connect().call("pay", LONG_BUDGET, "bad").unwrap();
         assert_eq!((answer.status(), &answer.body[..]), (422, &b"why"[..]));
     }
-    assert_eq!(upstream.requests(), 12);
+    assert_eq!(upstream.count_requests(), 12);
     assert_eq!(program.call("post").status(), 200);
 }
 
@@ -528,8 +552,8 @@
 #[test]
 fn follows_another_discovery_after_a_hangup() {
     let (old, new) = (
-        Upstream::start(|_| Act::Answer(ok("old"))),
-        Upstream::start(|_| Act::Answer(ok("new"))),
+        Upstream::start(|_| Reaction::Respond(ok_response("old"))),
+        Upstream::start(|_| Reaction::Respond(ok_response("new"))),
     );
     let (first, second) = (Discovery::start(), Discovery::start());
     let mut config = config(second.address, &in_service(&[&old]));
@@ -548,7 +572,7 @@
     config["discovery"] = second.address.to_string().into();
     second.set(&[target("s-new", new.address, "in_service")]);
     program.reload(&config.to_string());
-    second.watched();
+    second.wait_until_watched();
     for _ in 0..4 {
         assert_eq!(program.call("post").body, b"new");
     }
@@ -557,8 +581,8 @@
 #[test]
 fn sends_nothing_new_to_an_upstream_that_drains_or_is_gone() {
     let (old, new) = (
-        Upstream::start(|_| Act::Answer(ok(""))),
-        Upstream::start(|_| Act::Answer(ok(""))),
+        Upstream::start(|_| Reaction::Respond(ok_response(""))),
+        Upstream::start(|_| Reaction::Respond(ok_response(""))),
     );
     for listed in [vec![target("s-0", old.address, "terminating")], vec![]] {
         let discovery = Discovery::start();
@@ -568,50 +592,56 @@
         let mut list = vec![target("s-1", new.address, "in_service")];
         list.extend(listed);
         discovery.publish(&list);
-        old.closed(); // what is idle is of no use any more
+        old.wait_until_closed(); // what is idle is of no use any more
         for _ in 0..10 {
             assert_eq!(program.call("post").status(), 200);
         }
-        assert_eq!((old.requests(), new.requests()), (0, 10));
+        assert_eq!((old.count_requests(), new.count_requests()), (0, 10));
     }
 }
 
 #[test]
 fn follows_an_upstream_to_its_new_address() {
     let (old, new) = (
-        Upstream::start(|_| Act::Answer(ok(""))),
-        Upstream::start(|_| Act::Answer(ok(""))),
+        Upstream::start(|_| Reaction::Respond(ok_response(""))),
+        Upstream::start(|_| Reaction::Respond(ok_response(""))),
     );
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&old])));
     assert_eq!(program.call("post").status(), 200);
     discovery.publish(&in_service(&[&new]));
-    old.closed();
+    old.wait_until_closed();
     assert_eq!(program.call("post").status(), 200);
     new.request();
 }
 
 #[test]
 fn gives_up_an_idle_caller_for_a_new_one_and_refuses_when_all_are_busy() {
-    let upstream = Upstream::start(|message| match message.first_line.starts_with("GET") {
-        true => Act::Answer(ok("")),
-        false => Act::Silence,
+    let upstream = Upstream::start(|message| match message.start_line.starts_with("GET") {
+        true => Reaction::Respond(ok_response("")),
+        false => Reaction::Stall,
     });
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 104.into(); // room for twenty callers
     let program = Program::start(&config);
     let mut callers: Vec<Caller> = (0..60).map(|_| program.connect()).collect();
     for caller in &mut callers[40..] {
-        assert_eq!(caller.call("look", LONG, "").expect("served").status(), 200);
+        assert_eq!(
+            caller
+                .call("look", LONG_BUDGET, "")
+                .expect("served")
+                .status(),
+            200
+        );
     }
     for caller in &mut callers[..40] {
         assert!(
-            caller.answer().is_none(),
+            caller.read_response().is_none(),
             "the connections idle for longest are closed"
         );
     }
     for caller in &mut callers[40..] {
-        caller.send("post", LONG, "b");
+        caller.send("post", LONG_BUDGET, "b");
         upstream.request();
     }
     for _ in 0..40 {
@@ -625,7 +655,7 @@
     }
     callers.clear();
     for _ in 0..20 {
-        upstream.closed();
+        upstream.wait_until_closed();
     }
     assert_eq!(program.call("look").status(), 200);
 }
@@ -641,31 +671,31 @@
     let held = Arc::new(Barrier::new(2));
     let gate = held.clone();
     let upstream = Upstream::start(move |message| {
-        if message.first_line.starts_with("POST") {
+        if message.start_line.starts_with("POST") {
             gate.wait();
         }
-        Act::Answer(ok(""))
+        Reaction::Respond(ok_response(""))
     });
     let program = served_by(&upstream);
     let (mut busy, mut open, mut idle) = (program.connect(), program.connect(), program.connect());
     for caller in [&mut open, &mut idle] {
-        assert_eq!(caller.call("look", LONG, "").unwrap().status(), 200);
+        assert_eq!(caller.call("look", LONG_BUDGET, "").unwrap().status(), 200);
     }
-    busy.send("post", LONG, "b");
-    while !upstream.request().first_line.starts_with("POST") {}
+    busy.send("post", LONG_BUDGET, "b");
+    while !upstream.request().start_line.starts_with("POST") {}
     let signal = Instant::now();
     program.terminate();
     let served = |answer: Option<Message>| answer.is_some_and(|answer| answer.status() == 200);
     let mut on_new = true;
-    let last = open.call("look", LONG, "");
+    let last = open.call("look", LONG_BUDGET, "");
     let on_open = last
         .as_ref()
         .is_some_and(|last| last.headers.get("connection").is_some_and(|c| c == "close"));
-    let on_open = on_open && served(last) && open.answer().is_none();
+    let on_open = on_open && served(last) && open.read_response().is_none();
     while signal.elapsed() < Duration::from_millis(300) {
         on_new &= program
             .try_connect()
-            .is_some_and(|mut caller| served(caller.call("look", LONG, "")));
+            .is_some_and(|mut caller| served(caller.call("look", LONG_BUDGET, "")));
     }
     let judged = signal.elapsed() < Duration::from_millis(400);
     assert!(!judged || on_new, "new connections are still taken");
@@ -673,9 +703,9 @@
         !judged || on_open,
         "open ones are served, and end with that answer"
     );
-    assert!(idle.answer().is_none(), "then idle ones are closed");
+    assert!(idle.read_response().is_none(), "then idle ones are closed");
     held.wait();
-    assert_eq!(busy.answer().expect("the answer held").status(), 200);
+    assert_eq!(busy.read_response().expect("the answer held").status(), 200);
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
     judged
@@ -683,7 +713,7 @@
 
 #[test]
 fn names_the_field_that_is_wrong_in_its_configuration() {
-    let good = config(refusing(), &[]);
+    let good = config(refused_address(), &[]);
     let break_at = |path: &str, value: serde_json::Value| {
         let mut config = good.clone();
         *config.pointer_mut(path).unwrap() = value;
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -3,8 +3,8 @@
 use serde_json::{Value, json};
 use std::path::Path;
 use std::process::Command;
-use woadstall_mock_servers::http1::{Act, Message, Upstream};
-use woadstall_mock_servers::system::{System, answer, call, events};
+use woadstall_mock_servers::http1::{Message, Reaction, Upstream};
+use woadstall_mock_servers::system::{System, call, events, response};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_woadstall");
 
@@ -51,12 +51,12 @@
 fn a_system_is_founded_serves_changes_and_outlives_a_core_machine() {
     let mut system = system();
     let early = ask(&system, "/safe/1");
-    if let Some(early) = early.filter(|answer| answer.status() != 200) {
+    if let Some(early) = early.filter(|response| response.status() != 200) {
         assert_eq!(early.status(), 503, "no configuration yet: not a 404");
         assert!(early.headers.contains_key("retry-after"));
     }
     system.configure(0, 0, &configuration(3, &all_routes()));
-    let upstream = Upstream::start(|request| Act::Answer(answer(request, "hello")));
+    let upstream = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
     system.register(1, "i-1", "s", upstream.address, 0);
     let reply = ask(&system, "/safe/1?a=b").expect("an answer");
     assert_eq!(
@@ -65,7 +65,7 @@
     );
     assert_eq!(reply.headers["response-stamp"], "stamp-r-1");
     let request = upstream.request();
-    assert_eq!(request.first_line, "POST /safe/1?a=b HTTP/1.1");
+    assert_eq!(request.start_line, "POST /safe/1?a=b HTTP/1.1");
     assert_eq!(request.headers["expect-instance"], "i-1");
     let left: u64 = request.headers["deadline"].parse().unwrap();
     assert!((3_000..=4_000).contains(&left), "{left}");
@@ -114,7 +114,7 @@
 fn a_front_answers_what_it_took_and_ends_in_order() {
     let mut system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let upstream = Upstream::start(|request| Act::Answer(answer(request, "hello")));
+    let upstream = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
     system.register(0, "i-1", "s", upstream.address, 0);
     let front = system.fronts[0].take().expect("it runs");
     front.signal("TERM");
@@ -133,8 +133,8 @@
 fn a_request_that_may_have_run_is_never_sent_again() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let one = Upstream::start(|_| Act::AnswerAndClose(String::new()));
-    let other = Upstream::start(|_| Act::AnswerAndClose(String::new()));
+    let one = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
+    let other = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
     system.register(0, "i-1", "s", one.address, 0);
     system.register(0, "i-2", "s", other.address, 0);
     assert_eq!(
@@ -142,10 +142,10 @@
         502,
         "no promise that it has not run"
     );
-    assert_eq!(one.requests() + other.requests(), 1);
+    assert_eq!(one.count_requests() + other.count_requests(), 1);
     assert_eq!(status(&system, "/safe/1"), 502);
     assert_eq!(
-        one.requests() + other.requests(),
+        one.count_requests() + other.count_requests(),
         2,
         "a safe one goes to two upstreams"
     );
@@ -156,7 +156,7 @@
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
     let full = Upstream::start(|_| {
-        Act::Answer(
+        Reaction::Respond(
             "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
                 .to_owned(),
         )
@@ -165,7 +165,7 @@
     let refused = ask(&system, "/once/1").expect("an answer");
     assert_eq!(refused.status(), 503);
     assert!(refused.headers.contains_key("retry-after"));
-    let free = Upstream::start(|request| Act::Answer(answer(request, "hello")));
+    let free = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
     system.register(0, "i-2", "s", free.address, 0);
     for _ in 0..4 {
         assert_eq!(status(&system, "/once/1"), 200);
@@ -176,8 +176,9 @@
 fn an_upstreams_error_is_passed_on_unless_another_one_may_do_better() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let error =
-        |request: &Message| Act::Answer(answer(request, "broken").replace("200 OK", "500 Broken"));
+    let error = |request: &Message| {
+        Reaction::Respond(response(request, "broken").replace("200 OK", "500 Broken"))
+    };
     let failing = Upstream::start(error);
     system.register(0, "i-1", "s", failing.address, 0);
     let passed_on = ask(&system, "/safe/1").expect("an answer");
@@ -185,7 +186,7 @@
         (passed_on.status(), passed_on.body.as_slice()),
         (500, &b"broken"[..])
     );
-    let sound = Upstream::start(|request| Act::Answer(answer(request, "hello")));
+    let sound = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
     system.register(0, "i-2", "s", sound.address, 0);
     assert_eq!(status(&system, "/safe/1"), 200);
     assert_eq!(status(&system, "/safe/1"), 200);
@@ -195,16 +196,17 @@
 fn an_upstreams_error_of_a_request_that_may_run_once_is_passed_on() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let error =
-        |request: &Message| Act::Answer(answer(request, "broken").replace("200 OK", "500 Broken"));
+    let error = |request: &Message| {
+        Reaction::Respond(response(request, "broken").replace("200 OK", "500 Broken"))
+    };
     let (one, other) = (Upstream::start(error), Upstream::start(error));
     system.register(0, "i-1", "s", one.address, 0);
     system.register(0, "i-2", "s", other.address, 0);
     assert_eq!(status(&system, "/once/1"), 500);
-    assert_eq!(one.requests() + other.requests(), 1);
+    assert_eq!(one.count_requests() + other.count_requests(), 1);
     assert_eq!(status(&system, "/safe/1"), 500);
     assert_eq!(
-        one.requests() + other.requests(),
+        one.count_requests() + other.count_requests(),
         2,
         "a safe one is tried at both"
     );
@@ -214,8 +216,9 @@
 fn an_answer_that_belongs_to_another_request_is_no_answer() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let mixed =
-        Upstream::start(|request| Act::Answer(answer(request, "hello").replace("r-1", "r-2")));
+    let mixed = Upstream::start(|request| {
+        Reaction::Respond(response(request, "hello").replace("r-1", "r-2"))
+    });
     system.register(0, "i-1", "s", mixed.address, 0);
     assert_eq!(status(&system, "/once/1"), 502);
 }
@@ -227,8 +230,8 @@
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
     let act = |request: &Message| match request.headers.get("last-event-id").map(String::as_str) {
-        None => Act::AnswerAndClose(events(request, &FIRST, false)),
-        Some("2") => Act::Answer(events(request, &REST, true)),
+        None => Reaction::RespondAndClose(events(request, &FIRST, false)),
+        Some("2") => Reaction::Respond(events(request, &REST, true)),
         Some(other) => panic!("taken up behind {other}"),
     };
     let (one, other) = (Upstream::start(act), Upstream::start(act));
@@ -246,7 +249,7 @@
     route["resumable"] = false.into();
     system.configure(0, 0, &configuration(1, &[route]));
     let upstream = Upstream::start(|request| {
-        Act::AnswerAndClose(events(request, &["id: 1\ndata: a\n\n"], false))
+        Reaction::RespondAndClose(events(request, &["id: 1\ndata: a\n\n"], false))
     });
     system.register(0, "i-1", "s", upstream.address, 0);
     assert!(
@@ -259,8 +262,8 @@
 fn evacuated_zones_and_draining_upstreams_get_nothing() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let near = Upstream::start(|request| Act::Answer(answer(request, "near")));
-    let far = Upstream::start(|request| Act::Answer(answer(request, "far")));
+    let near = Upstream::start(|request| Reaction::Respond(response(request, "near")));
+    let far = Upstream::start(|request| Reaction::Respond(response(request, "far")));
     system.register(0, "i-1", "s", near.address, 0);
     system.register(1, "i-2", "s", far.address, 1);
     let body = |system: &System| ask(system, "/safe/1").expect("an answer").body;
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::http1::*;
-use woadstall_mock_servers::late::LateListener;
+use woadstall_mock_servers::stalled_listener::StalledListener;
 
 /// Longer than the kernel takes to dial again.
 const DIALLED_AGAIN: Duration = Duration::from_secs(10);
@@ -22,14 +22,14 @@
 /// The time that is told counts down while the connection comes up.
 #[test]
 fn the_budget_is_told_as_of_the_first_byte() {
-    let mut late = LateListener::start();
+    let mut late = StalledListener::start();
     let program = Program::start(&config(
-        refusing(),
+        refused_address(),
         &[target("s-0", late.address(), "in_service")],
     ));
     let mut caller = program.connect();
     caller.send("look", "20", "");
-    late.dialled();
+    late.wait_until_dialled();
     let dialled = Instant::now();
     let stream = late.accept(DIALLED_AGAIN).expect("the connection");
     let took = dialled.elapsed();
@@ -46,15 +46,18 @@
 #[test]
 fn nothing_begins_for_a_caller_that_left_while_it_was_dialled() {
     for cancelling in [true, false] {
-        let mut late = LateListener::start();
-        let mut config = config(refusing(), &[target("s-0", late.address(), "in_service")]);
+        let mut late = StalledListener::start();
+        let mut config = config(
+            refused_address(),
+            &[target("s-0", late.address(), "in_service")],
+        );
         config["settings"]["Limits"]["Cancelling"] = cancelling.into();
         let program = Program::start(&config);
         let mut caller = program.connect();
-        caller.send("post", LONG, "b");
-        late.dialled();
+        caller.send("post", LONG_BUDGET, "b");
+        late.wait_until_dialled();
         drop(caller);
-        late.given_up(CONNECT_TIMEOUT / 2);
+        late.wait_until_given_up(CONNECT_TIMEOUT / 2);
         assert!(
             late.accept(NOTHING_COMES).is_none(),
             "cancelling {cancelling}"
@@ -70,28 +73,28 @@
     let first = Upstream::start(move |_| {
         holds.wait();
         ends.wait();
-        Act::AnswerAndClose(String::new())
+        Reaction::RespondAndClose(String::new())
     });
-    let mut late = LateListener::start();
+    let mut late = StalledListener::start();
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &in_service(&[&first]));
     // Less than the kernel waits before it dials again, and far more than a machine under load needs until then.
     config["settings"]["Classes"][1]["WindowNs"] = json!(900_000_000);
     discovery.set(&in_service(&[&first]));
     let program = Program::start(&config);
-    discovery.watched();
+    discovery.wait_until_watched();
     let mut caller = program.connect();
-    caller.send("pay", LONG, "b");
+    caller.send("pay", LONG_BUDGET, "b");
     first_holds.wait();
     discovery.publish(&[target("s-1", late.address(), "in_service")]);
     first_ends.wait();
-    late.dialled();
+    late.wait_until_dialled();
     let request = late
         .accept(DIALLED_AGAIN)
         .and_then(|stream| Message::read(&mut BufReader::new(stream)));
     assert!(request.is_none(), "sent after its window: {request:?}");
     assert_eq!(
-        caller.answer().expect("an answer").status(),
+        caller.read_response().expect("an answer").status(),
         502,
         "it may have run"
     );
@@ -102,7 +105,7 @@
 fn an_early_answer_is_taken_though_the_request_is_not_written_to_its_end() {
     let hasty = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = hasty.local_addr().unwrap();
-    let served = Upstream::start(|_| Act::Answer(ok("served")));
+    let served = Upstream::start(|_| Reaction::Respond(ok_response("served")));
     std::thread::spawn(move || {
         let mut held = Vec::new();
         for mut stream in hasty.incoming().map_while(Result::ok) {
@@ -112,7 +115,7 @@
                 stream.read_exact(&mut byte).unwrap();
                 head.push(byte[0]);
             }
-            stream.write_all(full().as_bytes()).unwrap();
+            stream.write_all(overloaded_response().as_bytes()).unwrap();
             held.push(stream);
         }
     });
@@ -120,7 +123,7 @@
         target("s-hasty", address, "in_service"),
         target("s-0", served.address, "in_service"),
     ];
-    let program = Program::start(&config(refusing(), &list));
+    let program = Program::start(&config(refused_address(), &list));
     let body = "b".repeat(16 << 20); // more than the buffers of both sockets
     for _ in 0..2 {
         let asked = Instant::now();
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::http1::*;
-use woadstall_mock_servers::late::LateListener;
+use woadstall_mock_servers::stalled_listener::StalledListener;
 
 /// An upstream that handles each connection as it is told, and tells how many there were.
 fn raw(handle: impl Fn(TcpStream) + Send + 'static) -> (SocketAddr, Receiver<()>) {
@@ -47,12 +47,12 @@
 impl Pair {
     /// Both are listed: calls go to either, in turn.
     fn start(first: SocketAddr) -> Self {
-        let second = Upstream::start(|_| Act::Answer(ok("second")));
+        let second = Upstream::start(|_| Reaction::Respond(ok_response("second")));
         let list = [
             target("s-first", first, "in_service"),
             target("s-second", second.address, "in_service"),
         ];
-        let mut config = config(refusing(), &list);
+        let mut config = config(refused_address(), &list);
         config["settings"]["Limits"]["ConnectTimeoutNs"] = json!(300_000_000);
         Self {
             program: Program::start(&config),
@@ -66,7 +66,7 @@
     let call = |_| {
         pair.program
             .connect()
-            .call(class, LONG, body)
+            .call(class, LONG_BUDGET, body)
             .expect("an answer")
             .status()
     };
@@ -80,14 +80,14 @@
         let pair = Pair::start(first);
         assert_eq!(served_of_two(&pair, class, ""), served, "{class}");
         connected
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the first one was tried");
-        assert_eq!(pair.second.requests(), served, "{class}");
+        assert_eq!(pair.second.count_requests(), served, "{class}");
     }
 }
 
 /// Nothing is written to a connection, if it comes up at all within this time.
-fn nothing_comes(late: &mut LateListener, within: Duration) {
+fn nothing_comes(late: &mut StalledListener, within: Duration) {
     if let Some(mut stream) = late.accept(within) {
         let mut came = Vec::new();
         stream.read_to_end(&mut came).unwrap_or(0);
@@ -110,9 +110,9 @@
         "unsafe work is sent again"
     );
     connected
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the first one was tried");
-    assert_eq!(pair.second.requests(), 2);
+    assert_eq!(pair.second.count_requests(), 2);
 }
 
 /// The connection breaks behind the request's last byte: it may have run.
@@ -150,27 +150,30 @@
         std::thread::sleep(Duration::from_millis(100));
         reset(&stream);
     });
-    let program = Program::start(&config(refusing(), &[target("s-0", first, "in_service")]));
+    let program = Program::start(&config(
+        refused_address(),
+        &[target("s-0", first, "in_service")],
+    ));
     let mut caller = program.connect();
-    caller.send("post", LONG, "");
-    assert!(caller.chunked_answer().is_none());
+    caller.send("post", LONG_BUDGET, "");
+    assert!(caller.read_chunked_body().is_none());
 }
 
 /// A connection that comes up after its time: the attempt went elsewhere, and nothing is written to it.
 #[test]
 fn a_connection_that_comes_up_too_late_is_not_written_to() {
-    let mut late = LateListener::start();
+    let mut late = StalledListener::start();
     let pair = Pair::start(late.address());
     assert_eq!(served_of_two(&pair, "post", "b"), 2);
-    assert_eq!(pair.second.requests(), 2);
+    assert_eq!(pair.second.count_requests(), 2);
     nothing_comes(&mut late, Duration::from_secs(3));
 }
 
 /// Told to drain while a connection to it comes up: nothing is written to it.
 #[test]
 fn nothing_begins_at_an_upstream_that_drains_while_it_is_dialled() {
-    let mut late = LateListener::start();
-    let other = Upstream::start(|_| Act::Answer(ok("other")));
+    let mut late = StalledListener::start();
+    let other = Upstream::start(|_| Reaction::Respond(ok_response("other")));
     let discovery = Discovery::start();
     let config = config(
         discovery.address,
@@ -178,16 +181,16 @@
     );
     discovery.set(&[target("s-late", late.address(), "in_service")]);
     let program = Program::start(&config);
-    discovery.watched();
+    discovery.wait_until_watched();
     let mut caller = program.connect();
-    caller.send("post", LONG, "b");
-    late.dialled();
+    caller.send("post", LONG_BUDGET, "b");
+    late.wait_until_dialled();
     discovery.publish(&[
         target("s-late", late.address(), "terminating"),
         target("s-other", other.address, "in_service"),
     ]);
     nothing_comes(&mut late, Duration::from_secs(8));
-    assert_eq!(caller.answer().expect("an answer").body, b"other");
+    assert_eq!(caller.read_response().expect("an answer").body, b"other");
 }
 
 /// An upstream whose answers carry more than belongs to them, and then one that answers a request twice: its second answer
@@ -210,11 +213,11 @@
         let Some(request) = Message::read(&mut input) else {
             return;
         };
-        let answer = ok(&String::from_utf8_lossy(&request.body));
+        let answer = ok_response(&String::from_utf8_lossy(&request.body));
         let text = match (number, before) {
             (0, 0) => answer + "more than belongs to it",
             (_, 0) => answer,
-            _ => ok("the answer to the request before") + &answer,
+            _ => ok_response("the answer to the request before") + &answer,
         };
         if output.write_all(text.as_bytes()).is_err() {
             return;
@@ -228,17 +231,20 @@
 fn a_second_answer_is_not_taken_for_that_of_the_next_request() {
     const REST: Duration = Duration::from_millis(20);
     let program = Program::start(&config(
-        refusing(),
+        refused_address(),
         &[target("s-0", answering_twice(), "in_service")],
     ));
     let mut caller = program.connect();
-    assert_eq!(caller.call("post", LONG, "first").unwrap().body, b"first");
+    assert_eq!(
+        caller.call("post", LONG_BUDGET, "first").unwrap().body,
+        b"first"
+    );
     // On a machine too busy to ask again within the rest, a try tells nothing.
     let judged = (0..200).any(|_| {
         std::thread::sleep(REST * 2); // all connections have rested, and are closed by their second answers in turn
         let asked = Instant::now();
-        let one = caller.call("post", LONG, "one").unwrap();
-        let two = caller.call("post", LONG, "two").unwrap();
+        let one = caller.call("post", LONG_BUDGET, "one").unwrap();
+        let two = caller.call("post", LONG_BUDGET, "two").unwrap();
         let judged = asked.elapsed() < REST;
         assert!(
             !judged || two.body == b"two",
