--- a/crates/evacuation/src/domain_decision.rs
+++ b/crates/evacuation/src/domain_decision.rs
@@ -1,10 +1,10 @@
 //! What a balancer has decided about domains, published for members that were absent.
 
 use crate::domain_state::{DomainState, Phase};
-use crate::packed_list::{self, PackedListError};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use woadstall_health_reports::Subject;
+use woadstall_health_reports::packed_list::{self, PackedListError};
 
 /// The version of the format: raised when the meaning of the bytes changes.
 const VERSION: u8 = 1;
--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -17,7 +17,6 @@
 mod domain_state;
 mod engine;
 mod order;
-mod packed_list;
 mod status;
 mod topology;
 
@@ -26,6 +25,5 @@
 pub use domain_state::{Alternatives, Cause, DomainState, Phase};
 pub use engine::{EngineInput, EvacuationEngine, MemberDecisions, StateChange};
 pub use order::{Order, OrderAction, OrderError, OrderTable, SubmitError};
-pub use packed_list::PackedListError;
 pub use status::{DomainStatus, Status};
 pub use topology::{Topology, Zone};
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -1,12 +1,12 @@
 //! Operators' orders: they overrule what the fleet has decided, for a time, and the newest of them
 //! holds.
 
-use crate::packed_list::{self, PackedListError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use thiserror::Error;
 use woadstall_health_reports::Subject;
+use woadstall_health_reports::packed_list::{self, PackedListError};
 
 /// The version of the format: raised when the meaning of the bytes changes.
 const VERSION: u8 = 1;
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -70,7 +70,7 @@
 fn balancer(number: usize) -> Balancer {
     let zone = number / BALANCERS_PER_ZONE;
     let (zone_name, region) = ZONES[zone];
-    let card = MemberMetadata {
+    let metadata = MemberMetadata {
         name: name(&format!("b-{number}")),
         life: Generation {
             started: UNIX_MS,
@@ -82,7 +82,7 @@
     };
     let seeds = vec![address(0), address(BALANCERS_PER_ZONE)];
     let node = Node::new(
-        card,
+        metadata,
         seeds,
         woadstall_membership::Settings::default(),
         number as u64,
--- a/crates/health-reports/src/health_report.rs
+++ b/crates/health-reports/src/health_report.rs
@@ -2,6 +2,7 @@
 //! protocol.
 
 use crate::call_counts::CallCounts;
+use crate::packed_list::{self, PackedListError};
 use crate::subject::Subject;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -64,23 +65,9 @@
 /// Why bytes are no health report.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HealthReportError {
-    /// There are no bytes.
-    #[error("health report is empty")]
-    Empty,
-    /// The version is not known here.
-    #[error("health report of version {found}, expected {VERSION}")]
-    UnknownVersion {
-        /// The version of the bytes.
-        found: u8,
-    },
-    /// An entry cannot be decoded.
-    #[error("health report entry {index} cannot be decoded")]
-    Entry {
-        /// The position of the entry, from 0.
-        index: usize,
-        /// Why.
-        source: postcard::Error,
-    },
+    /// The bytes are no list of entries of this version.
+    #[error("cannot decode health report")]
+    List(#[from] PackedListError),
     /// There are more entries than any sender writes.
     #[error("health report has more than {MAX_ENTRIES} entries")]
     TooManyEntries,
@@ -89,17 +76,7 @@
 impl HealthReport {
     /// Encodes as many entries as fit into `max_bytes`, in their order.
     pub fn encode(&self, max_bytes: usize) -> Vec<u8> {
-        let mut bytes = vec![VERSION];
-        for entry in &self.entries {
-            let Ok(encoded) = postcard::to_stdvec(entry) else {
-                continue;
-            };
-            if bytes.len() + encoded.len() > max_bytes {
-                break;
-            }
-            bytes.extend(encoded);
-        }
-        bytes
+        packed_list::encode(VERSION, self.entries.iter(), max_bytes)
     }
 
     /// Decodes a report.
@@ -108,20 +85,9 @@
     ///
     /// Returns an error if the bytes are no report of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, HealthReportError> {
-        let (version, mut rest) = bytes.split_first().ok_or(HealthReportError::Empty)?;
-        if *version != VERSION {
-            return Err(HealthReportError::UnknownVersion { found: *version });
-        }
-        let mut entries = Vec::new();
-        while !rest.is_empty() {
-            let index = entries.len();
-            let (entry, after) = postcard::take_from_bytes::<ReportEntry>(rest)
-                .map_err(|source| HealthReportError::Entry { index, source })?;
-            entries.push(entry);
-            rest = after;
-            if entries.len() > MAX_ENTRIES {
-                return Err(HealthReportError::TooManyEntries);
-            }
+        let entries: Vec<ReportEntry> = packed_list::decode(VERSION, bytes, MAX_ENTRIES + 1)?;
+        if entries.len() > MAX_ENTRIES {
+            return Err(HealthReportError::TooManyEntries);
         }
         Ok(Self { entries })
     }
--- a/crates/health-reports/src/lib.rs
+++ b/crates/health-reports/src/lib.rs
@@ -15,6 +15,7 @@
 mod cusum;
 mod health_report;
 mod log_odds;
+pub mod packed_list;
 mod report_table;
 mod subject;
 
--- a/crates/evacuation/src/packed_list.rs
+++ b/crates/health-reports/src/packed_list.rs
@@ -1,4 +1,5 @@
-//! Lists in the few bytes of a fact: a version byte, then as many items as fit.
+//! Lists in the few bytes of a fact (a member's published record): a version byte, then as many items
+//! as fit, in postcard's format.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -48,6 +49,10 @@
 }
 
 /// Decodes the first `max_items` items; bytes after them are ignored.
+///
+/// # Errors
+///
+/// Returns an error if the bytes are no list of this version, or if an item is malformed.
 pub fn decode<T: DeserializeOwned>(
     version: u8,
     bytes: &[u8],
--- a/crates/routing/src/prefix_cache.rs
+++ b/crates/routing/src/prefix_cache.rs
@@ -105,5 +105,4 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/prefix_cache.rs"]
 mod tests;
