--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -4,7 +4,7 @@
 use crate::balancer::Balancer;
 use crate::state::{PoolIndex, ServerIndex};
 use crate::tuning::{
-    BUDGET_LINGER, PACE_DOUBLING, PACE_DOUBLING_CALLS, PACE_DOWN_ABOVE, PACE_UP_BELOW,
+    BUDGET_EXTENSION, PACE_DOUBLING, PACE_DOUBLING_CALLS, PACE_DOWN_ABOVE, PACE_UP_BELOW,
     SAFE_OVERLOAD_PART, SECOND,
 };
 
@@ -81,7 +81,7 @@
     /// find no server. Where budgets alone held an overload back, all of it would come in the instant
     /// in which they end.
     pub(crate) fn has_slow_start_budget(&self, index: ServerIndex) -> bool {
-        let lingers = self.now < self.unplaced_at.saturating_add(BUDGET_LINGER);
+        let lingers = self.now < self.unplaced_at.saturating_add(BUDGET_EXTENSION);
         let started = self.servers[index].started_at;
         let until = started.map_or(0, |at| at + 2 * self.settings.slow_start_window);
         lingers && self.now < until || self.warmth(index) < 1.0
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -126,7 +126,7 @@
 /// ... or in the time of so many calls: a jam has to show before.
 pub(crate) const PACE_DOUBLING_CALLS: f64 = 8.0;
 /// Budgets that have just rejected calls go on for this long beyond slow start.
-pub(crate) const BUDGET_LINGER: Duration = SECOND;
+pub(crate) const BUDGET_EXTENSION: Duration = SECOND;
 
 // ---- Circuit breakers ----
 
--- a/crates/decisions/tests/behaviour/breakers.rs
+++ b/crates/decisions/tests/behaviour/breakers.rs
@@ -53,7 +53,7 @@
     assert!(!after.contains(&1), "{after:?}");
 }
 
-/// A server whose connections are all taken refuses new ones and answers the rest: breakers took it for dead, and
+/// A server whose connections are all taken rejects new ones and responds to the rest: breakers took it for dead, and
 /// as that befell half a zone the zone was left.
 #[test]
 fn failed_connections_to_a_responding_server_do_not_trip_its_breaker() {
@@ -112,7 +112,7 @@
             _ => None,
         }));
     }
-    // Seventeen deviations above the mean, then all are answered.
+    // Seventeen deviations above the mean, then all are served.
     let answered = harness.now + 190 * MS;
     let mut logs = Vec::new();
     while let Some(at) = marks.iter().position(|&(_, due)| due < answered) {
@@ -133,7 +133,7 @@
 }
 
 /// Where calls take a millisecond, twenty deviations above that are a millisecond more: a caller that stood still
-/// for twenty gave up all its attempts at once, and refused two hundred calls to sound servers.
+/// for twenty gave up all its attempts at once, and rejected two hundred calls to sound servers.
 #[test]
 fn stalled_caller_does_not_give_up_sound_servers() {
     let mut harness = Harness::new(settings(), &zones(1, 2));
@@ -149,7 +149,7 @@
         until.is_some_and(|until| (50 * MS..500 * MS).contains(&until)),
         "{until:?}"
     );
-    // Nor is the server pending to have failed before that: the look after the first one, which finds the call late,
+    // Nor is the server taken to have failed before that: the look after the first one, which finds the call late,
     // comes no sooner.
     let (at, token) = timers(&actions, harness.now).pop().expect("a first look");
     harness.now = at;
--- a/crates/decisions/tests/behaviour/connections.rs
+++ b/crates/decisions/tests/behaviour/connections.rs
@@ -23,10 +23,10 @@
 
 /// Whether the idle connections to the server of the only send were closed right before it.
 fn on_new_connection(actions: &[Action]) -> bool {
-    let place = |wanted: &dyn Fn(&Action) -> bool| actions.iter().position(wanted);
+    let position_of = |wanted: &dyn Fn(&Action) -> bool| actions.iter().position(wanted);
     let (close, send) = (
-        place(&|a| matches!(a, Action::CloseIdleConnections(_))),
-        place(&|a| matches!(a, Action::Send { .. })),
+        position_of(&|a| matches!(a, Action::CloseIdleConnections(_))),
+        position_of(&|a| matches!(a, Action::Send { .. })),
     );
     close.is_some_and(|close| close < send.expect("sent"))
 }
@@ -143,7 +143,7 @@
     assert_eq!(send(&mut harness).0, tight, "its connection is free again");
 }
 
-/// What a process refused says nothing of the one that replaced it.
+/// What a process rejected says nothing of the one that replaced it.
 #[test]
 fn restarted_server_has_no_connection_limit() {
     let mut harness = Harness::new(
--- a/crates/decisions/tests/behaviour/discovery.rs
+++ b/crates/decisions/tests/behaviour/discovery.rs
@@ -58,7 +58,7 @@
     );
 }
 
-/// A change counts as told 6 s after discovery had it: no wait sleeps over that, however often it failed before.
+/// A change counts as notified 6 s after discovery had it: no wait sleeps over that, however often it failed before.
 #[test]
 fn subscription_backoff_is_capped() {
     for seed in 0..20 {
--- a/crates/decisions/tests/behaviour/handover.rs
+++ b/crates/decisions/tests/behaviour/handover.rs
@@ -48,12 +48,12 @@
     let mut fresh = Harness::new(settings(), &zones(1, 6));
     assert!(
         tried(&mut fresh, 20).contains(&3),
-        "one that was told nothing finds it anew"
+        "one without learned state finds it anew"
     );
 }
 
 /// Guards against the first seconds after an upgrade: without an estimate of their own, calls a little under half
-/// of their aim came out as a jam.
+/// of their latency target came out as a jam.
 #[test]
 fn successor_rejects_nothing_in_its_first_second() {
     let play = |harness: &mut Harness, steps: u64| {
@@ -81,7 +81,7 @@
     let mut fresh = Harness::new(settings(), &zones(1, 12));
     assert!(
         play(&mut fresh, 100) > 0,
-        "one that was told nothing refuses some"
+        "one without learned state rejects some"
     );
 }
 
@@ -124,7 +124,7 @@
     assert_eq!(harness.balancer.ejected_servers(), 0);
 }
 
-/// Guards rule 4 while two processes send: what both together let a cold server have is what one would.
+/// Guards rule 4 while two processes send: what both together send a server in slow start is what one would.
 #[test]
 fn successor_and_predecessor_split_a_slow_start_budget() {
     let mut before = Harness::new(settings(), &zones(1, 6));
--- a/crates/decisions/tests/behaviour/health_verdicts.rs
+++ b/crates/decisions/tests/behaviour/health_verdicts.rs
@@ -21,7 +21,7 @@
         .count()
 }
 
-/// Told that all is well, or told of what is not there, a balancer does the same as one that is told nothing: to the byte.
+/// With verdicts that all is well, or on what is not there, a balancer does the same as without any: to the byte.
 #[test]
 fn verdicts_that_all_is_well_change_nothing() {
     let list = zones(3, 4);
@@ -157,7 +157,7 @@
     assert!(turns.contains(&2));
 }
 
-/// What is told of a server does not make an unsafe call that may have run one that has not.
+/// A verdict on a server does not make an unsafe call that may have run one that has not.
 #[test]
 fn verdicts_prove_nothing_of_a_call_in_flight() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
--- a/crates/decisions/tests/behaviour/load_probes.rs
+++ b/crates/decisions/tests/behaviour/load_probes.rs
@@ -12,7 +12,7 @@
         assert_eq!(
             sent_to(&actions),
             None,
-            "nothing is sent before the asked have told"
+            "nothing is sent before the probed servers have reported"
         );
         let candidates = probed_servers(&actions);
         assert!(
@@ -34,7 +34,7 @@
     }
 }
 
-/// A stalled or dead server does not tell either: waiting for it would cost more than a bad choice.
+/// A stalled or dead server does not report either: waiting for it would cost more than a bad choice.
 #[test]
 fn server_without_load_report_is_passed_over_after_a_short_wait() {
     let mut harness = Harness::new(probing_settings(), &zones(1, 6));
@@ -68,7 +68,7 @@
     );
 }
 
-/// A request with less time left than asking takes got no answer in its time.
+/// A request with less time left than probing takes got no response in its time.
 #[test]
 fn request_with_hardly_any_time_left_is_sent_without_probes() {
     let mut harness = Harness::new(probing_settings(), &zones(1, 6));
@@ -86,7 +86,7 @@
     );
 }
 
-/// The list may change while servers are asked: a drained one must not get the call for all its idleness.
+/// The list may change while servers are probed: a drained one must not get the call for all its idleness.
 #[test]
 fn server_drained_while_it_was_probed_gets_nothing() {
     let mut harness = Harness::new(probing_settings(), &zones(1, 6));
@@ -112,7 +112,7 @@
     );
 }
 
-/// Calls that end too late behind a long queue ran all the same, and pending up the next until none was in time.
+/// Calls that end too late behind a long queue ran all the same, and held up the next until none was in time.
 #[test]
 fn call_that_no_probed_server_can_finish_in_time_is_rejected() {
     let mut harness = Harness::new(probing_settings(), &zones(1, 6));
@@ -145,7 +145,7 @@
     );
 }
 
-/// Where a probe is dear, asking four servers before each call costs more than a better choice brings.
+/// Where a probe is expensive, probing four servers before each call costs more than a better choice brings.
 #[test]
 fn expensive_probes_are_not_sent() {
     let mut harness = Harness::new(
--- a/crates/decisions/tests/behaviour/load_shedding.rs
+++ b/crates/decisions/tests/behaviour/load_shedding.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// The latency of past answers shows an overload late; what is pending over the answers shows it at once.
+/// The latency of past responses shows an overload late; the pending requests over the responses show it at once.
 #[test]
 fn shedding_starts_while_the_jam_builds_up_and_ends_with_it() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
@@ -41,7 +41,7 @@
     assert!((0..20).all(|_| harness.serve(SAFE, 20 * MS).is_some()));
 }
 
-/// Calls given up at once counted as quick answers, so a tier whose servers turned most calls away looked fast
+/// Calls given up at once counted as quick responses, so a tier whose servers rejected most calls looked fast
 /// and nothing was shed.
 #[test]
 fn fast_failures_do_not_count_as_fast_responses() {
@@ -54,7 +54,7 @@
         let (id, mut actions) = harness.request(SAFE);
         shed += u32::from(sent_to(&actions).is_none());
         let mut attempt = 0;
-        // Four in five are turned away, whatever is tried; the fifth is pending for long.
+        // Four in five are rejected, whatever is tried; the fifth is in flight for long.
         while sent_to(&actions).is_some() {
             if call % 5 == 0 {
                 out.push_back((id, attempt, harness.now));
@@ -74,7 +74,7 @@
     assert!(shed > 100, "{shed} of 600 were shed");
 }
 
-/// A balancer with one or two calls a second refused some by chance: its window pending an answer or two.
+/// A balancer with one or two calls a second rejected some by chance: its window held a response or two.
 #[test]
 fn balancer_with_few_calls_sheds_none_by_chance() {
     let mut harness = Harness::new(settings(), &zones(1, 6));
@@ -83,12 +83,12 @@
         let took = [60, 450, 150, 300][call as usize % 4] * MS;
         assert!(
             harness.serve(SAFE, took).is_some(),
-            "call {call} was refused"
+            "call {call} was rejected"
         );
     }
 }
 
-/// In a full jam no answers come, and a lateness made of answers said that all was well: nothing was shed.
+/// In a full jam no responses come, and a relative latency made of responses said that all was well: nothing was shed.
 #[test]
 fn jam_without_any_response_is_shed() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
@@ -102,7 +102,7 @@
     assert!(taken < 200, "{taken} of 400 calls went into the jam");
 }
 
-/// Calls that take a third of their aim by nature were shed on calm days, and nothing was gained by it.
+/// Calls that take a third of their latency target by nature were shed on quiet days, and nothing was gained by it.
 #[test]
 fn calls_that_take_a_third_of_their_target_without_load_are_not_shed() {
     let mut harness = Harness::new(settings(), &zones(1, 12));
@@ -123,8 +123,8 @@
     assert_eq!(refusals, 0);
 }
 
-/// Calls of very unlike lengths, ten a second and a little under half of their aim in the mean: one in fifty was
-/// refused, as the few of a second are by chance now short and now long.
+/// Calls of very unlike lengths, ten a second and a little under half of their latency target in the mean: one in fifty was
+/// rejected, as the few of a second are by chance now short and now long.
 #[test]
 fn few_calls_of_unlike_lengths_are_hardly_shed() {
     let (mut harness, mut rng) = (
@@ -149,11 +149,14 @@
             pending.push((id, harness.now, rng.u64(40..=400) * MS));
         }
     }
-    assert!(refusals * 200 < calls, "{refusals} of {calls} were refused");
+    assert!(
+        refusals * 200 < calls,
+        "{refusals} of {calls} were rejected"
+    );
 }
 
-/// With hundreds of balancers each gets a few requests a second: too few answers in a second to tell a jam, and
-/// all of them together sent on until nothing was answered in time.
+/// With hundreds of balancers each gets a few requests a second: too few responses in a second to tell a jam, and
+/// all of them together sent on until nothing was served in time.
 #[test]
 fn caller_with_few_calls_sheds_in_a_jam() {
     let long = |class: Class| Class {
@@ -168,7 +171,7 @@
     let mut harness = Harness::new(settings, &zones(1, 12));
     let (mut pending, mut refusals) = (std::collections::VecDeque::new(), 0);
     for step in 0..300 {
-        // Three a second; answers take a quarter of a second, and in the jam three of the aim's two seconds.
+        // Three a second; responses take a quarter of a second, and in the jam three of the latency target's two seconds.
         let took = if step < 100 { 250 * MS } else { 3 * SECOND };
         harness.now += 333 * MS;
         while pending
@@ -189,7 +192,7 @@
         };
         let actions = harness.handle(Event::Request(id, parameters));
         refusals += u32::from(is_rejected(&actions));
-        assert!(step >= 100 || refusals == 0, "refused in calm times");
+        assert!(step >= 100 || refusals == 0, "rejected without load");
         if sent_to(&actions).is_some() {
             pending.push_back((id, harness.now, harness.now + took));
         }
@@ -197,7 +200,7 @@
     assert!(refusals > 20, "{refusals} of 200");
 }
 
-/// Guards work against being shed for answers that are spoilt: they come as fast as others, and nothing waits.
+/// Guards work against being shed for responses that failed: they come as fast as others, and nothing waits.
 #[test]
 fn failed_responses_are_no_jam() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
@@ -224,7 +227,7 @@
     harness.warm_up(100);
     let mut out = std::collections::VecDeque::new();
     let mut served = [0, 0];
-    // 400 requests a second of each class; 100 answers a second.
+    // 400 requests a second of each class; 100 responses a second.
     for step in 0..2000 {
         harness.now += 5 * MS;
         for class in [SAFE, UNSAFE, SAFE, UNSAFE] {
@@ -242,13 +245,13 @@
     assert!(served[SAFE] * 10 < served[UNSAFE], "{served:?}");
     assert!(
         out.len() < 100,
-        "{} pending at 100 answers a second and an aim of 500 ms",
+        "{} pending at 100 responses a second and a latency target of 500 ms",
         out.len()
     );
 }
 
-/// Callers that are refused come again, and so all tenants came to more than their quotas: the one that surged
-/// was told from the others by chance alone, and a third of these were refused for it.
+/// Callers that are rejected come again, and so all tenants exceeded their quotas: the one that surged
+/// was set apart from the others by chance alone, and a third of these were rejected for it.
 #[test]
 fn a_tenant_that_surges_is_shed_before_the_others() {
     let tenants = vec![Tenant { quota_rps: 160.0 }; 4];
@@ -264,7 +267,7 @@
     let mut out = std::collections::VecDeque::new();
     let mut again = std::collections::VecDeque::<(u64, usize, u32)>::new();
     let (mut requested, mut served) = ([0; 4], [0; 4]);
-    // 220 answers a second. Three tenants want 50 calls a second each, of the 40 that are this balancer's part of
+    // 220 responses a second. Three tenants want 50 calls a second each, of the 40 that are this balancer's part of
     // their quotas, the first one wants 1,000; all try three times.
     for step in 0..8000 {
         harness.now += 5 * MS / 2;
--- a/crates/decisions/tests/behaviour/retries.rs
+++ b/crates/decisions/tests/behaviour/retries.rs
@@ -23,8 +23,8 @@
     );
 }
 
-/// Calls that wait in a queue of ours for a server that is told to drain were never sent, and cost no server
-/// anything: the retry budget, which is there for the servers' sake, must not refuse them.
+/// Calls that wait in a queue of ours for a server that drains were never sent, and cost no server
+/// anything: the retry budget, which is there for the servers' sake, must not reject them.
 #[test]
 fn attempts_never_sent_cost_no_retry_budget() {
     let mut harness = Harness::new(settings(), &zones(1, 3));
@@ -41,11 +41,11 @@
         .iter()
         .filter(|(id, _)| is_rejected(&harness.end(*id, 1, Outcome::Full, MS)))
         .count();
-    assert!(refusals >= 20, "{refusals} of 40 refused");
+    assert!(refusals >= 20, "{refusals} of 40 rejected");
 }
 
-/// Hundreds of callers with few calls each fill their servers' tables of connections. What was turned away there
-/// never reached a server, and cost the callers their retry budgets: they refused though others had room.
+/// Hundreds of callers with few calls each fill their servers' tables of connections. What was rejected there
+/// never reached a server, and cost the callers their retry budgets: they rejected though others had capacity.
 #[test]
 fn connections_that_do_not_come_up_cost_little_of_the_retry_budget() {
     let mut harness = Harness::new(settings(), &zones(1, 12));
@@ -61,7 +61,7 @@
     let refused = (0..400)
         .filter(|_| harness.run(UNSAFE, full_tables).1.is_some())
         .count();
-    assert!(refused < 40, "{refused} of 400 refused");
+    assert!(refused < 40, "{refused} of 400 rejected");
     // Where nothing comes up at all, each call has two attempts on average, not all that it may have.
     let attempts: usize = (0..400)
         .map(|_| harness.run(UNSAFE, |_| Outcome::ConnectFailed).0.len())
--- a/crates/decisions/tests/behaviour/round_robin.rs
+++ b/crates/decisions/tests/behaviour/round_robin.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// A full server refuses at once, so it pending none of our calls and got all turns of the others at their limit.
+/// A full server rejects at once, so it had none of our calls in flight and got all turns of the others at their limit.
 #[test]
 fn rejecting_server_does_not_draw_the_turns_of_busy_ones() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
@@ -94,7 +94,7 @@
 }
 
 /// Only servers slower than the mean gave up turns: where most are slow, they took as many as the few quick ones,
-/// and jammed in an overload while these had room.
+/// and jammed in an overload while these had capacity.
 #[test]
 fn quick_servers_take_more_turns_where_most_are_slow() {
     let mut harness = Harness::new(settings(), &zones(1, 10));
--- a/crates/decisions/tests/behaviour/slow_start.rs
+++ b/crates/decisions/tests/behaviour/slow_start.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// A cold server that tells of no calls got only its share of the proposals, and stood idle in a loaded zone.
+/// A server in slow start that reports no calls in flight got only its share of the proposals, and stood idle in a loaded zone.
 #[test]
 fn probed_server_in_slow_start_gets_up_to_half_its_overload_multiple() {
     let calls_to_the_warming_one = |slow_start_overload: f64| {
@@ -48,7 +48,7 @@
     );
 }
 
-/// After an outage of all servers nothing was answered lately, and by that alone all that came back cold were kept
+/// After an outage of all servers nothing was served lately, and by that alone all that came back in slow start were kept
 /// waiting past their return: of two hundred calls a second none was sent in the first three.
 #[test]
 fn servers_in_slow_start_after_an_outage_get_what_they_have_proven() {
@@ -82,7 +82,7 @@
     assert!(sent_by[1] > sent_by[0], "{sent_by:?}");
 }
 
-/// Guards restarts during a release: a balancer that knows nothing yet still uses servers that are all cold.
+/// Guards restarts during a release: a balancer that knows nothing yet still uses servers that are all in slow start.
 #[test]
 fn new_balancer_uses_a_fleet_in_slow_start() {
     let mut list = zones(3, 1);
--- a/crates/decisions/tests/behaviour/zones.rs
+++ b/crates/decisions/tests/behaviour/zones.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// A zone whose servers all refuse looks idle by our own counts: it kept all calls of its balancers.
+/// A zone whose servers all reject looks idle by our own counts: it kept all calls of its balancers.
 #[test]
 fn zone_that_only_rejects_is_left() {
     let mut harness = Harness::new(settings(), &zones(2, 3));
@@ -31,7 +31,7 @@
     );
 }
 
-/// A caller with few calls holds twice its calm share by chance alone, and paid for crossings that helped nobody.
+/// A caller with few calls has twice its usual share in flight by chance alone, and paid for crossings that helped nobody.
 #[test]
 fn chance_bunching_at_a_small_caller_stays_in_the_zone() {
     let mut harness = Harness::new(settings(), &zones(2, 12));
@@ -56,7 +56,7 @@
     assert_eq!(strays, 0, "calls that left a healthy zone");
 }
 
-/// A balancer that had no answer yet took its first calls in flight for an overload and sent the next across zones.
+/// A balancer that had no response yet took its first calls in flight for an overload and sent the next across zones.
 #[test]
 fn new_balancer_stays_in_its_zone() {
     let mut harness = Harness::new(settings(), &zones(2, 6));
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -129,7 +129,7 @@
         ))
     }
 
-    /// A request that is answered after `took`; the server that it went to.
+    /// A request that is served after `took`; the server that it went to.
     pub fn serve(&mut self, class: usize, took: u64) -> Option<u32> {
         let (id, actions) = self.request(class);
         let server = sent_to(&actions);
--- a/crates/decisions/tests/golden_decisions.rs
+++ b/crates/decisions/tests/golden_decisions.rs
@@ -503,13 +503,13 @@
 
     fn send_verdicts(&mut self, at: usize) {
         let zone = ZoneId(self.draws.below(3) as u8);
-        let places = [
+        let domains = [
             FailureDomain::Zone(zone, None),
             FailureDomain::Zone(zone, Some(at % 5)),
             FailureDomain::Server(ServerId(at as u32)),
         ];
         let shares = [0.0, 0.2, 0.6, 1.0];
-        let verdicts = places.map(|domain| HealthVerdict {
+        let verdicts = domains.map(|domain| HealthVerdict {
             domain,
             share: shares[self.draws.below(4) as usize],
             until: self.now + (1 + self.draws.below(4)) * SECOND,
--- a/crates/decisions/tests/properties.rs
+++ b/crates/decisions/tests/properties.rs
@@ -141,7 +141,7 @@
                 let call = self.calls.get_mut(&id.0).expect("a request that was given");
                 assert!(
                     !call.has_response && !call.disconnected,
-                    "rule 1: a second answer for {id:?}"
+                    "rule 1: a second response for {id:?}"
                 );
                 assert!(
                     call.in_flight.is_none(),
@@ -152,7 +152,7 @@
                     call.may_have_run.is_none() || call.class == SAFE || call.class == KEYED_ALL;
                 assert!(
                     !refused || harmless,
-                    "rule 2: {id:?} refused though it may have run"
+                    "rule 2: {id:?} rejected though it may have run"
                 );
                 call.has_response = true;
             }
@@ -393,7 +393,7 @@
     fn rules_are_kept_on_random_legal_orders(kind in 0u8..64, steps in prop::collection::vec(step(), 1..300)) {
         let mut world = World::new(settings_of(kind));
         steps.iter().for_each(|step| world.play(step));
-        // Rule 1: when every attempt has ended by its deadline, every request has its answer.
+        // Rule 1: when every attempt has ended by its deadline, every request has its response.
         loop {
             // Every timer comes due in the end, and those that it sets in turn.
             for token in std::mem::take(&mut world.timers) {
@@ -404,7 +404,7 @@
             world.end(id, Outcome::Timeout);
         }
         for (id, call) in &world.calls {
-            prop_assert!(call.has_response || call.disconnected, "request {id} has no answer");
+            prop_assert!(call.has_response || call.disconnected, "request {id} has no response");
         }
     }
 
