--- a/crates/emulator/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -26,16 +26,16 @@
         let usual = woadstall_membership::Settings::default();
         let span = |time: std::time::Duration| Span(time.as_nanos() as u64);
         let (period, patience, suspicion) = (
-            span(usual.period),
-            span(usual.patience),
-            span(usual.suspicion),
+            span(usual.probe_interval),
+            span(usual.probe_timeout),
+            span(usual.suspicion_timeout),
         );
         Self {
             period,
             patience,
             suspicion,
             pauses: Span(5 * SECOND),
-            plain: usual.plain,
+            plain: usual.plain_swim,
         }
     }
 }
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -60,10 +60,10 @@
     pub(super) fn new(of: &crate::scenario::Members, count: usize, seed: u64) -> Self {
         let time = |span: Span| std::time::Duration::from_nanos(span.0);
         let settings = Settings {
-            period: time(of.period),
-            patience: time(of.patience),
-            suspicion: time(of.suspicion),
-            plain: of.plain,
+            probe_interval: time(of.period),
+            probe_timeout: time(of.patience),
+            suspicion_timeout: time(of.suspicion),
+            plain_swim: of.plain,
             ..Settings::default()
         };
         let numbers = 0..count as u32;
@@ -100,7 +100,7 @@
         let says = |by: usize, of: usize| {
             self.nodes[by]
                 .as_ref()
-                .map(|node| node.ways(&name(of as u32), now))
+                .map(|node| node.path_states(&name(of as u32), now))
                 .unwrap_or_default()
         };
         let named = pairs.into_iter().map(|(from, to)| {
@@ -142,11 +142,11 @@
         let chance = &mut members.chance[at];
         let me = MemberMetadata {
             name: name(at as u32),
-            life: Generation {
-                started: local / MS,
+            generation: Generation {
+                started_ms: local / MS,
                 id: chance.next_u64(),
             },
-            at: address(at as u32),
+            address: address(at as u32),
             zone: label(zone),
             region: self.scenario.regions.get(zone).map(|region| label(region)),
         };
@@ -155,7 +155,7 @@
             .collect();
         // What cannot work was refused with the scenario.
         let node = Node::new(me, seeds, members.settings.clone(), chance.next_u64(), now).ok();
-        members.last_life[at] = node.as_ref().map(|node| node.me().life);
+        members.last_life[at] = node.as_ref().map(|node| node.local().generation);
         members.nodes[at] = node;
         (members.planned[at], members.looks[at]) = (Time::MAX, false);
         members.power[at] = true;
@@ -180,8 +180,8 @@
             return;
         };
         if let Some(node) = members.nodes[at].take() {
-            members.bytes[at] += node.tallies().bytes;
-            members.last_life[at] = Some(node.me().life);
+            members.bytes[at] += node.counters().bytes_sent;
+            members.last_life[at] = Some(node.local().generation);
             members.power[at] = power;
         }
         members.witness.runs(now, at, false);
@@ -246,7 +246,7 @@
         let Some(node) = &mut members.nodes[to] else {
             return;
         };
-        let understood = node.heard(now, &mail.bytes);
+        let understood = node.receive(now, &mail.bytes);
         debug_assert!(understood.is_ok(), "{understood:?}");
         self.member_acts(to);
     }
@@ -261,7 +261,10 @@
         let Some(node) = members.nodes[at].as_ref().filter(|_| still.is_none()) else {
             return;
         };
-        let sought: Vec<SocketAddr> = node.to_look_for(now).map(|card| card.at).collect();
+        let sought: Vec<SocketAddr> = node
+            .connection_check_targets(now)
+            .map(|member| member.address)
+            .collect();
         let refuses = |address: &SocketAddr| {
             let of = number(*address)
                 .map(|of| of as usize)
@@ -273,7 +276,9 @@
         };
         let refused: Vec<SocketAddr> = sought.into_iter().filter(refuses).collect();
         if let Some(node) = &mut members.nodes[at] {
-            refused.into_iter().for_each(|at| node.refused(now, at));
+            refused
+                .into_iter()
+                .for_each(|at| node.report_connection_refused(now, at));
         }
         self.member_acts(at);
     }
@@ -310,25 +315,25 @@
         while let Some(change) = node.next_event() {
             suspects |= matches!(change, Change::Suspected { .. });
             let of = match change {
-                Change::Joined(card) => card.name,
+                Change::Joined(member) => member.name,
                 Change::Recovered(of) | Change::Left(of) => of,
                 Change::Suspected { name, .. } | Change::Dead { name, .. } => name,
                 _ => continue,
             };
             // One that was told of as new may be told of as gone in the same breath: the last claim counts.
             if let Some(&number) = members.by_name.get(&of) {
-                found.push((number as usize, node.claim(&of)));
+                found.push((number as usize, node.status(&of)));
             }
         }
         let outs: Vec<woadstall_membership::OutgoingMessage> =
-            std::iter::from_fn(|| node.next_out()).collect();
-        let wake = node.wake_at().max(now + MS);
+            std::iter::from_fn(|| node.next_outgoing()).collect();
+        let wake = node.next_deadline().max(now + MS);
         if suspects && !std::mem::replace(&mut members.looks[at], true) {
             self.agenda.after(
                 2 * self.scenario.network.across.0,
                 Event::MemberLooks(at as u32),
             );
-        } else if !members.looks[at] && node.to_look_for(now).next().is_some() {
+        } else if !members.looks[at] && node.connection_check_targets(now).next().is_some() {
             members.looks[at] = true;
             self.agenda.after(LOOK, Event::MemberLooks(at as u32));
         }
@@ -342,15 +347,15 @@
                 },
             );
         }
-        for (of, claim) in found {
+        for (of, status) in found {
             let life = members.nodes[of]
                 .as_ref()
-                .map(|node| node.me().life)
+                .map(|node| node.local().generation)
                 .or(members.last_life[of]);
             // What is held of a former life says nothing of the present one.
-            let held = match claim
-                .filter(|claim| Some(claim.life) == life)
-                .map(|claim| claim.said)
+            let held = match status
+                .filter(|status| Some(status.generation) == life)
+                .map(|status| status.state)
             {
                 Some(MemberState::Alive) => Held::Alive,
                 Some(MemberState::Suspect) => Held::Suspect,
@@ -429,7 +434,9 @@
             .bytes
             .iter()
             .zip(&members.nodes)
-            .map(|(before, node)| before + node.as_ref().map_or(0, |node| node.tallies().bytes))
+            .map(|(before, node)| {
+                before + node.as_ref().map_or(0, |node| node.counters().bytes_sent)
+            })
             .collect();
         let now = self.agenda.now();
         Some(members.witness.end(now, &bytes, now))
--- a/crates/evacuation/src/coordinator.rs
+++ b/crates/evacuation/src/coordinator.rs
@@ -355,7 +355,7 @@
     pub fn turn(&mut self, now: Time, now_ms: u64, node: &mut Node) -> Turn {
         let members = self.hear(now, now_ms, node);
         self.orders_changed |= self.orders.forget(now_ms);
-        let quiet = node.sure(now).cut_off;
+        let quiet = node.confidence(now).is_isolated;
         let scene = Scene {
             places: &self.settings.places,
             zone: self.settings.zone,
@@ -385,42 +385,45 @@
         let mut members: BTreeMap<String, usize> = BTreeMap::new();
         let mut zones: HashMap<&Name, &Name> = HashMap::new();
         *members
-            .entry(node.me().zone.as_str().to_owned())
+            .entry(node.local().zone.as_str().to_owned())
             .or_default() += 1;
-        for seen in node.members(now) {
-            if matches!(seen.state, Presence::Dead | Presence::Left) {
+        for seen in node.observations(now) {
+            if matches!(seen.verdict, Presence::Dead | Presence::Left) {
                 continue;
             }
-            zones.insert(&seen.card.name, &seen.card.zone);
+            zones.insert(&seen.metadata.name, &seen.metadata.zone);
             // Whoever is not heard cannot bear witness here.
-            if !matches!(seen.state, Presence::Alive | Presence::Partitioned { .. }) {
+            if !matches!(seen.verdict, Presence::Alive | Presence::Partitioned { .. }) {
                 continue;
             }
             *members
-                .entry(seen.card.zone.as_str().to_owned())
+                .entry(seen.metadata.zone.as_str().to_owned())
                 .or_default() += 1;
         }
-        for (owner, key, fact) in node.facts() {
+        for (owner, key, record) in node.records() {
             let Some(zone) = zones.get(owner) else {
                 continue;
             };
             let Some(key) = KEYS.into_iter().find(|known| *known == key.as_str()) else {
                 continue;
             };
-            let stamp = (fact.life.id, fact.counter);
+            let stamp = (record.generation.id, record.version);
             if self.heard.insert((owner.clone(), key), stamp) == Some(stamp) {
                 continue;
             }
             // What cannot be read is nobody's evidence.
             match key {
                 "evidence" => {
-                    let heard =
-                        self.hearing
-                            .hear(owner.as_str(), zone.as_str(), fact.said_at, &fact.bytes);
+                    let heard = self.hearing.hear(
+                        owner.as_str(),
+                        zone.as_str(),
+                        record.published_at,
+                        &record.value,
+                    );
                     self.unread += u64::from(heard.is_err());
                 }
                 "orders" => {
-                    for order in Orders::read(&fact.bytes).unwrap_or_default() {
+                    for order in Orders::read(&record.value).unwrap_or_default() {
                         if self.orders.take(now_ms, order) {
                             self.orders_changed = true;
                             self.waiting.push(Line(self.tells(&order, now_ms)));
@@ -428,7 +431,7 @@
                     }
                 }
                 _ => {
-                    let place_decisions = PlaceDecision::read(&fact.bytes).unwrap_or_default();
+                    let place_decisions = PlaceDecision::read(&record.value).unwrap_or_default();
                     self.place_decisions.insert(
                         owner.as_str().to_owned(),
                         (zone.as_str().to_owned(), place_decisions),
@@ -519,13 +522,13 @@
     fn tell(&mut self, now: Time, node: &mut Node, members: &BTreeMap<String, usize>) {
         self.tell_evidence(now, node, members);
         let all = self.evacuation.place_decisions();
-        let place_decisions = PlaceDecision::write(&all, node.fact_room());
+        let place_decisions = PlaceDecision::write(&all, node.max_record_bytes());
         if place_decisions != self.told_place_decisions
             && (place_decisions.len() > 1 || !self.told_place_decisions.is_empty())
         {
             // The first few to say that a zone is left, or not, are waited for by those who were not there; who else
             // follows, and what nodos do, is for operators.
-            let own = node.me().zone.as_str();
+            let own = node.local().zone.as_str();
             let needed =
                 woadstall_health_reports::liars(members.get(own).copied().unwrap_or(1)) + 2;
             let told = |place_decision: &&PlaceDecision| {
@@ -544,15 +547,17 @@
                 .any(|place_decision| !told(&place_decision));
             let priority = if first { FIRST } else { LATER };
             if node
-                .say(now, self.keys[1].clone(), priority, place_decisions.clone())
+                .publish(now, self.keys[1].clone(), priority, place_decisions.clone())
                 .is_ok()
             {
                 self.told_place_decisions = place_decisions;
             }
         }
         if std::mem::take(&mut self.orders_changed) {
-            let bytes = self.orders.write(node.fact_room());
-            self.orders_changed = node.say(now, self.keys[2].clone(), ORDER, bytes).is_err();
+            let bytes = self.orders.write(node.max_record_bytes());
+            self.orders_changed = node
+                .publish(now, self.keys[2].clone(), ORDER, bytes)
+                .is_err();
         }
     }
 
@@ -624,7 +629,10 @@
             lines.extend(of);
         }
         // What weighs no more to others is no news.
-        let own = members.get(node.me().zone.as_str()).copied().unwrap_or(1);
+        let own = members
+            .get(node.local().zone.as_str())
+            .copied()
+            .unwrap_or(1);
         let (_, most) = woadstall_health_reports::enough(ENOUGH, own);
         let again = now >= self.told_at.saturating_add(TELLS_AGAIN);
         let changed = lines.iter().any(|(subject, _, weight)| {
@@ -669,8 +677,11 @@
                 .map(|(subject, counts, _)| Told::new(*subject, counts))
                 .collect(),
         );
-        let bytes = told.write(node.fact_room());
-        if node.say(now, self.keys[0].clone(), EVIDENCE, bytes).is_ok() {
+        let bytes = told.write(node.max_record_bytes());
+        if node
+            .publish(now, self.keys[0].clone(), EVIDENCE, bytes)
+            .is_ok()
+        {
             self.told = lines
                 .into_iter()
                 .map(|(subject, _, weight)| (subject, weight))
@@ -887,15 +898,15 @@
         std::hash::Hash::hash(subject, &mut hasher);
         hasher.finish()
     };
-    let me = node.me();
+    let me = node.local();
     let own = rank(&me.name);
     let (mut of, mut before) = (1, 0);
-    for seen in node.members(now) {
-        if seen.card.zone == me.zone
-            && matches!(seen.state, Presence::Alive | Presence::Partitioned { .. })
+    for seen in node.observations(now) {
+        if seen.metadata.zone == me.zone
+            && matches!(seen.verdict, Presence::Alive | Presence::Partitioned { .. })
         {
             of += 1;
-            before += usize::from(rank(&seen.card.name) < own);
+            before += usize::from(rank(&seen.metadata.name) < own);
         }
     }
     let triers = TRIERS.0.max((of as f64 * TRIERS.1) as usize).min(of);
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -68,19 +68,19 @@
 fn balancer(number: usize) -> Balancer {
     let zone = number / BALANCERS_PER_ZONE;
     let (zone_name, region) = ZONES[zone];
-    let card = MemberMetadata {
+    let metadata = MemberMetadata {
         name: name(&format!("b-{number}")),
-        life: Generation {
-            started: UNIX_MS,
+        generation: Generation {
+            started_ms: UNIX_MS,
             id: number as u64 + 1,
         },
-        at: address(number),
+        address: address(number),
         zone: name(zone_name),
         region: Some(name(region)),
     };
     let seeds = vec![address(0), address(BALANCERS_PER_ZONE)];
     let node = Node::new(
-        card,
+        metadata,
         seeds,
         woadstall_membership::Settings::default(),
         number as u64,
@@ -210,12 +210,12 @@
         .collect();
     let mut messages: VecDeque<(usize, Vec<u8>)> = VecDeque::new();
     for number in 0..fleet.len() {
-        while let Some(out) = fleet[number].node.next_out() {
+        while let Some(out) = fleet[number].node.next_outgoing() {
             messages.push_back((by_address[&out.to], out.bytes));
         }
         while let Some((to, bytes)) = messages.pop_front() {
-            fleet[to].node.heard(now, &bytes).unwrap();
-            while let Some(out) = fleet[to].node.next_out() {
+            fleet[to].node.receive(now, &bytes).unwrap();
+            while let Some(out) = fleet[to].node.next_outgoing() {
                 messages.push_back((by_address[&out.to], out.bytes));
             }
         }
--- a/crates/membership-net/src/core.rs
+++ b/crates/membership-net/src/core.rs
@@ -36,16 +36,16 @@
     }
 
     /// Bytes have come, from whomever.
-    pub fn came(&mut self, now: u64, bytes: &[u8]) {
+    pub fn messages_received(&mut self, now: u64, bytes: &[u8]) {
         let opened = match &mut self.seals {
             Some(seals) => seals.open(bytes),
             None => Ok(bytes),
         };
         let count = match opened {
-            Ok(message) => match self.node.heard(now, message) {
+            Ok(message) => match self.node.receive(now, message) {
                 Ok(()) => return,
-                Err(MessageError::Version(_)) => &mut self.counts.other_version,
-                Err(MessageError::Form) => &mut self.counts.no_message,
+                Err(MessageError::UnsupportedVersion(_)) => &mut self.counts.other_version,
+                Err(MessageError::Malformed) => &mut self.counts.no_message,
             },
             Err(SealError::Short) => &mut self.counts.no_message,
             Err(SealError::Form(_)) => &mut self.counts.other_version,
@@ -65,7 +65,11 @@
 
     /// Where to look whether a process listens: some of those that may be gone, others each time.
     pub fn look_for(&mut self, now: u64) -> Vec<SocketAddr> {
-        let all: Vec<SocketAddr> = self.node.to_look_for(now).map(|card| card.at).collect();
+        let all: Vec<SocketAddr> = self
+            .node
+            .connection_check_targets(now)
+            .map(|metadata| metadata.address)
+            .collect();
         let from = self.turn.checked_rem(all.len()).unwrap_or(0);
         self.turn = self.turn.wrapping_add(LOOKED_FOR);
         all.iter()
--- a/crates/membership-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -121,7 +121,7 @@
 
 impl Row {
     fn new(node: &Node, seen: &Observation<'_>, now: u64) -> Self {
-        let state = match seen.state {
+        let state = match seen.verdict {
             Verdict::Alive => "alive",
             Verdict::Suspect => "suspect",
             Verdict::Partitioned { .. } => "cut",
@@ -129,18 +129,18 @@
             Verdict::Left => "left",
             Verdict::UnknownSince(_) => "unknown",
         };
-        let (to, from) = node.ways(&seen.card.name, now);
+        let (to, from) = node.path_states(&seen.metadata.name, now);
         Self {
-            name: seen.card.name.to_string(),
-            zone: seen.card.zone.to_string(),
-            region: seen.card.region.as_ref().map(ToString::to_string),
-            at: seen.card.at,
-            started_ms: seen.card.life.started,
+            name: seen.metadata.name.to_string(),
+            zone: seen.metadata.zone.to_string(),
+            region: seen.metadata.region.as_ref().map(ToString::to_string),
+            at: seen.metadata.address,
+            started_ms: seen.metadata.generation.started_ms,
             state: state.to_owned(),
             to: way(to),
             from: way(from),
             for_s: seconds(seen.since, now),
-            found_s: seen.found_at.map(|at| seconds(at, now)),
+            found_s: seen.last_reached_at.map(|at| seconds(at, now)),
             suspected_by: seen.suspected_by.iter().map(ToString::to_string).collect(),
         }
     }
@@ -149,38 +149,38 @@
 impl Report {
     /// Of a member, whose clock began at 0.
     pub fn new(node: &Node, counts: Counts, now: u64) -> Self {
-        let (size, sure, tallies) = (node.size(), node.sure(now), node.tallies());
+        let (size, sure, tallies) = (node.fleet_size(), node.confidence(now), node.counters());
         let ways = node
-            .cuts(now)
+            .zone_paths(now)
             .into_iter()
             .map(|((from, to), between)| Ways {
                 from: from.to_string(),
                 to: to.to_string(),
-                of: between.of,
-                cut: between.cut,
+                of: between.total,
+                cut: between.partitioned,
             });
         let mut members: Vec<Row> = node
-            .members(now)
+            .observations(now)
             .map(|seen| Row::new(node, &seen, now))
             .collect();
         members.sort_by(|one, other| one.name.cmp(&other.name));
         Self {
-            name: node.me().name.to_string(),
-            zone: node.me().zone.to_string(),
-            at: node.me().at,
-            started_ms: node.me().life.started,
+            name: node.local().name.to_string(),
+            zone: node.local().zone.to_string(),
+            at: node.local().address,
+            started_ms: node.local().generation.started_ms,
             for_s: seconds(0, now),
-            least: size.least,
-            most: size.most,
+            least: size.min,
+            most: size.max,
             own_zone: sure.own_zone,
-            other_zones: sure.others,
-            cut_off: sure.cut_off,
-            slowed: node.times(),
-            stalls: tallies.stalls,
-            facts: node.facts().count(),
-            came: tallies.came,
-            sent: tallies.sent,
-            bytes: tallies.bytes,
+            other_zones: sure.other_zones,
+            cut_off: sure.is_isolated,
+            slowed: node.health_multiplier(),
+            stalls: tallies.process_pauses,
+            facts: node.records().count(),
+            came: tallies.messages_received,
+            sent: tallies.messages_sent,
+            bytes: tallies.bytes_sent,
             counts,
             members,
             ways: ways.collect(),
--- a/crates/membership-net/src/shell.rs
+++ b/crates/membership-net/src/shell.rs
@@ -70,10 +70,10 @@
     }
 
     /// Bytes came. While calls stand still they are dropped, as if the process did.
-    pub fn came(&self, bytes: &[u8]) -> MutexGuard<'_, Core> {
+    pub fn messages_received(&self, bytes: &[u8]) -> MutexGuard<'_, Core> {
         let (now, mut core) = (self.now(), self.core());
         if !self.stands_still(now) {
-            core.came(now, bytes);
+            core.messages_received(now, bytes);
         }
         core
     }
@@ -87,7 +87,7 @@
     /// A machine has said that no process listens at an address of its own.
     pub fn refused(&self, at: SocketAddr) {
         let now = self.now();
-        self.core().node.refused(now, at);
+        self.core().node.report_connection_refused(now, at);
         self.poke();
     }
 
@@ -162,26 +162,29 @@
         };
         let at = sockets.as_ref().map_or(setup.listen, |sockets| sockets.at);
         let chance = || getrandom::u64().map_err(|error| format!("no random numbers: {error}"));
-        let started = SystemTime::now()
+        let started_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as u64;
-        let life = Generation {
-            started,
+        let generation = Generation {
+            started_ms,
             id: chance()?,
         };
         let (name, zone, region) = (setup.name.clone(), setup.zone.clone(), setup.region.clone());
         let me = MemberMetadata {
             name,
-            life,
-            at: setup.advertise.unwrap_or(at),
+            generation,
+            address: setup.advertise.unwrap_or(at),
             zone,
             region,
         };
         let node = Node::new(me, seeds, setup.settings.clone(), chance()?, 0);
         let node = node.map_err(|error| error.to_string())?;
         let shared = Arc::new(Shared {
-            core: Mutex::new(Core::new(node, keys.map(|keys| Seals::new(keys, life.id)))),
+            core: Mutex::new(Core::new(
+                node,
+                keys.map(|keys| Seals::new(keys, generation.id)),
+            )),
             began: Instant::now(),
             poke: Notify::new(),
             beat: AtomicU64::new(0),
@@ -212,7 +215,7 @@
 
     /// Where others find it.
     pub fn address(&self) -> SocketAddr {
-        self.shared.core().node.me().at
+        self.shared.core().node.local().address
     }
 
     /// Whether it has its address, and no other process does.
@@ -227,7 +230,7 @@
         if let (Some(seals), Some(keys)) = (&mut core.seals, keys) {
             seals.rotate(keys);
         }
-        core.node.ask_at(seeds);
+        core.node.set_seeds(seeds);
         Ok(())
     }
 
@@ -240,9 +243,9 @@
     }
 
     /// Says something to all, in place of what it said under the key.
-    pub fn say(&self, key: Name, priority: u8, bytes: Vec<u8>) -> Result<(), PublishError> {
+    pub fn publish(&self, key: Name, priority: u8, bytes: Vec<u8>) -> Result<(), PublishError> {
         let now = self.shared.now();
-        self.shared.core().node.say(now, key, priority, bytes)?;
+        self.shared.core().node.publish(now, key, priority, bytes)?;
         self.shared.poke();
         Ok(())
     }
@@ -301,7 +304,7 @@
     };
     log(format_args!(
         "instances: takes messages at {at}, found at {}",
-        shared.core().node.me().at
+        shared.core().node.local().address
     ));
     let (orders, waiting) = mpsc::channel(WAITING);
     let mut tasks = JoinSet::new();
@@ -372,7 +375,7 @@
             return (Duration::from_millis(100), None);
         }
         core.node.tick(now);
-        while let Some(out) = core.node.next_out() {
+        while let Some(out) = core.node.next_outgoing() {
             let bytes = core.sealed(out.bytes);
             let sent = match out.reliable {
                 true => self.orders.try_send(Order { to: out.to, bytes }).is_ok(),
@@ -383,14 +386,14 @@
         while let Some(event) = core.node.next_event() {
             if let Event::Suspected { name, .. } = &event {
                 // At once: its machine may say that it is gone.
-                let suspect = core.node.suspects().find(|card| card.name == *name);
-                let order = suspect.map(|card| Order {
-                    to: card.at,
+                let suspect = core.node.suspects().find(|metadata| metadata.name == *name);
+                let order = suspect.map(|metadata| Order {
+                    to: metadata.address,
                     bytes: Vec::new(),
                 });
                 order.and_then(|order| self.orders.try_send(order).ok());
             }
-            say(&self.log, &event, &core.node);
+            publish(&self.log, &event, &core.node);
         }
         let strange = core.counts.other_key + core.counts.other_version;
         if strange > self.told && self.told_at.is_none_or(|at| now >= at + TOLD_AGAIN) {
@@ -400,7 +403,7 @@
             ));
             (self.told_at, self.told) = (Some(now), strange);
         }
-        let wake = core.node.wake_at().saturating_sub(now).max(1_000_000);
+        let wake = core.node.next_deadline().saturating_sub(now).max(1_000_000);
         // A flood also costs the turns that come between its parts.
         core.budget.spend(began.elapsed());
         (Duration::from_nanos(wake), core.budget.wait(now))
@@ -411,7 +414,7 @@
         for _ in 0..BATCH {
             // An error may tell of an earlier datagram that nobody took.
             match self.datagrams.try_recv_from(buffer) {
-                Ok((length, _)) => drop(self.shared.came(&buffer[..length])),
+                Ok((length, _)) => drop(self.shared.messages_received(&buffer[..length])),
                 Err(_) => break,
             }
         }
@@ -433,17 +436,17 @@
 }
 
 /// A line for each change, with its reason.
-fn say(log: &Log, event: &Event, node: &Node) {
+fn publish(log: &Log, event: &Event, node: &Node) {
     let by = |by: &Option<Name>| match by {
-        Some(by) if *by == node.me().name => "found here".to_owned(),
+        Some(by) if *by == node.local().name => "found here".to_owned(),
         Some(by) => format!("found by {by}"),
         None => "as others say".to_owned(),
     };
     match event {
-        Event::Joined(card) => {
+        Event::Joined(metadata) => {
             log(format_args!(
                 "instances: {} joined, zone {}, at {}",
-                card.name, card.zone, card.at
+                metadata.name, metadata.zone, metadata.address
             ));
         }
         Event::Recovered(name) => log(format_args!(
@@ -468,15 +471,17 @@
                 time.as_millis()
             ));
         }
-        Event::NameConflict { name, at } => {
+        Event::NameConflict { name, addresses } => {
             log(format_args!(
                 "instances: two use the name {name}: at {} and at {}",
-                at[0], at[1]
+                addresses[0], addresses[1]
             ));
         }
-        Event::IsolationChanged(true) => log(format_args!(
+        Event::IsolationChanged { is_isolated: true } => log(format_args!(
             "instances: cut off from most others, judges nobody"
         )),
-        Event::IsolationChanged(false) => log(format_args!("instances: no longer cut off")),
+        Event::IsolationChanged { is_isolated: false } => {
+            log(format_args!("instances: no longer cut off"))
+        }
     }
 }
--- a/crates/membership-net/src/streams.rs
+++ b/crates/membership-net/src/streams.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
-use woadstall_membership::message::MOST;
+use woadstall_membership::message::MAX_MESSAGE_BYTES;
 use woadstall_message_auth::ADDS;
 
 /// How long a stream may last.
@@ -104,7 +104,7 @@
         let mut length = [0; 4];
         stream.read_exact(&mut length).await?;
         let length = u32::from_be_bytes(length) as usize;
-        if length > MOST + ADDS {
+        if length > MAX_MESSAGE_BYTES + ADDS {
             shared.core().counts.no_message += 1;
             return Ok(());
         }
@@ -119,7 +119,7 @@
         }
         if bytes.len() == length {
             let began = Instant::now();
-            let Core { budget, .. } = &mut *shared.came(&bytes);
+            let Core { budget, .. } = &mut *shared.messages_received(&bytes);
             budget.spend(began.elapsed());
         }
         shared.poke();
--- a/crates/membership-net/tests/golden.rs
+++ b/crates/membership-net/tests/golden.rs
@@ -44,7 +44,7 @@
 struct Peer {
     datagrams: UdpSocket,
     streams: TcpListener,
-    card: MemberMetadata,
+    metadata: MemberMetadata,
 }
 
 impl Peer {
@@ -55,31 +55,34 @@
         datagrams
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
-        let card = MemberMetadata {
+        let metadata = MemberMetadata {
             name: name("b-1"),
-            life: Generation { started: 5, id: 6 },
-            at,
+            generation: Generation {
+                started_ms: 5,
+                id: 6,
+            },
+            address: at,
             zone: name("sur"),
             region: None,
         };
         Self {
             datagrams,
             streams,
-            card,
+            metadata,
         }
     }
 
     fn message(&self, body: Body) -> Vec<u8> {
-        let (from, news, facts) = (self.card.clone(), Vec::new(), Vec::new());
+        let (from, updates, records) = (self.metadata.clone(), Vec::new(), Vec::new());
         Message {
             from,
             incarnation: 0,
             to: None,
             body,
-            news,
-            facts,
+            updates,
+            records,
         }
-        .write()
+        .encode()
     }
 }
 
@@ -88,7 +91,7 @@
 fn datagrams_are_messages() {
     let (peer, member) = (Peer::new(), start(setup()));
     let ping = Body::Ping {
-        number: 41,
+        sequence: 41,
         origin: None,
     };
     peer.datagrams
@@ -98,7 +101,7 @@
     let answer = loop {
         let (length, from) = peer.datagrams.recv_from(&mut buffer).unwrap();
         assert_eq!(from, member.address());
-        let message = Message::read(&buffer[..length], 256).unwrap();
+        let message = Message::decode(&buffer[..length], 256).unwrap();
         if matches!(message.body, Body::Ack { .. }) {
             break message;
         }
@@ -106,14 +109,20 @@
     assert_eq!(
         answer.body,
         Body::Ack {
-            number: 41,
-            heard: 41
+            sequence: 41,
+            last_direct_sequence: 41
         }
     );
     assert_eq!(answer.from.name, name("b-0"));
     assert_eq!(
         answer.to,
-        Some((name("b-1"), Generation { started: 5, id: 6 }))
+        Some((
+            name("b-1"),
+            Generation {
+                started_ms: 5,
+                id: 6
+            }
+        ))
     );
 }
 
@@ -135,15 +144,15 @@
     };
     let (length, bytes) = all.split_first_chunk::<4>().unwrap();
     assert_eq!(u32::from_be_bytes(*length) as usize, bytes.len());
-    let message = Message::read(bytes, 256).unwrap();
+    let message = Message::decode(bytes, 256).unwrap();
     assert_eq!(
         message.body,
         Body::ShardState {
-            parts: (0..64).collect(),
-            again: false
+            shards: (0..64).collect(),
+            wants_reply: false
         }
     );
-    assert_eq!(message.news.len(), 2);
+    assert_eq!(message.updates.len(), 2);
 }
 
 /// Two messages on one stream are both read.
@@ -218,7 +227,7 @@
         },
         Setup {
             settings: Settings {
-                datagram: 1,
+                max_datagram_bytes: 1,
                 ..Settings::default()
             },
             ..setup()
--- a/crates/membership-net/tests/sockets.rs
+++ b/crates/membership-net/tests/sockets.rs
@@ -69,13 +69,13 @@
             .all(|one| one.report().least == 5)
     });
     first
-        .say(Name::new("load").unwrap(), 9, b"17".to_vec())
+        .publish(Name::new("load").unwrap(), 9, b"17".to_vec())
         .unwrap();
     let told = |one: &Instances| {
         let (owner, key) = (Name::new("b-0").unwrap(), Name::new("load").unwrap());
         one.look(|node, _| {
-            node.fact(&owner, &key)
-                .is_some_and(|fact| fact.bytes == b"17")
+            node.record(&owner, &key)
+                .is_some_and(|record| record.value == b"17")
         })
     };
     until("a fact is told", || others.iter().all(told));
--- /dev/null
+++ b/crates/membership/src/gossip_queue.rs
@@ -0,0 +1,122 @@
+//! What is still to be piggybacked on messages. Each item is sent a number of times that grows with
+//! the logarithm of the fleet (SWIM, section 4.1), the least transmitted first, so that new items
+//! pass those that most members have received.
+
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+/// Items that are skipped as too long for what is left of a message before the search ends.
+const MAX_SKIPPED: usize = 4;
+
+/// The order of items: urgent first, then the least transmitted, then the newest. Ordered by key
+/// instead, all members would send the same few first, and the last of many would wait for long.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    urgency: Reverse<u8>,
+    transmissions: u32,
+    enqueued: Reverse<u64>,
+}
+
+#[derive(Clone, Debug)]
+struct QueuedItem<K, V> {
+    key: K,
+    value: V,
+    bytes: usize,
+}
+
+/// Items to transmit, at most one a key.
+#[derive(Clone, Debug)]
+pub struct GossipQueue<K, V> {
+    items: BTreeMap<Rank, QueuedItem<K, V>>,
+    ranks: BTreeMap<K, Rank>,
+    enqueued: u64,
+}
+
+impl<K, V> Default for GossipQueue<K, V> {
+    fn default() -> Self {
+        Self {
+            items: BTreeMap::new(),
+            ranks: BTreeMap::new(),
+            enqueued: 0,
+        }
+    }
+}
+
+impl<K: Ord + Clone, V: Clone> GossipQueue<K, V> {
+    /// Enqueues an item of `bytes` encoded bytes, in place of the one under its key.
+    pub fn enqueue(&mut self, key: K, value: V, bytes: usize, urgency: u8) {
+        self.remove(&key);
+        self.enqueued += 1;
+        let rank = Rank {
+            urgency: Reverse(urgency),
+            transmissions: 0,
+            enqueued: Reverse(self.enqueued),
+        };
+        self.ranks.insert(key.clone(), rank);
+        self.items.insert(rank, QueuedItem { key, value, bytes });
+    }
+
+    /// Drops the item under a key, if there is one.
+    pub fn remove(&mut self, key: &K) {
+        if let Some(rank) = self.ranks.remove(key) {
+            self.items.remove(&rank);
+        }
+    }
+
+    /// Whether an item of at least this urgency waits.
+    pub fn has_urgent(&self, min_urgency: u8) -> bool {
+        let first = self.items.first_key_value();
+        first.is_some_and(|(rank, _)| rank.urgency.0 >= min_urgency)
+    }
+
+    /// Whether nothing waits.
+    pub fn is_empty(&self) -> bool {
+        self.items.is_empty()
+    }
+
+    /// The items that fit into `max_bytes`; each is given out `max_transmissions` times in all.
+    pub fn take(&mut self, max_bytes: usize, max_transmissions: u32) -> Vec<V> {
+        let chosen = self.choose(max_bytes);
+        let mut taken = Vec::with_capacity(chosen.len());
+        for rank in chosen {
+            let Some(item) = self.items.remove(&rank) else {
+                continue;
+            };
+            taken.push(item.value.clone());
+            self.requeue(rank, item, max_transmissions);
+        }
+        taken
+    }
+
+    fn choose(&self, max_bytes: usize) -> Vec<Rank> {
+        let mut bytes_left = max_bytes;
+        let (mut chosen, mut skipped) = (Vec::new(), 0);
+        for (rank, item) in &self.items {
+            if item.bytes <= bytes_left {
+                bytes_left -= item.bytes;
+                chosen.push(*rank);
+                continue;
+            }
+            skipped += 1;
+            if skipped == MAX_SKIPPED {
+                break;
+            }
+        }
+        chosen
+    }
+
+    fn requeue(&mut self, rank: Rank, item: QueuedItem<K, V>, max_transmissions: u32) {
+        let next = Rank {
+            transmissions: rank.transmissions + 1,
+            ..rank
+        };
+        if next.transmissions >= max_transmissions {
+            self.ranks.remove(&item.key);
+            return;
+        }
+        if let Some(known) = self.ranks.get_mut(&item.key) {
+            *known = next;
+        }
+        self.items.insert(next, item);
+    }
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,38 +1,54 @@
-//! Who of the balancers is there, through pauses, lost messages and ways that are cut on one side; and small facts
-//! that all of them are told.
+//! Cluster membership by gossip, without input or output: failure detection through pauses, lost
+//! messages and one-way partitions, and small records that each member publishes to all others.
 //!
-//! SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations, Lifeguard's three parts (Dadgar, Phillips, Currey
-//! 2017), and on top: helpers from several zones, the two directions between members told apart, and no deaths where a
-//! third of the fleet vanishes at once or this member has reason to doubt itself. Nothing here does input or output or
-//! reads a clock: [`Node`] is handed times in nanoseconds of one clock that does not go back, datagrams and a seed. The
-//! design, with what was considered, is in `docs/instances.md`.
-
+//! The protocol is SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations, the three parts
+//! of Lifeguard (Dadgar, Phillips, Currey 2017), and three additions: indirect probes go through
+//! several zones, the two directions between two members are told apart, and no member is declared
+//! dead where a third of the fleet vanishes at once or the local member has reason to doubt itself.
+//!
+//! [`Node`] is a state machine: it is handed times in nanoseconds of one monotonic clock, datagrams
+//! and a random seed, and gives back messages and events. The design, with the alternatives that
+//! were considered, is in `docs/instances.md`.
+//!
+//! | module | owns |
+//! |---|---|
+//! | `metadata` | names, generations and what does not change about a member |
+//! | `status` | the total order of what is said about a member |
+//! | `message` | the messages and their encoding |
+//! | `member`, `paths`, `suspicion` | what the node keeps of one other member |
+//! | `records` | the published records |
+//! | `gossip_queue` | what is still to be piggybacked, and how often |
+//! | `local_health` | Lifeguard's local health |
+//! | `probe` | probes in flight |
+//! | `node` | the state machine, one protocol concern a submodule |
+//! | `view`, `event` | what callers read |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod card;
-mod claim;
-mod cuts;
-mod facts;
-mod health;
-mod judge;
+mod event;
+mod gossip_queue;
+mod local_health;
 mod member;
 pub mod message;
+mod metadata;
 mod node;
+mod paths;
 mod probe;
-mod reach;
+mod records;
 mod settings;
-mod spread;
-mod state;
+mod status;
 mod suspicion;
+mod time;
 mod view;
 
-pub use card::{Generation, MemberMetadata, Name, NameError};
-pub use claim::{MemberState, MemberStatus};
-pub use cuts::{PARTITIONS_KEY, PathCounts};
-pub use facts::{PublishError, Record};
+pub use event::{Counters, Event, OutgoingMessage};
 pub use message::{Message, MessageError};
-pub use node::{Counters, Event, Node, OutgoingMessage};
-pub use reach::PathState;
+pub use metadata::{Generation, MemberMetadata, Name, NameError};
+pub use node::Node;
+pub use node::partitions::{PARTITIONS_KEY, PathCounts};
+pub use paths::PathState;
+pub use records::{PublishError, Record};
 pub use settings::{Settings, SettingsError};
+pub use status::{MemberState, MemberStatus};
+pub use time::Timestamp;
 pub use view::{Confidence, FleetSize, Observation, Verdict};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,78 +1,76 @@
-//! One other member, as this one knows it.
+//! One other member, as the local one knows it.
 
-use crate::card::{MemberMetadata, Name};
-use crate::claim::{MemberState, MemberStatus};
 use crate::message::MemberUpdate;
-use crate::reach::Paths;
+use crate::metadata::{MemberMetadata, Name};
+use crate::paths::Paths;
+use crate::status::{MemberState, MemberStatus};
 use crate::suspicion::Suspicion;
+use crate::time::Timestamp;
 
-/// See the module's documentation.
+/// One other member, as the local one knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Who it is.
-    pub card: MemberMetadata,
-    /// The last that is claimed of it.
-    pub claim: MemberStatus,
-    /// Since when that is claimed.
-    pub since: u64,
-    /// While it is suspected.
+    /// Its metadata.
+    pub metadata: MemberMetadata,
+    /// The greatest status that was received.
+    pub status: MemberStatus,
+    /// When that status was received.
+    pub since: Timestamp,
+    /// Present while it is suspected.
     pub suspicion: Option<Suspicion>,
-    /// Its host has said that no such process is there.
-    pub refused: bool,
-    /// Which ways between it and this member work.
-    pub reach: Paths,
-    /// When it was last found to be there, directly or by way of others.
-    pub found_at: Option<u64>,
-    /// The last helper by whose way it was found: where few see both sides, they have to be asked again.
-    pub found_by: Option<Name>,
-    /// When it was last asked as a helper and had not found anybody; 0 if it did.
-    pub in_vain_at: u64,
+    /// Its host has refused a connection: no such process runs there.
+    pub connection_refused: bool,
+    /// The directions between it and the local member.
+    pub paths: Paths,
+    /// When it was last reached, directly or through others.
+    pub last_reached_at: Option<Timestamp>,
+    /// The relay through which it was last reached: where few see both sides of a partition, they
+    /// have to be asked again.
+    pub reached_through: Option<Name>,
+    /// When it was last asked to relay a probe and did not reach the target; 0 if it did.
+    pub failed_relay_at: Timestamp,
 }
 
 impl Member {
-    /// One that was just heard of.
-    pub fn new(card: MemberMetadata, claim: MemberStatus, now: u64) -> Self {
-        let (suspicion, reach) = (None, Paths::default());
+    /// A member that was just heard of.
+    pub fn new(metadata: MemberMetadata, status: MemberStatus, now: Timestamp) -> Self {
         Self {
-            card,
-            claim,
+            metadata,
+            status,
             since: now,
-            suspicion,
-            refused: false,
-            reach,
-            found_at: None,
-            found_by: None,
-            in_vain_at: 0,
+            suspicion: None,
+            connection_refused: false,
+            paths: Paths::default(),
+            last_reached_at: None,
+            reached_through: None,
+            failed_relay_at: 0,
         }
     }
 
-    /// What is claimed of it, to be passed on.
-    pub fn news(&self) -> MemberUpdate {
-        let by = self
-            .suspicion
-            .as_ref()
-            .and_then(|suspicion| suspicion.by().next().cloned());
+    /// Its status, to be passed on.
+    pub fn update(&self) -> MemberUpdate {
+        let suspicion = self.suspicion.as_ref();
+        let by = suspicion.and_then(|suspicion| suspicion.by().next().cloned());
         MemberUpdate {
-            card: self.card.clone(),
-            claim: self.claim,
+            metadata: self.metadata.clone(),
+            status: self.status,
             by,
         }
     }
 
-    /// Whether it counts as a part of the fleet: neither dead nor gone.
-    pub fn counts(&self) -> bool {
-        matches!(self.claim.said, MemberState::Alive | MemberState::Suspect)
-    }
-
-    /// Whether it has spoken to this member itself since it is suspected: then it is not gone.
-    pub fn spoke_since_suspected(&self) -> bool {
-        self.suspicion
-            .as_ref()
-            .is_some_and(|suspicion| self.reach.spoke_since(suspicion.began()))
+    /// Whether it belongs to the fleet: neither dead nor left.
+    pub fn is_present(&self) -> bool {
+        matches!(self.status.state, MemberState::Alive | MemberState::Suspect)
     }
 
     /// Whether nothing is said against it.
     pub fn is_alive(&self) -> bool {
-        self.claim.said == MemberState::Alive
+        self.status.state == MemberState::Alive
+    }
+
+    /// Whether it has sent the local member a message since it is suspected: then it is not gone.
+    pub fn received_since_suspected(&self) -> bool {
+        let suspicion = self.suspicion.as_ref();
+        suspicion.is_some_and(|suspicion| self.paths.received_since(suspicion.started_at()))
     }
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,177 +1,182 @@
-//! What members say to each other, and its bytes. Lengths are checked before anything is held.
+//! The messages of the protocol and their encoding: a version byte, then [`Message`] in postcard's
+//! format. Lengths are checked before memory is allocated for them.
 
-use crate::card::{Generation, MemberMetadata, Name};
-use crate::claim::MemberStatus;
+use crate::metadata::{Generation, MemberMetadata, Name};
+use crate::status::MemberStatus;
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 
-/// The form of messages. A member of another form is not understood, and said so of once.
+/// The version of the encoding. Messages of any other are rejected.
 pub const VERSION: u8 = 1;
-/// Most bytes of a message, those that compare whole states included.
-pub const MOST: usize = 64 << 10;
-/// Parts by which whole states are compared.
+/// The most bytes of a message, those of the anti-entropy included.
+pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
+/// Shards by which the anti-entropy compares the state of two members.
 pub const SHARDS: usize = 64;
 
-/// One message.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it.
+    /// The sender.
     pub from: MemberMetadata,
-    /// Its incarnation.
+    /// The sender's incarnation number.
     pub incarnation: u32,
-    /// Whom it is for; a former life of a name must not answer for a later one. `None` where it is not known yet.
+    /// The receiver's name and generation, since a former generation of a name must not answer for
+    /// a later one. `None` where the sender only knows an address.
     pub to: Option<(Name, Generation)>,
-    /// What it is.
+    /// What the message is for.
     pub body: Body,
-    /// What goes along about members.
-    pub news: Vec<MemberUpdate>,
-    /// What goes along of facts.
-    pub facts: Vec<RecordUpdate>,
+    /// Piggybacked updates of members.
+    pub updates: Vec<MemberUpdate>,
+    /// Piggybacked updates of records.
+    pub records: Vec<RecordUpdate>,
 }
 
-/// What a message is.
+/// What a message is for. The order of the variants is part of the encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Are you there? Asked for itself, or for one that has had no answer.
+    /// Asks for an [`Ack`](Self::Ack).
     Ping {
-        /// Its number.
-        number: u64,
-        /// For whom it is asked, if not for the sender.
+        /// The sequence number of this ping.
+        sequence: u64,
+        /// The member that asked for it, where the sender only relays it.
         origin: Option<ProbeOrigin>,
     },
-    /// Yes.
+    /// Acknowledges a [`Ping`](Self::Ping).
     Ack {
-        /// The probe's number.
-        number: u64,
-        /// The last number that was heard from the one itself for whom it was asked.
-        heard: u64,
+        /// The sequence number of the ping.
+        sequence: u64,
+        /// The sequence number of the last ping that came directly from the probe's origin.
+        last_direct_sequence: u64,
     },
-    /// Ask that one for me.
+    /// Asks the receiver to relay a ping (SWIM's ping-req).
     IndirectPing {
-        /// The number of the sender's own probe.
-        number: u64,
-        /// Whom.
+        /// The sequence number of the sender's own probe.
+        sequence: u64,
+        /// The member to be pinged.
         target: MemberMetadata,
     },
-    /// It has answered me.
+    /// The target of an [`IndirectPing`](Self::IndirectPing) has acknowledged the relayed ping.
     RelayedAck {
-        /// The sender's number.
-        number: u64,
-        /// The last number that it had heard from the one that asked.
-        heard: u64,
+        /// The sequence number of the receiver's own probe.
+        sequence: u64,
+        /// The sequence number of the last ping that the target received directly from the
+        /// receiver.
+        last_direct_sequence: u64,
     },
-    /// I ask for you, and have no answer yet: so at least I hear you.
+    /// The target of an [`IndirectPing`](Self::IndirectPing) has not answered in time (Lifeguard's
+    /// nack): the receiver's own connection to the sender works.
     Nack {
-        /// The number of the probe.
-        number: u64,
+        /// The sequence number of the receiver's own probe.
+        sequence: u64,
     },
-    /// I am new here, or awake again: what do you know?
+    /// Asks for all that the receiver knows; sent by members that are new or have just resumed.
     StateRequest,
-    /// Sums of the parts of what the sender holds.
+    /// Starts an anti-entropy exchange: a digest of each of the [`SHARDS`] shards.
     ShardDigests(Vec<u64>),
-    /// All that the sender holds in these parts, in `news` and `facts`; the other answers in kind if asked.
+    /// All that the sender knows of some shards, in `updates` and `records`.
     ShardState {
-        /// Which.
-        parts: Vec<u8>,
-        /// Whether the sender wants the other's, too.
-        again: bool,
+        /// The numbers of the shards.
+        shards: Vec<u8>,
+        /// Whether the sender asks for the receiver's state of the same shards.
+        wants_reply: bool,
     },
-    /// News alone.
+    /// Only carries piggybacked updates.
     Gossip,
 }
 
-/// For whom a probe is asked.
+/// The member for which a ping is relayed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProbeOrigin {
-    /// Who.
-    pub card: MemberMetadata,
-    /// The number of its own probe.
-    pub number: u64,
+    /// The member that asked for the ping.
+    pub metadata: MemberMetadata,
+    /// The sequence number of its own probe.
+    pub sequence: u64,
 }
 
-/// A claim, and who makes it.
+/// The status of a member, and who found it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// About whom.
-    pub card: MemberMetadata,
-    /// What.
-    pub claim: MemberStatus,
-    /// Who says so first hand, of a suspicion or death.
+    /// The member.
+    pub metadata: MemberMetadata,
+    /// Its status.
+    pub status: MemberStatus,
+    /// The member that suspects it or declared it dead.
     pub by: Option<Name>,
 }
 
-/// A fact under way.
+/// A record as it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordUpdate {
-    /// Whose it is.
+    /// The member that published it.
     pub owner: Name,
-    /// Of which of its lives.
-    pub life: Generation,
-    /// Raised with each change.
-    pub counter: u64,
-    /// Its name.
+    /// The generation of the owner that published it.
+    pub generation: Generation,
+    /// Raised by the owner with each change.
+    pub version: u64,
+    /// Its key.
     pub key: Name,
-    /// Facts of higher ones go first.
+    /// Records of higher priority are sent first.
     pub priority: u8,
-    /// Milliseconds since it was said.
+    /// Milliseconds since it was published.
     pub age_ms: u32,
-    /// What it says.
-    pub bytes: Vec<u8>,
+    /// Its value.
+    pub value: Vec<u8>,
 }
 
-/// Not a message.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why bytes are no message.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// Of another form.
-    Version(u8),
-    /// Too long, too short, or not of the form.
-    Form,
+    /// They are in another version of the encoding.
+    #[error("a message of version {0}, not {VERSION}")]
+    UnsupportedVersion(u8),
+    /// They are too many, too few, or not in the format.
+    #[error("not a message")]
+    Malformed,
 }
 
-impl fmt::Display for MessageError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Version(version) => write!(f, "a message of version {version}, not {VERSION}"),
-            Self::Form => f.write_str("not a message"),
-        }
-    }
-}
-
-impl std::error::Error for MessageError {}
-
-/// Bytes of a part of a message.
-pub fn size(of: &impl Serialize) -> usize {
-    postcard::experimental::serialized_size(of).unwrap_or(usize::MAX)
+/// Bytes that a part of a message takes.
+pub fn encoded_size(part: &impl Serialize) -> usize {
+    postcard::experimental::serialized_size(part).unwrap_or(usize::MAX)
 }
 
 impl Message {
-    /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
-        // Only maps of unknown length and the like cannot be written; there are none here.
+    /// The encoded message.
+    pub fn encode(&self) -> Vec<u8> {
+        // Only sequences of unknown length cannot be encoded; there are none here.
         postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
     }
 
-    /// From bytes, all of them. `facts` is the most that a fact may hold.
-    pub fn read(bytes: &[u8], facts: usize) -> Result<Self, MessageError> {
-        let (version, rest) = bytes.split_first().ok_or(MessageError::Form)?;
+    /// Decodes a message that takes all of `bytes`, with records of at most `max_record_bytes`.
+    ///
+    /// # Errors
+    ///
+    /// [`MessageError::UnsupportedVersion`] where the first byte is another version, and
+    /// [`MessageError::Malformed`] for anything else that is no message.
+    pub fn decode(bytes: &[u8], max_record_bytes: usize) -> Result<Self, MessageError> {
+        let (version, rest) = bytes.split_first().ok_or(MessageError::Malformed)?;
         if *version != VERSION {
-            return Err(MessageError::Version(*version));
+            return Err(MessageError::UnsupportedVersion(*version));
         }
-        if bytes.len() > MOST {
-            return Err(MessageError::Form);
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(MessageError::Malformed);
         }
         let (message, rest): (Self, _) =
-            postcard::take_from_bytes(rest).map_err(|_| MessageError::Form)?;
-        let long = message.facts.iter().any(|fact| fact.bytes.len() > facts);
-        let parts = match &message.body {
-            Body::ShardDigests(sums) => sums.len() == SHARDS,
-            Body::ShardState { parts, .. } => parts.iter().all(|part| usize::from(*part) < SHARDS),
+            postcard::take_from_bytes(rest).map_err(|_| MessageError::Malformed)?;
+        match rest.is_empty() && message.is_within_limits(max_record_bytes) {
+            true => Ok(message),
+            false => Err(MessageError::Malformed),
+        }
+    }
+
+    fn is_within_limits(&self, max_record_bytes: usize) -> bool {
+        let has_known_shards = match &self.body {
+            Body::ShardDigests(digests) => digests.len() == SHARDS,
+            Body::ShardState { shards, .. } => {
+                shards.iter().all(|shard| usize::from(*shard) < SHARDS)
+            }
             _ => true,
         };
-        if rest.is_empty() && !long && parts {
-            Ok(message)
-        } else {
-            Err(MessageError::Form)
-        }
+        let mut records = self.records.iter();
+        has_known_shards && records.all(|record| record.value.len() <= max_record_bytes)
     }
 }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,689 +1,355 @@
-//! One member: what it is handed, and what it says and finds.
-
-use crate::card::{MemberMetadata, Name};
-use crate::claim::{MemberState, MemberStatus};
-use crate::facts::{PublishError, Record, RecordStore};
-use crate::health::LocalHealth;
+//! The state machine of one member. This module holds its state, its timers and what callers ask of
+//! it; the submodules hold one concern of the protocol each.
+
+mod anti_entropy;
+mod gossip;
+mod membership;
+mod observations;
+pub(crate) mod partitions;
+mod pause;
+mod probing;
+mod receiving;
+mod refutation;
+mod relaying;
+mod suspicions;
+
+use crate::event::{Counters, Event, OutgoingMessage};
+use crate::gossip_queue::GossipQueue;
+use crate::local_health::LocalHealth;
 use crate::member::Member;
-use crate::message::{Body, MemberUpdate, Message, MessageError, size};
-use crate::probe::{Probe, Relay};
-use crate::reach::PathState;
+use crate::message::MemberUpdate;
+use crate::metadata::{MemberMetadata, Name};
+use crate::probe::{Probe, RelayedProbe};
+use crate::records::{PublishError, Record, RecordStore, URGENT_PRIORITY};
 use crate::settings::{Settings, SettingsError};
-use crate::spread::GossipQueue;
+use crate::time::{Timestamp, nanos};
 use indexmap::IndexMap;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
-use std::time::Duration;
-
-/// News that waits goes out this often, apart from what goes along with probes.
-const TELL: u64 = 100_000_000;
-/// Suspicions are judged this often at most: in a great failure there are many, and much comes.
-const JUDGES: u64 = 100_000_000;
-/// A young member compares all with others so many times as often.
-const YOUNG: u64 = 5;
-/// Where one was found to be gone, others that were not heard for so long are looked for, for so long.
-const UNHEARD: u64 = 1_000_000_000;
-const MORE_GONE: u64 = 5_000_000_000;
-/// To so many members.
-const TOLD: usize = 3;
-/// Priorities from here on do not wait for the next turn.
-pub(crate) const URGENT: u8 = 128;
-/// Events that nobody has fetched; the oldest go.
-const EVENTS: usize = 4_096;
-
-/// A message to be sent.
-#[derive(Clone, Debug, PartialEq)]
-pub struct OutgoingMessage {
-    /// To whom.
-    pub to: SocketAddr,
-    /// What.
-    pub bytes: Vec<u8>,
-    /// Whether it may be longer than a datagram, and is to arrive.
-    pub reliable: bool,
-}
-
-/// Something that changed, for a log line or for what builds on this.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Event {
-    /// A member that was not known, or a new life of one.
-    Joined(MemberMetadata),
-    /// One that was suspected or dead is there.
-    Recovered(Name),
-    /// One may be gone.
-    Suspected {
-        /// Which.
-        name: Name,
-        /// Who says so first hand.
-        by: Option<Name>,
-    },
-    /// One is gone.
-    Dead {
-        /// Which.
-        name: Name,
-        /// Who says so first hand.
-        by: Option<Name>,
-    },
-    /// One has left.
-    Left(Name),
-    /// This member did not run for so long.
-    ProcessPaused(Duration),
-    /// A name is used by two processes at once.
-    NameConflict {
-        /// The name.
-        name: Name,
-        /// Where they are.
-        at: [SocketAddr; 2],
-    },
-    /// This member is cut off from most others, or no longer.
-    IsolationChanged(bool),
-}
 
-/// Counts since the start.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
-    /// Messages that came.
-    pub came: u64,
-    /// Of these, those that were none.
-    pub not_understood: u64,
-    /// Messages sent.
-    pub sent: u64,
-    /// Their bytes.
-    pub bytes: u64,
-    /// Members that there was no place for.
-    pub no_place: u64,
-    /// Facts that were not taken.
-    pub facts_dropped: u64,
-    /// How often this member stood still.
-    pub stalls: u64,
-}
-
-/// See the crate's documentation.
+/// Nanoseconds from one evaluation of suspicions to the next: in a great failure there are many, and
+/// many messages come.
+const EVALUATION_INTERVAL: u64 = 100_000_000;
+/// A member that has just started runs the anti-entropy this many times as often.
+const BOOTSTRAP_SYNC_FACTOR: u64 = 5;
+/// Anti-entropy intervals for which a member counts as just started.
+const BOOTSTRAP_SYNC_INTERVALS: u64 = 3;
+/// Events that wait for the caller; the oldest are dropped.
+const MAX_EVENTS: usize = 4_096;
+
+/// One member of the fleet, as a state machine: it is handed times and messages, and gives back
+/// messages and events. Nothing here blocks, reads a clock or does input or output.
+///
+/// After each call, take what [`next_outgoing`](Self::next_outgoing) and
+/// [`next_event`](Self::next_event) have, and call [`tick`](Self::tick) no later than
+/// [`next_deadline`](Self::next_deadline).
 pub struct Node {
-    pub(crate) settings: Settings,
-    pub(crate) me: MemberMetadata,
-    pub(crate) incarnation: u32,
-    pub(crate) has_left: bool,
-    /// In the order in which they were heard of.
-    pub(crate) members: IndexMap<Name, Member>,
-    /// Those of them that are suspected.
-    pub(crate) suspected: BTreeSet<Name>,
-    /// Whom to probe, in turn.
-    pub(crate) round: Vec<Name>,
-    pub(crate) number: u64,
-    pub(crate) probe: Option<Probe>,
-    pub(crate) relays: Vec<Relay>,
-    /// The last helper that got through to anybody.
-    pub(crate) got_through: Option<Name>,
-    /// How the last probes of members that nothing was said against ended.
-    pub(crate) lately: VecDeque<bool>,
-    pub(crate) was_cut_off: bool,
-    /// When a host last said that a member's process is gone.
-    refused_at: Option<u64>,
-    /// When judgement was last held back.
-    pub(crate) held_at: u64,
-    pub(crate) next_probe: u64,
-    next_tell: u64,
-    next_compare: u64,
-    next_judge: u64,
-    young_until: u64,
-    turn: u64,
-    pub(crate) spread: GossipQueue<Name, MemberUpdate>,
-    pub(crate) facts: RecordStore,
-    pub(crate) health: LocalHealth,
-    pub(crate) rng: ChaCha8Rng,
+    settings: Settings,
+    local: MemberMetadata,
+    /// The local member's SWIM incarnation number.
+    incarnation: u32,
+    has_left: bool,
+    /// The other members, in the order in which they were heard of.
+    members: IndexMap<Name, Member>,
+    /// The names of those that are suspected.
+    suspected: BTreeSet<Name>,
+    /// Members to probe in this round; the last one is next.
+    probe_queue: Vec<Name>,
+    /// The last sequence number of a ping.
+    sequence: u64,
+    probe: Option<Probe>,
+    relayed_probes: Vec<RelayedProbe>,
+    /// The last relay that reached any target.
+    last_successful_relay: Option<Name>,
+    /// Whether the last probes succeeded, of members that nothing was said against.
+    recent_probes: VecDeque<bool>,
+    was_isolated: bool,
+    /// When a host last refused a connection.
+    last_refusal_at: Option<Timestamp>,
+    /// When verdicts were last deferred.
+    verdicts_deferred_at: Timestamp,
+    next_probe_at: Timestamp,
+    next_gossip_at: Timestamp,
+    next_sync_at: Timestamp,
+    next_evaluation_at: Timestamp,
+    bootstrap_until: Timestamp,
+    last_tick_at: Timestamp,
+    gossip: GossipQueue<Name, MemberUpdate>,
+    records: RecordStore,
+    local_health: LocalHealth,
+    rng: ChaCha8Rng,
     seeds: Vec<SocketAddr>,
-    /// Somebody has told it all that it knows.
-    pub(crate) was_told: bool,
-    /// Lives of this member's own name that it had to overtake, and when it last did.
-    pub(crate) twins: BTreeMap<u64, u64>,
-    out: VecDeque<OutgoingMessage>,
+    /// Whether another member has sent all that it knows.
+    is_synced: bool,
+    /// Ids of later generations of the local name, and when each was last superseded.
+    rival_generations: BTreeMap<u64, Timestamp>,
+    outgoing: VecDeque<OutgoingMessage>,
     events: VecDeque<Event>,
-    pub(crate) tallies: Counters,
+    counters: Counters,
 }
 
 impl Node {
-    /// One that knows nobody but where to ask. `now` is of the clock that all later times are of.
+    /// A member that knows nobody, only the addresses of seeds. All draws come from `rng_seed`; all
+    /// later times are of the clock that `now` is of.
+    ///
+    /// # Errors
+    ///
+    /// The first setting at fault.
     pub fn new(
-        me: MemberMetadata,
+        local: MemberMetadata,
         seeds: Vec<SocketAddr>,
         settings: Settings,
-        seed: u64,
-        now: u64,
+        rng_seed: u64,
+        now: Timestamp,
     ) -> Result<Self, SettingsError> {
         settings.check()?;
-        let plain = settings.plain;
-        let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Those that start together do not probe together.
-        let first = now + rng.random_range(0..settings.period.as_nanos() as u64);
-        let often = settings.compare.as_nanos() as u64;
-        let compare = now + rng.random_range(0..(often / YOUNG).max(1));
+        let mut rng = ChaCha8Rng::seed_from_u64(rng_seed);
+        // Members that start together must not probe together.
+        let next_probe_at = now + rng.random_range(0..nanos(settings.probe_interval));
+        let sync_interval = nanos(settings.sync_interval);
+        let first_sync = (sync_interval / BOOTSTRAP_SYNC_FACTOR).max(1);
+        let next_sync_at = now + rng.random_range(0..first_sync);
+        let bootstrap = BOOTSTRAP_SYNC_INTERVALS * sync_interval;
         Ok(Self {
+            local_health: LocalHealth::new(settings.plain_swim),
             settings,
-            me,
+            local,
             incarnation: 0,
             has_left: false,
             members: IndexMap::new(),
             suspected: BTreeSet::new(),
-            round: Vec::new(),
-            number: 0,
+            probe_queue: Vec::new(),
+            sequence: 0,
             probe: None,
-            relays: Vec::new(),
-            got_through: None,
-            lately: VecDeque::new(),
-            was_cut_off: false,
-            refused_at: None,
-            held_at: now,
-            next_probe: first,
-            next_tell: now,
-            next_compare: compare,
-            next_judge: now,
-            young_until: now.saturating_add(3 * often),
-            turn: now,
-            spread: GossipQueue::default(),
-            facts: RecordStore::default(),
-            health: LocalHealth::new(plain),
+            relayed_probes: Vec::new(),
+            last_successful_relay: None,
+            recent_probes: VecDeque::new(),
+            was_isolated: false,
+            last_refusal_at: None,
+            verdicts_deferred_at: now,
+            next_probe_at,
+            next_gossip_at: now,
+            next_sync_at,
+            next_evaluation_at: now,
+            bootstrap_until: now.saturating_add(bootstrap),
+            last_tick_at: now,
+            gossip: GossipQueue::default(),
+            records: RecordStore::default(),
             rng,
             seeds,
-            was_told: false,
-            twins: BTreeMap::new(),
-            out: VecDeque::new(),
+            is_synced: false,
+            rival_generations: BTreeMap::new(),
+            outgoing: VecDeque::new(),
             events: VecDeque::new(),
-            tallies: Counters::default(),
+            counters: Counters::default(),
         })
     }
 
-    /// Itself.
-    pub fn me(&self) -> &MemberMetadata {
-        &self.me
+    /// The local member.
+    pub fn local(&self) -> &MemberMetadata {
+        &self.local
     }
 
-    /// Other addresses at which to ask while it knows nobody.
-    pub fn ask_at(&mut self, seeds: Vec<SocketAddr>) {
+    /// Replaces the addresses that are asked while no member is known.
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// How well it does itself: 1 where all is well, up to 9 times as slow in its judgements.
-    pub fn times(&self) -> u32 {
-        self.health.times()
+    /// The factor by which the local member's time-outs grow: 1 where it is healthy, 9 at the worst.
+    pub fn health_multiplier(&self) -> u32 {
+        self.local_health.multiplier()
     }
 
-    /// The last that is claimed of a member.
-    pub fn claim(&self, name: &Name) -> Option<MemberStatus> {
-        self.members.get(name).map(|member| member.claim)
-    }
-
-    /// Those that may be gone.
-    pub fn suspects(&self) -> impl Iterator<Item = &MemberMetadata> {
-        self.suspected().map(|member| &member.card)
-    }
-
-    /// Those whose hosts are worth asking whether a process is there: who may be gone and, for a while after a host has
-    /// said so of one, who was not heard since. Where many die at once, to probe them one by one takes rounds.
-    pub fn to_look_for(&self, now: u64) -> impl Iterator<Item = &MemberMetadata> {
-        let lately = self
-            .refused_at
-            .is_some_and(|at| now < at.saturating_add(MORE_GONE));
-        let since = now.saturating_sub(UNHEARD);
-        let unheard = move |member: &&Member| {
-            lately && member.is_alive() && member.found_at.is_none_or(|found_at| found_at < since)
-        };
-        self.suspects().chain(
-            self.members
-                .values()
-                .filter(unheard)
-                .map(|member| &member.card),
-        )
-    }
-
-    pub(crate) fn suspected(&self) -> impl Iterator<Item = &Member> {
-        self.suspected
-            .iter()
-            .filter_map(|name| self.members.get(name))
-    }
-
-    /// When it has to be called again, at the latest.
-    pub fn wake_at(&self) -> u64 {
-        // Often enough that a late turn shows.
-        let mut wake = self
-            .next_probe
-            .min(self.turn + self.settings.stall.as_nanos() as u64 / 2);
-        wake = wake.min(self.next_compare);
+    /// The latest time at which [`tick`](Self::tick) has to be called.
+    pub fn next_deadline(&self) -> Timestamp {
+        // Ticks come often enough that a late one shows a pause.
+        let half_threshold = nanos(self.settings.pause_threshold) / 2;
+        let mut deadline = self.next_probe_at.min(self.last_tick_at + half_threshold);
+        deadline = deadline.min(self.next_sync_at);
         if let Some(probe) = &self.probe {
-            wake = wake.min(probe.next());
+            deadline = deadline.min(probe.deadline());
+        }
+        for relayed in &self.relayed_probes {
+            deadline = deadline.min(relayed.ends_at);
         }
-        wake = self
-            .relays
-            .iter()
-            .map(|relay| relay.next())
-            .fold(wake, u64::min);
-        if !self.spread.is_empty() || self.facts.is_waiting() {
-            wake = wake.min(self.next_tell);
+        if self.has_queued_updates() {
+            deadline = deadline.min(self.next_gossip_at);
         }
-        if self.suspected.is_empty() {
-            wake
-        } else {
-            wake.min(self.next_judge)
+        match self.suspected.is_empty() {
+            true => deadline,
+            false => deadline.min(self.next_evaluation_at),
         }
     }
 
-    /// Time has passed.
-    pub fn tick(&mut self, now: u64) {
+    /// Runs all timers that are due.
+    pub fn tick(&mut self, now: Timestamp) {
         if self.has_left {
             return;
         }
-        let gap = now.saturating_sub(std::mem::replace(&mut self.turn, now));
-        if gap > self.settings.stall.as_nanos() as u64 {
-            self.woke(now, gap);
+        let gap = now.saturating_sub(std::mem::replace(&mut self.last_tick_at, now));
+        if gap > nanos(self.settings.pause_threshold) {
+            self.resume_after_pause(now, gap);
         }
-        self.relays_end(now);
-        self.probe_goes_on(now);
-        if now >= self.next_probe {
-            self.next_probe = now + self.period();
-            self.forget(now);
-            self.tell_cuts(now);
-            // One that is spoken to before it has asked knows a few, and would find the others one by one.
-            if !self.was_told {
-                self.ask_around(now);
-            }
-            self.probe_next(now);
+        self.end_relayed_probes(now);
+        self.continue_probe(now);
+        if now >= self.next_probe_at {
+            self.start_probe_interval(now);
         }
-        if now >= self.next_judge {
-            self.next_judge = now + JUDGES;
-            self.judge(now);
+        if now >= self.next_evaluation_at {
+            self.next_evaluation_at = now + EVALUATION_INTERVAL;
+            self.evaluate_suspicions(now);
         }
-        if now >= self.next_compare {
-            // Those that start together are told by some that know little themselves.
-            let part = if now < self.young_until { YOUNG } else { 1 };
-            let compare = self.settings.compare.as_nanos() as u64 / part;
-            self.next_compare = now + compare / 2 + self.rng.random_range(0..compare.max(1));
-            self.compare_with_one(now);
+        if now >= self.next_sync_at {
+            self.schedule_sync(now);
+            self.send_digests(now);
         }
-        if now >= self.next_tell && (!self.spread.is_empty() || self.facts.is_waiting()) {
-            let urgent = !self.spread.is_empty() || self.facts.is_urgent();
-            // What is not urgent goes along with probes, and now and then by itself.
-            let (wait, told) = if urgent { (TELL, TOLD) } else { (5 * TELL, 1) };
-            self.next_tell = now + wait;
-            for to in self.some_that_hear(now, told) {
-                self.send(now, &to, Body::Gossip);
-            }
+        if now >= self.next_gossip_at && self.has_queued_updates() {
+            self.send_gossip(now);
         }
     }
 
-    /// Some of those that count, without those to whom the way is known to be cut: what goes along it is told to nobody.
-    pub(crate) fn some_that_hear(&mut self, now: u64, most: usize) -> Vec<MemberMetadata> {
-        let (holds, plain) = (self.holds(), self.settings.plain);
-        self.some(most, |member| {
-            member.counts() && (plain || member.reach.to(now, holds) != PathState::Partitioned)
-        })
-    }
-
-    /// A message has come. `from` is where it came from; what it says of itself counts.
-    pub fn heard(&mut self, now: u64, bytes: &[u8]) -> Result<(), MessageError> {
-        self.tallies.came += 1;
-        let message = Message::read(bytes, self.settings.fact_bytes);
-        let message = message.inspect_err(|_| self.tallies.not_understood += 1)?;
-        // What waited while this member stood still is old: it has to know that first.
-        self.tick(now);
-        if !self.has_left {
-            self.take(now, message);
+    fn start_probe_interval(&mut self, now: Timestamp) {
+        self.next_probe_at = now + self.scaled_probe_interval();
+        self.expire_members(now);
+        self.publish_partitions(now);
+        // A member that is contacted before it has asked knows a few others, and would find the rest
+        // one by one.
+        if !self.is_synced {
+            self.request_state(now);
         }
-        Ok(())
+        self.start_probe(now);
     }
 
-    /// A host has said that no process listens at an address of its own.
-    pub fn refused(&mut self, now: u64, at: SocketAddr) {
-        let name = self
-            .members
-            .values()
-            .find(|member| member.card.at == at && member.counts());
-        let Some(name) = name.map(|member| member.card.name.clone()) else {
-            return;
+    fn schedule_sync(&mut self, now: Timestamp) {
+        // Members that start together are told by others that know little themselves.
+        let factor = match now < self.bootstrap_until {
+            true => BOOTSTRAP_SYNC_FACTOR,
+            false => 1,
         };
-        if let Some(member) = self.members.get_mut(&name) {
-            member.refused = true;
-        }
-        self.refused_at = Some(now);
-        self.accuse(now, &name);
-        let refused = self.settings.refused.as_nanos() as u64;
-        if let Some(suspicion) = self
-            .members
-            .get_mut(&name)
-            .and_then(|member| member.suspicion.as_mut())
-        {
-            suspicion.hasten(now, refused);
-        }
-    }
-
-    /// Tells all that it leaves. Nothing more comes from it after what is fetched then.
-    pub fn leave(&mut self, now: u64) {
-        if std::mem::replace(&mut self.has_left, true) {
-            return;
-        }
-        let claim = MemberStatus::left(self.me.life);
-        self.tell(MemberUpdate {
-            card: self.me.clone(),
-            claim,
-            by: None,
-        });
-        for to in self.some(3 * TOLD, |member| member.counts()) {
-            self.send(now, &to, Body::Gossip);
-        }
-    }
-
-    /// Says something to all, in place of what it said under the key; nothing takes it back.
-    pub fn say(
+        let interval = nanos(self.settings.sync_interval) / factor;
+        let jitter = self.rng.random_range(0..interval.max(1));
+        self.next_sync_at = now + interval / 2 + jitter;
+    }
+
+    /// Publishes a record to all members, in place of the one under its key. It stays until it is
+    /// replaced or the local member is gone; an empty value withdraws it.
+    ///
+    /// # Errors
+    ///
+    /// [`PublishError`] where the value is too long or there are too many records.
+    pub fn publish(
         &mut self,
-        now: u64,
+        now: Timestamp,
         key: Name,
         priority: u8,
-        bytes: Vec<u8>,
+        value: Vec<u8>,
     ) -> Result<(), PublishError> {
-        let me = self.me.clone();
-        self.facts
-            .say(now, &me, key, priority, bytes, &self.settings)?;
-        if priority >= URGENT {
-            self.next_tell = self.next_tell.min(now);
+        let (local, settings) = (&self.local, &self.settings);
+        self.records
+            .publish(now, local, key, priority, value, settings)?;
+        if priority >= URGENT_PRIORITY {
+            self.next_gossip_at = self.next_gossip_at.min(now);
         }
         Ok(())
     }
 
-    /// Bytes of a fact at most.
-    pub fn fact_room(&self) -> usize {
-        self.settings.fact_bytes
+    /// The most bytes of a record's value.
+    pub fn max_record_bytes(&self) -> usize {
+        self.settings.max_record_bytes
     }
 
-    /// What is known: owner, key, fact. It is evidence, never a command.
-    pub fn facts(&self) -> impl Iterator<Item = (&Name, &Name, &Record)> {
-        self.facts.iter()
+    /// Owner, key and record of all that are known. They are evidence from their owners, never
+    /// commands.
+    pub fn records(&self) -> impl Iterator<Item = (&Name, &Name, &Record)> {
+        self.records.iter()
     }
 
-    /// One fact.
-    pub fn fact(&self, owner: &Name, key: &Name) -> Option<&Record> {
-        self.facts.get(owner, key)
+    /// One record.
+    pub fn record(&self, owner: &Name, key: &Name) -> Option<&Record> {
+        self.records.get(owner, key)
     }
 
     /// The next message to be sent.
-    pub fn next_out(&mut self) -> Option<OutgoingMessage> {
-        self.out.pop_front()
+    pub fn next_outgoing(&mut self) -> Option<OutgoingMessage> {
+        self.outgoing.pop_front()
     }
 
-    /// The next thing that changed.
+    /// The next event that the caller has not taken.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Counts.
-    pub fn tallies(&self) -> Counters {
+    /// Counts since the start.
+    pub fn counters(&self) -> Counters {
         Counters {
-            facts_dropped: self.facts.dropped(),
-            stalls: self.health.stalls(),
-            ..self.tallies
+            records_dropped: self.records.dropped(),
+            process_pauses: self.local_health.pauses(),
+            ..self.counters
         }
     }
 
-    pub(crate) fn period(&self) -> u64 {
-        self.settings.period.as_nanos() as u64 * u64::from(self.health.times())
-    }
-
-    pub(crate) fn event(&mut self, event: Event) {
-        if self.events.len() == EVENTS {
+    fn emit(&mut self, event: Event) {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(event);
     }
 
-    /// How often a piece of news goes out.
-    fn goes_out(&self) -> u32 {
-        let size = (self.members.len() + 2) as f64;
-        (self.settings.spread * size.log10()).ceil().max(1.0) as u32
+    /// The probe interval, as long as the local health has it.
+    fn scaled_probe_interval(&self) -> u64 {
+        let multiplier = u64::from(self.local_health.multiplier());
+        nanos(self.settings.probe_interval) * multiplier
     }
 
-    pub(crate) fn tell(&mut self, news: MemberUpdate) {
-        let bytes = size(&news);
-        self.spread.tell(news.card.name.clone(), news, bytes, 0);
+    /// Nanoseconds in which each member is probed once, and probes once, where all are healthy.
+    fn probe_round(&self) -> u64 {
+        let members = self.members.len() as u64 + 2;
+        nanos(self.settings.probe_interval) * members
     }
 
-    /// Some members, chosen by chance, in no order.
-    pub(crate) fn some(
-        &mut self,
-        most: usize,
-        is_one: impl Fn(&Member) -> bool,
-    ) -> Vec<MemberMetadata> {
-        let size = self.members.len();
-        let mut chosen: Vec<usize> = Vec::new();
-        // Where most of many will do, a few looks find them; else all are looked at.
-        let looks = if most < size / 4 { 4 * most } else { 0 };
-        for _ in 0..looks {
-            let at = self.rng.random_range(0..size);
-            let fits = self
-                .members
-                .get_index(at)
-                .is_some_and(|(_, member)| is_one(member));
-            if fits && !chosen.contains(&at) {
-                chosen.push(at);
-            }
-            if chosen.len() == most {
-                break;
-            }
-        }
-        if chosen.len() < most {
-            chosen = (0..size).filter(|at| is_one(&self.members[*at])).collect();
-            let (some, _) =
-                rand::seq::SliceRandom::partial_shuffle(&mut chosen[..], &mut self.rng, most);
-            chosen = some.to_vec();
-        }
-        chosen
-            .into_iter()
-            .map(|at| self.members[at].card.clone())
-            .collect()
-    }
-
-    /// What this member says of itself.
-    pub(crate) fn own_news(&self) -> MemberUpdate {
-        let claim = MemberStatus {
-            life: self.me.life,
-            incarnation: self.incarnation,
-            said: MemberState::Alive,
-        };
-        MemberUpdate {
-            card: self.me.clone(),
-            claim,
-            by: None,
-        }
-    }
-
-    /// A message that nothing goes along with.
-    pub(crate) fn message(&self, to: Option<&MemberMetadata>, body: Body) -> Message {
-        let (from, incarnation) = (self.me.clone(), self.incarnation);
-        let to = to.map(|to| (to.name.clone(), to.life));
-        Message {
-            from,
-            incarnation,
-            to,
-            body,
-            news: Vec::new(),
-            facts: Vec::new(),
-        }
-    }
-
-    /// A message with as much of what is to be told as a datagram holds.
-    pub(crate) fn send(&mut self, now: u64, to: &MemberMetadata, body: Body) {
-        self.send_about(now, to, body, None);
+    /// Nanoseconds for which an observation of a member holds: three rounds of probes.
+    fn observation_lifetime(&self) -> u64 {
+        3 * self.probe_round()
     }
 
-    /// The same, with what is claimed of another: who asks for a member tells what is held against it, and who found it
-    /// what it said, so that one word more or less under way does not leave it suspected.
-    pub(crate) fn send_about(
+    /// Up to `max` members for which `is_eligible` returns true, in random order.
+    fn random_members(
         &mut self,
-        now: u64,
-        to: &MemberMetadata,
-        body: Body,
-        about: Option<&Name>,
-    ) {
-        let mut message = self.message(Some(to), body);
-        let times = self.goes_out();
-        // The counts of news and facts, and the version.
-        let mut room = self.settings.datagram.saturating_sub(size(&message) + 8);
-        // One that is suspected hears of it with whatever comes, so that it can contradict.
-        let tells = |member: &&Member| !member.is_alive() && !self.settings.plain;
-        let of_it = self.members.get(&to.name).filter(tells);
-        let of_another = about
-            .and_then(|name| self.members.get(name))
-            .filter(|_| !self.settings.plain);
-        for member in of_it.into_iter().chain(of_another) {
-            let news = member.news();
-            room = room.saturating_sub(size(&news));
-            message.news.push(news);
-        }
-        let news = self.spread.take(room, times);
-        room -= news.iter().map(size).sum::<usize>().min(room);
-        message.news.extend(news);
-        message.facts = self.facts.take(now, room, times, &self.settings);
-        if message.body == Body::Gossip && message.news.is_empty() && message.facts.is_empty() {
-            return;
-        }
-        self.push(to.at, &message, false);
-    }
-
-    pub(crate) fn push(&mut self, to: SocketAddr, message: &Message, reliable: bool) {
-        let bytes = message.write();
-        (self.tallies.sent, self.tallies.bytes) = (
-            self.tallies.sent + 1,
-            self.tallies.bytes + bytes.len() as u64,
-        );
-        self.out.push_back(OutgoingMessage {
-            to,
-            bytes,
-            reliable,
-        });
-    }
-
-    /// Asks whoever may know: the members that it had, and else the seeds.
-    pub(crate) fn ask_around(&mut self, now: u64) {
-        let some = self.some(TOLD, |member| member.claim.said != MemberState::Left);
-        for to in &some {
-            self.send(now, to, Body::StateRequest);
-        }
-        if some.is_empty() || !self.was_told {
-            let message = self.message(None, Body::StateRequest);
-            let seeds: Vec<SocketAddr> = self
-                .seeds
-                .iter()
-                .copied()
-                .filter(|at| *at != self.me.at)
+        max: usize,
+        is_eligible: impl Fn(&Member) -> bool,
+    ) -> Vec<MemberMetadata> {
+        let mut chosen = self.sample_members(max, &is_eligible);
+        if chosen.len() < max {
+            let all = 0..self.members.len();
+            chosen = all
+                .filter(|index| is_eligible(&self.members[*index]))
                 .collect();
-            seeds
-                .into_iter()
-                .for_each(|at| self.push(at, &message, false));
+            let (drawn, _) =
+                rand::seq::SliceRandom::partial_shuffle(&mut chosen[..], &mut self.rng, max);
+            chosen = drawn.to_vec();
         }
+        let members = chosen.into_iter().map(|index| &self.members[index]);
+        members.map(|member| member.metadata.clone()).collect()
     }
 
-    fn take(&mut self, now: u64, message: Message) {
-        let Message {
-            from,
-            incarnation,
-            to,
-            body,
-            news,
-            facts,
-        } = message;
-        if from.name == self.me.name {
-            if from.life != self.me.life {
-                let claim = MemberStatus {
-                    life: from.life,
-                    incarnation,
-                    said: MemberState::Alive,
-                };
-                self.learn(
-                    now,
-                    MemberUpdate {
-                        card: from,
-                        claim,
-                        by: None,
-                    },
-                );
-            }
-            return;
-        }
-        let claim = MemberStatus {
-            life: from.life,
-            incarnation,
-            said: MemberState::Alive,
-        };
-        self.learn(
-            now,
-            MemberUpdate {
-                card: from.clone(),
-                claim,
-                by: None,
-            },
-        );
-        let current = self
-            .members
-            .get_mut(&from.name)
-            .filter(|member| member.claim.life == from.life);
-        if let Some(member) = current {
-            member.reach.heard(now);
-            member.found_at = Some(now);
-            member.refused = false;
-        }
-        news.into_iter().for_each(|news| self.learn(now, news));
-        for fact in facts {
-            let life = match fact.owner == self.me.name {
-                true => None, // nobody tells this member what it said
-                // Nor is what is over here taken again from one where it is not.
-                false => self.keeps_facts_of(&fact.owner, now),
-            };
-            if self.facts.hear(now, fact, life, &self.settings) {
-                self.next_tell = self.next_tell.min(now + TELL / 4);
+    /// Indices of up to `max` eligible members, found by a few draws: enough where most of many are
+    /// eligible, and cheaper than to look at all.
+    fn sample_members(&mut self, max: usize, is_eligible: &impl Fn(&Member) -> bool) -> Vec<usize> {
+        let size = self.members.len();
+        let draws = if max < size / 4 { 4 * max } else { 0 };
+        let mut chosen = Vec::new();
+        for _ in 0..draws {
+            let index = self.rng.random_range(0..size);
+            let member = self.members.get_index(index);
+            if member.is_some_and(|(_, member)| is_eligible(member)) && !chosen.contains(&index) {
+                chosen.push(index);
             }
-        }
-        // What is meant for a former life of this name must not be answered by this one.
-        let mine =
-            to.is_none_or(|(name, life)| (name, life) == (self.me.name.clone(), self.me.life));
-        if !mine {
-            self.tell(self.own_news());
-            return self.send(now, &from, Body::Gossip);
-        }
-        self.answer(now, from, body);
-    }
-
-    fn answer(&mut self, now: u64, from: MemberMetadata, body: Body) {
-        match body {
-            Body::Ping { number, origin } => self.pinged(now, &from, number, origin),
-            Body::Ack { number, heard } => self.acked(now, &from, number, heard),
-            Body::IndirectPing { number, target } => self.ping_for(now, from, number, target),
-            Body::RelayedAck { number, heard } => self.relayed(now, &from, number, heard),
-            Body::Nack { number } => self.no_answer(number),
-            Body::StateRequest => self.send_parts(now, &from, |_| true, false),
-            Body::ShardDigests(sums) => self.compared(now, &from, &sums),
-            Body::ShardState { again: false, .. } if !self.was_told => self.was_told = true,
-            Body::ShardState { parts, again: true } => {
-                self.send_parts(now, &from, |part| parts.contains(&part), false);
+            if chosen.len() == max {
+                break;
             }
-            Body::ShardState { .. } | Body::Gossip => {}
         }
-    }
-
-    /// The ways between this member and another one, as far as that is known: there and back.
-    pub fn ways(&self, name: &Name, now: u64) -> (PathState, PathState) {
-        let holds = self.holds();
-        self.members
-            .get(name)
-            .map_or((PathState::Unknown, PathState::Unknown), |member| {
-                (member.reach.to(now, holds), member.reach.from(now, holds))
-            })
-    }
-
-    /// How long what was found of a member holds: three rounds of probes.
-    pub(crate) fn holds(&self) -> u64 {
-        3 * self.round()
-    }
-
-    /// In this time each member is probed once, and probes once, where all are well.
-    pub(crate) fn round(&self) -> u64 {
-        self.settings.period.as_nanos() as u64 * (self.members.len() as u64 + 2)
+        chosen
     }
 }
--- /dev/null
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -0,0 +1,214 @@
+//! Anti-entropy: what gossip has missed is found by comparing digests of shards of two members'
+//! state, and sent. A shard holds the members, and the records of their owners, whose names hash to
+//! it.
+
+use super::Node;
+use crate::member::Member;
+use crate::message::{
+    Body, MAX_MESSAGE_BYTES, MemberUpdate, Message, RecordUpdate, SHARDS, encoded_size,
+};
+use crate::metadata::{MemberMetadata, Name};
+use crate::status::MemberState;
+use crate::time::Timestamp;
+use rand::RngExt;
+use rand::seq::SliceRandom;
+use siphasher::sip::SipHasher13;
+use std::collections::BTreeMap;
+use std::hash::{Hash, Hasher};
+
+/// Bytes of a message that carries shards: well under the most.
+const PAGE_BYTES: usize = MAX_MESSAGE_BYTES / 2;
+/// Shards that are sent after one comparison. Where much has changed, gossip of it is on its way
+/// anyhow.
+const MAX_SHARDS_SENT: usize = 8;
+/// One exchange in this many is with a member that is not alive, so that halves that have given each
+/// other up find each other again.
+const GONE_MEMBER_EXCHANGES: u32 = 4;
+
+fn digest(value: impl Hash) -> u64 {
+    // With constant keys: all members have to find the same.
+    let mut hasher = SipHasher13::new();
+    value.hash(&mut hasher);
+    hasher.finish()
+}
+
+fn shard_of(name: &Name) -> u8 {
+    (digest(name.as_str()) % SHARDS as u64) as u8
+}
+
+/// What a node knows of one shard.
+struct Shard {
+    number: u8,
+    updates: Vec<MemberUpdate>,
+    records: Vec<RecordUpdate>,
+}
+
+impl Shard {
+    fn bytes(&self) -> usize {
+        let updates: usize = self.updates.iter().map(encoded_size).sum();
+        let records: usize = self.records.iter().map(encoded_size).sum();
+        updates + records
+    }
+}
+
+/// A message that is filled with shards.
+struct Page {
+    message: Message,
+    bytes_left: usize,
+}
+
+impl Page {
+    /// Adds a shard. Of one that is larger than a page, what does not fit comes by gossip.
+    fn add(&mut self, shard: Shard) {
+        if let Body::ShardState { shards, .. } = &mut self.message.body {
+            shards.push(shard.number);
+        }
+        for update in shard.updates {
+            if self.reserve(encoded_size(&update)) {
+                self.message.updates.push(update);
+            }
+        }
+        for record in shard.records {
+            if self.reserve(encoded_size(&record)) {
+                self.message.records.push(record);
+            }
+        }
+    }
+
+    /// Whether that many bytes are left; they are used up then.
+    fn reserve(&mut self, bytes: usize) -> bool {
+        let fits = bytes <= self.bytes_left;
+        if fits {
+            self.bytes_left -= bytes;
+        }
+        fits
+    }
+}
+
+impl Node {
+    /// A digest of the statuses and records of each shard. The order in which they came does not
+    /// matter.
+    fn shard_digests(&self) -> Vec<u64> {
+        let mut digests = vec![0_u64; SHARDS];
+        let mut add = |name: &Name, value: u64| {
+            let sum = &mut digests[usize::from(shard_of(name))];
+            *sum = sum.wrapping_add(value);
+        };
+        let local = &self.local.name;
+        add(local, digest((local.as_str(), self.own_update().status)));
+        for (name, member) in &self.members {
+            add(name, digest((name.as_str(), member.status)));
+        }
+        for (owner, key, record) in self.records.iter() {
+            let (owner_text, key) = (owner.as_str(), key.as_str());
+            add(
+                owner,
+                digest((owner_text, key, record.generation, record.version)),
+            );
+        }
+        digests
+    }
+
+    /// Starts an exchange with one other member.
+    pub(super) fn send_digests(&mut self, now: Timestamp) {
+        let with_gone_member = self.rng.random_range(0..GONE_MEMBER_EXCHANGES) == 0;
+        let mut to = match with_gone_member {
+            true => self.random_members(1, |member| !member.is_alive()),
+            false => self.random_reachable_members(now, 1),
+        };
+        if to.is_empty() {
+            to = self.random_members(1, |member| member.status.state != MemberState::Left);
+        }
+        let Some(to) = to.pop() else {
+            return;
+        };
+        let body = Body::ShardDigests(self.shard_digests());
+        let message = self.message(Some(&to), body);
+        self.enqueue(to.address, &message, true);
+    }
+
+    /// Answers another member's digests with the state of some of the shards that differ.
+    pub(super) fn handle_digests(&mut self, now: Timestamp, from: &MemberMetadata, theirs: &[u64]) {
+        let own = self.shard_digests();
+        let differs = |shard: &u8| own.get(usize::from(*shard)) != theirs.get(usize::from(*shard));
+        let mut shards: Vec<u8> = (0..SHARDS as u8).filter(differs).collect();
+        let (drawn, _) = shards.partial_shuffle(&mut self.rng, MAX_SHARDS_SENT);
+        if !drawn.is_empty() {
+            let drawn = drawn.to_vec();
+            self.send_shards(now, from, |shard| drawn.contains(&shard), true);
+        }
+    }
+
+    /// Another member's shards have come; `updates` and `records` were merged already.
+    pub(super) fn handle_shards(
+        &mut self,
+        now: Timestamp,
+        from: &MemberMetadata,
+        shards: &[u8],
+        wants_reply: bool,
+    ) {
+        if wants_reply {
+            self.send_shards(now, from, |shard| shards.contains(&shard), false);
+        } else {
+            self.is_synced = true;
+        }
+    }
+
+    /// Sends all that is known of some shards, in as many messages as that takes.
+    pub(super) fn send_shards(
+        &mut self,
+        now: Timestamp,
+        to: &MemberMetadata,
+        is_wanted: impl Fn(u8) -> bool,
+        wants_reply: bool,
+    ) {
+        let shards = Vec::new();
+        let empty = self.message(
+            Some(to),
+            Body::ShardState {
+                shards,
+                wants_reply,
+            },
+        );
+        let capacity = PAGE_BYTES.saturating_sub(encoded_size(&empty) + SHARDS);
+        let new_page = || Page {
+            message: empty.clone(),
+            bytes_left: capacity,
+        };
+        let (mut pages, mut page) = (Vec::new(), new_page());
+        for shard in self.shards(now, is_wanted) {
+            if shard.bytes() > page.bytes_left && page.bytes_left < capacity {
+                pages.push(std::mem::replace(&mut page, new_page()));
+            }
+            page.add(shard);
+        }
+        pages.push(page);
+        for page in pages {
+            self.enqueue(to.address, &page.message, true);
+        }
+    }
+
+    /// What is known of some shards, by number.
+    fn shards(&self, now: Timestamp, is_wanted: impl Fn(u8) -> bool) -> Vec<Shard> {
+        let numbers = (0..SHARDS as u8).filter(|shard| is_wanted(*shard));
+        let mut updates: BTreeMap<u8, Vec<MemberUpdate>> =
+            numbers.map(|shard| (shard, Vec::new())).collect();
+        let members = self.members.values().map(Member::update);
+        for update in std::iter::once(self.own_update()).chain(members) {
+            if let Some(shard) = updates.get_mut(&shard_of(&update.metadata.name)) {
+                shard.push(update);
+            }
+        }
+        let shards = updates.into_iter().map(|(number, updates)| {
+            let records = self
+                .records
+                .updates_of(now, |owner| shard_of(owner) == number);
+            Shard {
+                number,
+                updates,
+                records,
+            }
+        });
+        shards.collect()
+    }
+}
--- /dev/null
+++ b/crates/membership/src/node/observations.rs
@@ -0,0 +1,117 @@
+//! What the local member concludes about the others, as callers read it.
+
+use super::Node;
+use crate::member::Member;
+use crate::metadata::Name;
+use crate::paths::PathState;
+use crate::status::{MemberState, MemberStatus};
+use crate::time::Timestamp;
+use crate::view::{Confidence, FleetSize, Observation, Verdict};
+
+impl Node {
+    /// All members that are known, those that are dead or left for a while as well, in no order.
+    pub fn observations(&self, now: Timestamp) -> impl Iterator<Item = Observation<'_>> {
+        let members = self.members.values();
+        members.map(move |member| self.observe(member, now))
+    }
+
+    /// The conclusion about one member; `None` where it is not known.
+    pub fn verdict(&self, name: &Name, now: Timestamp) -> Option<Verdict> {
+        let member = self.members.get(name)?;
+        Some(self.conclude(member, now))
+    }
+
+    /// The greatest status that was received of a member; `None` where it is not known.
+    pub fn status(&self, name: &Name) -> Option<MemberStatus> {
+        self.members.get(name).map(|member| member.status)
+    }
+
+    /// The directions from the local member to another one, and back.
+    pub fn path_states(&self, name: &Name, now: Timestamp) -> (PathState, PathState) {
+        let member = self.members.get(name);
+        member.map_or_else(Default::default, |member| self.paths_of(member, now))
+    }
+
+    /// How much of the fleet the local member reaches at this moment.
+    pub fn confidence(&self, now: Timestamp) -> Confidence {
+        Confidence {
+            own_zone: self.reached_fraction(now, true),
+            other_zones: self.reached_fraction(now, false),
+            is_isolated: self.is_isolated() || !self.local_health.may_suspect(now),
+        }
+    }
+
+    /// The size of the fleet.
+    pub fn fleet_size(&self) -> FleetSize {
+        let alive = self.members.values().filter(|member| member.is_alive());
+        FleetSize {
+            min: 1 + alive.count(),
+            max: self.present_count(),
+        }
+    }
+
+    fn observe<'a>(&self, member: &'a Member, now: Timestamp) -> Observation<'a> {
+        let suspicion = member.suspicion.iter();
+        Observation {
+            metadata: &member.metadata,
+            verdict: self.conclude(member, now),
+            since: member.since,
+            last_reached_at: member.last_reached_at,
+            suspected_by: suspicion.flat_map(|suspicion| suspicion.by()).collect(),
+        }
+    }
+
+    fn conclude(&self, member: &Member, now: Timestamp) -> Verdict {
+        let (outbound, inbound) = self.paths_of(member, now);
+        let partitioned = Verdict::Partitioned { outbound, inbound };
+        match member.status.state {
+            MemberState::Left => Verdict::Left,
+            MemberState::Dead => Verdict::Dead,
+            MemberState::Alive if [outbound, inbound].contains(&PathState::Partitioned) => {
+                partitioned
+            }
+            MemberState::Alive => Verdict::Alive,
+            // It reports itself, but receives too little from here to refute the suspicion.
+            MemberState::Suspect
+                if outbound == PathState::Partitioned && member.received_since_suspected() =>
+            {
+                partitioned
+            }
+            MemberState::Suspect => match &member.suspicion {
+                Some(suspicion) if now >= suspicion.expires_at() => {
+                    Verdict::UnknownSince(member.since)
+                }
+                _ => Verdict::Suspect,
+            },
+        }
+    }
+
+    fn paths_of(&self, member: &Member, now: Timestamp) -> (PathState, PathState) {
+        let lifetime = self.observation_lifetime();
+        let (outbound, inbound) = (
+            member.paths.outbound(now, lifetime),
+            member.paths.inbound(now, lifetime),
+        );
+        (outbound, inbound)
+    }
+
+    /// The fraction of the members of the local zone, or of all other zones, that were reached
+    /// lately; 1 where there are none.
+    fn reached_fraction(&self, now: Timestamp, in_local_zone: bool) -> f64 {
+        let lifetime = self.observation_lifetime();
+        let (mut all, mut reached) = (0_u32, 0_u32);
+        for member in self.members.values().filter(|member| member.is_present()) {
+            if (member.metadata.zone == self.local.zone) != in_local_zone {
+                continue;
+            }
+            let last_reached_at = member.last_reached_at;
+            all += 1;
+            reached +=
+                u32::from(last_reached_at.is_some_and(|at| now < at.saturating_add(lifetime)));
+        }
+        match all {
+            0 => 1.0,
+            _ => f64::from(reached) / f64::from(all),
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/node/partitions.rs
@@ -0,0 +1,165 @@
+//! Partitions between zones, as all members find them: each publishes what it observes of its own
+//! paths as a record.
+
+use super::Node;
+use crate::message::encoded_size;
+use crate::metadata::Name;
+use crate::paths::PathState;
+use crate::time::Timestamp;
+use serde::{Deserialize, Serialize};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+/// The key of the record that tells of partitions; reserved for that.
+pub const PARTITIONS_KEY: &str = "cuts";
+const PRIORITY: u8 = 64;
+/// Nanoseconds from one version of the record to the next.
+const PUBLISH_INTERVAL: u64 = 5_000_000_000;
+/// Bytes of the record that its number of rows may take.
+const LENGTH_BYTES: usize = 4;
+
+/// What one member observes of the paths to and from the members of a zone.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+struct ZonePartition {
+    zone: Name,
+    /// Members there to which its outbound direction is partitioned.
+    outbound: u16,
+    /// Members there from which its inbound direction is partitioned.
+    inbound: u16,
+}
+
+/// The paths from the members of one zone to those of another.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PathCounts {
+    /// Ordered pairs of members.
+    pub total: u64,
+    /// Pairs whose path is partitioned, as the side that observes more of them reports.
+    pub partitioned: u64,
+}
+
+/// A zone and another one.
+type ZonePair = (Name, Name);
+
+/// Partitioned pairs between two zones, as either side reports them.
+#[derive(Clone, Copy, Debug, Default)]
+struct Reports {
+    by_senders: u64,
+    by_receivers: u64,
+}
+
+impl Node {
+    /// Publishes the partitions that the local member observes, if they have changed.
+    pub(super) fn publish_partitions(&mut self, now: Timestamp) {
+        let Ok(key) = Name::new(PARTITIONS_KEY) else {
+            return;
+        };
+        let known = self.record(&self.local.name, &key);
+        let published_at = known.map(|record| record.published_at);
+        if published_at.is_some_and(|at| now < at.saturating_add(PUBLISH_INTERVAL)) {
+            return;
+        }
+        let partitions = self.observed_partitions(now);
+        let Ok(value) = postcard::to_allocvec(&partitions) else {
+            return;
+        };
+        let has_changed = match known {
+            Some(record) => record.value != value,
+            None => !partitions.is_empty(),
+        };
+        if has_changed {
+            let published = self.publish(now, key, PRIORITY, value);
+            debug_assert!(
+                published.is_ok(),
+                "it is short, and one of few of this member"
+            );
+        }
+    }
+
+    /// A row for each zone with any partition, the worst first, as many as a record holds.
+    fn observed_partitions(&self, now: Timestamp) -> Vec<ZonePartition> {
+        let lifetime = self.observation_lifetime();
+        let mut zones: BTreeMap<&Name, (u16, u16)> = BTreeMap::new();
+        for member in self.members.values().filter(|member| member.is_alive()) {
+            if !member.paths.is_partitioned(now, lifetime) {
+                continue;
+            }
+            let is_partitioned = |path| u16::from(path == PathState::Partitioned);
+            let (outbound, inbound) = zones.entry(&member.metadata.zone).or_default();
+            let paths = &member.paths;
+            *outbound = outbound.saturating_add(is_partitioned(paths.outbound(now, lifetime)));
+            *inbound = inbound.saturating_add(is_partitioned(paths.inbound(now, lifetime)));
+        }
+        let rows = zones
+            .into_iter()
+            .map(|(zone, (outbound, inbound))| ZonePartition {
+                zone: zone.clone(),
+                outbound,
+                inbound,
+            });
+        let mut rows: Vec<ZonePartition> = rows.collect();
+        rows.sort_by_key(|row| Reverse(row.outbound.saturating_add(row.inbound)));
+        let mut bytes_left = self.settings.max_record_bytes.saturating_sub(LENGTH_BYTES);
+        rows.retain(|row| {
+            let bytes = encoded_size(row);
+            let fits = bytes <= bytes_left;
+            bytes_left = bytes_left.saturating_sub(bytes);
+            fits
+        });
+        rows
+    }
+
+    /// The paths from each zone to each other, as all members that are known report them. They are
+    /// evidence: what a member publishes about its own paths is not checked by anyone.
+    pub fn zone_paths(&self, now: Timestamp) -> BTreeMap<ZonePair, PathCounts> {
+        let members = self.alive_by_zone();
+        let reports = self.partition_reports(now);
+        let mut paths = BTreeMap::new();
+        for (from, senders) in &members {
+            for (to, receivers) in &members {
+                let total = match from == to {
+                    true => senders * (senders - 1),
+                    false => senders * receivers,
+                };
+                let pair = (from.clone(), to.clone());
+                let reports = reports.get(&pair).copied().unwrap_or_default();
+                let partitioned = reports.by_senders.max(reports.by_receivers).min(total);
+                if total > 0 {
+                    paths.insert(pair, PathCounts { total, partitioned });
+                }
+            }
+        }
+        paths
+    }
+
+    /// Members that are alive, the local one included, by zone.
+    fn alive_by_zone(&self) -> BTreeMap<Name, u64> {
+        let mut members = BTreeMap::from([(self.local.zone.clone(), 1)]);
+        for member in self.members.values().filter(|member| member.is_alive()) {
+            *members.entry(member.metadata.zone.clone()).or_default() += 1;
+        }
+        members
+    }
+
+    /// The partitions that the local member observes and those that others have published.
+    fn partition_reports(&self, now: Timestamp) -> BTreeMap<ZonePair, Reports> {
+        let published = self
+            .records()
+            .filter(|(owner, key, _)| key.as_str() == PARTITIONS_KEY && **owner != self.local.name);
+        let published = published.filter_map(|(owner, _, record)| {
+            let member = self.members.get(owner)?;
+            let rows = postcard::from_bytes::<Vec<ZonePartition>>(&record.value).ok()?;
+            member.is_alive().then_some((&member.metadata.zone, rows))
+        });
+        let own = (&self.local.zone, self.observed_partitions(now));
+        let mut reports: BTreeMap<ZonePair, Reports> = BTreeMap::new();
+        for (zone, rows) in published.chain([own]) {
+            for row in rows {
+                let outbound = (zone.clone(), row.zone.clone());
+                let inbound = (row.zone, zone.clone());
+                reports.entry(outbound).or_default().by_senders += u64::from(row.outbound);
+                reports.entry(inbound).or_default().by_receivers += u64::from(row.inbound);
+            }
+        }
+        reports
+    }
+}
--- /dev/null
+++ b/crates/membership/src/node/relaying.rs
@@ -0,0 +1,206 @@
+//! Indirect probes: which members are asked to relay one, and those that the local member relays.
+
+use super::Node;
+use crate::member::Member;
+use crate::message::{Body, ProbeOrigin};
+use crate::metadata::{MemberMetadata, Name};
+use crate::probe::RelayedProbe;
+use crate::time::{Timestamp, nanos};
+
+/// The most probes that are relayed at once.
+const MAX_RELAYED_PROBES: usize = 64;
+
+/// Where a relay is, seen from the two ends of a probe.
+#[derive(Clone, Copy)]
+enum RelayZone {
+    Target,
+    Local,
+    Third,
+}
+
+/// A relay of each zone comes before any more, so that a partition between two zones is not asked
+/// about across itself alone.
+const USUAL_ZONES: [RelayZone; 3] = [RelayZone::Target, RelayZone::Third, RelayZone::Local];
+/// Where the direct path is doubtful, the target's zone and the local one share the partition, if
+/// there is one.
+const DOUBTFUL_ZONES: [RelayZone; 3] = [RelayZone::Third; 3];
+
+impl Node {
+    /// Asks members to relay a probe; returns how many.
+    pub(super) fn send_indirect_pings(
+        &mut self,
+        now: Timestamp,
+        target: &MemberMetadata,
+        sequence: u64,
+    ) -> usize {
+        let relays = self.choose_relays(now, target);
+        for relay in &relays {
+            let body = Body::IndirectPing {
+                sequence,
+                target: target.clone(),
+            };
+            self.send_about(now, relay, body, Some(&target.name));
+        }
+        relays.len()
+    }
+
+    /// The members that are asked to relay a probe. The relay that last reached the target, or any
+    /// other, comes first: where one member alone sees both halves of a fleet, chance would seldom
+    /// choose it. Then come relays of several zones, then any.
+    fn choose_relays(&mut self, now: Timestamp, target: &MemberMetadata) -> Vec<MemberMetadata> {
+        let (max, plain_swim) = (self.settings.indirect_probes, self.settings.plain_swim);
+        let known = self.members.get(&target.name);
+        let is_doubtful = known.is_some_and(|member| {
+            !plain_swim && (self.is_partitioned(member, now) || member.paths.is_doubtful())
+        });
+        let preferred = known.and_then(|member| member.reached_through.clone());
+        let preferred = preferred.or_else(|| self.last_successful_relay.clone());
+        let preferred = preferred.filter(|_| !plain_swim && max > 0);
+        let mut candidates = self.relay_candidates(now, &target.name);
+        let mut chosen = Vec::new();
+        let index = preferred.and_then(|name| {
+            let mut names = candidates.iter().map(|candidate| &candidate.name);
+            names.position(|candidate| *candidate == name)
+        });
+        if let Some(index) = index {
+            chosen.push(candidates.swap_remove(index));
+        }
+        let zones = match is_doubtful {
+            true => DOUBTFUL_ZONES,
+            false => USUAL_ZONES,
+        };
+        for zone in zones {
+            let mut ends = candidates
+                .iter()
+                .map(|relay| self.relay_zone(relay, target));
+            let index = ends.position(|ends| ends.is(zone));
+            if let Some(index) = index.filter(|_| chosen.len() < max) {
+                chosen.push(candidates.swap_remove(index));
+            }
+        }
+        chosen.extend(
+            candidates
+                .into_iter()
+                .take(max.saturating_sub(chosen.len())),
+        );
+        for relay in &chosen {
+            if let Some(member) = self.members.get_mut(&relay.name) {
+                member.failed_relay_at = now;
+            }
+        }
+        chosen
+    }
+
+    /// Members that may relay a probe, in random order. Those that sent messages lately come first:
+    /// the others may be beyond the same partition. Among these, those that were last asked in vain
+    /// come last, so that one that reaches others is found within a few.
+    fn relay_candidates(&mut self, now: Timestamp, target: &Name) -> Vec<MemberMetadata> {
+        let (lifetime, plain_swim) = (self.observation_lifetime(), self.settings.plain_swim);
+        let mut candidates = self.random_members(usize::MAX, |member| {
+            let is_partitioned = !plain_swim && member.paths.is_partitioned(now, lifetime);
+            member.is_alive() && member.metadata.name != *target && !is_partitioned
+        });
+        if !plain_swim {
+            let since = now.saturating_sub(self.probe_round());
+            candidates.sort_by_key(|candidate| {
+                let member = self.members.get(&candidate.name);
+                member.map(|member| {
+                    let was_received = member.paths.received_since(since);
+                    (!was_received, member.failed_relay_at)
+                })
+            });
+        }
+        candidates
+    }
+
+    fn is_partitioned(&self, member: &Member, now: Timestamp) -> bool {
+        member
+            .paths
+            .is_partitioned(now, self.observation_lifetime())
+    }
+
+    fn relay_zone(&self, relay: &MemberMetadata, target: &MemberMetadata) -> RelayEnds {
+        RelayEnds {
+            is_local: relay.zone == self.local.zone,
+            is_target: relay.zone == target.zone,
+        }
+    }
+
+    /// Relays a probe of another member.
+    pub(super) fn handle_indirect_ping(
+        &mut self,
+        now: Timestamp,
+        origin: MemberMetadata,
+        origin_sequence: u64,
+        target: MemberMetadata,
+    ) {
+        let is_full = self.relayed_probes.len() >= MAX_RELAYED_PROBES;
+        if target.name == self.local.name || is_full {
+            return;
+        }
+        let sequence = self.next_sequence();
+        self.relayed_probes.push(RelayedProbe {
+            origin: origin.clone(),
+            origin_sequence,
+            target: target.name.clone(),
+            sequence,
+            ends_at: now + nanos(self.settings.probe_timeout),
+        });
+        let origin = Some(ProbeOrigin {
+            metadata: origin,
+            sequence: origin_sequence,
+        });
+        self.send(now, &target, Body::Ping { sequence, origin });
+    }
+
+    /// Reports an acknowledgement to the origin of a relayed probe; returns whether it was of one.
+    pub(super) fn relay_ack(
+        &mut self,
+        now: Timestamp,
+        from: &MemberMetadata,
+        sequence: u64,
+        last_direct_sequence: u64,
+    ) -> bool {
+        let mut relayed = self.relayed_probes.iter();
+        let index =
+            relayed.position(|probe| probe.sequence == sequence && probe.target == from.name);
+        let Some(index) = index else {
+            return false;
+        };
+        let relayed = self.relayed_probes.swap_remove(index);
+        let body = Body::RelayedAck {
+            sequence: relayed.origin_sequence,
+            last_direct_sequence,
+        };
+        self.send_about(now, &relayed.origin, body, Some(&relayed.target));
+        true
+    }
+
+    /// Reports to the origins of relayed probes whose targets have not answered in time.
+    pub(super) fn end_relayed_probes(&mut self, now: Timestamp) {
+        let relayed = std::mem::take(&mut self.relayed_probes);
+        let (over, in_flight) = relayed.into_iter().partition(|probe| now >= probe.ends_at);
+        self.relayed_probes = in_flight;
+        let over: Vec<RelayedProbe> = over;
+        for probe in over {
+            let sequence = probe.origin_sequence;
+            self.send(now, &probe.origin, Body::Nack { sequence });
+        }
+    }
+}
+
+/// Whether a relay is in the zone of either end of a probe.
+struct RelayEnds {
+    is_local: bool,
+    is_target: bool,
+}
+
+impl RelayEnds {
+    fn is(&self, zone: RelayZone) -> bool {
+        match zone {
+            RelayZone::Target => self.is_target,
+            RelayZone::Local => self.is_local,
+            RelayZone::Third => !self.is_local && !self.is_target,
+        }
+    }
+}
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,95 +1,111 @@
-//! How long a suspicion stands before it is a death: the shorter, the more others have found the same by themselves.
+//! How long a suspicion lasts before the member is declared dead: the shorter, the more others have
+//! found the same by themselves (Lifeguard's dynamic suspicion time-out, section IV-B).
 
-use crate::card::Name;
+use crate::metadata::Name;
 use crate::settings::Settings;
+use crate::time::{Timestamp, nanos};
 use std::collections::BTreeSet;
 
-/// Lifeguard's dynamic suspicion.
+/// A suspicion in progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
-    began: u64,
-    least: u64,
-    most: u64,
-    needed: usize,
+    started_at: Timestamp,
+    /// Nanoseconds that it lasts with all confirmations.
+    min: u64,
+    /// Nanoseconds that it lasts with none.
+    max: u64,
+    /// Confirmations that bring it down to the minimum.
+    confirmations_needed: usize,
     by: BTreeSet<Name>,
-    /// When the suspected member was asked for the last time, as nobody had contradicted until the end.
-    pub asked_at: Option<u64>,
-    /// When it was last told that it is suspected.
-    told_at: u64,
+    /// When the final probe was sent, after nobody had refuted the suspicion in time.
+    pub final_probe_at: Option<Timestamp>,
+    /// When the suspected member was last notified.
+    notified_at: Timestamp,
 }
 
 impl Suspicion {
-    /// One that begins now, in a fleet of so many, by a member that does so well itself (1 is best).
-    pub fn new(now: u64, settings: &Settings, fleet: usize, times: u32, by: Option<Name>) -> Self {
-        let size = (fleet.max(1) as f64).log10().max(1.0);
-        let least = settings.suspicion.as_nanos() as f64 * size;
+    /// A suspicion that starts now, in a fleet of `fleet` members, raised by a member with this
+    /// local health multiplier.
+    pub fn new(
+        now: Timestamp,
+        settings: &Settings,
+        fleet: usize,
+        health_multiplier: u32,
+        by: Option<Name>,
+    ) -> Self {
+        let size_factor = (fleet.max(1) as f64).log10().max(1.0);
+        let min = nanos(settings.suspicion_timeout) as f64 * size_factor;
         // In a small fleet there may be nobody to confirm it.
-        let needed = if settings.plain {
-            0
-        } else {
-            settings.confirmations.min(fleet.saturating_sub(3))
+        let confirmations_needed = match settings.plain_swim {
+            true => 0,
+            false => settings.confirmations.min(fleet.saturating_sub(3)),
         };
-        let unconfirmed = if needed == 0 {
-            1.0
-        } else {
-            settings.unconfirmed
+        let unconfirmed = match confirmations_needed {
+            0 => 1.0,
+            _ => settings.unconfirmed_multiplier,
         };
-        let most = least * unconfirmed * f64::from(times);
+        let max = min * unconfirmed * f64::from(health_multiplier);
         Self {
-            began: now,
-            least: least as u64,
-            most: most as u64,
-            needed,
+            started_at: now,
+            min: min as u64,
+            max: max as u64,
+            confirmations_needed,
             by: by.into_iter().collect(),
-            asked_at: None,
-            told_at: now,
+            final_probe_at: None,
+            notified_at: now,
         }
     }
 
-    /// Somebody else has found the same. Whether that was news.
+    /// Another member has found the same. Returns whether that is worth passing on.
     pub fn confirm(&mut self, by: Name) -> bool {
-        // More would not shorten it, and are not worth telling.
-        self.by.len() <= self.needed && self.by.insert(by)
+        // More confirmations would not shorten it.
+        self.by.len() <= self.confirmations_needed && self.by.insert(by)
     }
 
-    /// When it ends as a death.
-    pub fn until(&self) -> u64 {
-        let others = self.by.len().saturating_sub(1).min(self.needed);
-        if self.needed == 0 {
-            return self.began.saturating_add(self.least);
+    /// When the member is declared dead, unless it refutes the suspicion.
+    pub fn expires_at(&self) -> Timestamp {
+        if self.confirmations_needed == 0 {
+            return self.started_at.saturating_add(self.min);
         }
-        let part = (others as f64 + 1.0).ln() / (self.needed as f64 + 1.0).ln();
-        let takes = self.most as f64 - (self.most as f64 - self.least as f64) * part;
-        self.began
-            .saturating_add(takes.max(self.least as f64) as u64)
+        let confirmations = self.by.len().saturating_sub(1);
+        let confirmations = confirmations.min(self.confirmations_needed);
+        let needed = self.confirmations_needed as f64;
+        let progress = (confirmations as f64 + 1.0).ln() / (needed + 1.0).ln();
+        let (min, max) = (self.min as f64, self.max as f64);
+        let lasts = max - (max - min) * progress;
+        self.started_at.saturating_add(lasts.max(min) as u64)
     }
 
-    /// This member stood still for so long: nobody could contradict it meanwhile.
-    pub fn hold(&mut self, for_so_long: u64) {
-        self.began = self.began.saturating_add(for_so_long);
-        self.asked_at = None;
+    /// The local process was paused for `pause` nanoseconds: nobody could refute it meanwhile.
+    pub fn extend(&mut self, pause: u64) {
+        self.started_at = self.started_at.saturating_add(pause);
+        self.final_probe_at = None;
     }
 
-    /// It ends so long from now, if that is sooner: the other's host says that no such process is there.
-    pub fn hasten(&mut self, now: u64, refused: u64) {
-        if now.saturating_add(refused) < self.until() {
-            (self.began, self.least, self.most) = (now, refused, refused);
+    /// Expires `timeout` nanoseconds from now, if that is sooner: the member's host refuses
+    /// connections.
+    pub fn shorten(&mut self, now: Timestamp, timeout: u64) {
+        if now.saturating_add(timeout) < self.expires_at() {
+            (self.started_at, self.min, self.max) = (now, timeout, timeout);
         }
     }
 
-    /// Whether so long has passed since the suspected member was last told; it is told then.
-    pub fn is_to_be_told(&mut self, now: u64, every: u64) -> bool {
-        let due = now >= self.told_at.saturating_add(every);
-        self.told_at = if due { now } else { self.told_at };
-        due
+    /// Whether the suspected member is to be notified again, `interval` nanoseconds after the last
+    /// time; counts as notified then.
+    pub fn take_notification(&mut self, now: Timestamp, interval: u64) -> bool {
+        let is_due = now >= self.notified_at.saturating_add(interval);
+        if is_due {
+            self.notified_at = now;
+        }
+        is_due
     }
 
-    /// Since when it stands.
-    pub fn began(&self) -> u64 {
-        self.began
+    /// When it started.
+    pub fn started_at(&self) -> Timestamp {
+        self.started_at
     }
 
-    /// Who suspects it.
+    /// The members that suspect, by name.
     pub fn by(&self) -> impl Iterator<Item = &Name> {
         self.by.iter()
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,66 +1,69 @@
-//! What others build on: who is there, and how sure that is.
+//! What a node concludes about the others, for callers to build on.
 //!
-//! A member's states follow the order of its claims, so that within a life a view only moves forward: to a later
-//! incarnation, or to a worse state of the same. `Left` is the end of a life. What this member cannot know, since it was
-//! cut off or has just woken, it says as such: then no state of another gets worse by its own judgement.
+//! The verdicts on a member follow the order of its statuses, so within a generation a view only
+//! moves forward: to a later incarnation, or to a worse state of the same one. `Left` ends a
+//! generation. What the local member cannot know, because it was isolated or has just resumed, it
+//! reports as such: no verdict on another gets worse by its own judgement then.
 
-use crate::card::{MemberMetadata, Name};
-use crate::reach::PathState;
+use crate::metadata::{MemberMetadata, Name};
+use crate::paths::PathState;
+use crate::time::Timestamp;
 
-/// What is known of a member.
+/// What the local member concludes about another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was found lately, or another says so and nothing speaks against it.
+    /// It was reached lately, or others report it and nothing speaks against it.
     Alive,
-    /// It may be gone: nobody found it, and there is time to contradict.
+    /// It may be gone: nobody reached it, and there is still time to refute that.
     Suspect,
-    /// Others find it; between it and this member a way is cut.
+    /// Others reach it, but a direction between it and the local member is partitioned.
     Partitioned {
-        /// From this member to it.
-        to: PathState,
-        /// From it to this member.
-        from: PathState,
+        /// From the local member to it.
+        outbound: PathState,
+        /// From it to the local member.
+        inbound: PathState,
     },
     /// It is gone.
     Dead,
-    /// It said so.
+    /// It announced that it leaves.
     Left,
-    /// Not found for longer than a suspicion lasts, but neither dead: too many vanished at once, or this member
-    /// could not know.
-    UnknownSince(u64),
+    /// Not reached for longer than a suspicion lasts, but not declared dead: too many members
+    /// vanished at once, or the local member could not know. Holds the time of the suspicion.
+    UnknownSince(Timestamp),
 }
 
-/// One line of a view.
+/// What the local member observes of another one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation<'a> {
-    /// Who.
-    pub card: &'a MemberMetadata,
-    /// Its state.
-    pub state: Verdict,
-    /// Since when that is claimed.
-    pub since: u64,
-    /// When it was last found to be there.
-    pub found_at: Option<u64>,
-    /// Who suspects it.
+    /// The member.
+    pub metadata: &'a MemberMetadata,
+    /// The conclusion.
+    pub verdict: Verdict,
+    /// When the member's present status was learned.
+    pub since: Timestamp,
+    /// When the member was last reached, directly or through others.
+    pub last_reached_at: Option<Timestamp>,
+    /// The members that suspect it.
     pub suspected_by: Vec<&'a Name>,
 }
 
-/// How much of the fleet is heard at this moment.
+/// How much of the fleet the local member reaches at this moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Confidence {
-    /// Part of the own zone's other members that were found lately; 1 where there is none.
+    /// Fraction of the other members of the local zone that were reached lately; 1 where there are
+    /// none.
     pub own_zone: f64,
-    /// Part of the other zones' members.
-    pub others: f64,
-    /// Whether this member is cut off, or has just woken, so that it judges nobody.
-    pub cut_off: bool,
+    /// The same fraction of the members of all other zones.
+    pub other_zones: f64,
+    /// Whether the local member is isolated or has just resumed, and so suspects nobody.
+    pub is_isolated: bool,
 }
 
-/// How large the fleet is, this member included.
+/// Size of the fleet, the local member included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Those that nothing is said against.
-    pub least: usize,
-    /// Those that are not known to be gone.
-    pub most: usize,
+    /// Members that are alive.
+    pub min: usize,
+    /// Members that are alive or suspected.
+    pub max: usize,
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -42,7 +42,7 @@
     pub sent: Vec<(u64, usize, OutgoingMessage)>,
     pub keeps_sent: bool,
     usual: Link,
-    ways: BTreeMap<(usize, usize), Link>,
+    path_states: BTreeMap<(usize, usize), Link>,
     paused: Vec<Option<Vec<Vec<u8>>>>,
     agenda: BTreeMap<(u64, u64), What>,
     next: u64,
@@ -59,16 +59,16 @@
     ([127, 0, 0, 1], 10_000 + of as u16).into()
 }
 
-pub fn card(of: usize, name: Name, started: u64, id: u64) -> MemberMetadata {
-    card_in(of, name, started, id, ZONES.len())
+pub fn metadata(of: usize, name: Name, started_ms: u64, id: u64) -> MemberMetadata {
+    card_in(of, name, started_ms, id, ZONES.len())
 }
 
-fn card_in(of: usize, name: Name, started: u64, id: u64, zones: usize) -> MemberMetadata {
+fn card_in(of: usize, name: Name, started_ms: u64, id: u64, zones: usize) -> MemberMetadata {
     let zone = self::name(ZONES[of % zones]);
     MemberMetadata {
         name,
-        life: Generation { started, id },
-        at: address(of),
+        generation: Generation { started_ms, id },
+        address: address(of),
         zone,
         region: None,
     }
@@ -97,7 +97,7 @@
                 jitter: MS,
                 ..Link::default()
             },
-            ways: BTreeMap::new(),
+            path_states: BTreeMap::new(),
             paused: Vec::new(),
             agenda: BTreeMap::new(),
             next: 0,
@@ -117,10 +117,17 @@
     }
 
     /// A life of a member begins.
-    pub fn start(&mut self, at: usize, started: u64, id: u64) {
-        let card = card_in(at, self.names[at].clone(), started, id, self.zones);
+    pub fn start(&mut self, at: usize, started_ms: u64, id: u64) {
+        let metadata = card_in(at, self.names[at].clone(), started_ms, id, self.zones);
         let seeds = vec![address(0), address(1)];
-        let node = Node::new(card, seeds, self.settings.clone(), id ^ 0x5eed, self.now).unwrap();
+        let node = Node::new(
+            metadata,
+            seeds,
+            self.settings.clone(),
+            id ^ 0x5eed,
+            self.now,
+        )
+        .unwrap();
         self.nodes[at] = Some(node);
         self.paused[at] = None;
         self.after(at);
@@ -151,11 +158,11 @@
 
     pub fn way(&mut self, from: usize, to: usize) -> &mut Link {
         let usual = self.usual;
-        self.ways.entry((from, to)).or_insert(usual)
+        self.path_states.entry((from, to)).or_insert(usual)
     }
 
     pub fn heal(&mut self) {
-        self.ways.clear();
+        self.path_states.clear();
     }
 
     fn at(&mut self, at: u64, what: What) {
@@ -168,7 +175,7 @@
             (Some(waiting), _) if waiting.len() < 2_000 => waiting.push(bytes.to_vec()),
             (Some(_), _) | (None, None) => {}
             (None, Some(node)) => {
-                node.heard(self.now, bytes).unwrap();
+                node.receive(self.now, bytes).unwrap();
                 self.after(at);
             }
         }
@@ -179,19 +186,27 @@
         let Some(mut node) = self.nodes[at].take() else {
             return;
         };
-        while let Some(out) = node.next_out() {
+        while let Some(out) = node.next_outgoing() {
             let to = usize::from(out.to.port() - 10_000);
             self.bytes += out.bytes.len() as u64;
             if self.keeps_sent {
                 self.sent.push((self.now, at, out.clone()));
             }
             assert!(
-                out.reliable || out.bytes.len() <= self.settings.datagram,
+                out.reliable || out.bytes.len() <= self.settings.max_datagram_bytes,
                 "{}",
                 out.bytes.len()
             );
-            let way = self.ways.get(&(at, to)).copied().unwrap_or(self.usual);
-            let back = self.ways.get(&(to, at)).copied().unwrap_or(self.usual);
+            let way = self
+                .path_states
+                .get(&(at, to))
+                .copied()
+                .unwrap_or(self.usual);
+            let back = self
+                .path_states
+                .get(&(to, at))
+                .copied()
+                .unwrap_or(self.usual);
             // All draws are made, so that one fault does not change what another hits.
             let (lost, doubled) = (
                 self.rng.random::<f64>() < way.loss,
@@ -224,9 +239,9 @@
         while let Some(event) = node.next_event() {
             self.events.push((self.now, at, event));
         }
-        let (wake, life) = (node.wake_at(), node.me().life.id);
+        let (wake, generation) = (node.next_deadline(), node.local().generation.id);
         self.nodes[at] = Some(node);
-        self.at(wake.max(self.now + MS / 10), What::Wake(at, life));
+        self.at(wake.max(self.now + MS / 10), What::Wake(at, generation));
     }
 
     /// Lets time pass.
@@ -248,13 +263,15 @@
                         .as_mut()
                         .filter(|_| self.paused[at].is_none())
                     {
-                        node.refused(self.now, address(by));
+                        node.report_connection_refused(self.now, address(by));
                         self.after(at);
                     }
                 }
-                What::Wake(at, life) => {
+                What::Wake(at, generation) => {
                     let (now, paused) = (self.now, self.paused[at].is_some());
-                    let due = |node: &&mut Node| node.me().life.id == life && node.wake_at() <= now;
+                    let due = |node: &&mut Node| {
+                        node.local().generation.id == generation && node.next_deadline() <= now
+                    };
                     if let Some(node) = self.nodes[at].as_mut().filter(|_| !paused).filter(due) {
                         node.tick(now);
                         self.after(at);
@@ -265,8 +282,8 @@
         self.now = until;
     }
 
-    pub fn state(&self, of: usize, by: usize) -> Option<Verdict> {
-        self.nodes[by].as_ref()?.state(&self.names[of], self.now)
+    pub fn verdict(&self, of: usize, by: usize) -> Option<Verdict> {
+        self.nodes[by].as_ref()?.verdict(&self.names[of], self.now)
     }
 
     /// How many live members hold each of those that `of` says for alive.
@@ -275,7 +292,7 @@
         live.clone().all(|by| {
             of.clone().filter(|of| *of != by).all(|of| {
                 matches!(
-                    self.state(of, by),
+                    self.verdict(of, by),
                     Some(Verdict::Alive | Verdict::Partitioned { .. })
                 )
             })
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -16,7 +16,7 @@
         net.nodes
             .iter()
             .flatten()
-            .all(|node| node.size().least == 30)
+            .all(|node| node.fleet_size().min == 30)
     );
     let now = net.now;
     net.nodes[7].as_mut().unwrap().leave(now);
@@ -26,7 +26,7 @@
     assert!(
         (0..30)
             .filter(|by| *by != 7)
-            .all(|by| net.state(7, by) == Some(Verdict::Left))
+            .all(|by| net.verdict(7, by) == Some(Verdict::Left))
     );
     assert_eq!(net.dead(), NONE);
 }
@@ -64,7 +64,7 @@
         net.kill(5);
         net.run(within);
         let known = (0..36)
-            .filter(|by| *by != 5 && net.state(5, *by) == Some(Verdict::Dead))
+            .filter(|by| *by != 5 && net.verdict(5, *by) == Some(Verdict::Dead))
             .count();
         assert_eq!(known, 35, "{hosts_answer}");
         assert_eq!(net.dead(), [name("b-5")]);
@@ -84,18 +84,21 @@
             for by in 0..4 {
                 let now = net.now;
                 let node = net.nodes[by].as_mut().unwrap();
-                let at: Vec<_> = node.to_look_for(now).map(|card| card.at).collect();
+                let at: Vec<_> = node
+                    .connection_check_targets(now)
+                    .map(|metadata| metadata.address)
+                    .collect();
                 let gone = at
                     .into_iter()
                     .filter(|at| (4..9).any(|of| common::address(of) == *at));
-                gone.for_each(|at| node.refused(now, at));
+                gone.for_each(|at| node.report_connection_refused(now, at));
                 net.after(by);
             }
         }
         net.run(SECOND / 2);
         let known = (0..4).flat_map(|by| (4..9).map(move |of| (by, of)));
         let known = known
-            .filter(|(by, of)| net.state(*of, *by) == Some(Verdict::Dead))
+            .filter(|(by, of)| net.verdict(*of, *by) == Some(Verdict::Dead))
             .count();
         assert_eq!(known, 20);
     }
@@ -136,7 +139,7 @@
     net.run(3 * SECOND);
     assert!(net.all_alive(0..36));
     assert_eq!(net.dead(), NONE);
-    assert_eq!(net.nodes[3].as_ref().unwrap().tallies().stalls, 1);
+    assert_eq!(net.nodes[3].as_ref().unwrap().counters().process_pauses, 1);
 }
 
 /// One way between two, between one and half of the others, between two zones: each side names its cut, and nobody
@@ -162,12 +165,12 @@
             let there = net.nodes[from]
                 .as_ref()
                 .unwrap()
-                .ways(&net.names[to], net.now)
+                .path_states(&net.names[to], net.now)
                 .0;
             let back = net.nodes[to]
                 .as_ref()
                 .unwrap()
-                .ways(&net.names[from], net.now)
+                .path_states(&net.names[from], net.now)
                 .1;
             (there == Partitioned, back == Partitioned)
         };
@@ -184,13 +187,13 @@
         let sound =
             sound.filter(|(a, b)| a != b && !cuts.contains(&(*a, *b)) && !cuts.contains(&(*b, *a)));
         for (from, to) in sound {
-            let ways = net.nodes[from]
+            let path_states = net.nodes[from]
                 .as_ref()
                 .unwrap()
-                .ways(&net.names[to], net.now);
+                .path_states(&net.names[to], net.now);
             assert!(
-                ways.0 != Partitioned && ways.1 != Partitioned,
-                "{from} to {to}: {ways:?}"
+                path_states.0 != Partitioned && path_states.1 != Partitioned,
+                "{from} to {to}: {path_states:?}"
             );
         }
         net.heal();
@@ -200,7 +203,7 @@
             net.nodes[from]
                 .as_ref()
                 .unwrap()
-                .ways(&net.names[to], net.now),
+                .path_states(&net.names[to], net.now),
             (Open, Open)
         );
     }
@@ -218,12 +221,12 @@
     net.run(60 * SECOND);
     assert_eq!(net.dead(), NONE);
     assert!(
-        matches!(net.state(20, 3), Some(Verdict::UnknownSince(_))),
+        matches!(net.verdict(20, 3), Some(Verdict::UnknownSince(_))),
         "{:?}",
-        net.state(20, 3)
+        net.verdict(20, 3)
     );
-    let size = net.nodes[3].as_ref().unwrap().size();
-    assert_eq!((size.least, size.most), (18, 36));
+    let size = net.nodes[3].as_ref().unwrap().fleet_size();
+    assert_eq!((size.min, size.max), (18, 36));
     net.heal();
     net.run(40 * SECOND);
     assert!(net.all_alive(0..36));
@@ -244,11 +247,11 @@
         net.run(120 * SECOND);
         assert_eq!(net.dead(), NONE);
         let cut = |(from, to): &(usize, usize)| {
-            let is_cut = matches!(net.state(*to, *from), Some(Verdict::Partitioned { .. }));
+            let is_cut = matches!(net.verdict(*to, *from), Some(Verdict::Partitioned { .. }));
             let there = net.nodes[*from]
                 .as_ref()
                 .unwrap()
-                .ways(&net.names[*to], net.now)
+                .path_states(&net.names[*to], net.now)
                 .0;
             is_cut && there == woadstall_membership::PathState::Partitioned
         };
@@ -275,7 +278,7 @@
         net.nodes[5]
             .as_mut()
             .unwrap()
-            .say(now, key.clone(), 200, b"sur".to_vec())
+            .publish(now, key.clone(), 200, b"sur".to_vec())
             .unwrap();
         net.after(5);
         let owner = net.names[5].clone();
@@ -283,7 +286,7 @@
             net.nodes
                 .iter()
                 .flatten()
-                .filter(|of| of.fact(&owner, &key).is_some())
+                .filter(|of| of.record(&owner, &key).is_some())
                 .count()
         };
         net.run(SECOND);
@@ -330,7 +333,10 @@
         }
         net.run(60 * SECOND);
         let now = net.now;
-        assert!(net.nodes[0].as_ref().unwrap().sure(now).cut_off, "{there}");
+        assert!(
+            net.nodes[0].as_ref().unwrap().confidence(now).is_isolated,
+            "{there}"
+        );
         let by_it = net
             .events
             .iter()
@@ -356,14 +362,14 @@
         net.nodes[by]
             .as_ref()
             .unwrap()
-            .members(net.now)
-            .map(|seen| seen.card.life.started)
+            .observations(net.now)
+            .map(|seen| seen.metadata.generation.started_ms)
             .collect::<Vec<_>>()
     };
     assert_eq!(
         lives(0)
             .iter()
-            .filter(|started| **started == 2_000_000)
+            .filter(|started_ms| **started_ms == 2_000_000)
             .count(),
         25
     );
@@ -382,9 +388,9 @@
     let seen = net.nodes[0]
         .as_ref()
         .unwrap()
-        .members(net.now)
-        .find(|seen| seen.card.name == net.names[4]);
-    assert_eq!(seen.unwrap().card.life.id, 77);
+        .observations(net.now)
+        .find(|seen| seen.metadata.name == net.names[4]);
+    assert_eq!(seen.unwrap().metadata.generation.id, 77);
     // The last takes the name of the first.
     net.names[11] = net.names[2].clone();
     net.start(11, 9_000_000, 99);
@@ -408,13 +414,13 @@
         net.nodes[9]
             .as_mut()
             .unwrap()
-            .say(now, key.clone(), 200, text.clone())
+            .publish(now, key.clone(), 200, text.clone())
             .unwrap();
         net.after(9);
         net.run(SECOND);
         let known = |node: &&woadstall_membership::Node| {
-            node.fact(&owner, &key)
-                .is_some_and(|fact| fact.bytes == text && fact.counter == counter)
+            node.record(&owner, &key)
+                .is_some_and(|record| record.value == text && record.version == counter)
         };
         assert_eq!(net.nodes.iter().flatten().filter(known).count(), 60);
     }
@@ -424,7 +430,7 @@
         net.nodes
             .iter()
             .flatten()
-            .all(|node| node.fact(&owner, &key).is_none())
+            .all(|node| node.record(&owner, &key).is_none())
     );
 }
 
@@ -442,7 +448,7 @@
                 net.nodes[at]
                     .as_mut()
                     .unwrap()
-                    .say(now, key, 1, vec![7; 64])
+                    .publish(now, key, 1, vec![7; 64])
                     .unwrap();
             }
             net.after(at);
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -46,11 +46,11 @@
 fn member(number: u64, region: Option<&str>, at: &str) -> MemberMetadata {
     MemberMetadata {
         name: name(&format!("b-{number}")),
-        life: Generation {
-            started: 1_764_000_000_000 + number,
+        generation: Generation {
+            started_ms: 1_764_000_000_000 + number,
             id: 0x0123_4567_89ab_cdef ^ number,
         },
-        at: at.parse().unwrap(),
+        address: at.parse().unwrap(),
         zone: name("norte"),
         region: region.map(name),
     }
@@ -68,32 +68,32 @@
     member(3, Some("asia"), "10.1.2.3:65535")
 }
 
-fn claim(card: &MemberMetadata, incarnation: u32, said: MemberState) -> MemberStatus {
+fn status(metadata: &MemberMetadata, incarnation: u32, state: MemberState) -> MemberStatus {
     MemberStatus {
-        life: card.life,
+        generation: metadata.generation,
         incarnation,
-        said,
+        state,
     }
 }
 
 /// From the first to the second, with nothing beside the body.
-fn plain(body: Body) -> Message {
-    let to = Some((second().name, second().life));
+fn message_with(body: Body) -> Message {
+    let to = Some((second().name, second().generation));
     Message {
         from: first(),
         incarnation: 300,
         to,
         body,
-        news: Vec::new(),
-        facts: Vec::new(),
+        updates: Vec::new(),
+        records: Vec::new(),
     }
 }
 
 /// The bytes are what they were, and what they were is read as the same value.
 fn assert_golden_message(form: &str, message: &Message) {
-    assert_golden(form, &message.write());
+    assert_golden(form, &message.encode());
     assert_eq!(
-        &Message::read(&bytes_of(form), 256).unwrap(),
+        &Message::decode(&bytes_of(form), 256).unwrap(),
         message,
         "{form}"
     );
@@ -103,8 +103,8 @@
 fn ping() {
     assert_golden_message(
         "ping.hex",
-        &plain(Body::Ping {
-            number: 1,
+        &message_with(Body::Ping {
+            sequence: 1,
             origin: None,
         }),
     );
@@ -113,13 +113,13 @@
 #[test]
 fn ping_for_another() {
     let origin = Some(ProbeOrigin {
-        card: third(),
-        number: 70_000,
+        metadata: third(),
+        sequence: 70_000,
     });
     assert_golden_message(
         "ping-for-another.hex",
-        &plain(Body::Ping {
-            number: u64::MAX,
+        &message_with(Body::Ping {
+            sequence: u64::MAX,
             origin,
         }),
     );
@@ -129,9 +129,9 @@
 fn ack() {
     assert_golden_message(
         "ack.hex",
-        &plain(Body::Ack {
-            number: 9,
-            heard: 8,
+        &message_with(Body::Ack {
+            sequence: 9,
+            last_direct_sequence: 8,
         }),
     );
 }
@@ -140,8 +140,8 @@
 fn indirect_ping() {
     assert_golden_message(
         "indirect-ping.hex",
-        &plain(Body::IndirectPing {
-            number: 10,
+        &message_with(Body::IndirectPing {
+            sequence: 10,
             target: third(),
         }),
     );
@@ -151,16 +151,16 @@
 fn relayed_ack() {
     assert_golden_message(
         "relayed-ack.hex",
-        &plain(Body::RelayedAck {
-            number: 11,
-            heard: 300,
+        &message_with(Body::RelayedAck {
+            sequence: 11,
+            last_direct_sequence: 300,
         }),
     );
 }
 
 #[test]
 fn no_answer() {
-    assert_golden_message("no-answer.hex", &plain(Body::Nack { number: 12 }));
+    assert_golden_message("no-answer.hex", &message_with(Body::Nack { sequence: 12 }));
 }
 
 #[test]
@@ -169,27 +169,27 @@
         "ask.hex",
         &Message {
             to: None,
-            ..plain(Body::StateRequest)
+            ..message_with(Body::StateRequest)
         },
     );
 }
 
 #[test]
-fn sums() {
-    let sums = (0..64_u64)
+fn digests() {
+    let digests = (0..64_u64)
         .map(|part| part.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .collect();
-    assert_golden_message("sums.hex", &plain(Body::ShardDigests(sums)));
+    assert_golden_message("sums.hex", &message_with(Body::ShardDigests(digests)));
 }
 
 #[test]
 fn parts() {
-    for (form, again) in [("parts-once.hex", false), ("parts-again.hex", true)] {
+    for (form, wants_reply) in [("parts-once.hex", false), ("parts-again.hex", true)] {
         assert_golden_message(
             form,
-            &plain(Body::ShardState {
-                parts: vec![0, 17, 63],
-                again,
+            &message_with(Body::ShardState {
+                shards: vec![0, 17, 63],
+                wants_reply,
             }),
         );
     }
@@ -198,52 +198,52 @@
 /// Each state of a member, with and without who says so, and facts.
 #[test]
 fn news_and_facts() {
-    let news = vec![
+    let updates = vec![
         MemberUpdate {
-            card: second(),
-            claim: claim(&second(), 0, MemberState::Alive),
+            metadata: second(),
+            status: status(&second(), 0, MemberState::Alive),
             by: None,
         },
         MemberUpdate {
-            card: third(),
-            claim: claim(&third(), 1, MemberState::Suspect),
+            metadata: third(),
+            status: status(&third(), 1, MemberState::Suspect),
             by: Some(name("b-1")),
         },
         MemberUpdate {
-            card: third(),
-            claim: claim(&third(), 70_000, MemberState::Dead),
+            metadata: third(),
+            status: status(&third(), 70_000, MemberState::Dead),
             by: Some(name("b-2")),
         },
         MemberUpdate {
-            card: third(),
-            claim: claim(&third(), 2, MemberState::Left),
+            metadata: third(),
+            status: status(&third(), 2, MemberState::Left),
             by: None,
         },
         MemberUpdate {
-            card: second(),
-            claim: MemberStatus::left(second().life),
+            metadata: second(),
+            status: MemberStatus::left(second().generation),
             by: None,
         },
     ];
-    let fact = |key: &str, priority, age_ms, bytes: &[u8]| RecordUpdate {
+    let record = |key: &str, priority, age_ms, bytes: &[u8]| RecordUpdate {
         owner: name("b-2"),
-        life: second().life,
-        counter: 129,
+        generation: second().generation,
+        version: 129,
         key: name(key),
         priority,
         age_ms,
-        bytes: bytes.to_vec(),
+        value: bytes.to_vec(),
     };
-    let facts = vec![
-        fact("load", 0, 0, b""),
-        fact("zone-left", 200, u32::MAX, b"\x00\xffsur"),
+    let records = vec![
+        record("load", 0, 0, b""),
+        record("zone-left", 200, u32::MAX, b"\x00\xffsur"),
     ];
     assert_golden_message(
         "news-and-facts.hex",
         &Message {
-            news,
-            facts,
-            ..plain(Body::Gossip)
+            updates,
+            records,
+            ..message_with(Body::Gossip)
         },
     );
 }
@@ -252,11 +252,11 @@
 fn forms_that_are_refused() {
     let mut bytes = bytes_of("ping.hex");
     bytes[0] = 2;
-    let version = Message::read(&bytes, 256).unwrap_err();
-    assert_eq!(version, MessageError::Version(2));
+    let version = Message::decode(&bytes, 256).unwrap_err();
+    assert_eq!(version, MessageError::UnsupportedVersion(2));
     assert_eq!(version.to_string(), "a message of version 2, not 1");
-    let form = Message::read(&[1, 0], 256).unwrap_err();
-    assert_eq!(form, MessageError::Form);
+    let form = Message::decode(&[1, 0], 256).unwrap_err();
+    assert_eq!(form, MessageError::Malformed);
     assert_eq!(form.to_string(), "not a message");
 }
 
@@ -264,42 +264,42 @@
 #[test]
 fn settings_at_fault() {
     let usual = Settings::default;
-    let (period, half) = (usual().period, usual().period / 2);
+    let (period, half) = (usual().probe_interval, usual().probe_interval / 2);
     let wrong = [
         Settings {
-            period: half / 100,
+            probe_interval: half / 100,
             ..usual()
         },
         Settings {
-            patience: period,
+            probe_timeout: period,
             ..usual()
         },
         Settings {
-            suspicion: half,
+            suspicion_timeout: half,
             ..usual()
         },
         Settings {
-            refused: usual().suspicion * 2,
+            refusal_timeout: usual().suspicion_timeout * 2,
             ..usual()
         },
         Settings {
-            stall: half,
+            pause_threshold: half,
             ..usual()
         },
         Settings {
-            unconfirmed: 0.5,
+            unconfirmed_multiplier: 0.5,
             ..usual()
         },
         Settings {
-            datagram: 100,
+            max_datagram_bytes: 100,
             ..usual()
         },
         Settings {
-            fact_bytes: 601,
+            max_record_bytes: 601,
             ..usual()
         },
         Settings {
-            members: 1,
+            max_members: 1,
             ..usual()
         },
     ];
@@ -319,8 +319,8 @@
     }
     net.run(60 * SECOND);
     let node = net.nodes[0].as_ref().unwrap();
-    let fact = node.fact(&net.names[0], &name(PARTITIONS_KEY)).unwrap();
-    assert_golden("cuts-told.hex", &fact.bytes);
+    let record = node.record(&net.names[0], &name(PARTITIONS_KEY)).unwrap();
+    assert_golden("cuts-told.hex", &record.value);
 }
 
 /// Those bytes from another are read as the cuts between its zone and the one that it names.
@@ -330,31 +330,38 @@
     let mut node = Node::new(me, vec![address(1)], Settings::default(), 1, 0).unwrap();
     let mut far = second();
     far.zone = name("sur");
-    let fact = RecordUpdate {
+    let record = RecordUpdate {
         owner: first().name,
-        life: first().life,
-        counter: 1,
+        generation: first().generation,
+        version: 1,
         key: name(PARTITIONS_KEY),
         priority: 64,
         age_ms: 0,
-        bytes: bytes_of("cuts-heard.hex"),
+        value: bytes_of("cuts-heard.hex"),
     };
-    let news = vec![MemberUpdate {
-        claim: claim(&far, 0, MemberState::Alive),
-        card: far,
+    let updates = vec![MemberUpdate {
+        status: status(&far, 0, MemberState::Alive),
+        metadata: far,
         by: None,
     }];
     let message = Message {
         to: None,
-        news,
-        facts: vec![fact],
-        ..plain(Body::Gossip)
+        updates,
+        records: vec![record],
+        ..message_with(Body::Gossip)
     };
-    node.heard(SECOND, &message.write()).unwrap();
-    let cuts = node.cuts(SECOND);
+    node.receive(SECOND, &message.encode()).unwrap();
+    let cuts = node.zone_paths(SECOND);
     let cut: Vec<(&str, &str, u64, u64)> = cuts
         .iter()
-        .map(|((from, to), between)| (from.as_str(), to.as_str(), between.of, between.cut))
+        .map(|((from, to), between)| {
+            (
+                from.as_str(),
+                to.as_str(),
+                between.total,
+                between.partitioned,
+            )
+        })
         .collect();
     assert_eq!(
         cut,
@@ -393,20 +400,20 @@
         self.bytes(at.to_string().as_bytes());
     }
 
-    fn card(&mut self, card: &MemberMetadata) {
-        self.name(&card.name);
-        self.number(card.life.started);
-        self.number(card.life.id);
-        self.address(card.at);
-        self.name(&card.zone);
-        self.optional_name(card.region.as_ref());
+    fn metadata(&mut self, metadata: &MemberMetadata) {
+        self.name(&metadata.name);
+        self.number(metadata.generation.started_ms);
+        self.number(metadata.generation.id);
+        self.address(metadata.address);
+        self.name(&metadata.zone);
+        self.optional_name(metadata.region.as_ref());
     }
 
     fn event(&mut self, event: &Event) {
         match event {
-            Event::Joined(card) => {
+            Event::Joined(metadata) => {
                 self.number(1);
-                self.card(card);
+                self.metadata(metadata);
             }
             Event::Recovered(name) => {
                 self.number(2);
@@ -430,14 +437,14 @@
                 self.number(6);
                 self.number(time.as_nanos() as u64);
             }
-            Event::NameConflict { name, at } => {
+            Event::NameConflict { name, addresses } => {
                 self.number(7);
                 self.name(name);
-                at.iter().for_each(|at| self.address(*at));
+                addresses.iter().for_each(|address| self.address(*address));
             }
-            Event::IsolationChanged(cut_off) => {
+            Event::IsolationChanged { is_isolated } => {
                 self.number(8);
-                self.number(u64::from(*cut_off));
+                self.number(u64::from(*is_isolated));
             }
         }
     }
@@ -450,14 +457,14 @@
         });
     }
 
-    fn state(&mut self, state: Verdict) {
-        match state {
+    fn verdict(&mut self, verdict: Verdict) {
+        match verdict {
             Verdict::Alive => self.number(1),
             Verdict::Suspect => self.number(2),
-            Verdict::Partitioned { to, from } => {
+            Verdict::Partitioned { outbound, inbound } => {
                 self.number(3);
-                self.way(to);
-                self.way(from);
+                self.way(outbound);
+                self.way(inbound);
             }
             Verdict::Dead => self.number(4),
             Verdict::Left => self.number(5),
@@ -470,54 +477,56 @@
 
     /// What a member finds of all others, of itself and of the zones.
     fn verdicts(&mut self, node: &Node, now: u64) {
-        self.card(node.me());
-        for seen in node.members(now) {
-            self.card(seen.card);
-            self.state(seen.state);
+        self.metadata(node.local());
+        for seen in node.observations(now) {
+            self.metadata(seen.metadata);
+            self.verdict(seen.verdict);
             self.number(seen.since);
-            self.number(seen.found_at.map_or(0, |at| at + 1));
+            self.number(seen.last_reached_at.map_or(0, |at| at + 1));
             seen.suspected_by.iter().for_each(|by| self.name(by));
-            let (to, from) = node.ways(&seen.card.name, now);
+            let (to, from) = node.path_states(&seen.metadata.name, now);
             self.way(to);
             self.way(from);
-            let claim = node.claim(&seen.card.name).unwrap();
-            self.number(u64::from(claim.incarnation));
+            let status = node.status(&seen.metadata.name).unwrap();
+            self.number(u64::from(status.incarnation));
         }
-        let (size, sure, tallies) = (node.size(), node.sure(now), node.tallies());
-        self.number(size.least as u64);
-        self.number(size.most as u64);
-        self.number(sure.own_zone.to_bits());
-        self.number(sure.others.to_bits());
-        self.number(u64::from(sure.cut_off));
-        self.number(u64::from(node.times()));
+        let (size, confidence, counters) =
+            (node.fleet_size(), node.confidence(now), node.counters());
+        self.number(size.min as u64);
+        self.number(size.max as u64);
+        self.number(confidence.own_zone.to_bits());
+        self.number(confidence.other_zones.to_bits());
+        self.number(u64::from(confidence.is_isolated));
+        self.number(u64::from(node.health_multiplier()));
         for count in [
-            tallies.came,
-            tallies.not_understood,
-            tallies.sent,
-            tallies.bytes,
-            tallies.no_place,
-            tallies.facts_dropped,
-            tallies.stalls,
+            counters.messages_received,
+            counters.messages_rejected,
+            counters.messages_sent,
+            counters.bytes_sent,
+            counters.members_rejected,
+            counters.records_dropped,
+            counters.process_pauses,
         ] {
             self.number(count);
         }
-        for ((from, to), between) in node.cuts(now) {
+        for ((from, to), between) in node.zone_paths(now) {
             self.name(&from);
             self.name(&to);
-            self.number(between.of);
-            self.number(between.cut);
+            self.number(between.total);
+            self.number(between.partitioned);
         }
-        for (owner, key, fact) in node.facts() {
+        for (owner, key, record) in node.records() {
             self.name(owner);
             self.name(key);
-            self.number(fact.life.id);
-            self.number(fact.counter);
-            self.number(u64::from(fact.priority));
-            self.number(fact.said_at);
-            self.bytes(&fact.bytes);
+            self.number(record.generation.id);
+            self.number(record.version);
+            self.number(u64::from(record.priority));
+            self.number(record.published_at);
+            self.bytes(&record.value);
         }
-        self.number(node.wake_at());
-        node.to_look_for(now).for_each(|card| self.name(&card.name));
+        self.number(node.next_deadline());
+        node.connection_check_targets(now)
+            .for_each(|metadata| self.name(&metadata.name));
     }
 }
 
@@ -545,12 +554,12 @@
 #[test]
 fn a_small_fleet_sends_and_finds_the_same() {
     let mut lines = BTreeMap::new();
-    for (zones, plain) in [(2, false), (3, false), (3, true)] {
+    for (zones, plain_swim) in [(2, false), (3, false), (3, true)] {
         let mut all = Digest::default();
         let mut net = Net::in_zones(12, 77, zones);
         net.keeps_sent = true;
-        net.settings.plain = plain;
-        if plain {
+        net.settings.plain_swim = plain_swim;
+        if plain_swim {
             (0..12).for_each(|at| net.start(at, 2_000_000, 100 + at as u64));
         }
         net.usual(Link {
@@ -566,7 +575,8 @@
             let now = net.now;
             let key = name(&format!("k-{number}"));
             let node = net.nodes[usize::from(number)].as_mut().unwrap();
-            node.say(now, key, 60 * number, vec![number; 40]).unwrap();
+            node.publish(now, key, 60 * number, vec![number; 40])
+                .unwrap();
             net.after(usize::from(number));
         }
         net.kill(5);
@@ -603,13 +613,13 @@
         digest(&mut all, &mut net);
         let hash = all.0.finish128();
         lines.insert(
-            (zones, plain),
+            (zones, plain_swim),
             format!("{:016x}{:016x} {} bytes", hash.h1, hash.h2, net.bytes),
         );
     }
     let lines: String = lines
         .iter()
-        .map(|((zones, plain), line)| format!("{zones} zones, plain {plain}: {line}\n"))
+        .map(|((zones, plain_swim), line)| format!("{zones} zones, plain {plain_swim}: {line}\n"))
         .collect();
     assert_golden_text("small-fleet.txt", &lines);
 }
--- a/crates/membership/tests/long.rs
+++ b/crates/membership/tests/long.rs
@@ -70,7 +70,7 @@
                 let awake =
                     |by: &usize| *by != victim && !asleep.iter().any(|(_, other)| other == by);
                 let mut others = (0..members).filter(awake);
-                if others.all(|by| matches!(net.state(victim, by), Some(Verdict::Dead))) {
+                if others.all(|by| matches!(net.verdict(victim, by), Some(Verdict::Dead))) {
                     all_know = Some((net.now - died_at) as f64 / 1e9);
                 }
             }
@@ -131,7 +131,7 @@
             net.nodes[owner]
                 .as_mut()
                 .unwrap()
-                .say(now, key.clone(), 200, vec![round; 64])
+                .publish(now, key.clone(), 200, vec![round; 64])
                 .unwrap();
             net.after(owner);
             let mut left: Vec<usize> = (0..members).filter(|of| *of != owner).collect();
@@ -139,8 +139,8 @@
                 net.run(10 * MS);
                 let (owner, took) = (&net.names[owner], net.now - now);
                 left.retain(|of| {
-                    let fact = net.nodes[*of].as_ref().unwrap().fact(owner, &key);
-                    let missing = fact.is_none_or(|fact| fact.bytes[0] != round);
+                    let record = net.nodes[*of].as_ref().unwrap().record(owner, &key);
+                    let missing = record.is_none_or(|record| record.value[0] != round);
                     if !missing {
                         times.push(took / MS);
                     }
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::{SECOND, address, card, name};
+use common::{SECOND, address, metadata, name};
 use proptest::prelude::*;
 use woadstall_membership::message::{Body, MemberUpdate};
 use woadstall_membership::{MemberState, MemberStatus, Message, Node, Settings};
 
 fn node() -> Node {
     Node::new(
-        card(0, name("b-0"), 5, 1),
+        metadata(0, name("b-0"), 5, 1),
         vec![address(1)],
         Settings::default(),
         1,
@@ -18,40 +18,40 @@
     .unwrap()
 }
 
-fn message(news: Vec<MemberUpdate>) -> Message {
-    let from = card(1, name("b-1"), 5, 1);
+fn message(updates: Vec<MemberUpdate>) -> Message {
+    let from = metadata(1, name("b-1"), 5, 1);
     Message {
         from,
         incarnation: 0,
         to: None,
         body: Body::Gossip,
-        news,
-        facts: Vec::new(),
+        updates,
+        records: Vec::new(),
     }
 }
 
-fn news() -> impl Strategy<Value = MemberUpdate> {
-    (2_usize..6, 0_u64..3, 0_u32..3, 0_u8..4).prop_map(|(of, started, incarnation, said)| {
-        let card = card(of, name(&format!("b-{of}")), started, 1);
-        let said = [
+fn updates() -> impl Strategy<Value = MemberUpdate> {
+    (2_usize..6, 0_u64..3, 0_u32..3, 0_u8..4).prop_map(|(of, started_ms, incarnation, state)| {
+        let metadata = metadata(of, name(&format!("b-{of}")), started_ms, 1);
+        let state = [
             MemberState::Alive,
             MemberState::Suspect,
             MemberState::Dead,
             MemberState::Left,
-        ][usize::from(said)];
-        let life = card.life;
-        let claim = if said == MemberState::Left {
-            MemberStatus::left(life)
+        ][usize::from(state)];
+        let generation = metadata.generation;
+        let status = if state == MemberState::Left {
+            MemberStatus::left(generation)
         } else {
             MemberStatus {
-                life,
+                generation,
                 incarnation,
-                said,
+                state,
             }
         };
         MemberUpdate {
-            card,
-            claim,
+            metadata,
+            status,
             by: None,
         }
     })
@@ -60,19 +60,19 @@
 proptest! {
     /// What two members hold of others does not depend on the order in which they heard it, nor on how often.
     #[test]
-    fn claims_meet(mut all in prop::collection::vec(news(), 1..40), again in any::<prop::sample::Index>()) {
+    fn claims_meet(mut all in prop::collection::vec(updates(), 1..40), wants_reply in any::<prop::sample::Index>()) {
         let told = |all: &[MemberUpdate]| {
             let mut node = node();
-            for news in all {
-                node.heard(SECOND / 2, &message(vec![news.clone()]).write()).unwrap();
+            for updates in all {
+                node.receive(SECOND / 2, &message(vec![updates.clone()]).encode()).unwrap();
             }
-            let all = node.members(SECOND / 2);
-            let all = all.map(|seen| (seen.card.name.clone(), (seen.card.clone(), format!("{:?}", seen.state))));
+            let all = node.observations(SECOND / 2);
+            let all = all.map(|seen| (seen.metadata.name.clone(), (seen.metadata.clone(), format!("{:?}", seen.verdict))));
             all.collect::<std::collections::BTreeMap<_, _>>()
         };
         let first = told(&all);
-        let again = all[again.index(all.len())].clone();
-        all.push(again);
+        let wants_reply = all[wants_reply.index(all.len())].clone();
+        all.push(wants_reply);
         all.reverse();
         prop_assert_eq!(first, told(&all));
     }
@@ -81,20 +81,20 @@
     #[test]
     fn garbage_is_refused(bytes in prop::collection::vec(any::<u8>(), 0..300), at in any::<prop::sample::Index>()) {
         let mut node = node();
-        if node.heard(1, &bytes).is_err() {
-            prop_assert_eq!(node.members(1).count(), 0);
+        if node.receive(1, &bytes).is_err() {
+            prop_assert_eq!(node.observations(1).count(), 0);
         }
         let whole = message(vec![MemberUpdate {
-            card: card(2, name("b-2"), 1, 1),
-            claim: MemberStatus { life: card(2, name("b-2"), 1, 1).life, incarnation: 0, said: MemberState::Alive },
+            metadata: metadata(2, name("b-2"), 1, 1),
+            status: MemberStatus { generation: metadata(2, name("b-2"), 1, 1).generation, incarnation: 0, state: MemberState::Alive },
             by: None,
-        }]).write();
+        }]).encode();
         let mut other = self::node();
-        prop_assert!(other.heard(1, &whole[..at.index(whole.len())]).is_err());
+        prop_assert!(other.receive(1, &whole[..at.index(whole.len())]).is_err());
         let mut changed = whole.clone();
         let at = at.index(changed.len());
         changed[at] ^= 0x55;
-        other.heard(1, &changed).ok();
+        other.receive(1, &changed).ok();
     }
 }
 
@@ -107,7 +107,7 @@
     );
     assert!(woadstall_membership::Name::new(&"x".repeat(65)).is_err());
     let wrong = Settings {
-        patience: Settings::default().period,
+        probe_timeout: Settings::default().probe_interval,
         ..Settings::default()
     };
     assert!(
@@ -118,47 +118,47 @@
             .contains("`patience`")
     );
     let mut node = node();
-    let (key, most) = (name("k"), Settings::default().fact_bytes);
-    assert!(node.say(1, key.clone(), 1, vec![0; most + 1]).is_err());
-    for number in 0..Settings::default().facts_each {
-        node.say(1, name(&format!("k-{number}")), 1, Vec::new())
+    let (key, most) = (name("k"), Settings::default().max_record_bytes);
+    assert!(node.publish(1, key.clone(), 1, vec![0; most + 1]).is_err());
+    for number in 0..Settings::default().max_records_per_owner {
+        node.publish(1, name(&format!("k-{number}")), 1, Vec::new())
             .unwrap();
     }
-    assert!(node.say(1, key, 1, Vec::new()).is_err());
+    assert!(node.publish(1, key, 1, Vec::new()).is_err());
 }
 
 /// A forged word that this member is dead, or has left, is contradicted, not believed.
 #[test]
 fn words_about_oneself_are_contradicted() {
     let mut node = node();
-    let me = node.me().clone();
-    for claim in [
+    let me = node.local().clone();
+    for status in [
         MemberStatus {
-            life: me.life,
+            generation: me.generation,
             incarnation: 7,
-            said: MemberState::Dead,
+            state: MemberState::Dead,
         },
-        MemberStatus::left(me.life),
+        MemberStatus::left(me.generation),
     ] {
-        let news = MemberUpdate {
-            card: me.clone(),
-            claim,
+        let updates = MemberUpdate {
+            metadata: me.clone(),
+            status,
             by: None,
         };
-        node.heard(1, &message(vec![news]).write()).unwrap();
+        node.receive(1, &message(vec![updates]).encode()).unwrap();
     }
     node.tick(SECOND / 2);
     assert!(
-        node.me().life > me.life,
+        node.local().generation > me.generation,
         "one that is said to have left begins a later life"
     );
-    let mut said = Vec::new();
-    while let Some(out) = node.next_out() {
-        said.extend(Message::read(&out.bytes, 256).unwrap().news);
+    let mut sent = Vec::new();
+    while let Some(out) = node.next_outgoing() {
+        sent.extend(Message::decode(&out.bytes, 256).unwrap().updates);
     }
     assert!(
-        said.iter()
-            .any(|news| news.card.name == me.name && news.claim.said == MemberState::Alive),
-        "{said:?}"
+        sent.iter().any(|updates| updates.metadata.name == me.name
+            && updates.status.state == MemberState::Alive),
+        "{sent:?}"
     );
 }
--- a/src/net/instances.rs
+++ b/src/net/instances.rs
@@ -68,11 +68,11 @@
         key_file: file.key_file.map(|path| folder.join(path)),
         insecure: file.insecure,
         settings: Settings {
-            period: millis(file.period_ms),
-            patience: millis(file.patience_ms),
-            suspicion: millis(file.suspicion_ms),
-            stall: millis(file.period_ms.saturating_mul(2).max(1_000)),
-            refused: millis(file.suspicion_ms.min(1_000)),
+            probe_interval: millis(file.period_ms),
+            probe_timeout: millis(file.patience_ms),
+            suspicion_timeout: millis(file.suspicion_ms),
+            pause_threshold: millis(file.period_ms.saturating_mul(2).max(1_000)),
+            refusal_timeout: millis(file.suspicion_ms.min(1_000)),
             ..Settings::default()
         },
     };
--- a/tests/golden_membership.rs
+++ b/tests/golden_membership.rs
@@ -114,11 +114,11 @@
 fn card(number: u16, zone: &str) -> MemberMetadata {
     MemberMetadata {
         name: Name::new(&format!("b-{number}")).unwrap(),
-        life: Generation {
-            started: 1_764_000_000_000 + u64::from(number),
+        generation: Generation {
+            started_ms: 1_764_000_000_000 + u64::from(number),
             id: u64::from(number),
         },
-        at: ([127, 0, 0, 1], 10_000 + number).into(),
+        address: ([127, 0, 0, 1], 10_000 + number).into(),
         zone: Name::new(zone).unwrap(),
         region: None,
     }
@@ -129,22 +129,22 @@
 fn a_report_of_a_member() {
     let settings = Settings::default();
     let mut node = Node::new(card(0, "norte"), Vec::new(), settings, 1, 0).unwrap();
-    let said = BTreeMap::from([
+    let states = BTreeMap::from([
         (2, MemberState::Alive),
         (3, MemberState::Suspect),
         (4, MemberState::Dead),
         (5, MemberState::Left),
     ]);
-    let news = said.into_iter().map(|(number, said)| {
-        let card = card(number, if number == 2 { "sur" } else { "norte" });
-        let by = (said == MemberState::Suspect).then(|| Name::new("b-1").unwrap());
+    let updates = states.into_iter().map(|(number, state)| {
+        let metadata = card(number, if number == 2 { "sur" } else { "norte" });
+        let by = (state == MemberState::Suspect).then(|| Name::new("b-1").unwrap());
         MemberUpdate {
-            claim: MemberStatus {
-                life: card.life,
+            status: MemberStatus {
+                generation: metadata.generation,
                 incarnation: 1,
-                said,
+                state,
             },
-            card,
+            metadata,
             by,
         }
     });
@@ -153,14 +153,14 @@
         incarnation: 2,
         to: None,
         body: Body::Gossip,
-        news: news.collect(),
-        facts: Vec::new(),
+        updates: updates.collect(),
+        records: Vec::new(),
     };
-    node.heard(SECOND / 4, &message.write()).unwrap();
-    node.say(SECOND / 4, Name::new("load").unwrap(), 9, b"17".to_vec())
+    node.receive(SECOND / 4, &message.encode()).unwrap();
+    node.publish(SECOND / 4, Name::new("load").unwrap(), 9, b"17".to_vec())
         .unwrap();
     node.tick(SECOND / 2);
-    while node.next_out().is_some() {}
+    while node.next_outgoing().is_some() {}
     let counts = Counts {
         other_key: 3,
         ..Counts::default()
@@ -172,7 +172,7 @@
     // Much later: the suspicion is over, and nobody was heard.
     for turn in 1..60 {
         node.tick(SECOND / 2 + turn * SECOND / 4);
-        while node.next_out().is_some() {}
+        while node.next_outgoing().is_some() {}
     }
     assert_golden_report(
         "membership-report-of-a-lonely-member",
