--- a/crates/hot-restart/src/state/tests.rs
+++ b/crates/hot-restart/src/state/tests.rs
@@ -3,27 +3,27 @@
 use super::*;
 use proptest::prelude::*;
 
-fn learned() -> Learned {
+fn learned() -> LearnedState {
     let latency = LearnedLatency {
         mean: 2e8,
-        dev: 5e7,
-        calm: 1.5e8,
+        mean_deviation: 5e7,
+        baseline: 1.5e8,
         calls: 40,
     };
     let server = |server, open_for| LearnedServer {
         server: ServerId(server),
         started: Some(7),
         slowness: 1.5,
-        opens: 2,
+        recent_opens: 2,
         open_for,
     };
-    Learned {
+    LearnedState {
         classes: vec![(0, latency), (1, latency)],
         overall: latency,
-        rate: 12.5,
-        answers: 30.0,
-        held: 11.0,
-        failing: 0.25,
+        responses_per_second: 12.5,
+        responses: 30.0,
+        pending: 11.0,
+        failure_rate: 0.25,
         servers: vec![server(1, None), server(2, Some(9))],
     }
 }
@@ -48,7 +48,12 @@
         }]
     );
     assert_eq!(
-        (back.rate, back.answers, back.held, back.failing),
+        (
+            back.responses_per_second,
+            back.responses,
+            back.pending,
+            back.failure_rate
+        ),
         (12.5, 30.0, 11.0, 0.25)
     );
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! [`Node`] is a state machine: it is handed times in nanoseconds of one monotonic clock, datagrams
 //! and a random seed, and gives back messages and events. The design, with the alternatives that
-//! were considered, is in `docs/instances.md`.
+//! were considered, is in `docs/membership.md`.
 //!
 //! | module | owns |
 //! |---|---|
--- a/crates/tower/src/ask.rs
+++ b/crates/tower/src/ask.rs
@@ -76,12 +76,12 @@
         let longest = |time: fn(&Class) -> u64| given.iter().map(time).max().unwrap_or(1);
         let least = |figure: fn(&Class) -> f64| given.iter().map(figure).fold(f64::MAX, f64::min);
         settings.classes.push(Class {
-            aim: longest(|class| class.aim),
-            aim_stretch: 0.0,
+            latency_target: longest(|class| class.latency_target),
+            latency_target_stretch: 0.0,
             deadline: longest(|class| class.deadline),
             effect: Effect::Unsafe,
-            late_worth: least(|class| class.late_worth),
-            worth: least(|class| class.worth),
+            late_value: least(|class| class.late_value),
+            value: least(|class| class.value),
         });
         Ok(Self {
             effects: settings.classes.iter().map(|class| class.effect).collect(),
@@ -179,8 +179,8 @@
         let text =
             woadstall_mock_servers::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
                 .to_string();
-        let mut settings = woadstall_settings::settings(text.as_bytes()).unwrap();
-        let names = woadstall_settings::names(text.as_bytes()).unwrap();
+        let mut settings = woadstall_settings::parse_settings(text.as_bytes()).unwrap();
+        let names = woadstall_settings::parse_names(text.as_bytes()).unwrap();
         let methods = [
             ("/p.P/Look".to_owned(), "look".to_owned()),
             ("/p.P/Pay".to_owned(), "pay".to_owned()),
@@ -319,8 +319,8 @@
             woadstall_mock_servers::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
                 .to_string();
         let build = |methods: &[(&str, &str)]| {
-            let mut settings = woadstall_settings::settings(text.as_bytes()).unwrap();
-            let names = woadstall_settings::names(text.as_bytes()).unwrap();
+            let mut settings = woadstall_settings::parse_settings(text.as_bytes()).unwrap();
+            let names = woadstall_settings::parse_names(text.as_bytes()).unwrap();
             let methods: Vec<_> = methods
                 .iter()
                 .map(|(a, b)| (a.to_string(), b.to_string()))
