--- a/crates/membership-net/src/core.rs
+++ b/crates/membership-net/src/core.rs
@@ -4,7 +4,7 @@
 use crate::report::Counts;
 use std::net::SocketAddr;
 use woadstall_membership::{MessageError, Node};
-use woadstall_message_auth::{SealError, Seals};
+use woadstall_message_auth::{MessageAuthenticator, VerifyError};
 
 /// Members that are looked for at once.
 const LOOKED_FOR: usize = 8;
@@ -14,7 +14,7 @@
     /// What thinks.
     pub node: Node,
     /// Absent where the fleet goes without a key.
-    pub seals: Option<Seals>,
+    pub authenticator: Option<MessageAuthenticator>,
     /// What was not believed or not sent.
     pub counts: Counts,
     /// Time for what comes in.
@@ -25,10 +25,10 @@
 
 impl Core {
     /// One that begins.
-    pub fn new(node: Node, seals: Option<Seals>) -> Self {
+    pub fn new(node: Node, authenticator: Option<MessageAuthenticator>) -> Self {
         Self {
             node,
-            seals,
+            authenticator,
             counts: Counts::default(),
             budget: Budget::default(),
             turn: 0,
@@ -37,8 +37,8 @@
 
     /// Bytes have come, from whomever.
     pub fn messages_received(&mut self, now: u64, bytes: &[u8]) {
-        let opened = match &mut self.seals {
-            Some(seals) => seals.open(bytes),
+        let opened = match &mut self.authenticator {
+            Some(authenticator) => authenticator.verify(bytes),
             None => Ok(bytes),
         };
         let count = match opened {
@@ -47,18 +47,18 @@
                 Err(MessageError::UnsupportedVersion(_)) => &mut self.counts.other_version,
                 Err(MessageError::Malformed) => &mut self.counts.no_message,
             },
-            Err(SealError::Short) => &mut self.counts.no_message,
-            Err(SealError::Form(_)) => &mut self.counts.other_version,
-            Err(SealError::Key) => &mut self.counts.other_key,
-            Err(SealError::Again) => &mut self.counts.had_before,
+            Err(VerifyError::TooShort) => &mut self.counts.no_message,
+            Err(VerifyError::UnsupportedFormat(_)) => &mut self.counts.other_version,
+            Err(VerifyError::UnknownKey) => &mut self.counts.other_key,
+            Err(VerifyError::Replayed) => &mut self.counts.had_before,
         };
         *count += 1;
     }
 
     /// Bytes as they go out.
-    pub fn sealed(&mut self, message: Vec<u8>) -> Vec<u8> {
-        match &mut self.seals {
-            Some(seals) => seals.seal(&message),
+    pub fn frames(&mut self, message: Vec<u8>) -> Vec<u8> {
+        match &mut self.authenticator {
+            Some(authenticator) => authenticator.sign(&message),
             None => message,
         }
     }
--- a/crates/membership-net/src/setup.rs
+++ b/crates/membership-net/src/setup.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use woadstall_membership::{Name, Settings};
-use woadstall_message_auth::Keys;
+use woadstall_message_auth::KeyRing;
 
 /// Bytes of a file of keys or seeds at most.
 const MOST_BYTES: u64 = 64 << 10;
@@ -60,13 +60,13 @@
     }
 
     /// The keys in force, if there are any to be.
-    pub fn keys(&self) -> Result<Option<Keys>, String> {
+    pub fn keys(&self) -> Result<Option<KeyRing>, String> {
         let Some(path) = &self.key_file else {
             return Ok(None);
         };
         let failed = |error: String| format!("`key_file` {}: {error}", path.display());
         let text = read(path).map_err(failed)?;
-        Keys::read(&text)
+        KeyRing::parse(&text)
             .map(Some)
             .map_err(|error| failed(error.to_string()))
     }
--- a/crates/membership-net/src/shell.rs
+++ b/crates/membership-net/src/shell.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use woadstall_membership::{Event, Generation, MemberMetadata, Name, Node, PublishError};
-use woadstall_message_auth::Seals;
+use woadstall_message_auth::MessageAuthenticator;
 
 /// Datagrams that are read before anything else has its turn.
 const BATCH: usize = 16;
@@ -183,7 +183,7 @@
         let shared = Arc::new(Shared {
             core: Mutex::new(Core::new(
                 node,
-                keys.map(|keys| Seals::new(keys, generation.id)),
+                keys.map(|keys| MessageAuthenticator::new(keys, generation.id)),
             )),
             began: Instant::now(),
             poke: Notify::new(),
@@ -227,8 +227,8 @@
     pub fn reload(&self) -> Result<(), String> {
         let (keys, seeds) = (self.setup.keys()?, self.setup.all_seeds()?);
         let mut core = self.shared.core();
-        if let (Some(seals), Some(keys)) = (&mut core.seals, keys) {
-            seals.rotate(keys);
+        if let (Some(authenticator), Some(keys)) = (&mut core.authenticator, keys) {
+            authenticator.set_keys(keys);
         }
         core.node.set_seeds(seeds);
         Ok(())
@@ -376,7 +376,7 @@
         }
         core.node.tick(now);
         while let Some(out) = core.node.next_outgoing() {
-            let bytes = core.sealed(out.bytes);
+            let bytes = core.frames(out.bytes);
             let sent = match out.reliable {
                 true => self.orders.try_send(Order { to: out.to, bytes }).is_ok(),
                 false => self.datagrams.try_send_to(&bytes, out.to).is_ok(),
--- a/crates/membership-net/src/streams.rs
+++ b/crates/membership-net/src/streams.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 use woadstall_membership::message::MAX_MESSAGE_BYTES;
-use woadstall_message_auth::ADDS;
+use woadstall_message_auth::OVERHEAD_BYTES;
 
 /// How long a stream may last.
 const PATIENCE: Duration = Duration::from_secs(3);
@@ -104,7 +104,7 @@
         let mut length = [0; 4];
         stream.read_exact(&mut length).await?;
         let length = u32::from_be_bytes(length) as usize;
-        if length > MAX_MESSAGE_BYTES + ADDS {
+        if length > MAX_MESSAGE_BYTES + OVERHEAD_BYTES {
             shared.core().counts.no_message += 1;
             return Ok(());
         }
--- a/crates/message-auth/src/lib.rs
+++ b/crates/message-auth/src/lib.rs
@@ -1,126 +1,128 @@
-//! Messages under a shared key: nobody without it is believed, and nothing is believed twice. No input or output: it
-//! is handed bytes and gives bytes.
+//! Message authentication under a shared key, without input or output: a message is accepted only
+//! from a sender that has the key, and only once.
 //!
-//! A seal is a form byte, the sender's life (8 bytes, drawn at its start), a number that goes up (8), the message, and
-//! the first 16 bytes of an HMAC-SHA-256 over all of that. It hides nothing.
+//! A frame is a format byte, the sender's id (8 bytes, drawn when it starts), a sequence number (8
+//! bytes), the message, and the first 16 bytes of an HMAC-SHA-256 (RFC 2104) over all of that, with
+//! numbers in network order. Messages are not encrypted.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+mod key_ring;
+mod replay_window;
 
-mod keys;
-mod window;
-
-pub use keys::{KeyError, Keys};
+pub use key_ring::{KeyFileError, KeyRing};
 
 use hmac::{Hmac, KeyInit, Mac};
+use replay_window::ReplayWindows;
 use sha2::Sha256;
-use std::fmt;
-use window::Windows;
+use thiserror::Error;
 
-/// The form of seals.
-const FORM: u8 = 1;
-const HEAD: usize = 1 + 8 + 8;
-const MAC: usize = 16;
-/// Bytes that a seal adds to a message.
-pub const ADDS: usize = HEAD + MAC;
+/// The format of frames. Frames of any other are rejected.
+const FORMAT: u8 = 1;
+/// Bytes of the sender's id and of the sequence number.
+const NUMBER_BYTES: usize = 8;
+/// Where the sender's id begins in a frame.
+const SENDER_OFFSET: usize = 1;
+/// Where the sequence number begins in a frame.
+const SEQUENCE_OFFSET: usize = SENDER_OFFSET + NUMBER_BYTES;
+/// Where the message begins in a frame.
+const HEADER_BYTES: usize = SEQUENCE_OFFSET + NUMBER_BYTES;
+/// Bytes of the authentication code.
+const CODE_BYTES: usize = 16;
 
-/// Why bytes are not believed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SealError {
-    /// Too short for a seal.
-    Short,
-    /// A seal of another form.
-    Form(u8),
-    /// Under none of the keys in force.
-    Key,
-    /// Had before, or so old that it may have been.
-    Again,
-}
+/// Bytes that a frame adds to its message.
+pub const OVERHEAD_BYTES: usize = HEADER_BYTES + CODE_BYTES;
 
-impl fmt::Display for SealError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Short => f.write_str("too short for a seal"),
-            Self::Form(form) => write!(f, "a seal of form {form}, not {FORM}"),
-            Self::Key => f.write_str("under none of the keys in force"),
-            Self::Again => f.write_str("had before, or too old"),
-        }
-    }
+/// Why a frame is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum VerifyError {
+    /// It has fewer bytes than [`OVERHEAD_BYTES`].
+    #[error("too short for a seal")]
+    TooShort,
+    /// It is in another format.
+    #[error("a seal of form {0}, not {FORMAT}")]
+    UnsupportedFormat(u8),
+    /// It is authentic under none of the keys.
+    #[error("under none of the keys in force")]
+    UnknownKey,
+    /// It was received before, or is so old that it may have been.
+    #[error("had before, or too old")]
+    Replayed,
 }
 
-impl std::error::Error for SealError {}
-
-/// Seals what one life of a member sends, and opens what others do.
-pub struct Seals {
-    keys: Keys,
-    life: u64,
-    number: u64,
-    windows: Windows,
+/// Signs the messages of one sender and verifies those of others.
+pub struct MessageAuthenticator {
+    keys: KeyRing,
+    sender: u64,
+    last_sequence: u64,
+    windows: ReplayWindows,
 }
 
-impl Seals {
-    /// For a life that was drawn at its start.
-    pub fn new(keys: Keys, life: u64) -> Self {
+impl MessageAuthenticator {
+    /// For a sender with an id that was drawn when it started.
+    pub fn new(keys: KeyRing, sender: u64) -> Self {
         Self {
             keys,
-            life,
-            number: 0,
-            windows: Windows::default(),
+            sender,
+            last_sequence: 0,
+            windows: ReplayWindows::default(),
         }
     }
 
-    /// Other keys from now on; what was had under the former ones is not believed again.
-    pub fn rotate(&mut self, keys: Keys) {
+    /// Replaces the keys. What was received under the former ones is still not accepted again.
+    pub fn set_keys(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
-    /// A message to be sent.
-    pub fn seal(&mut self, message: &[u8]) -> Vec<u8> {
-        self.number += 1;
-        let mut bytes = Vec::with_capacity(message.len() + ADDS);
-        bytes.push(FORM);
-        bytes.extend(self.life.to_be_bytes());
-        bytes.extend(self.number.to_be_bytes());
-        bytes.extend(message);
-        let mac = mac(self.keys.first(), &bytes).finalize().into_bytes();
-        bytes.extend(&mac[..MAC]);
-        bytes
+    /// The frame of a message to be sent.
+    pub fn sign(&mut self, message: &[u8]) -> Vec<u8> {
+        self.last_sequence += 1;
+        let mut frame = Vec::with_capacity(message.len() + OVERHEAD_BYTES);
+        frame.push(FORMAT);
+        frame.extend(self.sender.to_be_bytes());
+        frame.extend(self.last_sequence.to_be_bytes());
+        frame.extend(message);
+        let code = code_of(self.keys.signing_key(), &frame).finalize();
+        frame.extend(&code.into_bytes()[..CODE_BYTES]);
+        frame
     }
 
-    /// The message within, if it is to be believed.
-    pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], SealError> {
-        if bytes.len() < ADDS {
-            return Err(SealError::Short);
+    /// The message of a frame that was received.
+    ///
+    /// # Errors
+    ///
+    /// [`VerifyError`] where the frame is no frame, not authentic, or not received for the first
+    /// time.
+    pub fn verify<'a>(&mut self, frame: &'a [u8]) -> Result<&'a [u8], VerifyError> {
+        if frame.len() < OVERHEAD_BYTES {
+            return Err(VerifyError::TooShort);
         }
-        if bytes[0] != FORM {
-            return Err(SealError::Form(bytes[0]));
+        if frame[0] != FORMAT {
+            return Err(VerifyError::UnsupportedFormat(frame[0]));
         }
-        let (sealed, seal) = bytes.split_at(bytes.len() - MAC);
-        // Compared in a time that does not tell where they differ; before anything within is looked at.
-        let sound = self
-            .keys
-            .all()
-            .any(|key| mac(key, sealed).verify_truncated_left(seal).is_ok());
-        if !sound {
-            return Err(SealError::Key);
+        let (signed, code) = frame.split_at(frame.len() - CODE_BYTES);
+        // In constant time, and before anything within is looked at.
+        let mut keys = self.keys.iter();
+        if !keys.any(|key| code_of(key, signed).verify_truncated_left(code).is_ok()) {
+            return Err(VerifyError::UnknownKey);
         }
-        let number = |from: usize| {
-            sealed[from..from + 8]
-                .iter()
-                .fold(0_u64, |number, byte| number << 8 | u64::from(*byte))
-        };
-        let (life, count) = (number(1), number(9));
-        match self.windows.is_new(life, count) {
-            true => Ok(&sealed[HEAD..]),
-            false => Err(SealError::Again),
+        let sender = number_at(signed, SENDER_OFFSET);
+        let sequence = number_at(signed, SEQUENCE_OFFSET);
+        match self.windows.accept(sender, sequence) {
+            true => Ok(&signed[HEADER_BYTES..]),
+            false => Err(VerifyError::Replayed),
         }
     }
 }
 
-fn mac(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
-    // HMAC takes keys of any length.
-    let mut mac =
-        Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| unreachable!("any length will do"));
-    mac.update(bytes);
-    mac
+fn number_at(frame: &[u8], offset: usize) -> u64 {
+    let bytes = &frame[offset..offset + NUMBER_BYTES];
+    let append = |number: u64, byte: &u8| number << 8 | u64::from(*byte);
+    bytes.iter().fold(0, append)
+}
+
+/// The authentication code of bytes, to be compared or finished.
+fn code_of(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
+    let mut code = Hmac::<Sha256>::new_from_slice(key)
+        .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
+    code.update(bytes);
+    code
 }
--- /dev/null
+++ b/crates/message-auth/tests/authentication.rs
@@ -0,0 +1,88 @@
+//! Which frames are accepted, and which are rejected.
+
+use proptest::prelude::*;
+use std::collections::BTreeSet;
+use woadstall_message_auth::{KeyRing, MessageAuthenticator, OVERHEAD_BYTES, VerifyError};
+
+const ONE: &str = "00112233445566778899aabbccddeeff";
+const OTHER: &str = "ffeeddccbbaa99887766554433221100";
+
+fn authenticator(keys: &str, sender: u64) -> MessageAuthenticator {
+    MessageAuthenticator::new(KeyRing::parse(keys).unwrap(), sender)
+}
+
+/// A key is changed member by member: first all accept the new one, then all sign with it, then the old one is removed.
+/// At no step is a member rejected; one that was left behind is, with the reason.
+#[test]
+fn keys_change_without_rejections() {
+    let steps = [
+        ONE.to_owned(),
+        format!("{ONE}\n{OTHER}\n"),
+        format!("{OTHER} # seals now\n{ONE}\n"),
+        OTHER.to_owned(),
+    ];
+    for pair in steps.windows(2) {
+        let (mut before, mut after) = (authenticator(&pair[0], 1), authenticator(&pair[1], 2));
+        assert_eq!(after.verify(&before.sign(b"a")), Ok(&b"a"[..]));
+        assert_eq!(before.verify(&after.sign(b"b")), Ok(&b"b"[..]));
+    }
+    let (mut first, mut last) = (authenticator(&steps[0], 1), authenticator(&steps[3], 2));
+    assert_eq!(last.verify(&first.sign(b"a")), Err(VerifyError::UnknownKey));
+    first.set_keys(KeyRing::parse(OTHER).unwrap());
+    assert_eq!(last.verify(&first.sign(b"a")), Ok(&b"a"[..]));
+}
+
+#[test]
+fn invalid_key_files_are_rejected_by_line() {
+    for (text, part) in [
+        ("", "no key"),
+        ("# nothing\n\n", "no key"),
+        ("\nxyz", "line 2: not pairs"),
+        ("abc", "line 1: not pairs"),
+        ("0011", "a key of 2 bytes"),
+        (
+            &format!("{ONE}\n{ONE}"),
+            "line 2: a key that stands there twice",
+        ),
+    ] {
+        let error = KeyRing::parse(text).unwrap_err().to_string();
+        assert!(error.contains(part), "{text:?}: {error}");
+        assert!(!error.contains("0011"), "nothing of a key is reported");
+    }
+    assert!(!format!("{:?}", KeyRing::parse(ONE).unwrap()).contains("0011"));
+}
+
+proptest! {
+    /// Each message is accepted once, in whatever order it and its duplicates come, unless it is far behind the others.
+    #[test]
+    fn each_message_is_accepted_once(order in prop::collection::vec(0_usize..200, 1..400)) {
+        let (mut sender, mut receiver) = (authenticator(ONE, 7), authenticator(ONE, 8));
+        let frames: Vec<Vec<u8>> = (0..200_u32).map(|number| sender.sign(&number.to_be_bytes())).collect();
+        let (mut received, mut highest) = (BTreeSet::new(), 0);
+        for at in order {
+            let accepted = receiver.verify(&frames[at]).is_ok();
+            let old = at + 64 <= highest;
+            prop_assert_eq!(accepted, received.insert(at) && !old, "{} behind {}", at, highest);
+            highest = highest.max(at);
+        }
+    }
+
+    /// A frame of which any bit was changed, or that was truncated, is rejected, and so are random bytes.
+    #[test]
+    fn forged_frames_are_rejected(
+        message in prop::collection::vec(any::<u8>(), 0..100),
+        bit in any::<prop::sample::Index>(),
+        chance in prop::collection::vec(any::<u8>(), 0..200),
+    ) {
+        let (mut sender, mut receiver) = (authenticator(ONE, 7), authenticator(ONE, 8));
+        let frames = sender.sign(&message);
+        prop_assert_eq!(frames.len(), message.len() + OVERHEAD_BYTES);
+        let mut forged = frames.clone();
+        let bit = bit.index(forged.len() * 8);
+        forged[bit / 8] ^= 1 << (bit % 8);
+        prop_assert!(receiver.verify(&forged).is_err());
+        prop_assert!(receiver.verify(&frames[..bit / 8]).is_err());
+        prop_assert!(receiver.verify(&chance).is_err());
+        prop_assert_eq!(receiver.verify(&frames), Ok(&message[..]));
+    }
+}
--- a/crates/message-auth/tests/golden.rs
+++ b/crates/message-auth/tests/golden.rs
@@ -1,13 +1,13 @@
-//! The bytes of seals, and the lines about keys at fault: both stay what they are.
+//! The bytes of frames, and the messages about invalid keys: both must not change.
 //!
-//! Each file of `tests/golden/` holds what one form was when it was written down, as hexadecimal digits or as text.
+//! Each file of `tests/golden/` holds one form as it was first released, in hexadecimal digits or as text.
 
 use std::path::PathBuf;
-use woadstall_message_auth::{ADDS, Keys, SealError, Seals};
+use woadstall_message_auth::{KeyRing, MessageAuthenticator, OVERHEAD_BYTES, VerifyError};
 
 const KEY: &str = "00112233445566778899aabbccddeeff";
 const OTHER: &str = "ffeeddccbbaa99887766554433221100";
-const LIFE: u64 = 0x0123_4567_89ab_cdef;
+const SENDER: u64 = 0x0123_4567_89ab_cdef;
 
 fn fixture(form: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -30,65 +30,68 @@
     assert_eq!(hexadecimal(bytes), fixture(form).trim(), "{form}");
 }
 
-fn seals(keys: &str, life: u64) -> Seals {
-    Seals::new(Keys::read(keys).unwrap(), life)
+fn authenticator(keys: &str, sender: u64) -> MessageAuthenticator {
+    MessageAuthenticator::new(KeyRing::parse(keys).unwrap(), sender)
 }
 
-/// The first three of a life under one key: empty, short, and each byte there is.
+/// The first three frames of a sender: of an empty message, a short one, and one with each byte.
 #[test]
-fn sealed_messages() {
+fn signed_messages() {
     let all: Vec<u8> = (0..=255).collect();
     let messages: [(&str, &[u8]); 3] = [
         ("empty.hex", b""),
         ("short.hex", b"ping"),
         ("all-bytes.hex", &all),
     ];
-    let (mut sender, mut receiver) = (seals(KEY, LIFE), seals(KEY, 2));
+    let (mut sender, mut receiver) = (authenticator(KEY, SENDER), authenticator(KEY, 2));
     for (form, message) in messages {
-        assert_golden(form, &sender.seal(message));
-        assert_eq!(receiver.open(&bytes_of(form)), Ok(message), "{form}");
+        assert_golden(form, &sender.sign(message));
+        assert_eq!(receiver.verify(&bytes_of(form)), Ok(message), "{form}");
     }
-    assert_eq!(ADDS, 33);
+    assert_eq!(OVERHEAD_BYTES, 33);
 }
 
-/// The first key of a file seals; what is sealed under it is read by one that has it in the second place.
+/// The first key of a file signs; a frame is accepted where that key is the second one.
 #[test]
-fn sealed_under_the_first_key() {
-    let mut sender = seals(&format!("# remark\n{OTHER} # seals\n\n{KEY}\n"), 1);
-    assert_golden("first-key.hex", &sender.seal(b"ping"));
-    let mut receiver = seals(&format!("{KEY}\n{OTHER}\n"), 2);
-    assert_eq!(receiver.open(&bytes_of("first-key.hex")), Ok(&b"ping"[..]));
+fn the_first_key_signs() {
+    let mut sender = authenticator(&format!("# remark\n{OTHER} # seals\n\n{KEY}\n"), 1);
+    assert_golden("first-key.hex", &sender.sign(b"ping"));
+    let mut receiver = authenticator(&format!("{KEY}\n{OTHER}\n"), 2);
+    assert_eq!(
+        receiver.verify(&bytes_of("first-key.hex")),
+        Ok(&b"ping"[..])
+    );
 }
 
 /// A key of more bytes than a block of the hash.
 #[test]
-fn sealed_under_a_long_key() {
+fn a_long_key_signs() {
     let long = "5a".repeat(100);
-    assert_golden("long-key.hex", &seals(&long, LIFE).seal(b"ping"));
+    assert_golden("long-key.hex", &authenticator(&long, SENDER).sign(b"ping"));
     assert_eq!(
-        seals(&long, 2).open(&bytes_of("long-key.hex")),
+        authenticator(&long, 2).verify(&bytes_of("long-key.hex")),
         Ok(&b"ping"[..])
     );
 }
 
 #[test]
-fn reasons_not_to_believe() {
-    let mut receiver = seals(KEY, 2);
+fn rejected_frames() {
+    let mut receiver = authenticator(KEY, 2);
     let short = bytes_of("short.hex");
     let mut other_form = short.clone();
     other_form[0] = 2;
     let mut other_key = short.clone();
     *other_key.last_mut().unwrap() ^= 1;
-    assert_eq!(receiver.open(&short), Ok(&b"ping"[..]));
+    assert_eq!(receiver.verify(&short), Ok(&b"ping"[..]));
     let errors = [&short[..32], &other_form, &other_key, &short]
-        .map(|bytes| receiver.open(bytes).unwrap_err());
+        .map(|bytes| receiver.verify(bytes).unwrap_err());
     assert_eq!(
         errors,
         [
-            SealError::Short,
-            SealError::Form(2),
-            SealError::Key,
-            SealError::Again
+            VerifyError::TooShort,
+            VerifyError::UnsupportedFormat(2),
+            VerifyError::UnknownKey,
+            VerifyError::Replayed
         ]
     );
     let lines: String = errors.iter().map(|error| format!("{error}\n")).collect();
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn key_files_at_fault() {
+fn invalid_key_files() {
     let many = (0..4)
         .map(|number| format!("{number}{}\n", "0".repeat(31)))
         .collect::<String>();
@@ -104,8 +107,8 @@
     let files = ["", "\nxyz", "abc", "0011", &twice, &many];
     let lines: String = files
         .iter()
-        .map(|text| format!("{}\n", Keys::read(text).unwrap_err()))
+        .map(|text| format!("{}\n", KeyRing::parse(text).unwrap_err()))
         .collect();
     assert_eq!(lines, fixture("key-files-at-fault.txt"));
-    assert_eq!(format!("{:?}", Keys::read(KEY).unwrap()), "1 keys");
+    assert_eq!(format!("{:?}", KeyRing::parse(KEY).unwrap()), "1 keys");
 }
