--- a/crates/cluster-test/src/members.rs
+++ b/crates/cluster-test/src/members.rs
@@ -26,7 +26,7 @@
 use woadstall_evacuation::Status;
 use woadstall_fault_proxy::{Fabric, Way};
 use woadstall_load_test::lock;
-use woadstall_membership_net::Report;
+use woadstall_membership_net::{PathReport, Report};
 
 /// Members that a new one asks.
 const SEEDS: usize = 3;
@@ -230,7 +230,7 @@
             return; // what was asked before it stood still or ended
         }
         known[number].life = Some(report.started_ms);
-        known[number].bytes.1 = report.bytes;
+        known[number].bytes.1 = report.bytes_sent;
         for row in &report.members {
             let Some(of) = of(&row.name).filter(|of| *of < known.len()) else {
                 continue;
@@ -263,9 +263,9 @@
             let row = rows.into_iter().find(|row| self::of(&row.name) == Some(of));
             row.is_some_and(|row| {
                 if to {
-                    row.to == "cut"
+                    row.outbound == PathReport::Partitioned
                 } else {
-                    row.from == "cut"
+                    row.inbound == PathReport::Partitioned
                 }
             })
         };
@@ -298,7 +298,7 @@
         let known = lock(&self.known);
         let part = |(balancer, known): (&Arc<Balancer>, &Known)| {
             let ran = balancer.process.thread_ns("instances")?;
-            Some(ran as f64 / 1e9 / known.last.as_ref()?.for_s.max(1e-3))
+            Some(ran as f64 / 1e9 / known.last.as_ref()?.uptime_s.max(1e-3))
         };
         balancers
             .iter()
--- a/crates/membership-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -1,19 +1,35 @@
-//! `woadstall-membership` on sockets: UDP datagrams, TCP for what is longer or has to arrive, seals under a shared key,
-//! and what operators read of it. Nothing here judges who is there.
+//! `woadstall-membership` on sockets: UDP datagrams, TCP streams for messages that are longer or
+//! have to arrive, message authentication under a shared key, and reports for operators. Nothing
+//! here concludes who is a member.
 //!
-//! It runs on a thread of its own, so that nothing of it is waited for by calls, and spends a bounded part of its time
-//! on what comes in: what is beyond that gets lost, as on a full line, and the members are made to bear that.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! A member runs on a thread of its own, so that no request waits for it, and spends a bounded
+//! fraction of its time on what it receives: what is beyond that is lost, as on a congested link,
+//! which the protocol is made for.
+//!
+//! | module | owns |
+//! |---|---|
+//! | `service` | [`Membership`], the handle that the process has |
+//! | `shared` | what the handle and the thread share |
+//! | `driver` | the thread's event loop: sockets, timers |
+//! | `endpoint` | the protocol's state machine with authentication, counters and budget |
+//! | `streams` | messages over TCP, and connection checks |
+//! | `sockets` | binding |
+//! | `config`, `report`, `log` | what operators write and read |
 
-mod budget;
-mod core;
+mod config;
+mod driver;
+mod endpoint;
+mod log;
+mod receive_budget;
 mod report;
-mod setup;
-mod shell;
+mod service;
+mod shared;
+mod sockets;
 mod streams;
 
-pub use report::{Counts, Report, Row, Ways};
-pub use setup::Setup;
-pub use shell::{Instances, Log};
+pub use config::{ConfigError, KeyFileFault, MembershipConfig, ReadError, SeedsFileFault};
+pub use log::LogSink;
+pub use report::{
+    MemberReport, PathReport, RejectionCounters, Report, StateReport, ZonePathReport,
+};
+pub use service::{Membership, StartError};
--- a/crates/membership-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -1,189 +1,300 @@
-//! What operators read of a member, and what of that others build on.
+//! What operators read of a member. The names in JSON are those of the operators' documentation.
 
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::net::SocketAddr;
-use woadstall_membership::{Node, Observation, PathState, Verdict};
+use woadstall_membership::{Node, Observation, PathCounts, PathState, Timestamp, Verdict};
 
-/// What was not believed, or not sent, since the start.
+/// What was rejected or not sent since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
-    /// Of a form that this program does not know: a member of another version.
+pub struct RejectionCounters {
+    /// Messages in a format that this program does not know: of a member of another version.
     pub other_version: u64,
-    /// Under none of the keys in force.
+    /// Messages that are authentic under none of the keys.
     pub other_key: u64,
-    /// A message that came before.
-    pub had_before: u64,
-    /// No message at all.
-    pub no_message: u64,
-    /// Streams that were turned away, as too many were open.
-    pub turned_away: u64,
-    /// Messages for which there was no room on the way out.
+    /// Messages that were received before.
+    #[serde(rename = "had_before")]
+    pub replayed: u64,
+    /// Bytes that are no message.
+    #[serde(rename = "no_message")]
+    pub malformed: u64,
+    /// Incoming streams beyond the most at once.
+    #[serde(rename = "turned_away")]
+    pub streams_rejected: u64,
+    /// Messages that were not sent as a queue was full.
     pub not_sent: u64,
-    /// Turns in which the calls' thread stood still, so that this member did, too.
-    pub held_back: u64,
+    /// Steps that were skipped as the process hung.
+    #[serde(rename = "held_back")]
+    pub hung_steps: u64,
 }
 
-/// A member as this one sees it.
+/// The state of a member, as another one reports it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum StateReport {
+    /// [`Verdict::Alive`].
+    Alive,
+    /// [`Verdict::Suspect`].
+    Suspect,
+    /// [`Verdict::Partitioned`].
+    #[serde(rename = "cut")]
+    Partitioned,
+    /// [`Verdict::Dead`].
+    Dead,
+    /// [`Verdict::Left`].
+    Left,
+    /// [`Verdict::UnknownSince`].
+    Unknown,
+}
+
+impl StateReport {
+    /// Its name in JSON and for people.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Alive => "alive",
+            Self::Suspect => "suspect",
+            Self::Partitioned => "cut",
+            Self::Dead => "dead",
+            Self::Left => "left",
+            Self::Unknown => "unknown",
+        }
+    }
+}
+
+impl fmt::Display for StateReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.pad(self.as_str())
+    }
+}
+
+impl From<Verdict> for StateReport {
+    fn from(verdict: Verdict) -> Self {
+        match verdict {
+            Verdict::Alive => Self::Alive,
+            Verdict::Suspect => Self::Suspect,
+            Verdict::Partitioned { .. } => Self::Partitioned,
+            Verdict::Dead => Self::Dead,
+            Verdict::Left => Self::Left,
+            Verdict::UnknownSince(_) => Self::Unknown,
+        }
+    }
+}
+
+/// A direction between two members, as one of them reports it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum PathReport {
+    /// [`PathState::Unknown`].
+    Unknown,
+    /// [`PathState::Open`].
+    #[serde(rename = "works")]
+    Open,
+    /// [`PathState::Partitioned`].
+    #[serde(rename = "cut")]
+    Partitioned,
+}
+
+impl PathReport {
+    /// Its name in JSON and for people.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Unknown => "unknown",
+            Self::Open => "works",
+            Self::Partitioned => "cut",
+        }
+    }
+}
+
+impl fmt::Display for PathReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.pad(self.as_str())
+    }
+}
+
+impl From<PathState> for PathReport {
+    fn from(path: PathState) -> Self {
+        match path {
+            PathState::Unknown => Self::Unknown,
+            PathState::Open => Self::Open,
+            PathState::Partitioned => Self::Partitioned,
+        }
+    }
+}
+
+/// A member, as the reporting one observes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct MemberReport {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
     /// The zone's region.
     pub region: Option<String>,
-    /// Where it is found.
-    pub at: SocketAddr,
-    /// When this life of it started, Unix time in milliseconds, by its clock.
+    /// The address at which others reach it.
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
+    /// When its process started, Unix time in milliseconds, by its clock.
     pub started_ms: u64,
-    /// `alive`, `suspect`, `cut`, `dead`, `left` or `unknown`.
-    pub state: String,
-    /// The way there: `works`, `cut` or `unknown`.
-    pub to: String,
-    /// The way from there.
-    pub from: String,
-    /// How long that has been claimed of it, in seconds.
-    pub for_s: f64,
-    /// How long ago it was last found, in seconds.
-    pub found_s: Option<f64>,
-    /// Who suspects it.
+    /// Its state.
+    pub state: StateReport,
+    /// The direction to it.
+    #[serde(rename = "to")]
+    pub outbound: PathReport,
+    /// The direction from it.
+    #[serde(rename = "from")]
+    pub inbound: PathReport,
+    /// How long its state has been known, in seconds.
+    #[serde(rename = "for_s")]
+    pub state_age_s: f64,
+    /// How long ago it was last reached, in seconds.
+    #[serde(rename = "found_s")]
+    pub last_reached_s: Option<f64>,
+    /// The members that suspect it.
     pub suspected_by: Vec<String>,
 }
 
-/// The ways from the members of a zone to those of another.
+/// The paths from the members of one zone to those of another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ways {
+pub struct ZonePathReport {
     /// From this zone.
     pub from: String,
     /// To this one.
     pub to: String,
     /// Ordered pairs of members.
-    pub of: u64,
-    /// Those whose way is cut.
-    pub cut: u64,
+    #[serde(rename = "of")]
+    pub total: u64,
+    /// Pairs whose path is partitioned.
+    #[serde(rename = "cut")]
+    pub partitioned: u64,
 }
 
-/// All of it, at one moment.
+/// What a member reports at one moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where others find it.
-    pub at: SocketAddr,
-    /// When it started, Unix time in milliseconds, by its clock.
+    /// The address at which others reach it.
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
+    /// When its process started, Unix time in milliseconds, by its clock.
     pub started_ms: u64,
-    /// Since its start, in seconds.
-    pub for_s: f64,
-    /// How large the fleet is, this member included: those that nothing is said against.
-    pub least: usize,
-    /// And all that are not known to be gone.
-    pub most: usize,
-    /// Part of its own zone's others that were found lately.
+    /// Seconds since then.
+    #[serde(rename = "for_s")]
+    pub uptime_s: f64,
+    /// Members that are alive, this one included.
+    #[serde(rename = "least")]
+    pub min_size: usize,
+    /// Members that are alive or suspected.
+    #[serde(rename = "most")]
+    pub max_size: usize,
+    /// Fraction of the other members of its zone that were reached lately.
     pub own_zone: f64,
-    /// Part of the other zones' members.
+    /// Fraction of the members of the other zones.
     pub other_zones: f64,
-    /// Whether it is cut off or has just woken, and so judges nobody.
-    pub cut_off: bool,
-    /// How many times as slowly as usual it judges, since it does badly itself.
-    pub slowed: u32,
-    /// How often it stood still.
-    pub stalls: u64,
-    /// Facts that it knows.
-    pub facts: usize,
-    /// Messages that came.
-    pub came: u64,
+    /// Whether it is isolated or has just resumed, and so suspects nobody.
+    #[serde(rename = "cut_off")]
+    pub is_isolated: bool,
+    /// The factor by which its time-outs grow with its local health.
+    #[serde(rename = "slowed")]
+    pub health_multiplier: u32,
+    /// Pauses of its process.
+    #[serde(rename = "stalls")]
+    pub process_pauses: u64,
+    /// Records that it knows.
+    #[serde(rename = "facts")]
+    pub records: usize,
+    /// Messages received.
+    #[serde(rename = "came")]
+    pub messages_received: u64,
     /// Messages sent.
-    pub sent: u64,
-    /// Their bytes, without seals.
-    pub bytes: u64,
-    /// What was not believed or not sent.
-    pub counts: Counts,
-    /// The others, by name.
-    pub members: Vec<Row>,
-    /// Ways by zone and zone.
-    pub ways: Vec<Ways>,
-}
-
-fn way(way: PathState) -> String {
-    match way {
-        PathState::Unknown => "unknown",
-        PathState::Open => "works",
-        PathState::Partitioned => "cut",
-    }
-    .to_owned()
+    #[serde(rename = "sent")]
+    pub messages_sent: u64,
+    /// Their bytes, without authentication.
+    #[serde(rename = "bytes")]
+    pub bytes_sent: u64,
+    /// What was rejected or not sent.
+    #[serde(rename = "counts")]
+    pub rejections: RejectionCounters,
+    /// The other members, by name.
+    pub members: Vec<MemberReport>,
+    /// The paths from each zone to each.
+    #[serde(rename = "ways")]
+    pub zone_paths: Vec<ZonePathReport>,
 }
 
-fn seconds(from: u64, to: u64) -> f64 {
+/// Seconds from one time to another, in whole milliseconds.
+fn seconds(from: Timestamp, to: Timestamp) -> f64 {
     (to.saturating_sub(from) / 1_000_000) as f64 / 1e3
 }
 
-impl Row {
-    fn new(node: &Node, seen: &Observation<'_>, now: u64) -> Self {
-        let state = match seen.verdict {
-            Verdict::Alive => "alive",
-            Verdict::Suspect => "suspect",
-            Verdict::Partitioned { .. } => "cut",
-            Verdict::Dead => "dead",
-            Verdict::Left => "left",
-            Verdict::UnknownSince(_) => "unknown",
-        };
-        let (to, from) = node.path_states(&seen.metadata.name, now);
+impl MemberReport {
+    fn new(node: &Node, observation: &Observation<'_>, now: Timestamp) -> Self {
+        let member = observation.metadata;
+        let (outbound, inbound) = node.path_states(&member.name, now);
+        let suspected_by = observation.suspected_by.iter();
+        Self {
+            name: member.name.to_string(),
+            zone: member.zone.to_string(),
+            region: member.region.as_ref().map(ToString::to_string),
+            address: member.address,
+            started_ms: member.generation.started_ms,
+            state: observation.verdict.into(),
+            outbound: outbound.into(),
+            inbound: inbound.into(),
+            state_age_s: seconds(observation.since, now),
+            last_reached_s: observation.last_reached_at.map(|at| seconds(at, now)),
+            suspected_by: suspected_by.map(ToString::to_string).collect(),
+        }
+    }
+}
+
+impl ZonePathReport {
+    fn new(from: &str, to: &str, counts: PathCounts) -> Self {
         Self {
-            name: seen.metadata.name.to_string(),
-            zone: seen.metadata.zone.to_string(),
-            region: seen.metadata.region.as_ref().map(ToString::to_string),
-            at: seen.metadata.address,
-            started_ms: seen.metadata.generation.started_ms,
-            state: state.to_owned(),
-            to: way(to),
-            from: way(from),
-            for_s: seconds(seen.since, now),
-            found_s: seen.last_reached_at.map(|at| seconds(at, now)),
-            suspected_by: seen.suspected_by.iter().map(ToString::to_string).collect(),
+            from: from.to_owned(),
+            to: to.to_owned(),
+            total: counts.total,
+            partitioned: counts.partitioned,
         }
     }
 }
 
 impl Report {
-    /// Of a member, whose clock began at 0.
-    pub fn new(node: &Node, counts: Counts, now: u64) -> Self {
-        let (size, sure, tallies) = (node.fleet_size(), node.confidence(now), node.counters());
-        let ways = node
-            .zone_paths(now)
-            .into_iter()
-            .map(|((from, to), between)| Ways {
-                from: from.to_string(),
-                to: to.to_string(),
-                of: between.total,
-                cut: between.partitioned,
-            });
-        let mut members: Vec<Row> = node
-            .observations(now)
-            .map(|seen| Row::new(node, &seen, now))
+    /// The report of a member whose clock started at 0.
+    pub fn new(node: &Node, rejections: RejectionCounters, now: Timestamp) -> Self {
+        let (size, confidence, counters) =
+            (node.fleet_size(), node.confidence(now), node.counters());
+        let observations = node.observations(now);
+        let mut members: Vec<MemberReport> = observations
+            .map(|observation| MemberReport::new(node, &observation, now))
             .collect();
         members.sort_by(|one, other| one.name.cmp(&other.name));
+        let zone_paths = node.zone_paths(now).into_iter();
+        let zone_paths = zone_paths
+            .map(|((from, to), counts)| ZonePathReport::new(from.as_str(), to.as_str(), counts));
+        let local = node.local();
         Self {
-            name: node.local().name.to_string(),
-            zone: node.local().zone.to_string(),
-            at: node.local().address,
-            started_ms: node.local().generation.started_ms,
-            for_s: seconds(0, now),
-            least: size.min,
-            most: size.max,
-            own_zone: sure.own_zone,
-            other_zones: sure.other_zones,
-            cut_off: sure.is_isolated,
-            slowed: node.health_multiplier(),
-            stalls: tallies.process_pauses,
-            facts: node.records().count(),
-            came: tallies.messages_received,
-            sent: tallies.messages_sent,
-            bytes: tallies.bytes_sent,
-            counts,
+            name: local.name.to_string(),
+            zone: local.zone.to_string(),
+            address: local.address,
+            started_ms: local.generation.started_ms,
+            uptime_s: seconds(0, now),
+            min_size: size.min,
+            max_size: size.max,
+            own_zone: confidence.own_zone,
+            other_zones: confidence.other_zones,
+            is_isolated: confidence.is_isolated,
+            health_multiplier: node.health_multiplier(),
+            process_pauses: counters.process_pauses,
+            records: node.records().count(),
+            messages_received: counters.messages_received,
+            messages_sent: counters.messages_sent,
+            bytes_sent: counters.bytes_sent,
+            rejections,
             members,
-            ways: ways.collect(),
+            zone_paths: zone_paths.collect(),
         }
     }
 }
--- /dev/null
+++ b/crates/membership-net/src/sockets.rs
@@ -0,0 +1,71 @@
+//! Binding the member's address for datagrams and streams.
+
+use crate::log::LogSink;
+use socket2::{Domain, Protocol, Socket, Type};
+use std::io;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Bytes of datagrams that the system holds until they are read: whole fleets may answer at once.
+const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
+/// Streams that the system holds until they are accepted.
+const BACKLOG: i32 = 128;
+/// Where another process has the address, as a predecessor at an upgrade does, it is tried again
+/// after this.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+
+/// The sockets of a member, on one port.
+pub struct Sockets {
+    /// For datagrams.
+    pub datagrams: UdpSocket,
+    /// For streams.
+    pub streams: TcpListener,
+    /// The address that both are bound to.
+    pub address: SocketAddr,
+}
+
+impl Sockets {
+    /// Binds both sockets.
+    ///
+    /// # Errors
+    ///
+    /// Where the system refuses, for one that another process has the address.
+    pub fn bind(listen: SocketAddr) -> io::Result<Self> {
+        let domain = Domain::for_address(listen);
+        let streams = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
+        streams.set_reuse_address(true)?;
+        streams.set_nonblocking(true)?;
+        streams.bind(&listen.into())?;
+        streams.listen(BACKLOG)?;
+        let streams = TcpListener::from(streams);
+        let address = streams.local_addr()?;
+        let datagrams = Socket::new(domain, Type::DGRAM, Some(Protocol::UDP))?;
+        datagrams.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
+        datagrams.set_nonblocking(true)?;
+        datagrams.bind(&address.into())?;
+        Ok(Self {
+            datagrams: datagrams.into(),
+            streams,
+            address,
+        })
+    }
+
+    /// Binds both sockets once the other process that has the address has ended.
+    pub async fn bind_when_free(listen: SocketAddr, log: &LogSink) -> Self {
+        let mut is_logged = false;
+        loop {
+            sleep(BIND_RETRY_INTERVAL).await;
+            match Self::bind(listen) {
+                Ok(sockets) => return sockets,
+                Err(error) if error.kind() != io::ErrorKind::AddrInUse && !is_logged => {
+                    is_logged = true;
+                    log(format_args!(
+                        "membership: bind failed listen={listen} error=\"{error}\""
+                    ));
+                }
+                Err(_) => {}
+            }
+        }
+    }
+}
--- a/crates/membership-net/src/streams.rs
+++ b/crates/membership-net/src/streams.rs
@@ -1,8 +1,7 @@
-//! What is too long for a datagram, or has to arrive; and whether a process listens at all. A stream carries messages one
-//! way, each behind its length in four bytes.
+//! Messages that are too long for a datagram or have to arrive, and connection checks. A stream
+//! carries frames one way, each behind its length in four bytes in network order.
 
-use crate::core::Core;
-use crate::shell::Shared;
+use crate::shared::Shared;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -16,113 +15,130 @@
 use woadstall_message_auth::OVERHEAD_BYTES;
 
 /// How long a stream may last.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Streams out at once, and those that wait.
-const OUT: usize = 8;
-pub const WAITING: usize = 128;
-/// Streams in at once. What comes beyond is turned away: it comes again with the next comparison.
-const IN: usize = 16;
-/// Messages on one stream.
-const MESSAGES: usize = 16;
-/// Wait after a stream could not be taken.
-const PAUSE: Duration = Duration::from_millis(20);
+const STREAM_TIMEOUT: Duration = Duration::from_secs(3);
+/// Outgoing streams at once.
+const MAX_OUTGOING: usize = 8;
+/// Outgoing streams that wait.
+pub const OUTGOING_QUEUE: usize = 128;
+/// Incoming streams at once. Further ones are rejected: their senders try again with the next
+/// anti-entropy.
+const MAX_INCOMING: usize = 16;
+/// Frames on one stream.
+const MAX_FRAMES: usize = 16;
+/// Wait after a stream could not be accepted.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A message to be brought; empty if it is only to be seen whether somebody listens there.
-pub struct Order {
-    /// To whom.
+/// What a stream is opened for.
+pub struct OutgoingStream {
+    /// The receiver's address.
     pub to: SocketAddr,
-    /// What.
-    pub bytes: Vec<u8>,
+    /// The frame to send; empty for a connection check.
+    pub frame: Vec<u8>,
 }
 
-/// Brings messages for as long as there may be some. All go out from the address at which the member listens.
-pub async fn bring(shared: Arc<Shared>, mut orders: mpsc::Receiver<Order>, from: IpAddr) {
-    let (places, mut open) = (Arc::new(Semaphore::new(OUT)), JoinSet::new());
-    while let Some(order) = orders.recv().await {
-        let Ok(place) = places.clone().acquire_owned().await else {
+impl OutgoingStream {
+    /// Only finds whether a process listens.
+    pub fn connection_check(to: SocketAddr) -> Self {
+        let frame = Vec::new();
+        Self { to, frame }
+    }
+}
+
+/// Opens streams for as long as there may be some, all from the address at which the member
+/// listens.
+pub async fn send_streams(
+    shared: Arc<Shared>,
+    mut queue: mpsc::Receiver<OutgoingStream>,
+    local: IpAddr,
+) {
+    let permits = Arc::new(Semaphore::new(MAX_OUTGOING));
+    let mut streams = JoinSet::new();
+    while let Some(stream) = queue.recv().await {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let shared = shared.clone();
-        open.spawn(async move {
-            let _place = place;
-            // Nobody listens there: its machine says so itself.
-            if let Ok(Err(error)) = timeout(PATIENCE, one(&order, from)).await
+        streams.spawn(async move {
+            let _permit = permit;
+            // The host itself answers that no process listens.
+            if let Ok(Err(error)) = timeout(STREAM_TIMEOUT, send_stream(&stream, local)).await
                 && error.kind() == io::ErrorKind::ConnectionRefused
             {
-                shared.refused(order.to);
+                shared.report_connection_refused(stream.to);
             }
         });
-        while open.try_join_next().is_some() {}
+        while streams.try_join_next().is_some() {}
     }
 }
 
-async fn one(order: &Order, from: IpAddr) -> io::Result<()> {
-    let socket = if order.to.is_ipv4() {
-        TcpSocket::new_v4()?
-    } else {
-        TcpSocket::new_v6()?
+async fn send_stream(stream: &OutgoingStream, local: IpAddr) -> io::Result<()> {
+    let socket = match stream.to.is_ipv4() {
+        true => TcpSocket::new_v4()?,
+        false => TcpSocket::new_v6()?,
     };
-    if !from.is_unspecified() && from.is_ipv4() == order.to.is_ipv4() {
-        socket.bind(SocketAddr::new(from, 0))?;
+    if !local.is_unspecified() && local.is_ipv4() == stream.to.is_ipv4() {
+        socket.bind(SocketAddr::new(local, 0))?;
     }
-    let mut stream = socket.connect(order.to).await?;
-    if order.bytes.is_empty() {
+    let mut connection = socket.connect(stream.to).await?;
+    if stream.frame.is_empty() {
         return Ok(());
     }
-    stream
-        .write_all(&(order.bytes.len() as u32).to_be_bytes())
-        .await?;
-    stream.write_all(&order.bytes).await?;
-    stream.shutdown().await?;
-    // Its end from the other side shows that it has read all; a reset would lose what is under way.
-    stream.read(&mut [0]).await.map(|_| ())
+    let length = stream.frame.len() as u32;
+    connection.write_all(&length.to_be_bytes()).await?;
+    connection.write_all(&stream.frame).await?;
+    connection.shutdown().await?;
+    // The receiver closes once it has read all; a reset would lose what is in flight.
+    connection.read(&mut [0]).await.map(|_| ())
 }
 
-/// Takes streams for as long as the member lives.
-pub async fn take(shared: Arc<Shared>, listener: TcpListener) {
-    let (places, mut open) = (Arc::new(Semaphore::new(IN)), JoinSet::new());
+/// Accepts streams for as long as the member runs.
+pub async fn accept_streams(shared: Arc<Shared>, listener: TcpListener) {
+    let permits = Arc::new(Semaphore::new(MAX_INCOMING));
+    let mut streams = JoinSet::new();
     loop {
-        while open.try_join_next().is_some() {}
+        while streams.try_join_next().is_some() {}
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(PAUSE).await;
+            sleep(ACCEPT_RETRY_INTERVAL).await;
             continue;
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
-            shared.core().counts.turned_away += 1;
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
+            shared.endpoint().rejections.streams_rejected += 1;
             continue;
         };
         let shared = shared.clone();
-        open.spawn(async move {
-            let _place = place;
-            timeout(PATIENCE, read(&shared, stream)).await.ok();
+        streams.spawn(async move {
+            let _permit = permit;
+            timeout(STREAM_TIMEOUT, receive_stream(&shared, stream))
+                .await
+                .ok();
         });
     }
 }
 
-async fn read(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
-    for _ in 0..MESSAGES {
+async fn receive_stream(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
+    for _ in 0..MAX_FRAMES {
         let mut length = [0; 4];
         stream.read_exact(&mut length).await?;
         let length = u32::from_be_bytes(length) as usize;
         if length > MAX_MESSAGE_BYTES + OVERHEAD_BYTES {
-            shared.core().counts.no_message += 1;
+            shared.endpoint().rejections.malformed += 1;
             return Ok(());
         }
         // Only what has come takes memory, whatever the length says.
-        let mut bytes = Vec::new();
+        let mut frame = Vec::new();
         (&mut stream)
             .take(length as u64)
-            .read_to_end(&mut bytes)
+            .read_to_end(&mut frame)
             .await?;
-        while let Some(wait) = shared.wait() {
+        while let Some(wait) = shared.receive_wait() {
             sleep(wait).await;
         }
-        if bytes.len() == length {
-            let began = Instant::now();
-            let Core { budget, .. } = &mut *shared.messages_received(&bytes);
-            budget.spend(began.elapsed());
+        if frame.len() == length {
+            let started_at = Instant::now();
+            let mut endpoint = shared.receive(&frame);
+            endpoint.receive_budget.spend(started_at.elapsed());
         }
-        shared.poke();
+        shared.wake();
     }
     Ok(())
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 use woadstall_inbound::lock;
-use woadstall_membership_net::Instances;
+use woadstall_membership_net::Membership;
 use woadstall_runtime::Balance;
 use woadstall_transport::Http1;
 
@@ -38,7 +38,7 @@
     ready: watch::Receiver<bool>,
     stopping: watch::Receiver<bool>,
     away: watch::Sender<bool>,
-    instances: Option<Instances>,
+    instances: Option<Membership>,
     evacuating: Option<Evacuating>,
     calls: Mutex<BTreeMap<u64, Arc<Held>>>,
 }
@@ -57,7 +57,7 @@
         figures: Arc<Figures>,
         stopping: watch::Receiver<bool>,
         away: watch::Sender<bool>,
-        instances: Option<Instances>,
+        instances: Option<Membership>,
         evacuating: Option<Evacuating>,
     ) -> Self {
         let (ready, calls) = (balance.ready(), Mutex::default());
@@ -189,7 +189,7 @@
                 (Method::POST, StatusCode::OK, None)
             }
             "/control/instances" if self.instances.is_some() => {
-                let report = self.instances.as_ref().map(Instances::report);
+                let report = self.instances.as_ref().map(Membership::report);
                 match serde_json::to_string(&report) {
                     Ok(text) => (Method::GET, StatusCode::OK, Some(text + "\n")),
                     Err(error) => (
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use woadstall_decisions::api::Settings;
 use woadstall_discovery::Listing;
-use woadstall_membership_net::Setup;
+use woadstall_membership_net::MembershipConfig;
 use woadstall_operator_config::EvacuationConfig;
 use woadstall_settings::Names;
 
@@ -31,7 +31,7 @@
     /// Its name, if it was told one.
     pub name: Option<String>,
     /// Membership among balancers, where the operators' file has it.
-    pub instances: Option<Setup>,
+    pub instances: Option<MembershipConfig>,
     /// Leaving places as a fleet, where the operators' file has it.
     pub evacuation: Option<EvacuationConfig>,
     /// A folder that a successor shares, if there is one.
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -8,7 +8,7 @@
 use woadstall_decisions::api::HealthVerdict;
 use woadstall_evacuation::{Coordinator, Order, OrderAction, Settings, Status, Topology};
 use woadstall_health_reports::{CompletedAttempt, PendingAttempt, SubjectKind};
-use woadstall_membership_net::Instances;
+use woadstall_membership_net::Membership;
 use woadstall_operator_config::EvacuationConfig;
 use woadstall_runtime::Balance;
 use woadstall_transport::Http1;
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 pub struct Evacuating {
     coordinator: Arc<Mutex<Coordinator>>,
-    instances: Instances,
+    instances: Membership,
 }
 
 fn now_ms() -> u64 {
@@ -35,7 +35,7 @@
     pub fn start(
         file: &EvacuationConfig,
         config: &Config,
-        instances: Instances,
+        instances: Membership,
         balance: Balance<Http1>,
     ) -> Self {
         let zone = |name: &String| (name.clone(), file.regions.get(name).cloned());
@@ -90,7 +90,7 @@
                 )
             }));
         }
-        let now = self.instances.look(|_, now| now);
+        let now = self.instances.with_node(|_, now| now);
         for seen in observations.ended {
             let (attempt, server) = ((seen.id.0, seen.attempt), seen.server);
             let saw = CompletedAttempt {
@@ -114,7 +114,7 @@
         );
         let (now, turn) = self
             .instances
-            .turn(|node, now| (now, coordinator.turn(now, now_ms(), node)));
+            .with_node_mut(|node, now| (now, coordinator.turn(now, now_ms(), node)));
         drop(coordinator);
         for line in turn.lines {
             super::log(format_args!("places: {line}"));
@@ -136,7 +136,7 @@
 
     /// What operators read.
     pub fn status(&self) -> Status {
-        let now = self.instances.look(|_, now| now);
+        let now = self.instances.with_node(|_, now| now);
         self.coordinator().status(now, now_ms())
     }
 
--- a/src/net/figures.rs
+++ b/src/net/figures.rs
@@ -5,7 +5,7 @@
 use prometheus::{
     GaugeVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry, TextEncoder,
 };
-use woadstall_membership_net::Instances;
+use woadstall_membership_net::Membership;
 
 /// The figures since the start of this process.
 pub struct Figures {
@@ -72,7 +72,7 @@
 
 /// Figures of the membership among balancers; there are none where there is none.
 struct Members {
-    instances: Instances,
+    instances: Membership,
     members: IntGaugeVec,
     cut_ways: IntGauge,
     cut_off: IntGauge,
@@ -85,7 +85,7 @@
 const STATES: [&str; 6] = ["alive", "suspect", "cut", "dead", "left", "unknown"];
 
 impl Members {
-    fn register(registry: &Registry, instances: Instances) -> prometheus::Result<Self> {
+    fn register(registry: &Registry, instances: Membership) -> prometheus::Result<Self> {
         let options = |name: &str, help: &str| Opts::new(format!("balancer_members{name}"), help);
         let gauge = |name, help| {
             let gauge = IntGauge::with_opts(options(name, help))?;
@@ -129,17 +129,25 @@
             let count = report
                 .members
                 .iter()
-                .filter(|member| member.state == state)
+                .filter(|member| member.state.as_str() == state)
                 .count();
             self.members.with_label_values(&[state]).set(count as i64);
         }
-        self.cut_ways
-            .set(report.ways.iter().map(|ways| ways.cut).sum::<u64>() as i64);
-        self.cut_off.set(report.cut_off.into());
-        self.stalls.set(report.stalls as i64);
-        self.bytes.set(report.bytes as i64);
-        let counts = report.counts;
-        let not = counts.other_key + counts.other_version + counts.no_message + counts.had_before;
+        self.cut_ways.set(
+            report
+                .zone_paths
+                .iter()
+                .map(|paths| paths.partitioned)
+                .sum::<u64>() as i64,
+        );
+        self.cut_off.set(report.is_isolated.into());
+        self.stalls.set(report.process_pauses as i64);
+        self.bytes.set(report.bytes_sent as i64);
+        let rejections = report.rejections;
+        let not = rejections.other_key
+            + rejections.other_version
+            + rejections.malformed
+            + rejections.replayed;
         self.not_believed.set(not as i64);
     }
 }
@@ -200,7 +208,7 @@
     }
 
     /// Shows the membership among balancers from now on. The error is one line.
-    pub fn show_members(&mut self, instances: Instances) -> Result<(), String> {
+    pub fn show_members(&mut self, instances: Membership) -> Result<(), String> {
         let members = Members::register(&self.registry, instances);
         self.members = Some(members.map_err(|error| format!("figures: {error}"))?);
         Ok(())
--- a/src/net/instances.rs
+++ b/src/net/instances.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 use woadstall_membership::{Name, Settings};
-use woadstall_membership_net::{Instances, Setup};
+use woadstall_membership_net::{Membership, MembershipConfig};
 use woadstall_operator_config::{EvacuationConfig, MAX_FILE_BYTES, OperatorConfig};
 
 /// How often the calls' thread says that it goes on. The member stands still a second after it last did.
@@ -20,7 +20,7 @@
     path: &Path,
     zone: Option<&str>,
     name: Option<&str>,
-) -> Result<(Option<Setup>, Option<EvacuationConfig>), String> {
+) -> Result<(Option<MembershipConfig>, Option<EvacuationConfig>), String> {
     let mut text = String::new();
     let file = File::open(path).map_err(|error| error.to_string())?;
     file.take(MAX_FILE_BYTES as u64 + 1)
@@ -40,7 +40,7 @@
     folder: &Path,
     zone: Option<&str>,
     name: Option<&str>,
-) -> Result<Setup, String> {
+) -> Result<MembershipConfig, String> {
     let named = |field: &str, text: &str| {
         Name::new(text).map_err(|error| format!("`instances.{field}` {text:?}: {error}"))
     };
@@ -52,7 +52,7 @@
         .or(zone)
         .ok_or("`instances.zone` is missing")?;
     let millis = Duration::from_millis;
-    let setup = Setup {
+    let setup = MembershipConfig {
         name,
         zone: named("zone", zone)?,
         region: file
@@ -83,13 +83,13 @@
 }
 
 /// Starts it, and has it told that calls go on for as long as they do.
-pub fn start(setup: Setup) -> Result<Instances, String> {
+pub fn start(setup: MembershipConfig) -> Result<Membership, String> {
     let instances =
-        Instances::start(setup, Arc::new(super::log)).map_err(|e| format!("instances: {e}"))?;
-    let beating = instances.clone();
+        Membership::start(setup, Arc::new(super::log)).map_err(|e| format!("instances: {e}"))?;
+    let heartbeats = instances.clone();
     tokio::spawn(async move {
         loop {
-            beating.beat();
+            heartbeats.heartbeat();
             sleep(BEAT).await;
         }
     });
@@ -100,10 +100,10 @@
 pub fn check(path: &Path) -> Result<(), String> {
     // The zone may be the configuration's.
     let (setup, _) = read(path, Some("zone"), None)?;
-    let files = |setup: Setup| {
+    let files = |setup: MembershipConfig| {
         setup
-            .keys()
-            .and_then(|_| setup.all_seeds())
+            .load_keys()
+            .and_then(|_| setup.load_seeds())
             .map(|_: Vec<SocketAddr>| ())
     };
     setup.map_or(Ok(()), |setup| {
--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use woadstall_membership_net::{Report, Row};
+use woadstall_membership_net::{MemberReport, Report};
 
 const PATIENCE: Duration = Duration::from_secs(5);
 /// Bytes of an answer at most: a row for each of a few thousand.
@@ -86,59 +86,59 @@
         "{} in zone {}, found at {}, for {}",
         report.name,
         report.zone,
-        report.at,
-        time(report.for_s)
+        report.address,
+        time(report.uptime_s)
     )?;
-    let size = match report.least == report.most {
-        true => report.least.to_string(),
-        false => format!("{} to {}", report.least, report.most),
+    let size = match report.min_size == report.max_size {
+        true => report.min_size.to_string(),
+        false => format!("{} to {}", report.min_size, report.max_size),
     };
     let (own, others) = (part(report.own_zone), part(report.other_zones));
     writeln!(
         out,
         "fleet of {size}; heard lately: {own} of its zone, {others} of the other zones"
     )?;
-    if report.cut_off {
+    if report.is_isolated {
         writeln!(
             out,
             "it judges nobody now: it is cut off from most others, or has just woken"
         )?;
     }
-    if report.slowed > 1 {
+    if report.health_multiplier > 1 {
         writeln!(
             out,
             "it does badly itself, and judges {} times as slowly",
-            report.slowed
+            report.health_multiplier
         )?;
     }
-    let counts = report.counts;
+    let rejections = report.rejections;
     writeln!(
         out,
         "{} messages came, {} went ({} kB), {} facts, stood still {} times",
-        report.came,
-        report.sent,
-        report.bytes / 1_000,
-        report.facts,
-        report.stalls
+        report.messages_received,
+        report.messages_sent,
+        report.bytes_sent / 1_000,
+        report.records,
+        report.process_pauses
     )?;
     writeln!(
         out,
         "not believed: {} other keys, {} other versions, {} had before, {} no message; \
          not sent {}, turned away {}, held back {}",
-        counts.other_key,
-        counts.other_version,
-        counts.had_before,
-        counts.no_message,
-        counts.not_sent,
-        counts.turned_away,
-        counts.held_back
+        rejections.other_key,
+        rejections.other_version,
+        rejections.replayed,
+        rejections.malformed,
+        rejections.not_sent,
+        rejections.streams_rejected,
+        rejections.hung_steps
     )?;
     members(&report.members, out)?;
     matrix(report, out)
 }
 
-fn members(rows: &[Row], out: &mut impl Write) -> io::Result<()> {
-    let longest = |of: fn(&Row) -> &str| {
+fn members(rows: &[MemberReport], out: &mut impl Write) -> io::Result<()> {
+    let longest = |of: fn(&MemberReport) -> &str| {
         rows.iter()
             .map(|row| of(row).len())
             .max()
@@ -152,17 +152,17 @@
         "name", "zone"
     )?;
     for row in rows {
-        let found = row.found_s.map_or("never".to_owned(), time);
+        let found = row.last_reached_s.map_or("never".to_owned(), time);
         write!(
             out,
             "{:name$}  {:zone$}  {:7}  {:7}  {found:7}  {:7}  {:7}  {}",
             row.name,
             row.zone,
             row.state,
-            time(row.for_s),
-            row.to,
-            row.from,
-            row.at
+            time(row.state_age_s),
+            row.outbound,
+            row.inbound,
+            row.address
         )?;
         if !row.suspected_by.is_empty() {
             write!(out, "  suspected by {}", row.suspected_by.join(", "))?;
@@ -174,13 +174,13 @@
 
 /// Cut ways by zone and zone, where there are any.
 fn matrix(report: &Report, out: &mut impl Write) -> io::Result<()> {
-    if report.ways.iter().all(|ways| ways.cut == 0) {
+    if report.zone_paths.iter().all(|paths| paths.partitioned == 0) {
         return writeln!(out, "\nno way between balancers is told to be cut");
     }
     let zones: BTreeSet<&str> = report
-        .ways
+        .zone_paths
         .iter()
-        .flat_map(|ways| [&*ways.from, &*ways.to])
+        .flat_map(|paths| [&*paths.from, &*paths.to])
         .collect();
     let wide = zones
         .iter()
@@ -200,11 +200,13 @@
     for from in &zones {
         write!(out, "{from:wide$}")?;
         for to in &zones {
-            let ways = report
-                .ways
+            let paths = report
+                .zone_paths
                 .iter()
-                .find(|ways| ways.from == *from && ways.to == *to);
-            let cell = ways.map_or("-".to_owned(), |ways| format!("{}/{}", ways.cut, ways.of));
+                .find(|paths| paths.from == *from && paths.to == *to);
+            let cell = paths.map_or("-".to_owned(), |paths| {
+                format!("{}/{}", paths.partitioned, paths.total)
+            });
             write!(out, "  {cell:>wide$}")?;
         }
         writeln!(out)?;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -24,7 +24,7 @@
 use tokio::task::JoinHandle;
 use woadstall_hot_restart::{TransferredState, socket};
 use woadstall_inbound::listen;
-use woadstall_membership_net::Instances;
+use woadstall_membership_net::Membership;
 use woadstall_runtime::{Balance, Setup};
 use woadstall_settings::ActiveSettings;
 use woadstall_transport::Http1;
@@ -72,7 +72,7 @@
     terms: watch::Sender<Arc<InService>>,
     stop: watch::Sender<bool>,
     serving: JoinHandle<()>,
-    instances: Option<Instances>,
+    instances: Option<Membership>,
 }
 
 impl Daemon {
@@ -190,7 +190,7 @@
                 self.figures.rejected.inc();
             }
         }
-        if let Some(Err(error)) = self.instances.as_ref().map(Instances::reload) {
+        if let Some(Err(error)) = self.instances.as_ref().map(Membership::reload) {
             log(format_args!("instances: keys and seeds kept: {error}"));
         }
     }
@@ -230,7 +230,7 @@
     }
 
     /// Its membership among balancers, where it has one.
-    pub fn instances(&self) -> Option<&Instances> {
+    pub fn instances(&self) -> Option<&Membership> {
         self.instances.as_ref()
     }
 }
