--- a/crates/membership-net/src/driver.rs
+++ b/crates/membership-net/src/driver.rs
@@ -113,7 +113,7 @@
                 _ = shutdown.wait_for(Option::is_some) => break,
                 () = sleep(step.sleep) => {}
                 _ = connection_checks.tick() => self.check_connections(),
-                () = self.shared.woken() => {}
+                () = self.shared.notified() => {}
                 Ok(()) = self.datagrams.readable(), if receive_wait.is_none() => {
                     self.receive_datagrams(&mut buffer);
                 }
--- a/crates/membership-net/src/receive_budget.rs
+++ b/crates/membership-net/src/receive_budget.rs
@@ -37,8 +37,8 @@
         self.refilled_at += gained * TIME_DIVISOR;
         let left = self.left.saturating_add(gained as i64);
         self.left = left.min(MAX_BURST as i64);
-        let owed = self.left.unsigned_abs() * TIME_DIVISOR;
-        (self.left < 0).then(|| Duration::from_nanos(owed))
+        let deficit = self.left.unsigned_abs() * TIME_DIVISOR;
+        (self.left < 0).then(|| Duration::from_nanos(deficit))
     }
 
     /// Time was spent. It may be more than there was, and is paid off then.
--- a/crates/membership-net/src/service.rs
+++ b/crates/membership-net/src/service.rs
@@ -138,7 +138,7 @@
         let mut endpoint = self.shared.endpoint();
         endpoint.node.publish(now, key, priority, value)?;
         drop(endpoint);
-        self.shared.wake();
+        self.shared.notify_driver();
         Ok(())
     }
 
@@ -154,7 +154,7 @@
         let (now, mut endpoint) = (self.shared.now(), self.shared.endpoint());
         let result = change(&mut endpoint.node, now);
         drop(endpoint);
-        self.shared.wake();
+        self.shared.notify_driver();
         result
     }
 
--- a/crates/membership-net/src/shared.rs
+++ b/crates/membership-net/src/shared.rs
@@ -25,7 +25,7 @@
 pub struct Shared {
     endpoint: Mutex<Endpoint>,
     started_at: Instant,
-    wake_up: Notify,
+    notify: Notify,
     /// When the thread that serves requests sent its last heartbeat; 0 where it sends none.
     last_heartbeat: AtomicU64,
     shutdown: watch::Sender<Option<Shutdown>>,
@@ -39,7 +39,7 @@
         Self {
             endpoint: Mutex::new(endpoint),
             started_at: Instant::now(),
-            wake_up: Notify::new(),
+            notify: Notify::new(),
             last_heartbeat: AtomicU64::new(0),
             shutdown: watch::Sender::new(None),
             has_ended: watch::Sender::new(false),
@@ -76,17 +76,17 @@
     pub fn report_connection_refused(&self, address: SocketAddr) {
         let now = self.now();
         self.endpoint().node.report_connection_refused(now, address);
-        self.wake();
+        self.notify_driver();
     }
 
-    /// Wakes the member's thread, as there may be something to send.
-    pub fn wake(&self) {
-        self.wake_up.notify_one();
+    /// Notifies the member's thread that there may be something to send.
+    pub fn notify_driver(&self) {
+        self.notify.notify_one();
     }
 
-    /// Completes when the member's thread is woken.
-    pub async fn woken(&self) {
-        self.wake_up.notified().await;
+    /// Completes when the thread is notified.
+    pub async fn notified(&self) {
+        self.notify.notified().await;
     }
 
     /// The thread that serves requests makes progress.
--- a/crates/membership-net/src/streams.rs
+++ b/crates/membership-net/src/streams.rs
@@ -138,7 +138,7 @@
             let mut endpoint = shared.receive(&frame);
             endpoint.receive_budget.spend(started_at.elapsed());
         }
-        shared.wake();
+        shared.notify_driver();
     }
     Ok(())
 }
--- a/crates/membership/src/node/membership.rs
+++ b/crates/membership/src/node/membership.rs
@@ -115,8 +115,8 @@
     pub(super) fn retained_generation(&self, owner: &Name, now: Timestamp) -> Option<Generation> {
         let member = self.members.get(owner)?;
         let retention = nanos(self.settings.record_retention);
-        let is_kept = member.is_present() || now < member.since.saturating_add(retention);
-        is_kept.then_some(member.status.generation)
+        let is_retained = member.is_present() || now < member.since.saturating_add(retention);
+        is_retained.then_some(member.status.generation)
     }
 
     /// Members that are alive or suspected, the local one included.
--- a/crates/membership/src/node/suspicions.rs
+++ b/crates/membership/src/node/suspicions.rs
@@ -18,8 +18,8 @@
 /// For this many nanoseconds after a host has refused a connection, other silent members are worth
 /// a connection, too.
 const REFUSAL_LIFETIME: u64 = 5_000_000_000;
-/// A member is silent after this many nanoseconds.
-const SILENCE: u64 = 1_000_000_000;
+/// A member counts as unresponsive after this many nanoseconds.
+const UNRESPONSIVE_AFTER: u64 = 1_000_000_000;
 
 /// What holds for all suspicions at one evaluation.
 struct Evaluation {
@@ -38,10 +38,10 @@
     fn has_expired(&self, member: &Member) -> bool {
         let suspicion = member.suspicion.as_ref();
         let has_run_out = suspicion.is_some_and(|suspicion| self.now >= suspicion.expires_at());
-        let is_silent = !self.is_deferred && !member.received_since_suspected();
+        let is_unresponsive = !self.is_deferred && !member.received_since_suspected();
         has_run_out
             && !self.is_doubtful
-            && (member.connection_refused || is_silent || self.plain_swim)
+            && (member.connection_refused || is_unresponsive || self.plain_swim)
     }
 
     /// Whether nothing but the verdict is left: the final probe is over, or not needed.
@@ -111,12 +111,13 @@
         let last_refusal_at = self.last_refusal_at;
         let was_refused =
             last_refusal_at.is_some_and(|at| now < at.saturating_add(REFUSAL_LIFETIME));
-        let since = now.saturating_sub(SILENCE);
-        let silent = self.members.values().filter(move |member| {
-            let is_silent = member.last_reached_at.is_none_or(|at| at < since);
-            was_refused && member.is_alive() && is_silent
+        let since = now.saturating_sub(UNRESPONSIVE_AFTER);
+        let unresponsive = self.members.values().filter(move |member| {
+            let is_unresponsive = member.last_reached_at.is_none_or(|at| at < since);
+            was_refused && member.is_alive() && is_unresponsive
         });
-        self.suspects().chain(silent.map(|member| &member.metadata))
+        self.suspects()
+            .chain(unresponsive.map(|member| &member.metadata))
     }
 
     fn suspected_members(&self) -> impl Iterator<Item = &Member> {
@@ -159,9 +160,11 @@
     fn start_evaluation(&mut self, now: Timestamp, is_isolated: bool) -> Evaluation {
         let plain_swim = self.settings.plain_swim;
         let others = self.present_count() - 1;
-        let silent = self.suspected_members();
-        let silent = silent.filter(|member| !member.connection_refused).count();
-        let is_mass_failure = silent > (others / MASS_FAILURE_DIVISOR).max(1);
+        let unresponsive = self.suspected_members();
+        let unresponsive = unresponsive
+            .filter(|member| !member.connection_refused)
+            .count();
+        let is_mass_failure = unresponsive > (others / MASS_FAILURE_DIVISOR).max(1);
         let is_doubtful = is_isolated || !self.local_health.may_suspect(now);
         if !plain_swim && (is_doubtful || is_mass_failure) {
             self.verdicts_deferred_at = now;
