--- a/crates/evacuation/src/coordinator/receive.rs
+++ b/crates/evacuation/src/coordinator/receive.rs
@@ -56,24 +56,24 @@
         let mut members: BTreeMap<String, usize> = BTreeMap::new();
         let mut zones: HashMap<&Name, &Name> = HashMap::new();
         *members
-            .entry(node.me().zone.as_str().to_owned())
+            .entry(node.local().zone.as_str().to_owned())
             .or_default() += 1;
-        for member in node.members(now) {
-            if matches!(member.state, MemberState::Dead | MemberState::Left) {
+        for member in node.observations(now) {
+            if matches!(member.verdict, MemberState::Dead | MemberState::Left) {
                 continue;
             }
-            zones.insert(&member.card.name, &member.card.zone);
+            zones.insert(&member.metadata.name, &member.metadata.zone);
             // A member that cannot be heard cannot report here.
             if matches!(
-                member.state,
+                member.verdict,
                 MemberState::Alive | MemberState::Partitioned { .. }
             ) {
                 *members
-                    .entry(member.card.zone.as_str().to_owned())
+                    .entry(member.metadata.zone.as_str().to_owned())
                     .or_default() += 1;
             }
         }
-        for (owner, name, fact) in node.facts() {
+        for (owner, name, record) in node.records() {
             let Some(zone) = zones.get(owner) else {
                 continue;
             };
@@ -81,11 +81,11 @@
                 continue;
             };
             let stamp = FactStamp {
-                incarnation: fact.life.id,
-                counter: fact.counter,
+                incarnation: record.generation.id,
+                counter: record.version,
             };
             if self.received.insert((owner.clone(), key), stamp) != Some(stamp) {
-                self.receive_fact(now_ms, owner, zone, key, fact);
+                self.receive_fact(now_ms, owner, zone, key, record);
             }
         }
         self.remove_absent_members(&zones);
@@ -99,17 +99,20 @@
         owner: &Name,
         zone: &Name,
         key: FactKey,
-        fact: &Record,
+        record: &Record,
     ) {
         match key {
             FactKey::HealthReport => {
-                let result =
-                    self.reports
-                        .insert(owner.as_str(), zone.as_str(), fact.said_at, &fact.bytes);
+                let result = self.reports.insert(
+                    owner.as_str(),
+                    zone.as_str(),
+                    record.published_at,
+                    &record.value,
+                );
                 self.malformed_reports += u64::from(result.is_err());
             }
             FactKey::DomainDecisions => {
-                let decisions = DomainDecision::decode(&fact.bytes).unwrap_or_default();
+                let decisions = DomainDecision::decode(&record.value).unwrap_or_default();
                 let member = MemberDecisions {
                     zone: zone.as_str().to_owned(),
                     decisions,
@@ -118,7 +121,7 @@
                     .insert(owner.as_str().to_owned(), member);
             }
             FactKey::Orders => {
-                for order in OrderTable::decode(&fact.bytes).unwrap_or_default() {
+                for order in OrderTable::decode(&record.value).unwrap_or_default() {
                     if self.submit_order(now_ms, order).is_ok() {
                         self.pending_lines
                             .push(LogLine(self.describe_order(&order, now_ms)));
