--- a/crates/evacuation/src/coordinator/verdicts.rs
+++ b/crates/evacuation/src/coordinator/verdicts.rs
@@ -135,17 +135,17 @@
         subject.hash(&mut hasher);
         hasher.finish()
     };
-    let me = node.me();
+    let me = node.local();
     let own_rank = rank(&me.name);
     let (mut members, mut before) = (1, 0);
-    for member in node.members(now) {
+    for member in node.observations(now) {
         let is_heard = matches!(
-            member.state,
+            member.verdict,
             MemberState::Alive | MemberState::Partitioned { .. }
         );
-        if member.card.zone == me.zone && is_heard {
+        if member.metadata.zone == me.zone && is_heard {
             members += 1;
-            before += usize::from(rank(&member.card.name) < own_rank);
+            before += usize::from(rank(&member.metadata.name) < own_rank);
         }
     }
     let wanted = MIN_TRIAL_MEMBERS.max((members as f64 * TRIAL_MEMBERS_FRACTION) as usize);
