--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,31 +1,46 @@
-//! A replicated log in the manner of Raft: elections with pre-vote, check of quorum, leadership transfer, changes of
-//! members by joint consensus, learners, and snapshots in pieces.
+//! A replicated log after Raft: elections with pre-vote, leadership transfer, linearizable reads, membership changes by
+//! joint consensus, learners, and snapshots that are sent in chunks.
 //!
-//! The crate does no I/O and reads no clock. [`Replica`] is handed the time, messages and completed disk writes; it
-//! hands back [`Output`]s: records to make durable, messages to send and committed entries to apply.
+//! The crate does no I/O and reads no clock. A [`Replica`] is given the time, messages and completed writes; it returns
+//! [`Output`]s: records to make durable, messages to send, and committed entries to apply. Times are in milliseconds on
+//! the replica's own monotonic clock.
+//!
+//! Sources: Ongaro and Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014), cited as "Raft"; Ongaro,
+//! *Consensus: Bridging Theory and Practice* (2014), cited as "dissertation".
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod durable;
-mod election;
-mod follower;
-mod leader;
+mod config;
+mod durable_state;
+mod entry;
+mod error;
+mod heartbeat_rounds;
+mod leader_state;
 mod log;
+mod log_position;
 mod membership;
 mod message;
-mod reads;
-mod reconfiguration;
+mod output;
+mod progress;
 mod replica;
-mod roles;
-mod snapshots;
-mod voters;
+mod role;
+mod snapshot;
+mod snapshot_transfer;
+mod voter_selection;
 
-pub use durable::{DurableState, Record};
-pub use log::{Entry, EntryPayload, Log, Snapshot};
+pub use config::{Milliseconds, Settings, Timing};
+pub use durable_state::{DurableState, Record};
+pub use entry::{Entry, EntryPayload};
+pub use error::{ChangeVotersError, ProposeError};
+pub use log::Log;
+pub use log_position::{LogIndex, LogPosition, Term};
 pub use membership::{Member, Membership, ReplicaId};
-pub use message::{Message, MessageBody};
-pub use replica::{Output, ProposeError, Replica, Settings, Timing};
-pub use roles::Role;
-pub use snapshots::{SnapshotChunk, SnapshotMeta};
-pub use voters::{FailureDomain, Liveness, VoterCandidate, choose_voters};
+pub use message::{
+    AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
+    Message, MessageBody, VoteRequest, VoteResponse,
+};
+pub use output::Output;
+pub use replica::Replica;
+pub use snapshot::{Snapshot, SnapshotChunk, SnapshotMeta};
+pub use voter_selection::{FailureDomain, Liveness, VoterCandidate, choose_voters};
--- /dev/null
+++ b/crates/consensus/src/log_position.rs
@@ -0,0 +1,34 @@
+//! Positions in the replicated log.
+
+use nanoserde::{DeBin, SerBin};
+use std::cmp::Ordering;
+
+/// The number of an election term; 0 before the first one.
+pub type Term = u64;
+
+/// The index of a log entry; the first entry has 1.
+pub type LogIndex = u64;
+
+/// The index and the term of an entry, which together identify it in the whole group (Raft, section 5.3).
+///
+/// Positions are ordered by term first: the log that ends with the greater position is the more up-to-date one (Raft,
+/// section 5.4.1).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, SerBin, DeBin)]
+pub struct LogPosition {
+    /// The entry's index.
+    pub index: LogIndex,
+    /// The term of the leader that created the entry.
+    pub term: Term,
+}
+
+impl Ord for LogPosition {
+    fn cmp(&self, other: &Self) -> Ordering {
+        (self.term, self.index).cmp(&(other.term, other.index))
+    }
+}
+
+impl PartialOrd for LogPosition {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! The members of the group, and what makes a quorum of them.
+//! The members of a group and its quorums.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -10,22 +10,22 @@
 pub struct Member {
     /// The identity that its votes and acknowledgements carry.
     pub id: ReplicaId,
-    /// Where other replicas reach it, as `ip:port`.
+    /// The address at which other replicas reach it, as `ip:port`.
     pub address: String,
 }
 
-/// The voting members of the group. While they change, both the former and the next voters have to agree (joint consensus),
-/// so that no two quorums of one moment are without a common member.
+/// The voting members of the group. During a change both the current and the next voters have to agree (joint consensus:
+/// Raft, section 6), so that any two quorums share a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Membership {
-    /// The voters; during a change, the former ones.
+    /// The current voters; during a change, the outgoing ones.
     pub voters: Vec<Member>,
-    /// During a change, the voters that come next; else none.
+    /// The voters after the change; empty if there is no change.
     pub next_voters: Vec<Member>,
 }
 
 impl Membership {
-    /// Members that are not about to change.
+    /// A membership without a change.
     pub fn new(voters: Vec<Member>) -> Self {
         Self {
             voters,
@@ -33,19 +33,19 @@
         }
     }
 
-    /// Whether the voters are about to change.
+    /// Whether this is a joint membership: the voters are about to change.
     pub fn is_joint(&self) -> bool {
         !self.next_voters.is_empty()
     }
 
-    /// All voters, the former ones and those that come next, each once.
+    /// All voters, the current and the next ones, each once.
     pub fn all_voters(&self) -> impl Iterator<Item = &Member> {
-        let is_former = |member: &Member| self.voters.iter().any(|former| former.id == member.id);
-        self.voters.iter().chain(
-            self.next_voters
-                .iter()
-                .filter(move |member| !is_former(member)),
-        )
+        let is_current = |member: &Member| self.voters.iter().any(|voter| voter.id == member.id);
+        let joining = self
+            .next_voters
+            .iter()
+            .filter(move |member| !is_current(member));
+        self.voters.iter().chain(joining)
     }
 
     /// Whether a replica votes.
@@ -53,23 +53,24 @@
         self.all_voters().any(|member| member.id == id)
     }
 
-    /// Whether these members are a quorum: a majority of the voters, and during a change of the next ones too.
-    pub fn is_quorum(&self, holds: impl Fn(&Member) -> bool) -> bool {
-        is_majority(&self.voters, &holds)
-            && (!self.is_joint() || is_majority(&self.next_voters, &holds))
+    /// Whether the members for which `agrees` is true form a quorum: a majority of the voters, and in a joint membership
+    /// also of the next ones.
+    pub fn is_quorum(&self, agrees: impl Fn(&Member) -> bool) -> bool {
+        is_majority(&self.voters, &agrees)
+            && (!self.is_joint() || is_majority(&self.next_voters, &agrees))
     }
 
-    /// The greatest value that each member of some quorum has reached.
+    /// The greatest value that all members of some quorum have reached.
     pub fn quorum_value(&self, value: impl Fn(&Member) -> u64) -> u64 {
-        let former = majority_value(&self.voters, &value);
+        let current = majority_value(&self.voters, &value);
         if self.is_joint() {
-            former.min(majority_value(&self.next_voters, &value))
+            current.min(majority_value(&self.next_voters, &value))
         } else {
-            former
+            current
         }
     }
 
-    /// The members once the change is complete.
+    /// The membership after the change.
     pub fn completed(&self) -> Self {
         if self.is_joint() {
             Self::new(self.next_voters.clone())
@@ -84,8 +85,8 @@
     voters.len() / 2 + 1
 }
 
-fn is_majority(voters: &[Member], holds: impl Fn(&Member) -> bool) -> bool {
-    voters.iter().filter(|member| holds(member)).count() >= majority(voters)
+fn is_majority(voters: &[Member], agrees: impl Fn(&Member) -> bool) -> bool {
+    voters.iter().filter(|member| agrees(member)).count() >= majority(voters)
 }
 
 fn majority_value(voters: &[Member], value: impl Fn(&Member) -> u64) -> u64 {
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,82 +1,105 @@
-//! What replicas tell each other.
+//! The messages between replicas: the requests and responses of Raft, and their encoding.
+//!
+//! The order of variants and of fields is the wire format.
 
-use crate::log::Entry;
+use crate::entry::Entry;
+use crate::log_position::{LogIndex, LogPosition, Term};
 use crate::membership::ReplicaId;
-use crate::snapshots::{SnapshotChunk, SnapshotMeta};
+use crate::snapshot::{SnapshotChunk, SnapshotMeta};
 use nanoserde::{DeBin, SerBin};
 
 /// A message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Message {
-    /// The replica that sends it.
+    /// The sender.
     pub from: ReplicaId,
-    /// The replica that it is meant for.
+    /// The receiver.
     pub to: ReplicaId,
-    /// The sender's term; in a pre-vote, the term that it would stand in.
-    pub term: u64,
-    /// The message itself.
+    /// The sender's term; in a pre-vote, the term in which it would be a candidate.
+    pub term: Term,
+    /// The request or the response.
     pub body: MessageBody,
 }
 
 /// The kinds of messages.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum MessageBody {
-    /// Asks for a vote, or with `pre` whether one would be given.
-    Vote {
-        /// Whether this is a pre-vote, which changes nobody's term.
-        pre: bool,
-        /// The candidate's last entry.
-        last_index: u64,
-        /// That entry's term.
-        last_term: u64,
-        /// Whether the leader itself asked for the election, so that its lease does not stand against it.
-        transfer: bool,
-    },
-    /// Answers a request for a vote.
-    VoteReply {
-        /// Whether this answers a pre-vote.
-        pre: bool,
-        /// Whether the vote is given.
-        granted: bool,
-    },
-    /// Entries for a follower, or none as a heartbeat.
-    Append {
-        /// The entry before the first one.
-        previous_index: u64,
-        /// That entry's term.
-        previous_term: u64,
-        /// The entries.
-        entries: Vec<Entry>,
-        /// The position up to which the leader knows the log to be committed.
-        commit: u64,
-        /// The leader's counter of heartbeat rounds.
-        round: u64,
-    },
-    /// Answers entries or a snapshot.
-    AppendReply {
-        /// Whether the follower's log agreed.
-        success: bool,
-        /// The last position that is durable and agrees, or on failure one from which to try again.
-        index: u64,
-        /// The round that is answered.
-        round: u64,
-    },
-    /// A piece of a snapshot for a follower whose missing entries are gone.
-    Install {
-        /// The piece.
-        piece: SnapshotChunk,
-        /// The leader's counter of heartbeat rounds.
-        round: u64,
-    },
-    /// Tells how much of a snapshot has come; a whole one is answered like entries.
-    InstallReply {
-        /// The snapshot.
-        head: SnapshotMeta,
-        /// The bytes that are held.
-        received: u64,
-        /// The round that is answered.
-        round: u64,
-    },
-    /// The leader asks a follower to stand for election at once.
-    Elect,
+    /// A candidate asks for a vote.
+    VoteRequest(VoteRequest),
+    /// The response to it.
+    VoteResponse(VoteResponse),
+    /// A leader sends entries, or a heartbeat without any.
+    AppendEntriesRequest(AppendEntriesRequest),
+    /// The response to it, and to a snapshot that is complete.
+    AppendEntriesResponse(AppendEntriesResponse),
+    /// A leader sends a chunk of a snapshot to a follower whose next entries are compacted.
+    InstallSnapshotRequest(InstallSnapshotRequest),
+    /// The response to a snapshot that is not complete.
+    InstallSnapshotResponse(InstallSnapshotResponse),
+    /// A leader asks a follower to begin an election at once (dissertation, section 3.10).
+    TimeoutNow,
+}
+
+/// A request for a vote (Raft, section 5.2).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
+pub struct VoteRequest {
+    /// Whether this is a pre-vote, which changes nobody's term (dissertation, section 9.6).
+    pub pre_vote: bool,
+    /// The position of the candidate's last entry.
+    pub last_log: LogPosition,
+    /// Whether the leader itself asked for the election, so that its lease does not prevent it.
+    pub leadership_transfer: bool,
+}
+
+/// The response to a request for a vote.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
+pub struct VoteResponse {
+    /// Whether this is about a pre-vote.
+    pub pre_vote: bool,
+    /// Whether the vote is granted.
+    pub granted: bool,
+}
+
+/// Entries for a follower; without any, a heartbeat (Raft, section 5.3).
+#[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
+pub struct AppendEntriesRequest {
+    /// The position of the entry before the first one.
+    pub previous: LogPosition,
+    /// The entries.
+    pub entries: Vec<Entry>,
+    /// The leader's commit index.
+    pub leader_commit: LogIndex,
+    /// The newest round of heartbeats that the leader has started.
+    pub heartbeat_round: u64,
+}
+
+/// The response to entries or to a complete snapshot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
+pub struct AppendEntriesResponse {
+    /// Whether the follower's log matched at the previous position.
+    pub success: bool,
+    /// On success the last index that is durable and matches the leader's log, else the last index that may match.
+    pub last_index: LogIndex,
+    /// The round of the request.
+    pub heartbeat_round: u64,
+}
+
+/// A chunk of a snapshot (Raft, section 7).
+#[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
+pub struct InstallSnapshotRequest {
+    /// The chunk.
+    pub chunk: SnapshotChunk,
+    /// The newest round of heartbeats that the leader has started.
+    pub heartbeat_round: u64,
+}
+
+/// The response to a chunk of a snapshot that is not complete.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
+pub struct InstallSnapshotResponse {
+    /// The snapshot.
+    pub meta: SnapshotMeta,
+    /// The bytes of its encoding that the follower has, from the beginning.
+    pub received_bytes: u64,
+    /// The round of the request.
+    pub heartbeat_round: u64,
 }
--- /dev/null
+++ b/crates/consensus/src/replica/append_entries.rs
@@ -0,0 +1,145 @@
+//! Entries and heartbeats, on the follower and on the leader (Raft, section 5.3).
+
+use super::Replica;
+use super::replication::EmptyRequest;
+use crate::entry::Entry;
+use crate::log_position::LogPosition;
+use crate::membership::ReplicaId;
+use crate::message::{AppendEntriesRequest, AppendEntriesResponse, MessageBody};
+use crate::role::Role;
+
+impl Replica {
+    /// Handles entries from the leader. The response is sent once they are durable.
+    pub(super) fn handle_append_entries_request(
+        &mut self,
+        from: ReplicaId,
+        request: AppendEntriesRequest,
+    ) {
+        let AppendEntriesRequest {
+            previous,
+            entries,
+            leader_commit,
+            heartbeat_round,
+        } = request;
+        if !self.matches_at(previous) {
+            self.reject_entries(from, previous, heartbeat_round);
+            return;
+        }
+        let last_index = previous.index + entries.len() as u64;
+        self.append_missing(entries);
+        if leader_commit > self.commit_index {
+            self.commit_index = leader_commit.min(last_index).max(self.commit_index);
+            self.persist_and_apply_committed();
+        }
+        let durable_index = self.persistence.durable_index();
+        if durable_index < last_index {
+            // The leader hears of the follower at once, also when its disk is slow.
+            let response = AppendEntriesResponse {
+                success: true,
+                last_index: durable_index,
+                heartbeat_round,
+            };
+            self.send(from, MessageBody::AppendEntriesResponse(response));
+        }
+        let response = AppendEntriesResponse {
+            success: true,
+            last_index,
+            heartbeat_round,
+        };
+        self.send_when_durable(from, MessageBody::AppendEntriesResponse(response));
+    }
+
+    /// Whether the log has the entry at a position, or a snapshot that covers it.
+    fn matches_at(&self, position: LogPosition) -> bool {
+        position.index < self.log.snapshot().index || self.log.contains(position)
+    }
+
+    /// Tells the leader from where to try again.
+    fn reject_entries(&mut self, from: ReplicaId, previous: LogPosition, heartbeat_round: u64) {
+        let before_previous = previous.index.saturating_sub(1);
+        // Entries up to the commit index match those of every leader.
+        let last_index = self
+            .log
+            .last_index()
+            .min(before_previous)
+            .max(self.commit_index.min(before_previous));
+        let response = AppendEntriesResponse {
+            success: false,
+            last_index,
+            heartbeat_round,
+        };
+        self.send(from, MessageBody::AppendEntriesResponse(response));
+    }
+
+    /// Appends the entries from the first one on that is not in the log.
+    fn append_missing(&mut self, mut entries: Vec<Entry>) {
+        let snapshot_index = self.log.snapshot().index;
+        entries.retain(|entry| entry.index > snapshot_index);
+        let present = entries
+            .iter()
+            .take_while(|entry| self.log.contains(entry.position()))
+            .count();
+        entries.drain(..present);
+        self.append(entries);
+    }
+
+    /// Handles a follower's response to entries.
+    pub(super) fn handle_append_entries_response(
+        &mut self,
+        from: ReplicaId,
+        response: AppendEntriesResponse,
+    ) {
+        let Role::Leader(leader) = &mut self.role else {
+            return;
+        };
+        leader.record_response(from, response.heartbeat_round);
+        if !leader.progress.contains_key(&from) {
+            return;
+        }
+        if response.success {
+            self.handle_entries_accepted(from, response.last_index);
+        } else {
+            self.handle_entries_rejected(from, response.last_index);
+        }
+        self.confirm_reads();
+    }
+
+    fn handle_entries_accepted(&mut self, from: ReplicaId, index: u64) {
+        let last_index = self.log.last_index();
+        let Role::Leader(leader) = &mut self.role else {
+            return;
+        };
+        let Some(progress) = leader.progress.get_mut(&from) else {
+            return;
+        };
+        progress.match_index = progress.match_index.max(index);
+        progress.next_index = progress.next_index.max(progress.match_index + 1);
+        let match_index = progress.match_index;
+        if progress
+            .snapshot
+            .as_ref()
+            .is_some_and(|snapshot| match_index >= snapshot.last_index())
+        {
+            progress.snapshot = None;
+        }
+        let has_more = progress.next_index <= last_index;
+        self.advance_commit_index();
+        if has_more {
+            self.send_entries(from, EmptyRequest::Skip);
+        }
+    }
+
+    fn handle_entries_rejected(&mut self, from: ReplicaId, index: u64) {
+        let Role::Leader(leader) = &mut self.role else {
+            return;
+        };
+        let Some(progress) = leader.progress.get_mut(&from) else {
+            return;
+        };
+        let next_index = index.max(progress.match_index) + 1;
+        if next_index < progress.next_index {
+            progress.next_index = next_index;
+            self.send_entries(from, EmptyRequest::Skip);
+        }
+    }
+}
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -241,7 +241,7 @@
             from: id,
             to: id,
             term,
-            body: MessageBody::Elect,
+            body: MessageBody::TimeoutNow,
         },
     );
     state.settle(place);
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -5,8 +5,9 @@
 use std::fmt::Debug;
 use std::path::PathBuf;
 use woadstall_consensus::{
-    Entry, EntryPayload, Member, Membership, Message, MessageBody, Record, Snapshot, SnapshotChunk,
-    SnapshotMeta,
+    AppendEntriesRequest, AppendEntriesResponse, Entry, EntryPayload, InstallSnapshotRequest,
+    InstallSnapshotResponse, LogPosition, Member, Membership, Message, MessageBody, Record,
+    Snapshot, SnapshotChunk, SnapshotMeta, VoteRequest, VoteResponse,
 };
 
 /// Compares a value's encoding with `tests/golden/NAME.hex`, and the value that those bytes are read as with the value.
@@ -76,8 +77,7 @@
 
 fn head() -> SnapshotMeta {
     SnapshotMeta {
-        index: 10,
-        term: 2,
+        last_log: LogPosition { index: 10, term: 2 },
         size: 70_000,
         checksum: 0x89ab_cdef,
     }
@@ -85,36 +85,36 @@
 
 fn piece() -> SnapshotChunk {
     SnapshotChunk {
-        head: head(),
+        meta: head(),
         offset: 32_768,
         bytes: vec![1, 2, 3, 0xff],
     }
 }
 
 #[rstest]
-#[case::vote("message-vote", MessageBody::Vote { pre: false, last_index: 14, last_term: 3, transfer: true })]
-#[case::pre_vote("message-pre-vote", MessageBody::Vote { pre: true, last_index: 14, last_term: 3, transfer: false })]
-#[case::vote_reply("message-vote-reply", MessageBody::VoteReply { pre: false, granted: true })]
-#[case::pre_vote_reply("message-pre-vote-reply", MessageBody::VoteReply { pre: true, granted: false })]
+#[case::vote("message-vote", MessageBody::VoteRequest(VoteRequest { pre_vote: false, last_log: LogPosition { index: 14, term: 3 }, leadership_transfer: true }))]
+#[case::pre_vote("message-pre-vote", MessageBody::VoteRequest(VoteRequest { pre_vote: true, last_log: LogPosition { index: 14, term: 3 }, leadership_transfer: false }))]
+#[case::vote_reply("message-vote-reply", MessageBody::VoteResponse(VoteResponse { pre_vote: false, granted: true }))]
+#[case::pre_vote_reply("message-pre-vote-reply", MessageBody::VoteResponse(VoteResponse { pre_vote: true, granted: false }))]
 #[case::heartbeat(
     "message-heartbeat",
-    MessageBody::Append { previous_index: 14, previous_term: 3, entries: vec![], commit: 12, round: 99 }
+    MessageBody::AppendEntriesRequest(AppendEntriesRequest { previous: LogPosition { index: 14, term: 3 }, entries: vec![], leader_commit: 12, heartbeat_round: 99 })
 )]
 #[case::append(
     "message-append",
-    MessageBody::Append { previous_index: 10, previous_term: 2, entries: entries(), commit: 12, round: 100 }
+    MessageBody::AppendEntriesRequest(AppendEntriesRequest { previous: LogPosition { index: 10, term: 2 }, entries: entries(), leader_commit: 12, heartbeat_round: 100 })
 )]
-#[case::append_reply("message-append-reply", MessageBody::AppendReply { success: true, index: 14, round: 100 })]
+#[case::append_reply("message-append-reply", MessageBody::AppendEntriesResponse(AppendEntriesResponse { success: true, last_index: 14, heartbeat_round: 100 }))]
 #[case::append_reply_failed(
     "message-append-reply-failed",
-    MessageBody::AppendReply { success: false, index: 9, round: 101 }
+    MessageBody::AppendEntriesResponse(AppendEntriesResponse { success: false, last_index: 9, heartbeat_round: 101 })
 )]
-#[case::install("message-install", MessageBody::Install { piece: piece(), round: 102 })]
+#[case::install("message-install", MessageBody::InstallSnapshotRequest(InstallSnapshotRequest { chunk: piece(), heartbeat_round: 102 }))]
 #[case::install_reply(
     "message-install-reply",
-    MessageBody::InstallReply { head: head(), received: 32_772, round: 102 }
+    MessageBody::InstallSnapshotResponse(InstallSnapshotResponse { meta: head(), received_bytes: 32_772, heartbeat_round: 102 })
 )]
-#[case::elect("message-elect", MessageBody::Elect)]
+#[case::elect("message-elect", MessageBody::TimeoutNow)]
 fn a_message_has_its_bytes(#[case] name: &str, #[case] body: MessageBody) {
     let message = Message {
         from: 1,
@@ -137,7 +137,7 @@
 }
 
 #[rstest]
-#[case::term("record-term", Record::Term { term: 7, vote: 2 })]
+#[case::term("record-term", Record::Term { term: 7, voted_for: 2 })]
 #[case::append("record-append", Record::Append(entries()))]
 #[case::install("record-install", Record::InstallSnapshot(snapshot()))]
 #[case::commit("record-commit", Record::Commit(12))]
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -6,8 +6,10 @@
 use rstest::rstest;
 use single::SETTINGS;
 use woadstall_consensus::{
-    DurableState, Entry, EntryPayload, Member, Membership, Message, MessageBody, Output,
-    ProposeError, Record, Replica, ReplicaId, Snapshot, SnapshotChunk, SnapshotMeta,
+    AppendEntriesRequest, AppendEntriesResponse, ChangeVotersError, DurableState, Entry,
+    EntryPayload, InstallSnapshotRequest, LogPosition, Member, Membership, Message, MessageBody,
+    Output, Record, Replica, ReplicaId, Snapshot, SnapshotChunk, SnapshotMeta, VoteRequest,
+    VoteResponse,
 };
 
 fn entry(index: u64, term: u64) -> Entry {
@@ -33,7 +35,10 @@
         state: Vec::new(),
     };
     let mut state = DurableState::new(1, founding);
-    state.apply_record(&Record::Term { term: 5, vote: 0 });
+    state.apply_record(&Record::Term {
+        term: 5,
+        voted_for: 0,
+    });
     state.apply_record(&Record::Append(vec![entry(2, 2), entry(3, 2), entry(4, 4)]));
     state
 }
@@ -49,14 +54,14 @@
 fn install(snapshot: &Snapshot, round: u64) -> MessageBody {
     let bytes = snapshot.serialize_bin();
     let head = SnapshotMeta::of(snapshot, &bytes);
-    MessageBody::Install {
-        piece: SnapshotChunk {
-            head,
+    MessageBody::InstallSnapshotRequest(InstallSnapshotRequest {
+        chunk: SnapshotChunk {
+            meta: head,
             offset: 0,
             bytes,
         },
-        round,
-    }
+        heartbeat_round: round,
+    })
 }
 
 fn message(from: ReplicaId, term: u64, body: MessageBody) -> Message {
@@ -85,17 +90,19 @@
 }
 
 fn vote(last_term: u64, last_index: u64) -> MessageBody {
-    MessageBody::Vote {
-        pre: false,
-        last_index,
-        last_term,
-        transfer: false,
-    }
+    MessageBody::VoteRequest(VoteRequest {
+        pre_vote: false,
+        last_log: LogPosition {
+            index: last_index,
+            term: last_term,
+        },
+        leadership_transfer: false,
+    })
 }
 
 fn is_granted(sent: &[(ReplicaId, u64, MessageBody)]) -> Option<bool> {
     sent.iter().find_map(|(_, _, body)| match body {
-        MessageBody::VoteReply { granted, .. } => Some(*granted),
+        MessageBody::VoteResponse(VoteResponse { granted, .. }) => Some(*granted),
         _ => None,
     })
 }
@@ -135,7 +142,13 @@
         })
         .collect();
     let (sequence, record) = records.last().unwrap();
-    assert_eq!(record, &Record::Term { term: 6, vote: 2 });
+    assert_eq!(
+        record,
+        &Record::Term {
+            term: 6,
+            voted_for: 2
+        }
+    );
     replica.handle_persisted(*sequence);
     assert_eq!(is_granted(&settled(&mut replica)), Some(true));
     replica.handle_message(20, message(3, 6, vote(4, 4)));
@@ -151,13 +164,12 @@
 #[test]
 fn a_live_leader_is_not_disturbed_unless_it_asks_for_it() {
     let mut replica = replica();
-    let heartbeat = MessageBody::Append {
-        previous_index: 4,
-        previous_term: 4,
+    let heartbeat = MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+        previous: LogPosition { index: 4, term: 4 },
         entries: Vec::new(),
-        commit: 1,
-        round: 1,
-    };
+        leader_commit: 1,
+        heartbeat_round: 1,
+    });
     replica.handle_message(10, message(2, 5, heartbeat));
     settled(&mut replica);
     replica.handle_message(500, message(3, 6, vote(4, 4)));
@@ -165,12 +177,11 @@
         (is_granted(&settled(&mut replica)), replica.term()),
         (None, 5)
     );
-    let transfer = MessageBody::Vote {
-        pre: false,
-        last_index: 4,
-        last_term: 4,
-        transfer: true,
-    };
+    let transfer = MessageBody::VoteRequest(VoteRequest {
+        pre_vote: false,
+        last_log: LogPosition { index: 4, term: 4 },
+        leadership_transfer: true,
+    });
     replica.handle_message(510, message(3, 6, transfer));
     assert_eq!(is_granted(&settled(&mut replica)), Some(true));
 }
@@ -180,20 +191,26 @@
     message(
         2,
         5,
-        MessageBody::Append {
-            previous_index,
-            previous_term,
+        MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+            previous: LogPosition {
+                index: previous_index,
+                term: previous_term,
+            },
             entries,
-            commit,
-            round: 7,
-        },
+            leader_commit: commit,
+            heartbeat_round: 7,
+        }),
     )
 }
 
 fn replies(sent: &[(ReplicaId, u64, MessageBody)]) -> Vec<(bool, u64)> {
     sent.iter()
         .filter_map(|(_, _, body)| match body {
-            MessageBody::AppendReply { success, index, .. } => Some((*success, *index)),
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
+                success,
+                last_index: index,
+                ..
+            }) => Some((*success, *index)),
             _ => None,
         })
         .collect()
@@ -213,11 +230,11 @@
         .collect();
     assert_eq!(
         at_once,
-        [MessageBody::AppendReply {
+        [MessageBody::AppendEntriesResponse(AppendEntriesResponse {
             success: true,
-            index: 4,
-            round: 7
-        }]
+            last_index: 4,
+            heartbeat_round: 7
+        })]
     );
     replica.handle_persisted(1);
     assert_eq!(replies(&settled(&mut replica)), [(true, 6)]);
@@ -231,11 +248,11 @@
         .filter_map(|output| match output {
             Output::Send(Message {
                 body:
-                    MessageBody::AppendReply {
+                    MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                         success: true,
-                        index,
+                        last_index: index,
                         ..
-                    },
+                    }),
                 ..
             }) => Some(index),
             _ => None,
@@ -320,13 +337,12 @@
 #[test]
 fn a_leader_of_a_former_term_hears_of_the_new_one() {
     let mut replica = replica();
-    let old = MessageBody::Append {
-        previous_index: 4,
-        previous_term: 4,
+    let old = MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+        previous: LogPosition { index: 4, term: 4 },
         entries: vec![entry(5, 4)],
-        commit: 4,
-        round: 7,
-    };
+        leader_commit: 4,
+        heartbeat_round: 7,
+    });
     replica.handle_message(10, message(2, 4, old));
     let sent = settled(&mut replica);
     assert_eq!(
@@ -383,17 +399,17 @@
 /// Replica 1 as the leader of term 6, with the empty entry that begins it at position 5.
 fn leader() -> Replica {
     let mut replica = replica();
-    replica.handle_message(10, message(2, 5, MessageBody::Elect));
+    replica.handle_message(10, message(2, 5, MessageBody::TimeoutNow));
     settled(&mut replica);
     replica.handle_message(
         20,
         message(
             2,
             6,
-            MessageBody::VoteReply {
-                pre: false,
+            MessageBody::VoteResponse(VoteResponse {
+                pre_vote: false,
                 granted: true,
-            },
+            }),
         ),
     );
     assert!(replica.is_leader());
@@ -409,11 +425,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 4,
-                round: 1,
-            },
+                last_index: 4,
+                heartbeat_round: 1,
+            }),
         ),
     );
     assert_eq!(replica.commit_index(), 1);
@@ -422,11 +438,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 1,
-            },
+                last_index: 5,
+                heartbeat_round: 1,
+            }),
         ),
     );
     assert_eq!(replica.commit_index(), 5);
@@ -440,11 +456,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 1,
-            },
+                last_index: 5,
+                heartbeat_round: 1,
+            }),
         ),
     );
     settled(&mut replica);
@@ -454,11 +470,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 6,
-                round: 2,
-            },
+                last_index: 6,
+                heartbeat_round: 2,
+            }),
         ),
     );
     assert_eq!(replica.commit_index(), 5);
@@ -474,11 +490,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 1,
-            },
+                last_index: 5,
+                heartbeat_round: 1,
+            }),
         ),
     );
     settled(&mut replica);
@@ -493,11 +509,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 2,
-            },
+                last_index: 5,
+                heartbeat_round: 2,
+            }),
         ),
     );
     assert!(!is_ready(&mut replica), "an answer to an earlier round");
@@ -506,11 +522,11 @@
         message(
             3,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 3,
-            },
+                last_index: 5,
+                heartbeat_round: 3,
+            }),
         ),
     );
     assert!(is_ready(&mut replica));
@@ -538,11 +554,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 1,
-            },
+                last_index: 5,
+                heartbeat_round: 1,
+            }),
         ),
     );
     settled(&mut replica);
@@ -553,18 +569,18 @@
     );
     assert_eq!(
         replica.change_voters(Vec::new()),
-        Err(ProposeError::NoVoters)
+        Err(ChangeVotersError::NoVoters)
     );
     replica.handle_message(
         40,
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 6,
-                round: 3,
-            },
+                last_index: 6,
+                heartbeat_round: 3,
+            }),
         ),
     );
     settled(&mut replica);
@@ -607,11 +623,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 1,
-            },
+                last_index: 5,
+                heartbeat_round: 1,
+            }),
         ),
     );
     settled(&mut replica);
@@ -652,11 +668,11 @@
         message(
             4,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 2,
-            },
+                last_index: 5,
+                heartbeat_round: 2,
+            }),
         ),
     );
     replica
@@ -676,11 +692,11 @@
         message(
             5,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 4,
-                round: 2,
-            },
+                last_index: 4,
+                heartbeat_round: 2,
+            }),
         ),
     );
     replica.tick(250);
@@ -690,11 +706,11 @@
         message(
             5,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 2,
-            },
+                last_index: 5,
+                heartbeat_round: 2,
+            }),
         ),
     );
     replica.tick(300);
@@ -713,11 +729,11 @@
         message(
             5,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 2,
-            },
+                last_index: 5,
+                heartbeat_round: 2,
+            }),
         ),
     );
     replica.tick(300);
@@ -728,11 +744,11 @@
         message(
             4,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: change,
-                round: 3,
-            },
+                last_index: change,
+                heartbeat_round: 3,
+            }),
         ),
     );
     replica.handle_message(
@@ -740,11 +756,11 @@
         message(
             5,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: change,
-                round: 3,
-            },
+                last_index: change,
+                heartbeat_round: 3,
+            }),
         ),
     );
     assert_eq!(
@@ -757,11 +773,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: change,
-                round: 3,
-            },
+                last_index: change,
+                heartbeat_round: 3,
+            }),
         ),
     );
     settled(&mut replica);
@@ -780,11 +796,11 @@
         message(
             9,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 2,
-            },
+                last_index: 5,
+                heartbeat_round: 2,
+            }),
         ),
     );
     replica.tick(250);
@@ -803,11 +819,11 @@
         message(
             9,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 6,
-                round: 3,
-            },
+                last_index: 6,
+                heartbeat_round: 3,
+            }),
         ),
     );
     assert_eq!(
@@ -820,11 +836,11 @@
         message(
             2,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 6,
-                round: 3,
-            },
+                last_index: 6,
+                heartbeat_round: 3,
+            }),
         ),
     );
     settled(&mut replica);
@@ -844,11 +860,11 @@
         message(
             4,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 2,
-            },
+                last_index: 5,
+                heartbeat_round: 2,
+            }),
         ),
     );
     replica.set_retiring(220, 3);
@@ -861,11 +877,11 @@
         message(
             3,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 6,
-                round: 3,
-            },
+                last_index: 6,
+                heartbeat_round: 3,
+            }),
         ),
     );
     assert_eq!(replica.commit_index(), 5);
@@ -874,11 +890,11 @@
         message(
             4,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 6,
-                round: 3,
-            },
+                last_index: 6,
+                heartbeat_round: 3,
+            }),
         ),
     );
     settled(&mut replica);
@@ -903,11 +919,11 @@
                 message(
                     follower,
                     6,
-                    MessageBody::AppendReply {
+                    MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                         success: true,
-                        index,
-                        round,
-                    },
+                        last_index: index,
+                        heartbeat_round: round,
+                    }),
                 ),
             );
         }
@@ -930,11 +946,11 @@
         message(
             5,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 2,
-            },
+                last_index: 5,
+                heartbeat_round: 2,
+            }),
         ),
     );
     replica.tick(300);
@@ -950,7 +966,7 @@
 /// Those that are sent entries or heartbeats.
 fn appended_to(sent: &[(ReplicaId, u64, MessageBody)]) -> Vec<ReplicaId> {
     let append = |(to, _, body): &(ReplicaId, u64, MessageBody)| {
-        matches!(body, MessageBody::Append { .. }).then_some(*to)
+        matches!(body, MessageBody::AppendEntriesRequest(_)).then_some(*to)
     };
     let mut all: Vec<ReplicaId> = sent.iter().filter_map(append).collect();
     all.dedup();
@@ -965,11 +981,11 @@
         message(
             4,
             6,
-            MessageBody::AppendReply {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index: 5,
-                round: 2,
-            },
+                last_index: 5,
+                heartbeat_round: 2,
+            }),
         ),
     );
     replica.set_retiring(220, 3);
@@ -981,11 +997,11 @@
             message(
                 follower,
                 6,
-                MessageBody::AppendReply {
+                MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                     success: true,
-                    index: 6,
-                    round: 3,
-                },
+                    last_index: 6,
+                    heartbeat_round: 3,
+                }),
             ),
         );
     }
@@ -1005,11 +1021,11 @@
                 message(
                     follower,
                     6,
-                    MessageBody::AppendReply {
+                    MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                         success: true,
-                        index: 7,
-                        round,
-                    },
+                        last_index: 7,
+                        heartbeat_round: round,
+                    }),
                 ),
             );
         }
@@ -1046,7 +1062,7 @@
         20_000,
         Message {
             to: 9,
-            ..message(2, 1, MessageBody::Elect)
+            ..message(2, 1, MessageBody::TimeoutNow)
         },
     );
     assert!(settled(&mut replica).is_empty());
@@ -1059,12 +1075,11 @@
     for seed in 0..50 {
         let mut replica = Replica::new(durable(), SETTINGS, 0, seed);
         replica.take_outputs();
-        let pre_vote = MessageBody::Vote {
-            pre: true,
-            last_index: 4,
-            last_term: 4,
-            transfer: false,
-        };
+        let pre_vote = MessageBody::VoteRequest(VoteRequest {
+            pre_vote: true,
+            last_log: LogPosition { index: 4, term: 4 },
+            leadership_transfer: false,
+        });
         replica.handle_message(240, message(2, 6, pre_vote));
         assert_eq!(is_granted(&settled(&mut replica)), Some(true));
         replica.tick(240 + ROUND_TRIP);
@@ -1096,18 +1111,23 @@
         state: Vec::new(),
     };
     let mut own_state = DurableState::new(own, founding);
-    own_state.apply_record(&Record::Term { term: 5, vote: 0 });
+    own_state.apply_record(&Record::Term {
+        term: 5,
+        voted_for: 0,
+    });
     own_state.apply_record(&Record::Append(state.log.entries().to_vec()));
     state = own_state;
     let mut replica = Replica::new(state, SETTINGS, 0, 1);
     replica.tick(700);
     settled(&mut replica);
-    let pre_vote = MessageBody::Vote {
-        pre: true,
-        last_index,
-        last_term: 4,
-        transfer: false,
-    };
+    let pre_vote = MessageBody::VoteRequest(VoteRequest {
+        pre_vote: true,
+        last_log: LogPosition {
+            index: last_index,
+            term: 4,
+        },
+        leadership_transfer: false,
+    });
     replica.handle_message(
         710,
         Message {
@@ -1133,11 +1153,11 @@
             message(
                 follower,
                 6,
-                MessageBody::AppendReply {
+                MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                     success: true,
-                    index: 5,
-                    round: 1,
-                },
+                    last_index: 5,
+                    heartbeat_round: 1,
+                }),
             ),
         );
     }
@@ -1159,11 +1179,11 @@
             message(
                 2,
                 6,
-                MessageBody::AppendReply {
+                MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                     success: true,
-                    index: 4,
-                    round,
-                },
+                    last_index: 4,
+                    heartbeat_round: round,
+                }),
             ),
         );
     }
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -4,6 +4,7 @@
 
 use rstest::rstest;
 use support::{CALM, Group, ROUGH, Weather};
+use woadstall_consensus::LogPosition;
 
 /// Seeds of each scenario, unless `WOADSTALL_SEEDS` names another number.
 const SEEDS: u64 = 60;
@@ -27,7 +28,7 @@
         let place = group.random.usize(..group.len());
         let at = group.leader().unwrap_or(place);
         self.next = self.next.wrapping_add(1);
-        if let Some((index, term)) = group.propose(at, &[self.next]) {
+        if let Some(LogPosition { index, term }) = group.propose(at, &[self.next]) {
             self.places.push((index, term, self.next));
         }
     }
@@ -51,7 +52,7 @@
         .expect("the leader takes a command");
     group.run(3_000);
     assert!(
-        group.is_committed(place.0, place.1),
+        group.is_committed(place.index, place.term),
         "a command in a calm time is not committed"
     );
     for machine in 0..group.len() {
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -6,8 +6,9 @@
 use rstest::rstest;
 use single::{SETTINGS, settled};
 use woadstall_consensus::{
-    DurableState, Entry, EntryPayload, Member, Membership, Message, MessageBody, Record, Replica,
-    ReplicaId, Snapshot, SnapshotChunk,
+    AppendEntriesResponse, DurableState, Entry, EntryPayload, InstallSnapshotRequest,
+    InstallSnapshotResponse, Member, Membership, Message, MessageBody, Record, Replica, ReplicaId,
+    Snapshot, SnapshotChunk, VoteResponse,
 };
 
 const STATE_BYTES: usize = 500_000;
@@ -55,7 +56,7 @@
             from: 2,
             to: 1,
             term: 1,
-            body: MessageBody::Elect,
+            body: MessageBody::TimeoutNow,
         },
     );
     settled(&mut replica);
@@ -65,10 +66,10 @@
             from: 2,
             to: 1,
             term: 2,
-            body: MessageBody::VoteReply {
-                pre: false,
+            body: MessageBody::VoteResponse(VoteResponse {
+                pre_vote: false,
                 granted: true,
-            },
+            }),
         },
     );
     assert!(replica.is_leader());
@@ -96,7 +97,10 @@
             .into_iter()
             .filter(|message| message.to == 3)
         {
-            pieces += usize::from(matches!(message.body, MessageBody::Install { .. }));
+            pieces += usize::from(matches!(
+                message.body,
+                MessageBody::InstallSnapshotRequest(_)
+            ));
             if !loses(&message) {
                 follower.handle_message(now, message);
                 passed = true;
@@ -134,7 +138,10 @@
         leader.handle_message(30, message);
     }
     for message in settled(&mut leader) {
-        if let MessageBody::Install { piece, .. } = message.body {
+        if let MessageBody::InstallSnapshotRequest(InstallSnapshotRequest {
+            chunk: piece, ..
+        }) = message.body
+        {
             first.push(piece.bytes.len());
         }
     }
@@ -155,8 +162,11 @@
     let (mut count, mut total) = (0, 0);
     for round in 1..40 {
         total += exchange(round * 1_100, &mut leader, &mut follower, |message| {
-            count += usize::from(matches!(message.body, MessageBody::Install { .. }));
-            matches!(message.body, MessageBody::Install { .. }) && count % 7 == 3
+            count += usize::from(matches!(
+                message.body,
+                MessageBody::InstallSnapshotRequest(_)
+            ));
+            matches!(message.body, MessageBody::InstallSnapshotRequest(_)) && count % 7 == 3
         });
         leader.handle_message(
             round * 1_100,
@@ -177,11 +187,11 @@
 
 /// Keeps the leader in office.
 fn answer(round: u64) -> MessageBody {
-    MessageBody::AppendReply {
+    MessageBody::AppendEntriesResponse(AppendEntriesResponse {
         success: true,
-        index: 1,
-        round,
-    }
+        last_index: 1,
+        heartbeat_round: round,
+    })
 }
 
 #[test]
@@ -189,7 +199,10 @@
     let (mut leader, mut follower) = (leader(0), follower());
     let mut count = 0;
     exchange(200, &mut leader, &mut follower, |message| {
-        count += usize::from(matches!(message.body, MessageBody::Install { .. }));
+        count += usize::from(matches!(
+            message.body,
+            MessageBody::InstallSnapshotRequest(_)
+        ));
         count > 8
     });
     assert!(!has_caught_up(&follower));
@@ -204,7 +217,8 @@
 fn first_pieces(leader: &mut Replica, follower: &mut Replica, most: usize) -> Vec<SnapshotChunk> {
     let mut pieces = Vec::new();
     exchange(200, leader, follower, |message| {
-        if let MessageBody::Install { piece, .. } = &message.body
+        if let MessageBody::InstallSnapshotRequest(InstallSnapshotRequest { chunk: piece, .. }) =
+            &message.body
             && pieces.len() < most
         {
             pieces.push(piece.clone());
@@ -235,7 +249,10 @@
             from: 1,
             to: 3,
             term: 2,
-            body: MessageBody::Install { piece, round: 9 },
+            body: MessageBody::InstallSnapshotRequest(InstallSnapshotRequest {
+                chunk: piece,
+                heartbeat_round: 9,
+            }),
         },
     );
     settled(follower)
@@ -243,8 +260,8 @@
 
 #[rstest]
 #[case::a_changed_byte(|piece: &mut SnapshotChunk| piece.bytes[5_000] ^= 1)]
-#[case::another_checksum(|piece: &mut SnapshotChunk| piece.head.checksum ^= 1)]
-#[case::another_position(|piece: &mut SnapshotChunk| piece.head.index += 1)]
+#[case::another_checksum(|piece: &mut SnapshotChunk| piece.meta.checksum ^= 1)]
+#[case::another_position(|piece: &mut SnapshotChunk| piece.meta.last_log.index += 1)]
 fn a_snapshot_that_does_not_check_is_not_taken(#[case] change: fn(&mut SnapshotChunk)) {
     let (mut leader, mut follower) = (leader(0), follower());
     let mut whole = first_pieces(&mut leader, &mut follower, 1);
@@ -258,15 +275,18 @@
     let mut all = Vec::new();
     let mut sink = self::follower();
     exchange(200, &mut source, &mut sink, |message| {
-        if let MessageBody::Install { piece, .. } = &message.body {
+        if let MessageBody::InstallSnapshotRequest(InstallSnapshotRequest {
+            chunk: piece, ..
+        }) = &message.body
+        {
             all.push(piece.clone());
         }
         false
     });
     change(&mut all[0]);
-    let head = all[0].head;
+    let meta = all[0].meta;
     for mut piece in all {
-        piece.head = head;
+        piece.meta = meta;
         deliver(&mut fresh, piece);
     }
     assert!(!has_caught_up(&fresh));
@@ -283,13 +303,16 @@
         ..first.clone()
     };
     let mut claim = first;
-    claim.head.size = 1 << 40;
+    claim.meta.size = 1 << 40;
     for piece in [middle, claim] {
         let replies = deliver(&mut fresh, piece);
         assert!(
             matches!(
                 replies[0].body,
-                MessageBody::InstallReply { received: 0, .. }
+                MessageBody::InstallSnapshotResponse(InstallSnapshotResponse {
+                    received_bytes: 0,
+                    ..
+                })
             ),
             "{replies:?}"
         );
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -3,8 +3,8 @@
 use nanoserde::SerBin;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use woadstall_consensus::{
-    DurableState, Entry, EntryPayload, Member, Membership, Message, Output, Record, Replica,
-    ReplicaId, Settings, Snapshot, Timing,
+    DurableState, Entry, EntryPayload, LogPosition, Member, Membership, Message, Output, Record,
+    Replica, ReplicaId, Settings, Snapshot, Timing,
 };
 
 /// As in the shipped control plane.
@@ -175,14 +175,14 @@
     }
 
     /// Proposes a command at a machine; whether it took it.
-    pub fn propose(&mut self, place: usize, command: &[u8]) -> Option<(u64, u64)> {
-        let place_and_term = self.machines[place]
+    pub fn propose(&mut self, place: usize, command: &[u8]) -> Option<LogPosition> {
+        let position = self.machines[place]
             .replica
             .as_mut()?
             .propose(command.to_vec())
             .ok();
         self.settle(place);
-        place_and_term
+        position
     }
 
     pub fn transfer(&mut self, place: usize) {
--- a/crates/consensus/tests/voters.rs
+++ b/crates/consensus/tests/voters.rs
@@ -16,11 +16,11 @@
             id,
             address: format!("machine-{id}"),
         },
-        place: Some(FailureDomain {
+        failure_domain: Some(FailureDomain {
             zone: format!("zone-{zone}"),
             region: format!("region-{}", zone % REGIONS),
         }),
-        presence,
+        liveness: presence,
         is_voter,
         is_leader: false,
     }
@@ -45,7 +45,7 @@
             .collect();
         // The last one: nothing but leading keeps its vote.
         if let Some(leader) = group.last_mut() {
-            (leader.is_voter, leader.is_leader, leader.presence) = (true, true, Liveness::Live);
+            (leader.is_voter, leader.is_leader, leader.liveness) = (true, true, Liveness::Live);
         }
         group
     })
@@ -89,7 +89,7 @@
     voters: &'a BTreeSet<ReplicaId>,
 ) -> impl Iterator<Item = &'a VoterCandidate> {
     group.iter().filter(|candidate| {
-        candidate.presence == Liveness::Live && voters.contains(&candidate.member.id)
+        candidate.liveness == Liveness::Live && voters.contains(&candidate.member.id)
     })
 }
 
@@ -101,7 +101,7 @@
         .filter(|candidate| voters.contains(&candidate.member.id))
     {
         *regions
-            .entry(&candidate.place.as_ref().unwrap().region)
+            .entry(&candidate.failure_domain.as_ref().unwrap().region)
             .or_default() += 1;
     }
     regions
@@ -139,7 +139,7 @@
         least in 1usize..6,
     ) {
         let group: Vec<VoterCandidate> =
-            group.into_iter().map(|candidate| VoterCandidate { presence: Liveness::Live, ..candidate }).collect();
+            group.into_iter().map(|candidate| VoterCandidate { liveness: Liveness::Live, ..candidate }).collect();
         let voters = group.iter().filter(|candidate| candidate.is_voter).count();
         prop_assume!(voters >= 3 && voters >= least && group.len() >= least);
         let chosen = choose(&group, least);
@@ -165,7 +165,7 @@
         let chosen = choose(&group, least);
         let voters: Vec<&VoterCandidate> = group.iter().filter(|candidate| candidate.is_voter).collect();
         if chosen.len() < voters.len() {
-            let is_silent = |candidate: &&VoterCandidate| candidate.presence == Liveness::Unresponsive;
+            let is_silent = |candidate: &&VoterCandidate| candidate.liveness == Liveness::Unresponsive;
             prop_assert!(!voters.iter().any(is_silent), "a vote was taken too soon");
             prop_assert!(chosen.len() >= least);
         }
@@ -187,7 +187,7 @@
     let mut group: Vec<VoterCandidate> = (0..6)
         .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 5))
         .collect();
-    group[2].presence = Liveness::Unresponsive;
+    group[2].liveness = Liveness::Unresponsive;
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 4, 5, 6]));
 }
 
@@ -197,7 +197,7 @@
     let mut group: Vec<VoterCandidate> = (0..6)
         .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 5))
         .collect();
-    group[2].place = None;
+    group[2].failure_domain = None;
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 3, 4, 5]));
 }
 
@@ -213,7 +213,7 @@
             ][random.usize(..4)];
             let mut candidate = candidate(id, random.u8(..2 * REGIONS), presence, random.bool());
             if random.u8(..10) == 0 {
-                candidate.place = None;
+                candidate.failure_domain = None;
             }
             candidate
         })
@@ -222,7 +222,7 @@
     (
         group[leader].is_voter,
         group[leader].is_leader,
-        group[leader].presence,
+        group[leader].liveness,
     ) = (true, true, Liveness::Live);
     group
 }
--- a/crates/control-simulation/src/cluster.rs
+++ b/crates/control-simulation/src/cluster.rs
@@ -885,8 +885,8 @@
         .number(host.frozen_until);
     all.number(durable.id)
         .number(durable.term)
-        .number(durable.vote)
-        .number(durable.commit);
+        .number(durable.voted_for)
+        .number(durable.commit_index);
     all.encoded(durable.log.snapshot());
     for entry in durable.log.entries().iter() {
         all.encoded(entry);
--- a/crates/control/src/machine/leader_clock.rs
+++ b/crates/control/src/machine/leader_clock.rs
@@ -43,6 +43,6 @@
 pub(super) fn tells_time(message: &Message) -> bool {
     matches!(
         message.body,
-        MessageBody::Append { .. } | MessageBody::Install { .. }
+        MessageBody::AppendEntriesRequest(_) | MessageBody::InstallSnapshotRequest(_)
     )
 }
--- a/crates/control/src/machine/orders.rs
+++ b/crates/control/src/machine/orders.rs
@@ -4,6 +4,7 @@
 use super::{Action, Answer, CALL_PATIENCE, Machine};
 use crate::command::{Command, Outcome};
 use crate::wire::{CallId, LeaderTime, Packet};
+use woadstall_consensus::LogPosition;
 
 /// Who waits for an order or a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -150,7 +151,7 @@
             proposed.waiting.push(waiting);
             return true;
         }
-        let Ok((index, term)) = self.replica.propose(encoded(command)) else {
+        let Ok(LogPosition { index, term }) = self.replica.propose(encoded(command)) else {
             return false;
         };
         self.proposed.insert(
--- a/crates/control/tests/calls.rs
+++ b/crates/control/tests/calls.rs
@@ -4,7 +4,10 @@
 
 use rstest::rstest;
 use upstreams::registration;
-use woadstall_consensus::{DurableState, Member, Message, MessageBody, Snapshot};
+use woadstall_consensus::{
+    AppendEntriesRequest, AppendEntriesResponse, DurableState, InstallSnapshotRequest, LogPosition,
+    Member, Message, MessageBody, Snapshot, VoteResponse,
+};
 use woadstall_control::command::{Command, Outcome};
 use woadstall_control::machine::{Action, Answer, Machine, MachineSettings, founding_snapshot};
 use woadstall_control::registry::Status;
@@ -63,13 +66,12 @@
 }
 
 fn hear_leader(machine: &mut Machine, now: u64, clock: u64) {
-    let body = MessageBody::Append {
-        previous_index: 1,
-        previous_term: 1,
+    let body = MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+        previous: LogPosition { index: 1, term: 1 },
         entries: Vec::new(),
-        commit: 1,
-        round: 1,
-    };
+        leader_commit: 1,
+        heartbeat_round: 1,
+    });
     let message = Message {
         from: 2,
         to: 1,
@@ -92,17 +94,17 @@
         },
         clock: 0,
     };
-    machine.packet(1_000, &address(2), consensus(MessageBody::Elect));
+    machine.packet(1_000, &address(2), consensus(MessageBody::TimeoutNow));
     settled(&mut machine, 1_000);
     let term = machine.replica().term();
     let vote = Message {
         from: 2,
         to: 1,
         term,
-        body: MessageBody::VoteReply {
-            pre: false,
+        body: MessageBody::VoteResponse(VoteResponse {
+            pre_vote: false,
             granted: true,
-        },
+        }),
     };
     machine.packet(
         1_010,
@@ -117,11 +119,11 @@
         from: 2,
         to: 1,
         term,
-        body: MessageBody::AppendReply {
+        body: MessageBody::AppendEntriesResponse(AppendEntriesResponse {
             success: true,
-            index: 2,
-            round: 1,
-        },
+            last_index: 2,
+            heartbeat_round: 1,
+        }),
     };
     machine.packet(
         1_020,
@@ -350,13 +352,12 @@
     let mut machine = follower();
     machine.order(1_010, TOKEN, evacuate());
     settled(&mut machine, 1_010);
-    let body = MessageBody::Append {
-        previous_index: 1,
-        previous_term: 1,
+    let body = MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+        previous: LogPosition { index: 1, term: 1 },
         entries: Vec::new(),
-        commit: 1,
-        round: 1,
-    };
+        leader_commit: 1,
+        heartbeat_round: 1,
+    });
     let message = Message {
         from: 3,
         to: 1,
@@ -473,7 +474,7 @@
     let bytes = nanoserde::SerBin::serialize_bin(&snapshot);
     let head = woadstall_consensus::SnapshotMeta::of(&snapshot, &bytes);
     let piece = woadstall_consensus::SnapshotChunk {
-        head,
+        meta: head,
         offset: 0,
         bytes,
     };
@@ -481,7 +482,10 @@
         from: 2,
         to: 1,
         term: TERM,
-        body: MessageBody::Install { piece, round: 1 },
+        body: MessageBody::InstallSnapshotRequest(InstallSnapshotRequest {
+            chunk: piece,
+            heartbeat_round: 1,
+        }),
     };
     machine.packet(1_100, &address(2), Packet::Consensus { message, clock: 0 });
     machine.take_actions();
@@ -517,13 +521,12 @@
             payload: woadstall_consensus::EntryPayload::Command(command),
         },
     ];
-    let body = MessageBody::Append {
-        previous_index: 1,
-        previous_term: 1,
+    let body = MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+        previous: LogPosition { index: 1, term: 1 },
         entries,
-        commit: 3,
-        round: 2,
-    };
+        leader_commit: 3,
+        heartbeat_round: 2,
+    });
     let message = Message {
         from: 2,
         to: 1,
@@ -589,11 +592,11 @@
             from: 2,
             to: 1,
             term,
-            body: MessageBody::AppendReply {
+            body: MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 success: true,
-                index,
-                round: 9,
-            },
+                last_index: index,
+                heartbeat_round: 9,
+            }),
         },
         clock: 0,
     };
@@ -628,13 +631,15 @@
         term: term + 1,
         payload,
     }];
-    let body = MessageBody::Append {
-        previous_index: 2,
-        previous_term: term,
+    let body = MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+        previous: LogPosition {
+            index: 2,
+            term: term,
+        },
         entries,
-        commit: 3,
-        round: 1,
-    };
+        leader_commit: 3,
+        heartbeat_round: 1,
+    });
     let message = Message {
         from: 3,
         to: 1,
@@ -666,11 +671,11 @@
         4,
         "two entries for three calls"
     );
-    let reply = MessageBody::AppendReply {
+    let reply = MessageBody::AppendEntriesResponse(AppendEntriesResponse {
         success: true,
-        index: 4,
-        round: 9,
-    };
+        last_index: 4,
+        heartbeat_round: 9,
+    });
     let message = Message {
         from: 2,
         to: 1,
@@ -697,11 +702,11 @@
     machine.order(1_110, 2, Command::Return { zone: zone() });
     machine.order(1_120, 3, Command::Evacuate { zone: zone() });
     settled(&mut machine, 1_120);
-    let reply = MessageBody::AppendReply {
+    let reply = MessageBody::AppendEntriesResponse(AppendEntriesResponse {
         success: true,
-        index: 5,
-        round: 9,
-    };
+        last_index: 5,
+        heartbeat_round: 9,
+    });
     let message = Message {
         from: 2,
         to: 1,
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -7,7 +7,9 @@
 use rstest::rstest;
 use std::fmt::{Debug, Write};
 use woadstall_consensus::{
-    Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
+    AppendEntriesRequest, AppendEntriesResponse, Entry, EntryPayload, InstallSnapshotRequest,
+    InstallSnapshotResponse, LogPosition, Member, Membership, Message, MessageBody, SnapshotChunk,
+    SnapshotMeta, VoteRequest, VoteResponse,
 };
 use woadstall_control::balancers::{Heartbeat, StillThere};
 use woadstall_control::command::{Command, Outcome};
@@ -241,20 +243,19 @@
 }
 
 const HEAD: SnapshotMeta = SnapshotMeta {
-    index: 3,
-    term: 1,
+    last_log: LogPosition { index: 3, term: 1 },
     size: 20,
     checksum: 7,
 };
 
 #[rstest]
-#[case::vote("vote", MessageBody::Vote { pre: true, last_index: 5, last_term: 2, transfer: false })]
-#[case::vote_reply("vote_reply", MessageBody::VoteReply { pre: false, granted: true })]
-#[case::append("append", MessageBody::Append { previous_index: 4, previous_term: 1, entries: entries(), commit: 1, round: 9 })]
-#[case::append_reply("append_reply", MessageBody::AppendReply { success: true, index: 3, round: 9 })]
-#[case::install("install", MessageBody::Install { piece: SnapshotChunk { head: HEAD, offset: 8, bytes: vec![9; 12] }, round: 9 })]
-#[case::install_reply("install_reply", MessageBody::InstallReply { head: HEAD, received: 20, round: 9 })]
-#[case::elect("elect", MessageBody::Elect)]
+#[case::vote("vote", MessageBody::VoteRequest(VoteRequest { pre_vote: true, last_log: LogPosition { index: 5, term: 2 }, leadership_transfer: false }))]
+#[case::vote_reply("vote_reply", MessageBody::VoteResponse(VoteResponse { pre_vote: false, granted: true }))]
+#[case::append("append", MessageBody::AppendEntriesRequest(AppendEntriesRequest { previous: LogPosition { index: 4, term: 1 }, entries: entries(), leader_commit: 1, heartbeat_round: 9 }))]
+#[case::append_reply("append_reply", MessageBody::AppendEntriesResponse(AppendEntriesResponse { success: true, last_index: 3, heartbeat_round: 9 }))]
+#[case::install("install", MessageBody::InstallSnapshotRequest(InstallSnapshotRequest { chunk: SnapshotChunk { meta: HEAD, offset: 8, bytes: vec![9; 12] }, heartbeat_round: 9 }))]
+#[case::install_reply("install_reply", MessageBody::InstallSnapshotResponse(InstallSnapshotResponse { meta: HEAD, received_bytes: 20, heartbeat_round: 9 }))]
+#[case::elect("elect", MessageBody::TimeoutNow)]
 fn messages_of_the_log_have_their_golden_frames(#[case] name: &str, #[case] body: MessageBody) {
     let message = Message {
         from: 1,
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,7 +1,9 @@
 //! Frames: one change of one message at a time is refused whole, with a typed error.
 
 use woadstall_consensus::{
-    Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
+    AppendEntriesRequest, AppendEntriesResponse, Entry, EntryPayload, InstallSnapshotRequest,
+    InstallSnapshotResponse, LogPosition, Member, Membership, Message, MessageBody, SnapshotChunk,
+    SnapshotMeta, VoteRequest, VoteResponse,
 };
 use woadstall_control::balancers::{Heartbeat, StillThere};
 use woadstall_control::command::{Command, Outcome};
@@ -122,13 +124,12 @@
         },
     ];
     let head = SnapshotMeta {
-        index: 3,
-        term: 1,
+        last_log: LogPosition { index: 3, term: 1 },
         size: 20,
         checksum: 7,
     };
     let piece = SnapshotChunk {
-        head,
+        meta: head,
         offset: 0,
         bytes: vec![9; 20],
     };
@@ -162,35 +163,40 @@
             machine: machine(),
             known: vec![machine()],
         },
-        consensus(MessageBody::Vote {
-            pre: true,
-            last_index: 1,
-            last_term: 1,
-            transfer: false,
-        }),
-        consensus(MessageBody::VoteReply {
-            pre: false,
+        consensus(MessageBody::VoteRequest(VoteRequest {
+            pre_vote: true,
+            last_log: LogPosition { index: 1, term: 1 },
+            leadership_transfer: false,
+        })),
+        consensus(MessageBody::VoteResponse(VoteResponse {
+            pre_vote: false,
             granted: true,
-        }),
-        consensus(MessageBody::Append {
-            previous_index: 0,
-            previous_term: 0,
+        })),
+        consensus(MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+            previous: LogPosition { index: 0, term: 0 },
             entries,
-            commit: 1,
-            round: 9,
-        }),
-        consensus(MessageBody::AppendReply {
+            leader_commit: 1,
+            heartbeat_round: 9,
+        })),
+        consensus(MessageBody::AppendEntriesResponse(AppendEntriesResponse {
             success: true,
-            index: 3,
-            round: 9,
-        }),
-        consensus(MessageBody::Install { piece, round: 9 }),
-        consensus(MessageBody::InstallReply {
-            head,
-            received: 20,
-            round: 9,
-        }),
-        consensus(MessageBody::Elect),
+            last_index: 3,
+            heartbeat_round: 9,
+        })),
+        consensus(MessageBody::InstallSnapshotRequest(
+            InstallSnapshotRequest {
+                chunk: piece,
+                heartbeat_round: 9,
+            },
+        )),
+        consensus(MessageBody::InstallSnapshotResponse(
+            InstallSnapshotResponse {
+                meta: head,
+                received_bytes: 20,
+                heartbeat_round: 9,
+            },
+        )),
+        consensus(MessageBody::TimeoutNow),
         Packet::Join(member()),
         Packet::Leaves(7),
         Packet::Registrations {
--- a/crates/node/tests/unit/golden_core.rs
+++ b/crates/node/tests/unit/golden_core.rs
@@ -111,7 +111,7 @@
     let state = first_state(&settings_with_seeds(true), control);
     let mut text = format!(
         "id={:x} term={} vote={} commit={}\n",
-        state.id, state.term, state.vote, state.commit
+        state.id, state.term, state.voted_for, state.commit_index
     );
     let snapshot = state.log.snapshot();
     writeln!(
@@ -140,7 +140,12 @@
     for (bootstrap, control) in others {
         let state = first_state(&settings_with_seeds(bootstrap), control.parse().unwrap());
         assert_eq!(
-            (state.term, state.vote, state.commit, state.log.last_index()),
+            (
+                state.term,
+                state.voted_for,
+                state.commit_index,
+                state.log.last_index()
+            ),
             (0, 0, 0, 0)
         );
         assert_eq!(state.log.snapshot().membership.all_voters().count(), 0);
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -70,7 +70,7 @@
     /// The header and the whole state.
     pub fn encode_checkpoint(&self, state: &DurableState) -> Vec<u8> {
         let mut bytes = header(self.sequence);
-        let (id, term, vote, commit) = (state.id, state.term, state.vote, state.commit);
+        let (id, term, vote, commit) = (state.id, state.term, state.voted_for, state.commit_index);
         let snapshot = state.log.snapshot().clone();
         self.encode(
             &Item::Begin {
@@ -173,7 +173,10 @@
             return Ok(None);
         };
         let mut state = DurableState::new(id, snapshot);
-        state.apply_record(&Record::Term { term, vote });
+        state.apply_record(&Record::Term {
+            term,
+            voted_for: vote,
+        });
         state.apply_record(&Record::Append(entries));
         state.apply_record(&Record::Commit(commit));
         while let Some(item) = self.next()? {
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -100,7 +100,12 @@
     storage
         .initialize(DurableState::new(7, founding()))
         .unwrap();
-    storage.write(&[Record::Term { term: 2, vote: 9 }]).unwrap();
+    storage
+        .write(&[Record::Term {
+            term: 2,
+            voted_for: 9,
+        }])
+        .unwrap();
     storage
         .write(&[Record::Append(entries()), Record::Commit(3)])
         .unwrap();
@@ -110,7 +115,12 @@
     drop(storage);
     let mut storage = Storage::open(folder).unwrap();
     storage.write(&[Record::Commit(4)]).unwrap();
-    storage.write(&[Record::Term { term: 5, vote: 0 }]).unwrap();
+    storage
+        .write(&[Record::Term {
+            term: 5,
+            voted_for: 0,
+        }])
+        .unwrap();
 }
 
 #[test]
@@ -130,7 +140,7 @@
     let storage = Storage::open(folder.path()).unwrap();
     let state = storage.state().unwrap();
     assert_eq!(
-        (state.id, state.term, state.vote, state.commit),
+        (state.id, state.term, state.voted_for, state.commit_index),
         (7, 2, 9, 3)
     );
     assert_eq!(*state.log.snapshot(), installed());
@@ -145,7 +155,7 @@
     let storage = Storage::open(folder.path()).unwrap();
     let state = storage.state().unwrap();
     assert_eq!(
-        (state.id, state.term, state.vote, state.commit),
+        (state.id, state.term, state.voted_for, state.commit_index),
         (7, 5, 0, 4)
     );
     assert_eq!(*state.log.snapshot(), installed());
--- a/crates/storage/tests/ring.rs
+++ b/crates/storage/tests/ring.rs
@@ -63,7 +63,13 @@
     let folder = tempfile::tempdir().unwrap();
     let mut storage = fresh(folder.path());
     storage
-        .write(&[Record::Term { term: 3, vote: 9 }, append(1)])
+        .write(&[
+            Record::Term {
+                term: 3,
+                voted_for: 9,
+            },
+            append(1),
+        ])
         .unwrap();
     storage
         .write(&[append(2), append(3), Record::Commit(2)])
@@ -72,7 +78,7 @@
     let storage = Storage::open(folder.path()).unwrap();
     let state = storage.state().unwrap();
     assert_eq!(
-        (state.id, state.term, state.vote, state.commit),
+        (state.id, state.term, state.voted_for, state.commit_index),
         (7, 3, 9, 2)
     );
     assert_eq!(state.log.last_index(), 3);
