--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,7 +5,7 @@
 //! 2017), and on top: helpers from several zones, the two directions between members told apart, and no deaths where a
 //! third of the fleet vanishes at once or this member has reason to doubt itself. Nothing here does input or output or
 //! reads a clock: [`Node`] is handed times in nanoseconds of one clock that does not go back, datagrams and a seed. The
-//! design, with what was considered, is in `docs/instances.md`.
+//! design, with what was considered, is in `docs/membership.md`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -27,12 +27,12 @@
 mod suspicion;
 mod view;
 
-pub use card::{Card, Life, Name, NameError};
-pub use claim::{Claim, Said};
-pub use cuts::{Between, CUTS};
-pub use facts::{Fact, FactError};
+pub use card::{Generation, MemberMetadata, Name, NameError};
+pub use claim::{MemberState, MemberStatus};
+pub use cuts::{PARTITIONS_KEY, PathCounts};
+pub use facts::{PublishError, Record};
 pub use message::{Message, MessageError};
-pub use node::{Event, Node, Out, Tallies};
-pub use reach::Way;
+pub use node::{Counters, Event, Node, OutgoingMessage};
+pub use reach::PathState;
 pub use settings::{Settings, SettingsError};
-pub use view::{Seen, Size, State, Sure};
+pub use view::{Confidence, FleetSize, Observation, Verdict};
