--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -8,9 +8,6 @@
 //! Sources: Ongaro and Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014), cited as "Raft"; Ongaro,
 //! *Consensus: Bridging Theory and Practice* (2014), cited as "dissertation".
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 mod config;
 mod durable_state;
 mod entry;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -103,8 +103,8 @@
     /// Appends entries, which replace all from the first one's index on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
-        let kept = first.index.saturating_sub(self.snapshot.index + 1);
-        self.entries.truncate(saturating_usize(kept));
+        let retained = first.index.saturating_sub(self.snapshot.index + 1);
+        self.entries.truncate(saturating_usize(retained));
         self.entries.extend_from_slice(entries);
     }
 
--- a/crates/consensus/src/replica/learners.rs
+++ b/crates/consensus/src/replica/learners.rs
@@ -80,11 +80,11 @@
         } = &mut **leader;
         learners.retain(|id, learner| {
             let is_voter = membership.is_voter(*id);
-            let is_kept = now < learner.last_request + LEARNER_TIMEOUT && !is_voter;
-            if !is_kept && !is_voter {
+            let is_retained = now < learner.last_request + LEARNER_TIMEOUT && !is_voter;
+            if !is_retained && !is_voter {
                 progress.remove(id);
             }
-            is_kept
+            is_retained
         });
     }
 
--- a/crates/consensus/src/voter_selection/mod.rs
+++ b/crates/consensus/src/voter_selection/mod.rs
@@ -4,7 +4,9 @@
 mod placement;
 
 use crate::membership::Member;
-use placement::{DomainKey, domain_to_survive, has_majority_domain, replicas_per_domain, spread};
+use placement::{
+    DomainKey, choose_spread, domain_to_survive, has_majority_domain, replicas_per_domain,
+};
 use std::cmp::Reverse;
 
 /// Voters at most, unless more are needed for the tolerated faults: each commit waits for a majority of them.
@@ -87,7 +89,7 @@
     let odd_sizes = (min_voters.max(1)..=max_voters)
         .rev()
         .filter(|size| size % 2 == 1);
-    let mut choices = odd_sizes.map(|size| spread(live, size)).peekable();
+    let mut choices = odd_sizes.map(|size| choose_spread(live, size)).peekable();
     let largest = choices.peek().cloned();
     choices
         .find(|choice| !has_majority_domain(choice, key))
@@ -116,7 +118,7 @@
     current: &[&'a VoterCandidate],
     live: &[&'a VoterCandidate],
 ) -> Vec<&'a VoterCandidate> {
-    let mut chosen = spread(live, current.len());
+    let mut chosen = choose_spread(live, current.len());
     let missing = current.len().saturating_sub(chosen.len());
     let absent = current.iter().filter(|candidate| !is_live(candidate));
     chosen.extend(absent.take(missing));
--- a/crates/consensus/src/voter_selection/placement.rs
+++ b/crates/consensus/src/voter_selection/placement.rs
@@ -28,7 +28,10 @@
 }
 
 /// Up to `size` candidates, each from the region and zone that have the fewest so far; the leader first, then current voters.
-pub(super) fn spread<'a>(live: &[&'a VoterCandidate], size: usize) -> Vec<&'a VoterCandidate> {
+pub(super) fn choose_spread<'a>(
+    live: &[&'a VoterCandidate],
+    size: usize,
+) -> Vec<&'a VoterCandidate> {
     let mut remaining: Vec<&VoterCandidate> = live.to_vec();
     let mut chosen: Vec<&VoterCandidate> = Vec::new();
     while chosen.len() < size && !remaining.is_empty() {
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -39,7 +39,7 @@
 struct Group {
     voters: Vec<ReplicaId>,
     next: Vec<ReplicaId>,
-    most: Events,
+    limits: Events,
 }
 
 /// A replica and what its disk holds.
@@ -55,11 +55,11 @@
     nodes: Vec<Node>,
     /// Messages on their way, encoded.
     network: BTreeSet<Vec<u8>>,
-    left: Events,
+    remaining: Events,
     leaders: BTreeMap<u64, ReplicaId>,
     committed: BTreeMap<u64, Entry>,
     /// The newest committed position when a read began, by its number.
-    floors: BTreeMap<u64, u64>,
+    read_floors: BTreeMap<u64, u64>,
     violation: Option<String>,
 }
 
@@ -104,8 +104,8 @@
 struct Key<'a> {
     nodes: Vec<String>,
     network: &'a BTreeSet<Vec<u8>>,
-    left: Events,
-    floors: &'a BTreeMap<u64, u64>,
+    remaining: Events,
+    read_floors: &'a BTreeMap<u64, u64>,
 }
 
 impl State {
@@ -118,38 +118,38 @@
         Key {
             nodes,
             network: &self.network,
-            left: self.left,
-            floors: &self.floors,
+            remaining: self.remaining,
+            read_floors: &self.read_floors,
         }
     }
 
-    fn fail(&mut self, what: String) {
+    fn record_violation(&mut self, what: String) {
         self.violation.get_or_insert(what);
     }
 
     /// Carries out what a replica wants; its disk is quick.
-    fn settle(&mut self, place: usize) {
+    fn process_outputs(&mut self, index: usize) {
         loop {
-            let outputs = self.nodes[place].replica.take_outputs();
+            let outputs = self.nodes[index].replica.take_outputs();
             if outputs.is_empty() {
                 break;
             }
             outputs
                 .into_iter()
-                .for_each(|output| self.carry_out(place, output));
+                .for_each(|output| self.execute(index, output));
         }
-        let replica = &self.nodes[place].replica;
+        let replica = &self.nodes[index].replica;
         if replica.is_leader() {
             let (term, id) = (replica.term(), replica.id());
             let first = *self.leaders.entry(term).or_insert(id);
             if first != id {
-                self.fail(format!("term {term} has the leaders {first} and {id}"));
+                self.record_violation(format!("term {term} has the leaders {first} and {id}"));
             }
         }
     }
 
-    fn carry_out(&mut self, place: usize, output: Output) {
-        let node = &mut self.nodes[place];
+    fn execute(&mut self, index: usize, output: Output) {
+        let node = &mut self.nodes[index];
         match output {
             Output::Persist { sequence, record } => {
                 node.disk.apply_record(&record);
@@ -163,14 +163,15 @@
                     .or_insert_with(|| entry.clone());
                 if *first != entry {
                     let index = entry.index;
-                    self.fail(format!("two entries are committed at {index}"));
+                    self.record_violation(format!("two entries are committed at {index}"));
                 }
             }
             Output::ReadReady { read_id } => {
-                let (floor, held) = (self.floors[&read_id], node.replica.log().last_index());
-                if held < floor {
-                    self.fail(format!(
-                        "a read is confirmed at {held} though {floor} was committed before it"
+                let (read_floor, last_index) =
+                    (self.read_floors[&read_id], node.replica.log().last_index());
+                if last_index < read_floor {
+                    self.record_violation(format!(
+                        "a read is confirmed at {last_index} though {read_floor} was committed before it"
                     ));
                 }
             }
@@ -186,7 +187,7 @@
             .unwrap_or_default()
     }
 
-    fn place_of(&self, id: ReplicaId) -> Option<usize> {
+    fn index_of(&self, id: ReplicaId) -> Option<usize> {
         self.nodes.iter().position(|node| node.replica.id() == id)
     }
 }
@@ -197,7 +198,7 @@
     }
 
     /// Replica 1 leads, and all have its first entry.
-    fn begin(&self) -> State {
+    fn initial_state(&self) -> State {
         let members = Membership::new(membership(&self.voters));
         let founding = Snapshot {
             index: 1,
@@ -215,13 +216,13 @@
         let mut state = State {
             nodes: self.ids().into_iter().map(node).collect(),
             network: BTreeSet::new(),
-            left: self.most,
+            remaining: self.limits,
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
-            floors: BTreeMap::new(),
+            read_floors: BTreeMap::new(),
             violation: None,
         };
-        (0..state.nodes.len()).for_each(|place| state.settle(place));
+        (0..state.nodes.len()).for_each(|index| state.process_outputs(index));
         state.network.clear();
         campaign(&mut state, 0);
         while let Some(bytes) = state.network.pop_first() {
@@ -232,8 +233,8 @@
     }
 }
 
-fn campaign(state: &mut State, place: usize) {
-    let replica = &mut state.nodes[place].replica;
+fn campaign(state: &mut State, index: usize) {
+    let replica = &mut state.nodes[index].replica;
     let (id, term) = (replica.id(), replica.term());
     replica.handle_message(
         NOW,
@@ -244,14 +245,14 @@
             body: MessageBody::TimeoutNow,
         },
     );
-    state.settle(place);
+    state.process_outputs(index);
 }
 
 fn deliver(state: &mut State, bytes: &[u8]) {
     let message = Message::deserialize_bin(bytes).expect("a message that was sent");
-    if let Some(place) = state.place_of(message.to) {
-        state.nodes[place].replica.handle_message(NOW, message);
-        state.settle(place);
+    if let Some(index) = state.index_of(message.to) {
+        state.nodes[index].replica.handle_message(NOW, message);
+        state.process_outputs(index);
     }
 }
 
@@ -260,32 +261,33 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.begin()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let left = state.left;
+        let remaining = state.remaining;
         actions.extend(state.network.iter().cloned().map(Action::Deliver));
-        for (place, node) in state.nodes.iter().enumerate() {
+        for (index, node) in state.nodes.iter().enumerate() {
             let replica = &node.replica;
             let is_leader = replica.is_leader();
-            if left.elections > 0 && replica.membership().is_voter(replica.id()) && !is_leader {
-                actions.push(Action::Campaign(place));
+            if remaining.elections > 0 && replica.membership().is_voter(replica.id()) && !is_leader
+            {
+                actions.push(Action::Campaign(index));
             }
-            if left.commands > 0 && is_leader {
-                actions.push(Action::Command(place));
+            if remaining.commands > 0 && is_leader {
+                actions.push(Action::Command(index));
             }
-            if left.changes > 0 && is_leader && !replica.membership().is_joint() {
-                actions.push(Action::Change(place));
+            if remaining.changes > 0 && is_leader && !replica.membership().is_joint() {
+                actions.push(Action::Change(index));
             }
             if is_leader && replica.membership().is_joint() {
-                actions.push(Action::Complete(place));
+                actions.push(Action::Complete(index));
             }
-            if left.reads > 0 && is_leader {
-                actions.push(Action::Read(place));
+            if remaining.reads > 0 && is_leader {
+                actions.push(Action::Read(index));
             }
-            if left.restarts > 0 {
-                actions.push(Action::Restart(place));
+            if remaining.restarts > 0 {
+                actions.push(Action::Restart(index));
             }
         }
     }
@@ -297,43 +299,43 @@
                 state.network.remove(&bytes);
                 deliver(&mut state, &bytes);
             }
-            Action::Campaign(place) => {
-                state.left.elections -= 1;
-                campaign(&mut state, place);
+            Action::Campaign(index) => {
+                state.remaining.elections -= 1;
+                campaign(&mut state, index);
             }
-            Action::Command(place) => {
-                state.left.commands -= 1;
-                state.nodes[place]
+            Action::Command(index) => {
+                state.remaining.commands -= 1;
+                state.nodes[index]
                     .replica
-                    .propose(vec![state.left.commands])
+                    .propose(vec![state.remaining.commands])
                     .ok()?;
-                state.settle(place);
+                state.process_outputs(index);
             }
-            Action::Change(place) => {
-                state.left.changes -= 1;
-                state.nodes[place]
+            Action::Change(index) => {
+                state.remaining.changes -= 1;
+                state.nodes[index]
                     .replica
                     .change_voters(membership(&self.next))
                     .ok()?;
-                state.settle(place);
+                state.process_outputs(index);
             }
-            Action::Complete(place) => {
-                state.nodes[place].replica.tick(NOW);
-                state.settle(place);
+            Action::Complete(index) => {
+                state.nodes[index].replica.tick(NOW);
+                state.process_outputs(index);
             }
-            Action::Read(place) => {
-                state.left.reads -= 1;
-                let number = u64::from(state.left.reads);
-                let floor = state.newest_committed();
-                state.floors.insert(number, floor);
-                state.nodes[place].replica.request_read(number);
-                state.settle(place);
+            Action::Read(index) => {
+                state.remaining.reads -= 1;
+                let number = u64::from(state.remaining.reads);
+                let read_floor = state.newest_committed();
+                state.read_floors.insert(number, read_floor);
+                state.nodes[index].replica.request_read(number);
+                state.process_outputs(index);
             }
-            Action::Restart(place) => {
-                state.left.restarts -= 1;
-                let disk = state.nodes[place].disk.clone();
-                state.nodes[place].replica = Replica::new(disk, SETTINGS, NOW, SEED);
-                state.settle(place);
+            Action::Restart(index) => {
+                state.remaining.restarts -= 1;
+                let disk = state.nodes[index].disk.clone();
+                state.nodes[index].replica = Replica::new(disk, SETTINGS, NOW, SEED);
+                state.process_outputs(index);
             }
         }
         Some(state)
@@ -348,7 +350,7 @@
 }
 
 /// States that are looked at, unless `WOADSTALL_STATES` names another number.
-fn most_states() -> usize {
+fn max_states() -> usize {
     const STATES: usize = 300_000;
     std::env::var("WOADSTALL_STATES")
         .ok()
@@ -364,19 +366,19 @@
 #[case::two_of_three_are_replaced(&[1, 2, 3], &[1, 4, 5], Events { elections: 1, changes: 1, ..Events::default() })]
 #[case::the_leader_is_replaced(&[1, 2, 3], &[2, 3, 4], Events { elections: 1, changes: 1, ..Events::default() })]
 #[case::three_become_five(&[1, 2, 3], &[1, 2, 3, 4, 5], Events { elections: 1, changes: 1, ..Events::default() })]
-fn no_course_breaks_what_the_log_promises(
+fn safety_holds_in_all_reachable_states(
     #[case] voters: &[ReplicaId],
     #[case] next: &[ReplicaId],
-    #[case] most: Events,
+    #[case] limits: Events,
 ) {
     let group = Group {
         voters: voters.to_vec(),
         next: next.to_vec(),
-        most,
+        limits,
     };
     let checker = group
         .checker()
-        .target_state_count(most_states())
+        .target_state_count(max_states())
         .threads(2)
         .spawn_bfs()
         .join();
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -75,7 +75,7 @@
     }
 }
 
-fn head() -> SnapshotMeta {
+fn meta() -> SnapshotMeta {
     SnapshotMeta {
         last_log: LogPosition { index: 10, term: 2 },
         size: 70_000,
@@ -83,9 +83,9 @@
     }
 }
 
-fn piece() -> SnapshotChunk {
+fn chunk() -> SnapshotChunk {
     SnapshotChunk {
-        meta: head(),
+        meta: meta(),
         offset: 32_768,
         bytes: vec![1, 2, 3, 0xff],
     }
@@ -109,13 +109,13 @@
     "message-append-reply-failed",
     MessageBody::AppendEntriesResponse(AppendEntriesResponse { success: false, last_index: 9, heartbeat_round: 101 })
 )]
-#[case::install("message-install", MessageBody::InstallSnapshotRequest(InstallSnapshotRequest { chunk: piece(), heartbeat_round: 102 }))]
+#[case::install("message-install", MessageBody::InstallSnapshotRequest(InstallSnapshotRequest { chunk: chunk(), heartbeat_round: 102 }))]
 #[case::install_reply(
     "message-install-reply",
-    MessageBody::InstallSnapshotResponse(InstallSnapshotResponse { meta: head(), received_bytes: 32_772, heartbeat_round: 102 })
+    MessageBody::InstallSnapshotResponse(InstallSnapshotResponse { meta: meta(), received_bytes: 32_772, heartbeat_round: 102 })
 )]
 #[case::elect("message-elect", MessageBody::TimeoutNow)]
-fn a_message_has_its_bytes(#[case] name: &str, #[case] body: MessageBody) {
+fn messages_have_the_recorded_bytes(#[case] name: &str, #[case] body: MessageBody) {
     let message = Message {
         from: 1,
         to: 0x0102_0304_0506_0708,
@@ -132,7 +132,7 @@
     "entry-members",
     entry(13, EntryPayload::Membership(changing_membership()))
 )]
-fn an_entry_has_its_bytes(#[case] name: &str, #[case] entry: Entry) {
+fn entries_have_the_recorded_bytes(#[case] name: &str, #[case] entry: Entry) {
     assert_golden(name, &entry);
 }
 
@@ -141,17 +141,17 @@
 #[case::append("record-append", Record::Append(entries()))]
 #[case::install("record-install", Record::InstallSnapshot(snapshot()))]
 #[case::commit("record-commit", Record::Commit(12))]
-fn a_record_has_its_bytes(#[case] name: &str, #[case] record: Record) {
+fn records_have_the_recorded_bytes(#[case] name: &str, #[case] record: Record) {
     assert_golden(name, &record);
 }
 
 #[test]
-fn a_snapshot_has_its_bytes() {
+fn snapshots_have_the_recorded_bytes() {
     assert_golden("snapshot", &snapshot());
 }
 
 #[test]
-fn a_snapshots_head_has_its_bytes() {
+fn snapshot_metadata_has_the_recorded_bytes() {
     let snapshot = snapshot();
     assert_golden(
         "snapshot-head",
@@ -160,6 +160,6 @@
 }
 
 #[test]
-fn a_member_has_its_bytes() {
+fn members_have_the_recorded_bytes() {
     assert_golden("member", &member(4));
 }
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -24,30 +24,30 @@
 #[case::one_of_three(&[1, 2, 3], &[], &[2], false)]
 #[case::half_of_four(&[1, 2, 3, 4], &[], &[1, 2], false)]
 #[case::three_of_four(&[1, 2, 3, 4], &[], &[1, 2, 4], true)]
-#[case::strangers(&[1, 2, 3], &[], &[1, 8, 9], false)]
+#[case::non_members(&[1, 2, 3], &[], &[1, 8, 9], false)]
 #[case::nobody_has_a_vote(&[], &[], &[1, 2], false)]
-#[case::the_former_voters_alone(&[1, 2, 3], &[3, 4, 5], &[1, 2], false)]
+#[case::the_current_voters_alone(&[1, 2, 3], &[3, 4, 5], &[1, 2], false)]
 #[case::the_next_voters_alone(&[1, 2, 3], &[3, 4, 5], &[4, 5], false)]
 #[case::a_majority_of_both(&[1, 2, 3], &[3, 4, 5], &[1, 3, 4], true)]
 #[case::a_majority_of_all_and_not_of_the_next(&[1, 2, 3], &[3, 4, 5], &[1, 2, 3], false)]
-fn a_quorum_is_a_majority_of_the_voters_and_of_the_next_ones(
+fn a_quorum_is_a_majority_of_the_current_and_of_the_next_voters(
     #[case] voters: &[ReplicaId],
     #[case] next: &[ReplicaId],
-    #[case] holds: &[ReplicaId],
+    #[case] agreeing: &[ReplicaId],
     #[case] expected: bool,
 ) {
     let membership = membership(voters, next);
     assert_eq!(
-        membership.is_quorum(|member| holds.contains(&member.id)),
+        membership.is_quorum(|member| agreeing.contains(&member.id)),
         expected
     );
     // What a quorum has reached is a value that each member of some quorum has.
-    let value = |member: &Member| u64::from(holds.contains(&member.id));
+    let value = |member: &Member| u64::from(agreeing.contains(&member.id));
     assert_eq!(membership.quorum_value(value) == 1, expected);
 }
 
 #[test]
-fn the_value_of_a_quorum_is_the_lesser_one_of_both_groups() {
+fn a_joint_quorum_value_is_the_lesser_of_both() {
     let changing = membership(&[1, 2, 3], &[3, 4, 5]);
     assert_eq!(changing.quorum_value(|member| member.id * 10), 20);
     assert_eq!(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_next_voters_vote_during_a_change_and_each_member_is_named_once() {
+fn a_joint_membership_lists_each_voter_once() {
     let changing = membership(&[1, 2, 3], &[3, 4, 5]);
     assert!((1..=5).all(|id| changing.is_voter(id)) && !changing.is_voter(6));
     assert_eq!(
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -1,9 +1,9 @@
-//! The log under faults, in virtual time. Each seed is a course of its own; a failing one prints itself.
+//! A group under faults, in virtual time. Each seed gives another run; the seed of a failing one is printed.
 
 mod support;
 
 use rstest::rstest;
-use support::{CALM, Group, ROUGH, Weather};
+use support::{ADVERSE, Conditions, Group, HEALTHY};
 use woadstall_consensus::LogPosition;
 
 /// Seeds of each scenario, unless `WOADSTALL_SEEDS` names another number.
@@ -16,44 +16,53 @@
         .unwrap_or(SEEDS)
 }
 
-/// Commands that were taken, and where.
+/// A command that a leader accepted.
+#[derive(Clone, Copy)]
+struct AcceptedCommand {
+    position: LogPosition,
+    command: u8,
+}
+
+/// The commands that leaders accepted, in order.
 #[derive(Default)]
-struct Taken {
-    next: u8,
-    places: Vec<(u64, u64, u8)>,
+struct AcceptedCommands {
+    last_command: u8,
+    commands: Vec<AcceptedCommand>,
 }
 
-impl Taken {
+impl AcceptedCommands {
     fn propose(&mut self, group: &mut Group) {
-        let place = group.random.usize(..group.len());
-        let at = group.leader().unwrap_or(place);
-        self.next = self.next.wrapping_add(1);
-        if let Some(LogPosition { index, term }) = group.propose(at, &[self.next]) {
-            self.places.push((index, term, self.next));
+        let host = group.random.usize(..group.len());
+        let at = group.leader().unwrap_or(host);
+        self.last_command = self.last_command.wrapping_add(1);
+        let command = self.last_command;
+        if let Some(position) = group.propose(at, &[command]) {
+            self.commands.push(AcceptedCommand { position, command });
         }
     }
 }
 
-/// All is well again: one leader, a new command is applied everywhere, and nothing that was committed is missing.
-fn assert_recovers(group: &mut Group, taken: &mut Taken) {
-    group.cuts.clear();
-    group.weather = CALM;
-    let committed: Vec<(u64, u64, u8)> = taken
-        .places
+/// Removes all faults, and asserts that there is a leader, that a new command is applied everywhere, and that no committed command is lost.
+fn assert_recovers(group: &mut Group, accepted: &mut AcceptedCommands) {
+    group.partitions.clear();
+    group.conditions = HEALTHY;
+    let is_committed = |accepted: &AcceptedCommand| group.is_committed(accepted.position);
+    let committed: Vec<AcceptedCommand> = accepted
+        .commands
         .iter()
         .copied()
-        .filter(|(index, term, _)| group.is_committed(*index, *term))
+        .filter(is_committed)
         .collect();
-    (0..group.len()).for_each(|place| group.start(place));
+    (0..group.len()).for_each(|host| group.start(host));
     group.run(15_000);
     let leader = group.leader().expect("no leader although all are there");
-    let place = group
+    let position = group
         .propose(leader, &[255])
         .expect("the leader takes a command");
     group.run(3_000);
     assert!(
-        group.is_committed(place.index, place.term),
-        "a command in a calm time is not committed"
+        group.is_committed(position),
+        "a command in a healthy group is not committed"
     );
     for machine in 0..group.len() {
         assert_eq!(
@@ -63,36 +72,37 @@
         );
     }
     let mut state = group.state(leader).iter();
-    for (index, _, command) in committed {
+    for AcceptedCommand { position, command } in committed {
         assert!(
             state.any(|other| *other == command),
-            "the committed command {command} at {index} is lost"
+            "the committed command {command} at {position:?} is lost"
         );
     }
 }
 
 #[rstest]
-#[case::calm(CALM)]
-#[case::rough(ROUGH)]
-fn a_group_of_three_is_founded_and_takes_commands(#[case] weather: Weather) {
+#[case::healthy_network(HEALTHY)]
+#[case::adverse_network(ADVERSE)]
+fn a_group_of_three_is_founded_and_accepts_commands(#[case] conditions: Conditions) {
     for seed in 0..seeds() {
         println!("seed {seed}");
-        let (mut group, mut taken) = (Group::new(seed, 3, weather), Taken::default());
+        let (mut group, mut accepted) =
+            (Group::new(seed, 3, conditions), AcceptedCommands::default());
         group.run(8_000);
         assert!(group.leader().is_some());
         for _ in 0..60 {
-            taken.propose(&mut group);
+            accepted.propose(&mut group);
             group.run(100);
         }
-        assert_recovers(&mut group, &mut taken);
+        assert_recovers(&mut group, &mut accepted);
     }
 }
 
 #[test]
-fn machines_that_are_no_seeds_join() {
+fn replicas_that_are_not_founders_join() {
     for seed in 0..seeds() {
         println!("seed {seed}");
-        let mut group = Group::new(seed, 5, CALM);
+        let mut group = Group::new(seed, 5, HEALTHY);
         group.run(6_000);
         let leader = group.leader().expect("a leader");
         let members = group.replica(leader).expect("it runs").membership();
@@ -101,63 +111,64 @@
 }
 
 #[test]
-fn nothing_committed_is_lost_over_kills_and_cuts() {
+fn no_committed_command_is_lost_over_crashes_and_partitions() {
     for seed in 0..seeds() * 2 {
         println!("seed {seed}");
-        let (mut group, mut taken) = (Group::new(seed, 5, ROUGH), Taken::default());
+        let (mut group, mut accepted) = (Group::new(seed, 5, ADVERSE), AcceptedCommands::default());
         for _ in 0..80 {
             match group.random.u8(..10) {
                 0 => {
-                    let place = group.random.usize(..5);
-                    group.stop(place);
+                    let host = group.random.usize(..5);
+                    group.stop(host);
                 }
-                1 | 2 => (0..5).for_each(|place| group.start(place)),
+                1 | 2 => (0..5).for_each(|host| group.start(host)),
                 3 => {
                     let (from, to) = (group.random.usize(..5), group.random.usize(..5));
-                    group.cuts.insert((from, to));
+                    group.partitions.insert((from, to));
                 }
-                4 => group.cuts.clear(),
+                4 => group.partitions.clear(),
                 5 => {
-                    let (place, time) = (group.random.usize(..5), group.random.u64(..3_000));
-                    group.stall_disk(place, time);
+                    let (host, time) = (group.random.usize(..5), group.random.u64(..3_000));
+                    group.stall_disk(host, time);
                 }
                 6 => {
                     if let Some(leader) = group.leader() {
                         group.transfer(leader);
                     }
                 }
-                _ => taken.propose(&mut group),
+                _ => accepted.propose(&mut group),
             }
             let time = group.random.u64(20..600);
             group.run(time);
         }
-        assert_recovers(&mut group, &mut taken);
+        assert_recovers(&mut group, &mut accepted);
     }
 }
 
 #[test]
-fn a_lost_disk_and_a_loss_of_power_everywhere_lose_nothing_committed() {
+fn no_committed_command_is_lost_over_a_lost_disk_and_a_power_loss_everywhere() {
     for seed in 0..seeds() * 2 {
         println!("seed {seed}");
         let size = if seed % 2 == 0 { 3 } else { 5 };
-        let (mut group, mut taken) = (Group::new(seed, size, CALM), Taken::default());
+        let (mut group, mut accepted) =
+            (Group::new(seed, size, HEALTHY), AcceptedCommands::default());
         group.run(6_000);
         for _ in 0..4 {
             for _ in 0..8 {
-                taken.propose(&mut group);
+                accepted.propose(&mut group);
                 let time = group.random.u64(..40);
                 group.run(time);
             }
             let wiped = group.random.usize(..size);
             (0..size)
-                .filter(|place| *place != wiped)
-                .for_each(|place| group.stop(place));
-            group.wipe(wiped);
-            (0..size).for_each(|place| group.start(place));
+                .filter(|host| *host != wiped)
+                .for_each(|host| group.stop(host));
+            group.lose_disk(wiped);
+            (0..size).for_each(|host| group.start(host));
             // As long as the deployment allows until the next loss.
             group.run(8_000);
         }
-        assert_recovers(&mut group, &mut taken);
+        assert_recovers(&mut group, &mut accepted);
     }
 }
 
@@ -165,9 +176,9 @@
 fn a_member_without_its_disk_never_votes_under_its_old_identity() {
     for seed in 0..seeds() {
         println!("seed {seed}");
-        let mut group = Group::new(seed, 3, CALM);
+        let mut group = Group::new(seed, 3, HEALTHY);
         group.run(5_000);
-        group.wipe(1);
+        group.lose_disk(1);
         group.start(1);
         group.run(5_000);
         let leader = group.leader().expect("a leader");
@@ -180,8 +191,8 @@
 }
 
 #[test]
-fn a_member_that_never_comes_back_loses_its_vote_where_enough_are_there() {
-    let mut group = Group::new(7, 4, CALM);
+fn a_lost_member_loses_its_vote_while_enough_members_remain() {
+    let mut group = Group::new(7, 4, HEALTHY);
     group.run(5_000);
     group.stop(3);
     group.run(10_000);
@@ -207,15 +218,15 @@
 }
 
 #[test]
-fn a_cut_off_leader_steps_down_and_a_new_one_is_there_soon() {
+fn a_partitioned_leader_steps_down_and_another_is_elected() {
     for seed in 0..seeds() {
         println!("seed {seed}");
-        let mut group = Group::new(seed, 5, CALM);
+        let mut group = Group::new(seed, 5, HEALTHY);
         group.run(5_000);
         let old = group.leader().expect("a leader");
         for other in (0..5).filter(|other| *other != old) {
-            group.cuts.insert((old, other));
-            group.cuts.insert((other, old));
+            group.partitions.insert((old, other));
+            group.partitions.insert((other, old));
         }
         group.run(5_000);
         assert!(!group.replica(old).expect("it runs").is_leader());
@@ -225,10 +236,10 @@
 }
 
 #[test]
-fn leadership_moves_within_a_fraction_of_an_election_when_it_is_handed_over() {
+fn a_leadership_transfer_is_faster_than_an_election() {
     for seed in 0..seeds() {
         println!("seed {seed}");
-        let mut group = Group::new(seed, 3, CALM);
+        let mut group = Group::new(seed, 3, HEALTHY);
         group.run(5_000);
         let old = group.leader().expect("a leader");
         group.transfer(old);
@@ -239,40 +250,40 @@
 }
 
 #[test]
-fn a_replica_applies_what_it_knew_to_be_committed_before_there_is_a_leader() {
-    let mut group = Group::new(3, 3, CALM);
+fn a_restarted_replica_applies_its_committed_entries_before_there_is_a_leader() {
+    let mut group = Group::new(3, 3, HEALTHY);
     group.run(5_000);
     let leader = group.leader().expect("a leader");
     group.propose(leader, &[9]);
     group.run(1_000);
-    (0..3).for_each(|place| group.stop(place));
+    (0..3).for_each(|host| group.stop(host));
     group.start(1);
     assert_eq!(group.state(1), &[9]);
     assert!(group.leader().is_none());
 }
 
-/// One course with every kind of fault, change and read; the checksum over all that the replicas wanted done.
-fn trace_of_course(seed: u64) -> u32 {
+/// A run with every kind of fault, change and read; the checksum over all outputs of the replicas.
+fn run_trace(seed: u64) -> u32 {
     const SIZE: usize = 6;
-    let (mut group, mut taken) = (Group::new(seed, SIZE, ROUGH), Taken::default());
+    let (mut group, mut accepted) = (Group::new(seed, SIZE, ADVERSE), AcceptedCommands::default());
     for step in 0..150 {
-        let place = group.random.usize(..SIZE);
+        let host = group.random.usize(..SIZE);
         match group.random.u8(..14) {
-            0 if step % 2 == 0 => group.stop(place),
-            0..=3 => (0..SIZE).for_each(|place| group.start(place)),
+            0 if step % 2 == 0 => group.stop(host),
+            0..=3 => (0..SIZE).for_each(|host| group.start(host)),
             4 => {
                 let to = group.random.usize(..SIZE);
-                group.cuts.insert((place, to));
+                group.partitions.insert((host, to));
             }
-            5 => group.cuts.clear(),
-            6 => group.stall_disk(place, 800),
-            7 => group.transfer(group.leader().unwrap_or(place)),
+            5 => group.partitions.clear(),
+            6 => group.stall_disk(host, 800),
+            7 => group.transfer(group.leader().unwrap_or(host)),
             8 if step % 4 == 0 => {
-                group.wipe(place);
-                group.start(place);
+                group.lose_disk(host);
+                group.start(host);
             }
-            8 | 9 => group.read(group.leader().unwrap_or(place), step),
-            _ => taken.propose(&mut group),
+            8 | 9 => group.read(group.leader().unwrap_or(host), step),
+            _ => accepted.propose(&mut group),
         }
         let time = group.random.u64(20..600);
         group.run(time);
@@ -280,12 +291,12 @@
     group.trace()
 }
 
-/// The decisions of the replicas, their order and their draws, as they were when these checksums were taken.
+/// Pins the decisions of the replicas, their order and their random draws.
 #[test]
-fn each_course_has_the_outputs_that_it_had() {
+fn recorded_runs_have_the_same_outputs() {
     const TRACES: [u32; 8] = [
         1605864060, 4033664841, 3564011847, 442339125, 519440317, 4082559295, 2547960029, 210885475,
     ];
-    let traces: Vec<u32> = (0..TRACES.len() as u64).map(trace_of_course).collect();
+    let traces: Vec<u32> = (0..TRACES.len() as u64).map(run_trace).collect();
     assert_eq!(traces, TRACES);
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A group of replicas in virtual time: network, disks, kills and lost disks, with the oracles of the log.
+//! A group of replicas in virtual time: a network, disks, crashes and lost disks, with checks of what Raft guarantees.
 
 use nanoserde::SerBin;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -18,72 +18,82 @@
 };
 const TICK: u64 = 50;
 
-/// What the network and the disks do, in parts of 100 and in milliseconds.
+/// The faults of the network and the disks, in percent and in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
-    pub lost: u8,
-    pub doubled: u8,
-    pub delay: u64,
-    pub sync: u64,
+pub struct Conditions {
+    pub loss_percent: u8,
+    pub duplication_percent: u8,
+    pub max_delay: u64,
+    pub max_sync: u64,
 }
 
-pub const CALM: Weather = Weather {
-    lost: 0,
-    doubled: 0,
-    delay: 5,
-    sync: 2,
+pub const HEALTHY: Conditions = Conditions {
+    loss_percent: 0,
+    duplication_percent: 0,
+    max_delay: 5,
+    max_sync: 2,
 };
-pub const ROUGH: Weather = Weather {
-    lost: 10,
-    doubled: 5,
-    delay: 150,
-    sync: 40,
+pub const ADVERSE: Conditions = Conditions {
+    loss_percent: 10,
+    duplication_percent: 5,
+    max_delay: 150,
+    max_sync: 40,
 };
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Deliver(usize, u64, usize),
-    Synced(usize, u64, u64),
+enum Event {
+    /// A message arrives at a machine, if that still runs the same incarnation.
+    Deliver {
+        host: usize,
+        incarnation: u64,
+        message: usize,
+    },
+    /// A machine has synced its records up to a sequence number.
+    Synced {
+        host: usize,
+        incarnation: u64,
+        sequence: u64,
+    },
 }
 
 struct Machine {
     replica: Option<Replica>,
-    /// What a loss of power leaves.
+    /// What a power loss leaves.
     disk: DurableState,
-    /// Written and not synced.
+    /// Records that are written and not synced.
     pending: Vec<(u64, Record)>,
     incarnation: u64,
     applied: Vec<Entry>,
     /// The state machine: the commands applied so far, as its snapshot holds them.
     state: Vec<u8>,
     state_index: u64,
-    disk_stalls_until: u64,
+    disk_stalled_until: u64,
 }
 
 /// The group.
 pub struct Group {
     pub now: u64,
     pub random: fastrand::Rng,
-    pub weather: Weather,
+    pub conditions: Conditions,
     machines: Vec<Machine>,
     messages: Vec<Message>,
-    due: BinaryHeap<std::cmp::Reverse<(u64, u64, Due)>>,
+    events: BinaryHeap<std::cmp::Reverse<(u64, u64, Event)>>,
     sequence: u64,
-    /// Pairs between which nothing passes, in this direction.
-    pub cuts: BTreeSet<(usize, usize)>,
+    /// Pairs of machines between which no messages pass, in this direction.
+    pub partitions: BTreeSet<(usize, usize)>,
     leaders: BTreeMap<u64, ReplicaId>,
     /// The committed entry of each position, as the first replica applied it.
     committed: BTreeMap<u64, Entry>,
     next_id: ReplicaId,
-    /// Over all outputs of all replicas, in their order.
+    /// The checksum over all outputs of all replicas, in their order.
     trace: crc32fast::Hasher,
 }
 
 impl Group {
     /// A group that is founded by its first three machines; the others join.
-    pub fn new(seed: u64, machines: usize, weather: Weather) -> Self {
+    pub fn new(seed: u64, machines: usize, conditions: Conditions) -> Self {
         let founders: Vec<Member> = (0..3.min(machines))
-            .map(|place| member(place as u64 + 1, place))
+            .map(|host| member(host as u64 + 1, host))
             .collect();
         let founding = Snapshot {
             index: 1,
@@ -91,128 +101,128 @@
             membership: Membership::new(founders),
             state: Vec::new(),
         };
-        let machine = |place: usize| {
-            let snapshot = if place < 3 {
+        let machine = |host: usize| {
+            let snapshot = if host < 3 {
                 founding.clone()
             } else {
                 Snapshot::default()
             };
             Machine {
                 replica: None,
-                disk: DurableState::new(place as u64 + 1, snapshot),
+                disk: DurableState::new(host as u64 + 1, snapshot),
                 pending: Vec::new(),
                 incarnation: 0,
                 applied: Vec::new(),
                 state: Vec::new(),
                 state_index: 0,
-                disk_stalls_until: 0,
+                disk_stalled_until: 0,
             }
         };
         let mut group = Self {
             now: 0,
             random: fastrand::Rng::with_seed(seed),
-            weather,
+            conditions,
             machines: (0..machines).map(machine).collect(),
             messages: Vec::new(),
-            due: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             sequence: 0,
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
             next_id: 1_000,
             trace: crc32fast::Hasher::new(),
         };
-        (0..machines).for_each(|place| group.start(place));
+        (0..machines).for_each(|host| group.start(host));
         group
     }
 
-    pub fn start(&mut self, place: usize) {
+    pub fn start(&mut self, host: usize) {
         let seed = self.random.u64(..);
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[host];
         if machine.replica.is_some() {
             return;
         }
         machine.incarnation += 1;
         (machine.state, machine.state_index, machine.applied) = Default::default();
         machine.replica = Some(Replica::new(machine.disk.clone(), SETTINGS, self.now, seed));
-        self.settle(place);
+        self.process_outputs(host);
     }
 
     /// The process ends. What it wrote and did not sync is there, or partly, as after a loss of power.
-    pub fn stop(&mut self, place: usize) {
-        let kept = self.random.usize(..=self.machines[place].pending.len());
-        let machine = &mut self.machines[place];
+    pub fn stop(&mut self, host: usize) {
+        let survivors = self.random.usize(..=self.machines[host].pending.len());
+        let machine = &mut self.machines[host];
         machine.replica = None;
         // Reading stops at the first record that is missing or torn.
-        for (_, record) in machine.pending.drain(..).take(kept) {
+        for (_, record) in machine.pending.drain(..).take(survivors) {
             machine.disk.apply_record(&record);
         }
     }
 
     /// The process ends and its disk is lost: it comes back under a new identity.
-    pub fn wipe(&mut self, place: usize) {
-        self.stop(place);
+    pub fn lose_disk(&mut self, host: usize) {
+        self.stop(host);
         self.next_id += 1;
-        self.machines[place].disk = DurableState::new(self.next_id, Snapshot::default());
+        self.machines[host].disk = DurableState::new(self.next_id, Snapshot::default());
     }
 
-    pub fn stall_disk(&mut self, place: usize, time: u64) {
-        self.machines[place].disk_stalls_until = self.now + time;
+    pub fn stall_disk(&mut self, host: usize, time: u64) {
+        self.machines[host].disk_stalled_until = self.now + time;
     }
 
     pub fn len(&self) -> usize {
         self.machines.len()
     }
 
-    pub fn replica(&self, place: usize) -> Option<&Replica> {
-        self.machines[place].replica.as_ref()
+    pub fn replica(&self, host: usize) -> Option<&Replica> {
+        self.machines[host].replica.as_ref()
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |place: &usize| self.replica(*place).is_some_and(Replica::is_leader);
+        let leads = |host: &usize| self.replica(*host).is_some_and(Replica::is_leader);
         let leaders = (0..self.len()).filter(leads);
-        leaders.max_by_key(|place| self.replica(*place).map(Replica::term))
+        leaders.max_by_key(|host| self.replica(*host).map(Replica::term))
     }
 
     /// Proposes a command at a machine; whether it took it.
-    pub fn propose(&mut self, place: usize, command: &[u8]) -> Option<LogPosition> {
-        let position = self.machines[place]
+    pub fn propose(&mut self, host: usize, command: &[u8]) -> Option<LogPosition> {
+        let position = self.machines[host]
             .replica
             .as_mut()?
             .propose(command.to_vec())
             .ok();
-        self.settle(place);
+        self.process_outputs(host);
         position
     }
 
-    pub fn transfer(&mut self, place: usize) {
-        self.machines[place]
+    pub fn transfer(&mut self, host: usize) {
+        self.machines[host]
             .replica
             .as_mut()
             .into_iter()
             .for_each(Replica::transfer_leadership);
-        self.settle(place);
+        self.process_outputs(host);
     }
 
-    pub fn read(&mut self, place: usize, number: u64) {
-        self.machines[place]
+    pub fn read(&mut self, host: usize, number: u64) {
+        self.machines[host]
             .replica
             .as_mut()
             .into_iter()
             .for_each(|replica| replica.request_read(number));
-        self.settle(place);
+        self.process_outputs(host);
     }
 
-    /// Whether the entry at a position was committed in this term.
-    pub fn is_committed(&self, index: u64, term: u64) -> bool {
+    /// Whether the entry at this position was committed.
+    pub fn is_committed(&self, position: LogPosition) -> bool {
         self.committed
-            .get(&index)
-            .is_some_and(|entry| entry.term == term)
+            .get(&position.index)
+            .is_some_and(|entry| entry.term == position.term)
     }
 
     /// The commands that a machine has applied, in order, as its state machine holds them.
-    pub fn state(&self, place: usize) -> &[u8] {
-        &self.machines[place].state
+    pub fn state(&self, host: usize) -> &[u8] {
+        &self.machines[host].state
     }
 
     /// Lets time pass.
@@ -221,55 +231,63 @@
         while self.now < end {
             let next_tick = self.now + TICK - self.now % TICK;
             while self
-                .due
+                .events
                 .peek()
                 .is_some_and(|std::cmp::Reverse((at, _, _))| *at <= next_tick)
             {
-                let Some(std::cmp::Reverse((at, _, due))) = self.due.pop() else {
+                let Some(std::cmp::Reverse((at, _, event))) = self.events.pop() else {
                     break;
                 };
                 self.now = self.now.max(at);
-                self.happen(due);
+                self.handle_event(event);
             }
             self.now = next_tick;
-            for place in 0..self.len() {
-                self.tick(place);
+            for host in 0..self.len() {
+                self.tick(host);
             }
         }
     }
 
-    fn tick(&mut self, place: usize) {
+    fn tick(&mut self, host: usize) {
         let now = self.now;
-        let Some(replica) = self.machines[place].replica.as_mut() else {
+        let Some(replica) = self.machines[host].replica.as_mut() else {
             return;
         };
         replica.tick(now);
-        let joining = replica.should_join().then(|| member(replica.id(), place));
-        self.settle(place);
-        if let Some(joining) = joining.filter(|_| now.is_multiple_of(500)) {
+        let join_request = replica.should_join().then(|| member(replica.id(), host));
+        self.process_outputs(host);
+        if let Some(join_request) = join_request.filter(|_| now.is_multiple_of(500)) {
             for other in 0..self.len() {
                 if let Some(replica) = self.machines[other].replica.as_mut() {
-                    replica.add_learner(joining.clone());
-                    self.settle(other);
+                    replica.add_learner(join_request.clone());
+                    self.process_outputs(other);
                 }
             }
         }
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Deliver(place, incarnation, message) => {
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Deliver {
+                host,
+                incarnation,
+                message,
+            } => {
                 let now = self.now;
-                let machine = &mut self.machines[place];
+                let machine = &mut self.machines[host];
                 if machine.incarnation == incarnation
                     && let Some(replica) = machine.replica.as_mut()
                 {
                     replica.handle_message(now, self.messages[message].clone());
-                    self.settle(place);
+                    self.process_outputs(host);
                 }
             }
-            Due::Synced(place, incarnation, sequence) => {
-                let machine = &mut self.machines[place];
+            Event::Synced {
+                host,
+                incarnation,
+                sequence,
+            } => {
+                let machine = &mut self.machines[host];
                 if machine.incarnation != incarnation || machine.replica.is_none() {
                     return;
                 }
@@ -284,36 +302,36 @@
                 if let Some(replica) = machine.replica.as_mut() {
                     replica.handle_persisted(sequence);
                 }
-                self.settle(place);
+                self.process_outputs(host);
             }
         }
     }
 
-    fn schedule(&mut self, after: u64, due: Due) {
+    fn schedule(&mut self, after: u64, event: Event) {
         self.sequence += 1;
-        self.due
-            .push(std::cmp::Reverse((self.now + after, self.sequence, due)));
+        self.events
+            .push(std::cmp::Reverse((self.now + after, self.sequence, event)));
     }
 
-    fn settle(&mut self, place: usize) {
+    fn process_outputs(&mut self, host: usize) {
         loop {
-            let Some(replica) = self.machines[place].replica.as_mut() else {
+            let Some(replica) = self.machines[host].replica.as_mut() else {
                 return;
             };
             let outputs = replica.take_outputs();
-            self.note_leader(place);
+            self.check_single_leader(host);
             if outputs.is_empty() {
                 return;
             }
             outputs
                 .into_iter()
-                .for_each(|output| self.carry_out(place, output));
-            self.compact(place);
+                .for_each(|output| self.execute(host, output));
+            self.compact(host);
         }
     }
 
-    fn note_leader(&mut self, place: usize) {
-        let Some(replica) = self.machines[place]
+    fn check_single_leader(&mut self, host: usize) {
+        let Some(replica) = self.machines[host]
             .replica
             .as_ref()
             .filter(|replica| replica.is_leader())
@@ -329,7 +347,7 @@
         );
     }
 
-    fn record(&mut self, place: usize, output: &Output) {
+    fn trace_output(&mut self, host: usize, output: &Output) {
         let (kind, bytes) = match output {
             Output::Persist { sequence, record } => {
                 (0, (*sequence, record.clone()).serialize_bin())
@@ -341,7 +359,7 @@
             Output::ReadFailed { read_id } => (5, read_id.serialize_bin()),
         };
         self.trace.update(&self.now.to_le_bytes());
-        self.trace.update(&[place as u8, kind]);
+        self.trace.update(&[host as u8, kind]);
         self.trace.update(&bytes);
     }
 
@@ -350,23 +368,30 @@
         self.trace.clone().finalize()
     }
 
-    fn carry_out(&mut self, place: usize, output: Output) {
-        self.record(place, &output);
+    fn execute(&mut self, host: usize, output: Output) {
+        self.trace_output(host, &output);
         match output {
             Output::Persist { sequence, record } => {
-                let stall = self.machines[place]
-                    .disk_stalls_until
+                let stall = self.machines[host]
+                    .disk_stalled_until
                     .saturating_sub(self.now);
-                let after = stall + self.random.u64(1..=self.weather.sync);
-                let machine = &mut self.machines[place];
+                let after = stall + self.random.u64(1..=self.conditions.max_sync);
+                let machine = &mut self.machines[host];
                 machine.pending.push((sequence, record));
                 let incarnation = machine.incarnation;
-                self.schedule(after, Due::Synced(place, incarnation, sequence));
+                self.schedule(
+                    after,
+                    Event::Synced {
+                        host,
+                        incarnation,
+                        sequence,
+                    },
+                );
             }
-            Output::Send(message) => self.send(place, message),
-            Output::Apply(entry) => self.apply(place, entry),
+            Output::Send(message) => self.send(host, message),
+            Output::Apply(entry) => self.apply(host, entry),
             Output::Restore(snapshot) => {
-                let machine = &mut self.machines[place];
+                let machine = &mut self.machines[host];
                 assert!(
                     snapshot.index >= machine.state_index,
                     "a state machine went back"
@@ -379,25 +404,35 @@
     }
 
     fn send(&mut self, from: usize, message: Message) {
-        let of = |machine: &Machine| machine.replica.as_ref().map(Replica::id) == Some(message.to);
-        let Some(to) = self.machines.iter().position(of) else {
+        let is_receiver =
+            |machine: &Machine| machine.replica.as_ref().map(Replica::id) == Some(message.to);
+        let Some(to) = self.machines.iter().position(is_receiver) else {
             return;
         };
         let percent = self.random.u8(..100);
-        if self.cuts.contains(&(from, to)) || percent < self.weather.lost {
+        if self.partitions.contains(&(from, to)) || percent < self.conditions.loss_percent {
             return;
         }
-        let copies = 1 + usize::from(percent < self.weather.lost + self.weather.doubled);
+        let deliveries = 1 + usize::from(
+            percent < self.conditions.loss_percent + self.conditions.duplication_percent,
+        );
         self.messages.push(message);
         let number = self.messages.len() - 1;
-        for _ in 0..copies {
-            let after = self.random.u64(1..=self.weather.delay);
+        for _ in 0..deliveries {
+            let after = self.random.u64(1..=self.conditions.max_delay);
             let incarnation = self.machines[to].incarnation;
-            self.schedule(after, Due::Deliver(to, incarnation, number));
+            self.schedule(
+                after,
+                Event::Deliver {
+                    host: to,
+                    incarnation,
+                    message: number,
+                },
+            );
         }
     }
 
-    fn apply(&mut self, place: usize, entry: Entry) {
+    fn apply(&mut self, host: usize, entry: Entry) {
         let first = self
             .committed
             .entry(entry.index)
@@ -407,7 +442,7 @@
             "two replicas applied different entries at {}",
             entry.index
         );
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[host];
         assert_eq!(
             entry.index,
             machine.state_index + 1,
@@ -420,9 +455,9 @@
         machine.applied.push(entry);
     }
 
-    fn compact(&mut self, place: usize) {
+    fn compact(&mut self, host: usize) {
         const ENTRIES: usize = 40;
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[host];
         let Some(replica) = machine.replica.as_mut() else {
             return;
         };
@@ -432,9 +467,9 @@
     }
 }
 
-pub fn member(id: ReplicaId, place: usize) -> Member {
+pub fn member(id: ReplicaId, host: usize) -> Member {
     Member {
         id,
-        address: format!("machine-{place}"),
+        address: format!("machine-{host}"),
     }
 }
--- a/crates/consensus/tests/voters.rs
+++ b/crates/consensus/tests/voter_selection.rs
@@ -8,9 +8,9 @@
 };
 
 const REGIONS: u8 = 3;
-const MOST: usize = 9;
+const MAX_CANDIDATES: usize = 9;
 
-fn candidate(id: ReplicaId, zone: u8, presence: Liveness, is_voter: bool) -> VoterCandidate {
+fn candidate(id: ReplicaId, zone: u8, liveness: Liveness, is_voter: bool) -> VoterCandidate {
     VoterCandidate {
         member: Member {
             id,
@@ -20,7 +20,7 @@
             zone: format!("zone-{zone}"),
             region: format!("region-{}", zone % REGIONS),
         }),
-        liveness: presence,
+        liveness,
         is_voter,
         is_leader: false,
     }
@@ -28,19 +28,22 @@
 
 /// Drawn candidates; learners are always there, and the last one leads.
 fn groups() -> impl Strategy<Value = Vec<VoterCandidate>> {
-    let presences = prop_oneof![
+    let livenesses = prop_oneof![
         4 => Just(Liveness::Live),
         1 => Just(Liveness::Unresponsive),
         1 => Just(Liveness::Lost)
     ];
-    let drawn = prop::collection::vec((0..2 * REGIONS, presences, any::<bool>()), 1..MOST);
+    let drawn = prop::collection::vec(
+        (0..2 * REGIONS, livenesses, any::<bool>()),
+        1..MAX_CANDIDATES,
+    );
     drawn.prop_map(|drawn| {
         let mut group: Vec<VoterCandidate> = drawn
             .into_iter()
             .enumerate()
-            .map(|(number, (zone, presence, is_voter))| {
-                let presence = if is_voter { presence } else { Liveness::Live };
-                candidate(number as u64 + 1, zone, presence, is_voter)
+            .map(|(number, (zone, liveness, is_voter))| {
+                let liveness = if is_voter { liveness } else { Liveness::Live };
+                candidate(number as u64 + 1, zone, liveness, is_voter)
             })
             .collect();
         // The last one: nothing but leading keeps its vote.
@@ -55,8 +58,8 @@
     voters.iter().map(|voter| voter.id).collect()
 }
 
-fn choose(group: &[VoterCandidate], least: usize) -> BTreeSet<ReplicaId> {
-    ids(&choose_voters(group, least))
+fn choose(group: &[VoterCandidate], min_voters: usize) -> BTreeSet<ReplicaId> {
+    ids(&choose_voters(group, min_voters))
 }
 
 fn leader_of(group: &[VoterCandidate]) -> ReplicaId {
@@ -113,18 +116,18 @@
     #![proptest_config(ProptestConfig { cases: 2_000, max_global_rejects: 20_000, rng_seed: RngSeed::Fixed(51), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_choice_stands_once_it_is_made(group in groups(), least in 1usize..6) {
+    fn the_choice_is_stable(group in groups(), min_voters in 1usize..6) {
         // Absent voters are replaced first; an even number, a lost voter or a bad place is mended by a change of its own.
         const CHANGES: usize = 3;
-        let next = |group: &[VoterCandidate]| with_voters(group, &choose(group, least));
-        let settled = (0..CHANGES).fold(group, |group, _| next(&group));
-        let voters: BTreeSet<ReplicaId> = ids(&voters_of(&settled));
-        prop_assert_eq!(choose(&settled, least), voters);
+        let next = |group: &[VoterCandidate]| with_voters(group, &choose(group, min_voters));
+        let stable = (0..CHANGES).fold(group, |group, _| next(&group));
+        let voters: BTreeSet<ReplicaId> = ids(&voters_of(&stable));
+        prop_assert_eq!(choose(&stable, min_voters), voters);
     }
 
     #[test]
-    fn the_leader_stays_and_no_live_vote_is_given_up_for_an_absent_one(group in groups(), least in 1usize..6) {
-        let chosen = choose(&group, least);
+    fn the_leader_stays_and_no_live_voter_is_replaced_by_an_absent_one(group in groups(), min_voters in 1usize..6) {
+        let chosen = choose(&group, min_voters);
         let current: BTreeSet<ReplicaId> =
             group.iter().filter(|candidate| candidate.is_voter).map(|candidate| candidate.member.id).collect();
         prop_assert!(chosen.contains(&leader_of(&group)));
@@ -134,46 +137,46 @@
     }
 
     #[test]
-    fn where_all_are_there_the_number_is_odd_and_no_region_decides_if_that_can_be(
+    fn with_all_live_the_number_is_odd_and_no_region_has_a_majority_if_possible(
         group in groups(),
-        least in 1usize..6,
+        min_voters in 1usize..6,
     ) {
         let group: Vec<VoterCandidate> =
             group.into_iter().map(|candidate| VoterCandidate { liveness: Liveness::Live, ..candidate }).collect();
         let voters = group.iter().filter(|candidate| candidate.is_voter).count();
-        prop_assume!(voters >= 3 && voters >= least && group.len() >= least);
-        let chosen = choose(&group, least);
-        prop_assert!(chosen.len() >= least.min(voters));
-        if (least..=group.len().min(7)).any(|size| size % 2 == 1) {
+        prop_assume!(voters >= 3 && voters >= min_voters && group.len() >= min_voters);
+        let chosen = choose(&group, min_voters);
+        prop_assert!(chosen.len() >= min_voters.min(voters));
+        if (min_voters..=group.len().min(7)).any(|size| size % 2 == 1) {
             prop_assert_eq!(chosen.len() % 2, 1);
         }
         let leader = leader_of(&group);
         // By brute force: any odd number of three or more with the leader that bears the loss of a region.
-        let can_bear = (0u32..1 << group.len()).any(|subset| {
+        let can_survive = (0u32..1 << group.len()).any(|subset| {
             let subset: BTreeSet<ReplicaId> =
                 group.iter().map(|candidate| candidate.member.id).filter(|id| subset >> (id - 1) & 1 == 1).collect();
             let size = subset.len();
-            subset.contains(&leader) && size % 2 == 1 && size >= least.max(3) && size <= 7 && !has_majority_region(&group, &subset)
+            subset.contains(&leader) && size % 2 == 1 && size >= min_voters.max(3) && size <= 7 && !has_majority_region(&group, &subset)
         });
-        if can_bear {
+        if can_survive {
             prop_assert!(!has_majority_region(&group, &chosen), "{chosen:?}");
         }
     }
 
     #[test]
-    fn a_group_shrinks_only_by_lost_members_or_for_a_better_place(group in groups(), least in 1usize..6) {
-        let chosen = choose(&group, least);
+    fn a_group_shrinks_only_by_lost_members_or_for_a_better_placement(group in groups(), min_voters in 1usize..6) {
+        let chosen = choose(&group, min_voters);
         let voters: Vec<&VoterCandidate> = group.iter().filter(|candidate| candidate.is_voter).collect();
         if chosen.len() < voters.len() {
-            let is_silent = |candidate: &&VoterCandidate| candidate.liveness == Liveness::Unresponsive;
-            prop_assert!(!voters.iter().any(is_silent), "a vote was taken too soon");
-            prop_assert!(chosen.len() >= least);
+            let is_unresponsive = |candidate: &&VoterCandidate| candidate.liveness == Liveness::Unresponsive;
+            prop_assert!(!voters.iter().any(is_unresponsive), "a vote was taken too soon");
+            prop_assert!(chosen.len() >= min_voters);
         }
     }
 }
 
 #[test]
-fn of_six_machines_in_three_regions_five_vote_and_no_region_has_more_than_two() {
+fn five_of_six_machines_in_three_regions_vote_and_no_region_has_a_majority() {
     let group: Vec<VoterCandidate> = (0..6)
         .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 3))
         .collect();
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn the_sixth_takes_the_vote_of_one_that_falls_silent() {
+fn a_live_candidate_replaces_an_unresponsive_voter() {
     let mut group: Vec<VoterCandidate> = (0..6)
         .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 5))
         .collect();
@@ -192,7 +195,7 @@
 }
 
 #[test]
-fn nobody_loses_a_vote_for_a_better_place_while_the_place_of_another_voter_is_not_known() {
+fn no_voter_is_replaced_for_placement_while_another_domain_is_unknown() {
     // The first five vote; the sixth would spread them better if the third were anywhere else.
     let mut group: Vec<VoterCandidate> = (0..6)
         .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 5))
@@ -202,16 +205,16 @@
 }
 
 /// Drawn groups of every size, some with replicas whose place is not known.
-fn drawn_group(random: &mut fastrand::Rng) -> Vec<VoterCandidate> {
-    let mut group: Vec<VoterCandidate> = (1..=random.u64(1..MOST as u64))
+fn random_group(random: &mut fastrand::Rng) -> Vec<VoterCandidate> {
+    let mut group: Vec<VoterCandidate> = (1..=random.u64(1..MAX_CANDIDATES as u64))
         .map(|id| {
-            let presence = [
+            let liveness = [
                 Liveness::Live,
                 Liveness::Live,
                 Liveness::Unresponsive,
                 Liveness::Lost,
             ][random.usize(..4)];
-            let mut candidate = candidate(id, random.u8(..2 * REGIONS), presence, random.bool());
+            let mut candidate = candidate(id, random.u8(..2 * REGIONS), liveness, random.bool());
             if random.u8(..10) == 0 {
                 candidate.failure_domain = None;
             }
@@ -229,15 +232,15 @@
 
 /// The choices and their order, as they were when this checksum was taken.
 #[test]
-fn each_drawn_group_has_the_voters_that_it_had() {
+fn recorded_groups_have_the_same_voters() {
     const GROUPS: usize = 5_000;
     const CHECKSUM: u32 = 702_419_999;
     let mut random = fastrand::Rng::with_seed(7);
     let mut checksum = crc32fast::Hasher::new();
     for _ in 0..GROUPS {
-        let group = drawn_group(&mut random);
-        let least = random.usize(1..6);
-        for voter in choose_voters(&group, least) {
+        let group = random_group(&mut random);
+        let min_voters = random.usize(1..6);
+        for voter in choose_voters(&group, min_voters) {
             checksum.update(&voter.id.to_le_bytes());
         }
         checksum.update(&[0]);
