--- a/crates/control-simulation/src/disk.rs
+++ b/crates/control-simulation/src/disk.rs
@@ -56,7 +56,7 @@
     /// If the storage cannot initialize an empty medium.
     pub fn new(initial: DurableState) -> Self {
         let mut storage =
-            Storage::read(SimulatedMedium::empty()).expect("an empty medium can be read");
+            Storage::load(SimulatedMedium::empty()).expect("an empty medium can be read");
         storage
             .initialize(initial.clone())
             .expect("an initial state fits");
@@ -156,7 +156,7 @@
         self.clear_faults();
         let mut medium = std::mem::take(self.storage.medium());
         medium.lose_power(random);
-        self.storage = Storage::read(medium).expect("what was synced can be read");
+        self.storage = Storage::load(medium).expect("what was synced can be read");
         self.synced = self
             .storage
             .state()
--- a/crates/control-simulation/src/medium.rs
+++ b/crates/control-simulation/src/medium.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 use std::path::PathBuf;
-use woadstall_storage::{Medium, SEGMENT_BYTES, SEGMENTS};
+use woadstall_storage::{SEGMENT_BYTES, SEGMENT_COUNT, StorageMedium};
 
 /// The unit of a disk, in bytes, that is written as a whole or not at all.
 const SECTOR_BYTES: usize = 512;
@@ -32,7 +32,7 @@
 impl SimulatedMedium {
     /// An empty disk.
     pub fn empty() -> Self {
-        let files = vec![Vec::new(); SEGMENTS];
+        let files = vec![Vec::new(); SEGMENT_COUNT];
         Self {
             visible: files.clone(),
             durable: files,
@@ -104,8 +104,8 @@
     }
 }
 
-impl Medium for SimulatedMedium {
-    fn read(&self, file: usize, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
+impl StorageMedium for SimulatedMedium {
+    fn read_at(&self, file: usize, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
         let offset = usize::try_from(offset).unwrap_or(usize::MAX);
         let rest = self.visible[file].get(offset..).unwrap_or_default();
         let length = rest.len().min(buffer.len());
@@ -113,7 +113,7 @@
         Ok(length)
     }
 
-    fn write(&mut self, file: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write_at(&mut self, file: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
         assert!(
             offset + bytes.len() as u64 <= SEGMENT_BYTES,
             "write beyond the end of a segment file"
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    fn name(&self, file: usize) -> PathBuf {
+    fn path(&self, file: usize) -> PathBuf {
         PathBuf::from(format!("segment-{file}"))
     }
 }
--- a/crates/node/src/core/error.rs
+++ b/crates/node/src/core/error.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SetupError;
 use thiserror::Error;
-use woadstall_storage::StorageError;
+use woadstall_storage::{OpenError, WriteError};
 
 /// A core process can't run.
 #[derive(Debug, Error)]
@@ -12,7 +12,10 @@
     MissingSetting(&'static str),
     /// The storage of the replicated log can't be opened.
     #[error("storage: {0}")]
-    Storage(#[from] StorageError),
+    OpenStorage(#[from] OpenError),
+    /// The first state of the replica can't be stored.
+    #[error("storage: {0}")]
+    InitializeStorage(#[from] WriteError),
     /// The operating system refused a socket, a signal handler or the runtime.
     #[error(transparent)]
     Setup(#[from] SetupError),
--- /dev/null
+++ b/crates/storage/src/segment/mod.rs
@@ -0,0 +1,10 @@
+//! One file of the ring: its format, its writer and its reader.
+
+mod header;
+mod reader;
+mod record;
+mod writer;
+
+pub(crate) use header::{FORMAT_VERSION, SegmentHeader};
+pub(crate) use reader::SegmentReader;
+pub(crate) use writer::SegmentWriter;
--- /dev/null
+++ b/crates/storage/src/segment/writer.rs
@@ -0,0 +1,87 @@
+//! Writes a segment.
+
+use super::header::SegmentHeader;
+use super::record::{RecordPrefix, SegmentRecord};
+use crate::SEGMENT_BYTES;
+use crate::error::MediumError;
+use crate::medium::StorageMedium;
+use nanoserde::SerBin;
+use std::io;
+use woadstall_consensus::{DurableState, Record};
+
+/// A segment that is being written.
+#[derive(Debug)]
+pub(crate) struct SegmentWriter {
+    /// The number of the file in the ring.
+    file: usize,
+    sequence: u64,
+    /// The end of what is written, in bytes.
+    offset: u64,
+}
+
+impl SegmentWriter {
+    /// A segment of which nothing is written yet.
+    pub fn new(file: usize, sequence: u64) -> Self {
+        Self {
+            file,
+            sequence,
+            offset: 0,
+        }
+    }
+
+    /// Encodes the header and a checkpoint of the state, which begin the segment.
+    pub fn encode_checkpoint(&self, state: &DurableState) -> Vec<u8> {
+        let mut bytes = SegmentHeader::encode(self.sequence);
+        let start = SegmentRecord::CheckpointStart {
+            id: state.id,
+            term: state.term,
+            voted_for: state.voted_for,
+            commit_index: state.commit_index,
+            snapshot: state.log.snapshot().clone(),
+        };
+        let entries = SegmentRecord::CheckpointEntries(state.log.entries().to_vec());
+        for record in [start, entries, SegmentRecord::CheckpointEnd] {
+            self.encode(&record, &mut bytes);
+        }
+        bytes
+    }
+
+    /// Encodes records that follow on what is written.
+    pub fn encode_updates(&self, records: &[Record]) -> Vec<u8> {
+        let mut bytes = Vec::new();
+        for record in records {
+            self.encode(&SegmentRecord::Update(record.clone()), &mut bytes);
+        }
+        bytes
+    }
+
+    /// Encodes a record after `bytes`, which will be written next.
+    fn encode(&self, record: &SegmentRecord, bytes: &mut Vec<u8>) {
+        let payload = record.serialize_bin();
+        let offset = self.offset + bytes.len() as u64;
+        bytes.extend_from_slice(&RecordPrefix::encode(self.sequence, offset, &payload));
+        bytes.extend_from_slice(&payload);
+    }
+
+    /// Whether so many bytes fit the rest of the file.
+    pub fn fits(&self, bytes: usize) -> bool {
+        self.offset + bytes as u64 <= SEGMENT_BYTES
+    }
+
+    /// Writes bytes after what is written, and waits until they are durable.
+    pub fn append(
+        &mut self,
+        medium: &mut impl StorageMedium,
+        bytes: &[u8],
+    ) -> Result<(), MediumError> {
+        self.write_and_sync(medium, bytes)
+            .map_err(MediumError::at(&medium.path(self.file)))
+    }
+
+    fn write_and_sync(&mut self, medium: &mut impl StorageMedium, bytes: &[u8]) -> io::Result<()> {
+        medium.write_at(self.file, self.offset, bytes)?;
+        medium.sync(self.file)?;
+        self.offset += bytes.len() as u64;
+        Ok(())
+    }
+}
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -4,20 +4,20 @@
 use woadstall_consensus::{
     DurableState, Entry, EntryPayload, Member, Membership, Record, Snapshot,
 };
-use woadstall_storage::{SEGMENT_BYTES, SEGMENTS, Storage};
+use woadstall_storage::{SEGMENT_BYTES, SEGMENT_COUNT, Storage};
 
-/// The bytes of a file of the ring, in hexadecimal; behind them the file holds zeros up to its size.
+/// The bytes of a file of the ring, in hexadecimal; after them the file has zeros up to its size.
 fn golden(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/golden/{name}.hex"));
     std::fs::read_to_string(path).unwrap().trim().to_owned()
 }
 
-fn segment_path(folder: &Path, number: usize) -> PathBuf {
-    folder.join(format!("segment-{number}"))
+fn segment_path(directory: &Path, number: usize) -> PathBuf {
+    directory.join(format!("segment-{number}"))
 }
 
-fn assert_golden(name: &str, folder: &Path, segment: usize) {
-    let content = std::fs::read(segment_path(folder, segment)).unwrap();
+fn assert_golden(name: &str, directory: &Path, segment: usize) {
+    let content = std::fs::read(segment_path(directory, segment)).unwrap();
     assert_eq!(content.len() as u64, SEGMENT_BYTES, "{name}");
     let expected = golden(name);
     let end = content
@@ -32,8 +32,8 @@
     assert_eq!(written, expected, "{name}");
 }
 
-/// Lays a file of the ring out as an earlier process left it.
-fn place_golden(name: &str, folder: &Path, segment: usize) {
+/// Restores a file of the ring as an earlier process has left it.
+fn restore_golden(name: &str, directory: &Path, segment: usize) {
     let text = golden(name);
     assert!(!text.is_empty(), "{name}");
     let mut content: Vec<u8> = (0..text.len())
@@ -41,7 +41,7 @@
         .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
         .collect();
     content.resize(SEGMENT_BYTES as usize, 0);
-    std::fs::write(segment_path(folder, segment), content).unwrap();
+    std::fs::write(segment_path(directory, segment), content).unwrap();
 }
 
 fn member(id: u64) -> Member {
@@ -94,9 +94,9 @@
     ]
 }
 
-/// A segment with an empty checkpoint and every kind of record, then one whose checkpoint holds a snapshot and entries.
-fn write_ring(folder: &Path) {
-    let mut storage = Storage::open(folder).unwrap();
+/// A segment with an empty checkpoint and every kind of record, then one whose checkpoint has a snapshot and entries.
+fn write_ring(directory: &Path) {
+    let mut storage = Storage::open(directory).unwrap();
     storage
         .initialize(DurableState::new(7, founding()))
         .unwrap();
@@ -113,7 +113,7 @@
         .write(&[Record::InstallSnapshot(installed())])
         .unwrap();
     drop(storage);
-    let mut storage = Storage::open(folder).unwrap();
+    let mut storage = Storage::open(directory).unwrap();
     storage.write(&[Record::Commit(4)]).unwrap();
     storage
         .write(&[Record::Term {
@@ -124,20 +124,23 @@
 }
 
 #[test]
-fn the_ring_has_its_bytes() {
-    let folder = tempfile::tempdir().unwrap();
-    write_ring(folder.path());
-    assert_golden("segment-unused", folder.path(), 0);
-    assert_golden("segment-records", folder.path(), 1);
-    assert_golden("segment-checkpoint", folder.path(), 2);
-    assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), SEGMENTS);
+fn files_have_the_recorded_bytes() {
+    let directory = tempfile::tempdir().unwrap();
+    write_ring(directory.path());
+    assert_golden("segment-unused", directory.path(), 0);
+    assert_golden("segment-records", directory.path(), 1);
+    assert_golden("segment-checkpoint", directory.path(), 2);
+    assert_eq!(
+        std::fs::read_dir(directory.path()).unwrap().count(),
+        SEGMENT_COUNT
+    );
 }
 
 #[test]
-fn a_segment_with_every_kind_of_record_is_read_back() {
-    let folder = tempfile::tempdir().unwrap();
-    place_golden("segment-records", folder.path(), 1);
-    let storage = Storage::open(folder.path()).unwrap();
+fn recorded_segments_with_every_kind_of_record_are_read_back() {
+    let directory = tempfile::tempdir().unwrap();
+    restore_golden("segment-records", directory.path(), 1);
+    let storage = Storage::open(directory.path()).unwrap();
     let state = storage.state().unwrap();
     assert_eq!(
         (state.id, state.term, state.voted_for, state.commit_index),
@@ -148,11 +151,11 @@
 }
 
 #[test]
-fn a_checkpoint_of_a_snapshot_and_entries_is_read_back() {
-    let folder = tempfile::tempdir().unwrap();
-    place_golden("segment-records", folder.path(), 1);
-    place_golden("segment-checkpoint", folder.path(), 2);
-    let storage = Storage::open(folder.path()).unwrap();
+fn recorded_checkpoints_are_read_back() {
+    let directory = tempfile::tempdir().unwrap();
+    restore_golden("segment-records", directory.path(), 1);
+    restore_golden("segment-checkpoint", directory.path(), 2);
+    let storage = Storage::open(directory.path()).unwrap();
     let state = storage.state().unwrap();
     assert_eq!(
         (state.id, state.term, state.voted_for, state.commit_index),
--- a/crates/storage/tests/ring.rs
+++ b/crates/storage/tests/ring.rs
@@ -1,11 +1,11 @@
-//! The ring of files under losses of power, damaged bytes and many records.
+//! The ring of files under power loss, corruption and many records.
 
 use rstest::rstest;
 use std::fs::File;
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::Path;
 use woadstall_consensus::{DurableState, Entry, EntryPayload, Record, Snapshot};
-use woadstall_storage::{Storage, StorageError};
+use woadstall_storage::{OpenError, Storage, WriteError};
 
 fn entry(index: u64, bytes: usize) -> Entry {
     Entry {
@@ -19,8 +19,8 @@
     Record::Append(vec![entry(index, 10)])
 }
 
-fn fresh(folder: &Path) -> Storage {
-    let mut storage = Storage::open(folder).unwrap();
+fn initialized_storage(directory: &Path) -> Storage {
+    let mut storage = Storage::open(directory).unwrap();
     assert!(storage.state().is_none());
     storage
         .initialize(DurableState::new(7, Snapshot::default()))
@@ -28,8 +28,8 @@
     storage
 }
 
-fn last_index(folder: &Path) -> u64 {
-    Storage::open(folder)
+fn last_index(directory: &Path) -> u64 {
+    Storage::open(directory)
         .unwrap()
         .state()
         .unwrap()
@@ -37,9 +37,9 @@
         .last_index()
 }
 
-/// Changes bytes of the newest segment, from its end backwards to the last byte that was written.
-fn damage(folder: &Path, back: u64, bytes: &[u8]) {
-    let path = newest_segment(folder);
+/// Overwrites bytes of the newest segment, `back` bytes before the end of what was written.
+fn corrupt_tail(directory: &Path, back: u64, bytes: &[u8]) {
+    let path = newest_segment(directory);
     let mut file = File::options().read(true).write(true).open(path).unwrap();
     let mut content = Vec::new();
     file.read_to_end(&mut content).unwrap();
@@ -48,20 +48,20 @@
     file.write_all(bytes).unwrap();
 }
 
-fn newest_segment(folder: &Path) -> std::path::PathBuf {
+fn newest_segment(directory: &Path) -> std::path::PathBuf {
     const SEQUENCE: std::ops::Range<usize> = 12..20;
     let sequence = |path: &std::path::PathBuf| {
         let content = std::fs::read(path).unwrap();
         u64::from_le_bytes(content[SEQUENCE].try_into().unwrap())
     };
-    let files = (0..3).map(|number| folder.join(format!("segment-{number}")));
+    let files = (0..3).map(|number| directory.join(format!("segment-{number}")));
     files.max_by_key(sequence).unwrap()
 }
 
 #[test]
-fn what_was_written_is_there_again() {
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = fresh(folder.path());
+fn a_restart_finds_what_was_written() {
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = initialized_storage(directory.path());
     storage
         .write(&[
             Record::Term {
@@ -75,7 +75,7 @@
         .write(&[append(2), append(3), Record::Commit(2)])
         .unwrap();
     drop(storage);
-    let storage = Storage::open(folder.path()).unwrap();
+    let storage = Storage::open(directory.path()).unwrap();
     let state = storage.state().unwrap();
     assert_eq!(
         (state.id, state.term, state.voted_for, state.commit_index),
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn an_entry_replaces_those_from_its_position_on() {
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = fresh(folder.path());
+fn an_entry_replaces_all_from_its_index_on() {
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = initialized_storage(directory.path());
     storage.write(&[append(1), append(2), append(3)]).unwrap();
     storage
         .write(&[Record::Append(vec![Entry {
@@ -96,68 +96,68 @@
         }])])
         .unwrap();
     drop(storage);
-    let storage = Storage::open(folder.path()).unwrap();
+    let storage = Storage::open(directory.path()).unwrap();
     let log = &storage.state().unwrap().log;
     assert_eq!((log.last_index(), log.last_term()), (2, 2));
 }
 
 #[rstest]
-#[case::torn(1, &[0])]
-#[case::changed(4, &[0xff])]
-#[case::head_gone(40, &[0; 20])]
-fn a_record_that_does_not_check_ends_the_log_before_it(#[case] back: u64, #[case] bytes: &[u8]) {
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = fresh(folder.path());
+#[case::torn_byte(1, &[0])]
+#[case::changed_bytes(4, &[0xff])]
+#[case::missing_prefix(40, &[0; 20])]
+fn a_corrupt_record_ends_the_log_before_it(#[case] back: u64, #[case] bytes: &[u8]) {
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = initialized_storage(directory.path());
     storage.write(&[append(1)]).unwrap();
     storage.write(&[append(2)]).unwrap();
     drop(storage);
-    damage(folder.path(), back, bytes);
-    assert_eq!(last_index(folder.path()), 1);
+    corrupt_tail(directory.path(), back, bytes);
+    assert_eq!(last_index(directory.path()), 1);
 }
 
 #[test]
-fn a_checkpoint_that_was_not_finished_leaves_the_former_segment_in_force() {
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = fresh(folder.path());
+fn an_incomplete_checkpoint_is_ignored_in_favor_of_the_former_segment() {
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = initialized_storage(directory.path());
     storage.write(&[append(1)]).unwrap();
     drop(storage);
     // The first write after a start begins a segment.
-    let mut storage = Storage::open(folder.path()).unwrap();
+    let mut storage = Storage::open(directory.path()).unwrap();
     storage.write(&[append(2)]).unwrap();
     drop(storage);
-    let path = newest_segment(folder.path());
+    let path = newest_segment(directory.path());
     let mut file = File::options().write(true).open(path).unwrap();
     const WITHIN_THE_CHECKPOINT: u64 = 40;
     file.seek(SeekFrom::Start(WITHIN_THE_CHECKPOINT)).unwrap();
     file.write_all(&[0xaa; 16]).unwrap();
     drop(file);
-    assert_eq!(last_index(folder.path()), 1);
-    // And it can be written again.
-    let mut storage = Storage::open(folder.path()).unwrap();
+    assert_eq!(last_index(directory.path()), 1);
+    // The checkpoint can be written again.
+    let mut storage = Storage::open(directory.path()).unwrap();
     storage.write(&[append(2)]).unwrap();
     drop(storage);
-    assert_eq!(last_index(folder.path()), 2);
+    assert_eq!(last_index(directory.path()), 2);
 }
 
 #[test]
-fn starts_that_write_nothing_lose_nothing() {
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = fresh(folder.path());
+fn restarts_without_writes_lose_nothing() {
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = initialized_storage(directory.path());
     storage.write(&[append(1)]).unwrap();
     drop(storage);
     for round in 2..12 {
-        assert_eq!(last_index(folder.path()), round - 1);
-        let mut storage = Storage::open(folder.path()).unwrap();
+        assert_eq!(last_index(directory.path()), round - 1);
+        let mut storage = Storage::open(directory.path()).unwrap();
         storage.write(&[append(round)]).unwrap();
     }
 }
 
 #[test]
-fn the_ring_goes_round_and_stays_within_its_files() {
+fn the_ring_stays_within_its_preallocated_files() {
     const BYTES: usize = 1 << 20;
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = fresh(folder.path());
-    let before = folder_bytes(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = initialized_storage(directory.path());
+    let before = directory_bytes(directory.path());
     for index in 1..=100 {
         storage
             .write(&[Record::Append(vec![entry(index, BYTES)])])
@@ -173,62 +173,62 @@
         }
     }
     drop(storage);
-    assert_eq!(folder_bytes(folder.path()), before);
+    assert_eq!(directory_bytes(directory.path()), before);
     assert!(before < 128 << 20);
-    let storage = Storage::open(folder.path()).unwrap();
+    let storage = Storage::open(directory.path()).unwrap();
     let log = &storage.state().unwrap().log;
     assert_eq!((log.snapshot().index, log.last_index()), (100, 100));
 }
 
-fn folder_bytes(folder: &Path) -> u64 {
-    let files = std::fs::read_dir(folder).unwrap();
+fn directory_bytes(directory: &Path) -> u64 {
+    let files = std::fs::read_dir(directory).unwrap();
     files
         .map(|file| file.unwrap().metadata().unwrap().len())
         .sum()
 }
 
 #[test]
-fn a_state_that_does_not_fit_is_refused_by_name() {
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = fresh(folder.path());
+fn a_state_that_does_not_fit_is_rejected() {
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = initialized_storage(directory.path());
     let snapshot = Snapshot {
         index: 1,
         term: 1,
         state: vec![0; 30 << 20],
         ..Snapshot::default()
     };
-    let refused = storage.write(&[Record::InstallSnapshot(snapshot)]);
+    let rejected = storage.write(&[Record::InstallSnapshot(snapshot)]);
     assert!(
-        matches!(refused, Err(StorageError::TooLarge { .. })),
-        "{refused:?}"
+        matches!(rejected, Err(WriteError::TooLarge { .. })),
+        "{rejected:?}"
     );
 }
 
 #[test]
-fn nothing_is_written_before_it_is_initialized() {
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = Storage::open(folder.path()).unwrap();
+fn writes_before_initialization_are_rejected() {
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = Storage::open(directory.path()).unwrap();
     assert!(matches!(
         storage.write(&[append(1)]),
-        Err(StorageError::Uninitialized)
+        Err(WriteError::Uninitialized)
     ));
 }
 
 #[test]
-fn a_file_of_another_version_is_told_and_not_taken_for_an_empty_one() {
+fn a_file_of_another_version_is_an_error_and_not_an_empty_file() {
     const VERSION: std::ops::Range<usize> = 8..12;
     const CHECKSUM: std::ops::Range<usize> = 20..24;
-    let folder = tempfile::tempdir().unwrap();
-    fresh(folder.path());
-    let path = newest_segment(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    initialized_storage(directory.path());
+    let path = newest_segment(directory.path());
     let mut content = std::fs::read(&path).unwrap();
     content[VERSION].copy_from_slice(&1u32.to_le_bytes());
     let checksum = crc32fast::hash(&content[..CHECKSUM.start]);
     content[CHECKSUM].copy_from_slice(&checksum.to_le_bytes());
     std::fs::write(&path, &content).unwrap();
-    let error = Storage::open(folder.path()).unwrap_err();
+    let error = Storage::open(directory.path()).unwrap_err();
     assert!(
-        matches!(error, StorageError::Version { version: 1, .. }),
+        matches!(error, OpenError::UnsupportedVersion { version: 1, .. }),
         "{error}"
     );
     assert!(
@@ -239,27 +239,27 @@
 }
 
 #[test]
-fn the_largest_state_that_the_log_allows_is_written_and_read() {
-    const ORDER: usize = 6 << 20;
-    const FOLLOWING: usize = 4 << 20;
-    let folder = tempfile::tempdir().unwrap();
-    let mut storage = fresh(folder.path());
+fn the_largest_possible_state_is_written_and_read() {
+    const COMMAND: usize = 6 << 20;
+    const UNCOMMITTED: usize = 4 << 20;
+    let directory = tempfile::tempdir().unwrap();
+    let mut storage = initialized_storage(directory.path());
     let snapshot = Snapshot {
         index: 1,
         term: 1,
-        state: vec![7; ORDER + 20_000 * 16],
+        state: vec![7; COMMAND + 20_000 * 16],
         ..Snapshot::default()
     };
     storage.write(&[Record::InstallSnapshot(snapshot)]).unwrap();
     storage
         .write(&[Record::Append(vec![
-            entry(2, FOLLOWING),
-            entry(3, FOLLOWING),
+            entry(2, UNCOMMITTED),
+            entry(3, UNCOMMITTED),
         ])])
         .unwrap();
     storage
-        .write(&[Record::Append(vec![entry(4, ORDER)])])
+        .write(&[Record::Append(vec![entry(4, COMMAND)])])
         .unwrap();
     drop(storage);
-    assert_eq!(last_index(folder.path()), 4);
+    assert_eq!(last_index(directory.path()), 4);
 }
