--- a/crates/slow-start/tests/sum.rs
+++ b/crates/slow-start/tests/sum.rs
@@ -167,3 +167,30 @@
     let mut late = Leases::default();
     assert!(!late.take(9_000 * MS, 1, &lease, 2_500 * MS, &settings));
 }
+
+/// Pins the decisions of all senders: the most that was sent and what was sent at last, in runs with every fate of messages.
+#[test]
+fn recorded_runs_have_the_same_results() {
+    const RESULTS: [(f64, f64); 6] = [
+        (1.148525564, 0.581081081),
+        (0.814985198, 1.000000000),
+        (0.837635943, 1.000000000),
+        (0.960725543, 1.000000000),
+        (1.080266997, 1.000000000),
+        (0.973554585, 1.000000000),
+    ];
+    let run = |seed: usize| {
+        let needs: Vec<f64> = (0..3 + 4 * seed)
+            .map(|sender| 0.5 + ((sender * 37 + seed * 11) % 39) as f64)
+            .collect();
+        let fate: Vec<u8> = (0..17 + seed)
+            .map(|index| ((index * 73 + seed * 29) % 256) as u8)
+            .collect();
+        play(&needs, 20.0 + 30.0 * seed as f64, &fate, seed % 2 == 1)
+    };
+    for (seed, (worst, last)) in RESULTS.into_iter().enumerate() {
+        let result = run(seed);
+        let is_same = (result.0 - worst).abs() < 1e-9 && (result.1 - last).abs() < 1e-9;
+        assert!(is_same, "{seed}: {result:?}");
+    }
+}
