--- a/crates/slow-start/src/lease.rs
+++ b/crates/slow-start/src/lease.rs
@@ -1,128 +1,167 @@
-//! What one sender leaves to another for a while. Who gives does without from then on, until nobody can be using it any
-//! more: so what is lent never counts twice.
+//! Leases: a sender cedes a part of its rate to another for a while. The lender does without it from the grant on, until the
+//! borrower can no longer be using it, so that the rate never counts twice.
 
 use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use woadstall_decisions::api::Time;
+use woadstall_decisions::api::{Duration, Time};
 
-/// Givers whose leases are known at once; the smallest go.
-const MOST: usize = 64;
+/// Lenders whose leases are known at a time; the smallest leases give way.
+const MAX_LENDERS: usize = 64;
+/// How long the number of an expired lease is kept to detect duplicates, in nanoseconds.
+const DUPLICATE_RETENTION: Duration = 60_000_000_000;
 
-/// A lease, as it is told.
+/// A lease, as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// To whom: a hash of its name and life, so that a later process of a name does not use what was lent to a former one.
-    pub to: u64,
-    /// Raised with each lease of its giver: of two to one the later holds, and one that comes twice is one.
+    /// The borrower: a hash of its name and incarnation, so that a restarted process does not use the leases of its predecessor.
+    pub borrower: u64,
+    /// Rises with each lease of the lender. Of two leases the greater number counts, and duplicates are ignored.
     pub number: u32,
-    /// Calls a second.
+    /// The rate in requests a second.
     pub rate: f32,
 }
 
+/// A lease that has arrived.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+pub struct ReceivedLease<'a> {
+    /// The lender.
+    pub lender: u64,
+    /// The lease.
+    pub lease: &'a Lease,
+    /// How long ago it was granted, in nanoseconds.
+    pub age: Duration,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct GrantedLease {
+    lease: Lease,
+    /// When the borrower stops using it.
+    expires_at: Time,
+    /// When the lender may use the rate again.
+    reclaimed_at: Time,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct BorrowedRate {
     number: u32,
     rate: f64,
-    until: Time,
+    expires_at: Time,
 }
 
-/// What a sender has given, and what it was given.
+/// The leases that a sender has granted and borrowed.
 #[derive(Clone, Debug, Default)]
-pub struct Leases {
-    given: Vec<(Lease, Time, Time)>,
-    taken: BTreeMap<u64, Held>,
-    next: u32,
+pub struct LeaseTable {
+    granted: Vec<GrantedLease>,
+    /// By lender.
+    borrowed: BTreeMap<u64, BorrowedRate>,
+    last_number: u32,
 }
 
-impl Leases {
-    /// Gives, from now on. What is told of it has to say how old it is.
-    pub fn give(&mut self, now: Time, to: u64, rate: f64, settings: &Settings) -> Lease {
-        self.next = self.next.saturating_add(1);
-        // What the receiver reads must not be more than what is given up.
+impl LeaseTable {
+    /// Grants a rate in requests a second. Whoever sends the lease has to say how old it is.
+    pub fn grant(&mut self, now: Time, borrower: u64, rate: f64, settings: &Settings) -> Lease {
+        self.last_number = self.last_number.saturating_add(1);
+        // The borrower must not read more than the lender does without.
+        let rate = (rate as f32).next_down().max(0.0);
         let lease = Lease {
-            to,
-            number: self.next,
-            rate: (rate as f32).next_down().max(0.0),
+            borrower,
+            number: self.last_number,
+            rate,
         };
-        let until = now.saturating_add(settings.lease);
-        self.given
-            .push((lease, until, until.saturating_add(settings.margin)));
+        let expires_at = now.saturating_add(settings.lease_duration);
+        let reclaimed_at = expires_at.saturating_add(settings.lease_margin);
+        self.granted.push(GrantedLease {
+            lease,
+            expires_at,
+            reclaimed_at,
+        });
         lease
     }
 
-    /// Takes what another has given so long ago. One that is over is not taken, nor one that was had.
-    pub fn take(
-        &mut self,
-        now: Time,
-        from: u64,
-        lease: &Lease,
-        age: Time,
-        settings: &Settings,
-    ) -> bool {
-        let until = now.saturating_sub(age).saturating_add(settings.lease);
+    /// Accepts a lease from another sender; returns whether it is valid and new.
+    pub fn accept(&mut self, now: Time, received: &ReceivedLease<'_>, settings: &Settings) -> bool {
+        let ReceivedLease { lender, lease, age } = *received;
+        let expires_at = now
+            .saturating_sub(age)
+            .saturating_add(settings.lease_duration);
         let rate = f64::from(lease.rate);
-        let known = self
-            .taken
-            .get(&from)
-            .is_some_and(|held| held.number >= lease.number);
-        if known || now >= until || !rate.is_finite() || rate <= 0.0 {
+        if self.is_known(lender, lease.number)
+            || now >= expires_at
+            || !rate.is_finite()
+            || rate <= 0.0
+        {
+            return false;
+        }
+        self.expire(now);
+        if !self.ensure_capacity(lender, rate) {
             return false;
         }
-        self.forget(now);
-        if self.taken.len() >= MOST && !self.taken.contains_key(&from) {
-            let least = self
-                .taken
-                .iter()
-                .min_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
-            let Some((&least, _)) = least.filter(|(_, held)| held.rate < rate) else {
-                return false;
-            };
-            self.taken.remove(&least);
+        let borrowed = BorrowedRate {
+            number: lease.number,
+            rate,
+            expires_at,
+        };
+        self.borrowed.insert(lender, borrowed);
+        true
+    }
+
+    fn is_known(&self, lender: u64, number: u32) -> bool {
+        let borrowed = self.borrowed.get(&lender);
+        borrowed.is_some_and(|borrowed| borrowed.number >= number)
+    }
+
+    /// Removes the smallest lease if the table is full and the new rate is greater; returns whether there is capacity for it.
+    fn ensure_capacity(&mut self, lender: u64, rate: f64) -> bool {
+        if self.borrowed.len() < MAX_LENDERS || self.borrowed.contains_key(&lender) {
+            return true;
         }
-        self.taken.insert(
-            from,
-            Held {
-                number: lease.number,
-                rate,
-                until,
-            },
-        );
+        let smallest = self
+            .borrowed
+            .iter()
+            .min_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
+        let Some((&smallest, _)) = smallest.filter(|(_, borrowed)| borrowed.rate < rate) else {
+            return false;
+        };
+        self.borrowed.remove(&smallest);
         true
     }
 
-    /// Forgets what is over.
-    pub fn forget(&mut self, now: Time) {
-        self.given.retain(|(_, _, back)| now < *back);
-        // The numbers of what was had have to outlast what may still come twice.
-        self.taken
-            .retain(|_, held| now < held.until.saturating_add(60_000_000_000));
+    /// Removes leases that have expired.
+    pub fn expire(&mut self, now: Time) {
+        self.granted.retain(|granted| now < granted.reclaimed_at);
+        self.borrowed
+            .retain(|_, borrowed| now < borrowed.expires_at.saturating_add(DUPLICATE_RETENTION));
     }
 
-    /// What this sender does without, in calls a second.
-    pub fn given(&self, now: Time) -> f64 {
-        self.given
+    /// The rate in requests a second that this sender does without.
+    pub fn granted_rate(&self, now: Time) -> f64 {
+        let active = self
+            .granted
             .iter()
-            .filter(|(_, _, back)| now < *back)
-            .map(|(lease, ..)| f64::from(lease.rate))
-            .sum()
+            .filter(|granted| now < granted.reclaimed_at);
+        active.map(|granted| f64::from(granted.lease.rate)).sum()
     }
 
-    /// What it was given.
-    pub fn taken(&self, now: Time) -> f64 {
-        self.taken
+    /// The rate in requests a second that this sender borrows.
+    pub fn borrowed_rate(&self, now: Time) -> f64 {
+        let active = self
+            .borrowed
             .values()
-            .filter(|held| now < held.until)
-            .map(|held| held.rate)
-            .sum()
+            .filter(|borrowed| now < borrowed.expires_at);
+        active.map(|borrowed| borrowed.rate).sum()
     }
 
-    /// Those that are to be told: all that still hold at their receivers, the last to each.
-    pub fn told(&self, now: Time) -> Vec<Lease> {
-        let mut last: BTreeMap<u64, Lease> = BTreeMap::new();
-        for (lease, ..) in self.given.iter().filter(|(_, until, _)| now < *until) {
-            last.insert(lease.to, *lease);
+    /// The leases to send: those that their borrowers may still use, the latest to each.
+    pub fn active_grants(&self, now: Time) -> Vec<Lease> {
+        let mut latest: BTreeMap<u64, Lease> = BTreeMap::new();
+        for granted in self
+            .granted
+            .iter()
+            .filter(|granted| now < granted.expires_at)
+        {
+            latest.insert(granted.lease.borrower, granted.lease);
         }
-        last.into_values().collect()
+        latest.into_values().collect()
     }
 }
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -1,25 +1,23 @@
-//! One pace for a place that returns, shared by all that send to it, without a leader.
+//! A common slow start for a recovering destination, shared by all that send to it, without a leader.
 //!
-//! Each sender may send what it had answered in time itself, and somewhat more ([`Pace`]). So the sum over all senders goes
-//! by what the place has proven that it can end, whoever hears whom: parts of a fleet that are cut off from each other,
-//! or that take each other for gone, add up to the same. What a sender needs less it may lease to others ([`Lease`]);
-//! who gives gives it up first, and takes it back only when nobody can still be using it. A lease that is lost, late or comes
-//! twice can make the sum smaller, never larger. What is told in facts is a [`Report`].
+//! Each sender limits its own rate to what the destination has answered on time for it, times a growth factor
+//! ([`RateController`]). So the sum over all senders follows the throughput that the destination has proven, whoever hears from
+//! whom: the parts of a partitioned fleet, or senders that take each other for gone, add up to the same. A sender can lease the rate
+//! that it does not need to others ([`Lease`]): the lender reduces its own rate first, and takes the rate back only when the
+//! borrower can no longer be using it. A lease that is lost, late or duplicated can reduce the sum and never raise it. Senders exchange
+//! [`Report`]s.
 //!
-//! Nothing here does input or output or reads a clock, and nothing here chooses a server: it says how much of its new
-//! work a sender may send to a place. The sum, with its proof, is in `docs/slow-start.md`.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! Nothing here does I/O or reads a clock, and nothing here chooses a server. `docs/slow-start.md` has the proof of the bound. Rates
+//! are in requests a second; times are in nanoseconds.
 
 mod lease;
-mod pace;
-mod proof;
+mod rate_controller;
 mod report;
 mod settings;
+mod throughput;
 
-pub use lease::{Lease, Leases};
-pub use pace::{Pace, Phase, Work};
-pub use proof::{Proof, Rates};
+pub use lease::{Lease, LeaseTable, ReceivedLease};
+pub use rate_controller::{Phase, RateController, ReceivedReport, RequestWeight, UnmetDemand};
 pub use report::{Report, ReportError};
 pub use settings::{Settings, SettingsError};
+pub use throughput::{Outcome, Rates, ThroughputMeter};
--- a/crates/slow-start/src/report.rs
+++ b/crates/slow-start/src/report.rs
@@ -1,82 +1,100 @@
-//! What a sender tells all others of a place that returns, in a fact's few bytes.
+//! What a sender reports to all others about a recovering destination, in few bytes.
 
 use crate::lease::Lease;
-use crate::proof::Rates;
+use crate::throughput::Rates;
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 
-/// Form of the bytes: raised when what they mean changes.
-const FORM: u8 = 1;
+/// The version of the format, the first byte of a report.
+const FORMAT_VERSION: u8 = 1;
 /// Leases in one report.
-const MOST: usize = 8;
+const MAX_LEASES: usize = 8;
 
-/// See the module's documentation.
+/// A report of one sender. Rates are in requests a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Calls a second that it would send there beyond what it may.
-    pub unmet: f32,
-    /// Calls a second that it had answered in time there: what it has proven.
-    pub in_time: f32,
-    /// And those that were late, turned away or lost.
-    pub spoilt: f32,
-    /// What it has given to others.
+    /// The demand beyond what the sender may send.
+    pub unmet_demand: f32,
+    /// Requests that were answered on time.
+    pub on_time: f32,
+    /// Requests that were answered late, rejected, or not answered.
+    pub failed: f32,
+    /// The leases that the sender has granted.
     pub leases: Vec<Lease>,
 }
 
-/// Bytes that are no report.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReportError;
-
-impl fmt::Display for ReportError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("no report of a form that is known here")
-    }
+/// Why bytes are not a report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ReportError {
+    /// There are no bytes.
+    #[error("the report is empty")]
+    Empty,
+    /// The format has another version.
+    #[error("the report has format {0} instead of {FORMAT_VERSION}")]
+    UnsupportedVersion(u8),
+    /// The bytes don't have the encoding of a report.
+    #[error("the report has an invalid encoding")]
+    Encoding,
+    /// A rate is negative or not finite. It would spoil every sum that it is added to.
+    #[error("the report has a rate that is negative or not finite")]
+    Rate,
+    /// There are more leases than a report may have.
+    #[error("the report has {0} leases, at most {MAX_LEASES} are allowed")]
+    TooManyLeases(usize),
 }
 
-impl std::error::Error for ReportError {}
-
 impl Report {
-    /// Of what was seen and may not be sent, with the largest of the leases.
-    pub fn new(rates: &Rates, unmet: f64, mut leases: Vec<Lease>) -> Self {
+    /// A report of these rates, with the largest of the leases.
+    pub fn new(rates: &Rates, unmet_demand: f64, mut leases: Vec<Lease>) -> Self {
         leases.sort_by(|a, b| b.rate.total_cmp(&a.rate));
-        leases.truncate(MOST);
-        let Rates {
-            in_time, spoilt, ..
-        } = *rates;
+        leases.truncate(MAX_LEASES);
         Self {
-            unmet: unmet as f32,
-            in_time: in_time as f32,
-            spoilt: spoilt as f32,
+            unmet_demand: unmet_demand as f32,
+            on_time: rates.on_time as f32,
+            failed: rates.failed as f32,
             leases,
         }
     }
 
-    /// As bytes, at most so many: the smallest leases are left out.
-    pub fn write(&self, most: usize) -> Vec<u8> {
+    /// Encodes the report. The smallest leases are left out until it fits `max_bytes`.
+    pub fn encode(&self, max_bytes: usize) -> Vec<u8> {
         let mut report = self.clone();
         loop {
-            let bytes = postcard::to_extend(&report, vec![FORM]).unwrap_or_default();
-            if bytes.len() <= most || report.leases.pop().is_none() {
+            let bytes = postcard::to_extend(&report, vec![FORMAT_VERSION]).unwrap_or_default();
+            if bytes.len() <= max_bytes || report.leases.pop().is_none() {
                 return bytes;
             }
         }
     }
 
-    /// From bytes. Figures that are none are refused: they would spoil every sum that they come into.
-    pub fn read(bytes: &[u8]) -> Result<Self, ReportError> {
-        let (form, rest) = bytes.split_first().ok_or(ReportError)?;
-        let (report, rest): (Self, _) = postcard::take_from_bytes(rest).map_err(|_| ReportError)?;
-        let figures = [report.unmet, report.in_time, report.spoilt];
-        let rates = report.leases.iter().map(|lease| lease.rate);
-        let sound = figures
-            .into_iter()
-            .chain(rates)
-            .all(|figure| figure.is_finite() && figure >= 0.0);
-        let known = *form == FORM && rest.is_empty() && report.leases.len() <= MOST;
-        if sound && known {
-            Ok(report)
-        } else {
-            Err(ReportError)
+    /// Decodes a report.
+    ///
+    /// # Errors
+    ///
+    /// [`ReportError`] if the bytes are not a report of this version with rates that can be added up.
+    pub fn decode(bytes: &[u8]) -> Result<Self, ReportError> {
+        let (version, encoded) = bytes.split_first().ok_or(ReportError::Empty)?;
+        if *version != FORMAT_VERSION {
+            return Err(ReportError::UnsupportedVersion(*version));
+        }
+        let (report, rest): (Self, &[u8]) =
+            postcard::take_from_bytes(encoded).map_err(|_| ReportError::Encoding)?;
+        if !rest.is_empty() {
+            return Err(ReportError::Encoding);
         }
+        if !report.has_valid_rates() {
+            return Err(ReportError::Rate);
+        }
+        if report.leases.len() > MAX_LEASES {
+            return Err(ReportError::TooManyLeases(report.leases.len()));
+        }
+        Ok(report)
+    }
+
+    fn has_valid_rates(&self) -> bool {
+        let own_rates = [self.unmet_demand, self.on_time, self.failed];
+        let lease_rates = self.leases.iter().map(|lease| lease.rate);
+        let mut rates = own_rates.into_iter().chain(lease_rates);
+        rates.all(|rate| rate.is_finite() && rate >= 0.0)
     }
 }
--- a/crates/slow-start/tests/golden.rs
+++ b/crates/slow-start/tests/golden.rs
@@ -8,21 +8,25 @@
 
 fn report(leases: Vec<Lease>) -> Report {
     Report {
-        unmet: 1.5,
-        in_time: 20.25,
-        spoilt: 0.125,
+        unmet_demand: 1.5,
+        on_time: 20.25,
+        failed: 0.125,
         leases,
     }
 }
 
-fn lease(to: u64, number: u32, rate: f32) -> Lease {
-    Lease { to, number, rate }
+fn lease(borrower: u64, number: u32, rate: f32) -> Lease {
+    Lease {
+        borrower,
+        number,
+        rate,
+    }
 }
 
 fn assert_golden(report: &Report, expected: &str) {
-    let bytes = report.write(256);
+    let bytes = report.encode(256);
     assert_eq!(hex(&bytes), expected);
-    assert_eq!(Report::read(&bytes).unwrap(), *report);
+    assert_eq!(Report::decode(&bytes).unwrap(), *report);
 }
 
 #[test]
@@ -49,10 +53,10 @@
 #[test]
 fn the_smallest_leases_are_left_out_of_a_report_that_is_too_long() {
     let rates = Rates {
-        asked: 9.0,
-        in_time: 4.0,
-        spoilt: 1.0,
-        spoilt_part: 0.2,
+        demand: 9.0,
+        on_time: 4.0,
+        failed: 1.0,
+        failed_fraction: 0.2,
     };
     let leases = (1..=12)
         .map(|number| lease(u64::from(number) << 32, number, number as f32))
@@ -61,15 +65,18 @@
     let numbers: Vec<u32> = report.leases.iter().map(|lease| lease.number).collect();
     assert_eq!(numbers, [12, 11, 10, 9, 8, 7, 6, 5]);
     assert_eq!(
-        hex(&report.write(40)),
+        hex(&report.encode(40)),
         "010000a040000080400000803f0280808080c0010c0000404180808080b0010b00003041"
     );
 }
 
 #[test]
 fn bytes_of_another_form_are_rejected() {
-    let mut bytes = report(Vec::new()).write(256);
+    let mut bytes = report(Vec::new()).encode(256);
     bytes[0] = 2;
-    assert_eq!(Report::read(&bytes), Err(ReportError));
-    assert_eq!(Report::read(&[]), Err(ReportError));
+    assert_eq!(
+        Report::decode(&bytes),
+        Err(ReportError::UnsupportedVersion(2))
+    );
+    assert_eq!(Report::decode(&[]), Err(ReportError::Empty));
 }
