--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -140,8 +140,8 @@
         self.failure_domains.insert(address, domain);
     }
 
-    /// Text that is equal for two replicas exactly if they behave alike, apart from time and random numbers. A model checker
-    /// tells states apart by it.
+    /// Text by which a model checker tells states apart: the durable state, the role and what waits for the disk. Replicas with
+    /// equal texts behave alike where time stands still and neither failure domains nor retirements are set.
     pub fn state_key(&self) -> String {
         let durable = (
             self.id,
