--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -1,18 +1,19 @@
-//! The task that owns the control machine: it feeds events into the machine and executes the actions that come out.
+//! The task that owns the control machine: it feeds events into the machine and executes the
+//! actions that come out.
 
 use super::api::{self, ApiRequest, ApiResponse};
 use super::disk::Disk;
 use super::event::{Event, EventSender};
 use super::frame_queue::FrameSender;
 use super::peers::Peers;
+use super::pending_requests::{PendingRequests, Responder, respond};
 use super::stall::StallDetector;
 use super::{CoreError, addresses};
 use crate::error::SetupError;
 use crate::settings::{NodeSettings, SettingsWatcher};
 use crate::time::millis;
 use bytes::Bytes;
-use std::collections::{BTreeMap, HashMap};
-use std::sync::mpsc::SyncSender;
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -26,20 +27,13 @@
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum time between two writes of changed registrations.
 const REGISTRATION_SAVE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often registrations are written although none has changed, so that their age is known after a restart.
+/// How often registrations are written although none has changed, so that their age is known after
+/// a restart.
 const REGISTRATION_REFRESH_INTERVAL: Duration = Duration::from_secs(10);
 /// How long requests are still answered after SIGTERM, while leadership is transferred.
-const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(600);
+const SHUTDOWN_PERIOD: Duration = Duration::from_millis(600);
 /// The same while another machine replaces this one as a voter.
-const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(2_000);
-
-/// What a process is made of.
-pub(super) struct Parts {
-    pub machine: Machine,
-    pub disk: Disk,
-    pub watcher: SettingsWatcher,
-    pub events: EventSender,
-}
+const REPLACEMENT_PERIOD: Duration = Duration::from_millis(2_000);
 
 /// A core process while it runs.
 pub(super) struct Process {
@@ -55,27 +49,17 @@
     settings_checked: Instant,
     /// Queues of the balancers that read the feed, by the number of their connection.
     subscribers: BTreeMap<u64, FrameSender>,
-    /// Requests that the machine has not answered, by their token.
-    pending_requests: HashMap<u64, PendingRequest>,
-    last_token: u64,
-}
-
-/// A request that waits for the machine's answer.
-struct PendingRequest {
-    responder: SyncSender<ApiResponse>,
-    /// For a registration: where the upstream sends its later heartbeats.
-    heartbeat_url: Option<String>,
+    pending_requests: PendingRequests,
 }
 
 impl Process {
     /// A process that has not begun to run.
-    pub fn new(parts: Parts) -> Self {
-        let Parts {
-            machine,
-            disk,
-            watcher,
-            events,
-        } = parts;
+    pub fn new(
+        machine: Machine,
+        disk: Disk,
+        watcher: SettingsWatcher,
+        events: EventSender,
+    ) -> Self {
         let now = Instant::now();
         Self {
             started: now,
@@ -88,12 +72,11 @@
             watcher,
             settings_checked: now,
             subscribers: BTreeMap::new(),
-            pending_requests: HashMap::new(),
-            last_token: 0,
+            pending_requests: PendingRequests::default(),
         }
     }
 
-    /// Runs until SIGTERM, and then until leadership has been transferred or that has taken too long.
+    /// Runs until SIGTERM, and then for [`SHUTDOWN_PERIOD`] or [`REPLACEMENT_PERIOD`].
     pub async fn run(mut self, mut events: UnboundedReceiver<Event>) -> Result<(), CoreError> {
         let mut terminate =
             signal(SignalKind::terminate()).map_err(SetupError::during("SIGTERM"))?;
@@ -133,17 +116,17 @@
                 let settings = self.watcher.reload_if_modified();
                 self.apply_settings(settings);
             }
-            if shutdown_began.is_some_and(|began| began.elapsed() > self.shutdown_timeout()) {
+            if shutdown_began.is_some_and(|began| began.elapsed() > self.shutdown_period()) {
                 return Ok(());
             }
         }
     }
 
-    fn shutdown_timeout(&self) -> Duration {
+    fn shutdown_period(&self) -> Duration {
         if self.machine.is_being_replaced() {
-            REPLACEMENT_TIMEOUT
+            REPLACEMENT_PERIOD
         } else {
-            SHUTDOWN_TIMEOUT
+            SHUTDOWN_PERIOD
         }
     }
 
@@ -190,33 +173,33 @@
         now: u64,
         request: ApiRequest,
         received_at: Instant,
-        responder: SyncSender<ApiResponse>,
+        responder: Responder,
     ) {
         let is_order = matches!(request, ApiRequest::Order(_));
         if is_order && self.stalls.is_stale(Instant::now(), received_at) {
             respond(&responder, ApiResponse::Machine(Answer::Unclear));
             return;
         }
-        self.last_token += 1;
-        let token = self.last_token;
+        let token = self.pending_requests.next_token();
         match request {
             ApiRequest::Order(command) => {
-                self.add_pending(token, responder, None);
+                self.pending_requests.add(token, responder);
                 self.machine.order(now, token, command);
             }
             ApiRequest::ReadConfiguration => {
-                self.add_pending(token, responder, None);
+                self.pending_requests.add(token, responder);
                 self.machine.read(now, token);
             }
             ApiRequest::Register(registration) => {
                 let heartbeat_url = self
                     .machine
                     .heartbeat_address(&registration.id, &registration.zone);
-                self.add_pending(token, responder, heartbeat_url);
+                self.pending_requests
+                    .add_registration(token, responder, heartbeat_url);
                 self.machine.register(now, token, registration);
             }
             ApiRequest::Deregister(id) => {
-                self.add_pending(token, responder, None);
+                self.pending_requests.add(token, responder);
                 self.machine.deregister(now, token, &id);
             }
             ApiRequest::Resolve(question) => {
@@ -230,19 +213,6 @@
         }
     }
 
-    fn add_pending(
-        &mut self,
-        token: u64,
-        responder: SyncSender<ApiResponse>,
-        heartbeat_url: Option<String>,
-    ) {
-        let pending = PendingRequest {
-            responder,
-            heartbeat_url,
-        };
-        self.pending_requests.insert(token, pending);
-    }
-
     /// Applies what may change while the process runs: the seeds.
     fn apply_settings(&mut self, settings: Option<NodeSettings>) {
         self.settings_checked = Instant::now();
@@ -279,7 +249,7 @@
                 Action::Send { address, packet } => self.peers.send(&address, &packet),
                 Action::Persist { sequence, record } => self.disk.persist(sequence, record),
                 Action::KeepRegistrations { number } => save_number = Some(number),
-                Action::Answer { token, answer } => self.complete_request(token, answer),
+                Action::Answer { token, answer } => self.pending_requests.complete(token, answer),
                 Action::Deliver {
                     subscribers,
                     packet,
@@ -293,7 +263,8 @@
         }
     }
 
-    /// Sends a packet to subscribers, encoded once. One whose queue is full is disconnected; it reconnects and gets a snapshot.
+    /// Sends a packet to subscribers, encoded once. One whose queue is full is disconnected; it
+    /// reconnects and gets a snapshot.
     fn deliver(&mut self, subscribers: &[u64], packet: &Packet) {
         let frame = Bytes::from(packet.frame());
         for subscriber in subscribers {
@@ -303,20 +274,4 @@
             }
         }
     }
-
-    fn complete_request(&mut self, token: u64, answer: Answer) {
-        let Some(pending) = self.pending_requests.remove(&token) else {
-            return;
-        };
-        let response = match (answer, pending.heartbeat_url) {
-            (Answer::Done, Some(url)) => ApiResponse::Registered { heartbeat_url: url },
-            (answer, _) => ApiResponse::Machine(answer),
-        };
-        respond(&pending.responder, response);
-    }
-}
-
-/// Hands a response to the thread that waits for it. One that has timed out takes none.
-fn respond(responder: &SyncSender<ApiResponse>, response: ApiResponse) {
-    responder.try_send(response).ok();
 }
--- a/crates/request-reports/src/lib.rs
+++ b/crates/request-reports/src/lib.rs
@@ -1,11 +1,9 @@
-//! Reports of requests that were late, rejected, failed or retried: a front writes one log line for each ([`RequestReport`]), and
-//! many of them are summarized as tables ([`Summary`]) and a plot ([`render_svg`]).
+//! Reports of requests that were late, rejected, failed or retried: a front writes one log line for
+//! each ([`RequestReport`]), and many of them are summarized as tables ([`Summary`]) and a plot
+//! ([`render_svg`]).
 //!
 //! No I/O and no clock.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 mod line;
 mod outcome;
 mod plot;
