--- a/crates/control-simulation/src/cluster.rs
+++ b/crates/control-simulation/src/cluster.rs
@@ -10,9 +10,11 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use woadstall_consensus::{DurableState, Member, Snapshot};
 use woadstall_control::command::Command;
-use woadstall_control::machine::{Action, Answer, Machine, MachineSettings, founding_snapshot};
-use woadstall_control::registry::{Registration, Status};
-use woadstall_control::wire::{ControlMachine, Packet};
+use woadstall_control::machine::{
+    Action, CallResponse, ControlMachine, MachineSettings, founding_snapshot,
+};
+use woadstall_control::registry::{Registration, UpstreamStatus};
+use woadstall_control::wire::{MachineInfo, Packet};
 
 /// How often a process is told the time, in milliseconds.
 pub const TICK: u64 = 50;
@@ -52,7 +54,7 @@
 }
 
 struct Host {
-    machine: Option<Machine>,
+    machine: Option<ControlMachine>,
     disk: Disk,
     incarnation: Incarnation,
     frozen_until: u64,
@@ -95,7 +97,7 @@
     /// What the machines have logged, with times.
     pub log: Vec<(u64, String)>,
     /// The answers so far, by call.
-    pub answers: BTreeMap<u64, Answer>,
+    pub answers: BTreeMap<u64, CallResponse>,
     /// The digest of all that happens, where it is wanted.
     pub recording: Option<Recording>,
     leaving_calls: BTreeMap<u64, String>,
@@ -175,7 +177,7 @@
         let zone = format!("zone-{place}");
         let region = format!("region-{}", place % self.layout.regions);
         let settings = MachineSettings {
-            machine: ControlMachine {
+            machine: MachineInfo {
                 member,
                 zone,
                 region,
@@ -187,8 +189,9 @@
             tolerated: self.layout.tolerated,
             incarnation,
         };
-        let mut machine = Machine::new(settings, host.disk.durable().clone(), self.now, seed);
-        machine.remember(host.disk.registrations.clone());
+        let mut machine =
+            ControlMachine::new(settings, host.disk.durable().clone(), self.now, seed);
+        machine.restore_registrations(host.disk.registrations.clone());
         host.machine = Some(machine);
         self.record(Observation::Start, |recording| {
             recording
@@ -268,7 +271,7 @@
 
     /// Tells a process that it is about to be stopped.
     pub fn announce_stop(&mut self, place: usize) {
-        self.call(place, |machine, now, _| machine.leave(now));
+        self.call(place, |machine, now, _| machine.begin_shutdown(now));
     }
 
     /// The number of places, also of those without a machine.
@@ -287,7 +290,7 @@
     }
 
     /// A machine's process, if it runs.
-    pub fn machine(&self, place: usize) -> Option<&Machine> {
+    pub fn machine(&self, place: usize) -> Option<&ControlMachine> {
         self.hosts[place].machine.as_ref()
     }
 
@@ -307,7 +310,7 @@
     }
 
     /// A call to a machine; gives the call's token. Where no process runs, nobody answers.
-    pub fn call(&mut self, place: usize, call: impl FnOnce(&mut Machine, u64, u64)) -> u64 {
+    pub fn call(&mut self, place: usize, call: impl FnOnce(&mut ControlMachine, u64, u64)) -> u64 {
         self.next_token += 1;
         let (now, token) = (self.now, self.next_token);
         if self.is_frozen(place) {
@@ -325,7 +328,7 @@
         let token = self.next_token + 1;
         self.history.begin(token, self.now, Call::of(&command));
         self.call(place, |machine, now, token| {
-            machine.order(now, token, command)
+            machine.submit_command(now, token, command)
         })
     }
 
@@ -333,12 +336,14 @@
     pub fn read(&mut self, place: usize) -> u64 {
         let token = self.next_token + 1;
         self.history.begin(token, self.now, Call::Read);
-        self.call(place, |machine, now, token| machine.read(now, token))
+        self.call(place, |machine, now, token| {
+            machine.read_configuration(now, token)
+        })
     }
 
     /// An upstream's heartbeat.
     pub fn register(&mut self, place: usize, registration: Registration) -> u64 {
-        if registration.status.is_leaving() {
+        if registration.status.is_terminating() {
             self.leaving_calls
                 .insert(self.next_token + 1, registration.id.clone());
         }
@@ -548,7 +553,7 @@
                             .number(from as u64)
                             .bytes(&self.packets[number].frame());
                     }
-                    machine.packet(now, &address(from), self.packets[number].clone());
+                    machine.receive_packet(now, &address(from), self.packets[number].clone());
                     self.settle(to);
                 }
             }
@@ -583,7 +588,7 @@
         if let (Some(synced), Some(machine)) = (synced, host.machine.as_mut()) {
             match synced {
                 Synced::Records(sequence) => machine.persisted(now, sequence),
-                Synced::Registrations(number) => machine.kept(now, number),
+                Synced::Registrations(number) => machine.registrations_persisted(now, number),
             }
         }
         if synced.is_none() && (host.disk.has_refused() || host.disk.pending() > 0) {
@@ -638,15 +643,18 @@
                 self.hosts[place].disk.write(sequence, record);
                 self.schedule_sync(place);
             }
-            Action::KeepRegistrations { number } => {
+            Action::PersistRegistrations { number } => {
                 let registrations = self
                     .machine(place)
-                    .map(Machine::registrations)
+                    .map(ControlMachine::registrations)
                     .unwrap_or_default();
                 self.hosts[place].disk.keep(number, registrations);
                 self.schedule_sync(place);
             }
-            Action::Answer { token, answer } => self.take_answer(place, token, answer),
+            Action::Respond {
+                token,
+                response: answer,
+            } => self.take_answer(place, token, answer),
             Action::Deliver {
                 subscribers,
                 packet,
@@ -699,13 +707,16 @@
                 let observed = recording.observe(Observation::Write, now);
                 observed.number(place).number(*sequence).encoded(record);
             }
-            Action::KeepRegistrations { number } => {
+            Action::PersistRegistrations { number } => {
                 recording
                     .observe(Observation::WriteRegistrations, now)
                     .number(place)
                     .number(*number);
             }
-            Action::Answer { token, answer } => {
+            Action::Respond {
+                token,
+                response: answer,
+            } => {
                 recording
                     .observe(Observation::Answer, now)
                     .number(place)
@@ -781,9 +792,9 @@
         }
     }
 
-    fn take_answer(&mut self, place: usize, token: u64, answer: Answer) {
+    fn take_answer(&mut self, place: usize, token: u64, answer: CallResponse) {
         if let Some(id) = self.leaving_calls.remove(&token)
-            && answer == Answer::Done
+            && answer == CallResponse::Acknowledged
         {
             self.oracle.note_leaving(&id);
         }
@@ -855,13 +866,13 @@
             let Some(machine) = self.machine(place) else {
                 continue;
             };
-            let statuses: BTreeMap<String, Status> = machine
+            let statuses: BTreeMap<String, UpstreamStatus> = machine
                 .registrations()
                 .into_iter()
                 .map(|registration| (registration.id, registration.status))
                 .collect();
             self.oracle.check_acknowledged(place, &statuses);
-            let fronts: Vec<BTreeMap<String, Status>> = self.hosts[place]
+            let fronts: Vec<BTreeMap<String, UpstreamStatus>> = self.hosts[place]
                 .fronts
                 .values()
                 .map(|front| front.statuses.clone())
--- a/crates/control-simulation/src/front.rs
+++ b/crates/control-simulation/src/front.rs
@@ -1,8 +1,8 @@
 //! A balancer that folds the feeds of two control machines.
 
 use std::collections::BTreeMap;
-use woadstall_control::feed::Event;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::feed::FeedEvent;
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::Packet;
 
@@ -12,7 +12,7 @@
     /// The state that its requests go by.
     pub state: ControlState,
     /// The statuses of upstreams.
-    pub statuses: BTreeMap<String, Status>,
+    pub statuses: BTreeMap<String, UpstreamStatus>,
     /// Versions in the order in which they came into force.
     pub generations: Vec<u64>,
     /// The feed's identity and how far it was read.
@@ -47,16 +47,16 @@
                 self.offset = offset;
                 events.into_iter().for_each(|event| self.follow(event));
             }
-            Packet::Status { in_quorum, .. } => self.in_quorum = in_quorum,
+            Packet::MachineStatus { in_quorum, .. } => self.in_quorum = in_quorum,
             _ => {}
         }
         self.generations.push(self.state.generation());
     }
 
-    fn follow(&mut self, event: Event) {
+    fn follow(&mut self, event: FeedEvent) {
         match event {
-            Event::Committed { index, command } => self.state.apply_if_newer(index, &command),
-            Event::Registered(registration) => self.register(registration),
+            FeedEvent::Committed { index, command } => self.state.apply_if_newer(index, &command),
+            FeedEvent::Registered(registration) => self.register(registration),
         }
     }
 
@@ -65,7 +65,7 @@
             .statuses
             .entry(registration.id)
             .or_insert(registration.status);
-        if *status != Status::Gone {
+        if *status != UpstreamStatus::Deregistered {
             *status = registration.status;
         }
     }
--- a/crates/control-simulation/src/history.rs
+++ b/crates/control-simulation/src/history.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 
 /// How long a caller waits, in milliseconds.
 const PATIENCE: u64 = 1_000;
@@ -45,7 +45,7 @@
                 }
             }
             Command::Evacuate { zone } => Self::Evacuate(zone.clone()),
-            Command::Return { zone } => Self::Return(zone.clone()),
+            Command::EndEvacuation { zone } => Self::Return(zone.clone()),
         }
     }
 }
@@ -70,15 +70,15 @@
 
 impl Reply {
     /// A machine's answer, given in this state.
-    pub fn of(answer: &Answer, generation: u64, evacuated: BTreeSet<String>) -> Self {
+    pub fn of(answer: &CallResponse, generation: u64, evacuated: BTreeSet<String>) -> Self {
         match answer {
-            Answer::Done => Self::Done,
-            Answer::Conflict { current } => Self::Conflict(*current),
-            Answer::Document(_) => Self::Read {
+            CallResponse::Acknowledged => Self::Done,
+            CallResponse::Conflict { current } => Self::Conflict(*current),
+            CallResponse::Document(_) => Self::Read {
                 generation,
                 evacuated,
             },
-            Answer::Invalid { .. } | Answer::Unclear => Self::Unclear,
+            CallResponse::Invalid { .. } | CallResponse::Indeterminate => Self::Unclear,
         }
     }
 }
--- a/crates/control-simulation/src/oracle.rs
+++ b/crates/control-simulation/src/oracle.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use woadstall_consensus::{DurableState, Entry, Payload, ReplicaId};
 use woadstall_control::command::Command;
-use woadstall_control::machine::Machine;
-use woadstall_control::registry::Status;
+use woadstall_control::machine::ControlMachine;
+use woadstall_control::registry::UpstreamStatus;
 use woadstall_control::state::ControlState;
 
 /// Packets and calls that a machine may hold at most, whatever happens.
@@ -38,7 +38,7 @@
     }
 
     /// Looks at a machine's process.
-    pub fn look_at(&mut self, place: usize, incarnation: u64, machine: &Machine) {
+    pub fn look_at(&mut self, place: usize, incarnation: u64, machine: &ControlMachine) {
         self.check_leader(machine);
         self.check_state(place, machine.state().index, machine);
         self.check_leaving(place, incarnation, machine);
@@ -48,7 +48,7 @@
         }
     }
 
-    fn check_leader(&mut self, machine: &Machine) {
+    fn check_leader(&mut self, machine: &ControlMachine) {
         let replica = machine.replica();
         if !replica.is_leader() {
             return;
@@ -64,7 +64,7 @@
     }
 
     /// All machines have the same state after the same position.
-    fn check_state(&mut self, place: usize, index: u64, machine: &Machine) {
+    fn check_state(&mut self, place: usize, index: u64, machine: &ControlMachine) {
         let state = machine.state();
         let found = (
             state.generation(),
@@ -80,11 +80,11 @@
     }
 
     /// What a process knows to leave stays so.
-    fn check_leaving(&mut self, place: usize, incarnation: u64, machine: &Machine) {
+    fn check_leaving(&mut self, place: usize, incarnation: u64, machine: &ControlMachine) {
         let known = self.leaving.entry((place, incarnation)).or_default();
         let mut undone = None;
         for registration in machine.registrations() {
-            if registration.status.is_leaving() {
+            if registration.status.is_terminating() {
                 known.insert(registration.id);
             } else if known.contains(&registration.id) {
                 undone = Some(registration.id);
@@ -110,9 +110,16 @@
     }
 
     /// In a calm time, all machines and balancers that are there know of each acknowledged leaving.
-    pub fn check_acknowledged(&mut self, place: usize, statuses: &BTreeMap<String, Status>) {
+    pub fn check_acknowledged(
+        &mut self,
+        place: usize,
+        statuses: &BTreeMap<String, UpstreamStatus>,
+    ) {
         for id in self.acknowledged.clone() {
-            if statuses.get(&id).is_some_and(|status| !status.is_leaving()) {
+            if statuses
+                .get(&id)
+                .is_some_and(|status| !status.is_terminating())
+            {
                 self.fail(format!(
                     "at machine {place}, {id} takes requests though its leaving was acknowledged"
                 ));
--- a/crates/control-simulation/src/recording.rs
+++ b/crates/control-simulation/src/recording.rs
@@ -3,7 +3,7 @@
 //! same as long as every event does.
 
 use nanoserde::SerBin;
-use woadstall_control::machine::{Answer, Machine};
+use woadstall_control::machine::{CallResponse, ControlMachine};
 
 /// Offset basis and prime of 64-bit FNV-1a.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -82,18 +82,18 @@
     }
 
     /// Adds an answer.
-    pub fn answer(&mut self, answer: &Answer) -> &mut Self {
+    pub fn answer(&mut self, answer: &CallResponse) -> &mut Self {
         match answer {
-            Answer::Done => self.number(1),
-            Answer::Conflict { current } => self.number(2).number(*current),
-            Answer::Invalid { findings } => self.number(3).bytes(findings.as_bytes()),
-            Answer::Document(document) => self.number(4).bytes(document),
-            Answer::Unclear => self.number(5),
+            CallResponse::Acknowledged => self.number(1),
+            CallResponse::Conflict { current } => self.number(2).number(*current),
+            CallResponse::Invalid { findings } => self.number(3).bytes(findings.as_bytes()),
+            CallResponse::Document(document) => self.number(4).bytes(document),
+            CallResponse::Indeterminate => self.number(5),
         }
     }
 
     /// Adds how a process stands: its term, leader, commit, and what it has applied.
-    pub fn standing(&mut self, machine: &Machine) -> &mut Self {
+    pub fn standing(&mut self, machine: &ControlMachine) -> &mut Self {
         let replica = machine.replica();
         self.number(replica.term())
             .number(replica.leader().unwrap_or_default())
--- a/crates/control-simulation/src/scenario.rs
+++ b/crates/control-simulation/src/scenario.rs
@@ -5,8 +5,8 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::machine::CallResponse;
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 /// What happens in a day.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -212,7 +212,7 @@
 }
 
 /// An upstream's registration.
-pub fn registration(id: &str, sequence: u64, status: Status) -> Registration {
+pub fn registration(id: &str, sequence: u64, status: UpstreamStatus) -> Registration {
     Registration {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -221,7 +221,7 @@
         capacity: 4,
         sequence,
         status,
-        cold_remaining_ms: 0,
+        slow_start_remaining_ms: 0,
         remaining_ms: 0,
         age_ms: 0,
     }
@@ -254,8 +254,8 @@
     fn learn(&mut self, cluster: &Cluster) {
         for (token, generation) in &self.sent {
             match cluster.answers.get(token) {
-                Some(Answer::Done) => self.newest = self.newest.max(*generation),
-                Some(Answer::Conflict { current }) => self.newest = self.newest.max(*current),
+                Some(CallResponse::Acknowledged) => self.newest = self.newest.max(*generation),
+                Some(CallResponse::Conflict { current }) => self.newest = self.newest.max(*current),
                 _ => {}
             }
         }
@@ -308,7 +308,7 @@
         operator.learn(cluster);
     }
     let (token, _) = operator.sent[operator.sent.len() - 1];
-    if cluster.answers.get(&token) != Some(&Answer::Done) {
+    if cluster.answers.get(&token) != Some(&CallResponse::Acknowledged) {
         return Err(format!(
             "no order is taken after all troubles: {:?}",
             cluster.answers.get(&token)
@@ -317,7 +317,7 @@
     for place in 0..layout.machines {
         let token = cluster.read(place);
         cluster.run(1_100);
-        if !matches!(cluster.answers.get(&token), Some(Answer::Document(_))) {
+        if !matches!(cluster.answers.get(&token), Some(CallResponse::Document(_))) {
             return Err(format!(
                 "machine {place} can't tell the configuration after all troubles"
             ));
@@ -354,20 +354,20 @@
             place,
             zone: number,
         } => {
-            cluster.order(place, Command::Return { zone: zone(number) });
+            cluster.order(place, Command::EndEvacuation { zone: zone(number) });
         }
         Event::Read { place } => drop(cluster.read(place)),
         Event::Ready { place, upstream } => {
             let id = format!("{}-{}", id(upstream), sequence / 64);
             // One that drains says nothing else any more.
             if !operator.drained.contains(&id) {
-                cluster.register(place, registration(&id, sequence, Status::Ready));
+                cluster.register(place, registration(&id, sequence, UpstreamStatus::Ready));
             }
         }
         Event::Drain { place, upstream } => {
             let id = format!("{}-{}", id(upstream), sequence / 64);
             operator.drained.insert(id.clone());
-            cluster.register(place, registration(&id, sequence, Status::Draining));
+            cluster.register(place, registration(&id, sequence, UpstreamStatus::Draining));
         }
         Event::Leave { place, upstream } => {
             let id = format!("{}-{}", id(upstream), sequence / 64);
--- a/crates/control-simulation/tests/cluster.rs
+++ b/crates/control-simulation/tests/cluster.rs
@@ -1,8 +1,8 @@
 //! Control machines together, in virtual time: orders, reads, registrations and feeds under faults.
 
 use rstest::rstest;
-use woadstall_control::machine::Answer;
-use woadstall_control::registry::Status;
+use woadstall_control::machine::CallResponse;
+use woadstall_control::registry::UpstreamStatus;
 use woadstall_control_simulation::cluster::Cluster;
 use woadstall_control_simulation::scenario::{put, registration};
 
@@ -10,10 +10,12 @@
 
 /// The version that a machine reads back, as an operator would.
 fn read_back(cluster: &mut Cluster, place: usize) -> Option<u64> {
-    let token = cluster.call(place, |machine, now, token| machine.read(now, token));
+    let token = cluster.call(place, |machine, now, token| {
+        machine.read_configuration(now, token)
+    });
     cluster.run(1_000);
     match cluster.answers.get(&token) {
-        Some(Answer::Document(document)) => {
+        Some(CallResponse::Document(document)) => {
             let document: serde_json::Value = serde_json::from_slice(document).unwrap();
             document["generation"].as_u64()
         }
@@ -31,7 +33,10 @@
     let token = cluster.order(place, put(0, 5));
     // Two ways between regions for the order, two for the log.
     cluster.run(300);
-    assert_eq!(cluster.answers.get(&token), Some(&Answer::Done));
+    assert_eq!(
+        cluster.answers.get(&token),
+        Some(&CallResponse::Acknowledged)
+    );
     for other in 0..3 {
         assert_eq!(read_back(&mut cluster, other), Some(5));
     }
@@ -47,7 +52,7 @@
     cluster.run(1_000);
     assert_eq!(
         cluster.answers.get(&again),
-        Some(&Answer::Done),
+        Some(&CallResponse::Acknowledged),
         "the same order again"
     );
 }
@@ -65,11 +70,11 @@
         let answers = [&cluster.answers[&one], &cluster.answers[&other]];
         let won = answers
             .iter()
-            .filter(|answer| ***answer == Answer::Done)
+            .filter(|answer| ***answer == CallResponse::Acknowledged)
             .count();
         let lost = answers
             .iter()
-            .filter(|answer| matches!(answer, Answer::Conflict { .. }))
+            .filter(|answer| matches!(answer, CallResponse::Conflict { .. }))
             .count();
         assert_eq!((won, lost), (1, 1), "{answers:?}");
     }
@@ -86,11 +91,17 @@
         cluster.cut_off(cut);
         let lost = cluster.order(cut, put(0, 5));
         cluster.run(5_000);
-        assert_eq!(cluster.answers.get(&lost), Some(&Answer::Unclear));
+        assert_eq!(
+            cluster.answers.get(&lost),
+            Some(&CallResponse::Indeterminate)
+        );
         assert_eq!(read_back(&mut cluster, cut), None, "it cannot know");
         let taken = cluster.order(other, put(0, 9));
         cluster.run(1_000);
-        assert_eq!(cluster.answers.get(&taken), Some(&Answer::Done));
+        assert_eq!(
+            cluster.answers.get(&taken),
+            Some(&CallResponse::Acknowledged)
+        );
         cluster.heal();
         cluster.run(5_000);
         assert_eq!(read_back(&mut cluster, cut), Some(9));
@@ -110,7 +121,7 @@
             while !cluster.answers.contains_key(&token) {
                 cluster.run(50);
             }
-            if cluster.answers[&token] == Answer::Done {
+            if cluster.answers[&token] == CallResponse::Acknowledged {
                 generation += 3;
             }
             let wiped = cluster.random.usize(..3);
@@ -136,22 +147,25 @@
     cluster.run(5_000);
     (0..3).for_each(|place| cluster.subscribe(place, 1));
     cluster.call(0, |machine, now, token| {
-        machine.register(now, token, registration("i-1", 1, Status::Ready))
+        machine.register(now, token, registration("i-1", 1, UpstreamStatus::Ready))
     });
     cluster.run(500);
     let token = cluster.call(2, |machine, now, token| {
-        machine.register(now, token, registration("i-1", 2, Status::Draining));
+        machine.register(now, token, registration("i-1", 2, UpstreamStatus::Draining));
     });
     assert!(
         !cluster.answers.contains_key(&token),
         "nobody else has it yet"
     );
     cluster.run(300);
-    assert_eq!(cluster.answers.get(&token), Some(&Answer::Done));
+    assert_eq!(
+        cluster.answers.get(&token),
+        Some(&CallResponse::Acknowledged)
+    );
     for place in 0..3 {
         assert_eq!(
             cluster.reader(place, 1).statuses.get("i-1"),
-            Some(&Status::Draining)
+            Some(&UpstreamStatus::Draining)
         );
     }
 }
@@ -163,15 +177,18 @@
     cluster.cut_off(1);
     cluster.run(100);
     let token = cluster.call(1, |machine, now, token| {
-        machine.register(now, token, registration("i-1", 1, Status::Draining));
+        machine.register(now, token, registration("i-1", 1, UpstreamStatus::Draining));
     });
     cluster.run(1_500);
-    assert_eq!(cluster.answers.get(&token), Some(&Answer::Unclear));
+    assert_eq!(
+        cluster.answers.get(&token),
+        Some(&CallResponse::Indeterminate)
+    );
     // Once the link is back, the others hear of it all the same.
     cluster.heal();
     cluster.run(1_000);
     let known = cluster.machine(0).unwrap().registrations();
-    assert_eq!(known[0].status, Status::Draining);
+    assert_eq!(known[0].status, UpstreamStatus::Draining);
 }
 
 #[test]
@@ -179,26 +196,30 @@
     let mut cluster = Cluster::new(6, 3);
     cluster.run(5_000);
     cluster.call(0, |machine, now, token| {
-        machine.register(now, token, registration("i-1", 1, Status::Ready))
+        machine.register(now, token, registration("i-1", 1, UpstreamStatus::Ready))
     });
     cluster.call(0, |machine, now, token| {
-        machine.register(now, token, registration("i-2", 1, Status::Ready))
+        machine.register(now, token, registration("i-2", 1, UpstreamStatus::Ready))
     });
     for beat in 2..8 {
         cluster.run(1_200);
         cluster.call(1, |machine, now, token| {
-            machine.register(now, token, registration("i-2", beat, Status::Ready));
+            machine.register(now, token, registration("i-2", beat, UpstreamStatus::Ready));
         });
     }
     for place in 0..3 {
-        let statuses: Vec<Status> = cluster
+        let statuses: Vec<UpstreamStatus> = cluster
             .machine(place)
             .unwrap()
             .registrations()
             .iter()
             .map(|upstream| upstream.status)
             .collect();
-        assert_eq!(statuses, [Status::Silent, Status::Ready], "machine {place}");
+        assert_eq!(
+            statuses,
+            [UpstreamStatus::TimedOut, UpstreamStatus::Ready],
+            "machine {place}"
+        );
     }
 }
 
@@ -207,7 +228,7 @@
     let mut cluster = Cluster::new(7, 3);
     cluster.run(5_000);
     cluster.call(0, |machine, now, token| {
-        machine.register(now, token, registration("i-1", 1, Status::Ready))
+        machine.register(now, token, registration("i-1", 1, UpstreamStatus::Ready))
     });
     cluster.run(500);
     cluster.stop(1);
@@ -230,7 +251,7 @@
             let token = cluster.order(place, put(generation, generation + 2));
             let time = cluster.random.u64(50..500);
             cluster.run(time);
-            if cluster.answers.get(&token) == Some(&Answer::Done) {
+            if cluster.answers.get(&token) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
             if cluster.random.u8(..6) == 0 {
--- a/crates/control-simulation/tests/golden.rs
+++ b/crates/control-simulation/tests/golden.rs
@@ -3,7 +3,7 @@
 
 use rstest::rstest;
 use woadstall_control::command::Command;
-use woadstall_control::registry::Status;
+use woadstall_control::registry::UpstreamStatus;
 use woadstall_control_simulation::cluster::{Cluster, Layout};
 use woadstall_control_simulation::network::{CALM, ROUGH, Weather};
 use woadstall_control_simulation::recording::Recording;
@@ -235,12 +235,12 @@
     cluster.order(1, patch(2_200, 2_202, &["t"]));
     cluster.run(500);
     cluster.order(1, patch(2_200, 2_202, &["s", "t"]));
-    cluster.register(1, registration("i-1", 1, Status::Ready));
+    cluster.register(1, registration("i-1", 1, UpstreamStatus::Ready));
     cluster.run(1_000);
     cluster.heal();
     cluster.resubscribe(1, 1, front);
     cluster.run(4_000);
-    cluster.register(0, registration("i-1", 2, Status::Draining));
+    cluster.register(0, registration("i-1", 2, UpstreamStatus::Draining));
     let added = cluster.add();
     cluster.run(10_000);
     cluster.announce_stop(3);
--- a/crates/control-simulation/tests/incidents.rs
+++ b/crates/control-simulation/tests/incidents.rs
@@ -3,8 +3,8 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
-use woadstall_control::registry::Status;
+use woadstall_control::machine::CallResponse;
+use woadstall_control::registry::UpstreamStatus;
 use woadstall_control_simulation::cluster::{Cluster, Layout};
 use woadstall_control_simulation::network::{CALM, ROUGH, Weather};
 use woadstall_control_simulation::scenario::{configuration, put, registration};
@@ -34,7 +34,7 @@
 }
 
 fn give_back() -> Command {
-    Command::Return {
+    Command::EndEvacuation {
         zone: "zone-0".to_owned(),
     }
 }
@@ -52,8 +52,8 @@
             }
         }
         match cluster.answers.get(&token) {
-            Some(Answer::Done) => return attempt,
-            Some(Answer::Unclear) | None => {}
+            Some(CallResponse::Acknowledged) => return attempt,
+            Some(CallResponse::Indeterminate) | None => {}
             refused => panic!("{command:?} sent again is refused: {refused:?}"),
         }
     }
@@ -64,7 +64,7 @@
     let token = cluster.read(place);
     cluster.run(PATIENCE);
     match cluster.answers.get(&token) {
-        Some(Answer::Document(document)) => {
+        Some(CallResponse::Document(document)) => {
             serde_json::from_slice::<serde_json::Value>(document).ok()?["generation"].as_u64()
         }
         _ => None,
@@ -109,18 +109,21 @@
                 },
             ));
             asked.push(cluster.read(cut));
-            asked.push(cluster.register(cut, registration("i-1", second + 1, Status::Draining)));
+            asked.push(cluster.register(
+                cut,
+                registration("i-1", second + 1, UpstreamStatus::Draining),
+            ));
             asked.push(cluster.deregister(cut, "i-unknown"));
             let place = others[second as usize % 2];
             let next = cluster.order(place, put(version, version + 2));
             cluster.run(PATIENCE);
-            if cluster.answers.get(&next) == Some(&Answer::Done) {
+            if cluster.answers.get(&next) == Some(&CallResponse::Acknowledged) {
                 version += 2;
             }
             for token in asked.drain(..) {
                 assert_eq!(
                     cluster.answers.get(&token),
-                    Some(&Answer::Unclear),
+                    Some(&CallResponse::Indeterminate),
                     "seed {seed}, second {second}"
                 );
             }
@@ -167,21 +170,21 @@
         cluster.run(PATIENCE);
         assert_eq!(
             cluster.answers.get(&held_up),
-            Some(&Answer::Unclear),
+            Some(&CallResponse::Indeterminate),
             "seed {seed}"
         );
         let again = cluster.order(leader, evacuate());
         cluster.run(400);
         assert_eq!(
             cluster.answers.get(&again),
-            Some(&Answer::Done),
+            Some(&CallResponse::Acknowledged),
             "seed {seed}"
         );
         let back = cluster.order(leader, give_back());
         cluster.run(400);
         assert_eq!(
             cluster.answers.get(&back),
-            Some(&Answer::Done),
+            Some(&CallResponse::Acknowledged),
             "seed {seed}"
         );
         // Now they come, while the same leader leads.
@@ -220,7 +223,7 @@
             // The answers are lost: both send the same again, to other machines.
             let mut won = BTreeSet::new();
             for (operator, token) in first.iter().enumerate() {
-                if cluster.answers.get(token) == Some(&Answer::Done) {
+                if cluster.answers.get(token) == Some(&CallResponse::Acknowledged) {
                     won.insert(operator);
                 }
             }
@@ -230,8 +233,8 @@
                     let token = cluster.order(place, rival.clone());
                     cluster.run(700);
                     match cluster.answers.get(&token) {
-                        Some(Answer::Done) => drop(won.insert(operator)),
-                        Some(Answer::Conflict { .. }) => {
+                        Some(CallResponse::Acknowledged) => drop(won.insert(operator)),
+                        Some(CallResponse::Conflict { .. }) => {
                             assert!(
                                 !won.contains(&operator),
                                 "seed {seed}: taken, and refused when sent again"
@@ -280,7 +283,7 @@
             confirmed += 1;
             assert_ne!(
                 answer,
-                Some(&Answer::Done),
+                Some(&CallResponse::Acknowledged),
                 "seed {seed}: version 6 was never taken"
             );
         }
@@ -393,7 +396,7 @@
             let victim = victims.cycle().nth(step as usize % 3).unwrap();
             let known = cluster.order(victim, put(5, 6));
             cluster.run(500);
-            let acknowledged = cluster.answers.get(&known) == Some(&Answer::Done);
+            let acknowledged = cluster.answers.get(&known) == Some(&CallResponse::Acknowledged);
             happen_second(&mut cluster, second, victim);
             cluster.run(CATCH_UP);
             let asked = (0..cluster.len())
@@ -424,17 +427,17 @@
         for wiped in 0..3 {
             let mut cluster = Cluster::with(seed, THREE, CALM);
             cluster.run(5_000);
-            cluster.register(0, registration("i-1", 1, Status::Ready));
+            cluster.register(0, registration("i-1", 1, UpstreamStatus::Ready));
             cluster.run(1_000);
             let at = cluster.random.usize(..3);
             let token = match drains {
-                true => cluster.register(at, registration("i-1", 2, Status::Draining)),
+                true => cluster.register(at, registration("i-1", 2, UpstreamStatus::Draining)),
                 false => cluster.deregister(at, "i-1"),
             };
             while !cluster.answers.contains_key(&token) {
                 cluster.run(10);
             }
-            assert_eq!(cluster.answers[&token], Answer::Done);
+            assert_eq!(cluster.answers[&token], CallResponse::Acknowledged);
             (0..3)
                 .filter(|place| *place != wiped)
                 .for_each(|place| cluster.kill(place));
@@ -444,7 +447,7 @@
             for place in 0..3 {
                 let known = cluster.machine(place).unwrap().registrations();
                 assert!(
-                    known[0].status.is_leaving(),
+                    known[0].status.is_terminating(),
                     "seed {seed}: machine {place} has {:?}",
                     known[0].status
                 );
@@ -533,8 +536,8 @@
             cluster.run(20);
         }
         match &cluster.answers[&token] {
-            Answer::Done => return,
-            Answer::Unclear => {}
+            CallResponse::Acknowledged => return,
+            CallResponse::Indeterminate => {}
             refused => panic!("{refused:?}"),
         }
     }
@@ -588,7 +591,7 @@
             cluster.stop(1);
         }
         cluster.run(3_000);
-        cluster.register(0, registration("i-1", 1, Status::Ready));
+        cluster.register(0, registration("i-1", 1, UpstreamStatus::Ready));
         cluster.run(1_000);
         if !is_cut_off {
             cluster.start(1);
@@ -598,7 +601,7 @@
         if is_cut_off {
             assert_eq!(
                 cluster.answers.get(&token),
-                Some(&Answer::Unclear),
+                Some(&CallResponse::Indeterminate),
                 "seed {seed}"
             );
             cluster.heal();
@@ -608,14 +611,14 @@
             let known = cluster.machine(place).unwrap().registrations();
             assert_eq!(
                 known[0].status,
-                Status::Gone,
+                UpstreamStatus::Deregistered,
                 "seed {seed}, machine {place}"
             );
         }
         for place in [0, 2] {
             assert_eq!(
                 cluster.reader(place, 1).statuses["i-1"],
-                Status::Gone,
+                UpstreamStatus::Deregistered,
                 "seed {seed}"
             );
         }
--- a/crates/control/src/balancers.rs
+++ b/crates/control/src/balancers.rs
@@ -6,7 +6,7 @@
 
 /// What a balancer says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Heartbeat {
+pub struct BalancerHeartbeat {
     /// Its name.
     pub name: String,
     /// When this process started: a later one replaces an earlier one.
@@ -23,7 +23,7 @@
 
 /// A balancer that is still there and says what it said before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct StillThere {
+pub struct BalancerRenewal {
     /// The hash of its name.
     pub name: u32,
     /// The incarnation that was heard of.
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug)]
 struct Seen {
-    heartbeat: Heartbeat,
+    heartbeat: BalancerHeartbeat,
     heard: u64,
     /// When this incarnation was last heard of as ready, if it ever was.
     ready_at: Option<u64>,
@@ -65,7 +65,7 @@
 impl Balancers {
     /// Merges a heartbeat. Another incarnation replaces one that has fallen silent, whatever
     /// their numbers: the time of day that they are drawn from may step back.
-    pub fn merge(&mut self, now: u64, heartbeat: Heartbeat) -> Heard {
+    pub fn merge(&mut self, now: u64, heartbeat: BalancerHeartbeat) -> Heard {
         let mut heard = Heard::Changed;
         if let Some(old) = self.seen.get(&heartbeat.name) {
             let known = &old.heartbeat;
@@ -76,7 +76,7 @@
             if !newer {
                 return Heard::Old;
             }
-            let as_known = Heartbeat {
+            let as_known = BalancerHeartbeat {
                 sequence: known.sequence,
                 ..heartbeat.clone()
             };
@@ -103,8 +103,8 @@
     }
 
     /// Hears from another machine that balancers are still there.
-    pub fn renew(&mut self, now: u64, still_there: &[StillThere]) {
-        let newest: BTreeMap<u32, &StillThere> =
+    pub fn renew(&mut self, now: u64, still_there: &[BalancerRenewal]) {
+        let newest: BTreeMap<u32, &BalancerRenewal> =
             still_there.iter().map(|news| (news.name, news)).collect();
         for seen in self.seen.values_mut() {
             let Some(news) = newest.get(&short_hash(&seen.heartbeat.name)) else {
@@ -122,7 +122,7 @@
     }
 
     /// The balancers that were heard of within this time.
-    pub fn alive(&self, now: u64, within: u64) -> impl Iterator<Item = &Heartbeat> {
+    pub fn alive(&self, now: u64, within: u64) -> impl Iterator<Item = &BalancerHeartbeat> {
         let lately = move |seen: &&Seen| now <= seen.heard + within;
         self.seen
             .values()
@@ -137,7 +137,7 @@
         now: u64,
         alive_within: u64,
         ready_within: u64,
-    ) -> impl Iterator<Item = &Heartbeat> {
+    ) -> impl Iterator<Item = &BalancerHeartbeat> {
         let is_stopping = move |seen: &&Seen| {
             let was_ready = seen.ready_at.is_some_and(|at| now <= at + ready_within);
             !seen.heartbeat.ready && was_ready && now <= seen.heard + alive_within
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -25,7 +25,7 @@
         zone: String,
     },
     /// Take an evacuation back.
-    Return {
+    EndEvacuation {
         /// The zone.
         zone: String,
     },
@@ -60,7 +60,7 @@
             Self::Put { base, body } => (1, *base, body),
             Self::Patch { base, body } => (2, *base, body),
             Self::Evacuate { zone } => (3, 0, zone.as_bytes()),
-            Self::Return { zone } => (4, 0, zone.as_bytes()),
+            Self::EndEvacuation { zone } => (4, 0, zone.as_bytes()),
         };
         let head = [kind].into_iter().chain(base.to_le_bytes());
         fnv1a(head.chain(body.iter().copied()))
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration: routes, services, limits. Read from JSON, checked whole.
 
-use crate::reader::{Findings, Reader};
+use crate::reader::{FieldReader, Findings};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -32,11 +32,11 @@
     /// The time within which an answer, or a stream's first event, earns its full worth.
     pub target_latency: Duration,
     /// The longest pause between events of a stream that keeps it in time, where the operator names one.
-    pub gap_aim: Option<Duration>,
+    pub inter_event_target: Option<Duration>,
     /// Its rank; 0 is the highest.
     pub priority: u8,
-    /// The services that it may go to, with their weights.
-    pub targets: Vec<(String, u64)>,
+    /// The services that it may go to.
+    pub targets: Vec<WeightedService>,
     /// The most upstreams that one request may go to.
     pub max_attempts: u32,
     /// Whether requests name parts of their prompts, which upstreams keep.
@@ -47,6 +47,15 @@
     pub allowed_regions: Vec<String>,
 }
 
+/// A service that takes a share of a route's requests.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WeightedService {
+    /// The service's name.
+    pub service: String,
+    /// Its share, relative to the weights of the route's other services.
+    pub weight: u64,
+}
+
 impl Route {
     /// Whether a request may run a second time after it may have run.
     pub fn is_idempotent(&self) -> bool {
@@ -77,7 +86,7 @@
     /// Connections that an upstream takes from all callers together.
     pub max_connections: u64,
     /// How long an upstream is cold after a start during traffic.
-    pub cold_start: Duration,
+    pub slow_start: Duration,
     /// Requests a second that a cold upstream bears; 0 where there is no such bound.
     pub warmup_per_s: f64,
     /// The engine, where it serves a model.
@@ -126,18 +135,18 @@
     /// Reads and checks a configuration whole. The findings name each fault with its place.
     pub fn read(document: &Value) -> Result<Self, Findings> {
         let findings = &mut Findings::default();
-        let root = Reader::new(document);
+        let root = FieldReader::new(document);
         if !document.is_object() {
-            findings.add(root.place(), "must be an object");
+            findings.add(root.path(), "must be an object");
             return Err(std::mem::take(findings));
         }
-        let generation = root.field("generation").whole(findings);
+        let generation = root.field("generation").integer(findings);
         let mut services = BTreeMap::new();
         for item in root.field("services").items(findings) {
             let service = read_service(&item, findings);
             if services.insert(service.name.clone(), service).is_some() {
                 findings.add(
-                    item.field("name").place(),
+                    item.field("name").path(),
                     "is the name of another service too",
                 );
             }
@@ -195,106 +204,117 @@
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-fn millis(reader: &Reader<'_>, default: u64, findings: &mut Findings) -> Duration {
-    Duration::from_millis(reader.whole_or(default, findings))
+fn millis(reader: &FieldReader<'_>, default: u64, findings: &mut Findings) -> Duration {
+    Duration::from_millis(reader.integer_or(default, findings))
 }
 
-fn read_service(item: &Reader<'_>, findings: &mut Findings) -> Service {
+fn read_service(item: &FieldReader<'_>, findings: &mut Findings) -> Service {
     let engine = item.field("engine");
     let engine = engine.value().is_some().then(|| Engine {
-        capacity: engine.field("capacity").whole_or(1, findings).max(1),
+        capacity: engine.field("capacity").integer_or(1, findings).max(1),
         kv_capacity_tokens: engine
             .field("kv_capacity_tokens")
-            .whole_or(u64::MAX, findings),
+            .integer_or(u64::MAX, findings),
     });
     let cold_start = item.field("cold_start_s").number_or(0.0, findings);
     Service {
-        name: item.field("name").text(findings),
+        name: item.field("name").string(findings),
         health_check: item
             .field("health_check")
-            .optional_text(findings)
+            .optional_string(findings)
             .unwrap_or_default(),
-        max_connections: item.field("max_connections").whole_or(u64::MAX, findings),
-        cold_start: Duration::try_from_secs_f64(cold_start).unwrap_or(Duration::ZERO),
+        max_connections: item.field("max_connections").integer_or(u64::MAX, findings),
+        slow_start: Duration::try_from_secs_f64(cold_start).unwrap_or(Duration::ZERO),
         warmup_per_s: item.field("warmup_per_s").number_or(0.0, findings),
         engine,
     }
 }
 
 fn read_route(
-    item: &Reader<'_>,
+    item: &FieldReader<'_>,
     services: &BTreeMap<String, Service>,
     findings: &mut Findings,
 ) -> Route {
-    let path_prefix = item.field("path_prefix").text(findings);
+    let path_prefix = item.field("path_prefix").string(findings);
     let has_slashes = path_prefix.starts_with('/') && path_prefix.ends_with('/');
     if !path_prefix.is_empty() && !has_slashes {
         findings.add(
-            item.field("path_prefix").place(),
+            item.field("path_prefix").path(),
             "must begin and end with a slash",
         );
     }
     let route_type = item.field("route_type");
-    let route_type = match route_type.text(findings).as_str() {
+    let route_type = match route_type.string(findings).as_str() {
         "safe" => RouteType::Safe,
         "streaming" => RouteType::Streaming,
         "non_idempotent" | "" => RouteType::NonIdempotent,
         other => {
-            findings.add(route_type.place(), format!("{other:?} is no type of route"));
+            findings.add(route_type.path(), format!("{other:?} is no type of route"));
             RouteType::NonIdempotent
         }
     };
     let timeout = item.field("timeout_ms");
-    let timeout_ms = timeout.whole(findings);
+    let timeout_ms = timeout.integer(findings);
     if timeout.value().and_then(Value::as_u64) == Some(0) {
-        findings.add(timeout.place(), "must be above 0");
+        findings.add(timeout.path(), "must be above 0");
     }
     let regions = item.field("allowed_regions").items(findings);
-    let gap_aim = item.field("gap_aim_ms");
+    let inter_event_target = item.field("gap_aim_ms");
     Route {
-        name: item.field("name").text(findings),
-        host: item.field("host").text(findings).to_ascii_lowercase(),
+        name: item.field("name").string(findings),
+        host: item.field("host").string(findings).to_ascii_lowercase(),
         path_prefix,
         route_type,
         timeout: Duration::from_millis(timeout_ms),
         target_latency: millis(&item.field("target_latency_ms"), timeout_ms, findings),
-        gap_aim: gap_aim.value().map(|_| millis(&gap_aim, 0, findings)),
-        priority: u8::try_from(item.field("priority").whole_or(0, findings)).unwrap_or(u8::MAX),
+        inter_event_target: inter_event_target
+            .value()
+            .map(|_| millis(&inter_event_target, 0, findings)),
+        priority: u8::try_from(item.field("priority").integer_or(0, findings)).unwrap_or(u8::MAX),
         targets: read_targets(item, services, findings),
-        max_attempts: u32::try_from(item.field("max_attempts").whole_or(1, findings))
+        max_attempts: u32::try_from(item.field("max_attempts").integer_or(1, findings))
             .unwrap_or(u32::MAX),
-        session_affinity: item.field("session_affinity").flag_or(false, findings),
-        resumable: item.field("resumable").flag_or(false, findings),
-        allowed_regions: regions.iter().map(|region| region.text(findings)).collect(),
+        session_affinity: item.field("session_affinity").bool_or(false, findings),
+        resumable: item.field("resumable").bool_or(false, findings),
+        allowed_regions: regions
+            .iter()
+            .map(|region| region.string(findings))
+            .collect(),
     }
 }
 
 fn read_targets(
-    item: &Reader<'_>,
+    item: &FieldReader<'_>,
     services: &BTreeMap<String, Service>,
     findings: &mut Findings,
-) -> Vec<(String, u64)> {
+) -> Vec<WeightedService> {
     let split = item.field("traffic_split");
-    let named = |reader: &Reader<'_>, findings: &mut Findings| {
-        let service = reader.text(findings);
+    let named = |reader: &FieldReader<'_>, findings: &mut Findings| {
+        let service = reader.string(findings);
         if !service.is_empty() && !services.contains_key(&service) {
             findings.add(
-                reader.place(),
+                reader.path(),
                 format!("names an unknown service {service:?}"),
             );
         }
         service
     };
     if split.value().is_none() {
-        return vec![(named(&item.field("service"), findings), 1)];
+        return vec![WeightedService {
+            service: named(&item.field("service"), findings),
+            weight: 1,
+        }];
     }
     let mut targets = Vec::new();
     for target in split.items(findings) {
         let service = named(&target.field("service"), findings);
-        targets.push((service, target.field("weight").whole(findings)));
+        targets.push(WeightedService {
+            service,
+            weight: target.field("weight").integer(findings),
+        });
     }
-    if targets.iter().map(|(_, weight)| weight).sum::<u64>() == 0 {
-        findings.add(split.place(), "has weights that add up to 0");
+    if targets.iter().map(|target| target.weight).sum::<u64>() == 0 {
+        findings.add(split.path(), "has weights that add up to 0");
     }
     targets
 }
@@ -318,12 +338,12 @@
     }
 }
 
-fn read_limits(reader: &Reader<'_>, findings: &mut Findings) -> Limits {
+fn read_limits(reader: &FieldReader<'_>, findings: &mut Findings) -> Limits {
     let default = Limits::default();
-    let size = |field: &Reader<'_>, default: usize, findings: &mut Findings| {
-        usize::try_from(field.whole_or(default as u64, findings)).unwrap_or(usize::MAX)
+    let size = |field: &FieldReader<'_>, default: usize, findings: &mut Findings| {
+        usize::try_from(field.integer_or(default as u64, findings)).unwrap_or(usize::MAX)
     };
-    let time = |field: &Reader<'_>, default: Duration, findings: &mut Findings| {
+    let time = |field: &FieldReader<'_>, default: Duration, findings: &mut Findings| {
         millis(
             field,
             u64::try_from(default.as_millis()).unwrap_or(u64::MAX),
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -7,7 +7,7 @@
 
 /// Something that balancers must hear of.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub enum Event {
+pub enum FeedEvent {
     /// A command was committed at a position of the configuration's log.
     Committed {
         /// The position.
@@ -28,7 +28,7 @@
     /// Tells this journal from one of an earlier process at the same address.
     epoch: u64,
     first: u64,
-    events: VecDeque<(usize, Event)>,
+    events: VecDeque<(usize, FeedEvent)>,
     bytes: usize,
 }
 
@@ -54,9 +54,9 @@
     }
 
     /// Appends an event.
-    pub fn append(&mut self, event: Event) {
+    pub fn append(&mut self, event: FeedEvent) {
         let size = match &event {
-            Event::Committed {
+            FeedEvent::Committed {
                 command: Command::Put { body, .. } | Command::Patch { body, .. },
                 ..
             } => body.len(),
@@ -81,7 +81,7 @@
     }
 
     /// The events from an offset of an epoch on; `None` where they are not kept, so that a snapshot is needed.
-    pub fn tail(&self, epoch: u64, offset: u64) -> Option<Vec<Event>> {
+    pub fn tail(&self, epoch: u64, offset: u64) -> Option<Vec<FeedEvent>> {
         let skipped = offset
             .checked_sub(self.first)
             .filter(|_| epoch == self.epoch)?;
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -20,22 +20,22 @@
     /// The upstreams.
     pub upstreams: Vec<UpstreamLoad>,
     /// Prompts with a long beginning that were sent to upstreams a moment ago.
-    pub placements: Vec<Placement>,
+    pub placements: Vec<PrefixPlacement>,
 }
 
 /// A prompt with a long beginning that was sent to an upstream, which keeps it from then on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
-pub struct Placement {
+pub struct PrefixPlacement {
     /// Drawn by chance, as a placement is told several times.
     pub number: u32,
     /// The hash of the upstream's id.
     pub upstream: u32,
     /// The hash of the beginning.
-    pub beginning: u32,
+    pub prefix: u32,
     /// The beginning's tokens.
-    pub tokens: u32,
+    pub prefix_tokens: u32,
     /// The tokens of the rest of the prompt.
-    pub own_tokens: u32,
+    pub suffix_tokens: u32,
 }
 
 /// How an upstream stands with one balancer.
@@ -44,7 +44,7 @@
     /// The hash of its id.
     pub upstream: u32,
     /// Prompt tokens that it has been sent and has not begun to answer.
-    pub unread: u32,
+    pub pending_prefill_tokens: u32,
     /// Whether it fails or tells nothing though requests wait there.
     pub is_failing: bool,
 }
@@ -55,9 +55,9 @@
     /// The hash of its id.
     pub upstream: u32,
     /// Prompt tokens that wait to be read, from all balancers of the region.
-    pub unread: u32,
+    pub pending_prefill_tokens: u32,
     /// Balancers of the zone with which it fails. Those of other zones may not reach it for a reason of their own.
-    pub failing: u16,
+    pub failing_balancers: u16,
 }
 
 /// What the balancers of a zone are told.
@@ -66,7 +66,7 @@
     /// The upstreams that there is something to tell of; all others are well and have nothing to read.
     pub upstreams: Vec<FleetLoad>,
     /// Placements of the last moments, from all balancers of the region.
-    pub placements: Vec<Placement>,
+    pub placements: Vec<PrefixPlacement>,
 }
 
 impl FleetLoads {
@@ -106,7 +106,7 @@
 
     /// What balancers of a zone are told, given which zones are of its region.
     pub fn of_zone(&self, zone: &str, is_of_region: impl Fn(&str) -> bool) -> FleetLoads {
-        let mut placements: BTreeSet<Placement> = BTreeSet::new();
+        let mut placements: BTreeSet<PrefixPlacement> = BTreeSet::new();
         let mut told: BTreeMap<u32, FleetLoad> = BTreeMap::new();
         let reports = self.reports.values().map(|(_, report)| report);
         for report in reports.filter(|report| is_of_region(&report.zone)) {
@@ -114,18 +114,20 @@
             for load in &report.upstreams {
                 let entry = FleetLoad {
                     upstream: load.upstream,
-                    unread: 0,
-                    failing: 0,
+                    pending_prefill_tokens: 0,
+                    failing_balancers: 0,
                 };
                 let entry = told.entry(load.upstream).or_insert(entry);
-                entry.unread = entry.unread.saturating_add(load.unread);
+                entry.pending_prefill_tokens = entry
+                    .pending_prefill_tokens
+                    .saturating_add(load.pending_prefill_tokens);
                 let counts = load.is_failing && report.zone == zone;
-                entry.failing = entry.failing.saturating_add(u16::from(counts));
+                entry.failing_balancers = entry.failing_balancers.saturating_add(u16::from(counts));
             }
         }
         let upstreams = told
             .into_values()
-            .filter(|load| load.unread > 0 || load.failing > 0)
+            .filter(|load| load.pending_prefill_tokens > 0 || load.failing_balancers > 0)
             .collect();
         FleetLoads {
             upstreams,
--- a/crates/control/src/machine/directory.rs
+++ b/crates/control/src/machine/directory.rs
@@ -1,9 +1,9 @@
 //! The directory: where clients find balancers, and where upstreams send their later heartbeats.
 
-use super::Machine;
-use crate::balancers::Heartbeat;
+use super::ControlMachine;
+use crate::balancers::BalancerHeartbeat;
 use crate::shards::hash;
-use crate::wire::ControlMachine;
+use crate::wire::MachineInfo;
 use std::collections::BTreeSet;
 
 /// How long a balancer is named to clients after it was last heard of, in milliseconds: three heartbeats, and the way between
@@ -22,7 +22,7 @@
 
 /// A client's question where to go.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct ResolveRequest {
     /// The client's address.
     pub client: String,
     /// The host that its requests are for.
@@ -35,14 +35,14 @@
 
 /// What a client is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Resolved {
+pub struct ResolveResponse {
     /// Addresses of balancers.
     pub addresses: Vec<String>,
     /// For how many seconds they hold.
     pub ttl_s: u64,
 }
 
-impl Machine {
+impl ControlMachine {
     /// Where an upstream of a zone sends its later heartbeats: a control machine of its zone, else of its region.
     pub fn heartbeat_address(&self, id: &str, zone: &str) -> Option<String> {
         let machines = self.machines();
@@ -51,7 +51,7 @@
         let in_region = machines
             .iter()
             .filter(|machine| region == Some(&machine.region));
-        let weight = |machine: &&ControlMachine| hash(&(id, &machine.control));
+        let weight = |machine: &&MachineInfo| hash(&(id, &machine.control));
         let chosen = in_zone
             .max_by_key(weight)
             .or_else(|| in_region.max_by_key(weight));
@@ -61,8 +61,8 @@
     /// The balancers that a client goes to: those of its zone, else of its region, else of the regions to which the routes of
     /// its host are bound, else all. A request that is bound to regions may be read there and in the client's region only:
     /// before its client is sent elsewhere, it goes to a balancer there that is being stopped.
-    pub fn resolve(&self, question: &Question) -> Resolved {
-        let ready: Vec<&Heartbeat> = self
+    pub fn resolve(&self, question: &ResolveRequest) -> ResolveResponse {
+        let ready: Vec<&BalancerHeartbeat> = self
             .balancers
             .alive(self.now, BALANCER_ALIVE)
             .filter(|heartbeat| heartbeat.ready)
@@ -79,10 +79,14 @@
         } else {
             TTL_OF_MANY_S
         };
-        Resolved { addresses, ttl_s }
+        ResolveResponse { addresses, ttl_s }
     }
 
-    fn nearest<'a>(&'a self, ready: &[&'a Heartbeat], question: &Question) -> Vec<&'a str> {
+    fn nearest<'a>(
+        &'a self,
+        ready: &[&'a BalancerHeartbeat],
+        question: &ResolveRequest,
+    ) -> Vec<&'a str> {
         let region = self.region_of(&question.zone).unwrap_or(&question.region);
         let in_zone = addresses(ready, |heartbeat| heartbeat.zone == question.zone);
         if !in_zone.is_empty() {
@@ -105,7 +109,7 @@
     /// The balancers for a client without a ready one in its region, whose requests are bound to these regions, if to any.
     fn within_bounds<'a>(
         &'a self,
-        ready: &[&'a Heartbeat],
+        ready: &[&'a BalancerHeartbeat],
         region: &str,
         allowed: &BTreeSet<String>,
     ) -> Vec<&'a str> {
@@ -114,16 +118,16 @@
         }
         let is_allowed = |region: &String| allowed.contains(region);
         let may_serve =
-            |heartbeat: &Heartbeat| self.region_of(&heartbeat.zone).is_some_and(is_allowed);
+            |heartbeat: &BalancerHeartbeat| self.region_of(&heartbeat.zone).is_some_and(is_allowed);
         let in_service = addresses(ready, may_serve);
         if !in_service.is_empty() {
             return in_service;
         }
-        let stopping: Vec<&Heartbeat> = self
+        let stopping: Vec<&BalancerHeartbeat> = self
             .balancers
             .stopping(self.now, BALANCER_ALIVE, STOPPING_TAKES)
             .collect();
-        let is_near = |heartbeat: &Heartbeat| {
+        let is_near = |heartbeat: &BalancerHeartbeat| {
             self.region_of(&heartbeat.zone)
                 .is_some_and(|own| own == region)
         };
@@ -158,8 +162,8 @@
 }
 
 fn addresses<'a>(
-    balancers: &[&'a Heartbeat],
-    is_named: impl Fn(&Heartbeat) -> bool,
+    balancers: &[&'a BalancerHeartbeat],
+    is_named: impl Fn(&BalancerHeartbeat) -> bool,
 ) -> Vec<&'a str> {
     balancers
         .iter()
--- a/crates/control/src/machine/feeds.rs
+++ b/crates/control/src/machine/feeds.rs
@@ -1,7 +1,7 @@
 //! The feeds of balancers.
 
-use super::{Action, Machine};
-use crate::feed::Event;
+use super::{Action, ControlMachine};
+use crate::feed::FeedEvent;
 use crate::shards::short_hash;
 use crate::state::ControlState;
 use crate::wire::{Packet, ZoneBalancers};
@@ -28,7 +28,7 @@
     index: u64,
 }
 
-impl Machine {
+impl ControlMachine {
     /// A balancer asks for the feed on a connection. One that needs a snapshot gets it with the next tick, together with others:
     /// when many come back at once, it is made and encoded once.
     pub fn subscribe(&mut self, now: u64, subscriber: u64, packet: &Packet) {
@@ -86,7 +86,7 @@
 
     /// Tells readers what they begin with, and how this machine stands.
     fn begin_feed(&mut self, subscribers: Vec<u64>, beginning: Packet) {
-        let (status, balancing) = (self.status(), Packet::Balancing(self.balancing()));
+        let (status, balancing) = (self.status(), Packet::ActiveBalancers(self.balancing()));
         for packet in [beginning, status, balancing] {
             self.actions.push(Action::Deliver {
                 subscribers: subscribers.clone(),
@@ -119,7 +119,7 @@
     }
 
     /// The names of the balancers that read the feed here.
-    pub fn readers(&self) -> impl Iterator<Item = &str> {
+    pub fn subscriber_names(&self) -> impl Iterator<Item = &str> {
         self.subscribers
             .values()
             .map(|subscriber| subscriber.balancer.as_str())
@@ -127,8 +127,8 @@
 
     /// Appends an event to the journal. Readers are told of orders at once, of registrations with the next tick: many come
     /// together when upstreams start.
-    pub(super) fn publish(&mut self, event: Event) {
-        let is_order = matches!(event, Event::Committed { .. });
+    pub(super) fn publish(&mut self, event: FeedEvent) {
+        let is_order = matches!(event, FeedEvent::Committed { .. });
         self.registry_version += u64::from(!is_order);
         self.journal.append(event);
         if is_order {
@@ -175,14 +175,14 @@
         let balancing = self.balancing();
         if balancing != self.balancing {
             self.balancing = balancing.clone();
-            self.tell_all(Packet::Balancing(balancing));
+            self.tell_all(Packet::ActiveBalancers(balancing));
         }
         let status = self.status();
         self.tell_all(status);
     }
 
     fn status(&self) -> Packet {
-        Packet::Status {
+        Packet::MachineStatus {
             in_quorum: self.in_quorum(),
             machines: self.machines(),
         }
--- a/crates/control/src/machine/loads.rs
+++ b/crates/control/src/machine/loads.rs
@@ -1,6 +1,6 @@
 //! Passes on what balancers tell of upstreams.
 
-use super::{Action, Machine};
+use super::{Action, ControlMachine};
 use crate::loads::{FleetLoads, LoadReport};
 use crate::wire::Packet;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     zones: BTreeMap<String, (u64, FleetLoads)>,
 }
 
-impl Machine {
+impl ControlMachine {
     /// A balancer tells how upstreams stand with it.
     pub(super) fn on_load(&mut self, report: LoadReport) {
         self.loads.take(self.now, report);
@@ -44,7 +44,7 @@
                     .insert(zone, (self.now, loads.clone()));
                 self.actions.push(Action::Deliver {
                     subscribers,
-                    packet: Packet::Loads(loads),
+                    packet: Packet::FleetLoads(loads),
                 });
             }
         }
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -11,15 +11,15 @@
 mod registrations;
 mod replication;
 
-pub use directory::{Question, Resolved};
+pub use directory::{ResolveRequest, ResolveResponse};
 
-use crate::balancers::{Balancers, Heard, Heartbeat, StillThere};
+use crate::balancers::{BalancerHeartbeat, BalancerRenewal, Balancers, Heard};
 use crate::feed::Journal;
 use crate::loads::Loads;
 use crate::registry::{Registration, Registry};
 use crate::shards::short_hash;
 use crate::state::ControlState;
-use crate::wire::{CallId, ControlMachine, Packet, Renewal, ZoneBalancers};
+use crate::wire::{CallId, MachineInfo, Packet, Renewal, ZoneBalancers};
 use feeds::{Newcomer, Subscriber};
 use leader_clock::LeaderClock;
 use loads::ToldLoads;
@@ -52,24 +52,24 @@
         /// The packet.
         packet: Packet,
     },
-    /// Make a record durable, then call [`Machine::persisted`].
+    /// Make a record durable, then call [`ControlMachine::persisted`].
     Persist {
         /// The record's number.
         sequence: u64,
         /// The record.
         record: Record,
     },
-    /// Keep all registrations on disk, then call [`Machine::kept`].
-    KeepRegistrations {
+    /// Keep all registrations on disk, then call [`ControlControlMachine::registrations_persisted`].
+    PersistRegistrations {
         /// The number of this wish; a later one includes it.
         number: u64,
     },
     /// Answer a call.
-    Answer {
+    Respond {
         /// The call.
         token: u64,
-        /// The answer.
-        answer: Answer,
+        /// The response.
+        response: CallResponse,
     },
     /// Send a packet to balancers that read the feed.
     Deliver {
@@ -84,9 +84,9 @@
 
 /// The answer to a call of an operator or of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum CallResponse {
     /// Done, and known to enough machines.
-    Done,
+    Acknowledged,
     /// The configuration builds on another version than the current one.
     Conflict {
         /// The current one.
@@ -100,14 +100,14 @@
     /// The configuration, as JSON.
     Document(Vec<u8>),
     /// Nobody can tell now; the caller asks again.
-    Unclear,
+    Indeterminate,
 }
 
 /// What a machine is told at its start.
 #[derive(Clone, Debug)]
 pub struct MachineSettings {
     /// Itself.
-    pub machine: ControlMachine,
+    pub machine: MachineInfo,
     /// Internal addresses of the seeds.
     pub seeds: Vec<String>,
     /// The region of each zone.
@@ -135,7 +135,7 @@
 
 /// A control machine.
 #[derive(Debug)]
-pub struct Machine {
+pub struct ControlMachine {
     settings: MachineSettings,
     now: u64,
     replica: Replica,
@@ -162,8 +162,8 @@
     subscribers: BTreeMap<u64, Subscriber>,
     newcomers: Vec<Newcomer>,
     renewals: Vec<Renewal>,
-    heartbeats: BTreeMap<String, Heartbeat>,
-    still_there: BTreeMap<String, StillThere>,
+    heartbeats: BTreeMap<String, BalancerHeartbeat>,
+    still_there: BTreeMap<String, BalancerRenewal>,
     hello_due: u64,
     join_due: u64,
     gossip_due: u64,
@@ -196,7 +196,7 @@
     }
 }
 
-impl Machine {
+impl ControlMachine {
     /// A machine as its disk has it, at a time in milliseconds.
     pub fn new(settings: MachineSettings, durable: DurableState, now: u64, seed: u64) -> Self {
         let journal = Journal::new(settings.incarnation);
@@ -327,7 +327,7 @@
     }
 
     /// A packet has come from the machine with this internal address.
-    pub fn packet(&mut self, now: u64, from: &str, packet: Packet) {
+    pub fn receive_packet(&mut self, now: u64, from: &str, packet: Packet) {
         self.now = self.now.max(now);
         if let Some(peer) = self.peers.get_mut(from) {
             peer.heard = self.now;
@@ -335,62 +335,60 @@
         match packet {
             Packet::Hello { machine, known } => self.on_hello(machine, known),
             Packet::Consensus { message, clock } => self.on_consensus(message, clock),
-            Packet::Join(member) => {
+            Packet::JoinRequest(member) => {
                 self.replica.join(member);
                 self.settle();
             }
-            Packet::Leaves(replica) => self.replica.leaves(self.now, replica),
+            Packet::ReplicaStopping(replica) => self.replica.leaves(self.now, replica),
             Packet::Registrations {
                 call,
                 registrations,
             } => self.on_registrations(from, call, registrations),
-            Packet::RegistrationsTaken { call } => self.on_taken(from, call),
+            Packet::RegistrationsAck { call } => self.on_taken(from, call),
             Packet::Renewals(renewals) => {
                 for Renewal { id, sequence } in renewals {
                     self.registry.renew(self.now, &id, sequence);
                 }
             }
-            Packet::Balancers(heartbeats) => {
+            Packet::BalancerHeartbeats(heartbeats) => {
                 for heartbeat in heartbeats {
                     self.balancers.merge(self.now, heartbeat);
                 }
             }
-            Packet::BalancersStillThere(still_there) => {
-                self.balancers.renew(self.now, &still_there)
-            }
-            Packet::Order {
+            Packet::BalancerRenewals(still_there) => self.balancers.renew(self.now, &still_there),
+            Packet::ForwardedCommand {
                 call,
                 expires,
                 command,
             } => self.on_forwarded_order(from, call, expires, command),
-            Packet::OrderDone { call, outcome } => self.on_order_done(call, outcome),
-            Packet::Read { call } => self.on_forwarded_read(from, call),
-            Packet::ReadDone { call, index } => self.on_read_done(call, index),
-            Packet::Heartbeat(heartbeat) => self.heartbeat(now, heartbeat),
-            Packet::Load(report) => self.on_load(report),
+            Packet::ForwardedCommandReply { call, outcome } => self.on_order_done(call, outcome),
+            Packet::ReadIndexRequest { call } => self.on_forwarded_read(from, call),
+            Packet::ReadIndexReply { call, index } => self.on_read_done(call, index),
+            Packet::BalancerHeartbeat(heartbeat) => self.receive_heartbeat(now, heartbeat),
+            Packet::LoadReport(report) => self.on_load(report),
             Packet::Subscribe { .. }
             | Packet::Snapshot { .. }
             | Packet::Events { .. }
-            | Packet::Status { .. }
-            | Packet::Balancing(_)
-            | Packet::Loads(_) => {}
+            | Packet::MachineStatus { .. }
+            | Packet::ActiveBalancers(_)
+            | Packet::FleetLoads(_) => {}
         }
     }
 
     /// A balancer's heartbeat has come.
-    pub fn heartbeat(&mut self, now: u64, heartbeat: Heartbeat) {
+    pub fn receive_heartbeat(&mut self, now: u64, heartbeat: BalancerHeartbeat) {
         self.now = self.now.max(now);
         let name = heartbeat.name.clone();
         match self.balancers.merge(self.now, heartbeat.clone()) {
             Heard::Old => {}
             Heard::Changed => drop(self.heartbeats.insert(name, heartbeat)),
             Heard::Renewed => {
-                let Heartbeat {
+                let BalancerHeartbeat {
                     incarnation,
                     sequence,
                     ..
                 } = heartbeat;
-                let news = StillThere {
+                let news = BalancerRenewal {
                     name: short_hash(&name),
                     incarnation,
                     sequence,
--- a/crates/control/src/machine/orders.rs
+++ b/crates/control/src/machine/orders.rs
@@ -1,7 +1,7 @@
 //! Orders of the operator: at the leader they go through the log, elsewhere they are passed to it.
 
 use super::replication::encoded;
-use super::{Action, Answer, CALL_PATIENCE, Machine};
+use super::{Action, CALL_PATIENCE, CallResponse, ControlMachine};
 use crate::command::{Command, Outcome};
 use crate::wire::{CallId, LeaderTime, Packet};
 
@@ -55,9 +55,9 @@
     deadline: u64,
 }
 
-impl Machine {
+impl ControlMachine {
     /// An operator's order has come.
-    pub fn order(&mut self, now: u64, token: u64, command: Command) {
+    pub fn submit_command(&mut self, now: u64, token: u64, command: Command) {
         self.now = self.now.max(now);
         let number = self.number();
         let deadline = self.now + CALL_PATIENCE;
@@ -115,7 +115,7 @@
         let call = self.call(number);
         self.send(
             &address,
-            Packet::Order {
+            Packet::ForwardedCommand {
                 call,
                 expires,
                 command,
@@ -184,7 +184,7 @@
         if !is_in_time || !self.propose_for(waiting, &command) {
             self.send(
                 from,
-                Packet::OrderDone {
+                Packet::ForwardedCommandReply {
                     call,
                     outcome: None,
                 },
@@ -200,7 +200,7 @@
         match outcome {
             Some(outcome) => {
                 if let Some(order) = self.orders.remove(&number) {
-                    self.answer(order.token, answer_of(outcome));
+                    self.respond(order.token, response_to(outcome));
                 }
             }
             // It was not taken there: it is passed on again.
@@ -226,11 +226,11 @@
     fn tell_outcome(&mut self, origin: Origin, outcome: Option<Outcome>) {
         match origin {
             Origin::Call(token) => {
-                let answer = outcome.map_or(Answer::Unclear, answer_of);
-                self.answer(token, answer);
+                let answer = outcome.map_or(CallResponse::Indeterminate, response_to);
+                self.respond(token, answer);
             }
             Origin::Peer { address, call } => {
-                self.send(&address, Packet::OrderDone { call, outcome })
+                self.send(&address, Packet::ForwardedCommandReply { call, outcome })
             }
         }
     }
@@ -294,21 +294,21 @@
         });
         let proposed: Vec<u64> = of_proposed.collect();
         for token in overdue.into_iter().chain(proposed) {
-            self.answer(token, Answer::Unclear);
+            self.respond(token, CallResponse::Indeterminate);
         }
         self.give_up_reads();
         self.give_up_spreads();
     }
 
-    pub(super) fn answer(&mut self, token: u64, answer: Answer) {
-        self.actions.push(Action::Answer { token, answer });
+    pub(super) fn respond(&mut self, token: u64, response: CallResponse) {
+        self.actions.push(Action::Respond { token, response });
     }
 }
 
-fn answer_of(outcome: Outcome) -> Answer {
+fn response_to(outcome: Outcome) -> CallResponse {
     match outcome {
-        Outcome::Accepted => Answer::Done,
-        Outcome::Conflict { current } => Answer::Conflict { current },
-        Outcome::Invalid { findings } => Answer::Invalid { findings },
+        Outcome::Accepted => CallResponse::Acknowledged,
+        Outcome::Conflict { current } => CallResponse::Conflict { current },
+        Outcome::Invalid { findings } => CallResponse::Invalid { findings },
     }
 }
--- a/crates/control/src/machine/peers.rs
+++ b/crates/control/src/machine/peers.rs
@@ -1,7 +1,7 @@
 //! The other control machines: links, introductions, membership.
 
-use super::{Action, Machine};
-use crate::wire::{ControlMachine, Packet};
+use super::{Action, ControlMachine};
+use crate::wire::{MachineInfo, Packet};
 use woadstall_consensus::{Place, ReplicaId};
 
 /// How often machines introduce themselves, in milliseconds, and how long one counts as there after it was last heard of.
@@ -13,11 +13,11 @@
 /// Another control machine.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
-    pub machine: ControlMachine,
+    pub machine: MachineInfo,
     pub heard: u64,
 }
 
-impl Machine {
+impl ControlMachine {
     /// The settings name other seeds: links to them are kept as well.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
         self.settings.seeds = seeds;
@@ -47,11 +47,11 @@
     }
 
     /// Hands leadership and, where there is a learner, the vote over before the process stops.
-    pub fn leave(&mut self, now: u64) {
+    pub fn begin_shutdown(&mut self, now: u64) {
         self.now = self.now.max(now);
         let id = self.replica.id();
         self.replica.leaves(self.now, id);
-        self.broadcast(&Packet::Leaves(id));
+        self.broadcast(&Packet::ReplicaStopping(id));
         self.replica.transfer();
         self.settle();
     }
@@ -66,7 +66,7 @@
     }
 
     /// The control machines that are there, this one among them.
-    pub fn machines(&self) -> Vec<ControlMachine> {
+    pub fn machines(&self) -> Vec<MachineInfo> {
         let alive = |peer: &&Peer| self.now <= peer.heard + PEER_ALIVE;
         let others = self
             .peers
@@ -128,7 +128,7 @@
         self.broadcast(&hello);
     }
 
-    pub(super) fn on_hello(&mut self, machine: ControlMachine, known: Vec<ControlMachine>) {
+    pub(super) fn on_hello(&mut self, machine: MachineInfo, known: Vec<MachineInfo>) {
         let address = machine.member.address.clone();
         self.connect(address.clone());
         if address != self.settings.machine.member.address {
@@ -153,7 +153,7 @@
     pub(super) fn ask_to_join(&mut self) {
         let member = self.settings.machine.member.clone();
         if self.replica.wants_to_join() {
-            self.broadcast(&Packet::Join(member));
+            self.broadcast(&Packet::JoinRequest(member));
         }
     }
 
@@ -171,7 +171,7 @@
 }
 
 /// Where a machine is.
-pub(super) fn place_of(machine: &ControlMachine) -> Place {
+pub(super) fn place_of(machine: &MachineInfo) -> Place {
     Place {
         zone: machine.zone.clone(),
         region: machine.region.clone(),
--- a/crates/control/src/machine/reads.rs
+++ b/crates/control/src/machine/reads.rs
@@ -1,7 +1,7 @@
 //! Reads of the configuration: answered from the state here once it is as new as the leader's was when a quorum confirmed it.
 
 use super::orders::{Leader, Origin};
-use super::{Answer, CALL_PATIENCE, Machine};
+use super::{CALL_PATIENCE, CallResponse, ControlMachine};
 use crate::wire::{CallId, Packet};
 
 /// A read of the configuration.
@@ -15,9 +15,9 @@
     deadline: u64,
 }
 
-impl Machine {
+impl ControlMachine {
     /// An operator wants to read the configuration.
-    pub fn read(&mut self, now: u64, token: u64) {
+    pub fn read_configuration(&mut self, now: u64, token: u64) {
         self.now = self.now.max(now);
         let number = self.number();
         let deadline = self.now + CALL_PATIENCE;
@@ -47,7 +47,7 @@
             self.replica.read(number);
         } else {
             let call = self.call(number);
-            self.send(&leader.address, Packet::Read { call });
+            self.send(&leader.address, Packet::ReadIndexRequest { call });
         }
     }
 
@@ -100,7 +100,7 @@
             Origin::Peer { address, call } => {
                 let (address, call) = (address.clone(), *call);
                 self.reads.remove(&number);
-                self.send(&address, Packet::ReadDone { call, index });
+                self.send(&address, Packet::ReadIndexReply { call, index });
             }
         }
     }
@@ -136,12 +136,12 @@
                 continue;
             };
             let answer = match self.state.configuration {
-                Some(_) => {
-                    Answer::Document(serde_json::to_vec(self.state.document()).unwrap_or_default())
-                }
-                None => Answer::Unclear,
+                Some(_) => CallResponse::Document(
+                    serde_json::to_vec(self.state.document()).unwrap_or_default(),
+                ),
+                None => CallResponse::Indeterminate,
             };
-            self.answer(token, answer);
+            self.respond(token, answer);
         }
     }
 
@@ -152,6 +152,6 @@
         let overdue: Vec<u64> = overdue.filter_map(|(_, read)| read.origin.call()).collect();
         overdue
             .into_iter()
-            .for_each(|token| self.answer(token, Answer::Unclear));
+            .for_each(|token| self.respond(token, CallResponse::Indeterminate));
     }
 }
--- a/crates/control/src/machine/registrations.rs
+++ b/crates/control/src/machine/registrations.rs
@@ -1,8 +1,8 @@
 //! Registrations of upstreams: merged here, told to the other machines, and judged silent by their shard's owner.
 
-use super::{Action, Answer, CALL_PATIENCE, Machine};
-use crate::feed::Event;
-use crate::registry::{Merge, Registration, Status};
+use super::{Action, CALL_PATIENCE, CallResponse, ControlMachine};
+use crate::feed::FeedEvent;
+use crate::registry::{Merge, Registration, UpstreamStatus};
 use crate::shards::{MONITORS, replica_group, shard_of};
 use crate::wire::{CallId, Packet, Renewal};
 use std::collections::BTreeSet;
@@ -32,20 +32,20 @@
     deadline: u64,
 }
 
-impl Machine {
+impl ControlMachine {
     /// An upstream's heartbeat has come.
     pub fn register(&mut self, now: u64, token: u64, registration: Registration) {
         self.now = self.now.max(now);
         let (id, sequence) = (registration.id.clone(), registration.sequence);
-        let is_ready = registration.status == Status::Ready;
+        let is_ready = registration.status == UpstreamStatus::Ready;
         match self.registry.merge(self.now, registration) {
             Merge::Changed if is_ready => {
                 self.tell(&id);
-                self.answer(token, Answer::Done);
+                self.respond(token, CallResponse::Acknowledged);
             }
             Merge::Renewed | Merge::Old if is_ready => {
                 self.renewals.push(Renewal { id, sequence });
-                self.answer(token, Answer::Done);
+                self.respond(token, CallResponse::Acknowledged);
             }
             Merge::Changed => {
                 self.want_kept();
@@ -69,14 +69,14 @@
     fn tell(&mut self, id: &str) -> Option<CallId> {
         let registration = self.registry.get(self.now, id)?;
         self.log(format!(
-            "registration id={} service={} status={:?} cold_ms={} sequence={}",
+            "registration id={} service={} status={} cold_ms={} sequence={}",
             registration.id,
             registration.service,
             registration.status,
-            registration.cold_remaining_ms,
+            registration.slow_start_remaining_ms,
             registration.sequence
         ));
-        self.publish(Event::Registered(registration.clone()));
+        self.publish(FeedEvent::Registered(registration.clone()));
         let call = self.next_call();
         self.broadcast(&Packet::Registrations {
             call,
@@ -123,7 +123,7 @@
         if self.replica.members().is_quorum(holds) {
             let token = spread.token;
             self.spreads.remove(&number);
-            self.answer(token, Answer::Done);
+            self.respond(token, CallResponse::Acknowledged);
         }
     }
 
@@ -134,19 +134,19 @@
         let overdue: Vec<u64> = overdue.map(|(_, spread)| spread.token).collect();
         overdue
             .into_iter()
-            .for_each(|token| self.answer(token, Answer::Unclear));
+            .for_each(|token| self.respond(token, CallResponse::Indeterminate));
     }
 
     /// Has the disk keep the registrations as they are now.
     fn want_kept(&mut self) {
         self.keep_wanted += 1;
-        self.actions.push(Action::KeepRegistrations {
+        self.actions.push(Action::PersistRegistrations {
             number: self.keep_wanted,
         });
     }
 
     /// The registrations are on disk as they were when this wish was made, or later.
-    pub fn kept(&mut self, now: u64, number: u64) {
+    pub fn registrations_persisted(&mut self, now: u64, number: u64) {
         self.now = self.now.max(now);
         self.kept = self.kept.max(number);
         let kept = self.kept;
@@ -155,7 +155,7 @@
             .extract_if(.., |taken| taken.keep <= kept)
             .collect::<Vec<_>>()
         {
-            self.send(&address, Packet::RegistrationsTaken { call });
+            self.send(&address, Packet::RegistrationsAck { call });
         }
         let waiting: Vec<u64> = self.spreads.keys().copied().collect();
         waiting
@@ -172,7 +172,7 @@
     ) {
         let leaves = registrations
             .iter()
-            .any(|registration| registration.status.is_leaving());
+            .any(|registration| registration.status.is_terminating());
         self.merge_all(registrations);
         if leaves && self.kept < self.keep_wanted {
             let (address, keep, deadline) =
@@ -184,7 +184,7 @@
                 deadline,
             });
         } else {
-            self.send(from, Packet::RegistrationsTaken { call });
+            self.send(from, Packet::RegistrationsAck { call });
         }
     }
 
@@ -196,8 +196,8 @@
             if self.registry.merge(self.now, registration) == Merge::Changed
                 && let Some(merged) = self.registry.get(self.now, &id)
             {
-                leaves |= merged.status.is_leaving();
-                self.publish(Event::Registered(merged));
+                leaves |= merged.status.is_terminating();
+                self.publish(FeedEvent::Registered(merged));
             }
         }
         if leaves {
@@ -207,10 +207,10 @@
 
     /// Takes over the registrations that an earlier process of this machine kept. They are hints: whatever is heard goes
     /// before them.
-    pub fn remember(&mut self, registrations: Vec<Registration>) {
+    pub fn restore_registrations(&mut self, registrations: Vec<Registration>) {
         for registration in registrations {
             self.registry.merge(self.now, registration.clone());
-            self.publish(Event::Registered(registration));
+            self.publish(FeedEvent::Registered(registration));
         }
     }
 
@@ -222,11 +222,13 @@
         }
         let heartbeats = std::mem::take(&mut self.heartbeats);
         if !heartbeats.is_empty() {
-            self.broadcast(&Packet::Balancers(heartbeats.into_values().collect()));
+            self.broadcast(&Packet::BalancerHeartbeats(
+                heartbeats.into_values().collect(),
+            ));
         }
         let still_there = std::mem::take(&mut self.still_there);
         if !still_there.is_empty() {
-            self.broadcast(&Packet::BalancersStillThere(
+            self.broadcast(&Packet::BalancerRenewals(
                 still_there.into_values().collect(),
             ));
         }
@@ -261,7 +263,7 @@
                 "upstream silent id={} service={} after_ms={after}",
                 silent.id, silent.service
             ));
-            self.publish(Event::Registered(silent.clone()));
+            self.publish(FeedEvent::Registered(silent.clone()));
             let call = self.next_call();
             self.broadcast(&Packet::Registrations {
                 call,
--- a/crates/control/src/machine/replication.rs
+++ b/crates/control/src/machine/replication.rs
@@ -1,8 +1,8 @@
 //! The replicated log behind the machine: what the replica wants done, and the state that its entries make.
 
-use super::{Action, Machine, leader_clock};
+use super::{Action, ControlMachine, leader_clock};
 use crate::command::Command;
-use crate::feed::Event;
+use crate::feed::FeedEvent;
 use crate::state::ControlState;
 use crate::wire::Packet;
 use nanoserde::{DeBin, SerBin};
@@ -15,7 +15,7 @@
 /// the disk's segments are made for it.
 const COMPACT_ENTRIES_LATER: usize = 3_000;
 
-impl Machine {
+impl ControlMachine {
     /// A message of the log has come.
     pub(super) fn on_consensus(&mut self, message: Message, clock: u64) {
         let (from, term) = (message.from, message.term);
@@ -112,7 +112,7 @@
             "order applied index={index} outcome={outcome:?} generation={}",
             self.state.generation()
         ));
-        self.publish(Event::Committed { index, command });
+        self.publish(FeedEvent::Committed { index, command });
         self.finish_proposed(index, term, Some(outcome));
     }
 
--- a/crates/control/src/reader.rs
+++ b/crates/control/src/reader.rs
@@ -1,20 +1,20 @@
-//! A reader of paths over JSON: it collects findings with their place instead of stopping at the first one.
+//! A reader of paths over JSON: it collects findings with their path instead of stopping at the first one.
 
 use serde_json::Value;
 use std::fmt;
 
-/// Something wrong at a place of a document.
+/// Something wrong at a path of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The place, as in `routes[3].timeout_ms`.
-    pub place: String,
+    /// The path, as in `routes[3].timeout_ms`.
+    pub path: String,
     /// What is wrong there.
     pub problem: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.problem)
+        write!(f, "{}: {}", self.path, self.problem)
     }
 }
 
@@ -24,9 +24,9 @@
 
 impl Findings {
     /// Adds one.
-    pub fn add(&mut self, place: impl Into<String>, problem: impl Into<String>) {
+    pub fn add(&mut self, path: impl Into<String>, problem: impl Into<String>) {
         self.0.push(Finding {
-            place: place.into(),
+            path: path.into(),
             problem: problem.into(),
         });
     }
@@ -47,28 +47,28 @@
 
 impl std::error::Error for Findings {}
 
-/// A value at a place of a document.
+/// A value at a path of a document.
 #[derive(Clone, Debug)]
-pub struct Reader<'a> {
+pub struct FieldReader<'a> {
     value: Option<&'a Value>,
-    place: String,
+    path: String,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> FieldReader<'a> {
     /// The whole document.
     pub fn new(document: &'a Value) -> Self {
         Self {
             value: Some(document),
-            place: String::new(),
+            path: String::new(),
         }
     }
 
-    /// The place, as findings name it.
-    pub fn place(&self) -> &str {
-        if self.place.is_empty() {
+    /// The path, as findings name it.
+    pub fn path(&self) -> &str {
+        if self.path.is_empty() {
             "(document)"
         } else {
-            &self.place
+            &self.path
         }
     }
 
@@ -79,13 +79,13 @@
 
     /// A field of an object.
     pub fn field(&self, name: &str) -> Self {
-        let place = match self.place.is_empty() {
+        let path = match self.path.is_empty() {
             true => name.to_owned(),
-            false => format!("{}.{name}", self.place),
+            false => format!("{}.{name}", self.path),
         };
         Self {
             value: self.value.and_then(|value| value.get(name)),
-            place,
+            path,
         }
     }
 
@@ -95,18 +95,18 @@
             return Vec::new();
         };
         let Some(items) = value.as_array() else {
-            findings.add(self.place(), "must be an array");
+            findings.add(self.path(), "must be an array");
             return Vec::new();
         };
         let item = |(index, value)| Self {
             value: Some(value),
-            place: format!("{}[{index}]", self.place),
+            path: format!("{}[{index}]", self.path),
         };
         items.iter().enumerate().map(item).collect()
     }
 
     /// A string that must be there and must not be empty.
-    pub fn text(&self, findings: &mut Findings) -> String {
+    pub fn string(&self, findings: &mut Findings) -> String {
         match self.value().map(Value::as_str) {
             Some(Some(text)) if !text.is_empty() => text.to_owned(),
             Some(Some(_)) => self.wrong("must not be empty", findings),
@@ -116,12 +116,12 @@
     }
 
     /// A string, or none where the value is absent.
-    pub fn optional_text(&self, findings: &mut Findings) -> Option<String> {
-        self.value().map(|_| self.text(findings))
+    pub fn optional_string(&self, findings: &mut Findings) -> Option<String> {
+        self.value().map(|_| self.string(findings))
     }
 
     /// A whole number that must be there.
-    pub fn whole(&self, findings: &mut Findings) -> u64 {
+    pub fn integer(&self, findings: &mut Findings) -> u64 {
         match self.value().map(Value::as_u64) {
             Some(Some(number)) => number,
             Some(None) => self.wrong("must be a whole number, 0 or more", findings),
@@ -130,9 +130,9 @@
     }
 
     /// A whole number, or `default` where the value is absent.
-    pub fn whole_or(&self, default: u64, findings: &mut Findings) -> u64 {
+    pub fn integer_or(&self, default: u64, findings: &mut Findings) -> u64 {
         if self.value().is_some() {
-            self.whole(findings)
+            self.integer(findings)
         } else {
             default
         }
@@ -148,7 +148,7 @@
     }
 
     /// A truth value, or `default` where the value is absent.
-    pub fn flag_or(&self, default: bool, findings: &mut Findings) -> bool {
+    pub fn bool_or(&self, default: bool, findings: &mut Findings) -> bool {
         match self.value().map(Value::as_bool) {
             Some(Some(flag)) => flag,
             Some(None) => self.wrong("must be true or false", findings),
@@ -157,7 +157,7 @@
     }
 
     fn wrong<T: Default>(&self, problem: &str, findings: &mut Findings) -> T {
-        findings.add(self.place(), problem);
+        findings.add(self.path(), problem);
         T::default()
     }
 }
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -3,24 +3,37 @@
 
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// How far an upstream's registration is. A later one wins at the same sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
-pub enum Status {
+pub enum UpstreamStatus {
     /// It takes requests.
     Ready,
     /// No heartbeat has come for several periods; the next one makes it what that says.
-    Silent,
+    TimedOut,
     /// It is about to leave and gets nothing new.
     Draining,
     /// It has left for good.
-    Gone,
+    Deregistered,
 }
 
-impl Status {
+/// The name of a status in the log and in the JSON of a machine's status, which differs from the identifier for two of them.
+impl fmt::Display for UpstreamStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Ready => "Ready",
+            Self::TimedOut => "Silent",
+            Self::Draining => "Draining",
+            Self::Deregistered => "Gone",
+        })
+    }
+}
+
+impl UpstreamStatus {
     /// Whether an upstream says by this that it leaves or has left.
-    pub fn is_leaving(self) -> bool {
-        matches!(self, Self::Draining | Self::Gone)
+    pub fn is_terminating(self) -> bool {
+        matches!(self, Self::Draining | Self::Deregistered)
     }
 }
 
@@ -40,9 +53,9 @@
     /// The newest heartbeat's number.
     pub sequence: u64,
     /// Its status.
-    pub status: Status,
+    pub status: UpstreamStatus,
     /// How much longer it is slow from its start, in milliseconds, as of when this record was made or sent.
-    pub cold_remaining_ms: u64,
+    pub slow_start_remaining_ms: u64,
     /// The time left of one that goes away at short notice, in milliseconds; 0 where none was told.
     pub remaining_ms: u64,
     /// How long ago its newest heartbeat came, in milliseconds, as of when this record was made or sent.
@@ -59,8 +72,8 @@
             zone: String::new(),
             capacity: 0,
             sequence: 0,
-            status: Status::Gone,
-            cold_remaining_ms: 0,
+            status: UpstreamStatus::Deregistered,
+            slow_start_remaining_ms: 0,
             remaining_ms: 0,
             age_ms: 0,
         }
@@ -68,7 +81,7 @@
 
     /// Whether this says something that balancers must hear of, beside what the other says.
     fn differs(&self, other: &Self) -> bool {
-        let became_cold = self.cold_remaining_ms > other.cold_remaining_ms;
+        let became_cold = self.slow_start_remaining_ms > other.slow_start_remaining_ms;
         self.status != other.status
             || self.address != other.address
             || self.service != other.service
@@ -116,12 +129,12 @@
 impl Registry {
     /// Merges a registration, heard of at a time.
     pub fn merge(&mut self, now: u64, mut registration: Registration) -> Merge {
-        let cold_until = now + registration.cold_remaining_ms;
+        let cold_until = now + registration.slow_start_remaining_ms;
         let heard = now.saturating_sub(registration.age_ms);
         let id = registration.id.clone();
         let Some(held) = self.held.get_mut(&id) else {
-            if registration.status == Status::Ready && registration.age_ms > STALE {
-                registration.status = Status::Silent;
+            if registration.status == UpstreamStatus::Ready && registration.age_ms > STALE {
+                registration.status = UpstreamStatus::TimedOut;
             }
             let held = Held {
                 registration,
@@ -134,15 +147,15 @@
         };
         let old = &held.registration;
         let newer = match (old.status, registration.status) {
-            (Status::Gone, _) => false,
-            (_, Status::Gone) => true,
+            (UpstreamStatus::Deregistered, _) => false,
+            (_, UpstreamStatus::Deregistered) => true,
             _ => (registration.sequence, registration.status) > (old.sequence, old.status),
         };
         if !newer {
             return Merge::Old;
         }
-        if registration.status == Status::Gone {
-            held.registration.status = Status::Gone;
+        if registration.status == UpstreamStatus::Deregistered {
+            held.registration.status = UpstreamStatus::Deregistered;
             held.changed = now;
             return Merge::Changed;
         }
@@ -151,12 +164,12 @@
         }
         let left = held.cold_until.saturating_sub(now);
         let before = Registration {
-            cold_remaining_ms: left + COLD_JITTER,
+            slow_start_remaining_ms: left + COLD_JITTER,
             ..old.clone()
         };
         let changed = registration.differs(&before);
         held.registration = registration;
-        if changed || held.registration.cold_remaining_ms == 0 {
+        if changed || held.registration.slow_start_remaining_ms == 0 {
             held.cold_until = cold_until;
         }
         if changed {
@@ -181,11 +194,11 @@
     ) -> Vec<Registration> {
         let overdue = |held: &&mut Held| {
             let registration = &held.registration;
-            let silent = now > held.heard + after && registration.status == Status::Ready;
+            let silent = now > held.heard + after && registration.status == UpstreamStatus::Ready;
             silent && owns(&registration.service)
         };
         let mark = |held: &mut Held| {
-            held.registration.status = Status::Silent;
+            held.registration.status = UpstreamStatus::TimedOut;
             held.changed = now;
             held.registration.clone()
         };
@@ -195,9 +208,11 @@
     /// Forgets what left or fell silent long ago.
     pub fn forget(&mut self, now: u64) {
         self.held.retain(|_, held| match held.registration.status {
-            Status::Ready => true,
-            Status::Draining => now <= held.heard + REMEMBER,
-            Status::Silent | Status::Gone => now <= held.changed + REMEMBER,
+            UpstreamStatus::Ready => true,
+            UpstreamStatus::Draining => now <= held.heard + REMEMBER,
+            UpstreamStatus::TimedOut | UpstreamStatus::Deregistered => {
+                now <= held.changed + REMEMBER
+            }
         });
     }
 
@@ -206,7 +221,9 @@
         let Some(held) = self.held.get_mut(id) else {
             return;
         };
-        if sequence > held.registration.sequence && held.registration.status == Status::Ready {
+        if sequence > held.registration.sequence
+            && held.registration.status == UpstreamStatus::Ready
+        {
             held.registration.sequence = sequence;
             held.heard = now;
         }
@@ -238,10 +255,10 @@
 
 impl Held {
     fn as_of(&self, now: u64) -> Registration {
-        let cold_remaining_ms = self.cold_until.saturating_sub(now);
+        let slow_start_remaining_ms = self.cold_until.saturating_sub(now);
         let age_ms = now.saturating_sub(self.heard);
         Registration {
-            cold_remaining_ms,
+            slow_start_remaining_ms,
             age_ms,
             ..self.registration.clone()
         }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -166,7 +166,7 @@
     fn prepare(&self, command: &Command, digest: Option<u128>) -> Result<Change, Outcome> {
         match command {
             Command::Evacuate { zone } => Ok(Change::Evacuate(zone.clone())),
-            Command::Return { zone } => Ok(Change::Return(zone.clone())),
+            Command::EndEvacuation { zone } => Ok(Change::Return(zone.clone())),
             Command::Put { base, body } | Command::Patch { base, body } => {
                 if digest.is_some_and(|digest| self.accepted_set.contains(&digest)) {
                     return Ok(Change::Nothing);
--- a/crates/control/src/wire.rs
+++ b/crates/control/src/wire.rs
@@ -1,9 +1,9 @@
 //! The project's own protocol between its processes: typed messages in `nanoserde` binary, in frames with a version, a
 //! length and a checksum.
 
-use crate::balancers::{Heartbeat, StillThere};
+use crate::balancers::{BalancerHeartbeat, BalancerRenewal};
 use crate::command::{Command, Outcome};
-use crate::feed::Event;
+use crate::feed::FeedEvent;
 use crate::loads::{FleetLoads, LoadReport};
 use crate::registry::Registration;
 use nanoserde::{DeBin, SerBin};
@@ -22,7 +22,7 @@
 
 /// A control machine as others reach it.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct ControlMachine {
+pub struct MachineInfo {
     /// Its replica's identity and internal address.
     pub member: Member,
     /// Its zone.
@@ -58,9 +58,9 @@
     /// Begins a connection between control machines.
     Hello {
         /// Who speaks.
-        machine: ControlMachine,
+        machine: MachineInfo,
         /// The machines that it has heard of, itself among them.
-        known: Vec<ControlMachine>,
+        known: Vec<MachineInfo>,
     },
     /// A message of the replicated log.
     Consensus {
@@ -70,10 +70,10 @@
         clock: u64,
     },
     /// A replica asks to become a member.
-    Join(Member),
+    JoinRequest(Member),
     /// A replica's process is about to end.
-    Leaves(ReplicaId),
-    /// Registrations that have changed, or all of them; answered with `RegistrationsTaken`.
+    ReplicaStopping(ReplicaId),
+    /// Registrations that have changed, or all of them; answered with `RegistrationsAck`.
     Registrations {
         /// The call.
         call: CallId,
@@ -81,18 +81,18 @@
         registrations: Vec<Registration>,
     },
     /// Registrations were taken; upstreams that leave are on disk.
-    RegistrationsTaken {
+    RegistrationsAck {
         /// The call that they came with.
         call: CallId,
     },
     /// Upstreams were heard from, with the sequence numbers of their heartbeats.
     Renewals(Vec<Renewal>),
     /// Heartbeats of balancers that say something new.
-    Balancers(Vec<Heartbeat>),
+    BalancerHeartbeats(Vec<BalancerHeartbeat>),
     /// Balancers that say what they said before.
-    BalancersStillThere(Vec<StillThere>),
+    BalancerRenewals(Vec<BalancerRenewal>),
     /// An order that came to a machine that does not lead.
-    Order {
+    ForwardedCommand {
         /// The call.
         call: CallId,
         /// Until when the order may be proposed, so that it is never taken after its caller was told that nobody can tell.
@@ -101,19 +101,19 @@
         command: Command,
     },
     /// What came of an order; `None` where it was not taken or that is not clear.
-    OrderDone {
+    ForwardedCommandReply {
         /// The call that it came with.
         call: CallId,
         /// The outcome.
         outcome: Option<Outcome>,
     },
     /// Asks for the position up to which a read must have applied the log.
-    Read {
+    ReadIndexRequest {
         /// The call.
         call: CallId,
     },
     /// Answers a read; `None` where this machine can't.
-    ReadDone {
+    ReadIndexReply {
         /// The call that asked.
         call: CallId,
         /// The position.
@@ -146,23 +146,23 @@
         /// The offset behind them.
         offset: u64,
         /// The events.
-        events: Vec<Event>,
+        events: Vec<FeedEvent>,
     },
     /// Sent when nothing else is: how the machine stands.
-    Status {
+    MachineStatus {
         /// Whether it hears of a leader that holds a quorum.
         in_quorum: bool,
         /// The control machines that it knows.
-        machines: Vec<ControlMachine>,
+        machines: Vec<MachineInfo>,
     },
     /// The balancers that share budgets; told when they change.
-    Balancing(Vec<ZoneBalancers>),
+    ActiveBalancers(Vec<ZoneBalancers>),
     /// A balancer's heartbeat to a monitor.
-    Heartbeat(Heartbeat),
+    BalancerHeartbeat(BalancerHeartbeat),
     /// What a balancer tells of upstreams, to control machines near it.
-    Load(LoadReport),
+    LoadReport(LoadReport),
     /// What balancers tell of upstreams together, whole each time.
-    Loads(FleetLoads),
+    FleetLoads(FleetLoads),
 }
 
 /// An upstream that was heard from.
--- a/crates/control/tests/calls.rs
+++ b/crates/control/tests/calls.rs
@@ -6,9 +6,11 @@
 use upstreams::registration;
 use woadstall_consensus::{Body, DurableState, Member, Message, Snapshot};
 use woadstall_control::command::{Command, Outcome};
-use woadstall_control::machine::{Action, Answer, Machine, MachineSettings, founding_snapshot};
-use woadstall_control::registry::Status;
-use woadstall_control::wire::{CallId, ControlMachine, LeaderTime, Packet};
+use woadstall_control::machine::{
+    Action, CallResponse, ControlMachine, MachineSettings, founding_snapshot,
+};
+use woadstall_control::registry::UpstreamStatus;
+use woadstall_control::wire::{CallId, LeaderTime, MachineInfo, Packet};
 
 const INCARNATION: u64 = 77;
 const FORMER: u64 = 76;
@@ -30,10 +32,10 @@
         .collect()
 }
 
-/// Machine 1 of three.
-fn machine() -> Machine {
+/// ControlMachine 1 of three.
+fn machine() -> ControlMachine {
     let settings = MachineSettings {
-        machine: ControlMachine {
+        machine: MachineInfo {
             member: members()[0].clone(),
             zone: "zone-1".to_owned(),
             region: "region-1".to_owned(),
@@ -45,7 +47,7 @@
         tolerated: 1,
         incarnation: INCARNATION,
     };
-    let mut machine = Machine::new(
+    let mut machine = ControlMachine::new(
         settings,
         DurableState::new(1, founding_snapshot(&members())),
         0,
@@ -55,14 +57,14 @@
     machine
 }
 
-/// Machine 1, which follows machine 2.
-fn follower() -> Machine {
+/// ControlMachine 1, which follows machine 2.
+fn follower() -> ControlMachine {
     let mut machine = machine();
     hear_leader(&mut machine, 1_000, LEADER_CLOCK);
     machine
 }
 
-fn hear_leader(machine: &mut Machine, now: u64, clock: u64) {
+fn hear_leader(machine: &mut ControlMachine, now: u64, clock: u64) {
     let body = Body::Append {
         previous_index: 1,
         previous_term: 1,
@@ -76,12 +78,12 @@
         term: TERM,
         body,
     };
-    machine.packet(now, &address(2), Packet::Consensus { message, clock });
+    machine.receive_packet(now, &address(2), Packet::Consensus { message, clock });
     settled(machine, now);
 }
 
-/// Machine 1 as the leader of a term, with its first entry committed.
-fn leader() -> Machine {
+/// ControlMachine 1 as the leader of a term, with its first entry committed.
+fn leader() -> ControlMachine {
     let mut machine = machine();
     let consensus = |body| Packet::Consensus {
         message: Message {
@@ -92,7 +94,7 @@
         },
         clock: 0,
     };
-    machine.packet(1_000, &address(2), consensus(Body::Elect));
+    machine.receive_packet(1_000, &address(2), consensus(Body::Elect));
     settled(&mut machine, 1_000);
     let term = machine.replica().term();
     let vote = Message {
@@ -104,7 +106,7 @@
             granted: true,
         },
     };
-    machine.packet(
+    machine.receive_packet(
         1_010,
         &address(2),
         Packet::Consensus {
@@ -123,7 +125,7 @@
             round: 1,
         },
     };
-    machine.packet(
+    machine.receive_packet(
         1_020,
         &address(2),
         Packet::Consensus {
@@ -137,7 +139,7 @@
 }
 
 /// Makes everything durable, and gives what else is to be done.
-fn settled(machine: &mut Machine, now: u64) -> Vec<Action> {
+fn settled(machine: &mut ControlMachine, now: u64) -> Vec<Action> {
     let mut all = Vec::new();
     loop {
         let actions = machine.take_actions();
@@ -147,18 +149,20 @@
         for action in actions {
             match action {
                 Action::Persist { sequence, .. } => machine.persisted(now, sequence),
-                Action::KeepRegistrations { number } => machine.kept(now, number),
+                Action::PersistRegistrations { number } => {
+                    machine.registrations_persisted(now, number)
+                }
                 other => all.push(other),
             }
         }
     }
 }
 
-fn answers(actions: &[Action]) -> Vec<&Answer> {
+fn answers(actions: &[Action]) -> Vec<&CallResponse> {
     actions
         .iter()
         .filter_map(|action| match action {
-            Action::Answer { answer, .. } => Some(answer),
+            Action::Respond { response, .. } => Some(response),
             _ => None,
         })
         .collect()
@@ -182,7 +186,7 @@
 
 fn order_of(packets: &[Packet]) -> Option<(CallId, LeaderTime)> {
     packets.iter().find_map(|packet| match packet {
-        Packet::Order { call, expires, .. } => Some((*call, *expires)),
+        Packet::ForwardedCommand { call, expires, .. } => Some((*call, *expires)),
         _ => None,
     })
 }
@@ -197,17 +201,17 @@
     #[case] taken: bool,
 ) {
     let mut machine = follower();
-    machine.order(1_010, TOKEN, evacuate());
+    machine.submit_command(1_010, TOKEN, evacuate());
     let (call, _) = order_of(&sent_to(&settled(&mut machine, 1_010), 2)).unwrap();
     assert_eq!(call.incarnation, INCARNATION);
     let call = CallId {
         incarnation,
         number: call.number + more,
     };
-    machine.packet(
+    machine.receive_packet(
         1_100,
         &address(2),
-        Packet::OrderDone {
+        Packet::ForwardedCommandReply {
             call,
             outcome: Some(Outcome::Accepted),
         },
@@ -220,26 +224,30 @@
 #[case::a_call_of_a_former_process(FORMER, false)]
 fn a_read_is_confirmed_only_for_this_process(#[case] incarnation: u64, #[case] taken: bool) {
     let mut machine = follower();
-    machine.read(1_010, TOKEN);
+    machine.read_configuration(1_010, TOKEN);
     let packets = sent_to(&settled(&mut machine, 1_010), 2);
-    let Some(Packet::Read { call }) = packets.first() else {
+    let Some(Packet::ReadIndexRequest { call }) = packets.first() else {
         panic!("{packets:?}")
     };
     let call = CallId {
         incarnation,
         ..*call
     };
-    machine.packet(
+    machine.receive_packet(
         1_100,
         &address(2),
-        Packet::ReadDone {
+        Packet::ReadIndexReply {
             call,
             index: Some(1),
         },
     );
     let actions = settled(&mut machine, 1_100);
     // There is no configuration yet: nobody can tell it, which is no refusal.
-    let expected: &[&Answer] = if taken { &[&Answer::Unclear] } else { &[] };
+    let expected: &[&CallResponse] = if taken {
+        &[&CallResponse::Indeterminate]
+    } else {
+        &[]
+    };
     assert_eq!(answers(&actions), expected);
 }
 
@@ -262,15 +270,19 @@
         incarnation,
         ..*call
     };
-    machine.packet(1_100, &address(3), Packet::RegistrationsTaken { call });
-    let expected: &[&Answer] = if taken { &[&Answer::Done] } else { &[] };
+    machine.receive_packet(1_100, &address(3), Packet::RegistrationsAck { call });
+    let expected: &[&CallResponse] = if taken {
+        &[&CallResponse::Acknowledged]
+    } else {
+        &[]
+    };
     assert_eq!(answers(&settled(&mut machine, 1_100)), expected);
 }
 
 #[test]
 fn an_order_tells_until_when_by_the_leaders_clock() {
     let mut machine = follower();
-    machine.order(1_400, TOKEN, evacuate());
+    machine.submit_command(1_400, TOKEN, evacuate());
     let (_, expires) = order_of(&sent_to(&settled(&mut machine, 1_400), 2)).unwrap();
     assert_eq!(
         expires,
@@ -286,7 +298,7 @@
     let mut machine = follower();
     // These bytes were held up for long: the clock that they tell is old.
     hear_leader(&mut machine, 1_390, LEADER_CLOCK + 20);
-    machine.order(1_400, TOKEN, evacuate());
+    machine.submit_command(1_400, TOKEN, evacuate());
     let (_, expires) = order_of(&sent_to(&settled(&mut machine, 1_400), 2)).unwrap();
     assert_eq!(expires.at, LEADER_CLOCK + 400 + 900);
 }
@@ -314,10 +326,10 @@
     };
     let now = 1_100 + after;
     let before = machine.replica().log().last_index();
-    machine.packet(
+    machine.receive_packet(
         now,
         &address(3),
-        Packet::Order {
+        Packet::ForwardedCommand {
             call,
             expires,
             command: evacuate(),
@@ -325,7 +337,7 @@
     );
     let actions = settled(&mut machine, now);
     assert_eq!(machine.replica().log().last_index() > before, taken);
-    let refused = sent_to(&actions, 3).contains(&Packet::OrderDone {
+    let refused = sent_to(&actions, 3).contains(&Packet::ForwardedCommandReply {
         call,
         outcome: None,
     });
@@ -335,20 +347,20 @@
 #[test]
 fn an_order_whose_caller_has_given_up_is_passed_to_nobody() {
     let mut machine = machine();
-    machine.order(100, TOKEN, evacuate());
+    machine.submit_command(100, TOKEN, evacuate());
     settled(&mut machine, 100);
     // The process stood still; the first thing that it hears then is a leader.
     hear_leader(&mut machine, 5_000, LEADER_CLOCK);
     machine.tick(5_010);
     let actions = settled(&mut machine, 5_010);
     assert_eq!(order_of(&sent_to(&actions, 2)), None);
-    assert_eq!(answers(&actions), [&Answer::Unclear]);
+    assert_eq!(answers(&actions), [&CallResponse::Indeterminate]);
 }
 
 #[test]
 fn an_order_goes_to_the_next_leader_while_its_caller_waits() {
     let mut machine = follower();
-    machine.order(1_010, TOKEN, evacuate());
+    machine.submit_command(1_010, TOKEN, evacuate());
     settled(&mut machine, 1_010);
     let body = Body::Append {
         previous_index: 1,
@@ -363,7 +375,7 @@
         term: TERM + 1,
         body,
     };
-    machine.packet(
+    machine.receive_packet(
         1_300,
         &address(3),
         Packet::Consensus {
@@ -386,7 +398,7 @@
 #[test]
 fn an_order_is_passed_again_over_a_new_link_to_the_same_leader() {
     let mut machine = follower();
-    machine.order(1_010, TOKEN, evacuate());
+    machine.submit_command(1_010, TOKEN, evacuate());
     let first = order_of(&sent_to(&settled(&mut machine, 1_010), 2));
     machine.tick(1_050);
     assert_eq!(
@@ -399,7 +411,7 @@
 }
 
 /// Whether another machine's registrations are confirmed before this machine's disk has them, and after.
-fn confirmed(status: Status) -> (bool, bool) {
+fn confirmed(status: UpstreamStatus) -> (bool, bool) {
     let mut machine = follower();
     let call = CallId {
         incarnation: 5,
@@ -409,13 +421,13 @@
         call,
         registrations: vec![registration(3, status)],
     };
-    machine.packet(1_100, &address(3), packet);
+    machine.receive_packet(1_100, &address(3), packet);
     let actions = machine.take_actions();
-    let taken = Packet::RegistrationsTaken { call };
+    let taken = Packet::RegistrationsAck { call };
     let before = sent_to(&actions, 3).contains(&taken);
     for action in actions {
-        if let Action::KeepRegistrations { number } = action {
-            machine.kept(1_105, number);
+        if let Action::PersistRegistrations { number } = action {
+            machine.registrations_persisted(1_105, number);
         }
     }
     (
@@ -425,11 +437,11 @@
 }
 
 #[rstest]
-#[case::ready(Status::Ready, (true, true))]
-#[case::draining(Status::Draining, (false, true))]
-#[case::gone(Status::Gone, (false, true))]
+#[case::ready(UpstreamStatus::Ready, (true, true))]
+#[case::draining(UpstreamStatus::Draining, (false, true))]
+#[case::gone(UpstreamStatus::Deregistered, (false, true))]
 fn that_an_upstream_leaves_is_confirmed_once_it_is_on_disk(
-    #[case] status: Status,
+    #[case] status: UpstreamStatus,
     #[case] expected: (bool, bool),
 ) {
     assert_eq!(confirmed(status), expected);
@@ -483,7 +495,7 @@
         term: TERM,
         body: Body::Install { piece, round: 1 },
     };
-    machine.packet(1_100, &address(2), Packet::Consensus { message, clock: 0 });
+    machine.receive_packet(1_100, &address(2), Packet::Consensus { message, clock: 0 });
     machine.take_actions();
     machine.subscribe(1_200, 3, &subscribe(epoch, offset));
     machine.tick(1_250);
@@ -500,8 +512,8 @@
     );
 }
 
-/// Machine 1, which follows machine 2 and has a configuration at position 3.
-fn follower_with_configuration() -> Machine {
+/// ControlMachine 1, which follows machine 2 and has a configuration at position 3.
+fn follower_with_configuration() -> ControlMachine {
     let mut machine = follower();
     let body = br#"{"generation":5,"services":[],"routes":[]}"#.to_vec();
     let command = nanoserde::SerBin::serialize_bin(&Command::Put { base: 0, body });
@@ -530,7 +542,7 @@
         term: TERM,
         body,
     };
-    machine.packet(
+    machine.receive_packet(
         1_005,
         &address(2),
         Packet::Consensus {
@@ -552,28 +564,36 @@
     #[case] answered: bool,
 ) {
     let mut machine = follower_with_configuration();
-    machine.read(1_010, TOKEN);
+    machine.read_configuration(1_010, TOKEN);
     let packets = sent_to(&settled(&mut machine, 1_010), 2);
-    let Some(Packet::Read { call }) = packets.first() else {
+    let Some(Packet::ReadIndexRequest { call }) = packets.first() else {
         panic!("{packets:?}")
     };
-    machine.packet(1_100, &address(2), Packet::ReadDone { call: *call, index });
+    machine.receive_packet(
+        1_100,
+        &address(2),
+        Packet::ReadIndexReply { call: *call, index },
+    );
     let actions = settled(&mut machine, 1_100);
     assert_eq!(
-        matches!(answers(&actions)[..], [Answer::Document(_)]),
+        matches!(answers(&actions)[..], [CallResponse::Document(_)]),
         answered,
         "{actions:?}"
     );
     machine.tick(1_910);
     let late = settled(&mut machine, 1_910);
-    assert_eq!(answers(&late) == [&Answer::Unclear], !answered, "{late:?}");
+    assert_eq!(
+        answers(&late) == [&CallResponse::Indeterminate],
+        !answered,
+        "{late:?}"
+    );
 }
 
 #[test]
 fn a_read_at_the_leader_waits_for_what_is_in_doubt() {
     let mut machine = leader();
     let term = machine.replica().term();
-    machine.order(
+    machine.submit_command(
         1_100,
         TOKEN,
         Command::Evacuate {
@@ -581,7 +601,7 @@
         },
     );
     settled(&mut machine, 1_100);
-    machine.read(1_110, TOKEN + 1);
+    machine.read_configuration(1_110, TOKEN + 1);
     settled(&mut machine, 1_110);
     // Both others confirm the leader; the disks of both are slow.
     let reply = |index| Packet::Consensus {
@@ -597,13 +617,13 @@
         },
         clock: 0,
     };
-    machine.packet(1_200, &address(2), reply(2));
+    machine.receive_packet(1_200, &address(2), reply(2));
     let actions = settled(&mut machine, 1_200);
     assert!(
         answers(&actions).is_empty(),
         "the order may be taken yet: {actions:?}"
     );
-    machine.packet(1_300, &address(2), reply(3));
+    machine.receive_packet(1_300, &address(2), reply(3));
     let actions = settled(&mut machine, 1_300);
     assert_eq!(
         answers(&actions).len(),
@@ -616,7 +636,7 @@
 fn another_entry_at_the_position_of_an_order_does_not_answer_its_call() {
     let mut machine = leader();
     let term = machine.replica().term();
-    machine.order(1_100, TOKEN, evacuate());
+    machine.submit_command(1_100, TOKEN, evacuate());
     settled(&mut machine, 1_100);
     // The next leader never had the order, and has another one in its place.
     let command = nanoserde::SerBin::serialize_bin(&Command::Evacuate {
@@ -641,12 +661,12 @@
         term: term + 1,
         body,
     };
-    machine.packet(1_200, &address(3), Packet::Consensus { message, clock: 0 });
+    machine.receive_packet(1_200, &address(3), Packet::Consensus { message, clock: 0 });
     let mut actions = settled(&mut machine, 1_200);
     machine.tick(1_250);
     actions.extend(settled(&mut machine, 1_250));
     assert!(machine.state().evacuated.contains("other"));
-    assert_eq!(answers(&actions), [&Answer::Unclear]);
+    assert_eq!(answers(&actions), [&CallResponse::Indeterminate]);
 }
 
 #[test]
@@ -657,9 +677,9 @@
             format!("{{\"generation\":{generation},\"services\":[],\"routes\":[]}}").into_bytes();
         Command::Put { base: 0, body }
     };
-    machine.order(1_100, 1, put(5));
-    machine.order(1_110, 2, put(5));
-    machine.order(1_120, 3, put(6));
+    machine.submit_command(1_100, 1, put(5));
+    machine.submit_command(1_110, 2, put(5));
+    machine.submit_command(1_120, 3, put(6));
     settled(&mut machine, 1_120);
     assert_eq!(
         machine.replica().log().last_index(),
@@ -677,14 +697,14 @@
         term: machine.replica().term(),
         body: reply,
     };
-    machine.packet(1_200, &address(2), Packet::Consensus { message, clock: 0 });
+    machine.receive_packet(1_200, &address(2), Packet::Consensus { message, clock: 0 });
     let actions = settled(&mut machine, 1_200);
     assert_eq!(
         answers(&actions),
         [
-            &Answer::Done,
-            &Answer::Done,
-            &Answer::Conflict { current: 5 }
+            &CallResponse::Acknowledged,
+            &CallResponse::Acknowledged,
+            &CallResponse::Conflict { current: 5 }
         ]
     );
 }
@@ -693,9 +713,9 @@
 fn evacuations_are_taken_in_the_order_in_which_they_come() {
     let mut machine = leader();
     let zone = || "z".to_owned();
-    machine.order(1_100, 1, Command::Evacuate { zone: zone() });
-    machine.order(1_110, 2, Command::Return { zone: zone() });
-    machine.order(1_120, 3, Command::Evacuate { zone: zone() });
+    machine.submit_command(1_100, 1, Command::Evacuate { zone: zone() });
+    machine.submit_command(1_110, 2, Command::EndEvacuation { zone: zone() });
+    machine.submit_command(1_120, 3, Command::Evacuate { zone: zone() });
     settled(&mut machine, 1_120);
     let reply = Body::AppendReply {
         success: true,
@@ -708,7 +728,7 @@
         term: machine.replica().term(),
         body: reply,
     };
-    machine.packet(1_200, &address(2), Packet::Consensus { message, clock: 0 });
+    machine.receive_packet(1_200, &address(2), Packet::Consensus { message, clock: 0 });
     settled(&mut machine, 1_200);
     assert!(
         machine.state().evacuated.contains("z"),
@@ -733,22 +753,21 @@
     machine.deregister(1_010, TOKEN, "i-1");
     let actions = machine.take_actions();
     let keep = actions.iter().find_map(|action| match action {
-        Action::KeepRegistrations { number } => Some(*number),
+        Action::PersistRegistrations { number } => Some(*number),
         _ => None,
     });
     let packets = sent_to(&actions, 3);
     let Some(Packet::Registrations { call, .. }) = packets.first() else {
         panic!("{packets:?}")
     };
-    machine.packet(
-        1_100,
-        &address(3),
-        Packet::RegistrationsTaken { call: *call },
-    );
+    machine.receive_packet(1_100, &address(3), Packet::RegistrationsAck { call: *call });
     assert!(
         answers(&machine.take_actions()).is_empty(),
         "one other of three, and this disk has not written it"
     );
-    machine.kept(1_200, keep.unwrap());
-    assert_eq!(answers(&machine.take_actions()), [&Answer::Done]);
+    machine.registrations_persisted(1_200, keep.unwrap());
+    assert_eq!(
+        answers(&machine.take_actions()),
+        [&CallResponse::Acknowledged]
+    );
 }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -93,7 +93,7 @@
 ) {
     let findings = Configuration::read(&mutated(pointer, value)).unwrap_err();
     assert!(
-        findings.0.iter().any(|finding| finding.place == place),
+        findings.0.iter().any(|finding| finding.path == place),
         "{findings}"
     );
 }
@@ -210,7 +210,7 @@
         Command::Evacuate {
             zone: "z".to_owned(),
         },
-        Command::Return {
+        Command::EndEvacuation {
             zone: "z".to_owned(),
         },
     );
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -4,15 +4,17 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use woadstall_consensus::{DurableState, Member};
-use woadstall_control::balancers::Heartbeat;
+use woadstall_control::balancers::BalancerHeartbeat;
 use woadstall_control::command::Command;
-use woadstall_control::machine::{Action, Machine, MachineSettings, Question, founding_snapshot};
-use woadstall_control::wire::ControlMachine;
+use woadstall_control::machine::{
+    Action, ControlMachine, MachineSettings, ResolveRequest, founding_snapshot,
+};
+use woadstall_control::wire::MachineInfo;
 
 const ADDRESS: &str = "10.0.0.1:7720";
 
 /// A machine that leads a group of one, in a deployment of three regions with one zone each.
-fn machine() -> Machine {
+fn machine() -> ControlMachine {
     let member = Member {
         id: 1,
         address: ADDRESS.to_owned(),
@@ -20,7 +22,7 @@
     let zones =
         ["north", "east", "south"].map(|region| (format!("{region}-zone"), region.to_owned()));
     let settings = MachineSettings {
-        machine: ControlMachine {
+        machine: MachineInfo {
             member: member.clone(),
             zone: "north-zone".to_owned(),
             region: "north".to_owned(),
@@ -32,7 +34,7 @@
         tolerated: 0,
         incarnation: 1,
     };
-    let mut machine = Machine::new(
+    let mut machine = ControlMachine::new(
         settings,
         DurableState::new(1, founding_snapshot(&[member])),
         0,
@@ -45,7 +47,7 @@
     machine
 }
 
-fn sync(machine: &mut Machine, now: u64) {
+fn sync(machine: &mut ControlMachine, now: u64) {
     for action in machine.take_actions() {
         if let Action::Persist { sequence, .. } = action {
             machine.persisted(now, sequence);
@@ -54,7 +56,7 @@
 }
 
 /// Routes of the hosts `bound` (each bound to the regions of one text) and `free`, in force from 2,000 ms on.
-fn configure(machine: &mut Machine, allowed: &[&str]) {
+fn configure(machine: &mut ControlMachine, allowed: &[&str]) {
     let route = |number: usize, host: &str, regions: Vec<&str>| {
         json!({
             "name": format!("r{number}"), "host": host, "path_prefix": format!("/{number}/"), "route_type": "safe",
@@ -72,7 +74,7 @@
         ])
         .collect();
     let document = json!({ "generation": 1, "services": [{ "name": "s" }], "routes": routes });
-    machine.order(
+    machine.submit_command(
         2_000,
         1,
         Command::Put {
@@ -84,10 +86,10 @@
     assert_eq!(machine.state().generation(), 1);
 }
 
-fn hear(machine: &mut Machine, now: u64, region: &str, ready: bool) {
-    machine.heartbeat(
+fn hear(machine: &mut ControlMachine, now: u64, region: &str, ready: bool) {
+    machine.receive_heartbeat(
         now,
-        Heartbeat {
+        BalancerHeartbeat {
             name: format!("front-{region}"),
             incarnation: 1,
             sequence: now,
@@ -99,8 +101,8 @@
 }
 
 /// The regions whose balancers a client is named.
-fn named(machine: &Machine, host: &str, region: &str) -> Vec<String> {
-    let question = Question {
+fn named(machine: &ControlMachine, host: &str, region: &str) -> Vec<String> {
+    let question = ResolveRequest {
         client: "10.9.0.1".to_owned(),
         host: host.to_owned(),
         zone: format!("{region}-zone"),
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -9,16 +9,16 @@
 use woadstall_consensus::{
     Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece,
 };
-use woadstall_control::balancers::{Heartbeat, StillThere};
+use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal};
 use woadstall_control::command::{Command, Outcome};
 use woadstall_control::configuration::Configuration;
-use woadstall_control::feed::Event;
-use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, Placement, UpstreamLoad};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::feed::FeedEvent;
+use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, PrefixPlacement, UpstreamLoad};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::shards::{monitors, replica_group, shard_of, short_hash};
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::{
-    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION,
+    CallId, HEAD_BYTES, LeaderTime, MOST_BYTES, MachineInfo, Packet, Renewal, VERSION,
     ZoneBalancers, decode_whole, frame,
 };
 
@@ -78,8 +78,8 @@
     }
 }
 
-fn control_machine(id: u64) -> ControlMachine {
-    ControlMachine {
+fn control_machine(id: u64) -> MachineInfo {
+    MachineInfo {
         member: member(id),
         zone: text("zone-1"),
         region: text("region-1"),
@@ -87,7 +87,7 @@
     }
 }
 
-fn registration(status: Status) -> Registration {
+fn registration(status: UpstreamStatus) -> Registration {
     Registration {
         id: text("i-1"),
         service: text("chat"),
@@ -96,14 +96,14 @@
         capacity: 64,
         sequence: 3,
         status,
-        cold_remaining_ms: 5_000,
+        slow_start_remaining_ms: 5_000,
         remaining_ms: 6_000,
         age_ms: 7,
     }
 }
 
-fn heartbeat() -> Heartbeat {
-    Heartbeat {
+fn heartbeat() -> BalancerHeartbeat {
+    BalancerHeartbeat {
         name: text("front-1"),
         incarnation: 11,
         sequence: 12,
@@ -113,13 +113,13 @@
     }
 }
 
-fn placement() -> Placement {
-    Placement {
+fn placement() -> PrefixPlacement {
+    PrefixPlacement {
         number: 1,
         upstream: 0xdead_beef,
-        beginning: 5,
-        tokens: 9_000,
-        own_tokens: 20,
+        prefix: 5,
+        prefix_tokens: 9_000,
+        suffix_tokens: 20,
     }
 }
 
@@ -142,7 +142,7 @@
 }
 
 fn order(command: Command) -> Packet {
-    Packet::Order {
+    Packet::ForwardedCommand {
         call: CALL,
         expires: LeaderTime { term: 3, at: 900 },
         command,
@@ -150,66 +150,66 @@
 }
 
 fn outcome(outcome: Option<Outcome>) -> Packet {
-    Packet::OrderDone {
+    Packet::ForwardedCommandReply {
         call: CALL,
         outcome,
     }
 }
 
-fn events(events: Vec<Event>) -> Packet {
+fn events(events: Vec<FeedEvent>) -> Packet {
     Packet::Events { offset: 2, events }
 }
 
 #[rstest]
 #[case::hello("hello", Packet::Hello { machine: control_machine(1), known: vec![control_machine(1), control_machine(2)] })]
-#[case::join("join", Packet::Join(member(4)))]
-#[case::leaves("leaves", Packet::Leaves(4))]
+#[case::join("join", Packet::JoinRequest(member(4)))]
+#[case::leaves("leaves", Packet::ReplicaStopping(4))]
 #[case::registrations("registrations", Packet::Registrations { call: CALL, registrations: vec![
-    registration(Status::Ready),
-    registration(Status::Silent),
-    registration(Status::Draining),
-    registration(Status::Gone),
+    registration(UpstreamStatus::Ready),
+    registration(UpstreamStatus::TimedOut),
+    registration(UpstreamStatus::Draining),
+    registration(UpstreamStatus::Deregistered),
 ] })]
-#[case::registrations_taken("registrations_taken", Packet::RegistrationsTaken { call: CALL })]
+#[case::registrations_taken("registrations_taken", Packet::RegistrationsAck { call: CALL })]
 #[case::renewals("renewals", Packet::Renewals(vec![Renewal { id: text("i-1"), sequence: 4 }]))]
-#[case::balancers("balancers", Packet::Balancers(vec![heartbeat()]))]
-#[case::balancers_still_there("balancers_still_there", Packet::BalancersStillThere(vec![
-    StillThere { name: 1, incarnation: 2, sequence: 3 },
+#[case::balancers("balancers", Packet::BalancerHeartbeats(vec![heartbeat()]))]
+#[case::balancers_still_there("balancers_still_there", Packet::BalancerRenewals(vec![
+    BalancerRenewal { name: 1, incarnation: 2, sequence: 3 },
 ]))]
 #[case::order_put("order_put", order(put(b"{}")))]
 #[case::order_put_compressed("order_put_compressed", order(put(&large_body())))]
 #[case::order_patch("order_patch", order(Command::Patch { base: 2, body: b"{\"generation\":3}".to_vec() }))]
 #[case::order_evacuate("order_evacuate", order(Command::Evacuate { zone: text("zone-1") }))]
-#[case::order_return("order_return", order(Command::Return { zone: text("zone-1") }))]
+#[case::order_return("order_return", order(Command::EndEvacuation { zone: text("zone-1") }))]
 #[case::order_done_unclear("order_done_unclear", outcome(None))]
 #[case::order_done_accepted("order_done_accepted", outcome(Some(Outcome::Accepted)))]
 #[case::order_done_conflict("order_done_conflict", outcome(Some(Outcome::Conflict { current: 4 })))]
 #[case::order_done_invalid("order_done_invalid", outcome(Some(Outcome::Invalid { findings: text("a: is missing\n") })))]
-#[case::read("read", Packet::Read { call: CALL })]
-#[case::read_done("read_done", Packet::ReadDone { call: CALL, index: Some(4) })]
-#[case::read_done_unclear("read_done_unclear", Packet::ReadDone { call: CALL, index: None })]
+#[case::read("read", Packet::ReadIndexRequest { call: CALL })]
+#[case::read_done("read_done", Packet::ReadIndexReply { call: CALL, index: Some(4) })]
+#[case::read_done_unclear("read_done_unclear", Packet::ReadIndexReply { call: CALL, index: None })]
 #[case::subscribe("subscribe", Packet::Subscribe { balancer: text("front-1"), epoch: 1, offset: 2, index: 3 })]
 #[case::snapshot("snapshot", Packet::Snapshot {
     epoch: 1,
     offset: 2,
     state: vec![1, 2, 3],
-    registrations: vec![registration(Status::Ready)],
+    registrations: vec![registration(UpstreamStatus::Ready)],
 })]
-#[case::event_committed("event_committed", events(vec![Event::Committed { index: 1, command: put(b"{}") }]))]
-#[case::event_registered("event_registered", events(vec![Event::Registered(registration(Status::Draining))]))]
-#[case::events_compressed("events_compressed", events(vec![Event::Committed { index: 1, command: put(&large_body()) }]))]
-#[case::status("status", Packet::Status { in_quorum: true, machines: vec![control_machine(1)] })]
-#[case::balancing("balancing", Packet::Balancing(vec![ZoneBalancers { zone: text("zone-1"), balancers: vec![1, 2] }]))]
-#[case::heartbeat("heartbeat", Packet::Heartbeat(heartbeat()))]
-#[case::load("load", Packet::Load(LoadReport {
+#[case::event_committed("event_committed", events(vec![FeedEvent::Committed { index: 1, command: put(b"{}") }]))]
+#[case::event_registered("event_registered", events(vec![FeedEvent::Registered(registration(UpstreamStatus::Draining))]))]
+#[case::events_compressed("events_compressed", events(vec![FeedEvent::Committed { index: 1, command: put(&large_body()) }]))]
+#[case::status("status", Packet::MachineStatus { in_quorum: true, machines: vec![control_machine(1)] })]
+#[case::balancing("balancing", Packet::ActiveBalancers(vec![ZoneBalancers { zone: text("zone-1"), balancers: vec![1, 2] }]))]
+#[case::heartbeat("heartbeat", Packet::BalancerHeartbeat(heartbeat()))]
+#[case::load("load", Packet::LoadReport(LoadReport {
     balancer: 1,
     sequence: 2,
     zone: text("zone-1"),
-    upstreams: vec![UpstreamLoad { upstream: 3, unread: 4_000, is_failing: true }],
+    upstreams: vec![UpstreamLoad { upstream: 3, pending_prefill_tokens: 4_000, is_failing: true }],
     placements: vec![placement()],
 }))]
-#[case::loads("loads", Packet::Loads(FleetLoads {
-    upstreams: vec![FleetLoad { upstream: 3, unread: 4_000, failing: 2 }],
+#[case::loads("loads", Packet::FleetLoads(FleetLoads {
+    upstreams: vec![FleetLoad { upstream: 3, pending_prefill_tokens: 4_000, failing_balancers: 2 }],
     placements: vec![placement()],
 }))]
 fn packets_have_their_golden_frames(#[case] name: &str, #[case] packet: Packet) {
@@ -270,13 +270,13 @@
 
 #[test]
 fn values_beside_packets_have_their_golden_frames() {
-    let value = registration(Status::Ready);
+    let value = registration(UpstreamStatus::Ready);
     assert_golden(FRAMES, "value_registration", &frame(&value));
     assert_eq!(
         decode_whole(&golden(FRAMES, "value_registration")),
         Ok(value)
     );
-    let many = vec![registration(Status::Draining); 40];
+    let many = vec![registration(UpstreamStatus::Draining); 40];
     assert_golden(FRAMES, "value_registrations_compressed", &frame(&many));
     assert_eq!(
         decode_whole(&golden(FRAMES, "value_registrations_compressed")),
@@ -297,7 +297,7 @@
 )]
 #[case::patch("command_patch", Command::Patch { base: 2, body: b"{}".to_vec() }, 0x6884_c946_4412_61ac_7da5_603a_5d28_2c43)]
 #[case::evacuate("command_evacuate", Command::Evacuate { zone: text("zone-1") }, 0xf300_7e87_a6b8_8da2_a194_1db3_0edb_a766)]
-#[case::a_return("command_return", Command::Return { zone: text("zone-1") }, 0xb852_55e1_18d0_abd6_b4bc_94bd_d1ce_35bf)]
+#[case::a_return("command_return", Command::EndEvacuation { zone: text("zone-1") }, 0xb852_55e1_18d0_abd6_b4bc_94bd_d1ce_35bf)]
 fn commands_have_their_golden_entries_and_digests(
     #[case] name: &str,
     #[case] command: Command,
@@ -308,11 +308,11 @@
 }
 
 #[rstest]
-#[case::ready("registration_ready", Status::Ready)]
-#[case::silent("registration_silent", Status::Silent)]
-#[case::draining("registration_draining", Status::Draining)]
-#[case::gone("registration_gone", Status::Gone)]
-fn registrations_have_their_golden_bytes(#[case] name: &str, #[case] status: Status) {
+#[case::ready("registration_ready", UpstreamStatus::Ready)]
+#[case::silent("registration_silent", UpstreamStatus::TimedOut)]
+#[case::draining("registration_draining", UpstreamStatus::Draining)]
+#[case::gone("registration_gone", UpstreamStatus::Deregistered)]
+fn registrations_have_their_golden_bytes(#[case] name: &str, #[case] status: UpstreamStatus) {
     assert_golden_value(name, &registration(status));
 }
 
@@ -434,3 +434,18 @@
     let lines = format!("{shards:?}\n{names:?}\n{groups:?}\n{watched:?}\n");
     assert_eq!(lines, include_str!("golden/ownership.txt"));
 }
+
+/// The names stand in the log and in the JSON of a machine's status.
+#[test]
+fn statuses_have_their_golden_names() {
+    let all = [
+        UpstreamStatus::Ready,
+        UpstreamStatus::TimedOut,
+        UpstreamStatus::Draining,
+        UpstreamStatus::Deregistered,
+    ];
+    assert_eq!(
+        all.map(|status| status.to_string()),
+        ["Ready", "Silent", "Draining", "Gone"]
+    );
+}
--- a/crates/control/tests/loads.rs
+++ b/crates/control/tests/loads.rs
@@ -1,14 +1,14 @@
 //! What balancers tell each other of upstreams.
 
 use rstest::rstest;
-use woadstall_control::loads::{FleetLoad, LoadReport, Loads, Placement, UpstreamLoad};
+use woadstall_control::loads::{FleetLoad, LoadReport, Loads, PrefixPlacement, UpstreamLoad};
 
 const UPSTREAM: u32 = 7;
 
 fn report(balancer: u32, zone: &str, unread: u32, is_failing: bool) -> LoadReport {
     let upstreams = vec![UpstreamLoad {
         upstream: UPSTREAM,
-        unread,
+        pending_prefill_tokens: unread,
         is_failing,
     }];
     LoadReport {
@@ -37,16 +37,16 @@
         told(&loads, "n1"),
         [FleetLoad {
             upstream: UPSTREAM,
-            unread: 15_000,
-            failing: 2
+            pending_prefill_tokens: 15_000,
+            failing_balancers: 2
         }]
     );
     assert_eq!(
         told(&loads, "n2"),
         [FleetLoad {
             upstream: UPSTREAM,
-            unread: 15_000,
-            failing: 1
+            pending_prefill_tokens: 15_000,
+            failing_balancers: 1
         }]
     );
 }
@@ -85,7 +85,7 @@
             ..report(1, "n1", 5_000, false)
         },
     );
-    let unread = told(&loads, "n1")[0].unread;
+    let unread = told(&loads, "n1")[0].pending_prefill_tokens;
     assert_eq!(unread, if expected == 1 { 4_000 } else { 5_000 });
 }
 
@@ -94,22 +94,22 @@
     let mut loads = Loads::default();
     loads.take(0, report(1, "n1", u32::MAX, true));
     loads.take(0, report(2, "n1", u32::MAX, true));
-    assert_eq!(told(&loads, "n1")[0].unread, u32::MAX);
+    assert_eq!(told(&loads, "n1")[0].pending_prefill_tokens, u32::MAX);
 }
 
 #[test]
 fn placements_of_a_region_are_told_once_each() {
     let mut loads = Loads::default();
-    let one = Placement {
+    let one = PrefixPlacement {
         number: 1,
         upstream: UPSTREAM,
-        beginning: 1,
-        tokens: 9_000,
-        own_tokens: 20,
+        prefix: 1,
+        prefix_tokens: 9_000,
+        suffix_tokens: 20,
     };
-    let other = Placement {
+    let other = PrefixPlacement {
         number: 2,
-        beginning: 2,
+        prefix: 2,
         ..one
     };
     loads.take(
--- a/crates/control/tests/registry.rs
+++ b/crates/control/tests/registry.rs
@@ -6,13 +6,13 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use upstreams::registration;
-use woadstall_control::balancers::{Balancers, Heard, Heartbeat, StillThere};
+use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal, Balancers, Heard};
 use woadstall_control::command::Command;
-use woadstall_control::feed::{Event, Journal};
-use woadstall_control::registry::{Merge, Registration, Registry, Status};
+use woadstall_control::feed::{FeedEvent, Journal};
+use woadstall_control::registry::{Merge, Registration, Registry, UpstreamStatus};
 use woadstall_control::shards::{SHARDS, monitors, replica_group, shard_of, short_hash};
 
-fn status_after(steps: &[(u64, Status)]) -> Status {
+fn status_after(steps: &[(u64, UpstreamStatus)]) -> UpstreamStatus {
     let mut registry = Registry::default();
     for (sequence, status) in steps {
         registry.merge(0, registration(*sequence, *status));
@@ -21,22 +21,25 @@
 }
 
 #[rstest]
-#[case::late_ready(&[(1, Status::Ready), (3, Status::Draining), (2, Status::Ready)], Status::Draining)]
-#[case::ready_again(&[(3, Status::Draining), (4, Status::Ready)], Status::Ready)]
-#[case::gone_stays(&[(3, Status::Gone), (9, Status::Ready)], Status::Gone)]
-#[case::gone_beats_a_higher_number(&[(9, Status::Ready), (3, Status::Gone)], Status::Gone)]
-#[case::silent_until_heard(&[(3, Status::Ready), (3, Status::Silent), (4, Status::Ready)], Status::Ready)]
-#[case::silent_against_old_news(&[(3, Status::Silent), (3, Status::Ready)], Status::Silent)]
-fn the_newest_word_holds(#[case] steps: &[(u64, Status)], #[case] expected: Status) {
+#[case::late_ready(&[(1, UpstreamStatus::Ready), (3, UpstreamStatus::Draining), (2, UpstreamStatus::Ready)], UpstreamStatus::Draining)]
+#[case::ready_again(&[(3, UpstreamStatus::Draining), (4, UpstreamStatus::Ready)], UpstreamStatus::Ready)]
+#[case::gone_stays(&[(3, UpstreamStatus::Deregistered), (9, UpstreamStatus::Ready)], UpstreamStatus::Deregistered)]
+#[case::gone_beats_a_higher_number(&[(9, UpstreamStatus::Ready), (3, UpstreamStatus::Deregistered)], UpstreamStatus::Deregistered)]
+#[case::silent_until_heard(&[(3, UpstreamStatus::Ready), (3, UpstreamStatus::TimedOut), (4, UpstreamStatus::Ready)], UpstreamStatus::Ready)]
+#[case::silent_against_old_news(&[(3, UpstreamStatus::TimedOut), (3, UpstreamStatus::Ready)], UpstreamStatus::TimedOut)]
+fn the_newest_word_holds(
+    #[case] steps: &[(u64, UpstreamStatus)],
+    #[case] expected: UpstreamStatus,
+) {
     assert_eq!(status_after(steps), expected);
 }
 
-fn any_status() -> impl Strategy<Value = Status> {
+fn any_status() -> impl Strategy<Value = UpstreamStatus> {
     prop_oneof![
-        Just(Status::Ready),
-        Just(Status::Silent),
-        Just(Status::Draining),
-        Just(Status::Gone)
+        Just(UpstreamStatus::Ready),
+        Just(UpstreamStatus::TimedOut),
+        Just(UpstreamStatus::Draining),
+        Just(UpstreamStatus::Deregistered)
     ]
 }
 
@@ -58,34 +61,37 @@
 fn a_heartbeat_that_says_nothing_new_is_only_a_renewal() {
     let mut registry = Registry::default();
     assert_eq!(
-        registry.merge(0, registration(1, Status::Ready)),
+        registry.merge(0, registration(1, UpstreamStatus::Ready)),
         Merge::Changed
     );
     assert_eq!(
-        registry.merge(1_000, registration(2, Status::Ready)),
+        registry.merge(1_000, registration(2, UpstreamStatus::Ready)),
         Merge::Renewed
     );
     assert_eq!(
-        registry.merge(1_000, registration(2, Status::Ready)),
+        registry.merge(1_000, registration(2, UpstreamStatus::Ready)),
         Merge::Old
     );
     let cold = Registration {
-        cold_remaining_ms: 3_000,
-        ..registration(3, Status::Ready)
+        slow_start_remaining_ms: 3_000,
+        ..registration(3, UpstreamStatus::Ready)
     };
     assert_eq!(registry.merge(2_000, cold), Merge::Changed);
     let warming = Registration {
-        cold_remaining_ms: 2_000,
-        ..registration(4, Status::Ready)
+        slow_start_remaining_ms: 2_000,
+        ..registration(4, UpstreamStatus::Ready)
     };
     assert_eq!(registry.merge(3_000, warming), Merge::Renewed);
-    assert_eq!(registry.get(4_000, "i-1").unwrap().cold_remaining_ms, 1_000);
+    assert_eq!(
+        registry.get(4_000, "i-1").unwrap().slow_start_remaining_ms,
+        1_000
+    );
 }
 
 #[test]
 fn only_the_owner_judges_silence_and_only_after_the_time() {
     let mut registry = Registry::default();
-    registry.merge(0, registration(1, Status::Ready));
+    registry.merge(0, registration(1, UpstreamStatus::Ready));
     assert!(registry.expire(5_000, 5_000, |_| true).is_empty());
     assert!(registry.expire(5_001, 5_000, |_| false).is_empty());
     assert_eq!(registry.expire(5_001, 5_000, |_| true).len(), 1);
@@ -93,14 +99,17 @@
         registry.expire(9_000, 5_000, |_| true).is_empty(),
         "it is told once"
     );
-    registry.merge(9_100, registration(2, Status::Ready));
-    assert_eq!(registry.get(9_100, "i-1").unwrap().status, Status::Ready);
+    registry.merge(9_100, registration(2, UpstreamStatus::Ready));
+    assert_eq!(
+        registry.get(9_100, "i-1").unwrap().status,
+        UpstreamStatus::Ready
+    );
 }
 
 #[test]
 fn a_renewal_heard_by_another_machine_counts() {
     let mut registry = Registry::default();
-    registry.merge(0, registration(1, Status::Ready));
+    registry.merge(0, registration(1, UpstreamStatus::Ready));
     registry.renew(4_000, "i-1", 5);
     registry.renew(4_000, "never", 5);
     assert!(registry.expire(6_000, 5_000, |_| true).is_empty());
@@ -109,7 +118,7 @@
 #[test]
 fn what_left_is_forgotten_in_the_end() {
     let mut registry = Registry::default();
-    registry.merge(0, registration(1, Status::Ready));
+    registry.merge(0, registration(1, UpstreamStatus::Ready));
     registry.leave(0, "i-1");
     registry.forget(60_000);
     assert_eq!(
@@ -127,31 +136,34 @@
     assert_eq!(registry.leave(0, "i-1"), Merge::Changed);
     assert_eq!(registry.leave(0, "i-1"), Merge::Old);
     assert_eq!(
-        registry.merge(10, registration(9, Status::Ready)),
+        registry.merge(10, registration(9, UpstreamStatus::Ready)),
         Merge::Old,
         "a late heartbeat"
     );
-    assert_eq!(registry.get(10, "i-1").unwrap().status, Status::Gone);
+    assert_eq!(
+        registry.get(10, "i-1").unwrap().status,
+        UpstreamStatus::Deregistered
+    );
     // What another machine tells of it that did not know it either takes nothing from one that does.
     let departed = registry.get(10, "i-1").unwrap();
     let mut other = Registry::default();
-    other.merge(0, registration(9, Status::Ready));
+    other.merge(0, registration(9, UpstreamStatus::Ready));
     assert_eq!(other.merge(10, departed), Merge::Changed);
     let kept = other.get(10, "i-1").unwrap();
     assert_eq!(
         (kept.status, kept.address.as_str(), kept.sequence),
-        (Status::Gone, "10.0.0.1:80", 9)
+        (UpstreamStatus::Deregistered, "10.0.0.1:80", 9)
     );
 }
 
 #[rstest]
-#[case::fresh(1_000, Status::Ready, Status::Ready)]
-#[case::old(61_000, Status::Ready, Status::Silent)]
-#[case::old_and_leaving(61_000, Status::Draining, Status::Draining)]
+#[case::fresh(1_000, UpstreamStatus::Ready, UpstreamStatus::Ready)]
+#[case::old(61_000, UpstreamStatus::Ready, UpstreamStatus::TimedOut)]
+#[case::old_and_leaving(61_000, UpstreamStatus::Draining, UpstreamStatus::Draining)]
 fn old_news_of_an_unknown_upstream_is_not_believed(
     #[case] age_ms: u64,
-    #[case] status: Status,
-    #[case] expected: Status,
+    #[case] status: UpstreamStatus,
+    #[case] expected: UpstreamStatus,
 ) {
     let mut registry = Registry::default();
     registry.merge(
@@ -163,11 +175,11 @@
     );
     let merged = registry.get(100_000, "i-1").unwrap();
     assert_eq!((merged.status, merged.age_ms), (expected, age_ms));
-    registry.merge(100_100, registration(4, Status::Ready));
+    registry.merge(100_100, registration(4, UpstreamStatus::Ready));
     let heard = registry.get(100_100, "i-1").unwrap();
     assert_eq!(
         (heard.status, heard.age_ms),
-        (Status::Ready, 0),
+        (UpstreamStatus::Ready, 0),
         "its own heartbeat is"
     );
 }
@@ -239,13 +251,13 @@
     assert!(used.len() >= 7, "few machines monitor all");
 }
 
-fn heartbeat(incarnation: u64, sequence: u64, ready: bool) -> Heartbeat {
+fn heartbeat(incarnation: u64, sequence: u64, ready: bool) -> BalancerHeartbeat {
     let (name, address, zone) = (
         "front-1".to_owned(),
         "10.0.0.1:80".to_owned(),
         "z".to_owned(),
     );
-    Heartbeat {
+    BalancerHeartbeat {
         name,
         incarnation,
         sequence,
@@ -287,7 +299,7 @@
 fn news_of_another_incarnation_renews_nobody() {
     let mut balancers = Balancers::default();
     balancers.merge(0, heartbeat(10, 5, true));
-    let news = |incarnation, sequence| StillThere {
+    let news = |incarnation, sequence| BalancerRenewal {
         name: short_hash("front-1"),
         incarnation,
         sequence,
@@ -299,8 +311,8 @@
     assert_eq!(balancers.alive(1_100, 1_000).count(), 1);
 }
 
-fn event(number: u64) -> Event {
-    Event::Registered(registration(number, Status::Ready))
+fn event(number: u64) -> FeedEvent {
+    FeedEvent::Registered(registration(number, UpstreamStatus::Ready))
 }
 
 #[test]
@@ -318,7 +330,7 @@
     const BYTES: usize = 600 << 10;
     let mut journal = Journal::new(7);
     for index in 1..=6 {
-        journal.append(Event::Committed {
+        journal.append(FeedEvent::Committed {
             index,
             command: Command::Put {
                 base: 0,
--- a/crates/control/tests/telling.rs
+++ b/crates/control/tests/telling.rs
@@ -1,19 +1,19 @@
 //! A control machine passes on what balancers tell of upstreams.
 
 use woadstall_consensus::{DurableState, Member, Snapshot};
-use woadstall_control::balancers::Heartbeat;
+use woadstall_control::balancers::BalancerHeartbeat;
 use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, UpstreamLoad};
-use woadstall_control::machine::{Action, Machine, MachineSettings};
-use woadstall_control::wire::{ControlMachine, Packet};
+use woadstall_control::machine::{Action, ControlMachine, MachineSettings};
+use woadstall_control::wire::{MachineInfo, Packet};
 
 const OWN: &str = "10.0.0.1:1";
 
-fn machine() -> Machine {
+fn machine() -> ControlMachine {
     let member = Member {
         id: 1,
         address: OWN.to_owned(),
     };
-    let own = ControlMachine {
+    let own = MachineInfo {
         member,
         zone: "n1".to_owned(),
         region: "north".to_owned(),
@@ -30,14 +30,14 @@
         tolerated: 1,
         incarnation: 7,
     };
-    Machine::new(settings, DurableState::new(1, Snapshot::default()), 0, 1)
+    ControlMachine::new(settings, DurableState::new(1, Snapshot::default()), 0, 1)
 }
 
 /// Readers from this number on, of a zone.
-fn subscribe(machine: &mut Machine, first: u64, count: u64, zone: &str) {
+fn subscribe(machine: &mut ControlMachine, first: u64, count: u64, zone: &str) {
     for number in first..first + count {
         let balancer = format!("front-{number}");
-        let heartbeat = Heartbeat {
+        let heartbeat = BalancerHeartbeat {
             name: balancer.clone(),
             incarnation: 1,
             sequence: 1,
@@ -45,7 +45,7 @@
             zone: zone.to_owned(),
             ready: true,
         };
-        machine.heartbeat(0, heartbeat);
+        machine.receive_heartbeat(0, heartbeat);
         machine.subscribe(
             0,
             number,
@@ -62,10 +62,10 @@
 fn report(sequence: u64, zone: &str, unread: u32) -> Packet {
     let upstreams = vec![UpstreamLoad {
         upstream: 3,
-        unread,
+        pending_prefill_tokens: unread,
         is_failing: true,
     }];
-    Packet::Load(LoadReport {
+    Packet::LoadReport(LoadReport {
         balancer: 1,
         sequence,
         zone: zone.to_owned(),
@@ -75,14 +75,14 @@
 }
 
 /// What is told between two times, with the readers.
-fn told(machine: &mut Machine, from: u64, until: u64) -> Vec<(u64, Vec<u64>, FleetLoads)> {
+fn told(machine: &mut ControlMachine, from: u64, until: u64) -> Vec<(u64, Vec<u64>, FleetLoads)> {
     let mut told = Vec::new();
     for now in (from..until).step_by(50) {
         machine.tick(now);
         for action in machine.take_actions() {
             if let Action::Deliver {
                 subscribers,
-                packet: Packet::Loads(loads),
+                packet: Packet::FleetLoads(loads),
             } = action
             {
                 told.push((now, subscribers, loads));
@@ -102,12 +102,12 @@
         told(&mut machine, 0, 200).is_empty(),
         "there is nothing to tell"
     );
-    machine.packet(200, "10.0.0.9:9", report(1, "n1", 5_000));
+    machine.receive_packet(200, "10.0.0.9:9", report(1, "n1", 5_000));
     let loads = |failing| FleetLoads {
         upstreams: vec![FleetLoad {
             upstream: 3,
-            unread: 5_000,
-            failing,
+            pending_prefill_tokens: 5_000,
+            failing_balancers: failing,
         }],
         ..FleetLoads::default()
     };
@@ -123,7 +123,7 @@
     let mut machine = machine();
     subscribe(&mut machine, 1, 1, "n1");
     machine.tick(0);
-    machine.packet(10, "10.0.0.9:9", report(1, "n1", 5_000));
+    machine.receive_packet(10, "10.0.0.9:9", report(1, "n1", 5_000));
     let all = told(&mut machine, 50, 1_500);
     let times: Vec<u64> = all.iter().map(|(now, ..)| *now).collect();
     assert!(times.len() >= 3, "told again before it has aged: {times:?}");
@@ -145,7 +145,7 @@
         machine.tick(0);
         let mut count = 0;
         for step in 1..=20 {
-            machine.packet(
+            machine.receive_packet(
                 step * 100,
                 "10.0.0.9:9",
                 report(step, "n1", 5_000 + step as u32),
--- a/crates/control/tests/upstreams/mod.rs
+++ b/crates/control/tests/upstreams/mod.rs
@@ -1,9 +1,9 @@
 //! What upstreams say of themselves.
 
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 /// The heartbeat of one upstream with a number.
-pub fn registration(sequence: u64, status: Status) -> Registration {
+pub fn registration(sequence: u64, status: UpstreamStatus) -> Registration {
     Registration {
         id: "i-1".to_owned(),
         service: "s".to_owned(),
@@ -12,7 +12,7 @@
         capacity: 4,
         sequence,
         status,
-        cold_remaining_ms: 0,
+        slow_start_remaining_ms: 0,
         remaining_ms: 0,
         age_ms: 0,
     }
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -3,14 +3,14 @@
 use woadstall_consensus::{
     Body, Entry, Member, Membership, Message, Payload, SnapshotHead, SnapshotPiece,
 };
-use woadstall_control::balancers::{Heartbeat, StillThere};
+use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal};
 use woadstall_control::command::{Command, Outcome};
-use woadstall_control::feed::Event;
-use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, Placement, UpstreamLoad};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::feed::FeedEvent;
+use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, PrefixPlacement, UpstreamLoad};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::wire::{
-    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION,
-    WireError, ZoneBalancers, payload_length,
+    CallId, HEAD_BYTES, LeaderTime, MOST_BYTES, MachineInfo, Packet, Renewal, VERSION, WireError,
+    ZoneBalancers, payload_length,
 };
 
 fn member() -> Member {
@@ -20,9 +20,9 @@
     }
 }
 
-fn machine() -> ControlMachine {
+fn machine() -> MachineInfo {
     let (zone, region, control) = ("z".to_owned(), "r".to_owned(), "10.0.0.1:80".to_owned());
-    ControlMachine {
+    MachineInfo {
         member: member(),
         zone,
         region,
@@ -38,8 +38,8 @@
         zone: "z".to_owned(),
         capacity: 64,
         sequence: 3,
-        status: Status::Draining,
-        cold_remaining_ms: 5,
+        status: UpstreamStatus::Draining,
+        slow_start_remaining_ms: 5,
         remaining_ms: 6,
         age_ms: 7,
     }
@@ -68,7 +68,7 @@
 fn what_repeats_itself_takes_less_and_a_size_that_is_claimed_takes_nothing() {
     let packet = Packet::Events {
         offset: 1,
-        events: vec![Event::Committed {
+        events: vec![FeedEvent::Committed {
             index: 1,
             command: Command::Put {
                 base: 0,
@@ -137,7 +137,7 @@
         number: 1,
     };
     let expires = LeaderTime { term: 3, at: 900 };
-    let heartbeat = Heartbeat {
+    let heartbeat = BalancerHeartbeat {
         name: "front-1".to_owned(),
         incarnation: 1,
         sequence: 2,
@@ -145,16 +145,16 @@
         zone: "z".to_owned(),
         ready: true,
     };
-    let placements = vec![Placement {
+    let placements = vec![PrefixPlacement {
         number: 1,
         upstream: 3,
-        beginning: 5,
-        tokens: 9_000,
-        own_tokens: 20,
+        prefix: 5,
+        prefix_tokens: 9_000,
+        suffix_tokens: 20,
     }];
     let load = UpstreamLoad {
         upstream: 3,
-        unread: 4_000,
+        pending_prefill_tokens: 4_000,
         is_failing: true,
     };
     vec![
@@ -191,29 +191,29 @@
             round: 9,
         }),
         consensus(Body::Elect),
-        Packet::Join(member()),
-        Packet::Leaves(7),
+        Packet::JoinRequest(member()),
+        Packet::ReplicaStopping(7),
         Packet::Registrations {
             call,
             registrations: vec![registration()],
         },
-        Packet::RegistrationsTaken { call },
+        Packet::RegistrationsAck { call },
         Packet::Renewals(vec![Renewal {
             id: "i-1".to_owned(),
             sequence: 4,
         }]),
-        Packet::Balancers(vec![heartbeat.clone()]),
-        Packet::BalancersStillThere(vec![StillThere {
+        Packet::BalancerHeartbeats(vec![heartbeat.clone()]),
+        Packet::BalancerRenewals(vec![BalancerRenewal {
             name: 1,
             incarnation: 2,
             sequence: 3,
         }]),
-        Packet::Order {
+        Packet::ForwardedCommand {
             call,
             expires,
             command: command.clone(),
         },
-        Packet::Order {
+        Packet::ForwardedCommand {
             call,
             expires,
             command: Command::Put {
@@ -221,12 +221,12 @@
                 body: large_body(),
             },
         },
-        Packet::OrderDone {
+        Packet::ForwardedCommandReply {
             call,
             outcome: Some(Outcome::Conflict { current: 4 }),
         },
-        Packet::Read { call },
-        Packet::ReadDone {
+        Packet::ReadIndexRequest { call },
+        Packet::ReadIndexReply {
             call,
             index: Some(4),
         },
@@ -244,29 +244,29 @@
         },
         Packet::Events {
             offset: 2,
-            events: vec![Event::Committed { index: 1, command }],
+            events: vec![FeedEvent::Committed { index: 1, command }],
         },
-        Packet::Status {
+        Packet::MachineStatus {
             in_quorum: true,
             machines: vec![machine()],
         },
-        Packet::Balancing(vec![ZoneBalancers {
+        Packet::ActiveBalancers(vec![ZoneBalancers {
             zone: "z".to_owned(),
             balancers: vec![1, 2],
         }]),
-        Packet::Heartbeat(heartbeat),
-        Packet::Load(LoadReport {
+        Packet::BalancerHeartbeat(heartbeat),
+        Packet::LoadReport(LoadReport {
             balancer: 1,
             sequence: 2,
             zone: "z".to_owned(),
             upstreams: vec![load],
             placements: placements.clone(),
         }),
-        Packet::Loads(FleetLoads {
+        Packet::FleetLoads(FleetLoads {
             upstreams: vec![FleetLoad {
                 upstream: 3,
-                unread: 4_000,
-                failing: 2,
+                pending_prefill_tokens: 4_000,
+                failing_balancers: 2,
             }],
             placements,
         }),
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,7 +1,10 @@
 //! Stand-ins for what stands round a balancer, on loopback addresses and free ports. For tests only.
 
 #![forbid(unsafe_code)]
-#![allow(clippy::unwrap_used, reason = "started by tests only, where a panic is the report")]
+#![allow(
+    clippy::unwrap_used,
+    reason = "started by tests only, where a panic is the report"
+)]
 
 pub mod grpc;
 pub mod http1;
--- a/crates/node/src/core/api.rs
+++ b/crates/node/src/core/api.rs
@@ -10,9 +10,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use woadstall_control::command::Command;
-use woadstall_control::machine::{Answer, Machine, Question, Resolved};
-use woadstall_control::reader::{Findings, Reader};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::machine::{CallResponse, ControlMachine, ResolveRequest, ResolveResponse};
+use woadstall_control::reader::{FieldReader, Findings};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 /// How long a call waits for its answer; the machine itself gives up a little sooner.
 const PATIENCE: Duration = Duration::from_millis(1_000);
@@ -33,7 +33,7 @@
     /// An upstream leaves.
     Deregister(String),
     /// A client asks where to go.
-    Resolve(Question),
+    Resolve(ResolveRequest),
     /// An operator asks how the machine stands.
     Status,
 }
@@ -105,12 +105,12 @@
         ("POST", ["v1", "evacuations", zone]) => Ok(Call::Order(Command::Evacuate {
             zone: (*zone).to_owned(),
         })),
-        ("DELETE", ["v1", "evacuations", zone]) => Ok(Call::Order(Command::Return {
+        ("DELETE", ["v1", "evacuations", zone]) => Ok(Call::Order(Command::EndEvacuation {
             zone: (*zone).to_owned(),
         })),
         ("GET", ["v1", "resolve"]) => {
             let parameter = |name: &str| request.get_param(name).unwrap_or_default();
-            Ok(Call::Resolve(Question {
+            Ok(Call::Resolve(ResolveRequest {
                 client: request.remote_addr().ip().to_string(),
                 host: parameter("name"),
                 zone: parameter("zone"),
@@ -164,25 +164,25 @@
 
 fn read_registration(id: &str, body: &Value) -> Result<Registration, Response> {
     let findings = &mut Findings::default();
-    let root = Reader::new(body);
+    let root = FieldReader::new(body);
     let state = root.field("state");
-    let status = match state.text(findings).as_str() {
-        "ready" | "" => Status::Ready,
-        "draining" => Status::Draining,
+    let status = match state.string(findings).as_str() {
+        "ready" | "" => UpstreamStatus::Ready,
+        "draining" => UpstreamStatus::Draining,
         other => {
-            findings.add(state.place(), format!("{other:?} is no state"));
-            Status::Ready
+            findings.add(state.path(), format!("{other:?} is no state"));
+            UpstreamStatus::Ready
         }
     };
     let registration = Registration {
         id: id.to_owned(),
-        service: root.field("service").text(findings),
-        address: root.field("address").text(findings),
-        zone: root.field("zone").text(findings),
-        capacity: root.field("capacity").whole_or(1, findings),
-        sequence: root.field("sequence").whole_or(0, findings),
+        service: root.field("service").string(findings),
+        address: root.field("address").string(findings),
+        zone: root.field("zone").string(findings),
+        capacity: root.field("capacity").integer_or(1, findings),
+        sequence: root.field("sequence").integer_or(0, findings),
         status,
-        cold_remaining_ms: root.field("cold_remaining_ms").number_or(0.0, findings) as u64,
+        slow_start_remaining_ms: root.field("cold_remaining_ms").number_or(0.0, findings) as u64,
         remaining_ms: root.field("remaining_ms").number_or(0.0, findings) as u64,
         age_ms: 0,
     };
@@ -198,23 +198,23 @@
 
 fn response_of(reply: Reply) -> Response {
     match reply {
-        Reply::Answer(Answer::Done) => json_text(200, "{}".to_owned()),
+        Reply::Answer(CallResponse::Acknowledged) => json_text(200, "{}".to_owned()),
         Reply::Registered(address) => {
             json_text(200, json!({ "heartbeat_url": address }).to_string())
         }
-        Reply::Answer(Answer::Conflict { current }) => json_text(
+        Reply::Answer(CallResponse::Conflict { current }) => json_text(
             412,
             json!({ "error": "another version is current", "generation": current }).to_string(),
         ),
-        Reply::Answer(Answer::Invalid { findings }) => text(400, &findings),
-        Reply::Answer(Answer::Document(document)) => {
+        Reply::Answer(CallResponse::Invalid { findings }) => text(400, &findings),
+        Reply::Answer(CallResponse::Document(document)) => {
             Response::from_data("application/json", document)
         }
-        Reply::Answer(Answer::Unclear) => unclear(),
-        Reply::Balancers(Resolved { addresses, .. }) if addresses.is_empty() => {
+        Reply::Answer(CallResponse::Indeterminate) => unclear(),
+        Reply::Balancers(ResolveResponse { addresses, .. }) if addresses.is_empty() => {
             text(503, "no balancer is known\n")
         }
-        Reply::Balancers(Resolved { addresses, ttl_s }) => json_text(
+        Reply::Balancers(ResolveResponse { addresses, ttl_s }) => json_text(
             200,
             json!({ "addresses": addresses, "ttl_s": ttl_s }).to_string(),
         ),
@@ -223,7 +223,7 @@
 }
 
 /// How a machine stands, as JSON.
-pub(super) fn status(machine: &Machine, now: u64) -> String {
+pub(super) fn status(machine: &ControlMachine, now: u64) -> String {
     let replica = machine.replica();
     let members: Vec<Value> = replica
         .members()
@@ -242,7 +242,7 @@
         .map(|upstream| {
             json!({
                 "id": upstream.id, "service": upstream.service, "address": upstream.address, "zone": upstream.zone,
-                "status": format!("{:?}", upstream.status), "cold_remaining_ms": upstream.cold_remaining_ms,
+                "status": upstream.status.to_string(), "cold_remaining_ms": upstream.slow_start_remaining_ms,
             })
         })
         .collect();
@@ -257,7 +257,7 @@
         "evacuated": machine.state().evacuated,
         "members": members,
         "machines": machines,
-        "readers": machine.readers().collect::<Vec<_>>(),
+        "readers": machine.subscriber_names().collect::<Vec<_>>(),
         "upstreams": registrations,
     })
     .to_string()
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -27,10 +27,10 @@
 use tokio::time::{MissedTickBehavior, interval};
 use woadstall_consensus::{DurableState, Member, ReplicaId, Snapshot};
 use woadstall_control::machine::{
-    Action, Answer, Machine, MachineSettings, Resolved, founding_snapshot,
+    Action, CallResponse, ControlMachine, MachineSettings, ResolveResponse, founding_snapshot,
 };
 use woadstall_control::shards::hash;
-use woadstall_control::wire::{ControlMachine, Packet};
+use woadstall_control::wire::{MachineInfo, Packet};
 use woadstall_storage::{Storage, StorageError};
 
 /// How often the machine is told the time.
@@ -107,11 +107,11 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
     /// An answer of the machine.
-    Answer(Answer),
+    Answer(CallResponse),
     /// An upstream's heartbeat was taken; where it sends later ones.
     Registered(String),
     /// The balancers for a client.
-    Balancers(Resolved),
+    Balancers(ResolveResponse),
     /// How the machine stands, as JSON.
     Status(String),
 }
@@ -157,7 +157,7 @@
         durable.id,
         durable.log.last_index()
     );
-    let machine = ControlMachine {
+    let machine = MachineInfo {
         member,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
@@ -186,9 +186,9 @@
     tokio::spawn(peers::receive(datagrams, events.clone()));
     api::start(settings, control, &events)?;
     let (hints, registrations) = Hints::open(folder, disk::time_of_day());
-    let mut machine = Machine::new(machine_settings, durable, 0, fastrand::u64(..));
+    let mut machine = ControlMachine::new(machine_settings, durable, 0, fastrand::u64(..));
     log::info!("registrations remembered: {}", registrations.len());
-    machine.remember(registrations);
+    machine.restore_registrations(registrations);
     let process = Process {
         started: Instant::now(),
         machine,
@@ -235,7 +235,7 @@
 
 struct Process {
     started: Instant,
-    machine: Machine,
+    machine: ControlMachine,
     links: Links,
     disk: Disk,
     /// The version of the registrations that the disk has, and since when.
@@ -273,7 +273,7 @@
                 _ = hangup.recv() => self.take_settings(true),
                 _ = terminate.recv() => {
                     log::info!("SIGTERM: leadership is handed over");
-                    self.machine.leave(self.now());
+                    self.machine.begin_shutdown(self.now());
                     leaving = Some(Instant::now());
                 }
             }
@@ -306,10 +306,10 @@
         match event {
             Event::LinkUp(address) => self.machine.link_up(now, &address),
             Event::Packet {
-                packet: Packet::Heartbeat(heartbeat),
+                packet: Packet::BalancerHeartbeat(heartbeat),
                 ..
-            } => self.machine.heartbeat(now, heartbeat),
-            Event::Packet { from, packet } => self.machine.packet(now, &from, packet),
+            } => self.machine.receive_heartbeat(now, heartbeat),
+            Event::Packet { from, packet } => self.machine.receive_packet(now, &from, packet),
             Event::Subscribe {
                 subscriber,
                 packet,
@@ -323,13 +323,15 @@
                 self.machine.unsubscribe(subscriber);
             }
             Event::Persisted(sequence) => self.machine.persisted(now, sequence),
-            Event::Kept(number) => self.machine.kept(now, number),
+            Event::Kept(number) => self.machine.registrations_persisted(now, number),
             Event::Call {
                 call: Call::Order(_),
                 read_at,
                 reply,
             } if self.stalls.is_stale(Instant::now(), read_at) => {
-                reply.try_send(Reply::Answer(Answer::Unclear)).ok();
+                reply
+                    .try_send(Reply::Answer(CallResponse::Indeterminate))
+                    .ok();
             }
             Event::Call { call, reply, .. } => self.call(now, call, reply),
         }
@@ -351,11 +353,11 @@
         match call {
             Call::Order(command) => {
                 self.wait(token, reply, None);
-                self.machine.order(now, token, command);
+                self.machine.submit_command(now, token, command);
             }
             Call::ReadConfiguration => {
                 self.wait(token, reply, None);
-                self.machine.read(now, token);
+                self.machine.read_configuration(now, token);
             }
             Call::Register(registration) => {
                 let address = self
@@ -427,8 +429,11 @@
                 Action::Disconnect { address } => self.links.drop(&address),
                 Action::Send { address, packet } => self.links.send(&address, &packet),
                 Action::Persist { sequence, record } => self.disk.write(sequence, record),
-                Action::KeepRegistrations { number } => keep = Some(number),
-                Action::Answer { token, answer } => self.answer(token, answer),
+                Action::PersistRegistrations { number } => keep = Some(number),
+                Action::Respond {
+                    token,
+                    response: answer,
+                } => self.answer(token, answer),
                 Action::Deliver {
                     subscribers,
                     packet,
@@ -441,7 +446,7 @@
         }
     }
 
-    fn answer(&mut self, token: u64, answer: Answer) {
+    fn answer(&mut self, token: u64, answer: CallResponse) {
         let Some(Waiting {
             reply,
             heartbeat_address,
@@ -450,7 +455,7 @@
             return;
         };
         let answer = match (answer, heartbeat_address) {
-            (Answer::Done, Some(address)) => Reply::Registered(address),
+            (CallResponse::Acknowledged, Some(address)) => Reply::Registered(address),
             (answer, _) => Reply::Answer(answer),
         };
         reply.try_send(answer).ok();
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -184,7 +184,7 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => match Packet::decode_datagram(&buffer[..length]) {
-                Ok(packet @ (Packet::Heartbeat(_) | Packet::Load(_))) => {
+                Ok(packet @ (Packet::BalancerHeartbeat(_) | Packet::LoadReport(_))) => {
                     if events
                         .send(Event::Packet {
                             from: from.to_string(),
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -10,7 +10,7 @@
 use std::{io, mem};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
-use woadstall_control::feed::Event;
+use woadstall_control::feed::FeedEvent;
 use woadstall_control::shards::hash;
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::Packet;
@@ -139,9 +139,9 @@
                     .into_iter()
                     .for_each(|event| take_event(front, event));
             }
-            Packet::Balancing(zones) => front.count_balancers(&zones),
-            Packet::Loads(loads) => lock(&front.router).set_fleet_loads(front.now(), &loads),
-            Packet::Status {
+            Packet::ActiveBalancers(zones) => front.count_balancers(&zones),
+            Packet::FleetLoads(loads) => lock(&front.router).set_fleet_loads(front.now(), &loads),
+            Packet::MachineStatus {
                 in_quorum,
                 machines,
             } => {
@@ -171,14 +171,14 @@
     }
 }
 
-fn take_event(front: &Front, event: Event) {
+fn take_event(front: &Front, event: FeedEvent) {
     match event {
-        Event::Committed { index, command } => {
+        FeedEvent::Committed { index, command } => {
             front.update_state(|state| state.apply_if_newer(index, &command));
         }
-        Event::Registered(registration) => {
+        FeedEvent::Registered(registration) => {
             log::info!(
-                "registration id={} service={} status={:?}",
+                "registration id={} service={} status={}",
                 registration.id,
                 registration.service,
                 registration.status
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use woadstall_control::configuration::{Configuration, Route, RouteType};
+use woadstall_control::configuration::{Configuration, Route, RouteType, WeightedService};
 use woadstall_control::shards::short_hash;
 use woadstall_inbound::{BodyRoom, lock};
 use woadstall_request_reports::Cause;
@@ -146,9 +146,9 @@
 
 /// One of the route's services, drawn by their weights.
 fn target_service(route: &Route) -> Option<&str> {
-    let total: u64 = route.targets.iter().map(|(_, weight)| weight).sum();
+    let total: u64 = route.targets.iter().map(|target| target.weight).sum();
     let mut drawn = fastrand::u64(..total.max(1));
-    for (service, weight) in &route.targets {
+    for WeightedService { service, weight } in &route.targets {
         match drawn.checked_sub(*weight) {
             None => return Some(service),
             Some(rest) => drawn = rest,
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
-use woadstall_control::balancers::Heartbeat;
+use woadstall_control::balancers::BalancerHeartbeat;
 use woadstall_control::shards::{MONITORS, monitors};
 use woadstall_control::wire::Packet;
 
@@ -23,7 +23,7 @@
     };
     let incarnation = datagrams::number_of_start();
     for sequence in 1.. {
-        let heartbeat = Heartbeat {
+        let heartbeat = BalancerHeartbeat {
             name: front.settings.node.clone(),
             incarnation,
             sequence,
@@ -35,7 +35,7 @@
             zone: front.settings.zone.clone(),
             ready: front.is_ready(),
         };
-        let frame = Packet::Heartbeat(heartbeat).frame();
+        let frame = Packet::BalancerHeartbeat(heartbeat).frame();
         for monitor in monitors_of(&front) {
             socket.send_to(&frame, monitor).await.ok();
         }
--- a/crates/node/src/front/loads.rs
+++ b/crates/node/src/front/loads.rs
@@ -51,7 +51,7 @@
             ..told
         };
         told_at = Instant::now();
-        let frame = Packet::Load(told.clone()).frame();
+        let frame = Packet::LoadReport(told.clone()).frame();
         for machine in machines_near(&front) {
             socket.send_to(&frame, machine).await.ok();
         }
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -30,7 +30,7 @@
 use woadstall_control::configuration::Configuration;
 use woadstall_control::shards::short_hash;
 use woadstall_control::state::ControlState;
-use woadstall_control::wire::{ControlMachine, ZoneBalancers};
+use woadstall_control::wire::{MachineInfo, ZoneBalancers};
 use woadstall_inbound::{listen, lock};
 use woadstall_routing::{Fleet, Place, Router};
 
@@ -64,7 +64,7 @@
     state: Mutex<ControlState>,
     pub router: Mutex<Router>,
     pub pool: pool::Pool,
-    machines: Mutex<Vec<ControlMachine>>,
+    machines: Mutex<Vec<MachineInfo>>,
     /// Internal addresses of the seeds, as the settings name them now.
     seeds: Mutex<Vec<SocketAddr>>,
     /// The balancers that were told of lately: when last, and their zones.
@@ -126,7 +126,7 @@
     }
 
     /// The control machines that are known.
-    pub fn machines(&self) -> Vec<ControlMachine> {
+    pub fn machines(&self) -> Vec<MachineInfo> {
         lock(&self.machines).clone()
     }
 
@@ -148,7 +148,7 @@
                 let service = configuration
                     .as_ref()
                     .and_then(|configuration| configuration.services.get(service));
-                service.map_or(Duration::ZERO, |service| service.cold_start)
+                service.map_or(Duration::ZERO, |service| service.slow_start)
             };
             lock(&self.router).set_evacuated(self.now(), &state.evacuated, cold);
         }
--- a/crates/node/src/front/reports.rs
+++ b/crates/node/src/front/reports.rs
@@ -149,7 +149,10 @@
     pub fn answered(mut self) {
         let first = self.first.unwrap_or_else(Instant::now) - self.arrived;
         let is_late = first > self.route.target_latency
-            || self.route.gap_aim.is_some_and(|aim| self.pause > aim);
+            || self
+                .route
+                .inter_event_target
+                .is_some_and(|aim| self.pause > aim);
         match (is_late, self.attempts.len()) {
             (true, _) => self.end(Cause::Late),
             (false, 0 | 1) => self.has_ended = true,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
-use woadstall_control::reader::{Findings, Reader};
+use woadstall_control::reader::{FieldReader, Findings};
 use woadstall_routing::Bounds;
 
 /// The variable that names the settings file.
@@ -105,7 +105,7 @@
     /// Reads a document. Unknown fields are ignored; each fault is told with its place.
     pub fn from_document(document: &Value) -> Result<Self, Findings> {
         let findings = &mut Findings::default();
-        let root = Reader::new(document);
+        let root = FieldReader::new(document);
         let bounds = root.field("bounds");
         let limits = root.field("limits");
         let ports = root.field("ephemeral_ports").items(findings);
@@ -120,10 +120,10 @@
             (bounds.field(name).number_or(default, findings) * 1e3) as u64
         };
         let settings = Self {
-            node: root.field("node").text(findings),
+            node: root.field("node").string(findings),
             ip: parsed(&root.field("ip"), findings).unwrap_or(IpAddr::from([0, 0, 0, 0])),
-            zone: root.field("zone").text(findings),
-            region: root.field("region").text(findings),
+            zone: root.field("zone").string(findings),
+            region: root.field("region").string(findings),
             zones: texts(&root.field("zones"), findings),
             listen: addresses(&root.field("listen"), findings),
             internal_ports: (
@@ -137,21 +137,21 @@
                     .filter_map(|seed| parsed(seed, findings))
                     .collect()
             },
-            bootstrap: root.field("bootstrap").flag_or(false, findings),
+            bootstrap: root.field("bootstrap").bool_or(false, findings),
             data_dir: root
                 .field("data_dir")
-                .optional_text(findings)
+                .optional_string(findings)
                 .map(PathBuf::from),
             tolerated: {
                 let machines = root
                     .field("fault_tolerance")
                     .field("machines")
-                    .whole_or(1, findings);
+                    .integer_or(1, findings);
                 usize::try_from(machines).unwrap_or(1)
             },
-            heartbeat_ms: root.field("heartbeat_ms").whole_or(1_200, findings),
-            memory: megabytes(limits.field("memory_mb").whole_or(256, findings)),
-            max_fds: usize::try_from(limits.field("max_fds").whole_or(1_024, findings))
+            heartbeat_ms: root.field("heartbeat_ms").integer_or(1_200, findings),
+            memory: megabytes(limits.field("memory_mb").integer_or(256, findings)),
+            max_fds: usize::try_from(limits.field("max_fds").integer_or(1_024, findings))
                 .unwrap_or(usize::MAX),
             grace_ms: seconds("grace_s", 8.0, findings),
             bounds: Bounds {
@@ -197,33 +197,36 @@
     usize::try_from(count).unwrap_or(usize::MAX >> 20) << 20
 }
 
-fn parsed<T: std::str::FromStr>(reader: &Reader<'_>, findings: &mut Findings) -> Option<T>
+fn parsed<T: std::str::FromStr>(reader: &FieldReader<'_>, findings: &mut Findings) -> Option<T>
 where
     T::Err: std::fmt::Display,
 {
-    let text = reader.text(findings);
+    let text = reader.string(findings);
     if text.is_empty() {
         return None;
     }
     text.parse()
-        .map_err(|error| findings.add(reader.place(), format!("{text:?}: {error}")))
+        .map_err(|error| findings.add(reader.path(), format!("{text:?}: {error}")))
         .ok()
 }
 
-fn parse_port(reader: &Reader<'_>, findings: &mut Findings) -> u16 {
-    let number = reader.whole(findings);
+fn parse_port(reader: &FieldReader<'_>, findings: &mut Findings) -> u16 {
+    let number = reader.integer(findings);
     u16::try_from(number).unwrap_or_else(|_| {
-        findings.add(reader.place(), format!("{number} is no port"));
+        findings.add(reader.path(), format!("{number} is no port"));
         0
     })
 }
 
-fn fields<'a>(reader: &Reader<'a>, findings: &mut Findings) -> Vec<(&'a String, Reader<'a>)> {
+fn fields<'a>(
+    reader: &FieldReader<'a>,
+    findings: &mut Findings,
+) -> Vec<(&'a String, FieldReader<'a>)> {
     let Some(value) = reader.value() else {
         return Vec::new();
     };
     let Some(object) = value.as_object() else {
-        findings.add(reader.place(), "must be an object");
+        findings.add(reader.path(), "must be an object");
         return Vec::new();
     };
     object
@@ -232,14 +235,14 @@
         .collect()
 }
 
-fn texts(reader: &Reader<'_>, findings: &mut Findings) -> BTreeMap<String, String> {
+fn texts(reader: &FieldReader<'_>, findings: &mut Findings) -> BTreeMap<String, String> {
     let all = fields(reader, findings);
     all.into_iter()
-        .map(|(name, field)| (name.clone(), field.text(findings)))
+        .map(|(name, field)| (name.clone(), field.string(findings)))
         .collect()
 }
 
-fn addresses(reader: &Reader<'_>, findings: &mut Findings) -> BTreeMap<String, SocketAddr> {
+fn addresses(reader: &FieldReader<'_>, findings: &mut Findings) -> BTreeMap<String, SocketAddr> {
     let all = fields(reader, findings);
     all.into_iter()
         .filter_map(|(name, field)| Some((name.clone(), parsed(&field, findings)?)))
--- a/crates/node/tests/unit/golden_core.rs
+++ b/crates/node/tests/unit/golden_core.rs
@@ -11,9 +11,11 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use woadstall_consensus::{DurableState, Member};
-use woadstall_control::machine::{Answer, Machine, MachineSettings, Resolved, founding_snapshot};
-use woadstall_control::registry::{Registration, Status};
-use woadstall_control::wire::ControlMachine;
+use woadstall_control::machine::{
+    CallResponse, ControlMachine, MachineSettings, ResolveResponse, founding_snapshot,
+};
+use woadstall_control::registry::{Registration, UpstreamStatus};
+use woadstall_control::wire::MachineInfo;
 
 const WRITTEN: Duration = Duration::from_millis(1_764_600_000_123);
 
@@ -34,7 +36,7 @@
     bytes.escape_ascii().to_string().replace("\\n", "\n")
 }
 
-fn registration(id: &str, status: Status) -> Registration {
+fn registration(id: &str, status: UpstreamStatus) -> Registration {
     Registration {
         id: id.to_owned(),
         service: "llm".to_owned(),
@@ -43,7 +45,7 @@
         capacity: 4,
         sequence: 17,
         status,
-        cold_remaining_ms: 1_500,
+        slow_start_remaining_ms: 1_500,
         remaining_ms: 2_500,
         age_ms: 350,
     }
@@ -51,17 +53,17 @@
 
 fn registrations() -> Vec<Registration> {
     vec![
-        registration("i-1", Status::Ready),
-        registration("i-2", Status::Silent),
-        registration("i-3", Status::Draining),
-        registration("i-4", Status::Gone),
+        registration("i-1", UpstreamStatus::Ready),
+        registration("i-2", UpstreamStatus::TimedOut),
+        registration("i-3", UpstreamStatus::Draining),
+        registration("i-4", UpstreamStatus::Deregistered),
     ]
 }
 
 /// More than a kilobyte: it is compressed.
 fn many_registrations() -> Vec<Registration> {
     (0..40)
-        .map(|number| registration(&format!("i-{number}"), Status::Ready))
+        .map(|number| registration(&format!("i-{number}"), UpstreamStatus::Ready))
         .collect()
 }
 
@@ -182,7 +184,7 @@
             format!("patch base={base} body={}", shown(&body))
         }
         api::Call::Order(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
-        api::Call::Order(Command::Return { zone }) => format!("return zone={zone}"),
+        api::Call::Order(Command::EndEvacuation { zone }) => format!("return zone={zone}"),
         api::Call::ReadConfiguration => "read configuration".to_owned(),
         api::Call::Register(registration) => {
             let Registration {
@@ -193,13 +195,13 @@
                 capacity,
                 sequence,
                 status,
-                cold_remaining_ms,
+                slow_start_remaining_ms,
                 remaining_ms,
                 age_ms,
             } = registration;
             format!(
                 "register id={id} service={service} address={address} zone={zone} capacity={capacity} \
-                 sequence={sequence} status={status:?} cold_remaining_ms={cold_remaining_ms} \
+                 sequence={sequence} status={status:?} cold_remaining_ms={slow_start_remaining_ms} \
                  remaining_ms={remaining_ms} age_ms={age_ms}"
             )
         }
@@ -288,7 +290,7 @@
         ("GET", "/v1/other", None, ""),
         ("GET", "/", None, ""),
     ];
-    let (address, received) = start_api(Reply::Answer(Answer::Done));
+    let (address, received) = start_api(Reply::Answer(CallResponse::Acknowledged));
     let mut text = String::new();
     for (method, path, if_match, body) in calls {
         let answer = call(address, method, path, if_match, body);
@@ -304,7 +306,7 @@
 
 #[test]
 fn bodies_that_are_too_large_are_refused_as_before() {
-    let (address, _received) = start_api(Reply::Answer(Answer::Done));
+    let (address, _received) = start_api(Reply::Answer(CallResponse::Acknowledged));
     let body = format!("\"{}\"", "x".repeat(6 << 20));
     let answer = call(address, "PUT", "/v1/config", Some("3"), &body);
     assert_eq!(
@@ -317,33 +319,36 @@
 fn answers_are_the_same() {
     let addresses = vec!["10.1.0.2:80".to_owned(), "10.1.0.3:80".to_owned()];
     let answers = [
-        ("done", Reply::Answer(Answer::Done)),
-        ("conflict", Reply::Answer(Answer::Conflict { current: 7 })),
+        ("done", Reply::Answer(CallResponse::Acknowledged)),
+        (
+            "conflict",
+            Reply::Answer(CallResponse::Conflict { current: 7 }),
+        ),
         (
             "invalid",
-            Reply::Answer(Answer::Invalid {
+            Reply::Answer(CallResponse::Invalid {
                 findings: "routes[0]: is missing\n".to_owned(),
             }),
         ),
         (
             "document",
-            Reply::Answer(Answer::Document(br#"{"generation":3}"#.to_vec())),
+            Reply::Answer(CallResponse::Document(br#"{"generation":3}"#.to_vec())),
         ),
-        ("unclear", Reply::Answer(Answer::Unclear)),
+        ("unclear", Reply::Answer(CallResponse::Indeterminate)),
         (
             "registered",
             Reply::Registered("http://10.1.0.1:7000/v1/instances/i-1".to_owned()),
         ),
         (
             "balancers",
-            Reply::Balancers(Resolved {
+            Reply::Balancers(ResolveResponse {
                 addresses,
                 ttl_s: 5,
             }),
         ),
         (
             "no balancers",
-            Reply::Balancers(Resolved {
+            Reply::Balancers(ResolveResponse {
                 addresses: Vec::new(),
                 ttl_s: 5,
             }),
@@ -363,7 +368,7 @@
     assert_golden("api-answers.txt", text.as_bytes());
 }
 
-fn machine(seeds: &[&str]) -> Machine {
+fn machine(seeds: &[&str]) -> ControlMachine {
     let member = Member {
         id: 0x5eed,
         address: "10.1.0.1:7001".to_owned(),
@@ -377,7 +382,7 @@
         .collect();
     founders.push(member.clone());
     let settings = MachineSettings {
-        machine: ControlMachine {
+        machine: MachineInfo {
             member,
             zone: "a-1".to_owned(),
             region: "a".to_owned(),
@@ -389,7 +394,7 @@
         tolerated: 1,
         incarnation: 9,
     };
-    Machine::new(
+    ControlMachine::new(
         settings,
         DurableState::new(0x5eed, founding_snapshot(&founders)),
         0,
@@ -401,7 +406,7 @@
 fn the_status_is_the_same() {
     let mut machine = machine(&["10.2.0.1:7001", "10.3.0.1:7001"]);
     assert_golden("status-first.json", api::status(&machine, 0).as_bytes());
-    machine.remember(registrations());
+    machine.restore_registrations(registrations());
     machine.tick(100);
     assert_golden(
         "status-registrations.json",
--- a/crates/node/tests/unit/golden_front.rs
+++ b/crates/node/tests/unit/golden_front.rs
@@ -19,9 +19,9 @@
 use tokio::time::{Instant, timeout};
 use woadstall_consensus::Member;
 use woadstall_control::configuration::Configuration;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::state::ControlState;
-use woadstall_control::wire::{ControlMachine, HEAD_BYTES, Packet, payload_length};
+use woadstall_control::wire::{HEAD_BYTES, MachineInfo, Packet, payload_length};
 use woadstall_inbound::lock;
 use woadstall_routing::{Decision, Prompt, Query, Target};
 
@@ -88,20 +88,21 @@
     heartbeat::start(&front);
     for (sequence, name) in [(1, "heartbeat-first"), (2, "heartbeat-ready")] {
         let frame = datagram(&socket).await;
-        let Packet::Heartbeat(mut heartbeat) = Packet::decode_datagram(&frame).unwrap() else {
+        let Packet::BalancerHeartbeat(mut heartbeat) = Packet::decode_datagram(&frame).unwrap()
+        else {
             panic!()
         };
         assert_eq!(heartbeat.sequence, sequence);
         // The time of the start is another one each time.
         assert!(heartbeat.incarnation > 1_700_000_000_000);
         heartbeat.incarnation = 1_764_600_000_123;
-        assert_golden(name, &Packet::Heartbeat(heartbeat).frame());
+        assert_golden(name, &Packet::BalancerHeartbeat(heartbeat).frame());
         front.update_state(|current| *current = state(3));
     }
 }
 
-fn control_machine(address: SocketAddr, region: &str) -> ControlMachine {
-    ControlMachine {
+fn control_machine(address: SocketAddr, region: &str) -> MachineInfo {
+    MachineInfo {
         member: Member {
             id: 1,
             address: address.to_string(),
@@ -120,8 +121,8 @@
         zone: "a-1".to_owned(),
         capacity: 4,
         sequence: 1,
-        status: Status::Ready,
-        cold_remaining_ms: 0,
+        status: UpstreamStatus::Ready,
+        slow_start_remaining_ms: 0,
         remaining_ms: 0,
         age_ms: 0,
     }
@@ -159,7 +160,7 @@
     }
     loads::start(&front);
     let frame = datagram(&socket).await;
-    let Packet::Load(mut report) = Packet::decode_datagram(&frame).unwrap() else {
+    let Packet::LoadReport(mut report) = Packet::decode_datagram(&frame).unwrap() else {
         panic!()
     };
     assert!(report.sequence > 1_700_000_000_000);
@@ -169,7 +170,7 @@
         .placements
         .iter_mut()
         .for_each(|placement| placement.number = 5);
-    assert_golden("load", &Packet::Load(report).frame());
+    assert_golden("load", &Packet::LoadReport(report).frame());
 }
 
 #[tokio::test]
