--- a/crates/node/tests/unit/hints.rs
+++ b/crates/node/tests/unit/hints.rs
@@ -2,11 +2,11 @@
 
 use super::{Hints, path};
 use std::time::Duration;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 const WRITTEN: Duration = Duration::from_secs(1_000_000);
 
-fn registration(id: &str, status: Status) -> Registration {
+fn registration(id: &str, status: UpstreamStatus) -> Registration {
     Registration {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -15,13 +15,13 @@
         capacity: 4,
         sequence: 1,
         status,
-        cold_remaining_ms: 0,
+        slow_start_remaining_ms: 0,
         remaining_ms: 0,
         age_ms: 0,
     }
 }
 
-fn statuses(folder: &std::path::Path, after: Duration) -> Vec<Status> {
+fn statuses(folder: &std::path::Path, after: Duration) -> Vec<UpstreamStatus> {
     let (_, registrations) = Hints::open(folder, WRITTEN + after);
     registrations
         .iter()
@@ -34,7 +34,11 @@
     let folder = tempfile::tempdir().unwrap();
     let (mut hints, none) = Hints::open(folder.path(), WRITTEN);
     assert!(none.is_empty());
-    for status in [Status::Ready, Status::Draining, Status::Gone] {
+    for status in [
+        UpstreamStatus::Ready,
+        UpstreamStatus::Draining,
+        UpstreamStatus::Deregistered,
+    ] {
         hints
             .write(&[registration("i-1", status)], WRITTEN)
             .unwrap();
@@ -47,10 +51,13 @@
     let folder = tempfile::tempdir().unwrap();
     let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
     hints
-        .write(&[registration("i-1", Status::Draining)], WRITTEN)
+        .write(&[registration("i-1", UpstreamStatus::Draining)], WRITTEN)
         .unwrap();
     hints
-        .write(&[registration("i-1", Status::Gone)], WRITTEN)
+        .write(
+            &[registration("i-1", UpstreamStatus::Deregistered)],
+            WRITTEN,
+        )
         .unwrap();
     let newest = path(folder.path(), hints.number % super::FILES);
     let whole = std::fs::read(&newest).unwrap();
@@ -58,15 +65,21 @@
         std::fs::write(&newest, &whole[..length]).unwrap();
         assert_eq!(
             statuses(folder.path(), Duration::ZERO),
-            [Status::Draining],
+            [UpstreamStatus::Draining],
             "cut to {length} bytes"
         );
     }
     let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
     hints
-        .write(&[registration("i-1", Status::Gone)], WRITTEN)
+        .write(
+            &[registration("i-1", UpstreamStatus::Deregistered)],
+            WRITTEN,
+        )
         .unwrap();
-    assert_eq!(statuses(folder.path(), Duration::ZERO), [Status::Gone]);
+    assert_eq!(
+        statuses(folder.path(), Duration::ZERO),
+        [UpstreamStatus::Deregistered]
+    );
 }
 
 #[test]
@@ -75,7 +88,7 @@
     let (mut hints, _) = Hints::open(folder.path(), WRITTEN);
     let heard = Registration {
         age_ms: 500,
-        ..registration("i-1", Status::Ready)
+        ..registration("i-1", UpstreamStatus::Ready)
     };
     hints.write(&[heard], WRITTEN).unwrap();
     let ages = |time_of_day: Duration| -> Vec<u64> {
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -5,7 +5,7 @@
 use crate::router::Router;
 use crate::upstream::{Upstream, UpstreamId};
 use std::fmt;
-use woadstall_control::registry::Status;
+use woadstall_control::registry::UpstreamStatus;
 
 /// Requests at one upstream over its places: those beyond wait in its queue, which costs them less than a refusal.
 const OVERFULL: f64 = 1.5;
@@ -51,16 +51,16 @@
 impl Router {
     /// The upstreams of a service that a request may go to at all.
     pub(crate) fn allowed(&self, query: &Query<'_>) -> Vec<UpstreamId> {
-        let ready = self.with_status(query, Status::Ready);
+        let ready = self.with_status(query, UpstreamStatus::Ready);
         // Where all have fallen silent, it may be the control plane that hears nothing.
         if ready.is_empty() {
-            self.with_status(query, Status::Silent)
+            self.with_status(query, UpstreamStatus::TimedOut)
         } else {
             ready
         }
     }
 
-    fn with_status(&self, query: &Query<'_>, status: Status) -> Vec<UpstreamId> {
+    fn with_status(&self, query: &Query<'_>, status: UpstreamStatus) -> Vec<UpstreamId> {
         let Some(ids) = self.by_service.get(&query.service.name) else {
             return Vec::new();
         };
--- a/crates/routing/src/fleet_loads.rs
+++ b/crates/routing/src/fleet_loads.rs
@@ -6,7 +6,7 @@
 use crate::router::Router;
 use crate::upstream::{Prompt, Upstream};
 use std::collections::{HashMap, VecDeque};
-use woadstall_control::loads::{FleetLoad, FleetLoads, Placement, UpstreamLoad};
+use woadstall_control::loads::{FleetLoad, FleetLoads, PrefixPlacement, UpstreamLoad};
 
 /// How long what was told holds, in milliseconds: it is repeated every 300 ms.
 const TOLD_HOLDS: u64 = 700;
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Placements {
     /// Those that this balancer has made, with their times.
-    made: VecDeque<(u64, Placement)>,
+    made: VecDeque<(u64, PrefixPlacement)>,
     /// Numbers of those that are known, the oldest first.
     known: VecDeque<u32>,
     /// Since when others' are heard of without a pause, and when last.
@@ -39,7 +39,7 @@
 
 impl Placements {
     /// This balancer has sent a prompt with a long beginning.
-    fn note_made(&mut self, now: u64, placement: Placement) {
+    fn note_made(&mut self, now: u64, placement: PrefixPlacement) {
         self.made.push_back((now, placement));
         if self.made.len() > MOST_KNOWN {
             self.made.pop_front();
@@ -88,11 +88,12 @@
             let unread = u32::try_from(unread).unwrap_or(u32::MAX);
             UpstreamLoad {
                 upstream: upstream.key,
-                unread,
+                pending_prefill_tokens: unread,
                 is_failing,
             }
         };
-        let is_worth_telling = |load: &UpstreamLoad| load.unread > 0 || load.is_failing;
+        let is_worth_telling =
+            |load: &UpstreamLoad| load.pending_prefill_tokens > 0 || load.is_failing;
         self.upstreams
             .values()
             .map(load)
@@ -129,18 +130,18 @@
         upstream.kept.note_own(own_tokens);
         let told = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX);
         let (tokens, own_tokens) = (told(prompt.shared_tokens), told(own_tokens));
-        let placement = Placement {
+        let placement = PrefixPlacement {
             number,
             upstream: upstream.key,
-            beginning,
-            tokens,
-            own_tokens,
+            prefix: beginning,
+            prefix_tokens: tokens,
+            suffix_tokens: own_tokens,
         };
         self.placements.note_made(now, placement);
     }
 
     /// The placements that this balancer made a moment ago.
-    pub fn placements(&mut self, now: u64) -> Vec<Placement> {
+    pub fn placements(&mut self, now: u64) -> Vec<PrefixPlacement> {
         let made = &mut self.placements.made;
         while made
             .front()
@@ -163,7 +164,7 @@
             .iter()
             .map(|load| (load.upstream, *load))
             .collect();
-        let mut placed: HashMap<u32, Vec<&Placement>> = HashMap::new();
+        let mut placed: HashMap<u32, Vec<&PrefixPlacement>> = HashMap::new();
         for placement in &loads.placements {
             if self.placements.is_new(placement.number) {
                 placed
@@ -177,8 +178,8 @@
             for placement in placed.get(&upstream.key).into_iter().flatten() {
                 upstream
                     .kept
-                    .note_beginning(placement.beginning, u64::from(placement.tokens));
-                upstream.kept.note_own(u64::from(placement.own_tokens));
+                    .note_beginning(placement.prefix, u64::from(placement.prefix_tokens));
+                upstream.kept.note_own(u64::from(placement.suffix_tokens));
             }
         }
     }
@@ -191,7 +192,9 @@
 
     /// Prompt tokens that it has to read, of this balancer's requests or of those of all near ones.
     pub(crate) fn fleet_reading(&self, now: u64) -> u64 {
-        let told = self.told(now).map_or(0, |(_, load)| u64::from(load.unread));
+        let told = self
+            .told(now)
+            .map_or(0, |(_, load)| u64::from(load.pending_prefill_tokens));
         self.reading.max(told)
     }
 
@@ -201,6 +204,6 @@
             return false;
         };
         let is_contradicted = self.heard.is_some_and(|heard| heard + patience >= at);
-        load.failing >= WITNESSES && !is_contradicted
+        load.failing_balancers >= WITNESSES && !is_contradicted
     }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -8,7 +8,7 @@
 use crate::upstream::{Outcome, Upstream, UpstreamId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 /// How long an upstream that has turned a request away as full is passed over, in milliseconds.
 const FULL_PAUSE: u64 = 150;
@@ -170,8 +170,10 @@
     /// Whether requests may still go to an upstream: a connection that has come up meanwhile is looked at again.
     pub fn is_usable(&self, id: &str) -> bool {
         self.upstreams.get(id).is_some_and(|upstream| {
-            matches!(upstream.status, Status::Ready | Status::Silent)
-                && !self.evacuated.contains(&*upstream.zone)
+            matches!(
+                upstream.status,
+                UpstreamStatus::Ready | UpstreamStatus::TimedOut
+            ) && !self.evacuated.contains(&*upstream.zone)
         })
     }
 
@@ -179,7 +181,7 @@
     pub fn known(&self) -> usize {
         self.upstreams
             .values()
-            .filter(|upstream| upstream.status != Status::Gone)
+            .filter(|upstream| upstream.status != UpstreamStatus::Deregistered)
             .count()
     }
 
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use woadstall_control::loads::FleetLoad;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::shards::short_hash;
 
 /// The id of an upstream's incarnation.
@@ -53,7 +53,7 @@
     pub zone: Arc<str>,
     pub region: String,
     pub capacity: u64,
-    pub status: Status,
+    pub status: UpstreamStatus,
     pub sequence: u64,
     /// Until when it is cold.
     pub cold_until: u64,
@@ -93,7 +93,7 @@
             capacity: registration.capacity.max(1),
             status: registration.status,
             sequence: registration.sequence,
-            cold_until: now + registration.cold_remaining_ms,
+            cold_until: now + registration.slow_start_remaining_ms,
             cold_sends: VecDeque::new(),
             breaker: Breaker::default(),
             in_flight: 0,
@@ -111,15 +111,15 @@
     pub fn update(&mut self, now: u64, registration: &Registration) {
         self.unconfirmed_since = None;
         let old = (self.sequence, self.status);
-        let is_old =
-            self.status == Status::Gone || (registration.sequence, registration.status) < old;
-        if is_old && registration.status != Status::Gone {
+        let is_old = self.status == UpstreamStatus::Deregistered
+            || (registration.sequence, registration.status) < old;
+        if is_old && registration.status != UpstreamStatus::Deregistered {
             return;
         }
         self.status = registration.status;
         self.sequence = registration.sequence;
         self.capacity = registration.capacity.max(1);
-        self.cold_until = now + registration.cold_remaining_ms;
+        self.cold_until = now + registration.slow_start_remaining_ms;
     }
 
     pub fn is_cold(&self, now: u64) -> bool {
--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -4,15 +4,15 @@
 
 use rstest::rstest;
 use support::{request, router_with};
-use woadstall_control::loads::{FleetLoad, FleetLoads, Placement, UpstreamLoad};
+use woadstall_control::loads::{FleetLoad, FleetLoads, PrefixPlacement, UpstreamLoad};
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{Outcome, Prompt, Router};
 
 fn told(id: &str, unread: u32, failing: u16) -> FleetLoad {
     FleetLoad {
         upstream: short_hash(id),
-        unread,
-        failing,
+        pending_prefill_tokens: unread,
+        failing_balancers: failing,
     }
 }
 
@@ -109,7 +109,7 @@
     let reader = long.target(&mut router, 0);
     let load = UpstreamLoad {
         upstream: short_hash(&reader.id),
-        unread: 20_000,
+        pending_prefill_tokens: 20_000,
         is_failing: false,
     };
     assert_eq!(router.load(100), [load]);
@@ -128,7 +128,7 @@
     assert_eq!(
         router.load(710),
         [UpstreamLoad {
-            unread: 0,
+            pending_prefill_tokens: 0,
             is_failing: true,
             ..load
         }],
@@ -185,12 +185,12 @@
         .unwrap();
     let mut informed = router_with(&[("n", 4)]);
     let upstream = short_hash(other);
-    let placements = vec![Placement {
+    let placements = vec![PrefixPlacement {
         number: 1,
         upstream,
-        beginning: 5,
-        tokens: 10_000,
-        own_tokens: 20,
+        prefix: 5,
+        prefix_tokens: 10_000,
+        suffix_tokens: 20,
     }];
     informed.set_fleet_loads(
         0,
@@ -212,12 +212,12 @@
     let upstream = short_hash("n0");
     assert_eq!(
         told,
-        [Placement {
+        [PrefixPlacement {
             number,
             upstream,
-            beginning: 5,
-            tokens: 10_000,
-            own_tokens: 2_000
+            prefix: 5,
+            prefix_tokens: 10_000,
+            suffix_tokens: 2_000
         }]
     );
     assert_eq!(router.placements(401), []);
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use support::{OWN, bounds, registration};
 use woadstall_control::configuration::Configuration;
-use woadstall_control::loads::{FleetLoad, FleetLoads, Placement};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::loads::{FleetLoad, FleetLoads, PrefixPlacement};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{
     Decision, Fleet, Outcome, Place, Prompt, Query, Router, Target, UpstreamId,
@@ -26,11 +26,11 @@
 ];
 const UPSTREAMS_PER_ZONE: u64 = 5;
 const SERVICES: [&str; 2] = ["model", "plain"];
-const STATUSES: [Status; 4] = [
-    Status::Ready,
-    Status::Draining,
-    Status::Silent,
-    Status::Gone,
+const STATUSES: [UpstreamStatus; 4] = [
+    UpstreamStatus::Ready,
+    UpstreamStatus::Draining,
+    UpstreamStatus::TimedOut,
+    UpstreamStatus::Deregistered,
 ];
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Answered,
@@ -191,7 +191,7 @@
     fn request(&mut self) {
         let route = self.draws.below(self.configuration.routes.len() as u64) as usize;
         let route = self.configuration.routes[route].clone();
-        let service = self.configuration.services[&route.targets[0].0].clone();
+        let service = self.configuration.services[&route.targets[0].service].clone();
         let prompt = self.any_prompt();
         self.router.request(self.now, &service.name);
         let mut tried: Vec<UpstreamId> = Vec::new();
@@ -281,9 +281,9 @@
         let status = if self.draws.one_in(3) {
             STATUSES[self.draws.below(STATUSES.len() as u64) as usize]
         } else {
-            Status::Ready
+            UpstreamStatus::Ready
         };
-        let cold_remaining_ms = if self.draws.one_in(3) {
+        let slow_start_remaining_ms = if self.draws.one_in(3) {
             self.draws.below(4_000)
         } else {
             0
@@ -297,7 +297,7 @@
             id,
             status,
             sequence,
-            cold_remaining_ms,
+            slow_start_remaining_ms,
             capacity,
             ..base
         };
@@ -340,19 +340,19 @@
             let (unread, failing) = (self.draws.below(30_000) as u32, self.draws.below(4) as u16);
             loads.upstreams.push(FleetLoad {
                 upstream,
-                unread,
-                failing,
+                pending_prefill_tokens: unread,
+                failing_balancers: failing,
             });
             self.placement += 1;
             let number = self.placement - self.draws.below(2) as u32;
             let beginning = self.draws.below(12) as u32;
             let tokens = 4_000 + 1_000 * beginning;
-            loads.placements.push(Placement {
+            loads.placements.push(PrefixPlacement {
                 number,
                 upstream,
-                beginning,
-                tokens,
-                own_tokens: 500,
+                prefix: beginning,
+                prefix_tokens: tokens,
+                suffix_tokens: 500,
             });
         }
         self.router.set_fleet_loads(self.now, &loads);
@@ -361,18 +361,18 @@
     fn report_loads(&mut self) {
         for load in self.router.load(self.now) {
             self.digest.number(u64::from(load.upstream));
-            self.digest.number(u64::from(load.unread));
+            self.digest.number(u64::from(load.pending_prefill_tokens));
             self.digest.number(u64::from(load.is_failing));
         }
         for placement in self.router.placements(self.now) {
-            let Placement {
+            let PrefixPlacement {
                 number,
                 upstream,
-                beginning,
-                tokens,
-                own_tokens,
+                prefix,
+                prefix_tokens,
+                suffix_tokens,
             } = placement;
-            [number, upstream, beginning, tokens, own_tokens]
+            [number, upstream, prefix, prefix_tokens, suffix_tokens]
                 .into_iter()
                 .for_each(|field| self.digest.number(u64::from(field)));
         }
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use support::{OWN, registration, request, router_with};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_routing::{ColdShare, Decision, Outcome, Prompt, Refusal, Router};
 
 fn zones_of(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
@@ -55,9 +55,9 @@
 }
 
 #[rstest]
-#[case::draining(Status::Draining)]
-#[case::gone(Status::Gone)]
-fn what_leaves_gets_nothing_new(#[case] status: Status) {
+#[case::draining(UpstreamStatus::Draining)]
+#[case::gone(UpstreamStatus::Deregistered)]
+fn what_leaves_gets_nothing_new(#[case] status: UpstreamStatus) {
     let mut router = router_with(&[("n", 2)]);
     router.register(
         0,
@@ -82,7 +82,7 @@
         router.register(
             0,
             &Registration {
-                status: Status::Silent,
+                status: UpstreamStatus::TimedOut,
                 ..registration(id, &id[..1])
             },
         );
@@ -240,7 +240,7 @@
     router.register(
         0,
         &Registration {
-            status: Status::Draining,
+            status: UpstreamStatus::Draining,
             sequence: 2,
             ..registration("n3", "n")
         },
--- a/crates/routing/tests/support.rs
+++ b/crates/routing/tests/support.rs
@@ -3,7 +3,7 @@
 
 use serde_json::json;
 use woadstall_control::configuration::{Configuration, Route, Service};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_routing::{Bounds, Decision, Fleet, Place, Prompt, Query, Router, Target};
 
 pub const OWN: u32 = 1;
@@ -43,8 +43,8 @@
         zone: zone.to_owned(),
         capacity: 64,
         sequence: 1,
-        status: Status::Ready,
-        cold_remaining_ms: 0,
+        status: UpstreamStatus::Ready,
+        slow_start_remaining_ms: 0,
         remaining_ms: 0,
         age_ms: 0,
     }
