--- a/crates/control/src/machine/reads.rs
+++ b/crates/control/src/machine/reads.rs
@@ -44,7 +44,7 @@
         }
         read.asked = Some(leader.clone());
         if self.replica.is_leader() {
-            self.replica.read(number);
+            self.replica.request_read(number);
         } else {
             let call = self.call(number);
             self.send(&leader.address, Packet::ReadIndexRequest { call });
@@ -78,7 +78,7 @@
                 deadline,
             },
         );
-        self.replica.read(number);
+        self.replica.request_read(number);
         self.settle();
     }
 
