--- a/crates/settings/src/active.rs
+++ b/crates/settings/src/active.rs
@@ -1,7 +1,7 @@
 //! Settings that change while requests are in flight.
 
 use crate::{ChangeError, Names};
-use woadstall_decisions::api::{Class, ClassSuccession, Effect, Group, Settings};
+use woadstall_decisions::api::{Class, ClassSuccession, DedupScope, Effect, Settings};
 
 #[cfg(test)]
 mod tests;
@@ -95,7 +95,10 @@
             ("Zones", new_names.zones != names.zones),
             ("Zone", new.zone != settings.zone),
             ("Layer", new.tier != settings.tier),
-            ("Discovery", new.ask_discovery != settings.ask_discovery),
+            (
+                "Discovery",
+                new.subscribes_to_discovery != settings.subscribes_to_discovery,
+            ),
             (
                 "Telemetry.Fields",
                 new_names.report_fields != names.report_fields,
@@ -239,7 +242,9 @@
         (Effect::Keyed(group, window), Effect::Keyed(other_group, other_window)) => {
             let window = window.min(other_window);
             match (group, other_group) {
-                (Group::All, narrower) | (narrower, Group::All) => Effect::Keyed(narrower, window),
+                (DedupScope::All, narrower) | (narrower, DedupScope::All) => {
+                    Effect::Keyed(narrower, window)
+                }
                 _ if group == other_group => Effect::Keyed(group, window),
                 // Nothing is known of how zones and cells overlap.
                 _ => Effect::Unsafe,
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -3,7 +3,7 @@
 use crate::ParseError;
 use crate::error::from_json;
 use serde::Deserialize;
-use woadstall_decisions::api::{Class, Duration, Effect, Group, Settings, Tenant, ZoneId};
+use woadstall_decisions::api::{Class, DedupScope, Duration, Effect, Settings, Tenant, ZoneId};
 
 /// The field of load reports that counts requests in flight.
 const IN_FLIGHT_FIELD: &str = "inflight";
@@ -172,31 +172,31 @@
         Ok(Settings {
             classes,
             tenants: tenants.collect(),
-            over_quota_worth: self
+            over_quota_value: self
                 .over_quota_value_ratio
                 .unwrap_or(DEFAULT_OVER_QUOTA_VALUE_RATIO),
-            worth_by_work: matches!(self.value_unit, RawValueUnit::Work),
+            value_by_work: matches!(self.value_unit, RawValueUnit::Work),
             zone: ZoneId(self.zone),
             zones: self.zones.len(),
-            siblings: self.siblings,
+            balancers: self.siblings,
             tier: self.tier,
-            passes_deadline: self
+            propagates_deadline: self
                 .family_info
                 .and_then(|family| family.passes_deadline)
                 .unwrap_or(true),
-            ask_discovery,
-            ask_within: self.safety.poll_within_ns.unwrap_or(0),
+            subscribes_to_discovery: ask_discovery,
+            subscribe_within: self.safety.poll_within_ns.unwrap_or(0),
             may_cancel: self.limits.cancelling,
             max_retry_after: self.limits.max_retry_after_ns.unwrap_or(0),
             max_attempts: self.limits.max_attempts,
-            conn_idle: self.limits.idle_timeout_ns.unwrap_or(Duration::MAX),
-            start_capacity: self.safety.start_capacity,
-            tip_multiple: self.safety.overload_multiple,
-            ramp_time: self.safety.slow_start_ns,
-            report_inflight: telemetry.fields.iter().position(is_in_flight),
-            cross_price: prices.cross_zone,
-            probe_price: prices.probe,
-            load_by_probe: self.limits.may_probe && telemetry.via.as_deref() == Some(VIA_PROBE),
+            idle_timeout: self.limits.idle_timeout_ns.unwrap_or(Duration::MAX),
+            slow_start_capacity: self.safety.start_capacity,
+            slow_start_overload: self.safety.overload_multiple,
+            slow_start_window: self.safety.slow_start_ns,
+            in_flight_report_field: telemetry.fields.iter().position(is_in_flight),
+            cross_zone_cost: prices.cross_zone,
+            probe_cost: prices.probe,
+            probes_for_load: self.limits.may_probe && telemetry.via.as_deref() == Some(VIA_PROBE),
         })
     }
 }
@@ -204,12 +204,12 @@
 impl RawClass {
     fn into_class(self) -> Result<Class, ParseError> {
         Ok(Class {
-            aim: self.latency_target_ns,
-            aim_stretch: self.latency_target_stretch.unwrap_or(0.0),
+            latency_target: self.latency_target_ns,
+            latency_target_stretch: self.latency_target_stretch.unwrap_or(0.0),
             deadline: self.deadline_ns,
             effect: self.effect()?,
-            late_worth: self.late_value_ratio.unwrap_or(0.0),
-            worth: self.value,
+            late_value: self.late_value_ratio.unwrap_or(0.0),
+            value: self.value,
         })
     }
 
@@ -232,7 +232,7 @@
     }
 }
 
-impl From<&RawGroup> for Group {
+impl From<&RawGroup> for DedupScope {
     fn from(raw: &RawGroup) -> Self {
         match raw {
             RawGroup::All => Self::All,
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -269,7 +269,9 @@
         let done =
             call(system.control(2), method, "/v1/evacuations/zone-0", "", b"").expect("an answer");
         assert_eq!(done.status(), 200);
-        system.front_process(0).wait_for("evacuations_applied zones=");
+        system
+            .front_process(0)
+            .wait_for("evacuations_applied zones=");
     };
     order("POST");
     assert_eq!(body(&system), b"far");
@@ -286,7 +288,9 @@
         draining.to_string().as_bytes(),
     );
     assert_eq!(done.expect("an answer").status(), 200);
-    system.front_process(0).wait_for("registration_applied upstream=i-1");
+    system
+        .front_process(0)
+        .wait_for("registration_applied upstream=i-1");
     assert_eq!(body(&system), b"far");
 }
 
