--- a/crates/control-simulation/src/cluster/actions.rs
+++ b/crates/control-simulation/src/cluster/actions.rs
@@ -86,7 +86,7 @@
         let conditions = self.network.conditions;
         let is_bandwidth_limited = conditions.bytes_per_ms > 0;
         let bytes = if is_bandwidth_limited {
-            packet.frame().len() as u64
+            packet.encode().len() as u64
         } else {
             0
         };
--- a/crates/control-simulation/src/cluster/observations.rs
+++ b/crates/control-simulation/src/cluster/observations.rs
@@ -45,7 +45,7 @@
             Action::Connect { address } => digest.flag(true).bytes(address.as_bytes()),
             Action::Disconnect { address } => digest.flag(false).bytes(address.as_bytes()),
             Action::Send { address, packet } => {
-                digest.bytes(address.as_bytes()).bytes(&packet.frame())
+                digest.bytes(address.as_bytes()).bytes(&packet.encode())
             }
             Action::Persist { sequence, record } => digest.number(*sequence).encoded(record),
             Action::PersistRegistrations { number } => digest.number(*number),
@@ -56,7 +56,7 @@
             Action::Deliver {
                 subscribers,
                 packet,
-            } => digest.numbers(subscribers).bytes(&packet.frame()),
+            } => digest.numbers(subscribers).bytes(&packet.encode()),
         };
     }
 
--- a/crates/control-simulation/src/cluster/time.rs
+++ b/crates/control-simulation/src/cluster/time.rs
@@ -149,7 +149,7 @@
             observed
                 .node(link.to)
                 .node(link.from)
-                .bytes(&packet.frame());
+                .bytes(&packet.encode());
         }
         process.receive_packet(self.now_ms, &address(link.from), packet);
         self.carry_out_actions(link.to);
--- a/crates/control/src/balancers.rs
+++ b/crates/control/src/balancers.rs
@@ -1,13 +1,14 @@
-//! The balancers that are there, by their heartbeats to a few monitors.
+//! The balancers that are alive, by the heartbeats that they send to a few monitors.
 
+use crate::merge::MergeOutcome;
 use crate::shards::short_hash;
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
 
-/// What a balancer says of itself.
+/// A balancer's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct BalancerHeartbeat {
-    /// Its name.
+    /// The balancer's name.
     pub name: String,
     /// When this process started: a later one replaces an earlier one.
     pub incarnation: u64,
@@ -17,144 +18,153 @@
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// Whether it takes clients.
+    /// Whether it accepts clients.
     pub ready: bool,
 }
 
-/// A balancer that is still there and says what it said before.
+/// A heartbeat that says what the one before it said, in short form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct BalancerRenewal {
-    /// The hash of its name.
+    /// The hash of the balancer's name.
     pub name: u32,
-    /// The incarnation that was heard of.
+    /// The incarnation that sent the heartbeat.
     pub incarnation: u64,
-    /// Its newest heartbeat.
+    /// The heartbeat's sequence number.
     pub sequence: u64,
 }
 
-/// What a heartbeat has changed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// Nothing: it was late.
-    Old,
-    /// Only that the balancer is still there.
-    Renewed,
-    /// What it says of itself.
-    Changed,
-}
-
+/// A balancer as one control machine knows it.
 #[derive(Clone, Debug)]
-struct Seen {
+struct BalancerRecord {
     heartbeat: BalancerHeartbeat,
-    heard: u64,
+    /// When the newest heartbeat was heard of.
+    last_heard: u64,
     /// When this incarnation was last heard of as ready, if it ever was.
-    ready_at: Option<u64>,
+    last_ready: Option<u64>,
 }
 
 /// The balancers as one control machine knows them, with times in milliseconds of its clock.
 #[derive(Clone, Debug, Default)]
-pub struct Balancers {
-    seen: BTreeMap<String, Seen>,
+pub struct BalancerTable {
+    records: BTreeMap<String, BalancerRecord>,
 }
 
-/// Two heartbeats and more, in milliseconds: an incarnation that was not heard of for so long may be replaced by any other.
-const SILENT: u64 = 900;
-/// A balancer that was not heard of for so long is forgotten.
-const FORGET: u64 = 60_000;
+/// The time in milliseconds after which an incarnation that was not heard of may be replaced by any other: more than two
+/// heartbeats.
+const INCARNATION_TIMEOUT_MS: u64 = 900;
+/// The time in milliseconds after which a balancer that was not heard of is forgotten.
+const RETENTION_MS: u64 = 60_000;
 
-impl Balancers {
-    /// Merges a heartbeat. Another incarnation replaces one that has fallen silent, whatever
-    /// their numbers: the time of day that they are drawn from may step back.
-    pub fn merge(&mut self, now: u64, heartbeat: BalancerHeartbeat) -> Heard {
-        let mut heard = Heard::Changed;
-        if let Some(old) = self.seen.get(&heartbeat.name) {
-            let known = &old.heartbeat;
-            let newer = match known.incarnation == heartbeat.incarnation {
-                true => heartbeat.sequence > known.sequence,
-                false => heartbeat.incarnation > known.incarnation || now > old.heard + SILENT,
-            };
-            if !newer {
-                return Heard::Old;
-            }
-            let as_known = BalancerHeartbeat {
-                sequence: known.sequence,
-                ..heartbeat.clone()
-            };
-            if as_known == *known {
-                heard = Heard::Renewed;
-            }
+impl BalancerTable {
+    /// Merges a heartbeat. Another incarnation replaces one that has timed out, whatever their numbers: the time of day that
+    /// these are drawn from may step back.
+    pub fn merge(&mut self, now: u64, heartbeat: BalancerHeartbeat) -> MergeOutcome {
+        let former = self.records.get(&heartbeat.name);
+        if former.is_some_and(|former| !former.is_superseded_by(now, &heartbeat)) {
+            return MergeOutcome::Stale;
         }
-        let former = self.seen.get(&heartbeat.name);
-        let former = former.filter(|former| former.heartbeat.incarnation == heartbeat.incarnation);
-        let ready_at = if heartbeat.ready {
+        let outcome = match former {
+            Some(former) if former.says_the_same(&heartbeat) => MergeOutcome::Renewed,
+            _ => MergeOutcome::Changed,
+        };
+        let same_incarnation =
+            former.filter(|former| former.heartbeat.incarnation == heartbeat.incarnation);
+        let last_ready = if heartbeat.ready {
             Some(now)
         } else {
-            former.and_then(|former| former.ready_at)
+            same_incarnation.and_then(|former| former.last_ready)
         };
-        self.seen.insert(
-            heartbeat.name.clone(),
-            Seen {
+        let name = heartbeat.name.clone();
+        self.records.insert(
+            name,
+            BalancerRecord {
                 heartbeat,
-                heard: now,
-                ready_at,
+                last_heard: now,
+                last_ready,
             },
         );
-        heard
+        outcome
     }
 
-    /// Hears from another machine that balancers are still there.
-    pub fn renew(&mut self, now: u64, still_there: &[BalancerRenewal]) {
-        let newest: BTreeMap<u32, &BalancerRenewal> =
-            still_there.iter().map(|news| (news.name, news)).collect();
-        for seen in self.seen.values_mut() {
-            let Some(news) = newest.get(&short_hash(&seen.heartbeat.name)) else {
+    /// Another machine has heard renewals: those of the incarnation that is known confirm it.
+    pub fn renew(&mut self, now: u64, renewals: &[BalancerRenewal]) {
+        let by_name: BTreeMap<u32, &BalancerRenewal> = renewals
+            .iter()
+            .map(|renewal| (renewal.name, renewal))
+            .collect();
+        for (name, record) in &mut self.records {
+            let Some(renewal) = by_name.get(&short_hash(name)) else {
                 continue;
             };
-            if news.incarnation == seen.heartbeat.incarnation
-                && news.sequence > seen.heartbeat.sequence
-            {
-                (seen.heartbeat.sequence, seen.heard) = (news.sequence, now);
-                if seen.heartbeat.ready {
-                    seen.ready_at = Some(now);
+            let known = &record.heartbeat;
+            if renewal.incarnation == known.incarnation && renewal.sequence > known.sequence {
+                record.heartbeat.sequence = renewal.sequence;
+                record.last_heard = now;
+                if record.heartbeat.ready {
+                    record.last_ready = Some(now);
                 }
             }
         }
     }
 
-    /// The balancers that were heard of within this time.
-    pub fn alive(&self, now: u64, within: u64) -> impl Iterator<Item = &BalancerHeartbeat> {
-        let lately = move |seen: &&Seen| now <= seen.heard + within;
-        self.seen
+    /// The balancers that were heard of within a time-out in milliseconds.
+    pub fn alive(&self, now: u64, timeout_ms: u64) -> impl Iterator<Item = &BalancerHeartbeat> {
+        let is_alive = move |record: &&BalancerRecord| now <= record.last_heard + timeout_ms;
+        self.records
             .values()
-            .filter(lately)
-            .map(|seen| &seen.heartbeat)
+            .filter(is_alive)
+            .map(|record| &record.heartbeat)
     }
 
-    /// The balancers that are there and no longer ready, but were so within this time: they are being stopped, and still take
-    /// clients for a while.
+    /// The balancers that are alive and no longer ready, but were ready within `ready_within_ms`: they are shutting down, and
+    /// still accept clients for a while.
     pub fn stopping(
         &self,
         now: u64,
-        alive_within: u64,
-        ready_within: u64,
+        timeout_ms: u64,
+        ready_within_ms: u64,
     ) -> impl Iterator<Item = &BalancerHeartbeat> {
-        let is_stopping = move |seen: &&Seen| {
-            let was_ready = seen.ready_at.is_some_and(|at| now <= at + ready_within);
-            !seen.heartbeat.ready && was_ready && now <= seen.heard + alive_within
+        let is_stopping = move |record: &&BalancerRecord| {
+            let was_ready = record
+                .last_ready
+                .is_some_and(|at| now <= at + ready_within_ms);
+            !record.heartbeat.ready && was_ready && now <= record.last_heard + timeout_ms
         };
-        self.seen
+        self.records
             .values()
             .filter(is_stopping)
-            .map(|seen| &seen.heartbeat)
+            .map(|record| &record.heartbeat)
     }
 
     /// The zone of a balancer.
     pub fn zone_of(&self, name: &str) -> Option<&str> {
-        self.seen.get(name).map(|seen| &*seen.heartbeat.zone)
+        self.records.get(name).map(|record| &*record.heartbeat.zone)
     }
 
-    /// Forgets who was not heard of for long.
+    /// Forgets balancers that were not heard of for long.
     pub fn forget(&mut self, now: u64) {
-        self.seen.retain(|_, seen| now <= seen.heard + FORGET);
+        self.records
+            .retain(|_, record| now <= record.last_heard + RETENTION_MS);
+    }
+}
+
+impl BalancerRecord {
+    fn is_superseded_by(&self, now: u64, heartbeat: &BalancerHeartbeat) -> bool {
+        let known = &self.heartbeat;
+        if known.incarnation == heartbeat.incarnation {
+            heartbeat.sequence > known.sequence
+        } else {
+            let has_timed_out = now > self.last_heard + INCARNATION_TIMEOUT_MS;
+            heartbeat.incarnation > known.incarnation || has_timed_out
+        }
+    }
+
+    /// Whether a heartbeat differs from the known one in nothing but its sequence number.
+    fn says_the_same(&self, heartbeat: &BalancerHeartbeat) -> bool {
+        let sequence = self.heartbeat.sequence;
+        BalancerHeartbeat {
+            sequence,
+            ..heartbeat.clone()
+        } == self.heartbeat
     }
 }
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,8 +1,8 @@
-//! The operator's orders, as entries of the replicated log.
+//! The operator's commands, as entries of the replicated log.
 
 use nanoserde::{DeBin, SerBin};
 
-/// An order of the operator.
+/// A command of the operator.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Command {
     /// Replace the configuration.
@@ -19,29 +19,29 @@
         /// The change as JSON.
         body: Vec<u8>,
     },
-    /// Send nothing more to the upstreams of a zone.
+    /// Send no new requests to the upstreams of a zone.
     Evacuate {
         /// The zone.
         zone: String,
     },
-    /// Take an evacuation back.
+    /// End the evacuation of a zone.
     EndEvacuation {
         /// The zone.
         zone: String,
     },
 }
 
-/// What came of an order.
+/// The outcome of a command that was applied.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum Outcome {
-    /// It is in force, or was before.
+pub enum CommandOutcome {
+    /// It is in force, or was put in force by an earlier attempt.
     Accepted,
     /// The configuration builds on a version that is not the current one.
     Conflict {
         /// The current version.
         current: u64,
     },
-    /// The configuration is at fault.
+    /// The configuration is invalid.
     Invalid {
         /// All findings, one a line.
         findings: String,
@@ -54,7 +54,7 @@
         matches!(self, Self::Put { .. } | Self::Patch { .. })
     }
 
-    /// The identity of an order: the same order sent again has the same one.
+    /// The identity of a command, by which a retry is recognized.
     pub fn digest(&self) -> u128 {
         let (kind, base, body): (u8, u64, &[u8]) = match self {
             Self::Put { base, body } => (1, *base, body),
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -1,11 +1,11 @@
-//! The change feed of a control machine: events appended to a journal in memory, read from an offset by balancers.
+//! The change feed of a control machine: events appended to a journal in memory, which balancers read from an offset on.
 
 use crate::command::Command;
 use crate::registry::Registration;
 use nanoserde::{DeBin, SerBin};
 use std::collections::VecDeque;
 
-/// Something that balancers must hear of.
+/// A change that balancers must hear of.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum FeedEvent {
     /// A command was committed at a position of the configuration's log.
@@ -19,25 +19,43 @@
     Registered(Registration),
 }
 
-/// Bytes of events that are kept for readers that come back; one that is further behind gets a snapshot.
-const KEPT_BYTES: usize = 2 << 20;
+/// Bytes of events that are retained for balancers that reconnect; one that is further behind gets a snapshot.
+const RETAINED_BYTES: usize = 2 << 20;
+/// What an event counts for beside the body of its command, in bytes.
+const EVENT_OVERHEAD_BYTES: usize = 200;
 
-/// The journal.
+impl FeedEvent {
+    /// What the event counts for, in bytes.
+    fn size(&self) -> usize {
+        let body = match self {
+            Self::Committed {
+                command: Command::Put { body, .. } | Command::Patch { body, .. },
+                ..
+            } => body.len(),
+            _ => 0,
+        };
+        body + EVENT_OVERHEAD_BYTES
+    }
+}
+
+/// The journal of events, each at an offset that rises by 1.
 #[derive(Debug)]
-pub struct Journal {
-    /// Tells this journal from one of an earlier process at the same address.
+pub struct EventJournal {
+    /// Distinguishes this journal from one of an earlier process at the same address.
     epoch: u64,
-    first: u64,
-    events: VecDeque<(usize, FeedEvent)>,
+    /// The offset of the oldest event that is retained.
+    first_offset: u64,
+    events: VecDeque<FeedEvent>,
+    /// The sum of the events' sizes.
     bytes: usize,
 }
 
-impl Journal {
+impl EventJournal {
     /// An empty journal. The epoch must differ from that of any earlier process of the machine.
     pub fn new(epoch: u64) -> Self {
         Self {
             epoch,
-            first: 0,
+            first_offset: 0,
             events: VecDeque::new(),
             bytes: 0,
         }
@@ -49,51 +67,37 @@
     }
 
     /// The offset behind the last event.
-    pub fn end(&self) -> u64 {
-        self.first + self.events.len() as u64
+    pub fn end_offset(&self) -> u64 {
+        self.first_offset + self.events.len() as u64
     }
 
-    /// Appends an event.
+    /// Appends an event, and drops the oldest ones where more bytes are held than are to be retained.
     pub fn append(&mut self, event: FeedEvent) {
-        let size = match &event {
-            FeedEvent::Committed {
-                command: Command::Put { body, .. } | Command::Patch { body, .. },
-                ..
-            } => body.len(),
-            _ => 0,
-        };
-        const HEAD: usize = 200;
-        self.bytes += size + HEAD;
-        self.events.push_back((size + HEAD, event));
-        while self.bytes > KEPT_BYTES && self.events.len() > 1 {
-            if let Some((size, _)) = self.events.pop_front() {
-                self.bytes -= size;
-                self.first += 1;
+        self.bytes += event.size();
+        self.events.push_back(event);
+        while self.bytes > RETAINED_BYTES && self.events.len() > 1 {
+            if let Some(dropped) = self.events.pop_front() {
+                self.bytes -= dropped.size();
+                self.first_offset += 1;
             }
         }
     }
 
-    /// Forgets all events: a reader from any offset so far needs a snapshot.
-    pub fn restart(&mut self) {
-        self.first = self.end() + 1;
+    /// Drops all events: a balancer that goes on from any offset so far needs a snapshot.
+    pub fn reset(&mut self) {
+        self.first_offset = self.end_offset() + 1;
         self.events.clear();
         self.bytes = 0;
     }
 
-    /// The events from an offset of an epoch on; `None` where they are not kept, so that a snapshot is needed.
-    pub fn tail(&self, epoch: u64, offset: u64) -> Option<Vec<FeedEvent>> {
+    /// The events from an offset of an epoch on; `None` where they are not retained, so that a snapshot is needed.
+    pub fn events_since(&self, epoch: u64, offset: u64) -> Option<Vec<FeedEvent>> {
         let skipped = offset
-            .checked_sub(self.first)
+            .checked_sub(self.first_offset)
             .filter(|_| epoch == self.epoch)?;
         let skipped = usize::try_from(skipped)
             .ok()
             .filter(|skipped| *skipped <= self.events.len())?;
-        Some(
-            self.events
-                .iter()
-                .skip(skipped)
-                .map(|(_, event)| event.clone())
-                .collect(),
-        )
+        Some(self.events.iter().skip(skipped).cloned().collect())
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,10 @@
-//! What woadstall's control plane keeps: the configuration and the evacuations, the registrations of upstreams, and
-//! the balancers that are there. No I/O, no clock: the shells hand in the time.
+//! The control plane without I/O and without a clock: the replicated configuration and evacuations, the registrations of
+//! upstreams, and the heartbeats of balancers. The process that runs it hands in packets, calls and the time.
+//!
+//! - [`machine`] is a control machine: it puts the other modules together.
+//! - [`command`], [`state`] and [`configuration`] are what the replicated log holds and makes.
+//! - [`registry`], [`balancers`] and [`loads`] are what heartbeats and reports say; [`shards`] is who is responsible for what.
+//! - [`feed`] and [`wire`] are how balancers and other machines hear of it.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -10,6 +15,7 @@
 pub mod feed;
 pub mod loads;
 pub mod machine;
+pub mod merge;
 pub mod reader;
 pub mod registry;
 pub mod shards;
--- /dev/null
+++ b/crates/control/src/machine/balancer_heartbeats.rs
@@ -0,0 +1,26 @@
+//! Heartbeats that balancers send to this machine as one of their monitors.
+
+use super::ControlMachine;
+use crate::balancers::{BalancerHeartbeat, BalancerRenewal};
+use crate::merge::MergeOutcome;
+use crate::shards::short_hash;
+
+impl ControlMachine {
+    /// A balancer's heartbeat has arrived; the other machines hear of it by gossip.
+    pub fn receive_heartbeat(&mut self, now: u64, heartbeat: BalancerHeartbeat) {
+        self.advance_clock(now);
+        let name = heartbeat.name.clone();
+        match self.balancers.merge(self.now, heartbeat.clone()) {
+            MergeOutcome::Stale => {}
+            MergeOutcome::Changed => drop(self.gossip.heartbeats.insert(name, heartbeat)),
+            MergeOutcome::Renewed => {
+                let renewal = BalancerRenewal {
+                    name: short_hash(&name),
+                    incarnation: heartbeat.incarnation,
+                    sequence: heartbeat.sequence,
+                };
+                self.gossip.balancer_renewals.insert(name, renewal);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/src/machine/commands.rs
@@ -0,0 +1,263 @@
+//! Commands of the operator: the leader proposes them to the log, any other machine forwards them to the leader.
+
+use super::calls::{CALL_TIMEOUT_MS, CallOrigin, LeaderAddress};
+use super::{CallResponse, ControlMachine};
+use crate::command::{Command, CommandOutcome};
+use crate::wire::{CallId, LeaderTime, Packet};
+use nanoserde::SerBin;
+
+/// An entry that this machine proposed as leader, until it is applied.
+#[derive(Clone, Debug)]
+pub(super) struct Proposal {
+    term: u64,
+    digest: u128,
+    waiters: Vec<Waiter>,
+}
+
+/// Who waits for an entry, and until when.
+#[derive(Clone, Debug)]
+struct Waiter {
+    origin: CallOrigin,
+    deadline: u64,
+}
+
+/// A command that was forwarded to a leader, or waits for one to be elected.
+#[derive(Clone, Debug)]
+pub(super) struct PendingCommand {
+    token: u64,
+    command: Command,
+    forwarded_to: Option<LeaderAddress>,
+    deadline: u64,
+}
+
+impl ControlMachine {
+    /// An operator has submitted a command; the response comes with the token.
+    pub fn submit_command(&mut self, now: u64, token: u64, command: Command) {
+        self.advance_clock(now);
+        let number = self.next_number();
+        let deadline = self.now + CALL_TIMEOUT_MS;
+        let pending = PendingCommand {
+            token,
+            command,
+            forwarded_to: None,
+            deadline,
+        };
+        self.calls.commands.insert(number, pending);
+        self.propose_or_forward(number);
+        self.process_replica_outputs();
+    }
+
+    /// Proposes a command here, or forwards it to the leader. It waits where there is none, and goes nowhere once its caller's
+    /// time is over.
+    pub(super) fn propose_or_forward(&mut self, number: u64) {
+        let Some(pending) = self.calls.commands.get(&number) else {
+            return;
+        };
+        if self.now >= pending.deadline {
+            return;
+        }
+        if self.replica.is_leader() {
+            self.propose_pending(number);
+        } else {
+            self.forward_command(number);
+        }
+    }
+
+    fn propose_pending(&mut self, number: u64) {
+        let Some(pending) = self.calls.commands.remove(&number) else {
+            return;
+        };
+        let origin = CallOrigin::Local(pending.token);
+        let waiter = Waiter {
+            origin,
+            deadline: pending.deadline,
+        };
+        if !self.propose_or_join(waiter, &pending.command) {
+            self.calls.commands.insert(number, pending);
+        }
+    }
+
+    /// Forwards a command to the leader of the term, unless that leader has it already.
+    fn forward_command(&mut self, number: u64) {
+        let Some(leader) = self.leader() else { return };
+        let call = self.call_id(number);
+        let Some(pending) = self.calls.commands.get_mut(&number) else {
+            return;
+        };
+        if pending.forwarded_to.as_ref() == Some(&leader) {
+            return;
+        }
+        let expires = self
+            .leader_clock
+            .to_leader_time(leader.term, pending.deadline);
+        let Some(expires) = expires else { return };
+        let command = pending.command.clone();
+        pending.forwarded_to = Some(leader.clone());
+        self.send(
+            &leader.address,
+            Packet::ForwardedCommand {
+                call,
+                expires,
+                command,
+            },
+        );
+    }
+
+    /// Proposes a command, or joins those who wait for the same change if it is proposed already: to replicate a large one
+    /// several times would delay all of them. Returns whether the command was accepted into the log.
+    fn propose_or_join(&mut self, waiter: Waiter, command: &Command) -> bool {
+        let digest = command.digest();
+        let term = self.replica.term();
+        if self.replica.is_leader() && command.is_change() {
+            let is_duplicate =
+                |proposal: &&mut Proposal| (proposal.term, proposal.digest) == (term, digest);
+            if let Some(proposal) = self.calls.proposals.values_mut().find(is_duplicate) {
+                proposal.waiters.push(waiter);
+                return true;
+            }
+        }
+        let Ok((index, term)) = self.replica.propose(command.serialize_bin()) else {
+            return false;
+        };
+        self.calls.proposals.insert(
+            index,
+            Proposal {
+                term,
+                digest,
+                waiters: vec![waiter],
+            },
+        );
+        true
+    }
+
+    /// Another machine forwards a command. It is proposed only by the leader that it was meant for, and not after its time.
+    pub(super) fn on_forwarded_command(
+        &mut self,
+        from: &str,
+        call: CallId,
+        expires: LeaderTime,
+        command: Command,
+    ) {
+        let is_in_time = expires.term == self.replica.term() && self.now <= expires.at;
+        let origin = CallOrigin::Peer {
+            address: from.to_owned(),
+            call,
+        };
+        let waiter = Waiter {
+            origin,
+            deadline: self.now + CALL_TIMEOUT_MS,
+        };
+        if !is_in_time || !self.propose_or_join(waiter, &command) {
+            self.send(
+                from,
+                Packet::ForwardedCommandReply {
+                    call,
+                    outcome: None,
+                },
+            );
+        }
+        self.process_replica_outputs();
+    }
+
+    /// The leader replies to a forwarded command. One that it did not accept is forwarded again.
+    pub(super) fn on_forwarded_command_reply(
+        &mut self,
+        call: CallId,
+        outcome: Option<CommandOutcome>,
+    ) {
+        let Some(number) = self.own_number(call) else {
+            return;
+        };
+        if let Some(outcome) = outcome {
+            if let Some(pending) = self.calls.commands.remove(&number) {
+                self.respond(pending.token, response_to(outcome));
+            }
+        } else if let Some(pending) = self.calls.commands.get_mut(&number) {
+            pending.forwarded_to = None;
+        }
+    }
+
+    /// An entry was applied: whoever waits for it is notified. Where it is not the one that was proposed at this position, the
+    /// outcome of the proposal is unknown.
+    pub(super) fn complete_proposal(
+        &mut self,
+        index: u64,
+        term: u64,
+        outcome: Option<CommandOutcome>,
+    ) {
+        let Some(proposal) = self.calls.proposals.remove(&index) else {
+            return;
+        };
+        let outcome = outcome.filter(|_| proposal.term == term);
+        for waiter in proposal.waiters {
+            self.report_outcome(waiter.origin, outcome.clone());
+        }
+    }
+
+    fn report_outcome(&mut self, origin: CallOrigin, outcome: Option<CommandOutcome>) {
+        match origin {
+            CallOrigin::Local(token) => {
+                self.respond(
+                    token,
+                    outcome.map_or(CallResponse::Indeterminate, response_to),
+                );
+            }
+            CallOrigin::Peer { address, call } => {
+                self.send(&address, Packet::ForwardedCommandReply { call, outcome });
+            }
+        }
+    }
+
+    /// This machine is no longer the leader: what it proposed may be committed or not, and those who wait ask the next leader.
+    pub(super) fn abandon_proposals(&mut self) {
+        let abandoned: Vec<Proposal> = self
+            .calls
+            .proposals
+            .drain()
+            .map(|(_, proposal)| proposal)
+            .collect();
+        for waiter in abandoned.into_iter().flat_map(|proposal| proposal.waiters) {
+            self.report_outcome(waiter.origin, None);
+        }
+    }
+
+    /// Commands that were forwarded to a machine are to be forwarded again.
+    pub(super) fn forget_forwarded_commands(&mut self, address: &str) {
+        for pending in self.calls.commands.values_mut() {
+            if pending
+                .forwarded_to
+                .as_ref()
+                .is_some_and(|leader| leader.address == address)
+            {
+                pending.forwarded_to = None;
+            }
+        }
+    }
+
+    /// Responds to callers whose time is over. Their entries may still be committed.
+    pub(super) fn time_out_commands(&mut self) {
+        let now = self.now;
+        let pending = self
+            .calls
+            .commands
+            .extract_if(|_, pending| now >= pending.deadline);
+        let mut tokens: Vec<u64> = pending.map(|(_, pending)| pending.token).collect();
+        for proposal in self.calls.proposals.values_mut() {
+            let overdue = proposal
+                .waiters
+                .extract_if(.., |waiter| now >= waiter.deadline);
+            tokens.extend(overdue.filter_map(|waiter| waiter.origin.token()));
+        }
+        for token in tokens {
+            self.respond(token, CallResponse::Indeterminate);
+        }
+    }
+}
+
+fn response_to(outcome: CommandOutcome) -> CallResponse {
+    match outcome {
+        CommandOutcome::Accepted => CallResponse::Acknowledged,
+        CommandOutcome::Conflict { current } => CallResponse::Conflict { current },
+        CommandOutcome::Invalid { findings } => CallResponse::Invalid { findings },
+    }
+}
--- a/crates/control/src/machine/directory.rs
+++ b/crates/control/src/machine/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: where clients find balancers, and where upstreams send their later heartbeats.
+//! The directory: which balancers a client is sent to, and where upstreams send their later heartbeats.
 
 use super::ControlMachine;
 use crate::balancers::BalancerHeartbeat;
@@ -6,21 +6,23 @@
 use crate::wire::MachineInfo;
 use std::collections::BTreeSet;
 
-/// How long a balancer is named to clients after it was last heard of, in milliseconds: three heartbeats, and the way between
-/// machines.
-const BALANCER_ALIVE: u64 = 1_100;
-/// How long a balancer that is being stopped may still be named, in milliseconds since it was ready: it takes clients for 3 s.
-const STOPPING_TAKES: u64 = 2_500;
-/// Balancers that are named to a client at most: enough that some are left where others fail, few enough for short answers.
-/// Each client is named the same ones each time, as it closes its connections to those that are named no more.
-const MOST_NAMED: usize = 16;
-/// Seconds for which names of balancers hold with clients: short, where the questions of all clients are few.
+/// The time in milliseconds for which clients are sent to a balancer after it was last heard of: three heartbeats, and the way
+/// between machines.
+const BALANCER_TIMEOUT_MS: u64 = 1_100;
+/// The time in milliseconds for which clients may still be sent to a balancer that is shutting down, since it was last ready:
+/// it accepts clients for 3 s.
+const SHUTDOWN_ACCEPT_MS: u64 = 2_500;
+/// The number of addresses in a response at most: enough that some are left where others fail, few enough for short responses.
+/// A client gets the same ones each time, as it closes its connections to those that are no longer in the response.
+const MAX_ADDRESSES: usize = 16;
+/// The time in seconds for which clients may use a response: short, where there are few clients to ask again.
 const TTL_S: u64 = 1;
-const TTL_OF_MANY_S: u64 = 2;
-/// Balancers from which on there are many clients.
-const MANY: usize = 32;
+/// The same where there are many clients.
+const LARGE_FLEET_TTL_S: u64 = 2;
+/// The number of balancers from which on there are many clients.
+const LARGE_FLEET: usize = 32;
 
-/// A client's question where to go.
+/// A client's request for the addresses of balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolveRequest {
     /// The client's address.
@@ -33,12 +35,12 @@
     pub region: String,
 }
 
-/// What a client is told.
+/// The balancers for a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolveResponse {
-    /// Addresses of balancers.
+    /// Addresses of balancers, as `ip:port`.
     pub addresses: Vec<String>,
-    /// For how many seconds they hold.
+    /// The time for which the client may use them, in seconds.
     pub ttl_s: u64,
 }
 
@@ -58,26 +60,23 @@
         chosen.map(|machine| machine.control.clone())
     }
 
-    /// The balancers that a client goes to: those of its zone, else of its region, else of the regions to which the routes of
-    /// its host are bound, else all. A request that is bound to regions may be read there and in the client's region only:
-    /// before its client is sent elsewhere, it goes to a balancer there that is being stopped.
-    pub fn resolve(&self, question: &ResolveRequest) -> ResolveResponse {
-        let ready: Vec<&BalancerHeartbeat> = self
-            .balancers
-            .alive(self.now, BALANCER_ALIVE)
-            .filter(|heartbeat| heartbeat.ready)
-            .collect();
-        let mut named = self.nearest(&ready, question);
-        named.sort_by_cached_key(|address| hash(&(&question.client, address)));
-        let addresses = named
+    /// The balancers for a client: those of its zone, else of its region, else of the regions to which the routes of its host
+    /// are restricted, else all. A request that is restricted to regions may be read there and in the client's region only:
+    /// before its client is sent elsewhere, it goes to a balancer there that is shutting down.
+    pub fn resolve(&self, request: &ResolveRequest) -> ResolveResponse {
+        let alive = self.balancers.alive(self.now, BALANCER_TIMEOUT_MS);
+        let ready: Vec<&BalancerHeartbeat> = alive.filter(|heartbeat| heartbeat.ready).collect();
+        let mut nearest = self.nearest(&ready, request);
+        nearest.sort_by_cached_key(|address| hash(&(&request.client, address)));
+        let addresses = nearest
             .into_iter()
-            .take(MOST_NAMED)
+            .take(MAX_ADDRESSES)
             .map(str::to_owned)
             .collect();
-        let ttl_s = if ready.len() < MANY {
+        let ttl_s = if ready.len() < LARGE_FLEET {
             TTL_S
         } else {
-            TTL_OF_MANY_S
+            LARGE_FLEET_TTL_S
         };
         ResolveResponse { addresses, ttl_s }
     }
@@ -85,10 +84,10 @@
     fn nearest<'a>(
         &'a self,
         ready: &[&'a BalancerHeartbeat],
-        question: &ResolveRequest,
+        request: &ResolveRequest,
     ) -> Vec<&'a str> {
-        let region = self.region_of(&question.zone).unwrap_or(&question.region);
-        let in_zone = addresses(ready, |heartbeat| heartbeat.zone == question.zone);
+        let region = self.region_of(&request.zone).unwrap_or(&request.region);
+        let in_zone = addresses(ready, |heartbeat| heartbeat.zone == request.zone);
         if !in_zone.is_empty() {
             return in_zone;
         }
@@ -98,16 +97,17 @@
         if !in_region.is_empty() {
             return in_region;
         }
-        let bound = self.within_bounds(ready, region, &self.allowed_regions(&question.host));
-        if bound.is_empty() {
+        let restricted =
+            self.in_allowed_regions(ready, region, &self.allowed_regions(&request.host));
+        if restricted.is_empty() {
             addresses(ready, |_| true)
         } else {
-            bound
+            restricted
         }
     }
 
-    /// The balancers for a client without a ready one in its region, whose requests are bound to these regions, if to any.
-    fn within_bounds<'a>(
+    /// The balancers for a client without a ready one in its region, whose requests are restricted to these regions, if to any.
+    fn in_allowed_regions<'a>(
         &'a self,
         ready: &[&'a BalancerHeartbeat],
         region: &str,
@@ -123,10 +123,10 @@
         if !in_service.is_empty() {
             return in_service;
         }
-        let stopping: Vec<&BalancerHeartbeat> = self
+        let stopping = self
             .balancers
-            .stopping(self.now, BALANCER_ALIVE, STOPPING_TAKES)
-            .collect();
+            .stopping(self.now, BALANCER_TIMEOUT_MS, SHUTDOWN_ACCEPT_MS);
+        let stopping: Vec<&BalancerHeartbeat> = stopping.collect();
         let is_near = |heartbeat: &BalancerHeartbeat| {
             self.region_of(&heartbeat.zone)
                 .is_some_and(|own| own == region)
@@ -136,23 +136,20 @@
         })
     }
 
-    /// The regions in which all routes of a host that are bound to regions may be served; where there is none, those of any.
+    /// The regions in which all restricted routes of a host may be served; where there is none, those of any.
     fn allowed_regions(&self, host: &str) -> BTreeSet<String> {
         let Some(configuration) = &self.state.configuration else {
             return BTreeSet::new();
         };
-        let bound = || {
-            configuration
+        let restrictions = || {
+            let regions = configuration
                 .routes_of(host)
-                .map(|route| &route.allowed_regions)
-                .filter(|all| !all.is_empty())
+                .map(|route| &route.allowed_regions);
+            regions.filter(|regions| !regions.is_empty())
         };
-        let any: BTreeSet<String> = bound().flatten().cloned().collect();
-        let common: BTreeSet<String> = any
-            .iter()
-            .filter(|region| bound().all(|all| all.contains(region)))
-            .cloned()
-            .collect();
+        let any: BTreeSet<String> = restrictions().flatten().cloned().collect();
+        let is_common = |region: &&String| restrictions().all(|regions| regions.contains(region));
+        let common: BTreeSet<String> = any.iter().filter(is_common).cloned().collect();
         if common.is_empty() { any } else { common }
     }
 
@@ -163,11 +160,8 @@
 
 fn addresses<'a>(
     balancers: &[&'a BalancerHeartbeat],
-    is_named: impl Fn(&BalancerHeartbeat) -> bool,
+    is_included: impl Fn(&BalancerHeartbeat) -> bool,
 ) -> Vec<&'a str> {
-    balancers
-        .iter()
-        .filter(|heartbeat| is_named(heartbeat))
-        .map(|heartbeat| &*heartbeat.address)
-        .collect()
+    let included = balancers.iter().filter(|heartbeat| is_included(heartbeat));
+    included.map(|heartbeat| &*heartbeat.address).collect()
 }
--- /dev/null
+++ b/crates/control/src/machine/failure_detection.rs
@@ -0,0 +1,46 @@
+//! Failure detection of upstreams: the owner of a shard marks those whose heartbeats have stopped as timed out.
+
+use super::ControlMachine;
+use crate::feed::FeedEvent;
+use crate::shards::{MONITORS, replica_group, shard_of};
+use crate::wire::Packet;
+
+/// Heartbeats in a row that must be missed before an upstream counts as timed out.
+const MISSED_HEARTBEATS: u64 = 3;
+/// What is added to that, in milliseconds, for heartbeats that fail at one machine and are sent to the next.
+const FAILOVER_ALLOWANCE_MS: u64 = 1_500;
+
+impl ControlMachine {
+    /// Marks upstreams of the shards that this machine owns. A machine that has only just heard of a quorum again may have missed
+    /// heartbeats itself and waits.
+    pub(super) fn time_out_upstreams(&mut self) {
+        let timeout_ms = self.settings.heartbeat_ms * MISSED_HEARTBEATS + FAILOVER_ALLOWANCE_MS;
+        let quorum_since = self.leadership.quorum_since;
+        if quorum_since.is_none_or(|since| self.now < since + timeout_ms) {
+            return;
+        }
+        let machines: Vec<String> = self
+            .machines()
+            .into_iter()
+            .map(|machine| machine.member.address)
+            .collect();
+        let own = self.settings.machine.member.address.clone();
+        let owns = |service: &str| {
+            let addresses = machines.iter().map(String::as_str);
+            let group = replica_group(shard_of(service), addresses, MONITORS);
+            group.first().is_some_and(|owner| *owner == own)
+        };
+        for upstream in self.registry.time_out(self.now, timeout_ms, owns) {
+            self.log(format!(
+                "upstream_timed_out upstream={} service={} timeout_ms={timeout_ms}",
+                upstream.id, upstream.service
+            ));
+            self.publish(FeedEvent::Registered(upstream.clone()));
+            let call = self.next_call();
+            self.broadcast(&Packet::Registrations {
+                call,
+                registrations: vec![upstream],
+            });
+        }
+    }
+}
--- a/crates/control/src/machine/feeds.rs
+++ b/crates/control/src/machine/feeds.rs
@@ -1,38 +1,62 @@
-//! The feeds of balancers.
+//! The feeds that balancers subscribe to: a snapshot or the events since an offset, then each event as it comes.
 
 use super::{Action, ControlMachine};
-use crate::feed::FeedEvent;
+use crate::feed::{EventJournal, FeedEvent};
 use crate::shards::short_hash;
 use crate::state::ControlState;
 use crate::wire::{Packet, ZoneBalancers};
 use std::collections::BTreeMap;
 
-/// How often a feed tells how its machine stands, in milliseconds.
-pub(super) const STATUS_EVERY: u64 = 500;
-/// How long a balancer counts among those that share budgets.
-const BALANCER_COUNTS: u64 = 10_000;
+/// The time in milliseconds for which a balancer counts among those that share budgets after it was last heard of.
+const BUDGET_MEMBER_TIMEOUT_MS: u64 = 10_000;
 
-/// A balancer that reads the feed.
+/// A balancer that is subscribed to the feed.
 #[derive(Clone, Debug)]
 pub(super) struct Subscriber {
-    /// Its name.
+    /// The balancer's name.
     pub balancer: String,
 }
 
 /// A balancer that waits for a snapshot.
 #[derive(Clone, Debug)]
-pub(super) struct Newcomer {
+struct PendingSubscriber {
     subscriber: u64,
     balancer: String,
     /// The position up to which it has applied the configuration's log.
-    index: u64,
+    applied: u64,
+}
+
+/// The journal of events and its subscribers.
+#[derive(Debug)]
+pub(super) struct Feeds {
+    journal: EventJournal,
+    /// The offset up to which the subscribers have got the events.
+    delivered: u64,
+    /// Subscribers by the numbers of their connections.
+    pub subscribers: BTreeMap<u64, Subscriber>,
+    pending: Vec<PendingSubscriber>,
+    /// The balancers that share budgets, as the subscribers were last notified.
+    active_balancers: Vec<ZoneBalancers>,
+}
+
+impl Feeds {
+    /// A feed without events. The epoch must differ from that of any earlier process of the machine.
+    pub fn new(epoch: u64) -> Self {
+        Self {
+            journal: EventJournal::new(epoch),
+            delivered: 0,
+            subscribers: BTreeMap::new(),
+            pending: Vec::new(),
+            active_balancers: Vec::new(),
+        }
+    }
 }
 
 impl ControlMachine {
-    /// A balancer asks for the feed on a connection. One that needs a snapshot gets it with the next tick, together with others:
-    /// when many come back at once, it is made and encoded once.
+    /// A balancer subscribes on a connection. One that needs a snapshot gets it with the next tick, together with others: when
+    /// many come back at once, it is made and encoded once.
     pub fn subscribe(&mut self, now: u64, subscriber: u64, packet: &Packet) {
-        self.now = self.now.max(now);
+        self.advance_clock(now);
         let Packet::Subscribe {
             balancer,
             epoch,
@@ -42,116 +66,122 @@
         else {
             return;
         };
-        self.tell_events();
+        self.deliver_events();
         let balancer = balancer.clone();
-        match self.journal.tail(*epoch, *offset) {
+        match self.feeds.journal.events_since(*epoch, *offset) {
             Some(events) => {
-                let packet = Packet::Events {
-                    offset: self.journal.end(),
-                    events,
+                let offset = self.feeds.journal.end_offset();
+                self.feeds
+                    .subscribers
+                    .insert(subscriber, Subscriber { balancer });
+                self.start_feed(&[subscriber], Packet::Events { offset, events });
+            }
+            None => {
+                let pending = PendingSubscriber {
+                    subscriber,
+                    balancer,
+                    applied: *index,
                 };
-                self.subscribers.insert(subscriber, Subscriber { balancer });
-                self.begin_feed(vec![subscriber], packet);
+                self.feeds.pending.push(pending);
             }
-            None => self.newcomers.push(Newcomer {
-                subscriber,
-                balancer,
-                index: *index,
-            }),
         }
     }
 
-    /// Balancers that wait for a snapshot get one.
-    pub(super) fn admit_newcomers(&mut self) {
-        let newcomers = std::mem::take(&mut self.newcomers);
-        let Some(index) = newcomers.iter().map(|newcomer| newcomer.index).min() else {
+    /// Balancers that wait for a snapshot get one, the same for all.
+    pub(super) fn deliver_snapshots(&mut self) {
+        let pending = std::mem::take(&mut self.feeds.pending);
+        let Some(applied) = pending.iter().map(|pending| pending.applied).min() else {
             return;
         };
-        self.tell_events();
-        let packet = self.snapshot(index);
-        let admitted: Vec<u64> = newcomers
-            .iter()
-            .map(|newcomer| newcomer.subscriber)
-            .collect();
-        for Newcomer {
+        self.deliver_events();
+        let snapshot = self.snapshot_for(applied);
+        let admitted: Vec<u64> = pending.iter().map(|pending| pending.subscriber).collect();
+        for PendingSubscriber {
             subscriber,
             balancer,
             ..
-        } in newcomers
+        } in pending
         {
-            self.subscribers.insert(subscriber, Subscriber { balancer });
+            self.feeds
+                .subscribers
+                .insert(subscriber, Subscriber { balancer });
         }
-        self.begin_feed(admitted, packet);
+        self.start_feed(&admitted, snapshot);
     }
 
-    /// Tells readers what they begin with, and how this machine stands.
-    fn begin_feed(&mut self, subscribers: Vec<u64>, beginning: Packet) {
-        let (status, balancing) = (self.status(), Packet::ActiveBalancers(self.balancing()));
-        for packet in [beginning, status, balancing] {
+    /// Sends new subscribers what they begin with, the status of this machine, and the balancers that share budgets.
+    fn start_feed(&mut self, subscribers: &[u64], first: Packet) {
+        let status = self.machine_status();
+        let active = Packet::ActiveBalancers(self.active_balancers());
+        for packet in [first, status, active] {
+            let subscribers = subscribers.to_vec();
             self.actions.push(Action::Deliver {
-                subscribers: subscribers.clone(),
+                subscribers,
                 packet,
             });
         }
     }
 
-    /// All that a reader needs who has applied the configuration's log up to a position.
-    fn snapshot(&self, index: u64) -> Packet {
-        let state = if self.state.index > index {
-            self.state.encode()
-        } else {
-            Vec::new()
-        };
-        let (epoch, offset) = (self.journal.epoch(), self.journal.end());
+    /// All that a balancer needs that has applied the configuration's log up to a position.
+    fn snapshot_for(&self, applied: u64) -> Packet {
+        let is_behind = self.state.index > applied;
         Packet::Snapshot {
-            epoch,
-            offset,
-            state,
+            epoch: self.feeds.journal.epoch(),
+            offset: self.feeds.journal.end_offset(),
+            state: if is_behind {
+                self.state.encode()
+            } else {
+                Vec::new()
+            },
             registrations: self.registry.all(self.now),
         }
     }
 
     /// A balancer's connection has ended.
     pub fn unsubscribe(&mut self, subscriber: u64) {
-        self.subscribers.remove(&subscriber);
-        self.newcomers
-            .retain(|newcomer| newcomer.subscriber != subscriber);
+        self.feeds.subscribers.remove(&subscriber);
+        self.feeds
+            .pending
+            .retain(|pending| pending.subscriber != subscriber);
     }
 
-    /// The names of the balancers that read the feed here.
+    /// The names of the balancers that are subscribed here.
     pub fn subscriber_names(&self) -> impl Iterator<Item = &str> {
-        self.subscribers
+        self.feeds
+            .subscribers
             .values()
             .map(|subscriber| subscriber.balancer.as_str())
     }
 
-    /// Appends an event to the journal. Readers are told of orders at once, of registrations with the next tick: many come
-    /// together when upstreams start.
+    /// Appends an event to the journal. Subscribers get commands at once, registrations with the next tick: many come together
+    /// when upstreams start.
     pub(super) fn publish(&mut self, event: FeedEvent) {
-        let is_order = matches!(event, FeedEvent::Committed { .. });
-        self.registry_version += u64::from(!is_order);
-        self.journal.append(event);
-        if is_order {
-            self.tell_events();
+        let is_command = matches!(event, FeedEvent::Committed { .. });
+        self.feeds.journal.append(event);
+        if is_command {
+            self.deliver_events();
+        } else {
+            self.registry_version += 1;
         }
     }
 
-    /// Tells readers what the journal has that they were not told.
-    pub(super) fn tell_events(&mut self) {
-        let offset = self.journal.end();
-        if self.told == offset {
+    /// Sends the subscribers the events of the journal that they have not got.
+    pub(super) fn deliver_events(&mut self) {
+        let journal = &self.feeds.journal;
+        let offset = journal.end_offset();
+        if self.feeds.delivered == offset {
             return;
         }
-        let packet = match self.journal.tail(self.journal.epoch(), self.told) {
+        let packet = match journal.events_since(journal.epoch(), self.feeds.delivered) {
             Some(events) => Packet::Events { offset, events },
-            None => self.snapshot(0),
+            None => self.snapshot_for(0),
         };
-        self.told = offset;
-        self.tell_all(packet);
+        self.feeds.delivered = offset;
+        self.deliver_to_all(packet);
     }
 
-    fn tell_all(&mut self, packet: Packet) {
-        let subscribers: Vec<u64> = self.subscribers.keys().copied().collect();
+    fn deliver_to_all(&mut self, packet: Packet) {
+        let subscribers: Vec<u64> = self.feeds.subscribers.keys().copied().collect();
         if !subscribers.is_empty() {
             self.actions.push(Action::Deliver {
                 subscribers,
@@ -160,28 +190,29 @@
         }
     }
 
-    /// The state was replaced by a snapshot: readers get it whole.
-    pub(super) fn restore(&mut self, state: ControlState) {
+    /// The state was replaced by a snapshot of the log: subscribers get it complete.
+    pub(super) fn restore_state(&mut self, state: ControlState) {
         self.state = state;
         self.log_bytes = 0;
-        // The journal lacks the orders that the snapshot covers: nobody may go on from an offset before it.
-        self.journal.restart();
-        self.told = self.journal.end();
-        let packet = self.snapshot(0);
-        self.tell_all(packet);
+        // The journal lacks the commands that the snapshot covers: nobody may go on from an offset before it.
+        self.feeds.journal.reset();
+        self.feeds.delivered = self.feeds.journal.end_offset();
+        let snapshot = self.snapshot_for(0);
+        self.deliver_to_all(snapshot);
     }
 
-    pub(super) fn tell_status(&mut self) {
-        let balancing = self.balancing();
-        if balancing != self.balancing {
-            self.balancing = balancing.clone();
-            self.tell_all(Packet::ActiveBalancers(balancing));
+    /// Sends subscribers the status of this machine, after the balancers that share budgets where these have changed.
+    pub(super) fn deliver_status(&mut self) {
+        let active = self.active_balancers();
+        if active != self.feeds.active_balancers {
+            self.feeds.active_balancers.clone_from(&active);
+            self.deliver_to_all(Packet::ActiveBalancers(active));
         }
-        let status = self.status();
-        self.tell_all(status);
+        let status = self.machine_status();
+        self.deliver_to_all(status);
     }
 
-    fn status(&self) -> Packet {
+    fn machine_status(&self) -> Packet {
         Packet::MachineStatus {
             in_quorum: self.in_quorum(),
             machines: self.machines(),
@@ -189,17 +220,17 @@
     }
 
     /// The balancers that share budgets, by zone.
-    fn balancing(&self) -> Vec<ZoneBalancers> {
+    fn active_balancers(&self) -> Vec<ZoneBalancers> {
         let mut zones: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
-        for heartbeat in self.balancers.alive(self.now, BALANCER_COUNTS) {
+        for heartbeat in self.balancers.alive(self.now, BUDGET_MEMBER_TIMEOUT_MS) {
             zones
                 .entry(&heartbeat.zone)
                 .or_default()
                 .push(short_hash(&heartbeat.name));
         }
-        let of_zone = |(zone, balancers): (&str, Vec<u32>)| ZoneBalancers {
-            zone: zone.to_owned(),
-            balancers,
+        let of_zone = |(zone, balancers): (&str, Vec<u32>)| {
+            let zone = zone.to_owned();
+            ZoneBalancers { zone, balancers }
         };
         zones.into_iter().map(of_zone).collect()
     }
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -1,189 +1,83 @@
-//! A control machine: its replica of the configuration's log, the registrations, the balancers, and the feeds. All that
-//! happens to it goes in by a method; what it wants done comes out as [`Action`]s.
-
+//! A control machine as a state machine without I/O: its replica of the configuration's log, the registrations of upstreams,
+//! the heartbeats of balancers, and the feeds that balancers subscribe to.
+//!
+//! The process that runs it calls a method for everything that happens and carries out the [`Action`]s that come of it. Times
+//! are milliseconds of the process's own clock.
+
+mod action;
+mod balancer_heartbeats;
+mod calls;
+mod commands;
 mod directory;
+mod failure_detection;
 mod feeds;
+mod gossip;
 mod leader_clock;
-mod loads;
-mod orders;
+mod leadership;
+mod load_notices;
+mod packets;
 mod peers;
-mod reads;
+mod read_index;
 mod registrations;
 mod replication;
+mod settings;
+mod timers;
 
+pub use action::{Action, CallResponse};
 pub use directory::{ResolveRequest, ResolveResponse};
+pub use settings::{MachineSettings, TIMING};
 
-use crate::balancers::{BalancerHeartbeat, BalancerRenewal, Balancers, Heard};
-use crate::feed::Journal;
-use crate::loads::Loads;
+use crate::balancers::BalancerTable;
+use crate::loads::LoadReports;
 use crate::registry::{Registration, Registry};
-use crate::shards::short_hash;
 use crate::state::ControlState;
-use crate::wire::{CallId, MachineInfo, Packet, Renewal, ZoneBalancers};
-use feeds::{Newcomer, Subscriber};
+use calls::PendingCalls;
+use feeds::Feeds;
+use gossip::PendingGossip;
 use leader_clock::LeaderClock;
-use loads::ToldLoads;
-use orders::{Order, Proposed};
-use peers::{HELLO_EVERY, Peer};
-use reads::PendingRead;
-use registrations::{PendingTaken, Spread};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
-use woadstall_consensus::{
-    DurableState, Member, Membership, Record, Replica, Settings, Snapshot, Timing,
-};
-
-/// What the shell has to do, in this order.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Keep a link to the control machine at this internal address.
-    Connect {
-        /// The address.
-        address: String,
-    },
-    /// Keep that link no longer.
-    Disconnect {
-        /// The address.
-        address: String,
-    },
-    /// Send a packet over that link, if it is up.
-    Send {
-        /// The address.
-        address: String,
-        /// The packet.
-        packet: Packet,
-    },
-    /// Make a record durable, then call [`ControlMachine::persisted`].
-    Persist {
-        /// The record's number.
-        sequence: u64,
-        /// The record.
-        record: Record,
-    },
-    /// Keep all registrations on disk, then call [`ControlControlMachine::registrations_persisted`].
-    PersistRegistrations {
-        /// The number of this wish; a later one includes it.
-        number: u64,
-    },
-    /// Answer a call.
-    Respond {
-        /// The call.
-        token: u64,
-        /// The response.
-        response: CallResponse,
-    },
-    /// Send a packet to balancers that read the feed.
-    Deliver {
-        /// The balancers' connections.
-        subscribers: Vec<u64>,
-        /// The packet.
-        packet: Packet,
-    },
-    /// Write a line to the log.
-    Log(String),
-}
-
-/// The answer to a call of an operator or of an upstream.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallResponse {
-    /// Done, and known to enough machines.
-    Acknowledged,
-    /// The configuration builds on another version than the current one.
-    Conflict {
-        /// The current one.
-        current: u64,
-    },
-    /// The configuration is at fault.
-    Invalid {
-        /// The findings, one a line.
-        findings: String,
-    },
-    /// The configuration, as JSON.
-    Document(Vec<u8>),
-    /// Nobody can tell now; the caller asks again.
-    Indeterminate,
-}
-
-/// What a machine is told at its start.
-#[derive(Clone, Debug)]
-pub struct MachineSettings {
-    /// Itself.
-    pub machine: MachineInfo,
-    /// Internal addresses of the seeds.
-    pub seeds: Vec<String>,
-    /// The region of each zone.
-    pub zones: BTreeMap<String, String>,
-    /// How often upstreams send heartbeats, in milliseconds.
-    pub heartbeat_ms: u64,
-    /// Machines with a disk that may be lost at a time.
-    pub tolerated: usize,
-    /// Tells this process, its calls and its journal from others of the machine.
-    pub incarnation: u64,
-}
-
-/// Times of the replicated log: a round trip between regions is up to 110 ms, and a machine has a part of a core.
-pub const TIMING: Timing = Timing {
-    heartbeat_interval: 150,
-    election_timeout_min: 900,
-    election_timeout_max: 1_500,
-};
-/// How often a machine that does not vote asks to join.
-const JOIN_EVERY: u64 = 500;
-/// How long a caller is kept waiting at most: after a second it goes to another machine.
-const CALL_PATIENCE: u64 = 900;
-/// How often heartbeats that came are told to the other machines.
-const GOSSIP_EVERY: u64 = 200;
+use leadership::LeadershipTracker;
+use load_notices::LoadNotices;
+use peers::Peer;
+use registrations::PersistProgress;
+use std::collections::{BTreeMap, BTreeSet};
+use timers::Timers;
+use woadstall_consensus::{DurableState, Member, Membership, Replica, Settings, Snapshot};
 
 /// A control machine.
 #[derive(Debug)]
 pub struct ControlMachine {
     settings: MachineSettings,
+    /// The latest time that was handed in, in milliseconds.
     now: u64,
+    actions: Vec<Action>,
+    timers: Timers,
     replica: Replica,
+    /// The configuration and the evacuations, as far as the log is applied.
     state: ControlState,
-    registry: Registry,
-    balancers: Balancers,
-    journal: Journal,
-    /// The offset up to which readers have been told.
-    told: u64,
+    /// The position of the last entry that was applied.
+    applied: u64,
+    /// Bytes of commands in the log since its last snapshot.
+    log_bytes: usize,
+    leader_clock: LeaderClock,
+    leadership: LeadershipTracker,
+    /// Other machines by their internal addresses.
     peers: BTreeMap<String, Peer>,
+    /// Internal addresses to which a connection is kept.
     connected: BTreeSet<String>,
-    actions: Vec<Action>,
-    next_number: u64,
-    proposed: HashMap<u64, Proposed>,
-    orders: HashMap<u64, Order>,
-    reads: HashMap<u64, PendingRead>,
-    spreads: HashMap<u64, Spread>,
-    /// Calls of other machines that are answered once the registrations are kept.
-    taken: Vec<PendingTaken>,
-    /// The newest wish that registrations be kept, and the newest that was met.
-    keep_wanted: u64,
-    kept: u64,
-    leader_clock: LeaderClock,
-    subscribers: BTreeMap<u64, Subscriber>,
-    newcomers: Vec<Newcomer>,
-    renewals: Vec<Renewal>,
-    heartbeats: BTreeMap<String, BalancerHeartbeat>,
-    still_there: BTreeMap<String, BalancerRenewal>,
-    hello_due: u64,
-    join_due: u64,
-    gossip_due: u64,
-    status_due: u64,
-    log_bytes: usize,
-    /// The last entry that was applied.
-    applied: u64,
-    quorum_since: Option<u64>,
-    was_leader: bool,
+    calls: PendingCalls,
+    registry: Registry,
     /// Counts changes of registrations.
     registry_version: u64,
-    /// The balancers that were last told to readers.
-    balancing: Vec<ZoneBalancers>,
-    /// What balancers tell of upstreams.
-    loads: Loads,
-    told_loads: ToldLoads,
+    persist_progress: PersistProgress,
+    balancers: BalancerTable,
+    gossip: PendingGossip,
+    feeds: Feeds,
+    load_reports: LoadReports,
+    load_notices: LoadNotices,
 }
 
-/// The snapshot that founders begin with: the seeds are its voters. All founders make the same one, so there is one group
-/// whoever of them comes first.
+/// The snapshot that founders of a group begin with: the seeds are its voters. All founders make the same one, so that there is
+/// one group, whichever of them starts first.
 pub fn founding_snapshot(seeds: &[Member]) -> Snapshot {
     let mut voters = seeds.to_vec();
     voters.sort_by_key(|member| member.id);
@@ -197,54 +91,39 @@
 }
 
 impl ControlMachine {
-    /// A machine as its disk has it, at a time in milliseconds.
+    /// A machine with what its disk holds, at a time in milliseconds. The seed is for the random draws of its replica.
     pub fn new(settings: MachineSettings, durable: DurableState, now: u64, seed: u64) -> Self {
-        let journal = Journal::new(settings.incarnation);
+        let min_voters = 2 * settings.tolerated + 1;
+        let replica = Replica::new(
+            durable,
+            Settings {
+                timing: TIMING,
+                min_voters,
+            },
+            now,
+            seed,
+        );
         let mut machine = Self {
             now,
-            replica: Replica::new(
-                durable,
-                Settings {
-                    timing: TIMING,
-                    min_voters: 2 * settings.tolerated + 1,
-                },
-                now,
-                seed,
-            ),
+            actions: Vec::new(),
+            timers: Timers::new(now),
+            replica,
             state: ControlState::default(),
-            registry: Registry::default(),
-            balancers: Balancers::default(),
-            journal,
-            told: 0,
+            applied: 0,
+            log_bytes: 0,
+            leader_clock: LeaderClock::default(),
+            leadership: LeadershipTracker::default(),
             peers: BTreeMap::new(),
             connected: BTreeSet::new(),
-            actions: Vec::new(),
-            next_number: 1,
-            proposed: HashMap::new(),
-            orders: HashMap::new(),
-            reads: HashMap::new(),
-            spreads: HashMap::new(),
-            taken: Vec::new(),
-            keep_wanted: 0,
-            kept: 0,
-            leader_clock: LeaderClock::default(),
-            subscribers: BTreeMap::new(),
-            newcomers: Vec::new(),
-            renewals: Vec::new(),
-            heartbeats: BTreeMap::new(),
-            still_there: BTreeMap::new(),
-            hello_due: now,
-            join_due: now + JOIN_EVERY,
-            gossip_due: now,
-            status_due: now,
-            log_bytes: 0,
-            applied: 0,
-            quorum_since: None,
-            was_leader: false,
+            calls: PendingCalls::new(),
+            registry: Registry::default(),
             registry_version: 0,
-            balancing: Vec::new(),
-            loads: Loads::default(),
-            told_loads: ToldLoads::default(),
+            persist_progress: PersistProgress::default(),
+            balancers: BalancerTable::default(),
+            gossip: PendingGossip::default(),
+            feeds: Feeds::new(settings.incarnation),
+            load_reports: LoadReports::default(),
+            load_notices: LoadNotices::default(),
             settings,
         };
         let own = machine.settings.machine.clone();
@@ -254,11 +133,11 @@
         for seed in machine.settings.seeds.clone() {
             machine.connect(seed);
         }
-        machine.settle();
+        machine.process_replica_outputs();
         machine
     }
 
-    /// Takes what is to be done.
+    /// Takes the actions that are to be carried out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
@@ -273,7 +152,7 @@
         &self.replica
     }
 
-    /// Counts changes of the registrations that are worth keeping.
+    /// Counts changes of the registrations that are worth writing to disk.
     pub fn registry_version(&self) -> u64 {
         self.registry_version
     }
@@ -288,186 +167,39 @@
         &self.registry
     }
 
-    /// Lets time pass.
+    /// Lets time pass, and does what is due.
     pub fn tick(&mut self, now: u64) {
-        self.now = self.now.max(now);
+        self.advance_clock(now);
         self.replica.tick(self.now);
-        self.settle();
-        self.note_quorum();
-        self.tell_events();
-        self.admit_newcomers();
-        self.tell_loads();
-        if self.now >= self.hello_due {
-            self.hello_due = self.now + HELLO_EVERY;
+        self.process_replica_outputs();
+        self.track_leadership();
+        self.deliver_events();
+        self.deliver_snapshots();
+        self.deliver_loads();
+        if self.timers.hello.fire(self.now) {
             self.introduce();
             self.registry.forget(self.now);
             self.balancers.forget(self.now);
         }
-        if self.now >= self.join_due {
-            self.join_due = self.now + JOIN_EVERY;
-            self.ask_to_join();
-        }
-        if self.now >= self.gossip_due {
-            self.gossip_due = self.now + GOSSIP_EVERY;
-            self.gossip();
-            self.expire_upstreams();
+        if self.timers.join.fire(self.now) {
+            self.request_to_join();
         }
-        if self.now >= self.status_due {
-            self.status_due = self.now + feeds::STATUS_EVERY;
-            self.tell_status();
-        }
-        self.give_up_overdue();
-    }
-
-    /// Records up to this number are durable.
-    pub fn persisted(&mut self, now: u64, sequence: u64) {
-        self.now = self.now.max(now);
-        self.replica.handle_persisted(sequence);
-        self.settle();
-    }
-
-    /// A packet has come from the machine with this internal address.
-    pub fn receive_packet(&mut self, now: u64, from: &str, packet: Packet) {
-        self.now = self.now.max(now);
-        if let Some(peer) = self.peers.get_mut(from) {
-            peer.heard = self.now;
+        if self.timers.gossip.fire(self.now) {
+            self.send_gossip();
+            self.time_out_upstreams();
         }
-        match packet {
-            Packet::Hello { machine, known } => self.on_hello(machine, known),
-            Packet::Consensus { message, clock } => self.on_consensus(message, clock),
-            Packet::JoinRequest(member) => {
-                self.replica.add_learner(member);
-                self.settle();
-            }
-            Packet::ReplicaStopping(replica) => self.replica.set_retiring(self.now, replica),
-            Packet::Registrations {
-                call,
-                registrations,
-            } => self.on_registrations(from, call, registrations),
-            Packet::RegistrationsAck { call } => self.on_taken(from, call),
-            Packet::Renewals(renewals) => {
-                for Renewal { id, sequence } in renewals {
-                    self.registry.renew(self.now, &id, sequence);
-                }
-            }
-            Packet::BalancerHeartbeats(heartbeats) => {
-                for heartbeat in heartbeats {
-                    self.balancers.merge(self.now, heartbeat);
-                }
-            }
-            Packet::BalancerRenewals(still_there) => self.balancers.renew(self.now, &still_there),
-            Packet::ForwardedCommand {
-                call,
-                expires,
-                command,
-            } => self.on_forwarded_order(from, call, expires, command),
-            Packet::ForwardedCommandReply { call, outcome } => self.on_order_done(call, outcome),
-            Packet::ReadIndexRequest { call } => self.on_forwarded_read(from, call),
-            Packet::ReadIndexReply { call, index } => self.on_read_done(call, index),
-            Packet::BalancerHeartbeat(heartbeat) => self.receive_heartbeat(now, heartbeat),
-            Packet::LoadReport(report) => self.on_load(report),
-            Packet::Subscribe { .. }
-            | Packet::Snapshot { .. }
-            | Packet::Events { .. }
-            | Packet::MachineStatus { .. }
-            | Packet::ActiveBalancers(_)
-            | Packet::FleetLoads(_) => {}
+        if self.timers.status.fire(self.now) {
+            self.deliver_status();
         }
+        self.time_out_calls();
     }
 
-    /// A balancer's heartbeat has come.
-    pub fn receive_heartbeat(&mut self, now: u64, heartbeat: BalancerHeartbeat) {
+    /// Takes over the time of an event; time never goes back.
+    fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
-        let name = heartbeat.name.clone();
-        match self.balancers.merge(self.now, heartbeat.clone()) {
-            Heard::Old => {}
-            Heard::Changed => drop(self.heartbeats.insert(name, heartbeat)),
-            Heard::Renewed => {
-                let BalancerHeartbeat {
-                    incarnation,
-                    sequence,
-                    ..
-                } = heartbeat;
-                let news = BalancerRenewal {
-                    name: short_hash(&name),
-                    incarnation,
-                    sequence,
-                };
-                self.still_there.insert(name, news);
-            }
-        }
-    }
-
-    /// Whether a leader that holds a quorum was there lately.
-    pub fn in_quorum(&self) -> bool {
-        let heard = match self.replica.is_leader() {
-            true => self.replica.last_leader_contact(),
-            false => self
-                .replica
-                .leader()
-                .and_then(|_| self.leader_clock.last_sent(self.replica.term())),
-        };
-        heard.is_some_and(|at| self.now <= at + TIMING.election_timeout_max)
-    }
-
-    fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
-    }
-
-    fn next_call(&mut self) -> CallId {
-        let number = self.number();
-        self.call(number)
-    }
-
-    /// The call of this process with a number.
-    fn call(&self, number: u64) -> CallId {
-        CallId {
-            incarnation: self.settings.incarnation,
-            number,
-        }
-    }
-
-    /// The number of a call, if this process made it.
-    fn own_number(&self, call: CallId) -> Option<u64> {
-        (call.incarnation == self.settings.incarnation).then_some(call.number)
     }
 
     fn log(&mut self, line: String) {
         self.actions.push(Action::Log(line));
     }
-
-    fn send(&mut self, address: &str, packet: Packet) {
-        self.actions.push(Action::Send {
-            address: address.to_owned(),
-            packet,
-        });
-    }
-
-    fn note_quorum(&mut self) {
-        match (self.in_quorum(), self.quorum_since) {
-            (true, None) => self.quorum_since = Some(self.now),
-            (false, Some(_)) => {
-                self.quorum_since = None;
-                self.log(format!("quorum lost term={}", self.replica.term()));
-            }
-            _ => {}
-        }
-        if self.replica.is_leader() != self.was_leader {
-            self.was_leader = !self.was_leader;
-            let word = if self.was_leader {
-                "leader elected"
-            } else {
-                "leadership ended"
-            };
-            self.log(format!(
-                "{word} term={} id={:x}",
-                self.replica.term(),
-                self.replica.id()
-            ));
-            if !self.was_leader {
-                self.give_up_proposed();
-            }
-        }
-    }
 }
--- a/crates/control/src/machine/peers.rs
+++ b/crates/control/src/machine/peers.rs
@@ -1,24 +1,24 @@
-//! The other control machines: links, introductions, membership.
+//! The other control machines: connections, introductions, membership of the replica group.
 
 use super::{Action, ControlMachine};
 use crate::wire::{MachineInfo, Packet};
 use woadstall_consensus::{FailureDomain, ReplicaId};
 
-/// How often machines introduce themselves, in milliseconds, and how long one counts as there after it was last heard of.
-pub(super) const HELLO_EVERY: u64 = 1_000;
-const PEER_ALIVE: u64 = 2_500;
-/// How long a machine that does not vote is remembered after it was last heard of.
-const FORGET_PEER: u64 = 30_000;
+/// The time in milliseconds for which a machine counts as alive after it was last heard of.
+const PEER_TIMEOUT_MS: u64 = 2_500;
+/// The time in milliseconds for which a machine that does not vote is remembered after it was last heard of.
+const PEER_RETENTION_MS: u64 = 30_000;
 
 /// Another control machine.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub machine: MachineInfo,
-    pub heard: u64,
+    /// When the last packet of it arrived, in milliseconds.
+    pub last_heard: u64,
 }
 
 impl ControlMachine {
-    /// The settings name other seeds: links to them are kept as well.
+    /// The settings name other seeds: connections to them are kept as well.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
         self.settings.seeds = seeds;
         for seed in self.settings.seeds.clone() {
@@ -26,10 +26,10 @@
         }
     }
 
-    /// The link to a machine has come up. What was under way on a former one may be lost: it is told all registrations, and
-    /// calls are passed to it again.
+    /// The connection to a machine is up. What was in flight on a former one may be lost: the machine is sent all
+    /// registrations, and calls are forwarded to it again.
     pub fn link_up(&mut self, now: u64, address: &str) {
-        self.now = self.now.max(now);
+        self.advance_clock(now);
         let hello = self.hello();
         self.send(address, hello);
         let registrations = self.registry.all(self.now);
@@ -43,47 +43,41 @@
                 },
             );
         }
-        self.pass_calls_again(address);
+        self.resend_calls(address);
     }
 
     /// Hands leadership and, where there is a learner, the vote over before the process stops.
     pub fn begin_shutdown(&mut self, now: u64) {
-        self.now = self.now.max(now);
+        self.advance_clock(now);
         let id = self.replica.id();
         self.replica.set_retiring(self.now, id);
         self.broadcast(&Packet::ReplicaStopping(id));
         self.replica.transfer_leadership();
-        self.settle();
+        self.process_replica_outputs();
     }
 
     /// Whether this machine's vote is being given to another one.
     pub fn is_being_replaced(&self) -> bool {
         let members = self.replica.membership();
         let id = self.replica.id();
-        members.is_joint()
-            && members.is_voter(id)
-            && !members.next_voters.iter().any(|member| member.id == id)
+        let is_next = members.next_voters.iter().any(|member| member.id == id);
+        members.is_joint() && members.is_voter(id) && !is_next
     }
 
-    /// The control machines that are there, this one among them.
+    /// The control machines that are alive, this one first.
     pub fn machines(&self) -> Vec<MachineInfo> {
-        let alive = |peer: &&Peer| self.now <= peer.heard + PEER_ALIVE;
+        let is_alive = |peer: &&Peer| self.now <= peer.last_heard + PEER_TIMEOUT_MS;
         let others = self
             .peers
             .values()
-            .filter(alive)
+            .filter(is_alive)
             .map(|peer| peer.machine.clone());
         std::iter::once(self.settings.machine.clone())
             .chain(others)
             .collect()
     }
 
-    pub(super) fn broadcast(&mut self, packet: &Packet) {
-        for address in self.connected.clone() {
-            self.send(&address, packet.clone());
-        }
-    }
-
+    /// Keeps a connection to another machine from now on.
     pub(super) fn connect(&mut self, address: String) {
         if address != self.settings.machine.member.address && self.connected.insert(address.clone())
         {
@@ -103,31 +97,42 @@
         }
     }
 
+    /// Sends a hello to all other machines, after it has dropped those that are no longer there.
     pub(super) fn introduce(&mut self) {
-        let members = self.replica.membership().clone();
+        self.forget_peers();
+        self.disconnect_unneeded();
+        let hello = self.hello();
+        self.broadcast(&hello);
+    }
+
+    fn forget_peers(&mut self) {
+        let members = self.replica.membership();
         let now = self.now;
         self.peers.retain(|_, peer| {
-            now <= peer.heard + FORGET_PEER || members.is_voter(peer.machine.member.id)
+            now <= peer.last_heard + PEER_RETENTION_MS || members.is_voter(peer.machine.member.id)
         });
-        let is_wanted = |address: &String| {
+    }
+
+    /// Closes connections to machines that are neither known, nor seeds, nor members.
+    fn disconnect_unneeded(&mut self) {
+        let members = self.replica.membership();
+        let is_needed = |address: &String| {
             self.peers.contains_key(address)
                 || self.settings.seeds.contains(address)
                 || members
                     .all_voters()
                     .any(|member| member.address == *address)
         };
-        let unwanted: Vec<String> = self
+        let unneeded: Vec<String> = self
             .connected
             .iter()
-            .filter(|address| !is_wanted(address))
+            .filter(|address| !is_needed(address))
             .cloned()
             .collect();
-        for address in unwanted {
+        for address in unneeded {
             self.connected.remove(&address);
             self.actions.push(Action::Disconnect { address });
         }
-        let hello = self.hello();
-        self.broadcast(&hello);
     }
 
     pub(super) fn on_hello(&mut self, machine: MachineInfo, known: Vec<MachineInfo>) {
@@ -140,12 +145,12 @@
                 address,
                 Peer {
                     machine,
-                    heard: self.now,
+                    last_heard: self.now,
                 },
             );
         }
         for machine in known {
-            let address = machine.member.address.clone();
+            let address = machine.member.address;
             if address != self.settings.machine.member.address && !self.peers.contains_key(&address)
             {
                 self.connect(address);
@@ -153,9 +158,10 @@
         }
     }
 
-    pub(super) fn ask_to_join(&mut self) {
-        let member = self.settings.machine.member.clone();
+    /// Asks the group to make this machine a member, if its replica needs to be one.
+    pub(super) fn request_to_join(&mut self) {
         if self.replica.should_join() {
+            let member = self.settings.machine.member.clone();
             self.broadcast(&Packet::JoinRequest(member));
         }
     }
@@ -173,7 +179,7 @@
     }
 }
 
-/// Where a machine is.
+/// The failure domain of a machine.
 pub(super) fn place_of(machine: &MachineInfo) -> FailureDomain {
     FailureDomain {
         zone: machine.zone.clone(),
--- a/crates/control/src/machine/replication.rs
+++ b/crates/control/src/machine/replication.rs
@@ -1,77 +1,90 @@
-//! The replicated log behind the machine: what the replica wants done, and the state that its entries make.
+//! The replicated log behind the machine: carries out what the replica asks for, and applies committed entries to the state.
 
 use super::{Action, ControlMachine, leader_clock};
 use crate::command::Command;
 use crate::feed::FeedEvent;
 use crate::state::ControlState;
 use crate::wire::Packet;
-use nanoserde::{DeBin, SerBin};
-use woadstall_consensus::{Entry, EntryPayload, Member, Message, Output};
+use nanoserde::DeBin;
+use woadstall_consensus::{Entry, EntryPayload, Member, Membership, Message, Output, Snapshot};
 
-/// Bytes and entries of the log behind its snapshot from which on a new one is taken.
+/// Bytes of commands in the log since its last snapshot from which on a new one is taken.
 const COMPACT_BYTES: usize = 4 << 20;
+/// Entries in the log since its last snapshot from which on a new one is taken.
 const COMPACT_ENTRIES: usize = 1_000;
-/// Entries that are kept while a snapshot is on its way to another machine, which needs them next. The bound on bytes stays:
-/// the disk's segments are made for it.
-const COMPACT_ENTRIES_LATER: usize = 3_000;
+/// The same while a snapshot is on its way to another machine, which needs the entries next. The bound on bytes stays: the
+/// disk's segments are made for it.
+const COMPACT_ENTRIES_DURING_TRANSFER: usize = 3_000;
 
 impl ControlMachine {
-    /// A message of the log has come.
+    /// Records up to this number are durable.
+    pub fn persisted(&mut self, now: u64, sequence: u64) {
+        self.advance_clock(now);
+        self.replica.handle_persisted(sequence);
+        self.process_replica_outputs();
+    }
+
+    /// A message of the log has arrived, with its sender's time.
     pub(super) fn on_consensus(&mut self, message: Message, clock: u64) {
         let (from, term) = (message.from, message.term);
-        let is_of_leader = leader_clock::tells_time(&message);
+        let is_from_leader = leader_clock::is_from_leader(&message);
         self.replica.handle_message(self.now, message);
-        if is_of_leader && self.replica.term() == term && self.replica.leader() == Some(from) {
-            self.leader_clock.hear(self.now, term, clock);
+        if is_from_leader && self.replica.term() == term && self.replica.leader() == Some(from) {
+            self.leader_clock.observe(self.now, term, clock);
         }
-        self.settle();
+        self.process_replica_outputs();
     }
 
-    /// Carries out what the replica wants.
-    pub(super) fn settle(&mut self) {
+    /// Carries out all that the replica asks for, until it asks for nothing more.
+    pub(super) fn process_replica_outputs(&mut self) {
         loop {
             let outputs = self.replica.take_outputs();
             if outputs.is_empty() {
                 break;
             }
             for output in outputs {
-                self.carry_out(output);
+                self.process_output(output);
             }
         }
-        let addresses: Vec<String> = self
-            .replica
-            .membership()
-            .all_voters()
-            .map(|member| member.address.clone())
-            .collect();
-        addresses
-            .into_iter()
-            .for_each(|address| self.connect(address));
-        self.answer_reads();
+        let members = self.replica.membership().all_voters();
+        let addresses: Vec<String> = members.map(|member| member.address.clone()).collect();
+        for address in addresses {
+            self.connect(address);
+        }
+        self.complete_reads();
         self.compact();
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn process_output(&mut self, output: Output) {
         match output {
             Output::Persist { sequence, record } => {
-                self.actions.push(Action::Persist { sequence, record })
-            }
-            Output::Send(message) => {
-                if let Some(address) = self.address_of(message.to) {
-                    let clock = self.now;
-                    self.send(&address, Packet::Consensus { message, clock });
-                }
+                self.actions.push(Action::Persist { sequence, record });
             }
+            Output::Send(message) => self.send_consensus(message),
             Output::Apply(entry) => self.apply_entry(entry),
-            Output::Restore(snapshot) => match ControlState::decode(&snapshot.state) {
-                Ok(state) => {
-                    self.applied = snapshot.index;
-                    self.restore(state);
-                }
-                Err(error) => self.log(format!("snapshot {} refused: {error}", snapshot.index)),
-            },
-            Output::ReadReady { read_id } => self.on_read_confirmed(read_id, true),
-            Output::ReadFailed { read_id } => self.on_read_confirmed(read_id, false),
+            Output::Restore(snapshot) => self.restore_snapshot(&snapshot),
+            Output::ReadReady { read_id } => self.on_read_index_confirmed(read_id, true),
+            Output::ReadFailed { read_id } => self.on_read_index_confirmed(read_id, false),
+        }
+    }
+
+    fn send_consensus(&mut self, message: Message) {
+        if let Some(address) = self.address_of(message.to) {
+            let clock = self.now;
+            self.send(&address, Packet::Consensus { message, clock });
+        }
+    }
+
+    fn restore_snapshot(&mut self, snapshot: &Snapshot) {
+        match ControlState::decode(&snapshot.state) {
+            Ok(state) => {
+                self.applied = snapshot.index;
+                self.restore_state(state);
+            }
+            Err(error) => self.log(format!(
+                "snapshot_rejected index={} error={error}",
+                snapshot.index
+            )),
         }
     }
 
@@ -81,49 +94,51 @@
             EntryPayload::Command(bytes) => {
                 self.log_bytes += bytes.len();
                 match Command::deserialize_bin(&bytes) {
-                    Ok(command) => self.apply(entry.index, entry.term, command),
-                    Err(error) => {
-                        self.log(format!("entry {} can't be decoded: {error}", entry.index))
-                    }
+                    Ok(command) => self.apply_command(entry.index, entry.term, command),
+                    Err(error) => self.log(format!(
+                        "entry_rejected index={} error={error}",
+                        entry.index
+                    )),
                 }
             }
             EntryPayload::Membership(members) => {
-                let addresses = |members: &[Member]| {
-                    members
-                        .iter()
-                        .map(|member| member.address.clone())
-                        .collect::<Vec<_>>()
-                        .join(",")
-                };
-                let (voters, next) = (addresses(&members.voters), addresses(&members.next_voters));
-                self.log(format!(
-                    "members changed index={} voters={voters} next={next}",
-                    entry.index
-                ));
-                self.finish_proposed(entry.index, entry.term, None);
+                self.log_members(entry.index, &members);
+                self.complete_proposal(entry.index, entry.term, None);
             }
-            EntryPayload::Blank => self.finish_proposed(entry.index, entry.term, None),
+            EntryPayload::Blank => self.complete_proposal(entry.index, entry.term, None),
         }
     }
 
-    fn apply(&mut self, index: u64, term: u64, command: Command) {
+    fn apply_command(&mut self, index: u64, term: u64, command: Command) {
         let outcome = self.state.apply(index, &command);
+        let generation = self.state.generation();
         self.log(format!(
-            "order applied index={index} outcome={outcome:?} generation={}",
-            self.state.generation()
+            "command_applied index={index} outcome={outcome:?} generation={generation}"
         ));
         self.publish(FeedEvent::Committed { index, command });
-        self.finish_proposed(index, term, Some(outcome));
+        self.complete_proposal(index, term, Some(outcome));
+    }
+
+    fn log_members(&mut self, index: u64, members: &Membership) {
+        let addresses = |members: &[Member]| -> String {
+            let addresses: Vec<&str> = members.iter().map(|member| &*member.address).collect();
+            addresses.join(",")
+        };
+        let (voters, next) = (addresses(&members.voters), addresses(&members.next_voters));
+        self.log(format!(
+            "members_changed index={index} voters={voters} next={next}"
+        ));
     }
 
+    /// Replaces the log's beginning by a snapshot of the state, where it has grown long.
     fn compact(&mut self) {
         let entries = self.replica.log().entries().len();
-        let most = if self.replica.is_sending_snapshot() {
-            COMPACT_ENTRIES_LATER
+        let most_entries = if self.replica.is_sending_snapshot() {
+            COMPACT_ENTRIES_DURING_TRANSFER
         } else {
             COMPACT_ENTRIES
         };
-        if self.log_bytes < COMPACT_BYTES && entries < most {
+        if self.log_bytes < COMPACT_BYTES && entries < most_entries {
             return;
         }
         let index = self.state.index;
@@ -131,13 +146,8 @@
             self.log_bytes = 0;
             self.replica.compact(index, self.state.encode());
             for output in self.replica.take_outputs() {
-                self.carry_out(output);
+                self.process_output(output);
             }
         }
     }
 }
-
-/// A command as an entry of the log holds it.
-pub(super) fn encoded(command: &Command) -> Vec<u8> {
-    command.serialize_bin()
-}
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -1,18 +1,19 @@
-//! The registrations of upstreams. Every control machine holds all of them; changes are merged, so that their order does
-//! not matter: a registration with a higher sequence number wins, and an incarnation that has left stays so.
+//! The registrations of upstreams. Every control machine has all of them; changes are merged, so that their order does not
+//! matter: a registration with a higher sequence number wins, and an incarnation that has deregistered stays so.
 
+use crate::merge::MergeOutcome;
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How far an upstream's registration is. A later one wins at the same sequence number.
+/// The state of an upstream's registration. A later one wins at the same sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum UpstreamStatus {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
     /// No heartbeat has come for several periods; the next one makes it what that says.
     TimedOut,
-    /// It is about to leave and gets nothing new.
+    /// It is about to leave and gets no new requests.
     Draining,
     /// It has left for good.
     Deregistered,
@@ -48,23 +49,23 @@
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub capacity: u64,
-    /// The newest heartbeat's number.
+    /// The sequence number of the newest heartbeat.
     pub sequence: u64,
     /// Its status.
     pub status: UpstreamStatus,
-    /// How much longer it is slow from its start, in milliseconds, as of when this record was made or sent.
+    /// How much longer it warms up after its start, in milliseconds, as of when this record was made or sent.
     pub slow_start_remaining_ms: u64,
-    /// The time left of one that goes away at short notice, in milliseconds; 0 where none was told.
+    /// The time left to one that is terminated at short notice, in milliseconds; 0 where no notice was given.
     pub remaining_ms: u64,
-    /// How long ago its newest heartbeat came, in milliseconds, as of when this record was made or sent.
+    /// The age of its newest heartbeat in milliseconds, as of when this record was made or sent.
     pub age_ms: u64,
 }
 
 impl Registration {
     /// All that is known of an upstream that has left without having been heard of.
-    fn departed(id: &str) -> Self {
+    fn deregistered(id: &str) -> Self {
         Self {
             id: id.to_owned(),
             service: String::new(),
@@ -80,183 +81,200 @@
     }
 
     /// Whether this says something that balancers must hear of, beside what the other says.
-    fn differs(&self, other: &Self) -> bool {
-        let became_cold = self.slow_start_remaining_ms > other.slow_start_remaining_ms;
+    fn differs_from(&self, other: &Self) -> bool {
+        let has_restarted = self.slow_start_remaining_ms > other.slow_start_remaining_ms;
         self.status != other.status
             || self.address != other.address
             || self.service != other.service
             || self.zone != other.zone
             || self.capacity != other.capacity
-            || became_cold
+            || has_restarted
+    }
+
+    /// Whether this replaces another registration of the incarnation.
+    fn supersedes(&self, other: &Self) -> bool {
+        match (other.status, self.status) {
+            (UpstreamStatus::Deregistered, _) => false,
+            (_, UpstreamStatus::Deregistered) => true,
+            _ => (self.sequence, self.status) > (other.sequence, other.status),
+        }
     }
 }
 
-/// A registration as one machine holds it.
+/// A registration as one machine knows it.
 #[derive(Clone, Debug)]
-struct Held {
+struct RegistrationRecord {
     registration: Registration,
-    /// When the newest heartbeat was heard of.
-    heard: u64,
+    /// When the newest heartbeat arrived here or at another machine.
+    last_heartbeat: u64,
     /// When it was last changed in a way that balancers hear of.
-    changed: u64,
-    cold_until: u64,
-}
-
-/// What a merge has changed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merge {
-    /// Nothing: it was old or known.
-    Old,
-    /// Only that the upstream is still there.
-    Renewed,
-    /// Something that balancers must hear of.
-    Changed,
+    changed_at: u64,
+    slow_start_until: u64,
 }
 
 /// All registrations, with times in milliseconds of one machine's clock.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    held: BTreeMap<String, Held>,
+    records: BTreeMap<String, RegistrationRecord>,
 }
 
-/// How long an incarnation that has left, or fell silent, is remembered in milliseconds, so that a late heartbeat does not bring it
-/// back.
-const REMEMBER: u64 = 120_000;
-/// The age in milliseconds from which on nothing is believed of an unknown upstream that was ready: others may have heard that
-/// it left and have forgotten it since. Far less than what is remembered, far more than heartbeats are apart.
-const STALE: u64 = 60_000;
+/// The time in milliseconds for which an incarnation that has left, or timed out, is remembered, so that a late heartbeat does
+/// not bring it back.
+const TOMBSTONE_RETENTION_MS: u64 = 120_000;
+/// The age in milliseconds from which on an unknown upstream that was ready counts as timed out: others may have heard that it
+/// left and have forgotten it since. Far less than the retention, far more than the period of heartbeats.
+const UNKNOWN_MAX_AGE_MS: u64 = 60_000;
+/// The time in milliseconds by which an upstream's own count of its slow start may differ from ours without meaning a new one.
+const SLOW_START_TOLERANCE_MS: u64 = 400;
 
 impl Registry {
-    /// Merges a registration, heard of at a time.
-    pub fn merge(&mut self, now: u64, mut registration: Registration) -> Merge {
-        let cold_until = now + registration.slow_start_remaining_ms;
-        let heard = now.saturating_sub(registration.age_ms);
-        let id = registration.id.clone();
-        let Some(held) = self.held.get_mut(&id) else {
-            if registration.status == UpstreamStatus::Ready && registration.age_ms > STALE {
-                registration.status = UpstreamStatus::TimedOut;
+    /// Merges a registration that has arrived at a time.
+    pub fn merge(&mut self, now: u64, registration: Registration) -> MergeOutcome {
+        match self.records.get_mut(&registration.id) {
+            Some(record) => record.merge(now, registration),
+            None => {
+                let id = registration.id.clone();
+                self.records
+                    .insert(id, RegistrationRecord::new(now, registration));
+                MergeOutcome::Changed
             }
-            let held = Held {
-                registration,
-                heard,
-                changed: now,
-                cold_until,
-            };
-            self.held.insert(id, held);
-            return Merge::Changed;
-        };
-        let old = &held.registration;
-        let newer = match (old.status, registration.status) {
-            (UpstreamStatus::Deregistered, _) => false,
-            (_, UpstreamStatus::Deregistered) => true,
-            _ => (registration.sequence, registration.status) > (old.sequence, old.status),
-        };
-        if !newer {
-            return Merge::Old;
-        }
-        if registration.status == UpstreamStatus::Deregistered {
-            held.registration.status = UpstreamStatus::Deregistered;
-            held.changed = now;
-            return Merge::Changed;
-        }
-        if registration.sequence > old.sequence {
-            held.heard = held.heard.max(heard);
         }
-        let left = held.cold_until.saturating_sub(now);
-        let before = Registration {
-            slow_start_remaining_ms: left + COLD_JITTER,
-            ..old.clone()
-        };
-        let changed = registration.differs(&before);
-        held.registration = registration;
-        if changed || held.registration.slow_start_remaining_ms == 0 {
-            held.cold_until = cold_until;
-        }
-        if changed {
-            held.changed = now;
-            return Merge::Changed;
-        }
-        Merge::Renewed
     }
 
     /// An upstream says that it has left. One that is not known is remembered all the same: others may know it, or hear of it
     /// later.
-    pub fn leave(&mut self, now: u64, id: &str) -> Merge {
-        self.merge(now, Registration::departed(id))
+    pub fn deregister(&mut self, now: u64, id: &str) -> MergeOutcome {
+        self.merge(now, Registration::deregistered(id))
     }
 
-    /// Marks upstreams of the given services silent whose last heartbeat is longer ago than this, and tells which.
-    pub fn expire(
+    /// Marks ready upstreams of the services that the caller owns as timed out, if their last heartbeat is older than
+    /// `timeout_ms`, and returns them.
+    pub fn time_out(
         &mut self,
         now: u64,
-        after: u64,
+        timeout_ms: u64,
         owns: impl Fn(&str) -> bool,
     ) -> Vec<Registration> {
-        let overdue = |held: &&mut Held| {
-            let registration = &held.registration;
-            let silent = now > held.heard + after && registration.status == UpstreamStatus::Ready;
-            silent && owns(&registration.service)
+        let is_overdue = |record: &&mut RegistrationRecord| {
+            let registration = &record.registration;
+            let is_ready = registration.status == UpstreamStatus::Ready;
+            let is_silent = now > record.last_heartbeat + timeout_ms;
+            is_silent && is_ready && owns(&registration.service)
         };
-        let mark = |held: &mut Held| {
-            held.registration.status = UpstreamStatus::TimedOut;
-            held.changed = now;
-            held.registration.clone()
+        let time_out = |record: &mut RegistrationRecord| {
+            record.registration.status = UpstreamStatus::TimedOut;
+            record.changed_at = now;
+            record.registration.clone()
         };
-        self.held.values_mut().filter(overdue).map(mark).collect()
+        self.records
+            .values_mut()
+            .filter(is_overdue)
+            .map(time_out)
+            .collect()
     }
 
-    /// Forgets what left or fell silent long ago.
+    /// Forgets upstreams that left or timed out long ago.
     pub fn forget(&mut self, now: u64) {
-        self.held.retain(|_, held| match held.registration.status {
-            UpstreamStatus::Ready => true,
-            UpstreamStatus::Draining => now <= held.heard + REMEMBER,
-            UpstreamStatus::TimedOut | UpstreamStatus::Deregistered => {
-                now <= held.changed + REMEMBER
-            }
-        });
+        self.records
+            .retain(|_, record| match record.registration.status {
+                UpstreamStatus::Ready => true,
+                UpstreamStatus::Draining => now <= record.last_heartbeat + TOMBSTONE_RETENTION_MS,
+                UpstreamStatus::TimedOut | UpstreamStatus::Deregistered => {
+                    now <= record.changed_at + TOMBSTONE_RETENTION_MS
+                }
+            });
     }
 
-    /// Hears that upstreams were still there at these sequence numbers; they were heard by another machine.
+    /// Another machine has received a heartbeat with this sequence number that says nothing new.
     pub fn renew(&mut self, now: u64, id: &str, sequence: u64) {
-        let Some(held) = self.held.get_mut(id) else {
+        let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        if sequence > held.registration.sequence
-            && held.registration.status == UpstreamStatus::Ready
-        {
-            held.registration.sequence = sequence;
-            held.heard = now;
+        let registration = &mut record.registration;
+        if sequence > registration.sequence && registration.status == UpstreamStatus::Ready {
+            registration.sequence = sequence;
+            record.last_heartbeat = now;
         }
     }
 
     /// A registration, with its times as of now.
     pub fn get(&self, now: u64, id: &str) -> Option<Registration> {
-        self.held.get(id).map(|held| held.as_of(now))
+        self.records.get(id).map(|record| record.as_of(now))
     }
 
     /// All registrations, with their times as of now.
     pub fn all(&self, now: u64) -> Vec<Registration> {
-        self.held.values().map(|held| held.as_of(now)).collect()
+        self.records
+            .values()
+            .map(|record| record.as_of(now))
+            .collect()
     }
 
     /// The number of registrations.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.records.len()
     }
 
     /// Whether there is none.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.records.is_empty()
     }
 }
 
-/// Milliseconds by which an upstream's own count of its cold time may differ from ours without meaning a new one.
-const COLD_JITTER: u64 = 400;
+impl RegistrationRecord {
+    /// The record of an upstream that was not known.
+    fn new(now: u64, mut registration: Registration) -> Self {
+        let is_ready = registration.status == UpstreamStatus::Ready;
+        if is_ready && registration.age_ms > UNKNOWN_MAX_AGE_MS {
+            registration.status = UpstreamStatus::TimedOut;
+        }
+        Self {
+            last_heartbeat: now.saturating_sub(registration.age_ms),
+            changed_at: now,
+            slow_start_until: now + registration.slow_start_remaining_ms,
+            registration,
+        }
+    }
+
+    fn merge(&mut self, now: u64, registration: Registration) -> MergeOutcome {
+        if !registration.supersedes(&self.registration) {
+            return MergeOutcome::Stale;
+        }
+        if registration.status == UpstreamStatus::Deregistered {
+            self.registration.status = UpstreamStatus::Deregistered;
+            self.changed_at = now;
+            return MergeOutcome::Changed;
+        }
+        if registration.sequence > self.registration.sequence {
+            let heartbeat_at = now.saturating_sub(registration.age_ms);
+            self.last_heartbeat = self.last_heartbeat.max(heartbeat_at);
+        }
+        let has_changed = registration.differs_from(&self.expected(now));
+        if has_changed || registration.slow_start_remaining_ms == 0 {
+            self.slow_start_until = now + registration.slow_start_remaining_ms;
+        }
+        self.registration = registration;
+        if has_changed {
+            self.changed_at = now;
+            MergeOutcome::Changed
+        } else {
+            MergeOutcome::Renewed
+        }
+    }
+
+    /// What a heartbeat says now that says nothing new, with the tolerance for its slow start.
+    fn expected(&self, now: u64) -> Registration {
+        let remaining_ms = self.slow_start_until.saturating_sub(now);
+        let slow_start_remaining_ms = remaining_ms + SLOW_START_TOLERANCE_MS;
+        Registration {
+            slow_start_remaining_ms,
+            ..self.registration.clone()
+        }
+    }
 
-impl Held {
     fn as_of(&self, now: u64) -> Registration {
-        let slow_start_remaining_ms = self.cold_until.saturating_sub(now);
-        let age_ms = now.saturating_sub(self.heard);
+        let slow_start_remaining_ms = self.slow_start_until.saturating_sub(now);
+        let age_ms = now.saturating_sub(self.last_heartbeat);
         Registration {
             slow_start_remaining_ms,
             age_ms,
--- a/crates/control/src/shards.rs
+++ b/crates/control/src/shards.rs
@@ -1,11 +1,11 @@
-//! Which control machine owns which part of the state, and which ones a balancer's heartbeats go to.
+//! Which control machine owns which shard of the registrations, and which ones monitor a balancer.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Parts that the registrations are divided into by a hash of the service's name. More than there are machines, so that
-/// each machine's share is about even; few enough that each has traffic of its own.
+/// The number of shards of the registrations, by a hash of the service's name. More than there are machines, so that each
+/// machine's share is about even; few enough that each has traffic of its own.
 pub const SHARDS: u32 = 64;
-/// Replicas that keep a shard's registrations beside its owner's judgement of silence.
+/// The number of machines in a shard's replica group, and of those that monitor a balancer.
 pub const MONITORS: usize = 3;
 
 /// The shard of a service.
@@ -13,12 +13,12 @@
     (hash(&service) % u64::from(SHARDS)) as u32
 }
 
-/// The machines of a shard, the owner first: those with the highest weights by rendezvous hashing, so that only the shards
-/// of a machine that comes or goes move.
+/// The machines of a shard, at most `limit`, the owner first: those with the highest weights by rendezvous hashing, so that
+/// only the shards of a machine that comes or goes move.
 pub fn replica_group<'a>(
     shard: u32,
     machines: impl IntoIterator<Item = &'a str>,
-    most: usize,
+    limit: usize,
 ) -> Vec<&'a str> {
     let mut weighted: Vec<(u64, &str)> = machines
         .into_iter()
@@ -27,16 +27,16 @@
     weighted.sort_unstable_by(|a, b| b.cmp(a));
     weighted
         .into_iter()
-        .take(most)
+        .take(limit)
         .map(|(_, machine)| machine)
         .collect()
 }
 
-/// The monitors of a balancer: the machines that follow its name on a ring.
+/// The monitors of a balancer, at most `limit`: the machines that follow its name on a ring of hashes.
 pub fn monitors<'a>(
     balancer: &str,
     machines: impl IntoIterator<Item = &'a str>,
-    most: usize,
+    limit: usize,
 ) -> Vec<&'a str> {
     let position = hash(&balancer);
     let distance = |machine: &str| hash(&machine).wrapping_sub(position);
@@ -46,12 +46,12 @@
         .collect();
     ring.sort_unstable();
     ring.into_iter()
-        .take(most)
+        .take(limit)
         .map(|(_, machine)| machine)
         .collect()
 }
 
-/// A short hash of a name, for lists of many.
+/// A hash of a name with 32 bits, for messages that name many.
 pub fn short_hash(name: &str) -> u32 {
     (hash(&name) >> 32) as u32
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,7 +1,7 @@
 //! The state machine of the configuration's log: the current configuration, what was accepted, evacuated zones.
 //! Replicas of the control plane and balancers fold the same commands, so they come to the same state.
 
-use crate::command::{Command, Outcome};
+use crate::command::{Command, CommandOutcome};
 use crate::configuration::Configuration;
 use crate::reader::Findings;
 use nanoserde::{DeBin, SerBin};
@@ -74,11 +74,11 @@
     }
 
     /// Applies a command at a position of the log.
-    pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
+    pub fn apply(&mut self, index: u64, command: &Command) -> CommandOutcome {
         self.index = index;
         let digest = command.is_change().then(|| command.digest());
         match self.prepare(command, digest) {
-            Ok(Change::Nothing) => return Outcome::Accepted,
+            Ok(Change::Nothing) => return CommandOutcome::Accepted,
             Ok(Change::Document(document, configuration)) => {
                 self.document = Arc::new(document);
                 self.configuration = Some(Arc::new(configuration));
@@ -90,7 +90,7 @@
         if let Some(digest) = digest {
             self.remember(digest);
         }
-        Outcome::Accepted
+        CommandOutcome::Accepted
     }
 
     /// Applies a command unless it is applied already: a balancer may hear of it from several machines.
@@ -163,7 +163,7 @@
     }
 
     /// What a command changes; a change of the configuration comes with its digest.
-    fn prepare(&self, command: &Command, digest: Option<u128>) -> Result<Change, Outcome> {
+    fn prepare(&self, command: &Command, digest: Option<u128>) -> Result<Change, CommandOutcome> {
         match command {
             Command::Evacuate { zone } => Ok(Change::Evacuate(zone.clone())),
             Command::EndEvacuation { zone } => Ok(Change::Return(zone.clone())),
@@ -173,11 +173,11 @@
                 }
                 let current = self.generation();
                 if *base != current {
-                    return Err(Outcome::Conflict { current });
+                    return Err(CommandOutcome::Conflict { current });
                 }
                 let is_patch = matches!(command, Command::Patch { .. });
                 self.next(is_patch, body)
-                    .map_err(|findings| Outcome::Invalid {
+                    .map_err(|findings| CommandOutcome::Invalid {
                         findings: findings.to_string(),
                     })
             }
--- /dev/null
+++ b/crates/control/src/wire/mod.rs
@@ -0,0 +1,10 @@
+//! The protocol between the processes of the control plane: typed packets in `nanoserde` binary, in frames with a version, a
+//! length and a checksum.
+
+mod frame;
+mod packet;
+
+pub use frame::{
+    HEADER_BYTES, MAX_FRAME_BYTES, VERSION, WireError, decode_frame, encode_frame, payload_length,
+};
+pub use packet::{CallId, LeaderTime, MachineInfo, Packet, Renewal, ZoneBalancers};
--- a/crates/control/tests/calls.rs
+++ b/crates/control/tests/calls.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use upstreams::registration;
 use woadstall_consensus::{DurableState, Member, Message, MessageBody, Snapshot};
-use woadstall_control::command::{Command, Outcome};
+use woadstall_control::command::{Command, CommandOutcome};
 use woadstall_control::machine::{
     Action, CallResponse, ControlMachine, MachineSettings, founding_snapshot,
 };
@@ -213,7 +213,7 @@
         &address(2),
         Packet::ForwardedCommandReply {
             call,
-            outcome: Some(Outcome::Accepted),
+            outcome: Some(CommandOutcome::Accepted),
         },
     );
     assert_eq!(!answers(&settled(&mut machine, 1_100)).is_empty(), taken);
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use serde_json::{Value, json};
-use woadstall_control::command::{Command, Outcome};
+use woadstall_control::command::{Command, CommandOutcome};
 use woadstall_control::configuration::Configuration;
 use woadstall_control::state::ControlState;
 
@@ -110,7 +110,7 @@
     let mut state = ControlState::default();
     let mut document = document(5);
     document["routes"][0]["colour"] = json!("blue");
-    assert_eq!(state.apply(1, &put(0, &document)), Outcome::Accepted);
+    assert_eq!(state.apply(1, &put(0, &document)), CommandOutcome::Accepted);
     assert_eq!(state.document(), &document);
 }
 
@@ -118,15 +118,18 @@
 fn a_change_on_another_version_conflicts_and_the_same_change_again_is_accepted() {
     let mut state = ControlState::default();
     let first = put(0, &document(5));
-    assert_eq!(state.apply(1, &first), Outcome::Accepted);
+    assert_eq!(state.apply(1, &first), CommandOutcome::Accepted);
     assert_eq!(
         state.apply(2, &put(0, &document(6))),
-        Outcome::Conflict { current: 5 }
+        CommandOutcome::Conflict { current: 5 }
+    );
+    assert_eq!(
+        state.apply(3, &put(5, &document(9))),
+        CommandOutcome::Accepted
     );
-    assert_eq!(state.apply(3, &put(5, &document(9))), Outcome::Accepted);
     assert_eq!(
         state.apply(4, &first),
-        Outcome::Accepted,
+        CommandOutcome::Accepted,
         "the same change, sent again"
     );
     assert_eq!(state.generation(), 9, "and it is not applied again");
@@ -138,10 +141,13 @@
     state.apply(1, &put(0, &document(5)));
     let mut other = document(7);
     other["routes"][0]["timeout_ms"] = json!(900);
-    assert_eq!(state.apply(2, &put(5, &document(7))), Outcome::Accepted);
+    assert_eq!(
+        state.apply(2, &put(5, &document(7))),
+        CommandOutcome::Accepted
+    );
     assert_eq!(
         state.apply(3, &put(5, &other)),
-        Outcome::Conflict { current: 7 }
+        CommandOutcome::Conflict { current: 7 }
     );
     assert_eq!(state.document()["routes"][0]["timeout_ms"], json!(800));
 }
@@ -154,7 +160,7 @@
     state.apply(1, &put(0, &document(5)));
     let outcome = state.apply(2, &put(5, &document(generation)));
     assert!(
-        matches!(outcome, Outcome::Invalid { findings } if findings.starts_with("generation:"))
+        matches!(outcome, CommandOutcome::Invalid { findings } if findings.starts_with("generation:"))
     );
     assert_eq!(state.generation(), 5);
 }
@@ -170,7 +176,7 @@
         "upsert": { "routes": [changed, route("r3", "/c/")], "services": [{ "name": "s3" }] },
         "delete": { "routes": ["r2", "never"], "services": ["s2"] },
     });
-    assert_eq!(state.apply(2, &patch(5, &change)), Outcome::Accepted);
+    assert_eq!(state.apply(2, &patch(5, &change)), CommandOutcome::Accepted);
     let configuration = state.configuration.clone().unwrap();
     let names: Vec<&str> = configuration
         .routes
@@ -198,7 +204,7 @@
     let before = state.document().clone();
     assert!(matches!(
         state.apply(2, &patch(5, &change)),
-        Outcome::Invalid { .. }
+        CommandOutcome::Invalid { .. }
     ));
     assert_eq!(state.document(), &before);
 }
@@ -215,11 +221,11 @@
         },
     );
     for order in [&go, &go] {
-        assert_eq!(state.apply(1, order), Outcome::Accepted);
+        assert_eq!(state.apply(1, order), CommandOutcome::Accepted);
         assert!(state.evacuated.contains("z"));
     }
     for order in [&back, &back] {
-        assert_eq!(state.apply(2, order), Outcome::Accepted);
+        assert_eq!(state.apply(2, order), CommandOutcome::Accepted);
         assert!(state.evacuated.is_empty());
     }
 }
@@ -241,7 +247,7 @@
         (2, 5, 1)
     );
     assert_eq!(again.document(), state.document());
-    assert_eq!(again.apply(3, &first), Outcome::Accepted);
+    assert_eq!(again.apply(3, &first), CommandOutcome::Accepted);
 }
 
 #[test]
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -10,7 +10,7 @@
     Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
 };
 use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal};
-use woadstall_control::command::{Command, Outcome};
+use woadstall_control::command::{Command, CommandOutcome};
 use woadstall_control::configuration::Configuration;
 use woadstall_control::feed::FeedEvent;
 use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, PrefixPlacement, UpstreamLoad};
@@ -18,8 +18,8 @@
 use woadstall_control::shards::{monitors, replica_group, shard_of, short_hash};
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::{
-    CallId, HEAD_BYTES, LeaderTime, MOST_BYTES, MachineInfo, Packet, Renewal, VERSION,
-    ZoneBalancers, decode_whole, frame,
+    CallId, HEADER_BYTES, LeaderTime, MAX_FRAME_BYTES, MachineInfo, Packet, Renewal, VERSION,
+    ZoneBalancers, decode_frame, encode_frame,
 };
 
 const FRAMES: &str = include_str!("golden/frames.txt");
@@ -54,10 +54,10 @@
 
 /// A packet is written as the fixture's frame, and that frame is read as the packet.
 fn assert_golden_frame(name: &str, packet: &Packet) {
-    assert_golden(FRAMES, name, &packet.frame());
+    assert_golden(FRAMES, name, &packet.encode());
     assert_eq!(
-        Packet::decode_datagram(&golden(FRAMES, name)).as_ref(),
-        Ok(packet)
+        Packet::decode_datagram(&golden(FRAMES, name)).unwrap(),
+        *packet
     );
 }
 
@@ -149,7 +149,7 @@
     }
 }
 
-fn outcome(outcome: Option<Outcome>) -> Packet {
+fn outcome(outcome: Option<CommandOutcome>) -> Packet {
     Packet::ForwardedCommandReply {
         call: CALL,
         outcome,
@@ -182,9 +182,9 @@
 #[case::order_evacuate("order_evacuate", order(Command::Evacuate { zone: text("zone-1") }))]
 #[case::order_return("order_return", order(Command::EndEvacuation { zone: text("zone-1") }))]
 #[case::order_done_unclear("order_done_unclear", outcome(None))]
-#[case::order_done_accepted("order_done_accepted", outcome(Some(Outcome::Accepted)))]
-#[case::order_done_conflict("order_done_conflict", outcome(Some(Outcome::Conflict { current: 4 })))]
-#[case::order_done_invalid("order_done_invalid", outcome(Some(Outcome::Invalid { findings: text("a: is missing\n") })))]
+#[case::order_done_accepted("order_done_accepted", outcome(Some(CommandOutcome::Accepted)))]
+#[case::order_done_conflict("order_done_conflict", outcome(Some(CommandOutcome::Conflict { current: 4 })))]
+#[case::order_done_invalid("order_done_invalid", outcome(Some(CommandOutcome::Invalid { findings: text("a: is missing\n") })))]
 #[case::read("read", Packet::ReadIndexRequest { call: CALL })]
 #[case::read_done("read_done", Packet::ReadIndexReply { call: CALL, index: Some(4) })]
 #[case::read_done_unclear("read_done_unclear", Packet::ReadIndexReply { call: CALL, index: None })]
@@ -271,22 +271,27 @@
 #[test]
 fn values_beside_packets_have_their_golden_frames() {
     let value = registration(UpstreamStatus::Ready);
-    assert_golden(FRAMES, "value_registration", &frame(&value));
+    assert_golden(FRAMES, "value_registration", &encode_frame(&value));
     assert_eq!(
-        decode_whole(&golden(FRAMES, "value_registration")),
-        Ok(value)
+        decode_frame::<Registration>(&golden(FRAMES, "value_registration")).unwrap(),
+        value
     );
     let many = vec![registration(UpstreamStatus::Draining); 40];
-    assert_golden(FRAMES, "value_registrations_compressed", &frame(&many));
-    assert_eq!(
-        decode_whole(&golden(FRAMES, "value_registrations_compressed")),
-        Ok(many)
+    assert_golden(
+        FRAMES,
+        "value_registrations_compressed",
+        &encode_frame(&many),
     );
+    let fixture = golden(FRAMES, "value_registrations_compressed");
+    assert_eq!(decode_frame::<Vec<Registration>>(&fixture).unwrap(), many);
 }
 
 #[test]
 fn a_frame_has_its_golden_limits() {
-    assert_eq!((VERSION, HEAD_BYTES, MOST_BYTES), (3, 12, 16_777_216));
+    assert_eq!(
+        (VERSION, HEADER_BYTES, MAX_FRAME_BYTES),
+        (3, 12, 16_777_216)
+    );
 }
 
 #[rstest]
@@ -332,7 +337,7 @@
         base: 0,
         body: DOCUMENT.as_bytes().to_vec(),
     };
-    assert_eq!(state.apply(2, &put), Outcome::Accepted);
+    assert_eq!(state.apply(2, &put), CommandOutcome::Accepted);
     assert_eq!(
         state.apply(
             3,
@@ -340,7 +345,7 @@
                 zone: text("zone-2")
             }
         ),
-        Outcome::Accepted
+        CommandOutcome::Accepted
     );
     assert_eq!(
         state.apply(
@@ -349,13 +354,13 @@
                 zone: text("zone-1")
             }
         ),
-        Outcome::Accepted
+        CommandOutcome::Accepted
     );
     let patch = Command::Patch {
         base: 5,
         body: b"{\"generation\":6}".to_vec(),
     };
-    assert_eq!(state.apply(5, &patch), Outcome::Accepted);
+    assert_eq!(state.apply(5, &patch), CommandOutcome::Accepted);
     state
 }
 
@@ -388,7 +393,7 @@
         base: 0,
         body: DOCUMENT.as_bytes().to_vec(),
     };
-    assert_eq!(read.apply(6, &again), Outcome::Accepted);
+    assert_eq!(read.apply(6, &again), CommandOutcome::Accepted);
     assert_eq!(read.generation(), 6);
 }
 
--- a/crates/control/tests/loads.rs
+++ b/crates/control/tests/loads.rs
@@ -1,7 +1,7 @@
 //! What balancers tell each other of upstreams.
 
 use rstest::rstest;
-use woadstall_control::loads::{FleetLoad, LoadReport, Loads, PrefixPlacement, UpstreamLoad};
+use woadstall_control::loads::{FleetLoad, LoadReport, LoadReports, PrefixPlacement, UpstreamLoad};
 
 const UPSTREAM: u32 = 7;
 
@@ -20,19 +20,19 @@
     }
 }
 
-fn told(loads: &Loads, zone: &str) -> Vec<FleetLoad> {
+fn told(loads: &LoadReports, zone: &str) -> Vec<FleetLoad> {
     loads
-        .of_zone(zone, |other| other.starts_with('n'))
+        .for_zone(zone, |other| other.starts_with('n'))
         .upstreams
 }
 
 #[test]
 fn reading_is_summed_over_the_region_and_failures_over_the_zone() {
-    let mut loads = Loads::default();
-    loads.take(0, report(1, "n1", 4_000, true));
-    loads.take(0, report(2, "n1", 5_000, true));
-    loads.take(0, report(3, "n2", 6_000, true));
-    loads.take(0, report(4, "s1", 9_000, true));
+    let mut loads = LoadReports::default();
+    loads.record(0, report(1, "n1", 4_000, true));
+    loads.record(0, report(2, "n1", 5_000, true));
+    loads.record(0, report(3, "n2", 6_000, true));
+    loads.record(0, report(4, "s1", 9_000, true));
     assert_eq!(
         told(&loads, "n1"),
         [FleetLoad {
@@ -53,9 +53,9 @@
 
 #[test]
 fn a_report_replaces_the_former_one_of_its_balancer() {
-    let mut loads = Loads::default();
-    loads.take(0, report(1, "n1", 4_000, true));
-    loads.take(
+    let mut loads = LoadReports::default();
+    loads.record(0, report(1, "n1", 4_000, true));
+    loads.record(
         10,
         LoadReport {
             sequence: 11,
@@ -65,7 +65,7 @@
     );
     assert!(told(&loads, "n1").is_empty());
     // One that comes late changes nothing.
-    loads.take(20, report(1, "n1", 4_000, true));
+    loads.record(20, report(1, "n1", 4_000, true));
     assert!(told(&loads, "n1").is_empty());
 }
 
@@ -74,11 +74,11 @@
 #[case::still_holds(800, 1)]
 #[case::has_aged(801, 0)]
 fn reports_age(#[case] now: u64, #[case] expected: usize) {
-    let mut loads = Loads::default();
-    loads.take(0, report(1, "n1", 4_000, true));
+    let mut loads = LoadReports::default();
+    loads.record(0, report(1, "n1", 4_000, true));
     loads.forget(now);
     assert_eq!(told(&loads, "n1").len(), expected);
-    loads.take(
+    loads.record(
         now,
         LoadReport {
             sequence: 1,
@@ -91,15 +91,15 @@
 
 #[test]
 fn claims_without_measure_do_not_overflow() {
-    let mut loads = Loads::default();
-    loads.take(0, report(1, "n1", u32::MAX, true));
-    loads.take(0, report(2, "n1", u32::MAX, true));
+    let mut loads = LoadReports::default();
+    loads.record(0, report(1, "n1", u32::MAX, true));
+    loads.record(0, report(2, "n1", u32::MAX, true));
     assert_eq!(told(&loads, "n1")[0].pending_prefill_tokens, u32::MAX);
 }
 
 #[test]
 fn placements_of_a_region_are_told_once_each() {
-    let mut loads = Loads::default();
+    let mut loads = LoadReports::default();
     let one = PrefixPlacement {
         number: 1,
         upstream: UPSTREAM,
@@ -112,29 +112,29 @@
         prefix: 2,
         ..one
     };
-    loads.take(
+    loads.record(
         0,
         LoadReport {
             placements: vec![one, other],
             ..report(1, "n1", 0, false)
         },
     );
-    loads.take(
+    loads.record(
         0,
         LoadReport {
             placements: vec![other],
             ..report(2, "n2", 0, false)
         },
     );
-    loads.take(
+    loads.record(
         0,
         LoadReport {
             placements: vec![one],
             ..report(3, "s1", 0, false)
         },
     );
-    let told = loads.of_zone("n2", |zone| zone.starts_with('n'));
+    let told = loads.for_zone("n2", |zone| zone.starts_with('n'));
     assert_eq!(told.placements, [one, other]);
     loads.forget(801);
-    assert!(loads.of_zone("n2", |_| true).is_empty());
+    assert!(loads.for_zone("n2", |_| true).is_empty());
 }
--- a/crates/control/tests/registry.rs
+++ b/crates/control/tests/registry.rs
@@ -6,10 +6,11 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use upstreams::registration;
-use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal, Balancers, Heard};
+use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal, BalancerTable};
 use woadstall_control::command::Command;
-use woadstall_control::feed::{FeedEvent, Journal};
-use woadstall_control::registry::{Merge, Registration, Registry, UpstreamStatus};
+use woadstall_control::feed::{EventJournal, FeedEvent};
+use woadstall_control::merge::MergeOutcome;
+use woadstall_control::registry::{Registration, Registry, UpstreamStatus};
 use woadstall_control::shards::{SHARDS, monitors, replica_group, shard_of, short_hash};
 
 fn status_after(steps: &[(u64, UpstreamStatus)]) -> UpstreamStatus {
@@ -62,26 +63,26 @@
     let mut registry = Registry::default();
     assert_eq!(
         registry.merge(0, registration(1, UpstreamStatus::Ready)),
-        Merge::Changed
+        MergeOutcome::Changed
     );
     assert_eq!(
         registry.merge(1_000, registration(2, UpstreamStatus::Ready)),
-        Merge::Renewed
+        MergeOutcome::Renewed
     );
     assert_eq!(
         registry.merge(1_000, registration(2, UpstreamStatus::Ready)),
-        Merge::Old
+        MergeOutcome::Stale
     );
     let cold = Registration {
         slow_start_remaining_ms: 3_000,
         ..registration(3, UpstreamStatus::Ready)
     };
-    assert_eq!(registry.merge(2_000, cold), Merge::Changed);
+    assert_eq!(registry.merge(2_000, cold), MergeOutcome::Changed);
     let warming = Registration {
         slow_start_remaining_ms: 2_000,
         ..registration(4, UpstreamStatus::Ready)
     };
-    assert_eq!(registry.merge(3_000, warming), Merge::Renewed);
+    assert_eq!(registry.merge(3_000, warming), MergeOutcome::Renewed);
     assert_eq!(
         registry.get(4_000, "i-1").unwrap().slow_start_remaining_ms,
         1_000
@@ -92,11 +93,11 @@
 fn only_the_owner_judges_silence_and_only_after_the_time() {
     let mut registry = Registry::default();
     registry.merge(0, registration(1, UpstreamStatus::Ready));
-    assert!(registry.expire(5_000, 5_000, |_| true).is_empty());
-    assert!(registry.expire(5_001, 5_000, |_| false).is_empty());
-    assert_eq!(registry.expire(5_001, 5_000, |_| true).len(), 1);
+    assert!(registry.time_out(5_000, 5_000, |_| true).is_empty());
+    assert!(registry.time_out(5_001, 5_000, |_| false).is_empty());
+    assert_eq!(registry.time_out(5_001, 5_000, |_| true).len(), 1);
     assert!(
-        registry.expire(9_000, 5_000, |_| true).is_empty(),
+        registry.time_out(9_000, 5_000, |_| true).is_empty(),
         "it is told once"
     );
     registry.merge(9_100, registration(2, UpstreamStatus::Ready));
@@ -112,14 +113,14 @@
     registry.merge(0, registration(1, UpstreamStatus::Ready));
     registry.renew(4_000, "i-1", 5);
     registry.renew(4_000, "never", 5);
-    assert!(registry.expire(6_000, 5_000, |_| true).is_empty());
+    assert!(registry.time_out(6_000, 5_000, |_| true).is_empty());
 }
 
 #[test]
 fn what_left_is_forgotten_in_the_end() {
     let mut registry = Registry::default();
     registry.merge(0, registration(1, UpstreamStatus::Ready));
-    registry.leave(0, "i-1");
+    registry.deregister(0, "i-1");
     registry.forget(60_000);
     assert_eq!(
         registry.len(),
@@ -133,11 +134,11 @@
 #[test]
 fn one_that_left_unknown_is_remembered_and_keeps_what_is_known_of_others() {
     let mut registry = Registry::default();
-    assert_eq!(registry.leave(0, "i-1"), Merge::Changed);
-    assert_eq!(registry.leave(0, "i-1"), Merge::Old);
+    assert_eq!(registry.deregister(0, "i-1"), MergeOutcome::Changed);
+    assert_eq!(registry.deregister(0, "i-1"), MergeOutcome::Stale);
     assert_eq!(
         registry.merge(10, registration(9, UpstreamStatus::Ready)),
-        Merge::Old,
+        MergeOutcome::Stale,
         "a late heartbeat"
     );
     assert_eq!(
@@ -148,7 +149,7 @@
     let departed = registry.get(10, "i-1").unwrap();
     let mut other = Registry::default();
     other.merge(0, registration(9, UpstreamStatus::Ready));
-    assert_eq!(other.merge(10, departed), Merge::Changed);
+    assert_eq!(other.merge(10, departed), MergeOutcome::Changed);
     let kept = other.get(10, "i-1").unwrap();
     assert_eq!(
         (kept.status, kept.address.as_str(), kept.sequence),
@@ -269,26 +270,32 @@
 
 #[test]
 fn late_heartbeats_and_clocks_that_step_back_mislead_nobody() {
-    let mut balancers = Balancers::default();
-    assert_eq!(balancers.merge(0, heartbeat(10, 5, true)), Heard::Changed);
+    let mut balancers = BalancerTable::default();
+    assert_eq!(
+        balancers.merge(0, heartbeat(10, 5, true)),
+        MergeOutcome::Changed
+    );
     assert_eq!(
         balancers.merge(100, heartbeat(10, 4, false)),
-        Heard::Old,
+        MergeOutcome::Stale,
         "late"
     );
     assert_eq!(
         balancers.merge(100, heartbeat(9, 9, false)),
-        Heard::Old,
+        MergeOutcome::Stale,
         "of an earlier process"
     );
-    assert_eq!(balancers.merge(150, heartbeat(10, 6, true)), Heard::Renewed);
+    assert_eq!(
+        balancers.merge(150, heartbeat(10, 6, true)),
+        MergeOutcome::Renewed
+    );
     assert_eq!(
         balancers.merge(200, heartbeat(11, 1, false)),
-        Heard::Changed
+        MergeOutcome::Changed
     );
     assert_eq!(
         balancers.merge(2_000, heartbeat(8, 1, true)),
-        Heard::Changed,
+        MergeOutcome::Changed,
         "a new process whose clock is behind"
     );
     assert_eq!(balancers.alive(2_500, 1_000).count(), 1);
@@ -297,7 +304,7 @@
 
 #[test]
 fn news_of_another_incarnation_renews_nobody() {
-    let mut balancers = Balancers::default();
+    let mut balancers = BalancerTable::default();
     balancers.merge(0, heartbeat(10, 5, true));
     let news = |incarnation, sequence| BalancerRenewal {
         name: short_hash("front-1"),
@@ -317,18 +324,18 @@
 
 #[test]
 fn a_feed_goes_on_from_an_offset_or_begins_anew() {
-    let mut journal = Journal::new(7);
+    let mut journal = EventJournal::new(7);
     (1..=5).for_each(|number| journal.append(event(number)));
-    assert_eq!(journal.tail(7, 3).unwrap(), [event(4), event(5)]);
-    assert!(journal.tail(7, 5).unwrap().is_empty());
-    assert_eq!(journal.tail(7, 6), None, "an offset of the future");
-    assert_eq!(journal.tail(8, 3), None, "another epoch");
+    assert_eq!(journal.events_since(7, 3).unwrap(), [event(4), event(5)]);
+    assert!(journal.events_since(7, 5).unwrap().is_empty());
+    assert_eq!(journal.events_since(7, 6), None, "an offset of the future");
+    assert_eq!(journal.events_since(8, 3), None, "another epoch");
 }
 
 #[test]
 fn a_reader_too_far_behind_gets_no_tail() {
     const BYTES: usize = 600 << 10;
-    let mut journal = Journal::new(7);
+    let mut journal = EventJournal::new(7);
     for index in 1..=6 {
         journal.append(FeedEvent::Committed {
             index,
@@ -338,7 +345,7 @@
             },
         });
     }
-    assert_eq!(journal.end(), 6);
-    assert_eq!(journal.tail(7, 0), None);
-    assert_eq!(journal.tail(7, 5).unwrap().len(), 1);
+    assert_eq!(journal.end_offset(), 6);
+    assert_eq!(journal.events_since(7, 0), None);
+    assert_eq!(journal.events_since(7, 5).unwrap().len(), 1);
 }
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -4,13 +4,13 @@
     Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
 };
 use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal};
-use woadstall_control::command::{Command, Outcome};
+use woadstall_control::command::{Command, CommandOutcome};
 use woadstall_control::feed::FeedEvent;
 use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, PrefixPlacement, UpstreamLoad};
 use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::wire::{
-    CallId, HEAD_BYTES, LeaderTime, MOST_BYTES, MachineInfo, Packet, Renewal, VERSION, WireError,
-    ZoneBalancers, payload_length,
+    CallId, HEADER_BYTES, LeaderTime, MAX_FRAME_BYTES, MachineInfo, Packet, Renewal, VERSION,
+    WireError, ZoneBalancers, payload_length,
 };
 
 fn member() -> Member {
@@ -76,21 +76,27 @@
             },
         }],
     };
-    let frame = packet.frame();
+    let frame = packet.encode();
     assert!(
         frame.len() < large_body().len() / 2,
         "{} bytes",
         frame.len()
     );
     let mut claims = frame;
-    claims[HEAD_BYTES..HEAD_BYTES + 4].copy_from_slice(&u32::MAX.to_le_bytes());
+    claims[HEADER_BYTES..HEADER_BYTES + 4].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&claims[2..4]);
-    hasher.update(&claims[HEAD_BYTES..]);
+    hasher.update(&claims[HEADER_BYTES..]);
     claims[8..12].copy_from_slice(&hasher.finalize().to_le_bytes());
-    assert_eq!(
-        Packet::decode_datagram(&claims),
-        Err(WireError::TooLong(u32::MAX as usize))
+    assert_too_long(Packet::decode_datagram(&claims));
+}
+
+/// A length that is the greatest one a header can claim is refused as such.
+fn assert_too_long<T: std::fmt::Debug>(result: Result<T, WireError>) {
+    const LENGTH: usize = u32::MAX as usize;
+    assert!(
+        matches!(result, Err(WireError::TooLong(LENGTH))),
+        "{result:?}"
     );
 }
 
@@ -223,7 +229,7 @@
         },
         Packet::ForwardedCommandReply {
             call,
-            outcome: Some(Outcome::Conflict { current: 4 }),
+            outcome: Some(CommandOutcome::Conflict { current: 4 }),
         },
         Packet::ReadIndexRequest { call },
         Packet::ReadIndexReply {
@@ -276,14 +282,14 @@
 #[test]
 fn each_packet_comes_out_as_it_went_in() {
     for packet in packets() {
-        assert_eq!(Packet::decode_datagram(&packet.frame()).unwrap(), packet);
+        assert_eq!(Packet::decode_datagram(&packet.encode()).unwrap(), packet);
     }
 }
 
 #[test]
 fn one_changed_byte_is_always_noticed() {
     for packet in packets() {
-        let frame = packet.frame();
+        let frame = packet.encode();
         for position in 0..frame.len() {
             for change in [1, 0x80, 0xff] {
                 let mut changed = frame.clone();
@@ -300,26 +306,26 @@
 #[test]
 fn a_frame_that_is_cut_or_too_long_is_refused() {
     for packet in packets() {
-        let frame = packet.frame();
+        let frame = packet.encode();
         for length in 0..frame.len() {
             assert!(Packet::decode_datagram(&frame[..length]).is_err());
         }
         let mut longer = frame;
         longer.push(0);
-        assert_eq!(Packet::decode_datagram(&longer), Err(WireError::Short));
+        assert!(matches!(
+            Packet::decode_datagram(&longer),
+            Err(WireError::Length)
+        ));
     }
 }
 
 #[test]
 fn heads_are_refused_before_anything_is_read() {
-    let mut head: [u8; HEAD_BYTES] = packets()[0].frame()[..HEAD_BYTES].try_into().unwrap();
+    let mut head: [u8; HEADER_BYTES] = packets()[0].encode()[..HEADER_BYTES].try_into().unwrap();
     head[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_eq!(
-        payload_length(&head),
-        Err(WireError::TooLong(u32::MAX as usize))
-    );
-    assert!(MOST_BYTES < u32::MAX as usize);
+    assert_too_long(payload_length(&head));
+    assert!(MAX_FRAME_BYTES < u32::MAX as usize);
     head[0] = 99;
-    assert_eq!(payload_length(&head), Err(WireError::Version(99)));
+    assert!(matches!(payload_length(&head), Err(WireError::Version(99))));
     assert_ne!(VERSION, 99);
 }
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -67,7 +67,7 @@
         let Some(queue) = self.queues.get(address) else {
             return;
         };
-        if let Err(error) = queue.send(packet.frame().into()) {
+        if let Err(error) = queue.send(packet.encode().into()) {
             log::warn!("peer_reconnecting peer={address} error={error}");
             self.connect(address.to_owned());
         }
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -301,7 +301,7 @@
 
     /// Sends a packet to subscribers, encoded once. One whose queue is full is disconnected; it reconnects and gets a snapshot.
     fn deliver(&mut self, subscribers: &[u64], packet: &Packet) {
-        let frame = Bytes::from(packet.frame());
+        let frame = Bytes::from(packet.encode());
         for subscriber in subscribers {
             let queue = self.subscribers.get(subscriber);
             if queue.is_some_and(|queue| queue.send(frame.clone()).is_err()) {
--- a/crates/node/src/core/registration_store.rs
+++ b/crates/node/src/core/registration_store.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use woadstall_control::registry::Registration;
-use woadstall_control::wire::{MOST_BYTES, decode_whole, frame};
+use woadstall_control::wire::{MAX_FRAME_BYTES, decode_frame, encode_frame};
 
 /// Files that are written alternately.
 const FILES: u64 = 2;
@@ -69,7 +69,7 @@
             .create(true)
             .truncate(true)
             .open(path(&self.directory, stored.number % FILES))?;
-        file.write_all(&frame(&stored))?;
+        file.write_all(&encode_frame(&stored))?;
         file.sync_data()?;
         self.number = stored.number;
         Ok(())
@@ -85,10 +85,10 @@
     let mut bytes = Vec::new();
     File::open(path)
         .ok()?
-        .take(MOST_BYTES as u64)
+        .take(MAX_FRAME_BYTES as u64)
         .read_to_end(&mut bytes)
         .ok()?;
-    decode_whole(&bytes).ok()
+    decode_frame(&bytes).ok()
 }
 
 #[cfg(test)]
--- a/crates/node/src/front/golden_tests.rs
+++ b/crates/node/src/front/golden_tests.rs
@@ -22,7 +22,7 @@
 use woadstall_control::configuration::Configuration;
 use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::state::ControlState;
-use woadstall_control::wire::{HEAD_BYTES, MachineInfo, Packet, payload_length};
+use woadstall_control::wire::{HEADER_BYTES, MachineInfo, Packet, payload_length};
 use woadstall_inbound::lock;
 use woadstall_routing::{Decision, Prompt, Query, Target};
 
@@ -97,7 +97,7 @@
         // The time of the start is another one each time.
         assert!(heartbeat.incarnation > 1_700_000_000_000);
         heartbeat.incarnation = 1_764_600_000_123;
-        assert_golden(name, &Packet::BalancerHeartbeat(heartbeat).frame());
+        assert_golden(name, &Packet::BalancerHeartbeat(heartbeat).encode());
         front.update_control_state(|current| *current = state(3));
     }
 }
@@ -171,7 +171,7 @@
         .placements
         .iter_mut()
         .for_each(|placement| placement.number = 5);
-    assert_golden("load", &Packet::LoadReport(report).frame());
+    assert_golden("load", &Packet::LoadReport(report).encode());
 }
 
 #[tokio::test]
@@ -180,14 +180,14 @@
     let front = front(listener.local_addr().unwrap().port());
     feeds::start(&front);
     let (mut stream, _) = timeout(PATIENCE, listener.accept()).await.unwrap().unwrap();
-    let mut frame = vec![0; HEAD_BYTES];
+    let mut frame = vec![0; HEADER_BYTES];
     timeout(PATIENCE, stream.read_exact(&mut frame))
         .await
         .unwrap()
         .unwrap();
     let length = payload_length(frame[..].try_into().unwrap()).unwrap();
-    frame.resize(HEAD_BYTES + length, 0);
-    timeout(PATIENCE, stream.read_exact(&mut frame[HEAD_BYTES..]))
+    frame.resize(HEADER_BYTES + length, 0);
+    timeout(PATIENCE, stream.read_exact(&mut frame[HEADER_BYTES..]))
         .await
         .unwrap()
         .unwrap();
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -25,7 +25,7 @@
     };
     let incarnation = start_number();
     for sequence in 1.. {
-        let frame = Packet::BalancerHeartbeat(heartbeat(&front, incarnation, sequence)).frame();
+        let frame = Packet::BalancerHeartbeat(heartbeat(&front, incarnation, sequence)).encode();
         for monitor in monitor_addresses(&front) {
             socket.send_to(&frame, monitor).await.ok();
         }
--- a/crates/node/src/front/load_reports.rs
+++ b/crates/node/src/front/load_reports.rs
@@ -47,7 +47,7 @@
         if !has_changed && !is_due {
             continue;
         }
-        let frame = Packet::LoadReport(report.clone()).frame();
+        let frame = Packet::LoadReport(report.clone()).encode();
         last = report;
         last_sent = Instant::now();
         for machine in region_machines(&front) {
--- a/crates/node/src/packet_stream.rs
+++ b/crates/node/src/packet_stream.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use woadstall_control::wire::{HEAD_BYTES, Packet, payload_length};
+use woadstall_control::wire::{HEADER_BYTES, Packet, payload_length};
 
 /// How long sent data may stay unacknowledged before a connection is closed. A lost segment is retransmitted within a few
 /// hundred milliseconds, also between regions.
@@ -38,7 +38,7 @@
     stream: &mut (impl AsyncWriteExt + Unpin),
     packet: &Packet,
 ) -> io::Result<()> {
-    stream.write_all(&packet.frame()).await
+    stream.write_all(&packet.encode()).await
 }
 
 /// Reads a packet.
@@ -47,7 +47,7 @@
 ///
 /// The connection is broken or closed (`UnexpectedEof`), or the frame is invalid (`InvalidData`).
 pub(crate) async fn read_packet(stream: &mut (impl AsyncReadExt + Unpin)) -> io::Result<Packet> {
-    let mut header = [0; HEAD_BYTES];
+    let mut header = [0; HEADER_BYTES];
     stream.read_exact(&mut header).await?;
     let invalid = |error| io::Error::new(ErrorKind::InvalidData, error);
     let length = payload_length(&header).map_err(invalid)?;
