--- a/crates/control/src/reader.rs
+++ b/crates/control/src/reader.rs
@@ -1,9 +1,9 @@
-//! A reader of paths over JSON: it collects findings with their path instead of stopping at the first one.
+//! Reads fields of JSON documents. Findings are collected with their paths, so that all of them can be shown together.
 
 use serde_json::Value;
 use std::fmt;
 
-/// Something wrong at a path of a document.
+/// A fault at a path of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// The path, as in `routes[3].timeout_ms`.
@@ -18,11 +18,18 @@
     }
 }
 
-/// All findings of a document, one a line.
+/// All findings of a document; displayed one a line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
+    /// A single finding.
+    pub fn one(path: impl Into<String>, problem: impl Into<String>) -> Self {
+        let mut findings = Self::default();
+        findings.add(path, problem);
+        findings
+    }
+
     /// Adds one.
     pub fn add(&mut self, path: impl Into<String>, problem: impl Into<String>) {
         self.0.push(Finding {
@@ -79,9 +86,10 @@
 
     /// A field of an object.
     pub fn field(&self, name: &str) -> Self {
-        let path = match self.path.is_empty() {
-            true => name.to_owned(),
-            false => format!("{}.{name}", self.path),
+        let path = if self.path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{}.{name}", self.path)
         };
         Self {
             value: self.value.and_then(|value| value.get(name)),
@@ -109,9 +117,9 @@
     pub fn string(&self, findings: &mut Findings) -> String {
         match self.value().map(Value::as_str) {
             Some(Some(text)) if !text.is_empty() => text.to_owned(),
-            Some(Some(_)) => self.wrong("must not be empty", findings),
-            Some(None) => self.wrong("must be a string", findings),
-            None => self.wrong("is missing", findings),
+            Some(Some(_)) => self.fault("must not be empty", findings),
+            Some(None) => self.fault("must be a string", findings),
+            None => self.fault("is missing", findings),
         }
     }
 
@@ -120,16 +128,16 @@
         self.value().map(|_| self.string(findings))
     }
 
-    /// A whole number that must be there.
+    /// An integer, 0 or more, that must be there.
     pub fn integer(&self, findings: &mut Findings) -> u64 {
         match self.value().map(Value::as_u64) {
             Some(Some(number)) => number,
-            Some(None) => self.wrong("must be a whole number, 0 or more", findings),
-            None => self.wrong("is missing", findings),
+            Some(None) => self.fault("must be a whole number, 0 or more", findings),
+            None => self.fault("is missing", findings),
         }
     }
 
-    /// A whole number, or `default` where the value is absent.
+    /// An integer, 0 or more, or `default` where the value is absent.
     pub fn integer_or(&self, default: u64, findings: &mut Findings) -> u64 {
         if self.value().is_some() {
             self.integer(findings)
@@ -142,21 +150,22 @@
     pub fn number_or(&self, default: f64, findings: &mut Findings) -> f64 {
         match self.value().map(Value::as_f64) {
             Some(Some(number)) if number >= 0.0 => number,
-            Some(_) => self.wrong("must be a number, 0 or more", findings),
+            Some(_) => self.fault("must be a number, 0 or more", findings),
             None => default,
         }
     }
 
-    /// A truth value, or `default` where the value is absent.
+    /// A boolean, or `default` where the value is absent.
     pub fn bool_or(&self, default: bool, findings: &mut Findings) -> bool {
         match self.value().map(Value::as_bool) {
             Some(Some(flag)) => flag,
-            Some(None) => self.wrong("must be true or false", findings),
+            Some(None) => self.fault("must be true or false", findings),
             None => default,
         }
     }
 
-    fn wrong<T: Default>(&self, problem: &str, findings: &mut Findings) -> T {
+    /// Adds a finding; the value counts as the default of its type then.
+    fn fault<T: Default>(&self, problem: &str, findings: &mut Findings) -> T {
         findings.add(self.path(), problem);
         T::default()
     }
--- /dev/null
+++ b/crates/control/src/state/snapshot.rs
@@ -0,0 +1,94 @@
+//! The state as bytes, as it stands in snapshots of the log and in the feeds of balancers.
+
+use super::ControlState;
+use crate::configuration::Configuration;
+use crate::reader::Findings;
+use nanoserde::{DeBin, DeBinErr, SerBin};
+use std::sync::Arc;
+use thiserror::Error;
+
+/// A state can't be decoded from bytes.
+#[derive(Debug, Error)]
+pub enum StateError {
+    /// The bytes are damaged or of another version.
+    #[error("the state can't be decoded: {0}")]
+    Encoding(#[from] DeBinErr),
+    /// The configuration in it is not JSON.
+    #[error("the configuration in the state can't be read: {0}")]
+    Document(#[from] serde_json::Error),
+    /// The configuration in it is invalid.
+    #[error("the configuration in the state is invalid: {0}")]
+    Invalid(#[from] Findings),
+}
+
+/// The fields of a state, in the order in which they are stored.
+#[derive(SerBin, DeBin)]
+struct StoredState {
+    index: u64,
+    /// The configuration as JSON; empty where there is none.
+    document: Vec<u8>,
+    evacuated: Vec<String>,
+    accepted: Vec<StoredDigest>,
+}
+
+/// A digest as two halves, as `nanoserde` has no `u128`.
+#[derive(SerBin, DeBin)]
+struct StoredDigest {
+    high: u64,
+    low: u64,
+}
+
+impl From<u128> for StoredDigest {
+    fn from(digest: u128) -> Self {
+        Self {
+            high: (digest >> 64) as u64,
+            low: digest as u64,
+        }
+    }
+}
+
+impl From<StoredDigest> for u128 {
+    fn from(digest: StoredDigest) -> Self {
+        Self::from(digest.high) << 64 | Self::from(digest.low)
+    }
+}
+
+impl ControlState {
+    /// The state as bytes.
+    pub fn encode(&self) -> Vec<u8> {
+        let document = match self.configuration {
+            Some(_) => serde_json::to_vec(&*self.document).unwrap_or_default(),
+            None => Vec::new(),
+        };
+        let stored = StoredState {
+            index: self.index,
+            document,
+            evacuated: self.evacuated.iter().cloned().collect(),
+            accepted: self.accepted.iter().map(StoredDigest::from).collect(),
+        };
+        stored.serialize_bin()
+    }
+
+    /// The state from its bytes.
+    ///
+    /// # Errors
+    ///
+    /// Where the bytes are damaged, of another version, or hold an invalid configuration.
+    pub fn decode(bytes: &[u8]) -> Result<Self, StateError> {
+        let stored = StoredState::deserialize_bin(bytes)?;
+        let mut state = Self {
+            index: stored.index,
+            ..Self::default()
+        };
+        if !stored.document.is_empty() {
+            let document = serde_json::from_slice(&stored.document)?;
+            state.configuration = Some(Arc::new(Configuration::read(&document)?));
+            state.document = Arc::new(document);
+        }
+        state.evacuated = stored.evacuated.into_iter().collect();
+        for digest in stored.accepted {
+            state.accepted.insert(digest.into());
+        }
+        Ok(state)
+    }
+}
