--- a/crates/control/src/balancers.rs
+++ b/crates/control/src/balancers.rs
@@ -64,15 +64,15 @@
             return MergeOutcome::Stale;
         }
         let outcome = match former {
-            Some(former) if former.says_the_same(&heartbeat) => MergeOutcome::Renewed,
+            Some(former) if former.differs_only_in_sequence(&heartbeat) => MergeOutcome::Renewed,
             _ => MergeOutcome::Changed,
         };
-        let same_incarnation =
+        let former_of_incarnation =
             former.filter(|former| former.heartbeat.incarnation == heartbeat.incarnation);
         let last_ready = if heartbeat.ready {
             Some(now)
         } else {
-            same_incarnation.and_then(|former| former.last_ready)
+            former_of_incarnation.and_then(|former| former.last_ready)
         };
         let name = heartbeat.name.clone();
         self.records.insert(
@@ -160,7 +160,7 @@
     }
 
     /// Whether a heartbeat differs from the known one in nothing but its sequence number.
-    fn says_the_same(&self, heartbeat: &BalancerHeartbeat) -> bool {
+    fn differs_only_in_sequence(&self, heartbeat: &BalancerHeartbeat) -> bool {
         let sequence = self.heartbeat.sequence;
         BalancerHeartbeat {
             sequence,
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -130,11 +130,11 @@
         for report in reports.filter(|report| is_of_region(&report.zone)) {
             placements.extend(&report.placements);
             for load in &report.upstreams {
-                let is_witness = load.is_failing && report.zone == zone;
+                let counts_as_failing = load.is_failing && report.zone == zone;
                 let total = loads
                     .entry(load.upstream)
                     .or_insert(FleetLoad::idle(load.upstream));
-                total.add(load.pending_prefill_tokens, is_witness);
+                total.add(load.pending_prefill_tokens, counts_as_failing);
             }
         }
         let upstreams = loads.into_values().filter(|load| !load.is_idle()).collect();
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -129,7 +129,7 @@
         let own = machine.settings.machine.clone();
         machine
             .replica
-            .set_failure_domain(own.member.address.clone(), peers::place_of(&own));
+            .set_failure_domain(own.member.address.clone(), peers::failure_domain_of(&own));
         for seed in machine.settings.seeds.clone() {
             machine.connect(seed);
         }
--- a/crates/control/src/machine/peers.rs
+++ b/crates/control/src/machine/peers.rs
@@ -140,7 +140,7 @@
         self.connect(address.clone());
         if address != self.settings.machine.member.address {
             self.replica
-                .set_failure_domain(address.clone(), place_of(&machine));
+                .set_failure_domain(address.clone(), failure_domain_of(&machine));
             self.peers.insert(
                 address,
                 Peer {
@@ -180,7 +180,7 @@
 }
 
 /// The failure domain of a machine.
-pub(super) fn place_of(machine: &MachineInfo) -> FailureDomain {
+pub(super) fn failure_domain_of(machine: &MachineInfo) -> FailureDomain {
     FailureDomain {
         zone: machine.zone.clone(),
         region: machine.region.clone(),
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -158,8 +158,8 @@
         let is_overdue = |record: &&mut RegistrationRecord| {
             let registration = &record.registration;
             let is_ready = registration.status == UpstreamStatus::Ready;
-            let is_silent = now > record.last_heartbeat + timeout_ms;
-            is_silent && is_ready && owns(&registration.service)
+            let has_missed_heartbeats = now > record.last_heartbeat + timeout_ms;
+            has_missed_heartbeats && is_ready && owns(&registration.service)
         };
         let time_out = |record: &mut RegistrationRecord| {
             record.registration.status = UpstreamStatus::TimedOut;
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations: what is refused and where, and how orders change the state.
+//! Configurations: what is refused and where, and how commands change the state.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -86,27 +86,23 @@
 #[case::no_generation("/generation", json!(null), "generation")]
 #[case::routes("/routes", json!({}), "routes")]
 #[case::limits("/limits/idle_timeout_ms", json!(true), "limits.idle_timeout_ms")]
-fn a_fault_is_told_with_its_place(
-    #[case] pointer: &str,
-    #[case] value: Value,
-    #[case] place: &str,
-) {
+fn a_finding_has_its_path(#[case] pointer: &str, #[case] value: Value, #[case] path: &str) {
     let findings = Configuration::read(&mutated(pointer, value)).unwrap_err();
     assert!(
-        findings.0.iter().any(|finding| finding.path == place),
+        findings.0.iter().any(|finding| finding.path == path),
         "{findings}"
     );
 }
 
 #[test]
-fn all_faults_are_told_together() {
+fn all_findings_are_collected() {
     let mut document = mutated("/routes/0/timeout_ms", json!(0));
     document["routes"][1]["service"] = json!("s9");
     assert_eq!(Configuration::read(&document).unwrap_err().0.len(), 2);
 }
 
 #[test]
-fn unknown_fields_are_kept_and_ignored() {
+fn unknown_fields_are_preserved_and_ignored() {
     let mut state = ControlState::default();
     let mut document = document(5);
     document["routes"][0]["colour"] = json!("blue");
@@ -115,7 +111,7 @@
 }
 
 #[test]
-fn a_change_on_another_version_conflicts_and_the_same_change_again_is_accepted() {
+fn a_change_on_another_version_conflicts_and_a_repetition_is_accepted() {
     let mut state = ControlState::default();
     let first = put(0, &document(5));
     assert_eq!(state.apply(1, &first), CommandOutcome::Accepted);
@@ -130,7 +126,7 @@
     assert_eq!(
         state.apply(4, &first),
         CommandOutcome::Accepted,
-        "the same change, sent again"
+        "the first change, submitted again"
     );
     assert_eq!(state.generation(), 9, "and it is not applied again");
 }
@@ -198,7 +194,7 @@
 #[case::no_name(json!({ "generation": 8, "upsert": { "routes": [{}] } }))]
 #[case::no_generation(json!({ "delete": { "routes": ["r2"] } }))]
 #[case::not_an_object(json!([]))]
-fn a_patch_at_fault_changes_nothing(#[case] change: Value) {
+fn an_invalid_patch_changes_nothing(#[case] change: Value) {
     let mut state = ControlState::default();
     state.apply(1, &put(0, &document(5)));
     let before = state.document().clone();
@@ -210,9 +206,9 @@
 }
 
 #[test]
-fn evacuations_are_taken_again_and_taken_back() {
+fn evacuations_are_idempotent_and_can_be_ended() {
     let mut state = ControlState::default();
-    let (go, back) = (
+    let (begin, end) = (
         Command::Evacuate {
             zone: "z".to_owned(),
         },
@@ -220,12 +216,12 @@
             zone: "z".to_owned(),
         },
     );
-    for order in [&go, &go] {
-        assert_eq!(state.apply(1, order), CommandOutcome::Accepted);
+    for command in [&begin, &begin] {
+        assert_eq!(state.apply(1, command), CommandOutcome::Accepted);
         assert!(state.evacuated.contains("z"));
     }
-    for order in [&back, &back] {
-        assert_eq!(state.apply(2, order), CommandOutcome::Accepted);
+    for command in [&end, &end] {
+        assert_eq!(state.apply(2, command), CommandOutcome::Accepted);
         assert!(state.evacuated.is_empty());
     }
 }
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -1,61 +1,34 @@
-//! Where clients are sent: near balancers first, and never out of the regions that their requests are bound to.
+//! Which balancers clients are sent to: near ones first, and never out of the regions that their requests are restricted to.
+
+mod support;
 
 use rstest::rstest;
 use serde_json::json;
-use std::collections::BTreeMap;
-use woadstall_consensus::{DurableState, Member};
+use support::{MachineBuilder, persist_all};
 use woadstall_control::balancers::BalancerHeartbeat;
 use woadstall_control::command::Command;
-use woadstall_control::machine::{
-    Action, ControlMachine, MachineSettings, ResolveRequest, founding_snapshot,
-};
-use woadstall_control::wire::MachineInfo;
-
-const ADDRESS: &str = "10.0.0.1:7720";
+use woadstall_control::machine::{ControlMachine, ResolveRequest};
 
 /// A machine that leads a group of one, in a deployment of three regions with one zone each.
 fn machine() -> ControlMachine {
-    let member = Member {
-        id: 1,
-        address: ADDRESS.to_owned(),
-    };
-    let zones =
-        ["north", "east", "south"].map(|region| (format!("{region}-zone"), region.to_owned()));
-    let settings = MachineSettings {
-        machine: MachineInfo {
-            member: member.clone(),
-            zone: "north-zone".to_owned(),
-            region: "north".to_owned(),
-            control: String::new(),
-        },
-        seeds: vec![ADDRESS.to_owned()],
-        zones: BTreeMap::from(zones),
-        heartbeat_ms: 1_200,
-        tolerated: 0,
-        incarnation: 1,
-    };
-    let mut machine = ControlMachine::new(
-        settings,
-        DurableState::new(1, founding_snapshot(&[member])),
-        0,
-        1,
-    );
+    let zones = [
+        ("north-zone", "north"),
+        ("east-zone", "east"),
+        ("south-zone", "south"),
+    ];
+    let mut machine = MachineBuilder::new()
+        .zones(&zones)
+        .founders(1)
+        .tolerated(0)
+        .build();
     for now in (0..2_000).step_by(50) {
         machine.tick(now);
-        sync(&mut machine, now);
+        persist_all(&mut machine, now);
     }
     machine
 }
 
-fn sync(machine: &mut ControlMachine, now: u64) {
-    for action in machine.take_actions() {
-        if let Action::Persist { sequence, .. } = action {
-            machine.persisted(now, sequence);
-        }
-    }
-}
-
-/// Routes of the hosts `bound` (each bound to the regions of one text) and `free`, in force from 2,000 ms on.
+/// Routes of the hosts `bound` (each restricted to the regions that one text lists) and `free`, in force from 2,000 ms on.
 fn configure(machine: &mut ControlMachine, allowed: &[&str]) {
     let route = |number: usize, host: &str, regions: Vec<&str>| {
         json!({
@@ -82,11 +55,11 @@
             body: serde_json::to_vec(&document).unwrap(),
         },
     );
-    sync(machine, 2_000);
+    persist_all(machine, 2_000);
     assert_eq!(machine.state().generation(), 1);
 }
 
-fn hear(machine: &mut ControlMachine, now: u64, region: &str, ready: bool) {
+fn receive(machine: &mut ControlMachine, now: u64, region: &str, ready: bool) {
     machine.receive_heartbeat(
         now,
         BalancerHeartbeat {
@@ -100,15 +73,15 @@
     );
 }
 
-/// The regions whose balancers a client is named.
-fn named(machine: &ControlMachine, host: &str, region: &str) -> Vec<String> {
-    let question = ResolveRequest {
+/// The regions to whose balancers a client is sent.
+fn resolved(machine: &ControlMachine, host: &str, region: &str) -> Vec<String> {
+    let request = ResolveRequest {
         client: "10.9.0.1".to_owned(),
         host: host.to_owned(),
         zone: format!("{region}-zone"),
         region: region.to_owned(),
     };
-    let mut addresses = machine.resolve(&question).addresses;
+    let mut addresses = machine.resolve(&request).addresses;
     addresses.sort();
     addresses
 }
@@ -120,96 +93,96 @@
 #[case::nothing_in_common(&["north", "south"], "east", &["north", "south"])]
 #[case::no_route_is_bound(&[], "east", &["north", "south"])]
 #[case::its_own_balancer_is_there(&["north"], "south", &["south"])]
-fn a_client_whose_region_has_no_ready_balancer_goes_where_its_requests_may_go(
+fn a_client_whose_region_has_no_ready_balancer_is_sent_where_its_requests_may_be_served(
     #[case] allowed: &[&str],
     #[case] region: &str,
     #[case] expected: &[&str],
 ) {
     let mut machine = machine();
     configure(&mut machine, allowed);
-    hear(&mut machine, 2_100, "north", true);
-    hear(&mut machine, 2_100, "south", true);
-    // The only balancer of its region is being stopped.
-    hear(&mut machine, 2_100, "east", false);
-    assert_eq!(named(&machine, "bound", region), expected);
+    receive(&mut machine, 2_100, "north", true);
+    receive(&mut machine, 2_100, "south", true);
+    // The only balancer of its region is stopping.
+    receive(&mut machine, 2_100, "east", false);
+    assert_eq!(resolved(&machine, "bound", region), expected);
 }
 
 #[rstest]
 #[case::a_free_host("free")]
 #[case::an_unknown_host("nobody.example")]
-fn a_client_that_is_not_bound_goes_anywhere_when_its_region_has_none(#[case] host: &str) {
+fn an_unrestricted_client_is_sent_anywhere_when_its_region_has_none(#[case] host: &str) {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
-    hear(&mut machine, 2_100, "north", true);
-    hear(&mut machine, 2_100, "south", true);
-    assert_eq!(named(&machine, host, "east"), ["north", "south"]);
+    receive(&mut machine, 2_100, "north", true);
+    receive(&mut machine, 2_100, "south", true);
+    assert_eq!(resolved(&machine, host, "east"), ["north", "south"]);
 }
 
 #[test]
-fn a_bound_client_is_named_any_balancer_when_nothing_else_is_left() {
+fn a_restricted_client_is_sent_to_any_balancer_when_no_other_is_left() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
-    hear(&mut machine, 2_100, "south", true);
-    assert_eq!(named(&machine, "bound", "east"), ["south"]);
+    receive(&mut machine, 2_100, "south", true);
+    assert_eq!(resolved(&machine, "bound", "east"), ["south"]);
 }
 
 #[test]
-fn a_balancer_that_starts_again_and_one_that_falls_silent_are_followed() {
+fn restarts_and_time_outs_of_balancers_are_followed() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
-    hear(&mut machine, 2_100, "north", true);
-    hear(&mut machine, 2_100, "east", false);
-    assert_eq!(named(&machine, "bound", "east"), ["north"]);
-    hear(&mut machine, 2_200, "east", true);
-    assert_eq!(named(&machine, "bound", "east"), ["east"]);
-    hear(&mut machine, 3_250, "north", true);
+    receive(&mut machine, 2_100, "north", true);
+    receive(&mut machine, 2_100, "east", false);
+    assert_eq!(resolved(&machine, "bound", "east"), ["north"]);
+    receive(&mut machine, 2_200, "east", true);
+    assert_eq!(resolved(&machine, "bound", "east"), ["east"]);
+    receive(&mut machine, 3_250, "north", true);
     machine.tick(3_350);
     assert_eq!(
-        named(&machine, "bound", "east"),
+        resolved(&machine, "bound", "east"),
         ["north"],
-        "nothing was heard of it for 1.1 s"
+        "it has timed out after 1.1 s"
     );
 }
 
 #[test]
-fn without_a_configuration_the_nearest_are_named() {
+fn without_a_configuration_clients_are_sent_to_the_nearest() {
     let mut machine = machine();
-    hear(&mut machine, 2_100, "north", true);
-    hear(&mut machine, 2_100, "south", true);
-    assert_eq!(named(&machine, "bound", "south"), ["south"]);
-    assert_eq!(named(&machine, "bound", "east"), ["north", "south"]);
+    receive(&mut machine, 2_100, "north", true);
+    receive(&mut machine, 2_100, "south", true);
+    assert_eq!(resolved(&machine, "bound", "south"), ["south"]);
+    assert_eq!(resolved(&machine, "bound", "east"), ["north", "south"]);
 }
 
 #[test]
-fn a_bound_client_goes_to_a_balancer_that_is_being_stopped_before_it_leaves_its_routes_regions() {
+fn a_restricted_client_is_sent_to_a_stopping_balancer_before_one_outside_its_regions() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
     for region in ["north", "east", "south"] {
-        hear(&mut machine, 2_100, region, true);
+        receive(&mut machine, 2_100, region, true);
     }
-    // Machines of both regions are stopped one after the other, each while the one before it is still ending.
-    hear(&mut machine, 2_500, "north", false);
-    hear(&mut machine, 3_000, "east", false);
-    hear(&mut machine, 3_000, "south", true);
-    hear(&mut machine, 3_100, "north", false);
-    assert_eq!(named(&machine, "bound", "east"), ["east", "north"]);
+    // Balancers of both regions shut down one after the other, each while the one before it is still stopping.
+    receive(&mut machine, 2_500, "north", false);
+    receive(&mut machine, 3_000, "east", false);
+    receive(&mut machine, 3_000, "south", true);
+    receive(&mut machine, 3_100, "north", false);
+    assert_eq!(resolved(&machine, "bound", "east"), ["east", "north"]);
     assert_eq!(
-        named(&machine, "free", "east"),
+        resolved(&machine, "free", "east"),
         ["south"],
-        "others go where it is ready"
+        "others go to a ready one"
     );
-    // They take nobody any more, and one that starts has nothing to go by yet.
-    hear(&mut machine, 5_500, "north", false);
-    hear(&mut machine, 5_500, "east", false);
-    hear(&mut machine, 5_500, "south", true);
-    assert_eq!(named(&machine, "bound", "east"), ["south"]);
+    // They accept no clients any more.
+    receive(&mut machine, 5_500, "north", false);
+    receive(&mut machine, 5_500, "east", false);
+    receive(&mut machine, 5_500, "south", true);
+    assert_eq!(resolved(&machine, "bound", "east"), ["south"]);
 }
 
 #[test]
-fn a_balancer_that_has_only_started_is_not_taken_for_one_that_is_being_stopped() {
+fn a_starting_balancer_is_not_taken_for_a_stopping_one() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
-    hear(&mut machine, 2_100, "south", true);
-    hear(&mut machine, 2_100, "north", false);
-    assert_eq!(named(&machine, "bound", "east"), ["south"]);
+    receive(&mut machine, 2_100, "south", true);
+    receive(&mut machine, 2_100, "north", false);
+    assert_eq!(resolved(&machine, "bound", "east"), ["south"]);
 }
--- /dev/null
+++ b/crates/control/tests/feeds.rs
@@ -0,0 +1,73 @@
+//! The feeds that balancers subscribe to.
+
+mod support;
+
+use nanoserde::SerBin;
+use support::*;
+use woadstall_consensus::{MessageBody, Snapshot, SnapshotChunk, SnapshotMeta};
+use woadstall_control::machine::Action;
+use woadstall_control::state::ControlState;
+use woadstall_control::wire::Packet;
+
+#[test]
+fn a_balancer_that_reconnects_after_a_restored_snapshot_gets_a_snapshot() {
+    let mut machine = machine();
+    let subscribe = |epoch, offset| Packet::Subscribe {
+        balancer: "front".to_owned(),
+        epoch,
+        offset,
+        index: 0,
+    };
+    machine.subscribe(1_000, 1, &subscribe(0, 0));
+    machine.subscribe(1_000, 2, &subscribe(0, 0));
+    machine.tick(1_050);
+    let first = machine
+        .take_actions()
+        .into_iter()
+        .find_map(|action| match action {
+            Action::Deliver {
+                subscribers,
+                packet: Packet::Snapshot { epoch, offset, .. },
+            } => Some((subscribers, epoch, offset)),
+            _ => None,
+        });
+    let (subscribers, epoch, offset) = first.expect("new subscribers get a snapshot");
+    assert_eq!(subscribers, [1, 2], "one for both");
+    machine.unsubscribe(1);
+    // Meanwhile this machine itself was far behind and got a snapshot of the log.
+    let mut state = ControlState::default();
+    state.apply(500, &evacuate());
+    let members = machine.replica().membership().clone();
+    let snapshot = Snapshot {
+        index: 500,
+        term: 3,
+        membership: members,
+        state: state.encode(),
+    };
+    let bytes = snapshot.serialize_bin();
+    let head = SnapshotMeta::of(&snapshot, &bytes);
+    let piece = SnapshotChunk {
+        head,
+        offset: 0,
+        bytes,
+    };
+    machine.receive_packet(
+        1_100,
+        &address(2),
+        consensus(2, TERM, MessageBody::Install { piece, round: 1 }),
+    );
+    machine.take_actions();
+    machine.subscribe(1_200, 3, &subscribe(epoch, offset));
+    machine.tick(1_250);
+    let delivered = machine
+        .take_actions()
+        .into_iter()
+        .find_map(|action| match action {
+            Action::Deliver { packet, .. } => Some(packet),
+            _ => None,
+        });
+    assert!(
+        matches!(&delivered, Some(Packet::Snapshot { state, .. }) if !state.is_empty()),
+        "{delivered:?}"
+    );
+}
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -34,10 +34,10 @@
 
 /// The bytes of a form in a fixture.
 fn golden(fixture: &str, name: &str) -> Vec<u8> {
-    let line = fixture
+    let form = fixture
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    let digits = line.unwrap_or_else(|| panic!("the fixture has no form {name}"));
+    let digits = form.unwrap_or_else(|| panic!("the fixture has no form {name}"));
     (0..digits.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
--- a/crates/control/tests/telling.rs
+++ b/crates/control/tests/load_notices.rs
@@ -1,51 +1,23 @@
-//! A control machine passes on what balancers tell of upstreams.
+//! A control machine notifies balancers of what those of their region report on upstreams.
 
-use woadstall_consensus::{DurableState, Member, Snapshot};
-use woadstall_control::balancers::BalancerHeartbeat;
-use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, UpstreamLoad};
-use woadstall_control::machine::{Action, ControlMachine, MachineSettings};
-use woadstall_control::wire::{MachineInfo, Packet};
+mod support;
 
-const OWN: &str = "10.0.0.1:1";
+use support::{MachineBuilder, heartbeat};
+use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, UpstreamLoad};
+use woadstall_control::machine::{Action, ControlMachine};
+use woadstall_control::wire::Packet;
 
 fn machine() -> ControlMachine {
-    let member = Member {
-        id: 1,
-        address: OWN.to_owned(),
-    };
-    let own = MachineInfo {
-        member,
-        zone: "n1".to_owned(),
-        region: "north".to_owned(),
-        control: "10.0.0.1:2".to_owned(),
-    };
-    let zones = [("n1", "north"), ("n2", "north"), ("s1", "south")];
-    let settings = MachineSettings {
-        machine: own,
-        seeds: vec![OWN.to_owned()],
-        zones: zones
-            .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
-            .into(),
-        heartbeat_ms: 1_200,
-        tolerated: 1,
-        incarnation: 7,
-    };
-    ControlMachine::new(settings, DurableState::new(1, Snapshot::default()), 0, 1)
+    MachineBuilder::new()
+        .zones(&[("n1", "north"), ("n2", "north"), ("s1", "south")])
+        .build()
 }
 
-/// Readers from this number on, of a zone.
+/// Subscribers from this number on, of a zone.
 fn subscribe(machine: &mut ControlMachine, first: u64, count: u64, zone: &str) {
     for number in first..first + count {
         let balancer = format!("front-{number}");
-        let heartbeat = BalancerHeartbeat {
-            name: balancer.clone(),
-            incarnation: 1,
-            sequence: 1,
-            address: "10.0.0.9:80".to_owned(),
-            zone: zone.to_owned(),
-            ready: true,
-        };
-        machine.receive_heartbeat(0, heartbeat);
+        machine.receive_heartbeat(0, heartbeat(&balancer, zone));
         machine.subscribe(
             0,
             number,
@@ -74,9 +46,12 @@
     })
 }
 
-/// What is told between two times, with the readers.
-fn told(machine: &mut ControlMachine, from: u64, until: u64) -> Vec<(u64, Vec<u64>, FleetLoads)> {
-    let mut told = Vec::new();
+/// A notification: its time, its subscribers, the loads.
+type Notice = (u64, Vec<u64>, FleetLoads);
+
+/// The notifications between two times.
+fn notices(machine: &mut ControlMachine, from: u64, until: u64) -> Vec<Notice> {
+    let mut notices = Vec::new();
     for now in (from..until).step_by(50) {
         machine.tick(now);
         for action in machine.take_actions() {
@@ -85,22 +60,22 @@
                 packet: Packet::FleetLoads(loads),
             } = action
             {
-                told.push((now, subscribers, loads));
+                notices.push((now, subscribers, loads));
             }
         }
     }
-    told
+    notices
 }
 
 #[test]
-fn readers_of_a_region_are_told_and_each_zone_hears_its_own_witnesses() {
+fn subscribers_of_a_region_are_notified_with_the_failures_seen_in_their_own_zone() {
     let mut machine = machine();
     subscribe(&mut machine, 1, 1, "n1");
     subscribe(&mut machine, 2, 1, "n2");
     subscribe(&mut machine, 3, 1, "s1");
     assert!(
-        told(&mut machine, 0, 200).is_empty(),
-        "there is nothing to tell"
+        notices(&mut machine, 0, 200).is_empty(),
+        "there is nothing to notify them of"
     );
     machine.receive_packet(200, "10.0.0.9:9", report(1, "n1", 5_000));
     let loads = |failing| FleetLoads {
@@ -111,37 +86,37 @@
         }],
         ..FleetLoads::default()
     };
-    let first: Vec<(Vec<u64>, FleetLoads)> = told(&mut machine, 200, 350)
+    let first: Vec<(Vec<u64>, FleetLoads)> = notices(&mut machine, 200, 350)
         .into_iter()
-        .map(|(_, readers, loads)| (readers, loads))
+        .map(|(_, subscribers, loads)| (subscribers, loads))
         .collect();
     assert_eq!(first, [(vec![1], loads(1)), (vec![2], loads(0))]);
 }
 
 #[test]
-fn what_is_told_is_repeated_and_ends_with_its_report() {
+fn a_notice_is_refreshed_until_its_report_expires() {
     let mut machine = machine();
     subscribe(&mut machine, 1, 1, "n1");
     machine.tick(0);
     machine.receive_packet(10, "10.0.0.9:9", report(1, "n1", 5_000));
-    let all = told(&mut machine, 50, 1_500);
+    let all = notices(&mut machine, 50, 1_500);
     let times: Vec<u64> = all.iter().map(|(now, ..)| *now).collect();
-    assert!(times.len() >= 3, "told again before it has aged: {times:?}");
+    assert!(times.len() >= 3, "sent again before it expires: {times:?}");
     assert!(
         times.windows(2).all(|pair| pair[1] - pair[0] <= 350),
         "{times:?}"
     );
     assert!(
         all.last().unwrap().2.is_empty(),
-        "and taken back once the report has aged"
+        "and empty once the report has expired"
     );
 }
 
 #[test]
-fn many_readers_are_told_less_often() {
-    let news = |readers: u64| {
+fn many_subscribers_are_notified_less_often() {
+    let count_notices = |subscribers: u64| {
         let mut machine = machine();
-        subscribe(&mut machine, 1, readers, "n1");
+        subscribe(&mut machine, 1, subscribers, "n1");
         machine.tick(0);
         let mut count = 0;
         for step in 1..=20 {
@@ -150,13 +125,13 @@
                 "10.0.0.9:9",
                 report(step, "n1", 5_000 + step as u32),
             );
-            count += told(&mut machine, step * 100, step * 100 + 100).len();
+            count += notices(&mut machine, step * 100, step * 100 + 100).len();
         }
         count
     };
-    let (few, many) = (news(40), news(120));
+    let (few, many) = (count_notices(40), count_notices(120));
     assert!(
         many * 2 <= few && many > 0,
-        "{few} times with 40 readers, {many} with 120"
+        "{few} times with 40 subscribers, {many} with 120"
     );
 }
--- a/crates/control/tests/loads.rs
+++ b/crates/control/tests/loads.rs
@@ -1,4 +1,4 @@
-//! What balancers tell each other of upstreams.
+//! Combining the reports of balancers.
 
 use rstest::rstest;
 use woadstall_control::loads::{FleetLoad, LoadReport, LoadReports, PrefixPlacement, UpstreamLoad};
@@ -20,21 +20,21 @@
     }
 }
 
-fn told(loads: &LoadReports, zone: &str) -> Vec<FleetLoad> {
+fn loads_of(loads: &LoadReports, zone: &str) -> Vec<FleetLoad> {
     loads
         .for_zone(zone, |other| other.starts_with('n'))
         .upstreams
 }
 
 #[test]
-fn reading_is_summed_over_the_region_and_failures_over_the_zone() {
+fn pending_prefill_is_summed_over_the_region_and_failures_over_the_zone() {
     let mut loads = LoadReports::default();
     loads.record(0, report(1, "n1", 4_000, true));
     loads.record(0, report(2, "n1", 5_000, true));
     loads.record(0, report(3, "n2", 6_000, true));
     loads.record(0, report(4, "s1", 9_000, true));
     assert_eq!(
-        told(&loads, "n1"),
+        loads_of(&loads, "n1"),
         [FleetLoad {
             upstream: UPSTREAM,
             pending_prefill_tokens: 15_000,
@@ -42,7 +42,7 @@
         }]
     );
     assert_eq!(
-        told(&loads, "n2"),
+        loads_of(&loads, "n2"),
         [FleetLoad {
             upstream: UPSTREAM,
             pending_prefill_tokens: 15_000,
@@ -63,21 +63,21 @@
             ..report(1, "n1", 0, false)
         },
     );
-    assert!(told(&loads, "n1").is_empty());
-    // One that comes late changes nothing.
+    assert!(loads_of(&loads, "n1").is_empty());
+    // A delayed report changes nothing.
     loads.record(20, report(1, "n1", 4_000, true));
-    assert!(told(&loads, "n1").is_empty());
+    assert!(loads_of(&loads, "n1").is_empty());
 }
 
-/// A balancer that falls silent, or whose time of day has stepped back at a restart, is not believed for long nor shut out.
+/// The last report of a balancer expires, also for one whose time of day has stepped back at a restart.
 #[rstest]
-#[case::still_holds(800, 1)]
-#[case::has_aged(801, 0)]
-fn reports_age(#[case] now: u64, #[case] expected: usize) {
+#[case::valid(800, 1)]
+#[case::expired(801, 0)]
+fn reports_expire(#[case] now: u64, #[case] expected: usize) {
     let mut loads = LoadReports::default();
     loads.record(0, report(1, "n1", 4_000, true));
     loads.forget(now);
-    assert_eq!(told(&loads, "n1").len(), expected);
+    assert_eq!(loads_of(&loads, "n1").len(), expected);
     loads.record(
         now,
         LoadReport {
@@ -85,7 +85,7 @@
             ..report(1, "n1", 5_000, false)
         },
     );
-    let unread = told(&loads, "n1")[0].pending_prefill_tokens;
+    let unread = loads_of(&loads, "n1")[0].pending_prefill_tokens;
     assert_eq!(unread, if expected == 1 { 4_000 } else { 5_000 });
 }
 
@@ -94,11 +94,11 @@
     let mut loads = LoadReports::default();
     loads.record(0, report(1, "n1", u32::MAX, true));
     loads.record(0, report(2, "n1", u32::MAX, true));
-    assert_eq!(told(&loads, "n1")[0].pending_prefill_tokens, u32::MAX);
+    assert_eq!(loads_of(&loads, "n1")[0].pending_prefill_tokens, u32::MAX);
 }
 
 #[test]
-fn placements_of_a_region_are_told_once_each() {
+fn each_placement_of_a_region_is_passed_on_once() {
     let mut loads = LoadReports::default();
     let one = PrefixPlacement {
         number: 1,
@@ -133,8 +133,8 @@
             ..report(3, "s1", 0, false)
         },
     );
-    let told = loads.for_zone("n2", |zone| zone.starts_with('n'));
-    assert_eq!(told.placements, [one, other]);
+    let combined = loads.for_zone("n2", |zone| zone.starts_with('n'));
+    assert_eq!(combined.placements, [one, other]);
     loads.forget(801);
     assert!(loads.for_zone("n2", |_| true).is_empty());
 }
--- a/crates/control/tests/registry.rs
+++ b/crates/control/tests/registry.rs
@@ -1,17 +1,12 @@
-//! Registrations, shards, balancers and the feed.
+//! Merging the registrations of upstreams.
 
-mod upstreams;
+mod support;
 
 use proptest::prelude::*;
 use rstest::rstest;
-use std::collections::BTreeMap;
-use upstreams::registration;
-use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal, BalancerTable};
-use woadstall_control::command::Command;
-use woadstall_control::feed::{EventJournal, FeedEvent};
+use support::registration;
 use woadstall_control::merge::MergeOutcome;
 use woadstall_control::registry::{Registration, Registry, UpstreamStatus};
-use woadstall_control::shards::{SHARDS, monitors, replica_group, shard_of, short_hash};
 
 fn status_after(steps: &[(u64, UpstreamStatus)]) -> UpstreamStatus {
     let mut registry = Registry::default();
@@ -22,13 +17,13 @@
 }
 
 #[rstest]
-#[case::late_ready(&[(1, UpstreamStatus::Ready), (3, UpstreamStatus::Draining), (2, UpstreamStatus::Ready)], UpstreamStatus::Draining)]
+#[case::delayed_ready(&[(1, UpstreamStatus::Ready), (3, UpstreamStatus::Draining), (2, UpstreamStatus::Ready)], UpstreamStatus::Draining)]
 #[case::ready_again(&[(3, UpstreamStatus::Draining), (4, UpstreamStatus::Ready)], UpstreamStatus::Ready)]
-#[case::gone_stays(&[(3, UpstreamStatus::Deregistered), (9, UpstreamStatus::Ready)], UpstreamStatus::Deregistered)]
-#[case::gone_beats_a_higher_number(&[(9, UpstreamStatus::Ready), (3, UpstreamStatus::Deregistered)], UpstreamStatus::Deregistered)]
-#[case::silent_until_heard(&[(3, UpstreamStatus::Ready), (3, UpstreamStatus::TimedOut), (4, UpstreamStatus::Ready)], UpstreamStatus::Ready)]
-#[case::silent_against_old_news(&[(3, UpstreamStatus::TimedOut), (3, UpstreamStatus::Ready)], UpstreamStatus::TimedOut)]
-fn the_newest_word_holds(
+#[case::deregistered_stays(&[(3, UpstreamStatus::Deregistered), (9, UpstreamStatus::Ready)], UpstreamStatus::Deregistered)]
+#[case::deregistered_beats_a_higher_number(&[(9, UpstreamStatus::Ready), (3, UpstreamStatus::Deregistered)], UpstreamStatus::Deregistered)]
+#[case::timed_out_until_heard(&[(3, UpstreamStatus::Ready), (3, UpstreamStatus::TimedOut), (4, UpstreamStatus::Ready)], UpstreamStatus::Ready)]
+#[case::timed_out_against_an_old_heartbeat(&[(3, UpstreamStatus::TimedOut), (3, UpstreamStatus::Ready)], UpstreamStatus::TimedOut)]
+fn the_newest_registration_wins(
     #[case] steps: &[(u64, UpstreamStatus)],
     #[case] expected: UpstreamStatus,
 ) {
@@ -46,7 +41,7 @@
 
 proptest! {
     #[test]
-    fn machines_that_hear_the_same_agree_whatever_the_order(
+    fn merging_does_not_depend_on_the_order(
         steps in prop::collection::vec((0..6_u64, any_status()), 1..12),
         order in any::<prop::sample::Index>(),
     ) {
@@ -73,11 +68,11 @@
         registry.merge(1_000, registration(2, UpstreamStatus::Ready)),
         MergeOutcome::Stale
     );
-    let cold = Registration {
+    let restarted = Registration {
         slow_start_remaining_ms: 3_000,
         ..registration(3, UpstreamStatus::Ready)
     };
-    assert_eq!(registry.merge(2_000, cold), MergeOutcome::Changed);
+    assert_eq!(registry.merge(2_000, restarted), MergeOutcome::Changed);
     let warming = Registration {
         slow_start_remaining_ms: 2_000,
         ..registration(4, UpstreamStatus::Ready)
@@ -90,7 +85,7 @@
 }
 
 #[test]
-fn only_the_owner_judges_silence_and_only_after_the_time() {
+fn only_the_owner_times_an_upstream_out() {
     let mut registry = Registry::default();
     registry.merge(0, registration(1, UpstreamStatus::Ready));
     assert!(registry.time_out(5_000, 5_000, |_| true).is_empty());
@@ -98,7 +93,7 @@
     assert_eq!(registry.time_out(5_001, 5_000, |_| true).len(), 1);
     assert!(
         registry.time_out(9_000, 5_000, |_| true).is_empty(),
-        "it is told once"
+        "it is reported once"
     );
     registry.merge(9_100, registration(2, UpstreamStatus::Ready));
     assert_eq!(
@@ -108,7 +103,7 @@
 }
 
 #[test]
-fn a_renewal_heard_by_another_machine_counts() {
+fn a_renewal_received_by_another_machine_counts() {
     let mut registry = Registry::default();
     registry.merge(0, registration(1, UpstreamStatus::Ready));
     registry.renew(4_000, "i-1", 5);
@@ -117,7 +112,7 @@
 }
 
 #[test]
-fn what_left_is_forgotten_in_the_end() {
+fn tombstones_expire() {
     let mut registry = Registry::default();
     registry.merge(0, registration(1, UpstreamStatus::Ready));
     registry.deregister(0, "i-1");
@@ -125,34 +120,34 @@
     assert_eq!(
         registry.len(),
         1,
-        "a late heartbeat must not bring it back yet"
+        "a delayed heartbeat must not bring it back yet"
     );
     registry.forget(121_000);
     assert!(registry.is_empty());
 }
 
 #[test]
-fn one_that_left_unknown_is_remembered_and_keeps_what_is_known_of_others() {
+fn a_deregistration_of_an_unknown_upstream_is_remembered() {
     let mut registry = Registry::default();
     assert_eq!(registry.deregister(0, "i-1"), MergeOutcome::Changed);
     assert_eq!(registry.deregister(0, "i-1"), MergeOutcome::Stale);
     assert_eq!(
         registry.merge(10, registration(9, UpstreamStatus::Ready)),
         MergeOutcome::Stale,
-        "a late heartbeat"
+        "a delayed heartbeat"
     );
     assert_eq!(
         registry.get(10, "i-1").unwrap().status,
         UpstreamStatus::Deregistered
     );
-    // What another machine tells of it that did not know it either takes nothing from one that does.
+    // Another machine that knows the upstream keeps what it knows beside the status.
     let departed = registry.get(10, "i-1").unwrap();
     let mut other = Registry::default();
     other.merge(0, registration(9, UpstreamStatus::Ready));
     assert_eq!(other.merge(10, departed), MergeOutcome::Changed);
-    let kept = other.get(10, "i-1").unwrap();
+    let merged = other.get(10, "i-1").unwrap();
     assert_eq!(
-        (kept.status, kept.address.as_str(), kept.sequence),
+        (merged.status, merged.address.as_str(), merged.sequence),
         (UpstreamStatus::Deregistered, "10.0.0.1:80", 9)
     );
 }
@@ -161,7 +156,7 @@
 #[case::fresh(1_000, UpstreamStatus::Ready, UpstreamStatus::Ready)]
 #[case::old(61_000, UpstreamStatus::Ready, UpstreamStatus::TimedOut)]
 #[case::old_and_leaving(61_000, UpstreamStatus::Draining, UpstreamStatus::Draining)]
-fn old_news_of_an_unknown_upstream_is_not_believed(
+fn an_old_registration_of_an_unknown_upstream_counts_as_timed_out(
     #[case] age_ms: u64,
     #[case] status: UpstreamStatus,
     #[case] expected: UpstreamStatus,
@@ -181,171 +176,6 @@
     assert_eq!(
         (heard.status, heard.age_ms),
         (UpstreamStatus::Ready, 0),
-        "its own heartbeat is"
+        "its own heartbeat counts"
     );
 }
-
-fn machines(count: usize) -> Vec<String> {
-    (0..count)
-        .map(|number| format!("10.0.{number}.1:7720"))
-        .collect()
-}
-
-fn owners(machines: &[String]) -> Vec<&str> {
-    (0..SHARDS)
-        .map(|shard| replica_group(shard, machines.iter().map(String::as_str), 3)[0])
-        .collect()
-}
-
-#[test]
-fn shards_are_spread_and_few_move() {
-    let nine = machines(9);
-    let before = owners(&nine);
-    let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-    before
-        .iter()
-        .for_each(|owner| *counts.entry(owner).or_default() += 1);
-    let most = *counts.values().max().unwrap();
-    assert!(
-        most <= 3 * SHARDS as usize / 9,
-        "one machine owns {most} of {SHARDS}"
-    );
-    let lost = &nine[4];
-    let eight: Vec<String> = nine
-        .iter()
-        .filter(|machine| *machine != lost)
-        .cloned()
-        .collect();
-    for (old, new) in before.iter().zip(owners(&eight)) {
-        assert!(
-            old == lost || *old == new,
-            "a shard moved though its owner stayed"
-        );
-    }
-    assert!(shard_of("any") < SHARDS);
-}
-
-#[test]
-fn monitors_are_a_few_and_stay_when_others_go() {
-    let nine = machines(9);
-    let of = |name: &str, machines: &[String]| -> Vec<String> {
-        monitors(name, machines.iter().map(String::as_str), 3)
-            .into_iter()
-            .map(str::to_owned)
-            .collect()
-    };
-    let before = of("front-1", &nine);
-    assert_eq!(before.len(), 3);
-    let other = nine
-        .iter()
-        .find(|machine| !before.contains(machine))
-        .unwrap();
-    let eight: Vec<String> = nine
-        .iter()
-        .filter(|machine| *machine != other)
-        .cloned()
-        .collect();
-    assert_eq!(of("front-1", &eight), before);
-    let used: std::collections::BTreeSet<String> = (0..60)
-        .flat_map(|number| of(&format!("front-{number}"), &nine))
-        .collect();
-    assert!(used.len() >= 7, "few machines monitor all");
-}
-
-fn heartbeat(incarnation: u64, sequence: u64, ready: bool) -> BalancerHeartbeat {
-    let (name, address, zone) = (
-        "front-1".to_owned(),
-        "10.0.0.1:80".to_owned(),
-        "z".to_owned(),
-    );
-    BalancerHeartbeat {
-        name,
-        incarnation,
-        sequence,
-        address,
-        zone,
-        ready,
-    }
-}
-
-#[test]
-fn late_heartbeats_and_clocks_that_step_back_mislead_nobody() {
-    let mut balancers = BalancerTable::default();
-    assert_eq!(
-        balancers.merge(0, heartbeat(10, 5, true)),
-        MergeOutcome::Changed
-    );
-    assert_eq!(
-        balancers.merge(100, heartbeat(10, 4, false)),
-        MergeOutcome::Stale,
-        "late"
-    );
-    assert_eq!(
-        balancers.merge(100, heartbeat(9, 9, false)),
-        MergeOutcome::Stale,
-        "of an earlier process"
-    );
-    assert_eq!(
-        balancers.merge(150, heartbeat(10, 6, true)),
-        MergeOutcome::Renewed
-    );
-    assert_eq!(
-        balancers.merge(200, heartbeat(11, 1, false)),
-        MergeOutcome::Changed
-    );
-    assert_eq!(
-        balancers.merge(2_000, heartbeat(8, 1, true)),
-        MergeOutcome::Changed,
-        "a new process whose clock is behind"
-    );
-    assert_eq!(balancers.alive(2_500, 1_000).count(), 1);
-    assert_eq!(balancers.alive(3_500, 1_000).count(), 0);
-}
-
-#[test]
-fn news_of_another_incarnation_renews_nobody() {
-    let mut balancers = BalancerTable::default();
-    balancers.merge(0, heartbeat(10, 5, true));
-    let news = |incarnation, sequence| BalancerRenewal {
-        name: short_hash("front-1"),
-        incarnation,
-        sequence,
-    };
-    balancers.renew(900, &[news(11, 9)]);
-    balancers.renew(900, &[news(10, 5)]);
-    assert_eq!(balancers.alive(1_100, 1_000).count(), 0);
-    balancers.renew(900, &[news(10, 6)]);
-    assert_eq!(balancers.alive(1_100, 1_000).count(), 1);
-}
-
-fn event(number: u64) -> FeedEvent {
-    FeedEvent::Registered(registration(number, UpstreamStatus::Ready))
-}
-
-#[test]
-fn a_feed_goes_on_from_an_offset_or_begins_anew() {
-    let mut journal = EventJournal::new(7);
-    (1..=5).for_each(|number| journal.append(event(number)));
-    assert_eq!(journal.events_since(7, 3).unwrap(), [event(4), event(5)]);
-    assert!(journal.events_since(7, 5).unwrap().is_empty());
-    assert_eq!(journal.events_since(7, 6), None, "an offset of the future");
-    assert_eq!(journal.events_since(8, 3), None, "another epoch");
-}
-
-#[test]
-fn a_reader_too_far_behind_gets_no_tail() {
-    const BYTES: usize = 600 << 10;
-    let mut journal = EventJournal::new(7);
-    for index in 1..=6 {
-        journal.append(FeedEvent::Committed {
-            index,
-            command: Command::Put {
-                base: 0,
-                body: vec![0; BYTES],
-            },
-        });
-    }
-    assert_eq!(journal.end_offset(), 6);
-    assert_eq!(journal.events_since(7, 0), None);
-    assert_eq!(journal.events_since(7, 5).unwrap().len(), 1);
-}
--- /dev/null
+++ b/crates/control/tests/shards.rs
@@ -0,0 +1,71 @@
+//! Which machines own shards and monitor balancers.
+
+use std::collections::{BTreeMap, BTreeSet};
+use woadstall_control::shards::{SHARDS, monitors, replica_group, shard_of};
+
+fn machines(count: usize) -> Vec<String> {
+    (0..count)
+        .map(|number| format!("10.0.{number}.1:7720"))
+        .collect()
+}
+
+fn owners(machines: &[String]) -> Vec<&str> {
+    (0..SHARDS)
+        .map(|shard| replica_group(shard, machines.iter().map(String::as_str), 3)[0])
+        .collect()
+}
+
+#[test]
+fn shards_are_balanced_and_few_move() {
+    let nine = machines(9);
+    let before = owners(&nine);
+    let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
+    before
+        .iter()
+        .for_each(|owner| *counts.entry(owner).or_default() += 1);
+    let most = *counts.values().max().unwrap();
+    assert!(
+        most <= 3 * SHARDS as usize / 9,
+        "one machine owns {most} of {SHARDS}"
+    );
+    let lost = &nine[4];
+    let eight: Vec<String> = nine
+        .iter()
+        .filter(|machine| *machine != lost)
+        .cloned()
+        .collect();
+    for (old, new) in before.iter().zip(owners(&eight)) {
+        assert!(
+            old == lost || *old == new,
+            "a shard moved though its owner stayed"
+        );
+    }
+    assert!(shard_of("any") < SHARDS);
+}
+
+#[test]
+fn monitors_are_stable_when_other_machines_leave() {
+    let nine = machines(9);
+    let of = |name: &str, machines: &[String]| -> Vec<String> {
+        monitors(name, machines.iter().map(String::as_str), 3)
+            .into_iter()
+            .map(str::to_owned)
+            .collect()
+    };
+    let before = of("front-1", &nine);
+    assert_eq!(before.len(), 3);
+    let other = nine
+        .iter()
+        .find(|machine| !before.contains(machine))
+        .unwrap();
+    let eight: Vec<String> = nine
+        .iter()
+        .filter(|machine| *machine != other)
+        .cloned()
+        .collect();
+    assert_eq!(of("front-1", &eight), before);
+    let used: BTreeSet<String> = (0..60)
+        .flat_map(|number| of(&format!("front-{number}"), &nine))
+        .collect();
+    assert!(used.len() >= 7, "few machines monitor all");
+}
--- /dev/null
+++ b/crates/control/tests/support/mod.rs
@@ -0,0 +1,252 @@
+//! Control machines as tests set them up, and what they send.
+
+#![allow(dead_code, reason = "each test file uses a part of it")]
+
+use woadstall_consensus::{DurableState, Member, Message, MessageBody, Snapshot};
+use woadstall_control::balancers::BalancerHeartbeat;
+use woadstall_control::command::Command;
+use woadstall_control::machine::{
+    Action, CallResponse, ControlMachine, MachineSettings, founding_snapshot,
+};
+use woadstall_control::registry::{Registration, UpstreamStatus};
+use woadstall_control::wire::{MachineInfo, Packet};
+
+/// The incarnation of the process under test.
+pub const INCARNATION: u64 = 77;
+/// The incarnation of an earlier process of its machine.
+pub const FORMER_INCARNATION: u64 = 76;
+/// The term of the leader that [`follower`] follows.
+pub const TERM: u64 = 4;
+/// That leader's clock when the machine's own is 1,000.
+pub const LEADER_CLOCK: u64 = 50_000;
+/// The token of a call.
+pub const TOKEN: u64 = 9;
+
+/// The internal address of a machine.
+pub fn address(id: u64) -> String {
+    format!("10.0.0.{id}:7720")
+}
+
+/// The members of a group with the ids from 1 on.
+pub fn members(count: u64) -> Vec<Member> {
+    (1..=count)
+        .map(|id| Member {
+            id,
+            address: address(id),
+        })
+        .collect()
+}
+
+/// Builds machine 1, in the first zone of its deployment.
+pub struct MachineBuilder {
+    zones: Vec<(String, String)>,
+    founders: u64,
+    tolerated: usize,
+}
+
+impl MachineBuilder {
+    /// A machine in a deployment with one zone that is not a member of any group.
+    pub fn new() -> Self {
+        let zones = vec![("zone-1".to_owned(), "region-1".to_owned())];
+        Self {
+            zones,
+            founders: 0,
+            tolerated: 1,
+        }
+    }
+
+    /// The zones of the deployment, each with its region.
+    pub fn zones(mut self, zones: &[(&str, &str)]) -> Self {
+        let owned = |(zone, region): &(&str, &str)| ((*zone).to_owned(), (*region).to_owned());
+        self.zones = zones.iter().map(owned).collect();
+        self
+    }
+
+    /// The number of machines that have founded the group, this one among them.
+    pub fn founders(mut self, count: u64) -> Self {
+        self.founders = count;
+        self
+    }
+
+    /// The number of machines that may be lost at a time.
+    pub fn tolerated(mut self, count: usize) -> Self {
+        self.tolerated = count;
+        self
+    }
+
+    /// The machine at time 0.
+    pub fn build(self) -> ControlMachine {
+        let (zone, region) = self.zones[0].clone();
+        let member = Member {
+            id: 1,
+            address: address(1),
+        };
+        let settings = MachineSettings {
+            machine: MachineInfo {
+                member,
+                zone,
+                region,
+                control: String::new(),
+            },
+            seeds: (1..=self.founders.max(1)).map(address).collect(),
+            zones: self.zones.into_iter().collect(),
+            heartbeat_ms: 1_200,
+            tolerated: self.tolerated,
+            incarnation: INCARNATION,
+        };
+        let snapshot = match self.founders {
+            0 => Snapshot::default(),
+            count => founding_snapshot(&members(count)),
+        };
+        ControlMachine::new(settings, DurableState::new(1, snapshot), 0, 1)
+    }
+}
+
+/// Machine 1 of three.
+pub fn machine() -> ControlMachine {
+    let mut machine = MachineBuilder::new().founders(3).build();
+    machine.take_actions();
+    machine
+}
+
+/// Machine 1, which follows machine 2 from time 1,000 on.
+pub fn follower() -> ControlMachine {
+    let mut machine = machine();
+    receive_from_leader(&mut machine, 1_000, LEADER_CLOCK);
+    machine
+}
+
+/// Machine 1 as the leader of a term, with its first entry committed.
+pub fn leader() -> ControlMachine {
+    let mut machine = machine();
+    machine.receive_packet(1_000, &address(2), consensus(2, TERM, MessageBody::Elect));
+    persist_all(&mut machine, 1_000);
+    let term = machine.replica().term();
+    let vote = MessageBody::VoteReply {
+        pre: false,
+        granted: true,
+    };
+    machine.receive_packet(1_010, &address(2), consensus(2, term, vote));
+    persist_all(&mut machine, 1_010);
+    let reply = MessageBody::AppendReply {
+        success: true,
+        index: 2,
+        round: 1,
+    };
+    machine.receive_packet(1_020, &address(2), consensus(2, term, reply));
+    persist_all(&mut machine, 1_020);
+    assert!(machine.replica().is_leader() && machine.replica().commit_index() == 2);
+    machine
+}
+
+/// A message of the log to machine 1.
+pub fn consensus(from: u64, term: u64, body: MessageBody) -> Packet {
+    consensus_at(0, from, term, body)
+}
+
+/// The same with the sender's clock.
+pub fn consensus_at(clock: u64, from: u64, term: u64, body: MessageBody) -> Packet {
+    Packet::Consensus {
+        message: Message {
+            from,
+            to: 1,
+            term,
+            body,
+        },
+        clock,
+    }
+}
+
+/// An append without entries behind the founding snapshot.
+pub fn empty_append() -> MessageBody {
+    MessageBody::Append {
+        previous_index: 1,
+        previous_term: 1,
+        entries: Vec::new(),
+        commit: 1,
+        round: 1,
+    }
+}
+
+/// The machine hears from machine 2 as the leader, with that one's clock.
+pub fn receive_from_leader(machine: &mut ControlMachine, now: u64, clock: u64) {
+    let packet = consensus_at(clock, 2, TERM, empty_append());
+    machine.receive_packet(now, &address(2), packet);
+    persist_all(machine, now);
+}
+
+/// Completes all writes to the disk, and returns the other actions.
+pub fn persist_all(machine: &mut ControlMachine, now: u64) -> Vec<Action> {
+    let mut others = Vec::new();
+    loop {
+        let actions = machine.take_actions();
+        if actions.is_empty() {
+            return others;
+        }
+        for action in actions {
+            match action {
+                Action::Persist { sequence, .. } => machine.persisted(now, sequence),
+                Action::PersistRegistrations { number } => {
+                    machine.registrations_persisted(now, number)
+                }
+                other => others.push(other),
+            }
+        }
+    }
+}
+
+/// The responses to calls.
+pub fn responses(actions: &[Action]) -> Vec<&CallResponse> {
+    actions
+        .iter()
+        .filter_map(|action| match action {
+            Action::Respond { response, .. } => Some(response),
+            _ => None,
+        })
+        .collect()
+}
+
+/// The packets to a machine.
+pub fn sent_to(actions: &[Action], id: u64) -> Vec<Packet> {
+    let to = address(id);
+    let packet = |action: &Action| match action {
+        Action::Send { address, packet } if *address == to => Some(packet.clone()),
+        _ => None,
+    };
+    actions.iter().filter_map(packet).collect()
+}
+
+/// A command that evacuates a zone.
+pub fn evacuate() -> Command {
+    Command::Evacuate {
+        zone: "z".to_owned(),
+    }
+}
+
+/// A heartbeat of one upstream with a sequence number.
+pub fn registration(sequence: u64, status: UpstreamStatus) -> Registration {
+    Registration {
+        id: "i-1".to_owned(),
+        service: "s".to_owned(),
+        address: "10.0.0.1:80".to_owned(),
+        zone: "z".to_owned(),
+        capacity: 4,
+        sequence,
+        status,
+        slow_start_remaining_ms: 0,
+        remaining_ms: 0,
+        age_ms: 0,
+    }
+}
+
+/// A heartbeat of a balancer.
+pub fn heartbeat(name: &str, zone: &str) -> BalancerHeartbeat {
+    BalancerHeartbeat {
+        name: name.to_owned(),
+        incarnation: 1,
+        sequence: 1,
+        address: "10.0.0.9:80".to_owned(),
+        zone: zone.to_owned(),
+        ready: true,
+    }
+}
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_repeats_itself_takes_less_and_a_size_that_is_claimed_takes_nothing() {
+fn payloads_are_compressed_and_a_claimed_size_allocates_nothing() {
     let packet = Packet::Events {
         offset: 1,
         events: vec![FeedEvent::Committed {
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_frame_that_is_cut_or_too_long_is_refused() {
+fn a_frame_that_is_truncated_or_too_long_is_refused() {
     for packet in packets() {
         let frame = packet.encode();
         for length in 0..frame.len() {
@@ -320,12 +320,15 @@
 }
 
 #[test]
-fn heads_are_refused_before_anything_is_read() {
-    let mut head: [u8; HEADER_BYTES] = packets()[0].encode()[..HEADER_BYTES].try_into().unwrap();
-    head[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_too_long(payload_length(&head));
+fn invalid_headers_are_refused_before_the_payload_is_read() {
+    let mut header: [u8; HEADER_BYTES] = packets()[0].encode()[..HEADER_BYTES].try_into().unwrap();
+    header[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
+    assert_too_long(payload_length(&header));
     assert!(MAX_FRAME_BYTES < u32::MAX as usize);
-    head[0] = 99;
-    assert!(matches!(payload_length(&head), Err(WireError::Version(99))));
+    header[0] = 99;
+    assert!(matches!(
+        payload_length(&header),
+        Err(WireError::Version(99))
+    ));
     assert_ne!(VERSION, 99);
 }
