--- a/crates/control-simulation/src/cluster/observations.rs
+++ b/crates/control-simulation/src/cluster/observations.rs
@@ -103,8 +103,8 @@
     digest
         .number(durable.id)
         .number(durable.term)
-        .number(durable.vote)
-        .number(durable.commit);
+        .number(durable.voted_for)
+        .number(durable.commit_index);
     digest
         .encoded(durable.log.snapshot())
         .all_encoded(durable.log.entries());
--- a/crates/control/src/machine/commands.rs
+++ b/crates/control/src/machine/commands.rs
@@ -5,6 +5,7 @@
 use crate::command::{Command, CommandOutcome};
 use crate::wire::{CallId, LeaderTime, Packet};
 use nanoserde::SerBin;
+use woadstall_consensus::LogPosition;
 
 /// An entry that this machine proposed as leader, until it is applied.
 #[derive(Clone, Debug)]
@@ -116,7 +117,7 @@
                 return true;
             }
         }
-        let Ok((index, term)) = self.replica.propose(command.serialize_bin()) else {
+        let Ok(LogPosition { index, term }) = self.replica.propose(command.serialize_bin()) else {
             return false;
         };
         self.calls.proposals.insert(
--- a/crates/control/src/machine/leader_clock.rs
+++ b/crates/control/src/machine/leader_clock.rs
@@ -43,6 +43,6 @@
 pub(super) fn is_from_leader(message: &Message) -> bool {
     matches!(
         message.body,
-        MessageBody::Append { .. } | MessageBody::Install { .. }
+        MessageBody::AppendEntriesRequest(_) | MessageBody::InstallSnapshotRequest(_)
     )
 }
--- a/crates/control/tests/commands.rs
+++ b/crates/control/tests/commands.rs
@@ -5,7 +5,7 @@
 use nanoserde::SerBin;
 use rstest::rstest;
 use support::*;
-use woadstall_consensus::{Entry, EntryPayload, MessageBody};
+use woadstall_consensus::{Entry, EntryPayload, LogPosition};
 use woadstall_control::command::{Command, CommandOutcome};
 use woadstall_control::machine::CallResponse;
 use woadstall_control::wire::{CallId, LeaderTime, Packet};
@@ -180,13 +180,7 @@
         term: term + 1,
         payload: EntryPayload::Command(command),
     }];
-    let body = MessageBody::Append {
-        previous_index: 2,
-        previous_term: term,
-        entries,
-        commit: 3,
-        round: 1,
-    };
+    let body = append_entries(LogPosition { index: 2, term }, entries, 3);
     machine.receive_packet(1_200, &address(3), consensus(3, term + 1, body));
     let mut actions = persist_all(&mut machine, 1_200);
     machine.tick(1_250);
@@ -212,11 +206,7 @@
         4,
         "two entries for three calls"
     );
-    let reply = MessageBody::AppendReply {
-        success: true,
-        index: 4,
-        round: 9,
-    };
+    let reply = append_response(4, 9);
     machine.receive_packet(
         1_200,
         &address(2),
@@ -241,11 +231,7 @@
     machine.submit_command(1_110, 2, Command::EndEvacuation { zone: zone() });
     machine.submit_command(1_120, 3, Command::Evacuate { zone: zone() });
     persist_all(&mut machine, 1_120);
-    let reply = MessageBody::AppendReply {
-        success: true,
-        index: 5,
-        round: 9,
-    };
+    let reply = append_response(5, 9);
     machine.receive_packet(
         1_200,
         &address(2),
--- a/crates/control/tests/feeds.rs
+++ b/crates/control/tests/feeds.rs
@@ -4,7 +4,9 @@
 
 use nanoserde::SerBin;
 use support::*;
-use woadstall_consensus::{MessageBody, Snapshot, SnapshotChunk, SnapshotMeta};
+use woadstall_consensus::{
+    InstallSnapshotRequest, MessageBody, Snapshot, SnapshotChunk, SnapshotMeta,
+};
 use woadstall_control::machine::Action;
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::Packet;
@@ -45,17 +47,17 @@
         state: state.encode(),
     };
     let bytes = snapshot.serialize_bin();
-    let head = SnapshotMeta::of(&snapshot, &bytes);
-    let piece = SnapshotChunk {
-        head,
+    let meta = SnapshotMeta::of(&snapshot, &bytes);
+    let chunk = SnapshotChunk {
+        meta,
         offset: 0,
         bytes,
     };
-    machine.receive_packet(
-        1_100,
-        &address(2),
-        consensus(2, TERM, MessageBody::Install { piece, round: 1 }),
-    );
+    let install = MessageBody::InstallSnapshotRequest(InstallSnapshotRequest {
+        chunk,
+        heartbeat_round: 1,
+    });
+    machine.receive_packet(1_100, &address(2), consensus(2, TERM, install));
     machine.take_actions();
     machine.subscribe(1_200, 3, &subscribe(epoch, offset));
     machine.tick(1_250);
--- a/crates/control/tests/read_index.rs
+++ b/crates/control/tests/read_index.rs
@@ -5,7 +5,7 @@
 use nanoserde::SerBin;
 use rstest::rstest;
 use support::*;
-use woadstall_consensus::{Entry, EntryPayload, MessageBody};
+use woadstall_consensus::{AppendEntriesRequest, Entry, EntryPayload, MessageBody};
 use woadstall_control::command::Command;
 use woadstall_control::machine::{CallResponse, ControlMachine};
 use woadstall_control::wire::{CallId, Packet};
@@ -27,13 +27,12 @@
             payload: EntryPayload::Command(command),
         },
     ];
-    let body = MessageBody::Append {
-        previous_index: 1,
-        previous_term: 1,
+    let body = MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+        previous: FOUNDING_POSITION,
         entries,
-        commit: 3,
-        round: 2,
-    };
+        leader_commit: 3,
+        heartbeat_round: 2,
+    });
     let append = consensus_at(LEADER_CLOCK + 5, 2, TERM, body);
     machine.receive_packet(1_005, &address(2), append);
     persist_all(&mut machine, 1_005);
@@ -125,14 +124,7 @@
     machine.read_configuration(1_110, TOKEN + 1);
     persist_all(&mut machine, 1_110);
     // The other machines confirm the leader; their disks are slow.
-    let reply = |index| {
-        let body = MessageBody::AppendReply {
-            success: true,
-            index,
-            round: 9,
-        };
-        consensus(2, term, body)
-    };
+    let reply = |last_index| consensus(2, term, append_response(last_index, 9));
     machine.receive_packet(1_200, &address(2), reply(2));
     let actions = persist_all(&mut machine, 1_200);
     assert!(
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -2,7 +2,10 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use woadstall_consensus::{DurableState, Member, Message, MessageBody, Snapshot};
+use woadstall_consensus::{
+    AppendEntriesRequest, AppendEntriesResponse, DurableState, Entry, LogPosition, Member, Message,
+    MessageBody, Snapshot, VoteResponse,
+};
 use woadstall_control::balancers::BalancerHeartbeat;
 use woadstall_control::command::Command;
 use woadstall_control::machine::{
@@ -19,6 +22,8 @@
 pub const TERM: u64 = 4;
 /// That leader's clock when the machine's own is 1,000.
 pub const LEADER_CLOCK: u64 = 50_000;
+/// The position of the founding snapshot.
+pub const FOUNDING_POSITION: LogPosition = LogPosition { index: 1, term: 1 };
 /// The token of a call.
 pub const TOKEN: u64 = 9;
 
@@ -119,20 +124,20 @@
 /// Machine 1 as the leader of a term, with its first entry committed.
 pub fn leader() -> ControlMachine {
     let mut machine = machine();
-    machine.receive_packet(1_000, &address(2), consensus(2, TERM, MessageBody::Elect));
+    machine.receive_packet(
+        1_000,
+        &address(2),
+        consensus(2, TERM, MessageBody::TimeoutNow),
+    );
     persist_all(&mut machine, 1_000);
     let term = machine.replica().term();
-    let vote = MessageBody::VoteReply {
-        pre: false,
+    let vote = MessageBody::VoteResponse(VoteResponse {
+        pre_vote: false,
         granted: true,
-    };
+    });
     machine.receive_packet(1_010, &address(2), consensus(2, term, vote));
     persist_all(&mut machine, 1_010);
-    let reply = MessageBody::AppendReply {
-        success: true,
-        index: 2,
-        round: 1,
-    };
+    let reply = append_response(2, 1);
     machine.receive_packet(1_020, &address(2), consensus(2, term, reply));
     persist_all(&mut machine, 1_020);
     assert!(machine.replica().is_leader() && machine.replica().commit_index() == 2);
@@ -159,13 +164,30 @@
 
 /// An append without entries behind the founding snapshot.
 pub fn empty_append() -> MessageBody {
-    MessageBody::Append {
-        previous_index: 1,
-        previous_term: 1,
-        entries: Vec::new(),
-        commit: 1,
-        round: 1,
-    }
+    append_entries(FOUNDING_POSITION, Vec::new(), 1)
+}
+
+/// An append of entries behind a position, with the leader's commit index.
+pub fn append_entries(
+    previous: LogPosition,
+    entries: Vec<Entry>,
+    leader_commit: u64,
+) -> MessageBody {
+    MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+        previous,
+        entries,
+        leader_commit,
+        heartbeat_round: 1,
+    })
+}
+
+/// A follower's response: it has the leader's log up to an index.
+pub fn append_response(last_index: u64, heartbeat_round: u64) -> MessageBody {
+    MessageBody::AppendEntriesResponse(AppendEntriesResponse {
+        success: true,
+        last_index,
+        heartbeat_round,
+    })
 }
 
 /// The machine hears from machine 2 as the leader, with that one's clock.
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,7 +1,9 @@
 //! Frames: each packet round-trips, and each change of a byte is refused with a typed error.
 
 use woadstall_consensus::{
-    Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
+    AppendEntriesRequest, AppendEntriesResponse, Entry, EntryPayload, InstallSnapshotRequest,
+    InstallSnapshotResponse, LogPosition, Member, Membership, Message, MessageBody, SnapshotChunk,
+    SnapshotMeta, VoteRequest, VoteResponse,
 };
 use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal};
 use woadstall_control::command::{Command, CommandOutcome};
@@ -173,47 +175,51 @@
 }
 
 fn log_packets() -> Vec<Packet> {
-    let head = SnapshotMeta {
-        index: 3,
-        term: 1,
+    let meta = SnapshotMeta {
+        last_log: LogPosition { index: 3, term: 1 },
         size: 20,
         checksum: 7,
     };
-    let piece = SnapshotChunk {
-        head,
+    let chunk = SnapshotChunk {
+        meta,
         offset: 0,
         bytes: vec![9; 20],
     };
     vec![
-        consensus(MessageBody::Vote {
-            pre: true,
-            last_index: 1,
-            last_term: 1,
-            transfer: false,
-        }),
-        consensus(MessageBody::VoteReply {
-            pre: false,
+        consensus(MessageBody::VoteRequest(VoteRequest {
+            pre_vote: true,
+            last_log: LogPosition { index: 1, term: 1 },
+            leadership_transfer: false,
+        })),
+        consensus(MessageBody::VoteResponse(VoteResponse {
+            pre_vote: false,
             granted: true,
-        }),
-        consensus(MessageBody::Append {
-            previous_index: 0,
-            previous_term: 0,
+        })),
+        consensus(MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+            previous: LogPosition { index: 0, term: 0 },
             entries: log_entries(),
-            commit: 1,
-            round: 9,
-        }),
-        consensus(MessageBody::AppendReply {
+            leader_commit: 1,
+            heartbeat_round: 9,
+        })),
+        consensus(MessageBody::AppendEntriesResponse(AppendEntriesResponse {
             success: true,
-            index: 3,
-            round: 9,
-        }),
-        consensus(MessageBody::Install { piece, round: 9 }),
-        consensus(MessageBody::InstallReply {
-            head,
-            received: 20,
-            round: 9,
-        }),
-        consensus(MessageBody::Elect),
+            last_index: 3,
+            heartbeat_round: 9,
+        })),
+        consensus(MessageBody::InstallSnapshotRequest(
+            InstallSnapshotRequest {
+                chunk,
+                heartbeat_round: 9,
+            },
+        )),
+        consensus(MessageBody::InstallSnapshotResponse(
+            InstallSnapshotResponse {
+                meta,
+                received_bytes: 20,
+                heartbeat_round: 9,
+            },
+        )),
+        consensus(MessageBody::TimeoutNow),
     ]
 }
 
