--- a/crates/control-simulation/src/cluster/clients.rs
+++ b/crates/control-simulation/src/cluster/clients.rs
@@ -7,7 +7,7 @@
 use woadstall_control::command::Command;
 use woadstall_control::machine::ControlMachine;
 use woadstall_control::registry::Registration;
-use woadstall_control::wire::Packet;
+use woadstall_control::wire::SubscribeRequest;
 
 /// The name of all simulated balancers.
 const BALANCER_NAME: &str = "front";
@@ -82,15 +82,15 @@
 
     /// A balancer subscribes to a process's feed from where it has read so far.
     pub fn resubscribe(&mut self, node: NodeIndex, subscriber: u64, balancer: Balancer) {
-        let packet = Packet::Subscribe {
+        let request = SubscribeRequest {
             balancer: BALANCER_NAME.to_owned(),
             epoch: balancer.epoch,
             offset: balancer.offset,
-            index: balancer.state.index,
+            applied: balancer.state.index,
         };
         self.nodes[node].balancers.insert(subscriber, balancer);
         self.call(node, |process, now_ms, _| {
-            process.subscribe(now_ms, subscriber, &packet)
+            process.subscribe(now_ms, subscriber, request)
         });
     }
 
--- a/crates/control/src/machine/feeds.rs
+++ b/crates/control/src/machine/feeds.rs
@@ -5,7 +5,7 @@
 use crate::feed::{EventJournal, FeedEvent};
 use crate::shards::short_hash;
 use crate::state::ControlState;
-use crate::wire::{Packet, ZoneBalancers};
+use crate::wire::{Packet, SubscribeRequest, ZoneBalancers};
 use std::collections::BTreeMap;
 
 /// The time in milliseconds for which a balancer counts among those that share budgets after it was
@@ -58,20 +58,16 @@
 impl ControlMachine {
     /// A balancer subscribes on a connection. One that needs a snapshot gets it with the next tick,
     /// together with others: when many come back at once, it is made and encoded once.
-    pub fn subscribe(&mut self, now: u64, subscriber: u64, packet: &Packet) {
+    pub fn subscribe(&mut self, now: u64, subscriber: u64, request: SubscribeRequest) {
         self.advance_clock(now);
-        let Packet::Subscribe {
+        self.deliver_events();
+        let SubscribeRequest {
             balancer,
             epoch,
             offset,
-            index,
-        } = packet
-        else {
-            return;
-        };
-        self.deliver_events();
-        let balancer = balancer.clone();
-        match self.feeds.journal.events_since(*epoch, *offset) {
+            applied,
+        } = request;
+        match self.feeds.journal.events_since(epoch, offset) {
             Some(events) => {
                 let offset = self.feeds.journal.end_offset();
                 self.feeds
@@ -83,7 +79,7 @@
                 let pending = PendingSubscriber {
                     subscriber,
                     balancer,
-                    applied: *index,
+                    applied,
                 };
                 self.feeds.pending.push(pending);
             }
--- a/crates/control/src/machine/packets.rs
+++ b/crates/control/src/machine/packets.rs
@@ -45,7 +45,7 @@
             Packet::BalancerHeartbeat(heartbeat) => self.receive_heartbeat(now, heartbeat),
             Packet::LoadReport(report) => self.load_reports.record(self.now, report),
             // These go to balancers only, or come over a connection that is handled by `subscribe`.
-            Packet::Subscribe { .. }
+            Packet::Subscribe(_)
             | Packet::Snapshot { .. }
             | Packet::Events { .. }
             | Packet::MachineStatus { .. }
--- a/crates/control/src/wire/mod.rs
+++ b/crates/control/src/wire/mod.rs
@@ -7,4 +7,6 @@
 pub use frame::{
     HEADER_BYTES, MAX_FRAME_BYTES, VERSION, WireError, decode_frame, encode_frame, payload_length,
 };
-pub use packet::{CallId, LeaderTime, MachineInfo, Packet, Renewal, ZoneBalancers};
+pub use packet::{
+    CallId, LeaderTime, MachineInfo, Packet, Renewal, SubscribeRequest, ZoneBalancers,
+};
--- a/crates/control/src/wire/packet.rs
+++ b/crates/control/src/wire/packet.rs
@@ -111,16 +111,7 @@
         index: Option<u64>,
     },
     /// A balancer subscribes to the change feed.
-    Subscribe {
-        /// Its name.
-        balancer: String,
-        /// The epoch of the journal that it has read, or 0.
-        epoch: u64,
-        /// The offset behind what it has read.
-        offset: u64,
-        /// The position of the configuration's log that it has applied.
-        index: u64,
-    },
+    Subscribe(SubscribeRequest),
     /// All that a balancer needs to begin with.
     Snapshot {
         /// The epoch of the journal.
@@ -157,6 +148,19 @@
     FleetLoads(FleetLoads),
 }
 
+/// A balancer's request for the change feed from where it left off.
+#[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
+pub struct SubscribeRequest {
+    /// The balancer's name.
+    pub balancer: String,
+    /// The epoch of the journal that it has read, or 0.
+    pub epoch: u64,
+    /// The offset behind the last event that it has read.
+    pub offset: u64,
+    /// The position up to which it has applied the configuration's log.
+    pub applied: u64,
+}
+
 /// A heartbeat of an upstream without changes.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Renewal {
--- a/crates/control/tests/feeds.rs
+++ b/crates/control/tests/feeds.rs
@@ -9,19 +9,19 @@
 };
 use woadstall_control::machine::Action;
 use woadstall_control::state::ControlState;
-use woadstall_control::wire::Packet;
+use woadstall_control::wire::{Packet, SubscribeRequest};
 
 #[test]
 fn a_balancer_that_reconnects_after_a_restored_snapshot_gets_a_snapshot() {
     let mut machine = machine();
-    let subscribe = |epoch, offset| Packet::Subscribe {
+    let subscribe = |epoch, offset| SubscribeRequest {
         balancer: "front".to_owned(),
         epoch,
         offset,
-        index: 0,
+        applied: 0,
     };
-    machine.subscribe(1_000, 1, &subscribe(0, 0));
-    machine.subscribe(1_000, 2, &subscribe(0, 0));
+    machine.subscribe(1_000, 1, subscribe(0, 0));
+    machine.subscribe(1_000, 2, subscribe(0, 0));
     machine.tick(1_050);
     let first = machine
         .take_actions()
@@ -59,7 +59,7 @@
     });
     machine.receive_packet(1_100, &address(2), consensus(2, TERM, install));
     machine.take_actions();
-    machine.subscribe(1_200, 3, &subscribe(epoch, offset));
+    machine.subscribe(1_200, 3, subscribe(epoch, offset));
     machine.tick(1_250);
     let delivered = machine
         .take_actions()
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -21,8 +21,8 @@
 use woadstall_control::shards::{monitors, replica_group, shard_of, short_hash};
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::{
-    CallId, HEADER_BYTES, LeaderTime, MAX_FRAME_BYTES, MachineInfo, Packet, Renewal, VERSION,
-    ZoneBalancers, decode_frame, encode_frame,
+    CallId, HEADER_BYTES, LeaderTime, MAX_FRAME_BYTES, MachineInfo, Packet, Renewal,
+    SubscribeRequest, VERSION, ZoneBalancers, decode_frame, encode_frame,
 };
 
 const FRAMES: &str = include_str!("golden/frames.txt");
@@ -191,7 +191,7 @@
 #[case::read("read", Packet::ReadIndexRequest { call: CALL })]
 #[case::read_done("read_done", Packet::ReadIndexReply { call: CALL, index: Some(4) })]
 #[case::read_done_unclear("read_done_unclear", Packet::ReadIndexReply { call: CALL, index: None })]
-#[case::subscribe("subscribe", Packet::Subscribe { balancer: text("front-1"), epoch: 1, offset: 2, index: 3 })]
+#[case::subscribe("subscribe", Packet::Subscribe(SubscribeRequest { balancer: text("front-1"), epoch: 1, offset: 2, applied: 3 }))]
 #[case::snapshot("snapshot", Packet::Snapshot {
     epoch: 1,
     offset: 2,
--- a/crates/control/tests/load_notices.rs
+++ b/crates/control/tests/load_notices.rs
@@ -5,7 +5,7 @@
 use support::{MachineBuilder, heartbeat};
 use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, UpstreamLoad};
 use woadstall_control::machine::{Action, ControlMachine};
-use woadstall_control::wire::Packet;
+use woadstall_control::wire::{Packet, SubscribeRequest};
 
 fn machine() -> ControlMachine {
     MachineBuilder::new()
@@ -21,11 +21,11 @@
         machine.subscribe(
             0,
             number,
-            &Packet::Subscribe {
+            SubscribeRequest {
                 balancer,
                 epoch: 0,
                 offset: 0,
-                index: 0,
+                applied: 0,
             },
         );
     }
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -11,8 +11,8 @@
 use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, PrefixPlacement, UpstreamLoad};
 use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::wire::{
-    CallId, HEADER_BYTES, LeaderTime, MAX_FRAME_BYTES, MachineInfo, Packet, Renewal, VERSION,
-    WireError, ZoneBalancers, payload_length,
+    CallId, HEADER_BYTES, LeaderTime, MAX_FRAME_BYTES, MachineInfo, Packet, Renewal,
+    SubscribeRequest, VERSION, WireError, ZoneBalancers, payload_length,
 };
 
 fn member() -> Member {
@@ -275,12 +275,12 @@
         command: command(b"{}".to_vec()),
     };
     vec![
-        Packet::Subscribe {
+        Packet::Subscribe(SubscribeRequest {
             balancer: "front-1".to_owned(),
             epoch: 1,
             offset: 2,
-            index: 3,
-        },
+            applied: 3,
+        }),
         Packet::Snapshot {
             epoch: 1,
             offset: 2,
--- a/crates/node/src/core/event.rs
+++ b/crates/node/src/core/event.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Instant;
 use tokio::sync::mpsc::UnboundedSender;
-use woadstall_control::wire::Packet;
+use woadstall_control::wire::{Packet, SubscribeRequest};
 
 /// The sending end of the process's event queue.
 pub(super) type EventSender = UnboundedSender<Event>;
@@ -27,7 +27,7 @@
         /// The number of its connection.
         subscriber: u64,
         /// Its request.
-        packet: Packet,
+        request: SubscribeRequest,
         /// Where frames for it go.
         queue: FrameSender,
     },
--- a/crates/node/src/core/listener.rs
+++ b/crates/node/src/core/listener.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
-use woadstall_control::wire::Packet;
+use woadstall_control::wire::{Packet, SubscribeRequest};
 
 /// Limits of a subscriber's queue.
 const MAX_QUEUED_FRAMES: usize = 512;
@@ -51,12 +51,12 @@
     stream.set_nodelay(true)?;
     enable_dead_peer_detection(&stream, packet_stream::USER_TIMEOUT)?;
     let first = timeout(FIRST_PACKET_TIMEOUT, read_packet(&mut stream)).await??;
-    match &first {
-        Packet::Hello { machine, .. } => {
+    match first {
+        Packet::Hello { ref machine, .. } => {
             let peer = machine.member.address.clone();
             receive_packets(peer, first, &mut stream, &events).await
         }
-        Packet::Subscribe { .. } => serve_subscriber(number, first, &mut stream, &events).await,
+        Packet::Subscribe(request) => serve_subscriber(number, request, &mut stream, &events).await,
         _ => Err(io::Error::new(
             ErrorKind::InvalidData,
             "neither a machine nor a balancer",
@@ -82,14 +82,14 @@
 
 async fn serve_subscriber(
     number: u64,
-    request: Packet,
+    request: SubscribeRequest,
     stream: &mut TcpStream,
     events: &EventSender,
 ) -> io::Result<()> {
     let (queue, mut frames) = frame_queue(MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES);
     let subscribe = Event::Subscribe {
         subscriber: number,
-        packet: request,
+        request,
         queue,
     };
     events.send(subscribe).ok();
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -163,11 +163,11 @@
             Event::Packet { from, packet } => self.machine.receive_packet(now, &from, packet),
             Event::Subscribe {
                 subscriber,
-                packet,
+                request,
                 queue,
             } => {
                 self.subscribers.insert(subscriber, queue);
-                self.machine.subscribe(now, subscriber, &packet);
+                self.machine.subscribe(now, subscriber, request);
             }
             Event::Unsubscribe(subscriber) => self.unsubscribe(subscriber),
             Event::RecordsPersisted(sequence) => self.machine.persisted(now, sequence),
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -13,7 +13,7 @@
 use woadstall_control::feed::FeedEvent;
 use woadstall_control::shards::hash;
 use woadstall_control::state::ControlState;
-use woadstall_control::wire::{MachineInfo, Packet};
+use woadstall_control::wire::{MachineInfo, Packet, SubscribeRequest};
 use woadstall_inbound::lock;
 
 /// Feeds that are read at a time.
@@ -105,12 +105,12 @@
     position: &mut Position,
 ) -> io::Result<()> {
     let mut stream: TcpStream = packet_stream::connect(address).await?;
-    let subscribe = Packet::Subscribe {
+    let subscribe = Packet::Subscribe(SubscribeRequest {
         balancer: front.settings.node.clone(),
         epoch: position.epoch,
         offset: position.offset,
-        index: front.applied_index(),
-    };
+        applied: front.applied_index(),
+    });
     write_packet(&mut stream, &subscribe).await?;
     let mut without_quorum = 0;
     loop {
