--- a/crates/control-simulation/src/cluster/checks.rs
+++ b/crates/control-simulation/src/cluster/checks.rs
@@ -6,7 +6,7 @@
 use crate::invariants::{Violation, has_generation};
 use std::collections::BTreeMap;
 use woadstall_consensus::Member;
-use woadstall_control::registry::Status;
+use woadstall_control::registry::UpstreamStatus;
 
 impl Cluster {
     /// A configuration that is acknowledged is on the disks of a quorum.
@@ -50,7 +50,7 @@
             return;
         };
         let registrations = process.registrations().into_iter();
-        let statuses: BTreeMap<String, Status> = registrations
+        let statuses: BTreeMap<String, UpstreamStatus> = registrations
             .map(|registration| (registration.id, registration.status))
             .collect();
         self.invariants.check_acknowledged(node, &statuses);
--- a/crates/control-simulation/src/cluster/clients.rs
+++ b/crates/control-simulation/src/cluster/clients.rs
@@ -5,9 +5,9 @@
 use crate::balancer::Balancer;
 use crate::history::Input;
 use woadstall_control::command::Command;
-use woadstall_control::machine::Machine;
+use woadstall_control::machine::ControlMachine;
 use woadstall_control::registry::Registration;
-use woadstall_control::wire::Packet;
+use woadstall_control::wire::SubscribeRequest;
 
 /// The name of all simulated balancers.
 const BALANCER_NAME: &str = "front";
@@ -15,7 +15,11 @@
 impl Cluster {
     /// Calls a process with the time in milliseconds and a new token, which it returns. Nothing happens where no process runs
     /// or it is paused.
-    pub fn call(&mut self, node: NodeIndex, call: impl FnOnce(&mut Machine, u64, u64)) -> u64 {
+    pub fn call(
+        &mut self,
+        node: NodeIndex,
+        call: impl FnOnce(&mut ControlMachine, u64, u64),
+    ) -> u64 {
         self.last_token += 1;
         let (now_ms, token) = (self.now_ms, self.last_token);
         if self.is_paused(node) {
@@ -38,7 +42,7 @@
         self.history
             .invoke(self.next_token(), self.now_ms, Input::of(&command));
         self.call(node, |process, now_ms, token| {
-            process.order(now_ms, token, command)
+            process.submit_command(now_ms, token, command)
         })
     }
 
@@ -46,12 +50,14 @@
     pub fn read(&mut self, node: NodeIndex) -> u64 {
         self.history
             .invoke(self.next_token(), self.now_ms, Input::Read);
-        self.call(node, |process, now_ms, token| process.read(now_ms, token))
+        self.call(node, |process, now_ms, token| {
+            process.read_configuration(now_ms, token)
+        })
     }
 
     /// An upstream sends a heartbeat. Returns the token of the request.
     pub fn register(&mut self, node: NodeIndex, registration: Registration) -> u64 {
-        if registration.status.is_leaving() {
+        if registration.status.is_terminating() {
             self.draining_requests
                 .insert(self.next_token(), registration.id.clone());
         }
@@ -76,15 +82,15 @@
 
     /// A balancer subscribes to a process's feed from where it has read so far.
     pub fn resubscribe(&mut self, node: NodeIndex, subscriber: u64, balancer: Balancer) {
-        let packet = Packet::Subscribe {
+        let request = SubscribeRequest {
             balancer: BALANCER_NAME.to_owned(),
             epoch: balancer.epoch,
             offset: balancer.offset,
-            index: balancer.state.index,
+            applied: balancer.state.index,
         };
         self.nodes[node].balancers.insert(subscriber, balancer);
         self.call(node, |process, now_ms, _| {
-            process.subscribe(now_ms, subscriber, &packet)
+            process.subscribe(now_ms, subscriber, request)
         });
     }
 
--- a/crates/control-simulation/src/scenario/client.rs
+++ b/crates/control-simulation/src/scenario/client.rs
@@ -5,8 +5,8 @@
 use crate::cluster::Cluster;
 use std::collections::BTreeSet;
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
-use woadstall_control::registry::Status;
+use woadstall_control::machine::CallResponse;
+use woadstall_control::registry::UpstreamStatus;
 
 /// A configuration that was submitted.
 #[derive(Clone, Copy, Debug)]
@@ -32,8 +32,8 @@
     pub(super) fn read_responses(&mut self, cluster: &Cluster) {
         for Submitted { token, generation } in &self.submitted {
             let known = match cluster.responses.get(token) {
-                Some(Answer::Done) => *generation,
-                Some(Answer::Conflict { current }) => *current,
+                Some(CallResponse::Acknowledged) => *generation,
+                Some(CallResponse::Conflict { current }) => *current,
                 _ => continue,
             };
             self.newest_generation = self.newest_generation.max(known);
@@ -77,7 +77,7 @@
         let id = upstream_id(upstream, step);
         // An upstream that drains says nothing else any more.
         if !self.draining.contains(&id) {
-            cluster.register(node, registration(&id, step, Status::Ready));
+            cluster.register(node, registration(&id, step, UpstreamStatus::Ready));
         }
     }
 
@@ -90,7 +90,7 @@
     ) {
         let id = upstream_id(upstream, step);
         self.draining.insert(id.clone());
-        cluster.register(node, registration(&id, step, Status::Draining));
+        cluster.register(node, registration(&id, step, UpstreamStatus::Draining));
     }
 
     pub(super) fn deregister(
--- a/crates/control-simulation/tests/catch_up.rs
+++ b/crates/control-simulation/tests/catch_up.rs
@@ -4,7 +4,7 @@
 
 use common::{ClusterBuilder, assert_sound, commit, commit_at, read_generation};
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 use woadstall_control_simulation::network::{NetworkConditions, STEADY};
 use woadstall_control_simulation::scenario::fixtures::{configuration, put};
 
@@ -24,7 +24,7 @@
             let token = cluster.submit(node, put(generation, generation + 2));
             let time = cluster.random.u64(50..500);
             cluster.run(time);
-            if cluster.responses.get(&token) == Some(&Answer::Done) {
+            if cluster.responses.get(&token) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
             if cluster.random.u8(..6) == 0 {
--- a/crates/control-simulation/tests/upstreams.rs
+++ b/crates/control-simulation/tests/upstreams.rs
@@ -4,8 +4,8 @@
 
 use common::{CATCH_UP_MS, CLIENT_TIMEOUT_MS, ClusterBuilder, assert_sound};
 use rstest::rstest;
-use woadstall_control::machine::Answer;
-use woadstall_control::registry::Status;
+use woadstall_control::machine::CallResponse;
+use woadstall_control::registry::UpstreamStatus;
 use woadstall_control_simulation::scenario::fixtures::registration;
 
 /// Seeds of each test.
@@ -15,22 +15,29 @@
 fn draining_is_acknowledged_by_a_majority_and_reaches_all_balancers() {
     let mut cluster = ClusterBuilder::new(4).with_balancers().build();
     cluster.call(0, |process, now_ms, token| {
-        process.register(now_ms, token, registration("i-1", 1, Status::Ready))
+        process.register(now_ms, token, registration("i-1", 1, UpstreamStatus::Ready))
     });
     cluster.run(500);
     let token = cluster.call(2, |process, now_ms, token| {
-        process.register(now_ms, token, registration("i-1", 2, Status::Draining));
+        process.register(
+            now_ms,
+            token,
+            registration("i-1", 2, UpstreamStatus::Draining),
+        );
     });
     assert!(
         !cluster.responses.contains_key(&token),
         "nobody else has it yet"
     );
     cluster.run(300);
-    assert_eq!(cluster.responses.get(&token), Some(&Answer::Done));
+    assert_eq!(
+        cluster.responses.get(&token),
+        Some(&CallResponse::Acknowledged)
+    );
     for node in 0..3 {
         assert_eq!(
             cluster.balancer(node, 1).statuses.get("i-1"),
-            Some(&Status::Draining)
+            Some(&UpstreamStatus::Draining)
         );
     }
 }
@@ -41,41 +48,56 @@
     cluster.isolate(1);
     cluster.run(100);
     let token = cluster.call(1, |process, now_ms, token| {
-        process.register(now_ms, token, registration("i-1", 1, Status::Draining));
+        process.register(
+            now_ms,
+            token,
+            registration("i-1", 1, UpstreamStatus::Draining),
+        );
     });
     cluster.run(1_500);
-    assert_eq!(cluster.responses.get(&token), Some(&Answer::Unclear));
+    assert_eq!(
+        cluster.responses.get(&token),
+        Some(&CallResponse::Indeterminate)
+    );
     // Once the partition ends, the others learn of it all the same.
     cluster.heal();
     cluster.run(1_000);
     let known = cluster.process(0).unwrap().registrations();
-    assert_eq!(known[0].status, Status::Draining);
+    assert_eq!(known[0].status, UpstreamStatus::Draining);
 }
 
 #[test]
 fn a_missed_heartbeat_is_judged_by_one_node_and_known_to_all() {
     let mut cluster = ClusterBuilder::new(6).build();
     cluster.call(0, |process, now_ms, token| {
-        process.register(now_ms, token, registration("i-1", 1, Status::Ready))
+        process.register(now_ms, token, registration("i-1", 1, UpstreamStatus::Ready))
     });
     cluster.call(0, |process, now_ms, token| {
-        process.register(now_ms, token, registration("i-2", 1, Status::Ready))
+        process.register(now_ms, token, registration("i-2", 1, UpstreamStatus::Ready))
     });
     for sequence in 2..8 {
         cluster.run(1_200);
         cluster.call(1, |process, now_ms, token| {
-            process.register(now_ms, token, registration("i-2", sequence, Status::Ready));
+            process.register(
+                now_ms,
+                token,
+                registration("i-2", sequence, UpstreamStatus::Ready),
+            );
         });
     }
     for node in 0..3 {
-        let statuses: Vec<Status> = cluster
+        let statuses: Vec<UpstreamStatus> = cluster
             .process(node)
             .unwrap()
             .registrations()
             .iter()
             .map(|upstream| upstream.status)
             .collect();
-        assert_eq!(statuses, [Status::Silent, Status::Ready], "node {node}");
+        assert_eq!(
+            statuses,
+            [UpstreamStatus::TimedOut, UpstreamStatus::Ready],
+            "node {node}"
+        );
     }
 }
 
@@ -83,7 +105,7 @@
 fn a_restarted_node_learns_all_upstreams_from_its_peers() {
     let mut cluster = ClusterBuilder::new(7).build();
     cluster.call(0, |process, now_ms, token| {
-        process.register(now_ms, token, registration("i-1", 1, Status::Ready))
+        process.register(now_ms, token, registration("i-1", 1, UpstreamStatus::Ready))
     });
     cluster.run(500);
     cluster.stop(1);
@@ -101,17 +123,17 @@
     for seed in 0..SEEDS {
         for wiped in 0..3 {
             let mut cluster = ClusterBuilder::new(seed).build();
-            cluster.register(0, registration("i-1", 1, Status::Ready));
+            cluster.register(0, registration("i-1", 1, UpstreamStatus::Ready));
             cluster.run(1_000);
             let at = cluster.random.usize(..3);
             let token = match drains {
-                true => cluster.register(at, registration("i-1", 2, Status::Draining)),
+                true => cluster.register(at, registration("i-1", 2, UpstreamStatus::Draining)),
                 false => cluster.deregister(at, "i-1"),
             };
             while !cluster.responses.contains_key(&token) {
                 cluster.run(10);
             }
-            assert_eq!(cluster.responses[&token], Answer::Done);
+            assert_eq!(cluster.responses[&token], CallResponse::Acknowledged);
             (0..3)
                 .filter(|node| *node != wiped)
                 .for_each(|node| cluster.crash(node));
@@ -121,7 +143,7 @@
             for node in 0..3 {
                 let known = cluster.process(node).unwrap().registrations();
                 assert!(
-                    known[0].status.is_leaving(),
+                    known[0].status.is_terminating(),
                     "seed {seed}: node {node} has {:?}",
                     known[0].status
                 );
@@ -144,7 +166,7 @@
             cluster.stop(1);
         }
         cluster.run(3_000);
-        cluster.register(0, registration("i-1", 1, Status::Ready));
+        cluster.register(0, registration("i-1", 1, UpstreamStatus::Ready));
         cluster.run(1_000);
         if !is_isolated {
             cluster.start(1);
@@ -154,7 +176,7 @@
         if is_isolated {
             assert_eq!(
                 cluster.responses.get(&token),
-                Some(&Answer::Unclear),
+                Some(&CallResponse::Indeterminate),
                 "seed {seed}"
             );
             cluster.heal();
@@ -162,12 +184,16 @@
         cluster.run(2_000);
         for node in 0..3 {
             let known = cluster.process(node).unwrap().registrations();
-            assert_eq!(known[0].status, Status::Gone, "seed {seed}, node {node}");
+            assert_eq!(
+                known[0].status,
+                UpstreamStatus::Deregistered,
+                "seed {seed}, node {node}"
+            );
         }
         for node in [0, 2] {
             assert_eq!(
                 cluster.balancer(node, 1).statuses["i-1"],
-                Status::Gone,
+                UpstreamStatus::Deregistered,
                 "seed {seed}"
             );
         }
--- a/crates/node/src/core/datagrams.rs
+++ b/crates/node/src/core/datagrams.rs
@@ -22,7 +22,7 @@
             }
         };
         match Packet::decode_datagram(&buffer[..length]) {
-            Ok(packet @ (Packet::Heartbeat(_) | Packet::Load(_))) => {
+            Ok(packet @ (Packet::BalancerHeartbeat(_) | Packet::LoadReport(_))) => {
                 let from = from.to_string();
                 if events.send(Event::Packet { from, packet }).is_err() {
                     return;
--- a/crates/node/src/core/golden_tests.rs
+++ b/crates/node/src/core/golden_tests.rs
@@ -15,13 +15,15 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use woadstall_consensus::{DurableState, Member};
-use woadstall_control::machine::{Answer, Machine, MachineSettings, Resolved, founding_snapshot};
-use woadstall_control::registry::{Registration, Status};
-use woadstall_control::wire::ControlMachine;
+use woadstall_control::machine::{
+    CallResponse, ControlMachine, MachineSettings, ResolveResponse, founding_snapshot,
+};
+use woadstall_control::registry::{Registration, UpstreamStatus};
+use woadstall_control::wire::MachineInfo;
 
 const WRITTEN: Duration = Duration::from_millis(1_764_600_000_123);
 
-fn registration(id: &str, status: Status) -> Registration {
+fn registration(id: &str, status: UpstreamStatus) -> Registration {
     Registration {
         id: id.to_owned(),
         service: "llm".to_owned(),
@@ -30,7 +32,7 @@
         capacity: 4,
         sequence: 17,
         status,
-        cold_remaining_ms: 1_500,
+        slow_start_remaining_ms: 1_500,
         remaining_ms: 2_500,
         age_ms: 350,
     }
@@ -38,17 +40,17 @@
 
 fn registrations() -> Vec<Registration> {
     vec![
-        registration("i-1", Status::Ready),
-        registration("i-2", Status::Silent),
-        registration("i-3", Status::Draining),
-        registration("i-4", Status::Gone),
+        registration("i-1", UpstreamStatus::Ready),
+        registration("i-2", UpstreamStatus::TimedOut),
+        registration("i-3", UpstreamStatus::Draining),
+        registration("i-4", UpstreamStatus::Deregistered),
     ]
 }
 
 /// More than a kilobyte: it is compressed.
 fn many_registrations() -> Vec<Registration> {
     (0..40)
-        .map(|number| registration(&format!("i-{number}"), Status::Ready))
+        .map(|number| registration(&format!("i-{number}"), UpstreamStatus::Ready))
         .collect()
 }
 
@@ -178,7 +180,7 @@
             format!("patch base={base} body={}", shown(&body))
         }
         ApiRequest::Order(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
-        ApiRequest::Order(Command::Return { zone }) => format!("return zone={zone}"),
+        ApiRequest::Order(Command::EndEvacuation { zone }) => format!("return zone={zone}"),
         ApiRequest::ReadConfiguration => "read configuration".to_owned(),
         ApiRequest::Register(registration) => {
             let Registration {
@@ -189,13 +191,13 @@
                 capacity,
                 sequence,
                 status,
-                cold_remaining_ms,
+                slow_start_remaining_ms,
                 remaining_ms,
                 age_ms,
             } = registration;
             format!(
                 "register id={id} service={service} address={address} zone={zone} capacity={capacity} \
-                 sequence={sequence} status={status:?} cold_remaining_ms={cold_remaining_ms} \
+                 sequence={sequence} status={status:?} cold_remaining_ms={slow_start_remaining_ms} \
                  remaining_ms={remaining_ms} age_ms={age_ms}"
             )
         }
@@ -284,7 +286,7 @@
         ("GET", "/v1/other", None, ""),
         ("GET", "/", None, ""),
     ];
-    let (address, received) = start_api(ApiResponse::Machine(Answer::Done));
+    let (address, received) = start_api(ApiResponse::Machine(CallResponse::Acknowledged));
     let mut text = String::new();
     for (method, path, if_match, body) in calls {
         let answer = call(address, method, path, if_match, body);
@@ -300,7 +302,7 @@
 
 #[test]
 fn bodies_that_are_too_large_are_refused_as_before() {
-    let (address, _received) = start_api(ApiResponse::Machine(Answer::Done));
+    let (address, _received) = start_api(ApiResponse::Machine(CallResponse::Acknowledged));
     let body = format!("\"{}\"", "x".repeat(6 << 20));
     let answer = call(address, "PUT", "/v1/config", Some("3"), &body);
     assert_eq!(
@@ -313,22 +315,22 @@
 fn responses_are_unchanged() {
     let addresses = vec!["10.1.0.2:80".to_owned(), "10.1.0.3:80".to_owned()];
     let responses = [
-        ("done", ApiResponse::Machine(Answer::Done)),
+        ("done", ApiResponse::Machine(CallResponse::Acknowledged)),
         (
             "conflict",
-            ApiResponse::Machine(Answer::Conflict { current: 7 }),
+            ApiResponse::Machine(CallResponse::Conflict { current: 7 }),
         ),
         (
             "invalid",
-            ApiResponse::Machine(Answer::Invalid {
+            ApiResponse::Machine(CallResponse::Invalid {
                 findings: "routes[0]: is missing\n".to_owned(),
             }),
         ),
         (
             "document",
-            ApiResponse::Machine(Answer::Document(br#"{"generation":3}"#.to_vec())),
+            ApiResponse::Machine(CallResponse::Document(br#"{"generation":3}"#.to_vec())),
         ),
-        ("unclear", ApiResponse::Machine(Answer::Unclear)),
+        ("unclear", ApiResponse::Machine(CallResponse::Indeterminate)),
         (
             "registered",
             ApiResponse::Registered {
@@ -337,14 +339,14 @@
         ),
         (
             "balancers",
-            ApiResponse::Balancers(Resolved {
+            ApiResponse::Balancers(ResolveResponse {
                 addresses,
                 ttl_s: 5,
             }),
         ),
         (
             "no balancers",
-            ApiResponse::Balancers(Resolved {
+            ApiResponse::Balancers(ResolveResponse {
                 addresses: Vec::new(),
                 ttl_s: 5,
             }),
@@ -364,7 +366,7 @@
     assert_golden("api-answers.txt", text.as_bytes());
 }
 
-fn machine(seeds: &[&str]) -> Machine {
+fn machine(seeds: &[&str]) -> ControlMachine {
     let member = Member {
         id: 0x5eed,
         address: "10.1.0.1:7001".to_owned(),
@@ -378,7 +380,7 @@
         .collect();
     founders.push(member.clone());
     let settings = MachineSettings {
-        machine: ControlMachine {
+        machine: MachineInfo {
             member,
             zone: "a-1".to_owned(),
             region: "a".to_owned(),
@@ -390,7 +392,7 @@
         tolerated: 1,
         incarnation: 9,
     };
-    Machine::new(
+    ControlMachine::new(
         settings,
         DurableState::new(0x5eed, founding_snapshot(&founders)),
         0,
@@ -402,7 +404,7 @@
 fn the_status_is_unchanged() {
     let mut machine = machine(&["10.2.0.1:7001", "10.3.0.1:7001"]);
     assert_golden("status-first.json", api::status(&machine, 0).as_bytes());
-    machine.remember(registrations());
+    machine.restore_registrations(registrations());
     machine.tick(100);
     assert_golden(
         "status-registrations.json",
--- a/crates/node/src/core/registration_store/tests.rs
+++ b/crates/node/src/core/registration_store/tests.rs
@@ -2,11 +2,11 @@
 
 use super::{RegistrationStore, path};
 use std::time::Duration;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 const WRITTEN: Duration = Duration::from_secs(1_000_000);
 
-fn registration(id: &str, status: Status) -> Registration {
+fn registration(id: &str, status: UpstreamStatus) -> Registration {
     Registration {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -15,13 +15,13 @@
         capacity: 4,
         sequence: 1,
         status,
-        cold_remaining_ms: 0,
+        slow_start_remaining_ms: 0,
         remaining_ms: 0,
         age_ms: 0,
     }
 }
 
-fn statuses(folder: &std::path::Path, after: Duration) -> Vec<Status> {
+fn statuses(folder: &std::path::Path, after: Duration) -> Vec<UpstreamStatus> {
     let (_, registrations) = RegistrationStore::open(folder, WRITTEN + after);
     registrations
         .iter()
@@ -34,7 +34,11 @@
     let folder = tempfile::tempdir().unwrap();
     let (mut store, none) = RegistrationStore::open(folder.path(), WRITTEN);
     assert!(none.is_empty());
-    for status in [Status::Ready, Status::Draining, Status::Gone] {
+    for status in [
+        UpstreamStatus::Ready,
+        UpstreamStatus::Draining,
+        UpstreamStatus::Deregistered,
+    ] {
         store.save(&[registration("i-1", status)], WRITTEN).unwrap();
         assert_eq!(statuses(folder.path(), Duration::ZERO), [status]);
     }
@@ -45,10 +49,13 @@
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
     store
-        .save(&[registration("i-1", Status::Draining)], WRITTEN)
+        .save(&[registration("i-1", UpstreamStatus::Draining)], WRITTEN)
         .unwrap();
     store
-        .save(&[registration("i-1", Status::Gone)], WRITTEN)
+        .save(
+            &[registration("i-1", UpstreamStatus::Deregistered)],
+            WRITTEN,
+        )
         .unwrap();
     let newest = path(folder.path(), store.number % super::FILES);
     let complete = std::fs::read(&newest).unwrap();
@@ -56,15 +63,21 @@
         std::fs::write(&newest, &complete[..length]).unwrap();
         assert_eq!(
             statuses(folder.path(), Duration::ZERO),
-            [Status::Draining],
+            [UpstreamStatus::Draining],
             "truncated to {length} bytes"
         );
     }
     let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
     store
-        .save(&[registration("i-1", Status::Gone)], WRITTEN)
+        .save(
+            &[registration("i-1", UpstreamStatus::Deregistered)],
+            WRITTEN,
+        )
         .unwrap();
-    assert_eq!(statuses(folder.path(), Duration::ZERO), [Status::Gone]);
+    assert_eq!(
+        statuses(folder.path(), Duration::ZERO),
+        [UpstreamStatus::Deregistered]
+    );
 }
 
 #[test]
@@ -73,7 +86,7 @@
     let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
     let heard = Registration {
         age_ms: 500,
-        ..registration("i-1", Status::Ready)
+        ..registration("i-1", UpstreamStatus::Ready)
     };
     store.save(&[heard], WRITTEN).unwrap();
     let ages = |time_of_day: Duration| -> Vec<u64> {
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -191,11 +191,17 @@
 
 /// One of the route's services, drawn by weight; `None` if it is not configured.
 fn pick_service(configuration: &Configuration, route: &Route) -> Option<Arc<Service>> {
-    let total: u64 = route.targets.iter().map(|(_, weight)| weight).sum();
+    let total: u64 = route.targets.iter().map(|target| target.weight).sum();
     let mut drawn = fastrand::u64(..total.max(1));
-    for (name, weight) in &route.targets {
-        match drawn.checked_sub(*weight) {
-            None => return configuration.services.get(name).cloned().map(Arc::new),
+    for target in &route.targets {
+        match drawn.checked_sub(target.weight) {
+            None => {
+                return configuration
+                    .services
+                    .get(&target.service)
+                    .cloned()
+                    .map(Arc::new);
+            }
             Some(remaining) => drawn = remaining,
         }
     }
--- a/crates/node/src/front/request_reports.rs
+++ b/crates/node/src/front/request_reports.rs
@@ -164,7 +164,7 @@
     /// The request was answered completely; that is reported if it was late or retried.
     pub fn complete(mut self) {
         let latency = self.first_data.unwrap_or_else(Instant::now) - self.arrived;
-        let gap_limit = self.route.gap_aim;
+        let gap_limit = self.route.inter_event_target;
         let missed_target = latency > self.route.target_latency
             || gap_limit.is_some_and(|limit| self.longest_gap > limit);
         if missed_target {
--- a/crates/node/src/front/state.rs
+++ b/crates/node/src/front/state.rs
@@ -13,7 +13,7 @@
 use woadstall_control::configuration::Configuration;
 use woadstall_control::shards::short_hash;
 use woadstall_control::state::ControlState;
-use woadstall_control::wire::{ControlMachine, ZoneBalancers};
+use woadstall_control::wire::{MachineInfo, ZoneBalancers};
 use woadstall_inbound::lock;
 use woadstall_routing::{Fleet, Location, Router};
 
@@ -29,7 +29,7 @@
     control_state: Mutex<ControlState>,
     pub router: Mutex<Router>,
     pub pool: ConnectionPool,
-    core_machines: Mutex<Vec<ControlMachine>>,
+    core_machines: Mutex<Vec<MachineInfo>>,
     /// Internal addresses of the seeds in the current settings.
     seeds: Mutex<Vec<SocketAddr>>,
     /// Balancers that were listed lately, by the hash of their name.
@@ -102,12 +102,12 @@
     }
 
     /// The core machines that are known.
-    pub fn core_machines(&self) -> Vec<ControlMachine> {
+    pub fn core_machines(&self) -> Vec<MachineInfo> {
         lock(&self.core_machines).clone()
     }
 
     /// Replaces the core machines that are known.
-    pub fn set_core_machines(&self, machines: Vec<ControlMachine>) {
+    pub fn set_core_machines(&self, machines: Vec<MachineInfo>) {
         *lock(&self.core_machines) = machines;
     }
 
@@ -137,7 +137,7 @@
         let warmup = |service: &str| {
             services
                 .and_then(|services| services.get(service))
-                .map_or(Duration::ZERO, |service| service.cold_start)
+                .map_or(Duration::ZERO, |service| service.slow_start)
         };
         lock(&self.router).set_evacuated_zones(self.now(), &state.evacuated, warmup);
     }
--- a/crates/routing/src/router/fleet_loads.rs
+++ b/crates/routing/src/router/fleet_loads.rs
@@ -8,7 +8,7 @@
 use crate::placement_log::MAX_REPORTED;
 use crate::upstream::{Prompt, ReportedLoad, Upstream};
 use std::collections::HashMap;
-use woadstall_control::loads::{FleetLoad, FleetLoads, Placement, UpstreamLoad};
+use woadstall_control::loads::{FleetLoad, FleetLoads, PrefixPlacement, UpstreamLoad};
 
 /// The prefill backlog, in tokens, from which on an upstream is reported: a shorter one is
 /// prefilled within one step of an engine.
@@ -17,7 +17,7 @@
 impl Router {
     /// This balancer's load report: the upstreams with a long prefill backlog or that fail.
     pub fn upstream_loads(&self, now: u64) -> Vec<UpstreamLoad> {
-        let is_reported = |load: &UpstreamLoad| load.unread > 0 || load.is_failing;
+        let is_reported = |load: &UpstreamLoad| load.pending_prefill_tokens > 0 || load.is_failing;
         let loads = self
             .upstreams
             .values()
@@ -29,7 +29,7 @@
         let is_long = upstream.prefill_backlog >= MIN_REPORTED_BACKLOG;
         UpstreamLoad {
             upstream: upstream.id_hash,
-            unread: if is_long {
+            pending_prefill_tokens: if is_long {
                 saturating_u32(upstream.prefill_backlog)
             } else {
                 0
@@ -69,19 +69,19 @@
             .prefix_cache
             .insert_prefix(prefix_hash, prompt.prefix_tokens);
         upstream.prefix_cache.insert_unshared(unshared_tokens);
-        let placement = Placement {
+        let placement = PrefixPlacement {
             number,
             upstream: upstream.id_hash,
-            beginning: prefix_hash,
-            tokens: saturating_u32(prompt.prefix_tokens),
-            own_tokens: saturating_u32(unshared_tokens),
+            prefix: prefix_hash,
+            prefix_tokens: saturating_u32(prompt.prefix_tokens),
+            suffix_tokens: saturating_u32(unshared_tokens),
         };
         self.placements.record_own(now, placement);
     }
 
     /// The placements of shared prefixes that this balancer made a moment ago, for its load report;
     /// newest first.
-    pub fn recent_placements(&mut self, now: u64) -> Vec<Placement> {
+    pub fn recent_placements(&mut self, now: u64) -> Vec<PrefixPlacement> {
         self.placements.recent(now)
     }
 
@@ -94,7 +94,7 @@
             .iter()
             .map(|load| (load.upstream, *load))
             .collect();
-        let mut placements_at: HashMap<u32, Vec<&Placement>> = HashMap::new();
+        let mut placements_at: HashMap<u32, Vec<&PrefixPlacement>> = HashMap::new();
         for placement in &loads.placements {
             if self.placements.insert(placement.number) {
                 placements_at
@@ -110,10 +110,11 @@
                 load: *load,
             });
             for placement in placements_at.get(&upstream.id_hash).into_iter().flatten() {
-                let (prefix_tokens, unshared_tokens) = (placement.tokens, placement.own_tokens);
+                let (prefix_tokens, unshared_tokens) =
+                    (placement.prefix_tokens, placement.suffix_tokens);
                 upstream
                     .prefix_cache
-                    .insert_prefix(placement.beginning, u64::from(prefix_tokens));
+                    .insert_prefix(placement.prefix, u64::from(prefix_tokens));
                 upstream
                     .prefix_cache
                     .insert_unshared(u64::from(unshared_tokens));
