--- a/crates/control-simulation/src/cluster/lifecycle.rs
+++ b/crates/control-simulation/src/cluster/lifecycle.rs
@@ -8,8 +8,8 @@
 use crate::network::Link;
 use std::collections::BTreeMap;
 use woadstall_consensus::{DurableState, Member, Snapshot};
-use woadstall_control::machine::{Machine, MachineSettings};
-use woadstall_control::wire::ControlMachine;
+use woadstall_control::machine::{ControlMachine, MachineSettings};
+use woadstall_control::wire::MachineInfo;
 
 /// How often upstreams send heartbeats, in milliseconds.
 const UPSTREAM_HEARTBEAT_MS: u64 = 1_200;
@@ -26,8 +26,8 @@
         host.incarnation += 1;
         host.paused_until_ms = 0;
         let durable = host.disk.durable().clone();
-        let mut process = Machine::new(settings, durable, self.now_ms, seed);
-        process.remember(host.disk.registrations.clone());
+        let mut process = ControlMachine::new(settings, durable, self.now_ms, seed);
+        process.restore_registrations(host.disk.registrations.clone());
         host.process = Some(process);
         self.observe(Observation::Start, |digest| {
             digest.node(node).number(incarnation).number(seed)
@@ -41,7 +41,7 @@
     }
 
     fn settings(&self, node: NodeIndex, incarnation: u64) -> MachineSettings {
-        let machine = ControlMachine {
+        let machine = MachineInfo {
             member: Member {
                 id: self.disk(node).durable().id,
                 address: address(node),
@@ -150,7 +150,7 @@
 
     /// Notifies a process that it is about to be stopped.
     pub fn announce_shutdown(&mut self, node: NodeIndex) {
-        self.call(node, |process, now_ms, _| process.leave(now_ms));
+        self.call(node, |process, now_ms, _| process.begin_shutdown(now_ms));
     }
 
     /// Partitions a node from all others.
--- a/crates/control-simulation/src/cluster/mod.rs
+++ b/crates/control-simulation/src/cluster/mod.rs
@@ -19,7 +19,7 @@
 use node::Node;
 use std::collections::BTreeMap;
 use woadstall_consensus::{DurableState, Member, Snapshot};
-use woadstall_control::machine::{Answer, Machine, founding_snapshot};
+use woadstall_control::machine::{CallResponse, ControlMachine, founding_snapshot};
 use woadstall_control::wire::Packet;
 
 /// The shape of a deployment.
@@ -76,7 +76,7 @@
     /// What processes have logged.
     pub log: Vec<LogLine>,
     /// The responses so far, by the token of the request.
-    pub responses: BTreeMap<u64, Answer>,
+    pub responses: BTreeMap<u64, CallResponse>,
     /// The digest of all events, if it is to be recorded.
     pub digest: Option<EventDigest>,
     topology: Topology,
@@ -140,7 +140,7 @@
     }
 
     /// A node's process, if it runs.
-    pub fn process(&self, node: NodeIndex) -> Option<&Machine> {
+    pub fn process(&self, node: NodeIndex) -> Option<&ControlMachine> {
         self.nodes[node].process.as_ref()
     }
 
--- a/crates/control-simulation/tests/common/mod.rs
+++ b/crates/control-simulation/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 use woadstall_control_simulation::cluster::{Cluster, Topology};
 pub use woadstall_control_simulation::history::CLIENT_TIMEOUT_MS;
 use woadstall_control_simulation::network::{NetworkConditions, STEADY};
@@ -89,7 +89,7 @@
 }
 
 pub fn end_evacuation() -> Command {
-    Command::Return {
+    Command::EndEvacuation {
         zone: "zone-0".to_owned(),
     }
 }
@@ -107,8 +107,8 @@
             }
         }
         match cluster.responses.get(&token) {
-            Some(Answer::Done) => return attempt,
-            Some(Answer::Unclear) | None => {}
+            Some(CallResponse::Acknowledged) => return attempt,
+            Some(CallResponse::Indeterminate) | None => {}
             rejected => panic!("{command:?} is rejected when retried: {rejected:?}"),
         }
     }
@@ -124,8 +124,8 @@
             cluster.run(20);
         }
         match &cluster.responses[&token] {
-            Answer::Done => return,
-            Answer::Unclear => {}
+            CallResponse::Acknowledged => return,
+            CallResponse::Indeterminate => {}
             rejected => panic!("{rejected:?}"),
         }
     }
@@ -137,7 +137,7 @@
     let token = cluster.read(node);
     cluster.run(CLIENT_TIMEOUT_MS);
     match cluster.responses.get(&token) {
-        Some(Answer::Document(document)) => {
+        Some(CallResponse::Document(document)) => {
             serde_json::from_slice::<serde_json::Value>(document).ok()?["generation"].as_u64()
         }
         _ => None,
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,16 +1,18 @@
-//! Frames: one change of one message at a time is refused whole, with a typed error.
+//! Frames: each packet round-trips, and each change of a byte is refused with a typed error.
 
 use woadstall_consensus::{
-    Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
+    AppendEntriesRequest, AppendEntriesResponse, Entry, EntryPayload, InstallSnapshotRequest,
+    InstallSnapshotResponse, LogPosition, Member, Membership, Message, MessageBody, SnapshotChunk,
+    SnapshotMeta, VoteRequest, VoteResponse,
 };
-use woadstall_control::balancers::{Heartbeat, StillThere};
-use woadstall_control::command::{Command, Outcome};
-use woadstall_control::feed::Event;
-use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, Placement, UpstreamLoad};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal};
+use woadstall_control::command::{Command, CommandOutcome};
+use woadstall_control::feed::FeedEvent;
+use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, PrefixPlacement, UpstreamLoad};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::wire::{
-    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION,
-    WireError, ZoneBalancers, payload_length,
+    CallId, HEADER_BYTES, LeaderTime, MAX_FRAME_BYTES, MachineInfo, Packet, Renewal,
+    SubscribeRequest, VERSION, WireError, ZoneBalancers, payload_length,
 };
 
 fn member() -> Member {
@@ -20,9 +22,9 @@
     }
 }
 
-fn machine() -> ControlMachine {
+fn machine() -> MachineInfo {
     let (zone, region, control) = ("z".to_owned(), "r".to_owned(), "10.0.0.1:80".to_owned());
-    ControlMachine {
+    MachineInfo {
         member: member(),
         zone,
         region,
@@ -38,8 +40,8 @@
         zone: "z".to_owned(),
         capacity: 64,
         sequence: 3,
-        status: Status::Draining,
-        cold_remaining_ms: 5,
+        status: UpstreamStatus::Draining,
+        slow_start_remaining_ms: 5,
         remaining_ms: 6,
         age_ms: 7,
     }
@@ -65,10 +67,10 @@
 }
 
 #[test]
-fn what_repeats_itself_takes_less_and_a_size_that_is_claimed_takes_nothing() {
+fn payloads_are_compressed_and_a_claimed_size_allocates_nothing() {
     let packet = Packet::Events {
         offset: 1,
-        events: vec![Event::Committed {
+        events: vec![FeedEvent::Committed {
             index: 1,
             command: Command::Put {
                 base: 0,
@@ -76,35 +78,84 @@
             },
         }],
     };
-    let frame = packet.frame();
+    let frame = packet.encode();
     assert!(
         frame.len() < large_body().len() / 2,
         "{} bytes",
         frame.len()
     );
     let mut claims = frame;
-    claims[HEAD_BYTES..HEAD_BYTES + 4].copy_from_slice(&u32::MAX.to_le_bytes());
+    claims[HEADER_BYTES..HEADER_BYTES + 4].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&claims[2..4]);
-    hasher.update(&claims[HEAD_BYTES..]);
+    hasher.update(&claims[HEADER_BYTES..]);
     claims[8..12].copy_from_slice(&hasher.finalize().to_le_bytes());
-    assert_eq!(
-        Packet::decode_datagram(&claims),
-        Err(WireError::TooLong(u32::MAX as usize))
+    assert_too_long(Packet::decode_datagram(&claims));
+}
+
+/// A length that is the greatest one a header can claim is refused as such.
+fn assert_too_long<T: std::fmt::Debug>(result: Result<T, WireError>) {
+    const LENGTH: usize = u32::MAX as usize;
+    assert!(
+        matches!(result, Err(WireError::TooLong(LENGTH))),
+        "{result:?}"
     );
 }
 
-/// One packet of each kind.
+const CALL: CallId = CallId {
+    incarnation: 5,
+    number: 1,
+};
+
+fn heartbeat() -> BalancerHeartbeat {
+    BalancerHeartbeat {
+        name: "front-1".to_owned(),
+        incarnation: 1,
+        sequence: 2,
+        address: "10.0.0.3:80".to_owned(),
+        zone: "z".to_owned(),
+        ready: true,
+    }
+}
+
+fn command(body: Vec<u8>) -> Command {
+    Command::Put { base: 1, body }
+}
+
+/// At least one packet of each kind.
 fn packets() -> Vec<Packet> {
-    let command = Command::Put {
-        base: 1,
-        body: b"{}".to_vec(),
-    };
+    [
+        machine_packets(),
+        log_packets(),
+        registration_packets(),
+        call_packets(),
+        feed_packets(),
+        load_packets(),
+    ]
+    .concat()
+}
+
+fn machine_packets() -> Vec<Packet> {
+    vec![
+        Packet::Hello {
+            machine: machine(),
+            known: vec![machine()],
+        },
+        Packet::JoinRequest(member()),
+        Packet::ReplicaStopping(7),
+        Packet::MachineStatus {
+            in_quorum: true,
+            machines: vec![machine()],
+        },
+    ]
+}
+
+fn log_entries() -> Vec<Entry> {
     let members = Membership {
         voters: vec![member()],
         next_voters: vec![member()],
     };
-    let entries = vec![
+    vec![
         Entry {
             index: 1,
             term: 1,
@@ -120,122 +171,116 @@
             term: 1,
             payload: EntryPayload::Membership(members),
         },
-    ];
-    let head = SnapshotMeta {
-        index: 3,
-        term: 1,
+    ]
+}
+
+fn log_packets() -> Vec<Packet> {
+    let meta = SnapshotMeta {
+        last_log: LogPosition { index: 3, term: 1 },
         size: 20,
         checksum: 7,
     };
-    let piece = SnapshotChunk {
-        head,
+    let chunk = SnapshotChunk {
+        meta,
         offset: 0,
         bytes: vec![9; 20],
     };
-    let call = CallId {
-        incarnation: 5,
-        number: 1,
-    };
-    let expires = LeaderTime { term: 3, at: 900 };
-    let heartbeat = Heartbeat {
-        name: "front-1".to_owned(),
-        incarnation: 1,
-        sequence: 2,
-        address: "10.0.0.3:80".to_owned(),
-        zone: "z".to_owned(),
-        ready: true,
-    };
-    let placements = vec![Placement {
-        number: 1,
-        upstream: 3,
-        beginning: 5,
-        tokens: 9_000,
-        own_tokens: 20,
-    }];
-    let load = UpstreamLoad {
-        upstream: 3,
-        unread: 4_000,
-        is_failing: true,
-    };
     vec![
-        Packet::Hello {
-            machine: machine(),
-            known: vec![machine()],
-        },
-        consensus(MessageBody::Vote {
-            pre: true,
-            last_index: 1,
-            last_term: 1,
-            transfer: false,
-        }),
-        consensus(MessageBody::VoteReply {
-            pre: false,
+        consensus(MessageBody::VoteRequest(VoteRequest {
+            pre_vote: true,
+            last_log: LogPosition { index: 1, term: 1 },
+            leadership_transfer: false,
+        })),
+        consensus(MessageBody::VoteResponse(VoteResponse {
+            pre_vote: false,
             granted: true,
-        }),
-        consensus(MessageBody::Append {
-            previous_index: 0,
-            previous_term: 0,
-            entries,
-            commit: 1,
-            round: 9,
-        }),
-        consensus(MessageBody::AppendReply {
+        })),
+        consensus(MessageBody::AppendEntriesRequest(AppendEntriesRequest {
+            previous: LogPosition { index: 0, term: 0 },
+            entries: log_entries(),
+            leader_commit: 1,
+            heartbeat_round: 9,
+        })),
+        consensus(MessageBody::AppendEntriesResponse(AppendEntriesResponse {
             success: true,
-            index: 3,
-            round: 9,
-        }),
-        consensus(MessageBody::Install { piece, round: 9 }),
-        consensus(MessageBody::InstallReply {
-            head,
-            received: 20,
-            round: 9,
-        }),
-        consensus(MessageBody::Elect),
-        Packet::Join(member()),
-        Packet::Leaves(7),
+            last_index: 3,
+            heartbeat_round: 9,
+        })),
+        consensus(MessageBody::InstallSnapshotRequest(
+            InstallSnapshotRequest {
+                chunk,
+                heartbeat_round: 9,
+            },
+        )),
+        consensus(MessageBody::InstallSnapshotResponse(
+            InstallSnapshotResponse {
+                meta,
+                received_bytes: 20,
+                heartbeat_round: 9,
+            },
+        )),
+        consensus(MessageBody::TimeoutNow),
+    ]
+}
+
+fn registration_packets() -> Vec<Packet> {
+    vec![
         Packet::Registrations {
-            call,
+            call: CALL,
             registrations: vec![registration()],
         },
-        Packet::RegistrationsTaken { call },
+        Packet::RegistrationsAck { call: CALL },
         Packet::Renewals(vec![Renewal {
             id: "i-1".to_owned(),
             sequence: 4,
         }]),
-        Packet::Balancers(vec![heartbeat.clone()]),
-        Packet::BalancersStillThere(vec![StillThere {
+        Packet::BalancerHeartbeats(vec![heartbeat()]),
+        Packet::BalancerRenewals(vec![BalancerRenewal {
             name: 1,
             incarnation: 2,
             sequence: 3,
         }]),
-        Packet::Order {
+        Packet::BalancerHeartbeat(heartbeat()),
+    ]
+}
+
+fn call_packets() -> Vec<Packet> {
+    let (call, expires) = (CALL, LeaderTime { term: 3, at: 900 });
+    vec![
+        Packet::ForwardedCommand {
             call,
             expires,
-            command: command.clone(),
+            command: command(b"{}".to_vec()),
         },
-        Packet::Order {
+        Packet::ForwardedCommand {
             call,
             expires,
-            command: Command::Put {
-                base: 1,
-                body: large_body(),
-            },
+            command: command(large_body()),
         },
-        Packet::OrderDone {
+        Packet::ForwardedCommandReply {
             call,
-            outcome: Some(Outcome::Conflict { current: 4 }),
+            outcome: Some(CommandOutcome::Conflict { current: 4 }),
         },
-        Packet::Read { call },
-        Packet::ReadDone {
+        Packet::ReadIndexRequest { call },
+        Packet::ReadIndexReply {
             call,
             index: Some(4),
         },
-        Packet::Subscribe {
+    ]
+}
+
+fn feed_packets() -> Vec<Packet> {
+    let committed = FeedEvent::Committed {
+        index: 1,
+        command: command(b"{}".to_vec()),
+    };
+    vec![
+        Packet::Subscribe(SubscribeRequest {
             balancer: "front-1".to_owned(),
             epoch: 1,
             offset: 2,
-            index: 3,
-        },
+            applied: 3,
+        }),
         Packet::Snapshot {
             epoch: 1,
             offset: 2,
@@ -244,29 +289,41 @@
         },
         Packet::Events {
             offset: 2,
-            events: vec![Event::Committed { index: 1, command }],
-        },
-        Packet::Status {
-            in_quorum: true,
-            machines: vec![machine()],
+            events: vec![committed],
         },
-        Packet::Balancing(vec![ZoneBalancers {
+        Packet::ActiveBalancers(vec![ZoneBalancers {
             zone: "z".to_owned(),
             balancers: vec![1, 2],
         }]),
-        Packet::Heartbeat(heartbeat),
-        Packet::Load(LoadReport {
+    ]
+}
+
+fn load_packets() -> Vec<Packet> {
+    let placements = vec![PrefixPlacement {
+        number: 1,
+        upstream: 3,
+        prefix: 5,
+        prefix_tokens: 9_000,
+        suffix_tokens: 20,
+    }];
+    let load = UpstreamLoad {
+        upstream: 3,
+        pending_prefill_tokens: 4_000,
+        is_failing: true,
+    };
+    vec![
+        Packet::LoadReport(LoadReport {
             balancer: 1,
             sequence: 2,
             zone: "z".to_owned(),
             upstreams: vec![load],
             placements: placements.clone(),
         }),
-        Packet::Loads(FleetLoads {
+        Packet::FleetLoads(FleetLoads {
             upstreams: vec![FleetLoad {
                 upstream: 3,
-                unread: 4_000,
-                failing: 2,
+                pending_prefill_tokens: 4_000,
+                failing_balancers: 2,
             }],
             placements,
         }),
@@ -274,16 +331,16 @@
 }
 
 #[test]
-fn each_packet_comes_out_as_it_went_in() {
+fn each_packet_round_trips() {
     for packet in packets() {
-        assert_eq!(Packet::decode_datagram(&packet.frame()).unwrap(), packet);
+        assert_eq!(Packet::decode_datagram(&packet.encode()).unwrap(), packet);
     }
 }
 
 #[test]
-fn one_changed_byte_is_always_noticed() {
+fn each_changed_byte_is_detected() {
     for packet in packets() {
-        let frame = packet.frame();
+        let frame = packet.encode();
         for position in 0..frame.len() {
             for change in [1, 0x80, 0xff] {
                 let mut changed = frame.clone();
@@ -298,28 +355,31 @@
 }
 
 #[test]
-fn a_frame_that_is_cut_or_too_long_is_refused() {
+fn a_frame_that_is_truncated_or_too_long_is_refused() {
     for packet in packets() {
-        let frame = packet.frame();
+        let frame = packet.encode();
         for length in 0..frame.len() {
             assert!(Packet::decode_datagram(&frame[..length]).is_err());
         }
         let mut longer = frame;
         longer.push(0);
-        assert_eq!(Packet::decode_datagram(&longer), Err(WireError::Short));
+        assert!(matches!(
+            Packet::decode_datagram(&longer),
+            Err(WireError::Length)
+        ));
     }
 }
 
 #[test]
-fn heads_are_refused_before_anything_is_read() {
-    let mut head: [u8; HEAD_BYTES] = packets()[0].frame()[..HEAD_BYTES].try_into().unwrap();
-    head[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_eq!(
-        payload_length(&head),
-        Err(WireError::TooLong(u32::MAX as usize))
-    );
-    assert!(MOST_BYTES < u32::MAX as usize);
-    head[0] = 99;
-    assert_eq!(payload_length(&head), Err(WireError::Version(99)));
+fn invalid_headers_are_refused_before_the_payload_is_read() {
+    let mut header: [u8; HEADER_BYTES] = packets()[0].encode()[..HEADER_BYTES].try_into().unwrap();
+    header[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
+    assert_too_long(payload_length(&header));
+    assert!(MAX_FRAME_BYTES < u32::MAX as usize);
+    header[0] = 99;
+    assert!(matches!(
+        payload_length(&header),
+        Err(WireError::Version(99))
+    ));
     assert_ne!(VERSION, 99);
 }
--- a/crates/node/src/core/api/response.rs
+++ b/crates/node/src/core/api/response.rs
@@ -3,20 +3,20 @@
 use super::request::RequestError;
 use rouille::Response;
 use serde_json::json;
-use woadstall_control::machine::{Answer, Resolved};
+use woadstall_control::machine::{CallResponse, ResolveResponse};
 
 /// The response to a request, before it is rendered.
 #[derive(Clone, Debug)]
 pub(in crate::core) enum ApiResponse {
     /// The machine's answer to an order, a read or a registration.
-    Machine(Answer),
+    Machine(CallResponse),
     /// A heartbeat of an upstream was accepted.
     Registered {
         /// Where the upstream sends later ones.
         heartbeat_url: String,
     },
     /// Balancers for a client.
-    Balancers(Resolved),
+    Balancers(ResolveResponse),
     /// The machine's status as JSON.
     Status(String),
 }
@@ -28,10 +28,10 @@
         ApiResponse::Registered { heartbeat_url } => {
             json_text(200, json!({ "heartbeat_url": heartbeat_url }).to_string())
         }
-        ApiResponse::Balancers(Resolved { addresses, .. }) if addresses.is_empty() => {
+        ApiResponse::Balancers(ResolveResponse { addresses, .. }) if addresses.is_empty() => {
             text(503, "no balancer is known\n")
         }
-        ApiResponse::Balancers(Resolved { addresses, ttl_s }) => json_text(
+        ApiResponse::Balancers(ResolveResponse { addresses, ttl_s }) => json_text(
             200,
             json!({ "addresses": addresses, "ttl_s": ttl_s }).to_string(),
         ),
@@ -39,16 +39,16 @@
     }
 }
 
-fn render_machine_answer(answer: Answer) -> Response {
+fn render_machine_answer(answer: CallResponse) -> Response {
     match answer {
-        Answer::Done => json_text(200, "{}".to_owned()),
-        Answer::Conflict { current } => json_text(
+        CallResponse::Acknowledged => json_text(200, "{}".to_owned()),
+        CallResponse::Conflict { current } => json_text(
             412,
             json!({ "error": "another version is current", "generation": current }).to_string(),
         ),
-        Answer::Invalid { findings } => text(400, &findings),
-        Answer::Document(document) => Response::from_data("application/json", document),
-        Answer::Unclear => unavailable(),
+        CallResponse::Invalid { findings } => text(400, &findings),
+        CallResponse::Document(document) => Response::from_data("application/json", document),
+        CallResponse::Indeterminate => unavailable(),
     }
 }
 
--- a/crates/node/src/core/api/status.rs
+++ b/crates/node/src/core/api/status.rs
@@ -2,10 +2,10 @@
 //! `docs/system-operators.md`.
 
 use serde_json::{Value, json};
-use woadstall_control::machine::Machine;
+use woadstall_control::machine::ControlMachine;
 
 /// The status of a machine at a time of its clock, in milliseconds.
-pub(in crate::core) fn status(machine: &Machine, now: u64) -> String {
+pub(in crate::core) fn status(machine: &ControlMachine, now: u64) -> String {
     let replica = machine.replica();
     json!({
         "id": format!("{:x}", replica.id()),
@@ -18,13 +18,13 @@
         "evacuated": machine.state().evacuated,
         "members": members(machine),
         "machines": machines(machine),
-        "readers": machine.readers().collect::<Vec<_>>(),
+        "readers": machine.subscriber_names().collect::<Vec<_>>(),
         "upstreams": upstreams(machine, now),
     })
     .to_string()
 }
 
-fn members(machine: &Machine) -> Vec<Value> {
+fn members(machine: &ControlMachine) -> Vec<Value> {
     machine
         .replica()
         .membership()
@@ -33,7 +33,7 @@
         .collect()
 }
 
-fn machines(machine: &Machine) -> Vec<Value> {
+fn machines(machine: &ControlMachine) -> Vec<Value> {
     machine
         .machines()
         .iter()
@@ -47,7 +47,7 @@
         .collect()
 }
 
-fn upstreams(machine: &Machine, now: u64) -> Vec<Value> {
+fn upstreams(machine: &ControlMachine, now: u64) -> Vec<Value> {
     machine
         .registry()
         .all(now)
@@ -58,8 +58,8 @@
                 "service": upstream.service,
                 "address": upstream.address,
                 "zone": upstream.zone,
-                "status": format!("{:?}", upstream.status),
-                "cold_remaining_ms": upstream.cold_remaining_ms,
+                "status": upstream.status.to_string(),
+                "cold_remaining_ms": upstream.slow_start_remaining_ms,
             })
         })
         .collect()
--- a/crates/node/src/core/pending_requests.rs
+++ b/crates/node/src/core/pending_requests.rs
@@ -3,7 +3,7 @@
 use super::api::ApiResponse;
 use std::collections::HashMap;
 use std::sync::mpsc::SyncSender;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 
 /// Where the response to a request goes; its thread waits there.
 pub(super) type Responder = SyncSender<ApiResponse>;
@@ -53,12 +53,14 @@
     }
 
     /// Responds to the request with a token, if it is pending.
-    pub fn complete(&mut self, token: u64, answer: Answer) {
+    pub fn complete(&mut self, token: u64, answer: CallResponse) {
         let Some(request) = self.by_token.remove(&token) else {
             return;
         };
         let response = match (answer, request.heartbeat_url) {
-            (Answer::Done, Some(heartbeat_url)) => ApiResponse::Registered { heartbeat_url },
+            (CallResponse::Acknowledged, Some(heartbeat_url)) => {
+                ApiResponse::Registered { heartbeat_url }
+            }
             (answer, _) => ApiResponse::Machine(answer),
         };
         respond(&request.responder, response);
