--- a/crates/health-reports/src/assessment.rs
+++ b/crates/health-reports/src/assessment.rs
@@ -1,7 +1,10 @@
 //! The assessment of a subject from all members' reports, as seen from one zone.
 
+use crate::baseline::Baseline;
 use crate::call_counts::CallCounts;
-use crate::log_odds::{EvidenceSum, EvidenceThreshold, Symptom, WeighedReport, max_faulty};
+use crate::log_odds::{
+    EvidenceSum, EvidenceThreshold, Reporters, Symptom, WeighedReport, max_faulty,
+};
 use crate::report_table::{MIN_EVIDENCE, ReportTable};
 use crate::subject::Subject;
 use std::collections::BTreeMap;
@@ -13,24 +16,6 @@
 /// observer's counts.
 const MIN_AGREEING_ZONES: usize = 2;
 
-/// The rates that are usual elsewhere, from 0 to 1; 0 where they are not known.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Baseline {
-    /// Of calls that fail.
-    pub failure_rate: f64,
-    /// Of calls that fail or are slow.
-    pub degraded_rate: f64,
-}
-
-impl Baseline {
-    fn rate(&self, symptom: Symptom) -> f64 {
-        match symptom {
-            Symptom::Failing => self.failure_rate,
-            Symptom::Slow => self.degraded_rate,
-        }
-    }
-}
-
 /// Which subject is assessed, and from where.
 #[derive(Clone, Copy, Debug)]
 pub struct AssessmentQuery<'a> {
@@ -51,15 +36,6 @@
     pub members: &'a BTreeMap<String, usize>,
 }
 
-/// How many reporters stand on either side.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reporters {
-    /// Those whose counts speak against the subject.
-    pub against: usize,
-    /// Those whose counts speak for it.
-    pub in_favor: usize,
-}
-
 /// What the evidence on a subject amounts to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Assessment {
--- a/crates/health-reports/src/lib.rs
+++ b/crates/health-reports/src/lib.rs
@@ -10,6 +10,7 @@
 //! no decisions; the evacuation crate does. The design is in `docs/evacuation.md`.
 
 mod assessment;
+mod baseline;
 mod call_counts;
 mod call_stats;
 mod cusum;
@@ -19,15 +20,16 @@
 mod report_table;
 mod subject;
 
-pub use assessment::{Assessment, AssessmentQuery, Baseline, Reporters};
+pub use assessment::{Assessment, AssessmentQuery};
+pub use baseline::Baseline;
 pub use call_counts::{CallCounts, RateEstimate};
 pub use call_stats::{
     AttemptId, CallStats, CompletedAttempt, PendingAttempt, ServerStats, SubjectStats,
 };
 pub use health_report::{HealthReport, HealthReportError, ReportEntry};
 pub use log_odds::{
-    EvidenceSum, EvidenceThreshold, SERVER_UNHEALTHY_LOG_ODDS, Symptom, UNHEALTHY_LOG_ODDS,
-    WeighedReport, max_faulty,
+    EvidenceSum, EvidenceThreshold, Reporters, SERVER_UNHEALTHY_LOG_ODDS, Symptom,
+    UNHEALTHY_LOG_ODDS, WeighedReport, max_faulty,
 };
 pub use report_table::{ReportTable, ReportedCounts};
 pub use subject::{Subject, SubjectKind};
--- a/crates/health-reports/src/log_odds.rs
+++ b/crates/health-reports/src/log_odds.rs
@@ -1,7 +1,6 @@
 //! How strongly the counts of one reporter speak for a subject being unhealthy, and what remains of
 //! many reporters without the faulty ones.
 
-use crate::assessment::Reporters;
 use crate::call_counts::CallCounts;
 use std::ops::RangeInclusive;
 
@@ -87,6 +86,15 @@
     pub freshness: f64,
 }
 
+/// How many reporters stand on either side.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Reporters {
+    /// Those whose counts speak against the subject.
+    pub against: usize,
+    /// Those whose counts speak for it.
+    pub in_favor: usize,
+}
+
 /// The evidence of many reporters together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EvidenceSum {
--- a/crates/health-reports/src/report_table.rs
+++ b/crates/health-reports/src/report_table.rs
@@ -1,6 +1,6 @@
 //! The newest health report of each member.
 
-use crate::assessment::Baseline;
+use crate::baseline::Baseline;
 use crate::call_counts::CallCounts;
 use crate::health_report::{HealthReport, HealthReportError};
 use crate::subject::Subject;
