--- a/crates/control-simulation/src/cluster/actions.rs
+++ b/crates/control-simulation/src/cluster/actions.rs
@@ -41,10 +41,10 @@
         match action {
             // All nodes are connected at all times.
             Action::Connect { .. } | Action::Disconnect { .. } => {}
-            Action::Log(text) => self.log.push(LogLine {
+            Action::Log(event) => self.log.push(LogLine {
                 at_ms: self.now_ms,
                 node,
-                text,
+                text: event.to_string(),
             }),
             Action::Send {
                 address: to,
--- a/crates/control/src/machine/action.rs
+++ b/crates/control/src/machine/action.rs
@@ -1,5 +1,6 @@
 //! What a control machine asks of the process that runs it.
 
+use super::LogEvent;
 use crate::wire::Packet;
 use woadstall_consensus::Record;
 
@@ -52,7 +53,7 @@
         packet: Packet,
     },
     /// Write a line to the log.
-    Log(String),
+    Log(LogEvent),
 }
 
 /// The response to a call of an operator or of an upstream.
--- a/crates/control/src/machine/failure_detection.rs
+++ b/crates/control/src/machine/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Failure detection of upstreams: the owner of a shard marks those whose heartbeats have stopped
 //! as timed out.
 
-use super::ControlMachine;
+use super::{ControlMachine, LogEvent};
 use crate::feed::FeedEvent;
 use crate::shards::{MONITORS, replica_group, shard_of};
 use crate::wire::Packet;
@@ -33,10 +33,10 @@
             group.first().is_some_and(|owner| *owner == own)
         };
         for upstream in self.registry.time_out(self.now, timeout_ms, owns) {
-            self.log(format!(
-                "upstream_timed_out upstream={} service={} timeout_ms={timeout_ms}",
-                upstream.id, upstream.service
-            ));
+            self.log(LogEvent::UpstreamTimedOut {
+                registration: upstream.clone(),
+                timeout_ms,
+            });
             self.publish(FeedEvent::Registered(upstream.clone()));
             let call = self.next_call();
             self.broadcast(&Packet::Registrations {
--- a/crates/control/src/machine/leadership.rs
+++ b/crates/control/src/machine/leadership.rs
@@ -1,6 +1,6 @@
 //! Whether there is a leader with a quorum, and whether this machine is that leader.
 
-use super::{ControlMachine, TIMING};
+use super::{ControlMachine, LogEvent, TIMING};
 
 /// What was last seen of leadership.
 #[derive(Clone, Copy, Debug, Default)]
@@ -29,7 +29,8 @@
             (true, None) => self.leadership.quorum_since = Some(self.now),
             (false, Some(_)) => {
                 self.leadership.quorum_since = None;
-                self.log(format!("quorum_lost term={}", self.replica.term()));
+                let term = self.replica.term();
+                self.log(LogEvent::QuorumLost { term });
             }
             _ => {}
         }
@@ -38,17 +39,11 @@
             return;
         }
         self.leadership.was_leader = is_leader;
-        let event = if is_leader {
-            "leader_elected"
+        let (term, id) = (self.replica.term(), self.replica.id());
+        if is_leader {
+            self.log(LogEvent::LeaderElected { term, id });
         } else {
-            "leadership_ended"
-        };
-        self.log(format!(
-            "{event} term={} id={:x}",
-            self.replica.term(),
-            self.replica.id()
-        ));
-        if !is_leader {
+            self.log(LogEvent::LeadershipEnded { term, id });
             self.abandon_proposals();
         }
     }
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -16,6 +16,7 @@
 mod leader_clock;
 mod leadership;
 mod load_notices;
+mod log_event;
 mod packets;
 mod peers;
 mod read_index;
@@ -26,6 +27,7 @@
 
 pub use action::{Action, CallResponse};
 pub use directory::{ResolveRequest, ResolveResponse};
+pub use log_event::LogEvent;
 pub use settings::{MachineSettings, TIMING};
 
 use crate::balancers::BalancerTable;
@@ -201,7 +203,7 @@
         self.now = self.now.max(now);
     }
 
-    fn log(&mut self, line: String) {
-        self.actions.push(Action::Log(line));
+    fn log(&mut self, event: LogEvent) {
+        self.actions.push(Action::Log(event));
     }
 }
--- a/crates/control/src/machine/registrations.rs
+++ b/crates/control/src/machine/registrations.rs
@@ -2,7 +2,7 @@
 //! drains or leaves is acknowledged once a majority has it on disk.
 
 use super::calls::CALL_TIMEOUT_MS;
-use super::{Action, CallResponse, ControlMachine};
+use super::{Action, CallResponse, ControlMachine, LogEvent};
 use crate::feed::FeedEvent;
 use crate::merge::MergeOutcome;
 use crate::registry::{Registration, UpstreamStatus};
@@ -74,14 +74,7 @@
     /// Sends a registration to the balancers and to the other machines.
     fn announce(&mut self, id: &str) -> Option<CallId> {
         let registration = self.registry.get(self.now, id)?;
-        self.log(format!(
-            "registration_changed upstream={} service={} status={} slow_start_ms={} sequence={}",
-            registration.id,
-            registration.service,
-            registration.status,
-            registration.slow_start_remaining_ms,
-            registration.sequence
-        ));
+        self.log(LogEvent::RegistrationChanged(registration.clone()));
         self.publish(FeedEvent::Registered(registration.clone()));
         let call = self.next_call();
         self.broadcast(&Packet::Registrations {
--- a/crates/control/src/machine/replication.rs
+++ b/crates/control/src/machine/replication.rs
@@ -1,13 +1,13 @@
 //! The replicated log behind the machine: carries out what the replica asks for, and applies
 //! committed entries to the state.
 
-use super::{Action, ControlMachine, leader_clock};
+use super::{Action, ControlMachine, LogEvent, leader_clock};
 use crate::command::Command;
 use crate::feed::FeedEvent;
 use crate::state::ControlState;
 use crate::wire::Packet;
 use nanoserde::DeBin;
-use woadstall_consensus::{Entry, EntryPayload, Member, Membership, Message, Output, Snapshot};
+use woadstall_consensus::{Entry, EntryPayload, Message, Output, Snapshot};
 
 /// Bytes of commands in the log since its last snapshot from which on a new one is taken.
 const COMPACT_BYTES: usize = 4 << 20;
@@ -82,10 +82,10 @@
                 self.applied = snapshot.index;
                 self.restore_state(state);
             }
-            Err(error) => self.log(format!(
-                "snapshot_rejected index={} error={error}",
-                snapshot.index
-            )),
+            Err(error) => self.log(LogEvent::SnapshotRejected {
+                index: snapshot.index,
+                error: error.to_string(),
+            }),
         }
     }
 
@@ -96,14 +96,17 @@
                 self.log_bytes += bytes.len();
                 match Command::deserialize_bin(&bytes) {
                     Ok(command) => self.apply_command(entry.index, entry.term, command),
-                    Err(error) => self.log(format!(
-                        "entry_rejected index={} error={error}",
-                        entry.index
-                    )),
+                    Err(error) => self.log(LogEvent::EntryRejected {
+                        index: entry.index,
+                        error: error.to_string(),
+                    }),
                 }
             }
-            EntryPayload::Membership(members) => {
-                self.log_members(entry.index, &members);
+            EntryPayload::Membership(membership) => {
+                self.log(LogEvent::MembersChanged {
+                    index: entry.index,
+                    membership,
+                });
                 self.complete_proposal(entry.index, entry.term, None);
             }
             EntryPayload::Blank => self.complete_proposal(entry.index, entry.term, None),
@@ -113,24 +116,15 @@
     fn apply_command(&mut self, index: u64, term: u64, command: Command) {
         let outcome = self.state.apply(index, &command);
         let generation = self.state.generation();
-        self.log(format!(
-            "command_applied index={index} outcome={outcome:?} generation={generation}"
-        ));
+        self.log(LogEvent::CommandApplied {
+            index,
+            outcome: outcome.clone(),
+            generation,
+        });
         self.publish(FeedEvent::Committed { index, command });
         self.complete_proposal(index, term, Some(outcome));
     }
 
-    fn log_members(&mut self, index: u64, members: &Membership) {
-        let addresses = |members: &[Member]| -> String {
-            let addresses: Vec<&str> = members.iter().map(|member| &*member.address).collect();
-            addresses.join(",")
-        };
-        let (voters, next) = (addresses(&members.voters), addresses(&members.next_voters));
-        self.log(format!(
-            "members_changed index={index} voters={voters} next={next}"
-        ));
-    }
-
     /// Replaces the log's beginning by a snapshot of the state, where it has grown long.
     fn compact(&mut self) {
         let entries = self.replica.log().entries().len();
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -259,7 +259,7 @@
                     subscribers,
                     packet,
                 } => self.deliver(&subscribers, &packet),
-                Action::Log(line) => log::info!("{line}"),
+                Action::Log(event) => log::info!("{event}"),
             }
         }
         // After the other actions: one write includes all that they have changed.
