--- /dev/null
+++ b/crates/fault-proxy/tests/golden.rs
@@ -0,0 +1,105 @@
+//! Times that fixed seeds give, as a digest: a change of names or shape changes none of them.
+
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use std::time::Duration;
+use woadstall_fault_proxy::Way;
+use woadstall_fault_proxy::shape::{Datagrams, Stream, handshake};
+
+/// Offset basis and prime of 64-bit FNV-1a.
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+
+fn digest(numbers: impl IntoIterator<Item = u64>) -> u64 {
+    let bytes = numbers.into_iter().flat_map(u64::to_le_bytes);
+    bytes.fold(FNV_OFFSET, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+    })
+}
+
+/// Every fault on its own, then all together.
+fn conditions() -> Vec<Way> {
+    let delay = Way {
+        delay: Duration::from_millis(7),
+        ..Way::default()
+    };
+    let jitter = Way {
+        jitter: Duration::from_micros(900),
+        ..delay.clone()
+    };
+    let loss = Way {
+        loss: 0.1,
+        ..Way::default()
+    };
+    let doubled = Way {
+        doubled: 0.3,
+        ..delay.clone()
+    };
+    let overtaken = Way {
+        overtaken: 0.3,
+        ..Way::default()
+    };
+    let rate = Way {
+        rate: 200_000,
+        ..Way::default()
+    };
+    let cut = Way {
+        cut: true,
+        ..Way::default()
+    };
+    let all = Way {
+        loss: 0.2,
+        doubled: 0.2,
+        overtaken: 0.2,
+        rate: 3_000_000,
+        ..jitter.clone()
+    };
+    vec![
+        Way::default(),
+        delay,
+        jitter,
+        loss,
+        doubled,
+        overtaken,
+        rate,
+        cut,
+        all,
+    ]
+}
+
+#[test]
+fn streams_have_the_recorded_times() {
+    let mut rng = ChaCha8Rng::seed_from_u64(11);
+    let mut stream = Stream::default();
+    let conditions = conditions();
+    let times = (0..5_000u64).map(|number| {
+        let way = &conditions[number as usize / 50 % conditions.len()];
+        stream.release(number * 300_000, 1 + number as usize % 1_500, way, &mut rng)
+    });
+    assert_eq!(digest(times), 0xef1f_2c02_4a2a_1ed6);
+}
+
+#[test]
+fn handshakes_have_the_recorded_times() {
+    let mut rng = ChaCha8Rng::seed_from_u64(12);
+    let conditions = conditions();
+    let pairs = conditions
+        .iter()
+        .flat_map(|there| conditions.iter().map(move |back| (there, back)));
+    let times = pairs.map(|(there, back)| handshake(there, back, &mut rng));
+    assert_eq!(digest(times), 0xc921_fff5_2079_c31a);
+}
+
+#[test]
+fn datagrams_have_the_recorded_fates() {
+    let mut rng = ChaCha8Rng::seed_from_u64(13);
+    let mut datagrams = Datagrams::default();
+    let conditions = conditions();
+    let times = (0..5_000u64).flat_map(|number| {
+        let way = &conditions[number as usize / 50 % conditions.len()];
+        let bytes = 1 + number as usize % 1_500;
+        let fate = datagrams.fate(number * 300_000, bytes, way, &mut rng);
+        fate.map(|due| due.unwrap_or(u64::MAX))
+    });
+    assert_eq!(digest(times), 0xcc41_bbc5_c28b_a97b);
+}
