--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -218,7 +218,7 @@
         let Some(mates) = &self.mates else { return };
         for &number in &hit.balancers {
             mates.dark(number, dark);
-            self.fabric.set_up(ways::member(number), dark);
+            self.fabric.set_running(ways::member(number), dark);
         }
         self.set_ways();
     }
--- a/crates/cluster-test/src/fleet.rs
+++ b/crates/cluster-test/src/fleet.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use woadstall_emulator::{Actor, Among, Scenario, What, stream};
-use woadstall_fault_proxy::Fabric;
+use woadstall_fault_proxy::FaultProxy;
 use woadstall_load_test::callers::Door;
 use woadstall_load_test::judge::Judge;
 use woadstall_load_test::lock;
@@ -46,7 +46,7 @@
     pub script: Script,
     pub judge: Arc<Judge>,
     pub seed: u64,
-    pub fabric: Fabric,
+    pub fabric: FaultProxy,
     pub keeper: Arc<Keeper>,
     pub nodos: Vec<Arc<Socketed>>,
     pub balancers: Vec<Arc<Balancer>>,
@@ -73,7 +73,7 @@
         (seed, start): (u64, Instant),
         sabotage: Option<Sabotage>,
     ) -> Result<Self, String> {
-        let fabric = Fabric::new(seed);
+        let fabric = FaultProxy::new(seed);
         let (mut nodos, mut bounds) = (Vec::new(), vec![0]);
         for (at, tier) in scenario.tier.iter().enumerate() {
             for number in 0..tier.nodos {
@@ -163,7 +163,7 @@
         for host in self.of_tier(tier) {
             let way = self
                 .fabric
-                .tcp(me, ways::nodo(host), targets[host as usize])
+                .proxy_tcp(me, ways::nodo(host), targets[host as usize])
                 .await;
             ways.push(way.map_err(failed)?);
         }
@@ -174,7 +174,7 @@
             .map_err(failed)?;
         let agent_at = self
             .fabric
-            .tcp(me, mine, agent.address)
+            .proxy_tcp(me, mine, agent.address)
             .await
             .map_err(failed)?;
         // What stands beside a nodo is called by it alone, without a network between.
@@ -188,7 +188,7 @@
                     proxies.push(proxy);
                 }
                 self.fabric
-                    .tcp(ways::callers(zone), me, target)
+                    .proxy_tcp(ways::callers(zone), me, target)
                     .await
                     .map_err(failed)?
             }
@@ -280,10 +280,16 @@
                     host: host as u32,
                     there,
                 };
-                self.fabric
-                    .set(me, other, between(&self.scenario, ends(true), faults()));
-                self.fabric
-                    .set(other, me, between(&self.scenario, ends(false), faults()));
+                self.fabric.set_conditions(
+                    me,
+                    other,
+                    between(&self.scenario, ends(true), faults()),
+                );
+                self.fabric.set_conditions(
+                    other,
+                    me,
+                    between(&self.scenario, ends(false), faults()),
+                );
             }
         }
         if let Some(mates) = &self.mates {
@@ -387,7 +393,7 @@
 
     /// A nodo's process dies, and that of a balancer beside it.
     pub fn kill_nodo(&self, nodo: u32) {
-        self.fabric.set_up(ways::nodo(nodo), false);
+        self.fabric.set_running(ways::nodo(nodo), false);
         self.nodos[nodo as usize].kill();
         self.beside(nodo)
             .for_each(|balancer| self.kill_balancer(balancer.place.number));
@@ -396,7 +402,7 @@
     /// A nodo's process is started anew, and that of a balancer beside it.
     pub async fn boot_nodo(&self, nodo: u32) -> Result<(), String> {
         self.nodos[nodo as usize].clone().boot().await;
-        self.fabric.set_up(ways::nodo(nodo), true);
+        self.fabric.set_running(ways::nodo(nodo), true);
         self.list(nodo, "in_service");
         let beside: Vec<u32> = self
             .beside(nodo)
@@ -416,14 +422,14 @@
         let balancer = &self.balancers[number as usize];
         balancer.kill();
         // What stands beside a nodo is not called through a relay; saying so of it does no harm.
-        self.fabric.set_up(ways::balancer(number), false);
+        self.fabric.set_running(ways::balancer(number), false);
         self.ends_as_member(number);
     }
 
     /// A balancer's process has ended, or is about to.
     pub fn ends_as_member(&self, number: u32) {
         if let Some(mates) = &self.mates {
-            self.fabric.set_up(ways::member(number), false);
+            self.fabric.set_running(ways::member(number), false);
             mates.runs(number, false);
         }
     }
@@ -454,11 +460,11 @@
                 let last = self.list_for(&balancer, &last);
                 told = told.max(balancer.agent.tell(last_rev, last, &self.scenario.padron));
             }
-            self.fabric.set_up(ways::balancer(number), true);
+            self.fabric.set_running(ways::balancer(number), true);
             if let Some(mates) = &self.mates {
                 let written = mates.write(&self.scenario, &balancer);
                 written.map_err(|error| format!("{}: {error}", balancer.process.name))?;
-                self.fabric.set_up(ways::member(number), true);
+                self.fabric.set_running(ways::member(number), true);
                 mates.runs(number, true);
             }
             let (scenario, seed) = (self.scenario.clone(), self.seed);
--- a/crates/cluster-test/src/members.rs
+++ b/crates/cluster-test/src/members.rs
@@ -24,7 +24,7 @@
     stream,
 };
 use woadstall_evacuation::Status;
-use woadstall_fault_proxy::{Fabric, Way};
+use woadstall_fault_proxy::{FaultProxy, LinkConditions};
 use woadstall_load_test::lock;
 use woadstall_membership_net::Report;
 
@@ -65,7 +65,7 @@
     /// All of a fleet, none of which runs yet. `start` is when callers begin.
     pub async fn new(
         of: &Members,
-        (fabric, balancers): (&Fabric, &[Arc<Balancer>]),
+        (fabric, balancers): (&FaultProxy, &[Arc<Balancer>]),
         (seed, start): (u64, Instant),
         zones: &[String],
     ) -> std::io::Result<Self> {
@@ -74,8 +74,8 @@
             let (number, ip) = (balancer.place.number, balancer.place.listen.ip());
             let listen = free(ip, Port::Members).await?;
             let me = ways::member(number);
-            fabric.stands_at(me, ip);
-            at.push((listen, fabric.hub(me, listen).await?));
+            fabric.assign_address(me, ip);
+            at.push((listen, fabric.proxy_shared(me, listen).await?));
         }
         let mut chance = stream(seed, Actor::Member, 0);
         let key = (0..32).fold(String::new(), |mut key, _| {
@@ -190,7 +190,7 @@
     /// Sets the ways among all, as `among` has them from one to another.
     pub fn set_ways(
         &self,
-        fabric: &Fabric,
+        fabric: &FaultProxy,
         scenario: &Scenario,
         among: impl Fn(usize, usize) -> Among,
     ) {
@@ -208,16 +208,16 @@
                 } else {
                     delay
                 };
-                let way = Way {
+                let way = LinkConditions {
                     delay,
                     jitter: delay.mul_f64(scenario.network.jitter),
                     loss: among.loss,
-                    doubled: among.doubled,
-                    overtaken: among.overtaken,
-                    rate: 0,
-                    cut: out,
+                    duplication: among.doubled,
+                    reordering: among.overtaken,
+                    bytes_per_second: 0,
+                    partitioned: out,
                 };
-                fabric.set(ways::member(sends), ways::member(hears), way);
+                fabric.set_conditions(ways::member(sends), ways::member(hears), way);
                 cut[from * size + to] = out;
             }
         }
--- a/crates/cluster-test/src/play.rs
+++ b/crates/cluster-test/src/play.rs
@@ -13,7 +13,7 @@
 use tokio::time::{interval_at, sleep};
 use woadstall_emulator::{End, Scenario};
 use woadstall_emulator_cli::rows::Lag;
-use woadstall_fault_proxy::Counts;
+use woadstall_fault_proxy::TrafficCounts;
 use woadstall_load_test::callers::{By, Callers};
 use woadstall_load_test::judge::Judge;
 use woadstall_load_test::{Seen, lock, script};
@@ -71,7 +71,7 @@
     /// How often agents were asked for their list.
     pub reads: u64,
     /// What went through the fabric.
-    pub fabric: Counts,
+    pub fabric: TrafficCounts,
     /// What each nodo saw.
     pub nodos: Vec<Seen>,
     /// Parts of a core that the threads of membership used, where there is one.
--- a/crates/cluster-test/src/tell.rs
+++ b/crates/cluster-test/src/tell.rs
@@ -31,8 +31,8 @@
         "breaches": end.breaches, "first-breaches": end.first_breaches, "bounds": end.bounds,
         "lost": played.lost, "doubled": played.doubled, "stood-still": played.stood_still,
         "prices": {
-            "connections": fabric.streams, "connections-a-request": fabric.streams as f64 / requests,
-            "bytes": fabric.bytes, "list-reads": played.reads,
+            "connections": fabric.streams_opened, "connections-a-request": fabric.streams_opened as f64 / requests,
+            "bytes": fabric.stream_bytes, "list-reads": played.reads,
             "attempts-a-request": end.counts.attempts as f64 / requests,
         },
         "members": end.members, "evacuated": end.evacuated, "members-cores": played.members_cores,
@@ -87,8 +87,8 @@
     ));
     line(format!(
         "  paid           {} connections through the fabric, {} kB, {} list reads",
-        fabric.streams,
-        fabric.bytes / 1_000,
+        fabric.streams_opened,
+        fabric.stream_bytes / 1_000,
         played.reads
     ));
     line(format!(
--- a/crates/cluster-test/src/ways.rs
+++ b/crates/cluster-test/src/ways.rs
@@ -2,34 +2,34 @@
 
 use std::time::Duration;
 use woadstall_emulator::{Fault, Scenario, What};
-use woadstall_fault_proxy::{Party, Way};
+use woadstall_fault_proxy::{LinkConditions, NodeId};
 
 /// Delays shorter than this are left out: timers are not finer, and the relays take a tenth of a millisecond.
 pub const LEAST_DELAY: Duration = Duration::from_micros(500);
 
 /// Callers of a zone.
-pub fn callers(zone: u8) -> Party {
-    Party(1 + u32::from(zone))
+pub fn callers(zone: u8) -> NodeId {
+    NodeId(1 + u32::from(zone))
 }
 
 /// A balancer, by its number among all.
-pub fn balancer(number: u32) -> Party {
-    Party(1_024 + number)
+pub fn balancer(number: u32) -> NodeId {
+    NodeId(1_024 + number)
 }
 
 /// A nodo, by its number among all.
-pub fn nodo(host: u32) -> Party {
-    Party(16_384 + host)
+pub fn nodo(host: u32) -> NodeId {
+    NodeId(16_384 + host)
 }
 
 /// The agent of a balancer.
-pub fn agent(number: u32) -> Party {
-    Party(32_768 + number)
+pub fn agent(number: u32) -> NodeId {
+    NodeId(32_768 + number)
 }
 
 /// A balancer as a member among the others: its machine may be found where its process is not.
-pub fn member(number: u32) -> Party {
-    Party(49_152 + number)
+pub fn member(number: u32) -> NodeId {
+    NodeId(49_152 + number)
 }
 
 /// One end of a way between a balancer and a nodo.
@@ -53,7 +53,7 @@
     scenario: &Scenario,
     ends: Ends,
     faults: impl Iterator<Item = InForce<'a>>,
-) -> Way {
+) -> LinkConditions {
     let network = &scenario.network;
     let base = if ends.balancer == ends.nodo {
         network.within
@@ -86,11 +86,11 @@
     } else {
         delay
     };
-    Way {
+    LinkConditions {
         delay,
         jitter: delay.mul_f64(network.jitter),
         loss,
-        cut,
-        ..Way::default()
+        partitioned: cut,
+        ..LinkConditions::default()
     }
 }
--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -1,18 +1,20 @@
-//! Relays on loopback through which the processes of a test reach each other, with faults by ordered pair: delay,
-//! jitter, loss, duplication, reordering, limits of rate, cuts of one way or both, resets; TCP and UDP.
+//! Proxies on loopback through which the processes of a test reach each other, with faults by ordered pair of nodes: delay,
+//! jitter, loss, duplication, reordering, limited bandwidth, partitions in one direction or both, resets; TCP and UDP.
 //!
-//! The processes know nothing of it: they are told, or announce, addresses that lead through it, as they would
-//! behind an address translator. [`shape`] says when bytes come out, without input or output; the rest is sockets.
+//! The processes know nothing of it: they are given, or announce, addresses that lead through it, as behind an address
+//! translator. [`schedule`] decides when bytes are delivered, without input or output; the rest is sockets.
 //! `docs/cluster-test.md` has what this cannot show.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
-mod fabric;
-mod hub;
-pub mod shape;
+mod conditions;
+mod counters;
+mod proxy;
+pub mod schedule;
+mod shared;
+mod state;
 mod tcp;
 mod udp;
 
-pub use fabric::{Counts, Fabric, Party};
-pub use shape::{Way, WayError};
+pub use conditions::{ConditionsError, LinkConditions, MAX_DELAY};
+pub use counters::TrafficCounts;
+pub use proxy::FaultProxy;
+pub use state::NodeId;
--- /dev/null
+++ b/crates/fault-proxy/src/tcp/mod.rs
@@ -0,0 +1,27 @@
+//! Proxies of streams.
+
+mod forward;
+mod listener;
+mod pair;
+
+pub(crate) use listener::ProxyListener;
+pub(crate) use pair::StreamPair;
+
+use crate::state::{NodeId, SharedState};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// The address at which `from` reaches `to`, and the proxy's task.
+pub(crate) fn proxy(
+    state: Arc<SharedState>,
+    from: NodeId,
+    to: NodeId,
+    target: SocketAddr,
+) -> io::Result<(SocketAddr, impl Future<Output = ()> + Send + 'static)> {
+    let listener = ProxyListener::bind(from.proxy_ip())?;
+    let address = listener.address();
+    let running = state.watch_running(to);
+    let pair = StreamPair::new(state, from, to, target);
+    Ok((address, pair.accept_streams(listener, running)))
+}
--- a/crates/fault-proxy/src/udp.rs
+++ b/crates/fault-proxy/src/udp.rs
@@ -1,128 +1,134 @@
-//! A relay of datagrams between two sockets.
+//! Proxies of datagrams.
 
-use crate::fabric::{Inner, Party};
-use crate::shape::{Datagrams, Way};
-use rand::SeedableRng;
+use crate::conditions::LinkConditions;
+use crate::schedule::DatagramSchedule;
+use crate::state::{NodeId, SharedState};
 use rand_chacha::ChaCha8Rng;
 use std::io;
-use std::net::{IpAddr, SocketAddr};
+use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
-use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::task::JoinSet;
 use tokio::time::sleep_until;
 
-/// Datagrams under way in one direction at most: what comes beyond is lost, as in a full queue.
-const WINDOW: usize = 4096;
-pub const LONGEST: usize = 65_536;
+/// Datagrams in flight in one direction at most; what is beyond is dropped, as by a full queue.
+const WINDOW_DATAGRAMS: usize = 4096;
+/// The length of the buffer for received datagrams, beyond the longest of IPv4.
+pub(crate) const BUFFER_BYTES: usize = 65_536;
 
-/// The addresses to which the two send, and the relay's work.
-pub async fn relay(
-    inner: Arc<Inner>,
-    ips: (IpAddr, IpAddr),
-    (one, at): (Party, SocketAddr),
-    (other, there): (Party, SocketAddr),
+/// The addresses at which two nodes reach each other, and the proxy's task.
+pub(crate) async fn proxy(
+    state: Arc<SharedState>,
+    one: (NodeId, SocketAddr),
+    other: (NodeId, SocketAddr),
 ) -> io::Result<(
     (SocketAddr, SocketAddr),
     impl Future<Output = ()> + Send + 'static,
 )> {
-    // What comes in at the one's socket goes out by the other's, so that each hears from where it sends to.
-    let for_one = Arc::new(UdpSocket::bind(SocketAddr::new(ips.0, 0)).await?);
-    let for_other = Arc::new(UdpSocket::bind(SocketAddr::new(ips.1, 0)).await?);
+    // What arrives at the socket for one leaves by the one for the other, so that each receives from where it sends to.
+    let for_one = Arc::new(UdpSocket::bind(SocketAddr::new(one.0.proxy_ip(), 0)).await?);
+    let for_other = Arc::new(UdpSocket::bind(SocketAddr::new(other.0.proxy_ip(), 0)).await?);
     let addresses = (for_one.local_addr()?, for_other.local_addr()?);
-    let to = forward(
-        inner.clone(),
-        (one, at),
+    let there = forward(
+        state.clone(),
+        one,
         for_one.clone(),
         for_other.clone(),
-        (other, there),
+        other,
     );
-    let fro = forward(inner, (other, there), for_other, for_one, (one, at));
-    Ok((addresses, async move {
-        tokio::join!(to, fro);
-    }))
+    let back = forward(state, other, for_other, for_one, one);
+    let task = async move {
+        tokio::join!(there, back);
+    };
+    Ok((addresses, task))
 }
 
 async fn forward(
-    inner: Arc<Inner>,
-    (from, sender): (Party, SocketAddr),
+    state: Arc<SharedState>,
+    (from, sender): (NodeId, SocketAddr),
     input: Arc<UdpSocket>,
     output: Arc<UdpSocket>,
-    (to, target): (Party, SocketAddr),
+    (to, target): (NodeId, SocketAddr),
 ) {
-    let (direction, mut shape) = (inner.direction(from, to), Datagrams::default());
-    let (mut buffer, mut passes) = (vec![0; LONGEST], Passes::new(inner, output, target));
+    let link = state.watch_link(from, to);
+    let mut schedule = DatagramSchedule::default();
+    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut forwarder = DatagramForwarder::new(state, output, target);
     loop {
         let received = tokio::select! {
             received = input.recv_from(&mut buffer) => received,
-            () = passes.one_is_out() => continue,
+            () = forwarder.delivered() => continue,
         };
-        // An error tells of an earlier datagram that nobody took. What is not the sender's is not its word.
+        // An error is about an earlier datagram that nobody received. Strangers are ignored.
         let Ok((length, peer)) = received else {
             continue;
         };
         if peer == sender {
-            let way = direction.borrow().way.clone();
-            passes.pass(&way, &mut shape, &buffer[..length]).await;
+            let conditions = link.borrow().conditions.clone();
+            let datagram = &buffer[..length];
+            forwarder
+                .forward(&conditions, &mut schedule, datagram)
+                .await;
         }
     }
 }
 
-/// Datagrams under way to one target, each until its time.
-pub struct Passes {
-    inner: Arc<Inner>,
+/// Forwards datagrams to one target, each at its time.
+pub(crate) struct DatagramForwarder {
+    state: Arc<SharedState>,
     output: Arc<UdpSocket>,
     target: SocketAddr,
     rng: ChaCha8Rng,
-    under_way: JoinSet<()>,
+    in_flight: JoinSet<()>,
 }
 
-impl Passes {
-    /// To a target, by a socket.
-    pub fn new(inner: Arc<Inner>, output: Arc<UdpSocket>, target: SocketAddr) -> Self {
-        let rng = ChaCha8Rng::seed_from_u64(inner.seed ^ inner.number());
+impl DatagramForwarder {
+    pub(crate) fn new(state: Arc<SharedState>, output: Arc<UdpSocket>, target: SocketAddr) -> Self {
         Self {
-            inner,
+            rng: state.new_rng(),
+            state,
             output,
             target,
-            rng,
-            under_way: JoinSet::new(),
+            in_flight: JoinSet::new(),
         }
     }
 
-    /// One that was under way is out. Never returns while none is.
-    pub async fn one_is_out(&mut self) {
-        if self.under_way.join_next().await.is_none() {
+    /// Waits until a datagram in flight is delivered; forever while there is none.
+    pub(crate) async fn delivered(&mut self) {
+        if self.in_flight.join_next().await.is_none() {
             std::future::pending().await
         }
     }
 
-    /// Sends one on as its way has it: at once, later, twice or never.
-    pub async fn pass(&mut self, way: &Way, shape: &mut Datagrams, datagram: &[u8]) {
-        let Self {
-            inner,
-            output,
-            target,
-            ..
-        } = self;
-        let fate = shape.fate(inner.now(), datagram.len(), way, &mut self.rng);
-        if fate[0].is_none() || self.under_way.len() >= WINDOW {
-            inner.tally.lost.fetch_add(1, Ordering::Relaxed);
+    /// Forwards a datagram under the conditions of its link: at once, later, twice or never.
+    pub(crate) async fn forward(
+        &mut self,
+        conditions: &LinkConditions,
+        schedule: &mut DatagramSchedule,
+        datagram: &[u8],
+    ) {
+        let now_ns = self.state.now_ns();
+        let deliveries = schedule.deliver_at(now_ns, datagram.len(), conditions, &mut self.rng);
+        if deliveries[0].is_none() || self.in_flight.len() >= WINDOW_DATAGRAMS {
+            self.state.counters.add_dropped_datagram();
             return;
         }
-        for due in fate.into_iter().flatten() {
-            inner.tally.datagrams.fetch_add(1, Ordering::Relaxed);
-            if due <= inner.now() {
-                output.send_to(datagram, *target).await.ok();
-                continue;
+        for delivery_ns in deliveries.into_iter().flatten() {
+            self.state.counters.add_forwarded_datagram();
+            if delivery_ns <= self.state.now_ns() {
+                self.output.send_to(datagram, self.target).await.ok();
+            } else {
+                self.deliver_later(delivery_ns, datagram.to_vec());
             }
-            let (output, target, datagram) = (output.clone(), *target, datagram.to_vec());
-            let due = inner.began + Duration::from_nanos(due);
-            self.under_way.spawn(async move {
-                sleep_until(due.into()).await;
-                output.send_to(&datagram, target).await.ok();
-            });
         }
     }
+
+    fn deliver_later(&mut self, delivery_ns: u64, datagram: Vec<u8>) {
+        let (output, target) = (self.output.clone(), self.target);
+        let due = self.state.instant(delivery_ns);
+        self.in_flight.spawn(async move {
+            sleep_until(due.into()).await;
+            output.send_to(&datagram, target).await.ok();
+        });
+    }
 }
--- a/crates/fault-proxy/tests/golden.rs
+++ b/crates/fault-proxy/tests/golden.rs
@@ -3,8 +3,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
-use woadstall_fault_proxy::Way;
-use woadstall_fault_proxy::shape::{Datagrams, Stream, handshake};
+use woadstall_fault_proxy::LinkConditions;
+use woadstall_fault_proxy::schedule::{DatagramSchedule, StreamSchedule, handshake_ns};
 
 /// Offset basis and prime of 64-bit FNV-1a.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -18,51 +18,51 @@
 }
 
 /// Every fault on its own, then all together.
-fn conditions() -> Vec<Way> {
-    let delay = Way {
+fn conditions() -> Vec<LinkConditions> {
+    let delay = LinkConditions {
         delay: Duration::from_millis(7),
-        ..Way::default()
+        ..LinkConditions::default()
     };
-    let jitter = Way {
+    let jitter = LinkConditions {
         jitter: Duration::from_micros(900),
         ..delay.clone()
     };
-    let loss = Way {
+    let loss = LinkConditions {
         loss: 0.1,
-        ..Way::default()
+        ..LinkConditions::default()
     };
-    let doubled = Way {
-        doubled: 0.3,
+    let duplicating = LinkConditions {
+        duplication: 0.3,
         ..delay.clone()
     };
-    let overtaken = Way {
-        overtaken: 0.3,
-        ..Way::default()
+    let reordering = LinkConditions {
+        reordering: 0.3,
+        ..LinkConditions::default()
     };
-    let rate = Way {
-        rate: 200_000,
-        ..Way::default()
+    let narrow = LinkConditions {
+        bytes_per_second: 200_000,
+        ..LinkConditions::default()
     };
-    let cut = Way {
-        cut: true,
-        ..Way::default()
+    let partitioned = LinkConditions {
+        partitioned: true,
+        ..LinkConditions::default()
     };
-    let all = Way {
+    let all = LinkConditions {
         loss: 0.2,
-        doubled: 0.2,
-        overtaken: 0.2,
-        rate: 3_000_000,
+        duplication: 0.2,
+        reordering: 0.2,
+        bytes_per_second: 3_000_000,
         ..jitter.clone()
     };
     vec![
-        Way::default(),
+        LinkConditions::default(),
         delay,
         jitter,
         loss,
-        doubled,
-        overtaken,
-        rate,
-        cut,
+        duplicating,
+        reordering,
+        narrow,
+        partitioned,
         all,
     ]
 }
@@ -70,11 +70,16 @@
 #[test]
 fn streams_have_the_recorded_times() {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
-    let mut stream = Stream::default();
+    let mut stream = StreamSchedule::default();
     let conditions = conditions();
     let times = (0..5_000u64).map(|number| {
-        let way = &conditions[number as usize / 50 % conditions.len()];
-        stream.release(number * 300_000, 1 + number as usize % 1_500, way, &mut rng)
+        let current = &conditions[number as usize / 50 % conditions.len()];
+        stream.deliver_at(
+            number * 300_000,
+            1 + number as usize % 1_500,
+            current,
+            &mut rng,
+        )
     });
     assert_eq!(digest(times), 0xef1f_2c02_4a2a_1ed6);
 }
@@ -86,20 +91,20 @@
     let pairs = conditions
         .iter()
         .flat_map(|there| conditions.iter().map(move |back| (there, back)));
-    let times = pairs.map(|(there, back)| handshake(there, back, &mut rng));
+    let times = pairs.map(|(there, back)| handshake_ns(there, back, &mut rng));
     assert_eq!(digest(times), 0xc921_fff5_2079_c31a);
 }
 
 #[test]
-fn datagrams_have_the_recorded_fates() {
+fn datagrams_have_the_recorded_times() {
     let mut rng = ChaCha8Rng::seed_from_u64(13);
-    let mut datagrams = Datagrams::default();
+    let mut datagrams = DatagramSchedule::default();
     let conditions = conditions();
     let times = (0..5_000u64).flat_map(|number| {
-        let way = &conditions[number as usize / 50 % conditions.len()];
+        let current = &conditions[number as usize / 50 % conditions.len()];
         let bytes = 1 + number as usize % 1_500;
-        let fate = datagrams.fate(number * 300_000, bytes, way, &mut rng);
-        fate.map(|due| due.unwrap_or(u64::MAX))
+        let deliveries = datagrams.deliver_at(number * 300_000, bytes, current, &mut rng);
+        deliveries.map(|due| due.unwrap_or(u64::MAX))
     });
     assert_eq!(digest(times), 0xcc41_bbc5_c28b_a97b);
 }
--- /dev/null
+++ b/crates/fault-proxy/tests/schedule.rs
@@ -0,0 +1,126 @@
+//! When bytes are delivered, without sockets.
+
+use proptest::prelude::*;
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use std::time::Duration;
+use woadstall_fault_proxy::LinkConditions;
+use woadstall_fault_proxy::schedule::{DatagramSchedule, StreamSchedule};
+
+fn conditions() -> impl Strategy<Value = LinkConditions> {
+    (
+        0u64..50,
+        0u64..50,
+        0.0..1.0f64,
+        0u64..5_000_000,
+        any::<bool>(),
+    )
+        .prop_map(
+            |(delay, jitter, loss, bytes_per_second, partitioned)| LinkConditions {
+                delay: Duration::from_millis(delay),
+                jitter: Duration::from_millis(jitter),
+                loss,
+                bytes_per_second,
+                partitioned,
+                ..LinkConditions::default()
+            },
+        )
+}
+
+proptest! {
+    /// However the conditions change, segments are delivered in order, not before their delay, and no faster than the
+    /// bandwidth.
+    #[test]
+    fn streams_keep_order_delay_and_bandwidth(seed: u64, segments in prop::collection::vec((0u64..20_000_000, 1usize..20_000, conditions()), 1..60)) {
+        let (mut stream, mut rng) = (StreamSchedule::default(), ChaCha8Rng::seed_from_u64(seed));
+        let (mut now, mut last) = (0, 0);
+        for (gap, bytes, conditions) in segments {
+            now += gap;
+            let due = stream.deliver_at(now, bytes, &conditions, &mut rng);
+            let transmission = (bytes as u64 * 1_000_000_000).checked_div(conditions.bytes_per_second).unwrap_or(0);
+            prop_assert!(due >= last && due >= now + conditions.delay.as_nanos() as u64 + transmission);
+            last = due;
+        }
+    }
+
+    /// A datagram is delivered never, once or twice, and never over a partitioned link.
+    #[test]
+    fn datagrams_are_delivered_at_most_twice(seed: u64, conditions in conditions(), duplication in 0.0..1.0f64, now in 0u64..1_000_000_000) {
+        let (mut datagrams, mut rng) = (DatagramSchedule::default(), ChaCha8Rng::seed_from_u64(seed));
+        let conditions = LinkConditions { duplication, ..conditions };
+        let deliveries = datagrams.deliver_at(now, 100, &conditions, &mut rng);
+        prop_assert!(deliveries[0].is_some() || deliveries[1].is_none());
+        prop_assert!(!conditions.partitioned || deliveries[0].is_none());
+        prop_assert!(deliveries.into_iter().flatten().all(|due| due >= now + conditions.delay.as_nanos() as u64));
+    }
+}
+
+/// The shares that are lost, duplicated and reordered are those of the conditions, within four standard deviations.
+#[test]
+fn datagrams_are_lost_duplicated_and_reordered_in_the_given_shares() {
+    const SENT: u32 = 20_000;
+    let conditions = LinkConditions {
+        loss: 0.1,
+        duplication: 0.05,
+        reordering: 0.2,
+        delay: Duration::from_millis(3),
+        ..LinkConditions::default()
+    };
+    let (mut datagrams, mut rng) = (DatagramSchedule::default(), ChaCha8Rng::seed_from_u64(7));
+    let (mut lost, mut duplicated, mut reordered) = (0, 0, 0);
+    for sent in 0..SENT {
+        let now = u64::from(sent) * 1_000_000;
+        match datagrams.deliver_at(now, 100, &conditions, &mut rng) {
+            [None, _] => lost += 1,
+            [Some(first), second] => {
+                duplicated += u32::from(second.is_some());
+                reordered += u32::from(first > now + 3_000_000);
+            }
+        }
+    }
+    let delivered = f64::from(SENT - lost);
+    for (what, found, total, share) in [
+        ("lost", lost, f64::from(SENT), 0.1),
+        ("duplicated", duplicated, delivered, 0.05),
+        ("reordered", reordered, delivered, 0.2),
+    ] {
+        let deviation = (total * share * (1.0 - share)).sqrt();
+        assert!(
+            (f64::from(found) - total * share).abs() < 4.0 * deviation,
+            "{what}: {found} of {total}"
+        );
+    }
+}
+
+#[test]
+fn a_bandwidth_limits_many_segments_together() {
+    let conditions = LinkConditions {
+        bytes_per_second: 1_000_000,
+        ..LinkConditions::default()
+    };
+    let (mut stream, mut rng) = (StreamSchedule::default(), ChaCha8Rng::seed_from_u64(1));
+    let last = (0..100)
+        .map(|_| stream.deliver_at(0, 10_000, &conditions, &mut rng))
+        .last();
+    assert_eq!(last, Some(1_000_000_000));
+}
+
+#[test]
+fn impossible_conditions_are_rejected_by_field() {
+    let error = LinkConditions {
+        loss: 1.5,
+        ..LinkConditions::default()
+    }
+    .check()
+    .unwrap_err();
+    assert!(error.to_string().contains("`loss`"), "{error}");
+    assert!(
+        LinkConditions {
+            delay: Duration::from_secs(61),
+            ..LinkConditions::default()
+        }
+        .check()
+        .is_err()
+    );
+    assert!(LinkConditions::default().check().is_ok());
+}
--- a/crates/fault-proxy/tests/sockets.rs
+++ b/crates/fault-proxy/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Relays between sockets of this machine.
+//! Proxies between sockets of this host.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,17 +6,17 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::JoinSet;
 use tokio::time::timeout;
-use woadstall_fault_proxy::{Fabric, Party, Way};
+use woadstall_fault_proxy::{FaultProxy, LinkConditions, NodeId};
 
-const A: Party = Party(1);
-const B: Party = Party(2);
+const A: NodeId = NodeId(1);
+const B: NodeId = NodeId(2);
 /// Far more than anything takes here.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-fn cut() -> Way {
-    Way {
-        cut: true,
-        ..Way::default()
+fn partitioned() -> LinkConditions {
+    LinkConditions {
+        partitioned: true,
+        ..LinkConditions::default()
     }
 }
 
@@ -26,10 +26,10 @@
     (listener, address)
 }
 
-/// A pair of ends that are connected through a relay.
-async fn ends(listener: &TcpListener, through: SocketAddr) -> (TcpStream, TcpStream) {
+/// Both ends of a stream through a proxy.
+async fn connect(listener: &TcpListener, through: SocketAddr) -> (TcpStream, TcpStream) {
     let near = TcpStream::connect(through).await.unwrap();
-    let (far, _) = timeout(PATIENCE, listener.accept())
+    let (far, _) = timeout(TIMEOUT, listener.accept())
         .await
         .expect("a stream")
         .unwrap();
@@ -38,33 +38,34 @@
 
 async fn read(stream: &mut TcpStream, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
-    timeout(PATIENCE, stream.read_exact(&mut bytes))
+    timeout(TIMEOUT, stream.read_exact(&mut bytes))
         .await
         .expect("bytes")
         .unwrap();
     bytes
 }
 
-/// Numbers that tell their place, so that what is invented, doubled or in another order shows.
+/// Numbers in sequence, so that bytes that are invented, duplicated or reordered show.
 fn numbers(from: u32, count: u32) -> Vec<u8> {
     (from..from + count).flat_map(u32::to_be_bytes).collect()
 }
 
-/// 2,000 streams cut one way: the other way goes on, and after healing each has all that was written, in order.
+/// 2,000 streams over a link partitioned in one direction: the other direction goes on, and after healing each has all that was
+/// written, in order.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cut_of_one_way_keeps_the_other_and_loses_nothing() {
+async fn a_partition_in_one_direction_keeps_the_other_and_loses_nothing() {
     let (listener, target) = listener().await;
-    let fabric = Fabric::new(3);
-    let through = fabric.tcp(A, B, target).await.unwrap();
+    let proxy = FaultProxy::new(3);
+    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
     let mut all = Vec::new();
     for _ in 0..2_000 {
-        all.push(ends(&listener, through).await);
+        all.push(connect(&listener, through).await);
     }
     for (near, far) in &mut all {
         near.write_all(&numbers(0, 8)).await.unwrap();
         assert_eq!(read(far, 32).await, numbers(0, 8));
     }
-    fabric.set(A, B, cut());
+    proxy.set_conditions(A, B, partitioned());
     for (near, far) in &mut all {
         near.write_all(&numbers(8, 64)).await.unwrap();
         far.write_all(&numbers(100, 64)).await.unwrap();
@@ -75,17 +76,17 @@
         assert_eq!(
             nothing,
             Err(std::io::ErrorKind::WouldBlock),
-            "something came over the cut"
+            "something came over the partitioned link"
         );
     }
     for (near, _) in &mut all {
         near.write_all(&numbers(72, 8)).await.unwrap();
         near.shutdown().await.unwrap();
     }
-    fabric.set(A, B, Way::default());
+    proxy.set_conditions(A, B, LinkConditions::default());
     for (_, far) in &mut all {
         let mut rest = Vec::new();
-        timeout(PATIENCE, far.read_to_end(&mut rest))
+        timeout(TIMEOUT, far.read_to_end(&mut rest))
             .await
             .expect("the end")
             .unwrap();
@@ -95,32 +96,32 @@
             rest.len()
         );
     }
-    assert_eq!(fabric.counts().streams, 2_000);
+    assert_eq!(proxy.counts().streams_opened, 2_000);
 }
 
-/// Over a cut of either way nothing comes up, nor is anything refused; after healing it does.
+/// Over a partition in either direction no stream comes up, nor is it refused; after healing it does.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn over_a_cut_no_stream_comes_up() {
+async fn over_a_partition_no_stream_comes_up() {
     let (listener, target) = listener().await;
-    let fabric = Fabric::new(3);
-    let through = fabric.tcp(A, B, target).await.unwrap();
-    drop(ends(&listener, through).await);
+    let proxy = FaultProxy::new(3);
+    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
+    drop(connect(&listener, through).await);
     for (from, to) in [(A, B), (B, A)] {
-        fabric.set(from, to, cut());
-        tokio::time::sleep(Duration::from_millis(100)).await; // the relay's queue is full by then
-        let mut tries = JoinSet::new();
+        proxy.set_conditions(from, to, partitioned());
+        tokio::time::sleep(Duration::from_millis(100)).await; // the proxy's backlog is full by then
+        let mut attempts = JoinSet::new();
         for _ in 0..5 {
-            tries.spawn(timeout(
+            attempts.spawn(timeout(
                 Duration::from_millis(300),
                 TcpStream::connect(through),
             ));
         }
-        while let Some(tried) = tries.join_next().await {
-            assert!(tried.unwrap().is_err(), "it came up, or was refused");
+        while let Some(attempt) = attempts.join_next().await {
+            assert!(attempt.unwrap().is_err(), "it came up, or was refused");
         }
-        let waiting = tokio::spawn(timeout(PATIENCE, TcpStream::connect(through)));
+        let waiting = tokio::spawn(timeout(TIMEOUT, TcpStream::connect(through)));
         tokio::time::sleep(Duration::from_millis(50)).await;
-        fabric.set(from, to, Way::default());
+        proxy.set_conditions(from, to, LinkConditions::default());
         assert!(
             waiting
                 .await
@@ -128,26 +129,26 @@
                 .expect("it comes up once healed")
                 .is_ok()
         );
-        drop(ends(&listener, through).await);
+        drop(connect(&listener, through).await);
     }
 }
 
-/// Where no process runs, streams are refused at once; its next one is found at the same address.
+/// Where no process runs, streams are refused at once; the next one is reached at the same address.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_dead_party_refuses_and_is_found_again() {
+async fn a_stopped_node_refuses_streams_until_it_runs_again() {
     let (listener, target) = listener().await;
-    let fabric = Fabric::new(3);
-    let through = fabric.tcp(A, B, target).await.unwrap();
-    drop(ends(&listener, through).await);
-    fabric.set_up(B, false);
-    let refused = timeout(PATIENCE, async {
+    let proxy = FaultProxy::new(3);
+    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
+    drop(connect(&listener, through).await);
+    proxy.set_running(B, false);
+    let refused = timeout(TIMEOUT, async {
         while TcpStream::connect(through).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     });
     refused.await.expect("it is refused");
-    fabric.set_up(B, true);
-    let found = timeout(PATIENCE, async {
+    proxy.set_running(B, true);
+    let found = timeout(TIMEOUT, async {
         loop {
             match TcpStream::connect(through).await {
                 Ok(found) => break found,
@@ -158,31 +159,31 @@
     found.await.expect("it is found");
 }
 
-/// A stream that breaks on one side breaks on the other: it does not end there as if all had come.
+/// A stream that is reset on one side is reset on the other: it does not end there as if all had been delivered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn resets_are_passed_on_as_resets() {
+async fn resets_are_forwarded_as_resets() {
     let (listener, target) = listener().await;
-    let fabric = Fabric::new(3);
-    let through = fabric.tcp(A, B, target).await.unwrap();
-    let (mut near, far) = ends(&listener, through).await;
+    let proxy = FaultProxy::new(3);
+    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
+    let (mut near, far) = connect(&listener, through).await;
     far.set_zero_linger().unwrap();
     drop(far);
-    let broken = timeout(PATIENCE, near.read(&mut [0; 8]))
+    let broken = timeout(TIMEOUT, near.read(&mut [0; 8]))
         .await
         .expect("the reset");
     assert!(broken.is_err(), "{broken:?}");
-    let (mut near, mut far) = ends(&listener, through).await;
+    let (mut near, mut far) = connect(&listener, through).await;
     near.write_all(b"before").await.unwrap();
     assert_eq!(read(&mut far, 6).await, b"before");
-    fabric.reset(A, B);
+    proxy.reset_streams(A, B);
     assert!(
-        timeout(PATIENCE, near.read(&mut [0; 8]))
+        timeout(TIMEOUT, near.read(&mut [0; 8]))
             .await
             .expect("the reset")
             .is_err()
     );
     assert!(
-        timeout(PATIENCE, far.read(&mut [0; 8]))
+        timeout(TIMEOUT, far.read(&mut [0; 8]))
             .await
             .expect("the reset")
             .is_err()
@@ -190,25 +191,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn delays_add_up_and_rates_hold() {
+async fn delay_and_bandwidth_apply_to_their_own_direction() {
     let (listener, target) = listener().await;
-    let fabric = Fabric::new(3);
-    let through = fabric.tcp(A, B, target).await.unwrap();
-    let (mut near, mut far) = ends(&listener, through).await;
-    fabric.set(
+    let proxy = FaultProxy::new(3);
+    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
+    let (mut near, mut far) = connect(&listener, through).await;
+    proxy.set_conditions(
         A,
         B,
-        Way {
+        LinkConditions {
             delay: Duration::from_millis(60),
-            ..Way::default()
+            ..LinkConditions::default()
         },
     );
-    fabric.set(
+    proxy.set_conditions(
         B,
         A,
-        Way {
-            rate: 100_000,
-            ..Way::default()
+        LinkConditions {
+            bytes_per_second: 100_000,
+            ..LinkConditions::default()
         },
     );
     let began = Instant::now();
@@ -225,65 +226,76 @@
     );
 }
 
-/// Each hears the other from where it sends to, and a cut of one way keeps the other.
-#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn datagrams_go_both_ways_and_over_no_cut() {
-    let (one, other) = (
-        UdpSocket::bind("127.0.0.1:0").await.unwrap(),
-        UdpSocket::bind("127.0.0.1:0").await.unwrap(),
-    );
-    let fabric = Fabric::new(3);
-    let (for_one, for_other) = fabric
-        .udp(
-            (A, one.local_addr().unwrap()),
-            (B, other.local_addr().unwrap()),
-        )
-        .await
-        .unwrap();
+/// A UDP socket at each of two nodes, and the addresses at which they reach each other.
+struct UdpPair {
+    proxy: FaultProxy,
+    one: UdpSocket,
+    other: UdpSocket,
+    for_one: SocketAddr,
+    for_other: SocketAddr,
+}
+
+impl UdpPair {
+    async fn new() -> Self {
+        let one = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let proxy = FaultProxy::new(3);
+        let at_one = (A, one.local_addr().unwrap());
+        let at_other = (B, other.local_addr().unwrap());
+        let (for_one, for_other) = proxy.proxy_udp(at_one, at_other).await.unwrap();
+        Self {
+            proxy,
+            one,
+            other,
+            for_one,
+            for_other,
+        }
+    }
+}
+
+/// The next datagram that a socket receives, and its sender.
+async fn receive(socket: &UdpSocket) -> (Vec<u8>, SocketAddr) {
     let mut buffer = [0; 64];
-    one.send_to(b"one", for_one).await.unwrap();
-    let (length, from) = timeout(PATIENCE, other.recv_from(&mut buffer))
-        .await
-        .expect("it")
-        .unwrap();
-    assert_eq!((&buffer[..length], from), (&b"one"[..], for_other));
-    other.send_to(b"other", from).await.unwrap();
-    let (length, from) = timeout(PATIENCE, one.recv_from(&mut buffer))
-        .await
-        .expect("it")
-        .unwrap();
-    assert_eq!((&buffer[..length], from), (&b"other"[..], for_one));
-    fabric.set(A, B, cut());
-    one.send_to(b"lost", for_one).await.unwrap();
-    other.send_to(b"not lost", for_other).await.unwrap();
-    let (length, _) = timeout(PATIENCE, one.recv_from(&mut buffer))
-        .await
-        .expect("it")
-        .unwrap();
-    assert_eq!(&buffer[..length], b"not lost");
-    fabric.set(
-        A,
-        B,
-        Way {
-            doubled: 1.0,
-            ..Way::default()
-        },
-    );
-    one.send_to(b"twice", for_one).await.unwrap();
+    let received = timeout(TIMEOUT, socket.recv_from(&mut buffer)).await;
+    let (length, from) = received.expect("a datagram").unwrap();
+    (buffer[..length].to_vec(), from)
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn datagrams_come_from_the_address_that_replies_go_to() {
+    let pair = UdpPair::new().await;
+    pair.one.send_to(b"one", pair.for_one).await.unwrap();
+    let (datagram, from) = receive(&pair.other).await;
+    assert_eq!((&datagram[..], from), (&b"one"[..], pair.for_other));
+    pair.other.send_to(b"other", from).await.unwrap();
+    let (datagram, from) = receive(&pair.one).await;
+    assert_eq!((&datagram[..], from), (&b"other"[..], pair.for_one));
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn datagrams_over_a_partitioned_link_are_lost_and_those_back_are_not() {
+    let pair = UdpPair::new().await;
+    pair.proxy.set_conditions(A, B, partitioned());
+    pair.one.send_to(b"lost", pair.for_one).await.unwrap();
+    let back = b"not lost";
+    pair.other.send_to(back, pair.for_other).await.unwrap();
+    assert_eq!(receive(&pair.one).await.0, back);
+    let duplicating = LinkConditions {
+        duplication: 1.0,
+        ..LinkConditions::default()
+    };
+    pair.proxy.set_conditions(A, B, duplicating);
+    pair.one.send_to(b"twice", pair.for_one).await.unwrap();
     for _ in 0..2 {
-        let (length, _) = timeout(PATIENCE, other.recv_from(&mut buffer))
-            .await
-            .expect("it")
-            .unwrap();
-        assert_eq!(&buffer[..length], b"twice");
+        assert_eq!(receive(&pair.other).await.0, b"twice");
     }
-    // A stranger that finds the relay is not taken for the one.
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn datagrams_of_strangers_are_ignored() {
+    let pair = UdpPair::new().await;
     let stranger = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    stranger.send_to(b"stranger", for_one).await.unwrap();
-    one.send_to(b"known", for_one).await.unwrap();
-    let (length, _) = timeout(PATIENCE, other.recv_from(&mut buffer))
-        .await
-        .expect("it")
-        .unwrap();
-    assert_eq!(&buffer[..length], b"known");
+    stranger.send_to(b"stranger", pair.for_one).await.unwrap();
+    pair.one.send_to(b"known", pair.for_one).await.unwrap();
+    assert_eq!(receive(&pair.other).await.0, b"known");
 }
