--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -1,10 +1,10 @@
-//! The bytes of place decisions and orders and the JSON of a status, as members and tools of other versions write and
-//! read them.
+//! The bytes of domain decisions and orders and the JSON of a status, as members and tools of other
+//! versions write and read them.
 
 use serde_json::json;
 use std::collections::BTreeMap;
 use woadstall_evacuation::{
-    Order, OrderAction, OrderTable, Phase, PlaceDecision, PlaceState, PlaceStatus, Status,
+    DomainDecision, DomainState, DomainStatus, Order, OrderAction, OrderTable, Phase, Status,
 };
 use woadstall_health_reports::Subject;
 
@@ -14,11 +14,11 @@
     assert_eq!(hex, golden);
 }
 
-fn place_decisions() -> Vec<PlaceDecision> {
-    let decision = |subject: Subject, state: Phase, epoch: u32, share: f64| {
-        let mut standing = PlaceState::default();
-        (standing.state, standing.epoch, standing.share) = (state, epoch, share);
-        PlaceDecision::new(subject, &standing)
+fn domain_decisions() -> Vec<DomainDecision> {
+    let decision = |subject: Subject, phase: Phase, epoch: u32, share: f64| {
+        let mut state = DomainState::default();
+        (state.phase, state.epoch, state.share) = (phase, epoch, share);
+        DomainDecision::new(subject, &state)
     };
     vec![
         decision(Subject::zone("0", "norte"), Phase::InUse, 4, 1.0),
@@ -39,36 +39,36 @@
     ]
 }
 
-const PLACE_DECISIONS: &str = concat!(
+const DOMAIN_DECISIONS: &str = concat!(
     "01014bbf9a20c964040064021ec48fb5586fac0201640011264415c36202021403",
     "85292a682dcb01033c0179c5d737642ef0a2040400"
 );
 
 #[test]
-fn place_decisions_have_the_golden_bytes() {
+fn domain_decisions_have_the_golden_bytes() {
     assert_golden(
-        &PlaceDecision::write(&place_decisions(), 256),
-        PLACE_DECISIONS,
+        &DomainDecision::encode(&domain_decisions(), 256),
+        DOMAIN_DECISIONS,
     );
-    assert_golden(&PlaceDecision::write(&[], 256), "01");
+    assert_golden(&DomainDecision::encode(&[], 256), "01");
 }
 
 #[test]
-fn golden_bytes_are_read_back_to_the_same_place_decisions() {
-    let bytes = PlaceDecision::write(&place_decisions(), 256);
-    assert_golden(&bytes, PLACE_DECISIONS);
-    let read = PlaceDecision::read(&bytes).unwrap();
-    assert_eq!(read, place_decisions());
-    let shares: Vec<f64> = read.iter().map(PlaceDecision::share).collect();
+fn golden_bytes_are_decoded_to_the_original_domain_decisions() {
+    let bytes = DomainDecision::encode(&domain_decisions(), 256);
+    assert_golden(&bytes, DOMAIN_DECISIONS);
+    let decoded = DomainDecision::decode(&bytes).unwrap();
+    assert_eq!(decoded, domain_decisions());
+    let shares: Vec<f64> = decoded.iter().map(DomainDecision::share).collect();
     assert_eq!(shares, [1.0, 1.0, 0.2, 0.6, 0.0]);
 }
 
 const NOW_MS: u64 = 1_767_225_600_000;
 
 fn orders() -> Vec<Order> {
-    let order = |subject: Subject, what: OrderAction, id: u32| Order {
+    let order = |subject: Subject, action: OrderAction, id: u32| Order {
         subject,
-        what,
+        action,
         issued_ms: NOW_MS - u64::from(id % 100),
         until_ms: NOW_MS + 600_000,
         id,
@@ -91,36 +91,39 @@
     "00f9cfeab6b733c09f8fb7b7330703d5d45bc4aaef0280d0eab6b733c09f8fb7b73300"
 );
 
-fn written_orders() -> Vec<u8> {
+fn encoded_orders() -> Vec<u8> {
     let mut all = OrderTable::default();
     for order in orders() {
-        assert!(all.take(NOW_MS, order));
+        assert!(all.submit(NOW_MS, order).is_ok());
     }
-    all.write(256)
+    all.encode(256)
 }
 
 #[test]
 fn orders_have_the_golden_bytes() {
-    assert_golden(&written_orders(), ORDERS);
-    assert_golden(&OrderTable::default().write(256), "01");
+    assert_golden(&encoded_orders(), ORDERS);
+    assert_golden(&OrderTable::default().encode(256), "01");
 }
 
 #[test]
-fn golden_bytes_are_read_back_to_the_same_orders() {
-    let bytes = written_orders();
+fn golden_bytes_are_decoded_to_the_original_orders() {
+    let bytes = encoded_orders();
     assert_golden(&bytes, ORDERS);
-    assert_eq!(OrderTable::read(&bytes).unwrap(), orders());
+    assert_eq!(OrderTable::decode(&bytes).unwrap(), orders());
 }
 
 #[test]
-fn what_does_not_fit_is_left_out_at_the_end() {
-    let bytes = PlaceDecision::write(&place_decisions(), 25);
-    assert_eq!(PlaceDecision::read(&bytes).unwrap(), place_decisions()[..2]);
+fn decisions_that_do_not_fit_are_left_out_at_the_end() {
+    let bytes = DomainDecision::encode(&domain_decisions(), 25);
+    assert_eq!(
+        DomainDecision::decode(&bytes).unwrap(),
+        domain_decisions()[..2]
+    );
 }
 
 #[test]
-fn states_and_orders_have_the_words_that_operators_know() {
-    let states = [
+fn phases_and_orders_have_the_names_that_operators_know() {
+    let phases = [
         Phase::InUse,
         Phase::Suspected,
         Phase::Restoring,
@@ -128,7 +131,7 @@
         Phase::Evacuated,
     ];
     assert_eq!(
-        states.map(Phase::word),
+        phases.map(Phase::as_str),
         ["in use", "doubted", "returning", "leaving", "left"]
     );
     assert_eq!(
@@ -137,7 +140,7 @@
             OrderAction::Keep,
             OrderAction::Restore
         ]
-        .map(OrderAction::word),
+        .map(OrderAction::as_str),
         ["leave", "hold", "return"]
     );
 }
@@ -145,25 +148,25 @@
 fn status() -> Status {
     Status {
         places: vec![
-            PlaceStatus {
+            DomainStatus {
                 name: "zone norte".to_owned(),
-                state: "left".to_owned(),
+                phase: "left".to_owned(),
                 epoch: 3,
-                for_s: 1.5,
+                phase_for_s: 1.5,
                 share: 0.0,
-                why: "an operator's word, leave; 90% of 40 calls fail".to_owned(),
-                against: 5,
-                for_it: 1,
+                reason: "an operator's word, leave; 90% of 40 calls fail".to_owned(),
+                reporters_against: 5,
+                reporters_in_favor: 1,
                 relapses: 2,
-                nodos: 8,
+                servers: 8,
                 order: Some("leave".to_owned()),
-                order_ends_s: Some(59.5),
-                not_followed: vec!["b-1".to_owned(), "b-2".to_owned()],
+                order_remaining_s: Some(59.5),
+                members_behind: vec!["b-1".to_owned(), "b-2".to_owned()],
             },
-            PlaceStatus::default(),
+            DomainStatus::default(),
         ],
-        odd: BTreeMap::from([("b-9".to_owned(), 3)]),
-        unread: 11,
+        contradicting_members: BTreeMap::from([("b-9".to_owned(), 3)]),
+        malformed_reports: 11,
     }
 }
 
@@ -198,7 +201,7 @@
         r#""relapses":0,"nodos":0,"order":null,"order_ends_s":null,"not_followed":[]}],"odd":{},"unread":0}"#
     );
     let status = Status {
-        places: vec![PlaceStatus::default()],
+        places: vec![DomainStatus::default()],
         ..Status::default()
     };
     assert_eq!(serde_json::to_string(&status).unwrap(), golden);
