--- a/crates/evacuation/src/coordinator/publish.rs
+++ b/crates/evacuation/src/coordinator/publish.rs
@@ -34,7 +34,7 @@
         node: &mut Node,
         members: &BTreeMap<String, usize>,
     ) {
-        let own_zone = node.me().zone.as_str().to_owned();
+        let own_zone = node.local().zone.as_str().to_owned();
         let own_zone_members = members.get(&own_zone).copied().unwrap_or(1);
         self.publish_health_report(now, node, own_zone_members);
         self.publish_decisions(now, node, &own_zone, own_zone_members);
@@ -51,9 +51,9 @@
         let bytes = HealthReport {
             entries: entries.collect(),
         }
-        .encode(node.fact_room());
+        .encode(node.max_record_bytes());
         if node
-            .say(
+            .publish(
                 now,
                 FactKey::HealthReport.name(),
                 HEALTH_REPORT_PRIORITY,
@@ -77,7 +77,7 @@
         own_zone_members: usize,
     ) {
         let decisions = self.engine.domain_decisions();
-        let bytes = DomainDecision::encode(&decisions, node.fact_room());
+        let bytes = DomainDecision::encode(&decisions, node.max_record_bytes());
         let is_first_and_empty = bytes.len() <= 1 && self.published.decisions.is_empty();
         if bytes == self.published.decisions || is_first_and_empty {
             return;
@@ -95,7 +95,7 @@
             OTHER_DECISIONS_PRIORITY
         };
         if node
-            .say(
+            .publish(
                 now,
                 FactKey::DomainDecisions.name(),
                 priority,
@@ -126,9 +126,9 @@
         if !self.published.are_orders_stale {
             return;
         }
-        let bytes = self.orders.encode(node.fact_room());
+        let bytes = self.orders.encode(node.max_record_bytes());
         self.published.are_orders_stale = node
-            .say(now, FactKey::Orders.name(), ORDERS_PRIORITY, bytes)
+            .publish(now, FactKey::Orders.name(), ORDERS_PRIORITY, bytes)
             .is_err();
     }
 }
