--- a/crates/control-simulation/src/cluster/node.rs
+++ b/crates/control-simulation/src/cluster/node.rs
@@ -4,12 +4,12 @@
 use crate::disk::SimulatedDisk;
 use std::collections::BTreeMap;
 use woadstall_consensus::DurableState;
-use woadstall_control::machine::Machine;
+use woadstall_control::machine::ControlMachine;
 
 /// A node of the cluster.
 pub(super) struct Node {
     /// The control process, if it runs.
-    pub(super) process: Option<Machine>,
+    pub(super) process: Option<ControlMachine>,
     pub(super) disk: SimulatedDisk,
     /// The number of processes that were started here so far.
     pub(super) incarnation: u64,
--- a/crates/control-simulation/src/digest.rs
+++ b/crates/control-simulation/src/digest.rs
@@ -4,7 +4,7 @@
 
 use crate::NodeIndex;
 use nanoserde::SerBin;
-use woadstall_control::machine::{Answer, Machine};
+use woadstall_control::machine::{CallResponse, ControlMachine};
 
 /// Offset basis and prime of 64-bit FNV-1a (RFC 9923).
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -112,18 +112,18 @@
     }
 
     /// Adds a response.
-    pub fn response(&mut self, response: &Answer) -> &mut Self {
+    pub fn response(&mut self, response: &CallResponse) -> &mut Self {
         match response {
-            Answer::Done => self.number(1),
-            Answer::Conflict { current } => self.number(2).number(*current),
-            Answer::Invalid { findings } => self.number(3).bytes(findings.as_bytes()),
-            Answer::Document(document) => self.number(4).bytes(document),
-            Answer::Unclear => self.number(5),
+            CallResponse::Acknowledged => self.number(1),
+            CallResponse::Conflict { current } => self.number(2).number(*current),
+            CallResponse::Invalid { findings } => self.number(3).bytes(findings.as_bytes()),
+            CallResponse::Document(document) => self.number(4).bytes(document),
+            CallResponse::Indeterminate => self.number(5),
         }
     }
 
     /// Adds the state of a process's replica: its term, leader, commit index, and what it has applied.
-    pub fn replica_state(&mut self, process: &Machine) -> &mut Self {
+    pub fn replica_state(&mut self, process: &ControlMachine) -> &mut Self {
         let replica = process.replica();
         self.number(replica.term())
             .number(replica.leader().unwrap_or_default())
--- a/crates/control-simulation/src/invariants.rs
+++ b/crates/control-simulation/src/invariants.rs
@@ -8,8 +8,8 @@
 use thiserror::Error;
 use woadstall_consensus::{DurableState, Entry, EntryPayload, ReplicaId};
 use woadstall_control::command::Command;
-use woadstall_control::machine::Machine;
-use woadstall_control::registry::Status;
+use woadstall_control::machine::ControlMachine;
+use woadstall_control::registry::UpstreamStatus;
 use woadstall_control::state::ControlState;
 
 /// Log entries that a process may keep at most, whatever happens.
@@ -131,7 +131,7 @@
     }
 
     /// Checks a process after an event.
-    pub fn check_process(&mut self, node: NodeIndex, incarnation: u64, process: &Machine) {
+    pub fn check_process(&mut self, node: NodeIndex, incarnation: u64, process: &ControlMachine) {
         self.check_election_safety(process);
         self.check_state_machine_safety(node, process);
         self.check_draining(node, incarnation, process);
@@ -141,7 +141,7 @@
         }
     }
 
-    fn check_election_safety(&mut self, process: &Machine) {
+    fn check_election_safety(&mut self, process: &ControlMachine) {
         let replica = process.replica();
         if !replica.is_leader() {
             return;
@@ -157,7 +157,7 @@
         }
     }
 
-    fn check_state_machine_safety(&mut self, node: NodeIndex, process: &Machine) {
+    fn check_state_machine_safety(&mut self, node: NodeIndex, process: &ControlMachine) {
         let state = process.state();
         let index = state.index;
         let found = AppliedState {
@@ -176,11 +176,11 @@
         }
     }
 
-    fn check_draining(&mut self, node: NodeIndex, incarnation: u64, process: &Machine) {
+    fn check_draining(&mut self, node: NodeIndex, incarnation: u64, process: &ControlMachine) {
         let known = self.draining.entry((node, incarnation)).or_default();
         let mut taken_back = None;
         for registration in process.registrations() {
-            if registration.status.is_leaving() {
+            if registration.status.is_terminating() {
                 known.insert(registration.id);
             } else if known.contains(&registration.id) {
                 taken_back = Some(registration.id);
@@ -206,9 +206,16 @@
     }
 
     /// Checks, without faults, that the statuses known at a node hold each acknowledged draining.
-    pub fn check_acknowledged(&mut self, node: NodeIndex, statuses: &BTreeMap<String, Status>) {
-        let takes_requests =
-            |id: &&String| statuses.get(*id).is_some_and(|status| !status.is_leaving());
+    pub fn check_acknowledged(
+        &mut self,
+        node: NodeIndex,
+        statuses: &BTreeMap<String, UpstreamStatus>,
+    ) {
+        let takes_requests = |id: &&String| {
+            statuses
+                .get(*id)
+                .is_some_and(|status| !status.is_terminating())
+        };
         if let Some(upstream) = self.acknowledged.iter().find(takes_requests).cloned() {
             self.fail(Violation::AcknowledgedDrainingLost { node, upstream });
         }
--- a/crates/control-simulation/tests/partitions.rs
+++ b/crates/control-simulation/tests/partitions.rs
@@ -7,8 +7,8 @@
     read_generation,
 };
 use rstest::rstest;
-use woadstall_control::machine::Answer;
-use woadstall_control::registry::Status;
+use woadstall_control::machine::CallResponse;
+use woadstall_control::registry::UpstreamStatus;
 use woadstall_control_simulation::network::{DELAYED_DELIVERY, NetworkConditions, STEADY};
 use woadstall_control_simulation::scenario::fixtures::{put, registration};
 
@@ -27,7 +27,10 @@
         cluster.isolate(isolated);
         let unknown = cluster.submit(isolated, put(0, 5));
         cluster.run(5_000);
-        assert_eq!(cluster.responses.get(&unknown), Some(&Answer::Unclear));
+        assert_eq!(
+            cluster.responses.get(&unknown),
+            Some(&CallResponse::Indeterminate)
+        );
         assert_eq!(
             read_generation(&mut cluster, isolated),
             None,
@@ -35,7 +38,10 @@
         );
         let committed = cluster.submit(other, put(0, 9));
         cluster.run(1_000);
-        assert_eq!(cluster.responses.get(&committed), Some(&Answer::Done));
+        assert_eq!(
+            cluster.responses.get(&committed),
+            Some(&CallResponse::Acknowledged)
+        );
         cluster.heal();
         cluster.run(5_000);
         assert_eq!(read_generation(&mut cluster, isolated), Some(9));
@@ -74,20 +80,21 @@
                 },
             ));
             requests.push(cluster.read(isolated));
-            requests.push(
-                cluster.register(isolated, registration("i-1", second + 1, Status::Draining)),
-            );
+            requests.push(cluster.register(
+                isolated,
+                registration("i-1", second + 1, UpstreamStatus::Draining),
+            ));
             requests.push(cluster.deregister(isolated, "i-unknown"));
             let node = others[second as usize % 2];
             let next = cluster.submit(node, put(generation, generation + 2));
             cluster.run(CLIENT_TIMEOUT_MS);
-            if cluster.responses.get(&next) == Some(&Answer::Done) {
+            if cluster.responses.get(&next) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
             for token in requests.drain(..) {
                 assert_eq!(
                     cluster.responses.get(&token),
-                    Some(&Answer::Unclear),
+                    Some(&CallResponse::Indeterminate),
                     "seed {seed}, second {second}"
                 );
             }
@@ -136,21 +143,21 @@
         cluster.run(CLIENT_TIMEOUT_MS);
         assert_eq!(
             cluster.responses.get(&delayed),
-            Some(&Answer::Unclear),
+            Some(&CallResponse::Indeterminate),
             "seed {seed}"
         );
         let again = cluster.submit(leader, evacuate());
         cluster.run(400);
         assert_eq!(
             cluster.responses.get(&again),
-            Some(&Answer::Done),
+            Some(&CallResponse::Acknowledged),
             "seed {seed}"
         );
         let back = cluster.submit(leader, end_evacuation());
         cluster.run(400);
         assert_eq!(
             cluster.responses.get(&back),
-            Some(&Answer::Done),
+            Some(&CallResponse::Acknowledged),
             "seed {seed}"
         );
         // Now it arrives, in the same term.
