--- a/crates/benchmarks/src/plugin.rs
+++ b/crates/benchmarks/src/plugin.rs
@@ -27,7 +27,7 @@
 use tower::util::BoxService;
 use tower_service::Service;
 use woadstall_mock_servers::grpc::{Grpc, Reply};
-use woadstall_tower::{Balance, Listing};
+use woadstall_tower::{Balance, EndpointList};
 
 type Fault = Box<dyn Error + Send + Sync>;
 
@@ -130,7 +130,7 @@
                 "state": "in_service"})
         })
         .collect();
-    let known: Listing =
+    let known: EndpointList =
         serde_json::from_value(serde_json::json!({"rev": 1, "all": true, "targets": targets}))?;
     Ok(Balance::builder()
         .settings(settings.to_string().as_bytes())?
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,9 +1,11 @@
-//! The list of upstreams as discovery gives it, and a client that follows it by long polling over HTTP/1.1.
+//! Service discovery: the list of endpoints in the platform's JSON form, and a client that watches it by long polling
+//! over HTTP/1.1.
 
-#![forbid(unsafe_code)]
+mod connection;
+mod endpoints;
+mod timing;
+mod watch;
 
-mod client;
-mod listing;
-
-pub use client::{Follow, Update, follow};
-pub use listing::{Listing, State, Target};
+pub use connection::CallError;
+pub use endpoints::{Endpoint, EndpointList, EndpointState};
+pub use watch::{WatchConfig, WatchEvent, watch_endpoints};
--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Discovery's list messages, pinned: every key, every default and every state.
 
 use std::time::Duration;
-use woadstall_discovery::{Listing, State};
+use woadstall_discovery::{EndpointList, EndpointState};
 use woadstall_engine::{Entry, Lifecycle};
 use woadstall_settings::Names;
 
@@ -23,42 +23,46 @@
 
 #[test]
 fn every_key_is_read() {
-    let listing: Listing = serde_json::from_str(EVERY_KEY).unwrap();
+    let list: EndpointList = serde_json::from_str(EVERY_KEY).unwrap();
     assert_eq!(
-        (listing.rev, listing.all, listing.targets.len()),
+        (list.revision, list.is_complete, list.endpoints.len()),
         (7, true, 4)
     );
-    let first = &listing.targets[0];
+    let first = &list.endpoints[0];
     assert_eq!(
         (
-            first.uid.as_str(),
-            first.endpoint.as_str(),
-            first.az.as_str()
+            first.name.as_str(),
+            first.address.as_str(),
+            first.zone.as_str()
         ),
         ("s-1", "10.0.0.1:80", "b")
     );
     assert_eq!(
-        (first.pod_group, first.state, first.capacity_hint),
-        (3, State::InService, 2.5)
+        (first.cell, first.state, first.capacity),
+        (3, EndpointState::InService, 2.5)
     );
-    assert_eq!(first.boot_ms, 1_700_000_000_123);
-    let states: Vec<State> = listing.targets.iter().map(|target| target.state).collect();
+    assert_eq!(first.started_ms, 1_700_000_000_123);
+    let states: Vec<EndpointState> = list
+        .endpoints
+        .iter()
+        .map(|endpoint| endpoint.state)
+        .collect();
     assert_eq!(
         states,
         [
-            State::InService,
-            State::Terminating,
-            State::Terminated,
-            State::Terminating
+            EndpointState::InService,
+            EndpointState::Terminating,
+            EndpointState::Terminated,
+            EndpointState::Terminating
         ]
     );
-    let last = &listing.targets[3];
+    let last = &list.endpoints[3];
     assert_eq!(
         (
-            last.az.as_str(),
-            last.pod_group,
-            last.capacity_hint,
-            last.boot_ms
+            last.zone.as_str(),
+            last.cell,
+            last.capacity,
+            last.started_ms
         ),
         ("", 0, 1.0, 0)
     );
@@ -66,16 +70,16 @@
 
 #[test]
 fn a_list_has_defaults() {
-    let listing: Listing = serde_json::from_str(r#"{"rev":9}"#).unwrap();
-    assert!(listing.rev == 9 && !listing.all && listing.targets.is_empty());
-    let none = Listing::default();
-    assert!(none.rev == 0 && !none.all && none.targets.is_empty());
+    let list: EndpointList = serde_json::from_str(r#"{"rev":9}"#).unwrap();
+    assert!(list.revision == 9 && !list.is_complete && list.endpoints.is_empty());
+    let none = EndpointList::default();
+    assert!(none.revision == 0 && !none.is_complete && none.endpoints.is_empty());
 }
 
 #[test]
 fn entries_as_the_engine_takes_them() {
-    let listing: Listing = serde_json::from_str(EVERY_KEY).unwrap();
-    let entries: Vec<Entry> = listing.entries(&names());
+    let list: EndpointList = serde_json::from_str(EVERY_KEY).unwrap();
+    let entries: Vec<Entry> = list.entries(&names());
     let zones: Vec<Option<u8>> = entries
         .iter()
         .map(|entry| entry.zone.map(|zone| zone.0))
@@ -121,7 +125,7 @@
         r#"{"rev":1,"targets":[{"uid":"a","endpoint":"a","state":"in_service","pod_group":65536}]}"#,
     ];
     let errors = texts.map(|text| {
-        serde_json::from_str::<Listing>(text)
+        serde_json::from_str::<EndpointList>(text)
             .unwrap_err()
             .to_string()
     });
--- a/crates/runtime/src/balance.rs
+++ b/crates/runtime/src/balance.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until, timeout};
-use woadstall_discovery::{Follow, Listing, Update, follow};
+use woadstall_discovery::{EndpointList, WatchConfig, WatchEvent, watch_endpoints};
 use woadstall_engine::decisions::{Verdict as Finding, ZoneId};
 use woadstall_engine::{
     Call, Command, Ended, Engine, Input, Learned, Listed, Observed, Outcome, Outstanding, Peer,
@@ -42,7 +42,7 @@
     /// Seed of its random numbers: another for each instance, and with each start.
     pub seed: u64,
     /// The list of upstreams as it is known already; it may be old.
-    pub known: Listing,
+    pub known: EndpointList,
 }
 
 /// What a request asks for.
@@ -173,14 +173,14 @@
         });
     }
 
-    fn list(self: &Arc<Self>, listing: &Listing) {
+    fn list(self: &Arc<Self>, listing: &EndpointList) {
         let entries = listing.entries(&self.names);
         let mut locked = self.lock();
         self.tell(
             &mut locked,
             Input::Listed {
                 entries: &entries,
-                all: listing.all,
+                all: listing.is_complete,
             },
         );
         let ready = locked.engine.is_ready();
@@ -191,11 +191,18 @@
         }
     }
 
-    fn hear(self: &Arc<Self>, update: Update) {
+    fn hear(self: &Arc<Self>, update: WatchEvent) {
         match update {
-            Update::Listed(listing) => self.list(&listing),
-            Update::Failed => self.tell(&mut self.lock(), Input::ListFailed),
-            Update::Note(text) => (self.log)(format_args!("{text}")),
+            WatchEvent::List(list) => self.list(&list),
+            WatchEvent::SubscriptionFailed => self.tell(&mut self.lock(), Input::ListFailed),
+            WatchEvent::FirstFailure(error) => {
+                (self.log)(format_args!("discovery failed: {error}"));
+            }
+            WatchEvent::Recovered { failures } => {
+                (self.log)(format_args!(
+                    "discovery answers again after {failures} failures"
+                ));
+            }
         }
     }
 
@@ -293,7 +300,7 @@
             clock,
             names,
             asked,
-            known: known.rev,
+            known: known.revision,
             seed,
             may_cancel,
             subscribe,
@@ -302,7 +309,10 @@
             log,
             runtime: Handle::try_current().map_err(|error| error.to_string())?,
         });
-        shared.list(&Listing { all: true, ..known });
+        shared.list(&EndpointList {
+            is_complete: true,
+            ..known
+        });
         let ringing = tokio::spawn(ring(Arc::downgrade(&shared))).abort_handle();
         let tasks = Arc::new(Tasks(Mutex::new(vec![ringing])));
         Ok(Self {
@@ -322,12 +332,12 @@
         let Some(subscribed) = subscribed else { return };
         let shared = Arc::downgrade(&self.shared);
         let hear = move |update| shared.upgrade().map(|shared| shared.hear(update)).is_some();
-        let from = Follow {
-            known: Some(self.shared.known),
-            asked: self.shared.asked,
+        let from = WatchConfig {
+            known_revision: Some(self.shared.known),
+            on_demand: self.shared.asked,
             seed: self.shared.seed,
         };
-        let task = tokio::spawn(follow(from, hear, subscribed, addresses)).abort_handle();
+        let task = tokio::spawn(watch_endpoints(from, hear, subscribed, addresses)).abort_handle();
         self.tasks
             .0
             .lock()
@@ -336,7 +346,7 @@
     }
 
     /// Takes a list of upstreams, whole or what changed.
-    pub fn list(&self, listing: &Listing) {
+    pub fn list(&self, listing: &EndpointList) {
         self.shared.list(listing);
     }
 
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
-use woadstall_discovery::Listing;
+use woadstall_discovery::EndpointList;
 use woadstall_engine::Settings;
 use woadstall_operator_config::OperatorConfig;
 use woadstall_runtime::{Log, Setup};
@@ -44,7 +44,7 @@
     settings: Option<(Settings, Names)>,
     methods: Vec<(String, String)>,
     discovery: Option<SocketAddr>,
-    known: Listing,
+    known: EndpointList,
     seed: Option<u64>,
     protocol: Protocol,
     replay_limit: usize,
@@ -58,7 +58,7 @@
             settings: None,
             methods: Vec::new(),
             discovery: None,
-            known: Listing::default(),
+            known: EndpointList::default(),
             seed: None,
             protocol: Protocol::default(),
             replay_limit: 64 << 10,
@@ -109,7 +109,7 @@
     }
 
     /// The list of upstreams as it is known already; it may be old.
-    pub fn known(mut self, known: Listing) -> Self {
+    pub fn known(mut self, known: EndpointList) -> Self {
         self.known = known;
         self
     }
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -36,5 +36,5 @@
 pub use builder::{BuildError, Builder, Protocol};
 pub use inherit::{InheritTime, Inheriting};
 pub use service::Balance;
-pub use woadstall_discovery::{Listing, State, Target};
+pub use woadstall_discovery::{Endpoint, EndpointList, EndpointState};
 pub use woadstall_transport::{Inbound, InboundError};
--- a/crates/tower/src/same.rs
+++ b/crates/tower/src/same.rs
@@ -19,7 +19,7 @@
             })
             .collect();
         let text = serde_json::json!({"rev": 1, "all": all, "targets": targets});
-        serde_json::from_value::<woadstall_discovery::Listing>(text)
+        serde_json::from_value::<woadstall_discovery::EndpointList>(text)
             .unwrap()
             .entries(names)
     };
--- a/crates/tower/src/service.rs
+++ b/crates/tower/src/service.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 use tower_service::Service;
-use woadstall_discovery::Listing;
+use woadstall_discovery::EndpointList;
 use woadstall_engine::Verdict;
 use woadstall_runtime::Ask;
 use woadstall_transport::{BodyError, Inbound, Outbound, is_grpc};
@@ -58,7 +58,7 @@
     }
 
     /// Takes a list of upstreams, whole or what changed, from a source of the caller's own.
-    pub fn list(&self, listing: &Listing) {
+    pub fn list(&self, listing: &EndpointList) {
         self.0.balance.list(listing);
     }
 
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tower_service::Service;
 use woadstall_mock_servers::grpc::message;
-use woadstall_tower::{Balance, Builder, Inbound, Listing};
+use woadstall_tower::{Balance, Builder, EndpointList, Inbound};
 
 pub const LOOK: &str = "/test.Test/Look";
 pub const PAY: &str = "/test.Test/Pay";
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub struct Member<'a>(pub &'a str, pub SocketAddr, pub &'a str, pub u64);
 
-pub fn listing(all: bool, members: &[Member<'_>]) -> Listing {
+pub fn listing(all: bool, members: &[Member<'_>]) -> EndpointList {
     let targets: Vec<_> = members
         .iter()
         .map(|Member(uid, address, state, boot_ms)| {
@@ -32,7 +32,7 @@
     serde_json::from_value(serde_json::json!({"rev": 1, "all": all, "targets": targets})).unwrap()
 }
 
-pub fn in_service(addresses: &[SocketAddr]) -> Listing {
+pub fn in_service(addresses: &[SocketAddr]) -> EndpointList {
     let names: Vec<String> = (0..addresses.len()).map(|at| format!("s-{at}")).collect();
     let members: Vec<_> = names
         .iter()
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use woadstall_decisions::api::Settings;
-use woadstall_discovery::Listing;
+use woadstall_discovery::EndpointList;
 use woadstall_membership_net::Setup;
 use woadstall_operator_config::EvacuationConfig;
 use woadstall_settings::Names;
@@ -41,7 +41,7 @@
     /// What may be held.
     pub limits: Limits,
     /// The last list of upstreams.
-    pub known: Listing,
+    pub known: EndpointList,
     /// The settings of the decisions.
     pub settings: Settings,
     /// Their names.
@@ -68,7 +68,7 @@
     seed: String,
     limits: RawLimits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Value,
 }
 
