--- a/crates/discovery/src/endpoints.rs
+++ b/crates/discovery/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! The list of endpoints in discovery's JSON form. Names of keys are the platform's.
 
 use serde::Deserialize;
-use woadstall_engine::Entry;
 use woadstall_engine::Lifecycle;
+use woadstall_engine::UpstreamEntry;
 use woadstall_settings::Names;
 
 /// A list of endpoints: all of them, or those that changed.
@@ -69,7 +69,7 @@
 
 impl EndpointList {
     /// The endpoints as the engine takes them, with zones by their positions in the settings.
-    pub fn entries(&self, names: &Names) -> Vec<Entry> {
+    pub fn entries(&self, names: &Names) -> Vec<UpstreamEntry> {
         self.endpoints
             .iter()
             .map(|endpoint| endpoint.entry(names))
@@ -78,8 +78,8 @@
 }
 
 impl Endpoint {
-    fn entry(&self, names: &Names) -> Entry {
-        Entry {
+    fn entry(&self, names: &Names) -> UpstreamEntry {
+        UpstreamEntry {
             name: self.name.clone(),
             address: self.address.parse().ok(),
             zone: names.zone(&self.zone),
--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use woadstall_discovery::{EndpointList, EndpointState};
-use woadstall_engine::{Entry, Lifecycle};
+use woadstall_engine::{Lifecycle, UpstreamEntry};
 use woadstall_settings::Names;
 
 const EVERY_KEY: &str = r#"{"rev":7,"all":true,"more":1,"targets":[
@@ -79,7 +79,7 @@
 #[test]
 fn entries_as_the_engine_takes_them() {
     let list: EndpointList = serde_json::from_str(EVERY_KEY).unwrap();
-    let entries: Vec<Entry> = list.entries(&names());
+    let entries: Vec<UpstreamEntry> = list.entries(&names());
     let zones: Vec<Option<u8>> = entries
         .iter()
         .map(|entry| entry.zone.map(|zone| zone.0))
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -6,7 +6,7 @@
 use crate::units::{MS, SECOND};
 use serde::{Deserialize, Serialize};
 use std::fmt;
-use woadstall_engine::{Time, Verdict};
+use woadstall_engine::{CallResult, Time};
 
 /// Grace for an answer: the safety net's, and a step of the timers.
 pub const GRACE: Time = 40 * MS;
@@ -118,7 +118,7 @@
     }
 
     /// A balancer answered. Its process stood still for `stalled` of late: that is not the program's doing.
-    pub fn answered(&mut self, now: Time, request: u64, verdict: &Verdict<()>, stalled: Time) {
+    pub fn answered(&mut self, now: Time, request: u64, verdict: &CallResult<()>, stalled: Time) {
         let Some(case) = self.cases.get_mut(request) else {
             return self.breach(
                 Rule::OneAnswer,
@@ -131,7 +131,7 @@
         let (call, answered, ran, out) = (case.call, case.answered, case.ran, case.out);
         let late = now.saturating_sub(case.deadline);
         let repeats = case.effect != CallEffect::Safe;
-        if let Verdict::Refused(_) = verdict {
+        if let CallResult::Rejected(_) = verdict {
             case.refused = true;
             if repeats && ran > 0 {
                 self.breach(
--- a/crates/emulator/src/mind.rs
+++ b/crates/emulator/src/mind.rs
@@ -1,6 +1,8 @@
 //! What decides inside a balancer: the wire that the real engine and its rivals are on.
 
-use woadstall_engine::{Command, Engine, Input, Listed, Observed, Outstanding, Time};
+use woadstall_engine::{
+    AttemptInFlight, AttemptRecord, Command, Engine, Input, ListedUpstream, Time,
+};
 
 /// The number of a request at a balancer, in the emulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -19,16 +21,16 @@
     /// The ends of attempts are to be kept from now on, if it can.
     fn observe(&mut self) {}
     /// Those that have come since this was asked last.
-    fn take_observed(&mut self) -> Vec<Observed> {
+    fn take_observed(&mut self) -> Vec<AttemptRecord> {
         Vec::new()
     }
     /// The attempts that are out.
-    fn outstanding(&self, now: Time) -> Vec<Outstanding> {
+    fn outstanding(&self, now: Time) -> Vec<AttemptInFlight> {
         let _ = now;
         Vec::new()
     }
     /// The nodos that are listed, where they have changed since `seen`.
-    fn listed(&self, seen: u64) -> Option<(u64, Vec<Listed<'_>>)> {
+    fn listed(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
         let _ = seen;
         None
     }
@@ -58,15 +60,15 @@
         Engine::observe(self);
     }
 
-    fn take_observed(&mut self) -> Vec<Observed> {
+    fn take_observed(&mut self) -> Vec<AttemptRecord> {
         Engine::take_observed(self)
     }
 
-    fn outstanding(&self, now: Time) -> Vec<Outstanding> {
+    fn outstanding(&self, now: Time) -> Vec<AttemptInFlight> {
         Engine::outstanding(self, now).collect()
     }
 
-    fn listed(&self, seen: u64) -> Option<(u64, Vec<Listed<'_>>)> {
+    fn listed(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
         let (changes, all) = Engine::listed(self);
         (changes != seen).then(|| (changes, all.collect()))
     }
--- a/crates/emulator/src/rivals.rs
+++ b/crates/emulator/src/rivals.rs
@@ -13,8 +13,8 @@
 use std::str::FromStr;
 use woadstall_engine::decisions::{Effect, Settings};
 use woadstall_engine::{
-    Call, Command, Ended, Entry, Input, Lifecycle, Outcome, Peer, RequestId, Send, ServerId, Time,
-    Verdict,
+    AttemptEnd, Call, CallResult, Command, Input, Lifecycle, Outcome, Peer, RequestId, SendAttempt,
+    ServerId, Time, UpstreamEntry,
 };
 
 /// How a server is picked.
@@ -223,7 +223,7 @@
         }
     }
 
-    fn on_listed(&mut self, entries: &[Entry], all: bool) {
+    fn on_listed(&mut self, entries: &[UpstreamEntry], all: bool) {
         if all {
             self.servers
                 .iter_mut()
@@ -250,7 +250,8 @@
             let server = &mut self.servers[at];
             let ready = entry.lifecycle == Lifecycle::Ready;
             if !ready || server.boot_ms != entry.boot_ms || server.address != entry.address {
-                self.commands.push_back(Command::Retire(server.id));
+                self.commands
+                    .push_back(Command::RetireConnections(server.id));
             }
             if server.boot_ms != entry.boot_ms {
                 (server.failures, server.trips, server.out_until, server.cost) = (0, 0, 0, 0.0);
@@ -277,12 +278,12 @@
             request: ticket,
             class,
             deadline,
-            attempts: most,
+            max_attempts: most,
             ..
         } = call;
-        let refused = |retry_after| Command::Answer {
+        let refused = |retry_after| Command::Respond {
             request: ticket,
-            verdict: Verdict::Refused(retry_after),
+            result: CallResult::Rejected(retry_after),
         };
         if deadline <= now || most == 0 {
             return self.commands.push_back(refused(0));
@@ -331,7 +332,7 @@
             address,
             boot_ms: server.boot_ms,
         };
-        let send = Send {
+        let send = SendAttempt {
             id,
             attempt,
             to,
@@ -339,7 +340,7 @@
             begin_by: Time::MAX,
             deadline: until,
         };
-        self.commands.push_back(Command::Send(send));
+        self.commands.push_back(Command::SendAttempt(send));
     }
 
     fn give_up(&mut self, id: RequestId) {
@@ -352,16 +353,16 @@
             .get(open.class)
             .is_some_and(|class| class.effect == Effect::Safe);
         let verdict = match safe || !open.may_have_run {
-            true => Verdict::Refused(ADVICE.min(self.settings.max_retry_after)),
-            false => Verdict::Failed,
+            true => CallResult::Rejected(ADVICE.min(self.settings.max_retry_after)),
+            false => CallResult::Failed,
         };
-        self.commands.push_back(Command::Answer {
+        self.commands.push_back(Command::Respond {
             request: open.ticket,
-            verdict,
+            result: verdict,
         });
     }
 
-    fn on_ended(&mut self, now: Time, id: RequestId, attempt: u32, ended: &Ended<()>) {
+    fn on_ended(&mut self, now: Time, id: RequestId, attempt: u32, ended: &AttemptEnd<()>) {
         let Some(open) = self
             .open
             .get_mut(&id)
@@ -376,13 +377,13 @@
         open.may_have_run |= !outcome.never_ran();
         let (may_have_run, attempts, most) = (open.may_have_run, open.attempts, open.most);
         self.learn(now, at, now - sent, outcome);
-        if ended.answer.is_some() {
+        if ended.response.is_some() {
             let Some(open) = self.open.remove(&id) else {
                 return;
             };
-            let answer = Command::Answer {
+            let answer = Command::Respond {
                 request: open.ticket,
-                verdict: Verdict::Served(()),
+                result: CallResult::Served(()),
             };
             return self.commands.push_back(answer);
         }
@@ -615,9 +616,12 @@
 impl Mind for Rival {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
         match input {
-            Input::Listed { entries, all } => self.on_listed(entries, all),
+            Input::EndpointsListed {
+                entries,
+                is_complete: all,
+            } => self.on_listed(entries, all),
             Input::Call(call) => self.on_call(now, call),
-            Input::Gone(id) => {
+            Input::CallerDisconnected(id) => {
                 if let Some(Open {
                     attempts,
                     out: Some((at, _)),
@@ -626,19 +630,23 @@
                 {
                     self.learn(now, at, 0, Outcome::Cancelled);
                     if self.settings.may_cancel {
-                        self.commands.push_back(Command::Withdraw {
+                        self.commands.push_back(Command::CancelAttempt {
                             id,
                             attempt: attempts - 1,
                         });
                     }
                 }
             }
-            Input::Ended { id, attempt, ended } => self.on_ended(now, id, attempt, &ended),
+            Input::AttemptEnded {
+                id,
+                attempt,
+                end: ended,
+            } => self.on_ended(now, id, attempt, &ended),
             // Each for itself: what a fleet finds is told in vain.
-            Input::ListFailed
-            | Input::Started { .. }
-            | Input::Probed(..)
-            | Input::Told(_)
+            Input::DiscoveryFailed
+            | Input::ResponseStarted { .. }
+            | Input::ProbeEnded(..)
+            | Input::FleetFindings(_)
             | Input::Tick => {}
         }
     }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -68,11 +68,11 @@
 
     pub(super) fn carry_out(&mut self, at: usize, command: Command<Ticket, ()>) {
         match command {
-            Command::Send(send) => self.send(at, &send),
-            Command::Withdraw { id, attempt } => self.withdraw(id, attempt),
-            Command::Answer {
+            Command::SendAttempt(send) => self.send(at, &send),
+            Command::CancelAttempt { id, attempt } => self.withdraw(id, attempt),
+            Command::Respond {
                 request: Ticket(request),
-                verdict,
+                result: verdict,
             } => {
                 let now = self.agenda.now();
                 let grace = self.stall_grace(now);
@@ -84,7 +84,7 @@
                     return;
                 }
                 let wish = known.wish;
-                if matches!(verdict, Verdict::Refused(_)) {
+                if matches!(verdict, CallResult::Rejected(_)) {
                     self.prices
                         .pay(now, self.balancers[at].tier, Price::Refusals, at);
                 }
@@ -92,10 +92,10 @@
                 self.answered_wish(wish, &verdict);
                 self.forget_request(request);
             }
-            Command::CloseIdle(server) => self.close_idle(at, server, false),
-            Command::Retire(server) => self.close_idle(at, server, true),
+            Command::CloseIdleConnections(server) => self.close_idle(at, server, false),
+            Command::RetireConnections(server) => self.close_idle(at, server, true),
             Command::Probe(peer) => self.probe(at, &peer),
-            Command::Watch => self.read_list(at),
+            Command::WatchDiscovery => self.read_list(at),
             Command::Log(line) => self.meter.log_line(&line),
         }
     }
@@ -213,7 +213,7 @@
         cut || self.link_ills(at, nodo, to).any(|link| link.cut)
     }
 
-    pub(super) fn send(&mut self, at: usize, send: &Send) {
+    pub(super) fn send(&mut self, at: usize, send: &SendAttempt) {
         let now = self.agenda.now();
         let host = Self::host_of(send.to.address);
         let request = self.request_of(send.id);
@@ -480,18 +480,18 @@
             )
         });
         let answer = (outcome == Outcome::Ok).then_some(());
-        let ended = Ended {
+        let ended = AttemptEnd {
             outcome,
-            answer,
+            response: answer,
             load: None,
         };
         if self.balancers[at].alive {
             self.tell(
                 at,
-                Input::Ended {
+                Input::AttemptEnded {
                     id: RequestId(request as u32),
                     attempt: tries,
-                    ended,
+                    end: ended,
                 },
             );
         }
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -105,7 +105,7 @@
         };
         let Some(balancer) = found else {
             self.tell_story(wish, || "no balancer is there".to_owned());
-            return self.conclude(wish, &Verdict::Failed, true);
+            return self.conclude(wish, &CallResult::Failed, true);
         };
         self.prices.request(tier);
         let effect = self.scenario.class[class].effect;
@@ -149,7 +149,7 @@
             tenant: wish.group.map_or(0, |group| self.tenants[group as usize]),
             work: None,
             deadline: self.balancers[at].local(wish.deadline),
-            attempts: u32::MAX,
+            max_attempts: u32::MAX,
         };
         self.tell(at, Input::Call(call));
     }
@@ -214,12 +214,12 @@
     }
 
     /// A caller has what its balancer made of its request.
-    pub(super) fn answered_wish(&mut self, number: u64, verdict: &Verdict<()>) {
+    pub(super) fn answered_wish(&mut self, number: u64, verdict: &CallResult<()>) {
         self.conclude(number, verdict, false);
     }
 
     /// The same; `unseen`: no balancer has had the request, so that asking again is harmless.
-    fn conclude(&mut self, number: u64, verdict: &Verdict<()>, unseen: bool) {
+    fn conclude(&mut self, number: u64, verdict: &CallResult<()>, unseen: bool) {
         self.give_back(number);
         let now = self.agenda.now();
         let Some(wish) = self.wishes.get(number) else {
@@ -238,17 +238,18 @@
         });
         let group_at = group.map(|group| group as usize);
         if let Some(group) = group_at
-            && *verdict != Verdict::Served(())
+            && *verdict != CallResult::Served(())
         {
             let effect = self.scenario.class[class].effect;
             // Callers know as well as balancers what must not run twice.
-            let may =
-                unseen || matches!(verdict, Verdict::Refused(_)) || effect != CallEffect::Unsafe;
+            let may = unseen
+                || matches!(verdict, CallResult::Rejected(_))
+                || effect != CallEffect::Unsafe;
             let callers = &self.scenario.callers[group];
             let rng = &mut self.habits[group];
             let wait = callers.again.wait(tries, || rng.random::<f64>());
             let advice = match verdict {
-                Verdict::Refused(after) if chance(rng, callers.heeds_advice) => *after,
+                CallResult::Rejected(after) if chance(rng, callers.heeds_advice) => *after,
                 _ => 0,
             };
             if let Some(wait) = wait.filter(|_| may)
@@ -258,10 +259,10 @@
             }
         }
         let result = match verdict {
-            Verdict::Served(()) if took <= self.scenario.class[class].aim.0 => Result::OnTime,
-            Verdict::Served(()) => Result::Late,
-            Verdict::Refused(_) => Result::Refused,
-            Verdict::Failed => Result::Failed,
+            CallResult::Served(()) if took <= self.scenario.class[class].aim.0 => Result::OnTime,
+            CallResult::Served(()) => Result::Late,
+            CallResult::Rejected(_) => Result::Refused,
+            CallResult::Failed => Result::Failed,
         };
         let (parent, one_of_crowd) = match self.wishes.get_mut(number) {
             Some(wish) => {
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -126,7 +126,7 @@
                 }
                 self.member_acts(at);
                 if !findings.is_empty() {
-                    self.tell(at, Input::Told(&findings));
+                    self.tell(at, Input::FleetFindings(&findings));
                 }
             }
         }
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -293,7 +293,7 @@
                 request.answered = true;
             }
             self.tell_story(wish, || format!("balancer {at} dies with it"));
-            self.answered_wish(wish, &Verdict::Failed);
+            self.answered_wish(wish, &CallResult::Failed);
             self.forget_request(number);
         }
         let mind = self.mind(at);
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -30,8 +30,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use woadstall_engine::decisions::ZoneId;
 use woadstall_engine::{
-    Call, Command, Ended, Entry, Input, Lifecycle, LoadReport, Outcome, Peer, RequestId, Send,
-    ServerId, Time, Verdict,
+    AttemptEnd, Call, CallResult, Command, Input, Lifecycle, LoadReport, Outcome, Peer, RequestId,
+    SendAttempt, ServerId, Time, UpstreamEntry,
 };
 
 /// Unix time at the start of a run, on a clock that is right.
--- a/crates/emulator/src/world/nodos.rs
+++ b/crates/emulator/src/world/nodos.rs
@@ -343,6 +343,6 @@
             figures: [held as f32, 0.0, 0.0, 0.0],
             len: 1,
         });
-        self.tell(at, Input::Probed(server, outcome, load));
+        self.tell(at, Input::ProbeEnded(server, outcome, load));
     }
 }
--- a/crates/emulator/src/world/padron.rs
+++ b/crates/emulator/src/world/padron.rs
@@ -7,10 +7,10 @@
         nodo.started.map_or(0, |started| (EPOCH + started) / MS)
     }
 
-    pub(super) fn entry(&self, nodo: u32, lifecycle: Lifecycle, boot_ms: u64) -> Entry {
+    pub(super) fn entry(&self, nodo: u32, lifecycle: Lifecycle, boot_ms: u64) -> UpstreamEntry {
         let nodo = &self.nodos[nodo as usize];
         let ip = Ipv4Addr::from(0x0a00_0000 | nodo.host);
-        Entry {
+        UpstreamEntry {
             name: nodo.name.clone(),
             address: Some(SocketAddr::from((ip, 8080))),
             zone: Some(ZoneId(nodo.zone)),
@@ -91,9 +91,9 @@
         if !entries.is_empty() {
             self.tell(
                 at,
-                Input::Listed {
+                Input::EndpointsListed {
                     entries: &entries,
-                    all: false,
+                    is_complete: false,
                 },
             );
         }
@@ -129,9 +129,9 @@
         self.balancers[at].heard = upto as u32;
         self.tell(
             at,
-            Input::Listed {
+            Input::EndpointsListed {
                 entries: &entries,
-                all: true,
+                is_complete: true,
             },
         );
         let all = self.changes.len() as u32;
@@ -170,7 +170,7 @@
         }
         if !well || self.padron_silent > 0 {
             self.prices.pay(now, tier, Price::FailedReads, at);
-            return self.tell(at, Input::ListFailed);
+            return self.tell(at, Input::DiscoveryFailed);
         }
         self.balancers[at].watches = true;
         let upto = self.changes.len() as u32;
@@ -179,9 +179,9 @@
         } else {
             self.tell(
                 at,
-                Input::Listed {
+                Input::EndpointsListed {
                     entries: &[],
-                    all: false,
+                    is_complete: false,
                 },
             );
         }
--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -43,7 +43,7 @@
         self.now = now;
         match &input {
             Input::Call(call) => drop(self.classes.insert(call.id, call.class)),
-            Input::Listed { entries, .. } => {
+            Input::EndpointsListed { entries, .. } => {
                 for entry in *entries {
                     let address = entry.address.unwrap();
                     let server = woadstall_emulator::engine::ServerId(0);
@@ -65,7 +65,7 @@
                 }
             }
             // The module knows nothing of the attempt that was made up.
-            Input::Ended { attempt, .. } if *attempt >= EXTRA => return,
+            Input::AttemptEnded { attempt, .. } if *attempt >= EXTRA => return,
             _ => {}
         }
         self.mind.handle(now, input);
@@ -77,16 +77,16 @@
         }
         let mut command = self.mind.next_command()?;
         match (&mut command, self.does) {
-            (Command::Send(send), Does::SendsTwice)
+            (Command::SendAttempt(send), Does::SendsTwice)
                 if self.classes.get(&send.id) == Some(&UNSAFE) =>
             {
-                let again = woadstall_emulator::engine::Send {
+                let again = woadstall_emulator::engine::SendAttempt {
                     attempt: send.attempt + EXTRA,
                     ..*send
                 };
-                self.more.push_back(Command::Send(again));
+                self.more.push_back(Command::SendAttempt(again));
             }
-            (Command::Send(send), Does::SendsToTheDrained) => {
+            (Command::SendAttempt(send), Does::SendsToTheDrained) => {
                 if let Some((name, since)) = &self.drained
                     && self.now > since + SECOND + SECOND / 1_000
                 {
@@ -94,22 +94,22 @@
                         (self.peers[name].address, self.peers[name].boot_ms);
                 }
             }
-            (Command::Send(send), Does::FloodsTheCold) => {
+            (Command::SendAttempt(send), Does::FloodsTheCold) => {
                 if let Some(name) = &self.cold {
                     (send.to.address, send.to.boot_ms) =
                         (self.peers[name].address, self.peers[name].boot_ms);
                 }
             }
-            (Command::Answer { request, .. }, Does::AnswersTwice | Does::NeverAnswers) => {
+            (Command::Respond { request, .. }, Does::AnswersTwice | Does::NeverAnswers) => {
                 self.done += 1;
                 if self.done == 100 && self.does == Does::NeverAnswers {
                     return self.next_command();
                 }
                 if self.done == 100 {
-                    let verdict = woadstall_emulator::engine::Verdict::Failed;
-                    self.more.push_back(Command::Answer {
+                    let verdict = woadstall_emulator::engine::CallResult::Failed;
+                    self.more.push_back(Command::Respond {
                         request: *request,
-                        verdict,
+                        result: verdict,
                     });
                 }
             }
@@ -239,12 +239,19 @@
 
 impl Mind for Twin {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
-        use woadstall_emulator::engine::Ended;
+        use woadstall_emulator::engine::AttemptEnd;
         let copy = match &input {
-            Input::Listed { entries, all } => Input::Listed { entries, all: *all },
+            Input::EndpointsListed {
+                entries,
+                is_complete: all,
+            } => Input::EndpointsListed {
+                entries,
+                is_complete: *all,
+            },
             Input::Call(call) => {
                 let (id, class, tenant, work) = (call.id, call.class, call.tenant, call.work);
-                let (request, deadline, attempts) = (call.request, call.deadline, call.attempts);
+                let (request, deadline, attempts) =
+                    (call.request, call.deadline, call.max_attempts);
                 let call = woadstall_emulator::engine::Call {
                     id,
                     request,
@@ -252,21 +259,25 @@
                     tenant,
                     work,
                     deadline,
-                    attempts,
+                    max_attempts: attempts,
                 };
                 Input::Call(call)
             }
-            Input::Gone(id) => Input::Gone(*id),
-            Input::Ended { id, attempt, ended } => {
-                let ended = Ended {
+            Input::CallerDisconnected(id) => Input::CallerDisconnected(*id),
+            Input::AttemptEnded {
+                id,
+                attempt,
+                end: ended,
+            } => {
+                let ended = AttemptEnd {
                     outcome: ended.outcome,
-                    answer: ended.answer,
+                    response: ended.response,
                     load: ended.load,
                 };
-                Input::Ended {
+                Input::AttemptEnded {
                     id: *id,
                     attempt: *attempt,
-                    ended,
+                    end: ended,
                 }
             }
             Input::Tick => Input::Tick,
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -1,193 +1,193 @@
-//! What a front tells the engine, and what the engine has it do.
+//! What passes between a front and the engine.
 
-use crate::members::{Entry, Peer};
+use crate::upstreams::{Peer, UpstreamEntry};
 use woadstall_decisions::api::{
     Duration, LoadReport, Outcome, RequestId, ServerId, Time, Verdict as Finding,
 };
 
-/// A request, as a front takes it.
+/// A call, as a front takes it.
 #[derive(Debug)]
 pub struct Call<R> {
     /// Its number: none that is open may be used again.
     pub id: RequestId,
-    /// What the front needs to send and to answer it.
+    /// What the front needs to forward it and to respond to it.
     pub request: R,
     /// Its class, as a position in the settings.
     pub class: usize,
     /// Its tenant, as a position in the settings.
     pub tenant: usize,
-    /// Its work in nanoseconds, where the caller has a guess.
+    /// Its work in nanoseconds, where the caller has an estimate.
     pub work: Option<Duration>,
     /// When its caller stops waiting.
     pub deadline: Time,
     /// Most attempts for it, whatever the settings allow beyond that: 1 where it cannot be sent again.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
-/// An attempt that was made, as it ended: what the fleet's evidence is made of.
+/// An attempt that was made, as it ended: what the fleet's evidence consists of.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Observed {
-    /// The request.
+pub struct AttemptRecord {
+    /// The call.
     pub id: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// When.
+    /// When it ended.
     pub at: Time,
-    /// At which upstream.
+    /// The upstream that it went to.
     pub server: ServerId,
-    /// Position of its class.
+    /// Position of the call's class.
     pub class: usize,
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since it was sent, in nanoseconds.
     pub took: Duration,
 }
 
-/// An attempt that is out.
+/// An attempt that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outstanding {
-    /// The request.
+pub struct AttemptInFlight {
+    /// The call.
     pub id: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// At which upstream.
+    /// The upstream that it went to.
     pub server: ServerId,
-    /// Position of its class.
+    /// Position of the call's class.
     pub class: usize,
-    /// Time since it was sent.
+    /// Time since it was sent, in nanoseconds.
     pub age: Duration,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended<A> {
+pub struct AttemptEnd<A> {
     /// What is known of it.
     pub outcome: Outcome,
-    /// The answer, if it is the final one.
-    pub answer: Option<A>,
-    /// The upstream's own figures, if any came along.
+    /// The response, if it is the final one.
+    pub response: Option<A>,
+    /// The upstream's load report, if one came along.
     pub load: Option<LoadReport>,
 }
 
-impl<A> Ended<A> {
-    /// The same with another form of its answer.
-    pub fn map<B>(self, into: impl FnOnce(A) -> B) -> Ended<B> {
-        Ended {
+impl<A> AttemptEnd<A> {
+    /// The same end with another form of its response.
+    pub fn map<B>(self, into: impl FnOnce(A) -> B) -> AttemptEnd<B> {
+        AttemptEnd {
             outcome: self.outcome,
-            answer: self.answer.map(into),
+            response: self.response.map(into),
             load: self.load,
         }
     }
 }
 
-impl<A> From<Outcome> for Ended<A> {
+impl<A> From<Outcome> for AttemptEnd<A> {
     fn from(outcome: Outcome) -> Self {
         Self {
             outcome,
-            answer: None,
+            response: None,
             load: None,
         }
     }
 }
 
-/// What a front tells the engine.
+/// What happens to a front.
 #[derive(Debug)]
 pub enum Input<'a, R, A> {
-    /// A list of upstreams: all of them, or those that changed.
-    Listed {
+    /// Discovery responded with a list of upstreams.
+    EndpointsListed {
         /// The upstreams.
-        entries: &'a [Entry],
-        /// What is missing is gone.
-        all: bool,
+        entries: &'a [UpstreamEntry],
+        /// These are all upstreams: what is missing is gone. Otherwise these are the ones that changed.
+        is_complete: bool,
     },
     /// Discovery failed; the list stays as it was.
-    ListFailed,
-    /// A request, read to its end.
+    DiscoveryFailed,
+    /// A call, read to its end.
     Call(Call<R>),
-    /// The caller of a request has left.
-    Gone(RequestId),
-    /// The answer has begun at an attempt, and its caller has what came so far: no other attempt may follow.
-    Started {
-        /// The request.
+    /// The caller of a call has disconnected.
+    CallerDisconnected(RequestId),
+    /// The response to an attempt has begun, and its caller has what came so far: no other attempt may follow.
+    ResponseStarted {
+        /// The call.
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// The answer that has begun.
-        answer: A,
+        /// The response that has begun.
+        response: A,
     },
     /// An attempt ended; each that was sent must, once.
-    Ended {
-        /// The request.
+    AttemptEnded {
+        /// The call.
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// How.
-        ended: Ended<A>,
+        /// How it ended.
+        end: AttemptEnd<A>,
     },
     /// A probe ended.
-    Probed(ServerId, Outcome, Option<LoadReport>),
-    /// What the fleet has found of zones and upstreams.
-    Told(&'a [Finding]),
+    ProbeEnded(ServerId, Outcome, Option<LoadReport>),
+    /// What the fleet has found about zones and upstreams.
+    FleetFindings(&'a [Finding]),
     /// Time has passed.
     Tick,
 }
 
 /// An attempt to be made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Send {
-    /// The request.
+pub struct SendAttempt {
+    /// The call.
     pub id: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Where to.
+    /// Where it goes.
     pub to: Peer,
     /// When it is given up.
     pub until: Time,
     /// From then on its first byte may no longer be written; it then ends as [`Outcome::Moot`].
     pub begin_by: Time,
-    /// When its caller stops waiting. The upstream is told how long that is from when the attempt is written.
+    /// When its caller stops waiting. The upstream is sent how long that is from when the attempt is written.
     pub deadline: Time,
 }
 
-/// The final answer to a request.
+/// The final result of a call.
 #[derive(Debug, PartialEq)]
-pub enum Verdict<A> {
-    /// An upstream's answer.
+pub enum CallResult<A> {
+    /// An upstream's response.
     Served(A),
-    /// Refused: trying again is harmless. With advice on how long to stay away; zero for none.
-    Refused(Duration),
-    /// Failed, with no promise on its effect.
+    /// Rejected, and not run: a retry is harmless. With how long to wait before it, in nanoseconds; zero for no advice.
+    Rejected(Duration),
+    /// Failed. It may have run.
     Failed,
 }
 
 /// What a front is to do.
 #[derive(Debug, PartialEq)]
 pub enum Command<R, A> {
-    /// Make an attempt, connecting if need be, and tell its end.
-    Send(Send),
-    /// Stop waiting for an attempt; its end must be told all the same.
-    Withdraw {
-        /// The request.
+    /// Make an attempt, connecting if need be, and report its end.
+    SendAttempt(SendAttempt),
+    /// Stop waiting for an attempt; its end must be reported all the same.
+    CancelAttempt {
+        /// The call.
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Give the final answer.
-    Answer {
-        /// The request.
+    /// Give the final result to the caller.
+    Respond {
+        /// The request of the call.
         request: R,
-        /// The answer.
-        verdict: Verdict<A>,
+        /// The result.
+        result: CallResult<A>,
     },
-    /// Ask an upstream for its figures, and tell how that ended.
+    /// Ask an upstream for its load report, and report how that ended.
     Probe(Peer),
     /// Close the idle connections to an upstream; busy ones may be used again.
-    CloseIdle(ServerId),
-    /// Use none of the present connections to an upstream for anything new: its process was replaced, takes
-    /// nothing new, or is gone. What is under way on them goes on.
-    Retire(ServerId),
+    CloseIdleConnections(ServerId),
+    /// Use none of the present connections to an upstream for anything new: its process was replaced, takes nothing new,
+    /// or is gone. What is in flight on them goes on.
+    RetireConnections(ServerId),
     /// Watch discovery.
-    Watch,
-    /// A line for the operators.
+    WatchDiscovery,
+    /// A line for the log.
     Log(String),
 }
--- a/crates/engine/tests/properties.rs
+++ b/crates/engine/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Any legal order of inputs gives each request one answer, sends nothing that it must not, and leaves the tables
-//! empty when all is over.
+//! Any legal order of inputs gives each call one response, sends nothing that must not be sent, and leaves the tables
+//! empty at the end.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,8 +50,8 @@
     }
 }
 
-fn entry(upstream: u8, lifecycle: Lifecycle, boot_ms: u64) -> Entry {
-    Entry {
+fn entry(upstream: u8, lifecycle: Lifecycle, boot_ms: u64) -> UpstreamEntry {
+    UpstreamEntry {
         name: format!("s-{upstream}"),
         address: Some(([127, 0, 0, 1], 9000 + u16::from(upstream)).into()),
         zone: Some(decisions::ZoneId(upstream % 2)),
@@ -67,15 +67,15 @@
     Call {
         class: usize,
         time_left: u64,
-        most: u32,
+        max_attempts: u32,
     },
-    Gone {
+    Disconnect {
         pick: usize,
     },
-    Started {
+    StartResponse {
         pick: usize,
     },
-    End {
+    EndAttempt {
         pick: usize,
         outcome: usize,
     },
@@ -83,11 +83,11 @@
         upstream: u8,
         state: u8,
         restarted: bool,
-        whole: bool,
+        is_complete: bool,
     },
-    Failed,
+    FailDiscovery,
     Tick,
-    /// Ends that were never begun, twice told, or of requests long over.
+    /// Ends of attempts that were never begun, that are reported twice, or of calls long over.
     Noise {
         id: u32,
         attempt: u32,
@@ -99,21 +99,21 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..=CLASSES, 0u64..1500, 0u32..8).prop_map(|(class, ms, most)| Step::Call {
+        6 => (0..=CLASSES, 0u64..1500, 0u32..8).prop_map(|(class, ms, max_attempts)| Step::Call {
             class,
             time_left: ms * MS,
-            most: if most == 7 { u32::MAX } else { most },
+            max_attempts: if max_attempts == 7 { u32::MAX } else { max_attempts },
         }),
-        1 => any::<usize>().prop_map(|pick| Step::Gone { pick }),
-        1 => any::<usize>().prop_map(|pick| Step::Started { pick }),
-        8 => (any::<usize>(), 0usize..9).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        2 => (0u8..6, 0u8..3, any::<bool>(), 0u8..6).prop_map(|(upstream, state, restarted, whole)| Step::List {
+        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
+        1 => any::<usize>().prop_map(|pick| Step::StartResponse { pick }),
+        8 => (any::<usize>(), 0usize..9).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
+        2 => (0u8..6, 0u8..3, any::<bool>(), 0u8..6).prop_map(|(upstream, state, restarted, is_complete)| Step::List {
             upstream,
             state,
             restarted,
-            whole: whole == 0,
+            is_complete: is_complete == 0,
         }),
-        1 => Just(Step::Failed),
+        1 => Just(Step::FailDiscovery),
         3 => Just(Step::Tick),
         1 => (0u32..50, 0u32..4).prop_map(|(id, attempt)| Step::Noise { id, attempt }),
         4 => (0u64..300).prop_map(|ms| Step::Wait { ms }),
@@ -132,86 +132,85 @@
     Outcome::Moot,
 ];
 
-struct Taken {
+struct OpenCall {
     class: usize,
     deadline: Time,
-    most: u32,
+    max_attempts: u32,
     attempts: u32,
     may_have_run: Option<Time>,
     over: bool,
 }
 
-struct Rig {
+struct Harness {
     engine: Engine<u32, u32>,
     now: Time,
     max_attempts: u32,
-    taken: BTreeMap<u32, Taken>,
-    out: BTreeSet<(u32, u32)>,
-    listed: BTreeMap<u8, Entry>,
+    calls: BTreeMap<u32, OpenCall>,
+    in_flight: BTreeSet<(u32, u32)>,
+    listed: BTreeMap<u8, UpstreamEntry>,
     /// Everything that was done, for comparing two runs.
-    done: Vec<String>,
+    log: Vec<String>,
 }
 
-impl Rig {
+impl Harness {
     fn new(may_cancel: bool, max_attempts: u32, seed: u64) -> Self {
         Self {
             engine: Engine::new(settings(may_cancel, max_attempts), seed, START).unwrap(),
             now: START,
             max_attempts,
-            taken: BTreeMap::new(),
-            out: BTreeSet::new(),
+            calls: BTreeMap::new(),
+            in_flight: BTreeSet::new(),
             listed: BTreeMap::new(),
-            done: Vec::new(),
+            log: Vec::new(),
         }
     }
 
-    fn tell(&mut self, input: Input<'_, u32, u32>) {
+    fn handle(&mut self, input: Input<'_, u32, u32>) {
         self.engine.handle(self.now, input);
         while let Some(command) = self.engine.next_command() {
-            self.done.push(format!("{} {command:?}", self.now));
+            self.log.push(format!("{} {command:?}", self.now));
             match command {
-                Command::Send(send) => self.on_send(&send),
-                Command::Answer { request, verdict } => {
-                    let taken = self
-                        .taken
-                        .get_mut(&request)
-                        .expect("a request that was taken");
-                    assert!(!taken.over, "request {request} is answered again");
-                    taken.over = true;
-                    // Rule 2: a refusal promises that trying again is harmless.
-                    if matches!(verdict, Verdict::Refused(_)) && taken.class != 0 {
+                Command::SendAttempt(send) => self.on_send(&send),
+                Command::Respond { request, result } => {
+                    let call = self.calls.get_mut(&request).expect("a call that was taken");
+                    assert!(!call.over, "request {request} has a second response");
+                    call.over = true;
+                    // Rule 2: a rejection promises that a retry is harmless.
+                    if matches!(result, CallResult::Rejected(_)) && call.class != 0 {
                         assert_eq!(
-                            taken.may_have_run, None,
-                            "request {request} is refused, and may have run"
+                            call.may_have_run, None,
+                            "request {request} is rejected, and may have run"
                         );
                     }
                 }
-                Command::Withdraw { id, attempt } => assert!(self.out.contains(&(id.0, attempt))),
+                Command::CancelAttempt { id, attempt } => {
+                    assert!(self.in_flight.contains(&(id.0, attempt)))
+                }
                 _ => {}
             }
         }
     }
 
-    fn on_send(&mut self, send: &Send) {
-        let taken = self
-            .taken
+    fn on_send(&mut self, send: &SendAttempt) {
+        let call = self
+            .calls
             .get_mut(&send.id.0)
-            .expect("a request that was taken");
-        assert!(!taken.over, "sent after its answer");
+            .expect("a call that was taken");
+        assert!(!call.over, "sent after its response");
         assert_eq!(
-            send.attempt, taken.attempts,
+            send.attempt, call.attempts,
             "attempts are numbered in order"
         );
-        taken.attempts = send.attempt + 1;
+        call.attempts = send.attempt + 1;
         assert!(
-            taken.attempts <= taken.most.min(self.max_attempts),
+            call.attempts <= call.max_attempts.min(self.max_attempts),
             "more attempts than allowed"
         );
-        assert!(self.now < send.until && send.until <= taken.deadline);
-        assert_eq!(send.deadline, taken.deadline);
+        assert!(self.now < send.until && send.until <= call.deadline);
+        assert_eq!(send.deadline, call.deadline);
         assert!(self.now < send.begin_by);
         // Rule 2: unsafe work that may have run is not sent again, keyed work within its window only.
-        match (taken.class, taken.may_have_run) {
+        match (call.class, call.may_have_run) {
             (1, Some(_)) => panic!("unsafe work is sent again"),
             (2, Some(since)) => assert!(self.now < since + 300 * MS, "the window is over"),
             _ => {}
@@ -224,30 +223,33 @@
         let listed = listed.expect("a listed upstream");
         assert!(listed.lifecycle == Lifecycle::Ready && listed.boot_ms == send.to.boot_ms);
         assert!(self.engine.takes_new(&send.to));
-        assert!(self.out.insert((send.id.0, send.attempt)));
+        assert!(self.in_flight.insert((send.id.0, send.attempt)));
     }
 
     fn end(&mut self, (id, attempt): (u32, u32), outcome: Outcome) {
-        self.out.remove(&(id, attempt));
-        let taken = self.taken.get_mut(&id).unwrap();
+        self.in_flight.remove(&(id, attempt));
+        let call = self.calls.get_mut(&id).unwrap();
         if !outcome.never_ran() {
-            taken.may_have_run = taken.may_have_run.or(Some(self.now));
+            call.may_have_run = call.may_have_run.or(Some(self.now));
         }
         let is_final = matches!(outcome, Outcome::Ok | Outcome::Declined);
-        let ended = Ended {
+        let ended = AttemptEnd {
             outcome,
-            answer: is_final.then_some(id),
+            response: is_final.then_some(id),
             load: None,
         };
-        self.tell(Input::Ended {
+        self.handle(Input::AttemptEnded {
             id: RequestId(id),
             attempt,
-            ended,
+            end: ended,
         });
     }
 
     fn pick(&self, pick: usize) -> Option<(u32, u32)> {
-        self.out.iter().nth(pick % self.out.len().max(1)).copied()
+        self.in_flight
+            .iter()
+            .nth(pick % self.in_flight.len().max(1))
+            .copied()
     }
 
     fn step(&mut self, step: Step) {
@@ -255,20 +257,19 @@
             Step::Call {
                 class,
                 time_left,
-                most,
+                max_attempts,
             } => {
-                let id = self.taken.len() as u32;
+                let id = self.calls.len() as u32;
                 let deadline = self.now + time_left;
-                let taken = Taken {
+                let open_call = OpenCall {
                     class,
                     deadline,
-                    most,
+                    max_attempts,
                     attempts: 0,
                     may_have_run: None,
                     over: false,
                 };
-                self.taken.insert(id, taken);
-                let attempts = most;
+                self.calls.insert(id, open_call);
                 let id = RequestId(id);
                 let call = Call {
                     id,
@@ -277,37 +278,37 @@
                     tenant: 0,
                     work: None,
                     deadline,
-                    attempts,
+                    max_attempts,
                 };
-                self.tell(Input::Call(call));
+                self.handle(Input::Call(call));
             }
-            Step::Gone { pick } => {
+            Step::Disconnect { pick } => {
                 let open: Vec<u32> = self
-                    .taken
+                    .calls
                     .iter()
                     .filter(|(_, t)| !t.over)
                     .map(|(id, _)| *id)
                     .collect();
                 if let Some(&id) = open.get(pick % open.len().max(1)) {
-                    self.taken.get_mut(&id).unwrap().over = true;
-                    self.tell(Input::Gone(RequestId(id)));
+                    self.calls.get_mut(&id).unwrap().over = true;
+                    self.handle(Input::CallerDisconnected(RequestId(id)));
                 }
             }
-            Step::Started { pick } => {
+            Step::StartResponse { pick } => {
                 if let Some((id, attempt)) = self.pick(pick) {
-                    let owed = !self.taken[&id].over;
-                    self.tell(Input::Started {
+                    let awaits_response = !self.calls[&id].over;
+                    self.handle(Input::ResponseStarted {
                         id: RequestId(id),
                         attempt,
-                        answer: id,
+                        response: id,
                     });
                     assert!(
-                        !owed || self.taken[&id].over,
-                        "an answer that has begun is the answer"
+                        !awaits_response || self.calls[&id].over,
+                        "a response that has started is the response"
                     );
                 }
             }
-            Step::End { pick, outcome } => {
+            Step::EndAttempt { pick, outcome } => {
                 if let Some(out) = self.pick(pick) {
                     self.end(out, OUTCOMES[outcome]);
                 }
@@ -316,7 +317,7 @@
                 upstream,
                 state,
                 restarted,
-                whole,
+                is_complete,
             } => {
                 let lifecycle =
                     [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone][usize::from(state)];
@@ -328,33 +329,33 @@
                 } else {
                     self.listed.insert(upstream, entry.clone());
                 }
-                let entries = if whole {
+                let entries = if is_complete {
                     self.listed.values().cloned().collect()
                 } else {
                     vec![entry]
                 };
-                self.tell(Input::Listed {
+                self.handle(Input::EndpointsListed {
                     entries: &entries,
-                    all: whole,
+                    is_complete,
                 });
                 assert_eq!(self.engine.upstreams(), self.listed.len());
             }
-            Step::Failed => self.tell(Input::ListFailed),
-            Step::Tick => self.tell(Input::Tick),
+            Step::FailDiscovery => self.handle(Input::DiscoveryFailed),
+            Step::Tick => self.handle(Input::Tick),
             Step::Noise { id, attempt } => {
-                if !self.out.contains(&(id, attempt)) {
-                    let ended = Ended {
+                if !self.in_flight.contains(&(id, attempt)) {
+                    let ended = AttemptEnd {
                         outcome: Outcome::Ok,
-                        answer: Some(id),
+                        response: Some(id),
                         load: None,
                     };
-                    let count = self.done.len();
-                    self.tell(Input::Ended {
+                    let count = self.log.len();
+                    self.handle(Input::AttemptEnded {
                         id: RequestId(id),
                         attempt,
-                        ended,
+                        end: ended,
                     });
-                    assert_eq!(self.done.len(), count, "what was not out has no end");
+                    assert_eq!(self.log.len(), count, "what was not in flight has no end");
                 }
             }
             Step::Wait { ms } => {
@@ -362,13 +363,14 @@
                 let target = self.now + ms * MS;
                 while let Some(at) = self.engine.wake_at().filter(|at| *at <= target) {
                     self.now = self.now.max(at);
-                    self.tell(Input::Tick);
+                    self.handle(Input::Tick);
                 }
                 self.now = target;
-                let overdue = |taken: &Taken| !taken.over && taken.deadline + NET_AFTER <= self.now;
+                let overdue =
+                    |call: &OpenCall| !call.over && call.deadline + SAFETY_NET_DELAY <= self.now;
                 assert!(
-                    !self.taken.values().any(overdue),
-                    "a request is open past its time"
+                    !self.calls.values().any(overdue),
+                    "a call is open past its deadline"
                 );
             }
         }
@@ -379,72 +381,72 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn each_request_has_one_answer_and_nothing_stays(
+    fn each_call_has_one_response_and_leaves_nothing_behind(
         steps in proptest::collection::vec(step(), 1..200),
         may_cancel: bool,
         max_attempts in 1u32..6,
         seed: u64,
     ) {
         let run = || {
-            let mut rig = Rig::new(may_cancel, max_attempts, seed);
+            let mut harness = Harness::new(may_cancel, max_attempts, seed);
             for upstream in 0..3 {
-                rig.step(Step::List { upstream, state: 0, restarted: false, whole: false });
+                harness.step(Step::List { upstream, state: 0, restarted: false, is_complete: false });
             }
-            steps.iter().cloned().for_each(|step| rig.step(step));
-            // All is over: what is out ends, and time passes.
-            while let Some(out) = rig.pick(0) {
-                rig.end(out, Outcome::Reset);
+            steps.iter().cloned().for_each(|step| harness.step(step));
+            // What is in flight ends, and time passes.
+            while let Some(out) = harness.pick(0) {
+                harness.end(out, Outcome::Reset);
             }
             for _ in 0..12 {
-                rig.step(Step::Wait { ms: 300 });
-                while let Some(out) = rig.pick(0) {
-                    rig.end(out, Outcome::Timeout);
+                harness.step(Step::Wait { ms: 300 });
+                while let Some(out) = harness.pick(0) {
+                    harness.end(out, Outcome::Timeout);
                 }
             }
-            assert!(rig.taken.values().all(|taken| taken.over), "each request has its answer");
-            assert_eq!(rig.engine.open(), 0, "nothing is left in the tables");
-            rig.done
+            assert!(harness.calls.values().all(|call| call.over), "each call has its response");
+            assert_eq!(harness.engine.open(), 0, "nothing is left in the tables");
+            harness.log
         };
         // The same inputs give the same commands, to the byte.
         assert_eq!(run(), run());
     }
 }
 
-/// Guards against a module that forgets a request: its caller is answered all the same, once.
+/// Guards against a module that forgets a request: its caller is responses all the same, once.
 #[test]
-fn the_safety_net_answers_what_is_left_open() {
-    let mut rig = Rig::new(false, 1, 1);
-    rig.step(Step::List {
+fn the_safety_net_responds_to_a_call_that_is_left_open() {
+    let mut harness = Harness::new(false, 1, 1);
+    harness.step(Step::List {
         upstream: 0,
         state: 0,
         restarted: false,
-        whole: true,
+        is_complete: true,
     });
-    rig.step(Step::Call {
+    harness.step(Step::Call {
         class: 1,
         time_left: 100 * MS,
-        most: u32::MAX,
+        max_attempts: u32::MAX,
     });
-    assert_eq!(rig.out.len(), 1);
-    // The front never tells of an end: the attempt is stuck.
-    rig.step(Step::Wait { ms: 200 });
+    assert_eq!(harness.in_flight.len(), 1);
+    // The front never reports an end: the attempt is stuck.
+    harness.step(Step::Wait { ms: 200 });
     assert!(
-        rig.done.iter().any(|done| done.contains("Failed")),
+        harness.log.iter().any(|line| line.contains("Failed")),
         "{:?}",
-        rig.done
+        harness.log
     );
-    rig.end((0, 0), Outcome::Ok);
-    assert_eq!(rig.engine.open(), 0);
+    harness.end((0, 0), Outcome::Ok);
+    assert_eq!(harness.engine.open(), 0);
 }
 
 #[test]
-fn a_number_that_is_open_is_not_taken_again() {
+fn the_number_of_an_open_call_is_rejected() {
     let mut engine: Engine<&str, ()> = Engine::new(settings(true, 3), 1, START).unwrap();
     engine.handle(
         START,
-        Input::Listed {
+        Input::EndpointsListed {
             entries: &[entry(0, Lifecycle::Ready, 0)],
-            all: true,
+            is_complete: true,
         },
     );
     let call = |request| Call {
@@ -454,29 +456,29 @@
         tenant: 0,
         work: None,
         deadline: START + 500 * MS,
-        attempts: 3,
+        max_attempts: 3,
     };
     engine.handle(START, Input::Call(call("first")));
     engine.handle(START, Input::Call(call("second")));
-    let mut answered = Vec::new();
+    let mut responses = Vec::new();
     while let Some(command) = engine.next_command() {
-        if let Command::Answer { request, verdict } = command {
-            answered.push((request, verdict));
+        if let Command::Respond { request, result } = command {
+            responses.push((request, result));
         }
     }
-    assert_eq!(answered, [("second", Verdict::Refused(0))]);
+    assert_eq!(responses, [("second", CallResult::Rejected(0))]);
     assert_eq!(engine.request(RequestId(7)), Some(&"first"));
 }
 
 #[test]
-fn a_call_without_time_or_attempts_is_refused_at_once() {
-    for (time_left, attempts) in [(0, 3), (500 * MS, 0)] {
+fn a_call_without_time_or_attempts_is_rejected_at_once() {
+    for (time_left, max_attempts) in [(0, 3), (500 * MS, 0)] {
         let mut engine: Engine<(), ()> = Engine::new(settings(true, 3), 1, START).unwrap();
         engine.handle(
             START,
-            Input::Listed {
+            Input::EndpointsListed {
                 entries: &[entry(0, Lifecycle::Ready, 0)],
-                all: true,
+                is_complete: true,
             },
         );
         while engine.next_command().is_some() {}
@@ -489,14 +491,14 @@
             tenant: 0,
             work: None,
             deadline,
-            attempts,
+            max_attempts,
         };
         engine.handle(START, Input::Call(call));
-        let refused = Command::Answer {
+        let rejected = Command::Respond {
             request: (),
-            verdict: Verdict::Refused(0),
+            result: CallResult::Rejected(0),
         };
-        assert_eq!(engine.next_command(), Some(refused));
+        assert_eq!(engine.next_command(), Some(rejected));
         assert_eq!(engine.next_command(), None);
         assert_eq!(engine.open(), 0);
     }
--- a/crates/load-test/src/callers.rs
+++ b/crates/load-test/src/callers.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
 use tower_service::Service;
-use woadstall_emulator::engine::Verdict;
+use woadstall_emulator::engine::CallResult;
 use woadstall_emulator::{
     Actor, CallEffect, End, Load, Meter, Outcome, Scenario, by_share, chance, gap, stream,
 };
@@ -246,10 +246,10 @@
             let verdict = self.ask(group, class, number, &id, tries, left, draw).await;
             let ended = self.now();
             match verdict {
-                Heard::Verdict(Verdict::Served(())) if ended <= due + known.aim.0 => {
+                Heard::Verdict(CallResult::Served(())) if ended <= due + known.aim.0 => {
                     break Outcome::OnTime;
                 }
-                Heard::Verdict(Verdict::Served(())) => {
+                Heard::Verdict(CallResult::Served(())) => {
                     let in_time = ended <= deadline + PATIENCE.as_nanos() as u64;
                     break if in_time {
                         Outcome::Late
@@ -260,17 +260,20 @@
                 _ => {}
             }
             // What no balancer has taken is harmless to ask again, and so is what was refused.
-            let harmless = matches!(verdict, Heard::Unseen | Heard::Verdict(Verdict::Refused(_)));
+            let harmless = matches!(
+                verdict,
+                Heard::Unseen | Heard::Verdict(CallResult::Rejected(_))
+            );
             let may = harmless || known.effect != CallEffect::Unsafe;
             let wait = callers.again.wait(tries, || rng.random::<f64>());
             let heeds = chance(&mut rng, callers.heeds_advice);
             let advice = match verdict {
-                Heard::Verdict(Verdict::Refused(after)) => after * u64::from(heeds),
+                Heard::Verdict(CallResult::Rejected(after)) => after * u64::from(heeds),
                 _ => 0,
             };
             match wait.filter(|_| may).map(|wait| wait.max(advice)) {
                 Some(wait) if ended + wait < deadline => sleep(Duration::from_nanos(wait)).await,
-                _ if matches!(verdict, Heard::Verdict(Verdict::Refused(_))) => {
+                _ if matches!(verdict, Heard::Verdict(CallResult::Rejected(_))) => {
                     break Outcome::Refused;
                 }
                 _ => break Outcome::Failed,
@@ -366,17 +369,17 @@
             By::Both(..) => return Heard::Unseen, // both of both are not both
         };
         self.judge.late(id, sent, left, answer.is_ok(), through);
-        let verdict = answer.unwrap_or(Heard::Verdict(Verdict::Failed));
+        let verdict = answer.unwrap_or(Heard::Verdict(CallResult::Failed));
         let heard = match verdict {
-            Heard::Verdict(Verdict::Served(())) => "served",
-            Heard::Verdict(Verdict::Refused(_)) => "refused",
-            Heard::Verdict(Verdict::Failed) => "failed",
+            Heard::Verdict(CallResult::Served(())) => "served",
+            Heard::Verdict(CallResult::Rejected(_)) => "refused",
+            Heard::Verdict(CallResult::Failed) => "failed",
             Heard::Unseen => "unreached",
         };
         *lock(&self.tally)
             .entry((path, known.name.clone(), heard))
             .or_default() += 1;
-        if let Heard::Verdict(Verdict::Refused(_)) = verdict {
+        if let Heard::Verdict(CallResult::Rejected(_)) = verdict {
             self.judge.refused(id, known.effect);
         }
         verdict
@@ -394,7 +397,7 @@
         let answer = match self.client.request(request).await {
             Ok(answer) => answer,
             Err(error) if error.is_connect() => return Heard::Unseen,
-            Err(_) => return Heard::Verdict(Verdict::Failed),
+            Err(_) => return Heard::Verdict(CallResult::Failed),
         };
         let status = answer.status();
         let after = answer
@@ -402,14 +405,14 @@
             .get("retry-after")
             .and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
         if answer.into_body().collect().await.is_err() {
-            return Heard::Verdict(Verdict::Failed);
+            return Heard::Verdict(CallResult::Failed);
         }
         Heard::Verdict(match status {
-            StatusCode::OK => Verdict::Served(()),
+            StatusCode::OK => CallResult::Served(()),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                Verdict::Refused((after.unwrap_or(0.0).clamp(0.0, 3600.0) * 1e9) as u64)
+                CallResult::Rejected((after.unwrap_or(0.0).clamp(0.0, 3600.0) * 1e9) as u64)
             }
-            _ => Verdict::Failed,
+            _ => CallResult::Failed,
         })
     }
 }
@@ -417,16 +420,16 @@
 /// What a caller hears of a request.
 #[derive(Debug)]
 enum Heard {
-    Verdict(Verdict<()>),
+    Verdict(CallResult<()>),
     /// No balancer has had it.
     Unseen,
 }
 
-async fn by_plugin(mut balance: Balance, request: Request<Full<Bytes>>) -> Verdict<()> {
+async fn by_plugin(mut balance: Balance, request: Request<Full<Bytes>>) -> CallResult<()> {
     let Ok(answer) = balance.call(request).await;
     let (head, body) = answer.into_parts();
     let Ok(body) = body.collect().await else {
-        return Verdict::Failed;
+        return CallResult::Failed;
     };
     let trailers = body.trailers().unwrap_or(&head.headers);
     let text = |name: &str| {
@@ -436,12 +439,12 @@
             .and_then(|value| value.to_str().ok())
     };
     match text("grpc-status") {
-        Some("0") => Verdict::Served(()),
+        Some("0") => CallResult::Served(()),
         Some("14") => {
             let pushback = text("grpc-retry-pushback-ms").and_then(|ms| ms.parse::<u64>().ok());
-            Verdict::Refused(pushback.unwrap_or(0).min(3_600_000) * 1_000_000)
+            CallResult::Rejected(pushback.unwrap_or(0).min(3_600_000) * 1_000_000)
         }
-        _ => Verdict::Failed,
+        _ => CallResult::Failed,
     }
 }
 
--- a/crates/runtime/src/balance.rs
+++ b/crates/runtime/src/balance.rs
@@ -16,8 +16,8 @@
 use woadstall_discovery::{EndpointList, WatchConfig, WatchEvent, watch_endpoints};
 use woadstall_engine::decisions::{Verdict as Finding, ZoneId};
 use woadstall_engine::{
-    Call, Command, Ended, Engine, Input, Learned, Listed, Observed, Outcome, Outstanding, Peer,
-    RequestId, ServerId, Settings, Time, Verdict,
+    AttemptEnd, AttemptInFlight, AttemptRecord, Call, CallResult, Command, Engine, Input, Learned,
+    ListedUpstream, Outcome, Peer, RequestId, ServerId, Settings, Time,
 };
 use woadstall_settings::{Names, SettingsChange};
 
@@ -79,9 +79,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// Attempts that have ended.
-    pub ended: Vec<Observed>,
+    pub ended: Vec<AttemptRecord>,
     /// Attempts that are out.
-    pub out: Vec<Outstanding>,
+    pub out: Vec<AttemptInFlight>,
     /// All upstreams, where the list has changed, and how often it had.
     pub listed: Option<(u64, Vec<Upstream>)>,
 }
@@ -128,26 +128,36 @@
         let engine = &mut locked.engine;
         while let Some(command) = engine.next_command() {
             match command {
-                Command::Send(send) => match engine.request(send.id) {
+                Command::SendAttempt(send) => match engine.request(send.id) {
                     Some(slot) => slot.push(Order::Send(send)),
                     None => {
                         let ended = Outcome::Moot.into();
                         let (id, attempt) = (send.id, send.attempt);
-                        engine.handle(self.clock.now(), Input::Ended { id, attempt, ended });
+                        engine.handle(
+                            self.clock.now(),
+                            Input::AttemptEnded {
+                                id,
+                                attempt,
+                                end: ended,
+                            },
+                        );
                     }
                 },
-                Command::Withdraw { id, attempt } => {
+                Command::CancelAttempt { id, attempt } => {
                     // A call that is answered or dropped withdraws its attempt by itself.
                     engine
                         .request(id)
                         .into_iter()
                         .for_each(|slot| slot.push(Order::Withdraw(attempt)));
                 }
-                Command::Answer { request, verdict } => request.push(Order::Answer(verdict)),
+                Command::Respond {
+                    request,
+                    result: verdict,
+                } => request.push(Order::Answer(verdict)),
                 Command::Probe(peer) => self.probe(peer),
-                Command::CloseIdle(server) => self.transport.close_idle(server),
-                Command::Retire(server) => self.transport.retire(server),
-                Command::Watch => drop(self.subscribe.send(())),
+                Command::CloseIdleConnections(server) => self.transport.close_idle(server),
+                Command::RetireConnections(server) => self.transport.retire(server),
+                Command::WatchDiscovery => drop(self.subscribe.send(())),
                 Command::Log(text) => (self.log)(format_args!("{text}")),
             }
         }
@@ -168,7 +178,7 @@
                 .unwrap_or((Outcome::Timeout, None));
             shared.tell(
                 &mut shared.lock(),
-                Input::Probed(peer.server, outcome, load),
+                Input::ProbeEnded(peer.server, outcome, load),
             );
         });
     }
@@ -178,9 +188,9 @@
         let mut locked = self.lock();
         self.tell(
             &mut locked,
-            Input::Listed {
+            Input::EndpointsListed {
                 entries: &entries,
-                all: listing.is_complete,
+                is_complete: listing.is_complete,
             },
         );
         let ready = locked.engine.is_ready();
@@ -194,7 +204,7 @@
     fn hear(self: &Arc<Self>, update: WatchEvent) {
         match update {
             WatchEvent::List(list) => self.list(&list),
-            WatchEvent::SubscriptionFailed => self.tell(&mut self.lock(), Input::ListFailed),
+            WatchEvent::SubscriptionFailed => self.tell(&mut self.lock(), Input::DiscoveryFailed),
             WatchEvent::FirstFailure(error) => {
                 (self.log)(format_args!("discovery failed: {error}"));
             }
@@ -206,8 +216,15 @@
         }
     }
 
-    pub(crate) fn ended(self: &Arc<Self>, id: RequestId, attempt: u32, ended: Ended<()>) {
-        self.tell(&mut self.lock(), Input::Ended { id, attempt, ended });
+    pub(crate) fn ended(self: &Arc<Self>, id: RequestId, attempt: u32, ended: AttemptEnd<()>) {
+        self.tell(
+            &mut self.lock(),
+            Input::AttemptEnded {
+                id,
+                attempt,
+                end: ended,
+            },
+        );
     }
 }
 
@@ -410,7 +427,7 @@
         let out = locked.engine.outstanding(self.shared.clock.now()).collect();
         let (changes, all) = locked.engine.listed();
         let listed = (changes != seen).then(|| {
-            let upstream = |of: Listed<'_>| Upstream {
+            let upstream = |of: ListedUpstream<'_>| Upstream {
                 server: of.server,
                 name: of.name.to_owned(),
                 boot_ms: of.boot_ms,
@@ -426,7 +443,7 @@
     pub fn told(&self, findings: impl FnOnce(Time) -> Vec<Finding>) {
         let findings = findings(self.shared.clock.now());
         self.shared
-            .tell(&mut self.shared.lock(), Input::Told(&findings));
+            .tell(&mut self.shared.lock(), Input::FleetFindings(&findings));
     }
 
     /// How many upstreams are listed, and how many of them are avoided.
@@ -436,7 +453,7 @@
     }
 
     /// Has a request answered. Dropping the future means that its caller has left.
-    pub async fn call(&self, ask: Ask, request: T::Request) -> Verdict<T::Answer> {
+    pub async fn call(&self, ask: Ask, request: T::Request) -> CallResult<T::Answer> {
         let shared = &self.shared;
         let slot = Arc::new(Slot::default());
         let id = {
@@ -464,7 +481,7 @@
                 tenant,
                 work,
                 deadline,
-                attempts,
+                max_attempts: attempts,
             };
             shared.tell(&mut locked, Input::Call(call));
             id
--- a/crates/runtime/src/call.rs
+++ b/crates/runtime/src/call.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::task::Poll;
 use tokio::time::{Instant, timeout_at};
-use woadstall_engine::{Ended, Input, Outcome, RequestId, Send as SendOrder, Time, Verdict};
+use woadstall_engine::{
+    AttemptEnd, CallResult, Input, Outcome, RequestId, SendAttempt as SendOrder, Time,
+};
 
 type Running<A> = Pin<Box<dyn Future<Output = Step<A>> + Send>>;
 
@@ -51,7 +53,7 @@
     }
 
     /// Does what the engine says until there is an answer.
-    pub(crate) async fn drive(mut self) -> Verdict<T::Answer> {
+    pub(crate) async fn drive(mut self) -> CallResult<T::Answer> {
         let mut brought = None;
         loop {
             let event = poll_fn(|cx| {
@@ -73,23 +75,23 @@
                 Ok(Order::Answer(verdict)) => {
                     self.answered = true;
                     return match (verdict, brought) {
-                        (Verdict::Served(()), Some(Brought::Whole(answer))) => {
-                            Verdict::Served(answer)
+                        (CallResult::Served(()), Some(Brought::Whole(answer))) => {
+                            CallResult::Served(answer)
                         }
-                        (Verdict::Served(()), Some(Brought::Begun(attempt, make))) => {
+                        (CallResult::Served(()), Some(Brought::Begun(attempt, make))) => {
                             self.begun = None; // its end is the tail's to tell from here on
                             let shared: Arc<dyn Ends> = self.shared.clone();
-                            Verdict::Served(make(Tail {
+                            CallResult::Served(make(Tail {
                                 ends: Some((shared, self.id, attempt)),
                             }))
                         }
-                        (Verdict::Refused(after), _) => Verdict::Refused(after),
-                        (Verdict::Served(()) | Verdict::Failed, _) => Verdict::Failed,
+                        (CallResult::Rejected(after), _) => CallResult::Rejected(after),
+                        (CallResult::Served(()) | CallResult::Failed, _) => CallResult::Failed,
                     };
                 }
-                Err(Step::Ended(Ended {
+                Err(Step::Ended(AttemptEnd {
                     outcome,
-                    answer,
+                    response: answer,
                     load,
                 })) => {
                     let Some(Outgoing {
@@ -103,9 +105,9 @@
                     self.shared.ended(
                         self.id,
                         attempt,
-                        Ended {
+                        AttemptEnd {
                             outcome,
-                            answer: served,
+                            response: served,
                             load,
                         },
                     );
@@ -119,10 +121,10 @@
                     };
                     self.begun = Some(attempt);
                     brought = Some(Brought::Begun(attempt, make));
-                    let begun = Input::Started {
+                    let begun = Input::ResponseStarted {
                         id: self.id,
                         attempt,
-                        answer: (),
+                        response: (),
                     };
                     self.shared.tell(&mut self.shared.lock(), begun);
                 }
@@ -192,7 +194,7 @@
         let left_out = self.running.take();
         if !self.answered {
             self.shared
-                .tell(&mut self.shared.lock(), Input::Gone(self.id));
+                .tell(&mut self.shared.lock(), Input::CallerDisconnected(self.id));
         }
         for order in orders {
             if let Order::Send(send) = order {
@@ -212,9 +214,9 @@
         let (shared, id, attempt) = (self.shared.clone(), self.id, out.number);
         self.shared.runtime.spawn(async move {
             let ended = match out.running.await {
-                Step::Ended(Ended { outcome, load, .. }) => Ended {
+                Step::Ended(AttemptEnd { outcome, load, .. }) => AttemptEnd {
                     outcome,
-                    answer: None,
+                    response: None,
                     load,
                 },
                 Step::Started(_) => Outcome::Cancelled.into(),
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -25,12 +25,12 @@
 
 use std::future::Future;
 use std::time::Duration;
-use woadstall_engine::{Ended, LoadReport, Outcome, Peer, ServerId};
+use woadstall_engine::{AttemptEnd, LoadReport, Outcome, Peer, ServerId};
 
 /// How far an attempt has come when it has something to tell.
 pub enum Step<A> {
     /// To its end. The answer comes with it if it is the final one.
-    Ended(Ended<A>),
+    Ended(AttemptEnd<A>),
     /// The final answer has begun, and is passed on as it comes. Whoever reads it tells its end by the tail;
     /// dropping the tail means that the caller has given up.
     Started(Box<dyn FnOnce(Tail) -> A + Send>),
--- a/crates/runtime/src/slot.rs
+++ b/crates/runtime/src/slot.rs
@@ -3,15 +3,15 @@
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
-use woadstall_engine::{Send, Verdict};
+use woadstall_engine::{CallResult, SendAttempt};
 
 /// What a call is to do.
 #[derive(Debug)]
 pub(crate) enum Order {
-    Send(Send),
+    Send(SendAttempt),
     Withdraw(u32),
     /// The answer itself is with the call, whose own attempt brought it.
-    Answer(Verdict<()>),
+    Answer(CallResult<()>),
 }
 
 #[derive(Debug, Default)]
--- a/crates/tower/src/same.rs
+++ b/crates/tower/src/same.rs
@@ -1,7 +1,7 @@
 //! The plug-in's engine and the daemon's do the same, to the byte, when they are told the same.
 
 use crate::ask::Classes;
-use woadstall_engine::{Call, Ended, Engine, Input, Outcome, RequestId, Time};
+use woadstall_engine::{AttemptEnd, Call, Engine, Input, Outcome, RequestId, Time};
 
 const MS: u64 = 1_000_000;
 
@@ -26,9 +26,9 @@
     let first: Vec<_> = (0..9).map(|at| (at, "in_service", 0)).collect();
     engine.handle(
         now,
-        Input::Listed {
+        Input::EndpointsListed {
             entries: &listing(true, &first),
-            all: true,
+            is_complete: true,
         },
     );
     for _ in 0..4000 {
@@ -43,13 +43,13 @@
                 let changed = listing(false, &[(rng.usize(..9), state, boot)]);
                 engine.handle(
                     now,
-                    Input::Listed {
+                    Input::EndpointsListed {
                         entries: &changed,
-                        all: false,
+                        is_complete: false,
                     },
                 );
             }
-            1 => engine.handle(now, Input::ListFailed),
+            1 => engine.handle(now, Input::DiscoveryFailed),
             2..=45 => {
                 let (class, deadline) = (
                     rng.usize(..names.classes.len()),
@@ -63,12 +63,15 @@
                     tenant: 0,
                     work,
                     deadline,
-                    attempts: u32::MAX,
+                    max_attempts: u32::MAX,
                 };
                 next += 1;
                 engine.handle(now, Input::Call(call));
             }
-            46..=48 => engine.handle(now, Input::Gone(RequestId(rng.u32(..next.max(1))))),
+            46..=48 => engine.handle(
+                now,
+                Input::CallerDisconnected(RequestId(rng.u32(..next.max(1)))),
+            ),
             _ if !out.is_empty() => {
                 let (id, attempt) = out.swap_remove(rng.usize(..out.len()));
                 let outcomes = [
@@ -83,17 +86,24 @@
                 } else {
                     Outcome::Ok
                 };
-                let ended = Ended {
+                let ended = AttemptEnd {
                     outcome,
-                    answer: (!failed).then_some(next),
+                    response: (!failed).then_some(next),
                     load: None,
                 };
-                engine.handle(now, Input::Ended { id, attempt, ended });
+                engine.handle(
+                    now,
+                    Input::AttemptEnded {
+                        id,
+                        attempt,
+                        end: ended,
+                    },
+                );
             }
             _ => {}
         }
         while let Some(command) = engine.next_command() {
-            if let woadstall_engine::Command::Send(send) = &command {
+            if let woadstall_engine::Command::SendAttempt(send) = &command {
                 out.push((send.id, send.attempt));
             }
             done.push(format!("{now} {command:?}"));
--- a/crates/tower/src/service.rs
+++ b/crates/tower/src/service.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, timeout_at};
 use tower_service::Service;
 use woadstall_discovery::EndpointList;
-use woadstall_engine::Verdict;
+use woadstall_engine::CallResult;
 use woadstall_runtime::Ask;
 use woadstall_transport::{BodyError, Inbound, Outbound, is_grpc};
 
@@ -136,9 +136,9 @@
             attempts,
         };
         match self.0.balance.call(ask, outbound).await {
-            Verdict::Served(answer) => answer,
-            Verdict::Refused(nanos) => answer::refused(grpc, Duration::from_nanos(nanos)),
-            Verdict::Failed => answer::failed(grpc),
+            CallResult::Served(answer) => answer,
+            CallResult::Rejected(nanos) => answer::refused(grpc, Duration::from_nanos(nanos)),
+            CallResult::Failed => answer::failed(grpc),
         }
     }
 }
--- a/crates/transport/src/http1/exchange.rs
+++ b/crates/transport/src/http1/exchange.rs
@@ -12,7 +12,7 @@
 use hyper::http::response::Parts;
 use hyper::{Request, Response, Version};
 use std::sync::atomic::Ordering;
-use woadstall_runtime::engine::{Ended, Outcome};
+use woadstall_runtime::engine::{AttemptEnd, Outcome};
 
 /// How an attempt ended, with the answer if it is whole and the connection if it can be used again.
 pub(super) struct Finished {
@@ -24,15 +24,15 @@
 
 impl Finished {
     /// The end as the runtime takes it, with the load report by these fields.
-    pub fn ended(self, fields: &[String]) -> Ended<Response<Bytes>> {
+    pub fn ended(self, fields: &[String]) -> AttemptEnd<Response<Bytes>> {
         let report = self
             .response
             .as_ref()
             .and_then(|response| response.headers().get("x-load-report"));
         let load = report.and_then(|report| load_report(report.as_bytes(), fields));
-        Ended {
+        AttemptEnd {
             outcome: self.outcome,
-            answer: self.response.filter(|_| self.is_final),
+            response: self.response.filter(|_| self.is_final),
             load,
         }
     }
--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -23,7 +23,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use tokio::time::{Duration, timeout};
-use woadstall_runtime::engine::{Ended, LoadReport, Outcome, Peer, ServerId};
+use woadstall_runtime::engine::{AttemptEnd, LoadReport, Outcome, Peer, ServerId};
 use woadstall_runtime::{Attempt, Step, Transport};
 use woadstall_settings::Names;
 
@@ -166,7 +166,7 @@
         &self,
         request: &Request<Bytes>,
         attempt: &Attempt,
-    ) -> impl Future<Output = Ended<Response<Bytes>>> + Send + use<> {
+    ) -> impl Future<Output = AttemptEnd<Response<Bytes>>> + Send + use<> {
         let sizes = Sizes {
             most: self.sizes.whole,
             ..self.sizes
--- a/crates/transport/src/http2.rs
+++ b/crates/transport/src/http2.rs
@@ -30,7 +30,7 @@
 use tokio::sync::futures::OwnedNotified;
 use tokio::task::AbortHandle;
 use tokio::time::{Duration, Instant, Sleep, timeout};
-use woadstall_runtime::engine::{Ended, LoadReport, Outcome, Peer, ServerId};
+use woadstall_runtime::engine::{AttemptEnd, LoadReport, Outcome, Peer, ServerId};
 use woadstall_runtime::{Attempt, Step, Tail, Transport};
 use woadstall_settings::Names;
 
@@ -719,9 +719,9 @@
             rest: None,
         })
     });
-    Step::Ended(Ended {
+    Step::Ended(AttemptEnd {
         outcome,
-        answer,
+        response: answer,
         load: None,
     })
 }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, timeout};
-use woadstall_engine::Verdict;
+use woadstall_engine::CallResult;
 use woadstall_inbound::{BodyRoom, Lingering, Seen, lock};
 use woadstall_runtime::{Ask, Balance};
 use woadstall_transport::{Http1, SharedStream, end_to_end, is_local};
@@ -360,14 +360,14 @@
             .call(ask, Request::from_parts(head, body))
             .await;
         let reply = match verdict {
-            Verdict::Served(response) => {
+            CallResult::Served(response) => {
                 let mut reply = response.map(ReplyBody::from);
                 *reply.version_mut() = Version::HTTP_11;
                 end_to_end(reply.headers_mut());
                 reply
             }
-            Verdict::Refused(nanos) => refusal(Duration::from_nanos(nanos)),
-            Verdict::Failed => status(StatusCode::BAD_GATEWAY),
+            CallResult::Rejected(nanos) => refusal(Duration::from_nanos(nanos)),
+            CallResult::Failed => status(StatusCode::BAD_GATEWAY),
         };
         Ok((reply, deadline))
     }
