--- a/crates/discovery/src/endpoints.rs
+++ b/crates/discovery/src/endpoints.rs
@@ -62,7 +62,7 @@
         match state {
             EndpointState::InService => Self::Ready,
             EndpointState::Terminating => Self::Draining,
-            EndpointState::Terminated => Self::Gone,
+            EndpointState::Terminated => Self::Removed,
         }
     }
 }
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -4,7 +4,7 @@
 use super::calls::SentAttempt;
 use crate::messages::{AttemptEnd, AttemptRecord, CallResult, Command, SendAttempt};
 use crate::upstreams::Peer;
-use woadstall_decisions::api::{End, Event, Outcome, RequestId, ServerId, Time};
+use woadstall_decisions::api::{self, Event, Outcome, RequestId, ServerId, Time};
 
 /// Ended attempts that are kept until they are taken; the oldest are dropped.
 const MAX_OBSERVED: usize = 16_384;
@@ -27,7 +27,7 @@
         let Some(to) = to else {
             let closed = call.request.is_none();
             let outcome = Outcome::Moot;
-            let end = End {
+            let end = api::AttemptEnd {
                 attempt,
                 outcome,
                 elapsed: 0,
@@ -84,7 +84,7 @@
             .get(id)
             .is_some_and(|call| call.has_in_flight(attempt) && call.request.is_some());
         if is_awaited {
-            self.notify(Event::Started(id, attempt));
+            self.notify(Event::ResponseStarted(id, attempt));
             self.respond(id, CallResult::Served(response));
         }
     }
@@ -119,9 +119,9 @@
         if let Some(response) = response {
             self.respond(id, CallResult::Served(response));
         }
-        self.notify(Event::Ended(
+        self.notify(Event::AttemptEnded(
             id,
-            End {
+            api::AttemptEnd {
                 attempt,
                 outcome,
                 elapsed,
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -3,7 +3,7 @@
 use super::Engine;
 use crate::messages::{Call, CallResult, Command};
 use std::collections::{BTreeSet, HashMap};
-use woadstall_decisions::api::{Demand, Duration, Event, RequestId, ServerId, Time};
+use woadstall_decisions::api::{Duration, Event, RequestId, RequestParameters, ServerId, Time};
 
 /// The safety net responds this long after a call's deadline, when the module should long have done so. In nanoseconds.
 pub const SAFETY_NET_DELAY: Duration = 25_000_000;
@@ -142,19 +142,19 @@
             in_flight: Vec::new(),
         };
         self.calls.insert(id, call);
-        let demand = Demand {
+        let demand = RequestParameters {
             class,
             tenant,
             time_left,
             work,
-            attempts: max_attempts,
+            max_attempts,
         };
         self.notify(Event::Request(id, demand));
     }
 
     pub(super) fn on_caller_disconnected(&mut self, id: RequestId) {
         if self.calls.take_request(id).is_some() {
-            self.notify(Event::ClientGone(id));
+            self.notify(Event::ClientDisconnected(id));
             self.calls.remove_if_done(id);
         }
     }
--- a/crates/engine/src/engine/membership.rs
+++ b/crates/engine/src/engine/membership.rs
@@ -23,9 +23,9 @@
             listed.push(inserted.entry);
         }
         if is_complete {
-            self.notify(Event::List(&listed));
+            self.notify(Event::ServerList(&listed));
         } else if !listed.is_empty() {
-            self.notify(Event::ListChange(&listed));
+            self.notify(Event::ServerListChange(&listed));
         }
         for server in self.upstreams.remove_gone(entries, is_complete) {
             self.commands.push_back(Command::RetireConnections(server));
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -12,8 +12,8 @@
 use timers::Timers;
 use woadstall_decisions::Balancer;
 use woadstall_decisions::api::{
-    Action, ClassSuccession, End, Event, Learned, RequestId, ServerId, Settings, SettingsError,
-    Time,
+    Action, AttemptEnd, ClassSuccession, Event, LearnedState, RequestId, ServerId, Settings,
+    SettingsError, Time,
 };
 
 pub use calls::SAFETY_NET_DELAY;
@@ -29,7 +29,7 @@
     /// Buffer of the module's actions.
     actions: Vec<Action>,
     /// Ends of attempts that could not be made. The module gets them once it is done with its present event.
-    pending_ends: VecDeque<(RequestId, End)>,
+    pending_ends: VecDeque<(RequestId, AttemptEnd)>,
     commands: VecDeque<Command<R, A>>,
     /// There ever was an upstream that takes requests.
     is_ready: bool,
@@ -67,7 +67,7 @@
                 entries,
                 is_complete,
             } => self.on_listed(entries, is_complete),
-            Input::DiscoveryFailed => self.notify(Event::ListFailed),
+            Input::DiscoveryFailed => self.notify(Event::SubscriptionFailed),
             Input::Call(call) => self.on_call(call),
             Input::CallerDisconnected(id) => self.on_caller_disconnected(id),
             Input::ResponseStarted {
@@ -79,9 +79,9 @@
             }
             Input::AttemptEnded { id, attempt, end } => self.on_attempt_ended(id, attempt, end),
             Input::ProbeEnded(server, outcome, load) => {
-                self.notify(Event::Probed(server, outcome, load));
+                self.notify(Event::ProbeEnded(server, outcome, load));
             }
-            Input::FleetFindings(findings) => self.notify(Event::Told(findings)),
+            Input::FleetFindings(findings) => self.notify(Event::HealthVerdicts(findings)),
             Input::Tick => self.on_tick(),
         }
     }
@@ -162,7 +162,7 @@
 
     /// How many of them take requests and are avoided all the same.
     pub fn avoided(&self) -> usize {
-        self.balancer.avoided()
+        self.balancer.ejected_servers()
     }
 
     /// The numbers of the upstreams that are listed, by name.
@@ -182,27 +182,27 @@
         successions: &[ClassSuccession],
     ) -> Result<(), SettingsError> {
         let max_attempts = settings.max_attempts;
-        self.balancer.retune(settings, successions)?;
+        self.balancer.reconfigure(settings, successions)?;
         self.max_attempts = max_attempts;
         Ok(())
     }
 
     /// What a process that takes over should know.
-    pub fn learned(&self) -> Learned {
-        self.balancer.learned()
+    pub fn learned(&self) -> LearnedState {
+        self.balancer.learned_state()
     }
 
     /// Takes what a predecessor has learned.
-    pub fn learn_from(&mut self, now: Time, learned: &Learned) {
+    pub fn learn_from(&mut self, now: Time, learned: &LearnedState) {
         self.now = self.now.max(now);
-        self.balancer.learn_from(self.now, learned);
+        self.balancer.restore(self.now, learned);
     }
 
     /// Passes an event to the module, does what it says, and passes it what came of that at once.
     fn notify(&mut self, event: Event<'_>) {
         self.notify_once(event);
         while let Some((id, end)) = self.pending_ends.pop_front() {
-            self.notify_once(Event::Ended(id, end));
+            self.notify_once(Event::AttemptEnded(id, end));
         }
     }
 
@@ -223,21 +223,21 @@
             } => {
                 self.send_attempt(id, server, until, begin_by);
             }
-            Action::Refuse { id, retry_after } => self.reject(id, retry_after),
+            Action::Reject { id, retry_after } => self.reject(id, retry_after),
             Action::Fail(id) => self.fail(id),
             Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
             Action::Probe(server) => {
                 self.commands
                     .extend(self.upstreams.peer(server).map(Command::Probe));
             }
-            Action::Close(server) => {
+            Action::CloseIdleConnections(server) => {
                 self.commands
                     .push_back(Command::CloseIdleConnections(server));
             }
             Action::SetTimer { after, token } => {
                 self.timers.set(self.now.saturating_add(after), token);
             }
-            Action::Watch => self.commands.push_back(Command::WatchDiscovery),
+            Action::Subscribe => self.commands.push_back(Command::WatchDiscovery),
             Action::Log(text) => self.log(text),
         }
     }
--- a/crates/engine/src/engine/timers.rs
+++ b/crates/engine/src/engine/timers.rs
@@ -37,7 +37,7 @@
         while let Some(id) = self.calls.overdue(self.now) {
             self.log(format!("request {} was left open past its time", id.0));
             self.fail(id);
-            self.notify(Event::ClientGone(id));
+            self.notify(Event::ClientDisconnected(id));
         }
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -23,5 +23,5 @@
 pub use upstreams::{ListedUpstream, Peer, UpstreamEntry};
 pub use woadstall_decisions::api as decisions;
 pub use woadstall_decisions::api::{
-    Learned, Lifecycle, LoadReport, Outcome, RequestId, ServerId, Settings, Time,
+    LearnedState, Lifecycle, LoadReport, Outcome, RequestId, ServerId, Settings, Time,
 };
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::upstreams::{Peer, UpstreamEntry};
 use woadstall_decisions::api::{
-    Duration, LoadReport, Outcome, RequestId, ServerId, Time, Verdict as Finding,
+    Duration, HealthVerdict, LoadReport, Outcome, RequestId, ServerId, Time,
 };
 
 /// A call, as a front takes it.
@@ -127,7 +127,7 @@
     /// A probe ended.
     ProbeEnded(ServerId, Outcome, Option<LoadReport>),
     /// What the fleet has found about zones and upstreams.
-    FleetFindings(&'a [Finding]),
+    FleetFindings(&'a [HealthVerdict]),
     /// Time has passed.
     Tick,
 }
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
-use woadstall_decisions::api::{Lifecycle, ListEntry, ServerId, ZoneId};
+use woadstall_decisions::api::{Lifecycle, ServerEntry, ServerId, ZoneId};
 
 /// Stands for a zone that the settings do not have.
 const UNKNOWN_ZONE: ZoneId = ZoneId(u8::MAX);
@@ -74,7 +74,7 @@
 /// An entry that was taken into the table.
 pub(crate) struct Inserted {
     /// The entry as the decision module takes it.
-    pub entry: ListEntry,
+    pub entry: ServerEntry,
     /// Connections to it must not be used any more: they go to a former process, or to one that takes nothing new.
     pub retires_connections: bool,
 }
@@ -106,7 +106,7 @@
         let shares = former.is_some_and(|former| upstream.shares_connections_with(&former));
         let started = entry.boot_ms.saturating_mul(NANOS_PER_MILLI);
         Inserted {
-            entry: ListEntry {
+            entry: ServerEntry {
                 server,
                 zone: upstream.zone,
                 cell: entry.cell,
@@ -131,7 +131,7 @@
     /// Removes the upstreams that are gone, by their lifecycle or by not being on a complete list, and returns which.
     /// Bounds the memory where upstreams are ever new.
     pub fn remove_gone(&mut self, entries: &[UpstreamEntry], is_complete: bool) -> Vec<ServerId> {
-        let is_gone = |entry: &UpstreamEntry| entry.lifecycle == Lifecycle::Gone;
+        let is_gone = |entry: &UpstreamEntry| entry.lifecycle == Lifecycle::Removed;
         if !is_complete && !entries.iter().any(is_gone) {
             return Vec::new();
         }
--- a/crates/mock-servers/src/system.rs
+++ b/crates/mock-servers/src/system.rs
@@ -220,7 +220,7 @@
             )
         });
         let line = format!(
-            "configuration in force generation={}",
+            "configuration_applied generation={}",
             configuration["generation"]
         );
         self.fronts
@@ -245,7 +245,7 @@
                 body.to_string().as_bytes(),
             )
         });
-        let line = format!("registration id={id}");
+        let line = format!("registration_applied upstream={id}");
         self.fronts
             .iter()
             .flatten()
