--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -125,7 +125,7 @@
         let is_duplicate = self.calls.get(id).is_some();
         if is_duplicate {
             // The front's mistake; the module could not tell the two apart.
-            self.log(format!("request {} is open already", id.0));
+            self.log(format!("request id in use request={}", id.0));
         }
         if is_duplicate || time_left == 0 || max_attempts == 0 {
             let result = CallResult::Rejected(0);
--- a/crates/engine/src/engine/membership.rs
+++ b/crates/engine/src/engine/membership.rs
@@ -11,7 +11,7 @@
         for entry in entries {
             if entry.address.is_none() {
                 self.log(format!(
-                    "upstream {}: its address cannot be read",
+                    "upstream address unreadable upstream={}",
                     entry.name
                 ));
             }
--- a/crates/engine/src/engine/timers.rs
+++ b/crates/engine/src/engine/timers.rs
@@ -35,7 +35,7 @@
             self.notify(Event::Timer(token));
         }
         while let Some(id) = self.calls.overdue(self.now) {
-            self.log(format!("request {} was left open past its time", id.0));
+            self.log(format!("request overdue request={}", id.0));
             self.fail(id);
             self.notify(Event::ClientDisconnected(id));
         }
--- a/crates/runtime/src/attempt.rs
+++ b/crates/runtime/src/attempt.rs
@@ -6,44 +6,45 @@
 use tokio::time::Instant;
 use woadstall_engine::Peer;
 
-/// An attempt at an upstream. Dialling may take its time, and what held when the attempt was decided on may no longer
+/// An attempt at an upstream. Connecting may take its time, and what held when the attempt was decided on may no longer
 /// hold afterwards: [`Attempt::begin`] tells.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    to: Peer,
+    peer: Peer,
     deadline: Instant,
     begin_by: Option<Instant>,
-    start: Arc<Start>,
+    permission: Arc<BeginPermission>,
 }
 
 impl Attempt {
     /// An attempt for a caller that waits until `deadline`, whose first byte must be written before `begin_by`.
-    pub fn new(to: Peer, deadline: Instant, begin_by: Option<Instant>) -> Self {
+    pub fn new(peer: Peer, deadline: Instant, begin_by: Option<Instant>) -> Self {
         Self {
-            to,
+            peer,
             deadline,
             begin_by,
-            start: Arc::default(),
+            permission: Arc::default(),
         }
     }
 
     /// The process of the upstream that it goes to.
-    pub fn to(&self) -> Peer {
-        self.to
+    pub fn peer(&self) -> Peer {
+        self.peer
     }
 
     /// To be called right before the first byte is written. Returns how long the caller still waits; `None` means that
     /// nothing may be written, and that the attempt ends as `Outcome::Moot`.
     pub fn begin(&self) -> Option<Duration> {
         let now = Instant::now();
-        let left = self.deadline.saturating_duration_since(now);
-        let in_time = left > Duration::ZERO && self.begin_by.is_none_or(|begin_by| now < begin_by);
-        (in_time && self.start.begin()).then_some(left)
+        let time_left = self.deadline.saturating_duration_since(now);
+        let is_in_time = self.begin_by.is_none_or(|begin_by| now < begin_by);
+        let may_begin = time_left > Duration::ZERO && is_in_time && self.permission.begin();
+        may_begin.then_some(time_left)
     }
 
-    /// Takes back the permission to begin. Returns whether the attempt had not begun: nothing of it is written then.
+    /// Revokes the permission to begin. Returns whether the attempt had not begun: nothing of it is written then.
     pub(crate) fn revoke(&self) -> bool {
-        self.start.revoke()
+        self.permission.revoke()
     }
 }
 
@@ -53,26 +54,27 @@
 
 /// Whether the first byte of an attempt may be written, or was.
 #[derive(Debug, Default)]
-struct Start(AtomicU8);
+struct BeginPermission(AtomicU8);
 
-impl Start {
+impl BeginPermission {
+    /// Whether the attempt begins now, or had begun.
     fn begin(&self) -> bool {
-        match self
-            .0
-            .compare_exchange(PENDING, BEGUN, Ordering::AcqRel, Ordering::Acquire)
-        {
-            Ok(_) => true,
-            Err(state) => state == BEGUN,
-        }
+        self.leave_pending_for(BEGUN)
     }
 
+    /// Whether the permission is revoked now, or was.
     fn revoke(&self) -> bool {
+        self.leave_pending_for(REVOKED)
+    }
+
+    /// Whether the state is `next` afterwards. It only ever leaves the first one.
+    fn leave_pending_for(&self, next: u8) -> bool {
         match self
             .0
-            .compare_exchange(PENDING, REVOKED, Ordering::AcqRel, Ordering::Acquire)
+            .compare_exchange(PENDING, next, Ordering::AcqRel, Ordering::Acquire)
         {
             Ok(_) => true,
-            Err(state) => state == REVOKED,
+            Err(present) => present == next,
         }
     }
 }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,10 +1,10 @@
-//! The module's clock.
+//! The clock of the decision module.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 use woadstall_engine::Time;
 
-/// Unix time in nanoseconds, that an upstream's start can be told in, but never set back.
+/// Unix time in nanoseconds, which an upstream's start can be given in, but never set back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -24,17 +24,17 @@
 }
 
 impl Clock {
-    /// What it shows.
+    /// The present time.
     pub fn now(&self) -> Time {
         self.time(Instant::now())
     }
 
-    /// What it shows, or showed, at an instant.
+    /// The time at an instant.
     pub fn time(&self, at: Instant) -> Time {
         self.start_unix + at.saturating_duration_since(self.start).as_nanos() as Time
     }
 
-    /// When it shows a time.
+    /// The instant of a time.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + Duration::from_nanos(time.saturating_sub(self.start_unix))
     }
--- /dev/null
+++ b/crates/runtime/src/pending_call.rs
@@ -0,0 +1,259 @@
+//! A call that drives its own attempts.
+
+use crate::command_queue::{CallCommand, CommandQueue};
+use crate::response_tail::EndSink;
+use crate::shared::Shared;
+use crate::{Attempt, AttemptProgress, ResponseTail, Transport};
+use std::future::{Future, poll_fn};
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::Poll;
+use tokio::time::{Instant, timeout_at};
+use woadstall_engine::{AttemptEnd, CallResult, Input, Outcome, RequestId, SendAttempt, Time};
+
+type BoxedAttempt<R> = Pin<Box<dyn Future<Output = AttemptProgress<R>> + Send>>;
+
+/// Makes a response of the tail that reports its end.
+type MakeResponse<R> = Box<dyn FnOnce(ResponseTail) -> R + Send>;
+
+/// An attempt that is in flight.
+struct RunningAttempt<R> {
+    number: u32,
+    attempt: Attempt,
+    future: BoxedAttempt<R>,
+}
+
+/// The response that a call's own attempt has received.
+enum ReceivedResponse<R> {
+    /// All of it.
+    Complete(R),
+    /// It has started, at the attempt of a number.
+    Started(u32, MakeResponse<R>),
+}
+
+/// What a call waits for.
+enum CallEvent<R> {
+    Command(CallCommand),
+    Progress(AttemptProgress<R>),
+}
+
+/// A call and the attempt that it has in flight.
+pub(crate) struct PendingCall<T: Transport> {
+    shared: Arc<Shared<T>>,
+    id: RequestId,
+    commands: Arc<CommandQueue>,
+    request: T::Request,
+    running: Option<RunningAttempt<T::Response>>,
+    /// The attempt whose response has started, until that is handed over: its end is this call's to report.
+    started: Option<u32>,
+    has_result: bool,
+}
+
+impl<T: Transport> PendingCall<T> {
+    /// A call that the engine has taken.
+    pub fn new(
+        shared: Arc<Shared<T>>,
+        id: RequestId,
+        commands: Arc<CommandQueue>,
+        request: T::Request,
+    ) -> Self {
+        Self {
+            shared,
+            id,
+            commands,
+            request,
+            running: None,
+            started: None,
+            has_result: false,
+        }
+    }
+
+    /// Does what the engine says until there is a result.
+    pub async fn drive(mut self) -> CallResult<T::Response> {
+        let mut received = None;
+        loop {
+            match self.next_event().await {
+                CallEvent::Command(CallCommand::SendAttempt(send)) => self.start(&send),
+                CallEvent::Command(CallCommand::CancelAttempt(number)) => {
+                    if let Some(running) = self.running.take_if(|running| running.number == number)
+                    {
+                        self.cancel(running);
+                    }
+                }
+                CallEvent::Command(CallCommand::Respond(result)) => {
+                    return self.finish(result, received);
+                }
+                CallEvent::Progress(progress) => {
+                    if let Some(response) = self.on_progress(progress) {
+                        received = response;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Commands come first.
+    async fn next_event(&mut self) -> CallEvent<T::Response> {
+        poll_fn(|cx| {
+            if let Poll::Ready(command) = self.commands.poll_next(cx) {
+                return Poll::Ready(CallEvent::Command(command));
+            }
+            match &mut self.running {
+                Some(running) => running.future.as_mut().poll(cx).map(CallEvent::Progress),
+                None => Poll::Pending,
+            }
+        })
+        .await
+    }
+
+    /// Reports how far the attempt has come, and returns what response it has received. `None` if there is no attempt.
+    fn on_progress(
+        &mut self,
+        progress: AttemptProgress<T::Response>,
+    ) -> Option<Option<ReceivedResponse<T::Response>>> {
+        let attempt = self.running.take()?.number;
+        match progress {
+            AttemptProgress::Ended(AttemptEnd {
+                outcome,
+                response,
+                load,
+            }) => {
+                let is_served = response.is_some().then_some(());
+                let received = response.map(ReceivedResponse::Complete);
+                let end = AttemptEnd {
+                    outcome,
+                    response: is_served,
+                    load,
+                };
+                self.shared.attempt_ended(self.id, attempt, end);
+                Some(received)
+            }
+            AttemptProgress::ResponseStarted(make) => {
+                self.started = Some(attempt);
+                let input = Input::ResponseStarted {
+                    id: self.id,
+                    attempt,
+                    response: (),
+                };
+                self.shared.handle(&mut self.shared.lock(), input);
+                Some(Some(ReceivedResponse::Started(attempt, make)))
+            }
+        }
+    }
+
+    /// The result for the caller, with the response that was received.
+    fn finish(
+        &mut self,
+        result: CallResult<()>,
+        received: Option<ReceivedResponse<T::Response>>,
+    ) -> CallResult<T::Response> {
+        self.has_result = true;
+        match (result, received) {
+            (CallResult::Served(()), Some(ReceivedResponse::Complete(response))) => {
+                CallResult::Served(response)
+            }
+            (CallResult::Served(()), Some(ReceivedResponse::Started(attempt, make))) => {
+                self.started = None; // its end is the tail's to report from here on
+                let sink: Arc<dyn EndSink> = self.shared.clone();
+                CallResult::Served(make(ResponseTail::new(sink, self.id, attempt)))
+            }
+            (CallResult::Rejected(retry_after), _) => CallResult::Rejected(retry_after),
+            (CallResult::Served(()) | CallResult::Failed, _) => CallResult::Failed,
+        }
+    }
+
+    /// Makes an attempt, unless its upstream was listed as draining or gone since it was decided on.
+    fn start(&mut self, send: &SendAttempt) {
+        if !self.shared.lock().engine.takes_new(&send.to) {
+            return self
+                .shared
+                .attempt_ended(self.id, send.attempt, Outcome::Moot.into());
+        }
+        let clock = &self.shared.clock;
+        let until = clock.instant(send.until);
+        let begin_by = (send.begin_by < Time::MAX).then(|| clock.instant(send.begin_by));
+        let attempt = Attempt::new(send.to, clock.instant(send.deadline), begin_by);
+        let future = self.shared.transport.attempt(&mut self.request, &attempt);
+        let future = Box::pin(with_time_limit(until, attempt.clone(), future));
+        self.running = Some(RunningAttempt {
+            number: send.attempt,
+            attempt,
+            future,
+        });
+    }
+
+    /// Cancels an attempt, and reports whether it can have run.
+    fn cancel(&self, running: RunningAttempt<T::Response>) {
+        let never_began = running.attempt.revoke();
+        let outcome = if never_began {
+            Outcome::Moot
+        } else {
+            Outcome::Cancelled
+        };
+        drop(running.future);
+        self.shared
+            .attempt_ended(self.id, running.number, outcome.into());
+    }
+
+    /// Leaves an attempt to finish in a task of its own, so that its end is still learned.
+    fn detach(&self, running: RunningAttempt<T::Response>) {
+        let (shared, id, attempt) = (self.shared.clone(), self.id, running.number);
+        self.shared.runtime.spawn(async move {
+            let end = match running.future.await {
+                AttemptProgress::Ended(AttemptEnd { outcome, load, .. }) => AttemptEnd {
+                    outcome,
+                    response: None,
+                    load,
+                },
+                AttemptProgress::ResponseStarted(_) => Outcome::Cancelled.into(),
+            };
+            shared.attempt_ended(id, attempt, end);
+        });
+    }
+}
+
+/// An attempt that is given up at a time. One that has not begun by then never ran.
+async fn with_time_limit<R>(
+    until: Instant,
+    attempt: Attempt,
+    future: impl Future<Output = AttemptProgress<R>>,
+) -> AttemptProgress<R> {
+    timeout_at(until, future).await.unwrap_or_else(|_| {
+        let never_began = attempt.revoke();
+        let outcome = if never_began {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Timeout
+        };
+        AttemptProgress::Ended(outcome.into())
+    })
+}
+
+impl<T: Transport> Drop for PendingCall<T> {
+    /// The caller has disconnected, or has its result: what is in flight is cancelled, and what was to be sent is not.
+    fn drop(&mut self) {
+        let commands = self.commands.take_all();
+        let running = self.running.take();
+        if !self.has_result {
+            self.shared
+                .handle(&mut self.shared.lock(), Input::CallerDisconnected(self.id));
+        }
+        for command in commands {
+            if let CallCommand::SendAttempt(send) = command {
+                self.shared
+                    .attempt_ended(self.id, send.attempt, Outcome::Moot.into());
+            }
+        }
+        if let Some(attempt) = self.started.take() {
+            self.shared
+                .attempt_ended(self.id, attempt, Outcome::Cancelled.into());
+        }
+        let Some(running) = running else { return };
+        // What has not begun must not begin for a caller that has disconnected, as while it still connects.
+        if self.shared.may_cancel || running.attempt.revoke() {
+            self.cancel(running);
+        } else {
+            self.detach(running);
+        }
+    }
+}
--- /dev/null
+++ b/crates/runtime/src/shared.rs
@@ -0,0 +1,197 @@
+//! The engine behind a mutex, and the execution of its commands.
+
+use crate::command_queue::{CallCommand, CommandQueue};
+use crate::timers::TIMER_STEP;
+use crate::{Clock, Transport};
+use std::fmt;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::runtime::Handle;
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::{Notify, watch};
+use tokio::time::timeout;
+use woadstall_discovery::{EndpointList, WatchEvent};
+use woadstall_engine::{
+    AttemptEnd, Command, Engine, Input, Outcome, Peer, RequestId, SendAttempt, Time,
+};
+use woadstall_settings::Names;
+
+/// How long a probe may take.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Where lines of the log go.
+pub type LogSink = Arc<dyn Fn(fmt::Arguments<'_>) + Send + Sync>;
+
+/// The engine, whose requests are the queues that calls take their commands from.
+pub(crate) type CallEngine = Engine<Arc<CommandQueue>, ()>;
+
+/// What the mutex guards.
+pub(crate) struct EngineState {
+    pub engine: CallEngine,
+    /// Number of the next call.
+    next_id: u32,
+    /// When the timers wake up next.
+    pub planned_wake_up: Time,
+    /// A call came since the timers fired last.
+    pub had_calls: bool,
+}
+
+impl EngineState {
+    pub fn new(engine: CallEngine) -> Self {
+        Self {
+            engine,
+            next_id: 0,
+            planned_wake_up: 0,
+            had_calls: false,
+        }
+    }
+
+    /// A number that no open call has.
+    pub fn unused_id(&mut self) -> RequestId {
+        loop {
+            let id = RequestId(self.next_id);
+            self.next_id = self.next_id.wrapping_add(1);
+            if !self.engine.is_open(id) {
+                return id;
+            }
+        }
+    }
+}
+
+/// What calls, the timers and the watch on discovery share.
+pub(crate) struct Shared<T> {
+    pub state: Mutex<EngineState>,
+    pub transport: T,
+    pub clock: Clock,
+    pub names: Names,
+    /// Attempts may be cancelled.
+    pub may_cancel: bool,
+    /// Asks for a watch on discovery.
+    pub subscribe: UnboundedSender<()>,
+    /// A timer is due before the planned wake-up.
+    pub earlier_timer: Notify,
+    pub ready: watch::Sender<bool>,
+    pub log: LogSink,
+    pub runtime: Handle,
+}
+
+impl<T: Transport> Shared<T> {
+    pub fn lock(&self) -> MutexGuard<'_, EngineState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Passes an input to the engine, and does what it says.
+    pub fn handle(
+        self: &Arc<Self>,
+        state: &mut EngineState,
+        input: Input<'_, Arc<CommandQueue>, ()>,
+    ) {
+        state.engine.handle(self.clock.now(), input);
+        self.execute_commands(state);
+        self.plan_wake_up(state);
+    }
+
+    /// Does what the engine says; what concerns a call is left for its own task.
+    fn execute_commands(self: &Arc<Self>, state: &mut EngineState) {
+        let engine = &mut state.engine;
+        while let Some(command) = engine.next_command() {
+            match command {
+                Command::SendAttempt(send) => self.send_attempt(engine, send),
+                Command::CancelAttempt { id, attempt } => {
+                    // A call that has its result or is dropped cancels its attempt by itself.
+                    if let Some(queue) = engine.request(id) {
+                        queue.push(CallCommand::CancelAttempt(attempt));
+                    }
+                }
+                Command::Respond {
+                    request: queue,
+                    result,
+                } => {
+                    queue.push(CallCommand::Respond(result));
+                }
+                Command::Probe(peer) => self.probe(peer),
+                Command::CloseIdleConnections(server) => self.transport.close_idle(server),
+                Command::RetireConnections(server) => self.transport.retire(server),
+                Command::WatchDiscovery => drop(self.subscribe.send(())),
+                Command::Log(text) => (self.log)(format_args!("{text}")),
+            }
+        }
+    }
+
+    fn send_attempt(&self, engine: &mut CallEngine, send: SendAttempt) {
+        if let Some(queue) = engine.request(send.id) {
+            return queue.push(CallCommand::SendAttempt(send));
+        }
+        let (id, attempt) = (send.id, send.attempt);
+        let end = Outcome::Moot.into();
+        engine.handle(self.clock.now(), Input::AttemptEnded { id, attempt, end });
+    }
+
+    /// Wakes the timers earlier than planned where one is due before.
+    fn plan_wake_up(&self, state: &mut EngineState) {
+        let Some(due) = state
+            .engine
+            .wake_at()
+            .filter(|due| *due < state.planned_wake_up)
+        else {
+            return;
+        };
+        let due = due.max(self.clock.now() + TIMER_STEP.as_nanos() as Time);
+        if due < state.planned_wake_up {
+            state.planned_wake_up = due;
+            self.earlier_timer.notify_one();
+        }
+    }
+
+    fn probe(self: &Arc<Self>, peer: Peer) {
+        let shared = self.clone();
+        let probe = self.transport.probe(peer, PROBE_TIMEOUT);
+        self.runtime.spawn(async move {
+            let ended = timeout(PROBE_TIMEOUT, probe).await;
+            let (outcome, load) = ended.unwrap_or((Outcome::Timeout, None));
+            let input = Input::ProbeEnded(peer.server, outcome, load);
+            shared.handle(&mut shared.lock(), input);
+        });
+    }
+
+    /// Takes a list of upstreams.
+    pub fn on_list(self: &Arc<Self>, list: &EndpointList) {
+        let entries = list.entries(&self.names);
+        let mut state = self.lock();
+        let is_complete = list.is_complete;
+        self.handle(
+            &mut state,
+            Input::EndpointsListed {
+                entries: &entries,
+                is_complete,
+            },
+        );
+        let is_ready = state.engine.is_ready();
+        drop(state);
+        if is_ready {
+            self.ready
+                .send_if_modified(|ready| !std::mem::replace(ready, true));
+        }
+    }
+
+    /// Takes what the watch on discovery reports.
+    pub fn on_watch_event(self: &Arc<Self>, event: WatchEvent) {
+        match event {
+            WatchEvent::List(list) => self.on_list(&list),
+            WatchEvent::SubscriptionFailed => {
+                self.handle(&mut self.lock(), Input::DiscoveryFailed);
+            }
+            WatchEvent::FirstFailure(error) => {
+                (self.log)(format_args!("discovery failed error=\"{error}\""));
+            }
+            WatchEvent::Recovered { failures } => {
+                (self.log)(format_args!("discovery recovered failures={failures}"));
+            }
+        }
+    }
+
+    /// Reports the end of an attempt to the engine.
+    pub fn attempt_ended(self: &Arc<Self>, id: RequestId, attempt: u32, end: AttemptEnd<()>) {
+        self.handle(&mut self.lock(), Input::AttemptEnded { id, attempt, end });
+    }
+}
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -12,7 +12,7 @@
 use woadstall_discovery::EndpointList;
 use woadstall_engine::Settings;
 use woadstall_operator_config::OperatorConfig;
-use woadstall_runtime::{Log, Setup};
+use woadstall_runtime::{LoadBalancerConfig, LogSink};
 use woadstall_settings::Names;
 use woadstall_transport::{Http1, Http2, Limits};
 
@@ -49,7 +49,7 @@
     protocol: Protocol,
     replay_limit: usize,
     connections: usize,
-    log: Log,
+    log: LogSink,
 }
 
 impl Default for Builder {
@@ -175,16 +175,17 @@
         let seed = self
             .seed
             .unwrap_or_else(|| RandomState::new().build_hasher().finish());
-        let setup = Setup {
+        let setup = LoadBalancerConfig {
             settings,
             names,
             seed,
-            known: self.known,
+            known_endpoints: self.known,
         };
-        let balance = woadstall_runtime::Balance::new(setup, wire, self.log).map_err(BuildError)?;
+        let balance = woadstall_runtime::LoadBalancer::new(setup, wire, self.log)
+            .map_err(|error| BuildError(error.to_string()))?;
         let discovery = self.discovery.map(|address| {
             let (at, addresses) = watch::channel(address);
-            balance.follow(addresses);
+            balance.watch_discovery(addresses);
             at
         });
         Ok(Balance::new(
--- a/crates/tower/src/service.rs
+++ b/crates/tower/src/service.rs
@@ -20,7 +20,7 @@
 use tower_service::Service;
 use woadstall_discovery::EndpointList;
 use woadstall_engine::CallResult;
-use woadstall_runtime::Ask;
+use woadstall_runtime::CallParameters;
 use woadstall_transport::{BodyError, Inbound, Outbound, is_grpc};
 
 /// The decisions inside the caller. Clones share everything.
@@ -28,7 +28,7 @@
 pub struct Balance(Arc<Inner>);
 
 struct Inner {
-    balance: woadstall_runtime::Balance<Wire>,
+    balance: woadstall_runtime::LoadBalancer<Wire>,
     classes: Classes,
     discovery: Option<watch::Sender<SocketAddr>>,
     protocol: Protocol,
@@ -42,7 +42,7 @@
     }
 
     pub(crate) fn new(
-        balance: woadstall_runtime::Balance<Wire>,
+        balance: woadstall_runtime::LoadBalancer<Wire>,
         classes: Classes,
         discovery: Option<watch::Sender<SocketAddr>>,
         protocol: Protocol,
@@ -128,12 +128,12 @@
         if self.0.protocol == Protocol::Http1 && attempts == 1 {
             return answer::too_large(grpc);
         }
-        let ask = Ask {
+        let ask = CallParameters {
             class,
             tenant,
             work,
             deadline,
-            attempts,
+            max_attempts: attempts,
         };
         match self.0.balance.call(ask, outbound).await {
             CallResult::Served(answer) => answer,
--- a/crates/tower/src/wire.rs
+++ b/crates/tower/src/wire.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::time::Duration;
 use woadstall_engine::{LoadReport, Outcome, Peer, ServerId};
-use woadstall_runtime::{Attempt, Step, Transport};
+use woadstall_runtime::{Attempt, AttemptProgress, Transport};
 use woadstall_transport::{Http1, Http2, Inbound, Outbound};
 
 pub(crate) enum Wire {
@@ -15,26 +15,31 @@
 
 impl Transport for Wire {
     type Request = Outbound;
-    type Answer = Response<Inbound>;
+    type Response = Response<Inbound>;
 
     fn attempt(
         &self,
         request: &mut Outbound,
         attempt: &Attempt,
-    ) -> impl Future<Output = Step<Response<Inbound>>> + Send + 'static {
+    ) -> impl Future<Output = AttemptProgress<Response<Inbound>>> + Send + 'static {
         // On the heap from here on: a future that is wrapped is held twice over in each wrapper.
-        let attempt: Pin<Box<dyn Future<Output = Step<Response<Inbound>>> + Send>> = match self {
-            Self::Http1(wire) => match request.whole() {
-                Some(whole) => {
-                    let ended = wire.ended(&whole, attempt);
-                    Box::pin(async move {
-                        Step::Ended(ended.await.map(|answer| answer.map(Inbound::new)))
-                    })
-                }
-                None => Box::pin(std::future::ready(Step::Ended(Outcome::Moot.into()))),
-            },
-            Self::Http2(wire) => Box::pin(wire.attempt(request, attempt)),
-        };
+        let attempt: Pin<Box<dyn Future<Output = AttemptProgress<Response<Inbound>>> + Send>> =
+            match self {
+                Self::Http1(wire) => match request.whole() {
+                    Some(whole) => {
+                        let ended = wire.ended(&whole, attempt);
+                        Box::pin(async move {
+                            AttemptProgress::Ended(
+                                ended.await.map(|answer| answer.map(Inbound::new)),
+                            )
+                        })
+                    }
+                    None => Box::pin(std::future::ready(AttemptProgress::Ended(
+                        Outcome::Moot.into(),
+                    ))),
+                },
+                Self::Http2(wire) => Box::pin(wire.attempt(request, attempt)),
+            };
         attempt
     }
 
--- a/crates/transport/src/http1/answer.rs
+++ b/crates/transport/src/http1/answer.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, ready};
-use woadstall_runtime::Tail;
+use woadstall_runtime::ResponseTail;
 use woadstall_runtime::engine::{Outcome, ServerId};
 
 /// An upstream's answer: whole, or with a rest that is still to come.
@@ -30,7 +30,7 @@
     body: Incoming,
     connection: Connection,
     /// Where the end is told, and where the connection goes after it.
-    tail: Option<Tail>,
+    tail: Option<ResponseTail>,
     home: Option<(Arc<Mutex<Pool>>, ServerId, u64)>,
 }
 
@@ -73,7 +73,7 @@
     }
 
     /// Where the end is told.
-    pub(super) fn ends_at(&mut self, tail: Tail) {
+    pub(super) fn ends_at(&mut self, tail: ResponseTail) {
         self.tail = Some(tail);
     }
 
--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -24,7 +24,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::time::{Duration, timeout};
 use woadstall_runtime::engine::{AttemptEnd, LoadReport, Outcome, Peer, ServerId};
-use woadstall_runtime::{Attempt, Step, Transport};
+use woadstall_runtime::{Attempt, AttemptProgress, Transport};
 use woadstall_settings::Names;
 
 /// An idle connection is dropped by this much, or by half its time, before its upstream may close it.
@@ -155,7 +155,7 @@
         sizes: Sizes,
     ) -> Pin<Box<dyn Future<Output = Exchanged> + Send>> {
         let attempt = attempt.clone();
-        let peer = attempt.to();
+        let peer = attempt.peer();
         self.exchange(forwarded(request, peer.address), peer, sizes, move || {
             attempt.begin()
         })
@@ -186,25 +186,25 @@
 
 impl Transport for Http1 {
     type Request = Request<Bytes>;
-    type Answer = Response<Answer>;
+    type Response = Response<Answer>;
 
     fn attempt(
         &self,
         request: &mut Request<Bytes>,
         attempt: &Attempt,
-    ) -> impl Future<Output = Step<Response<Answer>>> + Send + 'static {
+    ) -> impl Future<Output = AttemptProgress<Response<Answer>>> + Send + 'static {
         let (exchange, fields) = (
             self.exchange_of(request, attempt, self.sizes),
             self.report_fields.clone(),
         );
         async move {
             match exchange.await {
-                Exchanged::Finished(finished) => Step::Ended(
+                Exchanged::Finished(finished) => AttemptProgress::Ended(
                     finished
                         .ended(&fields)
                         .map(|response| response.map(Answer::Whole)),
                 ),
-                Exchanged::Begun(response) => Step::Started(Box::new(|tail| {
+                Exchanged::Begun(response) => AttemptProgress::ResponseStarted(Box::new(|tail| {
                     response.map(|mut rest| {
                         rest.ends_at(tail);
                         Answer::Rest(Box::new(rest))
--- a/crates/transport/src/http2.rs
+++ b/crates/transport/src/http2.rs
@@ -31,7 +31,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Duration, Instant, Sleep, timeout};
 use woadstall_runtime::engine::{AttemptEnd, LoadReport, Outcome, Peer, ServerId};
-use woadstall_runtime::{Attempt, Step, Tail, Transport};
+use woadstall_runtime::{Attempt, AttemptProgress, ResponseTail, Transport};
 use woadstall_settings::Names;
 
 /// Largest head of an answer, and of its trailers.
@@ -374,29 +374,29 @@
 
 impl Transport for Http2 {
     type Request = Outbound;
-    type Answer = Response<Inbound>;
+    type Response = Response<Inbound>;
 
     fn attempt(
         &self,
         request: &mut Outbound,
         attempt: &Attempt,
-    ) -> impl Future<Output = Step<Response<Inbound>>> + Send + 'static {
-        let peer = attempt.to();
+    ) -> impl Future<Output = AttemptProgress<Response<Inbound>>> + Send + 'static {
+        let peer = attempt.peer();
         let epoch = self.pool.epoch(peer.server);
         let (mut head, grpc) = (forwarded(request, peer.address), request.grpc);
         let (body, until_closed) = (request.body.take(), request.body_deadline);
         let (pool, attempt) = (self.pool.clone(), attempt.clone());
         async move {
             let Some(mut body) = body else {
-                return Step::Ended(Outcome::Moot.into());
+                return AttemptProgress::Ended(Outcome::Moot.into());
             };
             for _ in 0..TRIES {
                 let lease = match pool.lease(&peer, epoch).await {
                     Ok(lease) => lease,
-                    Err(outcome) => return Step::Ended(outcome.into()),
+                    Err(outcome) => return AttemptProgress::Ended(outcome.into()),
                 };
                 let Some(left) = attempt.begin() else {
-                    return Step::Ended(Outcome::Moot.into());
+                    return AttemptProgress::Ended(Outcome::Moot.into());
                 };
                 tell_budget(&mut head, left, grpc);
                 match lease
@@ -420,7 +420,7 @@
                     Err(_) => lease.close(),
                 }
             }
-            Step::Ended(Outcome::Moot.into())
+            AttemptProgress::Ended(Outcome::Moot.into())
         }
     }
 
@@ -618,13 +618,13 @@
     pump: Pump,
     most_whole: usize,
     until: Option<Instant>,
-) -> Step<Response<Inbound>> {
+) -> AttemptProgress<Response<Inbound>> {
     let failed = |error: &h2::Error, lease: &Lease| {
         let outcome = classify::broken(error);
         if error.is_go_away() || error.is_io() {
             lease.close();
         }
-        Step::Ended(outcome.into())
+        AttemptProgress::Ended(outcome.into())
     };
     let response = match response.await {
         Ok(response) => response,
@@ -640,7 +640,7 @@
     let told: Option<usize> = told.and_then(|length| length.to_str().ok()?.parse().ok());
     let early = classify::http(head.status, &head.headers);
     if !early.is_final && !grpc {
-        return Step::Ended(early.outcome.into());
+        return AttemptProgress::Ended(early.outcome.into());
     }
     // gRPC messages are passed on from the first one on; of other answers it is known how large they are.
     let wait_for = if grpc {
@@ -698,7 +698,7 @@
             },
         )
     });
-    Step::Started(begun)
+    AttemptProgress::ResponseStarted(begun)
 }
 
 fn whole(
@@ -706,7 +706,7 @@
     data: Vec<Bytes>,
     trailers: Option<HeaderMap>,
     grpc: bool,
-) -> Step<Response<Inbound>> {
+) -> AttemptProgress<Response<Inbound>> {
     let Class { outcome, is_final } = match grpc {
         // What precedes the trailers is no answer yet; where there are none, the head has the status.
         true => classify::grpc(trailers.as_ref().unwrap_or(head.headers())),
@@ -719,7 +719,7 @@
             rest: None,
         })
     });
-    Step::Ended(AttemptEnd {
+    AttemptProgress::Ended(AttemptEnd {
         outcome,
         response: answer,
         load: None,
@@ -738,7 +738,7 @@
     body: RecvStream,
     lease: Lease,
     _pump: Pump,
-    tail: Option<Tail>,
+    tail: Option<ResponseTail>,
     expiry: Option<Pin<Box<Sleep>>>,
     grpc: bool,
     done: bool,
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -20,7 +20,7 @@
 use tokio::time::{sleep, timeout};
 use woadstall_inbound::lock;
 use woadstall_membership_net::Instances;
-use woadstall_runtime::Balance;
+use woadstall_runtime::LoadBalancer;
 use woadstall_transport::Http1;
 
 /// Connections at most. One more takes the place of the oldest without a whole call, so that whoever holds
@@ -33,7 +33,7 @@
 
 /// What the operators' calls read and set.
 pub struct Admin {
-    balance: Balance<Http1>,
+    balance: LoadBalancer<Http1>,
     figures: Arc<Figures>,
     ready: watch::Receiver<bool>,
     stopping: watch::Receiver<bool>,
@@ -53,7 +53,7 @@
 impl Admin {
     /// `away` turns true while clients are to be sent away.
     pub fn new(
-        balance: Balance<Http1>,
+        balance: LoadBalancer<Http1>,
         figures: Arc<Figures>,
         stopping: watch::Receiver<bool>,
         away: watch::Sender<bool>,
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -10,7 +10,7 @@
 use woadstall_health_reports::{CompletedAttempt, PendingAttempt, SubjectKind};
 use woadstall_membership_net::Instances;
 use woadstall_operator_config::EvacuationConfig;
-use woadstall_runtime::Balance;
+use woadstall_runtime::LoadBalancer;
 use woadstall_transport::Http1;
 
 /// A word for which no time is given ends after this.
@@ -36,7 +36,7 @@
         file: &EvacuationConfig,
         config: &Config,
         instances: Instances,
-        balance: Balance<Http1>,
+        balance: LoadBalancer<Http1>,
     ) -> Self {
         let zone = |name: &String| (name.clone(), file.regions.get(name).cloned());
         let zones: Vec<(String, Option<String>)> = config.names.zones.iter().map(zone).collect();
@@ -65,7 +65,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn run(self, balance: Balance<Http1>, every: Duration) {
+    async fn run(self, balance: LoadBalancer<Http1>, every: Duration) {
         let (mut turns, mut seen) = (interval(every), u64::MAX);
         turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -74,7 +74,7 @@
         }
     }
 
-    fn turn(&self, balance: &Balance<Http1>, seen: &mut u64) {
+    fn turn(&self, balance: &LoadBalancer<Http1>, seen: &mut u64) {
         let observations = balance.observations(*seen);
         let mut coordinator = self.coordinator();
         if let Some((changes, listed)) = observations.listed {
@@ -102,7 +102,7 @@
             };
             coordinator.saw(now, &saw);
         }
-        let out = observations.out.into_iter();
+        let out = observations.in_flight.into_iter();
         coordinator.out(
             now,
             out.map(|out| PendingAttempt {
@@ -121,7 +121,7 @@
         }
         if !turn.verdicts.is_empty() {
             // The member's clock began with it; the module's is Unix time.
-            balance.told(|module| {
+            balance.apply_verdicts(|module| {
                 let until = |verdict: &HealthVerdict| module + verdict.until.saturating_sub(now);
                 turn.verdicts
                     .iter()
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -25,7 +25,7 @@
 use woadstall_hot_restart::{TransferredState, socket};
 use woadstall_inbound::listen;
 use woadstall_membership_net::Instances;
-use woadstall_runtime::{Balance, Setup};
+use woadstall_runtime::{LoadBalancer, LoadBalancerConfig};
 use woadstall_settings::ActiveSettings;
 use woadstall_transport::Http1;
 
@@ -68,7 +68,7 @@
     address: SocketAddr,
     figures: Arc<Figures>,
     discovery: watch::Sender<SocketAddr>,
-    balance: Balance<Http1>,
+    balance: LoadBalancer<Http1>,
     terms: watch::Sender<Arc<InService>>,
     stop: watch::Sender<bool>,
     serving: JoinHandle<()>,
@@ -82,13 +82,14 @@
         let keep = Duration::from_nanos(config.settings.idle_timeout);
         let transport = Http1::new(&config.names, keep, config.limits.upstreams, WHOLE_ANSWER)
             .passing_on(MOST_BODY);
-        let setup = Setup {
+        let setup = LoadBalancerConfig {
             settings: config.settings.clone(),
             names: config.names.clone(),
             seed: config.seed,
-            known: config.known.clone(),
+            known_endpoints: config.known.clone(),
         };
-        let balance = Balance::new(setup, transport, Arc::new(log))?;
+        let balance = LoadBalancer::new(setup, transport, Arc::new(log))
+            .map_err(|error| error.to_string())?;
         let mut figures = Figures::new(config.names.classes.iter().map(String::as_str))?;
         let instances = config.instances.clone().map(instances::start).transpose()?;
         if let Some(instances) = &instances {
@@ -120,7 +121,7 @@
 
         let (stop, stopping) = watch::channel(false);
         let (discovery, discovery_at) = watch::channel(config.discovery);
-        balance.follow(discovery_at);
+        balance.watch_discovery(discovery_at);
         let terms = ActiveSettings::new(config.settings.clone(), config.names.clone());
         let (terms, in_service) = watch::channel(Arc::new(InService { terms, since: None }));
         if let Some(folder) = &config.shared {
@@ -202,7 +203,9 @@
             .terms
             .apply(&config.settings, &config.names)
             .map_err(|error| error.to_string())?;
-        self.balance.retune(change)?;
+        self.balance
+            .reconfigure(change)
+            .map_err(|error| error.to_string())?;
         self.balance.transport().retune(
             terms.names(),
             Duration::from_nanos(config.settings.idle_timeout),
@@ -236,7 +239,7 @@
 }
 
 /// Takes over what a predecessor at the same address has learned, if there is one in the folder that they share.
-async fn take_over(config: &Config, balance: &Balance<Http1>) {
+async fn take_over(config: &Config, balance: &LoadBalancer<Http1>) {
     // At port 0 there is nobody before.
     let Some(folder) = config
         .shared
@@ -261,7 +264,7 @@
     }
 }
 
-fn state(balance: &Balance<Http1>, terms: &ActiveSettings) -> TransferredState {
+fn state(balance: &LoadBalancer<Http1>, terms: &ActiveSettings) -> TransferredState {
     let (learned, names) = balance.learned();
     let class = |at: usize| {
         let name = terms.names().classes.get(at)?.as_str();
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, sleep, timeout};
 use woadstall_engine::CallResult;
 use woadstall_inbound::{BodyRoom, Lingering, Seen, lock};
-use woadstall_runtime::{Ask, Balance};
+use woadstall_runtime::{CallParameters, LoadBalancer};
 use woadstall_transport::{Http1, SharedStream, end_to_end, is_local};
 
 /// How long connections are still taken after a signal to stop: callers hear of it late.
@@ -51,7 +51,7 @@
 /// What all connections share.
 pub struct Server {
     config: Arc<Config>,
-    balance: Balance<Http1>,
+    balance: LoadBalancer<Http1>,
     ready: watch::Receiver<bool>,
     figures: Arc<Figures>,
     in_service: watch::Receiver<Arc<InService>>,
@@ -74,7 +74,7 @@
     /// A server that has its requests answered by a balance.
     pub fn new(
         config: Arc<Config>,
-        balance: Balance<Http1>,
+        balance: LoadBalancer<Http1>,
         figures: Arc<Figures>,
         in_service: watch::Receiver<Arc<InService>>,
         away: watch::Receiver<bool>,
@@ -348,12 +348,12 @@
             work,
             ..
         } = asked;
-        let ask = Ask {
+        let ask = CallParameters {
             class,
             tenant,
             work,
             deadline,
-            attempts: u32::MAX,
+            max_attempts: u32::MAX,
         };
         let verdict = self
             .balance
