--- a/crates/inbound/src/listen.rs
+++ b/crates/inbound/src/listen.rs
@@ -5,16 +5,17 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Connections that wait to be taken at most.
+/// Most connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Listens where another process of this program may listen too: its successor at an upgrade.
+/// Listens where another process of this program may listen too: its successor at a hot restart.
+///
+/// # Errors
+///
+/// Fails if the socket cannot be created or bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(
-        Domain::for_address(address),
-        Type::STREAM,
-        Some(Protocol::TCP),
-    )?;
+    let domain = Domain::for_address(address);
+    let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
--- a/crates/node/src/front/client_connection.rs
+++ b/crates/node/src/front/client_connection.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 use tokio::time::{interval, timeout};
 use woadstall_control::configuration::Limits;
-use woadstall_inbound::{Gate, Lingering, Seen, lock};
+use woadstall_inbound::{ConnectionState, LingeringConnections, RequestGate, lock};
 use woadstall_transport::SharedStream;
 
 /// How often time-outs of a connection are checked.
@@ -46,12 +46,12 @@
 /// A connection of a client.
 pub(super) struct ClientConnection<'a> {
     front: &'a Arc<Front>,
-    lingering: &'a Arc<Lingering>,
+    lingering: &'a Arc<LingeringConnections>,
 }
 
 impl<'a> ClientConnection<'a> {
     /// A connection that is not served yet.
-    pub fn new(front: &'a Arc<Front>, lingering: &'a Arc<Lingering>) -> Self {
+    pub fn new(front: &'a Arc<Front>, lingering: &'a Arc<LingeringConnections>) -> Self {
         Self { front, lingering }
     }
 
@@ -63,14 +63,14 @@
     pub async fn serve(&self, stream: TcpStream, closing: watch::Receiver<bool>) -> io::Result<()> {
         enable_dead_peer_detection(&stream, USER_TIMEOUT)?;
         let stream = SharedStream::new(stream)?;
-        let (gate, seen) = Gate::new(stream.clone());
+        let (gate, seen) = RequestGate::new(stream.clone());
         match self.drive(gate, &seen, &stream, closing).await {
             // A response that was cut off must not look complete.
             ConnectionEnd::Aborted => stream.reset_on_close()?,
             ConnectionEnd::Orderly if lock(&seen).has_ended() => {}
             ConnectionEnd::Orderly => {
                 self.lingering.close(stream);
-                self.lingering.keep(MAX_LINGERING);
+                self.lingering.keep_at_most(MAX_LINGERING);
             }
         }
         Ok(())
@@ -78,8 +78,8 @@
 
     async fn drive(
         &self,
-        gate: Gate,
-        seen: &Arc<Mutex<Seen>>,
+        gate: RequestGate,
+        seen: &Arc<Mutex<ConnectionState>>,
         stream: &SharedStream,
         mut closing: watch::Receiver<bool>,
     ) -> ConnectionEnd {
@@ -100,7 +100,7 @@
                 _ = checks.tick() => is_closing = self.has_timed_out(seen),
             }
         }
-        while !(lock(seen).is_at_rest() && stream.is_quiet()) {
+        while !(lock(seen).is_idle() && stream.is_quiet()) {
             if self.has_stalled(seen) {
                 return ConnectionEnd::Aborted;
             }
@@ -113,18 +113,18 @@
     }
 
     /// Whether the connection has been idle, or has taken for a request's head, for longer than the configuration allows.
-    fn has_timed_out(&self, seen: &Arc<Mutex<Seen>>) -> bool {
+    fn has_timed_out(&self, seen: &Arc<Mutex<ConnectionState>>) -> bool {
         let limits = self.limits();
         let seen = lock(seen);
         match seen.idle() {
             Some((_, since)) => since.elapsed() > limits.idle_timeout + TIMEOUT_MARGIN,
-            None => seen.overdue(limits.header_timeout + TIMEOUT_MARGIN),
+            None => seen.is_overdue(limits.header_timeout + TIMEOUT_MARGIN),
         }
     }
 
     /// Whether a connection that is to be closed has taken too long for a request's head.
-    fn has_stalled(&self, seen: &Arc<Mutex<Seen>>) -> bool {
-        lock(seen).overdue(self.limits().header_timeout)
+    fn has_stalled(&self, seen: &Arc<Mutex<ConnectionState>>) -> bool {
+        lock(seen).is_overdue(self.limits().header_timeout)
     }
 
     fn limits(&self) -> Limits {
@@ -134,16 +134,23 @@
             .unwrap_or_default()
     }
 
-    async fn respond(&self, request: Request<Incoming>, seen: &Arc<Mutex<Seen>>) -> ClientResponse {
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        seen: &Arc<Mutex<ConnectionState>>,
+    ) -> ClientResponse {
         let mut response = handle_request(self.front, request).await;
         let mut seen = lock(seen);
         let shutting_down = self.front.shutting_down.load(Ordering::Relaxed);
-        if seen.is_last() || seen.both_lengths() || shutting_down && !seen.has_ahead() {
+        if seen.is_last_request()
+            || seen.has_both_lengths()
+            || shutting_down && !seen.has_pipelined_bytes()
+        {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
-        seen.whole();
-        seen.answered();
+        seen.request_completed();
+        seen.request_answered();
         response
     }
 }
--- a/crates/node/src/front/clients.rs
+++ b/crates/node/src/front/clients.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, watch};
 use tokio::time::sleep;
-use woadstall_inbound::Lingering;
+use woadstall_inbound::LingeringConnections;
 
 /// How long connections are still accepted after SIGTERM. Clients use the directory's response for some seconds, and one whose
 /// connection is refused has lost an attempt.
@@ -26,7 +26,7 @@
     open_connections: AtomicUsize,
     /// Notified when a connection has ended.
     connection_ended: Notify,
-    lingering: Arc<Lingering>,
+    lingering: Arc<LingeringConnections>,
 }
 
 /// Serves clients until `stopping` becomes true, and then until all accepted requests are answered.
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -18,7 +18,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 use woadstall_control::configuration::{Configuration, Route, RouteType, Service};
-use woadstall_inbound::{BodyRoom, lock};
+use woadstall_inbound::{BodyMemory, lock};
 use woadstall_request_reports::Cause;
 use woadstall_routing::Prompt;
 use woadstall_transport::end_to_end;
@@ -75,7 +75,7 @@
     let timeout = request_timeout(request.headers(), &route);
     let (mut head, body) = request.into_parts();
     // Dropped, it gives the memory back: not before the request is answered or its stream begins.
-    let mut memory = BodyRoom::new(
+    let mut memory = BodyMemory::new(
         &front.body_bytes,
         front.settings.memory_bytes / BODY_MEMORY_DIVISOR,
     );
@@ -203,7 +203,7 @@
 /// Receives a complete body.
 async fn read_body(
     mut body: Incoming,
-    memory: &mut BodyRoom<'_>,
+    memory: &mut BodyMemory<'_>,
     max_bytes: usize,
 ) -> Result<Bytes, BodyError> {
     if body.size_hint().lower() > max_bytes as u64 {
@@ -218,7 +218,7 @@
         if received.len() + data.len() > max_bytes {
             return Err(BodyError::TooLarge);
         }
-        if !memory.grow(data.len()) {
+        if !memory.reserve(data.len()) {
             return Err(BodyError::OutOfMemory);
         }
         received.extend_from_slice(&data);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -20,5 +20,5 @@
 pub use http2::{Http2, Inbound, InboundError, Limits, grpc_timeout_of};
 #[cfg(feature = "http2")]
 pub use outbound::{BodyError, Outbound};
-pub use shared::{end_to_end, is_grpc, named_by_connection};
+pub use shared::{end_to_end, is_grpc, lock, named_by_connection};
 pub use stream::SharedStream;
--- a/crates/transport/src/shared.rs
+++ b/crates/transport/src/shared.rs
@@ -44,6 +44,7 @@
         .is_some_and(|kind| kind.as_bytes().starts_with(b"application/grpc"))
 }
 
-pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+/// Locks, also where a thread has panicked while it held the lock.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
-use woadstall_inbound::{Gate, MOST_HEAD, Seen, lock};
+use woadstall_inbound::{ConnectionState, MAX_HEAD_BYTES, RequestGate, lock};
 use woadstall_transport::SharedStream;
 
 /// How often a connection that is to be closed but has a request open, or a part of one, is looked at.
@@ -24,7 +24,7 @@
 /// How long a surplus caller is to stay away, and one whose body found no room.
 pub const COME_BACK: Duration = Duration::from_millis(500);
 /// hyper's buffer for what a caller sends: beyond a head, it only makes bodies come in larger pieces.
-const READ_BUFFER: usize = 2 * MOST_HEAD;
+const READ_BUFFER: usize = 2 * MAX_HEAD_BYTES;
 
 /// What others may know of a caller's connection, and ask of it.
 pub struct Caller {
@@ -32,7 +32,7 @@
     surplus: bool,
     stream: SharedStream,
     /// How far it is with its requests.
-    pub seen: Arc<Mutex<Seen>>,
+    pub seen: Arc<Mutex<ConnectionState>>,
     /// It has been asked to close: its answers end the connection, unless another request has come already.
     pub leaving: AtomicBool,
     /// Its present answer ends where the connection does.
@@ -45,8 +45,8 @@
 
 impl Caller {
     /// A connection that has just been taken, and the gate that hyper reads it through.
-    pub fn new(surplus: bool, stream: SharedStream) -> (Arc<Self>, Gate) {
-        let (gate, seen) = Gate::new(stream.clone());
+    pub fn new(surplus: bool, stream: SharedStream) -> (Arc<Self>, RequestGate) {
+        let (gate, seen) = RequestGate::new(stream.clone());
         let caller = Self {
             surplus,
             stream,
@@ -61,7 +61,7 @@
 
     /// Whether no request is open, and nothing of one has come.
     fn is_at_rest(&self) -> bool {
-        lock(&self.seen).is_at_rest() && self.stream.is_quiet()
+        lock(&self.seen).is_idle() && self.stream.is_quiet()
     }
 
     /// Since when it is idle, and whether it ever asked; `None` while a request is open or has begun to come.
@@ -102,7 +102,7 @@
 
 impl Place {
     /// Serves the connection to its end and closes it.
-    pub async fn serve(self, gate: Gate, closing: watch::Receiver<bool>) {
+    pub async fn serve(self, gate: RequestGate, closing: watch::Receiver<bool>) {
         let ended = self.drive(gate, closing).await;
         let (server, caller) = (self.server.clone(), self.caller.clone());
         drop(self);
@@ -117,7 +117,7 @@
         server.linger(caller.stream.clone());
     }
 
-    async fn drive(&self, gate: Gate, mut closing: watch::Receiver<bool>) -> Ended {
+    async fn drive(&self, gate: RequestGate, mut closing: watch::Receiver<bool>) -> Ended {
         let service =
             service_fn(|request| async { Ok::<_, Infallible>(self.reply(request).await) });
         let connection = http1::Builder::new()
@@ -166,14 +166,17 @@
         }
         let mut seen = lock(&self.caller.seen);
         if let Some(deadline) = deadline {
-            seen.answering(deadline, reply.body().is_whole());
+            seen.response_progressed(deadline, reply.body().is_whole());
         }
-        if seen.is_last() || seen.both_lengths() || self.is_parting() && !seen.has_ahead() {
+        if seen.is_last_request()
+            || seen.has_both_lengths()
+            || self.is_parting() && !seen.has_pipelined_bytes()
+        {
             reply
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        seen.answered();
+        seen.request_answered();
         reply
     }
 
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, timeout};
 use woadstall_engine::CallResult;
-use woadstall_inbound::{BodyRoom, Lingering, Seen, lock};
+use woadstall_inbound::{BodyMemory, ConnectionState, LingeringConnections, lock};
 use woadstall_runtime::{CallParameters, LoadBalancer};
 use woadstall_transport::{Http1, SharedStream, end_to_end, is_local};
 
@@ -67,7 +67,7 @@
     bodies: AtomicUsize,
     /// A caller's connection has ended.
     left: Notify,
-    lingering: Arc<Lingering>,
+    lingering: Arc<LingeringConnections>,
 }
 
 impl Server {
@@ -200,7 +200,7 @@
             let callers = lock(&self.callers);
             let overdue = callers
                 .values()
-                .filter(|caller| lock(&caller.seen).overdue(PATIENCE));
+                .filter(|caller| lock(&caller.seen).is_overdue(PATIENCE));
             overdue.for_each(|caller| caller.cut.notify_one());
         }
     }
@@ -219,7 +219,7 @@
                     super::log(format_args!("cannot take a connection: {error}"));
                     if is_local(&error) {
                         self.close_idle();
-                        self.lingering.keep(0);
+                        self.lingering.keep_at_most(0);
                         self.balance.transport().close_all();
                         sleep(ACCEPT_PAUSE).await;
                     }
@@ -281,7 +281,7 @@
     /// Those that linger may have the descriptors of places that nobody has, and a few beside.
     fn bound_lingering(&self) {
         let places = self.config.limits.callers.saturating_sub(self.count());
-        self.lingering.keep(places + LINGERING_BESIDE);
+        self.lingering.keep_at_most(places + LINGERING_BESIDE);
     }
 
     /// Whether answers end their connections.
@@ -297,7 +297,7 @@
     async fn reply(
         &self,
         request: Request<Incoming>,
-        seen: &Mutex<Seen>,
+        seen: &Mutex<ConnectionState>,
     ) -> (Reply, Option<Instant>) {
         if request.uri().path() == "/healthz" {
             let ready = *self.ready.borrow() && !*self.away.borrow();
@@ -317,9 +317,9 @@
     async fn call(
         &self,
         request: Request<Incoming>,
-        seen: &Mutex<Seen>,
+        seen: &Mutex<ConnectionState>,
     ) -> Result<(Reply, Instant), Rejection> {
-        if lock(seen).both_lengths() {
+        if lock(seen).has_both_lengths() {
             let text = "Content-Length beside Transfer-Encoding\n";
             return Err(Rejection::new(StatusCode::BAD_REQUEST, text));
         }
@@ -327,7 +327,7 @@
         if request.body().size_hint().lower() > MOST_BODY as u64 {
             return Err(TOO_LARGE);
         }
-        let mut room = BodyRoom::new(&self.bodies, self.config.limits.memory / BODIES);
+        let mut room = BodyMemory::new(&self.bodies, self.config.limits.memory / BODIES);
         let Some(_named) = Named::take(&self.open, asked.call_id) else {
             return Err(Rejection::new(
                 StatusCode::CONFLICT,
@@ -336,7 +336,7 @@
         };
         let (mut head, body) = request.into_parts();
         let body = whole_body(body, &mut room).await?;
-        let deadline = lock(seen).whole() + asked.budget;
+        let deadline = lock(seen).request_completed() + asked.budget;
         let Some(body) = body else {
             return Ok((refusal(COME_BACK), deadline));
         };
--- a/src/net/server/reply.rs
+++ b/src/net/server/reply.rs
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 use tokio::time::Instant;
-use woadstall_inbound::{Seen, lock};
+use woadstall_inbound::{ConnectionState, lock};
 use woadstall_transport::Answer;
 
 /// An answer as hyper writes it.
@@ -27,7 +27,7 @@
 struct Streamed {
     begun: Begun,
     deadline: Instant,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<ConnectionState>>,
 }
 
 impl From<Bytes> for ReplyBody {
@@ -55,7 +55,7 @@
     }
 
     /// Tells when an answer that is not whole has come to its end.
-    pub fn stream(&mut self, begun: Begun, deadline: Instant, seen: Arc<Mutex<Seen>>) {
+    pub fn stream(&mut self, begun: Begun, deadline: Instant, seen: Arc<Mutex<ConnectionState>>) {
         self.streamed = Some(Streamed {
             begun,
             deadline,
@@ -76,7 +76,7 @@
         let over = frame.is_none() || self.answer.is_end_stream();
         if let Some(streamed) = self.streamed.as_mut().filter(|_| over) {
             streamed.begun.whole();
-            lock(&streamed.seen).answering(streamed.deadline, true);
+            lock(&streamed.seen).response_progressed(streamed.deadline, true);
         }
         Poll::Ready(frame)
     }
--- a/src/net/server/request.rs
+++ b/src/net/server/request.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, StatusCode};
 use std::time::Duration;
 use woadstall_decisions::api::Effect;
-use woadstall_inbound::BodyRoom;
+use woadstall_inbound::BodyMemory;
 
 /// How long callers may still send a class as it was before new settings: theirs and our news of them cross.
 const CROSSING: Duration = Duration::from_secs(3);
@@ -151,11 +151,11 @@
 /// Reads a body to its end; `None` if it finds no room. It need not mind its time: the caller is cut off.
 pub async fn whole_body(
     mut body: Incoming,
-    room: &mut BodyRoom<'_>,
+    room: &mut BodyMemory<'_>,
 ) -> Result<Option<Bytes>, Rejection> {
     let mut all = BytesMut::new();
     if let Some(size) = body.size_hint().exact() {
-        if !room.grow(size as usize) {
+        if !room.reserve(size as usize) {
             return Ok(None);
         }
         all.reserve(size as usize); // the system gives memory to what is written only
@@ -172,7 +172,7 @@
         }
         let more = (all.len() + data.len()).saturating_sub(room.bytes());
         // Twice as much each time, as its buffer grows, and as much while it is moved.
-        if more > 0 && !room.grow(more.max(room.bytes())) {
+        if more > 0 && !room.reserve(more.max(room.bytes())) {
             return Ok(None);
         }
         all.extend_from_slice(&data);
