--- a/crates/inbound/src/request_gate.rs
+++ b/crates/inbound/src/request_gate.rs
@@ -94,7 +94,7 @@
                 state.has_ended = true;
                 return Poll::Ready(Ok(()));
             }
-            ready!(self.stream.poll_news(cx))?;
+            ready!(self.stream.poll_readable_anew(cx))?;
         }
     }
 }
@@ -135,7 +135,7 @@
         cx: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let polled = self.stream.poll_write_parts(cx, slices);
+        let polled = self.stream.poll_write_slices(cx, slices);
         let written = match &polled {
             Poll::Pending => None,
             Poll::Ready(result) => Some(result.as_ref().map_or(0, |bytes| *bytes)),
--- a/crates/node/src/front/attempt/headers.rs
+++ b/crates/node/src/front/attempt/headers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use woadstall_routing::Target;
-use woadstall_transport::{Outgoing, closes};
+use woadstall_transport::{RequestBody, closes_connection};
 
 /// Identifies a request; its response repeats it.
 pub(in crate::front) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
@@ -39,8 +39,8 @@
 pub(super) fn upstream_request(
     request: &ForwardedRequest,
     target: &Target,
-    body: Outgoing,
-) -> Request<Outgoing> {
+    body: RequestBody,
+) -> Request<RequestBody> {
     let mut result = Request::new(body);
     *result.method_mut() = request.head.method.clone();
     *result.uri_mut() = request.head.uri.clone();
@@ -80,7 +80,7 @@
 
 /// What a response says about its connection.
 pub(super) fn keep_alive(parts: &Parts) -> KeepAlive {
-    if closes(parts) {
+    if closes_connection(parts) {
         return KeepAlive::Close;
     }
     let value = parts
--- a/crates/node/src/front/attempt/mod.rs
+++ b/crates/node/src/front/attempt/mod.rs
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, timeout_at};
 use woadstall_inbound::lock;
 use woadstall_routing::{Outcome, Target};
-use woadstall_transport::{Outgoing, end_to_end};
+use woadstall_transport::{RequestBody, end_to_end};
 
 /// Bytes of a response at most that is received completely before it is forwarded.
 const MAX_BUFFERED_RESPONSE: usize = 8 << 20;
@@ -177,7 +177,7 @@
     target: &Target,
 ) -> Result<Response<Incoming>, SendError> {
     let progress = connection.progress.clone();
-    let body = Outgoing::new(request.body.clone(), progress.clone());
+    let body = RequestBody::new(request.body.clone(), progress.clone());
     let request_to_send = upstream_request(request, target, body);
     let result = timeout_at(
         request.deadline,
@@ -307,7 +307,7 @@
     }
     connection
         .progress
-        .answer_due
+        .response_due
         .store(false, Ordering::Relaxed);
     let front = front.clone();
     let id = in_flight.target.id.clone();
--- a/crates/node/src/front/pool.rs
+++ b/crates/node/src/front/pool.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, timeout};
 use woadstall_inbound::lock;
 use woadstall_routing::{Target, UpstreamId};
-use woadstall_transport::{Connection, Counts};
+use woadstall_transport::{Connection, ConnectionCounts};
 
 /// How long a connection to an upstream of this region may take to be established, and to one of another region: some round
 /// trips, far less than the second after which a lost SYN would be retransmitted.
@@ -107,7 +107,7 @@
     upstreams: Mutex<HashMap<UpstreamId, UpstreamConnections>>,
     open: Arc<AtomicUsize>,
     max_open: usize,
-    counts: Arc<Counts>,
+    counts: Arc<ConnectionCounts>,
 }
 
 /// What [`ConnectionPool::acquire`] has found.
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -14,7 +14,7 @@
 use woadstall_operator_config::OperatorConfig;
 use woadstall_runtime::{LoadBalancerConfig, LogSink};
 use woadstall_settings::Names;
-use woadstall_transport::{Http1, Http2, Limits};
+use woadstall_transport::{Http1, Http2, Http2Limits};
 
 /// What is wrong with how a plug-in is set up; the text names what is at fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -165,9 +165,9 @@
                 self.replay_limit,
             )),
             Protocol::Http2 => {
-                let limits = Limits {
-                    connections: self.connections,
-                    ..Limits::new(&names, idle)
+                let limits = Http2Limits {
+                    max_connections: self.connections,
+                    ..Http2Limits::new(&names, idle)
                 };
                 Wire::Http2(Http2::new(limits))
             }
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -37,4 +37,4 @@
 pub use inherit::{InheritTime, Inheriting};
 pub use service::Balance;
 pub use woadstall_discovery::{Endpoint, EndpointList, EndpointState};
-pub use woadstall_transport::{Inbound, InboundError};
+pub use woadstall_transport::{ResponseBody, ResponseBodyError};
--- a/crates/tower/src/service.rs
+++ b/crates/tower/src/service.rs
@@ -21,7 +21,7 @@
 use woadstall_discovery::EndpointList;
 use woadstall_engine::CallResult;
 use woadstall_runtime::CallParameters;
-use woadstall_transport::{BodyError, Inbound, Outbound, is_grpc};
+use woadstall_transport::{BodyError, OutboundRequest, ResponseBody, is_grpc};
 
 /// The decisions inside the caller. Clones share everything.
 #[derive(Clone)]
@@ -83,7 +83,7 @@
     pub fn open_connections(&self) -> usize {
         match self.0.balance.transport() {
             Wire::Http1(wire) => wire.open(),
-            Wire::Http2(wire) => wire.open().0,
+            Wire::Http2(wire) => wire.open_connections(),
         }
     }
 
@@ -92,7 +92,7 @@
         mut request: Request<B>,
         came: Instant,
         inherited: Option<Instant>,
-    ) -> Response<Inbound>
+    ) -> Response<ResponseBody>
     where
         B: Body<Data = Bytes> + Send + 'static,
         B::Error: Into<BodyError>,
@@ -113,7 +113,7 @@
         let deadline = inherited.map_or(came + within, |outer| outer.min(came + within));
         let told = told || inherited.is_some();
         let most = self.0.replay_limit;
-        let held = Outbound::hold(
+        let held = OutboundRequest::buffer(
             Request::from_parts(head, body),
             most,
             grpc,
@@ -124,7 +124,7 @@
             Ok(Err(_)) => return answer::unreadable(grpc),
             Err(_) => return answer::refused(grpc, Duration::ZERO), // nothing was sent
         };
-        let attempts = outbound.attempts();
+        let attempts = outbound.max_attempts();
         if self.0.protocol == Protocol::Http1 && attempts == 1 {
             return answer::too_large(grpc);
         }
@@ -148,9 +148,9 @@
     B: Body<Data = Bytes> + Send + 'static,
     B::Error: Into<BodyError>,
 {
-    type Response = Response<Inbound>;
+    type Response = Response<ResponseBody>;
     type Error = Infallible;
-    type Future = Pin<Box<dyn Future<Output = Result<Response<Inbound>, Infallible>> + Send>>;
+    type Future = Pin<Box<dyn Future<Output = Result<Response<ResponseBody>, Infallible>> + Send>>;
 
     /// Always ready: what cannot be taken is refused, as soon as that is known.
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
--- a/crates/tower/src/wire.rs
+++ b/crates/tower/src/wire.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use woadstall_engine::{LoadReport, Outcome, Peer, ServerId};
 use woadstall_runtime::{Attempt, AttemptProgress, Transport};
-use woadstall_transport::{Http1, Http2, Inbound, Outbound};
+use woadstall_transport::{Http1, Http2, OutboundRequest, ResponseBody};
 
 pub(crate) enum Wire {
     Http1(Http1),
@@ -14,23 +14,23 @@
 }
 
 impl Transport for Wire {
-    type Request = Outbound;
-    type Response = Response<Inbound>;
+    type Request = OutboundRequest;
+    type Response = Response<ResponseBody>;
 
     fn attempt(
         &self,
-        request: &mut Outbound,
+        request: &mut OutboundRequest,
         attempt: &Attempt,
-    ) -> impl Future<Output = AttemptProgress<Response<Inbound>>> + Send + 'static {
+    ) -> impl Future<Output = AttemptProgress<Response<ResponseBody>>> + Send + 'static {
         // On the heap from here on: a future that is wrapped is held twice over in each wrapper.
-        let attempt: Pin<Box<dyn Future<Output = AttemptProgress<Response<Inbound>>> + Send>> =
+        let attempt: Pin<Box<dyn Future<Output = AttemptProgress<Response<ResponseBody>>> + Send>> =
             match self {
-                Self::Http1(wire) => match request.whole() {
+                Self::Http1(wire) => match request.to_buffered() {
                     Some(whole) => {
-                        let ended = wire.ended(&whole, attempt);
+                        let ended = wire.buffered_attempt(&whole, attempt);
                         Box::pin(async move {
                             AttemptProgress::Ended(
-                                ended.await.map(|answer| answer.map(Inbound::new)),
+                                ended.await.map(|answer| answer.map(ResponseBody::new)),
                             )
                         })
                     }
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tower_service::Service;
 use woadstall_mock_servers::grpc::message;
-use woadstall_tower::{Balance, Builder, EndpointList, Inbound};
+use woadstall_tower::{Balance, Builder, EndpointList, ResponseBody};
 
 pub const LOOK: &str = "/test.Test/Look";
 pub const PAY: &str = "/test.Test/Pay";
@@ -76,9 +76,10 @@
     request.body(Full::new(message(b"body"))).unwrap()
 }
 
-pub async fn send<B>(balance: &Balance, request: Request<B>) -> Response<Inbound>
+pub async fn send<B>(balance: &Balance, request: Request<B>) -> Response<ResponseBody>
 where
-    Balance: Service<Request<B>, Response = Response<Inbound>, Error = std::convert::Infallible>,
+    Balance:
+        Service<Request<B>, Response = Response<ResponseBody>, Error = std::convert::Infallible>,
 {
     balance.clone().call(request).await.unwrap()
 }
@@ -111,7 +112,7 @@
     }
 }
 
-pub async fn outcome(response: Response<Inbound>) -> Outcome {
+pub async fn outcome(response: Response<ResponseBody>) -> Outcome {
     let (head, mut body) = response.into_parts();
     let (mut data, mut trailers, mut broken) = (Vec::new(), HeaderMap::new(), false);
     while let Some(frame) = body.frame().await {
--- a/crates/transport/src/shared.rs
+++ b/crates/transport/src/headers.rs
@@ -1,10 +1,9 @@
-//! What both protocols, and the fronts, need of headers and locks.
+//! What both protocols, and the fronts, need of headers.
 
 use http::header::{
     CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, DATE, EXPECT, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use http::{HeaderMap, HeaderName};
-use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// The headers that a message says belong to its connection alone (RFC 9110, section 7.6.1).
 pub fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
@@ -12,16 +11,14 @@
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok());
-    values
-        .flat_map(|value| value.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        .collect()
+    let names = values.flat_map(|value| value.split(','));
+    names.filter_map(|name| name.trim().parse().ok()).collect()
 }
 
-/// Leaves the headers that are meant for the other end, not for this connection.
+/// Removes the headers that are meant for this connection alone, and leaves those for the other end.
 pub fn end_to_end(headers: &mut HeaderMap) {
     let named = named_by_connection(headers);
-    let hop = [
+    let hop_by_hop = [
         CONNECTION,
         CONTENT_LENGTH,
         DATE,
@@ -32,19 +29,13 @@
         UPGRADE,
     ];
     let others = ["keep-alive", "proxy-connection", "x-load-report"].map(HeaderName::from_static);
-    for name in hop.into_iter().chain(others).chain(named) {
+    for name in hop_by_hop.into_iter().chain(others).chain(named) {
         headers.remove(name);
     }
 }
 
 /// Whether a message is one of gRPC.
 pub fn is_grpc(headers: &HeaderMap) -> bool {
-    headers
-        .get(CONTENT_TYPE)
-        .is_some_and(|kind| kind.as_bytes().starts_with(b"application/grpc"))
-}
-
-/// Locks, also where a thread has panicked while it held the lock.
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+    let content_type = headers.get(CONTENT_TYPE);
+    content_type.is_some_and(|value| value.as_bytes().starts_with(b"application/grpc"))
 }
--- a/crates/transport/src/http1/answer.rs
+++ b/crates/transport/src/http1/body.rs
@@ -1,8 +1,8 @@
-//! Answers of upstreams, whole or passed on as they come.
+//! Bodies of responses, complete or passed on as they come.
 
 use super::connection::Connection;
 use super::pool::Pool;
-use crate::shared::lock;
+use crate::sync::lock;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::io;
@@ -13,80 +13,95 @@
 use woadstall_runtime::ResponseTail;
 use woadstall_runtime::engine::{Outcome, ServerId};
 
-/// An upstream's answer: whole, or with a rest that is still to come.
-pub enum Answer {
+/// The body of an upstream's response.
+pub enum Http1Body {
     /// All of it, until it is taken.
-    Whole(Bytes),
+    Complete(Bytes),
     /// What has come so far, and what comes.
-    Rest(Box<Rest>),
+    Streaming(Box<StreamingBody>),
 }
 
-/// An answer that has begun. Dropped before its end, it is withdrawn.
-pub struct Rest {
+/// Where a connection goes after its response.
+struct PoolSlot {
+    pool: Arc<Mutex<Pool>>,
+    server: ServerId,
+    epoch: u64,
+}
+
+/// The body of a response that has started. Dropped before its end, the attempt is cancelled.
+pub struct StreamingBody {
+    /// What has come so far, until it is taken.
     first: Bytes,
+    /// Length of the whole body, where that is known.
     length: Option<u64>,
     /// Bytes that may still come.
-    left: usize,
+    allowance: usize,
     body: Incoming,
     connection: Connection,
-    /// Where the end is told, and where the connection goes after it.
     tail: Option<ResponseTail>,
-    home: Option<(Arc<Mutex<Pool>>, ServerId, u64)>,
+    pool_slot: Option<PoolSlot>,
 }
 
-impl Answer {
+impl Http1Body {
     /// Whether all of it is there.
-    pub fn is_whole(&self) -> bool {
-        matches!(self, Self::Whole(_))
+    pub fn is_complete(&self) -> bool {
+        matches!(self, Self::Complete(_))
     }
 }
 
-impl From<Bytes> for Answer {
+impl From<Bytes> for Http1Body {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(bytes)
+        Self::Complete(bytes)
     }
 }
 
-impl Rest {
-    /// An answer of which `first` has come, and `left` bytes more may.
+impl StreamingBody {
+    /// A body of which `first` has come, and `allowance` bytes more may.
     pub(super) fn new(
         first: Bytes,
         length: Option<u64>,
-        left: usize,
+        allowance: usize,
         body: Incoming,
         connection: Connection,
     ) -> Self {
         Self {
             first,
             length,
-            left,
+            allowance,
             body,
             connection,
             tail: None,
-            home: None,
+            pool_slot: None,
         }
     }
 
     /// Where the connection goes at the end.
-    pub(super) fn goes_home(&mut self, pool: Arc<Mutex<Pool>>, server: ServerId, epoch: u64) {
-        self.home = Some((pool, server, epoch));
+    pub(super) fn return_to(&mut self, pool: Arc<Mutex<Pool>>, server: ServerId, epoch: u64) {
+        self.pool_slot = Some(PoolSlot {
+            pool,
+            server,
+            epoch,
+        });
     }
 
-    /// Where the end is told.
-    pub(super) fn ends_at(&mut self, tail: ResponseTail) {
+    /// Where the end is reported.
+    pub(super) fn report_to(&mut self, tail: ResponseTail) {
         self.tail = Some(tail);
     }
 
-    /// Whether its end has come, and tells it.
-    fn is_over(&mut self, asked: bool) -> bool {
-        let over = asked || self.first.is_empty() && self.body.is_end_stream();
-        if over {
-            self.tail
-                .take()
-                .into_iter()
-                .for_each(|tail| tail.end(Outcome::Ok));
+    fn report_end(&mut self, outcome: Outcome) {
+        if let Some(tail) = self.tail.take() {
+            tail.end(outcome);
+        }
+    }
+
+    /// Whether its end has come; reports it then. Where the length is known, nobody polls for more than that.
+    fn has_ended(&mut self, polled_to_end: bool) -> bool {
+        let has_ended = polled_to_end || self.first.is_empty() && self.body.is_end_stream();
+        if has_ended {
+            self.report_end(Outcome::Ok);
         }
-        over
+        has_ended
     }
 
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
@@ -98,8 +113,8 @@
                 None => return Poll::Ready(None),
                 Some(Err(error)) => (Outcome::Reset, io::Error::other(error)),
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(data) if data.len() <= self.left => {
-                        self.left -= data.len();
+                    Ok(data) if data.len() <= self.allowance => {
+                        self.allowance -= data.len();
                         return Poll::Ready(Some(Ok(data)));
                     }
                     Ok(_) => (
@@ -109,16 +124,34 @@
                     Err(_) => continue, // trailers belong to the connection
                 },
             };
-            self.tail
-                .take()
-                .into_iter()
-                .for_each(|tail| tail.end(outcome));
+            self.report_end(outcome);
             return Poll::Ready(Some(Err(error)));
         }
     }
+
+    /// Keeps the connection for the next attempt, once it is ready for it.
+    fn return_connection(self) {
+        let Self {
+            mut connection,
+            pool_slot: Some(slot),
+            ..
+        } = self
+        else {
+            return;
+        };
+        connection
+            .progress
+            .response_due
+            .store(false, Ordering::Relaxed);
+        tokio::spawn(async move {
+            if connection.sender.ready().await.is_ok() {
+                lock(&slot.pool).put(slot.server, slot.epoch, connection);
+            }
+        });
+    }
 }
 
-impl Body for Answer {
+impl Body for Http1Body {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -127,16 +160,15 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let next = match &mut *self {
-            Self::Whole(bytes) if bytes.is_empty() => None,
-            Self::Whole(bytes) => Some(Ok(std::mem::take(bytes))),
-            Self::Rest(rest) => {
-                let next = ready!(rest.poll_next(cx));
-                // Where the length was told, nobody asks for more than that.
-                if rest.is_over(next.is_none())
-                    && let Self::Rest(rest) =
-                        std::mem::replace(&mut *self, Self::Whole(Bytes::new()))
-                {
-                    rest.go_home();
+            Self::Complete(bytes) if bytes.is_empty() => None,
+            Self::Complete(bytes) => Some(Ok(std::mem::take(bytes))),
+            Self::Streaming(body) => {
+                let next = ready!(body.poll_next(cx));
+                if body.has_ended(next.is_none()) {
+                    let ended = std::mem::replace(&mut *self, Self::Complete(Bytes::new()));
+                    if let Self::Streaming(body) = ended {
+                        body.return_connection();
+                    }
                 }
                 next
             }
@@ -145,38 +177,15 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(bytes) if bytes.is_empty())
+        matches!(self, Self::Complete(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Rest(rest) => rest
+            Self::Complete(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Streaming(body) => body
                 .length
                 .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
-
-impl Rest {
-    /// Keeps the connection for the next attempt, once it is ready for it.
-    fn go_home(self) {
-        let Self {
-            mut connection,
-            home: Some((pool, server, epoch)),
-            ..
-        } = self
-        else {
-            return;
-        };
-        connection
-            .progress
-            .answer_due
-            .store(false, Ordering::Relaxed);
-        tokio::spawn(async move {
-            if connection.sender.ready().await.is_ok() {
-                lock(&pool).put(server, epoch, connection);
-            }
-        });
-    }
-}
--- a/crates/transport/src/http1/exchange.rs
+++ b/crates/transport/src/http1/exchange.rs
@@ -1,10 +1,11 @@
-//! One request and its answer on a connection.
+//! One request and its response on a connection.
 
-use super::answer::Rest;
-use super::connection::{Connection, Outgoing};
-use super::load_report;
-use crate::classify::{self, Class};
-use crate::shared::named_by_connection;
+use super::body::StreamingBody;
+use super::connection::Connection;
+use super::load_report::load_report;
+use super::progress::RequestBody;
+use crate::classify::{Classification, classify_http};
+use crate::headers::named_by_connection;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Body;
@@ -14,31 +15,36 @@
 use std::sync::atomic::Ordering;
 use woadstall_runtime::engine::{AttemptEnd, Outcome};
 
-/// How an attempt ended, with the answer if it is whole and the connection if it can be used again.
-pub(super) struct Finished {
+/// Bytes of a large response that must have come before it is passed on: a broken one that claims to be large hardly has
+/// more, and can still be retried.
+const STREAMING_THRESHOLD: usize = 4 << 10;
+
+/// How an attempt ended.
+pub(super) struct CompletedExchange {
     pub outcome: Outcome,
     is_final: bool,
+    /// The response, if all of it came.
     pub response: Option<Response<Bytes>>,
+    /// The connection, if it can be used again.
     pub connection: Option<Connection>,
 }
 
-impl Finished {
+impl CompletedExchange {
     /// The end as the runtime takes it, with the load report by these fields.
-    pub fn ended(self, fields: &[String]) -> AttemptEnd<Response<Bytes>> {
-        let report = self
-            .response
-            .as_ref()
-            .and_then(|response| response.headers().get("x-load-report"));
+    pub fn into_attempt_end(self, fields: &[String]) -> AttemptEnd<Response<Bytes>> {
+        let response = self.response.as_ref();
+        let report = response.and_then(|response| response.headers().get("x-load-report"));
         let load = report.and_then(|report| load_report(report.as_bytes(), fields));
+        let response = self.response.filter(|_| self.is_final);
         AttemptEnd {
             outcome: self.outcome,
-            response: self.response.filter(|_| self.is_final),
+            response,
             load,
         }
     }
 }
 
-impl From<Outcome> for Finished {
+impl From<Outcome> for CompletedExchange {
     fn from(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -50,90 +56,103 @@
 }
 
 /// What came of a request on a connection.
-pub(super) enum Exchanged {
-    Finished(Finished),
-    Begun(Response<Rest>),
+pub(super) enum Exchange {
+    /// The attempt has ended.
+    Completed(CompletedExchange),
+    /// The final response has started, and is too large to wait for its end.
+    Started(Response<StreamingBody>),
 }
 
-impl From<Outcome> for Exchanged {
+impl From<Outcome> for Exchange {
     fn from(outcome: Outcome) -> Self {
-        Self::Finished(outcome.into())
+        Self::Completed(outcome.into())
     }
 }
 
-/// How long answers may be.
+/// How large responses may be, in bytes.
 #[derive(Clone, Copy)]
-pub(super) struct Sizes {
-    /// Read whole.
-    pub whole: usize,
-    /// In all: what is between these is passed on as it comes.
-    pub most: usize,
+pub(super) struct SizeLimits {
+    /// Up to this, a response is read to its end before it is passed on.
+    pub buffered: usize,
+    /// In all: a response between the two is passed on as it comes.
+    pub max: usize,
 }
 
-/// Bytes of a large answer that must have come before it is passed on: a spoilt one that claims to be large
-/// hardly has more, and can still be tried again.
-const BEGIN_AT: usize = 4 << 10;
-
-/// Sends a request on a connection and waits for its answer, whole or, where it is larger, its beginning.
+/// Sends a request on a connection and waits for its response, or for its beginning where it is large.
 pub(super) async fn exchange(
     request: Request<Bytes>,
     mut connection: Connection,
-    sizes: Sizes,
-) -> Exchanged {
-    let progress = connection.progress.clone();
+    limits: SizeLimits,
+) -> Exchange {
     let (head, body) = request.into_parts();
-    let body = Outgoing::new(body, progress.clone());
-    let broken = || match progress.written.load(Ordering::Relaxed) {
-        true => Outcome::Reset,
-        false => Outcome::ConnectFailed,
-    };
-    let response = match connection
+    let body = RequestBody::new(body, connection.progress.clone());
+    match connection
         .sender
         .send_request(Request::from_parts(head, body))
         .await
     {
-        Ok(response) => response,
+        Ok(response) => receive(response, connection, limits).await,
         Err(error) => {
             if error.is_parse() {
-                connection.note_spoilt();
+                connection.note_violation();
             }
-            return broken().into();
+            broken_outcome(&connection).into()
         }
-    };
+    }
+}
+
+/// The outcome where a connection breaks: only a request whose last byte was not written is known not to have run.
+fn broken_outcome(connection: &Connection) -> Outcome {
+    match connection.progress.written.load(Ordering::Relaxed) {
+        true => Outcome::Reset,
+        false => Outcome::ConnectFailed,
+    }
+}
+
+/// Reads a response to its end, or to where it is passed on as it comes.
+async fn receive(
+    response: Response<hyper::body::Incoming>,
+    connection: Connection,
+    limits: SizeLimits,
+) -> Exchange {
     let (head, mut body) = response.into_parts();
-    let Class { outcome, is_final } = classify::http(head.status, &head.headers);
+    let Classification { outcome, is_final } = classify_http(head.status, &head.headers);
     let length = body.size_hint().exact();
-    if body.size_hint().lower() > sizes.most as u64 {
-        return Outcome::Error.into(); // larger than any answer may be
+    if body.size_hint().lower() > limits.max as u64 {
+        return Outcome::Error.into(); // larger than any response may be
     }
-    let may_begin = is_final && sizes.most > sizes.whole;
-    let begin_at = match length {
-        Some(length) if length > sizes.whole as u64 => BEGIN_AT,
-        _ => sizes.whole,
+    let may_stream = is_final && limits.max > limits.buffered;
+    let buffer_limit = match length {
+        Some(length) if length > limits.buffered as u64 => STREAMING_THRESHOLD,
+        _ => limits.buffered,
     };
-    let mut first = BytesMut::new();
+    let mut received = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return broken().into();
+            return broken_outcome(&connection).into();
         };
         let Ok(data) = frame.into_data() else {
             continue;
         }; // trailers belong to the connection
-        first.extend_from_slice(&data);
-        if first.len() > begin_at {
-            if !may_begin || first.len() > sizes.most {
-                return Outcome::Error.into(); // larger than any answer may be
-            }
-            let left = sizes.most - first.len();
-            let rest = Rest::new(first.freeze(), length, left, body, connection);
-            return Exchanged::Begun(Response::from_parts(head, rest));
+        received.extend_from_slice(&data);
+        if received.len() <= buffer_limit {
+            continue;
+        }
+        if !may_stream || received.len() > limits.max {
+            return Outcome::Error.into(); // larger than any response may be
         }
+        let allowance = limits.max - received.len();
+        let body = StreamingBody::new(received.freeze(), length, allowance, body, connection);
+        return Exchange::Started(Response::from_parts(head, body));
     }
-    progress.answer_due.store(false, Ordering::Relaxed);
-    let stays = !closes(&head);
-    let connection = kept(connection, stays).await;
-    let response = Some(Response::from_parts(head, first.freeze()));
-    Exchanged::Finished(Finished {
+    connection
+        .progress
+        .response_due
+        .store(false, Ordering::Relaxed);
+    let keeps_alive = !closes_connection(&head);
+    let connection = reusable(connection, keeps_alive).await;
+    let response = Some(Response::from_parts(head, received.freeze()));
+    Exchange::Completed(CompletedExchange {
         outcome,
         is_final,
         response,
@@ -141,21 +160,21 @@
     })
 }
 
-/// Whether an upstream says that it closes the connection behind its answer.
-pub fn closes(head: &Parts) -> bool {
-    let named = |name: HeaderName| name == "close";
-    head.version < Version::HTTP_11 || named_by_connection(&head.headers).into_iter().any(named)
+/// Whether an upstream says that it closes the connection after its response.
+pub fn closes_connection(head: &Parts) -> bool {
+    let is_close = |name: HeaderName| name == "close";
+    head.version < Version::HTTP_11 || named_by_connection(&head.headers).into_iter().any(is_close)
 }
 
-/// A connection that can be used again. It is ready by now unless its upstream closes it; an answer to a request that was
-/// not yet written to its end leaves one behind that may never be.
-async fn kept(mut connection: Connection, stays: bool) -> Option<Connection> {
+/// The connection, if it can be used again. It is ready by now unless its upstream closes it; a response to a request that
+/// was not yet written to its end leaves one behind that may never be.
+async fn reusable(mut connection: Connection, keeps_alive: bool) -> Option<Connection> {
     if !connection.progress.written.load(Ordering::Relaxed) {
         return None;
     }
-    let ready = connection.sender.ready().await.is_ok();
-    if stays && !ready {
-        connection.note_spoilt(); // more came than its answer
+    let is_ready = connection.sender.ready().await.is_ok();
+    if keeps_alive && !is_ready {
+        connection.note_violation(); // more came than its response
     }
-    ready.then_some(connection)
+    is_ready.then_some(connection)
 }
--- a/crates/transport/src/http1/pool.rs
+++ b/crates/transport/src/http1/pool.rs
@@ -1,56 +1,65 @@
-//! Connections that rest between two requests.
+//! Idle connections between two requests.
 
-use super::connection::{Connection, Counts};
+use super::connection::Connection;
+use super::progress::ConnectionCounts;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use tokio::time::{Duration, Instant};
 use woadstall_runtime::engine::ServerId;
 
-/// A connection rests for so long before its next request, once an upstream has broken the protocol: a second answer that
+/// How long a connection rests before its next request, once an upstream has broken the protocol: a second response that
 /// comes some milliseconds late would else be taken for that of the next request, perhaps another customer's.
-const SETTLE: Duration = Duration::from_millis(20);
-/// For how long that is remembered.
-const SPOILT_MEMORY: Duration = Duration::from_secs(60);
-/// Connections to an upstream that may rest so while another one is opened; with more, the one that has rested for longest
-/// is used.
-const MOST_SETTLING: usize = 4;
-
-/// Idle connections.
+const REST_TIME: Duration = Duration::from_millis(20);
+/// For how long a violation of the protocol is remembered.
+const VIOLATION_MEMORY: Duration = Duration::from_secs(60);
+/// Most connections to an upstream that may rest so while another one is opened; with more, the one that has rested for
+/// longest is used.
+const MAX_RESTING: usize = 4;
+
+/// Idle connections to all upstreams.
 pub(super) struct Pool {
-    keep: Duration,
-    most: usize,
-    counts: Arc<Counts>,
-    upstreams: HashMap<ServerId, Kept>,
+    idle_timeout: Duration,
+    max_open: usize,
+    counts: Arc<ConnectionCounts>,
+    upstreams: HashMap<ServerId, UpstreamPool>,
     next_epoch: u64,
 }
 
-/// The idle connections to one process of an upstream, the latest used last. What was begun in another epoch
-/// belongs to a former process, or to one that was told not to be sent to.
-struct Kept {
+/// The idle connections to one process of an upstream, the latest used last. What was begun in another epoch belongs to a
+/// former process, or to one that takes nothing new.
+struct UpstreamPool {
     epoch: u64,
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
 }
 
-/// A connection that rests.
-struct Idle {
+struct IdleConnection {
     since: Instant,
     connection: Connection,
 }
 
-impl Idle {
-    /// Whether it can be used: it has not rested for as long as its upstream may close it after, and nothing came on it.
-    fn is_sound(&self, keep: Duration) -> bool {
-        self.since.elapsed() < keep && self.connection.is_quiet()
+impl IdleConnection {
+    /// Whether it can be used: its upstream may not have closed it yet, and nothing came on it.
+    fn is_usable(&self, idle_timeout: Duration) -> bool {
+        self.since.elapsed() < idle_timeout && self.connection.is_quiet()
     }
 }
 
+/// A permission to make an attempt.
+pub(super) struct Checkout {
+    /// The process that the attempt belongs to.
+    pub epoch: u64,
+    /// A connection to use; `None` where one is to be opened.
+    pub idle: Option<Connection>,
+}
+
 impl Pool {
-    /// No connection yet. Idle ones are kept for less than `keep`, and no more than `most` are open, idle or not.
-    pub fn new(keep: Duration, most: usize, counts: Arc<Counts>) -> Self {
+    /// No connection yet. Idle ones are kept for less than `idle_timeout`, and no more than `max_open` are open, idle or
+    /// not.
+    pub fn new(idle_timeout: Duration, max_open: usize, counts: Arc<ConnectionCounts>) -> Self {
         Self {
-            keep,
-            most,
+            idle_timeout,
+            max_open,
             counts,
             upstreams: HashMap::new(),
             next_epoch: 0,
@@ -58,14 +67,14 @@
     }
 
     /// Keeps idle connections for less than this from now on.
-    pub fn keep(&mut self, keep: Duration) {
-        self.keep = keep;
+    pub fn set_idle_timeout(&mut self, idle_timeout: Duration) {
+        self.idle_timeout = idle_timeout;
     }
 
     /// Closes the idle connections to an upstream; busy ones may be kept again.
     pub fn close_idle(&mut self, server: ServerId) {
-        if let Some(kept) = self.upstreams.get_mut(&server) {
-            kept.idle.clear();
+        if let Some(pool) = self.upstreams.get_mut(&server) {
+            pool.idle.clear();
         }
     }
 
@@ -79,62 +88,64 @@
         self.upstreams.clear();
     }
 
-    /// The present epoch, and the latest used connection that is sound; `None` if there is none, nor room for
-    /// one more.
-    pub fn take(&mut self, server: ServerId) -> Option<(u64, Option<Connection>)> {
+    /// The present epoch, and the latest used connection that is usable. `None` if there is none, nor capacity for one
+    /// more.
+    pub fn check_out(&mut self, server: ServerId) -> Option<Checkout> {
         let next_epoch = &mut self.next_epoch;
-        let kept = self.upstreams.entry(server).or_insert_with(|| {
+        let pool = self.upstreams.entry(server).or_insert_with(|| {
             *next_epoch += 1;
-            Kept {
+            UpstreamPool {
                 epoch: *next_epoch,
                 idle: Vec::new(),
             }
         });
-        let epoch = kept.epoch;
-        let settle = if self.counts.spoilt_within(SPOILT_MEMORY) {
-            SETTLE
+        let epoch = pool.epoch;
+        let had_violation = self.counts.had_violation_within(VIOLATION_MEMORY);
+        let rest_time = if had_violation {
+            REST_TIME
         } else {
             Duration::ZERO
         };
-        let rested = |idle: &Idle| idle.since.elapsed() >= settle;
-        // One look at a socket in most cases, not one at each that rests.
-        while let Some(at) = kept.idle.iter().rposition(rested) {
-            let idle = kept.idle.remove(at);
-            if idle.is_sound(self.keep) {
-                return Some((epoch, Some(idle.connection)));
-            }
+        if let Some(connection) = pool.take_usable(rest_time, self.idle_timeout) {
+            return Some(Checkout {
+                epoch,
+                idle: Some(connection),
+            });
         }
-        kept.idle.retain(|idle| idle.is_sound(self.keep));
-        let (idle, room) = (kept.idle.len(), self.make_room());
-        if room && idle < MOST_SETTLING {
-            return Some((epoch, None));
+        pool.idle.retain(|idle| idle.is_usable(self.idle_timeout));
+        let resting = pool.idle.len();
+        let may_open = self.make_capacity();
+        if may_open && resting < MAX_RESTING {
+            return Some(Checkout { epoch, idle: None });
         }
-        // The one that has rested for longest.
-        let kept = self
+        let rested_longest = self
             .upstreams
             .get_mut(&server)
-            .filter(|kept| !kept.idle.is_empty());
-        match kept {
-            Some(kept) => Some((epoch, Some(kept.idle.remove(0).connection))),
-            None => room.then_some((epoch, None)),
+            .and_then(UpstreamPool::take_oldest);
+        if rested_longest.is_none() && !may_open {
+            return None;
         }
+        Some(Checkout {
+            epoch,
+            idle: rested_longest,
+        })
     }
 
     /// Whether connections of this epoch are still of use.
     pub fn is_current(&self, server: ServerId, epoch: u64) -> bool {
         self.upstreams
             .get(&server)
-            .is_some_and(|kept| kept.epoch == epoch)
+            .is_some_and(|pool| pool.epoch == epoch)
     }
 
     /// Keeps a connection for the next attempt.
     pub fn put(&mut self, server: ServerId, epoch: u64, connection: Connection) {
-        if let Some(kept) = self
+        if let Some(pool) = self
             .upstreams
             .get_mut(&server)
-            .filter(|kept| kept.epoch == epoch)
+            .filter(|pool| pool.epoch == epoch)
         {
-            kept.idle.push(Idle {
+            pool.idle.push(IdleConnection {
                 since: Instant::now(),
                 connection,
             });
@@ -143,26 +154,52 @@
 
     /// Closes what has been idle for too long, or has ended.
     pub fn sweep(&mut self) {
-        for kept in self.upstreams.values_mut() {
-            kept.idle.retain(|idle| idle.is_sound(self.keep));
+        for pool in self.upstreams.values_mut() {
+            pool.idle.retain(|idle| idle.is_usable(self.idle_timeout));
         }
     }
 
     /// Whether one more connection may be opened, after closing the one idle for longest if need be.
-    fn make_room(&mut self) -> bool {
-        let full = |pool: &Self| pool.counts.open.load(Ordering::Relaxed) >= pool.most;
-        if full(self) {
+    fn make_capacity(&mut self) -> bool {
+        if self.is_full() {
             let oldest = self
                 .upstreams
                 .iter()
-                .filter_map(|(server, kept)| Some((kept.idle.first()?.since, *server)))
+                .filter_map(|(server, pool)| Some((pool.idle.first()?.since, *server)))
                 .min();
             if let Some((_, server)) = oldest {
                 self.upstreams
                     .get_mut(&server)
-                    .map(|kept| kept.idle.remove(0));
+                    .and_then(UpstreamPool::take_oldest);
+            }
+        }
+        !self.is_full()
+    }
+
+    fn is_full(&self) -> bool {
+        self.counts.open.load(Ordering::Relaxed) >= self.max_open
+    }
+}
+
+impl UpstreamPool {
+    /// The latest used connection that is usable and has rested; drops those that are not usable. One look at a socket in
+    /// most cases, not one at each that is idle.
+    fn take_usable(&mut self, rest_time: Duration, idle_timeout: Duration) -> Option<Connection> {
+        let has_rested = |idle: &IdleConnection| idle.since.elapsed() >= rest_time;
+        while let Some(position) = self.idle.iter().rposition(has_rested) {
+            let idle = self.idle.remove(position);
+            if idle.is_usable(idle_timeout) {
+                return Some(idle.connection);
             }
         }
-        !full(self)
+        None
+    }
+
+    /// The connection that has been idle for longest.
+    fn take_oldest(&mut self) -> Option<Connection> {
+        if self.idle.is_empty() {
+            return None;
+        }
+        Some(self.idle.remove(0).connection)
     }
 }
--- a/crates/transport/src/http1/tests.rs
+++ b/crates/transport/src/http1/tests.rs
@@ -1,16 +1,16 @@
 //! Tests of what no peer can see.
 
-use super::connection::{Progress, Socket};
+use super::socket::Socket;
 use super::*;
-use crate::stream::SharedStream;
+use crate::shared_stream::SharedStream;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A connection that has had an answer, and its peer.
-async fn used(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
+/// A connection that has had a response, and its peer.
+async fn used_connection(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
     let address = listener.local_addr().unwrap();
     let peer = listener.try_clone().unwrap();
     let peer = tokio::task::spawn_blocking(move || {
@@ -28,36 +28,36 @@
     });
     let request = Request::new(Bytes::new());
     let connection = Connection::open(address, Arc::default()).await.unwrap();
-    let sizes = Sizes {
-        whole: 1 << 10,
-        most: 1 << 10,
+    let limits = SizeLimits {
+        buffered: 1 << 10,
+        max: 1 << 10,
     };
-    let Exchanged::Finished(finished) = exchange(request, connection, sizes).await else {
-        panic!("an answer that goes on")
+    let Exchange::Completed(completed) = exchange(request, connection, limits).await else {
+        panic!("a response that is not complete")
     };
     (
-        finished.connection.expect("a connection to use again"),
+        completed.connection.expect("a connection to use again"),
         peer.await.unwrap(),
     )
 }
 
 /// Guards against a balancer that is held up: between the end of an idle connection and the runtime's
-/// next look at its sockets, work would be written to it and lost.
+/// next poll of its sockets, work would be written to it and lost.
 #[tokio::test]
-async fn an_end_shows_before_the_runtime_has_heard_of_it() {
+async fn an_idle_connection_is_not_quiet_once_its_peer_has_closed_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (connection, peer) = used(&listener).await;
+    let (connection, peer) = used_connection(&listener).await;
     assert!(connection.is_quiet());
     drop(peer);
-    let asked = Instant::now();
+    let started = Instant::now();
     while connection.is_quiet() {
-        assert!(asked.elapsed() < Duration::from_secs(30)); // no await: the runtime hears of nothing
+        assert!(started.elapsed() < Duration::from_secs(30)); // no await: the runtime reports nothing
     }
 }
 
 /// Guards rule 2: only a request whose last byte was not written is known not to have run.
 #[tokio::test]
-async fn written_is_what_has_left_to_the_last_byte() {
+async fn a_request_is_written_when_its_last_byte_is() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let tcp = TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -69,9 +69,9 @@
     socket.write_all(b"head").await.unwrap();
     assert!(!written(), "the body is still to come");
     progress.body_taken.store(true, Ordering::Relaxed);
-    let most = socket.write(&vec![0; 64 << 20]).await.unwrap();
+    let written_bytes = socket.write(&vec![0; 64 << 20]).await.unwrap();
     assert!(
-        most < 64 << 20 && !written(),
+        written_bytes < 64 << 20 && !written(),
         "the peer's buffer holds a part only"
     );
     let mut peer = listener.accept().unwrap().0;
--- /dev/null
+++ b/crates/transport/src/http2/pool.rs
@@ -0,0 +1,193 @@
+//! Connections to all upstreams, and leases of streams on them.
+
+use super::Http2Limits;
+use super::connection::{Http2Connection, Http2Counts, StreamLease};
+use crate::http1::is_local;
+use crate::sync::lock;
+use std::collections::HashMap;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use tokio::sync::Notify;
+use tokio::sync::futures::OwnedNotified;
+use tokio::time::timeout;
+use woadstall_runtime::engine::{Outcome, Peer, ServerId};
+
+/// Connections to all upstreams.
+pub(super) struct Pool {
+    pub limits: Http2Limits,
+    upstreams: Mutex<HashMap<ServerId, UpstreamConnections>>,
+    next_epoch: AtomicU64,
+    pub counts: Arc<Http2Counts>,
+}
+
+/// The connections to one process of an upstream.
+struct UpstreamConnections {
+    epoch: u64,
+    connections: Vec<Arc<Http2Connection>>,
+    is_connecting: bool,
+    /// How often a connection could not be established.
+    failures: u64,
+    /// The outcome for attempts that waited for the last one of these.
+    last_failure: Outcome,
+    /// A stream has ended, or a connection was established or failed.
+    changed: Arc<Notify>,
+}
+
+impl UpstreamConnections {
+    fn new(epoch: u64) -> Self {
+        Self {
+            epoch,
+            connections: Vec::new(),
+            is_connecting: false,
+            failures: 0,
+            last_failure: Outcome::ConnectFailed,
+            changed: Arc::default(),
+        }
+    }
+}
+
+/// Where to wait for a stream, at a process of an upstream.
+struct LeaseWait {
+    changed: OwnedNotified,
+    /// Failures before this.
+    failures: u64,
+}
+
+/// What comes of asking for a stream.
+enum LeaseAttempt {
+    Leased(StreamLease),
+    Wait(LeaseWait),
+    /// The process was replaced, or takes nothing new.
+    Retired,
+}
+
+impl Pool {
+    /// No connection yet.
+    pub fn new(limits: Http2Limits) -> Self {
+        Self {
+            limits,
+            upstreams: Mutex::default(),
+            next_epoch: AtomicU64::new(0),
+            counts: Arc::default(),
+        }
+    }
+
+    /// The epoch of the process that an attempt belongs to from now on.
+    pub fn epoch(&self, server: ServerId) -> u64 {
+        let mut upstreams = lock(&self.upstreams);
+        let new = || UpstreamConnections::new(self.next_epoch.fetch_add(1, Ordering::Relaxed));
+        upstreams.entry(server).or_insert_with(new).epoch
+    }
+
+    /// Waits for a stream at a process of an upstream. The time limit is for the caller to mind. The error is the outcome
+    /// of the attempt.
+    pub async fn lease(self: &Arc<Self>, peer: &Peer, epoch: u64) -> Result<StreamLease, Outcome> {
+        loop {
+            match self.try_lease(peer, epoch) {
+                LeaseAttempt::Leased(lease) => return Ok(lease),
+                LeaseAttempt::Retired => return Err(Outcome::Moot),
+                LeaseAttempt::Wait(wait) => {
+                    wait.changed.await;
+                    if let Some(outcome) = self.failure_since(peer.server, epoch, wait.failures) {
+                        return Err(outcome);
+                    }
+                }
+            }
+        }
+    }
+
+    /// A stream on a connection, or where to wait for one. Opens a connection if need be: one at a time, so that a crowd
+    /// that comes at once does not open one each.
+    fn try_lease(self: &Arc<Self>, peer: &Peer, epoch: u64) -> LeaseAttempt {
+        let mut upstreams = lock(&self.upstreams);
+        let upstream = upstreams
+            .get_mut(&peer.server)
+            .filter(|upstream| upstream.epoch == epoch);
+        let Some(upstream) = upstream else {
+            return LeaseAttempt::Retired;
+        };
+        upstream
+            .connections
+            .retain(|connection| !connection.is_closing());
+        // The fullest that has capacity, so that the others may fall idle.
+        let with_capacity = upstream
+            .connections
+            .iter()
+            .filter(|connection| connection.has_capacity(self.limits.max_streams));
+        if let Some(connection) = with_capacity.max_by_key(|connection| connection.streams()) {
+            let lease = StreamLease::new(connection.clone(), upstream.changed.clone());
+            return LeaseAttempt::Leased(lease);
+        }
+        let wait = LeaseWait {
+            changed: upstream.changed.clone().notified_owned(),
+            failures: upstream.failures,
+        };
+        let may_open = upstream.connections.len() < self.limits.max_connections;
+        if !upstream.is_connecting && may_open {
+            upstream.is_connecting = true;
+            // In a task of its own: others wait for it, and its caller may disconnect.
+            tokio::spawn(self.clone().connect(*peer, epoch));
+        }
+        LeaseAttempt::Wait(wait)
+    }
+
+    /// How the connection failed that was being established since there were so many failures, if it did.
+    fn failure_since(&self, server: ServerId, epoch: u64, failures: u64) -> Option<Outcome> {
+        let upstreams = lock(&self.upstreams);
+        let upstream = upstreams
+            .get(&server)
+            .filter(|upstream| upstream.epoch == epoch)?;
+        (upstream.failures != failures).then_some(upstream.last_failure)
+    }
+
+    async fn connect(self: Arc<Self>, peer: Peer, epoch: u64) {
+        let opening = Http2Connection::open(peer.address, self.counts.clone());
+        let opened = match timeout(self.limits.connect_timeout, opening).await {
+            Ok(Ok(connection)) => Ok(connection),
+            // Our own lack of descriptors or ports says nothing of the upstream.
+            Ok(Err(error)) if is_local(&error) => Err(Outcome::Moot),
+            Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
+        };
+        let mut upstreams = lock(&self.upstreams);
+        let upstream = upstreams
+            .get_mut(&peer.server)
+            .filter(|upstream| upstream.epoch == epoch);
+        let Some(upstream) = upstream else { return };
+        upstream.is_connecting = false;
+        match opened {
+            Ok(connection) => upstream.connections.push(connection),
+            Err(outcome) => {
+                upstream.failures += 1;
+                upstream.last_failure = outcome;
+            }
+        }
+        upstream.changed.notify_waiters();
+    }
+
+    /// Closes the connections to an upstream that have no streams.
+    pub fn close_idle(&self, server: ServerId) {
+        if let Some(upstream) = lock(&self.upstreams).get_mut(&server) {
+            upstream
+                .connections
+                .retain(|connection| connection.streams() > 0);
+        }
+    }
+
+    /// Uses no present connection to an upstream for anything new.
+    pub fn retire(&self, server: ServerId) {
+        if let Some(upstream) = lock(&self.upstreams).remove(&server) {
+            // What waits for a stream learns that there is none.
+            upstream.changed.notify_waiters();
+        }
+    }
+
+    /// Closes connections that have been idle for too long, or take nothing new.
+    pub fn sweep(&self) {
+        let idle_timeout = self.limits.idle_timeout;
+        for upstream in lock(&self.upstreams).values_mut() {
+            upstream.connections.retain(|connection| {
+                !(connection.is_closing() || connection.is_idle_for(idle_timeout))
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/transport/src/http2/response_body.rs
@@ -0,0 +1,190 @@
+//! Bodies of responses, complete or passed on as they come.
+
+use super::connection::StreamLease;
+use super::send_body::BodyPump;
+use crate::classify::classify_grpc;
+use bytes::Bytes;
+use h2::RecvStream;
+use http::HeaderMap;
+use http_body::{Body, Frame, SizeHint};
+use std::collections::VecDeque;
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+use tokio::time::{Instant, Sleep, sleep_until};
+use woadstall_runtime::ResponseTail;
+use woadstall_runtime::engine::Outcome;
+
+/// The body of a response.
+pub struct ResponseBody {
+    /// What has come and was not taken.
+    data: VecDeque<Bytes>,
+    trailers: Option<HeaderMap>,
+    streaming: Option<Box<StreamingBody>>,
+}
+
+/// Why a response that had started was not passed on to its end.
+#[derive(Debug, thiserror::Error)]
+pub enum ResponseBodyError {
+    /// The stream broke.
+    #[error("the answer broke off: {0}")]
+    Broken(#[source] h2::Error),
+    /// The caller's time ran out.
+    #[error("the answer did not end in its time")]
+    OutOfTime,
+}
+
+impl ResponseBody {
+    /// A body that is complete.
+    pub fn new(data: Bytes) -> Self {
+        let data = if data.is_empty() {
+            VecDeque::new()
+        } else {
+            [data].into()
+        };
+        Self {
+            data,
+            trailers: None,
+            streaming: None,
+        }
+    }
+
+    /// A body that is complete, with trailers.
+    pub(super) fn buffered(data: Vec<Bytes>, trailers: Option<HeaderMap>) -> Self {
+        Self {
+            data: data.into(),
+            trailers,
+            streaming: None,
+        }
+    }
+
+    /// A body of which `data` has come.
+    pub(super) fn streaming(data: Vec<Bytes>, rest: StreamingBody) -> Self {
+        Self {
+            data: data.into(),
+            trailers: None,
+            streaming: Some(Box::new(rest)),
+        }
+    }
+}
+
+/// What is still to come of a response.
+pub(super) struct StreamingBody {
+    body: RecvStream,
+    lease: StreamLease,
+    /// Sends the rest of the request for as long as the response is read.
+    _pump: BodyPump,
+    tail: Option<ResponseTail>,
+    deadline: Option<Pin<Box<Sleep>>>,
+    is_grpc: bool,
+    has_ended: bool,
+}
+
+impl StreamingBody {
+    pub fn new(
+        body: RecvStream,
+        lease: StreamLease,
+        pump: BodyPump,
+        tail: ResponseTail,
+        deadline: Option<Instant>,
+        is_grpc: bool,
+    ) -> Self {
+        Self {
+            body,
+            lease,
+            _pump: pump,
+            tail: Some(tail),
+            deadline: deadline.map(|deadline| Box::pin(sleep_until(deadline))),
+            is_grpc,
+            has_ended: false,
+        }
+    }
+
+    fn end(&mut self, outcome: Outcome) {
+        self.has_ended = true;
+        if let Some(tail) = self.tail.take() {
+            tail.end(outcome);
+        }
+    }
+
+    fn poll_frame(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
+        if let Some(deadline) = &mut self.deadline
+            && deadline.as_mut().poll(cx).is_ready()
+        {
+            self.end(Outcome::Cancelled);
+            return Poll::Ready(Some(Err(ResponseBodyError::OutOfTime)));
+        }
+        match ready!(self.body.poll_data(cx)) {
+            Some(Ok(data)) => {
+                self.lease.note_received();
+                self.body.flow_control().release_capacity(data.len()).ok();
+                return Poll::Ready(Some(Ok(Frame::data(data))));
+            }
+            Some(Err(error)) => return Poll::Ready(Some(Err(self.broken(error)))),
+            None => {}
+        }
+        match ready!(self.body.poll_trailers(cx)) {
+            Ok(trailers) => {
+                self.end(self.outcome(trailers.as_ref()));
+                Poll::Ready(trailers.map(|trailers| Ok(Frame::trailers(trailers))))
+            }
+            Err(error) => Poll::Ready(Some(Err(self.broken(error)))),
+        }
+    }
+
+    /// The outcome of a response that has come to its end.
+    fn outcome(&self, trailers: Option<&HeaderMap>) -> Outcome {
+        if !self.is_grpc {
+            return Outcome::Ok;
+        }
+        classify_grpc(trailers.unwrap_or(&HeaderMap::new())).outcome
+    }
+
+    fn broken(&mut self, error: h2::Error) -> ResponseBodyError {
+        self.lease.close_connection();
+        self.end(Outcome::Reset);
+        ResponseBodyError::Broken(error)
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = ResponseBodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
+        if let Some(data) = self.data.pop_front() {
+            return Poll::Ready(Some(Ok(Frame::data(data))));
+        }
+        if let Some(streaming) = self.streaming.as_mut() {
+            let frame = ready!(streaming.poll_frame(cx));
+            if streaming.has_ended {
+                self.streaming = None;
+            }
+            return Poll::Ready(frame);
+        }
+        Poll::Ready(
+            self.trailers
+                .take()
+                .map(|trailers| Ok(Frame::trailers(trailers))),
+        )
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.data.is_empty() && self.trailers.is_none() && self.streaming.is_none()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        let length = self.data.iter().map(|data| data.len() as u64).sum();
+        if self.streaming.is_none() {
+            return SizeHint::with_exact(length);
+        }
+        let mut hint = SizeHint::new();
+        hint.set_lower(length);
+        hint
+    }
+}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,24 +1,25 @@
-//! Connections to upstreams, and what the end of an attempt on them proves. HTTP/1.1 always; HTTP/2 with the
-//! feature `http2`.
-
-#![forbid(unsafe_code)]
+//! Connections to upstreams, and what the end of an attempt on them proves. HTTP/1.1 always; HTTP/2 with the feature
+//! `http2`.
 
 mod classify;
+mod headers;
 mod http1;
 #[cfg(feature = "http2")]
 mod http2;
 #[cfg(feature = "http2")]
-mod outbound;
-mod shared;
-mod stream;
+mod outbound_request;
+mod shared_stream;
+mod sync;
 
-pub use classify::code;
+pub use classify::grpc_status;
+pub use headers::{end_to_end, is_grpc, named_by_connection};
 pub use http1::{
-    Answer, Connection, Counts, Http1, Outgoing, Progress, closes, is_local, load_report,
+    Connection, ConnectionCounts, Http1, Http1Body, Progress, RequestBody, closes_connection,
+    is_local, load_report,
 };
 #[cfg(feature = "http2")]
-pub use http2::{Http2, Inbound, InboundError, Limits, grpc_timeout_of};
+pub use http2::{Http2, Http2Limits, ResponseBody, ResponseBodyError, grpc_timeout_of};
 #[cfg(feature = "http2")]
-pub use outbound::{BodyError, Outbound};
-pub use shared::{end_to_end, is_grpc, lock, named_by_connection};
-pub use stream::SharedStream;
+pub use outbound_request::{BodyError, OutboundRequest};
+pub use shared_stream::SharedStream;
+pub use sync::lock;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -81,7 +81,7 @@
         let config = Arc::new(config);
         let keep = Duration::from_nanos(config.settings.idle_timeout);
         let transport = Http1::new(&config.names, keep, config.limits.upstreams, WHOLE_ANSWER)
-            .passing_on(MOST_BODY);
+            .with_streaming(MOST_BODY);
         let setup = LoadBalancerConfig {
             settings: config.settings.clone(),
             names: config.names.clone(),
@@ -206,7 +206,7 @@
         self.balance
             .reconfigure(change)
             .map_err(|error| error.to_string())?;
-        self.balance.transport().retune(
+        self.balance.transport().reconfigure(
             terms.names(),
             Duration::from_nanos(config.settings.idle_timeout),
         );
--- a/src/net/server/reply.rs
+++ b/src/net/server/reply.rs
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use woadstall_inbound::{ConnectionState, lock};
-use woadstall_transport::Answer;
+use woadstall_transport::Http1Body;
 
 /// An answer as hyper writes it.
 pub type Reply = Response<ReplyBody>;
 
 /// The body of an answer.
 pub struct ReplyBody {
-    answer: Answer,
+    answer: Http1Body,
     streamed: Option<Streamed>,
 }
 
@@ -39,8 +39,8 @@
     }
 }
 
-impl From<Answer> for ReplyBody {
-    fn from(answer: Answer) -> Self {
+impl From<Http1Body> for ReplyBody {
+    fn from(answer: Http1Body) -> Self {
         Self {
             answer,
             streamed: None,
@@ -51,7 +51,7 @@
 impl ReplyBody {
     /// Whether all of it is there.
     pub fn is_whole(&self) -> bool {
-        self.answer.is_whole()
+        self.answer.is_complete()
     }
 
     /// Tells when an answer that is not whole has come to its end.
