--- a/crates/engine/src/engine/membership.rs
+++ b/crates/engine/src/engine/membership.rs
@@ -10,10 +10,7 @@
         let mut listed = Vec::with_capacity(entries.len());
         for entry in entries {
             if entry.address.is_none() {
-                self.log(format!(
-                    "upstream address unreadable upstream={}",
-                    entry.name
-                ));
+                self.log(format!("upstream_address_invalid upstream={}", entry.name));
             }
             let inserted = self.upstreams.insert(entry);
             if inserted.retires_connections {
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The core process: a control machine (`woadstall-control`) with its sockets and its disk.
 //!
-//! One task owns the machine ([`process::Process`]). Around it are the peers' connections ([`peers`], [`listener`],
-//! [`datagrams`]), the HTTP API ([`api`]) and the disk's thread ([`disk`]); they send it [`event::Event`]s, and it executes the
-//! machine's actions.
+//! One task owns the machine ([`process::Process`]). Around it are the peers' connections
+//! ([`peers`], [`listener`], [`datagrams`]), the HTTP API ([`api`]) and the disk's thread
+//! ([`disk`]); they send it [`event::Event`]s, and it executes the machine's actions.
 
 mod api;
 mod bootstrap;
@@ -13,6 +13,7 @@
 mod frame_queue;
 mod listener;
 mod peers;
+mod pending_requests;
 mod process;
 mod registration_store;
 mod stall;
@@ -23,7 +24,7 @@
 use crate::settings::{Endpoint, NodeSettings, SettingsWatcher};
 use crate::time::unix_time;
 use disk::Disk;
-use process::{Parts, Process};
+use process::Process;
 use registration_store::RegistrationStore;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -38,7 +39,8 @@
 ///
 /// # Errors
 ///
-/// The settings lack a field, the storage can't be opened, or the operating system refuses a socket or a signal handler.
+/// The settings lack a field, the storage can't be opened, or the operating system refuses a socket
+/// or a signal handler.
 pub fn run(settings: &NodeSettings, watcher: SettingsWatcher) -> Result<(), CoreError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -81,12 +83,8 @@
     let mut machine = Machine::new(machine_settings, durable, 0, fastrand::u64(..));
     log::info!("registrations_loaded count={}", registrations.len());
     machine.remember(registrations);
-    let process = Process::new(Parts {
-        machine,
-        disk: Disk::start(storage, store, events.clone()),
-        watcher,
-        events,
-    });
+    let disk = Disk::start(storage, store, events.clone());
+    let process = Process::new(machine, disk, watcher, events);
     process.run(event_queue).await
 }
 
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -182,10 +182,10 @@
                 self.handle(&mut self.lock(), Input::DiscoveryFailed);
             }
             WatchEvent::FirstFailure(error) => {
-                (self.log)(format_args!("discovery failed error=\"{error}\""));
+                (self.log)(format_args!("discovery_failed error=\"{error}\""));
             }
             WatchEvent::Recovered { failures } => {
-                (self.log)(format_args!("discovery recovered failures={failures}"));
+                (self.log)(format_args!("discovery_recovered failures={failures}"));
             }
         }
     }
