--- a/crates/cluster-test/src/members.rs
+++ b/crates/cluster-test/src/members.rs
@@ -24,9 +24,9 @@
     stream,
 };
 use woadstall_evacuation::Status;
-use woadstall_fault_proxy::{Fabric, Way};
+use woadstall_fault_proxy::{FaultProxy, LinkConditions};
 use woadstall_load_test::lock;
-use woadstall_membership_net::Report;
+use woadstall_membership_net::{PathReport, Report};
 
 /// Members that a new one asks.
 const SEEDS: usize = 3;
@@ -65,7 +65,7 @@
     /// All of a fleet, none of which runs yet. `start` is when callers begin.
     pub async fn new(
         of: &Members,
-        (fabric, balancers): (&Fabric, &[Arc<Balancer>]),
+        (fabric, balancers): (&FaultProxy, &[Arc<Balancer>]),
         (seed, start): (u64, Instant),
         zones: &[String],
     ) -> std::io::Result<Self> {
@@ -74,8 +74,8 @@
             let (number, ip) = (balancer.place.number, balancer.place.listen.ip());
             let listen = free(ip, Port::Members).await?;
             let me = ways::member(number);
-            fabric.stands_at(me, ip);
-            at.push((listen, fabric.hub(me, listen).await?));
+            fabric.assign_address(me, ip);
+            at.push((listen, fabric.proxy_shared(me, listen).await?));
         }
         let mut chance = stream(seed, Actor::Member, 0);
         let key = (0..32).fold(String::new(), |mut key, _| {
@@ -190,7 +190,7 @@
     /// Sets the ways among all, as `among` has them from one to another.
     pub fn set_ways(
         &self,
-        fabric: &Fabric,
+        fabric: &FaultProxy,
         scenario: &Scenario,
         among: impl Fn(usize, usize) -> Among,
     ) {
@@ -208,16 +208,16 @@
                 } else {
                     delay
                 };
-                let way = Way {
+                let way = LinkConditions {
                     delay,
                     jitter: delay.mul_f64(scenario.network.jitter),
                     loss: among.loss,
-                    doubled: among.doubled,
-                    overtaken: among.overtaken,
-                    rate: 0,
-                    cut: out,
+                    duplication: among.doubled,
+                    reordering: among.overtaken,
+                    bytes_per_second: 0,
+                    partitioned: out,
                 };
-                fabric.set(ways::member(sends), ways::member(hears), way);
+                fabric.set_conditions(ways::member(sends), ways::member(hears), way);
                 cut[from * size + to] = out;
             }
         }
@@ -230,7 +230,7 @@
             return; // what was asked before it stood still or ended
         }
         known[number].life = Some(report.started_ms);
-        known[number].bytes.1 = report.bytes;
+        known[number].bytes.1 = report.bytes_sent;
         for row in &report.members {
             let Some(of) = of(&row.name).filter(|of| *of < known.len()) else {
                 continue;
@@ -263,9 +263,9 @@
             let row = rows.into_iter().find(|row| self::of(&row.name) == Some(of));
             row.is_some_and(|row| {
                 if to {
-                    row.to == "cut"
+                    row.outbound == PathReport::Partitioned
                 } else {
-                    row.from == "cut"
+                    row.inbound == PathReport::Partitioned
                 }
             })
         };
@@ -298,7 +298,7 @@
         let known = lock(&self.known);
         let part = |(balancer, known): (&Arc<Balancer>, &Known)| {
             let ran = balancer.process.thread_ns("instances")?;
-            Some(ran as f64 / 1e9 / known.last.as_ref()?.for_s.max(1e-3))
+            Some(ran as f64 / 1e9 / known.last.as_ref()?.uptime_s.max(1e-3))
         };
         balancers
             .iter()
--- a/crates/control-simulation/src/balancer.rs
+++ b/crates/control-simulation/src/balancer.rs
@@ -1,8 +1,8 @@
 //! A simulated balancer, which folds the change feed of a control process.
 
 use std::collections::BTreeMap;
-use woadstall_control::feed::Event;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::feed::FeedEvent;
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::Packet;
 
@@ -12,7 +12,7 @@
     /// The configuration state that it routes by.
     pub state: ControlState,
     /// The statuses of upstreams by id.
-    pub statuses: BTreeMap<String, Status>,
+    pub statuses: BTreeMap<String, UpstreamStatus>,
     /// The generation in force after each packet of the feed.
     pub generations: Vec<u64>,
     /// The epoch of the feed's journal.
@@ -47,7 +47,7 @@
                 self.offset = offset;
                 events.into_iter().for_each(|event| self.apply(event));
             }
-            Packet::Status { in_quorum, .. } => self.in_quorum = in_quorum,
+            Packet::MachineStatus { in_quorum, .. } => self.in_quorum = in_quorum,
             _ => {}
         }
         self.generations.push(self.state.generation());
@@ -62,10 +62,10 @@
         self.state.replace_if_newer(state);
     }
 
-    fn apply(&mut self, event: Event) {
+    fn apply(&mut self, event: FeedEvent) {
         match event {
-            Event::Committed { index, command } => self.state.apply_if_newer(index, &command),
-            Event::Registered(registration) => self.register(registration),
+            FeedEvent::Committed { index, command } => self.state.apply_if_newer(index, &command),
+            FeedEvent::Registered(registration) => self.register(registration),
         }
     }
 
@@ -74,7 +74,7 @@
             .statuses
             .entry(registration.id)
             .or_insert(registration.status);
-        if *status != Status::Gone {
+        if *status != UpstreamStatus::Deregistered {
             *status = registration.status;
         }
     }
--- a/crates/control-simulation/src/cluster/actions.rs
+++ b/crates/control-simulation/src/cluster/actions.rs
@@ -6,7 +6,7 @@
 use crate::history::Output;
 use crate::invariants::Violation;
 use crate::network::{Link, Transmission};
-use woadstall_control::machine::{Action, Answer, Machine};
+use woadstall_control::machine::{Action, CallResponse, ControlMachine};
 use woadstall_control::wire::Packet;
 
 impl Cluster {
@@ -54,15 +54,18 @@
                 self.nodes[node].disk.write_record(sequence, record);
                 self.schedule_sync(node);
             }
-            Action::KeepRegistrations { number } => {
-                let registrations = self.process(node).map(Machine::registrations);
+            Action::PersistRegistrations { number } => {
+                let registrations = self.process(node).map(ControlMachine::registrations);
                 let registrations = registrations.unwrap_or_default();
                 self.nodes[node]
                     .disk
                     .write_registrations(number, registrations);
                 self.schedule_sync(node);
             }
-            Action::Answer { token, answer } => self.on_response(node, token, answer),
+            Action::Respond {
+                token,
+                response: answer,
+            } => self.on_response(node, token, answer),
             Action::Deliver {
                 subscribers,
                 packet,
@@ -83,7 +86,7 @@
         let conditions = self.network.conditions;
         let is_bandwidth_limited = conditions.bytes_per_ms > 0;
         let bytes = if is_bandwidth_limited {
-            packet.frame().len() as u64
+            packet.encode().len() as u64
         } else {
             0
         };
@@ -112,9 +115,9 @@
         }
     }
 
-    fn on_response(&mut self, node: NodeIndex, token: u64, response: Answer) {
+    fn on_response(&mut self, node: NodeIndex, token: u64, response: CallResponse) {
         if let Some(id) = self.draining_requests.remove(&token)
-            && response == Answer::Done
+            && response == CallResponse::Acknowledged
         {
             self.invariants.on_draining_acknowledged(&id);
         }
--- a/crates/control-simulation/src/cluster/observations.rs
+++ b/crates/control-simulation/src/cluster/observations.rs
@@ -6,7 +6,7 @@
 use crate::balancer::Balancer;
 use crate::digest::{EventDigest, Observation};
 use crate::disk::Synced;
-use woadstall_control::machine::{Action, Machine};
+use woadstall_control::machine::{Action, ControlMachine};
 
 impl Cluster {
     /// Adds an observation, if a digest is recorded.
@@ -45,15 +45,18 @@
             Action::Connect { address } => digest.flag(true).bytes(address.as_bytes()),
             Action::Disconnect { address } => digest.flag(false).bytes(address.as_bytes()),
             Action::Send { address, packet } => {
-                digest.bytes(address.as_bytes()).bytes(&packet.frame())
+                digest.bytes(address.as_bytes()).bytes(&packet.encode())
             }
             Action::Persist { sequence, record } => digest.number(*sequence).encoded(record),
-            Action::KeepRegistrations { number } => digest.number(*number),
-            Action::Answer { token, answer } => digest.number(*token).response(answer),
+            Action::PersistRegistrations { number } => digest.number(*number),
+            Action::Respond {
+                token,
+                response: answer,
+            } => digest.number(*token).response(answer),
             Action::Deliver {
                 subscribers,
                 packet,
-            } => digest.numbers(subscribers).bytes(&packet.frame()),
+            } => digest.numbers(subscribers).bytes(&packet.encode()),
         };
     }
 
@@ -85,8 +88,8 @@
         Action::Connect { .. } | Action::Disconnect { .. } => Some(Observation::ConnectionRequest),
         Action::Send { .. } => Some(Observation::Send),
         Action::Persist { .. } => Some(Observation::WriteRecord),
-        Action::KeepRegistrations { .. } => Some(Observation::WriteRegistrations),
-        Action::Answer { .. } => Some(Observation::Respond),
+        Action::PersistRegistrations { .. } => Some(Observation::WriteRegistrations),
+        Action::Respond { .. } => Some(Observation::Respond),
         Action::Deliver { .. } => Some(Observation::Deliver),
     }
 }
@@ -100,8 +103,8 @@
     digest
         .number(durable.id)
         .number(durable.term)
-        .number(durable.vote)
-        .number(durable.commit);
+        .number(durable.voted_for)
+        .number(durable.commit_index);
     digest
         .encoded(durable.log.snapshot())
         .all_encoded(durable.log.entries());
@@ -117,7 +120,7 @@
     }
 }
 
-fn add_process(digest: &mut EventDigest, process: &Machine) {
+fn add_process(digest: &mut EventDigest, process: &ControlMachine) {
     digest
         .replica_state(process)
         .bytes(&process.state().encode());
--- a/crates/control-simulation/src/cluster/time.rs
+++ b/crates/control-simulation/src/cluster/time.rs
@@ -149,9 +149,9 @@
             observed
                 .node(link.to)
                 .node(link.from)
-                .bytes(&packet.frame());
+                .bytes(&packet.encode());
         }
-        process.packet(self.now_ms, &address(link.from), packet);
+        process.receive_packet(self.now_ms, &address(link.from), packet);
         self.carry_out_actions(link.to);
     }
 
@@ -180,7 +180,9 @@
         };
         match synced {
             Some(Synced::Records(sequence)) => process.persisted(self.now_ms, sequence),
-            Some(Synced::Registrations(number)) => process.kept(self.now_ms, number),
+            Some(Synced::Registrations(number)) => {
+                process.registrations_persisted(self.now_ms, number)
+            }
             None if host.disk.has_rejected() || host.disk.queued() > 0 => {
                 let incarnation = host.incarnation;
                 self.schedule(SYNC_RETRY_MS, ScheduledEvent::Sync { node, incarnation });
--- a/crates/control-simulation/src/scenario/fixtures.rs
+++ b/crates/control-simulation/src/scenario/fixtures.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use woadstall_control::command::Command;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 /// Concurrent requests that simulated upstreams take.
 const CAPACITY: u64 = 4;
@@ -28,7 +28,7 @@
 }
 
 /// The registration of an upstream.
-pub fn registration(id: &str, sequence: u64, status: Status) -> Registration {
+pub fn registration(id: &str, sequence: u64, status: UpstreamStatus) -> Registration {
     Registration {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -37,7 +37,7 @@
         capacity: CAPACITY,
         sequence,
         status,
-        cold_remaining_ms: 0,
+        slow_start_remaining_ms: 0,
         remaining_ms: 0,
         age_ms: 0,
     }
--- a/crates/evacuation/src/coordinator/mod.rs
+++ b/crates/evacuation/src/coordinator/mod.rs
@@ -208,7 +208,7 @@
     pub fn step(&mut self, now: Time, now_ms: u64, node: &mut Node) -> CoordinatorOutput {
         let members = self.receive(now, now_ms, node);
         self.published.are_orders_stale |= self.orders.remove_expired(now_ms);
-        let is_passive = node.sure(now).cut_off;
+        let is_passive = node.confidence(now).is_isolated;
         let input = EngineInput {
             topology: &self.settings.topology,
             own_zone: self.settings.zone,
--- a/crates/node/src/core/api/request.rs
+++ b/crates/node/src/core/api/request.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 use woadstall_control::command::Command;
-use woadstall_control::machine::Question;
-use woadstall_control::reader::{Findings, Reader};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::machine::ResolveRequest;
+use woadstall_control::reader::{FieldReader, Findings};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 /// Bytes of a body at most.
 const MAX_BODY_BYTES: u64 = 6 << 20;
@@ -26,7 +26,7 @@
     /// `DELETE /v1/instances/ID`: an upstream has left.
     Deregister(String),
     /// `GET /v1/resolve`: a client looks up balancers.
-    Resolve(Question),
+    Resolve(ResolveRequest),
     /// `GET /v1/status`.
     Status,
 }
@@ -89,7 +89,7 @@
         ("POST", ["v1", "evacuations", zone]) => Ok(ApiRequest::Order(Command::Evacuate {
             zone: (*zone).to_owned(),
         })),
-        ("DELETE", ["v1", "evacuations", zone]) => Ok(ApiRequest::Order(Command::Return {
+        ("DELETE", ["v1", "evacuations", zone]) => Ok(ApiRequest::Order(Command::EndEvacuation {
             zone: (*zone).to_owned(),
         })),
         ("GET", ["v1", "resolve"]) => Ok(ApiRequest::Resolve(directory_question(request))),
@@ -104,9 +104,9 @@
     }
 }
 
-fn directory_question(request: &Request) -> Question {
+fn directory_question(request: &Request) -> ResolveRequest {
     let parameter = |name: &str| request.get_param(name).unwrap_or_default();
-    Question {
+    ResolveRequest {
         client: request.remote_addr().ip().to_string(),
         host: parameter("name"),
         zone: parameter("zone"),
@@ -138,17 +138,17 @@
 
 fn registration(id: &str, body: &Value) -> Result<Registration, RequestError> {
     let findings = &mut Findings::default();
-    let root = Reader::new(body);
+    let root = FieldReader::new(body);
     let status = status(&root.field("state"), findings);
     let registration = Registration {
         id: id.to_owned(),
-        service: root.field("service").text(findings),
-        address: root.field("address").text(findings),
-        zone: root.field("zone").text(findings),
-        capacity: root.field("capacity").whole_or(1, findings),
-        sequence: root.field("sequence").whole_or(0, findings),
+        service: root.field("service").string(findings),
+        address: root.field("address").string(findings),
+        zone: root.field("zone").string(findings),
+        capacity: root.field("capacity").integer_or(1, findings),
+        sequence: root.field("sequence").integer_or(0, findings),
         status,
-        cold_remaining_ms: root.field("cold_remaining_ms").number_or(0.0, findings) as u64,
+        slow_start_remaining_ms: root.field("cold_remaining_ms").number_or(0.0, findings) as u64,
         remaining_ms: root.field("remaining_ms").number_or(0.0, findings) as u64,
         age_ms: 0,
     };
@@ -163,14 +163,14 @@
     }
 }
 
-fn status(state: &Reader<'_>, findings: &mut Findings) -> Status {
-    match state.text(findings).as_str() {
+fn status(state: &FieldReader<'_>, findings: &mut Findings) -> UpstreamStatus {
+    match state.string(findings).as_str() {
         // An empty or missing state has its finding already.
-        "ready" | "" => Status::Ready,
-        "draining" => Status::Draining,
+        "ready" | "" => UpstreamStatus::Ready,
+        "draining" => UpstreamStatus::Draining,
         other => {
-            findings.add(state.place(), format!("{other:?} is no state"));
-            Status::Ready
+            findings.add(state.path(), format!("{other:?} is no state"));
+            UpstreamStatus::Ready
         }
     }
 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -31,8 +31,8 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::mpsc;
 use woadstall_consensus::{DurableState, Member};
-use woadstall_control::machine::{Machine, MachineSettings};
-use woadstall_control::wire::ControlMachine;
+use woadstall_control::machine::{ControlMachine, MachineSettings};
+use woadstall_control::wire::MachineInfo;
 use woadstall_storage::Storage;
 
 /// Runs until SIGTERM.
@@ -80,9 +80,9 @@
     tokio::spawn(datagrams::run(udp, events.clone()));
     api::start(settings, control, &events)?;
     let (store, registrations) = RegistrationStore::open(data_dir, unix_time());
-    let mut machine = Machine::new(machine_settings, durable, 0, fastrand::u64(..));
+    let mut machine = ControlMachine::new(machine_settings, durable, 0, fastrand::u64(..));
     log::info!("registrations_loaded count={}", registrations.len());
-    machine.remember(registrations);
+    machine.restore_registrations(registrations);
     let disk = Disk::start(storage, store, events.clone());
     let process = Process::new(machine, disk, watcher, events);
     process.run(event_queue).await
@@ -111,7 +111,7 @@
     member: Member,
     control: SocketAddr,
 ) -> MachineSettings {
-    let machine = ControlMachine {
+    let machine = MachineInfo {
         member,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -11,10 +11,10 @@
 use std::{io, mem};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
-use woadstall_control::feed::Event;
+use woadstall_control::feed::FeedEvent;
 use woadstall_control::shards::hash;
 use woadstall_control::state::ControlState;
-use woadstall_control::wire::{ControlMachine, Packet};
+use woadstall_control::wire::{MachineInfo, Packet, SubscribeRequest};
 use woadstall_inbound::lock;
 
 /// Feeds that are read at a time.
@@ -87,7 +87,7 @@
 }
 
 /// How much a feed prefers a machine; 0 is best.
-fn rank(front: &Front, feed: usize, machine: &ControlMachine) -> u8 {
+fn rank(front: &Front, feed: usize, machine: &MachineInfo) -> u8 {
     let same_zone = machine.zone == front.settings.zone;
     let same_region = machine.region == front.settings.region;
     match (feed, same_zone, same_region) {
@@ -107,12 +107,12 @@
     position: &mut Position,
 ) -> io::Result<()> {
     let mut stream: TcpStream = packet_stream::connect(address).await?;
-    let subscribe = Packet::Subscribe {
+    let subscribe = Packet::Subscribe(SubscribeRequest {
         balancer: front.settings.node.clone(),
         epoch: position.epoch,
         offset: position.offset,
-        index: front.applied_index(),
-    };
+        applied: front.applied_index(),
+    });
     write_packet(&mut stream, &subscribe).await?;
     let mut without_quorum = 0;
     loop {
@@ -140,9 +140,9 @@
                     apply_event(front, event);
                 }
             }
-            Packet::Balancing(zones) => front.update_balancers(&zones),
-            Packet::Loads(loads) => lock(&front.router).set_fleet_loads(front.now(), &loads),
-            Packet::Status {
+            Packet::ActiveBalancers(zones) => front.update_balancers(&zones),
+            Packet::FleetLoads(loads) => lock(&front.router).set_fleet_loads(front.now(), &loads),
+            Packet::MachineStatus {
                 in_quorum,
                 machines,
             } => {
@@ -172,14 +172,14 @@
     }
 }
 
-fn apply_event(front: &Front, event: Event) {
+fn apply_event(front: &Front, event: FeedEvent) {
     match event {
-        Event::Committed { index, command } => {
+        FeedEvent::Committed { index, command } => {
             front.update_control_state(|state| state.apply_if_newer(index, &command));
         }
-        Event::Registered(registration) => {
+        FeedEvent::Registered(registration) => {
             log::info!(
-                "registration_applied upstream={} service={} status={:?}",
+                "registration_applied upstream={} service={} status={}",
                 registration.id,
                 registration.service,
                 registration.status
--- a/crates/routing/src/router/registry.rs
+++ b/crates/routing/src/router/registry.rs
@@ -4,7 +4,7 @@
 use crate::upstream::{Upstream, UpstreamId};
 use std::collections::BTreeSet;
 use std::time::Duration;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 
 /// How long an upstream that no snapshot names is kept, in milliseconds: a control machine that has
 /// just started learns of all upstreams within a few heartbeats.
@@ -101,8 +101,10 @@
     /// established.
     pub fn is_usable(&self, id: &str) -> bool {
         self.upstreams.get(id).is_some_and(|upstream| {
-            matches!(upstream.status, Status::Ready | Status::Silent)
-                && !self.evacuated_zones.contains(&*upstream.zone)
+            matches!(
+                upstream.status,
+                UpstreamStatus::Ready | UpstreamStatus::TimedOut
+            ) && !self.evacuated_zones.contains(&*upstream.zone)
         })
     }
 
@@ -110,7 +112,7 @@
     pub fn known_upstreams(&self) -> usize {
         self.upstreams
             .values()
-            .filter(|upstream| upstream.status != Status::Gone)
+            .filter(|upstream| upstream.status != UpstreamStatus::Deregistered)
             .count()
     }
 }
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use woadstall_control::loads::FleetLoad;
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::shards::short_hash;
 
 /// The id of an upstream's incarnation.
@@ -63,7 +63,7 @@
     pub region: String,
     /// Requests that it processes at once.
     pub capacity: u64,
-    pub status: Status,
+    pub status: UpstreamStatus,
     /// The sequence number of its newest registration.
     pub sequence: u64,
     /// Until when it is warming up.
@@ -110,7 +110,7 @@
             capacity: registration.capacity.max(1),
             status: registration.status,
             sequence: registration.sequence,
-            warmup_until: now + registration.cold_remaining_ms,
+            warmup_until: now + registration.slow_start_remaining_ms,
             warmup_sends: VecDeque::new(),
             breaker: CircuitBreaker::default(),
             in_flight: 0,
@@ -128,13 +128,15 @@
     pub fn update(&mut self, now: u64, registration: &Registration) {
         self.unconfirmed_since = None;
         let is_stale = (registration.sequence, registration.status) < (self.sequence, self.status);
-        if (self.status == Status::Gone || is_stale) && registration.status != Status::Gone {
+        if (self.status == UpstreamStatus::Deregistered || is_stale)
+            && registration.status != UpstreamStatus::Deregistered
+        {
             return;
         }
         self.status = registration.status;
         self.sequence = registration.sequence;
         self.capacity = registration.capacity.max(1);
-        self.warmup_until = now + registration.cold_remaining_ms;
+        self.warmup_until = now + registration.slow_start_remaining_ms;
     }
 
     /// Whether it is warming up (slow start).
@@ -200,7 +202,7 @@
     pub fn fleet_prefill_backlog(&self, now: u64) -> u64 {
         let reported = self
             .valid_report(now)
-            .map_or(0, |report| u64::from(report.load.unread));
+            .map_or(0, |report| u64::from(report.load.pending_prefill_tokens));
         self.prefill_backlog.max(reported)
     }
 
@@ -213,6 +215,6 @@
         let is_contradicted = self
             .last_activity
             .is_some_and(|activity| activity + timeout >= report.at);
-        report.load.failing >= MIN_FAILURE_REPORTS && !is_contradicted
+        report.load.failing_balancers >= MIN_FAILURE_REPORTS && !is_contradicted
     }
 }
--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -4,15 +4,15 @@
 
 use rstest::rstest;
 use support::{request, router_with};
-use woadstall_control::loads::{FleetLoad, FleetLoads, Placement, UpstreamLoad};
+use woadstall_control::loads::{FleetLoad, FleetLoads, PrefixPlacement, UpstreamLoad};
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{Outcome, Prompt, Router};
 
 fn reported(id: &str, unread: u32, failing: u16) -> FleetLoad {
     FleetLoad {
         upstream: short_hash(id),
-        unread,
-        failing,
+        pending_prefill_tokens: unread,
+        failing_balancers: failing,
     }
 }
 
@@ -116,7 +116,7 @@
     let prefilling = long.target(&mut router, 0);
     let load = UpstreamLoad {
         upstream: short_hash(&prefilling.id),
-        unread: 20_000,
+        pending_prefill_tokens: 20_000,
         is_failing: false,
     };
     assert_eq!(router.upstream_loads(100), [load]);
@@ -135,7 +135,7 @@
     assert_eq!(
         router.upstream_loads(710),
         [UpstreamLoad {
-            unread: 0,
+            pending_prefill_tokens: 0,
             is_failing: true,
             ..load
         }],
@@ -193,12 +193,12 @@
         .unwrap();
     let mut informed = router_with(&[("n", 4)]);
     let upstream = short_hash(other);
-    let placements = vec![Placement {
+    let placements = vec![PrefixPlacement {
         number: 1,
         upstream,
-        beginning: 5,
-        tokens: 10_000,
-        own_tokens: 20,
+        prefix: 5,
+        prefix_tokens: 10_000,
+        suffix_tokens: 20,
     }];
     informed.set_fleet_loads(
         0,
@@ -220,12 +220,12 @@
     let upstream = short_hash("n0");
     assert_eq!(
         recent,
-        [Placement {
+        [PrefixPlacement {
             number,
             upstream,
-            beginning: 5,
-            tokens: 10_000,
-            own_tokens: 2_000
+            prefix: 5,
+            prefix_tokens: 10_000,
+            suffix_tokens: 2_000
         }]
     );
     assert_eq!(router.recent_placements(401), []);
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -10,7 +10,7 @@
     Coordinator, CoordinatorSettings, ListedServer, Order, OrderAction, Status, Topology,
 };
 use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt, SubjectKind};
-use woadstall_membership_net::Instances;
+use woadstall_membership_net::Membership;
 use woadstall_operator_config::EvacuationConfig;
 use woadstall_runtime::LoadBalancer;
 use woadstall_transport::Http1;
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 pub struct Evacuating {
     coordinator: Arc<Mutex<Coordinator>>,
-    instances: Instances,
+    instances: Membership,
 }
 
 fn now_ms() -> u64 {
@@ -37,7 +37,7 @@
     pub fn start(
         file: &EvacuationConfig,
         config: &Config,
-        instances: Instances,
+        instances: Membership,
         balance: LoadBalancer<Http1>,
     ) -> Self {
         let zone = |name: &String| (name.clone(), file.regions.get(name).cloned());
@@ -89,7 +89,7 @@
                 size: of.size.map(f64::from),
             }));
         }
-        let now = self.instances.look(|_, now| now);
+        let now = self.instances.with_node(|_, now| now);
         for seen in observations.ended {
             let id = AttemptId {
                 request: seen.id.0,
@@ -119,7 +119,7 @@
         );
         let (now, turn) = self
             .instances
-            .turn(|node, now| (now, coordinator.step(now, now_ms(), node)));
+            .with_node_mut(|node, now| (now, coordinator.step(now, now_ms(), node)));
         drop(coordinator);
         for line in turn.lines {
             super::log(format_args!("places: {line}"));
@@ -141,7 +141,7 @@
 
     /// What operators read.
     pub fn status(&self) -> Status {
-        let now = self.instances.look(|_, now| now);
+        let now = self.instances.with_node(|_, now| now);
         self.coordinator().status(now, now_ms())
     }
 
