--- a/crates/control-simulation/src/balancer.rs
+++ b/crates/control-simulation/src/balancer.rs
@@ -53,7 +53,8 @@
         self.generations.push(self.state.generation());
     }
 
-    /// Replaces the state by an encoded one if that is newer. A feed leaves it empty where the balancer has it already.
+    /// Replaces the state by an encoded one if that is newer. A feed leaves it empty where the
+    /// balancer has it already.
     fn replace_state(&mut self, encoded: &[u8]) {
         if encoded.is_empty() {
             return;
--- a/crates/control-simulation/src/cluster/actions.rs
+++ b/crates/control-simulation/src/cluster/actions.rs
@@ -1,6 +1,7 @@
-//! What processes ask for is carried out: packets are sent, writes are queued, requests are answered.
+//! What processes ask for is carried out: packets are sent, writes are queued, requests are
+//! answered.
 
-use super::{Cluster, LogLine, address};
+use super::{Cluster, LogRecord, address};
 use crate::NodeIndex;
 use crate::digest::Observation;
 use crate::history::Output;
@@ -10,7 +11,8 @@
 use woadstall_control::wire::Packet;
 
 impl Cluster {
-    /// Carries out the actions of a process until it asks for nothing more, then checks its invariants.
+    /// Carries out the actions of a process until it asks for nothing more, then checks its
+    /// invariants.
     pub(super) fn carry_out_actions(&mut self, node: NodeIndex) {
         loop {
             let Some(process) = self.nodes[node].process.as_mut() else {
@@ -41,7 +43,7 @@
         match action {
             // All nodes are connected at all times.
             Action::Connect { .. } | Action::Disconnect { .. } => {}
-            Action::Log(text) => self.log.push(LogLine {
+            Action::Log(text) => self.log.push(LogRecord {
                 at_ms: self.now_ms,
                 node,
                 text,
--- a/crates/control-simulation/src/cluster/checks.rs
+++ b/crates/control-simulation/src/cluster/checks.rs
@@ -36,8 +36,8 @@
         node.is_some_and(|node| has_generation(node.disk.durable(), generation))
     }
 
-    /// Checks, some time after all faults have ended, that each process and balancer knows what was acknowledged, and that the
-    /// history of operations is linearizable.
+    /// Checks, some time after all faults have ended, that each process and balancer knows what was
+    /// acknowledged, and that the history of operations is linearizable.
     pub fn check_all(&mut self) {
         (0..self.len()).for_each(|node| self.check_acknowledged(node));
         if let Err(not_linearizable) = self.history.check() {
--- a/crates/control-simulation/src/cluster/clients.rs
+++ b/crates/control-simulation/src/cluster/clients.rs
@@ -13,8 +13,8 @@
 const BALANCER_NAME: &str = "front";
 
 impl Cluster {
-    /// Calls a process with the time in milliseconds and a new token, which it returns. Nothing happens where no process runs
-    /// or it is paused.
+    /// Calls a process with the time in milliseconds and a new token, which it returns. Nothing
+    /// happens where no process runs or it is paused.
     pub fn call(
         &mut self,
         node: NodeIndex,
--- a/crates/control-simulation/src/cluster/event_queue.rs
+++ b/crates/control-simulation/src/cluster/event_queue.rs
@@ -12,7 +12,8 @@
     Delivery {
         link: Link,
         packet: PacketId,
-        /// The incarnation that it is for; `None` for one of a former connection, which any process accepts.
+        /// The incarnation that it is for; `None` for one of a former connection, which any process
+        /// accepts.
         incarnation: Option<u64>,
     },
     /// A disk syncs a write of an incarnation.
--- a/crates/control-simulation/src/cluster/lifecycle.rs
+++ b/crates/control-simulation/src/cluster/lifecycle.rs
@@ -1,4 +1,5 @@
-//! Faults and operations on nodes: processes start, stop, crash and pause; disks stall, reject writes and are lost.
+//! Faults and operations on nodes: processes start, stop, crash and pause; disks stall, reject
+//! writes and are lost.
 
 use super::node::Node;
 use super::{Cluster, address};
@@ -65,7 +66,8 @@
         self.end(node, 0);
     }
 
-    /// Ends a process by a loss of power; a random part of what was not synced survives, perhaps torn.
+    /// Ends a process by a loss of power; a random part of what was not synced survives, perhaps
+    /// torn.
     pub fn crash(&mut self, node: NodeIndex) {
         let started = self.random.usize(..=self.nodes[node].disk.queued());
         self.end(node, started);
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Ends a process and replaces its disk by an empty one: the node comes back under a new replica id.
+    /// Ends a process and replaces its disk by an empty one: the node comes back under a new
+    /// replica id.
     pub fn wipe_disk(&mut self, node: NodeIndex) {
         self.stop(node);
         self.nodes[node].disk = SimulatedDisk::new(self.empty_disk_state());
--- a/crates/control-simulation/src/cluster/mod.rs
+++ b/crates/control-simulation/src/cluster/mod.rs
@@ -49,7 +49,7 @@
 
 /// A line that a process has logged.
 #[derive(Clone, Debug)]
-pub struct LogLine {
+pub struct LogRecord {
     /// When, in milliseconds.
     pub at_ms: u64,
     /// The node.
@@ -74,7 +74,7 @@
     /// The operations of operators.
     pub history: History,
     /// What processes have logged.
-    pub log: Vec<LogLine>,
+    pub log: Vec<LogRecord>,
     /// The responses so far, by the token of the request.
     pub responses: BTreeMap<u64, CallResponse>,
     /// The digest of all events, if it is to be recorded.
--- a/crates/control-simulation/src/cluster/observations.rs
+++ b/crates/control-simulation/src/cluster/observations.rs
@@ -60,8 +60,9 @@
         };
     }
 
-    /// Ends the recording. Returns the digest of all events, of the final states of nodes and balancers and of whether all
-    /// checks have passed, and the number of observations that it covers.
+    /// Ends the recording. Returns the digest of all events, of the final states of nodes and
+    /// balancers and of whether all checks have passed, and the number of observations that it
+    /// covers.
     pub fn finish_digest(&mut self) -> (u64, u64) {
         let mut digest = self.digest.take().unwrap_or_default();
         let is_sound = self.invariants.violation.is_none();
--- a/crates/control-simulation/src/cluster/time.rs
+++ b/crates/control-simulation/src/cluster/time.rs
@@ -1,4 +1,5 @@
-//! The passing of time: events of the queue, ticks of processes, and connections that come up and time out.
+//! The passing of time: events of the queue, ticks of processes, and connections that come up and
+//! time out.
 
 use super::event_queue::ScheduledEvent;
 use super::{Cluster, address};
@@ -13,7 +14,8 @@
 const SYNC_MS: u64 = 5;
 /// How long a process waits before it retries rejected writes, in milliseconds.
 const SYNC_RETRY_MS: u64 = 200;
-/// How long a packet takes that a partition has held back, once the partition ends, in milliseconds.
+/// How long a packet takes that a partition has held back, once the partition ends, in
+/// milliseconds.
 const RELEASE_MS: u64 = 1;
 
 impl Cluster {
@@ -42,7 +44,8 @@
         }
     }
 
-    /// Delivers packets whose partition has ended, resets connections that have timed out, and establishes others.
+    /// Delivers packets whose partition has ended, resets connections that have timed out, and
+    /// establishes others.
     fn update_connections(&mut self) {
         for (link, packets) in self.network.take_released() {
             for packet in packets {
--- a/crates/control-simulation/src/digest.rs
+++ b/crates/control-simulation/src/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of everything observable in a simulation, in the order in which it happens: times, bytes of messages and records,
-//! responses, commits and final states. It covers numbers and bytes alone, no names of types or fields, so that it stays the
-//! same as long as every event does.
+//! A digest of everything observable in a simulation, in the order in which it happens: times,
+//! bytes of messages and records, responses, commits and final states. It covers numbers and bytes
+//! alone, no names of types or fields, so that it stays the same as long as every event does.
 
 use crate::NodeIndex;
 use nanoserde::SerBin;
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Adds the state of a process's replica: its term, leader, commit index, and what it has applied.
+    /// Adds the state of a process's replica: its term, leader, commit index, and what it has
+    /// applied.
     pub fn replica_state(&mut self, process: &ControlMachine) -> &mut Self {
         let replica = process.replica();
         self.number(replica.term())
--- a/crates/control-simulation/src/disk.rs
+++ b/crates/control-simulation/src/disk.rs
@@ -1,5 +1,5 @@
-//! A node's simulated disk: the shipped storage on a medium that loses power, and the registrations. Writes are queued and
-//! made durable one after the other.
+//! A node's simulated disk: the shipped storage on a medium that loses power, and the
+//! registrations. Writes are queued and made durable one after the other.
 
 use crate::medium::SimulatedMedium;
 use std::collections::VecDeque;
@@ -101,8 +101,8 @@
         self.newest_rejected.is_some()
     }
 
-    /// Writes and syncs the oldest queued write, or retries rejected records if nothing is queued. Returns what has become
-    /// durable, if anything.
+    /// Writes and syncs the oldest queued write, or retries rejected records if nothing is queued.
+    /// Returns what has become durable, if anything.
     pub fn sync(&mut self, now_ms: u64) -> Option<Synced> {
         let rejects_writes = now_ms < self.rejects_until_ms;
         self.storage.medium().rejects_writes = rejects_writes;
@@ -139,7 +139,8 @@
         Some(Synced::Records(sequence))
     }
 
-    /// Loses power while the first `started` queued writes are under way, then reads back what is left of them.
+    /// Loses power while the first `started` queued writes are under way, then reads back what is
+    /// left of them.
     ///
     /// # Panics
     ///
--- a/crates/control-simulation/src/history/linearizability.rs
+++ b/crates/control-simulation/src/history/linearizability.rs
@@ -1,5 +1,6 @@
-//! Whether an order of operations exists that agrees with their times and outputs: the search of Wing and Gong with the
-//! memoization of Lowe ("Testing for linearizability", 2017), in one stretch of concurrent operations after the other.
+//! Whether an order of operations exists that agrees with their times and outputs: the search of
+//! Wing and Gong with the memoization of Lowe ("Testing for linearizability", 2017), in one stretch
+//! of concurrent operations after the other.
 
 use super::model::Model;
 use super::{Operation, Output};
@@ -94,8 +95,9 @@
     final_states
 }
 
-/// Pushes the states after each operation that may be executed next: one that was invoked before any other of those left has
-/// returned. An operation with an unknown output may also have no effect.
+/// Pushes the states after each operation that may be executed next: one that was invoked before
+/// any other of those left has returned. An operation with an unknown output may also have no
+/// effect.
 fn push_successors(
     operations: &[Operation],
     executed: u128,
--- a/crates/control-simulation/src/history/model.rs
+++ b/crates/control-simulation/src/history/model.rs
@@ -1,4 +1,5 @@
-//! The sequential specification: the state of one server that executes operations one after the other.
+//! The sequential specification: the state of one server that executes operations one after the
+//! other.
 
 use super::{Input, Operation, Output};
 use std::collections::BTreeSet;
--- a/crates/control-simulation/src/medium.rs
+++ b/crates/control-simulation/src/medium.rs
@@ -1,4 +1,5 @@
-//! The bytes of a simulated disk. When power fails, each write that was not synced may be there, missing or torn on its own.
+//! The bytes of a simulated disk. When power fails, each write that was not synced may be there,
+//! missing or torn on its own.
 
 use std::io;
 use std::path::PathBuf;
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Power fails: of each write that was not synced all, nothing, a beginning or single sectors are there.
+    /// Power fails: of each write that was not synced all, nothing, a beginning or single sectors
+    /// are there.
     pub fn lose_power(&mut self, random: &mut fastrand::Rng) {
         for UnsyncedWrite {
             file,
--- a/crates/control-simulation/src/network.rs
+++ b/crates/control-simulation/src/network.rs
@@ -1,9 +1,11 @@
-//! The simulated network: one ordered connection in each direction between each pair of nodes, as TCP gives it.
+//! The simulated network: one ordered connection in each direction between each pair of nodes, as
+//! TCP gives it.
 
 use crate::NodeIndex;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds after which a sender gives up a connection on which nothing is acknowledged (the user timeout of RFC 5482).
+/// Milliseconds after which a sender gives up a connection on which nothing is acknowledged (the
+/// user timeout of RFC 5482).
 pub const USER_TIMEOUT_MS: u64 = 2_000;
 /// Milliseconds before a lost connection is established again.
 pub const RECONNECT_DELAY_MS: u64 = 250;
@@ -46,7 +48,8 @@
     pub latency: LatencyRange,
     /// The bandwidth of a connection in bytes per millisecond; 0 for no limit.
     pub bytes_per_ms: u64,
-    /// The most milliseconds by which packets may still arrive after their sender gave up the connection; 0 if they are lost.
+    /// The most milliseconds by which packets may still arrive after their sender gave up the
+    /// connection; 0 if they are lost.
     pub delayed_delivery_ms: u64,
 }
 
@@ -119,14 +122,14 @@
     }
 
     /// Partitions one direction: nothing passes from one node to another any more.
-    pub fn partition_one_way(&mut self, from: NodeIndex, to: NodeIndex) {
+    pub fn partition_direction(&mut self, from: NodeIndex, to: NodeIndex) {
         self.partitioned.insert(Link { from, to });
     }
 
     /// Partitions two nodes in both directions.
     pub fn partition(&mut self, one: NodeIndex, other: NodeIndex) {
-        self.partition_one_way(one, other);
-        self.partition_one_way(other, one);
+        self.partition_direction(one, other);
+        self.partition_direction(other, one);
     }
 
     /// Ends all partitions.
@@ -146,7 +149,8 @@
             .is_some_and(|connection| connection.is_up)
     }
 
-    /// Sends a packet at a time. Returns when it arrives, or `None` if it is buffered by a partition or there is no connection.
+    /// Sends a packet at a time. Returns when it arrives, or `None` if it is buffered by a
+    /// partition or there is no connection.
     pub fn send(&mut self, now_ms: u64, transmission: Transmission) -> Option<u64> {
         let Transmission {
             link,
--- a/crates/control-simulation/src/scenario/generate.rs
+++ b/crates/control-simulation/src/scenario/generate.rs
@@ -176,7 +176,8 @@
         }
     }
 
-    /// A disk is lost while there is no other fault, and the next fault comes once it has recovered.
+    /// A disk is lost while there is no other fault, and the next fault comes once it has
+    /// recovered.
     fn disk_loss(&mut self, node: NodeIndex) -> Vec<Step> {
         let loss = match self.faults.power_losses && self.random.bool() {
             true => DiskStep::WipeAndCrashAll { node },
--- a/crates/control-simulation/src/scenario/mod.rs
+++ b/crates/control-simulation/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! Scenarios: steps that are generated from a seed, run on a cluster, and shrunk to those that a failure needs.
+//! Scenarios: steps that are generated from a seed, run on a cluster, and shrunk to those that a
+//! failure needs.
 
 mod client;
 mod generate;
@@ -39,8 +40,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs, reason = "the fields are explained with their variants")]
 pub enum RequestStep {
-    /// An operator puts a configuration on top of the newest generation that it knows; with a `rival`, another one on the same
-    /// generation at the next node.
+    /// An operator puts a configuration on top of the newest generation that it knows; with a
+    /// `rival`, another one on the same generation at the next node.
     Put { node: NodeIndex, rival: bool },
     /// The last configuration is put once more, unchanged.
     RetryPut { node: NodeIndex },
--- a/crates/control-simulation/src/scenario/run.rs
+++ b/crates/control-simulation/src/scenario/run.rs
@@ -210,10 +210,10 @@
             } => {
                 for other in (0..nodes).filter(|other| *other != node) {
                     if inbound {
-                        network.partition_one_way(other, node);
+                        network.partition_direction(other, node);
                     }
                     if outbound {
-                        network.partition_one_way(node, other);
+                        network.partition_direction(node, other);
                     }
                 }
             }
@@ -227,7 +227,8 @@
         }
     }
 
-    /// All faults end: within a bounded time a configuration is committed, and each node answers reads.
+    /// All faults end: within a bounded time a configuration is committed, and each node answers
+    /// reads.
     fn recover(&mut self) -> Result<(), ScenarioError> {
         self.cluster.clear_faults();
         self.cluster
--- a/crates/control-simulation/src/scenario/shrink.rs
+++ b/crates/control-simulation/src/scenario/shrink.rs
@@ -49,8 +49,8 @@
         })
     }
 
-    /// Leaves out all stretches of steps without which the scenario fails as well: first halves, then ever shorter ones, down
-    /// to single steps.
+    /// Leaves out all stretches of steps without which the scenario fails as well: first halves,
+    /// then ever shorter ones, down to single steps.
     pub fn shrink(&self) -> Self {
         let mut needed = self.clone();
         let mut length = needed.steps.len().div_ceil(2);
--- a/crates/control-simulation/tests/catch_up.rs
+++ b/crates/control-simulation/tests/catch_up.rs
@@ -66,8 +66,8 @@
     assert_eq!(read_generation(&mut cluster, 2), Some(COMMANDS * 2));
 }
 
-/// Incident 4: a member is isolated for 900 of 1,000 changes, gets its snapshot over a narrow link, crashes in the middle of
-/// it, and then is needed for a quorum.
+/// Incident 4: a member is isolated for 900 of 1,000 changes, gets its snapshot over a narrow link,
+/// crashes in the middle of it, and then is needed for a quorum.
 #[test]
 fn a_member_that_missed_hundreds_of_changes_catches_up_over_a_narrow_link() {
     const CHANGES: u64 = 1_000;
--- a/crates/control-simulation/tests/commands.rs
+++ b/crates/control-simulation/tests/commands.rs
@@ -71,7 +71,8 @@
     }
 }
 
-/// Incident 2: two operators choose one generation; and a command is retried after its response was lost.
+/// Incident 2: two operators choose one generation; and a command is retried after its response was
+/// lost.
 #[test]
 fn of_two_rival_configurations_one_is_committed_and_its_retries_are_never_rejected() {
     for seed in 0..INCIDENT_SEEDS * 2 {
@@ -135,7 +136,8 @@
     }
 }
 
-/// Incidents 2 and 5: what the leader responds to a former process of a node confirms nothing that the new one was asked for.
+/// Incidents 2 and 5: what the leader responds to a former process of a node confirms nothing that
+/// the new one was asked for.
 #[test]
 fn a_response_to_a_former_process_confirms_no_other_command() {
     let mut confirmed = 0;
--- a/crates/control-simulation/tests/common/mod.rs
+++ b/crates/control-simulation/tests/common/mod.rs
@@ -94,7 +94,8 @@
     }
 }
 
-/// Submits a command until it is committed, at one node after the other. Returns the number of retries.
+/// Submits a command until it is committed, at one node after the other. Returns the number of
+/// retries.
 pub fn commit(cluster: &mut Cluster, command: &Command) -> usize {
     const MAX_ATTEMPTS: usize = 30;
     for attempt in 0..MAX_ATTEMPTS {
--- a/crates/control-simulation/tests/golden.rs
+++ b/crates/control-simulation/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Whole scenarios by a digest over all observable numbers and bytes: a change of names or shape changes no event.
+//! Whole scenarios by a digest over all observable numbers and bytes: a change of names or shape
+//! changes no event.
 
 mod common;
 
@@ -37,8 +38,8 @@
 /// A scenario's seed, the digest of its events, and the number of observations that it covers.
 type Golden = (u64, u64, u64);
 
-/// Seeds are left out with which a process forwards or gives up several pending requests at a time: their order there is that
-/// of a hash map, which the seed does not determine.
+/// Seeds are left out with which a process forwards or gives up several pending requests at a time:
+/// their order there is that of a hash map, which the seed does not determine.
 #[rstest]
 #[case::three_in_a_steady_network(THREE, STEADY, ALL_FAULTS, [
     (1_000, 0xc535_56e2_6f1e_ced2, 9_516),
@@ -182,7 +183,8 @@
     );
 }
 
-/// Two of three disks are lost at a time, which no group of three bears: the scenario fails, and is shrunk to these losses.
+/// Two of three disks are lost at a time, which no group of three bears: the scenario fails, and is
+/// shrunk to these losses.
 #[test]
 fn a_failing_scenario_is_shrunk_to_the_recorded_steps() {
     let environment = Environment {
@@ -212,8 +214,9 @@
     );
 }
 
-/// What no generated scenario has: large configurations and patches, invalid commands, nodes that are added and removed,
-/// balancers that resubscribe, a log that is compacted, and a snapshot in chunks over a narrow link.
+/// What no generated scenario has: large configurations and patches, invalid commands, nodes that
+/// are added and removed, balancers that resubscribe, a log that is compacted, and a snapshot in
+/// chunks over a narrow link.
 #[test]
 fn a_scripted_scenario_has_the_recorded_events() {
     let mut cluster = recorded(
--- a/crates/control-simulation/tests/linearizability.rs
+++ b/crates/control-simulation/tests/linearizability.rs
@@ -63,26 +63,102 @@
 }
 
 #[rstest]
-#[case::one_after_the_other(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 30, put(5, 7), Output::Committed).operation(40, 50, Input::Read, read(7, &[])))]
-#[case::two_concurrent_ones_with_one_winner(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 40, put(5, 7), Output::Committed).operation(21, 39, put(5, 8), Output::Conflict(7)))]
-#[case::a_retried_command(history().operation(0, 10, put(0, 5), Output::Unknown).operation(20, 30, put(0, 5), Output::Committed).operation(40, 50, put(0, 5), Output::Committed))]
-#[case::an_unknown_command_that_took_effect(history().operation(0, 10, put(0, 5), Output::Unknown).operation(20, 30, Input::Read, read(5, &[])))]
-#[case::an_unknown_command_that_did_not(history().operation(0, 10, put(0, 5), Output::Committed).operation(11, 15, put(5, 7), Output::Unknown).operation(20, 30, Input::Read, read(5, &[])))]
-#[case::a_read_concurrent_with_a_command_sees_either(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 90, put(5, 7), Output::Committed).operation(21, 30, Input::Read, read(7, &[])).operation(31, 40, Input::Read, read(7, &[])))]
-#[case::evacuated_and_back(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 30, evacuate(), Output::Committed).operation(40, 50, Input::Read, read(5, &["z"])).operation(60, 70, end_evacuation(), Output::Committed).operation(80, 90, Input::Read, read(5, &[])))]
+#[case::one_after_the_other(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 30, put(5, 7), Output::Committed)
+        .operation(40, 50, Input::Read, read(7, &[]))
+)]
+#[case::two_concurrent_ones_with_one_winner(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 40, put(5, 7), Output::Committed)
+        .operation(21, 39, put(5, 8), Output::Conflict(7))
+)]
+#[case::a_retried_command(
+    history()
+        .operation(0, 10, put(0, 5), Output::Unknown)
+        .operation(20, 30, put(0, 5), Output::Committed)
+        .operation(40, 50, put(0, 5), Output::Committed)
+)]
+#[case::an_unknown_command_that_took_effect(
+    history()
+        .operation(0, 10, put(0, 5), Output::Unknown)
+        .operation(20, 30, Input::Read, read(5, &[]))
+)]
+#[case::an_unknown_command_that_did_not(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(11, 15, put(5, 7), Output::Unknown)
+        .operation(20, 30, Input::Read, read(5, &[]))
+)]
+#[case::a_read_concurrent_with_a_command_sees_either(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 90, put(5, 7), Output::Committed)
+        .operation(21, 30, Input::Read, read(7, &[]))
+        .operation(31, 40, Input::Read, read(7, &[]))
+)]
+#[case::evacuated_and_back(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 30, evacuate(), Output::Committed)
+        .operation(40, 50, Input::Read, read(5, &["z"]))
+        .operation(60, 70, end_evacuation(), Output::Committed)
+        .operation(80, 90, Input::Read, read(5, &[]))
+)]
 fn a_linearizable_history_passes(#[case] history: HistoryBuilder) {
     assert!(history.is_linearizable());
 }
 
 #[rstest]
-#[case::two_winners(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 40, put(5, 7), Output::Committed).operation(21, 39, put(5, 8), Output::Committed))]
-#[case::a_stale_read(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 30, put(5, 7), Output::Committed).operation(40, 50, Input::Read, read(5, &[])))]
-#[case::a_read_that_goes_back(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 90, put(5, 7), Output::Committed).operation(21, 30, Input::Read, read(7, &[])).operation(31, 40, Input::Read, read(5, &[])))]
-#[case::a_lost_command(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 30, put(0, 6), Output::Committed))]
-#[case::a_retried_command_that_is_rejected(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 30, put(0, 5), Output::Conflict(5)))]
-#[case::a_conflict_with_a_generation_that_never_was(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 30, put(5, 7), Output::Conflict(6)))]
-#[case::a_command_that_takes_effect_after_its_client_timed_out(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 30, evacuate(), Output::Unknown).operation(40, 50, evacuate(), Output::Committed).operation(60, 70, end_evacuation(), Output::Committed).operation(80, 90, Input::Read, read(5, &["z"])))]
-#[case::a_conflict_with_its_own_base(history().operation(0, 10, put(0, 5), Output::Committed).operation(20, 40, put(5, 7), Output::Conflict(5)))]
+#[case::two_winners(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 40, put(5, 7), Output::Committed)
+        .operation(21, 39, put(5, 8), Output::Committed)
+)]
+#[case::a_stale_read(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 30, put(5, 7), Output::Committed)
+        .operation(40, 50, Input::Read, read(5, &[]))
+)]
+#[case::a_read_that_goes_back(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 90, put(5, 7), Output::Committed)
+        .operation(21, 30, Input::Read, read(7, &[]))
+        .operation(31, 40, Input::Read, read(5, &[]))
+)]
+#[case::a_lost_command(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 30, put(0, 6), Output::Committed)
+)]
+#[case::a_retried_command_that_is_rejected(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 30, put(0, 5), Output::Conflict(5))
+)]
+#[case::a_conflict_with_a_generation_that_never_was(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 30, put(5, 7), Output::Conflict(6))
+)]
+#[case::a_command_that_takes_effect_after_its_client_timed_out(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 30, evacuate(), Output::Unknown)
+        .operation(40, 50, evacuate(), Output::Committed)
+        .operation(60, 70, end_evacuation(), Output::Committed)
+        .operation(80, 90, Input::Read, read(5, &["z"]))
+)]
+#[case::a_conflict_with_its_own_base(
+    history()
+        .operation(0, 10, put(0, 5), Output::Committed)
+        .operation(20, 40, put(5, 7), Output::Conflict(5))
+)]
 fn a_history_that_is_not_linearizable_fails(#[case] history: HistoryBuilder) {
     assert!(!history.is_linearizable());
 }
--- a/crates/control-simulation/tests/node_losses.rs
+++ b/crates/control-simulation/tests/node_losses.rs
@@ -135,7 +135,8 @@
                 .startup_ms(9_000)
                 .build();
             commit(&mut cluster, &put(0, 5));
-            // The command is in flight while the node is lost, which may have the only copy of what is not acknowledged yet.
+            // The command is in flight while the node is lost, which may have the only copy of what
+            // is not acknowledged yet.
             cluster.submit(lost, put(5, 6));
             cluster.run(step * 13);
             let newcomer = apply_first(&mut cluster, first, lost);
--- a/crates/control-simulation/tests/partitions.rs
+++ b/crates/control-simulation/tests/partitions.rs
@@ -9,6 +9,7 @@
 use rstest::rstest;
 use woadstall_control::machine::CallResponse;
 use woadstall_control::registry::UpstreamStatus;
+use woadstall_control_simulation::cluster::Cluster;
 use woadstall_control_simulation::network::{DELAYED_DELIVERY, NetworkConditions, STEADY};
 use woadstall_control_simulation::scenario::fixtures::{put, registration};
 
@@ -48,13 +49,31 @@
     }
 }
 
-/// Incident 1: a node is isolated for twenty seconds with commands and reads, and what it sent arrives after the partition.
+/// Sends a request of each kind to a node. Returns their tokens.
+fn send_all_requests(cluster: &mut Cluster, node: usize, generation: u64, second: u64) -> Vec<u64> {
+    let rival = put(generation, generation + 100 + second);
+    let evacuation = match second % 2 {
+        0 => evacuate(),
+        _ => end_evacuation(),
+    };
+    let draining = registration("i-1", second + 1, UpstreamStatus::Draining);
+    vec![
+        cluster.submit(node, rival),
+        cluster.submit(node, evacuation),
+        cluster.read(node),
+        cluster.register(node, draining),
+        cluster.deregister(node, "i-unknown"),
+    ]
+}
+
+/// Incident 1: a node is isolated for twenty seconds with commands and reads, and what it sent
+/// arrives after the partition.
 #[rstest]
 #[case::the_leader(true, STEADY)]
 #[case::a_follower(false, STEADY)]
 #[case::the_leader_with_delayed_delivery(true, DELAYED_DELIVERY)]
 #[case::a_follower_with_delayed_delivery(false, DELAYED_DELIVERY)]
-fn an_isolated_node_neither_commits_nor_rejects_nor_reads(
+fn an_isolated_node_confirms_and_rejects_nothing(
     #[case] is_leader: bool,
     #[case] conditions: NetworkConditions,
 ) {
@@ -67,38 +86,24 @@
         let others: Vec<usize> = (0..3).filter(|node| *node != isolated).collect();
         cluster.subscribe(isolated, 1);
         cluster.isolate(isolated);
-        let mut requests = Vec::new();
         let mut generation = 5;
         for second in 0..PARTITION_S {
-            requests.push(cluster.submit(isolated, put(generation, generation + 100 + second)));
-            requests.push(cluster.submit(
-                isolated,
-                if second % 2 == 0 {
-                    evacuate()
-                } else {
-                    end_evacuation()
-                },
-            ));
-            requests.push(cluster.read(isolated));
-            requests.push(cluster.register(
-                isolated,
-                registration("i-1", second + 1, UpstreamStatus::Draining),
-            ));
-            requests.push(cluster.deregister(isolated, "i-unknown"));
+            let requests = send_all_requests(&mut cluster, isolated, generation, second);
             let node = others[second as usize % 2];
             let next = cluster.submit(node, put(generation, generation + 2));
             cluster.run(CLIENT_TIMEOUT_MS);
             if cluster.responses.get(&next) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
-            for token in requests.drain(..) {
+            for token in requests {
                 assert_eq!(
                     cluster.responses.get(&token),
                     Some(&CallResponse::Indeterminate),
                     "seed {seed}, second {second}"
                 );
             }
-            // What arrives later than any connection keeps it can't be told from a new leader's messages.
+            // What arrives later than any connection keeps it can't be told from a new leader's
+            // messages.
             if second >= 2 && conditions.delayed_delivery_ms == 0 {
                 assert!(
                     !cluster.balancer(isolated, 1).in_quorum,
@@ -129,7 +134,8 @@
     }
 }
 
-/// Incident 1: an evacuation that has ended does not come into force again by messages that arrive late.
+/// Incident 1: an evacuation that has ended does not come into force again by messages that arrive
+/// late.
 #[test]
 fn a_delayed_evacuation_does_not_undo_later_commands() {
     for seed in 0..INCIDENT_SEEDS * 4 {
@@ -138,7 +144,7 @@
         let leader = cluster.leader().unwrap();
         let other = (leader + 1) % 3;
         // What this node sends to the leader is delayed.
-        cluster.network.partition_one_way(other, leader);
+        cluster.network.partition_direction(other, leader);
         let delayed = cluster.submit(other, evacuate());
         cluster.run(CLIENT_TIMEOUT_MS);
         assert_eq!(
--- a/crates/control-simulation/tests/random_scenarios.rs
+++ b/crates/control-simulation/tests/random_scenarios.rs
@@ -1,4 +1,5 @@
-//! Generated scenarios with all faults together, on small and large clusters. `WOADSTALL_SEEDS` sets the number of seeds.
+//! Generated scenarios with all faults together, on small and large clusters. `WOADSTALL_SEEDS`
+//! sets the number of seeds.
 
 mod common;
 
--- a/crates/control-simulation/tests/upstreams.rs
+++ b/crates/control-simulation/tests/upstreams.rs
@@ -115,7 +115,8 @@
     assert_eq!(cluster.process(1).unwrap().registrations().len(), 1);
 }
 
-/// Incident 3: upstreams that have gone, and said nothing more, do not come back when power fails everywhere.
+/// Incident 3: upstreams that have gone, and said nothing more, do not come back when power fails
+/// everywhere.
 #[rstest]
 #[case::drained(true)]
 #[case::deregistered_at_once(false)]
--- a/crates/fault-proxy/src/conditions.rs
+++ b/crates/fault-proxy/src/conditions.rs
@@ -13,17 +13,18 @@
     pub delay: Duration,
     /// The most that is added to the delay, drawn uniformly.
     pub jitter: Duration,
-    /// The fraction of datagrams that is lost, from 0 to 1. In a stream, a lost segment is retransmitted, which delays all behind
-    /// it.
+    /// The fraction of datagrams that is lost, from 0 to 1. In a stream, a lost segment is
+    /// retransmitted, which delays all behind it.
     pub loss: f64,
     /// The fraction of datagrams that is delivered twice, from 0 to 1.
     pub duplication: f64,
-    /// The fraction of datagrams that is reordered, from 0 to 1: they take the link's latency once more.
+    /// The fraction of datagrams that is reordered, from 0 to 1: they take the link's latency once
+    /// more.
     pub reordering: f64,
     /// The bandwidth in bytes per second; 0 for no limit.
     pub bytes_per_second: u64,
-    /// Whether the link is partitioned: nothing is delivered. Streams keep what was written until the partition ends, and new
-    /// ones do not come up.
+    /// Whether the link is partitioned: nothing is delivered. Streams keep what was written until
+    /// the partition ends, and new ones do not come up.
     pub partitioned: bool,
 }
 
--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -1,9 +1,10 @@
-//! Proxies on loopback through which the processes of a test reach each other, with faults by ordered pair of nodes: delay,
-//! jitter, loss, duplication, reordering, limited bandwidth, partitions in one direction or both, resets; TCP and UDP.
+//! Proxies on loopback through which the processes of a test reach each other, with faults by
+//! ordered pair of nodes: delay, jitter, loss, duplication, reordering, limited bandwidth,
+//! partitions in one direction or both, resets; TCP and UDP.
 //!
-//! The processes know nothing of it: they are given, or announce, addresses that lead through it, as behind an address
-//! translator. [`schedule`] decides when bytes are delivered, without input or output; the rest is sockets.
-//! `docs/cluster-test.md` has what this cannot show.
+//! The processes know nothing of it: they are given, or announce, addresses that lead through it,
+//! as behind an address translator. [`schedule`] decides when bytes are delivered, without input or
+//! output; the rest is sockets. `docs/cluster-test.md` has what this cannot show.
 
 mod conditions;
 mod counters;
--- a/crates/fault-proxy/src/proxy.rs
+++ b/crates/fault-proxy/src/proxy.rs
@@ -28,7 +28,8 @@
         }
     }
 
-    /// The address at which `from` reaches `to`, which listens for TCP at `target`. The same call gives the same address.
+    /// The address at which `from` reaches `to`, which listens for TCP at `target`. The same call
+    /// gives the same address.
     ///
     /// # Errors
     ///
@@ -48,8 +49,8 @@
         Ok(address)
     }
 
-    /// The addresses at which two nodes, each with a UDP socket of its own, reach each other: the first is the one that `one`
-    /// sends to and receives from, the second is `other`'s.
+    /// The addresses at which two nodes, each with a UDP socket of its own, reach each other: the
+    /// first is the one that `one` sends to and receives from, the second is `other`'s.
     ///
     /// # Errors
     ///
@@ -69,9 +70,10 @@
         self.state.set_sender(ip, node);
     }
 
-    /// The address at which all others reach `to`, which receives datagrams and streams at `target`. Senders are known by their
-    /// [assigned addresses](Self::assign_address). Streams come up here even over a partitioned link, and deliver nothing until
-    /// the partition ends, since many senders share one listener.
+    /// The address at which all others reach `to`, which receives datagrams and streams at
+    /// `target`. Senders are known by their [assigned addresses](Self::assign_address). Streams
+    /// come up here even over a partitioned link, and deliver nothing until the partition ends,
+    /// since many senders share one listener.
     ///
     /// # Errors
     ///
@@ -82,7 +84,8 @@
         Ok(address)
     }
 
-    /// Sets the conditions of a link from now on. What is in flight already keeps the time that it was given.
+    /// Sets the conditions of a link from now on. What is in flight already keeps the time that it
+    /// was given.
     pub fn set_conditions(&self, from: NodeId, to: NodeId, conditions: LinkConditions) {
         self.state.set_conditions(from, to, conditions);
     }
@@ -99,8 +102,8 @@
         self.state.reset_streams(from, to);
     }
 
-    /// Sets whether a node's process runs. While it does not, new streams to it are refused, as its host would: a proxy that
-    /// accepted them would tell callers that something has come up.
+    /// Sets whether a node's process runs. While it does not, new streams to it are refused, as its
+    /// host would: a proxy that accepted them would tell callers that something has come up.
     pub fn set_running(&self, node: NodeId, is_running: bool) {
         self.state.set_running(node, is_running);
     }
--- a/crates/fault-proxy/src/schedule.rs
+++ b/crates/fault-proxy/src/schedule.rs
@@ -1,10 +1,11 @@
-//! When bytes that enter a link are delivered at its other end. It is given the time, in nanoseconds of one clock, and the
-//! source of randomness.
+//! When bytes that enter a link are delivered at its other end. It is given the time, in
+//! nanoseconds of one clock, and the source of randomness.
 
 use crate::conditions::LinkConditions;
 use rand::{Rng, RngExt};
 
-/// What a lost segment costs a stream, in nanoseconds: TCP's least retransmission time-out on Linux.
+/// What a lost segment costs a stream, in nanoseconds: TCP's least retransmission time-out on
+/// Linux.
 pub const RETRANSMISSION_NS: u64 = 200_000_000;
 /// What a lost handshake costs, in nanoseconds: TCP's initial retransmission time-out (RFC 6298).
 pub const HANDSHAKE_RETRANSMISSION_NS: u64 = 1_000_000_000;
@@ -75,7 +76,8 @@
     }
 }
 
-/// How many nanoseconds a new stream takes to come up, over the link of its client and the one back.
+/// How many nanoseconds a new stream takes to come up, over the link of its client and the one
+/// back.
 pub fn handshake_ns(there: &LinkConditions, back: &LinkConditions, rng: &mut impl Rng) -> u64 {
     let is_lost = draw(rng, there.loss) || draw(rng, back.loss);
     let retransmission_ns = if is_lost {
@@ -101,7 +103,8 @@
         conditions: &LinkConditions,
         rng: &mut impl Rng,
     ) -> [Option<u64>; 2] {
-        // All draws are made for each datagram, so that one fault does not change which ones another fault affects.
+        // All draws are made for each datagram, so that one fault does not change which ones
+        // another fault affects.
         let is_lost = draw(rng, conditions.loss);
         let is_duplicated = draw(rng, conditions.duplication);
         let is_reordered = draw(rng, conditions.reordering);
--- a/crates/fault-proxy/src/shared.rs
+++ b/crates/fault-proxy/src/shared.rs
@@ -1,5 +1,5 @@
-//! One address at which many others reach a node, for datagrams and streams: senders are known by the address that they send
-//! from, as each has one of its own.
+//! One address at which many others reach a node, for datagrams and streams: senders are known by
+//! the address that they send from, as each has one of its own.
 
 use crate::schedule::DatagramSchedule;
 use crate::state::{LinkState, NodeId, SharedState};
--- a/crates/fault-proxy/src/state.rs
+++ b/crates/fault-proxy/src/state.rs
@@ -16,8 +16,8 @@
 pub struct NodeId(pub u32);
 
 impl NodeId {
-    /// The address on which proxies listen for a node. Linux routes all of 127.0.0.0/8 to itself, so that ports do not run out
-    /// at any.
+    /// The address on which proxies listen for a node. Linux routes all of 127.0.0.0/8 to itself,
+    /// so that ports do not run out at any.
     pub(crate) fn proxy_ip(self) -> IpAddr {
         let [_, _, high, low] = self.0.to_be_bytes();
         IpAddr::V4(Ipv4Addr::new(127, 77, high, low))
--- a/crates/fault-proxy/src/tcp/forward.rs
+++ b/crates/fault-proxy/src/tcp/forward.rs
@@ -13,7 +13,8 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// Bytes in flight in one direction of a stream at most; then its sender has to wait, as by a full TCP window.
+/// Bytes in flight in one direction of a stream at most; then its sender has to wait, as by a full
+/// TCP window.
 const WINDOW_BYTES: usize = 256 << 10;
 /// Bytes that are read at a time at most.
 const SEGMENT_BYTES: usize = 16 << 10;
@@ -31,7 +32,8 @@
     schedule: StreamSchedule,
     rng: ChaCha8Rng,
     buffer: BytesMut,
-    /// How the sender has ended its direction, once it has; that is delivered behind the bytes before it.
+    /// How the sender has ended its direction, once it has; that is delivered behind the bytes
+    /// before it.
     ended: Option<io::Result<()>>,
     in_flight: VecDeque<Segment>,
     in_flight_bytes: usize,
--- a/crates/fault-proxy/src/tcp/listener.rs
+++ b/crates/fault-proxy/src/tcp/listener.rs
@@ -11,8 +11,8 @@
 const BACKLOG: i32 = 1024;
 /// How long to wait until the address can be bound again.
 const REBIND_DELAY: Duration = Duration::from_millis(1);
-/// Streams that are opened to fill a backlog of length 0: it takes one, and a second one that does not come up shows that it is
-/// full.
+/// Streams that are opened to fill a backlog of length 0: it takes one, and a second one that does
+/// not come up shows that it is full.
 const MAX_FILLERS: usize = 3;
 /// How long a filler may take to come up.
 const FILLER_TIMEOUT: Duration = Duration::from_millis(20);
@@ -46,7 +46,8 @@
         self.fillers = Vec::new();
     }
 
-    /// Opens the listener again if it was closed. Returns whether it is open; if it cannot be yet, after a while.
+    /// Opens the listener again if it was closed. Returns whether it is open; if it cannot be yet,
+    /// after a while.
     pub(crate) async fn reopen(&mut self) -> bool {
         if self.listener.is_none() {
             match listen(self.address, BACKLOG) {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Lets the kernel complete handshakes again after they were ignored. The fillers are still to be accepted.
+    /// Lets the kernel complete handshakes again after they were ignored. The fillers are still to
+    /// be accepted.
     pub(crate) fn complete_handshakes(&self) {
         if let Some(listener) = &self.listener
             && !self.fillers.is_empty()
--- a/crates/fault-proxy/src/tcp/pair.rs
+++ b/crates/fault-proxy/src/tcp/pair.rs
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Forwards both directions until both have ended. Returns whether they have, and were not reset.
+    /// Forwards both directions until both have ended. Returns whether they have, and were not
+    /// reset.
     async fn forward_both_directions(&self, client: &TcpStream, server: &TcpStream) -> bool {
         let (mut there, mut back) = (self.there.clone(), self.back.clone());
         let resets_there = there.borrow().resets;
--- a/crates/fault-proxy/src/udp.rs
+++ b/crates/fault-proxy/src/udp.rs
@@ -25,7 +25,8 @@
     (SocketAddr, SocketAddr),
     impl Future<Output = ()> + Send + 'static,
 )> {
-    // What arrives at the socket for one leaves by the one for the other, so that each receives from where it sends to.
+    // What arrives at the socket for one leaves by the one for the other, so that each receives
+    // from where it sends to.
     let for_one = Arc::new(UdpSocket::bind(SocketAddr::new(one.0.proxy_ip(), 0)).await?);
     let for_other = Arc::new(UdpSocket::bind(SocketAddr::new(other.0.proxy_ip(), 0)).await?);
     let addresses = (for_one.local_addr()?, for_other.local_addr()?);
--- a/crates/fault-proxy/tests/overhead.rs
+++ b/crates/fault-proxy/tests/overhead.rs
@@ -1,4 +1,5 @@
-//! What a proxy costs: `cargo test --release -p woadstall-fault-proxy --test overhead -- --ignored --nocapture`.
+//! What a proxy costs: `cargo test --release -p woadstall-fault-proxy --test overhead -- --ignored
+//! --nocapture`.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -27,7 +28,8 @@
     durations[durations.len() / 2].as_secs_f64() * 1e6
 }
 
-/// Medians in microseconds: a call of 500 bytes there and back, and a connection with its first call.
+/// Medians in microseconds: a call of 500 bytes there and back, and a connection with its first
+/// call.
 async fn cost(at: SocketAddr) -> (f64, f64) {
     let mut stream = TcpStream::connect(at).await.unwrap();
     stream.set_nodelay(true).unwrap();
--- a/crates/fault-proxy/tests/schedule.rs
+++ b/crates/fault-proxy/tests/schedule.rs
@@ -28,8 +28,8 @@
 }
 
 proptest! {
-    /// However the conditions change, segments are delivered in order, not before their delay, and no faster than the
-    /// bandwidth.
+    /// However the conditions change, segments are delivered in order, not before their delay, and
+    /// no faster than the bandwidth.
     #[test]
     fn streams_keep_order_delay_and_bandwidth(seed: u64, segments in prop::collection::vec((0u64..20_000_000, 1usize..20_000, conditions()), 1..60)) {
         let (mut stream, mut rng) = (StreamSchedule::default(), ChaCha8Rng::seed_from_u64(seed));
@@ -55,7 +55,8 @@
     }
 }
 
-/// The shares that are lost, duplicated and reordered are those of the conditions, within four standard deviations.
+/// The shares that are lost, duplicated and reordered are those of the conditions, within four
+/// standard deviations.
 #[test]
 fn datagrams_are_lost_duplicated_and_reordered_in_the_given_shares() {
     const SENT: u32 = 20_000;
--- a/crates/fault-proxy/tests/sockets.rs
+++ b/crates/fault-proxy/tests/sockets.rs
@@ -50,8 +50,8 @@
     (from..from + count).flat_map(u32::to_be_bytes).collect()
 }
 
-/// 2,000 streams over a link partitioned in one direction: the other direction goes on, and after healing each has all that was
-/// written, in order.
+/// 2,000 streams over a link partitioned in one direction: the other direction goes on, and after
+/// healing each has all that was written, in order.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_partition_in_one_direction_keeps_the_other_and_loses_nothing() {
     let (listener, target) = listener().await;
@@ -99,7 +99,8 @@
     assert_eq!(proxy.counts().streams_opened, 2_000);
 }
 
-/// Over a partition in either direction no stream comes up, nor is it refused; after healing it does.
+/// Over a partition in either direction no stream comes up, nor is it refused; after healing it
+/// does.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn over_a_partition_no_stream_comes_up() {
     let (listener, target) = listener().await;
@@ -159,7 +160,8 @@
     found.await.expect("it is found");
 }
 
-/// A stream that is reset on one side is reset on the other: it does not end there as if all had been delivered.
+/// A stream that is reset on one side is reset on the other: it does not end there as if all had
+/// been delivered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn resets_are_forwarded_as_resets() {
     let (listener, target) = listener().await;
