--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -27,8 +27,8 @@
     /// The relay through which it was last reached: where few see both sides of a partition, they
     /// have to be asked again.
     pub reached_through: Option<Name>,
-    /// When it was last asked to relay a probe and did not reach the target; 0 if it did.
-    pub failed_relay_at: Timestamp,
+    /// When it was last asked to relay a probe, unless it has reached the target.
+    pub failed_relay_at: Option<Timestamp>,
 }
 
 impl Member {
@@ -43,7 +43,7 @@
             paths: Paths::default(),
             last_reached_at: None,
             reached_through: None,
-            failed_relay_at: 0,
+            failed_relay_at: None,
         }
     }
 
--- a/crates/membership/src/node/probing.rs
+++ b/crates/membership/src/node/probing.rs
@@ -252,7 +252,7 @@
         let name = probe.target.name.clone();
         self.last_successful_relay = Some(relay.name.clone());
         if let Some(member) = self.members.get_mut(&relay.name) {
-            member.failed_relay_at = 0;
+            member.failed_relay_at = None;
         }
         if let Some(member) = self.members.get_mut(&name) {
             member.reached_through = Some(relay.name.clone());
--- a/crates/membership/src/node/relaying.rs
+++ b/crates/membership/src/node/relaying.rs
@@ -18,6 +18,21 @@
     Third,
 }
 
+impl RelayZone {
+    fn contains(
+        self,
+        relay: &MemberMetadata,
+        local: &MemberMetadata,
+        target: &MemberMetadata,
+    ) -> bool {
+        match self {
+            Self::Target => relay.zone == target.zone,
+            Self::Local => relay.zone == local.zone,
+            Self::Third => relay.zone != local.zone && relay.zone != target.zone,
+        }
+    }
+}
+
 /// A relay of each zone comes before any more, so that a partition between two zones is not asked
 /// about across itself alone.
 const USUAL_ZONES: [RelayZone; 3] = [RelayZone::Target, RelayZone::Third, RelayZone::Local];
@@ -56,36 +71,26 @@
         let preferred = known.and_then(|member| member.reached_through.clone());
         let preferred = preferred.or_else(|| self.last_successful_relay.clone());
         let preferred = preferred.filter(|_| !plain_swim && max > 0);
-        let mut candidates = self.relay_candidates(now, &target.name);
-        let mut chosen = Vec::new();
-        let index = preferred.and_then(|name| {
-            let mut names = candidates.iter().map(|candidate| &candidate.name);
-            names.position(|candidate| *candidate == name)
-        });
-        if let Some(index) = index {
-            chosen.push(candidates.swap_remove(index));
-        }
         let zones = match is_doubtful {
             true => DOUBTFUL_ZONES,
             false => USUAL_ZONES,
         };
+        let mut candidates = self.relay_candidates(now, &target.name);
+        let mut chosen = Vec::new();
+        if let Some(name) = preferred {
+            chosen.extend(take_first(&mut candidates, |relay| relay.name == name));
+        }
         for zone in zones {
-            let mut ends = candidates
-                .iter()
-                .map(|relay| self.relay_zone(relay, target));
-            let index = ends.position(|ends| ends.is(zone));
-            if let Some(index) = index.filter(|_| chosen.len() < max) {
-                chosen.push(candidates.swap_remove(index));
+            if chosen.len() < max {
+                let is_there = |relay: &_| zone.contains(relay, &self.local, target);
+                chosen.extend(take_first(&mut candidates, is_there));
             }
         }
-        chosen.extend(
-            candidates
-                .into_iter()
-                .take(max.saturating_sub(chosen.len())),
-        );
+        let missing = max.saturating_sub(chosen.len());
+        chosen.extend(candidates.into_iter().take(missing));
         for relay in &chosen {
             if let Some(member) = self.members.get_mut(&relay.name) {
-                member.failed_relay_at = now;
+                member.failed_relay_at = Some(now);
             }
         }
         chosen
@@ -119,13 +124,6 @@
             .is_partitioned(now, self.observation_lifetime())
     }
 
-    fn relay_zone(&self, relay: &MemberMetadata, target: &MemberMetadata) -> RelayEnds {
-        RelayEnds {
-            is_local: relay.zone == self.local.zone,
-            is_target: relay.zone == target.zone,
-        }
-    }
-
     /// Relays a probe of another member.
     pub(super) fn handle_indirect_ping(
         &mut self,
@@ -189,18 +187,11 @@
     }
 }
 
-/// Whether a relay is in the zone of either end of a probe.
-struct RelayEnds {
-    is_local: bool,
-    is_target: bool,
-}
-
-impl RelayEnds {
-    fn is(&self, zone: RelayZone) -> bool {
-        match zone {
-            RelayZone::Target => self.is_target,
-            RelayZone::Local => self.is_local,
-            RelayZone::Third => !self.is_local && !self.is_target,
-        }
-    }
+/// Takes the first candidate that fits; the last one takes its place.
+fn take_first(
+    candidates: &mut Vec<MemberMetadata>,
+    fits: impl Fn(&MemberMetadata) -> bool,
+) -> Option<MemberMetadata> {
+    let index = candidates.iter().position(fits)?;
+    Some(candidates.swap_remove(index))
 }
