--- a/crates/control-simulation/src/scenario/run.rs
+++ b/crates/control-simulation/src/scenario/run.rs
@@ -7,7 +7,7 @@
 use crate::invariants::Violation;
 use thiserror::Error;
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 
 /// Milliseconds that a cluster has to elect a leader before the first step.
 const STARTUP_MS: u64 = 6_000;
@@ -34,7 +34,7 @@
     #[error("no configuration is committed after all faults have ended: {response:?}")]
     NotWritable {
         /// The response to the last one that was put, if there was any.
-        response: Option<Answer>,
+        response: Option<CallResponse>,
     },
     /// The cluster has not recovered: a node answers no read.
     #[error("node {node} cannot read the configuration after all faults have ended")]
@@ -143,7 +143,7 @@
             RequestStep::EndEvacuation { node, zone } => {
                 cluster.submit(
                     node,
-                    Command::Return {
+                    Command::EndEvacuation {
                         zone: zone_name(zone),
                     },
                 );
@@ -250,7 +250,7 @@
             last_response = self.cluster.responses.get(&token).cloned();
         }
         match last_response {
-            Some(Answer::Done) => Ok(()),
+            Some(CallResponse::Acknowledged) => Ok(()),
             response => Err(ScenarioError::NotWritable { response }),
         }
     }
@@ -259,7 +259,7 @@
         let token = self.cluster.read(node);
         self.cluster.run(RECOVERY_READ_MS);
         match self.cluster.responses.get(&token) {
-            Some(Answer::Document(_)) => Ok(()),
+            Some(CallResponse::Document(_)) => Ok(()),
             _ => Err(ScenarioError::NotReadable { node }),
         }
     }
--- a/crates/control-simulation/tests/node_losses.rs
+++ b/crates/control-simulation/tests/node_losses.rs
@@ -4,7 +4,7 @@
 
 use common::{CATCH_UP_MS, ClusterBuilder, SIX, THREE, assert_sound, commit, read_generation};
 use rstest::rstest;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 use woadstall_control_simulation::cluster::{Cluster, Topology};
 use woadstall_control_simulation::scenario::fixtures::put;
 
@@ -23,7 +23,7 @@
             while !cluster.responses.contains_key(&token) {
                 cluster.run(50);
             }
-            if cluster.responses[&token] == Answer::Done {
+            if cluster.responses[&token] == CallResponse::Acknowledged {
                 generation += 3;
             }
             let wiped = cluster.random.usize(..3);
@@ -150,7 +150,7 @@
             let victim = victims.cycle().nth(step as usize % 3).unwrap();
             let known = cluster.submit(victim, put(5, 6));
             cluster.run(500);
-            let acknowledged = cluster.responses.get(&known) == Some(&Answer::Done);
+            let acknowledged = cluster.responses.get(&known) == Some(&CallResponse::Acknowledged);
             apply_second(&mut cluster, second, victim);
             cluster.run(CATCH_UP_MS);
             let requests = (0..cluster.len())
--- a/crates/control/tests/loads.rs
+++ b/crates/control/tests/loads.rs
@@ -1,14 +1,14 @@
-//! What balancers tell each other of upstreams.
+//! Combining the reports of balancers.
 
 use rstest::rstest;
-use woadstall_control::loads::{FleetLoad, LoadReport, Loads, Placement, UpstreamLoad};
+use woadstall_control::loads::{FleetLoad, LoadReport, LoadReports, PrefixPlacement, UpstreamLoad};
 
 const UPSTREAM: u32 = 7;
 
 fn report(balancer: u32, zone: &str, unread: u32, is_failing: bool) -> LoadReport {
     let upstreams = vec![UpstreamLoad {
         upstream: UPSTREAM,
-        unread,
+        pending_prefill_tokens: unread,
         is_failing,
     }];
     LoadReport {
@@ -20,42 +20,42 @@
     }
 }
 
-fn told(loads: &Loads, zone: &str) -> Vec<FleetLoad> {
+fn loads_of(loads: &LoadReports, zone: &str) -> Vec<FleetLoad> {
     loads
-        .of_zone(zone, |other| other.starts_with('n'))
+        .for_zone(zone, |other| other.starts_with('n'))
         .upstreams
 }
 
 #[test]
-fn reading_is_summed_over_the_region_and_failures_over_the_zone() {
-    let mut loads = Loads::default();
-    loads.take(0, report(1, "n1", 4_000, true));
-    loads.take(0, report(2, "n1", 5_000, true));
-    loads.take(0, report(3, "n2", 6_000, true));
-    loads.take(0, report(4, "s1", 9_000, true));
+fn pending_prefill_is_summed_over_the_region_and_failures_over_the_zone() {
+    let mut loads = LoadReports::default();
+    loads.record(0, report(1, "n1", 4_000, true));
+    loads.record(0, report(2, "n1", 5_000, true));
+    loads.record(0, report(3, "n2", 6_000, true));
+    loads.record(0, report(4, "s1", 9_000, true));
     assert_eq!(
-        told(&loads, "n1"),
+        loads_of(&loads, "n1"),
         [FleetLoad {
             upstream: UPSTREAM,
-            unread: 15_000,
-            failing: 2
+            pending_prefill_tokens: 15_000,
+            failing_balancers: 2
         }]
     );
     assert_eq!(
-        told(&loads, "n2"),
+        loads_of(&loads, "n2"),
         [FleetLoad {
             upstream: UPSTREAM,
-            unread: 15_000,
-            failing: 1
+            pending_prefill_tokens: 15_000,
+            failing_balancers: 1
         }]
     );
 }
 
 #[test]
 fn a_report_replaces_the_former_one_of_its_balancer() {
-    let mut loads = Loads::default();
-    loads.take(0, report(1, "n1", 4_000, true));
-    loads.take(
+    let mut loads = LoadReports::default();
+    loads.record(0, report(1, "n1", 4_000, true));
+    loads.record(
         10,
         LoadReport {
             sequence: 11,
@@ -63,78 +63,79 @@
             ..report(1, "n1", 0, false)
         },
     );
-    assert!(told(&loads, "n1").is_empty());
-    // One that comes late changes nothing.
-    loads.take(20, report(1, "n1", 4_000, true));
-    assert!(told(&loads, "n1").is_empty());
+    assert!(loads_of(&loads, "n1").is_empty());
+    // A delayed report changes nothing.
+    loads.record(20, report(1, "n1", 4_000, true));
+    assert!(loads_of(&loads, "n1").is_empty());
 }
 
-/// A balancer that falls silent, or whose time of day has stepped back at a restart, is not believed for long nor shut out.
+/// The last report of a balancer expires, also for one whose time of day has stepped back at a
+/// restart.
 #[rstest]
-#[case::still_holds(800, 1)]
-#[case::has_aged(801, 0)]
-fn reports_age(#[case] now: u64, #[case] expected: usize) {
-    let mut loads = Loads::default();
-    loads.take(0, report(1, "n1", 4_000, true));
+#[case::valid(800, 1)]
+#[case::expired(801, 0)]
+fn reports_expire(#[case] now: u64, #[case] expected: usize) {
+    let mut loads = LoadReports::default();
+    loads.record(0, report(1, "n1", 4_000, true));
     loads.forget(now);
-    assert_eq!(told(&loads, "n1").len(), expected);
-    loads.take(
+    assert_eq!(loads_of(&loads, "n1").len(), expected);
+    loads.record(
         now,
         LoadReport {
             sequence: 1,
             ..report(1, "n1", 5_000, false)
         },
     );
-    let unread = told(&loads, "n1")[0].unread;
+    let unread = loads_of(&loads, "n1")[0].pending_prefill_tokens;
     assert_eq!(unread, if expected == 1 { 4_000 } else { 5_000 });
 }
 
 #[test]
 fn claims_without_measure_do_not_overflow() {
-    let mut loads = Loads::default();
-    loads.take(0, report(1, "n1", u32::MAX, true));
-    loads.take(0, report(2, "n1", u32::MAX, true));
-    assert_eq!(told(&loads, "n1")[0].unread, u32::MAX);
+    let mut loads = LoadReports::default();
+    loads.record(0, report(1, "n1", u32::MAX, true));
+    loads.record(0, report(2, "n1", u32::MAX, true));
+    assert_eq!(loads_of(&loads, "n1")[0].pending_prefill_tokens, u32::MAX);
 }
 
 #[test]
-fn placements_of_a_region_are_told_once_each() {
-    let mut loads = Loads::default();
-    let one = Placement {
+fn each_placement_of_a_region_is_passed_on_once() {
+    let mut loads = LoadReports::default();
+    let one = PrefixPlacement {
         number: 1,
         upstream: UPSTREAM,
-        beginning: 1,
-        tokens: 9_000,
-        own_tokens: 20,
+        prefix: 1,
+        prefix_tokens: 9_000,
+        suffix_tokens: 20,
     };
-    let other = Placement {
+    let other = PrefixPlacement {
         number: 2,
-        beginning: 2,
+        prefix: 2,
         ..one
     };
-    loads.take(
+    loads.record(
         0,
         LoadReport {
             placements: vec![one, other],
             ..report(1, "n1", 0, false)
         },
     );
-    loads.take(
+    loads.record(
         0,
         LoadReport {
             placements: vec![other],
             ..report(2, "n2", 0, false)
         },
     );
-    loads.take(
+    loads.record(
         0,
         LoadReport {
             placements: vec![one],
             ..report(3, "s1", 0, false)
         },
     );
-    let told = loads.of_zone("n2", |zone| zone.starts_with('n'));
-    assert_eq!(told.placements, [one, other]);
+    let combined = loads.for_zone("n2", |zone| zone.starts_with('n'));
+    assert_eq!(combined.placements, [one, other]);
     loads.forget(801);
-    assert!(loads.of_zone("n2", |_| true).is_empty());
+    assert!(loads.for_zone("n2", |_| true).is_empty());
 }
--- a/crates/node/src/core/pending_requests/tests.rs
+++ b/crates/node/src/core/pending_requests/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{ApiResponse, PendingRequests};
 use std::sync::mpsc::sync_channel;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 
 const URL: &str = "http://10.1.0.1:7000/v1/instances/i-1";
 
@@ -13,20 +13,23 @@
     assert_ne!(tokens[0], tokens[1]);
     let (responder, response) = sync_channel(1);
     pending.add(tokens[0], responder);
-    pending.complete(tokens[1], Answer::Unclear);
+    pending.complete(tokens[1], CallResponse::Indeterminate);
     assert!(response.try_recv().is_err(), "it is another request's");
-    pending.complete(tokens[0], Answer::Done);
+    pending.complete(tokens[0], CallResponse::Acknowledged);
     assert!(matches!(
         response.try_recv(),
-        Ok(ApiResponse::Machine(Answer::Done))
+        Ok(ApiResponse::Machine(CallResponse::Acknowledged))
     ));
-    pending.complete(tokens[0], Answer::Done);
+    pending.complete(tokens[0], CallResponse::Acknowledged);
     assert!(response.try_recv().is_err(), "it has its answer");
 }
 
 #[test]
 fn an_accepted_registration_gets_the_address_of_later_heartbeats() {
-    for (answer, is_accepted) in [(Answer::Done, true), (Answer::Unclear, false)] {
+    for (answer, is_accepted) in [
+        (CallResponse::Acknowledged, true),
+        (CallResponse::Indeterminate, false),
+    ] {
         let mut pending = PendingRequests::default();
         let token = pending.next_token();
         let (responder, response) = sync_channel(1);
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -18,7 +18,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{MissedTickBehavior, interval};
-use woadstall_control::machine::{Action, Answer, Machine};
+use woadstall_control::machine::{Action, CallResponse, ControlMachine};
 use woadstall_control::wire::Packet;
 
 /// How often the machine's clock advances.
@@ -38,7 +38,7 @@
 /// A core process while it runs.
 pub(super) struct Process {
     started: Instant,
-    machine: Machine,
+    machine: ControlMachine,
     peers: Peers,
     disk: Disk,
     /// The registry's version that was last given to the disk.
@@ -55,7 +55,7 @@
 impl Process {
     /// A process that has not begun to run.
     pub fn new(
-        machine: Machine,
+        machine: ControlMachine,
         disk: Disk,
         watcher: SettingsWatcher,
         events: EventSender,
@@ -102,7 +102,7 @@
                 }
                 _ = terminate.recv() => {
                     log::info!("shutdown_started signal=SIGTERM");
-                    self.machine.leave(self.now());
+                    self.machine.begin_shutdown(self.now());
                     shutdown_began = Some(Instant::now());
                 }
             }
@@ -140,21 +140,21 @@
         match event {
             Event::PeerConnected(address) => self.machine.link_up(now, &address),
             Event::Packet {
-                packet: Packet::Heartbeat(heartbeat),
+                packet: Packet::BalancerHeartbeat(heartbeat),
                 ..
-            } => self.machine.heartbeat(now, heartbeat),
-            Event::Packet { from, packet } => self.machine.packet(now, &from, packet),
+            } => self.machine.receive_heartbeat(now, heartbeat),
+            Event::Packet { from, packet } => self.machine.receive_packet(now, &from, packet),
             Event::Subscribe {
                 subscriber,
-                packet,
+                request,
                 queue,
             } => {
                 self.subscribers.insert(subscriber, queue);
-                self.machine.subscribe(now, subscriber, &packet);
+                self.machine.subscribe(now, subscriber, request);
             }
             Event::Unsubscribe(subscriber) => self.unsubscribe(subscriber),
             Event::RecordsPersisted(sequence) => self.machine.persisted(now, sequence),
-            Event::RegistrationsSaved(number) => self.machine.kept(now, number),
+            Event::RegistrationsSaved(number) => self.machine.registrations_persisted(now, number),
             Event::Api {
                 request,
                 received_at,
@@ -177,18 +177,21 @@
     ) {
         let is_order = matches!(request, ApiRequest::Order(_));
         if is_order && self.stalls.is_stale(Instant::now(), received_at) {
-            respond(&responder, ApiResponse::Machine(Answer::Unclear));
+            respond(
+                &responder,
+                ApiResponse::Machine(CallResponse::Indeterminate),
+            );
             return;
         }
         let token = self.pending_requests.next_token();
         match request {
             ApiRequest::Order(command) => {
                 self.pending_requests.add(token, responder);
-                self.machine.order(now, token, command);
+                self.machine.submit_command(now, token, command);
             }
             ApiRequest::ReadConfiguration => {
                 self.pending_requests.add(token, responder);
-                self.machine.read(now, token);
+                self.machine.read_configuration(now, token);
             }
             ApiRequest::Register(registration) => {
                 let heartbeat_url = self
@@ -248,8 +251,10 @@
                 Action::Disconnect { address } => self.peers.disconnect(&address),
                 Action::Send { address, packet } => self.peers.send(&address, &packet),
                 Action::Persist { sequence, record } => self.disk.persist(sequence, record),
-                Action::KeepRegistrations { number } => save_number = Some(number),
-                Action::Answer { token, answer } => self.pending_requests.complete(token, answer),
+                Action::PersistRegistrations { number } => save_number = Some(number),
+                Action::Respond { token, response } => {
+                    self.pending_requests.complete(token, response)
+                }
                 Action::Deliver {
                     subscribers,
                     packet,
@@ -266,7 +271,7 @@
     /// Sends a packet to subscribers, encoded once. One whose queue is full is disconnected; it
     /// reconnects and gets a snapshot.
     fn deliver(&mut self, subscribers: &[u64], packet: &Packet) {
-        let frame = Bytes::from(packet.frame());
+        let frame = Bytes::from(packet.encode());
         for subscriber in subscribers {
             let queue = self.subscribers.get(subscriber);
             if queue.is_some_and(|queue| queue.send(frame.clone()).is_err()) {
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -18,7 +18,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 use woadstall_control::configuration::{Configuration, Route, RouteType, Service};
-use woadstall_inbound::{BodyRoom, lock};
+use woadstall_inbound::{BodyMemory, lock};
 use woadstall_request_reports::Cause;
 use woadstall_routing::Prompt;
 use woadstall_transport::end_to_end;
@@ -76,7 +76,7 @@
     let timeout = request_timeout(request.headers(), &route);
     let (mut head, body) = request.into_parts();
     // Dropped, it gives the memory back: not before the request is answered or its stream begins.
-    let mut memory = BodyRoom::new(
+    let mut memory = BodyMemory::new(
         &front.body_bytes,
         front.settings.memory_bytes / BODY_MEMORY_DIVISOR,
     );
@@ -191,11 +191,17 @@
 
 /// One of the route's services, drawn by weight; `None` if it is not configured.
 fn pick_service(configuration: &Configuration, route: &Route) -> Option<Arc<Service>> {
-    let total: u64 = route.targets.iter().map(|(_, weight)| weight).sum();
+    let total: u64 = route.targets.iter().map(|target| target.weight).sum();
     let mut drawn = fastrand::u64(..total.max(1));
-    for (name, weight) in &route.targets {
-        match drawn.checked_sub(*weight) {
-            None => return configuration.services.get(name).cloned().map(Arc::new),
+    for target in &route.targets {
+        match drawn.checked_sub(target.weight) {
+            None => {
+                return configuration
+                    .services
+                    .get(&target.service)
+                    .cloned()
+                    .map(Arc::new);
+            }
             Some(remaining) => drawn = remaining,
         }
     }
@@ -205,7 +211,7 @@
 /// Receives a complete body.
 async fn read_body(
     mut body: Incoming,
-    memory: &mut BodyRoom<'_>,
+    memory: &mut BodyMemory<'_>,
     max_bytes: usize,
 ) -> Result<Bytes, BodyError> {
     if body.size_hint().lower() > max_bytes as u64 {
@@ -220,7 +226,7 @@
         if received.len() + data.len() > max_bytes {
             return Err(BodyError::TooLarge);
         }
-        if !memory.grow(data.len()) {
+        if !memory.reserve(data.len()) {
             return Err(BodyError::OutOfMemory);
         }
         received.extend_from_slice(&data);
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use support::{OWN, limits, registration};
 use woadstall_control::configuration::Configuration;
-use woadstall_control::loads::{FleetLoad, FleetLoads, Placement};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::loads::{FleetLoad, FleetLoads, PrefixPlacement};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{
     Decision, Fleet, Location, Outcome, Prompt, Query, Router, Target, UpstreamId,
@@ -27,11 +27,11 @@
 ];
 const UPSTREAMS_PER_ZONE: u64 = 5;
 const SERVICES: [&str; 2] = ["model", "plain"];
-const STATUSES: [Status; 4] = [
-    Status::Ready,
-    Status::Draining,
-    Status::Silent,
-    Status::Gone,
+const STATUSES: [UpstreamStatus; 4] = [
+    UpstreamStatus::Ready,
+    UpstreamStatus::Draining,
+    UpstreamStatus::TimedOut,
+    UpstreamStatus::Deregistered,
 ];
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Answered,
@@ -193,7 +193,7 @@
     fn request(&mut self) {
         let route = self.draws.below(self.configuration.routes.len() as u64) as usize;
         let route = self.configuration.routes[route].clone();
-        let service = self.configuration.services[&route.targets[0].0].clone();
+        let service = self.configuration.services[&route.targets[0].service].clone();
         let prompt = self.any_prompt();
         self.router.record_request(self.now, &service.name);
         let mut tried: Vec<UpstreamId> = Vec::new();
@@ -286,9 +286,9 @@
         let status = if self.draws.one_in(3) {
             STATUSES[self.draws.below(STATUSES.len() as u64) as usize]
         } else {
-            Status::Ready
+            UpstreamStatus::Ready
         };
-        let cold_remaining_ms = if self.draws.one_in(3) {
+        let slow_start_remaining_ms = if self.draws.one_in(3) {
             self.draws.below(4_000)
         } else {
             0
@@ -302,7 +302,7 @@
             id,
             status,
             sequence,
-            cold_remaining_ms,
+            slow_start_remaining_ms,
             capacity,
             ..base
         };
@@ -345,19 +345,19 @@
             let (unread, failing) = (self.draws.below(30_000) as u32, self.draws.below(4) as u16);
             loads.upstreams.push(FleetLoad {
                 upstream,
-                unread,
-                failing,
+                pending_prefill_tokens: unread,
+                failing_balancers: failing,
             });
             self.placement += 1;
             let number = self.placement - self.draws.below(2) as u32;
             let prefix_hash = self.draws.below(12) as u32;
             let tokens = 4_000 + 1_000 * prefix_hash;
-            loads.placements.push(Placement {
+            loads.placements.push(PrefixPlacement {
                 number,
                 upstream,
-                beginning: prefix_hash,
-                tokens,
-                own_tokens: 500,
+                prefix: prefix_hash,
+                prefix_tokens: tokens,
+                suffix_tokens: 500,
             });
         }
         self.router.set_fleet_loads(self.now, &loads);
@@ -366,18 +366,18 @@
     fn report_loads(&mut self) {
         for load in self.router.upstream_loads(self.now) {
             self.digest.number(u64::from(load.upstream));
-            self.digest.number(u64::from(load.unread));
+            self.digest.number(u64::from(load.pending_prefill_tokens));
             self.digest.number(u64::from(load.is_failing));
         }
         for placement in self.router.recent_placements(self.now) {
-            let Placement {
+            let PrefixPlacement {
                 number,
                 upstream,
-                beginning,
-                tokens,
-                own_tokens,
+                prefix,
+                prefix_tokens,
+                suffix_tokens,
             } = placement;
-            [number, upstream, beginning, tokens, own_tokens]
+            [number, upstream, prefix, prefix_tokens, suffix_tokens]
                 .into_iter()
                 .for_each(|field| self.digest.number(u64::from(field)));
         }
