--- a/crates/control-simulation/src/cluster/checks.rs
+++ b/crates/control-simulation/src/cluster/checks.rs
@@ -6,7 +6,7 @@
 use crate::invariants::{Violation, has_generation};
 use std::collections::BTreeMap;
 use woadstall_consensus::Member;
-use woadstall_control::registry::Status;
+use woadstall_control::registry::UpstreamStatus;
 
 impl Cluster {
     /// A configuration that is acknowledged is on the disks of a quorum.
@@ -36,8 +36,8 @@
         node.is_some_and(|node| has_generation(node.disk.durable(), generation))
     }
 
-    /// Checks, some time after all faults have ended, that each process and balancer knows what was acknowledged, and that the
-    /// history of operations is linearizable.
+    /// Checks, some time after all faults have ended, that each process and balancer knows what was
+    /// acknowledged, and that the history of operations is linearizable.
     pub fn check_all(&mut self) {
         (0..self.len()).for_each(|node| self.check_acknowledged(node));
         if let Err(not_linearizable) = self.history.check() {
@@ -50,7 +50,7 @@
             return;
         };
         let registrations = process.registrations().into_iter();
-        let statuses: BTreeMap<String, Status> = registrations
+        let statuses: BTreeMap<String, UpstreamStatus> = registrations
             .map(|registration| (registration.id, registration.status))
             .collect();
         self.invariants.check_acknowledged(node, &statuses);
--- a/crates/control-simulation/src/cluster/lifecycle.rs
+++ b/crates/control-simulation/src/cluster/lifecycle.rs
@@ -1,4 +1,5 @@
-//! Faults and operations on nodes: processes start, stop, crash and pause; disks stall, reject writes and are lost.
+//! Faults and operations on nodes: processes start, stop, crash and pause; disks stall, reject
+//! writes and are lost.
 
 use super::node::Node;
 use super::{Cluster, address};
@@ -8,8 +9,8 @@
 use crate::network::Link;
 use std::collections::BTreeMap;
 use woadstall_consensus::{DurableState, Member, Snapshot};
-use woadstall_control::machine::{Machine, MachineSettings};
-use woadstall_control::wire::ControlMachine;
+use woadstall_control::machine::{ControlMachine, MachineSettings};
+use woadstall_control::wire::MachineInfo;
 
 /// How often upstreams send heartbeats, in milliseconds.
 const UPSTREAM_HEARTBEAT_MS: u64 = 1_200;
@@ -26,8 +27,8 @@
         host.incarnation += 1;
         host.paused_until_ms = 0;
         let durable = host.disk.durable().clone();
-        let mut process = Machine::new(settings, durable, self.now_ms, seed);
-        process.remember(host.disk.registrations.clone());
+        let mut process = ControlMachine::new(settings, durable, self.now_ms, seed);
+        process.restore_registrations(host.disk.registrations.clone());
         host.process = Some(process);
         self.observe(Observation::Start, |digest| {
             digest.node(node).number(incarnation).number(seed)
@@ -41,7 +42,7 @@
     }
 
     fn settings(&self, node: NodeIndex, incarnation: u64) -> MachineSettings {
-        let machine = ControlMachine {
+        let machine = MachineInfo {
             member: Member {
                 id: self.disk(node).durable().id,
                 address: address(node),
@@ -65,7 +66,8 @@
         self.end(node, 0);
     }
 
-    /// Ends a process by a loss of power; a random part of what was not synced survives, perhaps torn.
+    /// Ends a process by a loss of power; a random part of what was not synced survives, perhaps
+    /// torn.
     pub fn crash(&mut self, node: NodeIndex) {
         let started = self.random.usize(..=self.nodes[node].disk.queued());
         self.end(node, started);
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Ends a process and replaces its disk by an empty one: the node comes back under a new replica id.
+    /// Ends a process and replaces its disk by an empty one: the node comes back under a new
+    /// replica id.
     pub fn wipe_disk(&mut self, node: NodeIndex) {
         self.stop(node);
         self.nodes[node].disk = SimulatedDisk::new(self.empty_disk_state());
@@ -150,7 +153,7 @@
 
     /// Notifies a process that it is about to be stopped.
     pub fn announce_shutdown(&mut self, node: NodeIndex) {
-        self.call(node, |process, now_ms, _| process.leave(now_ms));
+        self.call(node, |process, now_ms, _| process.begin_shutdown(now_ms));
     }
 
     /// Partitions a node from all others.
--- a/crates/control-simulation/src/cluster/time.rs
+++ b/crates/control-simulation/src/cluster/time.rs
@@ -1,4 +1,5 @@
-//! The passing of time: events of the queue, ticks of processes, and connections that come up and time out.
+//! The passing of time: events of the queue, ticks of processes, and connections that come up and
+//! time out.
 
 use super::event_queue::ScheduledEvent;
 use super::{Cluster, address};
@@ -13,7 +14,8 @@
 const SYNC_MS: u64 = 5;
 /// How long a process waits before it retries rejected writes, in milliseconds.
 const SYNC_RETRY_MS: u64 = 200;
-/// How long a packet takes that a partition has held back, once the partition ends, in milliseconds.
+/// How long a packet takes that a partition has held back, once the partition ends, in
+/// milliseconds.
 const RELEASE_MS: u64 = 1;
 
 impl Cluster {
@@ -42,7 +44,8 @@
         }
     }
 
-    /// Delivers packets whose partition has ended, resets connections that have timed out, and establishes others.
+    /// Delivers packets whose partition has ended, resets connections that have timed out, and
+    /// establishes others.
     fn update_connections(&mut self) {
         for (link, packets) in self.network.take_released() {
             for packet in packets {
@@ -149,9 +152,9 @@
             observed
                 .node(link.to)
                 .node(link.from)
-                .bytes(&packet.frame());
+                .bytes(&packet.encode());
         }
-        process.packet(self.now_ms, &address(link.from), packet);
+        process.receive_packet(self.now_ms, &address(link.from), packet);
         self.carry_out_actions(link.to);
     }
 
@@ -180,7 +183,9 @@
         };
         match synced {
             Some(Synced::Records(sequence)) => process.persisted(self.now_ms, sequence),
-            Some(Synced::Registrations(number)) => process.kept(self.now_ms, number),
+            Some(Synced::Registrations(number)) => {
+                process.registrations_persisted(self.now_ms, number)
+            }
             None if host.disk.has_rejected() || host.disk.queued() > 0 => {
                 let incarnation = host.incarnation;
                 self.schedule(SYNC_RETRY_MS, ScheduledEvent::Sync { node, incarnation });
--- a/crates/control-simulation/src/history/mod.rs
+++ b/crates/control-simulation/src/history/mod.rs
@@ -8,10 +8,10 @@
 use linearizability::check;
 use std::collections::{BTreeMap, BTreeSet};
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 
-/// How long a client waits for a response, in milliseconds. A command without a response takes effect within that time or
-/// never.
+/// How long a client waits for a response, in milliseconds. A command without a response takes
+/// effect within that time or never.
 pub const CLIENT_TIMEOUT_MS: u64 = 1_000;
 
 /// What an operation asks for.
@@ -48,7 +48,7 @@
                 }
             }
             Command::Evacuate { zone } => Self::Evacuate(zone.clone()),
-            Command::Return { zone } => Self::EndEvacuation(zone.clone()),
+            Command::EndEvacuation { zone } => Self::EndEvacuation(zone.clone()),
         }
     }
 }
@@ -73,15 +73,15 @@
 
 impl Output {
     /// The output of a response, given by a process in this state.
-    pub fn of(response: &Answer, generation: u64, evacuated: BTreeSet<String>) -> Self {
+    pub fn of(response: &CallResponse, generation: u64, evacuated: BTreeSet<String>) -> Self {
         match response {
-            Answer::Done => Self::Committed,
-            Answer::Conflict { current } => Self::Conflict(*current),
-            Answer::Document(_) => Self::Read {
+            CallResponse::Acknowledged => Self::Committed,
+            CallResponse::Conflict { current } => Self::Conflict(*current),
+            CallResponse::Document(_) => Self::Read {
                 generation,
                 evacuated,
             },
-            Answer::Invalid { .. } | Answer::Unclear => Self::Unknown,
+            CallResponse::Invalid { .. } | CallResponse::Indeterminate => Self::Unknown,
         }
     }
 }
--- a/crates/control-simulation/src/medium.rs
+++ b/crates/control-simulation/src/medium.rs
@@ -1,8 +1,9 @@
-//! The bytes of a simulated disk. When power fails, each write that was not synced may be there, missing or torn on its own.
+//! The bytes of a simulated disk. When power fails, each write that was not synced may be there,
+//! missing or torn on its own.
 
 use std::io;
 use std::path::PathBuf;
-use woadstall_storage::{Medium, SEGMENT_BYTES, SEGMENTS};
+use woadstall_storage::{SEGMENT_BYTES, SEGMENT_COUNT, StorageMedium};
 
 /// The unit of a disk, in bytes, that is written as a whole or not at all.
 const SECTOR_BYTES: usize = 512;
@@ -32,7 +33,7 @@
 impl SimulatedMedium {
     /// An empty disk.
     pub fn empty() -> Self {
-        let files = vec![Vec::new(); SEGMENTS];
+        let files = vec![Vec::new(); SEGMENT_COUNT];
         Self {
             visible: files.clone(),
             durable: files,
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Power fails: of each write that was not synced all, nothing, a beginning or single sectors are there.
+    /// Power fails: of each write that was not synced all, nothing, a beginning or single sectors
+    /// are there.
     pub fn lose_power(&mut self, random: &mut fastrand::Rng) {
         for UnsyncedWrite {
             file,
@@ -104,8 +106,8 @@
     }
 }
 
-impl Medium for SimulatedMedium {
-    fn read(&self, file: usize, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
+impl StorageMedium for SimulatedMedium {
+    fn read_at(&self, file: usize, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
         let offset = usize::try_from(offset).unwrap_or(usize::MAX);
         let rest = self.visible[file].get(offset..).unwrap_or_default();
         let length = rest.len().min(buffer.len());
@@ -113,7 +115,7 @@
         Ok(length)
     }
 
-    fn write(&mut self, file: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write_at(&mut self, file: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
         assert!(
             offset + bytes.len() as u64 <= SEGMENT_BYTES,
             "write beyond the end of a segment file"
@@ -157,7 +159,7 @@
         Ok(())
     }
 
-    fn name(&self, file: usize) -> PathBuf {
+    fn path(&self, file: usize) -> PathBuf {
         PathBuf::from(format!("segment-{file}"))
     }
 }
--- a/crates/control-simulation/tests/catch_up.rs
+++ b/crates/control-simulation/tests/catch_up.rs
@@ -4,7 +4,7 @@
 
 use common::{ClusterBuilder, assert_sound, commit, commit_at, read_generation};
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 use woadstall_control_simulation::network::{NetworkConditions, STEADY};
 use woadstall_control_simulation::scenario::fixtures::{configuration, put};
 
@@ -24,7 +24,7 @@
             let token = cluster.submit(node, put(generation, generation + 2));
             let time = cluster.random.u64(50..500);
             cluster.run(time);
-            if cluster.responses.get(&token) == Some(&Answer::Done) {
+            if cluster.responses.get(&token) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
             if cluster.random.u8(..6) == 0 {
@@ -66,8 +66,8 @@
     assert_eq!(read_generation(&mut cluster, 2), Some(COMMANDS * 2));
 }
 
-/// Incident 4: a member is isolated for 900 of 1,000 changes, gets its snapshot over a narrow link, crashes in the middle of
-/// it, and then is needed for a quorum.
+/// Incident 4: a member is isolated for 900 of 1,000 changes, gets its snapshot over a narrow link,
+/// crashes in the middle of it, and then is needed for a quorum.
 #[test]
 fn a_member_that_missed_hundreds_of_changes_catches_up_over_a_narrow_link() {
     const CHANGES: u64 = 1_000;
--- a/crates/control-simulation/tests/commands.rs
+++ b/crates/control-simulation/tests/commands.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 use woadstall_control::command::Command;
-use woadstall_control::machine::Answer;
+use woadstall_control::machine::CallResponse;
 use woadstall_control_simulation::cluster::Cluster;
 use woadstall_control_simulation::network::DELAYED_DELIVERY;
 use woadstall_control_simulation::scenario::fixtures::{configuration, put};
@@ -25,7 +25,10 @@
     let token = cluster.submit(node, put(0, 5));
     // Two round trips between regions: one to forward the command, one to replicate it.
     cluster.run(300);
-    assert_eq!(cluster.responses.get(&token), Some(&Answer::Done));
+    assert_eq!(
+        cluster.responses.get(&token),
+        Some(&CallResponse::Acknowledged)
+    );
     for other in 0..3 {
         assert_eq!(read_generation(&mut cluster, other), Some(5));
     }
@@ -41,7 +44,7 @@
     cluster.run(1_000);
     assert_eq!(
         cluster.responses.get(&again),
-        Some(&Answer::Done),
+        Some(&CallResponse::Acknowledged),
         "the same command again"
     );
 }
@@ -58,17 +61,18 @@
         let responses = [&cluster.responses[&one], &cluster.responses[&other]];
         let won = responses
             .iter()
-            .filter(|response| ***response == Answer::Done)
+            .filter(|response| ***response == CallResponse::Acknowledged)
             .count();
         let lost = responses
             .iter()
-            .filter(|response| matches!(response, Answer::Conflict { .. }))
+            .filter(|response| matches!(response, CallResponse::Conflict { .. }))
             .count();
         assert_eq!((won, lost), (1, 1), "{responses:?}");
     }
 }
 
-/// Incident 2: two operators choose one generation; and a command is retried after its response was lost.
+/// Incident 2: two operators choose one generation; and a command is retried after its response was
+/// lost.
 #[test]
 fn of_two_rival_configurations_one_is_committed_and_its_retries_are_never_rejected() {
     for seed in 0..INCIDENT_SEEDS * 2 {
@@ -98,7 +102,7 @@
             // The responses are lost: both retry at other nodes.
             let mut committed = BTreeSet::new();
             for (operator, token) in first.iter().enumerate() {
-                if cluster.responses.get(token) == Some(&Answer::Done) {
+                if cluster.responses.get(token) == Some(&CallResponse::Acknowledged) {
                     committed.insert(operator);
                 }
             }
@@ -108,8 +112,8 @@
                     let token = cluster.submit(node, rival.clone());
                     cluster.run(700);
                     match cluster.responses.get(&token) {
-                        Some(Answer::Done) => drop(committed.insert(operator)),
-                        Some(Answer::Conflict { .. }) => {
+                        Some(CallResponse::Acknowledged) => drop(committed.insert(operator)),
+                        Some(CallResponse::Conflict { .. }) => {
                             assert!(
                                 !committed.contains(&operator),
                                 "seed {seed}: committed, and rejected when retried"
@@ -132,7 +136,8 @@
     }
 }
 
-/// Incidents 2 and 5: what the leader responds to a former process of a node confirms nothing that the new one was asked for.
+/// Incidents 2 and 5: what the leader responds to a former process of a node confirms nothing that
+/// the new one was asked for.
 #[test]
 fn a_response_to_a_former_process_confirms_no_other_command() {
     let mut confirmed = 0;
@@ -157,7 +162,7 @@
             confirmed += 1;
             assert_ne!(
                 response,
-                Some(&Answer::Done),
+                Some(&CallResponse::Acknowledged),
                 "seed {seed}: generation 6 was never committed"
             );
         }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Golden bytes: each frame, each stored form and each hash that decides ownership is the one that is in use. A difference means
-//! that processes of two versions no longer understand each other, or that stored data can no longer be read.
+//! Golden bytes: each frame, each stored form and each hash that decides ownership is the one that
+//! is in use. A difference means that processes of two versions no longer understand each other, or
+//! that stored data can no longer be read.
 //!
 //! The fixtures hold one form a line, its name and its bytes in hexadecimal.
 
@@ -7,19 +8,21 @@
 use rstest::rstest;
 use std::fmt::{Debug, Write};
 use woadstall_consensus::{
-    Entry, EntryPayload, Member, Membership, Message, MessageBody, SnapshotChunk, SnapshotMeta,
+    AppendEntriesRequest, AppendEntriesResponse, Entry, EntryPayload, InstallSnapshotRequest,
+    InstallSnapshotResponse, LogPosition, Member, Membership, Message, MessageBody, SnapshotChunk,
+    SnapshotMeta, VoteRequest, VoteResponse,
 };
-use woadstall_control::balancers::{Heartbeat, StillThere};
-use woadstall_control::command::{Command, Outcome};
+use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal};
+use woadstall_control::command::{Command, CommandOutcome};
 use woadstall_control::configuration::Configuration;
-use woadstall_control::feed::Event;
-use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, Placement, UpstreamLoad};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::feed::FeedEvent;
+use woadstall_control::loads::{FleetLoad, FleetLoads, LoadReport, PrefixPlacement, UpstreamLoad};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::shards::{monitors, replica_group, shard_of, short_hash};
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::{
-    CallId, ControlMachine, HEAD_BYTES, LeaderTime, MOST_BYTES, Packet, Renewal, VERSION,
-    ZoneBalancers, decode_whole, frame,
+    CallId, HEADER_BYTES, LeaderTime, MAX_FRAME_BYTES, MachineInfo, Packet, Renewal,
+    SubscribeRequest, VERSION, ZoneBalancers, decode_frame, encode_frame,
 };
 
 const FRAMES: &str = include_str!("golden/frames.txt");
@@ -34,10 +37,10 @@
 
 /// The bytes of a form in a fixture.
 fn golden(fixture: &str, name: &str) -> Vec<u8> {
-    let line = fixture
+    let form = fixture
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    let digits = line.unwrap_or_else(|| panic!("the fixture has no form {name}"));
+    let digits = form.unwrap_or_else(|| panic!("the fixture has no form {name}"));
     (0..digits.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
@@ -54,10 +57,10 @@
 
 /// A packet is written as the fixture's frame, and that frame is read as the packet.
 fn assert_golden_frame(name: &str, packet: &Packet) {
-    assert_golden(FRAMES, name, &packet.frame());
+    assert_golden(FRAMES, name, &packet.encode());
     assert_eq!(
-        Packet::decode_datagram(&golden(FRAMES, name)).as_ref(),
-        Ok(packet)
+        Packet::decode_datagram(&golden(FRAMES, name)).unwrap(),
+        *packet
     );
 }
 
@@ -78,8 +81,8 @@
     }
 }
 
-fn control_machine(id: u64) -> ControlMachine {
-    ControlMachine {
+fn control_machine(id: u64) -> MachineInfo {
+    MachineInfo {
         member: member(id),
         zone: text("zone-1"),
         region: text("region-1"),
@@ -87,7 +90,7 @@
     }
 }
 
-fn registration(status: Status) -> Registration {
+fn registration(status: UpstreamStatus) -> Registration {
     Registration {
         id: text("i-1"),
         service: text("chat"),
@@ -96,14 +99,14 @@
         capacity: 64,
         sequence: 3,
         status,
-        cold_remaining_ms: 5_000,
+        slow_start_remaining_ms: 5_000,
         remaining_ms: 6_000,
         age_ms: 7,
     }
 }
 
-fn heartbeat() -> Heartbeat {
-    Heartbeat {
+fn heartbeat() -> BalancerHeartbeat {
+    BalancerHeartbeat {
         name: text("front-1"),
         incarnation: 11,
         sequence: 12,
@@ -113,13 +116,13 @@
     }
 }
 
-fn placement() -> Placement {
-    Placement {
+fn placement() -> PrefixPlacement {
+    PrefixPlacement {
         number: 1,
         upstream: 0xdead_beef,
-        beginning: 5,
-        tokens: 9_000,
-        own_tokens: 20,
+        prefix: 5,
+        prefix_tokens: 9_000,
+        suffix_tokens: 20,
     }
 }
 
@@ -142,74 +145,74 @@
 }
 
 fn order(command: Command) -> Packet {
-    Packet::Order {
+    Packet::ForwardedCommand {
         call: CALL,
         expires: LeaderTime { term: 3, at: 900 },
         command,
     }
 }
 
-fn outcome(outcome: Option<Outcome>) -> Packet {
-    Packet::OrderDone {
+fn outcome(outcome: Option<CommandOutcome>) -> Packet {
+    Packet::ForwardedCommandReply {
         call: CALL,
         outcome,
     }
 }
 
-fn events(events: Vec<Event>) -> Packet {
+fn events(events: Vec<FeedEvent>) -> Packet {
     Packet::Events { offset: 2, events }
 }
 
 #[rstest]
 #[case::hello("hello", Packet::Hello { machine: control_machine(1), known: vec![control_machine(1), control_machine(2)] })]
-#[case::join("join", Packet::Join(member(4)))]
-#[case::leaves("leaves", Packet::Leaves(4))]
+#[case::join("join", Packet::JoinRequest(member(4)))]
+#[case::leaves("leaves", Packet::ReplicaStopping(4))]
 #[case::registrations("registrations", Packet::Registrations { call: CALL, registrations: vec![
-    registration(Status::Ready),
-    registration(Status::Silent),
-    registration(Status::Draining),
-    registration(Status::Gone),
+    registration(UpstreamStatus::Ready),
+    registration(UpstreamStatus::TimedOut),
+    registration(UpstreamStatus::Draining),
+    registration(UpstreamStatus::Deregistered),
 ] })]
-#[case::registrations_taken("registrations_taken", Packet::RegistrationsTaken { call: CALL })]
+#[case::registrations_taken("registrations_taken", Packet::RegistrationsAck { call: CALL })]
 #[case::renewals("renewals", Packet::Renewals(vec![Renewal { id: text("i-1"), sequence: 4 }]))]
-#[case::balancers("balancers", Packet::Balancers(vec![heartbeat()]))]
-#[case::balancers_still_there("balancers_still_there", Packet::BalancersStillThere(vec![
-    StillThere { name: 1, incarnation: 2, sequence: 3 },
+#[case::balancers("balancers", Packet::BalancerHeartbeats(vec![heartbeat()]))]
+#[case::balancers_still_there("balancers_still_there", Packet::BalancerRenewals(vec![
+    BalancerRenewal { name: 1, incarnation: 2, sequence: 3 },
 ]))]
 #[case::order_put("order_put", order(put(b"{}")))]
 #[case::order_put_compressed("order_put_compressed", order(put(&large_body())))]
 #[case::order_patch("order_patch", order(Command::Patch { base: 2, body: b"{\"generation\":3}".to_vec() }))]
 #[case::order_evacuate("order_evacuate", order(Command::Evacuate { zone: text("zone-1") }))]
-#[case::order_return("order_return", order(Command::Return { zone: text("zone-1") }))]
+#[case::order_return("order_return", order(Command::EndEvacuation { zone: text("zone-1") }))]
 #[case::order_done_unclear("order_done_unclear", outcome(None))]
-#[case::order_done_accepted("order_done_accepted", outcome(Some(Outcome::Accepted)))]
-#[case::order_done_conflict("order_done_conflict", outcome(Some(Outcome::Conflict { current: 4 })))]
-#[case::order_done_invalid("order_done_invalid", outcome(Some(Outcome::Invalid { findings: text("a: is missing\n") })))]
-#[case::read("read", Packet::Read { call: CALL })]
-#[case::read_done("read_done", Packet::ReadDone { call: CALL, index: Some(4) })]
-#[case::read_done_unclear("read_done_unclear", Packet::ReadDone { call: CALL, index: None })]
-#[case::subscribe("subscribe", Packet::Subscribe { balancer: text("front-1"), epoch: 1, offset: 2, index: 3 })]
+#[case::order_done_accepted("order_done_accepted", outcome(Some(CommandOutcome::Accepted)))]
+#[case::order_done_conflict("order_done_conflict", outcome(Some(CommandOutcome::Conflict { current: 4 })))]
+#[case::order_done_invalid("order_done_invalid", outcome(Some(CommandOutcome::Invalid { findings: text("a: is missing\n") })))]
+#[case::read("read", Packet::ReadIndexRequest { call: CALL })]
+#[case::read_done("read_done", Packet::ReadIndexReply { call: CALL, index: Some(4) })]
+#[case::read_done_unclear("read_done_unclear", Packet::ReadIndexReply { call: CALL, index: None })]
+#[case::subscribe("subscribe", Packet::Subscribe(SubscribeRequest { balancer: text("front-1"), epoch: 1, offset: 2, applied: 3 }))]
 #[case::snapshot("snapshot", Packet::Snapshot {
     epoch: 1,
     offset: 2,
     state: vec![1, 2, 3],
-    registrations: vec![registration(Status::Ready)],
+    registrations: vec![registration(UpstreamStatus::Ready)],
 })]
-#[case::event_committed("event_committed", events(vec![Event::Committed { index: 1, command: put(b"{}") }]))]
-#[case::event_registered("event_registered", events(vec![Event::Registered(registration(Status::Draining))]))]
-#[case::events_compressed("events_compressed", events(vec![Event::Committed { index: 1, command: put(&large_body()) }]))]
-#[case::status("status", Packet::Status { in_quorum: true, machines: vec![control_machine(1)] })]
-#[case::balancing("balancing", Packet::Balancing(vec![ZoneBalancers { zone: text("zone-1"), balancers: vec![1, 2] }]))]
-#[case::heartbeat("heartbeat", Packet::Heartbeat(heartbeat()))]
-#[case::load("load", Packet::Load(LoadReport {
+#[case::event_committed("event_committed", events(vec![FeedEvent::Committed { index: 1, command: put(b"{}") }]))]
+#[case::event_registered("event_registered", events(vec![FeedEvent::Registered(registration(UpstreamStatus::Draining))]))]
+#[case::events_compressed("events_compressed", events(vec![FeedEvent::Committed { index: 1, command: put(&large_body()) }]))]
+#[case::status("status", Packet::MachineStatus { in_quorum: true, machines: vec![control_machine(1)] })]
+#[case::balancing("balancing", Packet::ActiveBalancers(vec![ZoneBalancers { zone: text("zone-1"), balancers: vec![1, 2] }]))]
+#[case::heartbeat("heartbeat", Packet::BalancerHeartbeat(heartbeat()))]
+#[case::load("load", Packet::LoadReport(LoadReport {
     balancer: 1,
     sequence: 2,
     zone: text("zone-1"),
-    upstreams: vec![UpstreamLoad { upstream: 3, unread: 4_000, is_failing: true }],
+    upstreams: vec![UpstreamLoad { upstream: 3, pending_prefill_tokens: 4_000, is_failing: true }],
     placements: vec![placement()],
 }))]
-#[case::loads("loads", Packet::Loads(FleetLoads {
-    upstreams: vec![FleetLoad { upstream: 3, unread: 4_000, failing: 2 }],
+#[case::loads("loads", Packet::FleetLoads(FleetLoads {
+    upstreams: vec![FleetLoad { upstream: 3, pending_prefill_tokens: 4_000, failing_balancers: 2 }],
     placements: vec![placement()],
 }))]
 fn packets_have_their_golden_frames(#[case] name: &str, #[case] packet: Packet) {
@@ -241,20 +244,19 @@
 }
 
 const HEAD: SnapshotMeta = SnapshotMeta {
-    index: 3,
-    term: 1,
+    last_log: LogPosition { index: 3, term: 1 },
     size: 20,
     checksum: 7,
 };
 
 #[rstest]
-#[case::vote("vote", MessageBody::Vote { pre: true, last_index: 5, last_term: 2, transfer: false })]
-#[case::vote_reply("vote_reply", MessageBody::VoteReply { pre: false, granted: true })]
-#[case::append("append", MessageBody::Append { previous_index: 4, previous_term: 1, entries: entries(), commit: 1, round: 9 })]
-#[case::append_reply("append_reply", MessageBody::AppendReply { success: true, index: 3, round: 9 })]
-#[case::install("install", MessageBody::Install { piece: SnapshotChunk { head: HEAD, offset: 8, bytes: vec![9; 12] }, round: 9 })]
-#[case::install_reply("install_reply", MessageBody::InstallReply { head: HEAD, received: 20, round: 9 })]
-#[case::elect("elect", MessageBody::Elect)]
+#[case::vote("vote", MessageBody::VoteRequest(VoteRequest { pre_vote: true, last_log: LogPosition { index: 5, term: 2 }, leadership_transfer: false }))]
+#[case::vote_reply("vote_reply", MessageBody::VoteResponse(VoteResponse { pre_vote: false, granted: true }))]
+#[case::append("append", MessageBody::AppendEntriesRequest(AppendEntriesRequest { previous: LogPosition { index: 4, term: 1 }, entries: entries(), leader_commit: 1, heartbeat_round: 9 }))]
+#[case::append_reply("append_reply", MessageBody::AppendEntriesResponse(AppendEntriesResponse { success: true, last_index: 3, heartbeat_round: 9 }))]
+#[case::install("install", MessageBody::InstallSnapshotRequest(InstallSnapshotRequest { chunk: SnapshotChunk { meta: HEAD, offset: 8, bytes: vec![9; 12] }, heartbeat_round: 9 }))]
+#[case::install_reply("install_reply", MessageBody::InstallSnapshotResponse(InstallSnapshotResponse { meta: HEAD, received_bytes: 20, heartbeat_round: 9 }))]
+#[case::elect("elect", MessageBody::TimeoutNow)]
 fn messages_of_the_log_have_their_golden_frames(#[case] name: &str, #[case] body: MessageBody) {
     let message = Message {
         from: 1,
@@ -270,23 +272,28 @@
 
 #[test]
 fn values_beside_packets_have_their_golden_frames() {
-    let value = registration(Status::Ready);
-    assert_golden(FRAMES, "value_registration", &frame(&value));
+    let value = registration(UpstreamStatus::Ready);
+    assert_golden(FRAMES, "value_registration", &encode_frame(&value));
     assert_eq!(
-        decode_whole(&golden(FRAMES, "value_registration")),
-        Ok(value)
+        decode_frame::<Registration>(&golden(FRAMES, "value_registration")).unwrap(),
+        value
     );
-    let many = vec![registration(Status::Draining); 40];
-    assert_golden(FRAMES, "value_registrations_compressed", &frame(&many));
-    assert_eq!(
-        decode_whole(&golden(FRAMES, "value_registrations_compressed")),
-        Ok(many)
+    let many = vec![registration(UpstreamStatus::Draining); 40];
+    assert_golden(
+        FRAMES,
+        "value_registrations_compressed",
+        &encode_frame(&many),
     );
+    let fixture = golden(FRAMES, "value_registrations_compressed");
+    assert_eq!(decode_frame::<Vec<Registration>>(&fixture).unwrap(), many);
 }
 
 #[test]
 fn a_frame_has_its_golden_limits() {
-    assert_eq!((VERSION, HEAD_BYTES, MOST_BYTES), (3, 12, 16_777_216));
+    assert_eq!(
+        (VERSION, HEADER_BYTES, MAX_FRAME_BYTES),
+        (3, 12, 16_777_216)
+    );
 }
 
 #[rstest]
@@ -297,7 +304,7 @@
 )]
 #[case::patch("command_patch", Command::Patch { base: 2, body: b"{}".to_vec() }, 0x6884_c946_4412_61ac_7da5_603a_5d28_2c43)]
 #[case::evacuate("command_evacuate", Command::Evacuate { zone: text("zone-1") }, 0xf300_7e87_a6b8_8da2_a194_1db3_0edb_a766)]
-#[case::a_return("command_return", Command::Return { zone: text("zone-1") }, 0xb852_55e1_18d0_abd6_b4bc_94bd_d1ce_35bf)]
+#[case::a_return("command_return", Command::EndEvacuation { zone: text("zone-1") }, 0xb852_55e1_18d0_abd6_b4bc_94bd_d1ce_35bf)]
 fn commands_have_their_golden_entries_and_digests(
     #[case] name: &str,
     #[case] command: Command,
@@ -308,11 +315,11 @@
 }
 
 #[rstest]
-#[case::ready("registration_ready", Status::Ready)]
-#[case::silent("registration_silent", Status::Silent)]
-#[case::draining("registration_draining", Status::Draining)]
-#[case::gone("registration_gone", Status::Gone)]
-fn registrations_have_their_golden_bytes(#[case] name: &str, #[case] status: Status) {
+#[case::ready("registration_ready", UpstreamStatus::Ready)]
+#[case::silent("registration_silent", UpstreamStatus::TimedOut)]
+#[case::draining("registration_draining", UpstreamStatus::Draining)]
+#[case::gone("registration_gone", UpstreamStatus::Deregistered)]
+fn registrations_have_their_golden_bytes(#[case] name: &str, #[case] status: UpstreamStatus) {
     assert_golden_value(name, &registration(status));
 }
 
@@ -332,7 +339,7 @@
         base: 0,
         body: DOCUMENT.as_bytes().to_vec(),
     };
-    assert_eq!(state.apply(2, &put), Outcome::Accepted);
+    assert_eq!(state.apply(2, &put), CommandOutcome::Accepted);
     assert_eq!(
         state.apply(
             3,
@@ -340,7 +347,7 @@
                 zone: text("zone-2")
             }
         ),
-        Outcome::Accepted
+        CommandOutcome::Accepted
     );
     assert_eq!(
         state.apply(
@@ -349,13 +356,13 @@
                 zone: text("zone-1")
             }
         ),
-        Outcome::Accepted
+        CommandOutcome::Accepted
     );
     let patch = Command::Patch {
         base: 5,
         body: b"{\"generation\":6}".to_vec(),
     };
-    assert_eq!(state.apply(5, &patch), Outcome::Accepted);
+    assert_eq!(state.apply(5, &patch), CommandOutcome::Accepted);
     state
 }
 
@@ -388,7 +395,7 @@
         base: 0,
         body: DOCUMENT.as_bytes().to_vec(),
     };
-    assert_eq!(read.apply(6, &again), Outcome::Accepted);
+    assert_eq!(read.apply(6, &again), CommandOutcome::Accepted);
     assert_eq!(read.generation(), 6);
 }
 
@@ -434,3 +441,18 @@
     let lines = format!("{shards:?}\n{names:?}\n{groups:?}\n{watched:?}\n");
     assert_eq!(lines, include_str!("golden/ownership.txt"));
 }
+
+/// The names stand in the log and in the JSON of a machine's status.
+#[test]
+fn statuses_have_their_golden_names() {
+    let all = [
+        UpstreamStatus::Ready,
+        UpstreamStatus::TimedOut,
+        UpstreamStatus::Draining,
+        UpstreamStatus::Deregistered,
+    ];
+    assert_eq!(
+        all.map(|status| status.to_string()),
+        ["Ready", "Silent", "Draining", "Gone"]
+    );
+}
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
-use woadstall_control::balancers::Heartbeat;
+use woadstall_control::balancers::BalancerHeartbeat;
 use woadstall_control::shards::{MONITORS, monitors};
 use woadstall_control::wire::Packet;
 
@@ -25,7 +25,7 @@
     };
     let incarnation = start_number();
     for sequence in 1.. {
-        let frame = Packet::Heartbeat(heartbeat(&front, incarnation, sequence)).frame();
+        let frame = Packet::BalancerHeartbeat(heartbeat(&front, incarnation, sequence)).encode();
         for monitor in monitor_addresses(&front) {
             socket.send_to(&frame, monitor).await.ok();
         }
@@ -35,9 +35,9 @@
     }
 }
 
-fn heartbeat(front: &Front, incarnation: u64, sequence: u64) -> Heartbeat {
+fn heartbeat(front: &Front, incarnation: u64, sequence: u64) -> BalancerHeartbeat {
     let address = front.settings.listen_address(Endpoint::Front);
-    Heartbeat {
+    BalancerHeartbeat {
         name: front.settings.node.clone(),
         incarnation,
         sequence,
--- a/crates/routing/src/placement_log.rs
+++ b/crates/routing/src/placement_log.rs
@@ -2,7 +2,7 @@
 //! near it.
 
 use std::collections::VecDeque;
-use woadstall_control::loads::Placement;
+use woadstall_control::loads::PrefixPlacement;
 
 /// The most placement numbers that are remembered to detect duplicates: those of all balancers of a
 /// region in the seconds in which they may be reported again.
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlacementLog {
     /// Those that this balancer made, with their times, oldest first.
-    own: VecDeque<(u64, Placement)>,
+    own: VecDeque<(u64, PrefixPlacement)>,
     /// The numbers of all known placements, oldest first.
     known: VecDeque<u32>,
     reports: Option<ReportSpan>,
@@ -38,7 +38,7 @@
 
 impl PlacementLog {
     /// Records a placement by this balancer.
-    pub fn record_own(&mut self, now: u64, placement: Placement) {
+    pub fn record_own(&mut self, now: u64, placement: PrefixPlacement) {
         self.own.push_back((now, placement));
         if self.own.len() > MAX_KNOWN {
             self.own.pop_front();
@@ -59,7 +59,7 @@
     }
 
     /// The newest placements of this balancer that are still to be reported, newest first.
-    pub fn recent(&mut self, now: u64) -> Vec<Placement> {
+    pub fn recent(&mut self, now: u64) -> Vec<PrefixPlacement> {
         while self
             .own
             .front()
--- a/crates/routing/src/router/eligibility.rs
+++ b/crates/routing/src/router/eligibility.rs
@@ -4,7 +4,7 @@
 use crate::query::Query;
 use crate::skip_reason::SkipReason;
 use crate::upstream::{Upstream, UpstreamId};
-use woadstall_control::registry::Status;
+use woadstall_control::registry::UpstreamStatus;
 
 /// Concurrent requests at an upstream over its capacity: those beyond its capacity wait in its
 /// queue, which costs them less than a rejection.
@@ -22,16 +22,16 @@
     /// The upstreams of a service that a request may go to at all, in the order of their
     /// registration.
     pub(super) fn allowed(&self, query: &Query<'_>) -> Vec<UpstreamId> {
-        let ready = self.allowed_with_status(query, Status::Ready);
+        let ready = self.allowed_with_status(query, UpstreamStatus::Ready);
         // Where all upstreams are unresponsive, the control plane may be what is cut off.
         if ready.is_empty() {
-            self.allowed_with_status(query, Status::Silent)
+            self.allowed_with_status(query, UpstreamStatus::TimedOut)
         } else {
             ready
         }
     }
 
-    fn allowed_with_status(&self, query: &Query<'_>, status: Status) -> Vec<UpstreamId> {
+    fn allowed_with_status(&self, query: &Query<'_>, status: UpstreamStatus) -> Vec<UpstreamId> {
         let Some(ids) = self.upstreams_by_service.get(&query.service.name) else {
             return Vec::new();
         };
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use support::{OWN, registration, request, router_with};
-use woadstall_control::registry::{Registration, Status};
+use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_routing::{Decision, Outcome, Prompt, Rejection, Router, WarmupQuota};
 
 fn zones_of(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
@@ -55,9 +55,9 @@
 }
 
 #[rstest]
-#[case::draining(Status::Draining)]
-#[case::gone(Status::Gone)]
-fn a_draining_or_gone_upstream_gets_no_request(#[case] status: Status) {
+#[case::draining(UpstreamStatus::Draining)]
+#[case::gone(UpstreamStatus::Deregistered)]
+fn a_draining_or_gone_upstream_gets_no_request(#[case] status: UpstreamStatus) {
     let mut router = router_with(&[("n", 2)]);
     router.register(
         0,
@@ -82,7 +82,7 @@
         router.register(
             0,
             &Registration {
-                status: Status::Silent,
+                status: UpstreamStatus::TimedOut,
                 ..registration(id, &id[..1])
             },
         );
@@ -244,7 +244,7 @@
     router.register(
         0,
         &Registration {
-            status: Status::Draining,
+            status: UpstreamStatus::Draining,
             sequence: 2,
             ..registration("n3", "n")
         },
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
-use woadstall_discovery::Listing;
+use woadstall_discovery::EndpointList;
 use woadstall_engine::Settings;
 use woadstall_operator_config::OperatorConfig;
-use woadstall_runtime::{Log, Setup};
+use woadstall_runtime::{LoadBalancerConfig, LogSink};
 use woadstall_settings::Names;
-use woadstall_transport::{Http1, Http2, Limits};
+use woadstall_transport::{Http1, Http2, Http2Limits};
 
 /// What is wrong with how a plug-in is set up; the text names what is at fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,12 +44,12 @@
     settings: Option<(Settings, Names)>,
     methods: Vec<(String, String)>,
     discovery: Option<SocketAddr>,
-    known: Listing,
+    known: EndpointList,
     seed: Option<u64>,
     protocol: Protocol,
     replay_limit: usize,
     connections: usize,
-    log: Log,
+    log: LogSink,
 }
 
 impl Default for Builder {
@@ -58,7 +58,7 @@
             settings: None,
             methods: Vec::new(),
             discovery: None,
-            known: Listing::default(),
+            known: EndpointList::default(),
             seed: None,
             protocol: Protocol::default(),
             replay_limit: 64 << 10,
@@ -109,7 +109,7 @@
     }
 
     /// The list of upstreams as it is known already; it may be old.
-    pub fn known(mut self, known: Listing) -> Self {
+    pub fn known(mut self, known: EndpointList) -> Self {
         self.known = known;
         self
     }
@@ -165,9 +165,9 @@
                 self.replay_limit,
             )),
             Protocol::Http2 => {
-                let limits = Limits {
-                    connections: self.connections,
-                    ..Limits::new(&names, idle)
+                let limits = Http2Limits {
+                    max_connections: self.connections,
+                    ..Http2Limits::new(&names, idle)
                 };
                 Wire::Http2(Http2::new(limits))
             }
@@ -175,16 +175,17 @@
         let seed = self
             .seed
             .unwrap_or_else(|| RandomState::new().build_hasher().finish());
-        let setup = Setup {
+        let setup = LoadBalancerConfig {
             settings,
             names,
             seed,
-            known: self.known,
+            known_endpoints: self.known,
         };
-        let balance = woadstall_runtime::Balance::new(setup, wire, self.log).map_err(BuildError)?;
+        let balance = woadstall_runtime::LoadBalancer::new(setup, wire, self.log)
+            .map_err(|error| BuildError(error.to_string()))?;
         let discovery = self.discovery.map(|address| {
             let (at, addresses) = watch::channel(address);
-            balance.follow(addresses);
+            balance.watch_discovery(addresses);
             at
         });
         Ok(Balance::new(
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -19,8 +19,8 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 use woadstall_inbound::lock;
-use woadstall_membership_net::Instances;
-use woadstall_runtime::Balance;
+use woadstall_membership_net::Membership;
+use woadstall_runtime::LoadBalancer;
 use woadstall_transport::Http1;
 
 /// Connections at most. One more takes the place of the oldest without a whole call, so that whoever holds
@@ -33,12 +33,12 @@
 
 /// What the operators' calls read and set.
 pub struct Admin {
-    balance: Balance<Http1>,
+    balance: LoadBalancer<Http1>,
     figures: Arc<Figures>,
     ready: watch::Receiver<bool>,
     stopping: watch::Receiver<bool>,
     away: watch::Sender<bool>,
-    instances: Option<Instances>,
+    instances: Option<Membership>,
     evacuating: Option<Evacuating>,
     calls: Mutex<BTreeMap<u64, Arc<Held>>>,
 }
@@ -53,11 +53,11 @@
 impl Admin {
     /// `away` turns true while clients are to be sent away.
     pub fn new(
-        balance: Balance<Http1>,
+        balance: LoadBalancer<Http1>,
         figures: Arc<Figures>,
         stopping: watch::Receiver<bool>,
         away: watch::Sender<bool>,
-        instances: Option<Instances>,
+        instances: Option<Membership>,
         evacuating: Option<Evacuating>,
     ) -> Self {
         let (ready, calls) = (balance.ready(), Mutex::default());
@@ -189,7 +189,7 @@
                 (Method::POST, StatusCode::OK, None)
             }
             "/control/instances" if self.instances.is_some() => {
-                let report = self.instances.as_ref().map(Instances::report);
+                let report = self.instances.as_ref().map(Membership::report);
                 match serde_json::to_string(&report) {
                     Ok(text) => (Method::GET, StatusCode::OK, Some(text + "\n")),
                     Err(error) => (
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use woadstall_decisions::api::Settings;
-use woadstall_discovery::Listing;
-use woadstall_membership_net::Setup;
+use woadstall_discovery::EndpointList;
+use woadstall_membership_net::MembershipConfig;
 use woadstall_operator_config::EvacuationConfig;
 use woadstall_settings::Names;
 
@@ -31,7 +31,7 @@
     /// Its name, if it was told one.
     pub name: Option<String>,
     /// Membership among balancers, where the operators' file has it.
-    pub instances: Option<Setup>,
+    pub instances: Option<MembershipConfig>,
     /// Leaving places as a fleet, where the operators' file has it.
     pub evacuation: Option<EvacuationConfig>,
     /// A folder that a successor shares, if there is one.
@@ -41,7 +41,7 @@
     /// What may be held.
     pub limits: Limits,
     /// The last list of upstreams.
-    pub known: Listing,
+    pub known: EndpointList,
     /// The settings of the decisions.
     pub settings: Settings,
     /// Their names.
@@ -68,7 +68,7 @@
     seed: String,
     limits: RawLimits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Value,
 }
 
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -10,9 +10,9 @@
     Coordinator, CoordinatorSettings, ListedServer, Order, OrderAction, Status, Topology,
 };
 use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt, SubjectKind};
-use woadstall_membership_net::Instances;
+use woadstall_membership_net::Membership;
 use woadstall_operator_config::EvacuationConfig;
-use woadstall_runtime::Balance;
+use woadstall_runtime::LoadBalancer;
 use woadstall_transport::Http1;
 
 /// A word for which no time is given ends after this.
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 pub struct Evacuating {
     coordinator: Arc<Mutex<Coordinator>>,
-    instances: Instances,
+    instances: Membership,
 }
 
 fn now_ms() -> u64 {
@@ -37,8 +37,8 @@
     pub fn start(
         file: &EvacuationConfig,
         config: &Config,
-        instances: Instances,
-        balance: Balance<Http1>,
+        instances: Membership,
+        balance: LoadBalancer<Http1>,
     ) -> Self {
         let zone = |name: &String| (name.clone(), file.regions.get(name).cloned());
         let zones: Vec<(String, Option<String>)> = config.names.zones.iter().map(zone).collect();
@@ -67,7 +67,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn run(self, balance: Balance<Http1>, every: Duration) {
+    async fn run(self, balance: LoadBalancer<Http1>, every: Duration) {
         let (mut turns, mut seen) = (interval(every), u64::MAX);
         turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -76,7 +76,7 @@
         }
     }
 
-    fn turn(&self, balance: &Balance<Http1>, seen: &mut u64) {
+    fn turn(&self, balance: &LoadBalancer<Http1>, seen: &mut u64) {
         let observations = balance.observations(*seen);
         let mut coordinator = self.coordinator();
         if let Some((changes, listed)) = observations.listed {
@@ -89,7 +89,7 @@
                 size: of.size.map(f64::from),
             }));
         }
-        let now = self.instances.look(|_, now| now);
+        let now = self.instances.with_node(|_, now| now);
         for seen in observations.ended {
             let id = AttemptId {
                 request: seen.id.0,
@@ -104,7 +104,7 @@
             };
             coordinator.record_completed(now, &saw);
         }
-        let out = observations.out.into_iter();
+        let out = observations.in_flight.into_iter();
         coordinator.record_pending(
             now,
             out.map(|out| PendingAttempt {
@@ -119,14 +119,14 @@
         );
         let (now, turn) = self
             .instances
-            .turn(|node, now| (now, coordinator.step(now, now_ms(), node)));
+            .with_node_mut(|node, now| (now, coordinator.step(now, now_ms(), node)));
         drop(coordinator);
         for line in turn.lines {
             super::log(format_args!("places: {line}"));
         }
         if !turn.verdicts.is_empty() {
             // The member's clock began with it; the module's is Unix time.
-            balance.told(|module| {
+            balance.apply_verdicts(|module| {
                 let until = |verdict: &HealthVerdict| module + verdict.until.saturating_sub(now);
                 turn.verdicts
                     .iter()
@@ -141,7 +141,7 @@
 
     /// What operators read.
     pub fn status(&self) -> Status {
-        let now = self.instances.look(|_, now| now);
+        let now = self.instances.with_node(|_, now| now);
         self.coordinator().status(now, now_ms())
     }
 
