--- a/crates/inbound/src/connection_state.rs
+++ b/crates/inbound/src/connection_state.rs
@@ -165,11 +165,11 @@
     /// Whether a complete request is owed for longer than `timeout`, a body stalls or comes too slowly after that, or a
     /// response stalls past its deadline. A connection that had a request may be idle.
     pub fn is_overdue(&self, timeout: Duration) -> bool {
-        self.is_response_overdue() || self.is_request_overdue(timeout)
+        let waited = self.waiting_since.elapsed();
+        self.is_response_overdue() || self.is_request_overdue(waited, timeout)
     }
 
-    fn is_request_overdue(&self, timeout: Duration) -> bool {
-        let waited = self.waiting_since.elapsed();
+    fn is_request_overdue(&self, waited: Duration, timeout: Duration) -> bool {
         if waited <= timeout {
             return false;
         }
@@ -180,9 +180,8 @@
                 let body_bytes = self.received - self.received_at_head;
                 let body_time = Duration::from_millis(body_bytes / MIN_BODY_RATE);
                 // What waits for hyper has come: it is not its client that stalls.
-                let has_stalled =
-                    self.buffered.is_empty() && self.last_read.elapsed() > STALL_TIMEOUT;
-                waited > timeout + body_time || has_stalled
+                waited > timeout + body_time
+                    || self.buffered.is_empty() && self.last_read.elapsed() > STALL_TIMEOUT
             }
         }
     }
--- a/crates/transport/src/http2/pool.rs
+++ b/crates/transport/src/http2/pool.rs
@@ -186,7 +186,8 @@
         let idle_timeout = self.limits.idle_timeout;
         for upstream in lock(&self.upstreams).values_mut() {
             upstream.connections.retain(|connection| {
-                !(connection.is_closing() || connection.is_idle_for(idle_timeout))
+                let is_idle = connection.is_idle_for(idle_timeout);
+                !(connection.is_closing() || is_idle)
             });
         }
     }
