--- /dev/null
+++ b/crates/cluster-test/src/commands.rs
@@ -0,0 +1,56 @@
+//! The subcommands. Each returns the exit code; a [`CommandError`] is printed and ends with code 3.
+
+mod compare;
+mod run;
+
+use crate::arguments::Command;
+use std::path::PathBuf;
+use tracing::warn;
+use woadstall_cluster_test::launch::{Limits, launch};
+use woadstall_cluster_test::{check_supported, remove_leftovers};
+use woadstall_emulator_cli::grid::{Set, Source};
+
+/// A file, a scenario or a program is wrong.
+pub type CommandError = Box<dyn std::error::Error>;
+
+/// Executes a subcommand.
+pub fn execute(command: Command) -> Result<u8, CommandError> {
+    match command {
+        Command::Run(arguments) => run::run(arguments),
+        Command::Compare(arguments) => compare::compare(&arguments),
+        Command::Check { scenarios } => check(&scenarios),
+        Command::Clean => {
+            let count = clean()?;
+            println!("{count} earlier runs had left something behind");
+            Ok(0)
+        }
+        Command::Launch {
+            parent,
+            sockets,
+            memory_mb,
+            program,
+        } => Err(launch(parent, Limits { sockets, memory_mb }, &program).into()),
+    }
+}
+
+fn check(scenarios: &[PathBuf]) -> Result<u8, CommandError> {
+    for path in scenarios {
+        let (scenario, _) = Source::read(path)?.with(&Set::new())?;
+        check_supported(&scenario).map_err(|error| format!("{}: {error}", path.display()))?;
+        println!("{}: can be played", path.display());
+    }
+    Ok(0)
+}
+
+/// Removes what earlier runs have left behind, and returns of how many.
+fn clean() -> Result<usize, CommandError> {
+    let leftovers = remove_leftovers(&std::env::temp_dir())?;
+    for leftover in &leftovers {
+        warn!(
+            folder = %leftover.folder.display(),
+            killed = leftover.processes.len(),
+            "leftovers of an earlier run removed"
+        );
+    }
+    Ok(leftovers.len())
+}
--- /dev/null
+++ b/crates/cluster-test/src/commands/run.rs
@@ -0,0 +1,135 @@
+//! `run`: plays a scenario and prints the result.
+
+use super::{CommandError, clean};
+use crate::arguments::RunArguments;
+use std::path::PathBuf;
+use tokio::runtime::Runtime;
+use tokio::signal::unix::{SignalKind, signal};
+use tracing::{info, warn};
+use woadstall_cluster_test::{
+    Options, RunError, RunResult, check_supported, results, run as run_scenario,
+};
+use woadstall_emulator::Scenario;
+use woadstall_emulator_cli::grid::{Key, Set, Source};
+use woadstall_emulator_cli::report::{self, Band};
+use woadstall_emulator_cli::rows::Row;
+
+const FAILED: u8 = 1;
+const TOO_SLOW: u8 = 4;
+const INTERRUPTED: u8 = 130;
+/// What rows name in place of the emulator's policy.
+const ROW_POLICY: &str = "rig";
+
+pub fn run(arguments: RunArguments) -> Result<u8, CommandError> {
+    let set: Set = arguments.set.iter().cloned().collect();
+    let (scenario, digest) = Source::read(&arguments.scenario)?.with(&set)?;
+    check_supported(&scenario)?;
+    clean()?;
+    let options = options(&arguments)?;
+    let played = play(scenario.clone(), &options)?;
+    if options.progress {
+        eprintln!();
+    }
+    let result = match played {
+        None => return Ok(INTERRUPTED),
+        Some(Err(RunError::TooSlow { up_after })) => {
+            warn_too_slow(&RunError::TooSlow { up_after }.to_string());
+            return Ok(TOO_SLOW);
+        }
+        Some(result) => result?,
+    };
+    let key = Key {
+        scenario: scenario.name.clone(),
+        digest,
+        set,
+        policy: ROW_POLICY.into(),
+        seed: arguments.seed,
+    };
+    let row = Row::new(key, result.end.clone(), Some(result.lag.clone()));
+    write_results(&arguments, &scenario, &result, row)?;
+    Ok(exit_code(&result))
+}
+
+fn options(arguments: &RunArguments) -> Result<Options, CommandError> {
+    let program = match &arguments.program {
+        Some(program) => program.clone(),
+        None => program_beside()?,
+    };
+    let program = program
+        .canonicalize()
+        .map_err(|error| format!("{}: {error}", program.display()))?;
+    Ok(Options {
+        program,
+        launcher: std::env::current_exe()?,
+        seed: arguments.seed,
+        violation: arguments.violation,
+        keep: arguments.keep,
+        progress: !arguments.json,
+    })
+}
+
+/// The program that was built together with this one.
+fn program_beside() -> Result<PathBuf, CommandError> {
+    let program = std::env::current_exe()?.with_file_name("woadstall");
+    if program.is_file() {
+        return Ok(program);
+    }
+    Err(format!(
+        "{}: not there; build it with `cargo build --release`, or name one with `--program`",
+        program.display()
+    )
+    .into())
+}
+
+/// Plays a scenario; `None` where it was interrupted.
+fn play(
+    scenario: Scenario,
+    options: &Options,
+) -> Result<Option<Result<RunResult, RunError>>, CommandError> {
+    let runtime = Runtime::new()?;
+    runtime.block_on(async {
+        let mut terminated = signal(SignalKind::terminate())?;
+        let mut interrupted = signal(SignalKind::interrupt())?;
+        // A run that is dropped here ends all its processes.
+        tokio::select! {
+            result = run_scenario(scenario, options) => Ok(Some(result)),
+            _ = terminated.recv() => Ok(None),
+            _ = interrupted.recv() => Ok(None),
+        }
+    })
+}
+
+fn write_results(
+    arguments: &RunArguments,
+    scenario: &Scenario,
+    result: &RunResult,
+    row: Row,
+) -> Result<(), CommandError> {
+    if arguments.json {
+        println!("{}", results::json(result, &row));
+    } else {
+        print!("{}", results::text(result, &row));
+    }
+    if let Some(out) = &arguments.out {
+        row.append(out)?;
+    }
+    if let Some(plot) = &arguments.plot {
+        report::write(plot, &report::page(&[row], &Band::of(scenario))?)?;
+    }
+    if let Some(logs) = &result.logs {
+        info!(folder = %logs.display(), "logs of the processes kept");
+    }
+    Ok(())
+}
+
+fn exit_code(result: &RunResult) -> u8 {
+    if let Some(reason) = result.too_slow() {
+        warn_too_slow(&reason);
+        return TOO_SLOW;
+    }
+    if result.is_passed() { 0 } else { FAILED }
+}
+
+fn warn_too_slow(reason: &str) {
+    warn!(reason, "too slow, no verdict");
+}
--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -1,288 +1,241 @@
-//! The script of faults: to the same nodos and balancers as in the lab's run of the same seed.
+//! The scenario's faults: each is applied when it is due, to the same upstreams and balancers as in the emulator's run of
+//! the same seed, and reverted when it is over.
 
-use crate::fleet::{Fleet, Hit, all_end};
-use crate::ways;
+mod power_loss;
+mod rolling;
+
+use crate::error::ClusterError;
+use crate::fleet::endpoint_list::{GONE, IN_SERVICE};
+use crate::fleet::{FaultTargets, Fleet};
+use crate::tasks::join_all;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use woadstall_emulator::{Actor, Fault, Files, What, sample, stream};
 use woadstall_load_test::lock;
-use woadstall_load_test::script::{GONE, TOPPLED};
+use woadstall_load_test::script::TOPPLED;
 
-/// How long a process that is told to stop may take beyond its callers' time.
-const STOPS: Duration = Duration::from_secs(5);
+/// How often upstreams are checked for having crashed under overload.
+const CRASH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Fleet {
-    /// Plays all faults, each in its time. Ends with the last of them, and with the first that failed.
-    pub async fn play(self: Arc<Self>) -> Result<(), String> {
+    /// Applies all faults. Returns with the first that failed; otherwise it runs until it is dropped.
+    ///
+    /// # Errors
+    ///
+    /// Where a process cannot be started again, or its files not be damaged.
+    pub async fn run_faults(self: Arc<Self>) -> Result<(), ClusterError> {
         let mut faults = JoinSet::new();
-        for at in 0..self.scenario.fault.len() {
-            faults.spawn(self.clone().fault(at));
+        for index in 0..self.scenario.fault.len() {
+            faults.spawn(self.clone().run_fault(index));
         }
-        faults.spawn(self.clone().pick_up());
-        all_end(faults).await
+        faults.spawn(self.clone().restart_crashed_upstreams());
+        join_all(faults).await
     }
 
-    /// Nodos that fell over come back, unless a fault holds them down.
-    async fn pick_up(self: Arc<Self>) -> Result<(), String> {
-        let mut coming = JoinSet::new();
+    /// Restarts upstreams that crashed under overload, unless a fault keeps them down.
+    async fn restart_crashed_upstreams(self: Arc<Self>) -> Result<(), ClusterError> {
+        let mut restarts = JoinSet::new();
         loop {
-            sleep(Duration::from_millis(100)).await;
-            for nodo in 0..self.nodos.len() as u32 {
-                if !self.nodos[nodo as usize].has_fallen() {
+            sleep(CRASH_CHECK_INTERVAL).await;
+            for upstream in 0..self.upstreams.len() as u32 {
+                if !self.upstreams[upstream as usize].has_fallen() {
                     continue;
                 }
-                self.kill_nodo(nodo);
+                self.kill_upstream(upstream);
                 let fleet = self.clone();
-                coming.spawn(async move {
+                restarts.spawn(async move {
                     sleep(TOPPLED).await;
-                    if fleet.is_held_down(nodo) {
-                        Ok(())
-                    } else {
-                        fleet.boot_nodo(nodo).await
+                    if fleet.is_kept_down(upstream) {
+                        return Ok(());
                     }
+                    fleet.restart_upstream(upstream).await
                 });
             }
-            while let Some(ended) = coming.try_join_next() {
-                ended.map_err(|error| error.to_string())??;
+            while let Some(ended) = restarts.try_join_next() {
+                ended??;
             }
         }
     }
 
-    fn is_held_down(&self, nodo: u32) -> bool {
+    /// Whether a fault that is in force has killed an upstream.
+    fn is_kept_down(&self, upstream: u32) -> bool {
         let kills = |what: &What| matches!(what, What::Kill { .. } | What::PowerLoss { .. });
-        let in_force = lock(&self.in_force);
-        let mut all = self.scenario.fault.iter().zip(in_force.iter());
-        all.any(|(fault, hit)| {
-            kills(&fault.what) && hit.as_ref().is_some_and(|hit| hit.nodos.contains(&nodo))
+        let active = lock(&self.active_faults);
+        let mut faults = self.scenario.fault.iter().zip(active.iter());
+        faults.any(|(fault, targets)| {
+            let targets = targets.as_ref();
+            kills(&fault.what)
+                && targets.is_some_and(|targets| targets.upstreams.contains(&upstream))
         })
     }
 
-    /// What a fault hits: the lab's draws from among the same.
-    fn hit(&self, at: usize) -> Hit {
-        let fault = &self.scenario.fault[at];
+    /// What a fault hits: the same random numbers as in the emulator, and the same candidates.
+    fn draw_targets(&self, index: usize) -> FaultTargets {
+        let fault = &self.scenario.fault[index];
         let tier = fault
             .tier
             .as_ref()
             .and_then(|name| self.scenario.tier(name))
             .unwrap_or(0);
         let zone = self.scenario.zone(&fault.zone).unwrap_or(None);
-        let is_there = |other: u8| zone.is_none_or(|zone| zone == other);
-        let can_be = |nodo: &u32| {
-            let nodo = &self.nodos[*nodo as usize];
-            nodo.is_alive() && is_there(nodo.listing().zone)
-        };
-        let nodos: Vec<u32> = self.of_tier(tier).filter(can_be).collect();
-        let places = self.balancers.iter().map(|balancer| balancer.place);
-        let balancers: Vec<u32> = places
-            .filter(|place| place.tier == tier && is_there(place.zone))
-            .map(|place| place.number)
+        let is_in_zone = |other: u8| zone.is_none_or(|zone| zone == other);
+        let upstreams: Vec<u32> = self
+            .upstreams_of_tier(tier)
+            .filter(|&number| {
+                let upstream = &self.upstreams[number as usize];
+                upstream.is_alive() && is_in_zone(upstream.listing().zone)
+            })
+            .collect();
+        let balancers: Vec<u32> = self
+            .balancers
+            .iter()
+            .map(|balancer| balancer.placement)
+            .filter(|placement| placement.tier == tier && is_in_zone(placement.zone))
+            .map(|placement| placement.number)
             .collect();
-        let mut rng = stream(self.seed, Actor::Fault, fault.place.unwrap_or(at as u32));
-        let nodos = sample(&mut rng, &nodos, fault.part);
-        Hit {
-            nodos,
+        let mut rng = stream(self.seed, Actor::Fault, fault.place.unwrap_or(index as u32));
+        FaultTargets {
+            upstreams: sample(&mut rng, &upstreams, fault.part),
             balancers: sample(&mut rng, &balancers, fault.part),
         }
     }
 
-    async fn fault(self: Arc<Self>, at: usize) -> Result<(), String> {
-        let fault = self.scenario.fault[at].clone();
+    /// Waits for a fault, applies it and reverts it.
+    async fn run_fault(self: Arc<Self>, index: usize) -> Result<(), ClusterError> {
+        let fault = self.scenario.fault[index].clone();
         self.script.begin_of(&fault).await;
-        let hit = self.hit(at);
-        lock(&self.in_force)[at] = Some(hit.clone());
-        tracing::debug!(fault = at + 1, nodos = ?hit.nodos, balancers = ?hit.balancers, "begins");
+        let targets = self.draw_targets(index);
+        lock(&self.active_faults)[index] = Some(targets.clone());
+        tracing::debug!(
+            fault = index + 1,
+            upstreams = ?targets.upstreams,
+            balancers = ?targets.balancers,
+            "fault begins"
+        );
         match &fault.what {
-            What::Kill { .. } => self.killed(&fault, at, hit).await,
+            What::Kill { .. } => self.kill_for_a_while(&fault, index, &targets).await,
             What::PowerLoss { stale, over, files } => {
-                let (stale, over) = (Duration::from_nanos(stale.0), Duration::from_nanos(over.0));
-                self.without_power(&fault, at, hit, (stale, over, *files))
-                    .await
+                let settings = power_loss::Settings {
+                    staleness: Duration::from_nanos(stale.0),
+                    boot_spread: Duration::from_nanos(over.0),
+                    files: *files,
+                };
+                self.lose_power(&fault, index, &targets, settings).await
             }
-            What::Roll => self.rolled(&fault, hit).await,
+            What::Roll => self.roll_upstreams(&fault, &targets).await,
+            What::RollBalancers => self.roll_balancers(&fault, &targets).await,
             What::Restart { stale, files } => {
-                hit.balancers
-                    .iter()
-                    .for_each(|&balancer| self.kill_balancer(balancer));
-                self.spoil_files(&hit.balancers, *files)?;
-                self.script.end_of(&fault).await;
-                self.start_balancers(&hit.balancers, Duration::from_nanos(stale.0))
+                let staleness = Duration::from_nanos(stale.0);
+                self.kill_and_start_balancers(&fault, &targets, staleness, *files)
                     .await
             }
-            What::RollBalancers => self.rolled_balancers(&fault, hit).await,
-            What::Stall => {
-                self.stand_still(&hit.balancers, true);
-                self.script.end_of(&fault).await;
-                self.stand_still(&hit.balancers, false);
-                Ok(())
-            }
-            What::Stop => {
-                hit.nodos
-                    .iter()
-                    .for_each(|&nodo| self.nodos[nodo as usize].stop(true));
+            What::CutTo | What::CutFrom | What::SlowLink(_) | What::Link(_) | What::Between(_) => {
+                self.update_links();
                 self.script.end_of(&fault).await;
-                hit.nodos
-                    .iter()
-                    .for_each(|&nodo| self.nodos[nodo as usize].stop(false));
+                lock(&self.active_faults)[index] = None;
+                self.update_links();
                 Ok(())
             }
-            What::PadronSilent => {
-                self.silence(true);
+            _ => {
+                self.set_fault(&fault.what, &targets, true);
                 self.script.end_of(&fault).await;
-                self.silence(false);
+                self.set_fault(&fault.what, &targets, false);
                 Ok(())
             }
+        }
+    }
+
+    /// Applies or reverts a fault that no process has to be started for.
+    fn set_fault(&self, what: &What, targets: &FaultTargets, active: bool) {
+        let upstreams = || {
+            let numbers = targets.upstreams.iter();
+            numbers.map(|&number| &self.upstreams[number as usize])
+        };
+        match what {
+            What::Stall => self.set_suspended(&targets.balancers, active),
+            What::Stop => upstreams().for_each(|upstream| upstream.stop(active)),
+            What::PadronSilent => self.set_agents_unresponsive(active),
             What::PadronWrong => {
-                let listed = |state| {
-                    let listed = hit
-                        .nodos
-                        .iter()
-                        .filter(|&&nodo| self.nodos[nodo as usize].is_alive());
-                    listed.for_each(|&nodo| self.list(nodo, state));
-                };
-                listed("gone");
-                self.script.end_of(&fault).await;
-                listed("in_service");
-                Ok(())
-            }
-            what if Self::is_of_ways(what) => {
-                self.set_ways();
-                self.script.end_of(&fault).await;
-                lock(&self.in_force)[at] = None;
-                self.set_ways();
-                Ok(())
-            }
-            what => {
-                hit.nodos
-                    .iter()
-                    .for_each(|&nodo| self.nodos[nodo as usize].ail(what, true));
-                self.script.end_of(&fault).await;
-                hit.nodos
-                    .iter()
-                    .for_each(|&nodo| self.nodos[nodo as usize].ail(what, false));
-                Ok(())
+                let state = if active { GONE } else { IN_SERVICE };
+                for &number in &targets.upstreams {
+                    if self.upstreams[number as usize].is_alive() {
+                        self.set_listed_state(number, state);
+                    }
+                }
             }
+            what => upstreams().for_each(|upstream| upstream.ail(what, active)),
         }
     }
 
-    async fn killed(&self, fault: &Fault, at: usize, hit: Hit) -> Result<(), String> {
-        hit.nodos.iter().for_each(|&nodo| self.kill_nodo(nodo));
-        self.script.noticed(fault).await;
-        hit.nodos.iter().for_each(|&nodo| self.list(nodo, "gone"));
-        self.script.end_of(fault).await;
-        lock(&self.in_force)[at] = None;
-        for &nodo in &hit.nodos {
-            self.boot_nodo(nodo).await?;
+    async fn kill_for_a_while(
+        &self,
+        fault: &Fault,
+        index: usize,
+        targets: &FaultTargets,
+    ) -> Result<(), ClusterError> {
+        for &upstream in &targets.upstreams {
+            self.kill_upstream(upstream);
+        }
+        self.unlist_until_end(fault, index, targets).await;
+        for &upstream in &targets.upstreams {
+            self.restart_upstream(upstream).await?;
         }
         Ok(())
     }
 
-    async fn without_power(
-        &self,
-        fault: &Fault,
-        at: usize,
-        hit: Hit,
-        (stale, over, files): (Duration, Duration, Files),
-    ) -> Result<(), String> {
-        // One instant: signals first, and nothing that takes time between them.
-        hit.balancers
-            .iter()
-            .for_each(|&balancer| self.kill_balancer(balancer));
-        hit.nodos.iter().for_each(|&nodo| self.kill_nodo(nodo));
-        self.darken(&hit, true);
-        self.spoil_files(&hit.balancers, files)?;
+    /// Lists killed upstreams as gone once discovery has noticed it, and waits for the end of the fault.
+    async fn unlist_until_end(&self, fault: &Fault, index: usize, targets: &FaultTargets) {
         self.script.noticed(fault).await;
-        hit.nodos.iter().for_each(|&nodo| self.list(nodo, "gone"));
+        for &upstream in &targets.upstreams {
+            self.set_listed_state(upstream, GONE);
+        }
         self.script.end_of(fault).await;
-        lock(&self.in_force)[at] = None;
-        self.darken(&hit, false);
-        let until = fault.until.unwrap_or(self.scenario.time).0;
-        let alone = |&&balancer: &&u32| self.balancers[balancer as usize].beside.is_none();
-        let alone: Vec<u32> = hit.balancers.iter().filter(alone).copied().collect();
-        // Power is back for all at one time: nodos do not wait until the balancers are up, which may take long.
-        let nodos = async {
-            for (turn, &nodo) in hit.nodos.iter().enumerate() {
-                self.script
-                    .wait(until + over.as_nanos() as u64 * turn as u64 / hit.nodos.len() as u64)
-                    .await;
-                self.boot_nodo(nodo).await?;
-            }
-            Ok(())
-        };
-        tokio::try_join!(self.start_balancers(&alone, stale), nodos).map(drop)
+        lock(&self.active_faults)[index] = None;
     }
 
-    /// The machines of balancers have no power, or have it again: they refuse nothing meanwhile.
-    fn darken(&self, hit: &Hit, dark: bool) {
-        let Some(mates) = &self.mates else { return };
-        for &number in &hit.balancers {
-            mates.dark(number, dark);
-            self.fabric.set_running(ways::member(number), dark);
+    async fn kill_and_start_balancers(
+        &self,
+        fault: &Fault,
+        targets: &FaultTargets,
+        staleness: Duration,
+        files: Files,
+    ) -> Result<(), ClusterError> {
+        for &balancer in &targets.balancers {
+            self.kill_balancer(balancer);
         }
-        self.set_ways();
+        self.damage_files(&targets.balancers, files)?;
+        self.script.end_of(fault).await;
+        self.start_balancers(&targets.balancers, staleness).await
     }
 
-    /// What the next processes of balancers find in their folders.
-    fn spoil_files(&self, balancers: &[u32], files: Files) -> Result<(), String> {
+    /// Damages what the next processes of balancers find in their folders.
+    fn damage_files(&self, balancers: &[u32], files: Files) -> Result<(), ClusterError> {
         for &number in balancers {
             let next = (number as usize + 1) % self.balancers.len();
-            let (process, stranger) = (
-                &self.balancers[number as usize].process,
-                &self.balancers[next].process,
-            );
+            let process = &self.balancers[number as usize].process;
+            let stranger = &self.balancers[next].process;
             process
-                .spoil_files(files, stranger)
-                .map_err(|error| format!("{}: {error}", process.name))?;
+                .damage_files(files, stranger)
+                .map_err(|source| ClusterError::Process {
+                    process: process.name.clone(),
+                    source,
+                })?;
         }
         Ok(())
     }
 
-    async fn rolled(self: Arc<Self>, fault: &Fault, hit: Hit) -> Result<(), String> {
-        let mut each = JoinSet::new();
-        for (turn, &nodo) in hit.nodos.iter().enumerate() {
-            let (fleet, begins) = (
-                self.clone(),
-                self.script.turn(fault, 2, turn, hit.nodos.len()),
-            );
-            each.spawn(async move {
-                fleet.script.wait(begins).await;
-                fleet.list(nodo, "terminating");
-                fleet.script.drained().await;
-                fleet.kill_nodo(nodo);
-                sleep(GONE).await;
-                fleet.boot_nodo(nodo).await
-            });
-        }
-        all_end(each).await
-    }
-
-    async fn rolled_balancers(self: Arc<Self>, fault: &Fault, hit: Hit) -> Result<(), String> {
-        let mut each = JoinSet::new();
-        for (turn, &number) in hit.balancers.iter().enumerate() {
-            let (fleet, begins) = (
-                self.clone(),
-                self.script.turn(fault, 1, turn, hit.balancers.len()),
-            );
-            each.spawn(async move {
-                fleet.script.wait(begins).await;
-                let longest = Duration::from_nanos(fleet.scenario.longest().0);
-                fleet.balancers[number as usize].stop(longest + STOPS).await;
-                fleet.ends_as_member(number);
-                fleet.start_balancers(&[number], Duration::ZERO).await
-            });
-        }
-        all_end(each).await
-    }
-
-    fn stand_still(&self, balancers: &[u32], still: bool) {
-        for &balancer in balancers {
-            let balancer = &self.balancers[balancer as usize];
-            self.judge.stands_still(balancer.door.address, still);
-            balancer.stand_still(still);
-            self.mates
-                .iter()
-                .for_each(|mates| mates.stands_still(balancer.place.number, still));
+    /// Suspends the processes of balancers, or resumes them.
+    fn set_suspended(&self, balancers: &[u32], suspended: bool) {
+        for &number in balancers {
+            let balancer = &self.balancers[number as usize];
+            self.judge
+                .stands_still(balancer.endpoints.door.address, suspended);
+            balancer.set_suspended(suspended);
+            if let Some(membership) = &self.membership {
+                membership.set_suspended(number, suspended);
+            }
         }
     }
 }
--- /dev/null
+++ b/crates/cluster-test/src/faults/rolling.rs
@@ -0,0 +1,63 @@
+//! Rolling restarts of upstreams and of balancers.
+
+use crate::error::ClusterError;
+use crate::fleet::endpoint_list::TERMINATING;
+use crate::fleet::{FaultTargets, Fleet};
+use crate::tasks::join_all;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::task::JoinSet;
+use tokio::time::sleep;
+use woadstall_emulator::Fault;
+use woadstall_load_test::script::GONE;
+
+/// How long a graceful shutdown may take beyond the longest deadline of a call.
+const SHUTDOWN_MARGIN: Duration = Duration::from_secs(5);
+
+impl Fleet {
+    /// Drains and restarts upstreams, spread evenly over the first half of the fault.
+    pub(super) async fn roll_upstreams(
+        self: &Arc<Self>,
+        fault: &Fault,
+        targets: &FaultTargets,
+    ) -> Result<(), ClusterError> {
+        let mut restarts = JoinSet::new();
+        let count = targets.upstreams.len();
+        for (index, &upstream) in targets.upstreams.iter().enumerate() {
+            let fleet = self.clone();
+            let begins = self.script.turn(fault, 2, index, count);
+            restarts.spawn(async move {
+                fleet.script.wait(begins).await;
+                fleet.set_listed_state(upstream, TERMINATING);
+                fleet.script.drained().await;
+                fleet.kill_upstream(upstream);
+                sleep(GONE).await;
+                fleet.restart_upstream(upstream).await
+            });
+        }
+        join_all(restarts).await
+    }
+
+    /// Shuts balancers down and starts them again, spread evenly over the fault.
+    pub(super) async fn roll_balancers(
+        self: &Arc<Self>,
+        fault: &Fault,
+        targets: &FaultTargets,
+    ) -> Result<(), ClusterError> {
+        let mut restarts = JoinSet::new();
+        let count = targets.balancers.len();
+        for (index, &number) in targets.balancers.iter().enumerate() {
+            let fleet = self.clone();
+            let begins = self.script.turn(fault, 1, index, count);
+            restarts.spawn(async move {
+                fleet.script.wait(begins).await;
+                let longest_call = Duration::from_nanos(fleet.scenario.longest().0);
+                let balancer = &fleet.balancers[number as usize];
+                balancer.shut_down(longest_call + SHUTDOWN_MARGIN).await;
+                fleet.record_member_end(number);
+                fleet.start_balancers(&[number], Duration::ZERO).await
+            });
+        }
+        join_all(restarts).await
+    }
+}
--- /dev/null
+++ b/crates/cluster-test/src/fleet/network.rs
@@ -0,0 +1,62 @@
+//! The conditions of all links under the faults that are in force.
+
+use super::{FaultTargets, Fleet};
+use crate::balancer::Balancer;
+use crate::links::{self, ActiveFault, Direction, UpstreamLink};
+use woadstall_emulator::Among;
+use woadstall_load_test::lock;
+
+impl Fleet {
+    /// Sets the conditions of all links between balancers and upstreams and among members.
+    pub fn update_links(&self) {
+        let active = lock(&self.active_faults);
+        for balancer in &self.balancers {
+            self.update_upstream_links(balancer, &active);
+        }
+        if let Some(membership) = &self.membership {
+            membership.update_links(&self.network, &self.scenario, |from, to| {
+                self.member_link(&active, from, to)
+            });
+        }
+    }
+
+    fn update_upstream_links(&self, balancer: &Balancer, active: &[Option<FaultTargets>]) {
+        let balancer_node = links::balancer_node(balancer.placement.number);
+        for upstream in self.upstreams_of_tier(balancer.placement.tier) {
+            let upstream_node = links::upstream_node(upstream);
+            let conditions = |direction| {
+                let link = UpstreamLink {
+                    balancer_zone: balancer.placement.zone,
+                    upstream_zone: self.upstreams[upstream as usize].listing().zone,
+                    upstream,
+                    direction,
+                };
+                let faults = self.faults_in_force(active, |targets| &targets.upstreams);
+                links::upstream_link_conditions(&self.scenario, link, faults)
+            };
+            let (to, from) = (Direction::ToUpstream, Direction::FromUpstream);
+            self.network
+                .set_conditions(balancer_node, upstream_node, conditions(to));
+            self.network
+                .set_conditions(upstream_node, balancer_node, conditions(from));
+        }
+    }
+
+    /// The faults that are in force, each with its targets of a kind.
+    fn faults_in_force<'a>(
+        &'a self,
+        active: &'a [Option<FaultTargets>],
+        targets_of: impl Fn(&FaultTargets) -> &[u32] + 'a,
+    ) -> impl Iterator<Item = ActiveFault<'a>> {
+        let faults = self.scenario.fault.iter().zip(active);
+        faults.filter_map(move |(fault, targets)| Some((fault, targets_of(targets.as_ref()?))))
+    }
+
+    /// The link from one member to another under the faults in `active`, by the balancers' numbers.
+    pub fn member_link(&self, active: &[Option<FaultTargets>], from: usize, to: usize) -> Among {
+        let end = |member: usize| (member as u32, self.balancers[member].placement.zone);
+        let faults = self.faults_in_force(active, |targets| &targets.balancers);
+        self.scenario
+            .among(end(from), end(to), self.balancers.len(), faults)
+    }
+}
--- a/crates/cluster-test/src/launch.rs
+++ b/crates/cluster-test/src/launch.rs
@@ -1,4 +1,4 @@
-//! What a child does before it becomes the program: it ties its life to the rig's, and takes on its limits.
+//! What a child does before it becomes the program: it ties its life to the run's process, and takes on its limits.
 
 use nix::sys::prctl;
 use nix::sys::resource::{Resource, setrlimit};
@@ -9,32 +9,30 @@
 use std::path::Path;
 use std::process::Command;
 
-/// What a child is started with.
+/// Resource limits of a process (`setrlimit(2)`).
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Descriptors that it may have open.
+    /// Descriptors that it may have open (`RLIMIT_NOFILE`).
     pub sockets: u64,
-    /// Memory that it may have for data, in MB.
+    /// Memory that it may have for data, in MiB (`RLIMIT_DATA`).
     pub memory_mb: u64,
 }
 
-/// Becomes the program, which dies with its parent. Returns only where that cannot be.
+/// Becomes the program, which is killed when its parent dies (`PR_SET_PDEATHSIG`). Returns only on failure.
 pub fn launch(parent: i32, limits: Limits, program: &Path) -> io::Error {
-    let ready = || -> nix::Result<()> {
-        prctl::set_pdeathsig(Signal::SIGKILL)?;
-        if getppid() != Pid::from_raw(parent) {
-            return Err(nix::Error::ESRCH); // it died before its death could be told
-        }
-        setrlimit(Resource::RLIMIT_NOFILE, limits.sockets, limits.sockets)?;
-        setrlimit(
-            Resource::RLIMIT_DATA,
-            limits.memory_mb << 20,
-            limits.memory_mb << 20,
-        )?;
-        setrlimit(Resource::RLIMIT_CORE, 0, 0)
-    };
-    match ready() {
+    match prepare(parent, limits) {
         Ok(()) => Command::new(program).exec(),
         Err(error) => error.into(),
     }
 }
+
+fn prepare(parent: i32, limits: Limits) -> nix::Result<()> {
+    prctl::set_pdeathsig(Signal::SIGKILL)?;
+    if getppid() != Pid::from_raw(parent) {
+        return Err(nix::Error::ESRCH); // it died before the signal was set
+    }
+    let memory_bytes = limits.memory_mb << 20;
+    setrlimit(Resource::RLIMIT_NOFILE, limits.sockets, limits.sockets)?;
+    setrlimit(Resource::RLIMIT_DATA, memory_bytes, memory_bytes)?;
+    setrlimit(Resource::RLIMIT_CORE, 0, 0)
+}
--- /dev/null
+++ b/crates/cluster-test/src/membership/settings.rs
@@ -0,0 +1,82 @@
+//! The files that configure the membership of a process.
+
+use super::Membership;
+use crate::balancer::Balancer;
+use crate::process::{KEY_FILE, OPERATOR_FILE};
+use std::fmt::Write;
+use std::io;
+use woadstall_emulator::{Members, Scenario, Span};
+
+/// How many members a new one may join through.
+const SEEDS: usize = 3;
+
+impl Membership {
+    /// Writes the key and the operators' file of a balancer's next process.
+    ///
+    /// # Errors
+    ///
+    /// Where a file cannot be written.
+    pub fn write_settings(&self, scenario: &Scenario, balancer: &Balancer) -> io::Result<()> {
+        let Some(members) = &scenario.members else {
+            return Ok(());
+        };
+        let mut text = self.instances_section(scenario, members, balancer);
+        text += &evacuation_section(scenario);
+        let folder = &balancer.process.folder;
+        std::fs::write(folder.join(KEY_FILE), format!("{}\n", self.key))?;
+        std::fs::write(folder.join(OPERATOR_FILE), text)
+    }
+
+    fn instances_section(
+        &self,
+        scenario: &Scenario,
+        members: &Members,
+        balancer: &Balancer,
+    ) -> String {
+        let address = &self.addresses[balancer.placement.number as usize];
+        let seeds: Vec<String> = self
+            .addresses
+            .iter()
+            .take(SEEDS)
+            .filter(|seed| seed.advertised != address.advertised)
+            .map(|seed| format!("{:?}", seed.advertised.to_string()))
+            .collect();
+        let mut text = format!(
+            "[instances]\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = {KEY_FILE:?}\n",
+            address.listen,
+            address.advertised,
+            seeds.join(", ")
+        );
+        let zone = &scenario.zones[usize::from(balancer.placement.zone)];
+        if let Some(region) = scenario.regions.get(zone) {
+            let _ = writeln!(text, "region = {region:?}");
+        }
+        let _ = writeln!(
+            text,
+            "period_ms = {}\npatience_ms = {}\nsuspicion_ms = {}",
+            millis(members.period),
+            millis(members.patience),
+            millis(members.suspicion)
+        );
+        text
+    }
+}
+
+/// The section of the evacuation of zones, if the scenario has one.
+fn evacuation_section(scenario: &Scenario) -> String {
+    let mut text = String::new();
+    let Some(evacuation) = &scenario.evacuation else {
+        return text;
+    };
+    let every_ms = millis(evacuation.every);
+    let _ = writeln!(text, "[evacuation]\nevery_ms = {every_ms}");
+    let _ = writeln!(text, "[evacuation.regions]");
+    for (zone, region) in &scenario.regions {
+        let _ = writeln!(text, "{zone:?} = {region:?}");
+    }
+    text
+}
+
+fn millis(span: Span) -> u64 {
+    span.0 / 1_000_000
+}
--- /dev/null
+++ b/crates/cluster-test/src/results/text.rs
@@ -0,0 +1,132 @@
+//! The result as text, for people.
+
+use super::{RunResult, mean};
+use std::fmt::{self, Write};
+use woadstall_emulator::{EvacuatedEnd, MembersEnd};
+use woadstall_emulator_cli::report;
+use woadstall_emulator_cli::rows::Row;
+
+/// The result in short. `row` has the timeline in the emulator's form.
+pub fn text(result: &RunResult, row: &Row) -> String {
+    let mut text = String::new();
+    // Writing to a string does not fail.
+    let _ = write_result(&mut text, result, row);
+    text
+}
+
+fn write_result(out: &mut String, result: &RunResult, row: &Row) -> fmt::Result {
+    let end = &result.end;
+    let balancers = result.balancers;
+    let (scenario, seed, set) = (&row.key.scenario, row.key.seed, row.set());
+    writeln!(out, "{scenario}, {balancers} balancers, seed {seed} {set}")?;
+    write_calls(out, result)?;
+    write_processes(out, result)?;
+    if let Some(members) = &end.members {
+        write_members(out, members, &result.membership_cores)?;
+    }
+    if let Some(evacuated) = &end.evacuated {
+        write_evacuations(out, evacuated)?;
+    }
+    for line in report::kept(end) {
+        writeln!(out, "{line}")?;
+    }
+    for breach in &end.first_breaches {
+        writeln!(out, "    {:.3} s: {}", breach.at as f64 / 1e9, breach.text)?;
+    }
+    for failure in &result.failures {
+        writeln!(out, "  CRASHED: {failure}")?;
+    }
+    Ok(())
+}
+
+fn write_calls(out: &mut String, result: &RunResult) -> fmt::Result {
+    let (counts, latency) = (&result.end.counts, &result.end.latency);
+    writeln!(
+        out,
+        "  worth served   {:.3} of what was offered",
+        result.end.served
+    )?;
+    writeln!(
+        out,
+        "  calls          {} offered, {} on time, {} late, {} refused, {} failed",
+        counts.offered, counts.on_time, counts.late, counts.refused, counts.failed
+    )?;
+    writeln!(
+        out,
+        "  attempts       {} for {} requests",
+        counts.attempts, counts.requests
+    )?;
+    writeln!(
+        out,
+        "  latency        p50 {:.0} ms, p90 {:.0}, p99 {:.0}, longest {:.0}",
+        latency.p50, latency.p90, latency.p99, latency.max
+    )
+}
+
+fn write_processes(out: &mut String, result: &RunResult) -> fmt::Result {
+    writeln!(
+        out,
+        "  processes      {} starts, up after {:.1} s, {} kB of memory at most, {} on average",
+        result.starts,
+        result.up_after.as_secs_f64(),
+        result.peak_memory_kb.iter().max().unwrap_or(&0),
+        mean(&result.peak_memory_kb)
+    )?;
+    writeln!(
+        out,
+        "  paid           {} connections through the fabric, {} kB, {} list reads",
+        result.traffic.streams_opened,
+        result.traffic.stream_bytes / 1_000,
+        result.list_reads
+    )?;
+    writeln!(
+        out,
+        "  unanswered     {}, of these and late ones {} at stopped balancers; {} ran twice",
+        result.unanswered, result.late_at_suspended, result.ran_twice
+    )?;
+    writeln!(
+        out,
+        "  the rig itself {} of {} calls late, {:.1}% of its timers, a balancer without a core {:.1}% of its time",
+        result.lag.late,
+        result.lag.calls,
+        100.0 * result.timer_lag,
+        100.0 * result.starved
+    )
+}
+
+fn write_members(out: &mut String, members: &MembersEnd, cores: &[f64]) -> fmt::Result {
+    let known = &members.known_by_all_ms;
+    writeln!(
+        out,
+        "  members        {} false deaths; {} deaths, known by all after {:.0} ms (p50), {:.0} at most, {} never",
+        members.false_deaths, members.deaths, known.p50, known.max, members.never_known
+    )?;
+    let mean_cores = cores.iter().sum::<f64>() / cores.len().max(1) as f64;
+    let max_cores = cores.iter().copied().fold(0.0, f64::max);
+    writeln!(
+        out,
+        "                 {:.0} bytes/s each, {:.0} at most; {:.2}% of a core, {:.2}% at most",
+        members.bytes_a_second.0,
+        members.bytes_a_second.1,
+        100.0 * mean_cores,
+        100.0 * max_cores
+    )?;
+    for story in &members.stories {
+        writeln!(out, "    {story}")?;
+    }
+    Ok(())
+}
+
+fn write_evacuations(out: &mut String, evacuated: &EvacuatedEnd) -> fmt::Result {
+    let moved: Vec<String> = evacuated
+        .moved
+        .iter()
+        .map(|(zone, seconds)| format!("{zone} {seconds:.1}"))
+        .collect();
+    writeln!(
+        out,
+        "  left           {} moves; seconds without, a balancer: {}",
+        evacuated.moves,
+        moved.join(", ")
+    )
+}
--- /dev/null
+++ b/crates/cluster-test/src/run.rs
@@ -0,0 +1,195 @@
+//! A whole run: the fleet comes up, callers call, faults happen, all processes end.
+
+mod observer;
+
+use crate::error::RunError;
+use crate::fleet::{Fleet, FleetSettings};
+use crate::launch::Limits;
+use crate::membership_poll;
+use crate::results::RunResult;
+use crate::rule_violation::RuleViolation;
+use crate::run_directory::RunDirectory;
+use crate::supported::check_supported;
+use observer::Observer;
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::task::JoinSet;
+use tokio::time::sleep;
+use woadstall_emulator::{End, Scenario};
+use woadstall_load_test::callers::{By, Callers};
+use woadstall_load_test::judge::Judge;
+use woadstall_load_test::script;
+
+/// The limits of a process: what its configuration lets it use, and what the program needs beside that for its own
+/// descriptors, code and stack.
+const PROCESS_LIMITS: Limits = Limits {
+    sockets: 4_096 + 64,
+    memory_mb: 512 + 64,
+};
+
+/// What a run is played with.
+#[derive(Clone, Debug)]
+pub struct Options {
+    /// The program that is started for each balancer.
+    pub program: PathBuf,
+    /// This crate's own program, which becomes it.
+    pub launcher: PathBuf,
+    /// The source of all random numbers.
+    pub seed: u64,
+    /// What is broken on purpose.
+    pub violation: Option<RuleViolation>,
+    /// Keep the folder with the processes' logs also where all went well.
+    pub keep: bool,
+    /// Show the progress on standard error.
+    pub progress: bool,
+}
+
+/// How long the fleet may take to come up.
+fn start_up_time(scenario: &Scenario) -> Duration {
+    const BASE_MS: u64 = 500;
+    const PER_BALANCER_MS: u64 = 30;
+    const PER_UPSTREAM_MS: u64 = 5;
+    const MAX: Duration = Duration::from_secs(10);
+    let (balancers, upstreams) = scenario.sizes();
+    let millis = BASE_MS + PER_BALANCER_MS * balancers + PER_UPSTREAM_MS * upstreams;
+    Duration::from_millis(millis).min(MAX)
+}
+
+/// Plays a scenario. All processes have ended when this returns, and also when it is dropped.
+///
+/// # Errors
+///
+/// Where the scenario cannot be played with processes, the fleet does not come up, or does so too late.
+pub async fn run(scenario: Scenario, options: &Options) -> Result<RunResult, RunError> {
+    check_supported(&scenario)?;
+    let scenario = Arc::new(scenario);
+    let run_directory = RunDirectory::new(&options.launcher, &options.program, PROCESS_LIMITS);
+    let run_directory = Arc::new(run_directory.map_err(RunError::RunDirectory)?);
+    let began = Instant::now();
+    let start = began + start_up_time(&scenario);
+    let judge = Arc::new(Judge::new(start));
+    let settings = FleetSettings {
+        scenario: scenario.clone(),
+        judge: judge.clone(),
+        run_directory: run_directory.clone(),
+        seed: options.seed,
+        start,
+        violation: options.violation,
+    };
+    let fleet = Arc::new(Fleet::start(settings).await?);
+    let up_after = began.elapsed();
+    if Instant::now() >= start {
+        return Err(RunError::TooSlow { up_after });
+    }
+    let by = By::Daemons(fleet.doors());
+    let callers = Callers::new(scenario, judge, by, options.seed, start);
+    let observer = Arc::new(Observer::new(
+        fleet.clone(),
+        Arc::new(callers),
+        options.progress,
+    ));
+    let usage = play(&observer).await;
+    let mut result = collect(&observer, usage, up_after);
+    if options.keep || !result.is_passed() {
+        run_directory.preserve();
+        result.logs = Some(run_directory.path().to_owned());
+    }
+    Ok(result)
+}
+
+/// What the processes used of the machine, while they still run.
+struct ProcessUsage {
+    /// The largest share of its time that a balancer was ready to run and had no core.
+    starved: f64,
+    /// The share of a core that the membership used, for each balancer.
+    membership_cores: Vec<f64>,
+}
+
+/// Has callers call and faults happen until the scenario's time is over.
+async fn play(observer: &Arc<Observer>) -> ProcessUsage {
+    let (fleet, callers) = (&observer.fleet, &observer.callers);
+    let start = fleet.script.start;
+    // Aborted with this future, however it ends.
+    let mut tasks = JoinSet::new();
+    tasks.spawn(observer.clone().run_faults());
+    tasks.spawn(membership_poll::poll(fleet.clone()));
+    tasks.spawn(observer.clone().sample_steps());
+    tasks.spawn(observer.clone().sample_timer());
+    sleep(start.saturating_duration_since(Instant::now())).await;
+    callers.clone().run().await;
+    script::last_effects(&fleet.scenario).await;
+    let usage = measure_usage(fleet, start.elapsed());
+    tasks.shutdown().await;
+    usage
+}
+
+fn measure_usage(fleet: &Fleet, length: Duration) -> ProcessUsage {
+    for balancer in &fleet.balancers {
+        balancer.record_memory();
+    }
+    let waits = fleet
+        .balancers
+        .iter()
+        .filter_map(|balancer| balancer.process.run_queue_wait_ns());
+    let longest_wait_ns = waits.max().unwrap_or(0);
+    let membership_cores = match &fleet.membership {
+        Some(membership) => membership.cores(&fleet.balancers),
+        None => Vec::new(),
+    };
+    ProcessUsage {
+        starved: longest_wait_ns as f64 / length.as_nanos() as f64,
+        membership_cores,
+    }
+}
+
+fn collect(observer: &Observer, usage: ProcessUsage, up_after: Duration) -> RunResult {
+    let Observer { fleet, callers, .. } = observer;
+    let end = collect_end(observer);
+    let judge = &fleet.judge;
+    let balancers = fleet.balancers.iter();
+    RunResult {
+        end,
+        lag: callers.lag(),
+        timer_lag: observer.timer_lag(),
+        starved: usage.starved,
+        up_after,
+        balancers: fleet.balancers.len() as u32,
+        starts: balancers.clone().map(|balancer| balancer.starts()).sum(),
+        failures: observer.take_failures(),
+        peak_memory_kb: balancers
+            .clone()
+            .map(|balancer| balancer.peak_memory_kb())
+            .collect(),
+        unanswered: judge.lost(),
+        ran_twice: judge.doubled(),
+        late_at_suspended: judge.stood_still(),
+        list_reads: balancers.map(|balancer| balancer.agent.reads()).sum(),
+        traffic: fleet.network.counts(),
+        upstreams: fleet
+            .upstreams
+            .iter()
+            .map(|upstream| upstream.seen())
+            .collect(),
+        membership_cores: usage.membership_cores,
+        logs: None,
+    }
+}
+
+/// The result in the emulator's form.
+fn collect_end(observer: &Observer) -> End {
+    let Observer { fleet, callers, .. } = observer;
+    let mut end = callers.end();
+    for (step, sample) in end.steps.iter_mut().zip(observer.take_samples()) {
+        let running = sample.running;
+        step.up = Some((running.balancers, running.upstreams));
+        step.lines = sample.log_lines;
+    }
+    if let Some(membership) = &fleet.membership {
+        end.members = Some(membership.members_end());
+        let evacuates = fleet.scenario.evacuation.is_some();
+        end.evacuated = evacuates.then(|| membership.evacuations_end());
+    }
+    end.bounds = fleet.scenario.judge(&end);
+    end
+}
--- /dev/null
+++ b/crates/cluster-test/src/run/observer.rs
@@ -0,0 +1,143 @@
+//! What is sampled while a run goes on: upstreams, processes, logs, and the machine's own timers.
+
+use crate::fleet::{Fleet, RunningCounts};
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tokio::time::{interval_at, sleep};
+use woadstall_load_test::callers::Callers;
+use woadstall_load_test::lock;
+
+/// Often enough to see a queue, seldom enough to cost nothing.
+const QUEUE_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// The period of the timer that shows whether the machine has too much to do.
+const TIMER_PERIOD: Duration = Duration::from_millis(10);
+/// The timer is late by more than this where the machine has too much to do.
+const TIMER_TOLERANCE: Duration = Duration::from_millis(50);
+
+/// The processes at the end of a step of the timeline.
+pub struct StepSample {
+    /// How many run.
+    pub running: RunningCounts,
+    /// Lines of their logs in this step, by the first word.
+    pub log_lines: BTreeMap<String, u64>,
+}
+
+#[derive(Default)]
+struct TimerCounts {
+    ticks: u64,
+    late: u64,
+}
+
+/// Observes a run.
+pub struct Observer {
+    /// The fleet of the run.
+    pub fleet: Arc<Fleet>,
+    /// The callers of the run.
+    pub callers: Arc<Callers>,
+    progress: bool,
+    samples: Mutex<Vec<StepSample>>,
+    failures: Mutex<Vec<String>>,
+    timer: Mutex<TimerCounts>,
+}
+
+impl Observer {
+    /// An observer that has seen nothing yet. With `progress` it shows each step on standard error.
+    pub fn new(fleet: Arc<Fleet>, callers: Arc<Callers>, progress: bool) -> Self {
+        Self {
+            fleet,
+            callers,
+            progress,
+            samples: Mutex::default(),
+            failures: Mutex::default(),
+            timer: Mutex::default(),
+        }
+    }
+
+    /// Runs the scenario's faults, and records why they failed if they did.
+    pub async fn run_faults(self: Arc<Self>) {
+        if let Err(error) = self.fleet.clone().run_faults().await {
+            lock(&self.failures).push(error.to_string());
+        }
+    }
+
+    /// Samples the fleet, step by step, and records processes that ended by themselves.
+    pub async fn sample_steps(self: Arc<Self>) {
+        let start = self.fleet.script.start;
+        let step = Duration::from_nanos(self.fleet.scenario.step.0);
+        let (mut longest_queue, mut next_step) = (0, start + step);
+        let mut log_offsets = vec![0; self.fleet.balancers.len()];
+        let mut ticks = interval_at(start.into(), QUEUE_SAMPLE_INTERVAL.min(step));
+        loop {
+            ticks.tick().await;
+            let upstreams = self.fleet.upstreams.iter();
+            let queue = upstreams.map(|upstream| upstream.held()).max();
+            longest_queue = queue.unwrap_or(0).max(longest_queue);
+            if Instant::now() < next_step {
+                continue;
+            }
+            self.end_step(std::mem::take(&mut longest_queue), &mut log_offsets);
+            next_step += step;
+        }
+    }
+
+    fn end_step(&self, longest_queue: u32, log_offsets: &mut [u64]) {
+        let (tier_speeds, attempts) = self.fleet.sample_upstreams();
+        let running = self.fleet.running();
+        let mut log_lines = BTreeMap::new();
+        for (balancer, offset) in self.fleet.balancers.iter().zip(log_offsets) {
+            balancer.record_memory();
+            lock(&self.failures).extend(balancer.crash());
+            for (topic, count) in balancer.process.count_log_lines(offset) {
+                *log_lines.entry(topic).or_default() += count;
+            }
+        }
+        self.callers.step(&tier_speeds, &attempts, longest_queue);
+        lock(&self.samples).push(StepSample { running, log_lines });
+        if self.progress {
+            self.show_progress(running);
+        }
+    }
+
+    fn show_progress(&self, running: RunningCounts) {
+        let seconds = self.fleet.script.start.elapsed().as_secs();
+        let length = self.fleet.scenario.time.seconds();
+        let (balancers, upstreams) = (self.fleet.balancers.len(), self.fleet.upstreams.len());
+        eprint!(
+            "\r  {seconds:>4} of {length:.0} s, {} of {balancers} balancers, {} of {upstreams} nodos   ",
+            running.balancers, running.upstreams
+        );
+    }
+
+    /// Runs a timer, and counts how often it was late.
+    pub async fn sample_timer(self: Arc<Self>) {
+        let start = self.fleet.script.start;
+        sleep(start.saturating_duration_since(Instant::now())).await;
+        loop {
+            let due = Instant::now() + TIMER_PERIOD;
+            sleep(TIMER_PERIOD).await;
+            let mut timer = lock(&self.timer);
+            timer.ticks += 1;
+            timer.late += u64::from(due.elapsed() > TIMER_TOLERANCE);
+        }
+    }
+
+    /// The share of the timer's ticks that were late.
+    pub fn timer_lag(&self) -> f64 {
+        let timer = lock(&self.timer);
+        timer.late as f64 / timer.ticks.max(1) as f64
+    }
+
+    /// The samples of all steps so far; none is left.
+    pub fn take_samples(&self) -> Vec<StepSample> {
+        std::mem::take(&mut *lock(&self.samples))
+    }
+
+    /// Processes that ended by themselves, and faults that failed, each once; none is left.
+    pub fn take_failures(&self) -> Vec<String> {
+        let mut failures = std::mem::take(&mut *lock(&self.failures));
+        failures.sort();
+        failures.dedup();
+        failures
+    }
+}
--- a/crates/cluster-test/tests/common/mod.rs
+++ b/crates/cluster-test/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! The rig as its users run it, on a small fleet that tests change to their needs.
+//! Runs the command as its users do, on a small fleet that tests change to their needs.
 
-#![allow(dead_code)] // each test program uses some of it
+#![allow(dead_code, reason = "each test program uses some of it")]
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Times are long, so that a busy machine does not look like a slow fleet.
-pub const SMALL: &str = r#"
+pub const SMALL_SCENARIO: &str = r#"
 name = "small"
 time = "4 s"
 zones = ["a", "b"]
@@ -46,12 +46,13 @@
 "#;
 
 /// One run at a time: two of them share the cores, and the slower is none.
-pub fn alone() -> MutexGuard<'static, ()> {
+pub fn run_exclusively() -> MutexGuard<'static, ()> {
     static RUNS: Mutex<()> = Mutex::new(());
     RUNS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The shipped program. A test of the whole workspace has built it beside the rig; a test of the rig alone has not.
+/// The shipped program. A test of the whole workspace has built it beside the command; a test of this crate alone has
+/// not.
 pub fn program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
@@ -71,19 +72,20 @@
 }
 
 /// A folder with a scenario of so many seconds, in which temporary files of the run lie too.
-pub fn folder(seconds: u32, more: &str) -> tempfile::TempDir {
-    let small = SMALL.replace("time = \"4 s\"", &format!("time = \"{seconds} s\""));
-    folder_of(&(small + more))
+pub fn scenario_folder(seconds: u32, more: &str) -> tempfile::TempDir {
+    let small = SMALL_SCENARIO.replace("time = \"4 s\"", &format!("time = \"{seconds} s\""));
+    folder_with(&(small + more))
 }
 
 /// A folder with this scenario.
-pub fn folder_of(scenario: &str) -> tempfile::TempDir {
+pub fn folder_with(scenario: &str) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("scenario.toml"), scenario).unwrap();
     folder
 }
 
-pub fn rig(folder: &Path, arguments: &[&str]) -> Command {
+/// The command in a folder, which its temporary files go to as well.
+pub fn command(folder: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-cluster-test"));
     command
         .current_dir(folder)
@@ -97,9 +99,10 @@
     command
 }
 
-pub fn run(folder: &Path, more: &[&str]) -> Command {
+/// The command that plays the scenario in a folder and prints JSON.
+pub fn run_command(folder: &Path, more: &[&str]) -> Command {
     let program = program().to_str().unwrap();
-    rig(
+    command(
         folder,
         &[
             &["run", "scenario.toml", "--json", "--program", program],
@@ -110,35 +113,36 @@
 }
 
 /// What a run printed. Its folder is gone, unless it kept its logs since something was broken.
-pub fn told(output: &Output) -> Value {
-    let said = String::from_utf8_lossy(&output.stderr);
-    let told: Value =
-        serde_json::from_slice(&output.stdout).unwrap_or_else(|error| panic!("{error}: {said}"));
+pub fn result(output: &Output) -> Value {
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    let result: Value =
+        serde_json::from_slice(&output.stdout).unwrap_or_else(|error| panic!("{error}: {stderr}"));
     let code = output.status.code();
     // A machine that is too slow gives no verdict; what it saw is there all the same.
-    let wanted = if told["kept"] == true { 0 } else { 1 };
+    let wanted = if result["kept"] == true { 0 } else { 1 };
     assert!(
-        code == Some(wanted) || code == Some(4) && told["too-slow"].is_string(),
-        "{code:?}: {said}"
+        code == Some(wanted) || code == Some(4) && result["too-slow"].is_string(),
+        "{code:?}: {stderr}"
     );
-    told
+    result
 }
 
-pub fn play(seconds: u32, more: &str, arguments: &[&str]) -> Value {
-    play_folder(&folder(seconds, more), arguments)
+/// Plays the small scenario for so many seconds, with more of a scenario behind it.
+pub fn run_scenario(seconds: u32, more: &str, arguments: &[&str]) -> Value {
+    run_in(&scenario_folder(seconds, more), arguments)
 }
 
 /// Plays the scenario in a folder.
-pub fn play_folder(folder: &tempfile::TempDir, arguments: &[&str]) -> Value {
-    let told = told(&run(folder.path(), arguments).output().unwrap());
-    if told["kept"] == true {
-        assert_eq!(runs(folder.path()), Vec::<PathBuf>::new());
+pub fn run_in(folder: &tempfile::TempDir, arguments: &[&str]) -> Value {
+    let result = result(&run_command(folder.path(), arguments).output().unwrap());
+    if result["kept"] == true {
+        assert_eq!(run_folders(folder.path()), Vec::<PathBuf>::new());
     }
-    told
+    result
 }
 
 /// Folders of runs that are there.
-pub fn runs(folder: &Path) -> Vec<PathBuf> {
+pub fn run_folders(folder: &Path) -> Vec<PathBuf> {
     let all = std::fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap().path());
@@ -152,40 +156,44 @@
     .collect()
 }
 
-/// The processes that a run has started, by its ledger.
-pub fn processes(run: &Path) -> Vec<i32> {
-    let ledger = std::fs::read_to_string(run.join("processes")).unwrap_or_default();
-    ledger
+/// The numbers of the processes that a run has recorded as started.
+pub fn recorded_pids(run_folder: &Path) -> Vec<i32> {
+    let processes = std::fs::read_to_string(run_folder.join("processes")).unwrap_or_default();
+    processes
         .lines()
         .filter_map(|line| line.split(' ').next()?.parse().ok())
         .collect()
 }
 
-pub fn lives(pid: i32) -> bool {
+/// Whether a process lives.
+pub fn is_running(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     // What nobody has waited for yet is dead all the same.
     stat.rsplit_once(") ")
         .is_some_and(|(_, rest)| !rest.starts_with('Z'))
 }
 
-pub fn until(what: &str, mut there: impl FnMut() -> bool) {
+/// Waits for a condition, 20 s at most.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
-    while !there() {
+    while !condition() {
         assert!(began.elapsed() < Duration::from_secs(20), "{what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-pub fn broken(told: &Value, rule: &str) -> u64 {
-    told["breaches"][rule]
+/// How often a rule was broken.
+pub fn breaches(result: &Value, rule: &str) -> u64 {
+    result["breaches"][rule]
         .as_u64()
-        .unwrap_or_else(|| panic!("{}", told["breaches"]))
+        .unwrap_or_else(|| panic!("{}", result["breaches"]))
 }
 
-pub fn all_kept(told: &Value) {
+/// Asserts that no rule and no bound was broken, and that no process crashed.
+pub fn assert_passed(result: &Value) {
     assert_eq!(
-        told["kept"], true,
+        result["kept"], true,
         "{} {} {}",
-        told["first-breaches"], told["bounds"], told["processes"]
+        result["first-breaches"], result["bounds"], result["processes"]
     );
 }
--- a/crates/cluster-test/tests/evacuation.rs
+++ b/crates/cluster-test/tests/evacuation.rs
@@ -1,21 +1,21 @@
-//! Processes that leave a zone together.
+//! Processes that evacuate a zone together.
 
 mod common;
 
-use common::{all_kept, alone, play};
+use common::{assert_passed, run_exclusively, run_scenario};
 
-const NINE: [&str; 4] = [
+const NINE_IN_THREE_ZONES: [&str; 4] = [
     "--set",
     "tier.0.balancers=9",
     "--set",
     "zones=[\"a\",\"b\",\"c\"]",
 ];
 
-/// A zone falls silent under nine processes: those that call there and those that do not are out of it together, three
-/// that restart meanwhile know it, nobody leaves another, and unsafe calls that stood there ran once at most.
+/// A zone does not respond to nine processes: those that call there and those that do not evacuate it together, three that
+/// restart meanwhile learn it, no other zone is evacuated, and unsafe calls that were in flight there ran once at most.
 #[test]
-fn a_silent_zone_is_left_by_all_processes() {
-    let _alone = alone();
+fn an_unresponsive_zone_is_evacuated_by_all_processes() {
+    let _exclusive = run_exclusively();
     let more = r#"
 [members]
 
@@ -46,20 +46,20 @@
 what = { stays = { zone = "b", from = "0 s", until = "20 s", most = 0.0 } }
 
 "#;
-    let told = play(20, more, &NINE);
-    all_kept(&told);
+    let result = run_scenario(20, more, &NINE_IN_THREE_ZONES);
+    assert_passed(&result);
     assert!(
-        told["evacuated"]["moves"].as_u64().unwrap() >= 9,
+        result["evacuated"]["moves"].as_u64().unwrap() >= 9,
         "{}",
-        told["evacuated"]
+        result["evacuated"]
     );
 }
 
-/// Halves that do not hear each other, and what all zones depend on ill: each half does what it can prove, and nobody
-/// leaves anything for what fails everywhere.
+/// Halves that are partitioned from each other, and errors in all zones: each half does what it can prove, and no zone is
+/// evacuated for what fails everywhere.
 #[test]
-fn what_fails_everywhere_is_left_by_no_process() {
-    let _alone = alone();
+fn what_fails_everywhere_is_evacuated_by_no_process() {
+    let _exclusive = run_exclusively();
     let more = r#"
 [members]
 
@@ -85,5 +85,5 @@
 what = { stays = { zone = "b", from = "0 s", until = "14 s", most = 0.12 } }
 
 "#;
-    all_kept(&play(14, more, &NINE));
+    assert_passed(&run_scenario(14, more, &NINE_IN_THREE_ZONES));
 }
--- a/crates/cluster-test/tests/members.rs
+++ b/crates/cluster-test/tests/membership.rs
@@ -1,25 +1,29 @@
-//! Processes that speak with each other: killed, asleep, cut off on one side, flooded.
+//! Membership among processes that are killed, suspended, partitioned on one side, or flooded.
 
 mod common;
 
-use common::{all_kept, alone, folder, play, run, runs, told, until};
+use common::{
+    assert_passed, result, run_command, run_exclusively, run_folders, run_scenario,
+    scenario_folder, wait_until,
+};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-const EIGHT: [&str; 2] = ["--set", "tier.0.balancers=8"];
-/// Three zones: between two alone nobody is left who finds both sides of a cut.
-const NINE: [&str; 4] = [
+const EIGHT_BALANCERS: [&str; 2] = ["--set", "tier.0.balancers=8"];
+/// Three zones: with two alone no member reaches both sides of a partition.
+const NINE_IN_THREE_ZONES: [&str; 4] = [
     "--set",
     "tier.0.balancers=9",
     "--set",
     "zones=[\"a\",\"b\",\"c\"]",
 ];
 
-/// Half of them die and come back as new lives, two sleep, then one zone is not heard by the other: nobody is held for
-/// dead who is there, the dead are known, the cut ways are named on both sides, and calls keep their rules.
+/// Half of the members die and restart as new incarnations, two are suspended, then the links from one zone to another
+/// are partitioned: no living member is reported dead, dead ones are known, partitioned links are reported on both sides,
+/// and calls keep their rules.
 #[test]
-fn the_dead_are_known_and_nobody_else_is_called_dead() {
-    let _alone = alone();
+fn only_dead_members_are_reported_dead() {
+    let _exclusive = run_exclusively();
     let faults = r#"
 [members]
 
@@ -65,9 +69,9 @@
 name = "healed"
 what = { together = { from = "27 s", within = "3 s" } }
 "#;
-    let told = play(31, faults, &NINE);
-    all_kept(&told);
-    let members = &told["members"];
+    let result = run_scenario(31, faults, &NINE_IN_THREE_ZONES);
+    assert_passed(&result);
+    let members = &result["members"];
     assert_eq!(
         (&members["deaths"], &members["false-deaths"]),
         (&5.into(), &0.into()),
@@ -79,11 +83,11 @@
     );
 }
 
-/// One alone sees two halves, another comes and goes, a third gets a tenth of its time: nobody is called dead who is there,
-/// and all are together again each time.
+/// One member alone reaches two halves, another restarts again and again, a third has a tenth of its time: no living
+/// member is reported dead, and all agree again each time.
 #[test]
-fn odd_members_kill_nobody() {
-    let _alone = alone();
+fn bridged_flapping_and_slow_members_cause_no_false_deaths() {
+    let _exclusive = run_exclusively();
     let faults = r#"
 [members]
 
@@ -123,22 +127,25 @@
 name = "slow"
 what = { together = { from = "28 s", within = "3 s" } }
 "#;
-    all_kept(&play(32, faults, &NINE));
+    assert_passed(&run_scenario(32, faults, &NINE_IN_THREE_ZONES));
 }
 
-/// Whatever comes to the sockets on which they speak, members stay, nobody new is there, calls go on, and what it costs
-/// is bounded.
+/// Whatever comes to the sockets of the membership, members stay, no new one appears, calls go on, and the cost is
+/// bounded.
 #[test]
-fn floods_change_nothing() {
-    let _alone = alone();
+fn floods_of_datagrams_change_no_membership() {
+    let _exclusive = run_exclusively();
     let more = "\n[members]\n\n[[bound]]\nname = \"nobody\"\nwhat = { false-deaths = { most = 0 } }\n\
         [[bound]]\nname = \"together\"\nwhat = { together = { from = \"9 s\", within = \"2 s\" } }\n";
-    let folder = folder(12, more);
-    let rig = run(folder.path(), &EIGHT).spawn().unwrap();
+    let folder = scenario_folder(12, more);
+    let run = run_command(folder.path(), &EIGHT_BALANCERS)
+        .spawn()
+        .unwrap();
     let listens = |number: usize| -> Option<SocketAddr> {
-        let run = runs(folder.path()).pop()?;
-        let text = std::fs::read_to_string(run.join(format!("balancer-{number:03}/operator.toml")))
-            .ok()?;
+        let run_folder = run_folders(folder.path()).pop()?;
+        let text =
+            std::fs::read_to_string(run_folder.join(format!("balancer-{number:03}/operator.toml")))
+                .ok()?;
         text.lines().find_map(|line| {
             line.strip_prefix("listen = ")?
                 .trim_matches('"')
@@ -146,7 +153,7 @@
                 .ok()
         })
     };
-    until("all are told where to listen", || {
+    wait_until("all have their operators' files", || {
         (0..8).all(|number| listens(number).is_some())
     });
     let at: Vec<SocketAddr> = (0..8).filter_map(listens).collect();
@@ -164,13 +171,17 @@
         }
         std::thread::sleep(Duration::from_micros(500));
     }
-    let told = told(&rig.wait_with_output().unwrap());
+    let result = result(&run.wait_with_output().unwrap());
     println!("{sent} datagrams");
-    all_kept(&told);
-    let cores = told["members-cores"].as_array().unwrap();
+    assert_passed(&result);
+    let cores = result["members-cores"].as_array().unwrap();
     assert!(
         cores.len() == 8 && cores.iter().all(|part| part.as_f64().unwrap() < 0.15),
         "{cores:?}"
     );
-    assert!(told["served"].as_f64().unwrap() > 0.9, "{}", told["served"]);
+    assert!(
+        result["served"].as_f64().unwrap() > 0.9,
+        "{}",
+        result["served"]
+    );
 }
