--- a/crates/cluster-test/src/balancer.rs
+++ b/crates/cluster-test/src/balancer.rs
@@ -17,8 +17,8 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 use woadstall_emulator::Scenario;
-use woadstall_load_test::callers::Door;
-use woadstall_load_test::settings::{Place, config};
+use woadstall_load_test::callers::BalancerEndpoint;
+use woadstall_load_test::settings::{BalancerPlacement, balancer_config};
 
 /// A process that does not serve by then has not come up.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -33,7 +33,7 @@
 /// The addresses between a balancer and others.
 pub struct Endpoints {
     /// Where callers call it.
-    pub door: Door,
+    pub callers: BalancerEndpoint,
     /// Where it finds its agent.
     pub agent: SocketAddr,
     /// Where it finds each upstream of its tier, in their order.
@@ -45,7 +45,7 @@
 /// See the module's documentation.
 pub struct Balancer {
     /// Its number, its tier and its zone, and where its process listens.
-    pub placement: Place,
+    pub placement: BalancerPlacement,
     /// The upstream that it is the sidecar of, if it is one.
     pub sidecar_of: Option<u32>,
     /// The addresses between it and others.
@@ -66,7 +66,7 @@
 impl Balancer {
     /// A balancer whose process is not started yet.
     pub fn new(
-        placement: Place,
+        placement: BalancerPlacement,
         sidecar_of: Option<u32>,
         endpoints: Endpoints,
         process: Process,
@@ -105,7 +105,8 @@
         // A new process has random numbers of its own.
         let start = u64::from(self.starts.fetch_add(1, Ordering::Relaxed));
         let seed = seed.wrapping_add(start.wrapping_mul(SEED_STEP));
-        let mut config = config(scenario, &self.placement, seed, self.endpoints.agent, known);
+        let agent = self.endpoints.agent;
+        let mut config = balancer_config(scenario, &self.placement, seed, agent, known);
         if let Some(admin) = self.endpoints.admin {
             config["admin"] = admin.to_string().into();
         }
@@ -181,12 +182,12 @@
     }
 
     fn set_open(&self, open: bool) {
-        self.endpoints.door.open.store(open, Ordering::Relaxed);
+        self.endpoints.callers.set_open(open);
     }
 
     /// Whether callers may call it.
     pub fn is_open(&self) -> bool {
-        self.endpoints.door.open.load(Ordering::Relaxed)
+        self.endpoints.callers.is_open()
     }
 
     /// Whether its process is to run.
--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -5,7 +5,6 @@
 mod rolling;
 
 use crate::error::ClusterError;
-use crate::fleet::endpoint_list::{GONE, IN_SERVICE};
 use crate::fleet::{FaultTargets, Fleet};
 use crate::tasks::join_all;
 use std::sync::Arc;
@@ -14,7 +13,8 @@
 use tokio::time::sleep;
 use woadstall_emulator::{Actor, Fault, Files, What, sample, stream};
 use woadstall_load_test::lock;
-use woadstall_load_test::script::TOPPLED;
+use woadstall_load_test::schedule::CRASH_RECOVERY;
+use woadstall_load_test::upstream::listing::{GONE, IN_SERVICE};
 
 /// How often upstreams are checked for having crashed under overload.
 const CRASH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -40,13 +40,13 @@
         loop {
             sleep(CRASH_CHECK_INTERVAL).await;
             for upstream in 0..self.upstreams.len() as u32 {
-                if !self.upstreams[upstream as usize].has_fallen() {
+                if !self.upstreams[upstream as usize].take_crashed() {
                     continue;
                 }
                 self.kill_upstream(upstream);
                 let fleet = self.clone();
                 restarts.spawn(async move {
-                    sleep(TOPPLED).await;
+                    sleep(CRASH_RECOVERY).await;
                     if fleet.is_kept_down(upstream) {
                         return Ok(());
                     }
@@ -105,7 +105,7 @@
     /// Waits for a fault, applies it and reverts it.
     async fn run_fault(self: Arc<Self>, index: usize) -> Result<(), ClusterError> {
         let fault = self.scenario.fault[index].clone();
-        self.script.begin_of(&fault).await;
+        self.schedule.fault_begin(&fault).await;
         let targets = self.draw_targets(index);
         lock(&self.active_faults)[index] = Some(targets.clone());
         tracing::debug!(
@@ -133,14 +133,14 @@
             }
             What::CutTo | What::CutFrom | What::SlowLink(_) | What::Link(_) | What::Between(_) => {
                 self.update_links();
-                self.script.end_of(&fault).await;
+                self.schedule.fault_end(&fault).await;
                 lock(&self.active_faults)[index] = None;
                 self.update_links();
                 Ok(())
             }
             _ => {
                 self.set_fault(&fault.what, &targets, true);
-                self.script.end_of(&fault).await;
+                self.schedule.fault_end(&fault).await;
                 self.set_fault(&fault.what, &targets, false);
                 Ok(())
             }
@@ -155,7 +155,7 @@
         };
         match what {
             What::Stall => self.set_suspended(&targets.balancers, active),
-            What::Stop => upstreams().for_each(|upstream| upstream.stop(active)),
+            What::Stop => upstreams().for_each(|upstream| upstream.set_suspended(active)),
             What::PadronSilent => self.set_agents_unresponsive(active),
             What::PadronWrong => {
                 let state = if active { GONE } else { IN_SERVICE };
@@ -165,7 +165,7 @@
                     }
                 }
             }
-            what => upstreams().for_each(|upstream| upstream.ail(what, active)),
+            what => upstreams().for_each(|upstream| upstream.set_fault(what, active)),
         }
     }
 
@@ -187,11 +187,11 @@
 
     /// Lists killed upstreams as gone once discovery has noticed it, and waits for the end of the fault.
     async fn unlist_until_end(&self, fault: &Fault, index: usize, targets: &FaultTargets) {
-        self.script.noticed(fault).await;
+        self.schedule.fault_noticed(fault).await;
         for &upstream in &targets.upstreams {
             self.set_listed_state(upstream, GONE);
         }
-        self.script.end_of(fault).await;
+        self.schedule.fault_end(fault).await;
         lock(&self.active_faults)[index] = None;
     }
 
@@ -206,7 +206,7 @@
             self.kill_balancer(balancer);
         }
         self.damage_files(&targets.balancers, files)?;
-        self.script.end_of(fault).await;
+        self.schedule.fault_end(fault).await;
         self.start_balancers(&targets.balancers, staleness).await
     }
 
@@ -230,8 +230,8 @@
     fn set_suspended(&self, balancers: &[u32], suspended: bool) {
         for &number in balancers {
             let balancer = &self.balancers[number as usize];
-            self.judge
-                .stands_still(balancer.endpoints.door.address, suspended);
+            self.rules
+                .set_suspended(balancer.endpoints.callers.address, suspended);
             balancer.set_suspended(suspended);
             if let Some(membership) = &self.membership {
                 membership.set_suspended(number, suspended);
--- a/crates/cluster-test/src/faults/power_loss.rs
+++ b/crates/cluster-test/src/faults/power_loss.rs
@@ -63,7 +63,7 @@
         let end = fault.until.unwrap_or(self.scenario.time).0;
         for (index, &upstream) in upstreams.iter().enumerate() {
             let delay = spread.as_nanos() as u64 * index as u64 / upstreams.len() as u64;
-            self.script.wait(end + delay).await;
+            self.schedule.wait_until(end + delay).await;
             self.restart_upstream(upstream).await?;
         }
         Ok(())
--- a/crates/cluster-test/src/faults/rolling.rs
+++ b/crates/cluster-test/src/faults/rolling.rs
@@ -1,7 +1,6 @@
 //! Rolling restarts of upstreams and of balancers.
 
 use crate::error::ClusterError;
-use crate::fleet::endpoint_list::TERMINATING;
 use crate::fleet::{FaultTargets, Fleet};
 use crate::tasks::join_all;
 use std::sync::Arc;
@@ -9,7 +8,8 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use woadstall_emulator::Fault;
-use woadstall_load_test::script::GONE;
+use woadstall_load_test::schedule::ROLL_DOWNTIME;
+use woadstall_load_test::upstream::listing::TERMINATING;
 
 /// How long a graceful shutdown may take beyond the longest deadline of a call.
 const SHUTDOWN_MARGIN: Duration = Duration::from_secs(5);
@@ -25,13 +25,13 @@
         let count = targets.upstreams.len();
         for (index, &upstream) in targets.upstreams.iter().enumerate() {
             let fleet = self.clone();
-            let begins = self.script.turn(fault, 2, index, count);
+            let begins = self.schedule.slot_begin(fault, 2, index, count);
             restarts.spawn(async move {
-                fleet.script.wait(begins).await;
+                fleet.schedule.wait_until(begins).await;
                 fleet.set_listed_state(upstream, TERMINATING);
-                fleet.script.drained().await;
+                fleet.schedule.drain().await;
                 fleet.kill_upstream(upstream);
-                sleep(GONE).await;
+                sleep(ROLL_DOWNTIME).await;
                 fleet.restart_upstream(upstream).await
             });
         }
@@ -48,9 +48,9 @@
         let count = targets.balancers.len();
         for (index, &number) in targets.balancers.iter().enumerate() {
             let fleet = self.clone();
-            let begins = self.script.turn(fault, 1, index, count);
+            let begins = self.schedule.slot_begin(fault, 1, index, count);
             restarts.spawn(async move {
-                fleet.script.wait(begins).await;
+                fleet.schedule.wait_until(begins).await;
                 let longest_call = Duration::from_nanos(fleet.scenario.longest().0);
                 let balancer = &fleet.balancers[number as usize];
                 balancer.shut_down(longest_call + SHUTDOWN_MARGIN).await;
--- a/crates/cluster-test/src/fleet.rs
+++ b/crates/cluster-test/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Everything of a scenario but its callers: upstreams, balancers with their agents, the links between them, and the
 //! endpoint list.
 
-pub mod endpoint_list;
+mod endpoint_list;
 mod lifecycle;
 mod network;
 mod start;
@@ -17,10 +17,10 @@
 use std::time::Instant;
 use woadstall_emulator::Scenario;
 use woadstall_fault_proxy::FaultProxy;
-use woadstall_load_test::callers::Door;
-use woadstall_load_test::judge::Judge;
-use woadstall_load_test::nodo::{Listing, Socketed};
-use woadstall_load_test::script::Script;
+use woadstall_load_test::callers::BalancerEndpoint;
+use woadstall_load_test::rule_checker::RuleChecker;
+use woadstall_load_test::schedule::Schedule;
+use woadstall_load_test::upstream::{Listing, Upstream};
 
 /// What a fault hits, by numbers among all, in ascending order.
 #[derive(Clone, Debug)]
@@ -36,9 +36,9 @@
     /// What is played.
     pub scenario: Arc<Scenario>,
     /// When it is played.
-    pub script: Script,
-    /// Where broken rules are found.
-    pub judge: Arc<Judge>,
+    pub schedule: Schedule,
+    /// Finds broken rules.
+    pub rules: Arc<RuleChecker>,
     /// The source of all random numbers.
     pub seed: u64,
     /// The links.
@@ -46,7 +46,7 @@
     /// Where processes are spawned.
     pub run_directory: Arc<RunDirectory>,
     /// All upstreams, tier by tier.
-    pub upstreams: Vec<Arc<Socketed>>,
+    pub upstreams: Vec<Arc<Upstream>>,
     /// All balancers, tier by tier.
     pub balancers: Vec<Arc<Balancer>>,
     /// The targets of each fault, while it is in force.
@@ -74,23 +74,22 @@
 
 impl Fleet {
     /// Where callers call.
-    pub fn doors(&self) -> Vec<Door> {
+    pub fn entry_points(&self) -> Vec<BalancerEndpoint> {
         let first_tier = self
             .balancers
             .iter()
             .filter(|balancer| balancer.placement.tier == 0);
         first_tier
-            .map(|balancer| balancer.endpoints.door.clone())
+            .map(|balancer| balancer.endpoints.callers.clone())
             .collect()
     }
 
     /// Takes a sample of the upstreams: what each tier can do at present, in workers of healthy warm upstreams, and the
     /// attempts that each upstream got since the last sample.
     pub fn sample_upstreams(&self) -> (Vec<f64>, Vec<u32>) {
-        let (speeds, attempts): (Vec<f64>, Vec<u32>) = self
-            .upstreams
-            .iter()
-            .map(|upstream| upstream.look())
+        let samples = self.upstreams.iter().map(|upstream| upstream.sample());
+        let (speeds, attempts): (Vec<f64>, Vec<u32>) = samples
+            .map(|sample| (sample.speed, sample.attempts))
             .unzip();
         let tier_speeds = self
             .tier_bounds
--- a/crates/cluster-test/src/fleet/endpoint_list.rs
+++ b/crates/cluster-test/src/fleet/endpoint_list.rs
@@ -7,14 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 use woadstall_load_test::lock;
-use woadstall_load_test::nodo::Listing;
-
-/// Discovery's name of the state of an upstream that takes calls.
-pub const IN_SERVICE: &str = "in_service";
-/// Discovery's name of the state of an upstream that drains.
-pub const TERMINATING: &str = "terminating";
-/// Discovery's name of the state of an upstream that has ended.
-pub const GONE: &str = "gone";
+use woadstall_load_test::upstream::Listing;
+use woadstall_load_test::upstream::listing::TERMINATING;
 
 impl Fleet {
     /// How all upstreams are listed now.
@@ -44,7 +38,7 @@
         let of_tier = &list[self.tier_bounds[tier]..self.tier_bounds[tier + 1]];
         let entry = |(listing, address): (&Listing, &SocketAddr)| {
             listing
-                .seen_from(clock_offset_ms)
+                .for_clock(clock_offset_ms)
                 .entry(&self.scenario.zones, *address)
         };
         of_tier.iter().zip(addresses).map(entry).collect()
@@ -80,11 +74,11 @@
     /// Lists an upstream in another state.
     pub fn set_listed_state(&self, upstream: u32, state: &'static str) {
         let upstream = &self.upstreams[upstream as usize];
-        upstream.list(state, None);
+        upstream.set_listed_state(state, None);
         let due = self.publish_list();
         // An unresponsive agent notifies nobody.
         if state == TERMINATING && *lock(&self.unresponsive_faults) == 0 {
-            upstream.list(state, Some(due));
+            upstream.set_listed_state(state, Some(due));
         }
     }
 
@@ -104,7 +98,7 @@
         }
         for upstream in &self.upstreams {
             if upstream.listing().state == TERMINATING {
-                upstream.list(TERMINATING, Some(Instant::now()));
+                upstream.set_listed_state(TERMINATING, Some(Instant::now()));
             }
         }
     }
--- a/crates/cluster-test/src/fleet/lifecycle.rs
+++ b/crates/cluster-test/src/fleet/lifecycle.rs
@@ -1,7 +1,6 @@
 //! The start and the end of processes while the scenario runs.
 
 use super::Fleet;
-use super::endpoint_list::{IN_SERVICE, TERMINATING};
 use crate::balancer::Balancer;
 use crate::error::ClusterError;
 use crate::links;
@@ -10,7 +9,8 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use woadstall_load_test::lock;
-use woadstall_load_test::nodo::Listing;
+use woadstall_load_test::upstream::Listing;
+use woadstall_load_test::upstream::listing::{IN_SERVICE, TERMINATING};
 
 /// The longest that a starting process needs to hear its list, once its agent has it.
 const LIST_READ_TIME: Duration = Duration::from_secs(1);
@@ -38,7 +38,7 @@
     ///
     /// As [`Fleet::start_balancers`].
     pub async fn restart_upstream(&self, upstream: u32) -> Result<(), ClusterError> {
-        self.upstreams[upstream as usize].clone().boot().await;
+        self.upstreams[upstream as usize].clone().restart().await;
         self.network
             .set_running(links::upstream_node(upstream), true);
         self.set_listed_state(upstream, IN_SERVICE);
@@ -112,7 +112,7 @@
     fn stale_and_last_list(&self, staleness: Duration) -> (Revision, Revision) {
         let then = Instant::now()
             .checked_sub(staleness)
-            .unwrap_or(self.script.start);
+            .unwrap_or(self.schedule.start);
         let history = lock(&self.list_history);
         let revision = |index: usize| Revision {
             number: index as u64 + 1,
@@ -145,7 +145,7 @@
     fn delay_drain_notifications(&self, until: Instant) {
         for upstream in &self.upstreams {
             if upstream.listing().state == TERMINATING {
-                upstream.told_no_sooner(until);
+                upstream.delay_drain_notification(until);
             }
         }
     }
--- a/crates/cluster-test/src/fleet/start.rs
+++ b/crates/cluster-test/src/fleet/start.rs
@@ -12,16 +12,15 @@
 use crate::run_directory::RunDirectory;
 use rand::RngExt;
 use std::net::SocketAddr;
-use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use woadstall_emulator::{Actor, Scenario, stream};
 use woadstall_fault_proxy::FaultProxy;
-use woadstall_load_test::callers::Door;
-use woadstall_load_test::judge::Judge;
-use woadstall_load_test::nodo::{Next, Socketed};
-use woadstall_load_test::script::Script;
-use woadstall_load_test::settings::Place;
+use woadstall_load_test::callers::BalancerEndpoint;
+use woadstall_load_test::rule_checker::RuleChecker;
+use woadstall_load_test::schedule::Schedule;
+use woadstall_load_test::settings::BalancerPlacement;
+use woadstall_load_test::upstream::{NextTier, Upstream, UpstreamNumber};
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
@@ -29,8 +28,8 @@
 pub struct FleetSettings {
     /// What is played.
     pub scenario: Arc<Scenario>,
-    /// Where broken rules are found.
-    pub judge: Arc<Judge>,
+    /// Finds broken rules.
+    pub rules: Arc<RuleChecker>,
     /// Where processes are spawned.
     pub run_directory: Arc<RunDirectory>,
     /// The source of all random numbers.
@@ -76,7 +75,7 @@
     fn without_balancers(
         settings: FleetSettings,
         network: FaultProxy,
-        upstreams: Vec<Arc<Socketed>>,
+        upstreams: Vec<Arc<Upstream>>,
         tier_bounds: Vec<usize>,
     ) -> Self {
         let scenario = settings.scenario;
@@ -85,8 +84,8 @@
             .map(|upstream| upstream.listing())
             .collect();
         Self {
-            script: Script::new(scenario.clone(), settings.start),
-            judge: settings.judge,
+            schedule: Schedule::new(scenario.clone(), settings.start),
+            rules: settings.rules,
             seed: settings.seed,
             network,
             run_directory: settings.run_directory,
@@ -172,20 +171,22 @@
             .network
             .proxy_tcp(node, links::agent_node(number), agent.address)
             .await?;
-        let door = self.open_door(number, position, listen, proxies).await?;
+        let callers = self
+            .proxy_callers(number, position, listen, proxies)
+            .await?;
         let process = Process::new(&self.run_directory, format!("balancer-{number:03}"))?;
         let admin = match self.scenario.members {
             Some(_) => Some(free_port(listen.ip(), Port::Operators).await?),
             None => None,
         };
-        let placement = Place {
+        let placement = BalancerPlacement {
             tier,
             zone,
             number,
             listen,
         };
         let endpoints = Endpoints {
-            door,
+            callers,
             agent: agent_address,
             upstreams,
             admin,
@@ -202,13 +203,13 @@
 
     /// Where a balancer is called, closed until its process serves. A sidecar is called by its upstream alone, without a
     /// network between them.
-    async fn open_door(
+    async fn proxy_callers(
         &self,
         number: u32,
         position: Position,
         listen: SocketAddr,
         proxies: &mut Vec<ViolatingProxy>,
-    ) -> std::io::Result<Door> {
+    ) -> std::io::Result<BalancerEndpoint> {
         let address = match position.sidecar_of {
             Some(_) => listen,
             None => {
@@ -224,9 +225,9 @@
                 self.network.proxy_tcp(callers, balancer, target).await?
             }
         };
-        let door = Door::new(address, position.zone);
-        door.open.store(false, Ordering::Relaxed);
-        Ok(door)
+        let endpoint = BalancerEndpoint::new(address, position.zone);
+        endpoint.set_open(false);
+        Ok(endpoint)
     }
 
     /// By how much a balancer's clock is ahead: the same random number as in the emulator.
@@ -250,7 +251,7 @@
             &self.balancers,
             &self.scenario.zones,
             self.seed,
-            self.script.start,
+            self.schedule.start,
         );
         let membership = membership.await.map_err(ClusterError::PrepareMembership)?;
         self.membership = Some(membership);
@@ -269,16 +270,16 @@
                     .iter()
                     .filter(|balancer| balancer.placement.tier == next_tier)
             };
-            let door = |balancer: &Arc<Balancer>| balancer.endpoints.door.clone();
+            let endpoint = |balancer: &Arc<Balancer>| balancer.endpoints.callers.clone();
             for upstream in self.upstreams_of_tier(index) {
                 let sidecar = balancers().find(|one| one.sidecar_of == Some(upstream));
-                let doors = match sidecar {
-                    Some(sidecar) => vec![door(sidecar)],
-                    None => balancers().map(door).collect(),
+                let callable = match sidecar {
+                    Some(sidecar) => vec![endpoint(sidecar)],
+                    None => balancers().map(endpoint).collect(),
                 };
-                self.upstreams[upstream as usize].calls(Next {
-                    mean: calls.mean,
-                    doors,
+                self.upstreams[upstream as usize].set_next_tier(NextTier {
+                    mean_calls: calls.mean,
+                    balancers: callable,
                 });
             }
         }
@@ -288,10 +289,10 @@
 /// Starts all upstreams, tier by tier, and returns the first of each tier as well, with the end of the last.
 async fn start_upstreams(
     settings: &FleetSettings,
-) -> Result<(Vec<Arc<Socketed>>, Vec<usize>), ClusterError> {
+) -> Result<(Vec<Arc<Upstream>>, Vec<usize>), ClusterError> {
     let FleetSettings {
         scenario,
-        judge,
+        rules,
         seed,
         start,
         ..
@@ -300,8 +301,12 @@
     for (index, tier) in scenario.tier.iter().enumerate() {
         for number_in_tier in 0..tier.nodos {
             let number = upstreams.len() as u32;
-            let numbers = (number_in_tier, number);
-            let upstream = Socketed::start(scenario, judge, *start, index, numbers, *seed).await;
+            let upstream_number = UpstreamNumber {
+                tier: index,
+                in_tier: number_in_tier,
+                overall: number,
+            };
+            let upstream = Upstream::start(scenario, rules, upstream_number, *seed, *start).await;
             upstreams
                 .push(upstream.map_err(|source| ClusterError::StartUpstream { number, source })?);
         }
@@ -312,7 +317,7 @@
 
 /// Where the links to each upstream lead: to it, or to a proxy before it that breaks a rule.
 async fn upstream_targets(
-    upstreams: &[Arc<Socketed>],
+    upstreams: &[Arc<Upstream>],
     violation: Option<RuleViolation>,
     proxies: &mut Vec<ViolatingProxy>,
 ) -> Result<Vec<SocketAddr>, ClusterError> {
--- a/crates/cluster-test/src/results.rs
+++ b/crates/cluster-test/src/results.rs
@@ -13,7 +13,7 @@
 use woadstall_emulator::End;
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_fault_proxy::TrafficCounts;
-use woadstall_load_test::Seen;
+use woadstall_load_test::UpstreamCounts;
 
 /// The machine is too slow where more than these shares are late or starved.
 const MAX_LATE_CALLS: f64 = 0.01;
@@ -52,7 +52,7 @@
     /// What went through the fault proxy.
     pub traffic: TrafficCounts,
     /// What each upstream saw.
-    pub upstreams: Vec<Seen>,
+    pub upstreams: Vec<UpstreamCounts>,
     /// The share of a core that each balancer's membership used, where there is one.
     pub membership_cores: Vec<f64>,
     /// The folder with the processes' logs, where it was kept.
--- a/crates/cluster-test/src/run.rs
+++ b/crates/cluster-test/src/run.rs
@@ -17,9 +17,9 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use woadstall_emulator::{End, Scenario};
-use woadstall_load_test::callers::{By, Callers};
-use woadstall_load_test::judge::Judge;
-use woadstall_load_test::script;
+use woadstall_load_test::callers::{Callers, Transport};
+use woadstall_load_test::rule_checker::RuleChecker;
+use woadstall_load_test::schedule;
 
 /// The limits of a process: what its configuration lets it use, and what the program needs beside that for its own
 /// descriptors, code and stack.
@@ -68,10 +68,10 @@
     let run_directory = Arc::new(run_directory.map_err(RunError::RunDirectory)?);
     let began = Instant::now();
     let start = began + start_up_time(&scenario);
-    let judge = Arc::new(Judge::new(start));
+    let rules = Arc::new(RuleChecker::new(start));
     let settings = FleetSettings {
         scenario: scenario.clone(),
-        judge: judge.clone(),
+        rules: rules.clone(),
         run_directory: run_directory.clone(),
         seed: options.seed,
         start,
@@ -82,8 +82,8 @@
     if Instant::now() >= start {
         return Err(RunError::TooSlow { up_after });
     }
-    let by = By::Daemons(fleet.doors());
-    let callers = Callers::new(scenario, judge, by, options.seed, start);
+    let transport = Transport::Daemons(fleet.entry_points());
+    let callers = Callers::new(scenario, rules, transport, options.seed, start);
     let observer = Arc::new(Observer::new(
         fleet.clone(),
         Arc::new(callers),
@@ -109,7 +109,7 @@
 /// Has callers call and faults happen until the scenario's time is over.
 async fn play(observer: &Arc<Observer>) -> ProcessUsage {
     let (fleet, callers) = (&observer.fleet, &observer.callers);
-    let start = fleet.script.start;
+    let start = fleet.schedule.start;
     // Aborted with this future, however it ends.
     let mut tasks = JoinSet::new();
     tasks.spawn(observer.clone().run_faults());
@@ -118,7 +118,7 @@
     tasks.spawn(observer.clone().sample_timer());
     sleep(start.saturating_duration_since(Instant::now())).await;
     callers.clone().run().await;
-    script::last_effects(&fleet.scenario).await;
+    schedule::wait_for_late_effects(&fleet.scenario).await;
     let usage = measure_usage(fleet, start.elapsed());
     tasks.shutdown().await;
     usage
@@ -146,7 +146,7 @@
 fn collect(observer: &Observer, usage: ProcessUsage, up_after: Duration) -> RunResult {
     let Observer { fleet, callers, .. } = observer;
     let end = collect_end(observer);
-    let judge = &fleet.judge;
+    let rules = &fleet.rules;
     let balancers = fleet.balancers.iter();
     RunResult {
         end,
@@ -161,15 +161,15 @@
             .clone()
             .map(|balancer| balancer.peak_memory_kb())
             .collect(),
-        unanswered: judge.lost(),
-        ran_twice: judge.doubled(),
-        late_at_suspended: judge.stood_still(),
+        unanswered: rules.unanswered(),
+        ran_twice: rules.ran_twice(),
+        late_at_suspended: rules.late_at_suspended(),
         list_reads: balancers.map(|balancer| balancer.agent.reads()).sum(),
         traffic: fleet.network.counts(),
         upstreams: fleet
             .upstreams
             .iter()
-            .map(|upstream| upstream.seen())
+            .map(|upstream| upstream.counts())
             .collect(),
         membership_cores: usage.membership_cores,
         logs: None,
--- a/crates/cluster-test/src/run/observer.rs
+++ b/crates/cluster-test/src/run/observer.rs
@@ -63,7 +63,7 @@
 
     /// Samples the fleet, step by step, and records processes that ended by themselves.
     pub async fn sample_steps(self: Arc<Self>) {
-        let start = self.fleet.script.start;
+        let start = self.fleet.schedule.start;
         let step = Duration::from_nanos(self.fleet.scenario.step.0);
         let (mut longest_queue, mut next_step) = (0, start + step);
         let mut log_offsets = vec![0; self.fleet.balancers.len()];
@@ -71,7 +71,7 @@
         loop {
             ticks.tick().await;
             let upstreams = self.fleet.upstreams.iter();
-            let queue = upstreams.map(|upstream| upstream.held()).max();
+            let queue = upstreams.map(|upstream| upstream.in_flight()).max();
             longest_queue = queue.unwrap_or(0).max(longest_queue);
             if Instant::now() < next_step {
                 continue;
@@ -92,7 +92,8 @@
                 *log_lines.entry(topic).or_default() += count;
             }
         }
-        self.callers.step(&tier_speeds, &attempts, longest_queue);
+        self.callers
+            .end_step(&tier_speeds, &attempts, longest_queue);
         lock(&self.samples).push(StepSample { running, log_lines });
         if self.progress {
             self.show_progress(running);
@@ -100,7 +101,7 @@
     }
 
     fn show_progress(&self, running: RunningCounts) {
-        let seconds = self.fleet.script.start.elapsed().as_secs();
+        let seconds = self.fleet.schedule.start.elapsed().as_secs();
         let length = self.fleet.scenario.time.seconds();
         let (balancers, upstreams) = (self.fleet.balancers.len(), self.fleet.upstreams.len());
         eprint!(
@@ -111,7 +112,7 @@
 
     /// Runs a timer, and counts how often it was late.
     pub async fn sample_timer(self: Arc<Self>) {
-        let start = self.fleet.script.start;
+        let start = self.fleet.schedule.start;
         sleep(start.saturating_duration_since(Instant::now())).await;
         loop {
             let due = Instant::now() + TIMER_PERIOD;
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -11,7 +11,7 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 use woadstall_emulator::{Scenario, Span};
-use woadstall_load_test::{Path, Played, run};
+use woadstall_load_test::{LoadResult, Path, run};
 
 /// What is played, with times for a minute.
 const SCENARIO: &str = include_str!("../demo.toml");
@@ -49,22 +49,25 @@
     Ok(scenario)
 }
 
-fn tell(played: &Played) {
+fn tell(played: &LoadResult) {
     println!(
         "\n{:<8} {:<14} {:<8} {:>8}",
         "path", "class", "answer", "requests"
     );
-    for ((path, class, heard), requests) in &played.tally {
-        println!("{path:<8} {class:<14} {heard:<8} {requests:>8}");
+    for (key, requests) in &played.tally {
+        println!(
+            "{:<8} {:<14} {:<8} {requests:>8}",
+            key.transport, key.class, key.result
+        );
     }
     println!(
         "\n{:<8} {:>6} {:>6} {:>12}",
         "nodo", "came", "ran", "turned away"
     );
-    for nodo in &played.nodos {
+    for upstream in &played.upstreams {
         println!(
             "{:<8} {:>6} {:>6} {:>12}",
-            nodo.name, nodo.came, nodo.ran, nodo.turned_away
+            upstream.name, upstream.received, upstream.executed, upstream.rejected
         );
     }
     let (counts, latency) = (&played.end.counts, &played.end.latency);
@@ -107,7 +110,9 @@
         tier.balancers
     );
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
-    let played = runtime.block_on(run(scenario, Path::Both, 1))?;
+    let played = runtime
+        .block_on(run(scenario, Path::Both, 1))
+        .map_err(|error| error.to_string())?;
     tell(&played);
     let counts = &played.end.counts;
     let all = counts.on_time + counts.late + counts.refused + counts.failed == counts.offered;
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -1,171 +1,209 @@
-//! The nodos of a scenario's only tier, the list of them, and the script of faults.
+//! The upstreams of a scenario's only tier, their endpoint list, and the faults to them.
 
-use crate::judge::Judge;
 use crate::lock;
-use crate::nodo::{Seen, Socketed};
-use crate::script::{GONE, Script, TOPPLED};
+use crate::rule_checker::RuleChecker;
+use crate::schedule::{CRASH_RECOVERY, ROLL_DOWNTIME, Schedule};
+use crate::upstream::listing::{GONE, IN_SERVICE, TERMINATING};
+use crate::upstream::{Upstream, UpstreamCounts, UpstreamNumber};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_emulator::{Actor, Scenario, What, sample, stream};
+use woadstall_emulator::{Actor, Fault, Scenario, What, sample, stream};
 use woadstall_mock_servers::http1::Discovery;
 
-/// All nodos of a scenario, and the list of them.
+/// How often upstreams are checked for having crashed under overload.
+const CRASH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// All upstreams of a scenario, and their list.
 pub struct Fleet {
     scenario: Arc<Scenario>,
-    nodos: Vec<Arc<Socketed>>,
+    upstreams: Vec<Arc<Upstream>>,
     discovery: Mutex<Discovery>,
-    /// Where the list is told.
-    pub discovery_at: SocketAddr,
-    script: Script,
+    /// Where discovery listens.
+    pub discovery_address: SocketAddr,
+    schedule: Schedule,
     seed: u64,
 }
 
 impl Fleet {
-    /// Starts all nodos of a scenario's first tier.
+    /// Starts all upstreams of a scenario's first tier.
+    ///
+    /// # Errors
+    ///
+    /// Where one cannot listen.
     pub async fn start(
         scenario: Arc<Scenario>,
-        judge: Arc<Judge>,
+        rules: &Arc<RuleChecker>,
         seed: u64,
         start: Instant,
     ) -> std::io::Result<Self> {
-        let mut nodos = Vec::new();
+        let mut upstreams = Vec::new();
         for number in 0..scenario.tier[0].nodos {
-            nodos.push(Socketed::start(&scenario, &judge, start, 0, (number, number), seed).await?);
+            let number = UpstreamNumber {
+                tier: 0,
+                in_tier: number,
+                overall: number,
+            };
+            upstreams.push(Upstream::start(&scenario, rules, number, seed, start).await?);
         }
         let discovery = Discovery::start();
-        let (discovery_at, discovery) = (discovery.address, Mutex::new(discovery));
-        let script = Script::new(scenario.clone(), start);
         let fleet = Self {
+            schedule: Schedule::new(scenario.clone(), start),
             scenario,
-            nodos,
-            discovery,
-            discovery_at,
-            script,
+            upstreams,
+            discovery_address: discovery.address,
+            discovery: Mutex::new(discovery),
             seed,
         };
-        fleet.tell();
+        fleet.publish_list();
         Ok(fleet)
     }
 
-    /// The list, as discovery tells it.
-    pub fn targets(&self) -> Vec<Value> {
+    /// The entries of the list, as discovery publishes them.
+    pub fn list_entries(&self) -> Vec<Value> {
         let zones = &self.scenario.zones;
-        let entry = |nodo: &Arc<Socketed>| nodo.listing().entry(zones, nodo.address);
-        self.nodos.iter().map(entry).collect()
+        self.upstreams
+            .iter()
+            .map(|upstream| upstream.listing().entry(zones, upstream.address))
+            .collect()
     }
 
-    fn tell(&self) {
-        let targets: Vec<String> = self.targets().iter().map(Value::to_string).collect();
-        lock(&self.discovery).set(&targets);
+    fn publish_list(&self) {
+        let entries = self.list_entries();
+        let entries: Vec<String> = entries.iter().map(Value::to_string).collect();
+        lock(&self.discovery).set(&entries);
     }
 
-    fn list(&self, at: u32, state: &'static str) {
-        let drained = (state == "terminating").then(Instant::now);
-        self.nodos[at as usize].list(state, drained);
-        self.tell();
+    fn set_listed_state(&self, upstream: u32, state: &'static str) {
+        let drained_since = (state == TERMINATING).then(Instant::now);
+        self.upstreams[upstream as usize].set_listed_state(state, drained_since);
+        self.publish_list();
     }
 
-    /// What all nodos can do at present, in workers of sound warm ones, and the attempts that each got since the
-    /// last look.
-    pub fn look(&self) -> (f64, Vec<u32>) {
-        let looks = self.nodos.iter().map(|nodo| nodo.look());
-        let (speeds, attempts): (Vec<f64>, Vec<u32>) = looks.unzip();
+    /// Takes a sample: what all upstreams can do at present, in workers of healthy warm ones, and the attempts that each
+    /// got since the last sample.
+    pub fn sample(&self) -> (f64, Vec<u32>) {
+        let samples = self.upstreams.iter().map(|upstream| upstream.sample());
+        let (speeds, attempts): (Vec<f64>, Vec<u32>) = samples
+            .map(|sample| (sample.speed, sample.attempts))
+            .unzip();
         (speeds.iter().sum(), attempts)
     }
 
-    /// What each nodo has seen so far.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.nodos.iter().map(|nodo| nodo.seen()).collect()
+    /// What each upstream has counted so far.
+    pub fn counts(&self) -> Vec<UpstreamCounts> {
+        let upstreams = self.upstreams.iter();
+        upstreams.map(|upstream| upstream.counts()).collect()
     }
 
-    /// Most requests that a nodo holds now.
-    pub fn most_held(&self) -> u32 {
-        self.nodos.iter().map(|nodo| nodo.held()).max().unwrap_or(0)
+    /// The most requests that an upstream has in flight now.
+    pub fn max_in_flight(&self) -> u32 {
+        let upstreams = self.upstreams.iter();
+        let in_flight = upstreams.map(|upstream| upstream.in_flight());
+        in_flight.max().unwrap_or(0)
     }
 
-    /// Plays the faults of the scenario, each in its time; never ends by itself before they are over.
-    pub async fn play(self: Arc<Self>) {
+    /// Applies the faults of the scenario; runs until it is aborted.
+    pub async fn run_faults(self: Arc<Self>) {
         let mut faults = JoinSet::new();
-        for at in 0..self.scenario.fault.len() {
-            faults.spawn(self.clone().fault(at));
+        for index in 0..self.scenario.fault.len() {
+            faults.spawn(self.clone().run_fault(index));
         }
-        // Those that fell over come back.
-        let fleet = self.clone();
-        faults.spawn(async move {
-            loop {
-                sleep(Duration::from_millis(100)).await;
-                for (at, nodo) in fleet.nodos.iter().enumerate() {
-                    if nodo.has_fallen() {
-                        nodo.kill();
-                        let fleet = fleet.clone();
-                        tokio::spawn(async move {
-                            sleep(TOPPLED).await;
-                            fleet.boot(at as u32).await;
-                        });
-                    }
+        faults.spawn(self.clone().restart_crashed_upstreams());
+        while faults.join_next().await.is_some() {}
+    }
+
+    async fn restart_crashed_upstreams(self: Arc<Self>) {
+        loop {
+            sleep(CRASH_CHECK_INTERVAL).await;
+            for (index, upstream) in self.upstreams.iter().enumerate() {
+                if !upstream.take_crashed() {
+                    continue;
                 }
+                upstream.kill();
+                let fleet = self.clone();
+                tokio::spawn(async move {
+                    sleep(CRASH_RECOVERY).await;
+                    fleet.restart(index as u32).await;
+                });
             }
-        });
-        while faults.join_next().await.is_some() {}
+        }
     }
 
-    async fn fault(self: Arc<Self>, at: usize) {
-        let fault = &self.scenario.fault[at];
+    /// The upstreams that a fault hits: the same random numbers as in the emulator.
+    fn draw_targets(&self, index: usize) -> Vec<u32> {
+        let fault = &self.scenario.fault[index];
         let zone = self.scenario.zone(&fault.zone).unwrap_or(None);
-        let there = |nodo: &Socketed| zone.is_none_or(|zone| nodo.listing().zone == zone);
-        let nodos: Vec<u32> = (0..self.nodos.len() as u32)
-            .filter(|&nodo| there(&self.nodos[nodo as usize]))
+        let is_in_zone = |upstream: &Upstream| match zone {
+            Some(zone) => upstream.listing().zone == zone,
+            None => true,
+        };
+        let candidates: Vec<u32> = (0..self.upstreams.len() as u32)
+            .filter(|&number| is_in_zone(&self.upstreams[number as usize]))
             .collect();
-        let hit = sample(
-            &mut stream(self.seed, Actor::Fault, fault.place.unwrap_or(at as u32)),
-            &nodos,
-            fault.part,
-        );
-        self.script.begin_of(fault).await;
+        let mut rng = stream(self.seed, Actor::Fault, fault.place.unwrap_or(index as u32));
+        sample(&mut rng, &candidates, fault.part)
+    }
+
+    /// Waits for a fault, applies it and reverts it.
+    async fn run_fault(self: Arc<Self>, index: usize) {
+        let fault = &self.scenario.fault[index];
+        let targets = self.draw_targets(index);
+        self.schedule.fault_begin(fault).await;
         match &fault.what {
-            What::Kill { .. } => {
-                hit.iter()
-                    .for_each(|&nodo| self.nodos[nodo as usize].kill());
-                self.script.noticed(fault).await;
-                hit.iter().for_each(|&nodo| self.list(nodo, "gone"));
-                self.script.end_of(fault).await;
-                for &nodo in &hit {
-                    self.boot(nodo).await;
-                }
-            }
-            What::Roll => {
-                let mut each = JoinSet::new();
-                for (turn, &nodo) in hit.iter().enumerate() {
-                    let (fleet, begins) =
-                        (self.clone(), self.script.turn(fault, 2, turn, hit.len()));
-                    each.spawn(async move {
-                        fleet.script.wait(begins).await;
-                        fleet.list(nodo, "terminating");
-                        fleet.script.drained().await;
-                        fleet.nodos[nodo as usize].kill();
-                        sleep(GONE).await;
-                        fleet.boot(nodo).await;
-                    });
-                }
-                while each.join_next().await.is_some() {}
-            }
-            _ => {
-                hit.iter()
-                    .for_each(|&nodo| self.nodos[nodo as usize].ail(&fault.what, true));
-                self.script.end_of(fault).await;
-                hit.iter()
-                    .for_each(|&nodo| self.nodos[nodo as usize].ail(&fault.what, false));
+            What::Kill { .. } => self.kill_for_a_while(fault, &targets).await,
+            What::Roll => self.roll(fault, &targets).await,
+            what => {
+                self.set_fault(what, &targets, true);
+                self.schedule.fault_end(fault).await;
+                self.set_fault(what, &targets, false);
             }
         }
     }
 
-    async fn boot(&self, at: u32) {
-        let nodo = &self.nodos[at as usize];
-        nodo.clone().boot().await;
-        self.list(at, "in_service");
+    fn set_fault(&self, what: &What, targets: &[u32], active: bool) {
+        for &upstream in targets {
+            self.upstreams[upstream as usize].set_fault(what, active);
+        }
+    }
+
+    async fn kill_for_a_while(&self, fault: &Fault, targets: &[u32]) {
+        for &upstream in targets {
+            self.upstreams[upstream as usize].kill();
+        }
+        self.schedule.fault_noticed(fault).await;
+        for &upstream in targets {
+            self.set_listed_state(upstream, GONE);
+        }
+        self.schedule.fault_end(fault).await;
+        for &upstream in targets {
+            self.restart(upstream).await;
+        }
+    }
+
+    /// Drains and restarts upstreams, spread evenly over the first half of the fault.
+    async fn roll(self: &Arc<Self>, fault: &Fault, targets: &[u32]) {
+        let mut restarts = JoinSet::new();
+        for (index, &upstream) in targets.iter().enumerate() {
+            let fleet = self.clone();
+            let begin = self.schedule.slot_begin(fault, 2, index, targets.len());
+            restarts.spawn(async move {
+                fleet.schedule.wait_until(begin).await;
+                fleet.set_listed_state(upstream, TERMINATING);
+                fleet.schedule.drain().await;
+                fleet.upstreams[upstream as usize].kill();
+                sleep(ROLL_DOWNTIME).await;
+                fleet.restart(upstream).await;
+            });
+        }
+        while restarts.join_next().await.is_some() {}
+    }
+
+    async fn restart(&self, upstream: u32) {
+        self.upstreams[upstream as usize].clone().restart().await;
+        self.set_listed_state(upstream, IN_SERVICE);
     }
 }
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -1,94 +1,45 @@
-//! The lab's scenarios on real sockets of this machine.
+//! Scenarios of the emulator on real sockets of this machine.
 //!
-//! Exit codes: 0 all well; 1 a rule was broken; 2 the command line is at fault; 3 a file or a scenario is, or
+//! Exit codes: 0 passed; 1 a rule was broken; 2 the command line is wrong; 3 a file or a scenario is, or
 //! something could not be started; 4 this program was itself too slow for the figures to be taken at their word.
 
-#![forbid(unsafe_code)]
+mod arguments;
+mod latency_log;
 
-use clap::{Parser, ValueEnum};
-use hdrhistogram::Histogram;
-use hdrhistogram::serialization::V2DeflateSerializer;
-use hdrhistogram::serialization::interval_log::IntervalLogWriterBuilder;
-use std::io::Write;
-use std::net::SocketAddr;
-use std::path::PathBuf;
+use arguments::{Arguments, Through};
+use clap::Parser;
+use std::error::Error;
 use std::process::ExitCode;
-use std::time::{Duration, SystemTime};
+use std::time::SystemTime;
 use tracing::{error, info, warn};
-use woadstall_emulator::End;
-use woadstall_emulator_cli::grid::{self, Key, Set, Source};
-use woadstall_emulator_cli::log::Log;
+use woadstall_emulator::{End, Scenario};
+use woadstall_emulator_cli::grid::{Key, Set, Source};
 use woadstall_emulator_cli::report;
 use woadstall_emulator_cli::rows::{Lag, Row};
-use woadstall_load_test::{Path, Played, run};
+use woadstall_load_test::{LoadResult, Path, run};
 
-/// Part of the calls that may begin late before the figures are doubted.
-const LATE_PART: f64 = 0.01;
-
-#[derive(Parser)]
-#[command(
-    version,
-    about = "The lab's scenarios on real sockets: callers, stand-in nodos, daemons or plug-ins"
-)]
-struct Arguments {
-    scenario: PathBuf,
-    /// What callers go through: daemons over HTTP/1.1, plug-ins over gRPC, or both, started here.
-    #[arg(long, value_enum, default_value_t = Through::Daemon)]
-    through: Through,
-    /// Addresses of daemons that run already, on this machine; then nothing is started here.
-    #[arg(long, conflicts_with = "through")]
-    target: Vec<SocketAddr>,
-    /// Set a key of the scenario, as in time=10s.
-    #[arg(long, value_parser = grid::pair)]
-    set: Vec<(String, String)>,
-    /// Seed of the random numbers: the calls come as in the lab's run of this seed.
-    #[arg(long, default_value_t = 1)]
-    seed: u64,
-    /// Append the row, as the lab writes them, to this file.
-    #[arg(long)]
-    out: Option<PathBuf>,
-    /// Write the latencies here, step by step, in HdrHistogram's log format.
-    #[arg(long)]
-    hdr: Option<PathBuf>,
-    /// Print the row as JSON.
-    #[arg(long)]
-    json: bool,
-    /// Form of the log lines, which go to standard error.
-    #[arg(long, value_enum, default_value_t = Log::Text)]
-    log: Log,
-}
-
-#[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum Through {
-    Daemon,
-    Plugin,
-    Both,
-}
+const BROKEN: u8 = 1;
+const INVALID_INPUT: u8 = 3;
+const TOO_SLOW: u8 = 4;
+/// The share of the calls that may begin late before the figures are doubted.
+const MAX_LATE_CALLS: f64 = 0.01;
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     arguments.log.start();
-    match act(&arguments) {
+    match execute(&arguments) {
         Ok(code) => ExitCode::from(code),
-        Err(text) => {
-            error!("{text}");
-            ExitCode::from(3)
+        Err(error) => {
+            error!("{error}");
+            ExitCode::from(INVALID_INPUT)
         }
     }
 }
 
-fn act(arguments: &Arguments) -> Result<u8, String> {
+fn execute(arguments: &Arguments) -> Result<u8, Box<dyn Error>> {
     let set: Set = arguments.set.iter().cloned().collect();
     let (scenario, digest) = Source::read(&arguments.scenario)?.with(&set)?;
-    let path = match (arguments.target.as_slice(), arguments.through) {
-        ([], Through::Daemon) => Path::Daemon,
-        ([], Through::Plugin) => Path::Plugin,
-        ([], Through::Both) => Path::Both,
-        (targets, _) if targets.iter().all(|target| target.ip().is_loopback()) => {
-            Path::Target(targets.to_vec())
-        }
-        _ => return Err("`--target`: this tool loads this machine only".into()),
-    };
+    let path = path(arguments)?;
     let key = Key {
         scenario: scenario.name.clone(),
         digest,
@@ -99,25 +50,47 @@
     info!(
         scenario = key.scenario,
         through = key.policy,
-        "for {:.0} s",
-        scenario.time.seconds()
+        seconds = scenario.time.seconds(),
+        "run starts"
     );
     let started = SystemTime::now();
-    let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
-    let Played { end, lag, .. } = runtime.block_on(run(scenario, path, arguments.seed))?;
+    let LoadResult { end, lag, .. } = play(scenario, path, arguments.seed)?;
     let row = Row::new(key, end, Some(lag.clone()));
     if let Some(out) = &arguments.out {
         row.append(out)?;
     }
     if let Some(hdr) = &arguments.hdr {
-        let written = log_latencies(&row.end, started, hdr);
-        written.map_err(|error| format!("{}: {error}", hdr.display()))?;
+        latency_log::write(&row.end, started, hdr)
+            .map_err(|error| format!("{}: {error}", hdr.display()))?;
     }
-    match arguments.json {
-        true => println!("{}", row.line()?),
-        false => tell(&row.end, &lag),
+    if arguments.json {
+        println!("{}", row.line()?);
+    } else {
+        print_summary(&row.end, &lag);
     }
-    if lag.late as f64 > LATE_PART * lag.calls as f64 {
+    Ok(exit_code(&row.end, &lag))
+}
+
+fn path(arguments: &Arguments) -> Result<Path, &'static str> {
+    match (arguments.target.as_slice(), arguments.through) {
+        ([], Through::Daemon) => Ok(Path::Daemon),
+        ([], Through::Plugin) => Ok(Path::Plugin),
+        ([], Through::Both) => Ok(Path::Both),
+        (targets, _) if targets.iter().all(|target| target.ip().is_loopback()) => {
+            Ok(Path::Target(targets.to_vec()))
+        }
+        _ => Err("`--target`: this tool loads this machine only"),
+    }
+}
+
+fn play(scenario: Scenario, path: Path, seed: u64) -> Result<LoadResult, Box<dyn Error>> {
+    let runtime = tokio::runtime::Runtime::new()?;
+    Ok(runtime.block_on(run(scenario, path, seed))?)
+}
+
+fn exit_code(end: &End, lag: &Lag) -> u8 {
+    let is_broken = end.broken() > 0;
+    if lag.late as f64 > MAX_LATE_CALLS * lag.calls as f64 {
         let (late, calls, worst_ms) = (lag.late, lag.calls, lag.worst_ms);
         warn!(
             late,
@@ -125,12 +98,12 @@
             worst_ms,
             "this program was itself the bottleneck: lower the rate, or free cores"
         );
-        return Ok(if row.end.broken() > 0 { 1 } else { 4 });
+        return if is_broken { BROKEN } else { TOO_SLOW };
     }
-    Ok(u8::from(row.end.broken() > 0))
+    if is_broken { BROKEN } else { 0 }
 }
 
-fn tell(end: &End, lag: &Lag) {
+fn print_summary(end: &End, lag: &Lag) {
     let (counts, latency) = (&end.counts, &end.latency);
     println!("  worth served   {:.3} of what was offered", end.served);
     println!(
@@ -149,35 +122,10 @@
         "  begun late     {} of {}, at worst by {:.1} ms",
         lag.late, lag.calls, lag.worst_ms
     );
-    report::kept(end).for_each(|line| println!("{line}"));
+    for line in report::kept(end) {
+        println!("{line}");
+    }
     for breach in &end.first_breaches {
         println!("    {:.3} s: {}", breach.at as f64 / 1e9, breach.text);
     }
 }
-
-/// HdrHistogram's interval log, version 1.3, in microseconds: one line a step.
-fn log_latencies(
-    end: &End,
-    started: SystemTime,
-    path: &std::path::Path,
-) -> Result<(), Box<dyn std::error::Error>> {
-    let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
-    let mut serializer = V2DeflateSerializer::new();
-    let mut log = IntervalLogWriterBuilder::new()
-        .add_comment("latency in microseconds, counted from when a call was due")
-        .with_start_time(started)
-        .with_max_value_divisor(1_000.0)
-        .begin_log_with(&mut file, &mut serializer)?;
-    let mut before = 0.0;
-    for step in &end.steps {
-        let mut histogram = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 2)?;
-        for &(micros, count) in &step.latencies {
-            histogram.saturating_record_n(micros, count);
-        }
-        let length = Duration::from_secs_f64((step.until - before).max(0.0));
-        log.write_histogram(&histogram, Duration::from_secs_f64(before), length, None)?;
-        before = step.until;
-    }
-    file.flush()?;
-    Ok(())
-}
--- a/crates/load-test/src/schedule.rs
+++ b/crates/load-test/src/schedule.rs
@@ -1,74 +1,76 @@
-//! When what a scenario's script says happens on real clocks, for all that play it on sockets.
+//! When the faults of a scenario happen on real clocks, for all that play it on sockets.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, sleep_until};
 use woadstall_emulator::{Fault, Scenario};
 
-/// How long a nodo that fell over takes to come back.
-pub const TOPPLED: Duration = Duration::from_secs(5);
-/// A rolled nodo is gone for this time.
-pub const GONE: Duration = Duration::from_secs(1);
-/// What rolled nodos have beyond their callers' time to finish their work: rule 3's second, and the way.
-const DRAINS: Duration = Duration::from_millis(1_250);
+/// How long an upstream that crashed under overload takes to come back.
+pub const CRASH_RECOVERY: Duration = Duration::from_secs(5);
+/// How long an upstream is down in a rolling restart.
+pub const ROLL_DOWNTIME: Duration = Duration::from_secs(1);
+/// What a draining upstream has beyond its callers' time to finish its work: the second that rule 3 allows, and the way.
+const DRAIN_MARGIN: Duration = Duration::from_millis(1_250);
 /// Nobody waits for longer than this for work that was given up on.
-const LAST: Duration = Duration::from_secs(5);
+const MAX_LATE_EFFECT: Duration = Duration::from_secs(5);
 
-/// A scenario from a start on.
-pub struct Script {
+/// The schedule of a scenario from a start on.
+pub struct Schedule {
     scenario: Arc<Scenario>,
     /// When callers begin.
     pub start: Instant,
 }
 
-impl Script {
-    /// Of a scenario whose callers begin then.
+impl Schedule {
+    /// The schedule of a scenario whose callers begin at `start`.
     pub fn new(scenario: Arc<Scenario>, start: Instant) -> Self {
         Self { scenario, start }
     }
 
     /// Waits for a time of the scenario, in nanoseconds.
-    pub async fn wait(&self, at: u64) {
+    pub async fn wait_until(&self, at: u64) {
         sleep_until((self.start + Duration::from_nanos(at)).into()).await;
     }
 
-    /// Waits for the begin of a fault. What is wrong from the start is so before the first call.
-    pub async fn begin_of(&self, fault: &Fault) {
+    /// Waits for the begin of a fault. One that is there from the start is so before the first call.
+    pub async fn fault_begin(&self, fault: &Fault) {
         if fault.at.0 > 0 {
-            self.wait(fault.at.0).await;
+            self.wait_until(fault.at.0).await;
         }
     }
 
-    /// One without an end goes on after the last call: what is still open must not be served.
-    pub async fn end_of(&self, fault: &Fault) {
+    /// Waits for the end of a fault. One without an end goes on after the last call: what is still open must not be
+    /// served.
+    pub async fn fault_end(&self, fault: &Fault) {
         match fault.until {
-            Some(until) => self.wait(until.0).await,
+            Some(until) => self.wait_until(until.0).await,
             None => std::future::pending().await,
         }
     }
 
+    /// The length of a fault, in nanoseconds.
     fn length(&self, fault: &Fault) -> u64 {
         fault.until.unwrap_or(self.scenario.time).0 - fault.at.0
     }
 
     /// Waits until discovery has noticed what died with a fault's begin, or until the fault is over.
-    pub async fn noticed(&self, fault: &Fault) {
-        self.wait(fault.at.0 + self.scenario.padron.notices.0.min(self.length(fault)))
-            .await;
+    pub async fn fault_noticed(&self, fault: &Fault) {
+        let notice_delay = self.scenario.padron.notices.0.min(self.length(fault));
+        self.wait_until(fault.at.0 + notice_delay).await;
     }
 
-    /// When the one of `of` whose turn it is begins, where they share out a fault's first `part`-th evenly.
-    pub fn turn(&self, fault: &Fault, part: u64, turn: usize, of: usize) -> u64 {
-        fault.at.0 + self.length(fault) / part * turn as u64 / of as u64
+    /// When the slot at `index` of `count` begins, in nanoseconds, where they divide the first `1/part` of a fault evenly.
+    pub fn slot_begin(&self, fault: &Fault, part: u64, index: usize, count: usize) -> u64 {
+        fault.at.0 + self.length(fault) / part * index as u64 / count as u64
     }
 
-    /// Waits until what was told to drain has had its time.
-    pub async fn drained(&self) {
-        sleep(Duration::from_nanos(self.scenario.longest().0) + DRAINS).await;
+    /// Waits until a draining upstream has had its time.
+    pub async fn drain(&self) {
+        sleep(Duration::from_nanos(self.scenario.longest().0) + DRAIN_MARGIN).await;
     }
 }
 
-/// Waits for what nodos may still be at though it was given up on: what runs then counts against the rules as well.
-pub async fn last_effects(scenario: &Scenario) {
-    sleep(Duration::from_nanos(scenario.longest().0).min(LAST)).await;
+/// Waits for work that upstreams may still do though it was given up on: its effects count against the rules as well.
+pub async fn wait_for_late_effects(scenario: &Scenario) {
+    sleep(Duration::from_nanos(scenario.longest().0).min(MAX_LATE_EFFECT)).await;
 }
--- /dev/null
+++ b/crates/load-test/src/upstream/requests.rs
@@ -0,0 +1,219 @@
+//! The way of a request through an upstream: admission, a worker, the calls to the next tier, the response.
+
+use super::Upstream;
+use super::responses::{Body, ConnectionAborted, FailureKind, failure, success};
+use super::state::State;
+use crate::headers;
+use crate::lock;
+use crate::rule_checker::ExecutionKey;
+use http::request::Parts;
+use http::{Request, Response};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::sync::oneshot;
+use tokio::time::sleep;
+use woadstall_emulator::{CallEffect, CallGroup, Taken, chance};
+
+/// What an upstream makes of a request that arrives.
+enum Admission {
+    /// The connection is closed.
+    Aborted,
+    /// There is no response.
+    Ignored,
+    /// The response is an error.
+    Error,
+    /// The queue is full.
+    Rejected,
+    /// A worker has it.
+    Started { number: u64 },
+    /// It waits in the queue for the notification that a worker has it.
+    Queued {
+        number: u64,
+        started: oneshot::Receiver<()>,
+    },
+}
+
+impl Upstream {
+    pub(super) async fn respond(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, ConnectionAborted> {
+        let received = Instant::now();
+        let (head, body) = request.into_parts();
+        let content_type = headers::text(&head.headers, "content-type");
+        let grpc = content_type.is_some_and(|kind| kind.starts_with("application/grpc"));
+        let class = self.class_of(&head);
+        body.collect().await.map_err(|_| ConnectionAborted)?;
+        let (number, started) = match self.admit(class) {
+            Admission::Aborted => return Err(ConnectionAborted),
+            Admission::Ignored => return std::future::pending().await,
+            Admission::Error => return Ok(failure(grpc, FailureKind::Error)),
+            Admission::Rejected => return Ok(failure(grpc, FailureKind::Rejected)),
+            Admission::Started { number } => (number, None),
+            Admission::Queued { number, started } => (number, Some(started)),
+        };
+        self.wait_until_resumed().await;
+        let slot = WorkerSlot::new(&self, number, started.is_none());
+        let all_served = self.work(slot, started, class, &head, received).await?;
+        self.record_execution(class, &head);
+        let (lost, reset) = self.draw_response_faults();
+        match (lost, reset) {
+            (true, _) => std::future::pending().await,
+            (false, true) => Err(ConnectionAborted),
+            (false, false) if !all_served => Ok(failure(grpc, FailureKind::Error)),
+            (false, false) => Ok(success(grpc)),
+        }
+    }
+
+    /// The class of a request, by its header or the end of its path.
+    fn class_of(&self, head: &Parts) -> usize {
+        let path_end = head.uri.path().rsplit('/').next().unwrap_or_default();
+        let name = headers::text(&head.headers, headers::CALL_CLASS).unwrap_or(path_end);
+        self.scenario.class(name).unwrap_or(0)
+    }
+
+    /// Decides what happens to a request of a class.
+    fn admit(&self, class: usize) -> Admission {
+        let (now, mut state) = (self.now(), lock(&self.state));
+        state.attempts += 1;
+        state.counts.received += 1;
+        if let Some(since) = state.drained_since {
+            self.rules
+                .record_request_while_draining(&state.model.name, since.elapsed());
+        }
+        let mean_service_ns = self.scenario.class[class].service.mean();
+        let warm_rate = f64::from(state.model.workers()) * 1e9 / mean_service_ns;
+        if let Some(share) = state.model.count_cold(now, warm_rate) {
+            if !std::mem::replace(&mut state.model.toppled, true) {
+                self.rules.record_overload(&state.model.name, share);
+            }
+            return Admission::Aborted;
+        }
+        // Half of the resets come before the work, half after it.
+        let resets = state.model.ills.resets / 2.0;
+        if chance(&mut state.model.rng, resets) {
+            return Admission::Aborted;
+        }
+        if state.model.ills.silent {
+            return Admission::Ignored;
+        }
+        if state.model.errs(class) {
+            return Admission::Error;
+        }
+        let number = state.next_request;
+        state.next_request += 1;
+        match state.model.take(number) {
+            Taken::Full => {
+                state.counts.rejected += 1;
+                Admission::Rejected
+            }
+            Taken::Begun => Admission::Started { number },
+            Taken::Queued => {
+                let (notification, started) = oneshot::channel();
+                state.queued.insert(number, notification);
+                Admission::Queued { number, started }
+            }
+        }
+    }
+
+    /// Waits for a worker, does the work and makes the calls to the next tier. Returns whether these were all served.
+    async fn work(
+        &self,
+        mut slot: WorkerSlot<'_>,
+        started: Option<oneshot::Receiver<()>>,
+        class: usize,
+        head: &Parts,
+        received: Instant,
+    ) -> Result<bool, ConnectionAborted> {
+        if let Some(started) = started {
+            started.await.map_err(|_| ConnectionAborted)?;
+            slot.started = true;
+        }
+        let service_ns = {
+            let (now, mut state) = (self.now(), lock(&self.state));
+            state
+                .model
+                .service(now, &self.scenario.class[class].service)
+        };
+        sleep(Duration::from_nanos(service_ns)).await;
+        self.wait_until_resumed().await;
+        let all_served = self.call_next_tier(class, &head.headers, received).await;
+        self.wait_until_resumed().await;
+        Ok(all_served)
+    }
+
+    fn record_execution(&self, class: usize, head: &Parts) {
+        let Some(id) = headers::text(&head.headers, headers::CALL_ID) else {
+            return;
+        };
+        let class = &self.scenario.class[class];
+        let group = {
+            let mut state = lock(&self.state);
+            state.counts.executed += 1;
+            match class.group {
+                CallGroup::All => 0,
+                CallGroup::Zone => u32::from(state.model.zone),
+                CallGroup::Cell => u32::from(state.model.cell),
+            }
+        };
+        let key = headers::text(&head.headers, headers::IDEMPOTENCY_KEY);
+        let key = key.filter(|_| class.effect == CallEffect::Keyed);
+        let key = key.map(|key| ExecutionKey {
+            key,
+            group,
+            window: Duration::from_nanos(class.window.0),
+        });
+        self.rules.record_execution(id, class.effect, key);
+    }
+
+    /// Whether a response is lost, and whether its connection is reset.
+    fn draw_response_faults(&self) -> (bool, bool) {
+        let mut state = lock(&self.state);
+        let (lost, resets) = (state.model.ills.lost, state.model.ills.resets / 2.0);
+        let lost = chance(&mut state.model.rng, lost);
+        let reset = chance(&mut state.model.rng, resets);
+        (lost, reset)
+    }
+}
+
+/// A worker, or a place in the queue. It is given to the next request when this is dropped.
+struct WorkerSlot<'a> {
+    upstream: &'a Upstream,
+    incarnation: u32,
+    number: u64,
+    /// Whether a worker has the request.
+    started: bool,
+}
+
+impl<'a> WorkerSlot<'a> {
+    fn new(upstream: &'a Upstream, number: u64, started: bool) -> Self {
+        Self {
+            upstream,
+            incarnation: lock(&upstream.state).model.process,
+            number,
+            started,
+        }
+    }
+}
+
+impl Drop for WorkerSlot<'_> {
+    fn drop(&mut self) {
+        let mut state = lock(&self.upstream.state);
+        if state.model.process != self.incarnation || !state.model.alive {
+            return; // the slot has ended with its process
+        }
+        // A request that leaves the queue is skipped when its turn comes; that may have been just now.
+        if !self.started && state.queued.remove(&self.number).is_some() {
+            return;
+        }
+        let State { model, queued, .. } = &mut *state;
+        // A request whose caller has left is not started.
+        model.next(|next| {
+            queued
+                .remove(&next)
+                .is_some_and(|notification| notification.send(()).is_ok())
+        });
+    }
+}
--- /dev/null
+++ b/crates/load-test/src/upstream/responses.rs
@@ -0,0 +1,71 @@
+//! The responses of an upstream, over HTTP/1.1 and gRPC.
+
+use crate::headers;
+use bytes::Bytes;
+use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
+use http_body_util::combinators::UnsyncBoxBody;
+use http_body_util::{BodyExt, Full};
+use std::convert::Infallible;
+use woadstall_mock_servers::grpc::message;
+
+/// The body of a response.
+pub type Body = UnsyncBoxBody<Bytes, Infallible>;
+
+/// The connection is closed without a response.
+#[derive(Debug, thiserror::Error)]
+#[error("broken on purpose")]
+pub struct ConnectionAborted;
+
+/// Why a request was not served.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FailureKind {
+    /// An error, perhaps after some work.
+    Error,
+    /// Rejected before any work.
+    Rejected,
+}
+
+const GRPC_OK: &str = "0";
+const GRPC_UNKNOWN: &str = "2";
+const GRPC_UNAVAILABLE: &str = "14";
+const GRPC_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/grpc");
+
+/// The response to a request that was served.
+pub fn success(grpc: bool) -> Response<Body> {
+    if !grpc {
+        return Response::new(Full::new(Bytes::from_static(b"done")).boxed_unsync());
+    }
+    let status = (
+        HeaderName::from_static("grpc-status"),
+        HeaderValue::from_static(GRPC_OK),
+    );
+    let trailers: HeaderMap = [status].into_iter().collect();
+    let body = Full::new(message(b"done")).with_trailers(async move { Some(Ok(trailers)) });
+    let mut response = Response::new(body.boxed_unsync());
+    response
+        .headers_mut()
+        .insert("content-type", GRPC_CONTENT_TYPE);
+    response
+}
+
+/// The response to a request that was not served.
+pub fn failure(grpc: bool, kind: FailureKind) -> Response<Body> {
+    let mut response = Response::new(Full::default().boxed_unsync());
+    let (grpc_status, http_status) = match kind {
+        FailureKind::Error => (GRPC_UNKNOWN, StatusCode::INTERNAL_SERVER_ERROR),
+        FailureKind::Rejected => (GRPC_UNAVAILABLE, StatusCode::SERVICE_UNAVAILABLE),
+    };
+    if grpc {
+        let headers = response.headers_mut();
+        headers.insert("content-type", GRPC_CONTENT_TYPE);
+        headers.insert("grpc-status", HeaderValue::from_static(grpc_status));
+    } else {
+        *response.status_mut() = http_status;
+    }
+    if kind == FailureKind::Rejected {
+        response
+            .headers_mut()
+            .insert(headers::REJECTED, HeaderValue::from_static("1"));
+    }
+    response
+}
--- a/crates/load-test/tests/load.rs
+++ b/crates/load-test/tests/load.rs
@@ -1,15 +1,15 @@
-//! The load tool against daemons and plug-ins, on loopback.
+//! The load test against daemons and plug-ins, on loopback.
 
 use std::collections::BTreeSet;
 use std::process::{Command, Output};
 use woadstall_emulator::{CallEffect, Load, Policy, Scenario, Span, What};
 use woadstall_emulator_cli::rows;
-use woadstall_load_test::{Path, Played, check, run};
+use woadstall_load_test::{LoadResult, Path, check_supported, run};
 
 const MS: u64 = 1_000_000;
 
 /// The scenario of the library that is made for sockets, shortened to what CI has time for.
-fn short() -> Scenario {
+fn short_scenario() -> Scenario {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/loopback.toml");
     let mut scenario = Scenario::read(&std::fs::read_to_string(file).unwrap()).unwrap();
     (scenario.time, scenario.warm_up) = (Span(5_000 * MS), Span(1_000 * MS));
@@ -23,39 +23,42 @@
     scenario
 }
 
-/// The same calls as in the lab come, are served through a nodo's death, and no rule is broken.
+/// The same calls as in the emulator come, are served while an upstream is dead, and no rule is broken.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_nodo_dies_and_comes_back_by_both_paths() {
-    let scenario = short();
-    let lab = woadstall_emulator::run(&scenario, Policy::Woadstall, 4);
+async fn calls_are_served_through_the_death_of_an_upstream_on_all_paths() {
+    let scenario = short_scenario();
+    let emulated = woadstall_emulator::run(&scenario, Policy::Woadstall, 4);
     for path in [Path::Daemon, Path::Plugin, Path::Both] {
-        let Played {
+        let LoadResult {
             end,
             lag,
             tally,
-            nodos,
+            upstreams,
         } = run(scenario.clone(), path.clone(), 4).await.unwrap();
         assert_eq!(end.broken(), 0, "{path:?}: {:?}", end.first_breaches);
-        assert_eq!(end.counts.offered, lab.counts.offered, "{path:?}");
+        assert_eq!(end.counts.offered, emulated.counts.offered, "{path:?}");
         assert!(lag.calls >= end.counts.offered);
         assert!(end.served > 0.9, "{path:?}: {}", end.served);
         assert!(end.steps.iter().any(|step| !step.latencies.is_empty()));
-        let paths: BTreeSet<&str> = tally.keys().map(|(path, ..)| *path).collect();
+        let transports: BTreeSet<&str> = tally.keys().map(|key| key.transport).collect();
         assert_eq!(
-            paths.len(),
+            transports.len(),
             if path == Path::Both { 2 } else { 1 },
-            "{paths:?}"
+            "{transports:?}"
+        );
+        let executed: u64 = upstreams.iter().map(|upstream| upstream.executed).sum();
+        assert!(
+            executed * 2 > end.counts.offered,
+            "{path:?}: upstreams executed {executed}"
         );
-        let ran: u64 = nodos.iter().map(|nodo| nodo.ran).sum();
-        assert!(ran * 2 > end.counts.offered, "{path:?}: nodos saw {ran}");
     }
 }
 
-/// Where no nodo ever answers, each call has its answer in its time all the same, and none is served. Answers
-/// that are lost after the work are not asked for twice where that must not be.
+/// Where no upstream ever responds, each call ends in its time all the same, and none is served. Where responses are lost
+/// after the work, unsafe calls are not retried.
 #[tokio::test(flavor = "multi_thread")]
-async fn silence_and_lost_answers_are_told_in_time() {
-    let mut scenario = short();
+async fn silent_upstreams_and_lost_responses_end_calls_in_time() {
+    let mut scenario = short_scenario();
     (scenario.time, scenario.warm_up) = (Span(1_500 * MS), Span(0));
     scenario.callers[0].load = Load::Constant(60.0);
     for class in &mut scenario.class {
@@ -77,43 +80,52 @@
 }
 
 #[test]
-fn what_sockets_cannot_do_is_refused() {
-    let mut scenario = short();
-    assert_eq!(check(&scenario), Ok(()));
+fn unsupported_scenarios_are_rejected_by_name() {
+    let mut scenario = short_scenario();
+    assert_eq!(check_supported(&scenario), Ok(()));
     scenario.fault[0].what = What::PadronSilent;
     assert!(
-        check(&scenario)
+        check_supported(&scenario)
             .unwrap_err()
+            .to_string()
             .contains("fault 1: a silent or wrong padron")
     );
     scenario.fault[0].what = What::RollBalancers;
     assert!(
-        check(&scenario)
+        check_supported(&scenario)
             .unwrap_err()
+            .to_string()
             .contains("fault 1: restarts and stalls")
     );
     scenario.fault.clear();
     scenario.front = Some(Default::default());
     assert!(
-        check(&scenario)
+        check_supported(&scenario)
             .unwrap_err()
+            .to_string()
             .contains("`front`: for the lab alone")
     );
     scenario.front = None;
     scenario.tier[0].connections.most = 8;
     assert!(
-        check(&scenario)
+        check_supported(&scenario)
             .unwrap_err()
+            .to_string()
             .contains("`tier.connections`: for the lab alone")
     );
     scenario.tier[0].connections = Default::default();
     scenario.fault.clear();
     scenario.tier[0].nodos = 5_000;
-    assert!(check(&scenario).unwrap_err().contains("at most 200 nodos"));
+    assert!(
+        check_supported(&scenario)
+            .unwrap_err()
+            .to_string()
+            .contains("at most 200 nodos")
+    );
     assert_eq!(scenario.class[1].effect, CallEffect::Unsafe);
 }
 
-fn load(arguments: &[&str]) -> Output {
+fn run_command(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-load-test"));
     command
         .args(arguments)
@@ -122,7 +134,7 @@
         .unwrap()
 }
 
-/// The command writes a row that the lab's tools read, and latencies that HdrHistogram's tools do.
+/// The command writes a row that the emulator's tools read, and latencies that HdrHistogram's tools read.
 #[test]
 fn the_command_writes_rows_and_latencies() {
     use hdrhistogram::serialization::interval_log::{IntervalLogIterator, LogEntry};
@@ -141,18 +153,18 @@
         "--hdr",
         hdr.to_str().unwrap(),
     ];
-    let short = [
+    let settings = [
         "time=1500ms",
         "warm-up=0s",
         "step=500ms",
         "callers.0.load={constant=80.0}",
         "fault=[]",
     ];
-    short
+    settings
         .iter()
         .for_each(|set| arguments.extend(["--set", set]));
-    let output = load(&arguments);
-    // Whether the machine was quick enough for the figures is not what is asked here.
+    let output = run_command(&arguments);
+    // Whether the machine was quick enough for the figures is not tested here.
     assert!(
         matches!(output.status.code(), Some(0 | 4)),
         "{}",
@@ -169,11 +181,11 @@
         .filter(|entry| matches!(entry, Ok(LogEntry::Interval(_))))
         .count();
     assert_eq!(logged, rows[0].end.steps.len());
-    let output = load(&[scenario, "--target", "192.0.2.1:80"]);
+    let output = run_command(&[scenario, "--target", "192.0.2.1:80"]);
     assert_eq!(output.status.code(), Some(3));
     assert!(String::from_utf8_lossy(&output.stderr).contains("this machine only"));
     assert_eq!(
-        load(&[scenario, "--through", "luck"]).status.code(),
+        run_command(&[scenario, "--through", "luck"]).status.code(),
         Some(2)
     );
 }
