--- a/crates/cluster-test/tests/verdicts.rs
+++ b/crates/cluster-test/tests/verdicts.rs
@@ -124,7 +124,7 @@
     let _exclusive = run_exclusively();
     let silent = "\n[[fault]]\nat = \"0 s\"\nwhat = \"silent\"\n[[bound]]\nname = \"served\"\n\
         what = { served = { from = \"0 s\", until = \"2 s\", least = 0.5 } }\n\
-        [[bound]]\nname = \"told\"\nwhat = { told = { topic = \"zone\", from = \"0 s\", least = 1, within = \"3 s\" } }\n";
+        [[bound]]\nname = \"told\"\nwhat = { told = { topic = \"zone_left\", from = \"0 s\", least = 1, within = \"3 s\" } }\n";
     // Logs are read at whole seconds: the calls time out between two of them, not at one.
     let scenario = SMALL_SCENARIO
         .replace("time = \"4 s\"", "time = \"3 s\"")
