--- a/src/main.rs
+++ b/src/main.rs
@@ -1,15 +1,15 @@
-//! The balancer on real sockets: reads the configuration, starts the parts, ends on a signal.
-
-#![forbid(unsafe_code)]
+//! The command line: serves, or does one of the operators' commands.
 
 use clap::{Args, Parser, Subcommand};
-use std::io::Write;
+use std::error::Error;
+use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tokio::runtime::{Builder, Runtime};
-use woadstall::check;
-use woadstall::net::{self, config::Config, members, places};
+use woadstall::check::check_files;
+use woadstall::net::config::Config;
+use woadstall::net::{self, domain_orders, domain_status, membership_report};
 use woadstall_evacuation::OrderAction;
 
 /// A layer-7 load balancer for services that call services.
@@ -43,120 +43,138 @@
     /// Leaves a zone as a fleet, holds it, returns to it, or shows how it stands.
     Zone {
         #[command(subcommand)]
-        word: Word,
+        command: DomainCommand,
     },
     /// The same for a region.
     Region {
         #[command(subcommand)]
-        word: Word,
+        command: DomainCommand,
     },
     /// The same for a nodo.
     Nodo {
         #[command(subcommand)]
-        word: Word,
+        command: DomainCommand,
     },
 }
 
 #[derive(Subcommand)]
-enum Word {
+enum DomainCommand {
     /// All balancers leave it.
-    Leave(Given),
+    Leave(OrderArguments),
     /// It stays in use, whatever the fleet finds.
-    Hold(Given),
+    Hold(OrderArguments),
     /// A word is taken back, and it is returned to.
-    Return(Given),
+    Return(OrderArguments),
     /// How it stands, or how all of its kind stand.
     Status {
         /// Its name; all, if it is left out.
         name: Option<String>,
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminArguments,
     },
 }
 
 #[derive(Args)]
-struct Given {
+struct OrderArguments {
     /// Its name.
     name: String,
     /// How long the word holds, as in 90s or 2h; a day at most.
-    #[arg(long = "for", default_value = "10m")]
-    holds: humantime::Duration,
+    #[arg(long = "for", value_name = "HOLDS", default_value = "10m")]
+    duration: humantime::Duration,
     #[command(flatten)]
-    admin: Admin,
+    admin: AdminArguments,
 }
 
 #[derive(Args)]
-struct Admin {
+struct AdminArguments {
     /// A balancer's second address; `LB_ADMIN` if absent.
     #[arg(long)]
     admin: Option<SocketAddr>,
 }
 
+type CommandResult = Result<(), Box<dyn Error>>;
+
+/// Why a command does not know which balancer to call.
+#[derive(Debug, thiserror::Error)]
+enum AdminAddressError {
+    #[error("neither `--admin` nor `LB_ADMIN` says where to ask")]
+    Missing,
+    #[error("`LB_ADMIN` is not an address with a port: {text:?}")]
+    Invalid { text: String },
+}
+
 fn main() -> ExitCode {
     if let Some(code) = woadstall_node::cli::run() {
         return code;
     }
     match Arguments::parse().command {
-        Some(Command::Check { files }) => check::files(&files, &mut std::io::stdout().lock()),
-        Some(Command::Instances { admin, json }) => told(instances(admin, json)),
-        Some(Command::Zone { word }) => told(place("zone", word)),
-        Some(Command::Region { word }) => told(place("region", word)),
-        Some(Command::Nodo { word }) => told(place("nodo", word)),
-        None => serve(),
+        Some(Command::Check { files }) => check_files(&files, &mut io::stdout().lock()),
+        Some(Command::Instances { admin, json }) => exit_code(show_instances(admin, json)),
+        Some(Command::Zone { command }) => exit_code(domain_command("zone", command)),
+        Some(Command::Region { command }) => exit_code(domain_command("region", command)),
+        Some(Command::Nodo { command }) => exit_code(domain_command("nodo", command)),
+        None => exit_code(serve()),
     }
 }
 
-/// Where operators ask.
-fn address(admin: Option<SocketAddr>) -> Result<SocketAddr, String> {
-    let told = || {
-        let text = std::env::var("LB_ADMIN")
-            .map_err(|_| "neither `--admin` nor `LB_ADMIN` says where to ask")?;
-        text.parse()
-            .map_err(|_| format!("`LB_ADMIN` is not an address with a port: {text:?}"))
-    };
-    admin.map_or_else(told, Ok)
+/// Where the balancer is that operators call.
+fn admin_address(argument: Option<SocketAddr>) -> Result<SocketAddr, AdminAddressError> {
+    if let Some(address) = argument {
+        return Ok(address);
+    }
+    let text = std::env::var("LB_ADMIN").map_err(|_| AdminAddressError::Missing)?;
+    text.parse()
+        .map_err(|_| AdminAddressError::Invalid { text })
 }
 
-fn place(kind: &str, word: Word) -> Result<(), String> {
-    let (what, given) = match word {
-        Word::Leave(given) => (OrderAction::Evacuate, given),
-        Word::Hold(given) => (OrderAction::Keep, given),
-        Word::Return(given) => (OrderAction::Restore, given),
-        Word::Status { name, admin } => {
-            let status = start()?.block_on(places::status(address(admin.admin)?))?;
-            let out = &mut std::io::stdout().lock();
-            return places::write(&status, kind, name.as_deref(), out)
-                .map_err(|error| error.to_string());
+fn domain_command(kind: &str, command: DomainCommand) -> CommandResult {
+    let (action, order) = match command {
+        DomainCommand::Leave(order) => (OrderAction::Evacuate, order),
+        DomainCommand::Hold(order) => (OrderAction::Keep, order),
+        DomainCommand::Return(order) => (OrderAction::Restore, order),
+        DomainCommand::Status { name, admin } => {
+            return show_domain_status(kind, name.as_deref(), admin.admin);
         }
     };
-    let at = address(given.admin.admin)?;
-    start()?.block_on(places::give(at, what, kind, &given.name, *given.holds))
+    let address = admin_address(order.admin.admin)?;
+    let sending = domain_orders::send(address, action, kind, &order.name, *order.duration);
+    Ok(runtime()?.block_on(sending)?)
 }
 
-fn instances(admin: Option<SocketAddr>, json: bool) -> Result<(), String> {
-    let at = address(admin)?;
-    let answer = start()?.block_on(members::ask(at))?;
-    let report = members::read(&answer)?;
-    let mut out = std::io::stdout().lock();
-    let written = if json {
-        out.write_all(&answer)
-    } else {
-        members::write(&report, &mut out)
-    };
-    written.map_err(|error| error.to_string())
+fn show_domain_status(kind: &str, name: Option<&str>, admin: Option<SocketAddr>) -> CommandResult {
+    let address = admin_address(admin)?;
+    let status = runtime()?.block_on(domain_status::fetch(address))?;
+    Ok(domain_status::write(
+        &status,
+        kind,
+        name,
+        &mut io::stdout().lock(),
+    )?)
 }
 
-fn start() -> Result<Runtime, String> {
-    let runtime = Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|error| format!("cannot start the runtime: {error}"))
+fn show_instances(admin: Option<SocketAddr>, as_json: bool) -> CommandResult {
+    let address = admin_address(admin)?;
+    let json = runtime()?.block_on(membership_report::fetch(address))?;
+    let report = membership_report::read(&json)?;
+    let mut out = io::stdout().lock();
+    if as_json {
+        return Ok(out.write_all(&json)?);
+    }
+    Ok(membership_report::write(&report, &mut out)?)
 }
 
-fn serve() -> ExitCode {
-    told(Config::load().and_then(|config| start()?.block_on(net::run(config))))
+fn serve() -> CommandResult {
+    let config = Config::load()?;
+    Ok(runtime()?.block_on(net::run(config))?)
+}
+
+fn runtime() -> Result<Runtime, Box<dyn Error>> {
+    let runtime = Builder::new_current_thread().enable_all().build();
+    Ok(runtime.map_err(|error| format!("cannot start the runtime: {error}"))?)
 }
 
-fn told(outcome: Result<(), String>) -> ExitCode {
-    match outcome {
+fn exit_code(result: CommandResult) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             net::log(format_args!("{error}"));
--- /dev/null
+++ b/src/net/daemon.rs
@@ -0,0 +1,313 @@
+//! A daemon that serves: its start, its reloads and its end.
+
+use super::admin::{AdminServer, AdminState};
+use super::config::{Config, ConfigError};
+use super::evacuation::EvacuationTask;
+use super::hot_restart;
+use super::log::log;
+use super::metrics::{Metrics, MetricsError};
+use super::server::{Server, ServiceSettings};
+use super::{MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::watch;
+use tokio::task::{JoinError, JoinHandle};
+use tokio::time::{Instant, sleep};
+use woadstall_inbound::listen;
+use woadstall_membership_net::{Membership, MembershipConfig};
+use woadstall_runtime::{LoadBalancer, LoadBalancerConfig, ReconfigureError};
+use woadstall_settings::{ActiveSettings, ChangeError};
+use woadstall_transport::Http1;
+
+/// How often the thread of calls reports to the membership that it runs. The member counts as paused a second after it
+/// last did.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Why a daemon could not start, or did not end in order. One line that names the setting at fault.
+#[derive(Debug, thiserror::Error)]
+pub enum DaemonError {
+    /// The load balancer could not start.
+    #[error(transparent)]
+    LoadBalancer(#[from] woadstall_runtime::StartError),
+    /// The metrics could not be registered.
+    #[error(transparent)]
+    Metrics(#[from] MetricsError),
+    /// The membership could not start.
+    #[error("instances: {0}")]
+    Membership(#[from] woadstall_membership_net::StartError),
+    /// An address cannot be listened on.
+    #[error("`{field}` {address}: {source}")]
+    Listen {
+        /// The field that names it.
+        field: &'static str,
+        /// The address.
+        address: SocketAddr,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// A signal cannot be waited for.
+    #[error("{name}: {source}")]
+    Signal {
+        /// The signal.
+        name: &'static str,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The server has panicked.
+    #[error("the server stopped: {0}")]
+    Server(#[from] JoinError),
+}
+
+/// Why a new configuration was not applied. Nothing has changed then.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Change(#[from] ChangeError),
+    #[error(transparent)]
+    Reconfigure(#[from] ReconfigureError),
+}
+
+/// A daemon that serves, in the tokio runtime that it was started in.
+pub struct Daemon {
+    address: SocketAddr,
+    metrics: Arc<Metrics>,
+    discovery: watch::Sender<SocketAddr>,
+    load_balancer: LoadBalancer<Http1>,
+    settings: watch::Sender<Arc<ServiceSettings>>,
+    stop: watch::Sender<bool>,
+    serving: JoinHandle<()>,
+    membership: Option<Membership>,
+}
+
+impl Daemon {
+    /// Listens and serves.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a part cannot start, or an address cannot be listened on.
+    pub async fn start(config: Config) -> Result<Self, DaemonError> {
+        let config = Arc::new(config);
+        let load_balancer = start_load_balancer(&config)?;
+        let mut metrics = Metrics::new(config.names.classes.iter().map(String::as_str))?;
+        let membership = config
+            .membership
+            .clone()
+            .map(start_membership)
+            .transpose()?;
+        let evacuation = config.evacuation.as_ref().zip(membership.clone());
+        let evacuation = evacuation.map(|(section, membership)| {
+            EvacuationTask::start(section, &config, membership, load_balancer.clone())
+        });
+        metrics.show_membership(membership.clone())?;
+        metrics.show_evacuation(evacuation.clone())?;
+        let metrics = Arc::new(metrics);
+        hot_restart::restore_state(&config, &load_balancer).await;
+        // Last, as a process that listens beside its predecessor gets connections at once.
+        let admin_listener = bind_admin(config.admin).await?;
+        let (listener, address) = bind_callers(config.listen)?;
+        log(format_args!("listening address={address}"));
+
+        let (stop, stopping) = watch::channel(false);
+        let (discovery, discovery_address) = watch::channel(config.discovery);
+        load_balancer.watch_discovery(discovery_address);
+        let active = ActiveSettings::new(config.settings.clone(), config.names.clone());
+        let (settings, service_settings) = watch::channel(Arc::new(ServiceSettings {
+            active,
+            changed_at: None,
+        }));
+        if let Some(directory) = &config.shared_directory {
+            hot_restart::serve_state(directory, address, &load_balancer, &service_settings);
+        }
+        let (out_of_service, is_out_of_service) = watch::channel(false);
+        if let Some(listener) = admin_listener {
+            let state = AdminState {
+                ready: load_balancer.ready(),
+                load_balancer: load_balancer.clone(),
+                metrics: metrics.clone(),
+                stopping: stopping.clone(),
+                out_of_service,
+                membership: membership.clone(),
+                evacuation,
+            };
+            start_admin(state, listener);
+        }
+        let server = Server::new(
+            config,
+            load_balancer.clone(),
+            metrics.clone(),
+            service_settings,
+            is_out_of_service,
+        );
+        let serving = tokio::spawn(server.run(listener, stopping));
+        Ok(Self {
+            address,
+            metrics,
+            discovery,
+            load_balancer,
+            settings,
+            stop,
+            serving,
+            membership,
+        })
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Its membership among balancers, where it has one.
+    pub fn membership(&self) -> Option<&Membership> {
+        self.membership.as_ref()
+    }
+
+    /// Applies a new configuration: where discovery is, and the settings. All else needs a new start. One that is not
+    /// valid changes nothing.
+    fn reload(&self) {
+        match self.apply_new_config() {
+            Ok(discovery) => {
+                log(format_args!("configuration_applied discovery={discovery}"));
+                self.discovery.send_replace(discovery);
+                self.metrics.configs_applied.inc();
+            }
+            Err(error) => {
+                log(format_args!("configuration_rejected error=\"{error}\""));
+                self.metrics.configs_rejected.inc();
+            }
+        }
+        if let Some(Err(error)) = self.membership.as_ref().map(Membership::reload) {
+            log(format_args!("membership_reload_failed error=\"{error}\""));
+        }
+    }
+
+    /// Reads the configuration again and applies its settings; returns where discovery is.
+    fn apply_new_config(&self) -> Result<SocketAddr, ReloadError> {
+        let config = Config::reload()?;
+        let present = self.settings.borrow().clone();
+        let (active, change) = present.active.apply(&config.settings, &config.names)?;
+        self.load_balancer.reconfigure(change)?;
+        let idle_timeout = Duration::from_nanos(config.settings.idle_timeout);
+        self.load_balancer
+            .transport()
+            .reconfigure(active.names(), idle_timeout);
+        self.metrics.show_classes(active.active_class_names());
+        let changed_at = Some(Instant::now());
+        self.settings
+            .send_replace(Arc::new(ServiceSettings { active, changed_at }));
+        Ok(config.discovery)
+    }
+
+    /// Stops accepting connections, responds to all that was accepted, and returns.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the server has panicked.
+    pub async fn stop(self) -> Result<(), DaemonError> {
+        self.stop.send_replace(true);
+        let served = self.serving.await;
+        // Last: until here it calls upstreams, and counts for those that share them.
+        if let Some(membership) = &self.membership {
+            membership.leave().await;
+        }
+        Ok(served?)
+    }
+}
+
+fn start_load_balancer(config: &Config) -> Result<LoadBalancer<Http1>, DaemonError> {
+    let idle_timeout = Duration::from_nanos(config.settings.idle_timeout);
+    let max_open = config.limits.upstreams;
+    let transport = Http1::new(
+        &config.names,
+        idle_timeout,
+        max_open,
+        MAX_BUFFERED_RESPONSE_BYTES,
+    )
+    .with_streaming(MAX_BODY_BYTES);
+    let load_balancer_config = LoadBalancerConfig {
+        settings: config.settings.clone(),
+        names: config.names.clone(),
+        seed: config.seed,
+        known_endpoints: config.known_endpoints.clone(),
+    };
+    Ok(LoadBalancer::new(
+        load_balancer_config,
+        transport,
+        Arc::new(log),
+    )?)
+}
+
+/// Starts the membership, and has it notified that calls go on for as long as they do.
+fn start_membership(config: MembershipConfig) -> Result<Membership, DaemonError> {
+    let membership = Membership::start(config, Arc::new(log))?;
+    let heartbeats = membership.clone();
+    tokio::spawn(async move {
+        loop {
+            heartbeats.heartbeat();
+            sleep(HEARTBEAT_INTERVAL).await;
+        }
+    });
+    Ok(membership)
+}
+
+async fn bind_admin(address: Option<SocketAddr>) -> Result<Option<TcpListener>, DaemonError> {
+    let Some(address) = address else {
+        return Ok(None);
+    };
+    match TcpListener::bind(address).await {
+        Ok(listener) => Ok(Some(listener)),
+        Err(source) => Err(DaemonError::Listen {
+            field: "admin",
+            address,
+            source,
+        }),
+    }
+}
+
+/// Listens for callers; returns the address too, whose port may have been chosen by the system.
+fn bind_callers(address: SocketAddr) -> Result<(TcpListener, SocketAddr), DaemonError> {
+    let failed = |source| DaemonError::Listen {
+        field: "listen",
+        address,
+        source,
+    };
+    let listener = listen(address).map_err(failed)?;
+    let bound = listener.local_addr().map_err(failed)?;
+    Ok((listener, bound))
+}
+
+fn start_admin(state: AdminState, listener: TcpListener) {
+    if let Ok(address) = listener.local_addr() {
+        log(format_args!("admin_listening address={address}"));
+    }
+    tokio::spawn(AdminServer::new(state).run(listener));
+}
+
+/// Serves until a signal to stop, and then until all that was accepted has its response.
+///
+/// # Errors
+///
+/// Fails if the daemon cannot start, or its server has panicked.
+pub async fn run(config: Config) -> Result<(), DaemonError> {
+    let mut terminate = wait_for(SignalKind::terminate(), "SIGTERM")?;
+    let mut interrupt = wait_for(SignalKind::interrupt(), "SIGINT")?;
+    let mut hangup = wait_for(SignalKind::hangup(), "SIGHUP")?;
+    let daemon = Daemon::start(config).await?;
+    loop {
+        tokio::select! {
+            _ = terminate.recv() => break,
+            _ = interrupt.recv() => break,
+            _ = hangup.recv() => daemon.reload(),
+        }
+    }
+    daemon.stop().await
+}
+
+fn wait_for(kind: SignalKind, name: &'static str) -> Result<Signal, DaemonError> {
+    signal(kind).map_err(|source| DaemonError::Signal { name, source })
+}
--- /dev/null
+++ b/src/net/domain_status.rs
@@ -0,0 +1,109 @@
+//! `woadstall zone status` and its like: the state of failure domains, as people read it.
+
+use super::admin_client::{CallError, call};
+use super::domain_orders::{ABSENT, DOMAINS_PATH};
+use hyper::Method;
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use woadstall_evacuation::{DomainStatus, Status};
+
+/// Why the state of failure domains could not be read.
+#[derive(Debug, thiserror::Error)]
+pub enum StatusError {
+    /// The balancer could not be called.
+    #[error(transparent)]
+    Call(#[from] CallError),
+    /// Its response is none.
+    #[error("not an answer of a balancer: {0}")]
+    Invalid(#[from] serde_json::Error),
+}
+
+/// Fetches the state of all failure domains from the balancer at an admin address.
+///
+/// # Errors
+///
+/// Fails if the balancer does not respond, or has no evacuation.
+pub async fn fetch(address: SocketAddr) -> Result<Status, StatusError> {
+    let json = call(address, Method::GET, DOMAINS_PATH, ABSENT).await?;
+    Ok(serde_json::from_slice(&json)?)
+}
+
+/// Writes the state of the failure domains of a kind for people: of all, or of those of one name.
+///
+/// # Errors
+///
+/// Fails as `out` does.
+pub fn write(
+    status: &Status,
+    kind: &str,
+    name: Option<&str>,
+    out: &mut impl Write,
+) -> io::Result<()> {
+    let is_wanted = |domain: &&DomainStatus| match name {
+        Some(name) => domain.name == format!("{kind} {name}"),
+        None => domain.name.starts_with(kind),
+    };
+    let domains: Vec<&DomainStatus> = status.places.iter().filter(is_wanted).collect();
+    if domains.is_empty() {
+        let name = name.map(|name| format!(" {name}")).unwrap_or_default();
+        return writeln!(out, "nothing is found of any {kind}{name}");
+    }
+    for domain in domains {
+        write_domain(domain, out)?;
+    }
+    if status.contradicting_members.is_empty() {
+        return Ok(());
+    }
+    let members = status.contradicting_members.iter();
+    let members: Vec<String> = members
+        .map(|(name, times)| format!("{name} ({times})"))
+        .collect();
+    writeln!(
+        out,
+        "said the opposite of what was found: {}",
+        members.join(", ")
+    )
+}
+
+fn write_domain(domain: &DomainStatus, out: &mut impl Write) -> io::Result<()> {
+    let (name, phase, epoch) = (&domain.name, &domain.phase, domain.epoch);
+    write!(
+        out,
+        "{name}: {phase}, epoch {epoch}, share {:.0}%",
+        domain.share * 100.0
+    )?;
+    if domain.phase_for_s > 0.0 {
+        write!(out, ", for {:.1} s", domain.phase_for_s)?;
+    }
+    if domain.servers > 0 {
+        write!(out, ", {} nodos in service", domain.servers)?;
+    }
+    writeln!(out)?;
+    let (against, in_favor) = (domain.reporters_against, domain.reporters_in_favor);
+    writeln!(
+        out,
+        "  why: {}; {against} against it, {in_favor} for it",
+        domain.reason
+    )?;
+    if let (Some(order), Some(remaining)) = (&domain.order, domain.order_remaining_s) {
+        writeln!(
+            out,
+            "  an operator's word: {order}, for {remaining:.0} s more"
+        )?;
+    }
+    if domain.relapses > 0 {
+        writeln!(
+            out,
+            "  failed again {} times while it was returned to",
+            domain.relapses
+        )?;
+    }
+    if !domain.members_behind.is_empty() {
+        writeln!(
+            out,
+            "  at another epoch: {}",
+            domain.members_behind.join(", ")
+        )?;
+    }
+    Ok(())
+}
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -1,207 +1,185 @@
-//! Leaving places as a fleet, as the operators' file has it: between the balance, the member and the coordinator. Absent
-//! there, nothing of it is started.
+//! Evacuation of failure domains by all balancers together: passes observations, messages and verdicts between the load
+//! balancer, the membership and the coordinator.
 
 use super::config::Config;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use super::domain_orders::{DomainOrder, kind_name};
+use super::log::log;
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{MissedTickBehavior, interval};
 use woadstall_decisions::api::HealthVerdict;
+use woadstall_engine::{AttemptInFlight, AttemptRecord};
 use woadstall_evacuation::{
-    Coordinator, CoordinatorSettings, ListedServer, Order, OrderAction, Status, Topology,
+    Coordinator, CoordinatorSettings, ListedServer, Order, Status, SubmitError, Topology,
 };
-use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt, SubjectKind};
+use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt};
+use woadstall_inbound::lock;
 use woadstall_membership_net::Membership;
 use woadstall_operator_config::EvacuationConfig;
-use woadstall_runtime::LoadBalancer;
+use woadstall_runtime::{LoadBalancer, Observations, Upstream};
 use woadstall_transport::Http1;
 
-/// A word for which no time is given ends after this.
-pub const USUAL: Duration = Duration::from_secs(600);
-
 /// The coordinator of this balancer. Clones share it.
 #[derive(Clone)]
-pub struct Evacuating {
+pub struct EvacuationTask {
     coordinator: Arc<Mutex<Coordinator>>,
-    instances: Membership,
+    membership: Membership,
+}
+
+/// Why an order of an operator was not taken.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum OrderRejection {
+    /// There is no such failure domain.
+    #[error("no {kind} {name}")]
+    UnknownDomain { kind: &'static str, name: String },
+    /// The coordinator rejects it.
+    #[error("a later word holds, or there are too many")]
+    Rejected(#[source] SubmitError),
 }
 
-fn now_ms() -> u64 {
+fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64
 }
 
-impl Evacuating {
-    /// Starts it: from now on the balance is told what the fleet finds.
+impl EvacuationTask {
+    /// Starts it: from now on the load balancer gets what the fleet finds.
     pub fn start(
-        file: &EvacuationConfig,
+        section: &EvacuationConfig,
         config: &Config,
-        instances: Membership,
-        balance: LoadBalancer<Http1>,
+        membership: Membership,
+        load_balancer: LoadBalancer<Http1>,
     ) -> Self {
-        let zone = |name: &String| (name.clone(), file.regions.get(name).cloned());
-        let zones: Vec<(String, Option<String>)> = config.names.zones.iter().map(zone).collect();
+        let with_region = |name: &String| (name.clone(), section.regions.get(name).cloned());
+        let zones: Vec<(String, Option<String>)> =
+            config.names.zones.iter().map(with_region).collect();
         let tier = config.settings.tier.to_string();
         let settings = CoordinatorSettings {
             topology: Topology::new(&tier, &zones, &config.names.classes),
             zone: usize::from(config.settings.zone.0),
         };
         let coordinator = Arc::new(Mutex::new(Coordinator::new(settings)));
-        let evacuating = Self {
+        let task = Self {
             coordinator,
-            instances,
+            membership,
         };
-        balance.observe();
-        tokio::spawn(
-            evacuating
-                .clone()
-                .run(balance, Duration::from_millis(file.evaluation_interval_ms)),
-        );
-        evacuating
-    }
-
-    fn coordinator(&self) -> MutexGuard<'_, Coordinator> {
-        self.coordinator
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+        load_balancer.observe();
+        let evaluation_interval = Duration::from_millis(section.evaluation_interval_ms);
+        tokio::spawn(task.clone().run(load_balancer, evaluation_interval));
+        task
     }
 
-    async fn run(self, balance: LoadBalancer<Http1>, every: Duration) {
-        let (mut turns, mut seen) = (interval(every), u64::MAX);
-        turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    async fn run(self, load_balancer: LoadBalancer<Http1>, evaluation_interval: Duration) {
+        let mut ticks = interval(evaluation_interval);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut known_changes = u64::MAX;
         loop {
-            turns.tick().await;
-            self.turn(&balance, &mut seen);
+            ticks.tick().await;
+            self.evaluate(&load_balancer, &mut known_changes);
         }
     }
 
-    fn turn(&self, balance: &LoadBalancer<Http1>, seen: &mut u64) {
-        let observations = balance.observations(*seen);
-        let mut coordinator = self.coordinator();
-        if let Some((changes, listed)) = observations.listed {
-            *seen = changes;
-            coordinator.set_servers(listed.iter().map(|of| ListedServer {
-                server: of.server,
-                name: &of.name,
-                boot_ms: of.boot_ms,
-                zone: usize::from(of.zone.0),
-                size: of.size.map(f64::from),
-            }));
+    /// Passes on what was observed, and what follows from it.
+    fn evaluate(&self, load_balancer: &LoadBalancer<Http1>, known_changes: &mut u64) {
+        let observations = load_balancer.observations(*known_changes);
+        let mut coordinator = lock(&self.coordinator);
+        if let Some((changes, _)) = observations.listed {
+            *known_changes = changes;
         }
-        let now = self.instances.with_node(|_, now| now);
-        for seen in observations.ended {
-            let id = AttemptId {
-                request: seen.id.0,
-                attempt: seen.attempt,
-            };
-            let saw = CompletedAttempt {
-                id,
-                server: seen.server,
-                class: seen.class,
-                outcome: seen.outcome,
-                took: seen.took,
-            };
-            coordinator.record_completed(now, &saw);
-        }
-        let out = observations.in_flight.into_iter();
-        coordinator.record_pending(
-            now,
-            out.map(|out| PendingAttempt {
-                id: AttemptId {
-                    request: out.id.0,
-                    attempt: out.attempt,
-                },
-                server: out.server,
-                class: out.class,
-                age: out.age,
-            }),
-        );
-        let (now, turn) = self
-            .instances
-            .with_node_mut(|node, now| (now, coordinator.step(now, now_ms(), node)));
+        self.record(&mut coordinator, &observations);
+        let (now, output) = self
+            .membership
+            .with_node_mut(|node, now| (now, coordinator.step(now, unix_ms(), node)));
         drop(coordinator);
-        for line in turn.lines {
-            super::log(format_args!("places: {line}"));
+        for line in output.lines {
+            log(format_args!("places: {line}"));
         }
-        if !turn.verdicts.is_empty() {
-            // The member's clock began with it; the module's is Unix time.
-            balance.apply_verdicts(|module| {
-                let until = |verdict: &HealthVerdict| module + verdict.until.saturating_sub(now);
-                turn.verdicts
-                    .iter()
-                    .map(|verdict| HealthVerdict {
-                        until: until(verdict),
-                        ..*verdict
-                    })
-                    .collect()
-            });
+        if output.verdicts.is_empty() {
+            return;
         }
+        // The member's clock began with it; the module's is Unix time.
+        load_balancer.apply_verdicts(|module_now| {
+            let on_module_clock = |verdict: &HealthVerdict| HealthVerdict {
+                until: module_now + verdict.until.saturating_sub(now),
+                ..*verdict
+            };
+            output.verdicts.iter().map(on_module_clock).collect()
+        });
+    }
+
+    fn record(&self, coordinator: &mut Coordinator, observations: &Observations) {
+        if let Some((_, upstreams)) = &observations.listed {
+            coordinator.set_servers(upstreams.iter().map(listed_server));
+        }
+        let now = self.membership.with_node(|_, now| now);
+        for record in &observations.ended {
+            coordinator.record_completed(now, &completed_attempt(record));
+        }
+        coordinator.record_pending(now, observations.in_flight.iter().map(pending_attempt));
     }
 
     /// What operators read.
     pub fn status(&self) -> Status {
-        let now = self.instances.with_node(|_, now| now);
-        self.coordinator().status(now, now_ms())
+        let now = self.membership.with_node(|_, now| now);
+        lock(&self.coordinator).status(now, unix_ms())
     }
 
-    /// Takes an operator's word for a while, and tells it to all. The error is one line.
-    pub fn order(
-        &self,
-        what: OrderAction,
-        kind: SubjectKind,
-        name: &str,
-        holds: Duration,
-    ) -> Result<(), String> {
-        let mut coordinator = self.coordinator();
-        let subject = coordinator
-            .order_subject(kind, name)
-            .ok_or_else(|| format!("no {} {name}", word(kind)))?;
-        let (issued_ms, holds) = (
-            now_ms(),
-            u64::try_from(holds.as_millis()).unwrap_or(u64::MAX),
-        );
-        let until_ms = issued_ms.saturating_add(holds);
+    /// Takes an operator's order for a while, and passes it to all balancers.
+    pub(super) fn submit(&self, order: &DomainOrder<'_>) -> Result<(), OrderRejection> {
+        let mut coordinator = lock(&self.coordinator);
+        let subject = coordinator.order_subject(order.kind, order.name);
+        let subject = subject.ok_or_else(|| OrderRejection::UnknownDomain {
+            kind: kind_name(order.kind),
+            name: order.name.to_owned(),
+        })?;
+        let issued_ms = unix_ms();
+        let duration_ms = u64::try_from(order.duration.as_millis()).unwrap_or(u64::MAX);
         let order = Order {
             subject,
-            action: what,
+            action: order.action,
             issued_ms,
-            until_ms,
+            until_ms: issued_ms.saturating_add(duration_ms),
             id: fastrand::u32(..),
         };
         coordinator
             .submit_order(issued_ms, order)
-            .map_err(|_| "a later word holds, or there are too many".to_owned())
+            .map_err(OrderRejection::Rejected)
     }
 }
 
-/// What a kind of place is called.
-pub fn word(kind: SubjectKind) -> &'static str {
-    match kind {
-        SubjectKind::Server => "nodo",
-        SubjectKind::Zone => "zone",
-        SubjectKind::Class => "class",
-        SubjectKind::Region => "region",
+fn listed_server(upstream: &Upstream) -> ListedServer<'_> {
+    ListedServer {
+        server: upstream.server,
+        name: &upstream.name,
+        boot_ms: upstream.boot_ms,
+        zone: usize::from(upstream.zone.0),
+        size: upstream.size.map(f64::from),
     }
 }
 
-/// A call of operators: `WHAT/KIND/NAME/SECONDS`.
-pub fn read_order(path: &str) -> Option<(OrderAction, SubjectKind, &str, Duration)> {
-    let mut parts = path.split('/');
-    let (what, kind, name, seconds) = (parts.next()?, parts.next()?, parts.next()?, parts.next()?);
-    let what = [
-        OrderAction::Evacuate,
-        OrderAction::Keep,
-        OrderAction::Restore,
-    ]
-    .into_iter()
-    .find(|known| known.as_str() == what)?;
-    let kind = [SubjectKind::Zone, SubjectKind::Region, SubjectKind::Server]
-        .into_iter()
-        .find(|known| word(*known) == kind)?;
-    let seconds = seconds.parse().ok().filter(|seconds| *seconds > 0)?;
-    parts
-        .next()
-        .is_none()
-        .then_some((what, kind, name, Duration::from_secs(seconds)))
+fn completed_attempt(record: &AttemptRecord) -> CompletedAttempt {
+    CompletedAttempt {
+        id: AttemptId {
+            request: record.id.0,
+            attempt: record.attempt,
+        },
+        server: record.server,
+        class: record.class,
+        outcome: record.outcome,
+        took: record.took,
+    }
+}
+
+fn pending_attempt(attempt: &AttemptInFlight) -> PendingAttempt {
+    PendingAttempt {
+        id: AttemptId {
+            request: attempt.id.0,
+            attempt: attempt.attempt,
+        },
+        server: attempt.server,
+        class: attempt.class,
+        age: attempt.age,
+    }
 }
--- /dev/null
+++ b/src/net/membership_report.rs
@@ -0,0 +1,187 @@
+//! `woadstall instances`: a balancer's view of the membership, as people read it.
+
+use super::admin_client::{CallError, call};
+use bytes::Bytes;
+use hyper::Method;
+use std::collections::BTreeSet;
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use woadstall_membership_net::{MemberReport, Report, ZonePathReport};
+
+const PATH: &str = "/control/instances";
+const ABSENT: &str = "no `[instances]` in its operators' file";
+/// Least width of a column of names.
+const MIN_NAME_WIDTH: usize = 4;
+/// Least width of a column of the matrix.
+const MIN_CELL_WIDTH: usize = 9;
+
+/// The response of a balancer is no report.
+#[derive(Debug, thiserror::Error)]
+#[error("not an answer of a balancer: {0}")]
+pub struct InvalidReport(#[from] serde_json::Error);
+
+/// Fetches the report of the balancer at an admin address, in JSON.
+///
+/// # Errors
+///
+/// Fails if the balancer does not respond, or has no membership.
+pub async fn fetch(address: SocketAddr) -> Result<Bytes, CallError> {
+    call(address, Method::GET, PATH, ABSENT).await
+}
+
+/// Reads a report.
+///
+/// # Errors
+///
+/// Fails if the text is no report.
+pub fn read(json: &[u8]) -> Result<Report, InvalidReport> {
+    Ok(serde_json::from_slice(json)?)
+}
+
+/// Writes a report for people.
+///
+/// # Errors
+///
+/// Fails as `out` does.
+pub fn write(report: &Report, out: &mut impl Write) -> io::Result<()> {
+    write_summary(report, out)?;
+    write_counters(report, out)?;
+    write_members(&report.members, out)?;
+    write_partitions(&report.zone_paths, out)
+}
+
+fn write_summary(report: &Report, out: &mut impl Write) -> io::Result<()> {
+    let (name, zone, address) = (&report.name, &report.zone, report.address);
+    let uptime = duration(report.uptime_s);
+    writeln!(
+        out,
+        "{name} in zone {zone}, found at {address}, for {uptime}"
+    )?;
+    let size = match report.min_size == report.max_size {
+        true => report.min_size.to_string(),
+        false => format!("{} to {}", report.min_size, report.max_size),
+    };
+    let (own, others) = (percent(report.own_zone), percent(report.other_zones));
+    writeln!(
+        out,
+        "fleet of {size}; heard lately: {own} of its zone, {others} of the other zones"
+    )?;
+    if report.is_isolated {
+        let text = "it judges nobody now: it is cut off from most others, or has just woken";
+        writeln!(out, "{text}")?;
+    }
+    let multiplier = report.health_multiplier;
+    if multiplier > 1 {
+        writeln!(
+            out,
+            "it does badly itself, and judges {multiplier} times as slowly"
+        )?;
+    }
+    Ok(())
+}
+
+fn write_counters(report: &Report, out: &mut impl Write) -> io::Result<()> {
+    writeln!(
+        out,
+        "{} messages came, {} went ({} kB), {} facts, stood still {} times",
+        report.messages_received,
+        report.messages_sent,
+        report.bytes_sent / 1_000,
+        report.records,
+        report.process_pauses
+    )?;
+    let rejections = report.rejections;
+    writeln!(
+        out,
+        "not believed: {} other keys, {} other versions, {} had before, {} no message; \
+         not sent {}, turned away {}, held back {}",
+        rejections.other_key,
+        rejections.other_version,
+        rejections.replayed,
+        rejections.malformed,
+        rejections.not_sent,
+        rejections.streams_rejected,
+        rejections.hung_steps
+    )
+}
+
+fn write_members(members: &[MemberReport], out: &mut impl Write) -> io::Result<()> {
+    let width = |field: fn(&MemberReport) -> &str| {
+        let longest = members.iter().map(|member| field(member).len()).max();
+        longest.unwrap_or(0).max(MIN_NAME_WIDTH)
+    };
+    let (name, zone) = (width(|member| &member.name), width(|member| &member.zone));
+    writeln!(
+        out,
+        "\n{:name$}  {:zone$}  state    for      found    to       from     at",
+        "name", "zone"
+    )?;
+    for member in members {
+        let last_reached = member.last_reached_s.map_or("never".to_owned(), duration);
+        write!(
+            out,
+            "{:name$}  {:zone$}  {:7}  {:7}  {last_reached:7}  {:7}  {:7}  {}",
+            member.name,
+            member.zone,
+            member.state,
+            duration(member.state_age_s),
+            member.outbound,
+            member.inbound,
+            member.address
+        )?;
+        if !member.suspected_by.is_empty() {
+            write!(out, "  suspected by {}", member.suspected_by.join(", "))?;
+        }
+        writeln!(out)?;
+    }
+    Ok(())
+}
+
+/// Writes the partitioned paths by zone and zone, where there are any.
+fn write_partitions(paths: &[ZonePathReport], out: &mut impl Write) -> io::Result<()> {
+    if paths.iter().all(|paths| paths.partitioned == 0) {
+        return writeln!(out, "\nno way between balancers is told to be cut");
+    }
+    let zones: BTreeSet<&str> = paths
+        .iter()
+        .flat_map(|paths| [&*paths.from, &*paths.to])
+        .collect();
+    let longest = zones.iter().map(|zone| zone.len()).max();
+    let width = longest.unwrap_or(0).max(MIN_CELL_WIDTH);
+    writeln!(
+        out,
+        "\ncut ways, of so many, from the zones on the left to those above"
+    )?;
+    write!(out, "{:width$}", "")?;
+    for to in &zones {
+        write!(out, "  {to:>width$}")?;
+    }
+    writeln!(out)?;
+    for from in &zones {
+        write!(out, "{from:width$}")?;
+        for to in &zones {
+            let between = paths
+                .iter()
+                .find(|paths| paths.from == *from && paths.to == *to);
+            let cell = between.map_or("-".to_owned(), |paths| {
+                format!("{}/{}", paths.partitioned, paths.total)
+            });
+            write!(out, "  {cell:>width$}")?;
+        }
+        writeln!(out)?;
+    }
+    Ok(())
+}
+
+fn percent(ratio: f64) -> String {
+    format!("{:.0}%", ratio * 100.0)
+}
+
+/// A number of seconds, in the unit that suits it.
+fn duration(seconds: f64) -> String {
+    match seconds {
+        ..120.0 => format!("{seconds:.1} s"),
+        ..7_200.0 => format!("{:.0} min", seconds / 60.0),
+        _ => format!("{:.0} h", seconds / 3_600.0),
+    }
+}
--- /dev/null
+++ b/src/net/metrics.rs
@@ -0,0 +1,211 @@
+//! Metrics of a daemon that serves, in the text format of Prometheus. Names and texts are the operators' documentation's.
+
+mod evacuation;
+mod membership;
+#[cfg(test)]
+mod tests;
+
+use self::evacuation::EvacuationMetrics;
+use self::membership::MembershipMetrics;
+use super::evacuation::EvacuationTask;
+use hyper::StatusCode;
+use prometheus::core::Collector;
+use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
+use std::sync::Arc;
+use woadstall_membership_net::Membership;
+
+/// Metrics could not be registered or encoded.
+#[derive(Debug, thiserror::Error)]
+#[error("figures: {0}")]
+pub struct MetricsError(#[from] prometheus::Error);
+
+/// The metrics since the start of this process.
+pub struct Metrics {
+    registry: Registry,
+    served: IntCounterVec,
+    rejected: IntCounterVec,
+    failed: IntCounterVec,
+    attempts: IntCounter,
+    active: IntGauge,
+    upstreams: IntGauge,
+    ejected_upstreams: IntGauge,
+    /// Configurations applied at SIGHUP.
+    pub configs_applied: IntCounter,
+    /// Configurations rejected at SIGHUP.
+    pub configs_rejected: IntCounter,
+    membership: Option<MembershipMetrics>,
+    evacuation: Option<EvacuationMetrics>,
+}
+
+/// What is not counted as it happens, but read when the metrics are.
+pub struct LoadBalancerStatus {
+    /// Attempts that were written to their last byte, since the start.
+    pub attempts: u64,
+    /// Upstreams that are listed.
+    pub upstreams: usize,
+    /// Those among them that are ejected.
+    pub ejected: usize,
+}
+
+/// Registers a metric, and returns it.
+fn register<M: Collector + Clone + 'static>(
+    registry: &Registry,
+    metric: prometheus::Result<M>,
+) -> prometheus::Result<M> {
+    let metric = metric?;
+    registry.register(Box::new(metric.clone()))?;
+    Ok(metric)
+}
+
+impl Metrics {
+    /// All at zero, with these classes.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a metric cannot be registered.
+    pub fn new<'a>(classes: impl Iterator<Item = &'a str>) -> Result<Self, MetricsError> {
+        let registry = Registry::new();
+        let options = |name: &str, help: &str| Opts::new(format!("balancer_{name}"), help);
+        let by_class = |name, help| {
+            register(
+                &registry,
+                IntCounterVec::new(options(name, help), &["kind"]),
+            )
+        };
+        let counter = |name, help| register(&registry, IntCounter::with_opts(options(name, help)));
+        let gauge = |name, help| register(&registry, IntGauge::with_opts(options(name, help)));
+        let metrics = Self {
+            served: by_class("ok", "Requests served, by class.")?,
+            rejected: by_class("shed", "Requests refused, by class.")?,
+            failed: by_class("errors", "Requests failed, by class.")?,
+            attempts: counter("tries", "Attempts written whole to upstreams.")?,
+            active: gauge("active", "Requests taken and not yet ended.")?,
+            upstreams: gauge("pool_size", "Upstreams in the list.")?,
+            ejected_upstreams: gauge(
+                "pool_ejected",
+                "Listed upstreams that are avoided at present.",
+            )?,
+            configs_applied: counter("config_applied", "Configurations taken at SIGHUP.")?,
+            configs_rejected: counter("config_rejected", "Configurations turned down at SIGHUP.")?,
+            membership: None,
+            evacuation: None,
+            registry,
+        };
+        metrics.show_classes(classes);
+        Ok(metrics)
+    }
+
+    /// Shows the membership among balancers from now on, where there is one.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a metric cannot be registered.
+    pub fn show_membership(&mut self, membership: Option<Membership>) -> Result<(), MetricsError> {
+        let register = |membership| MembershipMetrics::register(&self.registry, membership);
+        self.membership = membership.map(register).transpose()?;
+        Ok(())
+    }
+
+    /// Shows the failure domains that may be evacuated from now on, where there is evacuation.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a metric cannot be registered.
+    pub fn show_evacuation(
+        &mut self,
+        evacuation: Option<EvacuationTask>,
+    ) -> Result<(), MetricsError> {
+        let register = |evacuation| EvacuationMetrics::register(&self.registry, evacuation);
+        self.evacuation = evacuation.map(register).transpose()?;
+        Ok(())
+    }
+
+    /// Shows classes from now on, also those that nobody has asked for.
+    pub fn show_classes<'a>(&self, classes: impl Iterator<Item = &'a str>) {
+        for class in classes {
+            for counter in [&self.served, &self.rejected, &self.failed] {
+                counter.with_label_values(&[class]);
+            }
+        }
+    }
+
+    /// Counts the final response to a request of a class.
+    pub fn count_response(&self, class: &str, status: StatusCode) {
+        let counter = match status {
+            StatusCode::OK => &self.served,
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => &self.rejected,
+            _ => &self.failed,
+        };
+        counter.with_label_values(&[class]).inc();
+    }
+
+    /// A request is active, until the result is dropped.
+    pub fn start_request(&self) -> ActiveRequest {
+        self.active.inc();
+        ActiveRequest(self.active.clone())
+    }
+
+    /// All metrics as text.
+    ///
+    /// # Errors
+    ///
+    /// Fails if they cannot be encoded.
+    pub fn encode(&self, status: &LoadBalancerStatus) -> prometheus::Result<String> {
+        self.attempts
+            .inc_by(status.attempts.saturating_sub(self.attempts.get()));
+        self.upstreams.set(status.upstreams as i64);
+        self.ejected_upstreams.set(status.ejected as i64);
+        if let Some(membership) = &self.membership {
+            membership.update();
+        }
+        if let Some(evacuation) = &self.evacuation {
+            evacuation.update();
+        }
+        TextEncoder::new().encode_to_string(&self.registry.gather())
+    }
+}
+
+/// A request that has not ended.
+pub struct ActiveRequest(IntGauge);
+
+impl Drop for ActiveRequest {
+    fn drop(&mut self) {
+        self.0.dec();
+    }
+}
+
+/// A request whose response has started: it counts as served once that has ended, and as failed if it breaks off.
+pub struct StreamingRequest {
+    metrics: Arc<Metrics>,
+    class: String,
+    is_complete: bool,
+    _active: ActiveRequest,
+}
+
+impl StreamingRequest {
+    pub fn new(metrics: Arc<Metrics>, class: String) -> Self {
+        let active = metrics.start_request();
+        Self {
+            metrics,
+            class,
+            is_complete: false,
+            _active: active,
+        }
+    }
+
+    /// The response has come to its end.
+    pub fn complete(&mut self) {
+        self.is_complete = true;
+    }
+}
+
+impl Drop for StreamingRequest {
+    fn drop(&mut self) {
+        let status = if self.is_complete {
+            StatusCode::OK
+        } else {
+            StatusCode::BAD_GATEWAY
+        };
+        self.metrics.count_response(&self.class, status);
+    }
+}
--- /dev/null
+++ b/src/net/server/call.rs
@@ -0,0 +1,127 @@
+//! From a request to its response.
+
+use super::Server;
+use super::connection::REJECTION_RETRY_AFTER;
+use super::request::{CallRequest, Rejection, TOO_LARGE, read_body};
+use super::response::{self, CallerResponse, ResponseBody};
+use crate::net::MAX_BODY_BYTES;
+use hyper::body::{Body, Incoming};
+use hyper::{Request, StatusCode, Version};
+use std::collections::HashSet;
+use std::sync::Mutex;
+use std::time::Duration;
+use tokio::time::Instant;
+use woadstall_engine::CallResult;
+use woadstall_inbound::{BodyMemory, ConnectionState, lock};
+use woadstall_runtime::CallParameters;
+use woadstall_transport::{Http1Body, end_to_end};
+
+/// Path of the health check.
+const HEALTH_PATH: &str = "/healthz";
+/// The bodies of open requests may fill one over this of the memory.
+const BODY_MEMORY_DIVISOR: usize = 3;
+
+const BOTH_LENGTHS: Rejection = Rejection::new(
+    StatusCode::BAD_REQUEST,
+    "Content-Length beside Transfer-Encoding\n",
+);
+const CALL_ID_IN_USE: Rejection = Rejection::new(
+    StatusCode::CONFLICT,
+    "a request with this X-Call-Id is open\n",
+);
+
+impl Server {
+    /// The response to a request, and when it is of no use any more.
+    pub(super) async fn respond(
+        &self,
+        request: Request<Incoming>,
+        connection: &Mutex<ConnectionState>,
+    ) -> (CallerResponse, Option<Instant>) {
+        if request.uri().path() == HEALTH_PATH {
+            return (self.health(), None);
+        }
+        match self.call(request, connection).await {
+            Ok((response, deadline)) => (response, Some(deadline)),
+            Err(Rejection { code, text }) => (response::text(code, text), None),
+        }
+    }
+
+    fn health(&self) -> CallerResponse {
+        let is_healthy = *self.ready.borrow() && !*self.out_of_service.borrow();
+        response::status(match is_healthy {
+            true => StatusCode::OK,
+            false => StatusCode::SERVICE_UNAVAILABLE,
+        })
+    }
+
+    async fn call(
+        &self,
+        request: Request<Incoming>,
+        connection: &Mutex<ConnectionState>,
+    ) -> Result<(CallerResponse, Instant), Rejection> {
+        if lock(connection).has_both_lengths() {
+            return Err(BOTH_LENGTHS);
+        }
+        let call = CallRequest::read(&request, &self.settings.borrow())?;
+        if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
+            return Err(TOO_LARGE);
+        }
+        let memory_limit = self.config.limits.memory / BODY_MEMORY_DIVISOR;
+        let mut memory = BodyMemory::new(&self.body_bytes, memory_limit);
+        let _call_id = CallIdGuard::take(&self.open_call_ids, call.call_id)?;
+        let (mut head, body) = request.into_parts();
+        let body = read_body(body, &mut memory).await?;
+        let deadline = lock(connection).request_completed() + call.budget;
+        let Some(body) = body else {
+            return Ok((response::rejection(REJECTION_RETRY_AFTER), deadline));
+        };
+        let _active = self.metrics.start_request();
+        end_to_end(&mut head.headers);
+        let parameters = CallParameters {
+            class: call.class,
+            tenant: call.tenant,
+            work: call.work,
+            deadline,
+            max_attempts: u32::MAX,
+        };
+        let request = Request::from_parts(head, body);
+        let result = self.load_balancer.call(parameters, request).await;
+        Ok((response_of(result), deadline))
+    }
+}
+
+/// The response that tells the result of a call.
+fn response_of(result: CallResult<hyper::Response<Http1Body>>) -> CallerResponse {
+    match result {
+        CallResult::Served(response) => {
+            let mut response = response.map(ResponseBody::from);
+            *response.version_mut() = Version::HTTP_11;
+            end_to_end(response.headers_mut());
+            response
+        }
+        CallResult::Rejected(nanos) => response::rejection(Duration::from_nanos(nanos)),
+        CallResult::Failed => response::status(StatusCode::BAD_GATEWAY),
+    }
+}
+
+/// The id of an open call. Guards against a second one under it: upstreams and callers could not tell their responses
+/// apart.
+struct CallIdGuard<'a> {
+    open: &'a Mutex<HashSet<String>>,
+    id: String,
+}
+
+impl<'a> CallIdGuard<'a> {
+    fn take(open: &'a Mutex<HashSet<String>>, id: String) -> Result<Self, Rejection> {
+        if !lock(open).insert(id.clone()) {
+            return Err(CALL_ID_IN_USE);
+        }
+        Ok(Self { open, id })
+    }
+}
+
+impl Drop for CallIdGuard<'_> {
+    fn drop(&mut self) {
+        lock(self.open).remove(&self.id);
+    }
+}
--- /dev/null
+++ b/src/net/server/response.rs
@@ -0,0 +1,118 @@
+//! Responses to callers.
+
+use crate::net::metrics::StreamingRequest;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use hyper::header::{HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+use std::io;
+use std::pin::Pin;
+use std::sync::{Arc, Mutex};
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+use tokio::time::Instant;
+use woadstall_inbound::{ConnectionState, lock};
+use woadstall_transport::Http1Body;
+
+/// A response as hyper writes it.
+pub type CallerResponse = Response<ResponseBody>;
+
+/// The body of a response.
+pub struct ResponseBody {
+    body: Http1Body,
+    stream: Option<StreamState>,
+}
+
+/// What follows a response that is passed on as it comes.
+struct StreamState {
+    request: StreamingRequest,
+    deadline: Instant,
+    connection: Arc<Mutex<ConnectionState>>,
+}
+
+impl From<Bytes> for ResponseBody {
+    fn from(bytes: Bytes) -> Self {
+        Self {
+            body: bytes.into(),
+            stream: None,
+        }
+    }
+}
+
+impl From<Http1Body> for ResponseBody {
+    fn from(body: Http1Body) -> Self {
+        Self { body, stream: None }
+    }
+}
+
+impl ResponseBody {
+    /// Whether all of it is there.
+    pub fn is_complete(&self) -> bool {
+        self.body.is_complete()
+    }
+
+    /// Reports when a response that is not complete has come to its end.
+    pub fn track_stream(
+        &mut self,
+        request: StreamingRequest,
+        deadline: Instant,
+        connection: Arc<Mutex<ConnectionState>>,
+    ) {
+        self.stream = Some(StreamState {
+            request,
+            deadline,
+            connection,
+        });
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
+        let has_ended = frame.is_none() || self.body.is_end_stream();
+        if let Some(stream) = self.stream.as_mut().filter(|_| has_ended) {
+            stream.request.complete();
+            lock(&stream.connection).response_progressed(stream.deadline, true);
+        }
+        Poll::Ready(frame)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
+
+/// A response without a body.
+pub fn status(code: StatusCode) -> CallerResponse {
+    let mut response = Response::new(ResponseBody::from(Bytes::new()));
+    *response.status_mut() = code;
+    response
+}
+
+/// A response with a line of text.
+pub fn text(code: StatusCode, text: &'static str) -> CallerResponse {
+    let mut response = status(code);
+    *response.body_mut() = Bytes::from_static(text.as_bytes()).into();
+    response
+}
+
+/// A rejection, with advice on how long to wait before a retry unless that is zero.
+pub fn rejection(retry_after: Duration) -> CallerResponse {
+    let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
+    if retry_after > Duration::ZERO
+        && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64()))
+    {
+        response.headers_mut().insert(RETRY_AFTER, value);
+    }
+    response
+}
