--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -1,8 +1,9 @@
-//! How a plug-in is set up.
+//! How a plug-in is set up, with the defaults of what is not said.
 
-use crate::ask::Classes;
-use crate::service::Balance;
-use crate::wire::Wire;
+use crate::call_classes::CallClasses;
+use crate::error::BuildError;
+use crate::service::{Balance, Shared};
+use crate::upstream_transport::{Protocol, UpstreamTransport};
 use std::fmt;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
@@ -12,36 +13,31 @@
 use woadstall_discovery::EndpointList;
 use woadstall_engine::Settings;
 use woadstall_operator_config::OperatorConfig;
-use woadstall_runtime::{LoadBalancerConfig, LogSink};
+use woadstall_runtime::{LoadBalancer, LoadBalancerConfig, LogSink};
 use woadstall_settings::Names;
 use woadstall_transport::{Http1, Http2, Http2Limits};
 
-/// What is wrong with how a plug-in is set up; the text names what is at fault.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BuildError(pub(crate) String);
+/// Bytes of a request's body that are buffered by default.
+const DEFAULT_REPLAY_LIMIT: usize = 64 << 10;
 
-impl fmt::Display for BuildError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
+/// Connections to one upstream by default.
+const DEFAULT_CONNECTIONS: usize = 4;
 
-impl std::error::Error for BuildError {}
+/// Calls that the daemon would have in flight; over HTTP/1.1 each takes a connection.
+const HTTP1_CALLS: usize = 128;
 
-/// What upstreams speak.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Protocol {
-    /// HTTP/1.1: one call at a time on a connection; bodies up to the replay limit either way, read whole.
-    Http1,
-    /// HTTP/2 with prior knowledge, as gRPC uses it.
-    #[default]
-    Http2,
+impl Balance {
+    /// Sets one up.
+    pub fn builder() -> Builder {
+        Builder::default()
+    }
 }
 
-/// Sets up a [`Balance`].
+/// Sets up a [`Balance`]; only the settings are required.
 #[derive(Clone)]
 pub struct Builder {
     settings: Option<(Settings, Names)>,
+    /// Paths of methods, and the class of each.
     methods: Vec<(String, String)>,
     discovery: Option<SocketAddr>,
     known: EndpointList,
@@ -61,22 +57,24 @@
             known: EndpointList::default(),
             seed: None,
             protocol: Protocol::default(),
-            replay_limit: 64 << 10,
-            connections: 4,
+            replay_limit: DEFAULT_REPLAY_LIMIT,
+            connections: DEFAULT_CONNECTIONS,
             log: Arc::new(|_| {}),
         }
     }
 }
 
 impl Builder {
-    /// The settings of the decisions, in the JSON form that the daemon gets too. Needed.
+    /// The settings of the decisions, in the JSON form that the daemon gets too. Required.
+    ///
+    /// # Errors
+    ///
+    /// [`BuildError::Settings`], if they cannot be read. Whether their values make sense shows at
+    /// [`Builder::build`].
     pub fn settings(mut self, json: &[u8]) -> Result<Self, BuildError> {
-        let error = |error: woadstall_settings::ParseError| BuildError(error.to_string());
-        let settings = woadstall_settings::parse_settings(json).map_err(error)?;
-        self.settings = Some((
-            settings,
-            woadstall_settings::parse_names(json).map_err(error)?,
-        ));
+        let settings = woadstall_settings::parse_settings(json).map_err(BuildError::Settings)?;
+        let names = woadstall_settings::parse_names(json).map_err(BuildError::Settings)?;
+        self.settings = Some((settings, names));
         Ok(self)
     }
 
@@ -88,27 +86,33 @@
         self
     }
 
-    /// Takes the section `[plugin]` of the operators' file, in addition to methods that are named otherwise.
+    /// Takes the section `[plugin]` of the operators' file: protocol, replay limit and connections, and the
+    /// classes of methods, in addition to methods that are named otherwise.
+    ///
+    /// # Errors
+    ///
+    /// [`BuildError::Operator`], if the file cannot be read or a value in it makes no sense.
     pub fn operator(mut self, file: &str) -> Result<Self, BuildError> {
-        let plugin = OperatorConfig::parse(file)
-            .map_err(|fault| BuildError(fault.to_string()))?
-            .plugin;
+        let config = OperatorConfig::parse(file).map_err(BuildError::Operator)?;
+        let plugin = config.plugin;
         self.protocol = match plugin.protocol {
             woadstall_operator_config::Protocol::Http1 => Protocol::Http1,
             woadstall_operator_config::Protocol::Http2 => Protocol::Http2,
         };
-        (self.replay_limit, self.connections) = (plugin.replay_limit_bytes, plugin.max_connections);
+        self.replay_limit = plugin.replay_limit_bytes;
+        self.connections = plugin.max_connections;
         self.methods.extend(plugin.method_classes);
         Ok(self)
     }
 
-    /// Where discovery is; without it, the list stays as it is known or told by [`Balance::list`].
+    /// Where discovery is. By default nowhere: the endpoint list stays as it is known, or as [`Balance::list`]
+    /// changes it.
     pub fn discovery(mut self, address: SocketAddr) -> Self {
         self.discovery = Some(address);
         self
     }
 
-    /// The list of upstreams as it is known already; it may be old.
+    /// The list of upstreams as it is known already; it may be old. Empty by default.
     pub fn known(mut self, known: EndpointList) -> Self {
         self.known = known;
         self
@@ -126,7 +130,7 @@
         self
     }
 
-    /// How much of a request's body is held so that it can be sent again, in bytes, 64 KiB by default. A larger
+    /// How much of a request's body is buffered so that it can be sent again, in bytes, 64 KiB by default. A larger
     /// one is sent once, over HTTP/2, or refused, over HTTP/1.1.
     pub fn replay_limit(mut self, bytes: usize) -> Self {
         self.replay_limit = bytes;
@@ -134,66 +138,68 @@
     }
 
     /// Most connections: over HTTP/2 to one upstream (4 by default), over HTTP/1.1 that many for each call that
-    /// the daemon would hold, 128 times as many in all.
-    pub fn connections(mut self, most: usize) -> Self {
-        self.connections = most;
+    /// the daemon would have in flight, 128 times as many in all. At least 1.
+    pub fn connections(mut self, max: usize) -> Self {
+        self.connections = max;
         self
     }
 
-    /// Where lines for the operators go; nowhere by default.
+    /// Where log lines for the operators go; nowhere by default.
     pub fn log(mut self, log: impl Fn(fmt::Arguments<'_>) + Send + Sync + 'static) -> Self {
         self.log = Arc::new(log);
         self
     }
 
     /// Starts the plug-in on the tokio runtime that this is called in.
+    ///
+    /// # Errors
+    ///
+    /// [`BuildError::NoSettings`] and [`BuildError::NoConnections`]; [`BuildError::UnknownClass`] and
+    /// [`BuildError::DuplicateMethod`], of a method's class; [`BuildError::Start`], if the settings make no sense
+    /// or this is called outside a tokio runtime.
     pub fn build(self) -> Result<Balance, BuildError> {
-        let (mut settings, names) = self
-            .settings
-            .ok_or(BuildError("no settings are given".into()))?;
+        let (mut settings, names) = self.settings.ok_or(BuildError::NoSettings)?;
         if self.connections == 0 {
-            return Err(BuildError("`connections` is 0".into()));
+            return Err(BuildError::NoConnections);
         }
-        let classes =
-            Classes::new(&mut settings, names.clone(), &self.methods).map_err(BuildError)?;
-        let idle = Duration::from_nanos(settings.idle_timeout);
-        let wire = match self.protocol {
-            Protocol::Http1 => Wire::Http1(Http1::new(
+        let classes = CallClasses::new(&mut settings, names.clone(), &self.methods)?;
+        let idle_timeout = Duration::from_nanos(settings.idle_timeout);
+        let transport = match self.protocol {
+            Protocol::Http1 => UpstreamTransport::Http1(Http1::new(
                 &names,
-                idle,
-                self.connections.saturating_mul(128),
+                idle_timeout,
+                self.connections.saturating_mul(HTTP1_CALLS),
                 self.replay_limit,
             )),
-            Protocol::Http2 => {
-                let limits = Http2Limits {
-                    max_connections: self.connections,
-                    ..Http2Limits::new(&names, idle)
-                };
-                Wire::Http2(Http2::new(limits))
-            }
+            Protocol::Http2 => UpstreamTransport::Http2(Http2::new(Http2Limits {
+                max_connections: self.connections,
+                ..Http2Limits::new(&names, idle_timeout)
+            })),
         };
-        let seed = self
-            .seed
-            .unwrap_or_else(|| RandomState::new().build_hasher().finish());
-        let setup = LoadBalancerConfig {
+        let config = LoadBalancerConfig {
             settings,
             names,
-            seed,
+            seed: self.seed.unwrap_or_else(random_seed),
             known_endpoints: self.known,
         };
-        let balance = woadstall_runtime::LoadBalancer::new(setup, wire, self.log)
-            .map_err(|error| BuildError(error.to_string()))?;
+        let load_balancer =
+            LoadBalancer::new(config, transport, self.log).map_err(BuildError::Start)?;
         let discovery = self.discovery.map(|address| {
-            let (at, addresses) = watch::channel(address);
-            balance.watch_discovery(addresses);
-            at
+            let (sender, addresses) = watch::channel(address);
+            load_balancer.watch_discovery(addresses);
+            sender
         });
-        Ok(Balance::new(
-            balance,
+        Ok(Balance::new(Shared {
+            load_balancer,
             classes,
             discovery,
-            self.protocol,
-            self.replay_limit,
-        ))
+            protocol: self.protocol,
+            replay_limit: self.replay_limit,
+        }))
     }
 }
+
+/// A seed from the standard library's hasher, which takes its keys from the operating system.
+fn random_seed() -> u64 {
+    RandomState::new().build_hasher().finish()
+}
--- /dev/null
+++ b/crates/tower/src/call_classes.rs
@@ -0,0 +1,174 @@
+//! The requirements of a call: its class, tenant, estimated work and timeout.
+
+use crate::call_info::CallInfo;
+use crate::error::BuildError;
+use crate::timeout::{MAX_TIMEOUT, header_text, timeout_from_headers};
+use http::request::Parts;
+use std::collections::HashMap;
+use std::time::Duration;
+use woadstall_engine::Settings;
+use woadstall_engine::decisions::{Class, Effect};
+use woadstall_settings::Names;
+
+/// Tenant of a call whose tenant the settings do not name: it has no quota of its own.
+const UNNAMED_TENANT: usize = usize::MAX;
+
+/// The classes of the plug-in: those of the settings, then for each its non-idempotent variant, then one for
+/// calls that no setting names.
+pub(crate) struct CallClasses {
+    names: Names,
+    effects: Vec<Effect>,
+    deadlines: Vec<Duration>,
+    /// The class of each method that has one, by the method's path.
+    methods: HashMap<String, usize>,
+}
+
+/// What the decisions need to know of a call.
+#[derive(Debug, PartialEq)]
+pub(crate) struct CallRequirements {
+    /// Index of its class.
+    pub class: usize,
+    /// Index of its tenant, or [`UNNAMED_TENANT`].
+    pub tenant: usize,
+    /// An estimate of its work, in nanoseconds.
+    pub estimated_work: Option<u64>,
+    /// How long the caller waits.
+    pub timeout: Duration,
+    /// The caller has set the timeout itself; it is not its class's deadline.
+    pub has_caller_timeout: bool,
+}
+
+impl CallClasses {
+    /// Adds the plug-in's own classes to the settings.
+    ///
+    /// # Errors
+    ///
+    /// [`BuildError::UnknownClass`] and [`BuildError::DuplicateMethod`], of the first method at fault.
+    pub fn new(
+        settings: &mut Settings,
+        names: Names,
+        methods: &[(String, String)],
+    ) -> Result<Self, BuildError> {
+        let methods = index_methods(&names, methods)?;
+        let named = settings.classes.clone();
+        settings.classes.extend(named.iter().map(non_idempotent));
+        settings.classes.push(unknown_class(&named));
+        let deadline = |class: &Class| Duration::from_nanos(class.deadline);
+        Ok(Self {
+            effects: settings.classes.iter().map(|class| class.effect).collect(),
+            deadlines: settings.classes.iter().map(deadline).collect(),
+            names,
+            methods,
+        })
+    }
+
+    /// The requirements of a call. Nothing that it says wrongly is an error: it only loses what that would have
+    /// allowed it.
+    pub fn requirements(&self, head: &Parts) -> CallRequirements {
+        let absent = CallInfo::default();
+        let info = head.extensions.get::<CallInfo>().unwrap_or(&absent);
+        let headers = &head.headers;
+        let class = self.class(head, info);
+        let caller_timeout = info
+            .within
+            .into_iter()
+            .chain(timeout_from_headers(headers))
+            .min();
+        let tenant = info.tenant.as_deref().or(header_text(headers, "x-caller"));
+        CallRequirements {
+            class,
+            tenant: self.names.tenant(tenant).unwrap_or(UNNAMED_TENANT),
+            estimated_work: estimated_work(head, info),
+            timeout: caller_timeout
+                .unwrap_or(self.deadlines[class])
+                .min(MAX_TIMEOUT),
+            has_caller_timeout: caller_timeout.is_some(),
+        }
+    }
+
+    /// The class of a call, in its non-idempotent variant where a repeat could run it twice.
+    fn class(&self, head: &Parts, info: &CallInfo) -> usize {
+        let Some(class) = self.named_class(head, info) else {
+            return self.effects.len() - 1;
+        };
+        // Without its key no server would drop a repeat.
+        let lacks_key =
+            matches!(self.effects[class], Effect::Keyed(..)) && !has_idempotency_key(head, info);
+        if info.never_twice || lacks_key {
+            self.names.classes.len() + class
+        } else {
+            class
+        }
+    }
+
+    /// The class that the caller names, or that of the method, or that of the path's first segment.
+    fn named_class(&self, head: &Parts, info: &CallInfo) -> Option<usize> {
+        if let Some(class) = &info.class {
+            return self.names.class(class);
+        }
+        let path = head.uri.path();
+        let by_method = self.methods.get(path).copied();
+        by_method.or_else(|| self.names.class(path.split('/').nth(1)?))
+    }
+}
+
+/// The class of each method, by its path.
+fn index_methods(
+    names: &Names,
+    methods: &[(String, String)],
+) -> Result<HashMap<String, usize>, BuildError> {
+    let mut by_path = HashMap::new();
+    for (path, class) in methods {
+        let Some(index) = names.class(class) else {
+            return Err(BuildError::UnknownClass {
+                path: path.clone(),
+                class: class.clone(),
+            });
+        };
+        if by_path.insert(path.clone(), index).is_some() {
+            return Err(BuildError::DuplicateMethod { path: path.clone() });
+        }
+    }
+    Ok(by_path)
+}
+
+/// The same class for calls that must not run twice.
+fn non_idempotent(class: &Class) -> Class {
+    Class {
+        effect: Effect::Unsafe,
+        ..class.clone()
+    }
+}
+
+/// The class of calls that no setting names: the longest times and the least values of all, never repeated.
+fn unknown_class(named: &[Class]) -> Class {
+    let longest = |time: fn(&Class) -> u64| named.iter().map(time).max().unwrap_or(1);
+    let least = |value: fn(&Class) -> f64| named.iter().map(value).fold(f64::MAX, f64::min);
+    Class {
+        latency_target: longest(|class| class.latency_target),
+        latency_target_stretch: 0.0,
+        deadline: longest(|class| class.deadline),
+        effect: Effect::Unsafe,
+        late_value: least(|class| class.late_value),
+        value: least(|class| class.value),
+    }
+}
+
+fn has_idempotency_key(head: &Parts, info: &CallInfo) -> bool {
+    info.key
+        .as_deref()
+        .or(header_text(&head.headers, "idempotency-key"))
+        .is_some_and(|key| !key.is_empty())
+}
+
+/// The work of a call in nanoseconds, as the caller or the header `x-call-cost` (microseconds) estimates it.
+fn estimated_work(head: &Parts, info: &CallInfo) -> Option<u64> {
+    if let Some(work) = info.work {
+        return Some(work.as_nanos() as u64);
+    }
+    let micros: f64 = header_text(&head.headers, "x-call-cost")?.parse().ok()?;
+    (micros.is_finite() && micros >= 0.0).then_some((micros * 1e3) as u64)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -20,21 +20,23 @@
 //! not known counts as one that must never run twice. Nothing is retried but by the decisions: no layer below
 //! does so by itself. `docs/plugin.md` has the tables of outcomes and the reasons.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
-mod answer;
-mod ask;
 mod builder;
-mod inherit;
+mod call_classes;
+mod call_info;
+mod error;
+mod inherit_time;
+mod local_response;
 #[cfg(test)]
 mod parity_tests;
 mod service;
-mod wire;
+mod timeout;
+mod upstream_transport;
 
-pub use ask::CallInfo;
-pub use builder::{BuildError, Builder, Protocol};
-pub use inherit::{InheritTime, Inheriting};
+pub use builder::Builder;
+pub use call_info::CallInfo;
+pub use error::BuildError;
+pub use inherit_time::{InheritTime, InheritTimeService};
 pub use service::Balance;
+pub use upstream_transport::Protocol;
 pub use woadstall_discovery::{Endpoint, EndpointList, EndpointState};
 pub use woadstall_transport::{ResponseBody, ResponseBodyError};
--- a/crates/tower/src/parity_tests.rs
+++ b/crates/tower/src/parity_tests.rs
@@ -1,122 +1,148 @@
 //! The plug-in's engine and the daemon's do the same, to the byte, when they are told the same.
 
-use crate::ask::Classes;
+use crate::call_classes::CallClasses;
 use woadstall_engine::{AttemptEnd, Call, Engine, Input, Outcome, RequestId, Time};
+use woadstall_settings::Names;
 
 const MS: u64 = 1_000_000;
 
-/// A recorded day: lists, requests, ends, drains, deaths, timers, at recorded times.
-fn play(mut engine: Engine<u32, u32>, names: &woadstall_settings::Names, tape: u64) -> Vec<String> {
-    let mut rng = fastrand::Rng::with_seed(tape);
-    let mut now: Time = 1_700_000_000_000 * MS;
-    let (mut done, mut out, mut next) = (Vec::new(), Vec::new(), 0);
-    let listing = |all: bool, members: &[(usize, &str, u64)]| {
-        let targets: Vec<_> = members
-            .iter()
-            .map(|(at, state, boot_ms)| {
-                serde_json::json!({"uid": format!("s-{at}"), "endpoint": format!("127.0.0.1:{}", 9000 + at),
-                    "az": names.zones[at % names.zones.len()], "state": state, "boot_ms": boot_ms})
-            })
-            .collect();
-        let text = serde_json::json!({"rev": 1, "all": all, "targets": targets});
-        serde_json::from_value::<woadstall_discovery::EndpointList>(text)
-            .unwrap()
-            .entries(names)
-    };
-    let first: Vec<_> = (0..9).map(|at| (at, "in_service", 0)).collect();
-    engine.handle(
-        now,
-        Input::EndpointsListed {
-            entries: &listing(true, &first),
-            is_complete: true,
-        },
-    );
-    for _ in 0..4000 {
-        now += rng.u64(..8 * MS);
-        while let Some(at) = engine.wake_at().filter(|at| *at <= now) {
-            engine.handle(at, Input::Tick);
+/// Steps of a recording: between two of them at most [`MAX_STEP`] passes.
+const STEPS: usize = 4000;
+const MAX_STEP: u64 = 8 * MS;
+const UPSTREAMS: usize = 9;
+const START: Time = 1_700_000_000_000 * MS;
+
+/// Plays a recorded day to an engine: lists, requests, ends, drains, deaths, timers, at recorded times.
+struct Recording<'a> {
+    engine: Engine<u32, u32>,
+    names: &'a Names,
+    rng: fastrand::Rng,
+    now: Time,
+    next_request: u32,
+    /// Attempts that have not ended.
+    in_flight: Vec<(RequestId, u32)>,
+    /// Every command, with its time.
+    commands: Vec<String>,
+}
+
+impl<'a> Recording<'a> {
+    fn play(engine: Engine<u32, u32>, names: &'a Names, seed: u64) -> Vec<String> {
+        let mut recording = Self {
+            engine,
+            names,
+            rng: fastrand::Rng::with_seed(seed),
+            now: START,
+            next_request: 0,
+            in_flight: Vec::new(),
+            commands: Vec::new(),
+        };
+        let all: Vec<_> = (0..UPSTREAMS).map(|at| (at, "in_service", 0)).collect();
+        recording.list(true, &all);
+        for _ in 0..STEPS {
+            recording.step();
         }
-        match rng.u32(..100) {
-            0 => {
-                let state = ["in_service", "terminating", "terminated"][rng.usize(..3)];
-                let boot = if rng.bool() { now / MS } else { 0 };
-                let changed = listing(false, &[(rng.usize(..9), state, boot)]);
-                engine.handle(
-                    now,
-                    Input::EndpointsListed {
-                        entries: &changed,
-                        is_complete: false,
-                    },
-                );
-            }
-            1 => engine.handle(now, Input::DiscoveryFailed),
-            2..=45 => {
-                let (class, deadline) = (
-                    rng.usize(..names.classes.len()),
-                    now + rng.u64(..2_000 * MS),
-                );
-                let (id, work) = (RequestId(next), rng.bool().then(|| rng.u64(..90 * MS)));
-                let call = Call {
-                    id,
-                    request: next,
-                    class,
-                    tenant: 0,
-                    work,
-                    deadline,
-                    max_attempts: u32::MAX,
-                };
-                next += 1;
-                engine.handle(now, Input::Call(call));
-            }
-            46..=48 => engine.handle(
-                now,
-                Input::CallerDisconnected(RequestId(rng.u32(..next.max(1)))),
-            ),
-            _ if !out.is_empty() => {
-                let (id, attempt) = out.swap_remove(rng.usize(..out.len()));
-                let outcomes = [
-                    Outcome::Error,
-                    Outcome::Full,
-                    Outcome::Reset,
-                    Outcome::ConnectFailed,
-                ];
-                let failed = rng.u32(..10) == 0;
-                let outcome = if failed {
-                    outcomes[rng.usize(..4)]
-                } else {
-                    Outcome::Ok
-                };
-                let ended = AttemptEnd {
-                    outcome,
-                    response: (!failed).then_some(next),
-                    load: None,
-                };
-                engine.handle(
-                    now,
-                    Input::AttemptEnded {
-                        id,
-                        attempt,
-                        end: ended,
-                    },
-                );
+        recording.commands
+    }
+
+    fn step(&mut self) {
+        self.now += self.rng.u64(..MAX_STEP);
+        while let Some(at) = self.engine.wake_at().filter(|at| *at <= self.now) {
+            self.engine.handle(at, Input::Tick);
+        }
+        match self.rng.u32(..100) {
+            0 => self.change_one_upstream(),
+            1 => self.engine.handle(self.now, Input::DiscoveryFailed),
+            2..=45 => self.request(),
+            46..=48 => {
+                let id = RequestId(self.rng.u32(..self.next_request.max(1)));
+                self.engine.handle(self.now, Input::CallerDisconnected(id));
             }
+            _ if !self.in_flight.is_empty() => self.end_one_attempt(),
             _ => {}
         }
-        while let Some(command) = engine.next_command() {
+        self.record_commands();
+    }
+
+    fn list(&mut self, is_complete: bool, members: &[(usize, &str, u64)]) {
+        let zones = &self.names.zones;
+        let target = |&(at, state, boot_ms): &(usize, &str, u64)| {
+            serde_json::json!({"uid": format!("s-{at}"), "endpoint": format!("127.0.0.1:{}", 9000 + at),
+                "az": zones[at % zones.len()], "state": state, "boot_ms": boot_ms})
+        };
+        let targets: Vec<_> = members.iter().map(target).collect();
+        let text = serde_json::json!({"rev": 1, "all": is_complete, "targets": targets});
+        let list: woadstall_discovery::EndpointList = serde_json::from_value(text).unwrap();
+        let input = Input::EndpointsListed {
+            entries: &list.entries(self.names),
+            is_complete,
+        };
+        self.engine.handle(self.now, input);
+    }
+
+    fn change_one_upstream(&mut self) {
+        let state = ["in_service", "terminating", "terminated"][self.rng.usize(..3)];
+        let boot_ms = if self.rng.bool() { self.now / MS } else { 0 };
+        let upstream = self.rng.usize(..UPSTREAMS);
+        self.list(false, &[(upstream, state, boot_ms)]);
+    }
+
+    fn request(&mut self) {
+        let class = self.rng.usize(..self.names.classes.len());
+        let deadline = self.now + self.rng.u64(..2_000 * MS);
+        let work = self.rng.bool().then(|| self.rng.u64(..90 * MS));
+        let call = Call {
+            id: RequestId(self.next_request),
+            request: self.next_request,
+            class,
+            tenant: 0,
+            work,
+            deadline,
+            max_attempts: u32::MAX,
+        };
+        self.next_request += 1;
+        self.engine.handle(self.now, Input::Call(call));
+    }
+
+    fn end_one_attempt(&mut self) {
+        let (id, attempt) = self
+            .in_flight
+            .swap_remove(self.rng.usize(..self.in_flight.len()));
+        let failures = [
+            Outcome::Error,
+            Outcome::Full,
+            Outcome::Reset,
+            Outcome::ConnectFailed,
+        ];
+        let failed = self.rng.u32(..10) == 0;
+        let outcome = if failed {
+            failures[self.rng.usize(..4)]
+        } else {
+            Outcome::Ok
+        };
+        let end = AttemptEnd {
+            outcome,
+            response: (!failed).then_some(self.next_request),
+            load: None,
+        };
+        self.engine
+            .handle(self.now, Input::AttemptEnded { id, attempt, end });
+    }
+
+    fn record_commands(&mut self) {
+        while let Some(command) = self.engine.next_command() {
             if let woadstall_engine::Command::SendAttempt(send) = &command {
-                out.push((send.id, send.attempt));
+                self.in_flight.push((send.id, send.attempt));
             }
-            done.push(format!("{now} {command:?}"));
+            self.commands.push(format!("{} {command:?}", self.now));
         }
     }
-    done
 }
 
 #[test]
-fn recorded_inputs_give_the_same_commands_in_daemon_and_plug_in() {
+fn recorded_inputs_give_equal_commands_in_daemon_and_plug_in() {
     // Both tiers that tell the two apart: only the first sheds, by the classes that there are.
     for tier in [0, 1] {
-        for tape in 0..8 {
+        for seed in 0..8 {
             let mut config = woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[]);
             config["settings"]["Layer"] = tier.into();
             config["settings"]["Zones"] = serde_json::json!(["a", "b", "c"]);
@@ -128,16 +154,15 @@
             let settings = woadstall_settings::parse_settings(text.as_bytes()).unwrap();
             let names = woadstall_settings::parse_names(text.as_bytes()).unwrap();
             let mut extended = settings.clone();
-            Classes::new(
+            CallClasses::new(
                 &mut extended,
                 names.clone(),
                 &[("/p.P/Look".into(), "look".into())],
             )
             .unwrap();
             assert!(extended.classes.len() > settings.classes.len());
-            let start = 1_700_000_000_000 * MS;
-            let daemon = play(Engine::new(settings, 5, start).unwrap(), &names, tape);
-            let plugin = play(Engine::new(extended, 5, start).unwrap(), &names, tape);
+            let daemon = Recording::play(Engine::new(settings, 5, START).unwrap(), &names, seed);
+            let plugin = Recording::play(Engine::new(extended, 5, START).unwrap(), &names, seed);
             assert!(daemon.len() > 3000, "{} commands", daemon.len());
             let differs = daemon
                 .iter()
@@ -146,7 +171,7 @@
             assert_eq!(
                 (differs, daemon.len()),
                 (None, plugin.len()),
-                "tier {tier}, tape {tape}"
+                "tier {tier}, seed {seed}"
             );
         }
     }
--- a/crates/tower/src/service.rs
+++ b/crates/tower/src/service.rs
@@ -1,10 +1,10 @@
 //! The plug-in as a tower service.
 
-use crate::answer;
-use crate::ask::{Asked, Classes};
-use crate::builder::{Builder, Protocol};
-use crate::inherit::inherited;
-use crate::wire::Wire;
+use crate::call_classes::{CallClasses, CallRequirements};
+use crate::call_info::CallInfo;
+use crate::inherit_time::inherited_deadline;
+use crate::local_response::ResponseFormat;
+use crate::upstream_transport::{Protocol, UpstreamTransport};
 use bytes::Bytes;
 use http::{HeaderValue, Request, Response};
 use http_body::Body;
@@ -20,129 +20,127 @@
 use tower_service::Service;
 use woadstall_discovery::EndpointList;
 use woadstall_engine::CallResult;
-use woadstall_runtime::CallParameters;
-use woadstall_transport::{BodyError, OutboundRequest, ResponseBody, is_grpc};
+use woadstall_runtime::{CallParameters, LoadBalancer};
+use woadstall_transport::{BodyError, OutboundRequest, ResponseBody};
 
-/// The decisions inside the caller. Clones share everything.
+/// The decisions inside the caller. Clones share everything; [`Balance::builder`] sets one up.
 #[derive(Clone)]
-pub struct Balance(Arc<Inner>);
+pub struct Balance(Arc<Shared>);
 
-struct Inner {
-    balance: woadstall_runtime::LoadBalancer<Wire>,
-    classes: Classes,
-    discovery: Option<watch::Sender<SocketAddr>>,
-    protocol: Protocol,
-    replay_limit: usize,
+/// What the clones of a [`Balance`] share.
+pub(crate) struct Shared {
+    pub load_balancer: LoadBalancer<UpstreamTransport>,
+    pub classes: CallClasses,
+    /// Where discovery is; `None` where the plug-in was set up without it.
+    pub discovery: Option<watch::Sender<SocketAddr>>,
+    pub protocol: Protocol,
+    /// Bytes of a request's body that are buffered so that it can be sent again.
+    pub replay_limit: usize,
 }
 
 impl Balance {
-    /// Sets one up.
-    pub fn builder() -> Builder {
-        Builder::default()
+    pub(crate) fn new(shared: Shared) -> Self {
+        Self(Arc::new(shared))
     }
 
-    pub(crate) fn new(
-        balance: woadstall_runtime::LoadBalancer<Wire>,
-        classes: Classes,
-        discovery: Option<watch::Sender<SocketAddr>>,
-        protocol: Protocol,
-        replay_limit: usize,
-    ) -> Self {
-        Self(Arc::new(Inner {
-            balance,
-            classes,
-            discovery,
-            protocol,
-            replay_limit,
-        }))
-    }
-
-    /// Takes a list of upstreams, whole or what changed, from a source of the caller's own.
+    /// Takes a list of upstreams, complete or what changed, from a source of the caller's own.
     pub fn list(&self, listing: &EndpointList) {
-        self.0.balance.list(listing);
+        self.0.load_balancer.list(listing);
     }
 
-    /// Follows discovery at another address from now on; its whole list is asked for at once.
+    /// Follows discovery at another address from now on; its complete list is requested at once. Does nothing
+    /// on a plug-in that was set up without [`crate::Builder::discovery`].
     pub fn discovery(&self, address: SocketAddr) {
-        if let Some(at) = &self.0.discovery {
-            at.send_replace(address);
+        if let Some(addresses) = &self.0.discovery {
+            addresses.send_replace(address);
         }
     }
 
-    /// Waits until there is an upstream to send to.
+    /// Waits until there is an upstream to send to; without limit.
     pub async fn ready(&self) {
-        self.0.balance.ready().wait_for(|ready| *ready).await.ok();
+        let mut readiness = self.0.load_balancer.ready();
+        readiness.wait_for(|ready| *ready).await.ok();
     }
 
-    /// How many calls are not answered, or have an attempt out.
+    /// How many calls are not answered, or have an attempt in flight.
     pub fn open_calls(&self) -> usize {
-        self.0.balance.open()
+        self.0.load_balancer.open()
     }
 
     /// How many connections to upstreams are open.
     pub fn open_connections(&self) -> usize {
-        match self.0.balance.transport() {
-            Wire::Http1(wire) => wire.open(),
-            Wire::Http2(wire) => wire.open_connections(),
-        }
+        self.0.load_balancer.transport().open_connections()
     }
 
-    async fn answer<B>(
+    /// The response to a request that arrived at `arrival`, in the time that the caller's caller has left.
+    async fn respond<B>(
         self,
         mut request: Request<B>,
-        came: Instant,
+        arrival: Instant,
         inherited: Option<Instant>,
     ) -> Response<ResponseBody>
     where
         B: Body<Data = Bytes> + Send + 'static,
         B::Error: Into<BodyError>,
     {
-        let grpc = is_grpc(request.headers());
-        let info = request.extensions().get::<crate::CallInfo>();
-        if let Some(key) = info.and_then(|info| HeaderValue::from_str(info.key.as_deref()?).ok()) {
-            request.headers_mut().insert("idempotency-key", key);
-        }
+        let format = ResponseFormat::for_request(request.headers());
+        set_idempotency_key(&mut request);
         let (head, body) = request.into_parts();
-        let Asked {
-            class,
-            tenant,
-            work,
-            within,
-            told,
-        } = self.0.classes.ask(&head);
-        let deadline = inherited.map_or(came + within, |outer| outer.min(came + within));
-        let told = told || inherited.is_some();
-        let most = self.0.replay_limit;
-        let held = OutboundRequest::buffer(
+        let requirements = self.0.classes.requirements(&head);
+        let own_deadline = arrival + requirements.timeout;
+        let deadline = inherited.map_or(own_deadline, |outer| outer.min(own_deadline));
+        let has_caller_deadline = requirements.has_caller_timeout || inherited.is_some();
+        let buffering = OutboundRequest::buffer(
             Request::from_parts(head, body),
-            most,
-            grpc,
-            told.then_some(deadline),
+            self.0.replay_limit,
+            format == ResponseFormat::Grpc,
+            has_caller_deadline.then_some(deadline),
         );
-        let outbound = match timeout_at(deadline, held).await {
+        let outbound = match timeout_at(deadline, buffering).await {
             Ok(Ok(outbound)) => outbound,
-            Ok(Err(_)) => return answer::unreadable(grpc),
-            Err(_) => return answer::refused(grpc, Duration::ZERO), // nothing was sent
+            Ok(Err(_)) => return format.unreadable_body(),
+            Err(_) => return format.rejected(Duration::ZERO), // nothing was sent
         };
-        let attempts = outbound.max_attempts();
-        if self.0.protocol == Protocol::Http1 && attempts == 1 {
-            return answer::too_large(grpc);
+        self.balance(outbound, &requirements, deadline, format)
+            .await
+    }
+
+    /// Has the load balancer send a request to upstreams until one serves it or none may.
+    async fn balance(
+        &self,
+        outbound: OutboundRequest,
+        requirements: &CallRequirements,
+        deadline: Instant,
+        format: ResponseFormat,
+    ) -> Response<ResponseBody> {
+        let max_attempts = outbound.max_attempts();
+        if self.0.protocol == Protocol::Http1 && max_attempts == 1 {
+            return format.body_too_large();
         }
-        let ask = CallParameters {
-            class,
-            tenant,
-            work,
+        let parameters = CallParameters {
+            class: requirements.class,
+            tenant: requirements.tenant,
+            work: requirements.estimated_work,
             deadline,
-            max_attempts: attempts,
+            max_attempts,
         };
-        match self.0.balance.call(ask, outbound).await {
-            CallResult::Served(answer) => answer,
-            CallResult::Rejected(nanos) => answer::refused(grpc, Duration::from_nanos(nanos)),
-            CallResult::Failed => answer::failed(grpc),
+        match self.0.load_balancer.call(parameters, outbound).await {
+            CallResult::Served(response) => response,
+            CallResult::Rejected(nanos) => format.rejected(Duration::from_nanos(nanos)),
+            CallResult::Failed => format.failed(),
         }
     }
 }
 
+/// Writes the key that the caller gives beside the request into its header, where servers look for it.
+fn set_idempotency_key<B>(request: &mut Request<B>) {
+    let info = request.extensions().get::<CallInfo>();
+    let key = info.and_then(|info| HeaderValue::from_str(info.key.as_deref()?).ok());
+    if let Some(key) = key {
+        request.headers_mut().insert("idempotency-key", key);
+    }
+}
+
 impl<B> Service<Request<B>> for Balance
 where
     B: Body<Data = Bytes> + Send + 'static,
@@ -152,15 +150,15 @@
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Response<ResponseBody>, Infallible>> + Send>>;
 
-    /// Always ready: what cannot be taken is refused, as soon as that is known.
+    /// Always ready: what cannot be taken is rejected, as soon as that is known.
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
-    /// The answer. Dropping the future withdraws the call: nothing is sent for it afterwards.
+    /// The response. Dropping the future withdraws the call: nothing is sent for it afterwards.
     fn call(&mut self, request: Request<B>) -> Self::Future {
         // The task that calls may not be the one that waits.
-        let (balance, came, inherited) = (self.clone(), Instant::now(), inherited());
-        Box::pin(async move { Ok(balance.answer(request, came, inherited).await) })
+        let (balance, arrival, inherited) = (self.clone(), Instant::now(), inherited_deadline());
+        Box::pin(async move { Ok(balance.respond(request, arrival, inherited).await) })
     }
 }
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A plug-in under test, and calls through it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses its own part of these")]
 
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response, StatusCode};
