--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tower_service::Service;
 use woadstall_mock_servers::grpc::message;
-use woadstall_tower::{Balance, Builder, Inbound, Listing};
+use woadstall_tower::{Balance, Builder, EndpointList, ResponseBody};
 
 pub const LOOK: &str = "/test.Test/Look";
 pub const PAY: &str = "/test.Test/Pay";
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub struct Member<'a>(pub &'a str, pub SocketAddr, pub &'a str, pub u64);
 
-pub fn listing(all: bool, members: &[Member<'_>]) -> Listing {
+pub fn listing(all: bool, members: &[Member<'_>]) -> EndpointList {
     let targets: Vec<_> = members
         .iter()
         .map(|Member(uid, address, state, boot_ms)| {
@@ -32,7 +32,7 @@
     serde_json::from_value(serde_json::json!({"rev": 1, "all": all, "targets": targets})).unwrap()
 }
 
-pub fn in_service(addresses: &[SocketAddr]) -> Listing {
+pub fn in_service(addresses: &[SocketAddr]) -> EndpointList {
     let names: Vec<String> = (0..addresses.len()).map(|at| format!("s-{at}")).collect();
     let members: Vec<_> = names
         .iter()
@@ -76,9 +76,10 @@
     request.body(Full::new(message(b"body"))).unwrap()
 }
 
-pub async fn send<B>(balance: &Balance, request: Request<B>) -> Response<Inbound>
+pub async fn send<B>(balance: &Balance, request: Request<B>) -> Response<ResponseBody>
 where
-    Balance: Service<Request<B>, Response = Response<Inbound>, Error = std::convert::Infallible>,
+    Balance:
+        Service<Request<B>, Response = Response<ResponseBody>, Error = std::convert::Infallible>,
 {
     balance.clone().call(request).await.unwrap()
 }
@@ -111,7 +112,7 @@
     }
 }
 
-pub async fn outcome(response: Response<Inbound>) -> Outcome {
+pub async fn outcome(response: Response<ResponseBody>) -> Outcome {
     let (head, mut body) = response.into_parts();
     let (mut data, mut trailers, mut broken) = (Vec::new(), HeaderMap::new(), false);
     while let Some(frame) = body.frame().await {
--- a/src/net/server/reply.rs
+++ b/src/net/server/reply.rs
@@ -11,15 +11,15 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 use tokio::time::Instant;
-use woadstall_inbound::{Seen, lock};
-use woadstall_transport::Answer;
+use woadstall_inbound::{ConnectionState, lock};
+use woadstall_transport::Http1Body;
 
 /// An answer as hyper writes it.
 pub type Reply = Response<ReplyBody>;
 
 /// The body of an answer.
 pub struct ReplyBody {
-    answer: Answer,
+    answer: Http1Body,
     streamed: Option<Streamed>,
 }
 
@@ -27,7 +27,7 @@
 struct Streamed {
     begun: Begun,
     deadline: Instant,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<ConnectionState>>,
 }
 
 impl From<Bytes> for ReplyBody {
@@ -39,8 +39,8 @@
     }
 }
 
-impl From<Answer> for ReplyBody {
-    fn from(answer: Answer) -> Self {
+impl From<Http1Body> for ReplyBody {
+    fn from(answer: Http1Body) -> Self {
         Self {
             answer,
             streamed: None,
@@ -51,11 +51,11 @@
 impl ReplyBody {
     /// Whether all of it is there.
     pub fn is_whole(&self) -> bool {
-        self.answer.is_whole()
+        self.answer.is_complete()
     }
 
     /// Tells when an answer that is not whole has come to its end.
-    pub fn stream(&mut self, begun: Begun, deadline: Instant, seen: Arc<Mutex<Seen>>) {
+    pub fn stream(&mut self, begun: Begun, deadline: Instant, seen: Arc<Mutex<ConnectionState>>) {
         self.streamed = Some(Streamed {
             begun,
             deadline,
@@ -76,7 +76,7 @@
         let over = frame.is_none() || self.answer.is_end_stream();
         if let Some(streamed) = self.streamed.as_mut().filter(|_| over) {
             streamed.begun.whole();
-            lock(&streamed.seen).answering(streamed.deadline, true);
+            lock(&streamed.seen).response_progressed(streamed.deadline, true);
         }
         Poll::Ready(frame)
     }
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -146,7 +146,7 @@
     let mut program = Program::start(&asked(two.config(late.address())));
     late.dialled();
     let dialled = Instant::now();
-    program.logged("discovery failed");
+    program.logged("discovery_failed error=");
     assert!(dialled.elapsed() < TOLD, "{:?}", dialled.elapsed());
 }
 
