--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -232,7 +232,8 @@
         let (took, deadline) = (now - wish.born, wish.deadline);
         self.tell_story(number, || {
             format!(
-                "its caller has {verdict:?} after {:.1} ms",
+                "its caller has {} after {:.1} ms",
+                story::result_text(verdict),
                 took as f64 / 1e6
             )
         });
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -10,6 +10,7 @@
 mod members;
 mod nodos;
 mod padron;
+mod story;
 
 use crate::agenda::{Agenda, Numbered};
 use crate::audit::Auditor;
