--- a/crates/consensus/src/log_position.rs
+++ b/crates/consensus/src/log_position.rs
@@ -9,7 +9,7 @@
 /// The index of a log entry; the first entry has 1.
 pub type LogIndex = u64;
 
-/// The index and the term of an entry, which together identify it in the whole group (Raft, section
+/// The index and the term of an entry, which together identify it in the group (Raft, section
 /// 5.3).
 ///
 /// Positions are ordered by term first: the log that ends with the greater position is the more
--- a/crates/consensus/src/replica/append_entries.rs
+++ b/crates/consensus/src/replica/append_entries.rs
@@ -33,7 +33,7 @@
         }
         let durable_index = self.persistence.durable_index();
         if durable_index < last_index {
-            // The leader hears of the follower at once, also when its disk is slow.
+            // The leader stays in contact with the follower even if its disk is slow.
             let response = AppendEntriesResponse {
                 success: true,
                 last_index: durable_index,
@@ -54,7 +54,7 @@
         position.index < self.log.snapshot().index || self.log.contains(position)
     }
 
-    /// Tells the leader from where to try again.
+    /// Rejects entries and names the index from which the leader should retry.
     fn reject_entries(&mut self, from: ReplicaId, previous: LogPosition, heartbeat_round: u64) {
         let before_previous = previous.index.saturating_sub(1);
         // Entries up to the commit index match those of every leader.
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -45,7 +45,7 @@
         self.election_deadline = self.election_deadline.max(deadline);
     }
 
-    /// No leader was heard from for an election time-out.
+    /// Handles the end of the election time-out: no leader was in contact.
     pub(super) fn handle_election_timeout(&mut self) {
         self.reset_election_timer();
         if self.leader().is_none() {
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -152,7 +152,7 @@
             self.term,
             self.voted_for,
             self.persistence.durable_index(),
-            self.persistence.pending_records(),
+            self.persistence.has_pending_records(),
         );
         let log = (
             self.log.snapshot().index,
--- a/crates/consensus/src/replica/persistence.rs
+++ b/crates/consensus/src/replica/persistence.rs
@@ -56,9 +56,9 @@
         self.durable_index
     }
 
-    /// The number of records that are not durable yet.
-    pub fn pending_records(&self) -> u64 {
-        self.next_sequence - 1 - self.persisted_sequence
+    /// Whether there are records that are not durable yet.
+    pub fn has_pending_records(&self) -> bool {
+        self.persisted_sequence + 1 != self.next_sequence
     }
 
     /// The messages that wait, the oldest first.
@@ -172,7 +172,7 @@
 
     /// Sends a message once all records issued so far are durable.
     pub(super) fn send_when_durable(&mut self, to: ReplicaId, body: MessageBody) {
-        if self.persistence.pending_records() == 0 {
+        if !self.persistence.has_pending_records() {
             self.send(to, body);
             return;
         }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -1,7 +1,7 @@
-//! Every course of a small group, up to a bound: the shipped replica under a model checker.
+//! All reachable states of a small group, up to a limit: the replica under a model checker.
 //! Messages are delivered in any order and at any later time, or never; elections, commands, a
-//! change of members, reads and restarts happen at any moment. Time stands still, so that nothing
-//! but these moves the replicas.
+//! change of members, reads and restarts happen at any moment. The time is constant, so that no
+//! timer changes a replica.
 
 use nanoserde::{DeBin, SerBin};
 use rstest::rstest;
@@ -21,11 +21,11 @@
     },
     min_voters: 1,
 };
-/// A replica's own chance decides nothing here.
+/// Random time-outs are not reached.
 const SEED: u64 = 1;
 const NOW: u64 = 0;
 
-/// How often each thing may happen.
+/// How often each kind of event may happen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Events {
     elections: u8,
@@ -35,7 +35,7 @@
     restarts: u8,
 }
 
-/// A small group: who votes, who votes after the change, and how often what happens.
+/// A small group: its voters, the voters after the change, and the limits on events.
 #[derive(Clone, Debug)]
 struct Group {
     voters: Vec<ReplicaId>,
@@ -43,7 +43,7 @@
     limits: Events,
 }
 
-/// A replica and what its disk holds.
+/// A replica and its durable state.
 #[derive(Clone, Debug)]
 struct Node {
     replica: Replica,
@@ -54,12 +54,12 @@
 #[derive(Clone, Debug)]
 struct State {
     nodes: Vec<Node>,
-    /// Messages on their way, encoded.
+    /// Messages in flight, encoded.
     network: BTreeSet<Vec<u8>>,
     remaining: Events,
     leaders: BTreeMap<u64, ReplicaId>,
     committed: BTreeMap<u64, Entry>,
-    /// The newest committed position when a read began, by its number.
+    /// The newest committed index when a read was requested, by its identifier.
     read_floors: BTreeMap<u64, u64>,
     violation: Option<String>,
 }
@@ -100,7 +100,7 @@
     ids.iter().copied().map(member).collect()
 }
 
-/// What tells two states apart.
+/// What distinguishes two states.
 #[derive(PartialEq, Hash)]
 struct Key<'a> {
     nodes: Vec<String>,
@@ -128,7 +128,7 @@
         self.violation.get_or_insert(what);
     }
 
-    /// Carries out what a replica wants; its disk is quick.
+    /// Executes the outputs of a replica. Its records are durable at once.
     fn process_outputs(&mut self, index: usize) {
         loop {
             let outputs = self.nodes[index].replica.take_outputs();
--- a/crates/consensus/tests/replica/membership_changes.rs
+++ b/crates/consensus/tests/replica/membership_changes.rs
@@ -236,7 +236,7 @@
     assert_eq!(
         replicated_to(&flush(&mut replica)),
         [2, 3, 4],
-        "the change itself goes to the removed voter too"
+        "the change itself is sent to the removed voter too"
     );
     for now in [500, 1_000, 1_500] {
         for follower in [2, 4] {
--- a/crates/consensus/tests/replica/snapshot_transfer.rs
+++ b/crates/consensus/tests/replica/snapshot_transfer.rs
@@ -99,7 +99,7 @@
 #[test]
 fn a_snapshot_is_sent_in_chunks_within_a_window() {
     let (mut leader, mut follower) = (leader(0), follower());
-    // The first heartbeat finds the follower behind.
+    // The first heartbeat shows that the follower lacks entries.
     let mut first = Vec::new();
     for message in flush(&mut leader)
         .into_iter()
@@ -125,7 +125,7 @@
     let (mut leader, mut follower) = (leader(0), follower());
     let chunks = exchange(200, &mut leader, &mut follower, |_| false);
     assert!(has_caught_up(&follower));
-    assert!(chunks <= STATE_BYTES / (32 << 10) + 2, "{chunks} pieces");
+    assert!(chunks <= STATE_BYTES / (32 << 10) + 2, "{chunks} chunks");
 }
 
 #[test]
@@ -210,7 +210,7 @@
     let mut next = leader(seed);
     let chunks = exchange(400, &mut next, &mut follower, |_| false);
     assert!(has_caught_up(&follower));
-    assert_eq!(chunks < 14, resumes, "{chunks} pieces");
+    assert_eq!(chunks < 14, resumes, "{chunks} chunks");
     assert_eq!(follower.log().snapshot().state, state(seed));
 }
 
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -215,7 +215,7 @@
     assert_eq!(
         members.voters.len(),
         3,
-        "a vote was taken although too few are left"
+        "a voter was removed although too few members remain"
     );
 }
 
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -65,7 +65,7 @@
     pending: Vec<(u64, Record)>,
     incarnation: u64,
     applied: Vec<Entry>,
-    /// The state machine: the commands applied so far, as its snapshot holds them.
+    /// The state machine: the commands applied so far, as in its snapshot.
     state: Vec<u8>,
     state_index: u64,
     disk_stalled_until: u64,
@@ -222,7 +222,7 @@
             .is_some_and(|entry| entry.term == position.term)
     }
 
-    /// The commands that a machine has applied, in order, as its state machine holds them.
+    /// The commands that a machine has applied, in order, as in its state machine.
     pub fn state(&self, host: usize) -> &[u8] {
         &self.machines[host].state
     }
--- a/crates/consensus/tests/voter_selection.rs
+++ b/crates/consensus/tests/voter_selection.rs
@@ -196,7 +196,7 @@
         if chosen.len() < voters.len() {
             let has_unresponsive =
                 voters.iter().any(|candidate| candidate.liveness == Liveness::Unresponsive);
-            prop_assert!(!has_unresponsive, "a vote was taken too soon");
+            prop_assert!(!has_unresponsive, "an unresponsive voter was removed too soon");
             prop_assert!(chosen.len() >= min_voters);
         }
     }
@@ -231,7 +231,7 @@
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 3, 4, 5]));
 }
 
-/// Drawn groups of every size, some with replicas whose place is not known.
+/// Random groups of every size, some with replicas whose failure domain is unknown.
 fn random_group(random: &mut fastrand::Rng) -> Vec<VoterCandidate> {
     let mut group: Vec<VoterCandidate> = (1..=random.u64(1..MAX_CANDIDATES as u64))
         .map(|id| {
@@ -257,7 +257,7 @@
     group
 }
 
-/// The choices and their order, as they were when this checksum was taken.
+/// Pins the choices and their order.
 #[test]
 fn recorded_groups_have_the_same_voters() {
     const GROUPS: usize = 5_000;
--- a/crates/slow-start/src/lease.rs
+++ b/crates/slow-start/src/lease.rs
@@ -62,7 +62,7 @@
 }
 
 impl LeaseTable {
-    /// Grants a rate in requests a second. Whoever sends the lease has to say how old it is.
+    /// Grants a rate in requests a second. The message that carries the lease must state its age.
     pub fn grant(&mut self, now: Time, borrower: u64, rate: f64, settings: &Settings) -> Lease {
         self.last_number = self.last_number.saturating_add(1);
         // The borrower must not read more than the lender does without.
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! Each sender limits its own rate to what the destination has answered on time for it, times a
 //! growth factor ([`RateController`]). So the sum over all senders follows the throughput that the
-//! destination has proven, whoever hears from whom: the parts of a partitioned fleet, or senders
-//! that take each other for gone, add up to the same. A sender can lease the rate that it does not
+//! destination has proven, whatever messages arrive: the parts of a partitioned fleet, or senders
+//! that take each other for stopped, add up to the same. A sender can lease the rate that it does not
 //! need to others ([`Lease`]): the lender reduces its own rate first, and takes the rate back only
 //! when the borrower can no longer be using it. A lease that is lost, late or duplicated can reduce
 //! the sum and never raise it. Senders exchange [`Report`]s.
--- a/crates/slow-start/src/rate_controller.rs
+++ b/crates/slow-start/src/rate_controller.rs
@@ -95,7 +95,7 @@
     }
 
     /// Sets the number of senders. If it is too small by half, the probe rate is twice what the
-    /// settings say, which a destination that is warming up can bear; proven rates don't depend on
+    /// settings say, which a destination that is warming up can serve; proven rates don't depend on
     /// it.
     pub fn set_sender_count(&mut self, senders: usize) {
         self.min_rate = self.settings.probe_rate_per_sender(senders);
--- a/crates/slow-start/tests/simulation.rs
+++ b/crates/slow-start/tests/simulation.rs
@@ -1,5 +1,5 @@
 //! All senders together never send more than the destination has proven, grown once, and the probe
-//! rate: whatever happens to the messages between them, and whoever takes whom for gone.
+//! rate: whatever happens to the messages between them, also in a partition.
 
 mod support;
 
--- a/crates/slow-start/tests/support/mod.rs
+++ b/crates/slow-start/tests/support/mod.rs
@@ -28,7 +28,7 @@
     pub capacity: f64,
     /// Decide of each report to each other sender whether it is lost, late or duplicated.
     pub fates: Vec<u8>,
-    /// Whether two halves never hear from each other and each takes itself for all.
+    /// Whether two halves exchange no messages and each counts its own senders alone.
     pub is_partitioned: bool,
 }
 
@@ -86,7 +86,7 @@
         self.capacity * (now as f64 / 4e9).exp2()
     }
 
-    fn hears(&self, to: usize, from: usize) -> bool {
+    fn is_connected(&self, to: usize, from: usize) -> bool {
         !self.is_partitioned || to % 2 == from % 2
     }
 }
@@ -206,7 +206,7 @@
             self.senders[from].grant_leases(now, &unmet);
             let encoded = self.senders[from].report(now).encode(MAX_REPORT_BYTES);
             let report = Report::decode(&encoded).unwrap();
-            for to in (0..self.senders.len()).filter(|to| self.fleet.hears(*to, from)) {
+            for to in (0..self.senders.len()).filter(|to| self.fleet.is_connected(*to, from)) {
                 self.send_report(now, from, to, &report);
             }
         }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,6 +1,6 @@
 //! The durable state of a replica, in a ring of preallocated files.
 //!
-//! Each file is a *segment*: a header, a checkpoint of the whole state, then the records that were
+//! Each file is a *segment*: a header, a checkpoint of the complete state, then the records that were
 //! added since. When a segment is full, the next one in the ring begins with a new checkpoint, so a
 //! restart needs only the newest segment with a complete checkpoint. Checksums cover the segment's
 //! sequence number and the record's offset, so that what an earlier use of the file has left is
