--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! A group under faults, in virtual time. Each seed gives another run; the seed of a failing one is printed.
+//! A group under faults, in virtual time. Each seed gives another run; the seed of a failing one is
+//! printed.
 
 mod support;
 
@@ -42,7 +43,8 @@
     }
 }
 
-/// Removes all faults, and asserts that there is a leader, that a new command is applied everywhere, and that no committed command is lost.
+/// Removes all faults, and asserts that there is a leader, that a new command is applied
+/// everywhere, and that no committed command is lost.
 fn assert_recovers(group: &mut Group, accepted: &mut AcceptedCommands) {
     group.partitions.clear();
     group.conditions = HEALTHY;
@@ -213,7 +215,7 @@
     assert_eq!(
         members.voters.len(),
         3,
-        "a vote was taken although too few are left"
+        "a voter was removed although too few members remain"
     );
 }
 
