--- a/crates/consensus/src/replica/persistence.rs
+++ b/crates/consensus/src/replica/persistence.rs
@@ -23,7 +23,8 @@
     last: LogPosition,
 }
 
-/// The records that have been issued and what waits for them. Sequence numbers begin with 1 and rise by one.
+/// The records that have been issued and what waits for them. Sequence numbers begin with 1 and
+/// rise by one.
 #[derive(Clone, Debug)]
 pub(super) struct Persistence {
     next_sequence: u64,
@@ -55,9 +56,9 @@
         self.durable_index
     }
 
-    /// The number of records that are not durable yet.
-    pub fn pending_records(&self) -> u64 {
-        self.next_sequence - 1 - self.persisted_sequence
+    /// Whether there are records that are not durable yet.
+    pub fn has_pending_records(&self) -> bool {
+        self.persisted_sequence + 1 != self.next_sequence
     }
 
     /// The messages that wait, the oldest first.
@@ -171,7 +172,7 @@
 
     /// Sends a message once all records issued so far are durable.
     pub(super) fn send_when_durable(&mut self, to: ReplicaId, body: MessageBody) {
-        if self.persistence.pending_records() == 0 {
+        if !self.persistence.has_pending_records() {
             self.send(to, body);
             return;
         }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -129,9 +129,9 @@
     pub memory: usize,
 }
 
+/// The JSON form. Its name stands in the text of errors.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Raw")] // stands in the text of errors
-struct RawConfig {
+struct Raw {
     name: Option<String>,
     listen: Option<String>,
     admin: Option<String>,
@@ -219,7 +219,7 @@
         listen: Option<String>,
         discovery: Option<String>,
     ) -> Result<Self, ConfigError> {
-        let raw: RawConfig = from_json(text)?;
+        let raw: Raw = from_json(text)?;
         let settings = raw.settings.to_string();
         let names = parse_names(settings.as_bytes())?;
         let settings = parse_settings(settings.as_bytes())?;
