--- a/crates/cluster-test/src/agents.rs
+++ b/crates/cluster-test/src/agents.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
-use woadstall_emulator::{Actor, Asked, Padron, stream};
+use woadstall_emulator::{Actor, RegistryConfig, RegistryQueries, stream};
 use woadstall_mock_servers::simulated_upstream::serve_process;
 
 /// Longest wait of a watch.
@@ -32,13 +32,13 @@
 
 /// The turns of a service that all ask.
 pub struct Turns {
-    asked: Asked,
+    asked: RegistryQueries,
     free: Mutex<Instant>,
 }
 
 impl Turns {
     /// Nobody has asked yet.
-    pub fn new(asked: Asked) -> Self {
+    pub fn new(asked: RegistryQueries) -> Self {
         Self {
             asked,
             free: Mutex::new(Instant::now()),
@@ -51,11 +51,11 @@
             let mut free = self.free.lock().unwrap_or_else(PoisonError::into_inner);
             let begins = (*free).max(Instant::now());
             if begins.elapsed().is_zero()
-                && begins - Instant::now() > Duration::from_nanos(self.asked.patience.0)
+                && begins - Instant::now() > Duration::from_nanos(self.asked.timeout.0)
             {
                 return false;
             }
-            *free = begins + Duration::from_secs_f64(1.0 / self.asked.reads);
+            *free = begins + Duration::from_secs_f64(1.0 / self.asked.reads_per_second);
             *free
         };
         sleep_until(done.into()).await;
@@ -106,7 +106,7 @@
                 tells.send_replace(word);
             }
         });
-        let rng = stream(seed, Actor::Padron, number);
+        let rng = stream(seed, Actor::Registry, number);
         Ok(Self {
             address,
             told,
@@ -119,7 +119,7 @@
     }
 
     /// Tells it a list, which comes to it after a time of its own, in order. Returns when that is.
-    pub fn tell(&self, rev: u64, targets: Vec<Value>, padron: &Padron) -> Instant {
+    pub fn tell(&self, rev: u64, targets: Vec<Value>, padron: &RegistryConfig) -> Instant {
         let mut lag = self.lag.lock().unwrap_or_else(PoisonError::into_inner);
         let late = padron.delay.0 as f64 + padron.jitter.0 as f64 * lag.0.random::<f64>();
         let due = lag
--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_emulator::{Actor, Fault, Files, What, sample, stream};
+use woadstall_emulator::{Actor, Fault, FaultKind, StoredFiles, sample, stream};
 use woadstall_load_test::lock;
 use woadstall_load_test::script::{GONE, TOPPLED};
 
@@ -51,7 +51,8 @@
     }
 
     fn is_held_down(&self, nodo: u32) -> bool {
-        let kills = |what: &What| matches!(what, What::Kill { .. } | What::PowerLoss { .. });
+        let kills =
+            |what: &FaultKind| matches!(what, FaultKind::Kill { .. } | FaultKind::PowerLoss { .. });
         let in_force = lock(&self.in_force);
         let mut all = self.scenario.fault.iter().zip(in_force.iter());
         all.any(|(fault, hit)| {
@@ -94,14 +95,14 @@
         lock(&self.in_force)[at] = Some(hit.clone());
         tracing::debug!(fault = at + 1, nodos = ?hit.nodos, balancers = ?hit.balancers, "begins");
         match &fault.what {
-            What::Kill { .. } => self.killed(&fault, at, hit).await,
-            What::PowerLoss { stale, over, files } => {
+            FaultKind::Kill { .. } => self.killed(&fault, at, hit).await,
+            FaultKind::PowerLoss { stale, over, files } => {
                 let (stale, over) = (Duration::from_nanos(stale.0), Duration::from_nanos(over.0));
                 self.without_power(&fault, at, hit, (stale, over, *files))
                     .await
             }
-            What::Roll => self.rolled(&fault, hit).await,
-            What::Restart { stale, files } => {
+            FaultKind::Roll => self.rolled(&fault, hit).await,
+            FaultKind::Restart { stale, files } => {
                 hit.balancers
                     .iter()
                     .for_each(|&balancer| self.kill_balancer(balancer));
@@ -110,14 +111,14 @@
                 self.start_balancers(&hit.balancers, Duration::from_nanos(stale.0))
                     .await
             }
-            What::RollBalancers => self.rolled_balancers(&fault, hit).await,
-            What::Stall => {
+            FaultKind::RollBalancers => self.rolled_balancers(&fault, hit).await,
+            FaultKind::Stall => {
                 self.stand_still(&hit.balancers, true);
                 self.script.end_of(&fault).await;
                 self.stand_still(&hit.balancers, false);
                 Ok(())
             }
-            What::Stop => {
+            FaultKind::Stop => {
                 hit.nodos
                     .iter()
                     .for_each(|&nodo| self.nodos[nodo as usize].stop(true));
@@ -127,13 +128,13 @@
                     .for_each(|&nodo| self.nodos[nodo as usize].stop(false));
                 Ok(())
             }
-            What::PadronSilent => {
+            FaultKind::RegistrySilent => {
                 self.silence(true);
                 self.script.end_of(&fault).await;
                 self.silence(false);
                 Ok(())
             }
-            What::PadronWrong => {
+            FaultKind::RegistryWrong => {
                 let listed = |state| {
                     let listed = hit
                         .nodos
@@ -183,7 +184,7 @@
         fault: &Fault,
         at: usize,
         hit: Hit,
-        (stale, over, files): (Duration, Duration, Files),
+        (stale, over, files): (Duration, Duration, StoredFiles),
     ) -> Result<(), String> {
         // One instant: signals first, and nothing that takes time between them.
         hit.balancers
@@ -224,7 +225,7 @@
     }
 
     /// What the next processes of balancers find in their folders.
-    fn spoil_files(&self, balancers: &[u32], files: Files) -> Result<(), String> {
+    fn spoil_files(&self, balancers: &[u32], files: StoredFiles) -> Result<(), String> {
         for &number in balancers {
             let next = (number as usize + 1) % self.balancers.len();
             let (process, stranger) = (
--- a/crates/cluster-test/src/fleet.rs
+++ b/crates/cluster-test/src/fleet.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
-use woadstall_emulator::{Actor, Among, Scenario, What, stream};
+use woadstall_emulator::{Actor, FaultKind, MemberLink, Scenario, stream};
 use woadstall_fault_proxy::FaultProxy;
 use woadstall_load_test::callers::Door;
 use woadstall_load_test::judge::Judge;
@@ -76,7 +76,7 @@
         let fabric = FaultProxy::new(seed);
         let (mut nodos, mut bounds) = (Vec::new(), vec![0]);
         for (at, tier) in scenario.tier.iter().enumerate() {
-            for number in 0..tier.nodos {
+            for number in 0..tier.upstreams {
                 let numbers = (number, nodos.len() as u32);
                 let nodo = Socketed::start(&scenario, &judge, start, at, numbers, seed).await;
                 nodos.push(nodo.map_err(|error| format!("nodo {}: {error}", numbers.1))?);
@@ -86,7 +86,7 @@
         let mut proxies = Vec::new();
         let targets = addresses(&nodos, sabotage, &mut proxies).await?;
         let first: Vec<Listing> = nodos.iter().map(|nodo| nodo.listing()).collect();
-        let asked = scenario.padron.asked.clone();
+        let asked = scenario.registry.queries.clone();
         let turns = asked.map(|asked| Arc::new(Turns::new(asked)));
         let mut fleet = Self {
             history: Mutex::new(vec![(Instant::now(), first)]),
@@ -134,7 +134,7 @@
     fn places(&self) -> Vec<(usize, u8, Option<u32>)> {
         let (scenario, mut places) = (&self.scenario, Vec::new());
         for (at, tier) in scenario.tier.iter().enumerate() {
-            if !tier.beside {
+            if !tier.sidecar {
                 let alone = |number| (at, scenario.zone_in_turn(number), None);
                 places.extend((0..tier.balancers).map(alone));
                 continue;
@@ -310,7 +310,7 @@
     }
 
     /// What goes from one balancer to another, under what is in force.
-    pub fn among(&self, in_force: &[Option<Hit>], from: usize, to: usize) -> Among {
+    pub fn among(&self, in_force: &[Option<Hit>], from: usize, to: usize) -> MemberLink {
         let end = |of: usize| (of as u32, self.balancers[of].place.zone);
         let faults = self.faults(in_force, |hit| &hit.balancers);
         self.scenario
@@ -357,11 +357,11 @@
             .iter()
             .map(|balancer| match deaf(balancer.place.number) {
                 true => Instant::now(),
-                false => {
-                    balancer
-                        .agent
-                        .tell(rev, self.list_for(balancer, &list), &self.scenario.padron)
-                }
+                false => balancer.agent.tell(
+                    rev,
+                    self.list_for(balancer, &list),
+                    &self.scenario.registry,
+                ),
             });
         due.max().unwrap_or_else(Instant::now)
     }
@@ -458,7 +458,7 @@
                 // Its agent has no more than it has, and hears of the rest in its own time.
                 balancer.agent.begin(rev, known.clone());
                 let last = self.list_for(&balancer, &last);
-                told = told.max(balancer.agent.tell(last_rev, last, &self.scenario.padron));
+                told = told.max(balancer.agent.tell(last_rev, last, &self.scenario.registry));
             }
             self.fabric.set_running(ways::balancer(number), true);
             if let Some(mates) = &self.mates {
@@ -512,10 +512,14 @@
     }
 
     /// Whether a fault is one of the ways between balancers and nodos.
-    pub fn is_of_ways(what: &What) -> bool {
+    pub fn is_of_ways(what: &FaultKind) -> bool {
         matches!(
             what,
-            What::CutTo | What::CutFrom | What::SlowLink(_) | What::Link(_) | What::Between(_)
+            FaultKind::PartitionTo
+                | FaultKind::PartitionFrom
+                | FaultKind::SlowLink(_)
+                | FaultKind::Link(_)
+                | FaultKind::Between(_)
         )
     }
 }
--- a/crates/cluster-test/src/keeper.rs
+++ b/crates/cluster-test/src/keeper.rs
@@ -16,7 +16,7 @@
 use std::thread::JoinHandle;
 use tempfile::TempDir;
 use tokio::sync::oneshot;
-use woadstall_emulator::Files;
+use woadstall_emulator::StoredFiles;
 use woadstall_load_test::lock;
 
 /// How the folders of runs begin.
@@ -187,7 +187,7 @@
 
     /// What the next process of it finds of what this one has written. A socket is a file like others here: what
     /// it is replaced by has its name.
-    pub fn spoil_files(&self, how: Files, stranger: &Self) -> io::Result<()> {
+    pub fn spoil_files(&self, how: StoredFiles, stranger: &Self) -> io::Result<()> {
         let mut others = stranger.files()?.into_iter();
         for path in self.files()? {
             let read = std::fs::read(&path).unwrap_or_default();
@@ -195,12 +195,12 @@
                 std::fs::remove_file(&path).and_then(|()| std::fs::write(&path, with))
             };
             match how {
-                Files::Kept => {}
+                StoredFiles::Kept => {}
                 _ if path.is_dir() => std::fs::remove_dir_all(&path)?,
-                Files::Lost => std::fs::remove_file(&path)?,
-                Files::Torn => replace(&read[..read.len() / 2])?,
-                Files::Empty => replace(b"")?,
-                Files::Stranger => match others.next() {
+                StoredFiles::Lost => std::fs::remove_file(&path)?,
+                StoredFiles::Torn => replace(&read[..read.len() / 2])?,
+                StoredFiles::Empty => replace(b"")?,
+                StoredFiles::Stranger => match others.next() {
                     Some(other) => {
                         std::fs::remove_file(&path)?;
                         std::os::unix::fs::symlink(other, &path)?;
--- a/crates/cluster-test/src/members.rs
+++ b/crates/cluster-test/src/members.rs
@@ -20,8 +20,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, timeout};
 use woadstall_emulator::{
-    Actor, Among, Evacuated, EvacuatedEnd, Held, Members, MembersEnd, Scenario, Wanted, Witness,
-    stream,
+    Actor, EvacuationReport, EvacuationTracker, MemberLink, MemberView, MembershipConfig,
+    MembershipObserver, MembershipReport, Requirement, Scenario, stream,
 };
 use woadstall_evacuation::Status;
 use woadstall_fault_proxy::{FaultProxy, LinkConditions};
@@ -52,9 +52,9 @@
     /// Where each listens for the others, and where they find it.
     at: Vec<(SocketAddr, SocketAddr)>,
     key: String,
-    witness: Mutex<Witness>,
+    witness: Mutex<MembershipObserver>,
     /// What each makes of zones, where they leave them together.
-    evacuated: Mutex<Evacuated>,
+    evacuated: Mutex<EvacuationTracker>,
     known: Mutex<Vec<Known>>,
     /// Those whose machines have no power: these refuse nothing, and nothing gets there.
     dark: Mutex<BTreeSet<u32>>,
@@ -64,7 +64,7 @@
 impl Mates {
     /// All of a fleet, none of which runs yet. `start` is when callers begin.
     pub async fn new(
-        of: &Members,
+        of: &MembershipConfig,
         (fabric, balancers): (&FaultProxy, &[Arc<Balancer>]),
         (seed, start): (u64, Instant),
         zones: &[String],
@@ -82,9 +82,12 @@
             let _ = write!(key, "{:02x}", chance.random::<u8>());
             key
         });
-        let witness = Mutex::new(Witness::new(balancers.len(), of.pauses.0));
+        let witness = Mutex::new(MembershipObserver::new(
+            balancers.len(),
+            of.tolerated_pause.0,
+        ));
         let known = Mutex::new(vec![Known::default(); balancers.len()]);
-        let evacuated = Mutex::new(Evacuated::new(zones.to_vec(), balancers.len()));
+        let evacuated = Mutex::new(EvacuationTracker::new(zones.to_vec(), balancers.len()));
         Ok(Self {
             at,
             key,
@@ -127,7 +130,7 @@
             text,
             "period_ms = {}\npatience_ms = {}\nsuspicion_ms = {}",
             ms(of.period),
-            ms(of.patience),
+            ms(of.timeout),
             ms(of.suspicion)
         );
         if let Some(evacuation) = &scenario.evacuation {
@@ -169,7 +172,7 @@
     }
 
     /// All that was seen of zones that were left, until a time of the scenario.
-    pub fn evacuated(&self) -> EvacuatedEnd {
+    pub fn evacuated(&self) -> EvacuationReport {
         lock(&self.evacuated).clone().end(self.now())
     }
 
@@ -184,7 +187,7 @@
 
     /// A balancer's process stands still, or goes on.
     pub fn stands_still(&self, number: u32, still: bool) {
-        lock(&self.witness).stands_still(self.now(), number as usize, still);
+        lock(&self.witness).paused_until(self.now(), number as usize, still);
     }
 
     /// Sets the ways among all, as `among` has them from one to another.
@@ -192,7 +195,7 @@
         &self,
         fabric: &FaultProxy,
         scenario: &Scenario,
-        among: impl Fn(usize, usize) -> Among,
+        among: impl Fn(usize, usize) -> MemberLink,
     ) {
         let dark = lock(&self.dark);
         let size = self.at.len();
@@ -201,7 +204,7 @@
             for to in (0..size).filter(|&to| to != from) {
                 let among = among(from, to);
                 let (sends, hears) = (from as u32, to as u32);
-                let out = among.cut || dark.contains(&sends) || dark.contains(&hears);
+                let out = among.partitioned || dark.contains(&sends) || dark.contains(&hears);
                 let delay = Duration::from_nanos(among.delay);
                 let delay = if delay < ways::LEAST_DELAY {
                     Duration::ZERO
@@ -221,7 +224,7 @@
                 cut[from * size + to] = out;
             }
         }
-        lock(&self.witness).cut(self.now(), |from, to| cut[from * size + to]);
+        lock(&self.witness).partition(self.now(), |from, to| cut[from * size + to]);
     }
 
     fn heard(&self, number: usize, report: Report) {
@@ -238,19 +241,19 @@
             // Of one whose process has ended, its last life counts.
             let present = known[of].life.is_none_or(|life| life == row.started_ms);
             let held = match (present, row.state.as_str()) {
-                (true, "alive" | "cut") => Held::Alive,
-                (true, "suspect" | "unknown") => Held::Suspect,
-                (true, "dead") => Held::Dead,
-                (true, "left") => Held::Left,
-                _ => Held::Unknown,
+                (true, "alive" | "cut") => MemberView::Alive,
+                (true, "suspect" | "unknown") => MemberView::Suspect,
+                (true, "dead") => MemberView::Dead,
+                (true, "left") => MemberView::Left,
+                _ => MemberView::Unknown,
             };
             // One that has just begun has not said which life it is: what is held is of the former.
             let held = if known[of].life.is_none() && witness.is_there(of) {
-                Held::Unknown
+                MemberView::Unknown
             } else {
                 held
             };
-            witness.holds(now, number, of, held);
+            witness.record_view(now, number, of, held);
         }
         known[number].last = Some(report);
     }
@@ -270,7 +273,7 @@
             })
         };
         let pairs = witness.pairs(|who| known[who].last.is_some()).into_iter();
-        witness.ways(
+        witness.record_path_reports(
             now,
             pairs.map(|(from, to)| {
                 (
@@ -283,7 +286,7 @@
     }
 
     /// All that was seen.
-    pub fn end(&self) -> MembersEnd {
+    pub fn end(&self) -> MembershipReport {
         let known = lock(&self.known);
         let bytes: Vec<u64> = known
             .iter()
@@ -337,7 +340,7 @@
     let Some(mates) = &fleet.mates else { return };
     let mut at: Vec<u64> = (fleet.scenario.bound.iter())
         .filter_map(|bound| {
-            if let Wanted::CutsNamed { at, .. } = bound.what {
+            if let Requirement::PartitionsReported { at, .. } = bound.what {
                 Some(at.0)
             } else {
                 None
@@ -364,7 +367,7 @@
         while at.first().is_some_and(|at| mates.now() >= *at) {
             at.remove(0);
             let in_force = lock(&fleet.in_force).clone();
-            mates.look_at_ways(|from, to| fleet.among(&in_force, from, to).cut);
+            mates.look_at_ways(|from, to| fleet.among(&in_force, from, to).partitioned);
         }
         // What takes longer than a look is not asked again meanwhile.
         if asking.len() > 2 * fleet.balancers.len() {
--- a/crates/cluster-test/src/play.rs
+++ b/crates/cluster-test/src/play.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tokio::time::{interval_at, sleep};
-use woadstall_emulator::{End, Scenario};
+use woadstall_emulator::{RunResult, Scenario};
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_fault_proxy::TrafficCounts;
 use woadstall_load_test::callers::{By, Callers};
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Played {
     /// The result, of the lab's form.
-    pub end: End,
+    pub end: RunResult,
     /// How late callers were begun.
     pub lag: Lag,
     /// Part of the rig's own timers that were late.
--- a/crates/cluster-test/src/refuse.rs
+++ b/crates/cluster-test/src/refuse.rs
@@ -1,6 +1,6 @@
 //! What of a scenario cannot be played with processes, by name: what is not played must not look as if it were.
 
-use woadstall_emulator::{Connections, Scenario, What};
+use woadstall_emulator::{Connections, FaultKind, Scenario};
 
 /// Balancers and nodos at most: relays for each pair and processes share one machine's descriptors.
 const MOST: (u64, u64) = (100, 1_000);
@@ -17,7 +17,7 @@
         ));
     }
     let pairs = tiers()
-        .map(|tier| u64::from(scenario.senders(tier)) * u64::from(scenario.tier[tier].nodos));
+        .map(|tier| u64::from(scenario.senders(tier)) * u64::from(scenario.tier[tier].upstreams));
     if pairs.sum::<u64>() > MOST_PAIRS {
         return Err(format!(
             "`tier`: over {MOST_PAIRS} pairs of balancers and nodos"
@@ -43,14 +43,14 @@
             scenario
                 .evacuation
                 .as_ref()
-                .is_some_and(|evacuation| evacuation.lie.is_some()),
+                .is_some_and(|evacuation| evacuation.false_reporting.is_some()),
         ),
         (
             "members.plain",
             scenario
                 .members
                 .as_ref()
-                .is_some_and(|members| members.plain),
+                .is_some_and(|members| members.plain_swim),
         ),
     ];
     if let Some((key, _)) = lab_alone.into_iter().find(|(_, there)| *there) {
@@ -58,8 +58,8 @@
     }
     for (at, fault) in scenario.fault.iter().enumerate() {
         let name = match fault.what {
-            What::Replace => "replaced nodos",
-            What::ClockStep(_) => "clocks that step",
+            FaultKind::Replace => "replaced nodos",
+            FaultKind::ClockStep(_) => "clocks that step",
             _ => continue,
         };
         return Err(format!("fault {}: {name} are for the lab alone", at + 1));
--- a/crates/cluster-test/src/tell.rs
+++ b/crates/cluster-test/src/tell.rs
@@ -170,8 +170,8 @@
             lab.key.scenario, rig.key.scenario
         ));
     }
-    let part = |counts: &woadstall_emulator::Counts| match counts.worth_offered > 0.0 {
-        true => counts.worth / counts.worth_offered,
+    let part = |counts: &woadstall_emulator::Counts| match counts.value_offered > 0.0 {
+        true => counts.value / counts.value_offered,
         false => 1.0,
     };
     let pairs = lab.end.steps.iter().zip(&rig.end.steps);
--- a/crates/cluster-test/src/ways.rs
+++ b/crates/cluster-test/src/ways.rs
@@ -1,7 +1,7 @@
 //! What is wrong between whom: the scenario's network and its faults as the ways of the fabric.
 
 use std::time::Duration;
-use woadstall_emulator::{Fault, Scenario, What};
+use woadstall_emulator::{Fault, FaultKind, Scenario};
 use woadstall_fault_proxy::{LinkConditions, NodeId};
 
 /// Delays shorter than this are left out: timers are not finer, and the relays take a tenth of a millisecond.
@@ -71,13 +71,17 @@
         let across =
             ends.balancer != ends.nodo && fault.zone.as_ref() == scenario.zone_name(ends.nodo);
         match &fault.what {
-            What::CutTo => cut |= across && ends.there,
-            What::CutFrom => cut |= across && !ends.there,
-            What::SlowLink(by) if hit.contains(&ends.host) => times *= by,
+            FaultKind::PartitionTo => cut |= across && ends.there,
+            FaultKind::PartitionFrom => cut |= across && !ends.there,
+            FaultKind::SlowLink(by) if hit.contains(&ends.host) => times *= by,
             _ => {}
         }
         if let Some(link) = fault.link(from, to) {
-            (more, loss, cut) = (more + link.delay.0, link.loss.max(loss), cut || link.cut);
+            (more, loss, cut) = (
+                more + link.delay.0,
+                link.loss.max(loss),
+                cut || link.partitioned,
+            );
         }
     }
     let delay = Duration::from_nanos((base.0 as f64 * times) as u64 + more);
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -101,7 +101,7 @@
     println!(
         "{} nodos, {:.0} calls a second by {} daemon and {} plug-in, for {seconds} s; one nodo dies half-way, and\n\
          comes back cold",
-        tier.nodos,
+        tier.upstreams,
         scenario.callers[0].load.most(),
         tier.balancers,
         tier.balancers
--- a/crates/emulator-cli/src/main.rs
+++ b/crates/emulator-cli/src/main.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use tracing::{error, info, warn};
-use woadstall_emulator::{End, Policy, World};
+use woadstall_emulator::{Policy, RunResult, World};
 use woadstall_emulator_cli::compare::{self, Figure};
 use woadstall_emulator_cli::grid::{self, Set, Source};
 use woadstall_emulator_cli::log::Log;
@@ -309,7 +309,7 @@
 }
 
 fn tell(row: &Row) {
-    let End {
+    let RunResult {
         counts, latency, ..
     } = &row.end;
     println!(
--- a/crates/emulator-cli/src/report.rs
+++ b/crates/emulator-cli/src/report.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
-use woadstall_emulator::{End, Fault, PriceRow, Scenario, Step};
+use woadstall_emulator::{CostRow, Fault, RunResult, Scenario, TimelineStep};
 
 const SIZE: (u32, u32) = (760, 240);
 /// Rows of a heat map at most: more hosts share one.
@@ -114,7 +114,7 @@
 }
 
 /// Attempts at each host over time: dark where there are more.
-fn heat(title: &str, steps: &[Step]) -> Result<String, String> {
+fn heat(title: &str, steps: &[TimelineStep]) -> Result<String, String> {
     let hosts = steps.iter().map(|step| step.hosts.len()).max().unwrap_or(0);
     let rows = hosts.min(HEAT_ROWS);
     if rows == 0 {
@@ -124,7 +124,7 @@
         hosts.div_ceil(rows),
         steps.last().map_or(1.0, |step| step.until),
     );
-    let cell = |step: &Step, row: usize| -> f64 {
+    let cell = |step: &TimelineStep, row: usize| -> f64 {
         let from = row * share;
         let there = step.hosts.iter().skip(from).take(share).sum::<u32>();
         f64::from(there) / share.min(hosts.saturating_sub(from)).max(1) as f64
@@ -186,32 +186,34 @@
 /// The plots of rows that have a timeline, those of one scenario together.
 fn plots(rows: &[&Row], bands: &[Band]) -> Result<String, String> {
     let mut html = String::new();
-    let per_second = |step: &Step, before: f64, count: f64| count / (step.until - before).max(1e-9);
-    let series = |row: &Row, figure: &dyn Fn(&Step) -> f64, rate: bool| -> Vec<(f64, f64)> {
-        let mut before = 0.0;
-        let point = |step: &Step| {
-            let figure = figure(step);
-            let value = if rate {
-                per_second(step, before, figure)
-            } else {
-                figure
+    let per_second =
+        |step: &TimelineStep, before: f64, count: f64| count / (step.until - before).max(1e-9);
+    let series =
+        |row: &Row, figure: &dyn Fn(&TimelineStep) -> f64, rate: bool| -> Vec<(f64, f64)> {
+            let mut before = 0.0;
+            let point = |step: &TimelineStep| {
+                let figure = figure(step);
+                let value = if rate {
+                    per_second(step, before, figure)
+                } else {
+                    figure
+                };
+                before = step.until;
+                (step.until, value)
             };
-            before = step.until;
-            (step.until, value)
+            row.end.steps.iter().map(point).collect()
         };
-        row.end.steps.iter().map(point).collect()
-    };
     let first = rows.first().ok_or("no rows")?;
-    let each = |figure: &dyn Fn(&Step) -> f64, rate: bool| -> Vec<Line> {
+    let each = |figure: &dyn Fn(&TimelineStep) -> f64, rate: bool| -> Vec<Line> {
         rows.iter()
             .map(|row| (name(row), series(row, figure, rate)))
             .collect()
     };
     let mut worth = vec![(
         "offered".to_owned(),
-        series(first, &|step| step.counts.worth_offered, true),
+        series(first, &|step| step.counts.value_offered, true),
     )];
-    worth.extend(each(&|step| step.counts.worth, true));
+    worth.extend(each(&|step| step.counts.value, true));
     html += &lines("Worth served", "worth a second", bands, &worth)?;
     let mut good = vec![(
         "offered".to_owned(),
@@ -230,7 +232,7 @@
         bands,
         &each(&|step| step.counts.attempts as f64, true),
     )?;
-    let unserved = |step: &Step| (step.counts.refused + step.counts.failed) as f64;
+    let unserved = |step: &TimelineStep| (step.counts.refused + step.counts.failed) as f64;
     html += &lines(
         "Refused and failed",
         "calls a second",
@@ -257,7 +259,7 @@
     )?;
     let mut said: Vec<Line> = Vec::new();
     for topic in ["breaker", "zone", "shedding"] {
-        let count = |step: &Step| step.lines.get(topic).copied().unwrap_or(0) as f64;
+        let count = |step: &TimelineStep| step.lines.get(topic).copied().unwrap_or(0) as f64;
         let points = series(first, &count, false);
         if points.iter().any(|(_, count)| *count > 0.0) {
             said.push((topic.to_owned(), points));
@@ -275,8 +277,8 @@
         .iter()
         .filter(|row| row.end.steps.iter().any(|step| step.up.is_some()))
     {
-        let balancers = |step: &Step| step.up.map_or(0.0, |up| up.0 as f64);
-        let nodos = |step: &Step| step.up.map_or(0.0, |up| up.1 as f64);
+        let balancers = |step: &TimelineStep| step.up.map_or(0.0, |up| up.0 as f64);
+        let nodos = |step: &TimelineStep| step.up.map_or(0.0, |up| up.1 as f64);
         let up = [
             ("balancers", series(row, &balancers, false)),
             ("nodos", series(row, &nodos, false)),
@@ -391,7 +393,7 @@
 
 /// What each policy's fleets paid beside the work: a line for each tier and price, means over the seeds.
 fn price_list(rows: &[&Row]) -> String {
-    let mut groups: BTreeMap<(String, String, String, String), Vec<&PriceRow>> = BTreeMap::new();
+    let mut groups: BTreeMap<(String, String, String, String), Vec<&CostRow>> = BTreeMap::new();
     for row in rows {
         for price in &row.end.prices {
             let key = (
@@ -411,7 +413,7 @@
          <th>largest sender</th><th>worst second</th></tr>\n",
     );
     for ((policy, set, tier, price), rows) in groups {
-        let mean = |figure: &dyn Fn(&PriceRow) -> f64| {
+        let mean = |figure: &dyn Fn(&CostRow) -> f64| {
             rows.iter().map(|row| figure(row)).sum::<f64>() / rows.len() as f64
         };
         let _ = writeln!(
@@ -438,7 +440,7 @@
 }
 
 /// How each rule and each bound was kept, a line each, for people.
-pub fn kept(end: &End) -> impl Iterator<Item = String> {
+pub fn kept(end: &RunResult) -> impl Iterator<Item = String> {
     let rules = end.breaches.iter().map(|(rule, count)| match count {
         0 => format!("  {rule}: kept"),
         _ => format!("  {rule}: BROKEN {count} times"),
--- a/crates/emulator-cli/src/rows.rs
+++ b/crates/emulator-cli/src/rows.rs
@@ -5,7 +5,7 @@
 use std::fs::{File, OpenOptions};
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
-use woadstall_emulator::{End, run};
+use woadstall_emulator::{RunResult, run};
 
 /// The form of rows; one with another number is refused.
 const VERSION: u32 = 1;
@@ -24,7 +24,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lag: Option<Lag>,
     /// The result.
-    pub end: End,
+    pub end: RunResult,
 }
 
 /// How late a tool on real sockets began its calls. They are counted from when they were due all the same.
@@ -50,7 +50,7 @@
     }
 
     /// A row of a result.
-    pub fn new(key: Key, end: End, lag: Option<Lag>) -> Self {
+    pub fn new(key: Key, end: RunResult, lag: Option<Lag>) -> Self {
         Self {
             version: VERSION,
             commit: env!("WOADSTALL_COMMIT").to_owned(),
--- a/crates/emulator/src/mind.rs
+++ b/crates/emulator/src/agent.rs
@@ -9,7 +9,7 @@
 pub struct Ticket(pub u64);
 
 /// What decides inside a balancer. It is told what happened and says what is to be done, as the engine does.
-pub trait Mind {
+pub trait BalancerAgent {
     /// Takes what happened. Times are of the balancer's own clock.
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>);
     /// The next thing to do, until there is nothing more.
@@ -37,9 +37,9 @@
 }
 
 /// A mind that may go from thread to thread.
-pub type BoxedMind = Box<dyn Mind + Send>;
+pub type BoxedAgent = Box<dyn BalancerAgent + Send>;
 
-impl Mind for Engine<Ticket, ()> {
+impl BalancerAgent for Engine<Ticket, ()> {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
         Engine::handle(self, now, input);
     }
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -1,7 +1,7 @@
 //! The auditor: sees everything that happens and trusts no balancer's word. It holds the four rules against each
 //! request, and counts calls and attempts, which must all end once.
 
-use crate::agenda::Numbered;
+use crate::event_queue::SequenceMap;
 use crate::scenario::CallEffect;
 use crate::units::{MS, SECOND};
 use serde::{Deserialize, Serialize};
@@ -82,7 +82,7 @@
 /// See the module's documentation.
 #[derive(Default)]
 pub struct Auditor {
-    cases: Numbered<Case>,
+    cases: SequenceMap<Case>,
     /// For each balancer and host: the process it was told of, and since when it is not in service.
     told: Vec<Vec<(u64, Option<Time>)>>,
     breaches: Vec<Breach>,
@@ -289,8 +289,8 @@
     }
 
     /// A cold nodo was sent more than pushes it over.
-    pub fn pushed_over(&mut self, now: Time, nodo: &str, part: f64) {
-        let text = format!("{nodo} was sent {part:.2} of what pushes it over");
+    pub fn pushed_over(&mut self, now: Time, upstream: &str, part: f64) {
+        let text = format!("{upstream} was sent {part:.2} of what pushes it over");
         self.breach(Rule::Cold, now, None, text);
     }
 
--- a/crates/emulator/src/rivals.rs
+++ b/crates/emulator/src/baseline.rs
@@ -1,9 +1,9 @@
 //! Rivals on the same wire, written from their public descriptions. Each is a way to pick a server, with or
 //! without an ejection of outliers, a limit of what is in flight, and a rule for retries. What they share, they
-//! share in [`Rival`]: the list, the calls, the time limits. None of them ever repeats work that must not run
+//! share in [`BaselinePolicy`]: the list, the calls, the time limits. None of them ever repeats work that must not run
 //! twice, so that they are compared by what they serve.
 
-use crate::mind::{Mind, Ticket};
+use crate::agent::{BalancerAgent, Ticket};
 use crate::units::{MS, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,7 @@
 
 /// How a server is picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pick {
+pub enum ServerSelection {
     /// Any, each as likely.
     Random,
     /// One after the other.
@@ -40,7 +40,7 @@
 
 /// What limits the calls in flight from one balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limit {
+pub enum ConcurrencyLimit {
     /// Nothing.
     None,
     /// One more while the limit is used and all goes well, a tenth less on each failure (TCP's rule; Netflix
@@ -53,7 +53,7 @@
 
 /// When a call that failed is tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Retries {
+pub enum RetryPolicy {
     /// Never.
     Never,
     /// Always, as often as the settings allow.
@@ -65,28 +65,28 @@
 
 /// A rival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Style {
+pub struct BaselineConfig {
     /// How a server is picked.
-    pub pick: Pick,
+    pub pick: ServerSelection,
     /// Servers that fail five times in a row are left out for 30 s, a tenth of them at most (Envoy's
     /// documentation, "Outlier detection", consecutive 5xx).
     pub ejects: bool,
     /// What limits the calls in flight.
-    pub limit: Limit,
+    pub limit: ConcurrencyLimit,
     /// When a call is tried again.
-    pub retries: Retries,
+    pub retries: RetryPolicy,
 }
 
-const PICKS: [(&str, Pick); 6] = [
-    ("random", Pick::Random),
-    ("round-robin", Pick::RoundRobin),
-    ("two-choices", Pick::TwoChoices),
-    ("least-connections", Pick::LeastConnections),
-    ("peak-ewma", Pick::PeakEwma),
-    ("ribbon", Pick::Ribbon),
+const PICKS: [(&str, ServerSelection); 6] = [
+    ("random", ServerSelection::Random),
+    ("round-robin", ServerSelection::RoundRobin),
+    ("two-choices", ServerSelection::TwoChoices),
+    ("least-connections", ServerSelection::LeastConnections),
+    ("peak-ewma", ServerSelection::PeakEwma),
+    ("ribbon", ServerSelection::Ribbon),
 ];
 
-impl fmt::Display for Style {
+impl fmt::Display for BaselineConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = PICKS
             .iter()
@@ -95,19 +95,19 @@
         f.write_str(name)?;
         f.write_str(if self.ejects { "+outlier" } else { "" })?;
         f.write_str(match self.limit {
-            Limit::None => "",
-            Limit::Aimd => "+aimd",
-            Limit::Gradient => "+gradient",
+            ConcurrencyLimit::None => "",
+            ConcurrencyLimit::Aimd => "+aimd",
+            ConcurrencyLimit::Gradient => "+gradient",
         })?;
         f.write_str(match self.retries {
-            Retries::Never => "",
-            Retries::Fixed => "+retries",
-            Retries::Budget => "+budget",
+            RetryPolicy::Never => "",
+            RetryPolicy::Fixed => "+retries",
+            RetryPolicy::Budget => "+budget",
         })
     }
 }
 
-impl FromStr for Style {
+impl FromStr for BaselineConfig {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -123,16 +123,16 @@
         let mut style = Self {
             pick: *pick,
             ejects: false,
-            limit: Limit::None,
-            retries: Retries::Never,
+            limit: ConcurrencyLimit::None,
+            retries: RetryPolicy::Never,
         };
         for part in parts {
             match part {
                 "outlier" => style.ejects = true,
-                "aimd" => style.limit = Limit::Aimd,
-                "gradient" => style.limit = Limit::Gradient,
-                "retries" => style.retries = Retries::Fixed,
-                "budget" => style.retries = Retries::Budget,
+                "aimd" => style.limit = ConcurrencyLimit::Aimd,
+                "gradient" => style.limit = ConcurrencyLimit::Gradient,
+                "retries" => style.retries = RetryPolicy::Fixed,
+                "budget" => style.retries = RetryPolicy::Budget,
                 _ => {
                     return Err(format!(
                         "there is no addition {part:?}; there are outlier, aimd, gradient, retries, budget"
@@ -186,8 +186,8 @@
 }
 
 /// See the module's documentation.
-pub struct Rival {
-    style: Style,
+pub struct BaselinePolicy {
+    style: BaselineConfig,
     settings: Settings,
     rng: ChaCha8Rng,
     by_name: BTreeMap<String, usize>,
@@ -203,9 +203,9 @@
     latency: (f64, f64),
 }
 
-impl Rival {
+impl BaselinePolicy {
     /// One that knows no server yet.
-    pub fn new(style: Style, settings: Settings, seed: u64) -> Self {
+    pub fn new(style: BaselineConfig, settings: Settings, seed: u64) -> Self {
         Self {
             style,
             settings,
@@ -289,7 +289,7 @@
             return self.commands.push_back(refused(0));
         }
         self.tokens = (self.tokens + BUDGET.0).min(BUDGET.1);
-        if self.style.limit != Limit::None && f64::from(self.in_flight) >= self.limit {
+        if self.style.limit != ConcurrencyLimit::None && f64::from(self.in_flight) >= self.limit {
             return self
                 .commands
                 .push_back(refused(ADVICE.min(self.settings.max_retry_after)));
@@ -393,9 +393,9 @@
             .get(class)
             .is_some_and(|class| class.effect == Effect::Safe);
         let granted = match self.style.retries {
-            Retries::Never => false,
-            Retries::Fixed => true,
-            Retries::Budget => self.tokens >= 1.0,
+            RetryPolicy::Never => false,
+            RetryPolicy::Fixed => true,
+            RetryPolicy::Budget => self.tokens >= 1.0,
         };
         if granted && (safe || !may_have_run) && attempts < most && now < deadline {
             self.tokens -= 1.0;
@@ -407,7 +407,7 @@
 
     fn learn(&mut self, now: Time, at: usize, took: Time, outcome: Outcome) {
         self.in_flight -= 1;
-        let ribbon = self.style.pick == Pick::Ribbon;
+        let ribbon = self.style.pick == ServerSelection::Ribbon;
         let server = &mut self.servers[at];
         server.in_flight = server.in_flight.saturating_sub(1);
         let connection = matches!(
@@ -440,15 +440,15 @@
             server.cost_at = now;
         }
         match self.style.limit {
-            Limit::None => {}
-            Limit::Aimd if failed || outcome == Outcome::Full => {
+            ConcurrencyLimit::None => {}
+            ConcurrencyLimit::Aimd if failed || outcome == Outcome::Full => {
                 self.limit = (0.9 * self.limit).max(1.0)
             }
-            Limit::Aimd if f64::from(self.in_flight + 1) * 2.0 > self.limit => {
+            ConcurrencyLimit::Aimd if f64::from(self.in_flight + 1) * 2.0 > self.limit => {
                 self.limit += 1.0 / self.limit
             }
-            Limit::Aimd => {}
-            Limit::Gradient if matches!(outcome, Outcome::Ok | Outcome::Timeout) => {
+            ConcurrencyLimit::Aimd => {}
+            ConcurrencyLimit::Gradient if matches!(outcome, Outcome::Ok | Outcome::Timeout) => {
                 let (short, long) = &mut self.latency;
                 *short = if *short == 0.0 {
                     took
@@ -471,8 +471,10 @@
                     self.limit = (0.8 * self.limit + 0.2 * next).clamp(4.0, 10_000.0);
                 }
             }
-            Limit::Gradient if outcome == Outcome::Full => self.limit = (0.9 * self.limit).max(4.0),
-            Limit::Gradient => {}
+            ConcurrencyLimit::Gradient if outcome == Outcome::Full => {
+                self.limit = (0.9 * self.limit).max(4.0)
+            }
+            ConcurrencyLimit::Gradient => {}
         }
     }
 
@@ -495,24 +497,26 @@
         if count == 0 {
             return None;
         }
-        if self.style.pick == Pick::Ribbon {
+        if self.style.pick == ServerSelection::Ribbon {
             return self.pick_ribbon(now, not);
         }
         let usable = |this: &Self, at: usize| {
             this.servers[at].out_until <= now && (Some(at) != not || count == 1)
         };
         match self.style.pick {
-            Pick::RoundRobin | Pick::Ribbon => self.in_turn(count, |this, at| usable(this, at)),
-            Pick::LeastConnections => {
+            ServerSelection::RoundRobin | ServerSelection::Ribbon => {
+                self.in_turn(count, |this, at| usable(this, at))
+            }
+            ServerSelection::LeastConnections => {
                 let start = self.cursor;
                 self.cursor = (start + 1) % count;
                 let turn = (start..start + count).map(|at| self.ready[at % count]);
                 turn.filter(|&at| usable(self, at))
                     .min_by_key(|&at| self.servers[at].in_flight)
             }
-            Pick::Random | Pick::TwoChoices | Pick::PeakEwma => {
+            ServerSelection::Random | ServerSelection::TwoChoices | ServerSelection::PeakEwma => {
                 let one = self.draw(usable)?;
-                if self.style.pick == Pick::Random {
+                if self.style.pick == ServerSelection::Random {
                     return Some(one);
                 }
                 let two = self.draw(usable)?;
@@ -521,10 +525,10 @@
                     let calls = f64::from(server.in_flight) + 1.0;
                     match self.style.pick {
                         // What is not known yet is dear while a call is out at it.
-                        Pick::PeakEwma if server.cost == 0.0 && server.in_flight > 0 => {
+                        ServerSelection::PeakEwma if server.cost == 0.0 && server.in_flight > 0 => {
                             1e12 * calls
                         }
-                        Pick::PeakEwma => {
+                        ServerSelection::PeakEwma => {
                             let age = now.saturating_sub(server.cost_at) as f64;
                             server.cost * (-age / DECAY).exp() * calls
                         }
@@ -613,7 +617,7 @@
     }
 }
 
-impl Mind for Rival {
+impl BalancerAgent for BaselinePolicy {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
         match input {
             Input::EndpointsListed {
--- a/crates/emulator/src/prices.rs
+++ b/crates/emulator/src/costs.rs
@@ -9,11 +9,12 @@
 /// What is paid for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Price {
+pub enum Cost {
     /// Connections opened to nodos.
     Handshakes,
     /// Connections that nodos had no place for.
-    Crowded,
+    #[serde(rename = "crowded")]
+    ConnectionsRefused,
     /// Reads of the list from discovery.
     Reads,
     /// Those of them that failed.
@@ -21,45 +22,47 @@
     /// Probes of nodos.
     Probes,
     /// Attempts that were not the first of their request.
-    Repeats,
+    #[serde(rename = "repeats")]
+    Retries,
     /// Attempts that crossed zones.
     Crossings,
     /// Requests that a balancer refused.
     Refusals,
     /// Connections of callers to balancers.
-    Lines,
+    #[serde(rename = "lines")]
+    CallerConnections,
     /// Requests that reached no balancer: it was dead, and the front had not noticed.
     Unreached,
 }
 
-impl Price {
+impl Cost {
     /// All of them.
     pub const ALL: [Self; 10] = [
         Self::Handshakes,
-        Self::Crowded,
+        Self::ConnectionsRefused,
         Self::Reads,
         Self::FailedReads,
         Self::Probes,
-        Self::Repeats,
+        Self::Retries,
         Self::Crossings,
         Self::Refusals,
-        Self::Lines,
+        Self::CallerConnections,
         Self::Unreached,
     ];
 }
 
-impl fmt::Display for Price {
+impl fmt::Display for Cost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Handshakes => "handshakes",
-            Self::Crowded => "no place for a connection",
+            Self::ConnectionsRefused => "no place for a connection",
             Self::Reads => "list reads",
             Self::FailedReads => "list reads that failed",
             Self::Probes => "probes",
-            Self::Repeats => "repeats",
+            Self::Retries => "repeats",
             Self::Crossings => "crossings",
             Self::Refusals => "refusals",
-            Self::Lines => "callers' connections",
+            Self::CallerConnections => "callers' connections",
             Self::Unreached => "reached no balancer",
         })
     }
@@ -68,11 +71,11 @@
 /// One line of the list.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct PriceRow {
+pub struct CostRow {
     /// The tier that was sent to.
     pub tier: String,
     /// What was paid for.
-    pub price: Price,
+    pub price: Cost,
     /// How often, in all.
     pub total: u64,
     /// For each request that balancers of the tier took.
@@ -110,11 +113,11 @@
 
 /// Counts while a run goes on.
 #[derive(Clone, Debug, Default)]
-pub struct Prices {
-    tiers: Vec<(u64, [Tally; Price::ALL.len()])>,
+pub struct CostCounters {
+    tiers: Vec<(u64, [Tally; Cost::ALL.len()])>,
 }
 
-impl Prices {
+impl CostCounters {
     /// For so many tiers.
     pub fn new(tiers: usize) -> Self {
         Self {
@@ -128,7 +131,7 @@
     }
 
     /// A balancer of a tier paid.
-    pub fn pay(&mut self, now: Time, tier: usize, price: Price, sender: usize) {
+    pub fn pay(&mut self, now: Time, tier: usize, price: Cost, sender: usize) {
         let tally = &mut self.tiers[tier].1[price as usize];
         tally.total += 1;
         raise(&mut tally.senders, sender);
@@ -136,17 +139,17 @@
     }
 
     /// What was paid at all, by tier.
-    pub fn rows(&self, names: &[String]) -> Vec<PriceRow> {
+    pub fn rows(&self, names: &[String]) -> Vec<CostRow> {
         let tiers = self.tiers.iter().zip(names);
         let rows = tiers.flat_map(|((requests, tallies), tier)| {
-            Price::ALL
+            Cost::ALL
                 .into_iter()
                 .zip(tallies)
                 .filter(|(_, tally)| tally.total > 0)
                 .map(move |(price, tally)| {
                     let ((sender, count), (second, worst)) =
                         (most(&tally.senders), most(&tally.seconds));
-                    PriceRow {
+                    CostRow {
                         tier: tier.clone(),
                         price,
                         total: tally.total,
--- a/crates/emulator/src/prices/tests.rs
+++ b/crates/emulator/src/costs/tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn rows_name_the_largest_sender_and_the_worst_second() {
-    let mut prices = Prices::new(2);
+    let mut prices = CostCounters::new(2);
     (0..10).for_each(|_| prices.request(1));
     for (second, sender) in [(0, 4), (2, 7), (2, 7), (2, 4), (5, 7)] {
-        prices.pay(second * SECOND + 1, 1, Price::Handshakes, sender);
+        prices.pay(second * SECOND + 1, 1, Cost::Handshakes, sender);
     }
     let names = ["one".to_owned(), "two".to_owned()];
     let [row] = &prices.rows(&names)[..] else {
@@ -15,7 +15,7 @@
     };
     assert_eq!(
         (row.tier.as_str(), row.price, row.total),
-        ("two", Price::Handshakes, 5)
+        ("two", Cost::Handshakes, 5)
     );
     assert_eq!((row.each, row.largest, row.worst), (0.5, (7, 0.6), (2, 3)));
 }
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -18,17 +18,17 @@
     /// How long it works on a read.
     work: Time,
     /// A read that would wait for longer fails after this time.
-    patience: Time,
+    timeout: Time,
     free_at: Time,
     down: bool,
 }
 
 impl Discovery {
     /// One that can answer so many reads a second.
-    pub fn new(reads: f64, patience: Time) -> Self {
+    pub fn new(reads_per_second: f64, timeout: Time) -> Self {
         Self {
-            work: (1e9 / reads.max(1e-6)) as Time,
-            patience,
+            work: (1e9 / reads_per_second.max(1e-6)) as Time,
+            timeout,
             free_at: 0,
             down: false,
         }
@@ -42,8 +42,8 @@
     /// A read comes.
     pub fn read(&mut self, now: Time) -> Read {
         let done = self.free_at.max(now) + self.work;
-        if self.down || done > now + self.patience {
-            return Read::Failed(now + self.patience);
+        if self.down || done > now + self.timeout {
+            return Read::Failed(now + self.timeout);
         }
         self.free_at = done;
         Read::Answered(done)
--- a/crates/emulator/src/evacuated.rs
+++ b/crates/emulator/src/evacuation.rs
@@ -9,7 +9,7 @@
 
 /// A balancer gives a zone another share of its new work.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Move {
+pub struct ShareChange {
     /// When.
     pub at: Time,
     /// Which balancer.
@@ -22,18 +22,18 @@
 
 /// Takes moves as they come.
 #[derive(Clone, Debug)]
-pub struct Evacuated {
+pub struct EvacuationTracker {
     zones: Vec<String>,
     shares: Vec<Vec<f64>>,
     since: Vec<Vec<Time>>,
-    moves: Vec<Move>,
+    moves: Vec<ShareChange>,
     away: Vec<f64>,
 }
 
 /// All that was seen, for a run's end.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct EvacuatedEnd {
+pub struct EvacuationReport {
     /// Times at which the part of the balancers that is out of a zone changed: second, zone, part.
     pub out: Vec<(f64, String, f64)>,
     /// For each zone, the share that it did not get, times seconds, over all balancers' number.
@@ -42,7 +42,7 @@
     pub moves: u64,
 }
 
-impl Evacuated {
+impl EvacuationTracker {
     /// Of these zones, by so many balancers.
     pub fn new(zones: Vec<String>, balancers: usize) -> Self {
         let count = zones.len();
@@ -58,7 +58,7 @@
     /// A balancer begins anew, in all zones.
     pub fn begins(&mut self, at: Time, balancer: usize) {
         for zone in 0..self.zones.len() as u8 {
-            self.moved(Move {
+            self.moved(ShareChange {
                 at,
                 balancer: balancer as u32,
                 zone,
@@ -68,7 +68,7 @@
     }
 
     /// A balancer gives a zone a share.
-    pub fn moved(&mut self, to: Move) {
+    pub fn moved(&mut self, to: ShareChange) {
         let (balancer, zone) = (to.balancer as usize, usize::from(to.zone));
         let was = self.shares[balancer][zone];
         if was == to.share {
@@ -82,7 +82,7 @@
     /// The share of a zone, by its name, as it is seen at a balancer.
     pub fn seen(&mut self, at: Time, balancer: u32, zone: &str, share: f64) {
         if let Some(zone) = self.zones.iter().position(|known| known == zone) {
-            self.moved(Move {
+            self.moved(ShareChange {
                 at,
                 balancer,
                 zone: zone as u8,
@@ -98,7 +98,7 @@
     }
 
     /// All that was seen.
-    pub fn end(mut self, now: Time) -> EvacuatedEnd {
+    pub fn end(mut self, now: Time) -> EvacuationReport {
         let balancers = self.shares.len();
         for balancer in 0..balancers {
             (0..self.zones.len()).for_each(|zone| self.add_up(now, balancer, zone));
@@ -119,7 +119,7 @@
             .cloned()
             .zip(self.away.iter().map(|away| away / of))
             .collect();
-        EvacuatedEnd {
+        EvacuationReport {
             out,
             moved,
             moves: self.moves.len() as u64,
@@ -127,7 +127,7 @@
     }
 }
 
-impl EvacuatedEnd {
+impl EvacuationReport {
     /// How long after a second so large a part of the balancers was out of a zone.
     pub fn out_after(&self, zone: &str, from: f64, part: f64) -> Option<f64> {
         let of = self.out.iter().filter(|(_, name, _)| name == zone);
--- a/crates/emulator/src/agenda.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -5,40 +5,40 @@
 use std::collections::{BinaryHeap, VecDeque};
 use woadstall_engine::Time;
 
-struct Planned<E> {
+struct ScheduledEvent<E> {
     at: Time,
     turn: u64,
     event: E,
 }
 
-impl<E> Ord for Planned<E> {
+impl<E> Ord for ScheduledEvent<E> {
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.turn).cmp(&(self.at, self.turn)) // the heap's greatest is the earliest
     }
 }
 
-impl<E> PartialOrd for Planned<E> {
+impl<E> PartialOrd for ScheduledEvent<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> PartialEq for Planned<E> {
+impl<E> PartialEq for ScheduledEvent<E> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<E> Eq for Planned<E> {}
+impl<E> Eq for ScheduledEvent<E> {}
 
 /// The events to come.
-pub struct Agenda<E> {
-    heap: BinaryHeap<Planned<E>>,
+pub struct EventQueue<E> {
+    heap: BinaryHeap<ScheduledEvent<E>>,
     turn: u64,
     now: Time,
 }
 
-impl<E> Default for Agenda<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
         Self {
             heap: BinaryHeap::new(),
@@ -48,7 +48,7 @@
     }
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     /// The time of the event that was taken last.
     pub fn now(&self) -> Time {
         self.now
@@ -57,7 +57,7 @@
     /// Plans an event; what lies in the past happens now.
     pub fn at(&mut self, at: Time, event: E) {
         self.turn += 1;
-        self.heap.push(Planned {
+        self.heap.push(ScheduledEvent {
             at: at.max(self.now),
             turn: self.turn,
             event,
@@ -82,13 +82,13 @@
 
 /// Things that are numbered in the order in which they come, and forgotten one by one. A number is never used
 /// again; what is older than the oldest that is kept takes no memory.
-pub struct Numbered<T> {
+pub struct SequenceMap<T> {
     first: u64,
     kept: VecDeque<Option<T>>,
     count: usize,
 }
 
-impl<T> Default for Numbered<T> {
+impl<T> Default for SequenceMap<T> {
     fn default() -> Self {
         Self {
             first: 0,
@@ -98,7 +98,7 @@
     }
 }
 
-impl<T> Numbered<T> {
+impl<T> SequenceMap<T> {
     /// Keeps one more; tells its number.
     pub fn add(&mut self, thing: T) -> u64 {
         self.kept.push_back(Some(thing));
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -12,17 +12,17 @@
 
 /// A connection of a caller to one life of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct CallerConnection {
     /// The zone of its callers.
     pub zone: usize,
     /// The balancer.
     pub balancer: u32,
     /// Which of its processes.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Dealt {
+struct FrontedBalancer {
     balancer: u32,
     weight: f64,
     out: bool,
@@ -32,9 +32,9 @@
 #[derive(Debug)]
 pub struct Front {
     /// The balancers of each zone.
-    zones: Vec<Vec<Dealt>>,
+    zones: Vec<Vec<FrontedBalancer>>,
     /// Idle connections of each zone's callers, and since when they are.
-    idle: Vec<Vec<(Line, Time)>>,
+    idle: Vec<Vec<(CallerConnection, Time)>>,
     kept: Time,
 }
 
@@ -42,14 +42,14 @@
     /// A front before the balancers of each zone. Their weights lie between 1 and `uneven`, the logarithm evenly:
     /// some get several times as many connections as others. Idle connections are closed after `kept`.
     pub fn new(zones: &[Vec<u32>], uneven: f64, kept: Time, rng: &mut ChaCha8Rng) -> Self {
-        let mut dealt = |&balancer: &u32| Dealt {
+        let mut fronted_balancer = |&balancer: &u32| FrontedBalancer {
             balancer,
             weight: uneven.max(1.0).powf(rng.random::<f64>()),
             out: false,
         };
-        let zones: Vec<Vec<Dealt>> = zones
+        let zones: Vec<Vec<FrontedBalancer>> = zones
             .iter()
-            .map(|there| there.iter().map(&mut dealt).collect())
+            .map(|there| there.iter().map(&mut fronted_balancer).collect())
             .collect();
         Self {
             idle: vec![Vec::new(); zones.len()],
@@ -60,7 +60,12 @@
 
     /// A connection for a call from a zone: the one that was idle last, or else a new one, whose life the caller
     /// fills in. `None` where all balancers are known to be out.
-    pub fn take(&mut self, zone: usize, now: Time, rng: &mut ChaCha8Rng) -> Option<(Line, bool)> {
+    pub fn take(
+        &mut self,
+        zone: usize,
+        now: Time,
+        rng: &mut ChaCha8Rng,
+    ) -> Option<(CallerConnection, bool)> {
         let kept = self.kept;
         let idle = &mut self.idle[zone];
         // The rest of the pile has been idle for longer.
@@ -88,10 +93,10 @@
             });
             let balancer = drawn.or(there.iter().rev().find(|one| !one.out))?.balancer;
             Some((
-                Line {
+                CallerConnection {
                     zone,
                     balancer,
-                    life: 0,
+                    incarnation: 0,
                 },
                 true,
             ))
@@ -99,7 +104,7 @@
     }
 
     /// A call on a connection is over, and the connection stays.
-    pub fn give_back(&mut self, line: Line, now: Time) {
+    pub fn give_back(&mut self, line: CallerConnection, now: Time) {
         let idle = &mut self.idle[line.zone];
         if idle.len() < MOST_IDLE {
             idle.push((line, now));
@@ -114,7 +119,7 @@
     }
 
     /// It is known by now that a balancer is out, or back.
-    pub fn notice(&mut self, balancer: u32, out: bool) {
+    pub fn set_out(&mut self, balancer: u32, out: bool) {
         let all = self.zones.iter_mut().flatten();
         all.filter(|one| one.balancer == balancer)
             .for_each(|one| one.out = out);
--- a/crates/emulator/src/front/tests.rs
+++ b/crates/emulator/src/front/tests.rs
@@ -37,15 +37,15 @@
 #[test]
 fn the_dead_are_dealt_to_until_they_are_noticed_and_then_other_zones_stand_in() {
     let (mut front, mut rng) = front(1.0);
-    front.notice(0, true);
-    front.notice(1, true);
+    front.set_out(0, true);
+    front.set_out(1, true);
     assert!((0..50).all(|_| front.take(0, 0, &mut rng).unwrap().0.balancer == 2));
-    front.notice(2, true);
+    front.set_out(2, true);
     let line = front.take(0, 0, &mut rng).unwrap().0;
     assert_eq!((line.zone, line.balancer), (0, 3));
-    front.notice(3, true);
+    front.set_out(3, true);
     assert_eq!(front.take(0, 0, &mut rng), None);
-    front.notice(1, false);
+    front.set_out(1, false);
     assert_eq!(front.take(1, 0, &mut rng).unwrap().0.balancer, 1);
 }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -8,40 +8,42 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod agenda;
+mod agent;
 mod audit;
+mod baseline;
+mod costs;
 mod discovery;
-mod evacuated;
+mod evacuation;
+mod event_queue;
 mod front;
 mod measure;
-mod mind;
-mod nodo;
+mod observer;
 mod policy;
-mod prices;
 mod random;
-mod rivals;
 mod scenario;
 mod units;
-mod witness;
+mod upstream;
 mod world;
 
-pub use agenda::{Agenda, Numbered};
+pub use agent::{BalancerAgent, BoxedAgent, Ticket};
 pub use audit::{Auditor, Breach, Rule};
-pub use evacuated::{Evacuated, EvacuatedEnd, Move};
-pub use measure::{Counts, End, Latencies, Meter, Outcome, Step};
-pub use mind::{BoxedMind, Mind, Ticket};
-pub use nodo::{Ills, Nodo, Taken};
+pub use baseline::{
+    BaselineConfig, BaselinePolicy, ConcurrencyLimit, RetryPolicy, ServerSelection,
+};
+pub use costs::{Cost, CostRow};
+pub use evacuation::{EvacuationReport, EvacuationTracker, ShareChange};
+pub use event_queue::{EventQueue, SequenceMap};
+pub use measure::{CallOutcome, Counts, Latencies, Meter, RunResult, TimelineStep};
+pub use observer::{MemberView, MembershipObserver, MembershipReport, Quantiles};
 pub use policy::Policy;
-pub use prices::{Price, PriceRow};
 pub use random::{Actor, Dist, chance, gap, sample, stream};
-pub use rivals::{Limit, Pick, Retries, Rival, Style};
 pub use scenario::*;
 pub use units::Span;
-pub use witness::{Held, MembersEnd, Quantiles, Witness};
+pub use upstream::{Admission, Upstream, UpstreamFaults};
 pub use woadstall_engine as engine;
-pub use world::{EPOCH, World, Wrap};
+pub use world::{AgentWrapper, EPOCH, World};
 
 /// Plays a scenario to its end.
-pub fn run(scenario: &Scenario, policy: Policy, seed: u64) -> End {
+pub fn run(scenario: &Scenario, policy: Policy, seed: u64) -> RunResult {
     World::new(scenario, policy, seed).run()
 }
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -1,10 +1,10 @@
 //! What a run was worth: worth served over worth offered, and over what a fluid bound allows.
 
 use crate::audit::{Breach, Rule};
-use crate::evacuated::EvacuatedEnd;
-use crate::prices::PriceRow;
-use crate::scenario::{Kept, Scenario};
-use crate::witness::MembersEnd;
+use crate::costs::CostRow;
+use crate::evacuation::EvacuationReport;
+use crate::observer::MembershipReport;
+use crate::scenario::{BoundResult, Scenario};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -12,7 +12,7 @@
 
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// Served within its class's aim.
     OnTime,
     /// Served later.
@@ -46,15 +46,17 @@
     /// Those that crossed zones.
     pub crossings: u64,
     /// Worth of what was offered.
-    pub worth_offered: f64,
+    #[serde(rename = "worth-offered")]
+    pub value_offered: f64,
     /// Worth of what was served.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
 }
 
 /// A step of the timeline.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Step {
+pub struct TimelineStep {
     /// When it ended, in seconds.
     pub until: f64,
     /// What was counted in it.
@@ -99,7 +101,7 @@
 /// All that a run shows.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct End {
+pub struct RunResult {
     /// Calls that came after the warm-up.
     pub counts: Counts,
     /// Worth served over worth offered.
@@ -122,23 +124,23 @@
     pub events: u64,
     /// The price list.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub prices: Vec<PriceRow>,
+    pub prices: Vec<CostRow>,
     /// How the scenario's bounds were kept.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub bounds: Vec<Kept>,
+    pub bounds: Vec<BoundResult>,
     /// What was seen of membership among balancers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub members: Option<MembersEnd>,
+    pub members: Option<MembershipReport>,
     /// What balancers that leave places together made of zones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub evacuated: Option<EvacuatedEnd>,
+    pub evacuated: Option<EvacuationReport>,
     /// The timeline.
-    pub steps: Vec<Step>,
+    pub steps: Vec<TimelineStep>,
     /// The story of the call that was followed: when, in nanoseconds, and what.
     pub story: Vec<(Time, String)>,
 }
 
-impl End {
+impl RunResult {
     /// Whether each rule and each bound was kept.
     pub fn is_kept(&self) -> bool {
         self.broken() == 0 && self.bounds.iter().all(|bound| bound.kept)
@@ -159,9 +161,9 @@
     /// Sum of the latencies, in nanoseconds.
     took: f64,
     longest_queue: u32,
-    step: Step,
+    step: TimelineStep,
     step_latency: Histogram<u64>,
-    steps: Vec<Step>,
+    steps: Vec<TimelineStep>,
     /// Calls of each class in a step, from the warm-up on.
     came: Vec<u64>,
     all_came: Vec<Vec<u64>>,
@@ -181,9 +183,9 @@
     pub fn new(scenario: &Scenario) -> Self {
         let classes = scenario.class.iter().map(|class| {
             (
-                class.worth,
-                class.late_worth,
-                class.aim.0,
+                class.value,
+                class.late_value,
+                class.latency_target.0,
                 class.deadline.0,
                 class.service.mean(),
             )
@@ -208,7 +210,7 @@
             latency: histogram(),
             took: 0.0,
             longest_queue: 0,
-            step: Step::default(),
+            step: TimelineStep::default(),
             step_latency: histogram(),
             steps: Vec::new(),
             all_came: Vec::new(),
@@ -221,18 +223,18 @@
 
     /// A caller wishes for something; `measured`: after the warm-up.
     pub fn offered(&mut self, class: usize, measured: bool) {
-        let worth = self.classes[class].0;
+        let value = self.classes[class].0;
         let counts = &mut self.step.counts;
-        (counts.offered, counts.worth_offered) = (counts.offered + 1, counts.worth_offered + worth);
+        (counts.offered, counts.value_offered) = (counts.offered + 1, counts.value_offered + value);
         if measured {
-            (self.all.offered, self.all.worth_offered) =
-                (self.all.offered + 1, self.all.worth_offered + worth);
+            (self.all.offered, self.all.value_offered) =
+                (self.all.offered + 1, self.all.value_offered + value);
             self.came[class] += 1;
         }
     }
 
     /// It asks a balancer.
-    pub fn asked(&mut self) {
+    pub fn request_sent(&mut self) {
         self.step.counts.requests += 1;
     }
 
@@ -250,20 +252,20 @@
     }
 
     /// A call is over, so long after it came.
-    pub fn ended(&mut self, class: usize, outcome: Outcome, took: Time, measured: bool) {
-        let (worth, late_worth, ..) = self.classes[class];
+    pub fn ended(&mut self, class: usize, outcome: CallOutcome, took: Time, measured: bool) {
+        let (value, late_value, ..) = self.classes[class];
         let count = |counts: &mut Counts| match outcome {
-            Outcome::OnTime => {
-                (counts.on_time, counts.worth) = (counts.on_time + 1, counts.worth + worth)
+            CallOutcome::OnTime => {
+                (counts.on_time, counts.value) = (counts.on_time + 1, counts.value + value)
             }
-            Outcome::Late => {
-                (counts.late, counts.worth) = (counts.late + 1, counts.worth + worth * late_worth);
+            CallOutcome::Late => {
+                (counts.late, counts.value) = (counts.late + 1, counts.value + value * late_value);
             }
-            Outcome::Refused => counts.refused += 1,
-            Outcome::Failed => counts.failed += 1,
+            CallOutcome::Refused => counts.refused += 1,
+            CallOutcome::Failed => counts.failed += 1,
         };
         count(&mut self.step.counts);
-        let served = matches!(outcome, Outcome::OnTime | Outcome::Late);
+        let served = matches!(outcome, CallOutcome::OnTime | CallOutcome::Late);
         if served {
             self.step_latency.saturating_record(took / 1_000);
         }
@@ -316,12 +318,12 @@
         let mut order: Vec<(usize, bool)> = (0..self.classes.len())
             .flat_map(|class| [(class, false), (class, true)])
             .collect();
-        let worth_of = |&(class, late): &(usize, bool)| {
-            let (worth, late_worth, _, _, work) = self.classes[class];
-            worth * if late { late_worth } else { 1.0 } / work
+        let value_per_work = |&(class, late): &(usize, bool)| {
+            let (value, late_value, _, _, work) = self.classes[class];
+            value * if late { late_value } else { 1.0 } / work
         };
-        order.sort_by(|a, b| worth_of(b).total_cmp(&worth_of(a)));
-        let mut worth = 0.0;
+        order.sort_by(|a, b| value_per_work(b).total_cmp(&value_per_work(a)));
+        let mut value = 0.0;
         // Until the last are past their time, the speed of the last step goes on.
         let longest = self
             .classes
@@ -352,9 +354,9 @@
                 }
             }
             for (class, late) in &order {
-                let (each, late_worth, aim, _, work) = self.classes[*class];
-                let within = (aim / self.step_length) as usize + 1;
-                let each = if *late { each * late_worth } else { each };
+                let (each, late_value, latency_target, _, work) = self.classes[*class];
+                let within = (latency_target / self.step_length) as usize + 1;
+                let each = if *late { each * late_value } else { each };
                 for (came, left) in waiting[*class]
                     .iter_mut()
                     .filter(|(came, _)| *late == (came + within < at))
@@ -363,11 +365,11 @@
                     let done = left.min(room / work);
                     *left -= done;
                     room -= done * work;
-                    worth += done * each;
+                    value += done * each;
                 }
             }
         }
-        worth
+        value
     }
 
     /// The result, from the auditor's findings.
@@ -376,7 +378,7 @@
         (counts, first_breaches): ([u64; 5], Vec<Breach>),
         events: u64,
         story: Vec<(Time, String)>,
-    ) -> End {
+    ) -> RunResult {
         let bound = if self.steps.is_empty() {
             0.0
         } else {
@@ -390,12 +392,12 @@
             all.repeats += step.counts.repeats;
             all.crossings += step.counts.crossings;
         }
-        let part = |worth: f64, of: f64| if of > 0.0 { worth / of } else { 1.0 };
+        let part = |value: f64, of: f64| if of > 0.0 { value / of } else { 1.0 };
         let ms = |part: f64| self.latency.value_at_quantile(part) as f64 / 1e3;
-        End {
-            served: part(all.worth, all.worth_offered),
-            bound: part(bound, all.worth_offered).min(1.0),
-            score: part(all.worth, bound.min(all.worth_offered)),
+        RunResult {
+            served: part(all.value, all.value_offered),
+            bound: part(bound, all.value_offered).min(1.0),
+            score: part(all.value, bound.min(all.value_offered)),
             latency: Latencies {
                 mean: self.took / (all.on_time + all.late).max(1) as f64 / 1e6,
                 p50: ms(0.5),
--- a/crates/emulator/src/witness.rs
+++ b/crates/emulator/src/observer.rs
@@ -15,9 +15,9 @@
 /// Changes between together and not that are kept.
 const CHANGES: usize = 10_000;
 
-/// What a member holds of another's present life.
+/// What a member record_view of another's present life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Held {
+pub enum MemberView {
     /// It has not heard of it.
     #[default]
     Unknown,
@@ -35,7 +35,7 @@
 struct Member {
     up: bool,
     still_since: Option<Time>,
-    cut_off: bool,
+    unreachable_by_all: bool,
     /// Until when it may be held for dead though it is there.
     excused: Time,
     /// Held for dead by some though it is there.
@@ -51,10 +51,10 @@
 
 /// See the module's documentation.
 #[derive(Clone, Debug)]
-pub struct Witness {
+pub struct MembershipObserver {
     members: Vec<Member>,
-    held: Vec<Held>,
-    pauses: Time,
+    views: Vec<MemberView>,
+    tolerated_pause: Time,
     deaths: BTreeMap<usize, Death>,
     known: Histogram<u64>,
     known_by_all: Histogram<u64>,
@@ -62,15 +62,15 @@
     never_known: u64,
     false_deaths: u64,
     stories: Vec<String>,
-    apart: usize,
+    disagreements: usize,
     together: Vec<(Time, bool)>,
-    cuts_named: Vec<(Time, f64)>,
+    partitions_reported: Vec<(Time, f64)>,
 }
 
 /// What a run showed of membership.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct MembersEnd {
+pub struct MembershipReport {
     /// Members that were held for dead though they were there, each as often as that began.
     pub false_deaths: u64,
     /// The first of them in words.
@@ -87,7 +87,8 @@
     pub together: Vec<(f64, bool)>,
     /// Parts of the cut ways that were named right by both sides, less those that were named and are not cut, by the
     /// second at which that was looked at.
-    pub cuts_named: Vec<(f64, f64)>,
+    #[serde(rename = "cuts-named")]
+    pub partitions_reported: Vec<(f64, f64)>,
     /// Bytes a second that a member sent, on average and the most.
     pub bytes_a_second: (f64, f64),
 }
@@ -122,13 +123,13 @@
     Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits will do"))
 }
 
-impl Witness {
+impl MembershipObserver {
     /// Of so many members, none of which runs yet; pauses of up to this are to be borne.
-    pub fn new(members: usize, pauses: Time) -> Self {
+    pub fn new(members: usize, tolerated_pause: Time) -> Self {
         Self {
             members: vec![Member::default(); members],
-            held: vec![Held::Unknown; members * members],
-            pauses,
+            views: vec![MemberView::Unknown; members * members],
+            tolerated_pause,
             deaths: BTreeMap::new(),
             known: times(),
             known_by_all: times(),
@@ -136,35 +137,35 @@
             never_known: 0,
             false_deaths: 0,
             stories: Vec::new(),
-            apart: 0,
+            disagreements: 0,
             together: Vec::new(),
-            cuts_named: Vec::new(),
+            partitions_reported: Vec::new(),
         }
     }
 
-    fn is_apart(&self, by: usize, of: usize) -> bool {
-        let held = self.held[by * self.members.len() + of];
-        by != of && held != Held::Alive && self.is_there(by) && self.is_there(of)
+    fn disagrees(&self, by: usize, of: usize) -> bool {
+        let held = self.views[by * self.members.len() + of];
+        by != of && held != MemberView::Alive && self.is_there(by) && self.is_there(of)
     }
 
     /// How many pairs with one member are not as they should be.
-    fn apart_with(&self, who: usize) -> usize {
+    fn disagreements_with(&self, who: usize) -> usize {
         let all = 0..self.members.len();
         all.map(|other| {
-            usize::from(self.is_apart(who, other)) + usize::from(self.is_apart(other, who))
+            usize::from(self.disagrees(who, other)) + usize::from(self.disagrees(other, who))
         })
         .sum()
     }
 
     fn change(&mut self, now: Time, who: usize, change: impl FnOnce(&mut Self)) {
-        let before = self.apart_with(who);
+        let before = self.disagreements_with(who);
         change(self);
-        self.apart = self.apart + self.apart_with(who) - before;
-        self.note(now);
+        self.disagreements = self.disagreements + self.disagreements_with(who) - before;
+        self.record_agreement(now);
     }
 
-    fn note(&mut self, now: Time) {
-        let together = self.apart == 0;
+    fn record_agreement(&mut self, now: Time) {
+        let together = self.disagreements == 0;
         if self
             .together
             .last()
@@ -184,13 +185,13 @@
         self.change(now, who, |all| {
             all.members[who] = Member {
                 up,
-                cut_off: all.members[who].cut_off,
+                unreachable_by_all: all.members[who].unreachable_by_all,
                 ..Member::default()
             };
             if up {
                 for other in 0..size {
-                    all.held[who * size + other] = Held::Unknown;
-                    all.held[other * size + who] = Held::Unknown;
+                    all.views[who * size + other] = MemberView::Unknown;
+                    all.views[other * size + who] = MemberView::Unknown;
                 }
             }
         });
@@ -208,8 +209,8 @@
         // Those that held it for gone already hear nothing new.
         let gone = |by: usize| {
             matches!(
-                self.held[by * size + who],
-                Held::Dead | Held::Left | Held::Unknown
+                self.views[by * size + who],
+                MemberView::Dead | MemberView::Left | MemberView::Unknown
             )
         };
         let needed = (0..size)
@@ -217,8 +218,8 @@
             .count();
         for (&of, death) in &mut self.deaths {
             let knows = matches!(
-                self.held[who * size + of],
-                Held::Dead | Held::Left | Held::Unknown
+                self.views[who * size + of],
+                MemberView::Dead | MemberView::Left | MemberView::Unknown
             );
             death.needed -= usize::from(!knows).min(death.needed);
         }
@@ -226,15 +227,15 @@
     }
 
     /// A member stands still, or goes on.
-    pub fn stands_still(&mut self, now: Time, who: usize, still: bool) {
-        let pauses = self.pauses;
+    pub fn paused_until(&mut self, now: Time, who: usize, still: bool) {
+        let tolerated_pause = self.tolerated_pause;
         self.change(now, who, |all| {
             let member = &mut all.members[who];
             match (still, member.still_since) {
                 (true, None) => member.still_since = Some(now),
                 (false, Some(since)) => {
                     member.still_since = None;
-                    if now - since > pauses {
+                    if now - since > tolerated_pause {
                         member.excused = now + EXCUSED;
                     }
                 }
@@ -245,31 +246,32 @@
 
     /// Ways are cut from now on, each from the first to the second. Of one that nobody hears, or that hears nobody,
     /// others cannot know that it is there.
-    pub fn cut(&mut self, now: Time, is_cut: impl Fn(usize, usize) -> bool) {
+    pub fn partition(&mut self, now: Time, is_partitioned: impl Fn(usize, usize) -> bool) {
         let size = self.members.len();
         for (who, member) in self.members.iter_mut().enumerate() {
             let mut others = (0..size).filter(|&other| other != who);
-            let off = others.clone().all(|other| is_cut(who, other))
-                || others.all(|other| is_cut(other, who));
-            if std::mem::replace(&mut member.cut_off, off) && !off {
+            let off = others.clone().all(|other| is_partitioned(who, other))
+                || others.all(|other| is_partitioned(other, who));
+            if std::mem::replace(&mut member.unreachable_by_all, off) && !off {
                 member.excused = member.excused.max(now + EXCUSED);
             }
         }
     }
 
-    /// What a member holds of another's present life.
-    pub fn holds(&mut self, now: Time, by: usize, of: usize, held: Held) {
+    /// What a member record_view of another's present life.
+    pub fn record_view(&mut self, now: Time, by: usize, of: usize, held: MemberView) {
         let size = self.members.len();
-        let apart = self.is_apart(by, of);
-        let was = std::mem::replace(&mut self.held[by * size + of], held);
+        let disagreements = self.disagrees(by, of);
+        let was = std::mem::replace(&mut self.views[by * size + of], held);
         if was == held {
             return;
         }
-        self.apart = self.apart + usize::from(self.is_apart(by, of)) - usize::from(apart);
-        self.note(now);
-        let gone = |held| matches!(held, Held::Dead | Held::Left);
+        self.disagreements =
+            self.disagreements + usize::from(self.disagrees(by, of)) - usize::from(disagreements);
+        self.record_agreement(now);
+        let gone = |held| matches!(held, MemberView::Dead | MemberView::Left);
         if self.members[of].up {
-            return self.held_there(now, by, of, held);
+            return self.view_of_running(now, by, of, held);
         }
         if let Some(death) = self
             .deaths
@@ -285,14 +287,16 @@
         }
     }
 
-    fn held_there(&mut self, now: Time, by: usize, of: usize, held: Held) {
-        let (pauses, member) = (self.pauses, &mut self.members[of]);
-        if held != Held::Dead {
-            member.wronged &= held != Held::Alive;
+    fn view_of_running(&mut self, now: Time, by: usize, of: usize, held: MemberView) {
+        let (tolerated_pause, member) = (self.tolerated_pause, &mut self.members[of]);
+        if held != MemberView::Dead {
+            member.wronged &= held != MemberView::Alive;
             return;
         }
-        let sleeps = member.still_since.is_some_and(|since| now - since > pauses);
-        if member.cut_off
+        let sleeps = member
+            .still_since
+            .is_some_and(|since| now - since > tolerated_pause);
+        if member.unreachable_by_all
             || sleeps
             || now < member.excused
             || std::mem::replace(&mut member.wronged, true)
@@ -303,23 +307,27 @@
         if self.stories.len() < STORIES {
             let at = now as f64 / SECOND as f64;
             self.stories.push(format!(
-                "{at:.3} s: {by} holds {of} for dead, which is there"
+                "{at:.3} s: {by} record_view {of} for dead, which is there"
             ));
         }
     }
 
     /// How the ways are named, looked at once: pairs of members with whether the way from the first to the second is
     /// cut, and whether each of the two says so.
-    pub fn ways(&mut self, now: Time, pairs: impl Iterator<Item = (bool, bool, bool)>) {
-        let (mut cut, mut named, mut wrongly) = (0_u64, 0_u64, 0_u64);
-        for (is_cut, by_first, by_second) in pairs {
-            cut += u64::from(is_cut);
-            named += u64::from(is_cut && by_first && by_second);
-            wrongly += u64::from(!is_cut && (by_first || by_second));
+    pub fn record_path_reports(
+        &mut self,
+        now: Time,
+        pairs: impl Iterator<Item = (bool, bool, bool)>,
+    ) {
+        let (mut partitioned, mut named, mut wrongly) = (0_u64, 0_u64, 0_u64);
+        for (is_partitioned, by_first, by_second) in pairs {
+            partitioned += u64::from(is_partitioned);
+            named += u64::from(is_partitioned && by_first && by_second);
+            wrongly += u64::from(!is_partitioned && (by_first || by_second));
         }
-        if cut > 0 {
-            self.cuts_named
-                .push((now, (named as f64 - wrongly as f64) / cut as f64));
+        if partitioned > 0 {
+            self.partitions_reported
+                .push((now, (named as f64 - wrongly as f64) / partitioned as f64));
         }
     }
 
@@ -340,7 +348,7 @@
     }
 
     /// All that was seen; `bytes` are those that each member sent, over so long.
-    pub fn end(mut self, now: Time, bytes: &[u64], over: Time) -> MembersEnd {
+    pub fn end(mut self, now: Time, bytes: &[u64], over: Time) -> MembershipReport {
         let open: usize = self
             .deaths
             .values()
@@ -351,7 +359,7 @@
         let seconds = |time: Time| time as f64 / SECOND as f64;
         let rate = |bytes: u64| bytes as f64 / seconds(over).max(1e-9);
         let mean = rate(bytes.iter().sum()) / bytes.len().max(1) as f64;
-        MembersEnd {
+        MembershipReport {
             false_deaths: self.false_deaths,
             stories: self.stories,
             deaths: self.died,
@@ -363,8 +371,8 @@
                 .iter()
                 .map(|(at, is)| (seconds(*at), *is))
                 .collect(),
-            cuts_named: self
-                .cuts_named
+            partitions_reported: self
+                .partitions_reported
                 .iter()
                 .map(|(at, part)| (seconds(*at), *part))
                 .collect(),
@@ -376,7 +384,7 @@
     }
 }
 
-impl MembersEnd {
+impl MembershipReport {
     /// How long after a second all that ran held all others for there, as they still did when so many seconds had passed.
     pub fn together_after(&self, from: f64, within: f64) -> Option<f64> {
         let last = self.together.iter().rfind(|(at, _)| *at <= from + within)?;
--- a/crates/emulator/src/witness/tests.rs
+++ b/crates/emulator/src/observer/tests.rs
@@ -1,18 +1,18 @@
-//! Tests of `witness`.
+//! Tests of `observer`.
 
 use super::*;
 
 const S: Time = SECOND;
 
 /// Three that hold each other for there.
-fn three() -> Witness {
-    let mut all = Witness::new(3, 5 * S);
+fn three() -> MembershipObserver {
+    let mut all = MembershipObserver::new(3, 5 * S);
     (0..3).for_each(|who| all.runs(0, who, true));
     for (by, of) in (0..9)
         .map(|pair| (pair / 3, pair % 3))
         .filter(|(by, of)| by != of)
     {
-        all.holds(S, by, of, Held::Alive);
+        all.record_view(S, by, of, MemberView::Alive);
     }
     all
 }
@@ -20,19 +20,19 @@
 #[test]
 fn deaths_are_false_or_known() {
     let mut all = three();
-    all.holds(2 * S, 0, 1, Held::Dead);
-    all.holds(2 * S, 2, 1, Held::Dead);
-    all.holds(3 * S, 0, 1, Held::Alive);
-    all.holds(3 * S, 2, 1, Held::Alive);
-    all.stands_still(4 * S, 1, true);
-    all.holds(10 * S, 0, 1, Held::Dead);
-    all.stands_still(11 * S, 1, false);
-    all.holds(12 * S, 2, 1, Held::Dead);
-    all.holds(13 * S, 0, 1, Held::Alive);
-    all.holds(13 * S, 2, 1, Held::Alive);
+    all.record_view(2 * S, 0, 1, MemberView::Dead);
+    all.record_view(2 * S, 2, 1, MemberView::Dead);
+    all.record_view(3 * S, 0, 1, MemberView::Alive);
+    all.record_view(3 * S, 2, 1, MemberView::Alive);
+    all.paused_until(4 * S, 1, true);
+    all.record_view(10 * S, 0, 1, MemberView::Dead);
+    all.paused_until(11 * S, 1, false);
+    all.record_view(12 * S, 2, 1, MemberView::Dead);
+    all.record_view(13 * S, 0, 1, MemberView::Alive);
+    all.record_view(13 * S, 2, 1, MemberView::Alive);
     all.runs(20 * S, 2, false);
-    all.holds(21 * S, 0, 2, Held::Dead);
-    all.holds(23 * S, 1, 2, Held::Dead);
+    all.record_view(21 * S, 0, 2, MemberView::Dead);
+    all.record_view(23 * S, 1, 2, MemberView::Dead);
     all.runs(60 * S, 2, true);
     let end = all.end(70 * S, &[7_000, 0, 0], 70 * S);
     assert_eq!(
@@ -61,8 +61,8 @@
 fn what_was_not_heard_is_counted() {
     let mut all = three();
     all.runs(2 * S, 0, false);
-    all.holds(3 * S, 1, 0, Held::Dead);
-    all.ways(
+    all.record_view(3 * S, 1, 0, MemberView::Dead);
+    all.record_path_reports(
         3 * S,
         [
             (true, true, true),
@@ -73,5 +73,5 @@
     );
     let end = all.end(40 * S, &[0; 3], S);
     assert_eq!((end.never_known, end.known_by_all_ms.count), (1, 0));
-    assert_eq!(end.cuts_named, [(3.0, 0.0)]);
+    assert_eq!(end.partitions_reported, [(3.0, 0.0)]);
 }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,7 +1,7 @@
 //! Who decides in the balancers of a run.
 
-use crate::mind::BoxedMind;
-use crate::rivals::{Rival, Style};
+use crate::agent::BoxedAgent;
+use crate::baseline::{BaselineConfig, BaselinePolicy};
 use std::fmt;
 use std::str::FromStr;
 use woadstall_engine::{Engine, Settings, Time};
@@ -12,18 +12,18 @@
     /// The real engine with the real module.
     Woadstall,
     /// A rival.
-    Rival(Style),
+    Baseline(BaselineConfig),
 }
 
 impl Policy {
     /// A mind that knows no upstream yet. The settings are checked before.
-    pub fn mind(self, settings: Settings, seed: u64, now: Time) -> BoxedMind {
+    pub fn agent(self, settings: Settings, seed: u64, now: Time) -> BoxedAgent {
         match self {
             Self::Woadstall => match Engine::new(settings, seed, now) {
                 Ok(engine) => Box::new(engine),
                 Err(error) => unreachable!("settings were checked with the scenario: {error}"),
             },
-            Self::Rival(style) => Box::new(Rival::new(style, settings, seed)),
+            Self::Baseline(style) => Box::new(BaselinePolicy::new(style, settings, seed)),
         }
     }
 }
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Woadstall => f.write_str("woadstall"),
-            Self::Rival(style) => style.fmt(f),
+            Self::Baseline(style) => style.fmt(f),
         }
     }
 }
@@ -43,7 +43,7 @@
     fn from_str(text: &str) -> Result<Self, String> {
         match text {
             "woadstall" => Ok(Self::Woadstall),
-            rival => rival.parse().map(Self::Rival),
+            rival => rival.parse().map(Self::Baseline),
         }
     }
 }
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -18,13 +18,13 @@
     /// What a group of callers does beside arriving.
     Habits,
     /// A nodo.
-    Nodo,
+    Upstream,
     /// What a balancer's own seed comes from.
     Balancer,
     /// The network from a balancer.
     Network,
     /// The padron's word to a balancer.
-    Padron,
+    Registry,
     /// A fault in the script.
     Fault,
     /// The front.
--- a/crates/emulator/src/scenario/bound.rs
+++ b/crates/emulator/src/scenario/bound.rs
@@ -3,7 +3,7 @@
 
 use super::check::number;
 use super::{Scenario, Span};
-use crate::measure::{Counts, End, Step};
+use crate::measure::{Counts, RunResult, TimelineStep};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -14,13 +14,13 @@
     /// Its name.
     pub name: String,
     /// What is wanted.
-    pub what: Wanted,
+    pub what: Requirement,
 }
 
 /// What is wanted.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Wanted {
+pub enum Requirement {
     /// At least this part of the worth that is offered from one time to another is served.
     Served {
         /// From when on.
@@ -41,7 +41,8 @@
     },
     /// From a time on, at least this part of what was served before the first fault is served again within so
     /// long, over three steps together (or to the end, if that is sooner).
-    Back {
+    #[serde(rename = "back")]
+    Recovered {
         /// From when on.
         from: Span,
         /// The part.
@@ -50,7 +51,8 @@
         within: Span,
     },
     /// Balancers report something, by the first word of their log lines: at least so many lines within a time.
-    Told {
+    #[serde(rename = "told")]
+    LogLines {
         /// The word, as `zone` or `breaker`.
         topic: String,
         /// From when on.
@@ -71,7 +73,8 @@
         within: Span,
     },
     /// Within so long of a time, all of them that run hold all others for there, and still do when that is over.
-    Together {
+    #[serde(rename = "together")]
+    Agreement {
         /// From when on.
         from: Span,
         /// Within this time.
@@ -79,7 +82,8 @@
     },
     /// At a time, at least this part of the cut ways between them is named right by both sides; each that is named and
     /// is not cut counts against it.
-    CutsNamed {
+    #[serde(rename = "cuts-named")]
+    PartitionsReported {
         /// When.
         at: Span,
         /// The part.
@@ -117,7 +121,7 @@
 /// How a bound was kept.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Kept {
+pub struct BoundResult {
     /// Its name.
     pub name: String,
     /// The least or most that was wanted; seconds for a return.
@@ -128,7 +132,7 @@
     pub kept: bool,
 }
 
-impl fmt::Display for Kept {
+impl fmt::Display for BoundResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seen = self
             .seen
@@ -145,7 +149,7 @@
 /// Steps that show a return.
 const IN_A_ROW: usize = 3;
 
-fn sum(steps: &[Step], from: f64, until: f64) -> Counts {
+fn sum(steps: &[TimelineStep], from: f64, until: f64) -> Counts {
     let mut sum = Counts::default();
     // A step that is in the window by its middle counts.
     let mut before = 0.0;
@@ -157,8 +161,8 @@
         }
         sum.offered += step.counts.offered;
         sum.refused += step.counts.refused;
-        sum.worth += step.counts.worth;
-        sum.worth_offered += step.counts.worth_offered;
+        sum.value += step.counts.value;
+        sum.value_offered += step.counts.value_offered;
     }
     sum
 }
@@ -174,20 +178,20 @@
             false => Err("`until` is not after `from`, or after the end of the run".to_owned()),
         };
         match &self.what {
-            Wanted::Served { from, until, least } => {
+            Requirement::Served { from, until, least } => {
                 window(from, until).and_then(|()| number("least", *least, 0.0, 1.0))
             }
-            Wanted::Refused { from, until, most } => {
+            Requirement::Refused { from, until, most } => {
                 window(from, until).and_then(|()| number("most", *most, 0.0, 1.0))
             }
-            Wanted::Back { from, part, .. } => {
+            Requirement::Recovered { from, part, .. } => {
                 window(from, &scenario.time)?;
                 if scenario.first_fault() <= scenario.warm_up {
                     return Err("`back`: no time before the first fault to compare with".into());
                 }
                 number("part", *part, 0.0, 1.0)
             }
-            Wanted::Told { from, least, .. } => {
+            Requirement::LogLines { from, least, .. } => {
                 window(from, &scenario.time)?;
                 if *least == 0 {
                     Err("`least` is 0, which always holds".into())
@@ -195,21 +199,23 @@
                     Ok(())
                 }
             }
-            Wanted::Attempts { most } => number("most", *most, 0.0, 1e6),
+            Requirement::Attempts { most } => number("most", *most, 0.0, 1e6),
             _ if scenario.members.is_none() => {
                 Err("there is no `[members]`: balancers do not speak".into())
             }
-            Wanted::FalseDeaths { .. } | Wanted::DeathsKnown { .. } => Ok(()),
-            Wanted::Out { .. } | Wanted::Stays { .. } if scenario.evacuation.is_none() => {
+            Requirement::FalseDeaths { .. } | Requirement::DeathsKnown { .. } => Ok(()),
+            Requirement::Out { .. } | Requirement::Stays { .. }
+                if scenario.evacuation.is_none() =>
+            {
                 Err("there is no `[evacuation]`: balancers leave nothing together".into())
             }
-            Wanted::Out {
+            Requirement::Out {
                 zone, from, part, ..
             } => {
                 scenario.zone(&Some(zone.clone()))?;
                 window(from, &scenario.time).and_then(|()| number("part", *part, 0.0, 1.0))
             }
-            Wanted::Stays {
+            Requirement::Stays {
                 zone,
                 from,
                 until,
@@ -218,34 +224,34 @@
                 scenario.zone(&Some(zone.clone()))?;
                 window(from, until).and_then(|()| number("most", *most, 0.0, 1.0))
             }
-            Wanted::Together { from, .. } => window(from, &scenario.time),
-            Wanted::CutsNamed { at, least } => {
+            Requirement::Agreement { from, .. } => window(from, &scenario.time),
+            Requirement::PartitionsReported { at, least } => {
                 window(at, &scenario.time).and_then(|()| number("least", *least, 0.0, 1.0))
             }
         }
     }
 
     /// How it was kept in a run.
-    pub fn judge(&self, scenario: &Scenario, end: &End) -> Kept {
+    pub fn judge(&self, scenario: &Scenario, end: &RunResult) -> BoundResult {
         let steps = &end.steps;
-        let kept = |wanted: f64, seen: Option<f64>, kept: bool| Kept {
+        let kept = |wanted: f64, seen: Option<f64>, kept: bool| BoundResult {
             name: self.name.clone(),
             wanted,
             seen,
             kept,
         };
         match &self.what {
-            Wanted::Served { from, until, least } => {
+            Requirement::Served { from, until, least } => {
                 let sum = sum(steps, from.seconds(), until.seconds());
-                let seen = part(sum.worth, sum.worth_offered);
+                let seen = part(sum.value, sum.value_offered);
                 kept(*least, seen, seen.is_some_and(|seen| seen >= *least))
             }
-            Wanted::Refused { from, until, most } => {
+            Requirement::Refused { from, until, most } => {
                 let sum = sum(steps, from.seconds(), until.seconds());
                 let seen = part(sum.refused as f64, sum.offered as f64);
                 kept(*most, seen, seen.is_some_and(|seen| seen <= *most))
             }
-            Wanted::Back {
+            Requirement::Recovered {
                 from,
                 part: level,
                 within,
@@ -255,7 +261,7 @@
                     scenario.warm_up.seconds(),
                     scenario.first_fault().seconds(),
                 );
-                let level = level * part(before.worth, before.worth_offered).unwrap_or(0.0);
+                let level = level * part(before.value, before.value_offered).unwrap_or(0.0);
                 let seen = self.back(steps, from.seconds(), scenario.time.seconds(), level);
                 kept(
                     within.seconds(),
@@ -263,7 +269,7 @@
                     seen.is_some_and(|seen| seen <= within.seconds()),
                 )
             }
-            Wanted::Told {
+            Requirement::LogLines {
                 topic,
                 from,
                 least,
@@ -283,7 +289,7 @@
                     seen.is_some_and(|seen| seen <= within.seconds()),
                 )
             }
-            Wanted::FalseDeaths { most } => {
+            Requirement::FalseDeaths { most } => {
                 let seen = end.members.as_ref().map(|members| members.false_deaths);
                 kept(
                     *most as f64,
@@ -291,7 +297,7 @@
                     seen.is_some_and(|seen| seen <= *most),
                 )
             }
-            Wanted::DeathsKnown { within } => {
+            Requirement::DeathsKnown { within } => {
                 let known = end
                     .members
                     .as_ref()
@@ -303,7 +309,7 @@
                     seen.is_some_and(|seen| seen <= within.seconds()),
                 )
             }
-            Wanted::Together { from, within } => {
+            Requirement::Agreement { from, within } => {
                 let (from, within) = (from.seconds(), *within);
                 let members = end.members.as_ref();
                 let seen =
@@ -314,15 +320,18 @@
                     seen.is_some_and(|seen| seen <= within.seconds()),
                 )
             }
-            Wanted::CutsNamed { at, least } => {
-                let looks = end.members.iter().flat_map(|members| &members.cuts_named);
+            Requirement::PartitionsReported { at, least } => {
+                let looks = end
+                    .members
+                    .iter()
+                    .flat_map(|members| &members.partitions_reported);
                 let seen = looks
                     .copied()
                     .find(|(when, _)| *when >= at.seconds())
                     .map(|(_, part)| part);
                 kept(*least, seen, seen.is_some_and(|seen| seen >= *least))
             }
-            Wanted::Out {
+            Requirement::Out {
                 zone,
                 from,
                 part,
@@ -336,7 +345,7 @@
                     seen.is_some_and(|seen| seen <= within.seconds()),
                 )
             }
-            Wanted::Stays {
+            Requirement::Stays {
                 zone,
                 from,
                 until,
@@ -346,7 +355,7 @@
                 let seen = out.map(|out| out.most_out(zone, from.seconds(), until.seconds()));
                 kept(*most, seen, seen.is_some_and(|seen| seen <= *most))
             }
-            Wanted::Attempts { most } => {
+            Requirement::Attempts { most } => {
                 let seen = part(end.counts.attempts as f64, end.counts.requests as f64);
                 kept(*most, seen, seen.is_some_and(|seen| seen <= *most))
             }
@@ -355,22 +364,22 @@
 
     /// How long after a time service was back at a level, over some steps together: in a single one chance and what
     /// was offered before weigh too much.
-    fn back(&self, steps: &[Step], from: f64, until: f64, level: f64) -> Option<f64> {
+    fn back(&self, steps: &[TimelineStep], from: f64, until: f64, level: f64) -> Option<f64> {
         let begins = std::iter::once(0.0).chain(steps.iter().map(|step| step.until));
-        let steps: Vec<(f64, &Step)> = begins.zip(steps).collect();
+        let steps: Vec<(f64, &TimelineStep)> = begins.zip(steps).collect();
         let after = steps.iter().position(|(_, step)| step.until > from)?;
         (after..steps.len())
             .filter(|&at| steps[at].0 < until)
             .find_map(|at| {
                 let row = &steps[at..steps.len().min(at + IN_A_ROW)];
-                let (worth, offered) =
-                    row.iter().fold((0.0, 0.0), |(worth, offered), (_, step)| {
+                let (value, offered) =
+                    row.iter().fold((0.0, 0.0), |(value, offered), (_, step)| {
                         (
-                            worth + step.counts.worth,
-                            offered + step.counts.worth_offered,
+                            value + step.counts.value,
+                            offered + step.counts.value_offered,
                         )
                     });
-                part(worth, offered)
+                part(value, offered)
                     .is_none_or(|part| part >= level)
                     .then_some((steps[at].0 - from).max(0.0))
             })
@@ -388,7 +397,7 @@
     }
 
     /// How the bounds were kept in a run.
-    pub fn judge(&self, end: &End) -> Vec<Kept> {
+    pub fn judge(&self, end: &RunResult) -> Vec<BoundResult> {
         self.bound
             .iter()
             .map(|bound| bound.judge(self, end))
--- a/crates/emulator/src/scenario/check.rs
+++ b/crates/emulator/src/scenario/check.rs
@@ -39,23 +39,23 @@
                 .service
                 .check()
                 .or_else(|text| wrong(format!("`service`: {text}")))?;
-            if class.aim.0 == 0 || class.deadline < class.aim {
+            if class.latency_target.0 == 0 || class.deadline < class.latency_target {
                 return wrong("`aim` must not be 0, nor `deadline` shorter".into());
             }
             if class.effect == CallEffect::Keyed && class.window.0 == 0 {
                 return wrong("`window` is missing: the class is keyed".into());
             }
-            number("worth", class.worth, 0.0, 1e6).or_else(wrong)?;
+            number("worth", class.value, 0.0, 1e6).or_else(wrong)?;
             number("bytes", class.bytes, 0.0, 1e9).or_else(wrong)?;
-            number("late-worth", class.late_worth, 0.0, 1.0).or_else(wrong)?;
+            number("late-worth", class.late_value, 0.0, 1.0).or_else(wrong)?;
         }
         for tenant in &self.tenant {
             number("quota", tenant.quota, 0.0, 1e9)
                 .map_err(|text| format!("tenant {}: {text}", tenant.name))?;
         }
         self.check_evacuation()?;
-        let (balancers, nodos) = self.sizes();
-        if nodos > u64::from(MOST_NODOS) || balancers > u64::from(MOST_BALANCERS) {
+        let (balancers, upstreams) = self.sizes();
+        if upstreams > u64::from(MOST_NODOS) || balancers > u64::from(MOST_BALANCERS) {
             return Err(format!(
                 "`tier`: at most {MOST_NODOS} nodos and {MOST_BALANCERS} balancers in all"
             ));
@@ -65,7 +65,7 @@
             if tier.workers == 0 || tier.cells == 0 {
                 return wrong("`workers` and `cells` must not be 0".into());
             }
-            match (tier.beside, self.caller_of(at)) {
+            match (tier.sidecar, self.caller_of(at)) {
                 (true, None) => return wrong("`beside`: no tier calls it".into()),
                 (true, Some(_)) if tier.balancers > 0 => {
                     return wrong(
@@ -82,12 +82,12 @@
             }
             if let Some(probed) = &tier.probed {
                 number("probed.price", probed.price, 0.0, 1.0).or_else(wrong)?;
-                if probed.patience.0 == 0 {
+                if probed.timeout.0 == 0 {
                     return wrong("`probed.patience` is 0".into());
                 }
             }
             number("start-capacity", tier.start_capacity, 0.01, 1.0).or_else(wrong)?;
-            number("tip-multiple", tier.tip_multiple, 0.1, 1e6).or_else(wrong)?;
+            number("tip-multiple", tier.overload_multiple, 0.1, 1e6).or_else(wrong)?;
             if let Some(calls) = &tier.calls {
                 number("calls.mean", calls.mean, 0.0, 100.0).or_else(wrong)?;
             }
@@ -99,7 +99,7 @@
                 .load
                 .check()
                 .or_else(|text| wrong(format!("`load`: {text}")))?;
-            number("heeds-advice", callers.heeds_advice, 0.0, 1.0).or_else(wrong)?;
+            number("heeds-advice", callers.honors_retry_after, 0.0, 1.0).or_else(wrong)?;
             for (class, share) in &callers.classes {
                 if self.class(class).is_none() {
                     return wrong(format!("`classes`: there is no class {class}"));
@@ -115,7 +115,7 @@
                 return wrong(format!("`tenant`: there is no tenant {tenant}"));
             }
             self.zone(&callers.zone).map(drop).or_else(wrong)?;
-            if callers.again != Again::Never
+            if callers.again != CallerRetries::Never
                 && matches!(callers.load, Load::Closed { think: Span(0), .. })
             {
                 return wrong("`load`: a crowd that asks again needs a `think` over 0".into());
@@ -143,17 +143,17 @@
         if let Some(front) = &self.front {
             number("front.uneven", front.uneven, 1.0, 1e4)?;
         }
-        if let Some(asked) = &self.padron.asked {
-            number("padron.asked.reads", asked.reads, 0.001, 1e9)?;
-            if asked.patience.0 == 0 || asked.within.0 == 0 {
+        if let Some(queries) = &self.registry.queries {
+            number("padron.asked.reads", queries.reads_per_second, 0.001, 1e9)?;
+            if queries.timeout.0 == 0 || queries.within.0 == 0 {
                 return Err("`padron.asked`: `patience` and `within` must not be 0".into());
             }
         }
         number("clocks.drift", self.clocks.drift, 0.0, 0.1)?;
-        number("limits.cross-price", self.limits.cross_price, 0.0, 1.0)?;
+        number("limits.cross-price", self.limits.cross_zone_cost, 0.0, 1.0)?;
         number(
             "limits.over-quota-worth",
-            self.limits.over_quota_worth,
+            self.limits.over_quota_value,
             0.0,
             1.0,
         )?;
@@ -173,13 +173,13 @@
                 return wrong(format!("`tier`: there is no tier {tier}"));
             }
             match &fault.what {
-                What::Slow(times) | What::SlowLink(times) => {
+                FaultKind::Slow(times) | FaultKind::SlowLink(times) => {
                     number("what", *times, 0.01, 1e4).or_else(wrong)?
                 }
-                What::Lost(part) | What::Resets(part) => {
+                FaultKind::Lost(part) | FaultKind::Resets(part) => {
                     number("what", *part, 0.0, 1.0).or_else(wrong)?
                 }
-                What::Errors { share, class } => {
+                FaultKind::Errors { share, class } => {
                     number("share", *share, 0.0, 1.0).or_else(wrong)?;
                     if let Some(class) = class
                         && self.class(class).is_none()
@@ -187,32 +187,34 @@
                         return wrong(format!("`class`: there is no class {class}"));
                     }
                 }
-                What::RollBalancers if fault.until.is_none() => {
+                FaultKind::RollBalancers if fault.until.is_none() => {
                     return wrong("`until` is missing: a roll has an end".into());
                 }
-                What::Restart { .. } | What::RollBalancers | What::Stall
+                FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::Stall
                     if fault
                         .tier
                         .as_ref()
                         .and_then(|name| self.tier(name))
-                        .is_some_and(|at| self.tier[at].beside) =>
+                        .is_some_and(|at| self.tier[at].sidecar) =>
                 {
                     return wrong("`tier`: its balancers go with their nodos".into());
                 }
-                What::CutTo | What::CutFrom | What::Link(_) if fault.zone.is_none() => {
+                FaultKind::PartitionTo | FaultKind::PartitionFrom | FaultKind::Link(_)
+                    if fault.zone.is_none() =>
+                {
                     return wrong(
                         "`zone` is missing: a cut has one, and a link begins in one".into(),
                     );
                 }
-                What::Link(link) => {
+                FaultKind::Link(link) => {
                     self.zone(&Some(link.to.clone())).map(drop).or_else(wrong)?;
                     number("loss", link.loss, 0.0, 1.0).or_else(wrong)?;
                 }
-                What::Between(_) if self.members.is_none() => {
+                FaultKind::Between(_) if self.members.is_none() => {
                     return wrong("there is no `[members]`: balancers do not speak".into());
                 }
-                What::Between(ill) => ill.check(self).or_else(wrong)?,
-                What::PowerLoss { .. } | What::Stop if fault.until.is_none() => {
+                FaultKind::Between(ill) => ill.check(self).or_else(wrong)?,
+                FaultKind::PowerLoss { .. } | FaultKind::Stop if fault.until.is_none() => {
                     return wrong(
                         "`until` is missing: power comes back, and what stands still goes on"
                             .into(),
@@ -222,9 +224,9 @@
             }
         }
         if let Some(members) = &self.members {
-            let (period, patience, suspicion) =
-                (members.period.0, members.patience.0, members.suspicion.0);
-            if period == 0 || patience == 0 || patience > period / 2 || suspicion < period {
+            let (period, timeout, suspicion) =
+                (members.period.0, members.timeout.0, members.suspicion.0);
+            if period == 0 || timeout == 0 || timeout > period / 2 || suspicion < period {
                 return Err(
                     "`members`: `patience` up to half of `period`, `suspicion` no shorter".into(),
                 );
--- a/crates/emulator/src/scenario/evacuating.rs
+++ b/crates/emulator/src/scenario/evacuation.rs
@@ -8,18 +8,19 @@
 /// Evacuation as a fleet, by the shipped crate in each balancer.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Evacuating {
+pub struct EvacuationConfig {
     /// How often each looks at what is known.
     pub every: Span,
     /// What liars say; none, if it is left out.
-    pub lie: Option<Lie>,
+    #[serde(rename = "lie")]
+    pub false_reporting: Option<FalseReporting>,
 }
 
-impl Default for Evacuating {
+impl Default for EvacuationConfig {
     fn default() -> Self {
         Self {
             every: Span(100 * MS),
-            lie: None,
+            false_reporting: None,
         }
     }
 }
@@ -27,17 +28,17 @@
 /// What some of the balancers say whatever they see.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Lie {
+pub struct FalseReporting {
     /// Part of the balancers that say it: the first of each zone.
     pub part: f64,
     /// What.
-    pub says: Says,
+    pub says: FalseReport,
 }
 
 /// What a liar says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Says {
+pub enum FalseReport {
     /// All calls fail, everywhere.
     AllBad,
     /// No call fails, anywhere.
@@ -57,8 +58,11 @@
         if evacuation.every.0 < MS {
             return Err("`evacuation.every` is shorter than a millisecond".into());
         }
-        evacuation.lie.as_ref().map_or(Ok(()), |lie| {
-            number("evacuation.lie.part", lie.part, 0.0, 1.0)
-        })
+        evacuation
+            .false_reporting
+            .as_ref()
+            .map_or(Ok(()), |false_reporting| {
+                number("evacuation.lie.part", false_reporting.part, 0.0, 1.0)
+            })
     }
 }
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -1,6 +1,6 @@
 //! Faults: what goes wrong, where and when.
 
-use super::members::BetweenIll;
+use super::members::MemberLinkFault;
 use super::one;
 use crate::units::Span;
 use serde::{Deserialize, Serialize};
@@ -25,10 +25,10 @@
     #[serde(default = "one")]
     pub part: f64,
     /// What it is.
-    pub what: What,
+    pub what: FaultKind,
     /// It comes again and again; read as so many faults that hit the same.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub again: Option<Repeats>,
+    pub again: Option<FaultRepetition>,
     /// Its place in the file, where others before it come again: what it hits is drawn by that.
     #[serde(skip)]
     pub place: Option<u32>,
@@ -37,7 +37,7 @@
 /// How a fault comes again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Repeats {
+pub struct FaultRepetition {
     /// From one beginning to the next.
     pub every: Span,
     /// How often in all.
@@ -83,9 +83,11 @@
     }
 
     /// What it does to all that goes from one zone to another, if it is of that way.
-    pub fn link(&self, from: Option<&String>, to: Option<&String>) -> Option<&LinkIll> {
+    pub fn link(&self, from: Option<&String>, to: Option<&String>) -> Option<&LinkFault> {
         match &self.what {
-            What::Link(link) if self.zone.as_ref() == from && Some(&link.to) == to => Some(link),
+            FaultKind::Link(link) if self.zone.as_ref() == from && Some(&link.to) == to => {
+                Some(link)
+            }
             _ => None,
         }
     }
@@ -94,7 +96,7 @@
 /// What goes wrong.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum What {
+pub enum FaultKind {
     /// Nodos die, work and all, and come back cold at the end.
     Kill {
         /// What they were at has taken effect, though no answer comes.
@@ -125,15 +127,19 @@
     /// Nodos turn everything away as full.
     Full,
     /// Nothing reaches the zone's nodos from other zones.
-    CutTo,
+    #[serde(rename = "cut-to")]
+    PartitionTo,
     /// Nothing comes back from the zone's nodos to other zones.
-    CutFrom,
+    #[serde(rename = "cut-from")]
+    PartitionFrom,
     /// Delays to and from the nodos are so many times longer.
     SlowLink(f64),
     /// The padron tells nothing.
-    PadronSilent,
+    #[serde(rename = "padron-silent")]
+    RegistrySilent,
     /// The padron lists nodos as gone that are well.
-    PadronWrong,
+    #[serde(rename = "padron-wrong")]
+    RegistryWrong,
     /// Balancers' clocks step forward.
     ClockStep(Span),
     /// Balancers restart: they know the list that they had so long ago.
@@ -143,10 +149,10 @@
         stale: Span,
         /// What they find of what they had written; where balancers are processes.
         #[serde(default)]
-        files: Files,
+        files: StoredFiles,
     },
     /// Balancers restart one after another, each at its part of the fault's time: it is dealt no new connections,
-    /// answers what it holds, and a new process takes its place. With `beside`, none: they go with their nodos.
+    /// answers what it holds, and a new process takes its place. With `sidecar`, none: they go with their nodos.
     RollBalancers,
     /// Balancers' processes stand still.
     Stall,
@@ -164,22 +170,22 @@
         over: Span,
         /// What they find of what they had written; where balancers are processes.
         #[serde(default = "lost")]
-        files: Files,
+        files: StoredFiles,
     },
     /// What goes from the fault's zone to another is hit, that of all tiers; the way back is not.
-    Link(LinkIll),
+    Link(LinkFault),
     /// What goes between balancers is hit.
-    Between(BetweenIll),
+    Between(MemberLinkFault),
 }
 
-fn lost() -> Files {
-    Files::Lost
+fn lost() -> StoredFiles {
+    StoredFiles::Lost
 }
 
 /// What a process finds where the one before it has written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Files {
+pub enum StoredFiles {
     /// All as it was.
     #[default]
     Kept,
@@ -196,12 +202,13 @@
 /// What is wrong with all that goes from one zone to another.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct LinkIll {
+pub struct LinkFault {
     /// The other zone.
     pub to: String,
     /// Nothing comes through.
     #[serde(default)]
-    pub cut: bool,
+    #[serde(rename = "cut")]
+    pub partitioned: bool,
     /// It takes so much longer.
     #[serde(default)]
     pub delay: Span,
--- a/crates/emulator/src/scenario/limits.rs
+++ b/crates/emulator/src/scenario/limits.rs
@@ -12,7 +12,8 @@
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// The longest advice that callers follow.
-    pub most_advice: Span,
+    #[serde(rename = "most-advice")]
+    pub max_retry_after: Span,
     /// Idle connections are closed after this time.
     pub idle: Span,
     /// How long a connection may take to come up.
@@ -22,9 +23,11 @@
     /// Upstreams speak HTTP/2: many attempts on one connection.
     pub http2: bool,
     /// What a crossing of zones costs, as part of a request's worth.
-    pub cross_price: f64,
+    #[serde(rename = "cross-price")]
+    pub cross_zone_cost: f64,
     /// Part of its worth that a request beyond its tenant's quota keeps.
-    pub over_quota_worth: f64,
+    #[serde(rename = "over-quota-worth")]
+    pub over_quota_value: f64,
 }
 
 impl Default for Limits {
@@ -32,13 +35,13 @@
         Self {
             attempts: 6,
             cancel: true,
-            most_advice: Span(SECOND),
+            max_retry_after: Span(SECOND),
             idle: Span(10 * SECOND),
             connect: Span(250 * MS),
             sockets: 0,
             http2: false,
-            cross_price: 0.02,
-            over_quota_worth: 0.2,
+            cross_zone_cost: 0.02,
+            over_quota_value: 0.2,
         }
     }
 }
@@ -78,36 +81,40 @@
 /// once it has asked.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Padron {
+pub struct RegistryConfig {
     /// After this time at the earliest ...
     pub delay: Span,
     /// ... and up to this much later.
     pub jitter: Span,
     /// A nodo that dies is taken off after this time.
-    pub notices: Span,
+    #[serde(rename = "notices")]
+    pub detection_delay: Span,
     /// It has to be asked, and then tells of changes until the balancer's process ends.
-    pub asked: Option<Asked>,
+    #[serde(rename = "asked")]
+    pub queries: Option<RegistryQueries>,
 }
 
 /// What a padron that has to be asked can do.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Asked {
+pub struct RegistryQueries {
     /// Reads a second, of all balancers together; they wait in turn.
-    pub reads: f64,
+    #[serde(rename = "reads")]
+    pub reads_per_second: f64,
     /// A read that would wait for longer fails.
-    pub patience: Span,
+    #[serde(rename = "patience")]
+    pub timeout: Span,
     /// How long ago a balancer counts as told of what it has not asked for.
     pub within: Span,
 }
 
-impl Default for Padron {
+impl Default for RegistryConfig {
     fn default() -> Self {
         Self {
             delay: Span(50 * MS),
             jitter: Span(200 * MS),
-            notices: Span(2 * SECOND),
-            asked: None,
+            detection_delay: Span(2 * SECOND),
+            queries: None,
         }
     }
 }
--- a/crates/emulator/src/scenario/load.rs
+++ b/crates/emulator/src/scenario/load.rs
@@ -8,7 +8,7 @@
 /// A group of callers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Callers {
+pub struct CallerGroup {
     /// Its name.
     pub name: String,
     /// Its classes, with the share of each.
@@ -20,10 +20,11 @@
     pub load: Load,
     /// What they do where they get no answer.
     #[serde(default)]
-    pub again: Again,
+    pub again: CallerRetries,
     /// Part of them that waits as long as a refusal advises.
     #[serde(default = "one")]
-    pub heeds_advice: f64,
+    #[serde(rename = "heeds-advice")]
+    pub honors_retry_after: f64,
     /// The zone they are in; in all, if it is left out.
     #[serde(default)]
     pub zone: Option<String>,
@@ -56,7 +57,7 @@
 }
 
 impl Load {
-    /// Calls a second at a time; none for a crowd.
+    /// DownstreamCalls a second at a time; none for a crowd.
     pub fn rate(&self, at: u64) -> f64 {
         match self {
             Self::Constant(rate) => *rate,
@@ -133,7 +134,7 @@
 /// What callers do where they get no answer: within their time, and only where they may.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Again {
+pub enum CallerRetries {
     /// They leave it at that.
     #[default]
     Never,
@@ -160,7 +161,7 @@
     },
 }
 
-impl Again {
+impl CallerRetries {
     /// How long a caller waits before it asks again after so many tries; `None` if it does not. `draw` gives a
     /// number from 0 to 1.
     pub fn wait(&self, tries: u32, draw: impl FnOnce() -> f64) -> Option<u64> {
--- a/crates/emulator/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -1,41 +1,44 @@
 //! Balancers that speak with each other, and what goes wrong between them.
 
 use super::check::number;
-use super::{Fault, Scenario, What};
+use super::{Fault, FaultKind, Scenario};
 use crate::units::{SECOND, Span};
 use serde::{Deserialize, Serialize};
 
 /// Membership among all balancers of a run; without it they have no way to speak.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Members {
+pub struct MembershipConfig {
     /// Each probes one other each time this is over.
     pub period: Span,
     /// Then others are asked to.
-    pub patience: Span,
+    #[serde(rename = "patience")]
+    pub timeout: Span,
     /// One that nobody hears is suspected for so long at least.
     pub suspicion: Span,
     /// Pauses that are to be borne: one that stood still for longer may be called dead.
-    pub pauses: Span,
+    #[serde(rename = "pauses")]
+    pub tolerated_pause: Span,
     /// Plain SWIM, for comparisons: without local health, directions, and anything that holds judgement back.
-    pub plain: bool,
+    #[serde(rename = "plain")]
+    pub plain_swim: bool,
 }
 
-impl Default for Members {
+impl Default for MembershipConfig {
     fn default() -> Self {
         let usual = woadstall_membership::Settings::default();
         let span = |time: std::time::Duration| Span(time.as_nanos() as u64);
-        let (period, patience, suspicion) = (
+        let (period, timeout, suspicion) = (
             span(usual.probe_interval),
             span(usual.probe_timeout),
             span(usual.suspicion_timeout),
         );
         Self {
             period,
-            patience,
+            timeout,
             suspicion,
-            pauses: Span(5 * SECOND),
-            plain: usual.plain_swim,
+            tolerated_pause: Span(5 * SECOND),
+            plain_swim: usual.plain_swim,
         }
     }
 }
@@ -57,13 +60,14 @@
 /// or, where it hits all, all of them.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct BetweenIll {
+pub struct MemberLinkFault {
     /// The others' zone.
     pub to: Option<String>,
     /// Which way.
     pub way: Direction,
     /// Nothing comes through.
-    pub cut: bool,
+    #[serde(rename = "cut")]
+    pub partitioned: bool,
     /// It takes so much longer.
     pub delay: Span,
     /// Part of it that is lost.
@@ -76,13 +80,13 @@
     pub bridges: u32,
 }
 
-impl Default for BetweenIll {
+impl Default for MemberLinkFault {
     fn default() -> Self {
-        let (to, way, cut, delay) = (None, Direction::There, false, Span(0));
+        let (to, way, partitioned, delay) = (None, Direction::There, false, Span(0));
         Self {
             to,
             way,
-            cut,
+            partitioned,
             delay,
             loss: 0.0,
             doubled: 0.0,
@@ -94,9 +98,9 @@
 
 /// What goes from one balancer to another, under all that hits it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Among {
+pub struct MemberLink {
     /// Nothing comes through.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Time under way, in nanoseconds, before jitter.
     pub delay: u64,
     /// Part that is lost.
@@ -107,7 +111,7 @@
     pub overtaken: f64,
 }
 
-impl BetweenIll {
+impl MemberLinkFault {
     pub(super) fn check(&self, scenario: &Scenario) -> Result<(), String> {
         scenario.zone(&self.to)?;
         number("loss", self.loss, 0.0, 1.0)?;
@@ -154,30 +158,30 @@
         to: (u32, u8),
         all: usize,
         faults: impl Iterator<Item = (&'a Fault, &'a [u32])>,
-    ) -> Among {
+    ) -> MemberLink {
         let network = &self.network;
         let base = if from.1 == to.1 {
             network.within
         } else {
             network.across
         };
-        let mut among = Among {
+        let mut among = MemberLink {
             delay: base.0,
             loss: network.loss,
-            ..Among::default()
+            ..MemberLink::default()
         };
         for (fault, hit) in faults {
-            if let What::Between(ill) = &fault.what {
+            if let FaultKind::Between(ill) = &fault.what {
                 let zone = self.zone(&ill.to).unwrap_or(None);
                 if ill.hits(hit, all, zone, from, to) {
-                    among.cut |= ill.cut;
+                    among.partitioned |= ill.partitioned;
                     among.delay += ill.delay.0;
                     among.loss = among.loss.max(ill.loss);
                     among.doubled = among.doubled.max(ill.doubled);
                     among.overtaken = among.overtaken.max(ill.overtaken);
                 }
             } else if let Some(link) = fault.link(self.zone_name(from.1), self.zone_name(to.1)) {
-                among.cut |= link.cut;
+                among.partitioned |= link.partitioned;
                 among.delay += link.delay.0;
                 among.loss = among.loss.max(link.loss);
             }
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -3,7 +3,7 @@
 
 mod bound;
 mod check;
-mod evacuating;
+mod evacuation;
 mod fault;
 mod limits;
 mod load;
@@ -11,13 +11,13 @@
 mod settings;
 mod tiers;
 
-pub use bound::{Bound, Kept, Wanted};
-pub use evacuating::{Evacuating, Lie, Says};
-pub use fault::{Fault, Files, LinkIll, What};
-pub use limits::{Asked, Clocks, Limits, Network, Padron};
-pub use load::{Again, Callers, Load, by_share};
-pub use members::{Among, BetweenIll, Direction, Members};
-pub use tiers::{Calls, Connections, Dealing, Order, Probed, Tier};
+pub use bound::{Bound, BoundResult, Requirement};
+pub use evacuation::{EvacuationConfig, FalseReport, FalseReporting};
+pub use fault::{Fault, FaultKind, LinkFault, StoredFiles};
+pub use limits::{Clocks, Limits, Network, RegistryConfig, RegistryQueries};
+pub use load::{CallerGroup, CallerRetries, Load, by_share};
+pub use members::{Direction, MemberLink, MemberLinkFault, MembershipConfig};
+pub use tiers::{Connections, DownstreamCalls, FrontConfig, ProbeConfig, QueueOrder, Tier};
 
 use crate::random::Dist;
 use crate::units::{SECOND, Span};
@@ -30,15 +30,15 @@
 
 /// What is wrong with a scenario.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Error(String);
+pub struct ScenarioError(String);
 
-impl fmt::Display for Error {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Error {}
+impl std::error::Error for ScenarioError {}
 
 /// A whole scenario.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
@@ -67,10 +67,10 @@
     /// The tiers; the first serves the callers.
     pub tier: Vec<Tier>,
     /// Groups of callers.
-    pub callers: Vec<Callers>,
+    pub callers: Vec<CallerGroup>,
     /// The front that deals out callers' connections; without one, each call goes to any balancer that is there.
     #[serde(default)]
-    pub front: Option<Dealing>,
+    pub front: Option<FrontConfig>,
     /// What balancers may do.
     #[serde(default)]
     pub limits: Limits,
@@ -79,16 +79,17 @@
     pub network: Network,
     /// How the list of nodos reaches the balancers.
     #[serde(default)]
-    pub padron: Padron,
+    #[serde(rename = "padron")]
+    pub registry: RegistryConfig,
     /// The balancers' clocks.
     #[serde(default)]
     pub clocks: Clocks,
     /// Membership among the balancers; none, if it is left out.
     #[serde(default)]
-    pub members: Option<Members>,
+    pub members: Option<MembershipConfig>,
     /// Leaving nodos, zones and regions as a fleet; needs `members`.
     #[serde(default)]
-    pub evacuation: Option<Evacuating>,
+    pub evacuation: Option<EvacuationConfig>,
     /// Faults, in any order.
     #[serde(default)]
     pub fault: Vec<Fault>,
@@ -119,15 +120,18 @@
     #[serde(default)]
     pub window: Span,
     /// An answer within this earns the full worth.
-    pub aim: Span,
+    #[serde(rename = "aim")]
+    pub latency_target: Span,
     /// The caller waits for no longer.
     pub deadline: Span,
     /// Worth of an answer.
     #[serde(default = "one")]
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Part of it that a late answer earns.
     #[serde(default)]
-    pub late_worth: f64,
+    #[serde(rename = "late-worth")]
+    pub late_value: f64,
     /// How long a warm nodo works on it.
     pub service: Dist,
     /// Bytes of its body, which the network takes its time for.
@@ -176,21 +180,22 @@
 
 impl Scenario {
     /// Reads one. The error names the line and the key.
-    pub fn read(text: &str) -> Result<Self, Error> {
-        let mut scenario: Self = toml::from_str(text).map_err(|error| Error(error.to_string()))?;
+    pub fn read(text: &str) -> Result<Self, ScenarioError> {
+        let mut scenario: Self =
+            toml::from_str(text).map_err(|error| ScenarioError(error.to_string()))?;
         let faults = std::mem::take(&mut scenario.fault).into_iter().zip(0..);
         for (fault, place) in faults {
             scenario
                 .fault
-                .extend(fault.each_time(place).map_err(Error)?);
+                .extend(fault.each_time(place).map_err(ScenarioError)?);
         }
         scenario.check()?;
         Ok(scenario)
     }
 
     /// Refuses what makes no sense.
-    pub fn check(&self) -> Result<(), Error> {
-        self.faults().map_err(Error)
+    pub fn check(&self) -> Result<(), ScenarioError> {
+        self.faults().map_err(ScenarioError)
     }
 
     /// The tier whose nodos call this one.
@@ -220,10 +225,10 @@
 
     /// How many balancers send to a tier.
     pub fn senders(&self, tier: usize) -> u32 {
-        match self.tier[tier].beside {
+        match self.tier[tier].sidecar {
             true => self
                 .caller_of(tier)
-                .map_or(0, |caller| self.tier[caller].nodos),
+                .map_or(0, |caller| self.tier[caller].upstreams),
             false => self.tier[tier].balancers,
         }
     }
@@ -235,7 +240,7 @@
             .sum();
         (
             balancers,
-            self.tier.iter().map(|tier| u64::from(tier.nodos)).sum(),
+            self.tier.iter().map(|tier| u64::from(tier.upstreams)).sum(),
         )
     }
 
@@ -245,7 +250,7 @@
     }
 
     /// The classes that a group of callers calls, by position, with the share of each.
-    pub fn mix(&self, callers: &Callers) -> Vec<(f64, usize)> {
+    pub fn mix(&self, callers: &CallerGroup) -> Vec<(f64, usize)> {
         let classes = callers.classes.iter();
         classes
             .filter_map(|(name, share)| Some((*share, self.class(name)?)))
--- a/crates/emulator/src/scenario/settings.rs
+++ b/crates/emulator/src/scenario/settings.rs
@@ -8,7 +8,7 @@
     /// What a balancer of a tier is told at its start.
     pub fn settings(&self, tier: usize, zone: u8) -> Settings {
         let class = |class: &CallClass| Class {
-            latency_target: class.aim.0,
+            latency_target: class.latency_target.0,
             latency_target_stretch: 0.0,
             deadline: class.deadline.0,
             effect: match class.effect {
@@ -23,8 +23,8 @@
                     Effect::Keyed(group, class.window.0)
                 }
             },
-            late_value: class.late_worth,
-            value: class.worth,
+            late_value: class.late_value,
+            value: class.value,
         };
         let (depth, siblings, tier) = (self.depth(tier), self.senders(tier), &self.tier[tier]);
         Settings {
@@ -36,25 +36,29 @@
                     quota_rps: tenant.quota,
                 })
                 .collect(),
-            over_quota_value: self.limits.over_quota_worth,
+            over_quota_value: self.limits.over_quota_value,
             value_by_work: false,
             zone: ZoneId(zone),
             zones: self.zones.len(),
             balancers: siblings,
             tier: depth,
             propagates_deadline: true,
-            subscribes_to_discovery: self.padron.asked.is_some(),
-            subscribe_within: self.padron.asked.as_ref().map_or(0, |asked| asked.within.0),
+            subscribes_to_discovery: self.registry.queries.is_some(),
+            subscribe_within: self
+                .registry
+                .queries
+                .as_ref()
+                .map_or(0, |queries| queries.within.0),
             may_cancel: self.limits.cancel,
-            max_retry_after: self.limits.most_advice.0,
+            max_retry_after: self.limits.max_retry_after.0,
             max_attempts: self.limits.attempts,
             idle_timeout: self.limits.idle.0.max(1),
             slow_start_capacity: tier.start_capacity,
-            slow_start_overload: tier.tip_multiple,
-            slow_start_window: tier.ramp.0,
+            slow_start_overload: tier.overload_multiple,
+            slow_start_window: tier.slow_start_window.0,
             in_flight_report_field: tier.probed.is_some().then_some(0),
             probes_for_load: tier.probed.is_some(),
-            cross_zone_cost: self.limits.cross_price,
+            cross_zone_cost: self.limits.cross_zone_cost,
             probe_cost: tier.probed.as_ref().map_or(0.0, |probed| probed.price),
         }
     }
--- a/crates/emulator/src/scenario/tiers.rs
+++ b/crates/emulator/src/scenario/tiers.rs
@@ -9,14 +9,16 @@
 pub struct Tier {
     /// Its name.
     pub name: String,
-    /// How many balancers send to it; they stand in the zones in turn. With `beside`, there is none to say.
+    /// How many balancers send to it; they stand in the zones in turn. With `sidecar`, there is none to say.
     #[serde(default)]
     pub balancers: u32,
     /// Each nodo of the tier before has a balancer of its own for its calls, which dies and starts with it.
     #[serde(default)]
-    pub beside: bool,
+    #[serde(rename = "beside")]
+    pub sidecar: bool,
     /// How many nodos it has; they stand in the zones in turn.
-    pub nodos: u32,
+    #[serde(rename = "nodos")]
+    pub upstreams: u32,
     /// Requests that a nodo works on at a time.
     #[serde(default = "four")]
     pub workers: u32,
@@ -25,7 +27,7 @@
     pub queue: u32,
     /// Which of them is next.
     #[serde(default)]
-    pub order: Order,
+    pub order: QueueOrder,
     /// Cells, in which the nodos stand in turn.
     #[serde(default = "one_cell")]
     pub cells: u16,
@@ -33,23 +35,25 @@
     #[serde(default = "third")]
     pub start_capacity: f64,
     /// A nodo is warm after this time.
-    #[serde(default = "ramp")]
-    pub ramp: Span,
+    #[serde(default = "slow_start_window")]
+    #[serde(rename = "ramp")]
+    pub slow_start_window: Span,
     /// A cold nodo falls over where it is sent more than this multiple of what it can do for 3 s.
-    #[serde(default = "tip")]
-    pub tip_multiple: f64,
+    #[serde(default = "overload_multiple")]
+    #[serde(rename = "tip-multiple")]
+    pub overload_multiple: f64,
     /// All nodos start cold.
     #[serde(default)]
     pub cold: bool,
     /// Its nodos call another tier.
     #[serde(default)]
-    pub calls: Option<Calls>,
+    pub calls: Option<DownstreamCalls>,
     /// What connections cost its nodos.
     #[serde(default)]
     pub connections: Connections,
     /// Its nodos tell how many requests they hold when they are probed.
     #[serde(default)]
-    pub probed: Option<Probed>,
+    pub probed: Option<ProbeConfig>,
 }
 
 /// What connections cost a nodo.
@@ -77,29 +81,31 @@
 /// What probes cost.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Probed {
+pub struct ProbeConfig {
     /// The price that balancers are told, as part of a request's worth.
     pub price: f64,
     /// One that is not answered has failed after this time.
-    pub patience: Span,
+    #[serde(rename = "patience")]
+    pub timeout: Span,
 }
 
 /// How callers' connections are dealt out.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Dealing {
+pub struct FrontConfig {
     /// It goes on dealing to a dead balancer for this time.
-    pub notices: Span,
+    #[serde(rename = "notices")]
+    pub detection_delay: Span,
     /// Some balancers get up to so many times as many connections as others.
     pub uneven: f64,
     /// Callers close connections that have idled for this time.
     pub kept: Span,
 }
 
-impl Default for Dealing {
+impl Default for FrontConfig {
     fn default() -> Self {
         Self {
-            notices: Span(3 * SECOND),
+            detection_delay: Span(3 * SECOND),
             uneven: 1.0,
             kept: Span(15 * SECOND),
         }
@@ -122,18 +128,18 @@
     0.3
 }
 
-fn ramp() -> Span {
+fn slow_start_window() -> Span {
     Span(8_400 * MS)
 }
 
-fn tip() -> f64 {
+fn overload_multiple() -> f64 {
     2.5
 }
 
 /// Which request in a queue is next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Order {
+pub enum QueueOrder {
     /// The oldest.
     #[default]
     Fifo,
@@ -141,10 +147,10 @@
     Lifo,
 }
 
-/// Calls of a nodo to the next tier, for each request that it works on.
+/// DownstreamCalls of a nodo to the next tier, for each request that it works on.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Calls {
+pub struct DownstreamCalls {
     /// The tier.
     pub tier: String,
     /// How many on average, all at once; up to two more or less.
--- a/crates/emulator/src/nodo.rs
+++ b/crates/emulator/src/upstream.rs
@@ -1,7 +1,7 @@
 //! A nodo: workers, a queue, a cold start, and what can be wrong with it. Handed its time and its randomness.
 
 use crate::random::{Dist, chance};
-use crate::scenario::{Order, Tier};
+use crate::scenario::{QueueOrder, Tier};
 use crate::units::SECOND;
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -12,9 +12,9 @@
 
 /// What is wrong with a nodo at present.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ills {
+pub struct UpstreamFaults {
     /// It works so many times slower.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Part of the requests that get errors, and the class if it is but one.
     pub errors: Vec<(f64, Option<usize>)>,
     /// Part of the answers that are lost.
@@ -22,33 +22,33 @@
     /// Part of the connections that break.
     pub resets: f64,
     /// It takes requests and says nothing.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// It turns everything away.
     pub full: bool,
     /// Its process stands still.
     pub stopped: bool,
     /// Delays to and from it are so many times longer.
-    pub far: f64,
+    pub delay_factor: f64,
 }
 
-impl Default for Ills {
+impl Default for UpstreamFaults {
     fn default() -> Self {
         Self {
-            slow: 1.0,
+            slowdown: 1.0,
             errors: Vec::new(),
             lost: 0.0,
             resets: 0.0,
-            silent: false,
+            unresponsive: false,
             full: false,
             stopped: false,
-            far: 1.0,
+            delay_factor: 1.0,
         }
     }
 }
 
 /// A nodo, over all its processes.
 #[derive(Debug)]
-pub struct Nodo {
+pub struct Upstream {
     /// Its name.
     pub name: String,
     /// Its tier.
@@ -68,18 +68,18 @@
     /// When that started; `None` if it was warm from the start.
     pub started: Option<Time>,
     /// It fell over, and whoever runs it has not seen to that yet.
-    pub toppled: bool,
+    pub overloaded: bool,
     /// What is wrong with it.
-    pub ills: Ills,
+    pub active_faults: UpstreamFaults,
     /// Its random numbers.
     pub rng: ChaCha8Rng,
     workers: u32,
     busy: u32,
     room: u32,
-    order: Order,
+    order: QueueOrder,
     start_capacity: f64,
-    ramp: Time,
-    tip: f64,
+    slow_start_window: Time,
+    overload_multiple: f64,
     /// Connections to its process, and how many it accepts.
     connections: u32,
     most_connections: u32,
@@ -90,7 +90,7 @@
 
 /// What becomes of a request that reaches a nodo.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     /// It is worked on.
     Begun,
     /// It waits.
@@ -99,7 +99,7 @@
     Full,
 }
 
-impl Nodo {
+impl Upstream {
     /// A nodo of a tier, warm or cold.
     pub fn new(
         name: String,
@@ -119,16 +119,16 @@
             draining: false,
             process: 0,
             started: like.cold.then_some(0),
-            toppled: false,
-            ills: Ills::default(),
+            overloaded: false,
+            active_faults: UpstreamFaults::default(),
             rng,
             workers: like.workers,
             busy: 0,
             room: like.queue,
             order: like.order,
             start_capacity: like.start_capacity,
-            ramp: like.ramp.0,
-            tip: like.tip_multiple,
+            slow_start_window: like.slow_start_window.0,
+            overload_multiple: like.overload_multiple,
             connections: 0,
             most_connections: like.connections.most,
             queue: VecDeque::new(),
@@ -156,7 +156,7 @@
     }
 
     /// Requests that it holds.
-    pub fn held(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         self.busy + self.queue.len() as u32
     }
 
@@ -170,42 +170,46 @@
         let Some(started) = self.started else {
             return 1.0;
         };
-        let age = now.saturating_sub(started) as f64 / self.ramp.max(1) as f64;
+        let age = now.saturating_sub(started) as f64 / self.slow_start_window.max(1) as f64;
         (self.start_capacity + (1.0 - self.start_capacity) * age).min(1.0)
     }
 
     /// What it can do at present, in workers of a sound warm one.
     pub fn speed(&self, now: Time) -> f64 {
-        match self.alive && !self.ills.silent && !self.ills.full && !self.ills.stopped {
-            true => f64::from(self.workers) * self.warmth(now) / self.ills.slow,
+        match self.alive
+            && !self.active_faults.unresponsive
+            && !self.active_faults.full
+            && !self.active_faults.stopped
+        {
+            true => f64::from(self.workers) * self.warmth(now) / self.active_faults.slowdown,
             false => 0.0,
         }
     }
 
     /// A request has come. Room in the queue is that of requests that still wait.
-    pub fn take(&mut self, request: u64) -> Taken {
-        if self.ills.full {
-            Taken::Full
+    pub fn take(&mut self, request: u64) -> Admission {
+        if self.active_faults.full {
+            Admission::Full
         } else if self.busy < self.workers {
             self.busy += 1;
-            Taken::Begun
+            Admission::Begun
         } else if self.queue.len() < self.room as usize {
             self.queue.push_back(request);
-            Taken::Queued
+            Admission::Queued
         } else {
-            Taken::Full
+            Admission::Full
         }
     }
 
     /// How long it takes for a request that it begins now.
     pub fn service(&mut self, now: Time, service: &Dist) -> Time {
         let work = service.draw(&mut self.rng);
-        (work * self.ills.slow / self.warmth(now)).clamp(1.0, 1e18) as Time
+        (work * self.active_faults.slowdown / self.warmth(now)).clamp(1.0, 1e18) as Time
     }
 
     /// How long other work takes it, slow and cold as it is.
     pub fn overhead(&self, now: Time, work: Time) -> Time {
-        (work as f64 * self.ills.slow / self.warmth(now)) as Time
+        (work as f64 * self.active_faults.slowdown / self.warmth(now)) as Time
     }
 
     /// One more connection; `false` if it has no place for it.
@@ -231,8 +235,8 @@
     pub fn next(&mut self, mut waits: impl FnMut(u64) -> bool) -> Option<u64> {
         loop {
             let next = match self.order {
-                Order::Fifo => self.queue.pop_front(),
-                Order::Lifo => self.queue.pop_back(),
+                QueueOrder::Fifo => self.queue.pop_front(),
+                QueueOrder::Lifo => self.queue.pop_back(),
             };
             match next {
                 Some(request) if waits(request) => return Some(request),
@@ -248,7 +252,7 @@
     /// Whether this request is to get an error.
     pub fn errs(&mut self, class: usize) -> bool {
         let share = self
-            .ills
+            .active_faults
             .errors
             .iter()
             .filter(|(_, only)| only.is_none_or(|only| only == class));
@@ -260,7 +264,7 @@
     /// window, if that is over 1; `capacity` is the requests a second that it can do when warm.
     pub fn count_cold(&mut self, now: Time, capacity: f64) -> Option<f64> {
         let started = self.started?;
-        if now >= started + self.ramp + WINDOW {
+        if now >= started + self.slow_start_window + WINDOW {
             return None;
         }
         while self.came.front().is_some_and(|&at| at + WINDOW <= now) {
@@ -275,7 +279,7 @@
             .map(|step| warm(from + WINDOW * (2 * step + 1) / (2 * steps)))
             .sum();
         let can = capacity * sum / steps as f64 * WINDOW as f64 / 1e9;
-        let part = self.came.len() as f64 / (self.tip * can).max(1.0);
+        let part = self.came.len() as f64 / (self.overload_multiple * can).max(1.0);
         (part > 1.0).then_some(part)
     }
 }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 impl World<'_> {
-    pub(super) fn tell(&mut self, at: usize, input: Input<'_, Ticket, ()>) {
-        let local = self.balancers[at].local(self.agenda.now());
-        self.balancers[at].mind.handle(local, input);
-        while let Some(command) = self.balancers[at].mind.next_command() {
-            self.carry_out(at, command);
+    pub(super) fn handle_input(&mut self, at: usize, input: Input<'_, Ticket, ()>) {
+        let local = self.balancers[at].local(self.event_queue.now());
+        self.balancers[at].agent.handle(local, input);
+        while let Some(command) = self.balancers[at].agent.next_command() {
+            self.execute(at, command);
         }
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let balancer = &mut self.balancers[at];
-        if let Some(due) = balancer.mind.wake_at() {
+        if let Some(due) = balancer.agent.wake_at() {
             let due = balancer.world(due).max(now + RING);
             if due < balancer.planned {
                 balancer.planned = due;
-                self.agenda.at(
+                self.event_queue.at(
                     due,
-                    Event::Wake {
+                    Event::AgentTimer {
                         balancer: at as u32,
                         at: due,
                     },
@@ -26,27 +26,27 @@
         }
     }
 
-    pub(super) fn wake(&mut self, at: usize, planned: Time) {
+    pub(super) fn agent_timer(&mut self, at: usize, planned: Time) {
         if self.balancers[at].planned != planned || !self.balancers[at].alive {
             return; // an earlier one was planned since
         }
-        if let Some(until) = self.stands_still(at) {
+        if let Some(until) = self.paused_until(at) {
             self.balancers[at].planned = until;
             let balancer = at as u32;
-            return self.agenda.at(
+            return self.event_queue.at(
                 until,
-                Event::Wake {
+                Event::AgentTimer {
                     balancer,
                     at: until,
                 },
             );
         }
         self.balancers[at].planned = Time::MAX;
-        self.tell(at, Input::Tick);
+        self.handle_input(at, Input::Tick);
     }
 
-    pub(super) fn stands_still(&self, at: usize) -> Option<Time> {
-        Some(self.balancers[at].stalled_until).filter(|&until| until > self.agenda.now())
+    pub(super) fn paused_until(&self, at: usize) -> Option<Time> {
+        Some(self.balancers[at].stalled_until).filter(|&until| until > self.event_queue.now())
     }
 
     pub(super) fn stall_grace(&self, now: Time) -> Time {
@@ -60,13 +60,15 @@
 
     pub(super) fn stalled_most(&self) -> Time {
         let longest = |fault: &Fault| match fault.what {
-            What::Stall => fault.until.map_or(self.scenario.time.0, |until| until.0) - fault.at.0,
+            FaultKind::Stall => {
+                fault.until.map_or(self.scenario.time.0, |until| until.0) - fault.at.0
+            }
             _ => 0,
         };
         self.scenario.fault.iter().map(longest).max().unwrap_or(0)
     }
 
-    pub(super) fn carry_out(&mut self, at: usize, command: Command<Ticket, ()>) {
+    pub(super) fn execute(&mut self, at: usize, command: Command<Ticket, ()>) {
         match command {
             Command::SendAttempt(send) => self.send(at, &send),
             Command::CancelAttempt { id, attempt } => self.withdraw(id, attempt),
@@ -74,7 +76,7 @@
                 request: Ticket(request),
                 result: verdict,
             } => {
-                let now = self.agenda.now();
+                let now = self.event_queue.now();
                 let grace = self.stall_grace(now);
                 self.auditor.answered(now, request, &verdict, grace);
                 let Some(known) = self.requests.get_mut(request) else {
@@ -83,39 +85,39 @@
                 if std::mem::replace(&mut known.answered, true) {
                     return;
                 }
-                let wish = known.wish;
+                let client_call = known.client_call;
                 if matches!(verdict, CallResult::Rejected(_)) {
                     self.prices
-                        .pay(now, self.balancers[at].tier, Price::Refusals, at);
+                        .pay(now, self.balancers[at].tier, Cost::Refusals, at);
                 }
-                self.tell_story(wish, || {
+                self.record_story(client_call, || {
                     let text = story::result_text(&verdict);
                     format!("balancer {at} answers {text}")
                 });
-                self.answered_wish(wish, &verdict);
+                self.client_call_answered(client_call, &verdict);
                 self.forget_request(request);
             }
             Command::CloseIdleConnections(server) => self.close_idle(at, server, false),
             Command::RetireConnections(server) => self.close_idle(at, server, true),
             Command::Probe(peer) => self.probe(at, &peer),
-            Command::WatchDiscovery => self.read_list(at),
+            Command::WatchDiscovery => self.query_registry(at),
             Command::Log(line) => self.meter.log_line(&line),
         }
     }
 
     pub(super) fn forget_request(&mut self, request: u64) {
         let over = |request: &Request| request.answered && request.attempts == 0;
-        if let Some(wish) = self
+        if let Some(client_call) = self
             .requests
             .get(request)
             .filter(|r| over(r))
-            .map(|r| r.wish)
+            .map(|r| r.client_call)
         {
             self.requests.take(request);
-            if let Some(wish) = self.wishes.get_mut(wish) {
-                wish.requests -= 1;
+            if let Some(client_call) = self.client_calls.get_mut(client_call) {
+                client_call.requests -= 1;
             }
-            self.forget_wish(wish);
+            self.forget_client_call(client_call);
         }
     }
 
@@ -138,8 +140,8 @@
     pub(super) fn closed(&mut self, at: usize, host: usize, process: u32, count: u16) {
         let balancer = &mut self.balancers[at];
         balancer.open = balancer.open.saturating_sub(u32::from(count));
-        if let Some(&nodo) = self.hosts.get(host) {
-            self.nodos[nodo as usize].disconnect(process, u32::from(count));
+        if let Some(&upstream) = self.hosts.get(host) {
+            self.upstreams[upstream as usize].disconnect(process, u32::from(count));
         }
     }
 
@@ -162,7 +164,7 @@
         true
     }
 
-    pub(super) fn host_of(address: SocketAddr) -> u32 {
+    pub(super) fn host_by_address(address: SocketAddr) -> u32 {
         match address {
             SocketAddr::V4(address) => u32::from(*address.ip()) & 0x00ff_ffff,
             SocketAddr::V6(_) => 0,
@@ -170,10 +172,15 @@
     }
 
     /// What is wrong now with what goes to a nodo, or comes back.
-    fn link_ills(&self, at: usize, nodo: usize, to: bool) -> impl Iterator<Item = &LinkIll> {
+    fn link_faults(
+        &self,
+        at: usize,
+        upstream: usize,
+        to: bool,
+    ) -> impl Iterator<Item = &LinkFault> {
         let (now, there, here) = (
-            self.agenda.now(),
-            self.nodos[nodo].zone,
+            self.event_queue.now(),
+            self.upstreams[upstream].zone,
             self.balancers[at].zone,
         );
         let (from, into) = if to { (here, there) } else { (there, here) };
@@ -187,65 +194,72 @@
     }
 
     /// Whether a message gets lost by chance.
-    pub(super) fn is_lost(&mut self, at: usize, nodo: usize, to: bool) -> bool {
+    pub(super) fn is_lost(&mut self, at: usize, upstream: usize, to: bool) -> bool {
         let link = self
-            .link_ills(at, nodo, to)
+            .link_faults(at, upstream, to)
             .map(|link| link.loss)
             .fold(0.0, f64::max);
         let loss = self.scenario.network.loss.max(link);
         chance(&mut self.balancers[at].network, loss)
     }
 
-    pub(super) fn delay(&mut self, at: usize, nodo: usize, to: bool) -> Time {
-        let more: Time = self.link_ills(at, nodo, to).map(|link| link.delay.0).sum();
-        let (network, nodo) = (&self.scenario.network, &self.nodos[nodo]);
+    pub(super) fn delay(&mut self, at: usize, upstream: usize, to: bool) -> Time {
+        let more: Time = self
+            .link_faults(at, upstream, to)
+            .map(|link| link.delay.0)
+            .sum();
+        let (network, upstream) = (&self.scenario.network, &self.upstreams[upstream]);
         let balancer = &mut self.balancers[at];
-        let base = if balancer.zone == nodo.zone {
+        let base = if balancer.zone == upstream.zone {
             network.within
         } else {
             network.across
         };
         let jitter = 1.0 + network.jitter * balancer.network.random::<f64>();
-        (base.0 as f64 * jitter * nodo.ills.far) as Time + more
+        (base.0 as f64 * jitter * upstream.active_faults.delay_factor) as Time + more
     }
 
     /// Whether what goes to a zone's nodos, or comes back, is cut off.
-    pub(super) fn is_cut(&self, at: usize, nodo: usize, to: bool) -> bool {
-        let zone = self.nodos[nodo].zone;
-        let cut = self.balancers[at].zone != zone && self.cuts.contains(&(zone, to));
-        cut || self.link_ills(at, nodo, to).any(|link| link.cut)
+    pub(super) fn is_partitioned(&self, at: usize, upstream: usize, to: bool) -> bool {
+        let zone = self.upstreams[upstream].zone;
+        let partitioned = self.balancers[at].zone != zone && self.partitions.contains(&(zone, to));
+        partitioned
+            || self
+                .link_faults(at, upstream, to)
+                .any(|link| link.partitioned)
     }
 
     pub(super) fn send(&mut self, at: usize, send: &SendAttempt) {
-        let now = self.agenda.now();
-        let host = Self::host_of(send.to.address);
-        let request = self.request_of(send.id);
+        let now = self.event_queue.now();
+        let host = Self::host_by_address(send.to.address);
+        let request = self.request_by_id(send.id);
         self.auditor.sent(now, request, at, host);
-        let Some(&nodo) = self.hosts.get(host as usize) else {
+        let Some(&upstream) = self.hosts.get(host as usize) else {
             return;
         };
-        let nodo = nodo as usize;
+        let upstream = upstream as usize;
         let Some(known) = self.requests.get_mut(request) else {
             return;
         };
         known.attempts += 1;
-        let wish = known.wish;
-        let other_zone = self.balancers[at].zone != self.nodos[nodo].zone;
+        let client_call = known.client_call;
+        let other_zone = self.balancers[at].zone != self.upstreams[upstream].zone;
         self.meter.sent(send.attempt, other_zone, host);
         let tier = self.balancers[at].tier;
         if send.attempt > 0 {
-            self.prices.pay(now, tier, Price::Repeats, at);
+            self.prices.pay(now, tier, Cost::Retries, at);
         }
         if other_zone {
-            self.prices.pay(now, tier, Price::Crossings, at);
+            self.prices.pay(now, tier, Cost::Crossings, at);
         }
         let balancer = &mut self.balancers[at];
         if balancer.links.len() <= host as usize {
-            balancer
-                .links
-                .resize(self.hosts.len().max(host as usize + 1), Links::default());
+            balancer.links.resize(
+                self.hosts.len().max(host as usize + 1),
+                ConnectionPool::default(),
+            );
         }
-        let (there, process) = (&self.nodos[nodo], self.nodos[nodo].process);
+        let (there, process) = (&self.upstreams[upstream], self.upstreams[upstream].process);
         let server = send.to.server.0 as usize;
         if balancer.hosts.len() <= server {
             balancer.hosts.resize(server + 1, u32::MAX);
@@ -255,7 +269,7 @@
         let (mut closed, former) = (0, links.process);
         if links.process != process {
             closed = links.idle;
-            *links = Links {
+            *links = ConnectionPool {
                 epoch: links.epoch + 1,
                 process,
                 idle: 0,
@@ -276,11 +290,11 @@
         let mut crowded = false;
         if !kept && has_socket {
             self.balancers[at].open += 1;
-            crowded = self.nodos[nodo].alive && !self.nodos[nodo].connect();
+            crowded = self.upstreams[upstream].alive && !self.upstreams[upstream].connect();
             let price = if crowded {
-                Price::Crowded
+                Cost::ConnectionsRefused
             } else {
-                Price::Handshakes
+                Cost::Handshakes
             };
             self.prices.pay(now, tier, price, at);
             if crowded {
@@ -291,7 +305,7 @@
             request,
             number: send.attempt,
             balancer: at as u32,
-            nodo: nodo as u32,
+            upstream: upstream as u32,
             host,
             process,
             epoch,
@@ -307,26 +321,26 @@
         if let Some(known) = self.requests.get_mut(request) {
             known.out.push((send.attempt, number));
         }
-        let name = &self.nodos[nodo].name;
+        let name = &self.upstreams[upstream].name;
         let text = format!(
             "balancer {at} sends attempt {} to {name} (host {host})",
             send.attempt
         );
-        self.tell_story(wish, || text);
+        self.record_story(client_call, || text);
         let until = self.balancers[at].world(send.until);
-        self.agenda.at(until, Event::Until(number));
+        self.event_queue.at(until, Event::AttemptExpired(number));
         if !has_socket {
-            self.lose(number);
-            return self.agenda.after(
+            self.drop_attempt(number);
+            return self.event_queue.after(
                 0,
-                Event::Back {
+                Event::ResponseArrived {
                     attempt: number,
                     outcome: Outcome::Moot,
                 },
             );
         }
-        let way = self.delay(at, nodo, true);
-        let lost = self.is_lost(at, nodo, true);
+        let way = self.delay(at, upstream, true);
+        let lost = self.is_lost(at, upstream, true);
         let reset = chance(
             &mut self.balancers[at].network,
             self.scenario.network.resets,
@@ -334,61 +348,65 @@
         let trips = Time::from(self.scenario.tier[tier].connections.trips);
         let connect = if kept { 0 } else { 2 * way * trips };
         let bytes = self
-            .wishes
-            .get(wish)
-            .map_or(0.0, |wish| self.scenario.class[wish.class].bytes);
+            .client_calls
+            .get(client_call)
+            .map_or(0.0, |client_call| {
+                self.scenario.class[client_call.class].bytes
+            });
         let rate = self.scenario.network.bytes_per_second;
         let body = if rate > 0.0 {
             (bytes / rate * 1e9) as Time
         } else {
             0
         };
-        let alive = self.nodos[nodo].alive;
-        let cut = lost || self.is_cut(at, nodo, true) || !kept && self.is_cut(at, nodo, false);
+        let alive = self.upstreams[upstream].alive;
+        let partitioned = lost
+            || self.is_partitioned(at, upstream, true)
+            || !kept && self.is_partitioned(at, upstream, false);
         // A list may name a process that is no longer there; what listens at its address takes the request.
-        match (alive, cut) {
+        match (alive, partitioned) {
             (_, true) if !kept => {
                 let outcome = Outcome::ConnectFailed;
-                self.lose(number);
-                self.agenda.after(
+                self.drop_attempt(number);
+                self.event_queue.after(
                     self.scenario.limits.connect.0,
-                    Event::Back {
+                    Event::ResponseArrived {
                         attempt: number,
                         outcome,
                     },
                 );
             }
-            (_, true) => self.lose(number),
+            (_, true) => self.drop_attempt(number),
             (alive, false) if !alive || crowded => {
                 let outcome = Outcome::ConnectFailed;
-                self.lose(number);
-                self.agenda.after(
+                self.drop_attempt(number);
+                self.event_queue.after(
                     2 * way,
-                    Event::Back {
+                    Event::ResponseArrived {
                         attempt: number,
                         outcome,
                     },
                 );
             }
             (_, false) if reset => {
-                self.lose(number);
+                self.drop_attempt(number);
                 let outcome = Outcome::Reset;
-                self.agenda.after(
+                self.event_queue.after(
                     connect + way,
-                    Event::Back {
+                    Event::ResponseArrived {
                         attempt: number,
                         outcome,
                     },
                 );
             }
             (_, false) => self
-                .agenda
-                .after(connect + way + body, Event::Reach(number)),
+                .event_queue
+                .after(connect + way + body, Event::AttemptArrived(number)),
         }
     }
 
     /// The request that a balancer's number stands for: the latest of that number.
-    pub(super) fn request_of(&self, id: RequestId) -> u64 {
+    pub(super) fn request_by_id(&self, id: RequestId) -> u64 {
         let next = self.requests.next();
         let high = next & !0xffff_ffff;
         let request = high | u64::from(id.0);
@@ -400,7 +418,7 @@
     }
 
     /// Nothing of an attempt is under way any more, though its balancer may still wait for it.
-    pub(super) fn lose(&mut self, number: u64) {
+    pub(super) fn drop_attempt(&mut self, number: u64) {
         if let Some(attempt) = self.attempts.get_mut(number) {
             attempt.there = false;
         }
@@ -414,7 +432,7 @@
         };
         let request = attempt.request;
         self.attempts.take(number);
-        self.auditor.over(self.agenda.now(), request);
+        self.auditor.over(self.event_queue.now(), request);
         if let Some(known) = self.requests.get_mut(request) {
             known.attempts -= 1;
         }
@@ -422,7 +440,7 @@
     }
 
     pub(super) fn withdraw(&mut self, id: RequestId, attempt: u32) {
-        let request = self.request_of(id);
+        let request = self.request_by_id(id);
         let out = self
             .requests
             .get(request)
@@ -439,31 +457,31 @@
         };
         attempt.out = false;
         let (request, at, tries) = (attempt.request, attempt.balancer as usize, attempt.number);
-        let (host, process, epoch, nodo) = (
+        let (host, process, epoch, upstream) = (
             attempt.host as usize,
             attempt.process,
             attempt.epoch,
-            attempt.nodo as usize,
+            attempt.upstream as usize,
         );
         let socket = attempt.socket;
-        let took = self.agenda.now() - attempt.sent;
-        let mut wish = 0;
+        let took = self.event_queue.now() - attempt.sent;
+        let mut client_call = 0;
         if let Some(known) = self.requests.get_mut(request) {
             known.out.retain(|(_, out)| *out != number);
-            wish = known.wish;
+            client_call = known.client_call;
         }
         let whole = matches!(
             outcome,
             Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined
         );
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let http2 = self.scenario.limits.http2;
         let mut kept = false;
         if let Some(links) = self.balancers[at].links.get_mut(host)
             && whole
             && links.epoch == epoch
             && links.process == process
-            && self.nodos[nodo].process == process
+            && self.upstreams[upstream].process == process
         {
             links.idle = if http2 {
                 1
@@ -476,7 +494,7 @@
         if socket && !kept {
             self.closed(at, host, process, 1);
         }
-        self.tell_story(wish, || {
+        self.record_story(client_call, || {
             format!(
                 "balancer {at} has {} for attempt {tries} after {:.1} ms",
                 story::outcome_text(outcome),
@@ -490,7 +508,7 @@
             load: None,
         };
         if self.balancers[at].alive {
-            self.tell(
+            self.handle_input(
                 at,
                 Input::AttemptEnded {
                     id: RequestId(request as u32),
@@ -502,12 +520,12 @@
         self.forget_attempt(number);
     }
 
-    pub(super) fn back(&mut self, event: Event, number: u64, outcome: Outcome) {
+    pub(super) fn response_arrived(&mut self, event: Event, number: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get(number).filter(|attempt| attempt.out) else {
-            return self.lose(number);
+            return self.drop_attempt(number);
         };
-        if let Some(until) = self.stands_still(attempt.balancer as usize) {
-            return self.agenda.at(until, event);
+        if let Some(until) = self.paused_until(attempt.balancer as usize) {
+            return self.event_queue.at(until, event);
         }
         if let Some(attempt) = self.attempts.get_mut(number) {
             attempt.there = false;
@@ -515,12 +533,12 @@
         self.end_attempt(number, outcome);
     }
 
-    pub(super) fn until(&mut self, event: Event, number: u64) {
+    pub(super) fn attempt_expired(&mut self, event: Event, number: u64) {
         let Some(attempt) = self.attempts.get(number).filter(|attempt| attempt.out) else {
             return;
         };
-        if let Some(until) = self.stands_still(attempt.balancer as usize) {
-            return self.agenda.at(until, event);
+        if let Some(until) = self.paused_until(attempt.balancer as usize) {
+            return self.event_queue.at(until, event);
         }
         self.end_attempt(number, Outcome::Timeout);
     }
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -10,38 +10,38 @@
             return;
         }
         // A process whose rate changes is thinned out of one at the highest rate.
-        let mut at = self.agenda.now();
+        let mut at = self.event_queue.now();
         loop {
-            at = at.saturating_add(gap(&mut self.arrivals[group], most));
+            at = at.saturating_add(gap(&mut self.arrival_rngs[group], most));
             if at >= self.scenario.time.0 {
                 return;
             }
-            if chance(&mut self.arrivals[group], load.rate(at) / most) {
-                return self.agenda.at(at, Event::Arrive(group as u32));
+            if chance(&mut self.arrival_rngs[group], load.rate(at) / most) {
+                return self.event_queue.at(at, Event::CallArrives(group as u32));
             }
         }
     }
 
-    pub(super) fn arrive(&mut self, group: usize) {
+    pub(super) fn call_arrives(&mut self, group: usize) {
         self.plan_arrival(group);
-        self.wish(group, false);
+        self.place_call(group, false);
     }
 
-    pub(super) fn crowd(&mut self, group: usize) {
-        if self.agenda.now() < self.scenario.time.0 {
-            self.wish(group, true);
+    pub(super) fn closed_loop_call(&mut self, group: usize) {
+        if self.event_queue.now() < self.scenario.time.0 {
+            self.place_call(group, true);
         }
     }
 
-    pub(super) fn wish(&mut self, group: usize, one_of_crowd: bool) {
-        let now = self.agenda.now();
+    pub(super) fn place_call(&mut self, group: usize, closed_loop: bool) {
+        let now = self.event_queue.now();
         let mix = &self.mixes[group];
-        let class = by_share(mix, self.habits[group].random::<f64>()).unwrap_or(0);
-        let wish = Wish {
+        let class = by_share(mix, self.behavior_rngs[group].random::<f64>()).unwrap_or(0);
+        let client_call = ClientCall {
             class,
             group: Some(group as u32),
             parent: None,
-            one_of_crowd,
+            closed_loop,
             born: now,
             deadline: now + self.scenario.class[class].deadline.0,
             tries: 0,
@@ -51,13 +51,13 @@
             line: None,
             seen: SmallVec::new(),
         };
-        self.meter.offered(class, wish.measured);
-        let wish = self.wishes.add(wish);
-        self.ask(wish);
+        self.meter.offered(class, client_call.measured);
+        let client_call = self.client_calls.add(client_call);
+        self.send_to_balancer(client_call);
     }
 
-    pub(super) fn ask(&mut self, wish: u64) {
-        let Some(known) = self.wishes.get_mut(wish) else {
+    pub(super) fn send_to_balancer(&mut self, client_call: u64) {
+        let Some(known) = self.client_calls.get_mut(client_call) else {
             return;
         };
         known.tries += 1;
@@ -71,63 +71,67 @@
         let (tier, zone) = match (group, parent) {
             (Some(group), _) => (0, self.zones[group as usize]),
             (None, Some(parent)) => {
-                let nodo = self
+                let upstream = self
                     .attempts
                     .get(parent)
-                    .map_or(0, |attempt| attempt.nodo as usize);
-                let nodo = &self.nodos[nodo];
+                    .map_or(0, |attempt| attempt.upstream as usize);
+                let upstream = &self.upstreams[upstream];
                 (
-                    self.calls[nodo.tier].map_or(0, |(tier, _)| tier),
-                    Some(nodo.zone),
+                    self.calls[upstream.tier].map_or(0, |(tier, _)| tier),
+                    Some(upstream.zone),
                 )
             }
             (None, None) => return,
         };
-        self.meter.asked();
+        self.meter.request_sent();
         let found = match (group, parent) {
-            (Some(group), _) if self.front.is_some() => self.dealt(wish, group as usize, zone),
+            (Some(group), _) if self.front.is_some() => {
+                self.fronted_balancer(client_call, group as usize, zone)
+            }
             (Some(group), _) => {
-                let draw = self.habits[group as usize].next_u64();
+                let draw = self.behavior_rngs[group as usize].next_u64();
                 self.balancer_for(tier, zone, draw)
             }
             (None, _) => {
                 let host = parent
                     .and_then(|parent| self.attempts.get(parent))
-                    .map_or(0, |a| a.nodo as usize);
-                match self.scenario.tier[tier].beside {
-                    true => self.beside_nodo(host),
+                    .map_or(0, |a| a.upstream as usize);
+                match self.scenario.tier[tier].sidecar {
+                    true => self.sidecar_of(host),
                     false => {
-                        let draw = self.nodos[host].rng.next_u64(); // a nodo draws from its own stream
+                        let draw = self.upstreams[host].rng.next_u64(); // a nodo draws from its own stream
                         self.balancer_for(tier, zone, draw)
                     }
                 }
             }
         };
         let Some(balancer) = found else {
-            self.tell_story(wish, || "no balancer is there".to_owned());
-            return self.conclude(wish, &CallResult::Failed, true);
+            self.record_story(client_call, || "no balancer is there".to_owned());
+            return self.conclude_client_call(client_call, &CallResult::Failed, true);
         };
         self.prices.request(tier);
         let effect = self.scenario.class[class].effect;
-        let request = self.auditor.taken(wish, effect, deadline);
+        let request = self.auditor.taken(client_call, effect, deadline);
         let out = SmallVec::new();
         let mine = self.requests.add(Request {
-            wish,
+            client_call,
             balancer,
             answered: false,
             attempts: 0,
             out,
         });
         debug_assert_eq!(request, mine);
-        if let Some(known) = self.wishes.get_mut(wish) {
+        if let Some(known) = self.client_calls.get_mut(client_call) {
             known.requests += 1;
         }
-        self.tell_story(wish, || format!("try {tries} reaches balancer {balancer}"));
-        self.read(request);
+        self.record_story(client_call, || {
+            format!("try {tries} reaches balancer {balancer}")
+        });
+        self.balancer_reads(request);
     }
 
     /// A balancer reads a request, once its process does not stand still.
-    pub(super) fn read(&mut self, number: u64) {
+    pub(super) fn balancer_reads(&mut self, number: u64) {
         let Some(request) = self
             .requests
             .get(number)
@@ -136,58 +140,71 @@
             return;
         };
         let at = request.balancer as usize;
-        if let Some(until) = self.stands_still(at) {
-            return self.agenda.at(until, Event::Read(number));
+        if let Some(until) = self.paused_until(at) {
+            return self.event_queue.at(until, Event::BalancerReads(number));
         }
-        let Some(wish) = self.wishes.get(request.wish) else {
+        let Some(client_call) = self.client_calls.get(request.client_call) else {
             return;
         };
         let call = Call {
             id: RequestId(number as u32),
             request: Ticket(number),
-            class: wish.class,
-            tenant: wish.group.map_or(0, |group| self.tenants[group as usize]),
+            class: client_call.class,
+            tenant: client_call
+                .group
+                .map_or(0, |group| self.tenants[group as usize]),
             work: None,
-            deadline: self.balancers[at].local(wish.deadline),
+            deadline: self.balancers[at].local(client_call.deadline),
             max_attempts: u32::MAX,
         };
-        self.tell(at, Input::Call(call));
+        self.handle_input(at, Input::Call(call));
     }
 
     /// The balancer that the front's connection for a call leads to, if that lives.
-    fn dealt(&mut self, wish: u64, group: usize, zone: Option<u8>) -> Option<u32> {
-        let (now, zones) = (self.agenda.now(), self.scenario.zones.len());
-        let zone = zone.map_or_else(|| self.habits[group].random_range(..zones), usize::from);
-        let (mut line, fresh) = self.front.as_mut()?.take(zone, now, &mut self.dealing)?;
+    fn fronted_balancer(
+        &mut self,
+        client_call: u64,
+        group: usize,
+        zone: Option<u8>,
+    ) -> Option<u32> {
+        let (now, zones) = (self.event_queue.now(), self.scenario.zones.len());
+        let zone = zone.map_or_else(
+            || self.behavior_rngs[group].random_range(..zones),
+            usize::from,
+        );
+        let (mut line, fresh) = self.front.as_mut()?.take(zone, now, &mut self.front_rng)?;
         let at = line.balancer as usize;
         let there = &self.balancers[at];
         if fresh {
             if !there.alive || there.leaving {
-                self.prices.pay(now, 0, Price::Unreached, at);
+                self.prices.pay(now, 0, Cost::Unreached, at);
                 return None;
             }
-            line.life = there.life;
-            self.prices.pay(now, 0, Price::Lines, at);
+            line.incarnation = there.incarnation;
+            self.prices.pay(now, 0, Cost::CallerConnections, at);
         }
-        if let Some(wish) = self.wishes.get_mut(wish) {
-            wish.line = Some(line);
+        if let Some(client_call) = self.client_calls.get_mut(client_call) {
+            client_call.line = Some(line);
         }
         Some(line.balancer)
     }
 
     /// The balancer beside a nodo, if it lives.
-    fn beside_nodo(&self, nodo: usize) -> Option<u32> {
-        let balancer = *self.beside.get(self.nodos[nodo].host as usize)?;
+    fn sidecar_of(&self, upstream: usize) -> Option<u32> {
+        let balancer = *self.sidecar.get(self.upstreams[upstream].host as usize)?;
         balancer.filter(|&balancer| self.balancers[balancer as usize].alive)
     }
 
     /// A caller's connection is free again, unless its balancer leaves or is another process by now.
-    fn give_back(&mut self, wish: u64) {
-        let line = self.wishes.get_mut(wish).and_then(|wish| wish.line.take());
+    fn give_back(&mut self, client_call: u64) {
+        let line = self
+            .client_calls
+            .get_mut(client_call)
+            .and_then(|client_call| client_call.line.take());
         let Some(line) = line else { return };
         let there = &self.balancers[line.balancer as usize];
-        if there.alive && !there.leaving && there.life == line.life {
-            let now = self.agenda.now();
+        if there.alive && !there.leaving && there.incarnation == line.incarnation {
+            let now = self.event_queue.now();
             self.front
                 .iter_mut()
                 .for_each(|front| front.give_back(line, now));
@@ -214,23 +231,28 @@
     }
 
     /// A caller has what its balancer made of its request.
-    pub(super) fn answered_wish(&mut self, number: u64, verdict: &CallResult<()>) {
-        self.conclude(number, verdict, false);
+    pub(super) fn client_call_answered(&mut self, number: u64, verdict: &CallResult<()>) {
+        self.conclude_client_call(number, verdict, false);
     }
 
     /// The same; `unseen`: no balancer has had the request, so that asking again is harmless.
-    fn conclude(&mut self, number: u64, verdict: &CallResult<()>, unseen: bool) {
+    fn conclude_client_call(&mut self, number: u64, verdict: &CallResult<()>, unseen: bool) {
         self.give_back(number);
-        let now = self.agenda.now();
-        let Some(wish) = self.wishes.get(number) else {
+        let now = self.event_queue.now();
+        let Some(client_call) = self.client_calls.get(number) else {
             return;
         };
-        if wish.closed {
+        if client_call.closed {
             return;
         }
-        let (class, group, measured, tries) = (wish.class, wish.group, wish.measured, wish.tries);
-        let (took, deadline) = (now - wish.born, wish.deadline);
-        self.tell_story(number, || {
+        let (class, group, measured, tries) = (
+            client_call.class,
+            client_call.group,
+            client_call.measured,
+            client_call.tries,
+        );
+        let (took, deadline) = (now - client_call.born, client_call.deadline);
+        self.record_story(number, || {
             format!(
                 "its caller has {} after {:.1} ms",
                 story::result_text(verdict),
@@ -247,56 +269,64 @@
                 || matches!(verdict, CallResult::Rejected(_))
                 || effect != CallEffect::Unsafe;
             let callers = &self.scenario.callers[group];
-            let rng = &mut self.habits[group];
+            let rng = &mut self.behavior_rngs[group];
             let wait = callers.again.wait(tries, || rng.random::<f64>());
             let advice = match verdict {
-                CallResult::Rejected(after) if chance(rng, callers.heeds_advice) => *after,
+                CallResult::Rejected(after) if chance(rng, callers.honors_retry_after) => *after,
                 _ => 0,
             };
             if let Some(wait) = wait.filter(|_| may)
                 && now + wait.max(advice) < deadline
             {
-                return self.agenda.after(wait.max(advice), Event::Again(number));
+                return self
+                    .event_queue
+                    .after(wait.max(advice), Event::CallerRetries(number));
             }
         }
         let result = match verdict {
-            CallResult::Served(()) if took <= self.scenario.class[class].aim.0 => Result::OnTime,
-            CallResult::Served(()) => Result::Late,
-            CallResult::Rejected(_) => Result::Refused,
-            CallResult::Failed => Result::Failed,
+            CallResult::Served(()) if took <= self.scenario.class[class].latency_target.0 => {
+                CallOutcome::OnTime
+            }
+            CallResult::Served(()) => CallOutcome::Late,
+            CallResult::Rejected(_) => CallOutcome::Refused,
+            CallResult::Failed => CallOutcome::Failed,
         };
-        let (parent, one_of_crowd) = match self.wishes.get_mut(number) {
-            Some(wish) => {
-                wish.closed = true;
-                (wish.parent, wish.one_of_crowd)
+        let (parent, closed_loop) = match self.client_calls.get_mut(number) {
+            Some(client_call) => {
+                client_call.closed = true;
+                (client_call.parent, client_call.closed_loop)
             }
             None => return,
         };
         match (group_at, parent) {
             (Some(group), _) => {
                 self.meter.ended(class, result, took, measured);
-                if one_of_crowd
-                    && let Load::Closed { think, .. } = self.scenario.callers[group].load
+                if closed_loop && let Load::Closed { think, .. } = self.scenario.callers[group].load
                 {
-                    let wait = gap(&mut self.habits[group], 1e9 / (think.0.max(1)) as f64);
-                    self.agenda.after(wait, Event::Crowd(group as u32));
+                    let wait = gap(
+                        &mut self.behavior_rngs[group],
+                        1e9 / (think.0.max(1)) as f64,
+                    );
+                    self.event_queue
+                        .after(wait, Event::ClosedLoopCall(group as u32));
                 }
             }
-            (None, Some(parent)) => {
-                self.call_back(parent, matches!(result, Result::OnTime | Result::Late))
-            }
+            (None, Some(parent)) => self.downstream_call_answered(
+                parent,
+                matches!(result, CallOutcome::OnTime | CallOutcome::Late),
+            ),
             (None, None) => {}
         }
-        self.forget_wish(number);
+        self.forget_client_call(number);
     }
 
-    pub(super) fn forget_wish(&mut self, number: u64) {
+    pub(super) fn forget_client_call(&mut self, number: u64) {
         if self
-            .wishes
+            .client_calls
             .get(number)
-            .is_some_and(|wish| wish.closed && wish.requests == 0)
+            .is_some_and(|client_call| client_call.closed && client_call.requests == 0)
         {
-            self.wishes.take(number);
+            self.client_calls.take(number);
         }
     }
 }
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -1,8 +1,8 @@
 //! Balancers that leave places together: the shipped crate in each, on the facts of membership.
 
 use super::*;
-use crate::evacuated::{Evacuated, Move};
-use crate::scenario::{Evacuating, Says};
+use crate::evacuation::{EvacuationTracker, ShareChange};
+use crate::scenario::{EvacuationConfig, FalseReport};
 use woadstall_engine::decisions::{FailureDomain, HealthVerdict as Finding};
 use woadstall_evacuation::{Coordinator, CoordinatorSettings, ListedServer, Topology};
 use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt};
@@ -15,12 +15,12 @@
     /// How often the list of each had changed when its coordinator was told.
     seen: Vec<u64>,
     settings: Vec<CoordinatorSettings>,
-    liars: Vec<Option<Says>>,
-    evacuated: Evacuated,
+    false_reporters: Vec<Option<FalseReport>>,
+    evacuated: EvacuationTracker,
 }
 
 impl Coordinators {
-    fn new(of: &Evacuating, scenario: &Scenario, balancers: &[Balancer]) -> Self {
+    fn new(of: &EvacuationConfig, scenario: &Scenario, balancers: &[Balancer]) -> Self {
         let classes: Vec<String> = scenario
             .class
             .iter()
@@ -38,47 +38,47 @@
                 zone: usize::from(balancer.zone),
             })
             .collect();
-        let mut liars = vec![None; balancers.len()];
-        if let Some(lie) = &of.lie {
-            let count = (balancers.len() as f64 * lie.part).round() as usize;
-            liars
+        let mut false_reporters = vec![None; balancers.len()];
+        if let Some(false_reporting) = &of.false_reporting {
+            let count = (balancers.len() as f64 * false_reporting.part).round() as usize;
+            false_reporters
                 .iter_mut()
                 .take(count)
-                .for_each(|liar| *liar = Some(lie.says));
+                .for_each(|liar| *liar = Some(false_reporting.says));
         }
         Self {
             every: of.every.0,
             all: settings.iter().cloned().map(Coordinator::new).collect(),
             seen: vec![u64::MAX; balancers.len()],
-            evacuated: Evacuated::new(scenario.zones.clone(), balancers.len()),
+            evacuated: EvacuationTracker::new(scenario.zones.clone(), balancers.len()),
             settings,
-            liars,
+            false_reporters,
         }
     }
 
     /// What a liar sees, whatever it is.
-    fn spoil(
+    fn falsify(
         &self,
         at: usize,
         zone_of: impl Fn(ServerId) -> Option<usize>,
         saw: CompletedAttempt,
     ) -> CompletedAttempt {
         let own = self.settings[at].zone;
-        match self.liars[at] {
+        match self.false_reporters[at] {
             None => saw,
-            Some(Says::AllWell) => CompletedAttempt {
+            Some(FalseReport::AllWell) => CompletedAttempt {
                 outcome: Outcome::Ok,
                 ..saw
             },
-            Some(Says::AllBad) => CompletedAttempt {
+            Some(FalseReport::AllBad) => CompletedAttempt {
                 outcome: Outcome::Error,
                 ..saw
             },
-            Some(Says::OwnZoneBad) if zone_of(saw.server) == Some(own) => CompletedAttempt {
+            Some(FalseReport::OwnZoneBad) if zone_of(saw.server) == Some(own) => CompletedAttempt {
                 outcome: Outcome::Error,
                 ..saw
             },
-            Some(Says::OwnZoneBad) => saw,
+            Some(FalseReport::OwnZoneBad) => saw,
         }
     }
 }
@@ -96,7 +96,8 @@
             self.coordinator_begins(at);
             // Not all at once.
             let first = every * (at as Time + 1) / self.balancers.len() as Time;
-            self.agenda.at(first.max(1), Event::Coordinator(at as u32));
+            self.event_queue
+                .at(first.max(1), Event::CoordinatorTimer(at as u32));
         }
     }
 
@@ -107,44 +108,44 @@
         };
         coordinators.all[at] = Coordinator::new(coordinators.settings[at].clone());
         coordinators.seen[at] = u64::MAX;
-        coordinators.evacuated.begins(self.agenda.now(), at);
-        self.balancers[at].mind.observe();
+        coordinators.evacuated.begins(self.event_queue.now(), at);
+        self.balancers[at].agent.observe();
     }
 
     /// A balancer's coordinator has its turn.
     pub(super) fn coordinator(&mut self, at: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let Some(coordinators) = &self.coordinators else {
             return;
         };
-        self.agenda
-            .after(coordinators.every, Event::Coordinator(at as u32));
-        if self.balancers[at].alive && self.stands_still(at).is_none() {
+        self.event_queue
+            .after(coordinators.every, Event::CoordinatorTimer(at as u32));
+        if self.balancers[at].alive && self.paused_until(at).is_none() {
             let node = self
                 .members
                 .as_mut()
                 .and_then(|members| members.take_node(at));
             if let Some(mut node) = node {
-                let findings = self.coordinator_turns(now, at, &mut node);
+                let findings = self.step_coordinator(now, at, &mut node);
                 if let Some(members) = &mut self.members {
                     members.put_node(at, node);
                 }
-                self.member_acts(at);
+                self.flush_member(at);
                 if !findings.is_empty() {
-                    self.tell(at, Input::FleetFindings(&findings));
+                    self.handle_input(at, Input::FleetFindings(&findings));
                 }
             }
         }
     }
 
-    fn coordinator_turns(&mut self, now: Time, at: usize, node: &mut Node) -> Vec<Finding> {
+    fn step_coordinator(&mut self, now: Time, at: usize, node: &mut Node) -> Vec<Finding> {
         let Some(coordinators) = &mut self.coordinators else {
             return Vec::new();
         };
         let balancer = &mut self.balancers[at];
         let local = balancer.local(now);
-        let observed = balancer.mind.take_observed();
-        if let Some((changes, all)) = balancer.mind.listed(coordinators.seen[at]) {
+        let observed = balancer.agent.take_observed();
+        if let Some((changes, all)) = balancer.agent.listed(coordinators.seen[at]) {
             coordinators.seen[at] = changes;
             let all = all.into_iter();
             coordinators.all[at].set_servers(all.map(|of| ListedServer {
@@ -169,10 +170,10 @@
                 took,
             };
             let zone_of = |server| coordinators.all[at].zone_of(server);
-            let saw = coordinators.spoil(at, zone_of, saw);
+            let saw = coordinators.falsify(at, zone_of, saw);
             coordinators.all[at].record_completed(now, &saw);
         }
-        let out = balancer.mind.outstanding(local).into_iter();
+        let out = balancer.agent.outstanding(local).into_iter();
         coordinators.all[at].record_pending(
             now,
             out.map(|out| PendingAttempt {
@@ -192,7 +193,7 @@
         for finding in &turn.verdicts {
             if let FailureDomain::Zone(zone, None) = finding.domain {
                 let share = f64::from(finding.share);
-                coordinators.evacuated.moved(Move {
+                coordinators.evacuated.moved(ShareChange {
                     at: now,
                     balancer: at as u32,
                     zone: zone.0,
@@ -212,12 +213,12 @@
     }
 
     /// What came of it.
-    pub(super) fn coordinators_end(&mut self) -> Option<crate::evacuated::EvacuatedEnd> {
+    pub(super) fn coordinators_end(&mut self) -> Option<crate::evacuation::EvacuationReport> {
         let coordinators = self.coordinators.take()?;
         Some(
             coordinators
                 .evacuated
-                .end(self.agenda.now().min(self.scenario.time.0)),
+                .end(self.event_queue.now().min(self.scenario.time.0)),
         )
     }
 }
