--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -1,14 +1,15 @@
 //! Balancers that speak with each other: the shipped crate in each, over the run's network.
 
 use super::*;
+use crate::observer::{MemberView, MembershipObserver, MembershipReport};
 use crate::units::Span;
-use crate::witness::{Held, MembersEnd, Witness};
 use std::net::IpAddr;
 use woadstall_membership::{
-    Event as Change, Generation, MemberMetadata, MemberState, Name, Node, PathState, Settings,
+    Event as MembershipEvent, Generation, MemberMetadata, MemberState, Name, Node, PathState,
+    Settings,
 };
 
-/// Members that a new one asks.
+/// MembershipSimulation that a new one asks.
 const SEEDS: u32 = 3;
 /// A process looks this often whether one listens where it suspects another.
 const LOOK: Time = SECOND;
@@ -17,13 +18,13 @@
 const PORT: u16 = 7_946;
 
 /// What one has sent to another and is under way.
-struct Mail {
+struct PendingMessage {
     to: u32,
     bytes: Vec<u8>,
 }
 
 /// See the module's documentation.
-pub(super) struct Members {
+pub(super) struct MembershipSimulation {
     settings: Settings,
     nodes: Vec<Option<Node>>,
     planned: Vec<Time>,
@@ -33,10 +34,10 @@
     power: Vec<bool>,
     chance: Vec<ChaCha8Rng>,
     by_name: std::collections::HashMap<Name, u32>,
-    mail: Numbered<Mail>,
-    witness: Witness,
+    messages: SequenceMap<PendingMessage>,
+    observer: MembershipObserver,
     /// The life that each had last.
-    last_life: Vec<Option<Generation>>,
+    last_incarnation: Vec<Option<Generation>>,
     /// Bytes that former lives have sent.
     bytes: Vec<u64>,
 }
@@ -56,14 +57,14 @@
     }
 }
 
-impl Members {
-    pub(super) fn new(of: &crate::scenario::Members, count: usize, seed: u64) -> Self {
+impl MembershipSimulation {
+    pub(super) fn new(of: &crate::scenario::MembershipConfig, count: usize, seed: u64) -> Self {
         let time = |span: Span| std::time::Duration::from_nanos(span.0);
         let settings = Settings {
             probe_interval: time(of.period),
-            probe_timeout: time(of.patience),
+            probe_timeout: time(of.timeout),
             suspicion_timeout: time(of.suspicion),
-            plain_swim: of.plain,
+            plain_swim: of.plain_swim,
             ..Settings::default()
         };
         let numbers = 0..count as u32;
@@ -78,9 +79,9 @@
                 .map(|of| stream(seed, Actor::Member, of))
                 .collect(),
             by_name: numbers.map(|of| (name(of), of)).collect(),
-            mail: Numbered::default(),
-            witness: Witness::new(count, of.pauses.0),
-            last_life: vec![None; count],
+            messages: SequenceMap::default(),
+            observer: MembershipObserver::new(count, of.tolerated_pause.0),
+            last_incarnation: vec![None; count],
             bytes: vec![0; count],
         }
     }
@@ -95,8 +96,8 @@
     }
 
     /// What the sound ones and the cut ones are called by those that run.
-    fn ways(&mut self, now: Time, is_cut: impl Fn(usize, usize) -> bool) {
-        let pairs = self.witness.pairs(|of| self.nodes[of].is_some());
+    fn record_path_reports(&mut self, now: Time, is_partitioned: impl Fn(usize, usize) -> bool) {
+        let pairs = self.observer.pairs(|of| self.nodes[of].is_some());
         let says = |by: usize, of: usize| {
             self.nodes[by]
                 .as_ref()
@@ -105,12 +106,12 @@
         };
         let named = pairs.into_iter().map(|(from, to)| {
             (
-                is_cut(from, to),
+                is_partitioned(from, to),
                 says(from, to).0 == PathState::Partitioned,
                 says(to, from).1 == PathState::Partitioned,
             )
         });
-        self.witness.ways(now, named);
+        self.observer.record_path_reports(now, named);
     }
 }
 
@@ -120,18 +121,22 @@
         let Some(of) = &self.scenario.members else {
             return;
         };
-        self.members = Some(Members::new(of, self.balancers.len(), self.seed));
+        self.members = Some(MembershipSimulation::new(
+            of,
+            self.balancers.len(),
+            self.seed,
+        ));
         (0..self.balancers.len()).for_each(|at| self.member_begins(at));
         for bound in &self.scenario.bound {
-            if let crate::scenario::Wanted::CutsNamed { at, .. } = bound.what {
-                self.agenda.at(at.0, Event::MembersWays);
+            if let crate::scenario::Requirement::PartitionsReported { at, .. } = bound.what {
+                self.event_queue.at(at.0, Event::RecordPathReports);
             }
         }
     }
 
     /// A process of a balancer begins, and has nothing but seeds.
     pub(super) fn member_begins(&mut self, at: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let (zone, local) = (self.balancers[at].zone, self.balancers[at].local(now));
         let Some(members) = &mut self.members else {
             return;
@@ -155,18 +160,18 @@
             .collect();
         // What cannot work was refused with the scenario.
         let node = Node::new(me, seeds, members.settings.clone(), chance.next_u64(), now).ok();
-        members.last_life[at] = node.as_ref().map(|node| node.local().generation);
+        members.last_incarnation[at] = node.as_ref().map(|node| node.local().generation);
         members.nodes[at] = node;
         (members.planned[at], members.looks[at]) = (Time::MAX, false);
         members.power[at] = true;
-        members.witness.runs(now, at, true);
-        self.member_acts(at);
+        members.observer.runs(now, at, true);
+        self.flush_member(at);
         self.coordinator_begins(at);
     }
 
     /// A process of a balancer ends: it says that it leaves, or dies with its machine's power or without it.
     pub(super) fn member_ends(&mut self, at: usize, leaves: bool, power: bool) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         if leaves
             && let Some(node) = self
                 .members
@@ -174,31 +179,31 @@
                 .and_then(|members| members.nodes[at].as_mut())
         {
             node.leave(now);
-            self.member_acts(at);
+            self.flush_member(at);
         }
         let Some(members) = &mut self.members else {
             return;
         };
         if let Some(node) = members.nodes[at].take() {
             members.bytes[at] += node.counters().bytes_sent;
-            members.last_life[at] = Some(node.local().generation);
+            members.last_incarnation[at] = Some(node.local().generation);
             members.power[at] = power;
         }
-        members.witness.runs(now, at, false);
+        members.observer.runs(now, at, false);
     }
 
     /// Some processes stand still until a time.
-    pub(super) fn members_stall(&mut self, who: &[u32], still: bool) {
-        let now = self.agenda.now();
+    pub(super) fn members_paused(&mut self, who: &[u32], still: bool) {
+        let now = self.event_queue.now();
         let Some(members) = &mut self.members else {
             return;
         };
         who.iter()
-            .for_each(|&of| members.witness.stands_still(now, of as usize, still));
+            .for_each(|&of| members.observer.paused_until(now, of as usize, still));
     }
 
-    pub(super) fn member_wakes(&mut self, at: usize, planned: Time) {
-        let still = self.stands_still(at);
+    pub(super) fn member_timer(&mut self, at: usize, planned: Time) {
+        let still = self.paused_until(at);
         let Some(members) = &mut self.members else {
             return;
         };
@@ -208,52 +213,52 @@
         members.planned[at] = Time::MAX;
         if let Some(until) = still {
             members.planned[at] = until;
-            return self.agenda.at(
+            return self.event_queue.at(
                 until,
-                Event::Member {
+                Event::MemberTimer {
                     balancer: at as u32,
                     at: until,
                 },
             );
         }
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         if let Some(node) = &mut members.nodes[at] {
             node.tick(now);
         }
-        self.member_acts(at);
+        self.flush_member(at);
     }
 
-    /// Mail comes. While its process stands still, the machine holds it.
-    pub(super) fn member_hears(&mut self, mail: u64) {
-        let now = self.agenda.now();
+    /// Mail comes. While its process stands still, the machine record_view it.
+    pub(super) fn receive_member_message(&mut self, messages: u64) {
+        let now = self.event_queue.now();
         let to = self
             .members
             .as_ref()
-            .and_then(|members| members.mail.get(mail))
-            .map(|mail| mail.to);
+            .and_then(|members| members.messages.get(messages))
+            .map(|messages| messages.to);
         let Some(to) = to.map(|to| to as usize) else {
             return;
         };
-        if let Some(until) = self.stands_still(to) {
-            return self.agenda.at(until, Event::Mail(mail));
+        if let Some(until) = self.paused_until(to) {
+            return self.event_queue.at(until, Event::MessageArrives(messages));
         }
         let Some(members) = &mut self.members else {
             return;
         };
-        let Some(mail) = members.mail.take(mail) else {
+        let Some(messages) = members.messages.take(messages) else {
             return;
         };
         let Some(node) = &mut members.nodes[to] else {
             return;
         };
-        let understood = node.receive(now, &mail.bytes);
+        let understood = node.receive(now, &messages.bytes);
         debug_assert!(understood.is_ok(), "{understood:?}");
-        self.member_acts(to);
+        self.flush_member(to);
     }
 
     /// It looks whether processes listen where it suspects others.
-    pub(super) fn member_looks(&mut self, at: usize) {
-        let (now, still) = (self.agenda.now(), self.stands_still(at));
+    pub(super) fn check_suspects(&mut self, at: usize) {
+        let (now, still) = (self.event_queue.now(), self.paused_until(at));
         let Some(members) = &mut self.members else {
             return;
         };
@@ -269,10 +274,13 @@
             let of = number(*address)
                 .map(|of| of as usize)
                 .filter(|&of| members.nodes[of].is_none());
-            let is_cut = |from, to| {
-                Self::way_of(self.scenario, &self.balancers, &self.faults, now, from, to).cut
+            let is_partitioned = |from, to| {
+                Self::link_between(self.scenario, &self.balancers, &self.faults, now, from, to)
+                    .partitioned
             };
-            of.is_some_and(|of| members.power[of] && !is_cut(at, of) && !is_cut(of, at))
+            of.is_some_and(|of| {
+                members.power[of] && !is_partitioned(at, of) && !is_partitioned(of, at)
+            })
         };
         let refused: Vec<SocketAddr> = sought.into_iter().filter(refuses).collect();
         if let Some(node) = &mut members.nodes[at] {
@@ -280,18 +288,18 @@
                 .into_iter()
                 .for_each(|at| node.report_connection_refused(now, at));
         }
-        self.member_acts(at);
+        self.flush_member(at);
     }
 
     /// What a fault makes of the way from one to another.
-    fn way_of(
+    fn link_between(
         scenario: &Scenario,
         balancers: &[Balancer],
         faults: &[(ChaCha8Rng, Vec<u32>, Vec<u32>)],
         now: Time,
         from: usize,
         to: usize,
-    ) -> crate::scenario::Among {
+    ) -> crate::scenario::MemberLink {
         let in_force = scenario
             .fault
             .iter()
@@ -303,8 +311,8 @@
     }
 
     /// Sends what a member has to send, and notes what it found.
-    pub(super) fn member_acts(&mut self, at: usize) {
-        let now = self.agenda.now();
+    pub(super) fn flush_member(&mut self, at: usize) {
+        let now = self.event_queue.now();
         let Some(members) = &mut self.members else {
             return;
         };
@@ -313,11 +321,13 @@
         };
         let (mut suspects, mut found) = (false, Vec::new());
         while let Some(change) = node.next_event() {
-            suspects |= matches!(change, Change::Suspected { .. });
+            suspects |= matches!(change, MembershipEvent::Suspected { .. });
             let of = match change {
-                Change::Joined(member) => member.name,
-                Change::Recovered(of) | Change::Left(of) => of,
-                Change::Suspected { name, .. } | Change::Dead { name, .. } => name,
+                MembershipEvent::Joined(member) => member.name,
+                MembershipEvent::Recovered(of) | MembershipEvent::Left(of) => of,
+                MembershipEvent::Suspected { name, .. } | MembershipEvent::Dead { name, .. } => {
+                    name
+                }
                 _ => continue,
             };
             // One that was told of as new may be told of as gone in the same breath: the last claim counts.
@@ -327,55 +337,56 @@
         }
         let outs: Vec<woadstall_membership::OutgoingMessage> =
             std::iter::from_fn(|| node.next_outgoing()).collect();
-        let wake = node.next_deadline().max(now + MS);
+        let agent_timer = node.next_deadline().max(now + MS);
         if suspects && !std::mem::replace(&mut members.looks[at], true) {
-            self.agenda.after(
+            self.event_queue.after(
                 2 * self.scenario.network.across.0,
-                Event::MemberLooks(at as u32),
+                Event::CheckSuspects(at as u32),
             );
         } else if !members.looks[at] && node.connection_check_targets(now).next().is_some() {
             members.looks[at] = true;
-            self.agenda.after(LOOK, Event::MemberLooks(at as u32));
+            self.event_queue
+                .after(LOOK, Event::CheckSuspects(at as u32));
         }
-        if wake < members.planned[at] {
-            members.planned[at] = wake;
-            self.agenda.at(
-                wake,
-                Event::Member {
+        if agent_timer < members.planned[at] {
+            members.planned[at] = agent_timer;
+            self.event_queue.at(
+                agent_timer,
+                Event::MemberTimer {
                     balancer: at as u32,
-                    at: wake,
+                    at: agent_timer,
                 },
             );
         }
         for (of, status) in found {
-            let life = members.nodes[of]
+            let incarnation = members.nodes[of]
                 .as_ref()
                 .map(|node| node.local().generation)
-                .or(members.last_life[of]);
+                .or(members.last_incarnation[of]);
             // What is held of a former life says nothing of the present one.
             let held = match status
-                .filter(|status| Some(status.generation) == life)
+                .filter(|status| Some(status.generation) == incarnation)
                 .map(|status| status.state)
             {
-                Some(MemberState::Alive) => Held::Alive,
-                Some(MemberState::Suspect) => Held::Suspect,
-                Some(MemberState::Dead) => Held::Dead,
-                Some(MemberState::Left) => Held::Left,
-                None => Held::Unknown,
+                Some(MemberState::Alive) => MemberView::Alive,
+                Some(MemberState::Suspect) => MemberView::Suspect,
+                Some(MemberState::Dead) => MemberView::Dead,
+                Some(MemberState::Left) => MemberView::Left,
+                None => MemberView::Unknown,
             };
-            members.witness.holds(now, at, of, held);
+            members.observer.record_view(now, at, of, held);
         }
         for out in outs {
             let Some(to) = number(out.to).filter(|to| (*to as usize) < self.balancers.len()) else {
                 continue;
             };
-            self.post(at, to as usize, out.bytes, out.reliable);
+            self.send_member_message(at, to as usize, out.bytes, out.reliable);
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, bytes: Vec<u8>, reliable: bool) {
-        let now = self.agenda.now();
-        let way = Self::way_of(self.scenario, &self.balancers, &self.faults, now, from, to);
+    fn send_member_message(&mut self, from: usize, to: usize, bytes: Vec<u8>, reliable: bool) {
+        let now = self.event_queue.now();
+        let way = Self::link_between(self.scenario, &self.balancers, &self.faults, now, from, to);
         let jitter = self.scenario.network.jitter;
         let Some(members) = &mut self.members else {
             return;
@@ -384,7 +395,7 @@
         // All draws are made for each, so that one fault does not change what another hits.
         let (lost, doubled, overtaken, more): (f64, f64, f64, f64) = chance.random();
         let mut delay = (way.delay as f64 * (1.0 + jitter * more)) as Time;
-        if way.cut || !reliable && lost < way.loss {
+        if way.partitioned || !reliable && lost < way.loss {
             return;
         }
         if reliable {
@@ -394,41 +405,45 @@
             delay = (2 * delay).max(delay + MS);
         }
         if !reliable && doubled < way.doubled {
-            let again = members.mail.add(Mail {
+            let again = members.messages.add(PendingMessage {
                 to: to as u32,
                 bytes: bytes.clone(),
             });
-            self.agenda.after(2 * delay, Event::Mail(again));
+            self.event_queue
+                .after(2 * delay, Event::MessageArrives(again));
         }
-        let mail = members.mail.add(Mail {
+        let messages = members.messages.add(PendingMessage {
             to: to as u32,
             bytes,
         });
-        self.agenda.after(delay, Event::Mail(mail));
+        self.event_queue
+            .after(delay, Event::MessageArrives(messages));
     }
 
     /// How cut ways are named at this moment.
-    pub(super) fn members_ways(&mut self) {
-        let now = self.agenda.now();
+    pub(super) fn members_path_reports(&mut self) {
+        let now = self.event_queue.now();
         let (scenario, balancers, faults) = (self.scenario, &self.balancers, &self.faults);
-        let is_cut = |from, to| Self::way_of(scenario, balancers, faults, now, from, to).cut;
+        let is_partitioned =
+            |from, to| Self::link_between(scenario, balancers, faults, now, from, to).partitioned;
         self.members
             .iter_mut()
-            .for_each(|members| members.ways(now, is_cut));
+            .for_each(|members| members.record_path_reports(now, is_partitioned));
     }
 
     /// Faults between them have begun or ended.
-    pub(super) fn members_cut(&mut self) {
-        let now = self.agenda.now();
+    pub(super) fn members_partitioned(&mut self) {
+        let now = self.event_queue.now();
         let (scenario, balancers, faults) = (self.scenario, &self.balancers, &self.faults);
-        let is_cut = |from, to| Self::way_of(scenario, balancers, faults, now, from, to).cut;
+        let is_partitioned =
+            |from, to| Self::link_between(scenario, balancers, faults, now, from, to).partitioned;
         self.members
             .iter_mut()
-            .for_each(|members| members.witness.cut(now, is_cut));
+            .for_each(|members| members.observer.partition(now, is_partitioned));
     }
 
     /// What was seen of them.
-    pub(super) fn members_end(&mut self) -> Option<MembersEnd> {
+    pub(super) fn members_end(&mut self) -> Option<MembershipReport> {
         let members = self.members.take()?;
         let bytes: Vec<u64> = members
             .bytes
@@ -438,7 +453,7 @@
                 before + node.as_ref().map_or(0, |node| node.counters().bytes_sent)
             })
             .collect();
-        let now = self.agenda.now();
-        Some(members.witness.end(now, &bytes, now))
+        let now = self.event_queue.now();
+        Some(members.observer.end(now, &bytes, now))
     }
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -8,22 +8,24 @@
 mod coordinators;
 mod faults;
 mod members;
-mod nodos;
-mod padron;
+mod registry;
 mod story;
+mod upstreams;
 
-use crate::agenda::{Agenda, Numbered};
+use crate::agent::{BoxedAgent, Ticket};
 use crate::audit::Auditor;
+use crate::costs::{Cost, CostCounters};
 use crate::discovery::{Discovery, Read};
-use crate::front::{Front, Line};
-use crate::measure::{End, Meter, Outcome as Result};
-use crate::mind::{BoxedMind, Ticket};
-use crate::nodo::{Ills, Nodo, Taken};
+use crate::event_queue::{EventQueue, SequenceMap};
+use crate::front::{CallerConnection, Front};
+use crate::measure::{CallOutcome, Meter, RunResult};
 use crate::policy::Policy;
-use crate::prices::{Price, Prices};
 use crate::random::{Actor, chance, gap, sample, stream};
-use crate::scenario::{CallEffect, CallGroup, Fault, LinkIll, Load, Scenario, What, by_share};
+use crate::scenario::{
+    CallEffect, CallGroup, Fault, FaultKind, LinkFault, Load, Scenario, by_share,
+};
 use crate::units::{MS, SECOND};
+use crate::upstream::{Admission, Upstream, UpstreamFaults};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
@@ -40,7 +42,7 @@
 /// Timers ring at steps of this, as in the runtime.
 const RING: Time = 4 * MS;
 /// How long a nodo that fell over takes to come back.
-const TOPPLED: Time = 5 * SECOND;
+const OVERLOAD_RECOVERY: Time = 5 * SECOND;
 /// After the callers' last call, the world goes on for as long as the longest deadline and this.
 const TAIL: Time = 2 * SECOND;
 /// Longest story that is kept of one call.
@@ -49,112 +51,112 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     /// A group's next call.
-    Arrive(u32),
+    CallArrives(u32),
     /// One of a crowd calls.
-    Crowd(u32),
+    ClosedLoopCall(u32),
     /// A caller asks again.
-    Again(u64),
+    CallerRetries(u64),
     /// A balancer that stood still reads a request.
-    Read(u64),
+    BalancerReads(u64),
     /// An attempt reaches its nodo.
-    Reach(u64),
+    AttemptArrived(u64),
     /// A nodo is done with its own work on an attempt.
-    Done {
+    WorkFinished {
         attempt: u64,
-        nodo: u32,
+        upstream: u32,
         process: u32,
     },
     /// The outcome of an attempt reaches its balancer.
-    Back {
+    ResponseArrived {
         attempt: u64,
         outcome: Outcome,
     },
     /// An attempt's time is over.
-    Until(u64),
+    AttemptExpired(u64),
     /// A balancer's timers are due.
-    Wake {
+    AgentTimer {
         balancer: u32,
         at: Time,
     },
     /// A balancer hears of changes of the list.
-    Told {
+    RegistryUpdate {
         balancer: u32,
-        life: u32,
+        incarnation: u32,
     },
     /// A balancer's read of the list is answered, or has failed.
-    Listed {
+    QueryCompleted {
         balancer: u32,
-        life: u32,
+        incarnation: u32,
         well: bool,
     },
     /// A probe reaches its nodo, and is over.
-    Probe {
+    ProbeArrives {
         probe: u64,
     },
-    Probed {
+    ProbeCompleted {
         probe: u64,
         held: Option<u32>,
     },
     /// The front notices that a balancer is out, or back.
-    Noticed {
+    FrontNoticed {
         balancer: u32,
-        life: u32,
+        incarnation: u32,
         out: bool,
     },
     /// A balancer's part of a roll: it drains, and is replaced.
     RollBalancer {
         balancer: u32,
-        life: u32,
+        incarnation: u32,
         drained: bool,
     },
     /// A fault begins, or ends.
-    Fault {
+    FaultChanges {
         fault: u32,
         begins: bool,
     },
     /// A nodo's part of a roll: told to drain, dies, comes back.
-    Roll {
-        nodo: u32,
+    RollUpstream {
+        upstream: u32,
         step: u8,
         fault: u32,
     },
     /// A nodo that fell over comes back.
-    Boot(u32),
+    UpstreamBoots(u32),
     /// The padron notices a death.
-    Notice {
-        nodo: u32,
+    DeathNoticed {
+        upstream: u32,
         process: u32,
     },
     /// A balancer is back.
-    Start {
+    BalancerStarts {
         balancer: u32,
         stale: Time,
     },
     /// A step of the timeline.
-    Step,
+    EndOfStep,
     /// A balancer's turn as a member among the others.
-    Member {
+    MemberTimer {
         balancer: u32,
         at: Time,
     },
     /// What one has sent to another arrives.
-    Mail(u64),
+    MessageArrives(u64),
     /// One looks whether those that it suspects listen.
-    MemberLooks(u32),
+    CheckSuspects(u32),
     /// It is looked at how cut ways are named.
-    MembersWays,
+    RecordPathReports,
     /// A balancer's turn to weigh what all have told.
-    Coordinator(u32),
+    CoordinatorTimer(u32),
 }
 
 /// One thing that a caller, or a nodo, wants done.
-struct Wish {
+struct ClientCall {
     class: usize,
     /// The group of callers, or none for a nodo's.
     group: Option<u32>,
     /// The attempt that a nodo calls for.
     parent: Option<u64>,
-    one_of_crowd: bool,
+    closed_loop: bool,
     born: Time,
     deadline: Time,
     tries: u32,
@@ -163,13 +165,13 @@
     closed: bool,
     measured: bool,
     /// The connection that its caller has asked on.
-    line: Option<Line>,
+    line: Option<CallerConnection>,
     /// Groups of nodos in which it ran, and when.
     seen: SmallVec<[(u32, Time); 1]>,
 }
 
 struct Request {
-    wish: u64,
+    client_call: u64,
     balancer: u32,
     answered: bool,
     attempts: u32,
@@ -180,7 +182,7 @@
     request: u64,
     number: u32,
     balancer: u32,
-    nodo: u32,
+    upstream: u32,
     host: u32,
     process: u32,
     /// Epoch of the connections to that nodo when it was sent.
@@ -200,7 +202,7 @@
 
 /// The connections of a balancer to one host.
 #[derive(Clone, Copy, Default)]
-struct Links {
+struct ConnectionPool {
     epoch: u32,
     process: u32,
     idle: u16,
@@ -210,30 +212,30 @@
 struct Balancer {
     tier: usize,
     zone: u8,
-    mind: BoxedMind,
+    agent: BoxedAgent,
     /// Its clock: what it is ahead by, and goes faster by.
     ahead: i64,
     drift: f64,
     network: ChaCha8Rng,
-    padron: ChaCha8Rng,
+    registry: ChaCha8Rng,
     seeds: ChaCha8Rng,
-    links: Vec<Links>,
+    links: Vec<ConnectionPool>,
     /// Connections that are open, idle or not, over HTTP/1.1.
     open: u32,
     /// The host of each server that it has sent to, by its own number for it.
     hosts: Vec<u32>,
     planned: Time,
     alive: bool,
-    life: u32,
+    incarnation: u32,
     stalled_until: Time,
     /// It is dealt no new connections, and answers what it holds.
     leaving: bool,
     /// It is told of changes of the list.
-    watches: bool,
+    subscribed: bool,
     /// Changes of the list that it was told of.
-    heard: u32,
+    applied_changes: u32,
     /// Word that is on its way: when it comes, and of how many changes. What comes at once is one list.
-    words: VecDeque<(Time, u32)>,
+    updates: VecDeque<(Time, u32)>,
 }
 
 impl Balancer {
@@ -252,66 +254,66 @@
 }
 
 /// A probe that is out.
-struct ProbeOut {
+struct PendingProbe {
     balancer: u32,
-    life: u32,
-    nodo: u32,
+    incarnation: u32,
+    upstream: u32,
     process: u32,
     server: ServerId,
 }
 
-struct Change {
+struct RegistryChange {
     at: Time,
-    nodo: u32,
+    upstream: u32,
     lifecycle: Lifecycle,
     boot_ms: u64,
 }
 
 /// What wraps a mind.
-pub type Wrap<'a> = dyn Fn(BoxedMind) -> BoxedMind + 'a;
+pub type AgentWrapper<'a> = dyn Fn(BoxedAgent) -> BoxedAgent + 'a;
 
 /// A run, from its start to its end.
 pub struct World<'a> {
     scenario: &'a Scenario,
     seed: u64,
     policy: Policy,
-    agenda: Agenda<Event>,
-    wishes: Numbered<Wish>,
-    requests: Numbered<Request>,
-    attempts: Numbered<Attempt>,
-    probes: Numbered<ProbeOut>,
+    event_queue: EventQueue<Event>,
+    client_calls: SequenceMap<ClientCall>,
+    requests: SequenceMap<Request>,
+    attempts: SequenceMap<Attempt>,
+    probes: SequenceMap<PendingProbe>,
     balancers: Vec<Balancer>,
     /// The balancer beside the nodo at an address.
-    beside: Vec<Option<u32>>,
+    sidecar: Vec<Option<u32>>,
     front: Option<Front>,
-    dealing: ChaCha8Rng,
+    front_rng: ChaCha8Rng,
     discovery: Option<Discovery>,
     /// The balancers of a tier in a zone.
     of_zone: Vec<Vec<Vec<u32>>>,
-    nodos: Vec<Nodo>,
+    upstreams: Vec<Upstream>,
     /// What waits for each until its process goes on.
     stopped: Vec<Vec<Event>>,
     /// Who listens at an address.
     hosts: Vec<u32>,
-    changes: Vec<Change>,
-    arrivals: Vec<ChaCha8Rng>,
-    habits: Vec<ChaCha8Rng>,
+    changes: Vec<RegistryChange>,
+    arrival_rngs: Vec<ChaCha8Rng>,
+    behavior_rngs: Vec<ChaCha8Rng>,
     mixes: Vec<Vec<(f64, usize)>>,
     zones: Vec<Option<u8>>,
     tenants: Vec<usize>,
     calls: Vec<Option<(usize, f64)>>,
     faults: Vec<(ChaCha8Rng, Vec<u32>, Vec<u32>)>,
-    cuts: Vec<(u8, bool)>,
-    padron_silent: u32,
+    partitions: Vec<(u8, bool)>,
+    registry_outages: u32,
     stalled: Time,
-    members: Option<members::Members>,
+    members: Option<members::MembershipSimulation>,
     coordinators: Option<coordinators::Coordinators>,
     auditor: Auditor,
     meter: Meter,
-    prices: Prices,
+    prices: CostCounters,
     story: Option<(u64, Vec<(Time, String)>)>,
     /// Wraps each mind as it starts; for tests that spoil or record one.
-    wrap: Option<&'a Wrap<'a>>,
+    wrap: Option<&'a AgentWrapper<'a>>,
     events: u64,
 }
 
@@ -323,29 +325,29 @@
             scenario,
             seed,
             policy,
-            agenda: Agenda::default(),
-            wishes: Numbered::default(),
-            requests: Numbered::default(),
-            attempts: Numbered::default(),
-            probes: Numbered::default(),
+            event_queue: EventQueue::default(),
+            client_calls: SequenceMap::default(),
+            requests: SequenceMap::default(),
+            attempts: SequenceMap::default(),
+            probes: SequenceMap::default(),
             balancers: Vec::new(),
-            beside: Vec::new(),
+            sidecar: Vec::new(),
             front: None,
-            dealing: stream(seed, Actor::Front, 0),
+            front_rng: stream(seed, Actor::Front, 0),
             discovery: scenario
-                .padron
-                .asked
+                .registry
+                .queries
                 .as_ref()
-                .map(|a| Discovery::new(a.reads, a.patience.0)),
+                .map(|a| Discovery::new(a.reads_per_second, a.timeout.0)),
             of_zone: Vec::new(),
-            nodos: Vec::new(),
+            upstreams: Vec::new(),
             stopped: Vec::new(),
             hosts: Vec::new(),
             changes: Vec::new(),
-            arrivals: (0..groups)
+            arrival_rngs: (0..groups)
                 .map(|group| stream(seed, Actor::Arrivals, group))
                 .collect(),
-            habits: (0..groups)
+            behavior_rngs: (0..groups)
                 .map(|group| stream(seed, Actor::Habits, group))
                 .collect(),
             mixes: Vec::new(),
@@ -353,14 +355,14 @@
             tenants: Vec::new(),
             calls: Vec::new(),
             faults: Vec::new(),
-            cuts: Vec::new(),
-            padron_silent: 0,
+            partitions: Vec::new(),
+            registry_outages: 0,
             stalled: 0,
             members: None,
             coordinators: None,
             auditor: Auditor::default(),
             meter: Meter::new(scenario),
-            prices: Prices::new(scenario.tier.len()),
+            prices: CostCounters::new(scenario.tier.len()),
             story: None,
             wrap: None,
             events: 0,
@@ -385,11 +387,11 @@
     }
 
     /// Wraps each mind as it starts.
-    pub fn wrap_minds(&mut self, wrap: &'a Wrap<'a>) {
+    pub fn wrap_agents(&mut self, wrap: &'a AgentWrapper<'a>) {
         self.wrap = Some(wrap);
         for at in 0..self.balancers.len() {
-            let mind = self.mind(at);
-            self.balancers[at].mind = mind;
+            let agent = self.agent(at);
+            self.balancers[at].agent = agent;
         }
     }
 
@@ -400,16 +402,16 @@
             let calls = tier.calls.as_ref();
             self.calls
                 .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
-            for nodo in 0..tier.nodos {
-                let host = self.nodos.len() as u32;
-                let rng = stream(self.seed, Actor::Nodo, host);
+            for upstream in 0..tier.upstreams {
+                let host = self.upstreams.len() as u32;
+                let rng = stream(self.seed, Actor::Upstream, host);
                 let place = (
-                    scenario.zone_in_turn(nodo),
-                    (nodo % u32::from(tier.cells)) as u16,
+                    scenario.zone_in_turn(upstream),
+                    (upstream % u32::from(tier.cells)) as u16,
                     host,
                 );
-                self.nodos.push(Nodo::new(
-                    format!("{}-{nodo}", tier.name),
+                self.upstreams.push(Upstream::new(
+                    format!("{}-{upstream}", tier.name),
                     at,
                     tier,
                     place,
@@ -419,10 +421,10 @@
             }
             self.of_zone.push(vec![Vec::new(); zones]);
         }
-        self.beside = vec![None; self.nodos.len()];
-        self.stopped = vec![Vec::new(); self.nodos.len()];
+        self.sidecar = vec![None; self.upstreams.len()];
+        self.stopped = vec![Vec::new(); self.upstreams.len()];
         for (at, tier) in scenario.tier.iter().enumerate() {
-            if !tier.beside {
+            if !tier.sidecar {
                 for balancer in 0..tier.balancers {
                     let zone = scenario.zone_in_turn(balancer);
                     let number = self.add_balancer(at, zone);
@@ -430,9 +432,9 @@
                 }
                 continue;
             }
-            for host in 0..self.nodos.len() {
-                if self.calls[self.nodos[host].tier].is_some_and(|(called, _)| called == at) {
-                    self.beside[host] = Some(self.add_balancer(at, self.nodos[host].zone));
+            for host in 0..self.upstreams.len() {
+                if self.calls[self.upstreams[host].tier].is_some_and(|(called, _)| called == at) {
+                    self.sidecar[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
                 }
             }
         }
@@ -442,7 +444,7 @@
                 &self.of_zone[0],
                 uneven,
                 kept,
-                &mut self.dealing,
+                &mut self.front_rng,
             ));
         }
         for (at, fault) in scenario.fault.iter().enumerate() {
@@ -452,17 +454,17 @@
                 Vec::new(),
                 Vec::new(),
             ));
-            self.agenda.at(
+            self.event_queue.at(
                 fault.at.0,
-                Event::Fault {
+                Event::FaultChanges {
                     fault: at as u32,
                     begins: true,
                 },
             );
             if let Some(until) = fault.until {
-                self.agenda.at(
+                self.event_queue.at(
                     until.0,
-                    Event::Fault {
+                    Event::FaultChanges {
                         fault: at as u32,
                         begins: false,
                     },
@@ -473,14 +475,16 @@
             match callers.load {
                 Load::Closed { callers, think } => {
                     for _ in 0..callers {
-                        let wait = (self.habits[group].random::<f64>() * think.0 as f64) as Time;
-                        self.agenda.at(wait, Event::Crowd(group as u32));
+                        let wait =
+                            (self.behavior_rngs[group].random::<f64>() * think.0 as f64) as Time;
+                        self.event_queue
+                            .at(wait, Event::ClosedLoopCall(group as u32));
                     }
                 }
                 _ => self.plan_arrival(group),
             }
         }
-        self.agenda.at(scenario.step.0, Event::Step);
+        self.event_queue.at(scenario.step.0, Event::EndOfStep);
     }
 
     fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
@@ -497,64 +501,66 @@
         self.balancers.push(Balancer {
             tier,
             zone,
-            mind: self
+            agent: self
                 .policy
-                .mind(scenario.settings(tier, zone), mind_seed, local),
+                .agent(scenario.settings(tier, zone), mind_seed, local),
             ahead,
             drift,
             network: stream(self.seed, Actor::Network, number),
-            padron: stream(self.seed, Actor::Padron, number),
+            registry: stream(self.seed, Actor::Registry, number),
             seeds: clock,
             links: Vec::new(),
             open: 0,
             hosts: Vec::new(),
             planned: Time::MAX,
             alive: true,
-            life: 0,
+            incarnation: 0,
             stalled_until: 0,
             leaving: false,
-            watches: scenario.padron.asked.is_none(),
-            heard: 0,
-            words: VecDeque::new(),
+            subscribed: scenario.registry.queries.is_none(),
+            applied_changes: 0,
+            updates: VecDeque::new(),
         });
         number
     }
 
     /// A new mind for a balancer, with the seed of its next life.
-    fn mind(&mut self, at: usize) -> BoxedMind {
-        let now = self.agenda.now();
+    fn agent(&mut self, at: usize) -> BoxedAgent {
+        let now = self.event_queue.now();
         let balancer = &mut self.balancers[at];
         let (settings, local) = (
             self.scenario.settings(balancer.tier, balancer.zone),
             balancer.local(now),
         );
-        let mind = self.policy.mind(settings, balancer.seeds.next_u64(), local);
+        let agent = self
+            .policy
+            .agent(settings, balancer.seeds.next_u64(), local);
         match self.wrap {
-            Some(wrap) => wrap(mind),
-            None => mind,
+            Some(wrap) => wrap(agent),
+            None => agent,
         }
     }
 
     /// Runs it to its end.
-    pub fn run(mut self) -> End {
+    pub fn run(mut self) -> RunResult {
         for at in 0..self.balancers.len() {
-            self.list_whole(at, 0);
+            self.send_full_list(at, 0);
         }
         self.members_begin();
         self.coordinators_begin();
         let longest = self.scenario.longest().0;
         let end = self.scenario.time.0 + longest + TAIL;
         // What stands still at the end must not make what it holds look lost.
-        while let Some(event) = self.agenda.next(end.max(self.stalled)) {
+        while let Some(event) = self.event_queue.next(end.max(self.stalled)) {
             self.events += 1;
             self.happen(event);
         }
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         self.auditor.look(now, self.stall_grace(now));
         let open = self
             .balancers
             .iter()
-            .map(|balancer| balancer.mind.open())
+            .map(|balancer| balancer.agent.open())
             .sum();
         self.auditor.end(now, open);
         let members = self.members_end();
@@ -568,101 +574,115 @@
             .collect();
         let prices = self.prices.rows(&names);
         let end = self.meter.end(self.auditor.findings(), self.events, story);
-        let end = End {
+        let end = RunResult {
             prices,
             members,
             evacuated,
             ..end
         };
-        End {
+        RunResult {
             bounds: self.scenario.judge(&end),
             ..end
         }
     }
 
-    fn tell_story(&mut self, wish: u64, text: impl FnOnce() -> String) {
+    fn record_story(&mut self, client_call: u64, text: impl FnOnce() -> String) {
         if let Some((call, story)) = &mut self.story
-            && *call == wish
+            && *call == client_call
             && story.len() < STORY
         {
-            story.push((self.agenda.now(), text()));
+            story.push((self.event_queue.now(), text()));
         }
     }
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Arrive(group) => self.arrive(group as usize),
-            Event::Crowd(group) => self.crowd(group as usize),
-            Event::Again(wish) => self.ask(wish),
-            Event::Read(request) => self.read(request),
-            Event::Reach(attempt) => self.reach(event, attempt),
-            Event::Done { nodo, .. } if self.nodos[nodo as usize].ills.stopped => {
-                self.stopped[nodo as usize].push(event);
+            Event::CallArrives(group) => self.call_arrives(group as usize),
+            Event::ClosedLoopCall(group) => self.closed_loop_call(group as usize),
+            Event::CallerRetries(client_call) => self.send_to_balancer(client_call),
+            Event::BalancerReads(request) => self.balancer_reads(request),
+            Event::AttemptArrived(attempt) => self.attempt_arrived(event, attempt),
+            Event::WorkFinished { upstream, .. }
+                if self.upstreams[upstream as usize].active_faults.stopped =>
+            {
+                self.stopped[upstream as usize].push(event);
             }
-            Event::Done {
+            Event::WorkFinished {
                 attempt,
-                nodo,
+                upstream,
                 process,
-            } => self.done(attempt, nodo as usize, process),
-            Event::Back { attempt, outcome } => self.back(event, attempt, outcome),
-            Event::Until(attempt) => self.until(event, attempt),
-            Event::Wake { balancer, at } => self.wake(balancer as usize, at),
-            Event::Told { balancer, life } => self.told(event, balancer as usize, life),
-            Event::Listed {
+            } => self.work_finished(attempt, upstream as usize, process),
+            Event::ResponseArrived { attempt, outcome } => {
+                self.response_arrived(event, attempt, outcome)
+            }
+            Event::AttemptExpired(attempt) => self.attempt_expired(event, attempt),
+            Event::AgentTimer { balancer, at } => self.agent_timer(balancer as usize, at),
+            Event::RegistryUpdate {
                 balancer,
-                life,
+                incarnation,
+            } => self.registry_updated(event, balancer as usize, incarnation),
+            Event::QueryCompleted {
+                balancer,
+                incarnation,
                 well,
-            } => self.read_ends(balancer as usize, life, well),
-            Event::Probe { probe } => self.probe_reaches(probe),
-            Event::Probed { probe, held } => self.probe_ends(probe, held),
-            Event::Noticed {
+            } => self.query_completed(balancer as usize, incarnation, well),
+            Event::ProbeArrives { probe } => self.probe_reaches(probe),
+            Event::ProbeCompleted { probe, held } => self.probe_ends(probe, held),
+            Event::FrontNoticed {
                 balancer,
-                life,
+                incarnation,
                 out,
-            } => self.noticed(balancer as usize, life, out),
+            } => self.front_noticed(balancer as usize, incarnation, out),
             Event::RollBalancer {
                 balancer,
-                life,
+                incarnation,
                 drained,
             } => {
-                self.roll_balancer(balancer as usize, life, drained);
+                self.roll_balancer(balancer as usize, incarnation, drained);
             }
-            Event::Fault { fault, begins } => self.fault(fault as usize, begins),
-            Event::Roll { nodo, step, fault } => self.roll(nodo, step, fault as usize),
-            Event::Boot(nodo) => self.boot(nodo as usize),
-            Event::Notice { nodo, process } => {
-                let dead = &self.nodos[nodo as usize];
-                let there = self.hosts[dead.host as usize] == nodo;
+            Event::FaultChanges { fault, begins } => self.fault(fault as usize, begins),
+            Event::RollUpstream {
+                upstream,
+                step,
+                fault,
+            } => self.roll_upstream(upstream, step, fault as usize),
+            Event::UpstreamBoots(upstream) => self.boot_upstream(upstream as usize),
+            Event::DeathNoticed { upstream, process } => {
+                let dead = &self.upstreams[upstream as usize];
+                let there = self.hosts[dead.host as usize] == upstream;
                 if there && !dead.alive && dead.process == process {
-                    self.change(nodo, Lifecycle::Removed);
+                    self.change_registry(upstream, Lifecycle::Removed);
                 }
             }
-            Event::Start { balancer, stale } => self.start(balancer as usize, stale),
-            Event::Step => self.step(),
-            Event::Member { balancer, at } => self.member_wakes(balancer as usize, at),
-            Event::Mail(mail) => self.member_hears(mail),
-            Event::MemberLooks(balancer) => self.member_looks(balancer as usize),
-            Event::MembersWays => self.members_ways(),
-            Event::Coordinator(balancer) => self.coordinator(balancer as usize),
+            Event::BalancerStarts { balancer, stale } => {
+                self.start_balancer(balancer as usize, stale)
+            }
+            Event::EndOfStep => self.step(),
+            Event::MemberTimer { balancer, at } => self.member_timer(balancer as usize, at),
+            Event::MessageArrives(messages) => self.receive_member_message(messages),
+            Event::CheckSuspects(balancer) => self.check_suspects(balancer as usize),
+            Event::RecordPathReports => self.members_path_reports(),
+            Event::CoordinatorTimer(balancer) => self.coordinator(balancer as usize),
         }
     }
 
     // ---- Measures ----
 
     fn step(&mut self) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         self.auditor.look(now, self.stall_grace(now));
         let tiers = self.scenario.tier.len();
         let mut speed = vec![0.0; tiers];
-        for nodo in &self.nodos {
-            if !nodo.draining {
-                speed[nodo.tier] += nodo.speed(now);
+        for upstream in &self.upstreams {
+            if !upstream.draining {
+                speed[upstream.tier] += upstream.speed(now);
             }
         }
         self.meter
             .step(now, &speed, self.requests.len(), self.attempts.len());
         if now < self.scenario.time.0 {
-            self.agenda.after(self.scenario.step.0, Event::Step);
+            self.event_queue
+                .after(self.scenario.step.0, Event::EndOfStep);
         }
     }
 }
--- /dev/null
+++ b/crates/emulator/src/world/upstreams.rs
@@ -0,0 +1,387 @@
+//! What nodos do with the attempts that reach them, and how their processes die and start.
+
+use super::*;
+
+impl World<'_> {
+    pub(super) fn attempt_arrived(&mut self, event: Event, number: u64) {
+        let now = self.event_queue.now();
+        let Some(attempt) = self.attempts.get(number) else {
+            return;
+        };
+        let (request, host) = (attempt.request, attempt.host);
+        let (sent_to, process) = (attempt.upstream as usize, attempt.process);
+        let upstream = self.hosts[host as usize] as usize;
+        if !self.upstreams[upstream].alive
+            || upstream != sent_to
+            || self.upstreams[upstream].process != process
+        {
+            // It died on the way. What was written may have been read.
+            return self.respond(number, Outcome::Reset);
+        }
+        if self.upstreams[upstream].active_faults.stopped {
+            return self.stopped[upstream].push(event);
+        }
+        let Some(client_call) = self
+            .requests
+            .get(request)
+            .map(|request| request.client_call)
+        else {
+            return;
+        };
+        let Some(class) = self
+            .client_calls
+            .get(client_call)
+            .map(|client_call| client_call.class)
+        else {
+            return;
+        };
+        let mean = self.scenario.class[class].service.mean();
+        let warm = f64::from(self.upstreams[upstream].workers()) * 1e9 / mean;
+        if let Some(part) = self.upstreams[upstream].count_cold(now, warm) {
+            let name = self.upstreams[upstream].name.clone();
+            self.auditor.pushed_over(now, &name, part);
+            self.kill_upstream(upstream, false);
+            return self
+                .event_queue
+                .after(OVERLOAD_RECOVERY, Event::UpstreamBoots(upstream as u32));
+        }
+        let there = &mut self.upstreams[upstream];
+        if there.active_faults.unresponsive {
+            return self.drop_attempt(number);
+        }
+        let active_faults = there.active_faults.resets;
+        if chance(&mut there.rng, active_faults / 2.0) {
+            return self.respond(number, Outcome::Reset);
+        }
+        if there.errs(class) {
+            return self.respond(number, Outcome::Error);
+        }
+        let name = there.name.clone();
+        match there.take(number) {
+            Admission::Begun => {
+                self.record_story(client_call, || format!("{name} begins it"));
+                self.begin_work(upstream, number, class);
+            }
+            Admission::Queued => {
+                let held = self.upstreams[upstream].in_flight();
+                self.meter.queued(held);
+                self.record_story(client_call, || {
+                    format!("{name} lets it wait behind {}", held - 1)
+                });
+            }
+            Admission::Full => {
+                self.record_story(client_call, || format!("{name} turns it away as full"));
+                self.respond(number, Outcome::Full);
+            }
+        }
+    }
+
+    pub(super) fn begin_work(&mut self, upstream: usize, attempt: u64, class: usize) {
+        let now = self.event_queue.now();
+        let mut took = self.upstreams[upstream].service(now, &self.scenario.class[class].service);
+        let connections = &self.scenario.tier[self.upstreams[upstream].tier].connections;
+        if connections.work.0 > 0
+            && self
+                .attempts
+                .get(attempt)
+                .is_some_and(|attempt| attempt.fresh)
+        {
+            took += self.upstreams[upstream].overhead(now, connections.work.0);
+        }
+        let process = self.upstreams[upstream].process;
+        self.event_queue.after(
+            took,
+            Event::WorkFinished {
+                attempt,
+                upstream: upstream as u32,
+                process,
+            },
+        );
+    }
+
+    /// Sends an outcome back to the balancer of an attempt.
+    pub(super) fn respond(&mut self, number: u64, outcome: Outcome) {
+        let Some(attempt) = self.attempts.get(number) else {
+            return;
+        };
+        let (at, upstream) = (attempt.balancer as usize, attempt.upstream as usize);
+        if self.is_lost(at, upstream, false) || self.is_partitioned(at, upstream, false) {
+            return self.drop_attempt(number);
+        }
+        let way = self.delay(at, upstream, false);
+        self.event_queue.after(
+            way,
+            Event::ResponseArrived {
+                attempt: number,
+                outcome,
+            },
+        );
+    }
+
+    pub(super) fn work_finished(&mut self, number: u64, upstream: usize, process: u32) {
+        if self.upstreams[upstream].process != process || !self.upstreams[upstream].alive {
+            return; // it died meanwhile, and all that it was at with it
+        }
+        self.take_effect(number);
+        let calls = self.calls[self.upstreams[upstream].tier];
+        let parent = self.attempts.get(number).and_then(|attempt| {
+            let client_call = self.requests.get(attempt.request)?.client_call;
+            self.client_calls
+                .get(client_call)
+                .map(|client_call| (client_call.class, client_call.deadline))
+        });
+        let (Some((_, mean)), Some((class, deadline))) = (calls, parent) else {
+            return self.finish_attempt(number, upstream);
+        };
+        // A whole number on either side of the mean.
+        let rng = &mut self.upstreams[upstream].rng;
+        let count = mean.floor() as u32 + u32::from(chance(rng, mean.fract()));
+        let now = self.event_queue.now();
+        if count == 0 || now >= deadline {
+            return self.finish_attempt(number, upstream);
+        }
+        if let Some(attempt) = self.attempts.get_mut(number) {
+            attempt.calls = count;
+        }
+        for _ in 0..count {
+            let client_call = self.client_calls.add(ClientCall {
+                class,
+                group: None,
+                parent: Some(number),
+                closed_loop: false,
+                born: now,
+                deadline,
+                tries: 0,
+                requests: 0,
+                closed: false,
+                measured: false,
+                line: None,
+                seen: SmallVec::new(),
+            });
+            self.send_to_balancer(client_call);
+        }
+    }
+
+    /// A nodo's call to the next tier is answered.
+    pub(super) fn downstream_call_answered(&mut self, number: u64, well: bool) {
+        let Some(attempt) = self
+            .attempts
+            .get_mut(number)
+            .filter(|attempt| attempt.calls > 0)
+        else {
+            return;
+        };
+        attempt.calls -= 1;
+        attempt.spoilt |= !well;
+        let (left, upstream, process) = (attempt.calls, attempt.upstream as usize, attempt.process);
+        if left == 0
+            && self.upstreams[upstream].alive
+            && self.upstreams[upstream].process == process
+        {
+            self.finish_attempt(number, upstream);
+        }
+    }
+
+    /// A nodo is done with an attempt: it answers and takes the next.
+    pub(super) fn finish_attempt(&mut self, number: u64, upstream: usize) {
+        let spoilt = self
+            .attempts
+            .get(number)
+            .is_some_and(|attempt| attempt.spoilt);
+        let there = &mut self.upstreams[upstream];
+        let (lost, resets) = (there.active_faults.lost, there.active_faults.resets / 2.0);
+        if chance(&mut there.rng, lost) {
+            self.drop_attempt(number);
+        } else if chance(&mut self.upstreams[upstream].rng, resets) {
+            self.respond(number, Outcome::Reset);
+        } else {
+            self.respond(number, if spoilt { Outcome::Error } else { Outcome::Ok });
+        }
+        self.take_next(upstream);
+    }
+
+    pub(super) fn take_next(&mut self, upstream: usize) {
+        let (attempts, mut dropped) = (&self.attempts, SmallVec::<[u64; 4]>::new());
+        let next = self.upstreams[upstream].next(|request| {
+            let waits = attempts.get(request).is_some_and(|attempt| attempt.out);
+            if !waits {
+                dropped.push(request); // its connection is closed: a nodo sees that before it begins
+            }
+            waits
+        });
+        dropped
+            .into_iter()
+            .for_each(|request| self.drop_attempt(request));
+        let Some(next) = next else { return };
+        let class = self.attempts.get(next).and_then(|attempt| {
+            let client_call = self.requests.get(attempt.request)?.client_call;
+            self.client_calls
+                .get(client_call)
+                .map(|client_call| client_call.class)
+        });
+        self.begin_work(upstream, next, class.unwrap_or(0));
+    }
+
+    /// The work of an attempt is done. Nodos drop the repeats of keyed work in their group and window.
+    pub(super) fn take_effect(&mut self, number: u64) {
+        let now = self.event_queue.now();
+        let Some(attempt) = self.attempts.get(number) else {
+            return;
+        };
+        let (request, upstream) = (attempt.request, &self.upstreams[attempt.upstream as usize]);
+        let Some(client_call_number) = self
+            .requests
+            .get(request)
+            .map(|request| request.client_call)
+        else {
+            return;
+        };
+        let Some(client_call) = self.client_calls.get_mut(client_call_number) else {
+            return;
+        };
+        let class = &self.scenario.class[client_call.class];
+        let group = match class.group {
+            CallGroup::All => 0,
+            CallGroup::Zone => u32::from(upstream.zone),
+            CallGroup::Cell => u32::from(upstream.cell),
+        };
+        if class.effect == CallEffect::Keyed {
+            let within = |(seen, at): &(u32, Time)| *seen == group && now < at + class.window.0;
+            if client_call.seen.iter().any(within) {
+                return;
+            }
+            client_call.seen.push((group, now));
+        }
+        let name = upstream.name.clone();
+        self.auditor.ran(now, request);
+        self.record_story(client_call_number, || format!("{name} has done it"));
+    }
+
+    /// A nodo's process dies. What it was at breaks, done or not.
+    pub(super) fn kill_upstream(&mut self, upstream: usize, done: bool) {
+        if !self.upstreams[upstream].alive {
+            return;
+        }
+        let process = self.upstreams[upstream].process;
+        self.upstreams[upstream].die();
+        let here =
+            |attempt: &Attempt| attempt.upstream as usize == upstream && attempt.process == process;
+        let lost = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| here(attempt) && attempt.there);
+        let lost: Vec<u64> = lost.map(|(number, _)| number).collect();
+        for number in lost {
+            if done {
+                self.take_effect(number);
+            }
+            if let Some(attempt) = self.attempts.get_mut(number) {
+                attempt.calls = 0;
+            }
+            self.respond(number, Outcome::Reset);
+        }
+        let detection_delay = self.scenario.registry.detection_delay.0;
+        self.event_queue.after(
+            detection_delay,
+            Event::DeathNoticed {
+                upstream: upstream as u32,
+                process,
+            },
+        );
+        if let Some(balancer) = self.sidecar[self.upstreams[upstream].host as usize] {
+            self.stop_balancer(balancer as usize);
+        }
+    }
+
+    pub(super) fn boot_upstream(&mut self, upstream: usize) {
+        let host = self.upstreams[upstream].host as usize;
+        if self.upstreams[upstream].alive || self.hosts[host] as usize != upstream {
+            return;
+        }
+        let now = self.event_queue.now();
+        self.upstreams[upstream].boot(now);
+        self.start_sidecar(upstream);
+        self.change_registry(upstream as u32, Lifecycle::Ready);
+    }
+
+    /// The balancer beside a nodo starts with it.
+    pub(super) fn start_sidecar(&mut self, upstream: usize) {
+        if let Some(balancer) = self.sidecar[self.upstreams[upstream].host as usize] {
+            self.start_balancer(balancer as usize, 0);
+        }
+    }
+
+    // ---- Probes ----
+
+    pub(super) fn probe(&mut self, at: usize, peer: &Peer) {
+        let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
+        self.prices.pay(now, tier, Cost::Probes, at);
+        let host = Self::host_by_address(peer.address) as usize;
+        let (Some(&upstream), Some(probed)) =
+            (self.hosts.get(host), &self.scenario.tier[tier].probed)
+        else {
+            return;
+        };
+        let timeout = probed.timeout.0;
+        let (process, incarnation) = (
+            self.upstreams[upstream as usize].process,
+            self.balancers[at].incarnation,
+        );
+        let out = PendingProbe {
+            balancer: at as u32,
+            incarnation,
+            upstream,
+            process,
+            server: peer.server,
+        };
+        let probe = self.probes.add(out);
+        self.event_queue
+            .after(timeout, Event::ProbeCompleted { probe, held: None });
+        if !self.is_partitioned(at, upstream as usize, true) {
+            let way = self.delay(at, upstream as usize, true);
+            self.event_queue.after(way, Event::ProbeArrives { probe });
+        }
+    }
+
+    pub(super) fn probe_reaches(&mut self, probe: u64) {
+        let Some(out) = self.probes.get(probe) else {
+            return;
+        };
+        let (at, upstream, process) = (out.balancer as usize, out.upstream as usize, out.process);
+        let there = &self.upstreams[upstream];
+        let mute = there.active_faults.unresponsive || there.active_faults.stopped;
+        if there.alive
+            && there.process == process
+            && !mute
+            && !self.is_partitioned(at, upstream, false)
+        {
+            let (way, held) = (
+                self.delay(at, upstream, false),
+                Some(self.upstreams[upstream].in_flight()),
+            );
+            self.event_queue
+                .after(way, Event::ProbeCompleted { probe, held });
+        }
+    }
+
+    /// A probe is over, by its answer or by its patience, whichever came first.
+    pub(super) fn probe_ends(&mut self, probe: u64, held: Option<u32>) {
+        let Some(out) = self.probes.take(probe) else {
+            return;
+        };
+        let (at, server) = (out.balancer as usize, out.server);
+        if !self.balancers[at].alive || self.balancers[at].incarnation != out.incarnation {
+            return;
+        }
+        let outcome = if held.is_some() {
+            Outcome::Ok
+        } else {
+            Outcome::Timeout
+        };
+        let load = held.map(|held| LoadReport {
+            figures: [held as f32, 0.0, 0.0, 0.0],
+            len: 1,
+        });
+        self.handle_input(at, Input::ProbeEnded(server, outcome, load));
+    }
+}
--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -6,9 +6,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 use woadstall_emulator::engine::{Command, Input, Lifecycle, Peer, RequestId, Time};
-use woadstall_emulator::{End, Mind, Policy, Rule, Scenario, Ticket, World};
+use woadstall_emulator::{BalancerAgent, Policy, Rule, RunResult, Scenario, Ticket, World};
 
-type Boxed = Box<dyn Mind + Send>;
+type Boxed = Box<dyn BalancerAgent + Send>;
 
 /// What a saboteur does.
 #[derive(Clone, Copy, PartialEq)]
@@ -23,7 +23,7 @@
 
 /// A mind that goes wrong.
 struct Saboteur {
-    mind: Boxed,
+    agent: Boxed,
     does: Does,
     now: Time,
     more: VecDeque<Command<Ticket, ()>>,
@@ -38,7 +38,7 @@
 const EXTRA: u32 = 1_000;
 const UNSAFE: usize = 1;
 
-impl Mind for Saboteur {
+impl BalancerAgent for Saboteur {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
         self.now = now;
         match &input {
@@ -68,14 +68,14 @@
             Input::AttemptEnded { attempt, .. } if *attempt >= EXTRA => return,
             _ => {}
         }
-        self.mind.handle(now, input);
+        self.agent.handle(now, input);
     }
 
     fn next_command(&mut self) -> Option<Command<Ticket, ()>> {
         if let Some(more) = self.more.pop_front() {
             return Some(more);
         }
-        let mut command = self.mind.next_command()?;
+        let mut command = self.agent.next_command()?;
         match (&mut command, self.does) {
             (Command::SendAttempt(send), Does::SendsTwice)
                 if self.classes.get(&send.id) == Some(&UNSAFE) =>
@@ -119,18 +119,18 @@
     }
 
     fn wake_at(&self) -> Option<Time> {
-        self.mind.wake_at()
+        self.agent.wake_at()
     }
 
     fn open(&self) -> usize {
-        self.mind.open()
+        self.agent.open()
     }
 }
 
-fn sabotaged(scenario: &Scenario, does: Does) -> End {
-    let wrap = |mind: Boxed| -> Boxed {
+fn sabotaged(scenario: &Scenario, does: Does) -> RunResult {
+    let wrap = |agent: Boxed| -> Boxed {
         Box::new(Saboteur {
-            mind,
+            agent,
             does,
             now: 0,
             more: VecDeque::new(),
@@ -142,13 +142,13 @@
         })
     };
     let mut world = World::new(scenario, Policy::Woadstall, 7);
-    world.wrap_minds(&wrap);
+    world.wrap_agents(&wrap);
     world.run()
 }
 
 const ROLL: &str = "[[fault]]\nat = \"1 s\"\nuntil = \"7 s\"\npart = 0.4\nwhat = \"roll\"\n";
 
-fn broken(end: &End) -> Vec<Rule> {
+fn broken(end: &RunResult) -> Vec<Rule> {
     end.breaches
         .iter()
         .filter(|(_, count)| **count > 0)
@@ -202,42 +202,42 @@
 type Recorded = Arc<Mutex<Vec<(Time, String, String)>>>;
 
 struct Recorder {
-    mind: Boxed,
+    agent: Boxed,
     tape: Recorded,
 }
 
-impl Mind for Recorder {
+impl BalancerAgent for Recorder {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
         self.tape
             .lock()
             .unwrap()
             .push((now, format!("{input:?}"), String::new()));
-        self.mind.handle(now, input);
+        self.agent.handle(now, input);
     }
 
     fn next_command(&mut self) -> Option<Command<Ticket, ()>> {
-        let command = self.mind.next_command()?;
+        let command = self.agent.next_command()?;
         self.tape.lock().unwrap().last_mut().unwrap().2 += &format!("{command:?}");
         Some(command)
     }
 
     fn wake_at(&self) -> Option<Time> {
-        self.mind.wake_at()
+        self.agent.wake_at()
     }
 
     fn open(&self) -> usize {
-        self.mind.open()
+        self.agent.open()
     }
 }
 
 /// A second engine beside the first, told the same, which must say the same.
 struct Twin {
-    mind: Boxed,
+    agent: Boxed,
     twin: woadstall_emulator::engine::Engine<Ticket, ()>,
     compared: Arc<Mutex<usize>>,
 }
 
-impl Mind for Twin {
+impl BalancerAgent for Twin {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
         use woadstall_emulator::engine::AttemptEnd;
         let copy = match &input {
@@ -284,23 +284,23 @@
             other => unreachable!("the emulator does not tell this: {other:?}"),
         };
         self.twin.handle(now, copy);
-        self.mind.handle(now, input);
+        self.agent.handle(now, input);
     }
 
     fn next_command(&mut self) -> Option<Command<Ticket, ()>> {
-        let command = self.mind.next_command();
+        let command = self.agent.next_command();
         assert_eq!(command, self.twin.next_command());
         *self.compared.lock().unwrap() += usize::from(command.is_some());
         command
     }
 
     fn wake_at(&self) -> Option<Time> {
-        assert_eq!(self.mind.wake_at(), self.twin.wake_at());
-        self.mind.wake_at()
+        assert_eq!(self.agent.wake_at(), self.twin.wake_at());
+        self.agent.wake_at()
     }
 
     fn open(&self) -> usize {
-        self.mind.open()
+        self.agent.open()
     }
 }
 
@@ -314,13 +314,13 @@
     let wrap = |_: Boxed| -> Boxed {
         let engine = || Engine::new(scenario.settings(0, 0), 5, 0).unwrap();
         Box::new(Twin {
-            mind: Box::new(engine()),
+            agent: Box::new(engine()),
             twin: engine(),
             compared: compared.clone(),
         })
     };
     let mut world = World::new(&scenario, Policy::Woadstall, 3);
-    world.wrap_minds(&wrap);
+    world.wrap_agents(&wrap);
     assert_eq!(world.run().broken(), 0);
     assert!(*compared.lock().unwrap() > 3_000);
 }
@@ -331,14 +331,14 @@
     let scenario = small(ROLL);
     let run = |seed| {
         let tape = Recorded::default();
-        let wrap = |mind: Boxed| -> Boxed {
+        let wrap = |agent: Boxed| -> Boxed {
             Box::new(Recorder {
-                mind,
+                agent,
                 tape: tape.clone(),
             })
         };
         let mut world = World::new(&scenario, Policy::Woadstall, seed);
-        world.wrap_minds(&wrap);
+        world.wrap_agents(&wrap);
         let end = world.run();
         let tape = std::mem::take(&mut *tape.lock().unwrap());
         (format!("{end:?}"), tape)
@@ -367,7 +367,7 @@
     };
     let fewer = small("");
     let mut more = fewer.clone();
-    more.tier[0].nodos += 1;
+    more.tier[0].upstreams += 1;
     more.tier[0].balancers += 2;
     assert_eq!(offered(&fewer), offered(&more));
 }
--- a/crates/emulator/tests/evacuation.rs
+++ b/crates/emulator/tests/evacuation.rs
@@ -1,19 +1,19 @@
 //! Fleets that leave places together, on scenarios of the repository: who left what, and who did not.
 
 use std::path::Path;
-use woadstall_emulator::{End, Policy, Scenario, run};
+use woadstall_emulator::{Policy, RunResult, Scenario, run};
 
 fn read(name: &str) -> Scenario {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/evacuation");
     Scenario::read(&std::fs::read_to_string(folder.join(format!("{name}.toml"))).unwrap()).unwrap()
 }
 
-fn played(name: &str, seed: u64) -> End {
+fn played(name: &str, seed: u64) -> RunResult {
     println!("{name}, seed {seed}");
     run(&read(name), Policy::Woadstall, seed)
 }
 
-fn kept(name: &str, seed: u64) -> End {
+fn kept(name: &str, seed: u64) -> RunResult {
     let end = played(name, seed);
     assert_eq!(end.broken(), 0, "{name}: {:?}", end.first_breaches);
     assert!(
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::small;
-use woadstall_emulator::{Connections, Dealing, End, Policy, Price, Probed, Scenario, Span, run};
+use woadstall_emulator::{
+    Connections, Cost, FrontConfig, Policy, ProbeConfig, RunResult, Scenario, Span, run,
+};
 
 const SECOND: u64 = 1_000_000_000;
 
@@ -30,13 +32,13 @@
     Scenario::read(&text).unwrap()
 }
 
-fn play(scenario: &Scenario) -> End {
+fn play(scenario: &Scenario) -> RunResult {
     let end = run(scenario, Policy::Woadstall, 1);
     assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
     end
 }
 
-fn paid(end: &End, tier: &str, price: Price) -> u64 {
+fn paid(end: &RunResult, tier: &str, price: Cost) -> u64 {
     end.prices
         .iter()
         .find(|row| row.tier == tier && row.price == price)
@@ -61,7 +63,7 @@
     let row = end
         .prices
         .iter()
-        .find(|row| row.tier == "ledger" && row.price == Price::Handshakes)
+        .find(|row| row.tier == "ledger" && row.price == Cost::Handshakes)
         .unwrap();
     assert!(row.total >= 9 * 6 && row.largest.1 < 0.25, "{row:?}");
 }
@@ -80,12 +82,12 @@
         end.counts
     );
     // The next process has no connections: it opens all of them again.
-    let (calm, killed) = (play(&tiers("")), paid(&end, "ledger", Price::Handshakes));
+    let (calm, killed) = (play(&tiers("")), paid(&end, "ledger", Cost::Handshakes));
     assert!(
-        killed >= paid(&calm, "ledger", Price::Handshakes) + 10,
+        killed >= paid(&calm, "ledger", Cost::Handshakes) + 10,
         "{killed}"
     );
-    let after = |step: &&woadstall_emulator::Step| step.until > 6.5 && step.until < 8.0;
+    let after = |step: &&woadstall_emulator::TimelineStep| step.until > 6.5 && step.until < 8.0;
     let (served, offered) = end
         .steps
         .iter()
@@ -102,16 +104,16 @@
 /// The front goes on dealing to the dead until it notices: the same death costs more where it notices late.
 #[test]
 fn a_front_that_notices_late_deals_to_the_dead() {
-    let with = |notices: u64| {
+    let with = |detection_delay: u64| {
         let fault =
             "[[fault]]\nat = \"2 s\"\nuntil = \"6 s\"\npart = 0.67\nwhat = { restart = {} }\n";
         let mut scenario = small(fault);
-        scenario.front = Some(Dealing {
-            notices: Span(notices),
-            ..Dealing::default()
+        scenario.front = Some(FrontConfig {
+            detection_delay: Span(detection_delay),
+            ..FrontConfig::default()
         });
         let end = play(&scenario);
-        (paid(&end, "only", Price::Unreached), end.counts.failed)
+        (paid(&end, "only", Cost::Unreached), end.counts.failed)
     };
     let (soon, late) = (with(SECOND / 10), with(3 * SECOND));
     assert!(
@@ -125,12 +127,12 @@
 #[test]
 fn callers_keep_their_connections() {
     let mut scenario = small("");
-    scenario.front = Some(Dealing {
+    scenario.front = Some(FrontConfig {
         uneven: 20.0,
-        ..Dealing::default()
+        ..FrontConfig::default()
     });
     let end = play(&scenario);
-    let lines = paid(&end, "only", Price::Lines);
+    let lines = paid(&end, "only", Cost::CallerConnections);
     assert!(
         lines > 3 && lines * 20 < end.counts.offered,
         "{lines} of {}",
@@ -145,10 +147,10 @@
         let mut scenario = small("");
         scenario.tier[0].connections = connections;
         let end = play(&scenario);
-        let crowded = paid(&end, "only", Price::Crowded);
+        let crowded = paid(&end, "only", Cost::ConnectionsRefused);
         (
             crowded,
-            paid(&end, "only", Price::Handshakes),
+            paid(&end, "only", Cost::Handshakes),
             end.latency.mean,
             end.served,
         )
@@ -174,7 +176,7 @@
 /// A herd of balancers on a discovery that answers five reads a second: some fail, all get through in the end.
 #[test]
 fn all_balancers_get_to_read_from_a_discovery_with_little_capacity() {
-    let asked = r#"
+    let queries = r#"
 [padron]
 asked = { reads = 5.0, patience = "1 s", within = "10 s" }
 
@@ -189,20 +191,20 @@
 part = 0.5
 what = "replace"
 "#;
-    let mut scenario = small(asked);
+    let mut scenario = small(queries);
     (
         scenario.time,
         scenario.tier[0].balancers,
-        scenario.tier[0].nodos,
+        scenario.tier[0].upstreams,
     ) = (Span(25 * SECOND), 24, 12);
     let end = play(&scenario);
-    let (reads, failed) = (
-        paid(&end, "only", Price::Reads),
-        paid(&end, "only", Price::FailedReads),
+    let (reads_per_second, failed) = (
+        paid(&end, "only", Cost::Reads),
+        paid(&end, "only", Cost::FailedReads),
     );
     assert!(
-        reads - failed >= 48 && failed > 0,
-        "{reads} reads, {failed} failed"
+        reads_per_second - failed >= 48 && failed > 0,
+        "{reads_per_second} reads, {failed} failed"
     );
     let late = end
         .steps
@@ -222,10 +224,10 @@
 fn rolled_balancers_lose_nothing() {
     let fault = "[[fault]]\nat = \"1 s\"\nuntil = \"5 s\"\nwhat = \"roll-balancers\"\n";
     let mut scenario = small(fault);
-    scenario.front = Some(Dealing::default());
-    scenario.tier[0].nodos = 10;
+    scenario.front = Some(FrontConfig::default());
+    scenario.tier[0].upstreams = 10;
     let end = play(&scenario);
-    assert_eq!(paid(&end, "only", Price::Unreached), 0);
+    assert_eq!(paid(&end, "only", Cost::Unreached), 0);
     assert_eq!(end.counts.failed, 0, "{:?}", end.counts);
     let killed = small(&fault.replace("\"roll-balancers\"", "{ restart = {} }"));
     assert!(play(&killed).counts.failed > 50, "the same without a drain");
@@ -236,23 +238,23 @@
 fn probes_are_answered_by_what_lives() {
     let mut scenario =
         small("[[fault]]\nat = \"3 s\"\nuntil = \"5 s\"\npart = 0.34\nwhat = \"silent\"\n");
-    scenario.tier[0].probed = Some(Probed {
+    scenario.tier[0].probed = Some(ProbeConfig {
         price: 0.001,
-        patience: Span(SECOND / 20),
+        timeout: Span(SECOND / 20),
     });
     let end = play(&scenario);
-    let probes = paid(&end, "only", Price::Probes);
+    let probes = paid(&end, "only", Cost::Probes);
     assert!(
         2 * probes > 3 * end.counts.offered,
         "{probes} for {}",
         end.counts.offered
     );
     assert!(end.served > 0.9, "{}", end.served);
-    scenario.tier[0].probed = Some(Probed {
+    scenario.tier[0].probed = Some(ProbeConfig {
         price: 0.5,
-        patience: Span(SECOND / 20),
+        timeout: Span(SECOND / 20),
     });
-    assert_eq!(paid(&play(&scenario), "only", Price::Probes), 0, "too dear");
+    assert_eq!(paid(&play(&scenario), "only", Cost::Probes), 0, "too dear");
 }
 
 /// Bodies take the time of their bytes.
@@ -290,8 +292,8 @@
     );
     assert!(tier("balancers = 1\nconnections = { trips = 11 }").contains("connections.trips"));
     assert!(error("[front]\nuneven = 0.5\n").contains("front.uneven"));
-    let asked = "[padron]\nasked = { reads = 0.0, patience = \"1 s\", within = \"1 s\" }\n";
-    assert!(error(asked).contains("padron.asked.reads"));
+    let queries = "[padron]\nasked = { reads = 0.0, patience = \"1 s\", within = \"1 s\" }\n";
+    assert!(error(queries).contains("padron.asked.reads"));
     let roll = "[[fault]]\nat = \"1 s\"\nwhat = \"roll-balancers\"\n";
     assert!(error(roll).contains("`until` is missing"));
 }
--- a/crates/emulator/tests/power.rs
+++ b/crates/emulator/tests/power.rs
@@ -3,23 +3,23 @@
 mod common;
 
 use common::small;
-use woadstall_emulator::{End, Policy, Scenario, run};
+use woadstall_emulator::{Policy, RunResult, Scenario, run};
 
-fn played(more: &str) -> End {
+fn played(more: &str) -> RunResult {
     let end = run(&small(more), Policy::Woadstall, 3);
     assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
     end
 }
 
-fn served(end: &End, from: f64, until: f64) -> f64 {
+fn served(end: &RunResult, from: f64, until: f64) -> f64 {
     let steps = end
         .steps
         .iter()
         .filter(|step| step.until > from && step.until <= until);
-    let (worth, offered) = steps.fold((0.0, 0.0), |(worth, all), step| {
-        (worth + step.counts.worth, all + step.counts.worth_offered)
+    let (value, offered) = steps.fold((0.0, 0.0), |(value, all), step| {
+        (value + step.counts.value, all + step.counts.value_offered)
     });
-    worth / offered
+    value / offered
 }
 
 /// Nodos that stand still for less than the callers' time answer late what they had; those that stand still for
@@ -56,9 +56,9 @@
 /// a nodo of its own zone each balancer serves on.
 #[test]
 fn one_way_is_cut() {
-    let cut =
+    let partitioned =
         "[[fault]]\nat = \"3 s\"\nzone = \"a\"\nwhat = { link = { to = \"b\", cut = true } }\n";
-    let end = played(cut);
+    let end = played(partitioned);
     assert!(served(&end, 4.0, 8.0) > 0.9, "{}", served(&end, 4.0, 8.0));
 }
 
--- a/crates/emulator/tests/returning.rs
+++ b/crates/emulator/tests/returning.rs
@@ -1,6 +1,6 @@
 //! Fleets that return cold as a whole: how much is served meanwhile, and that no nodo is pushed over.
 
-use woadstall_emulator::{End, Policy, Scenario, run};
+use woadstall_emulator::{Policy, RunResult, Scenario, run};
 
 const SCENARIO: &str = r#"
 name = "returning"
@@ -40,7 +40,7 @@
 again = { backoff = { first = "200 ms", cap = "1 s", most = 3 } }
 "#;
 
-fn play(changes: &[(&str, &str)]) -> End {
+fn play(changes: &[(&str, &str)]) -> RunResult {
     let text = changes
         .iter()
         .fold(SCENARIO.to_owned(), |text, (from, to)| {
@@ -53,7 +53,7 @@
     end
 }
 
-fn no_nodo_falls(end: &End) {
+fn no_nodo_falls(end: &RunResult) {
     assert!(end.is_kept(), "{:?}", end.breaches);
 }
 
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -107,14 +107,14 @@
 #[test]
 fn corners_end_well() {
     let mut none = small("");
-    none.tier[0].nodos = 0;
+    none.tier[0].upstreams = 0;
     let end = run(&none, Policy::Woadstall, 1);
     assert_eq!(
         (end.broken(), end.counts.on_time, end.counts.refused),
         (0, 0, end.counts.offered)
     );
     let mut one = small("");
-    (one.tier[0].nodos, one.tier[0].workers) = (1, 16);
+    (one.tier[0].upstreams, one.tier[0].workers) = (1, 16);
     let end = run(&one, Policy::Woadstall, 1);
     assert!(
         end.broken() == 0 && end.served > 0.95,
@@ -125,9 +125,13 @@
     let idle = Scenario::read(&SMALL.replace("constant = 200.0", "constant = 0.0")).unwrap();
     let end = run(&idle, Policy::Woadstall, 1);
     assert_eq!((end.broken(), end.counts.offered), (0, 0));
-    let cut =
+    let partitioned =
         |zone: &str| format!("[[fault]]\nat = \"0 s\"\nzone = \"{zone}\"\nwhat = \"silent\"\n");
-    let end = run(&small(&(cut("a") + &cut("b"))), Policy::Woadstall, 1);
+    let end = run(
+        &small(&(partitioned("a") + &partitioned("b"))),
+        Policy::Woadstall,
+        1,
+    );
     assert_eq!(
         (end.broken(), end.counts.on_time + end.counts.late),
         (0, 0),
@@ -159,7 +163,10 @@
         assert_eq!(end.broken(), 0, "{fault}: {:?}", end.first_breaches);
         end
     };
-    let served = with("\"padron-wrong\"", &|scenario| scenario.tier[0].nodos = 12).served;
+    let served = with("\"padron-wrong\"", &|scenario| {
+        scenario.tier[0].upstreams = 12
+    })
+    .served;
     assert!(served > 0.97, "{served}: half the nodos are enough");
     // What is under way when a clock steps is given up; the rest goes on.
     let served = with("{ clock-step = \"3 s\" }", &|_| {}).served;
@@ -239,7 +246,7 @@
             file.file_stem().unwrap().to_str(),
             Some(scenario.name.as_str())
         );
-        if scenario.tier[0].nodos > 1_000 {
+        if scenario.tier[0].upstreams > 1_000 {
             continue; // long even when optimized
         }
         let most = if scenario.name == "fleet-soak" {
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -119,10 +119,10 @@
 /// largest grow with the logarithm of the logarithm of their number, choosing one with the logarithm.
 #[test]
 fn two_choices_keep_the_largest_queue_short() {
-    let largest = |policy: &str, nodos: u32| {
+    let largest = |policy: &str, upstreams: u32| {
         let mut scenario = queue(EXPONENTIAL, 1, 0.9, 1e4);
-        scenario.tier[0].nodos = nodos;
-        scenario.callers[0].load = woadstall_emulator::Load::Constant(90.0 * f64::from(nodos));
+        scenario.tier[0].upstreams = upstreams;
+        scenario.callers[0].load = woadstall_emulator::Load::Constant(90.0 * f64::from(upstreams));
         scenario.time = woadstall_emulator::Span(5_000_000_000);
         scenario.warm_up = woadstall_emulator::Span(1_000_000_000);
         scenario.step = woadstall_emulator::Span(5_000_000_000);
--- a/crates/load-test/src/callers.rs
+++ b/crates/load-test/src/callers.rs
@@ -20,7 +20,7 @@
 use tower_service::Service;
 use woadstall_emulator::engine::CallResult;
 use woadstall_emulator::{
-    Actor, CallEffect, End, Load, Meter, Outcome, Scenario, by_share, chance, gap, stream,
+    Actor, CallEffect, CallOutcome, Load, Meter, RunResult, Scenario, by_share, chance, gap, stream,
 };
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_mock_servers::grpc::message;
@@ -145,7 +145,7 @@
     }
 
     /// The result, from all that was counted and judged; counts begin anew.
-    pub fn end(&self) -> End {
+    pub fn end(&self) -> RunResult {
         let meter = std::mem::replace(&mut *lock(&self.meter), Meter::new(&self.scenario));
         meter.end(self.judge.findings(), 0, Vec::new())
     }
@@ -239,22 +239,22 @@
         let mut tries = 0;
         let outcome = loop {
             tries += 1;
-            lock(&self.meter).asked();
+            lock(&self.meter).request_sent();
             let left = Duration::from_nanos(deadline.saturating_sub(self.now()));
             let id = format!("{number:010x}-{tries}");
             let draw = rng.random::<u64>();
             let verdict = self.ask(group, class, number, &id, tries, left, draw).await;
             let ended = self.now();
             match verdict {
-                Heard::Verdict(CallResult::Served(())) if ended <= due + known.aim.0 => {
-                    break Outcome::OnTime;
+                Heard::Verdict(CallResult::Served(())) if ended <= due + known.latency_target.0 => {
+                    break CallOutcome::OnTime;
                 }
                 Heard::Verdict(CallResult::Served(())) => {
                     let in_time = ended <= deadline + PATIENCE.as_nanos() as u64;
                     break if in_time {
-                        Outcome::Late
+                        CallOutcome::Late
                     } else {
-                        Outcome::Failed
+                        CallOutcome::Failed
                     };
                 }
                 _ => {}
@@ -266,7 +266,7 @@
             );
             let may = harmless || known.effect != CallEffect::Unsafe;
             let wait = callers.again.wait(tries, || rng.random::<f64>());
-            let heeds = chance(&mut rng, callers.heeds_advice);
+            let heeds = chance(&mut rng, callers.honors_retry_after);
             let advice = match verdict {
                 Heard::Verdict(CallResult::Rejected(after)) => after * u64::from(heeds),
                 _ => 0,
@@ -274,9 +274,9 @@
             match wait.filter(|_| may).map(|wait| wait.max(advice)) {
                 Some(wait) if ended + wait < deadline => sleep(Duration::from_nanos(wait)).await,
                 _ if matches!(verdict, Heard::Verdict(CallResult::Rejected(_))) => {
-                    break Outcome::Refused;
+                    break CallOutcome::Refused;
                 }
-                _ => break Outcome::Failed,
+                _ => break CallOutcome::Failed,
             }
         };
         let now = self.now();
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_emulator::{Actor, Scenario, What, sample, stream};
+use woadstall_emulator::{Actor, FaultKind, Scenario, sample, stream};
 use woadstall_mock_servers::http1::Discovery;
 
 /// All nodos of a scenario, and the list of them.
@@ -33,7 +33,7 @@
         start: Instant,
     ) -> std::io::Result<Self> {
         let mut nodos = Vec::new();
-        for number in 0..scenario.tier[0].nodos {
+        for number in 0..scenario.tier[0].upstreams {
             nodos.push(Socketed::start(&scenario, &judge, start, 0, (number, number), seed).await?);
         }
         let discovery = Discovery::start();
@@ -127,7 +127,7 @@
         );
         self.script.begin_of(fault).await;
         match &fault.what {
-            What::Kill { .. } => {
+            FaultKind::Kill { .. } => {
                 hit.iter()
                     .for_each(|&nodo| self.nodos[nodo as usize].kill());
                 self.script.noticed(fault).await;
@@ -137,7 +137,7 @@
                     self.boot(nodo).await;
                 }
             }
-            What::Roll => {
+            FaultKind::Roll => {
                 let mut each = JoinSet::new();
                 for (turn, &nodo) in hit.iter().enumerate() {
                     let (fleet, begins) =
--- a/crates/load-test/src/lib.rs
+++ b/crates/load-test/src/lib.rs
@@ -26,7 +26,7 @@
 use tokio::time::{interval_at, sleep};
 use woadstall::net::Daemon;
 use woadstall::net::config::Config;
-use woadstall_emulator::{End, Scenario};
+use woadstall_emulator::{RunResult, Scenario};
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_tower::Balance;
 
@@ -112,7 +112,7 @@
 #[derive(Debug)]
 pub struct Played {
     /// The result, of the lab's form.
-    pub end: End,
+    pub end: RunResult,
     /// How late the tool itself was.
     pub lag: Lag,
     /// What callers heard, by path and class.
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -15,7 +15,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime};
 use tracing::{error, info, warn};
-use woadstall_emulator::End;
+use woadstall_emulator::RunResult;
 use woadstall_emulator_cli::grid::{self, Key, Set, Source};
 use woadstall_emulator_cli::log::Log;
 use woadstall_emulator_cli::report;
@@ -130,7 +130,7 @@
     Ok(u8::from(row.end.broken() > 0))
 }
 
-fn tell(end: &End, lag: &Lag) {
+fn tell(end: &RunResult, lag: &Lag) {
     let (counts, latency) = (&end.counts, &end.latency);
     println!("  worth served   {:.3} of what was offered", end.served);
     println!(
@@ -157,7 +157,7 @@
 
 /// HdrHistogram's interval log, version 1.3, in microseconds: one line a step.
 fn log_latencies(
-    end: &End,
+    end: &RunResult,
     started: SystemTime,
     path: &std::path::Path,
 ) -> Result<(), Box<dyn std::error::Error>> {
--- a/crates/load-test/src/nodo.rs
+++ b/crates/load-test/src/nodo.rs
@@ -24,7 +24,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 use woadstall_emulator::{
-    Actor, CallEffect, CallGroup, Ills, Nodo, Scenario, Taken, What, chance, stream,
+    Actor, Admission, CallEffect, CallGroup, FaultKind, Scenario, Upstream, UpstreamFaults, chance,
+    stream,
 };
 use woadstall_mock_servers::grpc::message;
 use woadstall_mock_servers::simulated_upstream::serve_process;
@@ -94,7 +95,7 @@
 }
 
 struct Brain {
-    nodo: Nodo,
+    nodo: Upstream,
     waiting: HashMap<u64, oneshot::Sender<()>>,
     next: u64,
     boot_ms: u64,
@@ -144,7 +145,7 @@
             name: name.clone(),
             ..Seen::default()
         };
-        let nodo = Nodo::new(name, at, tier, place, stream(seed, Actor::Nodo, host));
+        let nodo = Upstream::new(name, at, tier, place, stream(seed, Actor::Upstream, host));
         let boot_ms = if tier.cold { unix_ms() } else { 0 };
         let brain = Brain {
             nodo,
@@ -179,7 +180,7 @@
     /// How it is listed.
     pub fn listing(&self) -> Listing {
         let brain = lock(&self.brain);
-        let Nodo {
+        let Upstream {
             name, zone, cell, ..
         } = &brain.nodo;
         Listing {
@@ -219,12 +220,12 @@
 
     /// Whether it has fallen over since this was asked last.
     pub fn has_fallen(&self) -> bool {
-        std::mem::take(&mut lock(&self.brain).nodo.toppled)
+        std::mem::take(&mut lock(&self.brain).nodo.overloaded)
     }
 
     /// Requests that it holds.
     pub fn held(&self) -> u32 {
-        lock(&self.brain).nodo.held()
+        lock(&self.brain).nodo.in_flight()
     }
 
     /// What it has seen so far.
@@ -277,22 +278,22 @@
     }
 
     /// One fault begins, or ends. Two of a kind at once are not kept apart.
-    pub fn ail(&self, what: &What, begins: bool) {
-        let sound = Ills::default();
+    pub fn ail(&self, what: &FaultKind, begins: bool) {
+        let sound = UpstreamFaults::default();
         let mut brain = lock(&self.brain);
-        let ills = &mut brain.nodo.ills;
+        let ills = &mut brain.nodo.active_faults;
         let pick = |with: f64, without: f64| if begins { with } else { without };
         match what {
-            What::Slow(times) => ills.slow = pick(*times, sound.slow),
-            What::Errors { share, class } => {
+            FaultKind::Slow(times) => ills.slowdown = pick(*times, sound.slowdown),
+            FaultKind::Errors { share, class } => {
                 ills.errors.clear();
                 let only = class.as_ref().and_then(|name| self.scenario.class(name));
                 ills.errors.extend(begins.then_some((*share, only)));
             }
-            What::Lost(part) => ills.lost = pick(*part, sound.lost),
-            What::Resets(part) => ills.resets = pick(*part, sound.resets),
-            What::Silent => ills.silent = begins,
-            What::Full => ills.full = begins,
+            FaultKind::Lost(part) => ills.lost = pick(*part, sound.lost),
+            FaultKind::Resets(part) => ills.resets = pick(*part, sound.resets),
+            FaultKind::Silent => ills.unresponsive = begins,
+            FaultKind::Full => ills.full = begins,
             _ => {} // refused before the run
         }
     }
@@ -312,16 +313,16 @@
         let warm =
             f64::from(brain.nodo.workers()) * 1e9 / self.scenario.class[class].service.mean();
         if let Some(part) = brain.nodo.count_cold(now, warm) {
-            if !std::mem::replace(&mut brain.nodo.toppled, true) {
+            if !std::mem::replace(&mut brain.nodo.overloaded, true) {
                 self.judge.pushed_over(&brain.nodo.name, part);
             }
             return Arrival::Broken;
         }
-        let resets = brain.nodo.ills.resets / 2.0;
+        let resets = brain.nodo.active_faults.resets / 2.0;
         if chance(&mut brain.nodo.rng, resets) {
             return Arrival::Broken;
         }
-        if brain.nodo.ills.silent {
+        if brain.nodo.active_faults.unresponsive {
             return Arrival::Silent;
         }
         if brain.nodo.errs(class) {
@@ -330,12 +331,12 @@
         let number = brain.next;
         brain.next += 1;
         match brain.nodo.take(number) {
-            Taken::Full => {
+            Admission::Full => {
                 brain.seen.turned_away += 1;
                 Arrival::Full
             }
-            Taken::Begun => Arrival::Taken(number, None),
-            Taken::Queued => {
+            Admission::Begun => Arrival::Taken(number, None),
+            Admission::Queued => {
                 let (sender, turn) = oneshot::channel();
                 brain.waiting.insert(number, sender);
                 Arrival::Taken(number, Some(turn))
@@ -400,7 +401,10 @@
         }
         let (lost, resets) = {
             let mut brain = lock(&self.brain);
-            let (lost, resets) = (brain.nodo.ills.lost, brain.nodo.ills.resets / 2.0);
+            let (lost, resets) = (
+                brain.nodo.active_faults.lost,
+                brain.nodo.active_faults.resets / 2.0,
+            );
             (
                 chance(&mut brain.nodo.rng, lost),
                 chance(&mut brain.nodo.rng, resets),
--- a/crates/load-test/src/script.rs
+++ b/crates/load-test/src/script.rs
@@ -53,8 +53,16 @@
 
     /// Waits until discovery has noticed what died with a fault's begin, or until the fault is over.
     pub async fn noticed(&self, fault: &Fault) {
-        self.wait(fault.at.0 + self.scenario.padron.notices.0.min(self.length(fault)))
-            .await;
+        self.wait(
+            fault.at.0
+                + self
+                    .scenario
+                    .registry
+                    .detection_delay
+                    .0
+                    .min(self.length(fault)),
+        )
+        .await;
     }
 
     /// When the one of `of` whose turn it is begins, where they share out a fault's first `part`-th evenly.
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
-use woadstall_emulator::{CallClass, CallEffect, CallGroup, Connections, Scenario, What};
+use woadstall_emulator::{CallClass, CallEffect, CallGroup, Connections, FaultKind, Scenario};
 
 /// Nodos and balancers at most: they all share one machine with the callers.
 const MOST: (u32, u32) = (200, 16);
@@ -13,7 +13,7 @@
     if scenario.tier.len() > 1 {
         return Err("`tier`: one only on sockets".into());
     }
-    if tier.nodos > MOST.0 || tier.balancers > MOST.1 {
+    if tier.upstreams > MOST.0 || tier.balancers > MOST.1 {
         return Err(format!(
             "`tier`: at most {} nodos and {} balancers on sockets",
             MOST.0, MOST.1
@@ -22,7 +22,7 @@
     // What is not played must not look as if it were.
     let lab_alone = [
         ("front", scenario.front.is_some()),
-        ("padron.asked", scenario.padron.asked.is_some()),
+        ("padron.asked", scenario.registry.queries.is_some()),
         (
             "tier.connections",
             tier.connections != Connections::default(),
@@ -40,15 +40,17 @@
     }
     for (at, fault) in scenario.fault.iter().enumerate() {
         let name = match fault.what {
-            What::CutTo | What::CutFrom | What::SlowLink(_) => "cuts and slow links",
-            What::PadronSilent | What::PadronWrong => "a silent or wrong padron",
-            What::ClockStep(_) => "clocks that step",
-            What::Restart { .. } | What::RollBalancers | What::Stall => {
+            FaultKind::PartitionTo | FaultKind::PartitionFrom | FaultKind::SlowLink(_) => {
+                "cuts and slow links"
+            }
+            FaultKind::RegistrySilent | FaultKind::RegistryWrong => "a silent or wrong padron",
+            FaultKind::ClockStep(_) => "clocks that step",
+            FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::Stall => {
                 "restarts and stalls of balancers"
             }
-            What::Replace => "replaced nodos",
-            What::Between(_) => "faults between balancers",
-            What::Stop | What::PowerLoss { .. } | What::Link(_) => {
+            FaultKind::Replace => "replaced nodos",
+            FaultKind::Between(_) => "faults between balancers",
+            FaultKind::Stop | FaultKind::PowerLoss { .. } | FaultKind::Link(_) => {
                 return Err(format!(
                     "fault {}: stopped nodos, power and links are for the lab and the rig",
                     at + 1
@@ -72,8 +74,8 @@
         CallGroup::Zone => "zone",
         CallGroup::Cell => "cell",
     };
-    json!({"Name": class.name, "Effect": effect, "Group": group, "WindowNs": class.window.0, "AimNs": class.aim.0,
-        "DeadlineNs": class.deadline.0, "LateWorth": class.late_worth, "Value": class.worth, "Stream": false})
+    json!({"Name": class.name, "Effect": effect, "Group": group, "WindowNs": class.window.0, "AimNs": class.latency_target.0,
+        "DeadlineNs": class.deadline.0, "LateWorth": class.late_value, "Value": class.value, "Stream": false})
 }
 
 /// Where a daemon stands.
@@ -99,7 +101,7 @@
 ) -> Value {
     let (tier, limits) = (&scenario.tier[place.tier], &scenario.limits);
     let tenant = |tenant: &woadstall_emulator::CallTenant| json!({"Name": tenant.name, "QuotaRps": tenant.quota});
-    let asked = scenario.padron.asked.as_ref();
+    let asked = scenario.registry.queries.as_ref();
     let within = asked.map_or(0, |asked| asked.within.0);
     json!({
         "name": format!("balancer-{}", place.number), "listen": place.listen.to_string(),
@@ -112,12 +114,12 @@
             "Discovery": if asked.is_some() { "ask" } else { "push" }, "Layer": scenario.depth(place.tier),
             "Siblings": scenario.senders(place.tier),
             "Limits": {"Cancelling": limits.cancel, "ConnIdleNs": limits.idle.0,
-                "ConnectTimeoutNs": limits.connect.0, "MaxRetryAfterNs": limits.most_advice.0,
+                "ConnectTimeoutNs": limits.connect.0, "MaxRetryAfterNs": limits.max_retry_after.0,
                 "TryLimit": limits.attempts},
-            "OverShareWorth": limits.over_quota_worth,
-            "Prices": {"CrossZone": limits.cross_price},
-            "Safety": {"StartCapacity": tier.start_capacity, "TipMultiple": tier.tip_multiple,
-                "RampTimeNs": tier.ramp.0, "AskWithinNs": within},
+            "OverShareWorth": limits.over_quota_value,
+            "Prices": {"CrossZone": limits.cross_zone_cost},
+            "Safety": {"StartCapacity": tier.start_capacity, "TipMultiple": tier.overload_multiple,
+                "RampTimeNs": tier.slow_start_window.0, "AskWithinNs": within},
             "Tenants": scenario.tenant.iter().map(tenant).collect::<Vec<_>>(),
             "ValueBy": "request", "Zone": place.zone, "Zones": scenario.zones,
         },
--- a/crates/load-test/tests/load.rs
+++ b/crates/load-test/tests/load.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 use std::process::{Command, Output};
-use woadstall_emulator::{CallEffect, Load, Policy, Scenario, Span, What};
+use woadstall_emulator::{CallEffect, FaultKind, Load, Policy, Scenario, Span};
 use woadstall_emulator_cli::rows;
 use woadstall_load_test::{Path, Played, check, run};
 
@@ -18,7 +18,7 @@
     (scenario.fault[0].at, scenario.fault[0].until) = (Span(2_000 * MS), Some(Span(3_000 * MS)));
     // A busy machine must not look like a slow fleet.
     for class in &mut scenario.class {
-        (class.aim, class.deadline) = (Span(2_000 * MS), Span(4_000 * MS));
+        (class.latency_target, class.deadline) = (Span(2_000 * MS), Span(4_000 * MS));
     }
     scenario
 }
@@ -59,11 +59,11 @@
     (scenario.time, scenario.warm_up) = (Span(1_500 * MS), Span(0));
     scenario.callers[0].load = Load::Constant(60.0);
     for class in &mut scenario.class {
-        (class.aim, class.deadline) = (Span(400 * MS), Span(800 * MS));
+        (class.latency_target, class.deadline) = (Span(400 * MS), Span(800 * MS));
     }
     let fault = &mut scenario.fault[0];
     (fault.at, fault.until, fault.part) = (Span(0), None, 1.0);
-    for what in [What::Silent, What::Lost(1.0)] {
+    for what in [FaultKind::Silent, FaultKind::Lost(1.0)] {
         scenario.fault[0].what = what.clone();
         let end = run(scenario.clone(), Path::Daemon, 2).await.unwrap().end;
         assert_eq!(end.broken(), 0, "{what:?}: {:?}", end.first_breaches);
@@ -80,13 +80,13 @@
 fn what_sockets_cannot_do_is_refused() {
     let mut scenario = short();
     assert_eq!(check(&scenario), Ok(()));
-    scenario.fault[0].what = What::PadronSilent;
+    scenario.fault[0].what = FaultKind::RegistrySilent;
     assert!(
         check(&scenario)
             .unwrap_err()
             .contains("fault 1: a silent or wrong padron")
     );
-    scenario.fault[0].what = What::RollBalancers;
+    scenario.fault[0].what = FaultKind::RollBalancers;
     assert!(
         check(&scenario)
             .unwrap_err()
@@ -108,7 +108,7 @@
     );
     scenario.tier[0].connections = Default::default();
     scenario.fault.clear();
-    scenario.tier[0].nodos = 5_000;
+    scenario.tier[0].upstreams = 5_000;
     assert!(check(&scenario).unwrap_err().contains("at most 200 nodos"));
     assert_eq!(scenario.class[1].effect, CallEffect::Unsafe);
 }
