--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -15,10 +15,10 @@
 //! # }
 //! ```
 //!
-//! A clone shares everything; the last one ends the plug-in's two tasks. What a call is (its class, tenant, key
-//! and time) is told by [`CallInfo`] among its extensions, or by its method path and headers; a method that is
-//! not known counts as one that must never run twice. Nothing is retried but by the decisions: no layer below
-//! does so by itself. `docs/plugin.md` has the tables of outcomes and the reasons.
+//! Clones share everything; the last one ends the plug-in's two tasks. [`CallInfo`] among a request's extensions
+//! says what the call is (its class, tenant, key and timeout), or else its method's path and headers do; a method
+//! that is not known counts as one that must never run twice. Only the decisions retry: no layer below does so by
+//! itself. `docs/plugin.md` has the tables of outcomes and the reasons.
 
 mod builder;
 mod call_classes;
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -42,7 +42,7 @@
     listing(true, &members)
 }
 
-/// Settings with a class that is safe, one that is keyed and one that is unsafe, changed as told.
+/// Settings with a class that is safe, one that is keyed and one that is unsafe, after `change`.
 pub fn settings(change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
     let mut settings =
         woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
@@ -101,12 +101,12 @@
         self.status == Some(0) && !self.broken
     }
 
-    /// Refused by the plug-in: trying again is harmless.
-    pub fn is_refused(&self) -> bool {
+    /// Rejected by the plug-in: a retry is harmless.
+    pub fn is_rejected(&self) -> bool {
         self.status == Some(14)
     }
 
-    /// Failed with no promise: nothing tells a client to try again.
+    /// Failed, and it may have run: nothing tells a client to retry.
     pub fn is_failed(&self) -> bool {
         self.status == Some(2) && self.pushback.is_none()
     }
@@ -117,7 +117,7 @@
     let (mut data, mut trailers, mut broken) = (Vec::new(), HeaderMap::new(), false);
     while let Some(frame) = body.frame().await {
         match frame.map(|frame| frame.into_data()) {
-            Ok(Ok(part)) => data.extend_from_slice(&part),
+            Ok(Ok(chunk)) => data.extend_from_slice(&chunk),
             Ok(Err(frame)) => trailers = frame.into_trailers().unwrap_or_default(),
             Err(_) => {
                 broken = true;
@@ -144,10 +144,10 @@
 
 /// Waits until this holds; what it waits for has no event of its own.
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let patience = std::time::Instant::now();
+    let start = std::time::Instant::now();
     while !holds() {
         assert!(
-            patience.elapsed() < TEST_TIMEOUT,
+            start.elapsed() < TEST_TIMEOUT,
             "it never came to this: {what}"
         );
         tokio::time::sleep(Duration::from_millis(2)).await;
--- a/crates/tower/tests/grpc.rs
+++ b/crates/tower/tests/grpc.rs
@@ -30,7 +30,7 @@
 }
 
 /// What a caller hears, and how many attempts came, where the first attempt ends so.
-async fn row(path: &str, first: Reply) -> (Outcome, usize) {
+async fn first_attempt_ends(path: &str, first: Reply) -> (Outcome, usize) {
     let upstream = GrpcUpstream::start(once(first)).await;
     let balance = balance(&[upstream.address]);
     let outcome = call(&balance, path).await;
@@ -40,7 +40,7 @@
 
 /// The rows that never ran: another attempt follows, also for unsafe work.
 #[tokio::test]
-async fn what_never_ran_is_sent_again() {
+async fn requests_that_never_ran_are_retried() {
     let full = Reply::Status(14, vec![("x-rejected", "1")]);
     let exhausted = Reply::Status(8, vec![("grpc-retry-pushback-ms", "5")]);
     let refused = Reply::Reset(Reason::REFUSED_STREAM);
@@ -52,7 +52,7 @@
         ("http", http),
     ] {
         for path in [LOOK, PAY, POST] {
-            let (outcome, attempts) = row(path, first.clone()).await;
+            let (outcome, attempts) = first_attempt_ends(path, first.clone()).await;
             assert!(outcome.is_served(), "{name} {path}: {outcome:?}");
             assert_eq!(
                 (attempts, &outcome.body),
@@ -65,7 +65,7 @@
 
 /// The rows that may have run: safe and keyed work is sent again, unsafe work fails with no promise.
 #[tokio::test]
-async fn unsafe_work_that_may_have_run_fails_with_no_promise() {
+async fn unsafe_requests_that_may_have_run_are_not_retried() {
     let rows = [
         ("unavailable", Reply::Status(14, vec![])),
         (
@@ -82,14 +82,14 @@
     ];
     for (name, first) in rows {
         for path in [LOOK, PAY] {
-            let (outcome, attempts) = row(path, first.clone()).await;
+            let (outcome, attempts) = first_attempt_ends(path, first.clone()).await;
             assert!(
                 outcome.is_served() && attempts == 2,
                 "{name} {path}: {outcome:?} after {attempts}"
             );
         }
         for path in [POST, "/test.Test/Unknown"] {
-            let (outcome, attempts) = row(path, first.clone()).await;
+            let (outcome, attempts) = first_attempt_ends(path, first.clone()).await;
             assert!(
                 outcome.is_failed() && attempts == 1,
                 "{name} {path}: {outcome:?} after {attempts}"
@@ -103,14 +103,14 @@
 async fn other_statuses_are_final() {
     for status in [1, 2, 3, 5, 6, 7, 8, 9, 10, 11, 12, 13, 15, 16] {
         let (outcome, attempts) =
-            row(LOOK, Reply::Status(status, vec![("x-from", "upstream")])).await;
+            first_attempt_ends(LOOK, Reply::Status(status, vec![("x-from", "upstream")])).await;
         assert_eq!((outcome.status, attempts), (Some(status), 1));
     }
 }
 
 /// Rule 2 on a connection with many streams: it dies, and what was on it may have run.
 #[tokio::test]
-async fn none_of_the_streams_on_a_dead_connection_is_sent_again() {
+async fn streams_on_a_lost_connection_are_not_retried() {
     let dying = RawHttp2Server::start(30, ScriptedAction::Close);
     let balance = balance(&[dying.address]);
     let calls: Vec<_> = (0..30)
@@ -137,21 +137,21 @@
 
 /// RFC 9113, section 6.8: what lies above GOAWAY's last stream was not acted on, and goes elsewhere.
 #[tokio::test]
-async fn streams_above_goaway_are_sent_elsewhere_and_only_those() {
-    let leaving = RawHttp2Server::start(30, ScriptedAction::GoAway { acted_on: 20 });
-    let balance = balance(&[leaving.address]);
+async fn only_streams_above_goaway_are_retried_elsewhere() {
+    let draining = RawHttp2Server::start(30, ScriptedAction::GoAway { acted_on: 20 });
+    let balance = balance(&[draining.address]);
     let calls: Vec<_> = (0..29)
         .map(|_| {
             let balance = balance.clone();
             tokio::spawn(async move { call(&balance, POST).await })
         })
         .collect();
-    let leaving = tokio::task::spawn_blocking(move || (leaving.wait_for(29), leaving).1)
+    let draining = tokio::task::spawn_blocking(move || (draining.wait_for(29), draining).1)
         .await
         .unwrap();
     let sound = GrpcUpstream::start(|_| ok_response()).await;
     let members = [
-        ("s-0", leaving.address, "terminating"),
+        ("s-0", draining.address, "terminating"),
         ("other", sound.address, "in_service"),
     ];
     let members = members.map(|(name, address, state)| Member(name, address, state, 0));
@@ -160,7 +160,7 @@
         let balance = balance.clone();
         tokio::spawn(async move { call(&balance, POST).await })
     };
-    let leaving = tokio::task::spawn_blocking(move || (leaving.wait_for(1), leaving).1)
+    let draining = tokio::task::spawn_blocking(move || (draining.wait_for(1), draining).1)
         .await
         .unwrap();
     balance.list(&listing(false, &members));
@@ -171,12 +171,12 @@
         failed += usize::from(outcome.is_failed());
     }
     assert_eq!((served, failed, sound.total()), (10, 20, 10));
-    drop(leaving);
+    drop(draining);
 }
 
 /// Rule 3: a drain lets the streams finish, and no new one opens, neither at once nor from the queue.
 #[tokio::test]
-async fn a_drain_finishes_streams_and_opens_none() {
+async fn draining_finishes_open_streams_and_opens_none() {
     let ring = Arc::new(Notify::new());
     let reply = Reply::After(ring.clone(), Box::new(ok_response()));
     let draining = GrpcUpstream::start_with(Some(10), move |_| reply.clone()).await;
@@ -224,12 +224,12 @@
 
 /// A server that asks for no more streams is no failure: what it has finishes, the next goes to a new connection.
 #[tokio::test]
-async fn a_graceful_goaway_costs_nothing() {
+async fn graceful_goaway_loses_no_request() {
     let ring = Arc::new(Notify::new());
     let wait = Reply::After(ring.clone(), Box::new(ok_response()));
     let upstream = GrpcUpstream::start(once(wait)).await;
     let balance = balance(&[upstream.address]);
-    let held = {
+    let pending = {
         let balance = balance.clone();
         tokio::spawn(async move { call(&balance, POST).await })
     };
@@ -240,13 +240,13 @@
         assert!(call(&balance, POST).await.is_served());
     }
     ring.notify_one();
-    assert!(held.await.unwrap().is_served());
+    assert!(pending.await.unwrap().is_served());
     assert_eq!(upstream.total(), 21);
 }
 
 /// What goes upstream is what is left then, each attempt anew.
 #[tokio::test]
-async fn each_attempt_carries_what_is_left() {
+async fn each_attempt_carries_the_remaining_time() {
     let wait = Duration::from_millis(300);
     let upstream = GrpcUpstream::start(once(Reply::Later(
         wait,
@@ -287,7 +287,7 @@
 
 /// No time left: refused at once, nothing is sent.
 #[tokio::test]
-async fn without_time_nothing_is_sent() {
+async fn expired_requests_are_rejected_unsent() {
     let upstream = GrpcUpstream::start(|_| ok_response()).await;
     let balance = balance(&[upstream.address]);
     assert!(call(&balance, LOOK).await.is_served());
@@ -297,14 +297,14 @@
             .headers_mut()
             .insert("grpc-timeout", time.parse().unwrap());
         let outcome = outcome(send(&balance, request).await).await;
-        assert!(outcome.is_refused(), "{outcome:?}");
+        assert!(outcome.is_rejected(), "{outcome:?}");
     }
     assert_eq!(upstream.total(), 1);
 }
 
 /// A service's calls wait no longer than its own caller.
 #[tokio::test]
-async fn what_a_services_caller_waits_is_inherited() {
+async fn deadline_of_a_services_caller_is_inherited() {
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
     let balance = balance(&[upstream.address]);
     let handler = tower::service_fn(move |_: Request<()>| {
@@ -316,16 +316,16 @@
         .header("grpc-timeout", "150m")
         .body(())
         .unwrap();
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let outcome = server.call(request).await.unwrap();
     assert!(outcome.is_failed(), "{outcome:?}");
-    assert!((150..20_000).contains(&(asked.elapsed().as_millis() as u64)));
+    assert!((150..20_000).contains(&(sent_at.elapsed().as_millis() as u64)));
     assert!(upstream.called().await.time_left() <= 150);
 }
 
 /// A dropped call is withdrawn: its stream is reset, and its next attempt never made.
 #[tokio::test]
-async fn a_dropped_call_is_withdrawn() {
+async fn dropped_call_resets_its_stream() {
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
     let balance = balance(&[upstream.address]);
     let calls: Vec<_> = (0..200)
@@ -342,7 +342,7 @@
 
 /// Server streaming: after the first message there is no other attempt, whatever happens to the stream.
 #[tokio::test]
-async fn after_the_first_message_there_is_no_other_attempt() {
+async fn no_retry_after_the_first_message() {
     let upstream = GrpcUpstream::start(once(Reply::Broken(
         Bytes::from_static(b"one"),
         Reason::INTERNAL_ERROR,
@@ -358,7 +358,7 @@
 }
 
 #[tokio::test]
-async fn messages_of_a_stream_come_as_they_are_sent() {
+async fn streamed_messages_are_forwarded_as_they_arrive() {
     let ring = Arc::new(Notify::new());
     let reply = Reply::Stream(Bytes::from_static(b"x"), 3, ring.clone());
     let upstream = GrpcUpstream::start(move |_| reply.clone()).await;
@@ -398,7 +398,7 @@
 
 /// A stream whose caller has said how long it waits ends then, at both ends.
 #[tokio::test]
-async fn a_stream_ends_in_its_callers_time() {
+async fn stream_ends_at_its_callers_deadline() {
     let upstream = GrpcUpstream::start(|_| {
         Reply::Stream(Bytes::from_static(b"x"), 2, Arc::new(Notify::new()))
     })
@@ -418,8 +418,8 @@
 
 /// A server that answers headers and then nothing: the call ends in its time, and unsafe work with no promise.
 #[tokio::test]
-async fn headers_and_then_nothing_is_no_answer() {
-    for (path, refused) in [(LOOK, true), (POST, false)] {
+async fn headers_without_trailers_time_out() {
+    for (path, rejected) in [(LOOK, true), (POST, false)] {
         let upstream = GrpcUpstream::start(|_| Reply::HeadersOnly).await;
         let balance = balance(&[upstream.address]);
         let mut request = request(path);
@@ -428,8 +428,8 @@
             .insert("grpc-timeout", "200m".parse().unwrap());
         let outcome = outcome(send(&balance, request).await).await;
         assert_eq!(
-            (outcome.is_refused(), outcome.is_failed()),
-            (refused, !refused),
+            (outcome.is_rejected(), outcome.is_failed()),
+            (rejected, !rejected),
             "{outcome:?}"
         );
     }
@@ -437,7 +437,7 @@
 
 /// A body beyond the replay limit, or one still to come, is sent once: after that there is no other attempt.
 #[tokio::test]
-async fn what_cannot_be_replayed_has_one_attempt() {
+async fn bodies_beyond_the_replay_limit_have_one_attempt() {
     let upstream = GrpcUpstream::start(|_| Reply::Status(14, vec![("x-rejected", "1")])).await;
     let balance = builder(&settings(|_| {}))
         .replay_limit(1000)
@@ -446,11 +446,11 @@
     let balance = balance.unwrap();
     let sized = |bytes: usize| request(POST).map(|_| Full::new(message(&vec![7; bytes])));
     let small = outcome(send(&balance, sized(900)).await).await;
-    assert!(small.is_refused(), "{small:?}");
+    assert!(small.is_rejected(), "{small:?}");
     let attempts = upstream.total();
     assert!(attempts > 1, "a small body is sent again");
     let large = outcome(send(&balance, sized(300_000)).await).await;
-    assert!(large.is_refused(), "it never ran: {large:?}");
+    assert!(large.is_rejected(), "it never ran: {large:?}");
     assert_eq!(upstream.total(), attempts + 1);
     for _ in 0..attempts {
         upstream.called().await;
@@ -469,7 +469,7 @@
         (at < 2).then_some((Ok::<_, std::convert::Infallible>(frame), at + 1))
     });
     let streamed = request(POST).map(|_| StreamBody::new(Box::pin(parts)));
-    assert!(outcome(send(&balance, streamed).await).await.is_refused());
+    assert!(outcome(send(&balance, streamed).await).await.is_rejected());
     assert_eq!(upstream.total(), attempts + 2);
     assert_eq!(
         upstream.called().await.body,
@@ -480,7 +480,7 @@
 /// The caller's runtime stands still, clones go in any order, and the last one goes with calls open: nothing is
 /// left behind, and nothing is sent afterwards.
 #[tokio::test]
-async fn stalls_and_dropped_clones_leave_nothing_behind() {
+async fn stalled_runtime_and_dropped_clones_leak_nothing() {
     let upstream =
         GrpcUpstream::start(|_| Reply::Later(Duration::from_millis(50), Box::new(ok_response())))
             .await;
@@ -512,7 +512,7 @@
 
 /// A new process at the address of a former one: no stream of its goes on the old connection.
 #[tokio::test]
-async fn a_former_process_is_not_spoken_to() {
+async fn restarted_upstream_gets_a_new_connection() {
     let upstream = GrpcUpstream::start(|_| ok_response()).await;
     let balance = balance(&[upstream.address]);
     assert!(call(&balance, POST).await.is_served());
@@ -532,7 +532,7 @@
 
 /// Nobody listens: refused, as it never ran, with advice on when to come back.
 #[tokio::test]
-async fn where_nothing_listens_a_call_is_refused() {
+async fn unreachable_upstream_means_rejection_with_pushback() {
     let settings = settings(|settings| settings["Limits"]["RetryAfter"] = true.into());
     let nowhere = woadstall_mock_servers::http1::refused_address();
     let balance = builder(&settings)
@@ -541,16 +541,16 @@
         .unwrap();
     let outcome = call(&balance, POST).await;
     assert!(
-        outcome.is_refused() && outcome.pushback.is_some_and(|ms| ms > 0),
+        outcome.is_rejected() && outcome.pushback.is_some_and(|ms| ms > 0),
         "{outcome:?}"
     );
     let plain = Request::post("/post")
         .body(Full::new(Bytes::new()))
         .unwrap();
-    let answer = send(&balance, plain).await;
-    assert_eq!(answer.status(), 503);
+    let response = send(&balance, plain).await;
+    assert_eq!(response.status(), 503);
     assert!(
-        answer.headers()["retry-after"]
+        response.headers()["retry-after"]
             .to_str()
             .unwrap()
             .parse::<f64>()
@@ -561,7 +561,7 @@
 
 /// HTTP/1.1 upstreams behind the same service.
 #[tokio::test]
-async fn http1_upstreams_are_served_alike() {
+async fn http1_upstreams_are_retried_by_the_same_rules() {
     use woadstall_mock_servers::http1::{Reaction, Upstream, ok_response, overloaded_response};
     let count = AtomicUsize::new(0);
     let upstream = Upstream::start(move |_| match count.fetch_add(1, Ordering::Relaxed) {
@@ -583,15 +583,15 @@
             .unwrap()
     };
     // Full, sent again; then silence: it may have run.
-    let answer = send(&balance, post(4, "0.2")).await;
+    let response = send(&balance, post(4, "0.2")).await;
     assert_eq!(
-        (answer.status().as_u16(), upstream.count_requests()),
+        (response.status().as_u16(), upstream.count_requests()),
         (502, 2)
     );
-    let answer = send(&balance, post(4, "60")).await;
-    assert_eq!(answer.status(), 200);
+    let response = send(&balance, post(4, "60")).await;
+    assert_eq!(response.status(), 200);
     assert_eq!(
-        answer.into_body().collect().await.unwrap().to_bytes(),
+        response.into_body().collect().await.unwrap().to_bytes(),
         "second"
     );
     let request = upstream.request();
--- a/crates/tower/tests/tonic.rs
+++ b/crates/tower/tests/tonic.rs
@@ -42,27 +42,31 @@
     builder.known(in_service(upstreams)).build().unwrap()
 }
 
-fn ask(service: &str) -> HealthCheckRequest {
+fn check_request(service: &str) -> HealthCheckRequest {
     HealthCheckRequest {
         service: service.into(),
     }
 }
 
-async fn through_a_generated_client() {
+async fn call_through_a_generated_client() {
     let (one, reporter) = tonic_server().await;
     let (two, _other) = tonic_server().await;
     let balance = health(&[one, two]);
     let mut client = HealthClient::new(balance.clone());
     for _ in 0..20 {
-        let answer = client.check(ask("posting")).await.unwrap().into_inner();
+        let response = client
+            .check(check_request("posting"))
+            .await
+            .unwrap()
+            .into_inner();
         assert_eq!(
-            answer.status(),
+            response.status(),
             tonic_health::pb::health_check_response::ServingStatus::Serving
         );
     }
     assert_eq!(balance.open_connections(), 2, "both upstreams have served");
     // A server's own status comes through as it is, with its message.
-    let error = client.check(ask("unknown")).await.unwrap_err();
+    let error = client.check(check_request("unknown")).await.unwrap_err();
     assert_eq!(
         (error.code(), error.message()),
         (Code::NotFound, "service not registered")
@@ -71,7 +75,7 @@
     let calls: Vec<_> = (0..200)
         .map(|_| {
             let mut client = client.clone();
-            tokio::spawn(async move { client.check(ask("posting")).await.map(|_| ()) })
+            tokio::spawn(async move { client.check(check_request("posting")).await.map(|_| ()) })
         })
         .collect();
     for call in calls {
@@ -80,7 +84,11 @@
     // Server streaming: what changes while it is open comes at once, and its end is seen.
     let balance = health(&[one]);
     let mut client = HealthClient::new(balance.clone());
-    let mut watch = client.watch(ask("posting")).await.unwrap().into_inner();
+    let mut watch = client
+        .watch(check_request("posting"))
+        .await
+        .unwrap()
+        .into_inner();
     assert!(watch.message().await.unwrap().is_some());
     reporter
         .set_service_status("posting", ServingStatus::NotServing)
@@ -96,21 +104,21 @@
 }
 
 #[tokio::test]
-async fn a_generated_client_on_a_current_thread_runtime() {
-    through_a_generated_client().await;
+async fn generated_client_on_a_current_thread_runtime() {
+    call_through_a_generated_client().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_generated_client_on_a_multi_thread_runtime() {
-    through_a_generated_client().await;
+async fn generated_client_on_a_multi_thread_runtime() {
+    call_through_a_generated_client().await;
 }
 
 /// What the decisions refuse or fail reaches a tonic client as a status that it knows what to do with.
 #[tokio::test]
-async fn refusals_and_failures_are_statuses() {
+async fn rejections_and_failures_are_grpc_statuses() {
     let nowhere = woadstall_mock_servers::http1::refused_address();
     let error = HealthClient::new(health(&[nowhere]))
-        .check(ask(""))
+        .check(check_request(""))
         .await
         .unwrap_err();
     assert_eq!(error.code(), Code::Unavailable);
@@ -121,12 +129,15 @@
         .known(in_service(&[upstream.address]))
         .build()
         .unwrap();
-    let error = HealthClient::new(balance).check(ask("")).await.unwrap_err();
+    let error = HealthClient::new(balance)
+        .check(check_request(""))
+        .await
+        .unwrap_err();
     assert_eq!((error.code(), upstream.total()), (Code::Unknown, 1));
     assert!(error.metadata().get("grpc-retry-pushback-ms").is_none());
     // tonic's own time limit goes on to the upstream, and the call ends by it.
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
-    let mut request = tonic::Request::new(ask(""));
+    let mut request = tonic::Request::new(check_request(""));
     request.set_timeout(std::time::Duration::from_millis(150));
     let error = HealthClient::new(health(&[upstream.address]))
         .check(request)
@@ -143,18 +154,18 @@
 
 /// A message over the limit of the caller's library: its error, and the stream is ended, not read on.
 #[tokio::test]
-async fn a_message_over_the_limit_ends_its_stream() {
+async fn message_over_the_limit_ends_its_stream() {
     let upstream = GrpcUpstream::start(|_| Reply::Ok(Bytes::from(vec![0; 300_000]))).await;
     let balance = health(&[upstream.address]);
     let mut client = HealthClient::new(balance.clone()).max_decoding_message_size(100_000);
-    let error = client.check(ask("")).await.unwrap_err();
+    let error = client.check(check_request("")).await.unwrap_err();
     assert_eq!((error.code(), upstream.total()), (Code::OutOfRange, 1));
     until("nothing is left", || balance.open_calls() == 0).await;
 }
 
 /// hyper's server with the plug-in as its service, hyper-util's client in front, HTTP/1.1 upstreams behind.
 #[tokio::test]
-async fn hyper_utils_client_and_hypers_server_around_the_plug_in() {
+async fn hyper_client_and_server_around_the_plug_in() {
     use woadstall_mock_servers::http1::{Reaction, Upstream, ok_response, overloaded_response};
     let count = std::sync::atomic::AtomicUsize::new(0);
     let upstream = Upstream::start(move |request| {
@@ -186,9 +197,9 @@
         let request = Request::post(format!("http://{address}/post"))
             .body(body)
             .unwrap();
-        let answer = client.request(request).await.unwrap();
-        assert_eq!(answer.status(), 200);
-        let body = answer.into_body().collect().await.unwrap().to_bytes();
+        let response = client.request(request).await.unwrap();
+        assert_eq!(response.status(), 200);
+        let body = response.into_body().collect().await.unwrap().to_bytes();
         assert_eq!(
             body,
             format!("reading {number}"),
