--- /dev/null
+++ b/crates/benchmarks/src/memory.rs
@@ -0,0 +1,83 @@
+//! What a call takes while it is in flight, by the growth of the resident memory.
+
+use crate::clients::{call_through_plugin, request};
+use crate::direct::DirectClient;
+use crate::error::BenchmarkError;
+use crate::procfs::resident_memory;
+use crate::settings::start_plugin;
+use std::time::Duration;
+use tokio::time::Instant;
+use woadstall_mock_servers::grpc::{GrpcUpstream, Reply};
+
+/// Calls in flight of each kind.
+const CALLS: usize = 10_000;
+
+/// Concurrent streams that the upstream allows on a connection.
+const MAX_STREAMS: u32 = 100_000;
+
+/// How often the upstream is asked how many calls have arrived.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// How long the plug-in's calls may take to arrive; some wait for a stream for ever.
+const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Measures direct calls and calls through the plug-in, and prints the bytes of each; the share of the mock upstream,
+/// which runs in the same process, is in them.
+///
+/// # Errors
+///
+/// [`BenchmarkError::Io`] and [`BenchmarkError::Http2`], if the upstream cannot be reached;
+/// [`BenchmarkError::Plugin`], if the plug-in does not start.
+pub fn run() -> Result<(), BenchmarkError> {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
+    runtime.block_on(measure())
+}
+
+async fn measure() -> Result<(), BenchmarkError> {
+    let upstream = GrpcUpstream::start_with(Some(MAX_STREAMS), |_| Reply::Stall).await;
+    let plugin = start_plugin(&[upstream.address])?;
+    let own_id = std::process::id();
+    let mut plugin_calls = Vec::with_capacity(CALLS);
+    let direct = DirectClient::connect(upstream.address).await?;
+    let mut direct_calls = Vec::with_capacity(CALLS);
+    let without_calls = resident_memory(own_id);
+    for _ in 0..CALLS {
+        direct_calls.push(tokio::spawn(direct.clone().send(request())));
+    }
+    while upstream.in_flight() < CALLS {
+        tokio::time::sleep(POLL_INTERVAL).await;
+    }
+    let with_direct = resident_memory(own_id);
+    for _ in 0..CALLS {
+        let mut plugin = plugin.clone();
+        plugin_calls.push(tokio::spawn(async move {
+            call_through_plugin(&mut plugin).await
+        }));
+    }
+    let started = Instant::now();
+    while upstream.in_flight() < 2 * CALLS && started.elapsed() < ARRIVAL_TIMEOUT {
+        tokio::time::sleep(POLL_INTERVAL).await;
+    }
+    let with_plugin = resident_memory(own_id);
+    let arrived = upstream.in_flight().saturating_sub(CALLS).max(1);
+    print_bytes_per_call(without_calls, with_direct, with_plugin, arrived);
+    plugin_calls.iter().for_each(|call| call.abort());
+    direct_calls.iter().for_each(|call| call.abort());
+    Ok(())
+}
+
+fn print_bytes_per_call(without_calls: u64, with_direct: u64, with_plugin: u64, arrived: usize) {
+    let per_call = |from: u64, to: u64, calls: usize| to.saturating_sub(from) / calls as u64;
+    println!("a held call, with the stand-in's share of it, in one process:");
+    println!(
+        "direct  {:>6} bytes ({CALLS} calls)",
+        per_call(without_calls, with_direct, CALLS)
+    );
+    println!(
+        "plug-in {:>6} bytes ({arrived} calls)",
+        per_call(with_direct, with_plugin, arrived)
+    );
+}
