--- a/crates/load-test/src/lib.rs
+++ b/crates/load-test/src/lib.rs
@@ -86,7 +86,7 @@
                         stopped.await.ok();
                         daemon.stop().await.ok();
                     }
-                    Err(error) => drop(tell.send(Err(error))),
+                    Err(error) => drop(tell.send(Err(error.to_string()))),
                 }
             });
         });
@@ -153,7 +153,8 @@
                 };
                 let config = settings::config(&scenario, &place, seed, discovery, &known);
                 if path != Path::Plugin {
-                    let daemon = Alone::start(Config::parse(&config.to_string(), None, None)?)?;
+                    let config = Config::parse(&config.to_string(), None, None);
+                    let daemon = Alone::start(config.map_err(|error| error.to_string())?)?;
                     listening.push(Door::new(daemon.address, zone));
                     daemons.push(daemon);
                 }
