--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -15,26 +15,28 @@
 //! # }
 //! ```
 //!
-//! A clone shares everything; the last one ends the plug-in's two tasks. What a call is (its class, tenant, key
-//! and time) is told by [`CallInfo`] among its extensions, or by its method path and headers; a method that is
-//! not known counts as one that must never run twice. Nothing is retried but by the decisions: no layer below
-//! does so by itself. `docs/plugin.md` has the tables of outcomes and the reasons.
+//! Clones share everything; the last one ends the plug-in's two tasks. [`CallInfo`] among a request's extensions
+//! says what the call is (its class, tenant, key and timeout), or else its method's path and headers do; a method
+//! that is not known counts as one that must never run twice. Only the decisions retry: no layer below does so by
+//! itself. `docs/plugin.md` has the tables of outcomes and the reasons.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
-mod answer;
-mod ask;
 mod builder;
-mod inherit;
+mod call_classes;
+mod call_info;
+mod error;
+mod inherit_time;
+mod local_response;
 #[cfg(test)]
 mod parity_tests;
 mod service;
-mod wire;
+mod timeout;
+mod upstream_transport;
 
-pub use ask::CallInfo;
-pub use builder::{BuildError, Builder, Protocol};
-pub use inherit::{InheritTime, Inheriting};
+pub use builder::Builder;
+pub use call_info::CallInfo;
+pub use error::BuildError;
+pub use inherit_time::{InheritTime, InheritTimeService};
 pub use service::Balance;
+pub use upstream_transport::Protocol;
 pub use woadstall_discovery::{Endpoint, EndpointList, EndpointState};
 pub use woadstall_transport::{ResponseBody, ResponseBodyError};
