--- a/crates/discovery/src/timing.rs
+++ b/crates/discovery/src/timing.rs
@@ -27,7 +27,7 @@
 const MAX_DOUBLINGS: u32 = 16;
 /// Pause before the next call where the last one brought nothing new: an agent that does not wait, or returns nonsense,
 /// would be polled in a loop. Short enough for the watch to go on.
-pub const IDLE_PAUSE: Duration = Duration::from_millis(50);
+pub const IDLE_BACKOFF: Duration = Duration::from_millis(50);
 
 /// One call: its path, and how long it may take.
 pub struct Call {
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,7 +1,7 @@
 //! A watch on the list of endpoints, which is opened anew whenever it ends.
 
 use crate::connection::Connection;
-use crate::timing::{Call, IDLE_PAUSE, backoff, poll_wait};
+use crate::timing::{Call, IDLE_BACKOFF, backoff, poll_wait};
 use crate::{CallError, EndpointList};
 use fastrand::Rng;
 use std::net::SocketAddr;
@@ -116,7 +116,7 @@
         if list.revision < self.revision && !list.is_complete {
             // A revision that goes back means another service: only its complete list shows what it has.
             self.needs_complete_list = true;
-            sleep(IDLE_PAUSE).await;
+            sleep(IDLE_BACKOFF).await;
             return ControlFlow::Continue(());
         }
         if self.failures > 0 {
@@ -133,7 +133,7 @@
             return ControlFlow::Break(());
         }
         if is_unchanged {
-            sleep(IDLE_PAUSE).await;
+            sleep(IDLE_BACKOFF).await;
         }
         ControlFlow::Continue(())
     }
--- a/crates/engine/src/engine/membership.rs
+++ b/crates/engine/src/engine/membership.rs
@@ -24,7 +24,7 @@
         } else if !listed.is_empty() {
             self.notify(Event::ServerListChange(&listed));
         }
-        for server in self.upstreams.remove_gone(entries, is_complete) {
+        for server in self.upstreams.remove_delisted(entries, is_complete) {
             self.commands.push_back(Command::RetireConnections(server));
         }
         self.is_ready |= listed
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -161,7 +161,7 @@
     }
 
     /// How many of them take requests and are avoided all the same.
-    pub fn avoided(&self) -> usize {
+    pub fn ejected(&self) -> usize {
         self.balancer.ejected_servers()
     }
 
@@ -176,7 +176,7 @@
     /// # Errors
     ///
     /// Fails if the settings make no sense; nothing has changed then.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         settings: Settings,
         successions: &[ClassSuccession],
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -130,14 +130,18 @@
 
     /// Removes the upstreams that are gone, by their lifecycle or by not being on a complete list, and returns which.
     /// Bounds the memory where upstreams are ever new.
-    pub fn remove_gone(&mut self, entries: &[UpstreamEntry], is_complete: bool) -> Vec<ServerId> {
-        let is_gone = |entry: &UpstreamEntry| entry.lifecycle == Lifecycle::Removed;
-        if !is_complete && !entries.iter().any(is_gone) {
+    pub fn remove_delisted(
+        &mut self,
+        entries: &[UpstreamEntry],
+        is_complete: bool,
+    ) -> Vec<ServerId> {
+        let is_removed = |entry: &UpstreamEntry| entry.lifecycle == Lifecycle::Removed;
+        if !is_complete && !entries.iter().any(is_removed) {
             return Vec::new();
         }
         let (mut gone, mut listed) = (HashSet::new(), HashSet::new());
         for entry in entries {
-            let names = if is_gone(entry) {
+            let names = if is_removed(entry) {
                 &mut gone
             } else {
                 &mut listed
--- a/crates/inbound/src/connection_state.rs
+++ b/crates/inbound/src/connection_state.rs
@@ -47,7 +47,7 @@
     /// Bytes that came, in all.
     received: u64,
     /// For each read of bytes that have not gone to hyper: the bytes that had come by then, and when it was.
-    reads: VecDeque<(u64, Instant)>,
+    read_times: VecDeque<(u64, Instant)>,
     /// Bytes that have gone to hyper, in all.
     passed: u64,
     /// When the last byte of the present request came.
@@ -81,7 +81,7 @@
             buffered: BytesMut::new(),
             has_ended: false,
             received: 0,
-            reads: VecDeque::new(),
+            read_times: VecDeque::new(),
             passed: 0,
             request_received_at: now,
             waiting_since: now,
@@ -192,8 +192,8 @@
         let Some(response) = &self.response else {
             return false;
         };
-        let is_owed = !response.is_complete || self.is_write_blocked;
-        is_owed
+        let is_outstanding = !response.is_complete || self.is_write_blocked;
+        is_outstanding
             && response.deadline.elapsed() > RESPONSE_GRACE
             && self.last_write.elapsed() > STALL_TIMEOUT
     }
@@ -216,9 +216,9 @@
         }
         self.received += bytes as u64;
         self.last_read = now;
-        match self.reads.back_mut() {
+        match self.read_times.back_mut() {
             Some((end, at)) if now - *at < READ_RESOLUTION => *end = self.received,
-            _ => self.reads.push_back((self.received, now)),
+            _ => self.read_times.push_back((self.received, now)),
         }
     }
 
@@ -267,15 +267,17 @@
         buffer.put_slice(&self.buffered[..bytes]);
         self.buffered.advance(bytes);
         self.passed += bytes as u64;
-        while self.reads.len() > 1 && self.reads[0].0 < self.passed {
-            self.reads.pop_front();
+        while self.read_times.len() > 1 && self.read_times[0].0 < self.passed {
+            self.read_times.pop_front();
         }
         if let Phase::Passing(left) = &mut self.phase {
             *left -= bytes as u64;
             if *left == 0 {
                 self.phase = Phase::Complete;
-                self.request_received_at =
-                    self.reads.front().map_or_else(Instant::now, |(_, at)| *at);
+                self.request_received_at = self
+                    .read_times
+                    .front()
+                    .map_or_else(Instant::now, |(_, at)| *at);
                 self.next_request(); // its response may have been given before its end came
             }
         }
--- a/crates/runtime/src/load_balancer.rs
+++ b/crates/runtime/src/load_balancer.rs
@@ -189,7 +189,7 @@
         self.shared.lock().engine.open()
     }
 
-    /// Takes new settings, see [`Engine::retune`].
+    /// Takes new settings, see [`Engine::reconfigure`].
     ///
     /// # Errors
     ///
@@ -202,7 +202,7 @@
         let mut state = self.shared.lock();
         state
             .engine
-            .retune(settings, &successions)
+            .reconfigure(settings, &successions)
             .map_err(ReconfigureError)
     }
 
@@ -252,7 +252,7 @@
     /// How many upstreams are listed, and how many of them are ejected.
     pub fn upstreams(&self) -> (usize, usize) {
         let state = self.shared.lock();
-        (state.engine.upstreams(), state.engine.avoided())
+        (state.engine.upstreams(), state.engine.ejected())
     }
 
     /// Makes a call. Dropping the future means that its caller has disconnected.
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -49,7 +49,7 @@
     group: Option<RawGroup>,
     /// Part of the value that a response after the latency target still has.
     #[serde(rename = "LateWorth")]
-    late_value_ratio: Option<f64>,
+    value_ratio_after_target: Option<f64>,
     window_ns: Option<Duration>,
     value: f64,
 }
@@ -159,8 +159,8 @@
             .into_iter()
             .map(RawClass::into_class)
             .collect::<Result<_, _>>()?;
-        let ask_discovery = matches!(self.discovery, RawDiscovery::Poll);
-        if ask_discovery && self.safety.poll_within_ns.is_none() {
+        let subscribes_to_discovery = matches!(self.discovery, RawDiscovery::Poll);
+        if subscribes_to_discovery && self.safety.poll_within_ns.is_none() {
             return Err(ParseError::MissingKey { key: "AskWithinNs" });
         }
         let prices = self.prices.unwrap_or_default();
@@ -184,7 +184,7 @@
                 .family_info
                 .and_then(|family| family.passes_deadline)
                 .unwrap_or(true),
-            subscribes_to_discovery: ask_discovery,
+            subscribes_to_discovery: subscribes_to_discovery,
             subscribe_within: self.safety.poll_within_ns.unwrap_or(0),
             may_cancel: self.limits.cancelling,
             max_retry_after: self.limits.max_retry_after_ns.unwrap_or(0),
@@ -208,7 +208,7 @@
             latency_target_stretch: self.latency_target_stretch.unwrap_or(0.0),
             deadline: self.deadline_ns,
             effect: self.effect()?,
-            late_value: self.late_value_ratio.unwrap_or(0.0),
+            late_value: self.value_ratio_after_target.unwrap_or(0.0),
             value: self.value,
         })
     }
--- a/crates/transport/src/http1/connection.rs
+++ b/crates/transport/src/http1/connection.rs
@@ -79,8 +79,8 @@
     }
 
     /// Its upstream has broken the protocol.
-    pub fn note_violation(&self) {
-        self.counts.note_violation();
+    pub fn record_violation(&self) {
+        self.counts.record_violation();
     }
 }
 
--- a/crates/transport/src/http1/exchange.rs
+++ b/crates/transport/src/http1/exchange.rs
@@ -94,7 +94,7 @@
         Ok(response) => receive(response, connection, limits).await,
         Err(error) => {
             if error.is_parse() {
-                connection.note_violation();
+                connection.record_violation();
             }
             broken_outcome(&connection).into()
         }
@@ -174,7 +174,7 @@
     }
     let is_ready = connection.sender.ready().await.is_ok();
     if keeps_alive && !is_ready {
-        connection.note_violation(); // more came than its response
+        connection.record_violation(); // more came than its response
     }
     is_ready.then_some(connection)
 }
--- a/crates/transport/src/http1/progress.rs
+++ b/crates/transport/src/http1/progress.rs
@@ -34,7 +34,7 @@
 
 impl ConnectionCounts {
     /// Notes that an upstream has just broken the protocol.
-    pub(super) fn note_violation(&self) {
+    pub(super) fn record_violation(&self) {
         *lock(&self.last_violation) = Some(Instant::now());
     }
 
--- a/crates/transport/src/http1/socket.rs
+++ b/crates/transport/src/http1/socket.rs
@@ -41,7 +41,7 @@
         ready!(Pin::new(&mut self.stream).poll_read(cx, buffer))?;
         let has_read = buffer.filled().len() > before;
         if has_read && !self.progress.response_due.load(Ordering::Relaxed) {
-            self.counts.note_violation();
+            self.counts.record_violation();
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/transport/src/http2/connection.rs
+++ b/crates/transport/src/http2/connection.rs
@@ -180,7 +180,7 @@
     }
 
     /// Something came back on the stream.
-    pub fn note_received(&mut self) {
+    pub fn record_received(&mut self) {
         self.has_received = true;
         let now = self.connection.age();
         self.connection.last_received.store(now, Ordering::Relaxed);
@@ -198,8 +198,8 @@
         let now = connection.age();
         let waited = now.saturating_sub(self.leased_at);
         let last_received = connection.last_received.load(Ordering::Relaxed);
-        let was_silent = last_received <= self.leased_at;
-        let is_unresponsive = waited > UNRESPONSIVE_AFTER.as_nanos() as u64 && was_silent;
+        let received_nothing = last_received <= self.leased_at;
+        let is_unresponsive = waited > UNRESPONSIVE_AFTER.as_nanos() as u64 && received_nothing;
         if !self.has_received && is_unresponsive {
             connection.close();
         }
--- a/crates/transport/src/http2/receive.rs
+++ b/crates/transport/src/http2/receive.rs
@@ -50,7 +50,7 @@
         Ok(response) => response,
         Err(error) => return broken(&error, &stream.lease),
     };
-    stream.lease.note_received();
+    stream.lease.record_received();
     let (head, mut body) = response.into_parts();
     let is_grpc = is_grpc(&head.headers);
     let mut received = Received {
@@ -90,7 +90,7 @@
         } else {
             body.data().await
         };
-        stream.lease.note_received();
+        stream.lease.record_received();
         let Some(data) = next.transpose()? else {
             return Ok(BodyRead::Complete(body.trailers().await?));
         };
--- a/crates/transport/src/http2/response_body.rs
+++ b/crates/transport/src/http2/response_body.rs
@@ -118,7 +118,7 @@
         }
         match ready!(self.body.poll_data(cx)) {
             Some(Ok(data)) => {
-                self.lease.note_received();
+                self.lease.record_received();
                 self.body.flow_control().release_capacity(data.len()).ok();
                 return Poll::Ready(Some(Ok(Frame::data(data))));
             }
