--- a/crates/emulator/src/baseline.rs
+++ b/crates/emulator/src/baseline.rs
@@ -4,6 +4,7 @@
 //! twice, so that they are compared by what they serve.
 
 use crate::agent::{BalancerAgent, Ticket};
+use crate::policy::PolicyError;
 use crate::units::{MS, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -108,17 +109,17 @@
 }
 
 impl FromStr for BaselineConfig {
-    type Err = String;
+    type Err = PolicyError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, PolicyError> {
         let mut parts = text.split('+');
         let name = parts.next().unwrap_or_default();
         let Some((_, pick)) = PICKS.iter().find(|(known, _)| *known == name) else {
             let known: Vec<_> = PICKS.iter().map(|(known, _)| *known).collect();
-            return Err(format!(
-                "there is no policy {name:?}; there are woadstall, {}",
-                known.join(", ")
-            ));
+            return Err(PolicyError::UnknownPolicy {
+                name: name.to_owned(),
+                known: known.join(", "),
+            });
         };
         let mut style = Self {
             pick: *pick,
@@ -134,9 +135,7 @@
                 "retries" => style.retries = RetryPolicy::Fixed,
                 "budget" => style.retries = RetryPolicy::Budget,
                 _ => {
-                    return Err(format!(
-                        "there is no addition {part:?}; there are outlier, aimd, gradient, retries, budget"
-                    ));
+                    return Err(PolicyError::UnknownAddition(part.to_owned()));
                 }
             }
         }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -5,9 +5,6 @@
 //! request. One scenario, policy and seed give one result, to the byte, wherever it runs. Nothing here does
 //! input or output.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 mod agent;
 mod audit;
 mod baseline;
@@ -35,7 +32,7 @@
 pub use event_queue::{EventQueue, SequenceMap};
 pub use measure::{CallOutcome, Counts, Latencies, Meter, RunResult, TimelineStep};
 pub use observer::{MemberView, MembershipObserver, MembershipReport, Quantiles};
-pub use policy::Policy;
+pub use policy::{Policy, PolicyError};
 pub use random::{Actor, Dist, chance, gap, sample, stream};
 pub use scenario::*;
 pub use units::Span;
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -6,6 +6,22 @@
 use std::str::FromStr;
 use woadstall_engine::{Engine, Settings, Time};
 
+/// A name that is no policy.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PolicyError {
+    /// No policy has this name.
+    #[error("there is no policy {name:?}; there are woadstall, {known}")]
+    UnknownPolicy {
+        /// The name that was given.
+        name: String,
+        /// The names of the baseline policies, with commas.
+        known: String,
+    },
+    /// Baseline policies have no such addition.
+    #[error("there is no addition {0:?}; there are outlier, aimd, gradient, retries, budget")]
+    UnknownAddition(String),
+}
+
 /// Which mind the balancers of a run have.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
@@ -38,9 +54,9 @@
 }
 
 impl FromStr for Policy {
-    type Err = String;
+    type Err = PolicyError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, PolicyError> {
         match text {
             "woadstall" => Ok(Self::Woadstall),
             rival => rival.parse().map(Self::Baseline),
--- a/crates/emulator/src/scenario/bound.rs
+++ b/crates/emulator/src/scenario/bound.rs
@@ -1,7 +1,7 @@
 //! Bounds: what must hold in a run, judged from its timeline alone, so that a run on sockets and one of the lab
 //! are judged alike.
 
-use super::check::number;
+use super::error::{Check, in_range, inconsistent};
 use super::{Scenario, Span};
 use crate::measure::{Counts, RunResult, TimelineStep};
 use serde::{Deserialize, Serialize};
@@ -172,48 +172,48 @@
 }
 
 impl Bound {
-    pub(super) fn check(&self, scenario: &Scenario) -> Result<(), String> {
+    pub(super) fn check(&self, scenario: &Scenario) -> Check {
         let window = |from: &Span, until: &Span| match from < until && *until <= scenario.time {
             true => Ok(()),
-            false => Err("`until` is not after `from`, or after the end of the run".to_owned()),
+            false => inconsistent("`until` is not after `from`, or after the end of the run"),
         };
         match &self.what {
             Requirement::Served { from, until, least } => {
-                window(from, until).and_then(|()| number("least", *least, 0.0, 1.0))
+                window(from, until).and_then(|()| in_range("least", *least, 0.0, 1.0))
             }
             Requirement::Refused { from, until, most } => {
-                window(from, until).and_then(|()| number("most", *most, 0.0, 1.0))
+                window(from, until).and_then(|()| in_range("most", *most, 0.0, 1.0))
             }
             Requirement::Recovered { from, part, .. } => {
                 window(from, &scenario.time)?;
                 if scenario.first_fault() <= scenario.warm_up {
-                    return Err("`back`: no time before the first fault to compare with".into());
+                    return inconsistent("`back`: no time before the first fault to compare with");
                 }
-                number("part", *part, 0.0, 1.0)
+                in_range("part", *part, 0.0, 1.0)
             }
             Requirement::LogLines { from, least, .. } => {
                 window(from, &scenario.time)?;
                 if *least == 0 {
-                    Err("`least` is 0, which always holds".into())
+                    inconsistent("`least` is 0, which always holds")
                 } else {
                     Ok(())
                 }
             }
-            Requirement::Attempts { most } => number("most", *most, 0.0, 1e6),
+            Requirement::Attempts { most } => in_range("most", *most, 0.0, 1e6),
             _ if scenario.members.is_none() => {
-                Err("there is no `[members]`: balancers do not speak".into())
+                inconsistent("there is no `[members]`: balancers do not speak")
             }
             Requirement::FalseDeaths { .. } | Requirement::DeathsKnown { .. } => Ok(()),
             Requirement::Out { .. } | Requirement::Stays { .. }
                 if scenario.evacuation.is_none() =>
             {
-                Err("there is no `[evacuation]`: balancers leave nothing together".into())
+                inconsistent("there is no `[evacuation]`: balancers leave nothing together")
             }
             Requirement::Out {
                 zone, from, part, ..
             } => {
                 scenario.zone(&Some(zone.clone()))?;
-                window(from, &scenario.time).and_then(|()| number("part", *part, 0.0, 1.0))
+                window(from, &scenario.time).and_then(|()| in_range("part", *part, 0.0, 1.0))
             }
             Requirement::Stays {
                 zone,
@@ -222,11 +222,11 @@
                 most,
             } => {
                 scenario.zone(&Some(zone.clone()))?;
-                window(from, until).and_then(|()| number("most", *most, 0.0, 1.0))
+                window(from, until).and_then(|()| in_range("most", *most, 0.0, 1.0))
             }
             Requirement::Agreement { from, .. } => window(from, &scenario.time),
             Requirement::PartitionsReported { at, least } => {
-                window(at, &scenario.time).and_then(|()| number("least", *least, 0.0, 1.0))
+                window(at, &scenario.time).and_then(|()| in_range("least", *least, 0.0, 1.0))
             }
         }
     }
--- /dev/null
+++ b/crates/emulator/src/scenario/check/callers.rs
@@ -0,0 +1,67 @@
+//! Checks of groups of callers.
+
+use super::*;
+use crate::scenario::{CallerGroup, CallerRetries, Load, MOST_CALLS};
+use crate::units::Span;
+
+impl Scenario {
+    pub(super) fn check_callers(&self) -> Check {
+        self.callers.iter().try_for_each(|group| {
+            let part = || ScenarioPart::Callers(group.name.clone());
+            self.check_group(group)
+                .map_err(|error| error.within(part()))
+        })?;
+        let calls: f64 = self
+            .callers
+            .iter()
+            .map(|group| group.load.most() * self.time.seconds())
+            .sum();
+        if calls > MOST_CALLS {
+            let most = MOST_CALLS;
+            return Err(ScenarioError::TooManyCalls { calls, most });
+        }
+        Ok(())
+    }
+
+    fn check_group(&self, group: &CallerGroup) -> Check {
+        group
+            .load
+            .check()
+            .map_err(|error| error.within(ScenarioPart::Key("load")))?;
+        in_range("heeds-advice", group.honors_retry_after, 0.0, 1.0)?;
+        self.check_mix(group)?;
+        if let Some(tenant) = &group.tenant
+            && !self.tenant.iter().any(|known| known.name == *tenant)
+        {
+            return Err(ScenarioError::UnknownName {
+                key: "tenant",
+                kind: "tenant",
+                name: tenant.clone(),
+            });
+        }
+        self.check_zone(group.zone.as_ref())?;
+        let thinks_not = matches!(group.load, Load::Closed { think: Span(0), .. });
+        if group.again != CallerRetries::Never && thinks_not {
+            return inconsistent("`load`: a crowd that asks again needs a `think` over 0");
+        }
+        Ok(())
+    }
+
+    /// The classes that a group calls, and their shares.
+    fn check_mix(&self, group: &CallerGroup) -> Check {
+        for (class, share) in &group.classes {
+            if self.class(class).is_none() {
+                return Err(ScenarioError::UnknownName {
+                    key: "classes",
+                    kind: "class",
+                    name: class.clone(),
+                });
+            }
+            in_range(class, *share, 0.0, 1e9)?;
+        }
+        if group.classes.values().sum::<f64>() <= 0.0 {
+            return inconsistent("`classes`: none has a share");
+        }
+        Ok(())
+    }
+}
--- a/crates/emulator/src/scenario/evacuation.rs
+++ b/crates/emulator/src/scenario/evacuation.rs
@@ -1,7 +1,7 @@
 //! Balancers that leave places together, and what some of them make up.
 
 use super::Scenario;
-use super::check::number;
+use super::error::{Check, in_range, inconsistent};
 use crate::units::{MS, Span};
 use serde::{Deserialize, Serialize};
 
@@ -48,21 +48,23 @@
 }
 
 impl Scenario {
-    pub(super) fn check_evacuation(&self) -> Result<(), String> {
+    pub(super) fn check_evacuation(&self) -> Check {
         let Some(evacuation) = &self.evacuation else {
             return Ok(());
         };
         if self.members.is_none() {
-            return Err("`evacuation`: there are no `members`, so nobody can tell anything".into());
+            return inconsistent(
+                "`evacuation`: there are no `members`, so nobody can tell anything",
+            );
         }
         if evacuation.every.0 < MS {
-            return Err("`evacuation.every` is shorter than a millisecond".into());
+            return inconsistent("`evacuation.every` is shorter than a millisecond");
         }
         evacuation
             .false_reporting
             .as_ref()
             .map_or(Ok(()), |false_reporting| {
-                number("evacuation.lie.part", false_reporting.part, 0.0, 1.0)
+                in_range("evacuation.lie.part", false_reporting.part, 0.0, 1.0)
             })
     }
 }
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -1,7 +1,7 @@
 //! Faults: what goes wrong, where and when.
 
 use super::members::MemberLinkFault;
-use super::one;
+use super::{ScenarioError, ScenarioPart, one};
 use crate::units::Span;
 use serde::{Deserialize, Serialize};
 use woadstall_engine::Time;
@@ -49,7 +49,7 @@
 
 impl Fault {
     /// What it stands for: itself, or one for each time that it comes.
-    pub(super) fn each_time(self, place: u32) -> Result<Vec<Self>, String> {
+    pub(super) fn each_time(self, place: u32) -> Result<Vec<Self>, ScenarioError> {
         let one = Self {
             again: None,
             place: Some(place),
@@ -58,7 +58,12 @@
         let Some(again) = self.again else {
             return Ok(vec![one]);
         };
-        let wrong = |text: &str| Err(format!("fault {}: `again`: {text}", place + 1));
+        let wrong = |text| {
+            let part = ScenarioPart::Fault(place as usize + 1);
+            Err(ScenarioError::Inconsistent(text)
+                .within(ScenarioPart::Key("again"))
+                .within(part))
+        };
         if !(1..=MOST_TIMES).contains(&again.times) {
             return wrong("`times` is not from 1 to 1,000");
         }
--- a/crates/emulator/src/scenario/load.rs
+++ b/crates/emulator/src/scenario/load.rs
@@ -1,5 +1,7 @@
 //! Callers: how they come, and what they do where they get no answer.
 
+use super::ScenarioError;
+use super::error::{Check, inconsistent};
 use super::one;
 use crate::units::Span;
 use serde::{Deserialize, Serialize};
@@ -97,12 +99,12 @@
         }
     }
 
-    pub(super) fn check(&self) -> Result<(), String> {
+    pub(super) fn check(&self) -> Check {
         let rates: Vec<f64> = match self {
             Self::Constant(rate) => vec![*rate],
             Self::Curve(points) => {
                 if points.is_empty() || points.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
-                    return Err("`curve` needs points whose times rise".into());
+                    return inconsistent("`curve` needs points whose times rise");
                 }
                 points.iter().map(|(_, rate)| *rate).collect()
             }
@@ -112,12 +114,12 @@
                 period,
             } => {
                 if !(0.0..=1.0).contains(swing) || period.0 == 0 {
-                    return Err("`daily` needs a swing from 0 to 1 and a period".into());
+                    return inconsistent("`daily` needs a swing from 0 to 1 and a period");
                 }
                 vec![*mean]
             }
             Self::Closed { callers, .. } if *callers > 1_000_000 => {
-                return Err(format!("{callers} callers are more than a million"));
+                return Err(ScenarioError::TooManyCallers(*callers));
             }
             Self::Closed { .. } => vec![],
         };
@@ -125,7 +127,11 @@
             .iter()
             .find(|rate| !(rate.is_finite() && **rate >= 0.0))
         {
-            Some(rate) => Err(format!("a rate is {rate}, not a number from 0 on")),
+            Some(rate) => Err(ScenarioError::Distribution {
+                name: "a rate",
+                number: *rate,
+                fault: "not a number from 0 on",
+            }),
             None => Ok(()),
         }
     }
--- a/crates/emulator/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -1,6 +1,6 @@
 //! Balancers that speak with each other, and what goes wrong between them.
 
-use super::check::number;
+use super::error::{Check, in_range};
 use super::{Fault, FaultKind, Scenario};
 use crate::units::{SECOND, Span};
 use serde::{Deserialize, Serialize};
@@ -112,11 +112,11 @@
 }
 
 impl MemberLinkFault {
-    pub(super) fn check(&self, scenario: &Scenario) -> Result<(), String> {
+    pub(super) fn check(&self, scenario: &Scenario) -> Check {
         scenario.zone(&self.to)?;
-        number("loss", self.loss, 0.0, 1.0)?;
-        number("doubled", self.doubled, 0.0, 1.0)?;
-        number("overtaken", self.overtaken, 0.0, 1.0)
+        in_range("loss", self.loss, 0.0, 1.0)?;
+        in_range("doubled", self.doubled, 0.0, 1.0)?;
+        in_range("overtaken", self.overtaken, 0.0, 1.0)
     }
 
     /// Whether what goes from one to the other is hit, of `all` balancers. `hit` are those that the fault hits, in the order of
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -3,6 +3,7 @@
 
 mod bound;
 mod check;
+mod error;
 mod evacuation;
 mod fault;
 mod limits;
@@ -12,6 +13,7 @@
 mod tiers;
 
 pub use bound::{Bound, BoundResult, Requirement};
+pub use error::{ScenarioError, ScenarioPart};
 pub use evacuation::{EvacuationConfig, FalseReport, FalseReporting};
 pub use fault::{Fault, FaultKind, LinkFault, StoredFiles};
 pub use limits::{Clocks, Limits, Network, RegistryConfig, RegistryQueries};
@@ -22,24 +24,11 @@
 use crate::random::Dist;
 use crate::units::{SECOND, Span};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, HashSet};
-use std::fmt;
+use std::collections::BTreeMap;
 
 /// Most calls that one run may ask for: bounds its time and memory.
 pub const MOST_CALLS: f64 = 50e6;
 
-/// What is wrong with a scenario.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ScenarioError(String);
-
-impl fmt::Display for ScenarioError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for ScenarioError {}
-
 /// A whole scenario.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
@@ -179,23 +168,29 @@
 }
 
 impl Scenario {
-    /// Reads one. The error names the line and the key.
+    /// Reads a scenario and checks it.
+    ///
+    /// # Errors
+    ///
+    /// A text that is not of a scenario's form, by line and key, or values that make no sense, by key.
     pub fn read(text: &str) -> Result<Self, ScenarioError> {
         let mut scenario: Self =
-            toml::from_str(text).map_err(|error| ScenarioError(error.to_string()))?;
+            toml::from_str(text).map_err(|error| ScenarioError::Syntax(Box::new(error)))?;
         let faults = std::mem::take(&mut scenario.fault).into_iter().zip(0..);
         for (fault, place) in faults {
-            scenario
-                .fault
-                .extend(fault.each_time(place).map_err(ScenarioError)?);
+            scenario.fault.extend(fault.each_time(place)?);
         }
         scenario.check()?;
         Ok(scenario)
     }
 
     /// Refuses what makes no sense.
+    ///
+    /// # Errors
+    ///
+    /// The first fault that is found, with the part of the scenario that it lies in.
     pub fn check(&self) -> Result<(), ScenarioError> {
-        self.faults().map_err(ScenarioError)
+        self.check_all()
     }
 
     /// The tier whose nodos call this one.
@@ -263,11 +258,19 @@
     }
 
     /// Position of a zone; `None` for all.
-    pub fn zone(&self, name: &Option<String>) -> Result<Option<u8>, String> {
+    ///
+    /// # Errors
+    ///
+    /// A name that no zone of the scenario has.
+    pub fn zone(&self, name: &Option<String>) -> Result<Option<u8>, ScenarioError> {
         let Some(name) = name else { return Ok(None) };
         let at = self.zones.iter().position(|zone| zone == name);
         at.map(|at| Some(at as u8))
-            .ok_or_else(|| format!("`zone`: there is no zone {name}"))
+            .ok_or_else(|| ScenarioError::UnknownName {
+                key: "zone",
+                kind: "zone",
+                name: name.clone(),
+            })
     }
 
     /// Name of a zone, by its position.
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -93,11 +93,18 @@
     ] {
         assert_eq!(name.parse::<Policy>().unwrap().to_string(), name);
     }
-    assert!("best".parse::<Policy>().unwrap_err().contains("ribbon"));
+    assert!(
+        "best"
+            .parse::<Policy>()
+            .unwrap_err()
+            .to_string()
+            .contains("ribbon")
+    );
     assert!(
         "random+luck"
             .parse::<Policy>()
             .unwrap_err()
+            .to_string()
             .contains("outlier")
     );
 }
