--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -1,12 +1,22 @@
-//! The whole system on loopback: founding, a configuration, requests, a change, a killed core machine.
+//! The serving system on loopback: bootstrap, a configuration, requests, a change, a killed core machine.
 
+use crate::error::DemoError;
 use serde_json::{Value, json};
 use std::time::Instant;
 use woadstall_mock_servers::http1::{Message, Reaction, Upstream};
 use woadstall_mock_servers::system::{System, call, response};
 
 /// Requests that are sent in each step.
-const REQUESTS: usize = 40;
+const REQUESTS_PER_STEP: usize = 40;
+
+/// Steps in which requests are sent.
+const STEPS: usize = 4;
+
+/// Fronts that start, and take requests in turn.
+const FRONTS: u8 = 2;
+
+/// Upstreams that register, each at another core machine.
+const UPSTREAMS: usize = 3;
 
 fn configuration(generation: u64, timeout_ms: u64) -> Value {
     json!({
@@ -19,66 +29,67 @@
     })
 }
 
-/// Sends requests to the fronts by turns, and tells how many were served.
-fn serve(system: &System, step: &str) -> usize {
-    let begin = Instant::now();
+/// Sends requests to the fronts in turn, and prints how many were served.
+fn send_requests(system: &System, step: &str) -> usize {
+    let started = Instant::now();
     let is_served = |number: &usize| {
         let headers = format!("Request-Id: {step}-{number}\r\nDeadline: 2000\r\n");
-        let front = system.front((number % 2) as u8);
+        let front = system.front((number % usize::from(FRONTS)) as u8);
         call(front, "POST", "/drafts/1", &headers, b"{}")
             .is_some_and(|response| response.status() == 200)
     };
-    let served = (0..REQUESTS).filter(is_served).count();
+    let served = (0..REQUESTS_PER_STEP).filter(is_served).count();
     println!(
-        "{step:<28} {served} of {REQUESTS} requests served in {:.2} s",
-        begin.elapsed().as_secs_f64()
+        "{step:<28} {served} of {REQUESTS_PER_STEP} requests served in {:.2} s",
+        started.elapsed().as_secs_f64()
     );
     served
 }
 
-/// Shows the system; whether all went well.
-pub fn show() -> Result<bool, String> {
-    let program = std::env::current_exe().map_err(|error| error.to_string())?;
-    println!("three core machines and two fronts start ...");
-    let mut system = System::start(&program, 2);
-    system.configure(0, 0, &configuration(1, 2_000));
-    println!("configuration 1 is in force on both fronts");
-    let upstreams: Vec<Upstream> = (0..3)
-        .map(|_| {
-            Upstream::start(|request: &Message| Reaction::Respond(response(request, "a draft")))
-        })
-        .collect();
+/// Starts upstreams and registers each at another core machine.
+fn register_upstreams(system: &System) -> Vec<Upstream> {
+    let respond = |request: &Message| Reaction::Respond(response(request, "a draft"));
+    let upstreams: Vec<Upstream> = (0..UPSTREAMS).map(|_| Upstream::start(respond)).collect();
     for (number, upstream) in (0..).zip(&upstreams) {
-        system.register(
-            number,
-            &format!("upstream-{number}"),
-            "drafts",
-            upstream.address,
-            number,
-        );
+        let name = format!("upstream-{number}");
+        system.register(number, &name, "drafts", upstream.address, number);
     }
     println!("three upstreams are registered, each at another core machine");
-    let mut served = serve(&system, "a calm moment");
+    upstreams
+}
+
+fn print_directory(system: &System) {
+    let path = "/v1/resolve?name=shop.example&zone=zone-0";
+    let directory = call(system.directory(1), "GET", path, "", b"");
+    let directory = directory.map(|response| String::from_utf8_lossy(&response.body).into_owned());
+    println!(
+        "the directory of another core machine: {}",
+        directory.unwrap_or_default()
+    );
+}
+
+/// Shows the system; whether every request was served.
+///
+/// # Errors
+///
+/// [`DemoError::Io`], if this program is not found, which the system's processes are too.
+pub fn show() -> Result<bool, DemoError> {
+    let program = std::env::current_exe()?;
+    println!("three core machines and two fronts start ...");
+    let mut system = System::start(&program, FRONTS);
+    system.configure(0, 0, &configuration(1, 2_000));
+    println!("configuration 1 is in force on both fronts");
+    let _upstreams = register_upstreams(&system);
+    let mut served = send_requests(&system, "a calm moment");
     system.configure(1, 1, &configuration(2, 3_000));
     println!("configuration 2, given to another core machine, is in force on both fronts");
-    served += serve(&system, "after the change");
+    served += send_requests(&system, "after the change");
     system.kill_core(0);
-    served += serve(&system, "a core machine is killed");
+    served += send_requests(&system, "a core machine is killed");
     system.configure(2, 2, &configuration(3, 2_500));
     println!("configuration 3 is taken and in force without it");
     system.start_core(0, false);
-    served += serve(&system, "it is back");
-    let directory = call(
-        system.directory(1),
-        "GET",
-        "/v1/resolve?name=shop.example&zone=zone-0",
-        "",
-        b"",
-    );
-    let directory = directory.map(|response| String::from_utf8_lossy(&response.body).into_owned());
-    println!(
-        "the directory of another core machine: {}",
-        directory.unwrap_or_default()
-    );
-    Ok(served == 4 * REQUESTS)
+    served += send_requests(&system, "it is back");
+    print_directory(&system);
+    Ok(served == STEPS * REQUESTS_PER_STEP)
 }
