--- a/crates/cluster-test/src/commands/run.rs
+++ b/crates/cluster-test/src/commands/run.rs
@@ -7,7 +7,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::{info, warn};
 use woadstall_cluster_test::{
-    Options, RunError, RunResult, check_supported, results, run as run_scenario,
+    ClusterResult, Options, RunError, check_supported, results, run as run_scenario,
 };
 use woadstall_emulator::Scenario;
 use woadstall_emulator_cli::grid::{Key, Set, Source};
@@ -17,7 +17,7 @@
 const FAILED: u8 = 1;
 const TOO_SLOW: u8 = 4;
 const INTERRUPTED: u8 = 130;
-/// What rows name in place of the emulator's policy.
+/// FaultKind rows name in place of the emulator's policy.
 const ROW_POLICY: &str = "rig";
 
 pub fn run(arguments: RunArguments) -> Result<u8, CommandError> {
@@ -85,7 +85,7 @@
 fn play(
     scenario: Scenario,
     options: &Options,
-) -> Result<Option<Result<RunResult, RunError>>, CommandError> {
+) -> Result<Option<Result<ClusterResult, RunError>>, CommandError> {
     let runtime = Runtime::new()?;
     runtime.block_on(async {
         let mut terminated = signal(SignalKind::terminate())?;
@@ -102,7 +102,7 @@
 fn write_results(
     arguments: &RunArguments,
     scenario: &Scenario,
-    result: &RunResult,
+    result: &ClusterResult,
     row: Row,
 ) -> Result<(), CommandError> {
     if arguments.json {
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-fn exit_code(result: &RunResult) -> u8 {
+fn exit_code(result: &ClusterResult) -> u8 {
     if let Some(reason) = result.too_slow() {
         warn_too_slow(&reason);
         return TOO_SLOW;
--- a/crates/cluster-test/src/discovery.rs
+++ b/crates/cluster-test/src/discovery.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
-use woadstall_emulator::{Actor, Asked, Padron, stream};
+use woadstall_emulator::{Actor, RegistryConfig, RegistryQueries, stream};
 use woadstall_load_test::lock;
 use woadstall_mock_servers::simulated_upstream::serve_process;
 
@@ -44,7 +44,7 @@
 
 /// The queue of reads at a discovery service that serves all agents at a limited rate.
 pub struct ReadQueue {
-    service: Asked,
+    service: RegistryQueries,
     idle_from: Mutex<Instant>,
 }
 
@@ -53,7 +53,7 @@
 
 impl ReadQueue {
     /// An empty queue.
-    pub fn new(service: Asked) -> Self {
+    pub fn new(service: RegistryQueries) -> Self {
         Self {
             service,
             idle_from: Mutex::new(Instant::now()),
@@ -65,11 +65,11 @@
         let done = {
             let mut idle_from = lock(&self.idle_from);
             let begins = (*idle_from).max(Instant::now());
-            let patience = Duration::from_nanos(self.service.patience.0);
+            let patience = Duration::from_nanos(self.service.timeout.0);
             if begins.elapsed().is_zero() && begins - Instant::now() > patience {
                 return Err(QueueFull);
             }
-            *idle_from = begins + Duration::from_secs_f64(1.0 / self.service.reads);
+            *idle_from = begins + Duration::from_secs_f64(1.0 / self.service.reads_per_second);
             *idle_from
         };
         sleep_until(done.into()).await;
@@ -126,7 +126,7 @@
         let (updates, received) = mpsc::unbounded_channel();
         tasks.spawn(propagate(received, list.clone()));
         let propagation = Mutex::new(Propagation {
-            rng: stream(seed, Actor::Padron, balancer),
+            rng: stream(seed, Actor::Registry, balancer),
             last_due: Instant::now(),
         });
         Ok(Self {
@@ -141,7 +141,7 @@
     }
 
     /// Sends it a list, which reaches it in order after a random delay. Returns when that is.
-    pub fn publish(&self, revision: u64, targets: Vec<Value>, padron: &Padron) -> Instant {
+    pub fn publish(&self, revision: u64, targets: Vec<Value>, padron: &RegistryConfig) -> Instant {
         let mut propagation = lock(&self.propagation);
         let jitter = padron.jitter.0 as f64 * propagation.rng.random::<f64>();
         let delay = Duration::from_nanos((padron.delay.0 as f64 + jitter) as u64);
@@ -179,7 +179,7 @@
     }
 }
 
-/// What one read needs of the agent.
+/// FaultKind one read needs of the agent.
 #[derive(Clone)]
 struct Reader {
     list: watch::Receiver<EndpointList>,
--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_emulator::{Actor, Fault, Files, What, sample, stream};
+use woadstall_emulator::{Actor, Fault, FaultKind, StoredFiles, sample, stream};
 use woadstall_load_test::lock;
 use woadstall_load_test::schedule::CRASH_RECOVERY;
 use woadstall_load_test::upstream::listing::{GONE, IN_SERVICE};
@@ -61,7 +61,8 @@
 
     /// Whether a fault that is in force has killed an upstream.
     fn is_kept_down(&self, upstream: u32) -> bool {
-        let kills = |what: &What| matches!(what, What::Kill { .. } | What::PowerLoss { .. });
+        let kills =
+            |what: &FaultKind| matches!(what, FaultKind::Kill { .. } | FaultKind::PowerLoss { .. });
         let active = lock(&self.active_faults);
         let mut faults = self.scenario.fault.iter().zip(active.iter());
         faults.any(|(fault, targets)| {
@@ -71,7 +72,7 @@
         })
     }
 
-    /// What a fault hits: the same random numbers as in the emulator, and the same candidates.
+    /// FaultKind a fault hits: the same random numbers as in the emulator, and the same candidates.
     fn draw_targets(&self, index: usize) -> FaultTargets {
         let fault = &self.scenario.fault[index];
         let tier = fault
@@ -115,8 +116,8 @@
             "fault begins"
         );
         match &fault.what {
-            What::Kill { .. } => self.kill_for_a_while(&fault, index, &targets).await,
-            What::PowerLoss { stale, over, files } => {
+            FaultKind::Kill { .. } => self.kill_for_a_while(&fault, index, &targets).await,
+            FaultKind::PowerLoss { stale, over, files } => {
                 let settings = power_loss::Settings {
                     staleness: Duration::from_nanos(stale.0),
                     boot_spread: Duration::from_nanos(over.0),
@@ -124,14 +125,18 @@
                 };
                 self.lose_power(&fault, index, &targets, settings).await
             }
-            What::Roll => self.roll_upstreams(&fault, &targets).await,
-            What::RollBalancers => self.roll_balancers(&fault, &targets).await,
-            What::Restart { stale, files } => {
+            FaultKind::Roll => self.roll_upstreams(&fault, &targets).await,
+            FaultKind::RollBalancers => self.roll_balancers(&fault, &targets).await,
+            FaultKind::Restart { stale, files } => {
                 let staleness = Duration::from_nanos(stale.0);
                 self.kill_and_start_balancers(&fault, &targets, staleness, *files)
                     .await
             }
-            What::CutTo | What::CutFrom | What::SlowLink(_) | What::Link(_) | What::Between(_) => {
+            FaultKind::PartitionTo
+            | FaultKind::PartitionFrom
+            | FaultKind::SlowLink(_)
+            | FaultKind::Link(_)
+            | FaultKind::Between(_) => {
                 self.update_links();
                 self.schedule.fault_end(&fault).await;
                 lock(&self.active_faults)[index] = None;
@@ -148,16 +153,16 @@
     }
 
     /// Applies or reverts a fault that no process has to be started for.
-    fn set_fault(&self, what: &What, targets: &FaultTargets, active: bool) {
+    fn set_fault(&self, what: &FaultKind, targets: &FaultTargets, active: bool) {
         let upstreams = || {
             let numbers = targets.upstreams.iter();
             numbers.map(|&number| &self.upstreams[number as usize])
         };
         match what {
-            What::Stall => self.set_suspended(&targets.balancers, active),
-            What::Stop => upstreams().for_each(|upstream| upstream.set_suspended(active)),
-            What::PadronSilent => self.set_agents_unresponsive(active),
-            What::PadronWrong => {
+            FaultKind::Stall => self.set_suspended(&targets.balancers, active),
+            FaultKind::Stop => upstreams().for_each(|upstream| upstream.set_suspended(active)),
+            FaultKind::RegistrySilent => self.set_agents_unresponsive(active),
+            FaultKind::RegistryWrong => {
                 let state = if active { GONE } else { IN_SERVICE };
                 for &number in &targets.upstreams {
                     if self.upstreams[number as usize].is_alive() {
@@ -200,7 +205,7 @@
         fault: &Fault,
         targets: &FaultTargets,
         staleness: Duration,
-        files: Files,
+        files: StoredFiles,
     ) -> Result<(), ClusterError> {
         for &balancer in &targets.balancers {
             self.kill_balancer(balancer);
@@ -211,7 +216,7 @@
     }
 
     /// Damages what the next processes of balancers find in their folders.
-    fn damage_files(&self, balancers: &[u32], files: Files) -> Result<(), ClusterError> {
+    fn damage_files(&self, balancers: &[u32], files: StoredFiles) -> Result<(), ClusterError> {
         for &number in balancers {
             let next = (number as usize + 1) % self.balancers.len();
             let process = &self.balancers[number as usize].process;
--- a/crates/cluster-test/src/faults/power_loss.rs
+++ b/crates/cluster-test/src/faults/power_loss.rs
@@ -4,16 +4,16 @@
 use crate::fleet::{FaultTargets, Fleet};
 use crate::links;
 use std::time::Duration;
-use woadstall_emulator::{Fault, Files};
+use woadstall_emulator::{Fault, StoredFiles};
 
-/// What a power loss is set to.
+/// FaultKind a power loss is set to.
 pub struct Settings {
     /// The age of the lists that balancers come back with.
     pub staleness: Duration,
     /// The time over which upstreams come back, one after the other.
     pub boot_spread: Duration,
-    /// What balancers find of their files.
-    pub files: Files,
+    /// FaultKind balancers find of their files.
+    pub files: StoredFiles,
 }
 
 impl Fleet {
--- a/crates/cluster-test/src/fleet.rs
+++ b/crates/cluster-test/src/fleet.rs
@@ -22,7 +22,7 @@
 use woadstall_load_test::schedule::Schedule;
 use woadstall_load_test::upstream::{Listing, Upstream};
 
-/// What a fault hits, by numbers among all, in ascending order.
+/// FaultKind a fault hits, by numbers among all, in ascending order.
 #[derive(Clone, Debug)]
 pub struct FaultTargets {
     /// The upstreams.
@@ -33,7 +33,7 @@
 
 /// See the module's documentation.
 pub struct Fleet {
-    /// What is played.
+    /// FaultKind is played.
     pub scenario: Arc<Scenario>,
     /// When it is played.
     pub schedule: Schedule,
--- a/crates/cluster-test/src/fleet/endpoint_list.rs
+++ b/crates/cluster-test/src/fleet/endpoint_list.rs
@@ -59,7 +59,7 @@
             let entries = self.list_for(balancer, &list);
             balancer
                 .agent
-                .publish(revision, entries, &self.scenario.padron)
+                .publish(revision, entries, &self.scenario.registry)
         });
         due.max().unwrap_or_else(Instant::now)
     }
--- a/crates/cluster-test/src/fleet/lifecycle.rs
+++ b/crates/cluster-test/src/fleet/lifecycle.rs
@@ -91,7 +91,7 @@
                 // Its agent has the stale list as well, and the rest reaches it with the usual delay.
                 balancer.agent.reset(stale.number, known.clone());
                 let entries = self.list_for(&balancer, &last.list);
-                let padron = &self.scenario.padron;
+                let padron = &self.scenario.registry;
                 notified = notified.max(balancer.agent.publish(last.number, entries, padron));
             }
             self.network.set_running(links::balancer_node(number), true);
--- a/crates/cluster-test/src/fleet/network.rs
+++ b/crates/cluster-test/src/fleet/network.rs
@@ -3,7 +3,7 @@
 use super::{FaultTargets, Fleet};
 use crate::balancer::Balancer;
 use crate::links::{self, ActiveFault, Direction, UpstreamLink};
-use woadstall_emulator::Among;
+use woadstall_emulator::MemberLink;
 use woadstall_load_test::lock;
 
 impl Fleet {
@@ -53,7 +53,12 @@
     }
 
     /// The link from one member to another under the faults in `active`, by the balancers' numbers.
-    pub fn member_link(&self, active: &[Option<FaultTargets>], from: usize, to: usize) -> Among {
+    pub fn member_link(
+        &self,
+        active: &[Option<FaultTargets>],
+        from: usize,
+        to: usize,
+    ) -> MemberLink {
         let end = |member: usize| (member as u32, self.balancers[member].placement.zone);
         let faults = self.faults_in_force(active, |targets| &targets.balancers);
         self.scenario
--- a/crates/cluster-test/src/fleet/start.rs
+++ b/crates/cluster-test/src/fleet/start.rs
@@ -24,9 +24,9 @@
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
-/// What a fleet is started with.
+/// FaultKind a fleet is started with.
 pub struct FleetSettings {
-    /// What is played.
+    /// FaultKind is played.
     pub scenario: Arc<Scenario>,
     /// Finds broken rules.
     pub rules: Arc<RuleChecker>,
@@ -36,7 +36,7 @@
     pub seed: u64,
     /// When callers begin.
     pub start: Instant,
-    /// What is broken on purpose.
+    /// FaultKind is broken on purpose.
     pub violation: Option<RuleViolation>,
 }
 
@@ -107,7 +107,7 @@
         targets: &[SocketAddr],
         proxies: &mut Vec<ViolatingProxy>,
     ) -> Result<(), ClusterError> {
-        let service = self.scenario.padron.asked.clone();
+        let service = self.scenario.registry.queries.clone();
         let queue = service.map(|service| Arc::new(ReadQueue::new(service)));
         for position in self.positions() {
             let number = self.balancers.len() as u32;
@@ -124,7 +124,7 @@
     fn positions(&self) -> Vec<Position> {
         let (scenario, mut positions) = (&self.scenario, Vec::new());
         for (index, tier) in scenario.tier.iter().enumerate() {
-            if !tier.beside {
+            if !tier.sidecar {
                 positions.extend((0..tier.balancers).map(|number| Position {
                     tier: index,
                     zone: scenario.zone_in_turn(number),
@@ -299,7 +299,7 @@
     } = settings;
     let (mut upstreams, mut tier_bounds) = (Vec::new(), vec![0]);
     for (index, tier) in scenario.tier.iter().enumerate() {
-        for number_in_tier in 0..tier.nodos {
+        for number_in_tier in 0..tier.upstreams {
             let number = upstreams.len() as u32;
             let upstream_number = UpstreamNumber {
                 tier: index,
--- a/crates/cluster-test/src/lib.rs
+++ b/crates/cluster-test/src/lib.rs
@@ -4,7 +4,7 @@
 //! and all reach each other through `woadstall-fault-proxy`. `docs/cluster-test.md` says which designs were
 //! considered, and what this cannot show.
 //!
-//! - [`run()`] plays a scenario and returns a [`RunResult`]; [`results`] prints it and compares it with the emulator's.
+//! - [`run()`] plays a scenario and returns a [`ClusterResult`]; [`results`] prints it and compares it with the emulator's.
 //! - `fleet` owns the upstreams, the balancers and the links between them; `faults` applies the scenario's faults to it.
 //! - `membership` configures and observes the membership among the balancers.
 //! - `run_directory`, `process` and [`launch`] start the processes, so that none outlives its run; `leftovers`
@@ -32,7 +32,7 @@
 
 pub use error::{ClusterError, RunError};
 pub use leftovers::{Leftover, LeftoverProcess, remove_leftovers};
-pub use results::RunResult;
+pub use results::ClusterResult;
 pub use rule_violation::RuleViolation;
 pub use run::{Options, run};
 pub use supported::{UnsupportedScenario, check_supported};
--- a/crates/cluster-test/src/links.rs
+++ b/crates/cluster-test/src/links.rs
@@ -1,7 +1,7 @@
 //! The scenario's network and its faults as conditions of the fault proxy's links.
 
 use std::time::Duration;
-use woadstall_emulator::{Fault, Scenario, What};
+use woadstall_emulator::{Fault, FaultKind, Scenario};
 use woadstall_fault_proxy::{LinkConditions, NodeId};
 
 /// Shorter delays count as none: timers are not finer, and the relays take a tenth of a millisecond.
@@ -81,15 +81,21 @@
     for (fault, upstreams) in faults {
         let hits_link = crosses_zones && fault.zone.as_ref() == upstream_zone;
         match &fault.what {
-            What::CutTo => partitioned |= hits_link && link.direction == Direction::ToUpstream,
-            What::CutFrom => partitioned |= hits_link && link.direction == Direction::FromUpstream,
-            What::SlowLink(factor) if upstreams.contains(&link.upstream) => delay_factor *= factor,
+            FaultKind::PartitionTo => {
+                partitioned |= hits_link && link.direction == Direction::ToUpstream
+            }
+            FaultKind::PartitionFrom => {
+                partitioned |= hits_link && link.direction == Direction::FromUpstream
+            }
+            FaultKind::SlowLink(factor) if upstreams.contains(&link.upstream) => {
+                delay_factor *= factor
+            }
             _ => {}
         }
         if let Some(between_zones) = fault.link(from, to) {
             extra_delay_ns += between_zones.delay.0;
             loss = between_zones.loss.max(loss);
-            partitioned |= between_zones.cut;
+            partitioned |= between_zones.partitioned;
         }
     }
     let delay = effective_delay((base.0 as f64 * delay_factor) as u64 + extra_delay_ns);
--- a/crates/cluster-test/src/membership.rs
+++ b/crates/cluster-test/src/membership.rs
@@ -14,7 +14,9 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
-use woadstall_emulator::{Actor, Among, Evacuated, Members, Scenario, Witness, stream};
+use woadstall_emulator::{
+    Actor, EvacuationTracker, MemberLink, MembershipConfig, MembershipObserver, Scenario, stream,
+};
 use woadstall_fault_proxy::{FaultProxy, LinkConditions};
 use woadstall_load_test::lock;
 use woadstall_membership_net::Report;
@@ -29,7 +31,7 @@
     advertised: SocketAddr,
 }
 
-/// What a member has reported of itself.
+/// FaultKind a member has reported of itself.
 #[derive(Clone, Debug, Default)]
 struct ReportedState {
     /// The start of its present incarnation, Unix time in milliseconds.
@@ -48,9 +50,9 @@
     /// The shared key, in hexadecimal digits.
     key: String,
     /// Compares what members report with who runs.
-    witness: Mutex<Witness>,
-    /// What each member makes of zones, where they evacuate them together.
-    evacuations: Mutex<Evacuated>,
+    witness: Mutex<MembershipObserver>,
+    /// FaultKind each member makes of zones, where they evacuate them together.
+    evacuations: Mutex<EvacuationTracker>,
     reported: Mutex<Vec<ReportedState>>,
     /// The members whose machines have no power.
     unpowered: Mutex<BTreeSet<u32>>,
@@ -64,7 +66,7 @@
     ///
     /// Where no port is free, or a proxy cannot listen.
     pub async fn new(
-        members: &Members,
+        members: &MembershipConfig,
         network: &FaultProxy,
         balancers: &[Arc<Balancer>],
         zones: &[String],
@@ -89,8 +91,8 @@
         Ok(Self {
             addresses,
             key,
-            witness: Mutex::new(Witness::new(size, members.pauses.0)),
-            evacuations: Mutex::new(Evacuated::new(zones.to_vec(), size)),
+            witness: Mutex::new(MembershipObserver::new(size, members.tolerated_pause.0)),
+            evacuations: Mutex::new(EvacuationTracker::new(zones.to_vec(), size)),
             reported: Mutex::new(vec![ReportedState::default(); size]),
             unpowered: Mutex::default(),
             start,
@@ -127,7 +129,7 @@
 
     /// A balancer's process is suspended, or resumed.
     pub fn set_suspended(&self, number: u32, suspended: bool) {
-        lock(&self.witness).stands_still(self.now(), number as usize, suspended);
+        lock(&self.witness).paused_until(self.now(), number as usize, suspended);
     }
 
     /// Sets the conditions of the links among all members, as `link` has them from one to another.
@@ -135,7 +137,7 @@
         &self,
         network: &FaultProxy,
         scenario: &Scenario,
-        link: impl Fn(usize, usize) -> Among,
+        link: impl Fn(usize, usize) -> MemberLink,
     ) {
         let unpowered = lock(&self.unpowered);
         let size = self.addresses.len();
@@ -144,8 +146,9 @@
             for to in (0..size).filter(|&to| to != from) {
                 let link = link(from, to);
                 let (sender, receiver) = (from as u32, to as u32);
-                let is_partitioned =
-                    link.cut || unpowered.contains(&sender) || unpowered.contains(&receiver);
+                let is_partitioned = link.partitioned
+                    || unpowered.contains(&sender)
+                    || unpowered.contains(&receiver);
                 let delay = links::effective_delay(link.delay);
                 let conditions = LinkConditions {
                     delay,
@@ -161,6 +164,6 @@
                 partitioned[from * size + to] = is_partitioned;
             }
         }
-        lock(&self.witness).cut(self.now(), |from, to| partitioned[from * size + to]);
+        lock(&self.witness).partition(self.now(), |from, to| partitioned[from * size + to]);
     }
 }
--- a/crates/cluster-test/src/membership/observations.rs
+++ b/crates/cluster-test/src/membership/observations.rs
@@ -1,9 +1,9 @@
-//! What members report, and what comes of it over a run.
+//! FaultKind members report, and what comes of it over a run.
 
 use super::{Membership, ReportedState};
 use crate::balancer::Balancer;
 use std::sync::Arc;
-use woadstall_emulator::{EvacuatedEnd, Held, MembersEnd};
+use woadstall_emulator::{EvacuationReport, MemberView, MembershipReport};
 use woadstall_evacuation::Status;
 use woadstall_load_test::lock;
 use woadstall_membership_net::{MemberReport, PathReport, Report};
@@ -30,11 +30,11 @@
             };
             let state = match reported[of].started_ms {
                 // One that has just started has not reported its incarnation: the row is of the former.
-                None if witness.is_there(of) => Held::Unknown,
+                None if witness.is_there(of) => MemberView::Unknown,
                 // Of one whose process has ended, its last incarnation counts.
                 started_ms => state_in(row, started_ms),
             };
-            witness.holds(now, number, of, state);
+            witness.record_view(now, number, of, state);
         }
         reported[number].last_report = Some(report);
     }
@@ -72,11 +72,11 @@
             let receiver_reports = row(to, from).is_some_and(|row| partitioned(&row.inbound));
             (is_partitioned(from, to), sender_reports, receiver_reports)
         });
-        witness.ways(now, observations);
+        witness.record_path_reports(now, observations);
     }
 
     /// All that was observed of the members until now.
-    pub fn members_end(&self) -> MembersEnd {
+    pub fn members_end(&self) -> MembershipReport {
         let reported = lock(&self.reported);
         let bytes: Vec<u64> = reported
             .iter()
@@ -87,7 +87,7 @@
     }
 
     /// All that was observed of evacuated zones until now.
-    pub fn evacuations_end(&self) -> EvacuatedEnd {
+    pub fn evacuations_end(&self) -> EvacuationReport {
         lock(&self.evacuations).clone().end(self.now())
     }
 
@@ -108,16 +108,16 @@
 }
 
 /// The state that a row has a member in, if it is of this incarnation.
-fn state_in(row: &MemberReport, started_ms: Option<u64>) -> Held {
+fn state_in(row: &MemberReport, started_ms: Option<u64>) -> MemberView {
     if started_ms.is_some_and(|started_ms| started_ms != row.started_ms) {
-        return Held::Unknown;
+        return MemberView::Unknown;
     }
     match row.state.as_str() {
-        "alive" | "cut" => Held::Alive,
-        "suspect" | "unknown" => Held::Suspect,
-        "dead" => Held::Dead,
-        "left" => Held::Left,
-        _ => Held::Unknown,
+        "alive" | "cut" => MemberView::Alive,
+        "suspect" | "unknown" => MemberView::Suspect,
+        "dead" => MemberView::Dead,
+        "left" => MemberView::Left,
+        _ => MemberView::Unknown,
     }
 }
 
--- a/crates/cluster-test/src/membership/settings.rs
+++ b/crates/cluster-test/src/membership/settings.rs
@@ -5,7 +5,7 @@
 use crate::process::{KEY_FILE, OPERATOR_FILE};
 use std::fmt::Write;
 use std::io;
-use woadstall_emulator::{Members, Scenario, Span};
+use woadstall_emulator::{MembershipConfig, Scenario, Span};
 
 /// How many members a new one may join through.
 const SEEDS: usize = 3;
@@ -30,7 +30,7 @@
     fn instances_section(
         &self,
         scenario: &Scenario,
-        members: &Members,
+        members: &MembershipConfig,
         balancer: &Balancer,
     ) -> String {
         let address = &self.addresses[balancer.placement.number as usize];
@@ -55,7 +55,7 @@
             text,
             "period_ms = {}\npatience_ms = {}\nsuspicion_ms = {}",
             millis(members.period),
-            millis(members.patience),
+            millis(members.timeout),
             millis(members.suspicion)
         );
         text
--- a/crates/cluster-test/src/membership_poll.rs
+++ b/crates/cluster-test/src/membership_poll.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{interval, timeout};
-use woadstall_emulator::{Scenario, Wanted};
+use woadstall_emulator::{Requirement, Scenario};
 use woadstall_evacuation::Status;
 use woadstall_load_test::lock;
 use woadstall_membership_net::Report;
@@ -84,7 +84,7 @@
         .bound
         .iter()
         .filter_map(|bound| match bound.what {
-            Wanted::CutsNamed { at, .. } => Some(at.0),
+            Requirement::PartitionsReported { at, .. } => Some(at.0),
             _ => None,
         })
         .collect();
@@ -94,7 +94,7 @@
 
 fn record_partitions(fleet: &Fleet, membership: &Membership) {
     let active = lock(&fleet.active_faults).clone();
-    membership.record_partitions(|from, to| fleet.member_link(&active, from, to).cut);
+    membership.record_partitions(|from, to| fleet.member_link(&active, from, to).partitioned);
 }
 
 fn record(membership: &Membership, number: usize, response: OperatorResponse) {
--- a/crates/cluster-test/src/process/own_files.rs
+++ b/crates/cluster-test/src/process/own_files.rs
@@ -3,7 +3,7 @@
 use super::{MEMBERSHIP_FILES, Process};
 use std::io;
 use std::path::{Path, PathBuf};
-use woadstall_emulator::Files;
+use woadstall_emulator::StoredFiles;
 
 impl Process {
     /// All in its folder but its inputs and its log.
@@ -22,17 +22,17 @@
     /// # Errors
     ///
     /// Where a file cannot be listed, removed or written.
-    pub fn damage_files(&self, damage: Files, stranger: &Self) -> io::Result<()> {
+    pub fn damage_files(&self, damage: StoredFiles, stranger: &Self) -> io::Result<()> {
         let mut foreign_files = stranger.own_files()?.into_iter();
         for path in self.own_files()? {
             let content = std::fs::read(&path).unwrap_or_default();
             match damage {
-                Files::Kept => {}
+                StoredFiles::Kept => {}
                 _ if path.is_dir() => std::fs::remove_dir_all(&path)?,
-                Files::Lost => std::fs::remove_file(&path)?,
-                Files::Torn => replace(&path, &content[..content.len() / 2])?,
-                Files::Empty => replace(&path, b"")?,
-                Files::Stranger => match foreign_files.next() {
+                StoredFiles::Lost => std::fs::remove_file(&path)?,
+                StoredFiles::Torn => replace(&path, &content[..content.len() / 2])?,
+                StoredFiles::Empty => replace(&path, b"")?,
+                StoredFiles::Stranger => match foreign_files.next() {
                     Some(foreign) => {
                         std::fs::remove_file(&path)?;
                         std::os::unix::fs::symlink(foreign, &path)?;
--- a/crates/cluster-test/src/results.rs
+++ b/crates/cluster-test/src/results.rs
@@ -10,7 +10,7 @@
 
 use std::path::PathBuf;
 use std::time::Duration;
-use woadstall_emulator::End;
+use woadstall_emulator::RunResult;
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_fault_proxy::TrafficCounts;
 use woadstall_load_test::UpstreamCounts;
@@ -22,9 +22,9 @@
 
 /// All that a run showed.
 #[derive(Debug)]
-pub struct RunResult {
+pub struct ClusterResult {
     /// The result in the emulator's form.
-    pub end: End,
+    pub end: RunResult,
     /// How late callers began their calls.
     pub lag: Lag,
     /// The share of this process's own timers that were late.
@@ -49,9 +49,9 @@
     pub late_at_suspended: u64,
     /// How often agents were read.
     pub list_reads: u64,
-    /// What went through the fault proxy.
+    /// FaultKind went through the fault proxy.
     pub traffic: TrafficCounts,
-    /// What each upstream saw.
+    /// FaultKind each upstream saw.
     pub upstreams: Vec<UpstreamCounts>,
     /// The share of a core that each balancer's membership used, where there is one.
     pub membership_cores: Vec<f64>,
@@ -59,7 +59,7 @@
     pub logs: Option<PathBuf>,
 }
 
-impl RunResult {
+impl ClusterResult {
     /// Whether no rule and no bound was broken, and no process ended by itself.
     pub fn is_passed(&self) -> bool {
         self.end.is_kept() && self.failures.is_empty()
--- a/crates/cluster-test/src/results/compare.rs
+++ b/crates/cluster-test/src/results/compare.rs
@@ -124,8 +124,8 @@
 }
 
 fn share_served(counts: &Counts) -> f64 {
-    if counts.worth_offered > 0.0 {
-        counts.worth / counts.worth_offered
+    if counts.value_offered > 0.0 {
+        counts.value / counts.value_offered
     } else {
         1.0
     }
--- a/crates/cluster-test/src/results/json.rs
+++ b/crates/cluster-test/src/results/json.rs
@@ -1,12 +1,12 @@
 //! The result as JSON, for programs.
 
-use super::{RunResult, mean};
+use super::{ClusterResult, mean};
 use serde_json::{Value, json};
 use woadstall_emulator_cli::rows::Row;
 
 /// The whole result. `row` has the timeline in the emulator's form.
-pub fn json(result: &RunResult, row: &Row) -> Value {
-    let RunResult {
+pub fn json(result: &ClusterResult, row: &Row) -> Value {
+    let ClusterResult {
         end,
         peak_memory_kb,
         traffic,
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -1,20 +1,20 @@
 //! The result as text, for people.
 
-use super::{RunResult, mean};
+use super::{ClusterResult, mean};
 use std::fmt::{self, Write};
-use woadstall_emulator::{EvacuatedEnd, MembersEnd};
+use woadstall_emulator::{EvacuationReport, MembershipReport};
 use woadstall_emulator_cli::report;
 use woadstall_emulator_cli::rows::Row;
 
 /// The result in short. `row` has the timeline in the emulator's form.
-pub fn text(result: &RunResult, row: &Row) -> String {
+pub fn text(result: &ClusterResult, row: &Row) -> String {
     let mut text = String::new();
     // Writing to a string does not fail.
     let _ = write_result(&mut text, result, row);
     text
 }
 
-fn write_result(out: &mut String, result: &RunResult, row: &Row) -> fmt::Result {
+fn write_result(out: &mut String, result: &ClusterResult, row: &Row) -> fmt::Result {
     let end = &result.end;
     let balancers = result.balancers;
     let (scenario, seed, set) = (&row.key.scenario, row.key.seed, row.set());
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-fn write_calls(out: &mut String, result: &RunResult) -> fmt::Result {
+fn write_calls(out: &mut String, result: &ClusterResult) -> fmt::Result {
     let (counts, latency) = (&result.end.counts, &result.end.latency);
     writeln!(
         out,
@@ -63,7 +63,7 @@
     )
 }
 
-fn write_processes(out: &mut String, result: &RunResult) -> fmt::Result {
+fn write_processes(out: &mut String, result: &ClusterResult) -> fmt::Result {
     writeln!(
         out,
         "  processes      {} starts, up after {:.1} s, {} kB of memory at most, {} on average",
@@ -94,7 +94,7 @@
     )
 }
 
-fn write_members(out: &mut String, members: &MembersEnd, cores: &[f64]) -> fmt::Result {
+fn write_members(out: &mut String, members: &MembershipReport, cores: &[f64]) -> fmt::Result {
     let known = &members.known_by_all_ms;
     writeln!(
         out,
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-fn write_evacuations(out: &mut String, evacuated: &EvacuatedEnd) -> fmt::Result {
+fn write_evacuations(out: &mut String, evacuated: &EvacuationReport) -> fmt::Result {
     let moved: Vec<String> = evacuated
         .moved
         .iter()
--- a/crates/cluster-test/src/run.rs
+++ b/crates/cluster-test/src/run.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{Fleet, FleetSettings};
 use crate::launch::Limits;
 use crate::membership_poll;
-use crate::results::RunResult;
+use crate::results::ClusterResult;
 use crate::rule_violation::RuleViolation;
 use crate::run_directory::RunDirectory;
 use crate::supported::check_supported;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_emulator::{End, Scenario};
+use woadstall_emulator::{RunResult, Scenario};
 use woadstall_load_test::callers::{Callers, Transport};
 use woadstall_load_test::rule_checker::RuleChecker;
 use woadstall_load_test::schedule;
@@ -28,7 +28,7 @@
     memory_mb: 512 + 64,
 };
 
-/// What a run is played with.
+/// FaultKind a run is played with.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program that is started for each balancer.
@@ -37,7 +37,7 @@
     pub launcher: PathBuf,
     /// The source of all random numbers.
     pub seed: u64,
-    /// What is broken on purpose.
+    /// FaultKind is broken on purpose.
     pub violation: Option<RuleViolation>,
     /// Keep the folder with the processes' logs also where all went well.
     pub keep: bool,
@@ -61,7 +61,7 @@
 /// # Errors
 ///
 /// Where the scenario cannot be played with processes, the fleet does not come up, or does so too late.
-pub async fn run(scenario: Scenario, options: &Options) -> Result<RunResult, RunError> {
+pub async fn run(scenario: Scenario, options: &Options) -> Result<ClusterResult, RunError> {
     check_supported(&scenario)?;
     let scenario = Arc::new(scenario);
     let run_directory = RunDirectory::new(&options.launcher, &options.program, PROCESS_LIMITS);
@@ -98,7 +98,7 @@
     Ok(result)
 }
 
-/// What the processes used of the machine, while they still run.
+/// FaultKind the processes used of the machine, while they still run.
 struct ProcessUsage {
     /// The largest share of its time that a balancer was ready to run and had no core.
     starved: f64,
@@ -143,12 +143,12 @@
     }
 }
 
-fn collect(observer: &Observer, usage: ProcessUsage, up_after: Duration) -> RunResult {
+fn collect(observer: &Observer, usage: ProcessUsage, up_after: Duration) -> ClusterResult {
     let Observer { fleet, callers, .. } = observer;
     let end = collect_end(observer);
     let rules = &fleet.rules;
     let balancers = fleet.balancers.iter();
-    RunResult {
+    ClusterResult {
         end,
         lag: callers.lag(),
         timer_lag: observer.timer_lag(),
@@ -177,7 +177,7 @@
 }
 
 /// The result in the emulator's form.
-fn collect_end(observer: &Observer) -> End {
+fn collect_end(observer: &Observer) -> RunResult {
     let Observer { fleet, callers, .. } = observer;
     let mut end = callers.end();
     for (step, sample) in end.steps.iter_mut().zip(observer.take_samples()) {
--- a/crates/cluster-test/src/run/observer.rs
+++ b/crates/cluster-test/src/run/observer.rs
@@ -1,4 +1,4 @@
-//! What is sampled while a run goes on: upstreams, processes, logs, and the machine's own timers.
+//! FaultKind is sampled while a run goes on: upstreams, processes, logs, and the machine's own timers.
 
 use crate::fleet::{Fleet, RunningCounts};
 use std::collections::BTreeMap;
--- a/crates/cluster-test/src/run_directory.rs
+++ b/crates/cluster-test/src/run_directory.rs
@@ -36,7 +36,7 @@
     folder: Mutex<TempDir>,
 }
 
-/// What one process is spawned with.
+/// FaultKind one process is spawned with.
 pub struct SpawnRequest<'a> {
     /// Its name.
     pub name: &'a str,
--- a/crates/cluster-test/src/supported.rs
+++ b/crates/cluster-test/src/supported.rs
@@ -1,7 +1,7 @@
-//! Which scenarios can be played with processes. What cannot be played is rejected by its name: it must not look as if
+//! Which scenarios can be played with processes. FaultKind cannot be played is rejected by its name: it must not look as if
 //! it had been played.
 
-use woadstall_emulator::{Connections, Scenario, Tier, What};
+use woadstall_emulator::{Connections, FaultKind, Scenario, Tier};
 
 /// Relays for each pair and processes share one machine's descriptors.
 const MAX_BALANCERS: u64 = 100;
@@ -28,7 +28,7 @@
     EmulatorOnlyFault {
         /// Its number among the scenario's faults, from 1 on.
         number: usize,
-        /// What the fault is of.
+        /// FaultKind the fault is of.
         kind: &'static str,
     },
 }
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// What of it cannot be played: its size, a setting or a fault.
+/// FaultKind of it cannot be played: its size, a setting or a fault.
 pub fn check_supported(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
     check_size(scenario)?;
     check_settings(scenario)?;
@@ -53,7 +53,7 @@
         .tier
         .iter()
         .enumerate()
-        .map(|(index, tier)| u64::from(scenario.senders(index)) * u64::from(tier.nodos))
+        .map(|(index, tier)| u64::from(scenario.senders(index)) * u64::from(tier.upstreams))
         .sum();
     if pairs > MAX_PAIRS {
         return Err(UnsupportedScenario::TooManyPairs);
@@ -80,12 +80,12 @@
         ("clocks.drift", scenario.clocks.drift != 0.0),
         ("limits.http2", scenario.limits.http2),
         (
-            "evacuation.lie",
-            evacuation.is_some_and(|evacuation| evacuation.lie.is_some()),
+            "evacuation.false_reporting",
+            evacuation.is_some_and(|evacuation| evacuation.false_reporting.is_some()),
         ),
         (
-            "members.plain",
-            members.is_some_and(|members| members.plain),
+            "members.plain_swim",
+            members.is_some_and(|members| members.plain_swim),
         ),
     ];
     match emulator_only.into_iter().find(|(_, is_set)| *is_set) {
@@ -97,8 +97,8 @@
 fn check_faults(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
     for (index, fault) in scenario.fault.iter().enumerate() {
         let kind = match fault.what {
-            What::Replace => "replaced nodos",
-            What::ClockStep(_) => "clocks that step",
+            FaultKind::Replace => "replaced nodos",
+            FaultKind::ClockStep(_) => "clocks that step",
             _ => continue,
         };
         return Err(UnsupportedScenario::EmulatorOnlyFault {
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A group of replicas in virtual time: a network, disks, crashes and lost disks, with checks of what Raft guarantees.
+//! A group of replicas in virtual time: a network, disks, crashes and lost disks, with checks of
+//! what Raft guarantees.
 
 use nanoserde::SerBin;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -64,7 +65,7 @@
     pending: Vec<(u64, Record)>,
     incarnation: u64,
     applied: Vec<Entry>,
-    /// The state machine: the commands applied so far, as its snapshot holds them.
+    /// The state machine: the commands applied so far, as in its snapshot.
     state: Vec<u8>,
     state_index: u64,
     disk_stalled_until: u64,
@@ -148,7 +149,8 @@
         self.process_outputs(host);
     }
 
-    /// The process ends. What it wrote and did not sync is there, or partly, as after a loss of power.
+    /// The process ends. What it wrote and did not sync is there, or partly, as after a loss of
+    /// power.
     pub fn stop(&mut self, host: usize) {
         let survivors = self.random.usize(..=self.machines[host].pending.len());
         let machine = &mut self.machines[host];
@@ -220,7 +222,7 @@
             .is_some_and(|entry| entry.term == position.term)
     }
 
-    /// The commands that a machine has applied, in order, as its state machine holds them.
+    /// The commands that a machine has applied, in order, as in its state machine.
     pub fn state(&self, host: usize) -> &[u8] {
         &self.machines[host].state
     }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,29 +1,45 @@
 //! Who decides in the balancers of a run.
 
-use crate::mind::BoxedMind;
-use crate::rivals::{Rival, Style};
+use crate::agent::BoxedAgent;
+use crate::baseline::{BaselineConfig, BaselinePolicy};
 use std::fmt;
 use std::str::FromStr;
 use woadstall_engine::{Engine, Settings, Time};
 
+/// A name that is no policy.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PolicyError {
+    /// No policy has this name.
+    #[error("there is no policy {name:?}; there are woadstall, {known}")]
+    UnknownPolicy {
+        /// The name that was given.
+        name: String,
+        /// The names of the baseline policies, with commas.
+        known: String,
+    },
+    /// Baseline policies have no such addition.
+    #[error("there is no addition {0:?}; there are outlier, aimd, gradient, retries, budget")]
+    UnknownAddition(String),
+}
+
 /// Which mind the balancers of a run have.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
     /// The real engine with the real module.
     Woadstall,
     /// A rival.
-    Rival(Style),
+    Baseline(BaselineConfig),
 }
 
 impl Policy {
     /// A mind that knows no upstream yet. The settings are checked before.
-    pub fn mind(self, settings: Settings, seed: u64, now: Time) -> BoxedMind {
+    pub fn agent(self, settings: Settings, seed: u64, now: Time) -> BoxedAgent {
         match self {
             Self::Woadstall => match Engine::new(settings, seed, now) {
                 Ok(engine) => Box::new(engine),
                 Err(error) => unreachable!("settings were checked with the scenario: {error}"),
             },
-            Self::Rival(style) => Box::new(Rival::new(style, settings, seed)),
+            Self::Baseline(style) => Box::new(BaselinePolicy::new(style, settings, seed)),
         }
     }
 }
@@ -32,18 +48,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Woadstall => f.write_str("woadstall"),
-            Self::Rival(style) => style.fmt(f),
+            Self::Baseline(style) => style.fmt(f),
         }
     }
 }
 
 impl FromStr for Policy {
-    type Err = String;
+    type Err = PolicyError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, PolicyError> {
         match text {
             "woadstall" => Ok(Self::Woadstall),
-            rival => rival.parse().map(Self::Rival),
+            rival => rival.parse().map(Self::Baseline),
         }
     }
 }
--- a/crates/emulator/src/scenario/evacuating.rs
+++ b/crates/emulator/src/scenario/evacuation.rs
@@ -1,25 +1,26 @@
 //! Balancers that leave places together, and what some of them make up.
 
 use super::Scenario;
-use super::check::number;
+use super::error::{Check, in_range, inconsistent};
 use crate::units::{MS, Span};
 use serde::{Deserialize, Serialize};
 
 /// Evacuation as a fleet, by the shipped crate in each balancer.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Evacuating {
+pub struct EvacuationConfig {
     /// How often each looks at what is known.
     pub every: Span,
     /// What liars say; none, if it is left out.
-    pub lie: Option<Lie>,
+    #[serde(rename = "lie")]
+    pub false_reporting: Option<FalseReporting>,
 }
 
-impl Default for Evacuating {
+impl Default for EvacuationConfig {
     fn default() -> Self {
         Self {
             every: Span(100 * MS),
-            lie: None,
+            false_reporting: None,
         }
     }
 }
@@ -27,17 +28,17 @@
 /// What some of the balancers say whatever they see.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Lie {
+pub struct FalseReporting {
     /// Part of the balancers that say it: the first of each zone.
     pub part: f64,
     /// What.
-    pub says: Says,
+    pub says: FalseReport,
 }
 
 /// What a liar says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Says {
+pub enum FalseReport {
     /// All calls fail, everywhere.
     AllBad,
     /// No call fails, anywhere.
@@ -47,18 +48,23 @@
 }
 
 impl Scenario {
-    pub(super) fn check_evacuation(&self) -> Result<(), String> {
+    pub(super) fn check_evacuation(&self) -> Check {
         let Some(evacuation) = &self.evacuation else {
             return Ok(());
         };
         if self.members.is_none() {
-            return Err("`evacuation`: there are no `members`, so nobody can tell anything".into());
+            return inconsistent(
+                "`evacuation`: there are no `members`, so nobody can tell anything",
+            );
         }
         if evacuation.every.0 < MS {
-            return Err("`evacuation.every` is shorter than a millisecond".into());
+            return inconsistent("`evacuation.every` is shorter than a millisecond");
         }
-        evacuation.lie.as_ref().map_or(Ok(()), |lie| {
-            number("evacuation.lie.part", lie.part, 0.0, 1.0)
-        })
+        evacuation
+            .false_reporting
+            .as_ref()
+            .map_or(Ok(()), |false_reporting| {
+                in_range("evacuation.lie.part", false_reporting.part, 0.0, 1.0)
+            })
     }
 }
--- a/crates/emulator/src/scenario/load.rs
+++ b/crates/emulator/src/scenario/load.rs
@@ -1,5 +1,7 @@
 //! Callers: how they come, and what they do where they get no answer.
 
+use super::ScenarioError;
+use super::error::{Check, inconsistent};
 use super::one;
 use crate::units::Span;
 use serde::{Deserialize, Serialize};
@@ -8,7 +10,7 @@
 /// A group of callers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Callers {
+pub struct CallerGroup {
     /// Its name.
     pub name: String,
     /// Its classes, with the share of each.
@@ -20,10 +22,11 @@
     pub load: Load,
     /// What they do where they get no answer.
     #[serde(default)]
-    pub again: Again,
+    pub again: CallerRetries,
     /// Part of them that waits as long as a refusal advises.
     #[serde(default = "one")]
-    pub heeds_advice: f64,
+    #[serde(rename = "heeds-advice")]
+    pub honors_retry_after: f64,
     /// The zone they are in; in all, if it is left out.
     #[serde(default)]
     pub zone: Option<String>,
@@ -56,7 +59,7 @@
 }
 
 impl Load {
-    /// Calls a second at a time; none for a crowd.
+    /// DownstreamCalls a second at a time; none for a crowd.
     pub fn rate(&self, at: u64) -> f64 {
         match self {
             Self::Constant(rate) => *rate,
@@ -96,12 +99,12 @@
         }
     }
 
-    pub(super) fn check(&self) -> Result<(), String> {
+    pub(super) fn check(&self) -> Check {
         let rates: Vec<f64> = match self {
             Self::Constant(rate) => vec![*rate],
             Self::Curve(points) => {
                 if points.is_empty() || points.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
-                    return Err("`curve` needs points whose times rise".into());
+                    return inconsistent("`curve` needs points whose times rise");
                 }
                 points.iter().map(|(_, rate)| *rate).collect()
             }
@@ -111,12 +114,12 @@
                 period,
             } => {
                 if !(0.0..=1.0).contains(swing) || period.0 == 0 {
-                    return Err("`daily` needs a swing from 0 to 1 and a period".into());
+                    return inconsistent("`daily` needs a swing from 0 to 1 and a period");
                 }
                 vec![*mean]
             }
             Self::Closed { callers, .. } if *callers > 1_000_000 => {
-                return Err(format!("{callers} callers are more than a million"));
+                return Err(ScenarioError::TooManyCallers(*callers));
             }
             Self::Closed { .. } => vec![],
         };
@@ -124,7 +127,11 @@
             .iter()
             .find(|rate| !(rate.is_finite() && **rate >= 0.0))
         {
-            Some(rate) => Err(format!("a rate is {rate}, not a number from 0 on")),
+            Some(rate) => Err(ScenarioError::Distribution {
+                name: "a rate",
+                number: *rate,
+                fault: "not a number from 0 on",
+            }),
             None => Ok(()),
         }
     }
@@ -133,7 +140,7 @@
 /// What callers do where they get no answer: within their time, and only where they may.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Again {
+pub enum CallerRetries {
     /// They leave it at that.
     #[default]
     Never,
@@ -160,7 +167,7 @@
     },
 }
 
-impl Again {
+impl CallerRetries {
     /// How long a caller waits before it asks again after so many tries; `None` if it does not. `draw` gives a
     /// number from 0 to 1.
     pub fn wait(&self, tries: u32, draw: impl FnOnce() -> f64) -> Option<u64> {
--- a/crates/load-test/src/callers.rs
+++ b/crates/load-test/src/callers.rs
@@ -21,11 +21,11 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
-use woadstall_emulator::{Actor, End, Load, Meter, Scenario, chance, gap, stream};
+use woadstall_emulator::{Actor, Load, Meter, RunResult, Scenario, chance, gap, stream};
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_tower::Balance;
 
-/// What callers call through.
+/// FaultKind callers call through.
 #[derive(Clone)]
 pub enum Transport {
     /// Daemons, over HTTP/1.1.
@@ -104,7 +104,7 @@
     }
 
     /// The result, from all that was counted and checked; counts begin anew.
-    pub fn end(&self) -> End {
+    pub fn end(&self) -> RunResult {
         let meter = std::mem::replace(&mut *lock(&self.meter), Meter::new(&self.scenario));
         meter.end(self.rules.findings(), 0, Vec::new())
     }
--- a/crates/load-test/src/callers/call.rs
+++ b/crates/load-test/src/callers/call.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::time::sleep;
-use woadstall_emulator::{Actor, CallEffect, Outcome, by_share, chance, stream};
+use woadstall_emulator::{Actor, CallEffect, CallOutcome, by_share, chance, stream};
 
 /// A call that begins later than this is counted as late.
 const LATE_BEGIN: Duration = Duration::from_millis(5);
@@ -48,7 +48,7 @@
         let mut attempts = 0;
         let outcome = loop {
             attempts += 1;
-            lock(&self.meter).asked();
+            lock(&self.meter).request_sent();
             let left = Duration::from_nanos(call.deadline.saturating_sub(self.now()));
             let draw = rng.random::<u64>();
             let result = self.attempt(&call, attempts, left, draw).await;
@@ -57,7 +57,7 @@
                 break self.served_outcome(&call, ended);
             }
             let backoff = callers.again.wait(attempts, || rng.random::<f64>());
-            let heeds_advice = chance(&mut rng, callers.heeds_advice);
+            let heeds_advice = chance(&mut rng, callers.honors_retry_after);
             let advice = match result {
                 AttemptResult::Rejected { retry_after_ns } if heeds_advice => retry_after_ns,
                 _ => 0,
@@ -66,8 +66,10 @@
                 Some(backoff) if ended + backoff.max(advice) < call.deadline => {
                     sleep(Duration::from_nanos(backoff.max(advice))).await;
                 }
-                _ if matches!(result, AttemptResult::Rejected { .. }) => break Outcome::Refused,
-                _ => break Outcome::Failed,
+                _ if matches!(result, AttemptResult::Rejected { .. }) => {
+                    break CallOutcome::Refused;
+                }
+                _ => break CallOutcome::Failed,
             }
         };
         let latency = self.now().saturating_sub(due);
@@ -82,18 +84,18 @@
         lag.worst_ms = lag.worst_ms.max(lateness.as_secs_f64() * 1e3);
     }
 
-    fn served_outcome(&self, call: &Call, ended: u64) -> Outcome {
-        let latency_target = self.scenario.class[call.class].aim.0;
+    fn served_outcome(&self, call: &Call, ended: u64) -> CallOutcome {
+        let latency_target = self.scenario.class[call.class].latency_target.0;
         if ended <= call.due + latency_target {
-            Outcome::OnTime
+            CallOutcome::OnTime
         } else if ended <= call.deadline + RESPONSE_PATIENCE.as_nanos() as u64 {
-            Outcome::Late
+            CallOutcome::Late
         } else {
-            Outcome::Failed
+            CallOutcome::Failed
         }
     }
 
-    /// Whether a call may be retried after this result. What no balancer has seen, and what was rejected, had no effect.
+    /// Whether a call may be retried after this result. FaultKind no balancer has seen, and what was rejected, had no effect.
     fn may_retry(&self, call: &Call, result: &AttemptResult) -> bool {
         let had_no_effect = matches!(
             result,
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_emulator::{Actor, Fault, Scenario, What, sample, stream};
+use woadstall_emulator::{Actor, Fault, FaultKind, Scenario, sample, stream};
 use woadstall_mock_servers::http1::Discovery;
 
 /// How often upstreams are checked for having crashed under overload.
@@ -41,7 +41,7 @@
         start: Instant,
     ) -> std::io::Result<Self> {
         let mut upstreams = Vec::new();
-        for number in 0..scenario.tier[0].nodos {
+        for number in 0..scenario.tier[0].upstreams {
             let number = UpstreamNumber {
                 tier: 0,
                 in_tier: number,
@@ -93,7 +93,7 @@
         (speeds.iter().sum(), attempts)
     }
 
-    /// What each upstream has counted so far.
+    /// FaultKind each upstream has counted so far.
     pub fn counts(&self) -> Vec<UpstreamCounts> {
         let upstreams = self.upstreams.iter();
         upstreams.map(|upstream| upstream.counts()).collect()
@@ -154,8 +154,8 @@
         let targets = self.draw_targets(index);
         self.schedule.fault_begin(fault).await;
         match &fault.what {
-            What::Kill { .. } => self.kill_for_a_while(fault, &targets).await,
-            What::Roll => self.roll(fault, &targets).await,
+            FaultKind::Kill { .. } => self.kill_for_a_while(fault, &targets).await,
+            FaultKind::Roll => self.roll(fault, &targets).await,
             what => {
                 self.set_fault(what, &targets, true);
                 self.schedule.fault_end(fault).await;
@@ -164,7 +164,7 @@
         }
     }
 
-    fn set_fault(&self, what: &What, targets: &[u32], active: bool) {
+    fn set_fault(&self, what: &FaultKind, targets: &[u32], active: bool) {
         for &upstream in targets {
             self.upstreams[upstream as usize].set_fault(what, active);
         }
--- a/crates/load-test/src/latency_log.rs
+++ b/crates/load-test/src/latency_log.rs
@@ -8,7 +8,7 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 use std::time::{Duration, SystemTime};
-use woadstall_emulator::End;
+use woadstall_emulator::RunResult;
 
 /// The longest latency that is recorded as it is, in microseconds: an hour.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// Where the file cannot be written.
-pub fn write(end: &End, started: SystemTime, path: &Path) -> Result<(), Box<dyn Error>> {
+pub fn write(end: &RunResult, started: SystemTime, path: &Path) -> Result<(), Box<dyn Error>> {
     let mut file = BufWriter::new(File::create(path)?);
     let mut serializer = V2DeflateSerializer::new();
     let mut log = IntervalLogWriterBuilder::new()
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -12,7 +12,7 @@
 use std::process::ExitCode;
 use std::time::SystemTime;
 use tracing::{error, info, warn};
-use woadstall_emulator::{End, Scenario};
+use woadstall_emulator::{RunResult, Scenario};
 use woadstall_emulator_cli::grid::{Key, Set, Source};
 use woadstall_emulator_cli::report;
 use woadstall_emulator_cli::rows::{Lag, Row};
@@ -88,7 +88,7 @@
     Ok(runtime.block_on(run(scenario, path, seed))?)
 }
 
-fn exit_code(end: &End, lag: &Lag) -> u8 {
+fn exit_code(end: &RunResult, lag: &Lag) -> u8 {
     let is_broken = end.broken() > 0;
     if lag.late as f64 > MAX_LATE_CALLS * lag.calls as f64 {
         let (late, calls, worst_ms) = (lag.late, lag.calls, lag.worst_ms);
@@ -103,7 +103,7 @@
     if is_broken { BROKEN } else { 0 }
 }
 
-fn print_summary(end: &End, lag: &Lag) {
+fn print_summary(end: &RunResult, lag: &Lag) {
     let (counts, latency) = (&end.counts, &end.latency);
     println!("  worth served   {:.3} of what was offered", end.served);
     println!(
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::{interval_at, sleep};
 use woadstall::net::config::Config;
-use woadstall_emulator::{End, Scenario};
+use woadstall_emulator::{RunResult, Scenario};
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_tower::Balance;
 
@@ -24,7 +24,7 @@
 /// Often enough to see a queue, seldom enough to cost nothing.
 const QUEUE_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What callers call through.
+/// FaultKind callers call through.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Path {
     /// Daemons, each on a thread of its own, over HTTP/1.1.
@@ -33,7 +33,7 @@
     Plugin,
     /// Both beside each other, each attempt through the one or the other.
     Both,
-    /// What listens at these addresses already, over HTTP/1.1, with upstreams and faults of its own.
+    /// FaultKind listens at these addresses already, over HTTP/1.1, with upstreams and faults of its own.
     Target(Vec<SocketAddr>),
 }
 
@@ -53,16 +53,16 @@
 #[derive(Debug)]
 pub struct LoadResult {
     /// The result in the emulator's form.
-    pub end: End,
+    pub end: RunResult,
     /// How late callers began their calls.
     pub lag: Lag,
     /// The responses to all attempts, counted.
     pub tally: Tally,
-    /// What each upstream counted; none where they were not started here.
+    /// FaultKind each upstream counted; none where they were not started here.
     pub upstreams: Vec<UpstreamCounts>,
 }
 
-/// What is called.
+/// FaultKind is called.
 struct System {
     transport: Transport,
     /// The upstreams, where they are started here.
@@ -113,7 +113,7 @@
 }
 
 impl System {
-    /// What listens at these addresses already.
+    /// FaultKind listens at these addresses already.
     fn running_at(addresses: &[SocketAddr]) -> Self {
         let daemons = addresses.iter();
         let daemons = daemons.map(|address| BalancerEndpoint::new(*address, 0));
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -38,7 +38,7 @@
 
 fn settings(scenario: &Scenario, placement: &BalancerPlacement) -> Value {
     let (tier, limits) = (&scenario.tier[placement.tier], &scenario.limits);
-    let polled = scenario.padron.asked.as_ref();
+    let polled = scenario.registry.queries.as_ref();
     let poll_within = polled.map_or(0, |polled| polled.within.0);
     json!({
         "Classes": scenario.class.iter().map(class_settings).collect::<Vec<_>>(),
@@ -49,15 +49,15 @@
             "Cancelling": limits.cancel,
             "ConnIdleNs": limits.idle.0,
             "ConnectTimeoutNs": limits.connect.0,
-            "MaxRetryAfterNs": limits.most_advice.0,
+            "MaxRetryAfterNs": limits.max_retry_after.0,
             "TryLimit": limits.attempts,
         },
-        "OverShareWorth": limits.over_quota_worth,
-        "Prices": {"CrossZone": limits.cross_price},
+        "OverShareWorth": limits.over_quota_value,
+        "Prices": {"CrossZone": limits.cross_zone_cost},
         "Safety": {
             "StartCapacity": tier.start_capacity,
-            "TipMultiple": tier.tip_multiple,
-            "RampTimeNs": tier.ramp.0,
+            "TipMultiple": tier.overload_multiple,
+            "RampTimeNs": tier.slow_start_window.0,
             "AskWithinNs": poll_within,
         },
         "Tenants": scenario.tenant.iter().map(tenant_settings).collect::<Vec<_>>(),
@@ -83,10 +83,10 @@
         "Effect": effect,
         "Group": group,
         "WindowNs": class.window.0,
-        "AimNs": class.aim.0,
+        "AimNs": class.latency_target.0,
         "DeadlineNs": class.deadline.0,
-        "LateWorth": class.late_worth,
-        "Value": class.worth,
+        "LateWorth": class.late_value,
+        "Value": class.value,
         "Stream": false,
     })
 }
--- a/crates/load-test/src/supported.rs
+++ b/crates/load-test/src/supported.rs
@@ -1,7 +1,7 @@
-//! Which scenarios can be played on loopback sockets. What cannot be played is rejected by its name: it must not look as
+//! Which scenarios can be played on loopback sockets. FaultKind cannot be played is rejected by its name: it must not look as
 //! if it had been played.
 
-use woadstall_emulator::{Connections, Scenario, What};
+use woadstall_emulator::{Connections, FaultKind, Scenario};
 
 /// Upstreams and balancers share one machine with the callers.
 const MAX_UPSTREAMS: u32 = 200;
@@ -27,7 +27,7 @@
     EmulatorOnlyFault {
         /// Its number among the scenario's faults, from 1 on.
         number: usize,
-        /// What the fault is of.
+        /// FaultKind the fault is of.
         kind: &'static str,
     },
     /// The emulator and the cluster test alone have this fault.
@@ -42,18 +42,18 @@
 ///
 /// # Errors
 ///
-/// What of it cannot be played: its size, a setting or a fault.
+/// FaultKind of it cannot be played: its size, a setting or a fault.
 pub fn check_supported(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
     let tier = &scenario.tier[0];
     if scenario.tier.len() > 1 {
         return Err(UnsupportedScenario::SeveralTiers);
     }
-    if tier.nodos > MAX_UPSTREAMS || tier.balancers > MAX_BALANCERS {
+    if tier.upstreams > MAX_UPSTREAMS || tier.balancers > MAX_BALANCERS {
         return Err(UnsupportedScenario::TooLarge);
     }
     let emulator_only = [
         ("front", scenario.front.is_some()),
-        ("padron.asked", scenario.padron.asked.is_some()),
+        ("padron.asked", scenario.registry.queries.is_some()),
         (
             "tier.connections",
             tier.connections != Connections::default(),
@@ -76,15 +76,17 @@
     for (index, fault) in scenario.fault.iter().enumerate() {
         let number = index + 1;
         let kind = match fault.what {
-            What::CutTo | What::CutFrom | What::SlowLink(_) => "cuts and slow links",
-            What::PadronSilent | What::PadronWrong => "a silent or wrong padron",
-            What::ClockStep(_) => "clocks that step",
-            What::Restart { .. } | What::RollBalancers | What::Stall => {
+            FaultKind::PartitionTo | FaultKind::PartitionFrom | FaultKind::SlowLink(_) => {
+                "cuts and slow links"
+            }
+            FaultKind::RegistrySilent | FaultKind::RegistryWrong => "a silent or wrong padron",
+            FaultKind::ClockStep(_) => "clocks that step",
+            FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::Stall => {
                 "restarts and stalls of balancers"
             }
-            What::Replace => "replaced nodos",
-            What::Between(_) => "faults between balancers",
-            What::Stop | What::PowerLoss { .. } | What::Link(_) => {
+            FaultKind::Replace => "replaced nodos",
+            FaultKind::Between(_) => "faults between balancers",
+            FaultKind::Stop | FaultKind::PowerLoss { .. } | FaultKind::Link(_) => {
                 return Err(UnsupportedScenario::ClusterFault { number });
             }
             _ => continue,
--- a/crates/load-test/src/upstream.rs
+++ b/crates/load-test/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A simulated upstream on a socket. What it does with a request is decided by the emulator's model, so that both have
+//! A simulated upstream on a socket. FaultKind it does with a request is decided by the emulator's model, so that both have
 //! the same faults; here are only its sockets, its sleeps, and its calls to the next tier.
 
 pub mod listing;
@@ -21,7 +21,9 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use woadstall_emulator::{Actor, Ills, Nodo, Scenario, What, stream};
+use woadstall_emulator::{
+    Actor, FaultKind, Scenario, Upstream as UpstreamModel, UpstreamFaults, stream,
+};
 use woadstall_mock_servers::simulated_upstream::serve_process;
 
 /// How long a restart waits before it tries to bind its address again.
@@ -53,10 +55,10 @@
     pub overall: u32,
 }
 
-/// What an upstream can do and had to do.
+/// FaultKind an upstream can do and had to do.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamSample {
-    /// What it can do at present, in workers of a healthy warm upstream.
+    /// FaultKind it can do at present, in workers of a healthy warm upstream.
     pub speed: f64,
     /// The attempts that it got since the last sample.
     pub attempts: u32,
@@ -81,8 +83,8 @@
         let cell = (number.in_tier % u32::from(tier.cells)) as u16;
         let place = (zone, cell, number.overall);
         let name = format!("{}-{}", tier.name, number.in_tier);
-        let rng = stream(seed, Actor::Nodo, number.overall);
-        let model = Nodo::new(name, number.tier, tier, place, rng);
+        let rng = stream(seed, Actor::Upstream, number.overall);
+        let model = UpstreamModel::new(name, number.tier, tier, place, rng);
         let upstream = Arc::new(Self {
             address: listener.local_addr()?,
             scenario: scenario.clone(),
@@ -133,15 +135,15 @@
 
     /// Whether it has crashed under overload since the last call.
     pub fn take_crashed(&self) -> bool {
-        std::mem::take(&mut lock(&self.state).model.toppled)
+        std::mem::take(&mut lock(&self.state).model.overloaded)
     }
 
     /// Requests in work and in its queue.
     pub fn in_flight(&self) -> u32 {
-        lock(&self.state).model.held()
+        lock(&self.state).model.in_flight()
     }
 
-    /// What it has counted so far.
+    /// FaultKind it has counted so far.
     pub fn counts(&self) -> UpstreamCounts {
         lock(&self.state).counts.clone()
     }
@@ -197,22 +199,22 @@
     }
 
     /// Applies a fault, or reverts it. Two of a kind at once are not distinguished.
-    pub fn set_fault(&self, what: &What, active: bool) {
-        let healthy = Ills::default();
+    pub fn set_fault(&self, what: &FaultKind, active: bool) {
+        let healthy = UpstreamFaults::default();
         let mut state = lock(&self.state);
-        let faults = &mut state.model.ills;
+        let faults = &mut state.model.active_faults;
         let pick = |faulty: f64, healthy: f64| if active { faulty } else { healthy };
         match what {
-            What::Slow(factor) => faults.slow = pick(*factor, healthy.slow),
-            What::Errors { share, class } => {
+            FaultKind::Slow(factor) => faults.slowdown = pick(*factor, healthy.slowdown),
+            FaultKind::Errors { share, class } => {
                 faults.errors.clear();
                 let only = class.as_ref().and_then(|name| self.scenario.class(name));
                 faults.errors.extend(active.then_some((*share, only)));
             }
-            What::Lost(share) => faults.lost = pick(*share, healthy.lost),
-            What::Resets(share) => faults.resets = pick(*share, healthy.resets),
-            What::Silent => faults.silent = active,
-            What::Full => faults.full = active,
+            FaultKind::Lost(share) => faults.lost = pick(*share, healthy.lost),
+            FaultKind::Resets(share) => faults.resets = pick(*share, healthy.resets),
+            FaultKind::Silent => faults.unresponsive = active,
+            FaultKind::Full => faults.full = active,
             _ => {} // rejected before the run
         }
     }
--- a/crates/load-test/src/upstream/requests.rs
+++ b/crates/load-test/src/upstream/requests.rs
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 use tokio::time::sleep;
-use woadstall_emulator::{CallEffect, CallGroup, Taken, chance};
+use woadstall_emulator::{Admission as ModelAdmission, CallEffect, CallGroup, chance};
 
-/// What an upstream makes of a request that arrives.
+/// FaultKind an upstream makes of a request that arrives.
 enum Admission {
     /// The connection is closed.
     Aborted,
@@ -86,17 +86,17 @@
         let mean_service_ns = self.scenario.class[class].service.mean();
         let warm_rate = f64::from(state.model.workers()) * 1e9 / mean_service_ns;
         if let Some(share) = state.model.count_cold(now, warm_rate) {
-            if !std::mem::replace(&mut state.model.toppled, true) {
+            if !std::mem::replace(&mut state.model.overloaded, true) {
                 self.rules.record_overload(&state.model.name, share);
             }
             return Admission::Aborted;
         }
         // Half of the resets come before the work, half after it.
-        let resets = state.model.ills.resets / 2.0;
+        let resets = state.model.active_faults.resets / 2.0;
         if chance(&mut state.model.rng, resets) {
             return Admission::Aborted;
         }
-        if state.model.ills.silent {
+        if state.model.active_faults.unresponsive {
             return Admission::Ignored;
         }
         if state.model.errs(class) {
@@ -105,12 +105,12 @@
         let number = state.next_request;
         state.next_request += 1;
         match state.model.take(number) {
-            Taken::Full => {
+            ModelAdmission::Full => {
                 state.counts.rejected += 1;
                 Admission::Rejected
             }
-            Taken::Begun => Admission::Started { number },
-            Taken::Queued => {
+            ModelAdmission::Begun => Admission::Started { number },
+            ModelAdmission::Queued => {
                 let (notification, started) = oneshot::channel();
                 state.queued.insert(number, notification);
                 Admission::Queued { number, started }
@@ -171,7 +171,10 @@
     /// Whether a response is lost, and whether its connection is reset.
     fn draw_response_faults(&self) -> (bool, bool) {
         let mut state = lock(&self.state);
-        let (lost, resets) = (state.model.ills.lost, state.model.ills.resets / 2.0);
+        let (lost, resets) = (
+            state.model.active_faults.lost,
+            state.model.active_faults.resets / 2.0,
+        );
         let lost = chance(&mut state.model.rng, lost);
         let reset = chance(&mut state.model.rng, resets);
         (lost, reset)
--- a/crates/load-test/src/upstream/state.rs
+++ b/crates/load-test/src/upstream/state.rs
@@ -1,12 +1,12 @@
-//! What changes about an upstream while it runs.
+//! FaultKind changes about an upstream while it runs.
 
 use super::listing::{IN_SERVICE, Listing};
 use std::collections::HashMap;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
-use woadstall_emulator::Nodo;
+use woadstall_emulator::Upstream as UpstreamModel;
 
-/// What an upstream has counted.
+/// FaultKind an upstream has counted.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamCounts {
     /// Its name.
@@ -21,8 +21,8 @@
 
 /// The state of an upstream.
 pub struct State {
-    /// What decides what happens to requests.
-    pub model: Nodo,
+    /// FaultKind decides what happens to requests.
+    pub model: UpstreamModel,
     /// The queued requests, each with the notification that a worker has it.
     pub queued: HashMap<u64, oneshot::Sender<()>>,
     /// The number of the next request.
@@ -35,13 +35,13 @@
     pub drained_since: Option<Instant>,
     /// Requests that were received since the last sample.
     pub attempts: u32,
-    /// What it has counted.
+    /// FaultKind it has counted.
     pub counts: UpstreamCounts,
 }
 
 impl State {
     /// The state of an upstream that starts, with a process that still warms up if it is `cold`.
-    pub fn new(model: Nodo, cold: bool) -> Self {
+    pub fn new(model: UpstreamModel, cold: bool) -> Self {
         let counts = UpstreamCounts {
             name: model.name.clone(),
             ..UpstreamCounts::default()
--- a/crates/load-test/tests/load.rs
+++ b/crates/load-test/tests/load.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 use std::process::{Command, Output};
-use woadstall_emulator::{CallEffect, Load, Policy, Scenario, Span, What};
+use woadstall_emulator::{CallEffect, FaultKind, Load, Policy, Scenario, Span};
 use woadstall_emulator_cli::rows;
 use woadstall_load_test::{LoadResult, Path, check_supported, run};
 
@@ -18,7 +18,7 @@
     (scenario.fault[0].at, scenario.fault[0].until) = (Span(2_000 * MS), Some(Span(3_000 * MS)));
     // A busy machine must not look like a slow fleet.
     for class in &mut scenario.class {
-        (class.aim, class.deadline) = (Span(2_000 * MS), Span(4_000 * MS));
+        (class.latency_target, class.deadline) = (Span(2_000 * MS), Span(4_000 * MS));
     }
     scenario
 }
@@ -62,11 +62,11 @@
     (scenario.time, scenario.warm_up) = (Span(1_500 * MS), Span(0));
     scenario.callers[0].load = Load::Constant(60.0);
     for class in &mut scenario.class {
-        (class.aim, class.deadline) = (Span(400 * MS), Span(800 * MS));
+        (class.latency_target, class.deadline) = (Span(400 * MS), Span(800 * MS));
     }
     let fault = &mut scenario.fault[0];
     (fault.at, fault.until, fault.part) = (Span(0), None, 1.0);
-    for what in [What::Silent, What::Lost(1.0)] {
+    for what in [FaultKind::Silent, FaultKind::Lost(1.0)] {
         scenario.fault[0].what = what.clone();
         let end = run(scenario.clone(), Path::Daemon, 2).await.unwrap().end;
         assert_eq!(end.broken(), 0, "{what:?}: {:?}", end.first_breaches);
@@ -83,14 +83,14 @@
 fn unsupported_scenarios_are_rejected_by_name() {
     let mut scenario = short_scenario();
     assert_eq!(check_supported(&scenario), Ok(()));
-    scenario.fault[0].what = What::PadronSilent;
+    scenario.fault[0].what = FaultKind::RegistrySilent;
     assert!(
         check_supported(&scenario)
             .unwrap_err()
             .to_string()
             .contains("fault 1: a silent or wrong padron")
     );
-    scenario.fault[0].what = What::RollBalancers;
+    scenario.fault[0].what = FaultKind::RollBalancers;
     assert!(
         check_supported(&scenario)
             .unwrap_err()
@@ -115,7 +115,7 @@
     );
     scenario.tier[0].connections = Default::default();
     scenario.fault.clear();
-    scenario.tier[0].nodos = 5_000;
+    scenario.tier[0].upstreams = 5_000;
     assert!(
         check_supported(&scenario)
             .unwrap_err()
