--- /dev/null
+++ b/crates/emulator/src/world/dispatch.rs
@@ -0,0 +1,232 @@
+//! How an attempt leaves a balancer: its costs, its connection, and its way to the upstream.
+
+use super::*;
+
+/// The connection that an attempt goes out on.
+struct Outgoing {
+    /// Epoch of the balancer's pool for that host.
+    epoch: u32,
+    /// It was open before.
+    reused: bool,
+    /// The balancer may have it: it is open, or one more may be opened.
+    available: bool,
+    /// The upstream accepts no more connections.
+    refused: bool,
+}
+
+/// What becomes of an attempt on its way, and after how long, in nanoseconds.
+enum Transit {
+    /// It gets lost without a word.
+    Lost,
+    /// The balancer hears of a failure.
+    Failed(Time, Outcome),
+    /// It reaches the upstream.
+    Arrives(Time),
+}
+
+impl World<'_> {
+    pub(super) fn dispatch(&mut self, at: usize, send: &SendAttempt) {
+        let now = self.event_queue.now();
+        let host = Self::host_by_address(send.to.address);
+        let request = self.request_by_id(send.id);
+        self.auditor.sent(now, request, at, host);
+        let Some(&upstream) = self.hosts.get(host as usize) else {
+            return;
+        };
+        let upstream = upstream as usize;
+        let Some(known) = self.requests.get_mut(request) else {
+            return;
+        };
+        known.attempts += 1;
+        let client_call = known.client_call;
+        self.count_attempt(at, upstream, host, send.attempt);
+        let server = send.to.server.0 as usize;
+        let outgoing = self.open_connection(at, upstream, host, server);
+        let number = self.attempts.add(Attempt {
+            request,
+            number: send.attempt,
+            balancer: at as u32,
+            upstream: upstream as u32,
+            host,
+            process: self.upstreams[upstream].process,
+            epoch: outgoing.epoch,
+            out: true,
+            there: true,
+            socket: outgoing.available && !outgoing.refused,
+            fresh: !outgoing.reused,
+            calls: 0,
+            spoilt: false,
+            sent: now,
+        });
+        if let Some(known) = self.requests.get_mut(request) {
+            known.out.push((send.attempt, number));
+        }
+        let name = &self.upstreams[upstream].name;
+        let text = format!(
+            "balancer {at} sends attempt {} to {name} (host {host})",
+            send.attempt
+        );
+        self.record_story(client_call, || text);
+        let until = self.balancers[at].world(send.until);
+        self.event_queue.at(until, Event::AttemptExpired(number));
+        let transit = if outgoing.available {
+            self.transit(at, upstream, client_call, &outgoing)
+        } else {
+            Transit::Failed(0, Outcome::Moot)
+        };
+        self.schedule_transit(number, transit);
+    }
+
+    /// Counts an attempt, and what it costs.
+    fn count_attempt(&mut self, at: usize, upstream: usize, host: u32, attempt: u32) {
+        let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
+        let crosses_zones = self.balancers[at].zone != self.upstreams[upstream].zone;
+        self.meter.sent(attempt, crosses_zones, host);
+        if attempt > 0 {
+            self.prices.pay(now, tier, Cost::Retries, at);
+        }
+        if crosses_zones {
+            self.prices.pay(now, tier, Cost::Crossings, at);
+        }
+    }
+
+    /// Takes an idle connection to the upstream, or opens one. `server` is the balancer's own number for it.
+    fn open_connection(
+        &mut self,
+        at: usize,
+        upstream: usize,
+        host: u32,
+        server: usize,
+    ) -> Outgoing {
+        self.remember_host(at, host, server);
+        let (epoch, reused) = self.take_idle(at, upstream, host as usize);
+        let available = reused || self.may_open(at);
+        let refused = !reused && available && self.connect(at, upstream);
+        Outgoing {
+            epoch,
+            reused,
+            available,
+            refused,
+        }
+    }
+
+    fn remember_host(&mut self, at: usize, host: u32, server: usize) {
+        let balancer = &mut self.balancers[at];
+        if balancer.links.len() <= host as usize {
+            let hosts = self.hosts.len().max(host as usize + 1);
+            balancer.links.resize(hosts, ConnectionPool::default());
+        }
+        if balancer.hosts.len() <= server {
+            balancer.hosts.resize(server + 1, u32::MAX);
+        }
+        balancer.hosts[server] = host;
+    }
+
+    /// Takes an idle connection, if one to the present process is young enough; closes what is not. The epoch of
+    /// the pool, and whether there was one.
+    fn take_idle(&mut self, at: usize, upstream: usize, host: usize) -> (u32, bool) {
+        let now = self.event_queue.now();
+        let (alive, process) = (
+            self.upstreams[upstream].alive,
+            self.upstreams[upstream].process,
+        );
+        let pool = &mut self.balancers[at].links[host];
+        let (mut closed, former) = (0, pool.process);
+        if pool.process != process {
+            closed = pool.idle;
+            *pool = ConnectionPool {
+                epoch: pool.epoch + 1,
+                process,
+                idle: 0,
+                idle_since: 0,
+            };
+        }
+        let fresh = pool.idle > 0 && now - pool.idle_since < self.scenario.limits.idle.0;
+        let reused = fresh && alive;
+        if reused && !self.scenario.limits.http2 {
+            pool.idle -= 1;
+        } else if !fresh {
+            closed += std::mem::take(&mut pool.idle);
+        }
+        let epoch = pool.epoch;
+        self.closed(at, host, former, closed);
+        (epoch, reused)
+    }
+
+    /// Opens a connection, and tells whether the upstream refuses it.
+    fn connect(&mut self, at: usize, upstream: usize) -> bool {
+        let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
+        self.balancers[at].open += 1;
+        let refused = self.upstreams[upstream].alive && !self.upstreams[upstream].connect();
+        let cost = if refused {
+            Cost::ConnectionsRefused
+        } else {
+            Cost::Handshakes
+        };
+        self.prices.pay(now, tier, cost, at);
+        if refused {
+            self.balancers[at].open -= 1; // refused before it was one
+        }
+        refused
+    }
+
+    /// Draws what becomes of an attempt on its way. A list may name a process that is no longer there; what listens
+    /// at its address takes the request.
+    fn transit(
+        &mut self,
+        at: usize,
+        upstream: usize,
+        client_call: u64,
+        outgoing: &Outgoing,
+    ) -> Transit {
+        let scenario = self.scenario;
+        let delay = self.delay(at, upstream, true);
+        let lost = self.is_lost(at, upstream, true);
+        let reset = chance(&mut self.balancers[at].network, scenario.network.resets);
+        let trips = Time::from(scenario.tier[self.balancers[at].tier].connections.trips);
+        let handshake = if outgoing.reused {
+            0
+        } else {
+            2 * delay * trips
+        };
+        let unreachable = lost
+            || self.is_partitioned(at, upstream, true)
+            || !outgoing.reused && self.is_partitioned(at, upstream, false);
+        if unreachable && !outgoing.reused {
+            Transit::Failed(scenario.limits.connect.0, Outcome::ConnectFailed)
+        } else if unreachable {
+            Transit::Lost
+        } else if !self.upstreams[upstream].alive || outgoing.refused {
+            Transit::Failed(2 * delay, Outcome::ConnectFailed)
+        } else if reset {
+            Transit::Failed(handshake + delay, Outcome::Reset)
+        } else {
+            Transit::Arrives(handshake + delay + self.body_time(client_call))
+        }
+    }
+
+    /// How long the body of a call takes on the network, in nanoseconds.
+    fn body_time(&self, client_call: u64) -> Time {
+        let rate = self.scenario.network.bytes_per_second;
+        if rate <= 0.0 {
+            return 0;
+        }
+        let call = self.client_calls.get(client_call);
+        let bytes = call.map_or(0.0, |call| self.scenario.class[call.class].bytes);
+        (bytes / rate * 1e9) as Time
+    }
+
+    fn schedule_transit(&mut self, attempt: u64, transit: Transit) {
+        match transit {
+            Transit::Lost => self.drop_attempt(attempt),
+            Transit::Failed(after, outcome) => {
+                self.drop_attempt(attempt);
+                let event = Event::ResponseArrived { attempt, outcome };
+                self.event_queue.after(after, event);
+            }
+            Transit::Arrives(after) => self
+                .event_queue
+                .after(after, Event::AttemptArrived(attempt)),
+        }
+    }
+}
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -3,173 +3,216 @@
 use super::*;
 
 impl World<'_> {
-    pub(super) fn fault(&mut self, at: usize, begins: bool) {
-        let fault = &self.scenario.fault[at];
-        let tier = fault
-            .tier
-            .as_ref()
-            .and_then(|name| self.scenario.tier(name))
-            .unwrap_or(0);
-        let zone = self.scenario.zone(&fault.zone).unwrap_or(None);
+    pub(super) fn fault_changes(&mut self, at: usize, begins: bool) {
         if begins {
-            let there =
-                |other: &Upstream| other.tier == tier && zone.is_none_or(|zone| zone == other.zone);
-            let upstreams: Vec<u32> = (0..self.upstreams.len() as u32)
-                .filter(|&upstream| {
-                    there(&self.upstreams[upstream as usize])
-                        && self.upstreams[upstream as usize].alive
-                })
-                .collect();
-            let there =
-                |other: &Balancer| other.tier == tier && zone.is_none_or(|zone| zone == other.zone);
-            let balancers = 0..self.balancers.len() as u32;
-            let balancers: Vec<u32> = balancers
-                .filter(|&at| there(&self.balancers[at as usize]))
-                .collect();
-            let rng = &mut self.faults[at].0;
-            let hit = (
-                sample(rng, &upstreams, fault.part),
-                sample(rng, &balancers, fault.part),
-            );
-            (self.faults[at].1, self.faults[at].2) = hit;
+            self.draw_targets(at);
         }
         let (upstreams, balancers) = (self.faults[at].1.clone(), self.faults[at].2.clone());
-        let until = fault.until.unwrap_or(self.scenario.time);
+        let fault = &self.scenario.fault[at];
         match &fault.what {
-            FaultKind::Kill { done } if begins => upstreams
+            FaultKind::Kill { .. }
+            | FaultKind::Roll
+            | FaultKind::Replace
+            | FaultKind::RegistryWrong => self.upstream_fault(at, begins, &upstreams),
+            FaultKind::ClockStep(_)
+            | FaultKind::Restart { .. }
+            | FaultKind::RollBalancers
+            | FaultKind::Stall => self.balancer_fault(at, begins, &balancers),
+            FaultKind::PowerLoss { stale, over, .. } => match begins {
+                true => self.power_lost(&upstreams, &balancers),
+                false => self.power_returns(at, &upstreams, &balancers, (stale.0, over.0)),
+            },
+            FaultKind::RegistrySilent => self.registry_outage(begins),
+            FaultKind::PartitionTo | FaultKind::PartitionFrom => self.partition(at, begins),
+            // Looked up where something is sent.
+            FaultKind::Link(_) | FaultKind::Between(_) => self.members_partitioned(),
+            _ => upstreams
+                .iter()
+                .for_each(|&upstream| self.refresh_upstream_faults(upstream, at, begins)),
+        }
+    }
+
+    /// The tier that a fault is in, and its zone; `None` for all zones.
+    fn scope(&self, at: usize) -> (usize, Option<u8>) {
+        let fault = &self.scenario.fault[at];
+        let tier = fault.tier.as_ref();
+        let tier = tier.and_then(|name| self.scenario.tier(name)).unwrap_or(0);
+        (tier, self.scenario.zone(&fault.zone).unwrap_or(None))
+    }
+
+    /// Draws the upstreams and balancers that a fault hits.
+    fn draw_targets(&mut self, at: usize) {
+        let (tier, zone) = self.scope(at);
+        let is_within = |of: usize, there: u8| of == tier && zone.is_none_or(|zone| zone == there);
+        let upstreams: Vec<u32> = (0..)
+            .zip(&self.upstreams)
+            .filter(|(_, upstream)| is_within(upstream.tier, upstream.zone) && upstream.alive)
+            .map(|(number, _)| number)
+            .collect();
+        let balancers: Vec<u32> = (0..)
+            .zip(&self.balancers)
+            .filter(|(_, balancer)| is_within(balancer.tier, balancer.zone))
+            .map(|(number, _)| number)
+            .collect();
+        let part = self.scenario.fault[at].part;
+        let (rng, hit_upstreams, hit_balancers) = &mut self.faults[at];
+        *hit_upstreams = sample(rng, &upstreams, part);
+        *hit_balancers = sample(rng, &balancers, part);
+    }
+
+    /// How long a fault lasts, in nanoseconds.
+    fn duration(&self, at: usize) -> Time {
+        let fault = &self.scenario.fault[at];
+        fault.until.unwrap_or(self.scenario.time).0 - fault.at.0
+    }
+
+    /// Upstreams die, are rolled, or are listed as removed.
+    fn upstream_fault(&mut self, at: usize, begins: bool, upstreams: &[u32]) {
+        match (&self.scenario.fault[at].what, begins) {
+            (FaultKind::Kill { done }, true) => upstreams
                 .iter()
                 .for_each(|&upstream| self.kill_upstream(upstream as usize, *done)),
-            FaultKind::Kill { .. } => upstreams
+            (FaultKind::Kill { .. }, false) => upstreams
                 .iter()
                 .for_each(|&upstream| self.boot_upstream(upstream as usize)),
-            FaultKind::Roll | FaultKind::Replace if begins => {
-                let half = (until.0 - fault.at.0) / 2;
+            (FaultKind::Roll | FaultKind::Replace, true) => {
+                let half = self.duration(at) / 2;
                 for (turn, &upstream) in upstreams.iter().enumerate() {
                     let wait = half * turn as Time / upstreams.len().max(1) as Time;
-                    self.event_queue.after(
-                        wait,
-                        Event::RollUpstream {
-                            upstream,
-                            step: 0,
-                            fault: at as u32,
-                        },
-                    );
-                }
-            }
-            FaultKind::Roll | FaultKind::Replace => {}
-            FaultKind::RegistrySilent => {
-                self.discovery
-                    .iter_mut()
-                    .for_each(|discovery| discovery.set_down(begins));
-                self.registry_outages = if begins {
-                    self.registry_outages + 1
-                } else {
-                    self.registry_outages - 1
-                };
-                if self.registry_outages == 0 {
-                    self.publish_changes();
+                    let (step, fault) = (0, at as u32);
+                    let event = Event::RollUpstream {
+                        upstream,
+                        step,
+                        fault,
+                    };
+                    self.event_queue.after(wait, event);
                 }
             }
-            FaultKind::RegistryWrong => {
-                let lifecycle = if begins {
-                    Lifecycle::Removed
-                } else {
-                    Lifecycle::Ready
-                };
-                for &upstream in &upstreams {
-                    let there = &self.upstreams[upstream as usize];
-                    if there.alive && !there.draining {
-                        self.change_registry(upstream, lifecycle);
-                    }
-                }
+            (FaultKind::RegistryWrong, _) => self.list_wrongly(begins, upstreams),
+            _ => {}
+        }
+    }
+
+    /// Upstreams that are well are listed as removed, or as ready again.
+    fn list_wrongly(&mut self, begins: bool, upstreams: &[u32]) {
+        let lifecycle = if begins {
+            Lifecycle::Removed
+        } else {
+            Lifecycle::Ready
+        };
+        for &upstream in upstreams {
+            let there = &self.upstreams[upstream as usize];
+            if there.alive && !there.draining {
+                self.change_registry(upstream, lifecycle);
             }
-            FaultKind::ClockStep(step) if begins => {
-                for &balancer in &balancers {
+        }
+    }
+
+    /// Balancers restart, are rolled or stand still, or their clocks step.
+    fn balancer_fault(&mut self, at: usize, begins: bool, balancers: &[u32]) {
+        match (&self.scenario.fault[at].what, begins) {
+            (FaultKind::ClockStep(step), true) => {
+                for &balancer in balancers {
                     self.balancers[balancer as usize].ahead += step.0 as i64;
                 }
             }
-            FaultKind::ClockStep(_) => {}
-            FaultKind::PartitionTo | FaultKind::PartitionFrom => {
-                let partitioned = (zone.unwrap_or(0), fault.what == FaultKind::PartitionTo);
-                match begins {
-                    true => self.partitions.push(partitioned),
-                    false => self.partitions.retain(|other| *other != partitioned),
-                }
-            }
-            FaultKind::PowerLoss { .. } if begins => {
-                balancers
-                    .iter()
-                    .for_each(|&balancer| self.member_ends(balancer as usize, false, false));
-                upstreams
-                    .iter()
-                    .for_each(|&upstream| self.kill_upstream(upstream as usize, false));
-                balancers
-                    .iter()
-                    .for_each(|&balancer| self.stop_balancer(balancer as usize));
-            }
-            FaultKind::PowerLoss { stale, over, .. } => {
-                for (turn, &upstream) in upstreams.iter().enumerate() {
-                    let wait = over.0 * turn as Time / upstreams.len().max(1) as Time;
-                    self.event_queue.after(wait, Event::UpstreamBoots(upstream));
-                }
-                for &balancer in balancers
-                    .iter()
-                    .filter(|_| !self.scenario.tier[tier].sidecar)
-                {
-                    self.event_queue.after(
-                        0,
-                        Event::BalancerStarts {
-                            balancer,
-                            stale: stale.0,
-                        },
-                    );
-                }
-            }
-            FaultKind::Link(_) | FaultKind::Between(_) => {} // looked up where something is sent
-            FaultKind::Restart { stale, .. } => {
-                for &balancer in &balancers {
-                    match begins {
-                        true => self.stop_balancer(balancer as usize),
-                        false => self.event_queue.after(
-                            0,
-                            Event::BalancerStarts {
-                                balancer,
-                                stale: stale.0,
-                            },
-                        ),
-                    }
-                }
-            }
-            FaultKind::RollBalancers if begins => {
-                let time = until.0 - fault.at.0;
-                for (turn, &balancer) in balancers.iter().enumerate() {
-                    let wait = time * turn as Time / balancers.len().max(1) as Time;
-                    let incarnation = self.balancers[balancer as usize].incarnation;
-                    self.event_queue.after(
-                        wait,
-                        Event::RollBalancer {
-                            balancer,
-                            incarnation,
-                            drained: false,
-                        },
-                    );
+            (FaultKind::Restart { .. }, true) => balancers
+                .iter()
+                .for_each(|&balancer| self.stop_balancer(balancer as usize)),
+            (FaultKind::Restart { stale, .. }, false) => {
+                let stale = stale.0;
+                for &balancer in balancers {
+                    let event = Event::BalancerStarts { balancer, stale };
+                    self.event_queue.after(0, event);
                 }
             }
-            FaultKind::RollBalancers => {}
-            FaultKind::Stall if begins => {
-                for &balancer in &balancers {
-                    self.balancers[balancer as usize].stalled_until = until.0;
+            (FaultKind::RollBalancers, true) => self.plan_balancer_roll(at, balancers),
+            (FaultKind::Stall, true) => {
+                let until = self.scenario.fault[at].until;
+                let until = until.unwrap_or(self.scenario.time).0;
+                for &balancer in balancers {
+                    self.balancers[balancer as usize].stalled_until = until;
                 }
-                self.stalled = self.stalled.max(until.0);
-                self.members_paused(&balancers, true);
+                self.stalled = self.stalled.max(until);
+                self.members_paused(balancers, true);
             }
-            FaultKind::Stall => self.members_paused(&balancers, false),
-            _ => upstreams
-                .iter()
-                .for_each(|&upstream| self.refresh_upstream_faults(upstream, at, begins)),
+            (FaultKind::Stall, false) => self.members_paused(balancers, false),
+            _ => {}
         }
-        if matches!(fault.what, FaultKind::Link(_) | FaultKind::Between(_)) {
-            self.members_partitioned();
+    }
+
+    /// Balancers are told to stop one after another, each at its part of the fault's time.
+    fn plan_balancer_roll(&mut self, at: usize, balancers: &[u32]) {
+        let time = self.duration(at);
+        for (turn, &balancer) in balancers.iter().enumerate() {
+            let wait = time * turn as Time / balancers.len().max(1) as Time;
+            let event = Event::RollBalancer {
+                balancer,
+                incarnation: self.balancers[balancer as usize].incarnation,
+                drained: false,
+            };
+            self.event_queue.after(wait, event);
+        }
+    }
+
+    /// Upstreams die in one instant with the balancers that send to them.
+    fn power_lost(&mut self, upstreams: &[u32], balancers: &[u32]) {
+        balancers
+            .iter()
+            .for_each(|&balancer| self.member_ends(balancer as usize, false, false));
+        upstreams
+            .iter()
+            .for_each(|&upstream| self.kill_upstream(upstream as usize, false));
+        balancers
+            .iter()
+            .for_each(|&balancer| self.stop_balancer(balancer as usize));
+    }
+
+    /// Upstreams boot one after another over a time, and balancers start with a list that is so old.
+    fn power_returns(
+        &mut self,
+        at: usize,
+        upstreams: &[u32],
+        balancers: &[u32],
+        (stale, over): (Time, Time),
+    ) {
+        for (turn, &upstream) in upstreams.iter().enumerate() {
+            let wait = over * turn as Time / upstreams.len().max(1) as Time;
+            self.event_queue.after(wait, Event::UpstreamBoots(upstream));
+        }
+        let (tier, _) = self.scope(at);
+        if self.scenario.tier[tier].sidecar {
+            return; // they start with their upstreams
+        }
+        for &balancer in balancers {
+            let event = Event::BalancerStarts { balancer, stale };
+            self.event_queue.after(0, event);
+        }
+    }
+
+    fn registry_outage(&mut self, begins: bool) {
+        if let Some(discovery) = &mut self.discovery {
+            discovery.set_down(begins);
+        }
+        if begins {
+            self.registry_outages += 1;
+        } else {
+            self.registry_outages -= 1;
+        }
+        if self.registry_outages == 0 {
+            self.publish_changes();
+        }
+    }
+
+    /// A zone's upstreams are cut off from other zones, one way.
+    fn partition(&mut self, at: usize, begins: bool) {
+        let (_, zone) = self.scope(at);
+        let is_to = self.scenario.fault[at].what == FaultKind::PartitionTo;
+        let partition = (zone.unwrap_or(0), is_to);
+        if begins {
+            self.partitions.push(partition);
+        } else {
+            self.partitions.retain(|other| *other != partition);
         }
     }
 
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -6,6 +6,7 @@
 mod balancers;
 mod callers;
 mod coordinators;
+mod dispatch;
 mod faults;
 mod members;
 mod registry;
@@ -640,7 +641,7 @@
             } => {
                 self.roll_balancer(balancer as usize, incarnation, drained);
             }
-            Event::FaultChanges { fault, begins } => self.fault(fault as usize, begins),
+            Event::FaultChanges { fault, begins } => self.fault_changes(fault as usize, begins),
             Event::RollUpstream {
                 upstream,
                 step,
