--- a/crates/emulator/src/baseline.rs
+++ b/crates/emulator/src/baseline.rs
@@ -172,6 +172,20 @@
     cost_at: Time,
 }
 
+impl Server {
+    /// Feeds the peak-sensitive average with a latency in nanoseconds: a peak counts at once, and fades.
+    fn observe_latency(&mut self, now: Time, took: f64) {
+        let age = now.saturating_sub(self.cost_at) as f64;
+        let weight = (-age / DECAY).exp();
+        self.cost = if took > self.cost {
+            took
+        } else {
+            self.cost * weight + took * (1.0 - weight)
+        };
+        self.cost_at = now;
+    }
+}
+
 struct Open {
     ticket: Ticket,
     class: usize,
@@ -425,55 +439,56 @@
         } else if self.style.ejects && server.failures >= EJECT.0 {
             self.eject(now, at);
         }
-        let server = &mut self.servers[at];
         let took = took as f64;
         if matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Error) {
-            let age = now.saturating_sub(server.cost_at) as f64;
-            let weight = (-age / DECAY).exp();
-            // A peak counts at once, and fades.
-            server.cost = if took > server.cost {
-                took
-            } else {
-                server.cost * weight + took * (1.0 - weight)
-            };
-            server.cost_at = now;
+            self.servers[at].observe_latency(now, took);
         }
         match self.style.limit {
             ConcurrencyLimit::None => {}
-            ConcurrencyLimit::Aimd if failed || outcome == Outcome::Full => {
-                self.limit = (0.9 * self.limit).max(1.0)
-            }
-            ConcurrencyLimit::Aimd if f64::from(self.in_flight + 1) * 2.0 > self.limit => {
-                self.limit += 1.0 / self.limit
-            }
-            ConcurrencyLimit::Aimd => {}
-            ConcurrencyLimit::Gradient if matches!(outcome, Outcome::Ok | Outcome::Timeout) => {
-                let (short, long) = &mut self.latency;
-                *short = if *short == 0.0 {
-                    took
-                } else {
-                    *short + 0.1 * (took - *short)
-                };
-                *long = if *long == 0.0 {
-                    took
-                } else {
-                    *long + 0.002 * (took - *long)
-                };
-                *long = if *long / *short > 2.0 {
-                    *long * 0.95
-                } else {
-                    *long
-                };
-                let gradient = (1.5 * *long / *short).clamp(0.5, 1.0);
-                if f64::from(self.in_flight + 1) * 2.0 > self.limit {
-                    let next = self.limit * gradient + self.limit.sqrt();
-                    self.limit = (0.8 * self.limit + 0.2 * next).clamp(4.0, 10_000.0);
-                }
-            }
-            ConcurrencyLimit::Gradient if outcome == Outcome::Full => {
-                self.limit = (0.9 * self.limit).max(4.0)
-            }
-            ConcurrencyLimit::Gradient => {}
+            ConcurrencyLimit::Aimd => self.adapt_aimd(failed || outcome == Outcome::Full),
+            ConcurrencyLimit::Gradient => self.adapt_gradient(took, outcome),
+        }
+    }
+
+    /// Whether at least half of the limit was in use when a call ended.
+    fn uses_limit(&self) -> bool {
+        f64::from(self.in_flight + 1) * 2.0 > self.limit
+    }
+
+    fn adapt_aimd(&mut self, failed: bool) {
+        if failed {
+            self.limit = (0.9 * self.limit).max(1.0);
+        } else if self.uses_limit() {
+            self.limit += 1.0 / self.limit;
+        }
+    }
+
+    /// `took`: latency in nanoseconds.
+    fn adapt_gradient(&mut self, took: f64, outcome: Outcome) {
+        if outcome == Outcome::Full {
+            self.limit = (0.9 * self.limit).max(4.0);
+        }
+        if !matches!(outcome, Outcome::Ok | Outcome::Timeout) {
+            return;
+        }
+        let (short, long) = &mut self.latency;
+        *short = if *short == 0.0 {
+            took
+        } else {
+            *short + 0.1 * (took - *short)
+        };
+        *long = if *long == 0.0 {
+            took
+        } else {
+            *long + 0.002 * (took - *long)
+        };
+        if *long / *short > 2.0 {
+            *long *= 0.95;
+        }
+        let gradient = (1.5 * *long / *short).clamp(0.5, 1.0);
+        if self.uses_limit() {
+            let next = self.limit * gradient + self.limit.sqrt();
+            self.limit = (0.8 * self.limit + 0.2 * next).clamp(4.0, 10_000.0);
         }
     }
 
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -281,43 +281,13 @@
         };
         attempt.out = false;
         let (request, at, tries) = (attempt.request, attempt.balancer as usize, attempt.number);
-        let (host, process, epoch, upstream) = (
-            attempt.host as usize,
-            attempt.process,
-            attempt.epoch,
-            attempt.upstream as usize,
-        );
-        let socket = attempt.socket;
         let took = self.event_queue.now() - attempt.sent;
         let mut client_call = 0;
         if let Some(known) = self.requests.get_mut(request) {
             known.out.retain(|(_, out)| *out != number);
             client_call = known.client_call;
         }
-        let whole = matches!(
-            outcome,
-            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined
-        );
-        let now = self.event_queue.now();
-        let http2 = self.scenario.limits.http2;
-        let mut kept = false;
-        if let Some(links) = self.balancers[at].links.get_mut(host)
-            && whole
-            && links.epoch == epoch
-            && links.process == process
-            && self.upstreams[upstream].process == process
-        {
-            links.idle = if http2 {
-                1
-            } else {
-                links.idle.saturating_add(1)
-            };
-            links.idle_since = now;
-            kept = true;
-        }
-        if socket && !kept {
-            self.closed(at, host, process, 1);
-        }
+        self.release_connection(number, outcome);
         self.record_story(client_call, || {
             format!(
                 "balancer {at} has {} for attempt {tries} after {:.1} ms",
@@ -325,25 +295,53 @@
                 took as f64 / 1e6
             )
         });
-        let answer = (outcome == Outcome::Ok).then_some(());
-        let ended = AttemptEnd {
-            outcome,
-            response: answer,
-            load: None,
-        };
         if self.balancers[at].alive {
-            self.handle_input(
-                at,
-                Input::AttemptEnded {
-                    id: RequestId(request as u32),
-                    attempt: tries,
-                    end: ended,
-                },
-            );
+            let end = AttemptEnd {
+                outcome,
+                response: (outcome == Outcome::Ok).then_some(()),
+                load: None,
+            };
+            let input = Input::AttemptEnded {
+                id: RequestId(request as u32),
+                attempt: tries,
+                end,
+            };
+            self.handle_input(at, input);
         }
         self.forget_attempt(number);
     }
 
+    /// The connection of an attempt is idle again where its answer came whole from the process that it went to, and
+    /// is closed otherwise.
+    fn release_connection(&mut self, number: u64, outcome: Outcome) {
+        let Some(attempt) = self.attempts.get(number) else {
+            return;
+        };
+        let (at, host) = (attempt.balancer as usize, attempt.host as usize);
+        let (process, epoch, socket) = (attempt.process, attempt.epoch, attempt.socket);
+        let is_complete = matches!(
+            outcome,
+            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined
+        );
+        let is_same_process = self.upstreams[attempt.upstream as usize].process == process;
+        let (now, http2) = (self.event_queue.now(), self.scenario.limits.http2);
+        if let Some(pool) = self.balancers[at].links.get_mut(host)
+            && is_complete
+            && is_same_process
+            && pool.epoch == epoch
+            && pool.process == process
+        {
+            pool.idle = if http2 {
+                1
+            } else {
+                pool.idle.saturating_add(1)
+            };
+            pool.idle_since = now;
+        } else if socket {
+            self.closed(at, host, process, 1);
+        }
+    }
+
     pub(super) fn response_arrived(&mut self, event: Event, number: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get(number).filter(|attempt| attempt.out) else {
             return self.drop_attempt(number);
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -61,50 +61,13 @@
             return;
         };
         known.tries += 1;
-        let (class, deadline, tries, group, parent) = (
-            known.class,
-            known.deadline,
-            known.tries,
-            known.group,
-            known.parent,
-        );
-        let (tier, zone) = match (group, parent) {
-            (Some(group), _) => (0, self.zones[group as usize]),
-            (None, Some(parent)) => {
-                let upstream = self
-                    .attempts
-                    .get(parent)
-                    .map_or(0, |attempt| attempt.upstream as usize);
-                let upstream = &self.upstreams[upstream];
-                (
-                    self.calls[upstream.tier].map_or(0, |(tier, _)| tier),
-                    Some(upstream.zone),
-                )
-            }
+        let (class, deadline, tries) = (known.class, known.deadline, known.tries);
+        let (group, parent) = (known.group, known.parent);
+        let (tier, found) = match (group, parent) {
+            (Some(group), _) => (0, self.balancer_of_caller(client_call, group as usize)),
+            (None, Some(parent)) => self.balancer_of_upstream(parent),
             (None, None) => return,
         };
-        self.meter.request_sent();
-        let found = match (group, parent) {
-            (Some(group), _) if self.front.is_some() => {
-                self.fronted_balancer(client_call, group as usize, zone)
-            }
-            (Some(group), _) => {
-                let draw = self.behavior_rngs[group as usize].next_u64();
-                self.balancer_for(tier, zone, draw)
-            }
-            (None, _) => {
-                let host = parent
-                    .and_then(|parent| self.attempts.get(parent))
-                    .map_or(0, |a| a.upstream as usize);
-                match self.scenario.tier[tier].sidecar {
-                    true => self.sidecar_of(host),
-                    false => {
-                        let draw = self.upstreams[host].rng.next_u64(); // a nodo draws from its own stream
-                        self.balancer_for(tier, zone, draw)
-                    }
-                }
-            }
-        };
         let Some(balancer) = found else {
             self.record_story(client_call, || "no balancer is there".to_owned());
             return self.conclude_client_call(client_call, &CallResult::Failed, true);
@@ -130,6 +93,31 @@
         self.balancer_reads(request);
     }
 
+    /// The balancer that a caller's connection leads to.
+    fn balancer_of_caller(&mut self, client_call: u64, group: usize) -> Option<u32> {
+        self.meter.request_sent();
+        let zone = self.zones[group];
+        if self.front.is_some() {
+            return self.fronted_balancer(client_call, group, zone);
+        }
+        let draw = self.behavior_rngs[group].next_u64();
+        self.balancer_for(0, zone, draw)
+    }
+
+    /// The tier that the upstream of an attempt calls, and the balancer that it asks.
+    fn balancer_of_upstream(&mut self, attempt: u64) -> (usize, Option<u32>) {
+        let attempt = self.attempts.get(attempt);
+        let host = attempt.map_or(0, |attempt| attempt.upstream as usize);
+        let (caller_tier, zone) = (self.upstreams[host].tier, self.upstreams[host].zone);
+        let tier = self.calls[caller_tier].map_or(0, |(tier, _)| tier);
+        self.meter.request_sent();
+        if self.scenario.tier[tier].sidecar {
+            return (tier, self.sidecar_of(host));
+        }
+        let draw = self.upstreams[host].rng.next_u64(); // an upstream draws from its own stream
+        (tier, self.balancer_for(tier, Some(zone), draw))
+    }
+
     /// A balancer reads a request, once its process does not stand still.
     pub(super) fn balancer_reads(&mut self, number: u64) {
         let Some(request) = self
@@ -245,13 +233,9 @@
         if client_call.closed {
             return;
         }
-        let (class, group, measured, tries) = (
-            client_call.class,
-            client_call.group,
-            client_call.measured,
-            client_call.tries,
-        );
-        let (took, deadline) = (now - client_call.born, client_call.deadline);
+        let (class, group, measured) = (client_call.class, client_call.group, client_call.measured);
+        let (took, parent) = (now - client_call.born, client_call.parent);
+        let closed_loop = client_call.closed_loop;
         self.record_story(number, || {
             format!(
                 "its caller has {} after {:.1} ms",
@@ -259,65 +243,73 @@
                 took as f64 / 1e6
             )
         });
-        let group_at = group.map(|group| group as usize);
-        if let Some(group) = group_at
-            && *verdict != CallResult::Served(())
+        let group = group.map(|group| group as usize);
+        if let Some(group) = group
+            && let Some(wait) = self.retry_wait(number, group, verdict, unseen)
         {
-            let effect = self.scenario.class[class].effect;
-            // Callers know as well as balancers what must not run twice.
-            let may = unseen
-                || matches!(verdict, CallResult::Rejected(_))
-                || effect != CallEffect::Unsafe;
-            let callers = &self.scenario.callers[group];
-            let rng = &mut self.behavior_rngs[group];
-            let wait = callers.again.wait(tries, || rng.random::<f64>());
-            let advice = match verdict {
-                CallResult::Rejected(after) if chance(rng, callers.honors_retry_after) => *after,
-                _ => 0,
-            };
-            if let Some(wait) = wait.filter(|_| may)
-                && now + wait.max(advice) < deadline
-            {
-                return self
-                    .event_queue
-                    .after(wait.max(advice), Event::CallerRetries(number));
-            }
+            return self.event_queue.after(wait, Event::CallerRetries(number));
+        }
+        let outcome = self.call_outcome(class, took, verdict);
+        if let Some(client_call) = self.client_calls.get_mut(number) {
+            client_call.closed = true;
         }
-        let result = match verdict {
-            CallResult::Served(()) if took <= self.scenario.class[class].latency_target.0 => {
-                CallOutcome::OnTime
+        if let Some(group) = group {
+            self.meter.ended(class, outcome, took, measured);
+            if closed_loop {
+                self.plan_closed_loop_call(group);
             }
+        } else if let Some(parent) = parent {
+            let served = matches!(outcome, CallOutcome::OnTime | CallOutcome::Late);
+            self.downstream_call_answered(parent, served);
+        }
+        self.forget_client_call(number);
+    }
+
+    /// How long a caller waits until it asks again, if it does. `unseen`: no balancer has had the request.
+    fn retry_wait(
+        &mut self,
+        number: u64,
+        group: usize,
+        result: &CallResult<()>,
+        unseen: bool,
+    ) -> Option<Time> {
+        let call = self.client_calls.get(number)?;
+        if *result == CallResult::Served(()) {
+            return None;
+        }
+        // Callers know as well as balancers what must not run twice.
+        let may = unseen
+            || matches!(result, CallResult::Rejected(_))
+            || self.scenario.class[call.class].effect != CallEffect::Unsafe;
+        let callers = &self.scenario.callers[group];
+        let rng = &mut self.behavior_rngs[group];
+        let wait = callers.again.wait(call.tries, || rng.random::<f64>());
+        let retry_after = match result {
+            CallResult::Rejected(after) if chance(rng, callers.honors_retry_after) => *after,
+            _ => 0,
+        };
+        let wait = wait.filter(|_| may)?.max(retry_after);
+        (self.event_queue.now() + wait < call.deadline).then_some(wait)
+    }
+
+    fn call_outcome(&self, class: usize, took: Time, result: &CallResult<()>) -> CallOutcome {
+        let latency_target = self.scenario.class[class].latency_target.0;
+        match result {
+            CallResult::Served(()) if took <= latency_target => CallOutcome::OnTime,
             CallResult::Served(()) => CallOutcome::Late,
             CallResult::Rejected(_) => CallOutcome::Refused,
             CallResult::Failed => CallOutcome::Failed,
-        };
-        let (parent, closed_loop) = match self.client_calls.get_mut(number) {
-            Some(client_call) => {
-                client_call.closed = true;
-                (client_call.parent, client_call.closed_loop)
-            }
-            None => return,
-        };
-        match (group_at, parent) {
-            (Some(group), _) => {
-                self.meter.ended(class, result, took, measured);
-                if closed_loop && let Load::Closed { think, .. } = self.scenario.callers[group].load
-                {
-                    let wait = gap(
-                        &mut self.behavior_rngs[group],
-                        1e9 / (think.0.max(1)) as f64,
-                    );
-                    self.event_queue
-                        .after(wait, Event::ClosedLoopCall(group as u32));
-                }
-            }
-            (None, Some(parent)) => self.downstream_call_answered(
-                parent,
-                matches!(result, CallOutcome::OnTime | CallOutcome::Late),
-            ),
-            (None, None) => {}
         }
-        self.forget_client_call(number);
+    }
+
+    /// A caller of a closed group thinks before it calls again.
+    fn plan_closed_loop_call(&mut self, group: usize) {
+        if let Load::Closed { think, .. } = self.scenario.callers[group].load {
+            let rate = 1e9 / (think.0.max(1)) as f64;
+            let wait = gap(&mut self.behavior_rngs[group], rate);
+            let event = Event::ClosedLoopCall(group as u32);
+            self.event_queue.after(wait, event);
+        }
     }
 
     pub(super) fn forget_client_call(&mut self, number: u64) {
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -4,6 +4,7 @@
 use crate::evacuation::{EvacuationTracker, ShareChange};
 use crate::scenario::{EvacuationConfig, FalseReport};
 use woadstall_engine::decisions::{FailureDomain, HealthVerdict as Finding};
+use woadstall_engine::{AttemptInFlight, AttemptRecord};
 use woadstall_evacuation::{Coordinator, CoordinatorSettings, ListedServer, Topology};
 use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt};
 use woadstall_membership::Node;
@@ -81,6 +82,35 @@
             Some(FalseReport::OwnZoneBad) => saw,
         }
     }
+
+    /// Hands a balancer's coordinator the end of an attempt, as the balancer reports it.
+    fn record_completed(&mut self, now: Time, at: usize, seen: &AttemptRecord) {
+        let attempt = CompletedAttempt {
+            id: AttemptId {
+                request: seen.id.0,
+                attempt: seen.attempt,
+            },
+            server: seen.server,
+            class: seen.class,
+            outcome: seen.outcome,
+            took: seen.took,
+        };
+        let zone_of = |server| self.all[at].zone_of(server);
+        let attempt = self.falsify(at, zone_of, attempt);
+        self.all[at].record_completed(now, &attempt);
+    }
+}
+
+fn pending_attempt(out: AttemptInFlight) -> PendingAttempt {
+    PendingAttempt {
+        id: AttemptId {
+            request: out.id.0,
+            attempt: out.attempt,
+        },
+        server: out.server,
+        class: out.class,
+        age: out.age,
+    }
 }
 
 impl World<'_> {
@@ -157,35 +187,10 @@
             }));
         }
         for seen in observed {
-            let id = AttemptId {
-                request: seen.id.0,
-                attempt: seen.attempt,
-            };
-            let (server, class, outcome, took) = (seen.server, seen.class, seen.outcome, seen.took);
-            let saw = CompletedAttempt {
-                id,
-                server,
-                class,
-                outcome,
-                took,
-            };
-            let zone_of = |server| coordinators.all[at].zone_of(server);
-            let saw = coordinators.falsify(at, zone_of, saw);
-            coordinators.all[at].record_completed(now, &saw);
+            coordinators.record_completed(now, at, &seen);
         }
-        let out = balancer.agent.outstanding(local).into_iter();
-        coordinators.all[at].record_pending(
-            now,
-            out.map(|out| PendingAttempt {
-                id: AttemptId {
-                    request: out.id.0,
-                    attempt: out.attempt,
-                },
-                server: out.server,
-                class: out.class,
-                age: out.age,
-            }),
-        );
+        let outstanding = balancer.agent.outstanding(local).into_iter();
+        coordinators.all[at].record_pending(now, outstanding.map(pending_attempt));
         let turn = coordinators.all[at].step(now, local / MS, node);
         for line in turn.lines {
             self.meter.log_line(&line.to_string());
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -5,8 +5,8 @@
 use crate::units::Span;
 use std::net::IpAddr;
 use woadstall_membership::{
-    Event as MembershipEvent, Generation, MemberMetadata, MemberState, Name, Node, PathState,
-    Settings,
+    Event as MembershipEvent, Generation, MemberMetadata, MemberState, MemberStatus, Name, Node,
+    PathState, Settings,
 };
 
 /// MembershipSimulation that a new one asks.
@@ -57,6 +57,28 @@
     }
 }
 
+/// The number of each balancer by its name as a member.
+type Numbers = std::collections::HashMap<Name, u32>;
+
+/// Takes a member's events: whether it suspects another, and what it holds of those that the events are about.
+fn drain_events(node: &mut Node, by_name: &Numbers) -> (bool, Vec<(usize, Option<MemberStatus>)>) {
+    let (mut suspects, mut found) = (false, Vec::new());
+    while let Some(event) = node.next_event() {
+        suspects |= matches!(event, MembershipEvent::Suspected { .. });
+        let of = match event {
+            MembershipEvent::Joined(member) => member.name,
+            MembershipEvent::Recovered(of) | MembershipEvent::Left(of) => of,
+            MembershipEvent::Suspected { name, .. } | MembershipEvent::Dead { name, .. } => name,
+            _ => continue,
+        };
+        // One that was told of as new may be told of as gone in the same breath: the last claim counts.
+        if let Some(&number) = by_name.get(&of) {
+            found.push((number as usize, node.status(&of)));
+        }
+    }
+    (suspects, found)
+}
+
 impl MembershipSimulation {
     pub(super) fn new(of: &crate::scenario::MembershipConfig, count: usize, seed: u64) -> Self {
         let time = |span: Span| std::time::Duration::from_nanos(span.0);
@@ -86,6 +108,22 @@
         }
     }
 
+    /// What is held of a member's present incarnation; what is held of a former one says nothing of it.
+    fn view_of_present(&self, of: usize, status: Option<MemberStatus>) -> MemberView {
+        let present = self.nodes[of].as_ref();
+        let incarnation = present
+            .map(|node| node.local().generation)
+            .or(self.last_incarnation[of]);
+        let status = status.filter(|status| Some(status.generation) == incarnation);
+        match status.map(|status| status.state) {
+            Some(MemberState::Alive) => MemberView::Alive,
+            Some(MemberState::Suspect) => MemberView::Suspect,
+            Some(MemberState::Dead) => MemberView::Dead,
+            Some(MemberState::Left) => MemberView::Left,
+            None => MemberView::Unknown,
+        }
+    }
+
     /// Lends out a member, to be put back at once.
     pub(super) fn take_node(&mut self, at: usize) -> Option<Node> {
         self.nodes[at].take()
@@ -319,62 +357,30 @@
         let Some(node) = &mut members.nodes[at] else {
             return;
         };
-        let (mut suspects, mut found) = (false, Vec::new());
-        while let Some(change) = node.next_event() {
-            suspects |= matches!(change, MembershipEvent::Suspected { .. });
-            let of = match change {
-                MembershipEvent::Joined(member) => member.name,
-                MembershipEvent::Recovered(of) | MembershipEvent::Left(of) => of,
-                MembershipEvent::Suspected { name, .. } | MembershipEvent::Dead { name, .. } => {
-                    name
-                }
-                _ => continue,
-            };
-            // One that was told of as new may be told of as gone in the same breath: the last claim counts.
-            if let Some(&number) = members.by_name.get(&of) {
-                found.push((number as usize, node.status(&of)));
-            }
-        }
+        let (suspects, found) = drain_events(node, &members.by_name);
         let outs: Vec<woadstall_membership::OutgoingMessage> =
             std::iter::from_fn(|| node.next_outgoing()).collect();
-        let agent_timer = node.next_deadline().max(now + MS);
+        let deadline = node.next_deadline().max(now + MS);
+        let has_targets = node.connection_check_targets(now).next().is_some();
+        let balancer = at as u32;
         if suspects && !std::mem::replace(&mut members.looks[at], true) {
-            self.event_queue.after(
-                2 * self.scenario.network.across.0,
-                Event::CheckSuspects(at as u32),
-            );
-        } else if !members.looks[at] && node.connection_check_targets(now).next().is_some() {
+            let wait = 2 * self.scenario.network.across.0;
+            self.event_queue.after(wait, Event::CheckSuspects(balancer));
+        } else if !members.looks[at] && has_targets {
             members.looks[at] = true;
-            self.event_queue
-                .after(LOOK, Event::CheckSuspects(at as u32));
+            self.event_queue.after(LOOK, Event::CheckSuspects(balancer));
         }
-        if agent_timer < members.planned[at] {
-            members.planned[at] = agent_timer;
-            self.event_queue.at(
-                agent_timer,
-                Event::MemberTimer {
-                    balancer: at as u32,
-                    at: agent_timer,
-                },
-            );
+        if deadline < members.planned[at] {
+            members.planned[at] = deadline;
+            let event = Event::MemberTimer {
+                balancer,
+                at: deadline,
+            };
+            self.event_queue.at(deadline, event);
         }
         for (of, status) in found {
-            let incarnation = members.nodes[of]
-                .as_ref()
-                .map(|node| node.local().generation)
-                .or(members.last_incarnation[of]);
-            // What is held of a former life says nothing of the present one.
-            let held = match status
-                .filter(|status| Some(status.generation) == incarnation)
-                .map(|status| status.state)
-            {
-                Some(MemberState::Alive) => MemberView::Alive,
-                Some(MemberState::Suspect) => MemberView::Suspect,
-                Some(MemberState::Dead) => MemberView::Dead,
-                Some(MemberState::Left) => MemberView::Left,
-                None => MemberView::Unknown,
-            };
-            members.observer.record_view(now, at, of, held);
+            let view = members.view_of_present(of, status);
+            members.observer.record_view(now, at, of, view);
         }
         for out in outs {
             let Some(to) = number(out.to).filter(|to| (*to as usize) < self.balancers.len()) else {
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -397,95 +397,92 @@
     }
 
     fn build(&mut self) {
-        let scenario = self.scenario;
-        let zones = scenario.zones.len();
-        for (at, tier) in scenario.tier.iter().enumerate() {
-            let calls = tier.calls.as_ref();
-            self.calls
-                .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
-            for upstream in 0..tier.upstreams {
-                let host = self.upstreams.len() as u32;
-                let rng = stream(self.seed, Actor::Upstream, host);
-                let place = (
-                    scenario.zone_in_turn(upstream),
-                    (upstream % u32::from(tier.cells)) as u16,
-                    host,
-                );
-                self.upstreams.push(Upstream::new(
-                    format!("{}-{upstream}", tier.name),
-                    at,
-                    tier,
-                    place,
-                    rng,
-                ));
-                self.hosts.push(host);
-            }
-            self.of_zone.push(vec![Vec::new(); zones]);
+        for tier in 0..self.scenario.tier.len() {
+            self.add_upstreams(tier);
         }
         self.sidecar = vec![None; self.upstreams.len()];
         self.stopped = vec![Vec::new(); self.upstreams.len()];
-        for (at, tier) in scenario.tier.iter().enumerate() {
-            if !tier.sidecar {
-                for balancer in 0..tier.balancers {
-                    let zone = scenario.zone_in_turn(balancer);
-                    let number = self.add_balancer(at, zone);
-                    self.of_zone[at][usize::from(zone)].push(number);
-                }
-                continue;
-            }
-            for host in 0..self.upstreams.len() {
-                if self.calls[self.upstreams[host].tier].is_some_and(|(called, _)| called == at) {
-                    self.sidecar[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
-                }
-            }
+        for tier in 0..self.scenario.tier.len() {
+            self.add_balancers(tier);
+        }
+        if let Some(front) = &self.scenario.front {
+            let (uneven, kept, zones) = (front.uneven, front.kept.0, &self.of_zone[0]);
+            self.front = Some(Front::new(zones, uneven, kept, &mut self.front_rng));
+        }
+        self.plan_faults();
+        for group in 0..self.scenario.callers.len() {
+            self.plan_first_calls(group);
         }
-        if let Some(front) = &scenario.front {
-            let (uneven, kept) = (front.uneven, front.kept.0);
-            self.front = Some(Front::new(
-                &self.of_zone[0],
-                uneven,
-                kept,
-                &mut self.front_rng,
-            ));
+        let step = self.scenario.step.0;
+        self.event_queue.at(step, Event::EndOfStep);
+    }
+
+    fn add_upstreams(&mut self, at: usize) {
+        let scenario = self.scenario;
+        let tier = &scenario.tier[at];
+        let calls = tier.calls.as_ref();
+        self.calls
+            .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
+        for upstream in 0..tier.upstreams {
+            let host = self.upstreams.len() as u32;
+            let cell = (upstream % u32::from(tier.cells)) as u16;
+            let place = (scenario.zone_in_turn(upstream), cell, host);
+            let name = format!("{}-{upstream}", tier.name);
+            let rng = stream(self.seed, Actor::Upstream, host);
+            self.upstreams
+                .push(Upstream::new(name, at, tier, place, rng));
+            self.hosts.push(host);
+        }
+        self.of_zone.push(vec![Vec::new(); scenario.zones.len()]);
+    }
+
+    /// The balancers before a tier: its own, or a sidecar for each upstream that calls it.
+    fn add_balancers(&mut self, at: usize) {
+        let tier = &self.scenario.tier[at];
+        if !tier.sidecar {
+            for balancer in 0..tier.balancers {
+                let zone = self.scenario.zone_in_turn(balancer);
+                let number = self.add_balancer(at, zone);
+                self.of_zone[at][usize::from(zone)].push(number);
+            }
+            return;
         }
-        for (at, fault) in scenario.fault.iter().enumerate() {
-            let place = fault.place.unwrap_or(at as u32);
-            self.faults.push((
-                stream(self.seed, Actor::Fault, place),
-                Vec::new(),
-                Vec::new(),
-            ));
-            self.event_queue.at(
-                fault.at.0,
-                Event::FaultChanges {
-                    fault: at as u32,
-                    begins: true,
-                },
-            );
-            if let Some(until) = fault.until {
-                self.event_queue.at(
-                    until.0,
-                    Event::FaultChanges {
-                        fault: at as u32,
-                        begins: false,
-                    },
-                );
+        for host in 0..self.upstreams.len() {
+            if self.calls[self.upstreams[host].tier].is_some_and(|(called, _)| called == at) {
+                self.sidecar[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
             }
         }
-        for (group, callers) in scenario.callers.iter().enumerate() {
-            match callers.load {
-                Load::Closed { callers, think } => {
-                    for _ in 0..callers {
-                        let wait =
-                            (self.behavior_rngs[group].random::<f64>() * think.0 as f64) as Time;
-                        self.event_queue
-                            .at(wait, Event::ClosedLoopCall(group as u32));
-                    }
-                }
-                _ => self.plan_arrival(group),
+    }
+
+    fn plan_faults(&mut self) {
+        for (fault, planned) in (0..).zip(&self.scenario.fault) {
+            let place = planned.place.unwrap_or(fault);
+            let rng = stream(self.seed, Actor::Fault, place);
+            self.faults.push((rng, Vec::new(), Vec::new()));
+            let begins = Event::FaultChanges {
+                fault,
+                begins: true,
+            };
+            self.event_queue.at(planned.at.0, begins);
+            if let Some(until) = planned.until {
+                let ends = Event::FaultChanges {
+                    fault,
+                    begins: false,
+                };
+                self.event_queue.at(until.0, ends);
             }
         }
-        self.event_queue.at(scenario.step.0, Event::EndOfStep);
+    }
+
+    fn plan_first_calls(&mut self, group: usize) {
+        let Load::Closed { callers, think } = self.scenario.callers[group].load else {
+            return self.plan_arrival(group);
+        };
+        for _ in 0..callers {
+            let wait = (self.behavior_rngs[group].random::<f64>() * think.0 as f64) as Time;
+            let event = Event::ClosedLoopCall(group as u32);
+            self.event_queue.at(wait, event);
+        }
     }
 
     fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
@@ -638,9 +635,7 @@
                 balancer,
                 incarnation,
                 drained,
-            } => {
-                self.roll_balancer(balancer as usize, incarnation, drained);
-            }
+            } => self.roll_balancer(balancer as usize, incarnation, drained),
             Event::FaultChanges { fault, begins } => self.fault_changes(fault as usize, begins),
             Event::RollUpstream {
                 upstream,
@@ -648,13 +643,7 @@
                 fault,
             } => self.roll_upstream(upstream, step, fault as usize),
             Event::UpstreamBoots(upstream) => self.boot_upstream(upstream as usize),
-            Event::DeathNoticed { upstream, process } => {
-                let dead = &self.upstreams[upstream as usize];
-                let there = self.hosts[dead.host as usize] == upstream;
-                if there && !dead.alive && dead.process == process {
-                    self.change_registry(upstream, Lifecycle::Removed);
-                }
-            }
+            Event::DeathNoticed { upstream, process } => self.death_noticed(upstream, process),
             Event::BalancerStarts { balancer, stale } => {
                 self.start_balancer(balancer as usize, stale)
             }
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -21,6 +21,15 @@
         }
     }
 
+    /// The registry notices the death of an upstream's process, unless another has come up since.
+    pub(super) fn death_noticed(&mut self, upstream: u32, process: u32) {
+        let dead = &self.upstreams[upstream as usize];
+        let there = self.hosts[dead.host as usize] == upstream;
+        if there && !dead.alive && dead.process == process {
+            self.change_registry(upstream, Lifecycle::Removed);
+        }
+    }
+
     pub(super) fn change_registry(&mut self, upstream: u32, lifecycle: Lifecycle) {
         let boot_ms = Self::boot_ms(&self.upstreams[upstream as usize]);
         self.changes.push(RegistryChange {
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -4,7 +4,6 @@
 
 impl World<'_> {
     pub(super) fn attempt_arrived(&mut self, event: Event, number: u64) {
-        let now = self.event_queue.now();
         let Some(attempt) = self.attempts.get(number) else {
             return;
         };
@@ -21,52 +20,61 @@
         if self.upstreams[upstream].active_faults.stopped {
             return self.stopped[upstream].push(event);
         }
-        let Some(client_call) = self
-            .requests
-            .get(request)
-            .map(|request| request.client_call)
-        else {
+        let Some((client_call, class)) = self.call_of(request) else {
             return;
         };
-        let Some(class) = self
-            .client_calls
-            .get(client_call)
-            .map(|client_call| client_call.class)
-        else {
-            return;
-        };
-        let mean = self.scenario.class[class].service.mean();
-        let warm = f64::from(self.upstreams[upstream].workers()) * 1e9 / mean;
-        if let Some(part) = self.upstreams[upstream].count_cold(now, warm) {
-            let name = self.upstreams[upstream].name.clone();
-            self.auditor.pushed_over(now, &name, part);
+        if self.is_pushed_over(upstream, class) {
             self.kill_upstream(upstream, false);
-            return self
-                .event_queue
-                .after(OVERLOAD_RECOVERY, Event::UpstreamBoots(upstream as u32));
+            let event = Event::UpstreamBoots(upstream as u32);
+            return self.event_queue.after(OVERLOAD_RECOVERY, event);
         }
         let there = &mut self.upstreams[upstream];
         if there.active_faults.unresponsive {
             return self.drop_attempt(number);
         }
-        let active_faults = there.active_faults.resets;
-        if chance(&mut there.rng, active_faults / 2.0) {
+        let resets = there.active_faults.resets;
+        if chance(&mut there.rng, resets / 2.0) {
             return self.respond(number, Outcome::Reset);
         }
         if there.errs(class) {
             return self.respond(number, Outcome::Error);
         }
-        let name = there.name.clone();
-        match there.take(number) {
+        self.admit(upstream, number, (client_call, class));
+    }
+
+    /// The client call of a request, and its class.
+    fn call_of(&self, request: u64) -> Option<(u64, usize)> {
+        let client_call = self.requests.get(request)?.client_call;
+        let class = self.client_calls.get(client_call)?.class;
+        Some((client_call, class))
+    }
+
+    /// Whether one more request overloads a cold upstream; the auditor hears of it.
+    fn is_pushed_over(&mut self, upstream: usize, class: usize) -> bool {
+        let now = self.event_queue.now();
+        let mean = self.scenario.class[class].service.mean();
+        let there = &mut self.upstreams[upstream];
+        let warm = f64::from(there.workers()) * 1e9 / mean;
+        let Some(part) = there.count_cold(now, warm) else {
+            return false;
+        };
+        self.auditor.pushed_over(now, &there.name, part);
+        true
+    }
+
+    /// An upstream begins work on an attempt, queues it, or turns it away.
+    fn admit(&mut self, upstream: usize, number: u64, (client_call, class): (u64, usize)) {
+        let name = self.upstreams[upstream].name.clone();
+        match self.upstreams[upstream].take(number) {
             Admission::Begun => {
                 self.record_story(client_call, || format!("{name} begins it"));
                 self.begin_work(upstream, number, class);
             }
             Admission::Queued => {
-                let held = self.upstreams[upstream].in_flight();
-                self.meter.queued(held);
+                let in_flight = self.upstreams[upstream].in_flight();
+                self.meter.queued(in_flight);
                 self.record_story(client_call, || {
-                    format!("{name} lets it wait behind {}", held - 1)
+                    format!("{name} lets it wait behind {}", in_flight - 1)
                 });
             }
             Admission::Full => {
