--- a/crates/emulator/src/scenario/bound.rs
+++ b/crates/emulator/src/scenario/bound.rs
@@ -171,6 +171,25 @@
     (all > 0.0).then(|| of / all)
 }
 
+/// The part of the value offered between the warm-up and the first fault that was served.
+fn served_before_faults(scenario: &Scenario, steps: &[TimelineStep]) -> f64 {
+    let (from, until) = (scenario.warm_up.seconds(), scenario.first_fault().seconds());
+    let before = sum(steps, from, until);
+    part(before.value, before.value_offered).unwrap_or(0.0)
+}
+
+/// Seconds from a time until so many log lines of a topic were written, in steps that began after it.
+fn log_lines_after(steps: &[TimelineStep], topic: &str, from: f64, least: u64) -> Option<f64> {
+    let (mut lines, mut begins) = (0, 0.0);
+    steps.iter().find_map(|step| {
+        let before = std::mem::replace(&mut begins, step.until);
+        if before >= from {
+            lines += step.lines.get(topic).copied().unwrap_or(0);
+        }
+        (lines >= least).then_some(step.until - from)
+    })
+}
+
 impl Bound {
     pub(super) fn check(&self, scenario: &Scenario) -> Check {
         let window = |from: &Span, until: &Span| match from < until && *until <= scenario.time {
@@ -233,131 +252,88 @@
 
     /// How it was kept in a run.
     pub fn judge(&self, scenario: &Scenario, end: &RunResult) -> BoundResult {
-        let steps = &end.steps;
-        let kept = |wanted: f64, seen: Option<f64>, kept: bool| BoundResult {
+        match &self.what {
+            Requirement::Served { least: wanted, .. }
+            | Requirement::PartitionsReported { least: wanted, .. } => {
+                self.at_least(*wanted, self.measured(scenario, end))
+            }
+            Requirement::Refused { most: wanted, .. }
+            | Requirement::Stays { most: wanted, .. }
+            | Requirement::Attempts { most: wanted } => {
+                self.at_most(*wanted, self.measured(scenario, end))
+            }
+            Requirement::FalseDeaths { most } => {
+                self.at_most(*most as f64, self.measured(scenario, end))
+            }
+            Requirement::Recovered { within, .. }
+            | Requirement::LogLines { within, .. }
+            | Requirement::DeathsKnown { within }
+            | Requirement::Agreement { within, .. }
+            | Requirement::Out { within, .. } => {
+                self.at_most(within.seconds(), self.measured(scenario, end))
+            }
+        }
+    }
+
+    fn at_least(&self, wanted: f64, seen: Option<f64>) -> BoundResult {
+        self.result(wanted, seen, seen.is_some_and(|seen| seen >= wanted))
+    }
+
+    fn at_most(&self, wanted: f64, seen: Option<f64>) -> BoundResult {
+        self.result(wanted, seen, seen.is_some_and(|seen| seen <= wanted))
+    }
+
+    fn result(&self, wanted: f64, seen: Option<f64>, kept: bool) -> BoundResult {
+        BoundResult {
             name: self.name.clone(),
             wanted,
             seen,
             kept,
-        };
+        }
+    }
+
+    /// What a run shows of it: a part, a count, or seconds; nothing where it never came.
+    fn measured(&self, scenario: &Scenario, end: &RunResult) -> Option<f64> {
+        let (members, evacuated) = (end.members.as_ref(), end.evacuated.as_ref());
         match &self.what {
-            Requirement::Served { from, until, least } => {
-                let sum = sum(steps, from.seconds(), until.seconds());
-                let seen = part(sum.value, sum.value_offered);
-                kept(*least, seen, seen.is_some_and(|seen| seen >= *least))
+            Requirement::Served { from, until, .. } => {
+                let sum = sum(&end.steps, from.seconds(), until.seconds());
+                part(sum.value, sum.value_offered)
             }
-            Requirement::Refused { from, until, most } => {
-                let sum = sum(steps, from.seconds(), until.seconds());
-                let seen = part(sum.refused as f64, sum.offered as f64);
-                kept(*most, seen, seen.is_some_and(|seen| seen <= *most))
+            Requirement::Refused { from, until, .. } => {
+                let sum = sum(&end.steps, from.seconds(), until.seconds());
+                part(sum.refused as f64, sum.offered as f64)
             }
             Requirement::Recovered {
-                from,
-                part: level,
-                within,
+                from, part: level, ..
             } => {
-                let before = sum(
-                    steps,
-                    scenario.warm_up.seconds(),
-                    scenario.first_fault().seconds(),
-                );
-                let level = level * part(before.value, before.value_offered).unwrap_or(0.0);
-                let seen = self.back(steps, from.seconds(), scenario.time.seconds(), level);
-                kept(
-                    within.seconds(),
-                    seen,
-                    seen.is_some_and(|seen| seen <= within.seconds()),
-                )
+                let level = level * served_before_faults(scenario, &end.steps);
+                let until = scenario.time.seconds();
+                self.back(&end.steps, from.seconds(), until, level)
             }
             Requirement::LogLines {
-                topic,
-                from,
-                least,
-                within,
-            } => {
-                let (mut told, mut begins) = (0, 0.0);
-                let seen = steps.iter().find_map(|step| {
-                    let before = std::mem::replace(&mut begins, step.until);
-                    if before >= from.seconds() {
-                        told += step.lines.get(topic).copied().unwrap_or(0);
-                    }
-                    (told >= *least).then_some(step.until - from.seconds())
-                });
-                kept(
-                    within.seconds(),
-                    seen,
-                    seen.is_some_and(|seen| seen <= within.seconds()),
-                )
-            }
-            Requirement::FalseDeaths { most } => {
-                let seen = end.members.as_ref().map(|members| members.false_deaths);
-                kept(
-                    *most as f64,
-                    seen.map(|seen| seen as f64),
-                    seen.is_some_and(|seen| seen <= *most),
-                )
-            }
-            Requirement::DeathsKnown { within } => {
-                let known = end
-                    .members
-                    .as_ref()
-                    .filter(|members| members.never_known == 0);
-                let seen = known.map(|members| members.known_ms.max / 1e3);
-                kept(
-                    within.seconds(),
-                    seen,
-                    seen.is_some_and(|seen| seen <= within.seconds()),
-                )
-            }
+                topic, from, least, ..
+            } => log_lines_after(&end.steps, topic, from.seconds(), *least),
+            Requirement::FalseDeaths { .. } => members.map(|members| members.false_deaths as f64),
+            Requirement::DeathsKnown { .. } => members
+                .filter(|members| members.never_known == 0)
+                .map(|members| members.known_ms.max / 1e3),
             Requirement::Agreement { from, within } => {
-                let (from, within) = (from.seconds(), *within);
-                let members = end.members.as_ref();
-                let seen =
-                    members.and_then(|members| members.together_after(from, within.seconds()));
-                kept(
-                    within.seconds(),
-                    seen,
-                    seen.is_some_and(|seen| seen <= within.seconds()),
-                )
-            }
-            Requirement::PartitionsReported { at, least } => {
-                let looks = end
-                    .members
-                    .iter()
-                    .flat_map(|members| &members.partitions_reported);
-                let seen = looks
-                    .copied()
-                    .find(|(when, _)| *when >= at.seconds())
-                    .map(|(_, part)| part);
-                kept(*least, seen, seen.is_some_and(|seen| seen >= *least))
+                members?.together_after(from.seconds(), within.seconds())
             }
+            Requirement::PartitionsReported { at, .. } => members?
+                .partitions_reported
+                .iter()
+                .find(|(when, _)| *when >= at.seconds())
+                .map(|(_, part)| *part),
             Requirement::Out {
-                zone,
-                from,
-                part,
-                within,
-            } => {
-                let out = end.evacuated.as_ref();
-                let seen = out.and_then(|out| out.out_after(zone, from.seconds(), *part));
-                kept(
-                    within.seconds(),
-                    seen,
-                    seen.is_some_and(|seen| seen <= within.seconds()),
-                )
-            }
+                zone, from, part, ..
+            } => evacuated?.out_after(zone, from.seconds(), *part),
             Requirement::Stays {
-                zone,
-                from,
-                until,
-                most,
-            } => {
-                let out = end.evacuated.as_ref();
-                let seen = out.map(|out| out.most_out(zone, from.seconds(), until.seconds()));
-                kept(*most, seen, seen.is_some_and(|seen| seen <= *most))
-            }
-            Requirement::Attempts { most } => {
-                let seen = part(end.counts.attempts as f64, end.counts.requests as f64);
-                kept(*most, seen, seen.is_some_and(|seen| seen <= *most))
+                zone, from, until, ..
+            } => Some(evacuated?.most_out(zone, from.seconds(), until.seconds())),
+            Requirement::Attempts { .. } => {
+                part(end.counts.attempts as f64, end.counts.requests as f64)
             }
         }
     }
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A small scenario that tests change to their needs.
 
-#![allow(dead_code)] // each test program uses some of it
+#![allow(dead_code, reason = "each test program uses some of it")]
 
 use woadstall_emulator::Scenario;
 
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -57,6 +57,10 @@
         &format!("workers = 2\n{circle}"),
         "goes in a circle",
     );
+}
+
+#[test]
+fn errors_in_faults_are_named() {
     let fault = |what: &str| {
         Scenario::read(&format!("{SMALL}[[fault]]\nat = \"1 s\"\n{what}")).unwrap_err()
     };
