--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -184,7 +184,7 @@
                 .family_info
                 .and_then(|family| family.passes_deadline)
                 .unwrap_or(true),
-            subscribes_to_discovery: subscribes_to_discovery,
+            subscribes_to_discovery,
             subscribe_within: self.safety.poll_within_ns.unwrap_or(0),
             may_cancel: self.limits.cancelling,
             max_retry_after: self.limits.max_retry_after_ns.unwrap_or(0),
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn sound_files_pass_and_faults_are_named_one_line_each() {
+fn valid_files_pass_and_errors_are_one_line_each() {
     let sound = config(refused_address(), &[]);
     let good = file("good.json", &sound.to_string());
     let operator = file("operator.toml", "[plugin]\nconnections = 2\n");
--- a/tests/client_leaves.rs
+++ b/tests/client_leaves.rs
@@ -14,7 +14,7 @@
 
 /// A client whose end stands behind more than is read ahead.
 #[test]
-fn the_end_of_a_client_shows_behind_whatever_it_wrote_ahead() {
+fn a_disconnect_shows_behind_pipelined_bytes() {
     let upstream = Upstream::start(|_| Reaction::Stall);
     let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut client = TcpStream::connect(program.address).unwrap();
@@ -37,7 +37,7 @@
 
 /// What was written far ahead is served in its order once there is room for it.
 #[test]
-fn what_is_written_far_ahead_is_answered_in_order() {
+fn pipelined_requests_have_responses_in_order() {
     let upstream = Upstream::start(|message| {
         Reaction::Respond(ok_response(&String::from_utf8_lossy(&message.body)))
     });
@@ -61,7 +61,7 @@
 
 /// Hundreds at once, closed in order and by a reset; their places and their names are free at once.
 #[test]
-fn a_crowd_that_leaves_frees_its_places_and_names() {
+fn a_crowd_that_disconnects_frees_its_capacity_and_ids() {
     let upstream = Upstream::start(|message| match message.body == b"held" {
         true => Reaction::Stall,
         false => Reaction::Respond(ok_response("served")),
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -42,7 +42,7 @@
 
 /// An answer that never ends, to a client that reads all of it: it is given up at the largest size of any answer.
 #[test]
-fn an_answer_without_end_breaks_off() {
+fn a_response_without_end_is_aborted() {
     let (address, closed) = endless(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         chunk(),
@@ -63,7 +63,7 @@
 
 /// An answer that stands still in its midst.
 #[test]
-fn an_answer_that_stands_still_breaks_off_after_its_deadline() {
+fn a_stalled_response_is_aborted_after_its_deadline() {
     let text = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
         chunk()
@@ -81,7 +81,7 @@
 
 /// A client that reads nothing of a large answer: its upstream is not held beyond the deadline.
 #[test]
-fn an_answer_that_nobody_reads_is_given_up_after_its_deadline() {
+fn a_response_that_nobody_reads_is_given_up_after_its_deadline() {
     let (address, closed) = endless(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         chunk(),
@@ -104,7 +104,7 @@
 /// A client of HTTP/1.0 knows the end of such an answer by the end of the connection: where it breaks off, the
 /// connection is reset.
 #[test]
-fn a_broken_answer_does_not_look_whole_to_an_old_client() {
+fn a_broken_response_does_not_look_complete_to_an_http10_client() {
     let text = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
         chunk()
@@ -126,7 +126,7 @@
 
 /// A large answer that comes to its end in time leaves a connection that may rest for longer than that.
 #[test]
-fn a_connection_rests_after_a_large_answer() {
+fn a_connection_is_reused_after_a_large_response() {
     let text = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n",
         chunk()
@@ -144,7 +144,7 @@
 /// A long answer that its upstream still gives when its time is over is passed on to its end: to cut it off would be the
 /// balancer's fault.
 #[test]
-fn an_answer_that_still_comes_at_its_deadline_is_passed_on_to_its_end() {
+fn a_response_that_still_comes_at_its_deadline_is_forwarded_to_its_end() {
     const PIECES: usize = 8;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -24,7 +24,7 @@
 
 /// A crowd that never asks: calls are served beside it, over new connections on both sides, and the list is followed.
 #[test]
-fn a_crowd_of_idle_clients_keeps_neither_calls_nor_discovery_out() {
+fn a_crowd_of_idle_clients_blocks_neither_calls_nor_discovery() {
     let (first, second) = (
         Upstream::start(|_| Reaction::Respond(ok_response("first"))),
         Upstream::start(|_| Reaction::Respond(ok_response("second"))),
@@ -42,7 +42,7 @@
 
 /// A client in the midst of a head is not sent away for another one that only connects.
 #[test]
-fn a_client_that_has_begun_a_request_is_not_the_one_to_go() {
+fn a_client_that_has_begun_a_request_is_not_disconnected() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
     let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = DESCRIPTORS.into(); // room for twenty callers
@@ -80,7 +80,7 @@
 
 /// Connections that are being closed while their clients still hold them give way to those that are taken.
 #[test]
-fn connections_that_linger_take_no_descriptors_from_others() {
+fn lingering_connections_take_no_descriptors_from_others() {
     const CALLERS: usize = 68;
     let upstream = Upstream::start(|message| match message.body == b"held" {
         true => Reaction::Stall,
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -73,7 +73,7 @@
 
 /// A watch that falls silent, and the one that is opened anew as well.
 #[test]
-fn two_silent_watches_in_a_row_are_given_up_in_time() {
+fn two_unresponsive_polls_in_a_row_are_given_up_in_time() {
     let two = Two::start();
     let list = two.list(5);
     let discovery = scripted(move |call, _| match call {
@@ -97,7 +97,7 @@
 /// Where discovery is asked, a watch may wait, and a change counts as told 2 s after that wait: a silent one is opened anew
 /// at once, with no wait for a turn before it.
 #[test]
-fn a_silent_watch_on_a_service_that_is_asked_is_opened_anew_in_time() {
+fn an_unresponsive_poll_of_a_shared_service_is_repeated_in_time() {
     let two = Two::start();
     let list = two.list(5);
     let discovery = scripted(move |call, _| match call {
@@ -129,7 +129,7 @@
 
 /// Balancers that start together do not come together again and again: each watch has its own wait.
 #[test]
-fn watches_on_a_service_that_is_asked_are_spread() {
+fn polls_of_a_shared_service_are_spread() {
     let unchanged = r#"{"rev":1,"all":false,"targets":[]}"#;
     let discovery = scripted(move |_, _| Reaction::Respond(ok_response(unchanged)));
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
@@ -141,7 +141,7 @@
 
 /// Where discovery is asked: a dial that never comes up is given up, not waited for as long as a watch.
 #[test]
-fn a_dial_that_never_comes_up_is_given_up_in_time() {
+fn a_connection_that_is_never_established_is_given_up_in_time() {
     let two = Two::start();
     let late = StalledListener::start();
     let mut program = Program::start(&asked(two.config(late.address())));
@@ -226,7 +226,7 @@
 
 /// A whole list that is answered to a watch removes what it does not name, whatever its version.
 #[test]
-fn a_whole_list_removes_what_it_does_not_name() {
+fn a_complete_list_removes_what_it_does_not_name() {
     for rev in [0, 1, 9] {
         let two = Two::start();
         let list = two.list(rev);
@@ -240,7 +240,7 @@
 
 /// Versions that go back again and again, with never a whole list: nonsense is not asked for in a loop.
 #[test]
-fn nonsense_is_not_asked_for_in_a_loop() {
+fn nonsense_is_not_polled_in_a_loop() {
     let discovery =
         scripted(|_, _| Reaction::Respond(ok_response(r#"{"rev":0,"all":false,"targets":[]}"#)));
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
@@ -258,7 +258,7 @@
 
 /// After a SIGHUP, what the former address still answers is dropped, and a lower version at the new one is no error.
 #[test]
-fn a_late_answer_of_the_former_address_is_dropped() {
+fn a_late_response_of_the_former_address_is_dropped() {
     let two = Two::start();
     let answering = Arc::new(Barrier::new(2));
     let (hold, former_list) = (
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_operator_s_word_at_one_is_carried_out_by_all() {
+fn an_order_at_one_balancer_is_followed_by_all() {
     let folder = folder("words");
     let (_upstreams, config) = upstreams();
     let (one, admin, at) = start(&folder, "balancer-one", "", &config);
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -52,7 +52,7 @@
 
 /// Two find each other; operators see it by command, figures and a line; the one that is told to stop leaves.
 #[test]
-fn operators_see_who_is_there() {
+fn operators_see_the_members() {
     let folder = folder();
     let (mut one, admin, at) = start(&folder, "balancer-one", "");
     let (two, other, _) = start(&folder, "balancer-two", &format!("{at:?}"));
@@ -100,7 +100,7 @@
 
 /// What cannot work is refused before anything listens, by the field and the file.
 #[test]
-fn what_is_wrong_is_named() {
+fn an_invalid_file_is_rejected_by_its_field() {
     let folder = std::env::temp_dir().join(format!("woadstall-members-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("operator.toml");
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -7,7 +7,7 @@
 use woadstall_mock_servers::http1::*;
 
 #[test]
-fn ready_is_told_at_the_second_address_alone() {
+fn readiness_is_reported_at_the_admin_address_alone() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn figures_are_what_callers_got() {
+fn counters_are_what_callers_got() {
     let upstream = Upstream::start(|message| match message.start_line.as_str() {
         line if line.contains("look") => Reaction::Respond(ok_response("seen")),
         line if line.contains("pay") => Reaction::Respond(overloaded_response()),
@@ -64,7 +64,7 @@
 
 /// Guards against a few silent connections that keep operators out when they are needed.
 #[test]
-fn held_connections_keep_no_operator_out() {
+fn open_connections_keep_no_operator_out() {
     let (_program, admin) = Program::start_with_admin(&config(refused_address(), &[]));
     let held: Vec<_> = (0..50)
         .map(|_| {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_drain_sends_clients_away_and_turns_no_request_back() {
+fn out_of_service_disconnects_clients_and_loses_no_request() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn classes_come_and_go_at_a_reload_and_requests_under_way_keep_theirs() {
+fn classes_change_at_a_reload_and_requests_in_flight_keep_theirs() {
     let upstream = Upstream::start(|message| match message.start_line.contains("look") {
         true => Reaction::Respond(ok_response("seen")),
         false => Reaction::Stall,
@@ -226,7 +226,7 @@
 
 /// Guards rule 2 over a change: what is stricter holds for each request that comes after it.
 #[test]
-fn a_stricter_effect_and_fewer_attempts_hold_after_a_reload() {
+fn a_stricter_effect_and_fewer_attempts_apply_after_a_reload() {
     let upstream = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
     let before = config(refused_address(), &in_service(&[&upstream]));
     let (mut program, _) = Program::start_with_admin(&before);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_broken_file_changes_nothing_and_is_counted() {
+fn an_invalid_file_changes_nothing_and_is_counted() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("seen")));
     let good = config(refused_address(), &in_service(&[&upstream]));
     let (mut program, admin) = Program::start_with_admin(&good);
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn large_bodies_and_answers_pass_unchanged_and_their_connections_are_used_again() {
+fn large_bodies_and_responses_pass_unchanged_and_connections_are_reused() {
     let answer = large(3 << 20);
     let chunked = {
         let parts = answer.as_bytes().chunks(100_000).map(|part| {
@@ -343,7 +343,7 @@
 
 /// Guards the memory: answers of many callers that read nothing must not be held here.
 #[test]
-fn answers_that_nobody_reads_take_no_memory() {
+fn responses_that_nobody_reads_take_no_memory() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response(&large(16 << 20))));
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_shows_to_its_caller_and_is_not_tried_again() {
+fn a_broken_response_shows_to_its_caller_and_is_not_retried() {
     let broken = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{}",
         large(200_000)
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn bodies_beyond_the_memory_are_refused_and_slow_ones_waited_for() {
+fn bodies_beyond_the_memory_are_rejected_and_slow_ones_awaited() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let mut settings = config(refused_address(), &in_service(&[&upstream]));
     settings["limits"]["memory_mb"] = 24.into();
@@ -469,7 +469,7 @@
 
 /// Guards the start: whatever is at the path where a predecessor would be, the new process serves.
 #[test]
-fn a_predecessor_that_hangs_or_talks_nonsense_holds_up_no_start() {
+fn a_predecessor_that_hangs_or_sends_nonsense_delays_no_start() {
     use std::io::Write;
     let folder = shared("nonsense");
     let environment = [("TMPDIR", folder.to_str().unwrap().to_owned())];
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_keyed_request_under_way_is_repeated_while_its_terms_stay() {
+fn a_keyed_request_in_flight_is_retried_while_its_settings_stay() {
     assert_eq!(changed_under_way(|_| {}), (200, 1));
     // A longer window is not its own.
     assert_eq!(
@@ -81,7 +81,7 @@
 
 /// Guards rule 2: upstreams may go by the new terms already.
 #[test]
-fn stricter_terms_hold_for_a_keyed_request_under_way() {
+fn stricter_settings_apply_to_a_keyed_request_in_flight() {
     assert_eq!(
         changed_under_way(|class| class["Effect"] = json!("non_idempotent")),
         (502, 0)
@@ -94,7 +94,7 @@
 
 /// A class that changes its place in the settings, or its name, leaves the requests under way as they are.
 #[test]
-fn positions_and_names_may_change_under_way() {
+fn positions_and_names_may_change_while_requests_are_in_flight() {
     let Breaking {
         upstream,
         held,
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -37,7 +37,7 @@
 
 /// What a client has written ahead was taken, and comes before the end of its connection.
 #[test]
-fn requests_written_ahead_are_answered_before_the_connection_ends() {
+fn pipelined_requests_have_responses_before_the_connection_ends() {
     let (upstream, let_go) = holding();
     let (program, operators) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
@@ -65,7 +65,7 @@
 /// A request that crosses the close of a resting connection is dropped: it is never sent on, and not answered with a
 /// reset, which would overtake what was written last.
 #[test]
-fn a_request_that_crosses_the_close_finds_an_orderly_end() {
+fn a_request_that_crosses_the_close_finds_a_graceful_end() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut resting = TcpStream::connect(program.address).unwrap();
@@ -100,7 +100,7 @@
 
 /// Half a head that stands there at the signal is waited for, and the request is served.
 #[test]
-fn a_head_that_has_begun_may_come_to_its_end() {
+fn a_head_that_has_begun_may_be_completed() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
     let (program, operators) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
@@ -122,7 +122,7 @@
 
 /// Neither a second SIGTERM nor a SIGHUP cuts a drain short.
 #[test]
-fn further_signals_during_a_drain_change_nothing() {
+fn further_signals_while_draining_change_nothing() {
     let (upstream, let_go) = holding();
     let before = config(refused_address(), &in_service(&[&upstream]));
     let (program, operators) = Program::start_with_admin(&before);
@@ -145,7 +145,7 @@
 
 /// Nothing is owed to idle clients: they hold up no exit, though they never close.
 #[test]
-fn exits_soon_where_nothing_is_owed() {
+fn exits_soon_where_nothing_is_outstanding() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut idle: Vec<Caller> = (0..8).map(|_| program.connect()).collect();
@@ -166,7 +166,7 @@
 
 /// A client that sends more than it was answered for: its body is unread when it is refused, and the refusal arrives.
 #[test]
-fn a_refusal_arrives_whole_though_the_body_is_not_read() {
+fn a_rejection_arrives_complete_though_the_body_is_not_read() {
     let upstream = Upstream::start(|_| Reaction::Stall);
     let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 104.into(); // room for twenty callers
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn forwards_a_request_and_its_answer_unchanged() {
+fn forwards_a_request_and_its_response_unchanged() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("the answer")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn uses_a_connection_again() {
+fn reuses_a_connection() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn never_sends_unsafe_work_again_that_may_have_run() {
+fn does_not_retry_a_non_idempotent_request_that_may_have_run() {
     let partial = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part";
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     let vague = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn sends_keyed_work_again_after_an_answer_that_broke_off() {
+fn retries_a_keyed_request_after_a_broken_response() {
     let partial = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part";
     for first in ["", partial] {
         let upstream = Upstream::start(once(Reaction::RespondAndClose(first.into())));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn sends_unsafe_work_again_that_never_ran() {
+fn retries_a_non_idempotent_request_that_never_ran() {
     let upstream = Upstream::start(once(Reaction::Respond(overloaded_response())));
     assert_eq!(
         served_by(&upstream).call("post").status(),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn refuses_with_advice_when_all_upstreams_turn_work_away() {
+fn rejects_with_retry_after_when_all_upstreams_reject() {
     let upstream = Upstream::start(|_| Reaction::Respond(overloaded_response()));
     let answer = served_by(&upstream).call("post");
     assert_eq!(answer.status(), 503);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn answers_in_time_where_an_upstream_is_silent() {
+fn responds_in_time_where_an_upstream_is_unresponsive() {
     let upstream = Upstream::start(|_| Reaction::Stall);
     let program = served_by(&upstream);
     let asked = Instant::now();
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn withdraws_the_attempt_of_a_caller_that_left() {
+fn cancels_the_attempt_of_a_caller_that_disconnected() {
     let upstream = Upstream::start(|_| Reaction::Stall);
     let program = served_by(&upstream);
     let mut caller = program.connect();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn answers_bad_requests_itself() {
+fn responds_to_bad_requests_itself() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = served_by(&upstream);
     let good = named_request("9b1f03aa5c7e2d41", "pay", "1.0", "body");
@@ -224,7 +224,7 @@
 
 /// Guards against a request hidden in the body of another: one side goes by the length, the other by the chunks.
 #[test]
-fn refuses_a_request_with_both_lengths() {
+fn rejects_a_request_with_both_lengths() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = served_by(&upstream);
     let hidden = format!("0\r\n\r\n{}", request("post", LONG_BUDGET, "hidden"));
@@ -262,7 +262,7 @@
 
 /// Guards the places and the memory: a request is owed within a few seconds, and a head has an end.
 #[test]
-fn sends_callers_away_that_never_finish_a_request() {
+fn disconnects_callers_that_never_complete_a_request() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = served_by(&upstream);
     let good = request("pay", LONG_BUDGET, "body");
@@ -305,7 +305,7 @@
 
 /// Guards usual clients against crowds: those that have never asked go first.
 #[test]
-fn a_silent_crowd_pushes_out_nobody_else() {
+fn a_crowd_without_requests_displaces_nobody_else() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 100.into();
@@ -324,7 +324,7 @@
 
 /// Guards against answers that cannot be told apart.
 #[test]
-fn refuses_a_second_request_of_the_same_name() {
+fn rejects_a_second_request_with_an_open_id() {
     let upstream = Upstream::start(|_| Reaction::Stall);
     let program = served_by(&upstream);
     let same = named_request("9b1f03aa5c7e2d41", "post", LONG_BUDGET, "b");
@@ -348,7 +348,7 @@
 /// Guards against a request whose time begins only once the one in front of it is answered, and against a
 /// caller whose leaving is not seen behind what it has sent ahead.
 #[test]
-fn a_request_behind_another_has_its_time_and_its_caller() {
+fn a_pipelined_request_has_its_own_time_and_caller() {
     let upstream = Upstream::start(|message| match message.body == b"quick" {
         true => Reaction::Respond(ok_response("quick")),
         false => Reaction::Stall,
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn does_not_pass_on_an_answer_that_is_too_large() {
+fn does_not_forward_a_response_that_is_too_large() {
     let head = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
         (32 << 20) + 1
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn asks_discovery_again_after_a_failure() {
+fn calls_discovery_again_after_a_failure() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let failure = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     let nonsense = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{\"rev\":";
@@ -458,7 +458,7 @@
 
 /// Guards the memory where upstreams are ever new: what is gone is forgotten.
 #[test]
-fn forgets_upstreams_that_are_gone() {
+fn removes_upstreams_that_are_delisted() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&upstream])));
@@ -479,7 +479,7 @@
 
 /// Guards against answers that belong to nobody: the next request must not be given one.
 #[test]
-fn takes_no_answer_for_another_request() {
+fn does_not_take_a_response_for_that_of_another_request() {
     for more in [ok_response("stale"), "noise".into()] {
         let together = ok_response("first") + &more;
         for first in [
@@ -508,7 +508,7 @@
 /// Guards the caller against answers that can't be read or have no end: they have failed, and their connection
 /// is of no further use.
 #[test]
-fn gives_up_spoilt_answers_at_once() {
+fn gives_up_malformed_responses_at_once() {
     let endless = format!(
         "HTTP/1.1 200 OK\r\n{}",
         "X-Pad: pppppppppp\r\n".repeat(2000)
@@ -531,7 +531,7 @@
 
 /// Guards upstreams against being held at fault for a caller's request, and against getting it again.
 #[test]
-fn passes_on_that_a_request_is_at_fault() {
+fn forwards_client_errors() {
     let upstream = Upstream::start(|message| match message.body == b"bad" {
         true => {
             Reaction::Respond("HTTP/1.1 422 Unprocessable\r\nContent-Length: 3\r\n\r\nwhy".into())
@@ -583,7 +583,7 @@
 }
 
 #[test]
-fn sends_nothing_new_to_an_upstream_that_drains_or_is_gone() {
+fn sends_nothing_new_to_an_upstream_that_is_draining_or_removed() {
     let (old, new) = (
         Upstream::start(|_| Reaction::Respond(ok_response(""))),
         Upstream::start(|_| Reaction::Respond(ok_response(""))),
@@ -620,7 +620,7 @@
 }
 
 #[test]
-fn gives_up_an_idle_caller_for_a_new_one_and_refuses_when_all_are_busy() {
+fn closes_an_idle_connection_for_a_new_one_and_rejects_when_all_are_busy() {
     let upstream = Upstream::start(|message| match message.start_line.starts_with("GET") {
         true => Reaction::Respond(ok_response("")),
         false => Reaction::Stall,
@@ -665,13 +665,16 @@
 }
 
 #[test]
-fn stops_only_after_all_is_answered() {
+fn stops_only_after_all_requests_have_responses() {
     // On a machine too busy to ask in time, a try tells nothing.
-    assert!((0..20).any(|_| stops_in_order()), "no try was fast enough");
+    assert!(
+        (0..20).any(|_| shuts_down_gracefully()),
+        "no try was fast enough"
+    );
 }
 
 /// Whether the calls after the signal came early enough to judge by.
-fn stops_in_order() -> bool {
+fn shuts_down_gracefully() -> bool {
     let held = Arc::new(Barrier::new(2));
     let gate = held.clone();
     let upstream = Upstream::start(move |message| {
@@ -716,7 +719,7 @@
 }
 
 #[test]
-fn names_the_field_that_is_wrong_in_its_configuration() {
+fn names_the_invalid_field_of_its_configuration() {
     let good = config(refused_address(), &[]);
     let break_at = |path: &str, value: serde_json::Value| {
         let mut config = good.clone();
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -21,7 +21,7 @@
 
 /// The time that is told counts down while the connection comes up.
 #[test]
-fn the_budget_is_told_as_of_the_first_byte() {
+fn the_budget_is_that_at_the_first_byte() {
     let mut late = StalledListener::start();
     let program = Program::start(&config(
         refused_address(),
@@ -44,7 +44,7 @@
 
 /// Where attempts may not be cancelled, one that has not begun is still given up with its caller.
 #[test]
-fn nothing_begins_for_a_caller_that_left_while_it_was_dialled() {
+fn no_attempt_begins_for_a_caller_that_disconnected_while_connecting() {
     for cancelling in [true, false] {
         let mut late = StalledListener::start();
         let mut config = config(
@@ -67,7 +67,7 @@
 
 /// The second attempt of a keyed request is dialled within the window of the first, and comes up after it.
 #[test]
-fn keyed_work_is_not_repeated_on_a_connection_that_came_up_after_its_window() {
+fn a_keyed_request_is_not_retried_on_a_connection_established_after_its_window() {
     let (first_holds, first_ends) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
     let (holds, ends) = (first_holds.clone(), first_ends.clone());
     let first = Upstream::start(move |_| {
@@ -102,7 +102,7 @@
 
 /// An upstream that turns a request away before it has read it, and never reads the rest.
 #[test]
-fn an_early_answer_is_taken_though_the_request_is_not_written_to_its_end() {
+fn an_early_response_is_taken_though_the_request_is_not_written_to_its_end() {
     let hasty = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = hasty.local_addr().unwrap();
     let served = Upstream::start(|_| Reaction::Respond(ok_response("served")));
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -126,7 +126,7 @@
 
 /// An answer whose end is that of its connection, and a reset instead of that end, with all of it written before.
 #[test]
-fn a_reset_is_no_end_of_an_answer() {
+fn a_reset_is_not_the_end_of_a_response() {
     may_have_run(|mut stream| {
         read_request(&mut stream);
         stream
@@ -140,7 +140,7 @@
 
 /// The same with an answer that is passed on as it comes: its caller can tell that it is not whole.
 #[test]
-fn a_reset_is_no_end_of_a_large_answer() {
+fn a_reset_is_not_the_end_of_a_large_response() {
     let (first, _connected) = raw(|mut stream| {
         read_request(&mut stream);
         let head = "HTTP/1.1 200 OK\r\n\r\n";
@@ -161,7 +161,7 @@
 
 /// A connection that comes up after its time: the attempt went elsewhere, and nothing is written to it.
 #[test]
-fn a_connection_that_comes_up_too_late_is_not_written_to() {
+fn a_connection_established_too_late_is_not_written_to() {
     let mut late = StalledListener::start();
     let pair = Pair::start(late.address());
     assert_eq!(served_of_two(&pair, "post", "b"), 2);
@@ -171,7 +171,7 @@
 
 /// Told to drain while a connection to it comes up: nothing is written to it.
 #[test]
-fn nothing_begins_at_an_upstream_that_drains_while_it_is_dialled() {
+fn no_attempt_begins_at_an_upstream_that_drains_while_connecting() {
     let mut late = StalledListener::start();
     let other = Upstream::start(|_| Reaction::Respond(ok_response("other")));
     let discovery = Discovery::start();
@@ -228,7 +228,7 @@
 /// Once an upstream was seen to break the protocol, a connection rests before its next request: what comes meanwhile is
 /// taken for no answer.
 #[test]
-fn a_second_answer_is_not_taken_for_that_of_the_next_request() {
+fn a_second_response_is_not_taken_for_that_of_the_next_request() {
     const REST: Duration = Duration::from_millis(20);
     let program = Program::start(&config(
         refused_address(),
