--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -70,7 +70,7 @@
 
     pub(super) fn execute(&mut self, at: usize, command: Command<Ticket, ()>) {
         match command {
-            Command::SendAttempt(send) => self.send(at, &send),
+            Command::SendAttempt(send) => self.dispatch(at, &send),
             Command::CancelAttempt { id, attempt } => self.withdraw(id, attempt),
             Command::Respond {
                 request: Ticket(request),
@@ -229,182 +229,6 @@
                 .any(|link| link.partitioned)
     }
 
-    pub(super) fn send(&mut self, at: usize, send: &SendAttempt) {
-        let now = self.event_queue.now();
-        let host = Self::host_by_address(send.to.address);
-        let request = self.request_by_id(send.id);
-        self.auditor.sent(now, request, at, host);
-        let Some(&upstream) = self.hosts.get(host as usize) else {
-            return;
-        };
-        let upstream = upstream as usize;
-        let Some(known) = self.requests.get_mut(request) else {
-            return;
-        };
-        known.attempts += 1;
-        let client_call = known.client_call;
-        let other_zone = self.balancers[at].zone != self.upstreams[upstream].zone;
-        self.meter.sent(send.attempt, other_zone, host);
-        let tier = self.balancers[at].tier;
-        if send.attempt > 0 {
-            self.prices.pay(now, tier, Cost::Retries, at);
-        }
-        if other_zone {
-            self.prices.pay(now, tier, Cost::Crossings, at);
-        }
-        let balancer = &mut self.balancers[at];
-        if balancer.links.len() <= host as usize {
-            balancer.links.resize(
-                self.hosts.len().max(host as usize + 1),
-                ConnectionPool::default(),
-            );
-        }
-        let (there, process) = (&self.upstreams[upstream], self.upstreams[upstream].process);
-        let server = send.to.server.0 as usize;
-        if balancer.hosts.len() <= server {
-            balancer.hosts.resize(server + 1, u32::MAX);
-        }
-        balancer.hosts[server] = host;
-        let links = &mut balancer.links[host as usize];
-        let (mut closed, former) = (0, links.process);
-        if links.process != process {
-            closed = links.idle;
-            *links = ConnectionPool {
-                epoch: links.epoch + 1,
-                process,
-                idle: 0,
-                idle_since: 0,
-            };
-        }
-        let http2 = self.scenario.limits.http2;
-        let fresh = links.idle > 0 && now - links.idle_since < self.scenario.limits.idle.0;
-        let kept = fresh && there.alive;
-        if kept && !http2 {
-            links.idle -= 1;
-        } else if !fresh {
-            closed += std::mem::take(&mut links.idle);
-        }
-        let epoch = links.epoch;
-        self.closed(at, host as usize, former, closed);
-        let has_socket = kept || self.may_open(at);
-        let mut crowded = false;
-        if !kept && has_socket {
-            self.balancers[at].open += 1;
-            crowded = self.upstreams[upstream].alive && !self.upstreams[upstream].connect();
-            let price = if crowded {
-                Cost::ConnectionsRefused
-            } else {
-                Cost::Handshakes
-            };
-            self.prices.pay(now, tier, price, at);
-            if crowded {
-                self.balancers[at].open -= 1; // refused before it was one
-            }
-        }
-        let attempt = Attempt {
-            request,
-            number: send.attempt,
-            balancer: at as u32,
-            upstream: upstream as u32,
-            host,
-            process,
-            epoch,
-            out: true,
-            there: true,
-            socket: has_socket && !crowded,
-            fresh: !kept,
-            calls: 0,
-            spoilt: false,
-            sent: now,
-        };
-        let number = self.attempts.add(attempt);
-        if let Some(known) = self.requests.get_mut(request) {
-            known.out.push((send.attempt, number));
-        }
-        let name = &self.upstreams[upstream].name;
-        let text = format!(
-            "balancer {at} sends attempt {} to {name} (host {host})",
-            send.attempt
-        );
-        self.record_story(client_call, || text);
-        let until = self.balancers[at].world(send.until);
-        self.event_queue.at(until, Event::AttemptExpired(number));
-        if !has_socket {
-            self.drop_attempt(number);
-            return self.event_queue.after(
-                0,
-                Event::ResponseArrived {
-                    attempt: number,
-                    outcome: Outcome::Moot,
-                },
-            );
-        }
-        let way = self.delay(at, upstream, true);
-        let lost = self.is_lost(at, upstream, true);
-        let reset = chance(
-            &mut self.balancers[at].network,
-            self.scenario.network.resets,
-        );
-        let trips = Time::from(self.scenario.tier[tier].connections.trips);
-        let connect = if kept { 0 } else { 2 * way * trips };
-        let bytes = self
-            .client_calls
-            .get(client_call)
-            .map_or(0.0, |client_call| {
-                self.scenario.class[client_call.class].bytes
-            });
-        let rate = self.scenario.network.bytes_per_second;
-        let body = if rate > 0.0 {
-            (bytes / rate * 1e9) as Time
-        } else {
-            0
-        };
-        let alive = self.upstreams[upstream].alive;
-        let partitioned = lost
-            || self.is_partitioned(at, upstream, true)
-            || !kept && self.is_partitioned(at, upstream, false);
-        // A list may name a process that is no longer there; what listens at its address takes the request.
-        match (alive, partitioned) {
-            (_, true) if !kept => {
-                let outcome = Outcome::ConnectFailed;
-                self.drop_attempt(number);
-                self.event_queue.after(
-                    self.scenario.limits.connect.0,
-                    Event::ResponseArrived {
-                        attempt: number,
-                        outcome,
-                    },
-                );
-            }
-            (_, true) => self.drop_attempt(number),
-            (alive, false) if !alive || crowded => {
-                let outcome = Outcome::ConnectFailed;
-                self.drop_attempt(number);
-                self.event_queue.after(
-                    2 * way,
-                    Event::ResponseArrived {
-                        attempt: number,
-                        outcome,
-                    },
-                );
-            }
-            (_, false) if reset => {
-                self.drop_attempt(number);
-                let outcome = Outcome::Reset;
-                self.event_queue.after(
-                    connect + way,
-                    Event::ResponseArrived {
-                        attempt: number,
-                        outcome,
-                    },
-                );
-            }
-            (_, false) => self
-                .event_queue
-                .after(connect + way + body, Event::AttemptArrived(number)),
-        }
-    }
-
     /// The request that a balancer's number stands for: the latest of that number.
     pub(super) fn request_by_id(&self, id: RequestId) -> u64 {
         let next = self.requests.next();
@@ -457,43 +281,13 @@
         };
         attempt.out = false;
         let (request, at, tries) = (attempt.request, attempt.balancer as usize, attempt.number);
-        let (host, process, epoch, upstream) = (
-            attempt.host as usize,
-            attempt.process,
-            attempt.epoch,
-            attempt.upstream as usize,
-        );
-        let socket = attempt.socket;
         let took = self.event_queue.now() - attempt.sent;
         let mut client_call = 0;
         if let Some(known) = self.requests.get_mut(request) {
             known.out.retain(|(_, out)| *out != number);
             client_call = known.client_call;
         }
-        let whole = matches!(
-            outcome,
-            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined
-        );
-        let now = self.event_queue.now();
-        let http2 = self.scenario.limits.http2;
-        let mut kept = false;
-        if let Some(links) = self.balancers[at].links.get_mut(host)
-            && whole
-            && links.epoch == epoch
-            && links.process == process
-            && self.upstreams[upstream].process == process
-        {
-            links.idle = if http2 {
-                1
-            } else {
-                links.idle.saturating_add(1)
-            };
-            links.idle_since = now;
-            kept = true;
-        }
-        if socket && !kept {
-            self.closed(at, host, process, 1);
-        }
+        self.release_connection(number, outcome);
         self.record_story(client_call, || {
             format!(
                 "balancer {at} has {} for attempt {tries} after {:.1} ms",
@@ -501,25 +295,53 @@
                 took as f64 / 1e6
             )
         });
-        let answer = (outcome == Outcome::Ok).then_some(());
-        let ended = AttemptEnd {
-            outcome,
-            response: answer,
-            load: None,
-        };
         if self.balancers[at].alive {
-            self.handle_input(
-                at,
-                Input::AttemptEnded {
-                    id: RequestId(request as u32),
-                    attempt: tries,
-                    end: ended,
-                },
-            );
+            let end = AttemptEnd {
+                outcome,
+                response: (outcome == Outcome::Ok).then_some(()),
+                load: None,
+            };
+            let input = Input::AttemptEnded {
+                id: RequestId(request as u32),
+                attempt: tries,
+                end,
+            };
+            self.handle_input(at, input);
         }
         self.forget_attempt(number);
     }
 
+    /// The connection of an attempt is idle again where its answer came whole from the process that it went to, and
+    /// is closed otherwise.
+    fn release_connection(&mut self, number: u64, outcome: Outcome) {
+        let Some(attempt) = self.attempts.get(number) else {
+            return;
+        };
+        let (at, host) = (attempt.balancer as usize, attempt.host as usize);
+        let (process, epoch, socket) = (attempt.process, attempt.epoch, attempt.socket);
+        let is_complete = matches!(
+            outcome,
+            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined
+        );
+        let is_same_process = self.upstreams[attempt.upstream as usize].process == process;
+        let (now, http2) = (self.event_queue.now(), self.scenario.limits.http2);
+        if let Some(pool) = self.balancers[at].links.get_mut(host)
+            && is_complete
+            && is_same_process
+            && pool.epoch == epoch
+            && pool.process == process
+        {
+            pool.idle = if http2 {
+                1
+            } else {
+                pool.idle.saturating_add(1)
+            };
+            pool.idle_since = now;
+        } else if socket {
+            self.closed(at, host, process, 1);
+        }
+    }
+
     pub(super) fn response_arrived(&mut self, event: Event, number: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get(number).filter(|attempt| attempt.out) else {
             return self.drop_attempt(number);
