--- a/crates/cluster-test/src/main.rs
+++ b/crates/cluster-test/src/main.rs
@@ -131,7 +131,7 @@
     Ok(left.len())
 }
 
-fn act(command: Command) -> Result<u8, String> {
+fn act(command: Command) -> Result<u8, Box<dyn std::error::Error>> {
     match command {
         Command::Run {
             scenario,
@@ -179,7 +179,7 @@
             }
             let played = match played {
                 None => return Ok(130),
-                Some(Err(Failure::Wrong(text))) => return Err(text),
+                Some(Err(Failure::Wrong(text))) => return Err(text.into()),
                 Some(Err(Failure::TooSlow(text))) => {
                     warn!("too slow, no verdict: {text}");
                     return Ok(4);
@@ -259,13 +259,13 @@
             sockets,
             memory_mb,
             program,
-        } => Err(launch(parent, Limits { sockets, memory_mb }, &program).to_string()),
+        } => Err(launch(parent, Limits { sockets, memory_mb }, &program).into()),
     }
 }
 
 /// The last row of a file.
-fn last(path: &Path) -> Result<Row, String> {
+fn last(path: &Path) -> Result<Row, Box<dyn std::error::Error>> {
     rows::read(path)?
         .pop()
-        .ok_or_else(|| format!("{}: no rows", path.display()))
+        .ok_or_else(|| format!("{}: no rows", path.display()).into())
 }
--- a/crates/emulator-cli/src/compare.rs
+++ b/crates/emulator-cli/src/compare.rs
@@ -11,6 +11,12 @@
 /// Resamples of the bootstrap.
 const RESAMPLES: usize = 10_000;
 
+/// Resamples that lie on each side of the interval: 2.5%.
+const TAIL: usize = RESAMPLES / 40;
+
+/// Seed of the resamples.
+const BOOTSTRAP_SEED: u64 = 95;
+
 /// What is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Figure {
@@ -66,70 +72,127 @@
     }
 }
 
-/// Pairs the rows of two sides. A row without its pair on the other side is an error: chance of the seeds would
-/// come into the difference.
-pub fn compare(left: &[&Row], right: &[&Row], figure: Figure) -> Result<Vec<Difference>, String> {
-    type Place<'a> = (&'a str, &'a Set);
-    fn place(row: &Row) -> Place<'_> {
-        (row.key.scenario.as_str(), &row.key.set)
+/// Why two sides could not be compared.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CompareError {
+    /// One side has two rows of a scenario and seed.
+    #[error("{scenario}, seed {seed}: there twice on one side")]
+    Duplicate {
+        /// The scenario.
+        scenario: String,
+        /// The seed.
+        seed: u64,
+    },
+    /// A row has no pair: chance of the seeds would come into the difference.
+    #[error("{scenario}, seed {seed}: on one side only")]
+    Unpaired {
+        /// The scenario.
+        scenario: String,
+        /// The seed.
+        seed: u64,
+    },
+    /// The digests of a pair differ.
+    #[error("{scenario}: the two sides ran different scenarios of this name")]
+    DifferentScenarios {
+        /// The scenario.
+        scenario: String,
+    },
+    /// Neither side has rows.
+    #[error("nothing to compare")]
+    Empty,
+}
+
+/// A scenario, with the keys that were set in it.
+type ScenarioKey<'a> = (&'a str, &'a Set);
+
+/// The rows of both sides for one seed.
+#[derive(Default)]
+struct Pair<'a> {
+    left: Option<&'a Row>,
+    right: Option<&'a Row>,
+}
+
+/// The pairs of each scenario, by seed.
+type Pairs<'a> = BTreeMap<ScenarioKey<'a>, BTreeMap<u64, Pair<'a>>>;
+
+/// Compares two sides, scenario by scenario, with their rows paired by seed.
+///
+/// # Errors
+///
+/// Fails if a row has no pair, or more than one, or one of another scenario; see [`CompareError`].
+pub fn compare(
+    left: &[&Row],
+    right: &[&Row],
+    figure: Figure,
+) -> Result<Vec<Difference>, CompareError> {
+    let mut pairs = Pairs::new();
+    add_side(&mut pairs, left, |pair| &mut pair.left)?;
+    add_side(&mut pairs, right, |pair| &mut pair.right)?;
+    if pairs.is_empty() {
+        return Err(CompareError::Empty);
     }
-    /// The rows of both sides for each seed.
-    type Pairs<'a> = BTreeMap<u64, (Option<&'a Row>, Option<&'a Row>)>;
-    let mut pairs: BTreeMap<Place<'_>, Pairs<'_>> = BTreeMap::new();
-    for (rows, is_left) in [(left, true), (right, false)] {
-        for row in rows {
-            let pair = pairs
-                .entry(place(row))
-                .or_default()
-                .entry(row.key.seed)
-                .or_default();
-            let side = if is_left { &mut pair.0 } else { &mut pair.1 };
-            if side.replace(row).is_some() {
-                let (scenario, _) = place(row);
-                return Err(format!(
-                    "{scenario}, seed {}: there twice on one side",
-                    row.key.seed
-                ));
-            }
+    pairs
+        .into_iter()
+        .map(|(scenario, seeds)| difference(scenario, &seeds, figure))
+        .collect()
+}
+
+fn add_side<'a>(
+    pairs: &mut Pairs<'a>,
+    rows: &[&'a Row],
+    side: impl for<'p> Fn(&'p mut Pair<'a>) -> &'p mut Option<&'a Row>,
+) -> Result<(), CompareError> {
+    for row in rows {
+        let key = (row.key.scenario.as_str(), &row.key.set);
+        let seeds = pairs.entry(key).or_default();
+        let pair = seeds.entry(row.key.seed).or_default();
+        if side(pair).replace(row).is_some() {
+            return Err(CompareError::Duplicate {
+                scenario: row.key.scenario.clone(),
+                seed: row.key.seed,
+            });
         }
     }
-    let mut differences = Vec::new();
-    for ((scenario, set), seeds) in pairs {
-        let (mut sides, mut deltas) = ((0.0, 0.0), Vec::new());
-        for (seed, pair) in &seeds {
-            let (Some(left), Some(right)) = pair else {
-                return Err(format!("{scenario}, seed {seed}: on one side only"));
-            };
-            if left.key.digest != right.key.digest {
-                return Err(format!(
-                    "{scenario}: the two sides ran different scenarios of this name"
-                ));
-            }
-            let (left, right) = (figure.of(left), figure.of(right));
-            sides = (sides.0 + left, sides.1 + right);
-            deltas.push(right - left);
+    Ok(())
+}
+
+/// The difference in one scenario, over its seeds.
+fn difference(
+    (scenario, set): ScenarioKey<'_>,
+    seeds: &BTreeMap<u64, Pair<'_>>,
+    figure: Figure,
+) -> Result<Difference, CompareError> {
+    let (mut left_sum, mut right_sum, mut deltas) = (0.0, 0.0, Vec::new());
+    for (&seed, pair) in seeds {
+        let (Some(left), Some(right)) = (pair.left, pair.right) else {
+            let scenario = scenario.to_owned();
+            return Err(CompareError::Unpaired { scenario, seed });
+        };
+        if left.key.digest != right.key.digest {
+            let scenario = scenario.to_owned();
+            return Err(CompareError::DifferentScenarios { scenario });
         }
-        let count = deltas.len() as f64;
-        differences.push(Difference {
-            scenario: scenario.to_owned(),
-            set: set.clone(),
-            pairs: deltas.len(),
-            left: sides.0 / count,
-            right: sides.1 / count,
-            difference: deltas.iter().sum::<f64>() / count,
-            interval: interval(&deltas),
-        });
-    }
-    match differences.is_empty() {
-        true => Err("nothing to compare".to_owned()),
-        false => Ok(differences),
+        let (left, right) = (figure.of(left), figure.of(right));
+        left_sum += left;
+        right_sum += right;
+        deltas.push(right - left);
     }
+    let count = deltas.len() as f64;
+    Ok(Difference {
+        scenario: scenario.to_owned(),
+        set: set.clone(),
+        pairs: deltas.len(),
+        left: left_sum / count,
+        right: right_sum / count,
+        difference: deltas.iter().sum::<f64>() / count,
+        interval: interval(&deltas),
+    })
 }
 
-/// Where 95 in a hundred means of resamples lie (percentile bootstrap; Efron and Tibshirani, 1993). Always the
-/// same for the same values.
+/// Where 95 in a hundred means of resamples lie (percentile bootstrap; Efron and Tibshirani, 1993). The
+/// resamples are drawn with a fixed seed, so that equal values give an equal interval.
 pub fn interval(values: &[f64]) -> (f64, f64) {
-    let mut rng = ChaCha8Rng::seed_from_u64(95);
+    let mut rng = ChaCha8Rng::seed_from_u64(BOOTSTRAP_SEED);
     let count = values.len();
     let mean = |_| {
         (0..count)
@@ -139,7 +202,7 @@
     };
     let mut means: Vec<f64> = (0..RESAMPLES).map(mean).collect();
     means.sort_by(f64::total_cmp);
-    (means[RESAMPLES / 40], means[RESAMPLES - 1 - RESAMPLES / 40])
+    (means[TAIL], means[RESAMPLES - 1 - TAIL])
 }
 
 #[cfg(test)]
--- a/crates/emulator-cli/src/lib.rs
+++ b/crates/emulator-cli/src/lib.rs
@@ -1,11 +1,13 @@
 //! What `woadstall-emulator-cli`, `woadstall-load-test` and `woadstall-cluster-test` share: which runs there are, the form of their results
 //! and of their log lines, and pages of results.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
+mod arguments;
 pub mod compare;
 pub mod grid;
 pub mod log;
 pub mod report;
 pub mod rows;
+mod scenario_file;
+
+pub use arguments::ArgumentError;
+pub use scenario_file::{OverrideError, ScenarioFileError};
--- a/crates/emulator-cli/src/log.rs
+++ b/crates/emulator-cli/src/log.rs
@@ -4,7 +4,7 @@
 use std::io::IsTerminal;
 use tracing_subscriber::EnvFilter;
 
-/// Their form.
+/// The form of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Log {
     /// For people.
@@ -14,7 +14,12 @@
 }
 
 impl Log {
-    /// Has all lines written in this form. `WOADSTALL_LOG` says which, as `info` or `warn`.
+    /// Installs the subscriber that writes lines in this form to standard error. `WOADSTALL_LOG` says which, as `info`
+    /// or `warn`; `info` by default.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a subscriber is installed already.
     pub fn start(self) {
         let filter =
             EnvFilter::try_from_env("WOADSTALL_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
--- /dev/null
+++ b/crates/emulator-cli/src/report/tables.rs
@@ -0,0 +1,92 @@
+//! The tables of a page: the figures of each policy, and its costs beside the work.
+
+use super::escape;
+use crate::compare::{Figure, interval};
+use crate::rows::Row;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use woadstall_emulator::CostRow;
+
+/// A line for each policy and setting, means over the seeds.
+pub fn figures(rows: &[&Row]) -> String {
+    let mut groups: BTreeMap<(String, String), Vec<&Row>> = BTreeMap::new();
+    rows.iter().for_each(|row| {
+        groups
+            .entry((row.set(), row.key.policy.clone()))
+            .or_default()
+            .push(row)
+    });
+    let mut html = String::from(
+        "<table><tr><th>policy</th><th>set</th><th>seeds</th><th>score</th><th>95%</th><th>served</th>\
+         <th>bound</th><th>p50 ms</th><th>p99 ms</th><th>attempts a request</th><th>refused</th><th>failed</th>\
+         <th>breaches</th></tr>\n",
+    );
+    for ((set, policy), rows) in groups {
+        let count = rows.len() as f64;
+        let mean =
+            |figure: &dyn Fn(&Row) -> f64| rows.iter().map(|row| figure(row)).sum::<f64>() / count;
+        let scores: Vec<f64> = rows.iter().map(|row| row.end.score).collect();
+        let (low, high) = interval(&scores);
+        let broken: u64 = rows.iter().map(|row| row.end.broken()).sum();
+        let class = if broken > 0 { " class=\"bad\"" } else { "" };
+        let _ = writeln!(
+            html,
+            "<tr><td>{}</td><td>{}</td><td>{}</td><td>{:.3}</td><td>{low:.3} to {high:.3}</td><td>{:.3}</td>\
+             <td>{:.3}</td><td>{:.0}</td><td>{:.0}</td><td>{:.2}</td><td>{:.0}</td><td>{:.0}</td>\
+             <td{class}>{broken}</td></tr>",
+            escape(&policy),
+            escape(&set),
+            rows.len(),
+            mean(&|row| row.end.score),
+            mean(&|row| row.end.served),
+            mean(&|row| row.end.bound),
+            mean(&|row| row.end.latency.p50),
+            mean(&|row| row.end.latency.p99),
+            mean(&|row| Figure::Attempts.of(row)),
+            mean(&|row| row.end.counts.refused as f64),
+            mean(&|row| row.end.counts.failed as f64),
+        );
+    }
+    html + "</table>\n"
+}
+
+/// What each policy's fleets paid beside the work: a line for each tier and price, means over the seeds.
+pub fn costs(rows: &[&Row]) -> String {
+    let mut groups: BTreeMap<(String, String, String, String), Vec<&CostRow>> = BTreeMap::new();
+    for row in rows {
+        for price in &row.end.prices {
+            let key = (
+                row.key.policy.clone(),
+                row.set(),
+                price.tier.clone(),
+                price.price.to_string(),
+            );
+            groups.entry(key).or_default().push(price);
+        }
+    }
+    if groups.is_empty() {
+        return String::new();
+    }
+    let mut html = String::from(
+        "<table><tr><th>policy</th><th>set</th><th>tier</th><th>price</th><th>total</th><th>a request</th>\
+         <th>largest sender</th><th>worst second</th></tr>\n",
+    );
+    for ((policy, set, tier, price), rows) in groups {
+        let mean = |figure: &dyn Fn(&CostRow) -> f64| {
+            rows.iter().map(|row| figure(row)).sum::<f64>() / rows.len() as f64
+        };
+        let _ = writeln!(
+            html,
+            "<tr><td>{}</td><td>{}</td><td>{}</td><td>{price}</td><td>{:.0}</td><td>{:.4}</td><td>{:.1}%</td>\
+             <td>{:.0}</td></tr>",
+            escape(&policy),
+            escape(&set),
+            escape(&tier),
+            mean(&|row| row.total as f64),
+            mean(&|row| row.each),
+            mean(&|row| 100.0 * row.largest.1),
+            mean(&|row| row.worst.1 as f64),
+        );
+    }
+    html + "</table>\n"
+}
--- /dev/null
+++ b/crates/emulator-cli/src/report/timeline.rs
@@ -0,0 +1,153 @@
+//! The plots of rows that have a timeline.
+
+use super::ReportError;
+use super::charts::{Series, heat_map, line_chart};
+use super::fault_band::Band;
+use crate::rows::Row;
+use woadstall_emulator::TimelineStep;
+
+/// Topics of log lines that are counted.
+const LOG_TOPICS: [&str; 3] = ["breaker", "zone", "shedding"];
+
+/// How a figure of a step becomes a value of a chart.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Scale {
+    /// As it is.
+    Absolute,
+    /// Divided by the seconds of the step.
+    PerSecond,
+}
+
+fn name(row: &Row) -> String {
+    let set = row.set();
+    let set = if set.is_empty() {
+        set
+    } else {
+        format!(", {set}")
+    };
+    format!("{}{set}, seed {}", row.key.policy, row.key.seed)
+}
+
+/// The figure of each step of a row.
+fn points(row: &Row, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64) -> Vec<(f64, f64)> {
+    let mut before = 0.0;
+    let point = |step: &TimelineStep| {
+        let figure = figure(step);
+        let value = match scale {
+            Scale::Absolute => figure,
+            Scale::PerSecond => figure / (step.until - before).max(1e-9),
+        };
+        before = step.until;
+        (step.until, value)
+    };
+    row.end.steps.iter().map(point).collect()
+}
+
+fn named(name: &str, row: &Row, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64) -> Series {
+    Series {
+        name: name.to_owned(),
+        points: points(row, scale, figure),
+    }
+}
+
+/// A line for each row.
+fn each_row(rows: &[&Row], scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64) -> Vec<Series> {
+    rows.iter()
+        .map(|row| named(&name(row), row, scale, figure))
+        .collect()
+}
+
+/// The plots of one scenario's rows.
+///
+/// # Errors
+///
+/// [`ReportError::NoRows`]; [`ReportError::Chart`], if one cannot be drawn.
+pub fn plots(rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+    let first = rows.first().ok_or(ReportError::NoRows)?;
+    let mut html = served(first, rows, bands)?;
+    html += &attempts_and_latencies(rows, bands)?;
+    html += &log_lines(first, bands)?;
+    html += &processes(rows, bands)?;
+    for row in rows {
+        let title = format!("Attempts at each nodo, {}", name(row));
+        html += &heat_map(&title, &row.end.steps)?;
+    }
+    Ok(html)
+}
+
+/// What was served, below what was offered.
+fn served(first: &Row, rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+    use Scale::PerSecond;
+    let mut value = vec![named("offered", first, PerSecond, &|step| {
+        step.counts.value_offered
+    })];
+    value.extend(each_row(rows, PerSecond, &|step| step.counts.value));
+    let mut on_time = vec![named("offered", first, PerSecond, &|step| {
+        step.counts.offered as f64
+    })];
+    on_time.extend(each_row(rows, PerSecond, &|step| {
+        step.counts.on_time as f64
+    }));
+    let value = line_chart("Worth served", "worth a second", bands, &value)?;
+    let title = "Calls served within their aim";
+    Ok(value + &line_chart(title, "calls a second", bands, &on_time)?)
+}
+
+fn attempts_and_latencies(rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+    use Scale::{Absolute, PerSecond};
+    let chart = |title: &str, unit: &str, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64| {
+        line_chart(title, unit, bands, &each_row(rows, scale, figure))
+    };
+    let charts = [
+        chart("Attempts at nodos", "a second", PerSecond, &|step| {
+            step.counts.attempts as f64
+        })?,
+        chart("Refused and failed", "calls a second", PerSecond, &|step| {
+            (step.counts.refused + step.counts.failed) as f64
+        })?,
+        chart("Latency, 99th percentile", "ms", Absolute, &|step| {
+            step.p99_ms
+        })?,
+        chart("Latency, median", "ms", Absolute, &|step| step.p50_ms)?,
+        chart("Open attempts", "attempts", Absolute, &|step| {
+            step.open.1 as f64
+        })?,
+    ];
+    Ok(charts.concat())
+}
+
+/// What balancers logged in the first row; empty if nothing.
+fn log_lines(first: &Row, bands: &[Band]) -> Result<String, ReportError> {
+    let mut topics: Vec<Series> = Vec::new();
+    for topic in LOG_TOPICS {
+        let count = |step: &TimelineStep| step.lines.get(topic).copied().unwrap_or(0) as f64;
+        let series = named(topic, first, Scale::Absolute, &count);
+        if series.points.iter().any(|(_, count)| *count > 0.0) {
+            topics.push(series);
+        }
+    }
+    if topics.is_empty() {
+        return Ok(String::new());
+    }
+    let title = format!("What balancers logged, {}", name(first));
+    line_chart(&title, "lines a step", bands, &topics)
+}
+
+/// Processes that run, for each row that counts them.
+fn processes(rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+    let balancers = |step: &TimelineStep| step.up.map_or(0.0, |up| up.0 as f64);
+    let upstreams = |step: &TimelineStep| step.up.map_or(0.0, |up| up.1 as f64);
+    let mut html = String::new();
+    for row in rows
+        .iter()
+        .filter(|row| row.end.steps.iter().any(|step| step.up.is_some()))
+    {
+        let series = [
+            named("balancers", row, Scale::Absolute, &balancers),
+            named("nodos", row, Scale::Absolute, &upstreams),
+        ];
+        let title = format!("Processes that run, {}", name(row));
+        html += &line_chart(&title, "processes", bands, &series)?;
+    }
+    Ok(html)
+}
--- a/crates/emulator-cli/src/rows.rs
+++ b/crates/emulator-cli/src/rows.rs
@@ -3,13 +3,58 @@
 use crate::grid::{Job, Key};
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
-use std::io::{BufRead, BufReader, Write};
+use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
 use woadstall_emulator::{RunResult, run};
 
-/// The form of rows; one with another number is refused.
+/// The form of rows; one with another number is rejected.
 const VERSION: u32 = 1;
 
+/// Why rows could not be read or written.
+#[derive(Debug, thiserror::Error)]
+pub enum RowError {
+    /// The file could not be opened, read or written.
+    #[error("{path}: {source}")]
+    File {
+        /// Path of the file.
+        path: String,
+        /// The failed system call.
+        source: io::Error,
+    },
+    /// A line is not a row.
+    #[error("{path}: line {line}: {source}")]
+    Line {
+        /// Path of the file.
+        path: String,
+        /// The line, counted from 1.
+        line: usize,
+        /// What the parser reports.
+        source: serde_json::Error,
+    },
+    /// A row is of another form.
+    #[error("{path}: line {line}: version {version}, not {VERSION}")]
+    Version {
+        /// Path of the file.
+        path: String,
+        /// The line, counted from 1.
+        line: usize,
+        /// The row's version.
+        version: u32,
+    },
+    /// A figure of the result has no JSON form.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+impl RowError {
+    fn file(path: &Path, source: io::Error) -> Self {
+        Self::File {
+            path: path.display().to_string(),
+            source,
+        }
+    }
+}
+
 /// One run and its result.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Row {
@@ -60,17 +105,25 @@
         }
     }
 
-    /// As a line, without its end.
-    pub fn line(&self) -> Result<String, String> {
-        serde_json::to_string(self).map_err(|error| error.to_string())
+    /// The row as one line of JSON, without its end.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a figure of the result has no JSON form.
+    pub fn line(&self) -> Result<String, serde_json::Error> {
+        serde_json::to_string(self)
     }
 
     /// Appends it to a file of rows.
-    pub fn append(&self, path: &Path) -> Result<(), String> {
+    ///
+    /// # Errors
+    ///
+    /// [`RowError::Json`] and [`RowError::File`].
+    pub fn append(&self, path: &Path) -> Result<(), RowError> {
         let line = self.line()?;
         let file = OpenOptions::new().create(true).append(true).open(path);
         let written = file.and_then(|mut file| writeln!(file, "{line}"));
-        written.map_err(|error| format!("{}: {error}", path.display()))
+        written.map_err(|source| RowError::file(path, source))
     }
 
     /// What varies, for people.
@@ -85,26 +138,34 @@
     }
 }
 
-/// Reads the rows of a file. The last line may be a part of one, where a writer was killed; any other that cannot
-/// be read is an error that names its line.
-pub fn read(path: &Path) -> Result<Vec<Row>, String> {
-    let name = path.display();
-    let file = File::open(path).map_err(|error| format!("{name}: {error}"))?;
+/// Reads the rows of a file. The last line may be incomplete, where a writer was killed.
+///
+/// # Errors
+///
+/// [`RowError::File`]; [`RowError::Line`] and [`RowError::Version`], of the first line that cannot be read.
+pub fn read(path: &Path) -> Result<Vec<Row>, RowError> {
+    let file = File::open(path).map_err(|source| RowError::file(path, source))?;
     let lines: Result<Vec<String>, _> = BufReader::new(file).lines().collect();
-    let lines = lines.map_err(|error| format!("{name}: {error}"))?;
+    let lines = lines.map_err(|source| RowError::file(path, source))?;
     let mut rows = Vec::new();
-    for (at, line) in lines.iter().enumerate() {
-        match serde_json::from_str::<Row>(line) {
+    for (line, text) in (1..).zip(&lines) {
+        match serde_json::from_str::<Row>(text) {
             Ok(row) if row.version == VERSION => rows.push(row),
             Ok(row) => {
-                let version = row.version;
-                return Err(format!(
-                    "{name}: line {}: version {version}, not {VERSION}",
-                    at + 1
-                ));
+                return Err(RowError::Version {
+                    path: path.display().to_string(),
+                    line,
+                    version: row.version,
+                });
+            }
+            Err(error) if line == lines.len() && error.is_eof() => {}
+            Err(source) => {
+                return Err(RowError::Line {
+                    path: path.display().to_string(),
+                    line,
+                    source,
+                });
             }
-            Err(error) if at + 1 == lines.len() && error.is_eof() => {}
-            Err(error) => return Err(format!("{name}: line {}: {error}", at + 1)),
         }
     }
     Ok(rows)
--- a/crates/emulator-cli/tests/cli.rs
+++ b/crates/emulator-cli/tests/cli.rs
@@ -28,7 +28,7 @@
 load = { constant = 200.0 }
 "#;
 
-fn lab(folder: &Path, arguments: &[&str]) -> Output {
+fn emulator(folder: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-emulator-cli"));
     command
         .current_dir(folder)
@@ -63,9 +63,9 @@
 
 /// A run prints the rules and its worth, as text and as JSON, and draws its plots.
 #[test]
-fn run_prints_and_draws() {
-    let (_kept, folder) = folder();
-    let output = lab(&folder, &["run", "tiny.toml", "--plot", "tiny.html"]);
+fn run_prints_rules_and_draws_plots() {
+    let (_guard, folder) = folder();
+    let output = emulator(&folder, &["run", "tiny.toml", "--plot", "tiny.html"]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
     assert!(text(&output.stdout).contains("rule 4 (cold nodos are not pushed over): kept"));
     let page = std::fs::read_to_string(folder.join("tiny.html")).unwrap();
@@ -74,14 +74,38 @@
         !page.contains("src=") && !page.contains("href="),
         "it opens without a network"
     );
+    let output = emulator(
+        &folder,
+        &[
+            "run",
+            "tiny.toml",
+            "--json",
+            "--seed",
+            "2",
+            "--set",
+            "time=2 s",
+        ],
+    );
+    let row: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert_eq!(
+        (&row["seed"], &row["set"]["time"]),
+        (&2.into(), &"2 s".into())
+    );
+    assert_eq!(row["end"]["steps"].as_array().unwrap().len(), 2);
+}
+
+/// A report writes each plot of the timelines as a file of its own.
+#[test]
+fn report_writes_plots_as_files() {
+    let (_guard, folder) = folder();
     let rows = ["--seeds", "1", "--timeline", "--out", "time.jsonl"];
     assert_eq!(
-        lab(&folder, &[&["sweep", "tiny.toml"], &rows[..]].concat())
+        emulator(&folder, &[&["sweep", "tiny.toml"], &rows[..]].concat())
             .status
             .code(),
         Some(0)
     );
-    let output = lab(
+    let output = emulator(
         &folder,
         &[
             "report",
@@ -95,50 +119,32 @@
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
     let plot = std::fs::read_to_string(folder.join("plots/plot-008.svg")).unwrap();
     assert!(plot.starts_with("<svg") && plot.ends_with("</svg>") && plot.contains("xmlns"));
-    let output = lab(
-        &folder,
-        &[
-            "run",
-            "tiny.toml",
-            "--json",
-            "--seed",
-            "2",
-            "--set",
-            "time=2 s",
-        ],
-    );
-    let row: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert_eq!(
-        (&row["seed"], &row["set"]["time"]),
-        (&2.into(), &"2 s".into())
-    );
-    assert_eq!(row["end"]["steps"].as_array().unwrap().len(), 2);
 }
 
-/// Any number of threads, whole or stopped in the middle of a line and gone on with: the same bytes.
+/// Any number of threads, complete or interrupted in the middle of a line and resumed: the same bytes.
 #[test]
-fn a_sweep_goes_on_where_it_stopped() {
-    let (_kept, folder) = folder();
+fn sweep_resumes_where_it_was_interrupted() {
+    let (_guard, folder) = folder();
     let sweep = |out: &str, threads: &str| {
-        let output = lab(
+        let output = emulator(
             &folder,
             &[&SWEEP[..], &[out, "--threads", threads]].concat(),
         );
         assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
         std::fs::read_to_string(folder.join(out)).unwrap()
     };
-    let whole = sweep("one.jsonl", "1");
-    assert_eq!(whole.lines().count(), 16);
-    assert!(sweep("four.jsonl", "4") == whole);
-    std::fs::write(folder.join("cut.jsonl"), &whole[..whole.len() / 2]).unwrap();
-    assert!(sweep("cut.jsonl", "2") == whole);
-    // The rows of something else are not gone on with.
-    let output = lab(
+    let complete = sweep("one.jsonl", "1");
+    assert_eq!(complete.lines().count(), 16);
+    assert!(sweep("four.jsonl", "4") == complete);
+    std::fs::write(folder.join("cut.jsonl"), &complete[..complete.len() / 2]).unwrap();
+    assert!(sweep("cut.jsonl", "2") == complete);
+    // The rows of another sweep are not resumed.
+    let output = emulator(
         &folder,
         &["sweep", "tiny.toml", "--seeds", "9", "--out", "one.jsonl"],
     );
     assert_eq!(output.status.code(), Some(3));
-    let fewer = lab(
+    let fewer = emulator(
         &folder,
         &[
             "sweep",
@@ -155,17 +161,17 @@
         text(&fewer.stderr)
     );
     assert!(
-        std::fs::read_to_string(folder.join("one.jsonl")).unwrap() == whole,
-        "and are not lost"
+        std::fs::read_to_string(folder.join("one.jsonl")).unwrap() == complete,
+        "and are kept"
     );
 }
 
 #[test]
 fn compare_pairs_by_seed() {
-    let (_kept, folder) = folder();
-    let output = lab(&folder, &[&SWEEP[..], &["rows.jsonl"]].concat());
+    let (_guard, folder) = folder();
+    let output = emulator(&folder, &[&SWEEP[..], &["rows.jsonl"]].concat());
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
-    let compare = |more: &[&str]| lab(&folder, &[&["compare", "rows.jsonl"], more].concat());
+    let compare = |more: &[&str]| emulator(&folder, &[&["compare", "rows.jsonl"], more].concat());
     let output = compare(&[]);
     assert_eq!(output.status.code(), Some(3));
     assert!(text(&output.stderr).contains("name one"));
@@ -189,15 +195,15 @@
             .code(),
         Some(1)
     );
-    let same = [
+    let equal = [
         "--left-policy",
         "random",
         "--right-policy",
         "random",
         "--fail-worse",
     ];
-    assert_eq!(compare(&same).status.code(), Some(0));
-    let output = lab(&folder, &["report", "rows.jsonl", "--out", "rows.html"]);
+    assert_eq!(compare(&equal).status.code(), Some(0));
+    let output = emulator(&folder, &["report", "rows.jsonl", "--out", "rows.html"]);
     assert_eq!(output.status.code(), Some(0));
     assert!(
         std::fs::read_to_string(folder.join("rows.html"))
@@ -207,13 +213,13 @@
 }
 
 #[test]
-fn faults_have_their_codes_and_names() {
-    let (_kept, folder) = folder();
-    let fails = |arguments: &[&str], code: i32, part: &str| {
-        let output = lab(&folder, arguments);
+fn errors_name_their_cause_and_set_the_exit_code() {
+    let (_guard, folder) = folder();
+    let fails = |arguments: &[&str], code: i32, message: &str| {
+        let output = emulator(&folder, arguments);
         assert_eq!(output.status.code(), Some(code), "{arguments:?}");
         assert!(
-            text(&output.stderr).contains(part),
+            text(&output.stderr).contains(message),
             "{arguments:?}: {}",
             text(&output.stderr)
         );
@@ -239,14 +245,14 @@
     fails(&["explain", "tiny.toml", "99999999"], 3, "no call");
     std::fs::write(folder.join("bad.jsonl"), "{}\n{}\n").unwrap();
     fails(&["report", "bad.jsonl", "--out", "x.html"], 3, "line 1");
-    let output = lab(&folder, &["--log", "json", "run", "none.toml"]);
+    let output = emulator(&folder, &["--log", "json", "run", "none.toml"]);
     assert!(serde_json::from_slice::<serde_json::Value>(&output.stderr).is_ok());
-    let output = lab(&folder, &["explain", "tiny.toml", "5"]);
+    let output = emulator(&folder, &["explain", "tiny.toml", "5"]);
     assert!(
         text(&output.stdout).contains("its caller has Served"),
         "{}",
         text(&output.stdout)
     );
-    let output = lab(&folder, &["check", "tiny.toml"]);
+    let output = emulator(&folder, &["check", "tiny.toml"]);
     assert_eq!(text(&output.stdout), "tiny.toml: sound\n");
 }
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -77,7 +77,7 @@
     }
 }
 
-fn act(arguments: &Arguments) -> Result<u8, String> {
+fn act(arguments: &Arguments) -> Result<u8, Box<dyn std::error::Error>> {
     let set: Set = arguments.set.iter().cloned().collect();
     let (scenario, digest) = Source::read(&arguments.scenario)?.with(&set)?;
     let path = match (arguments.target.as_slice(), arguments.through) {
