--- a/crates/cluster-test/src/arguments.rs
+++ b/crates/cluster-test/src/arguments.rs
@@ -32,7 +32,7 @@
     },
     /// End what earlier runs have left behind, if any.
     Clean,
-    /// FaultKind the rig starts its processes by.
+    /// What the rig starts its processes by.
     #[command(hide = true)]
     Launch {
         #[arg(long)]
--- a/crates/cluster-test/src/balancer.rs
+++ b/crates/cluster-test/src/balancer.rs
@@ -174,7 +174,7 @@
         self.process.kill();
     }
 
-    /// FaultKind precedes an end on purpose.
+    /// What precedes an end on purpose.
     fn prepare_end(&self) {
         self.running.store(false, Ordering::Relaxed);
         self.set_open(false);
@@ -204,7 +204,7 @@
         });
     }
 
-    /// FaultKind happened to its process, if it has ended though nobody ended it.
+    /// What happened to its process, if it has ended though nobody ended it.
     pub fn crash(&self) -> Option<String> {
         let status = self
             .process
--- a/crates/cluster-test/src/commands/run.rs
+++ b/crates/cluster-test/src/commands/run.rs
@@ -17,7 +17,7 @@
 const FAILED: u8 = 1;
 const TOO_SLOW: u8 = 4;
 const INTERRUPTED: u8 = 130;
-/// FaultKind rows name in place of the emulator's policy.
+/// What rows name in place of the emulator's policy.
 const ROW_POLICY: &str = "rig";
 
 pub fn run(arguments: RunArguments) -> Result<u8, CommandError> {
--- a/crates/cluster-test/src/discovery.rs
+++ b/crates/cluster-test/src/discovery.rs
@@ -141,10 +141,15 @@
     }
 
     /// Sends it a list, which reaches it in order after a random delay. Returns when that is.
-    pub fn publish(&self, revision: u64, targets: Vec<Value>, padron: &RegistryConfig) -> Instant {
+    pub fn publish(
+        &self,
+        revision: u64,
+        targets: Vec<Value>,
+        registry: &RegistryConfig,
+    ) -> Instant {
         let mut propagation = lock(&self.propagation);
-        let jitter = padron.jitter.0 as f64 * propagation.rng.random::<f64>();
-        let delay = Duration::from_nanos((padron.delay.0 as f64 + jitter) as u64);
+        let jitter = registry.jitter.0 as f64 * propagation.rng.random::<f64>();
+        let delay = Duration::from_nanos((registry.delay.0 as f64 + jitter) as u64);
         let due = propagation.last_due.max(Instant::now() + delay);
         propagation.last_due = due;
         let list = EndpointList::new(revision, targets);
@@ -179,7 +184,7 @@
     }
 }
 
-/// FaultKind one read needs of the agent.
+/// What one read needs of the agent.
 #[derive(Clone)]
 struct Reader {
     list: watch::Receiver<EndpointList>,
--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -47,7 +47,7 @@
                 let fleet = self.clone();
                 restarts.spawn(async move {
                     sleep(CRASH_RECOVERY).await;
-                    if fleet.is_kept_down(upstream) {
+                    if fleet.is_down_by_fault(upstream) {
                         return Ok(());
                     }
                     fleet.restart_upstream(upstream).await
@@ -60,7 +60,7 @@
     }
 
     /// Whether a fault that is in force has killed an upstream.
-    fn is_kept_down(&self, upstream: u32) -> bool {
+    fn is_down_by_fault(&self, upstream: u32) -> bool {
         let kills =
             |what: &FaultKind| matches!(what, FaultKind::Kill { .. } | FaultKind::PowerLoss { .. });
         let active = lock(&self.active_faults);
@@ -72,7 +72,7 @@
         })
     }
 
-    /// FaultKind a fault hits: the same random numbers as in the emulator, and the same candidates.
+    /// What a fault hits: the same random numbers as in the emulator, and the same candidates.
     fn draw_targets(&self, index: usize) -> FaultTargets {
         let fault = &self.scenario.fault[index];
         let tier = fault
@@ -120,7 +120,7 @@
             FaultKind::PowerLoss { stale, over, files } => {
                 let settings = power_loss::Settings {
                     staleness: Duration::from_nanos(stale.0),
-                    boot_spread: Duration::from_nanos(over.0),
+                    boot_window: Duration::from_nanos(over.0),
                     files: *files,
                 };
                 self.lose_power(&fault, index, &targets, settings).await
--- a/crates/cluster-test/src/faults/power_loss.rs
+++ b/crates/cluster-test/src/faults/power_loss.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use woadstall_emulator::{Fault, StoredFiles};
 
-/// FaultKind a power loss is set to.
+/// What a power loss is set to.
 pub struct Settings {
     /// The age of the lists that balancers come back with.
     pub staleness: Duration,
     /// The time over which upstreams come back, one after the other.
-    pub boot_spread: Duration,
-    /// FaultKind balancers find of their files.
+    pub boot_window: Duration,
+    /// What balancers find of their files.
     pub files: StoredFiles,
 }
 
@@ -48,7 +48,7 @@
         // Power is back for all at once: upstreams do not wait until balancers are up, which may take long.
         tokio::try_join!(
             self.start_balancers(&balancers, settings.staleness),
-            self.boot_upstreams(fault, &targets.upstreams, settings.boot_spread)
+            self.boot_upstreams(fault, &targets.upstreams, settings.boot_window)
         )?;
         Ok(())
     }
@@ -58,11 +58,11 @@
         &self,
         fault: &Fault,
         upstreams: &[u32],
-        spread: Duration,
+        window: Duration,
     ) -> Result<(), ClusterError> {
         let end = fault.until.unwrap_or(self.scenario.time).0;
         for (index, &upstream) in upstreams.iter().enumerate() {
-            let delay = spread.as_nanos() as u64 * index as u64 / upstreams.len() as u64;
+            let delay = window.as_nanos() as u64 * index as u64 / upstreams.len() as u64;
             self.schedule.wait_until(end + delay).await;
             self.restart_upstream(upstream).await?;
         }
--- a/crates/cluster-test/src/fleet.rs
+++ b/crates/cluster-test/src/fleet.rs
@@ -22,7 +22,7 @@
 use woadstall_load_test::schedule::Schedule;
 use woadstall_load_test::upstream::{Listing, Upstream};
 
-/// FaultKind a fault hits, by numbers among all, in ascending order.
+/// What a fault hits, by numbers among all, in ascending order.
 #[derive(Clone, Debug)]
 pub struct FaultTargets {
     /// The upstreams.
@@ -33,7 +33,7 @@
 
 /// See the module's documentation.
 pub struct Fleet {
-    /// FaultKind is played.
+    /// What is played.
     pub scenario: Arc<Scenario>,
     /// When it is played.
     pub schedule: Schedule,
--- a/crates/cluster-test/src/fleet/lifecycle.rs
+++ b/crates/cluster-test/src/fleet/lifecycle.rs
@@ -91,8 +91,8 @@
                 // Its agent has the stale list as well, and the rest reaches it with the usual delay.
                 balancer.agent.reset(stale.number, known.clone());
                 let entries = self.list_for(&balancer, &last.list);
-                let padron = &self.scenario.registry;
-                notified = notified.max(balancer.agent.publish(last.number, entries, padron));
+                let registry = &self.scenario.registry;
+                notified = notified.max(balancer.agent.publish(last.number, entries, registry));
             }
             self.network.set_running(links::balancer_node(number), true);
             self.start_member(&balancer)?;
--- a/crates/cluster-test/src/fleet/start.rs
+++ b/crates/cluster-test/src/fleet/start.rs
@@ -24,9 +24,9 @@
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
-/// FaultKind a fleet is started with.
+/// What a fleet is started with.
 pub struct FleetSettings {
-    /// FaultKind is played.
+    /// What is played.
     pub scenario: Arc<Scenario>,
     /// Finds broken rules.
     pub rules: Arc<RuleChecker>,
@@ -36,7 +36,7 @@
     pub seed: u64,
     /// When callers begin.
     pub start: Instant,
-    /// FaultKind is broken on purpose.
+    /// What is broken on purpose.
     pub violation: Option<RuleViolation>,
 }
 
--- a/crates/cluster-test/src/launch.rs
+++ b/crates/cluster-test/src/launch.rs
@@ -1,4 +1,4 @@
-//! FaultKind a child does before it becomes the program: it ties its life to the run's process, and takes on its limits.
+//! What a child does before it becomes the program: it ties its life to the run's process, and takes on its limits.
 
 use nix::sys::prctl;
 use nix::sys::resource::{Resource, setrlimit};
--- a/crates/cluster-test/src/leftovers.rs
+++ b/crates/cluster-test/src/leftovers.rs
@@ -1,4 +1,4 @@
-//! FaultKind earlier runs have left behind: a run that was killed cannot remove its folder, nor be sure that its processes
+//! What earlier runs have left behind: a run that was killed cannot remove its folder, nor be sure that its processes
 //! have ended.
 
 use crate::procfs;
@@ -11,7 +11,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// FaultKind an earlier run has left.
+/// What an earlier run has left.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leftover {
     /// Its folder, which has been removed.
--- a/crates/cluster-test/src/membership.rs
+++ b/crates/cluster-test/src/membership.rs
@@ -31,7 +31,7 @@
     advertised: SocketAddr,
 }
 
-/// FaultKind a member has reported of itself.
+/// What a member has reported of itself.
 #[derive(Clone, Debug, Default)]
 struct ReportedState {
     /// The start of its present incarnation, Unix time in milliseconds.
@@ -50,8 +50,8 @@
     /// The shared key, in hexadecimal digits.
     key: String,
     /// Compares what members report with who runs.
-    witness: Mutex<MembershipObserver>,
-    /// FaultKind each member makes of zones, where they evacuate them together.
+    observer: Mutex<MembershipObserver>,
+    /// What each member makes of zones, where they evacuate them together.
     evacuations: Mutex<EvacuationTracker>,
     reported: Mutex<Vec<ReportedState>>,
     /// The members whose machines have no power.
@@ -91,7 +91,7 @@
         Ok(Self {
             addresses,
             key,
-            witness: Mutex::new(MembershipObserver::new(size, members.tolerated_pause.0)),
+            observer: Mutex::new(MembershipObserver::new(size, members.tolerated_pause.0)),
             evacuations: Mutex::new(EvacuationTracker::new(zones.to_vec(), size)),
             reported: Mutex::new(vec![ReportedState::default(); size]),
             unpowered: Mutex::default(),
@@ -111,7 +111,7 @@
         member.started_ms = None;
         member.last_report = None;
         member.former_bytes += std::mem::take(&mut member.present_bytes);
-        lock(&self.witness).runs(self.now(), number as usize, running);
+        lock(&self.observer).runs(self.now(), number as usize, running);
         if running {
             lock(&self.evacuations).begins(self.now(), number as usize);
         }
@@ -129,7 +129,7 @@
 
     /// A balancer's process is suspended, or resumed.
     pub fn set_suspended(&self, number: u32, suspended: bool) {
-        lock(&self.witness).paused_until(self.now(), number as usize, suspended);
+        lock(&self.observer).paused_until(self.now(), number as usize, suspended);
     }
 
     /// Sets the conditions of the links among all members, as `link` has them from one to another.
@@ -164,6 +164,6 @@
                 partitioned[from * size + to] = is_partitioned;
             }
         }
-        lock(&self.witness).partition(self.now(), |from, to| partitioned[from * size + to]);
+        lock(&self.observer).partition(self.now(), |from, to| partitioned[from * size + to]);
     }
 }
--- a/crates/cluster-test/src/membership/observations.rs
+++ b/crates/cluster-test/src/membership/observations.rs
@@ -1,4 +1,4 @@
-//! FaultKind members report, and what comes of it over a run.
+//! What members report, and what comes of it over a run.
 
 use super::{Membership, ReportedState};
 use crate::balancer::Balancer;
@@ -17,9 +17,9 @@
     /// Records what a member reports of itself and of the others.
     pub fn record_report(&self, number: usize, report: Report) {
         let now = self.now();
-        let mut witness = lock(&self.witness);
+        let mut observer = lock(&self.observer);
         let mut reported = lock(&self.reported);
-        if !witness.is_there(number) {
+        if !observer.is_there(number) {
             return; // requested before it was suspended or ended
         }
         reported[number].started_ms = Some(report.started_ms);
@@ -30,11 +30,11 @@
             };
             let state = match reported[of].started_ms {
                 // One that has just started has not reported its incarnation: the row is of the former.
-                None if witness.is_there(of) => MemberView::Unknown,
+                None if observer.is_there(of) => MemberView::Unknown,
                 // Of one whose process has ended, its last incarnation counts.
                 started_ms => state_in(row, started_ms),
             };
-            witness.record_view(now, number, of, state);
+            observer.record_view(now, number, of, state);
         }
         reported[number].last_report = Some(report);
     }
@@ -53,7 +53,7 @@
     /// Records which partitioned links both ends have reported as such last.
     pub fn record_partitions(&self, is_partitioned: impl Fn(usize, usize) -> bool) {
         let now = self.now();
-        let mut witness = lock(&self.witness);
+        let mut observer = lock(&self.observer);
         let reported = lock(&self.reported);
         let row = |by: usize, of: usize| {
             let rows = reported[by]
@@ -64,7 +64,7 @@
                 .find(|row| member_number(&row.name) == Some(of))
         };
         let partitioned = |path: &PathReport| *path == PathReport::Partitioned;
-        let pairs = witness
+        let pairs = observer
             .pairs(|member| reported[member].last_report.is_some())
             .into_iter();
         let observations = pairs.map(|(from, to)| {
@@ -72,7 +72,7 @@
             let receiver_reports = row(to, from).is_some_and(|row| partitioned(&row.inbound));
             (is_partitioned(from, to), sender_reports, receiver_reports)
         });
-        witness.record_path_reports(now, observations);
+        observer.record_path_reports(now, observations);
     }
 
     /// All that was observed of the members until now.
@@ -83,7 +83,7 @@
             .map(|member| member.former_bytes + member.present_bytes)
             .collect();
         let now = self.now();
-        lock(&self.witness).clone().end(now, &bytes, now)
+        lock(&self.observer).clone().end(now, &bytes, now)
     }
 
     /// All that was observed of evacuated zones until now.
--- a/crates/cluster-test/src/ports.rs
+++ b/crates/cluster-test/src/ports.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use tokio::net::TcpListener;
 
-/// FaultKind a port of a balancer is for. The value is the first of [`CANDIDATES`] ports that are tried. They lie under the
+/// What a port of a balancer is for. The value is the first of [`CANDIDATES`] ports that are tried. They lie under the
 /// ephemeral ports of the system: an outgoing connection could take a port while the balancer's process is down.
 #[derive(Clone, Copy, Debug)]
 pub enum Port {
--- a/crates/cluster-test/src/procfs.rs
+++ b/crates/cluster-test/src/procfs.rs
@@ -1,4 +1,4 @@
-//! FaultKind `/proc` tells of processes (`proc(5)`). All functions return `None` where the process is gone or the system
+//! What `/proc` tells of processes (`proc(5)`). All functions return `None` where the process is gone or the system
 //! does not tell.
 
 use std::fs::read_to_string;
--- a/crates/cluster-test/src/results.rs
+++ b/crates/cluster-test/src/results.rs
@@ -49,9 +49,9 @@
     pub late_at_suspended: u64,
     /// How often agents were read.
     pub list_reads: u64,
-    /// FaultKind went through the fault proxy.
+    /// What went through the fault proxy.
     pub traffic: TrafficCounts,
-    /// FaultKind each upstream saw.
+    /// What each upstream saw.
     pub upstreams: Vec<UpstreamCounts>,
     /// The share of a core that each balancer's membership used, where there is one.
     pub membership_cores: Vec<f64>,
--- a/crates/cluster-test/src/run.rs
+++ b/crates/cluster-test/src/run.rs
@@ -28,7 +28,7 @@
     memory_mb: 512 + 64,
 };
 
-/// FaultKind a run is played with.
+/// What a run is played with.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program that is started for each balancer.
@@ -37,7 +37,7 @@
     pub launcher: PathBuf,
     /// The source of all random numbers.
     pub seed: u64,
-    /// FaultKind is broken on purpose.
+    /// What is broken on purpose.
     pub violation: Option<RuleViolation>,
     /// Keep the folder with the processes' logs also where all went well.
     pub keep: bool,
@@ -98,7 +98,7 @@
     Ok(result)
 }
 
-/// FaultKind the processes used of the machine, while they still run.
+/// What the processes used of the machine, while they still run.
 struct ProcessUsage {
     /// The largest share of its time that a balancer was ready to run and had no core.
     starved: f64,
--- a/crates/cluster-test/src/run/observer.rs
+++ b/crates/cluster-test/src/run/observer.rs
@@ -1,4 +1,4 @@
-//! FaultKind is sampled while a run goes on: upstreams, processes, logs, and the machine's own timers.
+//! What is sampled while a run goes on: upstreams, processes, logs, and the machine's own timers.
 
 use crate::fleet::{Fleet, RunningCounts};
 use std::collections::BTreeMap;
--- a/crates/cluster-test/src/run_directory.rs
+++ b/crates/cluster-test/src/run_directory.rs
@@ -36,7 +36,7 @@
     folder: Mutex<TempDir>,
 }
 
-/// FaultKind one process is spawned with.
+/// What one process is spawned with.
 pub struct SpawnRequest<'a> {
     /// Its name.
     pub name: &'a str,
--- a/crates/cluster-test/src/supported.rs
+++ b/crates/cluster-test/src/supported.rs
@@ -1,4 +1,4 @@
-//! Which scenarios can be played with processes. FaultKind cannot be played is rejected by its name: it must not look as if
+//! Which scenarios can be played with processes. What cannot be played is rejected by its name: it must not look as if
 //! it had been played.
 
 use woadstall_emulator::{Connections, FaultKind, Scenario, Tier};
@@ -28,7 +28,7 @@
     EmulatorOnlyFault {
         /// Its number among the scenario's faults, from 1 on.
         number: usize,
-        /// FaultKind the fault is of.
+        /// What the fault is of.
         kind: &'static str,
     },
 }
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// FaultKind of it cannot be played: its size, a setting or a fault.
+/// What of it cannot be played: its size, a setting or a fault.
 pub fn check_supported(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
     check_size(scenario)?;
     check_settings(scenario)?;
--- a/crates/load-test/src/arguments.rs
+++ b/crates/load-test/src/arguments.rs
@@ -13,7 +13,7 @@
 )]
 pub struct Arguments {
     pub scenario: PathBuf,
-    /// FaultKind callers go through: daemons over HTTP/1.1, plug-ins over gRPC, or both, started here.
+    /// What callers go through: daemons over HTTP/1.1, plug-ins over gRPC, or both, started here.
     #[arg(long, value_enum, default_value_t = Through::Daemon)]
     pub through: Through,
     /// Addresses of daemons that run already, on this machine; then nothing is started here.
--- a/crates/load-test/src/callers.rs
+++ b/crates/load-test/src/callers.rs
@@ -25,7 +25,7 @@
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_tower::Balance;
 
-/// FaultKind callers call through.
+/// What callers call through.
 #[derive(Clone)]
 pub enum Transport {
     /// Daemons, over HTTP/1.1.
--- a/crates/load-test/src/callers/attempt.rs
+++ b/crates/load-test/src/callers/attempt.rs
@@ -40,7 +40,7 @@
     NotSent,
 }
 
-/// FaultKind attempts are counted by.
+/// What attempts are counted by.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TallyKey {
     /// `daemon` or `plug-in`.
--- a/crates/load-test/src/callers/call.rs
+++ b/crates/load-test/src/callers/call.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether a call may be retried after this result. FaultKind no balancer has seen, and what was rejected, had no effect.
+    /// Whether a call may be retried after this result. What no balancer has seen, and what was rejected, had no effect.
     fn may_retry(&self, call: &Call, result: &AttemptResult) -> bool {
         let had_no_effect = matches!(
             result,
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -93,7 +93,7 @@
         (speeds.iter().sum(), attempts)
     }
 
-    /// FaultKind each upstream has counted so far.
+    /// What each upstream has counted so far.
     pub fn counts(&self) -> Vec<UpstreamCounts> {
         let upstreams = self.upstreams.iter();
         upstreams.map(|upstream| upstream.counts()).collect()
--- a/crates/load-test/src/rule_checker.rs
+++ b/crates/load-test/src/rule_checker.rs
@@ -15,7 +15,7 @@
 /// Breaches that are reported in full; the others are counted.
 const MAX_REPORTED_BREACHES: usize = 20;
 
-/// FaultKind was seen of a request.
+/// What was seen of a request.
 #[derive(Default)]
 struct RequestRecord {
     executions: u32,
@@ -40,7 +40,7 @@
     pub window: Duration,
 }
 
-/// FaultKind a caller saw of a request.
+/// What a caller saw of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerObservation<'a> {
     /// The request's id.
@@ -169,7 +169,7 @@
         }
         let mut state = lock(&self.state);
         state.unanswered += u64::from(!answered);
-        // FaultKind a daemon finds in its sockets when it is resumed is a batch that it has to work through.
+        // What a daemon finds in its sockets when it is resumed is a batch that it has to work through.
         let excuses = |suspension: &Suspension| {
             Some(suspension.daemon) == daemon
                 && suspension
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -24,7 +24,7 @@
 /// Often enough to see a queue, seldom enough to cost nothing.
 const QUEUE_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// FaultKind callers call through.
+/// What callers call through.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Path {
     /// Daemons, each on a thread of its own, over HTTP/1.1.
@@ -33,7 +33,7 @@
     Plugin,
     /// Both beside each other, each attempt through the one or the other.
     Both,
-    /// FaultKind listens at these addresses already, over HTTP/1.1, with upstreams and faults of its own.
+    /// What listens at these addresses already, over HTTP/1.1, with upstreams and faults of its own.
     Target(Vec<SocketAddr>),
 }
 
@@ -58,11 +58,11 @@
     pub lag: Lag,
     /// The responses to all attempts, counted.
     pub tally: Tally,
-    /// FaultKind each upstream counted; none where they were not started here.
+    /// What each upstream counted; none where they were not started here.
     pub upstreams: Vec<UpstreamCounts>,
 }
 
-/// FaultKind is called.
+/// What is called.
 struct System {
     transport: Transport,
     /// The upstreams, where they are started here.
@@ -113,7 +113,7 @@
 }
 
 impl System {
-    /// FaultKind listens at these addresses already.
+    /// What listens at these addresses already.
     fn running_at(addresses: &[SocketAddr]) -> Self {
         let daemons = addresses.iter();
         let daemons = daemons.map(|address| BalancerEndpoint::new(*address, 0));
--- a/crates/load-test/src/schedule.rs
+++ b/crates/load-test/src/schedule.rs
@@ -9,7 +9,7 @@
 pub const CRASH_RECOVERY: Duration = Duration::from_secs(5);
 /// How long an upstream is down in a rolling restart.
 pub const ROLL_DOWNTIME: Duration = Duration::from_secs(1);
-/// FaultKind a draining upstream has beyond its callers' time to finish its work: the second that rule 3 allows, and the way.
+/// What a draining upstream has beyond its callers' time to finish its work: the second that rule 3 allows, and the way.
 const DRAIN_MARGIN: Duration = Duration::from_millis(1_250);
 /// Nobody waits for longer than this for work that was given up on.
 const MAX_LATE_EFFECT: Duration = Duration::from_secs(5);
--- a/crates/load-test/src/supported.rs
+++ b/crates/load-test/src/supported.rs
@@ -1,4 +1,4 @@
-//! Which scenarios can be played on loopback sockets. FaultKind cannot be played is rejected by its name: it must not look as
+//! Which scenarios can be played on loopback sockets. What cannot be played is rejected by its name: it must not look as
 //! if it had been played.
 
 use woadstall_emulator::{Connections, FaultKind, Scenario};
@@ -27,7 +27,7 @@
     EmulatorOnlyFault {
         /// Its number among the scenario's faults, from 1 on.
         number: usize,
-        /// FaultKind the fault is of.
+        /// What the fault is of.
         kind: &'static str,
     },
     /// The emulator and the cluster test alone have this fault.
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// FaultKind of it cannot be played: its size, a setting or a fault.
+/// What of it cannot be played: its size, a setting or a fault.
 pub fn check_supported(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
     let tier = &scenario.tier[0];
     if scenario.tier.len() > 1 {
--- a/crates/load-test/src/upstream.rs
+++ b/crates/load-test/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A simulated upstream on a socket. FaultKind it does with a request is decided by the emulator's model, so that both have
+//! A simulated upstream on a socket. What it does with a request is decided by the emulator's model, so that both have
 //! the same faults; here are only its sockets, its sleeps, and its calls to the next tier.
 
 pub mod listing;
@@ -55,10 +55,10 @@
     pub overall: u32,
 }
 
-/// FaultKind an upstream can do and had to do.
+/// What an upstream can do and had to do.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamSample {
-    /// FaultKind it can do at present, in workers of a healthy warm upstream.
+    /// What it can do at present, in workers of a healthy warm upstream.
     pub speed: f64,
     /// The attempts that it got since the last sample.
     pub attempts: u32,
@@ -81,10 +81,10 @@
         let listener = TcpListener::bind((IpAddr::V4(Ipv4Addr::LOCALHOST), 0)).await?;
         let zone = scenario.zone_in_turn(number.in_tier);
         let cell = (number.in_tier % u32::from(tier.cells)) as u16;
-        let place = (zone, cell, number.overall);
+        let location = (zone, cell, number.overall);
         let name = format!("{}-{}", tier.name, number.in_tier);
         let rng = stream(seed, Actor::Upstream, number.overall);
-        let model = UpstreamModel::new(name, number.tier, tier, place, rng);
+        let model = UpstreamModel::new(name, number.tier, tier, location, rng);
         let upstream = Arc::new(Self {
             address: listener.local_addr()?,
             scenario: scenario.clone(),
@@ -143,7 +143,7 @@
         lock(&self.state).model.in_flight()
     }
 
-    /// FaultKind it has counted so far.
+    /// What it has counted so far.
     pub fn counts(&self) -> UpstreamCounts {
         lock(&self.state).counts.clone()
     }
--- a/crates/load-test/src/upstream/requests.rs
+++ b/crates/load-test/src/upstream/requests.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 use woadstall_emulator::{Admission as ModelAdmission, CallEffect, CallGroup, chance};
 
-/// FaultKind an upstream makes of a request that arrives.
+/// What an upstream makes of a request that arrives.
 enum Admission {
     /// The connection is closed.
     Aborted,
--- a/crates/load-test/src/upstream/state.rs
+++ b/crates/load-test/src/upstream/state.rs
@@ -1,4 +1,4 @@
-//! FaultKind changes about an upstream while it runs.
+//! What changes about an upstream while it runs.
 
 use super::listing::{IN_SERVICE, Listing};
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 use woadstall_emulator::Upstream as UpstreamModel;
 
-/// FaultKind an upstream has counted.
+/// What an upstream has counted.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamCounts {
     /// Its name.
@@ -21,7 +21,7 @@
 
 /// The state of an upstream.
 pub struct State {
-    /// FaultKind decides what happens to requests.
+    /// What decides what happens to requests.
     pub model: UpstreamModel,
     /// The queued requests, each with the notification that a worker has it.
     pub queued: HashMap<u64, oneshot::Sender<()>>,
@@ -35,7 +35,7 @@
     pub drained_since: Option<Instant>,
     /// Requests that were received since the last sample.
     pub attempts: u32,
-    /// FaultKind it has counted.
+    /// What it has counted.
     pub counts: UpstreamCounts,
 }
 
