--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -1,4 +1,4 @@
-//! What decides inside a balancer: the wire that the real engine and its rivals are on.
+//! What decides inside a balancer: the wire that the real engine and its baseline policies are on.
 
 use woadstall_engine::{
     AttemptInFlight, AttemptRecord, Command, Engine, Input, ListedUpstream, Time,
@@ -29,14 +29,14 @@
         let _ = now;
         Vec::new()
     }
-    /// The nodos that are listed, where they have changed since `seen`.
+    /// The upstreams that are listed, where they have changed since `seen`.
     fn listed(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
         let _ = seen;
         None
     }
 }
 
-/// A mind that may go from thread to thread.
+/// An agent that may go from thread to thread.
 pub type BoxedAgent = Box<dyn BalancerAgent + Send>;
 
 impl BalancerAgent for Engine<Ticket, ()> {
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -1,4 +1,4 @@
-//! The auditor: sees everything that happens and trusts no balancer's word. It holds the four rules against each
+//! The auditor: sees everything that happens and trusts no balancer. It holds the four rules against each
 //! request, and counts calls and attempts, which must all end once.
 
 use crate::event_queue::SequenceMap;
@@ -25,7 +25,7 @@
     NoEffectTwice,
     /// 3: nothing new to what drains or is gone, later than 1 s after being told.
     Drained,
-    /// 4: no cold nodo pushed over.
+    /// 4: no cold upstream pushed over.
     Cold,
     /// Each call and each attempt ends once; nothing is left at the end.
     Conservation,
@@ -239,7 +239,7 @@
         }
     }
 
-    /// An attempt had its effect. One whose repeats nodos drop does not count if they dropped it.
+    /// An attempt had its effect. One whose repeats upstreams drop does not count if they dropped it.
     pub fn ran(&mut self, now: Time, request: u64) {
         let Some(case) = self.cases.get_mut(request) else {
             return;
@@ -288,7 +288,7 @@
         }
     }
 
-    /// A cold nodo was sent more than pushes it over.
+    /// A cold upstream was sent more than pushes it over.
     pub fn pushed_over(&mut self, now: Time, upstream: &str, part: f64) {
         let text = format!("{upstream} was sent {part:.2} of what pushes it over");
         self.breach(Rule::Cold, now, None, text);
--- a/crates/emulator/src/baseline.rs
+++ b/crates/emulator/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Rivals on the same wire, written from their public descriptions. Each is a way to pick a server, with or
+//! Baseline policies on the same wire, written from their public descriptions. Each is a way to pick a server, with or
 //! without an ejection of outliers, a limit of what is in flight, and a rule for retries. What they share, they
 //! share in [`BaselinePolicy`]: the list, the calls, the time limits. None of them ever repeats work that must not run
 //! twice, so that they are compared by what they serve.
@@ -64,7 +64,7 @@
     Budget,
 }
 
-/// A rival.
+/// A baseline policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BaselineConfig {
     /// How a server is picked.
--- a/crates/emulator/src/costs.rs
+++ b/crates/emulator/src/costs.rs
@@ -10,16 +10,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cost {
-    /// Connections opened to nodos.
+    /// Connections opened to upstreams.
     Handshakes,
-    /// Connections that nodos had no place for.
+    /// Connections that upstreams had no place for.
     #[serde(rename = "crowded")]
     ConnectionsRefused,
     /// Reads of the list from discovery.
     Reads,
     /// Those of them that failed.
     FailedReads,
-    /// Probes of nodos.
+    /// Probes of upstreams.
     Probes,
     /// Attempts that were not the first of their request.
     #[serde(rename = "repeats")]
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -10,7 +10,7 @@
 /// Most idle connections that the callers of a zone keep to all balancers together.
 const MOST_IDLE: usize = 100_000;
 
-/// A connection of a caller to one life of a balancer.
+/// A connection of a caller to one incarnation of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerConnection {
     /// The zone of its callers.
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A connection for a call from a zone: the one that was idle last, or else a new one, whose life the caller
+    /// A connection for a call from a zone: the one that was idle last, or else a new one, whose incarnation the caller
     /// fills in. `None` where all balancers are known to be out.
     pub fn take(
         &mut self,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,7 @@
 //! An emulator of whole fleets in simulated time, round the real engine and module.
 //!
 //! A [`Scenario`] says what there is, what comes and what goes wrong; [`run`] plays it with the real engine or a
-//! rival ([`Policy`]) in the balancers. An auditor that trusts nobody's word holds the four rules against each
+//! baseline policy ([`Policy`]) in the balancers. An auditor that trusts nobody holds the four rules against each
 //! request. One scenario, policy and seed give one result, to the byte, wherever it runs. Nothing here does
 //! input or output.
 
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a run was worth: worth served over worth offered, and over what a fluid bound allows.
+//! What a run was value: value served over value offered, and over what a fluid bound allows.
 
 use crate::audit::{Breach, Rule};
 use crate::costs::CostRow;
@@ -23,7 +23,7 @@
     Failed,
 }
 
-/// Counts of calls, attempts and worth.
+/// Counts of calls, attempts and value.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Counts {
@@ -39,7 +39,7 @@
     pub refused: u64,
     /// Failed.
     pub failed: u64,
-    /// Attempts at nodos, those of all tiers.
+    /// Attempts at upstreams, those of all tiers.
     pub attempts: u64,
     /// Those that were not the first of their request.
     pub repeats: u64,
@@ -67,7 +67,7 @@
     pub p99_ms: f64,
     /// Latencies of what was served: microseconds, and how many there were of about that.
     pub latencies: Vec<(u64, u64)>,
-    /// What each tier's nodos could do, in workers of sound warm ones.
+    /// What each tier's upstreams could do, in workers of sound warm ones.
     pub speed: Vec<f64>,
     /// Requests and attempts that were open at its end.
     pub open: (u64, u64),
@@ -75,7 +75,7 @@
     pub hosts: Vec<u32>,
     /// Lines that balancers logged, by what they are of. Each balancer tells of a matter every 5 s at most.
     pub lines: BTreeMap<String, u64>,
-    /// Balancers and nodos whose processes ran at its end, where they are processes.
+    /// Balancers and upstreams whose processes ran at its end, where they are processes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub up: Option<(u64, u64)>,
 }
@@ -104,9 +104,9 @@
 pub struct RunResult {
     /// Calls that came after the warm-up.
     pub counts: Counts,
-    /// Worth served over worth offered.
+    /// Worth served over value offered.
     pub served: f64,
-    /// Worth that the fluid bound allows over worth offered.
+    /// Worth that the fluid bound allows over value offered.
     pub bound: f64,
     /// Worth served over what the bound allows.
     pub score: f64,
@@ -116,7 +116,7 @@
     pub breaches: BTreeMap<Rule, u64>,
     /// The first of them in full.
     pub first_breaches: Vec<Breach>,
-    /// Most requests that one nodo held.
+    /// Most requests that one upstream held.
     pub longest_queue: u32,
     /// Lines that balancers logged.
     pub log_lines: u64,
@@ -278,7 +278,7 @@
         }
     }
 
-    /// A nodo holds so many requests.
+    /// An upstream holds so many requests.
     pub fn queued(&mut self, held: u32) {
         self.longest_queue = self.longest_queue.max(held);
     }
@@ -310,8 +310,8 @@
         ));
     }
 
-    /// What can be served at most where work is a fluid: in each step the nodos' speed goes to the calls of the
-    /// highest worth for their work, of a class to the oldest that are still in their aim, then to late ones.
+    /// What can be served at most where work is a fluid: in each step the upstreams' speed goes to the calls of the
+    /// highest value for their work, of a class to the oldest that are still in their aim, then to late ones.
     /// Queues within a step, the chance of arrivals and lost work are left out, so it is above what can be done.
     fn bound(&self) -> f64 {
         let mut waiting: Vec<VecDeque<(usize, f64)>> = vec![VecDeque::new(); self.classes.len()];
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -15,7 +15,7 @@
 /// Changes between together and not that are kept.
 const CHANGES: usize = 10_000;
 
-/// What a member record_view of another's present life.
+/// What a member holds of the present incarnation of another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MemberView {
     /// It has not heard of it.
@@ -176,7 +176,7 @@
         }
     }
 
-    /// A member's process begins, as a new life of it, or ends.
+    /// A member's process begins, as a new incarnation of it, or ends.
     pub fn runs(&mut self, now: Time, who: usize, up: bool) {
         if self.members[who].up == up {
             return;
@@ -258,7 +258,7 @@
         }
     }
 
-    /// What a member record_view of another's present life.
+    /// What a member holds of the present incarnation of another.
     pub fn record_view(&mut self, now: Time, by: usize, of: usize, held: MemberView) {
         let size = self.members.len();
         let disagreements = self.disagrees(by, of);
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -22,17 +22,17 @@
     UnknownAddition(String),
 }
 
-/// Which mind the balancers of a run have.
+/// Which agent the balancers of a run have.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
     /// The real engine with the real module.
     Woadstall,
-    /// A rival.
+    /// A baseline policy.
     Baseline(BaselineConfig),
 }
 
 impl Policy {
-    /// A mind that knows no upstream yet. The settings are checked before.
+    /// An agent that knows no upstream yet. The settings are checked before.
     pub fn agent(self, settings: Settings, seed: u64, now: Time) -> BoxedAgent {
         match self {
             Self::Woadstall => match Engine::new(settings, seed, now) {
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -18,13 +18,13 @@
     Arrivals,
     /// What a group of callers does beside arriving.
     Habits,
-    /// A nodo.
+    /// An upstream.
     Upstream,
     /// What a balancer's own seed comes from.
     Balancer,
     /// The network from a balancer.
     Network,
-    /// The padron's word to a balancer.
+    /// Updates from the registry to a balancer.
     Registry,
     /// A fault in the script.
     Fault,
--- a/crates/emulator/src/scenario/bound.rs
+++ b/crates/emulator/src/scenario/bound.rs
@@ -1,4 +1,4 @@
-//! Bounds: what must hold in a run, judged from its timeline alone, so that a run on sockets and one of the lab
+//! Bounds: what must hold in a run, judged from its timeline alone, so that a run on sockets and one of the emulator
 //! are judged alike.
 
 use super::error::{Check, in_range, inconsistent};
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Requirement {
-    /// At least this part of the worth that is offered from one time to another is served.
+    /// At least this part of the value that is offered from one time to another is served.
     Served {
         /// From when on.
         from: Span,
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -21,7 +21,7 @@
     /// The zone it is in; all, if it is left out.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Part of the nodos (or balancers) there that it hits.
+    /// Part of the upstreams (or balancers) there that it hits.
     #[serde(default = "one")]
     pub part: f64,
     /// What it is.
@@ -102,20 +102,20 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// Nodos die, work and all, and come back cold at the end.
+    /// Upstreams die, work and all, and come back cold at the end.
     Kill {
         /// What they were at has taken effect, though no answer comes.
         #[serde(default)]
         done: bool,
     },
-    /// Nodos are told to the balancers as draining, die once that has had its time, and come back cold at the
+    /// Upstreams are told to the balancers as draining, die once that has had its time, and come back cold at the
     /// end. They go one after another, each at its part of the fault's first half.
     Roll,
-    /// As `roll`, but new nodos come up at the addresses of those that went.
+    /// As `roll`, but new upstreams come up at the addresses of those that went.
     Replace,
-    /// Nodos work so many times slower, without errors.
+    /// Upstreams work so many times slower, without errors.
     Slow(f64),
-    /// Nodos answer a part of the requests with errors, unseen by them or after the work.
+    /// Upstreams answer a part of the requests with errors, unseen by them or after the work.
     Errors {
         /// The part.
         share: f64,
@@ -127,22 +127,22 @@
     Lost(f64),
     /// A part of the connections breaks before the answer, half of them after the work.
     Resets(f64),
-    /// Nodos take requests and say nothing.
+    /// Upstreams take requests and say nothing.
     Silent,
-    /// Nodos turn everything away as full.
+    /// Upstreams turn everything away as full.
     Full,
-    /// Nothing reaches the zone's nodos from other zones.
+    /// Nothing reaches the zone's upstreams from other zones.
     #[serde(rename = "cut-to")]
     PartitionTo,
-    /// Nothing comes back from the zone's nodos to other zones.
+    /// Nothing comes back from the zone's upstreams to other zones.
     #[serde(rename = "cut-from")]
     PartitionFrom,
-    /// Delays to and from the nodos are so many times longer.
+    /// Delays to and from the upstreams are so many times longer.
     SlowLink(f64),
-    /// The padron tells nothing.
+    /// The registry tells nothing.
     #[serde(rename = "padron-silent")]
     RegistrySilent,
-    /// The padron lists nodos as gone that are well.
+    /// The registry lists upstreams as gone that are well.
     #[serde(rename = "padron-wrong")]
     RegistryWrong,
     /// Balancers' clocks step forward.
@@ -157,15 +157,15 @@
         files: StoredFiles,
     },
     /// Balancers restart one after another, each at its part of the fault's time: it is dealt no new connections,
-    /// answers what it holds, and a new process takes its place. With `sidecar`, none: they go with their nodos.
+    /// answers what it holds, and a new process takes its place. With `sidecar`, none: they go with their upstreams.
     RollBalancers,
     /// Balancers' processes stand still.
     Stall,
-    /// Nodos' processes stand still: connections stay, what comes waits, and what was begun is answered once they
+    /// Upstreams' processes stand still: connections stay, what comes waits, and what was begun is answered once they
     /// go on, all at once.
     Stop,
-    /// Power is lost: nodos die in one instant with the balancers that send to them, and come back from the end
-    /// on. Nodos are cold, and balancers know the list that they had so long ago.
+    /// Power is lost: upstreams die in one instant with the balancers that send to them, and come back from the end
+    /// on. Upstreams are cold, and balancers know the list that they had so long ago.
     PowerLoss {
         /// How old it is.
         #[serde(default)]
--- a/crates/emulator/src/scenario/limits.rs
+++ b/crates/emulator/src/scenario/limits.rs
@@ -1,4 +1,4 @@
-//! What balancers may do, the network, the padron and the clocks.
+//! What balancers may do, the network, the registry and the clocks.
 
 use crate::units::{MS, SECOND, Span};
 use serde::{Deserialize, Serialize};
@@ -18,14 +18,14 @@
     pub idle: Span,
     /// How long a connection may take to come up.
     pub connect: Span,
-    /// Connections to nodos that a balancer may have open, over HTTP/1.1; 0 for as many as it likes.
+    /// Connections to upstreams that a balancer may have open, over HTTP/1.1; 0 for as many as it likes.
     pub sockets: u32,
     /// Upstreams speak HTTP/2: many attempts on one connection.
     pub http2: bool,
-    /// What a crossing of zones costs, as part of a request's worth.
+    /// What a crossing of zones costs, as part of a request's value.
     #[serde(rename = "cross-price")]
     pub cross_zone_cost: f64,
-    /// Part of its worth that a request beyond its tenant's quota keeps.
+    /// Part of its value that a request beyond its tenant's quota keeps.
     #[serde(rename = "over-quota-worth")]
     pub over_quota_value: f64,
 }
@@ -56,7 +56,7 @@
     pub across: Span,
     /// Up to this part more, evenly.
     pub jitter: f64,
-    /// Part of the messages, either way, that is lost without a word.
+    /// Part of the messages, either way, that is lost without notice.
     pub loss: f64,
     /// Part of the requests whose connection breaks on their way.
     pub resets: f64,
@@ -77,7 +77,7 @@
     }
 }
 
-/// How the list of nodos reaches the balancers: pushed, in order, to each after a time of its own, where need be
+/// How the list of upstreams reaches the balancers: pushed, in order, to each after a time of its own, where need be
 /// once it has asked.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
@@ -86,7 +86,7 @@
     pub delay: Span,
     /// ... and up to this much later.
     pub jitter: Span,
-    /// A nodo that dies is taken off after this time.
+    /// An upstream that dies is taken off after this time.
     #[serde(rename = "notices")]
     pub detection_delay: Span,
     /// It has to be asked, and then tells of changes until the balancer's process ends.
@@ -94,7 +94,7 @@
     pub queries: Option<RegistryQueries>,
 }
 
-/// What a padron that has to be asked can do.
+/// What a registry that has to be asked can do.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RegistryQueries {
@@ -119,7 +119,7 @@
     }
 }
 
-/// The balancers' clocks, which the padron's start times are compared with.
+/// The balancers' clocks, which the registry's start times are compared with.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Clocks {
--- a/crates/emulator/src/scenario/load.rs
+++ b/crates/emulator/src/scenario/load.rs
@@ -59,7 +59,7 @@
 }
 
 impl Load {
-    /// DownstreamCalls a second at a time; none for a crowd.
+    /// Calls a second at a time; none for a closed group.
     pub fn rate(&self, at: u64) -> f64 {
         match self {
             Self::Constant(rate) => *rate,
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -66,7 +66,7 @@
     /// The network.
     #[serde(default)]
     pub network: Network,
-    /// How the list of nodos reaches the balancers.
+    /// How the list of upstreams reaches the balancers.
     #[serde(default)]
     #[serde(rename = "padron")]
     pub registry: RegistryConfig,
@@ -76,7 +76,7 @@
     /// Membership among the balancers; none, if it is left out.
     #[serde(default)]
     pub members: Option<MembershipConfig>,
-    /// Leaving nodos, zones and regions as a fleet; needs `members`.
+    /// Leaving upstreams, zones and regions as a fleet; needs `members`.
     #[serde(default)]
     pub evacuation: Option<EvacuationConfig>,
     /// Faults, in any order.
@@ -102,13 +102,13 @@
     pub name: String,
     /// What repeating it does.
     pub effect: CallEffect,
-    /// For keyed work: the nodos that drop its repeats.
+    /// For keyed work: the upstreams that drop its repeats.
     #[serde(default)]
     pub group: CallGroup,
     /// For keyed work: how long they do.
     #[serde(default)]
     pub window: Span,
-    /// An answer within this earns the full worth.
+    /// An answer within this earns the full value.
     #[serde(rename = "aim")]
     pub latency_target: Span,
     /// The caller waits for no longer.
@@ -121,7 +121,7 @@
     #[serde(default)]
     #[serde(rename = "late-worth")]
     pub late_value: f64,
-    /// How long a warm nodo works on it.
+    /// How long a warm upstream works on it.
     pub service: Dist,
     /// Bytes of its body, which the network takes its time for.
     #[serde(default)]
@@ -138,13 +138,13 @@
 pub enum CallEffect {
     /// Nothing.
     Safe,
-    /// Nodos drop repeats for a while.
+    /// Upstreams drop repeats for a while.
     Keyed,
     /// It must never run twice.
     Unsafe,
 }
 
-/// The nodos that drop the repeats of a key.
+/// The upstreams that drop the repeats of a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallGroup {
@@ -193,7 +193,7 @@
         self.check_all()
     }
 
-    /// The tier whose nodos call this one.
+    /// The tier whose upstreams call this one.
     pub fn caller_of(&self, tier: usize) -> Option<usize> {
         let name = &self.tier[tier].name;
         self.tier.iter().position(|other| {
@@ -204,7 +204,7 @@
         })
     }
 
-    /// Zone of a nodo or balancer, by its number in its tier: they stand in the zones in turn.
+    /// Zone of an upstream or balancer, by its number in its tier: they stand in the zones in turn.
     pub fn zone_in_turn(&self, number: u32) -> u8 {
         (number as usize % self.zones.len()) as u8
     }
@@ -228,7 +228,7 @@
         }
     }
 
-    /// How many balancers and nodos there are in all.
+    /// How many balancers and upstreams there are in all.
     pub fn sizes(&self) -> (u64, u64) {
         let balancers = (0..self.tier.len())
             .map(|tier| u64::from(self.senders(tier)))
--- a/crates/emulator/src/scenario/tiers.rs
+++ b/crates/emulator/src/scenario/tiers.rs
@@ -1,9 +1,9 @@
-//! Tiers: nodos, the balancers before them, and the front before all.
+//! Tiers: upstreams, the balancers before them, and the front before all.
 
 use crate::units::{MS, SECOND, Span};
 use serde::{Deserialize, Serialize};
 
-/// A tier: nodos, and the balancers before them.
+/// A tier: upstreams, and the balancers before them.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Tier {
@@ -12,51 +12,51 @@
     /// How many balancers send to it; they stand in the zones in turn. With `sidecar`, there is none to say.
     #[serde(default)]
     pub balancers: u32,
-    /// Each nodo of the tier before has a balancer of its own for its calls, which dies and starts with it.
+    /// Each upstream of the tier before has a balancer of its own for its calls, which dies and starts with it.
     #[serde(default)]
     #[serde(rename = "beside")]
     pub sidecar: bool,
-    /// How many nodos it has; they stand in the zones in turn.
+    /// How many upstreams it has; they stand in the zones in turn.
     #[serde(rename = "nodos")]
     pub upstreams: u32,
-    /// Requests that a nodo works on at a time.
+    /// Requests that an upstream works on at a time.
     #[serde(default = "four")]
     pub workers: u32,
-    /// Requests that may wait at a nodo.
+    /// Requests that may wait at an upstream.
     #[serde(default = "sixty_four")]
     pub queue: u32,
     /// Which of them is next.
     #[serde(default)]
     pub order: QueueOrder,
-    /// Cells, in which the nodos stand in turn.
+    /// Cells, in which the upstreams stand in turn.
     #[serde(default = "one_cell")]
     pub cells: u16,
-    /// Part of its capacity that a nodo starts with.
+    /// Part of its capacity that an upstream starts with.
     #[serde(default = "third")]
     pub start_capacity: f64,
-    /// A nodo is warm after this time.
+    /// An upstream is warm after this time.
     #[serde(default = "slow_start_window")]
     #[serde(rename = "ramp")]
     pub slow_start_window: Span,
-    /// A cold nodo falls over where it is sent more than this multiple of what it can do for 3 s.
+    /// A cold upstream falls over where it is sent more than this multiple of what it can do for 3 s.
     #[serde(default = "overload_multiple")]
     #[serde(rename = "tip-multiple")]
     pub overload_multiple: f64,
-    /// All nodos start cold.
+    /// All upstreams start cold.
     #[serde(default)]
     pub cold: bool,
-    /// Its nodos call another tier.
+    /// Its upstreams call another tier.
     #[serde(default)]
     pub calls: Option<DownstreamCalls>,
-    /// What connections cost its nodos.
+    /// What connections cost its upstreams.
     #[serde(default)]
     pub connections: Connections,
-    /// Its nodos tell how many requests they hold when they are probed.
+    /// Its upstreams tell how many requests they hold when they are probed.
     #[serde(default)]
     pub probed: Option<ProbeConfig>,
 }
 
-/// What connections cost a nodo.
+/// What connections cost an upstream.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Connections {
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ProbeConfig {
-    /// The price that balancers are told, as part of a request's worth.
+    /// The price that balancers are told, as part of a request's value.
     pub price: f64,
     /// One that is not answered has failed after this time.
     #[serde(rename = "patience")]
@@ -147,7 +147,7 @@
     Lifo,
 }
 
-/// DownstreamCalls of a nodo to the next tier, for each request that it works on.
+/// Calls of an upstream to the next tier, for each request that it works on.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct DownstreamCalls {
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A nodo: workers, a queue, a cold start, and what can be wrong with it. Handed its time and its randomness.
+//! An upstream: workers, a queue, a cold start, and what can be wrong with it. Handed its time and its randomness.
 
 use crate::random::{Dist, chance};
 use crate::scenario::{QueueOrder, Tier};
@@ -10,7 +10,7 @@
 /// Rule 4 looks at what came within this time.
 pub const WINDOW: Time = 3 * SECOND;
 
-/// What is wrong with a nodo at present.
+/// What is wrong with an upstream at present.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamFaults {
     /// It works so many times slower.
@@ -46,7 +46,7 @@
     }
 }
 
-/// A nodo, over all its processes.
+/// An upstream, over all its processes.
 #[derive(Debug)]
 pub struct Upstream {
     /// Its name.
@@ -88,7 +88,7 @@
     came: VecDeque<Time>,
 }
 
-/// What becomes of a request that reaches a nodo.
+/// What becomes of a request that reaches an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is worked on.
@@ -100,7 +100,7 @@
 }
 
 impl Upstream {
-    /// A nodo of a tier, warm or cold.
+    /// An upstream of a tier, warm or cold.
     pub fn new(
         name: String,
         tier: usize,
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers' processes: what their minds are told and what they do, up to the network between them and the nodos.
+//! Balancers' processes: what their agents are told and what they do, up to the network between them and the upstreams.
 
 use super::*;
 
@@ -171,7 +171,7 @@
         }
     }
 
-    /// What is wrong now with what goes to a nodo, or comes back.
+    /// What is wrong now with what goes to an upstream, or comes back.
     fn link_faults(
         &self,
         at: usize,
@@ -219,7 +219,7 @@
         (base.0 as f64 * jitter * upstream.active_faults.delay_factor) as Time + more
     }
 
-    /// Whether what goes to a zone's nodos, or comes back, is cut off.
+    /// Whether what goes to a zone's upstreams, or comes back, is cut off.
     pub(super) fn is_partitioned(&self, at: usize, upstream: usize, to: bool) -> bool {
         let zone = self.upstreams[upstream].zone;
         let partitioned = self.balancers[at].zone != zone && self.partitions.contains(&(zone, to));
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -177,7 +177,7 @@
         Some(line.balancer)
     }
 
-    /// The balancer beside a nodo, if it lives.
+    /// The balancer sidecar of an upstream, if it lives.
     fn sidecar_of(&self, upstream: usize) -> Option<u32> {
         let balancer = *self.sidecar.get(self.upstreams[upstream].host as usize)?;
         balancer.filter(|&balancer| self.balancers[balancer as usize].alive)
--- a/crates/emulator/src/world/dispatch.rs
+++ b/crates/emulator/src/world/dispatch.rs
@@ -16,7 +16,7 @@
 
 /// What becomes of an attempt on its way, and after how long, in nanoseconds.
 enum Transit {
-    /// It gets lost without a word.
+    /// It gets lost without notice.
     Lost,
     /// The balancer hears of a failure.
     Failed(Time, Outcome),
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -216,7 +216,7 @@
         }
     }
 
-    /// What is wrong with a nodo, from all faults that hit it now.
+    /// What is wrong with an upstream, from all faults that hit it now.
     pub(super) fn refresh_upstream_faults(&mut self, upstream: u32, changed: usize, begins: bool) {
         let now = self.event_queue.now();
         let mut active_faults = UpstreamFaults::default();
@@ -264,7 +264,7 @@
             0 => {
                 self.upstreams[at].draining = true;
                 self.change_registry(upstream, Lifecycle::Draining);
-                // The word's way, the second that rule 3 allows, and the work.
+                // The update's way, the second that rule 3 allows, and the work.
                 let registry = &self.scenario.registry;
                 let wait = registry.delay.0 + registry.jitter.0 + SECOND + longest;
                 self.event_queue.after(
@@ -287,7 +287,7 @@
         }
     }
 
-    /// A new nodo at the address of one that is gone.
+    /// A new upstream at the address of one that is gone.
     pub(super) fn replace(&mut self, old: u32) {
         self.change_registry(old, Lifecycle::Removed);
         let (now, number) = (self.event_queue.now(), self.upstreams.len() as u32);
@@ -387,7 +387,7 @@
         }
     }
 
-    /// The front notices that a life of a balancer is over, unless the next has begun, or that one has begun.
+    /// The front notices that a incarnation of a balancer is over, unless the next has begun, or that one has begun.
     pub(super) fn front_noticed(&mut self, at: usize, incarnation: u32, out: bool) {
         let balancer = &self.balancers[at];
         if balancer.incarnation == incarnation && (!out || !balancer.alive || balancer.leaving) {
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -9,7 +9,7 @@
     PathState, Settings,
 };
 
-/// MembershipSimulation that a new one asks.
+/// Members that a new one asks.
 const SEEDS: u32 = 3;
 /// A process looks this often whether one listens where it suspects another.
 const LOOK: Time = SECOND;
@@ -36,9 +36,9 @@
     by_name: std::collections::HashMap<Name, u32>,
     messages: SequenceMap<PendingMessage>,
     observer: MembershipObserver,
-    /// The life that each had last.
+    /// The incarnation that each had last.
     last_incarnation: Vec<Option<Generation>>,
-    /// Bytes that former lives have sent.
+    /// Bytes that former incarnations have sent.
     bytes: Vec<u64>,
 }
 
@@ -266,7 +266,7 @@
         self.flush_member(at);
     }
 
-    /// Mail comes. While its process stands still, the machine record_view it.
+    /// A message comes. While the process stands still, the machine holds it.
     pub(super) fn receive_member_message(&mut self, messages: u64) {
         let now = self.event_queue.now();
         let to = self
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,7 +1,7 @@
-//! The world: callers, balancers, nodos, the network and the padron, in simulated time.
+//! The world: callers, balancers, upstreams, the network and the registry, in simulated time.
 //!
 //! One event at a time, in the order of their times, so one seed gives one result. What decides is the real
-//! engine (or a rival); all round it is a model, and docs/emulator.md says what that leaves out.
+//! engine (or a baseline policy); all round it is a model, and docs/emulator.md says what that leaves out.
 
 mod balancers;
 mod callers;
@@ -42,7 +42,7 @@
 pub const EPOCH: Time = 1_760_000_000 * SECOND;
 /// Timers ring at steps of this, as in the runtime.
 const RING: Time = 4 * MS;
-/// How long a nodo that fell over takes to come back.
+/// How long an upstream that fell over takes to come back.
 const OVERLOAD_RECOVERY: Time = 5 * SECOND;
 /// After the callers' last call, the world goes on for as long as the longest deadline and this.
 const TAIL: Time = 2 * SECOND;
@@ -59,9 +59,9 @@
     CallerRetries(u64),
     /// A balancer that stood still reads a request.
     BalancerReads(u64),
-    /// An attempt reaches its nodo.
+    /// An attempt reaches its upstream.
     AttemptArrived(u64),
-    /// A nodo is done with its own work on an attempt.
+    /// An upstream is done with its own work on an attempt.
     WorkFinished {
         attempt: u64,
         upstream: u32,
@@ -90,7 +90,7 @@
         incarnation: u32,
         well: bool,
     },
-    /// A probe reaches its nodo, and is over.
+    /// A probe reaches its upstream, and is over.
     ProbeArrives {
         probe: u64,
     },
@@ -115,15 +115,15 @@
         fault: u32,
         begins: bool,
     },
-    /// A nodo's part of a roll: told to drain, dies, comes back.
+    /// An upstream's part of a roll: told to drain, dies, comes back.
     RollUpstream {
         upstream: u32,
         step: u8,
         fault: u32,
     },
-    /// A nodo that fell over comes back.
+    /// An upstream that fell over comes back.
     UpstreamBoots(u32),
-    /// The padron notices a death.
+    /// The registry notices a death.
     DeathNoticed {
         upstream: u32,
         process: u32,
@@ -150,12 +150,12 @@
     CoordinatorTimer(u32),
 }
 
-/// One thing that a caller, or a nodo, wants done.
+/// One thing that a caller, or an upstream, wants done.
 struct ClientCall {
     class: usize,
-    /// The group of callers, or none for a nodo's.
+    /// The group of callers, or none for an upstream's.
     group: Option<u32>,
-    /// The attempt that a nodo calls for.
+    /// The attempt that an upstream calls for.
     parent: Option<u64>,
     closed_loop: bool,
     born: Time,
@@ -167,7 +167,7 @@
     measured: bool,
     /// The connection that its caller has asked on.
     line: Option<CallerConnection>,
-    /// Groups of nodos in which it ran, and when.
+    /// Groups of upstreams in which it ran, and when.
     seen: SmallVec<[(u32, Time); 1]>,
 }
 
@@ -186,7 +186,7 @@
     upstream: u32,
     host: u32,
     process: u32,
-    /// Epoch of the connections to that nodo when it was sent.
+    /// Epoch of the connections to that upstream when it was sent.
     epoch: u32,
     /// The balancer has not been told its end.
     out: bool,
@@ -235,7 +235,7 @@
     subscribed: bool,
     /// Changes of the list that it was told of.
     applied_changes: u32,
-    /// Word that is on its way: when it comes, and of how many changes. What comes at once is one list.
+    /// Updates on their way: when each comes, and how many changes it covers. What comes at once is one list.
     updates: VecDeque<(Time, u32)>,
 }
 
@@ -270,7 +270,7 @@
     boot_ms: u64,
 }
 
-/// What wraps a mind.
+/// What wraps an agent.
 pub type AgentWrapper<'a> = dyn Fn(BoxedAgent) -> BoxedAgent + 'a;
 
 /// A run, from its start to its end.
@@ -284,7 +284,7 @@
     attempts: SequenceMap<Attempt>,
     probes: SequenceMap<PendingProbe>,
     balancers: Vec<Balancer>,
-    /// The balancer beside the nodo at an address.
+    /// The balancer beside the upstream at an address.
     sidecar: Vec<Option<u32>>,
     front: Option<Front>,
     front_rng: ChaCha8Rng,
@@ -313,7 +313,7 @@
     meter: Meter,
     prices: CostCounters,
     story: Option<(u64, Vec<(Time, String)>)>,
-    /// Wraps each mind as it starts; for tests that spoil or record one.
+    /// Wraps each agent as it starts; for tests that spoil or record one.
     wrap: Option<&'a AgentWrapper<'a>>,
     events: u64,
 }
@@ -387,7 +387,7 @@
         self.story = Some((call, Vec::new()));
     }
 
-    /// Wraps each mind as it starts.
+    /// Wraps each agent as it starts.
     pub fn wrap_agents(&mut self, wrap: &'a AgentWrapper<'a>) {
         self.wrap = Some(wrap);
         for at in 0..self.balancers.len() {
@@ -522,7 +522,7 @@
         number
     }
 
-    /// A new mind for a balancer, with the seed of its next life.
+    /// A new agent for a balancer, with the seed of its next incarnation.
     fn agent(&mut self, at: usize) -> BoxedAgent {
         let now = self.event_queue.now();
         let balancer = &mut self.balancers[at];
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -1,4 +1,4 @@
-//! The padron: changes of the list, and how word of them reaches the balancers.
+//! The registry: changes of the list, and how they reach the balancers.
 
 use super::*;
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends word of all changes so far to all balancers of their tiers.
+    /// Sends all changes so far to all balancers of their tiers.
     pub(super) fn publish_changes(&mut self) {
         let upto = self.changes.len() as u32;
         for at in 0..self.balancers.len() {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Tells a balancer the whole list as it was some time ago, and sends word of the rest.
+    /// Tells a balancer the whole list as it was some time ago, and sends the rest as an update.
     pub(super) fn send_full_list(&mut self, at: usize, stale: Time) {
         let now = self.event_queue.now();
         let tier = self.balancers[at].tier;
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -1,4 +1,4 @@
-//! What nodos do with the attempts that reach them, and how their processes die and start.
+//! What upstreams do with the attempts that reach them, and how their processes die and start.
 
 use super::*;
 
@@ -170,7 +170,7 @@
         }
     }
 
-    /// A nodo's call to the next tier is answered.
+    /// An upstream's call to the next tier is answered.
     pub(super) fn downstream_call_answered(&mut self, number: u64, well: bool) {
         let Some(attempt) = self
             .attempts
@@ -190,7 +190,7 @@
         }
     }
 
-    /// A nodo is done with an attempt: it answers and takes the next.
+    /// An upstream is done with an attempt: it answers and takes the next.
     pub(super) fn finish_attempt(&mut self, number: u64, upstream: usize) {
         let spoilt = self
             .attempts
@@ -213,7 +213,7 @@
         let next = self.upstreams[upstream].next(|request| {
             let waits = attempts.get(request).is_some_and(|attempt| attempt.out);
             if !waits {
-                dropped.push(request); // its connection is closed: a nodo sees that before it begins
+                dropped.push(request); // its connection is closed: an upstream sees that before it begins
             }
             waits
         });
@@ -230,7 +230,7 @@
         self.begin_work(upstream, next, class.unwrap_or(0));
     }
 
-    /// The work of an attempt is done. Nodos drop the repeats of keyed work in their group and window.
+    /// The work of an attempt is done. Upstreams drop the repeats of keyed work in their group and window.
     pub(super) fn take_effect(&mut self, number: u64) {
         let now = self.event_queue.now();
         let Some(attempt) = self.attempts.get(number) else {
@@ -265,7 +265,7 @@
         self.record_story(client_call_number, || format!("{name} has done it"));
     }
 
-    /// A nodo's process dies. What it was at breaks, done or not.
+    /// An upstream's process dies. What it was at breaks, done or not.
     pub(super) fn kill_upstream(&mut self, upstream: usize, done: bool) {
         if !self.upstreams[upstream].alive {
             return;
@@ -312,7 +312,7 @@
         self.change_registry(upstream as u32, Lifecycle::Ready);
     }
 
-    /// The balancer beside a nodo starts with it.
+    /// The balancer sidecar of an upstream starts with it.
     pub(super) fn start_sidecar(&mut self, upstream: usize) {
         if let Some(balancer) = self.sidecar[self.upstreams[upstream].host as usize] {
             self.start_balancer(balancer as usize, 0);
--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -21,7 +21,7 @@
     NeverAnswers,
 }
 
-/// A mind that goes wrong.
+/// An agent that goes wrong.
 struct Saboteur {
     agent: Boxed,
     does: Does,
@@ -198,7 +198,7 @@
     assert!(story.windows(2).all(|pair| pair[0].0 <= pair[1].0));
 }
 
-/// What one mind was told and said.
+/// What one agent was told and said.
 type Recorded = Arc<Mutex<Vec<(Time, String, String)>>>;
 
 struct Recorder {
@@ -325,7 +325,7 @@
     assert!(*compared.lock().unwrap() > 3_000);
 }
 
-/// Same seed, same bytes; another seed, others. Also what each mind is told, in threads.
+/// Same seed, same bytes; another seed, others. Also what each agent is told, in threads.
 #[test]
 fn one_seed_one_result() {
     let scenario = small(ROLL);
--- a/crates/emulator/tests/evacuation.rs
+++ b/crates/emulator/tests/evacuation.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Halves that do not hear each other each find what they can, and are of one mind once they do.
+/// Halves that do not hear each other each find what they can, and are of one agent once they do.
 #[test]
 fn halves_and_single_zones_go_by_what_they_see() {
     kept("halves", 1);
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets with a balancer beside each nodo, a front, scarce connections, and discovery that has to be asked.
+//! Fleets with a balancer beside each upstream, a front, scarce connections, and discovery that has to be asked.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 const SECOND: u64 = 1_000_000_000;
 
-/// Three tiers; the later two are called by balancers beside nodos.
+/// Three tiers; the later two are called by balancers beside upstreams.
 fn tiers(more: &str) -> Scenario {
     let calls = "workers = 24\ncalls = { tier = \"posting\", mean = 1.0 }\n";
     let first = common::SMALL.replace("workers = 2\n", calls);
@@ -59,7 +59,7 @@
     assert_eq!(scenario.settings(2, 0).balancers, 9);
     let end = play(&scenario);
     assert!(end.served > 0.97, "{}", end.served);
-    // Each of nine senders opens connections to the nodos of its zone; none has more than its part of them.
+    // Each of nine senders opens connections to the upstreams of its zone; none has more than its part of them.
     let row = end
         .prices
         .iter()
@@ -68,7 +68,7 @@
     assert!(row.total >= 9 * 6 && row.largest.1 < 0.25, "{row:?}");
 }
 
-/// A balancer beside a nodo dies with it, and starts with it: what it held is no one's to answer, and the next
+/// A balancer sidecar of an upstream dies with it, and starts with it: what it held is no one's to answer, and the next
 /// process knows the list of its start.
 #[test]
 fn a_balancer_beside_a_nodo_dies_and_starts_with_it() {
@@ -140,7 +140,7 @@
     );
 }
 
-/// Nodos that accept few connections turn further ones away, and the work of a new one takes its time.
+/// Upstreams that accept few connections turn further ones away, and the work of a new one takes its time.
 #[test]
 fn connections_are_scarce_and_dear_where_the_scenario_says_so() {
     let with = |connections: Connections| {
@@ -233,7 +233,7 @@
     assert!(play(&killed).counts.failed > 50, "the same without a drain");
 }
 
-/// Where nodos tell their load when probed, balancers ask before they send; a cut or a dead nodo does not answer.
+/// Where upstreams tell their load when probed, balancers ask before they send; a cut or a dead upstream does not answer.
 #[test]
 fn probes_are_answered_by_what_lives() {
     let mut scenario =
--- a/crates/emulator/tests/power.rs
+++ b/crates/emulator/tests/power.rs
@@ -22,7 +22,7 @@
     value / offered
 }
 
-/// Nodos that stand still for less than the callers' time answer late what they had; those that stand still for
+/// Upstreams that stand still for less than the callers' time answer late what they had; those that stand still for
 /// good answer nothing.
 #[test]
 fn stopped_nodos_answer_once_they_go_on() {
@@ -41,7 +41,7 @@
     assert!(long.counts.failed + long.counts.refused > short.counts.failed + short.counts.refused);
 }
 
-/// With the power all is gone, also the balancers; both come back, nodos one after another.
+/// With the power all is gone, also the balancers; both come back, upstreams one after another.
 #[test]
 fn power_comes_back() {
     let loss = "[[fault]]\nat = \"2 s\"\nuntil = \"3 s\"\n\
@@ -53,7 +53,7 @@
 }
 
 /// A way that is cut from one zone to the other loses what goes there and the answers that come back by it; with
-/// a nodo of its own zone each balancer serves on.
+/// an upstream of its own zone each balancer serves on.
 #[test]
 fn one_way_is_cut() {
     let partitioned =
--- a/crates/emulator/tests/returning.rs
+++ b/crates/emulator/tests/returning.rs
@@ -1,4 +1,4 @@
-//! Fleets that return cold as a whole: how much is served meanwhile, and that no nodo is pushed over.
+//! Fleets that return cold as a whole: how much is served meanwhile, and that no upstream is pushed over.
 
 use woadstall_emulator::{Policy, RunResult, Scenario, run};
 
@@ -57,7 +57,7 @@
     assert!(end.is_kept(), "{:?}", end.breaches);
 }
 
-/// A third of what warm nodos can do is asked of cold ones: sent by their warm share alone, 45% of it was refused in the
+/// A third of what warm upstreams can do is asked of cold ones: sent by their warm share alone, 45% of it was refused in the
 /// first seconds. Answers in time let the pace grow.
 #[test]
 fn what_cold_nodos_can_do_is_sent_to_them() {
@@ -66,8 +66,8 @@
     assert!(end.score > 0.96, "{}", end.score);
 }
 
-/// Twice what warm nodos can do: budgets held it back, and all of it came in the instant in which they ended, so that every
-/// nodo fell. They end as what is answered grows.
+/// Twice what warm upstreams can do: budgets held it back, and all of it came in the instant in which they ended, so that every
+/// upstream fell. They end as what is answered grows.
 #[test]
 fn an_overload_does_not_come_all_at_once_when_budgets_end() {
     let end = play(&[("constant = 350.0", "constant = 2350.0")]);
@@ -75,7 +75,7 @@
     assert!(end.score > 0.6, "{}", end.score);
 }
 
-/// All nodos die for six seconds under callers that ask again at once, and are back: they get what they bore before.
+/// All upstreams die for six seconds under callers that ask again at once, and are back: they get what they bore before.
 #[test]
 fn what_was_borne_before_an_outage_is_sent_after_it() {
     let fault = "\n[[fault]]\nat = \"8 s\"\nuntil = \"14 s\"\nwhat = { kill = {} }\n";
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -113,7 +113,7 @@
     );
 }
 
-/// No nodos, one, no load, nothing reachable, callers that vanish with their balancer, clocks that differ: a
+/// No upstreams, one, no load, nothing reachable, callers that vanish with their balancer, clocks that differ: a
 /// sound end, and no rule broken.
 #[test]
 fn corners_end_well() {
@@ -161,7 +161,7 @@
     assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
 }
 
-/// A padron that is wrong, clocks that step, messages that vanish, hardly any sockets: no rule is broken, and what
+/// A registry that is wrong, clocks that step, messages that vanish, hardly any sockets: no rule is broken, and what
 /// can be served is.
 #[test]
 fn what_balancers_cannot_help_breaks_no_rule() {
