--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -13,7 +13,7 @@
 /// Time after which nothing new may go to what is told to drain, or gone.
 pub const DRAIN: Time = SECOND;
 /// Breaches that are told in full; the rest is counted.
-const TOLD: usize = 20;
+const MAX_REPORTED: usize = 20;
 
 /// What can be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
@@ -92,7 +92,7 @@
 impl Auditor {
     fn breach(&mut self, rule: Rule, at: Time, call: Option<u64>, text: String) {
         self.counts[rule as usize] += 1;
-        if self.breaches.len() < TOLD {
+        if self.breaches.len() < MAX_REPORTED {
             self.breaches.push(Breach {
                 rule,
                 at,
--- a/crates/emulator/src/baseline.rs
+++ b/crates/emulator/src/baseline.rs
@@ -121,7 +121,7 @@
                 known: known.join(", "),
             });
         };
-        let mut style = Self {
+        let mut config = Self {
             pick: *pick,
             ejects: false,
             limit: ConcurrencyLimit::None,
@@ -129,32 +129,44 @@
         };
         for part in parts {
             match part {
-                "outlier" => style.ejects = true,
-                "aimd" => style.limit = ConcurrencyLimit::Aimd,
-                "gradient" => style.limit = ConcurrencyLimit::Gradient,
-                "retries" => style.retries = RetryPolicy::Fixed,
-                "budget" => style.retries = RetryPolicy::Budget,
+                "outlier" => config.ejects = true,
+                "aimd" => config.limit = ConcurrencyLimit::Aimd,
+                "gradient" => config.limit = ConcurrencyLimit::Gradient,
+                "retries" => config.retries = RetryPolicy::Fixed,
+                "budget" => config.retries = RetryPolicy::Budget,
                 _ => {
                     return Err(PolicyError::UnknownAddition(part.to_owned()));
                 }
             }
         }
-        Ok(style)
+        Ok(config)
     }
 }
 
-/// Ejection: failures in a row, how long, and the part of the servers at most.
-const EJECT: (u32, Time, f64) = (5, 30 * SECOND, 0.1);
-/// Ribbon's breaker: failures in a row, first open time, and the longest.
-const TRIP: (u32, Time, Time) = (3, 10 * SECOND, 30 * SECOND);
-/// Ribbon's zone tests: load per server, and part of the servers that is tripped.
-const ZONE: (f64, f64) = (0.6, 0.2);
-/// Time over which the peak-sensitive average decays.
+/// Failures in a row after which a server is ejected.
+const EJECT_FAILURES: u32 = 5;
+/// How long a server is ejected for the first time, in nanoseconds; each time it is once more as long.
+const EJECT_TIME: Time = 30 * SECOND;
+/// Part of the servers that may be ejected at a time.
+const EJECT_PART: f64 = 0.1;
+/// Failures in a row that trip Ribbon's breaker.
+const TRIP_FAILURES: u32 = 3;
+/// How long Ribbon's breaker is open for the first time, in nanoseconds; each time it is twice as long.
+const TRIP_TIME: Time = 10 * SECOND;
+/// The longest that Ribbon's breaker is open, in nanoseconds.
+const TRIP_TIME_MAX: Time = 30 * SECOND;
+/// Ribbon avoids a zone from so many calls in flight per server on.
+const ZONE_LOAD: f64 = 0.6;
+/// Ribbon avoids a zone from this part of its servers tripped on.
+const ZONE_TRIPPED: f64 = 0.2;
+/// Time over which the peak-sensitive average decays, in nanoseconds.
 const DECAY: f64 = 10e9;
-/// What a retry budget earns by each call, and holds at most.
-const BUDGET: (f64, f64) = (0.2, 10.0);
+/// Tokens that each call puts into the retry budget; a retry takes one.
+const BUDGET_EARNED: f64 = 0.2;
+/// Tokens that the retry budget holds at most, and begins with.
+const BUDGET_MAX: f64 = 10.0;
 /// Advice on when to come back, for what is refused by a limit.
-const ADVICE: Time = 200 * MS;
+const RETRY_AFTER: Time = 200 * MS;
 
 #[derive(Clone, Debug)]
 struct Server {
@@ -186,7 +198,7 @@
     }
 }
 
-struct Open {
+struct OpenCall {
     ticket: Ticket,
     class: usize,
     deadline: Time,
@@ -200,27 +212,28 @@
 
 /// See the module's documentation.
 pub struct BaselinePolicy {
-    style: BaselineConfig,
+    config: BaselineConfig,
     settings: Settings,
     rng: ChaCha8Rng,
     by_name: BTreeMap<String, usize>,
     servers: Vec<Server>,
     ready: Vec<usize>,
     cursor: usize,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenCall>,
     commands: VecDeque<Command<Ticket, ()>>,
     tokens: f64,
     limit: f64,
     in_flight: u32,
-    /// Short and long averages of the latency.
-    latency: (f64, f64),
+    /// Short and long moving averages of the latency, in nanoseconds; 0 before the first call.
+    short_latency: f64,
+    long_latency: f64,
 }
 
 impl BaselinePolicy {
     /// One that knows no server yet.
-    pub fn new(style: BaselineConfig, settings: Settings, seed: u64) -> Self {
+    pub fn new(config: BaselineConfig, settings: Settings, seed: u64) -> Self {
         Self {
-            style,
+            config,
             settings,
             rng: ChaCha8Rng::seed_from_u64(seed),
             by_name: BTreeMap::new(),
@@ -229,10 +242,11 @@
             cursor: 0,
             open: HashMap::new(),
             commands: VecDeque::new(),
-            tokens: BUDGET.1,
+            tokens: BUDGET_MAX,
             limit: 20.0,
             in_flight: 0,
-            latency: (0.0, 0.0),
+            short_latency: 0.0,
+            long_latency: 0.0,
         }
     }
 
@@ -301,14 +315,14 @@
         if deadline <= now || most == 0 {
             return self.commands.push_back(refused(0));
         }
-        self.tokens = (self.tokens + BUDGET.0).min(BUDGET.1);
-        if self.style.limit != ConcurrencyLimit::None && f64::from(self.in_flight) >= self.limit {
+        self.tokens = (self.tokens + BUDGET_EARNED).min(BUDGET_MAX);
+        if self.config.limit != ConcurrencyLimit::None && f64::from(self.in_flight) >= self.limit {
             return self
                 .commands
-                .push_back(refused(ADVICE.min(self.settings.max_retry_after)));
+                .push_back(refused(RETRY_AFTER.min(self.settings.max_retry_after)));
         }
         let most = most.min(self.settings.max_attempts);
-        let open = Open {
+        let open = OpenCall {
             ticket,
             class,
             deadline,
@@ -366,7 +380,7 @@
             .get(open.class)
             .is_some_and(|class| class.effect == Effect::Safe);
         let verdict = match safe || !open.may_have_run {
-            true => CallResult::Rejected(ADVICE.min(self.settings.max_retry_after)),
+            true => CallResult::Rejected(RETRY_AFTER.min(self.settings.max_retry_after)),
             false => CallResult::Failed,
         };
         self.commands.push_back(Command::Respond {
@@ -405,7 +419,7 @@
             .classes
             .get(class)
             .is_some_and(|class| class.effect == Effect::Safe);
-        let granted = match self.style.retries {
+        let granted = match self.config.retries {
             RetryPolicy::Never => false,
             RetryPolicy::Fixed => true,
             RetryPolicy::Budget => self.tokens >= 1.0,
@@ -420,7 +434,7 @@
 
     fn learn(&mut self, now: Time, at: usize, took: Time, outcome: Outcome) {
         self.in_flight -= 1;
-        let ribbon = self.style.pick == ServerSelection::Ribbon;
+        let ribbon = self.config.pick == ServerSelection::Ribbon;
         let server = &mut self.servers[at];
         server.in_flight = server.in_flight.saturating_sub(1);
         let connection = matches!(
@@ -433,17 +447,17 @@
             _ if if ribbon { connection } else { failed } => server.failures += 1,
             _ => {}
         }
-        if ribbon && server.failures >= TRIP.0 {
-            let open_for = (TRIP.1 << server.trips.min(4)).min(TRIP.2);
+        if ribbon && server.failures >= TRIP_FAILURES {
+            let open_for = (TRIP_TIME << server.trips.min(4)).min(TRIP_TIME_MAX);
             (server.out_until, server.trips) = (now + open_for, server.trips + 1);
-        } else if self.style.ejects && server.failures >= EJECT.0 {
+        } else if self.config.ejects && server.failures >= EJECT_FAILURES {
             self.eject(now, at);
         }
         let took = took as f64;
         if matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Error) {
             self.servers[at].observe_latency(now, took);
         }
-        match self.style.limit {
+        match self.config.limit {
             ConcurrencyLimit::None => {}
             ConcurrencyLimit::Aimd => self.adapt_aimd(failed || outcome == Outcome::Full),
             ConcurrencyLimit::Gradient => self.adapt_gradient(took, outcome),
@@ -471,7 +485,7 @@
         if !matches!(outcome, Outcome::Ok | Outcome::Timeout) {
             return;
         }
-        let (short, long) = &mut self.latency;
+        let (short, long) = (&mut self.short_latency, &mut self.long_latency);
         *short = if *short == 0.0 {
             took
         } else {
@@ -499,10 +513,10 @@
             .iter()
             .filter(|&&at| self.servers[at].out_until > now)
             .count();
-        if (out as f64) < (EJECT.2 * self.ready.len() as f64).max(1.0) {
+        if (out as f64) < (EJECT_PART * self.ready.len() as f64).max(1.0) {
             let server = &mut self.servers[at];
             server.trips += 1;
-            (server.out_until, server.failures) = (now + EJECT.1 * Time::from(server.trips), 0);
+            (server.out_until, server.failures) = (now + EJECT_TIME * Time::from(server.trips), 0);
         }
     }
 
@@ -511,13 +525,13 @@
         if count == 0 {
             return None;
         }
-        if self.style.pick == ServerSelection::Ribbon {
+        if self.config.pick == ServerSelection::Ribbon {
             return self.pick_ribbon(now, not);
         }
         let usable = |this: &Self, at: usize| {
             this.servers[at].out_until <= now && (Some(at) != not || count == 1)
         };
-        match self.style.pick {
+        match self.config.pick {
             ServerSelection::RoundRobin | ServerSelection::Ribbon => {
                 self.in_turn(count, |this, at| usable(this, at))
             }
@@ -530,14 +544,14 @@
             }
             ServerSelection::Random | ServerSelection::TwoChoices | ServerSelection::PeakEwma => {
                 let one = self.draw(usable)?;
-                if self.style.pick == ServerSelection::Random {
+                if self.config.pick == ServerSelection::Random {
                     return Some(one);
                 }
                 let two = self.draw(usable)?;
                 let cost = |at: usize| {
                     let server = &self.servers[at];
                     let calls = f64::from(server.in_flight) + 1.0;
-                    match self.style.pick {
+                    match self.config.pick {
                         // What is not known yet is dear while a call is out at it.
                         ServerSelection::PeakEwma if server.cost == 0.0 && server.in_flight > 0 => {
                             1e12 * calls
@@ -597,8 +611,8 @@
             f64::from(zone.in_flight) / f64::from((zone.servers - zone.tripped).max(1))
         };
         let bad = |zone: &Zone| {
-            load(zone) >= ZONE.0
-                || f64::from(zone.tripped) >= ZONE.1 * f64::from(zone.servers.max(1))
+            load(zone) >= ZONE_LOAD
+                || f64::from(zone.tripped) >= ZONE_TRIPPED * f64::from(zone.servers.max(1))
         };
         let own = usize::from(self.settings.zone.0);
         let home = zones
@@ -640,7 +654,7 @@
             } => self.on_listed(entries, all),
             Input::Call(call) => self.on_call(now, call),
             Input::CallerDisconnected(id) => {
-                if let Some(Open {
+                if let Some(OpenCall {
                     attempts,
                     out: Some((at, _)),
                     ..
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -152,10 +152,24 @@
     }
 }
 
+/// What a class of requests is worth, and costs.
+#[derive(Clone, Copy)]
+struct ClassFigures {
+    /// Value of an answer within the latency target.
+    value: f64,
+    /// Part of it that a late answer earns.
+    late_value: f64,
+    /// In nanoseconds.
+    latency_target: Time,
+    /// In nanoseconds.
+    deadline: Time,
+    /// Mean work of an upstream on one request, in nanoseconds.
+    work: f64,
+}
+
 /// Counts while a run goes on, simulated or on sockets. Times are nanoseconds from its start.
 pub struct Meter {
-    /// Worth, late part, aim, deadline and mean work of each class.
-    classes: Vec<(f64, f64, Time, Time, f64)>,
+    classes: Vec<ClassFigures>,
     all: Counts,
     latency: Histogram<u64>,
     /// Sum of the latencies, in nanoseconds.
@@ -181,14 +195,12 @@
 impl Meter {
     /// Nothing is counted yet.
     pub fn new(scenario: &Scenario) -> Self {
-        let classes = scenario.class.iter().map(|class| {
-            (
-                class.value,
-                class.late_value,
-                class.latency_target.0,
-                class.deadline.0,
-                class.service.mean(),
-            )
+        let classes = scenario.class.iter().map(|class| ClassFigures {
+            value: class.value,
+            late_value: class.late_value,
+            latency_target: class.latency_target.0,
+            deadline: class.deadline.0,
+            work: class.service.mean(),
         });
         // How many requests of a tier one call of a caller makes.
         let mut multiple = vec![0.0; scenario.tier.len()];
@@ -223,7 +235,7 @@
 
     /// A caller wishes for something; `measured`: after the warm-up.
     pub fn offered(&mut self, class: usize, measured: bool) {
-        let value = self.classes[class].0;
+        let value = self.classes[class].value;
         let counts = &mut self.step.counts;
         (counts.offered, counts.value_offered) = (counts.offered + 1, counts.value_offered + value);
         if measured {
@@ -253,7 +265,9 @@
 
     /// A call is over, so long after it came.
     pub fn ended(&mut self, class: usize, outcome: CallOutcome, took: Time, measured: bool) {
-        let (value, late_value, ..) = self.classes[class];
+        let ClassFigures {
+            value, late_value, ..
+        } = self.classes[class];
         let count = |counts: &mut Counts| match outcome {
             CallOutcome::OnTime => {
                 (counts.on_time, counts.value) = (counts.on_time + 1, counts.value + value)
@@ -319,7 +333,12 @@
             .flat_map(|class| [(class, false), (class, true)])
             .collect();
         let value_per_work = |&(class, late): &(usize, bool)| {
-            let (value, late_value, _, _, work) = self.classes[class];
+            let ClassFigures {
+                value,
+                late_value,
+                work,
+                ..
+            } = self.classes[class];
             value * if late { late_value } else { 1.0 } / work
         };
         order.sort_by(|a, b| value_per_work(b).total_cmp(&value_per_work(a)));
@@ -328,7 +347,7 @@
         let longest = self
             .classes
             .iter()
-            .map(|class| class.3 / self.step_length + 2)
+            .map(|class| class.deadline / self.step_length + 2)
             .max()
             .unwrap_or(0);
         for at in 0..self.steps.len() + longest as usize {
@@ -345,7 +364,7 @@
             for (class, waiting) in waiting.iter_mut().enumerate() {
                 let came = self.all_came.get(at).map_or(0, |came| came[class]);
                 waiting.push_back((at, came as f64));
-                let deadline = (self.classes[class].3 / self.step_length) as usize + 1;
+                let deadline = (self.classes[class].deadline / self.step_length) as usize + 1;
                 while waiting
                     .front()
                     .is_some_and(|(came, _)| came + deadline < at)
@@ -354,9 +373,14 @@
                 }
             }
             for (class, late) in &order {
-                let (each, late_value, latency_target, _, work) = self.classes[*class];
-                let within = (latency_target / self.step_length) as usize + 1;
-                let each = if *late { each * late_value } else { each };
+                let figures = self.classes[*class];
+                let work = figures.work;
+                let within = (figures.latency_target / self.step_length) as usize + 1;
+                let each = if *late {
+                    figures.value * figures.late_value
+                } else {
+                    figures.value
+                };
                 for (came, left) in waiting[*class]
                     .iter_mut()
                     .filter(|(came, _)| *late == (came + within < at))
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -39,7 +39,7 @@
                 Ok(engine) => Box::new(engine),
                 Err(error) => unreachable!("settings were checked with the scenario: {error}"),
             },
-            Self::Baseline(style) => Box::new(BaselinePolicy::new(style, settings, seed)),
+            Self::Baseline(config) => Box::new(BaselinePolicy::new(config, settings, seed)),
         }
     }
 }
@@ -48,7 +48,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Woadstall => f.write_str("woadstall"),
-            Self::Baseline(style) => style.fmt(f),
+            Self::Baseline(config) => config.fmt(f),
         }
     }
 }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -87,7 +87,7 @@
                 }
                 let client_call = known.client_call;
                 if matches!(verdict, CallResult::Rejected(_)) {
-                    self.prices
+                    self.costs
                         .pay(now, self.balancers[at].tier, Cost::Refusals, at);
                 }
                 self.record_story(client_call, || {
@@ -128,7 +128,7 @@
         let Some(&host) = balancer.hosts.get(server.0 as usize) else {
             return;
         };
-        let Some(links) = balancer.links.get_mut(host as usize) else {
+        let Some(links) = balancer.pools.get_mut(host as usize) else {
             return;
         };
         links.epoch += u32::from(retire);
@@ -151,7 +151,7 @@
         if most == 0 || self.scenario.limits.http2 || self.balancers[at].open < most {
             return true;
         }
-        let links = self.balancers[at].links.iter_mut().enumerate();
+        let links = self.balancers[at].pools.iter_mut().enumerate();
         let idle = links
             .filter(|(_, links)| links.idle > 0)
             .min_by_key(|(_, links)| links.idle_since);
@@ -325,7 +325,7 @@
         );
         let is_same_process = self.upstreams[attempt.upstream as usize].process == process;
         let (now, http2) = (self.event_queue.now(), self.scenario.limits.http2);
-        if let Some(pool) = self.balancers[at].links.get_mut(host)
+        if let Some(pool) = self.balancers[at].pools.get_mut(host)
             && is_complete
             && is_same_process
             && pool.epoch == epoch
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -72,7 +72,7 @@
             self.record_story(client_call, || "no balancer is there".to_owned());
             return self.conclude_client_call(client_call, &CallResult::Failed, true);
         };
-        self.prices.request(tier);
+        self.costs.request(tier);
         let effect = self.scenario.class[class].effect;
         let request = self.auditor.taken(client_call, effect, deadline);
         let out = SmallVec::new();
@@ -165,11 +165,11 @@
         let there = &self.balancers[at];
         if fresh {
             if !there.alive || there.leaving {
-                self.prices.pay(now, 0, Cost::Unreached, at);
+                self.costs.pay(now, 0, Cost::Unreached, at);
                 return None;
             }
             line.incarnation = there.incarnation;
-            self.prices.pay(now, 0, Cost::CallerConnections, at);
+            self.costs.pay(now, 0, Cost::CallerConnections, at);
         }
         if let Some(client_call) = self.client_calls.get_mut(client_call) {
             client_call.line = Some(line);
--- a/crates/emulator/src/world/dispatch.rs
+++ b/crates/emulator/src/world/dispatch.rs
@@ -83,10 +83,10 @@
         let crosses_zones = self.balancers[at].zone != self.upstreams[upstream].zone;
         self.meter.sent(attempt, crosses_zones, host);
         if attempt > 0 {
-            self.prices.pay(now, tier, Cost::Retries, at);
+            self.costs.pay(now, tier, Cost::Retries, at);
         }
         if crosses_zones {
-            self.prices.pay(now, tier, Cost::Crossings, at);
+            self.costs.pay(now, tier, Cost::Crossings, at);
         }
     }
 
@@ -112,9 +112,9 @@
 
     fn remember_host(&mut self, at: usize, host: u32, server: usize) {
         let balancer = &mut self.balancers[at];
-        if balancer.links.len() <= host as usize {
+        if balancer.pools.len() <= host as usize {
             let hosts = self.hosts.len().max(host as usize + 1);
-            balancer.links.resize(hosts, ConnectionPool::default());
+            balancer.pools.resize(hosts, ConnectionPool::default());
         }
         if balancer.hosts.len() <= server {
             balancer.hosts.resize(server + 1, u32::MAX);
@@ -130,7 +130,7 @@
             self.upstreams[upstream].alive,
             self.upstreams[upstream].process,
         );
-        let pool = &mut self.balancers[at].links[host];
+        let pool = &mut self.balancers[at].pools[host];
         let (mut closed, former) = (0, pool.process);
         if pool.process != process {
             closed = pool.idle;
@@ -163,7 +163,7 @@
         } else {
             Cost::Handshakes
         };
-        self.prices.pay(now, tier, cost, at);
+        self.costs.pay(now, tier, cost, at);
         if refused {
             self.balancers[at].open -= 1; // refused before it was one
         }
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -7,7 +7,8 @@
         if begins {
             self.draw_targets(at);
         }
-        let (upstreams, balancers) = (self.faults[at].1.clone(), self.faults[at].2.clone());
+        let targets = &self.faults[at];
+        let (upstreams, balancers) = (targets.upstreams.clone(), targets.balancers.clone());
         let fault = &self.scenario.fault[at];
         match &fault.what {
             FaultKind::Kill { .. }
@@ -55,9 +56,9 @@
             .map(|(number, _)| number)
             .collect();
         let part = self.scenario.fault[at].part;
-        let (rng, hit_upstreams, hit_balancers) = &mut self.faults[at];
-        *hit_upstreams = sample(rng, &upstreams, part);
-        *hit_balancers = sample(rng, &balancers, part);
+        let targets = &mut self.faults[at];
+        targets.upstreams = sample(&mut targets.rng, &upstreams, part);
+        targets.balancers = sample(&mut targets.rng, &balancers, part);
     }
 
     /// How long a fault lasts, in nanoseconds.
@@ -225,7 +226,7 @@
                 true => begins,
                 false => fault.is_in_force(now),
             };
-            if !active || self.faults[at].1.binary_search(&upstream).is_err() {
+            if !active || self.faults[at].upstreams.binary_search(&upstream).is_err() {
                 continue;
             }
             match &fault.what {
@@ -315,7 +316,7 @@
         self.member_ends(at, false, true);
         let balancer = &mut self.balancers[at];
         (balancer.leaving, balancer.subscribed) = (false, self.scenario.registry.queries.is_none());
-        let links = std::mem::take(&mut balancer.links);
+        let links = std::mem::take(&mut balancer.pools);
         balancer.open = 0;
         balancer.hosts.clear();
         balancer.updates.clear();
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -333,7 +333,7 @@
     fn link_between(
         scenario: &Scenario,
         balancers: &[Balancer],
-        faults: &[(ChaCha8Rng, Vec<u32>, Vec<u32>)],
+        faults: &[FaultTargets],
         now: Time,
         from: usize,
         to: usize,
@@ -343,7 +343,7 @@
             .iter()
             .zip(faults)
             .filter(|(fault, _)| fault.is_in_force(now));
-        let in_force = in_force.map(|(fault, (_, _, hit))| (fault, hit.as_slice()));
+        let in_force = in_force.map(|(fault, targets)| (fault, targets.balancers.as_slice()));
         let end = |of: usize| (of as u32, balancers[of].zone);
         scenario.among(end(from), end(to), balancers.len(), in_force)
     }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -220,7 +220,7 @@
     network: ChaCha8Rng,
     registry: ChaCha8Rng,
     seeds: ChaCha8Rng,
-    links: Vec<ConnectionPool>,
+    pools: Vec<ConnectionPool>,
     /// Connections that are open, idle or not, over HTTP/1.1.
     open: u32,
     /// The host of each server that it has sent to, by its own number for it.
@@ -270,6 +270,13 @@
     boot_ms: u64,
 }
 
+/// What a fault of the script hits, drawn as it begins; numbers rise.
+struct FaultTargets {
+    rng: ChaCha8Rng,
+    upstreams: Vec<u32>,
+    balancers: Vec<u32>,
+}
+
 /// What wraps an agent.
 pub type AgentWrapper<'a> = dyn Fn(BoxedAgent) -> BoxedAgent + 'a;
 
@@ -303,7 +310,7 @@
     zones: Vec<Option<u8>>,
     tenants: Vec<usize>,
     calls: Vec<Option<(usize, f64)>>,
-    faults: Vec<(ChaCha8Rng, Vec<u32>, Vec<u32>)>,
+    faults: Vec<FaultTargets>,
     partitions: Vec<(u8, bool)>,
     registry_outages: u32,
     stalled: Time,
@@ -311,7 +318,7 @@
     coordinators: Option<coordinators::Coordinators>,
     auditor: Auditor,
     meter: Meter,
-    prices: CostCounters,
+    costs: CostCounters,
     story: Option<(u64, Vec<(Time, String)>)>,
     /// Wraps each agent as it starts; for tests that spoil or record one.
     wrap: Option<&'a AgentWrapper<'a>>,
@@ -363,7 +370,7 @@
             coordinators: None,
             auditor: Auditor::default(),
             meter: Meter::new(scenario),
-            prices: CostCounters::new(scenario.tier.len()),
+            costs: CostCounters::new(scenario.tier.len()),
             story: None,
             wrap: None,
             events: 0,
@@ -458,7 +465,11 @@
         for (fault, planned) in (0..).zip(&self.scenario.fault) {
             let place = planned.place.unwrap_or(fault);
             let rng = stream(self.seed, Actor::Fault, place);
-            self.faults.push((rng, Vec::new(), Vec::new()));
+            self.faults.push(FaultTargets {
+                rng,
+                upstreams: Vec::new(),
+                balancers: Vec::new(),
+            });
             let begins = Event::FaultChanges {
                 fault,
                 begins: true,
@@ -507,7 +518,7 @@
             network: stream(self.seed, Actor::Network, number),
             registry: stream(self.seed, Actor::Registry, number),
             seeds: clock,
-            links: Vec::new(),
+            pools: Vec::new(),
             open: 0,
             hosts: Vec::new(),
             planned: Time::MAX,
@@ -570,10 +581,10 @@
             .iter()
             .map(|tier| tier.name.clone())
             .collect();
-        let prices = self.prices.rows(&names);
+        let costs = self.costs.rows(&names);
         let end = self.meter.end(self.auditor.findings(), self.events, story);
         let end = RunResult {
-            prices,
+            prices: costs,
             members,
             evacuated,
             ..end
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -163,7 +163,7 @@
             return;
         };
         let read = discovery.read(now);
-        self.prices.pay(now, tier, Cost::Reads, at);
+        self.costs.pay(now, tier, Cost::Reads, at);
         let (balancer, incarnation) = (at as u32, self.balancers[at].incarnation);
         let (until, well) = match read {
             Read::Answered(until) => (until, true),
@@ -185,7 +185,7 @@
             return;
         }
         if !well || self.registry_outages > 0 {
-            self.prices.pay(now, tier, Cost::FailedReads, at);
+            self.costs.pay(now, tier, Cost::FailedReads, at);
             return self.handle_input(at, Input::DiscoveryFailed);
         }
         self.balancers[at].subscribed = true;
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -323,7 +323,7 @@
 
     pub(super) fn probe(&mut self, at: usize, peer: &Peer) {
         let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
-        self.prices.pay(now, tier, Cost::Probes, at);
+        self.costs.pay(now, tier, Cost::Probes, at);
         let host = Self::host_by_address(peer.address) as usize;
         let (Some(&upstream), Some(probed)) =
             (self.hosts.get(host), &self.scenario.tier[tier].probed)
