--- a/crates/cluster-test/src/members.rs
+++ b/crates/cluster-test/src/members.rs
@@ -187,7 +187,7 @@
 
     /// A balancer's process stands still, or goes on.
     pub fn stands_still(&self, number: u32, still: bool) {
-        lock(&self.witness).paused_until(self.now(), number as usize, still);
+        lock(&self.witness).set_paused(self.now(), number as usize, still);
     }
 
     /// Sets the ways among all, as `among` has them from one to another.
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -79,12 +79,21 @@
     overdue: bool,
 }
 
+/// What a balancer was last told of the process at a host.
+#[derive(Clone, Copy, Default)]
+struct Notified {
+    /// Start of the process, in milliseconds of Unix time.
+    boot_ms: u64,
+    /// Since when it is told to drain, or removed.
+    unready_since: Option<Time>,
+}
+
 /// See the module's documentation.
 #[derive(Default)]
 pub struct Auditor {
     cases: SequenceMap<Case>,
     /// For each balancer and host: the process it was told of, and since when it is not in service.
-    told: Vec<Vec<(u64, Option<Time>)>>,
+    notified: Vec<Vec<Notified>>,
     breaches: Vec<Breach>,
     counts: [u64; 5],
 }
@@ -103,7 +112,7 @@
     }
 
     /// A request reached a balancer. Its number is that of all requests, from 0.
-    pub fn taken(&mut self, call: u64, effect: CallEffect, deadline: Time) -> u64 {
+    pub fn request_received(&mut self, call: u64, effect: CallEffect, deadline: Time) -> u64 {
         let (answered, refused, out, ran, overdue) = (0, false, 0, 0, false);
         self.cases.add(Case {
             call,
@@ -162,7 +171,7 @@
     }
 
     /// The balancer died with the request, or its caller left: no answer is owed any more.
-    pub fn left(&mut self, request: u64) {
+    pub fn request_abandoned(&mut self, request: u64) {
         if let Some(case) = self.cases.get_mut(request) {
             case.answered = 1;
             let out = case.out;
@@ -182,26 +191,27 @@
     }
 
     /// A balancer was told of a host's process.
-    pub fn told(&mut self, now: Time, balancer: usize, host: u32, boot_ms: u64, ready: bool) {
+    pub fn notified(&mut self, now: Time, balancer: usize, host: u32, boot_ms: u64, ready: bool) {
         let host = host as usize;
-        if self.told.len() <= balancer {
-            self.told.resize_with(balancer + 1, Vec::new);
+        if self.notified.len() <= balancer {
+            self.notified.resize_with(balancer + 1, Vec::new);
         }
-        let told = &mut self.told[balancer];
-        if told.len() <= host {
-            told.resize(host + 1, (0, None));
+        let notified = &mut self.notified[balancer];
+        if notified.len() <= host {
+            notified.resize(host + 1, Notified::default());
         }
-        told[host] = match (told[host], ready) {
-            (_, true) => (boot_ms, None),
-            ((_, Some(since)), false) => (boot_ms, Some(since)),
-            ((_, None), false) => (boot_ms, Some(now)),
+        let notified = &mut notified[host];
+        notified.boot_ms = boot_ms;
+        notified.unready_since = match ready {
+            true => None,
+            false => notified.unready_since.or(Some(now)),
         };
     }
 
     /// A balancer started again: what it was told counts anew, from the list that it has now.
-    pub fn forgot(&mut self, balancer: usize) {
-        if let Some(told) = self.told.get_mut(balancer) {
-            told.clear();
+    pub fn balancer_restarted(&mut self, balancer: usize) {
+        if let Some(notified) = self.notified.get_mut(balancer) {
+            notified.clear();
         }
     }
 
@@ -225,11 +235,11 @@
                 "sent for a request that is over".to_owned(),
             );
         }
-        let told = self
-            .told
+        let notified = self
+            .notified
             .get(balancer)
-            .and_then(|told| told.get(host as usize));
-        if let Some((_, Some(since))) = told
+            .and_then(|notified| notified.get(host as usize));
+        if let Some(since) = notified.and_then(|notified| notified.unready_since)
             && now > since + DRAIN
         {
             let after = (now - since) as f64 / SECOND as f64;
@@ -240,7 +250,7 @@
     }
 
     /// An attempt had its effect. One whose repeats upstreams drop does not count if they dropped it.
-    pub fn ran(&mut self, now: Time, request: u64) {
+    pub fn effect_happened(&mut self, now: Time, request: u64) {
         let Some(case) = self.cases.get_mut(request) else {
             return;
         };
@@ -267,7 +277,7 @@
     }
 
     /// Nothing of an attempt is left anywhere.
-    pub fn over(&mut self, now: Time, request: u64) {
+    pub fn attempt_over(&mut self, now: Time, request: u64) {
         let Some(case) = self.cases.get_mut(request) else {
             return;
         };
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -7,13 +7,13 @@
 
 struct ScheduledEvent<E> {
     at: Time,
-    turn: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> Ord for ScheduledEvent<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.turn).cmp(&(self.at, self.turn)) // the heap's greatest is the earliest
+        (other.at, other.sequence).cmp(&(self.at, self.sequence)) // the heap's greatest is the earliest
     }
 }
 
@@ -34,7 +34,7 @@
 /// The events to come.
 pub struct EventQueue<E> {
     heap: BinaryHeap<ScheduledEvent<E>>,
-    turn: u64,
+    sequence: u64,
     now: Time,
 }
 
@@ -42,7 +42,7 @@
     fn default() -> Self {
         Self {
             heap: BinaryHeap::new(),
-            turn: 0,
+            sequence: 0,
             now: 0,
         }
     }
@@ -56,10 +56,10 @@
 
     /// Plans an event; what lies in the past happens now.
     pub fn at(&mut self, at: Time, event: E) {
-        self.turn += 1;
+        self.sequence += 1;
         self.heap.push(ScheduledEvent {
             at: at.max(self.now),
-            turn: self.turn,
+            sequence: self.sequence,
             event,
         });
     }
@@ -84,7 +84,7 @@
 /// again; what is older than the oldest that is kept takes no memory.
 pub struct SequenceMap<T> {
     first: u64,
-    kept: VecDeque<Option<T>>,
+    entries: VecDeque<Option<T>>,
     count: usize,
 }
 
@@ -92,7 +92,7 @@
     fn default() -> Self {
         Self {
             first: 0,
-            kept: VecDeque::new(),
+            entries: VecDeque::new(),
             count: 0,
         }
     }
@@ -100,27 +100,27 @@
 
 impl<T> SequenceMap<T> {
     /// Keeps one more; tells its number.
-    pub fn add(&mut self, thing: T) -> u64 {
-        self.kept.push_back(Some(thing));
+    pub fn add(&mut self, value: T) -> u64 {
+        self.entries.push_back(Some(value));
         self.count += 1;
         self.next() - 1
     }
 
     /// The number of the next one.
     pub fn next(&self) -> u64 {
-        self.first + self.kept.len() as u64
+        self.first + self.entries.len() as u64
     }
 
     /// One that is kept.
     pub fn get(&self, number: u64) -> Option<&T> {
-        self.kept
+        self.entries
             .get(usize::try_from(number.checked_sub(self.first)?).ok()?)?
             .as_ref()
     }
 
     /// One that is kept.
     pub fn get_mut(&mut self, number: u64) -> Option<&mut T> {
-        self.kept
+        self.entries
             .get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?
             .as_mut()
     }
@@ -128,12 +128,12 @@
     /// Forgets one.
     pub fn take(&mut self, number: u64) -> Option<T> {
         let taken = self
-            .kept
+            .entries
             .get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?
             .take();
         self.count -= usize::from(taken.is_some());
-        while let Some(None) = self.kept.front() {
-            self.kept.pop_front();
+        while let Some(None) = self.entries.front() {
+            self.entries.pop_front();
             self.first += 1;
         }
         taken
@@ -151,9 +151,9 @@
 
     /// Those that are kept, oldest first, with their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
-        self.kept
+        self.entries
             .iter()
             .zip(self.first..)
-            .filter_map(|(thing, number)| Some((number, thing.as_ref()?)))
+            .filter_map(|(value, number)| Some((number, value.as_ref()?)))
     }
 }
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -8,7 +8,7 @@
 use woadstall_engine::Time;
 
 /// Most idle connections that the callers of a zone keep to all balancers together.
-const MOST_IDLE: usize = 100_000;
+const MAX_IDLE: usize = 100_000;
 
 /// A connection of a caller to one incarnation of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,16 +35,21 @@
     zones: Vec<Vec<FrontedBalancer>>,
     /// Idle connections of each zone's callers, and since when they are.
     idle: Vec<Vec<(CallerConnection, Time)>>,
-    kept: Time,
+    idle_timeout: Time,
 }
 
 impl Front {
     /// A front before the balancers of each zone. Their weights lie between 1 and `uneven`, the logarithm evenly:
     /// some get several times as many connections as others. Idle connections are closed after `kept`.
-    pub fn new(zones: &[Vec<u32>], uneven: f64, kept: Time, rng: &mut ChaCha8Rng) -> Self {
+    pub fn new(
+        zones: &[Vec<u32>],
+        max_weight_ratio: f64,
+        idle_timeout: Time,
+        rng: &mut ChaCha8Rng,
+    ) -> Self {
         let mut fronted_balancer = |&balancer: &u32| FrontedBalancer {
             balancer,
-            weight: uneven.max(1.0).powf(rng.random::<f64>()),
+            weight: max_weight_ratio.max(1.0).powf(rng.random::<f64>()),
             out: false,
         };
         let zones: Vec<Vec<FrontedBalancer>> = zones
@@ -54,7 +59,7 @@
         Self {
             idle: vec![Vec::new(); zones.len()],
             zones,
-            kept,
+            idle_timeout,
         }
     }
 
@@ -66,17 +71,17 @@
         now: Time,
         rng: &mut ChaCha8Rng,
     ) -> Option<(CallerConnection, bool)> {
-        let kept = self.kept;
+        let idle_timeout = self.idle_timeout;
         let idle = &mut self.idle[zone];
         // The rest of the pile has been idle for longer.
         if idle
             .last()
-            .is_some_and(|(_, since)| now.saturating_sub(*since) >= kept)
+            .is_some_and(|(_, since)| now.saturating_sub(*since) >= idle_timeout)
         {
             idle.clear();
         }
-        if let Some((line, _)) = idle.pop() {
-            return Some((line, false));
+        if let Some((connection, _)) = idle.pop() {
+            return Some((connection, false));
         }
         let zones = self.zones.len();
         (0..zones).find_map(|step| {
@@ -104,10 +109,10 @@
     }
 
     /// A call on a connection is over, and the connection stays.
-    pub fn give_back(&mut self, line: CallerConnection, now: Time) {
-        let idle = &mut self.idle[line.zone];
-        if idle.len() < MOST_IDLE {
-            idle.push((line, now));
+    pub fn give_back(&mut self, connection: CallerConnection, now: Time) {
+        let idle = &mut self.idle[connection.zone];
+        if idle.len() < MAX_IDLE {
+            idle.push((connection, now));
         }
     }
 
@@ -115,7 +120,7 @@
     pub fn close(&mut self, balancer: u32) {
         self.idle
             .iter_mut()
-            .for_each(|idle| idle.retain(|(line, _)| line.balancer != balancer));
+            .for_each(|idle| idle.retain(|(connection, _)| connection.balancer != balancer));
     }
 
     /// It is known by now that a balancer is out, or back.
--- a/crates/emulator/src/front/tests.rs
+++ b/crates/emulator/src/front/tests.rs
@@ -19,18 +19,18 @@
 #[test]
 fn connections_are_used_again_until_they_idled_too_long_or_were_closed() {
     let (mut front, mut rng) = front(1.0);
-    let (line, fresh) = front.take(0, 0, &mut rng).unwrap();
-    assert!(fresh && line.balancer < 3);
-    front.give_back(line, 10);
-    assert_eq!(front.take(0, 500, &mut rng), Some((line, false)));
-    front.give_back(line, 500);
+    let (connection, fresh) = front.take(0, 0, &mut rng).unwrap();
+    assert!(fresh && connection.balancer < 3);
+    front.give_back(connection, 10);
+    assert_eq!(front.take(0, 500, &mut rng), Some((connection, false)));
+    front.give_back(connection, 500);
     assert!(
         front.take(0, 1_500, &mut rng).unwrap().1,
         "it has idled for 1,000"
     );
     assert_eq!(idle_connections(&front), 0);
-    front.give_back(line, 1_500);
-    front.close(line.balancer);
+    front.give_back(connection, 1_500);
+    front.close(connection.balancer);
     assert!(front.take(0, 1_500, &mut rng).unwrap().1);
 }
 
@@ -41,8 +41,8 @@
     front.set_out(1, true);
     assert!((0..50).all(|_| front.take(0, 0, &mut rng).unwrap().0.balancer == 2));
     front.set_out(2, true);
-    let line = front.take(0, 0, &mut rng).unwrap().0;
-    assert_eq!((line.zone, line.balancer), (0, 3));
+    let connection = front.take(0, 0, &mut rng).unwrap().0;
+    assert_eq!((connection.zone, connection.balancer), (0, 3));
     front.set_out(3, true);
     assert_eq!(front.take(0, 0, &mut rng), None);
     front.set_out(1, false);
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -144,8 +144,8 @@
     }
 
     fn disagrees(&self, by: usize, of: usize) -> bool {
-        let held = self.views[by * self.members.len() + of];
-        by != of && held != MemberView::Alive && self.is_there(by) && self.is_there(of)
+        let view = self.views[by * self.members.len() + of];
+        by != of && view != MemberView::Alive && self.is_there(by) && self.is_there(of)
     }
 
     /// How many pairs with one member are not as they should be.
@@ -207,14 +207,14 @@
         }
         self.died += 1;
         // Those that held it for gone already hear nothing new.
-        let gone = |by: usize| {
+        let is_gone = |by: usize| {
             matches!(
                 self.views[by * size + who],
                 MemberView::Dead | MemberView::Left | MemberView::Unknown
             )
         };
         let needed = (0..size)
-            .filter(|&by| self.members[by].up && !gone(by))
+            .filter(|&by| self.members[by].up && !is_gone(by))
             .count();
         for (&of, death) in &mut self.deaths {
             let knows = matches!(
@@ -227,7 +227,7 @@
     }
 
     /// A member stands still, or goes on.
-    pub fn paused_until(&mut self, now: Time, who: usize, still: bool) {
+    pub fn set_paused(&mut self, now: Time, who: usize, still: bool) {
         let tolerated_pause = self.tolerated_pause;
         self.change(now, who, |all| {
             let member = &mut all.members[who];
@@ -259,24 +259,24 @@
     }
 
     /// What a member holds of the present incarnation of another.
-    pub fn record_view(&mut self, now: Time, by: usize, of: usize, held: MemberView) {
+    pub fn record_view(&mut self, now: Time, by: usize, of: usize, view: MemberView) {
         let size = self.members.len();
         let disagreements = self.disagrees(by, of);
-        let was = std::mem::replace(&mut self.views[by * size + of], held);
-        if was == held {
+        let was = std::mem::replace(&mut self.views[by * size + of], view);
+        if was == view {
             return;
         }
         self.disagreements =
             self.disagreements + usize::from(self.disagrees(by, of)) - usize::from(disagreements);
         self.record_agreement(now);
-        let gone = |held| matches!(held, MemberView::Dead | MemberView::Left);
+        let is_gone = |view| matches!(view, MemberView::Dead | MemberView::Left);
         if self.members[of].up {
-            return self.view_of_running(now, by, of, held);
+            return self.view_of_running(now, by, of, view);
         }
         if let Some(death) = self
             .deaths
             .get_mut(&of)
-            .filter(|_| gone(held) && !gone(was))
+            .filter(|_| is_gone(view) && !is_gone(was))
         {
             let ms = now.saturating_sub(death.at) / 1_000_000;
             self.known.record(ms).ok();
@@ -287,10 +287,10 @@
         }
     }
 
-    fn view_of_running(&mut self, now: Time, by: usize, of: usize, held: MemberView) {
+    fn view_of_running(&mut self, now: Time, by: usize, of: usize, view: MemberView) {
         let (tolerated_pause, member) = (self.tolerated_pause, &mut self.members[of]);
-        if held != MemberView::Dead {
-            member.wronged &= held != MemberView::Alive;
+        if view != MemberView::Dead {
+            member.wronged &= view != MemberView::Alive;
             return;
         }
         let sleeps = member
--- a/crates/emulator/src/observer/tests.rs
+++ b/crates/emulator/src/observer/tests.rs
@@ -24,9 +24,9 @@
     all.record_view(2 * S, 2, 1, MemberView::Dead);
     all.record_view(3 * S, 0, 1, MemberView::Alive);
     all.record_view(3 * S, 2, 1, MemberView::Alive);
-    all.paused_until(4 * S, 1, true);
+    all.set_paused(4 * S, 1, true);
     all.record_view(10 * S, 0, 1, MemberView::Dead);
-    all.paused_until(11 * S, 1, false);
+    all.set_paused(11 * S, 1, false);
     all.record_view(12 * S, 2, 1, MemberView::Dead);
     all.record_view(13 * S, 0, 1, MemberView::Alive);
     all.record_view(13 * S, 2, 1, MemberView::Alive);
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -31,7 +31,7 @@
     pub again: Option<FaultRepetition>,
     /// Its place in the file, where others before it come again: what it hits is drawn by that.
     #[serde(skip)]
-    pub place: Option<u32>,
+    pub file_position: Option<u32>,
 }
 
 /// How a fault comes again.
@@ -49,17 +49,17 @@
 
 impl Fault {
     /// What it stands for: itself, or one for each time that it comes.
-    pub(super) fn each_time(self, place: u32) -> Result<Vec<Self>, ScenarioError> {
+    pub(super) fn each_time(self, file_position: u32) -> Result<Vec<Self>, ScenarioError> {
         let one = Self {
             again: None,
-            place: Some(place),
+            file_position: Some(file_position),
             ..self.clone()
         };
         let Some(again) = self.again else {
             return Ok(vec![one]);
         };
         let wrong = |text| {
-            let part = ScenarioPart::Fault(place as usize + 1);
+            let part = ScenarioPart::Fault(file_position as usize + 1);
             Err(ScenarioError::Inconsistent(text)
                 .within(ScenarioPart::Key("again"))
                 .within(part))
--- a/crates/emulator/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -64,7 +64,8 @@
     /// The others' zone.
     pub to: Option<String>,
     /// Which way.
-    pub way: Direction,
+    #[serde(rename = "way")]
+    pub direction: Direction,
     /// Nothing comes through.
     #[serde(rename = "cut")]
     pub partitioned: bool,
@@ -82,10 +83,10 @@
 
 impl Default for MemberLinkFault {
     fn default() -> Self {
-        let (to, way, partitioned, delay) = (None, Direction::There, false, Span(0));
+        let (to, direction, partitioned, delay) = (None, Direction::There, false, Span(0));
         Self {
             to,
-            way,
+            direction,
             partitioned,
             delay,
             loss: 0.0,
@@ -141,7 +142,7 @@
         };
         let there = is_hit(from.0) && is_other(to);
         let back = is_hit(to.0) && is_other(from);
-        match self.way {
+        match self.direction {
             Direction::There => there,
             Direction::Back => back,
             Direction::Both => there || back,
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -177,8 +177,8 @@
         let mut scenario: Self =
             toml::from_str(text).map_err(|error| ScenarioError::Syntax(Box::new(error)))?;
         let faults = std::mem::take(&mut scenario.fault).into_iter().zip(0..);
-        for (fault, place) in faults {
-            scenario.fault.extend(fault.each_time(place)?);
+        for (fault, file_position) in faults {
+            scenario.fault.extend(fault.each_time(file_position)?);
         }
         scenario.check()?;
         Ok(scenario)
--- a/crates/emulator/src/scenario/tiers.rs
+++ b/crates/emulator/src/scenario/tiers.rs
@@ -99,7 +99,8 @@
     /// Some balancers get up to so many times as many connections as others.
     pub uneven: f64,
     /// Callers close connections that have idled for this time.
-    pub kept: Span,
+    #[serde(rename = "kept")]
+    pub idle_timeout: Span,
 }
 
 impl Default for FrontConfig {
@@ -107,7 +108,7 @@
         Self {
             detection_delay: Span(3 * SECOND),
             uneven: 1.0,
-            kept: Span(15 * SECOND),
+            idle_timeout: Span(15 * SECOND),
         }
     }
 }
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -75,7 +75,7 @@
     pub rng: ChaCha8Rng,
     workers: u32,
     busy: u32,
-    room: u32,
+    queue_capacity: u32,
     order: QueueOrder,
     start_capacity: f64,
     slow_start_window: Time,
@@ -105,10 +105,10 @@
         name: String,
         tier: usize,
         like: &Tier,
-        place: (u8, u16, u32),
+        location: (u8, u16, u32),
         rng: ChaCha8Rng,
     ) -> Self {
-        let (zone, cell, host) = place;
+        let (zone, cell, host) = location;
         Self {
             name,
             tier,
@@ -124,7 +124,7 @@
             rng,
             workers: like.workers,
             busy: 0,
-            room: like.queue,
+            queue_capacity: like.queue,
             order: like.order,
             start_capacity: like.start_capacity,
             slow_start_window: like.slow_start_window.0,
@@ -193,7 +193,7 @@
         } else if self.busy < self.workers {
             self.busy += 1;
             Admission::Begun
-        } else if self.queue.len() < self.room as usize {
+        } else if self.queue.len() < self.queue_capacity as usize {
             self.queue.push_back(request);
             Admission::Queued
         } else {
@@ -214,9 +214,9 @@
 
     /// One more connection; `false` if it has no place for it.
     pub fn connect(&mut self) -> bool {
-        let room = self.most_connections == 0 || self.connections < self.most_connections;
-        self.connections += u32::from(room);
-        room
+        let has_room = self.most_connections == 0 || self.connections < self.most_connections;
+        self.connections += u32::from(has_room);
+        has_room
     }
 
     /// Connections to one of its processes are closed: what went to an earlier one went with that.
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -256,7 +256,7 @@
         };
         let request = attempt.request;
         self.attempts.take(number);
-        self.auditor.over(self.event_queue.now(), request);
+        self.auditor.attempt_over(self.event_queue.now(), request);
         if let Some(known) = self.requests.get_mut(request) {
             known.attempts -= 1;
         }
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -48,7 +48,7 @@
             requests: 0,
             closed: false,
             measured: now >= self.scenario.warm_up.0,
-            line: None,
+            connection: None,
             seen: SmallVec::new(),
         };
         self.meter.offered(class, client_call.measured);
@@ -74,7 +74,7 @@
         };
         self.costs.request(tier);
         let effect = self.scenario.class[class].effect;
-        let request = self.auditor.taken(client_call, effect, deadline);
+        let request = self.auditor.request_received(client_call, effect, deadline);
         let out = SmallVec::new();
         let mine = self.requests.add(Request {
             client_call,
@@ -160,21 +160,21 @@
             || self.behavior_rngs[group].random_range(..zones),
             usize::from,
         );
-        let (mut line, fresh) = self.front.as_mut()?.take(zone, now, &mut self.front_rng)?;
-        let at = line.balancer as usize;
+        let (mut connection, fresh) = self.front.as_mut()?.take(zone, now, &mut self.front_rng)?;
+        let at = connection.balancer as usize;
         let there = &self.balancers[at];
         if fresh {
             if !there.alive || there.leaving {
                 self.costs.pay(now, 0, Cost::Unreached, at);
                 return None;
             }
-            line.incarnation = there.incarnation;
+            connection.incarnation = there.incarnation;
             self.costs.pay(now, 0, Cost::CallerConnections, at);
         }
         if let Some(client_call) = self.client_calls.get_mut(client_call) {
-            client_call.line = Some(line);
+            client_call.connection = Some(connection);
         }
-        Some(line.balancer)
+        Some(connection.balancer)
     }
 
     /// The balancer sidecar of an upstream, if it lives.
@@ -185,17 +185,17 @@
 
     /// A caller's connection is free again, unless its balancer leaves or is another process by now.
     fn give_back(&mut self, client_call: u64) {
-        let line = self
+        let connection = self
             .client_calls
             .get_mut(client_call)
-            .and_then(|client_call| client_call.line.take());
-        let Some(line) = line else { return };
-        let there = &self.balancers[line.balancer as usize];
-        if there.alive && !there.leaving && there.incarnation == line.incarnation {
+            .and_then(|client_call| client_call.connection.take());
+        let Some(connection) = connection else { return };
+        let there = &self.balancers[connection.balancer as usize];
+        if there.alive && !there.leaving && there.incarnation == connection.incarnation {
             let now = self.event_queue.now();
             self.front
                 .iter_mut()
-                .for_each(|front| front.give_back(line, now));
+                .for_each(|front| front.give_back(connection, now));
         }
     }
 
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -337,7 +337,7 @@
             self.end_attempt(number, Outcome::Cancelled);
         }
         for (number, client_call) in held {
-            self.auditor.left(number);
+            self.auditor.request_abandoned(number);
             if let Some(request) = self.requests.get_mut(number) {
                 request.answered = true;
             }
@@ -379,7 +379,7 @@
         let agent = self.agent(at);
         let balancer = &mut self.balancers[at];
         (balancer.agent, balancer.alive) = (agent, true);
-        self.auditor.forgot(at);
+        self.auditor.balancer_restarted(at);
         self.member_begins(at);
         self.send_full_list(at, stale);
         if self.front.is_some() {
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -237,7 +237,7 @@
             return;
         };
         who.iter()
-            .for_each(|&of| members.observer.paused_until(now, of as usize, still));
+            .for_each(|&of| members.observer.set_paused(now, of as usize, still));
     }
 
     pub(super) fn member_timer(&mut self, at: usize, planned: Time) {
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -96,7 +96,7 @@
     },
     ProbeCompleted {
         probe: u64,
-        held: Option<u32>,
+        in_flight: Option<u32>,
     },
     /// The front notices that a balancer is out, or back.
     FrontNoticed {
@@ -166,7 +166,7 @@
     closed: bool,
     measured: bool,
     /// The connection that its caller has asked on.
-    line: Option<CallerConnection>,
+    connection: Option<CallerConnection>,
     /// Groups of upstreams in which it ran, and when.
     seen: SmallVec<[(u32, Time); 1]>,
 }
@@ -413,8 +413,9 @@
             self.add_balancers(tier);
         }
         if let Some(front) = &self.scenario.front {
-            let (uneven, kept, zones) = (front.uneven, front.kept.0, &self.of_zone[0]);
-            self.front = Some(Front::new(zones, uneven, kept, &mut self.front_rng));
+            let (uneven, idle_timeout, zones) =
+                (front.uneven, front.idle_timeout.0, &self.of_zone[0]);
+            self.front = Some(Front::new(zones, uneven, idle_timeout, &mut self.front_rng));
         }
         self.plan_faults();
         for group in 0..self.scenario.callers.len() {
@@ -463,8 +464,8 @@
 
     fn plan_faults(&mut self) {
         for (fault, planned) in (0..).zip(&self.scenario.fault) {
-            let place = planned.place.unwrap_or(fault);
-            let rng = stream(self.seed, Actor::Fault, place);
+            let position = planned.file_position.unwrap_or(fault);
+            let rng = stream(self.seed, Actor::Fault, position);
             self.faults.push(FaultTargets {
                 rng,
                 upstreams: Vec::new(),
@@ -636,7 +637,7 @@
                 well,
             } => self.query_completed(balancer as usize, incarnation, well),
             Event::ProbeArrives { probe } => self.probe_reaches(probe),
-            Event::ProbeCompleted { probe, held } => self.probe_ends(probe, held),
+            Event::ProbeCompleted { probe, in_flight } => self.probe_ends(probe, in_flight),
             Event::FrontNoticed {
                 balancer,
                 incarnation,
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -101,7 +101,7 @@
                 entries.push(self.entry(change.upstream, change.lifecycle, change.boot_ms));
                 let ready = change.lifecycle == Lifecycle::Ready;
                 self.auditor
-                    .told(now, at, upstream.host, change.boot_ms, ready);
+                    .notified(now, at, upstream.host, change.boot_ms, ready);
             }
         }
         if !entries.is_empty() {
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -163,7 +163,7 @@
                 requests: 0,
                 closed: false,
                 measured: false,
-                line: None,
+                connection: None,
                 seen: SmallVec::new(),
             });
             self.send_to_balancer(client_call);
@@ -261,7 +261,7 @@
             client_call.seen.push((group, now));
         }
         let name = upstream.name.clone();
-        self.auditor.ran(now, request);
+        self.auditor.effect_happened(now, request);
         self.record_story(client_call_number, || format!("{name} has done it"));
     }
 
@@ -343,8 +343,13 @@
             server: peer.server,
         };
         let probe = self.probes.add(out);
-        self.event_queue
-            .after(timeout, Event::ProbeCompleted { probe, held: None });
+        self.event_queue.after(
+            timeout,
+            Event::ProbeCompleted {
+                probe,
+                in_flight: None,
+            },
+        );
         if !self.is_partitioned(at, upstream as usize, true) {
             let way = self.delay(at, upstream as usize, true);
             self.event_queue.after(way, Event::ProbeArrives { probe });
@@ -363,17 +368,17 @@
             && !mute
             && !self.is_partitioned(at, upstream, false)
         {
-            let (way, held) = (
+            let (way, in_flight) = (
                 self.delay(at, upstream, false),
                 Some(self.upstreams[upstream].in_flight()),
             );
             self.event_queue
-                .after(way, Event::ProbeCompleted { probe, held });
+                .after(way, Event::ProbeCompleted { probe, in_flight });
         }
     }
 
     /// A probe is over, by its answer or by its patience, whichever came first.
-    pub(super) fn probe_ends(&mut self, probe: u64, held: Option<u32>) {
+    pub(super) fn probe_ends(&mut self, probe: u64, in_flight: Option<u32>) {
         let Some(out) = self.probes.take(probe) else {
             return;
         };
@@ -381,13 +386,13 @@
         if !self.balancers[at].alive || self.balancers[at].incarnation != out.incarnation {
             return;
         }
-        let outcome = if held.is_some() {
+        let outcome = if in_flight.is_some() {
             Outcome::Ok
         } else {
             Outcome::Timeout
         };
-        let load = held.map(|held| LoadReport {
-            figures: [held as f32, 0.0, 0.0, 0.0],
+        let load = in_flight.map(|in_flight| LoadReport {
+            figures: [in_flight as f32, 0.0, 0.0, 0.0],
             len: 1,
         });
         self.handle_input(at, Input::ProbeEnded(server, outcome, load));
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -121,7 +121,7 @@
             .filter(|&nodo| there(&self.nodos[nodo as usize]))
             .collect();
         let hit = sample(
-            &mut stream(self.seed, Actor::Fault, fault.place.unwrap_or(at as u32)),
+            &mut stream(self.seed, Actor::Fault, fault.file_position.unwrap_or(at as u32)),
             &nodos,
             fault.part,
         );
