--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -80,7 +80,7 @@
             .filter(|place| place.tier == tier && is_there(place.zone))
             .map(|place| place.number)
             .collect();
-        let mut rng = stream(self.seed, Actor::Fault, fault.place.unwrap_or(at as u32));
+        let mut rng = stream(self.seed, Actor::Fault, fault.file_position.unwrap_or(at as u32));
         let nodos = sample(&mut rng, &nodos, fault.part);
         Hit {
             nodos,
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -167,6 +167,20 @@
     work: f64,
 }
 
+/// Calls of a class that came in one step and are not served, as a fluid.
+#[derive(Clone, Copy)]
+struct Waiting {
+    step: usize,
+    calls: f64,
+}
+
+/// Work that is left in a step, in nanoseconds, and the value that was served so far.
+#[derive(Clone, Copy, Default)]
+struct Fluid {
+    capacity: f64,
+    value: f64,
+}
+
 /// Counts while a run goes on, simulated or on sockets. Times are nanoseconds from its start.
 pub struct Meter {
     classes: Vec<ClassFigures>,
@@ -328,21 +342,8 @@
     /// highest value for their work, of a class to the oldest that are still in their aim, then to late ones.
     /// Queues within a step, the chance of arrivals and lost work are left out, so it is above what can be done.
     fn bound(&self) -> f64 {
-        let mut waiting: Vec<VecDeque<(usize, f64)>> = vec![VecDeque::new(); self.classes.len()];
-        let mut order: Vec<(usize, bool)> = (0..self.classes.len())
-            .flat_map(|class| [(class, false), (class, true)])
-            .collect();
-        let value_per_work = |&(class, late): &(usize, bool)| {
-            let ClassFigures {
-                value,
-                late_value,
-                work,
-                ..
-            } = self.classes[class];
-            value * if late { late_value } else { 1.0 } / work
-        };
-        order.sort_by(|a, b| value_per_work(b).total_cmp(&value_per_work(a)));
-        let mut value = 0.0;
+        let mut waiting: Vec<VecDeque<Waiting>> = vec![VecDeque::new(); self.classes.len()];
+        let order = self.order_of_value();
         // Until the last are past their time, the speed of the last step goes on.
         let longest = self
             .classes
@@ -350,50 +351,85 @@
             .map(|class| class.deadline / self.step_length + 2)
             .max()
             .unwrap_or(0);
+        let mut fluid = Fluid::default();
         for at in 0..self.steps.len() + longest as usize {
-            let step = &self.steps[at.min(self.steps.len() - 1)];
-            let least = step
-                .speed
-                .iter()
-                .zip(&self.multiple)
-                .filter(|(_, multiple)| **multiple > 0.0);
-            let least = least
-                .map(|(speed, multiple)| speed / multiple)
-                .fold(f64::MAX, f64::min);
-            let mut room = least * self.step_length as f64;
-            for (class, waiting) in waiting.iter_mut().enumerate() {
-                let came = self.all_came.get(at).map_or(0, |came| came[class]);
-                waiting.push_back((at, came as f64));
-                let deadline = (self.classes[class].deadline / self.step_length) as usize + 1;
-                while waiting
-                    .front()
-                    .is_some_and(|(came, _)| came + deadline < at)
-                {
-                    waiting.pop_front();
-                }
+            self.admit_calls(at, &mut waiting);
+            fluid.capacity = self.capacity_of_step(at);
+            for &(class, late) in &order {
+                self.serve(at, (class, late), &mut waiting[class], &mut fluid);
             }
-            for (class, late) in &order {
-                let figures = self.classes[*class];
-                let work = figures.work;
-                let within = (figures.latency_target / self.step_length) as usize + 1;
-                let each = if *late {
-                    figures.value * figures.late_value
-                } else {
-                    figures.value
-                };
-                for (came, left) in waiting[*class]
-                    .iter_mut()
-                    .filter(|(came, _)| *late == (came + within < at))
-                {
-                    let _ = came;
-                    let done = left.min(room / work);
-                    *left -= done;
-                    room -= done * work;
-                    value += done * each;
-                }
+        }
+        fluid.value
+    }
+
+    /// Classes, each for calls within their latency target and for late ones, by value for their work.
+    fn order_of_value(&self) -> Vec<(usize, bool)> {
+        let mut order: Vec<(usize, bool)> = (0..self.classes.len())
+            .flat_map(|class| [(class, false), (class, true)])
+            .collect();
+        let value_per_work = |&(class, late): &(usize, bool)| {
+            let figures = &self.classes[class];
+            figures.value * if late { figures.late_value } else { 1.0 } / figures.work
+        };
+        order.sort_by(|a, b| value_per_work(b).total_cmp(&value_per_work(a)));
+        order
+    }
+
+    /// What the slowest tier can do in a step, in nanoseconds of work for calls.
+    fn capacity_of_step(&self, at: usize) -> f64 {
+        let step = &self.steps[at.min(self.steps.len() - 1)];
+        let least = step
+            .speed
+            .iter()
+            .zip(&self.multiple)
+            .filter(|(_, multiple)| **multiple > 0.0)
+            .map(|(speed, multiple)| speed / multiple)
+            .fold(f64::MAX, f64::min);
+        least * self.step_length as f64
+    }
+
+    /// The calls that came in a step wait; those past their deadline do no longer.
+    fn admit_calls(&self, at: usize, waiting: &mut [VecDeque<Waiting>]) {
+        for (class, waiting) in waiting.iter_mut().enumerate() {
+            let came = self.all_came.get(at).map_or(0, |came| came[class]);
+            waiting.push_back(Waiting {
+                step: at,
+                calls: came as f64,
+            });
+            let deadline = (self.classes[class].deadline / self.step_length) as usize + 1;
+            while waiting
+                .front()
+                .is_some_and(|oldest| oldest.step + deadline < at)
+            {
+                waiting.pop_front();
             }
         }
-        value
+    }
+
+    /// Serves calls of a class, oldest first, those that are late or those that are not.
+    fn serve(
+        &self,
+        at: usize,
+        (class, late): (usize, bool),
+        waiting: &mut VecDeque<Waiting>,
+        fluid: &mut Fluid,
+    ) {
+        let figures = &self.classes[class];
+        let within = (figures.latency_target / self.step_length) as usize + 1;
+        let each = if late {
+            figures.value * figures.late_value
+        } else {
+            figures.value
+        };
+        for calls in waiting
+            .iter_mut()
+            .filter(|calls| late == (calls.step + within < at))
+        {
+            let done = calls.calls.min(fluid.capacity / figures.work);
+            calls.calls -= done;
+            fluid.capacity -= done * figures.work;
+            fluid.value += done * each; // one sum: the order of additions decides the last digits
+        }
     }
 
     /// The result, from the auditor's findings.
