--- a/tests/beside.rs
+++ b/tests/beside.rs
@@ -77,7 +77,7 @@
 
 /// One scripted caller through both paths: the same upstreams in the same order, retries included.
 #[tokio::test]
-async fn the_same_upstreams_in_the_same_order_by_both_paths() {
+async fn both_paths_choose_identical_upstreams_in_order() {
     let mut orders = Vec::new();
     for plugged_in in [false, true] {
         let (upstreams, order) = recording(6);
@@ -132,7 +132,7 @@
     assert_eq!(orders[0], orders[1]);
 }
 
-const COLD: Spec = Spec {
+const WARMING: Spec = Spec {
     slots: 4,
     work: Duration::from_millis(20),
     queue: 40,
@@ -148,10 +148,10 @@
     clippy::too_many_lines,
     reason = "one course of events, or one table of cases"
 )]
-async fn a_nodo_restarted_under_daemon_and_plug_ins_stays_up() {
+async fn an_upstream_restarted_under_daemon_and_plug_ins_is_not_overloaded() {
     let mut nodos = Vec::new();
     for at in 0..4 {
-        nodos.push(SimulatedUpstream::start(format!("n-{at}"), COLD).await);
+        nodos.push(SimulatedUpstream::start(format!("n-{at}"), WARMING).await);
     }
     let list = |state: &str| {
         nodos
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -176,14 +176,14 @@
     }
 
     pub fn get(&self, path: &str) -> Message {
-        self.ask("GET", path)
+        self.send_query("GET", path)
     }
 
     pub fn post(&self, path: &str) -> Message {
-        self.ask("POST", path)
+        self.send_query("POST", path)
     }
 
-    fn ask(&self, method: &str, path: &str) -> Message {
+    fn send_query(&self, method: &str, path: &str) -> Message {
         let mut caller = self.connect();
         caller.write(&format!(
             "{method} {path} HTTP/1.1\r\nHost: operators\r\nContent-Length: 0\r\n\r\n"
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_second_answer_to_one_request_is_no_answer_to_the_next() {
+fn a_second_response_to_one_request_never_reaches_the_next() {
     let system = system(5_000, 1);
     let front = system.front(0);
     let upstream = Upstream::start(|request| {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_late_second_answer_in_the_place_of_the_next_one_is_told_by_its_id() {
+fn a_delayed_second_response_is_recognized_by_its_id() {
     let system = system(5_000, 1);
     let front = system.front(0);
     let raw = Raw::start();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn an_answer_without_an_id_or_without_its_stamp_is_none() {
+fn a_response_without_an_id_or_a_stamp_is_invalid() {
     let system = system(5_000, 1);
     let front = system.front(0);
     let upstream = Upstream::start(|request| {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn where_an_answer_comes_before_a_long_body_is_read_the_rest_of_it_or_nothing_follows() {
+fn after_an_early_response_the_rest_of_a_long_body_or_nothing_follows() {
     const BODY: usize = 3 << 20;
     let system = system(5_000, 1);
     let front = system.front(0);
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_that_ends_with_a_reset_is_not_complete() {
+fn a_response_without_a_length_that_ends_with_a_reset_is_truncated() {
     let system = system(5_000, 1);
     let front = system.front(0);
     let raw = Raw::start();
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_its_upstream_has_closed_or_forgotten_swallows_nothing() {
+fn a_pooled_connection_that_its_upstream_has_closed_loses_no_request() {
     let system = system(5_000, 2);
     let front = system.front(0);
     let upstream = Upstream::start(|request| Reaction::RespondAndClose(response(request, "own")));
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn silence_ends_with_the_routes_time_and_frees_the_upstream() {
+fn an_unresponsive_upstream_times_out_with_its_route_and_is_released() {
     let system = system(700, 2);
     let front = system.front(0);
     let upstream = Upstream::start(|_| Reaction::Stall);
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_request_and_its_stream_at_the_upstream() {
+fn a_disconnected_client_cancels_its_request_and_its_stream() {
     let system = system(20_000, 2);
     let front = system.front(0);
     let raw = Raw::start();
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -81,7 +81,7 @@
 
 /// A client that reads nothing of a large answer: its upstream is not held beyond the deadline.
 #[test]
-fn a_response_that_nobody_reads_is_given_up_after_its_deadline() {
+fn an_unread_response_is_abandoned_after_its_deadline() {
     let (address, closed) = endless(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         chunk(),
@@ -145,7 +145,7 @@
 /// balancer's fault.
 #[test]
 fn a_response_that_still_comes_at_its_deadline_is_forwarded_to_its_end() {
-    const PIECES: usize = 8;
+    const CHUNKS: usize = 8;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -154,7 +154,7 @@
             stream
                 .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 .unwrap();
-            for _ in 0..PIECES {
+            for _ in 0..CHUNKS {
                 stream.write_all(chunk().as_bytes()).unwrap();
                 std::thread::sleep(BUDGET.1 / 2);
             }
@@ -169,6 +169,6 @@
     caller.send("post", BUDGET.0, "b");
     assert_eq!(
         caller.read_chunked_body().expect("all of it").len(),
-        PIECES * LARGE
+        CHUNKS * LARGE
     );
 }
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -11,8 +11,8 @@
 use woadstall_mock_servers::http1::*;
 use woadstall_mock_servers::stalled_listener::StalledListener;
 
-/// Within this, a change counts as told.
-const TOLD: Duration = Duration::from_secs(6);
+/// How long a change of the list may take to reach the balancer.
+const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Discovery that answers its calls by number with what is written here; each call is seen.
 fn scripted(answer: impl Fn(usize, &Message) -> Reaction + Send + Sync + 'static) -> Upstream {
@@ -20,14 +20,14 @@
     Upstream::start(move |message| answer(calls.fetch_add(1, Ordering::SeqCst), message))
 }
 
-fn whole_list(rev: u64, targets: &[String]) -> String {
+fn complete_list(rev: u64, targets: &[String]) -> String {
     format!(
         r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#,
         targets.join(",")
     )
 }
 
-fn asked(mut config: Value) -> Value {
+fn with_polling(mut config: Value) -> Value {
     config["settings"]["Discovery"] = json!("ask");
     config["settings"]["Safety"]["AskWithinNs"] = json!(10_000_000_000_u64);
     config
@@ -35,7 +35,7 @@
 
 /// Two upstreams: the balancer starts with the one, and the list of discovery names the other alone.
 struct Two {
-    old: Upstream,
+    former: Upstream,
     new: Upstream,
 }
 
@@ -44,19 +44,19 @@
         let answering =
             |text: &'static str| Upstream::start(move |_| Reaction::Respond(ok_response(text)));
         Self {
-            old: answering("old"),
+            former: answering("old"),
             new: answering("new"),
         }
     }
 
     fn list(&self, rev: u64) -> String {
-        whole_list(rev, &[target("s-new", self.new.address, "in_service")])
+        complete_list(rev, &[target("s-new", self.new.address, "in_service")])
     }
 
     fn config(&self, discovery: std::net::SocketAddr) -> Value {
         config(
             discovery,
-            &[target("s-old", self.old.address, "in_service")],
+            &[target("s-old", self.former.address, "in_service")],
         )
     }
 
@@ -87,7 +87,7 @@
     discovery.request();
     discovery.request();
     assert!(
-        silent.elapsed() < TOLD,
+        silent.elapsed() < NOTIFICATION_TIMEOUT,
         "the third call comes after {:?}",
         silent.elapsed()
     );
@@ -105,7 +105,7 @@
         1 => Reaction::Respond(ok_response(&list)),
         _ => Reaction::Stall,
     });
-    let program = Program::start(&asked(two.config(discovery.address)));
+    let program = Program::start(&with_polling(two.config(discovery.address)));
     let watch = discovery.request();
     let silent = Instant::now();
     let wait: f64 = watch
@@ -133,7 +133,10 @@
     let unchanged = r#"{"rev":1,"all":false,"targets":[]}"#;
     let discovery = scripted(move |_, _| Reaction::Respond(ok_response(unchanged)));
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
-    let _program = Program::start(&asked(config(discovery.address, &in_service(&[&upstream]))));
+    let _program = Program::start(&with_polling(config(
+        discovery.address,
+        &in_service(&[&upstream]),
+    )));
     let waits: std::collections::HashSet<String> =
         (0..8).map(|_| discovery.request().start_line).collect();
     assert!(waits.len() > 4, "{waits:?}");
@@ -144,11 +147,15 @@
 fn a_connection_that_is_never_established_is_given_up_in_time() {
     let two = Two::start();
     let late = StalledListener::start();
-    let mut program = Program::start(&asked(two.config(late.address())));
+    let mut program = Program::start(&with_polling(two.config(late.address())));
     late.wait_until_dialled();
     let dialled = Instant::now();
     program.logged("discovery_failed error=");
-    assert!(dialled.elapsed() < TOLD, "{:?}", dialled.elapsed());
+    assert!(
+        dialled.elapsed() < NOTIFICATION_TIMEOUT,
+        "{:?}",
+        dialled.elapsed()
+    );
 }
 
 /// The forms that the protocol allows, and a connection that ends after the answer.
@@ -213,12 +220,12 @@
                 _ => Reaction::Stall,
             });
             let config = two.config(discovery.address);
-            let program = Program::start(&if asking { asked(config) } else { config });
+            let program = Program::start(&if asking { with_polling(config) } else { config });
             discovery.request();
             let failed = Instant::now();
             assert_eq!(program.call("look").body, b"old", "the list stays");
             discovery.request();
-            assert!(failed.elapsed() < TOLD);
+            assert!(failed.elapsed() < NOTIFICATION_TIMEOUT);
             two.taken(&program);
         }
     }
@@ -263,13 +270,13 @@
     let answering = Arc::new(Barrier::new(2));
     let (hold, former_list) = (
         answering.clone(),
-        whole_list(90, &[target("s-old", two.old.address, "in_service")]),
+        complete_list(90, &[target("s-old", two.former.address, "in_service")]),
     );
     let former = scripted(move |call, _| match call {
         0 => Reaction::Respond(ok_response(&former_list)),
         1 => {
             hold.wait();
-            Reaction::Respond(ok_response(&whole_list(91, &[])))
+            Reaction::Respond(ok_response(&complete_list(91, &[])))
         }
         _ => Reaction::Stall,
     });
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -63,7 +63,7 @@
     (program, admin, free)
 }
 
-fn word(admin: &Operators, words: &[&str]) -> (bool, String) {
+fn run_domain_command(admin: &Operators, words: &[&str]) -> (bool, String) {
     let at = admin.address.to_string();
     let output = Command::new(env!("CARGO_BIN_EXE_woadstall"))
         .args(words)
@@ -94,14 +94,14 @@
             .all(|admin| admin.figures()[r#"balancer_members{state="alive"}"#] == 1.0)
     });
     assert!((0..10).all(|_| zone_of(&one) == "a" && zone_of(&two) == "a"));
-    let (_, text) = word(&other, &["zone", "status"]);
+    let (_, text) = run_domain_command(&other, &["zone", "status"]);
     assert!(
         text.contains("zone a: in use, epoch 0, share 100%, 1 nodos in service"),
         "{text}"
     );
 
     assert_eq!(
-        word(&admin, &["zone", "leave", "a", "--for", "5m"]),
+        run_domain_command(&admin, &["zone", "leave", "a", "--for", "5m"]),
         (true, String::new())
     );
     until("all are out", || {
@@ -109,7 +109,7 @@
     });
     assert!((0..20).all(|_| zone_of(&two) == "b"));
     two.logged("places: zone a: an operator's word, leave, for ");
-    let (_, text) = word(&other, &["zone", "status", "a"]);
+    let (_, text) = run_domain_command(&other, &["zone", "status", "a"]);
     assert!(
         text.contains("share 0%") && text.contains("an operator's word: leave, for "),
         "{text}"
@@ -120,30 +120,30 @@
     );
 
     // Another operator, elsewhere, later: the last word holds. Never all places: where both are left, none is.
-    assert!(word(&other, &["zone", "hold", "a", "--for", "1m"]).0);
+    assert!(run_domain_command(&other, &["zone", "hold", "a", "--for", "1m"]).0);
     until("the last word holds", || {
         zone_of(&one) == "a" && zone_of(&two) == "a"
     });
-    assert!(word(&other, &["region", "leave", "west", "--for", "1m"]).0);
+    assert!(run_domain_command(&other, &["region", "leave", "west", "--for", "1m"]).0);
     until("a region is its zones", || zone_of(&one) == "b");
-    assert!(word(&other, &["region", "leave", "east", "--for", "1m"]).0);
+    assert!(run_domain_command(&other, &["region", "leave", "east", "--for", "1m"]).0);
     until("all is left, so nothing is", || zone_of(&one) == "a");
     assert!(
-        word(&other, &["region", "return", "east"]).0
-            && word(&admin, &["region", "return", "west"]).0
+        run_domain_command(&other, &["region", "return", "east"]).0
+            && run_domain_command(&admin, &["region", "return", "west"]).0
     );
     // A word that is over is over.
-    assert!(word(&admin, &["zone", "leave", "a", "--for", "1s"]).0);
+    assert!(run_domain_command(&admin, &["zone", "leave", "a", "--for", "1s"]).0);
     until("it is left", || zone_of(&two) == "b");
     until("it ends by itself", || {
         zone_of(&two) == "a" && zone_of(&one) == "a"
     });
 
-    let (sound, text) = word(&admin, &["zone", "leave", "c"]);
+    let (sound, text) = run_domain_command(&admin, &["zone", "leave", "c"]);
     assert!(!sound && text.contains("no zone c"), "{text}");
-    let (sound, text) = word(&admin, &["nodo", "leave", "a/b"]);
+    let (sound, text) = run_domain_command(&admin, &["nodo", "leave", "a/b"]);
     assert!(!sound && text.contains("is no name of a nodo"), "{text}");
-    let (sound, text) = word(&admin, &["zone", "leave", "a", "--for", "soon"]);
+    let (sound, text) = run_domain_command(&admin, &["zone", "leave", "a", "--for", "soon"]);
     assert!(!sound && text.contains("--for"), "{text}");
     assert_eq!(admin.post("/control/places/leave/zone/a").status(), 400);
     assert_eq!(admin.post("/control/places/burn/zone/a/10").status(), 400);
@@ -158,11 +158,11 @@
     let (_program, admin) = Program::start_with_admin(&config);
     assert_eq!(admin.get("/control/places").status(), 404);
     assert!(!admin.figures().keys().any(|name| name.contains("place")));
-    let (sound, text) = word(&admin, &["zone", "status"]);
+    let (sound, text) = run_domain_command(&admin, &["zone", "status"]);
     assert!(
         !sound && text.contains("no `[evacuation]` in its operators' file"),
         "{text}"
     );
-    let (sound, _) = word(&admin, &["zone", "leave", "a"]);
+    let (sound, _) = run_domain_command(&admin, &["zone", "leave", "a"]);
     assert!(!sound);
 }
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn the_status_of_places_as_people_read_it() {
+fn the_status_of_failure_domains_as_text() {
     let place = |name: &str, more: Value| {
         let mut place = json!({"name": name, "state": "in use", "epoch": 0, "for_s": 0.0, "share": 1.0,
             "why": "nothing is known", "against": 0, "for_it": 0, "relapses": 0, "nodos": 0, "order": null,
--- a/tests/golden_daemon.rs
+++ b/tests/golden_daemon.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn answers_to_callers() {
+fn responses_to_callers() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let (program, _) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn answers_where_upstreams_fail_or_are_not_there() {
+fn responses_where_upstreams_fail_or_are_missing() {
     let failing = Upstream::start(|_| {
         Reaction::Respond("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into())
     });
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn what_an_upstream_reads() {
+fn requests_as_an_upstream_receives_them() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let (program, _) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn answers_to_operators() {
+fn responses_to_operators() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let (_program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -34,7 +34,7 @@
     (program, admin, free)
 }
 
-fn told(admin: &Operators, more: &[&str]) -> (bool, String) {
+fn show_members(admin: &Operators, more: &[&str]) -> (bool, String) {
     let at = admin.address.to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall"));
     let output = command
@@ -57,12 +57,12 @@
     let (mut one, admin, at) = start(&folder, "balancer-one", "");
     let (two, other, _) = start(&folder, "balancer-two", &format!("{at:?}"));
     until("they find each other", || {
-        told(&admin, &["--json"]).1.contains("balancer-two")
+        show_members(&admin, &["--json"]).1.contains("balancer-two")
     });
     until("both ways", || {
-        told(&other, &["--json"]).1.contains("balancer-one")
+        show_members(&other, &["--json"]).1.contains("balancer-one")
     });
-    let (_, text) = told(&admin, &[]);
+    let (_, text) = show_members(&admin, &[]);
     assert!(text.starts_with("balancer-one in zone a"), "{text}");
     assert!(
         text.contains("fleet of 2") && text.contains("no way between balancers is told to be cut"),
@@ -91,7 +91,7 @@
     let (_program, admin) = Program::start_with_admin(&config(refused_address(), &[]));
     assert_eq!(admin.get("/control/instances").status(), 404);
     assert!(!admin.figures().keys().any(|name| name.contains("members")));
-    let (sound, text) = told(&admin, &[]);
+    let (sound, text) = show_members(&admin, &[]);
     assert!(
         !sound && text.contains("no `[instances]` in its operators' file"),
         "{text}"
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -343,7 +343,7 @@
 
 /// Guards the memory: answers of many callers that read nothing must not be held here.
 #[test]
-fn responses_that_nobody_reads_take_no_memory() {
+fn unread_responses_take_no_memory() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response(&large(16 << 20))));
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -12,15 +12,15 @@
 struct Breaking {
     upstream: Upstream,
     /// Passed once the request is held.
-    held: Arc<Barrier>,
+    pending: Arc<Barrier>,
     /// Passed when its attempt is to break.
     broken: Arc<Barrier>,
 }
 
 impl Breaking {
     fn start() -> Self {
-        let (held, broken) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-        let (hold, broke) = (held.clone(), broken.clone());
+        let (pending, broken) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
+        let (hold, broke) = (pending.clone(), broken.clone());
         let upstream = Upstream::start(move |message| match message.body == b"first" {
             true => {
                 hold.wait();
@@ -31,7 +31,7 @@
         });
         Self {
             upstream,
-            held,
+            pending,
             broken,
         }
     }
@@ -39,10 +39,10 @@
 
 /// A keyed request is held at its upstream, the class `pay` changes at a SIGHUP, and then the attempt breaks. Returns
 /// the status that the caller gets, and how many attempts there were after the first.
-fn changed_under_way(change: impl Fn(&mut Value)) -> (u16, usize) {
+fn changed_in_flight(change: impl Fn(&mut Value)) -> (u16, usize) {
     let Breaking {
         upstream,
-        held,
+        pending,
         broken,
     } = Breaking::start();
     let other = Upstream::start(|_| Reaction::Respond(ok_response("repeated")));
@@ -53,7 +53,7 @@
     discovery.wait_until_watched();
     let mut caller = program.connect();
     caller.send("pay", LONG_BUDGET, "first");
-    held.wait();
+    pending.wait();
     discovery.publish(&[target("s-other", other.address, "in_service")]);
     let mut after = before.clone();
     change(&mut after["settings"]["Classes"][1]);
@@ -66,15 +66,15 @@
 
 #[test]
 fn a_keyed_request_in_flight_is_retried_while_its_settings_stay() {
-    assert_eq!(changed_under_way(|_| {}), (200, 1));
+    assert_eq!(changed_in_flight(|_| {}), (200, 1));
     // A longer window is not its own.
     assert_eq!(
-        changed_under_way(|class| class["WindowNs"] = json!(90_000_000_000_u64)),
+        changed_in_flight(|class| class["WindowNs"] = json!(90_000_000_000_u64)),
         (200, 1)
     );
     // Where repeats would be harmless now, they are harmless for it as well.
     assert_eq!(
-        changed_under_way(|class| class["Effect"] = json!("read_like")),
+        changed_in_flight(|class| class["Effect"] = json!("read_like")),
         (200, 1)
     );
 }
@@ -83,11 +83,11 @@
 #[test]
 fn stricter_settings_apply_to_a_keyed_request_in_flight() {
     assert_eq!(
-        changed_under_way(|class| class["Effect"] = json!("non_idempotent")),
+        changed_in_flight(|class| class["Effect"] = json!("non_idempotent")),
         (502, 0)
     );
     assert_eq!(
-        changed_under_way(|class| class["WindowNs"] = json!(1)),
+        changed_in_flight(|class| class["WindowNs"] = json!(1)),
         (502, 0)
     );
 }
@@ -97,7 +97,7 @@
 fn positions_and_names_may_change_while_requests_are_in_flight() {
     let Breaking {
         upstream,
-        held,
+        pending,
         broken,
     } = Breaking::start();
     for rename in [false, true] {
@@ -105,7 +105,7 @@
         let mut program = Program::start(&before);
         let mut caller = program.connect();
         caller.send("post", LONG_BUDGET, "first");
-        held.wait();
+        pending.wait();
         let mut after = before.clone();
         let classes = after["settings"]["Classes"].as_array_mut().unwrap();
         classes.reverse();
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -33,7 +33,7 @@
     System::start(Path::new(PROGRAM), 1)
 }
 
-fn ask(system: &System, path: &str) -> Option<Message> {
+fn send_request(system: &System, path: &str) -> Option<Message> {
     call(
         system.front(0),
         "POST",
@@ -44,13 +44,13 @@
 }
 
 fn status(system: &System, path: &str) -> u16 {
-    ask(system, path).expect("an answer").status()
+    send_request(system, path).expect("an answer").status()
 }
 
 #[test]
 fn a_system_is_founded_serves_changes_and_outlives_a_core_machine() {
     let mut system = system();
-    let early = ask(&system, "/safe/1");
+    let early = send_request(&system, "/safe/1");
     if let Some(early) = early.filter(|response| response.status() != 200) {
         assert_eq!(early.status(), 503, "no configuration yet: not a 404");
         assert!(early.headers.contains_key("retry-after"));
@@ -58,7 +58,7 @@
     system.configure(0, 0, &configuration(3, &all_routes()));
     let upstream = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
     system.register(1, "i-1", "s", upstream.address, 0);
-    let reply = ask(&system, "/safe/1?a=b").expect("an answer");
+    let reply = send_request(&system, "/safe/1?a=b").expect("an answer");
     assert_eq!(
         (reply.status(), reply.body.as_slice()),
         (200, &b"hello"[..])
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_front_answers_what_it_took_and_ends_in_order() {
+fn a_front_completes_accepted_requests_and_shuts_down_gracefully() {
     let mut system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
     let upstream = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
@@ -121,7 +121,7 @@
     front.wait_for("shutdown_started");
     let ready = call(system.ready(0), "GET", "/v1/readiness", "", b"").expect("an answer");
     assert_eq!(ready.status(), 503);
-    let reply = ask(&system, "/safe/1").expect("clients that heard late are still served");
+    let reply = send_request(&system, "/safe/1").expect("clients that heard late are still served");
     assert_eq!(
         (reply.status(), reply.headers["connection"].as_str()),
         (200, "close")
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_request_that_was_turned_away_goes_to_another_upstream() {
+fn a_rejected_request_goes_to_another_upstream() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
     let full = Upstream::start(|_| {
@@ -162,7 +162,7 @@
         )
     });
     system.register(0, "i-1", "s", full.address, 0);
-    let refused = ask(&system, "/once/1").expect("an answer");
+    let refused = send_request(&system, "/once/1").expect("an answer");
     assert_eq!(refused.status(), 503);
     assert!(refused.headers.contains_key("retry-after"));
     let free = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
@@ -181,7 +181,7 @@
     };
     let failing = Upstream::start(error);
     system.register(0, "i-1", "s", failing.address, 0);
-    let passed_on = ask(&system, "/safe/1").expect("an answer");
+    let passed_on = send_request(&system, "/safe/1").expect("an answer");
     assert_eq!(
         (passed_on.status(), passed_on.body.as_slice()),
         (500, &b"broken"[..])
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn an_answer_that_belongs_to_another_request_is_no_answer() {
+fn a_response_to_another_request_is_invalid() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
     let mixed = Upstream::start(|request| {
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_broken_stream_is_taken_up_behind_its_last_whole_event() {
+fn a_broken_stream_resumes_after_its_last_complete_event() {
     const FIRST: [&str; 3] = ["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata"];
     const REST: [&str; 2] = ["id: 3\ndata: c\n\n", "id: 4\ndata: d\n\n"];
     let system = system();
@@ -237,7 +237,7 @@
     let (one, other) = (Upstream::start(act), Upstream::start(act));
     system.register(0, "i-1", "s", one.address, 0);
     system.register(0, "i-2", "s", other.address, 0);
-    let reply = ask(&system, "/stream/1").expect("a whole stream");
+    let reply = send_request(&system, "/stream/1").expect("a whole stream");
     let expected = ["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", REST[0], REST[1]].concat();
     assert_eq!(String::from_utf8_lossy(&reply.body), expected);
 }
@@ -253,7 +253,7 @@
     });
     system.register(0, "i-1", "s", upstream.address, 0);
     assert!(
-        ask(&system, "/stream/1").is_none(),
+        send_request(&system, "/stream/1").is_none(),
         "a stream without its end"
     );
 }
@@ -266,7 +266,7 @@
     let far = Upstream::start(|request| Reaction::Respond(response(request, "far")));
     system.register(0, "i-1", "s", near.address, 0);
     system.register(1, "i-2", "s", far.address, 1);
-    let body = |system: &System| ask(system, "/safe/1").expect("an answer").body;
+    let body = |system: &System| send_request(system, "/safe/1").expect("an answer").body;
     assert_eq!(body(&system), b"near");
     let order = |method: &str| {
         let done =
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn settings_at_fault_are_told_with_their_places() {
+fn invalid_settings_are_reported_with_their_paths() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("node.json");
     std::fs::write(
