--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::error::DemoError;
 use woadstall_emulator::{Scenario, Span};
-use woadstall_load_test::{Path, Played, run};
+use woadstall_load_test::{LoadResult, Path, run};
 
 /// What is played, with times for [`SCENARIO_SECONDS`].
 const SCENARIO: &str = include_str!("../demo.toml");
@@ -58,37 +58,40 @@
 }
 
 /// Prints the responses by path and class, what each upstream saw, and the rules.
-fn print_results(played: &Played) {
+fn print_results(played: &LoadResult) {
     print_tally(played);
     print_upstreams(played);
     print_summary(played);
     print_rules(played);
 }
 
-fn print_tally(played: &Played) {
+fn print_tally(played: &LoadResult) {
     println!(
         "\n{:<8} {:<14} {:<8} {:>8}",
         "path", "class", "answer", "requests"
     );
-    for ((path, class, response), requests) in &played.tally {
-        println!("{path:<8} {class:<14} {response:<8} {requests:>8}");
+    for (key, requests) in &played.tally {
+        println!(
+            "{:<8} {:<14} {:<8} {requests:>8}",
+            key.transport, key.class, key.result
+        );
     }
 }
 
-fn print_upstreams(played: &Played) {
+fn print_upstreams(played: &LoadResult) {
     println!(
         "\n{:<8} {:>6} {:>6} {:>12}",
         "nodo", "came", "ran", "turned away"
     );
-    for upstream in &played.nodos {
+    for upstream in &played.upstreams {
         println!(
             "{:<8} {:>6} {:>6} {:>12}",
-            upstream.name, upstream.came, upstream.ran, upstream.turned_away
+            upstream.name, upstream.received, upstream.executed, upstream.rejected
         );
     }
 }
 
-fn print_summary(played: &Played) {
+fn print_summary(played: &LoadResult) {
     let (counts, latency) = (&played.end.counts, &played.end.latency);
     println!(
         "\n{} calls: {} on time, {} late, {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms",
@@ -102,7 +105,7 @@
     );
 }
 
-fn print_rules(played: &Played) {
+fn print_rules(played: &LoadResult) {
     for (rule, count) in &played.end.breaches {
         println!(
             "{rule}: {}",
