--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -1,4 +1,4 @@
-//! What decides inside a balancer: the wire that the real engine and its baseline policies are on.
+//! The interface of what decides inside a balancer: the real engine, or a baseline policy.
 
 use woadstall_engine::{
     AttemptInFlight, AttemptRecord, Command, Engine, Input, ListedUpstream, Time,
--- /dev/null
+++ b/crates/emulator/src/baseline/learning.rs
@@ -0,0 +1,120 @@
+//! What a baseline policy learns from the end of an attempt: ejection, Ribbon's breaker, latencies and limits.
+
+use super::*;
+
+/// Failures in a row after which a server is ejected.
+const EJECT_FAILURES: u32 = 5;
+/// How long a server is ejected for the first time, in nanoseconds; each time it is once more as long.
+const EJECT_TIME: Time = 30 * SECOND;
+/// Part of the servers that may be ejected at a time.
+const EJECT_PART: f64 = 0.1;
+/// Failures in a row that trip Ribbon's breaker.
+const TRIP_FAILURES: u32 = 3;
+/// How long Ribbon's breaker is open for the first time, in nanoseconds; each time it is twice as long.
+const TRIP_TIME: Time = 10 * SECOND;
+/// The longest that Ribbon's breaker is open, in nanoseconds.
+const TRIP_TIME_MAX: Time = 30 * SECOND;
+
+impl Server {
+    /// Feeds the peak-sensitive average with a latency in nanoseconds: a peak counts at once, and fades.
+    fn observe_latency(&mut self, now: Time, took: f64) {
+        let age = now.saturating_sub(self.cost_at) as f64;
+        let weight = (-age / DECAY).exp();
+        self.cost = if took > self.cost {
+            took
+        } else {
+            self.cost * weight + took * (1.0 - weight)
+        };
+        self.cost_at = now;
+    }
+}
+
+impl BaselinePolicy {
+    pub(super) fn learn(&mut self, now: Time, at: usize, took: Time, outcome: Outcome) {
+        self.in_flight -= 1;
+        let ribbon = self.config.pick == ServerSelection::Ribbon;
+        let server = &mut self.servers[at];
+        server.in_flight = server.in_flight.saturating_sub(1);
+        let connection = matches!(
+            outcome,
+            Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset
+        );
+        let failed = connection || outcome == Outcome::Error;
+        match outcome {
+            Outcome::Ok | Outcome::Declined => (server.failures, server.trips) = (0, 0),
+            _ if if ribbon { connection } else { failed } => server.failures += 1,
+            _ => {}
+        }
+        if ribbon && server.failures >= TRIP_FAILURES {
+            let open_for = (TRIP_TIME << server.trips.min(4)).min(TRIP_TIME_MAX);
+            (server.out_until, server.trips) = (now + open_for, server.trips + 1);
+        } else if self.config.ejects && server.failures >= EJECT_FAILURES {
+            self.eject(now, at);
+        }
+        let took = took as f64;
+        if matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Error) {
+            self.servers[at].observe_latency(now, took);
+        }
+        match self.config.limit {
+            ConcurrencyLimit::None => {}
+            ConcurrencyLimit::Aimd => self.adapt_aimd(failed || outcome == Outcome::Full),
+            ConcurrencyLimit::Gradient => self.adapt_gradient(took, outcome),
+        }
+    }
+
+    /// Whether at least half of the limit was in use when a call ended.
+    fn uses_limit(&self) -> bool {
+        f64::from(self.in_flight + 1) * 2.0 > self.limit
+    }
+
+    fn adapt_aimd(&mut self, failed: bool) {
+        if failed {
+            self.limit = (0.9 * self.limit).max(1.0);
+        } else if self.uses_limit() {
+            self.limit += 1.0 / self.limit;
+        }
+    }
+
+    /// `took`: latency in nanoseconds.
+    fn adapt_gradient(&mut self, took: f64, outcome: Outcome) {
+        if outcome == Outcome::Full {
+            self.limit = (0.9 * self.limit).max(4.0);
+        }
+        if !matches!(outcome, Outcome::Ok | Outcome::Timeout) {
+            return;
+        }
+        let (short, long) = (&mut self.short_latency, &mut self.long_latency);
+        *short = if *short == 0.0 {
+            took
+        } else {
+            *short + 0.1 * (took - *short)
+        };
+        *long = if *long == 0.0 {
+            took
+        } else {
+            *long + 0.002 * (took - *long)
+        };
+        if *long / *short > 2.0 {
+            *long *= 0.95;
+        }
+        let gradient = (1.5 * *long / *short).clamp(0.5, 1.0);
+        if self.uses_limit() {
+            let next = self.limit * gradient + self.limit.sqrt();
+            self.limit = (0.8 * self.limit + 0.2 * next).clamp(4.0, 10_000.0);
+        }
+    }
+
+    /// Leaves a server out for a while, unless too many are.
+    fn eject(&mut self, now: Time, at: usize) {
+        let out = self
+            .ready
+            .iter()
+            .filter(|&&at| self.servers[at].out_until > now)
+            .count();
+        if (out as f64) < (EJECT_PART * self.ready.len() as f64).max(1.0) {
+            let server = &mut self.servers[at];
+            server.trips += 1;
+            (server.out_until, server.failures) = (now + EJECT_TIME * Time::from(server.trips), 0);
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/baseline/mod.rs
@@ -0,0 +1,333 @@
+//! Baseline policies on the same wire, written from their public descriptions. Each is a way to pick a server, with or
+//! without an ejection of outliers, a limit of what is in flight, and a rule for retries. What they share, they
+//! share in [`BaselinePolicy`]: the list, the calls, the time limits. None of them ever repeats work that must not run
+//! twice, so that they are compared by what they serve.
+
+mod config;
+mod learning;
+mod selection;
+
+pub use config::{BaselineConfig, ConcurrencyLimit, RetryPolicy, ServerSelection};
+
+use crate::agent::{BalancerAgent, Ticket};
+use crate::units::{MS, SECOND};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::net::SocketAddr;
+use woadstall_engine::decisions::{Effect, Settings};
+use woadstall_engine::{
+    AttemptEnd, Call, CallResult, Command, Input, Lifecycle, Outcome, Peer, RequestId, SendAttempt,
+    ServerId, Time, UpstreamEntry,
+};
+
+/// Time over which the peak-sensitive average decays, in nanoseconds.
+const DECAY: f64 = 10e9;
+/// Tokens that each call puts into the retry budget; a retry takes one.
+const BUDGET_EARNED: f64 = 0.2;
+/// Tokens that the retry budget holds at most, and begins with.
+const BUDGET_MAX: f64 = 10.0;
+/// Advice on when to come back, for what is refused by a limit.
+const RETRY_AFTER: Time = 200 * MS;
+
+#[derive(Clone, Debug)]
+struct Server {
+    id: ServerId,
+    address: Option<SocketAddr>,
+    boot_ms: u64,
+    zone: usize,
+    ready: bool,
+    in_flight: u32,
+    /// Failures in a row, how often it was left out, and until when it is.
+    failures: u32,
+    trips: u32,
+    out_until: Time,
+    cost: f64,
+    cost_at: Time,
+}
+
+struct OpenCall {
+    ticket: Ticket,
+    class: usize,
+    deadline: Time,
+    attempts: u32,
+    most: u32,
+    /// The server of the attempt out, and when it was sent.
+    out: Option<(usize, Time)>,
+    last: Option<usize>,
+    may_have_run: bool,
+}
+
+/// See the module's documentation.
+pub struct BaselinePolicy {
+    config: BaselineConfig,
+    settings: Settings,
+    rng: ChaCha8Rng,
+    by_name: BTreeMap<String, usize>,
+    servers: Vec<Server>,
+    ready: Vec<usize>,
+    cursor: usize,
+    open: HashMap<RequestId, OpenCall>,
+    commands: VecDeque<Command<Ticket, ()>>,
+    tokens: f64,
+    limit: f64,
+    in_flight: u32,
+    /// Short and long moving averages of the latency, in nanoseconds; 0 before the first call.
+    short_latency: f64,
+    long_latency: f64,
+}
+
+impl BaselinePolicy {
+    /// One that knows no server yet.
+    pub fn new(config: BaselineConfig, settings: Settings, seed: u64) -> Self {
+        Self {
+            config,
+            settings,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            by_name: BTreeMap::new(),
+            servers: Vec::new(),
+            ready: Vec::new(),
+            cursor: 0,
+            open: HashMap::new(),
+            commands: VecDeque::new(),
+            tokens: BUDGET_MAX,
+            limit: 20.0,
+            in_flight: 0,
+            short_latency: 0.0,
+            long_latency: 0.0,
+        }
+    }
+
+    fn on_listed(&mut self, entries: &[UpstreamEntry], all: bool) {
+        if all {
+            self.servers
+                .iter_mut()
+                .for_each(|server| server.ready = false);
+        }
+        for entry in entries {
+            let next = self.servers.len();
+            let at = *self.by_name.entry(entry.name.clone()).or_insert(next);
+            if at == next {
+                self.servers.push(Server {
+                    id: ServerId(next as u32 + 1),
+                    address: None,
+                    boot_ms: 0,
+                    zone: 0,
+                    ready: false,
+                    in_flight: 0,
+                    failures: 0,
+                    trips: 0,
+                    out_until: 0,
+                    cost: 0.0,
+                    cost_at: 0,
+                });
+            }
+            let server = &mut self.servers[at];
+            let ready = entry.lifecycle == Lifecycle::Ready;
+            if !ready || server.boot_ms != entry.boot_ms || server.address != entry.address {
+                self.commands
+                    .push_back(Command::RetireConnections(server.id));
+            }
+            if server.boot_ms != entry.boot_ms {
+                (server.failures, server.trips, server.out_until, server.cost) = (0, 0, 0, 0.0);
+            }
+            (server.address, server.boot_ms, server.ready) = (entry.address, entry.boot_ms, ready);
+            server.zone = entry.zone.map_or(0, |zone| usize::from(zone.0));
+            if entry.lifecycle == Lifecycle::Removed {
+                self.by_name.remove(&entry.name);
+            }
+        }
+        let servers = &self.servers;
+        self.ready = (0..servers.len())
+            .filter(|&at| servers[at].ready && servers[at].address.is_some())
+            .collect();
+        // Copies that start together must not all begin with the same server.
+        if all && !self.ready.is_empty() {
+            self.cursor = self.rng.random_range(..self.ready.len());
+        }
+    }
+
+    fn on_call(&mut self, now: Time, call: Call<Ticket>) {
+        let Call {
+            id,
+            request: ticket,
+            class,
+            deadline,
+            max_attempts: most,
+            ..
+        } = call;
+        let refused = |retry_after| Command::Respond {
+            request: ticket,
+            result: CallResult::Rejected(retry_after),
+        };
+        if deadline <= now || most == 0 {
+            return self.commands.push_back(refused(0));
+        }
+        self.tokens = (self.tokens + BUDGET_EARNED).min(BUDGET_MAX);
+        if self.config.limit != ConcurrencyLimit::None && f64::from(self.in_flight) >= self.limit {
+            return self
+                .commands
+                .push_back(refused(RETRY_AFTER.min(self.settings.max_retry_after)));
+        }
+        let most = most.min(self.settings.max_attempts);
+        let open = OpenCall {
+            ticket,
+            class,
+            deadline,
+            attempts: 0,
+            most,
+            out: None,
+            last: None,
+            may_have_run: false,
+        };
+        self.open.insert(id, open);
+        self.attempt(now, id);
+    }
+
+    fn attempt(&mut self, now: Time, id: RequestId) {
+        let last = self.open.get(&id).and_then(|open| open.last);
+        let picked = self.pick(now, last);
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(at) = picked else {
+            return self.give_up(id);
+        };
+        let server = &mut self.servers[at];
+        let Some(address) = server.address else {
+            return self.give_up(id);
+        };
+        server.in_flight += 1;
+        self.in_flight += 1;
+        (open.out, open.last) = (Some((at, now)), Some(at));
+        let (attempt, until) = (open.attempts, open.deadline);
+        open.attempts += 1;
+        let to = Peer {
+            server: server.id,
+            address,
+            boot_ms: server.boot_ms,
+        };
+        let send = SendAttempt {
+            id,
+            attempt,
+            to,
+            until,
+            begin_by: Time::MAX,
+            deadline: until,
+        };
+        self.commands.push_back(Command::SendAttempt(send));
+    }
+
+    fn give_up(&mut self, id: RequestId) {
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
+        let safe = self
+            .settings
+            .classes
+            .get(open.class)
+            .is_some_and(|class| class.effect == Effect::Safe);
+        let verdict = match safe || !open.may_have_run {
+            true => CallResult::Rejected(RETRY_AFTER.min(self.settings.max_retry_after)),
+            false => CallResult::Failed,
+        };
+        self.commands.push_back(Command::Respond {
+            request: open.ticket,
+            result: verdict,
+        });
+    }
+
+    fn on_ended(&mut self, now: Time, id: RequestId, attempt: u32, ended: &AttemptEnd<()>) {
+        let Some(open) = self
+            .open
+            .get_mut(&id)
+            .filter(|open| open.attempts == attempt + 1)
+        else {
+            return;
+        };
+        let Some((at, sent)) = open.out.take() else {
+            return;
+        };
+        let (class, outcome, deadline) = (open.class, ended.outcome, open.deadline);
+        open.may_have_run |= !outcome.never_ran();
+        let (may_have_run, attempts, most) = (open.may_have_run, open.attempts, open.most);
+        self.learn(now, at, now - sent, outcome);
+        if ended.response.is_some() {
+            let Some(open) = self.open.remove(&id) else {
+                return;
+            };
+            let answer = Command::Respond {
+                request: open.ticket,
+                result: CallResult::Served(()),
+            };
+            return self.commands.push_back(answer);
+        }
+        let safe = self
+            .settings
+            .classes
+            .get(class)
+            .is_some_and(|class| class.effect == Effect::Safe);
+        let granted = match self.config.retries {
+            RetryPolicy::Never => false,
+            RetryPolicy::Fixed => true,
+            RetryPolicy::Budget => self.tokens >= 1.0,
+        };
+        if granted && (safe || !may_have_run) && attempts < most && now < deadline {
+            self.tokens -= 1.0;
+            self.attempt(now, id);
+        } else {
+            self.give_up(id);
+        }
+    }
+}
+
+impl BalancerAgent for BaselinePolicy {
+    fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
+        match input {
+            Input::EndpointsListed {
+                entries,
+                is_complete: all,
+            } => self.on_listed(entries, all),
+            Input::Call(call) => self.on_call(now, call),
+            Input::CallerDisconnected(id) => {
+                if let Some(OpenCall {
+                    attempts,
+                    out: Some((at, _)),
+                    ..
+                }) = self.open.remove(&id)
+                {
+                    self.learn(now, at, 0, Outcome::Cancelled);
+                    if self.settings.may_cancel {
+                        self.commands.push_back(Command::CancelAttempt {
+                            id,
+                            attempt: attempts - 1,
+                        });
+                    }
+                }
+            }
+            Input::AttemptEnded {
+                id,
+                attempt,
+                end: ended,
+            } => self.on_ended(now, id, attempt, &ended),
+            // Each for itself: what a fleet finds is told in vain.
+            Input::DiscoveryFailed
+            | Input::ResponseStarted { .. }
+            | Input::ProbeEnded(..)
+            | Input::FleetFindings(_)
+            | Input::Tick => {}
+        }
+    }
+
+    fn next_command(&mut self) -> Option<Command<Ticket, ()>> {
+        self.commands.pop_front()
+    }
+
+    fn wake_at(&self) -> Option<Time> {
+        None // an attempt's own time limit is the request's
+    }
+
+    fn open(&self) -> usize {
+        self.open.len()
+    }
+}
--- a/crates/emulator/src/costs/tests.rs
+++ b/crates/emulator/src/costs/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `prices`.
+//! Tests of `costs`.
 
 use super::*;
 
--- a/crates/emulator/src/evacuation.rs
+++ b/crates/emulator/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! What balancers made of zones: who left which when, for how long, and back.
+//! Tracks which balancers evacuated which zone, when and for how long.
 
 use crate::units::SECOND;
 use serde::{Deserialize, Serialize};
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! What happens when: a queue of events by time. Events of the same instant happen in the order in which they
+//! The queue of events by time. Events of the same instant happen in the order in which they
 //! were planned; that is the rule for ties.
 
 use std::cmp::Ordering;
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a run was value: value served over value offered, and over what a fluid bound allows.
+//! Measures of a run: value served over value offered, and over what a fluid bound allows.
 
 use crate::audit::{Breach, Rule};
 use crate::costs::CostRow;
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -1,4 +1,5 @@
-//! Who is really there, beside what members hold of each other: false deaths, and how long true ones take to be known.
+//! Compares which members run with what members hold of each other: false deaths, and how long true ones take to
+//! be known.
 
 use crate::units::SECOND;
 use hdrhistogram::Histogram;
--- a/crates/emulator/src/scenario/evacuation.rs
+++ b/crates/emulator/src/scenario/evacuation.rs
@@ -1,4 +1,4 @@
-//! Balancers that leave places together, and what some of them make up.
+//! Settings of evacuation (balancers leave failure domains together), and of balancers that report falsely.
 
 use super::Scenario;
 use super::error::{Check, in_range, inconsistent};
--- a/crates/emulator/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -1,4 +1,4 @@
-//! Balancers that speak with each other, and what goes wrong between them.
+//! Settings of membership among balancers, and faults of the links between them.
 
 use super::error::{Check, in_range};
 use super::{Fault, FaultKind, Scenario};
--- a/crates/emulator/src/scenario/settings.rs
+++ b/crates/emulator/src/scenario/settings.rs
@@ -1,4 +1,4 @@
-//! What balancers are told at their start.
+//! The engine's settings that a scenario gives its balancers.
 
 use super::{CallClass, CallEffect, CallGroup, Scenario};
 use woadstall_engine::Settings;
--- /dev/null
+++ b/crates/emulator/src/world/build.rs
@@ -0,0 +1,137 @@
+//! How a run is set up: upstreams, balancers, the front, and the first events.
+
+use super::*;
+
+impl World<'_> {
+    /// Sets up all that the scenario has, and plans its faults and first calls.
+    pub(super) fn build(&mut self) {
+        for tier in 0..self.scenario.tier.len() {
+            self.add_upstreams(tier);
+        }
+        self.sidecar = vec![None; self.upstreams.len()];
+        self.stopped = vec![Vec::new(); self.upstreams.len()];
+        for tier in 0..self.scenario.tier.len() {
+            self.add_balancers(tier);
+        }
+        if let Some(front) = &self.scenario.front {
+            let (uneven, idle_timeout, zones) =
+                (front.uneven, front.idle_timeout.0, &self.of_zone[0]);
+            self.front = Some(Front::new(zones, uneven, idle_timeout, &mut self.front_rng));
+        }
+        self.plan_faults();
+        for group in 0..self.scenario.callers.len() {
+            self.plan_first_calls(group);
+        }
+        let step = self.scenario.step.0;
+        self.event_queue.at(step, Event::EndOfStep);
+    }
+
+    fn add_upstreams(&mut self, at: usize) {
+        let scenario = self.scenario;
+        let tier = &scenario.tier[at];
+        let calls = tier.calls.as_ref();
+        self.calls
+            .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
+        for upstream in 0..tier.upstreams {
+            let host = self.upstreams.len() as u32;
+            let cell = (upstream % u32::from(tier.cells)) as u16;
+            let place = (scenario.zone_in_turn(upstream), cell, host);
+            let name = format!("{}-{upstream}", tier.name);
+            let rng = stream(self.seed, Actor::Upstream, host);
+            self.upstreams
+                .push(Upstream::new(name, at, tier, place, rng));
+            self.hosts.push(host);
+        }
+        self.of_zone.push(vec![Vec::new(); scenario.zones.len()]);
+    }
+
+    /// The balancers before a tier: its own, or a sidecar for each upstream that calls it.
+    fn add_balancers(&mut self, at: usize) {
+        let tier = &self.scenario.tier[at];
+        if !tier.sidecar {
+            for balancer in 0..tier.balancers {
+                let zone = self.scenario.zone_in_turn(balancer);
+                let number = self.add_balancer(at, zone);
+                self.of_zone[at][usize::from(zone)].push(number);
+            }
+            return;
+        }
+        for host in 0..self.upstreams.len() {
+            if self.calls[self.upstreams[host].tier].is_some_and(|(called, _)| called == at) {
+                self.sidecar[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
+            }
+        }
+    }
+
+    fn plan_faults(&mut self) {
+        for (fault, planned) in (0..).zip(&self.scenario.fault) {
+            let position = planned.file_position.unwrap_or(fault);
+            let rng = stream(self.seed, Actor::Fault, position);
+            self.faults.push(FaultTargets {
+                rng,
+                upstreams: Vec::new(),
+                balancers: Vec::new(),
+            });
+            let begins = Event::FaultChanges {
+                fault,
+                begins: true,
+            };
+            self.event_queue.at(planned.at.0, begins);
+            if let Some(until) = planned.until {
+                let ends = Event::FaultChanges {
+                    fault,
+                    begins: false,
+                };
+                self.event_queue.at(until.0, ends);
+            }
+        }
+    }
+
+    fn plan_first_calls(&mut self, group: usize) {
+        let Load::Closed { callers, think } = self.scenario.callers[group].load else {
+            return self.plan_arrival(group);
+        };
+        for _ in 0..callers {
+            let wait = (self.behavior_rngs[group].random::<f64>() * think.0 as f64) as Time;
+            let event = Event::ClosedLoopCall(group as u32);
+            self.event_queue.at(wait, event);
+        }
+    }
+
+    fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
+        let (scenario, number) = (self.scenario, self.balancers.len() as u32);
+        let mut clock = stream(self.seed, Actor::Balancer, number);
+        let offset = scenario.clocks.offset.0 as i64;
+        let ahead = if offset > 0 {
+            clock.random_range(-offset..=offset)
+        } else {
+            0
+        };
+        let drift = scenario.clocks.drift * (2.0 * clock.random::<f64>() - 1.0);
+        let (mind_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
+        self.balancers.push(Balancer {
+            tier,
+            zone,
+            agent: self
+                .policy
+                .agent(scenario.settings(tier, zone), mind_seed, local),
+            ahead,
+            drift,
+            network: stream(self.seed, Actor::Network, number),
+            registry: stream(self.seed, Actor::Registry, number),
+            seeds: clock,
+            pools: Vec::new(),
+            open: 0,
+            hosts: Vec::new(),
+            planned: Time::MAX,
+            alive: true,
+            incarnation: 0,
+            stalled_until: 0,
+            leaving: false,
+            subscribed: scenario.registry.queries.is_none(),
+            applied_changes: 0,
+            updates: VecDeque::new(),
+        });
+        number
+    }
+}
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: what they wish for, whom they ask, and what they do with what they get.
+//! Callers: the calls they make, the balancers they send to, and their retries.
 
 use super::*;
 
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -1,4 +1,4 @@
-//! Balancers that leave places together: the shipped crate in each, on the facts of membership.
+//! Evacuation: the coordinator of the shipped crate in each balancer, on the facts of membership.
 
 use super::*;
 use crate::evacuation::{EvacuationTracker, ShareChange};
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -1,4 +1,4 @@
-//! Balancers that speak with each other: the shipped crate in each, over the run's network.
+//! Membership: a node of the shipped crate in each balancer, over the run's network.
 
 use super::*;
 use crate::observer::{MemberView, MembershipObserver, MembershipReport};
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -4,21 +4,29 @@
 //! engine (or a baseline policy); all round it is a model, and docs/emulator.md says what that leaves out.
 
 mod balancers;
+mod build;
 mod callers;
 mod coordinators;
 mod dispatch;
+mod entities;
+mod event;
 mod faults;
 mod members;
 mod registry;
 mod story;
 mod upstreams;
 
+use self::entities::{
+    Attempt, Balancer, ClientCall, ConnectionPool, FaultTargets, PendingProbe, RegistryChange,
+    Request,
+};
+use self::event::Event;
 use crate::agent::{BoxedAgent, Ticket};
 use crate::audit::Auditor;
 use crate::costs::{Cost, CostCounters};
 use crate::discovery::{Discovery, Read};
 use crate::event_queue::{EventQueue, SequenceMap};
-use crate::front::{CallerConnection, Front};
+use crate::front::Front;
 use crate::measure::{CallOutcome, Meter, RunResult};
 use crate::policy::Policy;
 use crate::random::{Actor, chance, gap, sample, stream};
@@ -49,234 +57,6 @@
 /// Longest story that is kept of one call.
 const STORY: usize = 10_000;
 
-#[derive(Clone, Copy, Debug)]
-enum Event {
-    /// A group's next call.
-    CallArrives(u32),
-    /// One of a crowd calls.
-    ClosedLoopCall(u32),
-    /// A caller asks again.
-    CallerRetries(u64),
-    /// A balancer that stood still reads a request.
-    BalancerReads(u64),
-    /// An attempt reaches its upstream.
-    AttemptArrived(u64),
-    /// An upstream is done with its own work on an attempt.
-    WorkFinished {
-        attempt: u64,
-        upstream: u32,
-        process: u32,
-    },
-    /// The outcome of an attempt reaches its balancer.
-    ResponseArrived {
-        attempt: u64,
-        outcome: Outcome,
-    },
-    /// An attempt's time is over.
-    AttemptExpired(u64),
-    /// A balancer's timers are due.
-    AgentTimer {
-        balancer: u32,
-        at: Time,
-    },
-    /// A balancer hears of changes of the list.
-    RegistryUpdate {
-        balancer: u32,
-        incarnation: u32,
-    },
-    /// A balancer's read of the list is answered, or has failed.
-    QueryCompleted {
-        balancer: u32,
-        incarnation: u32,
-        well: bool,
-    },
-    /// A probe reaches its upstream, and is over.
-    ProbeArrives {
-        probe: u64,
-    },
-    ProbeCompleted {
-        probe: u64,
-        in_flight: Option<u32>,
-    },
-    /// The front notices that a balancer is out, or back.
-    FrontNoticed {
-        balancer: u32,
-        incarnation: u32,
-        out: bool,
-    },
-    /// A balancer's part of a roll: it drains, and is replaced.
-    RollBalancer {
-        balancer: u32,
-        incarnation: u32,
-        drained: bool,
-    },
-    /// A fault begins, or ends.
-    FaultChanges {
-        fault: u32,
-        begins: bool,
-    },
-    /// An upstream's part of a roll: told to drain, dies, comes back.
-    RollUpstream {
-        upstream: u32,
-        step: u8,
-        fault: u32,
-    },
-    /// An upstream that fell over comes back.
-    UpstreamBoots(u32),
-    /// The registry notices a death.
-    DeathNoticed {
-        upstream: u32,
-        process: u32,
-    },
-    /// A balancer is back.
-    BalancerStarts {
-        balancer: u32,
-        stale: Time,
-    },
-    /// A step of the timeline.
-    EndOfStep,
-    /// A balancer's turn as a member among the others.
-    MemberTimer {
-        balancer: u32,
-        at: Time,
-    },
-    /// What one has sent to another arrives.
-    MessageArrives(u64),
-    /// One looks whether those that it suspects listen.
-    CheckSuspects(u32),
-    /// It is looked at how cut ways are named.
-    RecordPathReports,
-    /// A balancer's turn to weigh what all have told.
-    CoordinatorTimer(u32),
-}
-
-/// One thing that a caller, or an upstream, wants done.
-struct ClientCall {
-    class: usize,
-    /// The group of callers, or none for an upstream's.
-    group: Option<u32>,
-    /// The attempt that an upstream calls for.
-    parent: Option<u64>,
-    closed_loop: bool,
-    born: Time,
-    deadline: Time,
-    tries: u32,
-    /// Requests of it that are not over.
-    requests: u32,
-    closed: bool,
-    measured: bool,
-    /// The connection that its caller has asked on.
-    connection: Option<CallerConnection>,
-    /// Groups of upstreams in which it ran, and when.
-    seen: SmallVec<[(u32, Time); 1]>,
-}
-
-struct Request {
-    client_call: u64,
-    balancer: u32,
-    answered: bool,
-    attempts: u32,
-    out: SmallVec<[(u32, u64); 1]>,
-}
-
-struct Attempt {
-    request: u64,
-    number: u32,
-    balancer: u32,
-    upstream: u32,
-    host: u32,
-    process: u32,
-    /// Epoch of the connections to that upstream when it was sent.
-    epoch: u32,
-    /// The balancer has not been told its end.
-    out: bool,
-    /// Something of it is under way, waits or is worked on.
-    there: bool,
-    /// It has a connection, and that is a new one.
-    socket: bool,
-    fresh: bool,
-    /// Calls to the next tier that are not answered, and whether one went wrong.
-    calls: u32,
-    spoilt: bool,
-    sent: Time,
-}
-
-/// The connections of a balancer to one host.
-#[derive(Clone, Copy, Default)]
-struct ConnectionPool {
-    epoch: u32,
-    process: u32,
-    idle: u16,
-    idle_since: Time,
-}
-
-struct Balancer {
-    tier: usize,
-    zone: u8,
-    agent: BoxedAgent,
-    /// Its clock: what it is ahead by, and goes faster by.
-    ahead: i64,
-    drift: f64,
-    network: ChaCha8Rng,
-    registry: ChaCha8Rng,
-    seeds: ChaCha8Rng,
-    pools: Vec<ConnectionPool>,
-    /// Connections that are open, idle or not, over HTTP/1.1.
-    open: u32,
-    /// The host of each server that it has sent to, by its own number for it.
-    hosts: Vec<u32>,
-    planned: Time,
-    alive: bool,
-    incarnation: u32,
-    stalled_until: Time,
-    /// It is dealt no new connections, and answers what it holds.
-    leaving: bool,
-    /// It is told of changes of the list.
-    subscribed: bool,
-    /// Changes of the list that it was told of.
-    applied_changes: u32,
-    /// Updates on their way: when each comes, and how many changes it covers. What comes at once is one list.
-    updates: VecDeque<(Time, u32)>,
-}
-
-impl Balancer {
-    fn local(&self, now: Time) -> Time {
-        let drifted = (now as f64 * self.drift) as i64;
-        (EPOCH + now).saturating_add_signed(self.ahead + drifted)
-    }
-
-    /// When its clock shows a time.
-    fn world(&self, local: Time) -> Time {
-        let passed = local
-            .saturating_add_signed(-self.ahead)
-            .saturating_sub(EPOCH);
-        (passed as f64 / (1.0 + self.drift)).round() as Time
-    }
-}
-
-/// A probe that is out.
-struct PendingProbe {
-    balancer: u32,
-    incarnation: u32,
-    upstream: u32,
-    process: u32,
-    server: ServerId,
-}
-
-struct RegistryChange {
-    at: Time,
-    upstream: u32,
-    lifecycle: Lifecycle,
-    boot_ms: u64,
-}
-
-/// What a fault of the script hits, drawn as it begins; numbers rise.
-struct FaultTargets {
-    rng: ChaCha8Rng,
-    upstreams: Vec<u32>,
-    balancers: Vec<u32>,
-}
-
 /// What wraps an agent.
 pub type AgentWrapper<'a> = dyn Fn(BoxedAgent) -> BoxedAgent + 'a;
 
@@ -403,137 +183,6 @@
         }
     }
 
-    fn build(&mut self) {
-        for tier in 0..self.scenario.tier.len() {
-            self.add_upstreams(tier);
-        }
-        self.sidecar = vec![None; self.upstreams.len()];
-        self.stopped = vec![Vec::new(); self.upstreams.len()];
-        for tier in 0..self.scenario.tier.len() {
-            self.add_balancers(tier);
-        }
-        if let Some(front) = &self.scenario.front {
-            let (uneven, idle_timeout, zones) =
-                (front.uneven, front.idle_timeout.0, &self.of_zone[0]);
-            self.front = Some(Front::new(zones, uneven, idle_timeout, &mut self.front_rng));
-        }
-        self.plan_faults();
-        for group in 0..self.scenario.callers.len() {
-            self.plan_first_calls(group);
-        }
-        let step = self.scenario.step.0;
-        self.event_queue.at(step, Event::EndOfStep);
-    }
-
-    fn add_upstreams(&mut self, at: usize) {
-        let scenario = self.scenario;
-        let tier = &scenario.tier[at];
-        let calls = tier.calls.as_ref();
-        self.calls
-            .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
-        for upstream in 0..tier.upstreams {
-            let host = self.upstreams.len() as u32;
-            let cell = (upstream % u32::from(tier.cells)) as u16;
-            let place = (scenario.zone_in_turn(upstream), cell, host);
-            let name = format!("{}-{upstream}", tier.name);
-            let rng = stream(self.seed, Actor::Upstream, host);
-            self.upstreams
-                .push(Upstream::new(name, at, tier, place, rng));
-            self.hosts.push(host);
-        }
-        self.of_zone.push(vec![Vec::new(); scenario.zones.len()]);
-    }
-
-    /// The balancers before a tier: its own, or a sidecar for each upstream that calls it.
-    fn add_balancers(&mut self, at: usize) {
-        let tier = &self.scenario.tier[at];
-        if !tier.sidecar {
-            for balancer in 0..tier.balancers {
-                let zone = self.scenario.zone_in_turn(balancer);
-                let number = self.add_balancer(at, zone);
-                self.of_zone[at][usize::from(zone)].push(number);
-            }
-            return;
-        }
-        for host in 0..self.upstreams.len() {
-            if self.calls[self.upstreams[host].tier].is_some_and(|(called, _)| called == at) {
-                self.sidecar[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
-            }
-        }
-    }
-
-    fn plan_faults(&mut self) {
-        for (fault, planned) in (0..).zip(&self.scenario.fault) {
-            let position = planned.file_position.unwrap_or(fault);
-            let rng = stream(self.seed, Actor::Fault, position);
-            self.faults.push(FaultTargets {
-                rng,
-                upstreams: Vec::new(),
-                balancers: Vec::new(),
-            });
-            let begins = Event::FaultChanges {
-                fault,
-                begins: true,
-            };
-            self.event_queue.at(planned.at.0, begins);
-            if let Some(until) = planned.until {
-                let ends = Event::FaultChanges {
-                    fault,
-                    begins: false,
-                };
-                self.event_queue.at(until.0, ends);
-            }
-        }
-    }
-
-    fn plan_first_calls(&mut self, group: usize) {
-        let Load::Closed { callers, think } = self.scenario.callers[group].load else {
-            return self.plan_arrival(group);
-        };
-        for _ in 0..callers {
-            let wait = (self.behavior_rngs[group].random::<f64>() * think.0 as f64) as Time;
-            let event = Event::ClosedLoopCall(group as u32);
-            self.event_queue.at(wait, event);
-        }
-    }
-
-    fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
-        let (scenario, number) = (self.scenario, self.balancers.len() as u32);
-        let mut clock = stream(self.seed, Actor::Balancer, number);
-        let offset = scenario.clocks.offset.0 as i64;
-        let ahead = if offset > 0 {
-            clock.random_range(-offset..=offset)
-        } else {
-            0
-        };
-        let drift = scenario.clocks.drift * (2.0 * clock.random::<f64>() - 1.0);
-        let (mind_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
-        self.balancers.push(Balancer {
-            tier,
-            zone,
-            agent: self
-                .policy
-                .agent(scenario.settings(tier, zone), mind_seed, local),
-            ahead,
-            drift,
-            network: stream(self.seed, Actor::Network, number),
-            registry: stream(self.seed, Actor::Registry, number),
-            seeds: clock,
-            pools: Vec::new(),
-            open: 0,
-            hosts: Vec::new(),
-            planned: Time::MAX,
-            alive: true,
-            incarnation: 0,
-            stalled_until: 0,
-            leaving: false,
-            subscribed: scenario.registry.queries.is_none(),
-            applied_changes: 0,
-            updates: VecDeque::new(),
-        });
-        number
-    }
-
     /// A new agent for a balancer, with the seed of its next incarnation.
     fn agent(&mut self, at: usize) -> BoxedAgent {
         let now = self.event_queue.now();
