--- a/crates/decisions/src/state/averages.rs
+++ b/crates/decisions/src/state/averages.rs
@@ -1,15 +1,7 @@
 //! Running averages whose older samples fade.
 
 use crate::api::{Duration, LearnedLatency, Time};
-
-/// Gains by which a baseline follows the mean.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct BaselineGain {
-    /// Gain while the mean is below the baseline.
-    pub down: f64,
-    /// Gain while the mean is above it.
-    pub up: f64,
-}
+use crate::tuning::BaselineGain;
 
 /// Mean and mean deviation of a latency, in nanoseconds or as a part of another figure.
 #[derive(Clone, Debug, Default)]
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -11,7 +11,7 @@
 mod retry_budget;
 mod server;
 
-pub(crate) use averages::{BaselineGain, DecayingSum, FailureRate, LatencyEstimate};
+pub(crate) use averages::{DecayingSum, FailureRate, LatencyEstimate};
 pub(crate) use idle_risk::IdleRisk;
 pub(crate) use load::{LoadMeter, TenantLoad};
 pub(crate) use pool::{Pool, pools_of};
--- a/crates/decisions/src/state/pool.rs
+++ b/crates/decisions/src/state/pool.rs
@@ -1,8 +1,9 @@
 //! The servers of a zone, or all of them, and what is known of them together.
 
-use super::{BaselineGain, DecayingSum, FailureRate, LatencyEstimate, PoolIndex, Server};
+use super::{DecayingSum, FailureRate, LatencyEstimate, PoolIndex, Server};
 use super::{ServerIndex, TrafficShare};
 use crate::api::{Duration, Time};
+use crate::tuning::BaselineGain;
 
 /// Servers that one round robin goes through.
 #[derive(Debug, Default)]
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -3,7 +3,6 @@
 //! Durations are in nanoseconds; `SECOND` is one second.
 
 use crate::api::Duration;
-use crate::state::BaselineGain;
 
 /// One second, in nanoseconds.
 pub(crate) const SECOND: Duration = 1_000_000_000;
@@ -26,6 +25,15 @@
 
 // ---- Estimates ----
 
+/// Gains by which a baseline follows the mean.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct BaselineGain {
+    /// Gain while the mean is below the baseline.
+    pub down: f64,
+    /// Gain while the mean is above it.
+    pub up: f64,
+}
+
 /// Samples before a latency is trusted, or a rate of responses.
 pub(crate) const MIN_SAMPLES: u32 = 10;
 /// Weight of a new outcome in the averages: about a second's worth of calls at a small balancer.
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,8 +1,6 @@
 //! What may be wrong with an operators' file.
 
-use crate::MAX_FILE_BYTES;
-use crate::membership::MAX_NAME_BYTES;
-use crate::plugin::MAX_METHODS;
+use crate::{MAX_FILE_BYTES, MAX_METHODS, MAX_NAME_BYTES};
 use std::net::SocketAddr;
 
 /// What is wrong with the file, in one line that names the field.
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -20,6 +20,10 @@
 
 /// Largest file that is read, in bytes. Bounds the memory where a path names something else.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
+/// Longest name of a member, a zone or a region, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// Most methods that may be named.
+const MAX_METHODS: usize = 10_000;
 
 /// The whole file, checked.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -1,14 +1,11 @@
 //! Section `[instances]`: membership among balancers, by a SWIM protocol.
 
-use crate::ConfigError;
 use crate::error::check_range;
+use crate::{ConfigError, MAX_NAME_BYTES};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Longest name of a member, a zone or a region, in bytes.
-pub(crate) const MAX_NAME_BYTES: usize = 64;
-
 const DEFAULT_PROBE_PERIOD_MS: u64 = 500;
 const DEFAULT_PROBE_TIMEOUT_MS: u64 = 200;
 const DEFAULT_SUSPICION_TIMEOUT_MS: u64 = 6_000;
--- a/crates/operator-config/src/plugin.rs
+++ b/crates/operator-config/src/plugin.rs
@@ -1,13 +1,10 @@
 //! Section `[plugin]`: the load balancer as a library inside callers' processes.
 
-use crate::ConfigError;
 use crate::error::check_range;
+use crate::{ConfigError, MAX_METHODS};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Most methods that may be named.
-pub(crate) const MAX_METHODS: usize = 10_000;
-
 const MAX_REPLAY_LIMIT_BYTES: u64 = 64 << 20;
 const MAX_CONNECTIONS: u64 = 1_000;
 
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -1,7 +1,6 @@
 //! The engine behind a mutex, and the execution of its commands.
 
 use crate::command_queue::{CallCommand, CommandQueue};
-use crate::timers::TIMER_STEP;
 use crate::{Clock, Transport};
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,6 +15,10 @@
 };
 use woadstall_settings::Names;
 
+/// Timers fire together at steps of this. Each call sets one, and few are of any use once they fire: to wake a thread for
+/// each costs more than the whole rest of the decisions.
+pub(crate) const TIMER_STEP: Duration = Duration::from_millis(4);
+
 /// How long a probe may take.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
--- a/crates/runtime/src/timers.rs
+++ b/crates/runtime/src/timers.rs
@@ -1,7 +1,7 @@
 //! The task that runs the engine's timers.
 
 use crate::Transport;
-use crate::shared::Shared;
+use crate::shared::{Shared, TIMER_STEP};
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
@@ -9,9 +9,6 @@
 
 /// How often idle connections are swept.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Timers fire together at steps of this. Each call sets one, and few are of any use once they fire: to wake a thread for
-/// each costs more than the whole rest of the decisions.
-pub(crate) const TIMER_STEP: Duration = Duration::from_millis(4);
 
 /// Runs the timers until the load balancer is gone.
 pub(crate) async fn run_timers<T: Transport>(shared: Weak<Shared<T>>) {
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,7 +1,6 @@
 //! Errors of the operations of the storage.
 
-use crate::SEGMENT_BYTES;
-use crate::segment::FORMAT_VERSION;
+use crate::{FORMAT_VERSION, SEGMENT_BYTES};
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -19,6 +19,9 @@
 pub use medium::{DirectoryMedium, StorageMedium};
 pub use storage::Storage;
 
+/// The version of the format. Other versions are not read.
+const FORMAT_VERSION: u32 = 2;
+
 /// Files in the ring. A checkpoint is written to one while the last complete one is in another; the
 /// third allows a failed write to be repeated elsewhere.
 pub const SEGMENT_COUNT: usize = 3;
--- a/crates/storage/src/segment/header.rs
+++ b/crates/storage/src/segment/header.rs
@@ -1,14 +1,13 @@
 //! The header of a segment: magic number, version, sequence number and checksum, in little-endian
 //! order.
 
+use crate::FORMAT_VERSION;
 use crate::medium::StorageMedium;
 use std::io;
 use std::ops::Range;
 
 /// The beginning of each segment that was ever used.
 const MAGIC: u64 = 0x0102_7741_4453_544c;
-/// The version of the format. Other versions are not read.
-pub(crate) const FORMAT_VERSION: u32 = 2;
 /// Bytes of a header.
 pub(super) const HEADER_BYTES: usize = 24;
 
--- a/crates/storage/src/segment/mod.rs
+++ b/crates/storage/src/segment/mod.rs
@@ -5,6 +5,6 @@
 mod record;
 mod writer;
 
-pub(crate) use header::{FORMAT_VERSION, SegmentHeader};
+pub(crate) use header::SegmentHeader;
 pub(crate) use reader::SegmentReader;
 pub(crate) use writer::SegmentWriter;
