--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -1,4 +1,4 @@
-//! What nodos do with the attempts that reach them, and how their processes die and start.
+//! What upstreams do with the attempts that reach them, and how their processes die and start.
 
 use super::*;
 
@@ -163,14 +163,14 @@
                 requests: 0,
                 closed: false,
                 measured: false,
-                line: None,
+                connection: None,
                 seen: SmallVec::new(),
             });
             self.send_to_balancer(client_call);
         }
     }
 
-    /// A nodo's call to the next tier is answered.
+    /// An upstream's call to the next tier is answered.
     pub(super) fn downstream_call_answered(&mut self, number: u64, well: bool) {
         let Some(attempt) = self
             .attempts
@@ -190,7 +190,7 @@
         }
     }
 
-    /// A nodo is done with an attempt: it answers and takes the next.
+    /// An upstream is done with an attempt: it answers and takes the next.
     pub(super) fn finish_attempt(&mut self, number: u64, upstream: usize) {
         let spoilt = self
             .attempts
@@ -213,7 +213,7 @@
         let next = self.upstreams[upstream].next(|request| {
             let waits = attempts.get(request).is_some_and(|attempt| attempt.out);
             if !waits {
-                dropped.push(request); // its connection is closed: a nodo sees that before it begins
+                dropped.push(request); // its connection is closed: an upstream sees that before it begins
             }
             waits
         });
@@ -230,7 +230,7 @@
         self.begin_work(upstream, next, class.unwrap_or(0));
     }
 
-    /// The work of an attempt is done. Nodos drop the repeats of keyed work in their group and window.
+    /// The work of an attempt is done. Upstreams drop the repeats of keyed work in their group and window.
     pub(super) fn take_effect(&mut self, number: u64) {
         let now = self.event_queue.now();
         let Some(attempt) = self.attempts.get(number) else {
@@ -261,11 +261,11 @@
             client_call.seen.push((group, now));
         }
         let name = upstream.name.clone();
-        self.auditor.ran(now, request);
+        self.auditor.effect_happened(now, request);
         self.record_story(client_call_number, || format!("{name} has done it"));
     }
 
-    /// A nodo's process dies. What it was at breaks, done or not.
+    /// An upstream's process dies. What it was at breaks, done or not.
     pub(super) fn kill_upstream(&mut self, upstream: usize, done: bool) {
         if !self.upstreams[upstream].alive {
             return;
@@ -312,7 +312,7 @@
         self.change_registry(upstream as u32, Lifecycle::Ready);
     }
 
-    /// The balancer beside a nodo starts with it.
+    /// The balancer sidecar of an upstream starts with it.
     pub(super) fn start_sidecar(&mut self, upstream: usize) {
         if let Some(balancer) = self.sidecar[self.upstreams[upstream].host as usize] {
             self.start_balancer(balancer as usize, 0);
@@ -323,7 +323,7 @@
 
     pub(super) fn probe(&mut self, at: usize, peer: &Peer) {
         let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
-        self.prices.pay(now, tier, Cost::Probes, at);
+        self.costs.pay(now, tier, Cost::Probes, at);
         let host = Self::host_by_address(peer.address) as usize;
         let (Some(&upstream), Some(probed)) =
             (self.hosts.get(host), &self.scenario.tier[tier].probed)
@@ -343,8 +343,13 @@
             server: peer.server,
         };
         let probe = self.probes.add(out);
-        self.event_queue
-            .after(timeout, Event::ProbeCompleted { probe, held: None });
+        self.event_queue.after(
+            timeout,
+            Event::ProbeCompleted {
+                probe,
+                in_flight: None,
+            },
+        );
         if !self.is_partitioned(at, upstream as usize, true) {
             let way = self.delay(at, upstream as usize, true);
             self.event_queue.after(way, Event::ProbeArrives { probe });
@@ -363,17 +368,17 @@
             && !mute
             && !self.is_partitioned(at, upstream, false)
         {
-            let (way, held) = (
+            let (way, in_flight) = (
                 self.delay(at, upstream, false),
                 Some(self.upstreams[upstream].in_flight()),
             );
             self.event_queue
-                .after(way, Event::ProbeCompleted { probe, held });
+                .after(way, Event::ProbeCompleted { probe, in_flight });
         }
     }
 
     /// A probe is over, by its answer or by its patience, whichever came first.
-    pub(super) fn probe_ends(&mut self, probe: u64, held: Option<u32>) {
+    pub(super) fn probe_ends(&mut self, probe: u64, in_flight: Option<u32>) {
         let Some(out) = self.probes.take(probe) else {
             return;
         };
@@ -381,13 +386,13 @@
         if !self.balancers[at].alive || self.balancers[at].incarnation != out.incarnation {
             return;
         }
-        let outcome = if held.is_some() {
+        let outcome = if in_flight.is_some() {
             Outcome::Ok
         } else {
             Outcome::Timeout
         };
-        let load = held.map(|held| LoadReport {
-            figures: [held as f32, 0.0, 0.0, 0.0],
+        let load = in_flight.map(|in_flight| LoadReport {
+            figures: [in_flight as f32, 0.0, 0.0, 0.0],
             len: 1,
         });
         self.handle_input(at, Input::ProbeEnded(server, outcome, load));
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -144,7 +144,7 @@
         let candidates: Vec<u32> = (0..self.upstreams.len() as u32)
             .filter(|&number| is_in_zone(&self.upstreams[number as usize]))
             .collect();
-        let mut rng = stream(self.seed, Actor::Fault, fault.place.unwrap_or(index as u32));
+        let mut rng = stream(self.seed, Actor::Fault, fault.file_position.unwrap_or(index as u32));
         sample(&mut rng, &candidates, fault.part)
     }
 
