--- a/crates/cluster-test/src/arguments.rs
+++ b/crates/cluster-test/src/arguments.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use woadstall_cluster_test::RuleViolation;
 use woadstall_emulator_cli::grid;
-use woadstall_emulator_cli::log::Log;
+use woadstall_emulator_cli::log::LogFormat;
 
 #[derive(Parser)]
 #[command(
@@ -13,8 +13,8 @@
 )]
 pub struct Arguments {
     /// Form of the log lines, which go to standard error.
-    #[arg(long, global = true, value_enum, default_value_t = Log::Text)]
-    pub log: Log,
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    pub log: LogFormat,
     #[command(subcommand)]
     pub command: Command,
 }
@@ -49,7 +49,7 @@
 pub struct RunArguments {
     pub scenario: PathBuf,
     /// Set a key of the scenario, as in time=10s.
-    #[arg(long, value_parser = grid::pair)]
+    #[arg(long, value_parser = grid::parse_pair)]
     pub set: Vec<(String, String)>,
     /// Seed of the random numbers: calls and faults come as in the lab's run of this seed.
     #[arg(long, default_value_t = 1)]
--- a/crates/cluster-test/src/commands.rs
+++ b/crates/cluster-test/src/commands.rs
@@ -8,7 +8,7 @@
 use tracing::warn;
 use woadstall_cluster_test::launch::{Limits, launch};
 use woadstall_cluster_test::{check_supported, remove_leftovers};
-use woadstall_emulator_cli::grid::{Set, Source};
+use woadstall_emulator_cli::grid::{Overrides, ScenarioFile};
 
 /// A file, a scenario or a program is wrong.
 pub type CommandError = Box<dyn std::error::Error>;
@@ -35,7 +35,7 @@
 
 fn check(scenarios: &[PathBuf]) -> Result<u8, CommandError> {
     for path in scenarios {
-        let (scenario, _) = Source::read(path)?.with(&Set::new())?;
+        let (scenario, _) = ScenarioFile::read(path)?.with(&Overrides::new())?;
         check_supported(&scenario).map_err(|error| format!("{}: {error}", path.display()))?;
         println!("{}: can be played", path.display());
     }
--- a/crates/cluster-test/src/commands/run.rs
+++ b/crates/cluster-test/src/commands/run.rs
@@ -10,8 +10,8 @@
     ClusterResult, Options, RunError, check_supported, results, run as run_scenario,
 };
 use woadstall_emulator::Scenario;
-use woadstall_emulator_cli::grid::{Key, Set, Source};
-use woadstall_emulator_cli::report::{self, Band};
+use woadstall_emulator_cli::grid::{Overrides, RunKey, ScenarioFile};
+use woadstall_emulator_cli::report::{self, FaultBand};
 use woadstall_emulator_cli::rows::Row;
 
 const FAILED: u8 = 1;
@@ -21,8 +21,8 @@
 const ROW_POLICY: &str = "rig";
 
 pub fn run(arguments: RunArguments) -> Result<u8, CommandError> {
-    let set: Set = arguments.set.iter().cloned().collect();
-    let (scenario, digest) = Source::read(&arguments.scenario)?.with(&set)?;
+    let set: Overrides = arguments.set.iter().cloned().collect();
+    let (scenario, digest) = ScenarioFile::read(&arguments.scenario)?.with(&set)?;
     check_supported(&scenario)?;
     clean()?;
     let options = options(&arguments)?;
@@ -38,7 +38,7 @@
         }
         Some(result) => result?,
     };
-    let key = Key {
+    let key = RunKey {
         scenario: scenario.name.clone(),
         digest,
         set,
@@ -114,7 +114,7 @@
         row.append(out)?;
     }
     if let Some(plot) = &arguments.plot {
-        report::write(plot, &report::page(&[row], &Band::of(scenario))?)?;
+        report::write(plot, &report::page(&[row], &FaultBand::of(scenario))?)?;
     }
     if let Some(logs) = &result.logs {
         info!(folder = %logs.display(), "logs of the processes kept");
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -27,7 +27,7 @@
     if let Some(evacuated) = &end.evacuated {
         write_evacuations(out, evacuated)?;
     }
-    for line in report::kept(end) {
+    for line in report::rule_lines(end) {
         writeln!(out, "{line}")?;
     }
     for breach in &end.first_breaches {
--- a/crates/emulator-cli/src/commands.rs
+++ b/crates/emulator-cli/src/commands.rs
@@ -9,8 +9,8 @@
 use tracing::{info, warn};
 use woadstall_emulator::{Policy, World};
 use woadstall_emulator_cli::compare::{self, Difference, Figure};
-use woadstall_emulator_cli::grid::{self, Job, Set, Source};
-use woadstall_emulator_cli::report::{self, Band};
+use woadstall_emulator_cli::grid::{self, Job, Overrides, ScenarioFile};
+use woadstall_emulator_cli::report::{self, FaultBand};
 use woadstall_emulator_cli::rows::{self, Row};
 
 /// Exit code where a file or a scenario is at fault.
@@ -39,13 +39,13 @@
 /// Plays a scenario once, and prints its row.
 pub fn run(
     scenario: &Path,
-    set: &Set,
+    set: &Overrides,
     policy: Policy,
     seed: u64,
     output: Output,
     plot: Option<&Path>,
 ) -> Result<u8, CommandError> {
-    let (scenario, digest) = Source::read(scenario)?.with(set)?;
+    let (scenario, digest) = ScenarioFile::read(scenario)?.with(set)?;
     let job = Job {
         scenario,
         digest,
@@ -60,7 +60,7 @@
     }
     let is_kept = row.end.is_kept();
     if let Some(plot) = plot {
-        let page = report::page(&[row], &Band::of(&job.scenario))?;
+        let page = report::page(&[row], &FaultBand::of(&job.scenario))?;
         report::write(plot, &page)?;
     }
     Ok(u8::from(!is_kept))
@@ -69,16 +69,16 @@
 /// Plays all combinations whose rows are not in the file yet.
 pub fn sweep(
     scenarios: &[PathBuf],
-    sets: &[Set],
+    sets: &[Overrides],
     policies: &[Policy],
     seeds: &str,
     options: &Options,
 ) -> Result<u8, CommandError> {
     let sources = scenarios
         .iter()
-        .map(|path| Source::read(path))
+        .map(|path| ScenarioFile::read(path))
         .collect::<Result<Vec<_>, _>>()?;
-    let jobs = grid::jobs(&sources, sets, policies, &grid::seeds(seeds)?)?;
+    let jobs = grid::jobs(&sources, sets, policies, &grid::parse_seeds(seeds)?)?;
     let stop = Arc::new(AtomicBool::new(false));
     let stopping = stop.clone();
     ctrlc::set_handler(move || stopping.store(true, Ordering::Relaxed))?;
@@ -163,12 +163,12 @@
 /// Plays a scenario and prints what happened to one call.
 pub fn explain(
     scenario: &Path,
-    set: &Set,
+    set: &Overrides,
     policy: Policy,
     seed: u64,
     call: u64,
 ) -> Result<u8, CommandError> {
-    let (scenario, _) = Source::read(scenario)?.with(set)?;
+    let (scenario, _) = ScenarioFile::read(scenario)?.with(set)?;
     let mut world = World::new(&scenario, policy, seed);
     world.follow(call);
     let result = world.run();
@@ -184,7 +184,7 @@
 /// Checks scenarios.
 pub fn check(scenarios: &[PathBuf]) -> Result<u8, CommandError> {
     for path in scenarios {
-        Source::read(path)?;
+        ScenarioFile::read(path)?;
         println!("{}: sound", path.display());
     }
     Ok(0)
--- a/crates/emulator-cli/src/compare.rs
+++ b/crates/emulator-cli/src/compare.rs
@@ -1,6 +1,6 @@
 //! Two sides compared, paired by scenario and seed: the mean difference with a bootstrap interval.
 
-use crate::grid::Set;
+use crate::grid::Overrides;
 use crate::rows::Row;
 use clap::ValueEnum;
 use rand::{RngExt, SeedableRng};
@@ -52,7 +52,7 @@
     /// The scenario.
     pub scenario: String,
     /// Keys that were set.
-    pub set: Set,
+    pub set: Overrides,
     /// Pairs of runs of one seed.
     pub pairs: usize,
     /// The left side's mean.
@@ -103,7 +103,7 @@
 }
 
 /// A scenario, with the keys that were set in it.
-type ScenarioKey<'a> = (&'a str, &'a Set);
+type ScenarioKey<'a> = (&'a str, &'a Overrides);
 
 /// The rows of both sides for one seed.
 #[derive(Default)]
--- a/crates/emulator-cli/src/grid.rs
+++ b/crates/emulator-cli/src/grid.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 use woadstall_emulator::{Policy, Scenario};
 
-pub use crate::arguments::{parse_pair as pair, parse_seeds as seeds};
-pub use crate::scenario_file::Source;
+pub use crate::arguments::{parse_pair, parse_seeds};
+pub use crate::scenario_file::ScenarioFile;
 
 /// Keys and the values they are set to, as given.
-pub type Set = BTreeMap<String, String>;
+pub type Overrides = BTreeMap<String, String>;
 
 /// One run.
 #[derive(Clone)]
@@ -19,7 +19,7 @@
     /// As in its key.
     pub digest: String,
     /// What was set in it.
-    pub set: Set,
+    pub set: Overrides,
     /// Who decides.
     pub policy: Policy,
     /// Of all random numbers.
@@ -28,13 +28,13 @@
 
 /// What tells runs apart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
-pub struct Key {
+pub struct RunKey {
     /// The scenario's name.
     pub scenario: String,
     /// Of the scenario with what is set: 16 digits of its SHA-256.
     pub digest: String,
     /// What was set in it.
-    pub set: Set,
+    pub set: Overrides,
     /// Who decided.
     pub policy: String,
     /// Of all random numbers.
@@ -43,8 +43,8 @@
 
 impl Job {
     /// What tells its row from others.
-    pub fn key(&self) -> Key {
-        Key {
+    pub fn key(&self) -> RunKey {
+        RunKey {
             scenario: self.scenario.name.clone(),
             digest: self.digest.clone(),
             set: self.set.clone(),
@@ -55,10 +55,10 @@
 }
 
 /// All combinations of what varies, in the order in which it is given; the last varies fastest.
-pub fn combinations(fixed: &Set, varied: &[(String, String)]) -> Vec<Set> {
+pub fn combinations(fixed: &Overrides, varied: &[(String, String)]) -> Vec<Overrides> {
     let mut sets = vec![fixed.clone()];
     for (key, values) in varied {
-        let with = |set: &Set, value: &str| {
+        let with = |set: &Overrides, value: &str| {
             let mut set = set.clone();
             set.insert(key.clone(), value.trim().to_owned());
             set
@@ -75,10 +75,10 @@
 ///
 /// # Errors
 ///
-/// As [`Source::with`], of the first scenario at fault.
+/// As [`ScenarioFile::with`], of the first scenario at fault.
 pub fn jobs(
-    sources: &[Source],
-    sets: &[Set],
+    sources: &[ScenarioFile],
+    sets: &[Overrides],
     policies: &[Policy],
     seeds: &[u64],
 ) -> Result<Vec<Job>, ScenarioFileError> {
--- a/crates/emulator-cli/src/grid/tests.rs
+++ b/crates/emulator-cli/src/grid/tests.rs
@@ -8,7 +8,7 @@
         ("a".to_owned(), "1,2".to_owned()),
         ("b".to_owned(), "x, y".to_owned()),
     ];
-    let all = combinations(&Set::new(), &varied);
+    let all = combinations(&Overrides::new(), &varied);
     let text: Vec<_> = all
         .iter()
         .map(|set| format!("{}{}", set["a"], set["b"]))
--- a/crates/emulator-cli/src/log.rs
+++ b/crates/emulator-cli/src/log.rs
@@ -6,14 +6,14 @@
 
 /// The form of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Log {
+pub enum LogFormat {
     /// For people.
     Text,
     /// A JSON object a line.
     Json,
 }
 
-impl Log {
+impl LogFormat {
     /// Installs the subscriber that writes lines in this form to standard error. `WOADSTALL_LOG` says which, as `info`
     /// or `warn`; `info` by default.
     ///
--- a/crates/emulator-cli/src/main.rs
+++ b/crates/emulator-cli/src/main.rs
@@ -14,8 +14,8 @@
 use tracing::error;
 use woadstall_emulator::Policy;
 use woadstall_emulator_cli::compare::Figure;
-use woadstall_emulator_cli::grid::{self, Set};
-use woadstall_emulator_cli::log::Log;
+use woadstall_emulator_cli::grid::{self, Overrides};
+use woadstall_emulator_cli::log::LogFormat;
 
 #[derive(Parser)]
 #[command(
@@ -24,8 +24,8 @@
 )]
 struct Arguments {
     /// Form of the log lines, which go to standard error.
-    #[arg(long, global = true, value_enum, default_value_t = Log::Text)]
-    log: Log,
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
@@ -36,7 +36,7 @@
     Run {
         scenario: PathBuf,
         #[command(flatten)]
-        overrides: Overrides,
+        overrides: OverrideArguments,
         /// Seed of the random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -56,9 +56,9 @@
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
         #[command(flatten)]
-        overrides: Overrides,
+        overrides: OverrideArguments,
         /// Values of a key, as in limits.attempts=2,4,6; several of these are combined.
-        #[arg(long, value_parser = grid::pair)]
+        #[arg(long, value_parser = grid::parse_pair)]
         vary: Vec<(String, String)>,
         /// Seeds, as in 1..10.
         #[arg(long, default_value = "1..10")]
@@ -112,7 +112,7 @@
         scenario: PathBuf,
         call: u64,
         #[command(flatten)]
-        overrides: Overrides,
+        overrides: OverrideArguments,
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value = "woadstall")]
@@ -126,14 +126,14 @@
 }
 
 #[derive(Args)]
-struct Overrides {
+struct OverrideArguments {
     /// Set a key of the scenario, as in tier.0.nodos=500 or time=30s.
-    #[arg(long, value_parser = grid::pair)]
+    #[arg(long, value_parser = grid::parse_pair)]
     set: Vec<(String, String)>,
 }
 
-impl Overrides {
-    fn set(&self) -> Set {
+impl OverrideArguments {
+    fn set(&self) -> Overrides {
         self.set.iter().cloned().collect()
     }
 }
--- a/crates/emulator-cli/src/print.rs
+++ b/crates/emulator-cli/src/print.rs
@@ -32,7 +32,7 @@
         latency.p50, latency.p90, latency.p99, latency.p999, latency.max
     );
     costs(row);
-    for line in report::kept(&row.end) {
+    for line in report::rule_lines(&row.end) {
         println!("{line}");
     }
     breaches(row);
--- a/crates/emulator-cli/src/report.rs
+++ b/crates/emulator-cli/src/report.rs
@@ -13,7 +13,7 @@
 use std::path::Path;
 use woadstall_emulator::RunResult;
 
-pub use fault_band::Band;
+pub use fault_band::FaultBand;
 
 /// Rows of a scenario whose timelines are drawn at most: more lines cannot be told apart.
 const MAX_LINES: usize = 6;
@@ -55,7 +55,7 @@
 /// # Errors
 ///
 /// [`ReportError::Chart`], if a plot cannot be drawn.
-pub fn page(rows: &[Row], bands: &[Band]) -> Result<String, ReportError> {
+pub fn page(rows: &[Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     let mut html = HEAD.to_owned();
     let mut scenarios: BTreeMap<&str, Vec<&Row>> = BTreeMap::new();
     rows.iter()
@@ -68,7 +68,7 @@
 }
 
 /// The part of the page on one scenario.
-fn section(scenario: &str, rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+fn section(scenario: &str, rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     let mut html = String::new();
     let _ = writeln!(
         html,
@@ -118,7 +118,7 @@
 }
 
 /// Whether each rule and each bound was kept, a line each, for people.
-pub fn kept(end: &RunResult) -> impl Iterator<Item = String> {
+pub fn rule_lines(end: &RunResult) -> impl Iterator<Item = String> {
     let rules = end.breaches.iter().map(|(rule, count)| match count {
         0 => format!("  {rule}: kept"),
         _ => format!("  {rule}: BROKEN {count} times"),
--- a/crates/emulator-cli/src/report/charts.rs
+++ b/crates/emulator-cli/src/report/charts.rs
@@ -1,7 +1,7 @@
 //! Charts over time, as SVG.
 
 use super::ReportError;
-use super::fault_band::Band;
+use super::fault_band::FaultBand;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::io;
@@ -33,7 +33,7 @@
 pub fn line_chart(
     title: &str,
     unit: &str,
-    bands: &[Band],
+    bands: &[FaultBand],
     series: &[Series],
 ) -> Result<String, ReportError> {
     let mut svg = String::new();
@@ -47,7 +47,7 @@
     area: &Area<'_>,
     title: &str,
     unit: &str,
-    bands: &[Band],
+    bands: &[FaultBand],
     series: &[Series],
 ) -> Result<(), DrawError> {
     let points = || series.iter().flat_map(|line| line.points.iter().copied());
--- a/crates/emulator-cli/src/report/fault_band.rs
+++ b/crates/emulator-cli/src/report/fault_band.rs
@@ -4,7 +4,7 @@
 
 /// The time of a fault, as plots shade it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Band {
+pub struct FaultBand {
     /// Its begin, in seconds from the start of the run.
     pub from: f64,
     /// Its end, in seconds from the start of the run.
@@ -13,7 +13,7 @@
     pub name: String,
 }
 
-impl Band {
+impl FaultBand {
     /// The faults of a scenario.
     pub fn of(scenario: &Scenario) -> Vec<Self> {
         let band = |fault: &Fault| Self {
--- a/crates/emulator-cli/src/report/timeline.rs
+++ b/crates/emulator-cli/src/report/timeline.rs
@@ -2,7 +2,7 @@
 
 use super::ReportError;
 use super::charts::{Series, heat_map, line_chart};
-use super::fault_band::Band;
+use super::fault_band::FaultBand;
 use crate::rows::Row;
 use woadstall_emulator::TimelineStep;
 
@@ -62,7 +62,7 @@
 /// # Errors
 ///
 /// [`ReportError::NoRows`]; [`ReportError::Chart`], if one cannot be drawn.
-pub fn plots(rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+pub fn plots(rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     let first = rows.first().ok_or(ReportError::NoRows)?;
     let mut html = served(first, rows, bands)?;
     html += &attempts_and_latencies(rows, bands)?;
@@ -76,7 +76,7 @@
 }
 
 /// What was served, below what was offered.
-fn served(first: &Row, rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+fn served(first: &Row, rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     use Scale::PerSecond;
     let mut value = vec![named("offered", first, PerSecond, &|step| {
         step.counts.value_offered
@@ -93,7 +93,7 @@
     Ok(value + &line_chart(title, "calls a second", bands, &on_time)?)
 }
 
-fn attempts_and_latencies(rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+fn attempts_and_latencies(rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     use Scale::{Absolute, PerSecond};
     let chart = |title: &str, unit: &str, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64| {
         line_chart(title, unit, bands, &each_row(rows, scale, figure))
@@ -117,7 +117,7 @@
 }
 
 /// What balancers logged in the first row; empty if nothing.
-fn log_lines(first: &Row, bands: &[Band]) -> Result<String, ReportError> {
+fn log_lines(first: &Row, bands: &[FaultBand]) -> Result<String, ReportError> {
     let mut topics: Vec<Series> = Vec::new();
     for topic in LOG_TOPICS {
         let count = |step: &TimelineStep| step.lines.get(topic).copied().unwrap_or(0) as f64;
@@ -134,7 +134,7 @@
 }
 
 /// Processes that run, for each row that counts them.
-fn processes(rows: &[&Row], bands: &[Band]) -> Result<String, ReportError> {
+fn processes(rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     let balancers = |step: &TimelineStep| step.up.map_or(0.0, |up| up.0 as f64);
     let upstreams = |step: &TimelineStep| step.up.map_or(0.0, |up| up.1 as f64);
     let mut html = String::new();
--- a/crates/emulator-cli/src/rows.rs
+++ b/crates/emulator-cli/src/rows.rs
@@ -1,6 +1,6 @@
 //! Results as JSON lines: one row a run, with what tells it apart from others.
 
-use crate::grid::{Job, Key};
+use crate::grid::{Job, RunKey};
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufRead, BufReader, Write};
@@ -64,7 +64,7 @@
     pub commit: String,
     /// What tells it from others.
     #[serde(flatten)]
-    pub key: Key,
+    pub key: RunKey,
     /// On real sockets: how late the tool itself was.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lag: Option<Lag>,
@@ -95,7 +95,7 @@
     }
 
     /// A row of a result.
-    pub fn new(key: Key, end: RunResult, lag: Option<Lag>) -> Self {
+    pub fn new(key: RunKey, end: RunResult, lag: Option<Lag>) -> Self {
         Self {
             version: VERSION,
             commit: env!("WOADSTALL_COMMIT").to_owned(),
--- a/crates/emulator-cli/src/scenario_file.rs
+++ b/crates/emulator-cli/src/scenario_file.rs
@@ -1,6 +1,6 @@
 //! Scenario files, and the keys in them that a run sets to other values.
 
-use crate::grid::Set;
+use crate::grid::Overrides;
 use sha2::{Digest, Sha256};
 use std::io;
 use std::path::Path;
@@ -82,12 +82,12 @@
 }
 
 /// A scenario as a file has it, before anything is set.
-pub struct Source {
+pub struct ScenarioFile {
     table: Table,
     path: String,
 }
 
-impl Source {
+impl ScenarioFile {
     /// Reads a file.
     ///
     /// # Errors
@@ -119,7 +119,7 @@
     ///
     /// [`ScenarioFileError::Override`], if a key cannot be set; [`ScenarioFileError::Scenario`], if the scenario is
     /// not sound then.
-    pub fn with(&self, set: &Set) -> Result<(Scenario, String), ScenarioFileError> {
+    pub fn with(&self, set: &Overrides) -> Result<(Scenario, String), ScenarioFileError> {
         let mut table = self.table.clone();
         for (key, value) in set {
             set_key(&mut table, key, value).map_err(|source| ScenarioFileError::Override {
--- a/crates/load-test/src/arguments.rs
+++ b/crates/load-test/src/arguments.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use woadstall_emulator_cli::grid;
-use woadstall_emulator_cli::log::Log;
+use woadstall_emulator_cli::log::LogFormat;
 
 #[derive(Parser)]
 #[command(
@@ -20,7 +20,7 @@
     #[arg(long, conflicts_with = "through")]
     pub target: Vec<SocketAddr>,
     /// Set a key of the scenario, as in time=10s.
-    #[arg(long, value_parser = grid::pair)]
+    #[arg(long, value_parser = grid::parse_pair)]
     pub set: Vec<(String, String)>,
     /// Seed of the random numbers: the calls come as in the lab's run of this seed.
     #[arg(long, default_value_t = 1)]
@@ -35,8 +35,8 @@
     #[arg(long)]
     pub json: bool,
     /// Form of the log lines, which go to standard error.
-    #[arg(long, value_enum, default_value_t = Log::Text)]
-    pub log: Log,
+    #[arg(long, value_enum, default_value_t = LogFormat::Text)]
+    pub log: LogFormat,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -13,7 +13,7 @@
 use std::time::SystemTime;
 use tracing::{error, info, warn};
 use woadstall_emulator::{RunResult, Scenario};
-use woadstall_emulator_cli::grid::{Key, Set, Source};
+use woadstall_emulator_cli::grid::{Overrides, RunKey, ScenarioFile};
 use woadstall_emulator_cli::report;
 use woadstall_emulator_cli::rows::{Lag, Row};
 use woadstall_load_test::{LoadResult, Path, run};
@@ -37,10 +37,10 @@
 }
 
 fn execute(arguments: &Arguments) -> Result<u8, Box<dyn Error>> {
-    let set: Set = arguments.set.iter().cloned().collect();
-    let (scenario, digest) = Source::read(&arguments.scenario)?.with(&set)?;
+    let set: Overrides = arguments.set.iter().cloned().collect();
+    let (scenario, digest) = ScenarioFile::read(&arguments.scenario)?.with(&set)?;
     let path = path(arguments)?;
-    let key = Key {
+    let key = RunKey {
         scenario: scenario.name.clone(),
         digest,
         set,
@@ -122,7 +122,7 @@
         "  begun late     {} of {}, at worst by {:.1} ms",
         lag.late, lag.calls, lag.worst_ms
     );
-    for line in report::kept(end) {
+    for line in report::rule_lines(end) {
         println!("{line}");
     }
     for breach in &end.first_breaches {
