--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -96,7 +96,7 @@
             .filter(|placement| placement.tier == tier && is_in_zone(placement.zone))
             .map(|placement| placement.number)
             .collect();
-        let mut rng = stream(self.seed, Actor::Fault, fault.place.unwrap_or(index as u32));
+        let mut rng = stream(self.seed, Actor::Fault, fault.file_position.unwrap_or(index as u32));
         FaultTargets {
             upstreams: sample(&mut rng, &upstreams, fault.part),
             balancers: sample(&mut rng, &balancers, fault.part),
--- a/crates/cluster-test/src/membership.rs
+++ b/crates/cluster-test/src/membership.rs
@@ -129,7 +129,7 @@
 
     /// A balancer's process is suspended, or resumed.
     pub fn set_suspended(&self, number: u32, suspended: bool) {
-        lock(&self.witness).paused_until(self.now(), number as usize, suspended);
+        lock(&self.witness).set_paused(self.now(), number as usize, suspended);
     }
 
     /// Sets the conditions of the links among all members, as `link` has them from one to another.
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,7 +1,7 @@
-//! The world: callers, balancers, nodos, the network and the padron, in simulated time.
+//! The world: callers, balancers, upstreams, the network and the registry, in simulated time.
 //!
 //! One event at a time, in the order of their times, so one seed gives one result. What decides is the real
-//! engine (or a rival); all round it is a model, and docs/emulator.md says what that leaves out.
+//! engine (or a baseline policy); all round it is a model, and docs/emulator.md says what that leaves out.
 
 mod balancers;
 mod callers;
@@ -42,7 +42,7 @@
 pub const EPOCH: Time = 1_760_000_000 * SECOND;
 /// Timers ring at steps of this, as in the runtime.
 const RING: Time = 4 * MS;
-/// How long a nodo that fell over takes to come back.
+/// How long an upstream that fell over takes to come back.
 const OVERLOAD_RECOVERY: Time = 5 * SECOND;
 /// After the callers' last call, the world goes on for as long as the longest deadline and this.
 const TAIL: Time = 2 * SECOND;
@@ -59,9 +59,9 @@
     CallerRetries(u64),
     /// A balancer that stood still reads a request.
     BalancerReads(u64),
-    /// An attempt reaches its nodo.
+    /// An attempt reaches its upstream.
     AttemptArrived(u64),
-    /// A nodo is done with its own work on an attempt.
+    /// An upstream is done with its own work on an attempt.
     WorkFinished {
         attempt: u64,
         upstream: u32,
@@ -90,13 +90,13 @@
         incarnation: u32,
         well: bool,
     },
-    /// A probe reaches its nodo, and is over.
+    /// A probe reaches its upstream, and is over.
     ProbeArrives {
         probe: u64,
     },
     ProbeCompleted {
         probe: u64,
-        held: Option<u32>,
+        in_flight: Option<u32>,
     },
     /// The front notices that a balancer is out, or back.
     FrontNoticed {
@@ -115,15 +115,15 @@
         fault: u32,
         begins: bool,
     },
-    /// A nodo's part of a roll: told to drain, dies, comes back.
+    /// An upstream's part of a roll: told to drain, dies, comes back.
     RollUpstream {
         upstream: u32,
         step: u8,
         fault: u32,
     },
-    /// A nodo that fell over comes back.
+    /// An upstream that fell over comes back.
     UpstreamBoots(u32),
-    /// The padron notices a death.
+    /// The registry notices a death.
     DeathNoticed {
         upstream: u32,
         process: u32,
@@ -150,12 +150,12 @@
     CoordinatorTimer(u32),
 }
 
-/// One thing that a caller, or a nodo, wants done.
+/// One thing that a caller, or an upstream, wants done.
 struct ClientCall {
     class: usize,
-    /// The group of callers, or none for a nodo's.
+    /// The group of callers, or none for an upstream's.
     group: Option<u32>,
-    /// The attempt that a nodo calls for.
+    /// The attempt that an upstream calls for.
     parent: Option<u64>,
     closed_loop: bool,
     born: Time,
@@ -166,8 +166,8 @@
     closed: bool,
     measured: bool,
     /// The connection that its caller has asked on.
-    line: Option<CallerConnection>,
-    /// Groups of nodos in which it ran, and when.
+    connection: Option<CallerConnection>,
+    /// Groups of upstreams in which it ran, and when.
     seen: SmallVec<[(u32, Time); 1]>,
 }
 
@@ -186,7 +186,7 @@
     upstream: u32,
     host: u32,
     process: u32,
-    /// Epoch of the connections to that nodo when it was sent.
+    /// Epoch of the connections to that upstream when it was sent.
     epoch: u32,
     /// The balancer has not been told its end.
     out: bool,
@@ -220,7 +220,7 @@
     network: ChaCha8Rng,
     registry: ChaCha8Rng,
     seeds: ChaCha8Rng,
-    links: Vec<ConnectionPool>,
+    pools: Vec<ConnectionPool>,
     /// Connections that are open, idle or not, over HTTP/1.1.
     open: u32,
     /// The host of each server that it has sent to, by its own number for it.
@@ -235,7 +235,7 @@
     subscribed: bool,
     /// Changes of the list that it was told of.
     applied_changes: u32,
-    /// Word that is on its way: when it comes, and of how many changes. What comes at once is one list.
+    /// Updates on their way: when each comes, and how many changes it covers. What comes at once is one list.
     updates: VecDeque<(Time, u32)>,
 }
 
@@ -270,7 +270,14 @@
     boot_ms: u64,
 }
 
-/// What wraps a mind.
+/// What a fault of the script hits, drawn as it begins; numbers rise.
+struct FaultTargets {
+    rng: ChaCha8Rng,
+    upstreams: Vec<u32>,
+    balancers: Vec<u32>,
+}
+
+/// What wraps an agent.
 pub type AgentWrapper<'a> = dyn Fn(BoxedAgent) -> BoxedAgent + 'a;
 
 /// A run, from its start to its end.
@@ -284,7 +291,7 @@
     attempts: SequenceMap<Attempt>,
     probes: SequenceMap<PendingProbe>,
     balancers: Vec<Balancer>,
-    /// The balancer beside the nodo at an address.
+    /// The balancer beside the upstream at an address.
     sidecar: Vec<Option<u32>>,
     front: Option<Front>,
     front_rng: ChaCha8Rng,
@@ -303,7 +310,7 @@
     zones: Vec<Option<u8>>,
     tenants: Vec<usize>,
     calls: Vec<Option<(usize, f64)>>,
-    faults: Vec<(ChaCha8Rng, Vec<u32>, Vec<u32>)>,
+    faults: Vec<FaultTargets>,
     partitions: Vec<(u8, bool)>,
     registry_outages: u32,
     stalled: Time,
@@ -311,9 +318,9 @@
     coordinators: Option<coordinators::Coordinators>,
     auditor: Auditor,
     meter: Meter,
-    prices: CostCounters,
+    costs: CostCounters,
     story: Option<(u64, Vec<(Time, String)>)>,
-    /// Wraps each mind as it starts; for tests that spoil or record one.
+    /// Wraps each agent as it starts; for tests that spoil or record one.
     wrap: Option<&'a AgentWrapper<'a>>,
     events: u64,
 }
@@ -363,7 +370,7 @@
             coordinators: None,
             auditor: Auditor::default(),
             meter: Meter::new(scenario),
-            prices: CostCounters::new(scenario.tier.len()),
+            costs: CostCounters::new(scenario.tier.len()),
             story: None,
             wrap: None,
             events: 0,
@@ -387,7 +394,7 @@
         self.story = Some((call, Vec::new()));
     }
 
-    /// Wraps each mind as it starts.
+    /// Wraps each agent as it starts.
     pub fn wrap_agents(&mut self, wrap: &'a AgentWrapper<'a>) {
         self.wrap = Some(wrap);
         for at in 0..self.balancers.len() {
@@ -406,8 +413,9 @@
             self.add_balancers(tier);
         }
         if let Some(front) = &self.scenario.front {
-            let (uneven, kept, zones) = (front.uneven, front.kept.0, &self.of_zone[0]);
-            self.front = Some(Front::new(zones, uneven, kept, &mut self.front_rng));
+            let (uneven, idle_timeout, zones) =
+                (front.uneven, front.idle_timeout.0, &self.of_zone[0]);
+            self.front = Some(Front::new(zones, uneven, idle_timeout, &mut self.front_rng));
         }
         self.plan_faults();
         for group in 0..self.scenario.callers.len() {
@@ -456,9 +464,13 @@
 
     fn plan_faults(&mut self) {
         for (fault, planned) in (0..).zip(&self.scenario.fault) {
-            let place = planned.place.unwrap_or(fault);
-            let rng = stream(self.seed, Actor::Fault, place);
-            self.faults.push((rng, Vec::new(), Vec::new()));
+            let position = planned.file_position.unwrap_or(fault);
+            let rng = stream(self.seed, Actor::Fault, position);
+            self.faults.push(FaultTargets {
+                rng,
+                upstreams: Vec::new(),
+                balancers: Vec::new(),
+            });
             let begins = Event::FaultChanges {
                 fault,
                 begins: true,
@@ -507,7 +519,7 @@
             network: stream(self.seed, Actor::Network, number),
             registry: stream(self.seed, Actor::Registry, number),
             seeds: clock,
-            links: Vec::new(),
+            pools: Vec::new(),
             open: 0,
             hosts: Vec::new(),
             planned: Time::MAX,
@@ -522,7 +534,7 @@
         number
     }
 
-    /// A new mind for a balancer, with the seed of its next life.
+    /// A new agent for a balancer, with the seed of its next incarnation.
     fn agent(&mut self, at: usize) -> BoxedAgent {
         let now = self.event_queue.now();
         let balancer = &mut self.balancers[at];
@@ -570,10 +582,10 @@
             .iter()
             .map(|tier| tier.name.clone())
             .collect();
-        let prices = self.prices.rows(&names);
+        let costs = self.costs.rows(&names);
         let end = self.meter.end(self.auditor.findings(), self.events, story);
         let end = RunResult {
-            prices,
+            prices: costs,
             members,
             evacuated,
             ..end
@@ -625,7 +637,7 @@
                 well,
             } => self.query_completed(balancer as usize, incarnation, well),
             Event::ProbeArrives { probe } => self.probe_reaches(probe),
-            Event::ProbeCompleted { probe, held } => self.probe_ends(probe, held),
+            Event::ProbeCompleted { probe, in_flight } => self.probe_ends(probe, in_flight),
             Event::FrontNoticed {
                 balancer,
                 incarnation,
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -1,4 +1,4 @@
-//! The padron: changes of the list, and how word of them reaches the balancers.
+//! The registry: changes of the list, and how they reach the balancers.
 
 use super::*;
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends word of all changes so far to all balancers of their tiers.
+    /// Sends all changes so far to all balancers of their tiers.
     pub(super) fn publish_changes(&mut self) {
         let upto = self.changes.len() as u32;
         for at in 0..self.balancers.len() {
@@ -101,7 +101,7 @@
                 entries.push(self.entry(change.upstream, change.lifecycle, change.boot_ms));
                 let ready = change.lifecycle == Lifecycle::Ready;
                 self.auditor
-                    .told(now, at, upstream.host, change.boot_ms, ready);
+                    .notified(now, at, upstream.host, change.boot_ms, ready);
             }
         }
         if !entries.is_empty() {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Tells a balancer the whole list as it was some time ago, and sends word of the rest.
+    /// Tells a balancer the whole list as it was some time ago, and sends the rest as an update.
     pub(super) fn send_full_list(&mut self, at: usize, stale: Time) {
         let now = self.event_queue.now();
         let tier = self.balancers[at].tier;
@@ -163,7 +163,7 @@
             return;
         };
         let read = discovery.read(now);
-        self.prices.pay(now, tier, Cost::Reads, at);
+        self.costs.pay(now, tier, Cost::Reads, at);
         let (balancer, incarnation) = (at as u32, self.balancers[at].incarnation);
         let (until, well) = match read {
             Read::Answered(until) => (until, true),
@@ -185,7 +185,7 @@
             return;
         }
         if !well || self.registry_outages > 0 {
-            self.prices.pay(now, tier, Cost::FailedReads, at);
+            self.costs.pay(now, tier, Cost::FailedReads, at);
             return self.handle_input(at, Input::DiscoveryFailed);
         }
         self.balancers[at].subscribed = true;
