--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a run was worth: worth served over worth offered, and over what a fluid bound allows.
+//! Measures of a run: value served over value offered, and over what a fluid bound allows.
 
 use crate::audit::{Breach, Rule};
 use crate::costs::CostRow;
@@ -23,7 +23,7 @@
     Failed,
 }
 
-/// Counts of calls, attempts and worth.
+/// Counts of calls, attempts and value.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Counts {
@@ -39,7 +39,7 @@
     pub refused: u64,
     /// Failed.
     pub failed: u64,
-    /// Attempts at nodos, those of all tiers.
+    /// Attempts at upstreams, those of all tiers.
     pub attempts: u64,
     /// Those that were not the first of their request.
     pub repeats: u64,
@@ -67,7 +67,7 @@
     pub p99_ms: f64,
     /// Latencies of what was served: microseconds, and how many there were of about that.
     pub latencies: Vec<(u64, u64)>,
-    /// What each tier's nodos could do, in workers of sound warm ones.
+    /// What each tier's upstreams could do, in workers of sound warm ones.
     pub speed: Vec<f64>,
     /// Requests and attempts that were open at its end.
     pub open: (u64, u64),
@@ -75,7 +75,7 @@
     pub hosts: Vec<u32>,
     /// Lines that balancers logged, by what they are of. Each balancer tells of a matter every 5 s at most.
     pub lines: BTreeMap<String, u64>,
-    /// Balancers and nodos whose processes ran at its end, where they are processes.
+    /// Balancers and upstreams whose processes ran at its end, where they are processes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub up: Option<(u64, u64)>,
 }
@@ -104,9 +104,9 @@
 pub struct RunResult {
     /// Calls that came after the warm-up.
     pub counts: Counts,
-    /// Worth served over worth offered.
+    /// Worth served over value offered.
     pub served: f64,
-    /// Worth that the fluid bound allows over worth offered.
+    /// Worth that the fluid bound allows over value offered.
     pub bound: f64,
     /// Worth served over what the bound allows.
     pub score: f64,
@@ -116,7 +116,7 @@
     pub breaches: BTreeMap<Rule, u64>,
     /// The first of them in full.
     pub first_breaches: Vec<Breach>,
-    /// Most requests that one nodo held.
+    /// Most requests that one upstream held.
     pub longest_queue: u32,
     /// Lines that balancers logged.
     pub log_lines: u64,
@@ -152,10 +152,38 @@
     }
 }
 
+/// What a class of requests is worth, and costs.
+#[derive(Clone, Copy)]
+struct ClassFigures {
+    /// Value of an answer within the latency target.
+    value: f64,
+    /// Part of it that a late answer earns.
+    late_value: f64,
+    /// In nanoseconds.
+    latency_target: Time,
+    /// In nanoseconds.
+    deadline: Time,
+    /// Mean work of an upstream on one request, in nanoseconds.
+    work: f64,
+}
+
+/// Calls of a class that came in one step and are not served, as a fluid.
+#[derive(Clone, Copy)]
+struct Waiting {
+    step: usize,
+    calls: f64,
+}
+
+/// Work that is left in a step, in nanoseconds, and the value that was served so far.
+#[derive(Clone, Copy, Default)]
+struct Fluid {
+    capacity: f64,
+    value: f64,
+}
+
 /// Counts while a run goes on, simulated or on sockets. Times are nanoseconds from its start.
 pub struct Meter {
-    /// Worth, late part, aim, deadline and mean work of each class.
-    classes: Vec<(f64, f64, Time, Time, f64)>,
+    classes: Vec<ClassFigures>,
     all: Counts,
     latency: Histogram<u64>,
     /// Sum of the latencies, in nanoseconds.
@@ -181,14 +209,12 @@
 impl Meter {
     /// Nothing is counted yet.
     pub fn new(scenario: &Scenario) -> Self {
-        let classes = scenario.class.iter().map(|class| {
-            (
-                class.value,
-                class.late_value,
-                class.latency_target.0,
-                class.deadline.0,
-                class.service.mean(),
-            )
+        let classes = scenario.class.iter().map(|class| ClassFigures {
+            value: class.value,
+            late_value: class.late_value,
+            latency_target: class.latency_target.0,
+            deadline: class.deadline.0,
+            work: class.service.mean(),
         });
         // How many requests of a tier one call of a caller makes.
         let mut multiple = vec![0.0; scenario.tier.len()];
@@ -223,7 +249,7 @@
 
     /// A caller wishes for something; `measured`: after the warm-up.
     pub fn offered(&mut self, class: usize, measured: bool) {
-        let value = self.classes[class].0;
+        let value = self.classes[class].value;
         let counts = &mut self.step.counts;
         (counts.offered, counts.value_offered) = (counts.offered + 1, counts.value_offered + value);
         if measured {
@@ -253,7 +279,9 @@
 
     /// A call is over, so long after it came.
     pub fn ended(&mut self, class: usize, outcome: CallOutcome, took: Time, measured: bool) {
-        let (value, late_value, ..) = self.classes[class];
+        let ClassFigures {
+            value, late_value, ..
+        } = self.classes[class];
         let count = |counts: &mut Counts| match outcome {
             CallOutcome::OnTime => {
                 (counts.on_time, counts.value) = (counts.on_time + 1, counts.value + value)
@@ -278,7 +306,7 @@
         }
     }
 
-    /// A nodo holds so many requests.
+    /// An upstream holds so many requests.
     pub fn queued(&mut self, held: u32) {
         self.longest_queue = self.longest_queue.max(held);
     }
@@ -310,66 +338,98 @@
         ));
     }
 
-    /// What can be served at most where work is a fluid: in each step the nodos' speed goes to the calls of the
-    /// highest worth for their work, of a class to the oldest that are still in their aim, then to late ones.
+    /// What can be served at most where work is a fluid: in each step the upstreams' speed goes to the calls of the
+    /// highest value for their work, of a class to the oldest that are still in their aim, then to late ones.
     /// Queues within a step, the chance of arrivals and lost work are left out, so it is above what can be done.
     fn bound(&self) -> f64 {
-        let mut waiting: Vec<VecDeque<(usize, f64)>> = vec![VecDeque::new(); self.classes.len()];
-        let mut order: Vec<(usize, bool)> = (0..self.classes.len())
-            .flat_map(|class| [(class, false), (class, true)])
-            .collect();
-        let value_per_work = |&(class, late): &(usize, bool)| {
-            let (value, late_value, _, _, work) = self.classes[class];
-            value * if late { late_value } else { 1.0 } / work
-        };
-        order.sort_by(|a, b| value_per_work(b).total_cmp(&value_per_work(a)));
-        let mut value = 0.0;
+        let mut waiting: Vec<VecDeque<Waiting>> = vec![VecDeque::new(); self.classes.len()];
+        let order = self.order_of_value();
         // Until the last are past their time, the speed of the last step goes on.
         let longest = self
             .classes
             .iter()
-            .map(|class| class.3 / self.step_length + 2)
+            .map(|class| class.deadline / self.step_length + 2)
             .max()
             .unwrap_or(0);
+        let mut fluid = Fluid::default();
         for at in 0..self.steps.len() + longest as usize {
-            let step = &self.steps[at.min(self.steps.len() - 1)];
-            let least = step
-                .speed
-                .iter()
-                .zip(&self.multiple)
-                .filter(|(_, multiple)| **multiple > 0.0);
-            let least = least
-                .map(|(speed, multiple)| speed / multiple)
-                .fold(f64::MAX, f64::min);
-            let mut room = least * self.step_length as f64;
-            for (class, waiting) in waiting.iter_mut().enumerate() {
-                let came = self.all_came.get(at).map_or(0, |came| came[class]);
-                waiting.push_back((at, came as f64));
-                let deadline = (self.classes[class].3 / self.step_length) as usize + 1;
-                while waiting
-                    .front()
-                    .is_some_and(|(came, _)| came + deadline < at)
-                {
-                    waiting.pop_front();
-                }
+            self.admit_calls(at, &mut waiting);
+            fluid.capacity = self.capacity_of_step(at);
+            for &(class, late) in &order {
+                self.serve(at, (class, late), &mut waiting[class], &mut fluid);
             }
-            for (class, late) in &order {
-                let (each, late_value, latency_target, _, work) = self.classes[*class];
-                let within = (latency_target / self.step_length) as usize + 1;
-                let each = if *late { each * late_value } else { each };
-                for (came, left) in waiting[*class]
-                    .iter_mut()
-                    .filter(|(came, _)| *late == (came + within < at))
-                {
-                    let _ = came;
-                    let done = left.min(room / work);
-                    *left -= done;
-                    room -= done * work;
-                    value += done * each;
-                }
+        }
+        fluid.value
+    }
+
+    /// Classes, each for calls within their latency target and for late ones, by value for their work.
+    fn order_of_value(&self) -> Vec<(usize, bool)> {
+        let mut order: Vec<(usize, bool)> = (0..self.classes.len())
+            .flat_map(|class| [(class, false), (class, true)])
+            .collect();
+        let value_per_work = |&(class, late): &(usize, bool)| {
+            let figures = &self.classes[class];
+            figures.value * if late { figures.late_value } else { 1.0 } / figures.work
+        };
+        order.sort_by(|a, b| value_per_work(b).total_cmp(&value_per_work(a)));
+        order
+    }
+
+    /// What the slowest tier can do in a step, in nanoseconds of work for calls.
+    fn capacity_of_step(&self, at: usize) -> f64 {
+        let step = &self.steps[at.min(self.steps.len() - 1)];
+        let least = step
+            .speed
+            .iter()
+            .zip(&self.multiple)
+            .filter(|(_, multiple)| **multiple > 0.0)
+            .map(|(speed, multiple)| speed / multiple)
+            .fold(f64::MAX, f64::min);
+        least * self.step_length as f64
+    }
+
+    /// The calls that came in a step wait; those past their deadline do no longer.
+    fn admit_calls(&self, at: usize, waiting: &mut [VecDeque<Waiting>]) {
+        for (class, waiting) in waiting.iter_mut().enumerate() {
+            let came = self.all_came.get(at).map_or(0, |came| came[class]);
+            waiting.push_back(Waiting {
+                step: at,
+                calls: came as f64,
+            });
+            let deadline = (self.classes[class].deadline / self.step_length) as usize + 1;
+            while waiting
+                .front()
+                .is_some_and(|oldest| oldest.step + deadline < at)
+            {
+                waiting.pop_front();
             }
         }
-        value
+    }
+
+    /// Serves calls of a class, oldest first, those that are late or those that are not.
+    fn serve(
+        &self,
+        at: usize,
+        (class, late): (usize, bool),
+        waiting: &mut VecDeque<Waiting>,
+        fluid: &mut Fluid,
+    ) {
+        let figures = &self.classes[class];
+        let within = (figures.latency_target / self.step_length) as usize + 1;
+        let each = if late {
+            figures.value * figures.late_value
+        } else {
+            figures.value
+        };
+        for calls in waiting
+            .iter_mut()
+            .filter(|calls| late == (calls.step + within < at))
+        {
+            let done = calls.calls.min(fluid.capacity / figures.work);
+            calls.calls -= done;
+            fluid.capacity -= done * figures.work;
+            fluid.value += done * each; // one sum: the order of additions decides the last digits
+        }
     }
 
     /// The result, from the auditor's findings.
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -22,24 +22,24 @@
     UnknownAddition(String),
 }
 
-/// Which mind the balancers of a run have.
+/// Which agent the balancers of a run have.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
     /// The real engine with the real module.
     Woadstall,
-    /// A rival.
+    /// A baseline policy.
     Baseline(BaselineConfig),
 }
 
 impl Policy {
-    /// A mind that knows no upstream yet. The settings are checked before.
+    /// An agent that knows no upstream yet. The settings are checked before.
     pub fn agent(self, settings: Settings, seed: u64, now: Time) -> BoxedAgent {
         match self {
             Self::Woadstall => match Engine::new(settings, seed, now) {
                 Ok(engine) => Box::new(engine),
                 Err(error) => unreachable!("settings were checked with the scenario: {error}"),
             },
-            Self::Baseline(style) => Box::new(BaselinePolicy::new(style, settings, seed)),
+            Self::Baseline(config) => Box::new(BaselinePolicy::new(config, settings, seed)),
         }
     }
 }
@@ -48,7 +48,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Woadstall => f.write_str("woadstall"),
-            Self::Baseline(style) => style.fmt(f),
+            Self::Baseline(config) => config.fmt(f),
         }
     }
 }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers' processes: what their minds are told and what they do, up to the network between them and the nodos.
+//! Balancers' processes: what their agents are told and what they do, up to the network between them and the upstreams.
 
 use super::*;
 
@@ -87,7 +87,7 @@
                 }
                 let client_call = known.client_call;
                 if matches!(verdict, CallResult::Rejected(_)) {
-                    self.prices
+                    self.costs
                         .pay(now, self.balancers[at].tier, Cost::Refusals, at);
                 }
                 self.record_story(client_call, || {
@@ -128,7 +128,7 @@
         let Some(&host) = balancer.hosts.get(server.0 as usize) else {
             return;
         };
-        let Some(links) = balancer.links.get_mut(host as usize) else {
+        let Some(links) = balancer.pools.get_mut(host as usize) else {
             return;
         };
         links.epoch += u32::from(retire);
@@ -151,7 +151,7 @@
         if most == 0 || self.scenario.limits.http2 || self.balancers[at].open < most {
             return true;
         }
-        let links = self.balancers[at].links.iter_mut().enumerate();
+        let links = self.balancers[at].pools.iter_mut().enumerate();
         let idle = links
             .filter(|(_, links)| links.idle > 0)
             .min_by_key(|(_, links)| links.idle_since);
@@ -171,7 +171,7 @@
         }
     }
 
-    /// What is wrong now with what goes to a nodo, or comes back.
+    /// What is wrong now with what goes to an upstream, or comes back.
     fn link_faults(
         &self,
         at: usize,
@@ -219,7 +219,7 @@
         (base.0 as f64 * jitter * upstream.active_faults.delay_factor) as Time + more
     }
 
-    /// Whether what goes to a zone's nodos, or comes back, is cut off.
+    /// Whether what goes to a zone's upstreams, or comes back, is cut off.
     pub(super) fn is_partitioned(&self, at: usize, upstream: usize, to: bool) -> bool {
         let zone = self.upstreams[upstream].zone;
         let partitioned = self.balancers[at].zone != zone && self.partitions.contains(&(zone, to));
@@ -256,7 +256,7 @@
         };
         let request = attempt.request;
         self.attempts.take(number);
-        self.auditor.over(self.event_queue.now(), request);
+        self.auditor.attempt_over(self.event_queue.now(), request);
         if let Some(known) = self.requests.get_mut(request) {
             known.attempts -= 1;
         }
@@ -325,7 +325,7 @@
         );
         let is_same_process = self.upstreams[attempt.upstream as usize].process == process;
         let (now, http2) = (self.event_queue.now(), self.scenario.limits.http2);
-        if let Some(pool) = self.balancers[at].links.get_mut(host)
+        if let Some(pool) = self.balancers[at].pools.get_mut(host)
             && is_complete
             && is_same_process
             && pool.epoch == epoch
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -7,7 +7,8 @@
         if begins {
             self.draw_targets(at);
         }
-        let (upstreams, balancers) = (self.faults[at].1.clone(), self.faults[at].2.clone());
+        let targets = &self.faults[at];
+        let (upstreams, balancers) = (targets.upstreams.clone(), targets.balancers.clone());
         let fault = &self.scenario.fault[at];
         match &fault.what {
             FaultKind::Kill { .. }
@@ -55,9 +56,9 @@
             .map(|(number, _)| number)
             .collect();
         let part = self.scenario.fault[at].part;
-        let (rng, hit_upstreams, hit_balancers) = &mut self.faults[at];
-        *hit_upstreams = sample(rng, &upstreams, part);
-        *hit_balancers = sample(rng, &balancers, part);
+        let targets = &mut self.faults[at];
+        targets.upstreams = sample(&mut targets.rng, &upstreams, part);
+        targets.balancers = sample(&mut targets.rng, &balancers, part);
     }
 
     /// How long a fault lasts, in nanoseconds.
@@ -216,7 +217,7 @@
         }
     }
 
-    /// What is wrong with a nodo, from all faults that hit it now.
+    /// What is wrong with an upstream, from all faults that hit it now.
     pub(super) fn refresh_upstream_faults(&mut self, upstream: u32, changed: usize, begins: bool) {
         let now = self.event_queue.now();
         let mut active_faults = UpstreamFaults::default();
@@ -225,7 +226,7 @@
                 true => begins,
                 false => fault.is_in_force(now),
             };
-            if !active || self.faults[at].1.binary_search(&upstream).is_err() {
+            if !active || self.faults[at].upstreams.binary_search(&upstream).is_err() {
                 continue;
             }
             match &fault.what {
@@ -264,7 +265,7 @@
             0 => {
                 self.upstreams[at].draining = true;
                 self.change_registry(upstream, Lifecycle::Draining);
-                // The word's way, the second that rule 3 allows, and the work.
+                // The update's way, the second that rule 3 allows, and the work.
                 let registry = &self.scenario.registry;
                 let wait = registry.delay.0 + registry.jitter.0 + SECOND + longest;
                 self.event_queue.after(
@@ -287,7 +288,7 @@
         }
     }
 
-    /// A new nodo at the address of one that is gone.
+    /// A new upstream at the address of one that is gone.
     pub(super) fn replace(&mut self, old: u32) {
         self.change_registry(old, Lifecycle::Removed);
         let (now, number) = (self.event_queue.now(), self.upstreams.len() as u32);
@@ -315,7 +316,7 @@
         self.member_ends(at, false, true);
         let balancer = &mut self.balancers[at];
         (balancer.leaving, balancer.subscribed) = (false, self.scenario.registry.queries.is_none());
-        let links = std::mem::take(&mut balancer.links);
+        let links = std::mem::take(&mut balancer.pools);
         balancer.open = 0;
         balancer.hosts.clear();
         balancer.updates.clear();
@@ -336,7 +337,7 @@
             self.end_attempt(number, Outcome::Cancelled);
         }
         for (number, client_call) in held {
-            self.auditor.left(number);
+            self.auditor.request_abandoned(number);
             if let Some(request) = self.requests.get_mut(number) {
                 request.answered = true;
             }
@@ -378,7 +379,7 @@
         let agent = self.agent(at);
         let balancer = &mut self.balancers[at];
         (balancer.agent, balancer.alive) = (agent, true);
-        self.auditor.forgot(at);
+        self.auditor.balancer_restarted(at);
         self.member_begins(at);
         self.send_full_list(at, stale);
         if self.front.is_some() {
@@ -387,7 +388,7 @@
         }
     }
 
-    /// The front notices that a life of a balancer is over, unless the next has begun, or that one has begun.
+    /// The front notices that a incarnation of a balancer is over, unless the next has begun, or that one has begun.
     pub(super) fn front_noticed(&mut self, at: usize, incarnation: u32, out: bool) {
         let balancer = &self.balancers[at];
         if balancer.incarnation == incarnation && (!out || !balancer.alive || balancer.leaving) {
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -1,4 +1,4 @@
-//! Balancers that speak with each other: the shipped crate in each, over the run's network.
+//! Membership: a node of the shipped crate in each balancer, over the run's network.
 
 use super::*;
 use crate::observer::{MemberView, MembershipObserver, MembershipReport};
@@ -9,7 +9,7 @@
     PathState, Settings,
 };
 
-/// MembershipSimulation that a new one asks.
+/// Members that a new one asks.
 const SEEDS: u32 = 3;
 /// A process looks this often whether one listens where it suspects another.
 const LOOK: Time = SECOND;
@@ -36,9 +36,9 @@
     by_name: std::collections::HashMap<Name, u32>,
     messages: SequenceMap<PendingMessage>,
     observer: MembershipObserver,
-    /// The life that each had last.
+    /// The incarnation that each had last.
     last_incarnation: Vec<Option<Generation>>,
-    /// Bytes that former lives have sent.
+    /// Bytes that former incarnations have sent.
     bytes: Vec<u64>,
 }
 
@@ -237,7 +237,7 @@
             return;
         };
         who.iter()
-            .for_each(|&of| members.observer.paused_until(now, of as usize, still));
+            .for_each(|&of| members.observer.set_paused(now, of as usize, still));
     }
 
     pub(super) fn member_timer(&mut self, at: usize, planned: Time) {
@@ -266,7 +266,7 @@
         self.flush_member(at);
     }
 
-    /// Mail comes. While its process stands still, the machine record_view it.
+    /// A message comes. While the process stands still, the machine holds it.
     pub(super) fn receive_member_message(&mut self, messages: u64) {
         let now = self.event_queue.now();
         let to = self
@@ -333,7 +333,7 @@
     fn link_between(
         scenario: &Scenario,
         balancers: &[Balancer],
-        faults: &[(ChaCha8Rng, Vec<u32>, Vec<u32>)],
+        faults: &[FaultTargets],
         now: Time,
         from: usize,
         to: usize,
@@ -343,7 +343,7 @@
             .iter()
             .zip(faults)
             .filter(|(fault, _)| fault.is_in_force(now));
-        let in_force = in_force.map(|(fault, (_, _, hit))| (fault, hit.as_slice()));
+        let in_force = in_force.map(|(fault, targets)| (fault, targets.balancers.as_slice()));
         let end = |of: usize| (of as u32, balancers[of].zone);
         scenario.among(end(from), end(to), balancers.len(), in_force)
     }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,24 +1,32 @@
-//! The world: callers, balancers, nodos, the network and the padron, in simulated time.
+//! The world: callers, balancers, upstreams, the network and the registry, in simulated time.
 //!
 //! One event at a time, in the order of their times, so one seed gives one result. What decides is the real
-//! engine (or a rival); all round it is a model, and docs/emulator.md says what that leaves out.
+//! engine (or a baseline policy); all round it is a model, and docs/emulator.md says what that leaves out.
 
 mod balancers;
+mod build;
 mod callers;
 mod coordinators;
 mod dispatch;
+mod entities;
+mod event;
 mod faults;
 mod members;
 mod registry;
 mod story;
 mod upstreams;
 
+use self::entities::{
+    Attempt, Balancer, ClientCall, ConnectionPool, FaultTargets, PendingProbe, RegistryChange,
+    Request,
+};
+use self::event::Event;
 use crate::agent::{BoxedAgent, Ticket};
 use crate::audit::Auditor;
 use crate::costs::{Cost, CostCounters};
 use crate::discovery::{Discovery, Read};
 use crate::event_queue::{EventQueue, SequenceMap};
-use crate::front::{CallerConnection, Front};
+use crate::front::Front;
 use crate::measure::{CallOutcome, Meter, RunResult};
 use crate::policy::Policy;
 use crate::random::{Actor, chance, gap, sample, stream};
@@ -42,235 +50,14 @@
 pub const EPOCH: Time = 1_760_000_000 * SECOND;
 /// Timers ring at steps of this, as in the runtime.
 const RING: Time = 4 * MS;
-/// How long a nodo that fell over takes to come back.
+/// How long an upstream that fell over takes to come back.
 const OVERLOAD_RECOVERY: Time = 5 * SECOND;
 /// After the callers' last call, the world goes on for as long as the longest deadline and this.
 const TAIL: Time = 2 * SECOND;
 /// Longest story that is kept of one call.
 const STORY: usize = 10_000;
 
-#[derive(Clone, Copy, Debug)]
-enum Event {
-    /// A group's next call.
-    CallArrives(u32),
-    /// One of a crowd calls.
-    ClosedLoopCall(u32),
-    /// A caller asks again.
-    CallerRetries(u64),
-    /// A balancer that stood still reads a request.
-    BalancerReads(u64),
-    /// An attempt reaches its nodo.
-    AttemptArrived(u64),
-    /// A nodo is done with its own work on an attempt.
-    WorkFinished {
-        attempt: u64,
-        upstream: u32,
-        process: u32,
-    },
-    /// The outcome of an attempt reaches its balancer.
-    ResponseArrived {
-        attempt: u64,
-        outcome: Outcome,
-    },
-    /// An attempt's time is over.
-    AttemptExpired(u64),
-    /// A balancer's timers are due.
-    AgentTimer {
-        balancer: u32,
-        at: Time,
-    },
-    /// A balancer hears of changes of the list.
-    RegistryUpdate {
-        balancer: u32,
-        incarnation: u32,
-    },
-    /// A balancer's read of the list is answered, or has failed.
-    QueryCompleted {
-        balancer: u32,
-        incarnation: u32,
-        well: bool,
-    },
-    /// A probe reaches its nodo, and is over.
-    ProbeArrives {
-        probe: u64,
-    },
-    ProbeCompleted {
-        probe: u64,
-        held: Option<u32>,
-    },
-    /// The front notices that a balancer is out, or back.
-    FrontNoticed {
-        balancer: u32,
-        incarnation: u32,
-        out: bool,
-    },
-    /// A balancer's part of a roll: it drains, and is replaced.
-    RollBalancer {
-        balancer: u32,
-        incarnation: u32,
-        drained: bool,
-    },
-    /// A fault begins, or ends.
-    FaultChanges {
-        fault: u32,
-        begins: bool,
-    },
-    /// A nodo's part of a roll: told to drain, dies, comes back.
-    RollUpstream {
-        upstream: u32,
-        step: u8,
-        fault: u32,
-    },
-    /// A nodo that fell over comes back.
-    UpstreamBoots(u32),
-    /// The padron notices a death.
-    DeathNoticed {
-        upstream: u32,
-        process: u32,
-    },
-    /// A balancer is back.
-    BalancerStarts {
-        balancer: u32,
-        stale: Time,
-    },
-    /// A step of the timeline.
-    EndOfStep,
-    /// A balancer's turn as a member among the others.
-    MemberTimer {
-        balancer: u32,
-        at: Time,
-    },
-    /// What one has sent to another arrives.
-    MessageArrives(u64),
-    /// One looks whether those that it suspects listen.
-    CheckSuspects(u32),
-    /// It is looked at how cut ways are named.
-    RecordPathReports,
-    /// A balancer's turn to weigh what all have told.
-    CoordinatorTimer(u32),
-}
-
-/// One thing that a caller, or a nodo, wants done.
-struct ClientCall {
-    class: usize,
-    /// The group of callers, or none for a nodo's.
-    group: Option<u32>,
-    /// The attempt that a nodo calls for.
-    parent: Option<u64>,
-    closed_loop: bool,
-    born: Time,
-    deadline: Time,
-    tries: u32,
-    /// Requests of it that are not over.
-    requests: u32,
-    closed: bool,
-    measured: bool,
-    /// The connection that its caller has asked on.
-    line: Option<CallerConnection>,
-    /// Groups of nodos in which it ran, and when.
-    seen: SmallVec<[(u32, Time); 1]>,
-}
-
-struct Request {
-    client_call: u64,
-    balancer: u32,
-    answered: bool,
-    attempts: u32,
-    out: SmallVec<[(u32, u64); 1]>,
-}
-
-struct Attempt {
-    request: u64,
-    number: u32,
-    balancer: u32,
-    upstream: u32,
-    host: u32,
-    process: u32,
-    /// Epoch of the connections to that nodo when it was sent.
-    epoch: u32,
-    /// The balancer has not been told its end.
-    out: bool,
-    /// Something of it is under way, waits or is worked on.
-    there: bool,
-    /// It has a connection, and that is a new one.
-    socket: bool,
-    fresh: bool,
-    /// Calls to the next tier that are not answered, and whether one went wrong.
-    calls: u32,
-    spoilt: bool,
-    sent: Time,
-}
-
-/// The connections of a balancer to one host.
-#[derive(Clone, Copy, Default)]
-struct ConnectionPool {
-    epoch: u32,
-    process: u32,
-    idle: u16,
-    idle_since: Time,
-}
-
-struct Balancer {
-    tier: usize,
-    zone: u8,
-    agent: BoxedAgent,
-    /// Its clock: what it is ahead by, and goes faster by.
-    ahead: i64,
-    drift: f64,
-    network: ChaCha8Rng,
-    registry: ChaCha8Rng,
-    seeds: ChaCha8Rng,
-    links: Vec<ConnectionPool>,
-    /// Connections that are open, idle or not, over HTTP/1.1.
-    open: u32,
-    /// The host of each server that it has sent to, by its own number for it.
-    hosts: Vec<u32>,
-    planned: Time,
-    alive: bool,
-    incarnation: u32,
-    stalled_until: Time,
-    /// It is dealt no new connections, and answers what it holds.
-    leaving: bool,
-    /// It is told of changes of the list.
-    subscribed: bool,
-    /// Changes of the list that it was told of.
-    applied_changes: u32,
-    /// Word that is on its way: when it comes, and of how many changes. What comes at once is one list.
-    updates: VecDeque<(Time, u32)>,
-}
-
-impl Balancer {
-    fn local(&self, now: Time) -> Time {
-        let drifted = (now as f64 * self.drift) as i64;
-        (EPOCH + now).saturating_add_signed(self.ahead + drifted)
-    }
-
-    /// When its clock shows a time.
-    fn world(&self, local: Time) -> Time {
-        let passed = local
-            .saturating_add_signed(-self.ahead)
-            .saturating_sub(EPOCH);
-        (passed as f64 / (1.0 + self.drift)).round() as Time
-    }
-}
-
-/// A probe that is out.
-struct PendingProbe {
-    balancer: u32,
-    incarnation: u32,
-    upstream: u32,
-    process: u32,
-    server: ServerId,
-}
-
-struct RegistryChange {
-    at: Time,
-    upstream: u32,
-    lifecycle: Lifecycle,
-    boot_ms: u64,
-}
-
-/// What wraps a mind.
+/// What wraps an agent.
 pub type AgentWrapper<'a> = dyn Fn(BoxedAgent) -> BoxedAgent + 'a;
 
 /// A run, from its start to its end.
@@ -284,7 +71,7 @@
     attempts: SequenceMap<Attempt>,
     probes: SequenceMap<PendingProbe>,
     balancers: Vec<Balancer>,
-    /// The balancer beside the nodo at an address.
+    /// The balancer beside the upstream at an address.
     sidecar: Vec<Option<u32>>,
     front: Option<Front>,
     front_rng: ChaCha8Rng,
@@ -303,7 +90,7 @@
     zones: Vec<Option<u8>>,
     tenants: Vec<usize>,
     calls: Vec<Option<(usize, f64)>>,
-    faults: Vec<(ChaCha8Rng, Vec<u32>, Vec<u32>)>,
+    faults: Vec<FaultTargets>,
     partitions: Vec<(u8, bool)>,
     registry_outages: u32,
     stalled: Time,
@@ -311,9 +98,9 @@
     coordinators: Option<coordinators::Coordinators>,
     auditor: Auditor,
     meter: Meter,
-    prices: CostCounters,
+    costs: CostCounters,
     story: Option<(u64, Vec<(Time, String)>)>,
-    /// Wraps each mind as it starts; for tests that spoil or record one.
+    /// Wraps each agent as it starts; for tests that spoil or record one.
     wrap: Option<&'a AgentWrapper<'a>>,
     events: u64,
 }
@@ -363,7 +150,7 @@
             coordinators: None,
             auditor: Auditor::default(),
             meter: Meter::new(scenario),
-            prices: CostCounters::new(scenario.tier.len()),
+            costs: CostCounters::new(scenario.tier.len()),
             story: None,
             wrap: None,
             events: 0,
@@ -387,7 +174,7 @@
         self.story = Some((call, Vec::new()));
     }
 
-    /// Wraps each mind as it starts.
+    /// Wraps each agent as it starts.
     pub fn wrap_agents(&mut self, wrap: &'a AgentWrapper<'a>) {
         self.wrap = Some(wrap);
         for at in 0..self.balancers.len() {
@@ -396,133 +183,7 @@
         }
     }
 
-    fn build(&mut self) {
-        for tier in 0..self.scenario.tier.len() {
-            self.add_upstreams(tier);
-        }
-        self.sidecar = vec![None; self.upstreams.len()];
-        self.stopped = vec![Vec::new(); self.upstreams.len()];
-        for tier in 0..self.scenario.tier.len() {
-            self.add_balancers(tier);
-        }
-        if let Some(front) = &self.scenario.front {
-            let (uneven, kept, zones) = (front.uneven, front.kept.0, &self.of_zone[0]);
-            self.front = Some(Front::new(zones, uneven, kept, &mut self.front_rng));
-        }
-        self.plan_faults();
-        for group in 0..self.scenario.callers.len() {
-            self.plan_first_calls(group);
-        }
-        let step = self.scenario.step.0;
-        self.event_queue.at(step, Event::EndOfStep);
-    }
-
-    fn add_upstreams(&mut self, at: usize) {
-        let scenario = self.scenario;
-        let tier = &scenario.tier[at];
-        let calls = tier.calls.as_ref();
-        self.calls
-            .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
-        for upstream in 0..tier.upstreams {
-            let host = self.upstreams.len() as u32;
-            let cell = (upstream % u32::from(tier.cells)) as u16;
-            let place = (scenario.zone_in_turn(upstream), cell, host);
-            let name = format!("{}-{upstream}", tier.name);
-            let rng = stream(self.seed, Actor::Upstream, host);
-            self.upstreams
-                .push(Upstream::new(name, at, tier, place, rng));
-            self.hosts.push(host);
-        }
-        self.of_zone.push(vec![Vec::new(); scenario.zones.len()]);
-    }
-
-    /// The balancers before a tier: its own, or a sidecar for each upstream that calls it.
-    fn add_balancers(&mut self, at: usize) {
-        let tier = &self.scenario.tier[at];
-        if !tier.sidecar {
-            for balancer in 0..tier.balancers {
-                let zone = self.scenario.zone_in_turn(balancer);
-                let number = self.add_balancer(at, zone);
-                self.of_zone[at][usize::from(zone)].push(number);
-            }
-            return;
-        }
-        for host in 0..self.upstreams.len() {
-            if self.calls[self.upstreams[host].tier].is_some_and(|(called, _)| called == at) {
-                self.sidecar[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
-            }
-        }
-    }
-
-    fn plan_faults(&mut self) {
-        for (fault, planned) in (0..).zip(&self.scenario.fault) {
-            let place = planned.place.unwrap_or(fault);
-            let rng = stream(self.seed, Actor::Fault, place);
-            self.faults.push((rng, Vec::new(), Vec::new()));
-            let begins = Event::FaultChanges {
-                fault,
-                begins: true,
-            };
-            self.event_queue.at(planned.at.0, begins);
-            if let Some(until) = planned.until {
-                let ends = Event::FaultChanges {
-                    fault,
-                    begins: false,
-                };
-                self.event_queue.at(until.0, ends);
-            }
-        }
-    }
-
-    fn plan_first_calls(&mut self, group: usize) {
-        let Load::Closed { callers, think } = self.scenario.callers[group].load else {
-            return self.plan_arrival(group);
-        };
-        for _ in 0..callers {
-            let wait = (self.behavior_rngs[group].random::<f64>() * think.0 as f64) as Time;
-            let event = Event::ClosedLoopCall(group as u32);
-            self.event_queue.at(wait, event);
-        }
-    }
-
-    fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
-        let (scenario, number) = (self.scenario, self.balancers.len() as u32);
-        let mut clock = stream(self.seed, Actor::Balancer, number);
-        let offset = scenario.clocks.offset.0 as i64;
-        let ahead = if offset > 0 {
-            clock.random_range(-offset..=offset)
-        } else {
-            0
-        };
-        let drift = scenario.clocks.drift * (2.0 * clock.random::<f64>() - 1.0);
-        let (mind_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
-        self.balancers.push(Balancer {
-            tier,
-            zone,
-            agent: self
-                .policy
-                .agent(scenario.settings(tier, zone), mind_seed, local),
-            ahead,
-            drift,
-            network: stream(self.seed, Actor::Network, number),
-            registry: stream(self.seed, Actor::Registry, number),
-            seeds: clock,
-            links: Vec::new(),
-            open: 0,
-            hosts: Vec::new(),
-            planned: Time::MAX,
-            alive: true,
-            incarnation: 0,
-            stalled_until: 0,
-            leaving: false,
-            subscribed: scenario.registry.queries.is_none(),
-            applied_changes: 0,
-            updates: VecDeque::new(),
-        });
-        number
-    }
-
-    /// A new mind for a balancer, with the seed of its next life.
+    /// A new agent for a balancer, with the seed of its next incarnation.
     fn agent(&mut self, at: usize) -> BoxedAgent {
         let now = self.event_queue.now();
         let balancer = &mut self.balancers[at];
@@ -570,10 +231,10 @@
             .iter()
             .map(|tier| tier.name.clone())
             .collect();
-        let prices = self.prices.rows(&names);
+        let costs = self.costs.rows(&names);
         let end = self.meter.end(self.auditor.findings(), self.events, story);
         let end = RunResult {
-            prices,
+            prices: costs,
             members,
             evacuated,
             ..end
@@ -625,7 +286,7 @@
                 well,
             } => self.query_completed(balancer as usize, incarnation, well),
             Event::ProbeArrives { probe } => self.probe_reaches(probe),
-            Event::ProbeCompleted { probe, held } => self.probe_ends(probe, held),
+            Event::ProbeCompleted { probe, in_flight } => self.probe_ends(probe, in_flight),
             Event::FrontNoticed {
                 balancer,
                 incarnation,
