--- a/crates/decisions/src/balancer.rs
+++ b/crates/decisions/src/balancer.rs
@@ -42,8 +42,8 @@
     pub(crate) startup_until: Time,
     /// Part of all calls that fail.
     pub(crate) failure_rate: f64,
-    /// When no server was found for a call last.
-    pub(crate) unplaced_at: Time,
+    /// Last time at which no server was found for a call.
+    pub(crate) no_server_found_at: Time,
     pub(crate) idle_risk: IdleRisk,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) load: LoadMeter,
@@ -82,7 +82,7 @@
             accepted: DecayingSum::starting_at(now),
             startup_until: now.saturating_add(RATE_WINDOW),
             failure_rate: 0.0,
-            unplaced_at: 0,
+            no_server_found_at: 0,
             idle_risk: IdleRisk::default(),
             retry_budget: RetryBudget::full(),
             load: LoadMeter::new(settings.classes.len(), settings.tenants.len()),
@@ -115,7 +115,9 @@
     fn on_timer(&mut self, token: u64) {
         match token {
             SUBSCRIBE_TOKEN => self.actions.push(Action::Subscribe),
-            token if token & PROBE_TOKEN_BIT != 0 => self.on_compared(RequestId(token as u32)),
+            token if token & PROBE_TOKEN_BIT != 0 => {
+                self.finish_load_comparison(RequestId(token as u32))
+            }
             token => self.on_attempt_late(token),
         }
     }
--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -3,7 +3,7 @@
 use crate::api::{LearnedServer, LearnedState, Time};
 use crate::balancer::Balancer;
 use crate::state::{DecayingSum, LatencyEstimate};
-use crate::tuning::{BREAKER_BACKOFF, RATE_WINDOW, SHED_FROM};
+use crate::tuning::{BREAKER_BACKOFF, RATE_WINDOW, SHED_START_RELATIVE_LATENCY};
 
 impl Balancer {
     /// What a process that takes over should know.
@@ -62,7 +62,9 @@
         self.load.responses.sum = learned.responses;
         self.load.responses.updated_at = self.now;
         // A jam is believed when it is seen: with two processes at work, it may be over.
-        self.load.pending_sum.sum = learned.pending.min(SHED_FROM * learned.responses);
+        self.load.pending_sum.sum = learned
+            .pending
+            .min(SHED_START_RELATIVE_LATENCY * learned.responses);
         self.load.pending_sum.updated_at = self.now;
         self.failure_rate = learned.failure_rate;
     }
--- a/crates/decisions/src/measurement/failures.rs
+++ b/crates/decisions/src/measurement/failures.rs
@@ -1,4 +1,4 @@
-//! Successes and failures: of servers, zones, idle connections and all calls.
+//! Success and failure counts of servers, zones, idle connections and all calls.
 
 use crate::balancer::Balancer;
 use crate::state::{ConnectionLimit, PendingRequest, Pool, ServerIndex, pools_of};
@@ -8,7 +8,8 @@
 };
 
 impl Balancer {
-    /// Records a success or failure of a call, for its server, its zone and all calls.
+    /// Records a success or failure of a call in the failure rates of its server, its zone and all
+    /// calls.
     pub(crate) fn record_failure_rate(&mut self, index: ServerIndex, failed: bool) {
         if failed {
             self.failure_rate += OUTCOME_GAIN * (1.0 - self.failure_rate);
@@ -24,8 +25,9 @@
             .record(failed, now, OUTCOME_GAIN, HEALTH_DECAY);
     }
 
-    /// By how much a server's failure rate exceeds that of all calls, and so many of the deviations
-    /// that chance gives such an average: what fails behind all servers is none's own fault.
+    /// Excess of a server's failure rate over the failure rate of all calls plus `deviations`
+    /// standard deviations of such an average, from 0 to 1. A failing dependency raises the rate of
+    /// all servers and does not count against any one of them.
     pub(crate) fn excess_failure_rate(&self, index: ServerIndex, deviations: f64) -> f64 {
         let rate = self.failure_rate;
         let chance = SERVER_FAILURE_GAIN / (2.0 - SERVER_FAILURE_GAIN) * rate * (1.0 - rate);
@@ -34,7 +36,7 @@
         (own - usual).clamp(0.0, 1.0)
     }
 
-    /// Ejects a server or takes it back, and counts that in its pools.
+    /// Ejects a server or readmits it, and updates the count of tripped members in its pools.
     pub(crate) fn set_tripped(&mut self, index: ServerIndex, tripped: bool) {
         let server = &mut self.servers[index];
         if server.breaker.tripped != tripped && server.ready {
@@ -46,13 +48,14 @@
         server.breaker.tripped = tripped;
     }
 
-    /// Records whether an attempt failed, by the idle time of its connection.
+    /// Records whether an attempt failed, under the idle step of its connection.
     pub(crate) fn record_idle_risk(&mut self, step: usize, failed: bool) {
         self.idle_risk
             .record(step, failed, self.now, IDLE_RISK_GAIN, IDLE_RISK_DECAY);
     }
 
-    /// A server that responds has all its connections taken: its limit is what it let us have.
+    /// Records that a server refused a connection while it still responds. All connections that it
+    /// accepts are then in use, so the calls in flight are its connection limit for this balancer.
     pub(crate) fn record_connection_limit(&mut self, index: ServerIndex) {
         let (now, server) = (self.now, &mut self.servers[index]);
         server.open_connections = server.in_flight;
@@ -63,7 +66,7 @@
         });
     }
 
-    /// Records the response to an attempt at a server.
+    /// Records a successful response of a server.
     pub(crate) fn record_success(&mut self, request: &PendingRequest, index: ServerIndex) {
         self.responses.add(self.now, 1.0, RATE_WINDOW);
         let zone = self.servers[index].zone;
--- a/crates/decisions/src/measurement/latency.rs
+++ b/crates/decisions/src/measurement/latency.rs
@@ -1,4 +1,4 @@
-//! Latencies: of classes, of servers against their class, of zones against the target.
+//! Latencies of classes, of servers relative to their class, and of zones relative to the target.
 
 use crate::api::{AttemptEnd, Duration, Outcome};
 use crate::balancer::Balancer;
@@ -9,30 +9,33 @@
 };
 
 impl Balancer {
-    /// Calls in flight without load, by the rate of responses and their baseline (Little's law).
+    /// Expected number of calls in flight without load, from the response rate and the baseline
+    /// latency (Little's law).
     pub(crate) fn baseline_in_flight(&self) -> f64 {
         let per_second = self.responses.per_second(self.now, RATE_WINDOW);
         per_second * self.overall_latency.baseline / SECOND as f64
     }
 
-    /// Records the latency of a call, in nanoseconds.
-    pub(crate) fn record_latency(&mut self, index: ServerIndex, class: usize, took: Duration) {
-        self.record_slowness(index, class, took);
-        self.class_latencies[class].record(took as f64, OUTCOME_GAIN, BASELINE_GAIN);
+    /// Records the latency of a call for its server, its class and all calls.
+    pub(crate) fn record_latency(&mut self, index: ServerIndex, class: usize, elapsed: Duration) {
+        self.record_slowness(index, class, elapsed);
+        self.class_latencies[class].record(elapsed as f64, OUTCOME_GAIN, BASELINE_GAIN);
         self.overall_latency
-            .record(took as f64, OUTCOME_GAIN, BASELINE_GAIN);
+            .record(elapsed as f64, OUTCOME_GAIN, BASELINE_GAIN);
     }
 
-    /// Records the latency of a call against the mean of its class.
-    pub(crate) fn record_slowness(&mut self, index: ServerIndex, class: usize, took: Duration) {
+    /// Records the latency of a call for its server, relative to the mean of the call's class. A
+    /// single call counts as at most four times the mean above the server's slowness.
+    pub(crate) fn record_slowness(&mut self, index: ServerIndex, class: usize, elapsed: Duration) {
         let latency = &self.class_latencies[class];
         if latency.calls >= MIN_SAMPLES {
             let slowness = &mut self.servers[index].slowness;
-            *slowness += SLOWNESS_GAIN * (took as f64 / latency.mean - *slowness).min(4.0);
+            *slowness += SLOWNESS_GAIN * (elapsed as f64 / latency.mean - *slowness).min(4.0);
         }
     }
 
-    /// Records the latency of an attempt against its target, for its server's zone.
+    /// Records the latency of an attempt for its server's zone, relative to the latency target of
+    /// its class. A rejected attempt counts as at least the target.
     pub(crate) fn record_relative_latency(
         &mut self,
         class: usize,
--- a/crates/decisions/src/measurement/load.rs
+++ b/crates/decisions/src/measurement/load.rs
@@ -1,4 +1,4 @@
-//! Load: requests pending and responses given.
+//! Load measurements: pending requests, responses and calls in flight.
 
 use crate::api::Duration;
 use crate::balancer::Balancer;
@@ -8,14 +8,16 @@
 };
 
 impl Balancer {
-    /// Changes the load that is pending, by requests each counted as one over its latency target.
+    /// Changes the pending load by `change`, where each request counts as the inverse of its latency
+    /// target.
     pub(crate) fn change_pending(&mut self, change: f64) {
         self.load
             .change_pending(self.now, change, self.response_window());
     }
 
-    /// A request is over. Failed responses count like others: they hold nothing up. What no server
-    /// has worked on does not: quick rejections would pass for quick responses.
+    /// Removes a finished request from the pending load and counts its response. Failed responses
+    /// count like successful ones, since they release their server as well. Requests that no server
+    /// has worked on do not count, because fast rejections would look like fast responses.
     pub(crate) fn close_pending(&mut self, target_inverse: f64, worked_on: WorkedOn) {
         self.change_pending(-target_inverse);
         let window = self.response_window();
@@ -23,10 +25,13 @@
         self.load.responses.add(self.now, count, window);
     }
 
-    /// Time to a response that a new request can expect, as a part of its latency target, and the
-    /// responses it rests on: the requests pending over the responses per second. Unlike the latency
-    /// of responses, it shows a jam while that builds up. In a full jam no responses come, so fewer
-    /// than tell more than chance count as that many.
+    /// Expected latency of a new request as a part of its latency target, and the number of responses
+    /// on which the estimate is based.
+    ///
+    /// The estimate is the pending requests divided by the response rate. Unlike the latency of past
+    /// responses, it shows congestion while it builds up. If servers hang, no responses arrive at all,
+    /// so the count is at least [`MIN_SAMPLES`] in the division; smaller counts are dominated by
+    /// chance.
     pub(crate) fn expected_relative_latency(&self) -> (f64, f64) {
         let window = self.response_window();
         let responses = self.load.responses.get(self.now, window);
@@ -34,8 +39,8 @@
         (pending / responses.max(f64::from(MIN_SAMPLES)), responses)
     }
 
-    /// Time over which responses are counted. A balancer with few calls needs longer to see enough
-    /// of them, or a jam looks like chance to it.
+    /// Time over which responses are counted. A balancer with few calls needs a longer window for
+    /// enough responses to distinguish congestion from chance.
     pub(crate) fn response_window(&self) -> Duration {
         let targets = self
             .settings
@@ -52,7 +57,7 @@
         window.clamp(MIN_RESPONSE_WINDOW, most)
     }
 
-    /// Counts an attempt in or out, for its server and its pools.
+    /// Updates the calls in flight of a server and its pools when an attempt begins or ends.
     pub(crate) fn count_in_flight(&mut self, index: ServerIndex, change: InFlight) {
         let count = |count: &mut u32| match change {
             InFlight::Begins => *count += 1,
--- a/crates/decisions/src/measurement/mod.rs
+++ b/crates/decisions/src/measurement/mod.rs
@@ -1,6 +1,6 @@
-//! What the decisions go by: averages and counts that events update.
+//! Measurements: averages and counts that are updated by events and read by the modules in `policy`.
 //!
-//! Nothing here decides anything; the modules in `policy` read what is measured here.
+//! This module makes no decisions.
 
 mod failures;
 mod latency;
--- a/crates/decisions/src/measurement/verdicts.rs
+++ b/crates/decisions/src/measurement/verdicts.rs
@@ -1,11 +1,11 @@
-//! The fleet's health evidence: what share of the traffic it leaves zones, classes and servers.
+//! Health evidence of the fleet: the share of traffic that it leaves zones, classes and servers.
 
 use crate::api::{FailureDomain, HealthVerdict, ZoneId};
 use crate::balancer::Balancer;
 use crate::state::{ServerIndex, TrafficShare};
 
 impl Balancer {
-    /// Takes verdicts; those on what is not known here are dropped.
+    /// Applies health verdicts. Verdicts on unknown zones, classes or servers are ignored.
     pub(crate) fn on_health_verdicts(&mut self, verdicts: &[HealthVerdict]) {
         for verdict in verdicts {
             let share = f64::from(verdict.share).clamp(0.0, 1.0);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The share of its usual traffic that is left to a server.
+    /// Share of its usual traffic that the health evidence leaves a server, from 0 to 1.
     pub(crate) fn traffic_share_of_server(&self, index: ServerIndex) -> f64 {
         self.servers[index].traffic_share.get(self.now)
     }
--- a/crates/decisions/src/measurement/warmth.rs
+++ b/crates/decisions/src/measurement/warmth.rs
@@ -1,11 +1,12 @@
-//! How warm servers are, and what rate of calls slow start goes by.
+//! Warmth of servers in slow start, and the call rate from which their budgets are computed.
 
 use crate::balancer::Balancer;
 use crate::state::ServerIndex;
 use crate::tuning::{RATE_WINDOW, WARM_SIZE_INTERVAL};
 
 impl Balancer {
-    /// Part of its capacity that a server surely has by now: it may warm up faster, but never slower.
+    /// Part of its capacity that a server has reached at least, from 0 to 1. A server may warm up
+    /// faster than this, but not slower.
     pub(crate) fn warmth(&self, index: ServerIndex) -> f64 {
         let Some(started) = self.servers[index].started_at else {
             return 1.0;
@@ -16,7 +17,7 @@
         (initial + (1.0 - initial) * age).min(1.0)
     }
 
-    /// Counts the warm part of all servers, now and then.
+    /// Updates the warm size of the pool of all servers, at most once per [`WARM_SIZE_INTERVAL`].
     pub(crate) fn update_warm_size(&mut self) {
         let all = &self.pools[self.settings.zones];
         if self.now < all.warm_size_at.saturating_add(WARM_SIZE_INTERVAL) {
@@ -29,10 +30,12 @@
         all.warm_size_at = self.now;
     }
 
-    /// Responses per second. A balancer that has just started has had none: where all servers are in
-    /// slow start as well, after a release, nothing would ever be sent. It goes by the calls that it
-    /// accepts until it knows better.
-    pub(crate) fn known_rate(&self) -> f64 {
+    /// Estimated calls per second that the servers can handle: the response rate.
+    ///
+    /// A balancer that has just started has seen no responses. If all servers are in slow start as
+    /// well, as after a release, it would never send anything. During its startup period it therefore
+    /// uses the rate of accepted calls if that is higher.
+    pub(crate) fn estimated_calls_per_second(&self) -> f64 {
         let responses = self.responses.per_second(self.now, RATE_WINDOW);
         if self.now < self.startup_until {
             responses.max(self.accepted.per_second(self.now, RATE_WINDOW))
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -100,7 +100,7 @@
         let compared = comparisons.clone().map(|comparison| &comparison.request);
         let requests = self.requests.values().chain(compared);
         let sent = requests
-            .flat_map(|request| [request.sent, request.may_have_run])
+            .flat_map(|request| [request.last_attempt, request.may_have_run])
             .flatten();
         let candidates = comparisons.flat_map(|comparison| &comparison.candidates);
         sent.map(|attempt| attempt.server)
--- a/crates/decisions/src/policy/breakers.rs
+++ b/crates/decisions/src/policy/breakers.rs
@@ -1,4 +1,4 @@
-//! Circuit breakers: which servers are ejected, for how long, and who tries them again.
+//! Circuit breakers: ejection of failing servers and the trial calls that bring them back.
 
 use crate::balancer::Balancer;
 use crate::log::LogEvent;
@@ -9,8 +9,11 @@
 };
 
 impl Balancer {
-    /// Closed, or half-open with no trial call in flight. A trial call may be lost, so it is left to
-    /// calls that can be repeated, unless none came by for another open time.
+    /// Whether the circuit breaker of a server lets a call of a class through: it is closed, or
+    /// half-open with no trial call in flight.
+    ///
+    /// A trial call may be lost, so only calls that can be repeated serve as trials. If no such call
+    /// arrives for another full backoff delay, other calls may be trials as well.
     pub(crate) fn breaker_admits(&self, index: ServerIndex, class: usize) -> bool {
         let breaker = &self.servers[index].breaker;
         let is_idempotent = self.is_idempotent(class);
@@ -23,7 +26,7 @@
         !breaker.tripped || (!breaker.trial_in_flight && is_half_open)
     }
 
-    /// Counts a failure of a server, and opens its breaker after too many in a row.
+    /// Records a failure of a server, and opens its breaker after too many failures in a row.
     pub(crate) fn breaker_failure(&mut self, index: ServerIndex) {
         self.record_failure_rate(index, true);
         let failures_to_trip = self.failures_to_trip(&self.servers[index].breaker);
@@ -44,8 +47,8 @@
         }
     }
 
-    /// Failures in a row that trip a breaker, so that one of a server no worse than the rest hardly
-    /// ever trips.
+    /// Number of failures in a row that trips a breaker. It depends on the failure rate of all calls,
+    /// so that the breaker of a server no worse than the others rarely trips by chance.
     fn failures_to_trip(&self, breaker: &CircuitBreaker) -> f64 {
         let is_new = breaker.consecutive_successes < PROBATION_SUCCESSES;
         let on_probation = breaker.recent_opens > 0 && is_new;
@@ -58,7 +61,7 @@
         failures.ceil().clamp(least, MAX_FAILURES_TO_TRIP)
     }
 
-    /// Counts a success of a server, and closes its breaker.
+    /// Records a success of a server, and closes its breaker.
     pub(crate) fn breaker_success(&mut self, index: ServerIndex) {
         self.record_failure_rate(index, false);
         let breaker = &mut self.servers[index].breaker;
--- a/crates/decisions/src/policy/connections.rs
+++ b/crates/decisions/src/policy/connections.rs
@@ -1,4 +1,4 @@
-//! Which connection a call uses: an idle one, or a new one where idle ones fail or are too many.
+//! Connection use: reuse, replacement and closing of idle connections, and connection limits.
 
 use crate::api::{Action, Duration};
 use crate::balancer::Balancer;
@@ -9,11 +9,12 @@
 };
 
 impl Balancer {
-    /// How long the connection that a call will use has been idle, as a step of the risk.
+    /// Accounts for the connection that a call is about to use, and returns its idle time as a step
+    /// of [`crate::state::IdleRisk`]; 0 stands for a new connection.
     ///
-    /// Something between may have dropped it unseen: where calls on such connections fail and others
-    /// don't, it is replaced. Guards against reapers of idle connections and servers that restarted;
-    /// costs a handshake.
+    /// A middlebox that reaps idle connections, or a restart of the server, can drop an idle
+    /// connection without notice. If calls on connections of this idle time fail more often than
+    /// calls on new ones, the idle connections are replaced, which costs a handshake.
     pub(crate) fn take_connection(&mut self, index: ServerIndex, class: usize) -> usize {
         let server = &mut self.servers[index];
         let idle = self.now.saturating_sub(server.idle_since);
@@ -35,7 +36,8 @@
         0
     }
 
-    /// Whether connections idle for so long fail too often, and more often than new ones.
+    /// Whether calls on connections of up to this idle step fail more often than `limit` allows, and
+    /// at least twice as often as calls on new connections.
     fn is_idle_risky(&self, step: usize, limit: f64) -> bool {
         let new = self.idle_risk.get(0, self.now, IDLE_RISK_DECAY);
         let idle = self
@@ -44,11 +46,13 @@
         idle > limit.max(2.0 * new)
     }
 
-    /// A call without a response tells of its server, or of its connection where idle ones fail.
+    /// Handles an attempt that ended without a response. The failure counts against the server,
+    /// unless its connection was idle and idle connections are known to fail.
     pub(crate) fn on_attempt_failed(&mut self, index: ServerIndex, idle_step: usize) {
         self.record_idle_risk(idle_step, true);
         if idle_step > 0 {
-            self.close_idle_connections(index); // the next failure there is not for this reason
+            // A later failure at this server cannot come from a connection that idled as long.
+            self.close_idle_connections(index);
         }
         if idle_step == 0 || !self.is_idle_risky(idle_step, MAX_IDLE_RISK) {
             self.breaker_failure(index);
@@ -61,8 +65,8 @@
         self.actions.push(Action::CloseIdleConnections(server.id));
     }
 
-    /// Closes the idle connections of a burst: they would stay for long, and keep those of other
-    /// balancers out.
+    /// Closes the idle connections that a burst of calls has left. They would otherwise stay open
+    /// until the idle timeout and take slots in the server's connection table from other balancers.
     pub(crate) fn close_spare_connections(&mut self, index: ServerIndex) {
         let server = &self.servers[index];
         let peak = server.peak_in_flight(self.now, PEAK_DECAY);
@@ -72,9 +76,10 @@
         }
     }
 
-    /// Whether a call would need a connection that its server did not let us have lately. Guards
-    /// against servers that accept fewer than usual: each attempt costs the whole time of a failed
-    /// connection.
+    /// Whether a call would need a new connection beyond the server's observed connection limit.
+    /// Each attempt beyond the limit of a server that accepts fewer connections than usual would
+    /// cost the full time of a failed connection. The limit rises by one per
+    /// [`CONNECTION_RETRY_INTERVAL`].
     pub(crate) fn is_at_connection_limit(&self, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let Some(limit) = server.connection_limit else {
--- a/crates/decisions/src/policy/load_probes.rs
+++ b/crates/decisions/src/policy/load_probes.rs
@@ -1,5 +1,5 @@
-//! Where load reports come with probes alone: the next servers in turn are probed before a call is
-//! sent.
+//! Load probes: if servers report their load only in response to probes, several servers are probed
+//! before a call is sent, and the least loaded one gets the call.
 
 use super::zones::Selection;
 use crate::api::{Action, LoadReport, Outcome, RequestId, ServerId};
@@ -8,15 +8,18 @@
 use crate::tuning::{MAX_PROBE_COST, MIN_SAMPLES, PROBE_TIMEOUT, PROBE_TOKEN_BIT, PROBED_SERVERS};
 
 impl Balancer {
-    /// Whether servers are probed before a call is sent.
+    /// Whether servers are probed before a call is sent: the settings ask for probes, load reports
+    /// carry the in-flight figure, and the probes of a call cost at most [`MAX_PROBE_COST`].
     pub(crate) fn probes_for_load(&self) -> bool {
         let is_affordable = PROBED_SERVERS as f64 * self.settings.probe_cost <= MAX_PROBE_COST;
         let has_figure = self.settings.in_flight_report_field.is_some();
         is_affordable && self.settings.probes_for_load && has_figure
     }
 
-    /// Probes the next servers in turn, the selected one first; with no other, sends at once.
-    pub(crate) fn compare_loads(
+    /// Probes the selected server and the next ones of the round robin, and holds the request until
+    /// they have reported or [`PROBE_TIMEOUT`] is over. If there is no other server, the request is
+    /// sent at once.
+    pub(crate) fn start_load_comparison(
         &mut self,
         id: RequestId,
         request: PendingRequest,
@@ -33,7 +36,7 @@
             if candidates.len() == PROBED_SERVERS {
                 break;
             }
-            // A fast one has turns more often.
+            // The round robin may pick the same server again: fast servers have more turns.
             if candidates.iter().all(|other| other.server != server) {
                 candidates.push(Candidate {
                     server,
@@ -62,7 +65,8 @@
         );
     }
 
-    /// Takes a load report, and sends the requests that have all of theirs.
+    /// Records the load report of a probed server, and sends the requests whose candidates have all
+    /// reported.
     pub(crate) fn on_probe_ended(
         &mut self,
         server: ServerId,
@@ -91,7 +95,9 @@
             }
         }
         complete.sort();
-        complete.into_iter().for_each(|id| self.on_compared(id));
+        complete
+            .into_iter()
+            .for_each(|id| self.finish_load_comparison(id));
     }
 
     fn reported_in_flight(&self, report: &LoadReport) -> Option<f64> {
@@ -101,9 +107,9 @@
             .map(|&figure| f64::from(figure))
     }
 
-    /// Sends to the first of the candidates with the fewest calls in flight for its size, or to the
-    /// first if none has reported.
-    pub(crate) fn on_compared(&mut self, id: RequestId) {
+    /// Sends a request to the ready candidate with the fewest calls in flight per unit of size, or to
+    /// the first ready candidate if none has reported.
+    pub(crate) fn finish_load_comparison(&mut self, id: RequestId) {
         let Some(comparison) = self.comparisons.remove(&id) else {
             return;
         };
@@ -114,7 +120,8 @@
         let load = |candidate: &Candidate| {
             candidate.in_flight.unwrap_or(f64::INFINITY) / self.servers[candidate.server].size
         };
-        // Since the probes, a server may have drained, or the window of a keyed request passed.
+        // Since the probes were sent, a server may have begun to drain, or the deduplication window
+        // of a keyed request may have expired.
         let is_harmless = self.is_repeat_harmless(&request);
         let is_ready = |it: &Candidate| is_harmless && self.servers[it.server].ready;
         let ready = candidates.into_iter().filter(is_ready);
@@ -128,8 +135,9 @@
         self.send(id, request, best.server);
     }
 
-    /// Whether the response would come too late behind the calls in flight: where work can't be
-    /// cancelled, it would hold up the next for nothing. Deeper tiers finish what was begun.
+    /// Whether the response is expected after the deadline, given the calls in flight at the server.
+    /// Such a call would delay other calls without benefit where work cannot be cancelled. Deeper
+    /// tiers never give up a call for this, because other tiers have already worked on its request.
     fn is_too_late(&self, request: &PendingRequest) -> bool {
         let left = request.deadline.saturating_sub(self.now) as f64;
         let latency = &self.latency_per_in_flight;
--- a/crates/decisions/src/policy/load_shedding.rs
+++ b/crates/decisions/src/policy/load_shedding.rs
@@ -1,14 +1,18 @@
-//! Load shedding: which new requests are rejected at once, the least valuable first.
+//! Load shedding: rejection of the least valuable new requests during an overload.
 
 use crate::balancer::Balancer;
 use crate::log::LogEvent;
 use crate::state::TenantLoad;
-use crate::tuning::{MAX_SHED, RATE_WINDOW, SECOND, SHED_ALL_AT, SHED_FROM, SHED_NOISE};
+use crate::tuning::{
+    MAX_SHED, RATE_WINDOW, SECOND, SHED_ALL_RELATIVE_LATENCY, SHED_NOISE,
+    SHED_START_RELATIVE_LATENCY,
+};
 
 impl Balancer {
-    /// Whether a new request is rejected at once: the least valuable first, as much of the work as
-    /// the shed level says. Deeper tiers finish what was begun.
-    pub(crate) fn sheds(&mut self, class: usize, tenant: usize) -> bool {
+    /// Records the demand of a new request, and decides whether it is rejected at once. The least
+    /// valuable part of the work is rejected, as much as [`Self::shed_level`] asks for. Deeper tiers
+    /// never shed, because other tiers have already worked on the request.
+    pub(crate) fn should_shed(&mut self, class: usize, tenant: usize) -> bool {
         if self.settings.tier > 0 {
             return false;
         }
@@ -22,11 +26,13 @@
         level > 0.0 && self.is_least_valuable(level.min(MAX_SHED), class, tenant)
     }
 
-    /// The part of the work that should be shed; none if it is 0 or less.
+    /// Part of the work that should be shed; at 0 or below, nothing is shed. Logs the beginning and
+    /// the end of load shedding.
     fn shed_level(&mut self) -> f64 {
         let (relative_latency, responses) = self.expected_relative_latency();
         let noise = SHED_NOISE / responses.max(1.0).sqrt();
-        let level = (relative_latency - SHED_FROM - noise) / (SHED_ALL_AT - SHED_FROM);
+        let level = (relative_latency - SHED_START_RELATIVE_LATENCY - noise)
+            / (SHED_ALL_RELATIVE_LATENCY - SHED_START_RELATIVE_LATENCY);
         if (level > 0.0) != self.is_shedding {
             self.is_shedding = level > 0.0;
             self.log(LogEvent::Shedding {
@@ -37,8 +43,8 @@
         level
     }
 
-    /// Whether a request is among the part of the work that is worth least; chance decides among
-    /// equals.
+    /// Whether a request belongs to the least valuable `part` of the work. Requests of equal value
+    /// are chosen at random.
     fn is_least_valuable(&mut self, part: f64, class: usize, tenant: usize) -> bool {
         let tenants = self.tenant_loads();
         let own = self.class_value(class) * tenants.get(tenant).map_or(1.0, |tenant| tenant.value);
@@ -55,9 +61,13 @@
         self.rng.f64() * same < part * total - below
     }
 
-    /// What each tenant sends, and how valuable it is. What is within a quota is judged by what the
-    /// others send for theirs: where callers retry, or come unevenly to balancers, all tenants are
-    /// over their quotas alike, and none shows by the rate.
+    /// Each tenant's share of the calls, and the part of its value that one of its calls is expected
+    /// to have.
+    ///
+    /// A tenant's calls within quota are measured against the calls that the other tenants send for
+    /// each unit of their quotas. A comparison with the quota's rate alone would not tell tenants
+    /// apart: if clients retry, or spread unevenly over the balancers, all tenants exceed their
+    /// quotas alike.
     fn tenant_loads(&self) -> Vec<TenantLoad> {
         let calls = self
             .load
@@ -76,7 +86,7 @@
             return vec![TenantLoad {
                 share: 1.0,
                 value: 1.0,
-            }]; // there are no tenants
+            }]; // no tenants are configured
         }
         let balancers = f64::from(self.settings.balancers.max(1));
         let least = RATE_WINDOW as f64 / SECOND as f64 / balancers;
@@ -93,7 +103,7 @@
         calls.iter().zip(quotas()).map(load).collect()
     }
 
-    /// Value of a class, for each unit of its work.
+    /// Value of a class per unit of its work.
     fn class_value(&self, class: usize) -> f64 {
         let mean = self.class_latencies[class].mean.max(1.0);
         let work = if self.settings.value_by_work {
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -1,9 +1,9 @@
-//! All decisions: where a call goes, whether it is retried, what is rejected.
+//! Load-balancing policies: server selection, retries and rejection of requests.
 //!
-//! The ordinary path is Ribbon's zone-aware load balancing: stay in the local zone while it is
-//! healthy, else avoid the worst zone, and go round robin past servers whose circuit breaker has
-//! tripped or that are overloaded. `docs/design.md` has the source, and the condition under which
-//! each exception acts.
+//! The common path is Ribbon's zone-aware load balancing: a call stays in the local zone while that
+//! zone is healthy and otherwise avoids the worst zone. Within the zone, a round robin skips servers
+//! that are overloaded or whose circuit breaker has tripped. `docs/design.md` cites the source and
+//! states the condition of each exception to this path.
 
 mod breakers;
 mod connections;
--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the progress and the end of an attempt tell, and what follows from it.
+//! Handling of late attempts, begun responses and ended attempts.
 
 use crate::api::{Action, AttemptEnd, Outcome, RequestId};
 use crate::balancer::Balancer;
@@ -8,24 +8,29 @@
 };
 
 impl Balancer {
-    /// A response that has begun is not late any more, and its rest comes at its caller's pace.
+    /// Closes the request of a streamed response that has begun. The attempt can no longer be late,
+    /// and the client determines the pace of the remaining response, so only the time to its start
+    /// is recorded as latency.
     pub(crate) fn on_response_started(&mut self, id: RequestId, attempt: u32) {
         let is_current =
             |request: &&mut PendingRequest| request.attempts == attempt + 1 && !request.closed;
         let Some(request) = self.requests.get_mut(&id).filter(is_current) else {
             return;
         };
-        request.delay = AttemptDelay::Counted;
+        request.delay = AttemptDelay::Settled;
         request.closed = true;
         request.response_started = true;
-        let (class, target_inverse, sent) = (request.class, request.target_inverse, request.sent);
+        let (class, target_inverse, sent) =
+            (request.class, request.target_inverse, request.last_attempt);
         self.close_pending(target_inverse, WorkedOn::Yes);
         if let Some(sent) = sent {
             self.record_latency(sent.server, class, self.now - sent.at);
         }
     }
 
-    /// A server that slows down or hangs shows by calls that don't end, long before they time out.
+    /// Checks an attempt that has exceeded the usual latency. This detects a slow or hung server long
+    /// before its calls time out: the first check records the latency against the server, the second
+    /// one counts as a failure.
     pub(crate) fn on_attempt_late(&mut self, token: u64) {
         let id = RequestId(token as u32);
         let open = |request: &&mut PendingRequest| !request.closed;
@@ -33,13 +38,13 @@
             return;
         };
         let is_current = u64::from(request.attempts) == (token >> 32) + 1;
-        let Some(sent) = request.sent.filter(|_| is_current) else {
+        let Some(sent) = request.last_attempt.filter(|_| is_current) else {
             return;
         };
         match request.delay {
             AttemptDelay::OnTime => {
                 request.delay = AttemptDelay::Late;
-                // The call is stuck at its server: others must not be shed for it.
+                // The call is stuck at its server and must not cause load shedding of other calls.
                 let pending = std::mem::take(&mut request.target_inverse);
                 let class = request.class;
                 self.change_pending(-pending);
@@ -50,15 +55,16 @@
                 self.actions.push(Action::SetTimer { after, token });
             }
             AttemptDelay::Late => {
-                request.delay = AttemptDelay::Counted;
+                request.delay = AttemptDelay::Settled;
                 let idle_step = request.idle_step;
                 self.on_attempt_failed(sent.server, idle_step);
             }
-            AttemptDelay::Counted => {}
+            AttemptDelay::Settled => {}
         }
     }
 
-    /// Learns from the end of an attempt, and retries or gives up a request without response.
+    /// Records the end of an attempt. A request that has no final response yet is retried or given
+    /// up.
     pub(crate) fn on_attempt_ended(&mut self, id: RequestId, end: AttemptEnd) {
         let is_current = |request: &PendingRequest| request.attempts == end.attempt + 1;
         if !self.requests.get(&id).is_some_and(is_current) {
@@ -67,7 +73,9 @@
         let Some(mut request) = self.requests.remove(&id) else {
             return;
         };
-        let Some(sent) = request.sent else { return };
+        let Some(sent) = request.last_attempt else {
+            return;
+        };
         self.count_in_flight(sent.server, InFlight::Ends);
         self.servers[sent.server].idle_since = self.now;
         self.close_spare_connections(sent.server);
@@ -80,7 +88,7 @@
             return self.close_pending(request.target_inverse, WorkedOn::Yes);
         }
         if !end.outcome.never_ran() {
-            request.may_have_run = request.may_have_run.or(request.sent);
+            request.may_have_run = request.may_have_run.or(request.last_attempt);
         }
         if self.may_retry(&request, end.outcome) {
             self.attempt(id, request);
@@ -110,14 +118,16 @@
             .last_response_at
             .saturating_add(ALIVE_WINDOW);
         let is_alive = self.now < alive_until;
-        // A time-out that is short even for a sound server is the caller's fault.
+        // A timeout below twice the mean latency is too short even for a healthy server: it comes
+        // from the client's deadline and does not count as a failure of the server.
         let mean = self.class_latencies[request.class].mean;
         let is_too_short = (end.elapsed as f64) < 2.0 * mean;
         match end.outcome {
             Outcome::Ok => self.record_success(request, index),
-            Outcome::Timeout if request.delay == AttemptDelay::Counted || is_too_short => {}
-            // Rejected at once, calls never fill a server's limit: the only one that is not at its
-            // limit would get all turns. It is at its limit until a call has had the time to end.
+            Outcome::Timeout if request.delay == AttemptDelay::Settled || is_too_short => {}
+            // Rejected calls end at once and never add to the calls in flight, so a rejecting server
+            // would look idle and get all turns. It counts as overloaded for one baseline latency,
+            // the time in which one of its calls can end.
             Outcome::Full => {
                 let until = self.now + self.overall_latency.baseline as u64;
                 self.servers[index].overloaded_until = until;
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request: accepted or shed, sent, and given up.
+//! Lifecycle of a request: acceptance or load shedding, attempts, disconnection and final response.
 
 use crate::api::{Action, Duration, Effect, RequestId, RequestParameters, Time};
 use crate::balancer::Balancer;
@@ -9,7 +9,7 @@
 };
 
 impl Balancer {
-    /// Accepts a new request and sends it, or rejects it.
+    /// Accepts a new request and sends its first attempt, or rejects the request.
     pub(crate) fn on_request(&mut self, id: RequestId, parameters: RequestParameters) {
         let class = parameters.class;
         let Some(settings) = self.settings.classes.get(class) else {
@@ -24,7 +24,7 @@
             max_attempts: self.settings.max_attempts.min(parameters.max_attempts),
             ..PendingRequest::default()
         };
-        if self.sheds(class, parameters.tenant) {
+        if self.should_shed(class, parameters.tenant) {
             self.reject_or_fail(id, &request);
         } else {
             self.change_pending(request.target_inverse);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// How long a response is worth waiting for.
+    /// Time after which a response to a request has no value any more.
     fn useful_time(&self, parameters: &RequestParameters) -> Duration {
         let class = &self.settings.classes[parameters.class];
         let stretch = class.latency_target_stretch * parameters.work.unwrap_or(0) as f64;
@@ -41,8 +41,9 @@
             .latency_target
             .saturating_add(stretch as Duration)
             .min(class.deadline);
-        // Where a response after the target is worth nothing, waiting on only blocks a slot. A deeper
-        // tier that is given no deadline must not work on for a client that is long gone.
+        // If a response after the latency target has no value, a longer wait only occupies a slot.
+        // A deeper tier that receives no deadline from its caller is limited to the target as well,
+        // so that it does not go on with work for a client that has disconnected.
         let is_deadline_guessed = self.settings.tier > 0 && !self.settings.propagates_deadline;
         if class.late_value <= 0.0 || is_deadline_guessed {
             parameters.time_left.min(target)
@@ -51,22 +52,23 @@
         }
     }
 
-    /// Chooses a server for the next attempt, and sends it or probes the candidates first.
+    /// Chooses a server for the next attempt and sends the attempt, or first probes several servers
+    /// for their load.
     pub(crate) fn attempt(&mut self, id: RequestId, request: PendingRequest) {
         let Some(selection) = self.choose(&request) else {
-            self.unplaced_at = self.now;
+            self.no_server_found_at = self.now;
             return self.give_up(id, &request);
         };
-        // With hardly any time left, the response would be due before the load reports.
+        // Probing needs enough time before the deadline to receive the load reports and a response.
         let in_time = self.now.saturating_add(2 * PROBE_TIMEOUT) < request.deadline;
         if in_time && self.probes_for_load() {
-            self.compare_loads(id, request, selection);
+            self.start_load_comparison(id, request, selection);
         } else {
             self.send(id, request, selection.server);
         }
     }
 
-    /// Sends an attempt to a server.
+    /// Sends the next attempt of a request to a server.
     pub(crate) fn send(&mut self, id: RequestId, mut request: PendingRequest, index: ServerIndex) {
         let (until, begin_by) = (self.attempt_timeout(&request), self.repeat_until(&request));
         self.set_late_timer(id, &request);
@@ -85,7 +87,7 @@
             begin_by,
         });
         request.is_breaker_trial = server.breaker.tripped;
-        request.sent = Some(SentAttempt {
+        request.last_attempt = Some(SentAttempt {
             server: index,
             at: now,
         });
@@ -103,7 +105,8 @@
         }
     }
 
-    /// When an attempt times out. Work that must not run twice, or has no time to, may still finish.
+    /// When an attempt times out. A request that may not be repeated, or has no time for a repeat,
+    /// times out only at its deadline, since the attempt may still succeed.
     fn attempt_timeout(&self, request: &PendingRequest) -> Time {
         let left = request.deadline.saturating_sub(self.now);
         let latency = &self.class_latencies[request.class];
@@ -120,12 +123,13 @@
         }
     }
 
-    /// Time within which no attempt of a class times out.
+    /// Minimum attempt timeout of a class.
     pub(crate) fn min_timeout(&self, class: usize) -> Duration {
         (MIN_TIMEOUT_PART * self.settings.classes[class].latency_target as f64) as Duration
     }
 
-    /// Closes a request, and cancels its attempt if that is allowed.
+    /// Closes a request whose client has disconnected, and cancels its attempt if the settings allow
+    /// it.
     pub(crate) fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(comparison) = self.comparisons.remove(&id) {
             return self.close_pending(comparison.request.target_inverse, WorkedOn::No);
@@ -145,7 +149,7 @@
         self.close_pending(target_inverse, WorkedOn::Yes);
     }
 
-    /// Ends a request without a response from a server.
+    /// Ends a request that got no response from a server.
     pub(crate) fn give_up(&mut self, id: RequestId, request: &PendingRequest) {
         let worked_on = match request.may_have_run {
             Some(_) => WorkedOn::Yes,
--- a/crates/decisions/src/policy/retries.rs
+++ b/crates/decisions/src/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: which are harmless, in time, and within the budget.
+//! Retries: whether a repeat is harmless, in time and within the retry budget.
 
 use crate::api::{Effect, Outcome, Time};
 use crate::balancer::Balancer;
@@ -6,26 +6,28 @@
 use crate::tuning::RETRY_DEPOSIT;
 
 impl Balancer {
-    /// Whether a request is attempted again after an attempt that ended so.
+    /// Whether a request is attempted again after its last attempt ended with the outcome `ended`.
+    /// A retry that is granted is taken from the retry budget.
     pub(crate) fn may_retry(&mut self, request: &PendingRequest, ended: Outcome) -> bool {
         let left = request.deadline.saturating_sub(self.now) as f64;
         let is_in_time = left > self.class_latencies[request.class].mean / 2.0;
-        // What never ran is bounded too: where nothing can be reached, each call would make all its
-        // attempts.
+        // The budget also bounds retries of attempts that never ran. Without it, every call would
+        // use up all its attempts when no server can be reached.
         let has_attempts_left = request.attempts < request.max_attempts;
         let is_harmless = self.is_repeat_harmless(request);
         is_harmless
             && is_in_time
             && has_attempts_left
-            && self.retry_budget.withdraw(retry_price(ended))
+            && self.retry_budget.withdraw(retry_cost(ended))
     }
 
-    /// Whether calls of a class may be sent again though they may have run.
+    /// Whether calls of a class may be sent again after an attempt that may have run.
     pub(crate) fn is_idempotent(&self, class: usize) -> bool {
         self.settings.classes[class].effect != Effect::Unsafe
     }
 
-    /// Whether another attempt can do no harm, save for the scope of servers that it may go to.
+    /// Whether another attempt at a request is harmless. The servers that a keyed request may be
+    /// sent to are checked separately, when a server is picked.
     pub(crate) fn is_repeat_harmless(&self, request: &PendingRequest) -> bool {
         match (
             self.settings.classes[request.class].effect,
@@ -37,7 +39,8 @@
         }
     }
 
-    /// When a repeat of keyed work must have begun: servers may have forgotten the key by then.
+    /// Time by which a repeat of a request must have begun. A keyed request may only be repeated
+    /// within its deduplication window, after which servers may have dropped its idempotency key.
     pub(crate) fn repeat_until(&self, request: &PendingRequest) -> Time {
         match (
             self.settings.classes[request.class].effect,
@@ -49,14 +52,15 @@
     }
 }
 
-/// What a retry takes from the budget.
+/// Cost of a retry, in units of the retry budget.
 ///
-/// What was never sent has cost no server anything: calls that wait for a stream on a connection
-/// whose server drains come back all at once, and would be rejected though others have capacity. Nor
-/// has a connection that did not come up: what a request earns pays for one. Many callers with few
-/// calls each fill the connection tables of servers, and were rejected for that though others had
-/// capacity.
-fn retry_price(ended: Outcome) -> f64 {
+/// An attempt that was never sent has cost no server any work, so its retry is free: when a server
+/// drains, all calls that wait for a stream on its connection come back at once and would otherwise
+/// exhaust the budget and be rejected although other servers have capacity. A failed connection
+/// costs no server work either, and its retry costs only the deposit of one request: many callers
+/// with few calls each can fill the connection tables of servers, and at the full cost their calls
+/// were rejected although other servers had capacity.
+fn retry_cost(ended: Outcome) -> f64 {
     match ended {
         Outcome::Moot => 0.0,
         Outcome::ConnectFailed => RETRY_DEPOSIT,
--- a/crates/decisions/src/policy/round_robin.rs
+++ b/crates/decisions/src/policy/round_robin.rs
@@ -1,4 +1,4 @@
-//! Which server of a pool a call goes to: a weighted round robin past servers that are not available.
+//! Weighted round robin over the servers of a pool, which skips servers that are not available.
 
 use crate::api::{DedupScope, Effect};
 use crate::balancer::Balancer;
@@ -8,21 +8,25 @@
     SERVER_OVERLOAD_RATIO, SUCCESS_RATE_POWER, TRIAL_SHARE,
 };
 
-/// Positions in a pool to fall back to where no server is available.
+/// Positions in a pool to fall back to if no server is available. Each holds the first position
+/// found.
 #[derive(Debug, Default)]
 struct Fallback {
-    /// Overloaded, but neither tripped nor rejecting.
+    /// An overloaded server that is neither tripped nor rejecting calls.
     overloaded: Option<usize>,
-    /// Not its turn, or doubtful for the call.
-    doubtful: Option<usize>,
-    /// Any that may be sent to at all.
+    /// A server that was passed over, because it had no turn or was unsuitable for the call.
+    passed_over: Option<usize>,
+    /// Any server that the call may be sent to.
     any: Option<usize>,
 }
 
 impl Balancer {
-    /// Picks the next available server of a pool. The fallback only guarantees a quick return:
-    /// better an overloaded server than a tripped or rejecting one, and better one of another zone
-    /// than those.
+    /// Picks the next available server of a pool.
+    ///
+    /// The search ends after [`MAX_PROPOSALS`] proposals or [`MAX_ROUNDS`] rounds, and then takes a
+    /// fallback: an overloaded server is preferred to a tripped or rejecting one. Tripped and
+    /// rejecting servers are a fallback only in the pool of all servers, so that a server of
+    /// another zone is preferred to them.
     pub(crate) fn pick(
         &mut self,
         pool: PoolIndex,
@@ -43,7 +47,8 @@
             fallback.any = fallback.any.or(Some(position));
             if !self.is_proposed(pool, index, request) {
                 let closed = !self.servers[index].breaker.tripped;
-                fallback.doubtful = fallback.doubtful.or(Some(position).filter(|_| closed));
+                let passed_over = Some(position).filter(|_| closed);
+                fallback.passed_over = fallback.passed_over.or(passed_over);
                 continue;
             }
             let is_rejecting = self.is_rejecting(index);
@@ -63,7 +68,7 @@
     }
 
     fn pick_fallback(&mut self, pool: PoolIndex, fallback: &Fallback) -> Option<ServerIndex> {
-        let usable = fallback.overloaded.or(fallback.doubtful);
+        let usable = fallback.overloaded.or(fallback.passed_over);
         let has_all = pool == self.settings.zones;
         let position = if has_all {
             usable.or(fallback.any)?
@@ -74,21 +79,25 @@
         Some(self.pools[pool].members[position])
     }
 
-    /// Whether a server may be sent to at all. Draining and removed ones are in no pool.
+    /// Whether a request may be sent to a server of a pool at all. Draining and removed servers are
+    /// in no pool.
     fn is_candidate(
         &mut self,
         pool: PoolIndex,
         index: ServerIndex,
         request: &PendingRequest,
     ) -> bool {
-        let is_repeat = request.sent.is_some_and(|last| last.server == index);
+        let is_repeat = request
+            .last_attempt
+            .is_some_and(|last| last.server == index);
         let has_others = self.pools[pool].members.len() > 1;
         !(is_repeat && has_others)
             && self.is_in_dedup_scope(index, request)
             && self.slow_start_admits(pool, index)
     }
 
-    /// A keyed request that may have run stays with the servers that drop its repeats.
+    /// Whether a server is in the deduplication scope of a request. A keyed request that may have
+    /// run is only repeated at servers that would drop the repeat.
     fn is_in_dedup_scope(&self, index: ServerIndex, request: &PendingRequest) -> bool {
         let server = &self.servers[index];
         let first = request
@@ -101,8 +110,10 @@
         }
     }
 
-    /// Whether it is a server's turn, and nothing speaks against it for this call. Where the fleet
-    /// has few calls try a zone, those try it: each trial call that is due goes.
+    /// Whether a server is proposed for a request: it has a turn and is suitable for the request.
+    ///
+    /// In a zone to which the fleet sends a reduced share of its traffic, a server with a tripped
+    /// breaker is proposed without a turn, so that the few calls there serve as trial calls.
     fn is_proposed(
         &mut self,
         pool: PoolIndex,
@@ -112,13 +123,14 @@
         let zone = self.servers[index].zone;
         let is_zone_tried = self.pools[zone].traffic_share.get(self.now) < 1.0;
         let is_trial = self.servers[index].breaker.tripped && is_zone_tried;
-        !self.is_doubtful(index, request.class)
+        !self.is_unsuitable(index, request.class)
             && !self.avoided_zones.contains(&zone)
             && (self.takes_turn(pool, index) || is_trial)
     }
 
-    /// Whether calls of a class that must not run twice should leave a server to others.
-    fn is_doubtful(&self, index: ServerIndex, class: usize) -> bool {
+    /// Whether a server is too likely to fail for calls of a class. Calls that must not run twice
+    /// avoid failing servers and servers on trial; other calls find out whether these have recovered.
+    fn is_unsuitable(&self, index: ServerIndex, class: usize) -> bool {
         let is_failing = || self.excess_failure_rate(index, 2.0) > MAX_EXCESS_FAILURE_RATE;
         let is_trial = || self.traffic_share_of_server(index) <= TRIAL_SHARE;
         !self.is_idempotent(class) && (is_failing() || is_trial())
@@ -133,10 +145,12 @@
         f64::from(server.in_flight) >= (usual_in_flight * server.size).ceil().max(1.0)
     }
 
-    /// Weighted turns: a smaller or slower server takes a fraction of the turns that the best takes;
-    /// in an overload the slow ones would else be swamped while fast ones idle. One that fails some
-    /// of its calls, too few in a row to trip, takes few turns as well. One in slow start has its
-    /// budget instead.
+    /// Whether a server takes its turn in the weighted round robin.
+    ///
+    /// A server's weight grows with its size and speed, as slow servers would otherwise be overloaded
+    /// while fast ones idle. Its failure rate reduces the weight even where too few calls in a row
+    /// fail to trip its breaker. A server in slow start takes every turn, because its slow-start
+    /// budget limits its calls instead.
     fn takes_turn(&mut self, pool: PoolIndex, index: ServerIndex) -> bool {
         let is_warm = self.warmth(index) >= 1.0;
         let success_rate = 1.0 - self.excess_failure_rate(index, 1.0);
@@ -144,7 +158,8 @@
         let server = &mut self.servers[index];
         let speed = server.slowness.max(MIN_SLOWNESS).powi(-2);
         let weight = server.size * speed * success_rate.powi(SUCCESS_RATE_POWER) * share;
-        // The best one takes each turn; which that was is forgotten, as it may be no more.
+        // The server of the highest weight takes every turn. The highest weight decays, since its
+        // server may have left the pool or slowed down.
         let best = &mut self.pools[pool].best_weight;
         *best = weight.max(*best * BEST_WEIGHT_DECAY);
         server.turn_credit += weight / best.max(f64::MIN_POSITIVE);
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much a server whose process has just started is sent.
+//! Slow start: limits on the calls that are sent to a server whose process has just started.
 
 use crate::api::Duration;
 use crate::balancer::Balancer;
@@ -9,9 +9,12 @@
 };
 
 impl Balancer {
-    /// A server's slow-start budget grows with time, by its share of the calls that this balancer
-    /// gets responses to, times its warmth: what is asked for in an overload is more than even warm
-    /// servers can do. As all balancers do likewise, the sum stays near what it can do.
+    /// Whether the slow-start budget of a server allows one more call.
+    ///
+    /// The budget grows with time, by the server's share of the responses that this balancer gets,
+    /// times its warmth. The responses are counted and not the requests, because in an overload more
+    /// is requested than even warm servers can handle. Since all balancers do the same, the sum of
+    /// their calls stays near the server's capacity.
     pub(crate) fn slow_start_admits(&mut self, pool: PoolIndex, index: ServerIndex) -> bool {
         if !self.has_slow_start_budget(index) {
             return true;
@@ -25,31 +28,34 @@
         server.slow_start_budget >= 1.0
     }
 
-    /// Calls per second that a server may be sent for each unit of its size.
+    /// Calls per second that may be sent to a server in slow start, per unit of its size.
     fn slow_start_rate(&mut self, pool: PoolIndex, index: ServerIndex) -> f64 {
         let (warmth, overload) = (self.warmth(index), self.settings.slow_start_overload);
-        // Where servers are probed before they get a call, a busy one in slow start is seen: half the
-        // multiple that overloads it is safe, and its share of proposals alone would leave it idle.
-        let ease = if self.probes_for_load() {
+        // Load probes show whether a server in slow start is busy. Half the multiple that overloads
+        // it is then safe, while its plain share of the proposals would leave it idle.
+        let probe_factor = if self.probes_for_load() {
             (overload / 2.0).max(1.0)
         } else {
             1.0
         };
-        let share = self.known_rate() * ease / self.pools[pool].size.max(f64::MIN_POSITIVE);
-        let beyond = if warmth < 1.0 {
+        let rate = self.estimated_calls_per_second();
+        let share = rate * probe_factor / self.pools[pool].size.max(f64::MIN_POSITIVE);
+        let overload_factor = if warmth < 1.0 {
             1.0
         } else {
             SAFE_OVERLOAD_PART * overload
         };
-        warmth * self.warm_share(self.servers[index].zone, share) * beyond
+        warmth * self.warm_share(self.servers[index].zone, share) * overload_factor
     }
 
-    /// What a warm server of a zone may be sent, for each unit of its size: its share of the
-    /// responses of late, or what the zone is known to have borne: after an outage there were no
-    /// responses lately, and by that alone all servers that return would be kept waiting past their
-    /// return. Where most of all zones is in slow start no warm server takes the rest: what they bore
-    /// was less than they can do, and a part of the multiple that overloads them is safe. Beyond that
-    /// a zone's pace grows while its responses are in time, up to all that is asked for.
+    /// Calls per second that may be sent to a warm server of a zone, per unit of its size: its share
+    /// of the recent responses, or the proven rate of the zone if that is higher.
+    ///
+    /// After an outage there are no recent responses, and without the proven rate all returning
+    /// servers would be kept waiting beyond their return. If most servers of all zones are in slow
+    /// start, no warm server takes the remaining calls. The proven rate is less than the capacity
+    /// then, and a part of the multiple that overloads a server is safe. Beyond that, the slow-start
+    /// pace of the zone grows while its responses are in time, up to the full demand.
     fn warm_share(&mut self, zone: PoolIndex, share: f64) -> f64 {
         self.update_warm_size();
         let all = &self.pools[self.settings.zones];
@@ -61,8 +67,9 @@
         (share * pool.slow_start_pace).max(proven)
     }
 
-    /// A call to a server in slow start took this part of its latency target. Few calls change the
-    /// pace little: they tell of less time.
+    /// Adjusts the slow-start pace of a zone to the latency of a call, given as a part of the call's
+    /// latency target. The step depends on the time since the last adjustment, up to a quarter of the
+    /// doubling time, so that few calls change the pace little.
     pub(crate) fn adjust_slow_start_pace(&mut self, zone: PoolIndex, relative_latency: f64) {
         let calls = (PACE_DOUBLING_CALLS * self.overall_latency.mean) as Duration;
         let doubling = PACE_DOUBLING.max(calls);
@@ -77,13 +84,14 @@
         }
     }
 
-    /// Whether a server's new calls are budgeted: during slow start, and as long again while calls
-    /// find no server. Where budgets alone held an overload back, all of it would come in the instant
-    /// in which they end.
+    /// Whether the slow-start budget limits the calls to a server: during slow start, and for up to
+    /// another slow-start window while calls find no server. If only the budgets hold back an
+    /// overload, the full overload would otherwise reach the servers in the instant when slow start
+    /// ends.
     pub(crate) fn has_slow_start_budget(&self, index: ServerIndex) -> bool {
-        let lingers = self.now < self.unplaced_at.saturating_add(BUDGET_EXTENSION);
+        let is_extended = self.now < self.no_server_found_at.saturating_add(BUDGET_EXTENSION);
         let started = self.servers[index].started_at;
         let until = started.map_or(0, |at| at + 2 * self.settings.slow_start_window);
-        lingers && self.now < until || self.warmth(index) < 1.0
+        is_extended && self.now < until || self.warmth(index) < 1.0
     }
 }
--- a/crates/decisions/src/policy/zones.rs
+++ b/crates/decisions/src/policy/zones.rs
@@ -1,4 +1,5 @@
-//! Which zone a call goes to: zone affinity, zone avoidance, and spillover of what is too much.
+//! Zone selection: affinity to the local zone, avoidance of unhealthy zones, and spillover of the
+//! calls beyond the capacity of the local zone.
 
 use crate::api::Time;
 use crate::balancer::Balancer;
@@ -9,7 +10,7 @@
     SPILLOVER_COST_PART, SPILLOVER_GAIN, SPILLOVER_NOISE, TRIAL_SHARE, ZONE_OVERLOAD,
 };
 
-/// A server that was selected, and the pool it was selected from.
+/// A selected server, and the pool from which it was selected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Selection {
     pub pool: PoolIndex,
@@ -40,7 +41,9 @@
         })
     }
 
-    /// Draws the zones that a call avoids: by chance, by the share of traffic that is left to each.
+    /// Draws at random the zones that a call avoids, according to the share of its usual traffic that
+    /// the fleet's health evidence leaves each zone. Calls that must not run twice avoid all zones
+    /// that are only on trial.
     fn draw_avoided_zones(&mut self, class: usize) {
         self.avoided_zones.clear();
         for zone in 0..self.settings.zones {
@@ -68,8 +71,11 @@
         });
     }
 
-    /// The pool that a call tries first. What the fleet tries or returns to goes by the fleet's
-    /// pace: what this balancer has seen itself decays too slowly.
+    /// The pool in which a call looks for a server first.
+    ///
+    /// While the fleet's health evidence reduces the traffic of the local zone, the fleet's share
+    /// decides whether the local zone is used. The balancer's own observations decay too slowly to
+    /// follow the fleet's return to a zone.
     fn first_pool(&mut self, local: PoolIndex, class: usize) -> PoolIndex {
         let is_paced = self.pools[local].traffic_share_of(class, self.now) < 1.0;
         if self.avoided_zones.contains(&local) || (!is_paced && self.local_zone_left) {
@@ -82,8 +88,9 @@
         }
     }
 
-    /// A zone whose breakers have all opened is no longer used, and so would get no trial call: a
-    /// due one goes before. Other zones get theirs by calls that leave the local one anyhow.
+    /// Selects a server for a due trial call in a zone whose breakers are all open. Such a zone is
+    /// not used otherwise and would never get a trial call. Zones other than the local one are tried
+    /// only by calls that leave the local zone in any case.
     fn trial_in_tripped_zone(
         &mut self,
         local: PoolIndex,
@@ -102,7 +109,9 @@
         })
     }
 
-    /// The three tests of zone affinity, and for small callers a fourth.
+    /// Whether calls may stay in the local zone. These are Ribbon's three tests of zone affinity
+    /// (healthy servers, tripped breakers, load), and a test of the zone's failure rate for callers
+    /// with too few calls to trip breakers.
     fn is_local_zone_usable(&self, local: PoolIndex) -> bool {
         let zone = &self.pools[local];
         let is_blackout = zone.tripped as f64 >= BLACKOUT_THRESHOLD * zone.members.len() as f64;
@@ -112,10 +121,13 @@
         is_healthy && !self.is_overloaded(zone, zone.size)
     }
 
-    /// Another zone for a call that the local zone, though healthy, has no capacity for: where it has
-    /// more traffic than its servers can carry, calls get slow at all of them, and a caller with few
-    /// calls has too few in flight to see it. Only the surplus spills over: as large a part of the
-    /// calls as the local zone is slower.
+    /// Draws another zone for a call that exceeds the capacity of the healthy local zone, or `None`
+    /// if the call stays.
+    ///
+    /// If a zone gets more traffic than its servers can handle, calls are slow at all of them, and a
+    /// caller with few calls has too few in flight to detect the overload by their number. The part
+    /// of the calls that spills over is proportional to the latency that spillover gains, so that
+    /// only the surplus leaves the zone.
     fn spillover_zone(&mut self, local: PoolIndex) -> Option<PoolIndex> {
         if self.pools[local].relative_latency.calls < MIN_SAMPLES {
             return None;
@@ -137,7 +149,7 @@
         (self.rng.f64() < SPILLOVER_GAIN * gain).then_some(zone)
     }
 
-    /// A random one of the zones that are eligible, larger ones more often.
+    /// Draws one of the eligible zones at random. Zones with more servers are drawn more often.
     fn random_zone(&mut self, is_eligible: impl Fn(PoolIndex, &Pool) -> bool) -> Option<PoolIndex> {
         let (all, zones) = self.pools.split_last()?;
         let count = all.members.len();
@@ -147,20 +159,25 @@
         drawn.find(|&zone| zones.get(zone).is_some_and(|pool| is_eligible(zone, pool)))
     }
 
-    /// Whether a zone has far more calls in flight than without load, if its load were that of a
-    /// zone of `normal_size`. A caller with few calls would never reach a fixed threshold.
+    /// Whether a zone has far more calls in flight than expected without load. The expected number
+    /// is that of a zone of `normal_size`, scaled to the zone's size. It replaces a fixed threshold,
+    /// which a caller with few calls would never reach.
     fn is_overloaded(&self, zone: &Pool, normal_size: f64) -> bool {
         if self.overall_latency.calls < MIN_SAMPLES {
-            return false; // at a start there is no baseline yet, and every zone would be left at once
+            // After a start there is no baseline yet, and every zone would be left at once.
+            return false;
         }
         let expected = self.baseline_in_flight() * zone.size / normal_size.max(f64::MIN_POSITIVE);
         let limit = ZONE_OVERLOAD.ratio * expected + ZONE_OVERLOAD.deviations * expected.sqrt();
         f64::from(zone.in_flight) > limit.max(ZONE_OVERLOAD.min_in_flight)
     }
 
-    /// Drops the zones whose breakers have all tripped, those where half of the calls fail (a small
-    /// caller finds each server by itself), and the worst overloaded one. If any was dropped: one of
-    /// the rest, larger ones more often.
+    /// Applies zone avoidance: excludes zones whose breakers have all tripped, zones where half of
+    /// the calls fail, and the most overloaded zone. If any zone was excluded, draws one of the
+    /// others, larger ones more often; otherwise returns `None`.
+    ///
+    /// The failure rate is tested because a caller with few calls would have to find each failing
+    /// server of a zone separately.
     fn zone_after_avoidance(&mut self, local: PoolIndex) -> Option<PoolIndex> {
         let now = self.now;
         let worst = self.worst_overloaded_zone(local);
--- a/crates/decisions/src/state/averages.rs
+++ b/crates/decisions/src/state/averages.rs
@@ -1,4 +1,4 @@
-//! Running averages whose older samples fade.
+//! Exponentially weighted averages, rates and sums.
 
 use crate::api::{Duration, LearnedLatency, Time};
 use crate::tuning::BaselineGain;
@@ -17,7 +17,7 @@
 }
 
 impl LatencyEstimate {
-    /// The form in which it is handed to a successor.
+    /// Converts the estimate to the form in which it is handed over to a new process.
     pub fn to_learned(&self) -> LearnedLatency {
         LearnedLatency {
             mean: self.mean,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// An estimate that a predecessor has handed over.
+    /// Restores an estimate that the previous process has handed over.
     pub fn from_learned(learned: &LearnedLatency) -> Self {
         Self {
             mean: learned.mean,
@@ -37,13 +37,13 @@
         }
     }
 
-    /// The latency that lies this many mean deviations above the mean; one millisecond at least.
+    /// The latency that lies `deviations` mean deviations above the mean, at least one millisecond.
     pub fn above_mean(&self, deviations: f64) -> Duration {
         (self.mean + deviations * self.mean_deviation).max(1e6) as Duration
     }
 
     /// Records a sample. The first samples weigh more than `gain`, so that the estimate starts at
-    /// the first one.
+    /// the first sample instead of 0.
     pub fn record(&mut self, sample: f64, gain: f64, baseline_gain: BaselineGain) {
         self.calls = self.calls.saturating_add(1);
         let least = 1.0 / f64::from(self.calls);
@@ -59,7 +59,7 @@
     }
 }
 
-/// The part of some calls that failed lately; it decays while nothing is recorded.
+/// Part of the recent calls that failed. It decays while no calls are recorded.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureRate {
     rate: f64,
@@ -85,7 +85,7 @@
 pub(crate) struct DecayingSum {
     /// The sum at `updated_at`.
     pub sum: f64,
-    /// When it was counted last.
+    /// Time of the last update.
     pub updated_at: Time,
     started_at: Time,
 }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A sum that has stood at a rate for long.
+    /// A sum in the steady state of a constant rate.
     pub fn at_rate(per_second: f64, now: Time, window: Duration) -> Self {
         Self {
             sum: per_second * window as f64 / 1e9,
@@ -109,7 +109,8 @@
         }
     }
 
-    /// The sum per second, unbiased from the first second on.
+    /// The sum per second. The part of the window before the start of the sum is compensated, so
+    /// that the rate is not underestimated at first.
     pub fn per_second(&self, now: Time, window: Duration) -> f64 {
         let age = now.saturating_sub(self.started_at) as f64;
         let seen = 1.0 - (-age / window as f64).exp();
@@ -121,7 +122,7 @@
         self.sum * (-(now.saturating_sub(self.updated_at) as f64) / window as f64).exp()
     }
 
-    /// Adds to the sum.
+    /// Adds `amount` to the sum, which has decayed until `now`.
     pub fn add(&mut self, now: Time, amount: f64, window: Duration) {
         self.sum = self.get(now, window) + amount;
         self.updated_at = now;
--- a/crates/decisions/src/state/load.rs
+++ b/crates/decisions/src/state/load.rs
@@ -1,25 +1,25 @@
-//! The load that load shedding goes by.
+//! Load figures on which load shedding is based.
 
 use super::DecayingSum;
 use crate::api::{Duration, Time};
 
-/// Requests pending, responses given, and the demand of classes and tenants.
+/// Pending requests, responses, and the demand of classes and tenants.
 #[derive(Debug, Default)]
 pub(crate) struct LoadMeter {
-    /// Requests pending now, each counted as one over its latency target.
+    /// Requests pending now, each counted as the inverse of its latency target in nanoseconds.
     pub pending: f64,
-    /// The same, summed over the response window.
+    /// Integral of `pending` over time, decaying over the response window.
     pub pending_sum: DecayingSum,
-    /// Responses given in the response window.
+    /// Responses in the response window.
     pub responses: DecayingSum,
-    /// Work asked for by each class, in nanoseconds.
+    /// Requested work by class, in nanoseconds.
     pub class_demand: Vec<DecayingSum>,
-    /// Calls of each tenant.
+    /// Calls by tenant.
     pub tenant_calls: Vec<DecayingSum>,
 }
 
 impl LoadMeter {
-    /// A meter for so many classes and tenants.
+    /// A meter without load, for the given numbers of classes and tenants.
     pub fn new(classes: usize, tenants: usize) -> Self {
         Self {
             class_demand: vec![DecayingSum::default(); classes],
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Sums what was pending until now, and changes what is.
+    /// Adds the pending load up to `now` to its integral, then changes the pending load.
     pub fn change_pending(&mut self, now: Time, change: f64, window: Duration) {
         let passed = now.saturating_sub(self.pending_sum.updated_at) as f64 / window as f64;
         let elapsed = self.pending * window as f64 * (1.0 - (-passed).exp());
@@ -37,11 +37,11 @@
     }
 }
 
-/// What is known of the calls of a tenant.
+/// Load of a tenant relative to the other tenants.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TenantLoad {
-    /// Its share of all calls.
+    /// Share of all calls that come from the tenant, from 0 to 1.
     pub share: f64,
-    /// Part of its value that one of its calls can be expected to have.
+    /// Expected value of one of the tenant's calls, as a part of the value of a call within quota.
     pub value: f64,
 }
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! What a balancer remembers: plain records and running averages.
+//! State of a balancer: plain records and running averages.
 //!
-//! Nothing here decides anything. The gains, windows and decay times that steer the averages are
-//! handed in.
+//! This module makes no decisions. Gains, windows and decay times of the averages are passed in by
+//! the callers.
 
 mod averages;
 mod idle_risk;
--- a/crates/decisions/src/state/pool.rs
+++ b/crates/decisions/src/state/pool.rs
@@ -1,16 +1,16 @@
-//! The servers of a zone, or all of them, and what is known of them together.
+//! Pools: the servers of a zone or all servers, with their joint state.
 
 use super::{DecayingSum, FailureRate, LatencyEstimate, PoolIndex, Server};
 use super::{ServerIndex, TrafficShare};
 use crate::api::{Duration, Time};
 use crate::tuning::BaselineGain;
 
-/// Servers that one round robin goes through.
+/// A set of servers that share one round robin.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    /// Servers that take new work, in the order of the round robin.
+    /// Servers that accept new calls, in round-robin order.
     pub members: Vec<ServerIndex>,
-    /// Position of the member that was picked last.
+    /// Position of the last member that was picked.
     pub cursor: usize,
     /// Sum of the sizes of the members.
     pub size: f64,
@@ -18,35 +18,36 @@
     pub tripped: usize,
     pub in_flight: u32,
     pub failure_rate: FailureRate,
-    /// Highest turn weight of the members that were considered lately.
+    /// Highest turn weight among the members that were recently considered; it decays slowly.
     pub best_weight: f64,
     responses: DecayingSum,
-    /// Responses per second that each unit of size is known to give on average.
+    /// Average responses per second and unit of size that the pool has given before.
     pub proven_rate: f64,
     proven_span: Duration,
-    /// Until then some members are in slow start.
+    /// Time at which the last member leaves slow start.
     pub slow_start_until: Time,
-    /// Part of the size that is warm.
+    /// Sum of the sizes of the members, each times its warmth.
     pub warm_size: f64,
-    /// When that was counted last.
+    /// Time of the last update of `warm_size`.
     pub warm_size_at: Time,
-    /// By how much more than their share its members in slow start are sent.
+    /// Calls to members in slow start, as a multiple of their share.
     pub slow_start_pace: f64,
     slow_start_pace_at: Time,
-    /// Latency of its calls, as a part of their target.
+    /// Latency of the pool's calls, as a part of their latency targets.
     pub relative_latency: LatencyEstimate,
     relative_latency_at: Time,
-    /// What the fleet's health evidence leaves the zone ...
+    /// Share of its usual traffic that the fleet's health evidence leaves the zone.
     pub traffic_share: TrafficShare,
-    /// ... and classes at it, by position.
+    /// Share of its usual traffic that the fleet's health evidence leaves each class at the zone,
+    /// by position of the class. Empty if there is no evidence on classes.
     pub class_traffic_shares: Vec<TrafficShare>,
 }
 
 impl Pool {
-    /// Records a response, and averages the proven rate over `span`.
+    /// Records a response, and updates the proven rate as an average over `span`.
     ///
-    /// Without responses the proven rate stays as it is, also while members are in slow start and
-    /// held back: an outage disproves nothing.
+    /// The proven rate does not fall without responses, or while members are held back by slow start:
+    /// an outage does not show that the pool can handle less.
     pub fn record_response(&mut self, now: Time, window: Duration, span: Duration) {
         let passed = now.saturating_sub(self.responses.updated_at).min(window);
         self.responses.add(now, 1.0, window);
@@ -60,7 +61,7 @@
         self.proven_rate += weight * (rate - self.proven_rate);
     }
 
-    /// Records the latency of a call, as a part of its target.
+    /// Records the latency of a call, as a part of its latency target.
     pub fn record_relative_latency(
         &mut self,
         latency: f64,
@@ -72,13 +73,13 @@
         self.relative_latency_at = now;
     }
 
-    /// Latency that a call can expect, as a part of its target; it decays towards `baseline`.
+    /// Expected latency of a call, as a part of its latency target. It decays towards `baseline`.
     pub fn expected_relative_latency(&self, baseline: f64, now: Time, decay: Duration) -> f64 {
         let age = now.saturating_sub(self.relative_latency_at) as f64 / decay as f64;
         baseline + (self.relative_latency.mean - baseline) * (-age).exp()
     }
 
-    /// The share of its usual traffic that a class may send to the zone.
+    /// Share of its usual traffic that a class may send to the zone, from 0 to 1.
     pub fn traffic_share_of(&self, class: usize, now: Time) -> f64 {
         let of_class = self
             .class_traffic_shares
@@ -87,14 +88,15 @@
         self.traffic_share.get(now).min(of_class)
     }
 
-    /// Time since the slow-start pace was adjusted last, at most `limit`.
+    /// Returns the time since the last adjustment of the slow-start pace, at most `limit`, and
+    /// restarts it at `now`.
     pub fn take_pace_interval(&mut self, now: Time, limit: Duration) -> Duration {
         let passed = now.saturating_sub(self.slow_start_pace_at).min(limit);
         self.slow_start_pace_at = now;
         passed
     }
 
-    /// Members whose circuit breaker is closed.
+    /// Number of members whose circuit breaker is closed.
     pub fn healthy(&self) -> usize {
         self.members.len().saturating_sub(self.tripped)
     }
@@ -104,7 +106,7 @@
         f64::from(self.in_flight) / self.size.max(f64::MIN_POSITIVE)
     }
 
-    /// Removes all members; what is known of the zone stays.
+    /// Removes all members. Measured rates, latencies and traffic shares of the zone are kept.
     pub fn clear(&mut self) {
         self.members.clear();
         self.size = 0.0;
@@ -114,7 +116,7 @@
         self.warm_size_at = 0;
     }
 
-    /// Adds a ready server whose slow start takes `window`.
+    /// Adds a ready server. `window` is the length of slow start.
     pub fn add(&mut self, index: ServerIndex, server: &Server, window: Duration) {
         let warm_at = server
             .started_at
@@ -127,7 +129,7 @@
     }
 }
 
-/// The pools that a server of a zone is a member of: that of the zone and that of all servers.
+/// The pools to which a server of a zone belongs: the pool of the zone and the pool of all servers.
 pub(crate) fn pools_of(pools: &mut [Pool], zone: PoolIndex) -> impl Iterator<Item = &mut Pool> {
     let all = pools.len() - 1;
     let both = pools
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -1,78 +1,78 @@
-//! What is known of a request under way.
+//! State of pending requests and their attempts.
 
 use super::ServerIndex;
 use crate::api::Time;
 
-/// Where an attempt was sent, and when.
+/// Server and time to which an attempt was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
     pub server: ServerIndex,
     pub at: Time,
 }
 
-/// How far the attempt in flight is behind the usual latency.
+/// How far the attempt in flight exceeds the usual latency of its class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum AttemptDelay {
     #[default]
     OnTime,
-    /// Found late: it counts against its server's latency.
+    /// Late: the delay has been recorded in the server's latency.
     Late,
-    /// It has counted as a failure of its server, or cannot any more.
-    Counted,
+    /// Settled: the attempt has counted as a failure of its server, or can no longer count because
+    /// its response has begun.
+    Settled,
 }
 
-/// A request that has no response yet, or has an attempt in flight.
+/// A request that has no final response yet, or still has an attempt in flight.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequest {
     /// Position of its class.
     pub class: usize,
-    /// One over its latency target, per nanosecond.
+    /// Inverse of the latency target, per nanosecond; 0 once the request no longer counts as load.
     pub target_inverse: f64,
     pub deadline: Time,
     /// Attempts sent so far.
     pub attempts: u32,
     pub max_attempts: u32,
-    /// The last attempt.
-    pub sent: Option<SentAttempt>,
+    pub last_attempt: Option<SentAttempt>,
     pub delay: AttemptDelay,
-    /// Calls in flight at the server of the attempt, this one included, if it was probed; else 0.
+    /// Calls in flight at the probed server, this request included; 0 if the server was not probed.
     pub probed_in_flight: f64,
-    /// The attempt in flight is a trial call of a circuit breaker.
+    /// Whether the attempt in flight is a trial call of a circuit breaker.
     pub is_breaker_trial: bool,
-    /// How long the connection of the attempt had been idle, as a step of [`super::IdleRisk`].
+    /// Previous idle time of the attempt's connection, as a step of [`super::IdleRisk`].
     pub idle_step: usize,
     /// The first attempt that may have run.
     pub may_have_run: Option<SentAttempt>,
-    /// Its client has a response or has disconnected.
+    /// Whether the client has a response or has disconnected.
     pub closed: bool,
-    /// Its response has begun.
+    /// Whether a streamed response has begun.
     pub response_started: bool,
 }
 
-/// A server that a probed request may go to.
+/// A server that was probed for a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub server: ServerIndex,
-    /// Calls in flight there, once it has reported.
+    /// Calls in flight that the server has reported; `None` until it has.
     pub in_flight: Option<f64>,
 }
 
-/// A request that waits for the load reports of the servers that it may go to.
+/// A request that waits for the load reports of its candidate servers.
 #[derive(Debug)]
 pub(crate) struct LoadComparison {
     pub request: PendingRequest,
-    /// In the order of the round robin.
+    /// Candidate servers, in round-robin order.
     pub candidates: Vec<Candidate>,
 }
 
-/// Whether an attempt comes into flight or ends.
+/// A change of the number of calls in flight: an attempt begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InFlight {
     Begins,
     Ends,
 }
 
-/// Whether any server has worked on a request.
+/// Whether any server may have worked on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkedOn {
     Yes,
--- a/crates/decisions/src/state/retry_budget.rs
+++ b/crates/decisions/src/state/retry_budget.rs
@@ -1,11 +1,11 @@
-//! The budget that bounds retries.
+//! Retry budget: limits retries to a fraction of the requests.
 
 use crate::tuning::{RETRY_BUDGET_CAP, RETRY_DEPOSIT};
 
-/// A budget that requests add to and retries take from.
+/// A token bucket to which requests add and from which retries take.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    /// In retries.
+    /// Balance, in retries; at most [`RETRY_BUDGET_CAP`].
     balance: f64,
 }
 
@@ -16,15 +16,16 @@
         }
     }
 
-    /// Adds what a request earns.
+    /// Adds the deposit of one request.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + RETRY_DEPOSIT).min(RETRY_BUDGET_CAP);
     }
 
-    /// Takes the price of a retry, if there is as much.
-    pub fn withdraw(&mut self, price: f64) -> bool {
-        let is_granted = self.balance >= price;
-        self.balance -= if is_granted { price } else { 0.0 };
+    /// Takes the cost of a retry from the budget. Returns false and takes nothing if the balance is
+    /// too low.
+    pub fn withdraw(&mut self, cost: f64) -> bool {
+        let is_granted = self.balance >= cost;
+        self.balance -= if is_granted { cost } else { 0.0 };
         is_granted
     }
 }
--- a/crates/decisions/src/state/server.rs
+++ b/crates/decisions/src/state/server.rs
@@ -1,63 +1,63 @@
-//! What is known of one upstream server.
+//! State of an upstream server.
 
 use super::FailureRate;
 use crate::api::{Duration, LearnedServer, ServerId, Time};
 
 /// Position of a server in the balancer's table.
 pub(crate) type ServerIndex = usize;
-/// Position of a pool: that of its zone, or the number of zones for the pool of all servers.
+/// Position of a pool: the position of its zone, or the number of zones for the pool of all servers.
 pub(crate) type PoolIndex = usize;
 
-/// What is known of a server.
+/// State of an upstream server: its listing, its connections and its measured health.
 #[derive(Debug, Default)]
 pub(crate) struct Server {
     pub id: ServerId,
     pub zone: PoolIndex,
     pub cell: u16,
     pub ready: bool,
-    /// No longer listed; forgotten once nothing refers to it.
+    /// No longer listed; the entry is freed once no request refers to it.
     pub removed: bool,
-    /// Capacity, relative to that of other servers.
+    /// Capacity, relative to other servers.
     pub size: f64,
-    /// When its process started; `None` if long past.
+    /// Start time of the server's process; `None` if long past.
     pub started_at: Option<Time>,
     /// Sort key in the round robin.
     pub round_robin_key: u64,
-    /// Part of a round-robin turn that it has saved up.
+    /// Accumulated part of a round-robin turn; a turn costs 1.
     pub turn_credit: f64,
-    /// Part of a call that its slow start has saved up.
+    /// Accumulated part of a call that slow start allows; a call costs 1.
     pub slow_start_budget: f64,
-    /// When that was counted last.
+    /// Time of the last update of `slow_start_budget`.
     pub slow_start_budget_at: Time,
     pub in_flight: u32,
-    /// It rejects calls as overloaded, presumably until then.
+    /// Time until which the server is expected to reject calls as overloaded.
     pub overloaded_until: Time,
     pub connection_limit: Option<ConnectionLimit>,
-    /// Connections to it, busy or idle.
+    /// Connections to the server, busy or idle.
     pub open_connections: u32,
-    /// Most calls in flight of late.
+    /// Recent maximum of the calls in flight, at `peak_in_flight_at`.
     pub peak_in_flight: f64,
-    /// When that was counted last.
+    /// Time of the last update of `peak_in_flight`.
     pub peak_in_flight_at: Time,
-    /// When an attempt ended last, and left its connection idle.
+    /// Time at which the last attempt ended and left its connection idle.
     pub idle_since: Time,
     pub last_response_at: Time,
-    /// Latency of its calls, as a multiple of the mean of their class.
+    /// Latency of the server's calls, as a multiple of the mean of their class.
     pub slowness: f64,
     pub failure_rate: FailureRate,
     pub breaker: CircuitBreaker,
-    /// What the fleet's health evidence leaves it.
+    /// Share of its usual traffic that the fleet's health evidence leaves the server.
     pub traffic_share: TrafficShare,
 }
 
 impl Server {
-    /// Most calls in flight of late, as it has decayed by `now`.
+    /// Recent maximum of the calls in flight, decayed until `now`.
     pub fn peak_in_flight(&self, now: Time, decay: Duration) -> f64 {
         let age = now.saturating_sub(self.peak_in_flight_at) as f64;
         self.peak_in_flight * (-age / decay as f64).exp()
     }
 
-    /// Records the calls in flight.
+    /// Raises the peak to the calls in flight if these exceed its decayed value.
     pub fn record_peak(&mut self, now: Time, decay: Duration) {
         let peak = self
             .peak_in_flight(now, decay)
@@ -66,7 +66,7 @@
         self.peak_in_flight_at = now;
     }
 
-    /// The form in which it is handed to a successor.
+    /// Converts the measured state to the form in which it is handed over to a new process.
     pub fn to_learned(&self, now: Time) -> LearnedServer {
         let breaker = &self.breaker;
         LearnedServer {
@@ -81,7 +81,7 @@
     }
 }
 
-/// How many connections a server let us have when it last refused one.
+/// Number of connections that a server had accepted when it last refused one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimit {
     pub connections: u32,
@@ -93,15 +93,16 @@
 pub(crate) struct CircuitBreaker {
     pub consecutive_failures: u32,
     pub consecutive_successes: u32,
-    /// How often it has opened without a long run of successes since.
+    /// Number of times that the breaker has opened since the last
+    /// [`crate::tuning::BACKOFF_RESET_SUCCESSES`] successes in a row.
     pub recent_opens: u32,
     pub tripped: bool,
     pub open_until: Time,
     pub trial_in_flight: bool,
 }
 
-/// The share of its usual new traffic that the fleet's health evidence leaves a server, a zone or a
-/// class at a zone, until it expires.
+/// Share of the usual new traffic that the fleet's health evidence leaves a server, a zone or a
+/// class at a zone. It expires unless it is renewed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TrafficShare {
     /// From 0 to 1.
@@ -110,7 +111,7 @@
 }
 
 impl TrafficShare {
-    /// The share at `now`; all of the traffic once it has expired.
+    /// The share at `now`; 1 after it has expired.
     pub fn get(&self, now: Time) -> f64 {
         if now < self.expires_at {
             self.share
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -203,10 +203,10 @@
 
 /// Expected relative latency from which work is shed: below it, what is slow by nature would be
 /// rejected on a quiet day.
-pub(crate) const SHED_FROM: f64 = 0.5;
+pub(crate) const SHED_START_RELATIVE_LATENCY: f64 = 0.5;
 /// Expected relative latency at which all is shed: above it, the tail of the responses misses the
 /// target.
-pub(crate) const SHED_ALL_AT: f64 = 0.65;
+pub(crate) const SHED_ALL_RELATIVE_LATENCY: f64 = 0.65;
 /// Over the root of the responses counted, by how much later shedding begins: a caller with some ten
 /// calls a second sees their chance lengths as a jam, and rejected some where nothing waited.
 pub(crate) const SHED_NOISE: f64 = 0.4;
