--- a/crates/decisions/src/api/action.rs
+++ b/crates/decisions/src/api/action.rs
@@ -1,30 +1,31 @@
-//! What a balancer decides.
+//! Actions: the decisions of a balancer.
 
 use super::{Duration, RequestId, ServerId, Time};
 
-/// What a balancer's host is to do.
+/// An action that the balancer's host has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server that the attempt goes to.
         server: ServerId,
-        /// When the attempt times out.
+        /// Time at which the attempt times out.
         until: Time,
-        /// From then on its first byte must not be written any more, as when a connection came up
-        /// too late. It then ends as [`super::Outcome::Moot`].
+        /// Time from which the first byte of the attempt must not be written any more, for example
+        /// because a connection was established too late. The attempt then ends as
+        /// [`super::Outcome::Moot`].
         begin_by: Time,
     },
-    /// Final response: rejected, and trying again is harmless.
+    /// Final response: the request is rejected, and the client may safely retry it.
     Reject {
         /// The request.
         id: RequestId,
-        /// `Retry-After` for the client; 0 for none.
+        /// `Retry-After` for the client, in nanoseconds; 0 for none.
         retry_after: Duration,
     },
-    /// Final response: failed, with no promise on its effect.
+    /// Final response: the request failed, and may or may not have taken effect.
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel {
@@ -37,15 +38,15 @@
     Probe(ServerId),
     /// Close the idle connections to a server.
     CloseIdleConnections(ServerId),
-    /// Set a timer, for [`super::Event::Timer`].
+    /// Set a timer that delivers [`super::Event::Timer`].
     SetTimer {
-        /// From now.
+        /// Delay from now, in nanoseconds.
         after: Duration,
-        /// Comes back with the event.
+        /// Token that is returned with the event.
         token: u64,
     },
-    /// Subscribe to changes of the list of servers.
+    /// Subscribe to changes of the server list.
     Subscribe,
-    /// A line for the operators.
+    /// Write a line to the operator's log.
     Log(String),
 }
--- a/crates/decisions/src/api/event.rs
+++ b/crates/decisions/src/api/event.rs
@@ -1,28 +1,28 @@
-//! What a balancer is notified of.
+//! Events: the inputs of a balancer.
 
 use super::{Duration, RequestId, ServerEntry, ServerId, Time, ZoneId};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A response.
+    /// The server responded successfully.
     Ok,
-    /// The server responded with an error; it may have run the request.
+    /// The server responded with an error; the request may have run.
     Error,
-    /// The server found fault with the request, and its response is the final one: it says nothing
-    /// of the server.
+    /// The server declined the request as invalid. Its response is final, and does not count as a
+    /// success or failure of the server.
     Declined,
-    /// Rejected by an overloaded server that has not looked at it.
+    /// An overloaded server rejected the attempt without processing it.
     Full,
-    /// No response within the attempt's time-out; it may have run.
+    /// No response arrived within the attempt's timeout; the request may have run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection could be established; the request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
 }
 
@@ -33,27 +33,28 @@
     }
 }
 
-/// A server's own load figures, in the order of the deployment's report fields.
+/// Load figures reported by a server, in the order of the deployment's report fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// The figures; only the first `len` are valid.
     pub figures: [f32; 4],
-    /// How many figures there are.
+    /// Number of valid figures.
     pub len: usize,
 }
 
-/// What a request asks for.
+/// Parameters of a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestParameters {
-    /// Position of its class.
+    /// Position of the request's class in [`super::Settings::classes`].
     pub class: usize,
-    /// Position of its tenant.
+    /// Position of the request's tenant in [`super::Settings::tenants`].
     pub tenant: usize,
-    /// How long its client waits from now on.
+    /// Time from now that the client waits for a response, in nanoseconds.
     pub time_left: Duration,
-    /// Its work, roughly, where that is known.
+    /// Approximate work of the request, in nanoseconds; `None` if unknown.
     pub work: Option<Duration>,
-    /// Most attempts for it, where the settings allow more: 1 if it cannot be sent again.
+    /// Maximum number of attempts, in addition to the limit of the settings; 1 if the request
+    /// cannot be sent again.
     pub max_attempts: u32,
 }
 
@@ -62,60 +63,61 @@
 pub struct AttemptEnd {
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent, in nanoseconds.
     pub elapsed: Duration,
-    /// The request has its final response.
+    /// Whether the request has its final response.
     pub closed: bool,
-    /// The server's own figures, if any came along.
+    /// Load report that came with the response, if any.
     pub load: Option<LoadReport>,
 }
 
-/// What the fleet's health evidence is about.
+/// A part of the fleet that can fail as a whole, as the subject of health evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FailureDomain {
-    /// A zone, or one class (by position) at it.
+    /// A zone, or only the calls of one class, given by position, to the zone.
     Zone(ZoneId, Option<usize>),
-    /// A server, as its process is now.
+    /// The current process of a server.
     Server(ServerId),
 }
 
-/// What the fleet's health evidence says of a failure domain.
+/// Health evidence of the fleet on a failure domain.
 ///
-/// It is evidence, not a command: it shifts new traffic only. It proves nothing of a call in flight,
-/// and lifts no rule.
+/// A verdict only shifts new traffic. It does not affect calls in flight, and does not override any
+/// of the rules that the decisions follow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthVerdict {
-    /// What it is about.
+    /// The failure domain that is assessed.
     pub domain: FailureDomain,
-    /// The share of its usual new traffic that it should get, from 0 to 1.
+    /// Share of its usual new traffic that the domain should get, from 0 to 1.
     pub share: f32,
-    /// When it expires, unless it is renewed.
+    /// Time at which the verdict expires unless it is renewed.
     pub until: Time,
 }
 
-/// What a balancer is notified of.
+/// An event that the host reports to a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// Changed entries of the list of servers.
+    /// Changed entries of the server list.
     ServerListChange(&'a [ServerEntry]),
-    /// The complete list of servers; what is missing from it has been removed.
+    /// The complete server list. Known servers that are missing from it have been removed.
     ServerList(&'a [ServerEntry]),
-    /// A call to discovery failed or the subscription broke; the list stays as it was.
+    /// A call to discovery failed or the subscription broke. The known server list stays in use.
     SubscriptionFailed,
-    /// A request that needs one response.
+    /// A new request, which needs exactly one final response.
     Request(RequestId, RequestParameters),
-    /// The response of a streamed request has begun with this attempt; no deadline applies any more.
+    /// The streamed response to a request has begun, on the attempt with this number. The deadline
+    /// does not apply any more.
     ResponseStarted(RequestId, u32),
     /// An attempt ended.
     AttemptEnded(RequestId, AttemptEnd),
-    /// The client disconnected; it needs no response any more.
+    /// The client disconnected and needs no response.
     ClientDisconnected(RequestId),
-    /// A probe of a server ended, with the server's own figures if any came along.
+    /// A load probe of a server ended, with the server's load report if it sent one.
     ProbeEnded(ServerId, Outcome, Option<LoadReport>),
-    /// The fleet's health evidence on zones and servers.
+    /// New health evidence of the fleet on zones and servers.
     HealthVerdicts(&'a [HealthVerdict]),
-    /// A timer that this balancer has set fired; the token is that of [`super::Action::SetTimer`].
+    /// A timer of this balancer fired; the token is the one of [`super::Action::SetTimer`].
     Timer(u64),
 }
--- a/crates/decisions/src/api/ids.rs
+++ b/crates/decisions/src/api/ids.rs
@@ -1,10 +1,10 @@
 //! Identifiers of requests, servers and zones.
 
-/// A request, as its caller numbers it. Ids are never reused.
+/// Identifier of a request, assigned by the host. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u32);
 
-/// An upstream server. The id says nothing of its zone, size or age.
+/// Identifier of an upstream server. It carries no information on zone, size or age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
 
--- a/crates/decisions/src/api/learned.rs
+++ b/crates/decisions/src/api/learned.rs
@@ -1,50 +1,51 @@
-//! What a balancer hands over to the process that takes over from it.
+//! Learned state that a balancer hands over to the process that replaces it.
 
 use super::{Duration, ServerId, Time};
 
-/// A latency that was learned, in nanoseconds.
+/// A learned latency estimate, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LearnedLatency {
-    /// Its mean.
+    /// Exponentially weighted mean.
     pub mean: f64,
-    /// Its mean deviation.
+    /// Exponentially weighted mean deviation.
     pub mean_deviation: f64,
-    /// Its mean without load.
+    /// Mean latency without load.
     pub baseline: f64,
-    /// Calls that it rests on.
+    /// Number of calls in the estimate; 0 if nothing is known.
     pub calls: u32,
 }
 
-/// What was learned of a server.
+/// Learned state of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LearnedServer {
     /// The server.
     pub server: ServerId,
-    /// When its process started: nothing of this applies to another process.
+    /// Start time of the server's process. The state does not apply to any other process.
     pub started: Option<Time>,
-    /// Latency of its calls, as a multiple of the mean of their class.
+    /// Latency of the server's calls, as a multiple of the mean of their class.
     pub slowness: f64,
-    /// How often its circuit breaker has opened without a long run of successes since.
+    /// Number of times that the circuit breaker has opened since the last long run of successes.
     pub recent_opens: u32,
-    /// How much longer its circuit breaker stays open, if it has tripped.
+    /// Remaining time that the circuit breaker stays open; `None` if it is closed.
     pub open_for: Option<Duration>,
 }
 
-/// What a balancer has learned that its successor should know.
+/// Learned state of a balancer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Latencies of classes, by position.
+    /// Position and latency of each class.
     pub classes: Vec<(usize, LearnedLatency)>,
-    /// The latency of all calls.
+    /// Latency of all calls.
     pub overall: LearnedLatency,
-    /// Responses per second.
+    /// Rate of successful responses over all servers.
     pub responses_per_second: f64,
-    /// Responses counted in the response window.
+    /// Responses in the response window.
     pub responses: f64,
-    /// Requests pending in the same window, each as one over its latency target, summed over time.
+    /// Time integral of the requests pending in the response window, where each request counts as
+    /// the inverse of its latency target.
     pub pending: f64,
-    /// Part of the attempts that fail.
+    /// Part of the attempts that fail, from 0 to 1.
     pub failure_rate: f64,
-    /// What is known of servers.
+    /// State of the listed servers.
     pub servers: Vec<LearnedServer>,
 }
--- a/crates/decisions/src/api/mod.rs
+++ b/crates/decisions/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the decisions: their settings, events and actions.
+//! Interface of the decision engine: settings, events and actions.
 //!
-//! Nothing here decides anything and nothing here knows a wire format. All times are nanoseconds of
-//! one monotonic clock; where it starts does not matter.
+//! These types contain no decision logic and depend on no wire format. All times are nanoseconds of
+//! one monotonic clock with an arbitrary start.
 
 mod action;
 mod event;
@@ -19,7 +19,7 @@
 pub use server_list::{Lifecycle, ServerEntry};
 pub use settings::{Class, ClassSuccession, DedupScope, Effect, Settings, SettingsError, Tenant};
 
-/// A point on the clock, in nanoseconds.
+/// A point in time of the monotonic clock, in nanoseconds.
 pub type Time = u64;
 /// A length of time, in nanoseconds.
 pub type Duration = u64;
--- a/crates/decisions/src/api/server_list.rs
+++ b/crates/decisions/src/api/server_list.rs
@@ -1,31 +1,31 @@
-//! The list of servers, as discovery sends it.
+//! Entries of the server list that discovery sends.
 
 use super::{ServerId, Time, ZoneId};
 
-/// Where a server stands in its lifecycle, as discovery lists it.
+/// Lifecycle state of a server, as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Takes work.
+    /// The server accepts new calls.
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// The server finishes its calls in flight and must not be sent new ones.
     Draining,
-    /// No longer listed.
+    /// The server is no longer listed.
     Removed,
 }
 
-/// One server as discovery lists it.
+/// A server as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// Identifier of the server.
     pub server: ServerId,
-    /// Its zone.
+    /// Zone in which the server runs.
     pub zone: ZoneId,
-    /// The cell in which idempotency keys are shared.
+    /// Cell of the server; the servers of a cell share their idempotency keys.
     pub cell: u16,
-    /// Whether it takes work.
+    /// Whether the server accepts new calls.
     pub lifecycle: Lifecycle,
-    /// Its capacity, relative to that of others.
+    /// Capacity, relative to other servers. Values that are not finite and positive count as 1.
     pub size: f32,
-    /// When its process started last; `None` if long past.
+    /// Start time of the server's current process; `None` if long past.
     pub started: Option<Time>,
 }
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -1,126 +1,127 @@
-//! What a balancer is configured with.
+//! Settings of a balancer.
 
 use super::{Duration, ZoneId};
 
-/// What repeating a request does.
+/// The effect of running a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Idempotent: safe to repeat, and to reject at any time.
+    /// Idempotent: the request may be repeated, and may be rejected even after it has run.
     Safe,
-    /// Carries an idempotency key: repeats are dropped by the servers of one scope for this long
+    /// The request carries an idempotency key. The servers of the scope drop repeats for this time
     /// after the first attempt.
     Keyed(DedupScope, Duration),
-    /// Not idempotent: must never run twice.
+    /// Not idempotent: the request must never run twice.
     Unsafe,
 }
 
-/// The servers that share the idempotency keys they have seen.
+/// The set of servers that share their idempotency keys, and so drop repeats of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All servers.
     All,
-    /// Those in the zone of the first server that may have run the request.
+    /// The servers in the zone of the first server that may have run the request.
     Zone,
-    /// Those in the cell of the first server that may have run the request.
+    /// The servers in the cell of the first server that may have run the request.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency target: a response within this time earns the full value.
+    /// Latency target, in nanoseconds. A response within the target has the full value.
     pub latency_target: Duration,
-    /// The target grows by this multiple of the request's own work.
+    /// Multiple of the request's work that is added to the latency target.
     pub latency_target_stretch: f64,
-    /// The longest that a client waits, over all attempts.
+    /// Longest time that a client waits, over all attempts, in nanoseconds.
     pub deadline: Duration,
-    /// What repeating does.
+    /// Effect of running a request of the class more than once.
     pub effect: Effect,
-    /// Part of the value that a response after the target still earns, from 0 to 1.
+    /// Part of the value that a response after the latency target still has, from 0 to 1.
     pub late_value: f64,
-    /// Value of one request, or of a unit of its work if [`Settings::value_by_work`].
+    /// Value of one request, or of a unit of its work if [`Settings::value_by_work`] is set.
     pub value: f64,
 }
 
-/// A class that is new in changed settings and had another position under its name before.
+/// A class that had another position, under the same name, before the settings changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassSuccession {
     /// Position of the new class.
     pub class: usize,
-    /// Position of the class before it, whose latency holds for it until it has its own.
+    /// Position of the earlier class. The new class starts with its latency estimate.
     pub predecessor: usize,
 }
 
 /// A tenant of the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second, over all balancers, that count in full.
+    /// Quota in requests per second, over all balancers. Requests within it have their full value.
     pub quota_rps: f64,
 }
 
 /// The settings of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Request classes; requests name them by position.
+    /// Request classes; requests refer to them by position. At least one is required.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants; requests refer to them by position. May be empty.
     pub tenants: Vec<Tenant>,
     /// Part of its value that a request beyond its tenant's quota keeps.
     pub over_quota_value: f64,
-    /// Value is measured per unit of work, not per request.
+    /// Whether the value of a class applies per unit of work instead of per request.
     pub value_by_work: bool,
-    /// The zone of this balancer.
+    /// Zone of this balancer.
     pub zone: ZoneId,
     /// Number of zones.
     pub zones: usize,
-    /// Number of balancers that send to the same tier, this one included.
+    /// Number of balancers that send to the same tier, including this one.
     pub balancers: u32,
-    /// The tier that this balancer sends to; 0 serves the clients.
+    /// Tier that this balancer sends to; tier 0 serves the clients.
     pub tier: u32,
-    /// A call to a deeper tier carries the time that its caller has left.
+    /// Whether a call to a deeper tier carries the remaining time of its caller.
     pub propagates_deadline: bool,
-    /// Discovery sends changes only to those that have subscribed.
+    /// Whether discovery sends changes only to balancers that have subscribed.
     pub subscribes_to_discovery: bool,
-    /// Without a subscription, a balancer counts as notified of what was listed this long ago.
+    /// Time after which a balancer without a subscription counts as notified of a listed change, in
+    /// nanoseconds.
     pub subscribe_within: Duration,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// The longest `Retry-After` that clients follow.
+    /// Longest `Retry-After` that clients follow, in nanoseconds.
     pub max_retry_after: Duration,
-    /// Most attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first; at least 1.
     pub max_attempts: u32,
-    /// Idle connections are closed after this time.
+    /// Time after which idle connections are closed, in nanoseconds.
     pub idle_timeout: Duration,
-    /// A server in slow start begins with this part of its capacity, from 0 to 1.
+    /// Part of its capacity with which a server begins its slow start, from 0 to 1.
     pub slow_start_capacity: f64,
-    /// A server in slow start that is sent more than this multiple of what it can do falls over.
+    /// Multiple of its current capacity beyond which a server in slow start collapses under load.
     pub slow_start_overload: f64,
-    /// Slow start is over after this time.
+    /// Length of slow start, in nanoseconds.
     pub slow_start_window: Duration,
-    /// Position of the in-flight figure in load reports, if they carry it.
+    /// Position of the in-flight figure in load reports; `None` if reports do not carry it.
     pub in_flight_report_field: Option<usize>,
-    /// Load reports come with probes alone, and probes are allowed.
+    /// Whether load reports come only in response to probes, and probes are allowed.
     pub probes_for_load: bool,
-    /// Cost of crossing zones with every request, as a part of all requests' value.
+    /// Cost of sending every request across zones, as a part of the value of all requests.
     pub cross_zone_cost: f64,
-    /// Cost of one probe for every request, as a part of all requests' value.
+    /// Cost of one probe for every request, as a part of the value of all requests.
     pub probe_cost: f64,
 }
 
-/// Why settings are rejected. The text names the field as the settings file does.
+/// Reason for which settings are rejected. The message names the field as in the settings file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is no class of requests.
+    /// The settings contain no request class.
     #[error("`classes` is empty")]
     NoClasses,
-    /// A figure of a class is negative, not finite, or 0 where it must not be.
+    /// A number of a class is negative or not finite, or a time of a class is 0.
     #[error("`classes[{class}].{field}` is {value}")]
     Class {
         /// Position of the class.
         class: usize,
         /// Name of the field.
         field: &'static str,
-        /// What it is.
+        /// Value that was rejected.
         value: f64,
     },
     /// The quota of a tenant is negative or not finite.
@@ -128,7 +129,7 @@
     Quota {
         /// Position of the tenant.
         tenant: usize,
-        /// What it is, in requests per second.
+        /// Value that was rejected, in requests per second.
         value: f64,
     },
     /// The balancer's zone is not in the list.
@@ -139,28 +140,28 @@
         /// Number of zones.
         zones: usize,
     },
-    /// Not even a first attempt is allowed.
+    /// No attempt is allowed, not even the first.
     #[error("`max_attempts` is 0")]
     NoAttempts,
-    /// The capacity at the beginning of slow start is no part of a whole.
+    /// The initial capacity of a server in slow start is not between 0 and 1.
     #[error("`start_capacity` is {0}, not between 0 and 1")]
     SlowStartCapacity(f64),
-    /// A figure is negative or not finite.
+    /// A number is negative or not finite.
     #[error("`{field}` is {value}")]
     Figure {
         /// Name of the field.
         field: &'static str,
-        /// What it is.
+        /// Value that was rejected.
         value: f64,
     },
 }
 
 impl Settings {
-    /// Rejects settings that make no sense.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first field that is at fault.
+    /// Returns a [`SettingsError`] that names the first invalid field.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -169,8 +170,8 @@
             .iter()
             .enumerate()
             .try_for_each(|(at, class)| class.check(at))?;
-        let unsound = |tenant: &Tenant| !is_sound(tenant.quota_rps);
-        if let Some(tenant) = self.tenants.iter().position(unsound) {
+        let is_invalid = |tenant: &Tenant| !is_finite_and_not_negative(tenant.quota_rps);
+        if let Some(tenant) = self.tenants.iter().position(is_invalid) {
             let value = self.tenants[tenant].quota_rps;
             return Err(SettingsError::Quota { tenant, value });
         }
@@ -196,7 +197,10 @@
             ("cross_price", self.cross_zone_cost),
             ("tip_multiple", self.slow_start_overload),
         ];
-        match figures.into_iter().find(|&(_, value)| !is_sound(value)) {
+        match figures
+            .into_iter()
+            .find(|&(_, value)| !is_finite_and_not_negative(value))
+        {
             Some((field, value)) => Err(SettingsError::Figure { field, value }),
             None => Ok(()),
         }
@@ -210,7 +214,10 @@
             ("late_worth", self.late_value),
             ("worth", self.value),
         ];
-        if let Some((field, value)) = figures.into_iter().find(|&(_, value)| !is_sound(value)) {
+        if let Some((field, value)) = figures
+            .into_iter()
+            .find(|&(_, value)| !is_finite_and_not_negative(value))
+        {
             return Err(SettingsError::Class {
                 class,
                 field,
@@ -229,6 +236,6 @@
     }
 }
 
-fn is_sound(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+fn is_finite_and_not_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
--- a/crates/decisions/src/balancer.rs
+++ b/crates/decisions/src/balancer.rs
@@ -1,4 +1,4 @@
-//! One balancer: its state, and the dispatch of events to the decisions.
+//! State of a balancer, and dispatch of events to the policies.
 
 use crate::api::{
     Action, ClassSuccession, Event, RequestId, ServerId, Settings, SettingsError, Time,
@@ -11,21 +11,21 @@
 use crate::tuning::{PROBE_TOKEN_BIT, RATE_WINDOW, SUBSCRIBE_TOKEN};
 use std::collections::HashMap;
 
-/// One balancer: all that it knows, and what it decides on each event.
+/// A load balancer as a state machine: events go in, and actions come out.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Time,
-    /// Decided on the present event.
+    /// Actions decided so far on the current event.
     pub(crate) actions: Vec<Action>,
     pub(crate) servers: Vec<Server>,
     pub(crate) server_indices: HashMap<ServerId, ServerIndex>,
-    /// Positions in `servers` that are unused.
+    /// Unused positions in `servers`.
     pub(crate) free_indices: Vec<ServerIndex>,
-    /// One for each zone; the last has all servers.
+    /// One pool per zone, followed by the pool of all servers.
     pub(crate) pools: Vec<Pool>,
-    /// Zones that the present call avoids, by the fleet's health evidence.
+    /// Zones that the current call avoids because of the fleet's health evidence.
     pub(crate) avoided_zones: Vec<PoolIndex>,
     pub(crate) requests: HashMap<RequestId, PendingRequest>,
     /// Requests that wait for load reports.
@@ -34,34 +34,35 @@
     pub(crate) class_latencies: Vec<LatencyEstimate>,
     /// Latency of all calls, in nanoseconds.
     pub(crate) overall_latency: LatencyEstimate,
-    /// Latency for each call in flight at the server, in nanoseconds.
+    /// Latency of a call divided by the calls in flight at its server, in nanoseconds.
     pub(crate) latency_per_in_flight: LatencyEstimate,
     pub(crate) responses: DecayingSum,
-    /// Calls accepted, which is all that is known of their rate after a start.
+    /// Accepted calls; the only source for the call rate until `startup_until`.
     pub(crate) accepted: DecayingSum,
     pub(crate) startup_until: Time,
-    /// Part of all calls that fail.
+    /// Part of all calls that fail, from 0 to 1.
     pub(crate) failure_rate: f64,
     /// Last time at which no server was found for a call.
     pub(crate) no_server_found_at: Time,
     pub(crate) idle_risk: IdleRisk,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) load: LoadMeter,
-    /// Whether the local zone was left when last looked at.
+    /// Whether the last call found the local zone unusable.
     pub(crate) local_zone_left: bool,
-    /// Whether load was shed when last looked at.
+    /// Whether the last request found the shed level above 0.
     pub(crate) is_shedding: bool,
     pub(crate) log_throttle: LogThrottle,
-    /// Failed subscriptions in a row; `None` before the first one.
+    /// Failed subscriptions in a row; `None` before the first server list or failure.
     pub(crate) subscription_failures: Option<u32>,
 }
 
 impl Balancer {
-    /// A balancer that has seen nothing yet. Its random numbers come from `seed` alone.
+    /// Creates a balancer without servers or measurements. Its random numbers depend only on
+    /// `seed`.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the settings make no sense.
+    /// Returns a [`SettingsError`] if the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
@@ -94,7 +95,7 @@
         })
     }
 
-    /// Takes one event and appends to `actions` what is to be done about it.
+    /// Handles one event at the time `now`, and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -122,12 +123,15 @@
         }
     }
 
-    /// Takes new settings. A class keeps its position; `successions` names those that had another
-    /// position before. Fewer attempts bind requests under way as well.
+    /// Replaces the settings.
+    ///
+    /// Classes keep their positions; `successions` lists the classes that had another position
+    /// before. A lower attempt limit also applies to pending requests.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the settings make no sense; the old ones stay in force then.
+    /// Returns a [`SettingsError`] if the settings are invalid; the old settings stay in force
+    /// then.
     pub fn reconfigure(
         &mut self,
         settings: Settings,
@@ -158,12 +162,12 @@
         Ok(())
     }
 
-    /// Servers that are ready but ejected by their circuit breakers.
+    /// Number of servers that are ready but ejected by their circuit breakers.
     pub fn ejected_servers(&self) -> usize {
         self.pools.last().map_or(0, |all| all.tripped)
     }
 
-    /// Logs an event, unless one of its kind was logged a moment ago.
+    /// Logs an event, unless one of its kind was logged within the last log interval.
     pub(crate) fn log(&mut self, event: LogEvent) {
         if self.log_throttle.admits(event, self.now) {
             self.actions.push(Action::Log(event.to_string()));
@@ -171,7 +175,7 @@
     }
 }
 
-/// Whether a list of servers is complete or holds changes only.
+/// Whether a server list is complete or contains only changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListKind {
     Complete,
--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -1,4 +1,4 @@
-//! What a balancer hands over to its successor, and what the successor believes.
+//! Hand-over of learned state from a balancer to the process that replaces it.
 
 use crate::api::{LearnedServer, LearnedState, Time};
 use crate::balancer::Balancer;
@@ -6,7 +6,7 @@
 use crate::tuning::{BREAKER_BACKOFF, RATE_WINDOW, SHED_START_RELATIVE_LATENCY};
 
 impl Balancer {
-    /// What a process that takes over should know.
+    /// Returns the learned state that is handed over to a new process.
     pub fn learned_state(&self) -> LearnedState {
         let window = self.response_window();
         let latencies = self.class_latencies.iter().map(LatencyEstimate::to_learned);
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Takes what a predecessor has learned, where nothing is known yet.
+    /// Restores the learned state of the previous process. State that this balancer has already
+    /// measured itself is kept.
     pub fn restore(&mut self, now: Time, learned: &LearnedState) {
         self.now = self.now.max(now);
         self.restore_latencies(learned);
@@ -53,15 +54,20 @@
         }
     }
 
-    /// The predecessor goes on sending for a while, so its rate counts by half: the two together
-    /// must not send servers in slow start more than one would.
+    /// Restores the response rate, the load and the failure rate.
+    ///
+    /// The previous process continues to send for a while, so only half of its response rate is
+    /// restored: the two processes together must not send more to servers in slow start than one
+    /// process would.
     fn restore_load(&mut self, learned: &LearnedState) {
         let rate = learned.responses_per_second / 2.0;
         self.responses = DecayingSum::at_rate(rate, self.now, RATE_WINDOW);
         self.startup_until = self.now;
         self.load.responses.sum = learned.responses;
         self.load.responses.updated_at = self.now;
-        // A jam is believed when it is seen: with two processes at work, it may be over.
+        // The restored load stays at the threshold of load shedding. With two processes sending, a
+        // congestion of the previous process may be over; it must be measured again before load is
+        // shed.
         self.load.pending_sum.sum = learned
             .pending
             .min(SHED_START_RELATIVE_LATENCY * learned.responses);
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,15 +1,19 @@
-//! All decisions of woadstall's layer-7 balancer: which server a call goes to, whether it is retried,
-//! what is rejected.
+//! Decision engine of woadstall's layer-7 load balancer: server selection, retries and rejection of
+//! requests.
 //!
-//! Daemon, plug-in and the simulator's adapter share them. There is no input or output and no clock
-//! here: events come with their time, actions go out.
+//! The engine is shared by the daemon, the plug-in and the simulator's adapter. It does no I/O and
+//! reads no clock: the host passes in events with their times and carries out the returned actions.
 //!
-//! - [`api`] is the interface: settings, events, actions.
-//! - `balancer` holds a balancer's state and dispatches events; `membership` keeps its servers.
-//! - `policy` decides, a concern to a module.
-//! - `tuning` holds the thresholds, gains and windows; `state` the plain records; `log` the log lines.
+//! - [`api`] is the interface: settings, events and actions.
+//! - `balancer` holds the state of a balancer and dispatches events; `membership` maintains its
+//!   servers.
+//! - `policy` makes the decisions, with one module per concern.
+//! - `measurement` updates the averages and counts that the policies read.
+//! - `tuning` holds the thresholds, gains and windows, `state` the plain records, and `log` the log
+//!   lines.
+//! - `handover` passes learned state on to a new process.
 //!
-//! `docs/design.md` says what the decisions keep to.
+//! `docs/design.md` states the rules that the decisions follow.
 
 pub mod api;
 mod balancer;
--- a/crates/decisions/src/log.rs
+++ b/crates/decisions/src/log.rs
@@ -1,15 +1,15 @@
-//! What a balancer logs, and how often.
+//! Log lines of a balancer, and their rate limit.
 
 use crate::api::{ServerId, Time};
 use crate::tuning::LOG_INTERVAL;
 use std::fmt;
 
-/// What a log line reports.
+/// An event that is logged.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum LogEvent {
-    /// Discovery failed so many times in a row.
+    /// A subscription to discovery failed; `failures` counts the failures in a row.
     SubscriptionFailed { failures: u32 },
-    /// The local zone was left, or is used again.
+    /// Calls began to leave the local zone, or to use it again.
     LocalZone {
         left: bool,
         healthy: usize,
@@ -19,12 +19,12 @@
     },
     /// The circuit breaker of a server opened.
     BreakerOpened { server: ServerId, recent_opens: u32 },
-    /// Load shedding began or ended; the latency is a part of the target.
+    /// Load shedding began or ended. The latency is a part of the latency target.
     Shedding { began: bool, relative_latency: f64 },
 }
 
 impl LogEvent {
-    /// Position of its kind among all kinds.
+    /// Position of the event's kind in [`LogThrottle::next_at`].
     fn kind(self) -> usize {
         match self {
             Self::SubscriptionFailed { .. } => 0,
@@ -36,7 +36,8 @@
 }
 
 impl fmt::Display for LogEvent {
-    /// The name of the event, and its figures as `key=value`. Latencies and rates are parts of one.
+    /// Writes the name of the event and its values as `key=value`. Latencies are written as a part
+    /// of the latency target, and rates as a part of all calls.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
             Self::SubscriptionFailed { failures } => {
@@ -76,14 +77,14 @@
     }
 }
 
-/// Limits the log to one line of each kind per [`LOG_INTERVAL`].
+/// Rate limit of the log: one line of each kind per [`LOG_INTERVAL`].
 #[derive(Debug, Default)]
 pub(crate) struct LogThrottle {
     next_at: [Time; 4],
 }
 
 impl LogThrottle {
-    /// Whether an event may be logged at `now`; if so, the next of its kind has to wait.
+    /// Whether an event may be logged at `now`. If so, the interval of its kind starts anew.
     pub fn admits(&mut self, event: LogEvent, now: Time) -> bool {
         let next_at = &mut self.next_at[event.kind()];
         let admitted = now >= *next_at;
--- a/crates/decisions/src/measurement/load.rs
+++ b/crates/decisions/src/measurement/load.rs
@@ -8,8 +8,8 @@
 };
 
 impl Balancer {
-    /// Changes the pending load by `change`, where each request counts as the inverse of its latency
-    /// target.
+    /// Changes the pending load by `change`, where each request counts as the inverse of its
+    /// latency target.
     pub(crate) fn change_pending(&mut self, change: f64) {
         self.load
             .change_pending(self.now, change, self.response_window());
@@ -25,13 +25,13 @@
         self.load.responses.add(self.now, count, window);
     }
 
-    /// Expected latency of a new request as a part of its latency target, and the number of responses
-    /// on which the estimate is based.
+    /// Expected latency of a new request as a part of its latency target, and the number of
+    /// responses on which the estimate is based.
     ///
-    /// The estimate is the pending requests divided by the response rate. Unlike the latency of past
-    /// responses, it shows congestion while it builds up. If servers hang, no responses arrive at all,
-    /// so the count is at least [`MIN_SAMPLES`] in the division; smaller counts are dominated by
-    /// chance.
+    /// The estimate is the pending requests divided by the response rate. Unlike the latency of
+    /// past responses, it shows congestion while it builds up. If servers hang, no responses arrive
+    /// at all, so the count is at least [`MIN_SAMPLES`] in the division; smaller counts are
+    /// dominated by chance.
     pub(crate) fn expected_relative_latency(&self) -> (f64, f64) {
         let window = self.response_window();
         let responses = self.load.responses.get(self.now, window);
--- a/crates/decisions/src/measurement/mod.rs
+++ b/crates/decisions/src/measurement/mod.rs
@@ -1,4 +1,5 @@
-//! Measurements: averages and counts that are updated by events and read by the modules in `policy`.
+//! Measurements: averages and counts that are updated by events and read by the modules in
+//! `policy`.
 //!
 //! This module makes no decisions.
 
--- a/crates/decisions/src/measurement/warmth.rs
+++ b/crates/decisions/src/measurement/warmth.rs
@@ -33,8 +33,8 @@
     /// Estimated calls per second that the servers can handle: the response rate.
     ///
     /// A balancer that has just started has seen no responses. If all servers are in slow start as
-    /// well, as after a release, it would never send anything. During its startup period it therefore
-    /// uses the rate of accepted calls if that is higher.
+    /// well, as after a release, it would never send anything. During its startup period it
+    /// therefore uses the rate of accepted calls if that is higher.
     pub(crate) fn estimated_calls_per_second(&self) -> f64 {
         let responses = self.responses.per_second(self.now, RATE_WINDOW);
         if self.now < self.startup_until {
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -1,4 +1,4 @@
-//! The servers as discovery lists them, and the pools that they form.
+//! Server table and pools, which follow the server list of discovery.
 
 use crate::api::{Lifecycle, ServerEntry, ServerId};
 use crate::balancer::{Balancer, ListKind};
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 
 impl Balancer {
-    /// Takes a list of servers, or changes of it.
+    /// Applies a complete server list or changes of it.
     pub(crate) fn on_server_list(&mut self, entries: &[ServerEntry], kind: ListKind) {
         if kind == ListKind::Complete {
             self.server_indices
@@ -46,8 +46,9 @@
         self.servers[index].started_at = entry.started;
     }
 
-    /// A new process: its predecessor's failures and connections say nothing of it. The random start
-    /// of its budget keeps all balancers from sending it their first call at once.
+    /// Resets the state of a server whose process was replaced, since failures and connections of
+    /// the old process do not apply to the new one. The slow-start budget begins at a random value,
+    /// so that not all balancers send their first call to the new process at once.
     fn reset_process(&mut self, index: ServerIndex) {
         let server = &mut self.servers[index];
         server.breaker = CircuitBreaker::default();
@@ -60,7 +61,8 @@
     }
 
     fn add_server(&mut self, id: ServerId) -> ServerIndex {
-        // Seeded, so that balancers that pass over a server don't all hit the same next one.
+        // The random key gives each balancer its own round-robin order, so that balancers that skip
+        // a server do not all move on to the same next server.
         let (round_robin_key, turn_credit) = (self.rng.u64(..), self.rng.f64());
         let server = Server {
             id,
@@ -78,9 +80,9 @@
         index
     }
 
-    /// Forgets the removed servers, unless an attempt is in flight at them or they stand for the
-    /// scope of a keyed request. Guards the memory, and the time for each list, where servers are
-    /// ever new.
+    /// Frees the entries of removed servers, except those with an attempt in flight and those that
+    /// define the deduplication scope of a keyed request. This bounds the memory, and the time to
+    /// process a list, if servers are continually replaced.
     fn forget_removed(&mut self) {
         if self.servers.iter().all(|server| !server.removed) {
             return;
@@ -95,6 +97,7 @@
         }
     }
 
+    /// The servers to which pending requests and load comparisons refer.
     fn referenced_servers(&self) -> HashSet<ServerIndex> {
         let comparisons = self.comparisons.values();
         let compared = comparisons.clone().map(|comparison| &comparison.request);
--- a/crates/decisions/src/policy/breakers.rs
+++ b/crates/decisions/src/policy/breakers.rs
@@ -12,8 +12,8 @@
     /// Whether the circuit breaker of a server lets a call of a class through: it is closed, or
     /// half-open with no trial call in flight.
     ///
-    /// A trial call may be lost, so only calls that can be repeated serve as trials. If no such call
-    /// arrives for another full backoff delay, other calls may be trials as well.
+    /// A trial call may be lost, so only calls that can be repeated serve as trials. If no such
+    /// call arrives for another full backoff delay, other calls may be trials as well.
     pub(crate) fn breaker_admits(&self, index: ServerIndex, class: usize) -> bool {
         let breaker = &self.servers[index].breaker;
         let is_idempotent = self.is_idempotent(class);
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Number of failures in a row that trips a breaker. It depends on the failure rate of all calls,
-    /// so that the breaker of a server no worse than the others rarely trips by chance.
+    /// Number of failures in a row that trips a breaker. It depends on the failure rate of all
+    /// calls, so that the breaker of a server no worse than the others rarely trips by chance.
     fn failures_to_trip(&self, breaker: &CircuitBreaker) -> f64 {
         let is_new = breaker.consecutive_successes < PROBATION_SUCCESSES;
         let on_probation = breaker.recent_opens > 0 && is_new;
--- a/crates/decisions/src/policy/connections.rs
+++ b/crates/decisions/src/policy/connections.rs
@@ -36,8 +36,8 @@
         0
     }
 
-    /// Whether calls on connections of up to this idle step fail more often than `limit` allows, and
-    /// at least twice as often as calls on new connections.
+    /// Whether calls on connections of up to this idle step fail more often than `limit` allows,
+    /// and at least twice as often as calls on new connections.
     fn is_idle_risky(&self, step: usize, limit: f64) -> bool {
         let new = self.idle_risk.get(0, self.now, IDLE_RISK_DECAY);
         let idle = self
--- a/crates/decisions/src/policy/load_probes.rs
+++ b/crates/decisions/src/policy/load_probes.rs
@@ -107,8 +107,8 @@
             .map(|&figure| f64::from(figure))
     }
 
-    /// Sends a request to the ready candidate with the fewest calls in flight per unit of size, or to
-    /// the first ready candidate if none has reported.
+    /// Sends a request to the ready candidate with the fewest calls in flight per unit of size, or
+    /// to the first ready candidate if none has reported.
     pub(crate) fn finish_load_comparison(&mut self, id: RequestId) {
         let Some(comparison) = self.comparisons.remove(&id) else {
             return;
@@ -135,9 +135,10 @@
         self.send(id, request, best.server);
     }
 
-    /// Whether the response is expected after the deadline, given the calls in flight at the server.
-    /// Such a call would delay other calls without benefit where work cannot be cancelled. Deeper
-    /// tiers never give up a call for this, because other tiers have already worked on its request.
+    /// Whether the response is expected after the deadline, given the calls in flight at the
+    /// server. Such a call would delay other calls without benefit where work cannot be cancelled.
+    /// Deeper tiers never give up a call for this, because other tiers have already worked on its
+    /// request.
     fn is_too_late(&self, request: &PendingRequest) -> bool {
         let left = request.deadline.saturating_sub(self.now) as f64;
         let latency = &self.latency_per_in_flight;
--- a/crates/decisions/src/policy/load_shedding.rs
+++ b/crates/decisions/src/policy/load_shedding.rs
@@ -10,8 +10,8 @@
 
 impl Balancer {
     /// Records the demand of a new request, and decides whether it is rejected at once. The least
-    /// valuable part of the work is rejected, as much as [`Self::shed_level`] asks for. Deeper tiers
-    /// never shed, because other tiers have already worked on the request.
+    /// valuable part of the work is rejected, as much as [`Self::shed_level`] asks for. Deeper
+    /// tiers never shed, because other tiers have already worked on the request.
     pub(crate) fn should_shed(&mut self, class: usize, tenant: usize) -> bool {
         if self.settings.tier > 0 {
             return false;
@@ -61,8 +61,8 @@
         self.rng.f64() * same < part * total - below
     }
 
-    /// Each tenant's share of the calls, and the part of its value that one of its calls is expected
-    /// to have.
+    /// Each tenant's share of the calls, and the part of its value that one of its calls is
+    /// expected to have.
     ///
     /// A tenant's calls within quota are measured against the calls that the other tenants send for
     /// each unit of their quotas. A comparison with the quota's rate alone would not tell tenants
--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -28,9 +28,9 @@
         }
     }
 
-    /// Checks an attempt that has exceeded the usual latency. This detects a slow or hung server long
-    /// before its calls time out: the first check records the latency against the server, the second
-    /// one counts as a failure.
+    /// Checks an attempt that has exceeded the usual latency. This detects a slow or hung server
+    /// long before its calls time out: the first check records the latency against the server, the
+    /// second one counts as a failure.
     pub(crate) fn on_attempt_late(&mut self, token: u64) {
         let id = RequestId(token as u32);
         let open = |request: &&mut PendingRequest| !request.closed;
@@ -125,9 +125,9 @@
         match end.outcome {
             Outcome::Ok => self.record_success(request, index),
             Outcome::Timeout if request.delay == AttemptDelay::Settled || is_too_short => {}
-            // Rejected calls end at once and never add to the calls in flight, so a rejecting server
-            // would look idle and get all turns. It counts as overloaded for one baseline latency,
-            // the time in which one of its calls can end.
+            // Rejected calls end at once and never add to the calls in flight, so a rejecting
+            // server would look idle and get all turns. It counts as overloaded for one baseline
+            // latency, the time in which one of its calls can end.
             Outcome::Full => {
                 let until = self.now + self.overall_latency.baseline as u64;
                 self.servers[index].overloaded_until = until;
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -128,8 +128,8 @@
         (MIN_TIMEOUT_PART * self.settings.classes[class].latency_target as f64) as Duration
     }
 
-    /// Closes a request whose client has disconnected, and cancels its attempt if the settings allow
-    /// it.
+    /// Closes a request whose client has disconnected, and cancels its attempt if the settings
+    /// allow it.
     pub(crate) fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(comparison) = self.comparisons.remove(&id) {
             return self.close_pending(comparison.request.target_inverse, WorkedOn::No);
--- a/crates/decisions/src/policy/round_robin.rs
+++ b/crates/decisions/src/policy/round_robin.rs
@@ -129,7 +129,8 @@
     }
 
     /// Whether a server is too likely to fail for calls of a class. Calls that must not run twice
-    /// avoid failing servers and servers on trial; other calls find out whether these have recovered.
+    /// avoid failing servers and servers on trial; other calls find out whether these have
+    /// recovered.
     fn is_unsuitable(&self, index: ServerIndex, class: usize) -> bool {
         let is_failing = || self.excess_failure_rate(index, 2.0) > MAX_EXCESS_FAILURE_RATE;
         let is_trial = || self.traffic_share_of_server(index) <= TRIAL_SHARE;
@@ -147,10 +148,10 @@
 
     /// Whether a server takes its turn in the weighted round robin.
     ///
-    /// A server's weight grows with its size and speed, as slow servers would otherwise be overloaded
-    /// while fast ones idle. Its failure rate reduces the weight even where too few calls in a row
-    /// fail to trip its breaker. A server in slow start takes every turn, because its slow-start
-    /// budget limits its calls instead.
+    /// A server's weight grows with its size and speed, as slow servers would otherwise be
+    /// overloaded while fast ones idle. Its failure rate reduces the weight even where too few
+    /// calls in a row fail to trip its breaker. A server in slow start takes every turn, because
+    /// its slow-start budget limits its calls instead.
     fn takes_turn(&mut self, pool: PoolIndex, index: ServerIndex) -> bool {
         let is_warm = self.warmth(index) >= 1.0;
         let success_rate = 1.0 - self.excess_failure_rate(index, 1.0);
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -12,9 +12,9 @@
     /// Whether the slow-start budget of a server allows one more call.
     ///
     /// The budget grows with time, by the server's share of the responses that this balancer gets,
-    /// times its warmth. The responses are counted and not the requests, because in an overload more
-    /// is requested than even warm servers can handle. Since all balancers do the same, the sum of
-    /// their calls stays near the server's capacity.
+    /// times its warmth. The responses are counted and not the requests, because in an overload
+    /// more is requested than even warm servers can handle. Since all balancers do the same, the
+    /// sum of their calls stays near the server's capacity.
     pub(crate) fn slow_start_admits(&mut self, pool: PoolIndex, index: ServerIndex) -> bool {
         if !self.has_slow_start_budget(index) {
             return true;
@@ -48,14 +48,14 @@
         warmth * self.warm_share(self.servers[index].zone, share) * overload_factor
     }
 
-    /// Calls per second that may be sent to a warm server of a zone, per unit of its size: its share
-    /// of the recent responses, or the proven rate of the zone if that is higher.
+    /// Calls per second that may be sent to a warm server of a zone, per unit of its size: its
+    /// share of the recent responses, or the proven rate of the zone if that is higher.
     ///
     /// After an outage there are no recent responses, and without the proven rate all returning
     /// servers would be kept waiting beyond their return. If most servers of all zones are in slow
     /// start, no warm server takes the remaining calls. The proven rate is less than the capacity
-    /// then, and a part of the multiple that overloads a server is safe. Beyond that, the slow-start
-    /// pace of the zone grows while its responses are in time, up to the full demand.
+    /// then, and a part of the multiple that overloads a server is safe. Beyond that, the
+    /// slow-start pace of the zone grows while its responses are in time, up to the full demand.
     fn warm_share(&mut self, zone: PoolIndex, share: f64) -> f64 {
         self.update_warm_size();
         let all = &self.pools[self.settings.zones];
@@ -67,9 +67,9 @@
         (share * pool.slow_start_pace).max(proven)
     }
 
-    /// Adjusts the slow-start pace of a zone to the latency of a call, given as a part of the call's
-    /// latency target. The step depends on the time since the last adjustment, up to a quarter of the
-    /// doubling time, so that few calls change the pace little.
+    /// Adjusts the slow-start pace of a zone to the latency of a call, given as a part of the
+    /// call's latency target. The step depends on the time since the last adjustment, up to a
+    /// quarter of the doubling time, so that few calls change the pace little.
     pub(crate) fn adjust_slow_start_pace(&mut self, zone: PoolIndex, relative_latency: f64) {
         let calls = (PACE_DOUBLING_CALLS * self.overall_latency.mean) as Duration;
         let doubling = PACE_DOUBLING.max(calls);
--- a/crates/decisions/src/policy/zones.rs
+++ b/crates/decisions/src/policy/zones.rs
@@ -41,9 +41,9 @@
         })
     }
 
-    /// Draws at random the zones that a call avoids, according to the share of its usual traffic that
-    /// the fleet's health evidence leaves each zone. Calls that must not run twice avoid all zones
-    /// that are only on trial.
+    /// Draws at random the zones that a call avoids, according to the share of its usual traffic
+    /// that the fleet's health evidence leaves each zone. Calls that must not run twice avoid all
+    /// zones that are only on trial.
     fn draw_avoided_zones(&mut self, class: usize) {
         self.avoided_zones.clear();
         for zone in 0..self.settings.zones {
@@ -89,8 +89,8 @@
     }
 
     /// Selects a server for a due trial call in a zone whose breakers are all open. Such a zone is
-    /// not used otherwise and would never get a trial call. Zones other than the local one are tried
-    /// only by calls that leave the local zone in any case.
+    /// not used otherwise and would never get a trial call. Zones other than the local one are
+    /// tried only by calls that leave the local zone in any case.
     fn trial_in_tripped_zone(
         &mut self,
         local: PoolIndex,
@@ -124,10 +124,10 @@
     /// Draws another zone for a call that exceeds the capacity of the healthy local zone, or `None`
     /// if the call stays.
     ///
-    /// If a zone gets more traffic than its servers can handle, calls are slow at all of them, and a
-    /// caller with few calls has too few in flight to detect the overload by their number. The part
-    /// of the calls that spills over is proportional to the latency that spillover gains, so that
-    /// only the surplus leaves the zone.
+    /// If a zone gets more traffic than its servers can handle, calls are slow at all of them, and
+    /// a caller with few calls has too few in flight to detect the overload by their number. The
+    /// part of the calls that spills over is proportional to the latency that spillover gains, so
+    /// that only the surplus leaves the zone.
     fn spillover_zone(&mut self, local: PoolIndex) -> Option<PoolIndex> {
         if self.pools[local].relative_latency.calls < MIN_SAMPLES {
             return None;
@@ -160,8 +160,8 @@
     }
 
     /// Whether a zone has far more calls in flight than expected without load. The expected number
-    /// is that of a zone of `normal_size`, scaled to the zone's size. It replaces a fixed threshold,
-    /// which a caller with few calls would never reach.
+    /// is that of a zone of `normal_size`, scaled to the zone's size. It replaces a fixed
+    /// threshold, which a caller with few calls would never reach.
     fn is_overloaded(&self, zone: &Pool, normal_size: f64) -> bool {
         if self.overall_latency.calls < MIN_SAMPLES {
             // After a start there is no baseline yet, and every zone would be left at once.
--- a/crates/decisions/src/state/pool.rs
+++ b/crates/decisions/src/state/pool.rs
@@ -46,8 +46,8 @@
 impl Pool {
     /// Records a response, and updates the proven rate as an average over `span`.
     ///
-    /// The proven rate does not fall without responses, or while members are held back by slow start:
-    /// an outage does not show that the pool can handle less.
+    /// The proven rate does not fall without responses, or while members are held back by slow
+    /// start: an outage does not show that the pool can handle less.
     pub fn record_response(&mut self, now: Time, window: Duration, span: Duration) {
         let passed = now.saturating_sub(self.responses.updated_at).min(window);
         self.responses.add(now, 1.0, window);
--- a/crates/decisions/src/state/server.rs
+++ b/crates/decisions/src/state/server.rs
@@ -5,7 +5,8 @@
 
 /// Position of a server in the balancer's table.
 pub(crate) type ServerIndex = usize;
-/// Position of a pool: the position of its zone, or the number of zones for the pool of all servers.
+/// Position of a pool: the position of its zone, or the number of zones for the pool of all
+/// servers.
 pub(crate) type PoolIndex = usize;
 
 /// State of an upstream server: its listing, its connections and its measured health.
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -1,23 +1,23 @@
-//! The thresholds, gains and windows that steer the decisions, each with its unit and its reason.
+//! Thresholds, gains and windows of the decisions, each with its unit and its reason.
 //!
-//! Durations are in nanoseconds; `SECOND` is one second.
+//! Durations are in nanoseconds.
 
 use crate::api::Duration;
 
 /// One second, in nanoseconds.
 pub(crate) const SECOND: Duration = 1_000_000_000;
 
-/// Exponential backoff: the delay doubles with each failure in a row, up to a cap.
+/// Exponential backoff: the delay doubles with each failure in a row, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Backoff {
-    /// After the first failure.
+    /// Delay after the first failure.
     pub initial: Duration,
-    /// The cap.
+    /// Maximum delay.
     pub max: Duration,
 }
 
 impl Backoff {
-    /// The delay after so many failures in a row.
+    /// The delay after `failures` failures in a row.
     pub fn delay(self, failures: u32) -> Duration {
         (self.initial << failures.saturating_sub(1).min(8)).min(self.max)
     }
@@ -25,230 +25,250 @@
 
 // ---- Estimates ----
 
-/// Gains by which a baseline follows the mean.
+/// Gains with which a baseline follows the mean.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BaselineGain {
     /// Gain while the mean is below the baseline.
     pub down: f64,
-    /// Gain while the mean is above it.
+    /// Gain while the mean is above the baseline.
     pub up: f64,
 }
 
-/// Samples before a latency is trusted, or a rate of responses.
+/// Number of samples from which a latency or a response rate is trusted.
 pub(crate) const MIN_SAMPLES: u32 = 10;
-/// Weight of a new outcome in the averages: about a second's worth of calls at a small balancer.
+/// Weight of a new outcome in the averages: about the calls of one second at a small balancer.
 pub(crate) const OUTCOME_GAIN: f64 = 0.05;
-/// The baseline falls much faster towards the mean than it rises: a jam must not become normal.
+/// The baseline falls towards the mean much faster than it rises, so that congestion does not
+/// become the new baseline.
 pub(crate) const BASELINE_GAIN: BaselineGain = BaselineGain {
     down: 0.05,
     up: 0.001,
 };
-/// Weight of a call in the relative latency of its zone: some ten calls, so that small callers
-/// follow.
+/// Weight of a call in the relative latency of its zone: an average of about ten calls, so that
+/// balancers with few calls follow changes as well.
 pub(crate) const RELATIVE_LATENCY_GAIN: f64 = 0.1;
-/// Weight of a call in its server's slowness: a caller with few calls sees a few a second of each
-/// server.
+/// Weight of a call in its server's slowness. It is high because a balancer with few calls sends
+/// each server only a few calls per second.
 pub(crate) const SLOWNESS_GAIN: f64 = 0.3;
 /// Weight of a call in the failure rate of its server.
 pub(crate) const SERVER_FAILURE_GAIN: f64 = 0.2;
-/// Time over which what is known of the health of a server or zone decays: then it is tried again.
+/// Decay time of the measured health of a server or zone, after which it is tried again.
 pub(crate) const HEALTH_DECAY: Duration = 10 * SECOND;
-/// Time over which call rates are averaged: a few calls at the smallest balancer.
+/// Window over which call rates are averaged: a few calls at the smallest balancer.
 pub(crate) const RATE_WINDOW: Duration = 5 * SECOND;
-/// Time over which the responses of a zone per unit of its size are averaged, while it gives any.
+/// Time over which the proven rate of a zone is averaged, counted only while it responds.
 pub(crate) const PROVEN_RATE_SPAN: Duration = 60 * SECOND;
 
 // ---- Zones ----
 
-/// When a zone counts as overloaded.
+/// Limit of the calls in flight above which a zone counts as overloaded: `ratio` times the calls
+/// expected without load plus `deviations` standard deviations, but at least `min_in_flight`.
 pub(crate) struct ZoneOverload {
-    /// Calls in flight, as a multiple of those without load ...
+    /// Multiple of the calls in flight that are expected without load.
     pub ratio: f64,
-    /// ... and so many deviations of a chance count of them ...
+    /// Standard deviations of a random (Poisson) count that are added.
     pub deviations: f64,
-    /// ... but never at fewer calls than these: a small caller reaches a multiple by chance alone.
+    /// Lowest limit. A balancer with few calls can reach a multiple of the expected calls by
+    /// chance.
     pub min_in_flight: f64,
 }
 
-/// When a zone counts as overloaded.
+/// Overload limit of zones.
 pub(crate) const ZONE_OVERLOAD: ZoneOverload = ZoneOverload {
     ratio: 2.0,
     deviations: 3.0,
     min_in_flight: 4.0,
 };
-/// With this part of its servers tripped, or of its calls failing, a zone is not used: the rest
-/// would carry all of it.
+/// Part of a zone's servers that have tripped, or of its calls that fail, from which the zone is
+/// not used. The remaining servers would have to handle all calls of the zone.
 pub(crate) const BLACKOUT_THRESHOLD: f64 = 0.5;
-/// Failure rate at which the local zone is left, with the cost of crossing on top: a small caller
-/// sees each server too seldom to trip it, and what crosses should gain more than it costs.
+/// Failure rate above which the local zone is left; the cost of crossing zones is added to it, so
+/// that a crossing gains more than it costs. Breakers alone do not suffice, since a balancer with
+/// few calls sends too few to each server to trip its breaker.
 pub(crate) const MAX_LOCAL_FAILURE_RATE: f64 = 0.08;
-/// Servers that must be healthy for the local zone to be used. One will do: small zones would
-/// always be left.
+/// Number of servers that must be healthy for a zone to be used. A higher number would exclude
+/// small zones at all times.
 pub(crate) const MIN_HEALTHY: usize = 1;
-/// Part of the calls that spill over to another zone for each unit by which the local one is slower
-/// than it, as a part of the latency target.
+/// Part of the calls that spill over to another zone, per unit of relative latency by which the
+/// local zone is slower than the other zone.
 pub(crate) const SPILLOVER_GAIN: f64 = 3.0;
-/// What spillover must gain, as a part of the cost of crossing: it also frees capacity for the calls
-/// that stay.
+/// Minimum gain of spillover, as a part of the cost of crossing zones. It is below 1 because
+/// spillover also frees capacity for the calls that stay.
 pub(crate) const SPILLOVER_COST_PART: f64 = 0.5;
-/// What spillover must gain on top, as a part of the latency target: more than the chance of a
-/// small caller's few calls.
+/// Relative latency that spillover must gain in addition: more than the random variation at a
+/// balancer with few calls.
 pub(crate) const SPILLOVER_NOISE: f64 = 0.05;
-/// Share of its traffic up to which the fleet only tries a failure domain: calls that must not run
-/// twice are not used for that.
+/// Share of its usual traffic up to which a failure domain counts as on trial by the fleet. Calls
+/// that must not run twice avoid a domain on trial.
 pub(crate) const TRIAL_SHARE: f64 = 0.25;
 
 // ---- Round robin ----
 
-/// Proposals of one pick before the fallback, as in Ribbon's availability-filtering rule.
+/// Proposals per pick before the fallback is used, as in Ribbon's availability-filtering rule.
 pub(crate) const MAX_PROPOSALS: u32 = 10;
-/// Rounds through a pool to find them.
+/// Rounds through a pool per pick in which proposals are searched.
 pub(crate) const MAX_ROUNDS: usize = 4;
-/// A server is overloaded at this multiple of its share of the calls in flight without load.
+/// Multiple of its share of the calls in flight without load at which a server is overloaded.
 pub(crate) const SERVER_OVERLOAD_RATIO: f64 = 1.2;
-/// Power of its success rate that a server's turns are weighted by: one that fails half of its calls
-/// by chance hardly ever trips where each caller sees it once a second.
+/// Power of a server's success rate in its turn weight. A server that fails half of its calls at
+/// random rarely trips its breaker if each balancer calls it once per second.
 pub(crate) const SUCCESS_RATE_POWER: i32 = 4;
-/// Calls that must not run twice pass over servers whose failure rate is higher than that of all by
-/// this, and leave it to other calls to find that they have recovered.
+/// Excess of a server's failure rate over that of all calls above which calls that must not run
+/// twice avoid the server. Other calls find out when it has recovered.
 pub(crate) const MAX_EXCESS_FAILURE_RATE: f64 = 0.1;
-/// A server counts as no faster than this part of the mean, whatever a few calls say: it has four
-/// turns to one of the mean, which the rounds allow for.
+/// Lower bound of a server's slowness in its turn weight, because a few calls are no reliable
+/// measurement. At this bound a server has four turns for each turn of a server at the mean, which
+/// [`MAX_ROUNDS`] allows for.
 pub(crate) const MIN_SLOWNESS: f64 = 0.5;
-/// How much of the best weight remains from one proposal to the next: the best of some hundreds.
+/// Factor by which the best weight of a pool decays with each proposal, so that it is the best of
+/// some hundred proposals.
 pub(crate) const BEST_WEIGHT_DECAY: f64 = 0.999;
 
 // ---- Slow start ----
 
-/// Part of the multiple that overloads a server in slow start by which its share may exceed what is
-/// proven.
+/// Part of the multiple that overloads a server in slow start which is considered safe to send
+/// beyond its proven rate.
 pub(crate) const SAFE_OVERLOAD_PART: f64 = 0.6;
-/// How often the warm part of all servers is counted.
+/// Interval at which the warm size of all servers is updated.
 pub(crate) const WARM_SIZE_INTERVAL: Duration = SECOND / 10;
-/// Relative latency below which a zone in slow start is sent more.
+/// Relative latency below which the slow-start pace of a zone rises.
 pub(crate) const PACE_UP_BELOW: f64 = 0.5;
-/// Relative latency above which it is sent less.
+/// Relative latency above which the slow-start pace of a zone falls.
 pub(crate) const PACE_DOWN_ABOVE: f64 = 0.8;
-/// The pace doubles in this time at most ...
+/// Minimum time in which the slow-start pace doubles.
 pub(crate) const PACE_DOUBLING: Duration = SECOND;
-/// ... or in the time of so many calls: a jam has to show before.
+/// Minimum time in which the slow-start pace doubles, as a multiple of the mean latency of a call,
+/// so that congestion is measured before the pace doubles again.
 pub(crate) const PACE_DOUBLING_CALLS: f64 = 8.0;
-/// Budgets that have just rejected calls go on for this long beyond slow start.
+/// Time for which slow-start budgets still apply after slow start if a call has found no server.
 pub(crate) const BUDGET_EXTENSION: Duration = SECOND;
 
 // ---- Circuit breakers ----
 
-/// Chance that the breaker of a server no worse than the rest trips: sets how many failures in a row
-/// it takes.
+/// Chance that the breaker of a server no worse than the others trips. It determines the number of
+/// failures in a row that trip a breaker.
 pub(crate) const FALSE_TRIP_CHANCE: f64 = 0.01;
-/// The same on probation, when a server is more likely to be worse.
+/// Chance of a false trip for a server on probation. It is higher because a server that has tripped
+/// recently is more likely to be worse than the others.
 pub(crate) const FALSE_TRIP_CHANCE_ON_PROBATION: f64 = 0.1;
-/// Fewest failures in a row that trip a breaker, save on probation.
+/// Minimum failures in a row that trip a breaker, except on probation, where one can suffice.
 pub(crate) const MIN_FAILURES_TO_TRIP: f64 = 2.0;
-/// Most failures in a row that it takes: a broken tier must still show its worst servers.
+/// Maximum failures in a row before a breaker trips, so that the worst servers of a failing tier
+/// are still ejected.
 pub(crate) const MAX_FAILURES_TO_TRIP: f64 = 6.0;
-/// How long a breaker stays open; the cap bounds how long a recovered server idles.
+/// Time that a breaker stays open. The maximum bounds the time that a recovered server idles.
 pub(crate) const BREAKER_BACKOFF: Backoff = Backoff {
     initial: SECOND,
     max: 8 * SECOND,
 };
-/// Successes in a row that end probation.
+/// Successes in a row that end the probation of a server whose breaker has opened recently.
 pub(crate) const PROBATION_SUCCESSES: u32 = 3;
-/// Successes in a row that reset the backoff.
+/// Successes in a row that reset the backoff of a breaker.
 pub(crate) const BACKOFF_RESET_SUCCESSES: u32 = 10;
 
 // ---- Time-outs ----
 
-/// Mean deviations above the mean at which an attempt is late: it counts against its server's
-/// latency, not against that of all.
+/// Mean deviations above the mean latency at which an attempt is late. A late attempt counts in the
+/// latency of its server, but not in that of its class.
 pub(crate) const LATE_DEVIATIONS: f64 = 4.0;
-/// Mean deviations above the mean at which it times out: hardly any call to a sound server does.
+/// Mean deviations above the mean latency at which an attempt times out. Hardly any call to a
+/// healthy server takes as long.
 pub(crate) const TIMEOUT_DEVIATIONS: f64 = 20.0;
-/// Part of its latency target within which no attempt times out: where calls take a millisecond, a
-/// caller that stalls for some would give up sound servers in a row.
+/// Minimum attempt timeout, as a part of the latency target. With latencies of a millisecond, a
+/// balancer that stalls for a few milliseconds would otherwise time out calls to healthy servers.
 pub(crate) const MIN_TIMEOUT_PART: f64 = 0.1;
 
 // ---- Retries ----
 
-/// What a request adds to the retry budget, in retries. Retries multiply from tier to tier.
+/// Number of retries that a request adds to the retry budget. It is low because retries multiply
+/// from tier to tier.
 pub(crate) const RETRY_DEPOSIT: f64 = 0.2;
-/// Most retries that the budget holds.
+/// Maximum balance of the retry budget, in retries.
 pub(crate) const RETRY_BUDGET_CAP: f64 = 10.0;
 
 // ---- Connections ----
 
-/// A server that responded within this time is alive: a connection that fails exceeds its limit.
+/// Time since its last response within which a server counts as alive. A connection that fails in
+/// this time shows that the server's connection limit is reached.
 pub(crate) const ALIVE_WINDOW: Duration = SECOND;
-/// Time after which a server at its connection limit is tried with one connection more.
+/// Time after which a server at its connection limit is tried with one more connection.
 pub(crate) const CONNECTION_RETRY_INTERVAL: Duration = 5 * SECOND;
-/// Idle connections that a server is left with: a fuller table takes its capacity, and at last it
-/// refuses connections. Where many calls are in flight their number varies by chance, and closing at
-/// each low would cost a handshake a call: what the latest peak needed, less as many, is left too.
+/// Number of idle connections that a server may keep. A full connection table costs a server
+/// capacity, and finally makes it refuse connections. With many calls in flight, their number
+/// varies by chance, and closing connections at each low would cost a handshake per call. The
+/// recent peak of the calls in flight minus this number may therefore be kept as well, if that is
+/// more.
 pub(crate) const SPARE_CONNECTIONS: f64 = 2.0;
-/// Time over which that peak decays.
+/// Decay time of the recent peak of the calls in flight.
 pub(crate) const PEAK_DECAY: Duration = SECOND / 4;
-/// Least time that makes a connection idle: what drops idle ones waits longer than a round trip.
+/// Minimum time without use after which a connection counts as idle. Middleboxes that drop idle
+/// connections wait longer than a round trip.
 pub(crate) const MIN_IDLE: Duration = SECOND / 4;
-/// Weight of an attempt in the risk of an idle time.
+/// Weight of an attempt in the failure rate of its idle step.
 pub(crate) const IDLE_RISK_GAIN: f64 = 0.3;
-/// Time over which that risk decays.
+/// Decay time of the failure rates of idle steps.
 pub(crate) const IDLE_RISK_DECAY: Duration = 30 * SECOND;
-/// Risk from which an idle connection is replaced before a call that must not run twice: the call
-/// would be lost with it.
+/// Failure rate above which an idle connection is replaced before a call that must not run twice.
+/// Such a call would be lost with its connection.
 pub(crate) const MAX_IDLE_RISK_UNSAFE: f64 = 0.1;
-/// The same for other calls: they only take another attempt, and so show when the risk is over.
+/// Failure rate above which an idle connection is replaced before any other call. A failure only
+/// costs such a call another attempt, and its attempts show when the risk is over.
 pub(crate) const MAX_IDLE_RISK: f64 = 0.3;
 
 // ---- Load shedding ----
 
-/// Expected relative latency from which work is shed: below it, what is slow by nature would be
-/// rejected on a quiet day.
+/// Expected relative latency above which work is shed. A lower threshold would reject requests that
+/// are slow by nature even without overload.
 pub(crate) const SHED_START_RELATIVE_LATENCY: f64 = 0.5;
-/// Expected relative latency at which all is shed: above it, the tail of the responses misses the
-/// target.
+/// Expected relative latency at which all work is shed, up to [`MAX_SHED`]. Above it, the tail of
+/// the responses misses the latency target.
 pub(crate) const SHED_ALL_RELATIVE_LATENCY: f64 = 0.65;
-/// Over the root of the responses counted, by how much later shedding begins: a caller with some ten
-/// calls a second sees their chance lengths as a jam, and rejected some where nothing waited.
+/// Increase of the shedding threshold for random variation, divided by the root of the number of
+/// responses counted. Without it, a balancer with about ten calls per second took the random
+/// lengths of its calls for congestion, and rejected some although no call was waiting.
 pub(crate) const SHED_NOISE: f64 = 0.4;
-/// Most of the work that is ever shed: some calls must show when it is over.
+/// Maximum part of the work that is shed. The remaining calls show when the overload is over.
 pub(crate) const MAX_SHED: f64 = 0.9;
-/// Least time over which responses are counted to tell how fast they come ...
+/// Minimum window over which responses are counted for the response rate.
 pub(crate) const MIN_RESPONSE_WINDOW: Duration = SECOND;
-/// ... and at most so many of the longest latency target, where a caller's calls are few: a jam
-/// comes and goes within some.
+/// Maximum window over which the responses of a balancer with few calls are counted, as a multiple
+/// of the longest latency target. Congestion comes and goes within a few latency targets.
 pub(crate) const MAX_RESPONSE_WINDOW_TARGETS: u64 = 2;
 
 // ---- Load probes ----
 
-/// Servers that are probed before a call is sent.
+/// Number of servers that are probed before a call is sent.
 pub(crate) const PROBED_SERVERS: usize = 4;
-/// Part of a request's value that probing may cost: a better choice of a server brings a few
-/// percent.
+/// Part of a request's value that its probes may cost. A better choice of server gains a few
+/// percent of the value.
 pub(crate) const MAX_PROBE_COST: f64 = 0.01;
-/// Time for the load reports (5 ms): waiting longer costs more than a bad choice, and no report is
-/// the sign of a stalled server.
+/// Time to wait for load reports (5 ms). A longer wait costs more than a bad choice of server, and
+/// a missing report indicates a stalled server.
 pub(crate) const PROBE_TIMEOUT: Duration = 5_000_000;
 
 // ---- Subscription to discovery ----
 
-/// First subscriptions are spread over this much for each balancer: discovery's capacity is fixed.
+/// Time per balancer over which first subscriptions are spread, because the capacity of discovery
+/// is fixed.
 pub(crate) const SUBSCRIBE_SPACING: Duration = SECOND / 10;
-/// Delay before a failed subscription is retried: a change counts as notified 6 s after discovery
-/// had it, and two calls of 2 s have to fit in with their delays.
+/// Delay before a failed subscription is retried. A balancer counts as notified of a change 6 s
+/// after discovery had it, and two calls of 2 s with their delays have to fit into that time.
 pub(crate) const SUBSCRIBE_BACKOFF: Backoff = Backoff {
     initial: SECOND,
     max: 2 * SECOND,
 };
 
-// ---- Timer tokens: attempts use the lower 63 bits ----
+// ---- Timer tokens ----
+//
+// The tokens of attempts use the lower 63 bits.
 
-/// Token of the timer that subscribes.
+/// Token of the timer that subscribes to discovery.
 pub(crate) const SUBSCRIBE_TOKEN: u64 = u64::MAX;
-/// Set in the tokens of the timers that wait for load reports.
+/// Bit that is set in the tokens of timers that wait for load reports.
 pub(crate) const PROBE_TOKEN_BIT: u64 = 1 << 63;
 
 // ---- Log ----
 
-/// Least time between two log lines of a kind: under faults, what they report happens many times a
-/// second.
+/// Minimum time between two log lines of one kind. During faults, the logged events can occur many
+/// times per second.
 pub(crate) const LOG_INTERVAL: Duration = 5 * SECOND;
