--- a/crates/decisions/tests/behaviour/breakers.rs
+++ b/crates/decisions/tests/behaviour/breakers.rs
@@ -1,4 +1,4 @@
-//! What trips a circuit breaker, what does not, and how it closes.
+//! Tests of circuit breakers: the failures that trip them, and the trial calls that close them.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
@@ -19,7 +19,8 @@
         .count()
 }
 
-/// A hung server shows by nothing but calls that never end, and unsafe calls have no limit short of the deadline.
+/// Guards against use of a hung server until the deadline: its calls never end, and unsafe calls
+/// have no timeout before the deadline.
 #[test]
 fn hung_server_trips_before_the_deadline_of_unsafe_calls() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
@@ -53,18 +54,19 @@
     assert!(!after.contains(&1), "{after:?}");
 }
 
-/// A server whose connections are all taken rejects new ones and responds to the rest: breakers took it for dead, and
-/// as that befell half a zone the zone was left.
+/// Guards against ejecting servers at their connection limit. Such a server refuses new connections
+/// but responds on the others; breakers treated it as dead, and when that happened to half of a
+/// zone, the zone was left.
 #[test]
 fn failed_connections_to_a_responding_server_do_not_trip_its_breaker() {
     let mut harness = Harness::new(settings(), &zones(2, 4));
     harness.warm_up(200);
-    let mut avoided = 0;
+    let mut other_zone = 0;
     for call in 0..200 {
         let (id, mut actions) = harness.request(SAFE);
         let mut attempt = 0;
         while let Some(server) = sent_to(&actions) {
-            avoided += u32::from(server >= 4);
+            other_zone += u32::from(server >= 4);
             harness.now += MS;
             let outcome = if (call + attempt) % 4 != 0 {
                 Outcome::ConnectFailed
@@ -84,43 +86,44 @@
         }
         harness.now += 20 * MS;
     }
-    // Many calls try another zone at the end of their attempts, but the zone itself is kept: once a further connection
-    // to each server is tried, calls stay there.
+    // The last attempts of many calls go to another zone, but the local zone stays in use: after
+    // the interval in which each server is tried with one more connection, calls stay local.
     harness.now += 5 * SECOND;
-    let home = local_calls(&mut harness);
+    let local = local_calls(&mut harness);
     assert!(
-        home >= 15,
-        "{home} of 20 calls stay in the zone, {avoided} attempts left it"
+        local >= 15,
+        "{local} of 20 calls stay in the zone, {other_zone} attempts left it"
     );
 }
 
-/// Calls with much work passed for failures of their servers, and breakers of sound ones opened.
+/// Guards against treating heavy calls as failures: calls with much work opened the breakers of
+/// healthy servers.
 #[test]
 fn heavy_calls_do_not_trip_a_sound_server() {
     let mut harness = Harness::new(settings(), &zones(1, 2));
-    // Latency of 20 ms on average, 10 ms off on average.
+    // Mean latency of 20 ms, mean deviation of 10 ms.
     for call in 0..400 {
         harness.serve(UNSAFE, if call % 2 == 0 { 10 * MS } else { 30 * MS });
     }
-    let (mut marks, ids) = (
+    let (mut timers, ids) = (
         Vec::new(),
         (0..6).map(|_| harness.request(UNSAFE)).collect::<Vec<_>>(),
     );
     for (_, actions) in &ids {
-        marks.extend(actions.iter().filter_map(|action| match action {
+        timers.extend(actions.iter().filter_map(|action| match action {
             Action::SetTimer { token, after } => Some((*token, harness.now + after)),
             _ => None,
         }));
     }
-    // Seventeen deviations above the mean, then all are served.
+    // All calls are answered 17 deviations above the mean.
     let answered = harness.now + 190 * MS;
     let mut logs = Vec::new();
-    while let Some(at) = marks.iter().position(|&(_, due)| due < answered) {
-        let (token, due) = marks.swap_remove(at);
+    while let Some(at) = timers.iter().position(|&(_, due)| due < answered) {
+        let (token, due) = timers.swap_remove(at);
         harness.now = harness.now.max(due);
         for action in harness.handle(Event::Timer(token)) {
             match action {
-                Action::SetTimer { token, after } => marks.push((token, harness.now + after)),
+                Action::SetTimer { token, after } => timers.push((token, harness.now + after)),
                 Action::Log(text) => logs.push(text),
                 _ => {}
             }
@@ -132,8 +135,9 @@
     );
 }
 
-/// Where calls take a millisecond, twenty deviations above that are a millisecond more: a caller that stood still
-/// for twenty gave up all its attempts at once, and rejected two hundred calls to sound servers.
+/// Guards against timeouts that are shorter than a stall of the caller. With latencies of 1 ms, 20
+/// deviations above the mean are only 1 ms more; a caller that stalled for 20 ms timed out all its
+/// attempts at once and rejected 200 calls to healthy servers.
 #[test]
 fn stalled_caller_does_not_give_up_sound_servers() {
     let mut harness = Harness::new(settings(), &zones(1, 2));
@@ -149,13 +153,13 @@
         until.is_some_and(|until| (50 * MS..500 * MS).contains(&until)),
         "{until:?}"
     );
-    // Nor is the server taken to have failed before that: the look after the first one, which finds the call late,
-    // comes no sooner.
-    let (at, token) = timers(&actions, harness.now).pop().expect("a first look");
+    // The server does not count as failed before that either. The first timer finds the call late,
+    // and the second one, which records a failure, is not due earlier than the timeout.
+    let (at, token) = timers(&actions, harness.now).pop().expect("a first timer");
     harness.now = at;
     let (again, _) = timers(&harness.handle(Event::Timer(token)), 0)
         .pop()
-        .expect("a second look");
+        .expect("a second timer");
     assert!(again >= 50 * MS, "{again}");
 }
 
@@ -175,8 +179,8 @@
     let open = counts((0..20).filter_map(|_| harness.serve(UNSAFE, MS)));
     assert!(!open.contains_key(&2), "{open:?}");
     harness.now += 10 * SECOND;
-    let healed = counts((0..40).filter_map(|_| harness.serve(SAFE, 20 * MS)));
-    assert!(healed.contains_key(&2), "{healed:?}");
+    let recovered = counts((0..40).filter_map(|_| harness.serve(SAFE, 20 * MS)));
+    assert!(recovered.contains_key(&2), "{recovered:?}");
 }
 
 #[test]
--- a/crates/decisions/tests/behaviour/connections.rs
+++ b/crates/decisions/tests/behaviour/connections.rs
@@ -1,8 +1,10 @@
-//! Which connections are used, replaced and closed.
+//! Tests of connection use: reuse, replacement, closing and connection limits.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
 
+/// Sends a call one second after the last one, so that each server's connection has been idle for
+/// seconds. Returns the server, and whether its idle connections were replaced.
 fn sparse_call_to(harness: &mut Harness, class: usize, outcome: Outcome) -> (u32, bool) {
     harness.now += SECOND;
     let (id, actions) = harness.request(class);
@@ -16,12 +18,12 @@
     )
 }
 
-/// Calls spaced so that each server's connection has been idle for seconds; whether it was replaced.
+/// Sends a sparse call, and returns whether the idle connections of its server were replaced.
 fn sparse_call(harness: &mut Harness, class: usize, outcome: Outcome) -> bool {
     sparse_call_to(harness, class, outcome).1
 }
 
-/// Whether the idle connections to the server of the only send were closed right before it.
+/// Whether idle connections were closed before the only attempt was sent.
 fn on_new_connection(actions: &[Action]) -> bool {
     let position_of = |wanted: &dyn Fn(&Action) -> bool| actions.iter().position(wanted);
     let (close, send) = (
@@ -31,7 +33,8 @@
     close.is_some_and(|close| close < send.expect("sent"))
 }
 
-/// The idle connections of a burst kept those of other balancers out of servers with small tables.
+/// Guards against keeping the idle connections of a burst: they filled the small connection tables
+/// of servers, so that other balancers could not connect.
 #[test]
 fn connections_of_a_burst_are_closed_once_idle() {
     let mut harness = Harness::new(settings(), &zones(1, 2));
@@ -48,7 +51,7 @@
         .into_iter()
         .map(|(id, server)| (id, server, 0))
         .collect();
-    // A few calls in the seconds that follow, one at a time.
+    // In the following seconds, one call at a time is sent.
     for at in 0..40 {
         for (id, server, wait) in std::mem::take(&mut ends) {
             idle[server as usize] += u32::from(wait == 0);
@@ -60,7 +63,7 @@
         }
         assert!(
             at > 0 || idle.iter().any(|&n| n > 2),
-            "what was needed just now is kept: {idle:?}"
+            "connections of the recent peak are kept: {idle:?}"
         );
         harness.now += 100 * MS;
         let (id, actions) = harness.request(SAFE);
@@ -87,12 +90,13 @@
     (0..12).for_each(|_| {
         assert!(
             !sparse_call(&mut harness, UNSAFE, Outcome::Ok),
-            "sound while idle"
+            "idle connections work"
         )
     });
     let fail = |harness: &mut Harness| sparse_call_to(harness, SAFE, Outcome::Reset).0;
     let mut closed: std::collections::BTreeSet<_> = (0..2).map(|_| fail(&mut harness)).collect();
-    // A connection on which a call failed is closed already; every other one is replaced before it is used.
+    // A connection on which a call failed is closed already. Every other one is replaced before
+    // use.
     for _ in 0..12 {
         let (server, replaced) = sparse_call_to(&mut harness, UNSAFE, Outcome::Ok);
         assert!(
@@ -110,13 +114,17 @@
     let mut harness = Harness::new(settings(), &zones(1, 1));
     let mut call = |outcome| sparse_call(&mut harness, UNSAFE, outcome);
     (0..12).for_each(|_| assert!(!call(Outcome::Ok)));
-    // The first fails on an idle connection, the others on new ones.
+    // The first call fails on an idle connection, the others on new connections.
     (0..7).for_each(|_| assert!(!call(Outcome::Reset)));
-    assert!(!call(Outcome::Ok), "on a new one");
-    assert!(!call(Outcome::Ok), "a new one would be no better");
+    assert!(!call(Outcome::Ok), "a new connection is used");
+    assert!(
+        !call(Outcome::Ok),
+        "new connections fail as often as idle ones"
+    );
 }
 
-/// A server that accepts fewer connections than usual cost each call beyond them the time of a failed connection.
+/// Guards against connecting beyond a server's connection limit: each such call cost the time of a
+/// failed connection.
 #[test]
 fn server_that_refused_a_connection_is_at_its_connection_limit() {
     let mut harness = Harness::new(settings(), &zones(1, 2));
@@ -126,24 +134,28 @@
         (sent_to(&actions).expect("sent"), id)
     };
     let pending: Vec<_> = (0..4).map(|_| send(&mut harness)).collect();
-    let (tight, last) = pending[3];
+    let (limited, last) = pending[3];
     harness.now += 30 * MS;
     harness.end(last, 0, Outcome::ConnectFailed, 250 * MS);
     harness.now += 30 * MS;
     let next: Vec<_> = (0..4).map(|_| send(&mut harness).0).collect();
     assert!(
-        next.iter().all(|&server| server != tight),
-        "it lets us have no more"
+        next.iter().all(|&server| server != limited),
+        "the server is at its connection limit"
     );
     let (_, first) = *pending
         .iter()
-        .find(|(server, _)| *server == tight)
-        .expect("sent there before");
+        .find(|(server, _)| *server == limited)
+        .expect("a call was sent there before");
     harness.end(first, 0, Outcome::Ok, 60 * MS);
-    assert_eq!(send(&mut harness).0, tight, "its connection is free again");
+    assert_eq!(
+        send(&mut harness).0,
+        limited,
+        "its connection is free again"
+    );
 }
 
-/// What a process rejected says nothing of the one that replaced it.
+/// Guards against applying the connection limit of a process to the process that replaced it.
 #[test]
 fn restarted_server_has_no_connection_limit() {
     let mut harness = Harness::new(
@@ -154,7 +166,7 @@
         &zones(1, 2),
     );
     harness.warm_up(40);
-    // Both hold calls; server 1 takes no further connection.
+    // Both servers have calls in flight; server 1 accepts no further connection.
     let pending: Vec<_> = (0..8).map(|_| harness.request(SAFE)).collect();
     let at_one = |pending: &[(RequestId, Vec<Action>)]| -> Vec<RequestId> {
         pending
@@ -163,24 +175,28 @@
             .map(|(id, _)| *id)
             .collect()
     };
-    let tight = at_one(&pending);
-    tight
+    let limited = at_one(&pending);
+    limited
         .iter()
         .for_each(|&id| drop(harness.end(id, 0, Outcome::ConnectFailed, MS)));
     harness.now += 60 * MS;
     let next: Vec<_> = (0..4).map(|_| harness.request(SAFE)).collect();
-    assert!(at_one(&next).is_empty(), "it takes none");
-    let warm = ServerEntry {
+    assert!(
+        at_one(&next).is_empty(),
+        "server 1 is at its connection limit"
+    );
+    let restarted = ServerEntry {
         started: Some(1),
         ..entry(1, 0)
     };
     harness.now += 2 * SECOND;
-    harness.handle(Event::ServerListChange(&[warm]));
+    harness.handle(Event::ServerListChange(&[restarted]));
     let again: Vec<_> = (0..4).map(|_| harness.request(SAFE)).collect();
     assert!(!at_one(&again).is_empty(), "the new process takes calls");
 }
 
-/// A connection that was closed as idle is none that could fail: nothing is to be replaced, or blamed.
+/// Guards against counting connections that the idle timeout has closed: the next call opens a new
+/// connection, so there is nothing to replace, and its failure is not due to an idle connection.
 #[test]
 fn connections_closed_as_idle_are_new_ones() {
     let mut harness = Harness::new(
@@ -195,13 +211,14 @@
     (0..4).for_each(|_| {
         assert!(
             !sparse_call(&mut harness, UNSAFE, Outcome::Ok),
-            "closed long ago"
+            "closed by the idle timeout"
         )
     });
 }
 
-/// Many callers go up and down by chance: closing what was idle at each low cost a handshake a call, and half of a
-/// daemon's time at 64 callers.
+/// Guards against closing connections at each low of the calls in flight. The number of calls of
+/// many callers varies by chance; closing idle connections at each low cost a handshake per call,
+/// and half of a daemon's time at 64 callers.
 #[test]
 fn connections_needed_again_at_once_stay_open() {
     let mut harness = Harness::new(settings(), &zones(1, 1));
--- a/crates/decisions/tests/behaviour/discovery.rs
+++ b/crates/decisions/tests/behaviour/discovery.rs
@@ -1,4 +1,4 @@
-//! Subscriptions, and the list of servers.
+//! Tests of the subscription to discovery and of the server list.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
@@ -10,13 +10,14 @@
     }
 }
 
-/// Where servers are ever new, all that were ever listed filled the memory, and each list took longer.
+/// Guards against unbounded growth of the server table: when servers were continually replaced, all
+/// servers ever listed were kept, and each server list took longer to process.
 #[test]
 fn removed_servers_are_forgotten() {
     let mut harness = Harness::new(settings(), &zones(3, 1));
     let mut size = Vec::new();
     for round in 1..200 {
-        // One attempt is out at a server that goes; its end still finds what it belongs to.
+        // An attempt is in flight at a server that is removed; its end still finds the server.
         let (id, actions) = harness.request(KEYED_ZONE);
         let first = sent_to(&actions).expect("sent");
         let list: Vec<ServerEntry> = (0..3)
@@ -24,12 +25,12 @@
             .collect();
         harness.handle(Event::ServerList(&list));
         harness.now += 20 * MS;
-        // The budget for retries does not grant each.
+        // The retry budget does not allow a retry in every round.
         if let Some(again) = sent_to(&harness.end(id, 0, Outcome::Error, 20 * MS)) {
             assert_eq!(
                 again % 3,
                 first % 3,
-                "the window of its key is that of its zone"
+                "the key is known in the zone of the first attempt only"
             );
             harness.end(id, 1, Outcome::Ok, 20 * MS);
         }
@@ -58,7 +59,8 @@
     );
 }
 
-/// A change counts as notified 6 s after discovery had it: no wait sleeps over that, however often it failed before.
+/// Guards against delays that exceed the 6 s after which a balancer counts as notified of a change,
+/// regardless of the number of failures before.
 #[test]
 fn subscription_backoff_is_capped() {
     for seed in 0..20 {
--- a/crates/decisions/tests/behaviour/health_verdicts.rs
+++ b/crates/decisions/tests/behaviour/health_verdicts.rs
@@ -1,4 +1,5 @@
-//! What a fleet finds shifts new work, proves nothing, lifts no rule, and fades where it is not renewed.
+//! Tests of the fleet's health evidence: it shifts new calls only, overrides no rule, and expires
+//! unless it is renewed.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
@@ -21,16 +22,17 @@
         .count()
 }
 
-/// With verdicts that all is well, or on what is not there, a balancer does the same as without any: to the byte.
+/// With verdicts of a full share, on unknown domains or already expired, a balancer takes exactly
+/// the same actions as without verdicts.
 #[test]
-fn verdicts_that_all_is_well_change_nothing() {
+fn verdicts_without_effect_change_nothing() {
     let list = zones(3, 4);
-    let (mut plain, mut told) = (
+    let (mut without_verdicts, mut with_verdicts) = (
         Harness::new(settings(), &list),
         Harness::new(settings(), &list),
     );
     for call in 0..600_usize {
-        let now = told.now;
+        let now = with_verdicts.now;
         let verdicts = [
             zone(0, 1.0, now + SECOND),
             zone(9, 0.0, now + SECOND),
@@ -44,9 +46,13 @@
                 share: 0.0,
                 until: now + SECOND,
             },
-            zone(0, 0.0, now), // over already
+            zone(0, 0.0, now), // already expired
         ];
-        assert!(told.handle(Event::HealthVerdicts(&verdicts)).is_empty());
+        assert!(
+            with_verdicts
+                .handle(Event::HealthVerdicts(&verdicts))
+                .is_empty()
+        );
         let outcome = |server: u32| {
             if (server as usize + call).is_multiple_of(7) {
                 Outcome::Error
@@ -54,8 +60,9 @@
                 Outcome::Ok
             }
         };
-        let (a, b) = (plain.run(call % 5, outcome), told.run(call % 5, outcome));
-        assert_eq!(a, b, "call {call}");
+        let expected = without_verdicts.run(call % 5, outcome);
+        let actual = with_verdicts.run(call % 5, outcome);
+        assert_eq!(expected, actual, "call {call}");
     }
 }
 
@@ -66,7 +73,7 @@
     let until = harness.now + 4 * SECOND;
     harness.handle(Event::HealthVerdicts(&[zone(0, 0.0, until)]));
     assert_eq!(local_calls(&mut harness, SAFE, 100), 0);
-    // Other zones get it evenly, and one of them that is left as well gets none.
+    // The calls go to the other zones, and if one of these has no share either, to the third zone.
     harness.handle(Event::HealthVerdicts(&[zone(1, 0.0, until)]));
     let third = (0..60)
         .filter(|_| {
@@ -80,7 +87,8 @@
     assert_eq!(local_calls(&mut harness, SAFE, 100), 100);
 }
 
-/// Never all places: where nothing else is there, what was left is better than nothing.
+/// Guards against rejecting all calls when verdicts leave no zone any traffic: the zones are then
+/// used nevertheless.
 #[test]
 fn calls_still_go_where_no_zone_has_a_traffic_share() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
@@ -94,9 +102,10 @@
     assert!((0..60).all(|_| harness.serve(SAFE, 20 * MS).is_some()));
 }
 
-/// A part stays as large as was said; what is only tried is tried by calls that may be sent again.
+/// A zone gets the share of traffic that its verdict states. A zone on trial gets only calls that
+/// may be sent again.
 #[test]
-fn traffic_shares_are_met_and_unsafe_calls_try_nothing() {
+fn traffic_shares_are_met_and_unsafe_calls_avoid_zones_on_trial() {
     for (share, class, least, most) in [
         (0.6, SAFE, 500, 700),
         (0.6, UNSAFE, 500, 700),
@@ -107,10 +116,10 @@
         harness.warm_up(40);
         let until = harness.now + 100 * SECOND;
         harness.handle(Event::HealthVerdicts(&[zone(0, share, until)]));
-        let stayed = local_calls(&mut harness, class, 1000);
+        let local = local_calls(&mut harness, class, 1000);
         assert!(
-            (least..=most).contains(&stayed),
-            "{share} of class {class}: {stayed}"
+            (least..=most).contains(&local),
+            "{share} of class {class}: {local}"
         );
     }
 }
@@ -146,7 +155,7 @@
         !turns.contains(&2) && turns.iter().all(|server| *server < 4),
         "{turns:?}"
     );
-    // A new process at its address is another one.
+    // The verdict does not apply to a new process of the server.
     harness.handle(Event::ServerListChange(&[ServerEntry {
         started: Some(1),
         ..entry(2, 0)
@@ -157,7 +166,7 @@
     assert!(turns.contains(&2));
 }
 
-/// A verdict on a server does not make an unsafe call that may have run one that has not.
+/// Guards rule 2: a verdict on a server does not prove that an unsafe call in flight has not run.
 #[test]
 fn verdicts_prove_nothing_of_a_call_in_flight() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
@@ -174,7 +183,7 @@
         harness
             .handle(Event::HealthVerdicts(&[verdict, zone(0, 0.0, until)]))
             .is_empty(),
-        "nothing is withdrawn for it"
+        "no attempt is withdrawn because of a verdict"
     );
     let actions = harness.end(id, 0, Outcome::Reset, 20 * MS);
     assert!(matches!(actions[..], [Action::Fail(_)]), "{actions:?}");
--- a/crates/decisions/tests/behaviour/load_probes.rs
+++ b/crates/decisions/tests/behaviour/load_probes.rs
@@ -1,9 +1,10 @@
-//! Servers that are probed for their load before a call is sent.
+//! Tests of load probes, which are sent to servers before a call.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// A caller with one call a second can't see by its own counts that others keep a server busy.
+/// Guards the choice of servers at a balancer with one call per second, whose own counts do not
+/// show the load that other balancers put on a server.
 #[test]
 fn least_loaded_of_the_probed_servers_gets_the_call() {
     let mut harness = Harness::new(probing_settings(), &zones(2, 6));
@@ -34,7 +35,8 @@
     }
 }
 
-/// A stalled or dead server does not report either: waiting for it would cost more than a bad choice.
+/// Guards against waiting for stalled or dead servers, which do not report their load: the wait
+/// would cost more than a bad choice of server.
 #[test]
 fn server_without_load_report_is_passed_over_after_a_short_wait() {
     let mut harness = Harness::new(probing_settings(), &zones(1, 6));
@@ -44,7 +46,7 @@
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     });
-    let (after, token) = timer.expect("an end to the wait");
+    let (after, token) = timer.expect("a timer that ends the wait");
     assert!(after <= 10 * MS);
     harness.handle(Event::ProbeEnded(
         ServerId(candidates[1]),
@@ -68,7 +70,8 @@
     );
 }
 
-/// A request with less time left than probing takes got no response in its time.
+/// Guards against probing for requests with less time left than the probes take: such requests got
+/// no response before their deadline.
 #[test]
 fn request_with_hardly_any_time_left_is_sent_without_probes() {
     let mut harness = Harness::new(probing_settings(), &zones(1, 6));
@@ -86,7 +89,8 @@
     );
 }
 
-/// The list may change while servers are probed: a drained one must not get the call for all its idleness.
+/// Guards against sending to a server that began to drain while it was probed, although it reports
+/// the lowest load.
 #[test]
 fn server_drained_while_it_was_probed_gets_nothing() {
     let mut harness = Harness::new(probing_settings(), &zones(1, 6));
@@ -112,7 +116,8 @@
     );
 }
 
-/// Calls that end too late behind a long queue ran all the same, and held up the next until none was in time.
+/// Guards against sending calls that would end after their deadline behind a long queue: they ran
+/// nevertheless and delayed the following calls until none ended in time.
 #[test]
 fn call_that_no_probed_server_can_finish_in_time_is_rejected() {
     let mut harness = Harness::new(probing_settings(), &zones(1, 6));
@@ -145,7 +150,8 @@
     );
 }
 
-/// Where a probe is expensive, probing four servers before each call costs more than a better choice brings.
+/// Guards against probes that cost more than they gain: with expensive probes, probing four servers
+/// per call costs more than the better choice of server is worth.
 #[test]
 fn expensive_probes_are_not_sent() {
     let mut harness = Harness::new(
--- a/crates/decisions/tests/behaviour/load_shedding.rs
+++ b/crates/decisions/tests/behaviour/load_shedding.rs
@@ -1,39 +1,41 @@
-//! When load is shed, and whose.
+//! Tests of load shedding: its beginning, its end, and the choice of the requests that are
+//! rejected.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// The latency of past responses shows an overload late; the pending requests over the responses show it at once.
+/// Guards against late shedding: the latency of past responses shows an overload late, while the
+/// ratio of pending requests to responses shows it at once.
 #[test]
-fn shedding_starts_while_the_jam_builds_up_and_ends_with_it() {
+fn shedding_starts_while_congestion_builds_up_and_ends_with_it() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
     harness.warm_up(200);
-    let mut out = std::collections::VecDeque::new();
-    let mut first_refusal = None;
+    let mut pending = std::collections::VecDeque::new();
+    let mut first_rejection = None;
     for _ in 0..400 {
         harness.now += 5 * MS;
         for _ in 0..2 {
             let (id, actions) = harness.request(SAFE);
             match sent_to(&actions) {
-                Some(_) => out.push_back((id, harness.now)),
-                None => first_refusal = first_refusal.or(Some(harness.now)),
+                Some(_) => pending.push_back((id, harness.now)),
+                None => first_rejection = first_rejection.or(Some(harness.now)),
             }
         }
-        if out
+        if pending
             .front()
             .is_some_and(|(_, at)| harness.now - at > 20 * MS)
         {
-            let (id, at) = out.pop_front().expect("one is out");
+            let (id, at) = pending.pop_front().expect("a call is pending");
             harness.end(id, 0, Outcome::Ok, harness.now - at);
         }
     }
-    let longest = out.front().map_or(0, |(_, at)| harness.now - at);
+    let longest = pending.front().map_or(0, |(_, at)| harness.now - at);
     assert!(
-        first_refusal.is_some() && longest < 500 * MS,
+        first_rejection.is_some() && longest < 500 * MS,
         "the oldest waits {} ms",
         longest / MS
     );
-    while let Some((id, at)) = out.pop_front() {
+    while let Some((id, at)) = pending.pop_front() {
         harness.now += 2 * MS;
         harness.end(id, 0, Outcome::Ok, harness.now - at);
     }
@@ -41,40 +43,41 @@
     assert!((0..20).all(|_| harness.serve(SAFE, 20 * MS).is_some()));
 }
 
-/// Calls given up at once counted as quick responses, so a tier whose servers rejected most calls looked fast
-/// and nothing was shed.
+/// Guards against counting rejected calls as fast responses: a tier whose servers rejected most
+/// calls looked fast, and no load was shed.
 #[test]
 fn fast_failures_do_not_count_as_fast_responses() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
     harness.warm_up(200);
-    let mut out = std::collections::VecDeque::new();
+    let mut pending = std::collections::VecDeque::new();
     let mut shed = 0;
     for call in 0..600 {
         harness.now += 2 * MS;
         let (id, mut actions) = harness.request(SAFE);
         shed += u32::from(sent_to(&actions).is_none());
         let mut attempt = 0;
-        // Four in five are rejected, whatever is tried; the fifth is in flight for long.
+        // Servers reject all attempts of four in five calls; the fifth call is in flight for long.
         while sent_to(&actions).is_some() {
             if call % 5 == 0 {
-                out.push_back((id, attempt, harness.now));
+                pending.push_back((id, attempt, harness.now));
                 break;
             }
             actions = harness.end(id, attempt, Outcome::Full, MS / 10);
             attempt += 1;
         }
-        if out
+        if pending
             .front()
             .is_some_and(|(_, _, sent)| harness.now - sent > 450 * MS)
         {
-            let (id, attempt, sent) = out.pop_front().expect("one is out");
+            let (id, attempt, sent) = pending.pop_front().expect("a call is pending");
             harness.end(id, attempt, Outcome::Ok, harness.now - sent);
         }
     }
     assert!(shed > 100, "{shed} of 600 were shed");
 }
 
-/// A balancer with one or two calls a second rejected some by chance: its window held a response or two.
+/// Guards against random rejections at a balancer with one or two calls per second, whose response
+/// window held only one or two responses.
 #[test]
 fn balancer_with_few_calls_sheds_none_by_chance() {
     let mut harness = Harness::new(settings(), &zones(1, 6));
@@ -88,50 +91,53 @@
     }
 }
 
-/// In a full jam no responses come, and a relative latency made of responses said that all was well: nothing was shed.
+/// Guards against missing an overload in which no responses arrive at all: a relative latency
+/// computed from responses showed no overload then, and no load was shed.
 #[test]
-fn jam_without_any_response_is_shed() {
+fn overload_without_any_response_is_shed() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
     harness.warm_up(200);
-    harness.now += 3 * SECOND; // the answers of calm times are forgotten
-    let mut taken = 0;
+    harness.now += 3 * SECOND; // the responses before the overload have decayed
+    let mut accepted = 0;
     for _ in 0..400 {
         harness.now += 5 * MS;
-        taken += u32::from(sent_to(&harness.request(SAFE).1).is_some());
+        accepted += u32::from(sent_to(&harness.request(SAFE).1).is_some());
     }
-    assert!(taken < 200, "{taken} of 400 calls went into the jam");
+    assert!(accepted < 200, "{accepted} of 400 calls were accepted");
 }
 
-/// Calls that take a third of their latency target by nature were shed on quiet days, and nothing was gained by it.
+/// Guards against shedding without overload: calls whose usual latency is a third of their target
+/// were shed without any gain.
 #[test]
 fn calls_that_take_a_third_of_their_target_without_load_are_not_shed() {
     let mut harness = Harness::new(settings(), &zones(1, 12));
-    let (mut pending, mut refusals) = (std::collections::VecDeque::new(), 0);
+    let (mut pending, mut rejections) = (std::collections::VecDeque::new(), 0);
     for step in 0..2000 {
         harness.now += 10 * MS;
         while pending
             .front()
             .is_some_and(|(_, sent)| harness.now - sent >= 180 * MS)
         {
-            let (id, at): (RequestId, u64) = pending.pop_front().expect("one is out");
+            let (id, at): (RequestId, u64) = pending.pop_front().expect("a call is pending");
             harness.end(id, 0, Outcome::Ok, harness.now - at);
         }
         let (id, actions) = harness.request(SAFE);
-        refusals += u32::from(step > 200 && is_rejected(&actions)); // in the first seconds, no rate is known yet
+        rejections += u32::from(step > 200 && is_rejected(&actions)); // in the first seconds, no rate is known yet
         pending.push_back((id, harness.now));
     }
-    assert_eq!(refusals, 0);
+    assert_eq!(rejections, 0);
 }
 
-/// Calls of very unlike lengths, ten a second and a little under half of their latency target in the mean: one in fifty was
-/// rejected, as the few of a second are by chance now short and now long.
+/// Guards against shedding by chance with calls of very different lengths. At ten calls per second
+/// and a mean latency a little under half of the target, one in fifty calls was rejected, because
+/// the mean length of the few calls in a second varies at random.
 #[test]
 fn few_calls_of_unlike_lengths_are_hardly_shed() {
     let (mut harness, mut rng) = (
         Harness::new(settings(), &zones(1, 12)),
         fastrand::Rng::with_seed(7),
     );
-    let (mut pending, mut refusals, mut calls) = (Vec::new(), 0, 0);
+    let (mut pending, mut rejections, mut calls) = (Vec::new(), 0, 0);
     for step in 0..20_000 {
         harness.now += 10 * MS;
         pending.retain(|&(id, at, took)| {
@@ -145,20 +151,21 @@
             let (id, actions) = harness.request(SAFE);
             let counts = step > 500; // in the first seconds, no rate is known yet
             calls += u32::from(counts);
-            refusals += u32::from(counts && is_rejected(&actions));
+            rejections += u32::from(counts && is_rejected(&actions));
             pending.push((id, harness.now, rng.u64(40..=400) * MS));
         }
     }
     assert!(
-        refusals * 200 < calls,
-        "{refusals} of {calls} were rejected"
+        rejections * 200 < calls,
+        "{rejections} of {calls} were rejected"
     );
 }
 
-/// With hundreds of balancers each gets a few requests a second: too few responses in a second to tell a jam, and
-/// all of them together sent on until nothing was served in time.
+/// Guards load shedding with hundreds of balancers. Each gets a few requests per second, too few
+/// responses in one second to detect an overload; all balancers together continued to send until no
+/// call was served in time.
 #[test]
-fn caller_with_few_calls_sheds_in_a_jam() {
+fn balancer_with_few_calls_sheds_in_an_overload() {
     let long = |class: Class| Class {
         latency_target: 2 * SECOND,
         deadline: 8 * SECOND,
@@ -169,16 +176,18 @@
         ..settings()
     };
     let mut harness = Harness::new(settings, &zones(1, 12));
-    let (mut pending, mut refusals) = (std::collections::VecDeque::new(), 0);
+    let (mut pending, mut rejections) = (std::collections::VecDeque::new(), 0);
     for step in 0..300 {
-        // Three a second; responses take a quarter of a second, and in the jam three of the latency target's two seconds.
+        // Three calls per second. Responses take 250 ms at first, and in the overload 3 s with a
+        // latency target of 2 s.
         let took = if step < 100 { 250 * MS } else { 3 * SECOND };
         harness.now += 333 * MS;
         while pending
             .front()
             .is_some_and(|&(_, _, due)| harness.now >= due)
         {
-            let (id, at, _): (RequestId, u64, u64) = pending.pop_front().expect("one is out");
+            let (id, at, _): (RequestId, u64, u64) =
+                pending.pop_front().expect("a call is pending");
             harness.end(id, 0, Outcome::Ok, harness.now - at);
         }
         let id = RequestId(harness.next_id);
@@ -191,18 +200,19 @@
             max_attempts: u32::MAX,
         };
         let actions = harness.handle(Event::Request(id, parameters));
-        refusals += u32::from(is_rejected(&actions));
-        assert!(step >= 100 || refusals == 0, "rejected without load");
+        rejections += u32::from(is_rejected(&actions));
+        assert!(step >= 100 || rejections == 0, "rejected without load");
         if sent_to(&actions).is_some() {
             pending.push_back((id, harness.now, harness.now + took));
         }
     }
-    assert!(refusals > 20, "{refusals} of 200");
+    assert!(rejections > 20, "{rejections} of 200");
 }
 
-/// Guards work against being shed for responses that failed: they come as fast as others, and nothing waits.
+/// Guards against shedding because of failed responses: they arrive as fast as successful ones, and
+/// no request is waiting.
 #[test]
-fn failed_responses_are_no_jam() {
+fn failed_responses_do_not_cause_shedding() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
     let mut open = std::collections::VecDeque::new();
     for call in 0..600 {
@@ -225,33 +235,34 @@
 fn overload_sheds_the_least_valuable_first() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
     harness.warm_up(100);
-    let mut out = std::collections::VecDeque::new();
+    let mut pending = std::collections::VecDeque::new();
     let mut served = [0, 0];
-    // 400 requests a second of each class; 100 responses a second.
+    // 400 requests per second of each class, and 100 responses per second.
     for step in 0..2000 {
         harness.now += 5 * MS;
         for class in [SAFE, UNSAFE, SAFE, UNSAFE] {
             let (id, actions) = harness.request(class);
             if sent_to(&actions).is_some() {
-                out.push_back((id, harness.now));
+                pending.push_back((id, harness.now));
                 served[class] += u32::from(step > 400);
             }
         }
-        if let (0, Some((id, at))) = (step % 2, out.front().copied()) {
-            out.pop_front();
+        if let (0, Some((id, at))) = (step % 2, pending.front().copied()) {
+            pending.pop_front();
             harness.end(id, 0, Outcome::Ok, harness.now - at);
         }
     }
     assert!(served[SAFE] * 10 < served[UNSAFE], "{served:?}");
     assert!(
-        out.len() < 100,
+        pending.len() < 100,
         "{} pending at 100 responses a second and a latency target of 500 ms",
-        out.len()
+        pending.len()
     );
 }
 
-/// Callers that are rejected come again, and so all tenants exceeded their quotas: the one that surged
-/// was set apart from the others by chance alone, and a third of these were rejected for it.
+/// Guards tenants against the surge of another tenant. Rejected callers retry, so all tenants
+/// exceeded their quotas; the surging tenant was told apart only by chance, and a third of the
+/// calls of the others were rejected.
 #[test]
 fn a_tenant_that_surges_is_shed_before_the_others() {
     let tenants = vec![Tenant { quota_rps: 160.0 }; 4];
@@ -264,11 +275,12 @@
         &zones(1, 4),
     );
     harness.warm_up(100);
-    let mut out = std::collections::VecDeque::new();
+    let mut pending = std::collections::VecDeque::new();
     let mut again = std::collections::VecDeque::<(u64, usize, u32)>::new();
     let (mut requested, mut served) = ([0; 4], [0; 4]);
-    // 220 responses a second. Three tenants want 50 calls a second each, of the 40 that are this balancer's part of
-    // their quotas, the first one wants 1,000; all try three times.
+    // 220 responses per second. Three tenants send 50 calls per second each, while this balancer's
+    // part of their quotas is 40; the first tenant sends 1,000. Each call is tried up to three
+    // times.
     for step in 0..8000 {
         harness.now += 5 * MS / 2;
         let mut calls: Vec<(usize, u32)> = [0, 0, 0, 0, 0]
@@ -293,17 +305,17 @@
                 max_attempts: 9,
             };
             let actions = harness.handle(Event::Request(id, parameters));
-            let taken = sent_to(&actions).is_some();
+            let is_accepted = sent_to(&actions).is_some();
             requested[tenant] += u32::from(step > 2000 && tries == 1);
-            if taken {
-                out.push_back((id, harness.now));
+            if is_accepted {
+                pending.push_back((id, harness.now));
                 served[tenant] += u32::from(step > 2000 && tries == 1);
             } else if tries < 3 {
                 again.push_back((harness.now + 50 * MS, tenant, tries + 1));
             }
         }
-        if let (true, Some((id, at))) = (step % 20 < 11, out.front().copied()) {
-            out.pop_front();
+        if let (true, Some((id, at))) = (step % 20 < 11, pending.front().copied()) {
+            pending.pop_front();
             harness.end(id, 0, Outcome::Ok, harness.now - at);
         }
     }
--- a/crates/decisions/tests/behaviour/log.rs
+++ b/crates/decisions/tests/behaviour/log.rs
@@ -1,4 +1,4 @@
-//! What is logged, and how often.
+//! Tests of the log lines and their rate limit.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
--- a/crates/decisions/tests/behaviour/main.rs
+++ b/crates/decisions/tests/behaviour/main.rs
@@ -1,4 +1,4 @@
-//! What a balancer decides, a concern to a module.
+//! Behaviour tests of the balancer, with one module per concern.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/decisions/tests/behaviour/retries.rs
+++ b/crates/decisions/tests/behaviour/retries.rs
@@ -1,9 +1,10 @@
-//! Which attempts are retried, and what that costs.
+//! Tests of retries, attempt timeouts and the retry budget.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// Heavy requests stay heavy on a retry: a limit near the mean cut them again and again.
+/// Guards against timeouts that heavy requests exceed on every attempt: a retried request is as
+/// heavy as before, and a timeout near the mean latency ended it again and again.
 #[test]
 fn attempt_timeout_is_long_enough_for_heavy_requests() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
@@ -23,8 +24,9 @@
     );
 }
 
-/// Calls that wait in a queue of ours for a server that drains were never sent, and cost no server
-/// anything: the retry budget, which is there for the servers' sake, must not reject them.
+/// Guards against rejecting calls that were queued on a connection to a draining server. They were
+/// never sent and cost no server any work, so the retry budget, which protects servers, must not
+/// limit them.
 #[test]
 fn attempts_never_sent_cost_no_retry_budget() {
     let mut harness = Harness::new(settings(), &zones(1, 3));
@@ -36,23 +38,24 @@
         let again = harness.end(*id, 0, Outcome::Moot, 0);
         assert!(sent_to(&again).is_some(), "{again:?}");
     }
-    // What has reached a server still costs.
-    let refusals = calls
+    // Retries of attempts that have reached a server still cost budget.
+    let rejections = calls
         .iter()
         .filter(|(id, _)| is_rejected(&harness.end(*id, 1, Outcome::Full, MS)))
         .count();
-    assert!(refusals >= 20, "{refusals} of 40 rejected");
+    assert!(rejections >= 20, "{rejections} of 40 rejected");
 }
 
-/// Hundreds of callers with few calls each fill their servers' tables of connections. What was rejected there
-/// never reached a server, and cost the callers their retry budgets: they rejected though others had capacity.
+/// Guards against rejections because of full connection tables. Hundreds of callers with few calls
+/// each fill the tables of some servers; the refused connections used up the retry budgets of the
+/// callers, which then rejected calls although other servers had capacity.
 #[test]
 fn connections_that_do_not_come_up_cost_little_of_the_retry_budget() {
     let mut harness = Harness::new(settings(), &zones(1, 12));
     harness.warm_up(50);
-    let draw = std::cell::RefCell::new(fastrand::Rng::with_seed(5));
+    let rng = std::cell::RefCell::new(fastrand::Rng::with_seed(5));
     let full_tables = |_| {
-        if draw.borrow_mut().u8(..10) < 4 {
+        if rng.borrow_mut().u8(..10) < 4 {
             Outcome::ConnectFailed
         } else {
             Outcome::Ok
@@ -62,7 +65,7 @@
         .filter(|_| harness.run(UNSAFE, full_tables).1.is_some())
         .count();
     assert!(refused < 40, "{refused} of 400 rejected");
-    // Where nothing comes up at all, each call has two attempts on average, not all that it may have.
+    // If no connection succeeds, the budget limits calls to about two attempts on average.
     let attempts: usize = (0..400)
         .map(|_| harness.run(UNSAFE, |_| Outcome::ConnectFailed).0.len())
         .sum();
--- a/crates/decisions/tests/behaviour/round_robin.rs
+++ b/crates/decisions/tests/behaviour/round_robin.rs
@@ -1,30 +1,32 @@
-//! Which server of a pool takes the next turn.
+//! Tests of the weighted round robin.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// A full server rejects at once, so it had none of our calls in flight and got all turns of the others at their limit.
+/// Guards against sending all calls to a rejecting server: it rejects at once and so has no calls
+/// in flight, and it got all the turns of servers that were at their limit.
 #[test]
 fn rejecting_server_does_not_draw_the_turns_of_busy_ones() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
     harness.warm_up(200);
-    let mut refusals = 0;
+    let mut rejections = 0;
     for _ in 0..40 {
         let (id, mut actions) = harness.request(SAFE);
         let mut attempt = 0;
         while sent_to(&actions) == Some(3) {
-            refusals += 1;
+            rejections += 1;
             actions = harness.end(id, attempt, Outcome::Full, MS / 10);
             attempt += 1;
         }
     }
     assert!(
-        refusals <= 2,
-        "{refusals} of 40 requests went to the refusing server"
+        rejections <= 2,
+        "{rejections} of 40 requests went to the rejecting server"
     );
 }
 
-/// A small server took turns by its listed size, though it served far less, and timed out a third of them.
+/// Guards against weighting turns by the listed size alone: a server that handled far less than its
+/// size suggests timed out a third of its calls.
 #[test]
 fn slow_server_gives_up_turns() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
@@ -42,19 +44,20 @@
     assert!(turns[0] * 3 < turns[1], "{turns:?}");
 }
 
-/// A server that fails three in ten calls fast, by chance, fails hardly a row of them where a caller sees it once a
-/// second: one in eight of them cost some 5% of the work that must not run twice, for as long as it lasted.
+/// Guards against failures that never trip a breaker. A server that fails three in ten calls at
+/// random rarely fails several in a row if the balancer calls it once per second. One such server
+/// in eight cost about 5% of the calls that must not run twice, for the whole time of the fault.
 #[test]
 fn server_that_fails_by_chance_gets_fewer_turns_and_hardly_any_unsafe_calls() {
     let mut harness = Harness::new(settings(), &zones(1, 8));
     harness.warm_up(200);
-    let (mut draw, mut failed, mut unsafe_calls) = (fastrand::Rng::with_seed(7), 0, 0);
+    let (mut rng, mut failed, mut unsafe_calls) = (fastrand::Rng::with_seed(7), 0, 0);
     for call in 0..1_600 {
         let class = if call % 2 == 0 { UNSAFE } else { KEYED_ALL };
         harness.now += 100 * MS;
-        let errs = draw.u8(..10) < 3;
+        let fails = rng.u8(..10) < 3;
         let (tried, _) = harness.run(class, |server| {
-            if server == 3 && errs {
+            if server == 3 && fails {
                 Outcome::Error
             } else {
                 Outcome::Ok
@@ -62,11 +65,11 @@
         });
         if class == UNSAFE && call > 200 {
             unsafe_calls += 1;
-            failed += u32::from(tried == [3] && errs);
+            failed += u32::from(tried == [3] && fails);
         }
     }
     assert!(failed * 70 < unsafe_calls, "{failed} of {unsafe_calls}");
-    // Well again, it is found out, and has its turns back.
+    // After its recovery the server gets its turns back.
     let turns = (0..600).filter_map(|call| {
         harness.now += 100 * MS;
         harness
@@ -76,16 +79,17 @@
     assert!(turns.filter(|&server| server == 3).count() > 20);
 }
 
-/// Where half of all calls fail behind a tier, no server is to blame, and all keep their turns.
+/// Guards against penalizing servers for failures behind the whole tier: if calls fail at all
+/// servers alike, all servers keep their turns.
 #[test]
 fn failures_common_to_all_servers_cost_none_its_turns() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
     harness.warm_up(100);
-    let (mut draw, mut turns) = (fastrand::Rng::with_seed(3), [0; 4]);
+    let (mut rng, mut turns) = (fastrand::Rng::with_seed(3), [0; 4]);
     for call in 0..2_000 {
         harness.now += 20 * MS;
-        let errs = draw.u8(..4) == 0;
-        let (tried, _) = harness.run(UNSAFE, |_| if errs { Outcome::Error } else { Outcome::Ok });
+        let fails = rng.u8(..4) == 0;
+        let (tried, _) = harness.run(UNSAFE, |_| if fails { Outcome::Error } else { Outcome::Ok });
         tried
             .iter()
             .for_each(|&server| turns[server as usize] += u32::from(call > 200));
@@ -93,15 +97,16 @@
     assert!(turns.iter().all(|&count| count > 300), "{turns:?}");
 }
 
-/// Only servers slower than the mean gave up turns: where most are slow, they took as many as the few quick ones,
-/// and jammed in an overload while these had capacity.
+/// Guards against reducing the turns only of servers slower than the mean. If most servers were
+/// slow, they took as many turns as the few fast servers, and were congested in an overload while
+/// the fast servers had capacity.
 #[test]
 fn quick_servers_take_more_turns_where_most_are_slow() {
     let mut harness = Harness::new(settings(), &zones(1, 10));
     let mut turns = [0; 10];
     for call in 0..2_000 {
         let (id, actions) = harness.request(SAFE);
-        let server = sent_to(&actions).expect("nothing is in the way");
+        let server = sent_to(&actions).expect("a server is available");
         let took = if server < 3 { 20 * MS } else { 40 * MS };
         harness.now += took;
         harness.end(id, 0, Outcome::Ok, took);
@@ -124,7 +129,7 @@
 }
 
 #[test]
-fn calls_are_sent_at_once_where_all_servers_are_overloaded() {
+fn calls_are_sent_at_once_if_all_servers_are_overloaded() {
     let mut harness = Harness::new(settings(), &zones(1, 2));
     harness.warm_up(50);
     let sends = (0..4)
--- a/crates/decisions/tests/behaviour/rules.rs
+++ b/crates/decisions/tests/behaviour/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that every decision keeps to, one by one.
+//! Tests of the rules that every decision follows.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
@@ -13,11 +13,11 @@
         Outcome::Moot,
     ] {
         for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
-            let (tried, answer) = harness.run(class, |_| outcome);
+            let (tried, response) = harness.run(class, |_| outcome);
             assert!(tried.len() <= 4);
             assert!(
-                matches!(answer, Some(Action::Reject { .. } | Action::Fail(_))),
-                "{outcome:?} {answer:?}"
+                matches!(response, Some(Action::Reject { .. } | Action::Fail(_))),
+                "{outcome:?} {response:?}"
             );
         }
     }
@@ -32,8 +32,11 @@
 #[test]
 fn rule_2_unsafe_call_that_may_have_run_fails_and_is_neither_rejected_nor_retried() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
-    let (tried, answer) = harness.run(UNSAFE, |_| Outcome::Reset);
-    assert_eq!((tried.len(), answer), (1, Some(Action::Fail(RequestId(0)))));
+    let (tried, response) = harness.run(UNSAFE, |_| Outcome::Reset);
+    assert_eq!(
+        (tried.len(), response),
+        (1, Some(Action::Fail(RequestId(0))))
+    );
     let (tried, _) = harness.run(UNSAFE, |_| Outcome::Full);
     assert_eq!(tried.len(), 4);
 }
--- a/crates/decisions/tests/behaviour/settings.rs
+++ b/crates/decisions/tests/behaviour/settings.rs
@@ -1,10 +1,10 @@
-//! Which settings are rejected.
+//! Tests of the validation of settings.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
 
 #[test]
-fn unsound_settings_are_rejected_by_field() {
+fn invalid_settings_are_rejected_by_field() {
     let check = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
--- a/crates/decisions/tests/behaviour/slow_start.rs
+++ b/crates/decisions/tests/behaviour/slow_start.rs
@@ -1,12 +1,13 @@
-//! What servers in slow start are sent.
+//! Tests of slow start.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// A server in slow start that reports no calls in flight got only its share of the proposals, and stood idle in a loaded zone.
+/// Guards against idle servers in a loaded zone: a server in slow start that reports no calls in
+/// flight got only its share of the proposals.
 #[test]
 fn probed_server_in_slow_start_gets_up_to_half_its_overload_multiple() {
-    let calls_to_the_warming_one = |slow_start_overload: f64| {
+    let calls_in_slow_start = |slow_start_overload: f64| {
         let mut harness = Harness::new(
             Settings {
                 slow_start_overload,
@@ -39,8 +40,8 @@
         }
         served
     };
-    // 50 calls a second over 8 servers, at 0.25 to 0.55 of its capacity for 4 s: some 10.
-    let (plain, eased) = (calls_to_the_warming_one(2.0), calls_to_the_warming_one(4.0));
+    // 50 calls per second over 8 servers, at 0.25 to 0.55 of its capacity for 4 s, are about 10.
+    let (plain, eased) = (calls_in_slow_start(2.0), calls_in_slow_start(4.0));
     assert!((7..=13).contains(&plain), "{plain}");
     assert!(
         (plain * 3 / 2..=plain * 5 / 2).contains(&eased),
@@ -48,41 +49,43 @@
     );
 }
 
-/// After an outage of all servers nothing was served lately, and by that alone all that came back in slow start were kept
-/// waiting past their return: of two hundred calls a second none was sent in the first three.
+/// Guards the return of all servers after an outage. There were no recent responses, so servers in
+/// slow start got no budget: of 200 calls per second, none was sent in the first three seconds.
 #[test]
 fn servers_in_slow_start_after_an_outage_get_what_they_have_proven() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
-    harness.warm_up(2_000); // fifty answers a second for forty seconds
+    harness.warm_up(2_000); // 50 responses per second for 40 seconds
     for _ in 0..400 {
         harness.now += 50 * MS;
         harness.run(SAFE, |_| Outcome::ConnectFailed);
     }
-    let born = harness.now;
-    let back: Vec<_> = zones(1, 4)
+    let restarted_at = harness.now;
+    let restarted: Vec<_> = zones(1, 4)
         .into_iter()
         .map(|e| ServerEntry {
-            started: Some(born),
+            started: Some(restarted_at),
             ..e
         })
         .collect();
-    harness.handle(Event::ServerList(&back));
+    harness.handle(Event::ServerList(&restarted));
     let mut sent_by = [0, 0];
     for call in 0..600 {
         harness.now += 5 * MS;
         sent_by[call / 300] += u32::from(harness.serve(SAFE, MS / 10).is_some());
     }
-    // They start with a quarter and are warm after ten seconds: 14 to 25 calls a second is their warm share, up to
-    // 1.8 times as many are sent, of 200 that are asked for; three times as many would push them over.
+    // The servers start with a quarter of their capacity and are warm after ten seconds. Their warm
+    // share is 14 to 25 of the 200 calls per second; up to 1.8 times as many are sent, and three
+    // times as many would overload the servers.
     let first = f64::from(sent_by[0]) / 1.53;
     assert!(
         first > 14.0 && first < 40.0,
-        "{first} a second at first, {sent_by:?}"
+        "{first} per second at first, {sent_by:?}"
     );
     assert!(sent_by[1] > sent_by[0], "{sent_by:?}");
 }
 
-/// Guards restarts during a release: a balancer that knows nothing yet still uses servers that are all in slow start.
+/// Guards restarts during a release: a balancer without measurements still uses servers that are
+/// all in slow start.
 #[test]
 fn new_balancer_uses_a_fleet_in_slow_start() {
     let mut list = zones(3, 1);
--- a/crates/decisions/tests/behaviour/zones.rs
+++ b/crates/decisions/tests/behaviour/zones.rs
@@ -1,17 +1,18 @@
-//! Which zone calls go to: affinity, avoidance and spillover.
+//! Tests of zone selection: affinity, avoidance and spillover.
 
 use crate::common::*;
 use woadstall_decisions::api::*;
 
-/// A zone whose servers all reject looks idle by our own counts: it kept all calls of its balancers.
+/// Guards against staying in a zone whose servers reject all calls: the zone has few calls in
+/// flight and looked idle, so it kept all calls of its balancers.
 #[test]
 fn zone_that_only_rejects_is_left() {
     let mut harness = Harness::new(settings(), &zones(2, 3));
     harness.warm_up(100);
-    let mut elsewhere = 0;
+    let mut other_zone = 0;
     for _ in 0..20 {
         let (id, mut actions) = harness.request(SAFE);
-        elsewhere += u32::from(sent_to(&actions).is_some_and(|server| server >= 3));
+        other_zone += u32::from(sent_to(&actions).is_some_and(|server| server >= 3));
         for attempt in 0..4 {
             harness.now += MS;
             let Some(server) = sent_to(&actions) else {
@@ -26,37 +27,40 @@
         }
     }
     assert!(
-        elsewhere >= 10,
-        "{elsewhere} of 20 requests went elsewhere at once"
+        other_zone >= 10,
+        "{other_zone} of 20 requests went to the other zone at once"
     );
 }
 
-/// A caller with few calls has twice its usual share in flight by chance alone, and paid for crossings that helped nobody.
+/// Guards against crossings without benefit: a balancer with few calls has twice its usual calls in
+/// flight by chance alone.
 #[test]
-fn chance_bunching_at_a_small_caller_stays_in_the_zone() {
+fn random_bunching_at_a_balancer_with_few_calls_stays_in_the_zone() {
     let mut harness = Harness::new(settings(), &zones(2, 12));
-    // Calm: four calls at a time, each of 20 ms. Chance brings a few more than twice that.
-    let (mut pending, mut strays) = (std::collections::VecDeque::new(), 0);
+    // Usually four calls of 20 ms each are in flight; bunches raise that to more than twice as
+    // many.
+    let (mut pending, mut crossings) = (std::collections::VecDeque::new(), 0);
     for step in 0..2000 {
         harness.now += 5 * MS;
         while pending
             .front()
             .is_some_and(|(_, sent)| harness.now - sent >= 20 * MS)
         {
-            let (id, at): (RequestId, u64) = pending.pop_front().expect("one is out");
+            let (id, at): (RequestId, u64) = pending.pop_front().expect("a call is pending");
             harness.end(id, 0, Outcome::Ok, harness.now - at);
         }
         let bunch = if step > 1000 && step % 20 == 0 { 7 } else { 1 };
         for _ in 0..bunch {
             let (id, actions) = harness.request(SAFE);
-            strays += u32::from(sent_to(&actions).is_some_and(|server| server >= 12));
+            crossings += u32::from(sent_to(&actions).is_some_and(|server| server >= 12));
             pending.push_back((id, harness.now));
         }
     }
-    assert_eq!(strays, 0, "calls that left a healthy zone");
+    assert_eq!(crossings, 0, "calls that left a healthy zone");
 }
 
-/// A balancer that had no response yet took its first calls in flight for an overload and sent the next across zones.
+/// Guards a new balancer against leaving its zone: before the first response, it treated its first
+/// calls in flight as an overload and sent the following calls across zones.
 #[test]
 fn new_balancer_stays_in_its_zone() {
     let mut harness = Harness::new(settings(), &zones(2, 6));
@@ -69,10 +73,11 @@
     );
 }
 
-/// A caller with few calls sees each server too seldom for a breaker, and stayed in a zone where a fifth failed.
+/// Guards against staying in a failing zone: a balancer with few calls calls each server too seldom
+/// to trip its breaker, and stayed in a zone where a fifth of the calls failed.
 #[test]
 fn zone_with_many_failures_is_left_though_no_breaker_trips() {
-    let strays = |every: u32, cross_zone_cost: f64| {
+    let crossings = |every: u32, cross_zone_cost: f64| {
         let mut harness = Harness::new(
             Settings {
                 cross_zone_cost,
@@ -80,15 +85,15 @@
             },
             &zones(2, 40),
         );
-        // As slow as the calls that follow: a zone that gets later has its own reason to be left.
+        // As slow as the calls that follow, because a zone that slows down would be left for that.
         (0..100).for_each(|_| assert!(harness.serve(SAFE, 100 * MS).is_some()));
-        let mut strays = 0;
+        let mut crossings = 0;
         for call in 0..80 {
             let (id, actions) = harness.request(UNSAFE);
             let Some(server) = sent_to(&actions) else {
                 continue;
             };
-            strays += u32::from(server >= 40);
+            crossings += u32::from(server >= 40);
             harness.now += 100 * MS;
             let failed = server < 40 && call % every == 0;
             harness.end(
@@ -98,16 +103,25 @@
                 100 * MS,
             );
         }
-        strays
+        crossings
     };
-    assert_eq!(strays(30, 0.0), 0, "a few failures are no reason to leave");
-    assert!(strays(4, 0.01) > 10);
-    assert_eq!(strays(4, 0.5), 0, "crossings that cost more than they gain");
+    assert_eq!(
+        crossings(30, 0.0),
+        0,
+        "a few failures are no reason to leave"
+    );
+    assert!(crossings(4, 0.01) > 10);
+    assert_eq!(
+        crossings(4, 0.5),
+        0,
+        "crossings that cost more than they gain"
+    );
 }
 
-/// With hundreds of balancers each holds too few calls to reach a load threshold, while all its calls are late.
+/// Guards spillover with hundreds of balancers: each has too few calls in flight to reach a load
+/// threshold, although all its calls are late.
 #[test]
-fn small_caller_spills_over_the_surplus_of_a_slow_zone_and_no_more() {
+fn balancer_with_few_calls_spills_over_the_surplus_of_a_slow_zone_and_no_more() {
     let mut harness = Harness::new(settings(), &zones(2, 12));
     let mut crossed = [0, 0, 0];
     for step in 0..1200 {
@@ -115,7 +129,8 @@
         let (id, actions) = harness.request(SAFE);
         let server = sent_to(&actions).expect("sent");
         crossed[phase] += u32::from(server >= 12);
-        // In the second phase the own zone is late; the other is as late with what it gets in the third.
+        // In the second phase the local zone is slow. In the third phase the other zone becomes as
+        // slow with the calls that spill over.
         let took = match (phase, server < 12) {
             (0, _) => 50 * MS,
             (1, false) => 50 * MS,
@@ -125,17 +140,18 @@
         harness.end(id, 0, Outcome::Ok, took);
         harness.now += pause;
     }
-    assert_eq!(crossed[0], 0, "nothing crosses in calm times");
+    assert_eq!(crossed[0], 0, "no call crosses while both zones are fast");
     assert!(crossed[1] > 200, "{crossed:?}");
-    assert!(crossed[2] < 60, "it does not help there: {crossed:?}");
+    assert!(crossed[2] < 60, "crossing gains nothing: {crossed:?}");
 }
 
-/// A caller with few calls finds each dead server of a lost zone by itself, and crossed to it meanwhile.
+/// Guards against crossing to a failed zone: a balancer with few calls found the dead servers of
+/// the zone one by one, and kept sending calls there until then.
 #[test]
 fn zone_where_half_of_all_calls_fail_gets_no_more_of_them() {
     let mut harness = Harness::new(settings(), &zones(3, 20));
     harness.warm_up(60);
-    // The own zone is left for its own failures; of the others, zone 1 is dead and zone 2 is sound.
+    // The local zone is left for its own failures. Zone 1 is dead and zone 2 is healthy.
     let mut to_dead = [0, 0];
     for call in 0..240 {
         let (id, actions) = harness.request(UNSAFE);
@@ -153,7 +169,7 @@
     }
     assert!(
         to_dead[1] <= 3,
-        "{to_dead:?}: a lost zone is found by all calls to it together"
+        "{to_dead:?}: the failure rate of the whole zone shows that it is dead"
     );
 }
 
@@ -168,7 +184,7 @@
     );
 }
 
-/// Guards small fleets: a zone of one sound server is no zone in trouble.
+/// Guards small fleets: a zone with only one healthy server stays in use.
 #[test]
 fn local_zone_is_left_only_when_none_of_its_servers_is_healthy() {
     for local_servers in [1, 0] {
@@ -216,7 +232,7 @@
 fn zone_with_all_breakers_open_is_avoided() {
     let mut harness = Harness::new(settings(), &zones(3, 3));
     harness.warm_up(40);
-    harness.now += 2 * SECOND; // dead for so long that no answer tells otherwise
+    harness.now += 2 * SECOND; // no server has responded within the alive window
     for _ in 0..40 {
         harness.run(SAFE, |server| {
             if server < 3 {
@@ -226,7 +242,7 @@
             }
         });
     }
-    // Unsafe calls are no trials, so that what is left are the ordinary picks.
+    // Unsafe calls are not used as trial calls, so that all picks are ordinary ones.
     let turns = counts((0..60).filter_map(|_| harness.serve(UNSAFE, MS)));
     assert!(turns.keys().all(|&server| server >= 3), "{turns:?}");
     assert!(
@@ -235,8 +251,8 @@
     );
 }
 
-/// Guards against leaving a zone for good: dropped once all of its breakers were open, none of them ever got
-/// the trial that closes it, until the list named other processes.
+/// Guards against leaving a zone forever: a zone with all breakers open was excluded, so that no
+/// breaker ever got the trial call that closes it, until the server list contained new processes.
 #[test]
 fn zone_with_all_breakers_open_is_tried_and_used_again() {
     for servers in [1, 3] {
@@ -254,16 +270,16 @@
                 }
             });
         }
-        // Its servers are well again. What is known of failures fades within some ten seconds.
-        let home = |harness: &mut Harness| {
+        // The servers have recovered. The measured failure rates decay within about ten seconds.
+        let local_calls = |harness: &mut Harness| {
             (0..100)
                 .filter_map(|_| harness.serve(SAFE, 50 * MS))
                 .filter(|at| *at < servers)
                 .count()
         };
         for _ in 0..10 {
-            home(&mut harness);
+            local_calls(&mut harness);
         }
-        assert!(home(&mut harness) > 90, "{servers} servers");
+        assert!(local_calls(&mut harness) > 90, "{servers} servers");
     }
 }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A balancer under test, with builders for its settings, servers and events.
-#![allow(dead_code, reason = "each test binary uses a part of it")]
+//! Test harness for a balancer, with builders for settings, servers and events.
+#![allow(dead_code, reason = "each test binary uses only a part of the harness")]
 
 use std::collections::BTreeMap;
 use woadstall_decisions::Balancer;
@@ -65,10 +65,11 @@
     }
 }
 
-/// Servers 0 to `each - 1` in zone 0, then `each` in zone 1 and so on.
-pub fn zones(zones: u8, each: u32) -> Vec<ServerEntry> {
+/// The server list of `zones` zones with `per_zone` servers each. Servers are numbered zone by
+/// zone.
+pub fn zones(zones: u8, per_zone: u32) -> Vec<ServerEntry> {
     (0..zones)
-        .flat_map(|z| (0..each).map(move |n| entry(u32::from(z) * each + n, z)))
+        .flat_map(|z| (0..per_zone).map(move |n| entry(u32::from(z) * per_zone + n, z)))
         .collect()
 }
 
@@ -129,25 +130,27 @@
         ))
     }
 
-    /// A request that is served after `took`; the server that it went to.
-    pub fn serve(&mut self, class: usize, took: u64) -> Option<u32> {
+    /// Runs a request that succeeds after `elapsed` nanoseconds. Returns the server that it was
+    /// sent to, or `None` if it was rejected.
+    pub fn serve(&mut self, class: usize, elapsed: u64) -> Option<u32> {
         let (id, actions) = self.request(class);
         let server = sent_to(&actions);
-        self.now += took;
+        self.now += elapsed;
         if server.is_some() {
-            self.end(id, 0, Outcome::Ok, took);
+            self.end(id, 0, Outcome::Ok, elapsed);
         }
         server
     }
 
-    /// Calm traffic, so that the balancer knows its latency.
+    /// Serves calls one at a time, so that the balancer has latency estimates.
     pub fn warm_up(&mut self, calls: u32) {
         for _ in 0..calls {
             self.serve(SAFE, 20 * MS);
         }
     }
 
-    /// A request whose every attempt ends by `outcome(server)` at once; the servers that were tried.
+    /// Runs a request whose attempts each end after 20 ms with `outcome(server)`. Returns the
+    /// servers that were tried, and the final response if no attempt succeeded.
     pub fn run(
         &mut self,
         class: usize,
@@ -189,10 +192,10 @@
     actions.iter().filter_map(server).collect()
 }
 
-/// A load report of one figure.
-pub fn load_report(calls: f32) -> Option<LoadReport> {
+/// A load report with a single figure, the calls in flight.
+pub fn load_report(in_flight: f32) -> Option<LoadReport> {
     Some(LoadReport {
-        figures: [calls, 0.0, 0.0, 0.0],
+        figures: [in_flight, 0.0, 0.0, 0.0],
         len: 1,
     })
 }
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Many senders that know nothing of each other, and a server that has just started: rule 4, by all together.
+//! Fleet simulation of rule 4: many independent senders together do not overload a server in slow
+//! start.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,8 +11,9 @@
 const START_CAPACITY: f64 = 0.3;
 const SLOW_START: u64 = 8_400 * MS;
 const OVERLOAD: f64 = 2.5;
-/// When the senders start.
+/// Start time of the senders.
 const EPOCH: u64 = 1_000 * SECOND;
+/// Length of the windows over which the calls to a server are counted.
 const WINDOW: u64 = 3 * SECOND;
 
 fn settings(balancers: u32) -> Settings {
@@ -52,22 +54,23 @@
     }
 }
 
-/// How one kind of senders calls.
+/// Traffic of one kind of sender.
 #[derive(Clone, Copy)]
 struct SenderKind {
     count: u32,
-    /// Calls a second of each, at random times.
+    /// Calls per second of each sender, at random times.
     rate: f64,
-    /// All call so many at once, this often, in lock-step.
+    /// Number of calls that every sender sends at once, and the interval between these bursts. The
+    /// bursts of all senders coincide.
     burst: Option<(u32, u64)>,
-    /// Each instance is replaced by a fresh one after this time.
+    /// Time after which each sender is replaced by a new one.
     lifetime: Option<u64>,
-    /// The first call comes then.
+    /// Delay of the first call after the start of the senders.
     from: u64,
 }
 
 impl SenderKind {
-    /// Calls a second of all senders of the kind.
+    /// Calls per second of all senders of the kind.
     fn total_rate(&self) -> f64 {
         let calls_per_second = |(calls, every)| f64::from(calls) * 1e9 / every as f64;
         f64::from(self.count) * (self.rate + self.burst.map_or(0.0, calls_per_second))
@@ -92,15 +95,15 @@
     Timer(usize, u64),
 }
 
-/// What a run is played with.
+/// Parameters of a run.
 struct Scenario<'a> {
     kinds: &'a [SenderKind],
     servers: u32,
-    /// Servers that restart, the first ones.
+    /// Number of servers that restart, from the first one on.
     warming: u32,
-    /// Calls, as a part of what all servers can do.
+    /// Call rate, as a part of the capacity of all servers.
     load: f64,
-    /// Time from the start of the senders to that of the servers; 0 if they start together.
+    /// Time from the start of the senders to the restart of the servers; 0 if they start together.
     restart: u64,
 }
 
@@ -108,32 +111,32 @@
     senders: Vec<(Balancer, SenderKind)>,
     settings: Settings,
     servers: u32,
-    /// Calls a second that a warm server can do.
+    /// Calls per second that a warm server can handle.
     capacity: f64,
     /// Servers that restart.
     warming: Vec<u32>,
-    /// When they have started.
+    /// Time of the restart; `None` before it.
     started: Option<u64>,
     queue: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     next: u64,
     ids: u32,
     rng: fastrand::Rng,
     service_time: u64,
-    /// When each server in slow start was sent to.
+    /// Times of the calls to each server in slow start.
     sent: BTreeMap<u32, Vec<u64>>,
     rejected: u32,
     served: u32,
 }
 
-/// FleetEvent came of a run.
+/// Results of a run.
 #[derive(Debug)]
 struct Outcomes {
-    /// The most that a server in slow start was sent in any window, as part of what pushes it over.
+    /// Maximum calls to a server in slow start in any window, as a part of its overload limit.
     worst: f64,
-    /// By how many calls that was more, in any window, than its budget at the window's start and what is put down to
-    /// chance: twice its root, and two.
+    /// Maximum excess of the calls in any window over the limit at the window's start plus a margin
+    /// for chance, which is twice the root of that limit plus two.
     beyond_chance: f64,
-    /// Calls to servers in slow start, to show that they are used at all.
+    /// Calls to servers in slow start, to show that these servers are used.
     used: usize,
     served: u32,
     rejected: u32,
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Plays a scenario, from the start of its senders until its servers are warm.
+    /// Runs a scenario from the start of its senders until its servers are warm.
     fn run(scenario: &Scenario<'_>, seed: u64) -> Outcomes {
         let mut fleet = Self::new(scenario, seed);
         for &kind in scenario.kinds {
@@ -227,7 +230,7 @@
         if scenario.restart > 0 {
             fleet.schedule(restart, FleetEvent::Restart);
         }
-        fleet.play_until(restart + SLOW_START + 2 * SECOND);
+        fleet.run_until(restart + SLOW_START + 2 * SECOND);
         fleet.outcomes_since(restart)
     }
 
@@ -251,7 +254,7 @@
         }
     }
 
-    fn play_until(&mut self, end: u64) {
+    fn run_until(&mut self, end: u64) {
         while let Some(Reverse((now, _, event))) = self.queue.pop() {
             if now > end {
                 break;
@@ -306,7 +309,7 @@
         self.handle(now, sender, Event::AttemptEnded(RequestId(id), end));
     }
 
-    /// Calls a second that a server can do which has started at `start`.
+    /// Calls per second that a server started at `start` can handle at the time `at`.
     fn capacity_at(&self, at: u64, start: u64) -> f64 {
         let age = at.saturating_sub(start) as f64;
         let warm = START_CAPACITY + (1.0 - START_CAPACITY) * age / SLOW_START as f64;
@@ -319,7 +322,8 @@
             let sent: Vec<u64> = sent.iter().copied().filter(|at| *at >= start).collect();
             used += sent.len();
             for (at, &from) in sent.iter().enumerate() {
-                // FleetEvent counts is a window of full length: a short burst spends its budget early.
+                // Calls are counted over a full window, because a short burst may use up its budget
+                // early.
                 let is_within = |later: &&u64| **later < from + WINDOW;
                 let in_window = sent[at..].iter().take_while(is_within).count() as f64;
                 let middle = self.capacity_at(from + WINDOW / 2, start);
@@ -357,14 +361,15 @@
             ..
         } = Fleet::run(&scenario, seed);
         println!(
-            "{name}, seed {seed}: {most:.2} of what pushes it over, {used} calls to servers in slow start, {served} served, {rejected} rejected"
+            "{name}, seed {seed}: {most:.2} of the overload limit, {used} calls to servers in slow start, \
+             {served} served, {rejected} rejected"
         );
-        assert!(used > 0, "{name}: a server in slow start is used");
+        assert!(used > 0, "{name}: no server in slow start was used");
         worst = worst.max(most);
     }
     assert!(
         worst < 1.0,
-        "{name}: a server in slow start was sent {worst:.2} of what pushes it over"
+        "{name}: a server in slow start was sent {worst:.2} of its overload limit"
     );
 }
 
@@ -380,12 +385,13 @@
 };
 
 #[test]
-fn two_hundred_callers_and_a_daemon_do_not_push_over_a_restarted_server() {
+fn two_hundred_callers_and_a_daemon_do_not_overload_a_restarted_server() {
     check("steady", &[DAEMON, PLUGINS], 10, 1, 0.7, 20 * SECOND);
     check("full", &[DAEMON, PLUGINS], 10, 1, 0.95, 20 * SECOND);
-    // Round robin alone gives it its share of an overload, half as much again as a warm one can do.
+    // Plain round robin would send the server its share of the overload, 1.5 times the capacity of
+    // a warm server.
     check("overload", &[DAEMON, PLUGINS], 10, 1, 1.5, 20 * SECOND);
-    // The first call of each sender must not come at once: a hundred servers, and hardly a call a second for each.
+    // The senders must not all send their first call at once: 100 servers get few calls each.
     check(
         "many servers",
         &[
@@ -401,7 +407,8 @@
         1.5,
         20 * SECOND,
     );
-    // A server that is small against the crowd: the first call of each sender alone is many times what it can do.
+    // The server is small relative to the number of senders: the first calls of all senders alone
+    // are many times its capacity.
     check(
         "small",
         &[
@@ -419,7 +426,7 @@
 }
 
 #[test]
-fn callers_that_come_and_go_do_not_push_over_a_restarted_server() {
+fn short_lived_callers_do_not_overload_a_restarted_server() {
     let brief = SenderKind {
         lifetime: Some(2 * SECOND),
         ..PLUGINS
@@ -433,27 +440,27 @@
 }
 
 #[test]
-fn callers_in_lock_step_do_not_push_over_a_restarted_server() {
+fn synchronized_callers_do_not_overload_a_restarted_server() {
     let bursts = SenderKind {
         rate: 0.2,
         burst: Some((5, 3 * SECOND)),
         ..PLUGINS
     };
     check("lock-step", &[DAEMON, bursts], 10, 1, 0.7, 20 * SECOND);
-    // Silent for as long as the outage, then all at once.
-    let woken = SenderKind {
+    // The senders are idle during the outage and then all start to send.
+    let idle_until_restart = SenderKind {
         rate: 4.0,
         from: 21 * SECOND,
         ..PLUGINS
     };
     check(
-        "woken",
+        "idle until restart",
         &[
             SenderKind {
                 rate: 100.0,
                 ..DAEMON
             },
-            woken,
+            idle_until_restart,
         ],
         10,
         1,
@@ -463,7 +470,7 @@
 }
 
 #[test]
-fn a_release_of_all_servers_and_callers_at_once_is_survived() {
+fn restart_of_all_servers_and_callers_at_once_overloads_no_server() {
     check("release", &[DAEMON, PLUGINS], 10, 10, 0.25, 0);
     check(
         "release of all servers",
@@ -475,14 +482,14 @@
     );
 }
 
-/// Fleets drawn by chance: twenty to thirty senders that do not hear each other, from a few calls a minute each to several
-/// a second, with servers that restart one by one or all at once, also with senders that have just started.
+/// Random fleets of 20 to 30 independent senders, with 0.1 to 10 calls per second each, and with
+/// one, some or all servers restarting, also together with the senders.
 #[test]
 fn thirty_senders_stay_within_budget_and_chance_together() {
     for seed in 0..100 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = rng.u32(20..=30);
-        let rate = 10.0_f64.powf(rng.f64() * 2.0 - 1.0); // 0.1 to 10 calls a second
+        let rate = 10.0_f64.powf(rng.f64() * 2.0 - 1.0); // 0.1 to 10 calls per second
         let burst = rng
             .bool()
             .then(|| (rng.u32(1..=3), rng.u64(1..=4) * SECOND));
--- a/crates/decisions/tests/golden_decisions.rs
+++ b/crates/decisions/tests/golden_decisions.rs
@@ -1,10 +1,11 @@
-//! Pins the decisions themselves: a balancer is driven through long fixed histories, and a digest of every
-//! action that it takes is compared with the one on record. The digest is made of numbers and ids alone, so
-//! a change of names or of the division into modules leaves it as it is, and a change of any decision, of
-//! the order of decisions or of a random draw does not.
+//! Golden tests of the decisions: a balancer runs through long fixed histories of events, and a
+//! digest of all its actions is compared with a recorded digest. The digest contains only numbers
+//! and ids, so that it does not depend on names or on the division into modules. Any change of a
+//! decision, of the order of decisions or of a random draw changes the digest.
 //!
-//! A history is played by a small model of a fleet: servers with a capacity, faults that come and go, calls
-//! that time out, are cancelled or lose their client, list changes, restarts, load reports and hand-overs.
+//! The histories come from a small model of a fleet, with servers of limited capacity, temporary
+//! faults, calls that time out, are cancelled or lose their client, changes of the server list,
+//! restarts, load reports and hand-overs.
 
 mod common;
 
@@ -35,10 +36,10 @@
     }
 }
 
-/// SplitMix64: the draws of the model, apart from those of the balancer.
-struct Draws(u64);
+/// SplitMix64 random number generator of the model, independent of the balancer's generator.
+struct ModelRng(u64);
 
-impl Draws {
+impl ModelRng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -74,7 +75,7 @@
     fault: Fault,
 }
 
-enum Incident {
+enum ModelEvent {
     Arrival,
     AttemptEnds(u32),
     ResponseStarts(u32),
@@ -108,17 +109,18 @@
     settings: Settings,
     balancer: Balancer,
     now: u64,
-    draws: Draws,
+    rng: ModelRng,
     digest: Digest,
     counts: Counts,
     servers: Vec<ServerModel>,
     calls: BTreeMap<u32, Call>,
     next_call: u32,
-    /// What happens next, by time and by the order in which it was planned.
-    event_queue: BTreeMap<(u64, u64), Incident>,
-    planned: u64,
-    /// Mean time between two requests, and what it is now.
+    /// Future events, ordered by time and by the order in which they were scheduled.
+    event_queue: BTreeMap<(u64, u64), ModelEvent>,
+    scheduled: u64,
+    /// Usual mean time between two requests.
     usual_spacing: u64,
+    /// Current mean time between two requests.
     spacing: u64,
 }
 
@@ -139,31 +141,31 @@
             balancer: Balancer::new(settings.clone(), seed, SECOND).unwrap(),
             settings,
             now: SECOND,
-            draws: Draws(seed),
+            rng: ModelRng(seed),
             digest: Digest::new(),
             counts: Counts::default(),
             servers: (0..SERVERS).map(server).collect(),
             calls: BTreeMap::new(),
             next_call: 0,
             event_queue: BTreeMap::new(),
-            planned: 0,
+            scheduled: 0,
             usual_spacing: spacing,
             spacing,
         };
         fleet.send_complete_list();
-        fleet.plan(0, Incident::Arrival);
-        fleet.plan(2 * SECOND, Incident::FleetChanges);
+        fleet.schedule(0, ModelEvent::Arrival);
+        fleet.schedule(2 * SECOND, ModelEvent::FleetChanges);
         fleet
     }
 
     fn play(mut self, steps: u32) -> (u64, Counts) {
         for step in 0..steps {
-            let Some(((time, _), incident)) = self.event_queue.pop_first() else {
+            let Some(((time, _), event)) = self.event_queue.pop_first() else {
                 break;
             };
             self.now = self.now.max(time);
             self.digest.add(self.now);
-            self.happen(incident);
+            self.process(event);
             if step % 500 == 499 {
                 self.record_learned();
             }
@@ -171,10 +173,10 @@
         (self.digest.0, self.counts)
     }
 
-    fn plan(&mut self, after: u64, incident: Incident) -> (u64, u64) {
-        self.planned += 1;
-        let key = (self.now.saturating_add(after), self.planned);
-        self.event_queue.insert(key, incident);
+    fn schedule(&mut self, after: u64, event: ModelEvent) -> (u64, u64) {
+        self.scheduled += 1;
+        let key = (self.now.saturating_add(after), self.scheduled);
+        self.event_queue.insert(key, event);
         key
     }
 
@@ -258,14 +260,14 @@
             }
             Action::Cancel { id, .. } => self.cancel(id.0),
             Action::Probe(server) => {
-                let after = (1 + self.draws.below(6)) * MS;
-                self.plan(after, Incident::ProbeEnds(server));
+                let after = (1 + self.rng.below(6)) * MS;
+                self.schedule(after, ModelEvent::ProbeEnds(server));
             }
             Action::SetTimer { after, token } => {
-                self.plan(after, Incident::TimerFires(token));
+                self.schedule(after, ModelEvent::TimerFires(token));
             }
             Action::Subscribe => {
-                self.plan(20 * MS, Incident::Subscribed);
+                self.schedule(20 * MS, ModelEvent::Subscribed);
             }
             Action::CloseIdleConnections(_) | Action::Log(_) => {}
         }
@@ -281,12 +283,12 @@
         } else {
             took
         };
-        let ends = self.plan(took, Incident::AttemptEnds(id));
-        if outcome == Outcome::Ok && self.draws.chance(60) {
-            self.plan(took / 2, Incident::ResponseStarts(id));
+        let ends = self.schedule(took, ModelEvent::AttemptEnds(id));
+        if outcome == Outcome::Ok && self.rng.chance(60) {
+            self.schedule(took / 2, ModelEvent::ResponseStarts(id));
         }
-        if self.draws.chance(15) {
-            self.plan(took / 3, Incident::ClientDisconnects(id));
+        if self.rng.chance(15) {
+            self.schedule(took / 3, ModelEvent::ClientDisconnects(id));
         }
         self.servers[at].in_flight += 1;
         let call = self.calls.get_mut(&id).expect("a known call");
@@ -303,14 +305,14 @@
         });
     }
 
-    /// How an attempt at a server would end, and after how long.
+    /// Outcome and duration of an attempt that is sent to a server now.
     fn outcome_at(&mut self, at: usize, begin_by: u64) -> (Outcome, u64) {
-        let (jitter, broken) = (self.draws.below(40), self.draws.chance(500));
-        let declined = self.draws.chance(5);
+        let (jitter, broken) = (self.rng.below(40), self.rng.chance(500));
+        let declined = self.rng.chance(5);
         let server = &self.servers[at];
         let queued = server.in_flight / server.capacity;
         let took = server.service * (1 + queued) * (80 + jitter) / 100;
-        if begin_by < self.now + 5 * MS || self.draws.chance(3) {
+        if begin_by < self.now + 5 * MS || self.rng.chance(3) {
             return (Outcome::Moot, MS);
         }
         match server.fault {
@@ -333,27 +335,27 @@
         open.outcome = Outcome::Cancelled;
         let ends = open.ends;
         self.event_queue.remove(&ends);
-        self.plan(MS, Incident::AttemptEnds(id));
+        self.schedule(MS, ModelEvent::AttemptEnds(id));
     }
 
-    fn happen(&mut self, incident: Incident) {
-        match incident {
-            Incident::Arrival => self.arrive(),
-            Incident::AttemptEnds(id) => self.end_attempt(id),
-            Incident::ResponseStarts(id) => self.start_response(id),
-            Incident::ClientDisconnects(id) => {
+    fn process(&mut self, event: ModelEvent) {
+        match event {
+            ModelEvent::Arrival => self.arrive(),
+            ModelEvent::AttemptEnds(id) => self.end_attempt(id),
+            ModelEvent::ResponseStarts(id) => self.start_response(id),
+            ModelEvent::ClientDisconnects(id) => {
                 let call = self.calls.get_mut(&id).expect("a known call");
                 if !std::mem::replace(&mut call.over, true) {
                     self.handle(Event::ClientDisconnected(RequestId(id)));
                 }
             }
-            Incident::ProbeEnds(server) => self.end_probe(server),
-            Incident::TimerFires(token) => self.handle(Event::Timer(token)),
-            Incident::Subscribed if self.draws.chance(400) => {
+            ModelEvent::ProbeEnds(server) => self.end_probe(server),
+            ModelEvent::TimerFires(token) => self.handle(Event::Timer(token)),
+            ModelEvent::Subscribed if self.rng.chance(400) => {
                 self.handle(Event::SubscriptionFailed)
             }
-            Incident::Subscribed => self.send_complete_list(),
-            Incident::FleetChanges => self.change_fleet(),
+            ModelEvent::Subscribed => self.send_complete_list(),
+            ModelEvent::FleetChanges => self.change_fleet(),
         }
     }
 
@@ -362,13 +364,13 @@
         self.next_call += 1;
         self.calls.insert(id, Call::default());
         let parameters = RequestParameters {
-            class: self.draws.below(5) as usize,
-            tenant: (self.draws.below(4) / 2) as usize,
-            time_left: (400 + self.draws.below(2000)) * MS,
-            work: self.draws.chance(300).then_some(20 * MS),
-            max_attempts: if self.draws.chance(50) { 1 } else { u32::MAX },
+            class: self.rng.below(5) as usize,
+            tenant: (self.rng.below(4) / 2) as usize,
+            time_left: (400 + self.rng.below(2000)) * MS,
+            work: self.rng.chance(300).then_some(20 * MS),
+            max_attempts: if self.rng.chance(50) { 1 } else { u32::MAX },
         };
-        let class = if self.draws.chance(2) {
+        let class = if self.rng.chance(2) {
             99
         } else {
             parameters.class
@@ -380,8 +382,8 @@
                 ..parameters
             },
         ));
-        let after = self.spacing / 2 + self.draws.below(self.spacing.max(1));
-        self.plan(after, Incident::Arrival);
+        let after = self.spacing / 2 + self.rng.below(self.spacing.max(1));
+        self.schedule(after, ModelEvent::Arrival);
     }
 
     fn end_attempt(&mut self, id: u32) {
@@ -430,11 +432,12 @@
         self.handle(Event::ServerList(&list));
     }
 
-    /// Every 1.5 seconds: faults, drains, restarts, loads, findings of the fleet, a hand-over, new settings.
+    /// Applies a random change every 1.5 s: a fault, a drain, a restart, a new load, health
+    /// verdicts, a hand-over or new settings.
     fn change_fleet(&mut self) {
-        self.plan(1500 * MS, Incident::FleetChanges);
-        let at = self.draws.below(u64::from(SERVERS)) as usize;
-        match self.draws.below(16) {
+        self.schedule(1500 * MS, ModelEvent::FleetChanges);
+        let at = self.rng.below(u64::from(SERVERS)) as usize;
+        match self.rng.below(16) {
             0 => self.servers[at].fault = Fault::Slow,
             1 => self.servers[at].fault = Fault::Erring,
             2 => self.servers[at].fault = Fault::Hanging,
@@ -449,17 +452,17 @@
             9 => self.change_lifecycle(at, Lifecycle::Draining),
             10 => self.change_lifecycle(at, Lifecycle::Removed),
             11 => self.restart_zone(at % 3),
-            12 => self.spacing = self.usual_spacing / 4 + self.draws.below(2 * self.usual_spacing),
+            12 => self.spacing = self.usual_spacing / 4 + self.rng.below(2 * self.usual_spacing),
             13 => self.send_verdicts(at),
             14 => self.hand_over(),
             _ => self.change_settings(),
         }
-        self.bring_back();
+        self.return_server_to_service();
     }
 
     fn fail_zone(&mut self, zone: usize) {
         let faults = [Fault::Erring, Fault::Slow, Fault::Unreachable];
-        let fault = faults[self.draws.below(3) as usize];
+        let fault = faults[self.rng.below(3) as usize];
         let servers = self
             .servers
             .iter_mut()
@@ -486,23 +489,24 @@
         self.send_complete_list();
     }
 
-    /// One server that is drained or gone comes back, half of the time as a new process.
-    fn bring_back(&mut self) {
-        if !self.draws.chance(400) {
+    /// Returns a draining or removed server to service at times, with an even chance as a new
+    /// process.
+    fn return_server_to_service(&mut self) {
+        if !self.rng.chance(400) {
             return;
         }
-        let avoided = |server: &ServerModel| server.entry.lifecycle != Lifecycle::Ready;
-        let Some(at) = self.servers.iter().position(avoided) else {
+        let is_not_ready = |server: &ServerModel| server.entry.lifecycle != Lifecycle::Ready;
+        let Some(at) = self.servers.iter().position(is_not_ready) else {
             return;
         };
-        if self.draws.chance(500) {
+        if self.rng.chance(500) {
             self.servers[at].entry.started = Some(self.now);
         }
         self.change_lifecycle(at, Lifecycle::Ready);
     }
 
     fn send_verdicts(&mut self, at: usize) {
-        let zone = ZoneId(self.draws.below(3) as u8);
+        let zone = ZoneId(self.rng.below(3) as u8);
         let domains = [
             FailureDomain::Zone(zone, None),
             FailureDomain::Zone(zone, Some(at % 5)),
@@ -511,17 +515,18 @@
         let shares = [0.0, 0.2, 0.6, 1.0];
         let verdicts = domains.map(|domain| HealthVerdict {
             domain,
-            share: shares[self.draws.below(4) as usize],
-            until: self.now + (1 + self.draws.below(4)) * SECOND,
+            share: shares[self.rng.below(4) as usize],
+            until: self.now + (1 + self.rng.below(4)) * SECOND,
         });
         self.handle(Event::HealthVerdicts(&verdicts));
     }
 
-    /// A new process takes over; the calls that are out stay with the old one, and are left out from then on.
+    /// Hands over to a new process. Calls in flight stay with the old process and are not followed
+    /// any further.
     fn hand_over(&mut self) {
         self.record_learned();
         let learned = self.balancer.learned_state();
-        let seed = self.draws.next();
+        let seed = self.rng.next();
         self.balancer = Balancer::new(self.settings.clone(), seed, self.now).unwrap();
         self.send_complete_list();
         self.balancer.restore(self.now, &learned);
@@ -535,9 +540,9 @@
     }
 
     fn change_settings(&mut self) {
-        self.settings.max_attempts = 1 + self.draws.below(4) as u32;
+        self.settings.max_attempts = 1 + self.rng.below(4) as u32;
         self.settings.may_cancel = !self.settings.may_cancel;
-        self.settings.classes[UNSAFE].value = 1.0 + self.draws.below(9) as f64;
+        self.settings.classes[UNSAFE].value = 1.0 + self.rng.below(9) as f64;
         if self.settings.classes.len() == 5 {
             let class = self.settings.classes[SAFE].clone();
             self.settings.classes.push(class);
@@ -595,7 +600,7 @@
 }
 
 #[test]
-fn deeper_tier_without_passed_deadlines_decides_as_recorded() {
+fn deeper_tier_without_propagated_deadlines_decides_as_recorded() {
     let settings = Settings {
         tier: 1,
         propagates_deadline: false,
@@ -643,7 +648,7 @@
 }
 
 #[test]
-fn small_caller_decides_as_recorded() {
+fn balancer_with_few_calls_decides_as_recorded() {
     let mut settings = settings();
     for class in &mut settings.classes {
         (
--- a/crates/decisions/tests/properties.rs
+++ b/crates/decisions/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random legal event orders never break rules 1 to 3, never panic, and give the same actions again.
+//! Property tests: random legal sequences of events never break rules 1 to 3 and never panic, and
+//! equal sequences give equal actions.
 
 mod common;
 use common::*;
@@ -31,7 +32,7 @@
     FireTimer {
         pick: usize,
     },
-    Noise {
+    UnknownRequest {
         id: u32,
         attempt: u32,
         token: u64,
@@ -67,7 +68,7 @@
         1 => Just(Step::FailSubscription),
         1 => any::<usize>().prop_map(|pick| Step::FireTimer { pick }),
         1 => (any::<u32>(), 0u32..5, any::<u64>(), any::<f32>())
-            .prop_map(|(id, attempt, token, load)| Step::Noise { id: id | 1 << 31, attempt, token, load }),
+            .prop_map(|(id, attempt, token, load)| Step::UnknownRequest { id: id | 1 << 31, attempt, token, load }),
         4 => (0u64..300).prop_map(|ms| Step::Wait { time: ms * MS }),
     ]
 }
@@ -93,8 +94,9 @@
     disconnected: bool,
 }
 
-/// The world around one balancer: what is legal next, and whether the rules held.
-struct World {
+/// Model of the environment of one balancer. It generates legal events and checks the rules on each
+/// action.
+struct Environment {
     harness: Harness,
     calls: BTreeMap<u32, Call>,
     listed: BTreeMap<u32, ServerEntry>,
@@ -103,7 +105,7 @@
     log: Vec<Action>,
 }
 
-impl World {
+impl Environment {
     fn new(settings: Settings) -> Self {
         let list = zones(3, 3);
         let harness = Harness {
@@ -115,7 +117,7 @@
             .iter()
             .map(|entry| (entry.server.0, entry.clone()))
             .collect();
-        let mut world = Self {
+        let mut environment = Self {
             harness,
             calls: BTreeMap::new(),
             listed,
@@ -123,8 +125,8 @@
             probes: Vec::new(),
             log: Vec::new(),
         };
-        world.handle(Event::ServerList(&list));
-        world
+        environment.handle(Event::ServerList(&list));
+        environment
     }
 
     fn handle(&mut self, event: Event<'_>) {
@@ -138,7 +140,7 @@
         match action {
             Action::Send { id, server, .. } => self.check_send(*id, *server),
             Action::Reject { id, .. } | Action::Fail(id) => {
-                let call = self.calls.get_mut(&id.0).expect("a request that was given");
+                let call = self.calls.get_mut(&id.0).expect("a known request");
                 assert!(
                     !call.has_response && !call.disconnected,
                     "rule 1: a second response for {id:?}"
@@ -147,11 +149,11 @@
                     call.in_flight.is_none(),
                     "rule 1: a final response with an attempt in flight"
                 );
-                let refused = matches!(action, Action::Reject { .. });
-                let harmless =
+                let is_rejected = matches!(action, Action::Reject { .. });
+                let is_harmless =
                     call.may_have_run.is_none() || call.class == SAFE || call.class == KEYED_ALL;
                 assert!(
-                    !refused || harmless,
+                    !is_rejected || is_harmless,
                     "rule 2: {id:?} rejected though it may have run"
                 );
                 call.has_response = true;
@@ -173,16 +175,16 @@
 
     fn check_send(&mut self, id: RequestId, server: ServerId) {
         let now = self.harness.now;
-        let call = self.calls.get_mut(&id.0).expect("a request that was given");
+        let call = self.calls.get_mut(&id.0).expect("a known request");
         assert!(
             !call.has_response && !call.disconnected,
             "rule 1: sent after the end of {id:?}"
         );
         assert!(
             call.in_flight.is_none(),
-            "rule 2: two attempts out for {id:?}"
+            "rule 2: two attempts in flight for {id:?}"
         );
-        assert!(call.attempts < 4, "over the most attempts");
+        assert!(call.attempts < 4, "more attempts than the settings allow");
         let entry = &self.listed[&server.0];
         assert_eq!(
             entry.lifecycle,
@@ -214,7 +216,7 @@
         in_flight.get(pick % in_flight.len().max(1)).copied()
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Wait { time } => self.harness.now += time,
             Step::EndProbe { pick, ok, load } => self.end_probe(pick, ok, load),
@@ -249,12 +251,12 @@
                 };
                 self.list(entry, complete);
             }
-            Step::Noise {
+            Step::UnknownRequest {
                 id,
                 attempt,
                 token,
                 load,
-            } => self.send_noise(RequestId(id), attempt, token, load),
+            } => self.send_events_on_unknown_request(RequestId(id), attempt, token, load),
         }
     }
 
@@ -294,14 +296,14 @@
         let Some(id) = self.in_flight(pick) else {
             return;
         };
-        let call = self.calls.get_mut(&id).expect("it is in flight");
+        let call = self.calls.get_mut(&id).expect("a request in flight");
         if !call.has_response && !call.disconnected {
             call.disconnected = true;
             self.handle(Event::ClientDisconnected(RequestId(id)));
         }
     }
 
-    /// Lists a server; one that is known keeps its zone and cell.
+    /// Lists a server. A known server keeps its zone and cell.
     fn list(&mut self, entry: ServerEntry, complete: bool) {
         let id = entry.server.0;
         let entry = match self.listed.get(&id) {
@@ -325,8 +327,14 @@
         self.handle(event);
     }
 
-    /// Events on a request that does not exist.
-    fn send_noise(&mut self, id: RequestId, attempt: u32, token: u64, load: f32) {
+    /// Sends events on a request that does not exist.
+    fn send_events_on_unknown_request(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        token: u64,
+        load: f32,
+    ) {
         let load = Some(LoadReport {
             figures: [load; 4],
             len: 4,
@@ -345,8 +353,8 @@
     }
 
     fn end(&mut self, id: u32, outcome: Outcome) {
-        let call = self.calls.get_mut(&id).expect("it was given");
-        let (server, sent) = call.in_flight.take().expect("it is out");
+        let call = self.calls.get_mut(&id).expect("a known request");
+        let (server, sent) = call.in_flight.take().expect("an attempt in flight");
         if !outcome.never_ran() {
             call.may_have_run = call.may_have_run.or(Some((server, sent)));
         }
@@ -391,19 +399,19 @@
 
     #[test]
     fn rules_are_kept_on_random_legal_orders(kind in 0u8..64, steps in prop::collection::vec(step(), 1..300)) {
-        let mut world = World::new(settings_of(kind));
-        steps.iter().for_each(|step| world.play(step));
-        // Rule 1: when every attempt has ended by its deadline, every request has its response.
+        let mut environment = Environment::new(settings_of(kind));
+        steps.iter().for_each(|step| environment.apply(step));
+        // Rule 1: after every attempt has ended by its deadline, every request has its response.
         loop {
-            // Every timer comes due in the end, and those that it sets in turn.
-            for token in std::mem::take(&mut world.timers) {
-                world.handle(Event::Timer(token));
+            // All timers fire eventually, including timers that are set while others fire.
+            for token in std::mem::take(&mut environment.timers) {
+                environment.handle(Event::Timer(token));
             }
-            let Some(id) = world.in_flight(0) else { break };
-            world.harness.now += 3 * SECOND;
-            world.end(id, Outcome::Timeout);
+            let Some(id) = environment.in_flight(0) else { break };
+            environment.harness.now += 3 * SECOND;
+            environment.end(id, Outcome::Timeout);
         }
-        for (id, call) in &world.calls {
+        for (id, call) in &environment.calls {
             prop_assert!(call.has_response || call.disconnected, "request {id} has no response");
         }
     }
@@ -411,9 +419,9 @@
     #[test]
     fn equal_events_give_equal_actions(kind in 0u8..64, steps in prop::collection::vec(step(), 1..200)) {
         let [first, second] = [(), ()].map(|()| {
-            let mut world = World::new(settings_of(kind));
-            steps.iter().for_each(|step| world.play(step));
-            world.log
+            let mut environment = Environment::new(settings_of(kind));
+            steps.iter().for_each(|step| environment.apply(step));
+            environment.log
         });
         prop_assert_eq!(first, second);
     }
