--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -65,9 +65,9 @@
         self.startup_until = self.now;
         self.load.responses.sum = learned.responses;
         self.load.responses.updated_at = self.now;
-        // The restored load stays at the threshold of load shedding. With two processes sending, a
-        // congestion of the previous process may be over; it must be measured again before load is
-        // shed.
+        // The restored load is capped at the threshold of load shedding. Congestion that the
+        // previous process has measured may be over, so it must be measured again before load is
+        // shed: two processes are sending now.
         self.load.pending_sum.sum = learned
             .pending
             .min(SHED_START_RELATIVE_LATENCY * learned.responses);
--- a/crates/decisions/src/policy/connections.rs
+++ b/crates/decisions/src/policy/connections.rs
@@ -13,8 +13,9 @@
     /// of [`crate::state::IdleRisk`]; 0 stands for a new connection.
     ///
     /// A middlebox that reaps idle connections, or a restart of the server, can drop an idle
-    /// connection without notice. If calls on connections of this idle time fail more often than
-    /// calls on new ones, the idle connections are replaced, which costs a handshake.
+    /// connection without notice. If calls on connections of up to this idle time fail, and calls
+    /// on new connections fail less often, the idle connections are replaced. That costs a
+    /// handshake.
     pub(crate) fn take_connection(&mut self, index: ServerIndex, class: usize) -> usize {
         let server = &mut self.servers[index];
         let idle = self.now.saturating_sub(server.idle_since);
@@ -37,7 +38,7 @@
     }
 
     /// Whether calls on connections of up to this idle step fail more often than `limit` allows,
-    /// and at least twice as often as calls on new connections.
+    /// and more than twice as often as calls on new connections.
     fn is_idle_risky(&self, step: usize, limit: f64) -> bool {
         let new = self.idle_risk.get(0, self.now, IDLE_RISK_DECAY);
         let idle = self
--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -24,7 +24,7 @@
             (request.class, request.target_inverse, request.last_attempt);
         self.close_pending(target_inverse, WorkedOn::Yes);
         if let Some(sent) = sent {
-            self.record_latency(sent.server, class, self.now - sent.at);
+            self.record_latency(sent.server, class, self.now - sent.sent_at);
         }
     }
 
@@ -48,7 +48,7 @@
                 let pending = std::mem::take(&mut request.target_inverse);
                 let class = request.class;
                 self.change_pending(-pending);
-                self.record_slowness(sent.server, class, self.now - sent.at);
+                self.record_slowness(sent.server, class, self.now - sent.sent_at);
                 let further = TIMEOUT_DEVIATIONS - LATE_DEVIATIONS;
                 let after = self.class_latencies[class].above_mean(further);
                 let after = after.max(self.min_timeout(class));
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -89,7 +89,7 @@
         request.is_breaker_trial = server.breaker.tripped;
         request.last_attempt = Some(SentAttempt {
             server: index,
-            at: now,
+            sent_at: now,
         });
         request.attempts += 1;
         request.delay = AttemptDelay::OnTime;
--- a/crates/decisions/src/policy/retries.rs
+++ b/crates/decisions/src/policy/retries.rs
@@ -11,8 +11,9 @@
     pub(crate) fn may_retry(&mut self, request: &PendingRequest, ended: Outcome) -> bool {
         let left = request.deadline.saturating_sub(self.now) as f64;
         let is_in_time = left > self.class_latencies[request.class].mean / 2.0;
-        // The budget also bounds retries of attempts that never ran. Without it, every call would
-        // use up all its attempts when no server can be reached.
+        // Retries of attempts that never ran are bounded as well, by the attempt limit and by the
+        // cost of a failed connection. Otherwise every call would use up all its attempts when no
+        // server can be reached.
         let has_attempts_left = request.attempts < request.max_attempts;
         let is_harmless = self.is_repeat_harmless(request);
         is_harmless
@@ -46,7 +47,7 @@
             self.settings.classes[request.class].effect,
             request.may_have_run,
         ) {
-            (Effect::Keyed(_, window), Some(first)) => first.at.saturating_add(window),
+            (Effect::Keyed(_, window), Some(first)) => first.sent_at.saturating_add(window),
             _ => Time::MAX,
         }
     }
--- a/crates/decisions/src/policy/round_robin.rs
+++ b/crates/decisions/src/policy/round_robin.rs
@@ -148,10 +148,10 @@
 
     /// Whether a server takes its turn in the weighted round robin.
     ///
-    /// A server's weight grows with its size and speed, as slow servers would otherwise be
-    /// overloaded while fast ones idle. Its failure rate reduces the weight even where too few
-    /// calls in a row fail to trip its breaker. A server in slow start takes every turn, because
-    /// its slow-start budget limits its calls instead.
+    /// A server's weight grows with its size and speed; in an overload, slow servers would
+    /// otherwise be congested while fast ones idle. Its failure rate reduces the weight, because
+    /// failures that are too few in a row do not trip its breaker. A server in slow start takes
+    /// every turn, because its slow-start budget limits its calls instead.
     fn takes_turn(&mut self, pool: PoolIndex, index: ServerIndex) -> bool {
         let is_warm = self.warmth(index) >= 1.0;
         let success_rate = 1.0 - self.excess_failure_rate(index, 1.0);
--- a/crates/decisions/src/policy/zones.rs
+++ b/crates/decisions/src/policy/zones.rs
@@ -173,8 +173,9 @@
     }
 
     /// Applies zone avoidance: excludes zones whose breakers have all tripped, zones where half of
-    /// the calls fail, and the most overloaded zone. If any zone was excluded, draws one of the
-    /// others, larger ones more often; otherwise returns `None`.
+    /// the calls fail, the most overloaded zone, and the zones that health evidence makes the call
+    /// avoid. If any zone was excluded, draws one of the others, larger ones more often; otherwise
+    /// returns `None`.
     ///
     /// The failure rate is tested because a caller with few calls would have to find each failing
     /// server of a zone separately.
--- a/crates/decisions/src/state/pool.rs
+++ b/crates/decisions/src/state/pool.rs
@@ -21,7 +21,8 @@
     /// Highest turn weight among the members that were recently considered; it decays slowly.
     pub best_weight: f64,
     responses: DecayingSum,
-    /// Average responses per second and unit of size that the pool has given before.
+    /// Average rate of responses that the pool has been measured to give, per second and unit of
+    /// size.
     pub proven_rate: f64,
     proven_span: Duration,
     /// Time at which the last member leaves slow start.
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -3,11 +3,11 @@
 use super::ServerIndex;
 use crate::api::Time;
 
-/// Server and time to which an attempt was sent.
+/// An attempt that was sent to a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
     pub server: ServerIndex,
-    pub at: Time,
+    pub sent_at: Time,
 }
 
 /// How far the attempt in flight exceeds the usual latency of its class.
@@ -25,7 +25,7 @@
 /// A request that has no final response yet, or still has an attempt in flight.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequest {
-    /// Position of its class.
+    /// Position of the request's class.
     pub class: usize,
     /// Inverse of the latency target, per nanosecond; 0 once the request no longer counts as load.
     pub target_inverse: f64,
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -140,7 +140,8 @@
 /// Minimum time in which the slow-start pace doubles, as a multiple of the mean latency of a call,
 /// so that congestion is measured before the pace doubles again.
 pub(crate) const PACE_DOUBLING_CALLS: f64 = 8.0;
-/// Time for which slow-start budgets still apply after slow start if a call has found no server.
+/// Time after a call that found no server during which slow-start budgets stay in force beyond the
+/// end of slow start.
 pub(crate) const BUDGET_EXTENSION: Duration = SECOND;
 
 // ---- Circuit breakers ----
@@ -196,8 +197,7 @@
 /// Number of idle connections that a server may keep. A full connection table costs a server
 /// capacity, and finally makes it refuse connections. With many calls in flight, their number
 /// varies by chance, and closing connections at each low would cost a handshake per call. The
-/// recent peak of the calls in flight minus this number may therefore be kept as well, if that is
-/// more.
+/// recent peak of the calls in flight minus this number is therefore kept instead, if it is higher.
 pub(crate) const SPARE_CONNECTIONS: f64 = 2.0;
 /// Decay time of the recent peak of the calls in flight.
 pub(crate) const PEAK_DECAY: Duration = SECOND / 4;
--- a/crates/decisions/tests/behaviour/retries.rs
+++ b/crates/decisions/tests/behaviour/retries.rs
@@ -61,10 +61,10 @@
             Outcome::Ok
         }
     };
-    let refused = (0..400)
+    let rejected = (0..400)
         .filter(|_| harness.run(UNSAFE, full_tables).1.is_some())
         .count();
-    assert!(refused < 40, "{refused} of 400 rejected");
+    assert!(rejected < 40, "{rejected} of 400 rejected");
     // If no connection succeeds, the budget limits calls to about two attempts on average.
     let attempts: usize = (0..400)
         .map(|_| harness.run(UNSAFE, |_| Outcome::ConnectFailed).0.len())
--- a/crates/decisions/tests/behaviour/zones.rs
+++ b/crates/decisions/tests/behaviour/zones.rs
@@ -85,7 +85,8 @@
             },
             &zones(2, 40),
         );
-        // As slow as the calls that follow, because a zone that slows down would be left for that.
+        // These calls have the same latency as the later ones, since a zone that slows down would be
+        // left for that reason.
         (0..100).for_each(|_| assert!(harness.serve(SAFE, 100 * MS).is_some()));
         let mut crossings = 0;
         for call in 0..80 {
