--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -118,8 +118,8 @@
             .last_response_at
             .saturating_add(ALIVE_WINDOW);
         let is_alive = self.now < alive_until;
-        // A timeout below twice the mean latency is too short even for a healthy server: it comes
-        // from the client's deadline and does not count as a failure of the server.
+        // A timeout below twice the mean latency is too short even for a healthy server. It is
+        // attributed to the caller and does not count as a failure of the server.
         let mean = self.class_latencies[request.class].mean;
         let is_too_short = (end.elapsed as f64) < 2.0 * mean;
         match end.outcome {
