--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,74 +1,76 @@
-//! What a node hands its caller: messages to send, events to log, and counters.
+//! The output of a node: messages to send, events to log, and counters.
 
 use crate::metadata::{MemberMetadata, Name};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A message to be sent.
+/// An encoded message with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// The receiver's address.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The encoded message.
+    /// The encoded message, at most a datagram long unless `reliable` is set.
     pub bytes: Vec<u8>,
-    /// Whether it needs a reliable transport: it may be longer than a datagram and has to arrive.
+    /// Whether the message needs a reliable transport. A reliable message must arrive and may
+    /// exceed the length of a datagram.
     pub reliable: bool,
 }
 
-/// A change that a caller may log or build on.
+/// A membership change that a caller may log or react to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A member that was not known, or a new generation of one.
+    /// A new member, or a new generation of a known member, appeared.
     Joined(MemberMetadata),
-    /// A member that was suspected or dead is alive.
+    /// A suspected or dead member is alive again.
     Recovered(Name),
-    /// A member is suspected.
+    /// A member became suspected.
     Suspected {
-        /// The suspected member.
+        /// Name of the suspected member.
         name: Name,
-        /// The member that found it unreachable itself, where that is known.
+        /// The member that raised the suspicion, if known.
         by: Option<Name>,
     },
-    /// A member is dead.
+    /// A member was declared dead.
     Dead {
-        /// The dead member.
+        /// Name of the dead member.
         name: Name,
-        /// The member whose suspicion ran out, where that is known.
+        /// The member that declared the death after its suspicion expired, if known.
         by: Option<Name>,
     },
-    /// A member has left in good order.
+    /// A member announced its leave.
     Left(Name),
-    /// The local process did not run for this long.
+    /// The local process did not run for the given duration.
     ProcessPaused(Duration),
-    /// Two processes use the same name at the same time.
+    /// Two running processes use the same name.
     NameConflict {
-        /// The name.
+        /// The name in conflict.
         name: Name,
-        /// The local address, and the other process's.
+        /// Address of the local member, followed by the address of the other process.
         addresses: [SocketAddr; 2],
     },
-    /// The local member can no longer reach most others, or can again.
+    /// The local member became isolated or is no longer isolated.
     IsolationChanged {
-        /// Whether it is isolated now.
+        /// Whether the local member is isolated now.
         is_isolated: bool,
     },
 }
 
-/// Counts since the start of the node.
+/// Counters since the creation of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Messages received.
+    /// Received messages, including undecodable ones.
     pub messages_received: u64,
-    /// Messages received that could not be decoded.
+    /// Received messages that could not be decoded.
     pub messages_rejected: u64,
-    /// Messages sent.
+    /// Messages handed to the caller for sending.
     pub messages_sent: u64,
-    /// Bytes of the messages sent, without what a transport adds.
+    /// Total encoded length of the sent messages in bytes, without transport overhead.
     pub bytes_sent: u64,
-    /// Members that were not taken in because [`Settings::max_members`](crate::Settings) were known.
+    /// Members that were ignored because [`Settings::max_members`](crate::Settings) members were
+    /// already known.
     pub members_rejected: u64,
-    /// Records that were not taken in, or were evicted for more important ones.
+    /// Records that were ignored, or evicted in favour of records of higher priority.
     pub records_dropped: u64,
-    /// Pauses of the local process.
+    /// Detected pauses of the local process.
     pub process_pauses: u64,
 }
--- a/crates/membership/src/gossip_queue.rs
+++ b/crates/membership/src/gossip_queue.rs
@@ -1,15 +1,17 @@
-//! What is still to be piggybacked on messages. Each item is sent a number of times that grows with
-//! the logarithm of the fleet (SWIM, section 4.1), the least transmitted first, so that new items
-//! pass those that most members have received.
+//! Queue of items to piggyback on messages. The number of transmissions of an item grows with the
+//! logarithm of the fleet size (SWIM, section 4.1). The least transmitted items are sent first, so
+//! that new items overtake items that most members already received.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Items that are skipped as too long for what is left of a message before the search ends.
+/// Maximum number of items that the search for fitting items skips as too long for the rest of a
+/// message.
 const MAX_SKIPPED: usize = 4;
 
-/// The order of items: urgent first, then the least transmitted, then the newest. Ordered by key
-/// instead, all members would send the same few first, and the last of many would wait for long.
+/// Sort key of items: urgent items first, then the least transmitted, then the newest. With an
+/// order by key, all members would send the same few items first, and the last of many items would
+/// wait for long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     urgency: Reverse<u8>,
@@ -24,7 +26,7 @@
     bytes: usize,
 }
 
-/// Items to transmit, at most one a key.
+/// Queue of items to transmit, with at most one item per key.
 #[derive(Clone, Debug)]
 pub struct GossipQueue<K, V> {
     items: BTreeMap<Rank, QueuedItem<K, V>>,
@@ -43,7 +45,7 @@
 }
 
 impl<K: Ord + Clone, V: Clone> GossipQueue<K, V> {
-    /// Enqueues an item of `bytes` encoded bytes, in place of the one under its key.
+    /// Enqueues an item with an encoded length of `bytes`, replacing the item under the same key.
     pub fn enqueue(&mut self, key: K, value: V, bytes: usize, urgency: u8) {
         self.remove(&key);
         self.enqueued += 1;
@@ -56,25 +58,26 @@
         self.items.insert(rank, QueuedItem { key, value, bytes });
     }
 
-    /// Drops the item under a key, if there is one.
+    /// Removes the item under a key, if any.
     pub fn remove(&mut self, key: &K) {
         if let Some(rank) = self.ranks.remove(key) {
             self.items.remove(&rank);
         }
     }
 
-    /// Whether an item of at least this urgency waits.
+    /// Whether an item of at least this urgency is queued.
     pub fn has_urgent(&self, min_urgency: u8) -> bool {
         let first = self.items.first_key_value();
         first.is_some_and(|(rank, _)| rank.urgency.0 >= min_urgency)
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// The items that fit into `max_bytes`; each is given out `max_transmissions` times in all.
+    /// Takes items that fit into `max_bytes` together. An item leaves the queue after
+    /// `max_transmissions` transmissions.
     pub fn take(&mut self, max_bytes: usize, max_transmissions: u32) -> Vec<V> {
         let chosen = self.choose(max_bytes);
         let mut taken = Vec::with_capacity(chosen.len());
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,27 +1,29 @@
-//! Cluster membership by gossip, without input or output: failure detection through pauses, lost
-//! messages and one-way partitions, and small records that each member publishes to all others.
+//! Cluster membership by gossip, without I/O. Failure detection tolerates process pauses, lost
+//! messages and one-way partitions. Each member can also publish small records to all other
+//! members.
 //!
-//! The protocol is SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations, the three parts
-//! of Lifeguard (Dadgar, Phillips, Currey 2017), and three additions: indirect probes go through
-//! several zones, the two directions between two members are told apart, and no member is declared
-//! dead where a third of the fleet vanishes at once or the local member has reason to doubt itself.
+//! The protocol is SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnation numbers, the
+//! three parts of Lifeguard (Dadgar, Phillips, Currey 2017), and three additions. Indirect probes
+//! go through relays in several zones. The two directions between a pair of members are tracked
+//! separately. No member is declared dead while a third of the fleet vanishes at once or while the
+//! local member doubts its own health.
 //!
-//! [`Node`] is a state machine: it is handed times in nanoseconds of one monotonic clock, datagrams
-//! and a random seed, and gives back messages and events. The design, with the alternatives that
-//! were considered, is in `docs/membership.md`.
+//! [`Node`] is a state machine. The caller passes in datagrams, a random seed and times in
+//! nanoseconds of one monotonic clock; the node returns messages and events. The design and its
+//! alternatives are in `docs/membership.md`.
 //!
 //! | module | owns |
 //! |---|---|
-//! | `metadata` | names, generations and what does not change about a member |
-//! | `status` | the total order of what is said about a member |
+//! | `metadata` | names, generations and constant attributes of members |
+//! | `status` | statuses of members and their total order |
 //! | `message` | the messages and their encoding |
-//! | `member`, `paths`, `suspicion` | what the node keeps of one other member |
+//! | `member`, `paths`, `suspicion` | the state kept for one other member |
 //! | `records` | the published records |
-//! | `gossip_queue` | what is still to be piggybacked, and how often |
+//! | `gossip_queue` | updates to piggyback on messages |
 //! | `local_health` | Lifeguard's local health |
-//! | `probe` | probes in flight |
-//! | `node` | the state machine, one protocol concern a submodule |
-//! | `view`, `event` | what callers read |
+//! | `probe` | probes in flight, own and relayed |
+//! | `node` | the state machine, with one submodule per protocol concern |
+//! | `view`, `event` | conclusions and events for callers |
 mod event;
 mod gossip_queue;
 mod local_health;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! One other member, as the local one knows it.
+//! The local member's knowledge of one other member.
 
 use crate::message::MemberUpdate;
 use crate::metadata::{MemberMetadata, Name};
@@ -7,32 +7,33 @@
 use crate::suspicion::Suspicion;
 use crate::time::Timestamp;
 
-/// One other member, as the local one knows it.
+/// The local member's knowledge of one other member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its metadata.
+    /// Metadata of the current generation.
     pub metadata: MemberMetadata,
-    /// The greatest status that was received.
+    /// The greatest status received.
     pub status: MemberStatus,
-    /// When that status was received.
+    /// Time at which the current status was received.
     pub since: Timestamp,
-    /// Present while it is suspected.
+    /// The suspicion, present while the member is suspected.
     pub suspicion: Option<Suspicion>,
-    /// Its host has refused a connection: no such process runs there.
+    /// Whether the member's host refused a connection to the member's address, which shows that no
+    /// process listens there.
     pub connection_refused: bool,
-    /// The directions between it and the local member.
+    /// State of the two directions between the local member and this member.
     pub paths: Paths,
-    /// When it was last reached, directly or through others.
+    /// Time at which the member was last reached, directly or through a relay.
     pub last_reached_at: Option<Timestamp>,
-    /// The relay through which it was last reached: where few see both sides of a partition, they
-    /// have to be asked again.
+    /// The relay through which the member was last reached. Later probes ask the same relay again,
+    /// since few members may reach both sides of a partition.
     pub reached_through: Option<Name>,
-    /// When it was last asked to relay a probe, unless it has reached the target.
+    /// Time of the last request to relay a probe that has not led to an acknowledgement.
     pub failed_relay_at: Option<Timestamp>,
 }
 
 impl Member {
-    /// A member that was just heard of.
+    /// Creates an entry for a newly discovered member.
     pub fn new(metadata: MemberMetadata, status: MemberStatus, now: Timestamp) -> Self {
         Self {
             metadata,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Its status, to be passed on.
+    /// The member's status as an update for other members.
     pub fn update(&self) -> MemberUpdate {
         let suspicion = self.suspicion.as_ref();
         let by = suspicion.and_then(|suspicion| suspicion.by().next().cloned());
@@ -58,17 +59,18 @@
         }
     }
 
-    /// Whether it belongs to the fleet: neither dead nor left.
+    /// Whether the member belongs to the fleet, that is, neither died nor left.
     pub fn is_present(&self) -> bool {
         matches!(self.status.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// Whether nothing is said against it.
+    /// Whether the member's status is `Alive`.
     pub fn is_alive(&self) -> bool {
         self.status.state == MemberState::Alive
     }
 
-    /// Whether it has sent the local member a message since it is suspected: then it is not gone.
+    /// Whether a direct message from the member arrived since the start of the suspicion, which
+    /// shows that the member is running.
     pub fn received_since_suspected(&self) -> bool {
         let suspicion = self.suspicion.as_ref();
         suspicion.is_some_and(|suspicion| self.paths.received_since(suspicion.started_at()))
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,157 +1,161 @@
-//! The messages of the protocol and their encoding: a version byte, then [`Message`] in postcard's
-//! format. Lengths are checked before memory is allocated for them.
+//! Protocol messages and their encoding: a version byte followed by a [`Message`] in postcard's
+//! format. Lengths are checked before memory is allocated.
 
 use crate::metadata::{Generation, MemberMetadata, Name};
 use crate::status::MemberStatus;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The version of the encoding. Messages of any other are rejected.
+/// The version of the encoding. Messages of any other version are rejected.
 pub const VERSION: u8 = 1;
-/// The most bytes of a message, those of the anti-entropy included.
+/// Maximum length of an encoded message in bytes, including anti-entropy messages.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
-/// Shards by which the anti-entropy compares the state of two members.
+/// Number of shards by which anti-entropy compares the states of two members.
 pub const SHARDS: usize = 64;
 
 /// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// The sending member.
     pub from: MemberMetadata,
     /// The sender's incarnation number.
     pub incarnation: u32,
-    /// The receiver's name and generation, since a former generation of a name must not answer for
-    /// a later one. `None` where the sender only knows an address.
+    /// The receiver's name and generation, or `None` if the sender knows only an address. A later
+    /// generation of a name must not answer messages addressed to a former one.
     pub to: Option<(Name, Generation)>,
-    /// What the message is for.
+    /// The request, reply or announcement that the message carries.
     pub body: Body,
-    /// Piggybacked updates of members.
+    /// Piggybacked member updates.
     pub updates: Vec<MemberUpdate>,
-    /// Piggybacked updates of records.
+    /// Piggybacked record updates.
     pub records: Vec<RecordUpdate>,
 }
 
-/// What a message is for. The order of the variants is part of the encoding.
+/// The purpose of a message. The order of the variants is part of the encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
     /// Asks for an [`Ack`](Self::Ack).
     Ping {
-        /// The sequence number of this ping.
+        /// The sequence number of this ping, chosen by its sender.
         sequence: u64,
-        /// The member that asked for it, where the sender only relays it.
+        /// The member that requested the ping if the sender relays it; `None` for a direct ping.
         origin: Option<ProbeOrigin>,
     },
     /// Acknowledges a [`Ping`](Self::Ping).
     Ack {
-        /// The sequence number of the ping.
+        /// The sequence number of the acknowledged ping.
         sequence: u64,
-        /// The sequence number of the last ping that came directly from the probe's origin.
+        /// The sequence number of the most recent direct ping that the acknowledging member
+        /// received from the probe's origin.
         last_direct_sequence: u64,
     },
     /// Asks the receiver to relay a ping (SWIM's ping-req).
     IndirectPing {
         /// The sequence number of the sender's own probe.
         sequence: u64,
-        /// The member to be pinged.
+        /// The member to ping.
         target: MemberMetadata,
     },
-    /// The target of an [`IndirectPing`](Self::IndirectPing) has acknowledged the relayed ping.
+    /// Reports that the target of an [`IndirectPing`](Self::IndirectPing) acknowledged the relayed
+    /// ping.
     RelayedAck {
-        /// The sequence number of the receiver's own probe.
+        /// The sequence number of the probe that the receiver of this message started.
         sequence: u64,
-        /// The sequence number of the last ping that the target received directly from the
-        /// receiver.
+        /// The sequence number of the most recent ping that the target received directly from the
+        /// receiver of this message.
         last_direct_sequence: u64,
     },
-    /// The target of an [`IndirectPing`](Self::IndirectPing) has not answered in time (Lifeguard's
-    /// nack): the receiver's own connection to the sender works.
+    /// Reports that the target of an [`IndirectPing`](Self::IndirectPing) did not answer in time
+    /// (Lifeguard's nack). A nack shows the origin that its connection to the relay works.
     Nack {
-        /// The sequence number of the receiver's own probe.
+        /// The sequence number of the probe that the receiver of this message started.
         sequence: u64,
     },
-    /// Asks for all that the receiver knows; sent by members that are new or have just resumed.
+    /// Requests the receiver's complete state. Sent by members that are new or have just resumed
+    /// from a pause.
     StateRequest,
-    /// Starts an anti-entropy exchange: a digest of each of the [`SHARDS`] shards.
+    /// Starts an anti-entropy exchange with one digest for each of the [`SHARDS`] shards.
     ShardDigests(Vec<u64>),
-    /// All that the sender knows of some shards, in `updates` and `records`.
+    /// Carries the sender's complete state of some shards in `updates` and `records`.
     ShardState {
-        /// The numbers of the shards.
+        /// Numbers of the shards, each less than [`SHARDS`].
         shards: Vec<u8>,
-        /// Whether the sender asks for the receiver's state of the same shards.
+        /// Whether the sender requests the receiver's state of the same shards.
         wants_reply: bool,
     },
-    /// Only carries piggybacked updates.
+    /// Carries piggybacked updates only.
     Gossip,
 }
 
-/// The member for which a ping is relayed.
+/// The member on whose behalf a ping is relayed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProbeOrigin {
-    /// The member that asked for the ping.
+    /// The member that requested the ping.
     pub metadata: MemberMetadata,
-    /// The sequence number of its own probe.
+    /// The sequence number of the origin's own probe.
     pub sequence: u64,
 }
 
-/// The status of a member, and who found it.
+/// The status of a member, with the member that reported it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member.
+    /// The member whose status is reported.
     pub metadata: MemberMetadata,
-    /// Its status.
+    /// The reported status.
     pub status: MemberStatus,
-    /// The member that suspects it or declared it dead.
+    /// The member that raised the suspicion or declared the death, if any.
     pub by: Option<Name>,
 }
 
-/// A record as it is sent.
+/// The wire form of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordUpdate {
-    /// The member that published it.
+    /// Name of the member that published the record.
     pub owner: Name,
-    /// The generation of the owner that published it.
+    /// Generation of the owner at the time of publication.
     pub generation: Generation,
-    /// Raised by the owner with each change.
+    /// Version number, which the owner raises with each change.
     pub version: u64,
-    /// Its key.
+    /// Key of the record, unique per owner.
     pub key: Name,
-    /// Records of higher priority are sent first.
+    /// Priority; records of higher priority are sent first.
     pub priority: u8,
-    /// Milliseconds since it was published.
+    /// Milliseconds since the owner published the record.
     pub age_ms: u32,
-    /// Its value.
+    /// Value of the record; empty if the owner has withdrawn it.
     pub value: Vec<u8>,
 }
 
-/// Why bytes are no message.
+/// The reason why bytes cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// They are in another version of the encoding.
+    /// The message uses another version of the encoding.
     #[error("a message of version {0}, not {VERSION}")]
     UnsupportedVersion(u8),
-    /// They are too many, too few, or not in the format.
+    /// The bytes are truncated, too long or not in the format.
     #[error("not a message")]
     Malformed,
 }
 
-/// Bytes that a part of a message takes.
+/// Encoded length of a part of a message in bytes.
 pub fn encoded_size(part: &impl Serialize) -> usize {
     postcard::experimental::serialized_size(part).unwrap_or(usize::MAX)
 }
 
 impl Message {
-    /// The encoded message.
+    /// Encodes the message with a leading version byte.
     pub fn encode(&self) -> Vec<u8> {
-        // Only sequences of unknown length cannot be encoded; there are none here.
+        // Postcard fails only on sequences of unknown length, and messages contain none.
         postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
     }
 
-    /// Decodes a message that takes all of `bytes`, with records of at most `max_record_bytes`.
+    /// Decodes a message that occupies all of `bytes` and whose record values have at most
+    /// `max_record_bytes`.
     ///
     /// # Errors
     ///
-    /// [`MessageError::UnsupportedVersion`] where the first byte is another version, and
-    /// [`MessageError::Malformed`] for anything else that is no message.
+    /// [`MessageError::UnsupportedVersion`] if the first byte is another version,
+    /// [`MessageError::Malformed`] for any other input that is not a message.
     pub fn decode(bytes: &[u8], max_record_bytes: usize) -> Result<Self, MessageError> {
         let (version, rest) = bytes.split_first().ok_or(MessageError::Malformed)?;
         if *version != VERSION {
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -1,23 +1,23 @@
-//! Who a member is: its name, the generation of its process, its zone and its address.
+//! Identity of a member: its name, process generation, zone and address.
 
 use serde::{Deserialize, Deserializer, Serialize, de};
 use std::fmt;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A name of 1 to 64 bytes without white space: of a member, a zone, a region, or a record's key.
+/// A name of a member, zone, region or record key: 1 to 64 bytes without white space.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Name(Box<str>);
 
 impl Name {
-    /// The most bytes of a name.
+    /// Maximum length of a name in bytes.
     pub const MAX_BYTES: usize = 64;
 
-    /// Checks a text.
+    /// Creates a name from a text.
     ///
     /// # Errors
     ///
-    /// [`NameError`] where the text is empty, too long, or holds white space.
+    /// [`NameError`] if the text is empty, too long, or contains white space.
     pub fn new(text: &str) -> Result<Self, NameError> {
         let has_white_space = text.contains(char::is_whitespace);
         if text.is_empty() || text.len() > Self::MAX_BYTES || has_white_space {
@@ -46,40 +46,40 @@
 
 impl<'de> Deserialize<'de> for Name {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // Borrowed, so that a length that lies costs no memory.
+        // A borrowed string is decoded without allocation, so a forged length costs no memory.
         Self::new(<&str>::deserialize(deserializer)?).map_err(de::Error::custom)
     }
 }
 
-/// The text is no name.
+/// The text is empty, too long, or contains white space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a name has 1 to {} bytes and no blanks", Name::MAX_BYTES)]
 pub struct NameError;
 
-/// One run of a member's process. What is known of a former generation says nothing about the next.
+/// One run of a member's process. Observations of a former generation do not apply to the next.
 ///
-/// Cassandra's gossip uses the word in the same sense; SWIM's incarnation number counts refutations
-/// within a generation (see [`MemberStatus`](crate::MemberStatus)).
+/// Cassandra's gossip protocol uses the term in the same sense. SWIM's incarnation number counts
+/// refutations within a generation (see [`MemberStatus`](crate::MemberStatus)).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation {
-    /// When the process started, Unix time in milliseconds; raised where a former generation of the
-    /// name claims to be later, as after a clock was set back.
+    /// Start time of the process, Unix time in milliseconds. The value is raised if a former
+    /// generation of the name has a later start time, as happens after a clock is set back.
     pub started_ms: u64,
-    /// Drawn at random when the process starts.
+    /// Random number drawn at the start of the process.
     pub id: u64,
 }
 
-/// What does not change about a member in a generation.
+/// The attributes of a member that are constant within a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberMetadata {
-    /// Its name.
+    /// Name of the member, unique in the fleet.
     pub name: Name,
-    /// The run of its process.
+    /// Generation of the member's process.
     pub generation: Generation,
-    /// The address at which others reach it.
+    /// Address at which other members reach the member.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Availability zone of the member.
     pub zone: Name,
-    /// The zone's region, if it lies in one.
+    /// Region of the zone, if the zone belongs to one.
     pub region: Option<Name>,
 }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,5 +1,5 @@
-//! The state machine of one member. This module holds its state, its timers and what callers ask of
-//! it; the submodules hold one concern of the protocol each.
+//! The state machine of one member. This module holds the state, the timers and the public queries;
+//! each submodule implements one concern of the protocol.
 
 mod anti_entropy;
 mod gossip;
@@ -29,21 +29,21 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Nanoseconds from one evaluation of suspicions to the next: in a great failure there are many, and
-/// many messages come.
-const EVALUATION_INTERVAL: u64 = 100_000_000;
-/// A member that has just started runs the anti-entropy this many times as often.
+/// Interval between two evaluations of the suspicions. A large failure causes many suspicions and
+/// many messages, so suspicions are not evaluated on every message.
+const EVALUATION_INTERVAL_NS: u64 = 100_000_000;
+/// Factor by which a newly started member runs anti-entropy more often.
 const BOOTSTRAP_SYNC_FACTOR: u64 = 5;
-/// Anti-entropy intervals for which a member counts as just started.
+/// Number of anti-entropy intervals during which a member counts as newly started.
 const BOOTSTRAP_SYNC_INTERVALS: u64 = 3;
-/// Events that wait for the caller; the oldest are dropped.
+/// Maximum number of events that wait for the caller. The oldest events are dropped first.
 const MAX_EVENTS: usize = 4_096;
 
-/// One member of the fleet, as a state machine: it is handed times and messages, and gives back
-/// messages and events. Nothing here blocks, reads a clock or does input or output.
+/// One member of the fleet as a state machine. The caller passes in times and messages and takes
+/// out messages and events. The node never blocks, reads a clock or performs I/O.
 ///
-/// After each call, take what [`next_outgoing`](Self::next_outgoing) and
-/// [`next_event`](Self::next_event) have, and call [`tick`](Self::tick) no later than
+/// After each call, the caller drains [`next_outgoing`](Self::next_outgoing) and
+/// [`next_event`](Self::next_event), and calls [`tick`](Self::tick) no later than
 /// [`next_deadline`](Self::next_deadline).
 pub struct Node {
     settings: Settings,
@@ -51,24 +51,26 @@
     /// The local member's SWIM incarnation number.
     incarnation: u32,
     has_left: bool,
-    /// The other members, in the order in which they were heard of.
+    /// The other members, in the order of their first update.
     members: IndexMap<Name, Member>,
-    /// The names of those that are suspected.
+    /// Names of the suspected members.
     suspected: BTreeSet<Name>,
-    /// Members to probe in this round; the last one is next.
+    /// Members to probe in the current round, in reverse order: the last one is probed next.
     probe_queue: Vec<Name>,
-    /// The last sequence number of a ping.
+    /// The sequence number of the most recent ping.
     sequence: u64,
     probe: Option<Probe>,
     relayed_probes: Vec<RelayedProbe>,
-    /// The last relay that reached any target.
+    /// The most recent relay that reached any probe target.
     last_successful_relay: Option<Name>,
-    /// Whether the last probes succeeded, of members that nothing was said against.
+    /// Results of the most recent probes, counting failures only of targets that were alive when
+    /// the probe started.
     recent_probes: VecDeque<bool>,
     was_isolated: bool,
-    /// When a host last refused a connection.
+    /// Time of the most recent refused connection to any member.
     last_refusal_at: Option<Timestamp>,
-    /// When verdicts were last deferred.
+    /// Time at which verdicts were last deferred because of a mass failure or doubts about the
+    /// local member.
     verdicts_deferred_at: Timestamp,
     next_probe_at: Timestamp,
     next_gossip_at: Timestamp,
@@ -81,9 +83,10 @@
     local_health: LocalHealth,
     rng: ChaCha8Rng,
     seeds: Vec<SocketAddr>,
-    /// Whether another member has sent all that it knows.
+    /// Whether another member has sent its complete state.
     is_synced: bool,
-    /// Ids of later generations of the local name, and when each was last superseded.
+    /// Ids of the received later generations of the local name, with the time at which each one was
+    /// last superseded.
     rival_generations: BTreeMap<u64, Timestamp>,
     outgoing: VecDeque<OutgoingMessage>,
     events: VecDeque<Event>,
@@ -91,12 +94,12 @@
 }
 
 impl Node {
-    /// A member that knows nobody, only the addresses of seeds. All draws come from `rng_seed`; all
-    /// later times are of the clock that `now` is of.
+    /// Creates a member that knows only the addresses of its seeds. All random draws derive from
+    /// `rng_seed`. All later times passed to the node use the clock of `now`.
     ///
     /// # Errors
     ///
-    /// The first setting at fault.
+    /// Returns the first invalid setting.
     pub fn new(
         local: MemberMetadata,
         seeds: Vec<SocketAddr>,
@@ -106,7 +109,7 @@
     ) -> Result<Self, SettingsError> {
         settings.check()?;
         let mut rng = ChaCha8Rng::seed_from_u64(rng_seed);
-        // Members that start together must not probe together.
+        // A random offset keeps members that start together from probing in step.
         let next_probe_at = now + rng.random_range(0..nanos(settings.probe_interval));
         let sync_interval = nanos(settings.sync_interval);
         let first_sync = (sync_interval / BOOTSTRAP_SYNC_FACTOR).max(1);
@@ -147,24 +150,26 @@
         })
     }
 
-    /// The local member.
+    /// Metadata of the local member.
     pub fn local(&self) -> &MemberMetadata {
         &self.local
     }
 
-    /// Replaces the addresses that are asked while no member is known.
+    /// Replaces the seed addresses, which receive state requests while no other member is known.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// The factor by which the local member's time-outs grow: 1 where it is healthy, 9 at the worst.
+    /// The factor that Lifeguard's local health applies to the local member's time-outs: 1 when
+    /// healthy, 9 at most.
     pub fn health_multiplier(&self) -> u32 {
         self.local_health.multiplier()
     }
 
-    /// The latest time at which [`tick`](Self::tick) has to be called.
+    /// The latest time for the next call of [`tick`](Self::tick).
     pub fn next_deadline(&self) -> Timestamp {
-        // Ticks come often enough that a late one shows a pause.
+        // Ticks are scheduled at half the pause threshold, so that a late tick reveals a pause of
+        // the process.
         let half_threshold = nanos(self.settings.pause_threshold) / 2;
         let mut deadline = self.next_probe_at.min(self.last_tick_at + half_threshold);
         deadline = deadline.min(self.next_sync_at);
@@ -198,7 +203,7 @@
             self.start_probe_interval(now);
         }
         if now >= self.next_evaluation_at {
-            self.next_evaluation_at = now + EVALUATION_INTERVAL;
+            self.next_evaluation_at = now + EVALUATION_INTERVAL_NS;
             self.evaluate_suspicions(now);
         }
         if now >= self.next_sync_at {
@@ -214,8 +219,8 @@
         self.next_probe_at = now + self.scaled_probe_interval();
         self.expire_members(now);
         self.publish_partitions(now);
-        // A member that is contacted before it has asked knows a few others, and would find the rest
-        // one by one.
+        // An unsynchronized member may already know a few members that contacted it. Without a
+        // state request it would discover the remaining members one by one.
         if !self.is_synced {
             self.request_state(now);
         }
@@ -223,7 +228,8 @@
     }
 
     fn schedule_sync(&mut self, now: Timestamp) {
-        // Members that start together are told by others that know little themselves.
+        // In a fleet that starts together, the first anti-entropy peers know few members
+        // themselves, so a new member synchronizes more often.
         let factor = match now < self.bootstrap_until {
             true => BOOTSTRAP_SYNC_FACTOR,
             false => 1,
@@ -233,12 +239,13 @@
         self.next_sync_at = now + interval / 2 + jitter;
     }
 
-    /// Publishes a record to all members, in place of the one under its key. It stays until it is
-    /// replaced or the local member is gone; an empty value withdraws it.
+    /// Publishes a record to all members, replacing the local member's record under the same key.
+    /// The record stays until it is replaced or the local member leaves or dies. An empty value
+    /// withdraws the record.
     ///
     /// # Errors
     ///
-    /// [`PublishError`] where the value is too long or there are too many records.
+    /// [`PublishError`] if the value is too long or the local member has too many records.
     pub fn publish(
         &mut self,
         now: Timestamp,
@@ -255,33 +262,33 @@
         Ok(())
     }
 
-    /// The most bytes of a record's value.
+    /// The maximum length of a record's value in bytes.
     pub fn max_record_bytes(&self) -> usize {
         self.settings.max_record_bytes
     }
 
-    /// Owner, key and record of all that are known. They are evidence from their owners, never
-    /// commands.
+    /// All known records with their owners and keys. Record contents are unverified claims of their
+    /// owners and must not be treated as commands.
     pub fn records(&self) -> impl Iterator<Item = (&Name, &Name, &Record)> {
         self.records.iter()
     }
 
-    /// One record.
+    /// The record of `owner` under `key`, if known.
     pub fn record(&self, owner: &Name, key: &Name) -> Option<&Record> {
         self.records.get(owner, key)
     }
 
-    /// The next message to be sent.
+    /// Takes the next outgoing message.
     pub fn next_outgoing(&mut self) -> Option<OutgoingMessage> {
         self.outgoing.pop_front()
     }
 
-    /// The next event that the caller has not taken.
+    /// Takes the next event.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Counts since the start.
+    /// Counters since the node was created.
     pub fn counters(&self) -> Counters {
         Counters {
             records_dropped: self.records.dropped(),
@@ -297,24 +304,25 @@
         self.events.push_back(event);
     }
 
-    /// The probe interval, as long as the local health has it.
+    /// The probe interval in nanoseconds, scaled by the local health multiplier.
     fn scaled_probe_interval(&self) -> u64 {
         let multiplier = u64::from(self.local_health.multiplier());
         nanos(self.settings.probe_interval) * multiplier
     }
 
-    /// Nanoseconds in which each member is probed once, and probes once, where all are healthy.
+    /// Duration of a probe round in nanoseconds: while all members are healthy, each one probes and
+    /// is probed once in it.
     fn probe_round(&self) -> u64 {
         let members = self.members.len() as u64 + 2;
         nanos(self.settings.probe_interval) * members
     }
 
-    /// Nanoseconds for which an observation of a member holds: three rounds of probes.
+    /// Nanoseconds for which an observation of a member stays valid: three probe rounds.
     fn observation_lifetime(&self) -> u64 {
         3 * self.probe_round()
     }
 
-    /// Up to `max` members for which `is_eligible` returns true, in random order.
+    /// Up to `max` members that satisfy `is_eligible`, in random order.
     fn random_members(
         &mut self,
         max: usize,
@@ -334,8 +342,8 @@
         members.map(|member| member.metadata.clone()).collect()
     }
 
-    /// Indices of up to `max` eligible members, found by a few draws: enough where most of many are
-    /// eligible, and cheaper than to look at all.
+    /// Indices of up to `max` eligible members, found by a few random draws. In a large fleet with
+    /// mostly eligible members, the draws suffice and cost less than a scan of all members.
     fn sample_members(&mut self, max: usize, is_eligible: &impl Fn(&Member) -> bool) -> Vec<usize> {
         let size = self.members.len();
         let draws = if max < size / 4 { 4 * max } else { 0 };
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -1,6 +1,6 @@
-//! Anti-entropy: what gossip has missed is found by comparing digests of shards of two members'
-//! state, and sent. A shard holds the members, and the records of their owners, whose names hash to
-//! it.
+//! Anti-entropy repairs gaps in gossip. Two members compare digests of the shards of their state
+//! and exchange the shards that differ. A shard holds the members whose names hash to its number,
+//! together with their records.
 
 use super::Node;
 use crate::member::Member;
@@ -16,17 +16,17 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// Bytes of a message that carries shards: well under the most.
+/// Maximum length in bytes of the shards in one message, well below the message length limit.
 const PAGE_BYTES: usize = MAX_MESSAGE_BYTES / 2;
-/// Shards that are sent after one comparison. Where much has changed, gossip of it is on its way
-/// anyhow.
+/// Maximum number of shards sent after one comparison. If many shards differ, gossip is already
+/// spreading most of the changes.
 const MAX_SHARDS_SENT: usize = 8;
-/// One exchange in this many is with a member that is not alive, so that halves that have given each
-/// other up find each other again.
+/// One exchange in this many goes to a member that is not alive, so that two halves of a fleet that
+/// declared each other dead rediscover each other after a partition.
 const DEPARTED_MEMBER_EXCHANGES: u32 = 4;
 
 fn digest(value: impl Hash) -> u64 {
-    // With constant keys: all members have to find the same.
+    // The hash keys are constant, since all members must compute the same digests.
     let mut hasher = SipHasher13::new();
     value.hash(&mut hasher);
     hasher.finish()
@@ -36,7 +36,7 @@
     (digest(name.as_str()) % SHARDS as u64) as u8
 }
 
-/// What a node knows of one shard.
+/// The local member's state of one shard.
 struct Shard {
     number: u8,
     updates: Vec<MemberUpdate>,
@@ -51,14 +51,14 @@
     }
 }
 
-/// A message that is filled with shards.
+/// A message to which shards are added up to the size limit.
 struct Page {
     message: Message,
     bytes_left: usize,
 }
 
 impl Page {
-    /// Adds a shard. Of one that is larger than a page, what does not fit comes by gossip.
+    /// Adds a shard. The part of a shard that exceeds a page is left to gossip.
     fn add(&mut self, shard: Shard) {
         if let Body::ShardState { shards, .. } = &mut self.message.body {
             shards.push(shard.number);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether that many bytes are left; they are used up then.
+    /// Reserves `bytes` of the page. Returns whether enough bytes were left.
     fn reserve(&mut self, bytes: usize) -> bool {
         let fits = bytes <= self.bytes_left;
         if fits {
@@ -86,8 +86,7 @@
 }
 
 impl Node {
-    /// A digest of the statuses and records of each shard. The order in which they came does not
-    /// matter.
+    /// Digests of the statuses and records of each shard, independent of their order of arrival.
     fn shard_digests(&self) -> Vec<u64> {
         let mut digests = vec![0_u64; SHARDS];
         let mut add = |name: &Name, value: u64| {
@@ -109,7 +108,7 @@
         digests
     }
 
-    /// Starts an exchange with one other member.
+    /// Starts an anti-entropy exchange with one other member.
     pub(super) fn send_digests(&mut self, now: Timestamp) {
         let with_departed_member = self.rng.random_range(0..DEPARTED_MEMBER_EXCHANGES) == 0;
         let mut to = match with_departed_member {
@@ -127,7 +126,7 @@
         self.enqueue(to.address, &message, true);
     }
 
-    /// Answers another member's digests with the state of some of the shards that differ.
+    /// Answers another member's digests with the local state of some of the differing shards.
     pub(super) fn handle_digests(&mut self, now: Timestamp, from: &MemberMetadata, theirs: &[u64]) {
         let own = self.shard_digests();
         let differs = |shard: &u8| own.get(usize::from(*shard)) != theirs.get(usize::from(*shard));
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Another member's shards have come; `updates` and `records` were merged already.
+    /// Handles a shard message whose `updates` and `records` are already merged.
     pub(super) fn handle_shards(
         &mut self,
         now: Timestamp,
@@ -154,7 +153,8 @@
         }
     }
 
-    /// Sends all that is known of some shards, in as many messages as that takes.
+    /// Sends the complete local state of the shards that satisfy `is_wanted`, in as many messages
+    /// as necessary.
     pub(super) fn send_shards(
         &mut self,
         now: Timestamp,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// What is known of some shards, by number.
+    /// The local state of the shards that satisfy `is_wanted`, ordered by shard number.
     fn shards(&self, now: Timestamp, is_wanted: impl Fn(u8) -> bool) -> Vec<Shard> {
         let numbers = (0..SHARDS as u8).filter(|shard| is_wanted(*shard));
         let mut updates: BTreeMap<u8, Vec<MemberUpdate>> =
--- a/crates/membership/src/node/gossip.rs
+++ b/crates/membership/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Outgoing messages, and the updates that are piggybacked on them (SWIM, section 4.1).
+//! Outgoing messages and the updates piggybacked on them (SWIM, section 4.1).
 
 use super::Node;
 use crate::event::OutgoingMessage;
@@ -10,29 +10,30 @@
 use crate::time::Timestamp;
 use std::net::SocketAddr;
 
-/// Nanoseconds from one message that only carries updates to the next.
-pub(super) const GOSSIP_INTERVAL: u64 = 100_000_000;
-/// Gossip intervals for which updates wait that are not urgent: most go along with probes.
+/// Nanoseconds between two rounds of gossip messages, which only carry updates.
+pub(super) const GOSSIP_INTERVAL_NS: u64 = 100_000_000;
+/// Number of gossip intervals between two rounds without urgent updates. Most such updates are
+/// piggybacked on probes.
 const RELAXED_INTERVALS: u64 = 5;
-/// Members that updates are sent to at once.
+/// Number of members that receive each round of urgent updates.
 pub(super) const FANOUT: usize = 3;
-/// Bytes of a message that the counts of updates and records and the version take.
+/// Bytes of a message taken by the version and by the counts of updates and records.
 const FRAMING_BYTES: usize = 8;
 
 impl Node {
-    /// Whether updates of members or records wait to be sent.
+    /// Whether any member or record updates are queued.
     pub(super) fn has_queued_updates(&self) -> bool {
         !self.gossip.is_empty() || self.records.has_queued()
     }
 
-    /// Enqueues an update of a member, in place of an earlier one.
+    /// Enqueues a member update, replacing an earlier update of the same member.
     pub(super) fn gossip_update(&mut self, update: MemberUpdate) {
         let bytes = encoded_size(&update);
         let name = update.metadata.name.clone();
         self.gossip.enqueue(name, update, bytes, 0);
     }
 
-    /// The local member's own status.
+    /// The local member's own status as an update.
     pub(super) fn own_update(&self) -> MemberUpdate {
         let status = MemberStatus {
             generation: self.local.generation,
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Sends the queued updates to a few members.
+    /// Sends queued updates to a few random members.
     pub(super) fn send_gossip(&mut self, now: Timestamp) {
         let is_urgent = !self.gossip.is_empty() || self.records.has_urgent();
         let (interval, receivers) = match is_urgent {
-            true => (GOSSIP_INTERVAL, FANOUT),
-            false => (RELAXED_INTERVALS * GOSSIP_INTERVAL, 1),
+            true => (GOSSIP_INTERVAL_NS, FANOUT),
+            false => (RELAXED_INTERVALS * GOSSIP_INTERVAL_NS, 1),
         };
         self.next_gossip_at = now + interval;
         for to in self.random_reachable_members(now, receivers) {
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Up to `max` members of the fleet, without those to which the direction is known to be
-    /// partitioned: what is sent there reaches nobody.
+    /// Up to `max` random members of the fleet, excluding members to which the outbound direction
+    /// is known to be partitioned, since messages to them would be lost.
     pub(super) fn random_reachable_members(
         &mut self,
         now: Timestamp,
@@ -73,7 +74,8 @@
         })
     }
 
-    /// Announces that the local member leaves. After the messages that this gives, it sends no more.
+    /// Announces the leave of the local member. After the resulting messages, the node sends no
+    /// more.
     pub fn leave(&mut self, now: Timestamp) {
         if std::mem::replace(&mut self.has_left, true) {
             return;
@@ -89,7 +91,8 @@
         }
     }
 
-    /// Asks members that it knew, or else the seeds, for all that they know.
+    /// Requests the complete state of a few known members, and of the seeds until the first
+    /// synchronization.
     pub(super) fn request_state(&mut self, now: Timestamp) {
         let known = self.random_members(FANOUT, |member| member.status.state != MemberState::Left);
         for to in &known {
@@ -106,7 +109,7 @@
         }
     }
 
-    /// A message without piggybacked updates.
+    /// Builds a message without piggybacked updates.
     pub(super) fn message(&self, to: Option<&MemberMetadata>, body: Body) -> Message {
         Message {
             from: self.local.clone(),
@@ -118,14 +121,15 @@
         }
     }
 
-    /// Sends a message with as many queued updates as a datagram holds.
+    /// Sends a message with as many queued updates as fit into a datagram.
     pub(super) fn send(&mut self, now: Timestamp, to: &MemberMetadata, body: Body) {
         self.send_about(now, to, body, None);
     }
 
-    /// Sends a message with as many queued updates as a datagram holds, the status of the member
-    /// `about` first: a relay learns what is said against its target, and the origin of a probe what
-    /// the target replied, so that one lost update does not leave it suspected.
+    /// Sends a message with as many queued updates as fit into a datagram, beginning with the
+    /// status of the member `about`. A relay thereby learns of claims against its target, and the
+    /// origin of a probe learns of the target's refutation, so that a single lost update does not
+    /// leave the target suspected.
     pub(super) fn send_about(
         &mut self,
         now: Timestamp,
@@ -156,8 +160,8 @@
         self.enqueue(to.address, &message, false);
     }
 
-    /// Updates that a message carries whatever is queued: what is said against its receiver, so that
-    /// it can refute that, and the status of the member that the message is about.
+    /// Updates that a message carries regardless of the queue: the receiver's own status if other
+    /// than alive, so that the receiver can refute it, and the status of the member `about`.
     fn direct_updates(&self, to: &MemberMetadata, about: Option<&Name>) -> Vec<MemberUpdate> {
         if self.settings.plain_swim {
             return Vec::new();
@@ -172,14 +176,14 @@
             .collect()
     }
 
-    /// How often an update is sent.
+    /// Number of transmissions of each update.
     fn max_transmissions(&self) -> u32 {
         let size = (self.members.len() + 2) as f64;
         let transmissions = self.settings.retransmit_multiplier * size.log10();
         transmissions.ceil().max(1.0) as u32
     }
 
-    /// Hands a message to the caller.
+    /// Encodes a message and queues it for the caller.
     pub(super) fn enqueue(&mut self, to: SocketAddr, message: &Message, reliable: bool) {
         let bytes = message.encode();
         self.counters.messages_sent += 1;
--- a/crates/membership/src/node/membership.rs
+++ b/crates/membership/src/node/membership.rs
@@ -1,4 +1,5 @@
-//! The table of other members: updates are merged into it, and members that are long gone expire.
+//! The table of other members: merging of updates, and expiry of members that died or left long
+//! ago.
 
 use super::Node;
 use crate::event::Event;
@@ -11,11 +12,11 @@
 use rand::RngExt;
 
 impl Node {
-    /// Merges an update: the greater status replaces the lesser, equal suspicions confirm each
-    /// other.
+    /// Merges an update into the table. A greater status replaces a lesser one; equal suspicions
+    /// confirm each other.
     pub(super) fn apply_update(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.metadata.generation != update.status.generation {
-            return; // it contradicts itself
+            return; // inconsistent update
         }
         if update.metadata.name == self.local.name {
             return self.handle_update_about_local(now, &update);
@@ -47,7 +48,8 @@
         }
         if member.is_present() {
             self.emit(Event::Joined(update.metadata.clone()));
-            // At a random place of the present round of probes (SWIM, section 4.3).
+            // New members are inserted at a random position of the current probe round (SWIM,
+            // section 4.3).
             let index = self.rng.random_range(0..=self.probe_queue.len());
             self.probe_queue.insert(index, name.clone());
         }
@@ -55,7 +57,7 @@
         self.gossip_update(update);
     }
 
-    /// An update that is not news may still confirm a suspicion that is known.
+    /// Lets an update with a known status confirm a known suspicion.
     fn confirm_suspicion(&mut self, update: MemberUpdate, known: MemberStatus) {
         if update.status != known || known.state != MemberState::Suspect {
             return;
@@ -96,7 +98,8 @@
         Suspicion::new(now, &self.settings, self.present_count(), multiplier, by)
     }
 
-    /// Forgets members that are long gone, and the records of those that have been gone for a while.
+    /// Removes members that died or left longer ago than the member retention time, and records
+    /// whose owners did so longer ago than the record retention time.
     pub(super) fn expire_members(&mut self, now: Timestamp) {
         let retention = nanos(self.settings.member_retention);
         self.members.retain(|_, member| {
@@ -110,8 +113,8 @@
         self.records = records;
     }
 
-    /// The generation of a member whose records are kept: while it is present, and for a while
-    /// after.
+    /// The generation of an owner whose records are kept: the owner's current generation while the
+    /// owner is present, and until the retention time of records has passed.
     pub(super) fn retained_generation(&self, owner: &Name, now: Timestamp) -> Option<Generation> {
         let member = self.members.get(owner)?;
         let retention = nanos(self.settings.record_retention);
@@ -119,14 +122,14 @@
         is_retained.then_some(member.status.generation)
     }
 
-    /// Members that are alive or suspected, the local one included.
+    /// Number of members that are alive or suspected, including the local member.
     pub(super) fn present_count(&self) -> usize {
         let others = self.members.values();
         1 + others.filter(|member| member.is_present()).count()
     }
 }
 
-/// What a new status of a known member means to the caller.
+/// The event that a new status of a known member causes, if any.
 fn change_event(update: &MemberUpdate, former: MemberStatus) -> Option<Event> {
     let (name, by) = (update.metadata.name.clone(), update.by.clone());
     match update.status.state {
--- a/crates/membership/src/node/observations.rs
+++ b/crates/membership/src/node/observations.rs
@@ -1,4 +1,4 @@
-//! What the local member concludes about the others, as callers read it.
+//! Queries of the local member's conclusions about other members.
 
 use super::Node;
 use crate::member::Member;
@@ -9,30 +9,31 @@
 use crate::view::{Confidence, FleetSize, Observation, Verdict};
 
 impl Node {
-    /// All members that are known, those that are dead or left for a while as well, in no order.
+    /// Observations of all known members in unspecified order, including members that died or left
+    /// recently.
     pub fn observations(&self, now: Timestamp) -> impl Iterator<Item = Observation<'_>> {
         let members = self.members.values();
         members.map(move |member| self.observe(member, now))
     }
 
-    /// The conclusion about one member; `None` where it is not known.
+    /// The verdict on one member, or `None` if the member is unknown.
     pub fn verdict(&self, name: &Name, now: Timestamp) -> Option<Verdict> {
         let member = self.members.get(name)?;
         Some(self.conclude(member, now))
     }
 
-    /// The greatest status that was received of a member; `None` where it is not known.
+    /// The greatest status received for a member, or `None` if the member is unknown.
     pub fn status(&self, name: &Name) -> Option<MemberStatus> {
         self.members.get(name).map(|member| member.status)
     }
 
-    /// The directions from the local member to another one, and back.
+    /// The outbound and inbound path states between the local member and another one.
     pub fn path_states(&self, name: &Name, now: Timestamp) -> (PathState, PathState) {
         let member = self.members.get(name);
         member.map_or_else(Default::default, |member| self.paths_of(member, now))
     }
 
-    /// How much of the fleet the local member reaches at this moment.
+    /// The part of the fleet that the local member currently reaches.
     pub fn confidence(&self, now: Timestamp) -> Confidence {
         Confidence {
             own_zone: self.reached_fraction(now, true),
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The size of the fleet.
+    /// Bounds on the size of the fleet, including the local member.
     pub fn fleet_size(&self) -> FleetSize {
         let alive = self.members.values().filter(|member| member.is_alive());
         FleetSize {
@@ -71,7 +72,8 @@
                 partitioned
             }
             MemberState::Alive => Verdict::Alive,
-            // It reports itself, but receives too little from here to refute the suspicion.
+            // The suspect still sends messages, but does not receive enough of the local member's
+            // messages to refute the suspicion.
             MemberState::Suspect
                 if outbound == PathState::Partitioned && member.received_since_suspected() =>
             {
@@ -95,8 +97,8 @@
         (outbound, inbound)
     }
 
-    /// The fraction of the members of the local zone, or of all other zones, that were reached
-    /// lately; 1 where there are none.
+    /// Fraction of the members of the local zone, or of all other zones, that were reached within
+    /// the observation lifetime; 1 if there are none.
     fn reached_fraction(&self, now: Timestamp, in_local_zone: bool) -> f64 {
         let lifetime = self.observation_lifetime();
         let (mut all, mut reached) = (0_u32, 0_u32);
--- a/crates/membership/src/node/partitions.rs
+++ b/crates/membership/src/node/partitions.rs
@@ -1,5 +1,5 @@
-//! Partitions between zones, as all members find them: each publishes what it observes of its own
-//! paths as a record.
+//! Partitions between zones. Each member publishes the partitions of its own paths as a record, and
+//! every member aggregates the records.
 
 use super::Node;
 use crate::message::encoded_size;
@@ -10,37 +10,39 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The key of the record that tells of partitions; reserved for that.
+/// Key of the record that lists partitions, reserved for that purpose.
 pub const PARTITIONS_KEY: &str = "cuts";
+/// Priority of the record, below the urgent priorities.
 const PRIORITY: u8 = 64;
-/// Nanoseconds from one version of the record to the next.
-const PUBLISH_INTERVAL: u64 = 5_000_000_000;
-/// Bytes of the record that its number of rows may take.
+/// Minimum time in nanoseconds between two versions of the record.
+const PUBLISH_INTERVAL_NS: u64 = 5_000_000_000;
+/// Bytes of the record reserved for the encoded number of rows.
 const LENGTH_BYTES: usize = 4;
 
-/// What one member observes of the paths to and from the members of a zone.
+/// Partitioned paths between one member and the members of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ZonePartition {
     zone: Name,
-    /// Members there to which its outbound direction is partitioned.
+    /// Number of members in the zone to which the outbound direction is partitioned.
     outbound: u16,
-    /// Members there from which its inbound direction is partitioned.
+    /// Number of members in the zone from which the inbound direction is partitioned.
     inbound: u16,
 }
 
-/// The paths from the members of one zone to those of another.
+/// Counts of the paths from the members of one zone to the members of another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PathCounts {
-    /// Ordered pairs of members.
+    /// Number of ordered pairs of members.
     pub total: u64,
-    /// Pairs whose path is partitioned, as the side that observes more of them reports.
+    /// Number of ordered pairs whose path is partitioned, by the reports of the zone that reports
+    /// more of them.
     pub partitioned: u64,
 }
 
-/// A zone and another one.
+/// Sending zone and receiving zone.
 type ZonePair = (Name, Name);
 
-/// Partitioned pairs between two zones, as either side reports them.
+/// Number of partitioned pairs between two zones, as reported by either zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct Reports {
     by_senders: u64,
@@ -48,14 +50,14 @@
 }
 
 impl Node {
-    /// Publishes the partitions that the local member observes, if they have changed.
+    /// Publishes the partitions that the local member observes if they have changed.
     pub(super) fn publish_partitions(&mut self, now: Timestamp) {
         let Ok(key) = Name::new(PARTITIONS_KEY) else {
             return;
         };
         let known = self.record(&self.local.name, &key);
         let published_at = known.map(|record| record.published_at);
-        if published_at.is_some_and(|at| now < at.saturating_add(PUBLISH_INTERVAL)) {
+        if published_at.is_some_and(|at| now < at.saturating_add(PUBLISH_INTERVAL_NS)) {
             return;
         }
         let partitions = self.observed_partitions(now);
@@ -70,12 +72,13 @@
             let published = self.publish(now, key, PRIORITY, value);
             debug_assert!(
                 published.is_ok(),
-                "it is short, and one of few of this member"
+                "the record is within the length and count limits"
             );
         }
     }
 
-    /// A row for each zone with any partition, the worst first, as many as a record holds.
+    /// One row per zone with any partition, the zones with the most partitions first, limited to
+    /// the length of a record.
     fn observed_partitions(&self, now: Timestamp) -> Vec<ZonePartition> {
         let lifetime = self.observation_lifetime();
         let mut zones: BTreeMap<&Name, (u16, u16)> = BTreeMap::new();
@@ -108,8 +111,8 @@
         rows
     }
 
-    /// The paths from each zone to each other, as all members that are known report them. They are
-    /// evidence: what a member publishes about its own paths is not checked by anyone.
+    /// Path counts from each zone to each other zone, by the reports of all known members. The
+    /// counts are unverified: no other member checks the partitions that a member publishes.
     pub fn zone_paths(&self, now: Timestamp) -> BTreeMap<ZonePair, PathCounts> {
         let members = self.alive_by_zone();
         let reports = self.partition_reports(now);
@@ -131,7 +134,7 @@
         paths
     }
 
-    /// Members that are alive, the local one included, by zone.
+    /// Number of alive members by zone, including the local member.
     fn alive_by_zone(&self) -> BTreeMap<Name, u64> {
         let mut members = BTreeMap::from([(self.local.zone.clone(), 1)]);
         for member in self.members.values().filter(|member| member.is_alive()) {
@@ -140,7 +143,7 @@
         members
     }
 
-    /// The partitions that the local member observes and those that others have published.
+    /// Partitions reported by the local member and by the records of other members.
     fn partition_reports(&self, now: Timestamp) -> BTreeMap<ZonePair, Reports> {
         let published = self
             .records()
--- a/crates/membership/src/node/pause.rs
+++ b/crates/membership/src/node/pause.rs
@@ -1,15 +1,17 @@
-//! Pauses of the local process: what it holds against others after one may be its own doing.
+//! Handling of pauses of the local process. After a pause, missing messages may be the fault of the
+//! local member rather than of others.
 
 use super::Node;
 use crate::event::Event;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Probe intervals after a pause in which nobody is suspected: others have to be heard first.
+/// Number of probe intervals after a pause in which no member is suspected, so that messages of
+/// other members are processed first.
 const QUIET_INTERVALS: u32 = 4;
 
 impl Node {
-    /// The local process did not run for `pause` nanoseconds until now.
+    /// Resumes after the local process did not run for `pause` nanoseconds until `now`.
     pub(super) fn resume_after_pause(&mut self, now: Timestamp, pause: u64) {
         self.emit(Event::ProcessPaused(Duration::from_nanos(pause)));
         if self.settings.plain_swim {
@@ -26,7 +28,8 @@
                 suspicion.extend(pause);
             }
         }
-        // It refutes what may be said of it before anybody asks, and asks before it suspects.
+        // The local member refutes possible suspicions in advance and requests the current state
+        // before it suspects any member.
         if self.incarnation < u32::MAX - 1 {
             self.incarnation += 1;
         }
--- a/crates/membership/src/node/probing.rs
+++ b/crates/membership/src/node/probing.rs
@@ -1,5 +1,5 @@
-//! The local member's own probes: each member in turn, directly first and through relays if that
-//! fails, which also tells the direction of a partition.
+//! The local member's own probes. Members are probed in turn, first directly and then through
+//! relays, which also reveals the direction of a partition.
 
 use super::Node;
 use crate::member::Member;
@@ -10,21 +10,22 @@
 use crate::time::{Timestamp, nanos};
 use rand::seq::SliceRandom;
 
-/// The last probes by which the local member finds whether it is isolated.
+/// Number of most recent probes from which the local member infers its isolation.
 const MAX_RECENT_PROBES: usize = 8;
-/// With few members, this many of the last probes are enough.
+/// Minimum number of recent probes for that inference in a fleet with few members.
 const MIN_RECENT_PROBES: usize = 2;
-/// Direct pings of a probe whose last one was acknowledged through others only: a direction that
-/// loses a third of all messages is not partitioned.
+/// Number of direct pings per probe of a member whose last acknowledgement came only through a
+/// relay. Several pings keep a direction that loses a third of all messages from being taken for a
+/// partition.
 const DOUBTFUL_PINGS: usize = 3;
 
 impl Node {
-    /// Starts the probe of the next member. Each is probed once a round, in an order that is drawn
-    /// anew for each round (SWIM, section 4.3).
+    /// Starts the probe of the next member. Each member is probed once per round, in an order that
+    /// is drawn anew for each round (SWIM, section 4.3).
     pub(super) fn start_probe(&mut self, now: Timestamp) {
         self.fail_probe(now);
         if !self.members.values().any(Member::is_present) {
-            // It knows nobody, or nobody any more.
+            // No other member is present: either none was ever known or all of them are gone.
             if self.is_synced {
                 self.request_state(now);
             }
@@ -53,8 +54,8 @@
         }
     }
 
-    /// The next member of the round; a new round starts where one is over. Some member has to be
-    /// present.
+    /// Takes the next member of the round and starts a new round if necessary. At least one member
+    /// must be present.
     fn next_probe_target(&mut self) -> Name {
         loop {
             let Some(name) = self.probe_queue.pop() else {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Sends the probe in flight through relays, or ends it, where that is due.
+    /// Sends the current probe through relays, or ends the probe, as its timers require.
     pub(super) fn continue_probe(&mut self, now: Timestamp) {
         let Some(probe) = &self.probe else {
             return;
@@ -81,8 +82,9 @@
             return;
         }
         let (sequence, target) = (probe.sequence, probe.target.clone());
-        // A second direct ping: in a fleet that loses a tenth of all messages, two losses in a row
-        // are a fifth as frequent as one, and each suspicion is sent to all.
+        // A second direct ping saves a suspicion, which would be gossiped to all members: in a
+        // fleet that loses a tenth of all messages, two losses in a row are a fifth as frequent as
+        // one.
         if !self.settings.plain_swim {
             self.send_ping(now, &target, sequence);
         }
@@ -92,14 +94,14 @@
         }
     }
 
-    /// The probe in flight was not acknowledged by any path.
+    /// Ends the current probe, which was not acknowledged on any path.
     fn fail_probe(&mut self, now: Timestamp) {
         let Some(probe) = self.probe.take() else {
             return;
         };
-        // Where no relay reports anything, the local member's own connection fails. Where one does,
-        // the silent ones may be gone as well: half a fleet that dies at once must not make the
-        // other half slow to find it.
+        // Without a nack from any relay, the local member's own connection is at fault. With a nack
+        // from some relay, the silent relays may be dead too: if half of a fleet dies at once, the
+        // other half must not become slow to detect the deaths.
         if probe.nacks == 0 {
             for _ in 0..probe.relays.max(1) {
                 self.local_health.degrade();
@@ -117,9 +119,10 @@
         let Some(member) = member.filter(is_current) else {
             return;
         };
-        // A member that sends messages and is never reached does not receive any. Between two zones
-        // alone nobody else reaches both sides of such a partition, so its own messages have to show
-        // it; those from before the last probe show nothing.
+        // A member that sends messages but is never reached does not receive the local member's
+        // messages. In a fleet of only two zones, no relay reaches both sides of such a partition,
+        // so the target's own messages must reveal it. Messages from before the last probe of the
+        // target reveal nothing.
         if !plain_swim && member.paths.received_since(since) {
             member.paths.record_indirect_ack(now, probe.sequence, 0, 0);
             if member.paths.outbound(now, lifetime) == PathState::Partitioned {
@@ -129,7 +132,7 @@
         self.suspect(now, name);
     }
 
-    /// The target of the probe in flight was reached.
+    /// Ends the current probe, whose target was reached.
     fn succeed_probe(&mut self, now: Timestamp) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -148,32 +151,33 @@
         }
     }
 
-    /// Probes after which the local member may find that it is isolated.
+    /// Number of recent probes needed before the local member may conclude that it is isolated.
     pub(super) fn min_recent_probes(&self) -> usize {
         let members = self.members.len().max(MIN_RECENT_PROBES);
         MAX_RECENT_PROBES.min(members)
     }
 
-    /// The sequence number of a new ping.
+    /// The sequence number for a new ping.
     pub(super) fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Sends a direct ping.
+    /// Sends a direct ping to `target`.
     pub(super) fn send_ping(&mut self, now: Timestamp, target: &MemberMetadata, sequence: u64) {
         let origin = None;
         self.send(now, target, Body::Ping { sequence, origin });
     }
 
-    /// The probe time-out, as long as the local health has it.
+    /// The probe time-out in nanoseconds, scaled by the local health multiplier.
     fn scaled_probe_timeout(&self) -> u64 {
         let multiplier = u64::from(self.local_health.multiplier());
         nanos(self.settings.probe_timeout) * multiplier
     }
 
-    /// Acknowledges a ping, also directly to its origin where a relay has sent it: if that arrives,
-    /// only the direction to here is partitioned.
+    /// Acknowledges a ping. A relayed ping is also acknowledged directly to its origin; if that
+    /// acknowledgement arrives, only the direction from the origin to the local member is
+    /// partitioned.
     pub(super) fn handle_ping(
         &mut self,
         now: Timestamp,
@@ -206,7 +210,7 @@
         }
     }
 
-    /// A ping of the local member was acknowledged: of its own probe, or of one that it relays.
+    /// Handles the acknowledgement of a ping of the local member's own probe or of a relayed probe.
     pub(super) fn handle_ack(
         &mut self,
         now: Timestamp,
@@ -225,7 +229,8 @@
         if probe.sequence != sequence || !is_target {
             return;
         }
-        // What a relay's ping has set off shows that the direction from there is open, no more.
+        // An acknowledgement caused by a relay's ping only shows that the inbound direction is
+        // open.
         let is_direct = !probe.is_indirect || last_direct_sequence >= sequence;
         if let Some(member) = self.members.get_mut(&from.name) {
             if !is_direct {
@@ -237,7 +242,7 @@
         self.succeed_probe(now);
     }
 
-    /// A relay has reached the target of the local member's probe.
+    /// Handles the report of a relay that reached the target of the local member's probe.
     pub(super) fn handle_relayed_ack(
         &mut self,
         now: Timestamp,
@@ -260,9 +265,9 @@
         self.succeed_indirectly(now, &name, sequence, last_direct_sequence);
     }
 
-    /// The target was reached, but not directly. It is probed again next: one such acknowledgement
-    /// may be a lost message, and a whole round until the second would leave a partition unnoticed
-    /// for long.
+    /// Ends the current probe, whose target was reached only indirectly. The target is probed again
+    /// next: a single indirect acknowledgement may result from a lost message, and a wait of a
+    /// whole round for the second one would delay the detection of a partition.
     fn succeed_indirectly(
         &mut self,
         now: Timestamp,
@@ -280,7 +285,7 @@
         self.succeed_probe(now);
     }
 
-    /// A relay does not reach the target of the local member's probe either.
+    /// Handles the report of a relay that did not reach the target of the local member's probe.
     pub(super) fn handle_nack(&mut self, sequence: u64) {
         let probe = self.probe.as_mut();
         if let Some(probe) = probe.filter(|probe| probe.sequence == sequence) {
--- a/crates/membership/src/node/receiving.rs
+++ b/crates/membership/src/node/receiving.rs
@@ -1,24 +1,25 @@
-//! Incoming messages: decoding, what they say about members and records, and the answer to them.
+//! Incoming messages: decoding, merging of piggybacked updates, and dispatch by type.
 
 use super::Node;
-use super::gossip::GOSSIP_INTERVAL;
+use super::gossip::GOSSIP_INTERVAL_NS;
 use crate::message::{Body, MemberUpdate, Message, MessageError, RecordUpdate};
 use crate::metadata::{Generation, MemberMetadata, Name};
 use crate::status::{MemberState, MemberStatus};
 use crate::time::Timestamp;
 
 impl Node {
-    /// A message has come. Its sender is whom it names; the address that it came from does not
-    /// matter.
+    /// Handles an incoming message. The sender is identified by the message itself, not by its
+    /// source address.
     ///
     /// # Errors
     ///
-    /// [`MessageError`] where the bytes are no message; they change nothing but the counters.
+    /// [`MessageError`] if the bytes are not a message. Such bytes change only the counters.
     pub fn receive(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), MessageError> {
         self.counters.messages_received += 1;
         let message = Message::decode(bytes, self.settings.max_record_bytes)
             .inspect_err(|_| self.counters.messages_rejected += 1)?;
-        // What waited while the local process was paused is old: the pause has to show first.
+        // Messages that were queued during a pause of the local process are old, so the pause must
+        // be detected before they are processed.
         self.tick(now);
         if !self.has_left {
             self.handle(now, message);
@@ -53,7 +54,8 @@
         if self.is_for_local(to) {
             self.dispatch(now, from, body);
         } else {
-            // A former generation of the local name must not be answered for by this one.
+            // A generation must not answer messages addressed to a former generation of the same
+            // name.
             self.gossip_update(self.own_update());
             self.send(now, &from, Body::Gossip);
         }
@@ -76,8 +78,8 @@
     }
 
     fn receive_record(&mut self, now: Timestamp, record: RecordUpdate) {
-        // Nobody tells the local member what it has published. Nor is a record that has ended here
-        // taken again from a member where it has not.
+        // Other members are not a source for the local member's own records. A record that has
+        // expired here is not accepted again from a member that still holds it.
         let generation = match record.owner == self.local.name {
             true => None,
             false => self.retained_generation(&record.owner, now),
@@ -86,7 +88,7 @@
             .records
             .receive(now, record, generation, &self.settings)
         {
-            let soon = now + GOSSIP_INTERVAL / 4;
+            let soon = now + GOSSIP_INTERVAL_NS / 4;
             self.next_gossip_at = self.next_gossip_at.min(soon);
         }
     }
@@ -117,7 +119,7 @@
     }
 }
 
-/// What a message itself says about its sender.
+/// The update about the sender that every message implies.
 fn sender_update(from: &MemberMetadata, incarnation: u32) -> MemberUpdate {
     let status = MemberStatus {
         generation: from.generation,
--- a/crates/membership/src/node/refutation.rs
+++ b/crates/membership/src/node/refutation.rs
@@ -1,5 +1,5 @@
-//! What is said about the local member. It alone may refute that, by a later incarnation of its
-//! generation or, where that cannot be, by a later generation.
+//! Refutation of claims about the local member. Only the member itself may refute a claim, by a
+//! later incarnation of its generation or, if none is left, by a later generation.
 
 use super::Node;
 use crate::event::Event;
@@ -7,25 +7,25 @@
 use crate::status::MemberState;
 use crate::time::Timestamp;
 
-/// Nanoseconds before the same generation of the local name is superseded again: two processes of
-/// one name must not race.
-const SUPERSEDE_INTERVAL: u64 = 10_000_000_000;
-/// The most generations of the local name that are superseded.
+/// Minimum time in nanoseconds before the same generation of the local name is superseded again, so
+/// that two processes with one name do not race.
+const SUPERSEDE_INTERVAL_NS: u64 = 10_000_000_000;
+/// Maximum number of generations of the local name that are superseded.
 const MAX_RIVAL_GENERATIONS: usize = 64;
 
 impl Node {
-    /// Handles an update about the local name.
+    /// Handles an update about the local member's name.
     pub(super) fn handle_update_about_local(&mut self, now: Timestamp, update: &MemberUpdate) {
         let status = update.status;
         if status.generation == self.local.generation {
             self.refute(now, update);
         } else if status.generation > self.local.generation && status.state != MemberState::Left {
-            // Of a former generation nothing matters: it is over.
+            // Updates about former generations are obsolete.
             self.handle_rival(now, update);
         }
     }
 
-    /// Refutes what is said against the local member, and a later incarnation than its own.
+    /// Refutes a claim against the local member, or a later incarnation than the local one.
     fn refute(&mut self, now: Timestamp, update: &MemberUpdate) {
         let status = update.status;
         let is_own = status.state == MemberState::Alive && status.incarnation <= self.incarnation;
@@ -34,7 +34,7 @@
         }
         match status.refuting_incarnation() {
             Some(incarnation) => self.incarnation = incarnation,
-            // Somebody reports that it left.
+            // Another member reports that the local member left, which no incarnation can refute.
             None => self.supersede(now, update),
         }
         if status.state != MemberState::Alive {
@@ -43,8 +43,8 @@
         self.gossip_own_status();
     }
 
-    /// A later generation of the local name: its own, of a clock that was set back since, or another
-    /// process of the same name.
+    /// Handles a later generation of the local name. The generation belongs either to the local
+    /// member, from before its clock was set back, or to another process with the same name.
     fn handle_rival(&mut self, now: Timestamp, update: &MemberUpdate) {
         let id = update.status.generation.id;
         let superseded_at = self.rival_generations.get(&id).copied();
@@ -54,7 +54,7 @@
                 addresses: [self.local.address, update.metadata.address],
             });
         }
-        let is_due = superseded_at.is_none_or(|at| now >= at.saturating_add(SUPERSEDE_INTERVAL));
+        let is_due = superseded_at.is_none_or(|at| now >= at.saturating_add(SUPERSEDE_INTERVAL_NS));
         if is_due && self.rival_generations.len() < MAX_RIVAL_GENERATIONS {
             self.rival_generations.insert(id, now);
             self.supersede(now, update);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Starts a later generation than the one of an update.
+    /// Starts a generation later than that of the update.
     fn supersede(&mut self, now: Timestamp, update: &MemberUpdate) {
         let later = update.status.generation.started_ms.saturating_add(1);
         let generation = &mut self.local.generation;
@@ -71,7 +71,7 @@
         self.records.republish(now, &self.local);
     }
 
-    /// Enqueues the local member's own status.
+    /// Enqueues the local member's own status for gossip.
     pub(super) fn gossip_own_status(&mut self) {
         self.gossip_update(self.own_update());
     }
--- a/crates/membership/src/node/relaying.rs
+++ b/crates/membership/src/node/relaying.rs
@@ -1,4 +1,5 @@
-//! Indirect probes: which members are asked to relay one, and those that the local member relays.
+//! Indirect probes: choice of relays for the local member's probes, and relaying of other members'
+//! probes.
 
 use super::Node;
 use crate::member::Member;
@@ -7,10 +8,10 @@
 use crate::probe::RelayedProbe;
 use crate::time::{Timestamp, nanos};
 
-/// The most probes that are relayed at once.
+/// Maximum number of probes that are relayed at the same time.
 const MAX_RELAYED_PROBES: usize = 64;
 
-/// Where a relay is, seen from the two ends of a probe.
+/// Zone of a relay relative to the two ends of a probe.
 #[derive(Clone, Copy)]
 enum RelayZone {
     Target,
@@ -33,15 +34,15 @@
     }
 }
 
-/// A relay of each zone comes before any more, so that a partition between two zones is not asked
-/// about across itself alone.
+/// Zones of the first relays. One relay of each kind of zone is chosen before any second one, so
+/// that a partition between two zones is not probed only through relays behind the same partition.
 const USUAL_ZONES: [RelayZone; 3] = [RelayZone::Target, RelayZone::Third, RelayZone::Local];
-/// Where the direct path is doubtful, the target's zone and the local one share the partition, if
-/// there is one.
+/// Zones of the first relays if the direct path is doubtful: a partition, if any, also affects
+/// relays in the target's zone and in the local zone.
 const DOUBTFUL_ZONES: [RelayZone; 3] = [RelayZone::Third; 3];
 
 impl Node {
-    /// Asks members to relay a probe; returns how many.
+    /// Asks members to relay a probe and returns their number.
     pub(super) fn send_indirect_pings(
         &mut self,
         now: Timestamp,
@@ -59,9 +60,9 @@
         relays.len()
     }
 
-    /// The members that are asked to relay a probe. The relay that last reached the target, or any
-    /// other, comes first: where one member alone sees both halves of a fleet, chance would seldom
-    /// choose it. Then come relays of several zones, then any.
+    /// Chooses the members that are asked to relay a probe. The relay that last reached the target,
+    /// or else any target, comes first: if only one member reaches both halves of a fleet, a random
+    /// choice would rarely find it. Relays of several zones follow, then any other relays.
     fn choose_relays(&mut self, now: Timestamp, target: &MemberMetadata) -> Vec<MemberMetadata> {
         let (max, plain_swim) = (self.settings.indirect_probes, self.settings.plain_swim);
         let known = self.members.get(&target.name);
@@ -96,9 +97,10 @@
         chosen
     }
 
-    /// Members that may relay a probe, in random order. Those that sent messages lately come first:
-    /// the others may be beyond the same partition. Among these, those that were last asked in vain
-    /// come last, so that one that reaches others is found within a few.
+    /// Members that may relay a probe, in random order. Members that sent messages recently come
+    /// first, since the others may be behind the same partition. Among them, the members most
+    /// recently asked without success come last, so that a working relay is found within a few
+    /// requests.
     fn relay_candidates(&mut self, now: Timestamp, target: &Name) -> Vec<MemberMetadata> {
         let (lifetime, plain_swim) = (self.observation_lifetime(), self.settings.plain_swim);
         let mut candidates = self.random_members(usize::MAX, |member| {
@@ -124,7 +126,7 @@
             .is_partitioned(now, self.observation_lifetime())
     }
 
-    /// Relays a probe of another member.
+    /// Relays a probe of another member, unless too many probes are being relayed.
     pub(super) fn handle_indirect_ping(
         &mut self,
         now: Timestamp,
@@ -151,7 +153,8 @@
         self.send(now, &target, Body::Ping { sequence, origin });
     }
 
-    /// Reports an acknowledgement to the origin of a relayed probe; returns whether it was of one.
+    /// Reports an acknowledgement to the origin of a relayed probe. Returns whether the
+    /// acknowledged ping belonged to a relayed probe.
     pub(super) fn relay_ack(
         &mut self,
         now: Timestamp,
@@ -174,7 +177,7 @@
         true
     }
 
-    /// Reports to the origins of relayed probes whose targets have not answered in time.
+    /// Sends a nack to the origin of each relayed probe whose target has not answered in time.
     pub(super) fn end_relayed_probes(&mut self, now: Timestamp) {
         let relayed = std::mem::take(&mut self.relayed_probes);
         let (over, in_flight) = relayed.into_iter().partition(|probe| now >= probe.ends_at);
@@ -187,7 +190,7 @@
     }
 }
 
-/// Takes the first candidate that fits; the last one takes its place.
+/// Takes the first candidate that satisfies `fits` and moves the last candidate into its place.
 fn take_first(
     candidates: &mut Vec<MemberMetadata>,
     fits: impl Fn(&MemberMetadata) -> bool,
--- a/crates/membership/src/node/suspicions.rs
+++ b/crates/membership/src/node/suspicions.rs
@@ -1,5 +1,5 @@
-//! Suspicions of the local member, and when one ends in a death: late, and never while the local
-//! member has reason to doubt itself.
+//! Suspicions held by the local member and their end in a death. Deaths are declared late, and
+//! never while the local member doubts its own health.
 
 use super::Node;
 use crate::event::Event;
@@ -10,31 +10,31 @@
 use crate::time::{Timestamp, nanos};
 use std::net::SocketAddr;
 
-/// Where more than one in this many members vanish together, and their hosts do not refuse
-/// connections, the network has failed and not they.
+/// If more than one in this many members vanish together without refused connections from their
+/// hosts, the network is assumed to have failed rather than the members.
 const MASS_FAILURE_DIVISOR: usize = 3;
-/// Nanoseconds between the notifications of a suspected member.
-const NOTIFICATION_INTERVAL: u64 = 2_000_000_000;
-/// For this many nanoseconds after a host has refused a connection, other silent members are worth
-/// a connection, too.
-const REFUSAL_LIFETIME: u64 = 5_000_000_000;
-/// A member counts as unresponsive after this many nanoseconds.
-const UNRESPONSIVE_AFTER: u64 = 1_000_000_000;
-
-/// What holds for all suspicions at one evaluation.
+/// Time in nanoseconds between two notifications of a suspected member.
+const NOTIFICATION_INTERVAL_NS: u64 = 2_000_000_000;
+/// Time in nanoseconds after a refused connection in which connections to other silent members are
+/// checked, too.
+const REFUSAL_LIFETIME_NS: u64 = 5_000_000_000;
+/// Time in nanoseconds without contact after which a member counts as unresponsive.
+const UNRESPONSIVE_AFTER_NS: u64 = 1_000_000_000;
+
+/// Conditions common to all suspicions in one evaluation.
 struct Evaluation {
     now: Timestamp,
-    /// The local member doubts itself.
+    /// Whether the local member is isolated or has just resumed from a pause.
     is_doubtful: bool,
-    /// Verdicts are deferred, as the local member or the network had failed until a while ago.
+    /// Whether verdicts are deferred because the local member or the network was recently impaired.
     is_deferred: bool,
     plain_swim: bool,
-    /// Nanoseconds that a final probe takes.
+    /// Duration of a final probe in nanoseconds.
     probe_interval: u64,
 }
 
 impl Evaluation {
-    /// Whether the suspicion of a member has run out and may end in a death.
+    /// Whether the suspicion of a member has expired and may end in a death.
     fn has_expired(&self, member: &Member) -> bool {
         let suspicion = member.suspicion.as_ref();
         let has_run_out = suspicion.is_some_and(|suspicion| self.now >= suspicion.expires_at());
@@ -44,7 +44,8 @@
             && (member.connection_refused || is_unresponsive || self.plain_swim)
     }
 
-    /// Whether nothing but the verdict is left: the final probe is over, or not needed.
+    /// Whether the final probe of a member is over or unnecessary, so that its death may be
+    /// declared.
     fn is_final(&self, member: &Member) -> bool {
         let suspicion = member.suspicion.as_ref();
         let probed_at = suspicion.and_then(|suspicion| suspicion.final_probe_at);
@@ -55,7 +56,8 @@
 }
 
 impl Node {
-    /// The local member does not reach another one, and suspects it unless it doubts itself.
+    /// Suspects a member that the local member does not reach, unless the local member doubts its
+    /// own health.
     pub(super) fn suspect(&mut self, now: Timestamp, name: &Name) {
         if !self.local_health.may_suspect(now) || self.is_isolated() {
             return;
@@ -76,7 +78,8 @@
         self.apply_update(now, update);
     }
 
-    /// The host of `address` has refused a connection there: no process listens any more.
+    /// Records that the host of `address` refused a connection to it, which shows that no process
+    /// listens there any more.
     pub fn report_connection_refused(&mut self, now: Timestamp, address: SocketAddr) {
         let mut members = self.members.values();
         let member =
@@ -95,23 +98,23 @@
         }
     }
 
-    /// Members that are suspected.
+    /// Metadata of the suspected members, ordered by name.
     pub fn suspects(&self) -> impl Iterator<Item = &MemberMetadata> {
         self.suspected_members().map(|member| &member.metadata)
     }
 
-    /// Members to whose address a connection is worth trying, for
-    /// [`report_connection_refused`](Self::report_connection_refused): the suspected and, for a
-    /// while after a refusal, those that have been silent since. Where many die at once, to probe
-    /// them one by one takes rounds.
+    /// Members whose addresses are worth a connection attempt, with refusals reported through
+    /// [`report_connection_refused`](Self::report_connection_refused). These are the suspected
+    /// members and, for a while after a refusal, other members without recent contact. Probes alone
+    /// take several rounds to detect many simultaneous deaths.
     pub fn connection_check_targets(
         &self,
         now: Timestamp,
     ) -> impl Iterator<Item = &MemberMetadata> {
         let last_refusal_at = self.last_refusal_at;
         let was_refused =
-            last_refusal_at.is_some_and(|at| now < at.saturating_add(REFUSAL_LIFETIME));
-        let since = now.saturating_sub(UNRESPONSIVE_AFTER);
+            last_refusal_at.is_some_and(|at| now < at.saturating_add(REFUSAL_LIFETIME_NS));
+        let since = now.saturating_sub(UNRESPONSIVE_AFTER_NS);
         let unresponsive = self.members.values().filter(move |member| {
             let is_unresponsive = member.last_reached_at.is_none_or(|at| at < since);
             was_refused && member.is_alive() && is_unresponsive
@@ -125,7 +128,8 @@
         names.filter_map(|name| self.members.get(name))
     }
 
-    /// Ends suspicions that nobody has refuted in time as deaths, where that may be judged.
+    /// Declares members dead whose suspicions have expired without a refutation, if the local
+    /// member is in a position to judge.
     pub(super) fn evaluate_suspicions(&mut self, now: Timestamp) {
         let is_isolated = self.is_isolated();
         if is_isolated != std::mem::replace(&mut self.was_isolated, is_isolated) {
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Finds whether verdicts have to be deferred, and notes the time if so.
+    /// Determines whether verdicts are deferred, and records the time of a reason for deferral.
     fn start_evaluation(&mut self, now: Timestamp, is_isolated: bool) -> Evaluation {
         let plain_swim = self.settings.plain_swim;
         let others = self.present_count() - 1;
@@ -169,7 +173,8 @@
         if !plain_swim && (is_doubtful || is_mass_failure) {
             self.verdicts_deferred_at = now;
         }
-        // Once the reason is over, suspected members have all their time again.
+        // After the reason for deferral has ended, suspected members regain the full suspicion
+        // time.
         let deferral = nanos(self.settings.suspicion_timeout);
         Evaluation {
             now,
@@ -192,8 +197,9 @@
         }
     }
 
-    /// Notifies suspected members again: one may have missed that it is suspected, or the local
-    /// member its refutation, where a partition has just ended.
+    /// Notifies suspected members again by a ping. A suspected member may have missed its
+    /// suspicion, or the local member the refutation, for example during a partition that has just
+    /// ended.
     fn notify_suspects(&mut self, now: Timestamp) {
         let mut targets = Vec::new();
         for name in &self.suspected {
@@ -201,7 +207,7 @@
                 continue;
             };
             let suspicion = member.suspicion.as_mut();
-            if suspicion.is_some_and(|it| it.take_notification(now, NOTIFICATION_INTERVAL)) {
+            if suspicion.is_some_and(|it| it.take_notification(now, NOTIFICATION_INTERVAL_NS)) {
                 targets.push(member.metadata.clone());
             }
         }
@@ -211,8 +217,8 @@
         }
     }
 
-    /// Probes a suspected member once more, directly and through relays, before it is declared dead:
-    /// one refutation in a thousand is lost on its way to some member.
+    /// Probes a suspected member once more, directly and through relays, before its death is
+    /// declared: one refutation in a thousand is lost on its way to some member.
     fn send_final_probe(&mut self, now: Timestamp, target: &MemberMetadata) {
         let member = self.members.get_mut(&target.name);
         if let Some(suspicion) = member.and_then(|member| member.suspicion.as_mut()) {
@@ -223,8 +229,8 @@
         self.send_indirect_pings(now, target, sequence);
     }
 
-    /// Whether the last probes of members that nothing was said against say more about the local
-    /// member than about them.
+    /// Whether the local member is isolated: most recent probes of alive members failed, which says
+    /// more about the local member than about their targets.
     pub(super) fn is_isolated(&self) -> bool {
         if self.settings.plain_swim {
             return false;
@@ -238,7 +244,7 @@
     }
 }
 
-/// Whether the final probe of a member was not sent yet.
+/// Whether the final probe of a member has not been sent yet.
 fn needs_final_probe(member: &Member) -> bool {
     let suspicion = member.suspicion.as_ref();
     suspicion.is_some_and(|suspicion| suspicion.final_probe_at.is_none())
--- a/crates/membership/src/paths.rs
+++ b/crates/membership/src/paths.rs
@@ -1,21 +1,21 @@
-//! The two directions between the local member and another one. A partition of one direction only
-//! is no death, and which direction it is can be told from either end.
+//! State of the two directions between the local member and another one. A one-way partition is not
+//! a death, and either end can determine which direction is partitioned.
 
 use crate::time::Timestamp;
 
-/// What is known of one direction.
+/// The observed state of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PathState {
-    /// Nothing yet, or nothing recent enough.
+    /// The direction was never observed, or the last observation is too old.
     #[default]
     Unknown,
-    /// Messages arrive.
+    /// Messages are delivered.
     Open,
-    /// No message arrives, though the other member is alive.
+    /// Messages are not delivered although the other member is alive.
     Partitioned,
 }
 
-/// The state of a direction, and when it was observed.
+/// State of a direction and the time of the observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PathObservation {
     state: PathState,
@@ -34,38 +34,42 @@
     }
 }
 
-/// Both directions between the local member and another one.
+/// The two directions between the local member and another one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Paths {
     outbound: Option<PathObservation>,
     inbound: Option<PathObservation>,
-    /// Sequence number of the last direct probe that the other member sent here.
+    /// Sequence number of the most recent direct ping received from the other member.
     pub last_direct_sequence: u64,
-    /// Direct probes in a row that were answered through others only.
+    /// Number of consecutive probes that were acknowledged only through relays.
     consecutive_indirect_acks: u32,
 }
 
-/// This many indirect acknowledgements in a row show a partition; fewer may be lost messages.
+/// Number of consecutive indirect acknowledgements that indicates a partition. Fewer can result
+/// from lost messages.
 const PARTITION_THRESHOLD: u32 = 3;
 
 impl Paths {
-    /// A message came from the other member itself.
+    /// Records a message received directly from the other member.
     pub fn record_received(&mut self, now: Timestamp) {
         self.inbound = Some(PathObservation::open(now));
     }
 
-    /// The other member has acknowledged a direct probe itself, so both directions are open.
+    /// Records a direct acknowledgement of a direct ping, which shows that both directions are
+    /// open.
     pub fn record_direct_ack(&mut self, now: Timestamp) {
         self.outbound = Some(PathObservation::open(now));
         self.inbound = Some(PathObservation::open(now));
         self.consecutive_indirect_acks = 0;
     }
 
-    /// The other member is alive, as a third one found, but has not acknowledged the direct probe
-    /// `sequence` itself. The last direct probe that it received from here is `last_received`.
-    /// A message that came within `recent` nanoseconds shows that the inbound direction is open.
+    /// Records an indirect acknowledgement: a relay reached the other member, but the direct ping
+    /// `sequence` was not acknowledged directly. `last_received` is the sequence number of the last
+    /// direct ping that the other member received from the local one. A message received within the
+    /// last `recent` nanoseconds shows that the inbound direction is open.
     ///
-    /// Returns whether that has happened often enough to be more than a lost message.
+    /// Returns whether enough consecutive indirect acknowledgements were recorded to rule out a
+    /// lost message.
     pub fn record_indirect_ack(
         &mut self,
         now: Timestamp,
@@ -84,8 +88,9 @@
         if !was_delivered {
             self.outbound = Some(PathObservation::partitioned(now));
         }
-        // A probe that was delivered and not acknowledged lost its acknowledgement on the way back,
-        // unless something else came that way lately. Of one that was not delivered nothing follows.
+        // If the ping was delivered but its acknowledgement did not arrive, the inbound direction
+        // is partitioned, unless another message arrived on it recently. An undelivered ping says
+        // nothing about the inbound direction.
         let open_lately = self.inbound.is_some_and(|inbound| {
             inbound.state == PathState::Open && now < inbound.at.saturating_add(recent)
         });
@@ -95,25 +100,25 @@
         true
     }
 
-    /// Whether a message came from the other member itself at or after `since`.
+    /// Whether a direct message from the other member arrived at or after `since`.
     pub fn received_since(&self, since: Timestamp) -> bool {
         let inbound = self.inbound;
         inbound.is_some_and(|inbound| inbound.state == PathState::Open && inbound.at >= since)
     }
 
-    /// Whether the last acknowledgement came through others only.
+    /// Whether the most recent acknowledgement arrived only through a relay.
     pub fn is_doubtful(&self) -> bool {
         self.consecutive_indirect_acks > 0
     }
 
-    /// The direction from the local member to the other; observations hold for `lifetime`
-    /// nanoseconds.
+    /// State of the direction from the local member to the other one. Observations stay valid for
+    /// `lifetime` nanoseconds.
     pub fn outbound(&self, now: Timestamp, lifetime: u64) -> PathState {
         Self::current(self.outbound, now, lifetime)
     }
 
-    /// The direction from the other member to the local one; observations hold for `lifetime`
-    /// nanoseconds.
+    /// State of the direction from the other member to the local one. Observations stay valid for
+    /// `lifetime` nanoseconds.
     pub fn inbound(&self, now: Timestamp, lifetime: u64) -> PathState {
         Self::current(self.inbound, now, lifetime)
     }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,33 +1,33 @@
-//! Probes in flight: the local member's own, and those that it relays for others.
+//! Probes in flight: the local member's own probe, and probes relayed for other members.
 
 use crate::metadata::{MemberMetadata, Name};
 use crate::time::Timestamp;
 
-/// The probe that the local member has in flight.
+/// The local member's own probe.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// The probed member.
+    /// The member to probe.
     pub target: MemberMetadata,
     /// The probe's sequence number.
     pub sequence: u64,
-    /// When the direct ping was sent.
+    /// Time at which the direct ping was sent.
     pub started_at: Timestamp,
-    /// When indirect pings are sent, if no acknowledgement came.
+    /// Time at which indirect pings are sent if no acknowledgement has arrived.
     pub indirect_at: Timestamp,
-    /// When the probe fails.
+    /// Time at which the probe fails.
     pub ends_at: Timestamp,
-    /// Whether indirect pings were sent.
+    /// Whether indirect pings have been sent.
     pub is_indirect: bool,
-    /// Members that were asked to relay it.
+    /// Number of members that were asked to relay the probe.
     pub relays: usize,
-    /// Relays that have reported that the target does not answer them either.
+    /// Number of relays that reported no answer from the target.
     pub nacks: usize,
-    /// Whether nothing was said against the target when the probe started.
+    /// Whether the target was alive by its status when the probe started.
     pub target_was_alive: bool,
 }
 
 impl Probe {
-    /// When it has to be looked at next.
+    /// Time of the probe's next timer.
     pub fn deadline(&self) -> Timestamp {
         match self.is_indirect {
             true => self.ends_at,
@@ -36,17 +36,17 @@
     }
 }
 
-/// A probe that the local member relays for another.
+/// A probe that the local member relays for another member.
 #[derive(Clone, Debug)]
 pub struct RelayedProbe {
-    /// The member that asked for it.
+    /// The member that requested the probe.
     pub origin: MemberMetadata,
     /// The sequence number of the origin's own probe.
     pub origin_sequence: u64,
-    /// The probed member.
+    /// The member to probe.
     pub target: Name,
     /// The sequence number of the relayed ping.
     pub sequence: u64,
-    /// When the origin is told that the target does not answer.
+    /// Time at which the origin receives a nack if the target has not answered.
     pub ends_at: Timestamp,
 }
--- a/crates/membership/src/records.rs
+++ b/crates/membership/src/records.rs
@@ -1,5 +1,5 @@
-//! Small records that members publish to all others. The last version of an owner's record wins,
-//! and no record outlives its owner for long.
+//! Small records that members publish to all other members. The latest version of a record wins.
+//! Records are deleted soon after their owner leaves or dies.
 
 use crate::gossip_queue::GossipQueue;
 use crate::message::{RecordUpdate, encoded_size};
@@ -9,47 +9,49 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Records of at least this priority are sent at once, the others along with probes.
+/// Records of at least this priority are sent at once; records of lower priority are piggybacked on
+/// probes.
 pub(crate) const URGENT_PRIORITY: u8 = 128;
 
-/// Seconds of the permitted rate that may be saved up: what a failure sets off comes at once, and
-/// long after nothing. Two zones that die within a second, or one under 300 senders, set off some
-/// ten records.
+/// Capacity of the token bucket, in seconds of the permitted rate. A failure causes a burst of
+/// records followed by a long quiet time: the death of two zones within a second, or of one zone in
+/// a fleet of 300 senders, causes about ten records.
 const BURST_SECONDS: f64 = 12.0;
 
-/// Bytes of a record beside its value, its owner's name and its key.
+/// Estimated encoded length of a record in bytes, excluding value, owner and key.
 const RECORD_OVERHEAD_BYTES: usize = 48;
 
-/// A record as the local member knows it.
+/// A record as known to the local member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// The generation of its owner that published it.
+    /// Generation of the owner at the time of publication.
     pub generation: Generation,
-    /// Raised by the owner with each change.
+    /// Version number, which the owner raises with each change.
     pub version: u64,
-    /// Records of higher priority are sent first.
+    /// Priority; records of higher priority are sent first.
     pub priority: u8,
-    /// When it was published, by the local clock.
+    /// Time of publication by the local clock, derived from the transmitted age for records of
+    /// other members.
     pub published_at: Timestamp,
-    /// Its value; empty where the owner has withdrawn it.
+    /// Value of the record; empty if the owner has withdrawn it.
     pub value: Vec<u8>,
 }
 
-/// Why a record is not published.
+/// The reason why a record cannot be published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// Its value has more than [`Settings::max_record_bytes`].
-    #[error("a fact of too many bytes")]
+    /// The value exceeds [`Settings::max_record_bytes`].
+    #[error("record value exceeds the maximum length")]
     TooLong,
-    /// Its owner has [`Settings::max_records_per_owner`] already.
-    #[error("too many facts of one owner")]
+    /// The owner already has [`Settings::max_records_per_owner`] records.
+    #[error("owner already has the maximum number of records")]
     TooMany,
 }
 
 /// Owner and key of a record.
 type RecordId = (Name, Name);
 
-/// A token bucket of bytes that may be sent.
+/// A token bucket that limits the bytes sent for records.
 #[derive(Clone, Copy, Debug, Default)]
 struct SendAllowance {
     bytes: f64,
@@ -57,7 +59,7 @@
 }
 
 impl SendAllowance {
-    /// Adds what has been permitted since the last time.
+    /// Adds the bytes permitted since the last refill.
     fn refill(&mut self, now: Timestamp, bytes_per_second: u32) {
         let rate = f64::from(bytes_per_second);
         let seconds = now.saturating_sub(self.at) as f64 / 1e9;
@@ -66,7 +68,7 @@
     }
 }
 
-/// All records, by owner and key, and what of them is still to be sent.
+/// All known records by owner and key, with a queue of records to send.
 #[derive(Clone, Debug, Default)]
 pub struct RecordStore {
     records: BTreeMap<RecordId, Record>,
@@ -77,11 +79,11 @@
 }
 
 impl RecordStore {
-    /// Publishes a record of the local member, in place of the one under its key.
+    /// Publishes a record of the local member, replacing the one under the same key.
     ///
     /// # Errors
     ///
-    /// [`PublishError`] where the value is too long or the member has too many records.
+    /// [`PublishError`] if the value is too long or the local member has too many records.
     pub fn publish(
         &mut self,
         now: Timestamp,
@@ -111,7 +113,7 @@
         Ok(())
     }
 
-    /// The local member starts a new generation: its records are published anew.
+    /// Publishes all records of the local member anew after it has started a new generation.
     pub fn republish(&mut self, now: Timestamp, local: &MemberMetadata) {
         let own: Vec<RecordId> = self.ids_of(&local.name).cloned().collect();
         for id in own {
@@ -137,8 +139,8 @@
         self.records.insert(id, record);
     }
 
-    /// Takes in a record that another member passes on; `generation` is the owner's, as far as it is
-    /// known. Returns whether the record was new.
+    /// Merges a record received from another member. `generation` is the owner's known generation,
+    /// if any. Returns whether the record was new.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -173,7 +175,8 @@
         true
     }
 
-    /// Whether one more record of an owner can be taken in; evicts a less important one for it.
+    /// Whether another record of `owner` fits within the limits. Evicts a record of lower priority
+    /// if necessary.
     fn has_capacity_for(&mut self, owner: &Name, priority: u8, settings: &Settings) -> bool {
         if self.records.len() >= settings.max_records && !self.evict(owner, priority) {
             return false;
@@ -181,7 +184,8 @@
         self.ids_of(owner).count() < settings.max_records_per_owner
     }
 
-    /// Evicts the least important and oldest record of the other owners, if its priority is lower.
+    /// Evicts the oldest record of the lowest priority among other owners, provided that its
+    /// priority is lower than `priority`. Returns whether a record was evicted.
     fn evict(&mut self, owner: &Name, priority: u8) -> bool {
         let others = self.records.iter();
         let others = others.filter(|((of, _), record)| of != owner && record.priority < priority);
@@ -194,7 +198,7 @@
         self.records.remove(&id).is_some()
     }
 
-    /// Keeps the records for whose owner and generation `is_kept` returns true.
+    /// Keeps only the records for which `is_kept` returns true, given owner and generation.
     pub fn retain(&mut self, is_kept: impl Fn(&Name, Generation) -> bool) {
         let queue = &mut self.queue;
         self.records.retain(|id, record| {
@@ -206,7 +210,7 @@
         });
     }
 
-    /// The records to send along in at most `max_bytes`, within the permitted rate.
+    /// Takes the records to piggyback in at most `max_bytes`, within the permitted rate.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -237,7 +241,7 @@
         })
     }
 
-    /// All records of some owners, for the anti-entropy.
+    /// All records of the owners that satisfy `is_owner`, for anti-entropy.
     pub fn updates_of(
         &self,
         now: Timestamp,
@@ -247,28 +251,28 @@
         ids.filter_map(|id| self.update(now, id)).collect()
     }
 
-    /// Owner, key and record of all.
+    /// All records with their owners and keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &Name, &Record)> {
         let records = self.records.iter();
         records.map(|((owner, key), record)| (owner, key, record))
     }
 
-    /// One record.
+    /// The record of `owner` under `key`, if known.
     pub fn get(&self, owner: &Name, key: &Name) -> Option<&Record> {
         self.records.get(&(owner.clone(), key.clone()))
     }
 
-    /// Records that were not taken in, or were evicted for more important ones.
+    /// Number of records that were ignored, or evicted in favour of records of higher priority.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Whether a record waits that does not wait for the next probe.
+    /// Whether a queued record is urgent enough to be sent before the next probe.
     pub fn has_urgent(&self) -> bool {
         self.queue.has_urgent(URGENT_PRIORITY)
     }
 
-    /// Whether any record waits to be sent.
+    /// Whether any record is queued.
     pub fn has_queued(&self) -> bool {
         !self.queue.is_empty()
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,62 +1,67 @@
-//! The protocol's time-outs and limits.
+//! Time-outs and limits of the protocol.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most relays of a probe.
+/// Maximum number of relays per probe.
 const MAX_INDIRECT_PROBES: usize = 16;
-/// What a multiplier may be.
-const MULTIPLIERS: RangeInclusive<f64> = 1.0..=100.0;
-const PROBE_INTERVALS: RangeInclusive<Duration> =
+/// Valid range of the multipliers.
+const MULTIPLIER_RANGE: RangeInclusive<f64> = 1.0..=100.0;
+/// Valid range of the probe interval.
+const PROBE_INTERVAL_RANGE: RangeInclusive<Duration> =
     Duration::from_millis(10)..=Duration::from_secs(60);
-/// Bytes that a datagram may be limited to.
-const DATAGRAM_BYTES: RangeInclusive<usize> = 512..=65_000;
-const MEMBERS: RangeInclusive<usize> = 2..=100_000;
+/// Valid range of the datagram size limit in bytes.
+const DATAGRAM_BYTES_RANGE: RangeInclusive<usize> = 512..=65_000;
+/// Valid range of the maximum number of members.
+const MAX_MEMBERS_RANGE: RangeInclusive<usize> = 2..=100_000;
 
-/// The protocol's time-outs and limits. Operators know some of them by other names, which the
-/// messages of [`SettingsError`] use.
+/// Time-outs and limits of the protocol. Some settings have other names in the operators'
+/// configuration file; the messages of [`SettingsError`] use the latter names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Time from one probe to the next (operators' `period`).
+    /// Interval between the starts of two probes (`period` in the configuration file).
     pub probe_interval: Duration,
-    /// Time after which an unanswered probe is sent through relays (operators' `patience`).
+    /// Time after which an unanswered direct probe is sent through relays (`patience` in the
+    /// configuration file).
     pub probe_timeout: Duration,
-    /// Relays that are asked to probe a member that does not answer.
+    /// Number of relays that are asked to probe an unresponsive member.
     pub indirect_probes: usize,
-    /// The shortest suspicion, multiplied by the decimal logarithm of the fleet's size where that
-    /// is over 1 (operators' `suspicion`). Longer than the pauses that members are to survive.
+    /// Minimum duration of a suspicion, multiplied by the decimal logarithm of the fleet size if
+    /// that exceeds 1 (`suspicion` in the configuration file). The duration should exceed the
+    /// process pauses that members are expected to survive.
     pub suspicion_timeout: Duration,
-    /// How long a member is suspected whose host refuses connections.
+    /// Duration of a suspicion of a member whose host refuses connections.
     pub refusal_timeout: Duration,
-    /// A suspicion that nobody confirms lasts this many times as long.
+    /// Factor by which a suspicion without confirmations lasts longer.
     pub unconfirmed_multiplier: f64,
-    /// Confirmations that bring a suspicion down to its shortest.
+    /// Number of confirmations that reduce a suspicion to its minimum duration.
     pub confirmations: usize,
-    /// A member whose own tick comes later than this was paused.
+    /// Delay of the local member's own tick beyond which the process counts as paused.
     pub pause_threshold: Duration,
-    /// The most bytes of a datagram.
+    /// Maximum length of a datagram in bytes.
     pub max_datagram_bytes: usize,
-    /// An update is sent this many times the decimal logarithm of the fleet's size.
+    /// Number of transmissions of an update, as a multiple of the decimal logarithm of the fleet
+    /// size.
     pub retransmit_multiplier: f64,
-    /// How long members that are dead or left are remembered.
+    /// Time for which dead members and members that left are remembered.
     pub member_retention: Duration,
-    /// Time from one anti-entropy exchange to the next.
+    /// Mean interval between two anti-entropy exchanges.
     pub sync_interval: Duration,
-    /// The most members that are known; updates of further ones are counted and dropped.
+    /// Maximum number of known members. Updates of further members are counted and dropped.
     pub max_members: usize,
-    /// The most records of all owners together.
+    /// Maximum number of records of all owners together.
     pub max_records: usize,
-    /// The most records of one owner.
+    /// Maximum number of records of a single owner.
     pub max_records_per_owner: usize,
-    /// The most bytes of a record's value.
+    /// Maximum length of a record's value in bytes.
     pub max_record_bytes: usize,
-    /// Bytes a second that are sent for records.
+    /// Maximum rate at which records are sent, in bytes per second.
     pub record_bytes_per_second: u32,
-    /// How long records outlive their owner.
+    /// Time for which records are kept after the death or leave of their owner.
     pub record_retention: Duration,
-    /// SWIM as it was published, to compare with: no local health, suspicions of one length, no
-    /// directions, and nothing that defers a verdict.
+    /// Runs the original SWIM protocol for comparison: without local health, dynamic suspicion
+    /// time-outs, path directions and deferred verdicts.
     pub plain_swim: bool,
 }
 
@@ -86,13 +91,13 @@
     }
 }
 
-/// The setting at fault, by the name that operators know, and why.
+/// The invalid setting and the reason, under the name in the operators' configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// [`Settings::probe_interval`] is out of range.
     #[error("`period` is not from 10 ms to 60 s")]
     ProbeInterval,
-    /// [`Settings::probe_timeout`] leaves no time for the relays.
+    /// [`Settings::probe_timeout`] leaves no time for indirect probes.
     #[error("`patience` is zero, or over half of `period`: a probe has to be over before the next")]
     ProbeTimeout,
     /// [`Settings::suspicion_timeout`] is too short.
@@ -110,27 +115,27 @@
     /// [`Settings::max_datagram_bytes`] is out of range.
     #[error("`datagram` is not from 512 to 65,000 bytes")]
     DatagramBytes,
-    /// [`Settings::max_record_bytes`] does not leave room in a datagram.
+    /// [`Settings::max_record_bytes`] leaves no room for other parts of a datagram.
     #[error("`fact-bytes` is over half of `datagram`")]
     RecordBytes,
-    /// [`Settings::max_members`] is out of range, or [`Settings::indirect_probes`] too many.
+    /// [`Settings::max_members`] or [`Settings::indirect_probes`] is out of range.
     #[error("`members` is not from 2 to 100,000, or `helpers` over 16")]
     Members,
 }
 
 impl Settings {
-    /// Checks that the protocol can work with these settings.
+    /// Checks that all settings are in range and consistent with each other.
     ///
     /// # Errors
     ///
-    /// The first setting at fault.
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_timeouts()?;
         self.check_limits()
     }
 
     fn check_timeouts(&self) -> Result<(), SettingsError> {
-        if !PROBE_INTERVALS.contains(&self.probe_interval) {
+        if !PROBE_INTERVAL_RANGE.contains(&self.probe_interval) {
             return Err(SettingsError::ProbeInterval);
         }
         if self.probe_timeout.is_zero() || self.probe_timeout * 2 > self.probe_interval {
@@ -152,17 +157,19 @@
         let multipliers = [self.unconfirmed_multiplier, self.retransmit_multiplier];
         if !multipliers
             .iter()
-            .all(|multiplier| MULTIPLIERS.contains(multiplier))
+            .all(|multiplier| MULTIPLIER_RANGE.contains(multiplier))
         {
             return Err(SettingsError::Multipliers);
         }
-        if !DATAGRAM_BYTES.contains(&self.max_datagram_bytes) {
+        if !DATAGRAM_BYTES_RANGE.contains(&self.max_datagram_bytes) {
             return Err(SettingsError::DatagramBytes);
         }
         if self.max_record_bytes > self.max_datagram_bytes / 2 {
             return Err(SettingsError::RecordBytes);
         }
-        if !MEMBERS.contains(&self.max_members) || self.indirect_probes > MAX_INDIRECT_PROBES {
+        if !MAX_MEMBERS_RANGE.contains(&self.max_members)
+            || self.indirect_probes > MAX_INDIRECT_PROBES
+        {
             return Err(SettingsError::Members);
         }
         Ok(())
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,37 +1,37 @@
-//! What is said about a member. Statuses are totally ordered and the greater of two replaces the
-//! other wherever they meet, so members that received the same ones, in any order and however often,
-//! agree.
+//! Claims about a member's state. Statuses are totally ordered, and the greater of two statuses
+//! always replaces the lesser. Members that received the same statuses therefore agree, whatever
+//! the order and number of deliveries.
 
 use crate::metadata::Generation;
 use serde::{Deserialize, Serialize};
 
-/// The states of a member; each overrides the ones before it in the same incarnation (SWIM,
+/// The states of a member. Each state overrides the preceding ones in the same incarnation (SWIM,
 /// section 4.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It is there.
+    /// The member is running.
     Alive,
-    /// It may be gone.
+    /// The member may be dead.
     Suspect,
-    /// It is gone. If it was only paused, it refutes that in a later incarnation.
+    /// The member is dead. A member that was only paused refutes its death in a later incarnation.
     Dead,
-    /// It announced that it leaves; nothing follows in its generation.
+    /// The member announced its leave. No other state follows in the same generation.
     Left,
 }
 
-/// The state of one generation of a member.
+/// The state of a member in one generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The generation that it is about.
+    /// Generation to which the status applies.
     pub generation: Generation,
-    /// SWIM's incarnation number: raised by the member alone, to refute what is said about it.
+    /// SWIM's incarnation number, which only the member itself raises in order to refute a claim.
     pub incarnation: u32,
-    /// Its state.
+    /// Claimed state of the member.
     pub state: MemberState,
 }
 
 impl MemberStatus {
-    /// The last status of a generation: all others of it are less.
+    /// The greatest status of a generation, which overrides all others.
     pub fn left(generation: Generation) -> Self {
         Self {
             generation,
@@ -40,9 +40,10 @@
         }
     }
 
-    /// The incarnation in which the member refutes this status; `None` where it cannot.
+    /// The incarnation in which the member refutes this status, or `None` if no such incarnation
+    /// exists.
     pub fn refuting_incarnation(&self) -> Option<u32> {
-        // The greatest is reserved for members that left.
+        // The greatest incarnation is reserved for members that left.
         let next = self.incarnation.checked_add(1);
         next.filter(|next| *next < u32::MAX)
     }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,31 +1,33 @@
-//! How long a suspicion lasts before the member is declared dead: the shorter, the more others have
-//! found the same by themselves (Lifeguard's dynamic suspicion time-out, section IV-B).
+//! Duration of a suspicion before the suspected member is declared dead. The duration shrinks with
+//! each independent confirmation by another member (Lifeguard's dynamic suspicion time-out, section
+//! IV-B).
 
 use crate::metadata::Name;
 use crate::settings::Settings;
 use crate::time::{Timestamp, nanos};
 use std::collections::BTreeSet;
 
-/// A suspicion in progress.
+/// A suspicion that has been neither refuted nor resolved.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
     started_at: Timestamp,
-    /// Nanoseconds that it lasts with all confirmations.
+    /// Duration in nanoseconds with all needed confirmations.
     min: u64,
-    /// Nanoseconds that it lasts with none.
+    /// Duration in nanoseconds without any confirmation.
     max: u64,
-    /// Confirmations that bring it down to the minimum.
+    /// Number of confirmations that reduce the duration to the minimum.
     confirmations_needed: usize,
     by: BTreeSet<Name>,
-    /// When the final probe was sent, after nobody had refuted the suspicion in time.
+    /// Time at which the final probe was sent, after the suspicion had expired without a
+    /// refutation.
     pub final_probe_at: Option<Timestamp>,
-    /// When the suspected member was last notified.
+    /// Time at which the suspected member was last notified.
     notified_at: Timestamp,
 }
 
 impl Suspicion {
-    /// A suspicion that starts now, in a fleet of `fleet` members, raised by a member with this
-    /// local health multiplier.
+    /// Creates a suspicion that starts at `now` in a fleet of `fleet` members, raised while the
+    /// local health multiplier is `health_multiplier`.
     pub fn new(
         now: Timestamp,
         settings: &Settings,
@@ -35,7 +37,7 @@
     ) -> Self {
         let size_factor = (fleet.max(1) as f64).log10().max(1.0);
         let min = nanos(settings.suspicion_timeout) as f64 * size_factor;
-        // In a small fleet there may be nobody to confirm it.
+        // A small fleet may have no members left to confirm the suspicion.
         let confirmations_needed = match settings.plain_swim {
             true => 0,
             false => settings.confirmations.min(fleet.saturating_sub(3)),
@@ -56,13 +58,13 @@
         }
     }
 
-    /// Another member has found the same. Returns whether that is worth passing on.
+    /// Adds a confirmation by another member. Returns whether the confirmation is worth gossiping.
     pub fn confirm(&mut self, by: Name) -> bool {
-        // More confirmations would not shorten it.
+        // Further confirmations would not shorten the suspicion.
         self.by.len() <= self.confirmations_needed && self.by.insert(by)
     }
 
-    /// When the member is declared dead, unless it refutes the suspicion.
+    /// Time at which the suspicion expires unless the member refutes it.
     pub fn expires_at(&self) -> Timestamp {
         if self.confirmations_needed == 0 {
             return self.started_at.saturating_add(self.min);
@@ -76,22 +78,23 @@
         self.started_at.saturating_add(lasts.max(min) as u64)
     }
 
-    /// The local process was paused for `pause` nanoseconds: nobody could refute it meanwhile.
+    /// Extends the suspicion by a pause of the local process of `pause` nanoseconds, in which the
+    /// local member could not receive a refutation.
     pub fn extend(&mut self, pause: u64) {
         self.started_at = self.started_at.saturating_add(pause);
         self.final_probe_at = None;
     }
 
-    /// Expires `timeout` nanoseconds from now, if that is sooner: the member's host refuses
-    /// connections.
+    /// Lets the suspicion expire `timeout` nanoseconds from now if that is sooner, because the host
+    /// of the suspected member refused a connection.
     pub fn shorten(&mut self, now: Timestamp, timeout: u64) {
         if now.saturating_add(timeout) < self.expires_at() {
             (self.started_at, self.min, self.max) = (now, timeout, timeout);
         }
     }
 
-    /// Whether the suspected member is to be notified again, `interval` nanoseconds after the last
-    /// time; counts as notified then.
+    /// Whether the suspected member is due for another notification, `interval` nanoseconds after
+    /// the last one. A due notification is recorded as sent at `now`.
     pub fn take_notification(&mut self, now: Timestamp, interval: u64) -> bool {
         let is_due = now >= self.notified_at.saturating_add(interval);
         if is_due {
@@ -100,12 +103,12 @@
         is_due
     }
 
-    /// When it started.
+    /// Start of the suspicion.
     pub fn started_at(&self) -> Timestamp {
         self.started_at
     }
 
-    /// The members that suspect, by name.
+    /// Names of the members that share the suspicion, in alphabetical order.
     pub fn by(&self) -> impl Iterator<Item = &Name> {
         self.by.iter()
     }
--- a/crates/membership/src/time.rs
+++ b/crates/membership/src/time.rs
@@ -1,11 +1,12 @@
-//! Time as the state machine is handed it.
+//! Representation of time in the state machine.
 
 use std::time::Duration;
 
-/// Nanoseconds of one monotonic clock, counted from a start that the caller chooses.
+/// Nanoseconds of a monotonic clock, counted from an origin that the caller chooses.
 pub type Timestamp = u64;
 
-/// Nanoseconds of a duration; settings keep durations far below the 584 years that fit.
+/// Converts a duration to nanoseconds. Settings keep durations far below the 584 years that fit
+/// into 64 bits.
 pub(crate) fn nanos(duration: Duration) -> u64 {
     duration.as_nanos() as u64
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,69 +1,75 @@
-//! What a node concludes about the others, for callers to build on.
+//! The conclusions of a node about the other members, for use by callers.
 //!
-//! The verdicts on a member follow the order of its statuses, so within a generation a view only
-//! moves forward: to a later incarnation, or to a worse state of the same one. `Left` ends a
-//! generation. What the local member cannot know, because it was isolated or has just resumed, it
-//! reports as such: no verdict on another gets worse by its own judgement then.
+//! Verdicts follow the order of a member's statuses, so within a generation a verdict only moves
+//! forward: to a later incarnation, or to a worse state of the same incarnation. `Left` ends a
+//! generation. While the local member is isolated or has just resumed from a pause, it reports
+//! missing knowledge as such and worsens no verdict by its own judgement.
 
 use crate::metadata::{MemberMetadata, Name};
 use crate::paths::PathState;
 use crate::time::Timestamp;
 
-/// What the local member concludes about another one.
+/// The local member's conclusion about another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was reached lately, or others report it and nothing speaks against it.
+    /// The member was reached recently, or other members report it alive and nothing contradicts
+    /// them.
     Alive,
-    /// It may be gone: nobody reached it, and there is still time to refute that.
+    /// The member may be dead: probes failed, but the suspicion has not expired and can still be
+    /// refuted.
     Suspect,
-    /// Others reach it, but a direction between it and the local member is partitioned.
+    /// Other members reach the member, but a direction between it and the local member is
+    /// partitioned.
     Partitioned {
-        /// From the local member to it.
+        /// The direction from the local member to the other member.
         outbound: PathState,
-        /// From it to the local member.
+        /// The direction from the other member to the local member.
         inbound: PathState,
     },
-    /// It is gone.
+    /// The member's suspicion expired without a refutation.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced its leave.
     Left,
-    /// Not reached for longer than a suspicion lasts, but not declared dead: too many members
-    /// vanished at once, or the local member could not know. Holds the time of the suspicion.
+    /// The member was unreachable for longer than a suspicion lasts but was not declared dead,
+    /// because too many members vanished at once or the local member was itself impaired. Holds the
+    /// time at which the suspicion began.
     UnknownSince(Timestamp),
 }
 
-/// What the local member observes of another one.
+/// The local member's view of another member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation<'a> {
-    /// The member.
+    /// Name, generation, address and zone of the other member.
     pub metadata: &'a MemberMetadata,
-    /// The conclusion.
+    /// The conclusion from all observations and updates.
     pub verdict: Verdict,
-    /// When the member's present status was learned.
+    /// Time at which the member's current status was received.
     pub since: Timestamp,
-    /// When the member was last reached, directly or through others.
+    /// Time at which the member was last reached, directly or through a relay.
     pub last_reached_at: Option<Timestamp>,
-    /// The members that suspect it.
+    /// Names of the members known to suspect this member.
     pub suspected_by: Vec<&'a Name>,
 }
 
-/// How much of the fleet the local member reaches at this moment.
+/// The part of the fleet that the local member currently reaches.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Confidence {
-    /// Fraction of the other members of the local zone that were reached lately; 1 where there are
-    /// none.
+    /// Fraction of the other members in the local zone that were reached within the observation
+    /// lifetime; 1 if the zone has no other members.
     pub own_zone: f64,
-    /// The same fraction of the members of all other zones.
+    /// Fraction of the members in all other zones that were reached within the observation
+    /// lifetime; 1 if there are no such members.
     pub other_zones: f64,
-    /// Whether the local member is isolated or has just resumed, and so suspects nobody.
+    /// Whether the local member is isolated or has just resumed from a pause. In that state it
+    /// suspects no other member.
     pub is_isolated: bool,
 }
 
-/// Size of the fleet, the local member included.
+/// Bounds on the size of the fleet, including the local member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Members that are alive.
+    /// Number of members that are alive.
     pub min: usize,
-    /// Members that are alive or suspected.
+    /// Number of members that are alive or suspected.
     pub max: usize,
 }
