--- a/crates/membership-net/src/config.rs
+++ b/crates/membership-net/src/config.rs
@@ -1,4 +1,4 @@
-//! What a member is started with, and the files of keys and seeds that it names.
+//! Configuration of a member, and the key and seed files that it names.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -8,119 +8,120 @@
 use woadstall_membership::{Name, Settings, SettingsError};
 use woadstall_message_auth::{KeyFileError, KeyRing};
 
-/// The most bytes of a file of keys or seeds.
+/// Maximum length of a key file or seeds file in bytes.
 const MAX_FILE_BYTES: u64 = 64 << 10;
-/// The most seeds: each is asked while no member is known.
+/// Maximum number of seeds; while no member is known, every seed receives a request.
 const MAX_SEEDS: usize = 64;
-/// What begins a remark in a file of seeds.
-const REMARK: char = '#';
+/// Character that begins a comment in a seeds file.
+const COMMENT_MARKER: char = '#';
 
-/// What a member is started with. The fields have the names of the operators' file.
+/// Configuration of a member. The fields are named as in the operators' configuration file.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// The member's name, that of no other.
+    /// Name of the member, unique in the fleet.
     pub name: Name,
-    /// Its zone.
+    /// Availability zone of the member.
     pub zone: Name,
-    /// The zone's region.
+    /// Region of the zone, if the zone belongs to one.
     pub region: Option<Name>,
-    /// The address for datagrams and streams.
+    /// Address to bind for datagrams and streams.
     pub listen: SocketAddr,
-    /// The address at which others reach it, if that is another one.
+    /// Address at which other members reach this member, if different from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Members that are asked while none is known.
+    /// Addresses of members that are contacted while no member is known.
     pub seeds: Vec<SocketAddr>,
-    /// A file of more seeds, an address a line.
+    /// File with further seeds, one address per line.
     pub seeds_file: Option<PathBuf>,
-    /// The file of the keys that the fleet shares.
+    /// File with the keys that the fleet shares.
     pub key_file: Option<PathBuf>,
-    /// Whether it may run without a key.
+    /// Whether the member may run without a key.
     pub insecure: bool,
-    /// Time-outs and limits.
+    /// Time-outs and limits of the protocol.
     pub settings: Settings,
 }
 
-/// What is wrong with a configuration or a file that it names, in one line that names the field.
+/// An invalid configuration, or an error in a file that the configuration names. The message is a
+/// single line that names the field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A time-out or limit is at fault.
+    /// A time-out or limit is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// There is a key file, though the member may run without a key.
+    /// A key file is configured although the member may run without a key.
     #[error("`insecure` is true beside a `key_file`")]
     InsecureWithKey,
-    /// There is no key file, and the member may not run without a key.
+    /// No key file is configured although the member may not run without a key.
     #[error("`key_file` is missing, and `insecure` is not true")]
     NoKeyFile,
-    /// The member listens at all addresses, and others are told none.
+    /// The member listens on all addresses, and no address is configured for other members to use.
     #[error("`advertise` is missing, and `listen` is all addresses")]
     NoAdvertise,
-    /// Nobody can reach the address that others are told.
+    /// Other members cannot reach the configured address.
     #[error("`advertise` is no address at which it is found: {0}")]
     Advertise(SocketAddr),
-    /// There are too many seeds.
+    /// `seeds` lists too many addresses.
     #[error("`seeds` has more than {MAX_SEEDS}")]
     TooManySeeds,
-    /// The key file is at fault.
+    /// The key file cannot be read or is invalid.
     #[error("`key_file` {}: {source}", path.display())]
     KeyFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The cause of the error.
         source: KeyFileFault,
     },
-    /// The file of seeds is at fault.
+    /// The seeds file cannot be read or is invalid.
     #[error("`seeds_file` {}: {source}", path.display())]
     SeedsFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The cause of the error.
         source: SeedsFileFault,
     },
 }
 
-/// What is wrong with a key file.
+/// An error in reading a key file.
 #[derive(Debug, Error)]
 pub enum KeyFileFault {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// It holds no valid keys.
+    /// The file holds no valid keys.
     #[error(transparent)]
     Keys(#[from] KeyFileError),
 }
 
-/// What is wrong with a file of seeds.
+/// An error in reading a seeds file.
 #[derive(Debug, Error)]
 pub enum SeedsFileFault {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// A line, counted from 1, is no address.
+    /// The line with this number, counted from 1, is not an address with a port.
     #[error("line {0}: not an address with a port")]
     Line(usize),
-    /// There are too many seeds, those of the configuration included.
+    /// The file and the configuration together list too many seeds.
     #[error("more than {MAX_SEEDS} with `seeds`")]
     TooMany,
 }
 
-/// Why a file cannot be read.
+/// The reason why a file cannot be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The system's error.
+    /// Error of the operating system.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is too long.
+    /// The file exceeds the length limit.
     #[error("over {MAX_FILE_BYTES} bytes")]
     TooLong,
 }
 
 impl MembershipConfig {
-    /// Checks that a member can run with it. Reads no files.
+    /// Checks that a member can run with this configuration, without reading any files.
     ///
     /// # Errors
     ///
-    /// The first field at fault.
+    /// Returns the first invalid field.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.settings.check()?;
         match (self.insecure, self.key_file.is_some()) {
@@ -141,11 +142,11 @@
         Ok(())
     }
 
-    /// The keys of the key file; `None` where there is no such file.
+    /// Loads the keys of the key file, or `None` if no key file is configured.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::KeyFile`] where the file cannot be read or holds no valid keys.
+    /// [`ConfigError::KeyFile`] if the file cannot be read or holds no valid keys.
     pub fn load_keys(&self) -> Result<Option<KeyRing>, ConfigError> {
         let Some(path) = &self.key_file else {
             return Ok(None);
@@ -157,12 +158,12 @@
         Ok(Some(keys))
     }
 
-    /// All seeds, those of the file of seeds included.
+    /// Loads all seeds, including those of the seeds file.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::SeedsFile`] where the file cannot be read, a line is no address, or there are
-    /// too many.
+    /// [`ConfigError::SeedsFile`] if the file cannot be read, a line is not an address, or there
+    /// are too many seeds.
     pub fn load_seeds(&self) -> Result<Vec<SocketAddr>, ConfigError> {
         let mut seeds = self.seeds.clone();
         if let Some(path) = &self.seeds_file {
@@ -179,10 +180,10 @@
     Ok(KeyRing::parse(&read(path)?)?)
 }
 
-/// Adds the seeds of a file to others.
+/// Appends the seeds of a file to `seeds`.
 fn load_seeds(path: &Path, seeds: &mut Vec<SocketAddr>) -> Result<(), SeedsFileFault> {
     for (index, line) in read(path)?.lines().enumerate() {
-        let line = line.split(REMARK).next().unwrap_or_default().trim();
+        let line = line.split(COMMENT_MARKER).next().unwrap_or_default().trim();
         if line.is_empty() {
             continue;
         }
--- a/crates/membership-net/src/driver.rs
+++ b/crates/membership-net/src/driver.rs
@@ -15,21 +15,22 @@
 use tokio::time::sleep;
 use woadstall_membership::{Event, OutgoingMessage, Timestamp};
 
-/// Datagrams that are read before anything else is done.
+/// Maximum number of datagrams read before other work is done.
 const DATAGRAM_BATCH: usize = 16;
-/// Bytes of the longest datagram there is: a truncated one would look like one under another key.
+/// Length in bytes of the longest possible datagram. A shorter buffer would truncate datagrams, and
+/// truncated datagrams would be counted as authenticated by another key.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Time from one connection check of suspected members to the next.
+/// Interval between two rounds of connection checks of suspected members.
 const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time from one step to the next while the process hangs.
+/// Interval between two steps of the event loop while the process is hung.
 const HUNG_INTERVAL: Duration = Duration::from_millis(100);
-/// Nanoseconds from one step to the next at least.
-const MIN_SLEEP: u64 = 1_000_000;
-/// Nanoseconds from one log line about rejected messages to the next.
-const REJECTION_LOG_INTERVAL: u64 = 60_000_000_000;
+/// Minimum sleep in nanoseconds between two steps of the event loop.
+const MIN_SLEEP_NS: u64 = 1_000_000;
+/// Minimum time in nanoseconds between two log lines about rejected messages.
+const REJECTION_LOG_INTERVAL_NS: u64 = 60_000_000_000;
 
-/// Runs a member until it is told to stop. Where `sockets` is `None`, another process has the
-/// address, and the member waits for it.
+/// Runs a member until shutdown is requested. `sockets` is `None` if another process holds the
+/// address; the member then waits for the address to become free.
 pub async fn run(shared: Arc<Shared>, sockets: Option<Sockets>, listen: SocketAddr, log: LogSink) {
     let sockets = match sockets {
         Some(sockets) => Some(sockets),
@@ -48,7 +49,7 @@
     }
 }
 
-/// Binds the address once it is free; `None` where the member is told to stop before that.
+/// Binds the address once it is free. Returns `None` if shutdown is requested before that.
 async fn wait_for_address(shared: &Shared, listen: SocketAddr, log: &LogSink) -> Option<Sockets> {
     log(format_args!(
         "membership: address in use, waiting listen={listen}"
@@ -60,20 +61,20 @@
     }
 }
 
-/// When the event loop has to go on.
+/// Waiting times of the event loop after a step.
 struct Step {
-    /// Until the next timer.
+    /// Time until the next timer.
     sleep: Duration,
-    /// Until anything that was received may be looked at; `None` where it may be now.
+    /// Time until received messages may be processed, or `None` if they may be processed now.
     receive_wait: Option<Duration>,
 }
 
-/// What the event loop owns.
+/// State of the event loop.
 struct Driver {
     shared: Arc<Shared>,
     datagrams: UdpSocket,
     streams: mpsc::Sender<OutgoingStream>,
-    /// Sends and accepts streams; aborted with the driver.
+    /// Tasks that send and accept streams, aborted when the driver is dropped.
     _stream_tasks: JoinSet<()>,
     rejection_log: RejectionLog,
     log: LogSink,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Runs the timers that are due, and sends and logs what came of that.
+    /// Runs the due timers, sends the resulting messages and logs the resulting events.
     fn step(&mut self) -> Step {
         let started_at = Instant::now();
         let (now, mut endpoint) = (self.shared.now(), self.shared.endpoint());
@@ -149,10 +150,10 @@
         }
         self.rejection_log.log_if_due(now, &endpoint, &self.log);
         let sleep = endpoint.node.next_deadline().saturating_sub(now);
-        // A flood also costs the steps that come between its messages.
+        // A flood of messages also costs processing time in the steps between its messages.
         endpoint.receive_budget.spend(started_at.elapsed());
         Step {
-            sleep: Duration::from_nanos(sleep.max(MIN_SLEEP)),
+            sleep: Duration::from_nanos(sleep.max(MIN_SLEEP_NS)),
             receive_wait: endpoint.receive_budget.wait(now),
         }
     }
@@ -166,8 +167,8 @@
         endpoint.rejections.not_sent += u64::from(!is_sent);
     }
 
-    /// Checks the connection to a member at once where it becomes suspected: its host may refuse
-    /// it.
+    /// Checks the connection to a newly suspected member immediately, since its host may refuse the
+    /// connection.
     fn check_suspect(&self, endpoint: &Endpoint, event: &Event) {
         let Event::Suspected { name, .. } = event else {
             return;
@@ -193,7 +194,7 @@
     fn receive_datagrams(&self, buffer: &mut [u8]) {
         let started_at = Instant::now();
         for _ in 0..DATAGRAM_BATCH {
-            // An error may be about an earlier datagram that nobody received.
+            // A receive error may refer to an earlier datagram that was sent to a closed port.
             match self.datagrams.try_recv_from(buffer) {
                 Ok((length, _)) => drop(self.shared.receive(&buffer[..length])),
                 Err(_) => break,
@@ -204,11 +205,12 @@
     }
 }
 
-/// When messages of other keys or versions were last logged, and how many there were.
+/// Rate limit of the log line about messages of other keys or versions: the time of the last line
+/// and the number of messages it counted.
 #[derive(Default)]
 struct RejectionLog {
     logged_at: Option<Timestamp>,
-    logged: u64,
+    logged_count: u64,
 }
 
 impl RejectionLog {
@@ -218,12 +220,12 @@
         let rejected = other_key + other_version;
         let is_due = self
             .logged_at
-            .is_none_or(|at| now >= at + REJECTION_LOG_INTERVAL);
-        if rejected > self.logged && is_due {
+            .is_none_or(|at| now >= at + REJECTION_LOG_INTERVAL_NS);
+        if rejected > self.logged_count && is_due {
             log(format_args!(
                 "membership: messages rejected other_key={other_key} other_version={other_version}"
             ));
-            (self.logged_at, self.logged) = (Some(now), rejected);
+            (self.logged_at, self.logged_count) = (Some(now), rejected);
         }
     }
 }
--- a/crates/membership-net/src/endpoint.rs
+++ b/crates/membership-net/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! The protocol's state machine with what its transport needs: authentication, counters of what was
-//! rejected, and the budget for what is received.
+//! The protocol's state machine together with message authentication, counters of rejected
+//! messages, and the time budget for received messages.
 
 use crate::receive_budget::ReceiveBudget;
 use crate::report::RejectionCounters;
@@ -7,25 +7,27 @@
 use woadstall_membership::{MessageError, Node, Timestamp};
 use woadstall_message_auth::{MessageAuthenticator, VerifyError};
 
-/// Connections that are checked at once.
+/// Maximum number of connection checks per round.
 const MAX_CONNECTION_CHECKS: usize = 8;
 
-/// The protocol's state machine with what its transport needs.
+/// The protocol's state machine together with message authentication, counters of rejected
+/// messages, and the time budget for received messages.
 pub struct Endpoint {
-    /// The state machine.
+    /// State machine of the local member.
     pub node: Node,
-    /// `None` where the fleet runs without a key.
+    /// Message authentication, or `None` if the fleet runs without a key.
     pub authenticator: Option<MessageAuthenticator>,
-    /// What was rejected or not sent.
+    /// Counters of messages that were rejected or not sent.
     pub rejections: RejectionCounters,
-    /// Time for what is received.
+    /// Time budget for the processing of received messages.
     pub receive_budget: ReceiveBudget,
-    /// Where the next connection checks start among their targets.
+    /// Index of the first target of the next round of connection checks, modulo the number of
+    /// targets.
     next_check: usize,
 }
 
 impl Endpoint {
-    /// An endpoint that has received nothing.
+    /// Creates an endpoint with zero counters.
     pub fn new(node: Node, authenticator: Option<MessageAuthenticator>) -> Self {
         Self {
             node,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// A frame has come, from anybody.
+    /// Verifies a frame from any source and passes its message to the state machine.
     pub fn receive(&mut self, now: Timestamp, frame: &[u8]) {
         let verified = match &mut self.authenticator {
             Some(authenticator) => authenticator.verify(frame),
@@ -57,7 +59,7 @@
         *counter += 1;
     }
 
-    /// The frame of a message to be sent.
+    /// Wraps a message in a frame, signed unless the fleet runs without a key.
     pub fn sign(&mut self, message: Vec<u8>) -> Vec<u8> {
         match &mut self.authenticator {
             Some(authenticator) => authenticator.sign(&message),
@@ -65,8 +67,8 @@
         }
     }
 
-    /// Addresses to which a connection is to be checked: some of those that are worth it, others
-    /// each time.
+    /// Addresses for the next round of connection checks. Successive rounds rotate through all
+    /// targets.
     pub fn connection_checks(&mut self, now: Timestamp) -> Vec<SocketAddr> {
         let targets = self.node.connection_check_targets(now);
         let targets: Vec<SocketAddr> = targets.map(|member| member.address).collect();
--- a/crates/membership-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -1,20 +1,20 @@
-//! `woadstall-membership` on sockets: UDP datagrams, TCP streams for messages that are longer or
-//! have to arrive, message authentication under a shared key, and reports for operators. Nothing
-//! here concludes who is a member.
+//! Runs `woadstall-membership` on sockets: UDP datagrams, TCP streams for messages that are long or
+//! need reliable delivery, message authentication under a shared key, and reports for operators.
+//! All conclusions about members are drawn in `woadstall-membership`.
 //!
-//! A member runs on a thread of its own, so that no request waits for it, and spends a bounded
-//! fraction of its time on what it receives: what is beyond that is lost, as on a congested link,
-//! which the protocol is made for.
+//! A member runs on its own thread, so that requests never wait for it. Received messages are
+//! processed within a bounded fraction of the thread's time; messages beyond the bound are lost as
+//! on a congested link, which the protocol tolerates.
 //!
 //! | module | owns |
 //! |---|---|
-//! | `service` | [`Membership`], the handle that the process has |
-//! | `shared` | what the handle and the thread share |
-//! | `driver` | the thread's event loop: sockets, timers |
-//! | `endpoint` | the protocol's state machine with authentication, counters and budget |
+//! | `service` | [`Membership`], the handle for the rest of the process |
+//! | `shared` | state shared by the handle and the thread |
+//! | `driver` | the event loop of the thread |
+//! | `endpoint` | the state machine with authentication, counters and receive budget |
 //! | `streams` | messages over TCP, and connection checks |
-//! | `sockets` | binding |
-//! | `config`, `report`, `log` | what operators write and read |
+//! | `sockets` | binding of the address |
+//! | `config`, `report`, `log` | configuration, reports and log lines for operators |
 
 mod config;
 mod driver;
--- a/crates/membership-net/src/log.rs
+++ b/crates/membership-net/src/log.rs
@@ -1,25 +1,25 @@
-//! Log lines: an event and its fields, as `key=value`.
+//! Log lines: an event name followed by its fields as `key=value`.
 
 use std::fmt;
 use std::sync::Arc;
 use woadstall_membership::{Event, Name, Node};
 
-/// Where log lines go.
+/// Receiver of log lines.
 pub type LogSink = Arc<dyn Fn(fmt::Arguments<'_>) + Send + Sync>;
 
-/// The source of a suspicion or death, as a log field.
-struct Source<'a> {
+/// The member that raised a suspicion or declared a death, as a log field.
+struct Reporter<'a> {
     by: Option<&'a Name>,
     local: &'a Name,
 }
 
-impl<'a> Source<'a> {
+impl<'a> Reporter<'a> {
     fn new(by: Option<&'a Name>, local: &'a Name) -> Self {
         Self { by, local }
     }
 }
 
-impl fmt::Display for Source<'_> {
+impl fmt::Display for Reporter<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.by {
             Some(by) if by == self.local => f.write_str("local"),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Logs an event, a line each.
+/// Logs an event in a single line.
 pub fn log_event(log: &LogSink, event: &Event, node: &Node) {
     let local = &node.local().name;
     match event {
@@ -41,13 +41,13 @@
         }
         Event::Recovered(name) => log(format_args!("membership: member recovered name={name}")),
         Event::Suspected { name, by } => {
-            let by = Source::new(by.as_ref(), local);
+            let by = Reporter::new(by.as_ref(), local);
             log(format_args!(
                 "membership: member suspected name={name} by={by}"
             ));
         }
         Event::Dead { name, by } => {
-            let by = Source::new(by.as_ref(), local);
+            let by = Reporter::new(by.as_ref(), local);
             log(format_args!("membership: member dead name={name} by={by}"));
         }
         Event::Left(name) => log(format_args!("membership: member left name={name}")),
--- a/crates/membership-net/src/receive_budget.rs
+++ b/crates/membership-net/src/receive_budget.rs
@@ -1,4 +1,4 @@
-//! How much of its time a member spends on what it receives, so that a flood costs no more.
+//! Budget of the time spent on received messages, which bounds the processing cost of a flood.
 
 #[cfg(test)]
 mod tests;
@@ -6,44 +6,45 @@
 use std::time::Duration;
 use woadstall_membership::Timestamp;
 
-/// One nanosecond in this many is spent on what is received.
+/// One nanosecond in this many is available for received messages.
 const TIME_DIVISOR: u64 = 20;
-/// Nanoseconds that may be spent at once after a quiet time: the state of a large fleet comes in
-/// bursts.
-const MAX_BURST: u64 = 50_000_000;
+/// Maximum number of nanoseconds available at once after a quiet time, since the state of a large
+/// fleet arrives in bursts.
+const MAX_BURST_NS: u64 = 50_000_000;
 
-/// A token bucket of nanoseconds.
+/// A token bucket that counts nanoseconds.
 #[derive(Clone, Debug)]
 pub struct ReceiveBudget {
-    /// What is left; less than 0 where more was spent than there was.
-    left: i64,
+    /// Nanoseconds left in the bucket; negative after more time was spent than available.
+    balance_ns: i64,
     refilled_at: Timestamp,
 }
 
 impl Default for ReceiveBudget {
     fn default() -> Self {
         Self {
-            left: MAX_BURST as i64,
+            balance_ns: MAX_BURST_NS as i64,
             refilled_at: 0,
         }
     }
 }
 
 impl ReceiveBudget {
-    /// How long to wait until time may be spent again; `None` where it may be now.
+    /// Time to wait until received messages may be processed, or `None` if they may be processed
+    /// now.
     pub fn wait(&mut self, now: Timestamp) -> Option<Duration> {
         let gained = now.saturating_sub(self.refilled_at) / TIME_DIVISOR;
-        // What is less than a nanosecond is gained next time.
+        // Fractions of a nanosecond are carried over to the next refill.
         self.refilled_at += gained * TIME_DIVISOR;
-        let left = self.left.saturating_add(gained as i64);
-        self.left = left.min(MAX_BURST as i64);
-        let deficit = self.left.unsigned_abs() * TIME_DIVISOR;
-        (self.left < 0).then(|| Duration::from_nanos(deficit))
+        let balance_ns = self.balance_ns.saturating_add(gained as i64);
+        self.balance_ns = balance_ns.min(MAX_BURST_NS as i64);
+        let deficit = self.balance_ns.unsigned_abs() * TIME_DIVISOR;
+        (self.balance_ns < 0).then(|| Duration::from_nanos(deficit))
     }
 
-    /// Time was spent. It may be more than there was, and is paid off then.
+    /// Deducts spent time. Time spent beyond the available amount is paid back by later refills.
     pub fn spend(&mut self, time: Duration) {
-        let spent = time.as_nanos().min(MAX_BURST.into()) as i64;
-        self.left = self.left.saturating_sub(spent);
+        let spent = time.as_nanos().min(MAX_BURST_NS.into()) as i64;
+        self.balance_ns = self.balance_ns.saturating_sub(spent);
     }
 }
--- a/crates/membership-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -1,34 +1,34 @@
-//! What operators read of a member. The names in JSON are those of the operators' documentation.
+//! Reports for operators. The names in JSON follow the operators' documentation.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 use woadstall_membership::{Node, Observation, PathCounts, PathState, Timestamp, Verdict};
 
-/// What was rejected or not sent since the start.
+/// Counters of messages that were rejected or not sent since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectionCounters {
-    /// Messages in a format that this program does not know: of a member of another version.
+    /// Messages in an unknown format, as sent by members of another version.
     pub other_version: u64,
-    /// Messages that are authentic under none of the keys.
+    /// Messages that are not authentic under any key.
     pub other_key: u64,
-    /// Messages that were received before.
+    /// Messages that were received before (replays).
     #[serde(rename = "had_before")]
     pub replayed: u64,
-    /// Bytes that are no message.
+    /// Frames or messages that could not be decoded.
     #[serde(rename = "no_message")]
     pub malformed: u64,
-    /// Incoming streams beyond the most at once.
+    /// Incoming streams rejected at the limit of simultaneous streams.
     #[serde(rename = "turned_away")]
     pub streams_rejected: u64,
-    /// Messages that were not sent as a queue was full.
+    /// Messages that were not sent because a queue was full.
     pub not_sent: u64,
-    /// Steps that were skipped as the process hung.
+    /// Steps of the event loop that were skipped because the process hung.
     #[serde(rename = "held_back")]
     pub hung_steps: u64,
 }
 
-/// The state of a member, as another one reports it.
+/// State of a member as reported by another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StateReport {
@@ -48,7 +48,7 @@
 }
 
 impl StateReport {
-    /// Its name in JSON and for people.
+    /// The name used in JSON and in text output.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -80,7 +80,7 @@
     }
 }
 
-/// A direction between two members, as one of them reports it.
+/// State of a direction between two members as reported by one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PathReport {
@@ -95,7 +95,7 @@
 }
 
 impl PathReport {
-    /// Its name in JSON and for people.
+    /// The name used in JSON and in text output.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
@@ -121,110 +121,112 @@
     }
 }
 
-/// A member, as the reporting one observes it.
+/// State of a member as observed by the reporting member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// The zone's region.
+    /// Region of the member's zone, if the zone belongs to one.
     pub region: Option<String>,
-    /// The address at which others reach it.
+    /// Address at which other members reach the member.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// When its process started, Unix time in milliseconds, by its clock.
+    /// Start time of the member's process by its own clock, Unix time in milliseconds.
     pub started_ms: u64,
-    /// Its state.
+    /// State of the member.
     pub state: StateReport,
-    /// The direction to it.
+    /// Direction from the reporting member to this member.
     #[serde(rename = "to")]
     pub outbound: PathReport,
-    /// The direction from it.
+    /// Direction from this member to the reporting member.
     #[serde(rename = "from")]
     pub inbound: PathReport,
-    /// How long its state has been known, in seconds.
+    /// Seconds since the current state became known.
     #[serde(rename = "for_s")]
     pub state_age_s: f64,
-    /// How long ago it was last reached, in seconds.
+    /// Seconds since the member was last reached, directly or through a relay.
     #[serde(rename = "found_s")]
     pub last_reached_s: Option<f64>,
-    /// The members that suspect it.
+    /// Names of the members known to suspect this member.
     pub suspected_by: Vec<String>,
 }
 
-/// The paths from the members of one zone to those of another.
+/// Counts of the paths from the members of one zone to the members of another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZonePathReport {
-    /// From this zone.
+    /// Name of the sending zone.
     pub from: String,
-    /// To this one.
+    /// Name of the receiving zone.
     pub to: String,
-    /// Ordered pairs of members.
+    /// Number of ordered pairs of members.
     #[serde(rename = "of")]
     pub total: u64,
-    /// Pairs whose path is partitioned.
+    /// Number of ordered pairs whose path is partitioned.
     #[serde(rename = "cut")]
     pub partitioned: u64,
 }
 
-/// What a member reports at one moment.
+/// The report of a member at one point in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Its name.
+    /// Name of the reporting member.
     pub name: String,
-    /// Its zone.
+    /// Zone of the reporting member.
     pub zone: String,
-    /// The address at which others reach it.
+    /// Address at which other members reach the reporting member.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// When its process started, Unix time in milliseconds, by its clock.
+    /// Start time of the member's process by its own clock, Unix time in milliseconds.
     pub started_ms: u64,
-    /// Seconds since then.
+    /// Seconds since the start of the process.
     #[serde(rename = "for_s")]
     pub uptime_s: f64,
-    /// Members that are alive, this one included.
+    /// Number of alive members, including the reporting member.
     #[serde(rename = "least")]
     pub min_size: usize,
-    /// Members that are alive or suspected.
+    /// Number of alive and suspected members, including the reporting member.
     #[serde(rename = "most")]
     pub max_size: usize,
-    /// Fraction of the other members of its zone that were reached lately.
+    /// Fraction of the other members in the reporting member's zone that were reached recently; 1
+    /// if there are none.
     pub own_zone: f64,
-    /// Fraction of the members of the other zones.
+    /// Fraction of the members in all other zones that were reached recently; 1 if there are none.
     pub other_zones: f64,
-    /// Whether it is isolated or has just resumed, and so suspects nobody.
+    /// Whether the reporting member is isolated or has just resumed from a pause. In that state it
+    /// suspects no other member.
     #[serde(rename = "cut_off")]
     pub is_isolated: bool,
-    /// The factor by which its time-outs grow with its local health.
+    /// Factor that local health applies to the reporting member's time-outs; 1 when healthy.
     #[serde(rename = "slowed")]
     pub health_multiplier: u32,
-    /// Pauses of its process.
+    /// Number of detected pauses of the process.
     #[serde(rename = "stalls")]
     pub process_pauses: u64,
-    /// Records that it knows.
+    /// Number of known records.
     #[serde(rename = "facts")]
     pub records: usize,
-    /// Messages received.
+    /// Number of received messages.
     #[serde(rename = "came")]
     pub messages_received: u64,
-    /// Messages sent.
+    /// Number of sent messages.
     #[serde(rename = "sent")]
     pub messages_sent: u64,
-    /// Their bytes, without authentication.
+    /// Total length of the sent messages in bytes, without authentication.
     #[serde(rename = "bytes")]
     pub bytes_sent: u64,
-    /// What was rejected or not sent.
+    /// Counters of messages that were rejected or not sent.
     #[serde(rename = "counts")]
     pub rejections: RejectionCounters,
-    /// The other members, by name.
+    /// The other members, ordered by name.
     pub members: Vec<MemberReport>,
-    /// The paths from each zone to each.
+    /// Path counts from each zone to each other zone and within zones.
     #[serde(rename = "ways")]
     pub zone_paths: Vec<ZonePathReport>,
 }
 
-/// Seconds from one time to another, in whole milliseconds.
+/// Seconds between two times, truncated to whole milliseconds.
 fn seconds(from: Timestamp, to: Timestamp) -> f64 {
     (to.saturating_sub(from) / 1_000_000) as f64 / 1e3
 }
@@ -262,7 +264,7 @@
 }
 
 impl Report {
-    /// The report of a member whose clock started at 0.
+    /// Creates the report of a member whose clock started at 0.
     pub fn new(node: &Node, rejections: RejectionCounters, now: Timestamp) -> Self {
         let (size, confidence, counters) =
             (node.fleet_size(), node.confidence(now), node.counters());
--- a/crates/membership-net/src/service.rs
+++ b/crates/membership-net/src/service.rs
@@ -1,4 +1,4 @@
-//! The handle of a member that runs on a thread of its own.
+//! Handle of a member that runs on its own thread.
 
 use crate::config::{ConfigError, MembershipConfig};
 use crate::driver;
@@ -18,42 +18,42 @@
 };
 use woadstall_message_auth::MessageAuthenticator;
 
-/// How long a member may take to leave.
+/// Maximum time that a graceful leave may take.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The name of the member's thread, by which its processor time is measured from outside.
+/// Name of the member's thread, by which external tools measure its processor time.
 const THREAD_NAME: &str = "instances";
 
-/// Why a member cannot be started.
+/// The reason why a member cannot be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The configuration or one of its files is at fault.
+    /// The configuration or one of its files is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A setting is at fault.
+    /// A protocol setting is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The address cannot be bound.
+    /// The listen address cannot be bound.
     #[error("`listen` {address}: {source}")]
     Bind {
-        /// The address.
+        /// Configured listen address.
         address: SocketAddr,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The system gives no random numbers.
-    #[error("no random numbers: {0}")]
+    /// The operating system provides no random numbers.
+    #[error("cannot obtain random numbers: {0}")]
     Random(#[source] getrandom::Error),
-    /// The thread's runtime cannot be built.
+    /// The asynchronous runtime of the thread cannot be built.
     #[error("cannot start the runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The thread cannot be spawned.
-    #[error("cannot start a thread: {0}")]
+    #[error("cannot spawn the membership thread: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// A member that runs on a thread of its own. When the last handle is dropped, it stops without a
-/// message.
+/// A handle of a member that runs on its own thread. When the last handle is dropped, the member
+/// stops without announcing its leave.
 #[derive(Clone)]
 pub struct Membership {
     shared: Arc<Shared>,
@@ -61,7 +61,7 @@
     _stop_on_drop: Arc<StopOnDrop>,
 }
 
-/// Stops the thread with the last handle.
+/// Stops the member's thread on drop of the last handle.
 struct StopOnDrop(Arc<Shared>);
 
 impl Drop for StopOnDrop {
@@ -71,12 +71,12 @@
 }
 
 impl Membership {
-    /// Starts a member. That another process has the address is no error: at an upgrade it is the
-    /// predecessor's for a while.
+    /// Starts a member. An address in use by another process is not an error: during an upgrade the
+    /// predecessor holds the address for a while.
     ///
     /// # Errors
     ///
-    /// [`StartError`], in one line that names the field at fault.
+    /// [`StartError`] with a single-line message that names the invalid field.
     pub fn start(config: MembershipConfig, log: LogSink) -> Result<Self, StartError> {
         config.check()?;
         let (keys, seeds) = (config.load_keys()?, config.load_seeds()?);
@@ -97,21 +97,21 @@
         })
     }
 
-    /// The address at which others reach it.
+    /// Address at which other members reach the local member.
     pub fn address(&self) -> SocketAddr {
         self.shared.endpoint().node.local().address
     }
 
-    /// Whether it has its address, and no other process does.
+    /// Whether the member has bound its address.
     pub fn is_bound(&self) -> bool {
         self.shared.is_bound()
     }
 
-    /// Reads the files of keys and seeds again.
+    /// Reloads the key file and the seeds file.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`], in one line; nothing has changed then.
+    /// [`ConfigError`] with a single-line message. The former keys and seeds then stay in effect.
     pub fn reload(&self) -> Result<(), ConfigError> {
         let (keys, seeds) = (self.config.load_keys()?, self.config.load_seeds()?);
         let mut endpoint = self.shared.endpoint();
@@ -122,17 +122,18 @@
         Ok(())
     }
 
-    /// The thread that serves requests makes progress. After the first heartbeat, the member stops
-    /// answering where none comes for a second: a process that hangs is not healthy.
+    /// Reports progress of the thread that serves requests. After the first heartbeat, the member
+    /// stops answering messages if no heartbeat arrives for a second, so that a hung process is not
+    /// reported as healthy.
     pub fn heartbeat(&self) {
         self.shared.heartbeat();
     }
 
-    /// Publishes a record to all members, in place of the one under its key.
+    /// Publishes a record to all members, replacing the local member's record under the same key.
     ///
     /// # Errors
     ///
-    /// [`PublishError`] where the value is too long or there are too many records.
+    /// [`PublishError`] if the value is too long or the local member has too many records.
     pub fn publish(&self, key: Name, priority: u8, value: Vec<u8>) -> Result<(), PublishError> {
         let now = self.shared.now();
         let mut endpoint = self.shared.endpoint();
@@ -142,14 +143,14 @@
         Ok(())
     }
 
-    /// Reads the node at the time of its clock. The member is locked meanwhile, so `read` must not
-    /// block.
+    /// Calls `read` with the node and the current time. The member is locked during the call, so
+    /// `read` must not block.
     pub fn with_node<T>(&self, read: impl FnOnce(&Node, Timestamp) -> T) -> T {
         read(&self.shared.endpoint().node, self.shared.now())
     }
 
-    /// Changes the node at the time of its clock, and sends what comes of it. The member is locked
-    /// meanwhile, so `change` must not block.
+    /// Calls `change` with the node and the current time, and sends resulting messages. The member
+    /// is locked during the call, so `change` must not block.
     pub fn with_node_mut<T>(&self, change: impl FnOnce(&mut Node, Timestamp) -> T) -> T {
         let (now, mut endpoint) = (self.shared.now(), self.shared.endpoint());
         let result = change(&mut endpoint.node, now);
@@ -158,13 +159,14 @@
         result
     }
 
-    /// What operators read.
+    /// The current report for operators.
     pub fn report(&self) -> Report {
         let endpoint = self.shared.endpoint();
         Report::new(&endpoint.node, endpoint.rejections, self.shared.now())
     }
 
-    /// Announces that the member leaves, and returns when it has.
+    /// Announces the leave of the member and waits until its thread has ended, at most for a
+    /// second.
     pub async fn leave(&self) {
         self.shared.shut_down(Shutdown::Graceful);
         tokio::time::timeout(LEAVE_TIMEOUT, self.shared.ended())
@@ -173,8 +175,8 @@
     }
 }
 
-/// Binds the address; `None` where another process has it. A port that the system is to choose is
-/// never in use.
+/// Binds the listen address, or returns `None` if another process holds it. A port chosen by the
+/// system is never in use.
 fn bind_unless_in_use(listen: SocketAddr) -> Result<Option<Sockets>, StartError> {
     match Sockets::bind(listen) {
         Err(error) if error.kind() == io::ErrorKind::AddrInUse && listen.port() != 0 => Ok(None),
@@ -185,7 +187,7 @@
     }
 }
 
-/// The local member, in a new generation.
+/// Creates the local member's metadata with a new generation.
 fn local_member(
     config: &MembershipConfig,
     sockets: Option<&Sockets>,
@@ -209,7 +211,7 @@
     getrandom::u64().map_err(StartError::Random)
 }
 
-/// Runs the driver on a thread of its own.
+/// Spawns the member's thread, which runs the driver.
 fn spawn(
     shared: Arc<Shared>,
     sockets: Option<Sockets>,
--- a/crates/membership-net/src/sockets.rs
+++ b/crates/membership-net/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Binding the member's address for datagrams and streams.
+//! Binding of the member's address for datagrams and streams.
 
 use crate::log::LogSink;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -8,30 +8,31 @@
 use tokio::time::sleep;
 use woadstall_socket_options::{set_receive_buffer, set_reuse_address};
 
-/// Bytes of datagrams that the system holds until they are read: whole fleets may answer at once.
+/// Receive buffer size for datagrams in bytes, large enough for simultaneous answers of a whole
+/// fleet.
 const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
-/// Streams that the system holds until they are accepted.
+/// Backlog of streams that the system holds until they are accepted.
 const BACKLOG: i32 = 128;
-/// Where another process has the address, as a predecessor at an upgrade does, it is tried again
-/// after this.
+/// Interval between attempts to bind an address that another process holds, as a predecessor does
+/// during an upgrade.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The sockets of a member, on one port.
+/// The sockets of a member, which share one port.
 pub struct Sockets {
-    /// For datagrams.
+    /// Socket for datagrams.
     pub datagrams: UdpSocket,
-    /// For streams.
+    /// Listener for streams.
     pub streams: TcpListener,
-    /// The address that both are bound to.
+    /// Address to which both sockets are bound.
     pub address: SocketAddr,
 }
 
 impl Sockets {
-    /// Binds both sockets.
+    /// Binds both sockets to the same address.
     ///
     /// # Errors
     ///
-    /// Where the system refuses, for one that another process has the address.
+    /// Returns the error of the operating system, for example if another process holds the address.
     pub fn bind(listen: SocketAddr) -> io::Result<Self> {
         let domain = Domain::for_address(listen);
         let streams = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
@@ -52,7 +53,7 @@
         })
     }
 
-    /// Binds both sockets once the other process that has the address has ended.
+    /// Binds both sockets once the process that holds the address has ended.
     pub async fn bind_when_free(listen: SocketAddr, log: &LogSink) -> Self {
         let mut is_logged = false;
         loop {
--- a/crates/membership-net/src/streams.rs
+++ b/crates/membership-net/src/streams.rs
@@ -1,5 +1,6 @@
-//! Messages that are too long for a datagram or have to arrive, and connection checks. A stream
-//! carries frames one way, each behind its length in four bytes in network order.
+//! Streams for messages that exceed a datagram or need reliable delivery, and connection checks. A
+//! stream carries frames in one direction; each frame follows its length in four bytes in network
+//! byte order.
 
 use crate::shared::Shared;
 use std::io;
@@ -14,38 +15,38 @@
 use woadstall_membership::message::MAX_MESSAGE_BYTES;
 use woadstall_message_auth::OVERHEAD_BYTES;
 
-/// How long a stream may last.
+/// Maximum duration of a stream.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(3);
-/// Outgoing streams at once.
+/// Maximum number of simultaneous outgoing streams.
 const MAX_OUTGOING: usize = 8;
-/// Outgoing streams that wait.
+/// Maximum number of queued outgoing streams.
 pub const OUTGOING_QUEUE: usize = 128;
-/// Incoming streams at once. Further ones are rejected: their senders try again with the next
-/// anti-entropy.
+/// Maximum number of simultaneous incoming streams. Further streams are rejected; their senders
+/// retry with the next anti-entropy exchange.
 const MAX_INCOMING: usize = 16;
-/// Frames on one stream.
+/// Maximum number of frames per stream.
 const MAX_FRAMES: usize = 16;
-/// Wait after a stream could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a stream is opened for.
+/// A frame to send on a new stream, or a connection check.
 pub struct OutgoingStream {
-    /// The receiver's address.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The frame to send; empty for a connection check.
+    /// Frame to send; empty for a connection check.
     pub frame: Vec<u8>,
 }
 
 impl OutgoingStream {
-    /// Only finds whether a process listens.
+    /// Creates a connection check, which only determines whether a process listens at the address.
     pub fn connection_check(to: SocketAddr) -> Self {
         let frame = Vec::new();
         Self { to, frame }
     }
 }
 
-/// Opens streams for as long as there may be some, all from the address at which the member
-/// listens.
+/// Opens the queued streams until the queue is closed. All streams originate from the address at
+/// which the member listens.
 pub async fn send_streams(
     shared: Arc<Shared>,
     mut queue: mpsc::Receiver<OutgoingStream>,
@@ -60,7 +61,7 @@
         let shared = shared.clone();
         streams.spawn(async move {
             let _permit = permit;
-            // The host itself answers that no process listens.
+            // A refused connection is the host's own answer that no process listens.
             if let Ok(Err(error)) = timeout(STREAM_TIMEOUT, send_stream(&stream, local)).await
                 && error.kind() == io::ErrorKind::ConnectionRefused
             {
@@ -87,11 +88,12 @@
     connection.write_all(&length.to_be_bytes()).await?;
     connection.write_all(&stream.frame).await?;
     connection.shutdown().await?;
-    // The receiver closes once it has read all; a reset would lose what is in flight.
+    // The receiver closes the stream after it has read all frames. A reset by the sender before
+    // that would lose data in flight.
     connection.read(&mut [0]).await.map(|_| ())
 }
 
-/// Accepts streams for as long as the member runs.
+/// Accepts streams until the task is aborted.
 pub async fn accept_streams(shared: Arc<Shared>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_INCOMING));
     let mut streams = JoinSet::new();
@@ -124,7 +126,7 @@
             shared.endpoint().rejections.malformed += 1;
             return Ok(());
         }
-        // Only what has come takes memory, whatever the length says.
+        // Memory is allocated only for received bytes, whatever the announced length.
         let mut frame = Vec::new();
         (&mut stream)
             .take(length as u64)
--- a/crates/membership-net/tests/golden.rs
+++ b/crates/membership-net/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What goes over sockets, byte for byte: datagrams and streams of a member without a key, and what operators read where
-//! a member cannot be started.
+//! Golden tests of the bytes on sockets, with datagrams and streams of a member without a key, and
+//! of the messages that operators read if a member cannot be started.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -40,7 +40,7 @@
     Membership::start(config, Arc::new(|line| eprintln!("{line}"))).unwrap()
 }
 
-/// A peer that speaks the protocol, at an address of its own.
+/// A peer that speaks the protocol at its own address.
 struct Peer {
     datagrams: UdpSocket,
     streams: TcpListener,
@@ -86,7 +86,8 @@
     }
 }
 
-/// A datagram is a message and nothing else: a ping is answered by an acknowledgement of its number.
+/// A datagram holds exactly one message: a ping is answered by an acknowledgement with the ping's
+/// sequence number.
 #[test]
 fn datagrams_hold_one_message() {
     let (peer, member) = (Peer::new(), start(config()));
@@ -126,7 +127,8 @@
     );
 }
 
-/// A stream holds messages, each behind its length in four bytes in network order, and ends after the last.
+/// A stream holds messages, each preceded by its length in four bytes in network byte order, and
+/// ends after the last message.
 #[test]
 fn outgoing_streams_hold_lengths_and_messages() {
     let (peer, member) = (Peer::new(), start(config()));
@@ -137,7 +139,7 @@
         let (mut stream, _) = peer.streams.accept().unwrap();
         let mut all = Vec::new();
         stream.read_to_end(&mut all).unwrap();
-        // One that carries nothing is a connection check.
+        // A stream without data is a connection check.
         if !all.is_empty() {
             break all;
         }
@@ -155,7 +157,7 @@
     assert_eq!(message.updates.len(), 2);
 }
 
-/// Two messages on one stream are both read.
+/// Two messages on one stream are both received.
 #[test]
 fn incoming_streams_hold_lengths_and_messages() {
     let (peer, member) = (Peer::new(), start(config()));
@@ -180,7 +182,7 @@
     assert_eq!(member.report().rejections.malformed, 0);
 }
 
-/// The messages that name a field at fault are what operators read.
+/// Operators read the messages about invalid fields, so the messages must not change.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn invalid_configs() {
--- a/crates/membership-net/tests/sockets.rs
+++ b/crates/membership-net/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! Members on loopback sockets, in one process: what only sockets show. Many processes are the cluster test's.
+//! Members on loopback sockets in a single process, for behaviour that only shows on sockets. The
+//! cluster test covers multiple processes.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -43,7 +44,7 @@
     }
 }
 
-/// The state of a member, as another one reports it.
+/// State of a member as reported by another member.
 fn state(by: &Membership, name: &str) -> Option<StateReport> {
     let members = by.report().members;
     let member = members.into_iter().find(|member| member.name == name);
@@ -64,8 +65,9 @@
     path
 }
 
-/// Members discover each other and a record reaches all; one whose sockets close without a message is dead, as its host
-/// refuses connections; one that announces its leave has left.
+/// Members discover each other, and a record reaches all of them. A member whose sockets close
+/// without a message is declared dead, since its host refuses connections. A member that announces
+/// its leave is reported as left.
 #[test]
 fn members_join_publish_die_and_leave() {
     let folder = tempfile::tempdir().unwrap();
@@ -104,7 +106,8 @@
     }
 }
 
-/// Garbage, forged and replayed messages add no member and remove none, and what they cost is bounded.
+/// Garbage, forged and replayed messages neither add nor remove a member, and the cost of
+/// processing them is bounded.
 #[test]
 fn floods_of_forged_messages_are_survived() {
     let folder = tempfile::tempdir().unwrap();
@@ -135,7 +138,8 @@
     assert_eq!((state(&one, "b-9"), state(&stranger, "b-0")), (None, None));
 }
 
-/// A key is changed on one member after another while all go on: added, moved up, the old one removed.
+/// The shared key is rotated on one member after another while all members keep running: the new
+/// key is added, moved to the first place, and the old key is removed.
 #[test]
 fn keys_change_while_members_run() {
     let folders: Vec<TempDir> = (0..3).map(|_| tempfile::tempdir().unwrap()).collect();
@@ -179,7 +183,7 @@
     assert!(size(&all[0]) == 3);
 }
 
-/// A log sink, and the lines that it was given.
+/// A log sink and the lines that it received.
 fn recording_log() -> (LogSink, Arc<Mutex<Vec<String>>>) {
     let lines = Arc::new(Mutex::new(Vec::new()));
     let recorded = lines.clone();
@@ -187,7 +191,8 @@
     (log, lines)
 }
 
-/// A successor waits for the address, and a member of a process that hangs is no longer found alive.
+/// A successor process waits for the address of its predecessor, and a member whose process hangs
+/// is no longer reported as alive.
 #[test]
 fn a_successor_waits_and_a_hung_process_is_suspected() {
     let folder = tempfile::tempdir().unwrap();
@@ -196,7 +201,7 @@
     let before = start(config("b-0", &key, &[]));
     let other = start(config("b-1", &key, &[before.address()]));
     wait_until("the predecessor is alive", || is_alive(&other, "b-0"));
-    // Generations are ordered by the millisecond in which they start.
+    // Generations are ordered by their start time in milliseconds.
     let started = other.report().members[0].started_ms;
     let now_ms = || {
         SystemTime::now()
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time, with faults of each ordered pair of members.
+//! A fleet in simulated time, with faults for each ordered pair of members.
 
 #![allow(dead_code, reason = "each test program uses some of it")]
 
@@ -14,12 +14,12 @@
 pub const SECOND: u64 = 1_000 * MS;
 const ZONES: [&str; 3] = ["norte", "centro", "sur"];
 const FIRST_PORT: u16 = 10_000;
-/// Time that a stream takes to send again what was lost.
+/// Delay of a stream until lost data is retransmitted.
 const RETRANSMISSION: u64 = 200 * MS;
-/// Datagrams that a paused process's socket holds.
+/// Number of datagrams that the socket of a paused process holds.
 const SOCKET_BUFFER: usize = 2_000;
 
-/// One direction between two members.
+/// One direction between two members. All times are in nanoseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
     pub is_partitioned: bool,
@@ -27,9 +27,9 @@
     pub loss: f64,
     /// Probability that a datagram is delivered twice.
     pub duplication: f64,
-    /// Nanoseconds of the shortest delivery.
+    /// Minimum delivery time in nanoseconds.
     pub delay: u64,
-    /// Nanoseconds that a delivery may take beyond that.
+    /// Maximum additional delivery time in nanoseconds.
     pub jitter: u64,
 }
 
@@ -40,15 +40,15 @@
 }
 
 enum Occurrence {
-    /// A deadline of a generation of a member.
+    /// The deadline of a member's generation.
     Deadline { member: usize, generation: u64 },
-    /// A message arrives.
+    /// The arrival of a message.
     Delivery { to: usize, bytes: Vec<u8> },
-    /// A host refuses a connection to a member that is gone.
+    /// A refused connection, sent by the host of a dead member.
     Refusal { of: usize, to: usize },
 }
 
-/// A message, and when and by which member it was sent.
+/// A sent message with its sender and the time of sending.
 pub struct Sent {
     pub at: u64,
     pub from: usize,
@@ -60,18 +60,18 @@
     pub nodes: Vec<Option<Node>>,
     pub names: Vec<Name>,
     pub settings: Settings,
-    /// Whether the hosts of members that are gone refuse connections.
+    /// Whether the hosts of dead members refuse connections.
     pub hosts_refuse: bool,
-    /// When and at which member each event happened.
+    /// Time, observing member and event.
     pub events: Vec<(u64, usize, Event)>,
-    /// All messages sent, where `is_recording`.
+    /// All sent messages if `is_recording`.
     pub sent: Vec<Sent>,
     pub is_recording: bool,
-    /// Bytes of all messages sent.
+    /// Total length of all sent messages in bytes.
     pub bytes: u64,
     default_link: Link,
     links: BTreeMap<(usize, usize), Link>,
-    /// What has come for each paused member.
+    /// Messages queued for each paused member.
     paused: Vec<Option<Vec<Vec<u8>>>>,
     occurrences: BTreeMap<(u64, u64), Occurrence>,
     scheduled: u64,
@@ -102,12 +102,13 @@
 }
 
 impl SimulatedFleet {
-    /// Members in three zones that start with the addresses of two, and have found each other.
+    /// Creates members in three zones that start with the addresses of two seeds and have
+    /// discovered each other.
     pub fn new(members: usize, seed: u64) -> Self {
         Self::in_zones(members, seed, ZONES.len())
     }
 
-    /// The same in a number of zones.
+    /// Creates a fleet like [`Self::new`], in the given number of zones.
     pub fn in_zones(members: usize, seed: u64, zones: usize) -> Self {
         println!("seed {seed}");
         let mut fleet = Self {
@@ -143,7 +144,7 @@
         fleet
     }
 
-    /// A generation of a member starts.
+    /// Starts a generation of a member.
     pub fn start(&mut self, member: usize, started_ms: u64, id: u64) {
         let generation = Generation { started_ms, id };
         let metadata = metadata_in(member, self.names[member].clone(), generation, self.zones);
@@ -163,7 +164,7 @@
         self.paused[member] = Some(Vec::new());
     }
 
-    /// A paused member goes on with all that has come meanwhile.
+    /// Resumes a paused member, which first processes all queued messages.
     pub fn resume(&mut self, member: usize) {
         for bytes in self.paused[member].take().into_iter().flatten() {
             self.deliver(member, &bytes);
@@ -192,12 +193,12 @@
         self.links.clear();
     }
 
-    /// A member that runs.
+    /// The node of a running member.
     pub fn node(&self, member: usize) -> &Node {
         self.nodes[member].as_ref().unwrap()
     }
 
-    /// A member that runs; its messages are sent with [`flush`](Self::flush).
+    /// The node of a running member. Its messages are sent by [`flush`](Self::flush).
     pub fn node_mut(&mut self, member: usize) -> &mut Node {
         self.nodes[member].as_mut().unwrap()
     }
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Sends what a member has to send, and schedules its next deadline.
+    /// Sends a member's outgoing messages and schedules its next deadline.
     pub fn flush(&mut self, member: usize) {
         let Some(mut node) = self.nodes[member].take() else {
             return;
@@ -249,12 +250,13 @@
         assert!(message.reliable || bytes <= max_bytes, "{bytes}");
         let to = usize::from(message.to.port() - FIRST_PORT);
         let (link, back) = (self.link_state(from, to), self.link_state(to, from));
-        // All draws are made, so that one fault does not change what another hits.
+        // All random draws are made for every message, so that one fault does not change which
+        // messages other faults affect.
         let is_lost = self.rng.random::<f64>() < link.loss;
         let is_duplicated = self.rng.random::<f64>() < link.duplication;
         let first = link.draw_delay(&mut self.rng);
         let second = link.draw_delay(&mut self.rng);
-        // A stream needs both directions, and sends again what is lost.
+        // A stream needs both directions and retransmits lost data.
         let is_partitioned = link.is_partitioned || message.reliable && back.is_partitioned;
         if is_partitioned || is_lost && !message.reliable {
             return;
@@ -277,7 +279,7 @@
         self.schedule(self.now + first, Occurrence::Delivery { to, bytes });
     }
 
-    /// Lets time pass.
+    /// Simulates the given time in nanoseconds.
     pub fn run(&mut self, time: u64) {
         let until = self.now + time;
         while let Some(entry) = self.occurrences.first_entry() {
@@ -321,17 +323,17 @@
         self.nodes[by].as_ref()?.verdict(&self.names[of], self.now)
     }
 
-    /// The direction from one member to another, as the first observes it.
+    /// State of the direction between two members as observed by the sender.
     pub fn outbound(&self, from: usize, to: usize) -> PathState {
         self.node(from).path_states(&self.names[to], self.now).0
     }
 
-    /// The direction from one member to another, as the second observes it.
+    /// State of the direction between two members as observed by the receiver.
     pub fn inbound(&self, from: usize, to: usize) -> PathState {
         self.node(to).path_states(&self.names[from], self.now).1
     }
 
-    /// Whether all members that run find all of `members` alive.
+    /// Whether every running member finds all of `members` alive.
     pub fn all_alive(&self, members: impl Iterator<Item = usize> + Clone) -> bool {
         let is_alive =
             |verdict| matches!(verdict, Some(Verdict::Alive | Verdict::Partitioned { .. }));
@@ -342,7 +344,7 @@
         })
     }
 
-    /// The members that any has declared dead since the last call.
+    /// Names of the members declared dead by any member since the last call.
     pub fn take_deaths(&mut self) -> Vec<Name> {
         let events = self.events.drain(..);
         let deaths = events.filter_map(|(_, _, event)| match event {
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets in simulated time, and the faults between their members.
+//! Fleets in simulated time with faults between their members.
 
 mod common;
 
@@ -7,7 +7,8 @@
 
 const NONE: [woadstall_membership::Name; 0] = [];
 
-/// Thirty members that know two seeds discover each other; one that leaves is `Left` for all, and not dead.
+/// Thirty members that know two seeds discover each other. A member that announces its leave is
+/// `Left` for all other members and never dead.
 #[test]
 fn members_discover_each_other_and_leaving_is_no_death() {
     let mut fleet = SimulatedFleet::new(30, 1);
@@ -32,7 +33,8 @@
     assert_eq!(fleet.take_deaths(), NONE);
 }
 
-/// Up to half of all messages are lost, one in five is duplicated, delays reach a quarter of the probe time-out.
+/// No member dies when up to half of all messages are lost, one message in five is duplicated and
+/// delays reach a quarter of the probe time-out.
 #[test]
 fn message_loss_causes_no_death() {
     for (seed, loss) in [(1, 0.1), (2, 0.3), (3, 0.5)] {
@@ -55,8 +57,8 @@
     }
 }
 
-/// A process that is gone is dead for all within three seconds where its host refuses connections, and once its
-/// suspicion expires where it does not.
+/// All members detect the death of a process: within three seconds if its host refuses connections,
+/// otherwise after the suspicion has expired.
 #[test]
 fn deaths_are_detected_in_time() {
     for (seed, hosts_refuse, within) in [(1, true, 3 * SECOND), (2, false, 30 * SECOND)] {
@@ -72,8 +74,9 @@
     }
 }
 
-/// Five of nine die at once, and their hosts refuse connections only where one is tried, as on sockets. Probes one by one
-/// take rounds, so a member that finds one death tries connections to the others: all are known within three and a half seconds.
+/// Five of nine members die at once, and their hosts refuse only connections that members attempt,
+/// as on sockets. Probes alone would take several rounds, so a member that detects one death checks
+/// connections to the other members. All deaths are known within three and a half seconds.
 #[test]
 fn simultaneous_deaths_are_detected_soon() {
     for seed in 1..41 {
@@ -105,8 +108,9 @@
     }
 }
 
-/// One, a third and all but one of the members are paused, for less and for more than a suspicion lasts: those that resume
-/// suspect nobody to death, and are alive for all within three seconds.
+/// One member, a third of the members or all but one are paused, for less or for more than a
+/// suspicion lasts. Resumed members declare no member dead and are alive for all members within
+/// three seconds.
 #[test]
 fn paused_members_cause_no_death() {
     for (seed, time, who) in [
@@ -134,7 +138,8 @@
     }
 }
 
-/// A member that is paused alone for half a minute is dead for all others, refutes that once, and is alive.
+/// A single member that is paused for half a minute is declared dead by all others, refutes its
+/// death once and is alive again.
 #[test]
 fn a_long_pause_is_a_death_that_is_refuted() {
     let mut fleet = SimulatedFleet::new(36, 9);
@@ -148,8 +153,8 @@
     assert_eq!(fleet.node(3).counters().process_pauses, 1);
 }
 
-/// One direction is partitioned between two members, between one and half of the others, and between two zones: both
-/// sides observe it, and nobody stays suspected.
+/// One direction is partitioned between two members, between one member and half of the others, or
+/// between two zones. Both sides observe the partition, and no member stays suspected.
 #[test]
 fn one_way_partitions_are_observed_and_cause_no_death() {
     let zone = |of: usize| of % 3;
@@ -200,8 +205,8 @@
     }
 }
 
-/// Two halves for a minute: nobody is declared dead across the partition, as too many vanished at once, and all are alive
-/// for each other after it.
+/// A fleet is split into two halves for a minute. No member is declared dead across the partition,
+/// since too many members vanish at once, and all members are alive for each other afterwards.
 #[test]
 fn a_split_fleet_heals_without_deaths() {
     let mut fleet = SimulatedFleet::new(36, 4);
@@ -223,8 +228,9 @@
     assert!(fleet.all_alive(0..36));
 }
 
-/// One of the only two zones receives nothing from the other, and no third reaches both. Nobody is declared dead, and
-/// those that receive messages observe the partition.
+/// In a fleet of two zones, one zone receives nothing from the other, and no member of a third zone
+/// reaches both. No member is declared dead, and the members of the sending zone observe the
+/// partition.
 #[test]
 fn a_partition_between_the_only_two_zones_causes_no_death() {
     for seed in 11..15 {
@@ -254,7 +260,8 @@
     }
 }
 
-/// Two halves that only one member reaches: nobody is declared dead, and records of one half reach the other.
+/// A single member reaches both halves of a split fleet. No member is declared dead, and records of
+/// one half reach the other half.
 #[test]
 fn one_member_bridges_two_halves() {
     for seed in 12..20 {
@@ -281,7 +288,7 @@
                 .count()
         };
         fleet.run(SECOND);
-        // All beyond it or almost; the last ones when they compare what they hold.
+        // Almost all members receive the record by gossip, the remaining ones by anti-entropy.
         assert!(know(&fleet) >= 20, "{} of 25", know(&fleet));
         fleet.run(19 * SECOND);
         assert_eq!(know(&fleet), 25);
@@ -291,8 +298,8 @@
     }
 }
 
-/// A member that stops and starts every two seconds, for a minute: nobody else is declared dead, the traffic is bounded,
-/// and it is alive for all once it stays.
+/// A member stops and starts every two seconds for a minute. No other member is declared dead, the
+/// traffic is bounded, and the flapping member is alive for all once it keeps running.
 #[test]
 fn a_flapping_member_costs_bounded_traffic() {
     let mut fleet = SimulatedFleet::new(24, 13);
@@ -313,7 +320,8 @@
     assert!(fleet.all_alive(0..24));
 }
 
-/// A member that reaches nobody, or that nobody reaches, finds that it is isolated and declares nobody dead.
+/// A member that reaches no other member, or that no other member reaches, detects its isolation
+/// and declares no member dead.
 #[test]
 fn an_isolated_member_declares_nobody_dead() {
     for there in [true, false] {
@@ -337,7 +345,8 @@
     }
 }
 
-/// 25 of 36 die at once, and the same names are back two seconds later in new generations.
+/// 25 of 36 members die at once and restart under the same names in new generations two seconds
+/// later.
 #[test]
 fn restarted_members_are_new_generations() {
     let mut fleet = SimulatedFleet::new(36, 8);
@@ -362,8 +371,8 @@
     );
 }
 
-/// A clock that was set back does not hide a new generation behind a former one; two processes that use one name at
-/// once both report a conflict.
+/// A new generation is recognized although the clock was set back before its start. Two processes
+/// that use one name at the same time both report a conflict.
 #[test]
 fn generations_and_conflicting_names_are_distinguished() {
     let mut fleet = SimulatedFleet::new(12, 3);
@@ -377,7 +386,7 @@
         .observations(fleet.now)
         .find(|observation| observation.metadata.name == fleet.names[4]);
     assert_eq!(observation.unwrap().metadata.generation.id, 77);
-    // The last takes the name of the first.
+    // The last member takes the name of another running member.
     fleet.names[11] = fleet.names[2].clone();
     fleet.start(11, 9_000_000, 99);
     fleet.events.clear();
@@ -396,7 +405,8 @@
     );
 }
 
-/// A record reaches all within a second, a later version replaces it everywhere, and none outlives its owner for long.
+/// A record reaches all members within a second, a later version replaces it everywhere, and no
+/// record outlives its owner for long.
 #[test]
 fn records_reach_all_and_expire_with_their_owner() {
     let mut fleet = SimulatedFleet::new(60, 5);
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,7 +1,9 @@
-//! The encoding of each message, and what small fleets send and conclude with fixed seeds: both must not change, so that
-//! members of different versions understand each other.
+//! Golden tests of the encoding of each message, and of the messages and conclusions of small
+//! fleets with fixed random seeds. Neither may change, so that members of different versions
+//! interoperate.
 //!
-//! Each file of `tests/golden/` holds one form as it was first released, in hexadecimal digits or as text.
+//! Each file of `tests/golden/` holds one encoding as first released, in hexadecimal digits or as
+//! text.
 
 mod common;
 
@@ -75,7 +77,7 @@
     }
 }
 
-/// A message from the first to the second, without updates.
+/// A message from the first to the second member, without updates.
 fn message_with(body: Body) -> Message {
     let to = Some((second().name, second().generation));
     Message {
@@ -88,7 +90,8 @@
     }
 }
 
-/// The message is encoded as it was, and what it was is decoded as the same message.
+/// Checks that the message encodes to the golden bytes, and that the golden bytes decode to the
+/// same message.
 fn assert_golden_message(form: &str, message: &Message) {
     assert_golden(form, &message.encode());
     assert_eq!(
@@ -194,7 +197,7 @@
     }
 }
 
-/// Each state of a member, with and without the member that found it, and records.
+/// Each member state with and without a reporting member, and records.
 #[test]
 fn updates_and_records() {
     let updates = vec![
@@ -259,7 +262,7 @@
     assert_eq!(form.to_string(), "not a message");
 }
 
-/// The messages that name a setting at fault are what operators read.
+/// Operators read the messages about invalid settings, so the messages must not change.
 #[test]
 fn invalid_settings() {
     let default_link = Settings::default;
@@ -312,7 +315,7 @@
     assert_golden_text("settings-at-fault.txt", &lines);
 }
 
-/// A member with a partition to two others publishes a record of those bytes.
+/// A member with a partition to two other members publishes a record of the golden bytes.
 #[test]
 fn published_partitions() {
     let mut fleet = SimulatedFleet::new(9, 21);
@@ -325,7 +328,8 @@
     assert_golden("cuts-told.hex", &record.value);
 }
 
-/// Those bytes from another member are read as the partitions between its zone and the one that it names.
+/// A record of the golden bytes from another member yields the partitions between the owner's zone
+/// and the zone in the record.
 #[test]
 fn received_partitions() {
     let me = member(9, None, "127.0.0.1:9");
@@ -368,7 +372,7 @@
     );
 }
 
-/// A hash of all that happens in a fleet, as numbers and names.
+/// A hash of all events, messages and conclusions in a fleet, fed with numbers and names.
 #[derive(Default)]
 struct Digest(SipHasher13);
 
@@ -470,7 +474,7 @@
         }
     }
 
-    /// What a member concludes about all others, itself and the zones.
+    /// Adds a member's conclusions about other members, itself and the zones.
     fn verdicts(&mut self, node: &Node, now: u64) {
         self.metadata(node.local());
         for observation in node.observations(now) {
@@ -526,7 +530,8 @@
 }
 
 impl Digest {
-    /// What was sent since the last time, what changed, and what all conclude.
+    /// Adds the messages and events since the last call, and the current conclusions of all
+    /// members.
     fn fleet(&mut self, fleet: &mut SimulatedFleet) {
         for sent in fleet.sent.drain(..) {
             self.number(sent.at);
@@ -546,7 +551,8 @@
     }
 }
 
-/// Records, a death, a pause, restarts, a one-way partition, halves, a name that is used twice, a leave.
+/// Runs a fleet through records, deaths, a pause, restarts, a one-way partition, a split into
+/// halves, a duplicate name and a leave.
 fn run_faults(fleet: &mut SimulatedFleet, digest: &mut Digest) {
     for number in 0..5_u8 {
         let now = fleet.now;
@@ -591,7 +597,7 @@
     digest.fleet(fleet);
 }
 
-/// The digest of a fleet of twelve with message loss and faults, and the bytes that it sent.
+/// Digest of a fleet of twelve members with message loss and faults, and the number of bytes sent.
 fn fleet_digest(zones: usize, plain_swim: bool) -> String {
     let mut digest = Digest::default();
     let mut fleet = SimulatedFleet::in_zones(12, 77, zones);
@@ -614,7 +620,7 @@
     format!("{:016x}{:016x} {} bytes", hash.h1, hash.h2, fleet.bytes)
 }
 
-/// All bytes that are sent and all that is concluded stay the same, in two zones and three, and with plain SWIM.
+/// Sent bytes and conclusions stay the same in two and three zones, and with plain SWIM.
 #[test]
 fn small_fleets_send_and_conclude_the_same() {
     let fleets = [(2, false), (3, false), (3, true)];
--- a/crates/membership/tests/long.rs
+++ b/crates/membership/tests/long.rs
@@ -1,5 +1,6 @@
-//! Hours in simulated time: `cargo test --release -p woadstall-membership --test long -- --ignored --nocapture`.
-//! `MEMBERS`, `MINUTES` and `SEED` say how many, how long and which; `ASLEEP=30` that one in 30 is paused at any time, 0 none.
+//! Hours in simulated time: `cargo test --release -p woadstall-membership --test long -- --ignored
+//! --nocapture`. The environment variables `MEMBERS`, `MINUTES` and `SEED` set the fleet size, the
+//! duration and the random seed. `ASLEEP=30` pauses one member in 30 at any time; 0 pauses none.
 
 mod common;
 
@@ -8,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use woadstall_membership::{Event, Name, Verdict};
 
-/// Steps of a tenth of a second a minute.
+/// Number of steps per simulated minute; a step takes a tenth of a second.
 const STEPS: usize = 600;
 
 fn number(variable: &str, default: u64) -> u64 {
@@ -16,19 +17,19 @@
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// A fleet of which members are paused at random, and one a minute is killed.
+/// A fleet whose members are paused at random, with one member killed per minute.
 struct Soak {
     fleet: SimulatedFleet,
     members: usize,
-    /// One member in this many is paused at any time; 0 for none.
+    /// One member in this many is paused at any time; 0 pauses none.
     paused_one_in: u64,
     rng: ChaCha8Rng,
-    /// Paused members, and when each resumes.
+    /// Time of resumption and index of each paused member.
     paused: Vec<(u64, usize)>,
     pauses: u64,
     suspicions: u64,
     false_deaths: u64,
-    /// Seconds until all that ran knew of each death.
+    /// Seconds until all running members knew of each death.
     detection: Vec<f64>,
     former_victim: Option<Name>,
 }
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A minute in which one member is killed after 20 seconds and restarted at the end.
+    /// Simulates a minute in which one member is killed after 20 seconds and restarted at the end.
     fn run_minute(&mut self, minute: u64) {
         let victim = self.rng.random_range(2..self.members);
         let dies_at = self.fleet.now + 20 * SECOND;
@@ -114,7 +115,8 @@
 
     fn count_events(&mut self, victim: usize) {
         let victim = self.fleet.names[victim].clone();
-        // A member that was paused at the end of the minute before may learn of that death only now.
+        // A member that was paused at the end of the previous minute may learn of that minute's
+        // death only now.
         let former = self.former_victim.replace(victim.clone());
         for (at, member, event) in self.fleet.events.drain(..) {
             match event {
@@ -131,8 +133,9 @@
     }
 }
 
-/// A tenth of all messages lost, and one member in thirty paused at any time, for up to five seconds; one a minute is
-/// killed and comes back. Tells false deaths, and how long true ones took until all knew.
+/// A tenth of all messages is lost, one member in thirty is paused at any time for up to five
+/// seconds, and one member per minute is killed and restarted. Prints the number of false deaths
+/// and the detection times of true deaths.
 #[test]
 #[ignore = "a measurement"]
 fn hours_of_message_loss_and_pauses() {
@@ -158,7 +161,8 @@
     assert_eq!(false_deaths, 0);
 }
 
-/// Milliseconds until each member has each of 20 records of different owners, 60,000 where it has not in a minute.
+/// Milliseconds until each member has each of 20 records of different owners; 60,000 for a record
+/// that did not arrive within a minute.
 fn record_latencies(fleet: &mut SimulatedFleet, members: usize) -> Vec<u64> {
     let key = common::name("evidence");
     let mut latencies = Vec::new();
@@ -188,7 +192,8 @@
     latencies
 }
 
-/// One member after another publishes a record: how long until all others have it, without losses and with a tenth lost.
+/// Measures the time until a newly published record reaches all members, without message loss and
+/// with a tenth of all messages lost.
 #[test]
 #[ignore = "a measurement"]
 fn records_reach_all_members() {
--- a/crates/message-auth/src/key_ring.rs
+++ b/crates/message-auth/src/key_ring.rs
@@ -1,54 +1,54 @@
-//! The keys that a fleet shares: one that signs, and others that are accepted as well while the key
-//! is being changed.
+//! Keys shared by a fleet: one key that signs, and further keys that are accepted during a key
+//! rotation.
 
 use std::fmt;
 use thiserror::Error;
 
-/// The fewest bytes of a key.
+/// Minimum length of a key in bytes.
 const MIN_KEY_BYTES: usize = 16;
-/// The most keys: the one that signs, the one before it and the one that comes next.
+/// Maximum number of keys: the signing key, its predecessor and its successor.
 const MAX_KEYS: usize = 3;
-/// What begins a remark in a key file.
-const REMARK: char = '#';
+/// Character that begins a comment in a key file.
+const COMMENT_MARKER: char = '#';
 
-/// Keys that are accepted; the first one signs.
+/// Accepted keys, of which the first one signs.
 #[derive(Clone, PartialEq, Eq)]
 pub struct KeyRing(Vec<Vec<u8>>);
 
-/// What is wrong with a key file. The message names the line and nothing of a key.
+/// An invalid key file. The message names the line and reveals no part of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum KeyFileError {
-    /// There is no key in it.
+    /// The file contains no key.
     #[error("key file: no key in it")]
     Empty,
-    /// A line is no key.
+    /// A line is invalid.
     #[error("key file, line {number}: {fault}")]
     Line {
-        /// The line's number, from 1.
+        /// Number of the line, counted from 1.
         number: usize,
-        /// What is wrong with it.
+        /// The error in the line.
         fault: KeyFault,
     },
 }
 
-/// What is wrong with a line of a key file.
+/// An error in a line of a key file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyFault {
-    /// It has other than pairs of hexadecimal digits.
+    /// The line is not made up of pairs of hexadecimal digits.
     #[error("not pairs of hexadecimal digits")]
     NotHexadecimal,
-    /// The key has too few bytes.
+    /// The key is shorter than the minimum length.
     #[error("a key of {0} bytes, fewer than {MIN_KEY_BYTES}")]
     TooShort(usize),
-    /// The key is in the file already.
+    /// The file contains the key twice.
     #[error("a key that stands there twice")]
     Duplicate,
-    /// There are as many keys as may be already.
+    /// The file contains more than the maximum number of keys.
     #[error("more than {MAX_KEYS} keys")]
     TooMany,
 }
 
-/// Nothing of a key may get into logs.
+/// The output contains no part of a key, since it may reach logs.
 impl fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} keys", self.0.len())
@@ -56,16 +56,16 @@
 }
 
 impl KeyRing {
-    /// Parses a key file: a key a line in hexadecimal digits, the first one signs; `#` begins a
-    /// remark.
+    /// Parses a key file with one key per line in hexadecimal digits. The first key signs; `#`
+    /// begins a comment.
     ///
     /// # Errors
     ///
-    /// [`KeyFileError`] for the first line at fault, or where there is no key.
+    /// [`KeyFileError`] for the first invalid line, or if the file contains no key.
     pub fn parse(text: &str) -> Result<Self, KeyFileError> {
         let mut keys: Vec<Vec<u8>> = Vec::new();
         for (index, line) in text.lines().enumerate() {
-            let line = line.split(REMARK).next().unwrap_or_default().trim();
+            let line = line.split(COMMENT_MARKER).next().unwrap_or_default().trim();
             if line.is_empty() {
                 continue;
             }
@@ -79,18 +79,18 @@
         }
     }
 
-    /// The key that signs.
+    /// The key that signs frames.
     pub(crate) fn signing_key(&self) -> &[u8] {
         self.0.first().map_or(&[], Vec::as_slice)
     }
 
-    /// All keys that are accepted.
+    /// All accepted keys, beginning with the signing key.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &[u8]> {
         self.0.iter().map(Vec::as_slice)
     }
 }
 
-/// Parses a key that follows others of the file.
+/// Parses a key and checks it against the preceding keys of the file.
 fn parse_key(line: &str, former: &[Vec<u8>]) -> Result<Vec<u8>, KeyFault> {
     let key = parse_hexadecimal(line).ok_or(KeyFault::NotHexadecimal)?;
     if key.len() < MIN_KEY_BYTES {
--- a/crates/message-auth/src/lib.rs
+++ b/crates/message-auth/src/lib.rs
@@ -1,9 +1,9 @@
-//! Message authentication under a shared key, without input or output: a message is accepted only
-//! from a sender that has the key, and only once.
+//! Message authentication under a shared key, without I/O. A message is accepted only from a sender
+//! that holds the key, and only once.
 //!
-//! A frame is a format byte, the sender's id (8 bytes, drawn when it starts), a sequence number (8
-//! bytes), the message, and the first 16 bytes of an HMAC-SHA-256 (RFC 2104) over all of that, with
-//! numbers in network order. Messages are not encrypted.
+//! A frame consists of a format byte, the sender's id (8 bytes, drawn when the sender starts), a
+//! sequence number (8 bytes), the message, and the first 16 bytes of an HMAC-SHA-256 (RFC 2104)
+//! over all preceding bytes. Numbers are in network byte order. Messages are not encrypted.
 
 mod key_ring;
 mod replay_window;
@@ -15,40 +15,40 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// The format of frames. Frames of any other are rejected.
+/// Format byte of frames. Frames of any other format are rejected.
 const FORMAT: u8 = 1;
-/// Bytes of the sender's id and of the sequence number.
+/// Length of the sender's id and of the sequence number in bytes.
 const NUMBER_BYTES: usize = 8;
-/// Where the sender's id begins in a frame.
+/// Offset of the sender's id in a frame.
 const SENDER_OFFSET: usize = 1;
-/// Where the sequence number begins in a frame.
+/// Offset of the sequence number in a frame.
 const SEQUENCE_OFFSET: usize = SENDER_OFFSET + NUMBER_BYTES;
-/// Where the message begins in a frame.
+/// Offset of the message in a frame.
 const HEADER_BYTES: usize = SEQUENCE_OFFSET + NUMBER_BYTES;
-/// Bytes of the authentication code.
+/// Length of the authentication code in bytes.
 const CODE_BYTES: usize = 16;
 
-/// Bytes that a frame adds to its message.
+/// Number of bytes that a frame adds to its message.
 pub const OVERHEAD_BYTES: usize = HEADER_BYTES + CODE_BYTES;
 
-/// Why a frame is rejected.
+/// The reason why a frame is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VerifyError {
-    /// It has fewer bytes than [`OVERHEAD_BYTES`].
+    /// The frame has fewer bytes than [`OVERHEAD_BYTES`].
     #[error("too short for a seal")]
     TooShort,
-    /// It is in another format.
+    /// The frame has another format.
     #[error("a seal of form {0}, not {FORMAT}")]
     UnsupportedFormat(u8),
-    /// It is authentic under none of the keys.
+    /// The frame is not authentic under any key.
     #[error("under none of the keys in force")]
     UnknownKey,
-    /// It was received before, or is so old that it may have been.
+    /// The frame was received before, or is too old for the replay window.
     #[error("had before, or too old")]
     Replayed,
 }
 
-/// Signs the messages of one sender and verifies those of others.
+/// Signs the messages of one sender and verifies frames of other senders.
 pub struct MessageAuthenticator {
     keys: KeyRing,
     sender: u64,
@@ -57,7 +57,7 @@
 }
 
 impl MessageAuthenticator {
-    /// For a sender with an id that was drawn when it started.
+    /// Creates an authenticator for a sender whose id was drawn at its start.
     pub fn new(keys: KeyRing, sender: u64) -> Self {
         Self {
             keys,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Replaces the keys. What was received under the former ones is still not accepted again.
+    /// Replaces the keys. Frames received under the former keys are still rejected as replays.
     pub fn set_keys(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
-    /// The frame of a message to be sent.
+    /// Wraps a message in a signed frame.
     pub fn sign(&mut self, message: &[u8]) -> Vec<u8> {
         self.last_sequence += 1;
         let mut frame = Vec::with_capacity(message.len() + OVERHEAD_BYTES);
@@ -85,12 +85,11 @@
         frame
     }
 
-    /// The message of a frame that was received.
+    /// Verifies a received frame and returns its message.
     ///
     /// # Errors
     ///
-    /// [`VerifyError`] where the frame is no frame, not authentic, or not received for the first
-    /// time.
+    /// [`VerifyError`] if the frame is malformed, not authentic, or a replay.
     pub fn verify<'a>(&mut self, frame: &'a [u8]) -> Result<&'a [u8], VerifyError> {
         if frame.len() < OVERHEAD_BYTES {
             return Err(VerifyError::TooShort);
@@ -99,7 +98,7 @@
             return Err(VerifyError::UnsupportedFormat(frame[0]));
         }
         let (signed, code) = frame.split_at(frame.len() - CODE_BYTES);
-        // In constant time, and before anything within is looked at.
+        // The code is compared in constant time, and before any signed content is examined.
         let mut keys = self.keys.iter();
         if !keys.any(|key| code_of(key, signed).verify_truncated_left(code).is_ok()) {
             return Err(VerifyError::UnknownKey);
@@ -119,7 +118,7 @@
     bytes.iter().fold(0, append)
 }
 
-/// The authentication code of bytes, to be compared or finished.
+/// Computes the authentication code of `bytes`, ready for verification or finalization.
 fn code_of(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
     let mut code = Hmac::<Sha256>::new_from_slice(key)
         .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
--- a/crates/message-auth/src/replay_window.rs
+++ b/crates/message-auth/src/replay_window.rs
@@ -1,19 +1,21 @@
-//! Replay protection: for each sender a sliding window of the sequence numbers that were received,
-//! as in IPsec (RFC 4303, section 3.4.3).
+//! Replay protection: a sliding window of received sequence numbers for each sender, as in IPsec
+//! (RFC 4303, section 3.4.3).
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Sequence numbers up to the highest that may still come, out of order.
+/// Size of the window: sequence numbers this far behind the highest one may still arrive out of
+/// order.
 const WINDOW_BITS: u64 = 64;
-/// Senders that are remembered. One that was forgotten starts anew, and its old messages would be
-/// accepted once more, so there is capacity for many times the members of a fleet.
+/// Maximum number of remembered senders. A forgotten sender starts with a new window and its old
+/// messages would be accepted once more, so the capacity is many times the number of members of a
+/// fleet.
 const MAX_SENDERS: usize = 16_384;
 
-/// The window of one sender.
+/// Window of a single sender.
 #[derive(Clone, Copy, Debug)]
 struct ReplayWindow {
     highest: u64,
-    /// Bit `n` is set where `highest - n` was received.
+    /// Bit `n` is set if the sequence number `highest - n` was received.
     received: u64,
 }
 
@@ -44,16 +46,17 @@
     }
 }
 
-/// The windows of all senders.
+/// Windows of all senders.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplayWindows {
     windows: BTreeMap<u64, ReplayWindow>,
-    /// Senders in the order in which they were first heard of.
+    /// Senders in the order of their first frame.
     senders: VecDeque<u64>,
 }
 
 impl ReplayWindows {
-    /// Whether a sequence number of a sender comes for the first time; it counts as received then.
+    /// Returns whether the sequence number of a sender is received for the first time, and records
+    /// it as received.
     pub fn accept(&mut self, sender: u64, sequence: u64) -> bool {
         if let Some(window) = self.windows.get_mut(&sender) {
             return window.accept(sequence);
--- a/crates/message-auth/tests/authentication.rs
+++ b/crates/message-auth/tests/authentication.rs
@@ -1,4 +1,4 @@
-//! Which frames are accepted, and which are rejected.
+//! Tests of the acceptance and rejection of frames and key files.
 
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -11,8 +11,9 @@
     MessageAuthenticator::new(KeyRing::parse(keys).unwrap(), sender)
 }
 
-/// A key is changed member by member: first all accept the new one, then all sign with it, then the old one is removed.
-/// At no step is a member rejected; one that was left behind is, with the reason.
+/// During a key rotation, all members first accept the new key, then sign with it, and then drop
+/// the old key. No frame is rejected between members at adjacent steps. A member that was left
+/// behind is rejected with the reason.
 #[test]
 fn keys_change_without_rejections() {
     let steps = [
@@ -53,7 +54,8 @@
 }
 
 proptest! {
-    /// Each message is accepted once, in whatever order it and its duplicates come, unless it is far behind the others.
+    /// Each message is accepted exactly once, whatever the order of arrival of the message and its
+    /// duplicates, unless the message falls behind the replay window.
     #[test]
     fn each_message_is_accepted_once(order in prop::collection::vec(0_usize..200, 1..400)) {
         let (mut sender, mut receiver) = (authenticator(ONE, 7), authenticator(ONE, 8));
@@ -67,7 +69,7 @@
         }
     }
 
-    /// A frame of which any bit was changed, or that was truncated, is rejected, and so are random bytes.
+    /// A frame with any bit changed, a truncated frame and random bytes are rejected.
     #[test]
     fn forged_frames_are_rejected(
         message in prop::collection::vec(any::<u8>(), 0..100),
--- a/crates/message-auth/tests/golden.rs
+++ b/crates/message-auth/tests/golden.rs
@@ -1,6 +1,7 @@
-//! The bytes of frames, and the messages about invalid keys: both must not change.
+//! Golden tests of the bytes of frames and of the messages about invalid keys. Neither may change.
 //!
-//! Each file of `tests/golden/` holds one form as it was first released, in hexadecimal digits or as text.
+//! Each file of `tests/golden/` holds one encoding as first released, in hexadecimal digits or as
+//! text.
 
 use std::path::PathBuf;
 use woadstall_message_auth::{KeyRing, MessageAuthenticator, OVERHEAD_BYTES, VerifyError};
@@ -34,7 +35,8 @@
     MessageAuthenticator::new(KeyRing::parse(keys).unwrap(), sender)
 }
 
-/// The first three frames of a sender: of an empty message, a short one, and one with each byte.
+/// The first three frames of a sender: an empty message, a short message, and a message with each
+/// byte value.
 #[test]
 fn signed_messages() {
     let all: Vec<u8> = (0..=255).collect();
@@ -51,7 +53,7 @@
     assert_eq!(OVERHEAD_BYTES, 33);
 }
 
-/// The first key of a file signs; a frame is accepted where that key is the second one.
+/// The first key of a file signs. A frame is also accepted where the signing key is the second key.
 #[test]
 fn the_first_key_signs() {
     let mut sender = authenticator(&format!("# remark\n{OTHER} # seals\n\n{KEY}\n"), 1);
@@ -63,7 +65,7 @@
     );
 }
 
-/// A key of more bytes than a block of the hash.
+/// A key longer than a block of the hash function.
 #[test]
 fn a_long_key_signs() {
     let long = "5a".repeat(100);
