--- a/crates/membership-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -227,7 +227,7 @@
 }
 
 /// Seconds between two times, truncated to whole milliseconds.
-fn seconds(from: Timestamp, to: Timestamp) -> f64 {
+fn seconds_between(from: Timestamp, to: Timestamp) -> f64 {
     (to.saturating_sub(from) / 1_000_000) as f64 / 1e3
 }
 
@@ -245,8 +245,10 @@
             state: observation.verdict.into(),
             outbound: outbound.into(),
             inbound: inbound.into(),
-            state_age_s: seconds(observation.since, now),
-            last_reached_s: observation.last_reached_at.map(|at| seconds(at, now)),
+            state_age_s: seconds_between(observation.since, now),
+            last_reached_s: observation
+                .last_reached_at
+                .map(|at| seconds_between(at, now)),
             suspected_by: suspected_by.map(ToString::to_string).collect(),
         }
     }
@@ -282,7 +284,7 @@
             zone: local.zone.to_string(),
             address: local.address,
             started_ms: local.generation.started_ms,
-            uptime_s: seconds(0, now),
+            uptime_s: seconds_between(0, now),
             min_size: size.min,
             max_size: size.max,
             own_zone: confidence.own_zone,
--- a/crates/membership/src/gossip_queue.rs
+++ b/crates/membership/src/gossip_queue.rs
@@ -16,7 +16,7 @@
 struct Rank {
     urgency: Reverse<u8>,
     transmissions: u32,
-    enqueued: Reverse<u64>,
+    enqueue_number: Reverse<u64>,
 }
 
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
 pub struct GossipQueue<K, V> {
     items: BTreeMap<Rank, QueuedItem<K, V>>,
     ranks: BTreeMap<K, Rank>,
-    enqueued: u64,
+    enqueued_count: u64,
 }
 
 impl<K, V> Default for GossipQueue<K, V> {
@@ -39,7 +39,7 @@
         Self {
             items: BTreeMap::new(),
             ranks: BTreeMap::new(),
-            enqueued: 0,
+            enqueued_count: 0,
         }
     }
 }
@@ -48,11 +48,11 @@
     /// Enqueues an item with an encoded length of `bytes`, replacing the item under the same key.
     pub fn enqueue(&mut self, key: K, value: V, bytes: usize, urgency: u8) {
         self.remove(&key);
-        self.enqueued += 1;
+        self.enqueued_count += 1;
         let rank = Rank {
             urgency: Reverse(urgency),
             transmissions: 0,
-            enqueued: Reverse(self.enqueued),
+            enqueue_number: Reverse(self.enqueued_count),
         };
         self.ranks.insert(key.clone(), rank);
         self.items.insert(rank, QueuedItem { key, value, bytes });
@@ -117,8 +117,8 @@
             self.ranks.remove(&item.key);
             return;
         }
-        if let Some(known) = self.ranks.get_mut(&item.key) {
-            *known = next;
+        if let Some(queued_rank) = self.ranks.get_mut(&item.key) {
+            *queued_rank = next;
         }
         self.items.insert(next, item);
     }
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -49,12 +49,12 @@
     }
 
     /// Records a pause of the process that ended at `now`. The local member suspects no other
-    /// member for the duration `quiet`, so that queued messages from the time of the pause are
-    /// processed first.
-    pub fn record_pause(&mut self, now: Timestamp, quiet: Duration) {
+    /// member for the duration `quiet_period`, so that queued messages from the time of the pause
+    /// are processed first.
+    pub fn record_pause(&mut self, now: Timestamp, quiet_period: Duration) {
         self.score = (self.score + PAUSE_PENALTY).min(MAX_SCORE);
         self.pauses += 1;
-        self.quiet_until = now.saturating_add(nanos(quiet));
+        self.quiet_until = now.saturating_add(nanos(quiet_period));
     }
 
     /// Whether the quiet period after a pause is over and other members may be suspected.
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -130,10 +130,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
     /// The message uses another version of the encoding.
-    #[error("a message of version {0}, not {VERSION}")]
+    #[error("unsupported message version {0}, expected {VERSION}")]
     UnsupportedVersion(u8),
     /// The bytes are truncated, too long or not in the format.
-    #[error("not a message")]
+    #[error("malformed message")]
     Malformed,
 }
 
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -216,7 +216,7 @@
     }
 
     fn start_probe_interval(&mut self, now: Timestamp) {
-        self.next_probe_at = now + self.scaled_probe_interval();
+        self.next_probe_at = now + self.scaled_probe_interval_ns();
         self.expire_members(now);
         self.publish_partitions(now);
         // An unsynchronized member may already know a few members that contacted it. Without a
@@ -305,21 +305,21 @@
     }
 
     /// The probe interval in nanoseconds, scaled by the local health multiplier.
-    fn scaled_probe_interval(&self) -> u64 {
+    fn scaled_probe_interval_ns(&self) -> u64 {
         let multiplier = u64::from(self.local_health.multiplier());
         nanos(self.settings.probe_interval) * multiplier
     }
 
     /// Duration of a probe round in nanoseconds: while all members are healthy, each one probes and
     /// is probed once in it.
-    fn probe_round(&self) -> u64 {
+    fn probe_round_ns(&self) -> u64 {
         let members = self.members.len() as u64 + 2;
         nanos(self.settings.probe_interval) * members
     }
 
     /// Nanoseconds for which an observation of a member stays valid: three probe rounds.
-    fn observation_lifetime(&self) -> u64 {
-        3 * self.probe_round()
+    fn observation_lifetime_ns(&self) -> u64 {
+        3 * self.probe_round_ns()
     }
 
     /// Up to `max` members that satisfy `is_eligible`, in random order.
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -23,7 +23,7 @@
 const MAX_SHARDS_SENT: usize = 8;
 /// One exchange in this many goes to a member that is not alive, so that two halves of a fleet that
 /// declared each other dead rediscover each other after a partition.
-const DEPARTED_MEMBER_EXCHANGES: u32 = 4;
+const DEPARTED_EXCHANGE_DIVISOR: u32 = 4;
 
 fn digest(value: impl Hash) -> u64 {
     // The hash keys are constant, since all members must compute the same digests.
@@ -90,8 +90,8 @@
     fn shard_digests(&self) -> Vec<u64> {
         let mut digests = vec![0_u64; SHARDS];
         let mut add = |name: &Name, value: u64| {
-            let sum = &mut digests[usize::from(shard_of(name))];
-            *sum = sum.wrapping_add(value);
+            let digest_sum = &mut digests[usize::from(shard_of(name))];
+            *digest_sum = digest_sum.wrapping_add(value);
         };
         let local = &self.local.name;
         add(local, digest((local.as_str(), self.own_update().status)));
@@ -110,7 +110,7 @@
 
     /// Starts an anti-entropy exchange with one other member.
     pub(super) fn send_digests(&mut self, now: Timestamp) {
-        let with_departed_member = self.rng.random_range(0..DEPARTED_MEMBER_EXCHANGES) == 0;
+        let with_departed_member = self.rng.random_range(0..DEPARTED_EXCHANGE_DIVISOR) == 0;
         let mut to = match with_departed_member {
             true => self.random_members(1, |member| !member.is_alive()),
             false => self.random_reachable_members(now, 1),
@@ -127,9 +127,16 @@
     }
 
     /// Answers another member's digests with the local state of some of the differing shards.
-    pub(super) fn handle_digests(&mut self, now: Timestamp, from: &MemberMetadata, theirs: &[u64]) {
-        let own = self.shard_digests();
-        let differs = |shard: &u8| own.get(usize::from(*shard)) != theirs.get(usize::from(*shard));
+    pub(super) fn handle_digests(
+        &mut self,
+        now: Timestamp,
+        from: &MemberMetadata,
+        remote_digests: &[u64],
+    ) {
+        let local_digests = self.shard_digests();
+        let differs = |shard: &u8| {
+            local_digests.get(usize::from(*shard)) != remote_digests.get(usize::from(*shard))
+        };
         let mut shards: Vec<u8> = (0..SHARDS as u8).filter(differs).collect();
         let (drawn, _) = shards.partial_shuffle(&mut self.rng, MAX_SHARDS_SENT);
         if !drawn.is_empty() {
--- a/crates/membership/src/node/gossip.rs
+++ b/crates/membership/src/node/gossip.rs
@@ -67,9 +67,9 @@
         now: Timestamp,
         max: usize,
     ) -> Vec<MemberMetadata> {
-        let (lifetime, plain_swim) = (self.observation_lifetime(), self.settings.plain_swim);
+        let (lifetime_ns, plain_swim) = (self.observation_lifetime_ns(), self.settings.plain_swim);
         self.random_members(max, |member| {
-            let outbound = member.paths.outbound(now, lifetime);
+            let outbound = member.paths.outbound(now, lifetime_ns);
             member.is_present() && (plain_swim || outbound != PathState::Partitioned)
         })
     }
--- a/crates/membership/src/node/observations.rs
+++ b/crates/membership/src/node/observations.rs
@@ -89,10 +89,10 @@
     }
 
     fn paths_of(&self, member: &Member, now: Timestamp) -> (PathState, PathState) {
-        let lifetime = self.observation_lifetime();
+        let lifetime_ns = self.observation_lifetime_ns();
         let (outbound, inbound) = (
-            member.paths.outbound(now, lifetime),
-            member.paths.inbound(now, lifetime),
+            member.paths.outbound(now, lifetime_ns),
+            member.paths.inbound(now, lifetime_ns),
         );
         (outbound, inbound)
     }
@@ -100,7 +100,7 @@
     /// Fraction of the members of the local zone, or of all other zones, that were reached within
     /// the observation lifetime; 1 if there are none.
     fn reached_fraction(&self, now: Timestamp, in_local_zone: bool) -> f64 {
-        let lifetime = self.observation_lifetime();
+        let lifetime_ns = self.observation_lifetime_ns();
         let (mut all, mut reached) = (0_u32, 0_u32);
         for member in self.members.values().filter(|member| member.is_present()) {
             if (member.metadata.zone == self.local.zone) != in_local_zone {
@@ -109,7 +109,7 @@
             let last_reached_at = member.last_reached_at;
             all += 1;
             reached +=
-                u32::from(last_reached_at.is_some_and(|at| now < at.saturating_add(lifetime)));
+                u32::from(last_reached_at.is_some_and(|at| now < at.saturating_add(lifetime_ns)));
         }
         match all {
             0 => 1.0,
--- a/crates/membership/src/node/partitions.rs
+++ b/crates/membership/src/node/partitions.rs
@@ -13,11 +13,11 @@
 /// Key of the record that lists partitions, reserved for that purpose.
 pub const PARTITIONS_KEY: &str = "cuts";
 /// Priority of the record, below the urgent priorities.
-const PRIORITY: u8 = 64;
+const RECORD_PRIORITY: u8 = 64;
 /// Minimum time in nanoseconds between two versions of the record.
 const PUBLISH_INTERVAL_NS: u64 = 5_000_000_000;
 /// Bytes of the record reserved for the encoded number of rows.
-const LENGTH_BYTES: usize = 4;
+const ROW_COUNT_BYTES: usize = 4;
 
 /// Partitioned paths between one member and the members of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -69,7 +69,7 @@
             None => !partitions.is_empty(),
         };
         if has_changed {
-            let published = self.publish(now, key, PRIORITY, value);
+            let published = self.publish(now, key, RECORD_PRIORITY, value);
             debug_assert!(
                 published.is_ok(),
                 "the record is within the length and count limits"
@@ -80,17 +80,17 @@
     /// One row per zone with any partition, the zones with the most partitions first, limited to
     /// the length of a record.
     fn observed_partitions(&self, now: Timestamp) -> Vec<ZonePartition> {
-        let lifetime = self.observation_lifetime();
+        let lifetime_ns = self.observation_lifetime_ns();
         let mut zones: BTreeMap<&Name, (u16, u16)> = BTreeMap::new();
         for member in self.members.values().filter(|member| member.is_alive()) {
-            if !member.paths.is_partitioned(now, lifetime) {
+            if !member.paths.is_partitioned(now, lifetime_ns) {
                 continue;
             }
             let is_partitioned = |path| u16::from(path == PathState::Partitioned);
             let (outbound, inbound) = zones.entry(&member.metadata.zone).or_default();
             let paths = &member.paths;
-            *outbound = outbound.saturating_add(is_partitioned(paths.outbound(now, lifetime)));
-            *inbound = inbound.saturating_add(is_partitioned(paths.inbound(now, lifetime)));
+            *outbound = outbound.saturating_add(is_partitioned(paths.outbound(now, lifetime_ns)));
+            *inbound = inbound.saturating_add(is_partitioned(paths.inbound(now, lifetime_ns)));
         }
         let rows = zones
             .into_iter()
@@ -101,7 +101,10 @@
             });
         let mut rows: Vec<ZonePartition> = rows.collect();
         rows.sort_by_key(|row| Reverse(row.outbound.saturating_add(row.inbound)));
-        let mut bytes_left = self.settings.max_record_bytes.saturating_sub(LENGTH_BYTES);
+        let mut bytes_left = self
+            .settings
+            .max_record_bytes
+            .saturating_sub(ROW_COUNT_BYTES);
         rows.retain(|row| {
             let bytes = encoded_size(row);
             let fits = bytes <= bytes_left;
--- a/crates/membership/src/node/pause.rs
+++ b/crates/membership/src/node/pause.rs
@@ -11,21 +11,21 @@
 const QUIET_INTERVALS: u32 = 4;
 
 impl Node {
-    /// Resumes after the local process did not run for `pause` nanoseconds until `now`.
-    pub(super) fn resume_after_pause(&mut self, now: Timestamp, pause: u64) {
-        self.emit(Event::ProcessPaused(Duration::from_nanos(pause)));
+    /// Resumes after the local process did not run for `pause_ns` nanoseconds until `now`.
+    pub(super) fn resume_after_pause(&mut self, now: Timestamp, pause_ns: u64) {
+        self.emit(Event::ProcessPaused(Duration::from_nanos(pause_ns)));
         if self.settings.plain_swim {
             return;
         }
-        let quiet = self.settings.probe_interval * QUIET_INTERVALS;
-        self.local_health.record_pause(now, quiet);
+        let quiet_period = self.settings.probe_interval * QUIET_INTERVALS;
+        self.local_health.record_pause(now, quiet_period);
         self.probe = None;
         self.relayed_probes.clear();
         self.recent_probes.clear();
         for name in &self.suspected {
             let member = self.members.get_mut(name);
             if let Some(suspicion) = member.and_then(|member| member.suspicion.as_mut()) {
-                suspicion.extend(pause);
+                suspicion.extend(pause_ns);
             }
         }
         // The local member refutes possible suspicions in advance and requests the current state
--- a/crates/membership/src/node/probing.rs
+++ b/crates/membership/src/node/probing.rs
@@ -42,8 +42,8 @@
             target: target.clone(),
             sequence,
             started_at: now,
-            indirect_at: now + self.scaled_probe_timeout(),
-            ends_at: now + self.scaled_probe_interval(),
+            indirect_at: now + self.scaled_probe_timeout_ns(),
+            ends_at: now + self.scaled_probe_interval_ns(),
             is_indirect: false,
             relays: 0,
             nacks: 0,
@@ -110,8 +110,8 @@
         if probe.target_was_alive {
             self.record_probe(false);
         }
-        let lifetime = self.observation_lifetime();
-        let since = probe.started_at.saturating_sub(self.probe_round());
+        let lifetime_ns = self.observation_lifetime_ns();
+        let since = probe.started_at.saturating_sub(self.probe_round_ns());
         let plain_swim = self.settings.plain_swim;
         let name = &probe.target.name;
         let member = self.members.get_mut(name);
@@ -125,7 +125,7 @@
         // target reveal nothing.
         if !plain_swim && member.paths.received_since(since) {
             member.paths.record_indirect_ack(now, probe.sequence, 0, 0);
-            if member.paths.outbound(now, lifetime) == PathState::Partitioned {
+            if member.paths.outbound(now, lifetime_ns) == PathState::Partitioned {
                 return;
             }
         }
@@ -170,7 +170,7 @@
     }
 
     /// The probe time-out in nanoseconds, scaled by the local health multiplier.
-    fn scaled_probe_timeout(&self) -> u64 {
+    fn scaled_probe_timeout_ns(&self) -> u64 {
         let multiplier = u64::from(self.local_health.multiplier());
         nanos(self.settings.probe_timeout) * multiplier
     }
@@ -275,10 +275,10 @@
         sequence: u64,
         last_direct_sequence: u64,
     ) {
-        let recent = nanos(self.settings.probe_interval);
+        let recent_ns = nanos(self.settings.probe_interval);
         if let Some(member) = self.members.get_mut(name) {
             let paths = &mut member.paths;
-            if !paths.record_indirect_ack(now, sequence, last_direct_sequence, recent) {
+            if !paths.record_indirect_ack(now, sequence, last_direct_sequence, recent_ns) {
                 self.probe_queue.push(name.clone());
             }
         }
--- a/crates/membership/src/node/relaying.rs
+++ b/crates/membership/src/node/relaying.rs
@@ -102,13 +102,13 @@
     /// recently asked without success come last, so that a working relay is found within a few
     /// requests.
     fn relay_candidates(&mut self, now: Timestamp, target: &Name) -> Vec<MemberMetadata> {
-        let (lifetime, plain_swim) = (self.observation_lifetime(), self.settings.plain_swim);
+        let (lifetime_ns, plain_swim) = (self.observation_lifetime_ns(), self.settings.plain_swim);
         let mut candidates = self.random_members(usize::MAX, |member| {
-            let is_partitioned = !plain_swim && member.paths.is_partitioned(now, lifetime);
+            let is_partitioned = !plain_swim && member.paths.is_partitioned(now, lifetime_ns);
             member.is_alive() && member.metadata.name != *target && !is_partitioned
         });
         if !plain_swim {
-            let since = now.saturating_sub(self.probe_round());
+            let since = now.saturating_sub(self.probe_round_ns());
             candidates.sort_by_key(|candidate| {
                 let member = self.members.get(&candidate.name);
                 member.map(|member| {
@@ -123,7 +123,7 @@
     fn is_partitioned(&self, member: &Member, now: Timestamp) -> bool {
         member
             .paths
-            .is_partitioned(now, self.observation_lifetime())
+            .is_partitioned(now, self.observation_lifetime_ns())
     }
 
     /// Relays a probe of another member, unless too many probes are being relayed.
--- a/crates/membership/src/node/suspicions.rs
+++ b/crates/membership/src/node/suspicions.rs
@@ -30,7 +30,7 @@
     is_deferred: bool,
     plain_swim: bool,
     /// Duration of a final probe in nanoseconds.
-    probe_interval: u64,
+    probe_interval_ns: u64,
 }
 
 impl Evaluation {
@@ -50,7 +50,7 @@
         let suspicion = member.suspicion.as_ref();
         let probed_at = suspicion.and_then(|suspicion| suspicion.final_probe_at);
         let is_over =
-            probed_at.is_some_and(|at| self.now >= at.saturating_add(self.probe_interval));
+            probed_at.is_some_and(|at| self.now >= at.saturating_add(self.probe_interval_ns));
         self.plain_swim || member.connection_refused || is_over
     }
 }
@@ -181,7 +181,7 @@
             is_doubtful,
             is_deferred: now < self.verdicts_deferred_at.saturating_add(deferral),
             plain_swim,
-            probe_interval: self.scaled_probe_interval(),
+            probe_interval_ns: self.scaled_probe_interval_ns(),
         }
     }
 
@@ -207,7 +207,9 @@
                 continue;
             };
             let suspicion = member.suspicion.as_mut();
-            if suspicion.is_some_and(|it| it.take_notification(now, NOTIFICATION_INTERVAL_NS)) {
+            if suspicion
+                .is_some_and(|suspicion| suspicion.take_notification(now, NOTIFICATION_INTERVAL_NS))
+            {
                 targets.push(member.metadata.clone());
             }
         }
--- a/crates/membership/src/paths.rs
+++ b/crates/membership/src/paths.rs
@@ -75,7 +75,7 @@
         now: Timestamp,
         sequence: u64,
         last_received: u64,
-        recent: u64,
+        recent_ns: u64,
     ) -> bool {
         let was_delivered = last_received >= sequence && sequence > 0;
         self.consecutive_indirect_acks = self.consecutive_indirect_acks.saturating_add(1);
@@ -91,10 +91,10 @@
         // If the ping was delivered but its acknowledgement did not arrive, the inbound direction
         // is partitioned, unless another message arrived on it recently. An undelivered ping says
         // nothing about the inbound direction.
-        let open_lately = self.inbound.is_some_and(|inbound| {
-            inbound.state == PathState::Open && now < inbound.at.saturating_add(recent)
+        let is_recently_open = self.inbound.is_some_and(|inbound| {
+            inbound.state == PathState::Open && now < inbound.at.saturating_add(recent_ns)
         });
-        if was_delivered && !open_lately {
+        if was_delivered && !is_recently_open {
             self.inbound = Some(PathObservation::partitioned(now));
         }
         true
@@ -112,25 +112,28 @@
     }
 
     /// State of the direction from the local member to the other one. Observations stay valid for
-    /// `lifetime` nanoseconds.
-    pub fn outbound(&self, now: Timestamp, lifetime: u64) -> PathState {
-        Self::current(self.outbound, now, lifetime)
+    /// `lifetime_ns` nanoseconds.
+    pub fn outbound(&self, now: Timestamp, lifetime_ns: u64) -> PathState {
+        Self::current(self.outbound, now, lifetime_ns)
     }
 
     /// State of the direction from the other member to the local one. Observations stay valid for
-    /// `lifetime` nanoseconds.
-    pub fn inbound(&self, now: Timestamp, lifetime: u64) -> PathState {
-        Self::current(self.inbound, now, lifetime)
+    /// `lifetime_ns` nanoseconds.
+    pub fn inbound(&self, now: Timestamp, lifetime_ns: u64) -> PathState {
+        Self::current(self.inbound, now, lifetime_ns)
     }
 
     /// Whether either direction is partitioned.
-    pub fn is_partitioned(&self, now: Timestamp, lifetime: u64) -> bool {
-        let directions = [self.outbound(now, lifetime), self.inbound(now, lifetime)];
+    pub fn is_partitioned(&self, now: Timestamp, lifetime_ns: u64) -> bool {
+        let directions = [
+            self.outbound(now, lifetime_ns),
+            self.inbound(now, lifetime_ns),
+        ];
         directions.contains(&PathState::Partitioned)
     }
 
-    fn current(path: Option<PathObservation>, now: Timestamp, lifetime: u64) -> PathState {
-        path.filter(|path| now < path.at.saturating_add(lifetime))
+    fn current(path: Option<PathObservation>, now: Timestamp, lifetime_ns: u64) -> PathState {
+        path.filter(|path| now < path.at.saturating_add(lifetime_ns))
             .map_or(PathState::Unknown, |path| path.state)
     }
 }
--- a/crates/membership/src/records.rs
+++ b/crates/membership/src/records.rs
@@ -16,7 +16,7 @@
 /// Capacity of the token bucket, in seconds of the permitted rate. A failure causes a burst of
 /// records followed by a long quiet time: the death of two zones within a second, or of one zone in
 /// a fleet of 300 senders, causes about ten records.
-const BURST_SECONDS: f64 = 12.0;
+const BURST_CAPACITY_SECONDS: f64 = 12.0;
 
 /// Estimated encoded length of a record in bytes, excluding value, owner and key.
 const RECORD_OVERHEAD_BYTES: usize = 48;
@@ -53,18 +53,19 @@
 
 /// A token bucket that limits the bytes sent for records.
 #[derive(Clone, Copy, Debug, Default)]
-struct SendAllowance {
-    bytes: f64,
-    at: Timestamp,
+struct TokenBucket {
+    available_bytes: f64,
+    refilled_at: Timestamp,
 }
 
-impl SendAllowance {
+impl TokenBucket {
     /// Adds the bytes permitted since the last refill.
     fn refill(&mut self, now: Timestamp, bytes_per_second: u32) {
         let rate = f64::from(bytes_per_second);
-        let seconds = now.saturating_sub(self.at) as f64 / 1e9;
-        self.bytes = (self.bytes + rate * seconds).min(BURST_SECONDS * rate);
-        self.at = now;
+        let seconds = now.saturating_sub(self.refilled_at) as f64 / 1e9;
+        self.available_bytes =
+            (self.available_bytes + rate * seconds).min(BURST_CAPACITY_SECONDS * rate);
+        self.refilled_at = now;
     }
 }
 
@@ -74,7 +75,7 @@
     records: BTreeMap<RecordId, Record>,
     queue: GossipQueue<RecordId, RecordId>,
     last_version: u64,
-    allowance: SendAllowance,
+    allowance: TokenBucket,
     dropped: u64,
 }
 
@@ -219,11 +220,11 @@
         settings: &Settings,
     ) -> Vec<RecordUpdate> {
         self.allowance.refill(now, settings.record_bytes_per_second);
-        let max_bytes = max_bytes.min(self.allowance.bytes as usize);
+        let max_bytes = max_bytes.min(self.allowance.available_bytes as usize);
         let ids = self.queue.take(max_bytes, max_transmissions);
         let updates: Vec<RecordUpdate> = ids.iter().filter_map(|id| self.update(now, id)).collect();
         let bytes = updates.iter().map(|update| encoded_size(update) as f64);
-        self.allowance.bytes -= bytes.sum::<f64>();
+        self.allowance.available_bytes -= bytes.sum::<f64>();
         updates
     }
 
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -12,9 +12,9 @@
 pub struct Suspicion {
     started_at: Timestamp,
     /// Duration in nanoseconds with all needed confirmations.
-    min: u64,
+    min_ns: u64,
     /// Duration in nanoseconds without any confirmation.
-    max: u64,
+    max_ns: u64,
     /// Number of confirmations that reduce the duration to the minimum.
     confirmations_needed: usize,
     by: BTreeSet<Name>,
@@ -49,8 +49,8 @@
         let max = min * unconfirmed * f64::from(health_multiplier);
         Self {
             started_at: now,
-            min: min as u64,
-            max: max as u64,
+            min_ns: min as u64,
+            max_ns: max as u64,
             confirmations_needed,
             by: by.into_iter().collect(),
             final_probe_at: None,
@@ -67,36 +67,36 @@
     /// Time at which the suspicion expires unless the member refutes it.
     pub fn expires_at(&self) -> Timestamp {
         if self.confirmations_needed == 0 {
-            return self.started_at.saturating_add(self.min);
+            return self.started_at.saturating_add(self.min_ns);
         }
         let confirmations = self.by.len().saturating_sub(1);
         let confirmations = confirmations.min(self.confirmations_needed);
         let needed = self.confirmations_needed as f64;
         let progress = (confirmations as f64 + 1.0).ln() / (needed + 1.0).ln();
-        let (min, max) = (self.min as f64, self.max as f64);
-        let lasts = max - (max - min) * progress;
-        self.started_at.saturating_add(lasts.max(min) as u64)
+        let (min, max) = (self.min_ns as f64, self.max_ns as f64);
+        let duration = max - (max - min) * progress;
+        self.started_at.saturating_add(duration.max(min) as u64)
     }
 
-    /// Extends the suspicion by a pause of the local process of `pause` nanoseconds, in which the
-    /// local member could not receive a refutation.
-    pub fn extend(&mut self, pause: u64) {
-        self.started_at = self.started_at.saturating_add(pause);
+    /// Extends the suspicion by a pause of the local process of `pause_ns` nanoseconds, in which
+    /// the local member could not receive a refutation.
+    pub fn extend(&mut self, pause_ns: u64) {
+        self.started_at = self.started_at.saturating_add(pause_ns);
         self.final_probe_at = None;
     }
 
-    /// Lets the suspicion expire `timeout` nanoseconds from now if that is sooner, because the host
-    /// of the suspected member refused a connection.
-    pub fn shorten(&mut self, now: Timestamp, timeout: u64) {
-        if now.saturating_add(timeout) < self.expires_at() {
-            (self.started_at, self.min, self.max) = (now, timeout, timeout);
+    /// Lets the suspicion expire `timeout_ns` nanoseconds from now if that is sooner, because the
+    /// host of the suspected member refused a connection.
+    pub fn shorten(&mut self, now: Timestamp, timeout_ns: u64) {
+        if now.saturating_add(timeout_ns) < self.expires_at() {
+            (self.started_at, self.min_ns, self.max_ns) = (now, timeout_ns, timeout_ns);
         }
     }
 
-    /// Whether the suspected member is due for another notification, `interval` nanoseconds after
-    /// the last one. A due notification is recorded as sent at `now`.
-    pub fn take_notification(&mut self, now: Timestamp, interval: u64) -> bool {
-        let is_due = now >= self.notified_at.saturating_add(interval);
+    /// Whether the suspected member is due for another notification, `interval_ns` nanoseconds
+    /// after the last one. A due notification is recorded as sent at `now`.
+    pub fn take_notification(&mut self, now: Timestamp, interval_ns: u64) -> bool {
+        let is_due = now >= self.notified_at.saturating_add(interval_ns);
         if is_due {
             self.notified_at = now;
         }
