--- a/crates/membership-net/src/config.rs
+++ b/crates/membership-net/src/config.rs
@@ -10,7 +10,7 @@
 
 /// Maximum length of a key file or seeds file in bytes.
 const MAX_FILE_BYTES: u64 = 64 << 10;
-/// Maximum number of seeds; while no member is known, every seed receives a request.
+/// Maximum number of seeds, which bounds the requests sent while no member is known.
 const MAX_SEEDS: usize = 64;
 /// Character that begins a comment in a seeds file.
 const COMMENT_MARKER: char = '#';
--- a/crates/membership-net/src/driver.rs
+++ b/crates/membership-net/src/driver.rs
@@ -18,7 +18,7 @@
 /// Maximum number of datagrams read before other work is done.
 const DATAGRAM_BATCH: usize = 16;
 /// Length in bytes of the longest possible datagram. A shorter buffer would truncate datagrams, and
-/// truncated datagrams would be counted as authenticated by another key.
+/// truncated datagrams would fail authentication and be counted as messages of another key.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 /// Interval between two rounds of connection checks of suspected members.
 const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/membership-net/tests/golden.rs
+++ b/crates/membership-net/tests/golden.rs
@@ -127,8 +127,8 @@
     );
 }
 
-/// A stream holds messages, each preceded by its length in four bytes in network byte order, and
-/// ends after the last message.
+/// A stream holds messages, each preceded by a four-byte length in network byte order, and ends
+/// after the last message.
 #[test]
 fn outgoing_streams_hold_lengths_and_messages() {
     let (peer, member) = (Peer::new(), start(config()));
--- a/crates/membership-net/tests/sockets.rs
+++ b/crates/membership-net/tests/sockets.rs
@@ -77,7 +77,7 @@
     let others: Vec<Membership> = (1..5)
         .map(|number| start(config(&format!("b-{number}"), &key, &seeds)))
         .collect();
-    wait_until("all discover each other", || {
+    wait_until("all members discover each other", || {
         others.iter().chain([&first]).all(|one| size(one) == 5)
     });
     first.publish(name("load"), 9, b"17".to_vec()).unwrap();
@@ -87,7 +87,9 @@
             record.is_some_and(|record| record.value == b"17")
         })
     };
-    wait_until("a record reaches all", || others.iter().all(has_record));
+    wait_until("a record reaches all members", || {
+        others.iter().all(has_record)
+    });
     let mut others = others.into_iter();
     let (dying, leaving) = (others.next().unwrap(), others.next().unwrap());
     let mut remaining: Vec<Membership> = others.collect();
@@ -118,7 +120,7 @@
     let outsider_key = write_key_file(outsider_folder.path(), OTHER_KEY);
     let seeds = [one.address(), other.address()];
     let outsider = start(config("b-9", &outsider_key, &seeds));
-    wait_until("two with one key discover each other", || {
+    wait_until("two members with the same key discover each other", || {
         size(&one) == 2 && size(&other) == 2
     });
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -129,10 +131,10 @@
         socket.send_to(&datagram, one.address()).ok();
     }
     eprintln!("60,000 forged datagrams in {:?}", started_at.elapsed());
-    wait_until("some are looked at", || {
+    wait_until("some forged datagrams are rejected", || {
         one.report().rejections.other_key > 100
     });
-    wait_until("both are alive after it", || {
+    wait_until("both members are alive after the flood", || {
         is_alive(&one, "b-1") && is_alive(&other, "b-0")
     });
     assert_eq!((state(&one, "b-9"), state(&outsider, "b-0")), (None, None));
@@ -149,7 +151,7 @@
         let key = write_key_file(folder.path(), KEY);
         all.push(start(config(&format!("b-{number}"), &key, &seeds)));
     }
-    wait_until("all discover each other", || {
+    wait_until("all members discover each other", || {
         all.iter().all(|one| size(one) == 3)
     });
     let steps = [
@@ -164,7 +166,7 @@
             one.reload().unwrap();
         }
         let before: Vec<u64> = all.iter().map(received).collect();
-        wait_until("they receive messages of each other", || {
+        wait_until("members receive each other's messages", || {
             let mut counts = all.iter().map(received).zip(&before);
             counts.all(|(now, before)| now > before + 3)
         });
@@ -209,7 +211,9 @@
             .unwrap()
             .as_millis()
     };
-    wait_until("a millisecond is over", || now_ms() > started.into());
+    wait_until("the start time of the predecessor is in the past", || {
+        now_ms() > started.into()
+    });
     let mut next = config("b-0", &key, &[other.address()]);
     next.listen = before.address();
     let next = Membership::start(next, log).unwrap();
@@ -222,17 +226,17 @@
     assert!(!next.is_bound());
     wait_until("the predecessor is still alive", || is_alive(&other, "b-0"));
     drop(before);
-    wait_until("the successor has the address", || next.is_bound());
+    wait_until("the successor binds the address", || next.is_bound());
     wait_until("the successor is known", || {
         other.report().members[0].started_ms > started
     });
     next.heartbeat();
     wait_until("the hung process is suspected", || !is_alive(&other, "b-0"));
-    wait_until("it counts that it hangs", || {
+    wait_until("the member counts hung steps", || {
         next.report().rejections.hung_steps > 0
     });
     let started_at = Instant::now();
-    wait_until("it is alive again", || {
+    wait_until("the member is alive again", || {
         next.heartbeat();
         is_alive(&other, "b-0")
     });
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -28,7 +28,8 @@
     /// The relay through which the member was last reached. Later probes ask the same relay again,
     /// since few members may reach both sides of a partition.
     pub reached_through: Option<Name>,
-    /// Time of the last request to relay a probe that has not led to an acknowledgement.
+    /// Time of the last request to relay a probe; cleared when the relay reaches the target of a
+    /// probe.
     pub failed_relay_at: Option<Timestamp>,
 }
 
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -58,7 +58,7 @@
     /// Members to probe in the current round, in reverse order: the last one is probed next.
     probe_queue: Vec<Name>,
     /// The sequence number of the most recent ping.
-    sequence: u64,
+    last_sequence: u64,
     probe: Option<Probe>,
     relayed_probes: Vec<RelayedProbe>,
     /// The most recent relay that reached any probe target.
@@ -124,7 +124,7 @@
             members: IndexMap::new(),
             suspected: BTreeSet::new(),
             probe_queue: Vec::new(),
-            sequence: 0,
+            last_sequence: 0,
             probe: None,
             relayed_probes: Vec::new(),
             last_successful_relay: None,
@@ -310,8 +310,8 @@
         nanos(self.settings.probe_interval) * multiplier
     }
 
-    /// Duration of a probe round in nanoseconds: while all members are healthy, each one probes and
-    /// is probed once in it.
+    /// Duration of a probe round in nanoseconds. In one round, every member of a healthy fleet
+    /// sends one probe per interval and is probed once.
     fn probe_round_ns(&self) -> u64 {
         let members = self.members.len() as u64 + 2;
         nanos(self.settings.probe_interval) * members
--- a/crates/membership/src/node/gossip.rs
+++ b/crates/membership/src/node/gossip.rs
@@ -12,8 +12,8 @@
 
 /// Nanoseconds between two rounds of gossip messages, which only carry updates.
 pub(super) const GOSSIP_INTERVAL_NS: u64 = 100_000_000;
-/// Number of gossip intervals between two rounds without urgent updates. Most such updates are
-/// piggybacked on probes.
+/// Number of gossip intervals between two rounds without urgent updates. Most non-urgent updates
+/// are piggybacked on probes.
 const RELAXED_INTERVALS: u64 = 5;
 /// Number of members that receive each round of urgent updates.
 pub(super) const FANOUT: usize = 3;
--- a/crates/membership/src/node/probing.rs
+++ b/crates/membership/src/node/probing.rs
@@ -12,7 +12,7 @@
 
 /// Number of most recent probes from which the local member infers its isolation.
 const MAX_RECENT_PROBES: usize = 8;
-/// Minimum number of recent probes for that inference in a fleet with few members.
+/// Minimum number of recent probes from which a member of a small fleet infers its isolation.
 const MIN_RECENT_PROBES: usize = 2;
 /// Number of direct pings per probe of a member whose last acknowledgement came only through a
 /// relay. Several pings keep a direction that loses a third of all messages from being taken for a
@@ -82,9 +82,9 @@
             return;
         }
         let (sequence, target) = (probe.sequence, probe.target.clone());
-        // A second direct ping saves a suspicion, which would be gossiped to all members: in a
-        // fleet that loses a tenth of all messages, two losses in a row are a fifth as frequent as
-        // one.
+        // A second direct ping avoids suspicions, each of which would be gossiped to all members:
+        // in a fleet that loses a tenth of all messages, two losses in a row are a fifth as
+        // frequent as one.
         if !self.settings.plain_swim {
             self.send_ping(now, &target, sequence);
         }
@@ -157,10 +157,10 @@
         MAX_RECENT_PROBES.min(members)
     }
 
-    /// The sequence number for a new ping.
+    /// Draws the next sequence number for a ping.
     pub(super) fn next_sequence(&mut self) -> u64 {
-        self.sequence += 1;
-        self.sequence
+        self.last_sequence += 1;
+        self.last_sequence
     }
 
     /// Sends a direct ping to `target`.
--- a/crates/membership/src/node/refutation.rs
+++ b/crates/membership/src/node/refutation.rs
@@ -20,7 +20,7 @@
         if status.generation == self.local.generation {
             self.refute(now, update);
         } else if status.generation > self.local.generation && status.state != MemberState::Left {
-            // Updates about former generations are obsolete.
+            // Updates about former generations are obsolete and ignored.
             self.handle_rival(now, update);
         }
     }
--- a/crates/membership/src/node/relaying.rs
+++ b/crates/membership/src/node/relaying.rs
@@ -37,8 +37,8 @@
 /// Zones of the first relays. One relay of each kind of zone is chosen before any second one, so
 /// that a partition between two zones is not probed only through relays behind the same partition.
 const USUAL_ZONES: [RelayZone; 3] = [RelayZone::Target, RelayZone::Third, RelayZone::Local];
-/// Zones of the first relays if the direct path is doubtful: a partition, if any, also affects
-/// relays in the target's zone and in the local zone.
+/// Zones of the first relays if the direct path is doubtful: a partition would also affect relays
+/// in the target's zone and in the local zone.
 const DOUBTFUL_ZONES: [RelayZone; 3] = [RelayZone::Third; 3];
 
 impl Node {
@@ -97,10 +97,10 @@
         chosen
     }
 
-    /// Members that may relay a probe, in random order. Members that sent messages recently come
-    /// first, since the others may be behind the same partition. Among them, the members most
-    /// recently asked without success come last, so that a working relay is found within a few
-    /// requests.
+    /// Members that may relay a probe. Members that sent messages recently come first, since the
+    /// others may be behind the same partition. Within each group, members asked earlier without
+    /// success come last, the most recent request at the end, so that a working relay is found
+    /// within a few requests. Ties are in random order.
     fn relay_candidates(&mut self, now: Timestamp, target: &Name) -> Vec<MemberMetadata> {
         let (lifetime_ns, plain_swim) = (self.observation_lifetime_ns(), self.settings.plain_swim);
         let mut candidates = self.random_members(usize::MAX, |member| {
--- a/crates/membership/src/paths.rs
+++ b/crates/membership/src/paths.rs
@@ -45,8 +45,8 @@
     consecutive_indirect_acks: u32,
 }
 
-/// Number of consecutive indirect acknowledgements that indicates a partition. Fewer can result
-/// from lost messages.
+/// Number of consecutive indirect acknowledgements that indicates a partition. Fewer indirect
+/// acknowledgements may be due to lost messages.
 const PARTITION_THRESHOLD: u32 = 3;
 
 impl Paths {
@@ -66,7 +66,7 @@
     /// Records an indirect acknowledgement: a relay reached the other member, but the direct ping
     /// `sequence` was not acknowledged directly. `last_received` is the sequence number of the last
     /// direct ping that the other member received from the local one. A message received within the
-    /// last `recent` nanoseconds shows that the inbound direction is open.
+    /// last `recent_ns` nanoseconds shows that the inbound direction is open.
     ///
     /// Returns whether enough consecutive indirect acknowledgements were recorded to rule out a
     /// lost message.
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -82,7 +82,7 @@
     for seed in 1..41 {
         let mut fleet = SimulatedFleet::new(9, seed);
         fleet.hosts_refuse = false;
-        (4..9).for_each(|at| fleet.kill(at));
+        (4..9).for_each(|member| fleet.kill(member));
         for _ in 0..3 {
             fleet.run(SECOND);
             for by in 0..4 {
@@ -123,7 +123,7 @@
         (7, 30 * SECOND, 0..12),
     ] {
         let mut fleet = SimulatedFleet::new(36, seed);
-        paused.clone().for_each(|at| fleet.pause(at));
+        paused.clone().for_each(|member| fleet.pause(member));
         fleet.run(duration);
         assert_eq!(
             fleet.take_deaths(),
@@ -131,7 +131,7 @@
             "{paused:?} for {} ms",
             duration / MS
         );
-        paused.clone().for_each(|at| fleet.resume(at));
+        paused.clone().for_each(|member| fleet.resume(member));
         fleet.run(3 * SECOND);
         assert_eq!(
             fleet.take_deaths(),
@@ -366,9 +366,9 @@
 #[test]
 fn restarted_members_are_new_generations() {
     let mut fleet = SimulatedFleet::new(36, 8);
-    (5..30).for_each(|at| fleet.kill(at));
+    (5..30).for_each(|member| fleet.kill(member));
     fleet.run(2 * SECOND);
-    (5..30).for_each(|at| fleet.start(at, 2_000_000, 1_000 + at as u64));
+    (5..30).for_each(|member| fleet.start(member, 2_000_000, 1_000 + member as u64));
     fleet.run(10 * SECOND);
     assert!(fleet.all_alive(0..36));
     let generations = |by: usize| {
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden tests of the encoding of each message, and of the messages and conclusions of small
-//! fleets with fixed random seeds. Neither may change, so that members of different versions
-//! interoperate.
+//! fleets with fixed random seeds. Encodings and protocol behaviour must not change, so that
+//! members of different versions interoperate.
 //!
 //! Each file of `tests/golden/` holds one encoding as first released, in hexadecimal digits or as
 //! text.
--- a/crates/message-auth/tests/golden.rs
+++ b/crates/message-auth/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden tests of the bytes of frames and of the messages about invalid keys. Neither may change.
+//! Golden tests of the bytes of frames and of the messages about invalid keys. The bytes and the
+//! messages must not change.
 //!
 //! Each file of `tests/golden/` holds one encoding as first released, in hexadecimal digits or as
 //! text.
