--- a/crates/membership-net/src/config.rs
+++ b/crates/membership-net/src/config.rs
@@ -68,7 +68,7 @@
         /// Path of the file.
         path: PathBuf,
         /// The cause of the error.
-        source: KeyFileFault,
+        source: LoadKeysError,
     },
     /// The seeds file cannot be read or is invalid.
     #[error("`seeds_file` {}: {source}", path.display())]
@@ -76,16 +76,16 @@
         /// Path of the file.
         path: PathBuf,
         /// The cause of the error.
-        source: SeedsFileFault,
+        source: LoadSeedsError,
     },
 }
 
 /// An error in reading a key file.
 #[derive(Debug, Error)]
-pub enum KeyFileFault {
+pub enum LoadKeysError {
     /// The file cannot be read.
     #[error(transparent)]
-    Read(#[from] ReadError),
+    Read(#[from] ReadFileError),
     /// The file holds no valid keys.
     #[error(transparent)]
     Keys(#[from] KeyFileError),
@@ -93,10 +93,10 @@
 
 /// An error in reading a seeds file.
 #[derive(Debug, Error)]
-pub enum SeedsFileFault {
+pub enum LoadSeedsError {
     /// The file cannot be read.
     #[error(transparent)]
-    Read(#[from] ReadError),
+    Read(#[from] ReadFileError),
     /// The line with this number, counted from 1, is not an address with a port.
     #[error("line {0}: not an address with a port")]
     Line(usize),
@@ -107,7 +107,7 @@
 
 /// The reason why a file cannot be read.
 #[derive(Debug, Error)]
-pub enum ReadError {
+pub enum ReadFileError {
     /// Error of the operating system.
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -176,32 +176,32 @@
     }
 }
 
-fn load_keys(path: &Path) -> Result<KeyRing, KeyFileFault> {
+fn load_keys(path: &Path) -> Result<KeyRing, LoadKeysError> {
     Ok(KeyRing::parse(&read(path)?)?)
 }
 
 /// Appends the seeds of a file to `seeds`.
-fn load_seeds(path: &Path, seeds: &mut Vec<SocketAddr>) -> Result<(), SeedsFileFault> {
+fn load_seeds(path: &Path, seeds: &mut Vec<SocketAddr>) -> Result<(), LoadSeedsError> {
     for (index, line) in read(path)?.lines().enumerate() {
         let line = line.split(COMMENT_MARKER).next().unwrap_or_default().trim();
         if line.is_empty() {
             continue;
         }
-        let seed = line.parse().map_err(|_| SeedsFileFault::Line(index + 1))?;
+        let seed = line.parse().map_err(|_| LoadSeedsError::Line(index + 1))?;
         seeds.push(seed);
     }
     match seeds.len() > MAX_SEEDS {
-        true => Err(SeedsFileFault::TooMany),
+        true => Err(LoadSeedsError::TooMany),
         false => Ok(()),
     }
 }
 
-fn read(path: &Path) -> Result<String, ReadError> {
+fn read(path: &Path) -> Result<String, ReadFileError> {
     let mut text = String::new();
     let file = File::open(path)?;
     file.take(MAX_FILE_BYTES + 1).read_to_string(&mut text)?;
     match text.len() as u64 > MAX_FILE_BYTES {
-        true => Err(ReadError::TooLong),
+        true => Err(ReadFileError::TooLong),
         false => Ok(text),
     }
 }
--- a/crates/membership-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -27,7 +27,7 @@
 mod sockets;
 mod streams;
 
-pub use config::{ConfigError, KeyFileFault, MembershipConfig, ReadError, SeedsFileFault};
+pub use config::{ConfigError, LoadKeysError, LoadSeedsError, MembershipConfig, ReadFileError};
 pub use log::LogSink;
 pub use report::{
     MemberReport, PathReport, RejectionCounters, Report, StateReport, ZonePathReport,
--- a/crates/message-auth/src/key_ring.rs
+++ b/crates/message-auth/src/key_ring.rs
@@ -22,18 +22,18 @@
     #[error("key file: no key in it")]
     Empty,
     /// A line is invalid.
-    #[error("key file, line {number}: {fault}")]
+    #[error("key file, line {number}: {error}")]
     Line {
         /// Number of the line, counted from 1.
         number: usize,
         /// The error in the line.
-        fault: KeyFault,
+        error: KeyLineError,
     },
 }
 
 /// An error in a line of a key file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum KeyFault {
+pub enum KeyLineError {
     /// The line is not made up of pairs of hexadecimal digits.
     #[error("not pairs of hexadecimal digits")]
     NotHexadecimal,
@@ -71,7 +71,7 @@
             }
             let number = index + 1;
             let key = parse_key(line, &keys);
-            keys.push(key.map_err(|fault| KeyFileError::Line { number, fault })?);
+            keys.push(key.map_err(|error| KeyFileError::Line { number, error })?);
         }
         match keys.is_empty() {
             true => Err(KeyFileError::Empty),
@@ -91,16 +91,16 @@
 }
 
 /// Parses a key and checks it against the preceding keys of the file.
-fn parse_key(line: &str, former: &[Vec<u8>]) -> Result<Vec<u8>, KeyFault> {
-    let key = parse_hexadecimal(line).ok_or(KeyFault::NotHexadecimal)?;
+fn parse_key(line: &str, former: &[Vec<u8>]) -> Result<Vec<u8>, KeyLineError> {
+    let key = parse_hexadecimal(line).ok_or(KeyLineError::NotHexadecimal)?;
     if key.len() < MIN_KEY_BYTES {
-        return Err(KeyFault::TooShort(key.len()));
+        return Err(KeyLineError::TooShort(key.len()));
     }
     if former.contains(&key) {
-        return Err(KeyFault::Duplicate);
+        return Err(KeyLineError::Duplicate);
     }
     if former.len() == MAX_KEYS {
-        return Err(KeyFault::TooMany);
+        return Err(KeyLineError::TooMany);
     }
     Ok(key)
 }
