--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,23 +1,24 @@
 //! Settings of a replica group.
 
-/// A time or a duration in milliseconds. Times are on the replica's own monotonic clock.
+/// A time or a duration in milliseconds. A time is read from the replica's own monotonic clock.
 pub type Milliseconds = u64;
 
-/// Intervals and time-outs.
+/// The heartbeat interval and the election time-outs of a replica group.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// The longest time between two heartbeats of a leader.
     pub heartbeat_interval: Milliseconds,
-    /// The shortest election time-out.
+    /// The lower bound of the random election time-out. A follower ignores vote requests for this
+    /// long after its last contact with the leader.
     pub election_timeout_min: Milliseconds,
-    /// The longest election time-out. A replica draws its own between the two each time (Raft,
-    /// section 5.2).
+    /// The upper bound of the random election time-out. A replica draws a new time-out between the
+    /// two bounds each time its election timer is reset (Raft, section 5.2).
     pub election_timeout_max: Milliseconds,
 }
 
 impl Timing {
-    /// For a group over several regions: a round trip between them takes up to 110 ms, and a machine
-    /// has a part of a core.
+    /// Timing for a group whose replicas are in several regions. A round trip between two regions
+    /// takes up to 110 ms, and a replica may have only a fraction of a CPU core.
     pub const MULTI_REGION: Self = Self {
         heartbeat_interval: 150,
         election_timeout_min: 900,
@@ -28,9 +29,9 @@
 /// Settings that all replicas of a group share.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Intervals and time-outs.
+    /// The heartbeat interval and the election time-outs.
     pub timing: Timing,
-    /// The smallest group that automatic membership changes leave: for `n` tolerated faults, `2 * n
-    /// + 1` voters.
+    /// The lower bound on the number of voters that an automatic membership change chooses. A group
+    /// that tolerates `n` faults needs `2 * n + 1` voters.
     pub min_voters: usize,
 }
--- a/crates/consensus/src/durable_report.rs
+++ b/crates/consensus/src/durable_report.rs
@@ -1,18 +1,20 @@
-//! The report by which a leader lets its followers commit.
+//! The report from which a follower can commit entries without waiting for the leader's commit
+//! index.
 
 use crate::log_position::{LogIndex, Term};
 use crate::membership::ReplicaId;
 use nanoserde::{DeBin, SerBin};
 
-/// A leader's report of the voters that hold its log durably up to an index: one less than a quorum.
-/// A voter that holds the log up to there too completes the quorum and can commit by itself, without
-/// the notice that the leader would send after that voter's acknowledgement.
+/// A leader's report of the voters that hold its log durably up to an index. The reported voters
+/// are one voter short of a quorum. Another voter that also holds the log durably up to the index
+/// completes the quorum. That voter can commit the entries at once, instead of acknowledging them
+/// and waiting for the leader's new commit index.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct DurableReport {
     /// The leader's term.
     pub term: Term,
-    /// The index up to which the holders have acknowledged the leader's log in this term.
+    /// The index up to which all holders have acknowledged the leader's log in this term.
     pub index: LogIndex,
-    /// The voters that hold the log up to the index durably.
+    /// The voters that hold the log durably up to `index`.
     pub holders: Vec<ReplicaId>,
 }
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -1,4 +1,4 @@
-//! The state that a replica must find again after a restart, and the records that change it.
+//! The state that a replica must recover after a restart, and the records that change that state.
 
 use crate::entry::Entry;
 use crate::log::Log;
@@ -7,26 +7,26 @@
 use crate::snapshot::Snapshot;
 use nanoserde::{DeBin, SerBin};
 
-/// Stands for "no vote" where a vote is stored.
+/// The value of `voted_for` in a term in which the replica has not voted.
 pub(crate) const NO_VOTE: ReplicaId = 0;
 
-/// A change of the durable state. Records become durable in the order in which the replica issued
+/// A change of the durable state. Records become durable in the order in which the replica issues
 /// them.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Record {
-    /// The term and the vote given in it.
+    /// The current term, and the replica's vote in that term.
     Term {
         /// The current term.
         term: Term,
-        /// The replica voted for, or 0.
+        /// The replica that received the vote; 0 if the replica has not voted in the term.
         voted_for: ReplicaId,
     },
-    /// Entries, which replace all from the first one's index on.
+    /// Contiguous entries. They replace all entries of the log from the first entry's index on.
     Append(Vec<Entry>),
-    /// A snapshot, which replaces the entries that it covers.
+    /// A snapshot. It replaces the entries that it covers.
     InstallSnapshot(Snapshot),
-    /// All entries up to this index are committed. It may be behind; it lets a restarted replica
-    /// apply its entries before there is a leader.
+    /// All entries up to this index are committed. The index may be lower than the group's commit
+    /// index. A restarted replica uses the index to apply entries before it knows a leader.
     Commit(LogIndex),
 }
 
@@ -37,17 +37,18 @@
     pub id: ReplicaId,
     /// The current term.
     pub term: Term,
-    /// The replica voted for in this term, or 0.
+    /// The replica that received the vote in the current term; 0 if there was no vote.
     pub voted_for: ReplicaId,
-    /// The log.
+    /// The newest snapshot and the entries after it.
     pub log: Log,
-    /// An index up to which the log is known to be committed.
+    /// An index up to which the log is known to be committed. It may be lower than the group's
+    /// commit index.
     pub commit_index: LogIndex,
 }
 
 impl DurableState {
-    /// The state of a new replica. The snapshot of a founder names the founding members; that of a
-    /// replica which joins later is empty.
+    /// Creates the state of a new replica. For a founding member of the group, `founding` names all
+    /// founding members. For a replica that joins later, `founding` is the empty default snapshot.
     pub fn new(id: ReplicaId, founding: Snapshot) -> Self {
         Self {
             id,
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -7,28 +7,29 @@
 /// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum EntryPayload {
-    /// Nothing. A new leader appends such an entry to commit the entries of former terms (Raft,
-    /// section 8).
+    /// A no-op. A new leader appends a blank entry, because committing that entry also commits the
+    /// entries of earlier terms (Raft, section 8).
     Blank,
-    /// A command of the state machine.
+    /// A command for the state machine, in the state machine's own encoding.
     Command(Vec<u8>),
-    /// A membership, in force as soon as the entry is in the log (Raft, section 6).
+    /// A membership. A replica uses the membership as soon as the entry is in its log (Raft,
+    /// section 6).
     Membership(Membership),
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Entry {
-    /// Its index.
+    /// The index of the entry in the log.
     pub index: LogIndex,
-    /// The term of the leader that created it.
+    /// The term of the leader that created the entry.
     pub term: Term,
-    /// Its content.
+    /// The content of the entry.
     pub payload: EntryPayload,
 }
 
 impl Entry {
-    /// The entry's position.
+    /// Returns the position of the entry in the log.
     pub fn position(&self) -> LogPosition {
         LogPosition {
             index: self.index,
@@ -36,7 +37,8 @@
         }
     }
 
-    /// The bytes that the entry counts for in the limits on messages and on uncommitted entries.
+    /// Returns the number of bytes by which the entry counts towards the limits on the size of a
+    /// message and on uncommitted entries.
     pub(crate) fn size(&self) -> usize {
         const HEADER_BYTES: usize = 32;
         match &self.payload {
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,44 +1,44 @@
-//! Errors of the operations of a replica.
+//! Errors that a replica returns to its driver.
 
 use crate::membership::ReplicaId;
 use thiserror::Error;
 
-/// Why a command was not appended.
+/// The reason for which a command was not appended to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProposeError {
     /// This replica is not the leader.
     #[error("not the leader (known leader: {leader:?})")]
     NotLeader {
-        /// The leader, if it is known.
+        /// The leader of the current term, if this replica knows it.
         leader: Option<ReplicaId>,
     },
-    /// The leader is handing leadership over.
+    /// The leader is transferring leadership to another replica.
     #[error("a leadership transfer is in progress")]
     TransferInProgress,
-    /// Too many entries wait to be committed.
+    /// The uncommitted entries of the log exceed the limit on their total size.
     #[error("{uncommitted_bytes} bytes of entries are not committed yet")]
     Backlogged {
-        /// The bytes of the entries that are not committed.
+        /// The total size of the uncommitted entries, in bytes.
         uncommitted_bytes: usize,
     },
 }
 
-/// Why a change of the voters was not begun.
+/// The reason for which a change of the voters was not begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChangeVotersError {
-    /// The new membership has no voter.
+    /// The new membership has no voters.
     #[error("a group needs a voter")]
     NoVoters,
     /// This replica is not the leader.
     #[error("not the leader (known leader: {leader:?})")]
     NotLeader {
-        /// The leader, if it is known.
+        /// The leader of the current term, if this replica knows it.
         leader: Option<ReplicaId>,
     },
-    /// A former change is not complete.
+    /// The previous membership change is not complete.
     #[error("a membership change is in progress")]
     ChangeInProgress,
-    /// The leader has not committed an entry of its term yet.
+    /// The leader has not yet committed an entry of its own term.
     #[error("no entry of the leader's term is committed yet")]
     TermNotCommitted,
 }
--- a/crates/consensus/src/heartbeat_rounds.rs
+++ b/crates/consensus/src/heartbeat_rounds.rs
@@ -1,10 +1,11 @@
-//! The rounds of heartbeats of a leader. A response to a round proves that the follower had not
-//! moved on to a newer leader when the round started.
+//! The heartbeat rounds of a leader. A response to a round proves that the follower had not yet
+//! adopted a newer term when the round started.
 
 use crate::config::Milliseconds;
 use std::collections::VecDeque;
 
-/// The rounds whose start times are kept: more than are in flight at a time.
+/// The number of rounds whose start times are kept. It exceeds the number of rounds that are in
+/// flight at the same time.
 const MAX_TRACKED_ROUNDS: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
@@ -13,7 +14,7 @@
     started_at: Milliseconds,
 }
 
-/// The newest rounds of a leader and when they started. The first round has the number 1.
+/// The newest heartbeat rounds of a leader, with their start times. The first round has number 1.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeartbeatRounds {
     latest: u64,
@@ -21,12 +22,12 @@
 }
 
 impl HeartbeatRounds {
-    /// The number of the newest round; 0 before the first one.
-    pub fn latest(&self) -> u64 {
+    /// Returns the number of the newest round; 0 before the first round.
+    pub fn latest_number(&self) -> u64 {
         self.latest
     }
 
-    /// Starts a round.
+    /// Starts the next round.
     pub fn start(&mut self, now: Milliseconds) {
         self.latest += 1;
         self.started.push_back(StartedRound {
@@ -38,7 +39,8 @@
         }
     }
 
-    /// When a round started; `None` if it is unknown or too long ago.
+    /// Returns the start time of a round; `None` if the round has not started, or if its start time
+    /// is no longer kept.
     pub fn started_at(&self, number: u64) -> Option<Milliseconds> {
         let round = self.started.iter().find(|round| round.number == number);
         round.map(|round| round.started_at)
--- a/crates/consensus/src/leader_state.rs
+++ b/crates/consensus/src/leader_state.rs
@@ -7,46 +7,45 @@
 use crate::progress::Progress;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A read that waits until a quorum has confirmed the leader.
+/// A read that waits until a quorum has confirmed that this replica is still the leader.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRead {
-    /// The caller's identifier.
+    /// The identifier that the caller has given to the read.
     pub read_id: u64,
-    /// The first round of heartbeats that confirms it.
+    /// The first heartbeat round whose responses confirm the read.
     pub confirming_round: u64,
 }
 
-/// A replica that is replicated to and has no vote.
+/// A replica without a vote that the leader replicates to.
 #[derive(Clone, Debug)]
 pub(crate) struct Learner {
     pub member: Member,
-    /// When it last asked to join.
+    /// The time of the learner's last request to join.
     pub last_request: Milliseconds,
 }
 
 /// The state of a leader, reinitialized after each election.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderState {
-    /// When it was elected.
     pub elected_at: Milliseconds,
-    /// The progress of all followers and learners.
+    /// The replication progress of each follower and learner.
     pub progress: BTreeMap<ReplicaId, Progress>,
     pub learners: BTreeMap<ReplicaId, Learner>,
     pub rounds: HeartbeatRounds,
     pub heartbeat_due: Milliseconds,
-    /// The index of the first entry of its term. Until that is committed, it serves no reads and
-    /// changes no members.
+    /// The index of the first entry of the leader's term. Until that entry is committed, the leader
+    /// serves no reads and begins no membership change.
     pub first_index: LogIndex,
-    /// Reads that wait, the oldest first.
+    /// Pending reads, the oldest first.
     pub pending_reads: VecDeque<PendingRead>,
-    /// The index of the last report of durable entries; 0 before the first one.
+    /// The index in the last durable report; 0 before the first report.
     pub reported_index: LogIndex,
-    /// Until when commands are rejected because of a leadership transfer.
+    /// The time until which commands are rejected because of a leadership transfer.
     pub transfer_deadline: Option<Milliseconds>,
 }
 
 impl LeaderState {
-    /// The state of a leader whose first entry gets the index `first_index`.
+    /// Creates the state of a new leader whose first entry gets the index `first_index`.
     pub fn new(
         now: Milliseconds,
         first_index: LogIndex,
@@ -66,8 +65,9 @@
         }
     }
 
-    /// Records that a follower has responded to a round of heartbeats. It was in contact when the
-    /// round started, whenever the response arrives.
+    /// Records that a follower has responded to a heartbeat round. The time of contact is the start
+    /// of the round. The time at which the response arrives proves nothing, because the response
+    /// may have been delayed.
     pub fn record_response(&mut self, follower: ReplicaId, heartbeat_round: u64) {
         let started_at = self.rounds.started_at(heartbeat_round);
         let Some(progress) = self.progress.get_mut(&follower) else {
@@ -77,7 +77,8 @@
         progress.acknowledged_round = progress.acknowledged_round.max(heartbeat_round);
     }
 
-    /// How long ago a follower was last in contact.
+    /// Returns the time since the last contact of a follower, or since the election if the follower
+    /// has not responded to this leader.
     pub fn time_since_contact(&self, now: Milliseconds, follower: ReplicaId) -> Milliseconds {
         let progress = self.progress.get(&follower);
         let last_contact = progress.and_then(|progress| progress.last_contact);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,9 +1,11 @@
-//! A replicated log after Raft: elections with pre-vote, leadership transfer, linearizable reads,
-//! membership changes by joint consensus, learners, and snapshots that are sent in chunks.
+//! A replicated log that implements Raft: elections with pre-vote, leadership transfer,
+//! linearizable reads, membership changes by joint consensus, learners, and snapshots that are sent
+//! in chunks.
 //!
-//! The crate does no I/O and reads no clock. A [`Replica`] is given the time, messages and
-//! completed writes; it returns [`Output`]s: records to make durable, messages to send, and
-//! committed entries to apply. Times are in milliseconds on the replica's own monotonic clock.
+//! The crate does no I/O and reads no clock. The driver of a [`Replica`] passes in the time,
+//! received messages and completed writes. The replica returns [`Output`]s: records to make
+//! durable, messages to send, and committed entries to apply. Times are in milliseconds on the
+//! replica's own monotonic clock.
 //!
 //! Sources: Ongaro and Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014),
 //! cited as "Raft"; Ongaro, *Consensus: Bridging Theory and Practice* (2014), cited as
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The part of the log that is in memory: a snapshot and the entries after it.
+//! The in-memory log of a replica.
 
 use crate::entry::{Entry, EntryPayload};
 use crate::log_position::{LogIndex, LogPosition, Term};
@@ -6,7 +6,7 @@
 use crate::snapshot::Snapshot;
 use std::sync::Arc;
 
-/// A snapshot and the entries after it.
+/// The log of a replica: the newest snapshot, and the entries after the snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     snapshot: Arc<Snapshot>,
@@ -14,7 +14,7 @@
 }
 
 impl Log {
-    /// A log that begins with a snapshot.
+    /// Creates a log from a snapshot and the entries that follow the snapshot.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         Self {
             snapshot: Arc::new(snapshot),
@@ -22,34 +22,35 @@
         }
     }
 
-    /// The snapshot at its beginning.
+    /// Returns the snapshot at the beginning of the log.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The snapshot at its beginning, for a transfer that may outlive it here.
+    /// Returns a shared reference to the snapshot at the beginning of the log. A transfer can keep
+    /// using the snapshot after the log has replaced it.
     pub(crate) fn shared_snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.clone()
     }
 
-    /// The entries after the snapshot.
+    /// Returns the entries after the snapshot.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.snapshot.index + self.entries.len() as u64
     }
 
-    /// The term of the last entry.
+    /// Returns the term of the last entry.
     pub fn last_term(&self) -> Term {
         self.entries
             .last()
             .map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// The position of the last entry.
+    /// Returns the position of the last entry.
     pub fn last_position(&self) -> LogPosition {
         LogPosition {
             index: self.last_index(),
@@ -57,7 +58,8 @@
         }
     }
 
-    /// The term of the entry at an index; `None` if it is compacted or not there yet.
+    /// Returns the term of the entry at an index; `None` if the entry is compacted or is not in the
+    /// log yet. The term of the last compacted entry is still known from the snapshot.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -65,17 +67,19 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Whether the entry at this position is in the log.
+    /// Returns whether the log has an entry with this index and term, or a snapshot whose last
+    /// entry is at this position.
     pub(crate) fn contains(&self, position: LogPosition) -> bool {
         self.term_at(position.index) == Some(position.term)
     }
 
-    /// The entry at an index; `None` if it is compacted or not there yet.
+    /// Returns the entry at an index; `None` if the entry is compacted or is not in the log yet.
     pub fn get(&self, index: LogIndex) -> Option<&Entry> {
         self.entries.get(self.offset_of(index)?)
     }
 
-    /// The entries from an index on, as many as fit `max_bytes`, but at least one if there is any.
+    /// Returns entries from an index on, up to a total size of `max_bytes`. The first entry is
+    /// returned even if it exceeds the limit.
     pub fn entries_from(&self, index: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let Some(offset) = self.offset_of(index) else {
             return Vec::new();
@@ -94,13 +98,13 @@
             .collect()
     }
 
-    /// The bytes of the entries after an index.
+    /// Returns the total size of the entries after an index, in bytes.
     pub(crate) fn bytes_after(&self, index: LogIndex) -> usize {
         let skipped = saturating_usize(index.saturating_sub(self.snapshot.index));
         self.entries.iter().skip(skipped).map(Entry::size).sum()
     }
 
-    /// Appends entries, which replace all from the first one's index on.
+    /// Appends contiguous entries. They replace all entries from the first new entry's index on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let retained = first.index.saturating_sub(self.snapshot.index + 1);
@@ -108,8 +112,8 @@
         self.entries.extend_from_slice(entries);
     }
 
-    /// Replaces everything up to the snapshot's position by the snapshot. Later entries stay if
-    /// they follow on it.
+    /// Replaces the log up to the snapshot's position by the snapshot. Later entries stay if the
+    /// log matches the snapshot at that position; otherwise they conflict and are removed.
     pub fn install(&mut self, snapshot: Snapshot) {
         if self.contains(snapshot.position()) {
             let covered = snapshot.index.saturating_sub(self.snapshot.index);
@@ -121,12 +125,12 @@
         self.snapshot = Arc::new(snapshot);
     }
 
-    /// The membership as of the last entry.
+    /// Returns the membership as of the last entry.
     pub fn membership(&self) -> &Membership {
         self.membership_at(u64::MAX)
     }
 
-    /// The membership as of an index.
+    /// Returns the membership as of an index.
     pub fn membership_at(&self, index: LogIndex) -> &Membership {
         let mut newest_first = self
             .entries
@@ -141,7 +145,8 @@
             .unwrap_or(&self.snapshot.membership)
     }
 
-    /// The index of the newest membership entry; `None` if there is none after the snapshot.
+    /// Returns the index of the newest membership entry; `None` if no entry after the snapshot
+    /// holds a membership.
     pub fn last_membership_index(&self) -> Option<LogIndex> {
         let is_change = |entry: &&Entry| matches!(entry.payload, EntryPayload::Membership(_));
         self.entries
@@ -151,7 +156,7 @@
             .map(|entry| entry.index)
     }
 
-    /// The offset of an index in the entries; `None` if the snapshot covers it.
+    /// Returns the offset of an index in `entries`; `None` if the snapshot covers the index.
     fn offset_of(&self, index: LogIndex) -> Option<usize> {
         let offset = index.checked_sub(self.snapshot.index + 1)?;
         Some(saturating_usize(offset))
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! A leader's view of one follower.
+//! The replication progress of one follower, as its leader knows it.
 
 use crate::config::Milliseconds;
 use crate::log_position::LogIndex;
@@ -9,19 +9,19 @@
 pub(crate) struct Progress {
     /// The index of the next entry to send (`nextIndex` in Raft).
     pub next_index: LogIndex,
-    /// The last index that is known to be durable there (`matchIndex` in Raft).
+    /// The last index that the leader knows to be durable on the follower (`matchIndex` in Raft).
     pub match_index: LogIndex,
-    /// When the newest round of heartbeats that it responded to started; `None` if it has not
-    /// responded in this term.
+    /// The start time of the newest heartbeat round to which the follower has responded; `None` if
+    /// the follower has not responded in this term.
     pub last_contact: Option<Milliseconds>,
-    /// The newest round of heartbeats that it responded to.
+    /// The number of the newest heartbeat round to which the follower has responded.
     pub acknowledged_round: u64,
-    /// The snapshot that is being sent there.
+    /// The snapshot transfer to the follower, if one is in progress.
     pub snapshot: Option<SnapshotSender>,
 }
 
 impl Progress {
-    /// The progress of a follower that is assumed to have all entries before `next_index`.
+    /// Creates the progress of a follower that is assumed to have all entries before `next_index`.
     pub fn starting_at(next_index: LogIndex) -> Self {
         Self {
             next_index,
--- a/crates/consensus/src/replica/append_entries.rs
+++ b/crates/consensus/src/replica/append_entries.rs
@@ -1,4 +1,5 @@
-//! Entries and heartbeats, on the follower and on the leader (Raft, section 5.3).
+//! Requests to append entries and their responses (Raft, section 5.3). A follower handles the
+//! requests, and a leader handles the responses.
 
 use super::Replica;
 use super::replication::EmptyRequest;
@@ -9,7 +10,8 @@
 use crate::role::Role;
 
 impl Replica {
-    /// Handles entries from the leader. The response is sent once they are durable.
+    /// Handles entries or a heartbeat from the leader. The entries are acknowledged once they are
+    /// durable.
     pub(super) fn handle_append_entries_request(
         &mut self,
         from: ReplicaId,
@@ -21,7 +23,7 @@
             leader_commit,
             heartbeat_round,
         } = request;
-        if !follow_on(previous, &entries) {
+        if !are_contiguous_after(previous, &entries) {
             return;
         }
         if !self.matches_at(previous) {
@@ -36,7 +38,8 @@
         }
         let durable_index = self.persistence.durable_index();
         if durable_index < last_index {
-            // The leader stays in contact with the follower even if its disk is slow.
+            // This response keeps the follower in contact with the leader if the follower's disk is
+            // slow.
             let response = AppendEntriesResponse {
                 success: true,
                 last_index: durable_index,
@@ -52,15 +55,17 @@
         self.send_when_durable(from, MessageBody::AppendEntriesResponse(response));
     }
 
-    /// Whether the log has the entry at a position, or a snapshot that covers it.
+    /// Returns whether the log has the entry at a position, or a snapshot that covers the entry.
     fn matches_at(&self, position: LogPosition) -> bool {
         position.index < self.log.snapshot().index || self.log.contains(position)
     }
 
-    /// Rejects entries and names the index from which the leader should retry.
+    /// Rejects entries. The response names the last index at which the log may match the leader's
+    /// log, so that the leader retries from the index after it.
     fn reject_entries(&mut self, from: ReplicaId, previous: LogPosition, heartbeat_round: u64) {
         let before_previous = previous.index.saturating_sub(1);
-        // Entries up to the commit index match those of every leader.
+        // A committed entry is in the log of every later leader, so the retry can begin after the
+        // commit index.
         let last_index = self
             .log
             .last_index()
@@ -74,7 +79,8 @@
         self.send(from, MessageBody::AppendEntriesResponse(response));
     }
 
-    /// Appends the entries from the first one on that is not in the log.
+    /// Appends the entries from the first entry on that is not in the log. Entries that a snapshot
+    /// covers are skipped.
     fn append_missing(&mut self, mut entries: Vec<Entry>) {
         let snapshot_index = self.log.snapshot().index;
         entries.retain(|entry| entry.index > snapshot_index);
@@ -86,7 +92,7 @@
         self.append(entries);
     }
 
-    /// Handles a follower's response to entries.
+    /// Handles a follower's response to entries, to a heartbeat or to a complete snapshot.
     pub(super) fn handle_append_entries_response(
         &mut self,
         from: ReplicaId,
@@ -125,9 +131,9 @@
         {
             progress.snapshot = None;
         }
-        let has_more = progress.next_index <= last_index;
+        let has_unsent_entries = progress.next_index <= last_index;
         self.advance_commit_index();
-        if has_more {
+        if has_unsent_entries {
             self.send_entries(from, EmptyRequest::Skip);
         }
     }
@@ -147,9 +153,9 @@
     }
 }
 
-/// Whether entries follow on a position without a gap. Those of a correct leader do; a request whose
-/// entries do not is malformed and gets no response.
-fn follow_on(previous: LogPosition, entries: &[Entry]) -> bool {
+/// Returns whether entries follow a position without a gap. A correct leader sends only contiguous
+/// entries. A request with a gap is malformed and gets no response.
+fn are_contiguous_after(previous: LogPosition, entries: &[Entry]) -> bool {
     let indices = entries.iter().map(|entry| Some(entry.index));
     let expected = (1..).map(|offset| previous.index.checked_add(offset));
     indices
--- a/crates/consensus/src/replica/commit.rs
+++ b/crates/consensus/src/replica/commit.rs
@@ -1,4 +1,4 @@
-//! The commit index, and the entries to apply.
+//! The commit index, and the application of committed entries.
 
 use super::Replica;
 use crate::durable_state::Record;
@@ -9,8 +9,8 @@
 use crate::role::Role;
 
 impl Replica {
-    /// Commits what is durable on a quorum. Entries of former terms are committed only with one of
-    /// this leader's term (Raft, section 5.4.2).
+    /// Commits the entries that are durable on a quorum. Entries of earlier terms are committed
+    /// only together with an entry of this leader's term (Raft, section 5.4.2).
     pub(super) fn advance_commit_index(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -20,13 +20,15 @@
         if index > self.commit_index && self.log.term_at(index) == Some(self.term) {
             self.commit_index = index;
             self.persist_and_apply_committed();
-            // Followers learn of it at once, not with the next heartbeat.
+            // A round of heartbeats now tells the followers the new commit index without waiting
+            // for the next heartbeat interval.
             self.send_heartbeats();
-            self.retire_without_vote();
+            self.step_down_if_removed();
         }
     }
 
-    /// The index up to which this leader knows that a replica holds its log durably.
+    /// Returns the index up to which a replica holds this leader's log durably, as far as the
+    /// leader knows.
     pub(super) fn durable_index_of(&self, leader: &LeaderState, id: ReplicaId) -> LogIndex {
         if id == self.id {
             return self.persistence.durable_index();
@@ -35,13 +37,13 @@
         progress.map_or(0, |progress| progress.match_index)
     }
 
-    /// Applies newly committed entries, and records the commit index for the next start.
+    /// Applies newly committed entries, and persists the commit index for the next start.
     pub(super) fn persist_and_apply_committed(&mut self) {
         self.persist(Record::Commit(self.commit_index));
         self.apply_committed();
     }
 
-    /// Applies committed entries as far as the log has them.
+    /// Applies the committed entries that are in the log.
     pub(super) fn apply_committed(&mut self) {
         while self.applied_index < self.commit_index {
             let Some(entry) = self.log.get(self.applied_index + 1).cloned() else {
--- a/crates/consensus/src/replica/dispatch.rs
+++ b/crates/consensus/src/replica/dispatch.rs
@@ -1,4 +1,5 @@
-//! Incoming messages: the comparison of terms, and the handler of each kind.
+//! The dispatch of received messages: the comparison of terms, and the handler of each kind of
+//! message.
 
 use super::Replica;
 use crate::config::Milliseconds;
@@ -8,7 +9,7 @@
 };
 
 impl Replica {
-    /// Handles a message from another replica.
+    /// Handles a message from another replica. A message for another identity is ignored.
     pub fn handle_message(&mut self, now: Milliseconds, message: Message) {
         self.now = self.now.max(now);
         if message.to != self.id {
@@ -18,7 +19,7 @@
             self.handle_vote_request(message.from, message.term, request);
             return;
         }
-        // A pre-vote names the term of an election that has not begun.
+        // The term in a pre-vote response belongs to an election that has not begun.
         let is_pre_vote_response = matches!(
             message.body,
             MessageBody::VoteResponse(VoteResponse { pre_vote: true, .. })
@@ -30,10 +31,10 @@
             self.reject_stale_term(&message);
             return;
         }
-        self.handle_body(message);
+        self.dispatch_body(message);
     }
 
-    fn handle_body(&mut self, message: Message) {
+    fn dispatch_body(&mut self, message: Message) {
         let from = message.from;
         match message.body {
             MessageBody::VoteRequest(_) => {}
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Rejects a request of a former leader, which learns the current term from the response.
+    /// Rejects a request from the leader of an earlier term. The sender learns the current term
+    /// from the response.
     fn reject_stale_term(&mut self, message: &Message) {
         let heartbeat_round = match &message.body {
             MessageBody::AppendEntriesRequest(AppendEntriesRequest {
--- a/crates/consensus/src/replica/durable_report.rs
+++ b/crates/consensus/src/replica/durable_report.rs
@@ -1,20 +1,23 @@
-//! Reports of durable entries, on the leader and on the follower: a follower commits one network
-//! delay after its own write instead of three.
+//! Durable reports: a leader reports the voters that hold its log durably, and a follower commits
+//! the reported entries. A follower with a report can commit one network delay after its own write,
+//! instead of three network delays.
 //!
 //! # Safety
 //!
-//! Raft commits an entry of the current term once a quorum holds it durably in that term (Raft,
-//! section 5.4.2); it doesn't matter which replica counts the quorum. A follower counts the holders
-//! that its leader names and itself. It commits an entry only if that entry is of the current term,
-//! so the leader of this term has created it, and by the Log Matching Property the follower's whole
-//! log up to its end is a prefix of that leader's log.
+//! In Raft, an entry of the current term is committed once a quorum holds the entry durably in that
+//! term (Raft, section 5.4.2). The rule does not depend on the replica that counts the quorum. A
+//! follower counts the holders that its leader names, and itself. The follower commits an entry
+//! only if the entry is of the current term. The leader of the current term has then created the
+//! entry, so by the Log Matching Property the follower's log up to its end is a prefix of the
+//! leader's log.
 //!
-//! The membership at the end of that prefix suffices, though the leader may have a newer one. A
-//! newer one replaces the follower's only after a joint membership of both is committed by a quorum
-//! of each, and that quorum holds all entries before it. Until then, electing a leader takes a
-//! quorum of the follower's membership too, which shares a voter with the one that was counted.
-//! Changes of former terms were committed before the first entry of this term was appended, so
-//! the follower knows them.
+//! The follower counts by the membership at the end of this prefix. The leader may already have a
+//! newer membership, but the follower's membership is sufficient. A newer membership replaces the
+//! follower's membership only after a joint membership of the two is committed by a quorum of each.
+//! That quorum holds all entries before the joint membership. Until the joint membership is
+//! committed, the election of a leader also takes a quorum of the follower's membership, and that
+//! quorum shares a voter with the counted quorum. Membership changes of earlier terms were
+//! committed before the first entry of the current term was appended, so the follower knows them.
 
 use super::Replica;
 use crate::config::Milliseconds;
@@ -24,10 +27,10 @@
 use crate::role::Role;
 
 impl Replica {
-    /// Takes the report that is due on a leader: one voter less than a quorum holds the log durably
-    /// up to an uncommitted index of this term, and the index has risen since the last report. The
-    /// driver sends it to the voters that are not holders; it may be lost, and may arrive late or
-    /// twice. There is none in a joint membership.
+    /// Takes the durable report that is due on a leader. A report is due if one voter fewer than a
+    /// quorum holds the log durably up to an uncommitted index of this term, and if that index has
+    /// risen since the last report. The driver sends the report to the voters that are not holders.
+    /// The report may be lost, delayed or duplicated. No report is due in a joint membership.
     pub fn take_durable_report(&mut self) -> Option<DurableReport> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -57,9 +60,9 @@
         })
     }
 
-    /// Handles a report of the leader: commits what this replica and the holders make a quorum for,
-    /// now or once its own entries are durable. Reports of other terms and of other replicas are
-    /// ignored.
+    /// Handles a durable report from the leader. The reported entries are committed if this replica
+    /// and the holders form a quorum, either now or once the entries are durable on this replica.
+    /// Reports of other terms and reports from replicas other than the leader are ignored.
     pub fn observe_durable_report(
         &mut self,
         now: Milliseconds,
@@ -71,15 +74,15 @@
         if report.term != self.term || !is_from_leader {
             return;
         }
-        let reported_index = self.current_report().map_or(0, |known| known.index);
+        let reported_index = self.current_report().map_or(0, |current| current.index);
         if report.index > reported_index {
             self.durable_report = Some(report);
             self.commit_reported();
         }
     }
 
-    /// Commits the entries that this replica and the holders of the last report hold durably, if
-    /// they are a quorum.
+    /// Commits the entries that this replica and the holders in the current report hold durably, if
+    /// this replica and the holders form a quorum.
     pub(super) fn commit_reported(&mut self) {
         if let Some(index) = self.reported_commit_index() {
             self.commit_index = index;
@@ -97,7 +100,7 @@
         self.log.membership().is_quorum(holds).then_some(index)
     }
 
-    /// The last report of the current term's leader.
+    /// Returns the last report from the leader of the current term.
     pub(super) fn current_report(&self) -> Option<&DurableReport> {
         let report = self.durable_report.as_ref();
         report.filter(|report| report.term == self.term)
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! Elections: timers, terms and candidates (Raft, section 5.2).
+//! Leader election: election timers, terms and campaigns (Raft, section 5.2).
 
 use super::Replica;
 use crate::config::Milliseconds;
@@ -11,45 +11,47 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// The election time-out after a start. It is longer than a heartbeat interval, so that a replica
-/// whose group has a leader hears of it first.
+/// The range of the election time-out after a start. The time-out is longer than a heartbeat
+/// interval, so that a replica whose group has a leader receives a heartbeat before the time-out.
 const STARTUP_ELECTION_TIMEOUT: Range<Milliseconds> = 250..600;
 
-/// The ways in which a replica asks for votes.
+/// The kinds of campaign in which a replica requests votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Campaign {
-    /// It asks whether it would be elected in the next term (dissertation, section 9.6).
+    /// The replica asks whether it would be elected in the next term (dissertation, section 9.6).
     PreVote,
-    /// It has won a pre-vote.
+    /// The replica has won a pre-vote and requests votes.
     Election,
-    /// The leader has asked it to become the leader (dissertation, section 3.10).
+    /// The leader has asked the replica to take over leadership (dissertation, section 3.10).
     LeadershipTransfer,
 }
 
 impl Replica {
-    /// Sets the election timer to a short time-out: a pre-vote does not disturb a leader.
+    /// Sets the election timer to a short random time-out. A short time-out is safe, because the
+    /// pre-vote that follows does not disturb a live leader.
     pub(super) fn reset_startup_election_timer(&mut self) {
         self.election_deadline = self.now + self.random.u64(STARTUP_ELECTION_TIMEOUT);
     }
 
-    /// Sets the election timer to a random time-out.
+    /// Sets the election timer to a random time-out within the configured bounds.
     pub(super) fn reset_election_timer(&mut self) {
         let timing = self.settings.timing;
         let timeouts = timing.election_timeout_min..=timing.election_timeout_max;
         self.election_deadline = self.now + self.random.u64(timeouts);
     }
 
-    /// Gives another candidate the time to be elected.
+    /// Postpones this replica's own election, so that another candidate has time to be elected.
     pub(super) fn postpone_election(&mut self) {
         let deadline = self.now + self.random.u64(STARTUP_ELECTION_TIMEOUT);
         self.election_deadline = self.election_deadline.max(deadline);
     }
 
-    /// Handles the end of the election time-out: no leader was in contact.
+    /// Handles the end of the election time-out, within which no leader was in contact.
     pub(super) fn handle_election_timeout(&mut self) {
         self.reset_election_timer();
         if self.leader().is_none() {
-            // Replicas that could not be reached may be reachable soon.
+            // The next attempt follows after a short time-out, because replicas that were
+            // unreachable may be reachable by then.
             self.reset_startup_election_timer();
         }
         if self.log.membership().is_voter(self.id) {
@@ -59,14 +61,14 @@
         }
     }
 
-    /// The leader asks this replica to take over.
+    /// Handles the leader's request to take over leadership.
     pub(super) fn handle_timeout_now(&mut self) {
         if self.log.membership().is_voter(self.id) {
             self.start_campaign(Campaign::LeadershipTransfer);
         }
     }
 
-    /// Becomes a follower in a newer term.
+    /// Becomes a follower in a newer term, in which this replica has not voted yet.
     pub(super) fn adopt_term(&mut self, term: Term) {
         self.step_down(None);
         self.term = term;
@@ -78,11 +80,12 @@
         });
     }
 
-    /// Becomes a follower, of a leader if it is known.
+    /// Becomes a follower of `leader`, or of a leader that is not known yet. The pending reads of a
+    /// leader that steps down fail.
     pub(super) fn step_down(&mut self, leader: Option<ReplicaId>) {
-        let former = std::mem::replace(&mut self.role, Role::Follower { leader });
-        if let Role::Leader(former) = former {
-            let pending_reads = former.pending_reads.into_iter();
+        let previous = std::mem::replace(&mut self.role, Role::Follower { leader });
+        if let Role::Leader(state) = previous {
+            let pending_reads = state.pending_reads.into_iter();
             let failed = pending_reads.map(|read| Output::ReadFailed {
                 read_id: read.read_id,
             });
@@ -91,15 +94,15 @@
         }
     }
 
-    /// Follows the leader of the current term, which was just heard from.
+    /// Becomes a follower of the leader of the current term after a message from that leader.
     pub(super) fn follow(&mut self, leader: ReplicaId) {
         self.step_down(Some(leader));
         self.leader_contact = Some(self.now);
         self.reset_election_timer();
     }
 
-    /// Whether a leader was heard from within the shortest election time-out, so that no election
-    /// is due.
+    /// Returns whether this replica knows a leader and the last contact with the leader is more
+    /// recent than the shortest election time-out. No election is due in that case.
     pub(super) fn has_live_leader(&self) -> bool {
         let timeout = self.settings.timing.election_timeout_min;
         let is_recent = self
@@ -108,7 +111,7 @@
         is_recent && self.leader().is_some()
     }
 
-    /// Becomes a candidate and asks all other voters for their votes.
+    /// Becomes a candidate and requests votes from all other voters.
     pub(super) fn start_campaign(&mut self, campaign: Campaign) {
         let pre_vote = campaign == Campaign::PreVote;
         self.step_down(None);
@@ -154,7 +157,8 @@
         }
     }
 
-    /// Counts a vote for this replica, and goes on when a quorum has granted theirs.
+    /// Counts a vote for this replica. Once a quorum has granted its votes, a pre-vote leads to an
+    /// election, and an election makes this replica the leader.
     pub(super) fn count_vote(&mut self, from: ReplicaId, is_pre_vote: bool) {
         let Role::Candidate { pre_vote, votes } = &mut self.role else {
             return;
@@ -177,7 +181,7 @@
         }
     }
 
-    /// The identities of the voters other than this replica.
+    /// Returns the identities of all voters except this replica.
     pub(super) fn other_voters(&self) -> Vec<ReplicaId> {
         let voters = self.log.membership().all_voters();
         voters
--- a/crates/consensus/src/replica/install_snapshot.rs
+++ b/crates/consensus/src/replica/install_snapshot.rs
@@ -1,4 +1,5 @@
-//! Chunks of snapshots, on the follower and on the leader (Raft, section 7).
+//! Requests to install a chunk of a snapshot, and their responses (Raft, section 7). A follower
+//! handles the requests, and a leader handles the responses.
 
 use super::Replica;
 use crate::durable_state::Record;
@@ -12,7 +13,8 @@
 use crate::snapshot_transfer::{ChunkOutcome, SnapshotReceiver};
 
 impl Replica {
-    /// Handles a chunk of a snapshot. A complete snapshot is acknowledged like entries.
+    /// Handles a chunk of a snapshot. A complete snapshot is acknowledged by a response to
+    /// appended entries, once the snapshot is durable.
     pub(super) fn handle_install_snapshot_request(
         &mut self,
         from: ReplicaId,
@@ -54,7 +56,7 @@
         self.outputs.push_back(Output::Restore(snapshot));
     }
 
-    /// Handles a follower's response to a chunk.
+    /// Handles a follower's response to a chunk: sends the next chunks.
     pub(super) fn handle_install_snapshot_response(
         &mut self,
         from: ReplicaId,
--- a/crates/consensus/src/replica/leader.rs
+++ b/crates/consensus/src/replica/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: how it begins, its heartbeats, its check of the quorum, and the transfer of
+//! The leader: the start of its term, heartbeats, the check of its quorum, and the transfer of
 //! leadership.
 
 use super::Replica;
@@ -11,10 +11,11 @@
 use crate::progress::Progress;
 use crate::role::Role;
 
-/// Time after which a leadership transfer counts as failed; commands are rejected until then.
+/// The time after which a leadership transfer counts as failed. The leader rejects commands until
+/// then.
 const LEADERSHIP_TRANSFER_TIMEOUT: Milliseconds = 1_000;
-/// The heartbeat intervals within which a follower must have responded to be a target of a
-/// transfer.
+/// The number of heartbeat intervals within which a follower must have been in contact to be the
+/// target of a leadership transfer.
 const TRANSFER_TARGET_INTERVALS: u64 = 3;
 
 impl Replica {
@@ -28,8 +29,8 @@
         self.advance_commit_index();
     }
 
-    /// Advances the time of a leader. One that has lost its quorum steps down (dissertation,
-    /// section 6.2).
+    /// Performs the periodic work of a leader: heartbeats and membership changes. A leader that has
+    /// lost contact with a quorum steps down (dissertation, section 6.2).
     pub(super) fn tick_leader(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -45,7 +46,7 @@
         self.review_membership();
     }
 
-    /// The latest time at which a quorum is known to have been in contact with this leader.
+    /// Returns the latest time at which a quorum is known to have been in contact with this leader.
     pub(super) fn quorum_contact(&self, leader: &LeaderState) -> Milliseconds {
         let last_contact = |member: &Member| {
             if member.id == self.id {
@@ -58,7 +59,7 @@
         self.log.membership().quorum_value(last_contact)
     }
 
-    /// Starts a round of heartbeats: sends to all followers, also to those that lack no entries.
+    /// Starts a heartbeat round. Each follower is sent a request, even if it lacks no entries.
     pub(super) fn send_heartbeats(&mut self) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else {
@@ -71,7 +72,8 @@
         }
     }
 
-    /// The replicas that this leader replicates to.
+    /// Returns the replicas to which this leader replicates; empty if this replica is not the
+    /// leader.
     pub(super) fn followers(&self) -> Vec<ReplicaId> {
         match &self.role {
             Role::Leader(leader) => leader.progress.keys().copied().collect(),
@@ -79,9 +81,9 @@
         }
     }
 
-    /// Hands leadership to the follower that has most of the log, before this process stops
-    /// (dissertation, section 3.10). Does nothing if this replica is not the leader or no follower
-    /// is live.
+    /// Transfers leadership to the live voter with the longest acknowledged log (dissertation,
+    /// section 3.10). The driver calls this before its process stops. Does nothing if this replica
+    /// is not the leader or no other voter is live.
     pub fn transfer_leadership(&mut self) {
         let Some(target) = self.transfer_target() else {
             return;
@@ -99,11 +101,11 @@
         };
         let membership = self.log.membership();
         let max_age = TRANSFER_TARGET_INTERVALS * self.settings.timing.heartbeat_interval;
-        let since = self.now.saturating_sub(max_age);
+        let oldest_contact = self.now.saturating_sub(max_age);
         let is_eligible = |id: ReplicaId, progress: &Progress| {
             let is_live = progress
                 .last_contact
-                .is_some_and(|contact| contact >= since);
+                .is_some_and(|contact| contact >= oldest_contact);
             id != self.id && membership.is_voter(id) && is_live
         };
         let eligible = leader
@@ -115,8 +117,8 @@
         target.map(|(id, _)| *id)
     }
 
-    /// Whether the leader is sending a snapshot. The receiver will need the entries after it, so
-    /// they should be kept.
+    /// Returns whether this leader is sending a snapshot. The receiver needs the entries after the
+    /// snapshot next, so the driver should not compact them during the transfer.
     pub fn is_sending_snapshot(&self) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
--- a/crates/consensus/src/replica/learners.rs
+++ b/crates/consensus/src/replica/learners.rs
@@ -8,14 +8,17 @@
 use crate::progress::Progress;
 use crate::role::Role;
 
-/// Time since its last request to join after which a learner is no longer replicated to.
+/// The time since a learner's last request to join after which the leader stops replicating to the
+/// learner.
 const LEARNER_TIMEOUT: Milliseconds = 5_000;
-/// Time since its last request to join after which a learner is not chosen as a voter.
+/// The time since a learner's last request to join after which the learner is not chosen as a
+/// voter.
 const LEARNER_LIVE_TIMEOUT: Milliseconds = 1_500;
 
 impl Replica {
-    /// Handles the request of a replica to join as a voter, which it repeats. A leader replicates
-    /// to it at once; others ignore it.
+    /// Handles the request of a replica to join the group as a voter. The joining replica repeats
+    /// its request. A leader replicates to the joining replica at once; any other replica ignores
+    /// the request.
     pub fn add_learner(&mut self, member: Member) {
         let next_index = self.log.last_index() + 1;
         let is_voter = self.log.membership().is_voter(member.id);
@@ -38,24 +41,29 @@
         );
     }
 
-    /// Whether this replica should ask to join: it has no vote, or no leader has been in contact
-    /// for so long that it may have lost its vote without noticing.
+    /// Returns whether this replica should request to join the group. A replica requests to join if
+    /// it has no vote. It also does so if it has had no contact with a leader for so long that the
+    /// group may have removed it without its knowledge.
     pub fn should_join(&self) -> bool {
-        let patience = 2 * self.settings.timing.election_timeout_max;
+        let contact_timeout = 2 * self.settings.timing.election_timeout_max;
         let is_in_contact = self
             .last_leader_contact()
-            .is_some_and(|contact| self.now <= contact + patience);
+            .is_some_and(|contact| self.now <= contact + contact_timeout);
         !self.membership().is_voter(self.id) || !is_in_contact && !self.is_leader()
     }
 
-    /// Keeps members that have lost their vote as learners, so that they hear of the change and can
-    /// ask to join. A member whose address another member has taken is gone.
-    pub(super) fn keep_as_learners(&mut self, former: Vec<Member>) {
+    /// Keeps removed voters as learners, so that they receive the membership change and can request
+    /// to join again. A removed voter is not kept if a current voter has the same address, because
+    /// the process at that address has taken a new identity.
+    pub(super) fn keep_as_learners(&mut self, previous_voters: Vec<Member>) {
         let membership = self.log.membership();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        for member in former.into_iter().filter(|member| member.id != self.id) {
+        for member in previous_voters
+            .into_iter()
+            .filter(|member| member.id != self.id)
+        {
             let mut voters = membership.all_voters();
             if !voters.any(|voter| voter.id == member.id || voter.address == member.address) {
                 leader.learners.insert(
@@ -69,7 +77,8 @@
         }
     }
 
-    /// Removes the learners that no longer ask to join or have become voters.
+    /// Removes the learners that have become voters, and the learners that have not requested to
+    /// join for [`LEARNER_TIMEOUT`].
     pub(super) fn expire_learners(&mut self) {
         let now = self.now;
         let membership = self.log.membership();
@@ -89,7 +98,7 @@
         });
     }
 
-    /// The learners that are live and have all committed entries.
+    /// Returns the learners that are live and hold all committed entries durably.
     pub(super) fn promotable_learners<'a>(
         &'a self,
         leader: &'a LeaderState,
--- a/crates/consensus/src/replica/membership_change.rs
+++ b/crates/consensus/src/replica/membership_change.rs
@@ -1,5 +1,6 @@
-//! Membership changes by joint consensus (Raft, section 6): the current and the next voters agree
-//! together until the next ones are committed.
+//! Membership changes by joint consensus (Raft, section 6). Each decision needs a majority of the
+//! current voters and a majority of the next voters, until the joint membership is committed and
+//! the next voters take over.
 
 use super::Replica;
 use crate::config::Milliseconds;
@@ -11,20 +12,21 @@
 use crate::role::Role;
 use crate::voter_selection::{Liveness, VoterCandidate, choose_voters};
 
-/// Time without contact after which a learner may take a voter's place: longer than an election or
-/// a restart.
+/// The time without contact after which a learner may replace a voter. It is longer than an
+/// election or a restart takes.
 pub(super) const REPLACEMENT_TIMEOUT: Milliseconds = 2_000;
-/// Time without contact after which a voter that is not needed loses its vote: much longer than a
-/// restart, and shorter than the time to the next fault. One that comes back joins again.
+/// The time without contact after which a voter may be removed without a replacement. It is much
+/// longer than a restart takes, and shorter than the expected time to the next fault. A removed
+/// voter that comes back requests to join again.
 const REMOVAL_TIMEOUT: Milliseconds = 5_000;
 
 impl Replica {
-    /// Begins a change to these voters.
+    /// Begins a membership change from the current voters to `next_voters`.
     ///
     /// # Errors
     ///
-    /// [`ChangeVotersError`] if there are no voters, this replica does not lead or has not
-    /// committed an entry of its term, or another change is in progress.
+    /// Returns [`ChangeVotersError`] if `next_voters` is empty, if this replica is not the leader
+    /// or has not committed an entry of its term, or if another change is in progress.
     pub fn change_voters(&mut self, next_voters: Vec<Member>) -> Result<(), ChangeVotersError> {
         if next_voters.is_empty() {
             return Err(ChangeVotersError::NoVoters);
@@ -44,7 +46,7 @@
                 leader: self.leader(),
             });
         };
-        if !self.is_change_committed() || self.log.membership().is_joint() {
+        if !self.is_newest_membership_committed() || self.log.membership().is_joint() {
             return Err(ChangeVotersError::ChangeInProgress);
         }
         if self.commit_index < leader.first_index {
@@ -53,23 +55,24 @@
         Ok(())
     }
 
-    /// Whether the newest membership is committed.
-    pub(super) fn is_change_committed(&self) -> bool {
+    /// Returns whether the newest membership in the log is committed.
+    pub(super) fn is_newest_membership_committed(&self) -> bool {
         let newest = self.log.last_membership_index();
         newest.is_none_or(|index| index <= self.commit_index)
     }
 
     fn append_membership(&mut self, membership: Membership) {
-        let former: Vec<Member> = self.log.membership().all_voters().cloned().collect();
+        let previous_voters: Vec<Member> = self.log.membership().all_voters().cloned().collect();
         let entry = self.next_entry(EntryPayload::Membership(membership));
         self.append(vec![entry]);
-        self.keep_as_learners(former);
+        self.keep_as_learners(previous_voters);
         self.update_followers();
         self.send_heartbeats();
         self.advance_commit_index();
     }
 
-    /// Replicates to all voters and learners, and to no others.
+    /// Starts replication to new voters, and ends replication to replicas that are neither voters
+    /// nor learners.
     fn update_followers(&mut self) {
         let next_index = self.log.last_index();
         let voters = self.other_voters();
@@ -87,7 +90,8 @@
         }
     }
 
-    /// Completes a committed change, or begins one if other voters are better.
+    /// Completes a committed joint membership, or begins a change if another choice of voters is
+    /// better.
     pub(super) fn review_membership(&mut self) {
         self.expire_learners();
         self.expire_retiring();
@@ -103,7 +107,7 @@
         let is_current = |member: &Member| voters.iter().any(|voter| voter.id == member.id);
         let is_unchanged = chosen.len() == voters.len() && chosen.iter().all(is_current);
         if !is_unchanged {
-            // No candidates, no change: an empty choice is rejected.
+            // `change_voters` rejects an empty choice, which is made if there are no candidates.
             self.change_voters(chosen).ok();
         }
     }
@@ -112,13 +116,13 @@
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        if self.is_change_committed() && self.commit_index >= leader.first_index {
+        if self.is_newest_membership_committed() && self.commit_index >= leader.first_index {
             let completed = self.log.membership().completed();
             self.append_membership(completed);
         }
     }
 
-    /// The voters, and the learners that could become voters.
+    /// Returns the current voters, and the learners that could become voters.
     fn voter_candidates(&self) -> Vec<VoterCandidate> {
         let Role::Leader(leader) = &self.role else {
             return Vec::new();
@@ -140,7 +144,8 @@
         voters.chain(learners).collect()
     }
 
-    /// The liveness of a voter. If a learner runs at its address, it has lost its disk.
+    /// Returns the liveness of a voter. A learner with the voter's address shows that the voter has
+    /// lost its disk and has restarted with a new identity.
     fn voter_liveness(
         &self,
         leader: &LeaderState,
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -1,5 +1,5 @@
-//! A replica: its state, its inputs and its outputs. Each request, each response and each duty of a
-//! role has a module of its own.
+//! A replica as a state machine: its state, its inputs and its outputs. Each kind of message and
+//! each task of a role has a module of its own.
 
 mod append_entries;
 mod commit;
@@ -32,14 +32,16 @@
 use persistence::Persistence;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A replica of the group.
+/// A replica of the group. The driver passes in the time, received messages and completed writes,
+/// and carries out the outputs.
 #[derive(Clone, Debug)]
 pub struct Replica {
     id: ReplicaId,
     settings: Settings,
-    /// The failure domains of the replicas by address, as far as they are known.
+    /// The known failure domains of replicas, by address.
     failure_domains: BTreeMap<String, FailureDomain>,
-    /// Replicas whose process is about to end, and until when that holds.
+    /// The replicas whose process is about to stop, with the time until which they count as
+    /// retiring.
     retiring_until: BTreeMap<ReplicaId, Milliseconds>,
     now: Milliseconds,
     term: Term,
@@ -49,20 +51,20 @@
     applied_index: LogIndex,
     role: Role,
     election_deadline: Milliseconds,
-    /// When a leader was last heard from, as a follower.
+    /// The time of the last message from a leader that this replica followed.
     leader_contact: Option<Milliseconds>,
     random: fastrand::Rng,
     outputs: VecDeque<Output>,
     persistence: Persistence,
-    /// The snapshot that a leader is sending.
+    /// The snapshot that this replica is receiving from a leader.
     incoming_snapshot: Option<SnapshotReceiver>,
-    /// The last report of a leader; it counts only in its term.
+    /// The last durable report from a leader. The report is valid only in its own term.
     durable_report: Option<DurableReport>,
 }
 
 impl Replica {
-    /// A replica with the durable state of its last run, at a time. `seed` determines its random
-    /// election time-outs.
+    /// Creates a replica from the durable state of its last run. `now` is the current time. `seed`
+    /// determines the random election time-outs.
     pub fn new(state: DurableState, settings: Settings, now: Milliseconds, seed: u64) -> Self {
         let snapshot = state.log.snapshot().clone();
         let last_index = state.log.last_index();
@@ -94,37 +96,37 @@
         replica
     }
 
-    /// This replica's identity.
+    /// Returns the identity of this replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The index up to which the log is known to be committed.
+    /// Returns the index up to which this replica knows the log to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// The log.
+    /// Returns the log of this replica, including its uncommitted entries.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// The membership as of the last entry.
+    /// Returns the membership as of the last entry, which may be uncommitted.
     pub fn membership(&self) -> &Membership {
         self.log.membership()
     }
 
-    /// Whether this replica is the leader.
+    /// Returns whether this replica is the leader of the current term.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leader of the current term, if it is known.
+    /// Returns the leader of the current term, if this replica knows it.
     pub fn leader(&self) -> Option<ReplicaId> {
         match &self.role {
             Role::Follower { leader } => *leader,
@@ -133,8 +135,8 @@
         }
     }
 
-    /// When this replica last knew of a leader with a quorum: on a leader, when a quorum was last
-    /// in contact with it.
+    /// Returns the time of the last contact with the leader. On the leader itself, this is the
+    /// latest time at which a quorum was in contact with it.
     pub fn last_leader_contact(&self) -> Option<Milliseconds> {
         match &self.role {
             Role::Leader(leader) => Some(self.quorum_contact(leader)),
@@ -142,15 +144,16 @@
         }
     }
 
-    /// Sets the failure domain of the replicas at an address. Voters are spread over failure
-    /// domains.
+    /// Sets the failure domain of the replicas at an address. The automatic choice of voters
+    /// spreads the voters over failure domains.
     pub fn set_failure_domain(&mut self, address: String, domain: FailureDomain) {
         self.failure_domains.insert(address, domain);
     }
 
-    /// Text by which a model checker tells states apart: the durable state, the role and what waits
-    /// for the disk. Replicas with equal texts behave alike where time stands still and neither
-    /// failure domains nor retirements are set.
+    /// Returns a text by which a model checker distinguishes states. The text contains the durable
+    /// state, the role, the messages that wait for records to become durable, and the current
+    /// durable report. Replicas with equal texts behave alike, provided that time stands still and
+    /// that neither failure domains nor retiring replicas are set.
     pub fn state_key(&self) -> String {
         let durable = (
             self.id,
@@ -173,12 +176,14 @@
         )
     }
 
-    /// Takes the outputs since the last call, in the order in which they are to be carried out.
+    /// Takes the outputs since the last call. The driver performs the outputs in the returned
+    /// order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         self.outputs.drain(..).collect()
     }
 
-    /// Advances the time.
+    /// Advances the time, and performs the work that is due: an election after an election
+    /// time-out, or the periodic work of a leader.
     pub fn tick(&mut self, now: Milliseconds) {
         self.now = self.now.max(now);
         if self.is_leader() {
@@ -188,8 +193,8 @@
         }
     }
 
-    /// Replaces the entries up to an index by a snapshot. `state` is the state machine at that
-    /// index, which must be applied; otherwise nothing changes.
+    /// Replaces the entries up to `index` by a snapshot. `state` is the state of the state machine
+    /// as of `index`. Does nothing if the entry at `index` is not applied or is already compacted.
     pub fn compact(&mut self, index: LogIndex, state: Vec<u8>) {
         let Some(term) = self.log.term_at(index) else {
             return;
@@ -208,7 +213,7 @@
         self.persist(Record::InstallSnapshot(snapshot));
     }
 
-    /// The next entry of a leader.
+    /// Creates the entry that a leader appends next.
     fn next_entry(&self, payload: EntryPayload) -> Entry {
         Entry {
             index: self.log.last_index() + 1,
--- a/crates/consensus/src/replica/persistence.rs
+++ b/crates/consensus/src/replica/persistence.rs
@@ -1,4 +1,5 @@
-//! The order of writes and messages: what must not be sent before a record is durable waits here.
+//! The order of writes and messages. A message that depends on a record is held back until the
+//! record is durable.
 
 use super::Replica;
 use crate::durable_state::Record;
@@ -23,23 +24,24 @@
     last: LogPosition,
 }
 
-/// The records that have been issued and what waits for them. Sequence numbers begin with 1 and
-/// rise by one.
+/// The records that have been issued, and the messages and entries that depend on them. Sequence
+/// numbers begin at 1 and rise by one.
 #[derive(Clone, Debug)]
 pub(super) struct Persistence {
     next_sequence: u64,
-    /// Records up to this sequence number are durable.
+    /// The sequence number up to which records are durable.
     persisted_sequence: u64,
     messages: VecDeque<PendingMessage>,
     appends: VecDeque<PendingAppend>,
     /// The index up to which the log is durable.
     durable_index: LogIndex,
-    /// The record of this replica's vote for itself, until that is durable.
+    /// The sequence number of the record of this replica's vote for itself, until the record is
+    /// durable.
     own_vote_sequence: Option<u64>,
 }
 
 impl Persistence {
-    /// The state after a start: all entries up to an index are durable.
+    /// Creates the state after a start, in which all entries up to `durable_index` are durable.
     pub fn new(durable_index: LogIndex) -> Self {
         Self {
             next_sequence: 1,
@@ -51,32 +53,32 @@
         }
     }
 
-    /// The index up to which the log is durable.
+    /// Returns the index up to which the log is durable.
     pub fn durable_index(&self) -> LogIndex {
         self.durable_index
     }
 
-    /// Whether there are records that are not durable yet.
+    /// Returns whether some issued records are not durable yet.
     pub fn has_pending_records(&self) -> bool {
         self.persisted_sequence + 1 != self.next_sequence
     }
 
-    /// The messages that wait, the oldest first.
+    /// Returns the messages that wait for records to become durable, the oldest first.
     pub fn pending_messages(&self) -> &VecDeque<PendingMessage> {
         &self.messages
     }
 
-    /// Remembers that the next record is this replica's vote for itself.
+    /// Notes that the next record is this replica's vote for itself.
     pub fn expect_own_vote(&mut self) {
         self.own_vote_sequence = Some(self.next_sequence);
     }
 
-    /// Forgets a vote for itself that no longer counts.
+    /// Forgets this replica's vote for itself, which does not count in a newer term.
     pub fn forget_own_vote(&mut self) {
         self.own_vote_sequence = None;
     }
 
-    /// Notes that the next record replaces everything up to and including a snapshot by it.
+    /// Notes that the next record installs a snapshot whose last entry is at `last`.
     pub fn expect_snapshot(&mut self, last: LogPosition) {
         self.durable_index = self.durable_index.min(last.index);
         self.appends.retain(|append| append.last.index > last.index);
@@ -115,7 +117,8 @@
         self.messages.pop_front().map(|pending| pending.message)
     }
 
-    /// Whether this replica's vote for itself has become durable; true once.
+    /// Returns whether this replica's vote for itself has become durable since the last call that
+    /// returned `true`.
     fn take_persisted_own_vote(&mut self) -> bool {
         let is_persisted = self
             .own_vote_sequence
@@ -128,11 +131,11 @@
 }
 
 impl Replica {
-    /// Records up to this sequence number are durable.
+    /// Handles the completion of writes: all records up to `sequence` are durable.
     pub fn handle_persisted(&mut self, sequence: u64) {
         self.persistence.persisted_sequence = self.persistence.persisted_sequence.max(sequence);
         while let Some(append) = self.persistence.pop_persisted_append() {
-            // Entries of a run that was replaced in the meantime do not count.
+            // Entries that were replaced before they became durable do not count.
             if self.log.contains(append.last) {
                 self.persistence.durable_index =
                     self.persistence.durable_index.max(append.last.index);
@@ -148,14 +151,14 @@
         self.commit_reported();
     }
 
-    /// Issues a record.
+    /// Issues a record that the driver makes durable.
     pub(super) fn persist(&mut self, record: Record) {
         let sequence = self.persistence.next_sequence;
         self.persistence.next_sequence += 1;
         self.outputs.push_back(Output::Persist { sequence, record });
     }
 
-    /// Appends entries to the log, durably.
+    /// Appends entries to the log, and issues the record that makes the entries durable.
     pub(super) fn append(&mut self, entries: Vec<Entry>) {
         let (Some(first), Some(last)) = (entries.first(), entries.last()) else {
             return;
@@ -165,7 +168,7 @@
         self.persist(Record::Append(entries));
     }
 
-    /// Sends a message at once.
+    /// Sends a message without waiting for records to become durable.
     pub(super) fn send(&mut self, to: ReplicaId, body: MessageBody) {
         let message = self.message(to, body);
         self.outputs.push_back(Output::Send(message));
--- a/crates/consensus/src/replica/propose.rs
+++ b/crates/consensus/src/replica/propose.rs
@@ -1,4 +1,4 @@
-//! Commands of clients.
+//! Commands that clients propose to the leader.
 
 use super::Replica;
 use crate::entry::EntryPayload;
@@ -6,18 +6,19 @@
 use crate::log_position::LogPosition;
 use crate::role::Role;
 
-/// Bytes of entries that may wait to be committed: with a snapshot and what is compacted next, they
-/// fit a segment of the durable storage.
+/// The largest total size of uncommitted entries. A snapshot, the entries that are compacted next
+/// and the uncommitted entries together fit in one segment of the durable storage.
 const MAX_UNCOMMITTED_BYTES: usize = 4 << 20;
 
 impl Replica {
-    /// Appends a command to the log of the leader and replicates it. The position identifies the
-    /// command when it is applied; if another entry is applied at its index, the command was lost.
+    /// Appends a command to the leader's log and replicates it. The returned position identifies
+    /// the command when its entry is applied. If an entry of another term is applied at the same
+    /// index, the command is lost.
     ///
     /// # Errors
     ///
-    /// [`ProposeError`] if this replica does not lead, is handing leadership over, or has too much
-    /// uncommitted.
+    /// Returns [`ProposeError`] if this replica is not the leader, is transferring leadership, or
+    /// has too many bytes of uncommitted entries.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<LogPosition, ProposeError> {
         let Role::Leader(leader) = &self.role else {
             return Err(ProposeError::NotLeader {
--- a/crates/consensus/src/replica/read.rs
+++ b/crates/consensus/src/replica/read.rs
@@ -8,8 +8,8 @@
 use crate::role::Role;
 
 impl Replica {
-    /// Requests a read of the state machine. [`Output::ReadReady`] or [`Output::ReadFailed`]
-    /// follows with the same identifier.
+    /// Requests a linearizable read of the state machine. The replica answers with an
+    /// [`Output::ReadReady`] or [`Output::ReadFailed`] that carries `read_id`.
     pub fn request_read(&mut self, read_id: u64) {
         let commit_index = self.commit_index;
         let leader = match &mut self.role {
@@ -19,7 +19,7 @@
                 return;
             }
         };
-        let confirming_round = leader.rounds.latest() + 1;
+        let confirming_round = leader.rounds.latest_number() + 1;
         leader.pending_reads.push_back(PendingRead {
             read_id,
             confirming_round,
@@ -28,7 +28,7 @@
         self.confirm_reads();
     }
 
-    /// Completes the reads for which a quorum has responded.
+    /// Completes the pending reads whose heartbeat round a quorum has acknowledged.
     pub(super) fn confirm_reads(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -1,4 +1,5 @@
-//! Replication from a leader to its followers: entries, or a snapshot where they are compacted.
+//! Replication from a leader to its followers. A follower is sent entries, or a snapshot if the
+//! leader has compacted the entries.
 
 use super::Replica;
 use crate::log_position::LogPosition;
@@ -7,20 +8,21 @@
 use crate::role::Role;
 use crate::snapshot_transfer::SnapshotSender;
 
-/// Bytes of entries in one message, so that heartbeats are not delayed for long behind it.
+/// The largest total size of the entries in one message. The limit keeps the delay of a heartbeat
+/// behind such a message short.
 const MAX_ENTRIES_BYTES: usize = 256 << 10;
 
-/// Whether a request without entries is sent.
+/// The handling of a request to a follower that lacks no entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EmptyRequest {
-    /// It is sent, as a heartbeat.
+    /// A request without entries is sent as a heartbeat.
     Send,
-    /// It is not sent.
+    /// A request without entries is not sent.
     Skip,
 }
 
 impl Replica {
-    /// Sends new entries to the followers that lack them.
+    /// Sends each follower the entries that it lacks.
     pub(super) fn replicate(&mut self) {
         for follower in self.followers() {
             self.send_entries(follower, EmptyRequest::Skip);
@@ -28,13 +30,14 @@
         self.advance_commit_index();
     }
 
-    /// Sends the entries that a follower lacks, or chunks of a snapshot if they are compacted.
+    /// Sends the entries that a follower lacks, or chunks of a snapshot if those entries are
+    /// compacted.
     pub(super) fn send_entries(&mut self, follower: ReplicaId, empty: EmptyRequest) {
         let snapshot_index = self.log.snapshot().index;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let heartbeat_round = leader.rounds.latest();
+        let heartbeat_round = leader.rounds.latest_number();
         let Some(progress) = leader.progress.get_mut(&follower) else {
             return;
         };
@@ -70,21 +73,21 @@
         self.send(follower, MessageBody::AppendEntriesRequest(request));
     }
 
-    /// Sends the next chunks of the snapshot that a follower receives; begins with the newest one
-    /// if there is no transfer.
+    /// Sends the next chunks of the snapshot transfer to a follower. If no transfer is in progress,
+    /// starts a transfer of the newest snapshot.
     pub(super) fn send_snapshot_chunks(&mut self, follower: ReplicaId) {
         let now = self.now;
-        let newest = self.log.shared_snapshot();
+        let newest_snapshot = self.log.shared_snapshot();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let heartbeat_round = leader.rounds.latest();
+        let heartbeat_round = leader.rounds.latest_number();
         let Some(progress) = leader.progress.get_mut(&follower) else {
             return;
         };
         let sender = progress
             .snapshot
-            .get_or_insert_with(|| SnapshotSender::new(&newest, now));
+            .get_or_insert_with(|| SnapshotSender::new(&newest_snapshot, now));
         for chunk in sender.next_chunks(now) {
             let request = InstallSnapshotRequest {
                 chunk,
--- a/crates/consensus/src/replica/vote.rs
+++ b/crates/consensus/src/replica/vote.rs
@@ -1,4 +1,4 @@
-//! Requests for votes and their responses (Raft, sections 5.2 and 5.4; pre-vote: dissertation,
+//! Vote requests and their responses (Raft, sections 5.2 and 5.4), and pre-votes (dissertation,
 //! section 9.6).
 
 use super::Replica;
@@ -10,8 +10,8 @@
 use crate::role::Role;
 
 impl Replica {
-    /// Handles a request for a vote. It is ignored while there is a live leader that has not asked
-    /// for the election itself.
+    /// Handles a vote request. The request is ignored while this replica knows a live leader,
+    /// unless that leader itself has asked the candidate for the election.
     pub(super) fn handle_vote_request(
         &mut self,
         from: ReplicaId,
@@ -50,7 +50,7 @@
 
     fn handle_pre_vote(&mut self, from: ReplicaId, term: Term, request: VoteRequest) {
         if term <= self.term {
-            self.tell_term(from);
+            self.refuse_stale_pre_vote(from);
             return;
         }
         let granted = self.is_up_to_date(request.last_log)
@@ -71,10 +71,11 @@
         self.outputs.push_back(Output::Send(message));
     }
 
-    /// Refuses a pre-vote for a term that this replica is in or past. The candidate adopts the term
-    /// from the refusal: it may be the only one whose log is complete, and would never be granted a
-    /// term that it does not go beyond.
-    fn tell_term(&mut self, candidate: ReplicaId) {
+    /// Refuses a pre-vote for a term that is not newer than this replica's term. The refusal
+    /// carries this replica's term, which the candidate adopts. Otherwise the candidate would
+    /// request pre-votes for an old term for ever, and no leader would be elected if the candidate
+    /// has the only complete log.
+    fn refuse_stale_pre_vote(&mut self, candidate: ReplicaId) {
         let refusal = VoteResponse {
             pre_vote: false,
             granted: false,
@@ -82,21 +83,22 @@
         self.send(candidate, MessageBody::VoteResponse(refusal));
     }
 
-    /// Handles the response to a request for a vote.
+    /// Handles the response to a vote request.
     pub(super) fn handle_vote_response(&mut self, from: ReplicaId, response: VoteResponse) {
         if response.granted {
             self.count_vote(from, response.pre_vote);
         }
     }
 
-    /// Whether a candidate's log is at least as up-to-date as this replica's (Raft, section 5.4.1).
+    /// Returns whether a candidate's log is at least as up-to-date as this replica's log (Raft,
+    /// section 5.4.1).
     fn is_up_to_date(&self, last_log: LogPosition) -> bool {
         last_log >= self.log.last_position()
     }
 
-    /// Whether this replica is a candidate itself, with as good a log and a greater identity. Of
-    /// two such candidates only one is granted votes, so that they do not split the votes again and
-    /// again.
+    /// Returns whether this replica is itself a candidate with an equally up-to-date log and a
+    /// greater identity than another candidate. Only one of two such candidates grants the other a
+    /// pre-vote, so that the two do not split the votes repeatedly.
     fn has_precedence_over(&self, other: ReplicaId, last_log: LogPosition) -> bool {
         let is_candidate = matches!(self.role, Role::Candidate { .. });
         is_candidate && last_log == self.log.last_position() && self.id > other
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,25 +1,25 @@
-//! Snapshots of the state machine, and the chunks in which they are sent.
+//! Snapshots of the state machine, and the chunks in which a leader sends a snapshot.
 
 use crate::log_position::{LogIndex, LogPosition, Term};
 use crate::membership::Membership;
 use nanoserde::{DeBin, SerBin};
 
-/// The state machine at a position of the log. It replaces all entries up to there (Raft, section
-/// 7).
+/// The state of the state machine at a position of the log. A snapshot replaces all entries up to
+/// its position (Raft, section 7).
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Snapshot {
-    /// The index of the last entry that it covers.
+    /// The index of the last entry that the snapshot covers.
     pub index: LogIndex,
-    /// That entry's term.
+    /// The term of the last entry that the snapshot covers.
     pub term: Term,
-    /// The membership at that position.
+    /// The membership as of `index`.
     pub membership: Membership,
-    /// The state machine in its own encoding.
+    /// The state, in the state machine's own encoding.
     pub state: Vec<u8>,
 }
 
 impl Snapshot {
-    /// The position of the last entry that it covers.
+    /// Returns the position of the last entry that the snapshot covers.
     pub fn position(&self) -> LogPosition {
         LogPosition {
             index: self.index,
@@ -28,19 +28,19 @@
     }
 }
 
-/// Identifies a snapshot that is being sent.
+/// The metadata that identifies a snapshot during a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct SnapshotMeta {
-    /// The position of the last entry that it covers.
+    /// The position of the last entry that the snapshot covers.
     pub last_log: LogPosition,
-    /// The bytes of its encoding.
+    /// The size of the snapshot's encoding, in bytes.
     pub size: u64,
-    /// The CRC-32 of its encoding.
+    /// The CRC-32 of the snapshot's encoding.
     pub checksum: u32,
 }
 
 impl SnapshotMeta {
-    /// The metadata of a snapshot with this encoding.
+    /// Computes the metadata of a snapshot from its encoding.
     pub fn of(snapshot: &Snapshot, encoded: &[u8]) -> Self {
         Self {
             last_log: snapshot.position(),
@@ -50,13 +50,13 @@
     }
 }
 
-/// A chunk of a snapshot's encoding.
+/// A contiguous part of a snapshot's encoding.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct SnapshotChunk {
-    /// The snapshot that it belongs to.
+    /// The snapshot to which the chunk belongs.
     pub meta: SnapshotMeta,
     /// The offset of the chunk in the encoding, in bytes.
     pub offset: u64,
-    /// Its bytes.
+    /// The content of the chunk.
     pub bytes: Vec<u8>,
 }
--- a/crates/consensus/src/snapshot_transfer/mod.rs
+++ b/crates/consensus/src/snapshot_transfer/mod.rs
@@ -1,6 +1,6 @@
-//! The transfer of a snapshot from a leader to a follower, in chunks. Lost chunks are sent again
-//! from the follower's offset; what a follower has received stays valid under another leader that
-//! sends the same snapshot.
+//! The transfer of a snapshot from a leader to a follower, in chunks. After a loss, the leader
+//! sends the chunks again from the offset up to which the follower has received the snapshot. If
+//! another leader sends the same snapshot, the transfer continues from that offset.
 
 mod receiver;
 mod sender;
--- a/crates/consensus/src/snapshot_transfer/receiver.rs
+++ b/crates/consensus/src/snapshot_transfer/receiver.rs
@@ -1,12 +1,12 @@
-//! The follower's side of a snapshot transfer.
+//! The receiving side of a snapshot transfer, on a follower.
 
 use crate::snapshot::{Snapshot, SnapshotChunk, SnapshotMeta};
 use nanoserde::DeBin;
 
-/// The largest encoding that is accepted; metadata that claims more is faulty.
+/// The largest encoding that a follower accepts. Metadata that names a larger size is invalid.
 const MAX_SNAPSHOT_BYTES: u64 = 64 << 20;
 
-/// A snapshot that a follower receives.
+/// The received prefix of a snapshot's encoding.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotReceiver {
     meta: SnapshotMeta,
@@ -16,19 +16,20 @@
 /// The state of a transfer after a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ChunkOutcome {
-    /// The snapshot is not complete.
+    /// More chunks are needed.
     Incomplete {
-        /// The bytes of its encoding that have been received, from the beginning.
+        /// The length of the received prefix of the snapshot's encoding.
         received_bytes: u64,
     },
-    /// The snapshot is complete and its checksum matches.
+    /// The snapshot is complete, and its checksum matches.
     Complete(Snapshot),
 }
 
 impl SnapshotReceiver {
-    /// Adds a chunk. The first chunk of another snapshot than the current one replaces that one.
+    /// Adds a chunk to the current transfer. The first chunk of another snapshot starts a new
+    /// transfer, which replaces the current transfer.
     pub fn receive(current: &mut Option<Self>, chunk: SnapshotChunk) -> ChunkOutcome {
-        const NOTHING: ChunkOutcome = ChunkOutcome::Incomplete { received_bytes: 0 };
+        const NOTHING_RECEIVED: ChunkOutcome = ChunkOutcome::Incomplete { received_bytes: 0 };
         let SnapshotChunk {
             meta,
             offset,
@@ -39,7 +40,7 @@
             .is_some_and(|receiver| receiver.meta == meta);
         if !is_current {
             if offset != 0 || meta.size > MAX_SNAPSHOT_BYTES {
-                return NOTHING;
+                return NOTHING_RECEIVED;
             }
             *current = Some(Self {
                 meta,
@@ -47,7 +48,7 @@
             });
         }
         let Some(receiver) = current else {
-            return NOTHING;
+            return NOTHING_RECEIVED;
         };
         if offset == receiver.received_bytes() {
             receiver.encoded.extend_from_slice(&bytes);
@@ -59,14 +60,14 @@
         }
         let snapshot = receiver.decode();
         *current = None;
-        snapshot.map_or(NOTHING, ChunkOutcome::Complete)
+        snapshot.map_or(NOTHING_RECEIVED, ChunkOutcome::Complete)
     }
 
     fn received_bytes(&self) -> u64 {
         self.encoded.len() as u64
     }
 
-    /// The snapshot; `None` if its encoding does not match the metadata.
+    /// Decodes the complete snapshot. Returns `None` if the encoding does not match the metadata.
     fn decode(&self) -> Option<Snapshot> {
         let is_intact = self.received_bytes() == self.meta.size
             && crc32fast::hash(&self.encoded) == self.meta.checksum;
--- a/crates/consensus/src/snapshot_transfer/sender.rs
+++ b/crates/consensus/src/snapshot_transfer/sender.rs
@@ -1,19 +1,18 @@
-//! The leader's side of a snapshot transfer.
+//! The sending side of a snapshot transfer, on a leader.
 
 use crate::config::Milliseconds;
 use crate::log_position::LogIndex;
 use crate::snapshot::{Snapshot, SnapshotChunk, SnapshotMeta};
 use nanoserde::SerBin;
 
-/// Bytes of a chunk: small enough that a heartbeat is not delayed for long behind it, also at one
-/// megabit a second.
+/// The size of a chunk. A chunk delays a heartbeat behind it only briefly, even at 1 Mbit/s.
 const CHUNK_BYTES: usize = 32 << 10;
-/// Bytes in flight: a megabyte a second at a round trip of 0.11 s.
+/// The largest number of unacknowledged bytes. It allows 1 MB/s at a round-trip time of 0.11 s.
 const WINDOW_BYTES: usize = 4 * CHUNK_BYTES;
-/// Time without progress after which the chunks in flight count as lost.
+/// The time without progress after which the unacknowledged chunks count as lost.
 const RETRANSMIT_TIMEOUT: Milliseconds = 1_000;
 
-/// A snapshot that a leader sends to one follower.
+/// The transfer of a snapshot from the leader to one follower.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotSender {
     meta: SnapshotMeta,
@@ -24,7 +23,7 @@
 }
 
 impl SnapshotSender {
-    /// Begins the transfer of a snapshot.
+    /// Starts the transfer of a snapshot.
     pub fn new(snapshot: &Snapshot, now: Milliseconds) -> Self {
         let encoded = snapshot.serialize_bin();
         let meta = SnapshotMeta::of(snapshot, &encoded);
@@ -37,13 +36,13 @@
         }
     }
 
-    /// The index of the last entry that the snapshot covers.
+    /// Returns the index of the last entry that the snapshot covers.
     pub fn last_index(&self) -> LogIndex {
         self.meta.last_log.index
     }
 
-    /// Records that the follower has the encoding up to an offset. A follower that has restarted
-    /// begins at 0 again.
+    /// Records the length of the prefix that the follower has received. The length is 0 again after
+    /// the follower has restarted.
     pub fn acknowledge(&mut self, now: Milliseconds, received_bytes: u64) {
         let received = usize::try_from(received_bytes).unwrap_or(usize::MAX);
         let received = received.min(self.encoded.len());
@@ -60,14 +59,15 @@
         self.last_progress = now;
     }
 
-    /// The chunks to send now, up to a full window.
+    /// Returns the chunks to send now, up to a full window. After [`RETRANSMIT_TIMEOUT`] without
+    /// progress, the chunks begin again at the acknowledged offset.
     pub fn next_chunks(&mut self, now: Milliseconds) -> Vec<SnapshotChunk> {
         if now >= self.last_progress + RETRANSMIT_TIMEOUT {
             self.sent_bytes = self.acknowledged_bytes;
             self.last_progress = now;
         }
         let mut chunks = Vec::new();
-        while self.has_more() && self.sent_bytes - self.acknowledged_bytes < WINDOW_BYTES {
+        while self.has_unsent_bytes() && self.sent_bytes - self.acknowledged_bytes < WINDOW_BYTES {
             let end = self.encoded.len().min(self.sent_bytes + CHUNK_BYTES);
             let bytes = self.encoded[self.sent_bytes..end].to_vec();
             chunks.push(SnapshotChunk {
@@ -80,7 +80,7 @@
         chunks
     }
 
-    fn has_more(&self) -> bool {
+    fn has_unsent_bytes(&self) -> bool {
         self.sent_bytes < self.encoded.len()
     }
 }
--- a/crates/consensus/src/voter_selection/mod.rs
+++ b/crates/consensus/src/voter_selection/mod.rs
@@ -1,5 +1,5 @@
-//! The choice of voters: an odd number of live replicas, spread over failure domains so that the
-//! loss of one domain takes no majority where another choice would keep one.
+//! The choice of voters: an odd number of live replicas, spread over failure domains. If some
+//! choice keeps a majority after the loss of any one domain, such a choice is made.
 
 mod placement;
 
@@ -9,49 +9,49 @@
 };
 use std::cmp::Reverse;
 
-/// Voters at most, unless more are needed for the tolerated faults: each commit waits for a
-/// majority of them.
+/// The largest number of voters, unless the tolerated faults require more. Each commit waits for a
+/// majority of the voters.
 const MAX_VOTERS: usize = 7;
 
 /// The failure domains of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FailureDomain {
-    /// Its zone.
+    /// The name of the replica's zone.
     pub zone: String,
-    /// Its region.
+    /// The name of the region that contains the zone.
     pub region: String,
 }
 
-/// The liveness of a replica, as the leader sees it.
+/// The liveness of a replica, as the leader knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It responds, and is not about to stop.
+    /// The replica responds and is not about to stop.
     Live,
-    /// It has not responded for so long, or is about to stop, that another replica may take its
-    /// vote.
+    /// The replica has not responded recently or is about to stop. A live candidate may replace the
+    /// replica as a voter.
     Unresponsive,
-    /// It has not responded for so long that it may lose its vote even if no other replica takes
-    /// it.
+    /// The replica has lost its disk or has not responded for a longer time. The replica may lose
+    /// its vote even if no candidate replaces it.
     Lost,
 }
 
-/// A replica that votes or could vote.
+/// A current voter, or a learner that could become a voter.
 #[derive(Clone, Debug)]
 pub struct VoterCandidate {
-    /// The replica.
+    /// The identity and the address of the replica.
     pub member: Member,
-    /// Its failure domain, if it is known.
+    /// The failure domain of the replica, if the leader knows it.
     pub failure_domain: Option<FailureDomain>,
-    /// Its liveness.
+    /// The liveness of the replica, as the leader knows it.
     pub liveness: Liveness,
-    /// Whether it votes now.
+    /// Whether the replica is a current voter.
     pub is_voter: bool,
-    /// Whether it is the leader. A live leader stays a voter.
+    /// Whether the replica is the leader. A live leader stays a voter.
     pub is_leader: bool,
 }
 
-/// Chooses the voters among the candidates, for a group of at least `min_voters` voters. The
-/// current voters stay unless another choice is better.
+/// Chooses the voters of a group among the candidates. A resized group has at least `min_voters`
+/// voters. The current voters stay unless another choice is better.
 pub fn choose_voters(candidates: &[VoterCandidate], min_voters: usize) -> Vec<Member> {
     let key = domain_to_survive(candidates);
     let current: Vec<&VoterCandidate> = candidates
@@ -64,7 +64,7 @@
         .collect();
     let proposal = match largest_resilient_choice(&live, min_voters, key) {
         Some(choice) if may_resize(&current, choice.len(), key) => choice,
-        _ => with_replacements(&current, &live),
+        _ => replace_absent_voters(&current, &live),
     };
     let chosen = if is_better(&proposal, &current, key) {
         proposal
@@ -81,8 +81,9 @@
     candidate.liveness == Liveness::Live
 }
 
-/// The largest odd number of live candidates of which no failure domain has a majority; if there is
-/// no such choice, the largest odd number of them.
+/// Returns the largest choice with an odd number of live candidates such that the loss of any one
+/// failure domain leaves a majority. If there is no such choice, returns the largest choice with an
+/// odd number of live candidates.
 fn largest_resilient_choice<'a>(
     live: &[&'a VoterCandidate],
     min_voters: usize,
@@ -99,8 +100,9 @@
         .or(largest)
 }
 
-/// Whether the group may get this size. It shrinks only by lost members, to become odd, or to
-/// survive the loss of a domain.
+/// Returns whether the group may change to this size. A group may shrink by its lost voters while
+/// no other voter is unresponsive. While all voters are live, a group may also shrink to get an odd
+/// number of voters, or to survive the loss of a failure domain.
 fn may_resize(current: &[&VoterCandidate], size: usize, key: DomainKey) -> bool {
     let are_live_or = |liveness: Liveness| {
         current
@@ -117,8 +119,9 @@
         || size > 1 && improves && are_live_or(Liveness::Live)
 }
 
-/// As many voters as now, with live candidates in place of those that are not live.
-fn with_replacements<'a>(
+/// Returns as many voters as the group has now. Live candidates replace the voters that are not
+/// live, as far as there are enough live candidates.
+fn replace_absent_voters<'a>(
     current: &[&'a VoterCandidate],
     live: &[&'a VoterCandidate],
 ) -> Vec<&'a VoterCandidate> {
@@ -129,22 +132,23 @@
     chosen
 }
 
-/// Whether a choice is better than the current voters: fewer of them are absent, it survives the
-/// loss of a domain, or has a better size or spread. If the domain of a current voter is unknown,
-/// domains don't count.
+/// Returns whether a choice is better than the current voters. The criteria are, in this order:
+/// fewer voters that are not live, a majority after the loss of any one domain, an odd number of
+/// voters, more voters, and a more even spread over domains. If the domain of a current voter is
+/// unknown, the two criteria on domains are ignored.
 fn is_better(choice: &[&VoterCandidate], current: &[&VoterCandidate], key: DomainKey) -> bool {
-    let knows_domains = current
+    let are_domains_known = current
         .iter()
         .all(|candidate| candidate.failure_domain.is_some());
-    // Smaller is better.
+    // The choice with the lower cost is better.
     let cost = |choice: &[&VoterCandidate]| {
         let absent = choice
             .iter()
             .filter(|candidate| !is_live(candidate))
             .count();
-        let is_vulnerable = knows_domains && has_majority_domain(choice, key);
+        let is_vulnerable = are_domains_known && has_majority_domain(choice, key);
         let is_even = choice.len().is_multiple_of(2);
-        let concentration = knows_domains.then(|| {
+        let concentration = are_domains_known.then(|| {
             (
                 replicas_per_domain(choice, placement::region),
                 replicas_per_domain(choice, placement::zone),
--- a/crates/consensus/src/voter_selection/placement.rs
+++ b/crates/consensus/src/voter_selection/placement.rs
@@ -3,8 +3,9 @@
 use super::VoterCandidate;
 use std::collections::BTreeMap;
 
-/// Gives the name of a candidate's region or zone. A candidate whose domain is unknown is in one of
-/// its own.
+/// A function that returns the name of a candidate's region or zone. For a candidate whose failure
+/// domain is unknown, the function returns the candidate's address, as a domain with no other
+/// replica.
 pub(super) type DomainKey = fn(&VoterCandidate) -> &str;
 
 pub(super) fn region(candidate: &VoterCandidate) -> &str {
@@ -17,8 +18,8 @@
     domain.map_or(&candidate.member.address, |domain| &domain.zone)
 }
 
-/// The kind of domain whose loss the group should survive: a region, or a zone if there is only one
-/// region.
+/// Returns the kind of failure domain whose loss the group should survive: a region, or a zone if
+/// all known domains are in one region.
 pub(super) fn domain_to_survive(candidates: &[VoterCandidate]) -> DomainKey {
     let mut known = candidates
         .iter()
@@ -29,8 +30,9 @@
     if is_single_region { zone } else { region }
 }
 
-/// Up to `size` candidates, each from the region and zone that have the fewest so far; the leader
-/// first, then current voters.
+/// Chooses up to `size` candidates. The leader is chosen first. Each further candidate comes from
+/// the region, then the zone, with the fewest chosen candidates. Among equal candidates, current
+/// voters have precedence, then lower identities.
 pub(super) fn choose_spread<'a>(
     live: &[&'a VoterCandidate],
     size: usize,
@@ -61,7 +63,7 @@
     chosen
 }
 
-/// The number of replicas in each domain, the greatest first.
+/// Returns the number of replicas in each domain, in descending order.
 pub(super) fn replicas_per_domain(replicas: &[&VoterCandidate], key: DomainKey) -> Vec<usize> {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for replica in replicas {
@@ -72,7 +74,7 @@
     counts
 }
 
-/// Whether the loss of one domain would leave no majority.
+/// Returns whether the loss of the domain with the most replicas would leave no majority.
 pub(super) fn has_majority_domain(replicas: &[&VoterCandidate], key: DomainKey) -> bool {
     let largest = replicas_per_domain(replicas, key)
         .first()
