--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,62 +1,63 @@
-//! Errors of the operations of the storage.
+//! Errors of the storage.
 
 use crate::FORMAT_VERSION;
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// An operation of the medium failed.
+/// The failure of an I/O operation on a file or directory of the medium.
 #[derive(Debug, Error)]
 #[error("{path}: {source}")]
 pub struct MediumError {
-    /// The file or directory.
+    /// The path of the file or directory.
     pub path: PathBuf,
-    /// The error of the operating system.
+    /// The error that the operating system reported.
     pub source: io::Error,
 }
 
 impl MediumError {
-    /// Adds the path to an error of the operating system.
+    /// Returns a function that adds a path to an error of the operating system.
     pub(crate) fn at(path: &Path) -> impl FnOnce(io::Error) -> Self + use<> {
         let path = path.to_owned();
         move |source| Self { path, source }
     }
 }
 
-/// Why the storage could not be opened.
+/// The reason for which the storage could not be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// A file can't be created or read.
+    /// A file could not be created, read or synced.
     #[error(transparent)]
     Medium(#[from] MediumError),
-    /// A file has the format of another version of the program. It does not count as empty: its
-    /// content was acknowledged.
+    /// A file has the format of another version of the program. The storage does not treat such a
+    /// file as empty, because the replica has acknowledged its content.
     #[error(
         "{path}: format {version} instead of {FORMAT_VERSION}; start the program that wrote it, or give the machine an empty disk"
     )]
     UnsupportedVersion {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The version of its format.
+        /// The format version in the header of the file.
         version: u32,
     },
 }
 
-/// Why the state could not be made durable.
+/// The reason for which the state could not be made durable.
 #[derive(Debug, Error)]
 pub enum WriteError {
-    /// A file can't be written.
+    /// A file could not be written or synced.
     #[error(transparent)]
     Medium(#[from] MediumError),
-    /// The state is larger than a segment.
+    /// A checkpoint of the state does not fit in a segment.
     #[error("the state of {bytes} bytes does not fit a segment of {segment_bytes}")]
     TooLarge {
-        /// The bytes of a checkpoint.
+        /// The size of the checkpoint, in bytes.
         bytes: usize,
-        /// The bytes of a segment.
+        /// The size of a segment, in bytes.
         segment_bytes: u64,
     },
-    /// There is no state to which records could be added.
+    /// The storage has no state to which records could be added, because
+    /// [`Storage::initialize`](crate::Storage::initialize) was never called.
     #[error("the storage was not initialized")]
     Uninitialized,
 }
--- a/crates/storage/src/medium/directory.rs
+++ b/crates/storage/src/medium/directory.rs
@@ -1,4 +1,4 @@
-//! Preallocated files in a directory.
+//! A storage medium of preallocated files in a directory.
 
 use super::StorageMedium;
 use crate::SEGMENT_COUNT;
@@ -13,7 +13,7 @@
     file: File,
 }
 
-/// The files `segment-0`, `segment-1`, ... of a directory.
+/// The preallocated files `segment-0`, `segment-1`, ... of a directory.
 #[derive(Debug)]
 pub struct DirectoryMedium {
     files: Vec<SegmentFile>,
@@ -21,11 +21,13 @@
 }
 
 impl DirectoryMedium {
-    /// Opens the files of a directory, each of so many bytes; creates what is missing.
+    /// Opens the files of a directory. A missing directory or file is created, and each file is
+    /// resized to `segment_bytes`.
     ///
     /// # Errors
     ///
-    /// [`MediumError`] if the directory or a file can't be created, opened or resized.
+    /// Returns [`MediumError`] if the directory or a file can't be created, opened, resized or
+    /// synced.
     pub fn open(directory: &Path, segment_bytes: u64) -> Result<Self, MediumError> {
         fs::create_dir_all(directory).map_err(MediumError::at(directory))?;
         let files = (0..SEGMENT_COUNT)
@@ -79,7 +81,7 @@
 }
 
 impl SegmentFile {
-    /// Opens a file; creates it or changes its size if needed.
+    /// Opens a file of the ring. The file is created or resized if needed.
     fn open(path: PathBuf, bytes: u64) -> Result<Self, MediumError> {
         let file = open_preallocated(&path, bytes).map_err(MediumError::at(&path))?;
         Ok(Self { path, file })
@@ -100,7 +102,7 @@
     Ok(file)
 }
 
-/// Makes the names of new files durable.
+/// Makes the directory entries of new files durable.
 fn sync_directory(directory: &Path) -> io::Result<()> {
     File::open(directory)?.sync_all()
 }
--- a/crates/storage/src/medium/mod.rs
+++ b/crates/storage/src/medium/mod.rs
@@ -1,4 +1,4 @@
-//! The medium that the ring is written to: the files of a directory, or a simulation of them.
+//! The medium that stores the ring: the files of a directory, or a simulation in a test.
 
 mod directory;
 
@@ -8,35 +8,38 @@
 use std::io;
 use std::path::PathBuf;
 
-/// A few files of fixed size, which are named by their number in the ring.
+/// The [`SEGMENT_COUNT`](crate::SEGMENT_COUNT) files of a ring. Each file has a fixed size and is
+/// identified by its number in the ring, from 0 on.
 pub trait StorageMedium {
-    /// Reads at an offset in bytes. Returns the number of bytes read, which is smaller than the
-    /// buffer only at the end of the file.
+    /// Reads from a file at an offset in bytes. Returns the number of bytes read, which is smaller
+    /// than the size of the buffer only at the end of the file.
     ///
     /// # Errors
     ///
-    /// The error of the operating system.
+    /// Returns the error of the operating system if the read fails.
     fn read_at(&self, file: usize, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
 
-    /// Writes at an offset in bytes.
+    /// Writes all of `bytes` to a file at an offset in bytes.
     ///
     /// # Errors
     ///
-    /// The error of the operating system. Any part of the bytes may have been written.
+    /// Returns the error of the operating system if the write fails. Any part of `bytes` may have
+    /// been written.
     fn write_at(&mut self, file: usize, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Waits until all that was written to a file is durable.
+    /// Waits until all completed writes to a file are durable.
     ///
     /// # Errors
     ///
-    /// The error of the operating system. Any part of what was written may be durable.
+    /// Returns the error of the operating system if the sync fails. Any part of the written bytes
+    /// may be durable.
     fn sync(&mut self, file: usize) -> io::Result<()>;
 
-    /// Bytes of a file.
+    /// Returns the size of each file, in bytes.
     fn segment_bytes(&self) -> u64 {
         SEGMENT_BYTES
     }
 
-    /// The path of a file, for errors.
+    /// Returns the path of a file for error messages.
     fn path(&self, file: usize) -> PathBuf;
 }
--- a/crates/storage/src/segment/header.rs
+++ b/crates/storage/src/segment/header.rs
@@ -1,14 +1,14 @@
-//! The header of a segment: magic number, version, sequence number and checksum, in little-endian
-//! order.
+//! The header of a segment: a magic number, the format version, the sequence number of the segment
+//! and a checksum. All fields are in little-endian byte order.
 
 use crate::FORMAT_VERSION;
 use crate::medium::StorageMedium;
 use std::io;
 use std::ops::Range;
 
-/// The beginning of each segment that was ever used.
+/// The magic number at the beginning of each written segment.
 const MAGIC: u64 = 0x0102_7741_4453_544c;
-/// Bytes of a header.
+/// The size of a header, in bytes.
 pub(super) const HEADER_BYTES: usize = 24;
 
 const MAGIC_FIELD: Range<usize> = 0..8;
@@ -16,19 +16,19 @@
 const SEQUENCE_FIELD: Range<usize> = 12..20;
 const CHECKSUM_FIELD: Range<usize> = 20..HEADER_BYTES;
 
-/// The header of a file, as it was read.
+/// The header that was read from a file of the ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SegmentHeader {
-    /// No complete header.
+    /// The file has no complete header, or its checksum does not match.
     Invalid,
-    /// A segment of another version of the format.
+    /// The header has this other version of the format.
     UnsupportedVersion(u32),
-    /// A segment with this sequence number.
+    /// The header is valid and names the sequence number of the segment.
     Valid { sequence: u64 },
 }
 
 impl SegmentHeader {
-    /// Reads the header of a file.
+    /// Reads the header of a file of the ring.
     pub fn read(medium: &impl StorageMedium, file: usize) -> io::Result<Self> {
         let mut bytes = [0; HEADER_BYTES];
         let read = medium.read_at(file, 0, &mut bytes)?;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Encodes the header of a new segment.
+    /// Encodes the header of a segment with this sequence number.
     pub fn encode(sequence: u64) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(HEADER_BYTES);
         bytes.extend_from_slice(&MAGIC.to_le_bytes());
--- a/crates/storage/src/segment/mod.rs
+++ b/crates/storage/src/segment/mod.rs
@@ -1,4 +1,4 @@
-//! One file of the ring: its format, its writer and its reader.
+//! A segment, which is the content of one file of the ring: its format, its writer and its reader.
 
 mod header;
 mod reader;
--- a/crates/storage/src/segment/reader.rs
+++ b/crates/storage/src/segment/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a segment.
+//! The reader of a segment.
 
 use super::header::HEADER_BYTES;
 use super::record::{PREFIX_BYTES, RecordPrefix, SegmentRecord, checksum};
@@ -7,21 +7,22 @@
 use std::io;
 use woadstall_consensus::{DurableState, Record};
 
-/// Bytes that are read at a time.
-const READ_BYTES: usize = 64 << 10;
+/// The number of bytes that are read from the medium at a time.
+const READ_CHUNK_BYTES: usize = 64 << 10;
 
-/// A segment that is being read.
+/// A reader of the records of a segment, in order.
 pub(crate) struct SegmentReader<'a, M> {
     medium: &'a M,
     file: usize,
     sequence: u64,
-    /// The offset of the next record; the buffer begins there.
+    /// The offset of the next record in the file.
     offset: u64,
+    /// The bytes of the file from `offset` on that were already read.
     buffer: Vec<u8>,
 }
 
 impl<'a, M: StorageMedium> SegmentReader<'a, M> {
-    /// A reader after the header of a segment.
+    /// Creates a reader that is positioned after the header of a segment.
     pub fn new(medium: &'a M, file: usize, sequence: u64) -> Self {
         Self {
             medium,
@@ -32,7 +33,8 @@
         }
     }
 
-    /// The state after all records; `None` if the checkpoint is not complete.
+    /// Reads the checkpoint and applies all later records to it. Returns `None` if the checkpoint
+    /// is not complete.
     pub fn replay(mut self) -> io::Result<Option<DurableState>> {
         let Some(mut state) = self.read_checkpoint()? else {
             return Ok(None);
@@ -67,8 +69,8 @@
         Ok(Some(state))
     }
 
-    /// The next record; `None` at the end, which is the first record that is not complete and
-    /// correct.
+    /// Reads the next record. Returns `None` at the first record that is incomplete or whose
+    /// checksum does not match, which is the end of the segment.
     fn next_record(&mut self) -> io::Result<Option<SegmentRecord>> {
         if !self.fill_buffer(PREFIX_BYTES)? {
             return Ok(None);
@@ -88,11 +90,12 @@
         Ok(record)
     }
 
-    /// Reads until the buffer has so many bytes; returns whether the file has them.
+    /// Reads from the file until the buffer holds at least `bytes` bytes. Returns `false` if the
+    /// file ends earlier.
     fn fill_buffer(&mut self, bytes: usize) -> io::Result<bool> {
         while self.buffer.len() < bytes {
             let filled = self.buffer.len();
-            self.buffer.resize(filled + READ_BYTES, 0);
+            self.buffer.resize(filled + READ_CHUNK_BYTES, 0);
             let offset = self.offset + filled as u64;
             let read = self
                 .medium
--- a/crates/storage/src/segment/writer.rs
+++ b/crates/storage/src/segment/writer.rs
@@ -1,4 +1,4 @@
-//! Writes a segment.
+//! The writer of a segment.
 
 use super::header::SegmentHeader;
 use super::record::{RecordPrefix, SegmentRecord};
@@ -8,18 +8,18 @@
 use std::io;
 use woadstall_consensus::{DurableState, Record};
 
-/// A segment that is being written.
+/// A writer that adds records to the end of a segment.
 #[derive(Debug)]
 pub(crate) struct SegmentWriter {
     /// The number of the file in the ring.
     file: usize,
     sequence: u64,
-    /// The end of what is written, in bytes.
+    /// The offset of the end of the written bytes.
     offset: u64,
 }
 
 impl SegmentWriter {
-    /// A segment of which nothing is written yet.
+    /// Creates a writer of an empty segment.
     pub fn new(file: usize, sequence: u64) -> Self {
         Self {
             file,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Encodes the header and a checkpoint of the state, which begin the segment.
+    /// Encodes the header and a checkpoint of the state. They are the first bytes of the segment.
     pub fn encode_checkpoint(&self, state: &DurableState) -> Vec<u8> {
         let mut bytes = SegmentHeader::encode(self.sequence);
         let start = SegmentRecord::CheckpointStart {
@@ -45,7 +45,7 @@
         bytes
     }
 
-    /// Encodes records that follow on what is written.
+    /// Encodes records for the current end of the segment.
     pub fn encode_updates(&self, records: &[Record]) -> Vec<u8> {
         let mut bytes = Vec::new();
         for record in records {
@@ -54,7 +54,8 @@
         bytes
     }
 
-    /// Encodes a record after `bytes`, which will be written next.
+    /// Appends the encoding of a record to `bytes`, which will be written at the current end of the
+    /// segment.
     fn encode(&self, record: &SegmentRecord, bytes: &mut Vec<u8>) {
         let payload = record.serialize_bin();
         let offset = self.offset + bytes.len() as u64;
@@ -62,12 +63,12 @@
         bytes.extend_from_slice(&payload);
     }
 
-    /// Whether so many bytes fit the rest of a file of `segment_bytes`.
+    /// Returns whether `bytes` further bytes fit in a file of `segment_bytes`.
     pub fn fits(&self, bytes: usize, segment_bytes: u64) -> bool {
         self.offset + bytes as u64 <= segment_bytes
     }
 
-    /// Writes bytes after what is written, and waits until they are durable.
+    /// Writes bytes at the end of the segment, and waits until they are durable.
     pub fn append(
         &mut self,
         medium: &mut impl StorageMedium,
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -1,4 +1,5 @@
-//! The ring of segments: which one is the newest, and which one is written next.
+//! The ring of segments: the search for the newest segment at the start, and the switch to the next
+//! segment when the current segment is full.
 
 use crate::error::{MediumError, OpenError, WriteError};
 use crate::medium::{DirectoryMedium, StorageMedium};
@@ -12,33 +13,35 @@
 pub struct Storage<M = DirectoryMedium> {
     medium: M,
     state: Option<DurableState>,
-    /// The segment that records are added to; `None` if the next write begins a segment.
+    /// The segment to which records are added; `None` if the next write begins a new segment.
     current: Option<SegmentWriter>,
-    /// The sequence number of the newest segment with a complete checkpoint; 0 if there is none.
+    /// The sequence number of the newest segment with a complete checkpoint; 0 if no segment has a
+    /// complete checkpoint.
     last_sequence: u64,
 }
 
-/// The state of a segment with a complete checkpoint.
+/// The state that was read from a segment with a complete checkpoint.
 struct LoadedSegment {
     sequence: u64,
     state: DurableState,
 }
 
 impl Storage<DirectoryMedium> {
-    /// Opens or creates the files in a directory and reads the state.
+    /// Opens or creates the files in a directory, each of [`SEGMENT_BYTES`], and reads the state.
     ///
     /// # Errors
     ///
-    /// [`OpenError`] if a file can't be created or read, or has the format of another version.
+    /// Returns [`OpenError`] if a file can't be created, read or synced, or if a file has the
+    /// format of another version.
     pub fn open(directory: &Path) -> Result<Self, OpenError> {
         Self::open_sized(directory, SEGMENT_BYTES)
     }
 
-    /// The same with files of so many bytes.
+    /// Opens or creates the files in a directory, each of `segment_bytes`, and reads the state.
     ///
     /// # Errors
     ///
-    /// As [`open`](Self::open).
+    /// Returns [`OpenError`] under the same conditions as [`open`](Self::open).
     pub fn open_sized(directory: &Path, segment_bytes: u64) -> Result<Self, OpenError> {
         Self::load(DirectoryMedium::open(directory, segment_bytes)?)
     }
@@ -49,7 +52,8 @@
     ///
     /// # Errors
     ///
-    /// [`OpenError`] if a file can't be read or has the format of another version.
+    /// Returns [`OpenError`] if a file can't be read or synced, or if a file has the format of
+    /// another version.
     pub fn load(mut medium: M) -> Result<Self, OpenError> {
         let mut newest: Option<LoadedSegment> = None;
         for file in 0..SEGMENT_COUNT {
@@ -63,12 +67,13 @@
                 newest = Some(segment);
             }
         }
-        // An incomplete segment after the newest complete one is written again under its number:
-        // going on to the one after it could in the end reach the file of the only complete
-        // checkpoint.
+        // A segment with an incomplete checkpoint does not advance the sequence number, so the next
+        // checkpoint overwrites that segment. If each attempt used a new number, the attempts could
+        // in the end overwrite the file with the only complete checkpoint.
         let last_sequence = newest.as_ref().map_or(0, |segment| segment.sequence);
         if newest.is_some() {
-            // A former process may have ended between a write and its sync.
+            // A previous process may have stopped between a write and its sync. The state that was
+            // just read must be durable before it is used.
             let file = file_of(last_sequence);
             let path = medium.path(file);
             medium.sync(file).map_err(MediumError::at(&path))?;
@@ -82,37 +87,39 @@
         })
     }
 
-    /// The state as of the last write; `None` if the medium was never initialized.
+    /// Returns the state as of the last write; `None` if the medium was never initialized.
     pub fn state(&self) -> Option<&DurableState> {
         self.state.as_ref()
     }
 
-    /// The medium.
+    /// Returns the medium, on which tests inject faults.
     pub fn medium(&mut self) -> &mut M {
         &mut self.medium
     }
 
-    /// Makes a first state durable.
+    /// Makes the initial state of a new replica durable.
     ///
     /// # Errors
     ///
-    /// [`WriteError`] if the state does not fit a segment or can't be written.
+    /// Returns [`WriteError`] if the state does not fit in a segment or can't be written.
     pub fn initialize(&mut self, state: DurableState) -> Result<(), WriteError> {
         self.state = Some(state);
         self.write_checkpoint()
     }
 
-    /// Makes records durable, all with one sync.
+    /// Applies records to the state and makes all of them durable with one sync.
     ///
     /// # Errors
     ///
-    /// [`WriteError`] if the storage was not initialized, the state does not fit a segment, or a
-    /// file can't be written. After an error none of the records may be relied on; the next call
-    /// writes them again together with its own.
+    /// Returns [`WriteError`] if the storage was not initialized, if the state does not fit in a
+    /// segment, or if a file can't be written. After an error, none of the records counts as
+    /// durable. The next successful call writes the records of the failed call together with its
+    /// own records.
     pub fn write(&mut self, records: &[Record]) -> Result<(), WriteError> {
         let state = self.state.as_mut().ok_or(WriteError::Uninitialized)?;
         records.iter().for_each(|record| state.apply_record(record));
-        // After an error the segment is not restored: its end is unknown.
+        // After an error, `current` stays `None`, because the end of the segment is unknown. The
+        // next write then begins a new segment.
         let Some(mut segment) = self.current.take() else {
             return self.write_checkpoint();
         };
@@ -146,12 +153,12 @@
     }
 }
 
-/// The file of the ring in which a segment is.
+/// Returns the number of the file that holds the segment with this sequence number.
 fn file_of(sequence: u64) -> usize {
     (sequence % SEGMENT_COUNT as u64) as usize
 }
 
-/// Reads a file; `None` if it has no complete checkpoint.
+/// Reads the segment in a file. Returns `None` if the file has no complete checkpoint.
 fn load_segment(
     medium: &impl StorageMedium,
     file: usize,
