--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -1,8 +1,8 @@
-//! All reachable states of a small group, up to a limit: the replica under a model checker.
-//! Messages are delivered in any order and at any later time, or never; elections, commands, a
-//! change of members, reads and restarts happen at any moment. Reports of durable entries arrive in
-//! any order, at any later time, more than once or never. The time is constant, so that no timer
-//! changes a replica.
+//! A model checker explores the reachable states of a small group of replicas, up to a limit.
+//! Messages are delivered in any order and at any later time, or are lost. Elections, commands,
+//! membership changes, reads and restarts happen at any time. Durable reports are delivered in any
+//! order and at any later time, once, several times or never. The time is constant, so that no
+//! timer changes a replica.
 
 use nanoserde::{DeBin, SerBin};
 use rstest::rstest;
@@ -22,11 +22,12 @@
     },
     min_voters: 1,
 };
-/// Random time-outs are not reached.
+/// The seed of all replicas. It has no effect, because the constant time reaches no election
+/// time-out.
 const SEED: u64 = 1;
 const NOW: u64 = 0;
 
-/// How often each kind of event may happen.
+/// The number of events of each kind that may happen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Events {
     elections: u8,
@@ -41,10 +42,10 @@
 #[derive(Clone, Debug)]
 struct Group {
     voters: Vec<ReplicaId>,
-    next: Vec<ReplicaId>,
+    next_voters: Vec<ReplicaId>,
     limits: Events,
-    /// Whether the group begins with a command that only the leader and one more replica hold, and
-    /// with the leader's report of that.
+    /// Whether the initial state has a command that only the leader and one other replica hold, and
+    /// the leader's durable report of that command.
     begins_with_report: bool,
 }
 
@@ -55,12 +56,12 @@
     disk: DurableState,
 }
 
-/// A report of durable entries on its way to a voter.
+/// A durable report that was sent to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct SentReport {
     from: ReplicaId,
     to: ReplicaId,
-    /// The report, encoded.
+    /// The encoded report.
     bytes: Vec<u8>,
 }
 
@@ -68,14 +69,15 @@
 #[derive(Clone, Debug)]
 struct State {
     nodes: Vec<Node>,
-    /// Messages in flight, encoded.
+    /// The encoded messages in flight.
     network: BTreeSet<Vec<u8>>,
-    /// Reports that were sent. They stay, so that one may arrive twice.
+    /// The reports that were sent. A delivered report stays in the set, so that it can be delivered
+    /// again.
     reports: BTreeSet<SentReport>,
     remaining: Events,
     leaders: BTreeMap<u64, ReplicaId>,
     committed: BTreeMap<u64, Entry>,
-    /// The newest committed index when a read was requested, by its identifier.
+    /// The newest committed index at the time of each read request, by the identifier of the read.
     read_floors: BTreeMap<u64, u64>,
     violation: Option<String>,
 }
@@ -117,7 +119,7 @@
     ids.iter().copied().map(member).collect()
 }
 
-/// What distinguishes two states.
+/// The parts of a state by which the model checker distinguishes states.
 #[derive(PartialEq, Hash)]
 struct Key<'a> {
     nodes: Vec<String>,
@@ -143,11 +145,11 @@
         }
     }
 
-    fn record_violation(&mut self, what: String) {
-        self.violation.get_or_insert(what);
+    fn record_violation(&mut self, description: String) {
+        self.violation.get_or_insert(description);
     }
 
-    /// Executes the outputs of a replica. Its records are durable at once.
+    /// Executes the outputs of a replica. Each record becomes durable immediately.
     fn process_outputs(&mut self, index: usize) {
         loop {
             let outputs = self.nodes[index].replica.take_outputs();
@@ -164,7 +166,7 @@
             let (term, id) = (replica.term(), replica.id());
             let first = *self.leaders.entry(term).or_insert(id);
             if first != id {
-                self.record_violation(format!("term {term} has the leaders {first} and {id}"));
+                self.record_violation(format!("term {term} has two leaders: {first} and {id}"));
             }
         }
     }
@@ -203,7 +205,9 @@
                     .or_insert_with(|| entry.clone());
                 if *first != entry {
                     let index = entry.index;
-                    self.record_violation(format!("two entries are committed at {index}"));
+                    self.record_violation(format!(
+                        "two different entries are committed at index {index}"
+                    ));
                 }
             }
             Output::ReadReady { read_id } => {
@@ -211,7 +215,7 @@
                     (self.read_floors[&read_id], node.replica.log().last_index());
                 if last_index < read_floor {
                     self.record_violation(format!(
-                        "a read is confirmed at {last_index} though {read_floor} was committed before it"
+                        "a read is confirmed at index {last_index}, but index {read_floor} was committed before the request"
                     ));
                 }
             }
@@ -219,8 +223,9 @@
         }
     }
 
-    /// The replica that is the first to apply an entry has counted the quorum that commits it, by its
-    /// newest membership: those voters must have the entry on their disks.
+    /// Checks that a quorum holds a newly committed entry on disk. The first replica that applies
+    /// an entry has counted the quorum by its own newest membership, so the check uses that
+    /// membership.
     fn check_held_by_quorum(&mut self, index: usize, entry: &Entry) {
         if self.committed.contains_key(&entry.index) {
             return;
@@ -236,7 +241,7 @@
         if !replica.membership().is_quorum(holds) {
             let (id, position) = (replica.id(), entry.position());
             self.record_violation(format!(
-                "replica {id} commits {position:?} without a quorum"
+                "replica {id} commits the entry at {position:?} without a quorum"
             ));
         }
     }
@@ -256,10 +261,15 @@
 
 impl Group {
     fn ids(&self) -> BTreeSet<ReplicaId> {
-        self.voters.iter().chain(&self.next).copied().collect()
+        self.voters
+            .iter()
+            .chain(&self.next_voters)
+            .copied()
+            .collect()
     }
 
-    /// Replica 1 leads, and all have its first entry.
+    /// Creates a state in which replica 1 is the leader and its first entry is replicated to all
+    /// voters.
     fn initial_state(&self) -> State {
         let members = Membership::new(membership(&self.voters));
         let founding = Snapshot {
@@ -300,15 +310,18 @@
     }
 }
 
-/// The leader and replica 2 hold a command that the others have not received, and the leader has
-/// reported it.
+/// Adds a command that only the leader and replica 2 hold, and the leader's durable report of the
+/// command.
 fn begin_with_report(state: &mut State) {
     const HOLDERS: [ReplicaId; 2] = [1, 2];
     let command = vec![u8::MAX];
-    state.nodes[0].replica.propose(command).expect("it leads");
+    state.nodes[0]
+        .replica
+        .propose(command)
+        .expect("replica 1 is the leader");
     state.process_outputs(0);
     while let Some(bytes) = state.network.pop_first() {
-        let message = Message::deserialize_bin(&bytes).expect("a message that was sent");
+        let message = Message::deserialize_bin(&bytes).expect("a valid message");
         if HOLDERS.contains(&message.to) {
             deliver(state, &bytes);
         }
@@ -332,7 +345,7 @@
 }
 
 fn deliver(state: &mut State, bytes: &[u8]) {
-    let message = Message::deserialize_bin(bytes).expect("a message that was sent");
+    let message = Message::deserialize_bin(bytes).expect("a valid message");
     if let Some(index) = state.index_of(message.to) {
         state.nodes[index].replica.handle_message(NOW, message);
         state.process_outputs(index);
@@ -340,7 +353,7 @@
 }
 
 fn deliver_report(state: &mut State, sent: &SentReport) {
-    let report = DurableReport::deserialize_bin(&sent.bytes).expect("a report that was sent");
+    let report = DurableReport::deserialize_bin(&sent.bytes).expect("a valid report");
     if let Some(index) = state.index_of(sent.to) {
         let replica = &mut state.nodes[index].replica;
         replica.observe_durable_report(NOW, sent.from, report);
@@ -409,7 +422,7 @@
                 state.remaining.changes -= 1;
                 state.nodes[index]
                     .replica
-                    .change_voters(membership(&self.next))
+                    .change_voters(membership(&self.next_voters))
                     .ok()?;
                 state.process_outputs(index);
             }
@@ -437,13 +450,13 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
-            "one leader a term, one entry a position, no old reads",
+            "one leader per term, one committed entry per index, no stale reads",
             |_, state: &State| state.violation.is_none(),
         )]
     }
 }
 
-/// States that are looked at, unless `WOADSTALL_STATES` names another number.
+/// Returns the number of states to explore: `WOADSTALL_STATES`, or a default.
 fn max_states() -> usize {
     const STATES: usize = 300_000;
     std::env::var("WOADSTALL_STATES")
@@ -464,12 +477,12 @@
 #[case::reports_while_one_of_three_is_replaced(&[1, 2, 3], &[1, 2, 4], Events { elections: 1, commands: 1, changes: 1, reports: 2, ..Events::default() })]
 fn safety_holds_in_all_reachable_states(
     #[case] voters: &[ReplicaId],
-    #[case] next: &[ReplicaId],
+    #[case] next_voters: &[ReplicaId],
     #[case] limits: Events,
 ) {
     assert_safe(&Group {
         voters: voters.to_vec(),
-        next: next.to_vec(),
+        next_voters: next_voters.to_vec(),
         limits,
         begins_with_report: false,
     });
@@ -482,7 +495,7 @@
     const VOTERS: [ReplicaId; 5] = [1, 2, 3, 4, 5];
     assert_safe(&Group {
         voters: VOTERS.to_vec(),
-        next: VOTERS.to_vec(),
+        next_voters: VOTERS.to_vec(),
         limits,
         begins_with_report: true,
     });
@@ -497,7 +510,7 @@
         .spawn_bfs()
         .join();
     println!(
-        "{} states, {} of them different, depth {}",
+        "{} states explored, {} unique states, depth {}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth()
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of each message and each stored form: what this version writes, other versions on the
-//! wire and on disk read.
+//! The encoding of each message and each stored record. Other versions of the program read these
+//! bytes from the network and from disk, so the encoding must not change.
 
 use nanoserde::{DeBin, SerBin};
 use rstest::rstest;
@@ -11,8 +11,8 @@
     Snapshot, SnapshotChunk, SnapshotMeta, VoteRequest, VoteResponse,
 };
 
-/// Compares a value's encoding with `tests/golden/NAME.hex`, and the value that those bytes are
-/// read as with the value.
+/// Asserts that the encoding of a value equals `tests/golden/NAME.hex`, and that decoding these
+/// bytes returns the value.
 fn assert_golden<T: SerBin + DeBin + Debug + PartialEq>(name: &str, value: &T) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/golden/{name}.hex"));
     let fixture = std::fs::read_to_string(&path).unwrap();
@@ -23,8 +23,8 @@
         .map(|byte| format!("{byte:02x}"))
         .collect();
     assert_eq!(encoded, expected, "{name}");
-    let read: T = DeBin::deserialize_bin(&decode_hex(expected)).unwrap();
-    assert_eq!(read, *value, "{name}");
+    let decoded: T = DeBin::deserialize_bin(&decode_hex(expected)).unwrap();
+    assert_eq!(decoded, *value, "{name}");
 }
 
 fn decode_hex(text: &str) -> Vec<u8> {
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Quorums, of settled members and of changing ones.
+//! Quorums of memberships, with and without a change in progress.
 
 use rstest::rstest;
 use woadstall_consensus::{Member, Membership, ReplicaId};
@@ -41,7 +41,7 @@
         membership.is_quorum(|member| agreeing.contains(&member.id)),
         expected
     );
-    // What a quorum has reached is a value that each member of some quorum has.
+    // `quorum_value` is 1 if and only if the agreeing members, whose value is 1, form a quorum.
     let value = |member: &Member| u64::from(agreeing.contains(&member.id));
     assert_eq!(membership.quorum_value(value) == 1, expected);
 }
--- a/crates/consensus/tests/replica/append_entries.rs
+++ b/crates/consensus/tests/replica/append_entries.rs
@@ -1,10 +1,10 @@
-//! Entries and heartbeats on a follower.
+//! The handling of appended entries and heartbeats on a follower.
 
 use super::builders::{append_entries, empty_replica, entry, flush, replica, sent_immediately};
 use rstest::rstest;
 use woadstall_consensus::{AppendEntriesResponse, Message, MessageBody, Replica};
 
-/// Whether each response is a success, and its index.
+/// Returns `success` and `last_index` of each response to appended entries.
 fn append_responses(sent: &[Message]) -> Vec<(bool, u64)> {
     let responses = sent.iter().filter_map(|message| match &message.body {
         MessageBody::AppendEntriesResponse(response) => {
@@ -15,7 +15,7 @@
     responses.collect()
 }
 
-/// The indexes that are acknowledged before any further record is durable.
+/// Returns the indices that the replica acknowledges before any further record is durable.
 fn acknowledged_immediately(replica: &mut Replica) -> Vec<u64> {
     let responses = append_responses(&sent_immediately(replica)).into_iter();
     responses
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn entries_are_acknowledged_as_far_as_they_are_durable_state() {
+fn entries_are_acknowledged_only_as_far_as_they_are_durable() {
     let mut replica = replica();
     replica.handle_message(
         10,
@@ -137,15 +137,16 @@
     assert_eq!((replica.log().last_index(), replica.commit_index()), (4, 1));
 }
 
-/// No correct leader sends entries that do not follow on the position before them, least of all one
-/// of index 0, which only an empty snapshot stands at.
+/// Guards against malformed requests. A correct leader never sends entries that leave a gap after
+/// the previous position. It never sends an entry with index 0, which is the index of the empty
+/// snapshot.
 #[rstest]
 #[case::index_0(0, vec![entry(0, 1)])]
 #[case::index_0_and_more(0, vec![entry(0, 1), entry(1, 1)])]
 #[case::a_gap_after_the_position(0, vec![entry(2, 1)])]
 #[case::a_gap_between_entries(0, vec![entry(1, 1), entry(3, 1)])]
-#[case::the_last_index_there_is(u64::MAX, vec![entry(0, 1)])]
-fn entries_that_do_not_follow_on_are_ignored(
+#[case::the_greatest_possible_index(u64::MAX, vec![entry(0, 1)])]
+fn entries_that_are_not_contiguous_are_ignored(
     #[case] previous: u64,
     #[case] entries: Vec<woadstall_consensus::Entry>,
 ) {
--- a/crates/consensus/tests/replica/builders.rs
+++ b/crates/consensus/tests/replica/builders.rs
@@ -1,4 +1,4 @@
-//! Replicas, entries and messages for the tests of single replicas.
+//! Builders of replicas, entries and messages for the tests of single replicas.
 
 use woadstall_consensus::{
     AppendEntriesRequest, AppendEntriesResponse, DurableState, Entry, EntryPayload, LogPosition,
@@ -6,7 +6,7 @@
     Snapshot, Timing, VoteRequest, VoteResponse,
 };
 
-/// As in the shipped control plane.
+/// The settings of the control plane.
 pub const SETTINGS: Settings = Settings {
     timing: Timing {
         heartbeat_interval: 150,
@@ -16,7 +16,7 @@
     min_voters: 3,
 };
 
-/// The term of [`leader`].
+/// The term of the leader that [`leader`] returns.
 const LEADER_TERM: u64 = 6;
 
 pub fn entry(index: u64, term: u64) -> Entry {
@@ -36,7 +36,7 @@
         .collect()
 }
 
-/// The snapshot of a group that these replicas found.
+/// Creates the initial snapshot of a group whose founding members have these identities.
 pub fn founding_snapshot(ids: impl IntoIterator<Item = ReplicaId>) -> Snapshot {
     Snapshot {
         index: 1,
@@ -46,8 +46,8 @@
     }
 }
 
-/// The state of replica 1 of three, in term 5, with entries up to index 4 of terms 2, 2 and 4 after
-/// the founding snapshot.
+/// Creates the state of replica 1 in a group of three, in term 5. After the founding snapshot at
+/// index 1, the log has entries of terms 2, 2 and 4 at indices 2 to 4.
 pub fn durable_state() -> DurableState {
     let mut state = DurableState::new(1, founding_snapshot(1..=3));
     state.apply_record(&Record::Term {
@@ -58,14 +58,14 @@
     state
 }
 
-/// Replica 1, just started.
+/// Starts replica 1 with [`durable_state`].
 pub fn replica() -> Replica {
     let mut replica = Replica::new(durable_state(), SETTINGS, 0, 1);
     replica.take_outputs();
     replica
 }
 
-/// A replica that has nothing yet: an empty snapshot at index 0, as one that joins a group has.
+/// Starts a replica with an empty snapshot at index 0, like a replica that joins a group.
 pub fn empty_replica() -> Replica {
     let state = DurableState::new(1, Snapshot::default());
     let mut replica = Replica::new(state, SETTINGS, 0, 1);
@@ -73,7 +73,7 @@
     replica
 }
 
-/// Replica 1 as the leader of term 6, with its blank entry at index 5.
+/// Creates replica 1 as the leader of term 6. Its blank entry is at index 5.
 pub fn leader() -> Replica {
     let mut replica = replica();
     replica.handle_message(10, message(2, 5, MessageBody::TimeoutNow));
@@ -88,7 +88,7 @@
     replica
 }
 
-/// A message to replica 1.
+/// Creates a message to replica 1.
 pub fn message(from: ReplicaId, term: u64, body: MessageBody) -> Message {
     Message {
         from,
@@ -98,7 +98,7 @@
     }
 }
 
-/// A request for a vote.
+/// Creates a vote request of a candidate whose last entry has this term and index.
 pub fn vote_request(last_term: u64, last_index: u64) -> MessageBody {
     MessageBody::VoteRequest(VoteRequest {
         pre_vote: false,
@@ -110,7 +110,7 @@
     })
 }
 
-/// A request for a pre-vote.
+/// Creates a pre-vote request of a candidate whose last entry has this term and index.
 pub fn pre_vote_request(last_term: u64, last_index: u64) -> MessageBody {
     MessageBody::VoteRequest(VoteRequest {
         pre_vote: true,
@@ -122,7 +122,7 @@
     })
 }
 
-/// Entries from replica 2 as the leader of term 5.
+/// Creates a request to append entries after a position, from replica 2 as the leader of term 5.
 pub fn append_entries(
     (index, term): (u64, u64),
     entries: Vec<Entry>,
@@ -137,7 +137,8 @@
     message(2, 5, MessageBody::AppendEntriesRequest(request))
 }
 
-/// The response of a follower of [`leader`] that has all entries up to an index.
+/// Creates the response of a follower to the leader that [`leader`] returns. The follower holds all
+/// entries up to `last_index` durably.
 pub fn acknowledgement(from: ReplicaId, last_index: u64, heartbeat_round: u64) -> Message {
     let response = AppendEntriesResponse {
         success: true,
@@ -151,7 +152,7 @@
     )
 }
 
-/// Makes all records durable; the messages sent so far.
+/// Completes all writes, and returns the messages that the replica has sent.
 pub fn flush(replica: &mut Replica) -> Vec<Message> {
     let mut sent = Vec::new();
     loop {
@@ -169,7 +170,7 @@
     }
 }
 
-/// The messages that are sent before any further record is durable.
+/// Returns the messages that the replica sends before any further record is durable.
 pub fn sent_immediately(replica: &mut Replica) -> Vec<Message> {
     let outputs = replica.take_outputs().into_iter();
     let sent = outputs.filter_map(|output| match output {
@@ -179,7 +180,7 @@
     sent.collect()
 }
 
-/// Whether the vote was granted; `None` if there is no response.
+/// Returns whether a vote was granted; `None` if no vote response was sent.
 pub fn granted_vote(sent: &[Message]) -> Option<bool> {
     sent.iter().find_map(|message| match message.body {
         MessageBody::VoteResponse(VoteResponse { granted, .. }) => Some(granted),
--- a/crates/consensus/tests/replica/durable_report.rs
+++ b/crates/consensus/tests/replica/durable_report.rs
@@ -1,4 +1,4 @@
-//! Reports of durable entries, on a leader and on a follower.
+//! Durable reports on a leader and on a follower.
 
 use super::builders::{
     SETTINGS, acknowledgement, append_entries, entry, flush, founding_snapshot, members, message,
@@ -9,7 +9,8 @@
     Record, Replica, ReplicaId, VoteResponse,
 };
 
-/// The state of replica 1 in term 5, with entries up to index 4 of terms 2, 2 and 4.
+/// Creates the state of replica 1 in term 5 in a group with these voters. The log has entries of
+/// terms 2, 2 and 4 at indices 2 to 4.
 fn state_among(voters: impl IntoIterator<Item = ReplicaId>) -> DurableState {
     let mut state = DurableState::new(1, founding_snapshot(voters));
     state.apply_record(&Record::Term {
@@ -20,7 +21,7 @@
     state
 }
 
-/// Replica 1 as the leader of five in term 6, with its blank entry at index 5.
+/// Creates replica 1 as the leader of a group of five in term 6. Its blank entry is at index 5.
 fn leader_of_five() -> Replica {
     let mut replica = Replica::new(state_among(1..=5), SETTINGS, 0, 1);
     replica.handle_message(10, message(2, 5, MessageBody::TimeoutNow));
@@ -37,8 +38,8 @@
     replica
 }
 
-/// Replica 1 as a follower of replica 2 in term 5, with these entries from index 5 on. They are not
-/// durable yet.
+/// Creates replica 1 as a follower of replica 2 in term 5. `entries`, from index 5 on, are in its
+/// log but not durable yet.
 fn follower_among(voters: impl IntoIterator<Item = ReplicaId>, entries: Vec<Entry>) -> Replica {
     let mut replica = Replica::new(state_among(voters), SETTINGS, 0, 1);
     replica.handle_message(10, append_entries((4, 4), entries, 1));
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn a_leader_reports_what_one_voter_less_than_a_quorum_holds_once() {
+fn a_leader_reports_once_the_entries_that_one_voter_fewer_than_a_quorum_holds() {
     let mut replica = leader_of_five();
     assert_eq!(replica.take_durable_report(), None);
     replica.handle_message(30, acknowledgement(2, 5, 1));
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_follower_commits_what_completes_a_quorum_with_it() {
+fn a_follower_that_completes_a_quorum_commits_the_reported_entries() {
     let mut replica = follower_among(1..=5, vec![entry(5, 5)]);
     flush(&mut replica);
     replica.observe_durable_report(20, 2, report(5, 5, &[2, 3]));
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn a_follower_commits_only_what_it_holds_durably_itself() {
+fn a_follower_commits_only_entries_that_it_holds_durably_itself() {
     let mut replica = follower_among(1..=5, vec![entry(5, 5)]);
     replica.observe_durable_report(20, 2, report(5, 5, &[2, 3]));
     assert_eq!(replica.commit_index(), 1);
@@ -228,7 +229,7 @@
 }
 
 #[test]
-fn a_report_that_waits_distinguishes_states_and_one_of_a_former_term_does_not() {
+fn the_state_key_contains_a_report_of_the_current_term_and_no_report_of_a_former_term() {
     let mut with_report = follower_among(1..=5, Vec::new());
     let mut without_report = with_report.clone();
     with_report.observe_durable_report(20, 2, report(5, 5, &[2, 3]));
--- a/crates/consensus/tests/replica/elections.rs
+++ b/crates/consensus/tests/replica/elections.rs
@@ -1,4 +1,4 @@
-//! Votes, pre-votes and candidates.
+//! Votes, pre-votes and campaigns.
 
 use super::builders::{
     SETTINGS, append_entries, durable_state, entry, flush, founding_snapshot, granted_vote,
@@ -115,7 +115,7 @@
         replica.tick(240 + ROUND_TRIP);
         assert!(
             flush(&mut replica).is_empty(),
-            "seed {seed}: it is a candidate against the one that it granted its pre-vote"
+            "seed {seed}: the replica campaigns against the candidate to which it granted a pre-vote"
         );
     }
 }
@@ -148,7 +148,8 @@
     assert_eq!(granted_vote(&flush(&mut replica)), Some(granted));
 }
 
-/// Incident LOST: a group whose only complete log was a term behind had no leader for ever.
+/// Guards against a group that never elects a leader. The replica with the only complete log is one
+/// term behind its voter, so the voter refuses its pre-votes until it adopts the voter's term.
 #[test]
 fn a_candidate_behind_in_its_term_is_elected_for_its_complete_log() {
     let mut state = DurableState::new(2, founding_snapshot(1..=2));
@@ -198,7 +199,8 @@
     assert_eq!(sent_immediately(&mut replica), []);
 }
 
-/// Replica `id` of the group 1, 2, 3, of which 1 is down for good, in a term.
+/// Creates replica `id` in a group of the replicas 1, 2 and 3, of which replica 1 has failed
+/// permanently.
 fn remaining_replica(id: ReplicaId, term: u64) -> Replica {
     let mut state = DurableState::new(id, founding_snapshot(1..=3));
     state.apply_record(&Record::Term { term, voted_for: 0 });
@@ -206,10 +208,14 @@
     Replica::new(state, SETTINGS, 0, id)
 }
 
+/// Guards against a group that never elects a leader. The candidate has precedence by its identity,
+/// so it refuses the voter's pre-votes. The voter's term is ahead, so the voter refuses the
+/// candidate's pre-votes until the candidate adopts the voter's term.
 #[test]
-fn lost_no_election_to_a_candidate_whose_term_is_behind_those_of_its_voters() {
+fn a_candidate_whose_term_is_behind_that_of_its_voter_does_not_prevent_an_election() {
     let mut replicas = [remaining_replica(2, 6), remaining_replica(3, 5)];
-    // The greater identity is a candidate first, so that the other one gives way to it.
+    // Replica 3 has the greater identity. It becomes a candidate first, so that replica 2 gives
+    // precedence to it.
     replicas[1].tick(700);
     flush(&mut replicas[1]);
     for now in (700..10_000).step_by(10) {
@@ -227,5 +233,5 @@
             return;
         }
     }
-    panic!("no leader in 10 s");
+    panic!("no leader was elected within 10 s");
 }
--- a/crates/consensus/tests/replica/install_snapshot.rs
+++ b/crates/consensus/tests/replica/install_snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots that arrive in one chunk.
+//! The installation of snapshots that arrive in a single chunk.
 
 use super::builders::{append_entries, flush, message, replica};
 use nanoserde::SerBin;
@@ -6,7 +6,7 @@
     InstallSnapshotRequest, MessageBody, Snapshot, SnapshotChunk, SnapshotMeta,
 };
 
-/// A snapshot in one chunk.
+/// Creates a request that sends a complete snapshot in a single chunk.
 fn install_snapshot(snapshot: &Snapshot, heartbeat_round: u64) -> MessageBody {
     let bytes = snapshot.serialize_bin();
     let meta = SnapshotMeta::of(snapshot, &bytes);
--- a/crates/consensus/tests/replica/leader.rs
+++ b/crates/consensus/tests/replica/leader.rs
@@ -1,4 +1,4 @@
-//! Commits, reads and the check of the quorum on a leader.
+//! Commits, linearizable reads and the quorum check on a leader.
 
 use super::builders::{acknowledgement, flush, leader};
 use woadstall_consensus::{Output, Replica};
@@ -56,7 +56,7 @@
 #[test]
 fn contact_counts_from_the_start_of_the_acknowledged_heartbeat() {
     let mut replica = leader();
-    // Both responses to the first round are delayed, as by a partition that heals.
+    // Both responses to the first heartbeat round are delayed, as after a partition.
     for now in (50..1_500).step_by(50) {
         replica.tick(now);
         flush(&mut replica);
@@ -69,6 +69,6 @@
     replica.tick(1_600);
     assert!(
         !replica.is_leader(),
-        "nobody has responded to anything that was sent within the last 1.5 s"
+        "no follower has responded to a heartbeat that was sent within the last 1.5 s"
     );
 }
--- a/crates/consensus/tests/replica/main.rs
+++ b/crates/consensus/tests/replica/main.rs
@@ -1,4 +1,4 @@
-//! Single messages to a single replica whose disk is fast.
+//! Tests of a single replica. Each test passes in messages and completes the writes itself.
 
 mod append_entries;
 mod builders;
--- a/crates/consensus/tests/replica/membership_changes.rs
+++ b/crates/consensus/tests/replica/membership_changes.rs
@@ -1,9 +1,10 @@
-//! Learners and changes of the voters.
+//! Learners and membership changes.
 
 use super::builders::{acknowledgement, flush, leader, members};
 use woadstall_consensus::{ChangeVotersError, Member, Message, MessageBody, Replica, ReplicaId};
 
-/// A leader that has committed in its term, and a replica that asks it to join.
+/// Creates a leader that has committed an entry of its term. A replica with this identity and
+/// address has requested to join.
 fn leader_with_learner(id: ReplicaId, address: &str) -> Replica {
     let mut replica = leader();
     replica.handle_message(30, acknowledgement(2, 5, 1));
@@ -15,7 +16,7 @@
     replica
 }
 
-/// Two learners, of which one has caught up so far.
+/// Creates a leader with the learners 4 and 5, of which only learner 4 has caught up.
 fn leader_with_two_learners() -> Replica {
     let mut replica = leader_with_learner(4, "machine-4");
     replica.add_learner(Member {
@@ -35,7 +36,7 @@
         .collect()
 }
 
-/// The current and the next voters.
+/// Returns the identities of the current and the next voters.
 fn all_voters(replica: &Replica) -> Vec<ReplicaId> {
     replica
         .membership()
@@ -44,7 +45,7 @@
         .collect()
 }
 
-/// The replicas that are sent entries or heartbeats.
+/// Returns the replicas to which entries or heartbeats were sent.
 fn replicated_to(sent: &[Message]) -> Vec<ReplicaId> {
     let is_append =
         |message: &&Message| matches!(message.body, MessageBody::AppendEntriesRequest(_));
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn voters_change_in_one_change_at_a_time_and_only_after_a_commit_in_the_term() {
+fn only_one_membership_change_is_in_progress_and_only_after_a_commit_in_the_term() {
     let mut replica = leader();
     let others = |replica: &Replica, removed: ReplicaId| {
         replica
@@ -72,7 +73,7 @@
     let (without_2, without_3) = (others(&replica, 2), others(&replica, 3));
     assert!(
         replica.change_voters(without_3.clone()).is_err(),
-        "nothing of this term is committed"
+        "no entry of this term is committed"
     );
     replica.handle_message(30, acknowledgement(2, 5, 1));
     flush(&mut replica);
@@ -89,7 +90,7 @@
     flush(&mut replica);
     assert!(
         replica.change_voters(without_2).is_err(),
-        "it is committed and not complete"
+        "the first change is committed but not complete"
     );
 }
 
@@ -110,7 +111,7 @@
     assert_eq!(all_voters(&replica), [1, 2, 3, 4, 5]);
     assert!(
         replica.membership().is_joint(),
-        "the current voters have to agree too"
+        "the change also needs a majority of the current voters"
     );
 }
 
@@ -126,7 +127,7 @@
     assert_eq!(
         replica.commit_index(),
         change - 1,
-        "three of five next voters, one of three current ones"
+        "three of five next voters and one of three current voters have the entry"
     );
     replica.handle_message(330, acknowledgement(2, change, 3));
     flush(&mut replica);
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn a_member_that_lost_its_disk_is_replaced_by_its_new_identity_in_one_joint_change() {
+fn a_member_that_lost_its_disk_is_replaced_by_its_new_identity_in_one_change() {
     let mut replica = leader_with_learner(9, "machine-3");
     replica.handle_message(210, acknowledgement(9, 5, 2));
     replica.tick(250);
@@ -156,7 +157,7 @@
     assert_eq!(
         replica.commit_index(),
         5,
-        "a majority of the next voters alone"
+        "only a majority of the next voters has the entry"
     );
     replica.handle_message(260, acknowledgement(2, 6, 3));
     flush(&mut replica);
@@ -169,14 +170,15 @@
 }
 
 #[test]
-fn a_retiring_voter_votes_until_its_replacement_does() {
+fn a_retiring_voter_keeps_its_vote_until_its_replacement_is_a_voter() {
     let mut replica = leader_with_learner(4, "machine-4");
     replica.handle_message(210, acknowledgement(4, 5, 2));
     replica.set_retiring(220, 3);
     replica.tick(250);
     assert_eq!(all_voters(&replica), [1, 2, 3, 4]);
     flush(&mut replica);
-    // A majority of the current voters (1 and 3) is no majority of the next ones (1, 2 and 4).
+    // Replicas 1 and 3 are a majority of the current voters 1, 2 and 3, but not of the next voters
+    // 1, 2 and 4.
     replica.handle_message(255, acknowledgement(3, 6, 3));
     assert_eq!(replica.commit_index(), 5);
     replica.handle_message(260, acknowledgement(4, 6, 3));
@@ -202,7 +204,7 @@
             flush(&mut replica);
         }
     }
-    assert!(!replica.is_leader(), "it has no vote");
+    assert!(!replica.is_leader(), "the leader is no longer a voter");
     assert_eq!(voters(&replica), [2, 3, 4]);
 }
 
@@ -221,7 +223,7 @@
 }
 
 #[test]
-fn a_removed_voter_is_replicated_to_for_a_while() {
+fn a_removed_voter_is_replicated_to_until_the_learner_timeout() {
     let mut replica = leader_with_learner(4, "machine-4");
     replica.handle_message(210, acknowledgement(4, 5, 2));
     replica.set_retiring(220, 3);
@@ -236,7 +238,7 @@
     assert_eq!(
         replicated_to(&flush(&mut replica)),
         [2, 3, 4],
-        "the change itself is sent to the removed voter too"
+        "the membership change is also sent to the removed voter"
     );
     for now in [500, 1_000, 1_500] {
         for follower in [2, 4] {
--- a/crates/consensus/tests/replica/snapshot_transfer.rs
+++ b/crates/consensus/tests/replica/snapshot_transfer.rs
@@ -1,4 +1,5 @@
-//! Snapshots in chunks: lost, repeated, of another snapshot, corrupt, and resumed.
+//! The transfer of a snapshot in chunks. The tests cover lost, repeated, corrupt and out-of-order
+//! chunks, chunks of another snapshot, and the continuation of a transfer.
 
 use super::builders::{SETTINGS, flush, founding_snapshot, message};
 use nanoserde::DeBin;
@@ -19,7 +20,8 @@
         .collect()
 }
 
-/// Replica 1 as a leader whose log begins with a snapshot far ahead of the others.
+/// Creates replica 1 as a leader. Its log begins with a snapshot far ahead of the logs of its
+/// followers.
 fn leader(seed: u8) -> Replica {
     let mut durable = DurableState::new(1, founding_snapshot(1..=3));
     durable.apply_record(&Record::InstallSnapshot(Snapshot {
@@ -56,8 +58,8 @@
     replica
 }
 
-/// Delivers messages between the leader and the follower as long as there are any; the number of
-/// chunks that were sent.
+/// Delivers messages between the leader and the follower until neither sends a message. Returns the
+/// number of chunks that the leader has sent.
 fn exchange(
     now: u64,
     leader: &mut Replica,
@@ -99,7 +101,7 @@
 #[test]
 fn a_snapshot_is_sent_in_chunks_within_a_window() {
     let (mut leader, mut follower) = (leader(0), follower());
-    // The first heartbeat shows that the follower lacks entries.
+    // The response to the first heartbeat shows the leader that the follower lacks entries.
     let mut first = Vec::new();
     for message in flush(&mut leader)
         .into_iter()
@@ -146,10 +148,13 @@
         }
     }
     assert!(has_caught_up(&follower));
-    assert!(total < 40, "{total} chunks where 16 are enough");
+    assert!(
+        total < 40,
+        "{total} chunks were sent, but 16 are sufficient"
+    );
 }
 
-/// Keeps the quorum of the leader.
+/// Creates a heartbeat response, which keeps a quorum in contact with the leader.
 fn heartbeat_response(round: u64) -> MessageBody {
     MessageBody::AppendEntriesResponse(AppendEntriesResponse {
         success: true,
@@ -240,7 +245,7 @@
     let first_chunk = chunks.remove(0);
     assert!(
         Snapshot::deserialize_bin(&first_chunk.bytes).is_err(),
-        "the first chunk alone"
+        "the first chunk alone is not a complete snapshot"
     );
     let mut fresh = self::follower();
     let mut sender = self::leader(0);
@@ -299,7 +304,7 @@
         .count();
     assert!(
         (35..=45).contains(&accepted),
-        "{accepted} entries of 0.1 MB are uncommitted, 4 MB are the limit"
+        "{accepted} entries of 0.1 MB are uncommitted, but the limit is 4 MB"
     );
     let uncommitted: usize = leader.log().entries().iter().map(bytes).sum();
     assert!(uncommitted < 5 << 20);
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! A group under faults, in virtual time. Each seed gives another run; the seed of a failing one is
-//! printed.
+//! Simulations of a group under faults, in virtual time. The seed determines the run. A test that
+//! runs several seeds prints each seed first, so that a failing run can be repeated.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::{ADVERSE, Conditions, Group, HEALTHY};
 use woadstall_consensus::LogPosition;
 
-/// Seeds of each scenario, unless `WOADSTALL_SEEDS` names another number.
+/// The number of seeds of each scenario, unless `WOADSTALL_SEEDS` sets another number.
 const SEEDS: u64 = 60;
 
 fn seeds() -> u64 {
@@ -17,14 +17,14 @@
         .unwrap_or(SEEDS)
 }
 
-/// A command that a leader accepted.
+/// A command that a leader has appended to its log.
 #[derive(Clone, Copy)]
 struct AcceptedCommand {
     position: LogPosition,
     command: u8,
 }
 
-/// The commands that leaders accepted, in order.
+/// The commands that leaders have appended to their logs, in order.
 #[derive(Default)]
 struct AcceptedCommands {
     last_command: u8,
@@ -43,8 +43,8 @@
     }
 }
 
-/// Removes all faults, and asserts that there is a leader, that a new command is applied
-/// everywhere, and that no committed command is lost.
+/// Removes all faults. Asserts that a leader is elected, that a new command is committed, that all
+/// replicas have the leader's state, and that no committed command is lost.
 fn assert_recovers(group: &mut Group, accepted: &mut AcceptedCommands) {
     group.partitions.clear();
     group.conditions = HEALTHY;
@@ -57,20 +57,20 @@
         .collect();
     (0..group.len()).for_each(|host| group.start(host));
     group.run(15_000);
-    let leader = group.leader().expect("no leader although all are there");
+    let leader = group.leader().expect("a leader in a healthy group");
     let position = group
         .propose(leader, &[255])
-        .expect("the leader takes a command");
+        .expect("the leader accepts a command");
     group.run(3_000);
     assert!(
         group.is_committed(position),
-        "a command in a healthy group is not committed"
+        "a command is not committed in a healthy group"
     );
     for machine in 0..group.len() {
         assert_eq!(
             group.state(machine),
             group.state(leader),
-            "machine {machine} has another state"
+            "the state of machine {machine} differs from the leader's state"
         );
     }
     let mut state = group.state(leader).iter();
@@ -133,8 +133,8 @@
                 }
                 4 => group.partitions.clear(),
                 5 => {
-                    let (host, time) = (group.random.usize(..5), group.random.u64(..3_000));
-                    group.stall_disk(host, time);
+                    let (host, duration_ms) = (group.random.usize(..5), group.random.u64(..3_000));
+                    group.stall_disk(host, duration_ms);
                 }
                 6 => {
                     if let Some(leader) = group.leader() {
@@ -143,8 +143,8 @@
                 }
                 _ => accepted.propose(&mut group),
             }
-            let time = group.random.u64(20..600);
-            group.run(time);
+            let duration_ms = group.random.u64(20..600);
+            group.run(duration_ms);
         }
         assert_recovers(&mut group, &mut accepted);
     }
@@ -166,16 +166,16 @@
         for _ in 0..4 {
             for _ in 0..8 {
                 accepted.propose(&mut group);
-                let time = group.random.u64(..40);
-                group.run(time);
+                let duration_ms = group.random.u64(..40);
+                group.run(duration_ms);
             }
-            let wiped = group.random.usize(..size);
+            let lost_host = group.random.usize(..size);
             (0..size)
-                .filter(|host| *host != wiped)
+                .filter(|host| *host != lost_host)
                 .for_each(|host| group.stop(host));
-            group.lose_disk(wiped);
+            group.lose_disk(lost_host);
             (0..size).for_each(|host| group.start(host));
-            // As long as the deployment allows until the next loss.
+            // The shortest time between two losses that the deployment tolerates.
             group.run(8_000);
         }
         assert_recovers(&mut group, &mut accepted);
@@ -194,9 +194,9 @@
         let leader = group.leader().expect("a leader");
         let members = group.replica(leader).expect("it runs").membership().clone();
         assert_eq!(members.voters.len(), 3);
-        assert!(!members.is_voter(2), "the lost identity still votes");
-        let own = group.replica(1).expect("it runs").id();
-        assert!(members.is_voter(own));
+        assert!(!members.is_voter(2), "the lost identity is still a voter");
+        let new_id = group.replica(1).expect("it runs").id();
+        assert!(members.is_voter(new_id));
     }
 }
 
@@ -254,8 +254,8 @@
         let old = group.leader().expect("a leader");
         group.transfer(old);
         group.run(200);
-        let new = group.leader().expect("a leader at once");
-        assert_ne!(new, old, "nobody took over");
+        let new = group.leader().expect("a leader after the transfer");
+        assert_ne!(new, old, "no other replica became the leader");
     }
 }
 
@@ -292,7 +292,8 @@
     assert_eq!(early_commits > 0, sends_reports, "{early_commits}");
 }
 
-/// A run with every kind of fault, change and read; the checksum over all outputs of the replicas.
+/// Runs a group under every kind of fault, with membership changes and reads. Returns the checksum
+/// over all outputs of the replicas.
 fn run_trace(seed: u64) -> u32 {
     const SIZE: usize = 6;
     let (mut group, mut accepted) = (Group::new(seed, SIZE, ADVERSE), AcceptedCommands::default());
@@ -315,13 +316,14 @@
             8 | 9 => group.read(group.leader().unwrap_or(host), step),
             _ => accepted.propose(&mut group),
         }
-        let time = group.random.u64(20..600);
-        group.run(time);
+        let duration_ms = group.random.u64(20..600);
+        group.run(duration_ms);
     }
     group.trace()
 }
 
-/// Pins the decisions of the replicas, their order and their random draws.
+/// Guards against unintended changes of the replicas' decisions, their order and their random
+/// draws.
 #[test]
 fn recorded_runs_have_the_same_outputs() {
     const TRACES: [u32; 8] = [
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A group of replicas in virtual time: a network, disks, crashes and lost disks, with checks of
-//! what Raft guarantees.
+//! A simulated group of replicas in virtual time, with a network, disks, crashes and disk losses.
+//! The simulation checks the guarantees of Raft.
 
 use nanoserde::SerBin;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -8,7 +8,7 @@
     Output, Record, Replica, ReplicaId, Settings, Snapshot, Timing,
 };
 
-/// As in the shipped control plane.
+/// The settings of the control plane.
 const SETTINGS: Settings = Settings {
     timing: Timing {
         heartbeat_interval: 150,
@@ -17,45 +17,48 @@
     },
     min_voters: 3,
 };
-const TICK: u64 = 50;
+const TICK_MS: u64 = 50;
 
-/// The faults of the network and the disks, in percent and in milliseconds.
+/// The faults and delays of the network and the disks.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
     pub loss_percent: u8,
     pub duplication_percent: u8,
-    pub max_delay: u64,
-    pub max_sync: u64,
+    pub max_delay_ms: u64,
+    pub max_sync_ms: u64,
 }
 
 pub const HEALTHY: Conditions = Conditions {
     loss_percent: 0,
     duplication_percent: 0,
-    max_delay: 5,
-    max_sync: 2,
+    max_delay_ms: 5,
+    max_sync_ms: 2,
 };
 pub const ADVERSE: Conditions = Conditions {
     loss_percent: 10,
     duplication_percent: 5,
-    max_delay: 150,
-    max_sync: 40,
+    max_delay_ms: 150,
+    max_sync_ms: 40,
 };
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A message arrives at a machine, if that still runs the same incarnation.
+    /// A message arrives at a machine. It is ignored if the machine has restarted since the message
+    /// was sent.
     Deliver {
         host: usize,
         incarnation: u64,
         message: usize,
     },
-    /// The same for a report of durable entries.
+    /// A durable report arrives at a machine. It is ignored if the machine has restarted since the
+    /// report was sent.
     DeliverReport {
         host: usize,
         incarnation: u64,
         report: usize,
     },
-    /// A machine has synced its records up to a sequence number.
+    /// A machine has synced its records up to a sequence number. The event is ignored if the
+    /// machine has restarted since the records were written.
     Synced {
         host: usize,
         incarnation: u64,
@@ -65,45 +68,48 @@
 
 struct Machine {
     replica: Option<Replica>,
-    /// What a power loss leaves.
+    /// The synced state, which survives a power loss.
     disk: DurableState,
-    /// Records that are written and not synced.
+    /// The records that are written but not synced, with their sequence numbers.
     pending: Vec<(u64, Record)>,
     incarnation: u64,
     applied: Vec<Entry>,
-    /// The state machine: the commands applied so far, as in its snapshot.
+    /// The state of the state machine, which is the concatenation of all applied commands.
     state: Vec<u8>,
+    /// The index of the last entry that is applied to `state`.
     state_index: u64,
     disk_stalled_until: u64,
 }
 
-/// The group.
+/// A simulated group of replicas, one on each machine.
 pub struct Group {
     pub now: u64,
     pub random: fastrand::Rng,
     pub conditions: Conditions,
     machines: Vec<Machine>,
     messages: Vec<Message>,
-    /// Whether leaders send reports of durable entries.
+    /// Whether leaders send durable reports.
     pub sends_reports: bool,
-    /// The reports that were sent, with their senders.
+    /// The durable reports that were sent, with their senders.
     reports: Vec<(ReplicaId, DurableReport)>,
-    /// Commits of a follower that were ahead of the leader's.
+    /// The number of entries that a follower has committed before its leader.
     pub early_commits: usize,
     events: BinaryHeap<std::cmp::Reverse<(u64, u64, Event)>>,
     sequence: u64,
-    /// Pairs of machines between which no messages pass, in this direction.
+    /// The pairs of a sending and a receiving machine between which all messages are lost.
     pub partitions: BTreeSet<(usize, usize)>,
+    /// The leader of each term.
     leaders: BTreeMap<u64, ReplicaId>,
-    /// The committed entry of each position, as the first replica applied it.
+    /// The committed entry at each index, as the first replica has applied it.
     committed: BTreeMap<u64, Entry>,
     next_id: ReplicaId,
-    /// The checksum over all outputs of all replicas, in their order.
+    /// The checksum over all outputs of all replicas, in order.
     trace: crc32fast::Hasher,
 }
 
 impl Group {
-    /// A group that is founded by its first three machines; the others join.
+    /// Creates a group whose first three machines are the founding members. The other machines join
+    /// later.
     pub fn new(seed: u64, machines: usize, conditions: Conditions) -> Self {
         let founders: Vec<Member> = (0..3.min(machines))
             .map(|host| member(host as u64 + 1, host))
@@ -164,27 +170,27 @@
         self.process_outputs(host);
     }
 
-    /// The process ends. What it wrote and did not sync is there, or partly, as after a loss of
-    /// power.
+    /// Stops the process on a machine. As after a power loss, a random prefix of the records that
+    /// were written but not synced is on disk.
     pub fn stop(&mut self, host: usize) {
-        let survivors = self.random.usize(..=self.machines[host].pending.len());
+        let surviving_records = self.random.usize(..=self.machines[host].pending.len());
         let machine = &mut self.machines[host];
         machine.replica = None;
-        // Reading stops at the first record that is missing or torn.
-        for (_, record) in machine.pending.drain(..).take(survivors) {
+        // Only a prefix survives, because reading stops at the first missing or torn record.
+        for (_, record) in machine.pending.drain(..).take(surviving_records) {
             machine.disk.apply_record(&record);
         }
     }
 
-    /// The process ends and its disk is lost: it comes back under a new identity.
+    /// Stops the process on a machine and erases the disk. The next start has a new identity.
     pub fn lose_disk(&mut self, host: usize) {
         self.stop(host);
         self.next_id += 1;
         self.machines[host].disk = DurableState::new(self.next_id, Snapshot::default());
     }
 
-    pub fn stall_disk(&mut self, host: usize, time: u64) {
-        self.machines[host].disk_stalled_until = self.now + time;
+    pub fn stall_disk(&mut self, host: usize, duration_ms: u64) {
+        self.machines[host].disk_stalled_until = self.now + duration_ms;
     }
 
     pub fn len(&self) -> usize {
@@ -201,7 +207,8 @@
         leaders.max_by_key(|host| self.replica(*host).map(Replica::term))
     }
 
-    /// Proposes a command at a machine; whether it took it.
+    /// Proposes a command on a machine. Returns the position of the command if the machine is a
+    /// leader that accepts it.
     pub fn propose(&mut self, host: usize, command: &[u8]) -> Option<LogPosition> {
         let position = self.machines[host]
             .replica
@@ -221,32 +228,32 @@
         self.process_outputs(host);
     }
 
-    pub fn read(&mut self, host: usize, number: u64) {
+    pub fn read(&mut self, host: usize, read_id: u64) {
         self.machines[host]
             .replica
             .as_mut()
             .into_iter()
-            .for_each(|replica| replica.request_read(number));
+            .for_each(|replica| replica.request_read(read_id));
         self.process_outputs(host);
     }
 
-    /// Whether the entry at this position was committed.
+    /// Returns whether the entry at this position is committed.
     pub fn is_committed(&self, position: LogPosition) -> bool {
         self.committed
             .get(&position.index)
             .is_some_and(|entry| entry.term == position.term)
     }
 
-    /// The commands that a machine has applied, in order, as in its state machine.
+    /// Returns the state of a machine's state machine: the concatenation of all applied commands.
     pub fn state(&self, host: usize) -> &[u8] {
         &self.machines[host].state
     }
 
-    /// Lets time pass.
-    pub fn run(&mut self, time: u64) {
-        let end = self.now + time;
+    /// Runs the simulation for a duration, and handles all events that are due by then.
+    pub fn run(&mut self, duration_ms: u64) {
+        let end = self.now + duration_ms;
         while self.now < end {
-            let next_tick = self.now + TICK - self.now % TICK;
+            let next_tick = self.now + TICK_MS - self.now % TICK_MS;
             while self
                 .events
                 .peek()
@@ -342,10 +349,11 @@
         }
     }
 
-    fn schedule(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, delay_ms: u64, event: Event) {
         self.sequence += 1;
+        let due = self.now + delay_ms;
         self.events
-            .push(std::cmp::Reverse((self.now + after, self.sequence, event)));
+            .push(std::cmp::Reverse((due, self.sequence, event)));
     }
 
     fn process_outputs(&mut self, host: usize) {
@@ -378,7 +386,7 @@
         assert_eq!(
             first,
             replica.id(),
-            "two leaders of term {}",
+            "two leaders in term {}",
             replica.term()
         );
     }
@@ -399,7 +407,8 @@
         self.trace.update(&bytes);
     }
 
-    /// A checksum over all outputs of all replicas so far, with their times.
+    /// Returns a checksum over all outputs of all replicas so far, including the times of the
+    /// outputs.
     pub fn trace(&self) -> u32 {
         self.trace.clone().finalize()
     }
@@ -411,12 +420,12 @@
                 let stall = self.machines[host]
                     .disk_stalled_until
                     .saturating_sub(self.now);
-                let after = stall + self.random.u64(1..=self.conditions.max_sync);
+                let delay_ms = stall + self.random.u64(1..=self.conditions.max_sync_ms);
                 let machine = &mut self.machines[host];
                 machine.pending.push((sequence, record));
                 let incarnation = machine.incarnation;
                 self.schedule(
-                    after,
+                    delay_ms,
                     Event::Synced {
                         host,
                         incarnation,
@@ -430,7 +439,7 @@
                 let machine = &mut self.machines[host];
                 assert!(
                     snapshot.index >= machine.state_index,
-                    "a state machine went back"
+                    "a snapshot is older than the state of the state machine"
                 );
                 (machine.state, machine.state_index) = (snapshot.state, snapshot.index);
                 machine.applied.clear();
@@ -455,10 +464,10 @@
         self.messages.push(message);
         let number = self.messages.len() - 1;
         for _ in 0..deliveries {
-            let after = self.random.u64(1..=self.conditions.max_delay);
+            let delay_ms = self.random.u64(1..=self.conditions.max_delay_ms);
             let incarnation = self.machines[to].incarnation;
             self.schedule(
-                after,
+                delay_ms,
                 Event::Deliver {
                     host: to,
                     incarnation,
@@ -468,7 +477,8 @@
         }
     }
 
-    /// Sends the report that is due at a leader, under the conditions of messages.
+    /// Sends the durable report that is due on a leader to all other machines. Reports are subject
+    /// to the same faults and delays as messages.
     fn send_report(&mut self, host: usize) {
         let replica = self.machines[host].replica.as_mut();
         let sender = replica.filter(|_| self.sends_reports);
@@ -484,7 +494,7 @@
             let Conditions {
                 loss_percent,
                 duplication_percent,
-                max_delay,
+                max_delay_ms,
                 ..
             } = self.conditions;
             if self.partitions.contains(&(host, to)) || percent < loss_percent {
@@ -492,10 +502,10 @@
             }
             let is_duplicated = percent < loss_percent + duplication_percent;
             for _ in 0..1 + usize::from(is_duplicated) {
-                let after = self.random.u64(1..=max_delay);
+                let delay_ms = self.random.u64(1..=max_delay_ms);
                 let incarnation = self.machines[to].incarnation;
                 self.schedule(
-                    after,
+                    delay_ms,
                     Event::DeliverReport {
                         host: to,
                         incarnation,
@@ -506,7 +516,8 @@
         }
     }
 
-    /// Counts a commit that the leader does not know of yet.
+    /// Counts an applied entry if the machine follows the current leader and that leader has not
+    /// committed the entry.
     fn count_early_commit(&mut self, host: usize, index: u64) {
         let leader = self.leader().and_then(|leader| self.replica(leader));
         let is_early = leader.is_some_and(|leader| leader.commit_index() < index);
@@ -523,7 +534,7 @@
             .or_insert_with(|| entry.clone());
         assert_eq!(
             first, &entry,
-            "two replicas applied different entries at {}",
+            "two replicas applied different entries at index {}",
             entry.index
         );
         self.count_early_commit(host, entry.index);
@@ -531,7 +542,7 @@
         assert_eq!(
             entry.index,
             machine.state_index + 1,
-            "an entry was passed over or applied twice"
+            "an entry was skipped or applied twice"
         );
         machine.state_index = entry.index;
         if let EntryPayload::Command(command) = &entry.payload {
--- a/crates/consensus/tests/voter_selection.rs
+++ b/crates/consensus/tests/voter_selection.rs
@@ -1,4 +1,4 @@
-//! The choice of voters, on drawn groups.
+//! The choice of voters, on random groups and in single cases.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Drawn candidates; learners are always there, and the last one leads.
+/// Generates random groups of candidates. All learners are live. The last candidate is the leader.
 fn groups() -> impl Strategy<Value = Vec<VoterCandidate>> {
     let livenesses = prop_oneof![
         4 => Just(Liveness::Live),
@@ -46,7 +46,8 @@
                 candidate(number as u64 + 1, zone, liveness, is_voter)
             })
             .collect();
-        // The last one: nothing but leading keeps its vote.
+        // The leader has the greatest identity, which has the lowest precedence in a tie. Only its
+        // leadership keeps it a voter.
         if let Some(leader) = group.last_mut() {
             (leader.is_voter, leader.is_leader, leader.liveness) = (true, true, Liveness::Live);
         }
@@ -66,7 +67,7 @@
     group
         .iter()
         .find(|candidate| candidate.is_leader)
-        .expect("one leads")
+        .expect("a leader in the group")
         .member
         .id
 }
@@ -96,7 +97,7 @@
     })
 }
 
-/// Whether the loss of a region leaves no majority.
+/// Returns whether the loss of some region leaves no majority of the voters.
 fn has_majority_region(group: &[VoterCandidate], voters: &BTreeSet<ReplicaId>) -> bool {
     let mut regions: BTreeMap<&str, usize> = BTreeMap::new();
     for candidate in group
@@ -122,7 +123,8 @@
     }
 }
 
-/// By brute force: whether some odd number of three or more with the leader survives the loss of a region.
+/// Determines by brute force whether some choice that includes the leader keeps a majority after
+/// the loss of any one region. A choice has an odd number of at least three candidates.
 fn has_resilient_choice(group: &[VoterCandidate], min_voters: usize) -> bool {
     let leader = leader_of(group);
     (0u32..1 << group.len()).any(|bits| {
@@ -139,11 +141,11 @@
 
     #[test]
     fn the_choice_is_stable(group in groups(), min_voters in 1usize..6) {
-        // Absent voters are replaced first; an even number, a lost voter or a poor placement takes
-        // a change of its own.
-        const CHANGES: usize = 3;
+        // The first change replaces absent voters. An even number of voters, a lost voter or a poor
+        // placement takes a further change.
+        const MAX_CHANGES: usize = 3;
         let next = |group: &[VoterCandidate]| with_voters(group, &choose(group, min_voters));
-        let stable = (0..CHANGES).fold(group, |group, _| next(&group));
+        let stable = (0..MAX_CHANGES).fold(group, |group, _| next(&group));
         let voters: BTreeSet<ReplicaId> = ids(&voters_of(&stable));
         prop_assert_eq!(choose(&stable, min_voters), voters);
     }
@@ -223,7 +225,8 @@
 
 #[test]
 fn no_voter_is_replaced_for_placement_while_another_domain_is_unknown() {
-    // The first five vote; the sixth would spread them better if the third were anywhere else.
+    // The first five candidates are voters. The sixth candidate, in `region-2`, would improve the
+    // spread unless the third candidate, whose domain is unknown, is also in `region-2`.
     let mut group: Vec<VoterCandidate> = (0..6)
         .map(|zone| candidate(u64::from(zone) + 1, zone, Liveness::Live, zone < 5))
         .collect();
@@ -231,7 +234,7 @@
     assert_eq!(choose(&group, 5), BTreeSet::from([1, 2, 3, 4, 5]));
 }
 
-/// Random groups of every size, some with replicas whose failure domain is unknown.
+/// Generates a random group. The failure domains of some candidates are unknown.
 fn random_group(random: &mut fastrand::Rng) -> Vec<VoterCandidate> {
     let mut group: Vec<VoterCandidate> = (1..=random.u64(1..MAX_CANDIDATES as u64))
         .map(|id| {
@@ -257,7 +260,7 @@
     group
 }
 
-/// Pins the choices and their order.
+/// Guards against unintended changes of the chosen voters and their order.
 #[test]
 fn recorded_groups_have_the_same_voters() {
     const GROUPS: usize = 5_000;
