--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of the ring's files: what this version writes, and that files which it wrote are read
-//! back.
+//! The file format of the ring. The tests compare the written files with recorded files, and read
+//! the recorded files back.
 
 use std::path::{Path, PathBuf};
 use woadstall_consensus::{
@@ -7,7 +7,8 @@
 };
 use woadstall_storage::{SEGMENT_BYTES, SEGMENT_COUNT, Storage};
 
-/// The bytes of a file of the ring, in hexadecimal; after them the file has zeros up to its size.
+/// Returns the recorded bytes of a file of the ring, in hexadecimal. The rest of the file consists
+/// of zeros.
 fn golden(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/golden/{name}.hex"));
     std::fs::read_to_string(path).unwrap().trim().to_owned()
@@ -33,7 +34,7 @@
     assert_eq!(written, expected, "{name}");
 }
 
-/// Restores a file of the ring as an earlier process has left it.
+/// Writes a recorded file of the ring to a directory.
 fn restore_golden(name: &str, directory: &Path, segment: usize) {
     let text = golden(name);
     assert!(!text.is_empty(), "{name}");
@@ -95,8 +96,8 @@
     ]
 }
 
-/// A segment with an empty checkpoint and every kind of record, then one whose checkpoint has a
-/// snapshot and entries.
+/// Writes two segments. The first segment has an empty checkpoint and every kind of record. The
+/// checkpoint of the second segment has a snapshot and entries.
 fn write_ring(directory: &Path) {
     let mut storage = Storage::open(directory).unwrap();
     storage
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -1,14 +1,17 @@
-//! What a process may rely on after it was killed between a write and its sync.
+//! The durability of the state that a process reads after a previous process was killed between a
+//! write and its sync.
 
 use std::io;
 use std::path::PathBuf;
 use woadstall_consensus::{DurableState, Entry, EntryPayload, Record, Snapshot};
 use woadstall_storage::{SEGMENT_COUNT, Storage, StorageMedium};
 
-/// A medium of which a loss of power takes all that was not synced.
+/// A medium that loses all unsynced writes in a power loss.
 #[derive(Clone, Debug, Default)]
 struct VolatileMedium {
+    /// The content of the files that a process reads.
     visible: [Vec<u8>; SEGMENT_COUNT],
+    /// The content of the files that survives a power loss.
     durable: [Vec<u8>; SEGMENT_COUNT],
     fails_syncs: bool,
 }
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn lost_power_takes_nothing_that_a_restarted_process_has_read() {
+fn a_power_loss_keeps_the_state_that_a_restarted_process_has_read() {
     let mut storage = Storage::load(VolatileMedium::default()).unwrap();
     storage
         .initialize(DurableState::new(7, Snapshot::default()))
@@ -56,11 +59,12 @@
     let mut medium = storage.medium().clone();
     medium.fails_syncs = false;
     let mut restarted = Storage::load(medium).unwrap();
-    let read = restarted.state().unwrap().log.last_index();
+    let read_index = restarted.state().unwrap().log.last_index();
     let mut medium = restarted.medium().clone();
     medium.visible = medium.durable.clone();
     let after_power_loss = Storage::load(medium).unwrap();
-    assert_eq!(after_power_loss.state().unwrap().log.last_index(), read);
+    let index_after_power_loss = after_power_loss.state().unwrap().log.last_index();
+    assert_eq!(index_after_power_loss, read_index);
 }
 
 fn first_entry() -> Record {
--- a/crates/storage/tests/ring.rs
+++ b/crates/storage/tests/ring.rs
@@ -1,4 +1,5 @@
-//! The ring of files under power loss, corruption and many records.
+//! The ring of segment files: restarts, torn and corrupt records, the limit on the size of the
+//! state, and unsupported versions.
 
 use rstest::rstest;
 use std::fs::File;
@@ -37,14 +38,15 @@
         .last_index()
 }
 
-/// Overwrites bytes of the newest segment, `back` bytes before the end of what was written.
-fn corrupt_tail(directory: &Path, back: u64, bytes: &[u8]) {
+/// Overwrites bytes of the newest segment, from `distance_from_end` bytes before the end of the
+/// written bytes on.
+fn corrupt_tail(directory: &Path, distance_from_end: u64, bytes: &[u8]) {
     let path = newest_segment(directory);
     let mut file = File::options().read(true).write(true).open(path).unwrap();
     let mut content = Vec::new();
     file.read_to_end(&mut content).unwrap();
     let end = content.iter().rposition(|byte| *byte != 0).unwrap() as u64 + 1;
-    file.seek(SeekFrom::Start(end - back)).unwrap();
+    file.seek(SeekFrom::Start(end - distance_from_end)).unwrap();
     file.write_all(bytes).unwrap();
 }
 
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn a_restart_finds_what_was_written() {
+fn the_written_state_is_read_after_a_restart() {
     let directory = tempfile::tempdir().unwrap();
     let mut storage = initialized_storage(directory.path());
     storage
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn an_entry_replaces_all_from_its_index_on() {
+fn an_appended_entry_replaces_all_entries_from_its_index_on() {
     let directory = tempfile::tempdir().unwrap();
     let mut storage = initialized_storage(directory.path());
     storage.write(&[append(1), append(2), append(3)]).unwrap();
@@ -105,13 +107,13 @@
 #[case::torn_byte(1, &[0])]
 #[case::changed_bytes(4, &[0xff])]
 #[case::missing_prefix(40, &[0; 20])]
-fn a_corrupt_record_ends_the_log_before_it(#[case] back: u64, #[case] bytes: &[u8]) {
+fn reading_stops_at_a_corrupt_record(#[case] distance_from_end: u64, #[case] bytes: &[u8]) {
     let directory = tempfile::tempdir().unwrap();
     let mut storage = initialized_storage(directory.path());
     storage.write(&[append(1)]).unwrap();
     storage.write(&[append(2)]).unwrap();
     drop(storage);
-    corrupt_tail(directory.path(), back, bytes);
+    corrupt_tail(directory.path(), distance_from_end, bytes);
     assert_eq!(last_index(directory.path()), 1);
 }
 
@@ -121,18 +123,19 @@
     let mut storage = initialized_storage(directory.path());
     storage.write(&[append(1)]).unwrap();
     drop(storage);
-    // The first write after a start begins a segment.
+    // The first write after a start begins a new segment.
     let mut storage = Storage::open(directory.path()).unwrap();
     storage.write(&[append(2)]).unwrap();
     drop(storage);
     let path = newest_segment(directory.path());
     let mut file = File::options().write(true).open(path).unwrap();
-    const WITHIN_THE_CHECKPOINT: u64 = 40;
-    file.seek(SeekFrom::Start(WITHIN_THE_CHECKPOINT)).unwrap();
+    const OFFSET_WITHIN_CHECKPOINT: u64 = 40;
+    file.seek(SeekFrom::Start(OFFSET_WITHIN_CHECKPOINT))
+        .unwrap();
     file.write_all(&[0xaa; 16]).unwrap();
     drop(file);
     assert_eq!(last_index(directory.path()), 1);
-    // The checkpoint can be written again.
+    // The next write replaces the incomplete checkpoint.
     let mut storage = Storage::open(directory.path()).unwrap();
     storage.write(&[append(2)]).unwrap();
     drop(storage);
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn restarts_without_writes_lose_nothing() {
+fn restarts_without_writes_lose_no_records() {
     let directory = tempfile::tempdir().unwrap();
     let mut storage = initialized_storage(directory.path());
     storage.write(&[append(1)]).unwrap();
@@ -154,27 +157,27 @@
 
 #[test]
 fn the_ring_stays_within_its_preallocated_files() {
-    const BYTES: usize = 1 << 20;
+    const PAYLOAD_BYTES: usize = 1 << 20;
     let directory = tempfile::tempdir().unwrap();
     let mut storage = initialized_storage(directory.path());
-    let before = directory_bytes(directory.path());
+    let initial_bytes = directory_bytes(directory.path());
     for index in 1..=100 {
         storage
-            .write(&[Record::Append(vec![entry(index, BYTES)])])
+            .write(&[Record::Append(vec![entry(index, PAYLOAD_BYTES)])])
             .unwrap();
         if index % 4 == 0 {
             let snapshot = Snapshot {
                 index,
                 term: 1,
-                state: vec![1; BYTES],
+                state: vec![1; PAYLOAD_BYTES],
                 ..Snapshot::default()
             };
             storage.write(&[Record::InstallSnapshot(snapshot)]).unwrap();
         }
     }
     drop(storage);
-    assert_eq!(directory_bytes(directory.path()), before);
-    assert!(before < 128 << 20);
+    assert_eq!(directory_bytes(directory.path()), initial_bytes);
+    assert!(initial_bytes < 128 << 20);
     let storage = Storage::open(directory.path()).unwrap();
     let log = &storage.state().unwrap().log;
     assert_eq!((log.snapshot().index, log.last_index()), (100, 100));
@@ -240,25 +243,25 @@
 
 #[test]
 fn the_largest_possible_state_is_written_and_read() {
-    const COMMAND: usize = 6 << 20;
-    const UNCOMMITTED: usize = 4 << 20;
+    const COMMAND_BYTES: usize = 6 << 20;
+    const UNCOMMITTED_BYTES: usize = 4 << 20;
     let directory = tempfile::tempdir().unwrap();
     let mut storage = initialized_storage(directory.path());
     let snapshot = Snapshot {
         index: 1,
         term: 1,
-        state: vec![7; COMMAND + 20_000 * 16],
+        state: vec![7; COMMAND_BYTES + 20_000 * 16],
         ..Snapshot::default()
     };
     storage.write(&[Record::InstallSnapshot(snapshot)]).unwrap();
     storage
         .write(&[Record::Append(vec![
-            entry(2, UNCOMMITTED),
-            entry(3, UNCOMMITTED),
+            entry(2, UNCOMMITTED_BYTES),
+            entry(3, UNCOMMITTED_BYTES),
         ])])
         .unwrap();
     storage
-        .write(&[Record::Append(vec![entry(4, COMMAND)])])
+        .write(&[Record::Append(vec![entry(4, COMMAND_BYTES)])])
         .unwrap();
     drop(storage);
     assert_eq!(last_index(directory.path()), 4);
