--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -31,7 +31,7 @@
 pub struct Settings {
     /// The heartbeat interval and the election time-outs.
     pub timing: Timing,
-    /// The lower bound on the number of voters that an automatic membership change chooses. A group
-    /// that tolerates `n` faults needs `2 * n + 1` voters.
+    /// The number of voters below which automatic membership changes do not shrink the group. A
+    /// group that tolerates `n` faults needs `2 * n + 1` voters.
     pub min_voters: usize,
 }
--- a/crates/consensus/src/durable_report.rs
+++ b/crates/consensus/src/durable_report.rs
@@ -7,8 +7,8 @@
 
 /// A leader's report of the voters that hold its log durably up to an index. The reported voters
 /// are one voter short of a quorum. Another voter that also holds the log durably up to the index
-/// completes the quorum. That voter can commit the entries at once, instead of acknowledging them
-/// and waiting for the leader's new commit index.
+/// completes the quorum. That voter can commit the entries without waiting for the new commit
+/// index, which the leader sends only after that voter's acknowledgement.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct DurableReport {
     /// The leader's term.
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -3,7 +3,7 @@
 use crate::membership::ReplicaId;
 use thiserror::Error;
 
-/// The reason for which a command was not appended to the log.
+/// The reason why a command was not appended to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProposeError {
     /// This replica is not the leader.
@@ -23,7 +23,7 @@
     },
 }
 
-/// The reason for which a change of the voters was not begun.
+/// The reason why a membership change was not begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChangeVotersError {
     /// The new membership has no voters.
--- a/crates/consensus/src/leader_clock.rs
+++ b/crates/consensus/src/leader_clock.rs
@@ -39,7 +39,8 @@
     }
 
     /// Converts a time on this machine's clock to the clock of a term's leader. The result is a
-    /// lower bound. Returns `None` if the leader of the term has not sent its time.
+    /// lower bound. Returns `None` if the leader of the term has not sent its time, or if the
+    /// result would be negative.
     pub fn to_leader_time(self, term: Term, local_time: Milliseconds) -> Option<LeaderTime> {
         let at = u64::try_from(i128::from(local_time) + self.offset_ms).ok()?;
         (term == self.term).then_some(LeaderTime { term, at })
--- a/crates/consensus/src/replica/durable_report.rs
+++ b/crates/consensus/src/replica/durable_report.rs
@@ -8,8 +8,8 @@
 //! term (Raft, section 5.4.2). The rule does not depend on the replica that counts the quorum. A
 //! follower counts the holders that its leader names, and itself. The follower commits an entry
 //! only if the entry is of the current term. The leader of the current term has then created the
-//! entry, so by the Log Matching Property the follower's log up to its end is a prefix of the
-//! leader's log.
+//! entry, so by the Log Matching Property the follower's whole log, up to the last entry, is a
+//! prefix of the leader's log.
 //!
 //! The follower counts by the membership at the end of this prefix. The leader may already have a
 //! newer membership, but the follower's membership is sufficient. A newer membership replaces the
--- a/crates/consensus/src/replica/learners.rs
+++ b/crates/consensus/src/replica/learners.rs
@@ -41,9 +41,9 @@
         );
     }
 
-    /// Returns whether this replica should request to join the group. A replica requests to join if
-    /// it has no vote. It also does so if it has had no contact with a leader for so long that the
-    /// group may have removed it without its knowledge.
+    /// Returns whether this replica should request to join the group. A replica without a vote
+    /// requests to join. A voter requests to join after it has had no contact with a leader for so
+    /// long that the group may have removed the voter without its knowledge.
     pub fn should_join(&self) -> bool {
         let contact_timeout = 2 * self.settings.timing.election_timeout_max;
         let is_in_contact = self
--- a/crates/consensus/src/replica/propose.rs
+++ b/crates/consensus/src/replica/propose.rs
@@ -6,8 +6,9 @@
 use crate::log_position::LogPosition;
 use crate::role::Role;
 
-/// The largest total size of uncommitted entries. A snapshot, the entries that are compacted next
-/// and the uncommitted entries together fit in one segment of the durable storage.
+/// The total size of uncommitted entries above which the leader rejects commands. With this limit,
+/// a snapshot, the entries that are compacted next and the uncommitted entries together fit in one
+/// segment of the durable storage.
 const MAX_UNCOMMITTED_BYTES: usize = 4 << 20;
 
 impl Replica {
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -8,8 +8,8 @@
 use crate::role::Role;
 use crate::snapshot_transfer::SnapshotSender;
 
-/// The largest total size of the entries in one message. The limit keeps the delay of a heartbeat
-/// behind such a message short.
+/// The largest total size of the entries in one message, unless a single entry is larger. The limit
+/// keeps the delay of a heartbeat behind such a message short.
 const MAX_ENTRIES_BYTES: usize = 256 << 10;
 
 /// The handling of a request to a follower that lacks no entries.
--- a/crates/consensus/src/voter_selection/mod.rs
+++ b/crates/consensus/src/voter_selection/mod.rs
@@ -100,9 +100,10 @@
         .or(largest)
 }
 
-/// Returns whether the group may change to this size. A group may shrink by its lost voters while
-/// no other voter is unresponsive. While all voters are live, a group may also shrink to get an odd
-/// number of voters, or to survive the loss of a failure domain.
+/// Returns whether the group may change to this size. A group may always keep its size or grow. A
+/// group with lost voters may shrink if all its other voters are live. A group whose voters are all
+/// live may shrink by one voter to get an odd number of voters, or by any number if the loss of one
+/// failure domain would leave no majority; at least two voters remain.
 fn may_resize(current: &[&VoterCandidate], size: usize, key: DomainKey) -> bool {
     let are_live_or = |liveness: Liveness| {
         current
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// The reason for which the storage could not be opened.
+/// The reason why the storage could not be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
     /// A file could not be created, read or synced.
@@ -42,7 +42,7 @@
     },
 }
 
-/// The reason for which the state could not be made durable.
+/// The reason why the state could not be made durable.
 #[derive(Debug, Error)]
 pub enum WriteError {
     /// A file could not be written or synced.
--- a/crates/storage/src/segment/header.rs
+++ b/crates/storage/src/segment/header.rs
@@ -21,7 +21,7 @@
 pub(crate) enum SegmentHeader {
     /// The file has no complete header, or its checksum does not match.
     Invalid,
-    /// The header has this other version of the format.
+    /// The header is intact but has this unsupported version of the format.
     UnsupportedVersion(u32),
     /// The header is valid and names the sequence number of the segment.
     Valid { sequence: u64 },
