--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -25,7 +25,7 @@
 #[case::half_of_four(&[1, 2, 3, 4], &[], &[1, 2], false)]
 #[case::three_of_four(&[1, 2, 3, 4], &[], &[1, 2, 4], true)]
 #[case::non_members(&[1, 2, 3], &[], &[1, 8, 9], false)]
-#[case::nobody_has_a_vote(&[], &[], &[1, 2], false)]
+#[case::no_voters(&[], &[], &[1, 2], false)]
 #[case::the_current_voters_alone(&[1, 2, 3], &[3, 4, 5], &[1, 2], false)]
 #[case::the_next_voters_alone(&[1, 2, 3], &[3, 4, 5], &[4, 5], false)]
 #[case::a_majority_of_both(&[1, 2, 3], &[3, 4, 5], &[1, 3, 4], true)]
@@ -75,10 +75,10 @@
 #[case::one_of_three(&[1, 2, 3], &[], Some(9))]
 #[case::two_of_five(&[1, 2, 3, 4, 5], &[], Some(8))]
 #[case::two_of_four(&[1, 2, 3, 4], &[], Some(8))]
-#[case::nobody_of_one(&[1], &[], None)]
-#[case::nobody_has_a_vote(&[], &[], None)]
+#[case::no_voter_of_one(&[1], &[], None)]
+#[case::no_voters(&[], &[], None)]
 #[case::a_joint_membership(&[1, 2, 3], &[1, 2, 4], None)]
-fn one_voter_less_than_a_majority_has_reached_a_value(
+fn the_value_below_quorum_is_reached_by_one_voter_fewer_than_a_majority(
     #[case] voters: &[ReplicaId],
     #[case] next: &[ReplicaId],
     #[case] expected: Option<u64>,
--- a/crates/consensus/tests/replica/durable_report.rs
+++ b/crates/consensus/tests/replica/durable_report.rs
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_follower_counts_by_both_sides_of_a_joint_membership() {
+fn a_follower_needs_both_majorities_of_a_joint_membership() {
     let joint = Entry {
         payload: EntryPayload::Membership(Membership {
             voters: members(1..=5),
--- a/crates/consensus/tests/replica/elections.rs
+++ b/crates/consensus/tests/replica/elections.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_vote_is_sent_once_it_is_durable_and_to_one_candidate_a_term() {
+fn a_vote_is_sent_once_it_is_durable_and_to_one_candidate_per_term() {
     let mut replica = replica();
     replica.handle_message(10, message(2, 6, vote_request(4, 4)));
     let outputs = replica.take_outputs();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn granting_a_pre_vote_postpones_the_own_election() {
+fn a_replica_that_grants_a_pre_vote_postpones_its_own_election() {
     const ROUND_TRIP: u64 = 220;
     for seed in 0..50 {
         let mut replica = Replica::new(durable_state(), SETTINGS, 0, seed);
--- a/crates/consensus/tests/replica/membership_changes.rs
+++ b/crates/consensus/tests/replica/membership_changes.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn only_one_membership_change_is_in_progress_and_only_after_a_commit_in_the_term() {
+fn membership_changes_run_one_at_a_time_and_only_after_a_commit_in_the_term() {
     let mut replica = leader();
     let others = |replica: &Replica, removed: ReplicaId| {
         replica
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn learners_become_voters_once_they_have_caught_up_and_in_odd_numbers() {
+fn caught_up_learners_become_voters_if_the_number_of_voters_stays_odd() {
     let mut replica = leader_with_two_learners();
     replica.tick(220);
     assert_eq!(
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -107,7 +107,10 @@
         let mut group = Group::new(seed, 5, HEALTHY);
         group.run(6_000);
         let leader = group.leader().expect("a leader");
-        let members = group.replica(leader).expect("it runs").membership();
+        let members = group
+            .replica(leader)
+            .expect("a running replica")
+            .membership();
         assert_eq!(members.voters.len(), 5);
     }
 }
@@ -192,10 +195,14 @@
         group.start(1);
         group.run(5_000);
         let leader = group.leader().expect("a leader");
-        let members = group.replica(leader).expect("it runs").membership().clone();
+        let members = group
+            .replica(leader)
+            .expect("a running replica")
+            .membership()
+            .clone();
         assert_eq!(members.voters.len(), 3);
         assert!(!members.is_voter(2), "the lost identity is still a voter");
-        let new_id = group.replica(1).expect("it runs").id();
+        let new_id = group.replica(1).expect("a running replica").id();
         assert!(members.is_voter(new_id));
     }
 }
@@ -210,7 +217,7 @@
     assert_eq!(
         group
             .replica(leader)
-            .expect("it runs")
+            .expect("a running replica")
             .membership()
             .voters
             .len(),
@@ -219,7 +226,10 @@
     group.stop((leader + 1) % 3);
     group.run(10_000);
     let leader = group.leader().expect("two of three are a quorum");
-    let members = group.replica(leader).expect("it runs").membership();
+    let members = group
+        .replica(leader)
+        .expect("a running replica")
+        .membership();
     assert_eq!(
         members.voters.len(),
         3,
@@ -239,7 +249,7 @@
             group.partitions.insert((other, old));
         }
         group.run(5_000);
-        assert!(!group.replica(old).expect("it runs").is_leader());
+        assert!(!group.replica(old).expect("a running replica").is_leader());
         let new = group.leader().expect("the others have a quorum");
         assert_ne!(new, old);
     }
--- a/crates/consensus/tests/voter_selection.rs
+++ b/crates/consensus/tests/voter_selection.rs
@@ -88,7 +88,7 @@
     group.iter().map(with).collect()
 }
 
-fn live<'a>(
+fn live_voters<'a>(
     group: &'a [VoterCandidate],
     voters: &'a BTreeSet<ReplicaId>,
 ) -> impl Iterator<Item = &'a VoterCandidate> {
@@ -158,7 +158,8 @@
         let chosen = choose(&group, min_voters);
         let current = ids(&voters_of(&group));
         prop_assert!(chosen.contains(&leader_of(&group)));
-        let (before, after) = (live(&group, &current).count(), live(&group, &chosen).count());
+        let before = live_voters(&group, &current).count();
+        let after = live_voters(&group, &chosen).count();
         prop_assert!(
             after >= before.min(chosen.len()),
             "{before} live voters become {after} of {}",
