--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -53,23 +53,23 @@
     }
 
     fn open(&self) -> usize {
-        Engine::open(self)
+        Engine::open_call_count(self)
     }
 
     fn observe(&mut self) {
-        Engine::observe(self);
+        Engine::record_attempts(self);
     }
 
     fn take_observed(&mut self) -> Vec<AttemptRecord> {
-        Engine::take_observed(self)
+        Engine::take_attempt_records(self)
     }
 
     fn outstanding(&self, now: Time) -> Vec<AttemptInFlight> {
-        Engine::outstanding(self, now).collect()
+        Engine::attempts_in_flight(self, now).collect()
     }
 
     fn listed(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
-        let (changes, all) = Engine::listed(self);
+        let (changes, all) = Engine::listed_upstreams(self);
         (changes != seen).then(|| (changes, all.collect()))
     }
 }
--- a/crates/emulator/src/baseline/mod.rs
+++ b/crates/emulator/src/baseline/mod.rs
@@ -316,7 +316,7 @@
             Input::DiscoveryFailed
             | Input::ResponseStarted { .. }
             | Input::ProbeEnded(..)
-            | Input::FleetFindings(_)
+            | Input::HealthVerdicts(_)
             | Input::Tick => {}
         }
     }
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -93,7 +93,7 @@
             server: seen.server,
             class: seen.class,
             outcome: seen.outcome,
-            took: seen.took,
+            took: seen.elapsed,
         };
         let zone_of = |server| self.all[at].zone_of(server);
         let attempt = self.falsify(at, zone_of, attempt);
@@ -162,7 +162,7 @@
                 }
                 self.flush_member(at);
                 if !findings.is_empty() {
-                    self.handle_input(at, Input::FleetFindings(&findings));
+                    self.handle_input(at, Input::HealthVerdicts(&findings));
                 }
             }
         }
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -64,7 +64,7 @@
         }
         self.upstreams
             .peer(server)
-            .filter(|peer| self.upstreams.takes_new(peer))
+            .filter(|peer| self.upstreams.accepts_new_attempts(peer))
     }
 
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
@@ -110,11 +110,11 @@
         self.record(AttemptRecord {
             id,
             attempt,
-            at: self.now,
+            ended_at: self.now,
             server: sent.server,
             class,
             outcome,
-            took: elapsed,
+            elapsed: elapsed,
         });
         if let Some(response) = response {
             self.respond(id, CallResult::Served(response));
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -81,7 +81,7 @@
             Input::ProbeEnded(server, outcome, load) => {
                 self.notify(Event::ProbeEnded(server, outcome, load));
             }
-            Input::FleetFindings(findings) => self.notify(Event::HealthVerdicts(findings)),
+            Input::HealthVerdicts(findings) => self.notify(Event::HealthVerdicts(findings)),
             Input::Tick => self.on_tick(),
         }
     }
@@ -98,13 +98,13 @@
         timer.into_iter().chain(safety_net).min()
     }
 
-    /// Keeps the ends of attempts from now on, to be taken by [`Engine::take_observed`].
-    pub fn observe(&mut self) {
+    /// Keeps the ends of attempts from now on, to be taken by [`Engine::take_attempt_records`].
+    pub fn record_attempts(&mut self) {
         self.observed.get_or_insert_default();
     }
 
     /// The attempts that have ended since the last call of this.
-    pub fn take_observed(&mut self) -> Vec<AttemptRecord> {
+    pub fn take_attempt_records(&mut self) -> Vec<AttemptRecord> {
         self.observed
             .iter_mut()
             .flat_map(|observed| observed.drain(..))
@@ -112,7 +112,7 @@
     }
 
     /// The attempts that are in flight.
-    pub fn outstanding(&self, now: Time) -> impl Iterator<Item = AttemptInFlight> + '_ {
+    pub fn attempts_in_flight(&self, now: Time) -> impl Iterator<Item = AttemptInFlight> + '_ {
         self.calls.iter().flat_map(move |(id, call)| {
             call.in_flight.iter().map(move |sent| AttemptInFlight {
                 id: *id,
@@ -125,7 +125,7 @@
     }
 
     /// How often the list of upstreams has changed, and all that are listed.
-    pub fn listed(&self) -> (u64, impl Iterator<Item = ListedUpstream<'_>>) {
+    pub fn listed_upstreams(&self) -> (u64, impl Iterator<Item = ListedUpstream<'_>>) {
         self.upstreams.listed()
     }
 
@@ -136,8 +136,8 @@
 
     /// Whether anything new may go to a process: it is listed, in service, and not replaced. To be asked right before an
     /// attempt that had to wait is made, and before a connection is kept.
-    pub fn takes_new(&self, peer: &Peer) -> bool {
-        self.upstreams.takes_new(peer)
+    pub fn accepts_new_attempts(&self, peer: &Peer) -> bool {
+        self.upstreams.accepts_new_attempts(peer)
     }
 
     /// Whether there ever was an upstream that takes requests.
@@ -146,27 +146,27 @@
     }
 
     /// Whether a call has no response yet, or has attempts in flight: its number is in use.
-    pub fn is_open(&self, id: RequestId) -> bool {
+    pub fn is_call_open(&self, id: RequestId) -> bool {
         self.calls.get(id).is_some()
     }
 
     /// How many calls have no response yet, or have attempts in flight.
-    pub fn open(&self) -> usize {
+    pub fn open_call_count(&self) -> usize {
         self.calls.len()
     }
 
     /// How many upstreams are listed.
-    pub fn upstreams(&self) -> usize {
+    pub fn upstream_count(&self) -> usize {
         self.upstreams.len()
     }
 
     /// How many of them take requests and are avoided all the same.
-    pub fn ejected(&self) -> usize {
+    pub fn ejected_upstream_count(&self) -> usize {
         self.balancer.ejected_servers()
     }
 
     /// The numbers of the upstreams that are listed, by name.
-    pub fn names(&self) -> &BTreeMap<String, ServerId> {
+    pub fn upstream_ids(&self) -> &BTreeMap<String, ServerId> {
         self.upstreams.ids()
     }
 
@@ -188,12 +188,12 @@
     }
 
     /// What a process that takes over should know.
-    pub fn learned(&self) -> LearnedState {
+    pub fn learned_state(&self) -> LearnedState {
         self.balancer.learned_state()
     }
 
     /// Takes what a predecessor has learned.
-    pub fn learn_from(&mut self, now: Time, learned: &LearnedState) {
+    pub fn restore_learned_state(&mut self, now: Time, learned: &LearnedState) {
         self.now = self.now.max(now);
         self.balancer.restore(self.now, learned);
     }
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -32,7 +32,7 @@
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// When it ended.
-    pub at: Time,
+    pub ended_at: Time,
     /// The upstream that it went to.
     pub server: ServerId,
     /// Position of the call's class.
@@ -40,7 +40,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent, in nanoseconds.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 /// An attempt that is in flight.
@@ -127,7 +127,7 @@
     /// A probe ended.
     ProbeEnded(ServerId, Outcome, Option<LoadReport>),
     /// What the fleet has found about zones and upstreams.
-    FleetFindings(&'a [HealthVerdict]),
+    HealthVerdicts(&'a [HealthVerdict]),
     /// Time has passed.
     Tick,
 }
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -175,7 +175,7 @@
     }
 
     /// Whether a process is still listed and takes requests.
-    pub fn takes_new(&self, peer: &Peer) -> bool {
+    pub fn accepts_new_attempts(&self, peer: &Peer) -> bool {
         self.by_id.get(&peer.server).is_some_and(|upstream| {
             let is_same =
                 upstream.address == Some(peer.address) && upstream.boot_ms == peer.boot_ms;
--- a/crates/engine/tests/properties.rs
+++ b/crates/engine/tests/properties.rs
@@ -222,7 +222,7 @@
             .find(|entry| entry.address == Some(send.to.address));
         let listed = listed.expect("a listed upstream");
         assert!(listed.lifecycle == Lifecycle::Ready && listed.boot_ms == send.to.boot_ms);
-        assert!(self.engine.takes_new(&send.to));
+        assert!(self.engine.accepts_new_attempts(&send.to));
         assert!(self.in_flight.insert((send.id.0, send.attempt)));
     }
 
@@ -339,7 +339,7 @@
                     entries: &entries,
                     is_complete,
                 });
-                assert_eq!(self.engine.upstreams(), self.listed.len());
+                assert_eq!(self.engine.upstream_count(), self.listed.len());
             }
             Step::FailDiscovery => self.handle(Input::DiscoveryFailed),
             Step::Tick => self.handle(Input::Tick),
@@ -405,7 +405,7 @@
                 }
             }
             assert!(harness.calls.values().all(|call| call.over), "each call has its response");
-            assert_eq!(harness.engine.open(), 0, "nothing is left in the tables");
+            assert_eq!(harness.engine.open_call_count(), 0, "nothing is left in the tables");
             harness.log
         };
         // The same inputs give the same commands, to the byte.
@@ -437,7 +437,7 @@
         harness.log
     );
     harness.end((0, 0), Outcome::Ok);
-    assert_eq!(harness.engine.open(), 0);
+    assert_eq!(harness.engine.open_call_count(), 0);
 }
 
 #[test]
@@ -501,6 +501,6 @@
         };
         assert_eq!(engine.next_command(), Some(rejected));
         assert_eq!(engine.next_command(), None);
-        assert_eq!(engine.open(), 0);
+        assert_eq!(engine.open_call_count(), 0);
     }
 }
--- a/crates/runtime/src/load_balancer.rs
+++ b/crates/runtime/src/load_balancer.rs
@@ -188,7 +188,7 @@
 
     /// How many calls have no result yet, or have attempts in flight.
     pub fn open(&self) -> usize {
-        self.shared.lock().engine.open()
+        self.shared.lock().engine.open_call_count()
     }
 
     /// Takes new settings, see [`Engine::reconfigure`].
@@ -211,30 +211,35 @@
     /// What a process that takes over should know, and the names of the upstreams in it.
     pub fn learned(&self) -> (LearnedState, HashMap<ServerId, String>) {
         let state = self.shared.lock();
-        let ids = state.engine.names().iter();
+        let ids = state.engine.upstream_ids().iter();
         let names = ids.map(|(name, server)| (*server, name.clone())).collect();
-        (state.engine.learned(), names)
+        (state.engine.learned_state(), names)
     }
 
     /// Takes what a predecessor has learned of the upstreams that are listed here, by their names.
     pub fn learn_from(&self, learned: impl FnOnce(&BTreeMap<String, ServerId>) -> LearnedState) {
         let mut state = self.shared.lock();
-        let learned = learned(state.engine.names());
-        state.engine.learn_from(self.shared.clock.now(), &learned);
+        let learned = learned(state.engine.upstream_ids());
+        state
+            .engine
+            .restore_learned_state(self.shared.clock.now(), &learned);
     }
 
     /// Keeps the ends of attempts from now on, to be taken by [`LoadBalancer::observations`].
     pub fn observe(&self) {
-        self.shared.lock().engine.observe();
+        self.shared.lock().engine.record_attempts();
     }
 
     /// What has happened since the last call of this. With the list, if it has changed another number of times than
     /// `known_changes`.
     pub fn observations(&self, known_changes: u64) -> Observations {
         let mut state = self.shared.lock();
-        let ended = state.engine.take_observed();
-        let in_flight = state.engine.outstanding(self.shared.clock.now()).collect();
-        let (changes, upstreams) = state.engine.listed();
+        let ended = state.engine.take_attempt_records();
+        let in_flight = state
+            .engine
+            .attempts_in_flight(self.shared.clock.now())
+            .collect();
+        let (changes, upstreams) = state.engine.listed_upstreams();
         let has_changed = changes != known_changes;
         let listed = has_changed.then(|| (changes, upstreams.map(Upstream::from).collect()));
         Observations {
@@ -248,13 +253,16 @@
     pub fn apply_verdicts(&self, verdicts: impl FnOnce(Time) -> Vec<HealthVerdict>) {
         let verdicts = verdicts(self.shared.clock.now());
         self.shared
-            .handle(&mut self.shared.lock(), Input::FleetFindings(&verdicts));
+            .handle(&mut self.shared.lock(), Input::HealthVerdicts(&verdicts));
     }
 
     /// How many upstreams are listed, and how many of them are ejected.
     pub fn upstreams(&self) -> (usize, usize) {
         let state = self.shared.lock();
-        (state.engine.upstreams(), state.engine.ejected())
+        (
+            state.engine.upstream_count(),
+            state.engine.ejected_upstream_count(),
+        )
     }
 
     /// How discovery fares.
--- a/crates/runtime/src/pending_call.rs
+++ b/crates/runtime/src/pending_call.rs
@@ -164,7 +164,7 @@
 
     /// Makes an attempt, unless its upstream was listed as draining or gone since it was decided on.
     fn start(&mut self, send: &SendAttempt) {
-        if !self.shared.lock().engine.takes_new(&send.to) {
+        if !self.shared.lock().engine.accepts_new_attempts(&send.to) {
             return self
                 .shared
                 .attempt_ended(self.id, send.attempt, Outcome::Moot.into());
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -55,7 +55,7 @@
         loop {
             let id = RequestId(self.next_id);
             self.next_id = self.next_id.wrapping_add(1);
-            if !self.engine.is_open(id) {
+            if !self.engine.is_call_open(id) {
                 return id;
             }
         }
--- a/crates/slow-start/src/rate_controller.rs
+++ b/crates/slow-start/src/rate_controller.rs
@@ -254,7 +254,7 @@
 
     /// An estimate for operators: the seconds until this sender may send at a rate in requests a
     /// second, if no requests fail.
-    pub fn seconds_until(&self, now: Time, rate: f64) -> f64 {
+    pub fn seconds_until_rate(&self, now: Time, rate: f64) -> f64 {
         let allowed = self
             .allowed_rate(now)
             .max(self.min_rate)
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -168,7 +168,7 @@
         server: record.server,
         class: record.class,
         outcome: record.outcome,
-        took: record.took,
+        took: record.elapsed,
     }
 }
 
