--- a/crates/routing/src/circuit_breaker.rs
+++ b/crates/routing/src/circuit_breaker.rs
@@ -1,44 +1,46 @@
-//! A circuit breaker for one upstream: it opens after a few consecutive failures, with a capped
+//! Circuit breaker for one upstream, which opens after a few consecutive failures with a capped
 //! exponential backoff.
 
-/// The weighted consecutive failures that open it: one failure may be chance, and a dead upstream
-/// costs each balancer this many requests.
+/// Sum of the weights of consecutive failures at which the breaker opens. A single failure may be
+/// accidental, while a failed upstream costs each balancer this many requests.
 const FAILURE_THRESHOLD: u32 = 3;
-/// How long it stays open the first time, in milliseconds; about the time that a process takes to
+/// Initial time that the breaker stays open, in milliseconds. A process takes about this long to
 /// restart.
 const INITIAL_OPEN_MS: u64 = 1_000;
-/// The longest time that it stays open, in milliseconds.
+/// Maximum time that the breaker stays open, in milliseconds.
 const MAX_OPEN_MS: u64 = 8_000;
-/// The time between trial requests of a half-open breaker, in milliseconds.
+/// Interval between trial requests of a half-open breaker, in milliseconds.
 const TRIAL_INTERVAL_MS: u64 = 500;
 
-/// The state of one upstream's circuit breaker.
+/// State of the circuit breaker of one upstream.
 ///
-/// It is closed until [`Self::record_failure`] opens it. When its open time has passed it is
-/// half-open: one trial request is let through at a time, until a success closes it or a failure
-/// opens it for longer.
+/// The breaker is closed until [`Self::record_failure`] opens it. After its open time it is
+/// half-open and allows one trial request per interval, until a success closes it or a failure
+/// opens it for a longer time.
 #[derive(Clone, Debug, Default)]
 pub struct CircuitBreaker {
-    /// Weighted failures since the last success.
+    /// Sum of the weights of all failures since the last success.
     failures: u32,
-    /// How often it has opened since the last success.
+    /// Number of times the breaker has opened since the last success.
     trips: u32,
-    /// Until when no request is let through, in milliseconds.
+    /// Time in milliseconds until which the breaker allows no request.
     open_until: u64,
 }
 
 impl CircuitBreaker {
-    /// Whether it lets a request through: always while closed, one trial at a time while half-open.
+    /// Whether the breaker allows a request. A closed breaker allows all requests, a half-open one
+    /// allows one trial request at a time.
     pub fn allows(&self, now: u64) -> bool {
         now >= self.open_until
     }
 
-    /// Whether it is open at the moment.
+    /// Whether the breaker is open.
     pub fn is_open(&self, now: u64) -> bool {
         self.trips > 0 && !self.allows(now)
     }
 
-    /// Whether it has opened since the last success; it is open or half-open then.
+    /// Whether the breaker has opened since the last success, which means that it is open or
+    /// half-open.
     pub fn is_tripped(&self) -> bool {
         self.trips > 0
     }
@@ -48,25 +50,26 @@
         self.failures > 0
     }
 
-    /// Records that a request is sent to the upstream.
+    /// Records that a request is sent to the upstream, which delays the next trial request of a
+    /// half-open breaker.
     pub fn record_sent(&mut self, now: u64) {
         if self.trips > 0 {
             self.open_until = self.open_until.max(now + TRIAL_INTERVAL_MS);
         }
     }
 
-    /// Records a success, or another response that shows the upstream healthy, and closes the
-    /// breaker.
+    /// Closes the breaker after a success or another response that shows the upstream to be
+    /// healthy.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Records a failure. The `weight` is 1 for a failure that may be chance, more for one that
-    /// shows that nothing listens there.
+    /// Records a failure. The `weight` is 1 for a failure that may be accidental, and higher for
+    /// one that shows that the upstream is not serving requests.
     pub fn record_failure(&mut self, now: u64, weight: u32) {
         self.failures = self.failures.saturating_add(weight);
-        let was_let_through = now >= self.open_until.saturating_sub(TRIAL_INTERVAL_MS);
-        if self.failures >= FAILURE_THRESHOLD && was_let_through {
+        let was_allowed = now >= self.open_until.saturating_sub(TRIAL_INTERVAL_MS);
+        if self.failures >= FAILURE_THRESHOLD && was_allowed {
             let backoff = INITIAL_OPEN_MS.saturating_mul(1 << self.trips.min(8));
             self.trips = self.trips.saturating_add(1);
             self.open_until = now + backoff.min(MAX_OPEN_MS);
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,19 +1,19 @@
-//! The balancers that share budgets and quotas with this one.
+//! Balancers that share retry budgets and warm-up quotas with this one.
 
 use crate::warmup_quota::{QuotaGroup, WarmupQuota};
 use std::collections::BTreeMap;
 
-/// All balancers of the system, as this one knows them.
+/// All known balancers of the system, including this one.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// The hash of this balancer's name.
+    /// Hash of this balancer's name.
     own: u32,
-    /// The hashes of the balancers' names, by region.
+    /// Hashes of the balancers' names, by region.
     pub by_region: BTreeMap<String, Vec<u32>>,
 }
 
 impl Fleet {
-    /// A fleet without members, as seen by the balancer `own` (the hash of its name).
+    /// Creates an empty fleet for the balancer whose name has the hash `own`.
     pub fn new(own: u32) -> Self {
         Self {
             own,
@@ -21,26 +21,26 @@
         }
     }
 
-    /// The number of all balancers, at least 1.
+    /// Number of balancers in all regions, at least 1.
     pub(crate) fn total(&self) -> usize {
         self.by_region.values().map(Vec::len).sum::<usize>().max(1)
     }
 
-    /// The number of balancers in a region, at least 1: those that send most of the requests to its
-    /// upstreams.
+    /// Number of balancers in a region, at least 1. These balancers send most of the requests to
+    /// the region's upstreams.
     pub(crate) fn balancers_in(&self, region: &str) -> usize {
         self.by_region.get(region).map_or(0, Vec::len).max(1)
     }
 
-    /// This balancer's quota for an upstream of `region` that is warming up and takes at most
-    /// `bound` requests a second.
+    /// Returns this balancer's request quota for an upstream of `region` that is warming up and
+    /// accepts at most `bound` requests per second from all balancers.
     pub(crate) fn warmup_quota(&self, bound: f64, upstream: &str, region: &str) -> WarmupQuota {
         if !self
             .by_region
             .values()
             .any(|balancers| balancers.contains(&self.own))
         {
-            return WarmupQuota { per_second: 1 }; // the other balancers are not known yet
+            return WarmupQuota { per_second: 1 }; // the other balancers are still unknown
         }
         let local = self.by_region.get(region).map_or(&[][..], Vec::as_slice);
         if local.contains(&self.own) {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,17 +1,18 @@
-//! Upstream selection: which upstream takes a request, or when its client should retry.
+//! Upstream selection for requests to language-model services.
 //!
-//! [`Router`] holds all state of one balancer's routing: the registered upstreams with this
-//! balancer's own counts of them, circuit breakers, retry budgets, zone outages, and what the other
-//! balancers report. For each [`Query`] it returns a [`Decision`].
+//! [`Router`] holds the routing state of one balancer: the registered upstreams with this
+//! balancer's own request counts, circuit breakers, retry budgets, zone outages, and the load
+//! reports of other balancers. For each [`Query`], the router returns a [`Decision`]: the upstream
+//! that the request is forwarded to, or a rejection with a retry delay.
 //!
-//! The design follows Netflix's Ribbon: a balancer stays in its own region unless the region's
-//! health says otherwise, round robin skips upstreams with an open breaker or over their
-//! concurrency limit, and breakers open after a few consecutive failures. Requests whose prompts
-//! share a long prefix go to the same upstream while it has capacity, since its prefix cache holds
-//! the tokens already.
+//! The design follows Netflix's Ribbon. A balancer sends requests to its own region unless that
+//! region is unhealthy or overloaded. Round robin skips upstreams whose circuit breaker is open or
+//! which have reached their concurrency limit. Circuit breakers open after a few consecutive
+//! failures. Requests whose prompts share a long prefix go to the same upstream while that upstream
+//! has capacity, because its prefix cache already holds the tokens of the prefix.
 //!
-//! The crate does no I/O and reads no clock. Every `now` is a time in milliseconds on the caller's
-//! monotonic clock; randomness comes from a generator that the caller seeds.
+//! The crate does no I/O and does not read a clock. Every `now` argument is a time in milliseconds
+//! on the caller's monotonic clock. Random numbers come from a generator that the caller seeds.
 
 mod circuit_breaker;
 mod fleet;
--- a/crates/routing/src/locality.rs
+++ b/crates/routing/src/locality.rs
@@ -1,30 +1,31 @@
-//! Region selection: a request stays in its home region unless that region's health says otherwise.
+//! Region selection, which keeps a request in its home region unless that region is unhealthy or
+//! overloaded.
 
-/// The fraction of a region's upstreams that are unhealthy from which on the region is avoided.
-const BLACKOUT_FRACTION: f64 = 0.75;
-/// The load from which on a region spills over to others.
+/// Fraction of unhealthy upstreams from which a region is avoided.
+const UNHEALTHY_REGION_FRACTION: f64 = 0.75;
+/// Load at which a region's requests spill over to other regions.
 const SPILLOVER_LOAD: f64 = 1.0;
-/// The number of healthy upstreams below which a region is avoided.
+/// Minimum number of healthy upstreams; a region with fewer is avoided.
 const MIN_HEALTHY: usize = 1;
 
-/// The state of one region's upstreams of one service.
+/// Health and load of one service's upstreams in one region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionLoad {
-    /// The region's name.
+    /// Name of the region.
     pub region: String,
-    /// Upstreams that the request may go to.
+    /// Number of upstreams that the request may go to.
     pub upstreams: usize,
-    /// How many of them are healthy.
+    /// Number of these upstreams that are healthy.
     pub healthy: usize,
-    /// Requests in flight over capacity, estimated from this balancer's own requests.
+    /// Ratio of requests in flight to capacity, estimated from the requests of this balancer.
     pub load: f64,
 }
 
 impl RegionLoad {
-    /// Whether enough of its upstreams are healthy.
+    /// Whether enough upstreams of the region are healthy.
     fn is_available(&self) -> bool {
         let unhealthy = 1.0 - self.healthy as f64 / self.upstreams.max(1) as f64;
-        self.healthy >= MIN_HEALTHY && unhealthy < BLACKOUT_FRACTION
+        self.healthy >= MIN_HEALTHY && unhealthy < UNHEALTHY_REGION_FRACTION
     }
 
     fn is_overloaded(&self) -> bool {
@@ -32,44 +33,44 @@
     }
 }
 
-/// The regions that a request may go to.
+/// Regions that a request may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Locality {
-    /// Its home region alone.
+    /// The home region only.
     Home,
-    /// These regions together.
+    /// All listed regions together.
     All(Vec<String>),
-    /// One of these regions, drawn at random, since another one was dropped.
+    /// One of the listed regions, drawn at random, because at least one other region was excluded.
     OneOf(Vec<String>),
 }
 
 impl Locality {
-    /// Decides for a request whose home region is `home`, among the `regions` that have upstreams
-    /// for it.
+    /// Selects the regions for a request whose home region is `home`. `regions` describes every
+    /// region that has upstreams for the request.
     ///
-    /// The home region is kept while it is available and has capacity. Otherwise unavailable
-    /// regions are dropped, and so is the most loaded of the overloaded ones; where that leaves
-    /// nothing, all regions are allowed.
+    /// The home region is used while it is available and not overloaded. Otherwise, unavailable
+    /// regions and the most loaded of the overloaded regions are excluded. If no region remains,
+    /// all regions are allowed.
     pub fn decide(home: &str, regions: &[RegionLoad]) -> Self {
-        let is_sound_home =
+        let is_usable_home =
             |load: &RegionLoad| load.region == home && load.is_available() && !load.is_overloaded();
-        if regions.iter().any(is_sound_home) {
+        if regions.iter().any(is_usable_home) {
             return Self::Home;
         }
         let available: Vec<&RegionLoad> =
             regions.iter().filter(|load| load.is_available()).collect();
         let overloaded = available.iter().filter(|load| load.is_overloaded());
-        let worst = overloaded
+        let most_loaded = overloaded
             .max_by(|a, b| a.load.total_cmp(&b.load))
             .map(|load| &load.region);
         let remaining: Vec<String> = available
             .iter()
             .map(|load| &load.region)
-            .filter(|region| Some(*region) != worst)
+            .filter(|region| Some(*region) != most_loaded)
             .cloned()
             .collect();
-        let is_any_dropped = available.len() < regions.len() || worst.is_some();
-        match (remaining.is_empty(), is_any_dropped) {
+        let is_any_excluded = available.len() < regions.len() || most_loaded.is_some();
+        match (remaining.is_empty(), is_any_excluded) {
             (true, _) => Self::All(regions.iter().map(|load| load.region.clone()).collect()),
             (false, true) => Self::OneOf(remaining),
             (false, false) => Self::All(remaining),
--- a/crates/routing/src/prefix_cache.rs
+++ b/crates/routing/src/prefix_cache.rs
@@ -1,36 +1,38 @@
-//! A model of an upstream's prefix cache, kept by a balancer.
+//! Model of an upstream's prefix cache.
 //!
-//! An upstream caches the tokens that it has prefilled and evicts the least recently used ones when
-//! its memory is full. Balancers cannot see that cache; they replay the prompts that they know of
-//! on this model.
+//! An upstream caches the tokens that it has prefilled and evicts the least recently used entries
+//! when its memory is full. Balancers cannot inspect that cache, so each balancer predicts its
+//! contents by applying the known prompts to this model.
 
 use std::collections::VecDeque;
 
-/// The most entries of the model, also where the upstream's capacity is not known.
+/// Maximum number of entries, which also bounds the model of an upstream whose cache capacity is
+/// unknown.
 const MAX_ENTRIES: usize = 64;
-/// Unshared tokens of consecutive prompts are merged into one entry up to this many tokens.
+/// Maximum size of an entry into which the unshared tokens of consecutive prompts are merged, in
+/// tokens.
 const MAX_MERGED_TOKENS: u64 = 8_192;
 
-/// The modelled contents of one upstream's prefix cache, least recently used first.
+/// Modelled contents of one upstream's prefix cache, least recently used first.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixCache {
     entries: VecDeque<Entry>,
-    /// The sum of the entries' tokens.
+    /// Sum of the tokens of all entries.
     tokens: u64,
-    /// The most tokens that the cache holds.
+    /// Maximum number of cached tokens; `u64::MAX` if the capacity is unknown.
     capacity_tokens: u64,
 }
 
-/// Cached tokens that are evicted together.
+/// Group of cached tokens that are evicted together.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    /// The hash of a shared prefix; `None` for tokens that belong to single prompts.
+    /// Hash of a shared prefix, or `None` for tokens that occur in a single prompt only.
     prefix_hash: Option<u32>,
     tokens: u64,
 }
 
 impl Default for PrefixCache {
-    /// An empty cache of unknown capacity.
+    /// Creates an empty cache of unknown capacity.
     fn default() -> Self {
         Self {
             entries: VecDeque::new(),
@@ -41,21 +43,21 @@
 }
 
 impl PrefixCache {
-    /// Sets the cache capacity, in tokens; evicts least recently used entries beyond it.
+    /// Sets the cache capacity in tokens and evicts the least recently used entries that exceed it.
     pub fn set_capacity(&mut self, tokens: u64) {
         self.capacity_tokens = tokens;
         self.evict();
     }
 
-    /// Whether a shared prefix is cached.
+    /// Whether the cache holds a shared prefix.
     pub fn contains(&self, prefix_hash: u32) -> bool {
         self.entries
             .iter()
             .any(|entry| entry.prefix_hash == Some(prefix_hash))
     }
 
-    /// Records the use of a shared prefix of `tokens` tokens, which becomes the most recently used
-    /// entry.
+    /// Marks a shared prefix of `tokens` tokens as the most recently used entry, and adds it if it
+    /// is not cached.
     pub fn insert_prefix(&mut self, prefix_hash: u32, tokens: u64) {
         let position = self
             .entries
@@ -70,8 +72,8 @@
         });
     }
 
-    /// Records `tokens` tokens that only one prompt contains: no later prompt uses them, but they
-    /// take up capacity.
+    /// Records `tokens` tokens that occur in a single prompt only. No later prompt reuses these
+    /// tokens, but they take up cache capacity.
     pub fn insert_unshared(&mut self, tokens: u64) {
         match self.entries.back_mut() {
             Some(last)
--- a/crates/routing/src/router/fleet_loads.rs
+++ b/crates/routing/src/router/fleet_loads.rs
@@ -1,35 +1,37 @@
-//! Load reports between balancers that are near each other.
+//! Load reports that nearby balancers exchange.
 //!
-//! Each balancer sees a small share of an upstream's requests; without reports, every balancer
-//! would find by itself that an upstream prefills a batch of long prompts, or that it is dead.
-//! Reports expire within a second and never outweigh what this balancer has observed itself since.
+//! Each balancer sends only a small share of an upstream's requests. Without reports, every
+//! balancer would have to discover by itself that an upstream is prefilling a batch of long prompts
+//! or that it has failed. Reports expire within a second and never override a more recent
+//! observation by this balancer.
 
 use super::Router;
-use crate::placement_log::MAX_REPORTED;
+use crate::placement_log::MAX_REPORT_ENTRIES;
 use crate::upstream::{Prompt, ReportedLoad, Upstream};
 use std::collections::HashMap;
 use woadstall_control::loads::{FleetLoad, FleetLoads, PrefixPlacement, UpstreamLoad};
 
-/// The prefill backlog, in tokens, from which on an upstream is reported: a shorter one is
-/// prefilled within one step of an engine.
-const MIN_REPORTED_BACKLOG: u64 = 4_096;
+/// Minimum prefill backlog that is reported, in tokens. An engine prefills a shorter backlog within
+/// one step.
+const MIN_REPORTED_BACKLOG_TOKENS: u64 = 4_096;
 
 impl Router {
-    /// This balancer's load report: the upstreams with a long prefill backlog or that fail.
+    /// Returns this balancer's load report: the upstreams that have a long prefill backlog or are
+    /// failing.
     pub fn upstream_loads(&self, now: u64) -> Vec<UpstreamLoad> {
         let is_reported = |load: &UpstreamLoad| load.pending_prefill_tokens > 0 || load.is_failing;
         let loads = self
             .upstreams
             .values()
             .map(|upstream| self.upstream_load(now, upstream));
-        loads.filter(is_reported).take(MAX_REPORTED).collect()
+        loads.filter(is_reported).take(MAX_REPORT_ENTRIES).collect()
     }
 
     fn upstream_load(&self, now: u64, upstream: &Upstream) -> UpstreamLoad {
-        let is_long = upstream.prefill_backlog >= MIN_REPORTED_BACKLOG;
+        let is_backlog_reported = upstream.prefill_backlog >= MIN_REPORTED_BACKLOG_TOKENS;
         UpstreamLoad {
             upstream: upstream.id_hash,
-            pending_prefill_tokens: if is_long {
+            pending_prefill_tokens: if is_backlog_reported {
                 saturating_u32(upstream.prefill_backlog)
             } else {
                 0
@@ -38,11 +40,12 @@
         }
     }
 
-    /// Updates the model of an upstream's prefix cache (of `capacity` tokens, where that is known)
-    /// with a prompt that is sent there, and records the placement of its shared prefix.
+    /// Adds a prompt to the model of the prefix cache of the upstream that the prompt is sent to,
+    /// and records the placement of its shared prefix. `capacity` is the size of the prefix cache
+    /// in tokens, if known.
     ///
-    /// Balancers report no prompts without a shared prefix; other balancers are assumed to send as
-    /// many of them.
+    /// Balancers do not report prompts without a shared prefix. The model therefore assumes that
+    /// every other balancer sends as many such prompts as this one.
     pub(super) fn record_prompt(
         &mut self,
         now: u64,
@@ -79,14 +82,14 @@
         self.placements.record_own(now, placement);
     }
 
-    /// The placements of shared prefixes that this balancer made a moment ago, for its load report;
-    /// newest first.
+    /// Returns the recent shared-prefix placements of this balancer for its load report, newest
+    /// first.
     pub fn recent_placements(&mut self, now: u64) -> Vec<PrefixPlacement> {
         self.placements.recent(now)
     }
 
-    /// Applies a report of the near balancers: it replaces the former loads of all upstreams and
-    /// adds placements.
+    /// Applies a report of the nearby balancers, which replaces the previously reported loads of
+    /// all upstreams and adds new prefix placements.
     pub fn set_fleet_loads(&mut self, now: u64, loads: &FleetLoads) {
         self.placements.record_report(now);
         let load_of: HashMap<u32, FleetLoad> = loads
--- a/crates/routing/src/skip_reason.rs
+++ b/crates/routing/src/skip_reason.rs
@@ -1,31 +1,32 @@
-//! Why an upstream that is allowed for a request is not preferred for it.
+//! Reasons for which a request skips an upstream that its route allows.
 
 use std::fmt;
 
-/// Why a request skips an upstream that it may go to.
+/// Reason for which a request skips an upstream that its route allows.
 ///
-/// The order of the variants is the order in which the reasons are checked and reported.
+/// The variants are in the order in which the router checks and reports them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SkipReason {
-    /// Its circuit breaker is open.
+    /// The circuit breaker of the upstream is open.
     BreakerOpen,
-    /// Nothing has come from it for too long while requests of this balancer are pending there.
+    /// The upstream has pending requests of this balancer and has sent no data for longer than the
+    /// response timeout.
     Unresponsive,
-    /// Other balancers of the zone report that it fails.
+    /// Other balancers of the zone report the upstream as failing.
     ReportedFailing,
-    /// All of its zone seems to be down.
+    /// The zone of the upstream appears to be down as a whole.
     ZoneOutage,
-    /// It rejected a request for lack of capacity a moment ago.
+    /// The upstream recently rejected a request for lack of capacity.
     Saturated,
-    /// It has as many requests of this balancer in flight as this balancer's share of its capacity
-    /// allows.
+    /// The upstream has as many requests of this balancer in flight as the balancer's share of its
+    /// capacity allows.
     OverConcurrencyLimit,
-    /// It is warming up, and this balancer's quota of requests to it is used up.
+    /// The upstream is warming up, and this balancer has used up its request quota for it.
     WarmingUp,
 }
 
 impl fmt::Display for SkipReason {
-    /// Writes the name that request reports carry.
+    /// Writes the name of the reason that appears in request reports.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::BreakerOpen => "tripped",
--- a/crates/routing/src/warmup_quota.rs
+++ b/crates/routing/src/warmup_quota.rs
@@ -1,42 +1,43 @@
-//! Warm-up quotas (slow start): how many requests each balancer may send to an upstream that is
-//! warming up.
+//! Warm-up quotas (slow start), which limit how many requests each balancer sends to an upstream
+//! that is warming up.
 //!
-//! An upstream that has just started bears a bounded number of requests a second from all balancers
-//! together. Each balancer computes its own quota, so that the sum stays within the bound without
-//! coordination.
+//! An upstream that has just started can serve a bounded number of requests per second from all
+//! balancers together. Each balancer computes its own quota, so that the sum of the quotas stays
+//! within the bound without coordination.
 
 use std::collections::VecDeque;
 use woadstall_control::shards::hash;
 
-/// The second that the bound holds for, in milliseconds, with a margin for packets that are delayed
-/// on the network and arrive together.
+/// Length of the sliding window in which requests count against the quota, in milliseconds. The
+/// bound applies to one second; the rest is a margin for packets that the network delays and then
+/// delivers together.
 const WINDOW_MS: u64 = 1_150;
-/// The fraction of the bound that is allocated: the rest covers balancers that are not known yet.
+/// Fraction of the bound that is allocated. The remainder covers balancers that are not known yet.
 const ALLOCATED_FRACTION: f64 = 0.85;
-/// The fraction of the allocation for balancers of the upstream's own region; the others share the
-/// rest.
+/// Fraction of the allocation that the balancers of the upstream's own region share. The balancers
+/// of other regions share the remainder.
 const LOCAL_FRACTION: f64 = 0.75;
 
-/// A group of balancers that shares a part of an upstream's bound.
+/// Group of balancers that shares a part of an upstream's bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaGroup {
-    /// The balancers of the upstream's own region.
+    /// Balancers in the upstream's own region.
     Local,
-    /// The balancers of all other regions.
+    /// Balancers in all other regions.
     Remote,
 }
 
-/// A balancer's quota of requests to one upstream that is warming up.
+/// Request quota of one balancer for one upstream that is warming up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupQuota {
-    /// The most requests in any one second.
+    /// Maximum number of requests within any one second.
     pub per_second: usize,
 }
 
 impl WarmupQuota {
-    /// The requests a second that all balancers of a group together may send, where all groups
-    /// together may send `bound`. Where the other group has no balancers, this one gets its part as
-    /// well.
+    /// Returns the requests per second that all balancers of `group` together may send, if the
+    /// balancers of both groups together may send `bound`. A group also receives the allocation of
+    /// the other group if the other group has no balancers.
     pub fn group_total(bound: f64, group: QuotaGroup, has_other_group: bool) -> usize {
         let allocated = bound * ALLOCATED_FRACTION;
         let total = match (group, has_other_group) {
@@ -47,9 +48,9 @@
         total as usize
     }
 
-    /// The quota of balancer `own` among its group, `members`. The quotas of a group add up to
-    /// `total`: where that does not divide evenly, a hash decides for each upstream who gets one
-    /// request more.
+    /// Returns the quota of balancer `own` within its group `members`. The quotas of a group add up
+    /// to `total`. If `total` does not divide evenly, a hash decides for each upstream which
+    /// balancers may send one more request.
     pub fn of_balancer(total: usize, upstream: &str, own: u32, members: &[u32]) -> Self {
         let order = |balancer: u32| (hash(&(upstream, balancer)), balancer);
         let own_order = order(own);
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Whether another request may be sent at `now` after those at the times `sends`, oldest first.
+    /// Whether another request may be sent at `now`. `sends` holds the times of the previous
+    /// requests, oldest first.
     pub fn allows(&self, now: u64, sends: &VecDeque<u64>) -> bool {
         let recent = sends
             .iter()
--- a/crates/routing/src/zone_outage.rs
+++ b/crates/routing/src/zone_outage.rs
@@ -1,41 +1,43 @@
-//! Detection of zones that are down as a whole.
+//! Detection of zone outages.
 //!
-//! A balancer sends few requests to each upstream; without this it would find each dead upstream of
-//! a lost zone with failed requests of its own.
+//! A balancer sends only a few requests to each upstream. Without zone-level detection, it would
+//! lose requests to every failed upstream of an unavailable zone before it avoided all of them.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// The suspect upstreams that a zone must have: a single one may have crashed.
+/// Minimum number of suspect upstreams in a zone that is considered down. A single suspect upstream
+/// may have crashed on its own.
 const MIN_SUSPECTS: usize = 2;
-/// How long nothing may have come from any upstream of the zone, in milliseconds.
+/// Minimum time without data from any upstream of a zone that is considered down, in milliseconds.
 const INACTIVITY_MS: u64 = 500;
-/// The time between trial requests to a zone that is down, in milliseconds: at first, and at most.
-/// Each trial costs each balancer a request.
+/// Initial interval between trial requests to a zone that is down, in milliseconds. The interval
+/// doubles with each trial, because every trial costs each balancer a request.
 const INITIAL_TRIAL_BACKOFF_MS: u64 = 500;
+/// Maximum interval between trial requests to a zone that is down, in milliseconds.
 const MAX_TRIAL_BACKOFF_MS: u64 = 2_000;
-/// By how much longer a request that is not idempotent waits for its trial, so that an idempotent
-/// one goes first.
+/// Factor by which the trial interval is longer for a request that is not idempotent, so that an
+/// idempotent request serves as the trial first.
 const NON_IDEMPOTENT_FACTOR: u64 = 2;
 
-/// Which zones seem to be down. Times are in milliseconds.
+/// Detected zone outages. Times are in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneOutages {
-    /// When something came from any upstream of a zone last.
+    /// Time of the most recent data from any upstream, by zone.
     last_activity: HashMap<String, u64>,
     trials: HashMap<String, Trial>,
     down: BTreeSet<String>,
 }
 
-/// The newest trial request to a zone since something came from it.
+/// Most recent trial request to a zone that has sent no data since.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     sent_at: u64,
-    /// The time until the next trial, in milliseconds.
-    backoff: u64,
+    /// Time until the next trial, in milliseconds.
+    backoff_ms: u64,
 }
 
 impl ZoneOutages {
-    /// Records that something has come from an upstream of a zone, which ends its outage.
+    /// Records data from an upstream of a zone, which ends an outage of that zone.
     pub fn record_activity(&mut self, now: u64, zone: &str) {
         match self.last_activity.get_mut(zone) {
             Some(at) => *at = now,
@@ -45,24 +47,25 @@
         self.trials.remove(zone);
     }
 
-    /// Records that a request is sent to a zone: a trial, if the zone is down.
+    /// Records that a request is sent to a zone. If the zone is down, the request is a trial.
     pub fn record_sent(&mut self, now: u64, zone: &str) {
         if !self.down.contains(zone) {
             return;
         }
-        let next = |trial: &Trial| (trial.backoff * 2).min(MAX_TRIAL_BACKOFF_MS);
-        let backoff = self.trials.get(zone).map_or(INITIAL_TRIAL_BACKOFF_MS, next);
+        let next = |trial: &Trial| (trial.backoff_ms * 2).min(MAX_TRIAL_BACKOFF_MS);
+        let backoff_ms = self.trials.get(zone).map_or(INITIAL_TRIAL_BACKOFF_MS, next);
         self.trials.insert(
             zone.to_owned(),
             Trial {
                 sent_at: now,
-                backoff,
+                backoff_ms,
             },
         );
     }
 
-    /// Decides which zones are down, given the zone of each suspect upstream: one that has failed
-    /// without a success since, or that is unresponsive.
+    /// Updates which zones are down. `suspect_zones` yields the zone of each suspect upstream, once
+    /// per upstream. An upstream is suspect if it is unresponsive or has failed since its last
+    /// success.
     pub fn update<'a>(&mut self, now: u64, suspect_zones: impl Iterator<Item = &'a str>) {
         let mut suspects: HashMap<&str, usize> = HashMap::new();
         suspect_zones.for_each(|zone| *suspects.entry(zone).or_default() += 1);
@@ -75,13 +78,13 @@
         }
     }
 
-    /// Whether a zone seems to be down.
+    /// Whether a zone appears to be down.
     pub fn is_down(&self, zone: &str) -> bool {
         self.down.contains(zone)
     }
 
-    /// Whether a request may go to a zone: always while it is up, one trial at a time while it is
-    /// down.
+    /// Whether a request may be sent to a zone. A zone that is down accepts one trial request per
+    /// interval.
     pub fn allows(&self, now: u64, zone: &str, is_idempotent: bool) -> bool {
         if !self.down.contains(zone) {
             return true;
@@ -93,6 +96,6 @@
         };
         self.trials
             .get(zone)
-            .is_none_or(|trial| now >= trial.sent_at + trial.backoff * factor)
+            .is_none_or(|trial| now >= trial.sent_at + trial.backoff_ms * factor)
     }
 }
