--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -1,4 +1,4 @@
-//! The input of a routing decision and its result.
+//! Input and result of a routing decision.
 
 use crate::skip_reason::SkipReason;
 use crate::upstream::{Prompt, UpstreamId};
@@ -8,64 +8,67 @@
 use std::time::Duration;
 use woadstall_control::configuration::{Route, Service};
 
-/// A request that needs an upstream.
+/// Request for which the router selects an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// The request's route.
+    /// Route that the request matched.
     pub route: &'a Route,
-    /// The service that the request goes to.
+    /// Service that the request is sent to.
     pub service: &'a Service,
-    /// The request's prompt; empty where the service runs no model.
+    /// Prompt of the request; empty if the service does not run a model.
     pub prompt: Prompt,
-    /// Upstreams that were tried for this request already; none of them is chosen again.
+    /// Upstreams that already had an attempt of this request and are not selected again.
     pub tried: &'a [UpstreamId],
 }
 
-/// The upstream that a request is forwarded to.
+/// Upstream that a request is forwarded to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The upstream.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// The address it listens on.
+    /// Address that the upstream listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the upstream.
     pub zone: Arc<str>,
-    /// Whether it is in this balancer's region.
+    /// Whether the upstream is in this balancer's region.
     pub is_local_region: bool,
-    /// The most connections that this balancer may have open to it.
+    /// Maximum number of connections that this balancer may have open to the upstream.
     pub max_connections: usize,
-    /// Prompt tokens that it is expected to prefill for this request; tokens in its prefix cache
-    /// are not counted.
+    /// Prompt tokens that the upstream is expected to prefill for this request, without the tokens
+    /// in its prefix cache.
     pub prefill_tokens: u64,
-    /// Prompt tokens that it has to prefill for all requests of this balancer, this one included.
+    /// Prompt tokens that the upstream has yet to prefill for all requests of this balancer,
+    /// including this one.
     pub prefill_backlog: u64,
-    /// Requests of this balancer that it has in flight, this one included.
+    /// Number of requests of this balancer in flight at the upstream, including this one.
     pub in_flight: u32,
 }
 
-/// A request that no upstream takes now.
+/// Rejection of a request that no upstream can accept at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// When the client may retry, for `Retry-After`.
+    /// Delay after which the client may retry, for the `Retry-After` header.
     pub retry_after: Duration,
-    /// Whether no upstream is usable at all; otherwise all of them are at capacity.
+    /// Whether no upstream is usable. If `false`, usable upstreams exist, but all of them are at
+    /// capacity.
     pub no_usable_upstream: bool,
 }
 
-/// What to do with a request.
+/// Result of routing a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Forward it. The caller must report the end of the attempt with [`crate::Router::finish`].
+    /// Forward the request. The caller must report the end of the attempt with
+    /// [`crate::Router::finish`].
     Forward(Target),
-    /// Reject it without an attempt.
+    /// Reject the request without an attempt.
     Reject(Rejection),
 }
 
-/// The state of a request's candidate upstreams, to explain a decision.
+/// State of a request's candidate upstreams, which explains a routing decision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CandidateSummary {
-    /// The number of upstreams that the request may go to.
+    /// Number of upstreams that the request may go to.
     pub candidates: usize,
-    /// How many of them are skipped, by reason.
+    /// Number of candidates that the request skips, by reason.
     pub skipped: BTreeMap<SkipReason, usize>,
 }
--- a/crates/routing/src/router/eligibility.rs
+++ b/crates/routing/src/router/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which upstreams a request may go to at all, and which of those it skips.
+//! Eligibility of upstreams: which upstreams a request may go to, and which of these it skips.
 
 use super::Router;
 use crate::query::Query;
@@ -6,24 +6,27 @@
 use crate::upstream::{Upstream, UpstreamId};
 use woadstall_control::registry::UpstreamStatus;
 
-/// Concurrent requests at an upstream over its capacity: those beyond its capacity wait in its
-/// queue, which costs them less than a rejection.
-const OVERCOMMIT: f64 = 1.5;
-/// The fewest concurrent requests that a balancer may have at an upstream.
+/// Maximum ratio of concurrent requests to the capacity of an upstream. Requests beyond the
+/// capacity wait in the queue of the upstream, which delays them less than a rejection and a retry
+/// would.
+const OVERCOMMIT_RATIO: f64 = 1.5;
+/// Minimum concurrency limit of one balancer at an upstream.
 const MIN_CONCURRENCY: f64 = 2.0;
-/// How long nothing may come from an upstream of the own region while requests are pending there,
-/// in milliseconds: longer than the prefill of a long prompt beside others takes. What is sent to
-/// it until it is known to be gone is lost.
+/// Response timeout for upstreams in this balancer's region, in milliseconds: how long an upstream
+/// with pending requests may send no data. The timeout exceeds the time that a long prompt takes to
+/// prefill alongside others. Requests sent to a failed upstream before the timeout are lost.
 const RESPONSE_TIMEOUT_LOCAL_MS: u64 = 600;
-/// The same for another region: two network delays between regions more.
+/// Response timeout for upstreams in other regions, in milliseconds. It exceeds the local timeout
+/// by two network delays between regions.
 const RESPONSE_TIMEOUT_REMOTE_MS: u64 = 800;
 
 impl Router {
-    /// The upstreams of a service that a request may go to at all, in the order of their
+    /// Returns the upstreams of the service that the request may go to, in the order of their
     /// registration.
     pub(super) fn allowed(&self, query: &Query<'_>) -> Vec<UpstreamId> {
         let ready = self.allowed_with_status(query, UpstreamStatus::Ready);
-        // Where all upstreams are unresponsive, the control plane may be what is cut off.
+        // If all upstreams have timed out, the control plane itself may be disconnected, so
+        // upstreams with a time-out remain usable.
         if ready.is_empty() {
             self.allowed_with_status(query, UpstreamStatus::TimedOut)
         } else {
@@ -47,14 +50,14 @@
         ids.iter().filter(is_allowed).cloned().collect()
     }
 
-    /// Whether nothing has come from an upstream for too long while requests of this balancer are
-    /// pending there.
+    /// Whether an upstream with pending requests of this balancer has sent no data for longer than
+    /// its response timeout.
     pub(super) fn is_unresponsive(&self, now: u64, upstream: &Upstream) -> bool {
-        upstream.is_unresponsive(now, self.response_timeout(upstream))
+        upstream.is_unresponsive(now, self.response_timeout_ms(upstream))
     }
 
-    /// How long nothing may come from an upstream with pending requests, in milliseconds.
-    fn response_timeout(&self, upstream: &Upstream) -> u64 {
+    /// Returns how long an upstream with pending requests may send no data, in milliseconds.
+    fn response_timeout_ms(&self, upstream: &Upstream) -> u64 {
         if upstream.region == self.location.region {
             RESPONSE_TIMEOUT_LOCAL_MS
         } else {
@@ -62,15 +65,15 @@
         }
     }
 
-    /// Whether the balancers of this zone report that an upstream fails. One whose breaker has
-    /// opened here is still probed on the breaker's schedule; otherwise no balancer would find that
-    /// it has recovered.
+    /// Whether the balancers of this zone report an upstream as failing. The reports are ignored
+    /// for an upstream whose circuit breaker has opened on this balancer: the breaker still allows
+    /// trial requests, and without any trial no balancer would detect the recovery of the upstream.
     fn is_reported_failing(&self, now: u64, upstream: &Upstream) -> bool {
         !upstream.breaker.is_tripped()
-            && upstream.is_reported_failing(now, self.response_timeout(upstream))
+            && upstream.is_reported_failing(now, self.response_timeout_ms(upstream))
     }
 
-    /// Why an upstream counts as unhealthy, if it does.
+    /// Returns the reason for which an upstream is unhealthy, if any.
     pub(super) fn health_problem(
         &self,
         now: u64,
@@ -92,7 +95,7 @@
         (!is_zone_allowed).then_some(SkipReason::ZoneOutage)
     }
 
-    /// Why a request skips an upstream, if it does.
+    /// Returns the reason for which a request skips an upstream, if any.
     pub(super) fn skip_reason(
         &self,
         now: u64,
@@ -111,16 +114,17 @@
         (!self.is_within_warmup_quota(now, query, upstream)).then_some(SkipReason::WarmingUp)
     }
 
-    /// Whether a request does not skip an upstream.
+    /// Whether a request may use an upstream without a reason to skip it.
     pub(super) fn is_eligible(&self, now: u64, query: &Query<'_>, id: &str) -> bool {
         self.upstreams
             .get(id)
             .is_some_and(|upstream| self.skip_reason(now, query, upstream).is_none())
     }
 
-    /// Whether a request may go to an upstream as a last resort: all that speaks against it is its
-    /// breaker, that it is unresponsive, or what others report. A zone that seems to be down gets
-    /// its trials and no more: a request that waited there for a connection would be rejected late.
+    /// Whether a request may use an unhealthy upstream as a last resort. This is allowed if the
+    /// circuit breaker, a missing response or reports of other balancers are the only reasons to
+    /// skip the upstream. A zone that appears to be down only receives its trial requests, because
+    /// a request that waited for a connection there would be rejected late.
     pub(super) fn may_fall_back(&self, now: u64, query: &Query<'_>, id: &str) -> bool {
         let Some(upstream) = self.upstreams.get(id) else {
             return false;
@@ -134,11 +138,11 @@
             && self.is_within_warmup_quota(now, query, upstream)
     }
 
-    /// Whether this balancer has fewer requests in flight than its share of an upstream's capacity
-    /// (Ribbon's `activeConnectionsLimit`).
+    /// Whether this balancer has fewer requests in flight at an upstream than its share of the
+    /// upstream's capacity (Ribbon's `activeConnectionsLimit`).
     fn is_within_concurrency_limit(&self, upstream: &Upstream) -> bool {
         let balancers = self.fleet.balancers_in(&upstream.region) as f64;
-        let limit = upstream.capacity as f64 * OVERCOMMIT / balancers;
+        let limit = upstream.capacity as f64 * OVERCOMMIT_RATIO / balancers;
         f64::from(upstream.in_flight) < limit.ceil().max(MIN_CONCURRENCY)
     }
 
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -1,9 +1,9 @@
-//! The router: all state of one balancer's routing.
+//! Routing state of one balancer.
 //!
-//! This module holds the state and the life of a request: its decision, its activity and its end.
-//! The other parts are `registry` (which upstreams there are), `eligibility` (which a request may
-//! go to), `regions` (which region it goes to), `selection` (which upstream takes it) and
-//! `fleet_loads` (reports to and from other balancers).
+//! This module holds the state and follows a request through its decision, activity and end. The
+//! submodules are `registry` (known upstreams), `eligibility` (upstreams that a request may go to),
+//! `regions` (region of a request), `selection` (upstream of a request) and `fleet_loads` (load
+//! reports to and from other balancers).
 
 mod eligibility;
 mod fleet_loads;
@@ -21,52 +21,53 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How long an upstream that has rejected a request for lack of capacity is skipped, in
+/// How long an upstream is skipped after it rejected a request for lack of capacity, in
 /// milliseconds.
 const SATURATION_BACKOFF_MS: u64 = 150;
-/// The range that `Retry-After` is drawn from, in milliseconds, so that clients that are rejected
-/// together do not return together.
+/// Range that the `Retry-After` delay is drawn from, in milliseconds. The random delay keeps
+/// clients that are rejected together from returning together.
 const RETRY_AFTER_MS: Range<u64> = 200..600;
-/// The same where no upstream is usable: that takes seconds to change, and a client that returns
-/// too soon uses up its retries.
+/// Range of the `Retry-After` delay if no upstream is usable, in milliseconds. An upstream takes
+/// seconds to become usable again, and a client that returns too soon uses up its retries.
 const RETRY_AFTER_UNUSABLE_MS: Range<u64> = 1_000..1_800;
-/// The fraction of an upstream's connections that the balancers share.
+/// Fraction of an upstream's connections that is divided among the balancers.
 const CONNECTIONS_FRACTION: f64 = 0.9;
-/// The fewest connections of one balancer to an upstream.
+/// Minimum number of connections that one balancer may have to an upstream.
 const MIN_CONNECTIONS: f64 = 2.0;
-/// The weight of a failed connection for the circuit breaker.
+/// Circuit-breaker weight of a failed connection attempt.
 const CONNECT_FAILED_WEIGHT: u32 = 2;
-/// The weight of a failure at an unresponsive upstream: the request has waited for long, and the
-/// next one would wait for as long again.
+/// Circuit-breaker weight of a failure at an unresponsive upstream. The failed request has already
+/// waited for a long time, and the next request would wait as long.
 const UNRESPONSIVE_WEIGHT: u32 = 3;
 
-/// The limits of a deployment that routing keeps to.
+/// Limits that routing enforces in a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingLimits {
-    /// The most retries per request.
+    /// Maximum number of retries per request, as a ratio over the requests of the window.
     pub retry_budget_ratio: f64,
-    /// The sliding window of the retry budget, in milliseconds.
+    /// Length of the sliding window of the retry budget, in milliseconds.
     pub retry_budget_window_ms: u64,
-    /// Retries in a window beyond the ratio, of all balancers together.
+    /// Number of retries in a window that all balancers together may make beyond the ratio.
     pub retry_budget_slack: f64,
-    /// The most requests a second to an upstream that is warming up, over its service's
-    /// `warmup_per_s`.
+    /// Factor of the service's `warmup_per_s` in the maximum number of requests per second to an
+    /// upstream that is warming up.
     pub warmup_factor: f64,
-    /// Requests a second beyond that.
+    /// Requests per second that are added to the product of `warmup_factor` and `warmup_per_s`.
     pub warmup_slack: f64,
 }
 
-/// Where a balancer runs.
+/// Location of a balancer.
 #[derive(Clone, Debug)]
 pub struct Location {
-    /// Its region.
+    /// Region that the balancer runs in.
     pub region: String,
-    /// The region of each zone of the system.
+    /// Region of each zone of the system, by zone.
     pub region_by_zone: BTreeMap<String, String>,
 }
 
-/// Selects upstreams for the requests of one balancer. See the crate's documentation for times and
-/// randomness.
+/// Selects upstreams for the requests of one balancer.
+///
+/// The crate documentation describes the clock and the source of randomness.
 #[derive(Debug)]
 pub struct Router {
     location: Location,
@@ -75,7 +76,7 @@
     evacuated_zones: BTreeSet<String>,
     upstreams: BTreeMap<UpstreamId, Upstream>,
     upstreams_by_service: HashMap<String, Vec<UpstreamId>>,
-    /// The position of the round robin, by service.
+    /// Next round-robin position, by service.
     cursors: HashMap<String, usize>,
     retry_budgets: HashMap<String, RetryBudget>,
     zone_outages: ZoneOutages,
@@ -84,7 +85,7 @@
 }
 
 impl Router {
-    /// A router without upstreams.
+    /// Creates a router without upstreams. `seed` seeds its random numbers.
     pub fn new(location: Location, limits: RoutingLimits, seed: u64) -> Self {
         Self {
             location,
@@ -101,17 +102,18 @@
         }
     }
 
-    /// Sets the balancers that share budgets and quotas.
+    /// Sets the balancers that share retry budgets and warm-up quotas.
     pub fn set_fleet(&mut self, fleet: Fleet) {
         self.fleet = fleet;
     }
 
-    /// Records a request for a service, which its retry budget grows with.
+    /// Records a request for a service, which adds to the retry budget of the service.
     pub fn record_request(&mut self, now: u64, service: &str) {
         self.retry_budget(service).deposit(now);
     }
 
-    /// Takes one retry from a service's budget and returns whether there was one.
+    /// Takes one retry from the budget of a service if one is available, and returns whether it
+    /// did.
     pub fn try_withdraw_retry(&mut self, now: u64, service: &str) -> bool {
         let (slack, balancers) = (self.limits.retry_budget_slack, self.fleet.total());
         self.retry_budget(service)
@@ -152,7 +154,8 @@
         }
     }
 
-    /// Summarizes the state of a request's candidates, to explain a decision. Changes nothing.
+    /// Summarizes the state of a request's candidate upstreams, to explain a decision. Does not
+    /// change any state.
     pub fn summarize_candidates(&self, now: u64, query: &Query<'_>) -> CandidateSummary {
         let allowed = self.allowed(query);
         let mut summary = CandidateSummary {
@@ -167,8 +170,8 @@
         summary
     }
 
-    /// Records that the first part of a sound response has come from an upstream: a success, or an
-    /// error that is the request's own.
+    /// Records the first part of a valid response from an upstream: a success, or an error that the
+    /// request itself caused.
     pub fn record_response(&mut self, now: u64, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.breaker.record_success();
@@ -177,19 +180,19 @@
         }
     }
 
-    /// Records that something has come from an upstream, which shows that it has prefilled
-    /// `prefilled` tokens since.
-    pub fn record_activity(&mut self, now: u64, id: &str, prefilled: u64) {
+    /// Records data from an upstream, which shows that the upstream has prefilled
+    /// `prefilled_tokens` more tokens.
+    pub fn record_activity(&mut self, now: u64, id: &str, prefilled_tokens: u64) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.record_activity(now);
             self.zone_outages.record_activity(now, &upstream.zone);
-            upstream.prefill_backlog = upstream.prefill_backlog.saturating_sub(prefilled);
+            upstream.prefill_backlog = upstream.prefill_backlog.saturating_sub(prefilled_tokens);
         }
     }
 
-    /// Records that an attempt at an upstream has ended, with `not_prefilled` of its prompt tokens
-    /// still in the prefill backlog.
-    pub fn finish(&mut self, now: u64, id: &str, outcome: Outcome, not_prefilled: u64) {
+    /// Records the end of an attempt at an upstream. `unfinished_prefill_tokens` of its prompt
+    /// tokens are still in the prefill backlog and are removed from it.
+    pub fn finish(&mut self, now: u64, id: &str, outcome: Outcome, unfinished_prefill_tokens: u64) {
         let was_unresponsive = self
             .upstreams
             .get(id)
@@ -197,7 +200,9 @@
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.prefill_backlog = upstream.prefill_backlog.saturating_sub(not_prefilled);
+        upstream.prefill_backlog = upstream
+            .prefill_backlog
+            .saturating_sub(unfinished_prefill_tokens);
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         match outcome {
             Outcome::Answered => {}
--- a/crates/routing/src/router/regions.rs
+++ b/crates/routing/src/router/regions.rs
@@ -1,4 +1,4 @@
-//! Region selection for a request, from the state of the regions' upstreams.
+//! Region selection for a request, based on the state of the upstreams in each region.
 
 use super::Router;
 use crate::locality::{Locality, RegionLoad};
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use woadstall_control::configuration::Route;
 
-/// Sums over a region's upstreams.
+/// Sums over the upstreams of a region.
 #[derive(Default)]
 struct RegionTotals {
     upstreams: usize,
     healthy: usize,
-    /// Requests in flight, of all balancers, estimated from this one's.
+    /// Requests in flight of all balancers, estimated from the requests of this balancer.
     in_flight: f64,
     capacity: f64,
 }
@@ -29,7 +29,7 @@
 }
 
 impl Router {
-    /// The allowed upstreams in the region or regions that a request goes to.
+    /// Returns the allowed upstreams in the region or regions that the request is sent to.
     pub(super) fn regional_candidates(
         &mut self,
         now: u64,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Updates which zones seem to be down, from the state of the allowed upstreams.
+    /// Updates the detected zone outages from the state of the allowed upstreams.
     pub(super) fn update_zone_outages(&mut self, now: u64, allowed: &[UpstreamId]) {
         let mut outages = std::mem::take(&mut self.zone_outages);
         let upstreams = allowed.iter().filter_map(|id| self.upstreams.get(id));
@@ -78,8 +78,9 @@
             .collect()
     }
 
-    /// The home region of a request: this balancer's, or where the route does not allow that or it
-    /// has no upstreams, one of the others, drawn with their healthy upstreams as weights.
+    /// Returns the home region of a request. This is the region of this balancer if the route
+    /// allows it and it has upstreams for the request. Otherwise it is another region, drawn at
+    /// random with the number of healthy upstreams as weight.
     fn home_region(&mut self, route: &Route, loads: &[RegionLoad]) -> String {
         let own = &self.location.region;
         let is_allowed = route.allowed_regions.is_empty() || route.allowed_regions.contains(own);
@@ -99,11 +100,11 @@
     }
 
     fn in_regions(&self, allowed: &[UpstreamId], regions: &[String]) -> Vec<UpstreamId> {
-        let is_there = |id: &&UpstreamId| {
+        let is_in_regions = |id: &&UpstreamId| {
             self.upstreams
                 .get(*id)
                 .is_some_and(|upstream| regions.contains(&upstream.region))
         };
-        allowed.iter().filter(is_there).cloned().collect()
+        allowed.iter().filter(is_in_regions).cloned().collect()
     }
 }
--- a/crates/routing/src/router/registry.rs
+++ b/crates/routing/src/router/registry.rs
@@ -1,4 +1,4 @@
-//! Which upstreams the router knows: registrations, snapshots, evacuated zones, and removal.
+//! Known upstreams of the router: registrations, snapshots, evacuated zones and removal.
 
 use super::Router;
 use crate::upstream::{Upstream, UpstreamId};
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use woadstall_control::registry::{Registration, UpstreamStatus};
 
-/// How long an upstream that no snapshot names is kept, in milliseconds: a control machine that has
-/// just started learns of all upstreams within a few heartbeats.
+/// How long an upstream is kept that no snapshot contains, in milliseconds. A control node that has
+/// just started receives the registrations of all upstreams within a few heartbeats.
 const UNCONFIRMED_TIMEOUT_MS: u64 = 10_000;
 
 impl Router {
     /// Adds an upstream, or updates it with a newer registration. A registration whose address is
-    /// no `ip:port` is ignored.
+    /// not of the form `ip:port` is ignored.
     pub fn register(&mut self, now: u64, registration: &Registration) {
         if let Some(upstream) = self.upstreams.get_mut(registration.id.as_str()) {
             upstream.update(now, registration);
@@ -28,16 +28,16 @@
             .cloned()
             .unwrap_or_default();
         let upstream = Upstream::new(now, registration, region, address);
-        let of_service = self
+        let service_upstreams = self
             .upstreams_by_service
             .entry(upstream.service.clone())
             .or_default();
-        of_service.push(upstream.id.clone());
+        service_upstreams.push(upstream.id.clone());
         self.upstreams.insert(upstream.id.clone(), upstream);
     }
 
-    /// Applies a snapshot of all registrations. Upstreams that it does not name are kept for a
-    /// while, since its source may have just started.
+    /// Applies a snapshot of all registrations. Upstreams that the snapshot does not contain are
+    /// kept for a while, because the control node that sent it may have just started.
     pub fn apply_snapshot(&mut self, now: u64, registrations: &[Registration]) {
         let named: BTreeSet<&str> = registrations
             .iter()
@@ -55,11 +55,11 @@
             .for_each(|registration| self.register(now, registration));
     }
 
-    /// Removes idle upstreams that no snapshot and no registration has confirmed for too long.
+    /// Removes idle upstreams that no snapshot or registration has confirmed for 10 s.
     pub fn sweep(&mut self, now: u64) {
         let is_expired = |upstream: &&Upstream| {
-            let is_over = |since| now > since + UNCONFIRMED_TIMEOUT_MS;
-            upstream.unconfirmed_since.is_some_and(is_over) && upstream.in_flight == 0
+            let is_timed_out = |since| now > since + UNCONFIRMED_TIMEOUT_MS;
+            upstream.unconfirmed_since.is_some_and(is_timed_out) && upstream.in_flight == 0
         };
         let expired: Vec<UpstreamId> = self
             .upstreams
@@ -69,16 +69,17 @@
             .collect();
         for id in expired {
             if let Some(upstream) = self.upstreams.remove(&id)
-                && let Some(of_service) = self.upstreams_by_service.get_mut(&upstream.service)
+                && let Some(service_upstreams) =
+                    self.upstreams_by_service.get_mut(&upstream.service)
             {
-                of_service.retain(|other| *other != id);
+                service_upstreams.retain(|other| *other != id);
             }
         }
     }
 
-    /// Sets the zones that get no requests. The upstreams of a zone that is no longer evacuated
-    /// warm up again for the time that `warmup` gives for their service, as their caches may have
-    /// gone cold.
+    /// Sets the zones that receive no requests. When a zone is no longer evacuated, its upstreams
+    /// warm up again because their caches may be cold. `warmup` returns the warm-up time of a
+    /// service.
     pub fn set_evacuated_zones(
         &mut self,
         now: u64,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Whether requests may still go to an upstream. Checked again once a connection to it is
-    /// established.
+    /// Whether requests may be sent to an upstream. Callers check again after they have established
+    /// a connection to the upstream.
     pub fn is_usable(&self, id: &str) -> bool {
         self.upstreams.get(id).is_some_and(|upstream| {
             matches!(
@@ -108,7 +109,7 @@
         })
     }
 
-    /// The number of upstreams that are known and not gone.
+    /// Number of known upstreams that have not deregistered.
     pub fn known_upstreams(&self) -> usize {
         self.upstreams
             .values()
--- a/crates/routing/src/router/selection.rs
+++ b/crates/routing/src/router/selection.rs
@@ -1,5 +1,5 @@
-//! Which of the candidates takes a request: round robin over the eligible ones, and for prompts
-//! with a shared prefix the upstream whose prefix cache holds it.
+//! Selection among the candidate upstreams of a request: round robin over the eligible candidates,
+//! or, for a prompt with a shared prefix, the upstream whose prefix cache holds that prefix.
 
 use super::Router;
 use crate::query::Query;
@@ -7,18 +7,20 @@
 use std::cmp::Reverse;
 use woadstall_control::shards::hash;
 
-/// The most proposals of the round robin before it falls back (about ten, as in Ribbon).
-const MIN_PROPOSALS: usize = 10;
-/// The prefill backlog, in tokens, from which on an upstream is avoided by requests that could go
-/// elsewhere: about one step of an engine, a tenth of a second.
-const SHORT_BACKLOG_TOKENS: u64 = 4_096;
-/// The prefill backlog over the length of a shared prefix up to which its upstream is waited for.
-/// To prefill the prefix elsewhere takes as long as to wait for as many tokens, and then it is
-/// cached twice at the cost of other prefixes.
-const CACHE_OWNER_PATIENCE: u64 = 3;
+/// Minimum number of candidates that the round robin checks before it falls back (about ten, as in
+/// Ribbon).
+const MIN_ROUND_ROBIN_CANDIDATES: usize = 10;
+/// Prefill backlog, in tokens, from which an upstream is avoided by requests that could go
+/// elsewhere. It corresponds to about one engine step, a tenth of a second.
+const AVOIDED_BACKLOG_TOKENS: u64 = 4_096;
+/// Maximum ratio of prefill backlog to prefix length up to which a request is still sent to an
+/// upstream that has its prefix cached. Prefilling the prefix on another upstream takes as long as
+/// waiting for the same number of tokens, and then caches the prefix a second time at the expense
+/// of other prefixes.
+const MAX_OWNER_BACKLOG_RATIO: u64 = 3;
 
 impl Router {
-    /// Selects one of the candidates, if any may be used.
+    /// Selects one of the candidates; `None` if no candidate may be used.
     pub(super) fn pick(
         &mut self,
         now: u64,
@@ -34,10 +36,14 @@
         by_prefix.or_else(|| self.pick_round_robin(now, query, candidates))
     }
 
-    /// Selects the upstream for a prompt with a shared prefix: of those that have it cached, the
-    /// one with the shortest prefill backlog. Where none is known to have it cached, the first by
-    /// rendezvous hashing with a short backlog: another balancer would have sent the prefix there.
-    /// Otherwise the one with the shortest backlog.
+    /// Selects the upstream for a prompt with a shared prefix among the eligible candidates, in
+    /// this order:
+    /// - the upstream with the shortest acceptable prefill backlog among the upstreams that have
+    ///   the prefix cached;
+    /// - the first upstream by rendezvous hashing that has an acceptable backlog, because another
+    ///   balancer would have sent the prefix there; this rule is skipped if the placement log is
+    ///   complete;
+    /// - the upstream with the shortest backlog.
     fn pick_by_prefix(
         &self,
         now: u64,
@@ -50,7 +56,7 @@
             .filter(|id| self.is_eligible(now, query, id))
             .collect();
         ranked.sort_by_cached_key(|id| Reverse(hash(&(prefix_hash, &***id))));
-        let max_backlog = CACHE_OWNER_PATIENCE * query.prompt.prefix_tokens;
+        let max_backlog = MAX_OWNER_BACKLOG_RATIO * query.prompt.prefix_tokens;
         let backlog = |id: &&UpstreamId| self.fleet_prefill_backlog(now, id);
         let is_free = |id: &&UpstreamId| backlog(id) < max_backlog;
         let owners = ranked
@@ -66,8 +72,8 @@
         owner.or_else(presumed_owner).or_else(least_loaded).cloned()
     }
 
-    /// Round robin: the next eligible candidate with a short prefill backlog, or else the next
-    /// eligible one.
+    /// Selects the next eligible candidate with a short prefill backlog in round-robin order, or
+    /// else the next eligible candidate.
     fn pick_round_robin(
         &mut self,
         now: u64,
@@ -79,22 +85,23 @@
             (0..candidates.len())
                 .map(|step| &candidates[first.wrapping_add(step) % candidates.len()])
         };
-        let proposals = || order().take(MIN_PROPOSALS.max(candidates.len()));
+        let round_robin = || order().take(MIN_ROUND_ROBIN_CANDIDATES.max(candidates.len()));
         let is_eligible = |id: &&UpstreamId| self.is_eligible(now, query, id);
         let is_free = |id: &&UpstreamId| {
-            is_eligible(id) && self.fleet_prefill_backlog(now, id) < SHORT_BACKLOG_TOKENS
+            is_eligible(id) && self.fleet_prefill_backlog(now, id) < AVOIDED_BACKLOG_TOKENS
         };
-        let chosen = proposals()
+        let chosen = round_robin()
             .find(is_free)
-            .or_else(|| proposals().find(is_eligible));
-        // A breaker may be wrong, a warm-up quota may not.
+            .or_else(|| round_robin().find(is_eligible));
+        // An unhealthy upstream may have recovered and serves as a fallback; the warm-up quota and
+        // the concurrency limit still apply.
         chosen
             .or_else(|| order().find(|id| self.may_fall_back(now, query, id)))
             .cloned()
     }
 
-    /// The position of a service's round robin, which moves on by one. It begins at a random one,
-    /// so that balancers that start together do not all send to the same upstream.
+    /// Returns the round-robin position of a service and advances it by one. The initial position
+    /// is random, so that balancers that start together do not all send to the same upstream.
     fn advance_cursor(&mut self, service: &str) -> usize {
         let random = &mut self.random;
         let cursor = self
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream, with what this balancer has observed of it and what other balancers report.
+//! State of one upstream: observations of this balancer and reports of other balancers.
 
 use crate::circuit_breaker::CircuitBreaker;
 use crate::prefix_cache::PrefixCache;
@@ -9,88 +9,90 @@
 use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::shards::short_hash;
 
-/// The id of an upstream's incarnation.
+/// Id of one incarnation of an upstream; a restarted upstream has a new id.
 pub type UpstreamId = Arc<str>;
 
-/// How an attempt at an upstream has ended.
+/// Outcome of an attempt to send a request to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The request was answered.
+    /// The upstream answered the request.
     Answered,
     /// The upstream rejected the request without running it.
     Rejected,
-    /// No connection could be established.
+    /// The connection to the upstream could not be established.
     ConnectFailed,
-    /// The connection broke, or what came was no valid response.
+    /// The connection broke, or the upstream sent an invalid response.
     ConnectionError,
     /// The upstream answered with a server error.
     UpstreamError,
-    /// The request's deadline passed.
+    /// The deadline of the request passed.
     TimedOut,
-    /// The attempt was cancelled here, since the client disconnected.
+    /// This balancer cancelled the attempt because the client disconnected.
     Cancelled,
 }
 
-/// The prompt of a request.
+/// Prompt of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The hash of the long prefix that it shares with other prompts, if it has one.
+    /// Hash of the long prefix that the prompt shares with other prompts, if any.
     pub prefix_hash: Option<u32>,
-    /// The tokens of that prefix.
+    /// Number of tokens in the shared prefix.
     pub prefix_tokens: u64,
-    /// All tokens of the prompt.
+    /// Number of tokens in the whole prompt.
     pub total_tokens: u64,
 }
 
-/// How long a load report of other balancers is valid, in milliseconds: reports are repeated every
-/// 300 ms.
+/// How long a load report of other balancers is valid, in milliseconds. Balancers repeat their
+/// reports every 300 ms.
 const REPORT_VALIDITY_MS: u64 = 700;
-/// The balancers of the zone that must report an upstream as failing: a single one may have a fault
-/// of its own.
+/// Minimum number of balancers of the zone that must report an upstream as failing. A single
+/// balancer may have a fault of its own.
 const MIN_FAILURE_REPORTS: u16 = 2;
-/// The most requests to an upstream that is warming up whose times are kept.
+/// Maximum number of send times kept for an upstream that is warming up.
 const MAX_WARMUP_SENDS: usize = 64;
 
-/// An upstream. Times are in milliseconds.
+/// State of an upstream. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
     pub id: UpstreamId,
-    /// The hash of its id, by which balancers report on it.
+    /// Hash of the id, which identifies the upstream in reports of balancers.
     pub id_hash: u32,
     pub address: SocketAddr,
     pub service: String,
     pub zone: Arc<str>,
     pub region: String,
-    /// Requests that it processes at once.
+    /// Maximum number of requests that the upstream processes concurrently.
     pub capacity: u64,
     pub status: UpstreamStatus,
-    /// The sequence number of its newest registration.
+    /// Sequence number of the newest registration.
     pub sequence: u64,
-    /// Until when it is warming up.
+    /// Time at which the warm-up period ends.
     pub warmup_until: u64,
-    /// When requests were sent to it while it was warming up, oldest first.
+    /// Times at which requests were sent to the upstream while it was warming up, oldest first.
     pub warmup_sends: VecDeque<u64>,
     pub breaker: CircuitBreaker,
-    /// Requests of this balancer that it has.
+    /// Number of requests of this balancer in flight at the upstream.
     pub in_flight: u32,
-    /// It has rejected a request for lack of capacity and is skipped until then.
+    /// Time until which the upstream is skipped because it rejected a request for lack of capacity.
     pub saturated_until: u64,
-    /// Since when nothing has come from it while requests of this balancer are pending there.
+    /// Start of the current period in which requests of this balancer are pending and the upstream
+    /// has sent no data.
     pub pending_since: u64,
-    /// When something came from it last.
+    /// Time of the most recent data from the upstream.
     pub last_activity: Option<u64>,
-    /// Prompt tokens of this balancer's requests that it has not prefilled yet.
+    /// Prompt tokens of this balancer's requests that the upstream has not prefilled yet.
     pub prefill_backlog: u64,
-    /// The newest load report of the balancers near this one.
+    /// Newest load report of the nearby balancers.
     pub reported_load: Option<ReportedLoad>,
-    /// What its prefix cache holds of the prompts that this balancer, or one near it, has sent
-    /// there.
+    /// Model of the prefix cache, based on the prompts that this balancer and nearby balancers have
+    /// sent to the upstream.
     pub prefix_cache: PrefixCache,
-    /// Since when no snapshot has confirmed it; it is removed in the end unless it registers again.
+    /// Time since which no snapshot has confirmed the upstream. An upstream that stays unconfirmed
+    /// is removed unless it registers again.
     pub unconfirmed_since: Option<u64>,
 }
 
-/// A load report of other balancers, with the time when it came.
+/// Load report of other balancers with its time of arrival.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
     pub at: u64,
@@ -98,7 +100,7 @@
 }
 
 impl Upstream {
-    /// An upstream that has just registered, without any observations of it.
+    /// Creates the state of a newly registered upstream, without any observations.
     pub fn new(now: u64, registration: &Registration, region: String, address: SocketAddr) -> Self {
         Self {
             id: registration.id.as_str().into(),
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Applies a newer registration; an older one only confirms the upstream.
+    /// Applies a registration if it is newer than the last one. An older registration only confirms
+    /// that the upstream is still known.
     pub fn update(&mut self, now: u64, registration: &Registration) {
         self.unconfirmed_since = None;
         let is_stale = (registration.sequence, registration.status) < (self.sequence, self.status);
@@ -139,25 +142,25 @@
         self.warmup_until = now + registration.slow_start_remaining_ms;
     }
 
-    /// Whether it is warming up (slow start).
+    /// Whether the upstream is warming up (slow start).
     pub fn is_warming_up(&self, now: u64) -> bool {
         now < self.warmup_until
     }
 
-    /// Whether nothing has come from it for more than `timeout` milliseconds while requests are
-    /// pending there.
-    pub fn is_unresponsive(&self, now: u64, timeout: u64) -> bool {
-        self.in_flight > 0 && now > self.pending_since + timeout
+    /// Whether requests are pending at the upstream and it has sent no data for more than
+    /// `timeout_ms` milliseconds.
+    pub fn is_unresponsive(&self, now: u64, timeout_ms: u64) -> bool {
+        self.in_flight > 0 && now > self.pending_since + timeout_ms
     }
 
-    /// Records that something has come from it.
+    /// Records that the upstream has sent data.
     pub fn record_activity(&mut self, now: u64) {
         self.pending_since = now;
         self.last_activity = Some(now);
     }
 
-    /// The tokens of a prompt that it would have to prefill: those that its prefix cache does not
-    /// hold.
+    /// Number of prompt tokens that the upstream would have to prefill, without the tokens in its
+    /// prefix cache.
     pub fn tokens_to_prefill(&self, prompt: &Prompt) -> u64 {
         let is_cached = prompt
             .prefix_hash
@@ -169,8 +172,8 @@
         }
     }
 
-    /// Records that a request is sent to it; returns the prompt tokens that it will have to
-    /// prefill.
+    /// Records that a request is sent to the upstream, and returns the number of prompt tokens that
+    /// the upstream has to prefill for it.
     pub fn record_sent(&mut self, now: u64, prompt: &Prompt) -> u64 {
         if self.in_flight == 0 {
             self.pending_since = now;
@@ -197,8 +200,8 @@
             .filter(|report| now <= report.at + REPORT_VALIDITY_MS)
     }
 
-    /// The prompt tokens that it has to prefill, by this balancer's requests or by the report of
-    /// all near balancers.
+    /// Number of prompt tokens that the upstream has yet to prefill: the larger of this balancer's
+    /// own count and the count in the valid report of the nearby balancers.
     pub fn fleet_prefill_backlog(&self, now: u64) -> u64 {
         let reported = self
             .valid_report(now)
@@ -206,15 +209,15 @@
         self.prefill_backlog.max(reported)
     }
 
-    /// Whether other balancers report that it fails, and nothing has come from it here since
-    /// `timeout` milliseconds before that report.
-    pub fn is_reported_failing(&self, now: u64, timeout: u64) -> bool {
+    /// Whether other balancers report the upstream as failing, unless the upstream sent data to
+    /// this balancer within `timeout_ms` milliseconds before the report or at any time after it.
+    pub fn is_reported_failing(&self, now: u64, timeout_ms: u64) -> bool {
         let Some(report) = self.valid_report(now) else {
             return false;
         };
         let is_contradicted = self
             .last_activity
-            .is_some_and(|activity| activity + timeout >= report.at);
+            .is_some_and(|activity| activity + timeout_ms >= report.at);
         report.load.failing_balancers >= MIN_FAILURE_REPORTS && !is_contradicted
     }
 }
--- a/crates/routing/tests/budgets.rs
+++ b/crates/routing/tests/budgets.rs
@@ -1,4 +1,5 @@
-//! Retry budgets and warm-up quotas: the shares of all balancers together stay within the bound.
+//! Tests that the retry budgets and warm-up quotas of all balancers together stay within their
+//! bounds.
 
 use proptest::prelude::*;
 use std::collections::VecDeque;
@@ -19,7 +20,7 @@
             let total = WarmupQuota::group_total(bound, group, has_other_group);
             let quota = |own: &u32| WarmupQuota::of_balancer(total, &upstream, *own, members);
             let quotas: usize = members.iter().map(|own| quota(own).per_second).sum();
-            prop_assert_eq_or_panic(quotas, if members.is_empty() { 0 } else { total });
+            assert_quota_sum(quotas, if members.is_empty() { 0 } else { total });
             quotas
         };
         let (local, remote) = (sum_of_quotas(QuotaGroup::Local, &local), sum_of_quotas(QuotaGroup::Remote, &remote));
@@ -50,12 +51,12 @@
         histories in prop::collection::vec(prop::collection::vec((0..400_u64, any::<bool>()), 1..250), 1..6),
     ) {
         const RATIO: f64 = 0.2;
-        const WINDOW: u64 = 10_000;
+        const WINDOW_MS: u64 = 10_000;
         const SLACK: f64 = 56.0;
         let balancers = histories.len();
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for history in histories {
-            let (mut budget, mut now) = (RetryBudget::new(RATIO, WINDOW), 0);
+            let (mut budget, mut now) = (RetryBudget::new(RATIO, WINDOW_MS), 0);
             for (pause, fails) in history {
                 now += pause;
                 budget.deposit(now);
@@ -66,17 +67,20 @@
             }
         }
         for end in &retries {
-            let begin = end.saturating_sub(WINDOW);
+            let begin = end.saturating_sub(WINDOW_MS);
             let count = |times: &[u64], from: u64, to: u64| times.iter().filter(|at| (from..=to).contains(at)).count();
-            let earning = count(&requests, begin, *end).max(count(&requests, begin.saturating_sub(WINDOW), begin));
-            let most = RATIO * earning as f64 + SLACK;
-            prop_assert!(count(&retries, begin, *end) as f64 <= most);
+            let earning_requests = count(&requests, begin, *end).max(count(&requests, begin.saturating_sub(WINDOW_MS), begin));
+            let max_retries = RATIO * earning_requests as f64 + SLACK;
+            prop_assert!(count(&retries, begin, *end) as f64 <= max_retries);
         }
     }
 }
 
-fn prop_assert_eq_or_panic(left: usize, right: usize) {
-    assert_eq!(left, right, "the quotas do not add up");
+fn assert_quota_sum(sum: usize, expected: usize) {
+    assert_eq!(
+        sum, expected,
+        "the quotas do not add up to the total of the group"
+    );
 }
 
 #[test]
--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -1,4 +1,4 @@
-//! Load reports between balancers, and how far they are trusted.
+//! Tests of the load reports between balancers and of their precedence over own observations.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{Outcome, Prompt, Router};
 
-fn reported(id: &str, unread: u32, failing: u16) -> FleetLoad {
+fn reported(id: &str, backlog_tokens: u32, failing: u16) -> FleetLoad {
     FleetLoad {
         upstream: short_hash(id),
-        pending_prefill_tokens: unread,
+        pending_prefill_tokens: backlog_tokens,
         failing_balancers: failing,
     }
 }
@@ -36,7 +36,7 @@
 }
 
 #[rstest]
-#[case::nobody(0, true)]
+#[case::no_balancer(0, true)]
 #[case::one_balancer(1, true)]
 #[case::two_balancers(2, false)]
 fn an_upstream_that_others_report_as_failing_is_skipped(
@@ -51,12 +51,12 @@
 #[rstest]
 #[case::activity_just_before(500, true)]
 #[case::activity_long_before(300, false)]
-fn own_observations_outweigh_reports(#[case] heard: u64, #[case] is_used: bool) {
+fn own_observations_outweigh_reports(#[case] last_activity_ms: u64, #[case] is_used: bool) {
     let mut router = router_with(&[("n", 3)]);
-    router.record_activity(heard, "n0", 0);
+    router.record_activity(last_activity_ms, "n0", 0);
     report(&mut router, 1_000, &[reported("n0", 0, 9)]);
     assert_eq!(sends_to(&mut router, 1_000, "n0"), is_used);
-    // Activity after the report outweighs it, too.
+    // Activity after the report overrides the report as well.
     router.record_response(1_010, "n0");
     assert!(sends_to(&mut router, 1_010, "n0"));
 }
@@ -68,7 +68,7 @@
     assert!(!sends_to(&mut router, 1_700, "n0"));
     assert!(
         sends_to(&mut router, 1_701, "n0"),
-        "reported for the last time 0.7 s ago"
+        "the report expires after 0.7 s"
     );
     report(&mut router, 2_000, &[reported("n0", 0, 5)]);
     report(&mut router, 2_100, &[]);
@@ -100,7 +100,10 @@
             reported("n2", 20_000, 0),
         ],
     );
-    assert!(sends_to(&mut router, 0, "n0"), "a preference, and no bar");
+    assert!(
+        sends_to(&mut router, 0, "n0"),
+        "a long backlog is avoided only if another upstream has a shorter one"
+    );
 }
 
 #[test]
@@ -143,14 +146,16 @@
     );
 }
 
-/// The upstream that is ranked first for a prefix has it cached or will have it: a request waits
-/// for it in proportion.
+/// Guards against the loss of cache locality when the preferred upstream is busy.
+///
+/// The upstream that ranks first for a prefix has it cached or will cache it. A request therefore
+/// waits for that upstream while its backlog is short in proportion to the prefix.
 #[rstest]
 #[case::a_short_queue(20_000, true)]
 #[case::a_long_queue(31_000, false)]
-fn a_prompt_waits_for_its_cache_owner_as_long_as_prefill_elsewhere_would_take(
-    #[case] unread: u32,
-    #[case] waits: bool,
+fn a_prompt_waits_for_its_cache_owner_while_the_backlog_is_short(
+    #[case] backlog_tokens: u32,
+    #[case] expects_owner: bool,
 ) {
     let mut router = router_with(&[("n", 4)]);
     let mut request = request();
@@ -161,10 +166,11 @@
     };
     let first = request.target(&mut router, 0);
     router.finish(0, &first.id, Outcome::Cancelled, first.prefill_tokens);
-    report(&mut router, 10, &[reported(&first.id, unread, 0)]);
+    report(&mut router, 10, &[reported(&first.id, backlog_tokens, 0)]);
     let again = request.target(&mut router, 10);
-    assert_eq!(again.id == first.id, waits);
-    // Where all backlogs are long, the upstream with the shortest one takes it.
+    assert_eq!(again.id == first.id, expects_owner);
+    // If the backlogs of all upstreams are long, the upstream with the shortest backlog is
+    // selected.
     let all: Vec<FleetLoad> = (0..4)
         .map(|number| reported(&format!("n{number}"), 90_000 - 1_000 * number, 0))
         .collect();
@@ -191,7 +197,7 @@
         .into_iter()
         .find(|id| **id != *first)
         .unwrap();
-    let mut informed = router_with(&[("n", 4)]);
+    let mut informed_router = router_with(&[("n", 4)]);
     let upstream = short_hash(other);
     let placements = vec![PrefixPlacement {
         number: 1,
@@ -200,18 +206,18 @@
         prefix_tokens: 10_000,
         suffix_tokens: 20,
     }];
-    informed.set_fleet_loads(
+    informed_router.set_fleet_loads(
         0,
         &FleetLoads {
             upstreams: Vec::new(),
             placements,
         },
     );
-    assert_eq!(&*request.target(&mut informed, 10).id, other);
+    assert_eq!(&*request.target(&mut informed_router, 10).id, other);
 }
 
 #[test]
-fn a_placement_is_reported_for_a_moment() {
+fn a_placement_is_reported_for_400_ms() {
     let mut router = router_with(&[("n", 1)]);
     let request = prompt_with_prefix(5);
     request.target(&mut router, 0);
@@ -231,8 +237,10 @@
     assert_eq!(router.recent_placements(401), []);
 }
 
-/// A balancer that has received placements for long, without a gap, knows that a prefix has not
-/// been placed.
+/// Guards against routing by presumed placements when the actual ones are known.
+///
+/// A balancer that has received placement reports for long enough without a gap knows whether any
+/// balancer has placed a prefix.
 #[rstest]
 #[case::reported_for_long(12_000, 2_000, true)]
 #[case::reported_for_a_short_time(8_000, 2_000, false)]
@@ -240,7 +248,7 @@
 fn a_prefix_that_is_cached_nowhere_goes_to_the_shortest_backlog(
     #[case] until: u64,
     #[case] period: usize,
-    #[case] is_known: bool,
+    #[case] expects_other_upstream: bool,
 ) {
     let mut router = router_with(&[("n", 4)]);
     let request = prompt_with_prefix(5);
@@ -249,7 +257,7 @@
         report(&mut router, now, &[reported(&first, 5_000, 0)]);
     }
     let chosen = request.target(&mut router, until).id;
-    assert_eq!(chosen != first, is_known);
+    assert_eq!(chosen != first, expects_other_upstream);
 }
 
 #[test]
@@ -262,6 +270,6 @@
     assert_eq!(
         router.recent_placements(0).len(),
         64,
-        "a report holds so many"
+        "a report contains at most 64 placements"
     );
 }
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Every decision of a long seeded run, as one digest: refactorings must not change it.
+//! Golden test of the routing decisions in a long seeded run, recorded as one digest.
 //!
-//! The digest is over numbers and upstream ids alone, so that it does not depend on the names of
-//! types or variants.
+//! The digest covers only numbers and upstream ids, so that it does not depend on the names of
+//! types or variants. Refactoring must not change it.
 
 mod support;
 
@@ -43,7 +43,7 @@
     Outcome::Cancelled,
 ];
 
-/// FNV-1a over everything that is written to it.
+/// FNV-1a hash of all bytes written to it.
 struct Digest(u64);
 
 impl Digest {
@@ -58,7 +58,7 @@
     }
 }
 
-/// The test's own random numbers (SplitMix64), apart from the router's.
+/// Random numbers of the test (SplitMix64), independent of the router's generator.
 struct Draws(u64);
 
 impl Draws {
@@ -115,8 +115,7 @@
     sequence: u64,
     placement: u32,
     in_flight: Vec<Target>,
-    /// What came up: the run has to reach every kind of decision and every reason to skip an
-    /// upstream.
+    /// Coverage counters: the run must reach every kind of decision and every skip reason.
     sent: u64,
     rejected: u64,
     skip_reasons: BTreeSet<u64>,
@@ -178,11 +177,11 @@
                 total_tokens: self.draws.below(30_000),
             },
             _ => {
-                let shared = self.draws.below(12) as u32;
-                let prefix_tokens = 4_000 + 1_000 * u64::from(shared);
+                let prefix_hash = self.draws.below(12) as u32;
+                let prefix_tokens = 4_000 + 1_000 * u64::from(prefix_hash);
                 let total_tokens = prefix_tokens + self.draws.below(2_000);
                 Prompt {
-                    prefix_hash: Some(shared),
+                    prefix_hash: Some(prefix_hash),
                     prefix_tokens,
                     total_tokens,
                 }
@@ -225,10 +224,10 @@
                     tried.push(target.id.clone());
                     self.in_flight.push(target);
                 }
-                Decision::Reject(refusal) => {
+                Decision::Reject(rejection) => {
                     self.rejected += 1;
-                    self.digest.number(refusal.retry_after.as_millis() as u64);
-                    self.digest.number(u64::from(refusal.no_usable_upstream));
+                    self.digest.number(rejection.retry_after.as_millis() as u64);
+                    self.digest.number(u64::from(rejection.no_usable_upstream));
                     return;
                 }
             }
@@ -241,9 +240,9 @@
         }
     }
 
-    /// Something happens to a request that is in flight. Zone `n2` loses all of its own now and
-    /// then.
-    fn progress(&mut self) {
+    /// Advances or ends a random request in flight. Zone `n2` is periodically down, and all its
+    /// requests fail meanwhile.
+    fn advance_request(&mut self) {
         if self.in_flight.is_empty() {
             return;
         }
@@ -295,10 +294,10 @@
         };
         let capacity = 1 + self.draws.below(6);
         let base = self.any_registration();
-        // A process that has gone does not come back; its successor has another id.
+        // A deregistered process never registers again; its successor has another id.
         let id = format!("{}-{}", base.id, self.now / 30_000);
         let sequence = self.sequence;
-        let newer = Registration {
+        let registration = Registration {
             id,
             status,
             sequence,
@@ -306,13 +305,14 @@
             capacity,
             ..base
         };
-        self.router.register(self.now, &newer);
+        self.router.register(self.now, &registration);
     }
 
     fn snapshot(&mut self) {
         let all = self.all_registrations();
-        let named: Vec<Registration> = all.into_iter().filter(|_| !self.draws.one_in(10)).collect();
-        self.router.apply_snapshot(self.now, &named);
+        let registrations: Vec<Registration> =
+            all.into_iter().filter(|_| !self.draws.one_in(10)).collect();
+        self.router.apply_snapshot(self.now, &registrations);
     }
 
     fn change_evacuation(&mut self) {
@@ -342,10 +342,11 @@
         let mut loads = FleetLoads::default();
         for _ in 0..self.draws.below(6) {
             let upstream = short_hash(&self.any_registration().id);
-            let (unread, failing) = (self.draws.below(30_000) as u32, self.draws.below(4) as u16);
+            let (backlog_tokens, failing) =
+                (self.draws.below(30_000) as u32, self.draws.below(4) as u16);
             loads.upstreams.push(FleetLoad {
                 upstream,
-                pending_prefill_tokens: unread,
+                pending_prefill_tokens: backlog_tokens,
                 failing_balancers: failing,
             });
             self.placement += 1;
@@ -387,7 +388,7 @@
         self.now += self.draws.below(40);
         match self.draws.below(100) {
             0..45 => self.request(),
-            45..90 => self.progress(),
+            45..90 => self.advance_request(),
             90..93 => self.change_registration(),
             93 => self.router.sweep(self.now),
             94 if self.draws.one_in(4) => self.snapshot(),
--- a/crates/routing/tests/locality.rs
+++ b/crates/routing/tests/locality.rs
@@ -1,4 +1,4 @@
-//! Which regions a request may go to.
+//! Tests of region selection.
 
 use rstest::rstest;
 use woadstall_routing::{Locality, RegionLoad};
@@ -22,7 +22,7 @@
 #[case::blackout(region("a", 4, 1, 0.5), Locality::OneOf(names(&["b", "c"])))]
 #[case::none_healthy(region("a", 4, 0, 0.0), Locality::OneOf(names(&["b", "c"])))]
 #[case::overloaded(region("a", 4, 4, 1.2), Locality::OneOf(names(&["b", "c"])))]
-fn the_home_region_is_avoided_for_its_health_alone(
+fn the_home_region_is_avoided_only_if_it_is_unhealthy_or_overloaded(
     #[case] home: RegionLoad,
     #[case] expected: Locality,
 ) {
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Tests of upstream selection by the router.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_routing::{Decision, Outcome, Prompt, Rejection, Router, WarmupQuota};
 
-fn zones_of(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
+fn request_zones(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
     let request = request();
     let mut zones = BTreeMap::new();
     for _ in 0..count {
@@ -70,7 +70,7 @@
     let request = request();
     assert!((0..10).all(|_| &*request.target(&mut router, 0).id == "n1"));
     assert!(!router.is_usable("n0"));
-    // A late heartbeat changes nothing.
+    // A heartbeat that arrives late must not make the upstream usable again.
     router.register(0, &registration("n0", "n"));
     assert!(!router.is_usable("n0"));
 }
@@ -97,17 +97,16 @@
     router.set_evacuated_zones(0, &["n".to_owned()].into(), warmup);
     assert_eq!(&*request().target(&mut router, 0).id, "s0");
     router.set_evacuated_zones(10_000, &BTreeSet::new(), warmup);
-    // An upstream that is warming up gets this balancer's quota of requests in a second, and no
-    // more.
+    // An upstream that is warming up receives exactly this balancer's quota of requests per second.
     let request = request();
-    let near = (0..40)
+    let local_requests = (0..40)
         .filter(|_| request.target(&mut router, 10_000).id.starts_with('n'))
         .count();
-    // The bound is 21 * 1.5 + 5; 0.85 of it is allocated, and 0.75 of that to the region's three
-    // balancers.
+    // The bound is 21 * 1.5 + 5 requests per second. 0.85 of the bound is allocated, and 0.75 of
+    // the allocation goes to the three balancers of the region.
     let quota = WarmupQuota::of_balancer(23, "n0", OWN, &[OWN, 2, 3]).per_second;
     assert!(quota == 7 || quota == 8);
-    assert_eq!(near, quota);
+    assert_eq!(local_requests, quota);
 }
 
 #[test]
@@ -150,9 +149,12 @@
     for id in ["n0", "n1"] {
         (0..3).for_each(|_| router.finish(0, id, Outcome::ConnectionError, 0));
     }
-    assert_eq!(zones_of(&mut router, 10, 20), [("s".to_owned(), 20)].into());
-    let back = zones_of(&mut router, 1_500, 20);
-    assert!(back.contains_key("n"), "{back:?}");
+    assert_eq!(
+        request_zones(&mut router, 10, 20),
+        [("s".to_owned(), 20)].into()
+    );
+    let zones = request_zones(&mut router, 1_500, 20);
+    assert!(zones.contains_key("n"), "{zones:?}");
 }
 
 #[test]
@@ -174,16 +176,16 @@
     for id in ["n1", "n2"] {
         router.finish(600, id, Outcome::ConnectFailed, 0);
     }
-    let near = zones_without_responses(&mut router, 700, 10)
+    let local_requests = request_zones_without_responses(&mut router, 700, 10)
         .get("n")
         .copied();
-    assert_eq!(near, Some(1), "one trial request");
+    assert_eq!(local_requests, Some(1), "one trial request");
     router.record_activity(750, "n5", 0);
-    assert!(zones_without_responses(&mut router, 760, 10).contains_key("n"));
+    assert!(request_zones_without_responses(&mut router, 760, 10).contains_key("n"));
 }
 
 #[test]
-fn requests_are_rejected_at_once_but_for_trials_while_all_zones_are_down() {
+fn only_trial_requests_are_sent_while_all_zones_are_down() {
     let mut router = router_with(&[("n", 4), ("s", 4)]);
     for id in ["n1", "n2", "s1", "s2"] {
         router.finish(600, id, Outcome::ConnectFailed, 0);
@@ -192,20 +194,24 @@
     let sent = (0..20)
         .filter(|_| matches!(request.choose(&mut router, 700), Decision::Forward(_)))
         .count();
-    assert_eq!(sent, 2, "one trial each");
+    assert_eq!(sent, 2, "one trial request per zone");
 }
 
 #[test]
-fn one_failing_upstream_is_no_zone_outage() {
+fn one_failing_upstream_does_not_count_as_a_zone_outage() {
     let mut router = router_with(&[("n", 3), ("s", 2)]);
     router.finish(600, "n1", Outcome::ConnectFailed, 0);
     assert_eq!(
-        zones_without_responses(&mut router, 700, 6),
+        request_zones_without_responses(&mut router, 700, 6),
         [("n".to_owned(), 6)].into()
     );
 }
 
-fn zones_without_responses(router: &mut Router, now: u64, count: usize) -> BTreeMap<String, usize> {
+fn request_zones_without_responses(
+    router: &mut Router,
+    now: u64,
+    count: usize,
+) -> BTreeMap<String, usize> {
     let request = request();
     let mut zones = BTreeMap::new();
     for _ in 0..count {
@@ -216,12 +222,12 @@
 }
 
 #[test]
-fn a_shared_prefix_keeps_its_upstream_and_moves_only_when_that_drains() {
+fn a_shared_prefix_moves_to_another_upstream_only_when_its_upstream_drains() {
     let mut router = router_with(&[("n", 6)]);
     let mut request = request();
-    let send = |router: &mut Router, request: &mut support::Request, shared: u32| {
+    let send = |router: &mut Router, request: &mut support::Request, prefix_hash: u32| {
         request.prompt = Prompt {
-            prefix_hash: Some(shared),
+            prefix_hash: Some(prefix_hash),
             prefix_tokens: 13_000,
             total_tokens: 14_000,
         };
@@ -230,16 +236,16 @@
         target.id.to_string()
     };
     let before: Vec<String> = (0..60)
-        .map(|shared| send(&mut router, &mut request, shared))
+        .map(|prefix_hash| send(&mut router, &mut request, prefix_hash))
         .collect();
     let again: Vec<String> = (0..60)
-        .map(|shared| send(&mut router, &mut request, shared))
+        .map(|prefix_hash| send(&mut router, &mut request, prefix_hash))
         .collect();
     assert_eq!(before, again);
     assert_eq!(
         before.iter().collect::<BTreeSet<_>>().len(),
         6,
-        "all are used"
+        "the prefixes are spread over all upstreams"
     );
     router.register(
         0,
@@ -249,11 +255,11 @@
             ..registration("n3", "n")
         },
     );
-    for (shared, old) in before.iter().enumerate() {
-        let new = send(&mut router, &mut request, shared as u32);
+    for (prefix_hash, old) in before.iter().enumerate() {
+        let new = send(&mut router, &mut request, prefix_hash as u32);
         assert!(
             old == "n3" || new == *old,
-            "a prompt moved though its upstream stayed"
+            "a prefix moved although its upstream is still ready"
         );
     }
 }
@@ -306,7 +312,7 @@
 fn a_rejection_says_when_to_retry() {
     let mut router = router_with(&[]);
     let Decision::Reject(rejection) = request().choose(&mut router, 0) else {
-        panic!("there is no upstream")
+        panic!("a request was forwarded without any upstream")
     };
     assert!(rejection.retry_after >= Duration::from_millis(200));
     assert!(rejection.no_usable_upstream);
@@ -324,13 +330,13 @@
 }
 
 #[rstest]
-#[case::no_answer(Outcome::ConnectionError)]
-#[case::own_error(Outcome::UpstreamError)]
+#[case::connection_error(Outcome::ConnectionError)]
+#[case::upstream_error(Outcome::UpstreamError)]
 #[case::time_out(Outcome::TimedOut)]
 fn consecutive_failures_of_any_kind_open_the_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     for _ in 0..3 {
-        // An error counts as activity, but not as a success.
+        // An error counts as activity of the upstream, but not as a success.
         router.record_activity(0, "n0", 0);
         router.finish(0, "n0", outcome, 0);
     }
@@ -341,7 +347,7 @@
 #[rstest]
 #[case::client_disconnected(Outcome::Cancelled)]
 #[case::no_capacity(Outcome::Rejected)]
-fn outcomes_that_are_no_sign_of_health_open_no_breaker(#[case] outcome: Outcome) {
+fn cancelled_and_rejected_requests_open_no_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     for _ in 0..6 {
         router.finish(0, "n0", outcome, 0);
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Routes, services and upstreams for tests.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Routers, routes, services and upstreams for the tests.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use serde_json::json;
 use woadstall_control::configuration::{Configuration, Route, Service};
@@ -18,8 +18,8 @@
     }
 }
 
-/// A router in region `north` of three regions with a zone each, one of four balancers, three of
-/// them in `north`.
+/// Creates a router in region `north`. The system has three regions with one zone each, and four
+/// balancers, three of which are in `north`.
 pub fn router() -> Router {
     let zones = [("n", "north"), ("s", "south"), ("w", "west")];
     let location = Location {
@@ -51,7 +51,8 @@
     }
 }
 
-/// A router with the given number of upstreams in each zone, named after the zone and numbered.
+/// Creates a router with the given number of upstreams per zone. An upstream is named after its
+/// zone and its number.
 pub fn router_with(upstreams: &[(&str, usize)]) -> Router {
     let mut router = router();
     for (zone, count) in upstreams {
