--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from the module's decision to their end.
+//! Life of an attempt, from the decision to send it to its end.
 
 use super::Engine;
 use super::calls::SentAttempt;
@@ -6,11 +6,12 @@
 use crate::upstreams::Peer;
 use woadstall_decisions::api::{self, Event, Outcome, RequestId, ServerId, Time};
 
-/// Ended attempts that are kept until they are taken; the oldest are dropped.
-const MAX_OBSERVED: usize = 16_384;
+/// Maximum number of attempt records that are kept until they are taken. The oldest records are dropped first.
+const MAX_ATTEMPT_RECORDS: usize = 16_384;
 
 impl<R, A> Engine<R, A> {
-    /// Makes an attempt that the module has decided on. One that cannot be made ends as [`Outcome::Moot`].
+    /// Sends an attempt that the decision module has decided on. An attempt that cannot be sent ends as
+    /// [`Outcome::Moot`].
     pub(super) fn send_attempt(
         &mut self,
         id: RequestId,
@@ -38,7 +39,7 @@
         };
         call.in_flight.push(SentAttempt {
             attempt,
-            at: self.now,
+            sent_at: self.now,
             server,
         });
         let deadline = call.deadline;
@@ -54,7 +55,7 @@
         self.commands.push_back(Command::SendAttempt(send));
     }
 
-    /// Where the next attempt of a call goes; `None` if it must not be made.
+    /// Returns the process that the next attempt of a call goes to, or `None` if the attempt must not be sent.
     fn peer_for_attempt(&self, id: RequestId, server: ServerId, until: Time) -> Option<Peer> {
         let call = self.calls.get(id)?;
         let is_allowed = call.attempts < self.max_attempts.min(call.max_attempts);
@@ -106,15 +107,15 @@
             response,
             load,
         } = end;
-        let elapsed = self.now.saturating_sub(sent.at);
-        self.record(AttemptRecord {
+        let elapsed = self.now.saturating_sub(sent.sent_at);
+        self.keep_record(AttemptRecord {
             id,
             attempt,
             ended_at: self.now,
             server: sent.server,
             class,
             outcome,
-            elapsed: elapsed,
+            elapsed,
         });
         if let Some(response) = response {
             self.respond(id, CallResult::Served(response));
@@ -132,14 +133,14 @@
         self.calls.remove_if_done(id);
     }
 
-    /// Keeps the end of an attempt for observers.
-    fn record(&mut self, record: AttemptRecord) {
-        let Some(observed) = &mut self.observed else {
+    /// Keeps the record of an ended attempt if recording is on.
+    fn keep_record(&mut self, record: AttemptRecord) {
+        let Some(records) = &mut self.attempt_records else {
             return;
         };
-        if observed.len() >= MAX_OBSERVED {
-            observed.pop_front();
+        if records.len() >= MAX_ATTEMPT_RECORDS {
+            records.pop_front();
         }
-        observed.push_back(record);
+        records.push_back(record);
     }
 }
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -1,55 +1,56 @@
-//! Calls: from their being taken to their response.
+//! Life of a call, from its acceptance to its response.
 
 use super::Engine;
 use crate::messages::{Call, CallResult, Command};
 use std::collections::{BTreeMap, BTreeSet};
 use woadstall_decisions::api::{Duration, Event, RequestId, RequestParameters, ServerId, Time};
 
-/// The safety net responds this long after a call's deadline, when the module should long have done so. In nanoseconds.
-pub const SAFETY_NET_DELAY: Duration = 25_000_000;
+/// Time after the deadline of a call at which the engine fails the call, in nanoseconds. The decision module should
+/// have ended every call long before, so this only affects calls that the decision module has lost.
+pub const OVERDUE_GRACE_PERIOD_NS: Duration = 25_000_000;
 
-/// An attempt that is in flight.
+/// An attempt in flight.
 pub(super) struct SentAttempt {
-    /// Its number, from 0.
+    /// Number of the attempt within the call, from 0.
     pub attempt: u32,
-    /// When it was sent.
-    pub at: Time,
-    /// Where it went.
+    /// Time at which the attempt was sent.
+    pub sent_at: Time,
+    /// Upstream that the attempt was sent to.
     pub server: ServerId,
 }
 
-/// A call that has no response yet, or has attempts in flight.
+/// An open call: a call that has no response yet or has attempts in flight.
 pub(super) struct CallState<R> {
-    /// `None` once it has its response, or its caller has disconnected.
+    /// Request of the call, or `None` once the call has its response or its caller has disconnected.
     pub request: Option<R>,
     pub deadline: Time,
     pub max_attempts: u32,
     pub class: usize,
-    /// Attempts that the module has asked for.
+    /// Number of attempts that the decision module has requested.
     pub attempts: u32,
-    /// The attempts that have not ended.
+    /// Attempts that have not ended.
     pub in_flight: Vec<SentAttempt>,
 }
 
 impl<R> CallState<R> {
-    /// Whether an attempt is in flight.
+    /// Whether the attempt with this number is in flight.
     pub fn has_in_flight(&self, attempt: u32) -> bool {
         self.in_flight.iter().any(|sent| sent.attempt == attempt)
     }
 }
 
-/// The open calls, and the safety net under those that have no response yet.
+/// All open calls, and the times at which calls without a response become overdue.
 pub(super) struct CallTable<R> {
     calls: BTreeMap<RequestId, CallState<R>>,
-    /// When the safety net is due for each call that has no response yet.
-    safety_nets: BTreeSet<(Time, RequestId)>,
+    /// Time at which each call without a response becomes overdue.
+    overdue_times: BTreeSet<(Time, RequestId)>,
 }
 
 impl<R> Default for CallTable<R> {
     fn default() -> Self {
         Self {
             calls: BTreeMap::new(),
-            safety_nets: BTreeSet::new(),
+            overdue_times: BTreeSet::new(),
         }
     }
 }
@@ -72,32 +73,33 @@
     }
 
     fn insert(&mut self, id: RequestId, call: CallState<R>) {
-        self.safety_nets.insert((safety_net_at(call.deadline), id));
+        self.overdue_times.insert((overdue_time(call.deadline), id));
         self.calls.insert(id, call);
     }
 
-    /// When the safety net is next due.
+    /// Returns the next time at which a call becomes overdue.
     pub fn next_due(&self) -> Option<Time> {
-        self.safety_nets.first().map(|(due, _)| *due)
+        self.overdue_times.first().map(|(due, _)| *due)
     }
 
-    /// A call whose safety net is due by now.
+    /// Returns a call that is overdue at `now`.
     pub fn overdue(&self, now: Time) -> Option<RequestId> {
-        self.safety_nets
+        self.overdue_times
             .first()
             .filter(|(due, _)| *due <= now)
             .map(|(_, id)| *id)
     }
 
-    /// Takes the request out of a call: nothing is owed to its caller any more.
+    /// Takes the request out of a call, after which the call awaits no response and cannot become overdue.
     fn take_request(&mut self, id: RequestId) -> Option<R> {
         let call = self.calls.get_mut(&id)?;
         let request = call.request.take()?;
-        self.safety_nets.remove(&(safety_net_at(call.deadline), id));
+        self.overdue_times
+            .remove(&(overdue_time(call.deadline), id));
         Some(request)
     }
 
-    /// Removes a call that has its response and no attempt in flight.
+    /// Removes a call that awaits no response and has no attempt in flight.
     pub fn remove_if_done(&mut self, id: RequestId) {
         let is_done = |call: &CallState<R>| call.request.is_none() && call.in_flight.is_empty();
         if self.calls.get(&id).is_some_and(is_done) {
@@ -106,8 +108,8 @@
     }
 }
 
-fn safety_net_at(deadline: Time) -> Time {
-    deadline.saturating_add(SAFETY_NET_DELAY)
+fn overdue_time(deadline: Time) -> Time {
+    deadline.saturating_add(OVERDUE_GRACE_PERIOD_NS)
 }
 
 impl<R, A> Engine<R, A> {
@@ -124,7 +126,8 @@
         let time_left = deadline.saturating_sub(self.now);
         let is_duplicate = self.calls.get(id).is_some();
         if is_duplicate {
-            // The front's mistake; the module could not tell the two apart.
+            // A front must not reuse the id of an open call. The decision module could not distinguish the two calls,
+            // so the second one is rejected.
             self.log(format!("request_id_in_use request={}", id.0));
         }
         if is_duplicate || time_left == 0 || max_attempts == 0 {
@@ -142,14 +145,14 @@
             in_flight: Vec::new(),
         };
         self.calls.insert(id, call);
-        let demand = RequestParameters {
+        let parameters = RequestParameters {
             class,
             tenant,
             time_left,
             work,
             max_attempts,
         };
-        self.notify(Event::Request(id, demand));
+        self.notify(Event::Request(id, parameters));
     }
 
     pub(super) fn on_caller_disconnected(&mut self, id: RequestId) {
--- a/crates/engine/src/engine/membership.rs
+++ b/crates/engine/src/engine/membership.rs
@@ -1,4 +1,4 @@
-//! Lists of upstreams.
+//! Processing of upstream lists from discovery.
 
 use super::Engine;
 use crate::messages::Command;
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine: inputs in, commands out.
+//! State machine that turns inputs into commands.
 
 mod attempts;
 mod calls;
@@ -16,9 +16,9 @@
     SettingsError, Time,
 };
 
-pub use calls::SAFETY_NET_DELAY;
+pub use calls::OVERDUE_GRACE_PERIOD_NS;
 
-/// See the crate's documentation.
+/// State machine of one load balancer. The crate documentation describes its protocol and guarantees.
 pub struct Engine<R, A> {
     balancer: Balancer,
     max_attempts: u32,
@@ -26,23 +26,24 @@
     upstreams: Upstreams,
     calls: CallTable<R>,
     timers: Timers,
-    /// Buffer of the module's actions.
+    /// Reused buffer for the actions of the decision module.
     actions: Vec<Action>,
-    /// Ends of attempts that could not be made. The module gets them once it is done with its present event.
+    /// Ends of attempts that could not be sent. The decision module receives them after it has processed the current
+    /// event.
     pending_ends: VecDeque<(RequestId, AttemptEnd)>,
     commands: VecDeque<Command<R, A>>,
-    /// There ever was an upstream that takes requests.
+    /// Whether any upstream has ever accepted requests.
     is_ready: bool,
-    /// Attempts that have ended, where somebody observes them.
-    observed: Option<VecDeque<AttemptRecord>>,
+    /// Records of ended attempts that have not been taken; `None` if recording is off.
+    attempt_records: Option<VecDeque<AttemptRecord>>,
 }
 
 impl<R, A> Engine<R, A> {
-    /// An engine that knows no upstream yet. Its random numbers come from `seed` alone.
+    /// Creates an engine without upstreams. All its random numbers derive from `seed`.
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         Ok(Self {
             max_attempts: settings.max_attempts,
@@ -55,11 +56,11 @@
             pending_ends: VecDeque::new(),
             commands: VecDeque::new(),
             is_ready: false,
-            observed: None,
+            attempt_records: None,
         })
     }
 
-    /// Takes what happened. A time before that of the last input counts as that.
+    /// Processes an input. If `now` is before the time of the last input, the engine uses the time of the last input.
     pub fn handle(&mut self, now: Time, input: Input<'_, R, A>) {
         self.now = self.now.max(now);
         match input {
@@ -81,37 +82,39 @@
             Input::ProbeEnded(server, outcome, load) => {
                 self.notify(Event::ProbeEnded(server, outcome, load));
             }
-            Input::HealthVerdicts(findings) => self.notify(Event::HealthVerdicts(findings)),
+            Input::HealthVerdicts(verdicts) => self.notify(Event::HealthVerdicts(verdicts)),
             Input::Tick => self.on_tick(),
         }
     }
 
-    /// The next thing to do, in order, until there is nothing more.
+    /// Returns the next command in order, or `None` if all commands have been taken.
     pub fn next_command(&mut self) -> Option<Command<R, A>> {
         self.commands.pop_front()
     }
 
-    /// When [`Input::Tick`] is due at the latest; `None` if never, as things are.
+    /// Returns the latest time at which [`Input::Tick`] is due, or `None` if no timer is set and no call awaits a
+    /// response.
     pub fn wake_at(&self) -> Option<Time> {
         let timer = self.timers.next_due();
-        let safety_net = self.calls.next_due();
-        timer.into_iter().chain(safety_net).min()
+        let overdue_call = self.calls.next_due();
+        timer.into_iter().chain(overdue_call).min()
     }
 
-    /// Keeps the ends of attempts from now on, to be taken by [`Engine::take_attempt_records`].
+    /// Starts to record ended attempts, which [`Engine::take_attempt_records`] returns.
     pub fn record_attempts(&mut self) {
-        self.observed.get_or_insert_default();
+        self.attempt_records.get_or_insert_default();
     }
 
-    /// The attempts that have ended since the last call of this.
+    /// Returns the records of attempts that have ended since the last call of this method. The oldest records are
+    /// dropped if there are too many.
     pub fn take_attempt_records(&mut self) -> Vec<AttemptRecord> {
-        self.observed
+        self.attempt_records
             .iter_mut()
-            .flat_map(|observed| observed.drain(..))
+            .flat_map(|records| records.drain(..))
             .collect()
     }
 
-    /// The attempts that are in flight.
+    /// Returns all attempts in flight, with their age at `now`.
     pub fn attempts_in_flight(&self, now: Time) -> impl Iterator<Item = AttemptInFlight> + '_ {
         self.calls.iter().flat_map(move |(id, call)| {
             call.in_flight.iter().map(move |sent| AttemptInFlight {
@@ -119,63 +122,63 @@
                 attempt: sent.attempt,
                 server: sent.server,
                 class: call.class,
-                age: now.saturating_sub(sent.at),
+                age: now.saturating_sub(sent.sent_at),
             })
         })
     }
 
-    /// How often the list of upstreams has changed, and all that are listed.
+    /// Returns the number of changes of the upstream list, and all listed upstreams in the order of their names.
     pub fn listed_upstreams(&self) -> (u64, impl Iterator<Item = ListedUpstream<'_>>) {
         self.upstreams.listed()
     }
 
-    /// The request of a call that has no response yet.
+    /// Returns the request of a call that has no response yet.
     pub fn request(&self, id: RequestId) -> Option<&R> {
         self.calls.get(id)?.request.as_ref()
     }
 
-    /// Whether anything new may go to a process: it is listed, in service, and not replaced. To be asked right before an
-    /// attempt that had to wait is made, and before a connection is kept.
+    /// Whether a process accepts new attempts: it is listed, accepts requests and has not been replaced. A front
+    /// checks this right before it sends a delayed attempt and before it keeps a connection open.
     pub fn accepts_new_attempts(&self, peer: &Peer) -> bool {
         self.upstreams.accepts_new_attempts(peer)
     }
 
-    /// Whether there ever was an upstream that takes requests.
+    /// Whether any upstream has accepted requests since the engine was created.
     pub fn is_ready(&self) -> bool {
         self.is_ready
     }
 
-    /// Whether a call has no response yet, or has attempts in flight: its number is in use.
+    /// Whether a call is open, so that its id is in use: it has no response yet or has attempts in flight.
     pub fn is_call_open(&self, id: RequestId) -> bool {
         self.calls.get(id).is_some()
     }
 
-    /// How many calls have no response yet, or have attempts in flight.
+    /// Returns the number of calls that have no response yet or have attempts in flight.
     pub fn open_call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// How many upstreams are listed.
+    /// Returns the number of listed upstreams.
     pub fn upstream_count(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// How many of them take requests and are avoided all the same.
+    /// Returns the number of upstreams that accept requests but are ejected by their circuit breakers.
     pub fn ejected_upstream_count(&self) -> usize {
         self.balancer.ejected_servers()
     }
 
-    /// The numbers of the upstreams that are listed, by name.
+    /// Returns the ids of the listed upstreams by name.
     pub fn upstream_ids(&self) -> &BTreeMap<String, ServerId> {
         self.upstreams.ids()
     }
 
-    /// Takes new settings: classes keep their positions, and `successions` are those that had another one before. A lower
-    /// limit of attempts holds for calls that are open as well.
+    /// Replaces the settings. The positions of existing classes keep their meaning, and `successions` lists the classes
+    /// that move to another position. A lower limit of attempts also applies to open calls.
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense; nothing has changed then.
+    /// Returns an error if the settings are invalid, and leaves the engine unchanged.
     pub fn reconfigure(
         &mut self,
         settings: Settings,
@@ -187,33 +190,34 @@
         Ok(())
     }
 
-    /// What a process that takes over should know.
+    /// Returns the learned state for a process that takes over from this one.
     pub fn learned_state(&self) -> LearnedState {
         self.balancer.learned_state()
     }
 
-    /// Takes what a predecessor has learned.
+    /// Restores the learned state of a predecessor process.
     pub fn restore_learned_state(&mut self, now: Time, learned: &LearnedState) {
         self.now = self.now.max(now);
         self.balancer.restore(self.now, learned);
     }
 
-    /// Passes an event to the module, does what it says, and passes it what came of that at once.
+    /// Passes an event to the decision module and executes its actions. Then passes on the ends of attempts that
+    /// could not be sent.
     fn notify(&mut self, event: Event<'_>) {
-        self.notify_once(event);
+        self.process_event(event);
         while let Some((id, end)) = self.pending_ends.pop_front() {
-            self.notify_once(Event::AttemptEnded(id, end));
+            self.process_event(Event::AttemptEnded(id, end));
         }
     }
 
-    fn notify_once(&mut self, event: Event<'_>) {
+    fn process_event(&mut self, event: Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(self.now, event, &mut actions);
-        actions.drain(..).for_each(|action| self.act(action));
+        actions.drain(..).for_each(|action| self.execute(action));
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send {
                 id,
--- a/crates/engine/src/engine/timers.rs
+++ b/crates/engine/src/engine/timers.rs
@@ -1,28 +1,28 @@
-//! Timers of the decision module, and what is due at a tick.
+//! Timers of the decision module, and the processing of due timers and overdue calls.
 
 use super::Engine;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use woadstall_decisions::api::{Event, Time};
 
-/// The module's timers, by when they are due.
+/// Timers of the decision module, ordered by due time.
 #[derive(Default)]
 pub(super) struct Timers {
     heap: BinaryHeap<Reverse<(Time, u64)>>,
 }
 
 impl Timers {
-    /// Sets a timer; the module gets back its token.
+    /// Sets a timer. The decision module receives `token` when the timer is due.
     pub fn set(&mut self, due: Time, token: u64) {
         self.heap.push(Reverse((due, token)));
     }
 
-    /// When the next timer is due.
+    /// Returns the due time of the next timer.
     pub fn next_due(&self) -> Option<Time> {
         self.heap.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Removes the next timer that is due by now, and returns its token.
+    /// Removes the next timer if it is due at `now`, and returns its token.
     fn pop_due(&mut self, now: Time) -> Option<u64> {
         self.next_due().filter(|due| *due <= now)?;
         self.heap.pop().map(|Reverse((_, token))| token)
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,22 +1,26 @@
-//! What every front does around the decision module, as a state machine without I/O.
+//! State machine of the load balancer around its decision module, without I/O.
 //!
-//! An [`Engine`] owns the decision module, the upstreams' numbers, the calls and their attempts, the module's timers and
-//! the safety net. A front passes it what happened ([`Input`]) and when, in nanoseconds of one clock that only advances
-//! (the module takes it for Unix time, since the upstreams' starts are given in that). Then it takes what is to be done
-//! ([`Command`]) until there is no more, and calls again by [`Engine::wake_at`] at the latest. The engine is generic over
-//! what a request (`R`) and a response (`A`) are, so HTTP/1.1 in the daemon and gRPC in the plug-in use the same one.
+//! An [`Engine`] owns the decision module, the ids of the upstreams, the calls and their attempts, the timers of the
+//! decision module and the time-out of overdue calls. A front is the part of the balancer that receives calls and
+//! does the I/O. It passes each event to the engine as an [`Input`], with the time in nanoseconds of one monotonic
+//! clock. The decision module compares this time with the start times of upstreams, so the clock must show Unix time.
+//! The front then executes each [`Command`] until [`Engine::next_command`] returns `None`, and calls the engine again
+//! no later than [`Engine::wake_at`]. The engine is generic over the types of requests (`R`) and responses (`A`), so
+//! that the daemon (HTTP/1.1) and the plug-in (gRPC) share one implementation.
 //!
-//! What it guarantees, whatever the module and the front do:
-//! - each call that is taken gets exactly one [`Command::Respond`], or none if its caller disconnected before;
-//! - the module gets exactly one end for each of its attempts, also for those that could not be made;
-//! - nothing is sent for a call that has its response, is past its deadline, or has used up its attempts;
-//! - what is left open gets a response [`SAFETY_NET_DELAY`] past its deadline at the latest.
+//! The engine gives these guarantees for any behaviour of the decision module and the front:
+//! - Each accepted call gets exactly one [`Command::Respond`], or none if its caller disconnected before the
+//!   response.
+//! - The decision module receives exactly one end for each of its attempts, including attempts that could not be
+//!   sent.
+//! - No attempt is sent for a call that has its response, is past its deadline, or has used up its attempts.
+//! - A call without a response fails [`OVERDUE_GRACE_PERIOD_NS`] after its deadline at the latest.
 
 mod engine;
 mod messages;
 mod upstreams;
 
-pub use engine::{Engine, SAFETY_NET_DELAY};
+pub use engine::{Engine, OVERDUE_GRACE_PERIOD_NS};
 pub use messages::{
     AttemptEnd, AttemptInFlight, AttemptRecord, Call, CallResult, Command, Input, SendAttempt,
 };
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -1,76 +1,77 @@
-//! What passes between a front and the engine.
+//! Messages between a front and the engine.
 
 use crate::upstreams::{Peer, UpstreamEntry};
 use woadstall_decisions::api::{
     Duration, HealthVerdict, LoadReport, Outcome, RequestId, ServerId, Time,
 };
 
-/// A call, as a front takes it.
+/// A call that a front received from a caller.
 #[derive(Debug)]
 pub struct Call<R> {
-    /// Its number: none that is open may be used again.
+    /// Id of the call. The id must not equal the id of any open call.
     pub id: RequestId,
-    /// What the front needs to forward it and to respond to it.
+    /// Data that the front needs to forward the call and to respond to it.
     pub request: R,
-    /// Its class, as a position in the settings.
+    /// Class of the call, as a position in the settings.
     pub class: usize,
-    /// Its tenant, as a position in the settings.
+    /// Tenant of the call, as a position in the settings.
     pub tenant: usize,
-    /// Its work in nanoseconds, where the caller has an estimate.
+    /// Estimated processing time of the call in nanoseconds, if the caller has provided it.
     pub work: Option<Duration>,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Time,
-    /// Most attempts for it, whatever the settings allow beyond that: 1 where it cannot be sent again.
+    /// Maximum number of attempts for the call; 1 if it cannot be sent again. The limit in the settings applies as
+    /// well.
     pub max_attempts: u32,
 }
 
-/// An attempt that was made, as it ended: what the fleet's evidence consists of.
+/// A completed attempt, from which the health of the fleet is derived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptRecord {
-    /// The call.
+    /// Id of the call.
     pub id: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within the call, from 0.
     pub attempt: u32,
-    /// When it ended.
+    /// Time at which the attempt ended.
     pub ended_at: Time,
-    /// The upstream that it went to.
+    /// Upstream that the attempt was sent to.
     pub server: ServerId,
-    /// Position of the call's class.
+    /// Class of the call, as a position in the settings.
     pub class: usize,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent, in nanoseconds.
+    /// Time from sending the attempt to its end, in nanoseconds.
     pub elapsed: Duration,
 }
 
 /// An attempt that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptInFlight {
-    /// The call.
+    /// Id of the call.
     pub id: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within the call, from 0.
     pub attempt: u32,
-    /// The upstream that it went to.
+    /// Upstream that the attempt was sent to.
     pub server: ServerId,
-    /// Position of the call's class.
+    /// Class of the call, as a position in the settings.
     pub class: usize,
-    /// Time since it was sent, in nanoseconds.
+    /// Time since the attempt was sent, in nanoseconds.
     pub age: Duration,
 }
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Debug)]
 pub struct AttemptEnd<A> {
-    /// What is known of it.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The response, if it is the final one.
+    /// Response of the upstream, if it is the final response of the call.
     pub response: Option<A>,
-    /// The upstream's load report, if one came along.
+    /// Load report of the upstream, if the attempt returned one.
     pub load: Option<LoadReport>,
 }
 
 impl<A> AttemptEnd<A> {
-    /// The same end with another form of its response.
+    /// Converts the response with `into` and keeps the outcome and the load report.
     pub fn map<B>(self, into: impl FnOnce(A) -> B) -> AttemptEnd<B> {
         AttemptEnd {
             outcome: self.outcome,
@@ -90,104 +91,109 @@
     }
 }
 
-/// What happens to a front.
+/// Event that a front passes to the engine.
 #[derive(Debug)]
 pub enum Input<'a, R, A> {
-    /// Discovery responded with a list of upstreams.
+    /// Discovery sent a list of upstreams.
     EndpointsListed {
-        /// The upstreams.
+        /// Entries of the listed upstreams.
         entries: &'a [UpstreamEntry],
-        /// These are all upstreams: what is missing is gone. Otherwise these are the ones that changed.
+        /// Whether the list contains all upstreams, so that an upstream that is not listed has been removed. If
+        /// `false`, the list contains only the upstreams that changed.
         is_complete: bool,
     },
-    /// Discovery failed; the list stays as it was.
+    /// Discovery failed; the engine keeps its list of upstreams.
     DiscoveryFailed,
-    /// A call, read to its end.
+    /// A front has received a call completely.
     Call(Call<R>),
-    /// The caller of a call has disconnected.
+    /// The caller of this call has disconnected.
     CallerDisconnected(RequestId),
-    /// The response to an attempt has begun, and its caller has what came so far: no other attempt may follow.
+    /// The response to an attempt has started and the front has passed on its first part, so no other attempt may
+    /// follow.
     ResponseStarted {
-        /// The call.
+        /// Id of the call.
         id: RequestId,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt within the call, from 0.
         attempt: u32,
-        /// The response that has begun.
+        /// The started response.
         response: A,
     },
-    /// An attempt ended; each that was sent must, once.
+    /// An attempt ended. A front must report the end of each attempt exactly once.
     AttemptEnded {
-        /// The call.
+        /// Id of the call.
         id: RequestId,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt within the call, from 0.
         attempt: u32,
-        /// How it ended.
+        /// Outcome and response of the attempt.
         end: AttemptEnd<A>,
     },
-    /// A probe ended.
+    /// A probe of this upstream ended with this outcome and, if available, a load report.
     ProbeEnded(ServerId, Outcome, Option<LoadReport>),
-    /// What the fleet has found about zones and upstreams.
+    /// Verdicts of the fleet on the health of zones and upstreams.
     HealthVerdicts(&'a [HealthVerdict]),
-    /// Time has passed.
+    /// The time of [`crate::Engine::wake_at`] has been reached.
     Tick,
 }
 
-/// An attempt to be made.
+/// An attempt that the front must send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SendAttempt {
-    /// The call.
+    /// Id of the call.
     pub id: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within the call, from 0.
     pub attempt: u32,
-    /// Where it goes.
+    /// Process that the attempt is sent to.
     pub to: Peer,
-    /// When it is given up.
+    /// Time at which the front must abandon the attempt.
     pub until: Time,
-    /// From then on its first byte may no longer be written; it then ends as [`Outcome::Moot`].
+    /// Time from which the front must not write the first byte of the attempt. An attempt that was not started by
+    /// then ends as [`Outcome::Moot`].
     pub begin_by: Time,
-    /// When its caller stops waiting. The upstream is sent how long that is from when the attempt is written.
+    /// Time at which the caller stops waiting. The front sends the remaining time, as of writing the attempt, to the
+    /// upstream.
     pub deadline: Time,
 }
 
-/// The final result of a call.
+/// Final result of a call.
 #[derive(Debug, PartialEq)]
 pub enum CallResult<A> {
-    /// An upstream's response.
+    /// Response of an upstream.
     Served(A),
-    /// Rejected, and not run: a retry is harmless. With how long to wait before it, in nanoseconds; zero for no advice.
+    /// The call was rejected and has not run, so that a retry is harmless. The value is the recommended delay before
+    /// a retry in nanoseconds, or 0 for no recommendation.
     Rejected(Duration),
-    /// Failed. It may have run.
+    /// The call failed and may have run.
     Failed,
 }
 
-/// What a front is to do.
+/// Action that a front must execute.
 #[derive(Debug, PartialEq)]
 pub enum Command<R, A> {
-    /// Make an attempt, connecting if need be, and report its end.
+    /// Send an attempt, over a new connection if necessary, and report its end.
     SendAttempt(SendAttempt),
-    /// Stop waiting for an attempt; its end must be reported all the same.
+    /// Stop waiting for an attempt. The front must still report the end of the attempt.
     CancelAttempt {
-        /// The call.
+        /// Id of the call.
         id: RequestId,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt within the call, from 0.
         attempt: u32,
     },
-    /// Give the final result to the caller.
+    /// Send the final result to the caller.
     Respond {
-        /// The request of the call.
+        /// Request of the call.
         request: R,
-        /// The result.
+        /// Result of the call.
         result: CallResult<A>,
     },
-    /// Ask an upstream for its load report, and report how that ended.
+    /// Request the load report of an upstream, and report the result as [`Input::ProbeEnded`].
     Probe(Peer),
-    /// Close the idle connections to an upstream; busy ones may be used again.
+    /// Close the idle connections to an upstream. Busy connections may be reused later.
     CloseIdleConnections(ServerId),
-    /// Use none of the present connections to an upstream for anything new: its process was replaced, takes nothing new,
-    /// or is gone. What is in flight on them goes on.
+    /// Do not use the existing connections to an upstream for new requests, because its process was replaced, no
+    /// longer accepts requests, or has been removed. Requests in flight on these connections continue.
     RetireConnections(ServerId),
-    /// Watch discovery.
+    /// Subscribe to updates of discovery.
     WatchDiscovery,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -1,55 +1,56 @@
-//! The upstreams that are listed: their numbers, addresses and processes.
+//! Table of the listed upstreams: their ids, addresses and processes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use woadstall_decisions::api::{Lifecycle, ServerEntry, ServerId, ZoneId};
 
-/// Stands for a zone that the settings do not have.
+/// Placeholder for a zone that the settings do not define.
 const UNKNOWN_ZONE: ZoneId = ZoneId(u8::MAX);
-const NANOS_PER_MILLI: u64 = 1_000_000;
+const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// An upstream as a list of endpoints names it.
+/// An upstream in a list from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
-    /// Its name, which stays the same over its restarts.
+    /// Name of the upstream, which is_kept the same when the upstream restarts.
     pub name: String,
-    /// Where it listens; `None` if that could not be read. It is then listed, but gets no requests.
+    /// Address that the upstream listens on, or `None` if the address in the list is invalid. An upstream without an
+    /// address is listed but receives no requests.
     pub address: Option<SocketAddr>,
-    /// Its zone; `None` if the settings have none of that name.
+    /// Zone of the upstream, or `None` if the settings do not define a zone of that name.
     pub zone: Option<ZoneId>,
-    /// The cell that it shares seen idempotency keys with.
+    /// Cell of the upstream. Upstreams of one cell share the idempotency keys that they have seen.
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Whether the upstream accepts requests.
     pub lifecycle: Lifecycle,
-    /// Its capacity relative to that of others.
+    /// Capacity relative to that of other upstreams.
     pub size: f32,
-    /// When its process started, Unix time in milliseconds; 0 for long ago.
+    /// Start of the process in Unix time, in milliseconds; 0 for a process that started long ago.
     pub boot_ms: u64,
 }
 
-/// A process of an upstream, as attempts and connections go to it.
+/// A process of an upstream, the destination of attempts and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Peer {
-    /// The upstream.
+    /// Id of the upstream.
     pub server: ServerId,
-    /// Where it listens.
+    /// Address that the process listens on.
     pub address: SocketAddr,
-    /// When it started, Unix time in milliseconds: another process at the same address has another.
+    /// Start of the process in Unix time, in milliseconds. It tells apart successive processes at the same address.
     pub boot_ms: u64,
 }
 
-/// An upstream that is listed, for observers.
+/// A listed upstream, as reported to observers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedUpstream<'a> {
-    /// Its number.
+    /// Id of the upstream.
     pub server: ServerId,
-    /// Its name.
+    /// Name of the upstream.
     pub name: &'a str,
-    /// When its process started, Unix time in milliseconds.
+    /// Start of the process in Unix time, in milliseconds; 0 for a process that started long ago.
     pub boot_ms: u64,
-    /// Its zone.
+    /// Zone of the upstream.
     pub zone: ZoneId,
-    /// Its capacity relative to that of others, if it takes requests.
+    /// Capacity relative to that of other upstreams, or `None` if the upstream does not accept requests.
     pub size: Option<f32>,
 }
 
@@ -57,54 +58,56 @@
 struct Upstream {
     address: Option<SocketAddr>,
     boot_ms: u64,
-    in_service: bool,
+    accepts_requests: bool,
     zone: ZoneId,
     size: f32,
 }
 
 impl Upstream {
-    /// Whether connections to `other` serve this one as well.
+    /// Whether connections to `other` can be used for this upstream as well.
     fn shares_connections_with(&self, other: &Self) -> bool {
         self.address == other.address
             && self.boot_ms == other.boot_ms
-            && self.in_service == other.in_service
+            && self.accepts_requests == other.accepts_requests
     }
 }
 
-/// An entry that was taken into the table.
+/// Result of inserting an entry into the table.
 pub(crate) struct Inserted {
-    /// The entry as the decision module takes it.
+    /// Entry in the form that the decision module expects.
     pub entry: ServerEntry,
-    /// Connections to it must not be used any more: they go to a former process, or to one that takes nothing new.
+    /// Whether existing connections to the upstream must not be used any more, because they lead to a former process
+    /// or to a process that accepts no new requests.
     pub retires_connections: bool,
 }
 
-/// All upstreams that are listed. Numbers are never given out twice.
+/// All listed upstreams. An id is never assigned twice.
 #[derive(Default)]
 pub(crate) struct Upstreams {
-    /// In the order of their names, so that the same list has the same effect everywhere.
+    /// Ids by name, ordered so that the same list has the same effect in every process.
     ids: BTreeMap<String, ServerId>,
     last_id: u32,
     by_id: HashMap<ServerId, Upstream>,
-    /// How often an entry was inserted or removed.
+    /// Number of insertions and removals.
     changes: u64,
 }
 
 impl Upstreams {
-    /// Takes an entry into the table, under a new number if its name is new.
+    /// Inserts or updates an entry, and assigns a new id if its name is not listed yet.
     pub fn insert(&mut self, entry: &UpstreamEntry) -> Inserted {
         let server = self.id_of(&entry.name);
         let upstream = Upstream {
             address: entry.address,
             boot_ms: entry.boot_ms,
-            in_service: entry.lifecycle == Lifecycle::Ready,
+            accepts_requests: entry.lifecycle == Lifecycle::Ready,
             zone: entry.zone.unwrap_or(UNKNOWN_ZONE),
             size: entry.size,
         };
         let former = self.by_id.insert(server, upstream);
         self.changes += 1;
-        let shares = former.is_some_and(|former| upstream.shares_connections_with(&former));
-        let started = entry.boot_ms.saturating_mul(NANOS_PER_MILLI);
+        let shares_connections =
+            former.is_some_and(|former| upstream.shares_connections_with(&former));
+        let started = entry.boot_ms.saturating_mul(NANOSECONDS_PER_MILLISECOND);
         Inserted {
             entry: ServerEntry {
                 server,
@@ -114,7 +117,7 @@
                 size: entry.size,
                 started: (entry.boot_ms > 0).then_some(started),
             },
-            retires_connections: !upstream.in_service || !shares,
+            retires_connections: !upstream.accepts_requests || !shares_connections,
         }
     }
 
@@ -128,8 +131,8 @@
         server
     }
 
-    /// Removes the upstreams that are gone, by their lifecycle or by not being on a complete list, and returns which.
-    /// Bounds the memory where upstreams are ever new.
+    /// Removes the upstreams that have the lifecycle `Removed` or are missing from a complete list, and returns their
+    /// ids. Removal bounds the memory use when upstreams with new names appear continually.
     pub fn remove_delisted(
         &mut self,
         entries: &[UpstreamEntry],
@@ -139,19 +142,20 @@
         if !is_complete && !entries.iter().any(is_removed) {
             return Vec::new();
         }
-        let (mut gone, mut listed) = (HashSet::new(), HashSet::new());
+        let (mut removed_names, mut listed) = (HashSet::new(), HashSet::new());
         for entry in entries {
             let names = if is_removed(entry) {
-                &mut gone
+                &mut removed_names
             } else {
                 &mut listed
             };
             names.insert(entry.name.as_str());
         }
-        let stays = |name: &str| !gone.contains(name) && (!is_complete || listed.contains(name));
+        let is_kept =
+            |name: &str| !removed_names.contains(name) && (!is_complete || listed.contains(name));
         let mut removed = Vec::new();
         self.ids.retain(|name, server| {
-            if stays(name) {
+            if is_kept(name) {
                 return true;
             }
             removed.push(*server);
@@ -164,7 +168,8 @@
         removed
     }
 
-    /// The process that an attempt at an upstream goes to.
+    /// Returns the process that an attempt at an upstream is sent to, or `None` if the upstream has no valid address
+    /// or is not listed.
     pub fn peer(&self, server: ServerId) -> Option<Peer> {
         let upstream = self.by_id.get(&server)?;
         Some(Peer {
@@ -174,16 +179,16 @@
         })
     }
 
-    /// Whether a process is still listed and takes requests.
+    /// Whether a process is still listed and accepts requests.
     pub fn accepts_new_attempts(&self, peer: &Peer) -> bool {
         self.by_id.get(&peer.server).is_some_and(|upstream| {
             let is_same =
                 upstream.address == Some(peer.address) && upstream.boot_ms == peer.boot_ms;
-            is_same && upstream.in_service
+            is_same && upstream.accepts_requests
         })
     }
 
-    /// How often the table has changed, and all of it in the order of names.
+    /// Returns the number of changes of the table, and all listed upstreams in the order of their names.
     pub fn listed(&self) -> (u64, impl Iterator<Item = ListedUpstream<'_>>) {
         let listed = self.ids.iter().filter_map(|(name, server)| {
             let upstream = self.by_id.get(server)?;
@@ -192,13 +197,13 @@
                 name,
                 boot_ms: upstream.boot_ms,
                 zone: upstream.zone,
-                size: upstream.in_service.then_some(upstream.size),
+                size: upstream.accepts_requests.then_some(upstream.size),
             })
         });
         (self.changes, listed)
     }
 
-    /// The numbers of all, in the order of names.
+    /// Returns the ids of all listed upstreams by name.
     pub fn ids(&self) -> &BTreeMap<String, ServerId> {
         &self.ids
     }
--- a/crates/engine/tests/properties.rs
+++ b/crates/engine/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Any legal order of inputs gives each call one response, sends nothing that must not be sent, and leaves the tables
-//! empty at the end.
+//! Property tests of the engine: for any valid sequence of inputs, each call gets one response, no attempt is sent
+//! that must not be sent, and the tables are empty at the end.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 
 const MS: u64 = 1_000_000;
 const START: Time = 1_700_000_000_000 * MS;
-/// Safe, unsafe and keyed, in this order.
+/// Number of classes in the settings: safe, unsafe and keyed, in this order.
 const CLASSES: usize = 3;
 
 fn settings(may_cancel: bool, max_attempts: u32) -> Settings {
@@ -87,8 +87,8 @@
     },
     FailDiscovery,
     Tick,
-    /// Ends of attempts that were never begun, that are reported twice, or of calls long over.
-    Noise {
+    /// End of an attempt that was never sent, has already ended, or belongs to a completed call.
+    UnknownAttemptEnd {
         id: u32,
         attempt: u32,
     },
@@ -115,7 +115,7 @@
         }),
         1 => Just(Step::FailDiscovery),
         3 => Just(Step::Tick),
-        1 => (0u32..50, 0u32..4).prop_map(|(id, attempt)| Step::Noise { id, attempt }),
+        1 => (0u32..50, 0u32..4).prop_map(|(id, attempt)| Step::UnknownAttemptEnd { id, attempt }),
         4 => (0u64..300).prop_map(|ms| Step::Wait { ms }),
     ]
 }
@@ -132,23 +132,24 @@
     Outcome::Moot,
 ];
 
-struct OpenCall {
+struct ExpectedCall {
     class: usize,
     deadline: Time,
     max_attempts: u32,
     attempts: u32,
-    may_have_run: Option<Time>,
-    over: bool,
+    /// Time of the first end of an attempt that may have run.
+    may_have_run_since: Option<Time>,
+    is_done: bool,
 }
 
 struct Harness {
     engine: Engine<u32, u32>,
     now: Time,
     max_attempts: u32,
-    calls: BTreeMap<u32, OpenCall>,
+    calls: BTreeMap<u32, ExpectedCall>,
     in_flight: BTreeSet<(u32, u32)>,
     listed: BTreeMap<u8, UpstreamEntry>,
-    /// Everything that was done, for comparing two runs.
+    /// All executed commands, to compare two runs.
     log: Vec<String>,
 }
 
@@ -172,14 +173,17 @@
             match command {
                 Command::SendAttempt(send) => self.on_send(&send),
                 Command::Respond { request, result } => {
-                    let call = self.calls.get_mut(&request).expect("a call that was taken");
-                    assert!(!call.over, "request {request} has a second response");
-                    call.over = true;
-                    // Rule 2: a rejection promises that a retry is harmless.
+                    let call = self
+                        .calls
+                        .get_mut(&request)
+                        .expect("a response or attempt must belong to an accepted call");
+                    assert!(!call.is_done, "request {request} got a second response");
+                    call.is_done = true;
+                    // A rejection guarantees that a retry is harmless.
                     if matches!(result, CallResult::Rejected(_)) && call.class != 0 {
                         assert_eq!(
-                            call.may_have_run, None,
-                            "request {request} is rejected, and may have run"
+                            call.may_have_run_since, None,
+                            "request {request} was rejected although it may have run"
                         );
                     }
                 }
@@ -195,8 +199,8 @@
         let call = self
             .calls
             .get_mut(&send.id.0)
-            .expect("a call that was taken");
-        assert!(!call.over, "sent after its response");
+            .expect("a response or attempt must belong to an accepted call");
+        assert!(!call.is_done, "an attempt was sent after the response");
         assert_eq!(
             send.attempt, call.attempts,
             "attempts are numbered in order"
@@ -204,23 +208,27 @@
         call.attempts = send.attempt + 1;
         assert!(
             call.attempts <= call.max_attempts.min(self.max_attempts),
-            "more attempts than allowed"
+            "more attempts were sent than allowed"
         );
         assert!(self.now < send.until && send.until <= call.deadline);
         assert_eq!(send.deadline, call.deadline);
         assert!(self.now < send.begin_by);
-        // Rule 2: unsafe work that may have run is not sent again, keyed work within its window only.
-        match (call.class, call.may_have_run) {
-            (1, Some(_)) => panic!("unsafe work is sent again"),
-            (2, Some(since)) => assert!(self.now < since + 300 * MS, "the window is over"),
+        // An unsafe request that may have run is not sent again, and a keyed one only within its
+        // deduplication window.
+        match (call.class, call.may_have_run_since) {
+            (1, Some(_)) => panic!("an unsafe request that may have run was sent again"),
+            (2, Some(since)) => assert!(
+                self.now < since + 300 * MS,
+                "a keyed request was sent again after its deduplication window"
+            ),
             _ => {}
         }
-        // Rule 3, and no attempt at a former process.
+        // Attempts go only to listed upstreams that are ready, and never to a former process.
         let listed = self
             .listed
             .values()
             .find(|entry| entry.address == Some(send.to.address));
-        let listed = listed.expect("a listed upstream");
+        let listed = listed.expect("an attempt must go to a listed upstream");
         assert!(listed.lifecycle == Lifecycle::Ready && listed.boot_ms == send.to.boot_ms);
         assert!(self.engine.accepts_new_attempts(&send.to));
         assert!(self.in_flight.insert((send.id.0, send.attempt)));
@@ -230,10 +238,10 @@
         self.in_flight.remove(&(id, attempt));
         let call = self.calls.get_mut(&id).unwrap();
         if !outcome.never_ran() {
-            call.may_have_run = call.may_have_run.or(Some(self.now));
+            call.may_have_run_since = call.may_have_run_since.or(Some(self.now));
         }
         let is_final = matches!(outcome, Outcome::Ok | Outcome::Declined);
-        let ended = AttemptEnd {
+        let end = AttemptEnd {
             outcome,
             response: is_final.then_some(id),
             load: None,
@@ -241,7 +249,7 @@
         self.handle(Input::AttemptEnded {
             id: RequestId(id),
             attempt,
-            end: ended,
+            end,
         });
     }
 
@@ -252,7 +260,7 @@
             .copied()
     }
 
-    #[expect(clippy::too_many_lines, reason = "one arm a kind of step")]
+    #[expect(clippy::too_many_lines, reason = "one match arm per kind of step")]
     fn step(&mut self, step: Step) {
         match step {
             Step::Call {
@@ -262,15 +270,15 @@
             } => {
                 let id = self.calls.len() as u32;
                 let deadline = self.now + time_left;
-                let open_call = OpenCall {
+                let expected_call = ExpectedCall {
                     class,
                     deadline,
                     max_attempts,
                     attempts: 0,
-                    may_have_run: None,
-                    over: false,
+                    may_have_run_since: None,
+                    is_done: false,
                 };
-                self.calls.insert(id, open_call);
+                self.calls.insert(id, expected_call);
                 let id = RequestId(id);
                 let call = Call {
                     id,
@@ -287,31 +295,31 @@
                 let open: Vec<u32> = self
                     .calls
                     .iter()
-                    .filter(|(_, t)| !t.over)
+                    .filter(|(_, call)| !call.is_done)
                     .map(|(id, _)| *id)
                     .collect();
                 if let Some(&id) = open.get(pick % open.len().max(1)) {
-                    self.calls.get_mut(&id).unwrap().over = true;
+                    self.calls.get_mut(&id).unwrap().is_done = true;
                     self.handle(Input::CallerDisconnected(RequestId(id)));
                 }
             }
             Step::StartResponse { pick } => {
                 if let Some((id, attempt)) = self.pick(pick) {
-                    let awaits_response = !self.calls[&id].over;
+                    let awaits_response = !self.calls[&id].is_done;
                     self.handle(Input::ResponseStarted {
                         id: RequestId(id),
                         attempt,
                         response: id,
                     });
                     assert!(
-                        !awaits_response || self.calls[&id].over,
-                        "a response that has started is the response"
+                        !awaits_response || self.calls[&id].is_done,
+                        "a started response must complete the call"
                     );
                 }
             }
             Step::EndAttempt { pick, outcome } => {
-                if let Some(out) = self.pick(pick) {
-                    self.end(out, OUTCOMES[outcome]);
+                if let Some(picked) = self.pick(pick) {
+                    self.end(picked, OUTCOMES[outcome]);
                 }
             }
             Step::List {
@@ -343,9 +351,9 @@
             }
             Step::FailDiscovery => self.handle(Input::DiscoveryFailed),
             Step::Tick => self.handle(Input::Tick),
-            Step::Noise { id, attempt } => {
+            Step::UnknownAttemptEnd { id, attempt } => {
                 if !self.in_flight.contains(&(id, attempt)) {
-                    let ended = AttemptEnd {
+                    let end = AttemptEnd {
                         outcome: Outcome::Ok,
                         response: Some(id),
                         load: None,
@@ -354,24 +362,29 @@
                     self.handle(Input::AttemptEnded {
                         id: RequestId(id),
                         attempt,
-                        end: ended,
+                        end,
                     });
-                    assert_eq!(self.log.len(), count, "what was not in flight has no end");
+                    assert_eq!(
+                        self.log.len(),
+                        count,
+                        "the end of an attempt that is not in flight must have no effect"
+                    );
                 }
             }
             Step::Wait { ms } => {
-                // A front's promise: it comes back by then.
+                // A front must call the engine again by the time that `wake_at` returns.
                 let target = self.now + ms * MS;
                 while let Some(at) = self.engine.wake_at().filter(|at| *at <= target) {
                     self.now = self.now.max(at);
                     self.handle(Input::Tick);
                 }
                 self.now = target;
-                let overdue =
-                    |call: &OpenCall| !call.over && call.deadline + SAFETY_NET_DELAY <= self.now;
+                let overdue = |call: &ExpectedCall| {
+                    !call.is_done && call.deadline + OVERDUE_GRACE_PERIOD_NS <= self.now
+                };
                 assert!(
                     !self.calls.values().any(overdue),
-                    "a call is open past its deadline"
+                    "a call is open past its deadline and grace period"
                 );
             }
         }
@@ -382,7 +395,7 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn each_call_has_one_response_and_leaves_nothing_behind(
+    fn each_call_has_one_response_and_the_tables_are_empty_at_the_end(
         steps in proptest::collection::vec(step(), 1..200),
         may_cancel: bool,
         max_attempts in 1u32..6,
@@ -394,28 +407,28 @@
                 harness.step(Step::List { upstream, state: 0, restarted: false, is_complete: false });
             }
             steps.iter().cloned().for_each(|step| harness.step(step));
-            // What is in flight ends, and time passes.
-            while let Some(out) = harness.pick(0) {
-                harness.end(out, Outcome::Reset);
+            // All attempts in flight end, and time advances past every deadline.
+            while let Some(picked) = harness.pick(0) {
+                harness.end(picked, Outcome::Reset);
             }
             for _ in 0..12 {
                 harness.step(Step::Wait { ms: 300 });
-                while let Some(out) = harness.pick(0) {
-                    harness.end(out, Outcome::Timeout);
+                while let Some(picked) = harness.pick(0) {
+                    harness.end(picked, Outcome::Timeout);
                 }
             }
-            assert!(harness.calls.values().all(|call| call.over), "each call has its response");
-            assert_eq!(harness.engine.open_call_count(), 0, "nothing is left in the tables");
+            assert!(harness.calls.values().all(|call| call.is_done), "a call has no response");
+            assert_eq!(harness.engine.open_call_count(), 0, "calls are left in the tables");
             harness.log
         };
-        // The same inputs give the same commands, to the byte.
+        // Equal inputs must yield identical commands.
         assert_eq!(run(), run());
     }
 }
 
-/// Guards against a module that forgets a request: its caller is responses all the same, once.
+/// Guards against a decision module that loses a call: the caller must still get exactly one response.
 #[test]
-fn the_safety_net_responds_to_a_call_that_is_left_open() {
+fn an_overdue_call_fails() {
     let mut harness = Harness::new(false, 1, 1);
     harness.step(Step::List {
         upstream: 0,
@@ -429,7 +442,7 @@
         max_attempts: u32::MAX,
     });
     assert_eq!(harness.in_flight.len(), 1);
-    // The front never reports an end: the attempt is stuck.
+    // The front never reports the end of the attempt.
     harness.step(Step::Wait { ms: 200 });
     assert!(
         harness.log.iter().any(|line| line.contains("Failed")),
@@ -441,7 +454,7 @@
 }
 
 #[test]
-fn the_number_of_an_open_call_is_rejected() {
+fn a_call_with_the_id_of_an_open_call_is_rejected() {
     let mut engine: Engine<&str, ()> = Engine::new(settings(true, 3), 1, START).unwrap();
     engine.handle(
         START,
