--- a/crates/settings/src/active.rs
+++ b/crates/settings/src/active.rs
@@ -1,4 +1,4 @@
-//! Settings that change while requests are in flight.
+//! Settings that can change while requests are in flight.
 
 use crate::{ChangeError, Names};
 use woadstall_decisions::api::{Class, ClassSuccession, DedupScope, Effect, Settings};
@@ -6,19 +6,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Most classes over all changes since the start. Bounds the memory, and the time that load shedding takes.
+/// Maximum number of distinct classes in all settings since the start of the process. The limit bounds the memory use
+/// and the run time of load shedding.
 pub const MAX_CLASSES: usize = 1024;
 
-/// The active settings, and the classes that were before.
+/// The active settings, together with all former classes.
 ///
-/// The decision module knows a class by its position, and requests in flight refer to it. So positions keep their
-/// meaning: a class that changes gets a new one, and the former one stays.
+/// The decision module identifies a class by its position, and requests in flight refer to that position. Positions
+/// therefore keep their meaning: a changed class gets a new position, and the former class stays at its position.
 #[derive(Clone, Debug)]
 pub struct ActiveSettings {
-    /// The active settings, with all classes that ever were. Their effects are as strict as any later ones.
+    /// The active settings with all current and former classes. The effect of a former class is at least as strict as
+    /// the effect of the active class of the same name.
     settings: Settings,
     names: Names,
-    /// The effects of all classes as they were configured.
+    /// Effects of all classes as they were configured.
     configured_effects: Vec<Effect>,
     /// Positions of the active classes.
     active: Vec<usize>,
@@ -26,17 +28,17 @@
     previous: Vec<usize>,
 }
 
-/// What a change of the settings means for the decision module.
+/// Change of the settings in the form that the decision module expects.
 #[derive(Clone, Debug)]
 pub struct SettingsChange {
-    /// The new settings, with all classes that ever were.
+    /// The new settings with all current and former classes.
     pub settings: Settings,
-    /// Classes that are new, and had another position under the same name before.
+    /// Successions of the new classes whose names belonged to another position before.
     pub successions: Vec<ClassSuccession>,
 }
 
 impl ActiveSettings {
-    /// The first settings.
+    /// Creates the state for the initial settings of the process.
     pub fn new(settings: Settings, names: Names) -> Self {
         Self {
             active: (0..settings.classes.len()).collect(),
@@ -47,12 +49,13 @@
         }
     }
 
-    /// The active settings after a change to `new`, and what the decision module needs to know of it.
+    /// Returns the active settings after a change to `new`, and the change for the decision module. Does not modify
+    /// `self`.
     ///
     /// # Errors
     ///
-    /// Fails if the new settings make no sense, change what is fixed from the start on, name a class twice, or if there
-    /// have been too many classes.
+    /// Returns an error if the new settings are invalid, change a key that is fixed until the process restarts,
+    /// contain two classes of the same name, or exceed [`MAX_CLASSES`].
     pub fn apply(
         &self,
         new: &Settings,
@@ -62,7 +65,7 @@
         self.check_fixed_keys(new, new_names)?;
         let mut names = self.names.clone();
         let mut settings = Settings {
-            classes: self.classes_as_configured(),
+            classes: self.configured_classes(),
             ..new.clone()
         };
         let (active, successions) =
@@ -88,7 +91,7 @@
         Ok((changed, change))
     }
 
-    /// Checks that nothing changes that is fixed from the start of the process on.
+    /// Checks that the new settings do not change a key that is fixed until the process restarts.
     fn check_fixed_keys(&self, new: &Settings, new_names: &Names) -> Result<(), ChangeError> {
         let (settings, names) = (&self.settings, &self.names);
         let fixed = [
@@ -104,14 +107,14 @@
                 new_names.report_fields != names.report_fields,
             ),
         ];
-        match fixed.into_iter().find(|(_, changed)| *changed) {
+        match fixed.into_iter().find(|(_, has_changed)| *has_changed) {
             Some((key, _)) => Err(ChangeError::Fixed { key }),
             None => Ok(()),
         }
     }
 
-    /// Finds or makes the position of each new class in `classes` and `class_names`. Returns these positions, and the
-    /// successions of classes that have moved.
+    /// Finds the position of each new class in `classes` and `class_names`, and appends classes that are not there
+    /// yet. Returns these positions and the successions of classes with a new position.
     fn position_classes(
         &self,
         new: &Settings,
@@ -145,8 +148,8 @@
         Ok((active, successions))
     }
 
-    /// All classes that ever were, as they were configured.
-    fn classes_as_configured(&self) -> Vec<Class> {
+    /// Returns all current and former classes with their configured effects.
+    fn configured_classes(&self) -> Vec<Class> {
         let classes = self.settings.classes.iter().zip(&self.configured_effects);
         classes
             .map(|(class, effect)| Class {
@@ -156,8 +159,8 @@
             .collect()
     }
 
-    /// Makes the effect of each former class as strict as that of the active class of its name: upstreams may go by the
-    /// new settings already while requests are in flight under the former ones.
+    /// Makes the effect of each former class at least as strict as the effect of the active class of the same name.
+    /// Upstreams may already use the new settings while requests are in flight under the former ones.
     fn tighten_effects(&mut self) {
         for position in 0..self.settings.classes.len() {
             if let Some(active) = self.class(&self.names.classes[position]) {
@@ -168,41 +171,41 @@
         }
     }
 
-    /// The active settings, with all classes that ever were.
+    /// Returns the active settings with all current and former classes.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The names of all that ever were.
+    /// Returns the names of all current and former classes and tenants.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// The position of the tenant of a name, see [`Names::tenant`].
+    /// Returns the position of a tenant, as [`Names::tenant`] does.
     pub fn tenant(&self, name: Option<&str>) -> Option<usize> {
         self.names.tenant(name)
     }
 
-    /// The effect of a class as it was configured, and as its callers know it.
+    /// Returns the configured effect of a class, which is the effect that its callers rely on.
     ///
     /// # Panics
     ///
-    /// Panics if there never was a class at this position.
+    /// Panics if no class has ever had this position.
     pub fn effect(&self, class: usize) -> Effect {
         self.configured_effects[class]
     }
 
-    /// The position of the active class of a name.
+    /// Returns the position of the active class of this name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.position_among(&self.active, name)
     }
 
-    /// The position of the class of a name that was active before the latest change.
+    /// Returns the position of the class of this name that was active before the latest change.
     pub fn previous_class(&self, name: &str) -> Option<usize> {
         self.position_among(&self.previous, name)
     }
 
-    /// The names of the active classes.
+    /// Returns the names of the active classes, in the order of the settings.
     pub fn active_class_names(&self) -> impl Iterator<Item = &str> {
         self.active
             .iter()
@@ -217,7 +220,8 @@
     }
 }
 
-/// Takes over the new tenants: known ones at their positions, others behind them. A tenant that is named no more stays.
+/// Updates known tenants at their positions and appends new ones. A tenant that is missing from the new settings is
+/// kept.
 fn merge_tenants(new: &Settings, new_names: &Names, settings: &mut Settings, names: &mut Names) {
     for (tenant, name) in new.tenants.iter().zip(&new_names.tenants) {
         match names.tenants.iter().position(|known| known == name) {
@@ -234,19 +238,19 @@
     settings.classes.iter().map(|class| class.effect).collect()
 }
 
-/// The effect that allows only what both effects allow.
+/// Returns the effect that allows only the repetitions that both effects allow.
 fn stricter(one: Effect, other: Effect) -> Effect {
     match (one, other) {
         (Effect::Unsafe, _) | (_, Effect::Unsafe) => Effect::Unsafe,
         (Effect::Safe, effect) | (effect, Effect::Safe) => effect,
-        (Effect::Keyed(group, window), Effect::Keyed(other_group, other_window)) => {
+        (Effect::Keyed(scope, window), Effect::Keyed(other_scope, other_window)) => {
             let window = window.min(other_window);
-            match (group, other_group) {
+            match (scope, other_scope) {
                 (DedupScope::All, narrower) | (narrower, DedupScope::All) => {
                     Effect::Keyed(narrower, window)
                 }
-                _ if group == other_group => Effect::Keyed(group, window),
-                // Nothing is known of how zones and cells overlap.
+                _ if scope == other_scope => Effect::Keyed(scope, window),
+                // It is unknown how zones and cells overlap, so no repetition is safe under both scopes.
                 _ => Effect::Unsafe,
             }
         }
--- a/crates/settings/src/active/tests.rs
+++ b/crates/settings/src/active/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of changes of the settings.
+//! Tests of changes to the active settings.
 
 use super::*;
 
 fn parsed(classes: &[(&str, &str)]) -> (Settings, Names) {
     let class = |(name, effect): &(&str, &str)| {
-        let figures = serde_json::json!({"AimNs": 1, "DeadlineNs": 2, "Value": 1.0});
+        let values = serde_json::json!({"AimNs": 1, "DeadlineNs": 2, "Value": 1.0});
         let mut class = serde_json::json!({"Name": name, "Effect": effect});
         class
             .as_object_mut()
             .unwrap()
-            .extend(figures.as_object().unwrap().clone());
+            .extend(values.as_object().unwrap().clone());
         class
     };
     let text = serde_json::json!({
@@ -50,36 +50,40 @@
     assert_eq!(
         change.successions,
         [succession],
-        "what is known of `look` goes on"
+        "the changed class `look` must succeed the former one"
     );
-    let set = [Effect::Safe, Effect::Unsafe, Effect::Unsafe, Effect::Unsafe];
-    for (at, effect) in set.iter().enumerate() {
+    let configured = [Effect::Safe, Effect::Unsafe, Effect::Unsafe, Effect::Unsafe];
+    for (position, effect) in configured.iter().enumerate() {
         assert_eq!(
-            second.effect(at),
+            second.effect(position),
             *effect,
-            "callers know each class as it was set"
+            "callers must see each class as it was configured"
         );
     }
     assert_eq!(
         change.settings.classes[0].effect,
         Effect::Unsafe,
-        "requests under way go by what is stricter"
+        "requests in flight must use the stricter effect"
     );
     let (settings, names) = parsed(&[("look", "read_like")]);
     let (third, change) = second.apply(&settings, &names).unwrap();
-    assert_eq!(third.class("look"), Some(0), "it comes back as it was");
+    assert_eq!(
+        third.class("look"),
+        Some(0),
+        "a class that returns unchanged must get its former position"
+    );
     assert!(change.successions.is_empty() && change.settings.classes.len() == 4);
     assert_eq!(change.settings.classes[0].effect, Effect::Safe);
     assert_eq!(
         change.settings.classes[3].effect,
         Effect::Unsafe,
-        "what came as unsafe stays so"
+        "a class that was configured as unsafe must stay unsafe"
     );
 }
 
 #[test]
 fn the_stricter_effect_allows_only_what_both_effects_allow() {
-    let keyed = |group, window| Effect::Keyed(group, window);
+    let keyed = |scope, window| Effect::Keyed(scope, window);
     let cases = [
         (Effect::Safe, Effect::Safe, Effect::Safe),
         (
@@ -113,11 +117,11 @@
 fn a_rejected_change_names_its_key() {
     let (settings, names) = parsed(&[("look", "read_like")]);
     let first = ActiveSettings::new(settings.clone(), names.clone());
-    let wrong = |settings: &Settings, names: &Names, text: &str| {
+    let assert_rejected = |settings: &Settings, names: &Names, text: &str| {
         let error = first.apply(settings, names).expect_err(text);
         assert!(error.to_string().contains(text), "{error}");
     };
-    wrong(
+    assert_rejected(
         &Settings {
             tier: 1,
             ..settings.clone()
@@ -125,7 +129,7 @@
         &names,
         "`Layer`",
     );
-    wrong(
+    assert_rejected(
         &settings,
         &Names {
             zones: vec!["b".into()],
@@ -133,7 +137,7 @@
         },
         "`Zones`",
     );
-    wrong(
+    assert_rejected(
         &Settings {
             max_attempts: 0,
             ..settings.clone()
@@ -141,11 +145,11 @@
         &names,
         "`max_attempts`",
     );
-    let (twice, twice_names) = parsed(&[("look", "read_like"), ("look", "read_like")]);
-    wrong(&twice, &twice_names, "`look` is there twice");
+    let (duplicate, duplicate_names) = parsed(&[("look", "read_like"), ("look", "read_like")]);
+    assert_rejected(&duplicate, &duplicate_names, "`look` is there twice");
 }
 
-/// Guards the memory where somebody changes a class again and again.
+/// Guards against unbounded memory use when a class is changed repeatedly.
 #[test]
 fn the_number_of_classes_over_all_changes_is_bounded() {
     let (settings, names) = parsed(&[("look", "read_like")]);
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,50 +1,50 @@
-//! What may be wrong with settings.
+//! Errors in settings and in changes of settings.
 
 use crate::MAX_CLASSES;
 use serde::Deserialize;
 use woadstall_decisions::api::SettingsError;
 
-/// Why settings could not be read; the text names the key that is at fault.
+/// Error while reading settings. The text names the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    /// The text is not JSON, or a key is missing or of another type.
+    /// The text is not JSON, or a key is missing or has a value of the wrong type.
     #[error("settings: {0}")]
     Json(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the settings.
+    /// The text contains more data after the settings.
     #[error("settings: {0}")]
     TrailingData(#[source] serde_json::Error),
-    /// A key is missing that another one asks for.
+    /// A key is missing that the value of another key requires.
     #[error("settings: missing field `{key}`")]
     MissingKey {
-        /// The key.
+        /// Name of the missing key.
         key: &'static str,
     },
 }
 
-/// Why new settings could not take the place of the active ones; the text names what is at fault.
+/// Error for new settings that cannot replace the active ones. The text names the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeError {
-    /// The new settings make no sense.
+    /// A value in the new settings is invalid.
     #[error("settings: {0}")]
     Invalid(#[source] SettingsError),
-    /// A key has changed that is fixed from the start of the process on.
+    /// The new settings change a key that is fixed until the process restarts.
     #[error("settings: `{key}` cannot change without a new start")]
     Fixed {
-        /// The key.
+        /// Name of the changed key.
         key: &'static str,
     },
-    /// Two classes have the same name.
+    /// Two classes of the new settings have the same name.
     #[error("settings: class `{name}` is there twice")]
     DuplicateClass {
-        /// The name.
+        /// Name of the classes.
         name: String,
     },
-    /// The classes of all settings since the start are more than [`MAX_CLASSES`].
+    /// All settings since the start of the process contain more than [`MAX_CLASSES`] distinct classes.
     #[error("settings: over {MAX_CLASSES} classes since the start, one is needed anew")]
     TooManyClasses,
 }
 
-/// Deserializes a whole JSON text.
+/// Deserializes a JSON text and rejects trailing data.
 pub(crate) fn from_json<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, ParseError> {
     let mut deserializer = serde_json::Deserializer::from_slice(text);
     let value = serde_path_to_error::deserialize(&mut deserializer).map_err(ParseError::Json)?;
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,15 +1,15 @@
-//! The JSON form of the settings. Names of keys are the platform's.
+//! JSON form of the settings. The platform defines the names of the keys.
 
 use crate::ParseError;
 use crate::error::from_json;
 use serde::Deserialize;
 use woadstall_decisions::api::{Class, DedupScope, Duration, Effect, Settings, Tenant, ZoneId};
 
-/// The field of load reports that counts requests in flight.
+/// Field of load reports with the number of requests in flight.
 const IN_FLIGHT_FIELD: &str = "inflight";
-/// How load reports come where they come with probes alone.
+/// Value of `Telemetry.Via` for load reports that upstreams send only in response to probes.
 const VIA_PROBE: &str = "probe";
-/// Part of its value that a request beyond its tenant's quota keeps, where the settings do not say.
+/// Default fraction of its value that a request beyond the quota of its tenant keeps.
 const DEFAULT_OVER_QUOTA_VALUE_RATIO: f64 = 1.0;
 
 #[derive(Deserialize)]
@@ -21,7 +21,7 @@
     #[serde(rename = "Layer")]
     tier: u32,
     limits: RawLimits,
-    /// Part of its value that a request beyond its tenant's quota keeps.
+    /// Fraction of its value that a request beyond the quota of its tenant keeps.
     #[serde(rename = "OverShareWorth")]
     over_quota_value_ratio: Option<f64>,
     prices: Option<RawPrices>,
@@ -41,13 +41,13 @@
 struct RawClass {
     #[serde(rename = "AimNs")]
     latency_target_ns: Duration,
-    /// By how much of the request's own work the latency target grows.
+    /// Fraction of a request's own work by which its latency target grows.
     #[serde(rename = "AimStretch")]
     latency_target_stretch: Option<f64>,
     deadline_ns: Duration,
     effect: RawEffect,
     group: Option<RawGroup>,
-    /// Part of the value that a response after the latency target still has.
+    /// Fraction of its value that a response after the latency target keeps.
     #[serde(rename = "LateWorth")]
     value_ratio_after_target: Option<f64>,
     window_ns: Option<Duration>,
@@ -109,9 +109,9 @@
 struct RawSafety {
     #[serde(rename = "AskWithinNs")]
     poll_within_ns: Option<Duration>,
-    /// Part of its capacity that an upstream starts with.
+    /// Fraction of its capacity that an upstream has at the start of its warm-up.
     start_capacity: f64,
-    /// Load as a multiple of its present capacity at which an upstream that is warming up fails.
+    /// Load, as a multiple of its current capacity, at which an upstream that is warming up fails.
     #[serde(rename = "TipMultiple")]
     overload_multiple: f64,
     #[serde(rename = "RampTimeNs")]
@@ -145,8 +145,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the text is not JSON, or if a key is missing or of another type. Whether the values make sense is for
-/// [`Settings::check`] to say.
+/// Returns an error if the text is not JSON, or if a key is missing or has a value of the wrong type.
+/// [`Settings::check`] validates the values.
 pub fn parse_settings(text: &[u8]) -> Result<Settings, ParseError> {
     let raw: RawSettings = from_json(text)?;
     raw.into_settings()
@@ -213,7 +213,7 @@
         })
     }
 
-    /// What repeating a request of the class does.
+    /// Returns the effect of the class, which determines whether its requests may be repeated.
     fn effect(&self) -> Result<Effect, ParseError> {
         match self.effect {
             RawEffect::ReadLike => Ok(Effect::Safe),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! The settings of a deployment in their JSON form, as the platform writes them for the daemon and a service's owner
-//! for a plug-in, and how they change while requests are in flight.
+//! Settings of the load balancer: their JSON form, and changes while requests are in flight.
 //!
-//! Times are in nanoseconds, rates in requests a second. Nothing is decided here.
+//! The platform writes the settings file of the daemon, and the owner of a service writes the settings file of a
+//! plug-in. Times are in nanoseconds and rates in requests per second. This crate only reads and combines settings;
+//! the decision module acts on them.
 
 mod active;
 mod error;
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,4 +1,4 @@
-//! What the settings name and the decision module knows by position alone.
+//! Names in the settings. The decision module refers to the named items by position only.
 
 use crate::ParseError;
 use crate::error::from_json;
@@ -6,35 +6,35 @@
 use std::time::Duration;
 use woadstall_decisions::api::ZoneId;
 
-/// The names in settings, by position, and what the sockets need to know.
+/// Names in the settings, by position, and the connect time-out of the transport.
 #[derive(Clone, Debug)]
 pub struct Names {
-    /// The classes of requests.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// The tenants; may be empty.
+    /// Names of the tenants; may be empty.
     pub tenants: Vec<String>,
-    /// The zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// The fields of load reports, in the order of their figures.
+    /// Names of the fields of load reports, in the order of their values.
     pub report_fields: Vec<String>,
-    /// How long a connection may take to be established.
+    /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
 }
 
 impl Names {
-    /// The zone of a name; `None` if there is none.
+    /// Returns the id of a zone, or `None` if there is no zone of this name.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         let position = self.zones.iter().position(|zone| zone == name)?;
         u8::try_from(position).ok().map(ZoneId)
     }
 
-    /// The position of the class of a name; `None` if there is none.
+    /// Returns the position of a class, or `None` if there is no class of this name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == name)
     }
 
-    /// The position of the tenant of a name; `None` if there is none. Where the settings name no tenants, any name is
-    /// that of the only one.
+    /// Returns the position of a tenant, or `None` if there is no tenant of this name. If the settings define no
+    /// tenants, every name and `None` belong to the only tenant, at position 0.
     pub fn tenant(&self, name: Option<&str>) -> Option<usize> {
         if self.tenants.is_empty() {
             return Some(0);
@@ -75,11 +75,11 @@
     fields: Vec<String>,
 }
 
-/// Reads the names in the JSON text of settings.
+/// Reads the names from the JSON text of the settings.
 ///
 /// # Errors
 ///
-/// Fails if the text is not JSON, or if a key is missing or of another type.
+/// Returns an error if the text is not JSON, or if a key is missing or has a value of the wrong type.
 pub fn parse_names(text: &[u8]) -> Result<Names, ParseError> {
     let raw: RawNames = from_json(text)?;
     let names = |named: Vec<RawNamed>| named.into_iter().map(|named| named.name).collect();
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,34 +1,34 @@
-//! The settings' JSON form, pinned: every key, every default and the text of every error.
+//! Golden tests of the JSON form of the settings: every key, every default and the text of every error.
 
 use serde_json::{Value, json};
 use std::time::Duration;
 use woadstall_decisions::api::{Class, DedupScope, Effect, Settings, Tenant, ZoneId};
 use woadstall_settings::{ActiveSettings, MAX_CLASSES, Names, parse_names, parse_settings};
 
-/// Compares with the fixture of this name.
+/// Asserts that a text equals the golden file of this name.
 fn assert_golden(name: &str, text: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
     assert_eq!(text, expected, "{name}");
 }
 
-/// Every key that is read, each with a value of its own.
+/// Settings with every supported key, each with a distinct value.
 const EVERY_KEY: &str = include_str!("golden/every-key.json");
-/// The keys that must be there.
-const LEAST: &str = include_str!("golden/least.json");
+/// Settings with the required keys only.
+const REQUIRED_KEYS: &str = include_str!("golden/least.json");
 
 #[test]
 fn every_key_of_the_settings_is_read() {
-    let class = |effect, aim| Class {
-        latency_target: aim,
+    let class = |effect, latency_target| Class {
+        latency_target,
         latency_target_stretch: 1.5,
         deadline: 12,
         effect,
         late_value: 0.25,
         value: 2.5,
     };
-    let plain = |effect, aim| Class {
-        latency_target: aim,
+    let plain_class = |effect, latency_target| Class {
+        latency_target,
         latency_target_stretch: 0.0,
         deadline: 2,
         effect,
@@ -38,10 +38,10 @@
     let expected = Settings {
         classes: vec![
             class(Effect::Safe, 11),
-            plain(Effect::Unsafe, 21),
-            plain(Effect::Keyed(DedupScope::All, 31), 31),
-            plain(Effect::Keyed(DedupScope::Zone, 32), 32),
-            plain(Effect::Keyed(DedupScope::Cell, 33), 33),
+            plain_class(Effect::Unsafe, 21),
+            plain_class(Effect::Keyed(DedupScope::All, 31), 31),
+            plain_class(Effect::Keyed(DedupScope::Zone, 32), 32),
+            plain_class(Effect::Keyed(DedupScope::Cell, 33), 33),
         ],
         tenants: vec![Tenant { quota_rps: 13.5 }, Tenant { quota_rps: 14.5 }],
         over_quota_value: 0.75,
@@ -114,13 +114,13 @@
         probe_cost: 0.0,
         probes_for_load: false,
     };
-    assert_eq!(parse_settings(LEAST.as_bytes()).unwrap(), expected);
-    let names = parse_names(LEAST.as_bytes()).unwrap();
+    assert_eq!(parse_settings(REQUIRED_KEYS.as_bytes()).unwrap(), expected);
+    let names = parse_names(REQUIRED_KEYS.as_bytes()).unwrap();
     assert!(names.tenants.is_empty() && names.report_fields.is_empty());
 }
 
-/// The value at a path of keys and positions.
-fn at<'a>(value: &'a mut Value, path: &[&str]) -> &'a mut Value {
+/// Returns the value at a path of keys and array positions.
+fn value_at<'a>(value: &'a mut Value, path: &[&str]) -> &'a mut Value {
     path.iter()
         .fold(value, |value, key| match key.parse::<usize>() {
             Ok(position) => &mut value[position],
@@ -129,11 +129,11 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one table of cases")]
+#[expect(clippy::too_many_lines, reason = "a single table of cases")]
 fn every_error() {
     let mut errors = String::new();
-    let mut add = |text: &str| {
-        for (what, error) in [
+    let mut add_errors = |text: &str| {
+        for (parser, error) in [
             (
                 "settings",
                 parse_settings(text.as_bytes())
@@ -147,15 +147,15 @@
                     .map(|error| error.to_string()),
             ),
         ] {
-            errors += &format!("{what}: {}\n", error.as_deref().unwrap_or("sound"));
+            errors += &format!("{parser}: {}\n", error.as_deref().unwrap_or("sound"));
         }
     };
     ["", "[]", "{}", "{\"Classes\":[]} x"]
         .into_iter()
-        .for_each(&mut add);
-    add(&format!("{LEAST} x"));
-    let least: Value = serde_json::from_str(LEAST).unwrap();
-    let without = [
+        .for_each(&mut add_errors);
+    add_errors(&format!("{REQUIRED_KEYS} x"));
+    let minimal: Value = serde_json::from_str(REQUIRED_KEYS).unwrap();
+    let removed_keys = [
         (&[][..], "Classes"),
         (&[], "Discovery"),
         (&[], "Layer"),
@@ -177,16 +177,16 @@
         (&["Safety"], "TipMultiple"),
         (&["Safety"], "RampTimeNs"),
     ];
-    for (path, key) in without {
-        let mut value = least.clone();
-        at(&mut value, path)
+    for (path, key) in removed_keys {
+        let mut value = minimal.clone();
+        value_at(&mut value, path)
             .as_object_mut()
             .unwrap()
             .remove(key)
             .expect(key);
-        add(&value.to_string());
+        add_errors(&value.to_string());
     }
-    let with = [
+    let replaced_values = [
         (&["Discovery"][..], json!("ask")),
         (&["Discovery"], json!("other")),
         (&["ValueBy"], json!("other")),
@@ -206,15 +206,15 @@
         (&["Prices"], json!({"CrossZone": "1"})),
         (&["FamilyInfo"], json!({"PassesDeadline": 1})),
     ];
-    for (path, other) in with {
-        let mut value = least.clone();
-        *at(&mut value, path) = other;
-        add(&value.to_string());
+    for (path, replacement) in replaced_values {
+        let mut value = minimal.clone();
+        *value_at(&mut value, path) = replacement;
+        add_errors(&value.to_string());
     }
-    let mut value = least.clone();
+    let mut value = minimal.clone();
     value["Classes"][0]["Effect"] = "idempotency_key".into();
     value["Classes"][0]["Group"] = "zone".into();
-    add(&value.to_string());
+    add_errors(&value.to_string());
     assert_golden("errors.txt", &errors);
 }
 
@@ -222,8 +222,8 @@
 fn every_error_of_a_change() {
     let first = || {
         (
-            parse_settings(LEAST.as_bytes()).unwrap(),
-            parse_names(LEAST.as_bytes()).unwrap(),
+            parse_settings(REQUIRED_KEYS.as_bytes()).unwrap(),
+            parse_names(REQUIRED_KEYS.as_bytes()).unwrap(),
         )
     };
     let (now_settings, now_names) = first();
