--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -36,7 +36,7 @@
     /// Two classes of the new settings have the same name.
     #[error("settings: class `{name}` is there twice")]
     DuplicateClass {
-        /// Name of the classes.
+        /// Name that occurs twice.
         name: String,
     },
     /// All settings since the start of the process contain more than [`MAX_CLASSES`] distinct classes.
--- a/crates/slow-start/src/lease.rs
+++ b/crates/slow-start/src/lease.rs
@@ -1,47 +1,49 @@
-//! Leases: a sender cedes a part of its rate to another for a while. The lender does without it
-//! from the grant on, until the borrower can no longer be using it, so that the rate never counts
-//! twice.
+//! Leases, with which a sender cedes a part of its rate to another sender for a limited time.
+//!
+//! The lender does not use the leased rate from the grant until the borrower can no longer use it,
+//! so that the rate never counts twice.
 
 use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use woadstall_decisions::api::{Duration, Time};
 
-/// Lenders whose leases are known at a time; the smallest leases give way.
+/// Maximum number of lenders whose leases are kept. The smallest lease is dropped first.
 const MAX_LENDERS: usize = 64;
 /// How long the number of an expired lease is kept to detect duplicates, in nanoseconds.
-const DUPLICATE_RETENTION: Duration = 60_000_000_000;
+const DUPLICATE_RETENTION_NS: Duration = 60_000_000_000;
 
-/// A lease, as it is sent.
+/// A lease in the form in which it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The borrower: a hash of its name and incarnation, so that a restarted process does not use
-    /// the leases of its predecessor.
+    /// Id of the borrower: a hash of its name and incarnation, so that a restarted process does not
+    /// use the leases of its predecessor.
     pub borrower: u64,
-    /// Rises with each lease of the lender. Of two leases the greater number counts, and duplicates
-    /// are ignored.
+    /// Sequence number of the lease, which increases with each lease of the lender. A borrower
+    /// accepts a lease only if its number is higher than that of the last accepted lease of the
+    /// lender, which rejects duplicates.
     pub number: u32,
-    /// The rate in requests a second.
+    /// Leased rate in requests per second.
     pub rate: f32,
 }
 
-/// A lease that has arrived.
+/// A received lease.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedLease<'a> {
-    /// The lender.
+    /// Id of the lender.
     pub lender: u64,
-    /// The lease.
+    /// The lease as it was sent.
     pub lease: &'a Lease,
-    /// How long ago it was granted, in nanoseconds.
+    /// Time since the lease was granted, in nanoseconds.
     pub age: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct GrantedLease {
     lease: Lease,
-    /// When the borrower stops using it.
+    /// Time at which the borrower stops using the lease.
     expires_at: Time,
-    /// When the lender may use the rate again.
+    /// Time from which the lender may use the rate again.
     reclaimed_at: Time,
 }
 
@@ -52,20 +54,22 @@
     expires_at: Time,
 }
 
-/// The leases that a sender has granted and borrowed.
+/// Leases that a sender has granted and borrowed.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
     granted: Vec<GrantedLease>,
-    /// By lender.
+    /// Newest accepted lease by lender, including expired leases that are kept to detect
+    /// duplicates.
     borrowed: BTreeMap<u64, BorrowedRate>,
     last_number: u32,
 }
 
 impl LeaseTable {
-    /// Grants a rate in requests a second. The message that carries the lease must state its age.
+    /// Grants a lease of a rate in requests per second. The message that carries the lease must
+    /// state its age.
     pub fn grant(&mut self, now: Time, borrower: u64, rate: f64, settings: &Settings) -> Lease {
         self.last_number = self.last_number.saturating_add(1);
-        // The borrower must not read more than the lender does without.
+        // Rounding to `f32` must not give the borrower a higher rate than the lender cedes.
         let rate = (rate as f32).next_down().max(0.0);
         let lease = Lease {
             borrower,
@@ -82,7 +86,7 @@
         lease
     }
 
-    /// Accepts a lease from another sender; returns whether it is valid and new.
+    /// Accepts a lease from another sender, and returns whether the lease is valid and new.
     pub fn accept(&mut self, now: Time, received: &ReceivedLease<'_>, settings: &Settings) -> bool {
         let ReceivedLease { lender, lease, age } = *received;
         let expires_at = now
@@ -114,8 +118,8 @@
         borrowed.is_some_and(|borrowed| borrowed.number >= number)
     }
 
-    /// Removes the smallest lease if the table is full and the new rate is greater; returns whether
-    /// there is capacity for it.
+    /// Makes room for a lease of `rate` from `lender`, and returns whether there is room. If the
+    /// table is full, the smallest lease is removed if its rate is lower.
     fn ensure_capacity(&mut self, lender: u64, rate: f64) -> bool {
         if self.borrowed.len() < MAX_LENDERS || self.borrowed.contains_key(&lender) {
             return true;
@@ -131,14 +135,16 @@
         true
     }
 
-    /// Removes leases that have expired.
+    /// Removes granted leases that are reclaimed, and borrowed leases whose numbers are no longer
+    /// needed to detect duplicates.
     pub fn expire(&mut self, now: Time) {
         self.granted.retain(|granted| now < granted.reclaimed_at);
         self.borrowed
-            .retain(|_, borrowed| now < borrowed.expires_at.saturating_add(DUPLICATE_RETENTION));
+            .retain(|_, borrowed| now < borrowed.expires_at.saturating_add(DUPLICATE_RETENTION_NS));
     }
 
-    /// The rate in requests a second that this sender does without.
+    /// Returns the rate that this sender has leased to others and must not use itself, in requests
+    /// per second.
     pub fn granted_rate(&self, now: Time) -> f64 {
         let active = self
             .granted
@@ -147,7 +153,7 @@
         active.map(|granted| f64::from(granted.lease.rate)).sum()
     }
 
-    /// The rate in requests a second that this sender borrows.
+    /// Returns the rate that this sender borrows, in requests per second.
     pub fn borrowed_rate(&self, now: Time) -> f64 {
         let active = self
             .borrowed
@@ -156,7 +162,8 @@
         active.map(|borrowed| borrowed.rate).sum()
     }
 
-    /// The leases to send: those that their borrowers may still use, the latest to each.
+    /// Returns the leases to include in a report: for each borrower, the latest lease that it may
+    /// still use.
     pub fn active_grants(&self, now: Time) -> Vec<Lease> {
         let mut latest: BTreeMap<u64, Lease> = BTreeMap::new();
         for granted in self
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -1,16 +1,18 @@
-//! A common slow start for a recovering destination, shared by all that send to it, without a
-//! leader.
+//! Slow start for a recovering destination, shared by all its senders without a leader.
 //!
-//! Each sender limits its own rate to what the destination has answered on time for it, times a
-//! growth factor ([`RateController`]). So the sum over all senders follows the throughput that the
-//! destination has proven, whatever messages arrive: the parts of a partitioned fleet, or senders
-//! that take each other for stopped, add up to the same. A sender can lease the rate that it does not
-//! need to others ([`Lease`]): the lender reduces its own rate first, and takes the rate back only
-//! when the borrower can no longer be using it. A lease that is lost, late or duplicated can reduce
-//! the sum and never raise it. Senders exchange [`Report`]s.
+//! Each sender limits its own rate to the rate at which the destination has answered its requests
+//! on time, multiplied by a growth factor ([`RateController`]). The sum over all senders therefore
+//! follows the proven throughput of the destination, independent of the messages that arrive. The
+//! sum is the same for the parts of a partitioned fleet and for senders that consider each other
+//! stopped.
 //!
-//! Nothing here does I/O or reads a clock, and nothing here chooses a server. `docs/slow-start.md`
-//! has the proof of the bound. Rates are in requests a second; times are in nanoseconds.
+//! A sender can lease a part of its rate that it does not need to other senders ([`Lease`]). The
+//! lender reduces its own rate first, and reclaims the leased rate only when the borrower can no
+//! longer use it. A lost, late or duplicated lease can reduce the sum of the rates but never raises
+//! it. Senders exchange leases and rates in [`Report`]s.
+//!
+//! The crate does no I/O, does not read a clock and does not select servers. `docs/slow-start.md`
+//! contains the proof of the bound. Rates are in requests per second; times are in nanoseconds.
 
 mod lease;
 mod rate_controller;
--- a/crates/slow-start/src/rate_controller.rs
+++ b/crates/slow-start/src/rate_controller.rs
@@ -1,4 +1,4 @@
-//! The rate at which one sender may send new requests to a recovering destination.
+//! Control of the rate at which one sender may send new requests to a recovering destination.
 
 use crate::lease::{Lease, LeaseTable, ReceivedLease};
 use crate::report::Report;
@@ -6,80 +6,83 @@
 use crate::throughput::{Outcome, Rates, ThroughputMeter};
 use woadstall_decisions::api::{Duration, Time};
 
-/// The part of its demand that a sender keeps beyond it, as requests don't come evenly.
+/// Fraction of its demand that a sender keeps in addition to the demand, because requests do not
+/// arrive evenly.
 const HEADROOM: f64 = 0.2;
-/// Leases that are granted at a time.
+/// Maximum number of leases that are granted at a time.
 const MAX_GRANTS: usize = 4;
-/// Requests that may be sent at once after a quiet time.
+/// Maximum number of requests that may be sent at once after an idle period.
 const MAX_BURST: f64 = 2.0;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Whether a request is suited as a probe.
+/// Suitability of a request as a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestWeight {
-    /// It is idempotent and not longer than most.
+    /// The request is idempotent and not longer than most requests.
     Light,
-    /// It must not run twice, or is long. It is not sent as a probe.
+    /// The request must not run twice or is long, so it is not sent as a probe.
     Heavy,
 }
 
-/// How far the slow start of a destination has come for a sender.
+/// Progress of a slow start, as seen by one sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The destination has proven nothing: only light requests are sent.
+    /// The destination has not answered any request on time in the last windows. Only light
+    /// requests are sent.
     Probing,
-    /// The rate grows.
+    /// The rate grows each window.
     Growing,
-    /// The rate shrinks, as too many requests fail.
+    /// The rate shrinks because too many requests fail.
     Shrinking,
-    /// The rate covers the demand.
+    /// The rate covers the demand with headroom.
     Full,
 }
 
-/// The unmet demand of another sender.
+/// Unmet demand of another sender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UnmetDemand {
-    /// The sender.
+    /// Id of the sender.
     pub sender: u64,
-    /// The unmet demand in requests a second.
+    /// Unmet demand in requests per second.
     pub rate: f64,
 }
 
-/// A report that has arrived.
+/// A received report.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedReport<'a> {
-    /// The sender that has sent it.
+    /// Id of the sender of the report.
     pub from: u64,
-    /// How leases name the receiver.
+    /// Id of the receiver, which leases to it name as the borrower.
     pub receiver: u64,
-    /// The report.
+    /// The report as it was sent.
     pub report: &'a Report,
-    /// How long ago it was sent, in nanoseconds.
+    /// Time since the report was sent, in nanoseconds.
     pub age: Duration,
 }
 
-/// The rate of one sender to one destination.
+/// Rate controller of one sender for one destination.
 #[derive(Clone, Debug)]
 pub struct RateController {
     settings: Settings,
     meter: ThroughputMeter,
     leases: LeaseTable,
-    /// The rate that this sender's own observations justify, in requests a second.
+    /// Rate that the observations of this sender justify, in requests per second.
     own_rate: f64,
-    /// This sender's part of the probe rate, in requests a second.
+    /// Share of this sender in the probe rate, in requests per second; the own rate never falls
+    /// below it.
     min_rate: f64,
-    /// The token bucket, in requests.
+    /// Tokens in the token bucket; each request takes one.
     tokens: f64,
     refilled_at: Time,
 }
 
 impl RateController {
-    /// A controller for a destination that has proven nothing. `senders` is the number of senders,
-    /// as far as it is known.
+    /// Creates a controller for a destination that has not answered any request yet. `senders` is
+    /// the known number of senders.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the settings can't work.
+    /// Returns a [`SettingsError`] if the settings are invalid.
     pub fn new(now: Time, senders: usize, settings: Settings) -> Result<Self, SettingsError> {
         settings.check()?;
         let min_rate = settings.probe_rate_per_sender(senders);
@@ -94,14 +97,14 @@
         })
     }
 
-    /// Sets the number of senders. If it is too small by half, the probe rate is twice what the
-    /// settings say, which a destination that is warming up can serve; proven rates don't depend on
-    /// it.
+    /// Sets the known number of senders. If only half of the senders are known, the total probe
+    /// rate is twice the configured rate, which a destination that is warming up can still serve.
+    /// Rates above the probe rate do not depend on the number of senders.
     pub fn set_sender_count(&mut self, senders: usize) {
         self.min_rate = self.settings.probe_rate_per_sender(senders);
     }
 
-    /// Advances the time: once a window the rate changes, and tokens are added.
+    /// Advances the controller to `now`: adjusts the rate once per window and adds tokens.
     pub fn advance(&mut self, now: Time) {
         if self.meter.advance(now) {
             self.update_own_rate();
@@ -109,7 +112,7 @@
         }
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / NANOSECONDS_PER_SECOND;
         self.refilled_at = self.refilled_at.max(now);
-        // A long quiet time does not add up.
+        // The token limit keeps a long idle period from allowing a large burst.
         self.tokens = (self.tokens + self.allowed_rate(now) * elapsed).min(MAX_BURST);
     }
 
@@ -127,8 +130,8 @@
         rates.failed_fraction > self.settings.max_failed_fraction
     }
 
-    /// The rate in requests a second that this sender may send: its own, less what it has lent, and
-    /// what it borrows.
+    /// Returns the rate at which this sender may send, in requests per second: its own rate, minus
+    /// the rate that it has leased to others, plus the rate that it borrows.
     pub fn allowed_rate(&self, now: Time) -> f64 {
         self.unlent_rate(now) + self.leases.borrowed_rate(now)
     }
@@ -137,13 +140,13 @@
         (self.own_rate - self.leases.granted_rate(now)).max(0.0)
     }
 
-    /// Counts a request for the destination; returns whether it may be sent. If so, it counts as
-    /// sent.
+    /// Counts a request for the destination and returns whether it may be sent. An allowed request
+    /// takes a token.
     pub fn try_send(&mut self, now: Time, weight: RequestWeight) -> bool {
         self.advance(now);
         self.meter.record_demand();
-        let is_suited = weight == RequestWeight::Light || self.phase(now) != Phase::Probing;
-        if !is_suited || self.tokens < 1.0 {
+        let is_suitable = weight == RequestWeight::Light || self.phase(now) != Phase::Probing;
+        if !is_suitable || self.tokens < 1.0 {
             return false;
         }
         self.tokens -= 1.0;
@@ -156,7 +159,7 @@
         self.meter.record_outcome(outcome);
     }
 
-    /// How far the slow start has come.
+    /// Returns the current phase of the slow start.
     pub fn phase(&self, now: Time) -> Phase {
         let rates = self.meter.rates();
         if rates.on_time <= 0.0 {
@@ -170,18 +173,19 @@
         }
     }
 
-    /// The rates over the last complete windows.
+    /// Returns the mean rates over the last complete windows.
     pub fn rates(&self) -> Rates {
         self.meter.rates()
     }
 
-    /// The demand in requests a second beyond what this sender may send.
+    /// Returns the demand that exceeds the allowed rate, in requests per second.
     pub fn unmet_demand(&self, now: Time) -> f64 {
         (self.meter.rates().demand - self.allowed_rate(now)).max(0.0)
     }
 
-    /// Lends the rate that this sender does not need to those with the greatest unmet demand, in
-    /// proportion to it. What it borrows itself is not passed on: it would return too late.
+    /// Leases the spare rate of this sender to the senders with the greatest unmet demand, in
+    /// proportion to their demand. Borrowed rate is not leased on, because it would be returned too
+    /// late.
     pub fn grant_leases(&mut self, now: Time, unmet: &[UnmetDemand]) -> Vec<Lease> {
         self.advance(now);
         let spare = self.spare_rate(now);
@@ -204,14 +208,15 @@
         granted
     }
 
-    /// The rate of its own that this sender does not need, in requests a second.
+    /// Returns the part of its own rate that this sender does not need, in requests per second.
     fn spare_rate(&self, now: Time) -> f64 {
         let needed = self.meter.rates().demand * (1.0 + HEADROOM);
-        let needed_beyond_borrowed = (needed - self.leases.borrowed_rate(now)).max(0.0);
-        self.unlent_rate(now) - needed_beyond_borrowed
+        let needed_own_rate = (needed - self.leases.borrowed_rate(now)).max(0.0);
+        self.unlent_rate(now) - needed_own_rate
     }
 
-    /// The senders with the greatest unmet demand; those with equal demand by their identity.
+    /// Returns the senders with the greatest unmet demand. Senders with equal demand are ordered by
+    /// id.
     fn select_borrowers(&self, unmet: &[UnmetDemand]) -> Vec<UnmetDemand> {
         let is_lendable = |demand: &&UnmetDemand| {
             demand.rate.is_finite() && demand.rate >= self.settings.min_lease_rate
@@ -222,8 +227,8 @@
         borrowers
     }
 
-    /// Accepts the leases of another sender's report; returns whether there was a new one for this
-    /// sender.
+    /// Accepts the leases to this sender in a report of another sender, and returns whether any of
+    /// them was new.
     pub fn apply_report(&mut self, now: Time, received: &ReceivedReport<'_>) -> bool {
         self.advance(now);
         let ReceivedReport {
@@ -246,14 +251,14 @@
         has_accepted
     }
 
-    /// The report to all others.
+    /// Returns the report for all other senders.
     pub fn report(&self, now: Time) -> Report {
         let leases = self.leases.active_grants(now);
         Report::new(&self.meter.rates(), self.unmet_demand(now), leases)
     }
 
-    /// An estimate for operators: the seconds until this sender may send at a rate in requests a
-    /// second, if no requests fail.
+    /// Estimates for operators the time in seconds until this sender may send at `rate` requests
+    /// per second, if no requests fail. Infinite if the growth factor does not let the rate grow.
     pub fn seconds_until_rate(&self, now: Time, rate: f64) -> f64 {
         let allowed = self
             .allowed_rate(now)
--- a/crates/slow-start/src/report.rs
+++ b/crates/slow-start/src/report.rs
@@ -1,50 +1,51 @@
-//! What a sender reports to all others about a recovering destination, in few bytes.
+//! Compact report of a sender to all other senders about a recovering destination.
 
 use crate::lease::Lease;
 use crate::throughput::Rates;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The version of the format, the first byte of a report.
+/// Version of the encoding, which is the first byte of a report.
 const FORMAT_VERSION: u8 = 1;
-/// Leases in one report.
+/// Maximum number of leases in one report.
 const MAX_LEASES: usize = 8;
 
-/// A report of one sender. Rates are in requests a second.
+/// Report of one sender. Rates are in requests per second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The demand beyond what the sender may send.
+    /// Demand that exceeds the rate at which the sender may send.
     pub unmet_demand: f32,
-    /// Requests that were answered on time.
+    /// Rate of requests that were answered on time.
     pub on_time: f32,
-    /// Requests that were answered late, rejected, or not answered.
+    /// Rate of requests that were answered late, rejected or not answered.
     pub failed: f32,
-    /// The leases that the sender has granted.
+    /// Leases that the sender has granted.
     pub leases: Vec<Lease>,
 }
 
-/// Why bytes are not a report.
+/// Error while decoding a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReportError {
-    /// There are no bytes.
+    /// The input is empty.
     #[error("the report is empty")]
     Empty,
-    /// The format has another version.
-    #[error("the report has format {0} instead of {FORMAT_VERSION}")]
+    /// The report has an unsupported version of the encoding.
+    #[error("the report has format version {0}, expected {FORMAT_VERSION}")]
     UnsupportedVersion(u8),
-    /// The bytes don't have the encoding of a report.
+    /// The bytes are not a valid encoding of a report.
     #[error("the report has an invalid encoding")]
     Encoding,
-    /// A rate is negative or not finite. It would spoil every sum that it is added to.
+    /// A rate is negative or not finite. Such a rate would corrupt every sum that includes it.
     #[error("the report has a rate that is negative or not finite")]
     Rate,
-    /// There are more leases than a report may have.
+    /// The report contains more leases than allowed.
     #[error("the report has {0} leases, at most {MAX_LEASES} are allowed")]
     TooManyLeases(usize),
 }
 
 impl Report {
-    /// A report of these rates, with the largest of the leases.
+    /// Creates a report of these rates with the largest of the leases. `unmet_demand` is in
+    /// requests per second.
     pub fn new(rates: &Rates, unmet_demand: f64, mut leases: Vec<Lease>) -> Self {
         leases.sort_by(|a, b| b.rate.total_cmp(&a.rate));
         leases.truncate(MAX_LEASES);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Encodes the report. The smallest leases are left out until it fits `max_bytes`.
+    /// Encodes the report. Omits the smallest leases until the encoding fits into `max_bytes`.
     pub fn encode(&self, max_bytes: usize) -> Vec<u8> {
         let mut report = self.clone();
         loop {
@@ -71,8 +72,8 @@
     ///
     /// # Errors
     ///
-    /// [`ReportError`] if the bytes are not a report of this version with rates that can be added
-    /// up.
+    /// Returns a [`ReportError`] if the bytes are not a report of this version, or if the report
+    /// has an invalid rate or too many leases.
     pub fn decode(bytes: &[u8]) -> Result<Self, ReportError> {
         let (version, encoded) = bytes.split_first().ok_or(ReportError::Empty)?;
         if *version != FORMAT_VERSION {
--- a/crates/slow-start/src/settings.rs
+++ b/crates/slow-start/src/settings.rs
@@ -1,91 +1,93 @@
-//! How fast a rate grows, and how long a lease is valid.
+//! Settings of the slow start: growth of the rate and duration of leases.
 
 use thiserror::Error;
 use woadstall_decisions::api::Duration;
 
-const MILLISECOND: Duration = 1_000_000;
-/// The largest growth factor: a larger one would overload a destination that is warming up.
+const MILLISECOND_NS: Duration = 1_000_000;
+/// Maximum growth factor. A larger factor would overload a destination that is warming up.
 const MAX_GROWTH_FACTOR: f64 = 2.5;
 
-/// The settings of a slow start.
+/// Settings of a slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The window over which outcomes are counted, in nanoseconds. A rate changes once a window.
-    /// Default: 500 ms.
+    /// Length of the window over which outcomes are counted, in nanoseconds. The rate changes once
+    /// per window. Default: 500 ms.
     pub window: Duration,
-    /// The rate of a sender as a multiple of what was answered on time. Default: 2.
+    /// Growing rate of a sender, as a multiple of the rate of requests answered on time. Default:
+    /// 2.
     pub growth_factor: f64,
-    /// The fraction of requests that may fail; above it the rate shrinks. Default: 0.3.
+    /// Maximum fraction of failed requests; the rate shrinks if more requests fail. Default: 0.3.
     pub max_failed_fraction: f64,
-    /// A shrinking rate as a multiple of what was answered on time. Default: 0.7.
+    /// Shrinking rate of a sender, as a multiple of the rate of requests answered on time. Default:
+    /// 0.7.
     pub backoff_factor: f64,
-    /// The rate in requests a second with which all senders together probe a destination that has
-    /// proven nothing. Default: 10.
+    /// Rate at which all senders together probe a destination that has not answered any request on
+    /// time, in requests per second. Default: 10.
     pub probe_rate: f64,
-    /// How long the borrower may use a lease, from when it was granted, in nanoseconds. Default: 2
-    /// s.
+    /// How long the borrower may use a lease after the grant, in nanoseconds. Default: 2 s.
     pub lease_duration: Duration,
-    /// How much longer the lender does without, in nanoseconds: the largest error of the age of a
-    /// message. Default: 1 s.
+    /// Additional time after the lease duration in which the lender does not use the rate, in
+    /// nanoseconds. It must cover the largest error of the stated age of a message. Default: 1 s.
     pub lease_margin: Duration,
-    /// The smallest lease in requests a second; less is not worth its bytes. Default: 0.5.
+    /// Minimum rate of a lease in requests per second. A smaller lease is not worth its space in a
+    /// report. Default: 0.5.
     pub min_lease_rate: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            window: 500 * MILLISECOND,
+            window: 500 * MILLISECOND_NS,
             growth_factor: 2.0,
             max_failed_fraction: 0.3,
             backoff_factor: 0.7,
             probe_rate: 10.0,
-            lease_duration: 2_000 * MILLISECOND,
-            lease_margin: 1_000 * MILLISECOND,
+            lease_duration: 2_000 * MILLISECOND_NS,
+            lease_margin: 1_000 * MILLISECOND_NS,
             min_lease_rate: 0.5,
         }
     }
 }
 
-/// Why settings can't work.
+/// Error for invalid settings.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// The window is 0.
+    /// The window has length 0.
     #[error("`window` is 0")]
     ZeroWindow,
-    /// A lease would expire before it was used.
+    /// A lease is shorter than a window, so it would expire before it is used.
     #[error("`lease_duration` is {lease_duration} ns, shorter than `window` of {window} ns")]
     LeaseShorterThanWindow {
-        /// The duration of a lease in nanoseconds.
+        /// Duration of a lease in nanoseconds.
         lease_duration: Duration,
-        /// The window in nanoseconds.
+        /// Length of the window in nanoseconds.
         window: Duration,
     },
-    /// The growth factor is out of its range.
+    /// The growth factor is out of range.
     #[error("`growth_factor` is {0}, not from 1 to {MAX_GROWTH_FACTOR}")]
     GrowthFactor(f64),
-    /// A fraction is out of its range.
+    /// A fraction is not between 0 and 1.
     #[error("`{name}` is {value}, not from 0 to 1")]
     Fraction {
-        /// The field.
+        /// Name of the settings field.
         name: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: f64,
     },
-    /// The probe rate is not positive: nothing would ever be proven.
+    /// The probe rate is not positive, so the destination would never be probed.
     #[error("`probe_rate` is {0}, not over 0")]
     ProbeRate(f64),
-    /// The smallest lease is negative.
+    /// The minimum lease rate is negative or not finite.
     #[error("`min_lease_rate` is {0}, under 0")]
     MinLeaseRate(f64),
 }
 
 impl Settings {
-    /// Checks that the settings can work.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] for the first field that is out of its range.
+    /// Returns a [`SettingsError`] for the first field that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.window == 0 {
             return Err(SettingsError::ZeroWindow);
@@ -111,7 +113,7 @@
         Ok(())
     }
 
-    /// The part of the probe rate of one of so many senders, in requests a second.
+    /// Returns the share of one of `senders` senders in the probe rate, in requests per second.
     pub(crate) fn probe_rate_per_sender(&self, senders: usize) -> f64 {
         self.probe_rate / senders.max(1) as f64
     }
--- a/crates/slow-start/src/throughput.rs
+++ b/crates/slow-start/src/throughput.rs
@@ -1,35 +1,36 @@
-//! What a sender has observed of a destination, in windows of time.
+//! Measurement of the demand and the outcomes of one sender at a destination, in time windows.
 
 use std::collections::VecDeque;
 use woadstall_decisions::api::{Duration, Time};
 
-/// The complete windows that a rate is the mean of. A sender of one request a second has none in
-/// most windows.
+/// Number of complete windows that rates are averaged over. A sender of one request per second has
+/// no request in most windows.
 const MAX_WINDOWS: usize = 4;
-/// The outcomes from which on a single window tells the fraction of failed requests.
+/// Minimum number of outcomes in the last window for which the failed fraction is computed from
+/// that window alone.
 const MIN_WINDOW_OUTCOMES: u32 = 4;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// How a request has ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered on time.
+    /// The request was answered on time.
     OnTime,
-    /// It was answered late, rejected, or not answered.
+    /// The request was answered late, rejected or not answered.
     Failed,
 }
 
-/// The mean rates over the last complete windows, in requests a second.
+/// Mean rates over the last complete windows, in requests per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
-    /// The demand: requests for the destination, sent or not.
+    /// Rate of requests for the destination, sent or not.
     pub demand: f64,
-    /// Requests that were answered on time.
+    /// Rate of requests that were answered on time.
     pub on_time: f64,
-    /// Requests that were answered late, rejected, or not answered.
+    /// Rate of requests that were answered late, rejected or not answered.
     pub failed: f64,
-    /// The failed requests as a fraction of those that have ended; of the last window alone if
-    /// enough have ended in it.
+    /// Fraction of completed requests that failed. It covers the last window only if enough
+    /// requests have completed in that window, and all averaged windows otherwise.
     pub failed_fraction: f64,
 }
 
@@ -63,18 +64,18 @@
     }
 }
 
-/// Counts requests and their outcomes in windows.
+/// Counts requests and their outcomes in time windows.
 #[derive(Clone, Debug)]
 pub struct ThroughputMeter {
     window: Duration,
     window_start: Time,
     current: WindowCounts,
-    /// The last complete windows, the latest first.
+    /// Last complete windows, newest first.
     complete: VecDeque<WindowCounts>,
 }
 
 impl ThroughputMeter {
-    /// A meter without observations. `window` is in nanoseconds.
+    /// Creates a meter without observations. `window` is the length of a window in nanoseconds.
     pub fn new(now: Time, window: Duration) -> Self {
         Self {
             window: window.max(1),
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Counts a request for the destination.
+    /// Counts a request for the destination, whether it is sent or not.
     pub fn record_demand(&mut self) {
         self.current.demand = self.current.demand.saturating_add(1);
     }
@@ -98,8 +99,8 @@
         *count = count.saturating_add(1);
     }
 
-    /// Advances to the window of `now`; returns whether that is a new one. Windows that were
-    /// missed, as by a stopped process, count as empty.
+    /// Advances to the window of `now`, and returns whether it is a new window. Windows that were
+    /// skipped, for example while the process was stopped, count as empty.
     pub fn advance(&mut self, now: Time) -> bool {
         let windows = now.saturating_sub(self.window_start) / self.window;
         for _ in 0..windows.min(MAX_WINDOWS as u64) {
@@ -110,7 +111,7 @@
         windows > 0
     }
 
-    /// The rates over the last complete windows.
+    /// Returns the mean rates over the last complete windows.
     pub fn rates(&self) -> Rates {
         let Some(latest) = self.complete.front() else {
             return Rates::default();
--- a/crates/slow-start/tests/golden.rs
+++ b/crates/slow-start/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The bytes of a report: what this version writes, senders of other versions read.
+//! Golden tests of the encoding of reports, which senders of other versions must be able to read.
 
 use woadstall_slow_start::{Lease, Rates, Report, ReportError};
 
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn bytes_of_another_form_are_rejected() {
+fn an_unsupported_version_and_an_empty_input_are_rejected() {
     let mut bytes = report(Vec::new()).encode(256);
     bytes[0] = 2;
     assert_eq!(
--- a/crates/slow-start/tests/simulation.rs
+++ b/crates/slow-start/tests/simulation.rs
@@ -1,5 +1,7 @@
-//! All senders together never send more than the destination has proven, grown once, and the probe
-//! rate: whatever happens to the messages between them, also in a partition.
+//! Simulations of all senders of one destination.
+//!
+//! All senders together must never send more than the proven rate, grown once, plus the probe rate.
+//! The bound must hold for lost, late and duplicated messages and in a network partition.
 
 mod support;
 
@@ -13,16 +15,16 @@
     fn the_sum_of_all_rates_is_bounded(
         demands in prop::collection::vec(0.5_f64..40.0, 2..24),
         capacity in 20.0_f64..200.0,
-        fates in prop::collection::vec(any::<u8>(), 1..64),
+        fault_bytes in prop::collection::vec(any::<u8>(), 1..64),
         is_partitioned: bool,
     ) {
-        let RunResult { peak_load, .. } = Fleet { demands, capacity, fates, is_partitioned }.run();
+        let RunResult { peak_load, .. } = Fleet { demands, capacity, fault_bytes, is_partitioned }.run();
         prop_assert!(peak_load < 2.5, "{peak_load}");
     }
 }
 
-/// With messages that arrive, senders use what others don't need: most of the demand is sent once
-/// the destination can serve it.
+/// If all messages arrive, senders use the rate that other senders do not need, so that most of the
+/// demand is sent once the destination can serve it.
 #[test]
 fn the_rate_reaches_the_demand() {
     let demands = (0..20)
@@ -31,7 +33,7 @@
     let fleet = Fleet {
         demands,
         capacity: 60.0,
-        fates: vec![0],
+        fault_bytes: vec![0],
         is_partitioned: false,
     };
     let result = fleet.run();
@@ -42,7 +44,7 @@
     );
 }
 
-/// Pins the decisions of all senders, in runs with every fate of messages.
+/// Golden test of the decisions of all senders, in runs with lost, late and duplicated messages.
 #[test]
 fn recorded_runs_have_the_same_results() {
     const RESULTS: [(f64, f64); 6] = [
@@ -58,7 +60,7 @@
             .map(|sender| 0.5 + ((sender * 37 + seed * 11) % 39) as f64)
             .collect(),
         capacity: 20.0 + 30.0 * seed as f64,
-        fates: (0..17 + seed)
+        fault_bytes: (0..17 + seed)
             .map(|index| ((index * 73 + seed * 29) % 256) as u8)
             .collect(),
         is_partitioned: seed % 2 == 1,
--- a/crates/slow-start/tests/support/mod.rs
+++ b/crates/slow-start/tests/support/mod.rs
@@ -1,43 +1,45 @@
-//! A fleet of senders and a destination that is warming up, in virtual time.
+//! Simulation of a fleet of senders and a destination that is warming up, in virtual time.
 
 use std::collections::VecDeque;
 use woadstall_slow_start::{
     Outcome, RateController, ReceivedReport, Report, RequestWeight, Settings, UnmetDemand,
 };
 
-const MILLISECOND: u64 = 1_000_000;
-const STEP: u64 = 10 * MILLISECOND;
-const RUN_TIME: u64 = 10_000 * MILLISECOND;
-/// The end of the run, in which the sent share of the demand is measured.
-const FINAL_PHASE: u64 = 9_000 * MILLISECOND;
-/// The time from which on an answer is late.
-const DEADLINE: u64 = 200 * MILLISECOND;
-const REPORT_INTERVAL: u64 = 200 * MILLISECOND;
-const CHECK_INTERVAL: u64 = 100 * MILLISECOND;
-/// The checks within which a lease may still be in use.
+const MILLISECOND_NS: u64 = 1_000_000;
+const STEP_NS: u64 = 10 * MILLISECOND_NS;
+const RUN_TIME_NS: u64 = 10_000 * MILLISECOND_NS;
+/// Start of the last part of the run, in which the sent share of the demand is measured.
+const FINAL_PHASE_START_NS: u64 = 9_000 * MILLISECOND_NS;
+/// Response time above which an answer is late.
+const DEADLINE_NS: u64 = 200 * MILLISECOND_NS;
+const REPORT_INTERVAL_NS: u64 = 200 * MILLISECOND_NS;
+const CHECK_INTERVAL_NS: u64 = 100 * MILLISECOND_NS;
+/// Number of consecutive checks during which a lease may still be in use.
 const LEASE_CHECKS: usize = 36;
 const MAX_REPORT_BYTES: usize = 256;
-/// The largest delay of a message that its receiver does not know of.
-const MAX_AGE_ERROR: u64 = 900 * MILLISECOND;
+/// Largest message delay that the stated age of a message does not include.
+const MAX_AGE_ERROR_NS: u64 = 900 * MILLISECOND_NS;
 
-/// Senders, the destination and the network.
+/// Parameters of the senders, the destination and the network.
 pub struct Fleet {
-    /// The demand of each sender, in requests a second.
+    /// Demand of each sender in requests per second.
     pub demands: Vec<f64>,
-    /// The requests a second that the destination can serve at first; twice as many every 4 s.
+    /// Initial capacity of the destination in requests per second. The capacity doubles every 4 s.
     pub capacity: f64,
-    /// Decide of each report to each other sender whether it is lost, late or duplicated.
-    pub fates: Vec<u8>,
-    /// Whether two halves exchange no messages and each counts its own senders alone.
+    /// Bytes that determine whether each report to a sender is lost, delayed or duplicated.
+    pub fault_bytes: Vec<u8>,
+    /// Whether the fleet is partitioned into two halves that exchange no messages and each know
+    /// only their own senders.
     pub is_partitioned: bool,
 }
 
-/// The result of a run.
+/// Result of a run.
 #[derive(Debug)]
 pub struct RunResult {
-    /// The most that was sent in any 3 s, as a multiple of what could be served then.
+    /// Largest number of requests sent in any 3 s, as a multiple of the number that the destination
+    /// could serve in that time.
     pub peak_load: f64,
-    /// What was sent in the last second, as a part of the demand.
+    /// Fraction of the demand that was sent in the last second.
     pub final_share: f64,
 }
 
@@ -59,24 +61,24 @@
     settings: Settings,
     known_senders: usize,
     senders: Vec<RateController>,
-    /// Fractions of requests that each sender has not made yet.
+    /// Accumulated demand of each sender that has not yet become a request.
     due: Vec<f64>,
-    /// Requests at the destination, first come first served.
+    /// Requests at the destination, in first-come, first-served order.
     queue: VecDeque<Request>,
-    /// Requests that the destination can serve now.
+    /// Number of requests that the destination can serve at the moment.
     free_capacity: f64,
     sent_at: Vec<u64>,
     final_demand: u32,
     in_flight: Vec<Delivery>,
-    drawn_fates: usize,
-    /// The rates that the senders' own observations justified at the last checks, the latest first.
+    drawn_fault_bytes: usize,
+    /// Rates that the senders' own observations justified at the last checks, newest first.
     proven_rates: VecDeque<Vec<f64>>,
 }
 
 impl Fleet {
     pub fn run(&self) -> RunResult {
         let mut simulation = Simulation::new(self);
-        for now in (0..RUN_TIME).step_by(STEP as usize) {
+        for now in (0..RUN_TIME_NS).step_by(STEP_NS as usize) {
             simulation.step(now);
         }
         simulation.result()
@@ -115,7 +117,7 @@
             sent_at: Vec::new(),
             final_demand: 0,
             in_flight: Vec::new(),
-            drawn_fates: 0,
+            drawn_fault_bytes: 0,
             proven_rates: VecDeque::new(),
         }
     }
@@ -123,10 +125,10 @@
     fn step(&mut self, now: u64) {
         self.serve(now);
         self.send_requests(now);
-        if now.is_multiple_of(CHECK_INTERVAL) {
+        if now.is_multiple_of(CHECK_INTERVAL_NS) {
             self.check_sum(now);
         }
-        if now.is_multiple_of(REPORT_INTERVAL) {
+        if now.is_multiple_of(REPORT_INTERVAL_NS) {
             self.send_reports(now);
         }
         self.deliver_reports(now);
@@ -134,12 +136,12 @@
 
     fn serve(&mut self, now: u64) {
         let capacity = self.fleet.capacity_at(now);
-        let added = capacity * STEP as f64 / 1e9;
+        let added = capacity * STEP_NS as f64 / 1e9;
         self.free_capacity = (self.free_capacity + added).min(capacity * 0.05 + 1.0);
         while self.free_capacity >= 1.0
             && let Some(request) = self.queue.pop_front()
         {
-            let is_on_time = now - request.sent_at <= DEADLINE;
+            let is_on_time = now - request.sent_at <= DEADLINE_NS;
             let outcome = if is_on_time {
                 Outcome::OnTime
             } else {
@@ -152,10 +154,10 @@
 
     fn send_requests(&mut self, now: u64) {
         for (sender, demand) in self.fleet.demands.iter().enumerate() {
-            self.due[sender] += demand * STEP as f64 / 1e9;
+            self.due[sender] += demand * STEP_NS as f64 / 1e9;
             while self.due[sender] >= 1.0 {
                 self.due[sender] -= 1.0;
-                self.final_demand += u32::from(now >= FINAL_PHASE);
+                self.final_demand += u32::from(now >= FINAL_PHASE_START_NS);
                 if self.senders[sender].try_send(now, RequestWeight::Light) {
                     self.queue.push_back(Request {
                         sender,
@@ -167,8 +169,8 @@
         }
     }
 
-    /// All senders together may send what each was allowed by its own observations while a lease of
-    /// it may be in use.
+    /// Asserts that all senders together are allowed at most the sum of the rates that each sender
+    /// justified by its own observations while a lease of that rate may be in use.
     fn check_sum(&mut self, now: u64) {
         let min_rate = self.settings.probe_rate / self.known_senders as f64;
         let proven = |sender: &RateController| {
@@ -189,7 +191,10 @@
             .iter()
             .map(|sender| sender.allowed_rate(now))
             .sum();
-        assert!(allowed <= limit + 1e-6, "{allowed} of {limit} at {now}");
+        assert!(
+            allowed <= limit + 1e-6,
+            "{allowed} requests/s allowed, limit {limit}, at {now} ns"
+        );
     }
 
     fn send_reports(&mut self, now: u64) {
@@ -214,10 +219,13 @@
 
     fn send_report(&mut self, now: u64, from: usize, to: usize, report: &Report) {
         const COPIES: [u64; 4] = [1, 0, 2, 1];
-        let fates = &self.fleet.fates;
-        let copies = COPIES[usize::from(fates[self.drawn_fates % fates.len()] % 4)];
-        let delay = u64::from(fates[(self.drawn_fates + 1) % fates.len()]) * 12 * MILLISECOND;
-        self.drawn_fates += 1;
+        let fault_bytes = &self.fleet.fault_bytes;
+        let copies =
+            COPIES[usize::from(fault_bytes[self.drawn_fault_bytes % fault_bytes.len()] % 4)];
+        let delay = u64::from(fault_bytes[(self.drawn_fault_bytes + 1) % fault_bytes.len()])
+            * 12
+            * MILLISECOND_NS;
+        self.drawn_fault_bytes += 1;
         for copy in 1..=copies {
             let arrives_at = now + delay * copy;
             self.in_flight.push(Delivery {
@@ -241,7 +249,7 @@
                 from: delivery.from as u64,
                 receiver: delivery.to as u64,
                 report: &delivery.report,
-                age: (now - delivery.sent_at).saturating_sub(MAX_AGE_ERROR),
+                age: (now - delivery.sent_at).saturating_sub(MAX_AGE_ERROR_NS),
             };
             self.senders[delivery.to].apply_report(now, &received);
         }
@@ -249,25 +257,30 @@
 
     fn result(&self) -> RunResult {
         let loads = (0..self.sent_at.len()).map(|first| self.load_from(first));
-        let final_sent = self.sent_at.iter().filter(|at| **at >= FINAL_PHASE).count();
+        let final_sent = self
+            .sent_at
+            .iter()
+            .filter(|at| **at >= FINAL_PHASE_START_NS)
+            .count();
         RunResult {
             peak_load: loads.fold(0.0, f64::max),
             final_share: final_sent as f64 / f64::from(self.final_demand.max(1)),
         }
     }
 
-    /// What was sent in the 3 s from a request on, as a multiple of what could be served then.
+    /// Returns the number of requests sent in the 3 s after a request, as a multiple of the number
+    /// that the destination could serve in that time.
     fn load_from(&self, first: usize) -> f64 {
         let start = self.sent_at[first];
-        let end = start + 3_000 * MILLISECOND;
+        let end = start + 3_000 * MILLISECOND_NS;
         let sent = self.sent_at[first..]
             .iter()
             .take_while(|at| **at < end)
             .count();
-        let tenths =
-            (0..30).map(|tenth| self.fleet.capacity_at(start + tenth * 100 * MILLISECOND) / 10.0);
-        let served: f64 = tenths.sum();
-        // The first request of each sender is sent without any proof.
+        let served_per_100_ms = (0..30)
+            .map(|tenth| self.fleet.capacity_at(start + tenth * 100 * MILLISECOND_NS) / 10.0);
+        let served: f64 = served_per_100_ms.sum();
+        // The first request of each sender is sent before the destination has proven any rate.
         (sent as f64 - self.senders.len() as f64) / served
     }
 }
