--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! State machine of the load balancer around its decision module, without I/O.
 //!
 //! An [`Engine`] owns the decision module, the ids of the upstreams, the calls and their attempts, the timers of the
-//! decision module and the time-out of overdue calls. A front is the part of the balancer that receives calls and
+//! decision module and the timeout of overdue calls. A front is the part of the balancer that receives calls and
 //! does the I/O. It passes each event to the engine as an [`Input`], with the time in nanoseconds of one monotonic
 //! clock. The decision module compares this time with the start times of upstreams, so the clock must show Unix time.
 //! The front then executes each [`Command`] until [`Engine::next_command`] returns `None`, and calls the engine again
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -11,7 +11,7 @@
 /// An upstream in a list from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
-    /// Name of the upstream, which is_kept the same when the upstream restarts.
+    /// Name of the upstream, which stays the same when the upstream restarts.
     pub name: String,
     /// Address that the upstream listens on, or `None` if the address in the list is invalid. An upstream without an
     /// address is listed but receives no requests.
--- a/crates/routing/src/prefix_cache/tests.rs
+++ b/crates/routing/src/prefix_cache/tests.rs
@@ -17,7 +17,10 @@
     cache.set_capacity(20_000);
     cache.insert_prefix(1, 10_000);
     (0..99).for_each(|_| cache.insert_unshared(100));
-    assert!(cache.contains(1), "9,900 tokens more fit");
+    assert!(
+        cache.contains(1),
+        "the prefix and 9,900 unshared tokens must fit"
+    );
     cache.insert_unshared(101);
     assert!(!cache.contains(1));
 }
@@ -38,6 +41,6 @@
     cache.insert_prefix(9, 50);
     assert!(
         !cache.contains(9),
-        "a prefix larger than the cache is not cached"
+        "a prefix larger than the cache must not be cached"
     );
 }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -4,7 +4,7 @@
 //! The bound applies to all balancers together. Each balancer uses its share of the budget, so that
 //! the sum stays within the bound without coordination.
 
-/// Number of slots per window.
+/// Number of slots that a budget keeps. A window spans one slot fewer.
 const SLOTS: usize = 20;
 /// Fraction of the ratio that is used. The remainder is a margin, because the slots of other
 /// balancers begin at different times.
@@ -28,8 +28,8 @@
     /// Creates a budget of `ratio` retries per request over a sliding window of `window_ms`
     /// milliseconds.
     pub fn new(ratio: f64, window_ms: u64) -> Self {
-        // A window spans one slot less than there are, so that any period of its length lies within
-        // the slots.
+        // A window spans one slot fewer than the budget keeps, so that any period of the length of
+        // a window lies within the slots.
         let slot_ms = (window_ms / (SLOTS as u64 - 1)).max(1);
         Self {
             ratio,
--- a/crates/routing/src/router/eligibility.rs
+++ b/crates/routing/src/router/eligibility.rs
@@ -26,7 +26,7 @@
     pub(super) fn allowed(&self, query: &Query<'_>) -> Vec<UpstreamId> {
         let ready = self.allowed_with_status(query, UpstreamStatus::Ready);
         // If all upstreams have timed out, the control plane itself may be disconnected, so
-        // upstreams with a time-out remain usable.
+        // upstreams that have timed out remain usable.
         if ready.is_empty() {
             self.allowed_with_status(query, UpstreamStatus::TimedOut)
         } else {
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Applies a registration if it is newer than the last one. An older registration only confirms
+    /// Applies a registration if it is newer than the last one or deregisters the upstream. An
+    /// older registration, or any registration after the upstream has deregistered, only confirms
     /// that the upstream is still known.
     pub fn update(&mut self, now: u64, registration: &Registration) {
         self.unconfirmed_since = None;
--- a/crates/routing/tests/locality.rs
+++ b/crates/routing/tests/locality.rs
@@ -19,7 +19,7 @@
 #[rstest]
 #[case::healthy(region("a", 4, 4, 0.5), Locality::Home)]
 #[case::some_unhealthy(region("a", 4, 2, 0.5), Locality::Home)]
-#[case::blackout(region("a", 4, 1, 0.5), Locality::OneOf(names(&["b", "c"])))]
+#[case::mostly_unhealthy(region("a", 4, 1, 0.5), Locality::OneOf(names(&["b", "c"])))]
 #[case::none_healthy(region("a", 4, 0, 0.0), Locality::OneOf(names(&["b", "c"])))]
 #[case::overloaded(region("a", 4, 4, 1.2), Locality::OneOf(names(&["b", "c"])))]
 fn the_home_region_is_avoided_only_if_it_is_unhealthy_or_overloaded(
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -56,8 +56,8 @@
 
 #[rstest]
 #[case::draining(UpstreamStatus::Draining)]
-#[case::gone(UpstreamStatus::Deregistered)]
-fn a_draining_or_gone_upstream_gets_no_request(#[case] status: UpstreamStatus) {
+#[case::deregistered(UpstreamStatus::Deregistered)]
+fn a_draining_or_deregistered_upstream_gets_no_request(#[case] status: UpstreamStatus) {
     let mut router = router_with(&[("n", 2)]);
     router.register(
         0,
@@ -332,7 +332,7 @@
 #[rstest]
 #[case::connection_error(Outcome::ConnectionError)]
 #[case::upstream_error(Outcome::UpstreamError)]
-#[case::time_out(Outcome::TimedOut)]
+#[case::timed_out(Outcome::TimedOut)]
 fn consecutive_failures_of_any_kind_open_the_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     for _ in 0..3 {
@@ -359,7 +359,7 @@
 #[rstest]
 #[case::client_disconnected(Outcome::Cancelled)]
 #[case::connection_broke(Outcome::ConnectionError)]
-#[case::time_out(Outcome::TimedOut)]
+#[case::timed_out(Outcome::TimedOut)]
 fn an_attempt_abandoned_at_an_unresponsive_upstream_opens_its_breaker(#[case] outcome: Outcome) {
     let mut router = router_with(&[("n", 2)]);
     let request = request();
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -41,7 +41,7 @@
 struct RawClass {
     #[serde(rename = "AimNs")]
     latency_target_ns: Duration,
-    /// Fraction of a request's own work by which its latency target grows.
+    /// Multiple of the work of a request that is added to its latency target.
     #[serde(rename = "AimStretch")]
     latency_target_stretch: Option<f64>,
     deadline_ns: Duration,
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use woadstall_decisions::api::ZoneId;
 
-/// Names in the settings, by position, and the connect time-out of the transport.
+/// Names in the settings, by position, and the connect timeout of the transport.
 #[derive(Clone, Debug)]
 pub struct Names {
     /// Names of the request classes.
--- a/crates/slow-start/src/lease.rs
+++ b/crates/slow-start/src/lease.rs
@@ -93,7 +93,7 @@
             .saturating_sub(age)
             .saturating_add(settings.lease_duration);
         let rate = f64::from(lease.rate);
-        if self.is_known(lender, lease.number)
+        if self.is_stale(lender, lease.number)
             || now >= expires_at
             || !rate.is_finite()
             || rate <= 0.0
@@ -113,7 +113,8 @@
         true
     }
 
-    fn is_known(&self, lender: u64, number: u32) -> bool {
+    /// Whether the lease is a duplicate of, or older than, the last accepted lease of the lender.
+    fn is_stale(&self, lender: u64, number: u32) -> bool {
         let borrowed = self.borrowed.get(&lender);
         borrowed.is_some_and(|borrowed| borrowed.number >= number)
     }
--- a/crates/slow-start/src/settings.rs
+++ b/crates/slow-start/src/settings.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// The window has length 0.
-    #[error("`window` is 0")]
+    #[error("`window` is 0, must be greater than 0")]
     ZeroWindow,
     /// A lease is shorter than a window, so it would expire before it is used.
     #[error("`lease_duration` is {lease_duration} ns, shorter than `window` of {window} ns")]
@@ -64,10 +64,10 @@
         window: Duration,
     },
     /// The growth factor is out of range.
-    #[error("`growth_factor` is {0}, not from 1 to {MAX_GROWTH_FACTOR}")]
+    #[error("`growth_factor` is {0}, must be between 1 and {MAX_GROWTH_FACTOR}")]
     GrowthFactor(f64),
     /// A fraction is not between 0 and 1.
-    #[error("`{name}` is {value}, not from 0 to 1")]
+    #[error("`{name}` is {value}, must be between 0 and 1")]
     Fraction {
         /// Name of the settings field.
         name: &'static str,
@@ -75,10 +75,10 @@
         value: f64,
     },
     /// The probe rate is not positive, so the destination would never be probed.
-    #[error("`probe_rate` is {0}, not over 0")]
+    #[error("`probe_rate` is {0}, must be finite and greater than 0")]
     ProbeRate(f64),
     /// The minimum lease rate is negative or not finite.
-    #[error("`min_lease_rate` is {0}, under 0")]
+    #[error("`min_lease_rate` is {0}, must be finite and not negative")]
     MinLeaseRate(f64),
 }
 
