--- a/crates/control-simulation/src/cluster/actions.rs
+++ b/crates/control-simulation/src/cluster/actions.rs
@@ -125,7 +125,7 @@
         }
         if let Some(process) = self.process(node) {
             let state = process.state();
-            let output = Output::of(&response, state.generation(), state.evacuated.clone());
+            let output = Output::of(&response, state.generation(), state.evacuated_zones.clone());
             self.check_durable_on_quorum(token, &output);
             self.history.complete(token, self.now_ms, output);
         }
--- a/crates/control-simulation/src/cluster/clients.rs
+++ b/crates/control-simulation/src/cluster/clients.rs
@@ -86,7 +86,7 @@
             balancer: BALANCER_NAME.to_owned(),
             epoch: balancer.epoch,
             offset: balancer.offset,
-            applied: balancer.state.index,
+            applied_index: balancer.state.index,
         };
         self.nodes[node].balancers.insert(subscriber, balancer);
         self.call(node, |process, now_ms, _| {
--- a/crates/control-simulation/src/cluster/lifecycle.rs
+++ b/crates/control-simulation/src/cluster/lifecycle.rs
@@ -49,14 +49,14 @@
             },
             zone: format!("zone-{node}"),
             region: format!("region-{}", node % self.topology.regions),
-            control: String::new(),
+            control_address: String::new(),
         };
         MachineSettings {
             machine,
             seeds: (0..self.topology.founders).map(address).collect(),
             zones: BTreeMap::new(),
             heartbeat_ms: UPSTREAM_HEARTBEAT_MS,
-            tolerated: self.topology.tolerated_failures,
+            tolerated_failures: self.topology.tolerated_failures,
             incarnation,
         }
     }
--- a/crates/control-simulation/src/invariants.rs
+++ b/crates/control-simulation/src/invariants.rs
@@ -162,7 +162,7 @@
         let index = state.index;
         let found = AppliedState {
             generation: state.generation(),
-            evacuated: state.evacuated.iter().cloned().collect(),
+            evacuated: state.evacuated_zones.iter().cloned().collect(),
         };
         let expected = self.states.entry(index).or_insert_with(|| found.clone());
         if *expected != found {
--- a/crates/control-simulation/src/scenario/fixtures.rs
+++ b/crates/control-simulation/src/scenario/fixtures.rs
@@ -38,7 +38,7 @@
         sequence,
         status,
         slow_start_remaining_ms: 0,
-        remaining_ms: 0,
+        termination_remaining_ms: 0,
         age_ms: 0,
     }
 }
--- a/crates/control-simulation/tests/partitions.rs
+++ b/crates/control-simulation/tests/partitions.rs
@@ -125,7 +125,7 @@
             );
         }
         cluster.run(conditions.delayed_delivery_ms);
-        let evacuated = &cluster.process(others[0]).unwrap().state().evacuated;
+        let evacuated = &cluster.process(others[0]).unwrap().state().evacuated_zones;
         assert!(
             evacuated.is_empty(),
             "seed {seed}: nobody acknowledged that {evacuated:?} is evacuated"
@@ -170,7 +170,10 @@
         cluster.heal();
         cluster.run(DELAYED_DELIVERY.delayed_delivery_ms + 3_000);
         let state = cluster.process(leader).unwrap().state();
-        assert!(state.evacuated.is_empty(), "seed {seed}: evacuated again");
+        assert!(
+            state.evacuated_zones.is_empty(),
+            "seed {seed}: evacuated again"
+        );
         assert_sound(&mut cluster);
     }
 }
--- a/crates/control/src/balancers.rs
+++ b/crates/control/src/balancers.rs
@@ -142,7 +142,7 @@
     }
 
     /// Forgets balancers that were not heard of for long.
-    pub fn forget(&mut self, now: u64) {
+    pub fn remove_expired(&mut self, now: u64) {
         self.records
             .retain(|_, record| now <= record.last_heard + RETENTION_MS);
     }
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -122,7 +122,7 @@
     }
 
     /// Forgets reports that have expired.
-    pub fn forget(&mut self, now: u64) {
+    pub fn remove_expired(&mut self, now: u64) {
         self.by_balancer
             .retain(|_, received| received.is_valid(now));
     }
--- a/crates/control/src/machine/directory.rs
+++ b/crates/control/src/machine/directory.rs
@@ -57,11 +57,11 @@
         let in_region = machines
             .iter()
             .filter(|machine| region == Some(&machine.region));
-        let weight = |machine: &&MachineInfo| hash(&(id, &machine.control));
+        let weight = |machine: &&MachineInfo| hash(&(id, &machine.control_address));
         let chosen = in_zone
             .max_by_key(weight)
             .or_else(|| in_region.max_by_key(weight));
-        chosen.map(|machine| machine.control.clone())
+        chosen.map(|machine| machine.control_address.clone())
     }
 
     /// The balancers for a client: those of its zone, else of its region, else of the regions to
--- a/crates/control/src/machine/failure_detection.rs
+++ b/crates/control/src/machine/failure_detection.rs
@@ -3,7 +3,7 @@
 
 use super::{ControlMachine, LogEvent};
 use crate::feed::FeedEvent;
-use crate::shards::{MONITORS, replica_group, shard_of};
+use crate::shards::{MONITOR_COUNT, replica_group, shard_of};
 use crate::wire::Packet;
 
 /// Heartbeats in a row that must be missed before an upstream counts as timed out.
@@ -29,7 +29,7 @@
         let own = self.settings.machine.member.address.clone();
         let owns = |service: &str| {
             let addresses = machines.iter().map(String::as_str);
-            let group = replica_group(shard_of(service), addresses, MONITORS);
+            let group = replica_group(shard_of(service), addresses, MONITOR_COUNT);
             group.first().is_some_and(|owner| *owner == own)
         };
         for upstream in self.registry.time_out(self.now, timeout_ms, owns) {
--- a/crates/control/src/machine/feeds.rs
+++ b/crates/control/src/machine/feeds.rs
@@ -25,7 +25,7 @@
     subscriber: u64,
     balancer: String,
     /// The position up to which it has applied the configuration's log.
-    applied: u64,
+    applied_index: u64,
 }
 
 /// The journal of events and its subscribers.
@@ -65,7 +65,7 @@
             balancer,
             epoch,
             offset,
-            applied,
+            applied_index,
         } = request;
         match self.feeds.journal.events_since(epoch, offset) {
             Some(events) => {
@@ -79,7 +79,7 @@
                 let pending = PendingSubscriber {
                     subscriber,
                     balancer,
-                    applied,
+                    applied_index,
                 };
                 self.feeds.pending.push(pending);
             }
@@ -89,11 +89,11 @@
     /// Balancers that wait for a snapshot get one, the same for all.
     pub(super) fn deliver_snapshots(&mut self) {
         let pending = std::mem::take(&mut self.feeds.pending);
-        let Some(applied) = pending.iter().map(|pending| pending.applied).min() else {
+        let Some(applied_index) = pending.iter().map(|pending| pending.applied_index).min() else {
             return;
         };
         self.deliver_events();
-        let snapshot = self.snapshot_for(applied);
+        let snapshot = self.snapshot_for(applied_index);
         let admitted: Vec<u64> = pending.iter().map(|pending| pending.subscriber).collect();
         for PendingSubscriber {
             subscriber,
@@ -123,8 +123,8 @@
     }
 
     /// All that a balancer needs that has applied the configuration's log up to a position.
-    fn snapshot_for(&self, applied: u64) -> Packet {
-        let is_behind = self.state.index > applied;
+    fn snapshot_for(&self, applied_index: u64) -> Packet {
+        let is_behind = self.state.index > applied_index;
         Packet::Snapshot {
             epoch: self.feeds.journal.epoch(),
             offset: self.feeds.journal.end_offset(),
--- a/crates/control/src/machine/load_notices.rs
+++ b/crates/control/src/machine/load_notices.rs
@@ -52,7 +52,7 @@
         let interval_ms = NOTIFY_INTERVAL_MS * subscribers.max(SUBSCRIBERS_PER_INTERVAL)
             / SUBSCRIBERS_PER_INTERVAL;
         self.load_notices.due = self.now + interval_ms;
-        self.load_reports.forget(self.now);
+        self.load_reports.remove_expired(self.now);
         for (zone, subscribers) in self.subscribers_by_zone() {
             let loads = self.loads_for(&zone);
             if self.load_notices.must_send(self.now, &zone, &loads) {
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -59,7 +59,7 @@
     /// The configuration and the evacuations, as far as the log is applied.
     state: ControlState,
     /// The position of the last entry that was applied.
-    applied: u64,
+    applied_index: u64,
     /// Bytes of commands in the log since its last snapshot.
     log_bytes: usize,
     leader_clock: LeaderClock,
@@ -98,7 +98,7 @@
     /// A machine with what its disk holds, at a time in milliseconds. The seed is for the random
     /// draws of its replica.
     pub fn new(settings: MachineSettings, durable: DurableState, now: u64, seed: u64) -> Self {
-        let min_voters = 2 * settings.tolerated + 1;
+        let min_voters = 2 * settings.tolerated_failures + 1;
         let replica = Replica::new(
             durable,
             Settings {
@@ -114,7 +114,7 @@
             timers: Timers::new(now),
             replica,
             state: ControlState::default(),
-            applied: 0,
+            applied_index: 0,
             log_bytes: 0,
             leader_clock: LeaderClock::default(),
             leadership: LeadershipTracker::default(),
@@ -183,8 +183,8 @@
         self.deliver_loads();
         if self.timers.hello.fire(self.now) {
             self.introduce();
-            self.registry.forget(self.now);
-            self.balancers.forget(self.now);
+            self.registry.remove_expired(self.now);
+            self.balancers.remove_expired(self.now);
         }
         if self.timers.join.fire(self.now) {
             self.request_to_join();
--- a/crates/control/src/machine/read_index.rs
+++ b/crates/control/src/machine/read_index.rs
@@ -122,7 +122,7 @@
     /// Responds to the reads of callers whose position is applied. Where there is no configuration
     /// yet, there is nothing to respond with.
     pub(super) fn complete_reads(&mut self) {
-        let applied = self.applied;
+        let applied = self.applied_index;
         let is_complete =
             |read: &PendingRead| read.read_index.is_some_and(|index| index <= applied);
         let complete = self
--- a/crates/control/src/machine/replication.rs
+++ b/crates/control/src/machine/replication.rs
@@ -79,7 +79,7 @@
     fn restore_snapshot(&mut self, snapshot: &Snapshot) {
         match ControlState::decode(&snapshot.state) {
             Ok(state) => {
-                self.applied = snapshot.index;
+                self.applied_index = snapshot.index;
                 self.restore_state(state);
             }
             Err(error) => self.log(LogEvent::SnapshotRejected {
@@ -90,7 +90,7 @@
     }
 
     fn apply_entry(&mut self, entry: Entry) {
-        self.applied = entry.index;
+        self.applied_index = entry.index;
         match entry.payload {
             EntryPayload::Command(bytes) => {
                 self.log_bytes += bytes.len();
--- a/crates/control/src/machine/settings.rs
+++ b/crates/control/src/machine/settings.rs
@@ -19,7 +19,7 @@
     /// The period of upstreams' heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
     /// The number of machines with a disk that may be lost at a time.
-    pub tolerated: usize,
+    pub tolerated_failures: usize,
     /// Distinguishes this process, its calls and its journal from earlier processes of the machine.
     pub incarnation: u64,
 }
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -62,7 +62,7 @@
     pub slow_start_remaining_ms: u64,
     /// The time left to one that is terminated at short notice, in milliseconds; 0 where no notice
     /// was given.
-    pub remaining_ms: u64,
+    pub termination_remaining_ms: u64,
     /// The age of its newest heartbeat in milliseconds, as of when this record was made or sent.
     pub age_ms: u64,
 }
@@ -79,7 +79,7 @@
             sequence: 0,
             status: UpstreamStatus::Deregistered,
             slow_start_remaining_ms: 0,
-            remaining_ms: 0,
+            termination_remaining_ms: 0,
             age_ms: 0,
         }
     }
@@ -181,7 +181,7 @@
     }
 
     /// Forgets upstreams that left or timed out long ago.
-    pub fn forget(&mut self, now: u64) {
+    pub fn remove_expired(&mut self, now: u64) {
         self.records
             .retain(|_, record| match record.registration.status {
                 UpstreamStatus::Ready => true,
--- a/crates/control/src/shards.rs
+++ b/crates/control/src/shards.rs
@@ -6,13 +6,13 @@
 /// The number of shards of the registrations, by a hash of the service's name. More than there are
 /// machines, so that each machine's share is about even; few enough that each has traffic of its
 /// own.
-pub const SHARDS: u32 = 64;
+pub const SHARD_COUNT: u32 = 64;
 /// The number of machines in a shard's replica group, and of those that monitor a balancer.
-pub const MONITORS: usize = 3;
+pub const MONITOR_COUNT: usize = 3;
 
 /// The shard of a service.
 pub fn shard_of(service: &str) -> u32 {
-    (hash(&service) % u64::from(SHARDS)) as u32
+    (hash(&service) % u64::from(SHARD_COUNT)) as u32
 }
 
 /// The machines of a shard, at most `limit`, the owner first: those with the highest weights by
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -27,7 +27,7 @@
     /// The configuration in force, as its routing uses it.
     pub configuration: Option<Arc<Configuration>>,
     /// The zones that get no new requests.
-    pub evacuated: BTreeSet<String>,
+    pub evacuated_zones: BTreeSet<String>,
     /// The configuration in force, as the operator wrote it.
     document: Arc<Value>,
     accepted: AcceptedCommands,
@@ -57,11 +57,11 @@
                 patch::apply(current, &parse_document(body)?)
             }),
             Command::Evacuate { zone } => {
-                self.evacuated.insert(zone.clone());
+                self.evacuated_zones.insert(zone.clone());
                 CommandOutcome::Accepted
             }
             Command::EndEvacuation { zone } => {
-                self.evacuated.remove(zone);
+                self.evacuated_zones.remove(zone);
                 CommandOutcome::Accepted
             }
         }
--- a/crates/control/src/state/snapshot.rs
+++ b/crates/control/src/state/snapshot.rs
@@ -63,7 +63,7 @@
         let stored = StoredState {
             index: self.index,
             document,
-            evacuated: self.evacuated.iter().cloned().collect(),
+            evacuated: self.evacuated_zones.iter().cloned().collect(),
             accepted: self.accepted.iter().map(StoredDigest::from).collect(),
         };
         stored.serialize_bin()
@@ -85,7 +85,7 @@
             state.configuration = Some(Arc::new(Configuration::read(&document)?));
             state.document = Arc::new(document);
         }
-        state.evacuated = stored.evacuated.into_iter().collect();
+        state.evacuated_zones = stored.evacuated.into_iter().collect();
         for digest in stored.accepted {
             state.accepted.insert(digest.into());
         }
--- a/crates/control/src/wire/packet.rs
+++ b/crates/control/src/wire/packet.rs
@@ -20,7 +20,7 @@
     /// Its region.
     pub region: String,
     /// Where operators and upstreams reach it, as `ip:port`.
-    pub control: String,
+    pub control_address: String,
 }
 
 /// Identifies a call between control machines among those of all processes that ever ran: a late
@@ -149,7 +149,7 @@
     /// The offset behind the last event that it has read.
     pub offset: u64,
     /// The position up to which it has applied the configuration's log.
-    pub applied: u64,
+    pub applied_index: u64,
 }
 
 /// A heartbeat of an upstream without changes.
--- a/crates/control/tests/commands.rs
+++ b/crates/control/tests/commands.rs
@@ -185,7 +185,7 @@
     let mut actions = persist_all(&mut machine, 1_200);
     machine.tick(1_250);
     actions.extend(persist_all(&mut machine, 1_250));
-    assert!(machine.state().evacuated.contains("other"));
+    assert!(machine.state().evacuated_zones.contains("other"));
     assert_eq!(responses(&actions), [&CallResponse::Indeterminate]);
 }
 
@@ -239,7 +239,7 @@
     );
     persist_all(&mut machine, 1_200);
     assert!(
-        machine.state().evacuated.contains("z"),
+        machine.state().evacuated_zones.contains("z"),
         "the third is not taken for a repetition of the first"
     );
 }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -218,11 +218,11 @@
     );
     for command in [&begin, &begin] {
         assert_eq!(state.apply(1, command), CommandOutcome::Accepted);
-        assert!(state.evacuated.contains("z"));
+        assert!(state.evacuated_zones.contains("z"));
     }
     for command in [&end, &end] {
         assert_eq!(state.apply(2, command), CommandOutcome::Accepted);
-        assert!(state.evacuated.is_empty());
+        assert!(state.evacuated_zones.is_empty());
     }
 }
 
@@ -239,7 +239,7 @@
     );
     let mut again = ControlState::decode(&state.encode()).unwrap();
     assert_eq!(
-        (again.index, again.generation(), again.evacuated.len()),
+        (again.index, again.generation(), again.evacuated_zones.len()),
         (2, 5, 1)
     );
     assert_eq!(again.document(), state.document());
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -20,7 +20,7 @@
     let mut machine = MachineBuilder::new()
         .zones(&zones)
         .founders(1)
-        .tolerated(0)
+        .tolerated_failures(0)
         .build();
     for now in (0..2_000).step_by(50) {
         machine.tick(now);
--- a/crates/control/tests/feeds.rs
+++ b/crates/control/tests/feeds.rs
@@ -18,7 +18,7 @@
         balancer: "front".to_owned(),
         epoch,
         offset,
-        applied: 0,
+        applied_index: 0,
     };
     machine.subscribe(1_000, 1, subscribe(0, 0));
     machine.subscribe(1_000, 2, subscribe(0, 0));
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -86,7 +86,7 @@
         member: member(id),
         zone: text("zone-1"),
         region: text("region-1"),
-        control: format!("10.0.0.{id}:80"),
+        control_address: format!("10.0.0.{id}:80"),
     }
 }
 
@@ -100,7 +100,7 @@
         sequence: 3,
         status,
         slow_start_remaining_ms: 5_000,
-        remaining_ms: 6_000,
+        termination_remaining_ms: 6_000,
         age_ms: 7,
     }
 }
@@ -191,7 +191,7 @@
 #[case::read("read", Packet::ReadIndexRequest { call: CALL })]
 #[case::read_done("read_done", Packet::ReadIndexReply { call: CALL, index: Some(4) })]
 #[case::read_done_unclear("read_done_unclear", Packet::ReadIndexReply { call: CALL, index: None })]
-#[case::subscribe("subscribe", Packet::Subscribe(SubscribeRequest { balancer: text("front-1"), epoch: 1, offset: 2, applied: 3 }))]
+#[case::subscribe("subscribe", Packet::Subscribe(SubscribeRequest { balancer: text("front-1"), epoch: 1, offset: 2, applied_index: 3 }))]
 #[case::snapshot("snapshot", Packet::Snapshot {
     epoch: 1,
     offset: 2,
@@ -372,7 +372,7 @@
     assert_golden(STORED, "state_empty", &state.encode());
     let read = ControlState::decode(&golden(STORED, "state_empty")).unwrap();
     assert_eq!(
-        (read.index, read.generation(), read.evacuated.len()),
+        (read.index, read.generation(), read.evacuated_zones.len()),
         (0, 0, 0)
     );
 }
@@ -387,7 +387,7 @@
     assert_eq!(read.configuration, state.configuration);
     assert_eq!(read.document(), state.document());
     assert_eq!(
-        read.evacuated.iter().collect::<Vec<_>>(),
+        read.evacuated_zones.iter().collect::<Vec<_>>(),
         ["zone-1", "zone-2"]
     );
     // An order that was accepted before is acknowledged again, although its base is an old one.
--- a/crates/control/tests/load_notices.rs
+++ b/crates/control/tests/load_notices.rs
@@ -25,7 +25,7 @@
                 balancer,
                 epoch: 0,
                 offset: 0,
-                applied: 0,
+                applied_index: 0,
             },
         );
     }
--- a/crates/control/tests/loads.rs
+++ b/crates/control/tests/loads.rs
@@ -77,7 +77,7 @@
 fn reports_expire(#[case] now: u64, #[case] expected: usize) {
     let mut loads = LoadReports::default();
     loads.record(0, report(1, "n1", 4_000, true));
-    loads.forget(now);
+    loads.remove_expired(now);
     assert_eq!(loads_of(&loads, "n1").len(), expected);
     loads.record(
         now,
@@ -136,6 +136,6 @@
     );
     let combined = loads.for_zone("n2", |zone| zone.starts_with('n'));
     assert_eq!(combined.placements, [one, other]);
-    loads.forget(801);
+    loads.remove_expired(801);
     assert!(loads.for_zone("n2", |_| true).is_empty());
 }
--- a/crates/control/tests/registry.rs
+++ b/crates/control/tests/registry.rs
@@ -116,13 +116,13 @@
     let mut registry = Registry::default();
     registry.merge(0, registration(1, UpstreamStatus::Ready));
     registry.deregister(0, "i-1");
-    registry.forget(60_000);
+    registry.remove_expired(60_000);
     assert_eq!(
         registry.len(),
         1,
         "a delayed heartbeat must not bring it back yet"
     );
-    registry.forget(121_000);
+    registry.remove_expired(121_000);
     assert!(registry.is_empty());
 }
 
--- a/crates/control/tests/shards.rs
+++ b/crates/control/tests/shards.rs
@@ -1,7 +1,7 @@
 //! Which machines own shards and monitor balancers.
 
 use std::collections::{BTreeMap, BTreeSet};
-use woadstall_control::shards::{SHARDS, monitors, replica_group, shard_of};
+use woadstall_control::shards::{SHARD_COUNT, monitors, replica_group, shard_of};
 
 fn machines(count: usize) -> Vec<String> {
     (0..count)
@@ -10,7 +10,7 @@
 }
 
 fn owners(machines: &[String]) -> Vec<&str> {
-    (0..SHARDS)
+    (0..SHARD_COUNT)
         .map(|shard| replica_group(shard, machines.iter().map(String::as_str), 3)[0])
         .collect()
 }
@@ -25,8 +25,8 @@
         .for_each(|owner| *counts.entry(owner).or_default() += 1);
     let most = *counts.values().max().unwrap();
     assert!(
-        most <= 3 * SHARDS as usize / 9,
-        "one machine owns {most} of {SHARDS}"
+        most <= 3 * SHARD_COUNT as usize / 9,
+        "one machine owns {most} of {SHARD_COUNT}"
     );
     let lost = &nine[4];
     let eight: Vec<String> = nine
@@ -40,7 +40,7 @@
             "a shard moved though its owner stayed"
         );
     }
-    assert!(shard_of("any") < SHARDS);
+    assert!(shard_of("any") < SHARD_COUNT);
 }
 
 #[test]
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -46,7 +46,7 @@
 pub struct MachineBuilder {
     zones: Vec<(String, String)>,
     founders: u64,
-    tolerated: usize,
+    tolerated_failures: usize,
 }
 
 impl MachineBuilder {
@@ -56,7 +56,7 @@
         Self {
             zones,
             founders: 0,
-            tolerated: 1,
+            tolerated_failures: 1,
         }
     }
 
@@ -74,8 +74,8 @@
     }
 
     /// The number of machines that may be lost at a time.
-    pub fn tolerated(mut self, count: usize) -> Self {
-        self.tolerated = count;
+    pub fn tolerated_failures(mut self, count: usize) -> Self {
+        self.tolerated_failures = count;
         self
     }
 
@@ -91,12 +91,12 @@
                 member,
                 zone,
                 region,
-                control: String::new(),
+                control_address: String::new(),
             },
             seeds: (1..=self.founders.max(1)).map(address).collect(),
             zones: self.zones.into_iter().collect(),
             heartbeat_ms: 1_200,
-            tolerated: self.tolerated,
+            tolerated_failures: self.tolerated_failures,
             incarnation: INCARNATION,
         };
         let snapshot = match self.founders {
@@ -256,7 +256,7 @@
         sequence,
         status,
         slow_start_remaining_ms: 0,
-        remaining_ms: 0,
+        termination_remaining_ms: 0,
         age_ms: 0,
     }
 }
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -23,12 +23,13 @@
 }
 
 fn machine() -> MachineInfo {
-    let (zone, region, control) = ("z".to_owned(), "r".to_owned(), "10.0.0.1:80".to_owned());
+    let (zone, region, control_address) =
+        ("z".to_owned(), "r".to_owned(), "10.0.0.1:80".to_owned());
     MachineInfo {
         member: member(),
         zone,
         region,
-        control,
+        control_address,
     }
 }
 
@@ -42,7 +43,7 @@
         sequence: 3,
         status: UpstreamStatus::Draining,
         slow_start_remaining_ms: 5,
-        remaining_ms: 6,
+        termination_remaining_ms: 6,
         age_ms: 7,
     }
 }
@@ -279,7 +280,7 @@
             balancer: "front-1".to_owned(),
             epoch: 1,
             offset: 2,
-            applied: 3,
+            applied_index: 3,
         }),
         Packet::Snapshot {
             epoch: 1,
--- a/crates/node/src/core/api/request.rs
+++ b/crates/node/src/core/api/request.rs
@@ -152,7 +152,7 @@
         sequence: root.field("sequence").integer_or(0, findings),
         status,
         slow_start_remaining_ms: root.field("cold_remaining_ms").number_or(0.0, findings) as u64,
-        remaining_ms: root.field("remaining_ms").number_or(0.0, findings) as u64,
+        termination_remaining_ms: root.field("remaining_ms").number_or(0.0, findings) as u64,
         age_ms: 0,
     };
     let address = &registration.address;
--- a/crates/node/src/core/api/status.rs
+++ b/crates/node/src/core/api/status.rs
@@ -15,7 +15,7 @@
         "commit": replica.commit_index(),
         "last": replica.log().last_index(),
         "generation": machine.state().generation(),
-        "evacuated": machine.state().evacuated,
+        "evacuated": machine.state().evacuated_zones,
         "members": members(machine),
         "machines": machines(machine),
         "readers": machine.subscriber_names().collect::<Vec<_>>(),
@@ -41,7 +41,7 @@
             json!({
                 "address": other.member.address,
                 "zone": other.zone,
-                "control": other.control,
+                "control": other.control_address,
             })
         })
         .collect()
--- a/crates/node/src/core/golden_tests.rs
+++ b/crates/node/src/core/golden_tests.rs
@@ -34,7 +34,7 @@
         sequence: 17,
         status,
         slow_start_remaining_ms: 1_500,
-        remaining_ms: 2_500,
+        termination_remaining_ms: 2_500,
         age_ms: 350,
     }
 }
@@ -204,13 +204,13 @@
                 sequence,
                 status,
                 slow_start_remaining_ms,
-                remaining_ms,
+                termination_remaining_ms,
                 age_ms,
             } = registration;
             format!(
                 "register id={id} service={service} address={address} zone={zone} capacity={capacity} \
                  sequence={sequence} status={status:?} cold_remaining_ms={slow_start_remaining_ms} \
-                 remaining_ms={remaining_ms} age_ms={age_ms}"
+                 remaining_ms={termination_remaining_ms} age_ms={age_ms}"
             )
         }
         ApiRequest::Deregister(id) => format!("deregister id={id}"),
@@ -398,12 +398,12 @@
             member,
             zone: "a-1".to_owned(),
             region: "a".to_owned(),
-            control: "10.1.0.1:7000".to_owned(),
+            control_address: "10.1.0.1:7000".to_owned(),
         },
         seeds: vec!["10.2.0.1:7001".to_owned()],
         zones: [("a-1".to_owned(), "a".to_owned())].into(),
         heartbeat_ms: 1_200,
-        tolerated: 1,
+        tolerated_failures: 1,
         incarnation: 9,
     };
     ControlMachine::new(
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -128,14 +128,14 @@
         member,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        control: control.to_string(),
+        control_address: control.to_string(),
     };
     MachineSettings {
         machine,
         seeds: addresses(&settings.internal_seeds()),
         zones: settings.zones.clone(),
         heartbeat_ms: settings.heartbeat_ms,
-        tolerated: settings.tolerated_failures,
+        tolerated_failures: settings.tolerated_failures,
         incarnation: fastrand::u64(1..),
     }
 }
--- a/crates/node/src/core/registration_store/tests.rs
+++ b/crates/node/src/core/registration_store/tests.rs
@@ -16,7 +16,7 @@
         sequence: 1,
         status,
         slow_start_remaining_ms: 0,
-        remaining_ms: 0,
+        termination_remaining_ms: 0,
         age_ms: 0,
     }
 }
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -111,7 +111,7 @@
         balancer: front.settings.node.clone(),
         epoch: position.epoch,
         offset: position.offset,
-        applied: front.applied_index(),
+        applied_index: front.applied_index(),
     });
     write_packet(&mut stream, &subscribe).await?;
     let mut without_quorum = 0;
--- a/crates/node/src/front/golden_tests.rs
+++ b/crates/node/src/front/golden_tests.rs
@@ -93,7 +93,7 @@
         },
         zone: format!("{region}-1"),
         region: region.to_owned(),
-        control: "10.1.0.1:7000".to_owned(),
+        control_address: "10.1.0.1:7000".to_owned(),
     }
 }
 
@@ -107,7 +107,7 @@
         sequence: 1,
         status: UpstreamStatus::Ready,
         slow_start_remaining_ms: 0,
-        remaining_ms: 0,
+        termination_remaining_ms: 0,
         age_ms: 0,
     }
 }
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 use woadstall_control::balancers::BalancerHeartbeat;
-use woadstall_control::shards::{MONITORS, monitors};
+use woadstall_control::shards::{MONITOR_COUNT, monitors};
 use woadstall_control::wire::Packet;
 
 /// The interval between heartbeats; one with something new is sent at once.
@@ -59,7 +59,7 @@
     let addresses = machines
         .iter()
         .map(|machine| machine.member.address.as_str());
-    let mut selected = monitors(&front.settings.node, addresses, MONITORS);
+    let mut selected = monitors(&front.settings.node, addresses, MONITOR_COUNT);
     let same_zone = machines
         .iter()
         .find(|machine| machine.zone == front.settings.zone)
--- a/crates/node/src/front/state.rs
+++ b/crates/node/src/front/state.rs
@@ -114,7 +114,7 @@
     /// Changes the configuration or the evacuations, and informs the router.
     pub fn update_control_state(&self, change: impl FnOnce(&mut ControlState)) {
         let mut state = lock(&self.control_state);
-        let evacuated_before = state.evacuated.clone();
+        let evacuated_before = state.evacuated_zones.clone();
         let generation_before = state.generation();
         change(&mut state);
         if state.generation() != generation_before {
@@ -123,8 +123,8 @@
                 self.announce.notify_one();
             }
         }
-        if state.evacuated != evacuated_before {
-            log::info!("evacuations_applied zones={:?}", state.evacuated);
+        if state.evacuated_zones != evacuated_before {
+            log::info!("evacuations_applied zones={:?}", state.evacuated_zones);
             self.apply_evacuations(&state);
         }
     }
@@ -139,7 +139,7 @@
                 .and_then(|services| services.get(service))
                 .map_or(Duration::ZERO, |service| service.slow_start)
         };
-        lock(&self.router).set_evacuated_zones(self.now(), &state.evacuated, warmup);
+        lock(&self.router).set_evacuated_zones(self.now(), &state.evacuated_zones, warmup);
     }
 
     /// Applies what may change while the process runs: the seeds.
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -46,7 +46,7 @@
         sequence: 1,
         status: UpstreamStatus::Ready,
         slow_start_remaining_ms: 0,
-        remaining_ms: 0,
+        termination_remaining_ms: 0,
         age_ms: 0,
     }
 }
