--- a/crates/control/src/balancers.rs
+++ b/crates/control/src/balancers.rs
@@ -1,4 +1,4 @@
-//! The balancers that are alive, by the heartbeats that they send to a few monitors.
+//! The table of balancers, built from the heartbeats that each balancer sends to a few monitors.
 
 use crate::merge::MergeOutcome;
 use crate::shards::short_hash;
@@ -10,22 +10,23 @@
 pub struct BalancerHeartbeat {
     /// The balancer's name.
     pub name: String,
-    /// When this process started: a later one replaces an earlier one.
+    /// The start time of the balancer's process. A higher incarnation replaces a lower one.
     pub incarnation: u64,
-    /// Rises with each heartbeat of an incarnation.
+    /// The sequence number, which rises with each heartbeat of an incarnation.
     pub sequence: u64,
-    /// Where clients reach it, as `ip:port`.
+    /// The address for clients, as `ip:port`.
     pub address: String,
-    /// Its zone.
+    /// The balancer's zone.
     pub zone: String,
-    /// Whether it accepts clients.
+    /// Whether the balancer accepts clients.
     pub ready: bool,
 }
 
-/// A heartbeat without changes since the one before it, in short form.
+/// A short form of a heartbeat that differs from the preceding heartbeat in the sequence number
+/// only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct BalancerRenewal {
-    /// The hash of the balancer's name.
+    /// The balancer's name, hashed by [`short_hash`].
     pub name: u32,
     /// The incarnation that sent the heartbeat.
     pub incarnation: u64,
@@ -33,60 +34,64 @@
     pub sequence: u64,
 }
 
-/// A balancer as one control machine knows it.
+/// The record of a balancer at one control machine.
 #[derive(Clone, Debug)]
 struct BalancerRecord {
     heartbeat: BalancerHeartbeat,
-    /// When the newest heartbeat was heard of.
-    last_heard: u64,
-    /// When this incarnation was last heard of as ready, if it ever was.
-    last_ready: Option<u64>,
+    /// The time in milliseconds at which this machine received the newest heartbeat, directly or by
+    /// gossip.
+    last_heard_ms: u64,
+    /// The time in milliseconds of the newest ready heartbeat of this incarnation, if there has
+    /// been one.
+    last_ready_ms: Option<u64>,
 }
 
-/// The balancers as one control machine knows them, with times in milliseconds of its clock.
+/// The balancers known to one control machine. All times are milliseconds of that machine's clock.
 #[derive(Clone, Debug, Default)]
 pub struct BalancerTable {
     records: BTreeMap<String, BalancerRecord>,
 }
 
-/// The time in milliseconds after which an incarnation that was not heard of may be replaced by any
-/// other: more than two heartbeats.
+/// The time in milliseconds without a heartbeat after which any other incarnation may replace the
+/// recorded one: more than two heartbeat periods.
 const INCARNATION_TIMEOUT_MS: u64 = 900;
-/// The time in milliseconds after which a balancer that was not heard of is forgotten.
+/// The time in milliseconds without a heartbeat after which a balancer is removed from the table.
 const RETENTION_MS: u64 = 60_000;
 
 impl BalancerTable {
-    /// Merges a heartbeat. Another incarnation replaces one that has timed out, whatever their
-    /// numbers: the time of day that these are drawn from may step back.
+    /// Merges a heartbeat into the table. An incarnation that has timed out is replaced by any
+    /// other one, including a lower one: incarnations are taken from the time of day, which may
+    /// step back.
     pub fn merge(&mut self, now: u64, heartbeat: BalancerHeartbeat) -> MergeOutcome {
-        let former = self.records.get(&heartbeat.name);
-        if former.is_some_and(|former| !former.is_superseded_by(now, &heartbeat)) {
+        let known = self.records.get(&heartbeat.name);
+        if known.is_some_and(|known| !known.is_superseded_by(now, &heartbeat)) {
             return MergeOutcome::Stale;
         }
-        let outcome = match former {
-            Some(former) if former.differs_only_in_sequence(&heartbeat) => MergeOutcome::Renewed,
+        let outcome = match known {
+            Some(known) if known.differs_only_in_sequence(&heartbeat) => MergeOutcome::Renewed,
             _ => MergeOutcome::Changed,
         };
-        let former_of_incarnation =
-            former.filter(|former| former.heartbeat.incarnation == heartbeat.incarnation);
-        let last_ready = if heartbeat.ready {
+        let same_incarnation =
+            known.filter(|known| known.heartbeat.incarnation == heartbeat.incarnation);
+        let last_ready_ms = if heartbeat.ready {
             Some(now)
         } else {
-            former_of_incarnation.and_then(|former| former.last_ready)
+            same_incarnation.and_then(|known| known.last_ready_ms)
         };
         let name = heartbeat.name.clone();
         self.records.insert(
             name,
             BalancerRecord {
                 heartbeat,
-                last_heard: now,
-                last_ready,
+                last_heard_ms: now,
+                last_ready_ms,
             },
         );
         outcome
     }
 
-    /// Another machine has heard renewals: those of the incarnation that is known confirm it.
+    /// Applies renewals received by another machine. A renewal counts only for the incarnation that
+    /// is recorded here.
     pub fn renew(&mut self, now: u64, renewals: &[BalancerRenewal]) {
         let by_name: BTreeMap<u32, &BalancerRenewal> = renewals
             .iter()
@@ -99,25 +104,25 @@
             let known = &record.heartbeat;
             if renewal.incarnation == known.incarnation && renewal.sequence > known.sequence {
                 record.heartbeat.sequence = renewal.sequence;
-                record.last_heard = now;
+                record.last_heard_ms = now;
                 if record.heartbeat.ready {
-                    record.last_ready = Some(now);
+                    record.last_ready_ms = Some(now);
                 }
             }
         }
     }
 
-    /// The balancers that were heard of within a time-out in milliseconds.
+    /// Returns the balancers whose newest heartbeat is at most `timeout_ms` old.
     pub fn alive(&self, now: u64, timeout_ms: u64) -> impl Iterator<Item = &BalancerHeartbeat> {
-        let is_alive = move |record: &&BalancerRecord| now <= record.last_heard + timeout_ms;
+        let is_alive = move |record: &&BalancerRecord| now <= record.last_heard_ms + timeout_ms;
         self.records
             .values()
             .filter(is_alive)
             .map(|record| &record.heartbeat)
     }
 
-    /// The balancers that are alive and no longer ready, but were ready within `ready_within_ms`:
-    /// they are shutting down, and still accept clients for a while.
+    /// Returns the balancers that are shutting down and still accept clients for a while. Such a
+    /// balancer is alive and not ready, but was ready at most `ready_within_ms` ago.
     pub fn stopping(
         &self,
         now: u64,
@@ -126,9 +131,9 @@
     ) -> impl Iterator<Item = &BalancerHeartbeat> {
         let is_stopping = move |record: &&BalancerRecord| {
             let was_ready = record
-                .last_ready
+                .last_ready_ms
                 .is_some_and(|at| now <= at + ready_within_ms);
-            !record.heartbeat.ready && was_ready && now <= record.last_heard + timeout_ms
+            !record.heartbeat.ready && was_ready && now <= record.last_heard_ms + timeout_ms
         };
         self.records
             .values()
@@ -136,15 +141,15 @@
             .map(|record| &record.heartbeat)
     }
 
-    /// The zone of a balancer.
+    /// Returns the zone of a balancer, or `None` if the balancer is unknown.
     pub fn zone_of(&self, name: &str) -> Option<&str> {
         self.records.get(name).map(|record| &*record.heartbeat.zone)
     }
 
-    /// Forgets balancers that were not heard of for long.
+    /// Removes balancers whose newest heartbeat is older than the retention time.
     pub fn remove_expired(&mut self, now: u64) {
         self.records
-            .retain(|_, record| now <= record.last_heard + RETENTION_MS);
+            .retain(|_, record| now <= record.last_heard_ms + RETENTION_MS);
     }
 }
 
@@ -154,12 +159,12 @@
         if known.incarnation == heartbeat.incarnation {
             heartbeat.sequence > known.sequence
         } else {
-            let has_timed_out = now > self.last_heard + INCARNATION_TIMEOUT_MS;
+            let has_timed_out = now > self.last_heard_ms + INCARNATION_TIMEOUT_MS;
             heartbeat.incarnation > known.incarnation || has_timed_out
         }
     }
 
-    /// Whether a heartbeat differs from the known one in nothing but its sequence number.
+    /// Returns whether a heartbeat differs from the recorded one in the sequence number only.
     fn differs_only_in_sequence(&self, heartbeat: &BalancerHeartbeat) -> bool {
         let sequence = self.heartbeat.sequence;
         BalancerHeartbeat {
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,60 +1,61 @@
-//! The operator's commands, as entries of the replicated log.
+//! Commands from operators, stored as entries of the replicated log.
 
 use nanoserde::{DeBin, SerBin};
 
-/// A command of the operator.
+/// A command from an operator.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Command {
-    /// Replace the configuration.
+    /// Replace the whole configuration.
     Put {
-        /// The version that it builds on.
+        /// The generation of the configuration on which the change is based.
         base: u64,
-        /// The configuration as JSON.
+        /// The new configuration as JSON.
         body: Vec<u8>,
     },
-    /// Change named items of the configuration.
+    /// Replace fields of the configuration, and insert, replace or delete single routes and
+    /// services by name.
     Patch {
-        /// The version that it builds on.
+        /// The generation of the configuration on which the change is based.
         base: u64,
-        /// The change as JSON.
+        /// The patch as JSON.
         body: Vec<u8>,
     },
-    /// Send no new requests to the upstreams of a zone.
+    /// Stop sending new requests to the upstreams of a zone.
     Evacuate {
-        /// The zone.
+        /// The zone to evacuate.
         zone: String,
     },
     /// End the evacuation of a zone.
     EndEvacuation {
-        /// The zone.
+        /// The zone whose evacuation ends.
         zone: String,
     },
 }
 
-/// The outcome of a command that was applied.
+/// The outcome of an applied command.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum CommandOutcome {
-    /// It is in force, or was put in force by an earlier attempt.
+    /// The command took effect, either now or at an earlier attempt.
     Accepted,
-    /// The configuration builds on a version that is not the current one.
+    /// The command is based on a generation that is not the current one.
     Conflict {
-        /// The current version.
+        /// The generation of the configuration in force.
         current: u64,
     },
-    /// The configuration is invalid.
+    /// The command results in an invalid configuration.
     Invalid {
-        /// All findings, one a line.
+        /// All findings, one per line.
         findings: String,
     },
 }
 
 impl Command {
-    /// Whether it changes the configuration.
+    /// Returns whether the command changes the configuration.
     pub fn is_change(&self) -> bool {
         matches!(self, Self::Put { .. } | Self::Patch { .. })
     }
 
-    /// The identity of a command, by which a retry is recognized.
+    /// Returns a digest that identifies the command, so that a retry of it is recognized.
     pub fn digest(&self) -> u128 {
         let (kind, base, body): (u8, u64, &[u8]) = match self {
             Self::Put { base, body } => (1, *base, body),
@@ -67,7 +68,8 @@
     }
 }
 
-/// FNV-1a with 128 bits: stable over versions of the program, since digests are kept on disk.
+/// 128-bit FNV-1a. The result must not change between versions of the program, because digests are
+/// stored on disk.
 fn fnv1a(bytes: impl Iterator<Item = u8>) -> u128 {
     const OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
     const PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
--- a/crates/control/src/configuration/mod.rs
+++ b/crates/control/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration: routes, services, limits. It is read from JSON and checked
-//! completely.
+//! The operator's configuration of routes, services and limits, parsed from JSON and fully
+//! validated.
 
 mod read;
 
@@ -8,62 +8,61 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How often a request may run, which decides whether a failed one may be retried.
+/// How often a request may be executed. The type decides whether a failed request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteType {
-    /// It may run more than once.
+    /// A request may be executed more than once.
     Safe,
-    /// It may run at most once for each time that a client sends it.
+    /// A request may be executed at most once each time that a client sends it.
     NonIdempotent,
-    /// A stream of events; it may run at most once for each time that a client sends it, unless it
-    /// may be resumed.
+    /// The response is an event stream. A request may be executed at most once each time that a
+    /// client sends it, unless its stream is resumable.
     Streaming,
 }
 
-/// Where requests of a host and a path prefix go.
+/// A route: the rules for requests to a host and a path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route, which is unique.
     pub name: String,
-    /// The host, in lower case.
+    /// The host name, in lower case.
     pub host: String,
-    /// The prefix of the path, with a slash at both ends.
+    /// The path prefix, beginning and ending with a slash.
     pub path_prefix: String,
-    /// How often its requests may run.
+    /// How often a request of this route may be executed.
     pub route_type: RouteType,
-    /// The time-out of a request.
+    /// The time-out of one request.
     pub timeout: Duration,
-    /// The latency target of a response, or of a stream's first event.
+    /// The latency target of a complete response, or of the first event of a stream.
     pub target_latency: Duration,
-    /// The latency target from one event of a stream to the next (`gap_aim_ms`), where the operator
-    /// names one.
+    /// The target interval between the events of a stream (`gap_aim_ms`), if the operator sets one.
     pub inter_event_target: Option<Duration>,
-    /// Its priority class; 0 is the highest.
+    /// The priority class; 0 is the highest.
     pub priority: u8,
-    /// The services that it may go to.
+    /// The services that share the route's traffic.
     pub targets: Vec<WeightedService>,
-    /// The number of upstreams that one request may be sent to, at most.
+    /// The maximum number of upstreams to which one request is sent.
     pub max_attempts: u32,
-    /// Whether requests name the parts of their prompts, which upstreams have in their prefix
+    /// Whether requests identify the parts of their prompts, which upstreams hold in their prefix
     /// caches.
     pub session_affinity: bool,
     /// Whether a stream may be resumed at another upstream.
     pub resumable: bool,
-    /// The regions in which it may be served; all where there is none.
+    /// The regions in which requests may be served; empty if there is no restriction.
     pub allowed_regions: Vec<String>,
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// Its share, relative to the weights of the route's other services.
+    /// The share of the service, relative to the weights of the route's other services.
     pub weight: u64,
 }
 
 impl Route {
-    /// Whether a request may be retried after it may have run.
+    /// Returns whether a request may be retried after an attempt that may have been executed.
     pub fn is_idempotent(&self) -> bool {
         match self.route_type {
             RouteType::Safe => true,
@@ -73,40 +72,41 @@
     }
 }
 
-/// The engine of a model service's upstreams.
+/// The inference engine of an upstream in a model service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// The number of requests in one batch.
+    /// The maximum number of requests in one batch.
     pub capacity: u64,
-    /// The number of tokens in the KV cache, for running requests and the prefix cache together.
+    /// The size of the KV cache in tokens, shared by running requests and the prefix cache.
     pub kv_capacity_tokens: u64,
 }
 
-/// A service.
+/// A group of upstreams that serve the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service, which is unique.
     pub name: String,
-    /// The path of its health check.
+    /// The path of the health check; empty if the configuration sets none.
     pub health_check: String,
-    /// The number of connections that an upstream accepts from all callers together.
+    /// The number of connections that one upstream accepts from all callers together.
     pub max_connections: u64,
-    /// How long an upstream warms up after a start during traffic (`cold_start_s`).
+    /// The warm-up time of an upstream that starts while traffic is running (`cold_start_s`).
     pub slow_start: Duration,
-    /// The rate limit of an upstream that warms up, in requests a second; 0 where there is none.
+    /// The rate limit of an upstream during its warm-up, in requests per second; 0 if there is no
+    /// limit.
     pub warmup_per_s: f64,
-    /// The engine, where it serves a model.
+    /// The inference engine, if the service is a model service.
     pub engine: Option<Engine>,
 }
 
-/// Limits of clients' connections and requests.
+/// Limits on client connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's header at most.
+    /// The maximum size of a request's header in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body at most.
+    /// The maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// The time-out for a request's header.
+    /// The time-out for receiving a request's header.
     pub header_timeout: Duration,
     /// The time-out of an idle connection.
     pub idle_timeout: Duration,
@@ -123,38 +123,40 @@
     }
 }
 
-/// A configuration that is valid.
+/// A valid configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Its version.
+    /// The generation, which rises with each change of the configuration.
     pub generation: u64,
-    /// The routes.
+    /// The routes, in the order of the document.
     pub routes: Vec<Route>,
-    /// The services by name.
+    /// The services, keyed by name.
     pub services: BTreeMap<String, Service>,
-    /// The limits.
+    /// The limits on client connections and requests.
     pub limits: Limits,
-    /// The positions of each host's routes, those with the longest prefix first.
+    /// The indices of each host's routes in `routes`, longest path prefix first.
     by_host: HashMap<String, Vec<usize>>,
 }
 
 impl Configuration {
-    /// Reads and checks a configuration completely.
+    /// Parses and fully validates a configuration.
     ///
     /// # Errors
     ///
-    /// All findings, each with its path, where the document is not a valid configuration.
+    /// Returns all findings, each with its path, if the document is not a valid configuration.
     pub fn read(document: &Value) -> Result<Self, Findings> {
         read::configuration(document)
     }
 
-    /// The route of a request: the one of its host with the longest prefix that begins the path.
+    /// Returns the route of a request: the one with the longest matching path prefix among the
+    /// routes of the host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes_of(host)
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The routes of a host, with or without a port, those with the longest prefix first.
+    /// Returns the routes of a host, longest path prefix first. The host may include a port, which
+    /// is ignored.
     pub fn routes_of(&self, host: &str) -> impl Iterator<Item = &Route> {
         let host = host
             .rsplit_once(':')
--- a/crates/control/src/configuration/read.rs
+++ b/crates/control/src/configuration/read.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration from JSON. All findings are collected, each with its path.
+//! Parses a configuration from JSON. All findings are collected, each with its path.
 
 use super::{Configuration, Engine, Limits, Route, RouteType, Service, WeightedService};
 use crate::reader::{FieldReader, Findings};
@@ -191,7 +191,7 @@
     service
 }
 
-/// Two routes must not share a host and a prefix, nor a name.
+/// Checks that no two routes share a name, or both host and path prefix.
 fn check_unique(routes: &[Route], findings: &mut Findings) {
     let (mut prefixes, mut names) = (HashSet::new(), HashSet::new());
     for (position, route) in routes.iter().enumerate() {
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -1,33 +1,33 @@
-//! The change feed of a control machine: events appended to a journal in memory, which balancers
-//! read from an offset on.
+//! The change feed of a control machine: an in-memory journal of events, which balancers read from
+//! an offset.
 
 use crate::command::Command;
 use crate::registry::Registration;
 use nanoserde::{DeBin, SerBin};
 use std::collections::VecDeque;
 
-/// A change that balancers must hear of.
+/// A change to be sent to balancers.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum FeedEvent {
-    /// A command was committed at a position of the configuration's log.
+    /// A command was committed to the configuration log.
     Committed {
-        /// The position.
+        /// The log index of the command.
         index: u64,
-        /// The command.
+        /// The committed command.
         command: Command,
     },
-    /// An upstream's registration has changed.
+    /// An upstream's registration has changed. The variant holds the new registration.
     Registered(Registration),
 }
 
-/// Bytes of events that are retained for balancers that reconnect; one that is further behind gets
-/// a snapshot.
+/// The total size in bytes of the events that are retained for balancers that reconnect. A balancer
+/// that is further behind receives a snapshot.
 const RETAINED_BYTES: usize = 2 << 20;
-/// What an event counts for beside the body of its command, in bytes.
+/// The size in bytes assumed for an event without the body of its command.
 const EVENT_OVERHEAD_BYTES: usize = 200;
 
 impl FeedEvent {
-    /// What the event counts for, in bytes.
+    /// Returns the approximate size of the event in bytes, for the retention limit.
     fn size(&self) -> usize {
         let body = match self {
             Self::Committed {
@@ -40,20 +40,22 @@
     }
 }
 
-/// The journal of events, each at an offset that rises by 1.
+/// A journal of events with consecutive offsets.
 #[derive(Debug)]
 pub struct EventJournal {
-    /// Distinguishes this journal from one of an earlier process at the same address.
+    /// A number that distinguishes this journal from the journals of earlier processes at the same
+    /// address.
     epoch: u64,
-    /// The offset of the oldest event that is retained.
+    /// The offset of the oldest retained event.
     first_offset: u64,
     events: VecDeque<FeedEvent>,
-    /// The sum of the events' sizes.
+    /// The total size of the retained events in bytes.
     bytes: usize,
 }
 
 impl EventJournal {
-    /// An empty journal. The epoch must differ from that of any earlier process of the machine.
+    /// Creates an empty journal. The epoch must differ from the epochs of all earlier processes of
+    /// the machine.
     pub fn new(epoch: u64) -> Self {
         Self {
             epoch,
@@ -63,17 +65,18 @@
         }
     }
 
-    /// The epoch.
+    /// Returns the epoch, which distinguishes this journal from those of earlier processes.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The offset behind the last event.
+    /// Returns the offset after the last event.
     pub fn end_offset(&self) -> u64 {
         self.first_offset + self.events.len() as u64
     }
 
-    /// Appends an event, and drops the oldest ones beyond the bytes that are retained.
+    /// Appends an event, and drops the oldest events in excess of the retention limit. The newest
+    /// event is always retained.
     pub fn append(&mut self, event: FeedEvent) {
         self.bytes += event.size();
         self.events.push_back(event);
@@ -85,15 +88,16 @@
         }
     }
 
-    /// Drops all events: a balancer that goes on from any offset so far needs a snapshot.
+    /// Drops all events and invalidates all current offsets. A balancer that resumes from one of
+    /// them needs a snapshot.
     pub fn reset(&mut self) {
         self.first_offset = self.end_offset() + 1;
         self.events.clear();
         self.bytes = 0;
     }
 
-    /// The events from an offset of an epoch on; `None` where they are not retained, so that a
-    /// snapshot is needed.
+    /// Returns the events from an offset of an epoch on. The result is `None` if the epoch differs
+    /// or the events are not retained, in which case the balancer needs a snapshot.
     pub fn events_since(&self, epoch: u64, offset: u64) -> Option<Vec<FeedEvent>> {
         let skipped = offset
             .checked_sub(self.first_offset)
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,13 @@
-//! The control plane without I/O and without a clock: the replicated configuration and evacuations,
-//! the registrations of upstreams, and the heartbeats of balancers. The process that runs it hands
-//! in packets, calls and the time.
+//! The control plane as a state machine without I/O and without a clock. It covers the replicated
+//! configuration and evacuations, the registrations of upstreams, and the heartbeats of balancers.
+//! The host process passes in packets, calls and the current time.
 //!
-//! - [`machine`] is a control machine: it puts the other modules together.
-//! - [`command`], [`state`] and [`configuration`] are what the replicated log holds and makes.
-//! - [`registry`], [`balancers`] and [`loads`] are what heartbeats and reports carry; [`shards`]
-//!   assigns responsibilities.
-//! - [`feed`] and [`wire`] are how balancers and other machines hear of it.
+//! - [`machine`] is a control machine, which combines the other modules.
+//! - [`command`], [`state`] and [`configuration`] are the entries of the replicated log and the
+//!   state that results from them.
+//! - [`registry`], [`balancers`] and [`loads`] hold the contents of heartbeats and load reports;
+//!   [`shards`] assigns responsibilities to machines.
+//! - [`feed`] and [`wire`] distribute changes to balancers and other machines.
 
 pub mod balancers;
 pub mod command;
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -1,110 +1,116 @@
-//! What balancers report to each other of upstreams, by way of the control machines: prompt tokens
-//! that wait for prefill, upstreams that fail, and the upstreams to which shared prefixes of
-//! prompts were sent. Each balancer sees a small share of an upstream's requests; together they see
-//! all.
+//! Load reports that balancers exchange through the control machines. They cover the prompt tokens
+//! that wait for prefill, failing upstreams, and the upstreams to which shared prompt prefixes were
+//! sent. Each balancer sees only a small share of an upstream's requests; the combined reports
+//! cover all of them.
 //!
-//! Everything here may be lost or late: it expires within a second. It orders preferences, and has
-//! balancers pass over an upstream that several of their zone report and that they have not heard
-//! of since; it never makes an upstream eligible.
+//! All load reports may be lost or delayed, and expire within a second. They rank upstreams by
+//! preference. They also make a balancer skip an upstream that several balancers of its zone report
+//! as failing and from which it has had no response since the reports. Load reports never make an
+//! upstream eligible.
 
 use nanoserde::{DeBin, SerBin};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A balancer's report of the upstreams that others should know of, complete each time.
+/// A balancer's report of upstreams. Each report is complete and replaces the previous one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct LoadReport {
-    /// The hash of the balancer's name.
+    /// The balancer's name, hashed by [`short_hash`](crate::shards::short_hash).
     pub balancer: u32,
-    /// Rises with each report, also over restarts as long as the time of day does.
+    /// The sequence number. It rises with each report, and also across restarts unless the time of
+    /// day steps back.
     pub sequence: u64,
-    /// The balancer's zone.
+    /// The zone of the balancer.
     pub zone: String,
-    /// The upstreams.
+    /// The loaded or failing upstreams.
     pub upstreams: Vec<UpstreamLoad>,
-    /// Prompts with a long shared prefix that were sent to upstreams a moment ago.
+    /// Recent placements of prompts with a long shared prefix.
     pub placements: Vec<PrefixPlacement>,
 }
 
-/// A prompt with a long shared prefix that was sent to an upstream, which has the prefix in its
+/// The placement of a prompt with a long shared prefix at an upstream, which has the prefix in its
 /// cache from then on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub struct PrefixPlacement {
-    /// A random number that identifies the placement, as it is reported several times.
+    /// A random number that identifies the placement, because a placement is reported several
+    /// times.
     pub number: u32,
-    /// The hash of the upstream's id.
+    /// The upstream's id, hashed by [`short_hash`](crate::shards::short_hash).
     pub upstream: u32,
-    /// The hash of the prefix.
+    /// The hash of the shared prefix.
     pub prefix: u32,
-    /// The number of the prefix's tokens.
+    /// The number of tokens in the shared prefix.
     pub prefix_tokens: u32,
-    /// The number of the other tokens of the prompt.
+    /// The number of tokens in the prompt after the shared prefix.
     pub suffix_tokens: u32,
 }
 
-/// The state of an upstream as one balancer sees it.
+/// The load and health of an upstream as seen by one balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct UpstreamLoad {
-    /// The hash of its id.
+    /// The upstream's id, hashed by [`short_hash`](crate::shards::short_hash).
     pub upstream: u32,
-    /// Prompt tokens that were sent to it and that it has not begun to answer.
+    /// The number of prompt tokens sent to the upstream in requests for which it has not started
+    /// its response.
     pub pending_prefill_tokens: u32,
-    /// Whether it fails or sends nothing though requests wait there.
+    /// Whether requests to the upstream fail, or waiting requests get no response.
     pub is_failing: bool,
 }
 
-/// The state of an upstream as the balancers near the receiver see it.
+/// The load and health of an upstream as seen by the balancers near the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct FleetLoad {
-    /// The hash of its id.
+    /// The upstream's id, hashed by [`short_hash`](crate::shards::short_hash).
     pub upstream: u32,
-    /// Prompt tokens that wait for prefill, of all balancers of the region.
+    /// The number of prompt tokens that wait for prefill, summed over all balancers of the region.
     pub pending_prefill_tokens: u32,
-    /// The number of balancers of the zone with which it fails. Those of other zones may not reach
-    /// it for a reason of their own.
+    /// The number of balancers in the receiver's zone that report the upstream as failing. Reports
+    /// from other zones are excluded, because their balancers may be unable to reach the upstream
+    /// for reasons that do not apply to this zone.
     pub failing_balancers: u16,
 }
 
-/// What the balancers of a zone are notified of.
+/// The combined load reports for the balancers of a zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct FleetLoads {
-    /// The upstreams that fail or have prompts that wait for prefill.
+    /// The upstreams that fail or have prompt tokens waiting for prefill.
     pub upstreams: Vec<FleetLoad>,
-    /// Placements of the last moments, of all balancers of the region.
+    /// Recent placements by all balancers of the region, each listed once.
     pub placements: Vec<PrefixPlacement>,
 }
 
 impl FleetLoads {
-    /// Whether there is nothing to notify anyone of.
+    /// Returns whether there are neither upstreams nor placements to report.
     pub fn is_empty(&self) -> bool {
         self.upstreams.is_empty() && self.placements.is_empty()
     }
 }
 
-/// The time in milliseconds after which a report expires: two of the periods in which balancers
-/// repeat theirs, and the way.
+/// The lifetime of a report in milliseconds: two reporting periods of the balancers plus the
+/// transmission delay.
 const REPORT_TTL_MS: u64 = 800;
 
-/// A report, and when it arrived.
+/// A report and the time in milliseconds at which it arrived.
 #[derive(Clone, Debug)]
 struct ReceivedReport {
-    received_at: u64,
+    received_at_ms: u64,
     report: LoadReport,
 }
 
 impl ReceivedReport {
     fn is_valid(&self, now: u64) -> bool {
-        now <= self.received_at + REPORT_TTL_MS
+        now <= self.received_at_ms + REPORT_TTL_MS
     }
 }
 
-/// The newest report of each balancer, with times in milliseconds of one machine's clock.
+/// The newest report of each balancer. All times are milliseconds of one machine's clock.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReports {
     by_balancer: BTreeMap<u32, ReceivedReport>,
 }
 
 impl LoadReports {
-    /// Records a report, unless one that is not older is known and has not expired.
+    /// Records a report, unless a valid report with the same or a higher sequence number is known
+    /// from the same balancer.
     pub fn record(&mut self, now: u64, report: LoadReport) {
         let known = self
             .by_balancer
@@ -114,21 +120,21 @@
             self.by_balancer.insert(
                 report.balancer,
                 ReceivedReport {
-                    received_at: now,
+                    received_at_ms: now,
                     report,
                 },
             );
         }
     }
 
-    /// Forgets reports that have expired.
+    /// Removes expired reports.
     pub fn remove_expired(&mut self, now: u64) {
         self.by_balancer
             .retain(|_, received| received.is_valid(now));
     }
 
-    /// What the balancers of a zone are to know, from the reports of zones that belong to its
-    /// region.
+    /// Combines the recorded reports for the balancers of `zone`. Reports count only if
+    /// `is_of_region` holds for their zone, that is, if the zone is in the same region.
     pub fn for_zone(&self, zone: &str, is_of_region: impl Fn(&str) -> bool) -> FleetLoads {
         let mut placements: BTreeSet<PrefixPlacement> = BTreeSet::new();
         let mut loads: BTreeMap<u32, FleetLoad> = BTreeMap::new();
--- a/crates/control/src/machine/balancer_heartbeats.rs
+++ b/crates/control/src/machine/balancer_heartbeats.rs
@@ -6,7 +6,8 @@
 use crate::shards::short_hash;
 
 impl ControlMachine {
-    /// A balancer's heartbeat has arrived; the other machines hear of it by gossip.
+    /// Handles a balancer's heartbeat, and queues it for gossip to the other machines unless it is
+    /// stale.
     pub fn receive_heartbeat(&mut self, now: u64, heartbeat: BalancerHeartbeat) {
         self.advance_clock(now);
         let name = heartbeat.name.clone();
--- a/crates/control/src/machine/call.rs
+++ b/crates/control/src/machine/call.rs
@@ -1,29 +1,29 @@
-//! What calls of all kinds have in common: who waits, whom they are forwarded to, and how long they
-//! may take.
+//! Types shared by all kinds of pending calls: the origin of a call, the leader to which the call
+//! is forwarded, and its time-out.
 
 use crate::wire::CallId;
 use std::collections::BTreeMap;
 
-/// The time in milliseconds after which a call gets a response in any case: a caller goes to
-/// another machine after a second.
+/// The time-out of a call in milliseconds. It is below the 1 s after which a caller tries another
+/// machine, so that the caller receives a response first.
 pub(super) const CALL_TIMEOUT_MS: u64 = 900;
 
-/// Who waits for a command or a read.
+/// The origin of a command or a read, which receives the response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CallOrigin {
-    /// A caller of this machine, by its token.
+    /// A client of this machine, identified by the token of its call.
     Local(u64),
-    /// Another machine that has forwarded a call.
+    /// Another control machine that has forwarded a call to this machine.
     Peer {
-        /// Its internal address.
+        /// The internal address of the forwarding machine.
         address: String,
-        /// Its call.
+        /// The identity of the call at the forwarding machine.
         call: CallId,
     },
 }
 
 impl CallOrigin {
-    /// The token of a caller of this machine.
+    /// Returns the token of a local call, or `None` for a forwarded call.
     pub fn token(&self) -> Option<u64> {
         match self {
             Self::Local(token) => Some(*token),
@@ -32,16 +32,14 @@
     }
 }
 
-/// The leader of a term, as other machines reach it.
+/// The address of the leader in a term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct LeaderAddress {
-    /// The leader's internal address.
     pub address: String,
-    /// The term that it leads.
     pub term: u64,
 }
 
-/// Removes the calls whose time is over and returns them, the oldest first.
+/// Removes and returns the overdue calls, in ascending order of their numbers.
 pub(super) fn take_overdue<T>(
     calls: &mut BTreeMap<u64, T>,
     is_overdue: impl Fn(&T) -> bool,
--- a/crates/control/src/machine/calls.rs
+++ b/crates/control/src/machine/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for a response: their numbers, their origins, and what ends them.
+//! Bookkeeping for pending calls: numbering, retransmission to new leaders, and time-outs.
 
 use super::call::LeaderAddress;
 use super::commands::{PendingCommand, Proposal};
@@ -8,23 +8,24 @@
 use crate::wire::CallId;
 use std::collections::BTreeMap;
 
-/// The number of a process's first call.
+/// The number of the first call of a process.
 const FIRST_NUMBER: u64 = 2;
 
-/// Everything that waits for a response.
+/// All pending calls of this machine.
 #[derive(Debug)]
 pub(super) struct PendingCalls {
-    /// The number of the next call.
     next_number: u64,
-    /// Commands of callers, by the number of the call.
+    /// Commands submitted to this machine that have not been proposed yet or are forwarded, keyed
+    /// by call number.
     pub commands: BTreeMap<u64, PendingCommand>,
-    /// Entries proposed by this machine, by their position in the log.
+    /// Log entries proposed by this machine as leader, keyed by log index.
     pub proposals: BTreeMap<u64, Proposal>,
-    /// Reads of the configuration, by the number of the call.
+    /// Reads of the configuration, keyed by call number.
     pub reads: BTreeMap<u64, PendingRead>,
-    /// Registrations on their way to a quorum, by the number of the call.
+    /// Registrations awaiting acknowledgement by a quorum, keyed by call number.
     pub replications: BTreeMap<u64, PendingReplication>,
-    /// Calls of other machines that are acknowledged once the registrations are on disk.
+    /// Calls from other machines to be acknowledged after the registrations have been written to
+    /// disk.
     pub acks: Vec<PendingAck>,
 }
 
@@ -42,20 +43,20 @@
 }
 
 impl ControlMachine {
-    /// The number of a new call.
+    /// Allocates the number of a new call.
     pub(super) fn next_number(&mut self) -> u64 {
         let number = self.calls.next_number;
         self.calls.next_number += 1;
         number
     }
 
-    /// The identity of a new call.
+    /// Allocates the identity of a new call.
     pub(super) fn next_call(&mut self) -> CallId {
         let number = self.next_number();
         self.call_id(number)
     }
 
-    /// The identity of this process's call with a number.
+    /// Returns the identity of the call that this process numbered `number`.
     pub(super) fn call_id(&self, number: u64) -> CallId {
         CallId {
             incarnation: self.settings.incarnation,
@@ -63,17 +64,18 @@
         }
     }
 
-    /// The number of a call, if this process made it.
+    /// Returns the number of a call if the call was made by this process and not by an earlier
+    /// incarnation.
     pub(super) fn own_number(&self, call: CallId) -> Option<u64> {
         (call.incarnation == self.settings.incarnation).then_some(call.number)
     }
 
-    /// Responds to a caller of this machine.
+    /// Queues the response to a local call.
     pub(super) fn respond(&mut self, token: u64, response: CallResponse) {
         self.actions.push(Action::Respond { token, response });
     }
 
-    /// The leader of the current term, if it is known; it may be this machine.
+    /// Returns the leader of the current term if it is known. The leader may be this machine.
     pub(super) fn leader(&self) -> Option<LeaderAddress> {
         let address = self
             .replica
@@ -85,16 +87,16 @@
         })
     }
 
-    /// The connection to a machine is new: calls that were forwarded to it over a former one may be
-    /// lost and are sent again.
+    /// Resends the calls that were forwarded to a machine after a new connection to it has been
+    /// established, because calls sent over the previous connection may have been lost.
     pub(super) fn resend_calls(&mut self, address: &str) {
-        self.forget_forwarded_commands(address);
-        self.forget_requested_reads(address);
+        self.reset_forwarded_commands(address);
+        self.reset_requested_reads(address);
         self.forward_calls();
     }
 
-    /// Forwards calls that wait for a leader, also those that were sent to the leader of a former
-    /// term.
+    /// Forwards all pending calls that the current leader has not been sent. This includes calls
+    /// that were sent to the leader of an earlier term.
     fn forward_calls(&mut self) {
         let commands: Vec<u64> = self.calls.commands.keys().copied().collect();
         for number in commands {
@@ -107,7 +109,7 @@
         self.process_replica_outputs();
     }
 
-    /// Forwards waiting calls again, and responds to those whose time is over.
+    /// Forwards pending calls to the current leader, and responds to calls that have timed out.
     pub(super) fn time_out_calls(&mut self) {
         self.forward_calls();
         self.time_out_commands();
--- a/crates/control/src/machine/commands.rs
+++ b/crates/control/src/machine/commands.rs
@@ -1,5 +1,5 @@
-//! Commands of the operator: the leader proposes them to the log, any other machine forwards them
-//! to the leader.
+//! Commands from operators. The leader proposes commands to the replicated log; other machines
+//! forward them to the leader.
 
 use super::call::{CALL_TIMEOUT_MS, CallOrigin, LeaderAddress, take_overdue};
 use super::{CallResponse, ControlMachine};
@@ -8,7 +8,7 @@
 use nanoserde::SerBin;
 use woadstall_consensus::LogPosition;
 
-/// An entry that this machine proposed as leader, until it is applied.
+/// A log entry proposed by this machine as leader and not applied yet.
 #[derive(Clone, Debug)]
 pub(super) struct Proposal {
     term: u64,
@@ -16,46 +16,48 @@
     waiters: Vec<Waiter>,
 }
 
-/// Who waits for an entry, and until when.
+/// The origin of a call that waits for a log entry to be applied, and the call's deadline.
 #[derive(Clone, Debug)]
 struct Waiter {
     origin: CallOrigin,
-    deadline: u64,
+    deadline_ms: u64,
 }
 
-/// A command that was forwarded to a leader, or waits for one to be elected.
+/// A command that was forwarded to a leader, or that waits until a leader is elected.
 #[derive(Clone, Debug)]
 pub(super) struct PendingCommand {
     token: u64,
     command: Command,
     forwarded_to: Option<LeaderAddress>,
-    deadline: u64,
+    deadline_ms: u64,
 }
 
 impl ControlMachine {
-    /// An operator has submitted a command; the response comes with the token.
+    /// Submits an operator's command. The response is returned as
+    /// [`Action::Respond`](super::Action::Respond) with the given token.
     pub fn submit_command(&mut self, now: u64, token: u64, command: Command) {
         self.advance_clock(now);
         let number = self.next_number();
-        let deadline = self.now + CALL_TIMEOUT_MS;
+        let deadline_ms = self.now + CALL_TIMEOUT_MS;
         let pending = PendingCommand {
             token,
             command,
             forwarded_to: None,
-            deadline,
+            deadline_ms,
         };
         self.calls.commands.insert(number, pending);
         self.propose_or_forward(number);
         self.process_replica_outputs();
     }
 
-    /// Proposes a command here, or forwards it to the leader. It waits where there is none, and
-    /// goes nowhere once its caller's time is over.
+    /// Proposes a pending command if this machine is the leader, otherwise forwards the command to
+    /// the leader. The command stays pending while no leader is known, and is neither proposed nor
+    /// forwarded after its deadline.
     pub(super) fn propose_or_forward(&mut self, number: u64) {
         let Some(pending) = self.calls.commands.get(&number) else {
             return;
         };
-        if self.now >= pending.deadline {
+        if self.now >= pending.deadline_ms {
             return;
         }
         if self.replica.is_leader() {
@@ -72,14 +74,15 @@
         let origin = CallOrigin::Local(pending.token);
         let waiter = Waiter {
             origin,
-            deadline: pending.deadline,
+            deadline_ms: pending.deadline_ms,
         };
         if !self.propose_or_join(waiter, &pending.command) {
             self.calls.commands.insert(number, pending);
         }
     }
 
-    /// Forwards a command to the leader of the term, unless that leader has it already.
+    /// Forwards a pending command to the leader of the current term, unless it has already been
+    /// forwarded to that leader.
     fn forward_command(&mut self, number: u64) {
         let Some(leader) = self.leader() else { return };
         let call = self.call_id(number);
@@ -91,7 +94,7 @@
         }
         let expires = self
             .leader_clock
-            .to_leader_time(leader.term, pending.deadline);
+            .to_leader_time(leader.term, pending.deadline_ms);
         let Some(expires) = expires else { return };
         let command = pending.command.clone();
         pending.forwarded_to = Some(leader.clone());
@@ -105,9 +108,9 @@
         );
     }
 
-    /// Proposes a command, or joins those who wait for the same change if it is proposed already:
-    /// to replicate a large one several times would delay all of them. Returns whether the command
-    /// was accepted into the log.
+    /// Proposes a command and returns whether the log accepted it. If an identical configuration
+    /// change has already been proposed in this term, the caller waits for the existing entry
+    /// instead: replicating a large change several times would delay all of its callers.
     fn propose_or_join(&mut self, waiter: Waiter, command: &Command) -> bool {
         let digest = command.digest();
         let term = self.replica.term();
@@ -133,8 +136,8 @@
         true
     }
 
-    /// Another machine forwards a command. It is proposed only by the leader that it was meant for,
-    /// and not after its time.
+    /// Handles a command forwarded by another machine. The command is proposed only by the leader
+    /// of the term in `expires`, and not after its expiry time.
     pub(super) fn on_forwarded_command(
         &mut self,
         from: &str,
@@ -149,7 +152,7 @@
         };
         let waiter = Waiter {
             origin,
-            deadline: self.now + CALL_TIMEOUT_MS,
+            deadline_ms: self.now + CALL_TIMEOUT_MS,
         };
         if !is_in_time || !self.propose_or_join(waiter, &command) {
             self.send(
@@ -163,7 +166,8 @@
         self.process_replica_outputs();
     }
 
-    /// The leader replies to a forwarded command. One that it did not accept is forwarded again.
+    /// Handles the leader's reply to a forwarded command. A command without an outcome becomes
+    /// eligible to be forwarded again.
     pub(super) fn on_forwarded_command_reply(
         &mut self,
         call: CallId,
@@ -181,8 +185,8 @@
         }
     }
 
-    /// An entry was applied: whoever waits for it is notified. Where it is not the one that was
-    /// proposed at this position, the outcome of the proposal is unknown.
+    /// Reports the outcome of an applied entry to its waiting callers. If the applied entry has
+    /// another term than the proposal at the same index, the proposal's outcome is unknown.
     pub(super) fn complete_proposal(
         &mut self,
         index: u64,
@@ -212,8 +216,9 @@
         }
     }
 
-    /// This machine is no longer the leader: what it proposed may be committed or not, and those
-    /// who wait ask the next leader.
+    /// Abandons all proposals after the loss of leadership. Each proposed entry may or may not be
+    /// committed, so local callers receive an indeterminate response and forwarding machines ask
+    /// the next leader.
     pub(super) fn abandon_proposals(&mut self) {
         let abandoned = std::mem::take(&mut self.calls.proposals);
         for waiter in abandoned
@@ -224,8 +229,9 @@
         }
     }
 
-    /// Commands that were forwarded to a machine are to be forwarded again.
-    pub(super) fn forget_forwarded_commands(&mut self, address: &str) {
+    /// Marks the commands that were forwarded to a machine as not forwarded, so that they are sent
+    /// again.
+    pub(super) fn reset_forwarded_commands(&mut self, address: &str) {
         for pending in self.calls.commands.values_mut() {
             if pending
                 .forwarded_to
@@ -237,15 +243,18 @@
         }
     }
 
-    /// Responds to callers whose time is over. Their entries may still be committed.
+    /// Responds to callers whose deadline has passed. Entries proposed for them may still be
+    /// committed.
     pub(super) fn time_out_commands(&mut self) {
         let now = self.now;
-        let overdue = take_overdue(&mut self.calls.commands, |pending| now >= pending.deadline);
+        let overdue = take_overdue(&mut self.calls.commands, |pending| {
+            now >= pending.deadline_ms
+        });
         let mut tokens: Vec<u64> = overdue.iter().map(|pending| pending.token).collect();
         for proposal in self.calls.proposals.values_mut() {
             let overdue = proposal
                 .waiters
-                .extract_if(.., |waiter| now >= waiter.deadline);
+                .extract_if(.., |waiter| now >= waiter.deadline_ms);
             tokens.extend(overdue.filter_map(|waiter| waiter.origin.token()));
         }
         for token in tokens {
--- a/crates/control/src/machine/directory.rs
+++ b/crates/control/src/machine/directory.rs
@@ -1,5 +1,5 @@
-//! The directory: which balancers a client is sent to, and where upstreams send their later
-//! heartbeats.
+//! The directory service: selects the balancers for a client, and the control machine to which an
+//! upstream sends its heartbeats.
 
 use super::ControlMachine;
 use crate::balancers::BalancerHeartbeat;
@@ -7,49 +7,51 @@
 use crate::wire::MachineInfo;
 use std::collections::BTreeSet;
 
-/// The time in milliseconds for which clients are sent to a balancer after it was last heard of:
-/// three heartbeats, and the way between machines.
+/// The time in milliseconds after its last heartbeat for which a balancer is offered to clients. It
+/// covers three heartbeat periods and the delay between machines.
 const BALANCER_TIMEOUT_MS: u64 = 1_100;
-/// The time in milliseconds for which clients may still be sent to a balancer that is shutting
-/// down, since it was last ready: it accepts clients for 3 s.
+/// The time in milliseconds after its last ready heartbeat for which a balancer that is shutting
+/// down may still be offered to clients. A balancer accepts clients for 3 s during its shutdown.
 const SHUTDOWN_ACCEPT_MS: u64 = 2_500;
-/// The number of addresses in a response at most: enough that some are left where others fail, few
-/// enough for short responses. A client gets the same ones each time, as it closes its connections
-/// to those that are no longer in the response.
+/// The maximum number of addresses in a response. It leaves a client with alternatives when some
+/// balancers fail, and keeps responses short. Each client always gets the same subset, because a
+/// client closes its connections to balancers that are missing from a new response.
 const MAX_ADDRESSES: usize = 16;
-/// The time in seconds for which clients may use a response: short, where there are few clients to
-/// ask again.
+/// The time-to-live of a response in seconds in a small fleet. It is short because few clients
+/// repeat their requests.
 const TTL_S: u64 = 1;
-/// The same where there are many clients.
+/// The time-to-live of a response in seconds in a large fleet, where many clients repeat their
+/// requests.
 const LARGE_FLEET_TTL_S: u64 = 2;
-/// The number of balancers from which on there are many clients.
+/// The number of ready balancers from which the fleet counts as large.
 const LARGE_FLEET: usize = 32;
 
 /// A client's request for the addresses of balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolveRequest {
-    /// The client's address.
+    /// The address of the client. It determines which subset of the balancers the client gets.
     pub client: String,
-    /// The host that its requests are for.
+    /// The host name in the client's requests, which selects the routes.
     pub host: String,
-    /// Its zone.
+    /// The zone of the client.
     pub zone: String,
-    /// Its region, for a zone that the settings do not name.
+    /// The region of the client, used if the settings do not list the zone.
     pub region: String,
 }
 
-/// The balancers for a client.
+/// The response to a [`ResolveRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolveResponse {
-    /// Addresses of balancers, as `ip:port`.
+    /// The addresses of the selected balancers, as `ip:port`.
     pub addresses: Vec<String>,
-    /// The time for which the client may use them, in seconds.
+    /// The time-to-live of the response in seconds.
     pub ttl_s: u64,
 }
 
 impl ControlMachine {
-    /// Where an upstream of a zone sends its later heartbeats: a control machine of its zone, else
-    /// of its region.
+    /// Returns the control address to which an upstream sends its subsequent heartbeats. A control
+    /// machine in the upstream's zone is preferred to one in its region; `None` means that neither
+    /// has an alive machine.
     pub fn heartbeat_address(&self, id: &str, zone: &str) -> Option<String> {
         let machines = self.machines();
         let region = self.region_of(zone);
@@ -64,10 +66,11 @@
         chosen.map(|machine| machine.control_address.clone())
     }
 
-    /// The balancers for a client: those of its zone, else of its region, else of the regions to
-    /// which the routes of its host are restricted, else all. A request that is restricted to
-    /// regions may be read there and in the client's region only: before its client is sent
-    /// elsewhere, it goes to a balancer there that is shutting down.
+    /// Selects the balancers for a client, in this order of preference: ready balancers in the
+    /// client's zone, in its region, in the regions to which the routes of its host are restricted,
+    /// and all. If the routes are restricted, only balancers in the allowed regions or in the
+    /// client's region may read the requests, so balancers that are shutting down there are
+    /// preferred to ready ones elsewhere.
     pub fn resolve(&self, request: &ResolveRequest) -> ResolveResponse {
         let alive = self.balancers.alive(self.now, BALANCER_TIMEOUT_MS);
         let ready: Vec<&BalancerHeartbeat> = alive.filter(|heartbeat| heartbeat.ready).collect();
@@ -111,8 +114,8 @@
         }
     }
 
-    /// The balancers for a client without a ready one in its region, whose requests are restricted
-    /// to these regions, if to any.
+    /// Selects balancers for a client whose region has no ready balancer and whose requests are
+    /// restricted to the `allowed` regions. Returns none if `allowed` is empty.
     fn in_allowed_regions<'a>(
         &'a self,
         ready: &[&'a BalancerHeartbeat],
@@ -142,8 +145,8 @@
         })
     }
 
-    /// The regions in which all restricted routes of a host may be served; where there is none,
-    /// those of any.
+    /// Returns the regions in which all restricted routes of a host may be served. If there is no
+    /// such region, returns the regions in which any restricted route may be served.
     fn allowed_regions(&self, host: &str) -> BTreeSet<String> {
         let Some(configuration) = &self.state.configuration else {
             return BTreeSet::new();
--- a/crates/control/src/machine/failure_detection.rs
+++ b/crates/control/src/machine/failure_detection.rs
@@ -1,24 +1,25 @@
-//! Failure detection of upstreams: the owner of a shard marks those whose heartbeats have stopped
-//! as timed out.
+//! Failure detection of upstreams: the owner of a shard marks upstreams as timed out when their
+//! heartbeats stop.
 
 use super::{ControlMachine, LogEvent};
 use crate::feed::FeedEvent;
 use crate::shards::{MONITOR_COUNT, replica_group, shard_of};
 use crate::wire::Packet;
 
-/// Heartbeats in a row that must be missed before an upstream counts as timed out.
+/// The number of consecutive heartbeats that an upstream must miss to be timed out.
 const MISSED_HEARTBEATS: u64 = 3;
-/// What is added to that, in milliseconds, for heartbeats that fail at one machine and are sent to
-/// the next.
+/// Added to the time-out, in milliseconds, for heartbeats that fail at one machine and are sent
+/// again to the next one.
 const FAILOVER_ALLOWANCE_MS: u64 = 1_500;
 
 impl ControlMachine {
-    /// Marks upstreams of the shards that this machine owns. A machine that has only just heard of
-    /// a quorum again may have missed heartbeats itself and waits.
+    /// Marks overdue upstreams in the shards owned by this machine as timed out. A machine that has
+    /// been in contact with a quorum for less than the time-out waits, because it may have missed
+    /// heartbeats itself.
     pub(super) fn time_out_upstreams(&mut self) {
         let timeout_ms = self.settings.heartbeat_ms * MISSED_HEARTBEATS + FAILOVER_ALLOWANCE_MS;
-        let quorum_since = self.leadership.quorum_since;
-        if quorum_since.is_none_or(|since| self.now < since + timeout_ms) {
+        let quorum_since_ms = self.leadership.quorum_since_ms;
+        if quorum_since_ms.is_none_or(|since| self.now < since + timeout_ms) {
             return;
         }
         let machines: Vec<String> = self
--- a/crates/control/src/machine/feeds.rs
+++ b/crates/control/src/machine/feeds.rs
@@ -1,5 +1,5 @@
-//! The feeds that balancers subscribe to: a snapshot or the events since an offset, then each event
-//! as it comes.
+//! The change feeds to which balancers subscribe. A subscriber receives a snapshot or the events
+//! since its offset, and then each new event.
 
 use super::{Action, ControlMachine};
 use crate::feed::{EventJournal, FeedEvent};
@@ -8,42 +8,41 @@
 use crate::wire::{Packet, SubscribeRequest, ZoneBalancers};
 use std::collections::BTreeMap;
 
-/// The time in milliseconds for which a balancer counts among those that share budgets after it was
-/// last heard of.
-const BUDGET_MEMBER_TIMEOUT_MS: u64 = 10_000;
+/// The time in milliseconds after its last heartbeat for which a balancer counts as active, that
+/// is, as one of those that share retry budgets and quotas.
+const ACTIVE_BALANCER_TIMEOUT_MS: u64 = 10_000;
 
-/// A balancer that is subscribed to the feed.
 #[derive(Clone, Debug)]
 pub(super) struct Subscriber {
     /// The balancer's name.
     pub balancer: String,
 }
 
-/// A balancer that waits for a snapshot.
+/// A subscribing balancer that has not been sent its snapshot yet.
 #[derive(Clone, Debug)]
 struct PendingSubscriber {
     subscriber: u64,
     balancer: String,
-    /// The position up to which it has applied the configuration's log.
+    /// The log index up to which the balancer has applied the configuration log.
     applied_index: u64,
 }
 
-/// The journal of events and its subscribers.
+/// The event journal and its subscribers.
 #[derive(Debug)]
 pub(super) struct Feeds {
     journal: EventJournal,
-    /// The offset up to which the subscribers have got the events.
+    /// The end offset of the events that have been sent to the subscribers.
     delivered: u64,
-    /// Subscribers by the numbers of their connections.
+    /// The subscribers, keyed by connection number.
     pub subscribers: BTreeMap<u64, Subscriber>,
     pending: Vec<PendingSubscriber>,
-    /// The balancers that share budgets, as the subscribers were last notified.
+    /// The active balancers, as last sent to the subscribers.
     active_balancers: Vec<ZoneBalancers>,
 }
 
 impl Feeds {
-    /// A feed without events. The epoch must differ from that of any earlier process of the
-    /// machine.
+    /// Creates a feed without events. The epoch must differ from the epochs of all earlier
+    /// processes of this machine.
     pub fn new(epoch: u64) -> Self {
         Self {
             journal: EventJournal::new(epoch),
@@ -56,8 +55,8 @@
 }
 
 impl ControlMachine {
-    /// A balancer subscribes on a connection. One that needs a snapshot gets it with the next tick,
-    /// together with others: when many come back at once, it is made and encoded once.
+    /// Handles a balancer's subscription on a connection. Snapshots are sent on the next tick, so
+    /// that a single snapshot is built and encoded when many balancers reconnect at the same time.
     pub fn subscribe(&mut self, now: u64, subscriber: u64, request: SubscribeRequest) {
         self.advance_clock(now);
         self.deliver_events();
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Balancers that wait for a snapshot get one, the same for all.
+    /// Sends one shared snapshot to all balancers that wait for one.
     pub(super) fn deliver_snapshots(&mut self) {
         let pending = std::mem::take(&mut self.feeds.pending);
         let Some(applied_index) = pending.iter().map(|pending| pending.applied_index).min() else {
@@ -108,8 +107,8 @@
         self.start_feed(&admitted, snapshot);
     }
 
-    /// Sends new subscribers what they begin with, the status of this machine, and the balancers
-    /// that share budgets.
+    /// Sends new subscribers their first packet (a snapshot or events), the status of this machine,
+    /// and the active balancers.
     fn start_feed(&mut self, subscribers: &[u64], first: Packet) {
         let status = self.machine_status();
         let active = Packet::ActiveBalancers(self.active_balancers());
@@ -122,7 +121,8 @@
         }
     }
 
-    /// All that a balancer needs that has applied the configuration's log up to a position.
+    /// Builds a snapshot for balancers that have applied the configuration log up to
+    /// `applied_index`. The state is left empty if it is not newer than that.
     fn snapshot_for(&self, applied_index: u64) -> Packet {
         let is_behind = self.state.index > applied_index;
         Packet::Snapshot {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// A balancer's connection has ended.
+    /// Removes the subscription of a closed connection.
     pub fn unsubscribe(&mut self, subscriber: u64) {
         self.feeds.subscribers.remove(&subscriber);
         self.feeds
@@ -145,7 +145,7 @@
             .retain(|pending| pending.subscriber != subscriber);
     }
 
-    /// The names of the balancers that are subscribed here.
+    /// Returns the names of the balancers that are subscribed to this machine.
     pub fn subscriber_names(&self) -> impl Iterator<Item = &str> {
         self.feeds
             .subscribers
@@ -153,8 +153,9 @@
             .map(|subscriber| subscriber.balancer.as_str())
     }
 
-    /// Appends an event to the journal. Subscribers get commands at once, registrations with the
-    /// next tick: many come together when upstreams start.
+    /// Appends an event to the journal. Commands are sent to the subscribers immediately,
+    /// registrations on the next tick, because many registrations arrive together when upstreams
+    /// start.
     pub(super) fn publish(&mut self, event: FeedEvent) {
         let is_command = matches!(event, FeedEvent::Committed { .. });
         self.feeds.journal.append(event);
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Sends the subscribers the events of the journal that they have not got.
+    /// Sends the subscribers all journal events that have not been sent yet.
     pub(super) fn deliver_events(&mut self) {
         let journal = &self.feeds.journal;
         let offset = journal.end_offset();
@@ -190,20 +191,21 @@
         }
     }
 
-    /// The state was replaced by a snapshot of the log: subscribers get it complete.
+    /// Replaces the state by one from a snapshot of the log, and sends the complete state to all
+    /// subscribers.
     pub(super) fn restore_state(&mut self, state: ControlState) {
         self.state = state;
         self.log_bytes = 0;
-        // The journal lacks the commands that the snapshot covers: nobody may go on from an offset
-        // before it.
+        // The journal lacks the commands covered by the snapshot, so no balancer may resume from an
+        // earlier offset.
         self.feeds.journal.reset();
         self.feeds.delivered = self.feeds.journal.end_offset();
         let snapshot = self.snapshot_for(0);
         self.deliver_to_all(snapshot);
     }
 
-    /// Sends subscribers the status of this machine, after the balancers that share budgets where
-    /// these have changed.
+    /// Sends subscribers the status of this machine. If the set of active balancers has changed,
+    /// the new set is sent first.
     pub(super) fn deliver_status(&mut self) {
         let active = self.active_balancers();
         if active != self.feeds.active_balancers {
@@ -221,10 +223,10 @@
         }
     }
 
-    /// The balancers that share budgets, by zone.
+    /// Returns the active balancers, grouped by zone.
     fn active_balancers(&self) -> Vec<ZoneBalancers> {
         let mut zones: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
-        for heartbeat in self.balancers.alive(self.now, BUDGET_MEMBER_TIMEOUT_MS) {
+        for heartbeat in self.balancers.alive(self.now, ACTIVE_BALANCER_TIMEOUT_MS) {
             zones
                 .entry(&heartbeat.zone)
                 .or_default()
--- a/crates/control/src/machine/gossip.rs
+++ b/crates/control/src/machine/gossip.rs
@@ -1,24 +1,24 @@
-//! Dissemination of heartbeats: what this machine has heard from upstreams and balancers goes to
-//! the other machines in batches.
+//! Dissemination of heartbeats: heartbeats received from upstreams and balancers are passed to the
+//! other machines in batches.
 
 use super::ControlMachine;
 use crate::balancers::{BalancerHeartbeat, BalancerRenewal};
 use crate::wire::{Packet, Renewal};
 use std::collections::BTreeMap;
 
-/// What was heard since the last batch.
+/// Heartbeats received since the last batch was sent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingGossip {
-    /// Heartbeats of upstreams without changes.
+    /// Heartbeats of upstreams whose registrations have not changed.
     pub renewals: Vec<Renewal>,
-    /// Heartbeats of balancers with changes, by the balancer's name.
+    /// Heartbeats that changed a balancer's record, keyed by the balancer's name.
     pub heartbeats: BTreeMap<String, BalancerHeartbeat>,
-    /// Heartbeats of balancers without changes, by the balancer's name.
+    /// Heartbeats that only renewed a balancer's record, keyed by the balancer's name.
     pub balancer_renewals: BTreeMap<String, BalancerRenewal>,
 }
 
 impl ControlMachine {
-    /// Passes to the other machines what was heard since the last batch.
+    /// Sends the heartbeats received since the last batch to the other machines.
     pub(super) fn send_gossip(&mut self) {
         let PendingGossip {
             renewals,
--- a/crates/control/src/machine/log_event.rs
+++ b/crates/control/src/machine/log_event.rs
@@ -1,69 +1,71 @@
-//! What a control machine writes to the log: an event's name, then `key=value` fields.
+//! Log events of a control machine. Each is written as an event name followed by `key=value`
+//! fields.
 
 use crate::command::CommandOutcome;
 use crate::registry::Registration;
 use std::fmt;
 use woadstall_consensus::{Member, Membership, ReplicaId};
 
-/// An event of the log. Displayed, it is one line.
+/// A log event. Its `Display` form is a single line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// No leader with a quorum is heard of any more.
+    /// The machine has lost contact with a leader that has a quorum.
     QuorumLost {
         /// The current term.
         term: u64,
     },
-    /// This machine has become the leader.
+    /// This machine has become the leader of the replica group.
     LeaderElected {
-        /// The term that it leads.
+        /// The term in which this machine is the leader.
         term: u64,
-        /// Its replica.
+        /// The identity of this machine's replica.
         id: ReplicaId,
     },
-    /// This machine is no longer the leader.
+    /// This machine has lost the leadership of the replica group.
     LeadershipEnded {
         /// The current term.
         term: u64,
-        /// Its replica.
+        /// The identity of this machine's replica.
         id: ReplicaId,
     },
-    /// The membership of the replica group has begun to change, or the change is complete.
+    /// A membership change of the replica group has started or completed.
     MembersChanged {
-        /// The position of the entry.
+        /// The log index of the entry.
         index: u64,
-        /// The membership from then on.
+        /// The membership in force from this entry on.
         membership: Membership,
     },
-    /// A command was applied to the state.
+    /// A committed command was applied to the state.
     CommandApplied {
-        /// Its position in the log.
+        /// The log index of the command.
         index: u64,
-        /// Its outcome.
+        /// The outcome of the command.
         outcome: CommandOutcome,
-        /// The version of the configuration that is in force then.
+        /// The generation of the configuration in force after the command.
         generation: u64,
     },
-    /// A snapshot of the log holds a state that can't be decoded.
+    /// The state in a snapshot of the log could not be decoded.
     SnapshotRejected {
-        /// The position of the snapshot.
+        /// The log index of the last entry that the snapshot covers.
         index: u64,
-        /// Why the state can't be decoded.
+        /// The decoding error of the state.
         error: String,
     },
-    /// An entry of the log holds a command that can't be decoded.
+    /// The command in a log entry could not be decoded.
     EntryRejected {
-        /// The position of the entry.
+        /// The log index of the entry.
         index: u64,
-        /// Why the command can't be decoded.
+        /// The decoding error of the command.
         error: String,
     },
-    /// An upstream has sent this machine a registration with changes, or leaves.
+    /// This machine has received a changed registration, a drain notice or a deregistration from an
+    /// upstream.
     RegistrationChanged(Registration),
-    /// This machine owns the shard of an upstream whose heartbeats have stopped.
+    /// An upstream in a shard owned by this machine has stopped sending heartbeats.
     UpstreamTimedOut {
-        /// The upstream's registration.
+        /// The registration of the upstream.
         registration: Registration,
-        /// How long no heartbeat has come at least, in milliseconds.
+        /// The time-out in milliseconds that has passed without a heartbeat.
         timeout_ms: u64,
     },
 }
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -1,9 +1,9 @@
-//! A control machine as a state machine without I/O: its replica of the configuration's log, the
-//! registrations of upstreams, the heartbeats of balancers, and the feeds that balancers subscribe
-//! to.
+//! A control machine as a state machine without I/O. It holds a replica of the configuration log,
+//! the registrations of upstreams, the heartbeats of balancers, and the feeds to which balancers
+//! subscribe.
 //!
-//! The process that runs it calls a method for everything that happens and carries out the
-//! [`Action`]s that come of it. Times are milliseconds of the process's own clock.
+//! The host process calls one method per input event and carries out the resulting [`Action`]s. All
+//! times are milliseconds of the host process's clock.
 
 mod action;
 mod balancer_heartbeats;
@@ -47,30 +47,30 @@
     DurableState, LeaderClock, Member, Membership, Replica, Settings, Snapshot,
 };
 
-/// A control machine.
+/// The state of one control machine.
 #[derive(Debug)]
 pub struct ControlMachine {
     settings: MachineSettings,
-    /// The latest time that was handed in, in milliseconds.
+    /// The latest time passed to any method, in milliseconds.
     now: u64,
     actions: Vec<Action>,
     timers: Timers,
     replica: Replica,
-    /// The configuration and the evacuations, as far as the log is applied.
+    /// The configuration and the evacuated zones after the last applied log entry.
     state: ControlState,
-    /// The position of the last entry that was applied.
+    /// The log index of the last applied entry.
     applied_index: u64,
-    /// Bytes of commands in the log since its last snapshot.
+    /// The total size in bytes of the commands in the log since its last snapshot.
     log_bytes: usize,
     leader_clock: LeaderClock,
     leadership: LeadershipTracker,
-    /// Other machines by their internal addresses.
+    /// The other control machines, keyed by internal address.
     peers: BTreeMap<String, Peer>,
-    /// Internal addresses to which a connection is kept.
+    /// The internal addresses of the machines to which a connection is kept.
     connected: BTreeSet<String>,
     calls: PendingCalls,
     registry: Registry,
-    /// Counts changes of registrations.
+    /// The number of registration events published by this process.
     registry_version: u64,
     persist_progress: PersistProgress,
     balancers: BalancerTable,
@@ -80,8 +80,9 @@
     load_notices: LoadNotices,
 }
 
-/// The snapshot that founders of a group begin with: the seeds are its voters. All founders make
-/// the same one, so that there is one group, whichever of them starts first.
+/// Returns the initial snapshot of a new replica group, whose voters are the seeds. All founders
+/// create an identical snapshot, so that they form a single group regardless of which founder
+/// starts first.
 pub fn founding_snapshot(seeds: &[Member]) -> Snapshot {
     let mut voters = seeds.to_vec();
     voters.sort_by_key(|member| member.id);
@@ -95,8 +96,8 @@
 }
 
 impl ControlMachine {
-    /// A machine with what its disk holds, at a time in milliseconds. The seed is for the random
-    /// draws of its replica.
+    /// Creates a machine from the durable state on its disk. `now` is in milliseconds; `seed`
+    /// initializes the random number generator of the replica.
     pub fn new(settings: MachineSettings, durable: DurableState, now: u64, seed: u64) -> Self {
         let min_voters = 2 * settings.tolerated_failures + 1;
         let replica = Replica::new(
@@ -142,37 +143,40 @@
         machine
     }
 
-    /// Takes the actions that are to be carried out.
+    /// Returns and clears the queued actions.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The configuration and the evacuations, as far as they are applied here.
+    /// Returns the configuration and the evacuated zones after the last log entry applied by this
+    /// machine.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// The replica of the log.
+    /// Returns this machine's replica of the configuration log.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// Counts changes of the registrations that are worth writing to disk.
+    /// Returns a counter that increases with each published registration change. A changed value
+    /// means that the registrations on disk are out of date.
     pub fn registry_version(&self) -> u64 {
         self.registry_version
     }
 
-    /// All registrations, with their times as of now.
+    /// Returns all registrations, with their ages and remaining times as of now.
     pub fn registrations(&self) -> Vec<Registration> {
         self.registry.all(self.now)
     }
 
-    /// The registrations.
+    /// Returns the registry of upstreams.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Lets time pass, and does what is due.
+    /// Advances the clock, carries out periodic work that is due, and times out calls and
+    /// upstreams.
     pub fn tick(&mut self, now: u64) {
         self.advance_clock(now);
         self.replica.tick(self.now);
@@ -182,7 +186,7 @@
         self.deliver_snapshots();
         self.deliver_loads();
         if self.timers.hello.fire(self.now) {
-            self.introduce();
+            self.send_hello_to_all();
             self.registry.remove_expired(self.now);
             self.balancers.remove_expired(self.now);
         }
@@ -199,7 +203,7 @@
         self.time_out_calls();
     }
 
-    /// Takes over the time of an event; time never goes back.
+    /// Advances the clock to the time of an event. An earlier time leaves the clock unchanged.
     fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
     }
--- a/crates/control/src/machine/packets.rs
+++ b/crates/control/src/machine/packets.rs
@@ -1,16 +1,15 @@
-//! Packets from other machines and from balancers, each handed to the module that is responsible
-//! for it.
+//! Dispatches packets from other machines and from balancers to their handlers.
 
 use super::{Action, ControlMachine};
 use crate::balancers::BalancerHeartbeat;
 use crate::wire::{Packet, Renewal};
 
 impl ControlMachine {
-    /// A packet has arrived from the process with this internal address.
+    /// Handles a packet from the process with the internal address `from`.
     pub fn receive_packet(&mut self, now: u64, from: &str, packet: Packet) {
         self.advance_clock(now);
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.last_heard = self.now;
+            peer.last_heard_ms = self.now;
         }
         match packet {
             Packet::Hello { machine, known } => self.on_hello(machine, known),
@@ -44,7 +43,8 @@
             Packet::ReadIndexReply { call, index } => self.on_read_index_reply(call, index),
             Packet::BalancerHeartbeat(heartbeat) => self.receive_heartbeat(now, heartbeat),
             Packet::LoadReport(report) => self.load_reports.record(self.now, report),
-            // These go to balancers only, or come over a connection that is handled by `subscribe`.
+            // Control machines send these packets to balancers only, except `Subscribe`, which
+            // arrives on a feed connection and is handled by `subscribe`.
             Packet::Subscribe(_)
             | Packet::Snapshot { .. }
             | Packet::Events { .. }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends a packet to the machine with an internal address.
+    /// Queues a packet to the machine with the given internal address.
     pub(super) fn send(&mut self, address: &str, packet: Packet) {
         self.actions.push(Action::Send {
             address: address.to_owned(),
@@ -62,7 +62,7 @@
         });
     }
 
-    /// Sends a packet to all machines that a connection is kept to.
+    /// Queues a packet to all machines to which a connection is kept.
     pub(super) fn broadcast(&mut self, packet: &Packet) {
         for address in self.connected.clone() {
             self.send(&address, packet.clone());
--- a/crates/control/src/machine/peers.rs
+++ b/crates/control/src/machine/peers.rs
@@ -1,25 +1,24 @@
-//! The other control machines: connections, introductions, membership of the replica group.
+//! The other control machines: connections, hello packets, and membership of the replica group.
 
 use super::{Action, ControlMachine};
 use crate::wire::{MachineInfo, Packet};
 use woadstall_consensus::{FailureDomain, ReplicaId};
 
-/// The time in milliseconds for which a machine counts as alive after it was last heard of.
+/// The time in milliseconds after its last packet for which a machine counts as alive.
 const PEER_TIMEOUT_MS: u64 = 2_500;
-/// The time in milliseconds for which a machine that does not vote is remembered after it was last
-/// heard of.
+/// The time in milliseconds after its last packet for which a non-voting machine is remembered.
 const PEER_RETENTION_MS: u64 = 30_000;
 
 /// Another control machine.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub machine: MachineInfo,
-    /// When the last packet of it arrived, in milliseconds.
-    pub last_heard: u64,
+    /// The time in milliseconds at which the last packet from the machine arrived.
+    pub last_heard_ms: u64,
 }
 
 impl ControlMachine {
-    /// The settings name other seeds: connections to them are kept as well.
+    /// Replaces the seeds after a change of the settings, and connects to the new ones.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
         self.settings.seeds = seeds;
         for seed in self.settings.seeds.clone() {
@@ -27,8 +26,9 @@
         }
     }
 
-    /// The connection to a machine is up. What was in flight on a former one may be lost: the
-    /// machine is sent all registrations, and calls are forwarded to it again.
+    /// Handles a newly established connection to a machine. Packets in flight on an earlier
+    /// connection may be lost, so all registrations are sent and calls to the machine are forwarded
+    /// again.
     pub fn link_up(&mut self, now: u64, address: &str) {
         self.advance_clock(now);
         let hello = self.hello();
@@ -47,7 +47,8 @@
         self.resend_calls(address);
     }
 
-    /// Hands leadership and, where there is a learner, the vote over before the process stops.
+    /// Prepares the process for its shutdown. The replica hands over its leadership, and its vote
+    /// if there is a learner to take it.
     pub fn begin_shutdown(&mut self, now: u64) {
         self.advance_clock(now);
         let id = self.replica.id();
@@ -57,7 +58,7 @@
         self.process_replica_outputs();
     }
 
-    /// Whether this machine's vote is being given to another one.
+    /// Returns whether a membership change that replaces this machine as a voter is in progress.
     pub fn is_being_replaced(&self) -> bool {
         let members = self.replica.membership();
         let id = self.replica.id();
@@ -65,9 +66,9 @@
         members.is_joint() && members.is_voter(id) && !is_next
     }
 
-    /// The control machines that are alive, this one first.
+    /// Returns the control machines that are alive, beginning with this one.
     pub fn machines(&self) -> Vec<MachineInfo> {
-        let is_alive = |peer: &&Peer| self.now <= peer.last_heard + PEER_TIMEOUT_MS;
+        let is_alive = |peer: &&Peer| self.now <= peer.last_heard_ms + PEER_TIMEOUT_MS;
         let others = self
             .peers
             .values()
@@ -78,7 +79,7 @@
             .collect()
     }
 
-    /// Keeps a connection to another machine from now on.
+    /// Requests a connection to another machine, unless one has already been requested.
     pub(super) fn connect(&mut self, address: String) {
         if address != self.settings.machine.member.address && self.connected.insert(address.clone())
         {
@@ -98,23 +99,25 @@
         }
     }
 
-    /// Sends a hello to all other machines, after it has dropped those that are no longer there.
-    pub(super) fn introduce(&mut self) {
-        self.forget_peers();
+    /// Removes expired peers and unneeded connections, and sends a hello packet to all remaining
+    /// machines.
+    pub(super) fn send_hello_to_all(&mut self) {
+        self.remove_expired_peers();
         self.disconnect_unneeded();
         let hello = self.hello();
         self.broadcast(&hello);
     }
 
-    fn forget_peers(&mut self) {
+    fn remove_expired_peers(&mut self) {
         let members = self.replica.membership();
         let now = self.now;
         self.peers.retain(|_, peer| {
-            now <= peer.last_heard + PEER_RETENTION_MS || members.is_voter(peer.machine.member.id)
+            now <= peer.last_heard_ms + PEER_RETENTION_MS
+                || members.is_voter(peer.machine.member.id)
         });
     }
 
-    /// Closes connections to machines that are neither known, nor seeds, nor members.
+    /// Closes connections to machines that are not known peers, seeds or voters.
     fn disconnect_unneeded(&mut self) {
         let members = self.replica.membership();
         let is_needed = |address: &String| {
@@ -146,7 +149,7 @@
                 address,
                 Peer {
                     machine,
-                    last_heard: self.now,
+                    last_heard_ms: self.now,
                 },
             );
         }
@@ -159,7 +162,8 @@
         }
     }
 
-    /// Asks the group to make this machine a member, if its replica needs to be one.
+    /// Asks to join the replica group if the replica has no vote, or may have lost its vote without
+    /// noticing.
     pub(super) fn request_to_join(&mut self) {
         if self.replica.should_join() {
             let member = self.settings.machine.member.clone();
@@ -167,7 +171,7 @@
         }
     }
 
-    /// The internal address of a replica.
+    /// Returns the internal address of a replica, if the replica is a known peer or a voter.
     pub(super) fn address_of(&self, id: ReplicaId) -> Option<String> {
         let by_peer = self
             .peers
@@ -180,7 +184,7 @@
     }
 }
 
-/// The failure domain of a machine.
+/// Returns the failure domain of a machine.
 pub(super) fn failure_domain_of(machine: &MachineInfo) -> FailureDomain {
     FailureDomain {
         zone: machine.zone.clone(),
--- a/crates/control/src/machine/read_index.rs
+++ b/crates/control/src/machine/read_index.rs
@@ -1,24 +1,26 @@
 //! Linearizable reads of the configuration by ReadIndex (Ongaro's dissertation on Raft, section
-//! 6.4): the leader has a quorum confirm its leadership and names a position of the log; the read
-//! is served here once that position is applied.
+//! 6.4). The leader confirms its leadership with a quorum and returns a log index; the machine that
+//! received the read serves it once that index has been applied.
 
 use super::call::{CALL_TIMEOUT_MS, CallOrigin, LeaderAddress, take_overdue};
 use super::{CallResponse, ControlMachine};
 use crate::wire::{CallId, Packet};
 
-/// A read of the configuration.
+/// A pending read of the configuration.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRead {
     origin: CallOrigin,
-    /// The position that must be applied, once the leader has named it.
+    /// The log index that must be applied before the read is served, once the leader has returned
+    /// it.
     read_index: Option<u64>,
-    /// The leader that was requested to name it, perhaps this machine.
+    /// The leader from which the read index was requested. It may be this machine.
     requested_from: Option<LeaderAddress>,
-    deadline: u64,
+    deadline_ms: u64,
 }
 
 impl ControlMachine {
-    /// An operator reads the configuration; the response comes with the token.
+    /// Starts an operator's read of the configuration. The response is returned as
+    /// [`Action::Respond`](super::Action::Respond) with the given token.
     pub fn read_configuration(&mut self, now: u64, token: u64) {
         self.advance_clock(now);
         let number = self.insert_read(CallOrigin::Local(token));
@@ -28,25 +30,28 @@
 
     fn insert_read(&mut self, origin: CallOrigin) -> u64 {
         let number = self.next_number();
-        let deadline = self.now + CALL_TIMEOUT_MS;
+        let deadline_ms = self.now + CALL_TIMEOUT_MS;
         let read = PendingRead {
             origin,
             read_index: None,
             requested_from: None,
-            deadline,
+            deadline_ms,
         };
         self.calls.reads.insert(number, read);
         number
     }
 
-    /// Requests the position for a read from the leader of the term, unless that was done before.
+    /// Requests the read index of a pending read from the leader, unless it has already been
+    /// requested from the leader of this term.
     pub(super) fn request_read_index(&mut self, number: u64) {
         let Some(leader) = self.leader() else { return };
         let Some(read) = self.calls.reads.get_mut(&number) else {
             return;
         };
-        let is_of_peer = read.origin.token().is_none();
-        if is_of_peer || read.read_index.is_some() || read.requested_from.as_ref() == Some(&leader)
+        let is_forwarded = read.origin.token().is_none();
+        if is_forwarded
+            || read.read_index.is_some()
+            || read.requested_from.as_ref() == Some(&leader)
         {
             return;
         }
@@ -59,8 +64,9 @@
         }
     }
 
-    /// Reads for which a machine was requested to name the position are to be requested again.
-    pub(super) fn forget_requested_reads(&mut self, address: &str) {
+    /// Marks the reads whose read index was requested from a machine as not requested, so that the
+    /// request is sent again.
+    pub(super) fn reset_requested_reads(&mut self, address: &str) {
         for read in self.calls.reads.values_mut() {
             if read
                 .requested_from
@@ -81,9 +87,10 @@
         self.process_replica_outputs();
     }
 
-    /// A quorum has confirmed this leader for a read, or has not. The read waits for all entries
-    /// that are in the log by now, so that it shows the effect of a command whose outcome was
-    /// indeterminate, or there will never be one.
+    /// Handles the result of a quorum check on this machine's leadership. A confirmed read waits
+    /// for all entries that are now in the log. Its result therefore settles each earlier command
+    /// with an indeterminate outcome: the command's effect is visible in the read, or never will
+    /// be.
     pub(super) fn on_read_index_confirmed(&mut self, number: u64, is_confirmed: bool) {
         let index = is_confirmed.then_some(self.replica.log().last_index());
         let Some(read) = self.calls.reads.get_mut(&number) else {
@@ -119,8 +126,8 @@
         self.complete_reads();
     }
 
-    /// Responds to the reads of callers whose position is applied. Where there is no configuration
-    /// yet, there is nothing to respond with.
+    /// Responds to local reads whose read index has been applied. The response is indeterminate as
+    /// long as there is no configuration.
     pub(super) fn complete_reads(&mut self) {
         let applied = self.applied_index;
         let is_complete =
@@ -147,11 +154,11 @@
         }
     }
 
-    /// Responds to reads whose time is over.
+    /// Responds to reads whose deadline has passed.
     pub(super) fn time_out_reads(&mut self) {
         self.complete_reads();
         let now = self.now;
-        let overdue = take_overdue(&mut self.calls.reads, |read| now >= read.deadline);
+        let overdue = take_overdue(&mut self.calls.reads, |read| now >= read.deadline_ms);
         let tokens: Vec<u64> = overdue
             .iter()
             .filter_map(|read| read.origin.token())
--- a/crates/control/src/machine/registrations.rs
+++ b/crates/control/src/machine/registrations.rs
@@ -1,5 +1,5 @@
-//! Registrations of upstreams: merged here and replicated to the other machines. That an upstream
-//! drains or leaves is acknowledged once a majority has it on disk.
+//! Registrations of upstreams, which are merged into the local registry and replicated to the other
+//! machines. A drain or deregistration is acknowledged after a quorum has written it to disk.
 
 use super::call::{CALL_TIMEOUT_MS, take_overdue};
 use super::{Action, CallResponse, ControlMachine, LogEvent};
@@ -10,44 +10,46 @@
 use std::collections::BTreeSet;
 use woadstall_consensus::Member;
 
-/// How far the registrations are persisted, by the numbers of the requests to do so.
+/// The numbers of the last requested and the last completed write of the registrations.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PersistProgress {
     requested: u64,
     completed: u64,
 }
 
-/// A registration whose caller waits until a majority has it on disk.
+/// A drain or deregistration whose caller waits until a quorum has written it to disk.
 #[derive(Clone, Debug)]
 pub(super) struct PendingReplication {
     token: u64,
-    /// Internal addresses of the machines that have acknowledged it.
+    /// The internal addresses of the machines that have acknowledged the registration.
     acknowledged_by: BTreeSet<String>,
-    deadline: u64,
-    /// The request that must be completed before this machine has it on disk.
+    deadline_ms: u64,
+    /// The number of the write that must be completed before this machine counts towards the
+    /// quorum.
     persist_request: u64,
 }
 
-/// A call of another machine that is acknowledged once the registrations that came with it are on
-/// disk.
+/// A call from another machine to be acknowledged after the registrations in the call have been
+/// written to disk.
 #[derive(Clone, Debug)]
 pub(super) struct PendingAck {
     address: String,
     call: CallId,
     persist_request: u64,
-    deadline: u64,
+    deadline_ms: u64,
 }
 
 impl ControlMachine {
-    /// An upstream's heartbeat has arrived; the response comes with the token.
+    /// Handles an upstream's heartbeat. The response is returned as [`Action::Respond`] with the
+    /// given token.
     pub fn register(&mut self, now: u64, token: u64, registration: Registration) {
         self.advance_clock(now);
         let (id, sequence) = (registration.id.clone(), registration.sequence);
         let is_ready = registration.status == UpstreamStatus::Ready;
         let merged = self.registry.merge(self.now, registration);
         if !is_ready {
-            // One without changes may be a repetition whose first acknowledgement was lost, or
-            // never sent.
+            // Replicate an unchanged drain or deregistration too: it may be a retry after the
+            // acknowledgement of the first attempt was lost or never sent.
             if merged == MergeOutcome::Changed {
                 self.request_persist();
             }
@@ -62,7 +64,8 @@
         self.respond(token, CallResponse::Acknowledged);
     }
 
-    /// An upstream leaves; the response comes with the token.
+    /// Handles the deregistration of an upstream. The response is returned as [`Action::Respond`]
+    /// with the given token.
     pub fn deregister(&mut self, now: u64, token: u64, id: &str) {
         self.advance_clock(now);
         if self.registry.deregister(self.now, id) == MergeOutcome::Changed {
@@ -71,7 +74,8 @@
         self.replicate_and_respond(token, id);
     }
 
-    /// Sends a registration to the balancers and to the other machines.
+    /// Logs a registration, publishes it to the balancers, and sends it to the other machines.
+    /// Returns the identity of the replication call, or `None` if the upstream is unknown.
     fn announce(&mut self, id: &str) -> Option<CallId> {
         let registration = self.registry.get(self.now, id)?;
         self.log(LogEvent::RegistrationChanged(registration.clone()));
@@ -84,8 +88,9 @@
         Some(call)
     }
 
-    /// Announces an upstream that drains or leaves, and responds once a majority has that on disk:
-    /// no loss that the group tolerates, not even one of power everywhere, brings it back.
+    /// Announces a drain or deregistration, and responds once a quorum has written it to disk. The
+    /// upstream then stays terminated through every failure that the group tolerates, including a
+    /// power loss of all machines.
     fn replicate_and_respond(&mut self, token: u64, id: &str) {
         let Some(call) = self.announce(id) else {
             return;
@@ -93,7 +98,7 @@
         let replication = PendingReplication {
             token,
             acknowledged_by: BTreeSet::new(),
-            deadline: self.now + CALL_TIMEOUT_MS,
+            deadline_ms: self.now + CALL_TIMEOUT_MS,
             persist_request: self.persist_progress.requested,
         };
         self.calls.replications.insert(call.number, replication);
@@ -110,7 +115,7 @@
         }
     }
 
-    /// Responds if a majority has a registration on disk.
+    /// Responds to the caller if a quorum has written the registration to disk.
     fn complete_replication(&mut self, number: u64) {
         let Some(replication) = self.calls.replications.get(&number) else {
             return;
@@ -131,13 +136,13 @@
         }
     }
 
-    /// Responds to callers whose time is over, and drops calls of other machines that have timed
-    /// out there.
+    /// Responds to callers whose deadline has passed, and drops acknowledgements that other
+    /// machines no longer wait for.
     pub(super) fn time_out_replications(&mut self) {
         let now = self.now;
-        self.calls.acks.retain(|ack| now < ack.deadline);
+        self.calls.acks.retain(|ack| now < ack.deadline_ms);
         let overdue = take_overdue(&mut self.calls.replications, |replication| {
-            now >= replication.deadline
+            now >= replication.deadline_ms
         });
         let tokens: Vec<u64> = overdue
             .iter()
@@ -148,15 +153,15 @@
         }
     }
 
-    /// Requests that the registrations are written to disk as they are now.
+    /// Requests a write of the current registrations to disk.
     fn request_persist(&mut self) {
         self.persist_progress.requested += 1;
         let number = self.persist_progress.requested;
         self.actions.push(Action::PersistRegistrations { number });
     }
 
-    /// The registrations are on disk as they were when the request with this number was made, or
-    /// later.
+    /// Handles the completion of a write: the registrations on disk are at least as new as they
+    /// were when the write with this number was requested.
     pub fn registrations_persisted(&mut self, now: u64, number: u64) {
         self.advance_clock(now);
         let completed = self.persist_progress.completed.max(number);
@@ -172,8 +177,8 @@
         }
     }
 
-    /// Another machine sends registrations. It gets an acknowledgement, which waits for the disk if
-    /// an upstream drains or leaves.
+    /// Handles registrations from another machine. The acknowledgement waits for the write to disk
+    /// if any of the registrations is a drain or deregistration.
     pub(super) fn on_registrations(
         &mut self,
         from: &str,
@@ -193,14 +198,14 @@
                 address: from.to_owned(),
                 call,
                 persist_request: requested,
-                deadline: self.now + CALL_TIMEOUT_MS,
+                deadline_ms: self.now + CALL_TIMEOUT_MS,
             });
         } else {
             self.send(from, Packet::RegistrationsAck { call });
         }
     }
 
-    /// Merges what another machine sends, and publishes what it changes.
+    /// Merges registrations from another machine, and publishes those that changed the registry.
     fn merge_registrations(&mut self, registrations: Vec<Registration>) {
         let mut must_persist = false;
         for registration in registrations {
@@ -217,8 +222,8 @@
         }
     }
 
-    /// Takes over the registrations that an earlier process of this machine has persisted. They are
-    /// hints: whatever is heard from now on takes precedence.
+    /// Restores the registrations persisted by an earlier process of this machine. The restored
+    /// records are hints: heartbeats and registrations received later take precedence.
     pub fn restore_registrations(&mut self, registrations: Vec<Registration>) {
         for registration in registrations {
             self.registry.merge(self.now, registration.clone());
--- a/crates/control/src/machine/replication.rs
+++ b/crates/control/src/machine/replication.rs
@@ -1,5 +1,5 @@
-//! The replicated log behind the machine: carries out what the replica asks for, and applies
-//! committed entries to the state.
+//! Drives the replica of the configuration log: carries out its outputs, and applies committed
+//! entries to the state.
 
 use super::{Action, ControlMachine, LogEvent};
 use crate::command::Command;
@@ -9,23 +9,27 @@
 use nanoserde::DeBin;
 use woadstall_consensus::{Entry, EntryPayload, Message, Output, Snapshot, is_from_leader};
 
-/// Bytes of commands in the log since its last snapshot from which on a new one is taken.
+/// The total size in bytes of the commands since the last snapshot at which a new snapshot is
+/// taken.
 const COMPACT_BYTES: usize = 4 << 20;
-/// Entries in the log since its last snapshot from which on a new one is taken.
+/// The number of log entries since the last snapshot at which a new snapshot is taken.
 const COMPACT_ENTRIES: usize = 1_000;
-/// The same while a snapshot is on its way to another machine, which needs the entries next. The
-/// bound on bytes stays: the disk's segments are made for it.
+/// The number of log entries at which a new snapshot is taken while a snapshot is being sent to
+/// another machine. The limit is higher than otherwise, because the receiver needs the entries that
+/// follow the transferred snapshot. `COMPACT_BYTES` still applies during the transfer, because the
+/// segments on disk are sized for it.
 const COMPACT_ENTRIES_DURING_TRANSFER: usize = 3_000;
 
 impl ControlMachine {
-    /// Records up to this number are durable.
+    /// Handles the completion of writes: all records up to `sequence` are on stable storage.
     pub fn persisted(&mut self, now: u64, sequence: u64) {
         self.advance_clock(now);
         self.replica.handle_persisted(sequence);
         self.process_replica_outputs();
     }
 
-    /// A message of the log has arrived, with its sender's time.
+    /// Handles a consensus message. `clock` is the sender's time in milliseconds at which the
+    /// message was sent.
     pub(super) fn on_consensus(&mut self, message: Message, clock: u64) {
         let (from, term) = (message.from, message.term);
         let is_from_leader = is_from_leader(&message);
@@ -36,7 +40,7 @@
         self.process_replica_outputs();
     }
 
-    /// Carries out all that the replica asks for, until it asks for nothing more.
+    /// Carries out the outputs of the replica until there are none left.
     pub(super) fn process_replica_outputs(&mut self) {
         loop {
             let outputs = self.replica.take_outputs();
@@ -125,15 +129,16 @@
         self.complete_proposal(index, term, Some(outcome));
     }
 
-    /// Replaces the log's beginning by a snapshot of the state, where it has grown long.
+    /// Replaces the applied entries of the log by a snapshot of the state once the log has reached
+    /// a size limit.
     fn compact(&mut self) {
         let entries = self.replica.log().entries().len();
-        let most_entries = if self.replica.is_sending_snapshot() {
+        let max_entries = if self.replica.is_sending_snapshot() {
             COMPACT_ENTRIES_DURING_TRANSFER
         } else {
             COMPACT_ENTRIES
         };
-        if self.log_bytes < COMPACT_BYTES && entries < most_entries {
+        if self.log_bytes < COMPACT_BYTES && entries < max_entries {
             return;
         }
         let index = self.state.index;
--- a/crates/control/src/machine/settings.rs
+++ b/crates/control/src/machine/settings.rs
@@ -1,25 +1,27 @@
-//! The settings of a control machine, and the timing of its replicated log.
+//! The settings of a control machine, and the timing of the replicated log.
 
 use crate::wire::MachineInfo;
 use std::collections::BTreeMap;
 use woadstall_consensus::Timing;
 
-/// Timing of the replicated log.
+/// The timing of the replicated log, which allows for machines in several regions.
 pub const TIMING: Timing = Timing::MULTI_REGION;
 
-/// What a machine is given at its start.
+/// The settings of a control machine.
 #[derive(Clone, Debug)]
 pub struct MachineSettings {
-    /// The machine itself.
+    /// The identity, location and addresses of the machine.
     pub machine: MachineInfo,
-    /// Internal addresses of the seeds.
+    /// The internal addresses of the seed machines, to which connections are always kept.
     pub seeds: Vec<String>,
-    /// The region of each zone.
+    /// The regions of the zones, keyed by zone name.
     pub zones: BTreeMap<String, String>,
-    /// The period of upstreams' heartbeats, in milliseconds.
+    /// The heartbeat period of upstreams in milliseconds.
     pub heartbeat_ms: u64,
-    /// The number of machines with a disk that may be lost at a time.
+    /// The number of machines that may fail at the same time, including their disks. It determines
+    /// the minimum number of voters.
     pub tolerated_failures: usize,
-    /// Distinguishes this process, its calls and its journal from earlier processes of the machine.
+    /// A number that distinguishes this process, its calls and its journal from those of earlier
+    /// processes of the machine.
     pub incarnation: u64,
 }
--- a/crates/control/src/machine/timers.rs
+++ b/crates/control/src/machine/timers.rs
@@ -1,33 +1,33 @@
-//! The periodic work of a control machine.
+//! Timers for the periodic work of a control machine.
 
-/// The interval in milliseconds at which machines introduce themselves to each other.
+/// The interval in milliseconds at which machines send hello packets to each other.
 const HELLO_INTERVAL_MS: u64 = 1_000;
-/// The interval in milliseconds at which a machine that does not vote asks to join.
+/// The interval in milliseconds at which a non-voting machine asks to join the replica group.
 const JOIN_INTERVAL_MS: u64 = 500;
 /// The interval in milliseconds at which received heartbeats are passed to the other machines.
 const GOSSIP_INTERVAL_MS: u64 = 200;
-/// The interval in milliseconds at which subscribers of the feed get the status of the machine.
+/// The interval in milliseconds at which feed subscribers are sent the status of the machine.
 const STATUS_INTERVAL_MS: u64 = 500;
 
-/// A timer that fires at most once in an interval.
+/// A timer that fires at most once per interval.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timer {
-    due: u64,
+    due_ms: u64,
     interval_ms: u64,
 }
 
 impl Timer {
-    /// Whether the timer is due; if so, it starts again from now.
+    /// Returns whether the timer is due. A due timer is restarted, with its next interval counted
+    /// from `now`.
     pub fn fire(&mut self, now: u64) -> bool {
-        let is_due = now >= self.due;
+        let is_due = now >= self.due_ms;
         if is_due {
-            self.due = now + self.interval_ms;
+            self.due_ms = now + self.interval_ms;
         }
         is_due
     }
 }
 
-/// One timer for each kind of periodic work.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timers {
     pub hello: Timer,
@@ -37,24 +37,24 @@
 }
 
 impl Timers {
-    /// Timers that are due at once, except that a new machine first waits to hear from others
-    /// before it asks to join.
+    /// Creates timers that are due immediately, except for the join timer: a new machine first
+    /// waits to hear from other machines.
     pub fn new(now: u64) -> Self {
         Self {
             hello: Timer {
-                due: now,
+                due_ms: now,
                 interval_ms: HELLO_INTERVAL_MS,
             },
             join: Timer {
-                due: now + JOIN_INTERVAL_MS,
+                due_ms: now + JOIN_INTERVAL_MS,
                 interval_ms: JOIN_INTERVAL_MS,
             },
             gossip: Timer {
-                due: now,
+                due_ms: now,
                 interval_ms: GOSSIP_INTERVAL_MS,
             },
             status: Timer {
-                due: now,
+                due_ms: now,
                 interval_ms: STATUS_INTERVAL_MS,
             },
         }
--- a/crates/control/src/merge.rs
+++ b/crates/control/src/merge.rs
@@ -1,12 +1,12 @@
-//! What merging an update into the records of a machine has done.
+//! The outcome of merging an update into the records of a machine.
 
-/// The effect of an update.
+/// The effect of an update on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// None: the update was late or is known.
+    /// The record is unchanged, because the update is already known or older than the record.
     Stale,
-    /// The record is only confirmed: its subject is still alive.
+    /// The record is confirmed without changes: the upstream or balancer is still alive.
     Renewed,
-    /// The record has changed, and others must be notified.
+    /// The record has changed, and other machines and balancers must be notified.
     Changed,
 }
--- a/crates/control/src/reader.rs
+++ b/crates/control/src/reader.rs
@@ -1,15 +1,15 @@
-//! Reads fields of JSON documents. Findings are collected with their paths, so that all of them can
-//! be shown together.
+//! Readers for the fields of JSON documents. All findings are collected with their paths, so that
+//! they can be reported together.
 
 use serde_json::Value;
 use std::fmt;
 
-/// A fault at a path of a document.
+/// An error at a path of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The path, as in `routes[3].timeout_ms`.
+    /// The path, for example `routes[3].timeout_ms`.
     pub path: String,
-    /// What is wrong there.
+    /// The description of the error.
     pub problem: String,
 }
 
@@ -19,19 +19,19 @@
     }
 }
 
-/// All findings of a document; displayed one a line.
+/// All findings of a document. The `Display` form has one finding per line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// A single finding.
+    /// Creates a list with a single finding.
     pub fn one(path: impl Into<String>, problem: impl Into<String>) -> Self {
         let mut findings = Self::default();
         findings.add(path, problem);
         findings
     }
 
-    /// Adds one.
+    /// Adds a finding.
     pub fn add(&mut self, path: impl Into<String>, problem: impl Into<String>) {
         self.0.push(Finding {
             path: path.into(),
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Whether there is none.
+    /// Returns whether the list has no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -55,7 +55,7 @@
 
 impl std::error::Error for Findings {}
 
-/// A value at a path of a document.
+/// A value that may be absent, at a path of a document.
 #[derive(Clone, Debug)]
 pub struct FieldReader<'a> {
     value: Option<&'a Value>,
@@ -63,7 +63,7 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// The whole document.
+    /// Creates a reader of the whole document.
     pub fn new(document: &'a Value) -> Self {
         Self {
             value: Some(document),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The path, as findings name it.
+    /// Returns the path as written in findings; `(document)` for the whole document.
     pub fn path(&self) -> &str {
         if self.path.is_empty() {
             "(document)"
@@ -80,12 +80,12 @@
         }
     }
 
-    /// The value, if there is one; `null` counts as none.
+    /// Returns the value if it is present. `null` counts as absent.
     pub fn value(&self) -> Option<&'a Value> {
         self.value.filter(|value| !value.is_null())
     }
 
-    /// A field of an object.
+    /// Returns a reader of an object's field.
     pub fn field(&self, name: &str) -> Self {
         let path = if self.path.is_empty() {
             name.to_owned()
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The items of an array; none where the value is absent.
+    /// Returns a reader for each item of an array, and no readers if the value is absent.
     pub fn items(&self, findings: &mut Findings) -> Vec<Self> {
         let Some(value) = self.value() else {
             return Vec::new();
@@ -114,7 +114,7 @@
         items.iter().enumerate().map(item).collect()
     }
 
-    /// A string that must be there and must not be empty.
+    /// Reads a required string, which must not be empty.
     pub fn string(&self, findings: &mut Findings) -> String {
         match self.value().map(Value::as_str) {
             Some(Some(text)) if !text.is_empty() => text.to_owned(),
@@ -124,12 +124,12 @@
         }
     }
 
-    /// A string, or none where the value is absent.
+    /// Reads an optional string. A present string must not be empty.
     pub fn optional_string(&self, findings: &mut Findings) -> Option<String> {
         self.value().map(|_| self.string(findings))
     }
 
-    /// An integer, 0 or more, that must be there.
+    /// Reads a required non-negative integer.
     pub fn integer(&self, findings: &mut Findings) -> u64 {
         match self.value().map(Value::as_u64) {
             Some(Some(number)) => number,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// An integer, 0 or more, or `default` where the value is absent.
+    /// Reads a non-negative integer, or returns `default` if the value is absent.
     pub fn integer_or(&self, default: u64, findings: &mut Findings) -> u64 {
         if self.value().is_some() {
             self.integer(findings)
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A number that is 0 or more, or `default` where the value is absent.
+    /// Reads a non-negative number, or returns `default` if the value is absent.
     pub fn number_or(&self, default: f64, findings: &mut Findings) -> f64 {
         match self.value().map(Value::as_f64) {
             Some(Some(number)) if number >= 0.0 => number,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// A boolean, or `default` where the value is absent.
+    /// Reads a boolean, or returns `default` if the value is absent.
     pub fn bool_or(&self, default: bool, findings: &mut Findings) -> bool {
         match self.value().map(Value::as_bool) {
             Some(Some(flag)) => flag,
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Adds a finding; the value counts as the default of its type then.
+    /// Adds a finding and returns the default value of the type.
     fn fault<T: Default>(&self, problem: &str, findings: &mut Findings) -> T {
         findings.add(self.path(), problem);
         T::default()
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -1,27 +1,28 @@
-//! The registrations of upstreams. Every control machine has all of them; changes are merged, so
-//! that their order does not matter: a registration with a higher sequence number wins, and an
-//! incarnation that has deregistered stays so.
+//! The registry of upstreams. Every control machine holds all registrations. The result of merging
+//! changes does not depend on their order: a registration with a higher sequence number wins, and a
+//! deregistered incarnation stays deregistered.
 
 use crate::merge::MergeOutcome;
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The state of an upstream's registration. A later one wins at the same sequence number.
+/// The status of an upstream's registration. Of two registrations with the same sequence number,
+/// the one with the status listed later wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum UpstreamStatus {
-    /// It accepts requests.
+    /// The upstream accepts requests.
     Ready,
-    /// No heartbeat has come for several periods; the next one sets the status again.
+    /// The upstream has missed several heartbeats. Its next heartbeat sets the status again.
     TimedOut,
-    /// It is about to leave and gets no new requests.
+    /// The upstream is shutting down and gets no new requests.
     Draining,
-    /// It has left for good.
+    /// The upstream has left. This status is final for the incarnation.
     Deregistered,
 }
 
-/// The name of a status in the log and in the JSON of a machine's status, which differs from the
-/// identifier for two of them.
+/// The name of a status in the log and in the JSON of a machine's status. `TimedOut` and
+/// `Deregistered` have names that differ from their identifiers.
 impl fmt::Display for UpstreamStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -34,41 +35,42 @@
 }
 
 impl UpstreamStatus {
-    /// Whether the upstream is shutting down or has left.
+    /// Returns whether the upstream is shutting down or has left.
     pub fn is_terminating(self) -> bool {
         matches!(self, Self::Draining | Self::Deregistered)
     }
 }
 
-/// An upstream's registration.
+/// The registration of one incarnation of an upstream.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct Registration {
-    /// The incarnation's id.
+    /// The id of the upstream's incarnation.
     pub id: String,
-    /// Its service.
+    /// The name of the upstream's service.
     pub service: String,
-    /// Where it listens, as `ip:port`.
+    /// The address on which the upstream listens, as `ip:port`.
     pub address: String,
-    /// Its zone.
+    /// The zone of the upstream.
     pub zone: String,
-    /// The number of requests that it processes concurrently.
+    /// The number of requests that the upstream processes concurrently.
     pub capacity: u64,
     /// The sequence number of the newest heartbeat.
     pub sequence: u64,
-    /// Its status.
+    /// The status of the upstream.
     pub status: UpstreamStatus,
-    /// How much longer it warms up after its start, in milliseconds, as of when this record was
-    /// made or sent.
+    /// The remaining time in milliseconds of the warm-up after the upstream's start, at the time at
+    /// which this registration was created or sent.
     pub slow_start_remaining_ms: u64,
-    /// The time left to one that is terminated at short notice, in milliseconds; 0 where no notice
-    /// was given.
+    /// The time in milliseconds until the termination of an upstream that is terminated at short
+    /// notice; 0 if no notice was given.
     pub termination_remaining_ms: u64,
-    /// The age of its newest heartbeat in milliseconds, as of when this record was made or sent.
+    /// The age of the newest heartbeat in milliseconds, at the time at which this registration was
+    /// created or sent.
     pub age_ms: u64,
 }
 
 impl Registration {
-    /// All that is known of an upstream that has left without having been heard of.
+    /// Creates the registration of an unknown upstream that has deregistered.
     fn deregistered(id: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Whether this differs from another registration in something that balancers must be notified
-    /// of.
+    /// Returns whether this registration differs from another one in a way of which balancers must
+    /// be notified.
     fn differs_from(&self, other: &Self) -> bool {
         let has_restarted = self.slow_start_remaining_ms > other.slow_start_remaining_ms;
         self.status != other.status
@@ -96,7 +98,7 @@
             || has_restarted
     }
 
-    /// Whether this replaces another registration of the incarnation.
+    /// Returns whether this registration replaces another one of the same incarnation.
     fn supersedes(&self, other: &Self) -> bool {
         match (other.status, self.status) {
             (UpstreamStatus::Deregistered, _) => false,
@@ -106,36 +108,36 @@
     }
 }
 
-/// A registration as one machine knows it.
+/// The record of a registration at one machine.
 #[derive(Clone, Debug)]
 struct RegistrationRecord {
     registration: Registration,
-    /// When the newest heartbeat arrived here or at another machine.
-    last_heartbeat: u64,
-    /// When it was last changed in a way that balancers hear of.
-    changed_at: u64,
-    slow_start_until: u64,
+    /// The time in milliseconds at which the newest heartbeat arrived at this or another machine.
+    last_heartbeat_ms: u64,
+    /// The time in milliseconds of the last change that was sent to balancers.
+    changed_at_ms: u64,
+    slow_start_until_ms: u64,
 }
 
-/// All registrations, with times in milliseconds of one machine's clock.
+/// The registrations known to one machine. All times are milliseconds of that machine's clock.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     records: BTreeMap<String, RegistrationRecord>,
 }
 
-/// The time in milliseconds for which an incarnation that has left, or timed out, is remembered, so
-/// that a late heartbeat does not bring it back.
+/// The time in milliseconds for which an incarnation that has left or timed out is remembered, so
+/// that a late heartbeat does not restore it.
 const TOMBSTONE_RETENTION_MS: u64 = 120_000;
-/// The age in milliseconds from which on an unknown upstream that was ready counts as timed out:
-/// others may have heard that it left and have forgotten it since. Far less than the retention, far
-/// more than the period of heartbeats.
+/// The heartbeat age in milliseconds above which a ready registration of an unknown upstream counts
+/// as timed out. Other machines may have recorded that such an upstream left, and removed the
+/// record since. The limit is far below the retention time and far above the heartbeat period.
 const UNKNOWN_MAX_AGE_MS: u64 = 60_000;
-/// The time in milliseconds by which an upstream's own count of its slow start may differ from ours
-/// without meaning a new one.
+/// The tolerance in milliseconds for the difference between an upstream's reported and expected
+/// remaining warm-up. A longer remaining warm-up means that the upstream has restarted.
 const SLOW_START_TOLERANCE_MS: u64 = 400;
 
 impl Registry {
-    /// Merges a registration that has arrived at a time.
+    /// Merges a registration that arrived at the time `now`.
     pub fn merge(&mut self, now: u64, registration: Registration) -> MergeOutcome {
         match self.records.get_mut(&registration.id) {
             Some(record) => record.merge(now, registration),
@@ -148,14 +150,14 @@
         }
     }
 
-    /// An upstream has left. One that is not known is remembered all the same: other machines may
-    /// know it, or hear of it later.
+    /// Deregisters an upstream. An unknown upstream is recorded as deregistered too, because other
+    /// machines may know it or receive its registration later.
     pub fn deregister(&mut self, now: u64, id: &str) -> MergeOutcome {
         self.merge(now, Registration::deregistered(id))
     }
 
-    /// Marks ready upstreams of the services that the caller owns as timed out, if their last
-    /// heartbeat is older than `timeout_ms`, and returns them.
+    /// Marks ready upstreams as timed out if `owns` holds for their service and their last
+    /// heartbeat is older than `timeout_ms`. Returns the registrations of the marked upstreams.
     pub fn time_out(
         &mut self,
         now: u64,
@@ -165,12 +167,12 @@
         let is_overdue = |record: &&mut RegistrationRecord| {
             let registration = &record.registration;
             let is_ready = registration.status == UpstreamStatus::Ready;
-            let has_missed_heartbeats = now > record.last_heartbeat + timeout_ms;
+            let has_missed_heartbeats = now > record.last_heartbeat_ms + timeout_ms;
             has_missed_heartbeats && is_ready && owns(&registration.service)
         };
         let time_out = |record: &mut RegistrationRecord| {
             record.registration.status = UpstreamStatus::TimedOut;
-            record.changed_at = now;
+            record.changed_at_ms = now;
             record.registration.clone()
         };
         self.records
@@ -180,19 +182,22 @@
             .collect()
     }
 
-    /// Forgets upstreams that left or timed out long ago.
+    /// Removes draining, timed-out and deregistered upstreams after the retention time.
     pub fn remove_expired(&mut self, now: u64) {
         self.records
             .retain(|_, record| match record.registration.status {
                 UpstreamStatus::Ready => true,
-                UpstreamStatus::Draining => now <= record.last_heartbeat + TOMBSTONE_RETENTION_MS,
+                UpstreamStatus::Draining => {
+                    now <= record.last_heartbeat_ms + TOMBSTONE_RETENTION_MS
+                }
                 UpstreamStatus::TimedOut | UpstreamStatus::Deregistered => {
-                    now <= record.changed_at + TOMBSTONE_RETENTION_MS
+                    now <= record.changed_at_ms + TOMBSTONE_RETENTION_MS
                 }
             });
     }
 
-    /// Another machine has received a heartbeat with this sequence number, without changes.
+    /// Applies a renewal: another machine has received an unchanged heartbeat with this sequence
+    /// number. Only a ready upstream is renewed.
     pub fn renew(&mut self, now: u64, id: &str, sequence: u64) {
         let Some(record) = self.records.get_mut(id) else {
             return;
@@ -200,16 +205,16 @@
         let registration = &mut record.registration;
         if sequence > registration.sequence && registration.status == UpstreamStatus::Ready {
             registration.sequence = sequence;
-            record.last_heartbeat = now;
+            record.last_heartbeat_ms = now;
         }
     }
 
-    /// A registration, with its times as of now.
+    /// Returns a registration, with its age and remaining warm-up as of `now`.
     pub fn get(&self, now: u64, id: &str) -> Option<Registration> {
         self.records.get(id).map(|record| record.as_of(now))
     }
 
-    /// All registrations, with their times as of now.
+    /// Returns all registrations, with their ages and remaining warm-ups as of `now`.
     pub fn all(&self, now: u64) -> Vec<Registration> {
         self.records
             .values()
@@ -217,28 +222,28 @@
             .collect()
     }
 
-    /// The number of registrations.
+    /// Returns the number of registrations, including those that have timed out or deregistered.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no registrations.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 }
 
 impl RegistrationRecord {
-    /// The record of an upstream that was not known.
+    /// Creates the record of a previously unknown upstream.
     fn new(now: u64, mut registration: Registration) -> Self {
         let is_ready = registration.status == UpstreamStatus::Ready;
         if is_ready && registration.age_ms > UNKNOWN_MAX_AGE_MS {
             registration.status = UpstreamStatus::TimedOut;
         }
         Self {
-            last_heartbeat: now.saturating_sub(registration.age_ms),
-            changed_at: now,
-            slow_start_until: now + registration.slow_start_remaining_ms,
+            last_heartbeat_ms: now.saturating_sub(registration.age_ms),
+            changed_at_ms: now,
+            slow_start_until_ms: now + registration.slow_start_remaining_ms,
             registration,
         }
     }
@@ -249,30 +254,30 @@
         }
         if registration.status == UpstreamStatus::Deregistered {
             self.registration.status = UpstreamStatus::Deregistered;
-            self.changed_at = now;
+            self.changed_at_ms = now;
             return MergeOutcome::Changed;
         }
         if registration.sequence > self.registration.sequence {
             let heartbeat_at = now.saturating_sub(registration.age_ms);
-            self.last_heartbeat = self.last_heartbeat.max(heartbeat_at);
+            self.last_heartbeat_ms = self.last_heartbeat_ms.max(heartbeat_at);
         }
         let has_changed = registration.differs_from(&self.expected(now));
         if has_changed || registration.slow_start_remaining_ms == 0 {
-            self.slow_start_until = now + registration.slow_start_remaining_ms;
+            self.slow_start_until_ms = now + registration.slow_start_remaining_ms;
         }
         self.registration = registration;
         if has_changed {
-            self.changed_at = now;
+            self.changed_at_ms = now;
             MergeOutcome::Changed
         } else {
             MergeOutcome::Renewed
         }
     }
 
-    /// The registration that a heartbeat without changes has now, with the tolerance for its slow
-    /// start.
+    /// Returns the registration that an unchanged heartbeat would carry at the time `now`, with the
+    /// tolerance added to the remaining warm-up.
     fn expected(&self, now: u64) -> Registration {
-        let remaining_ms = self.slow_start_until.saturating_sub(now);
+        let remaining_ms = self.slow_start_until_ms.saturating_sub(now);
         let slow_start_remaining_ms = remaining_ms + SLOW_START_TOLERANCE_MS;
         Registration {
             slow_start_remaining_ms,
@@ -281,8 +286,8 @@
     }
 
     fn as_of(&self, now: u64) -> Registration {
-        let slow_start_remaining_ms = self.slow_start_until.saturating_sub(now);
-        let age_ms = now.saturating_sub(self.last_heartbeat);
+        let slow_start_remaining_ms = self.slow_start_until_ms.saturating_sub(now);
+        let age_ms = now.saturating_sub(self.last_heartbeat_ms);
         Registration {
             slow_start_remaining_ms,
             age_ms,
--- a/crates/control/src/state/accepted.rs
+++ b/crates/control/src/state/accepted.rs
@@ -1,16 +1,15 @@
-//! The commands that were accepted lately, so that one that is submitted again is acknowledged
-//! again.
+//! Recently accepted commands, which are acknowledged again when they are resubmitted.
 
 use std::collections::{HashSet, VecDeque};
 
-/// The number of commands that are remembered. At 2,000 changes a day this is more than a week;
-/// each takes 16 bytes.
+/// The number of remembered commands. At 2,000 changes a day it covers more than a week; each
+/// command takes 16 bytes.
 const CAPACITY: usize = 20_000;
 
-/// The digests of the newest commands that were accepted.
+/// The digests of the most recently accepted commands.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AcceptedCommands {
-    /// The oldest first.
+    /// The digests in the order of acceptance, oldest first.
     in_order: VecDeque<u128>,
     digests: HashSet<u128>,
 }
@@ -20,7 +19,7 @@
         self.digests.contains(&digest)
     }
 
-    /// Remembers a digest, and forgets the oldest ones beyond the capacity.
+    /// Adds a digest, and removes the oldest ones in excess of the capacity.
     pub fn insert(&mut self, digest: u128) {
         if self.digests.insert(digest) {
             self.in_order.push_back(digest);
@@ -32,7 +31,7 @@
         }
     }
 
-    /// The digests, the oldest first.
+    /// Iterates over the digests, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = u128> {
         self.in_order.iter().copied()
     }
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The state that the configuration's log makes: the configuration in force, what was accepted, the
-//! evacuated zones. Control machines and balancers apply the same commands, so they come to the
-//! same state.
+//! The state that results from applying the configuration log: the configuration in force, recently
+//! accepted commands, and the evacuated zones. Control machines and balancers apply the same
+//! commands and therefore reach the same state.
 
 mod accepted;
 mod patch;
@@ -16,37 +16,40 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Bytes of a configuration at most, so that a snapshot always fits the disk.
+/// The maximum size of a configuration in bytes, which ensures that a snapshot always fits the
+/// disk.
 const MAX_DOCUMENT_BYTES: usize = 6 << 20;
 
-/// The state after a number of commands.
+/// The state after a prefix of the configuration log.
 #[derive(Clone, Debug, Default)]
 pub struct ControlState {
-    /// The position of the last command in the log.
+    /// The log index of the last applied command.
     pub index: u64,
-    /// The configuration in force, as its routing uses it.
+    /// The configuration in force in the form used for routing; `None` before the first one is
+    /// accepted.
     pub configuration: Option<Arc<Configuration>>,
-    /// The zones that get no new requests.
+    /// The evacuated zones, whose upstreams get no new requests.
     pub evacuated_zones: BTreeSet<String>,
-    /// The configuration in force, as the operator wrote it.
+    /// The configuration in force as the operator wrote it, including unknown fields.
     document: Arc<Value>,
     accepted: AcceptedCommands,
 }
 
 impl ControlState {
-    /// The configuration as the operator reads it back.
+    /// Returns the configuration document that operators read back; `null` if there is no
+    /// configuration.
     pub fn document(&self) -> &Value {
         &self.document
     }
 
-    /// The version in force, or 0.
+    /// Returns the generation of the configuration in force, or 0 if there is none.
     pub fn generation(&self) -> u64 {
         self.configuration
             .as_ref()
             .map_or(0, |configuration| configuration.generation)
     }
 
-    /// Applies a command at a position of the log.
+    /// Applies the command at a log index.
     pub fn apply(&mut self, index: u64, command: &Command) -> CommandOutcome {
         self.index = index;
         match command {
@@ -67,23 +70,24 @@
         }
     }
 
-    /// Applies a command unless it is applied already: a balancer may hear of it from several
-    /// machines.
+    /// Applies a command unless its log index has already been applied. A balancer may receive the
+    /// same command from several machines.
     pub fn apply_if_newer(&mut self, index: u64, command: &Command) {
         if index > self.index {
             self.apply(index, command);
         }
     }
 
-    /// Replaces this state by another one if that is newer: what is in force never goes back.
+    /// Replaces this state by another one if that is newer, so that the state in force never
+    /// regresses.
     pub fn replace_if_newer(&mut self, other: Self) {
         if other.index > self.index {
             *self = other;
         }
     }
 
-    /// Puts a changed document in force, unless the command was accepted before or builds on
-    /// another version.
+    /// Puts a changed document in force, unless the command has been accepted before, is based on
+    /// another generation, or results in an invalid configuration.
     fn change(
         &mut self,
         digest: u128,
@@ -111,7 +115,7 @@
         }
     }
 
-    /// A document with the configuration that it holds, if that may follow the one in force.
+    /// Parses a document and checks that it may follow the configuration in force.
     fn check(&self, document: Value) -> Result<(Value, Configuration), Findings> {
         let configuration = Configuration::read(&document)?;
         let mut findings = Findings::default();
--- a/crates/control/src/state/patch.rs
+++ b/crates/control/src/state/patch.rs
@@ -1,6 +1,5 @@
-//! Changes of single items of a configuration: the fields of the change replace those of the
-//! document, except that `delete` and `upsert` remove, replace or add items of its lists by their
-//! names.
+//! Patches of a configuration. The fields of a patch replace the fields of the document, except
+//! that `delete` and `upsert` remove, replace or add items of the document's lists by name.
 
 use crate::reader::Findings;
 use serde_json::{Map, Value};
@@ -8,20 +7,20 @@
 /// The fields of a configuration that are lists of named items.
 const LISTS: [&str; 2] = ["routes", "services"];
 
-/// What is done with the named items of a list.
+/// An operation on the named items of a list.
 #[derive(Clone, Copy)]
 enum Operation {
-    /// Items, given by their names, are removed.
+    /// Removes the items with the given names.
     Delete,
-    /// Items, given complete, replace those of the same name or are added.
+    /// Replaces the items of the same names by the given ones, or adds items with new names.
     Upsert,
 }
 
 impl Operation {
-    /// In the order in which they are applied.
+    /// All operations in the order of their application.
     const ALL: [Self; 2] = [Self::Delete, Self::Upsert];
 
-    /// The field of the change.
+    /// Returns the field of the patch that holds the operation.
     fn field(self) -> &'static str {
         match self {
             Self::Delete => "delete",
@@ -29,7 +28,7 @@
         }
     }
 
-    /// The name of the item that an element of the change's list refers to.
+    /// Returns the name of the item to which an element of the patch refers.
     fn name_of(self, element: &Value) -> Option<&str> {
         match self {
             Self::Delete => element.as_str(),
@@ -37,7 +36,7 @@
         }
     }
 
-    /// Applies an element of the change's list.
+    /// Applies one element of the patch to a list.
     fn apply(self, items: &mut Vec<Value>, name: &str, element: &Value) {
         let position = items.iter().position(|item| name_of(item) == Some(name));
         match (self, position) {
@@ -53,7 +52,7 @@
     item.get("name").and_then(Value::as_str)
 }
 
-/// The document with a change.
+/// Applies a patch to a document and returns the patched document.
 pub(super) fn apply(document: &Value, change: &Value) -> Result<Value, Findings> {
     let Some(change) = change.as_object() else {
         return Err(Findings::one("(document)", "must be an object"));
--- a/crates/control/src/state/snapshot.rs
+++ b/crates/control/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state as bytes, as it stands in snapshots of the log and in the feeds of balancers.
+//! The encoding of the state in snapshots of the log and in the feeds of balancers.
 
 use super::ControlState;
 use crate::configuration::Configuration;
@@ -7,31 +7,31 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A state can't be decoded from bytes.
+/// An error in decoding a state.
 #[derive(Debug, Error)]
 pub enum StateError {
-    /// The bytes are damaged or of another version.
+    /// The bytes are damaged or have the format of another version.
     #[error("the state can't be decoded: {0}")]
     Encoding(#[from] DeBinErr),
-    /// The configuration in it is not JSON.
+    /// The configuration in the state is not valid JSON.
     #[error("the configuration in the state can't be read: {0}")]
     Document(#[from] serde_json::Error),
-    /// The configuration in it is invalid.
+    /// The configuration in the state is invalid.
     #[error("the configuration in the state is invalid: {0}")]
     Invalid(#[from] Findings),
 }
 
-/// The fields of a state, in the order in which they are stored.
+/// The stored form of a state. The binary format is determined by the order of the fields.
 #[derive(SerBin, DeBin)]
 struct StoredState {
     index: u64,
-    /// The configuration as JSON; empty where there is none.
+    /// The configuration as JSON; empty if there is none.
     document: Vec<u8>,
     evacuated: Vec<String>,
     accepted: Vec<StoredDigest>,
 }
 
-/// A digest as two halves, as `nanoserde` has no `u128`.
+/// A digest as two 64-bit halves, because `nanoserde` does not support `u128`.
 #[derive(SerBin, DeBin)]
 struct StoredDigest {
     high: u64,
@@ -54,7 +54,7 @@
 }
 
 impl ControlState {
-    /// The state as bytes.
+    /// Encodes the state.
     pub fn encode(&self) -> Vec<u8> {
         let document = match self.configuration {
             Some(_) => serde_json::to_vec(&*self.document).unwrap_or_default(),
@@ -69,11 +69,12 @@
         stored.serialize_bin()
     }
 
-    /// The state from its bytes.
+    /// Decodes a state.
     ///
     /// # Errors
     ///
-    /// Where the bytes are damaged, of another version, or hold an invalid configuration.
+    /// Returns an error if the bytes are damaged, have the format of another version, or hold an
+    /// invalid configuration.
     pub fn decode(bytes: &[u8]) -> Result<Self, StateError> {
         let stored = StoredState::deserialize_bin(bytes)?;
         let mut state = Self {
--- a/crates/control/src/wire/frame.rs
+++ b/crates/control/src/wire/frame.rs
@@ -1,50 +1,50 @@
-//! Frames: a header with the version of the protocol, the compression, the payload's length and a
-//! checksum (all little-endian), then the payload.
+//! Frame encoding. A frame has a header (protocol version, compression, payload length and
+//! checksum, all little-endian), followed by the payload.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use thiserror::Error;
 
-/// The version of the protocol. Another one is refused.
+/// The protocol version. Frames of any other version are rejected.
 pub const VERSION: u16 = 3;
-/// Bytes of a frame's header: version, compression, length, checksum.
+/// The size of a frame's header in bytes.
 pub const HEADER_BYTES: usize = 12;
-/// Bytes of a payload at most, also when decompressed: a snapshot of the configuration and its
-/// history.
+/// The maximum size of a payload in bytes, before and after decompression. It fits a snapshot of
+/// the configuration and its history.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Bytes from which on a payload is compressed: a configuration shrinks to a tenth, so that it
-/// delays the heartbeats behind it on a link between regions for a tenth of the time.
+/// The minimum size in bytes of a compressed payload. Compression shrinks a configuration to a
+/// tenth, and thereby the delay of the heartbeats queued behind it on a link between regions.
 const COMPRESSION_THRESHOLD_BYTES: usize = 1_024;
 
-/// A frame can't be decoded.
+/// An error in decoding a frame.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// It is of another version of the protocol.
+    /// The frame has another protocol version.
     #[error("protocol version {0} instead of {VERSION}")]
     Version(u16),
-    /// It is longer than any frame may be, in bytes.
+    /// The payload or its decompressed size, in bytes, exceeds the maximum.
     #[error("a frame of {0} bytes, {MAX_FRAME_BYTES} at most")]
     TooLong(usize),
-    /// Its length differs from the one in its header.
+    /// The payload length differs from the length in the header, or the header is truncated.
     #[error("a frame whose length differs from its header")]
     Length,
-    /// It was damaged on its way.
+    /// The frame was damaged in transit.
     #[error("a frame whose checksum does not match")]
     Checksum,
-    /// Its compression is unknown.
+    /// The compression code is unknown.
     #[error("a frame with unknown compression {0}")]
     Compression(u16),
-    /// Its payload can't be decompressed.
+    /// The payload can't be decompressed.
     #[error("a payload that can't be decompressed: {0}")]
     Decompress(#[from] lz4_flex::block::DecompressError),
-    /// Its payload is not a value of the expected type.
+    /// The payload is not a value of the expected type.
     #[error("a payload that can't be decoded: {0}")]
     Payload(#[from] DeBinErr),
-    /// Its payload goes on behind the value.
+    /// The payload has additional bytes after the value.
     #[error("a payload with surplus bytes")]
     SurplusBytes,
 }
 
-/// A value as a frame.
+/// Encodes a value as a frame.
 pub fn encode_frame(value: &impl SerBin) -> Vec<u8> {
     let (compression, payload) = compress(value.serialize_bin());
     let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
@@ -56,21 +56,22 @@
     bytes
 }
 
-/// The value of a complete frame.
+/// Decodes the value of a complete frame.
 ///
 /// # Errors
 ///
-/// Where the frame is of another version, truncated, too long, damaged or not of this type.
+/// Returns an error if the frame has another version, is truncated, too long or damaged, or does
+/// not hold a value of this type.
 pub fn decode_frame<T: DeBin>(bytes: &[u8]) -> Result<T, WireError> {
     let (header, payload) = bytes.split_first_chunk().ok_or(WireError::Length)?;
     decode_split_frame(header, payload)
 }
 
-/// The length of a frame's payload in bytes, from its header.
+/// Returns the length of a frame's payload in bytes, as given in its header.
 ///
 /// # Errors
 ///
-/// Where the frame is of another version or too long.
+/// Returns an error if the frame has another version or is too long.
 pub fn payload_length(header: &[u8; HEADER_BYTES]) -> Result<usize, WireError> {
     let version = u16::from_le_bytes([header[0], header[1]]);
     if version != VERSION {
@@ -84,11 +85,11 @@
     }
 }
 
-/// The value of a frame's header and payload.
+/// Decodes the value of a frame that is given as header and payload.
 ///
 /// # Errors
 ///
-/// As [`decode_frame`].
+/// Returns the same errors as [`decode_frame`].
 pub fn decode_split_frame<T: DeBin>(
     header: &[u8; HEADER_BYTES],
     payload: &[u8],
@@ -107,12 +108,12 @@
     }
 }
 
-/// How a payload is compressed.
+/// The compression of a payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Compression {
-    /// Not at all.
+    /// No compression.
     None = 0,
-    /// With LZ4 in one block, behind its decompressed size as a `u32`.
+    /// A single LZ4 block, preceded by its decompressed size as a `u32`.
     Lz4 = 1,
 }
 
@@ -126,7 +127,7 @@
     }
 }
 
-/// Compresses a payload where that is worth it.
+/// Compresses a payload of at least the threshold size, unless the result is no smaller.
 fn compress(payload: Vec<u8>) -> (Compression, Vec<u8>) {
     if payload.len() >= COMPRESSION_THRESHOLD_BYTES {
         let compressed = lz4_flex::compress_prepend_size(&payload);
@@ -137,7 +138,8 @@
     (Compression::None, payload)
 }
 
-/// The decompressed payload. No more memory is allocated than a frame may hold.
+/// Decompresses a payload. The claimed size is checked first, so that no more memory is allocated
+/// than the maximum frame size.
 fn decompress(payload: &[u8]) -> Result<Vec<u8>, WireError> {
     let (size, _) = lz4_flex::block::uncompressed_size(payload)?;
     if size > MAX_FRAME_BYTES {
--- a/crates/control/src/wire/mod.rs
+++ b/crates/control/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The protocol between the processes of the control plane: typed packets in `nanoserde` binary, in
-//! frames with a version, a length and a checksum.
+//! The wire protocol between the processes of the control plane: typed packets in the binary
+//! encoding of `nanoserde`, sent in frames with a version, a length and a checksum.
 
 mod frame;
 mod packet;
--- a/crates/control/src/wire/packet.rs
+++ b/crates/control/src/wire/packet.rs
@@ -1,5 +1,5 @@
-//! The packets. The wire format consists of the order of the variants and of their fields; the
-//! identifiers are not part of it.
+//! Packet definitions. The wire format is determined by the order of the variants and of their
+//! fields; identifiers are not encoded.
 
 use super::frame::{HEADER_BYTES, WireError, decode_frame, decode_split_frame, encode_frame};
 use crate::balancers::{BalancerHeartbeat, BalancerRenewal};
@@ -10,149 +10,154 @@
 use nanoserde::{DeBin, SerBin};
 use woadstall_consensus::{LeaderTime, Member, Message, ReplicaId};
 
-/// A control machine: where it is and how others reach it.
+/// The identity, location and addresses of a control machine.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct MachineInfo {
-    /// Its replica's identity and its internal address.
+    /// The identity of the machine's replica and the machine's internal address.
     pub member: Member,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: String,
-    /// Its region.
+    /// The region of the machine.
     pub region: String,
-    /// Where operators and upstreams reach it, as `ip:port`.
+    /// The address for operators and upstreams, as `ip:port`.
     pub control_address: String,
 }
 
-/// Identifies a call between control machines among those of all processes that ever ran: a late
-/// reply to a former process is not taken for one to a call of the process that runs now.
+/// Identifies a call between control machines, uniquely over all processes and restarts. A late
+/// reply to a call of an earlier process is therefore not mistaken for a reply to a call of the
+/// current process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct CallId {
-    /// The incarnation of the process that calls.
+    /// The incarnation of the calling process.
     pub incarnation: u64,
-    /// The number that it gave the call.
+    /// The number of the call within the calling process.
     pub number: u64,
 }
 
 /// A message from one process to another.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum Packet {
-    /// Begins a connection between control machines, and is repeated on it.
+    /// Introduces the sender to another control machine. Sent when a connection is established and
+    /// repeated periodically.
     Hello {
-        /// The sender.
+        /// The sending machine.
         machine: MachineInfo,
-        /// The machines that it has heard of.
+        /// The machines known to the sender.
         known: Vec<MachineInfo>,
     },
-    /// A message of the replicated log.
+    /// A consensus message of the replicated log.
     Consensus {
-        /// The message.
+        /// The consensus message.
         message: Message,
-        /// The sender's clock, in milliseconds.
+        /// The sender's time at sending, in milliseconds of the sender's clock.
         clock: u64,
     },
-    /// A replica asks to become a member.
+    /// A replica asks to become a member of the replica group.
     JoinRequest(Member),
-    /// A replica's process is about to end.
+    /// The process of a replica is about to stop.
     ReplicaStopping(ReplicaId),
-    /// Registrations that have changed, or all of them; acknowledged by `RegistrationsAck`.
+    /// Changed registrations, or all registrations. The receiver responds with `RegistrationsAck`.
     Registrations {
         /// The call.
         call: CallId,
-        /// The registrations, with times as of sending.
+        /// The registrations, with ages and remaining times as of sending.
         registrations: Vec<Registration>,
     },
-    /// Registrations were merged; those of upstreams that drain or leave are on disk.
+    /// Acknowledges that registrations have been merged, and that drains and deregistrations among
+    /// them have been written to disk.
     RegistrationsAck {
-        /// The call that they came with.
+        /// The call of the acknowledged `Registrations`.
         call: CallId,
     },
-    /// Heartbeats of upstreams without changes.
+    /// Heartbeats of upstreams whose registrations have not changed.
     Renewals(Vec<Renewal>),
-    /// Heartbeats of balancers with changes.
+    /// Heartbeats of balancers with changes, in full.
     BalancerHeartbeats(Vec<BalancerHeartbeat>),
-    /// Heartbeats of balancers without changes.
+    /// Heartbeats of balancers without changes, in short form.
     BalancerRenewals(Vec<BalancerRenewal>),
-    /// A command that was submitted to a machine that is not the leader.
+    /// A command that was submitted to a follower, forwarded to the leader.
     ForwardedCommand {
         /// The call.
         call: CallId,
-        /// Until when the command may be proposed, so that it is never accepted after its caller
-        /// got an indeterminate response.
+        /// The time after which the leader must not propose the command. It ensures that the
+        /// command is never accepted after its caller has received an indeterminate response.
         expires: LeaderTime,
         /// The command.
         command: Command,
     },
-    /// The outcome of a forwarded command; `None` where it was not accepted or that is unknown.
+    /// The outcome of a forwarded command; `None` if the command was not accepted or its outcome is
+    /// unknown.
     ForwardedCommandReply {
-        /// The call that it came with.
+        /// The call of the `ForwardedCommand`.
         call: CallId,
-        /// The outcome.
+        /// The outcome of the applied command.
         outcome: Option<CommandOutcome>,
     },
-    /// Requests the position up to which the log must be applied before a read is served.
+    /// Requests the log index that must be applied before a read is served.
     ReadIndexRequest {
         /// The call.
         call: CallId,
     },
-    /// The position for a read; `None` where the sender is not the leader or has no quorum.
+    /// The read index for a read; `None` if the sender is not the leader or has no quorum.
     ReadIndexReply {
-        /// The call that requested it.
+        /// The call of the `ReadIndexRequest`.
         call: CallId,
-        /// The position.
+        /// The log index that must be applied.
         index: Option<u64>,
     },
     /// A balancer subscribes to the change feed.
     Subscribe(SubscribeRequest),
-    /// All that a balancer needs to begin with.
+    /// The complete state from which a balancer starts to follow the feed.
     Snapshot {
-        /// The epoch of the journal.
+        /// The epoch of the sender's journal.
         epoch: u64,
-        /// The offset from which to go on.
+        /// The journal offset from which the feed continues.
         offset: u64,
-        /// The encoded state of the configuration, empty where the balancer has this one or a newer
-        /// one.
+        /// The encoded state of the configuration; empty if the balancer already has this state or
+        /// a newer one.
         state: Vec<u8>,
         /// All registrations.
         registrations: Vec<Registration>,
     },
-    /// The events since then.
+    /// Consecutive events of the feed.
     Events {
-        /// The offset behind them.
+        /// The offset after the last event.
         offset: u64,
-        /// The events.
+        /// The events, in the order of their offsets.
         events: Vec<FeedEvent>,
     },
-    /// The status of the machine, at regular intervals.
+    /// The status of the sending machine, sent at regular intervals.
     MachineStatus {
-        /// Whether it hears of a leader with a quorum.
+        /// Whether the machine is in contact with a leader that has a quorum.
         in_quorum: bool,
         /// The control machines that are alive.
         machines: Vec<MachineInfo>,
     },
-    /// The balancers that share budgets; sent when they change.
+    /// The active balancers, which share retry budgets and quotas. Sent when the set changes.
     ActiveBalancers(Vec<ZoneBalancers>),
-    /// A balancer's heartbeat to a monitor.
+    /// A heartbeat of a balancer to one of its monitors.
     BalancerHeartbeat(BalancerHeartbeat),
-    /// What a balancer reports of upstreams to control machines near it.
+    /// A balancer's load report to nearby control machines.
     LoadReport(LoadReport),
-    /// What balancers report of upstreams together, complete each time.
+    /// The combined load reports of the balancers. Each packet is complete and replaces the
+    /// previous one.
     FleetLoads(FleetLoads),
 }
 
-/// A balancer's request for the change feed from where it left off.
+/// A balancer's request to subscribe to the change feed, or to resume it.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct SubscribeRequest {
     /// The balancer's name.
     pub balancer: String,
-    /// The epoch of the journal that it has read, or 0.
+    /// The epoch of the journal that the balancer has read; 0 if it has read none.
     pub epoch: u64,
-    /// The offset behind the last event that it has read.
+    /// The offset after the last event that the balancer has read.
     pub offset: u64,
-    /// The position up to which it has applied the configuration's log.
+    /// The log index up to which the balancer has applied the configuration log.
     pub applied_index: u64,
 }
 
-/// A heartbeat of an upstream without changes.
+/// A short form of an upstream's heartbeat whose registration has not changed.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Renewal {
     /// The upstream's id.
@@ -161,35 +166,36 @@
     pub sequence: u64,
 }
 
-/// The balancers of a zone.
+/// The active balancers of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ZoneBalancers {
     /// The zone.
     pub zone: String,
-    /// Hashes of their names.
+    /// The balancers' names, hashed by [`short_hash`](crate::shards::short_hash).
     pub balancers: Vec<u32>,
 }
 
 impl Packet {
-    /// The packet as a frame.
+    /// Encodes the packet as a frame.
     pub fn encode(&self) -> Vec<u8> {
         encode_frame(self)
     }
 
-    /// The packet of a frame's header and payload.
+    /// Decodes the packet of a frame that is given as header and payload.
     ///
     /// # Errors
     ///
-    /// Where the frame is of another version, truncated, too long, damaged or not a packet.
+    /// Returns an error if the frame has another version, is truncated, too long or damaged, or
+    /// does not hold a packet.
     pub fn decode(header: &[u8; HEADER_BYTES], payload: &[u8]) -> Result<Self, WireError> {
         decode_split_frame(header, payload)
     }
 
-    /// The packet of a datagram, which holds one frame.
+    /// Decodes the packet of a datagram, which holds exactly one frame.
     ///
     /// # Errors
     ///
-    /// As [`decode`](Self::decode).
+    /// Returns the same errors as [`decode`](Self::decode).
     pub fn decode_datagram(bytes: &[u8]) -> Result<Self, WireError> {
         decode_frame(bytes)
     }
