--- a/crates/control/src/state/snapshot.rs
+++ b/crates/control/src/state/snapshot.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, Error)]
 pub enum StateError {
     /// The bytes are damaged or have the format of another version.
-    #[error("the state can't be decoded: {0}")]
+    #[error("failed to decode the state: {0}")]
     Encoding(#[from] DeBinErr),
     /// The configuration in the state is not valid JSON.
-    #[error("the configuration in the state can't be read: {0}")]
+    #[error("failed to parse the configuration in the state: {0}")]
     Document(#[from] serde_json::Error),
     /// The configuration in the state is invalid.
-    #[error("the configuration in the state is invalid: {0}")]
+    #[error("invalid configuration in the state: {0}")]
     Invalid(#[from] Findings),
 }
 
--- a/crates/control/src/wire/frame.rs
+++ b/crates/control/src/wire/frame.rs
@@ -19,28 +19,28 @@
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The frame has another protocol version.
-    #[error("protocol version {0} instead of {VERSION}")]
+    #[error("protocol version {0} is not supported, expected {VERSION}")]
     Version(u16),
     /// The payload or its decompressed size, in bytes, exceeds the maximum.
-    #[error("a frame of {0} bytes, {MAX_FRAME_BYTES} at most")]
+    #[error("payload of {0} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     TooLong(usize),
     /// The payload length differs from the length in the header, or the header is truncated.
-    #[error("a frame whose length differs from its header")]
+    #[error("frame length does not match its header")]
     Length,
     /// The frame was damaged in transit.
-    #[error("a frame whose checksum does not match")]
+    #[error("frame checksum does not match")]
     Checksum,
     /// The compression code is unknown.
-    #[error("a frame with unknown compression {0}")]
+    #[error("unknown frame compression code {0}")]
     Compression(u16),
     /// The payload can't be decompressed.
-    #[error("a payload that can't be decompressed: {0}")]
+    #[error("failed to decompress the payload: {0}")]
     Decompress(#[from] lz4_flex::block::DecompressError),
     /// The payload is not a value of the expected type.
-    #[error("a payload that can't be decoded: {0}")]
+    #[error("failed to decode the payload: {0}")]
     Payload(#[from] DeBinErr),
     /// The payload has additional bytes after the value.
-    #[error("a payload with surplus bytes")]
+    #[error("payload has trailing bytes after its value")]
     SurplusBytes,
 }
 
--- a/crates/control/src/wire/packet.rs
+++ b/crates/control/src/wire/packet.rs
@@ -58,7 +58,7 @@
     ReplicaStopping(ReplicaId),
     /// Changed registrations, or all registrations. The receiver responds with `RegistrationsAck`.
     Registrations {
-        /// The call.
+        /// The identity of the call, which the reply repeats.
         call: CallId,
         /// The registrations, with ages and remaining times as of sending.
         registrations: Vec<Registration>,
@@ -77,12 +77,12 @@
     BalancerRenewals(Vec<BalancerRenewal>),
     /// A command that was submitted to a follower, forwarded to the leader.
     ForwardedCommand {
-        /// The call.
+        /// The identity of the call, which the reply repeats.
         call: CallId,
         /// The time after which the leader must not propose the command. It ensures that the
         /// command is never accepted after its caller has received an indeterminate response.
         expires: LeaderTime,
-        /// The command.
+        /// The forwarded command.
         command: Command,
     },
     /// The outcome of a forwarded command; `None` if the command was not accepted or its outcome is
@@ -95,7 +95,7 @@
     },
     /// Requests the log index that must be applied before a read is served.
     ReadIndexRequest {
-        /// The call.
+        /// The identity of the call, which the reply repeats.
         call: CallId,
     },
     /// The read index for a read; `None` if the sender is not the leader or has no quorum.
@@ -116,7 +116,7 @@
         /// The encoded state of the configuration; empty if the balancer already has this state or
         /// a newer one.
         state: Vec<u8>,
-        /// All registrations.
+        /// All registrations, with ages and remaining times as of sending.
         registrations: Vec<Registration>,
     },
     /// Consecutive events of the feed.
@@ -169,7 +169,7 @@
 /// The active balancers of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ZoneBalancers {
-    /// The zone.
+    /// The name of the zone.
     pub zone: String,
     /// The balancers' names, hashed by [`short_hash`](crate::shards::short_hash).
     pub balancers: Vec<u32>,
--- a/crates/control/tests/balancers.rs
+++ b/crates/control/tests/balancers.rs
@@ -1,4 +1,4 @@
-//! The table of balancers, by their heartbeats.
+//! Tests of the balancer table.
 
 use woadstall_control::balancers::{BalancerHeartbeat, BalancerRenewal, BalancerTable};
 use woadstall_control::merge::MergeOutcome;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn stale_heartbeats_are_ignored_and_clocks_may_step_back() {
+fn stale_heartbeats_are_ignored_unless_the_incarnation_has_timed_out() {
     let mut balancers = BalancerTable::default();
     assert_eq!(
         balancers.merge(0, heartbeat(10, 5, true)),
@@ -30,12 +30,12 @@
     assert_eq!(
         balancers.merge(100, heartbeat(10, 4, false)),
         MergeOutcome::Stale,
-        "delayed"
+        "a delayed heartbeat of the same process"
     );
     assert_eq!(
         balancers.merge(100, heartbeat(9, 9, false)),
         MergeOutcome::Stale,
-        "of an earlier process"
+        "a heartbeat of an earlier process"
     );
     assert_eq!(
         balancers.merge(150, heartbeat(10, 6, true)),
--- a/crates/control/tests/commands.rs
+++ b/crates/control/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the operator: how they are forwarded, proposed and completed.
+//! Tests of operators' commands: forwarding, proposing and completing them.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use woadstall_control::machine::CallResponse;
 use woadstall_control::wire::{CallId, LeaderTime, Packet};
 
-/// The call of a forwarded command, and when it expires.
+/// Returns the call and the expiry time of the first forwarded command in `packets`.
 fn forwarded_command(packets: &[Packet]) -> Option<(CallId, LeaderTime)> {
     packets.iter().find_map(|packet| match packet {
         Packet::ForwardedCommand { call, expires, .. } => Some((*call, *expires)),
@@ -19,12 +19,12 @@
 }
 
 #[rstest]
-#[case::its_own_call(INCARNATION, 0, true)]
-#[case::a_call_of_a_former_process(FORMER_INCARNATION, 0, false)]
+#[case::own_call(INCARNATION, 0, true)]
+#[case::a_call_of_an_earlier_process(EARLIER_INCARNATION, 0, false)]
 #[case::another_call(INCARNATION, 1, false)]
 fn a_reply_completes_only_a_call_of_this_process(
     #[case] incarnation: u64,
-    #[case] more: u64,
+    #[case] number_offset: u64,
     #[case] is_accepted: bool,
 ) {
     let mut machine = follower();
@@ -33,7 +33,7 @@
     assert_eq!(call.incarnation, INCARNATION);
     let call = CallId {
         incarnation,
-        number: call.number + more,
+        number: call.number + number_offset,
     };
     machine.receive_packet(
         1_100,
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn the_latest_estimate_of_the_leaders_clock_counts() {
+fn a_delayed_message_does_not_set_the_leaders_clock_back() {
     let mut machine = follower();
-    // This message was delayed for long: the clock in it is old.
+    // The leader's clock in this message is out of date, because the message was delayed.
     receive_from_leader(&mut machine, 1_390, LEADER_CLOCK + 20);
     machine.submit_command(1_400, TOKEN, evacuate());
     let (_, expires) = forwarded_command(&sent_to(&persist_all(&mut machine, 1_400), 2)).unwrap();
@@ -74,27 +74,27 @@
 }
 
 #[rstest]
-#[case::in_time(0, 0, true)]
-#[case::at_its_last_moment(0, 500, true)]
-#[case::too_late(0, 501, false)]
-#[case::meant_for_a_former_leader(-1, 0, false)]
-#[case::meant_for_a_later_leader(1, 0, false)]
-fn a_forwarded_command_is_proposed_only_in_time_and_by_the_leader_that_it_is_for(
-    #[case] term: i64,
-    #[case] after: u64,
+#[case::before_expiry(0, 0, true)]
+#[case::at_expiry(0, 500, true)]
+#[case::after_expiry(0, 501, false)]
+#[case::of_an_earlier_term(-1, 0, false)]
+#[case::of_a_later_term(1, 0, false)]
+fn a_forwarded_command_is_proposed_only_before_its_expiry_by_the_leader_of_its_term(
+    #[case] term_offset: i64,
+    #[case] delay_ms: u64,
     #[case] is_accepted: bool,
 ) {
     let mut machine = leader();
     let own = machine.replica().term();
     let expires = LeaderTime {
-        term: own.checked_add_signed(term).unwrap(),
+        term: own.checked_add_signed(term_offset).unwrap(),
         at: 1_600,
     };
     let call = CallId {
         incarnation: 5,
         number: 1,
     };
-    let now = 1_100 + after;
+    let now = 1_100 + delay_ms;
     let before = machine.replica().log().last_index();
     machine.receive_packet(
         now,
@@ -107,11 +107,11 @@
     );
     let actions = persist_all(&mut machine, now);
     assert_eq!(machine.replica().log().last_index() > before, is_accepted);
-    let is_refused = sent_to(&actions, 3).contains(&Packet::ForwardedCommandReply {
+    let is_rejected = sent_to(&actions, 3).contains(&Packet::ForwardedCommandReply {
         call,
         outcome: None,
     });
-    assert_eq!(is_refused, !is_accepted);
+    assert_eq!(is_rejected, !is_accepted);
 }
 
 #[test]
@@ -119,7 +119,8 @@
     let mut machine = machine();
     machine.submit_command(100, TOKEN, evacuate());
     persist_all(&mut machine, 100);
-    // The process was paused; the first thing that it hears then is a leader.
+    // The process was paused past the deadline of the command. The first packet after the pause is
+    // from a leader.
     receive_from_leader(&mut machine, 5_000, LEADER_CLOCK);
     machine.tick(5_010);
     let actions = persist_all(&mut machine, 5_010);
@@ -155,7 +156,7 @@
     assert_eq!(
         forwarded_command(&sent_to(&persist_all(&mut machine, 1_050), 2)),
         None,
-        "once over one connection"
+        "sent only once over the same connection"
     );
     machine.link_up(1_100, &address(2));
     assert_eq!(
@@ -165,12 +166,12 @@
 }
 
 #[test]
-fn a_proposal_is_indeterminate_when_another_entry_is_at_its_position() {
+fn a_proposal_is_indeterminate_when_another_entry_has_its_index() {
     let mut machine = leader();
     let term = machine.replica().term();
     machine.submit_command(1_100, TOKEN, evacuate());
     persist_all(&mut machine, 1_100);
-    // The next leader never had the command, and has another one at its position.
+    // The next leader did not receive the command and has another entry at its log index.
     let command = Command::Evacuate {
         zone: "other".to_owned(),
     }
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn a_duplicate_change_waits_for_the_entry_of_the_first_one() {
+fn a_duplicate_change_waits_for_the_existing_entry() {
     let mut machine = leader();
     let put = |generation: u64| {
         let body =
@@ -240,6 +241,6 @@
     persist_all(&mut machine, 1_200);
     assert!(
         machine.state().evacuated_zones.contains("z"),
-        "the third is not taken for a repetition of the first"
+        "the third command is not treated as a retry of the first one"
     );
 }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations: what is refused and where, and how commands change the state.
+//! Tests of the validation of configurations and of the effect of commands on the state.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -40,8 +40,8 @@
     }
 }
 
-/// A sound document with one value changed, or removed where it is null.
-fn mutated(pointer: &str, value: Value) -> Value {
+/// Returns a valid document in which one value is replaced, or removed if `value` is null.
+fn document_with(pointer: &str, value: Value) -> Value {
     let mut document = document(5);
     let (parent, name) = pointer.rsplit_once('/').unwrap();
     let parent = document.pointer_mut(parent).unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_sound_document_is_read_and_routes_by_the_longest_prefix() {
+fn a_valid_document_routes_by_the_longest_prefix() {
     let configuration = Configuration::read(&document(5)).unwrap();
     let name = |host: &str, path: &str| {
         configuration
@@ -70,7 +70,7 @@
 
 #[rstest]
 #[case::unknown_service("/routes/0/service", json!("s9"), "routes[0].service")]
-#[case::same_place("/routes/1/path_prefix", json!("/a/"), "routes[1]")]
+#[case::same_host_and_prefix("/routes/1/path_prefix", json!("/a/"), "routes[1]")]
 #[case::same_name("/routes/1/name", json!("r1"), "routes[1].name")]
 #[case::no_timeout("/routes/0/timeout_ms", json!(0), "routes[0].timeout_ms")]
 #[case::timeout_missing("/routes/0/timeout_ms", json!(null), "routes[0].timeout_ms")]
@@ -87,7 +87,7 @@
 #[case::routes("/routes", json!({}), "routes")]
 #[case::limits("/limits/idle_timeout_ms", json!(true), "limits.idle_timeout_ms")]
 fn a_finding_has_its_path(#[case] pointer: &str, #[case] value: Value, #[case] path: &str) {
-    let findings = Configuration::read(&mutated(pointer, value)).unwrap_err();
+    let findings = Configuration::read(&document_with(pointer, value)).unwrap_err();
     assert!(
         findings.0.iter().any(|finding| finding.path == path),
         "{findings}"
@@ -96,7 +96,7 @@
 
 #[test]
 fn all_findings_are_collected() {
-    let mut document = mutated("/routes/0/timeout_ms", json!(0));
+    let mut document = document_with("/routes/0/timeout_ms", json!(0));
     document["routes"][1]["service"] = json!("s9");
     assert_eq!(Configuration::read(&document).unwrap_err().0.len(), 2);
 }
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_change_on_another_version_conflicts_and_a_repetition_is_accepted() {
+fn a_change_of_another_generation_conflicts_and_a_retry_is_accepted() {
     let mut state = ControlState::default();
     let first = put(0, &document(5));
     assert_eq!(state.apply(1, &first), CommandOutcome::Accepted);
@@ -126,13 +126,13 @@
     assert_eq!(
         state.apply(4, &first),
         CommandOutcome::Accepted,
-        "the first change, submitted again"
+        "a retry of the first change"
     );
-    assert_eq!(state.generation(), 9, "and it is not applied again");
+    assert_eq!(state.generation(), 9, "the retry is not applied again");
 }
 
 #[test]
-fn of_two_changes_of_one_number_on_one_base_one_wins() {
+fn of_two_changes_with_the_same_base_and_generation_the_first_is_accepted() {
     let mut state = ControlState::default();
     state.apply(1, &put(0, &document(5)));
     let mut other = document(7);
@@ -151,7 +151,7 @@
 #[rstest]
 #[case::not_above(5)]
 #[case::below(4)]
-fn a_generation_that_does_not_rise_is_refused(#[case] generation: u64) {
+fn a_generation_that_does_not_rise_is_rejected(#[case] generation: u64) {
     let mut state = ControlState::default();
     state.apply(1, &put(0, &document(5)));
     let outcome = state.apply(2, &put(5, &document(generation)));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_patch_adds_replaces_and_removes_by_name() {
+fn a_patch_adds_replaces_and_removes_items_by_name() {
     let mut state = ControlState::default();
     state.apply(1, &put(0, &document(5)));
     let mut changed = route("r1", "/z/");
@@ -170,7 +170,7 @@
     let change = json!({
         "generation": 8,
         "upsert": { "routes": [changed, route("r3", "/c/")], "services": [{ "name": "s3" }] },
-        "delete": { "routes": ["r2", "never"], "services": ["s2"] },
+        "delete": { "routes": ["r2", "unknown"], "services": ["s2"] },
     });
     assert_eq!(state.apply(2, &patch(5, &change)), CommandOutcome::Accepted);
     let configuration = state.configuration.clone().unwrap();
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_state_survives_its_encoding_with_what_was_accepted() {
+fn a_decoded_state_includes_the_accepted_commands() {
     let mut state = ControlState::default();
     let first = put(0, &document(5));
     state.apply(1, &first);
@@ -237,17 +237,21 @@
             zone: "z".to_owned(),
         },
     );
-    let mut again = ControlState::decode(&state.encode()).unwrap();
+    let mut decoded = ControlState::decode(&state.encode()).unwrap();
     assert_eq!(
-        (again.index, again.generation(), again.evacuated_zones.len()),
+        (
+            decoded.index,
+            decoded.generation(),
+            decoded.evacuated_zones.len()
+        ),
         (2, 5, 1)
     );
-    assert_eq!(again.document(), state.document());
-    assert_eq!(again.apply(3, &first), CommandOutcome::Accepted);
+    assert_eq!(decoded.document(), state.document());
+    assert_eq!(decoded.apply(3, &first), CommandOutcome::Accepted);
 }
 
 #[test]
-fn damaged_state_is_refused() {
+fn a_damaged_state_is_rejected() {
     let mut state = ControlState::default();
     state.apply(1, &put(0, &document(5)));
     let bytes = state.encode();
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -1,5 +1,5 @@
-//! Which balancers clients are sent to: near ones first, and never out of the regions that their
-//! requests are restricted to.
+//! Tests of the selection of balancers for clients. Near balancers come first, and requests
+//! restricted to regions are not sent elsewhere as long as a balancer may serve them.
 
 mod support;
 
@@ -10,7 +10,8 @@
 use woadstall_control::command::Command;
 use woadstall_control::machine::{ControlMachine, ResolveRequest};
 
-/// A machine that leads a group of one, in a deployment of three regions with one zone each.
+/// Returns the leader of a single-machine group in a deployment of three regions with one zone
+/// each.
 fn machine() -> ControlMachine {
     let zones = [
         ("north-zone", "north"),
@@ -29,8 +30,9 @@
     machine
 }
 
-/// Routes of the hosts `bound` (each restricted to the regions that one text lists) and `free`, in
-/// force from 2,000 ms on.
+/// Puts a configuration in force at 2,000 ms. It has one restricted route of the host `restricted`
+/// per element of `allowed`, which lists the route's regions separated by spaces, and one
+/// unrestricted route each of the hosts `unrestricted` and `restricted`.
 fn configure(machine: &mut ControlMachine, allowed: &[&str]) {
     let route = |number: usize, host: &str, regions: Vec<&str>| {
         json!({
@@ -38,14 +40,14 @@
             "timeout_ms": 1_000, "service": "s", "allowed_regions": regions,
         })
     };
-    let bound = allowed
+    let restricted = allowed
         .iter()
         .enumerate()
-        .map(|(number, regions)| route(number, "bound", regions.split(' ').collect()));
-    let routes: Vec<_> = bound
+        .map(|(number, regions)| route(number, "restricted", regions.split(' ').collect()));
+    let routes: Vec<_> = restricted
         .chain([
-            route(99, "free", Vec::new()),
-            route(98, "bound", Vec::new()),
+            route(99, "unrestricted", Vec::new()),
+            route(98, "restricted", Vec::new()),
         ])
         .collect();
     let document = json!({ "generation": 1, "services": [{ "name": "s" }], "routes": routes });
@@ -75,7 +77,7 @@
     );
 }
 
-/// The regions to whose balancers a client is sent.
+/// Returns the regions of the balancers that a client gets.
 fn resolved(machine: &ControlMachine, host: &str, region: &str) -> Vec<String> {
     let request = ResolveRequest {
         client: "10.9.0.1".to_owned(),
@@ -89,13 +91,13 @@
 }
 
 #[rstest]
-#[case::bound_to_one_other(&["north"], "east", &["north"])]
-#[case::bound_to_its_own_and_another(&["north east"], "east", &["north"])]
-#[case::what_all_routes_have_in_common(&["north south", "south"], "east", &["south"])]
-#[case::nothing_in_common(&["north", "south"], "east", &["north", "south"])]
-#[case::no_route_is_bound(&[], "east", &["north", "south"])]
-#[case::its_own_balancer_is_there(&["north"], "south", &["south"])]
-fn a_client_whose_region_has_no_ready_balancer_is_sent_where_its_requests_may_be_served(
+#[case::one_other_region(&["north"], "east", &["north"])]
+#[case::own_region_and_another(&["north east"], "east", &["north"])]
+#[case::region_common_to_all_routes(&["north south", "south"], "east", &["south"])]
+#[case::no_common_region(&["north", "south"], "east", &["north", "south"])]
+#[case::no_restricted_route(&[], "east", &["north", "south"])]
+#[case::ready_balancer_in_own_region(&["north"], "south", &["south"])]
+fn a_client_without_a_balancer_in_its_region_is_sent_to_the_allowed_regions(
     #[case] allowed: &[&str],
     #[case] region: &str,
     #[case] expected: &[&str],
@@ -104,15 +106,15 @@
     configure(&mut machine, allowed);
     receive(&mut machine, 2_100, "north", true);
     receive(&mut machine, 2_100, "south", true);
-    // The only balancer of its region is stopping.
+    // The only balancer in the region `east` is shutting down.
     receive(&mut machine, 2_100, "east", false);
-    assert_eq!(resolved(&machine, "bound", region), expected);
+    assert_eq!(resolved(&machine, "restricted", region), expected);
 }
 
 #[rstest]
-#[case::a_free_host("free")]
-#[case::an_unknown_host("nobody.example")]
-fn an_unrestricted_client_is_sent_anywhere_when_its_region_has_none(#[case] host: &str) {
+#[case::unrestricted_host("unrestricted")]
+#[case::unknown_host("unknown.example")]
+fn an_unrestricted_client_without_a_balancer_in_its_region_gets_all(#[case] host: &str) {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
     receive(&mut machine, 2_100, "north", true);
@@ -125,34 +127,34 @@
     let mut machine = machine();
     configure(&mut machine, &["north"]);
     receive(&mut machine, 2_100, "south", true);
-    assert_eq!(resolved(&machine, "bound", "east"), ["south"]);
+    assert_eq!(resolved(&machine, "restricted", "east"), ["south"]);
 }
 
 #[test]
-fn restarts_and_time_outs_of_balancers_are_followed() {
+fn a_client_is_sent_elsewhere_while_the_balancer_of_its_region_is_unavailable() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
     receive(&mut machine, 2_100, "north", true);
     receive(&mut machine, 2_100, "east", false);
-    assert_eq!(resolved(&machine, "bound", "east"), ["north"]);
+    assert_eq!(resolved(&machine, "restricted", "east"), ["north"]);
     receive(&mut machine, 2_200, "east", true);
-    assert_eq!(resolved(&machine, "bound", "east"), ["east"]);
+    assert_eq!(resolved(&machine, "restricted", "east"), ["east"]);
     receive(&mut machine, 3_250, "north", true);
     machine.tick(3_350);
     assert_eq!(
-        resolved(&machine, "bound", "east"),
+        resolved(&machine, "restricted", "east"),
         ["north"],
-        "it has timed out after 1.1 s"
+        "the balancer in the region has timed out after 1.1 s"
     );
 }
 
 #[test]
-fn without_a_configuration_clients_are_sent_to_the_nearest() {
+fn without_a_configuration_clients_are_sent_to_the_nearest_balancers() {
     let mut machine = machine();
     receive(&mut machine, 2_100, "north", true);
     receive(&mut machine, 2_100, "south", true);
-    assert_eq!(resolved(&machine, "bound", "south"), ["south"]);
-    assert_eq!(resolved(&machine, "bound", "east"), ["north", "south"]);
+    assert_eq!(resolved(&machine, "restricted", "south"), ["south"]);
+    assert_eq!(resolved(&machine, "restricted", "east"), ["north", "south"]);
 }
 
 #[test]
@@ -162,30 +164,30 @@
     for region in ["north", "east", "south"] {
         receive(&mut machine, 2_100, region, true);
     }
-    // Balancers of both regions shut down one after the other, each while the one before it is
-    // still stopping.
+    // The balancers of both regions shut down one after the other. The second shutdown begins while
+    // the first balancer still accepts clients.
     receive(&mut machine, 2_500, "north", false);
     receive(&mut machine, 3_000, "east", false);
     receive(&mut machine, 3_000, "south", true);
     receive(&mut machine, 3_100, "north", false);
-    assert_eq!(resolved(&machine, "bound", "east"), ["east", "north"]);
+    assert_eq!(resolved(&machine, "restricted", "east"), ["east", "north"]);
     assert_eq!(
-        resolved(&machine, "free", "east"),
+        resolved(&machine, "unrestricted", "east"),
         ["south"],
-        "others go to a ready one"
+        "an unrestricted client is sent to a ready balancer"
     );
-    // They accept no clients any more.
+    // The balancers that shut down have stopped accepting clients.
     receive(&mut machine, 5_500, "north", false);
     receive(&mut machine, 5_500, "east", false);
     receive(&mut machine, 5_500, "south", true);
-    assert_eq!(resolved(&machine, "bound", "east"), ["south"]);
+    assert_eq!(resolved(&machine, "restricted", "east"), ["south"]);
 }
 
 #[test]
-fn a_starting_balancer_is_not_taken_for_a_stopping_one() {
+fn a_starting_balancer_is_not_treated_as_stopping() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
     receive(&mut machine, 2_100, "south", true);
     receive(&mut machine, 2_100, "north", false);
-    assert_eq!(resolved(&machine, "bound", "east"), ["south"]);
+    assert_eq!(resolved(&machine, "restricted", "east"), ["south"]);
 }
--- a/crates/control/tests/feeds.rs
+++ b/crates/control/tests/feeds.rs
@@ -1,4 +1,4 @@
-//! The feeds that balancers subscribe to.
+//! Tests of the change feeds for balancers.
 
 mod support;
 
@@ -34,9 +34,9 @@
             _ => None,
         });
     let (subscribers, epoch, offset) = first.expect("new subscribers get a snapshot");
-    assert_eq!(subscribers, [1, 2], "one for both");
+    assert_eq!(subscribers, [1, 2], "one shared snapshot");
     machine.unsubscribe(1);
-    // Meanwhile this machine itself was far behind and got a snapshot of the log.
+    // The machine itself falls far behind and installs a snapshot of the log.
     let mut state = ControlState::default();
     state.apply(500, &evacuate());
     let members = machine.replica().membership().clone();
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Golden bytes: each frame, each stored form and each hash that decides ownership is the one that
-//! is in use. A difference means that processes of two versions no longer understand each other, or
-//! that stored data can no longer be read.
+//! Golden tests of the wire format, the stored formats and the hashes that determine ownership. A
+//! difference means that processes of different versions no longer understand each other, or that
+//! stored data can no longer be read.
 //!
-//! The fixtures hold one form a line, its name and its bytes in hexadecimal.
+//! Each line of a fixture holds the name of an encoded value and its bytes in hexadecimal.
 
 use nanoserde::{DeBin, SerBin};
 use rstest::rstest;
@@ -35,12 +35,12 @@
     })
 }
 
-/// The bytes of a form in a fixture.
+/// Returns the bytes of the encoded value with a name in a fixture.
 fn golden(fixture: &str, name: &str) -> Vec<u8> {
-    let form = fixture
+    let digits = fixture
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    let digits = form.unwrap_or_else(|| panic!("the fixture has no form {name}"));
+    let digits = digits.unwrap_or_else(|| panic!("the fixture has no value named {name}"));
     (0..digits.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
@@ -51,11 +51,12 @@
     assert_eq!(
         hex(bytes),
         hex(&golden(fixture, name)),
-        "the bytes of {name} have changed"
+        "the encoding of {name} has changed"
     );
 }
 
-/// A packet is written as the fixture's frame, and that frame is read as the packet.
+/// Asserts that a packet is encoded as the frame in the fixture, and that the frame decodes to the
+/// packet.
 fn assert_golden_frame(name: &str, packet: &Packet) {
     assert_golden(FRAMES, name, &packet.encode());
     assert_eq!(
@@ -64,7 +65,8 @@
     );
 }
 
-/// A value is written as the fixture's bytes, and these are read as the value.
+/// Asserts that a value is encoded as the bytes in the fixture, and that the bytes decode to the
+/// value.
 fn assert_golden_value<T: SerBin + DeBin + PartialEq + Debug>(name: &str, value: &T) {
     assert_golden(STORED, name, &value.serialize_bin());
     assert_eq!(T::deserialize_bin(&golden(STORED, name)).unwrap(), *value);
@@ -131,7 +133,7 @@
     number: 9,
 };
 
-/// A configuration that is large enough to be compressed on its way.
+/// Returns a configuration that is large enough to be compressed in a frame.
 fn large_body() -> Vec<u8> {
     let item = |number| format!("{{\"name\":\"r-{number}\",\"timeout_ms\":5000}},");
     (0..60).map(item).collect::<String>().into_bytes()
@@ -144,7 +146,7 @@
     }
 }
 
-fn order(command: Command) -> Packet {
+fn forwarded_command(command: Command) -> Packet {
     Packet::ForwardedCommand {
         call: CALL,
         expires: LeaderTime { term: 3, at: 900 },
@@ -152,7 +154,7 @@
     }
 }
 
-fn outcome(outcome: Option<CommandOutcome>) -> Packet {
+fn forwarded_command_reply(outcome: Option<CommandOutcome>) -> Packet {
     Packet::ForwardedCommandReply {
         call: CALL,
         outcome,
@@ -165,32 +167,35 @@
 
 #[rstest]
 #[case::hello("hello", Packet::Hello { machine: control_machine(1), known: vec![control_machine(1), control_machine(2)] })]
-#[case::join("join", Packet::JoinRequest(member(4)))]
-#[case::leaves("leaves", Packet::ReplicaStopping(4))]
+#[case::join_request("join", Packet::JoinRequest(member(4)))]
+#[case::replica_stopping("leaves", Packet::ReplicaStopping(4))]
 #[case::registrations("registrations", Packet::Registrations { call: CALL, registrations: vec![
     registration(UpstreamStatus::Ready),
     registration(UpstreamStatus::TimedOut),
     registration(UpstreamStatus::Draining),
     registration(UpstreamStatus::Deregistered),
 ] })]
-#[case::registrations_taken("registrations_taken", Packet::RegistrationsAck { call: CALL })]
+#[case::registrations_ack("registrations_taken", Packet::RegistrationsAck { call: CALL })]
 #[case::renewals("renewals", Packet::Renewals(vec![Renewal { id: text("i-1"), sequence: 4 }]))]
-#[case::balancers("balancers", Packet::BalancerHeartbeats(vec![heartbeat()]))]
-#[case::balancers_still_there("balancers_still_there", Packet::BalancerRenewals(vec![
+#[case::balancer_heartbeats("balancers", Packet::BalancerHeartbeats(vec![heartbeat()]))]
+#[case::balancer_renewals("balancers_still_there", Packet::BalancerRenewals(vec![
     BalancerRenewal { name: 1, incarnation: 2, sequence: 3 },
 ]))]
-#[case::order_put("order_put", order(put(b"{}")))]
-#[case::order_put_compressed("order_put_compressed", order(put(&large_body())))]
-#[case::order_patch("order_patch", order(Command::Patch { base: 2, body: b"{\"generation\":3}".to_vec() }))]
-#[case::order_evacuate("order_evacuate", order(Command::Evacuate { zone: text("zone-1") }))]
-#[case::order_return("order_return", order(Command::EndEvacuation { zone: text("zone-1") }))]
-#[case::order_done_unclear("order_done_unclear", outcome(None))]
-#[case::order_done_accepted("order_done_accepted", outcome(Some(CommandOutcome::Accepted)))]
-#[case::order_done_conflict("order_done_conflict", outcome(Some(CommandOutcome::Conflict { current: 4 })))]
-#[case::order_done_invalid("order_done_invalid", outcome(Some(CommandOutcome::Invalid { findings: text("a: is missing\n") })))]
-#[case::read("read", Packet::ReadIndexRequest { call: CALL })]
-#[case::read_done("read_done", Packet::ReadIndexReply { call: CALL, index: Some(4) })]
-#[case::read_done_unclear("read_done_unclear", Packet::ReadIndexReply { call: CALL, index: None })]
+#[case::forwarded_put("order_put", forwarded_command(put(b"{}")))]
+#[case::forwarded_put_compressed("order_put_compressed", forwarded_command(put(&large_body())))]
+#[case::forwarded_patch("order_patch", forwarded_command(Command::Patch { base: 2, body: b"{\"generation\":3}".to_vec() }))]
+#[case::forwarded_evacuate("order_evacuate", forwarded_command(Command::Evacuate { zone: text("zone-1") }))]
+#[case::forwarded_end_evacuation("order_return", forwarded_command(Command::EndEvacuation { zone: text("zone-1") }))]
+#[case::forwarded_reply_indeterminate("order_done_unclear", forwarded_command_reply(None))]
+#[case::forwarded_reply_accepted(
+    "order_done_accepted",
+    forwarded_command_reply(Some(CommandOutcome::Accepted))
+)]
+#[case::forwarded_reply_conflict("order_done_conflict", forwarded_command_reply(Some(CommandOutcome::Conflict { current: 4 })))]
+#[case::forwarded_reply_invalid("order_done_invalid", forwarded_command_reply(Some(CommandOutcome::Invalid { findings: text("a: is missing\n") })))]
+#[case::read_index_request("read", Packet::ReadIndexRequest { call: CALL })]
+#[case::read_index_reply("read_done", Packet::ReadIndexReply { call: CALL, index: Some(4) })]
+#[case::read_index_reply_none("read_done_unclear", Packet::ReadIndexReply { call: CALL, index: None })]
 #[case::subscribe("subscribe", Packet::Subscribe(SubscribeRequest { balancer: text("front-1"), epoch: 1, offset: 2, applied_index: 3 }))]
 #[case::snapshot("snapshot", Packet::Snapshot {
     epoch: 1,
@@ -201,17 +206,17 @@
 #[case::event_committed("event_committed", events(vec![FeedEvent::Committed { index: 1, command: put(b"{}") }]))]
 #[case::event_registered("event_registered", events(vec![FeedEvent::Registered(registration(UpstreamStatus::Draining))]))]
 #[case::events_compressed("events_compressed", events(vec![FeedEvent::Committed { index: 1, command: put(&large_body()) }]))]
-#[case::status("status", Packet::MachineStatus { in_quorum: true, machines: vec![control_machine(1)] })]
-#[case::balancing("balancing", Packet::ActiveBalancers(vec![ZoneBalancers { zone: text("zone-1"), balancers: vec![1, 2] }]))]
+#[case::machine_status("status", Packet::MachineStatus { in_quorum: true, machines: vec![control_machine(1)] })]
+#[case::active_balancers("balancing", Packet::ActiveBalancers(vec![ZoneBalancers { zone: text("zone-1"), balancers: vec![1, 2] }]))]
 #[case::heartbeat("heartbeat", Packet::BalancerHeartbeat(heartbeat()))]
-#[case::load("load", Packet::LoadReport(LoadReport {
+#[case::load_report("load", Packet::LoadReport(LoadReport {
     balancer: 1,
     sequence: 2,
     zone: text("zone-1"),
     upstreams: vec![UpstreamLoad { upstream: 3, pending_prefill_tokens: 4_000, is_failing: true }],
     placements: vec![placement()],
 }))]
-#[case::loads("loads", Packet::FleetLoads(FleetLoads {
+#[case::fleet_loads("loads", Packet::FleetLoads(FleetLoads {
     upstreams: vec![FleetLoad { upstream: 3, pending_prefill_tokens: 4_000, failing_balancers: 2 }],
     placements: vec![placement()],
 }))]
@@ -243,7 +248,7 @@
     ]
 }
 
-const HEAD: SnapshotMeta = SnapshotMeta {
+const SNAPSHOT_META: SnapshotMeta = SnapshotMeta {
     last_log: LogPosition { index: 3, term: 1 },
     size: 20,
     checksum: 7,
@@ -254,9 +259,9 @@
 #[case::vote_reply("vote_reply", MessageBody::VoteResponse(VoteResponse { pre_vote: false, granted: true }))]
 #[case::append("append", MessageBody::AppendEntriesRequest(AppendEntriesRequest { previous: LogPosition { index: 4, term: 1 }, entries: entries(), leader_commit: 1, heartbeat_round: 9 }))]
 #[case::append_reply("append_reply", MessageBody::AppendEntriesResponse(AppendEntriesResponse { success: true, last_index: 3, heartbeat_round: 9 }))]
-#[case::install("install", MessageBody::InstallSnapshotRequest(InstallSnapshotRequest { chunk: SnapshotChunk { meta: HEAD, offset: 8, bytes: vec![9; 12] }, heartbeat_round: 9 }))]
-#[case::install_reply("install_reply", MessageBody::InstallSnapshotResponse(InstallSnapshotResponse { meta: HEAD, received_bytes: 20, heartbeat_round: 9 }))]
-#[case::elect("elect", MessageBody::TimeoutNow)]
+#[case::install("install", MessageBody::InstallSnapshotRequest(InstallSnapshotRequest { chunk: SnapshotChunk { meta: SNAPSHOT_META, offset: 8, bytes: vec![9; 12] }, heartbeat_round: 9 }))]
+#[case::install_reply("install_reply", MessageBody::InstallSnapshotResponse(InstallSnapshotResponse { meta: SNAPSHOT_META, received_bytes: 20, heartbeat_round: 9 }))]
+#[case::timeout_now("elect", MessageBody::TimeoutNow)]
 fn messages_of_the_log_have_their_golden_frames(#[case] name: &str, #[case] body: MessageBody) {
     let message = Message {
         from: 1,
@@ -304,7 +309,7 @@
 )]
 #[case::patch("command_patch", Command::Patch { base: 2, body: b"{}".to_vec() }, 0x6884_c946_4412_61ac_7da5_603a_5d28_2c43)]
 #[case::evacuate("command_evacuate", Command::Evacuate { zone: text("zone-1") }, 0xf300_7e87_a6b8_8da2_a194_1db3_0edb_a766)]
-#[case::a_return("command_return", Command::EndEvacuation { zone: text("zone-1") }, 0xb852_55e1_18d0_abd6_b4bc_94bd_d1ce_35bf)]
+#[case::end_evacuation("command_return", Command::EndEvacuation { zone: text("zone-1") }, 0xb852_55e1_18d0_abd6_b4bc_94bd_d1ce_35bf)]
 fn commands_have_their_golden_entries_and_digests(
     #[case] name: &str,
     #[case] command: Command,
@@ -316,14 +321,14 @@
 
 #[rstest]
 #[case::ready("registration_ready", UpstreamStatus::Ready)]
-#[case::silent("registration_silent", UpstreamStatus::TimedOut)]
+#[case::timed_out("registration_silent", UpstreamStatus::TimedOut)]
 #[case::draining("registration_draining", UpstreamStatus::Draining)]
-#[case::gone("registration_gone", UpstreamStatus::Deregistered)]
+#[case::deregistered("registration_gone", UpstreamStatus::Deregistered)]
 fn registrations_have_their_golden_bytes(#[case] name: &str, #[case] status: UpstreamStatus) {
     assert_golden_value(name, &registration(status));
 }
 
-/// A configuration with every field that is known, and one that is not.
+/// A configuration with all known fields and one unknown field.
 const DOCUMENT: &str = concat!(
     r#"{"generation":5,"limits":{"header_timeout_ms":3000,"idle_timeout_ms":15000,"max_body_bytes":4096,"#,
     r#""max_header_bytes":1024},"routes":[{"allowed_regions":["region-1"],"gap_aim_ms":400,"host":"Chat.Example","#,
@@ -390,7 +395,8 @@
         read.evacuated_zones.iter().collect::<Vec<_>>(),
         ["zone-1", "zone-2"]
     );
-    // An order that was accepted before is acknowledged again, although its base is an old one.
+    // A command that was accepted before is acknowledged again, although its base generation is no
+    // longer the current one.
     let again = Command::Put {
         base: 0,
         body: DOCUMENT.as_bytes().to_vec(),
@@ -435,14 +441,14 @@
     let groups: Vec<Vec<&str>> = [0, 1, 63]
         .map(|shard| replica_group(shard, machines, 3))
         .to_vec();
-    let watched: Vec<Vec<&str>> = ["front-1", "front-2"]
+    let monitor_groups: Vec<Vec<&str>> = ["front-1", "front-2"]
         .map(|name| monitors(name, machines, 3))
         .to_vec();
-    let lines = format!("{shards:?}\n{names:?}\n{groups:?}\n{watched:?}\n");
+    let lines = format!("{shards:?}\n{names:?}\n{groups:?}\n{monitor_groups:?}\n");
     assert_eq!(lines, include_str!("golden/ownership.txt"));
 }
 
-/// The names stand in the log and in the JSON of a machine's status.
+/// The names of statuses appear in the log and in the JSON of a machine's status.
 #[test]
 fn statuses_have_their_golden_names() {
     let all = [
--- a/crates/control/tests/journal.rs
+++ b/crates/control/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of events.
+//! Tests of the event journal.
 
 mod support;
 
@@ -12,12 +12,16 @@
 }
 
 #[test]
-fn a_reader_continues_from_an_offset_of_the_epoch() {
+fn events_are_read_from_an_offset_of_the_epoch() {
     let mut journal = EventJournal::new(7);
     (1..=5).for_each(|number| journal.append(event(number)));
     assert_eq!(journal.events_since(7, 3).unwrap(), [event(4), event(5)]);
     assert!(journal.events_since(7, 5).unwrap().is_empty());
-    assert_eq!(journal.events_since(7, 6), None, "an offset of the future");
+    assert_eq!(
+        journal.events_since(7, 6),
+        None,
+        "an offset after the last event"
+    );
     assert_eq!(journal.events_since(8, 3), None, "another epoch");
 }
 
--- a/crates/control/tests/load_notices.rs
+++ b/crates/control/tests/load_notices.rs
@@ -1,4 +1,5 @@
-//! A control machine notifies balancers of what those of their region report on upstreams.
+//! Tests of the notifications with which a control machine passes load reports to the balancers of
+//! a region.
 
 mod support;
 
@@ -13,7 +14,7 @@
         .build()
 }
 
-/// Subscribers from this number on, of a zone.
+/// Subscribes `count` balancers of a zone, with connection numbers from `first` on.
 fn subscribe(machine: &mut ControlMachine, first: u64, count: u64, zone: &str) {
     for number in first..first + count {
         let balancer = format!("front-{number}");
@@ -31,10 +32,10 @@
     }
 }
 
-fn report(sequence: u64, zone: &str, unread: u32) -> Packet {
+fn report(sequence: u64, zone: &str, pending_tokens: u32) -> Packet {
     let upstreams = vec![UpstreamLoad {
         upstream: 3,
-        pending_prefill_tokens: unread,
+        pending_prefill_tokens: pending_tokens,
         is_failing: true,
     }];
     Packet::LoadReport(LoadReport {
@@ -46,10 +47,10 @@
     })
 }
 
-/// A notification: its time, its subscribers, the loads.
+/// The time in milliseconds, the subscribers and the loads of a notification.
 type Notice = (u64, Vec<u64>, FleetLoads);
 
-/// The notifications between two times.
+/// Ticks the machine every 50 ms from `from` until `until`, and returns the notifications.
 fn notices(machine: &mut ControlMachine, from: u64, until: u64) -> Vec<Notice> {
     let mut notices = Vec::new();
     for now in (from..until).step_by(50) {
@@ -75,7 +76,7 @@
     subscribe(&mut machine, 3, 1, "s1");
     assert!(
         notices(&mut machine, 0, 200).is_empty(),
-        "there is nothing to notify them of"
+        "no notification without reports"
     );
     machine.receive_packet(200, "10.0.0.9:9", report(1, "n1", 5_000));
     let loads = |failing| FleetLoads {
@@ -101,14 +102,17 @@
     machine.receive_packet(10, "10.0.0.9:9", report(1, "n1", 5_000));
     let all = notices(&mut machine, 50, 1_500);
     let times: Vec<u64> = all.iter().map(|(now, ..)| *now).collect();
-    assert!(times.len() >= 3, "sent again before it expires: {times:?}");
+    assert!(
+        times.len() >= 3,
+        "the notice is sent again before the report expires: {times:?}"
+    );
     assert!(
         times.windows(2).all(|pair| pair[1] - pair[0] <= 350),
         "{times:?}"
     );
     assert!(
         all.last().unwrap().2.is_empty(),
-        "and empty once the report has expired"
+        "the last notification is empty because the report has expired"
     );
 }
 
--- a/crates/control/tests/loads.rs
+++ b/crates/control/tests/loads.rs
@@ -1,14 +1,14 @@
-//! Combining the reports of balancers.
+//! Tests of recording and combining the load reports of balancers.
 
 use rstest::rstest;
 use woadstall_control::loads::{FleetLoad, LoadReport, LoadReports, PrefixPlacement, UpstreamLoad};
 
 const UPSTREAM: u32 = 7;
 
-fn report(balancer: u32, zone: &str, unread: u32, is_failing: bool) -> LoadReport {
+fn report(balancer: u32, zone: &str, pending_tokens: u32, is_failing: bool) -> LoadReport {
     let upstreams = vec![UpstreamLoad {
         upstream: UPSTREAM,
-        pending_prefill_tokens: unread,
+        pending_prefill_tokens: pending_tokens,
         is_failing,
     }];
     LoadReport {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_report_replaces_the_former_one_of_its_balancer() {
+fn a_report_replaces_the_previous_one_of_its_balancer() {
     let mut loads = LoadReports::default();
     loads.record(0, report(1, "n1", 4_000, true));
     loads.record(
@@ -64,13 +64,13 @@
         },
     );
     assert!(loads_of(&loads, "n1").is_empty());
-    // A delayed report changes nothing.
+    // A delayed report with a lower sequence number is ignored.
     loads.record(20, report(1, "n1", 4_000, true));
     assert!(loads_of(&loads, "n1").is_empty());
 }
 
-/// The last report of a balancer expires, also for one whose time of day has stepped back at a
-/// restart.
+/// The newest report of a balancer expires, even if the balancer's time of day steps back at a
+/// restart and its later reports have lower sequence numbers.
 #[rstest]
 #[case::valid(800, 1)]
 #[case::expired(801, 0)]
@@ -86,12 +86,12 @@
             ..report(1, "n1", 5_000, false)
         },
     );
-    let unread = loads_of(&loads, "n1")[0].pending_prefill_tokens;
-    assert_eq!(unread, if expected == 1 { 4_000 } else { 5_000 });
+    let pending_tokens = loads_of(&loads, "n1")[0].pending_prefill_tokens;
+    assert_eq!(pending_tokens, if expected == 1 { 4_000 } else { 5_000 });
 }
 
 #[test]
-fn claims_without_measure_do_not_overflow() {
+fn sums_of_pending_tokens_saturate() {
     let mut loads = LoadReports::default();
     loads.record(0, report(1, "n1", u32::MAX, true));
     loads.record(0, report(2, "n1", u32::MAX, true));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn each_placement_of_a_region_is_passed_on_once() {
+fn each_placement_of_a_region_is_listed_once() {
     let mut loads = LoadReports::default();
     let one = PrefixPlacement {
         number: 1,
--- a/crates/control/tests/log_events.rs
+++ b/crates/control/tests/log_events.rs
@@ -1,4 +1,4 @@
-//! Lines of the log: a fixed event name, then fields.
+//! Tests of the log lines, each an event name followed by fields.
 
 mod support;
 
--- a/crates/control/tests/read_index.rs
+++ b/crates/control/tests/read_index.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads of the configuration by ReadIndex.
+//! Tests of linearizable reads of the configuration by ReadIndex.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use woadstall_control::machine::{CallResponse, ControlMachine};
 use woadstall_control::wire::{CallId, Packet};
 
-/// Machine 1, which follows machine 2 and has a configuration at position 3.
+/// Returns machine 1 as a follower of machine 2 with a configuration at log index 3.
 fn follower_with_configuration() -> ControlMachine {
     let mut machine = follower();
     let body = br#"{"generation":5,"services":[],"routes":[]}"#.to_vec();
@@ -41,8 +41,8 @@
 }
 
 #[rstest]
-#[case::its_own_call(INCARNATION, true)]
-#[case::a_call_of_a_former_process(FORMER_INCARNATION, false)]
+#[case::own_call(INCARNATION, true)]
+#[case::a_call_of_an_earlier_process(EARLIER_INCARNATION, false)]
 fn a_read_index_reply_completes_only_a_read_of_this_process(
     #[case] incarnation: u64,
     #[case] completes: bool,
@@ -66,7 +66,7 @@
         },
     );
     let actions = persist_all(&mut machine, 1_100);
-    // There is no configuration yet, so that there is nothing to respond with.
+    // The response is indeterminate because there is no configuration yet.
     let expected: &[&CallResponse] = if completes {
         &[&CallResponse::Indeterminate]
     } else {
@@ -123,13 +123,13 @@
     persist_all(&mut machine, 1_100);
     machine.read_configuration(1_110, TOKEN + 1);
     persist_all(&mut machine, 1_110);
-    // The other machines confirm the leader; their disks are slow.
+    // Machine 2 confirms the leader but has not written the command to disk yet.
     let reply = |last_index| consensus(2, term, append_response(last_index, 9));
     machine.receive_packet(1_200, &address(2), reply(2));
     let actions = persist_all(&mut machine, 1_200);
     assert!(
         responses(&actions).is_empty(),
-        "the command may be committed yet: {actions:?}"
+        "the command may still be committed: {actions:?}"
     );
     machine.receive_packet(1_300, &address(2), reply(3));
     let actions = persist_all(&mut machine, 1_300);
--- a/crates/control/tests/registrations.rs
+++ b/crates/control/tests/registrations.rs
@@ -1,4 +1,5 @@
-//! Registrations of upstreams that drain or leave: acknowledged once a majority has them on disk.
+//! Tests of the acknowledgement of drains and deregistrations, which requires a quorum with the
+//! registration on disk.
 
 mod support;
 
@@ -8,9 +9,9 @@
 use woadstall_control::registry::UpstreamStatus;
 use woadstall_control::wire::{CallId, Packet};
 
-/// Whether another machine's registrations are acknowledged before this machine's disk has them,
-/// and after.
-fn acknowledged(status: UpstreamStatus) -> (bool, bool) {
+/// Returns whether a registration from another machine is acknowledged before it is on this
+/// machine's disk, and whether it is acknowledged after that.
+fn acknowledged_before_and_after_persisting(status: UpstreamStatus) -> (bool, bool) {
     let mut machine = follower();
     let call = CallId {
         incarnation: 5,
@@ -36,8 +37,8 @@
 }
 
 #[rstest]
-#[case::its_own_call(INCARNATION, true)]
-#[case::a_call_of_a_former_process(FORMER_INCARNATION, false)]
+#[case::own_call(INCARNATION, true)]
+#[case::a_call_of_an_earlier_process(EARLIER_INCARNATION, false)]
 fn a_deregistration_is_acknowledged_only_by_replies_to_this_process(
     #[case] incarnation: u64,
     #[case] completes: bool,
@@ -45,7 +46,10 @@
     let mut machine = follower();
     machine.deregister(1_010, TOKEN, "i-1");
     let actions = persist_all(&mut machine, 1_010);
-    assert!(responses(&actions).is_empty(), "one machine of three");
+    assert!(
+        responses(&actions).is_empty(),
+        "only one machine of three has the deregistration on disk"
+    );
     let packets = sent_to(&actions, 3);
     let Some(Packet::Registrations { call, .. }) = packets.first() else {
         panic!("{packets:?}")
@@ -66,16 +70,16 @@
 #[rstest]
 #[case::ready(UpstreamStatus::Ready, (true, true))]
 #[case::draining(UpstreamStatus::Draining, (false, true))]
-#[case::gone(UpstreamStatus::Deregistered, (false, true))]
-fn a_termination_is_acknowledged_to_peers_once_it_is_on_disk(
+#[case::deregistered(UpstreamStatus::Deregistered, (false, true))]
+fn a_termination_is_acknowledged_to_peers_after_it_is_written_to_disk(
     #[case] status: UpstreamStatus,
     #[case] expected: (bool, bool),
 ) {
-    assert_eq!(acknowledged(status), expected);
+    assert_eq!(acknowledged_before_and_after_persisting(status), expected);
 }
 
 #[test]
-fn a_deregistration_counts_here_only_once_it_is_on_disk() {
+fn the_local_disk_counts_only_after_the_deregistration_is_written() {
     let mut machine = follower();
     machine.deregister(1_010, TOKEN, "i-1");
     let actions = machine.take_actions();
@@ -90,7 +94,7 @@
     machine.receive_packet(1_100, &address(3), Packet::RegistrationsAck { call: *call });
     assert!(
         responses(&machine.take_actions()).is_empty(),
-        "one other of three, and this disk has not written it"
+        "only one machine of three has the deregistration on disk"
     );
     machine.registrations_persisted(1_200, request.unwrap());
     assert_eq!(
--- a/crates/control/tests/registry.rs
+++ b/crates/control/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Merging the registrations of upstreams.
+//! Tests of the upstream registry.
 
 mod support;
 
@@ -19,10 +19,10 @@
 #[rstest]
 #[case::delayed_ready(&[(1, UpstreamStatus::Ready), (3, UpstreamStatus::Draining), (2, UpstreamStatus::Ready)], UpstreamStatus::Draining)]
 #[case::ready_again(&[(3, UpstreamStatus::Draining), (4, UpstreamStatus::Ready)], UpstreamStatus::Ready)]
-#[case::deregistered_stays(&[(3, UpstreamStatus::Deregistered), (9, UpstreamStatus::Ready)], UpstreamStatus::Deregistered)]
-#[case::deregistered_beats_a_higher_number(&[(9, UpstreamStatus::Ready), (3, UpstreamStatus::Deregistered)], UpstreamStatus::Deregistered)]
-#[case::timed_out_until_heard(&[(3, UpstreamStatus::Ready), (3, UpstreamStatus::TimedOut), (4, UpstreamStatus::Ready)], UpstreamStatus::Ready)]
-#[case::timed_out_against_an_old_heartbeat(&[(3, UpstreamStatus::TimedOut), (3, UpstreamStatus::Ready)], UpstreamStatus::TimedOut)]
+#[case::deregistered_is_final(&[(3, UpstreamStatus::Deregistered), (9, UpstreamStatus::Ready)], UpstreamStatus::Deregistered)]
+#[case::deregistered_wins_over_a_higher_sequence_number(&[(9, UpstreamStatus::Ready), (3, UpstreamStatus::Deregistered)], UpstreamStatus::Deregistered)]
+#[case::timed_out_until_the_next_heartbeat(&[(3, UpstreamStatus::Ready), (3, UpstreamStatus::TimedOut), (4, UpstreamStatus::Ready)], UpstreamStatus::Ready)]
+#[case::timed_out_despite_a_repeated_heartbeat(&[(3, UpstreamStatus::TimedOut), (3, UpstreamStatus::Ready)], UpstreamStatus::TimedOut)]
 fn the_newest_registration_wins(
     #[case] steps: &[(u64, UpstreamStatus)],
     #[case] expected: UpstreamStatus,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_heartbeat_that_says_nothing_new_is_only_a_renewal() {
+fn an_unchanged_heartbeat_is_only_a_renewal() {
     let mut registry = Registry::default();
     assert_eq!(
         registry.merge(0, registration(1, UpstreamStatus::Ready)),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn only_the_owner_times_an_upstream_out() {
+fn an_overdue_upstream_is_timed_out_once_by_the_owner() {
     let mut registry = Registry::default();
     registry.merge(0, registration(1, UpstreamStatus::Ready));
     assert!(registry.time_out(5_000, 5_000, |_| true).is_empty());
@@ -93,7 +93,7 @@
     assert_eq!(registry.time_out(5_001, 5_000, |_| true).len(), 1);
     assert!(
         registry.time_out(9_000, 5_000, |_| true).is_empty(),
-        "it is reported once"
+        "a time-out is reported only once"
     );
     registry.merge(9_100, registration(2, UpstreamStatus::Ready));
     assert_eq!(
@@ -103,11 +103,11 @@
 }
 
 #[test]
-fn a_renewal_received_by_another_machine_counts() {
+fn a_renewal_received_by_another_machine_prevents_the_time_out() {
     let mut registry = Registry::default();
     registry.merge(0, registration(1, UpstreamStatus::Ready));
     registry.renew(4_000, "i-1", 5);
-    registry.renew(4_000, "never", 5);
+    registry.renew(4_000, "unknown", 5);
     assert!(registry.time_out(6_000, 5_000, |_| true).is_empty());
 }
 
@@ -120,7 +120,7 @@
     assert_eq!(
         registry.len(),
         1,
-        "a delayed heartbeat must not bring it back yet"
+        "the tombstone is retained against delayed heartbeats"
     );
     registry.remove_expired(121_000);
     assert!(registry.is_empty());
@@ -140,11 +140,11 @@
         registry.get(10, "i-1").unwrap().status,
         UpstreamStatus::Deregistered
     );
-    // Another machine that knows the upstream keeps what it knows beside the status.
-    let departed = registry.get(10, "i-1").unwrap();
+    // Another machine that knows the upstream changes only the status of its record.
+    let deregistered = registry.get(10, "i-1").unwrap();
     let mut other = Registry::default();
     other.merge(0, registration(9, UpstreamStatus::Ready));
-    assert_eq!(other.merge(10, departed), MergeOutcome::Changed);
+    assert_eq!(other.merge(10, deregistered), MergeOutcome::Changed);
     let merged = other.get(10, "i-1").unwrap();
     assert_eq!(
         (merged.status, merged.address.as_str(), merged.sequence),
@@ -155,7 +155,7 @@
 #[rstest]
 #[case::fresh(1_000, UpstreamStatus::Ready, UpstreamStatus::Ready)]
 #[case::old(61_000, UpstreamStatus::Ready, UpstreamStatus::TimedOut)]
-#[case::old_and_leaving(61_000, UpstreamStatus::Draining, UpstreamStatus::Draining)]
+#[case::old_and_draining(61_000, UpstreamStatus::Draining, UpstreamStatus::Draining)]
 fn an_old_registration_of_an_unknown_upstream_counts_as_timed_out(
     #[case] age_ms: u64,
     #[case] status: UpstreamStatus,
@@ -172,10 +172,10 @@
     let merged = registry.get(100_000, "i-1").unwrap();
     assert_eq!((merged.status, merged.age_ms), (expected, age_ms));
     registry.merge(100_100, registration(4, UpstreamStatus::Ready));
-    let heard = registry.get(100_100, "i-1").unwrap();
+    let renewed = registry.get(100_100, "i-1").unwrap();
     assert_eq!(
-        (heard.status, heard.age_ms),
+        (renewed.status, renewed.age_ms),
         (UpstreamStatus::Ready, 0),
-        "its own heartbeat counts"
+        "a heartbeat of the upstream makes it ready"
     );
 }
--- a/crates/control/tests/shards.rs
+++ b/crates/control/tests/shards.rs
@@ -1,4 +1,4 @@
-//! Which machines own shards and monitor balancers.
+//! Tests of the assignment of shards and monitors to machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use woadstall_control::shards::{SHARD_COUNT, monitors, replica_group, shard_of};
@@ -16,17 +16,17 @@
 }
 
 #[test]
-fn shards_are_balanced_and_few_move() {
+fn shards_are_balanced_and_only_those_of_a_lost_machine_move() {
     let nine = machines(9);
     let before = owners(&nine);
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     before
         .iter()
         .for_each(|owner| *counts.entry(owner).or_default() += 1);
-    let most = *counts.values().max().unwrap();
+    let max_owned = *counts.values().max().unwrap();
     assert!(
-        most <= 3 * SHARD_COUNT as usize / 9,
-        "one machine owns {most} of {SHARD_COUNT}"
+        max_owned <= 3 * SHARD_COUNT as usize / 9,
+        "one machine owns {max_owned} of {SHARD_COUNT}"
     );
     let lost = &nine[4];
     let eight: Vec<String> = nine
@@ -37,7 +37,7 @@
     for (old, new) in before.iter().zip(owners(&eight)) {
         assert!(
             old == lost || *old == new,
-            "a shard moved though its owner stayed"
+            "a shard moved although its owner is still there"
         );
     }
     assert!(shard_of("any") < SHARD_COUNT);
@@ -67,5 +67,5 @@
     let used: BTreeSet<String> = (0..60)
         .flat_map(|number| of(&format!("front-{number}"), &nine))
         .collect();
-    assert!(used.len() >= 7, "few machines monitor all");
+    assert!(used.len() >= 7, "too few machines are used as monitors");
 }
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Control machines as tests set them up, and what they send.
+//! Test fixtures: control machines, and the packets and commands that they receive.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -16,23 +16,23 @@
 
 /// The incarnation of the process under test.
 pub const INCARNATION: u64 = 77;
-/// The incarnation of an earlier process of its machine.
-pub const FORMER_INCARNATION: u64 = 76;
-/// The term of the leader that [`follower`] follows.
+/// The incarnation of an earlier process of the machine under test.
+pub const EARLIER_INCARNATION: u64 = 76;
+/// The term in which [`follower`] has a leader.
 pub const TERM: u64 = 4;
-/// That leader's clock when the machine's own is 1,000.
+/// The clock of the leader of [`follower`] when the follower's own clock is 1,000 ms.
 pub const LEADER_CLOCK: u64 = 50_000;
-/// The position of the founding snapshot.
+/// The log position of the founding snapshot.
 pub const FOUNDING_POSITION: LogPosition = LogPosition { index: 1, term: 1 };
-/// The token of a call.
+/// The token of the call under test.
 pub const TOKEN: u64 = 9;
 
-/// The internal address of a machine.
+/// Returns the internal address of a machine.
 pub fn address(id: u64) -> String {
     format!("10.0.0.{id}:7720")
 }
 
-/// The members of a group with the ids from 1 on.
+/// Returns the members of a group with the ids from 1 to `count`.
 pub fn members(count: u64) -> Vec<Member> {
     (1..=count)
         .map(|id| Member {
@@ -42,7 +42,7 @@
         .collect()
 }
 
-/// Builds machine 1, in the first zone of its deployment.
+/// A builder of machine 1, which is in the first zone of its deployment.
 pub struct MachineBuilder {
     zones: Vec<(String, String)>,
     founders: u64,
@@ -50,7 +50,7 @@
 }
 
 impl MachineBuilder {
-    /// A machine in a deployment with one zone that is not a member of any group.
+    /// Starts with a deployment of one zone and a machine that is not a member of any group.
     pub fn new() -> Self {
         let zones = vec![("zone-1".to_owned(), "region-1".to_owned())];
         Self {
@@ -60,26 +60,26 @@
         }
     }
 
-    /// The zones of the deployment, each with its region.
+    /// Sets the zones of the deployment and their regions.
     pub fn zones(mut self, zones: &[(&str, &str)]) -> Self {
         let owned = |(zone, region): &(&str, &str)| ((*zone).to_owned(), (*region).to_owned());
         self.zones = zones.iter().map(owned).collect();
         self
     }
 
-    /// The number of machines that have founded the group, this one among them.
+    /// Sets the number of machines that founded the group, including machine 1.
     pub fn founders(mut self, count: u64) -> Self {
         self.founders = count;
         self
     }
 
-    /// The number of machines that may be lost at a time.
+    /// Sets the number of machines that may fail at the same time.
     pub fn tolerated_failures(mut self, count: usize) -> Self {
         self.tolerated_failures = count;
         self
     }
 
-    /// The machine at time 0.
+    /// Creates the machine at time 0.
     pub fn build(self) -> ControlMachine {
         let (zone, region) = self.zones[0].clone();
         let member = Member {
@@ -107,21 +107,21 @@
     }
 }
 
-/// Machine 1 of three.
+/// Returns machine 1 of a group of three.
 pub fn machine() -> ControlMachine {
     let mut machine = MachineBuilder::new().founders(3).build();
     machine.take_actions();
     machine
 }
 
-/// Machine 1, which follows machine 2 from time 1,000 on.
+/// Returns machine 1 as a follower of machine 2 from time 1,000 ms on.
 pub fn follower() -> ControlMachine {
     let mut machine = machine();
     receive_from_leader(&mut machine, 1_000, LEADER_CLOCK);
     machine
 }
 
-/// Machine 1 as the leader of a term, with its first entry committed.
+/// Returns machine 1 as the leader of a term, with the first entry of the term committed.
 pub fn leader() -> ControlMachine {
     let mut machine = machine();
     machine.receive_packet(
@@ -144,12 +144,12 @@
     machine
 }
 
-/// A message of the log to machine 1.
+/// Returns a consensus message to machine 1 with the sender's clock at 0.
 pub fn consensus(from: u64, term: u64, body: MessageBody) -> Packet {
     consensus_at(0, from, term, body)
 }
 
-/// The same with the sender's clock.
+/// Returns a consensus message to machine 1 with the given clock of its sender.
 pub fn consensus_at(clock: u64, from: u64, term: u64, body: MessageBody) -> Packet {
     Packet::Consensus {
         message: Message {
@@ -162,12 +162,12 @@
     }
 }
 
-/// An append without entries behind the founding snapshot.
+/// Returns an append request without entries after the founding snapshot.
 pub fn empty_append() -> MessageBody {
     append_entries(FOUNDING_POSITION, Vec::new(), 1)
 }
 
-/// An append of entries behind a position, with the leader's commit index.
+/// Returns an append request with entries after a log position.
 pub fn append_entries(
     previous: LogPosition,
     entries: Vec<Entry>,
@@ -181,7 +181,7 @@
     })
 }
 
-/// A follower's response: it has the leader's log up to an index.
+/// Returns a follower's response that confirms the leader's log up to `last_index`.
 pub fn append_response(last_index: u64, heartbeat_round: u64) -> MessageBody {
     MessageBody::AppendEntriesResponse(AppendEntriesResponse {
         success: true,
@@ -190,14 +190,15 @@
     })
 }
 
-/// The machine hears from machine 2 as the leader, with that one's clock.
+/// Delivers an empty append request from machine 2 as the leader, with the given clock of machine
+/// 2.
 pub fn receive_from_leader(machine: &mut ControlMachine, now: u64, clock: u64) {
     let packet = consensus_at(clock, 2, TERM, empty_append());
     machine.receive_packet(now, &address(2), packet);
     persist_all(machine, now);
 }
 
-/// Completes all writes to the disk, and returns the other actions.
+/// Completes all writes to disk, and returns the other actions.
 pub fn persist_all(machine: &mut ControlMachine, now: u64) -> Vec<Action> {
     let mut others = Vec::new();
     loop {
@@ -217,7 +218,7 @@
     }
 }
 
-/// The responses to calls.
+/// Returns the responses to calls.
 pub fn responses(actions: &[Action]) -> Vec<&CallResponse> {
     actions
         .iter()
@@ -228,7 +229,7 @@
         .collect()
 }
 
-/// The packets to a machine.
+/// Returns the packets sent to a machine.
 pub fn sent_to(actions: &[Action], id: u64) -> Vec<Packet> {
     let to = address(id);
     let packet = |action: &Action| match action {
@@ -238,14 +239,14 @@
     actions.iter().filter_map(packet).collect()
 }
 
-/// A command that evacuates a zone.
+/// Returns a command that evacuates the zone `z`.
 pub fn evacuate() -> Command {
     Command::Evacuate {
         zone: "z".to_owned(),
     }
 }
 
-/// A heartbeat of one upstream with a sequence number.
+/// Returns a registration of the upstream `i-1`.
 pub fn registration(sequence: u64, status: UpstreamStatus) -> Registration {
     Registration {
         id: "i-1".to_owned(),
@@ -261,7 +262,7 @@
     }
 }
 
-/// A heartbeat of a balancer.
+/// Returns the heartbeat of a ready balancer.
 pub fn heartbeat(name: &str, zone: &str) -> BalancerHeartbeat {
     BalancerHeartbeat {
         name: name.to_owned(),
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Frames: each packet round-trips, and each change of a byte is refused with a typed error.
+//! Tests of the frame encoding. Each packet round-trips, and each changed byte is rejected with a
+//! typed error.
 
 use woadstall_consensus::{
     AppendEntriesRequest, AppendEntriesResponse, Entry, EntryPayload, InstallSnapshotRequest,
@@ -60,7 +61,7 @@
     }
 }
 
-/// A body that is compressed on its way.
+/// Returns a command body that is large enough to be compressed in a frame.
 fn large_body() -> Vec<u8> {
     (0..60)
         .flat_map(|number| format!("{{\"name\":\"r-{number}\",\"timeout_ms\":5000}},").into_bytes())
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn payloads_are_compressed_and_a_claimed_size_allocates_nothing() {
+fn large_payloads_are_compressed_and_an_excessive_claimed_size_is_rejected() {
     let packet = Packet::Events {
         offset: 1,
         events: vec![FeedEvent::Committed {
@@ -85,16 +86,17 @@
         "{} bytes",
         frame.len()
     );
-    let mut claims = frame;
-    claims[HEADER_BYTES..HEADER_BYTES + 4].copy_from_slice(&u32::MAX.to_le_bytes());
+    let mut tampered = frame;
+    tampered[HEADER_BYTES..HEADER_BYTES + 4].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&claims[2..4]);
-    hasher.update(&claims[HEADER_BYTES..]);
-    claims[8..12].copy_from_slice(&hasher.finalize().to_le_bytes());
-    assert_too_long(Packet::decode_datagram(&claims));
+    hasher.update(&tampered[2..4]);
+    hasher.update(&tampered[HEADER_BYTES..]);
+    tampered[8..12].copy_from_slice(&hasher.finalize().to_le_bytes());
+    assert_too_long(Packet::decode_datagram(&tampered));
 }
 
-/// A length that is the greatest one a header can claim is refused as such.
+/// Asserts that a length of `u32::MAX`, the greatest one that a header can claim, is rejected as
+/// too long.
 fn assert_too_long<T: std::fmt::Debug>(result: Result<T, WireError>) {
     const LENGTH: usize = u32::MAX as usize;
     assert!(
@@ -123,7 +125,7 @@
     Command::Put { base: 1, body }
 }
 
-/// At least one packet of each kind.
+/// Returns at least one packet of each kind.
 fn packets() -> Vec<Packet> {
     [
         machine_packets(),
@@ -356,7 +358,7 @@
 }
 
 #[test]
-fn a_frame_that_is_truncated_or_too_long_is_refused() {
+fn a_frame_that_is_truncated_or_too_long_is_rejected() {
     for packet in packets() {
         let frame = packet.encode();
         for length in 0..frame.len() {
@@ -372,7 +374,7 @@
 }
 
 #[test]
-fn invalid_headers_are_refused_before_the_payload_is_read() {
+fn invalid_headers_are_rejected_before_the_payload_is_read() {
     let mut header: [u8; HEADER_BYTES] = packets()[0].encode()[..HEADER_BYTES].try_into().unwrap();
     header[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
     assert_too_long(payload_length(&header));
