--- a/crates/control/src/balancers.rs
+++ b/crates/control/src/balancers.rs
@@ -56,15 +56,15 @@
 /// recorded one: more than two heartbeat periods.
 const INCARNATION_TIMEOUT_MS: u64 = 900;
 /// The time in milliseconds without a heartbeat after which a balancer is removed from the table.
-const RETENTION_MS: u64 = 60_000;
+const RECORD_RETENTION_MS: u64 = 60_000;
 
 impl BalancerTable {
     /// Merges a heartbeat into the table. An incarnation that has timed out is replaced by any
     /// other one, including a lower one: incarnations are taken from the time of day, which may
     /// step back.
-    pub fn merge(&mut self, now: u64, heartbeat: BalancerHeartbeat) -> MergeOutcome {
+    pub fn merge(&mut self, now_ms: u64, heartbeat: BalancerHeartbeat) -> MergeOutcome {
         let known = self.records.get(&heartbeat.name);
-        if known.is_some_and(|known| !known.is_superseded_by(now, &heartbeat)) {
+        if known.is_some_and(|known| !known.is_superseded_by(now_ms, &heartbeat)) {
             return MergeOutcome::Stale;
         }
         let outcome = match known {
@@ -74,7 +74,7 @@
         let same_incarnation =
             known.filter(|known| known.heartbeat.incarnation == heartbeat.incarnation);
         let last_ready_ms = if heartbeat.ready {
-            Some(now)
+            Some(now_ms)
         } else {
             same_incarnation.and_then(|known| known.last_ready_ms)
         };
@@ -83,7 +83,7 @@
             name,
             BalancerRecord {
                 heartbeat,
-                last_heard_ms: now,
+                last_heard_ms: now_ms,
                 last_ready_ms,
             },
         );
@@ -92,7 +92,7 @@
 
     /// Applies renewals received by another machine. A renewal counts only for the incarnation that
     /// is recorded here.
-    pub fn renew(&mut self, now: u64, renewals: &[BalancerRenewal]) {
+    pub fn renew(&mut self, now_ms: u64, renewals: &[BalancerRenewal]) {
         let by_name: BTreeMap<u32, &BalancerRenewal> = renewals
             .iter()
             .map(|renewal| (renewal.name, renewal))
@@ -104,17 +104,17 @@
             let known = &record.heartbeat;
             if renewal.incarnation == known.incarnation && renewal.sequence > known.sequence {
                 record.heartbeat.sequence = renewal.sequence;
-                record.last_heard_ms = now;
+                record.last_heard_ms = now_ms;
                 if record.heartbeat.ready {
-                    record.last_ready_ms = Some(now);
+                    record.last_ready_ms = Some(now_ms);
                 }
             }
         }
     }
 
     /// Returns the balancers whose newest heartbeat is at most `timeout_ms` old.
-    pub fn alive(&self, now: u64, timeout_ms: u64) -> impl Iterator<Item = &BalancerHeartbeat> {
-        let is_alive = move |record: &&BalancerRecord| now <= record.last_heard_ms + timeout_ms;
+    pub fn alive(&self, now_ms: u64, timeout_ms: u64) -> impl Iterator<Item = &BalancerHeartbeat> {
+        let is_alive = move |record: &&BalancerRecord| now_ms <= record.last_heard_ms + timeout_ms;
         self.records
             .values()
             .filter(is_alive)
@@ -125,15 +125,15 @@
     /// balancer is alive and not ready, but was ready at most `ready_within_ms` ago.
     pub fn stopping(
         &self,
-        now: u64,
+        now_ms: u64,
         timeout_ms: u64,
         ready_within_ms: u64,
     ) -> impl Iterator<Item = &BalancerHeartbeat> {
         let is_stopping = move |record: &&BalancerRecord| {
             let was_ready = record
                 .last_ready_ms
-                .is_some_and(|at| now <= at + ready_within_ms);
-            !record.heartbeat.ready && was_ready && now <= record.last_heard_ms + timeout_ms
+                .is_some_and(|at| now_ms <= at + ready_within_ms);
+            !record.heartbeat.ready && was_ready && now_ms <= record.last_heard_ms + timeout_ms
         };
         self.records
             .values()
@@ -147,19 +147,19 @@
     }
 
     /// Removes balancers whose newest heartbeat is older than the retention time.
-    pub fn remove_expired(&mut self, now: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.records
-            .retain(|_, record| now <= record.last_heard_ms + RETENTION_MS);
+            .retain(|_, record| now_ms <= record.last_heard_ms + RECORD_RETENTION_MS);
     }
 }
 
 impl BalancerRecord {
-    fn is_superseded_by(&self, now: u64, heartbeat: &BalancerHeartbeat) -> bool {
+    fn is_superseded_by(&self, now_ms: u64, heartbeat: &BalancerHeartbeat) -> bool {
         let known = &self.heartbeat;
         if known.incarnation == heartbeat.incarnation {
             heartbeat.sequence > known.sequence
         } else {
-            let has_timed_out = now > self.last_heard_ms + INCARNATION_TIMEOUT_MS;
+            let has_timed_out = now_ms > self.last_heard_ms + INCARNATION_TIMEOUT_MS;
             heartbeat.incarnation > known.incarnation || has_timed_out
         }
     }
--- a/crates/control/src/configuration/mod.rs
+++ b/crates/control/src/configuration/mod.rs
@@ -145,7 +145,7 @@
     ///
     /// Returns all findings, each with its path, if the document is not a valid configuration.
     pub fn read(document: &Value) -> Result<Self, Findings> {
-        read::configuration(document)
+        read::read_configuration(document)
     }
 
     /// Returns the route of a request: the one with the longest matching path prefix among the
--- a/crates/control/src/configuration/read.rs
+++ b/crates/control/src/configuration/read.rs
@@ -9,7 +9,7 @@
 
 type Services = BTreeMap<String, Service>;
 
-pub(super) fn configuration(document: &Value) -> Result<Configuration, Findings> {
+pub(super) fn read_configuration(document: &Value) -> Result<Configuration, Findings> {
     let root = FieldReader::new(document);
     if !document.is_object() {
         return Err(Findings::one(root.path(), "must be an object"));
@@ -101,7 +101,7 @@
     let route_type = read_route_type(&item.field("route_type"), findings);
     let timeout_ms = read_timeout_ms(&item.field("timeout_ms"), findings);
     let regions = item.field("allowed_regions").items(findings);
-    let gap_target = item.field("gap_aim_ms");
+    let inter_event_target = item.field("gap_aim_ms");
     Route {
         name: item.field("name").string(findings),
         host: item.field("host").string(findings).to_ascii_lowercase(),
@@ -109,9 +109,9 @@
         route_type,
         timeout: Duration::from_millis(timeout_ms),
         target_latency: millis_or(&item.field("target_latency_ms"), timeout_ms, findings),
-        inter_event_target: gap_target
+        inter_event_target: inter_event_target
             .value()
-            .map(|_| millis_or(&gap_target, 0, findings)),
+            .map(|_| millis_or(&inter_event_target, 0, findings)),
         priority: u8::try_from(item.field("priority").integer_or(0, findings)).unwrap_or(u8::MAX),
         targets: read_targets(item, services, findings),
         max_attempts: u32::try_from(item.field("max_attempts").integer_or(1, findings))
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -28,7 +28,7 @@
 
 impl FeedEvent {
     /// Returns the approximate size of the event in bytes, for the retention limit.
-    fn size(&self) -> usize {
+    fn size_bytes(&self) -> usize {
         let body = match self {
             Self::Committed {
                 command: Command::Put { body, .. } | Command::Patch { body, .. },
@@ -50,7 +50,7 @@
     first_offset: u64,
     events: VecDeque<FeedEvent>,
     /// The total size of the retained events in bytes.
-    bytes: usize,
+    retained_bytes: usize,
 }
 
 impl EventJournal {
@@ -61,7 +61,7 @@
             epoch,
             first_offset: 0,
             events: VecDeque::new(),
-            bytes: 0,
+            retained_bytes: 0,
         }
     }
 
@@ -78,11 +78,11 @@
     /// Appends an event, and drops the oldest events in excess of the retention limit. The newest
     /// event is always retained.
     pub fn append(&mut self, event: FeedEvent) {
-        self.bytes += event.size();
+        self.retained_bytes += event.size_bytes();
         self.events.push_back(event);
-        while self.bytes > RETAINED_BYTES && self.events.len() > 1 {
+        while self.retained_bytes > RETAINED_BYTES && self.events.len() > 1 {
             if let Some(dropped) = self.events.pop_front() {
-                self.bytes -= dropped.size();
+                self.retained_bytes -= dropped.size_bytes();
                 self.first_offset += 1;
             }
         }
@@ -93,7 +93,7 @@
     pub fn reset(&mut self) {
         self.first_offset = self.end_offset() + 1;
         self.events.clear();
-        self.bytes = 0;
+        self.retained_bytes = 0;
     }
 
     /// Returns the events from an offset of an epoch on. The result is `None` if the epoch differs
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -97,8 +97,8 @@
 }
 
 impl ReceivedReport {
-    fn is_valid(&self, now: u64) -> bool {
-        now <= self.received_at_ms + REPORT_TTL_MS
+    fn is_valid(&self, now_ms: u64) -> bool {
+        now_ms <= self.received_at_ms + REPORT_TTL_MS
     }
 }
 
@@ -111,16 +111,16 @@
 impl LoadReports {
     /// Records a report, unless a valid report with the same or a higher sequence number is known
     /// from the same balancer.
-    pub fn record(&mut self, now: u64, report: LoadReport) {
+    pub fn record(&mut self, now_ms: u64, report: LoadReport) {
         let known = self
             .by_balancer
             .get(&report.balancer)
-            .filter(|known| known.is_valid(now));
+            .filter(|known| known.is_valid(now_ms));
         if known.is_none_or(|known| known.report.sequence < report.sequence) {
             self.by_balancer.insert(
                 report.balancer,
                 ReceivedReport {
-                    received_at_ms: now,
+                    received_at_ms: now_ms,
                     report,
                 },
             );
@@ -128,9 +128,9 @@
     }
 
     /// Removes expired reports.
-    pub fn remove_expired(&mut self, now: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.by_balancer
-            .retain(|_, received| received.is_valid(now));
+            .retain(|_, received| received.is_valid(now_ms));
     }
 
     /// Combines the recorded reports for the balancers of `zone`. Reports count only if
--- a/crates/control/src/machine/balancer_heartbeats.rs
+++ b/crates/control/src/machine/balancer_heartbeats.rs
@@ -8,10 +8,10 @@
 impl ControlMachine {
     /// Handles a balancer's heartbeat, and queues it for gossip to the other machines unless it is
     /// stale.
-    pub fn receive_heartbeat(&mut self, now: u64, heartbeat: BalancerHeartbeat) {
-        self.advance_clock(now);
+    pub fn receive_heartbeat(&mut self, now_ms: u64, heartbeat: BalancerHeartbeat) {
+        self.advance_clock(now_ms);
         let name = heartbeat.name.clone();
-        match self.balancers.merge(self.now, heartbeat.clone()) {
+        match self.balancers.merge(self.now_ms, heartbeat.clone()) {
             MergeOutcome::Stale => {}
             MergeOutcome::Changed => drop(self.gossip.heartbeats.insert(name, heartbeat)),
             MergeOutcome::Renewed => {
--- a/crates/control/src/machine/commands.rs
+++ b/crates/control/src/machine/commands.rs
@@ -35,10 +35,10 @@
 impl ControlMachine {
     /// Submits an operator's command. The response is returned as
     /// [`Action::Respond`](super::Action::Respond) with the given token.
-    pub fn submit_command(&mut self, now: u64, token: u64, command: Command) {
-        self.advance_clock(now);
+    pub fn submit_command(&mut self, now_ms: u64, token: u64, command: Command) {
+        self.advance_clock(now_ms);
         let number = self.next_number();
-        let deadline_ms = self.now + CALL_TIMEOUT_MS;
+        let deadline_ms = self.now_ms + CALL_TIMEOUT_MS;
         let pending = PendingCommand {
             token,
             command,
@@ -57,7 +57,7 @@
         let Some(pending) = self.calls.commands.get(&number) else {
             return;
         };
-        if self.now >= pending.deadline_ms {
+        if self.now_ms >= pending.deadline_ms {
             return;
         }
         if self.replica.is_leader() {
@@ -145,14 +145,14 @@
         expires: LeaderTime,
         command: Command,
     ) {
-        let is_in_time = expires.term == self.replica.term() && self.now <= expires.at;
+        let is_in_time = expires.term == self.replica.term() && self.now_ms <= expires.at;
         let origin = CallOrigin::Peer {
             address: from.to_owned(),
             call,
         };
         let waiter = Waiter {
             origin,
-            deadline_ms: self.now + CALL_TIMEOUT_MS,
+            deadline_ms: self.now_ms + CALL_TIMEOUT_MS,
         };
         if !is_in_time || !self.propose_or_join(waiter, &command) {
             self.send(
@@ -246,15 +246,15 @@
     /// Responds to callers whose deadline has passed. Entries proposed for them may still be
     /// committed.
     pub(super) fn time_out_commands(&mut self) {
-        let now = self.now;
+        let now_ms = self.now_ms;
         let overdue = take_overdue(&mut self.calls.commands, |pending| {
-            now >= pending.deadline_ms
+            now_ms >= pending.deadline_ms
         });
         let mut tokens: Vec<u64> = overdue.iter().map(|pending| pending.token).collect();
         for proposal in self.calls.proposals.values_mut() {
             let overdue = proposal
                 .waiters
-                .extract_if(.., |waiter| now >= waiter.deadline_ms);
+                .extract_if(.., |waiter| now_ms >= waiter.deadline_ms);
             tokens.extend(overdue.filter_map(|waiter| waiter.origin.token()));
         }
         for token in tokens {
--- a/crates/control/src/machine/directory.rs
+++ b/crates/control/src/machine/directory.rs
@@ -72,7 +72,7 @@
     /// client's region may read the requests, so balancers that are shutting down there are
     /// preferred to ready ones elsewhere.
     pub fn resolve(&self, request: &ResolveRequest) -> ResolveResponse {
-        let alive = self.balancers.alive(self.now, BALANCER_TIMEOUT_MS);
+        let alive = self.balancers.alive(self.now_ms, BALANCER_TIMEOUT_MS);
         let ready: Vec<&BalancerHeartbeat> = alive.filter(|heartbeat| heartbeat.ready).collect();
         let mut nearest = self.nearest(&ready, request);
         nearest.sort_by_cached_key(|address| hash(&(&request.client, address)));
@@ -132,9 +132,9 @@
         if !in_service.is_empty() {
             return in_service;
         }
-        let stopping = self
-            .balancers
-            .stopping(self.now, BALANCER_TIMEOUT_MS, SHUTDOWN_ACCEPT_MS);
+        let stopping =
+            self.balancers
+                .stopping(self.now_ms, BALANCER_TIMEOUT_MS, SHUTDOWN_ACCEPT_MS);
         let stopping: Vec<&BalancerHeartbeat> = stopping.collect();
         let is_near = |heartbeat: &BalancerHeartbeat| {
             self.region_of(&heartbeat.zone)
--- a/crates/control/src/machine/failure_detection.rs
+++ b/crates/control/src/machine/failure_detection.rs
@@ -19,7 +19,7 @@
     pub(super) fn time_out_upstreams(&mut self) {
         let timeout_ms = self.settings.heartbeat_ms * MISSED_HEARTBEATS + FAILOVER_ALLOWANCE_MS;
         let quorum_since_ms = self.leadership.quorum_since_ms;
-        if quorum_since_ms.is_none_or(|since| self.now < since + timeout_ms) {
+        if quorum_since_ms.is_none_or(|since| self.now_ms < since + timeout_ms) {
             return;
         }
         let machines: Vec<String> = self
@@ -33,7 +33,7 @@
             let group = replica_group(shard_of(service), addresses, MONITOR_COUNT);
             group.first().is_some_and(|owner| *owner == own)
         };
-        for upstream in self.registry.time_out(self.now, timeout_ms, owns) {
+        for upstream in self.registry.time_out(self.now_ms, timeout_ms, owns) {
             self.log(LogEvent::UpstreamTimedOut {
                 registration: upstream.clone(),
                 timeout_ms,
--- a/crates/control/src/machine/feeds.rs
+++ b/crates/control/src/machine/feeds.rs
@@ -32,7 +32,7 @@
 pub(super) struct Feeds {
     journal: EventJournal,
     /// The end offset of the events that have been sent to the subscribers.
-    delivered: u64,
+    delivered_offset: u64,
     /// The subscribers, keyed by connection number.
     pub subscribers: BTreeMap<u64, Subscriber>,
     pending: Vec<PendingSubscriber>,
@@ -46,7 +46,7 @@
     pub fn new(epoch: u64) -> Self {
         Self {
             journal: EventJournal::new(epoch),
-            delivered: 0,
+            delivered_offset: 0,
             subscribers: BTreeMap::new(),
             pending: Vec::new(),
             active_balancers: Vec::new(),
@@ -57,8 +57,8 @@
 impl ControlMachine {
     /// Handles a balancer's subscription on a connection. Snapshots are sent on the next tick, so
     /// that a single snapshot is built and encoded when many balancers reconnect at the same time.
-    pub fn subscribe(&mut self, now: u64, subscriber: u64, request: SubscribeRequest) {
-        self.advance_clock(now);
+    pub fn subscribe(&mut self, now_ms: u64, subscriber: u64, request: SubscribeRequest) {
+        self.advance_clock(now_ms);
         self.deliver_events();
         let SubscribeRequest {
             balancer,
@@ -133,7 +133,7 @@
             } else {
                 Vec::new()
             },
-            registrations: self.registry.all(self.now),
+            registrations: self.registry.all(self.now_ms),
         }
     }
 
@@ -170,14 +170,14 @@
     pub(super) fn deliver_events(&mut self) {
         let journal = &self.feeds.journal;
         let offset = journal.end_offset();
-        if self.feeds.delivered == offset {
+        if self.feeds.delivered_offset == offset {
             return;
         }
-        let packet = match journal.events_since(journal.epoch(), self.feeds.delivered) {
+        let packet = match journal.events_since(journal.epoch(), self.feeds.delivered_offset) {
             Some(events) => Packet::Events { offset, events },
             None => self.snapshot_for(0),
         };
-        self.feeds.delivered = offset;
+        self.feeds.delivered_offset = offset;
         self.deliver_to_all(packet);
     }
 
@@ -199,7 +199,7 @@
         // The journal lacks the commands covered by the snapshot, so no balancer may resume from an
         // earlier offset.
         self.feeds.journal.reset();
-        self.feeds.delivered = self.feeds.journal.end_offset();
+        self.feeds.delivered_offset = self.feeds.journal.end_offset();
         let snapshot = self.snapshot_for(0);
         self.deliver_to_all(snapshot);
     }
@@ -226,7 +226,10 @@
     /// Returns the active balancers, grouped by zone.
     fn active_balancers(&self) -> Vec<ZoneBalancers> {
         let mut zones: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
-        for heartbeat in self.balancers.alive(self.now, ACTIVE_BALANCER_TIMEOUT_MS) {
+        for heartbeat in self
+            .balancers
+            .alive(self.now_ms, ACTIVE_BALANCER_TIMEOUT_MS)
+        {
             zones
                 .entry(&heartbeat.zone)
                 .or_default()
--- a/crates/control/src/machine/leadership.rs
+++ b/crates/control/src/machine/leadership.rs
@@ -24,13 +24,13 @@
                 .leader()
                 .and_then(|_| self.leader_clock.last_sent(self.replica.term()))
         };
-        last_heard_ms.is_some_and(|at| self.now <= at + TIMING.election_timeout_max)
+        last_heard_ms.is_some_and(|at| self.now_ms <= at + TIMING.election_timeout_max)
     }
 
     /// Records and logs changes of the quorum and of this machine's leadership.
     pub(super) fn track_leadership(&mut self) {
         match (self.in_quorum(), self.leadership.quorum_since_ms) {
-            (true, None) => self.leadership.quorum_since_ms = Some(self.now),
+            (true, None) => self.leadership.quorum_since_ms = Some(self.now_ms),
             (false, Some(_)) => {
                 self.leadership.quorum_since_ms = None;
                 let term = self.replica.term();
--- a/crates/control/src/machine/load_notices.rs
+++ b/crates/control/src/machine/load_notices.rs
@@ -33,11 +33,11 @@
 impl LoadNotices {
     /// Returns whether the balancers of a zone must be notified, because the loads have changed or
     /// the loads sent last are about to expire.
-    fn must_send(&self, now: u64, zone: &str, loads: &FleetLoads) -> bool {
+    fn must_send(&self, now_ms: u64, zone: &str, loads: &FleetLoads) -> bool {
         match self.zones.get(zone) {
             None => !loads.is_empty(),
             Some(last) if last.loads != *loads => true,
-            Some(last) => !last.loads.is_empty() && now >= last.sent_at_ms + REFRESH_INTERVAL_MS,
+            Some(last) => !last.loads.is_empty() && now_ms >= last.sent_at_ms + REFRESH_INTERVAL_MS,
         }
     }
 }
@@ -46,19 +46,19 @@
     /// Notifies subscribers of the loads reported in their zone and region, if those have changed
     /// or are about to expire.
     pub(super) fn deliver_loads(&mut self) {
-        if self.now < self.load_notices.due_ms {
+        if self.now_ms < self.load_notices.due_ms {
             return;
         }
         let subscribers = self.feeds.subscribers.len() as u64;
         let interval_ms = NOTIFY_INTERVAL_MS * subscribers.max(SUBSCRIBERS_PER_INTERVAL)
             / SUBSCRIBERS_PER_INTERVAL;
-        self.load_notices.due_ms = self.now + interval_ms;
-        self.load_reports.remove_expired(self.now);
+        self.load_notices.due_ms = self.now_ms + interval_ms;
+        self.load_reports.remove_expired(self.now_ms);
         for (zone, subscribers) in self.subscribers_by_zone() {
             let loads = self.loads_for(&zone);
-            if self.load_notices.must_send(self.now, &zone, &loads) {
+            if self.load_notices.must_send(self.now_ms, &zone, &loads) {
                 let notice = LoadNotice {
-                    sent_at_ms: self.now,
+                    sent_at_ms: self.now_ms,
                     loads: loads.clone(),
                 };
                 self.load_notices.zones.insert(zone, notice);
--- a/crates/control/src/machine/mod.rs
+++ b/crates/control/src/machine/mod.rs
@@ -52,7 +52,7 @@
 pub struct ControlMachine {
     settings: MachineSettings,
     /// The latest time passed to any method, in milliseconds.
-    now: u64,
+    now_ms: u64,
     actions: Vec<Action>,
     timers: Timers,
     replica: Replica,
@@ -96,9 +96,9 @@
 }
 
 impl ControlMachine {
-    /// Creates a machine from the durable state on its disk. `now` is in milliseconds; `seed`
-    /// initializes the random number generator of the replica.
-    pub fn new(settings: MachineSettings, durable: DurableState, now: u64, seed: u64) -> Self {
+    /// Creates a machine from the durable state on its disk. `seed` initializes the random number
+    /// generator of the replica.
+    pub fn new(settings: MachineSettings, durable: DurableState, now_ms: u64, seed: u64) -> Self {
         let min_voters = 2 * settings.tolerated_failures + 1;
         let replica = Replica::new(
             durable,
@@ -106,13 +106,13 @@
                 timing: TIMING,
                 min_voters,
             },
-            now,
+            now_ms,
             seed,
         );
         let mut machine = Self {
-            now,
+            now_ms,
             actions: Vec::new(),
-            timers: Timers::new(now),
+            timers: Timers::new(now_ms),
             replica,
             state: ControlState::default(),
             applied_index: 0,
@@ -167,7 +167,7 @@
 
     /// Returns all registrations, with their ages and remaining times as of now.
     pub fn registrations(&self) -> Vec<Registration> {
-        self.registry.all(self.now)
+        self.registry.all(self.now_ms)
     }
 
     /// Returns the registry of upstreams.
@@ -177,35 +177,35 @@
 
     /// Advances the clock, carries out periodic work that is due, and times out calls and
     /// upstreams.
-    pub fn tick(&mut self, now: u64) {
-        self.advance_clock(now);
-        self.replica.tick(self.now);
+    pub fn tick(&mut self, now_ms: u64) {
+        self.advance_clock(now_ms);
+        self.replica.tick(self.now_ms);
         self.process_replica_outputs();
         self.track_leadership();
         self.deliver_events();
         self.deliver_snapshots();
         self.deliver_loads();
-        if self.timers.hello.fire(self.now) {
+        if self.timers.hello.fire(self.now_ms) {
             self.send_hello_to_all();
-            self.registry.remove_expired(self.now);
-            self.balancers.remove_expired(self.now);
+            self.registry.remove_expired(self.now_ms);
+            self.balancers.remove_expired(self.now_ms);
         }
-        if self.timers.join.fire(self.now) {
+        if self.timers.join.fire(self.now_ms) {
             self.request_to_join();
         }
-        if self.timers.gossip.fire(self.now) {
+        if self.timers.gossip.fire(self.now_ms) {
             self.send_gossip();
             self.time_out_upstreams();
         }
-        if self.timers.status.fire(self.now) {
+        if self.timers.status.fire(self.now_ms) {
             self.deliver_status();
         }
         self.time_out_calls();
     }
 
     /// Advances the clock to the time of an event. An earlier time leaves the clock unchanged.
-    fn advance_clock(&mut self, now: u64) {
-        self.now = self.now.max(now);
+    fn advance_clock(&mut self, now_ms: u64) {
+        self.now_ms = self.now_ms.max(now_ms);
     }
 
     fn log(&mut self, event: LogEvent) {
--- a/crates/control/src/machine/packets.rs
+++ b/crates/control/src/machine/packets.rs
@@ -6,19 +6,22 @@
 
 impl ControlMachine {
     /// Handles a packet from the process with the internal address `from`.
-    pub fn receive_packet(&mut self, now: u64, from: &str, packet: Packet) {
-        self.advance_clock(now);
+    pub fn receive_packet(&mut self, now_ms: u64, from: &str, packet: Packet) {
+        self.advance_clock(now_ms);
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.last_heard_ms = self.now;
+            peer.last_heard_ms = self.now_ms;
         }
         match packet {
             Packet::Hello { machine, known } => self.on_hello(machine, known),
-            Packet::Consensus { message, clock } => self.on_consensus(message, clock),
+            Packet::Consensus {
+                message,
+                sender_clock_ms,
+            } => self.on_consensus(message, sender_clock_ms),
             Packet::JoinRequest(member) => {
                 self.replica.add_learner(member);
                 self.process_replica_outputs();
             }
-            Packet::ReplicaStopping(replica) => self.replica.set_retiring(self.now, replica),
+            Packet::ReplicaStopping(replica) => self.replica.set_retiring(self.now_ms, replica),
             Packet::Registrations {
                 call,
                 registrations,
@@ -28,7 +31,7 @@
             Packet::RegistrationsAck { call } => self.on_registrations_ack(from, call),
             Packet::Renewals(renewals) => self.on_renewals(&renewals),
             Packet::BalancerHeartbeats(heartbeats) => self.on_gossiped_heartbeats(heartbeats),
-            Packet::BalancerRenewals(renewals) => self.balancers.renew(self.now, &renewals),
+            Packet::BalancerRenewals(renewals) => self.balancers.renew(self.now_ms, &renewals),
             Packet::ForwardedCommand {
                 call,
                 expires,
@@ -41,8 +44,8 @@
             }
             Packet::ReadIndexRequest { call } => self.on_read_index_request(from, call),
             Packet::ReadIndexReply { call, index } => self.on_read_index_reply(call, index),
-            Packet::BalancerHeartbeat(heartbeat) => self.receive_heartbeat(now, heartbeat),
-            Packet::LoadReport(report) => self.load_reports.record(self.now, report),
+            Packet::BalancerHeartbeat(heartbeat) => self.receive_heartbeat(now_ms, heartbeat),
+            Packet::LoadReport(report) => self.load_reports.record(self.now_ms, report),
             // Control machines send these packets to balancers only, except `Subscribe`, which
             // arrives on a feed connection and is handled by `subscribe`.
             Packet::Subscribe(_)
@@ -71,13 +74,14 @@
 
     fn on_renewals(&mut self, renewals: &[Renewal]) {
         for renewal in renewals {
-            self.registry.renew(self.now, &renewal.id, renewal.sequence);
+            self.registry
+                .renew(self.now_ms, &renewal.id, renewal.sequence);
         }
     }
 
     fn on_gossiped_heartbeats(&mut self, heartbeats: Vec<BalancerHeartbeat>) {
         for heartbeat in heartbeats {
-            self.balancers.merge(self.now, heartbeat);
+            self.balancers.merge(self.now_ms, heartbeat);
         }
     }
 }
--- a/crates/control/src/machine/peers.rs
+++ b/crates/control/src/machine/peers.rs
@@ -29,11 +29,11 @@
     /// Handles a newly established connection to a machine. Packets in flight on an earlier
     /// connection may be lost, so all registrations are sent and calls to the machine are forwarded
     /// again.
-    pub fn link_up(&mut self, now: u64, address: &str) {
-        self.advance_clock(now);
+    pub fn link_up(&mut self, now_ms: u64, address: &str) {
+        self.advance_clock(now_ms);
         let hello = self.hello();
         self.send(address, hello);
-        let registrations = self.registry.all(self.now);
+        let registrations = self.registry.all(self.now_ms);
         if !registrations.is_empty() {
             let call = self.next_call();
             self.send(
@@ -49,10 +49,10 @@
 
     /// Prepares the process for its shutdown. The replica hands over its leadership, and its vote
     /// if there is a learner to take it.
-    pub fn begin_shutdown(&mut self, now: u64) {
-        self.advance_clock(now);
+    pub fn begin_shutdown(&mut self, now_ms: u64) {
+        self.advance_clock(now_ms);
         let id = self.replica.id();
-        self.replica.set_retiring(self.now, id);
+        self.replica.set_retiring(self.now_ms, id);
         self.broadcast(&Packet::ReplicaStopping(id));
         self.replica.transfer_leadership();
         self.process_replica_outputs();
@@ -68,7 +68,7 @@
 
     /// Returns the control machines that are alive, beginning with this one.
     pub fn machines(&self) -> Vec<MachineInfo> {
-        let is_alive = |peer: &&Peer| self.now <= peer.last_heard_ms + PEER_TIMEOUT_MS;
+        let is_alive = |peer: &&Peer| self.now_ms <= peer.last_heard_ms + PEER_TIMEOUT_MS;
         let others = self
             .peers
             .values()
@@ -110,9 +110,9 @@
 
     fn remove_expired_peers(&mut self) {
         let members = self.replica.membership();
-        let now = self.now;
+        let now_ms = self.now_ms;
         self.peers.retain(|_, peer| {
-            now <= peer.last_heard_ms + PEER_RETENTION_MS
+            now_ms <= peer.last_heard_ms + PEER_RETENTION_MS
                 || members.is_voter(peer.machine.member.id)
         });
     }
@@ -149,7 +149,7 @@
                 address,
                 Peer {
                     machine,
-                    last_heard_ms: self.now,
+                    last_heard_ms: self.now_ms,
                 },
             );
         }
--- a/crates/control/src/machine/read_index.rs
+++ b/crates/control/src/machine/read_index.rs
@@ -21,8 +21,8 @@
 impl ControlMachine {
     /// Starts an operator's read of the configuration. The response is returned as
     /// [`Action::Respond`](super::Action::Respond) with the given token.
-    pub fn read_configuration(&mut self, now: u64, token: u64) {
-        self.advance_clock(now);
+    pub fn read_configuration(&mut self, now_ms: u64, token: u64) {
+        self.advance_clock(now_ms);
         let number = self.insert_read(CallOrigin::Local(token));
         self.request_read_index(number);
         self.process_replica_outputs();
@@ -30,7 +30,7 @@
 
     fn insert_read(&mut self, origin: CallOrigin) -> u64 {
         let number = self.next_number();
-        let deadline_ms = self.now + CALL_TIMEOUT_MS;
+        let deadline_ms = self.now_ms + CALL_TIMEOUT_MS;
         let read = PendingRead {
             origin,
             read_index: None,
@@ -157,8 +157,8 @@
     /// Responds to reads whose deadline has passed.
     pub(super) fn time_out_reads(&mut self) {
         self.complete_reads();
-        let now = self.now;
-        let overdue = take_overdue(&mut self.calls.reads, |read| now >= read.deadline_ms);
+        let now_ms = self.now_ms;
+        let overdue = take_overdue(&mut self.calls.reads, |read| now_ms >= read.deadline_ms);
         let tokens: Vec<u64> = overdue
             .iter()
             .filter_map(|read| read.origin.token())
--- a/crates/control/src/machine/registrations.rs
+++ b/crates/control/src/machine/registrations.rs
@@ -42,11 +42,11 @@
 impl ControlMachine {
     /// Handles an upstream's heartbeat. The response is returned as [`Action::Respond`] with the
     /// given token.
-    pub fn register(&mut self, now: u64, token: u64, registration: Registration) {
-        self.advance_clock(now);
+    pub fn register(&mut self, now_ms: u64, token: u64, registration: Registration) {
+        self.advance_clock(now_ms);
         let (id, sequence) = (registration.id.clone(), registration.sequence);
         let is_ready = registration.status == UpstreamStatus::Ready;
-        let merged = self.registry.merge(self.now, registration);
+        let merged = self.registry.merge(self.now_ms, registration);
         if !is_ready {
             // Replicate an unchanged drain or deregistration too: it may be a retry after the
             // acknowledgement of the first attempt was lost or never sent.
@@ -66,9 +66,9 @@
 
     /// Handles the deregistration of an upstream. The response is returned as [`Action::Respond`]
     /// with the given token.
-    pub fn deregister(&mut self, now: u64, token: u64, id: &str) {
-        self.advance_clock(now);
-        if self.registry.deregister(self.now, id) == MergeOutcome::Changed {
+    pub fn deregister(&mut self, now_ms: u64, token: u64, id: &str) {
+        self.advance_clock(now_ms);
+        if self.registry.deregister(self.now_ms, id) == MergeOutcome::Changed {
             self.request_persist();
         }
         self.replicate_and_respond(token, id);
@@ -77,7 +77,7 @@
     /// Logs a registration, publishes it to the balancers, and sends it to the other machines.
     /// Returns the identity of the replication call, or `None` if the upstream is unknown.
     fn announce(&mut self, id: &str) -> Option<CallId> {
-        let registration = self.registry.get(self.now, id)?;
+        let registration = self.registry.get(self.now_ms, id)?;
         self.log(LogEvent::RegistrationChanged(registration.clone()));
         self.publish(FeedEvent::Registered(registration.clone()));
         let call = self.next_call();
@@ -98,7 +98,7 @@
         let replication = PendingReplication {
             token,
             acknowledged_by: BTreeSet::new(),
-            deadline_ms: self.now + CALL_TIMEOUT_MS,
+            deadline_ms: self.now_ms + CALL_TIMEOUT_MS,
             persist_request: self.persist_progress.requested,
         };
         self.calls.replications.insert(call.number, replication);
@@ -139,10 +139,10 @@
     /// Responds to callers whose deadline has passed, and drops acknowledgements that other
     /// machines no longer wait for.
     pub(super) fn time_out_replications(&mut self) {
-        let now = self.now;
-        self.calls.acks.retain(|ack| now < ack.deadline_ms);
+        let now_ms = self.now_ms;
+        self.calls.acks.retain(|ack| now_ms < ack.deadline_ms);
         let overdue = take_overdue(&mut self.calls.replications, |replication| {
-            now >= replication.deadline_ms
+            now_ms >= replication.deadline_ms
         });
         let tokens: Vec<u64> = overdue
             .iter()
@@ -162,8 +162,8 @@
 
     /// Handles the completion of a write: the registrations on disk are at least as new as they
     /// were when the write with this number was requested.
-    pub fn registrations_persisted(&mut self, now: u64, number: u64) {
-        self.advance_clock(now);
+    pub fn registrations_persisted(&mut self, now_ms: u64, number: u64) {
+        self.advance_clock(now_ms);
         let completed = self.persist_progress.completed.max(number);
         self.persist_progress.completed = completed;
         let is_persisted = |ack: &mut PendingAck| ack.persist_request <= completed;
@@ -198,7 +198,7 @@
                 address: from.to_owned(),
                 call,
                 persist_request: requested,
-                deadline_ms: self.now + CALL_TIMEOUT_MS,
+                deadline_ms: self.now_ms + CALL_TIMEOUT_MS,
             });
         } else {
             self.send(from, Packet::RegistrationsAck { call });
@@ -210,8 +210,8 @@
         let mut must_persist = false;
         for registration in registrations {
             let id = registration.id.clone();
-            if self.registry.merge(self.now, registration) == MergeOutcome::Changed
-                && let Some(merged) = self.registry.get(self.now, &id)
+            if self.registry.merge(self.now_ms, registration) == MergeOutcome::Changed
+                && let Some(merged) = self.registry.get(self.now_ms, &id)
             {
                 must_persist |= merged.status.is_terminating();
                 self.publish(FeedEvent::Registered(merged));
@@ -226,7 +226,7 @@
     /// records are hints: heartbeats and registrations received later take precedence.
     pub fn restore_registrations(&mut self, registrations: Vec<Registration>) {
         for registration in registrations {
-            self.registry.merge(self.now, registration.clone());
+            self.registry.merge(self.now_ms, registration.clone());
             self.publish(FeedEvent::Registered(registration));
         }
     }
--- a/crates/control/src/machine/replication.rs
+++ b/crates/control/src/machine/replication.rs
@@ -22,20 +22,20 @@
 
 impl ControlMachine {
     /// Handles the completion of writes: all records up to `sequence` are on stable storage.
-    pub fn persisted(&mut self, now: u64, sequence: u64) {
-        self.advance_clock(now);
+    pub fn persisted(&mut self, now_ms: u64, sequence: u64) {
+        self.advance_clock(now_ms);
         self.replica.handle_persisted(sequence);
         self.process_replica_outputs();
     }
 
-    /// Handles a consensus message. `clock` is the sender's time in milliseconds at which the
-    /// message was sent.
-    pub(super) fn on_consensus(&mut self, message: Message, clock: u64) {
+    /// Handles a consensus message. `sender_clock_ms` is the time of sending by the sender's clock.
+    pub(super) fn on_consensus(&mut self, message: Message, sender_clock_ms: u64) {
         let (from, term) = (message.from, message.term);
         let is_from_leader = is_from_leader(&message);
-        self.replica.handle_message(self.now, message);
+        self.replica.handle_message(self.now_ms, message);
         if is_from_leader && self.replica.term() == term && self.replica.leader() == Some(from) {
-            self.leader_clock.observe(self.now, term, clock);
+            self.leader_clock
+                .observe(self.now_ms, term, sender_clock_ms);
         }
         self.process_replica_outputs();
     }
@@ -75,8 +75,14 @@
 
     fn send_consensus(&mut self, message: Message) {
         if let Some(address) = self.address_of(message.to) {
-            let clock = self.now;
-            self.send(&address, Packet::Consensus { message, clock });
+            let sender_clock_ms = self.now_ms;
+            self.send(
+                &address,
+                Packet::Consensus {
+                    message,
+                    sender_clock_ms,
+                },
+            );
         }
     }
 
--- a/crates/control/src/machine/timers.rs
+++ b/crates/control/src/machine/timers.rs
@@ -18,11 +18,11 @@
 
 impl Timer {
     /// Returns whether the timer is due. A due timer is restarted, with its next interval counted
-    /// from `now`.
-    pub fn fire(&mut self, now: u64) -> bool {
-        let is_due = now >= self.due_ms;
+    /// from `now_ms`.
+    pub fn fire(&mut self, now_ms: u64) -> bool {
+        let is_due = now_ms >= self.due_ms;
         if is_due {
-            self.due_ms = now + self.interval_ms;
+            self.due_ms = now_ms + self.interval_ms;
         }
         is_due
     }
@@ -39,22 +39,22 @@
 impl Timers {
     /// Creates timers that are due immediately, except for the join timer: a new machine first
     /// waits to hear from other machines.
-    pub fn new(now: u64) -> Self {
+    pub fn new(now_ms: u64) -> Self {
         Self {
             hello: Timer {
-                due_ms: now,
+                due_ms: now_ms,
                 interval_ms: HELLO_INTERVAL_MS,
             },
             join: Timer {
-                due_ms: now + JOIN_INTERVAL_MS,
+                due_ms: now_ms + JOIN_INTERVAL_MS,
                 interval_ms: JOIN_INTERVAL_MS,
             },
             gossip: Timer {
-                due_ms: now,
+                due_ms: now_ms,
                 interval_ms: GOSSIP_INTERVAL_MS,
             },
             status: Timer {
-                due_ms: now,
+                due_ms: now_ms,
                 interval_ms: STATUS_INTERVAL_MS,
             },
         }
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -137,14 +137,14 @@
 const SLOW_START_TOLERANCE_MS: u64 = 400;
 
 impl Registry {
-    /// Merges a registration that arrived at the time `now`.
-    pub fn merge(&mut self, now: u64, registration: Registration) -> MergeOutcome {
+    /// Merges a registration that arrived at the time `now_ms`.
+    pub fn merge(&mut self, now_ms: u64, registration: Registration) -> MergeOutcome {
         match self.records.get_mut(&registration.id) {
-            Some(record) => record.merge(now, registration),
+            Some(record) => record.merge(now_ms, registration),
             None => {
                 let id = registration.id.clone();
                 self.records
-                    .insert(id, RegistrationRecord::new(now, registration));
+                    .insert(id, RegistrationRecord::new(now_ms, registration));
                 MergeOutcome::Changed
             }
         }
@@ -152,27 +152,27 @@
 
     /// Deregisters an upstream. An unknown upstream is recorded as deregistered too, because other
     /// machines may know it or receive its registration later.
-    pub fn deregister(&mut self, now: u64, id: &str) -> MergeOutcome {
-        self.merge(now, Registration::deregistered(id))
+    pub fn deregister(&mut self, now_ms: u64, id: &str) -> MergeOutcome {
+        self.merge(now_ms, Registration::deregistered(id))
     }
 
     /// Marks ready upstreams as timed out if `owns` holds for their service and their last
     /// heartbeat is older than `timeout_ms`. Returns the registrations of the marked upstreams.
     pub fn time_out(
         &mut self,
-        now: u64,
+        now_ms: u64,
         timeout_ms: u64,
         owns: impl Fn(&str) -> bool,
     ) -> Vec<Registration> {
         let is_overdue = |record: &&mut RegistrationRecord| {
             let registration = &record.registration;
             let is_ready = registration.status == UpstreamStatus::Ready;
-            let has_missed_heartbeats = now > record.last_heartbeat_ms + timeout_ms;
+            let has_missed_heartbeats = now_ms > record.last_heartbeat_ms + timeout_ms;
             has_missed_heartbeats && is_ready && owns(&registration.service)
         };
         let time_out = |record: &mut RegistrationRecord| {
             record.registration.status = UpstreamStatus::TimedOut;
-            record.changed_at_ms = now;
+            record.changed_at_ms = now_ms;
             record.registration.clone()
         };
         self.records
@@ -183,42 +183,42 @@
     }
 
     /// Removes draining, timed-out and deregistered upstreams after the retention time.
-    pub fn remove_expired(&mut self, now: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.records
             .retain(|_, record| match record.registration.status {
                 UpstreamStatus::Ready => true,
                 UpstreamStatus::Draining => {
-                    now <= record.last_heartbeat_ms + TOMBSTONE_RETENTION_MS
+                    now_ms <= record.last_heartbeat_ms + TOMBSTONE_RETENTION_MS
                 }
                 UpstreamStatus::TimedOut | UpstreamStatus::Deregistered => {
-                    now <= record.changed_at_ms + TOMBSTONE_RETENTION_MS
+                    now_ms <= record.changed_at_ms + TOMBSTONE_RETENTION_MS
                 }
             });
     }
 
     /// Applies a renewal: another machine has received an unchanged heartbeat with this sequence
     /// number. Only a ready upstream is renewed.
-    pub fn renew(&mut self, now: u64, id: &str, sequence: u64) {
+    pub fn renew(&mut self, now_ms: u64, id: &str, sequence: u64) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
         let registration = &mut record.registration;
         if sequence > registration.sequence && registration.status == UpstreamStatus::Ready {
             registration.sequence = sequence;
-            record.last_heartbeat_ms = now;
+            record.last_heartbeat_ms = now_ms;
         }
     }
 
-    /// Returns a registration, with its age and remaining warm-up as of `now`.
-    pub fn get(&self, now: u64, id: &str) -> Option<Registration> {
-        self.records.get(id).map(|record| record.as_of(now))
+    /// Returns a registration, with its age and remaining warm-up as of `now_ms`.
+    pub fn get(&self, now_ms: u64, id: &str) -> Option<Registration> {
+        self.records.get(id).map(|record| record.as_of(now_ms))
     }
 
-    /// Returns all registrations, with their ages and remaining warm-ups as of `now`.
-    pub fn all(&self, now: u64) -> Vec<Registration> {
+    /// Returns all registrations, with their ages and remaining warm-ups as of `now_ms`.
+    pub fn all(&self, now_ms: u64) -> Vec<Registration> {
         self.records
             .values()
-            .map(|record| record.as_of(now))
+            .map(|record| record.as_of(now_ms))
             .collect()
     }
 
@@ -235,49 +235,49 @@
 
 impl RegistrationRecord {
     /// Creates the record of a previously unknown upstream.
-    fn new(now: u64, mut registration: Registration) -> Self {
+    fn new(now_ms: u64, mut registration: Registration) -> Self {
         let is_ready = registration.status == UpstreamStatus::Ready;
         if is_ready && registration.age_ms > UNKNOWN_MAX_AGE_MS {
             registration.status = UpstreamStatus::TimedOut;
         }
         Self {
-            last_heartbeat_ms: now.saturating_sub(registration.age_ms),
-            changed_at_ms: now,
-            slow_start_until_ms: now + registration.slow_start_remaining_ms,
+            last_heartbeat_ms: now_ms.saturating_sub(registration.age_ms),
+            changed_at_ms: now_ms,
+            slow_start_until_ms: now_ms + registration.slow_start_remaining_ms,
             registration,
         }
     }
 
-    fn merge(&mut self, now: u64, registration: Registration) -> MergeOutcome {
+    fn merge(&mut self, now_ms: u64, registration: Registration) -> MergeOutcome {
         if !registration.supersedes(&self.registration) {
             return MergeOutcome::Stale;
         }
         if registration.status == UpstreamStatus::Deregistered {
             self.registration.status = UpstreamStatus::Deregistered;
-            self.changed_at_ms = now;
+            self.changed_at_ms = now_ms;
             return MergeOutcome::Changed;
         }
         if registration.sequence > self.registration.sequence {
-            let heartbeat_at = now.saturating_sub(registration.age_ms);
+            let heartbeat_at = now_ms.saturating_sub(registration.age_ms);
             self.last_heartbeat_ms = self.last_heartbeat_ms.max(heartbeat_at);
         }
-        let has_changed = registration.differs_from(&self.expected(now));
+        let has_changed = registration.differs_from(&self.expected(now_ms));
         if has_changed || registration.slow_start_remaining_ms == 0 {
-            self.slow_start_until_ms = now + registration.slow_start_remaining_ms;
+            self.slow_start_until_ms = now_ms + registration.slow_start_remaining_ms;
         }
         self.registration = registration;
         if has_changed {
-            self.changed_at_ms = now;
+            self.changed_at_ms = now_ms;
             MergeOutcome::Changed
         } else {
             MergeOutcome::Renewed
         }
     }
 
-    /// Returns the registration that an unchanged heartbeat would carry at the time `now`, with the
-    /// tolerance added to the remaining warm-up.
-    fn expected(&self, now: u64) -> Registration {
-        let remaining_ms = self.slow_start_until_ms.saturating_sub(now);
+    /// Returns the registration that an unchanged heartbeat would carry now, with the tolerance
+    /// added to the remaining warm-up.
+    fn expected(&self, now_ms: u64) -> Registration {
+        let remaining_ms = self.slow_start_until_ms.saturating_sub(now_ms);
         let slow_start_remaining_ms = remaining_ms + SLOW_START_TOLERANCE_MS;
         Registration {
             slow_start_remaining_ms,
@@ -285,9 +285,9 @@
         }
     }
 
-    fn as_of(&self, now: u64) -> Registration {
-        let slow_start_remaining_ms = self.slow_start_until_ms.saturating_sub(now);
-        let age_ms = now.saturating_sub(self.last_heartbeat_ms);
+    fn as_of(&self, now_ms: u64) -> Registration {
+        let slow_start_remaining_ms = self.slow_start_until_ms.saturating_sub(now_ms);
+        let age_ms = now_ms.saturating_sub(self.last_heartbeat_ms);
         Registration {
             slow_start_remaining_ms,
             age_ms,
--- a/crates/control/src/state/accepted.rs
+++ b/crates/control/src/state/accepted.rs
@@ -4,7 +4,7 @@
 
 /// The number of remembered commands. At 2,000 changes a day it covers more than a week; each
 /// command takes 16 bytes.
-const CAPACITY: usize = 20_000;
+const MAX_COMMANDS: usize = 20_000;
 
 /// The digests of the most recently accepted commands.
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,7 @@
         if self.digests.insert(digest) {
             self.in_order.push_back(digest);
         }
-        while self.in_order.len() > CAPACITY {
+        while self.in_order.len() > MAX_COMMANDS {
             if let Some(oldest) = self.in_order.pop_front() {
                 self.digests.remove(&oldest);
             }
--- a/crates/control/src/state/patch.rs
+++ b/crates/control/src/state/patch.rs
@@ -5,7 +5,7 @@
 use serde_json::{Map, Value};
 
 /// The fields of a configuration that are lists of named items.
-const LISTS: [&str; 2] = ["routes", "services"];
+const NAMED_LISTS: [&str; 2] = ["routes", "services"];
 
 /// An operation on the named items of a list.
 #[derive(Clone, Copy)]
@@ -91,7 +91,8 @@
 ) {
     for (list, elements) in lists {
         let path = format!("{}.{list}", operation.field());
-        let (true, Some(elements)) = (LISTS.contains(&list.as_str()), elements.as_array()) else {
+        let (true, Some(elements)) = (NAMED_LISTS.contains(&list.as_str()), elements.as_array())
+        else {
             findings.add(path, "must be a list of routes or services");
             continue;
         };
--- a/crates/control/src/wire/packet.rs
+++ b/crates/control/src/wire/packet.rs
@@ -50,7 +50,7 @@
         /// The consensus message.
         message: Message,
         /// The sender's time at sending, in milliseconds of the sender's clock.
-        clock: u64,
+        sender_clock_ms: u64,
     },
     /// A replica asks to become a member of the replica group.
     JoinRequest(Member),
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -271,7 +271,10 @@
     };
     assert_golden_frame(
         &format!("consensus_{name}"),
-        &Packet::Consensus { message, clock: 77 },
+        &Packet::Consensus {
+            message,
+            sender_clock_ms: 77,
+        },
     );
 }
 
--- a/crates/control/tests/registry.rs
+++ b/crates/control/tests/registry.rs
@@ -73,11 +73,14 @@
         ..registration(3, UpstreamStatus::Ready)
     };
     assert_eq!(registry.merge(2_000, restarted), MergeOutcome::Changed);
-    let warming = Registration {
+    let still_warming_up = Registration {
         slow_start_remaining_ms: 2_000,
         ..registration(4, UpstreamStatus::Ready)
     };
-    assert_eq!(registry.merge(3_000, warming), MergeOutcome::Renewed);
+    assert_eq!(
+        registry.merge(3_000, still_warming_up),
+        MergeOutcome::Renewed
+    );
     assert_eq!(
         registry.get(4_000, "i-1").unwrap().slow_start_remaining_ms,
         1_000
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -150,7 +150,7 @@
 }
 
 /// Returns a consensus message to machine 1 with the given clock of its sender.
-pub fn consensus_at(clock: u64, from: u64, term: u64, body: MessageBody) -> Packet {
+pub fn consensus_at(sender_clock_ms: u64, from: u64, term: u64, body: MessageBody) -> Packet {
     Packet::Consensus {
         message: Message {
             from,
@@ -158,7 +158,7 @@
             term,
             body,
         },
-        clock,
+        sender_clock_ms,
     }
 }
 
@@ -192,8 +192,8 @@
 
 /// Delivers an empty append request from machine 2 as the leader, with the given clock of machine
 /// 2.
-pub fn receive_from_leader(machine: &mut ControlMachine, now: u64, clock: u64) {
-    let packet = consensus_at(clock, 2, TERM, empty_append());
+pub fn receive_from_leader(machine: &mut ControlMachine, now: u64, sender_clock_ms: u64) {
+    let packet = consensus_at(sender_clock_ms, 2, TERM, empty_append());
     machine.receive_packet(now, &address(2), packet);
     persist_all(machine, now);
 }
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -57,7 +57,7 @@
             term: 3,
             body,
         },
-        clock: 77,
+        sender_clock_ms: 77,
     }
 }
 
