--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -133,13 +133,13 @@
             .retain(|_, received| received.is_valid(now_ms));
     }
 
-    /// Combines the recorded reports for the balancers of `zone`. Reports count only if
-    /// `is_of_region` holds for their zone, that is, if the zone is in the same region.
-    pub fn for_zone(&self, zone: &str, is_of_region: impl Fn(&str) -> bool) -> FleetLoads {
+    /// Combines the recorded reports for the balancers of `zone`. `is_in_region` tells for each
+    /// reporting zone whether it belongs to the same region; reports from other zones are ignored.
+    pub fn for_zone(&self, zone: &str, is_in_region: impl Fn(&str) -> bool) -> FleetLoads {
         let mut placements: BTreeSet<PrefixPlacement> = BTreeSet::new();
         let mut loads: BTreeMap<u32, FleetLoad> = BTreeMap::new();
         let reports = self.by_balancer.values().map(|received| &received.report);
-        for report in reports.filter(|report| is_of_region(&report.zone)) {
+        for report in reports.filter(|report| is_in_region(&report.zone)) {
             placements.extend(&report.placements);
             for load in &report.upstreams {
                 let counts_as_failing = load.is_failing && report.zone == zone;
--- a/crates/control/src/machine/failure_detection.rs
+++ b/crates/control/src/machine/failure_detection.rs
@@ -8,8 +8,8 @@
 
 /// The number of consecutive heartbeats that an upstream must miss to be timed out.
 const MISSED_HEARTBEATS: u64 = 3;
-/// Added to the time-out, in milliseconds, for heartbeats that fail at one machine and are sent
-/// again to the next one.
+/// The allowance in milliseconds that the time-out includes for heartbeats that fail at one machine
+/// and are sent again to the next one.
 const FAILOVER_ALLOWANCE_MS: u64 = 1_500;
 
 impl ControlMachine {
--- a/crates/control/src/wire/frame.rs
+++ b/crates/control/src/wire/frame.rs
@@ -6,7 +6,7 @@
 
 /// The protocol version. Frames of any other version are rejected.
 pub const VERSION: u16 = 3;
-/// The size of a frame's header in bytes.
+/// The size in bytes of a frame's header: version, compression, length and checksum.
 pub const HEADER_BYTES: usize = 12;
 /// The maximum size of a payload in bytes, before and after decompression. It fits a snapshot of
 /// the configuration and its history.
