--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -20,8 +20,8 @@
     Registered(Registration),
 }
 
-/// The total size in bytes of the events that are retained for balancers that reconnect. A balancer
-/// that is further behind receives a snapshot.
+/// The maximum total size in bytes of the events that are retained for balancers that reconnect. A
+/// balancer that is further behind receives a snapshot.
 const RETAINED_BYTES: usize = 2 << 20;
 /// The size in bytes assumed for an event without the body of its command.
 const EVENT_OVERHEAD_BYTES: usize = 200;
--- a/crates/control/src/machine/load_notices.rs
+++ b/crates/control/src/machine/load_notices.rs
@@ -16,7 +16,7 @@
 /// the balancers.
 const REFRESH_INTERVAL_MS: u64 = 300;
 
-/// The last notification sent to each zone, and the time of the next ones.
+/// The last notification sent to each zone, and the earliest time of the next notifications.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LoadNotices {
     due_ms: u64,
--- a/crates/control/src/wire/packet.rs
+++ b/crates/control/src/wire/packet.rs
@@ -37,8 +37,8 @@
 /// A message from one process to another.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum Packet {
-    /// Introduces the sender to another control machine. Sent when a connection is established and
-    /// repeated periodically.
+    /// Introduces the sender to another control machine. The packet is sent when a connection is
+    /// established, and then periodically.
     Hello {
         /// The sending machine.
         machine: MachineInfo,
@@ -133,7 +133,8 @@
         /// The control machines that are alive.
         machines: Vec<MachineInfo>,
     },
-    /// The active balancers, which share retry budgets and quotas. Sent when the set changes.
+    /// The active balancers, which share retry budgets and quotas. The packet is sent whenever the
+    /// set changes.
     ActiveBalancers(Vec<ZoneBalancers>),
     /// A heartbeat of a balancer to one of its monitors.
     BalancerHeartbeat(BalancerHeartbeat),
