--- a/crates/cluster-test/src/membership/observations.rs
+++ b/crates/cluster-test/src/membership/observations.rs
@@ -42,7 +42,7 @@
     /// Records which zones a member has evacuated, and how far.
     pub fn record_evacuation(&self, number: usize, status: &Status) {
         let (now, balancer) = (self.now(), number as u32);
-        for place in status.places.iter() {
+        for place in status.domains.iter() {
             let Some(zone) = place.name.strip_prefix("zone ") else {
                 continue;
             };
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -93,7 +93,7 @@
             server: seen.server,
             class: seen.class,
             outcome: seen.outcome,
-            took: seen.took,
+            duration_ns: seen.took,
         };
         let zone_of = |server| self.all[at].zone_of(server);
         let attempt = self.falsify(at, zone_of, attempt);
@@ -109,7 +109,7 @@
         },
         server: out.server,
         class: out.class,
-        age: out.age,
+        age_ns: out.age,
     }
 }
 
--- a/crates/evacuation/src/coordinator/contradictions.rs
+++ b/crates/evacuation/src/coordinator/contradictions.rs
@@ -74,15 +74,15 @@
                 .is_some_and(|assessment| assessment.health >= CONTRADICTING_HEALTH)
                 || own_log_odds <= CONTRADICTING_LOG_ODDS;
             for report in self.reports.reports_on(&zone.subject) {
-                let is_current = now >= report.at.saturating_add(MIN_REPORT_AGE_NS)
-                    && now < report.at.saturating_add(MAX_REPORT_AGE_NS);
+                let is_current = now >= report.reported_at.saturating_add(MIN_REPORT_AGE_NS)
+                    && now < report.reported_at.saturating_add(MAX_REPORT_AGE_NS);
                 let is_against =
                     Symptom::Failing.log_odds(report.counts, 0.0) >= MIN_REPORTED_LOG_ODDS;
                 if is_current
                     && is_against
                     && is_healthy
                     && own_zone == report.zone
-                    && self.contradictions.record(report.owner, report.at)
+                    && self.contradictions.record(report.owner, report.reported_at)
                 {
                     let text = format!(
                         "{} says again and again that zone {} fails, which nobody else finds",
--- a/crates/evacuation/src/coordinator/report_selection.rs
+++ b/crates/evacuation/src/coordinator/report_selection.rs
@@ -96,7 +96,7 @@
         let is_relevant = |stats: &SubjectStats, candidate: &ReportCandidate| {
             let is_healthy = candidate.log_odds < -self.min_change(&stats.subject);
             candidate.is_against()
-                || stats.is_fresh && is_healthy && self.is_disputed(now, &stats.subject)
+                || stats.is_answered_recently && is_healthy && self.is_disputed(now, &stats.subject)
         };
         stats
             .map(|stats| (stats, ReportCandidate::new(&stats)))
--- a/crates/evacuation/src/coordinator/status_view.rs
+++ b/crates/evacuation/src/coordinator/status_view.rs
@@ -106,7 +106,7 @@
         let others = regions.iter().chain(not_in_use.map(|(subject, _)| subject));
         let other_statuses = others.map(|subject| self.domain_status(now, now_ms, subject));
         Status {
-            places: zone_statuses.chain(other_statuses).collect(),
+            domains: zone_statuses.chain(other_statuses).collect(),
             contradicting_members: self.contradictions.persistent(),
             malformed_reports: self.malformed_reports,
         }
@@ -127,8 +127,8 @@
         let order = self.order_for(subject);
         let remaining_s =
             |order: &Order| order.until_ms.saturating_sub(now_ms) as f64 / MS_PER_SECOND;
-        let phase_for_ns = if state.since > 0 {
-            now.saturating_sub(state.since)
+        let phase_duration_ns = if state.phase_since > 0 {
+            now.saturating_sub(state.phase_since)
         } else {
             0
         };
@@ -136,7 +136,7 @@
             name: self.name_of(subject),
             phase: state.phase.as_str().to_owned(),
             epoch: state.epoch,
-            phase_for_s: phase_for_ns as f64 / NS_PER_SECOND,
+            phase_duration_s: phase_duration_ns as f64 / NS_PER_SECOND,
             share: self.share(subject),
             reason: self.reason(subject),
             reporters_against: reporters.against,
--- a/crates/evacuation/src/domain_state.rs
+++ b/crates/evacuation/src/domain_state.rs
@@ -85,7 +85,7 @@
     /// Raised with each change between in use, draining and restoring.
     pub epoch: u32,
     /// Since when it is in its phase, in nanoseconds.
-    pub since: Time,
+    pub phase_since: Time,
     /// The share of its usual new work that it gets, from 0 to 1, apart from trials.
     pub share: f64,
     /// How often it failed again while it was being restored, of late.
@@ -103,7 +103,7 @@
         Self {
             phase: Phase::default(),
             epoch: 0,
-            since: 0,
+            phase_since: 0,
             share: 1.0,
             relapses: 0,
             cause: Cause::default(),
@@ -170,7 +170,9 @@
         if phase != self.phase {
             self.enter(now, phase, self.epoch, Cause::Evidence(assessment.symptom));
         }
-        if self.phase == Phase::InUse && now >= self.since.saturating_add(RELAPSES_FORGOTTEN_NS) {
+        if self.phase == Phase::InUse
+            && now >= self.phase_since.saturating_add(RELAPSES_FORGOTTEN_NS)
+        {
             self.relapses = 0;
         }
     }
@@ -192,7 +194,7 @@
             );
         } else if assessment.is_unhealthy {
             self.drain(now, assessment, alternatives);
-        } else if now >= self.since.saturating_add(MIN_EVACUATED_NS) {
+        } else if now >= self.phase_since.saturating_add(MIN_EVACUATED_NS) {
             // What remains of its share works, or nothing more is reported of it.
             let phase = if self.share >= 1.0 {
                 Phase::InUse
@@ -285,7 +287,7 @@
     /// Whether it has stayed evacuated for as long as its relapses demand.
     fn is_min_evacuation_over(&self, now: Time) -> bool {
         let min_evacuated = (MIN_EVACUATED_NS << self.relapses.min(8)).min(MAX_EVACUATED_NS);
-        now >= self.since.saturating_add(min_evacuated)
+        now >= self.phase_since.saturating_add(min_evacuated)
     }
 
     /// Begins to restore the domain by an operator's order that is new here, if it has not its full
@@ -325,7 +327,7 @@
     fn enter(&mut self, now: Time, phase: Phase, epoch: u32, cause: Cause) {
         self.phase = phase;
         self.epoch = epoch;
-        self.since = now;
+        self.phase_since = now;
         self.cause = cause;
     }
 }
--- a/crates/evacuation/src/engine/mod.rs
+++ b/crates/evacuation/src/engine/mod.rs
@@ -159,8 +159,9 @@
             .iter()
             .filter(|(_, state)| state.epoch > 0)
             .collect();
-        changed
-            .sort_by_key(|(subject, state)| (state.share >= 1.0, Reverse(state.since), **subject));
+        changed.sort_by_key(|(subject, state)| {
+            (state.share >= 1.0, Reverse(state.phase_since), **subject)
+        });
         changed
             .into_iter()
             .map(|(subject, state)| DomainDecision::new(*subject, state))
@@ -227,7 +228,7 @@
     /// Removes the states of servers that are as if there had never been any evidence.
     fn remove_old_states(&mut self, now: Time, input: &EngineInput<'_>) {
         self.states.retain(|subject, state| {
-            let is_old = now >= state.since.saturating_add(SERVER_STATE_TIMEOUT_NS);
+            let is_old = now >= state.phase_since.saturating_add(SERVER_STATE_TIMEOUT_NS);
             subject.kind != SubjectKind::Server
                 || state.share < 1.0
                 || !is_old
--- a/crates/evacuation/src/status.rs
+++ b/crates/evacuation/src/status.rs
@@ -15,7 +15,7 @@
     pub epoch: u32,
     /// How long it has been in its phase, in seconds.
     #[serde(rename = "for_s")]
-    pub phase_for_s: f64,
+    pub phase_duration_s: f64,
     /// The share of its usual new work that it gets, from 0 to 1, apart from trials.
     pub share: f64,
     /// What the decision rests on.
@@ -46,7 +46,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// Zones, regions, and everything else that is not in use.
-    pub places: Vec<DomainStatus>,
+    #[serde(rename = "places")]
+    pub domains: Vec<DomainStatus>,
     /// How often members have reported the opposite of what was observed, by member.
     #[serde(rename = "odd")]
     pub contradicting_members: BTreeMap<String, u32>,
--- a/crates/evacuation/tests/fleet/mod.rs
+++ b/crates/evacuation/tests/fleet/mod.rs
@@ -121,7 +121,7 @@
         }
         self.end_hanging_calls(now);
         let pending = self.hanging.iter().map(|(pending, sent)| PendingAttempt {
-            age: now - sent,
+            age_ns: now - sent,
             ..*pending
         });
         self.coordinator.record_pending(now, pending);
@@ -145,7 +145,7 @@
                     id,
                     server,
                     class,
-                    age: 0,
+                    age_ns: 0,
                 };
                 self.hanging.push((pending, now));
                 return;
@@ -160,7 +160,7 @@
             server,
             class,
             outcome,
-            took,
+            duration_ns: took,
         };
         self.coordinator.record_completed(now, &completed);
     }
@@ -177,7 +177,7 @@
                 server: pending.server,
                 class: pending.class,
                 outcome: Outcome::Timeout,
-                took: timeout,
+                duration_ns: timeout,
             };
             self.coordinator.record_completed(now, &completed);
         }
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -147,12 +147,12 @@
 
 fn status() -> Status {
     Status {
-        places: vec![
+        domains: vec![
             DomainStatus {
                 name: "zone norte".to_owned(),
                 phase: "left".to_owned(),
                 epoch: 3,
-                phase_for_s: 1.5,
+                phase_duration_s: 1.5,
                 share: 0.0,
                 reason: "an operator's word, leave; 90% of 40 calls fail".to_owned(),
                 reporters_against: 5,
@@ -201,7 +201,7 @@
         r#""relapses":0,"nodos":0,"order":null,"order_ends_s":null,"not_followed":[]}],"odd":{},"unread":0}"#
     );
     let status = Status {
-        places: vec![DomainStatus::default()],
+        domains: vec![DomainStatus::default()],
         ..Status::default()
     };
     assert_eq!(serde_json::to_string(&status).unwrap(), golden);
--- a/crates/evacuation/tests/restore_orders.rs
+++ b/crates/evacuation/tests/restore_orders.rs
@@ -24,7 +24,7 @@
 /// What a balancer tells operators of the zone: the name of its phase and its epoch.
 fn zone_status(balancer: &Balancer, now: u64) -> (String, u32) {
     let status = balancer.coordinator.status(now, UNIX_MS + now / MS);
-    let mut domains = status.places.into_iter();
+    let mut domains = status.domains.into_iter();
     let zone = domains.find(|domain| domain.name == "zone norte");
     zone.map(|zone| (zone.phase, zone.epoch))
         .expect("it is listed")
--- a/crates/health-reports/src/assessment.rs
+++ b/crates/health-reports/src/assessment.rs
@@ -3,7 +3,7 @@
 use crate::baseline::Baseline;
 use crate::call_counts::CallCounts;
 use crate::log_odds::{
-    EvidenceSum, EvidenceThreshold, Reporters, Symptom, WeighedReport, max_faulty,
+    EvidenceSum, EvidenceThreshold, Reporters, Symptom, WeightedReport, max_faulty,
 };
 use crate::report_table::{MIN_EVIDENCE, ReportTable};
 use crate::subject::Subject;
@@ -56,7 +56,7 @@
 }
 
 /// The weighed reports on a subject, by the zone of the member.
-type ReportsByZone<'a> = BTreeMap<&'a str, Vec<WeighedReport>>;
+type ReportsByZone<'a> = BTreeMap<&'a str, Vec<WeightedReport>>;
 
 /// The evidence of the zones on a subject.
 struct ZoneEvidence {
@@ -93,24 +93,27 @@
     ) -> Assessment {
         let baseline = query.baseline.rate(symptom);
         let mut by_zone = ReportsByZone::new();
-        let mut counts = query.own.at(now);
+        let mut counts = query.own.decayed_to(now);
         for report in self.reports_on(&query.subject) {
-            let reported = report.counts.at(now);
+            let reported = report.counts.decayed_to(now);
             if reported.attempts < MIN_EVIDENCE {
                 continue;
             }
             counts = counts.merged(&reported);
             // What was healthy a second ago may hang since: a member that finds it healthy reports
             // so again.
-            let age = now.saturating_sub(report.at) as f64;
+            let age = now.saturating_sub(report.reported_at) as f64;
             let freshness = (-age / HEALTHY_EVIDENCE_DECAY_NS).exp();
             let log_odds = symptom.log_odds(&reported, baseline);
-            by_zone.entry(report.zone).or_default().push(WeighedReport {
-                log_odds,
-                freshness,
-            });
+            by_zone
+                .entry(report.zone)
+                .or_default()
+                .push(WeightedReport {
+                    log_odds,
+                    freshness,
+                });
         }
-        let own = symptom.log_odds(&query.own.at(now), baseline);
+        let own = symptom.log_odds(&query.own.decayed_to(now), baseline);
         let evidence = ZoneEvidence::collect(query, &by_zone, own);
         evidence.assess(symptom, counts)
     }
--- a/crates/health-reports/src/call_counts.rs
+++ b/crates/health-reports/src/call_counts.rs
@@ -60,7 +60,7 @@
     }
 
     /// The counts at a later time.
-    pub fn at(&self, now: Time) -> Self {
+    pub fn decayed_to(&self, now: Time) -> Self {
         let factor = (-(now.saturating_sub(self.at) as f64) / DECAY_NS).exp();
         Self {
             at: self.at.max(now),
@@ -69,10 +69,10 @@
     }
 
     /// The counts at a later time, where they decay with another time constant, in nanoseconds.
-    pub(crate) fn at_with_decay(&self, now: Time, decay_ns: f64) -> Self {
+    pub(crate) fn decayed_to_with(&self, now: Time, decay_ns: f64) -> Self {
         let passed = now.saturating_sub(self.at) as f64;
         let factor = (-passed / decay_ns + passed / DECAY_NS).exp();
-        self.scaled(factor).at(now)
+        self.scaled(factor).decayed_to(now)
     }
 
     fn scaled(&self, factor: f64) -> Self {
@@ -93,7 +93,7 @@
     /// Adds a call. A failed call does not count as slow.
     pub fn add(&mut self, now: Time, failed: bool, slow: bool) {
         let count = |is: bool| f64::from(u8::from(is));
-        *self = self.at(now);
+        *self = self.decayed_to(now);
         self.attempts += 1.0;
         self.failed += count(failed);
         self.slow += count(slow && !failed);
@@ -101,13 +101,13 @@
 
     /// The rate of calls at a time.
     pub fn attempts_per_second(&self, now: Time) -> f64 {
-        self.at(now).attempts * NS_PER_SECOND / DECAY_NS
+        self.decayed_to(now).attempts * NS_PER_SECOND / DECAY_NS
     }
 
     /// The sum of both counts, at the later time of the two.
     pub fn merged(&self, other: &Self) -> Self {
         let now = self.at.max(other.at);
-        let (a, b) = (self.at(now), other.at(now));
+        let (a, b) = (self.decayed_to(now), other.decayed_to(now));
         Self {
             attempts: a.attempts + b.attempts,
             failed: a.failed + b.failed,
--- a/crates/health-reports/src/call_stats.rs
+++ b/crates/health-reports/src/call_stats.rs
@@ -43,7 +43,7 @@
     /// The position of its class.
     pub class: usize,
     /// The time since it was sent, in nanoseconds.
-    pub age: Duration,
+    pub age_ns: Duration,
 }
 
 /// An attempt that has ended.
@@ -58,7 +58,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The time from when it was sent, in nanoseconds.
-    pub took: Duration,
+    pub duration_ns: Duration,
 }
 
 /// The counts of a subject.
@@ -69,7 +69,7 @@
     /// Its counts.
     pub counts: CallCounts,
     /// Whether a call was answered in time a moment ago.
-    pub is_fresh: bool,
+    pub is_answered_recently: bool,
 }
 
 /// The counts of a server.
@@ -184,7 +184,7 @@
         let Some(response_time) = self.response_times.get_mut(completed.class) else {
             return;
         };
-        let took_ns = completed.took as f64;
+        let took_ns = completed.duration_ns as f64;
         let Some(failed) = has_failed(completed.outcome, took_ns, response_time) else {
             return;
         };
@@ -209,7 +209,7 @@
             let Some(response_time) = self.response_times.get(attempt.class).copied() else {
                 continue;
             };
-            let age_ns = attempt.age as f64;
+            let age_ns = attempt.age_ns as f64;
             if !response_time.is_known() || age_ns <= SLOW_FACTOR * response_time.typical_ns {
                 continue;
             }
@@ -272,7 +272,7 @@
             .map(move |(subject, counts)| SubjectStats {
                 subject,
                 counts: counts.counts(now),
-                is_fresh: now < counts.answered_at().saturating_add(FRESH_NS),
+                is_answered_recently: now < counts.answered_at().saturating_add(FRESH_NS),
             })
     }
 
--- a/crates/health-reports/src/cusum.rs
+++ b/crates/health-reports/src/cusum.rs
@@ -43,7 +43,7 @@
     /// Adds a call.
     pub fn add(&mut self, now: Time, failed: bool, slow: bool) {
         let decay = (-(now.saturating_sub(self.since_change.at) as f64) / DECAY_NS).exp();
-        self.all = self.all.at_with_decay(now, HEALTHY_DECAY_NS);
+        self.all = self.all.decayed_to_with(now, HEALTHY_DECAY_NS);
         self.all.add(now, failed, slow);
         self.since_change.add(now, failed, slow);
         if !failed && !slow {
@@ -61,8 +61,8 @@
 
     /// Counts a call that was counted as slow as failed instead.
     pub fn slow_to_failed(&mut self, now: Time) {
-        self.all = self.all.at_with_decay(now, HEALTHY_DECAY_NS);
-        self.since_change = self.since_change.at(now);
+        self.all = self.all.decayed_to_with(now, HEALTHY_DECAY_NS);
+        self.since_change = self.since_change.decayed_to(now);
         for counts in [&mut self.all, &mut self.since_change] {
             counts.failed += 1.0;
             counts.slow = (counts.slow - 1.0).max(0.0);
@@ -79,9 +79,9 @@
     /// The counts since the subject degraded, if it did; otherwise all recent ones.
     pub fn counts(&self, now: Time) -> CallCounts {
         if self.has_degraded() {
-            self.since_change.at(now)
+            self.since_change.decayed_to(now)
         } else {
-            self.all.at_with_decay(now, HEALTHY_DECAY_NS)
+            self.all.decayed_to_with(now, HEALTHY_DECAY_NS)
         }
     }
 
--- a/crates/health-reports/src/lib.rs
+++ b/crates/health-reports/src/lib.rs
@@ -29,7 +29,7 @@
 pub use health_report::{HealthReport, HealthReportError, ReportEntry};
 pub use log_odds::{
     EvidenceSum, EvidenceThreshold, Reporters, SERVER_UNHEALTHY_LOG_ODDS, Symptom,
-    UNHEALTHY_LOG_ODDS, WeighedReport, max_faulty,
+    UNHEALTHY_LOG_ODDS, WeightedReport, max_faulty,
 };
 pub use report_table::{ReportTable, ReportedCounts};
 pub use subject::{Subject, SubjectKind};
--- a/crates/health-reports/src/log_odds.rs
+++ b/crates/health-reports/src/log_odds.rs
@@ -79,7 +79,7 @@
 
 /// The weight of one reporter's report.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WeighedReport {
+pub struct WeightedReport {
     /// The log odds of the subject being unhealthy.
     pub log_odds: f64,
     /// How recent it is: 1 for now, falling to 0.
@@ -112,7 +112,7 @@
     /// `max_per_reporter`, without the strongest `faulty` reports on either side. Older evidence
     /// that the subject is healthy counts less against its being unhealthy now.
     pub fn new(
-        mut others: Vec<WeighedReport>,
+        mut others: Vec<WeightedReport>,
         own: f64,
         max_per_reporter: f64,
         faulty: usize,
@@ -128,7 +128,7 @@
         // left out, whosever it is.
         let against_without_faulty = &others[..others.len() - against.min(faulty)];
         let in_favor_without_faulty = &others[in_favor.min(faulty)..];
-        let discounted = |report: &WeighedReport| {
+        let discounted = |report: &WeightedReport| {
             if report.log_odds < 0.0 {
                 report.log_odds * report.freshness
             } else {
--- a/crates/health-reports/src/report_table.rs
+++ b/crates/health-reports/src/report_table.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 struct MemberReport {
     zone: String,
-    at: Time,
+    reported_at: Time,
     counts: BTreeMap<Subject, CallCounts>,
 }
 
@@ -33,14 +33,14 @@
     pub owner: &'a str,
     /// Its zone.
     pub zone: &'a str,
-    /// When it made the report.
-    pub at: Time,
+    /// When the member made the report, in nanoseconds on the caller's clock.
+    pub reported_at: Time,
     /// The counts as they were then.
     pub counts: &'a CallCounts,
 }
 
 impl ReportTable {
-    /// Replaces the report of a member of a zone, made at the time `at`.
+    /// Replaces the report of a member of a zone, made at the time `reported_at`.
     ///
     /// # Errors
     ///
@@ -49,20 +49,20 @@
         &mut self,
         owner: &str,
         zone: &str,
-        at: Time,
+        reported_at: Time,
         bytes: &[u8],
     ) -> Result<(), HealthReportError> {
         let report = HealthReport::decode(bytes)?;
         let counts = report
             .entries
             .iter()
-            .map(|entry| (entry.subject, entry.counts(at)))
+            .map(|entry| (entry.subject, entry.counts(reported_at)))
             .collect();
         self.by_owner.insert(
             owner.to_owned(),
             MemberReport {
                 zone: zone.to_owned(),
-                at,
+                reported_at,
                 counts,
             },
         );
@@ -77,7 +77,7 @@
     /// Whether any member reports failed or slow calls of a subject.
     pub fn has_evidence_against(&self, subject: &Subject, now: Time) -> bool {
         self.reports_on(subject).any(|report| {
-            let counts = report.counts.at(now);
+            let counts = report.counts.decayed_to(now);
             counts.failed + counts.slow >= MIN_EVIDENCE * counts.attempts.max(1.0)
         })
     }
@@ -89,7 +89,7 @@
             Some(ReportedCounts {
                 owner,
                 zone: &report.zone,
-                at: report.at,
+                reported_at: report.reported_at,
                 counts,
             })
         })
@@ -97,8 +97,9 @@
 
     /// The sum of all members' counts of a subject.
     pub fn total(&self, now: Time, subject: &Subject) -> CallCounts {
-        let add =
-            |total: CallCounts, report: ReportedCounts<'_>| total.merged(&report.counts.at(now));
+        let add = |total: CallCounts, report: ReportedCounts<'_>| {
+            total.merged(&report.counts.decayed_to(now))
+        };
         self.reports_on(subject).fold(CallCounts::default(), add)
     }
 
@@ -111,7 +112,7 @@
         let mut total = CallCounts::default();
         for (subject, own) in subjects {
             total = total
-                .merged(&own.at(now))
+                .merged(&own.decayed_to(now))
                 .merged(&self.total(now, &subject));
         }
         if total.attempts < MIN_BASELINE_ATTEMPTS {
--- a/crates/health-reports/tests/assessment.rs
+++ b/crates/health-reports/tests/assessment.rs
@@ -130,19 +130,19 @@
         server,
         class: 0,
         outcome,
-        took,
+        duration_ns: took,
     };
     for request in 0..50 {
         let now = u64::from(request) * 20 * MS;
         stats.record_completed(now, &completed(request, Outcome::Ok, 20 * MS));
     }
     assert_eq!(stats.zone(0, SECOND).failed, 0.0);
-    let pending = |age| {
+    let pending = |age_ns| {
         [PendingAttempt {
             id: id(99),
             server,
             class: 0,
-            age,
+            age_ns,
         }]
         .into_iter()
     };
--- a/crates/node/src/front/request_reports.rs
+++ b/crates/node/src/front/request_reports.rs
@@ -134,7 +134,7 @@
             upstream: target.id.to_string(),
             zone: target.zone.to_string(),
             outcome: AttemptOutcome::Cancelled,
-            began_ms: millis(self.arrived.elapsed()),
+            start_offset_ms: millis(self.arrived.elapsed()),
             duration_ms: 0,
             in_flight: target.in_flight,
             prefill_tokens: target.prefill_backlog,
--- a/crates/request-reports/src/line.rs
+++ b/crates/request-reports/src/line.rs
@@ -76,7 +76,7 @@
         let upstream = escape(&self.upstream);
         let zone = escape(&self.zone);
         write!(formatter, "{upstream},{zone},{},", self.outcome)?;
-        write!(formatter, "{},{},", self.began_ms, self.duration_ms)?;
+        write!(formatter, "{},{},", self.start_offset_ms, self.duration_ms)?;
         write!(formatter, "{},{},", self.in_flight, self.prefill_tokens)?;
         write!(formatter, "{},", self.candidates)?;
         let counts = self
@@ -191,7 +191,7 @@
             upstream: upstream.to_owned(),
             zone: zone.to_owned(),
             outcome: parse_name(FIELD, outcome)?,
-            began_ms: parse(FIELD, began)?,
+            start_offset_ms: parse(FIELD, began)?,
             duration_ms: parse(FIELD, duration)?,
             in_flight: parse(FIELD, in_flight)?,
             prefill_tokens: parse(FIELD, prefill)?,
--- a/crates/request-reports/src/report.rs
+++ b/crates/request-reports/src/report.rs
@@ -44,7 +44,7 @@
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
     /// From the request's arrival to the beginning of the attempt, in milliseconds.
-    pub began_ms: u64,
+    pub start_offset_ms: u64,
     /// From the beginning of the attempt to its end, in milliseconds.
     pub duration_ms: u64,
     /// This balancer's requests in flight at the upstream when the attempt began.
--- a/crates/request-reports/tests/reports.rs
+++ b/crates/request-reports/tests/reports.rs
@@ -12,7 +12,7 @@
         upstream: "i-7f3a".to_owned(),
         zone: "a-1".to_owned(),
         outcome,
-        began_ms: 3,
+        start_offset_ms: 3,
         duration_ms: 612,
         in_flight: 2,
         prefill_tokens: 17_020,
--- a/src/net/domain_status.rs
+++ b/src/net/domain_status.rs
@@ -43,7 +43,7 @@
         Some(name) => domain.name == format!("{kind} {name}"),
         None => domain.name.starts_with(kind),
     };
-    let domains: Vec<&DomainStatus> = status.places.iter().filter(is_wanted).collect();
+    let domains: Vec<&DomainStatus> = status.domains.iter().filter(is_wanted).collect();
     if domains.is_empty() {
         let name = name.map(|name| format!(" {name}")).unwrap_or_default();
         return writeln!(out, "nothing is found of any {kind}{name}");
@@ -72,8 +72,8 @@
         "{name}: {phase}, epoch {epoch}, share {:.0}%",
         domain.share * 100.0
     )?;
-    if domain.phase_for_s > 0.0 {
-        write!(out, ", for {:.1} s", domain.phase_for_s)?;
+    if domain.phase_duration_s > 0.0 {
+        write!(out, ", for {:.1} s", domain.phase_duration_s)?;
     }
     if domain.servers > 0 {
         write!(out, ", {} nodos in service", domain.servers)?;
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -168,7 +168,7 @@
         server: record.server,
         class: record.class,
         outcome: record.outcome,
-        took: record.took,
+        duration_ns: record.took,
     }
 }
 
@@ -180,6 +180,6 @@
         },
         server: attempt.server,
         class: attempt.class,
-        age: attempt.age,
+        age_ns: attempt.age,
     }
 }
--- a/src/net/metrics/evacuation.rs
+++ b/src/net/metrics/evacuation.rs
@@ -38,7 +38,7 @@
         self.share.reset();
         self.epoch.reset();
         self.reporters_against.reset();
-        for domain in self.evacuation.status().places {
+        for domain in self.evacuation.status().domains {
             let name = [domain.name.as_str()];
             let against = domain.reporters_against as i64;
             self.share.with_label_values(&name).set(domain.share);
