--- a/crates/evacuation/src/domain_state.rs
+++ b/crates/evacuation/src/domain_state.rs
@@ -1,57 +1,66 @@
-//! The state machine of a domain: whether it is in use, and which share of its usual new work it
-//! gets.
+//! The state machine of a domain. The state says whether the domain is in use and which share of
+//! its usual new work it gets.
 
 use serde::{Deserialize, Serialize};
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Assessment, Symptom};
 
 const SECOND_NS: Time = 1_000_000_000;
-/// How long a domain must be unhealthy, and others better, before it is drained: where all domains
-/// fail together, the reports of one come before the reports of the others.
+/// How long a domain must stay unhealthy, with a better alternative, before it is drained. When all
+/// domains fail together, the reports about one of them arrive before the reports about the others.
 const CONFIRMATION_NS: Time = 2 * SECOND_NS / 5;
-/// The time between two steps of draining a domain that still does some of its work.
+/// The time between two steps of draining a domain that still completes part of its work.
 const DRAIN_STEP_NS: Time = SECOND_NS / 2;
-/// The shares of those steps.
+/// The shares that a domain passes through while it is drained step by step.
 const DRAIN_SHARES: [f64; 4] = [0.6, 0.3, 0.1, 0.0];
-/// The lower bound of the failure rate from which on nothing is lost by evacuating at once.
+/// A domain whose failure rate is at least this at its lower bound is evacuated in one step, because
+/// at that rate nothing is lost by it.
 const EVACUATE_AT_ONCE_FAILURE_RATE: f64 = 0.4;
-/// The same for the lower bound of calls that fail or are slow.
+/// A domain whose rate of failed or slow calls is at least this at its lower bound is evacuated in
+/// one step if the other domains have capacity for its work.
 const EVACUATE_AT_ONCE_DEGRADED_RATE: f64 = 0.5;
-/// The first share of a domain that is being restored, and how long each doubling of it takes.
+/// The first share of a domain that is being restored.
 const INITIAL_RESTORED_SHARE: f64 = 0.1;
+/// The time between two doublings of the share of a domain that is being restored.
 const RESTORE_STEP_NS: Time = SECOND_NS;
-/// How long a domain stays evacuated at least: doubled with each relapse, up to a maximum.
+/// The minimum time that a domain stays evacuated. It doubles with each relapse, up to
+/// [`MAX_EVACUATED_NS`].
 const MIN_EVACUATED_NS: Time = 2 * SECOND_NS;
+/// The upper limit of the minimum time that a domain stays evacuated after relapses.
 const MAX_EVACUATED_NS: Time = 32 * SECOND_NS;
-/// A domain that has been in use for this long has no relapses any more.
+/// The relapses of a domain are reset to zero after it has been in use for this long.
 const RELAPSES_FORGOTTEN_NS: Time = 60 * SECOND_NS;
-/// The strength of the evidence from which on a domain is suspected.
+/// The minimum strength of the evidence against a domain for the domain to be suspected.
 const SUSPICION_STRENGTH: f64 = 0.4;
-/// The strength of the evidence that a domain is healthy from which on it is restored: the time
-/// evacuated and the steps of restoring have to be gone through as well.
+/// The minimum strength of the evidence that an evacuated domain is healthy for the domain to be
+/// restored. It can be low because the domain must also wait out its minimum evacuation time and is
+/// restored in steps.
 const RESTORE_HEALTH: f64 = 0.15;
 
-/// The phases of a domain. Their order settles ties of epochs (the more cautious phase wins) and is
-/// the wire format.
+/// The phases of a domain.
+///
+/// The order of the variants is the wire format. It also resolves conflicts between decisions with
+/// the same epoch: the later variant, which is the more cautious one, wins.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Phase {
-    /// There is no evidence against it.
+    /// The domain gets its full share, and there is no significant evidence against it.
     #[default]
     InUse,
-    /// There is evidence against it, but not enough, or there is no better domain.
+    /// The domain gets its full share although there is evidence against it: the evidence is too
+    /// weak, or no other domain is better.
     Suspected,
-    /// Its share grows.
+    /// The domain is being restored, and its share grows.
     Restoring,
-    /// Its share shrinks.
+    /// The domain is being drained, and its share shrinks.
     Draining,
-    /// It gets no new work but trials.
+    /// The domain gets no new work except trials.
     Evacuated,
 }
 
 impl Phase {
-    /// Its name in operators' pages and in the status.
+    /// Returns the name that operators see on pages, in log lines and in the status.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::InUse => "in use",
@@ -63,38 +72,42 @@
     }
 }
 
-/// Why a domain is in its phase.
+/// The reason for a domain's phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Cause {
-    /// There never was any evidence.
+    /// The domain has kept its initial phase.
     #[default]
     None,
-    /// The assessment of all health reports.
+    /// The assessment of all health reports found or ruled out this symptom.
     Evidence(Symptom),
-    /// Several other members had decided so before.
+    /// The phase was adopted from the published decisions of several other members.
     Fleet,
-    /// An operator's order.
+    /// An operator ordered that the domain be restored.
     Operator,
 }
 
-/// The state of a domain, as this balancer has decided.
+/// The state of a domain as decided by this balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DomainState {
-    /// Its phase.
+    /// The current phase.
     pub phase: Phase,
-    /// Raised with each change between in use, draining and restoring.
+    /// The version of the decision, raised when the domain starts to be drained or restored, when it
+    /// is back in full use, and when it relapses. A higher epoch is newer.
     pub epoch: u32,
-    /// Since when it is in its phase, in nanoseconds.
+    /// The time at which the domain entered its phase, in nanoseconds; 0 for a domain that has kept
+    /// its initial phase.
     pub phase_since: Time,
-    /// The share of its usual new work that it gets, from 0 to 1, apart from trials.
+    /// The share of its usual new work that the domain gets, from 0 to 1, apart from trials.
     pub share: f64,
-    /// How often it failed again while it was being restored, of late.
+    /// How often the domain failed again while it was being restored. The count is reset after the
+    /// domain has been in use for a minute.
     pub relapses: u32,
-    /// Why it is in its phase.
+    /// The reason for the phase.
     pub cause: Cause,
-    /// When its share changed last.
+    /// The time of the last step of draining or restoring, in nanoseconds.
     share_changed_at: Time,
-    /// Since when it is unhealthy and could be drained, while it is in use.
+    /// The time since which the domain, while in use, has been unhealthy with an alternative that
+    /// allows it to be drained.
     unhealthy_since: Option<Time>,
 }
 
@@ -113,14 +126,15 @@
     }
 }
 
-/// The domains that could take over the work of one.
+/// Summary of the other domains that could take over a domain's work.
 #[derive(Clone, Copy, Debug)]
 pub struct Alternatives {
-    /// At least one of them is better.
+    /// At least one of the other domains is better than this one.
     pub has_better: bool,
-    /// They have capacity for more work.
+    /// The other domains have capacity for more work.
     pub has_capacity: bool,
-    /// There are none, since all others are evacuated: this domain may not be evacuated as well.
+    /// This domain must not be evacuated: all the others are evacuated already, or the limit on
+    /// evacuated servers of a zone is reached.
     pub is_last: bool,
 }
 
@@ -131,7 +145,7 @@
 }
 
 impl DomainState {
-    /// Advances by one assessment.
+    /// Updates the state with the domain's newest assessment.
     pub fn advance(&mut self, now: Time, assessment: &Assessment, alternatives: &Alternatives) {
         match self.phase {
             Phase::InUse | Phase::Suspected => self.advance_in_use(now, assessment, alternatives),
@@ -184,7 +198,7 @@
         alternatives: &Alternatives,
     ) {
         if assessment.is_unhealthy && !alternatives.allow_draining() {
-            // Where all domains are alike, to drain one for another only moves the load.
+            // If all domains are equally unhealthy, draining one of them only moves the load.
             self.share = 1.0;
             self.enter(
                 now,
@@ -195,7 +209,8 @@
         } else if assessment.is_unhealthy {
             self.drain(now, assessment, alternatives);
         } else if now >= self.phase_since.saturating_add(MIN_EVACUATED_NS) {
-            // What remains of its share works, or nothing more is reported of it.
+            // The domain is not unhealthy any more: its reduced share of calls succeeds, or members
+            // have stopped reporting on it.
             let phase = if self.share >= 1.0 {
                 Phase::InUse
             } else {
@@ -250,8 +265,9 @@
         self.share_changed_at = now;
     }
 
-    /// Takes a step of draining: to nothing at once where most calls fail, otherwise as fast as the
-    /// others have capacity, since slow answers are still answers.
+    /// Performs a step of draining. If many calls fail, the share drops to 0 at once. Otherwise it
+    /// shrinks only while the other domains have capacity, since slow responses are better than
+    /// none.
     fn drain(&mut self, now: Time, assessment: &Assessment, alternatives: &Alternatives) {
         let failure_rate = assessment.counts.failure_rate().low;
         let degraded_rate = assessment.counts.degraded_rate().low;
@@ -273,7 +289,8 @@
         }
     }
 
-    /// Adopts what other members have decided, if that is newer. Returns whether it was.
+    /// Adopts a decision of other members if it is newer than this state, and returns whether it
+    /// was.
     pub fn adopt(&mut self, now: Time, phase: Phase, epoch: u32, share: f64) -> bool {
         if (epoch, phase) <= (self.epoch, self.phase) {
             return false;
@@ -284,14 +301,15 @@
         true
     }
 
-    /// Whether it has stayed evacuated for as long as its relapses demand.
+    /// Returns whether the domain has been evacuated for the minimum time that its number of
+    /// relapses requires.
     fn is_min_evacuation_over(&self, now: Time) -> bool {
         let min_evacuated = (MIN_EVACUATED_NS << self.relapses.min(8)).min(MAX_EVACUATED_NS);
         now >= self.phase_since.saturating_add(min_evacuated)
     }
 
-    /// Begins to restore the domain by an operator's order that is new here, if it has not its full
-    /// share.
+    /// Begins to restore the domain when an operator's order to do so arrives, unless the domain
+    /// already gets its full share.
     pub fn restore_by_order(&mut self, now: Time) {
         if self.share < 1.0 {
             self.begin_restoring(now, Cause::Operator);
@@ -299,16 +317,16 @@
         }
     }
 
-    /// Begins to restore the domain again, which was evacuated again while the order holds: without
-    /// trials that show it healthy, but only after the time that its relapses demand, so that a
-    /// domain that goes on failing does not flap.
+    /// Begins to restore a domain that was evacuated again while the order to restore it is still
+    /// valid. No successful trials are needed, but the domain must first wait out the minimum time
+    /// that its relapses require, so that a domain that keeps failing does not flap.
     pub fn restore_again_by_order(&mut self, now: Time) {
         if self.share < 1.0 && self.is_min_evacuation_over(now) {
             self.begin_restoring(now, Cause::Operator);
         }
     }
 
-    /// Evacuates the domain, or takes it back into use, in one step.
+    /// Evacuates the domain or puts it back into full use, in one step.
     pub(crate) fn set_evacuated(&mut self, now: Time, is_evacuated: bool) {
         let phase = if is_evacuated {
             Phase::Evacuated
--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -1,16 +1,18 @@
-//! Evacuation: a fleet of balancers moves its work away from servers, zones and regions that fail,
-//! together and not one by one.
+//! Evacuation of failing servers, zones and regions. The balancers of a fleet decide jointly, rather
+//! than each for itself, to move their work elsewhere.
 //!
 //! A *domain* in this crate is a failure domain: a server, a class of calls at a zone, a zone or a
 //! region. Each balancer assesses all health reports (`woadstall-health-reports`) and takes each
 //! domain through the same phases: in use, suspected, draining, evacuated, restoring. Balancers
-//! with the same reports come to the same result; they publish it as [`DomainDecision`]s, so that a
-//! balancer that was absent learns it from several that were present.
+//! with the same reports reach the same result. They publish it as [`DomainDecision`]s, so that a
+//! balancer that was absent can adopt the decisions on which several others agree.
 //!
-//! [`EvacuationEngine`] decides. [`Coordinator`] connects it to a member of the fleet
-//! (`woadstall-membership`) and to the decision module, which is given shares of new work and still
-//! chooses. The crate does no I/O and reads no clock: `now` is nanoseconds on the member's clock,
-//! `now_ms` is Unix time in milliseconds. The design is in `docs/evacuation.md`.
+//! [`EvacuationEngine`] makes the decisions. [`Coordinator`] connects it to a member of the fleet
+//! (`woadstall-membership`) and to the decision module. The decision module receives the share of
+//! new work that each domain is to get, and still chooses the server for each request itself.
+//!
+//! The crate does no I/O and reads no clock: `now` is nanoseconds on the member's clock, `now_ms` is
+//! Unix time in milliseconds. The design is described in `docs/evacuation.md`.
 
 mod coordinator;
 mod domain_decision;
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -1,5 +1,5 @@
-//! Operators' orders: they overrule what the fleet has decided, for a time, and the newest of them
-//! holds.
+//! Operators' orders. An order overrules the fleet's decision about a domain for a limited time. The
+//! newest order for a domain applies.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,27 +8,27 @@
 use woadstall_health_reports::Subject;
 use woadstall_health_reports::packed_list::{self, PackedListError};
 
-/// The version of the format: raised when the meaning of the bytes changes.
+/// The version of the wire format. It is raised when the meaning of the bytes changes.
 const VERSION: u8 = 1;
-/// The most domains that have an order.
+/// The maximum number of domains that have an order at the same time.
 const MAX_ORDERS: usize = 16;
-/// The longest validity of an order: one that is forgotten must end by itself.
+/// The longest validity of an order, so that an order that its operator forgets ends by itself.
 const MAX_VALIDITY: Duration = Duration::from_secs(24 * 3_600);
 const MAX_VALIDITY_MS: u64 = MAX_VALIDITY.as_millis() as u64;
 
-/// What an operator orders. The order of the variants is the wire format.
+/// The action of an operator's order. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum OrderAction {
     /// The domain gets no new work.
     Evacuate,
-    /// The domain stays in use, whatever is observed.
+    /// The domain keeps its full share regardless of its health reports.
     Keep,
-    /// Former orders are revoked, and the domain is restored.
+    /// The domain is restored. The order replaces any earlier order for the domain.
     Restore,
 }
 
 impl OrderAction {
-    /// Its name in operators' commands and pages.
+    /// Returns the name that operators use in commands and see on pages.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Evacuate => "leave",
@@ -41,53 +41,57 @@
 /// An operator's order. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The domain.
+    /// The domain that the order is for. Zones and regions are identified without a tier, so that
+    /// the order applies to all tiers.
     pub subject: Subject,
-    /// What is ordered.
+    /// The ordered action.
     pub action: OrderAction,
-    /// When it was given, in Unix milliseconds: the newest order holds.
+    /// The time at which the order was issued, in Unix milliseconds. The newest order for a domain
+    /// applies.
     pub issued_ms: u64,
-    /// When it ends, in Unix milliseconds.
+    /// The time at which the order expires, in Unix milliseconds.
     pub until_ms: u64,
-    /// Drawn at random when it was given, to order two orders of one millisecond.
+    /// A random number drawn when the order is issued. Of two orders issued in the same millisecond,
+    /// the one with the higher number applies.
     pub id: u32,
 }
 
-/// The bytes are no orders.
+/// The bytes are not an encoded list of orders.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("cannot decode orders")]
 pub struct OrderError(#[from] PackedListError);
 
-/// Why an order is not taken.
+/// The reason why an order is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// A newer order for the domain, or the same one, is known.
+    /// The order table already has this order or a newer one for the domain.
     #[error("a newer order holds")]
     Superseded,
-    /// Its time of issue is too far in the future: nobody could overrule it for long.
+    /// The order was issued more than 24 hours in the future. Until then, no other order could
+    /// overrule it.
     #[error("the order's time of issue is too far in the future")]
     IssuedInFuture,
-    /// It has ended already.
+    /// The order has already expired.
     #[error("the order has ended")]
     Expired,
-    /// Too many other domains have orders.
+    /// The maximum number of other domains already have orders.
     #[error("there are too many orders")]
     TooMany,
 }
 
-/// All orders that hold, the newest of each domain.
+/// All orders in effect: the newest order for each domain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderTable {
     by_subject: BTreeMap<Subject, Order>,
 }
 
 impl OrderTable {
-    /// Takes an order. It ends after 24 hours at the latest.
+    /// Adds an order. Its validity is limited to 24 hours.
     ///
     /// # Errors
     ///
-    /// Returns an error, and changes nothing, if the order is not newer than the known one, not
-    /// valid, or one too many.
+    /// Returns an error, and leaves the table unchanged, if the domain's current order is the same
+    /// or newer, if the new order is not valid at `now_ms`, or if too many domains have orders.
     pub fn submit(&mut self, now_ms: u64, order: Order) -> Result<(), SubmitError> {
         let until_ms = order
             .until_ms
@@ -111,19 +115,19 @@
         Ok(())
     }
 
-    /// Removes the orders that have ended and returns whether there were any.
+    /// Removes expired orders and returns whether there were any.
     pub fn remove_expired(&mut self, now_ms: u64) -> bool {
         let before = self.by_subject.len();
         self.by_subject.retain(|_, order| now_ms < order.until_ms);
         before != self.by_subject.len()
     }
 
-    /// The order that holds for a domain.
+    /// Returns the order in effect for a domain.
     pub fn get(&self, subject: &Subject) -> Option<&Order> {
         self.by_subject.get(subject)
     }
 
-    /// Encodes the orders that fit into `max_bytes`.
+    /// Encodes the leading orders, sorted by subject, that fit into `max_bytes`.
     pub fn encode(&self, max_bytes: usize) -> Vec<u8> {
         packed_list::encode(VERSION, self.by_subject.values(), max_bytes)
     }
@@ -132,12 +136,12 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are no list of this version.
+    /// Returns an error if the bytes are empty, of another version, or malformed.
     pub fn decode(bytes: &[u8]) -> Result<Vec<Order>, OrderError> {
         Ok(packed_list::decode(VERSION, bytes, MAX_ORDERS)?)
     }
 
-    /// Whether no order holds.
+    /// Returns whether no domain has an order.
     pub fn is_empty(&self) -> bool {
         self.by_subject.is_empty()
     }
--- a/crates/evacuation/src/topology.rs
+++ b/crates/evacuation/src/topology.rs
@@ -1,34 +1,38 @@
-//! The zones, regions and classes of a deployment, and the subjects that stand for them.
+//! The zones, regions and classes of a deployment, and the subjects that identify them in health
+//! reports and orders.
 
 use woadstall_health_reports::Subject;
 
-/// A zone.
+/// A zone with the subjects that identify the zone, its region and its classes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// Its name.
+    /// The name of the zone in the settings.
     pub name: String,
-    /// Its region, if zones are grouped into regions.
+    /// The name of the zone's region, if zones are grouped into regions.
     pub region: Option<String>,
     pub(crate) subject: Subject,
     pub(crate) region_subject: Option<Subject>,
-    /// The subjects of its classes, in the order of the settings.
+    /// The subjects of the classes at this zone, in the order of the settings.
     pub(crate) classes: Vec<Subject>,
-    /// What operators' orders name: the zone and the region in all tiers.
+    /// The subject of the zone in operators' orders, which apply to all tiers.
     pub(crate) order_subject: Subject,
+    /// The subject of the region in operators' orders, which apply to all tiers.
     pub(crate) region_order_subject: Option<Subject>,
 }
 
-/// All domains of a deployment, as the balancers that send to one tier see them.
+/// The zones, regions and classes of a deployment, from the view of the balancers that send to one
+/// tier.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Topology {
-    /// Zones, in the order of the settings.
+    /// All zones, in the order of the settings.
     pub zones: Vec<Zone>,
-    /// Names of the classes, in the order of the settings.
+    /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
 }
 
 impl Topology {
-    /// A tier's zones, each with its region if it has one, and its classes.
+    /// Creates the topology of a tier from pairs of a zone's name and its region's name, if it has a
+    /// region, and from the names of the classes.
     pub fn new(tier: &str, zones: &[(String, Option<String>)], classes: &[String]) -> Self {
         let zone = |(name, region): &(String, Option<String>)| Zone {
             name: name.clone(),
@@ -48,12 +52,13 @@
         }
     }
 
-    /// The name of a zone; empty for one that is not known.
+    /// Returns the name of the zone at a position; empty if the position is out of range.
     pub(crate) fn zone_name(&self, zone: usize) -> &str {
         self.zones.get(zone).map_or("", |zone| zone.name.as_str())
     }
 
-    /// The position of the zone that a subject is or lies in, or of the first zone of a region.
+    /// Returns the position of a subject's zone: the zone itself, the zone of a class, or the first
+    /// zone of a region.
     pub(crate) fn home_zone(&self, subject: &Subject) -> Option<usize> {
         self.zones.iter().position(|zone| {
             zone.subject == *subject
@@ -62,7 +67,7 @@
         })
     }
 
-    /// The subject that operators' orders name a domain by.
+    /// Returns the subject that identifies a domain in operators' orders.
     pub(crate) fn order_subject(&self, subject: &Subject) -> Subject {
         let zone = self.zones.iter().find(|zone| zone.subject == *subject);
         let region = || {
@@ -75,7 +80,7 @@
             .unwrap_or(*subject)
     }
 
-    /// The subject of the domain that an order is about.
+    /// Returns the subject, in this tier, of the domain that an order is for.
     pub(crate) fn ordered_domain(&self, order_subject: &Subject) -> Subject {
         let zone = self
             .zones
@@ -91,14 +96,14 @@
             .unwrap_or(*order_subject)
     }
 
-    /// The position of a subject among the classes, if it is a class.
+    /// Returns the position of a subject's class in the settings, if the subject is a class.
     pub(crate) fn class_position(&self, subject: &Subject) -> Option<usize> {
         self.zones
             .iter()
             .find_map(|zone| zone.classes.iter().position(|class| class == subject))
     }
 
-    /// The name of a zone, class or region, for operators.
+    /// Returns the name that operators see for a zone, class or region; `None` for other subjects.
     pub fn name_of(&self, subject: &Subject) -> Option<String> {
         self.zones.iter().find_map(|zone| {
             if zone.subject == *subject {
