--- a/crates/evacuation/src/engine/adoption.rs
+++ b/crates/evacuation/src/engine/adoption.rs
@@ -1,4 +1,4 @@
-//! Adopting what other members have decided.
+//! Adoption of decisions that other members have published.
 
 use super::{EngineInput, EvacuationEngine};
 use crate::domain_decision::DomainDecision;
@@ -7,17 +7,19 @@
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Reporters, Subject, SubjectKind, max_faulty};
 
-/// The decisions of the members of one zone about one domain.
+/// Decisions grouped by domain and by the zone of the members that have published them.
 type DecisionsByDomain<'a> = BTreeMap<(Subject, &'a str), Vec<&'a DomainDecision>>;
 
 impl EvacuationEngine {
-    /// Adopts decisions that are newer than the own ones, if one member more than may be faulty has
-    /// made them. The members of the own zone observe from the same position, and those of a
-    /// domain's own zone know it best; others are not asked.
+    /// Adopts decisions that are newer than this balancer's state, if at least one member more than
+    /// may be faulty has made them. Only two groups of members count: the members of this balancer's
+    /// zone, which observe from the same position, and the members of the domain's zone, which have
+    /// the best view of it.
     pub(super) fn adopt_decisions(&mut self, now: Time, input: &EngineInput<'_>) {
         for ((subject, zone), mut decisions) in relevant_decisions(now, input) {
             let needed = max_faulty(input.members.get(zone).copied().unwrap_or(1)) + 1;
-            // The newest that so many have reached: a member that went on has been there, too.
+            // Picks the newest decision that enough members have reached. A member with a later
+            // decision has passed through the earlier ones as well.
             decisions.sort_by_key(|decision| Reverse((decision.epoch, decision.phase)));
             let Some(decision) = decisions.get(needed - 1) else {
                 continue;
@@ -37,6 +39,7 @@
     }
 }
 
+/// Collects the decisions published by members of this balancer's zone or of the domain's zone.
 fn relevant_decisions<'a>(now: Time, input: &EngineInput<'a>) -> DecisionsByDomain<'a> {
     let server_zones: BTreeMap<Subject, usize> = input
         .stats
--- a/crates/evacuation/src/engine/alternatives.rs
+++ b/crates/evacuation/src/engine/alternatives.rs
@@ -1,29 +1,31 @@
-//! Assessments of the same kind of domain in all zones, beside each other.
+//! Comparison of a domain in one zone with its counterparts in the other zones.
 
 use super::{EngineInput, EvacuationEngine};
 use crate::domain_state::Alternatives;
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Assessment, CallCounts, Subject, Symptom, UNHEALTHY_LOG_ODDS};
 
-/// A domain is better than another where at worst this fraction of the other's rate of calls fails
-/// there.
+/// A domain is better than another if the upper bound of its rate of failed (or degraded) calls is
+/// below this fraction of the other domain's mean rate.
 pub(super) const BETTER_FRACTION: f64 = 0.6;
-/// The calls that must be known of a domain for it to be better.
+/// The minimum number of observed calls for a domain to be considered better than another.
 pub(super) const MIN_KNOWN_CALLS: f64 = 8.0;
-/// The rate of failed or slow calls up to which the other domains have capacity for more work.
+/// The other domains have capacity for more work if their rate of failed or slow calls is below
+/// this.
 const MAX_RATE_WITH_CAPACITY: f64 = 0.2;
 
 impl EvacuationEngine {
-    /// Assesses one subject in each zone, beside what is usual in the others.
+    /// Assesses the subject of each zone against a baseline from the subjects of the other zones.
+    /// `subjects` and `own_counts` are indexed by zone.
     pub(super) fn assess_zones(
         &self,
         now: Time,
         input: &EngineInput<'_>,
         subjects: &[Subject],
-        own: &[CallCounts],
+        own_counts: &[CallCounts],
     ) -> Vec<Assessment> {
-        // What is evacuated already says nothing of what is usual: a second zone that fails would
-        // look hardly worse.
+        // An evacuated domain must not count towards the baseline: a second failing zone would look
+        // hardly worse than usual.
         let is_in_use = |zone: &usize| {
             self.is_in_full_use(&subjects[*zone])
                 && self.is_in_full_use(&input.topology.zones[*zone].subject)
@@ -34,13 +36,13 @@
             let compared = if in_use.is_empty() { others } else { in_use };
             let compared = compared
                 .into_iter()
-                .map(|other| (subjects[other], &own[other]));
+                .map(|other| (subjects[other], &own_counts[other]));
             let baseline = input.reports.baseline(now, compared);
             input.assess(
                 now,
                 subjects[zone],
                 zone,
-                &own[zone],
+                &own_counts[zone],
                 baseline,
                 UNHEALTHY_LOG_ODDS,
             )
@@ -48,7 +50,8 @@
         (0..subjects.len()).map(assess).collect()
     }
 
-    /// The alternatives to the subject of one zone among those of `others`.
+    /// Summarizes the alternatives to the subject of `zone` among the subjects of the zones
+    /// `others`. `subjects` and `assessments` are indexed by zone.
     pub(super) fn alternatives(
         &self,
         zone: usize,
@@ -74,14 +77,17 @@
     }
 }
 
-/// Whether a domain is better than another, at worst: of few calls, none may have failed by chance.
-/// It has to be observed to be: what all zones depend on fails in one of them first.
+/// Returns whether a domain is better than another even at the upper bound of its own rate, since
+/// among few calls none may have failed by chance.
+///
+/// A domain without enough observed calls is not considered better: when a dependency of all zones
+/// fails, one zone shows the failures first.
 fn is_better(candidate: &Assessment, other: &Assessment) -> bool {
     if candidate.counts.attempts < MIN_KNOWN_CALLS {
         return false;
     }
     match other.symptom {
-        // Where calls fail, a domain whose answers are slow is better all the same.
+        // A domain with slow responses is still better than one where calls fail.
         Symptom::Failing => {
             candidate.counts.failure_rate().high
                 < other.counts.failure_rate().mean * BETTER_FRACTION
--- a/crates/evacuation/src/engine/mod.rs
+++ b/crates/evacuation/src/engine/mod.rs
@@ -1,7 +1,8 @@
-//! The decision engine: from all members' reports to the state of each domain.
+//! The decision engine. It derives the state of each domain from the reports of all members.
 //!
-//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: what other members have
-//! decided, zones, classes, servers, regions, operators' orders. Each rule has its module.
+//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: adoption of other members'
+//! decisions, zones, classes, servers, regions, operators' orders to restore a domain. The rule for
+//! orders is in this module; each other rule has a module of its own.
 
 mod adoption;
 mod alternatives;
@@ -22,42 +23,42 @@
     SubjectKind,
 };
 
-/// The state of a server in use is removed after this long without evidence against it, in
-/// nanoseconds.
+/// The state of a server in full use is removed if its phase has not changed for this long, in
+/// nanoseconds, and there is no evidence against the server.
 const SERVER_STATE_TIMEOUT_NS: Time = 120_000_000_000;
 
 /// The decisions that another member has published.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberDecisions {
-    /// The member's zone.
+    /// The name of the member's zone.
     pub zone: String,
-    /// Its decisions.
+    /// The decisions in the member's newest record.
     pub decisions: Vec<DomainDecision>,
 }
 
-/// All that a step of the engine takes into account.
+/// The input of one step of the engine.
 #[derive(Clone, Copy)]
 pub struct EngineInput<'a> {
-    /// Zones, regions and classes.
+    /// The zones, regions and classes of the deployment.
     pub topology: &'a Topology,
-    /// The position of this balancer's zone.
+    /// The position of this balancer's zone in the topology.
     pub own_zone: usize,
     /// The outcomes of this balancer's own calls.
     pub stats: &'a CallStats,
     /// The other members' health reports.
     pub reports: &'a ReportTable,
-    /// The sum of the sizes of the servers in service, by zone.
+    /// The sum of the sizes of the servers in service, by position of the zone.
     pub zone_sizes: &'a [f64],
-    /// The size of each server in service.
+    /// The size of each server in service. Other servers are not assessed.
     pub server_sizes: &'a BTreeMap<ServerId, f64>,
-    /// The number of members of each zone, this balancer included.
+    /// The number of members of each zone that can report to this balancer, including itself.
     pub members: &'a BTreeMap<String, usize>,
-    /// What the other members have decided, by member.
+    /// The decisions that the other members have published, by the name of the member.
     pub member_decisions: &'a BTreeMap<String, MemberDecisions>,
-    /// Operators' orders.
+    /// The operators' orders in effect.
     pub orders: &'a OrderTable,
-    /// This balancer is partitioned from the fleet or has just been suspended: it decides nothing
-    /// and adopts nothing.
+    /// Whether the step is skipped because this balancer is partitioned from the fleet or has just
+    /// been suspended. It then neither decides nor adopts decisions.
     pub is_passive: bool,
 }
 
@@ -66,19 +67,19 @@
         self.topology.zones.len()
     }
 
-    /// The other zones that have servers in service.
+    /// Returns the positions of the other zones that have servers in service.
     fn other_zones_in_service(&self, zone: usize) -> Vec<usize> {
         let in_service = |other: &usize| *other != zone && self.zone_sizes[*other] > 0.0;
         (0..self.zone_count()).filter(in_service).collect()
     }
 
-    /// Assesses a subject that is, or lies in, a zone.
+    /// Assesses a subject at the position `zone`: the zone itself, or a class or server in it.
     fn assess(
         &self,
         now: Time,
         subject: Subject,
         zone: usize,
-        own: &CallCounts,
+        own_counts: &CallCounts,
         baseline: Baseline,
         needed_log_odds: f64,
     ) -> Assessment {
@@ -86,7 +87,7 @@
             subject,
             home_zone: self.topology.zone_name(zone),
             observer_zone: self.topology.zone_name(self.own_zone),
-            own,
+            own: own_counts,
             baseline,
             needed_log_odds,
             members: self.members,
@@ -95,49 +96,50 @@
     }
 }
 
-/// The phase or the epoch of a domain has changed.
+/// A change of a domain's phase or epoch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateChange {
-    /// The domain.
+    /// The domain whose state has changed.
     pub subject: Subject,
-    /// Its new state.
+    /// The new state of the domain.
     pub state: DomainState,
-    /// The reporters that the change rests on.
+    /// The number of reporters behind the change; for an adopted decision, the members that have
+    /// published one.
     pub reporters: Reporters,
 }
 
-/// The states of all domains, as this balancer has decided.
+/// The states of all domains as decided by this balancer.
 #[derive(Clone, Debug, Default)]
 pub struct EvacuationEngine {
     states: BTreeMap<Subject, DomainState>,
     assessments: BTreeMap<Subject, Assessment>,
     changes: Vec<StateChange>,
-    /// The orders to restore a domain that were applied and hold still, by domain.
+    /// The orders to restore a domain that are in effect and were already applied, by domain.
     applied_orders: BTreeMap<Subject, Order>,
 }
 
 impl EvacuationEngine {
-    /// The state of a domain.
+    /// Returns the state of a domain; the default state (in full use) for a domain without one.
     pub fn state(&self, subject: &Subject) -> DomainState {
         self.states.get(subject).copied().unwrap_or_default()
     }
 
-    /// The newest assessment of a domain, if there is one.
+    /// Returns the newest assessment of a domain, if it has been assessed.
     pub fn assessment(&self, subject: &Subject) -> Option<&Assessment> {
         self.assessments.get(subject)
     }
 
-    /// The states of all domains that there ever was evidence on.
+    /// Iterates over the stored states, by domain. All other domains are in the default state.
     pub fn states(&self) -> impl Iterator<Item = (&Subject, &DomainState)> {
         self.states.iter()
     }
 
-    /// Takes the changes since the last call.
+    /// Returns the state changes since the last call and forgets them.
     pub fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Runs all rules once.
+    /// Runs all rules once. Does nothing if the input says that the balancer is passive.
     pub fn step(&mut self, now: Time, input: &EngineInput<'_>) {
         if input.is_passive {
             return;
@@ -151,8 +153,8 @@
         self.remove_old_states(now, input);
     }
 
-    /// The decisions to publish: of all domains that have ever changed, those not in full use
-    /// first, then the newest.
+    /// Returns the decisions to publish, one for each domain whose epoch has been raised. Domains
+    /// that are not in full use come first, then the newest changes.
     pub fn domain_decisions(&self) -> Vec<DomainDecision> {
         let mut changed: Vec<(&Subject, &DomainState)> = self
             .states
@@ -168,7 +170,7 @@
             .collect()
     }
 
-    /// Whether a domain gets its full share of new work.
+    /// Returns whether a domain gets its full share of new work.
     fn is_in_full_use(&self, subject: &Subject) -> bool {
         self.state(subject).share >= 1.0
     }
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Advances the state of a domain by an assessment.
+    /// Stores a domain's newest assessment and advances the domain's state with it.
     fn advance(
         &mut self,
         now: Time,
@@ -198,8 +200,9 @@
         self.set_state(subject, state, assessment.reporters);
     }
 
-    /// Begins to restore the domains that operators have ordered to: at once when the order is new,
-    /// and after ever longer times where a domain is evacuated again while the order holds.
+    /// Begins to restore the domains that operators have ordered to be restored. A new order takes
+    /// effect at once. A domain that is evacuated again while the order is in effect is restored
+    /// again after a time that grows with its relapses.
     fn apply_restore_orders(&mut self, now: Time, input: &EngineInput<'_>) {
         let order_for = |subject: &Subject| {
             let order = input.orders.get(&input.topology.order_subject(subject));
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Removes the states of servers that are as if there had never been any evidence.
+    /// Removes old states of servers in full use that have no evidence against them.
     fn remove_old_states(&mut self, now: Time, input: &EngineInput<'_>) {
         self.states.retain(|subject, state| {
             let is_old = now >= state.phase_since.saturating_add(SERVER_STATE_TIMEOUT_NS);
--- a/crates/evacuation/src/engine/regions.rs
+++ b/crates/evacuation/src/engine/regions.rs
@@ -1,13 +1,14 @@
-//! Regions most of which is evacuated.
+//! The rule for regions most of which is evacuated.
 
 use super::{EngineInput, EvacuationEngine};
 use std::collections::BTreeMap;
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{Reporters, Subject};
 
-/// The fraction of a region's size that must be in use for the region to be.
+/// A region stays in use only if more than this fraction of its size is in use.
 const MIN_IN_USE_FRACTION: f64 = 0.5;
 
+/// The sizes of a region's servers in service, summed over its zones.
 #[derive(Clone, Copy, Default)]
 struct RegionSize {
     total: f64,
@@ -21,8 +22,8 @@
 }
 
 impl EvacuationEngine {
-    /// Evacuates a region most of which is evacuated, where there is a sound one: in one step, and
-    /// not zone by zone.
+    /// Evacuates the rest of a region in one step, rather than zone by zone, if most of the region
+    /// is evacuated and another region is sound. Takes the region back into use in the same way.
     pub(super) fn step_regions(&mut self, now: Time, input: &EngineInput<'_>) {
         let sizes = self.region_sizes(input);
         let has_sound_other = |region: &Subject| {
--- a/crates/evacuation/src/engine/servers.rs
+++ b/crates/evacuation/src/engine/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that fail, where their zone as a whole does not.
+//! The rule for servers that fail while their zone as a whole does not.
 
 use super::alternatives::BETTER_FRACTION;
 use super::{EngineInput, EvacuationEngine};
@@ -9,30 +9,34 @@
     Symptom,
 };
 
-/// The fraction of a zone's size that may be evacuated server by server; beyond that it is the zone
-/// that fails.
+/// The maximum fraction of a zone's size that may be evacuated server by server. If more than that
+/// fails, the zone as a whole is failing.
 const MAX_EVACUATED_FRACTION: f64 = 1.0 / 3.0;
-/// The own failed or slow calls of a server from which on it is assessed.
+/// A server is assessed if the decayed count of this balancer's own failed or slow calls to it is
+/// at least this.
 const MIN_OWN_EVIDENCE: f64 = 0.5;
 
 /// A server to be assessed.
 struct Candidate {
     subject: Subject,
     zone: usize,
-    own: CallCounts,
+    own_counts: CallCounts,
     size: f64,
 }
 
-/// The servers of the zones in full use.
+/// The servers in service of the zones in full use.
 struct ServersInUse {
     subjects: Vec<Subject>,
-    /// Those with any evidence against them, in an order that is the same at all members.
+    /// The servers to be assessed because of evidence against them or a stored state, sorted by
+    /// subject so that all members use the same order.
     candidates: Vec<Candidate>,
-    /// How much of each zone's size is evacuated server by server.
+    /// The size that is evacuated server by server, by position of the zone.
     evacuated_sizes: Vec<f64>,
 }
 
 impl EvacuationEngine {
+    /// Advances the states of the servers in zones in full use, up to the limit of each zone, and
+    /// removes the states and assessments of all other servers.
     pub(super) fn step_servers(&mut self, now: Time, input: &EngineInput<'_>) {
         let ServersInUse {
             mut subjects,
@@ -54,8 +58,8 @@
         self.assessments.retain(|subject, _| is_known(subject));
     }
 
-    /// The servers of a zone that is not in full use are no better or worse than the rest of it,
-    /// and are left out.
+    /// Collects the servers in service of the zones in full use. The servers of other zones are left
+    /// out, because they are no better or worse than the rest of their zone.
     fn servers_in_use(&self, now: Time, input: &EngineInput<'_>) -> ServersInUse {
         let mut evacuated_sizes = vec![0.0; input.zone_count()];
         let (mut subjects, mut candidates) = (Vec::new(), Vec::new());
@@ -69,8 +73,8 @@
             let Some(size) = input.server_sizes.get(&server).copied() else {
                 continue;
             };
-            let of_zone = input.topology.zones.get(zone);
-            if !of_zone.is_some_and(|zone| self.is_in_full_use(&zone.subject)) {
+            let server_zone = input.topology.zones.get(zone);
+            if !server_zone.is_some_and(|zone| self.is_in_full_use(&zone.subject)) {
                 continue;
             }
             subjects.push(subject);
@@ -85,13 +89,13 @@
                 candidates.push(Candidate {
                     subject,
                     zone,
-                    own: counts,
+                    own_counts: counts,
                     size,
                 });
             }
         }
-        // The same order at all members, so that they evacuate the same servers where not all may
-        // be.
+        // All members must use the same order, so that they evacuate the same servers if the limit
+        // does not allow them to evacuate all.
         candidates.sort_by_key(|candidate| candidate.subject);
         ServersInUse {
             subjects,
@@ -110,7 +114,7 @@
         let Candidate {
             subject,
             zone,
-            own,
+            own_counts,
             size,
         } = candidate;
         let zone_subject = input.topology.zones[*zone].subject;
@@ -122,7 +126,7 @@
             now,
             *subject,
             *zone,
-            own,
+            own_counts,
             baseline,
             SERVER_UNHEALTHY_LOG_ODDS,
         );
@@ -137,6 +141,7 @@
     }
 }
 
+/// Returns whether the zone's mean rate of the assessed symptom is clearly below the server's.
 fn is_baseline_better(baseline: &Baseline, assessment: &Assessment) -> bool {
     match assessment.symptom {
         Symptom::Failing => {
