--- a/crates/evacuation/src/coordinator/mod.rs
+++ b/crates/evacuation/src/coordinator/mod.rs
@@ -1,10 +1,10 @@
-//! The coordinator: connects a member of the fleet, the health reports, the engine and the decision
-//! module.
+//! The coordinator. It connects a member of the fleet, the health reports, the engine and the
+//! decision module.
 //!
-//! Each [`Coordinator::step`] receives what the other members have published, runs the engine,
-//! publishes what others may not know, and returns the verdicts for the decision module. The parts
-//! are `receive`, `publish` (with `report_selection`), `verdicts`, `contradictions` and
-//! `status_view`.
+//! Each [`Coordinator::step`] receives the records that other members have published (`receive`),
+//! runs the engine, finds members with contradicting reports (`contradictions`), publishes this
+//! balancer's health report, decisions and orders (`publish`, `report_selection`), and returns log
+//! lines (`status_view`) and verdicts for the decision module (`verdicts`).
 
 mod contradictions;
 mod publish;
@@ -15,8 +15,8 @@
 
 use self::contradictions::Contradictions;
 use self::publish::Published;
-use self::receive::{FactKey, FactStamp};
-use self::verdicts::GivenVerdict;
+use self::receive::{RecordKey, RecordVersion};
+use self::verdicts::IssuedVerdict;
 use crate::engine::{EngineInput, EvacuationEngine, MemberDecisions};
 use crate::order::{Order, OrderAction, OrderTable, SubmitError};
 use crate::topology::Topology;
@@ -28,12 +28,12 @@
 };
 use woadstall_membership::{Name, Node};
 
-/// What a coordinator starts with.
+/// The settings of a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorSettings {
-    /// Zones, regions and classes.
+    /// The zones, regions and classes of the deployment.
     pub topology: Topology,
-    /// The position of this balancer's zone.
+    /// The position of this balancer's zone in the topology.
     pub zone: usize,
 }
 
@@ -47,30 +47,32 @@
     }
 }
 
-/// The result of a step.
+/// The result of a step of the coordinator.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CoordinatorOutput {
-    /// The verdicts for the decision module.
+    /// The new and renewed verdicts for the decision module, sorted by domain.
     pub verdicts: Vec<HealthVerdict>,
-    /// The log lines, one for each change.
+    /// The log lines for operators: one for each logged change of a domain, each order received from
+    /// another member and each member found to contradict the others.
     pub lines: Vec<LogLine>,
 }
 
-/// A server as it is listed.
+/// A server in the balancer's list of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedServer<'a> {
-    /// Its id.
+    /// The server's id in the decision module.
     pub server: ServerId,
-    /// Its name.
+    /// The server's name, which is the same at all balancers.
     pub name: &'a str,
-    /// When its process started, in Unix milliseconds.
+    /// The time at which the server's process started, in Unix milliseconds.
     pub boot_ms: u64,
-    /// The position of its zone.
+    /// The position of the server's zone in the topology.
     pub zone: usize,
-    /// Its size, if it is in service.
+    /// The server's size relative to other servers; `None` if the server is not in service.
     pub size: Option<f64>,
 }
 
+/// A listed server of a known zone.
 #[derive(Clone, Debug)]
 struct Server {
     name: String,
@@ -79,7 +81,7 @@
     is_in_service: bool,
 }
 
-/// Coordinates the evacuations of one balancer with those of the fleet.
+/// Coordinates one balancer's evacuation decisions with the rest of the fleet.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     settings: CoordinatorSettings,
@@ -90,25 +92,25 @@
     servers: BTreeMap<ServerId, Server>,
     /// The sizes of the servers in service.
     server_sizes: BTreeMap<ServerId, f64>,
-    /// Their sums, by zone.
+    /// The sum of the sizes of the servers in service, by position of the zone.
     zone_sizes: Vec<f64>,
-    /// The stamps of the facts that were received, by owner and key.
-    received: BTreeMap<(Name, FactKey), FactStamp>,
+    /// The version of the newest record received for each owner and key.
+    received: BTreeMap<(Name, RecordKey), RecordVersion>,
     member_decisions: BTreeMap<String, MemberDecisions>,
     published: Published,
-    /// The verdicts that hold at the decision module.
-    given: BTreeMap<FailureDomain, GivenVerdict>,
+    /// The newest verdict returned for each domain with a reduced share.
+    reduced_verdicts: BTreeMap<FailureDomain, IssuedVerdict>,
     contradictions: Contradictions,
-    /// Log lines of what was received since the last step.
+    /// Log lines about received records that the next step returns.
     pending_lines: Vec<LogLine>,
-    /// Health reports that could not be decoded.
+    /// The number of received health reports that could not be decoded.
     malformed_reports: u64,
-    /// All recent calls of this balancer.
+    /// The decayed count of this balancer's recent calls to all servers.
     calls: CallCounts,
 }
 
 impl Coordinator {
-    /// A coordinator without servers, calls and reports.
+    /// Creates a coordinator without servers, calls and reports.
     pub fn new(settings: CoordinatorSettings) -> Self {
         let Topology { zones, classes } = &settings.topology;
         let zone_subjects = zones
@@ -125,7 +127,7 @@
             received: BTreeMap::new(),
             member_decisions: BTreeMap::new(),
             published: Published::default(),
-            given: BTreeMap::new(),
+            reduced_verdicts: BTreeMap::new(),
             contradictions: Contradictions::default(),
             pending_lines: Vec::new(),
             malformed_reports: 0,
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Replaces the list of servers. Those of unknown zones are ignored.
+    /// Replaces the list of servers. Servers of unknown zones are ignored.
     pub fn set_servers<'a>(&mut self, listed: impl Iterator<Item = ListedServer<'a>>) {
         self.servers.clear();
         self.server_sizes.clear();
@@ -170,44 +172,45 @@
         let servers = &self.servers;
         self.stats
             .retain_servers(|server| servers.contains_key(&server));
-        self.given.retain(|domain, _| match domain {
+        self.reduced_verdicts.retain(|domain, _| match domain {
             FailureDomain::Server(server) => servers.contains_key(server),
             FailureDomain::Zone(..) => true,
         });
     }
 
-    /// The position of a listed server's zone.
+    /// Returns the position of a listed server's zone.
     pub fn zone_of(&self, server: ServerId) -> Option<usize> {
         self.servers.get(&server).map(|server| server.zone)
     }
 
-    /// Records an attempt of this balancer that has ended.
+    /// Records the outcome of a completed attempt of this balancer.
     pub fn record_completed(&mut self, now: Time, completed: &CompletedAttempt) {
         self.calls.add(now, false, false);
         self.stats.record_completed(now, completed);
     }
 
-    /// Records all pending attempts of this balancer.
+    /// Records the pending attempts of this balancer. `pending` must contain all of them.
     pub fn record_pending(&mut self, now: Time, pending: impl Iterator<Item = PendingAttempt>) {
         self.stats.record_pending(now, pending);
     }
 
-    /// Takes an operator's order that was given to this balancer.
+    /// Adds an operator's order and publishes it with the next step.
     ///
     /// # Errors
     ///
-    /// Returns an error if the order does not hold, see [`OrderTable::submit`].
+    /// Returns an error if the order is rejected, see [`OrderTable::submit`].
     pub fn submit_order(&mut self, now_ms: u64, order: Order) -> Result<(), SubmitError> {
         self.orders.submit(now_ms, order)?;
-        self.published.are_orders_stale = true;
+        self.published.is_order_update_pending = true;
         Ok(())
     }
 
-    /// Receives, decides and publishes. `now` is on the node's clock, as in
-    /// [`Self::record_completed`]; `now_ms` is Unix time.
+    /// Receives the records of other members, decides, and publishes this balancer's records. `now`
+    /// is on the node's clock, in nanoseconds, as in [`Self::record_completed`]; `now_ms` is Unix
+    /// time in milliseconds. An isolated balancer returns no verdicts.
     pub fn step(&mut self, now: Time, now_ms: u64, node: &mut Node) -> CoordinatorOutput {
         let members = self.receive(now, now_ms, node);
-        self.published.are_orders_stale |= self.orders.remove_expired(now_ms);
+        self.published.is_order_update_pending |= self.orders.remove_expired(now_ms);
         let is_passive = node.confidence(now).is_isolated;
         let input = EngineInput {
             topology: &self.settings.topology,
@@ -233,14 +236,14 @@
         CoordinatorOutput { verdicts, lines }
     }
 
-    /// The order that holds for a domain.
+    /// Returns the order in effect for a domain.
     fn order_for(&self, subject: &Subject) -> Option<&Order> {
         self.orders
             .get(&self.settings.topology.order_subject(subject))
     }
 
-    /// The share of its usual new work that a domain gets by orders and by the engine's decision,
-    /// apart from trials.
+    /// Returns the share of its usual new work that a domain gets by orders and by the engine's
+    /// decision, apart from trials.
     fn share(&self, subject: &Subject) -> f64 {
         match self.order_for(subject).map(|order| order.action) {
             Some(OrderAction::Evacuate) => 0.0,
@@ -249,7 +252,8 @@
         }
     }
 
-    /// The subject of an order for a domain, by the domain's name. There are no orders for classes.
+    /// Returns the subject of an order for the domain with this kind and name, if the domain is
+    /// known. There are no orders for classes.
     pub fn order_subject(&self, kind: SubjectKind, name: &str) -> Option<Subject> {
         let zones = &self.settings.topology.zones;
         match kind {
--- a/crates/evacuation/src/coordinator/publish.rs
+++ b/crates/evacuation/src/coordinator/publish.rs
@@ -1,33 +1,38 @@
-//! Publishing what other members may not know.
+//! Publication of this balancer's health report, decisions and orders to the other members.
 
 use super::Coordinator;
-use super::receive::FactKey;
+use super::receive::RecordKey;
 use crate::domain_decision::DomainDecision;
 use std::collections::BTreeMap;
 use woadstall_decisions::api::Time;
 use woadstall_health_reports::{HealthReport, ReportEntry, Subject, SubjectKind, max_faulty};
 use woadstall_membership::Node;
 
-/// The priorities of facts: orders, decisions that others still wait for, health reports, all other
-/// decisions.
+/// The priority of the record with operators' orders. Records of a higher priority are spread first.
 const ORDERS_PRIORITY: u8 = 250;
+/// The priority of decisions that members that were absent still wait for.
 const AWAITED_DECISIONS_PRIORITY: u8 = 220;
+/// The priority of health reports.
 const HEALTH_REPORT_PRIORITY: u8 = 200;
+/// The priority of decisions that enough other members have published already.
 const OTHER_DECISIONS_PRIORITY: u8 = 40;
 
-/// What this member has published.
+/// The records that this member has published last.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Published {
     /// The log odds of each subject in the newest health report.
     pub log_odds: BTreeMap<Subject, f64>,
-    /// When that was published.
+    /// The time at which the newest health report was published, in nanoseconds.
     pub reported_at: Time,
+    /// The encoded decisions.
     decisions: Vec<u8>,
-    /// The orders have changed since they were published.
-    pub are_orders_stale: bool,
+    /// Whether the orders have changed since they were published.
+    pub is_order_update_pending: bool,
 }
 
 impl Coordinator {
+    /// Publishes the records that have changed enough. `members` are the numbers of members of each
+    /// zone that can report here.
     pub(super) fn publish(
         &mut self,
         now: Time,
@@ -55,7 +60,7 @@
         if node
             .publish(
                 now,
-                FactKey::HealthReport.name(),
+                RecordKey::HealthReport.name(),
                 HEALTH_REPORT_PRIORITY,
                 bytes,
             )
@@ -82,8 +87,8 @@
         if bytes == self.published.decisions || is_first_and_empty {
             return;
         }
-        // Members that were absent wait for the first few that publish a decision on a zone;
-        // further ones, and those on servers, are for operators.
+        // Members that were absent wait until enough others have published a decision about a zone.
+        // Copies from further members, and decisions about servers, are only for operators.
         let needed = max_faulty(own_zone_members) + 2;
         let is_awaited = decisions.iter().any(|decision| {
             decision.subject.kind != SubjectKind::Server
@@ -97,7 +102,7 @@
         if node
             .publish(
                 now,
-                FactKey::DomainDecisions.name(),
+                RecordKey::DomainDecisions.name(),
                 priority,
                 bytes.clone(),
             )
@@ -107,8 +112,8 @@
         }
     }
 
-    /// How many other members of a zone have published a decision, or a later one on the same
-    /// domain.
+    /// Returns the number of other members of a zone that have published this decision or a later
+    /// one about the same domain.
     fn publishers_of(&self, decision: &DomainDecision, zone: &str) -> usize {
         let is_equal_or_later = |other: &DomainDecision| {
             other.subject == decision.subject && other.epoch >= decision.epoch
@@ -123,12 +128,12 @@
     }
 
     fn publish_orders(&mut self, now: Time, node: &mut Node) {
-        if !self.published.are_orders_stale {
+        if !self.published.is_order_update_pending {
             return;
         }
         let bytes = self.orders.encode(node.max_record_bytes());
-        self.published.are_orders_stale = node
-            .publish(now, FactKey::Orders.name(), ORDERS_PRIORITY, bytes)
+        self.published.is_order_update_pending = node
+            .publish(now, RecordKey::Orders.name(), ORDERS_PRIORITY, bytes)
             .is_err();
     }
 }
--- a/crates/evacuation/src/coordinator/receive.rs
+++ b/crates/evacuation/src/coordinator/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving the facts that other members have published.
+//! Reception of the records that other members have published.
 
 use super::{Coordinator, LogLine};
 use crate::domain_decision::DomainDecision;
@@ -8,15 +8,15 @@
 use woadstall_decisions::api::Time;
 use woadstall_membership::{Name, Node, Record, Verdict as MemberState};
 
-/// The keys of the facts that coordinators publish.
+/// The kinds of records that coordinators publish, with their keys in the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum FactKey {
+pub(super) enum RecordKey {
     HealthReport,
     DomainDecisions,
     Orders,
 }
 
-impl FactKey {
+impl RecordKey {
     fn from_name(name: &str) -> Option<Self> {
         [Self::HealthReport, Self::DomainDecisions, Self::Orders]
             .into_iter()
@@ -32,21 +32,22 @@
     }
 
     pub fn name(self) -> Name {
-        Name::new(self.as_str()).unwrap_or_else(|_| unreachable!("fact keys are valid names"))
+        Name::new(self.as_str()).unwrap_or_else(|_| unreachable!("record keys are valid names"))
     }
 }
 
-/// Which version of a fact was received.
+/// The version of a received record. Any difference means that the record is new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct FactStamp {
-    /// The owner's incarnation.
-    incarnation: u64,
-    counter: u64,
+pub(super) struct RecordVersion {
+    /// The id of the generation of the owner's process.
+    generation_id: u64,
+    version: u64,
 }
 
 impl Coordinator {
-    /// Receives the facts that are new. Returns the number of members of each zone that can report
-    /// here.
+    /// Receives the records that are new, and removes the data of members that are not present any
+    /// more. Returns the number of members of each zone that can report to this balancer, including
+    /// itself.
     pub(super) fn receive(
         &mut self,
         now: Time,
@@ -63,7 +64,8 @@
                 continue;
             }
             zones.insert(&member.metadata.name, &member.metadata.zone);
-            // A member that cannot be heard cannot report here.
+            // Members that this balancer cannot hear do not count, since their reports do not
+            // arrive.
             if matches!(
                 member.verdict,
                 MemberState::Alive | MemberState::Partitioned { .. }
@@ -77,32 +79,35 @@
             let Some(zone) = zones.get(owner) else {
                 continue;
             };
-            let Some(key) = FactKey::from_name(name.as_str()) else {
+            let Some(key) = RecordKey::from_name(name.as_str()) else {
                 continue;
             };
-            let stamp = FactStamp {
-                incarnation: record.generation.id,
-                counter: record.version,
+            let version = RecordVersion {
+                generation_id: record.generation.id,
+                version: record.version,
             };
-            if self.received.insert((owner.clone(), key), stamp) != Some(stamp) {
-                self.receive_fact(now_ms, owner, zone, key, record);
+            if self.received.insert((owner.clone(), key), version) != Some(version) {
+                self.receive_record(now_ms, owner, zone, key, record);
             }
         }
         self.remove_absent_members(&zones);
         members
     }
 
-    /// Facts that cannot be decoded are ignored: they are nobody's evidence.
-    fn receive_fact(
+    /// Stores the content of a new record. A health report that cannot be decoded is counted and
+    /// otherwise ignored, so that it is no evidence for or against any domain. Decisions that cannot
+    /// be decoded replace the member's earlier decisions by an empty list. Orders that cannot be
+    /// decoded are ignored.
+    fn receive_record(
         &mut self,
         now_ms: u64,
         owner: &Name,
         zone: &Name,
-        key: FactKey,
+        key: RecordKey,
         record: &Record,
     ) {
         match key {
-            FactKey::HealthReport => {
+            RecordKey::HealthReport => {
                 let result = self.reports.insert(
                     owner.as_str(),
                     zone.as_str(),
@@ -111,7 +116,7 @@
                 );
                 self.malformed_reports += u64::from(result.is_err());
             }
-            FactKey::DomainDecisions => {
+            RecordKey::DomainDecisions => {
                 let decisions = DomainDecision::decode(&record.value).unwrap_or_default();
                 let member = MemberDecisions {
                     zone: zone.as_str().to_owned(),
@@ -120,7 +125,7 @@
                 self.member_decisions
                     .insert(owner.as_str().to_owned(), member);
             }
-            FactKey::Orders => {
+            RecordKey::Orders => {
                 for order in OrderTable::decode(&record.value).unwrap_or_default() {
                     if self.submit_order(now_ms, order).is_ok() {
                         self.pending_lines
@@ -131,6 +136,9 @@
         }
     }
 
+    /// Removes the reports, decisions and contradictions of members that are not present any more.
+    /// `zones` are the zones of the present members. Record versions are cleaned up only after they
+    /// outnumber the members several times.
     fn remove_absent_members(&mut self, zones: &BTreeMap<&Name, &Name>) {
         if self.received.len() > 4 * zones.len() + 16 {
             self.received
--- a/crates/evacuation/src/coordinator/report_selection.rs
+++ b/crates/evacuation/src/coordinator/report_selection.rs
@@ -1,5 +1,5 @@
-//! Which counts are worth a health report: what speaks against a domain, and what others need to
-//! compare it with.
+//! Selection of the counts for a health report: evidence against a domain, and counts that other
+//! members need for a comparison.
 
 use super::Coordinator;
 use std::collections::BTreeSet;
@@ -8,30 +8,34 @@
     CallCounts, EvidenceThreshold, Subject, SubjectKind, SubjectStats, Symptom, UNHEALTHY_LOG_ODDS,
 };
 
-/// The least time between two health reports, in nanoseconds.
+/// The minimum time between two health reports, in nanoseconds.
 const REPORT_INTERVAL_NS: Time = 200_000_000;
-/// The time after which counts that have hardly changed are reported again, in nanoseconds.
+/// The time after which significant counts are reported again even if they have hardly changed, in
+/// nanoseconds.
 const REPEAT_INTERVAL_NS: Time = 2_000_000_000;
-/// The least attempts that are reported.
+/// The minimum decayed number of attempts for a subject to be reported.
 const MIN_ATTEMPTS: f64 = 0.25;
-/// The least attempts of a class that is reported to complete the report on its zone.
+/// The minimum decayed number of attempts for a class to be reported along with its suspect zone.
 const MIN_CLASS_ATTEMPTS: f64 = 1.0;
-/// The log odds from which on a subject is reported: one failure, or two slow answers.
+/// A subject is reported if its log odds of being unhealthy are at least this. One failure or two
+/// slow responses are enough.
 const MIN_LOG_ODDS: f64 = 3.0;
-/// The change of log odds that is reported: one more failure.
+/// The change of log odds that triggers a report. One more failure is enough.
 const MIN_CHANGE: f64 = 2.5;
-/// The same for a domain that is not in full use: one success.
+/// The change of log odds that triggers a report on a domain that is not in full use. One success is
+/// enough.
 const MIN_TRIAL_CHANGE: f64 = 0.5;
-/// The strength of the evidence against a domain from which on members that find it healthy report
-/// so.
+/// Members that find a domain healthy report so if the strength of the evidence against the domain
+/// is at least this.
 const DISPUTED_STRENGTH: f64 = 0.2;
-/// The calls known of a domain from which on nobody else needs to report that it is healthy for a
-/// comparison.
+/// If at least this many calls to a domain have been reported, no further member needs to report the
+/// domain as healthy for a comparison with an unhealthy one.
 const COMPARABLE_CALLS: f64 = 10.0;
-/// The strength of the evidence on either side from which on more of it is not needed.
+/// If the strength of the evidence for or against a domain exceeds this, no more evidence for the
+/// same side is needed.
 const DECIDED_STRENGTH: f64 = 1.5;
 
-/// Counts that may be reported.
+/// The counts of a subject that may be reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportCandidate {
     pub subject: Subject,
@@ -62,8 +66,8 @@
 }
 
 impl Coordinator {
-    /// The counts to report now, the most important first; nothing where it is too early or there
-    /// is no news.
+    /// Returns the counts to report now, the most important first; `None` if it is too early for the
+    /// next report or nothing has changed enough.
     pub(super) fn select_report(
         &self,
         now: Time,
@@ -87,7 +91,8 @@
         Some(candidates)
     }
 
-    /// What speaks against a subject, and what speaks for one that is disputed.
+    /// Returns the counts that are evidence against a subject, and recent counts that show a
+    /// disputed subject to be healthy.
     fn relevant_counts(&self, now: Time) -> Vec<ReportCandidate> {
         let stats = self
             .stats
@@ -105,8 +110,8 @@
             .collect()
     }
 
-    /// Where a zone is unhealthy, its servers are left out: they add nothing, and short reports are
-    /// spread sooner.
+    /// Removes the servers of zones with evidence against them. Counts of these servers add nothing
+    /// to the counts of the zone, and short reports spread faster.
     fn remove_servers_of_failing_zones(&self, candidates: &mut Vec<ReportCandidate>) {
         let is_failing = |zone: usize| {
             let subject = self.settings.topology.zones[zone].subject;
@@ -117,15 +122,15 @@
         let failing: Vec<bool> = (0..self.settings.topology.zones.len())
             .map(is_failing)
             .collect();
-        let of_failing = self.servers.values().filter(|server| failing[server.zone]);
-        let redundant: BTreeSet<Subject> = of_failing.map(|server| server.subject).collect();
+        let servers = self.servers.values().filter(|server| failing[server.zone]);
+        let redundant: BTreeSet<Subject> = servers.map(|server| server.subject).collect();
         candidates.retain(|candidate| {
             candidate.subject.kind != SubjectKind::Server || !redundant.contains(&candidate.subject)
         });
     }
 
-    /// Where a zone is suspect, all its classes are reported: the others show whether it fails in
-    /// one class only.
+    /// Adds all classes of suspect zones. The counts of the healthy classes show whether the zone
+    /// fails in a single class only.
     fn add_missing_classes(&self, now: Time, candidates: &mut Vec<ReportCandidate>) {
         for zone in &self.settings.topology.zones {
             let is_suspect = candidates
@@ -147,8 +152,8 @@
         }
     }
 
-    /// Whether any of the counts has changed so much since it was reported that it matters to
-    /// others.
+    /// Returns whether the counts of any candidate have changed enough since the last report to
+    /// matter to other members.
     fn has_update(
         &self,
         now: Time,
@@ -156,7 +161,8 @@
         own_zone_members: usize,
     ) -> bool {
         let threshold = EvidenceThreshold::among(UNHEALTHY_LOG_ODDS, own_zone_members);
-        // Evidence beyond what others count of one reporter is no news.
+        // Other members limit the log odds of each reporter, so changes beyond that limit do not
+        // matter to them.
         let limited =
             |log_odds: f64| log_odds.clamp(-threshold.max_per_reporter, threshold.max_per_reporter);
         let is_repeat_due = now
@@ -178,7 +184,8 @@
         })
     }
 
-    /// Whether all members have enough evidence already, so that no more reporters are needed.
+    /// Returns whether the reported evidence is strong enough already, so that no more reporters
+    /// are needed.
     fn is_decided(&self, candidate: &ReportCandidate) -> bool {
         self.engine
             .assessment(&candidate.subject)
@@ -192,7 +199,7 @@
             })
     }
 
-    /// The change of a subject's log odds that is reported.
+    /// Returns the change of a subject's log odds that triggers a report.
     fn min_change(&self, subject: &Subject) -> f64 {
         if self.engine.state(subject).share < 1.0 {
             MIN_TRIAL_CHANGE
@@ -201,8 +208,10 @@
         }
     }
 
-    /// Whether a domain is disputed: there is more evidence against it than one report, it is not
-    /// in full use, or another domain is, and it is not known yet whether this one is better.
+    /// Returns whether a domain is disputed. A domain is disputed if it is suspect, which means that
+    /// there is more evidence against it than one report or that it is not in full use. It is also
+    /// disputed if its counterpart in another zone is suspect while too few calls have been reported
+    /// to tell whether this domain is better.
     fn is_disputed(&self, now: Time, subject: &Subject) -> bool {
         let is_suspect = |subject: &Subject| {
             let assessment = self.engine.assessment(subject);
@@ -216,7 +225,8 @@
         !is_known && self.peers_of(subject).iter().any(is_suspect)
     }
 
-    /// The subjects of the same kind in all zones.
+    /// Returns the subject's counterparts in all zones, including the subject itself: all zones, or
+    /// the same class at all zones. Servers and regions have none.
     fn peers_of(&self, subject: &Subject) -> Vec<Subject> {
         let zones = self.settings.topology.zones.iter();
         match subject.kind {
@@ -230,8 +240,8 @@
     }
 }
 
-/// Sorts zones before classes before servers; in each, what speaks against a subject first, the
-/// strongest evidence first.
+/// Sorts zones and regions first, then classes, then servers. Within each of these, evidence against
+/// a subject comes before evidence for one, and stronger evidence before weaker evidence.
 fn sort_by_importance(candidates: &mut [ReportCandidate]) {
     let rank = |candidate: &ReportCandidate| match candidate.subject.kind {
         SubjectKind::Zone | SubjectKind::Region => 0,
--- a/crates/evacuation/src/coordinator/status_view.rs
+++ b/crates/evacuation/src/coordinator/status_view.rs
@@ -1,4 +1,4 @@
-//! What operators see: log lines and the status of all domains.
+//! The log lines and the status of all domains that operators see.
 
 use super::{Coordinator, LogLine};
 use crate::domain_state::{DomainState, Phase};
@@ -13,14 +13,15 @@
 const MS_PER_SECOND: f64 = 1e3;
 
 impl Coordinator {
-    /// Takes the log lines of the changes since the last step, and those of what was received.
+    /// Returns the log lines for the state changes since the last step, followed by the pending log
+    /// lines.
     pub(super) fn take_lines(&mut self) -> Vec<LogLine> {
-        let received = std::mem::take(&mut self.pending_lines);
+        let pending_lines = std::mem::take(&mut self.pending_lines);
         let changes = self.engine.take_changes();
         let logged = changes.iter().filter(|change| is_logged(change));
         logged
             .map(|change| self.describe_change(change))
-            .chain(received)
+            .chain(pending_lines)
             .collect()
     }
 
@@ -61,7 +62,8 @@
         name.unwrap_or_else(|| "a place not listed here".to_owned())
     }
 
-    /// What the decision about a domain rests on.
+    /// Describes the basis of the decision about a domain: the order in effect and the observed
+    /// calls.
     fn reason(&self, subject: &Subject) -> String {
         let order = self.order_for(subject).map(|order| order.action.as_str());
         let order = order.map(|action| format!("an operator's word, {action}"));
@@ -69,12 +71,12 @@
             return order.unwrap_or_else(|| "as several others found".to_owned());
         };
         let counts = &assessment.counts;
-        let (rate, what) = match assessment.symptom {
+        let (rate, symptom) = match assessment.symptom {
             Symptom::Failing => (counts.failure_rate().mean, "fail"),
             Symptom::Slow => (counts.degraded_rate().mean, "fail or come late"),
         };
         let observed = format!(
-            "{:.0}% of {:.0} calls {what}",
+            "{:.0}% of {:.0} calls {symptom}",
             100.0 * rate,
             counts.attempts
         );
@@ -84,8 +86,8 @@
         }
     }
 
-    /// The status of all zones and regions, and of the servers and classes that are not in use.
-    /// `now` is on the node's clock, `now_ms` is Unix time.
+    /// Returns the status of all zones and regions, and of the servers and classes that are not in
+    /// use. `now` is on the node's clock, in nanoseconds; `now_ms` is Unix time in milliseconds.
     pub fn status(&self, now: Time, now_ms: u64) -> Status {
         let zones = &self.settings.topology.zones;
         let regions: BTreeSet<Subject> = zones
@@ -149,13 +151,14 @@
         }
     }
 
-    /// The other members of this zone that have published decisions, but not this one on a domain.
+    /// Returns the names of the other members of this balancer's zone that have published decisions,
+    /// but none with the same epoch about this domain.
     fn members_behind(&self, subject: &Subject, state: &DomainState) -> Vec<String> {
         if state.epoch == 0 {
             return Vec::new();
         }
         let own_zone = self.settings.topology.zone_name(self.settings.zone);
-        let has_followed = |member: &MemberDecisions| {
+        let has_same_epoch = |member: &MemberDecisions| {
             let mut decisions = member.decisions.iter();
             decisions.any(|decision| decision.subject == *subject && decision.epoch == state.epoch)
         };
@@ -164,14 +167,15 @@
             .iter()
             .filter(|(_, member)| member.zone == own_zone);
         members
-            .filter(|(_, member)| !has_followed(member))
+            .filter(|(_, member)| !has_same_epoch(member))
             .map(|(name, _)| name.clone())
             .collect()
     }
 }
 
-/// Whether a change is logged: that a server is suspected or not is for the status alone, and a
-/// domain that is in use for the first time is no news.
+/// Returns whether a state change is logged. Servers that become suspected or return to use appear
+/// only in the status. A domain that returns from suspected to in use without ever having been
+/// drained is not logged either.
 fn is_logged(change: &StateChange) -> bool {
     let DomainState { phase, epoch, .. } = change.state;
     let is_server_in_use = change.subject.kind == SubjectKind::Server
--- a/crates/evacuation/src/coordinator/verdicts.rs
+++ b/crates/evacuation/src/coordinator/verdicts.rs
@@ -1,4 +1,5 @@
-//! Verdicts for the decision module: the share of its usual new work that each domain is to get.
+//! Verdicts for the decision module. A verdict is the share of its usual new work that a domain is
+//! to get.
 
 use super::Coordinator;
 use siphasher::sip::SipHasher24;
@@ -8,29 +9,33 @@
 use woadstall_membership::{Name, Node, Verdict as MemberState};
 
 const SECOND_NS: Time = 1_000_000_000;
-/// The validity of a verdict, in nanoseconds: where it is not renewed, the module goes by its own
-/// observations again.
+/// The validity of a verdict, in nanoseconds. After a verdict expires without renewal, the decision
+/// module relies on its own observations again.
 const VALIDITY_NS: Time = 4 * SECOND_NS;
-/// The time after which a verdict is renewed, in nanoseconds.
+/// The time after which a verdict with a reduced share is renewed, in nanoseconds.
 const RENEWAL_NS: Time = SECOND_NS;
-/// The largest share that a domain gets for trials while it is evacuated.
+/// The maximum share that a domain gets for trials. A domain whose share is at least this gets no
+/// additional trials.
 const MAX_TRIAL_SHARE: f64 = 0.25;
-/// How many members of a zone send trials: a fraction of them, and at least a number.
+/// The fraction of a zone's members that send trials to a domain, see [`MIN_TRIAL_MEMBERS`].
 const TRIAL_MEMBERS_FRACTION: f64 = 0.05;
+/// The minimum number of a zone's members that send trials to a domain. A smaller zone sends trials
+/// from all its members.
 const MIN_TRIAL_MEMBERS: usize = 5;
-/// The trial calls a second of all those members together: few are lost at a domain that is still
-/// unhealthy, and some seconds show that it is healthy again.
+/// The rate of trial calls of all trial members of a zone together. It is low enough that few calls
+/// are lost at a domain that is still unhealthy, and high enough that a few seconds show that the
+/// domain is healthy again.
 const TRIALS_PER_SECOND: f64 = 6.0;
 
-/// A verdict that holds at the decision module.
+/// The newest verdict that was returned for a domain.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct GivenVerdict {
+pub(super) struct IssuedVerdict {
     share: f32,
-    at: Time,
+    issued_at: Time,
 }
 
 impl Coordinator {
-    /// The verdicts that are new to the decision module or have to be renewed, sorted by domain.
+    /// Returns the verdicts whose share has changed or that are due for renewal, sorted by domain.
     pub(super) fn new_verdicts(&mut self, now: Time, node: &Node) -> Vec<HealthVerdict> {
         let mut shares = self.zone_shares(now, node);
         shares.extend(self.server_shares(now, node));
@@ -38,10 +43,10 @@
         let mut verdicts = Vec::new();
         for (domain, share) in shares {
             let share = share as f32;
-            let given = self.given.get(&domain).copied();
+            let issued = self.reduced_verdicts.get(&domain).copied();
             let is_renewal_due = share < 1.0
-                && given.is_some_and(|given| now >= given.at.saturating_add(RENEWAL_NS));
-            if given.map_or(1.0, |given| given.share) == share && !is_renewal_due {
+                && issued.is_some_and(|issued| now >= issued.issued_at.saturating_add(RENEWAL_NS));
+            if issued.map_or(1.0, |issued| issued.share) == share && !is_renewal_due {
                 continue;
             }
             verdicts.push(HealthVerdict {
@@ -50,16 +55,23 @@
                 until: now.saturating_add(VALIDITY_NS),
             });
             if share < 1.0 {
-                self.given.insert(domain, GivenVerdict { share, at: now });
+                self.reduced_verdicts.insert(
+                    domain,
+                    IssuedVerdict {
+                        share,
+                        issued_at: now,
+                    },
+                );
             } else {
-                self.given.remove(&domain);
+                self.reduced_verdicts.remove(&domain);
             }
         }
         verdicts
     }
 
-    /// The shares of all zones and of all classes at them. Where no zone, or for a class no zone,
-    /// would be in full use, all get their full share: there is nowhere to move work to.
+    /// Returns the shares of all zones and of all classes at each zone. If no zone is in full use,
+    /// all zones get their full share, since there is no zone to move work to. If a class is not in
+    /// full use at any zone, the class gets its full share at all zones.
     fn zone_shares(&self, now: Time, node: &Node) -> Vec<(FailureDomain, f64)> {
         let zones = &self.settings.topology.zones;
         let share_of_zone = |position: usize| {
@@ -90,7 +102,8 @@
         shares
     }
 
-    /// The shares of the servers in service that do not get their full share, or did not until now.
+    /// Returns the shares of the servers in service that have a reduced share now or in the newest
+    /// verdict.
     fn server_shares(&self, now: Time, node: &Node) -> Vec<(FailureDomain, f64)> {
         let mut shares = Vec::new();
         for (id, server) in self
@@ -100,7 +113,7 @@
         {
             let domain = FailureDomain::Server(*id);
             let share = self.share(&server.subject);
-            if share < 1.0 || self.given.contains_key(&domain) {
+            if share < 1.0 || self.reduced_verdicts.contains_key(&domain) {
                 shares.push((
                     domain,
                     self.share_with_trials(now, node, &server.subject, share),
@@ -110,7 +123,8 @@
         shares
     }
 
-    /// The share of a domain with the trials that this member sends there.
+    /// Returns the share of a domain including the trials that this member sends to it. Domains with
+    /// an order get no trials.
     fn share_with_trials(&self, now: Time, node: &Node, subject: &Subject, share: f64) -> f64 {
         if share >= MAX_TRIAL_SHARE || self.order_for(subject).is_some() {
             return share;
@@ -125,9 +139,9 @@
     }
 }
 
-/// How many members of this zone send trials to a domain, if this member is one of them: those
-/// whose names come first in an order that each domain and epoch has of its own, so that no
-/// agreement is needed.
+/// Returns the number of members of this balancer's zone that send trials to a domain, if this
+/// balancer is one of them. The members are chosen by a hash of name, domain and epoch, so that they
+/// need no agreement.
 fn trial_members(node: &Node, now: Time, subject: &Subject, epoch: u32) -> Option<usize> {
     let rank = |name: &Name| {
         let mut hasher = SipHasher24::new_with_keys(u64::from(epoch), 1);
@@ -135,20 +149,20 @@
         subject.hash(&mut hasher);
         hasher.finish()
     };
-    let me = node.local();
-    let own_rank = rank(&me.name);
-    let (mut members, mut before) = (1, 0);
+    let local = node.local();
+    let own_rank = rank(&local.name);
+    let (mut members, mut lower_ranked) = (1, 0);
     for member in node.observations(now) {
         let is_heard = matches!(
             member.verdict,
             MemberState::Alive | MemberState::Partitioned { .. }
         );
-        if member.metadata.zone == me.zone && is_heard {
+        if member.metadata.zone == local.zone && is_heard {
             members += 1;
-            before += usize::from(rank(&member.metadata.name) < own_rank);
+            lower_ranked += usize::from(rank(&member.metadata.name) < own_rank);
         }
     }
-    let wanted = MIN_TRIAL_MEMBERS.max((members as f64 * TRIAL_MEMBERS_FRACTION) as usize);
-    let trial_members = wanted.min(members);
-    (before < trial_members).then_some(trial_members)
+    let needed = MIN_TRIAL_MEMBERS.max((members as f64 * TRIAL_MEMBERS_FRACTION) as usize);
+    let trial_members = needed.min(members);
+    (lower_ranked < trial_members).then_some(trial_members)
 }
