--- a/crates/health-reports/src/assessment.rs
+++ b/crates/health-reports/src/assessment.rs
@@ -1,4 +1,4 @@
-//! The assessment of a subject from all members' reports, as seen from one zone.
+//! The assessment of a subject from the reports of all members, from the view of one zone.
 
 use crate::baseline::Baseline;
 use crate::call_counts::CallCounts;
@@ -10,65 +10,71 @@
 use std::collections::BTreeMap;
 use woadstall_decisions::api::Time;
 
-/// The time constant of the decay of evidence that a subject is healthy, in nanoseconds.
+/// The time constant with which evidence that a subject is healthy decays after its report, in
+/// nanoseconds.
 const HEALTHY_EVIDENCE_DECAY_NS: f64 = 7e8;
-/// The zones that must agree before the evidence of zones that are neither the subject's nor the
-/// observer's counts.
+/// The minimum number of agreeing zones, other than the subject's and the observer's, for their
+/// evidence to count.
 const MIN_AGREEING_ZONES: usize = 2;
 
-/// Which subject is assessed, and from where.
+/// The subject to assess, the observer and the reference values.
 #[derive(Clone, Copy, Debug)]
 pub struct AssessmentQuery<'a> {
-    /// The subject.
+    /// The subject to assess.
     pub subject: Subject,
-    /// The zone that the subject is, or lies in.
+    /// The zone that the subject is or belongs to.
     pub home_zone: &'a str,
-    /// The zone of the observer.
+    /// The zone of the balancer that makes the assessment (the observer).
     pub observer_zone: &'a str,
-    /// The counts of this balancer's own calls there.
+    /// The counts of the observer's own calls to the subject.
     pub own: &'a CallCounts,
-    /// The usual rates elsewhere.
+    /// The usual rates of failed and slow calls at comparable subjects.
     pub baseline: Baseline,
-    /// The log odds that are enough: [`crate::UNHEALTHY_LOG_ODDS`] or
+    /// The log odds at which the subject counts as unhealthy: [`crate::UNHEALTHY_LOG_ODDS`] or
     /// [`crate::SERVER_UNHEALTHY_LOG_ODDS`].
     pub needed_log_odds: f64,
-    /// The number of members of each zone, this balancer included.
+    /// The number of members of each zone, the observer included.
     pub members: &'a BTreeMap<String, usize>,
 }
 
-/// What the evidence on a subject amounts to.
+/// The result of an assessment of a subject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Assessment {
     /// The symptom with the strongest evidence.
     pub symptom: Symptom,
     /// Whether the subject counts as unhealthy in the observer's zone.
     pub is_unhealthy: bool,
-    /// The strength of the evidence against it; 1 is enough.
+    /// The strength of the evidence that the subject is unhealthy, from 0. It counts as unhealthy
+    /// from 1 on.
     pub strength: f64,
-    /// The strength of the evidence that it is healthy; 1 is enough.
+    /// The strength of the evidence that the subject does not fail, from 0, on the same scale as
+    /// `strength`.
     pub health: f64,
-    /// All counts together.
+    /// The sum of the counts of all members, decayed to the time of the assessment.
     pub counts: CallCounts,
-    /// The reporters on either side.
+    /// The number of reporters against and in favor of the subject.
     pub reporters: Reporters,
-    /// The zones whose reporters speak against it by themselves.
+    /// The number of zones whose reporters alone provide half of the needed evidence against the
+    /// subject.
     pub zones: usize,
 }
 
-/// The weighed reports on a subject, by the zone of the member.
+/// The weighted reports on a subject, by the zone of the reporter.
 type ReportsByZone<'a> = BTreeMap<&'a str, Vec<WeightedReport>>;
 
-/// The evidence of the zones on a subject.
+/// The evidence about a subject, by zone.
 struct ZoneEvidence {
     observer: EvidenceSum,
     home: EvidenceSum,
     others: Vec<EvidenceSum>,
-    needed: f64,
+    needed_log_odds: f64,
+    /// Whether the subject is outside the observer's zone.
     is_remote: bool,
 }
 
 impl ReportTable {
-    /// Assesses a subject.
+    /// Assesses a subject at the time `now` for both symptoms. The subject is unhealthy if it has
+    /// either symptom.
     pub fn assess(&self, now: Time, query: &AssessmentQuery<'_>) -> Assessment {
         let failing = self.assess_symptom(now, query, Symptom::Failing);
         let slow = self.assess_symptom(now, query, Symptom::Slow);
@@ -100,8 +106,8 @@
                 continue;
             }
             counts = counts.merged(&reported);
-            // What was healthy a second ago may hang since: a member that finds it healthy reports
-            // so again.
+            // A subject that was healthy a second ago may have hung since. Members that still find
+            // it healthy report so again.
             let age = now.saturating_sub(report.reported_at) as f64;
             let freshness = (-age / HEALTHY_EVIDENCE_DECAY_NS).exp();
             let log_odds = symptom.log_odds(&reported, baseline);
@@ -121,9 +127,9 @@
 
 impl ZoneEvidence {
     fn collect(query: &AssessmentQuery<'_>, by_zone: &ReportsByZone<'_>, own: f64) -> Self {
-        // Own calls that hang show by themselves, and late: the own evidence that a subject is
-        // healthy weighs no more than any other member's.
-        let of_zone = |zone: &str| {
+        // The observer's own calls show a hang only after a delay. Its own evidence that a subject
+        // is healthy therefore weighs no more than the evidence of any other member.
+        let sum_for_zone = |zone: &str| {
             let others = by_zone.get(zone).cloned().unwrap_or_default();
             let size = query
                 .members
@@ -141,14 +147,14 @@
         };
         let is_other = |zone: &&&str| **zone != query.observer_zone && **zone != query.home_zone;
         Self {
-            observer: of_zone(query.observer_zone),
-            home: of_zone(query.home_zone),
+            observer: sum_for_zone(query.observer_zone),
+            home: sum_for_zone(query.home_zone),
             others: by_zone
                 .keys()
                 .filter(is_other)
-                .map(|zone| of_zone(zone))
+                .map(|zone| sum_for_zone(zone))
                 .collect(),
-            needed: query.needed_log_odds,
+            needed_log_odds: query.needed_log_odds,
             is_remote: query.observer_zone != query.home_zone,
         }
     }
@@ -163,16 +169,17 @@
         let zones = self.all().filter(|sum| self.is_against(sum)).count();
         Assessment {
             symptom,
-            is_unhealthy: unhealthy >= self.needed,
-            strength: (unhealthy / self.needed).max(0.0),
-            health: (healthy / self.needed).max(0.0),
+            is_unhealthy: unhealthy >= self.needed_log_odds,
+            strength: (unhealthy / self.needed_log_odds).max(0.0),
+            health: (healthy / self.needed_log_odds).max(0.0),
             counts,
             reporters: self.reporters(),
             zones,
         }
     }
 
-    /// Each zone's evidence, once.
+    /// Iterates over the evidence of each zone, without repeating the observer's zone if it is also
+    /// the subject's.
     fn all(&self) -> impl Iterator<Item = &EvidenceSum> {
         let home = self.is_remote.then_some(&self.home);
         std::iter::once(&self.observer)
@@ -180,20 +187,25 @@
             .chain(&self.others)
     }
 
-    /// Whether a zone's reporters speak against the subject by themselves.
+    /// Returns whether the reporters of one zone alone provide half of the needed evidence against
+    /// the subject.
     fn is_against(&self, sum: &EvidenceSum) -> bool {
-        sum.unhealthy >= self.needed / 2.0
+        sum.unhealthy >= self.needed_log_odds / 2.0
     }
 
-    /// The evidence of other zones against the subject. The members of its own zone know it best,
-    /// and what the observer's zone has observed itself goes before all: that others cannot reach
-    /// the subject may be their network's fault. A zone that is partitioned from the others still
-    /// serves its own.
+    /// Returns the evidence against the subject from zones other than the observer's.
+    ///
+    /// The evidence of the observer's zone that the subject is healthy takes precedence, because
+    /// other zones may fail to reach the subject due to their own network. The members of the
+    /// subject's own zone have the best view of it, so their evidence counts on its own. For a
+    /// subject in the observer's zone, other zones do not count at all: a zone that is partitioned
+    /// from the others still serves its own requests.
     fn reported_unhealthy(&self) -> f64 {
-        if !self.is_remote || self.observer.healthy > self.needed / 2.0 {
+        if !self.is_remote || self.observer.healthy > self.needed_log_odds / 2.0 {
             return 0.0;
         }
-        // Two zones that agree independently are more than one that is twice as certain.
+        // Two zones that agree independently are stronger evidence than a single zone with twice the
+        // log odds.
         let agreeing = self
             .others
             .iter()
--- a/crates/health-reports/src/baseline.rs
+++ b/crates/health-reports/src/baseline.rs
@@ -1,13 +1,14 @@
-//! The rates of failed and slow calls that are usual, to compare a subject with.
+//! The usual rates of failed and slow calls, as a reference for the assessment of a subject.
 
 use crate::log_odds::Symptom;
 
-/// The rates that are usual elsewhere, from 0 to 1; 0 where they are not known.
+/// The usual rates of failed and slow calls at comparable subjects, from 0 to 1. Both rates are 0 if
+/// too few calls are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Baseline {
-    /// Of calls that fail.
+    /// The rate of calls that fail.
     pub failure_rate: f64,
-    /// Of calls that fail or are slow.
+    /// The rate of calls that fail or are slow.
     pub degraded_rate: f64,
 }
 
--- a/crates/health-reports/src/call_counts.rs
+++ b/crates/health-reports/src/call_counts.rs
@@ -2,40 +2,41 @@
 
 use woadstall_decisions::api::Time;
 
-/// The time constant of the decay, in nanoseconds: a sender of one call in two seconds still has
-/// its last failure when the next one comes, and what has passed is forgotten soon enough to see
-/// that it has.
+/// The time constant of the decay, in nanoseconds. It is long enough that a sender of one call every
+/// two seconds still counts its last failure when the next call fails, and short enough that the
+/// counts soon show that a fault has ended.
 pub(crate) const DECAY_NS: f64 = 5e9;
 
 const NS_PER_SECOND: f64 = 1e9;
 
-/// Decayed counts of recent calls.
+/// Counts of recent calls that decay exponentially.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CallCounts {
-    /// All calls that have ended, and those that are overdue.
+    /// The number of calls that have ended or are overdue.
     pub attempts: f64,
-    /// Those that failed.
+    /// The number of calls that failed, included in `attempts`.
     pub failed: f64,
-    /// Those that were answered far later than usual.
+    /// The number of calls that took far longer than usual but have not failed, included in
+    /// `attempts`.
     pub slow: f64,
-    /// The time that the counts are decayed to.
+    /// The time that the counts are decayed to, in nanoseconds.
     pub(crate) at: Time,
 }
 
-/// An estimated rate with a bound of two standard deviations on either side. All three are from 0
-/// to 1.
+/// An estimated rate with a lower and an upper bound, two standard deviations away. All three values
+/// are from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateEstimate {
-    /// The lower bound.
+    /// The lower bound, two standard deviations below the mean.
     pub low: f64,
-    /// The mean.
+    /// The mean of the estimate.
     pub mean: f64,
-    /// The upper bound.
+    /// The upper bound, two standard deviations above the mean.
     pub high: f64,
 }
 
 impl RateEstimate {
-    /// The estimate from `hits` in `attempts`: a Beta distribution with Jeffreys' prior.
+    /// Estimates a rate from `hits` in `attempts`, as a Beta distribution with Jeffreys' prior.
     fn new(hits: f64, attempts: f64) -> Self {
         let (a, b) = (hits.max(0.0) + 0.5, (attempts - hits).max(0.0) + 0.5);
         let mean = a / (a + b);
@@ -49,7 +50,7 @@
 }
 
 impl CallCounts {
-    /// Counts as they are at the time `at`.
+    /// Creates counts that are decayed to the time `at`, in nanoseconds.
     pub fn new(attempts: f64, failed: f64, slow: f64, at: Time) -> Self {
         Self {
             attempts,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The counts at a later time.
+    /// Returns the counts decayed to a later time, in nanoseconds. An earlier time changes nothing.
     pub fn decayed_to(&self, now: Time) -> Self {
         let factor = (-(now.saturating_sub(self.at) as f64) / DECAY_NS).exp();
         Self {
@@ -68,10 +69,10 @@
         }
     }
 
-    /// The counts at a later time, where they decay with another time constant, in nanoseconds.
+    /// Returns the counts decayed to a later time with another time constant, in nanoseconds.
     pub(crate) fn decayed_to_with(&self, now: Time, decay_ns: f64) -> Self {
-        let passed = now.saturating_sub(self.at) as f64;
-        let factor = (-passed / decay_ns + passed / DECAY_NS).exp();
+        let elapsed_ns = now.saturating_sub(self.at) as f64;
+        let factor = (-elapsed_ns / decay_ns + elapsed_ns / DECAY_NS).exp();
         self.scaled(factor).decayed_to(now)
     }
 
@@ -90,21 +91,21 @@
         }
     }
 
-    /// Adds a call. A failed call does not count as slow.
+    /// Adds a call that ends at the time `now`. A failed call does not count as slow.
     pub fn add(&mut self, now: Time, failed: bool, slow: bool) {
-        let count = |is: bool| f64::from(u8::from(is));
+        let count = |is_counted: bool| f64::from(u8::from(is_counted));
         *self = self.decayed_to(now);
         self.attempts += 1.0;
         self.failed += count(failed);
         self.slow += count(slow && !failed);
     }
 
-    /// The rate of calls at a time.
+    /// Returns the rate of calls at the time `now`, in calls per second.
     pub fn attempts_per_second(&self, now: Time) -> f64 {
         self.decayed_to(now).attempts * NS_PER_SECOND / DECAY_NS
     }
 
-    /// The sum of both counts, at the later time of the two.
+    /// Returns the sum of both counts, decayed to the later of their times.
     pub fn merged(&self, other: &Self) -> Self {
         let now = self.at.max(other.at);
         let (a, b) = (self.decayed_to(now), other.decayed_to(now));
@@ -116,12 +117,12 @@
         }
     }
 
-    /// The rate of calls that fail.
+    /// Estimates the rate of calls that fail.
     pub fn failure_rate(&self) -> RateEstimate {
         RateEstimate::new(self.failed, self.attempts)
     }
 
-    /// The rate of calls that fail or are slow.
+    /// Estimates the rate of calls that fail or are slow.
     pub fn degraded_rate(&self) -> RateEstimate {
         RateEstimate::new(self.failed + self.slow, self.attempts)
     }
--- a/crates/health-reports/src/call_stats.rs
+++ b/crates/health-reports/src/call_stats.rs
@@ -1,4 +1,4 @@
-//! What this balancer's own calls came to, by server, by zone, and by class at a zone.
+//! Counts of the outcomes of this balancer's own calls, by server, by zone, and by class at a zone.
 
 use crate::call_counts::CallCounts;
 use crate::cusum::CusumCounts;
@@ -6,82 +6,84 @@
 use std::collections::BTreeMap;
 use woadstall_decisions::api::{Duration, Outcome, ServerId, Time};
 
-/// An answer that takes this many times the typical response time of its class is slow.
+/// A call counts as slow if it takes more than this many times the typical response time of its
+/// class.
 const SLOW_FACTOR: f64 = 4.0;
-/// A timeout sooner than this many times the typical response time is not the server's fault: the
-/// limit was too short.
+/// A timeout after less than this many times the typical response time is not counted as the
+/// server's failure, because the caller's limit was too short.
 const SHORT_TIMEOUT_FACTOR: f64 = 2.0;
-/// A pending attempt that has taken this many times the typical response time counts as failed
-/// before it times out.
+/// A pending attempt that has taken more than this many times the typical response time counts as
+/// failed before it times out.
 const STUCK_FACTOR: f64 = 6.0;
-/// The gain with which the typical response time follows shorter and longer ones: congestion must
-/// not become typical.
+/// The gain with which shorter response times lower the typical response time.
 const GAIN_DOWN: f64 = 0.05;
+/// The gain with which longer response times raise the typical response time. It is much smaller
+/// than [`GAIN_DOWN`] so that congestion does not become typical.
 const GAIN_UP: f64 = 0.001;
-/// The answers from which on a response time is typical.
+/// The minimum number of responses for the typical response time of a class to be known.
 const MIN_RESPONSES: u32 = 10;
-/// How long an answer shows that a subject works, in nanoseconds: calls that hang since then are
-/// not counted yet.
-const FRESH_NS: Duration = 300_000_000;
+/// How long a response in time counts as a sign that the subject works, in nanoseconds. The time is
+/// short because calls that have hung since then are not counted yet.
+const RECENT_ANSWER_NS: Duration = 300_000_000;
 
-/// An attempt of this balancer.
+/// Identifies an attempt of this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The number of its request.
+    /// The number of the request that the attempt belongs to.
     pub request: u32,
-    /// Its number within the request.
+    /// The number of the attempt within the request.
     pub attempt: u32,
 }
 
 /// An attempt that has not ended yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingAttempt {
-    /// Which attempt.
+    /// The id of the attempt, unique among this balancer's pending attempts.
     pub id: AttemptId,
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// The position of its class.
+    /// The position of the attempt's class in the settings.
     pub class: usize,
-    /// The time since it was sent, in nanoseconds.
+    /// The time since the attempt was sent, in nanoseconds.
     pub age_ns: Duration,
 }
 
 /// An attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompletedAttempt {
-    /// Which attempt.
+    /// The id that the attempt had while it was pending.
     pub id: AttemptId,
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// The position of its class.
+    /// The position of the attempt's class in the settings.
     pub class: usize,
-    /// How it ended.
+    /// The way in which the attempt ended.
     pub outcome: Outcome,
-    /// The time from when it was sent, in nanoseconds.
+    /// The time from sending the attempt to its end, in nanoseconds.
     pub duration_ns: Duration,
 }
 
-/// The counts of a subject.
+/// The counts of this balancer's own calls to a subject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubjectStats {
-    /// The subject.
+    /// The server process, zone or class that the counts are about.
     pub subject: Subject,
-    /// Its counts.
+    /// The counts, decayed to the time of the query.
     pub counts: CallCounts,
-    /// Whether a call was answered in time a moment ago.
+    /// Whether a call was answered in time within the last 300 ms.
     pub is_answered_recently: bool,
 }
 
-/// The counts of a server.
+/// The counts of this balancer's own calls to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerStats {
-    /// The server.
+    /// The server's id in the decision module.
     pub server: ServerId,
-    /// Its process, as a subject.
+    /// The subject that identifies the server's current process.
     pub subject: Subject,
-    /// The position of its zone.
+    /// The position of the server's zone in the settings.
     pub zone: usize,
-    /// Its counts.
+    /// The counts, decayed to the time of the query.
     pub counts: CallCounts,
 }
 
@@ -122,7 +124,7 @@
     }
 }
 
-/// What a pending attempt was counted as.
+/// The result that a pending attempt was counted as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CountedAs {
     Slow,
@@ -134,14 +136,14 @@
 pub struct CallStats {
     zones: Vec<Zone>,
     servers: BTreeMap<ServerId, Server>,
-    /// By class.
+    /// The typical response times, by position of the class.
     response_times: Vec<ResponseTime>,
-    /// Pending attempts that were counted already.
+    /// The pending attempts that were already counted.
     counted: BTreeMap<AttemptId, CountedAs>,
 }
 
 impl CallStats {
-    /// Empty counts for zones, each with the subjects of its `class_count` classes.
+    /// Creates empty counts for zones, each with the subjects of its `class_count` classes.
     pub fn new(zones: impl Iterator<Item = (Subject, Vec<Subject>)>, class_count: usize) -> Self {
         let zone = |(subject, classes): (Subject, Vec<Subject>)| Zone {
             subject,
@@ -159,8 +161,8 @@
         }
     }
 
-    /// Adds or updates a server as it is listed now. The counts of a former process at its address
-    /// are dropped.
+    /// Adds or updates a listed server. The counts are reset if the server has a new process or has
+    /// moved to another zone.
     pub fn upsert_server(&mut self, server: ServerId, name: &str, boot_ms: u64, zone: usize) {
         let subject = Subject::server(name, boot_ms);
         let listed = Server {
@@ -174,12 +176,13 @@
         }
     }
 
-    /// Removes the servers that are not listed any more.
+    /// Removes the servers for which `is_listed` returns false.
     pub fn retain_servers(&mut self, is_listed: impl Fn(ServerId) -> bool) {
         self.servers.retain(|server, _| is_listed(*server));
     }
 
-    /// Counts an attempt that has ended, unless its outcome is no sign of the server's health.
+    /// Counts a completed attempt, unless its outcome says nothing about the server's health. An
+    /// attempt that was counted while it was pending is not counted twice.
     pub fn record_completed(&mut self, now: Time, completed: &CompletedAttempt) {
         let Some(response_time) = self.response_times.get_mut(completed.class) else {
             return;
@@ -201,8 +204,8 @@
         }
     }
 
-    /// Counts pending attempts that hang: as slow, and then as failed, before they time out.
-    /// `pending` are all that there are.
+    /// Counts overdue pending attempts before they time out, first as slow and later as failed.
+    /// `pending` must contain all pending attempts.
     pub fn record_pending(&mut self, now: Time, pending: impl Iterator<Item = PendingAttempt>) {
         let former = std::mem::take(&mut self.counted);
         for attempt in pending {
@@ -238,7 +241,8 @@
         self.for_each_subject(server, class, |counts| counts.slow_to_failed(now));
     }
 
-    /// Updates the counts of all subjects that a call at a server counts for.
+    /// Updates the counts of all subjects of a call to a server: the server, its zone, and the class
+    /// at that zone.
     fn for_each_subject(
         &mut self,
         server: ServerId,
@@ -258,7 +262,8 @@
         }
     }
 
-    /// The counts of all subjects: of zones with their classes, then of servers.
+    /// Iterates over the counts of all subjects: the zones, each followed by its classes, then the
+    /// servers.
     pub fn all(&self, now: Time) -> impl Iterator<Item = SubjectStats> + '_ {
         let zones = self.zones.iter().flat_map(|zone| {
             std::iter::once((zone.subject, zone.counts)).chain(zone.classes.iter().copied())
@@ -272,11 +277,11 @@
             .map(move |(subject, counts)| SubjectStats {
                 subject,
                 counts: counts.counts(now),
-                is_answered_recently: now < counts.answered_at().saturating_add(FRESH_NS),
+                is_answered_recently: now < counts.answered_at().saturating_add(RECENT_ANSWER_NS),
             })
     }
 
-    /// The counts of a zone; none for one that is not known.
+    /// Returns the counts of the zone at a position; zero if the position is out of range.
     pub fn zone(&self, zone: usize, now: Time) -> CallCounts {
         self.zones
             .get(zone)
@@ -284,7 +289,7 @@
             .unwrap_or_default()
     }
 
-    /// The counts of a class at a zone; none for one that is not known.
+    /// Returns the counts of a class at a zone; zero if either position is out of range.
     pub fn class(&self, zone: usize, class: usize, now: Time) -> CallCounts {
         let class = self
             .zones
@@ -295,7 +300,7 @@
             .unwrap_or_default()
     }
 
-    /// The counts of the listed servers, in the order of their numbers.
+    /// Iterates over the counts of the listed servers, in the order of their ids.
     pub fn servers(&self, now: Time) -> impl Iterator<Item = ServerStats> + '_ {
         self.servers
             .iter()
@@ -308,7 +313,7 @@
     }
 }
 
-/// Whether an attempt has failed by its server's fault; nothing for an outcome that is no sign of
+/// Returns whether an attempt has failed due to its server; `None` if the outcome says nothing about
 /// the server's health.
 fn has_failed(outcome: Outcome, took_ns: f64, response_time: &ResponseTime) -> Option<bool> {
     let is_short =
@@ -317,7 +322,8 @@
         Outcome::Ok => Some(false),
         Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => Some(true),
         Outcome::Timeout if !is_short => Some(true),
-        // A full server is loaded, not unhealthy; the rest is the request's or the caller's doing.
+        // A full server is loaded but not unhealthy. The other outcomes are caused by the request or
+        // the caller.
         Outcome::Timeout
         | Outcome::Full
         | Outcome::Declined
--- a/crates/health-reports/src/cusum.rs
+++ b/crates/health-reports/src/cusum.rs
@@ -1,38 +1,40 @@
-//! Change detection on call counts (Page's cumulative sum, 1954): what a subject did before it
-//! degraded says nothing of how it does now.
+//! Change detection on call counts with Page's cumulative sum (CUSUM, 1954). Once a subject has
+//! degraded, its earlier calls are left out, because they say nothing about its present health.
 
 use crate::call_counts::{CallCounts, DECAY_NS};
 use woadstall_decisions::api::Time;
 
-/// The time constant of the decay of counts while nothing has degraded, in nanoseconds: where all
-/// zones begin to fail together, each would look healthy by its past beside the first that is
-/// reported.
+/// The time constant with which the counts of a subject decay while it is not degraded, in
+/// nanoseconds. It is short because of faults in which all zones begin to fail together: by their
+/// past calls, the other zones would look healthy compared with the first one that is reported.
 const HEALTHY_DECAY_NS: f64 = 1.5e9;
 
-/// The log odds that one call adds to a cumulative sum, by the lowest baseline.
+/// The log odds that one call adds to a cumulative sum, calculated for the lowest baseline.
 struct Increments {
     hit: f64,
     miss: f64,
 }
 
-/// For calls that fail, and for calls that fail or are slow.
+/// The increments for calls that fail (hits) and all other calls (misses).
 const FAILING: Increments = Increments {
     hit: 3.2,
     miss: -0.67,
 };
+/// The increments for calls that fail or are slow (hits) and all other calls (misses).
 const DEGRADED: Increments = Increments {
     hit: 2.1,
     miss: -0.63,
 };
-/// The most that a cumulative sum grows to: a subject that was unhealthy for long must not look so
-/// for long afterwards.
+/// The upper limit of a cumulative sum. It ensures that a subject that was unhealthy for long does
+/// not look unhealthy for long after it has recovered.
 const MAX_SUM: f64 = 8.0;
 
-/// Counts of recent calls, restarted where they turn bad.
+/// Counts of recent calls to a subject that restart when the subject degrades.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct CusumCounts {
+    /// All calls, decayed with the time constant of healthy subjects.
     all: CallCounts,
-    /// The calls since the subject degraded.
+    /// The calls since the subject degraded; empty while it is not degraded.
     since_change: CallCounts,
     failing_sum: f64,
     degraded_sum: f64,
@@ -40,7 +42,7 @@
 }
 
 impl CusumCounts {
-    /// Adds a call.
+    /// Adds a call that ends at the time `now`.
     pub fn add(&mut self, now: Time, failed: bool, slow: bool) {
         let decay = (-(now.saturating_sub(self.since_change.at) as f64) / DECAY_NS).exp();
         self.all = self.all.decayed_to_with(now, HEALTHY_DECAY_NS);
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Counts a call that was counted as slow as failed instead.
+    /// Turns a call that was counted as slow into a failed one.
     pub fn slow_to_failed(&mut self, now: Time) {
         self.all = self.all.decayed_to_with(now, HEALTHY_DECAY_NS);
         self.since_change = self.since_change.decayed_to(now);
@@ -71,12 +73,12 @@
         self.failing_sum = (self.failing_sum + FAILING.hit).min(MAX_SUM);
     }
 
-    /// When a call was last answered in time; 0 for never.
+    /// Returns the time at which a call was last answered in time; 0 if none was.
     pub fn answered_at(&self) -> Time {
         self.answered_at
     }
 
-    /// The counts since the subject degraded, if it did; otherwise all recent ones.
+    /// Returns the counts since the subject degraded, or all recent counts if it is not degraded.
     pub fn counts(&self, now: Time) -> CallCounts {
         if self.has_degraded() {
             self.since_change.decayed_to(now)
--- a/crates/health-reports/src/health_report.rs
+++ b/crates/health-reports/src/health_report.rs
@@ -1,5 +1,5 @@
-//! The wire format of a balancer's counts: as many of them as fit into one fact of the membership
-//! protocol.
+//! The wire format of a balancer's health report. It has as many counts as fit into one record of the
+//! membership protocol.
 
 use crate::call_counts::CallCounts;
 use crate::packed_list::{self, PackedListError};
@@ -8,28 +8,30 @@
 use thiserror::Error;
 use woadstall_decisions::api::Time;
 
-/// The version of the format: raised when the meaning of the bytes changes.
+/// The version of the wire format. It is raised when the meaning of the bytes changes.
 const VERSION: u8 = 1;
-/// Counts are written in quarters of a call.
+/// Counts are encoded in quarters of a call.
 const UNITS_PER_CALL: f64 = 4.0;
-/// The largest count that is written.
+/// The largest count that is encoded, in calls. Larger counts are reduced to it.
 const MAX_COUNT: f64 = 1e4;
-/// The most entries that are read: no sound sender writes more.
+/// The maximum number of entries in a report. A sender without faults never exceeds it.
 const MAX_ENTRIES: usize = 64;
 
-/// The counts of one subject. The order of the fields is the wire format.
+/// The counts of one subject in a health report. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportEntry {
-    /// The subject.
+    /// The subject that the counts are about.
     pub subject: Subject,
-    /// In quarters of a call, as the other two.
+    /// The number of attempts, in quarters of a call.
     attempts: u16,
+    /// The number of failed attempts, in quarters of a call.
     failed: u16,
+    /// The number of slow attempts, in quarters of a call.
     slow: u16,
 }
 
 impl ReportEntry {
-    /// An entry with counts as they are at the time of the report.
+    /// Creates an entry from counts that are decayed to the time of the report.
     pub fn new(subject: Subject, counts: &CallCounts) -> Self {
         let units = |count: f64| (count.clamp(0.0, MAX_COUNT) * UNITS_PER_CALL).round() as u16;
         Self {
@@ -40,8 +42,8 @@
         }
     }
 
-    /// The counts of a report that was made at a time. No more calls can have failed than were
-    /// made, whatever the bytes say.
+    /// Returns the counts of a report that was made at the time `at`, in nanoseconds. Contradictory
+    /// entries are corrected: there are never more failed and slow calls than attempts.
     pub fn counts(&self, at: Time) -> CallCounts {
         let calls = |units: u16| f64::from(units) / UNITS_PER_CALL;
         let attempts = calls(self.attempts);
@@ -55,26 +57,26 @@
     }
 }
 
-/// A balancer's report of what it has observed.
+/// A balancer's report on its own recent calls.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthReport {
     /// The counts by subject, the most important first.
     pub entries: Vec<ReportEntry>,
 }
 
-/// Why bytes are no health report.
+/// The reason why bytes cannot be decoded as a health report.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HealthReportError {
-    /// The bytes are no list of entries of this version.
+    /// The bytes are not an encoded list of entries of this version.
     #[error("cannot decode health report")]
     List(#[from] PackedListError),
-    /// There are more entries than any sender writes.
+    /// The report has more entries than a sender without faults encodes.
     #[error("health report has more than {MAX_ENTRIES} entries")]
     TooManyEntries,
 }
 
 impl HealthReport {
-    /// Encodes as many entries as fit into `max_bytes`, in their order.
+    /// Encodes the leading entries that fit into `max_bytes`, in the given order.
     pub fn encode(&self, max_bytes: usize) -> Vec<u8> {
         packed_list::encode(VERSION, self.entries.iter(), max_bytes)
     }
@@ -83,7 +85,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are no report of this version.
+    /// Returns an error if the bytes are empty, of another version, malformed, or a report with too
+    /// many entries.
     pub fn decode(bytes: &[u8]) -> Result<Self, HealthReportError> {
         let entries: Vec<ReportEntry> = packed_list::decode(VERSION, bytes, MAX_ENTRIES + 1)?;
         if entries.len() > MAX_ENTRIES {
--- a/crates/health-reports/src/lib.rs
+++ b/crates/health-reports/src/lib.rs
@@ -1,13 +1,15 @@
-//! Health reports: what balancers observed of servers and zones, counted by each, reported in few
-//! bytes, and assessed together.
+//! Health reports on servers and zones. Each balancer counts the outcomes of its own calls and
+//! reports the counts to the other balancers in a few bytes. Each balancer assesses all reports
+//! together.
 //!
-//! [`CallStats`] counts the outcomes of this balancer's own calls. A [`HealthReport`] carries those
-//! counts to the other balancers. The [`ReportTable`] holds the newest report of each, and its
-//! [`Assessment`] of a [`Subject`] says how strong the evidence against it is, as seen from one
-//! zone, without the weights that a tenth of faulty reporters could have made up.
+//! [`CallStats`] counts the outcomes of this balancer's own calls. A [`HealthReport`] carries these
+//! counts to the other balancers. [`ReportTable`] holds the newest report of each other balancer and
+//! assesses a [`Subject`] from the view of one zone. The [`Assessment`] states the strength of the
+//! evidence against the subject and tolerates that a tenth of the reporters are faulty.
 //!
-//! The crate does no I/O and reads no clock: times are nanoseconds on the caller's clock. It takes
-//! no decisions; the evacuation crate does. The design is in `docs/evacuation.md`.
+//! The crate does no I/O and reads no clock: times are nanoseconds on the caller's clock. It makes
+//! no decisions; those are made by `woadstall-evacuation`. The design is described in
+//! `docs/evacuation.md`.
 
 mod assessment;
 mod baseline;
--- a/crates/health-reports/src/log_odds.rs
+++ b/crates/health-reports/src/log_odds.rs
@@ -1,38 +1,43 @@
-//! How strongly the counts of one reporter speak for a subject being unhealthy, and what remains of
-//! many reporters without the faulty ones.
+//! The log odds, from the counts of one reporter, that a subject is unhealthy, and the sum of the
+//! evidence of many reporters some of whom may be faulty.
 
 use crate::call_counts::CallCounts;
 use std::ops::RangeInclusive;
 
-/// How a subject is unhealthy.
+/// The way in which a subject is unhealthy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Symptom {
     /// Calls fail.
     Failing,
-    /// Answers come far later than usual, or not at all.
+    /// Calls fail or are answered far later than usual.
     Slow,
 }
 
-/// The rate of calls that fail, or are slow, at an unhealthy subject: half of them would drive off
-/// the rest.
+/// The assumed rate of calls that fail, or are slow, at an unhealthy subject. If half of the calls
+/// fail, callers give up on the other half as well.
 const UNHEALTHY_RATE: f64 = 0.5;
-/// The lowest and highest rates that are assumed of a healthy subject: chance alone makes some
-/// calls fail, and where more than the highest is usual, a comparison with what is usual finds
-/// nothing.
+/// The lowest and highest rates of failed calls that are assumed for a healthy subject. Some calls
+/// fail by chance even if the baseline is 0. Without the upper limit, a comparison with a high baseline
+/// would find no unhealthy subject.
 const HEALTHY_FAILURE_RATE: RangeInclusive<f64> = 0.02..=0.25;
+/// The lowest and highest rates of failed or slow calls that are assumed for a healthy subject.
 const HEALTHY_DEGRADED_RATE: RangeInclusive<f64> = 0.06..=0.35;
-/// The log odds at which a subject counts as unhealthy: one false alarm in a million assessments,
-/// ten of them a second, for subjects that fail independently. Faulty reporters are accounted for
-/// by [`max_faulty`].
+/// The log odds at which a zone or class counts as unhealthy. They correspond to one false alarm in
+/// a million assessments, at ten assessments a second, for subjects that fail independently. Faulty
+/// reporters are accounted for by [`max_faulty`].
 pub const UNHEALTHY_LOG_ODDS: f64 = 13.8;
-/// The same for a single server: little is lost where it is avoided without need.
+/// The log odds at which a single server counts as unhealthy. They are lower than for a zone because
+/// avoiding one healthy server costs little.
 pub const SERVER_UNHEALTHY_LOG_ODDS: f64 = 9.2;
-/// The most log odds of one reporter: some failures in a row at one sender may be its own.
+/// The default limit of one reporter's log odds. Several failures in a row at one sender may be the
+/// sender's own fault.
 const MAX_REPORTER_LOG_ODDS: f64 = 4.0;
-/// The fraction of the reporters that may be faulty (lie, or be cut off).
+/// The fraction of the reporters that may be faulty, which means that they send false reports or are
+/// partitioned from the subject.
 const FAULTY_FRACTION: f64 = 0.1;
 
-/// How many of a number of reporters may be faulty: at least one, except where there is only one.
+/// Returns how many of a number of reporters may be faulty: a tenth, rounded up, but none if there
+/// are fewer than two reporters.
 pub fn max_faulty(reporters: usize) -> usize {
     if reporters < 2 {
         0
@@ -41,18 +46,19 @@
     }
 }
 
-/// How much evidence is needed.
+/// The amount of evidence that is needed for a subject to count as unhealthy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvidenceThreshold {
-    /// The log odds that are enough.
+    /// The log odds at which a subject counts as unhealthy.
     pub log_odds: f64,
-    /// The most log odds of one reporter.
+    /// The limit of one reporter's log odds, in both directions.
     pub max_per_reporter: f64,
 }
 
 impl EvidenceThreshold {
-    /// The threshold of `log_odds` among so many possible reporters. The few that remain without
-    /// the faulty ones must be able to reach it, and a third of all have to.
+    /// Creates a threshold of `log_odds` for a number of possible reporters. The limit of one
+    /// reporter's log odds is chosen so that a third of all reporters can reach the threshold. In a
+    /// small group, the few reporters that remain without the faulty ones can then reach it, too.
     pub fn among(log_odds: f64, reporters: usize) -> Self {
         let third = (reporters as f64 / 3.0).max(1.0);
         Self {
@@ -63,8 +69,8 @@
 }
 
 impl Symptom {
-    /// The log odds that counts give for a subject having this symptom, where `baseline` is the
-    /// rate elsewhere.
+    /// Returns the log odds, given the counts of calls to a subject, that the subject has this
+    /// symptom. `baseline` is the usual rate at comparable subjects.
     pub fn log_odds(self, counts: &CallCounts, baseline: f64) -> f64 {
         let (hits, healthy_rates) = match self {
             Self::Failing => (counts.failed, HEALTHY_FAILURE_RATE),
@@ -77,40 +83,43 @@
     }
 }
 
-/// The weight of one reporter's report.
+/// The evidence of one reporter's report about a subject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedReport {
     /// The log odds of the subject being unhealthy.
     pub log_odds: f64,
-    /// How recent it is: 1 for now, falling to 0.
+    /// A weight for the age of the report: 1 for a new report, decaying to 0.
     pub freshness: f64,
 }
 
-/// How many reporters stand on either side.
+/// The number of reporters with evidence against and in favor of a subject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reporters {
-    /// Those whose counts speak against the subject.
+    /// The number of reporters whose counts are evidence that the subject is unhealthy.
     pub against: usize,
-    /// Those whose counts speak for it.
+    /// The number of reporters whose counts are evidence that the subject is healthy.
     pub in_favor: usize,
 }
 
-/// The evidence of many reporters together.
+/// The sum of the evidence of many reporters about a subject.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EvidenceSum {
-    /// The log odds of being unhealthy, without the strongest evidence for it of as many reporters
-    /// as may be faulty.
+    /// The log odds of the subject being unhealthy. The strongest reports against the subject are
+    /// left out, as many as there may be faulty reporters.
     pub unhealthy: f64,
-    /// The log odds of being healthy, likewise.
+    /// The log odds of the subject being healthy. The strongest reports in favor of the subject are
+    /// left out, as many as there may be faulty reporters.
     pub healthy: f64,
-    /// The reporters on either side.
+    /// The number of reporters against and in favor of the subject, including the left out ones.
     pub reporters: Reporters,
 }
 
 impl EvidenceSum {
-    /// The sum of others' reports and the log odds of the own calls, each limited to
-    /// `max_per_reporter`, without the strongest `faulty` reports on either side. Older evidence
-    /// that the subject is healthy counts less against its being unhealthy now.
+    /// Sums the reports of other members and `own`, the log odds of this balancer's own calls.
+    ///
+    /// The log odds of each reporter are limited to `max_per_reporter`. The strongest `faulty`
+    /// reports on either side are left out. In the log odds of being unhealthy, evidence that the
+    /// subject is healthy is weighted by its freshness.
     pub fn new(
         mut others: Vec<WeightedReport>,
         own: f64,
@@ -124,8 +133,8 @@
         others.sort_by(|a, b| a.log_odds.total_cmp(&b.log_odds));
         let against = others.iter().filter(|report| report.log_odds > 0.0).count();
         let in_favor = others.iter().filter(|report| report.log_odds < 0.0).count();
-        // Faulty reporters cannot be told from sound ones: the strongest evidence of each side is
-        // left out, whosever it is.
+        // Faulty reporters cannot be distinguished from sound ones, so the strongest evidence on
+        // each side is left out regardless of who reported it.
         let against_without_faulty = &others[..others.len() - against.min(faulty)];
         let in_favor_without_faulty = &others[in_favor.min(faulty)..];
         let discounted = |report: &WeightedReport| {
--- a/crates/health-reports/src/packed_list.rs
+++ b/crates/health-reports/src/packed_list.rs
@@ -1,35 +1,36 @@
-//! Lists in the few bytes of a fact (a member's published record): a version byte, then as many items
-//! as fit, in postcard's format.
+//! The encoding of lists in the records of the membership protocol, which are limited to few bytes.
+//! An encoded list is a version byte followed by as many items as fit, in postcard's format.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Why bytes are no list.
+/// The reason why bytes cannot be decoded as a list.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PackedListError {
-    /// There are no bytes.
+    /// There are no bytes, so that even the version is missing.
     #[error("list is empty")]
     Empty,
-    /// The version is not known here.
+    /// The version of the list is not the expected one.
     #[error("list of version {found}, expected {expected}")]
     UnknownVersion {
-        /// The version of the bytes.
+        /// The version byte of the list.
         found: u8,
-        /// The version that is known.
+        /// The only version that this program decodes.
         expected: u8,
     },
     /// An item cannot be decoded.
     #[error("item {index} cannot be decoded")]
     Item {
-        /// The position of the item, from 0.
+        /// The position of the item in the list, from 0.
         index: usize,
-        /// Why.
+        /// The error of the postcard decoder.
         source: postcard::Error,
     },
 }
 
-/// Encodes the items that fit into `max_bytes`, in their order.
+/// Encodes the leading items that fit into `max_bytes`, in the given order. The version byte is
+/// always written.
 pub fn encode<T: Serialize>(
     version: u8,
     items: impl Iterator<Item = T>,
@@ -48,11 +49,11 @@
     bytes
 }
 
-/// Decodes the first `max_items` items; bytes after them are ignored.
+/// Decodes the first `max_items` items. Any bytes after these items are ignored.
 ///
 /// # Errors
 ///
-/// Returns an error if the bytes are no list of this version, or if an item is malformed.
+/// Returns an error if the bytes are empty or of another version, or if an item is malformed.
 pub fn decode<T: DeserializeOwned>(
     version: u8,
     bytes: &[u8],
--- a/crates/health-reports/src/report_table.rs
+++ b/crates/health-reports/src/report_table.rs
@@ -7,12 +7,14 @@
 use std::collections::BTreeMap;
 use woadstall_decisions::api::Time;
 
-/// The least decayed attempts, and the least failures among them, that count as evidence.
+/// The minimum decayed number of attempts for a report to count in an assessment. Also the minimum
+/// fraction of failed or slow attempts that counts as evidence against a subject, where fewer than
+/// one attempt counts as one.
 pub(crate) const MIN_EVIDENCE: f64 = 0.1;
-/// The attempts elsewhere from which on a baseline is known.
+/// The minimum number of attempts at comparable subjects for a baseline to be known.
 const MIN_BASELINE_ATTEMPTS: f64 = 5.0;
 
-/// A member's newest report.
+/// The newest report of a member.
 #[derive(Clone, Debug)]
 struct MemberReport {
     zone: String,
@@ -26,25 +28,27 @@
     by_owner: BTreeMap<String, MemberReport>,
 }
 
-/// What one member reported of a subject.
+/// The counts that one member has reported for a subject.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedCounts<'a> {
-    /// The member.
+    /// The name of the member that made the report.
     pub owner: &'a str,
-    /// Its zone.
+    /// The zone of the member that made the report.
     pub zone: &'a str,
     /// When the member made the report, in nanoseconds on the caller's clock.
     pub reported_at: Time,
-    /// The counts as they were then.
+    /// The counts, decayed to the time of the report.
     pub counts: &'a CallCounts,
 }
 
 impl ReportTable {
-    /// Replaces the report of a member of a zone, made at the time `reported_at`.
+    /// Decodes a report that the member `owner` of a zone made at the time `reported_at`. The report
+    /// replaces the member's former one.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are no health report; the member's former report is kept then.
+    /// Returns an error if the bytes are not a health report. The member's former report is then
+    /// kept.
     pub fn insert(
         &mut self,
         owner: &str,
@@ -69,12 +73,13 @@
         Ok(())
     }
 
-    /// Removes the reports of members that are not present any more.
+    /// Removes the reports of members for which `is_present` returns false.
     pub fn retain(&mut self, is_present: impl Fn(&str) -> bool) {
         self.by_owner.retain(|owner, _| is_present(owner));
     }
 
-    /// Whether any member reports failed or slow calls of a subject.
+    /// Returns whether any member reports a significant fraction of failed or slow calls to a
+    /// subject.
     pub fn has_evidence_against(&self, subject: &Subject, now: Time) -> bool {
         self.reports_on(subject).any(|report| {
             let counts = report.counts.decayed_to(now);
@@ -82,7 +87,7 @@
         })
     }
 
-    /// All reports on a subject.
+    /// Iterates over the reports on a subject, by the name of the member.
     pub fn reports_on(&self, subject: &Subject) -> impl Iterator<Item = ReportedCounts<'_>> {
         self.by_owner.iter().filter_map(move |(owner, report)| {
             let counts = report.counts.get(subject)?;
@@ -95,7 +100,8 @@
         })
     }
 
-    /// The sum of all members' counts of a subject.
+    /// Returns the sum of the counts that all other members have reported for a subject, decayed to
+    /// the time `now`.
     pub fn total(&self, now: Time, subject: &Subject) -> CallCounts {
         let add = |total: CallCounts, report: ReportedCounts<'_>| {
             total.merged(&report.counts.decayed_to(now))
@@ -103,7 +109,9 @@
         self.reports_on(subject).fold(CallCounts::default(), add)
     }
 
-    /// The usual rates of some subjects, from all members' counts and the own ones.
+    /// Returns the mean rates over some subjects, from the reports of the other members and from
+    /// this balancer's own counts, which are given with each subject. All rates are 0 if too few
+    /// calls are known.
     pub fn baseline<'a>(
         &self,
         now: Time,
