--- a/crates/request-reports/src/lib.rs
+++ b/crates/request-reports/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reports of requests that were late, rejected, failed or retried: a front writes one log line for
-//! each ([`RequestReport`]), and many of them are summarized as tables ([`Summary`]) and a plot
-//! ([`render_svg`]).
+//! Reports on single requests that were late, rejected, failed or retried. A balancer writes one log
+//! line for each such request ([`RequestReport`]). Many reports are summarized as tables
+//! ([`Summary`]) and as a plot ([`render_svg`]).
 //!
-//! No I/O and no clock.
+//! The crate does no I/O and reads no clock.
 
 mod line;
 mod outcome;
--- a/crates/request-reports/src/line.rs
+++ b/crates/request-reports/src/line.rs
@@ -1,8 +1,8 @@
-//! The log line of a report: `request report cause=... attempts=...`, written by `Display` and
-//! parsed by `FromStr`.
+//! The log line of a report, `request report cause=... attempts=...`. `Display` writes the line and
+//! `FromStr` parses it.
 //!
-//! Attempts are separated by semicolons, their fields by commas, the counts of excluded upstreams
-//! (`reason*count`) by plus signs. `-` stands for what is empty or absent.
+//! Attempts are separated by semicolons, the fields of an attempt by commas, and the counts of
+//! excluded upstreams (`reason*count`) by plus signs. `-` stands for an empty or absent value.
 
 use crate::outcome::Named;
 use crate::report::{AttemptReport, RequestReport};
@@ -11,25 +11,25 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// With this the part of a log line begins that is a report.
+/// The start of the report within a log line.
 pub const LINE_PREFIX: &str = "request report ";
-/// Stands for a value that is empty or absent.
+/// The text written for an empty or absent value.
 const EMPTY: &str = "-";
-/// Characters that separate fields.
+/// The characters that separate fields, other than white space.
 const SEPARATORS: &str = ",;+*=";
 
-/// A line can't be parsed as a report.
+/// The reason why a line cannot be parsed as a report.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ParseReportError {
-    /// A field is missing.
+    /// A field of the report is missing. A line without [`LINE_PREFIX`] has no field `cause`.
     #[error("the field `{0}` is missing")]
     MissingField(&'static str),
-    /// A field has an impossible value.
+    /// The value of a field cannot be parsed.
     #[error("the field `{field}` can't be `{value}`")]
     InvalidValue {
-        /// The field.
+        /// The name of the field in the log line.
         field: &'static str,
-        /// Its value.
+        /// The rejected value; for `attempts`, the rejected part of the list.
         value: String,
     },
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// Writes items with a separator between them, [`EMPTY`] if there is none.
+/// Writes items with a separator between them, or [`EMPTY`] if there are no items.
 fn write_list(
     formatter: &mut fmt::Formatter<'_>,
     separator: &str,
@@ -105,7 +105,8 @@
     Ok(())
 }
 
-/// A name without the characters that separate fields.
+/// Returns a name with all characters that separate fields replaced by `_`. An empty name becomes
+/// [`EMPTY`].
 fn escape(name: &str) -> String {
     if name.is_empty() {
         return EMPTY.to_owned();
@@ -117,7 +118,7 @@
 impl FromStr for RequestReport {
     type Err = ParseReportError;
 
-    /// Parses a line of a log from the prefix on.
+    /// Parses a log line from [`LINE_PREFIX`] on. Text before the prefix is ignored.
     fn from_str(line: &str) -> Result<Self, ParseReportError> {
         let (_, text) = line
             .split_once(LINE_PREFIX)
@@ -148,7 +149,7 @@
     }
 }
 
-/// The `key=value` fields of a line.
+/// The `key=value` fields of a report line, by key.
 struct Fields<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Fields<'a> {
@@ -177,7 +178,7 @@
             upstream,
             zone,
             outcome,
-            began,
+            start_offset,
             duration,
             in_flight,
             prefill,
@@ -191,7 +192,7 @@
             upstream: upstream.to_owned(),
             zone: zone.to_owned(),
             outcome: parse_name(FIELD, outcome)?,
-            start_offset_ms: parse(FIELD, began)?,
+            start_offset_ms: parse(FIELD, start_offset)?,
             duration_ms: parse(FIELD, duration)?,
             in_flight: parse(FIELD, in_flight)?,
             prefill_tokens: parse(FIELD, prefill)?,
@@ -211,6 +212,7 @@
     T::from_name(value).ok_or_else(|| ParseReportError::invalid(field, value))
 }
 
+/// Parses the counts of excluded upstreams by reason, `reason*count+reason*count`.
 fn parse_counts(
     field: &'static str,
     value: &str,
--- a/crates/request-reports/src/outcome.rs
+++ b/crates/request-reports/src/outcome.rs
@@ -1,57 +1,59 @@
-//! Why a request is reported, and how its attempts have ended, with the names that report lines
-//! have for that.
+//! The causes of reports and the outcomes of attempts, with their names in report lines.
 
 use std::fmt;
 
-/// Stands for a value without a name.
+/// The name written for a value that is missing in [`Named::NAMES`].
 const UNNAMED: &str = "-";
 
-/// Why a request is reported.
+/// The reason why a request is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// Answered well, but after its route's target latency, or with too long a gap between events.
+    /// The request was answered without error, but after the target latency of its route or with too
+    /// long a gap between events of the response.
     TargetMissed,
-    /// Answered in time, by a second upstream.
+    /// The request was answered in time, by a second upstream.
     Retried,
-    /// Rejected; it was not executed.
+    /// The request was rejected and not executed.
     Rejected,
-    /// There was no response though it may have been executed, or the response was truncated.
+    /// The response was truncated, or there was no response although the request may have been
+    /// executed.
     Failed,
-    /// Its deadline passed.
+    /// The deadline of the request passed.
     TimedOut,
-    /// Its upstream responded with an error.
+    /// The upstream answered the request with an error.
     ErrorResponse,
-    /// Its client disconnected.
+    /// The client disconnected before the end of the response.
     ClientDisconnected,
 }
 
-/// How an attempt at one upstream has ended.
+/// The outcome of an attempt of a request at one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptOutcome {
-    /// A complete response that is no error.
+    /// The upstream sent a complete response without error.
     Completed,
-    /// The upstream's own error response.
+    /// The upstream sent an error response of its own.
     ErrorResponse,
     /// The upstream rejected the request.
     Rejected,
-    /// Nothing was sent.
+    /// Nothing was sent to the upstream.
     NotSent,
-    /// It was sent, and the connection broke before a response, or the response was invalid.
+    /// The request was sent, but the connection broke before a response, or the response was
+    /// invalid.
     NoResponse,
-    /// The response was truncated.
+    /// The upstream's response was truncated.
     Truncated,
-    /// The deadline passed.
+    /// The deadline of the request passed during the attempt.
     TimedOut,
-    /// The client disconnected first.
+    /// The client disconnected before the attempt ended.
     Cancelled,
 }
 
-/// A value that report lines write by a name.
+/// A value that is written by its name in report lines.
 pub(crate) trait Named: Copy + Eq + 'static {
-    /// The name of each value.
+    /// All values with their names.
     const NAMES: &'static [(Self, &'static str)];
 
-    /// The value's name.
+    /// Returns the name of the value, or [`UNNAMED`] if it is missing in [`Self::NAMES`].
     fn name(self) -> &'static str {
         Self::NAMES
             .iter()
@@ -59,7 +61,7 @@
             .map_or(UNNAMED, |(_, name)| name)
     }
 
-    /// The value with this name.
+    /// Returns the value with this name, if there is one.
     fn from_name(name: &str) -> Option<Self> {
         Self::NAMES
             .iter()
--- a/crates/request-reports/src/plot.rs
+++ b/crates/request-reports/src/plot.rs
@@ -1,4 +1,4 @@
-//! A summary as a plot: the number of reports over time, a line for each cause.
+//! The plot of a summary: the number of reports over time, with a line for each cause.
 
 use crate::outcome::Cause;
 use crate::summary::Summary;
@@ -8,20 +8,20 @@
 use std::ops::Range;
 use thiserror::Error;
 
-/// Width and height in pixels.
+/// Width and height of the plot, in pixels.
 const SIZE: (u32, u32) = (1_000, 420);
 const MARGIN: u32 = 10;
 const X_LABEL_HEIGHT: u32 = 30;
 const Y_LABEL_WIDTH: u32 = 50;
-/// Length of a line in the legend.
+/// Length of a line in the legend, in pixels.
 const LEGEND_LINE: i32 = 16;
-/// A colour for each cause.
+/// The colours of the lines, at least one for each cause.
 const PALETTE: [RGBColor; 7] = [BLUE, GREEN, YELLOW, RED, MAGENTA, BLACK, CYAN];
 
 type Chart<'a, 'b> =
     ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordu64, RangedCoordusize>>;
 
-/// The plot can't be drawn.
+/// The plotting library could not draw a plot.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct PlotError(#[source] Box<dyn Error + Send + Sync>);
@@ -35,11 +35,11 @@
     }
 }
 
-/// A plot of a summary in SVG.
+/// Returns a plot of a summary as an SVG document.
 ///
 /// # Errors
 ///
-/// The plotting library can't draw it.
+/// Returns an error if the plotting library cannot draw the plot.
 pub fn render_svg(summary: &Summary) -> Result<String, PlotError> {
     let mut svg = String::new();
     draw(summary, &mut svg)?;
@@ -94,7 +94,8 @@
     Ok(())
 }
 
-/// The seconds from the first report to the last.
+/// Returns the range of seconds from the first report to the last; only second 0 if there are no
+/// reports.
 fn seconds(summary: &Summary) -> Range<u64> {
     let mut seconds = summary.by_second().keys().copied();
     let first = seconds.next().unwrap_or(0);
@@ -102,7 +103,8 @@
     first..last + 1
 }
 
-/// The highest number of reports with one cause in one second; 1 if there is none.
+/// Returns the highest number of reports with the same cause in one second; 1 if there are no
+/// reports.
 fn max_count(summary: &Summary) -> usize {
     summary
         .by_second()
--- a/crates/request-reports/src/report.rs
+++ b/crates/request-reports/src/report.rs
@@ -1,59 +1,59 @@
-//! What a report says about one request.
+//! The content of a report on one request.
 
 use crate::outcome::{AttemptOutcome, Cause};
 use std::collections::BTreeMap;
 
-/// A request that did not go well, as one balancer saw it. The comments name the field of the log
-/// line.
+/// A report by one balancer on a request that was late, rejected, failed or retried. The comment of
+/// each field begins with the field's name in the log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestReport {
-    /// `cause`: why it is reported.
+    /// `cause`: the reason why the request is reported.
     pub cause: Cause,
-    /// `route`: its route.
+    /// `route`: the name of the request's route.
     pub route: String,
-    /// `service`: its service.
+    /// `service`: the name of the requested service.
     pub service: String,
-    /// `zone`: the balancer's zone.
+    /// `zone`: the zone of the balancer.
     pub balancer_zone: String,
-    /// `priority`: its priority; 0 is the highest.
+    /// `priority`: the priority of the request; 0 is the highest.
     pub priority: u8,
-    /// `total`: from its arrival to its end, in milliseconds.
+    /// `total`: the time from the arrival of the request to its end, in milliseconds.
     pub total_ms: u64,
-    /// `first`: from its arrival to the first data of the response, in milliseconds; `None` if
-    /// there was none.
+    /// `first`: the time from the arrival of the request to the first data of the response, in
+    /// milliseconds; `None` if no data arrived.
     pub first_data_ms: Option<u64>,
-    /// `pause`: the longest gap between data of the response, in milliseconds.
+    /// `pause`: the longest gap between two pieces of data of the response, in milliseconds.
     pub longest_gap_ms: u64,
     /// `target`: the route's target latency, in milliseconds.
     pub target_latency_ms: u64,
-    /// `prompt`: tokens of its prompt.
+    /// `prompt`: the number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// `shared`: tokens of the prompt's shared prefix.
+    /// `shared`: the number of tokens of the prompt's shared prefix.
     pub shared_tokens: u64,
-    /// `attempts`: its attempts in order.
+    /// `attempts`: the attempts of the request, in order; empty if none was made.
     pub attempts: Vec<AttemptReport>,
 }
 
-/// An attempt at one upstream. The log line has the fields in this order.
+/// An attempt of a request at one upstream. The log line has the fields in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptReport {
-    /// The upstream's id.
+    /// The id of the upstream.
     pub upstream: String,
-    /// The upstream's zone.
+    /// The zone of the upstream.
     pub zone: String,
-    /// How the attempt ended.
+    /// The way in which the attempt ended.
     pub outcome: AttemptOutcome,
-    /// From the request's arrival to the beginning of the attempt, in milliseconds.
+    /// The time from the arrival of the request to the start of the attempt, in milliseconds.
     pub start_offset_ms: u64,
-    /// From the beginning of the attempt to its end, in milliseconds.
+    /// The time from the start of the attempt to its end, in milliseconds.
     pub duration_ms: u64,
-    /// This balancer's requests in flight at the upstream when the attempt began.
+    /// The number of this balancer's requests in flight at the upstream when the attempt started.
     pub in_flight: u32,
-    /// Prompt tokens of this balancer's requests that the upstream had to prefill then, this
-    /// request's included.
+    /// The number of prompt tokens of this balancer's requests that the upstream had to prefill when
+    /// the attempt started, including the tokens of this request.
     pub prefill_tokens: u64,
-    /// Upstreams that the request could have been sent to.
+    /// The number of upstreams that the request could have been sent to.
     pub candidates: usize,
-    /// How many of them were excluded, by reason.
+    /// The number of candidates that were excluded, by reason.
     pub excluded: BTreeMap<String, usize>,
 }
--- a/crates/request-reports/src/summary.rs
+++ b/crates/request-reports/src/summary.rs
@@ -1,10 +1,10 @@
-//! Many reports counted by second, route, zone and upstream.
+//! Counts of many reports by second, route, zone, upstream and exclusion.
 
 use crate::outcome::{AttemptOutcome, Cause};
 use crate::report::RequestReport;
 use std::collections::BTreeMap;
 
-/// How many reports have each cause.
+/// A number of reports or exclusions for each cause.
 pub type CauseCounts = BTreeMap<Cause, usize>;
 
 /// Counts of many reports. `Display` writes them as tables.
@@ -14,16 +14,16 @@
     by_second: BTreeMap<u64, CauseCounts>,
     pub(crate) by_route: BTreeMap<String, CauseCounts>,
     pub(crate) by_balancer_zone: BTreeMap<String, CauseCounts>,
-    /// Outcomes of attempts by the zone and id of their upstream.
+    /// The number of attempts with each outcome, by the zone and id of the upstream.
     pub(crate) by_upstream: BTreeMap<(String, String), BTreeMap<AttemptOutcome, usize>>,
-    /// How often upstreams were excluded for a reason, by the cause of the request's report.
+    /// The number of exclusions of upstreams, by reason and by the cause of the request's report.
     pub(crate) by_exclusion: BTreeMap<String, CauseCounts>,
-    /// Latencies of the first data by route, in milliseconds.
+    /// The latencies of the first data, by route, in milliseconds.
     pub(crate) first_data_ms: BTreeMap<String, Vec<u64>>,
 }
 
 impl Summary {
-    /// Adds a report whose line was written in this second of the day.
+    /// Adds a report whose log line was written in the given second of the day.
     pub fn add(&mut self, second: u64, report: &RequestReport) {
         let cause = report.cause;
         self.reports += 1;
@@ -39,23 +39,24 @@
             let upstream = (attempt.zone.clone(), attempt.upstream.clone());
             let outcomes = self.by_upstream.entry(upstream).or_default();
             *outcomes.entry(attempt.outcome).or_default() += 1;
-            for (reason, times) in &attempt.excluded {
-                count(&mut self.by_exclusion, reason.clone(), cause, *times);
+            for (reason, exclusions) in &attempt.excluded {
+                count(&mut self.by_exclusion, reason.clone(), cause, *exclusions);
             }
         }
     }
 
-    /// The number of reports.
+    /// Returns the total number of reports.
     pub fn reports(&self) -> usize {
         self.reports
     }
 
-    /// Reports by second of the day and cause.
+    /// Returns the number of reports by second of the day and by cause. Seconds without reports are
+    /// left out.
     pub fn by_second(&self) -> &BTreeMap<u64, CauseCounts> {
         &self.by_second
     }
 
-    /// The causes that occur, in order.
+    /// Returns the causes that occur, without duplicates, in the order of [`Cause`].
     pub fn causes(&self) -> Vec<Cause> {
         let mut causes: Vec<Cause> = self
             .by_second
@@ -68,6 +69,6 @@
     }
 }
 
-fn count<K: Ord>(counts: &mut BTreeMap<K, CauseCounts>, key: K, cause: Cause, times: usize) {
-    *counts.entry(key).or_default().entry(cause).or_default() += times;
+fn count<K: Ord>(counts: &mut BTreeMap<K, CauseCounts>, key: K, cause: Cause, added: usize) {
+    *counts.entry(key).or_default().entry(cause).or_default() += added;
 }
--- a/crates/request-reports/src/tables.rs
+++ b/crates/request-reports/src/tables.rs
@@ -1,11 +1,11 @@
-//! A summary as tables of text.
+//! The text tables of a summary.
 
 use crate::outcome::{AttemptOutcome, Cause};
 use crate::summary::{CauseCounts, Summary};
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-/// Upstreams at most in the table of failed attempts.
+/// The maximum number of upstreams in the table of failed attempts.
 const MAX_UPSTREAMS: usize = 20;
 
 impl Display for Summary {
@@ -26,7 +26,7 @@
     }
 }
 
-/// A table with a row for each key and a column for each cause.
+/// Writes a table with a row for each key and a column for each cause.
 fn write_causes<K: Display>(
     formatter: &mut Formatter<'_>,
     title: &str,
@@ -49,7 +49,8 @@
     Ok(())
 }
 
-/// Percentiles of the latency of the first data, by route.
+/// Writes a table of the median, the 90th percentile and the maximum of the latency of the first
+/// data, by route.
 fn write_latencies(
     formatter: &mut Formatter<'_>,
     latencies_ms: &BTreeMap<String, Vec<u64>>,
@@ -70,7 +71,7 @@
     Ok(())
 }
 
-/// The upstreams with most attempts that did not complete.
+/// Writes a table of the upstreams with the most attempts that did not complete.
 fn write_failed_upstreams(
     formatter: &mut Formatter<'_>,
     by_upstream: &BTreeMap<(String, String), BTreeMap<AttemptOutcome, usize>>,
@@ -96,6 +97,7 @@
     Ok(())
 }
 
+/// Returns the number of attempts that did not complete.
 fn failures(outcomes: &BTreeMap<AttemptOutcome, usize>) -> usize {
     outcomes
         .iter()
