--- a/crates/evacuation/tests/domain_state.rs
+++ b/crates/evacuation/tests/domain_state.rs
@@ -1,4 +1,5 @@
-//! The phases of a domain, adopted decisions, operators' orders, and malformed bytes.
+//! Tests of the phases of a domain, the adoption of decisions, operators' orders, and the decoding
+//! of malformed bytes.
 
 use proptest::prelude::*;
 use woadstall_evacuation::{
@@ -29,15 +30,16 @@
     }
 }
 
-/// Advances a state step by step for a time; returns when that is over.
+/// Advances a state in steps of `STEP` with the same assessment, and returns the time at the end. All
+/// times are in nanoseconds.
 fn advance_for(
     state: &mut DomainState,
     from: u64,
-    time: u64,
+    duration: u64,
     assessment: &Assessment,
     alternatives: &Alternatives,
 ) -> u64 {
-    let until = from + time;
+    let until = from + duration;
     (from..until)
         .step_by(STEP as usize)
         .for_each(|now| state.advance(now, assessment, alternatives));
@@ -46,16 +48,16 @@
 
 #[test]
 fn a_failing_domain_is_evacuated_at_once_and_a_degraded_one_by_steps() {
-    let mut dead = DomainState::default();
+    let mut failing = DomainState::default();
     let now = advance_for(
-        &mut dead,
+        &mut failing,
         SECOND,
         SECOND / 2,
         &assessment(2.0, 0.9),
         &BETTER,
     );
     assert_eq!(
-        (dead.phase, dead.share, dead.epoch),
+        (failing.phase, failing.share, failing.epoch),
         (Phase::Evacuated, 0.0, 1)
     );
     let mut degraded = DomainState::default();
@@ -68,13 +70,19 @@
     );
     assert_eq!(degraded.phase, Phase::Draining);
     assert!((0.3..1.0).contains(&degraded.share), "{}", degraded.share);
-    // The others have no capacity for more work: a part stays.
+    // The other domains have no capacity for more work, so the domain keeps its reduced share.
     let share = degraded.share;
-    let full = Alternatives {
+    let without_capacity = Alternatives {
         has_capacity: false,
         ..BETTER
     };
-    advance_for(&mut degraded, now, 5 * SECOND, &assessment(2.0, 0.3), &full);
+    advance_for(
+        &mut degraded,
+        now,
+        5 * SECOND,
+        &assessment(2.0, 0.3),
+        &without_capacity,
+    );
     assert_eq!((degraded.phase, degraded.share), (Phase::Draining, share));
     advance_for(
         &mut degraded,
@@ -111,7 +119,8 @@
             (Phase::Suspected, 1.0, 0)
         );
     }
-    // A first assessment, before the others are known to be as bad, is not enough.
+    // When all domains fail together, the reports about one of them arrive first. A single
+    // assessment with a better alternative is therefore not enough to drain a domain.
     let mut state = DomainState::default();
     state.advance(SECOND, &assessment(3.0, 0.9), &BETTER);
     state.advance(
@@ -132,9 +141,9 @@
     assert_eq!(state.share, 1.0);
 }
 
-/// Each relapse delays the next attempt to restore, up to a bound.
+/// Each relapse prolongs the time until the next attempt to restore the domain, up to a limit.
 #[test]
-fn a_flapping_domain_is_restored_ever_later() {
+fn a_flapping_domain_is_restored_later_after_each_relapse() {
     let (mut state, mut now, mut evacuated_s) = (DomainState::default(), SECOND, Vec::new());
     for _ in 0..7 {
         now = advance_for(&mut state, now, SECOND, &assessment(2.0, 0.9), &BETTER);
@@ -145,7 +154,7 @@
         }
         evacuated_s.push((now - evacuated_at) / SECOND);
         now = advance_for(&mut state, now, SECOND / 2, &assessment(0.0, 0.0), &BETTER);
-        assert!(state.share < 0.5, "restored by steps");
+        assert!(state.share < 0.5, "the domain is restored in steps");
     }
     assert!(
         evacuated_s.is_sorted()
@@ -192,7 +201,8 @@
             .submit(1_000, order(OrderAction::Evacuate, 1_000, 60_000, 7))
             .is_ok()
     );
-    // Of two orders in one millisecond, the same one holds at all members.
+    // Of two orders issued in the same millisecond, the one with the higher id applies at all
+    // members.
     assert!(
         orders
             .submit(1_000, order(OrderAction::Keep, 1_000, 50_000, 9))
@@ -207,7 +217,7 @@
         orders
             .submit(1_001, order(OrderAction::Evacuate, 999, 60_000, 99))
             .is_err(),
-        "issued before"
+        "issued before the current order"
     );
     assert_eq!(
         orders.get(&subject).map(|order| order.action),
@@ -224,7 +234,7 @@
         orders
             .submit(1_000, order(OrderAction::Keep, 3 * day, 9 * day, 1))
             .is_err(),
-        "issued by a clock that is days ahead"
+        "issued by a clock that is several days ahead"
     );
     assert!(
         orders
@@ -233,13 +243,13 @@
     );
     assert!(
         !orders.remove_expired(2_000 + day - 1) && orders.remove_expired(2_000 + day),
-        "no order holds for longer than a day"
+        "no order is valid for longer than a day"
     );
 }
 
 proptest! {
-    /// Whatever is observed, the share stays within bounds, epochs only grow, and a domain in use
-    /// has its full share.
+    /// For any sequence of assessments, the share stays from 0 to 1, epochs never decrease, and a
+    /// domain in use has its full share.
     #[test]
     fn any_history_of_evidence_keeps_to_the_phases(
         history in prop::collection::vec((0.0..3.0_f64, 0.0..=1.0_f64, any::<bool>(), any::<bool>(), any::<bool>(), 1_u64..40), 1..80),
@@ -258,7 +268,7 @@
                 let is_in_use = matches!(state.phase, Phase::InUse | Phase::Suspected);
                 prop_assert!(!is_in_use || state.share >= 1.0, "{:?}", state);
                 prop_assert!(state.phase != Phase::Evacuated || state.share < 1.0, "{:?}", state);
-                // Never drained if it is the last domain, nor if no other is better.
+                // A domain is never drained if it is the last one or no other domain is better.
                 prop_assert!(state.share >= before.share || has_better && !is_last, "{:?} {:?}", before, state);
             }
         }
--- a/crates/evacuation/tests/fleet/mod.rs
+++ b/crates/evacuation/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet of coordinators that call servers with given faults.
+//! A small fleet of coordinators whose balancers call servers with given faults.
 
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
@@ -15,8 +15,9 @@
 pub const MS: u64 = 1_000_000;
 /// The time between two steps, in nanoseconds.
 pub const STEP: u64 = 100 * MS;
-/// The date of the start.
+/// The Unix time at the start of a run, in milliseconds.
 pub const UNIX_MS: u64 = 1_767_225_600_000;
+/// The zones, each with its region.
 pub const ZONES: [(&str, &str); 3] = [
     ("norte", "litoral"),
     ("centro", "litoral"),
@@ -27,7 +28,7 @@
 pub const SERVERS_PER_ZONE: u32 = 4;
 const CALLS_PER_STEP: u32 = 6;
 
-/// FNV-1a over everything that is written to it.
+/// An FNV-1a hash of all numbers and bytes that are added.
 pub struct Digest(pub u64);
 
 impl Digest {
@@ -42,10 +43,10 @@
     }
 }
 
-/// The test's own random numbers (SplitMix64).
-pub struct Draws(pub u64);
+/// A SplitMix64 random number generator with its state.
+pub struct Random(pub u64);
 
-impl Draws {
+impl Random {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -58,7 +59,7 @@
     pub node: Node,
     pub coordinator: Coordinator,
     calls: u32,
-    /// Calls that hang, each with the time when it was sent.
+    /// The calls that hang, each with the time at which it was sent.
     hanging: Vec<(PendingAttempt, u64)>,
 }
 
@@ -114,10 +115,10 @@
 }
 
 impl Balancer {
-    /// Makes the calls of a step.
-    pub fn calls(&mut self, now: u64, draws: &mut Draws, faults: Faults) {
+    /// Makes the calls of a step and records their outcomes.
+    pub fn make_calls(&mut self, now: u64, random: &mut Random, faults: Faults) {
         for _ in 0..CALLS_PER_STEP {
-            self.call(now, draws, faults);
+            self.make_call(now, random, faults);
         }
         self.end_hanging_calls(now);
         let pending = self.hanging.iter().map(|(pending, sent)| PendingAttempt {
@@ -127,20 +128,20 @@
         self.coordinator.record_pending(now, pending);
     }
 
-    fn call(&mut self, now: u64, draws: &mut Draws, faults: Faults) {
+    fn make_call(&mut self, now: u64, random: &mut Random, faults: Faults) {
         self.calls += 1;
         let id = AttemptId {
             request: self.calls,
             attempt: 1,
         };
-        let server = draws.below(u64::from(SERVERS_PER_ZONE) * ZONES.len() as u64) as u32;
-        let class = draws.below(2) as usize;
+        let server = random.below(u64::from(SERVERS_PER_ZONE) * ZONES.len() as u64) as u32;
+        let class = random.below(2) as usize;
         let (failing, slow) = faults(now / (1_000 * MS), server, class);
         let server = ServerId(server);
-        let drawn = draws.below(100);
-        let usual = 20 * MS + draws.below(10) * MS;
-        let (outcome, took) = match drawn {
-            _ if drawn < failing && draws.below(3) == 0 => {
+        let percentile = random.below(100);
+        let usual_ns = 20 * MS + random.below(10) * MS;
+        let (outcome, duration_ns) = match percentile {
+            _ if percentile < failing && random.below(3) == 0 => {
                 let pending = PendingAttempt {
                     id,
                     server,
@@ -150,17 +151,17 @@
                 self.hanging.push((pending, now));
                 return;
             }
-            _ if drawn < failing / 2 => (Outcome::Error, usual),
-            _ if drawn < failing => (Outcome::Timeout, 80 * MS),
-            _ if drawn < failing + slow => (Outcome::Ok, 8 * usual),
-            _ => (Outcome::Ok, usual),
+            _ if percentile < failing / 2 => (Outcome::Error, usual_ns),
+            _ if percentile < failing => (Outcome::Timeout, 80 * MS),
+            _ if percentile < failing + slow => (Outcome::Ok, 8 * usual_ns),
+            _ => (Outcome::Ok, usual_ns),
         };
         let completed = CompletedAttempt {
             id,
             server,
             class,
             outcome,
-            duration_ns: took,
+            duration_ns,
         };
         self.coordinator.record_completed(now, &completed);
     }
@@ -183,7 +184,8 @@
         }
     }
 
-    /// Decides; the number of verdicts.
+    /// Runs a step of the coordinator, adds its output to the digest, and returns the number of
+    /// verdicts.
     pub fn step(&mut self, now: u64, digest: &mut Digest) -> usize {
         let output = self
             .coordinator
@@ -204,18 +206,18 @@
     }
 }
 
-/// The faults of a server at a second, for a class: percent of its calls that fail, and percent that
-/// are slow.
+/// Returns the percentage of a server's calls of a class that fail, and the percentage that are slow,
+/// in a given second of the run.
 pub type Faults = fn(second: u64, server: u32, class: usize) -> (u64, u64);
 
-/// Four balancers in each of three zones.
+/// Creates a fleet of four balancers in each of three zones.
 pub fn new_fleet() -> Vec<Balancer> {
     (0..ZONES.len() * BALANCERS_PER_ZONE)
         .map(balancer)
         .collect()
 }
 
-/// Hands all messages over, until none is left.
+/// Delivers all membership messages, including the messages sent in response, until none is left.
 pub fn deliver(fleet: &mut [Balancer], now: u64) {
     let by_address: HashMap<SocketAddr, usize> = (0..fleet.len())
         .map(|number| (address(number), number))
@@ -234,7 +236,7 @@
     }
 }
 
-/// Gives an order to one of the balancers. It holds for some seconds.
+/// Submits an order to the second balancer. The order is valid for 4 s.
 pub fn order(fleet: &mut [Balancer], now: u64, kind: SubjectKind, name: &str, action: OrderAction) {
     let coordinator = &mut fleet[1].coordinator;
     let subject = coordinator.order_subject(kind, name).unwrap();
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of domain decisions and orders and the JSON of a status, as members and tools of other
-//! versions write and read them.
+//! Golden tests of the bytes of domain decisions and orders and of the JSON of a status. Members and
+//! tools of other versions depend on these formats.
 
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 };
 use woadstall_health_reports::Subject;
 
-/// Compares bytes with the golden ones, written in hexadecimal digits.
+/// Compares bytes with the golden bytes, which are given in hexadecimal digits.
 fn assert_golden(bytes: &[u8], golden: &str) {
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, golden);
@@ -193,7 +193,7 @@
     assert_eq!(serde_json::from_value::<Status>(golden).unwrap(), status());
 }
 
-/// The order of the fields, as they are written out.
+/// The order of the fields in the JSON text is part of the format.
 #[test]
 fn a_status_has_its_fields_in_the_golden_order() {
     let golden = concat!(
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -1,16 +1,17 @@
-//! What the coordinators of a small fleet decide in a fixed sequence of failures, as one digest:
-//! refactorings must not change it.
+//! A golden test of the decisions of a small fleet in a fixed sequence of failures. The verdicts, the
+//! number of log lines and the final status of all coordinators are combined into one digest, which
+//! refactorings must not change.
 
 mod fleet;
 
-use fleet::{Digest, Draws, MS, SERVERS_PER_ZONE, STEP, UNIX_MS, deliver, new_fleet, order};
+use fleet::{Digest, MS, Random, SERVERS_PER_ZONE, STEP, UNIX_MS, deliver, new_fleet, order};
 use woadstall_evacuation::OrderAction;
 use woadstall_health_reports::SubjectKind;
 
 const STEPS: u64 = 900;
 
-/// The faults of a server at a time, in seconds: percent of its calls that fail, and percent that
-/// are slow.
+/// Returns the percentage of a server's calls that fail and the percentage that are slow, in a given
+/// second of the run.
 fn faults(second: u64, server: u32, class: usize) -> (u64, u64) {
     let zone = server / SERVERS_PER_ZONE;
     match second {
@@ -26,7 +27,7 @@
 #[test]
 fn a_fleet_takes_the_golden_decisions_in_a_fixed_sequence_of_failures() {
     let mut fleet = new_fleet();
-    let mut draws = Draws(4_711);
+    let mut random = Random(4_711);
     let mut digest = Digest(0xcbf2_9ce4_8422_2325);
     let mut verdicts = 0;
     for step in 1..=STEPS {
@@ -65,7 +66,7 @@
         for number in 0..fleet.len() {
             fleet[number].node.tick(now);
             deliver(&mut fleet, now);
-            fleet[number].calls(now, &mut draws, faults);
+            fleet[number].make_calls(now, &mut random, faults);
             verdicts += fleet[number].step(now, &mut digest);
             deliver(&mut fleet, now);
         }
--- a/crates/health-reports/tests/assessment.rs
+++ b/crates/health-reports/tests/assessment.rs
@@ -1,4 +1,5 @@
-//! Health reports and their assessment: faulty reporters, old evidence, malformed bytes.
+//! Tests of health reports and their assessment: faulty reporters, old evidence, overdue calls and
+//! malformed bytes.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -16,6 +17,7 @@
     CallCounts::new(attempts, failed, 0.0, at)
 }
 
+/// Inserts a member's report on the zone `norte` into the table.
 fn report(table: &mut ReportTable, owner: usize, zone: &str, counts: CallCounts, at: u64) {
     let entries = vec![ReportEntry::new(Subject::zone("0", "norte"), &counts)];
     let bytes = HealthReport { entries }.encode(256);
@@ -24,16 +26,17 @@
         .unwrap();
 }
 
-/// How a member of a zone assesses `norte`, in a fleet of `each` members a zone.
+/// Returns the assessment of the zone `norte` by a member of `observer_zone`, in a fleet with the
+/// same number of members in each of three zones.
 fn assess(
     table: &ReportTable,
     observer_zone: &str,
-    each: usize,
+    members_per_zone: usize,
     own: CallCounts,
     now: u64,
 ) -> Assessment {
     let members: BTreeMap<String, usize> = ["norte", "centro", "sur"]
-        .map(|zone| (zone.to_owned(), each))
+        .map(|zone| (zone.to_owned(), members_per_zone))
         .into();
     let query = AssessmentQuery {
         subject: Subject::zone("0", "norte"),
@@ -49,9 +52,9 @@
 
 #[test]
 fn the_reporters_of_a_zone_convince_all_others() {
-    for each in [3, 8, 100] {
+    for members_per_zone in [3, 8, 100] {
         let mut table = ReportTable::default();
-        let needed = (0..each).find(|reporter| {
+        let needed = (0..members_per_zone).find(|reporter| {
             report(
                 &mut table,
                 *reporter,
@@ -59,18 +62,29 @@
                 counts(4.0, 4.0, SECOND),
                 SECOND,
             );
-            assess(&table, "sur", each, CallCounts::default(), SECOND).is_unhealthy
+            assess(
+                &table,
+                "sur",
+                members_per_zone,
+                CallCounts::default(),
+                SECOND,
+            )
+            .is_unhealthy
         });
-        let needed = 1 + needed.expect("all of them are enough");
-        assert!(needed > max_faulty(each), "{needed} of {each}");
+        let needed = 1 + needed.expect("the reports of all members are enough");
+        assert!(
+            needed > max_faulty(members_per_zone),
+            "{needed} of {members_per_zone}"
+        );
         assert!(
-            needed <= 2 + each / 3 + max_faulty(each),
-            "{needed} of {each}"
+            needed <= 2 + members_per_zone / 3 + max_faulty(members_per_zone),
+            "{needed} of {members_per_zone}"
         );
     }
 }
 
-/// Reporters in one other zone may observe a fault of their network; two zones that agree do not.
+/// If the reporters of a single other zone find the subject unhealthy, the fault may be in their own
+/// network, so their reports do not convince the other zones. Two agreeing zones would.
 #[test]
 fn one_zone_that_is_partitioned_does_not_convince_the_others() {
     let mut table = ReportTable::default();
@@ -87,10 +101,13 @@
         |observer: &str| assess(&table, observer, 8, CallCounts::default(), SECOND).is_unhealthy;
     assert!(
         is_unhealthy("centro"),
-        "the other members of that zone are partitioned, too"
+        "the other members of the zone are partitioned as well"
     );
     assert!(!is_unhealthy("sur"));
-    assert!(!is_unhealthy("norte"), "it serves its own zone");
+    assert!(
+        !is_unhealthy("norte"),
+        "the zone still serves its own calls"
+    );
 }
 
 #[test]
@@ -110,8 +127,8 @@
     assert!(assess(&table, "norte", 8, counts(3.0, 3.0, now), now).is_unhealthy);
 }
 
-/// A sender's own calls: one that hangs counts before it times out, and once; successes before it
-/// count for nothing.
+/// A balancer counts its own hanging call before it times out, and only once: first as slow, then as
+/// failed. Successful calls before the subject degraded are left out of the counts.
 #[test]
 fn a_hanging_call_is_counted_before_it_ends() {
     let (norte, class) = (
@@ -154,7 +171,7 @@
     assert_eq!(
         (slow.attempts, slow.failed, slow.slow),
         (1.0, 0.0, 1.0),
-        "since it degraded"
+        "only calls since the subject degraded are counted"
     );
     stats.record_pending(SECOND, pending(200 * MS));
     stats.record_completed(SECOND, &completed(99, Outcome::Timeout, 250 * MS));
@@ -163,7 +180,7 @@
         (failed.attempts, failed.failed, failed.slow),
         (1.0, 1.0, 0.0)
     );
-    // A new process at the address does not inherit it; the zone keeps it.
+    // A new process of the server does not inherit the failure, but the zone keeps it.
     stats.upsert_server(server, "posting-0", 7, 0);
     assert!(
         stats
@@ -174,24 +191,24 @@
 }
 
 proptest! {
-    /// As many reporters as may be faulty change nothing by themselves: neither that all is bad nor
-    /// that all is well.
+    /// As many reporters as may be faulty cannot make a subject count as unhealthy or as healthy by
+    /// themselves.
     #[test]
     fn faulty_reporters_alone_decide_nothing(
-        each in 2_usize..60,
+        members_per_zone in 2_usize..60,
         reported in prop::collection::vec((0.0..500.0_f64, 0.0..=1.0_f64), 8),
         observer in prop::sample::select(vec!["norte", "sur"]),
     ) {
         let mut table = ReportTable::default();
-        for (reporter, (attempts, rate)) in reported.into_iter().take(max_faulty(each)).enumerate() {
+        for (reporter, (attempts, rate)) in reported.into_iter().take(max_faulty(members_per_zone)).enumerate() {
             report(&mut table, reporter, "norte", counts(attempts, attempts * rate, SECOND), SECOND);
         }
-        let assessment = assess(&table, observer, each, CallCounts::default(), SECOND);
+        let assessment = assess(&table, observer, members_per_zone, CallCounts::default(), SECOND);
         prop_assert!(!assessment.is_unhealthy, "{:?}", assessment);
         prop_assert!(assessment.health <= 0.0, "{:?}", assessment);
     }
 
-    /// Evidence only decays: it does not get stronger by waiting.
+    /// Without new reports, the evidence against a subject does not get stronger over time.
     #[test]
     fn evidence_decays(
         attempts in 0.0..50.0_f64,
@@ -204,11 +221,13 @@
         (0..reporters).for_each(|reporter| report(&mut table, reporter, "norte", counts, SECOND));
         let strength = |now| assess(&table, "norte", 8, CallCounts::default(), now).strength;
         let (then, later) = (SECOND + wait * 500 * MS, SECOND + (wait + 1) * 500 * MS);
-        // Where the counts are close to break-even, the rounding to quarters shows.
+        // The tolerance covers the rounding of counts to quarters, which matters when the log odds
+        // are close to 0.
         prop_assert!(strength(later) <= strength(then) + 0.05);
     }
 
-    /// Any bytes are decoded or rejected; what is decoded is not contradictory.
+    /// Any bytes are decoded or rejected, and decoded counts never have more failed and slow calls
+    /// than attempts.
     #[test]
     fn malformed_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300), is_version_valid in any::<bool>()) {
         let mut bytes = bytes;
--- a/crates/health-reports/tests/golden.rs
+++ b/crates/health-reports/tests/golden.rs
@@ -1,8 +1,8 @@
-//! The bytes of a health report, as members of other versions write and read them.
+//! Golden tests of the bytes of a health report. Members of other versions depend on this format.
 
 use woadstall_health_reports::{CallCounts, HealthReport, ReportEntry, Subject};
 
-/// Compares bytes with the golden ones, written in hexadecimal digits.
+/// Compares bytes with the golden bytes, which are given in hexadecimal digits.
 fn assert_golden(bytes: &[u8], golden: &str) {
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, golden);
--- a/crates/request-reports/tests/golden.rs
+++ b/crates/request-reports/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Report lines, tables and plot: their bytes stay as they are, and lines of today are read back.
+//! Golden tests of report lines, tables and the plot. Their bytes must not change, and the golden
+//! report lines must be parsed back into the original reports.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -66,8 +67,8 @@
     }
 }
 
-/// One report of each cause with attempts of each outcome, and one in which all that may be absent
-/// is absent.
+/// Returns a report for each cause with an attempt for each outcome, a report whose optional values
+/// are all absent, and a report without attempts whose route has characters that separate fields.
 fn reports() -> Vec<RequestReport> {
     let mut reports: Vec<RequestReport> = CAUSES.into_iter().map(report).collect();
     let bare_attempt = AttemptReport {
@@ -109,7 +110,7 @@
     let text = std::fs::read_to_string(path).unwrap();
     let read: Vec<RequestReport> = text.lines().map(|line| line.parse().unwrap()).collect();
     let mut written = reports();
-    // What separates fields is written as `_`, an empty name as `-`.
+    // Characters that separate fields are written as `_`, and an empty name is written as `-`.
     let last = written.len() - 1;
     written[last].route = "a_b_c_d_e_f_g".to_owned();
     let unnamed = &mut written[last - 1].attempts[0];
--- a/crates/request-reports/tests/reports.rs
+++ b/crates/request-reports/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Reports written and parsed as lines, and summarized as tables and a plot.
+//! Tests of writing and parsing report lines and of summarizing reports as tables and a plot.
 
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -63,15 +63,15 @@
 
 #[test]
 fn names_with_separators_are_escaped() {
-    let odd = RequestReport {
+    let report = RequestReport {
         route: "a b=c;d,e+f*g".to_owned(),
         ..report(Cause::TargetMissed)
     };
-    let read: RequestReport = odd.to_string().parse().unwrap();
-    assert_eq!(read.route, "a_b_c_d_e_f_g");
+    let parsed: RequestReport = report.to_string().parse().unwrap();
+    assert_eq!(parsed.route, "a_b_c_d_e_f_g");
 }
 
-/// Each field in turn is taken away or spoilt: the error names it.
+/// Removes one field of a line or gives it an invalid value. The error must name the field.
 #[rstest]
 fn errors_name_the_field(
     #[values(
@@ -85,18 +85,18 @@
     let without: Vec<&str> = parts
         .filter(|part| !part.starts_with(&format!("{field}=")))
         .collect();
-    let truncated = format!("{LINE_PREFIX}{}", without.join(" "));
+    let incomplete = format!("{LINE_PREFIX}{}", without.join(" "));
     assert_eq!(
-        truncated.parse::<RequestReport>(),
+        incomplete.parse::<RequestReport>(),
         Err(ParseReportError::MissingField(field))
     );
     if ["route", "service", "zone"].contains(&field) {
-        return; // any name will do
+        return; // These fields accept any text.
     }
-    let spoilt = format!("{truncated} {field}=what");
+    let invalid = format!("{incomplete} {field}=what");
     let value = "what".to_owned();
     assert_eq!(
-        spoilt.parse::<RequestReport>(),
+        invalid.parse::<RequestReport>(),
         Err(ParseReportError::InvalidValue { field, value })
     );
 }
@@ -121,8 +121,8 @@
     assert_eq!(row("r-a "), ["2", "1"]);
     assert_eq!(row("silent "), ["8", "4"]);
     assert_eq!(row("a-1 "), ["i-7f3a", "answered=3", "broken=3"]);
-    let picture = render_svg(&summary).unwrap();
-    assert!(picture.starts_with("<svg") && picture.contains("late") && picture.contains("failed"));
+    let svg = render_svg(&summary).unwrap();
+    assert!(svg.starts_with("<svg") && svg.contains("late") && svg.contains("failed"));
 }
 
 #[test]
