--- a/crates/evacuation/src/coordinator/mod.rs
+++ b/crates/evacuation/src/coordinator/mod.rs
@@ -14,7 +14,7 @@
 mod verdicts;
 
 use self::contradictions::Contradictions;
-use self::publish::Published;
+use self::publish::PublishedRecords;
 use self::receive::{RecordKey, RecordVersion};
 use self::verdicts::IssuedVerdict;
 use crate::engine::{EngineInput, EvacuationEngine, MemberDecisions};
@@ -97,7 +97,7 @@
     /// The version of the newest record received for each owner and key.
     received: BTreeMap<(Name, RecordKey), RecordVersion>,
     member_decisions: BTreeMap<String, MemberDecisions>,
-    published: Published,
+    published: PublishedRecords,
     /// The newest verdict returned for each domain with a reduced share.
     reduced_verdicts: BTreeMap<FailureDomain, IssuedVerdict>,
     contradictions: Contradictions,
@@ -126,7 +126,7 @@
             zone_sizes: vec![0.0; zones.len()],
             received: BTreeMap::new(),
             member_decisions: BTreeMap::new(),
-            published: Published::default(),
+            published: PublishedRecords::default(),
             reduced_verdicts: BTreeMap::new(),
             contradictions: Contradictions::default(),
             pending_lines: Vec::new(),
--- a/crates/evacuation/src/coordinator/publish.rs
+++ b/crates/evacuation/src/coordinator/publish.rs
@@ -19,7 +19,7 @@
 
 /// The records that this member has published last.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Published {
+pub(super) struct PublishedRecords {
     /// The log odds of each subject in the newest health report.
     pub log_odds: BTreeMap<Subject, f64>,
     /// The time at which the newest health report was published, in nanoseconds.
--- a/crates/evacuation/src/coordinator/report_selection.rs
+++ b/crates/evacuation/src/coordinator/report_selection.rs
@@ -21,10 +21,10 @@
 /// slow responses are enough.
 const MIN_LOG_ODDS: f64 = 3.0;
 /// The change of log odds that triggers a report. One more failure is enough.
-const MIN_CHANGE: f64 = 2.5;
+const MIN_LOG_ODDS_CHANGE: f64 = 2.5;
 /// The change of log odds that triggers a report on a domain that is not in full use. One success is
 /// enough.
-const MIN_TRIAL_CHANGE: f64 = 0.5;
+const MIN_TRIAL_LOG_ODDS_CHANGE: f64 = 0.5;
 /// Members that find a domain healthy report so if the strength of the evidence against the domain
 /// is at least this.
 const DISPUTED_STRENGTH: f64 = 0.2;
@@ -60,6 +60,7 @@
         }
     }
 
+    /// Returns whether the counts are evidence against the subject.
     fn is_against(&self) -> bool {
         self.log_odds >= MIN_LOG_ODDS
     }
@@ -99,7 +100,7 @@
             .all(now)
             .filter(|stats| stats.counts.attempts >= MIN_ATTEMPTS);
         let is_relevant = |stats: &SubjectStats, candidate: &ReportCandidate| {
-            let is_healthy = candidate.log_odds < -self.min_change(&stats.subject);
+            let is_healthy = candidate.log_odds < -self.min_log_odds_change(&stats.subject);
             candidate.is_against()
                 || stats.is_answered_recently && is_healthy && self.is_disputed(now, &stats.subject)
         };
@@ -160,7 +161,7 @@
         candidates: &[ReportCandidate],
         own_zone_members: usize,
     ) -> bool {
-        let threshold = EvidenceThreshold::among(UNHEALTHY_LOG_ODDS, own_zone_members);
+        let threshold = EvidenceThreshold::for_reporters(UNHEALTHY_LOG_ODDS, own_zone_members);
         // Other members limit the log odds of each reporter, so changes beyond that limit do not
         // matter to them.
         let limited =
@@ -178,8 +179,8 @@
                 .copied()
                 .unwrap_or(0.0);
             let change = (limited(candidate.log_odds) - limited(published)).abs();
-            let is_update = change >= self.min_change(&candidate.subject)
-                || is_repeat_due && candidate.log_odds.abs() >= MIN_CHANGE;
+            let is_update = change >= self.min_log_odds_change(&candidate.subject)
+                || is_repeat_due && candidate.log_odds.abs() >= MIN_LOG_ODDS_CHANGE;
             is_update && !self.is_decided(candidate)
         })
     }
@@ -200,11 +201,11 @@
     }
 
     /// Returns the change of a subject's log odds that triggers a report.
-    fn min_change(&self, subject: &Subject) -> f64 {
+    fn min_log_odds_change(&self, subject: &Subject) -> f64 {
         if self.engine.state(subject).share < 1.0 {
-            MIN_TRIAL_CHANGE
+            MIN_TRIAL_LOG_ODDS_CHANGE
         } else {
-            MIN_CHANGE
+            MIN_LOG_ODDS_CHANGE
         }
     }
 
--- a/crates/evacuation/src/domain_state.rs
+++ b/crates/evacuation/src/domain_state.rs
@@ -29,13 +29,13 @@
 /// The upper limit of the minimum time that a domain stays evacuated after relapses.
 const MAX_EVACUATED_NS: Time = 32 * SECOND_NS;
 /// The relapses of a domain are reset to zero after it has been in use for this long.
-const RELAPSES_FORGOTTEN_NS: Time = 60 * SECOND_NS;
+const RELAPSES_RESET_NS: Time = 60 * SECOND_NS;
 /// The minimum strength of the evidence against a domain for the domain to be suspected.
-const SUSPICION_STRENGTH: f64 = 0.4;
+const MIN_SUSPICION_STRENGTH: f64 = 0.4;
 /// The minimum strength of the evidence that an evacuated domain is healthy for the domain to be
 /// restored. It can be low because the domain must also wait out its minimum evacuation time and is
 /// restored in steps.
-const RESTORE_HEALTH: f64 = 0.15;
+const MIN_RESTORE_HEALTH: f64 = 0.15;
 
 /// The phases of a domain.
 ///
@@ -78,7 +78,8 @@
     /// The domain has kept its initial phase.
     #[default]
     None,
-    /// The assessment of all health reports found or ruled out this symptom.
+    /// The phase follows from the assessment of all health reports. The symptom is the one with the
+    /// strongest evidence; a region always has [`Symptom::Failing`].
     Evidence(Symptom),
     /// The phase was adopted from the published decisions of several other members.
     Fleet,
@@ -166,7 +167,7 @@
             .is_some_and(|since| now >= since.saturating_add(CONFIRMATION_NS))
         {
             self.unhealthy_since = None;
-            self.enter(
+            self.enter_phase(
                 now,
                 Phase::Draining,
                 self.epoch + 1,
@@ -175,18 +176,16 @@
             self.drain(now, assessment, alternatives);
             return;
         }
-        let is_suspected = assessment.strength >= SUSPICION_STRENGTH;
+        let is_suspected = assessment.strength >= MIN_SUSPICION_STRENGTH;
         let phase = if is_suspected {
             Phase::Suspected
         } else {
             Phase::InUse
         };
         if phase != self.phase {
-            self.enter(now, phase, self.epoch, Cause::Evidence(assessment.symptom));
+            self.enter_phase(now, phase, self.epoch, Cause::Evidence(assessment.symptom));
         }
-        if self.phase == Phase::InUse
-            && now >= self.phase_since.saturating_add(RELAPSES_FORGOTTEN_NS)
-        {
+        if self.phase == Phase::InUse && now >= self.phase_since.saturating_add(RELAPSES_RESET_NS) {
             self.relapses = 0;
         }
     }
@@ -200,7 +199,7 @@
         if assessment.is_unhealthy && !alternatives.allow_draining() {
             // If all domains are equally unhealthy, draining one of them only moves the load.
             self.share = 1.0;
-            self.enter(
+            self.enter_phase(
                 now,
                 Phase::Suspected,
                 self.epoch + 1,
@@ -216,7 +215,7 @@
             } else {
                 Phase::Evacuated
             };
-            self.enter(now, phase, self.epoch, self.cause);
+            self.enter_phase(now, phase, self.epoch, self.cause);
         }
     }
 
@@ -227,7 +226,7 @@
         alternatives: &Alternatives,
     ) {
         let is_over = self.is_min_evacuation_over(now);
-        let is_healthy = assessment.health >= RESTORE_HEALTH && !assessment.is_unhealthy;
+        let is_healthy = assessment.health >= MIN_RESTORE_HEALTH && !assessment.is_unhealthy;
         if is_over && is_healthy || alternatives.is_last {
             self.begin_restoring(now, Cause::Evidence(assessment.symptom));
         }
@@ -241,7 +240,7 @@
     ) {
         if assessment.is_unhealthy && alternatives.allow_draining() {
             self.relapses += 1;
-            self.enter(
+            self.enter_phase(
                 now,
                 Phase::Evacuated,
                 self.epoch + 1,
@@ -249,18 +248,18 @@
             );
             self.share = 0.0;
         } else if now >= self.share_changed_at.saturating_add(RESTORE_STEP_NS)
-            && assessment.strength < SUSPICION_STRENGTH
+            && assessment.strength < MIN_SUSPICION_STRENGTH
         {
             self.share = (self.share * 2.0).min(1.0);
             self.share_changed_at = now;
             if self.share >= 1.0 {
-                self.enter(now, Phase::InUse, self.epoch + 1, self.cause);
+                self.enter_phase(now, Phase::InUse, self.epoch + 1, self.cause);
             }
         }
     }
 
     fn begin_restoring(&mut self, now: Time, cause: Cause) {
-        self.enter(now, Phase::Restoring, self.epoch + 1, cause);
+        self.enter_phase(now, Phase::Restoring, self.epoch + 1, cause);
         self.share = self.share.max(INITIAL_RESTORED_SHARE);
         self.share_changed_at = now;
     }
@@ -285,7 +284,7 @@
             self.share_changed_at = now;
         }
         if self.share == 0.0 {
-            self.enter(now, Phase::Evacuated, self.epoch, self.cause);
+            self.enter_phase(now, Phase::Evacuated, self.epoch, self.cause);
         }
     }
 
@@ -297,7 +296,7 @@
         }
         self.share = share.clamp(0.0, 1.0);
         self.share_changed_at = now;
-        self.enter(now, phase, epoch, Cause::Fleet);
+        self.enter_phase(now, phase, epoch, Cause::Fleet);
         true
     }
 
@@ -333,7 +332,7 @@
         } else {
             Phase::InUse
         };
-        self.enter(
+        self.enter_phase(
             now,
             phase,
             self.epoch + 1,
@@ -342,7 +341,7 @@
         self.share = f64::from(u8::from(!is_evacuated));
     }
 
-    fn enter(&mut self, now: Time, phase: Phase, epoch: u32, cause: Cause) {
+    fn enter_phase(&mut self, now: Time, phase: Phase, epoch: u32, cause: Cause) {
         self.phase = phase;
         self.epoch = epoch;
         self.phase_since = now;
--- a/crates/evacuation/src/engine/alternatives.rs
+++ b/crates/evacuation/src/engine/alternatives.rs
@@ -24,8 +24,8 @@
         subjects: &[Subject],
         own_counts: &[CallCounts],
     ) -> Vec<Assessment> {
-        // An evacuated domain must not count towards the baseline: a second failing zone would look
-        // hardly worse than usual.
+        // An evacuated domain must not count towards the baseline. Otherwise a second failing zone
+        // would look hardly worse than the first, evacuated one.
         let is_in_use = |zone: &usize| {
             self.is_in_full_use(&subjects[*zone])
                 && self.is_in_full_use(&input.topology.zones[*zone].subject)
--- a/crates/evacuation/src/engine/mod.rs
+++ b/crates/evacuation/src/engine/mod.rs
@@ -87,7 +87,7 @@
             subject,
             home_zone: self.topology.zone_name(zone),
             observer_zone: self.topology.zone_name(self.own_zone),
-            own: own_counts,
+            own_counts,
             baseline,
             needed_log_odds,
             members: self.members,
--- a/crates/evacuation/src/engine/regions.rs
+++ b/crates/evacuation/src/engine/regions.rs
@@ -16,6 +16,7 @@
 }
 
 impl RegionSize {
+    /// Returns whether enough of the region's size is in use.
     fn is_sound(&self) -> bool {
         self.total > 0.0 && self.in_use > self.total * MIN_IN_USE_FRACTION
     }
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -97,9 +97,9 @@
             .until_ms
             .min(order.issued_ms.saturating_add(MAX_VALIDITY_MS));
         let order = Order { until_ms, ..order };
-        let age_of = |order: &Order| (order.issued_ms, order.id);
+        let issue_key = |order: &Order| (order.issued_ms, order.id);
         let known = self.by_subject.get(&order.subject);
-        if known.is_some_and(|known| age_of(known) >= age_of(&order)) {
+        if known.is_some_and(|known| issue_key(known) >= issue_key(&order)) {
             return Err(SubmitError::Superseded);
         }
         if order.issued_ms > now_ms.saturating_add(MAX_VALIDITY_MS) {
--- a/crates/health-reports/src/assessment.rs
+++ b/crates/health-reports/src/assessment.rs
@@ -27,7 +27,7 @@
     /// The zone of the balancer that makes the assessment (the observer).
     pub observer_zone: &'a str,
     /// The counts of the observer's own calls to the subject.
-    pub own: &'a CallCounts,
+    pub own_counts: &'a CallCounts,
     /// The usual rates of failed and slow calls at comparable subjects.
     pub baseline: Baseline,
     /// The log odds at which the subject counts as unhealthy: [`crate::UNHEALTHY_LOG_ODDS`] or
@@ -99,7 +99,7 @@
     ) -> Assessment {
         let baseline = query.baseline.rate(symptom);
         let mut by_zone = ReportsByZone::new();
-        let mut counts = query.own.decayed_to(now);
+        let mut counts = query.own_counts.decayed_to(now);
         for report in self.reports_on(&query.subject) {
             let reported = report.counts.decayed_to(now);
             if reported.attempts < MIN_EVIDENCE {
@@ -119,14 +119,18 @@
                     freshness,
                 });
         }
-        let own = symptom.log_odds(&query.own.decayed_to(now), baseline);
-        let evidence = ZoneEvidence::collect(query, &by_zone, own);
+        let own_log_odds = symptom.log_odds(&query.own_counts.decayed_to(now), baseline);
+        let evidence = ZoneEvidence::collect(query, &by_zone, own_log_odds);
         evidence.assess(symptom, counts)
     }
 }
 
 impl ZoneEvidence {
-    fn collect(query: &AssessmentQuery<'_>, by_zone: &ReportsByZone<'_>, own: f64) -> Self {
+    fn collect(
+        query: &AssessmentQuery<'_>,
+        by_zone: &ReportsByZone<'_>,
+        own_log_odds: f64,
+    ) -> Self {
         // The observer's own calls show a hang only after a delay. Its own evidence that a subject
         // is healthy therefore weighs no more than the evidence of any other member.
         let sum_for_zone = |zone: &str| {
@@ -137,13 +141,18 @@
                 .copied()
                 .unwrap_or(1)
                 .max(others.len());
-            let own = if zone == query.observer_zone {
-                own
+            let own_log_odds = if zone == query.observer_zone {
+                own_log_odds
             } else {
                 0.0
             };
-            let threshold = EvidenceThreshold::among(query.needed_log_odds, size);
-            EvidenceSum::new(others, own, threshold.max_per_reporter, max_faulty(size))
+            let threshold = EvidenceThreshold::for_reporters(query.needed_log_odds, size);
+            EvidenceSum::new(
+                others,
+                own_log_odds,
+                threshold.max_per_reporter,
+                max_faulty(size),
+            )
         };
         let is_other = |zone: &&&str| **zone != query.observer_zone && **zone != query.home_zone;
         Self {
--- a/crates/health-reports/src/call_stats.rs
+++ b/crates/health-reports/src/call_stats.rs
@@ -7,7 +7,7 @@
 use woadstall_decisions::api::{Duration, Outcome, ServerId, Time};
 
 /// A call counts as slow if it takes more than this many times the typical response time of its
-/// class.
+/// class (and has not failed).
 const SLOW_FACTOR: f64 = 4.0;
 /// A timeout after less than this many times the typical response time is not counted as the
 /// server's failure, because the caller's limit was too short.
@@ -139,7 +139,7 @@
     /// The typical response times, by position of the class.
     response_times: Vec<ResponseTime>,
     /// The pending attempts that were already counted.
-    counted: BTreeMap<AttemptId, CountedAs>,
+    counted_pending: BTreeMap<AttemptId, CountedAs>,
 }
 
 impl CallStats {
@@ -157,7 +157,7 @@
             zones: zones.map(zone).collect(),
             servers: BTreeMap::new(),
             response_times: vec![ResponseTime::default(); class_count],
-            counted: BTreeMap::new(),
+            counted_pending: BTreeMap::new(),
         }
     }
 
@@ -196,7 +196,7 @@
         if completed.outcome == Outcome::Ok {
             response_time.record(took_ns);
         }
-        match self.counted.remove(&completed.id) {
+        match self.counted_pending.remove(&completed.id) {
             Some(CountedAs::Failed) => {}
             Some(CountedAs::Slow) if !failed => {}
             Some(CountedAs::Slow) => self.slow_to_failed(now, completed.server, completed.class),
@@ -207,7 +207,7 @@
     /// Counts overdue pending attempts before they time out, first as slow and later as failed.
     /// `pending` must contain all pending attempts.
     pub fn record_pending(&mut self, now: Time, pending: impl Iterator<Item = PendingAttempt>) {
-        let former = std::mem::take(&mut self.counted);
+        let former = std::mem::take(&mut self.counted_pending);
         for attempt in pending {
             let Some(response_time) = self.response_times.get(attempt.class).copied() else {
                 continue;
@@ -229,7 +229,7 @@
             } else {
                 CountedAs::Slow
             };
-            self.counted.insert(attempt.id, counted_as);
+            self.counted_pending.insert(attempt.id, counted_as);
         }
     }
 
--- a/crates/health-reports/src/log_odds.rs
+++ b/crates/health-reports/src/log_odds.rs
@@ -59,7 +59,7 @@
     /// Creates a threshold of `log_odds` for a number of possible reporters. The limit of one
     /// reporter's log odds is chosen so that a third of all reporters can reach the threshold. In a
     /// small group, the few reporters that remain without the faulty ones can then reach it, too.
-    pub fn among(log_odds: f64, reporters: usize) -> Self {
+    pub fn for_reporters(log_odds: f64, reporters: usize) -> Self {
         let third = (reporters as f64 / 3.0).max(1.0);
         Self {
             log_odds,
@@ -115,14 +115,14 @@
 }
 
 impl EvidenceSum {
-    /// Sums the reports of other members and `own`, the log odds of this balancer's own calls.
+    /// Sums the reports of other members and the log odds of this balancer's own calls.
     ///
     /// The log odds of each reporter are limited to `max_per_reporter`. The strongest `faulty`
     /// reports on either side are left out. In the log odds of being unhealthy, evidence that the
     /// subject is healthy is weighted by its freshness.
     pub fn new(
         mut others: Vec<WeightedReport>,
-        own: f64,
+        own_log_odds: f64,
         max_per_reporter: f64,
         faulty: usize,
     ) -> Self {
@@ -150,11 +150,11 @@
             .map(|report| report.log_odds)
             .sum();
         Self {
-            unhealthy: unhealthy + limited(own),
-            healthy: -(healthy + limited(own)),
+            unhealthy: unhealthy + limited(own_log_odds),
+            healthy: -(healthy + limited(own_log_odds)),
             reporters: Reporters {
-                against: against + usize::from(own > 0.0),
-                in_favor: in_favor + usize::from(own < 0.0),
+                against: against + usize::from(own_log_odds > 0.0),
+                in_favor: in_favor + usize::from(own_log_odds < 0.0),
             },
         }
     }
--- a/crates/health-reports/tests/assessment.rs
+++ b/crates/health-reports/tests/assessment.rs
@@ -32,7 +32,7 @@
     table: &ReportTable,
     observer_zone: &str,
     members_per_zone: usize,
-    own: CallCounts,
+    own_counts: CallCounts,
     now: u64,
 ) -> Assessment {
     let members: BTreeMap<String, usize> = ["norte", "centro", "sur"]
@@ -42,7 +42,7 @@
         subject: Subject::zone("0", "norte"),
         home_zone: "norte",
         observer_zone,
-        own: &own,
+        own_counts: &own_counts,
         baseline: Baseline::default(),
         needed_log_odds: UNHEALTHY_LOG_ODDS,
         members: &members,
