--- a/crates/coordination-simulation/src/checks/one.rs
+++ b/crates/coordination-simulation/src/checks/one.rs
@@ -96,12 +96,12 @@
     let mut by_lock: BTreeMap<&str, Vec<Grant<'_>>> = BTreeMap::new();
     for (operation, known, outcome) in history.executed() {
         if let (
-            Some(Command::AcquireLock { lock, holder, .. }),
+            Some(Command::AcquireLock { lock, owner, .. }),
             Outcome::LockAcquired { fencing_token },
         ) = (operation.command(), outcome)
         {
             by_lock.entry(lock).or_default().push(Grant {
-                holder,
+                holder: owner,
                 token: *fencing_token,
                 called: operation.called,
                 known,
--- a/crates/coordination-simulation/src/clients/lock_caller.rs
+++ b/crates/coordination-simulation/src/clients/lock_caller.rs
@@ -103,8 +103,8 @@
         let hold_ms = context.cluster.random.u64(HOLD_MS);
         let command = Command::AcquireLock {
             lock: self.lock.clone(),
-            holder: self.holder.clone(),
-            hold_ms,
+            owner: self.holder.clone(),
+            lease_ms: hold_ms,
         };
         self.send(context, command, hold_ms);
     }
@@ -114,9 +114,9 @@
         let hold_ms = context.cluster.random.u64(HOLD_MS);
         let command = Command::RenewLock {
             lock: self.lock.clone(),
-            holder: self.holder.clone(),
+            owner: self.holder.clone(),
             fencing_token: held.fencing_token,
-            hold_ms,
+            lease_ms: hold_ms,
         };
         self.send(context, command, hold_ms);
     }
@@ -131,7 +131,7 @@
         self.activity = Activity::Releasing { fencing_token };
         let command = Command::ReleaseLock {
             lock: self.lock.clone(),
-            holder: self.holder.clone(),
+            owner: self.holder.clone(),
             fencing_token,
         };
         self.send(context, command, 0);
--- a/crates/coordination-simulation/src/cluster/lifecycle.rs
+++ b/crates/coordination-simulation/src/cluster/lifecycle.rs
@@ -55,7 +55,7 @@
         MachineSettings {
             machine,
             seeds: (0..self.topology.founders).map(super::address).collect(),
-            tolerated: self.topology.tolerated,
+            tolerated_failures: self.topology.tolerated,
             history_ms: super::KEPT_HISTORY_MS,
             incarnation,
         }
--- a/crates/coordination-simulation/src/cluster/mod.rs
+++ b/crates/coordination-simulation/src/cluster/mod.rs
@@ -26,7 +26,7 @@
 use woadstall_control_simulation::NodeIndex;
 use woadstall_control_simulation::event_queue::EventQueue;
 use woadstall_control_simulation::network::{DELAYED_DELIVERY, Network, PacketId};
-use woadstall_coordination::machine::{CoordinationMachine, founding_snapshot};
+use woadstall_coordination::machine::{CoordinationMachine, initial_snapshot};
 use woadstall_coordination::wire::Packet;
 
 /// The shape of a deployment.
@@ -226,7 +226,7 @@
     let founders: Vec<Member> = (0..topology.founders).map(member).collect();
     let initial_snapshot = |node: NodeIndex| {
         if node < topology.founders {
-            founding_snapshot(&founders)
+            initial_snapshot(&founders)
         } else {
             Snapshot::default()
         }
--- a/crates/coordination-simulation/src/cluster/time.rs
+++ b/crates/coordination-simulation/src/cluster/time.rs
@@ -81,7 +81,9 @@
             Event::Delivery { link, packet, .. } => self.deliver(link, packet),
             Event::LinkUp { link, .. } => {
                 let address = self.nodes[link.to].address.clone();
-                self.call(link.from, |process, now| process.link_up(now, &address));
+                self.call(link.from, |process, now| {
+                    process.connection_established(now, &address)
+                });
             }
             Event::Persisted { sequence, .. } => {
                 self.call(node, |process, now| process.persisted(now, sequence));
--- a/crates/coordination-simulation/src/scenario/ending.rs
+++ b/crates/coordination-simulation/src/scenario/ending.rs
@@ -120,8 +120,8 @@
     for lock in locks() {
         let call = Call::Command(Command::AcquireLock {
             lock,
-            holder: "final".to_owned(),
-            hold_ms: HOLD_MS,
+            owner: "final".to_owned(),
+            lease_ms: HOLD_MS,
         });
         add(cluster, Request::Call(call), FinalGoal::Executed);
     }
--- a/crates/coordination-simulation/tests/checks.rs
+++ b/crates/coordination-simulation/tests/checks.rs
@@ -102,8 +102,8 @@
 fn acquire(holder: &str) -> Command {
     Command::AcquireLock {
         lock: "lock".to_owned(),
-        holder: holder.to_owned(),
-        hold_ms: 1_000,
+        owner: holder.to_owned(),
+        lease_ms: 1_000,
     }
 }
 
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -11,27 +11,27 @@
         /// The name of the lock.
         lock: String,
         /// The name of the caller.
-        holder: String,
+        owner: String,
         /// The duration of the lease in milliseconds.
-        hold_ms: u64,
+        lease_ms: u64,
     },
     /// Extend the lease of a lock.
     RenewLock {
         /// The name of the lock.
         lock: String,
         /// The name of the caller.
-        holder: String,
+        owner: String,
         /// The fencing token of the lease.
         fencing_token: u64,
         /// The duration of the lease from now on, in milliseconds.
-        hold_ms: u64,
+        lease_ms: u64,
     },
     /// Release a lock.
     ReleaseLock {
         /// The name of the lock.
         lock: String,
         /// The name of the caller.
-        holder: String,
+        owner: String,
         /// The fencing token of the lease.
         fencing_token: u64,
     },
@@ -60,7 +60,7 @@
 
     /// Whether a second execution can't take effect any more where the first one had this outcome.
     /// A put that did not fit, or that requires a revision to come, may still succeed.
-    pub fn is_settled_by(&self, outcome: &Outcome) -> bool {
+    pub fn is_final_outcome(&self, outcome: &Outcome) -> bool {
         match (self, outcome) {
             (Self::Put { if_revision, .. }, Outcome::RevisionConflict { current }) => {
                 if_revision.is_some_and(|required| required < *current)
@@ -74,9 +74,9 @@
     pub fn size(&self) -> usize {
         const HEADER_BYTES: usize = 40;
         let names = match self {
-            Self::AcquireLock { lock, holder, .. }
-            | Self::RenewLock { lock, holder, .. }
-            | Self::ReleaseLock { lock, holder, .. } => lock.len() + holder.len(),
+            Self::AcquireLock { lock, owner, .. }
+            | Self::RenewLock { lock, owner, .. }
+            | Self::ReleaseLock { lock, owner, .. } => lock.len() + owner.len(),
             Self::NextNumber { sequence } => sequence.len(),
             Self::Put { key, value, .. } => key.len() + value.len(),
         };
--- a/crates/coordination/src/machine/calls.rs
+++ b/crates/coordination/src/machine/calls.rs
@@ -70,7 +70,7 @@
     /// What is known of the call once a copy of it was executed.
     fn result_of(&self, outcome: Outcome) -> CallResult {
         match &self.call {
-            Call::Command(command) if self.is_repeated && !command.is_settled_by(&outcome) => {
+            Call::Command(command) if self.is_repeated && !command.is_final_outcome(&outcome) => {
                 CallResult::Unknown
             }
             _ => CallResult::Executed(outcome),
@@ -217,12 +217,12 @@
     fn forwarded(&mut self, number: u64, leader: &LeaderAddress) -> Option<ForwardedCall> {
         let id = self.call_id(number);
         let pending = self.calls.by_number.get_mut(&number)?;
-        let expires = self
+        let deadline = self
             .leader_clock
             .to_leader_time(leader.term, pending.deadline)?;
         pending.send_to(leader.clone());
         let call = pending.batched(id);
-        Some(ForwardedCall { call, expires })
+        Some(ForwardedCall { call, deadline })
     }
 
     /// The connection to a machine is new: calls that were forwarded to it may be lost.
--- a/crates/coordination/src/machine/mod.rs
+++ b/crates/coordination/src/machine/mod.rs
@@ -28,7 +28,7 @@
 
 pub use action::{Action, Response};
 pub use log_event::{CallSummary, LogEvent};
-pub use settings::{MachineSettings, founding_snapshot};
+pub use settings::{MachineSettings, initial_snapshot};
 pub use status::{Counters, MachineStatus};
 pub use watches::WatchRequest;
 
@@ -83,7 +83,7 @@
     pub fn new(settings: MachineSettings, durable: DurableState, now: u64, seed: u64) -> Self {
         let replica_settings = Settings {
             timing: Timing::MULTI_REGION,
-            min_voters: 2 * settings.tolerated + 1,
+            min_voters: 2 * settings.tolerated_failures + 1,
         };
         let mut machine = Self {
             now,
--- a/crates/coordination/src/machine/peers.rs
+++ b/crates/coordination/src/machine/peers.rs
@@ -52,7 +52,7 @@
     }
 
     /// The connection to a machine is up. What was in flight on a former one may be lost.
-    pub fn link_up(&mut self, now: u64, address: &str) {
+    pub fn connection_established(&mut self, now: u64, address: &str) {
         self.advance_clock(now);
         let hello = self.hello();
         self.send(address, hello);
--- a/crates/coordination/src/machine/queue.rs
+++ b/crates/coordination/src/machine/queue.rs
@@ -91,12 +91,12 @@
     /// and not after their time.
     pub(super) fn on_forwarded_calls(&mut self, from: &str, calls: Vec<ForwardedCall>) {
         let mut rejected = Vec::new();
-        for ForwardedCall { call, expires } in calls {
-            let is_meant = self.replica.is_leader() && expires.term == self.replica.term();
+        for ForwardedCall { call, deadline } in calls {
+            let is_meant = self.replica.is_leader() && deadline.term == self.replica.term();
             let call = QueuedCall {
                 call,
                 taken_by: from.to_owned(),
-                deadline: expires.at,
+                deadline: deadline.at,
             };
             if is_meant && self.now <= call.deadline {
                 rejected.extend(self.enqueue(call));
--- a/crates/coordination/src/machine/settings.rs
+++ b/crates/coordination/src/machine/settings.rs
@@ -12,7 +12,7 @@
     /// Internal addresses of the seeds.
     pub seeds: Vec<String>,
     /// The number of machines with a disk that may be lost at a time.
-    pub tolerated: usize,
+    pub tolerated_failures: usize,
     /// For how long the history of keys is kept at least, in milliseconds.
     pub history_ms: u64,
     /// Distinguishes this process and its calls from earlier processes of the machine.
@@ -21,7 +21,7 @@
 
 /// The snapshot that founders of a group begin with: the seeds are its voters. All founders make
 /// the same one, so that there is one group, whichever of them starts first.
-pub fn founding_snapshot(seeds: &[Member]) -> Snapshot {
+pub fn initial_snapshot(seeds: &[Member]) -> Snapshot {
     let mut voters = seeds.to_vec();
     voters.sort_by_key(|member| member.id);
     voters.dedup();
--- a/crates/coordination/src/state/locks.rs
+++ b/crates/coordination/src/state/locks.rs
@@ -9,7 +9,7 @@
 /// A lease of a lock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Lease {
-    pub holder: String,
+    pub owner: String,
     pub fencing_token: u64,
     /// When it runs out, by the state's clock.
     pub expires_ms: u64,
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct AcquireRequest {
     pub lock: String,
-    pub holder: String,
+    pub owner: String,
     pub expires_ms: u64,
     /// Whether the state may grow.
     pub has_room: bool,
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseId<'a> {
     pub lock: &'a str,
-    pub holder: &'a str,
+    pub owner: &'a str,
     pub fencing_token: u64,
 }
 
@@ -62,18 +62,18 @@
         self.leases.iter()
     }
 
-    /// Acquires a lock that nobody else holds. Its holder gets a new fencing token, so that calls
+    /// Acquires a lock that nobody else holds. Its owner gets a new fencing token, so that calls
     /// of its former hold that are still under way do not concern this one. The lease never ends
-    /// earlier than it was to end before: where the response is lost, the holder relies on that.
+    /// earlier than it was to end before: where the response is lost, the owner relies on that.
     pub fn acquire(&mut self, request: AcquireRequest) -> Outcome {
         let AcquireRequest {
             lock,
-            holder,
+            owner,
             expires_ms,
             has_room,
         } = request;
         let current = self.leases.get(&lock);
-        if current.is_some_and(|lease| lease.holder != holder) {
+        if current.is_some_and(|lease| lease.owner != owner) {
             return Outcome::LockHeld;
         }
         if current.is_none() && !has_room {
@@ -83,7 +83,7 @@
         self.last_fencing_token += 1;
         let fencing_token = self.last_fencing_token;
         let lease = Lease {
-            holder,
+            owner,
             fencing_token,
             expires_ms: expires_ms.max(former_expiry_ms),
         };
@@ -130,7 +130,7 @@
     /// The lease that a caller means, if it is the current one of its lock.
     fn current(&self, id: LeaseId<'_>) -> Option<&Lease> {
         let is_meant =
-            |lease: &&Lease| lease.holder == id.holder && lease.fencing_token == id.fencing_token;
+            |lease: &&Lease| lease.owner == id.owner && lease.fencing_token == id.fencing_token;
         self.leases.get(id.lock).filter(is_meant)
     }
 
@@ -157,5 +157,5 @@
 }
 
 fn size(lock: &str, lease: &Lease) -> usize {
-    LEASE_BYTES + 2 * lock.len() + lease.holder.len()
+    LEASE_BYTES + 2 * lock.len() + lease.owner.len()
 }
--- a/crates/coordination/src/state/mod.rs
+++ b/crates/coordination/src/state/mod.rs
@@ -157,38 +157,38 @@
         match command {
             Command::AcquireLock {
                 lock,
-                holder,
-                hold_ms,
+                owner,
+                lease_ms,
             } => {
                 let request = AcquireRequest {
                     lock,
-                    holder,
-                    expires_ms: now_ms.saturating_add(hold_ms),
+                    owner,
+                    expires_ms: now_ms.saturating_add(lease_ms),
                     has_room,
                 };
                 self.locks.acquire(request)
             }
             Command::RenewLock {
                 lock,
-                holder,
+                owner,
                 fencing_token,
-                hold_ms,
+                lease_ms,
             } => {
                 let lease = LeaseId {
                     lock: &lock,
-                    holder: &holder,
+                    owner: &owner,
                     fencing_token,
                 };
-                self.locks.renew(lease, now_ms.saturating_add(hold_ms))
+                self.locks.renew(lease, now_ms.saturating_add(lease_ms))
             }
             Command::ReleaseLock {
                 lock,
-                holder,
+                owner,
                 fencing_token,
             } => {
                 let lease = LeaseId {
                     lock: &lock,
-                    holder: &holder,
+                    owner: &owner,
                     fencing_token,
                 };
                 self.locks.release(lease)
--- a/crates/coordination/src/state/snapshot.rs
+++ b/crates/coordination/src/state/snapshot.rs
@@ -26,7 +26,7 @@
 #[derive(SerBin, DeBin)]
 struct StoredLease {
     lock: String,
-    holder: String,
+    owner: String,
     fencing_token: u64,
     expires_ms: u64,
 }
@@ -113,7 +113,7 @@
 fn stored_leases(locks: &LockTable) -> Vec<StoredLease> {
     let stored = |(lock, lease): (&String, &Lease)| StoredLease {
         lock: lock.clone(),
-        holder: lease.holder.clone(),
+        owner: lease.owner.clone(),
         fencing_token: lease.fencing_token,
         expires_ms: lease.expires_ms,
     };
@@ -124,7 +124,7 @@
     let mut locks = LockTable::default();
     for stored in stored {
         let lease = Lease {
-            holder: stored.holder,
+            owner: stored.owner,
             fencing_token: stored.fencing_token,
             expires_ms: stored.expires_ms,
         };
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -22,7 +22,7 @@
     /// The call.
     pub call: BatchedCall,
     /// Until when the leader may propose it.
-    pub expires: LeaderTime,
+    pub deadline: LeaderTime,
 }
 
 /// A message from one machine to another.
--- a/crates/coordination/tests/early_commit.rs
+++ b/crates/coordination/tests/early_commit.rs
@@ -4,7 +4,7 @@
 use woadstall_consensus::{DurableState, Member};
 use woadstall_coordination::command::{Call, Command};
 use woadstall_coordination::machine::{
-    Action, CoordinationMachine, MachineSettings, Response, founding_snapshot,
+    Action, CoordinationMachine, MachineSettings, Response, initial_snapshot,
 };
 use woadstall_coordination::wire::{MachineInfo, Packet};
 
@@ -61,11 +61,11 @@
                     region: address(machine),
                 },
                 seeds: (0..MACHINES).map(address).collect(),
-                tolerated: TOLERATED,
+                tolerated_failures: TOLERATED,
                 history_ms: 20_000,
                 incarnation: machine as u64 + 1,
             };
-            let disk = DurableState::new(machine as u64 + 1, founding_snapshot(&members));
+            let disk = DurableState::new(machine as u64 + 1, initial_snapshot(&members));
             CoordinationMachine::new(settings, disk, 0, seed + machine as u64)
         };
         Self {
@@ -95,7 +95,7 @@
         for action in self.machines[machine].take_actions() {
             match action {
                 Action::Connect { address } => {
-                    self.machines[machine].link_up(self.now, &address);
+                    self.machines[machine].connection_established(self.now, &address);
                     self.carry_out_actions(machine);
                 }
                 Action::Send {
--- a/crates/coordination/tests/locks.rs
+++ b/crates/coordination/tests/locks.rs
@@ -104,14 +104,14 @@
 #[case::an_older_token("a", 1)]
 #[case::a_token_to_come("a", 3)]
 #[case::token_0("a", 0)]
-fn calls_that_do_not_name_the_lease_leave_it_alone(#[case] holder: &str, #[case] token: u64) {
+fn calls_that_do_not_name_the_lease_leave_it_alone(#[case] owner: &str, #[case] token: u64) {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     service.execute(acquire("l", "a", 3_000));
     let before = service.state.clone();
-    let renewal = renew("l", holder, token, 60_000);
+    let renewal = renew("l", owner, token, 60_000);
     assert_eq!(service.execute(renewal), Outcome::LockLost);
-    let release = release("l", holder, token);
+    let release = release("l", owner, token);
     assert_eq!(service.execute(release), Outcome::LockReleased);
     assert_eq!(service.state.size(), before.size());
     service.advance(2_999);
@@ -141,7 +141,7 @@
     assert_eq!(service.execute(release("l", "a", 1)), Outcome::LockReleased);
 }
 
-// The release of the former hold is still under way when the same holder acquires the lock again.
+// The release of the former hold is still under way when the same owner acquires the lock again.
 #[test]
 fn a_late_release_of_a_former_hold_does_not_touch_the_new_one() {
     let mut service = Service::new();
@@ -194,13 +194,13 @@
 #[rstest]
 #[case::nothing(0)]
 #[case::forever(u64::MAX)]
-fn extreme_durations_are_kept(#[case] hold_ms: u64) {
+fn extreme_durations_are_kept(#[case] lease_ms: u64) {
     let mut service = Service::new();
     service.advance(1_000);
-    assert_eq!(service.execute(acquire("l", "a", hold_ms)), acquired(1));
+    assert_eq!(service.execute(acquire("l", "a", lease_ms)), acquired(1));
     service.advance(1);
     let is_held = service.execute(acquire("l", "b", 1_000)) == Outcome::LockHeld;
-    assert_eq!(is_held, hold_ms > 0);
+    assert_eq!(is_held, lease_ms > 0);
 }
 
 #[test]
--- a/crates/coordination/tests/machine/calls.rs
+++ b/crates/coordination/tests/machine/calls.rs
@@ -133,7 +133,7 @@
     let Packet::Calls(mut calls) = cluster.forwarded_calls().remove(0) else {
         unreachable!()
     };
-    calls[0].expires.term -= 1;
+    calls[0].deadline.term -= 1;
     cluster.hand_in(follower, leader, Packet::Calls(calls));
     cluster.run(200);
     assert_eq!(cluster.machine(leader).state().size().leases, 0);
@@ -330,5 +330,8 @@
     #[case] outcome: Outcome,
     #[case] expected: bool,
 ) {
-    assert_eq!(put("g.a", "x", Some(5)).is_settled_by(&outcome), expected);
+    assert_eq!(
+        put("g.a", "x", Some(5)).is_final_outcome(&outcome),
+        expected
+    );
 }
--- a/crates/coordination/tests/machine/cluster.rs
+++ b/crates/coordination/tests/machine/cluster.rs
@@ -5,7 +5,7 @@
 use woadstall_coordination::command::{Call, Command};
 use woadstall_coordination::machine::{
     Action, CoordinationMachine, LogEvent, MachineSettings, Response, WatchRequest,
-    founding_snapshot,
+    initial_snapshot,
 };
 use woadstall_coordination::outcome::Outcome;
 use woadstall_coordination::wire::{MachineInfo, Packet};
@@ -78,7 +78,7 @@
             region: format!("region-{id}"),
         },
         seeds: (1..=count).map(address).collect(),
-        tolerated: (count as usize - 1) / 2,
+        tolerated_failures: (count as usize - 1) / 2,
         history_ms: HISTORY_MS,
         incarnation,
     }
@@ -100,7 +100,7 @@
             log: Vec::new(),
         };
         for id in 1..=count {
-            let durable = DurableState::new(id, founding_snapshot(&members));
+            let durable = DurableState::new(id, initial_snapshot(&members));
             let clock_offset = 1_000_000 * (count - id);
             cluster.start(id, count, durable, 100 + id, clock_offset);
         }
@@ -288,7 +288,9 @@
             .retain(|packet| ![(one, other), (other, one)].contains(&(packet.from, packet.to)));
         for (id, peer) in [(one, other), (other, one)] {
             let now = self.clock(id);
-            self.host(id).machine.link_up(now, &address(peer));
+            self.host(id)
+                .machine
+                .connection_established(now, &address(peer));
             self.carry_out(id);
         }
     }
@@ -388,7 +390,9 @@
     fn carry_out_action(&mut self, id: u64, action: Action) {
         let now = self.clock(id);
         match action {
-            Action::Connect { address } => self.host(id).machine.link_up(now, &address),
+            Action::Connect { address } => {
+                self.host(id).machine.connection_established(now, &address)
+            }
             Action::Disconnect { .. } => {}
             Action::Send { address, packet } => {
                 let to = id_of(&address, self.count());
--- a/crates/coordination/tests/machine/lease_clock.rs
+++ b/crates/coordination/tests/machine/lease_clock.rs
@@ -15,12 +15,12 @@
 const ROUND_TRIP_MS: u64 = 60;
 
 /// Asks the running machines in turn for a lock until it is acquired, and returns the time.
-fn acquire_at_last(cluster: &mut Cluster, lock: &str, holder: &str) -> u64 {
+fn acquire_at_last(cluster: &mut Cluster, lock: &str, owner: &str) -> u64 {
     let end = cluster.now + 60_000;
     while cluster.now < end {
         let running = cluster.running();
         let id = running[(cluster.now / RETRY_INTERVAL_MS) as usize % running.len()];
-        let token = cluster.submit_command(id, acquire(lock, holder, 60_000));
+        let token = cluster.submit_command(id, acquire(lock, owner, 60_000));
         cluster.run(RETRY_INTERVAL_MS);
         let response = cluster.response(token);
         if let Some(Response::Executed(Outcome::LockAcquired { .. })) = response {
--- a/crates/coordination/tests/properties.rs
+++ b/crates/coordination/tests/properties.rs
@@ -28,16 +28,16 @@
 
 fn command() -> impl Strategy<Value = Command> {
     let lock = || name(&["l", "m"]);
-    let holder = || name(&["a", "b", "c"]);
+    let owner = || name(&["a", "b", "c"]);
     let key = || name(&["g.a", "g.b", "h.a", "i"]);
     let value = || name(&["t", "u", "v", "w", "x", "y"]);
-    let hold_ms = || prop_oneof![Just(0), 1..6_000_u64, Just(u64::MAX)];
+    let lease_ms = || prop_oneof![Just(0), 1..6_000_u64, Just(u64::MAX)];
     let if_revision = prop_oneof![Just(None), (0..8_u64).prop_map(Some)];
     prop_oneof![
-        3 => (lock(), holder(), hold_ms()).prop_map(|(lock, holder, hold)| acquire(lock, holder, hold)),
-        2 => (lock(), holder(), 0..12_u64, hold_ms())
-            .prop_map(|(lock, holder, token, hold)| renew(lock, holder, token, hold)),
-        2 => (lock(), holder(), 0..12_u64).prop_map(|(lock, holder, token)| release(lock, holder, token)),
+        3 => (lock(), owner(), lease_ms()).prop_map(|(lock, owner, hold)| acquire(lock, owner, hold)),
+        2 => (lock(), owner(), 0..12_u64, lease_ms())
+            .prop_map(|(lock, owner, token, hold)| renew(lock, owner, token, hold)),
+        2 => (lock(), owner(), 0..12_u64).prop_map(|(lock, owner, token)| release(lock, owner, token)),
         1 => name(&["n", "o"]).prop_map(next_number),
         4 => (key(), value(), if_revision).prop_map(|(key, value, required)| put(key, value, required)),
     ]
@@ -72,16 +72,16 @@
 struct Model {
     now_ms: u64,
     last_token: u64,
-    /// By lock: the holder, its token, and the end of its lease.
+    /// By lock: the owner, its token, and the end of its lease.
     leases: BTreeMap<String, (String, u64, u64)>,
     numbers: BTreeMap<String, u64>,
     puts: Vec<ModelPut>,
 }
 
 impl Model {
-    fn is_holder(&self, lock: &str, holder: &str, token: u64) -> bool {
+    fn is_holder(&self, lock: &str, owner: &str, token: u64) -> bool {
         let lease = self.leases.get(lock);
-        lease.is_some_and(|lease| lease.0 == holder && lease.1 == token)
+        lease.is_some_and(|lease| lease.0 == owner && lease.1 == token)
     }
 
     /// The clock reaches a time: leases that have run out are gone.
@@ -137,29 +137,29 @@
         match command {
             Command::AcquireLock {
                 lock,
-                holder,
-                hold_ms,
-            } => self.acquire(lock, holder, *hold_ms),
+                owner,
+                lease_ms,
+            } => self.acquire(lock, owner, *lease_ms),
             Command::RenewLock {
                 lock,
-                holder,
+                owner,
                 fencing_token,
-                hold_ms,
+                lease_ms,
             } => {
-                if !self.is_holder(lock, holder, *fencing_token) {
+                if !self.is_holder(lock, owner, *fencing_token) {
                     return Outcome::LockLost;
                 }
-                let end = self.now_ms.saturating_add(*hold_ms);
+                let end = self.now_ms.saturating_add(*lease_ms);
                 let lease = self.leases.get_mut(lock).unwrap();
                 lease.2 = lease.2.max(end);
                 Outcome::LockRenewed
             }
             Command::ReleaseLock {
                 lock,
-                holder,
+                owner,
                 fencing_token,
             } => {
-                if self.is_holder(lock, holder, *fencing_token) {
+                if self.is_holder(lock, owner, *fencing_token) {
                     self.leases.remove(lock);
                 }
                 Outcome::LockReleased
@@ -177,16 +177,16 @@
         }
     }
 
-    fn acquire(&mut self, lock: &str, holder: &str, hold_ms: u64) -> Outcome {
-        let mut end = self.now_ms.saturating_add(hold_ms);
+    fn acquire(&mut self, lock: &str, owner: &str, lease_ms: u64) -> Outcome {
+        let mut end = self.now_ms.saturating_add(lease_ms);
         if let Some(lease) = self.leases.get(lock) {
-            if lease.0 != holder {
+            if lease.0 != owner {
                 return Outcome::LockHeld;
             }
             end = end.max(lease.2);
         }
         self.last_token += 1;
-        let lease = (holder.to_owned(), self.last_token, end);
+        let lease = (owner.to_owned(), self.last_token, end);
         self.leases.insert(lock.to_owned(), lease);
         support::acquired(self.last_token)
     }
--- a/crates/coordination/tests/snapshot.rs
+++ b/crates/coordination/tests/snapshot.rs
@@ -121,7 +121,7 @@
     };
     let forwarded = ForwardedCall {
         call: call(),
-        expires: LeaderTime {
+        deadline: LeaderTime {
             term: 4,
             at: 50_900,
         },
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -29,29 +29,29 @@
 }
 
 /// A request for a lock.
-pub fn acquire(lock: &str, holder: &str, hold_ms: u64) -> Command {
+pub fn acquire(lock: &str, owner: &str, lease_ms: u64) -> Command {
     Command::AcquireLock {
         lock: lock.to_owned(),
-        holder: holder.to_owned(),
-        hold_ms,
+        owner: owner.to_owned(),
+        lease_ms,
     }
 }
 
 /// A request to extend a lease.
-pub fn renew(lock: &str, holder: &str, fencing_token: u64, hold_ms: u64) -> Command {
+pub fn renew(lock: &str, owner: &str, fencing_token: u64, lease_ms: u64) -> Command {
     Command::RenewLock {
         lock: lock.to_owned(),
-        holder: holder.to_owned(),
+        owner: owner.to_owned(),
         fencing_token,
-        hold_ms,
+        lease_ms,
     }
 }
 
 /// A request to end a lease.
-pub fn release(lock: &str, holder: &str, fencing_token: u64) -> Command {
+pub fn release(lock: &str, owner: &str, fencing_token: u64) -> Command {
     Command::ReleaseLock {
         lock: lock.to_owned(),
-        holder: holder.to_owned(),
+        owner: owner.to_owned(),
         fencing_token,
     }
 }
--- a/crates/node/src/core/api/coordination.rs
+++ b/crates/node/src/core/api/coordination.rs
@@ -10,12 +10,12 @@
 use woadstall_coordination::outcome::Outcome;
 use woadstall_coordination::state::{Event, GroupEvents};
 
-/// Bytes of a name at most: of a lock, a holder, a sequence, a key or a group.
+/// Bytes of a name at most: of a lock, a lock owner, a sequence, a key or a group.
 const MAX_NAME_BYTES: usize = 256;
 /// Bytes of a value at most.
 const MAX_VALUE_BYTES: usize = 64 << 10;
 /// The longest lease: a day, in milliseconds.
-const MAX_HOLD_MS: u64 = 24 * 60 * 60 * 1_000;
+const MAX_LEASE_MS: u64 = 24 * 60 * 60 * 1_000;
 /// The longest that a watch waits, in milliseconds.
 const MAX_WAIT_MS: u64 = 30_000;
 /// How long a watch waits if its request does not say, in milliseconds.
@@ -61,23 +61,23 @@
     let root = FieldReader::new(&body);
     let findings = &mut Findings::default();
     let lock = checked_name("(lock)", lock, findings);
-    let holder = root.field("holder").string(findings);
-    let holder = checked_name("holder", &holder, findings);
+    let owner = root.field("holder").string(findings);
+    let owner = checked_name("holder", &owner, findings);
     let command = match method {
         "POST" => Command::AcquireLock {
             lock,
-            holder,
-            hold_ms: hold_ms(&root, findings),
+            owner,
+            lease_ms: lease_ms(&root, findings),
         },
         "PUT" => Command::RenewLock {
             lock,
-            holder,
+            owner,
             fencing_token: root.field("fence").integer(findings),
-            hold_ms: hold_ms(&root, findings),
+            lease_ms: lease_ms(&root, findings),
         },
         _ => Command::ReleaseLock {
             lock,
-            holder,
+            owner,
             fencing_token: root.field("fence").integer(findings),
         },
     };
@@ -172,14 +172,17 @@
     name.to_owned()
 }
 
-fn hold_ms(root: &FieldReader<'_>, findings: &mut Findings) -> u64 {
+fn lease_ms(root: &FieldReader<'_>, findings: &mut Findings) -> u64 {
     let field = root.field("hold_ms");
     let found = findings.0.len();
-    let hold_ms = field.integer(findings);
-    if findings.0.len() == found && !(1..=MAX_HOLD_MS).contains(&hold_ms) {
-        findings.add(field.path(), format!("must be between 1 and {MAX_HOLD_MS}"));
+    let lease_ms = field.integer(findings);
+    if findings.0.len() == found && !(1..=MAX_LEASE_MS).contains(&lease_ms) {
+        findings.add(
+            field.path(),
+            format!("must be between 1 and {MAX_LEASE_MS}"),
+        );
     }
-    hold_ms
+    lease_ms
 }
 
 fn value(field: &FieldReader<'_>, findings: &mut Findings) -> String {
--- a/crates/node/src/core/coordination/founding.rs
+++ b/crates/node/src/core/coordination/founding.rs
@@ -5,7 +5,7 @@
 use crate::settings::NodeSettings;
 use std::net::SocketAddr;
 use woadstall_consensus::{DurableState, Member, Snapshot};
-use woadstall_coordination::machine::founding_snapshot;
+use woadstall_coordination::machine::initial_snapshot;
 
 /// The state of a machine whose storage is empty. The seeds found the group at the first start of
 /// the whole system; any other machine gets a new identity and joins the group.
@@ -22,5 +22,5 @@
         })
     };
     let founders: Vec<Member> = settings.seeds.iter().filter_map(founder).collect();
-    DurableState::new(founder_id(control), founding_snapshot(&founders))
+    DurableState::new(founder_id(control), initial_snapshot(&founders))
 }
--- a/crates/node/src/core/coordination/mod.rs
+++ b/crates/node/src/core/coordination/mod.rs
@@ -134,7 +134,7 @@
             region: settings.region.clone(),
         },
         seeds: super::addresses(&settings.coordination_seeds()),
-        tolerated: settings.tolerated_failures,
+        tolerated_failures: settings.tolerated_failures,
         history_ms: HISTORY_FACTOR * millis(settings.history_period) + HISTORY_SLACK_MS,
         incarnation: fastrand::u64(1..),
     }
--- a/crates/node/src/core/coordination/process.rs
+++ b/crates/node/src/core/coordination/process.rs
@@ -106,7 +106,7 @@
     fn handle(&mut self, event: Event) {
         let now = self.now();
         match event {
-            Event::PeerConnected(address) => self.machine.link_up(now, &address),
+            Event::PeerConnected(address) => self.machine.connection_established(now, &address),
             Event::Packet { from, packet } => self.machine.receive_packet(now, &from, packet),
             Event::RecordsPersisted(sequence) => self.machine.persisted(now, sequence),
             Event::Request {
