--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -1,16 +1,16 @@
-//! The calls of applications.
+//! Calls that applications make to the service.
 
 use crate::outcome::Outcome;
 use nanoserde::{DeBin, SerBin};
 
-/// A call that may change the state; it takes effect as part of a [`Batch`](crate::batch::Batch).
+/// A call that may change the state. It takes effect as part of a [`Batch`](crate::batch::Batch).
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Command {
     /// Acquire a lock.
     AcquireLock {
         /// The name of the lock.
         lock: String,
-        /// The name of the caller.
+        /// The lease owner, as named by the caller.
         owner: String,
         /// The duration of the lease in milliseconds.
         lease_ms: u64,
@@ -19,47 +19,50 @@
     RenewLock {
         /// The name of the lock.
         lock: String,
-        /// The name of the caller.
+        /// The lease owner, as named by the caller.
         owner: String,
         /// The fencing token of the lease.
         fencing_token: u64,
-        /// The duration of the lease from now on, in milliseconds.
+        /// The duration of the lease from the renewal on, in milliseconds.
         lease_ms: u64,
     },
     /// Release a lock.
     ReleaseLock {
         /// The name of the lock.
         lock: String,
-        /// The name of the caller.
+        /// The lease owner, as named by the caller.
         owner: String,
         /// The fencing token of the lease.
         fencing_token: u64,
     },
-    /// Take the next number of a sequence.
+    /// Allocate the next number of a sequence.
     NextNumber {
         /// The name of the sequence.
         sequence: String,
     },
-    /// Set the value of a key. The same value for the same key is the same command.
+    /// Set the value of a key. Two puts with the same key and value count as one command,
+    /// regardless of their conditions.
     Put {
-        /// The key.
+        /// The name of the key.
         key: String,
-        /// The value.
+        /// The new value.
         value: String,
-        /// The revision that the key must have, 0 if it must not exist.
+        /// The revision that the key must have, or 0 if the key must not exist. `None` makes the
+        /// put unconditional.
         if_revision: Option<u64>,
     },
 }
 
 impl Command {
-    /// Whether a caller that gets the outcome of a second execution is served as well as by that of
-    /// the first one. A lock that is acquired a second time gets another fencing token.
+    /// Whether the caller may receive the outcome of a second execution in place of the first one.
+    /// Acquiring a lock is not idempotent, because a second execution issues a new fencing token.
     pub fn is_idempotent(&self) -> bool {
         !matches!(self, Self::AcquireLock { .. })
     }
 
-    /// Whether a second execution can't take effect any more where the first one had this outcome.
-    /// A put that did not fit, or that requires a revision to come, may still succeed.
+    /// Whether `outcome` of one execution rules out that a second execution of the command takes
+    /// effect. A command rejected with [`Outcome::LimitReached`] may still succeed later. So may a
+    /// put that requires a revision which the key has not reached yet.
     pub fn is_final_outcome(&self, outcome: &Outcome) -> bool {
         match (self, outcome) {
             (Self::Put { if_revision, .. }, Outcome::RevisionConflict { current }) => {
@@ -70,7 +73,7 @@
         }
     }
 
-    /// About how many bytes the command takes in a batch.
+    /// The approximate size of the command in a batch, in bytes.
     pub fn size(&self) -> usize {
         const HEADER_BYTES: usize = 40;
         let names = match self {
@@ -87,14 +90,14 @@
 /// A call that reads the state.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Query {
-    /// The value of a key.
+    /// Read the value of a key.
     Get {
-        /// The key.
+        /// The name of the key.
         key: String,
     },
-    /// The current revision of a group of keys.
+    /// Read the current revision of a key group.
     GroupRevision {
-        /// The group; see [`group_of`].
+        /// The name of the group; see [`group_of`].
         group: String,
     },
 }
@@ -102,14 +105,14 @@
 /// A call of an application.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Call {
-    /// It may change the state.
+    /// A call that may change the state.
     Command(Command),
-    /// It reads the state.
+    /// A call that only reads the state.
     Query(Query),
 }
 
 impl Call {
-    /// About how many bytes the call takes in a message.
+    /// The approximate size of the call in a packet, in bytes.
     pub fn size(&self) -> usize {
         match self {
             Self::Command(command) => command.size(),
@@ -120,8 +123,8 @@
     }
 }
 
-/// The group of a key, which shares one count of revisions: the name up to the first dot, without
-/// it.
+/// The group of a key: the part of its name before the first dot, or the whole name if it has no
+/// dot. The keys of a group share one revision counter.
 pub fn group_of(key: &str) -> &str {
     key.split_once('.').map_or(key, |(group, _)| group)
 }
--- a/crates/coordination/src/encoding.rs
+++ b/crates/coordination/src/encoding.rs
@@ -1,33 +1,34 @@
-//! Versioned bytes of what is stored and replicated: the version and the CRC-32 of the payload
-//! (little-endian), then the payload in `nanoserde` binary. `nanoserde` trusts the lengths in its
-//! input, so nothing is decoded before its checksum matches.
+//! The versioned binary format of stored and replicated values. A value starts with the format
+//! version and the CRC-32 of the payload, both little-endian. The payload in `nanoserde` binary
+//! follows. `nanoserde` trusts the lengths in its input, so the checksum is verified before the
+//! payload is decoded.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use thiserror::Error;
 
-/// The version of the encoding. Others are not read.
+/// The format version. Other versions are rejected.
 const FORMAT_VERSION: u16 = 1;
-/// Bytes before the payload: version and checksum.
+/// The size of the version and the checksum before the payload, in bytes.
 const HEADER_BYTES: usize = 6;
 
-/// Bytes can't be decoded.
+/// An error while decoding a stored or replicated value.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// The header is incomplete.
-    #[error("{0} bytes instead of {HEADER_BYTES} or more")]
+    /// The input is shorter than the header. The value is the length of the input in bytes.
+    #[error("input truncated: got {0} bytes, the header has {HEADER_BYTES}")]
     Truncated(usize),
-    /// The encoding has another version.
-    #[error("format {0} instead of {FORMAT_VERSION}")]
+    /// The input has this unsupported format version.
+    #[error("unsupported format version {0}, expected {FORMAT_VERSION}")]
     Version(u16),
-    /// The bytes are damaged.
-    #[error("the checksum does not match")]
+    /// The payload does not match its checksum.
+    #[error("checksum mismatch")]
     Checksum,
     /// The payload is not a value of the expected type.
-    #[error("the payload can't be decoded: {0}")]
+    #[error("failed to decode the payload: {0}")]
     Payload(#[from] DeBinErr),
 }
 
-/// A value as bytes.
+/// Encodes a value with header and checksum.
 pub(crate) fn encode(value: &impl SerBin) -> Vec<u8> {
     let mut bytes = vec![0; HEADER_BYTES];
     value.ser_bin(&mut bytes);
@@ -37,7 +38,7 @@
     bytes
 }
 
-/// The value of bytes.
+/// Verifies the header and the checksum, then decodes the payload.
 pub(crate) fn decode<T: DeBin>(bytes: &[u8]) -> Result<T, DecodeError> {
     let (header, payload) = bytes
         .split_first_chunk::<HEADER_BYTES>()
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,14 +1,15 @@
-//! The coordination service for applications, without I/O and without a clock: locks with leases and
-//! fencing tokens, sequences of numbers, key-value entries with revisions, and watches.
+//! A coordination service for applications, implemented as a replicated state machine without I/O
+//! and without a clock of its own. It provides locks with leases and fencing tokens, sequence
+//! numbers, key-value entries with revisions, and watches.
 //!
-//! - [`command`] and [`outcome`] are the calls of applications and what comes of them.
-//! - [`batch`] is an entry of the replicated log: the commands that were committed together, and how
-//!   much time had passed.
-//! - [`state`] is what the log makes of them. It is deterministic: all replicas come to the same state.
-//! - [`machine`] is a replica of the group with the calls and watches that wait at it. The process
-//!   that runs it hands in packets, calls and the time.
-//! - [`encoding`] is how batches and states are stored.
-//! - [`wire`] is what the machines send each other.
+//! - [`command`] and [`outcome`] define the calls of applications and their outcomes.
+//! - [`batch`] defines the entries of the replicated log. An entry holds the calls that are
+//!   committed together and the time at which they are executed.
+//! - [`state`] applies the log. It is deterministic, so all replicas reach the same state.
+//! - [`machine`] runs a replica of the group with its pending calls and watches. The surrounding
+//!   process passes in packets, calls and the current time.
+//! - [`encoding`] defines the stored form of batches and states.
+//! - [`wire`] defines the packets that machines exchange.
 
 pub mod batch;
 pub mod command;
--- a/crates/coordination/src/machine/action.rs
+++ b/crates/coordination/src/machine/action.rs
@@ -1,4 +1,4 @@
-//! What a machine asks of the process that runs it.
+//! Side effects that a machine requests from the process that runs it.
 
 use super::LogEvent;
 use crate::outcome::Outcome;
@@ -6,42 +6,43 @@
 use crate::wire::Packet;
 use woadstall_consensus::Record;
 
-/// A side effect that the process has to carry out, in the order in which it is given.
+/// A side effect for the process to perform. Actions are performed in the order in which the
+/// machine issues them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Keep a connection to the machine at this internal address.
+    /// Open and maintain a connection to a machine.
     Connect {
-        /// The internal address.
+        /// The internal address of the machine.
         address: String,
     },
-    /// Close that connection.
+    /// Close the connection to a machine.
     Disconnect {
-        /// The internal address.
+        /// The internal address of the machine.
         address: String,
     },
-    /// Send a packet over that connection, if it is up.
+    /// Send a packet to a machine. The packet is dropped if the connection is down.
     Send {
-        /// The internal address.
+        /// The internal address of the machine.
         address: String,
-        /// The packet.
+        /// The packet to send.
         packet: Packet,
     },
     /// Make a record durable, then call
     /// [`CoordinationMachine::persisted`](super::CoordinationMachine::persisted).
     Persist {
-        /// The record's number.
+        /// The sequence number that the process reports as durable.
         sequence: u64,
-        /// The record.
+        /// The record to write.
         record: Record,
     },
     /// Respond to a call or a watch.
     Respond {
-        /// The token that came with it.
+        /// The token that was submitted with the call or the watch.
         token: u64,
-        /// The response.
+        /// The response for the client.
         response: Response,
     },
-    /// Write a line to the log.
+    /// Write an event to the process log.
     Log(LogEvent),
 }
 
@@ -50,14 +51,16 @@
 pub enum Response {
     /// The call was executed.
     Executed(Outcome),
-    /// The events of a watch; none if its time is over.
+    /// The events of a watch. The list is empty if the watch timed out without an event.
     Events(GroupEvents),
-    /// The history does not reach back to where a watch begins.
+    /// The history no longer contains the revision at which a watch starts, or the group never had
+    /// that revision.
     HistoryCompacted,
-    /// The call was not executed and never will be; the caller asks another machine.
+    /// The call was not executed and never will be. The caller can retry on another machine.
     NotExecuted,
-    /// Too many calls or watches wait here; this one was not executed and never will be.
+    /// Too many calls or watches are pending on this machine. The call was not executed and never
+    /// will be.
     Overloaded,
-    /// It is not known whether the call was or will be executed.
+    /// The outcome is unknown: the call may have been executed or may still be executed.
     Unknown,
 }
--- a/crates/coordination/src/machine/calls.rs
+++ b/crates/coordination/src/machine/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that applications make at this machine, until they are answered.
+//! Calls that clients submit to this machine, from submission to response.
 
 use super::leadership::LeaderAddress;
 use super::queue::QueuedCall;
@@ -10,56 +10,57 @@
 use crate::wire::{ForwardedCall, Packet};
 use std::collections::BTreeMap;
 
-/// The time in milliseconds after which a call is answered in any case: a caller goes to another
-/// machine after a second.
+/// The time in milliseconds after which a call without a result times out. Clients try another
+/// machine after one second, so the response must arrive before that.
 const CALL_TIMEOUT_MS: u64 = 900;
 
-/// Calls that may wait at a machine: more than are executed within [`CALL_TIMEOUT_MS`].
+/// The maximum number of pending calls per machine. It exceeds the number of calls that can be
+/// executed within [`CALL_TIMEOUT_MS`].
 const MAX_PENDING_CALLS: usize = 2_048;
-/// A call that takes so many milliseconds is logged.
+/// Calls that take at least this many milliseconds are logged as slow.
 const SLOW_CALL_MS: u64 = 400;
 
-/// Who waits for a call.
+/// The recipient of a call's result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Caller {
-    /// An application, by its token.
+    /// A client application, identified by the token of its request.
     Application(u64),
-    /// A watch of this machine, by its number.
+    /// A watch of this machine, identified by its number.
     Watch(u64),
 }
 
-/// What came of a call.
+/// The result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CallResult {
-    /// It was executed.
+    /// The call was executed with this outcome.
     Executed(Outcome),
-    /// It was not executed and never will be.
+    /// The call was not executed and never will be.
     NotExecuted,
-    /// The same, as too many calls wait here.
+    /// The call was rejected because too many calls are pending on this machine.
     Overloaded,
-    /// It may have been executed, or may still be.
+    /// The call may have been executed or may still be executed.
     Unknown,
 }
 
-/// A call that waits for its result.
+/// A call without a result yet.
 #[derive(Clone, Debug)]
 struct PendingCall {
     caller: Caller,
     call: Call,
     started: u64,
     deadline: u64,
-    /// The leader that has it, perhaps this machine.
-    sent_to: Option<LeaderAddress>,
-    /// Whether a former leader may have executed it, or may still do so.
+    /// The leader that the call is assigned to. It may be this machine.
+    assigned_to: Option<LeaderAddress>,
+    /// Whether a former leader may have executed the call or may still execute it.
     is_in_doubt: bool,
-    /// Whether the log may hold more than one copy of it.
-    is_repeated: bool,
+    /// Whether the log may contain more than one copy of the call.
+    may_be_duplicated: bool,
 }
 
 impl PendingCall {
-    /// What is known of the call while it has no result.
-    fn unfinished(&self) -> CallResult {
-        let may_be_executed = self.is_in_doubt || self.sent_to.is_some();
+    /// The result of a call that has timed out.
+    fn timeout_result(&self) -> CallResult {
+        let may_be_executed = self.is_in_doubt || self.assigned_to.is_some();
         if may_be_executed && matches!(self.call, Call::Command(_)) {
             CallResult::Unknown
         } else {
@@ -67,36 +68,40 @@
         }
     }
 
-    /// What is known of the call once a copy of it was executed.
-    fn result_of(&self, outcome: Outcome) -> CallResult {
+    /// The result of the call after one copy of it was executed with `outcome`.
+    fn result_for(&self, outcome: Outcome) -> CallResult {
         match &self.call {
-            Call::Command(command) if self.is_repeated && !command.is_final_outcome(&outcome) => {
+            Call::Command(command)
+                if self.may_be_duplicated && !command.is_final_outcome(&outcome) =>
+            {
                 CallResult::Unknown
             }
             _ => CallResult::Executed(outcome),
         }
     }
 
-    /// The call is given to a leader.
-    fn send_to(&mut self, leader: LeaderAddress) {
-        self.sent_to = Some(leader);
-        self.is_repeated |= self.is_in_doubt;
+    /// Assigns the call to a leader.
+    fn assign_to(&mut self, leader: LeaderAddress) {
+        self.assigned_to = Some(leader);
+        self.may_be_duplicated |= self.is_in_doubt;
     }
 
-    /// The leader that has the call does not have it for certain any more.
-    fn lose_leader(&mut self) {
-        if self.sent_to.take().is_some() {
+    /// Cancels the assignment to a leader that may or may not have received the call. The call is
+    /// in doubt from then on.
+    fn unassign(&mut self) {
+        if self.assigned_to.take().is_some() {
             self.is_in_doubt = true;
         }
     }
 
-    /// The call as it stands in a batch.
+    /// The call with its identifier, as batches carry it.
     fn batched(&self, id: CallId) -> BatchedCall {
         let call = self.call.clone();
         BatchedCall { id, call }
     }
 
-    /// Whether it may be sent to a leader again.
+    /// Whether sending the call to a leader again is safe. A command in doubt is only resent if a
+    /// second execution is harmless.
     fn may_be_resent(&self) -> bool {
         match &self.call {
             Call::Command(command) => !self.is_in_doubt || command.is_idempotent(),
@@ -105,7 +110,7 @@
     }
 }
 
-/// The calls by their numbers.
+/// The pending calls by call number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingCalls {
     last_number: u64,
@@ -119,15 +124,16 @@
 }
 
 impl CoordinationMachine {
-    /// An application makes a call; the response comes with the token.
+    /// Submits a call of a client. The response is issued as [`Action::Respond`] with the same
+    /// token.
     pub fn submit(&mut self, now: u64, token: u64, call: Call) {
         self.advance_clock(now);
         self.add_call(Caller::Application(token), call);
         self.flush_queue();
     }
 
-    /// Adds a call. Without a leader that has a quorum it is answered at once: its caller has time
-    /// left for another machine.
+    /// Adds a pending call. Without a leader that has a quorum, the call fails immediately, which
+    /// leaves the client time to try another machine.
     pub(super) fn add_call(&mut self, caller: Caller, call: Call) {
         if !self.in_quorum() {
             self.answer(caller, CallResult::NotExecuted);
@@ -144,15 +150,16 @@
             call,
             started: self.now,
             deadline: self.now + CALL_TIMEOUT_MS,
-            sent_to: None,
+            assigned_to: None,
             is_in_doubt: false,
-            is_repeated: false,
+            may_be_duplicated: false,
         };
         self.calls.by_number.insert(number, pending);
         self.dispatch([number].into_iter());
     }
 
-    /// Sends the calls that no leader has to the current one.
+    /// Sends every call that is not assigned to the current leader to that leader, where resending
+    /// is safe.
     pub(super) fn dispatch_calls(&mut self) {
         let numbers: Vec<u64> = self.calls.by_number.keys().copied().collect();
         self.dispatch(numbers.into_iter());
@@ -162,11 +169,11 @@
         let Some(leader) = self.leader() else { return };
         let mut forwarded = Vec::new();
         for number in numbers {
-            if !self.assign_leader(number, &leader) {
+            if !self.prepare_dispatch(number, &leader) {
                 continue;
             }
             if self.replica.is_leader() {
-                self.enqueue_own(number, &leader);
+                self.enqueue_local(number, &leader);
             } else {
                 forwarded.extend(self.forwarded(number, &leader));
             }
@@ -176,29 +183,31 @@
         }
     }
 
-    /// Gives a call to a leader, unless that leader has it already or it must not be sent again.
-    fn assign_leader(&mut self, number: u64, leader: &LeaderAddress) -> bool {
+    /// Whether a call is to be sent to `leader`. A call assigned to another leader is unassigned.
+    /// Calls that are already assigned to `leader`, that have timed out or that must not be resent
+    /// are not sent.
+    fn prepare_dispatch(&mut self, number: u64, leader: &LeaderAddress) -> bool {
         let now = self.now;
         let Some(pending) = self.calls.by_number.get_mut(&number) else {
             return false;
         };
-        if pending.sent_to.as_ref() == Some(leader) {
+        if pending.assigned_to.as_ref() == Some(leader) {
             return false;
         }
-        pending.lose_leader();
+        pending.unassign();
         now < pending.deadline && pending.may_be_resent()
     }
 
-    fn enqueue_own(&mut self, number: u64, leader: &LeaderAddress) {
-        let taken_by = self.own_address().to_owned();
+    fn enqueue_local(&mut self, number: u64, leader: &LeaderAddress) {
+        let origin = self.own_address().to_owned();
         let id = self.call_id(number);
         let Some(pending) = self.calls.by_number.get_mut(&number) else {
             return;
         };
-        pending.send_to(leader.clone());
+        pending.assign_to(leader.clone());
         let queued = QueuedCall {
             call: pending.batched(id),
-            taken_by,
+            origin,
             deadline: pending.deadline,
         };
         let rejected = self.enqueue(queued);
@@ -213,62 +222,66 @@
         }
     }
 
-    /// The message that forwards a call, if the leader's clock is known.
+    /// Assigns a call to a remote leader and builds the forwarded form. Returns `None` if the
+    /// leader's clock is unknown, because the deadline can't be converted to that clock.
     fn forwarded(&mut self, number: u64, leader: &LeaderAddress) -> Option<ForwardedCall> {
         let id = self.call_id(number);
         let pending = self.calls.by_number.get_mut(&number)?;
         let deadline = self
             .leader_clock
             .to_leader_time(leader.term, pending.deadline)?;
-        pending.send_to(leader.clone());
+        pending.assign_to(leader.clone());
         let call = pending.batched(id);
         Some(ForwardedCall { call, deadline })
     }
 
-    /// The connection to a machine is new: calls that were forwarded to it may be lost.
+    /// Resends calls after a new connection to a machine was established. Calls that were forwarded
+    /// over the former connection may be lost.
     pub(super) fn resend_calls(&mut self, address: &str) {
         for pending in self.calls.by_number.values_mut() {
-            let leader = pending.sent_to.as_ref();
+            let leader = pending.assigned_to.as_ref();
             if leader.is_some_and(|leader| leader.address == address) {
-                pending.lose_leader();
+                pending.unassign();
             }
         }
         self.dispatch_calls();
     }
 
-    /// Calls were executed; those that this process has taken are answered.
+    /// Finishes the executed calls that this process has accepted. Calls of other processes are
+    /// ignored.
     pub(super) fn on_executed_calls(&mut self, outcomes: Vec<CallOutcome>) {
         for CallOutcome { id, outcome } in outcomes {
             if id.incarnation != self.settings.incarnation {
                 continue;
             }
             if let Some(pending) = self.calls.by_number.get(&id.number) {
-                let result = pending.result_of(outcome);
+                let result = pending.result_for(outcome);
                 self.finish(id.number, result);
             }
         }
     }
 
-    /// A leader has not proposed these calls: they go to the next one.
+    /// Handles calls that a leader has rejected without proposing them. The calls become unassigned
+    /// and are dispatched again on the next tick or change of leader.
     pub(super) fn on_rejected_calls(&mut self, ids: Vec<CallId>) {
         for id in ids {
             if id.incarnation != self.settings.incarnation {
                 continue;
             }
             if let Some(pending) = self.calls.by_number.get_mut(&id.number) {
-                pending.sent_to = None;
+                pending.assigned_to = None;
             }
         }
     }
 
-    /// Sends calls without a leader again, and answers those whose time is over.
+    /// Dispatches unassigned calls and finishes calls whose deadline has passed.
     pub(super) fn advance_calls(&mut self) {
         self.dispatch_calls();
         let overdue = |pending: &&PendingCall| self.now >= pending.deadline;
         let by_number = self.calls.by_number.iter();
         let overdue = by_number.filter(|(_, pending)| overdue(pending));
         let overdue: Vec<(u64, CallResult)> = overdue
-            .map(|(number, pending)| (*number, pending.unfinished()))
+            .map(|(number, pending)| (*number, pending.timeout_result()))
             .collect();
         for (number, result) in overdue {
             self.finish(number, result);
@@ -287,7 +300,7 @@
         if elapsed_ms < SLOW_CALL_MS {
             return;
         }
-        let leader = pending.sent_to.as_ref();
+        let leader = pending.assigned_to.as_ref();
         self.log(LogEvent::CallSlow {
             call: (&pending.call).into(),
             elapsed_ms,
--- a/crates/coordination/src/machine/lease_clock.rs
+++ b/crates/coordination/src/machine/lease_clock.rs
@@ -1,20 +1,21 @@
-//! How a leader continues the clock of the state.
+//! The leader's measurement of the state's clock.
 
 use woadstall_consensus::Term;
 
-/// The state's clock as the leader of a term measures it.
+/// Advances the state's clock by the leader's monotonic clock during one term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeaseClock {
-    /// The term.
+    /// The term that this machine leads.
     pub term: Term,
-    /// The state's clock when this leader had applied the entries of all former leaders.
+    /// The state's clock, in milliseconds, when this leader had applied all entries of former
+    /// leaders.
     base_ms: u64,
-    /// The leader's own clock at that moment.
+    /// The leader's monotonic clock, in milliseconds, when the state's clock was at `base_ms`.
     started_ms: u64,
 }
 
 impl LeaseClock {
-    /// A clock that continues from `base_ms` at the time `now` of the leader's own clock.
+    /// Creates a clock that reads `base_ms` at the time `now` of the leader's monotonic clock.
     pub fn starting_at(term: Term, base_ms: u64, now: u64) -> Self {
         Self {
             term,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// The state's clock at a time of the leader's own clock.
+    /// The state's clock in milliseconds at the time `now` of the leader's monotonic clock.
     pub fn at(self, now: u64) -> u64 {
         self.base_ms + now.saturating_sub(self.started_ms)
     }
--- a/crates/coordination/src/machine/log_event.rs
+++ b/crates/coordination/src/machine/log_event.rs
@@ -1,73 +1,75 @@
-//! What a machine writes to the log: an event's name, then `key=value` fields.
+//! Events that a machine writes to the process log. Each line consists of the event's name and
+//! `key=value` fields.
 
 use crate::command::{Call, Command, Query};
 use std::fmt;
 use woadstall_consensus::{Member, Membership, ReplicaId, Term};
 
-/// An event of the log. Displayed, it is one line.
+/// An event for the process log. The `Display` form is a single line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// This machine has become the leader of the coordination group.
     LeaderElected {
-        /// The term that it leads.
+        /// The term of the leadership.
         term: Term,
-        /// Its replica.
+        /// The replica of this machine.
         id: ReplicaId,
     },
-    /// This machine no longer leads.
+    /// This machine has stopped leading.
     LeadershipEnded {
-        /// The term that it led.
+        /// The term of the leadership.
         term: Term,
-        /// Its replica.
+        /// The replica of this machine.
         id: ReplicaId,
     },
-    /// The membership of the group has begun to change, or the change is complete.
+    /// A change of the group's membership has started or is complete.
     MembersChanged {
-        /// The position of the entry.
+        /// The log index of the membership entry.
         index: u64,
-        /// The membership from then on.
+        /// The membership that takes effect with the entry.
         membership: Membership,
     },
-    /// A lease has run out; logged by the leader.
+    /// A lease has expired. Only the leader logs this event.
     LeaseExpired {
-        /// The position of the batch.
+        /// The log index of the batch in which the lease expired.
         index: u64,
-        /// The lock.
+        /// The name of the lock.
         lock: String,
     },
-    /// A call took longer than callers expect.
+    /// A call took longer than clients expect.
     CallSlow {
-        /// What it was about.
+        /// The kind of the call and the name of its object.
         call: CallSummary,
-        /// How long it took, in milliseconds.
+        /// The time from submission to response, in milliseconds.
         elapsed_ms: u64,
-        /// The leader that had it last; empty if none had.
+        /// The internal address of the leader to which the call is assigned. Empty if the call is
+        /// assigned to no leader.
         leader: String,
-        /// How it ended.
+        /// `executed`, `not_executed`, `overloaded` or `unknown`.
         result: &'static str,
     },
-    /// A snapshot of the log holds a state that can't be decoded.
+    /// The state in a snapshot can't be decoded.
     SnapshotRejected {
-        /// The position of the snapshot.
+        /// The log index of the snapshot.
         index: u64,
-        /// Why the state can't be decoded.
+        /// The decoding error.
         error: String,
     },
-    /// An entry of the log holds a batch that can't be decoded.
+    /// The batch in a log entry can't be decoded.
     EntryRejected {
-        /// The position of the entry.
+        /// The log index of the entry.
         index: u64,
-        /// Why the batch can't be decoded.
+        /// The decoding error.
         error: String,
     },
 }
 
-/// What a call is about, for the log.
+/// The kind of a call and the name of its object, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallSummary {
-    /// The kind of call.
+    /// The operation, such as `acquire_lock`.
     pub kind: &'static str,
-    /// The lock, sequence, key or group.
+    /// The name of the lock, sequence, key or group.
     pub name: String,
 }
 
--- a/crates/coordination/src/machine/mod.rs
+++ b/crates/coordination/src/machine/mod.rs
@@ -1,19 +1,24 @@
-//! A machine of the coordination group: its replica of the log, the calls and the watches that wait
-//! at it, and, while it leads, the queue of all calls.
+//! A machine of the coordination group. It owns a replica of the log and the pending calls and
+//! watches of its clients. The leader additionally queues the calls of the whole group.
 //!
-//! # The way of a call
+//! # Life cycle of a call
 //!
-//! Any machine takes calls (`calls`) and forwards them to the leader, each with the moment after
-//! which it must not be proposed. The leader queues them (`queue`) and proposes what has come
-//! together as one [`Batch`](crate::batch::Batch). Each machine applies the batch once it knows that
-//! it is committed, and answers the calls that it has taken itself. Queries stand in the batch too:
-//! they are answered from the state at their position, which was proposed after they came, so they
-//! see everything that was acknowledged before.
+//! 1. Any machine accepts calls (`calls`) and forwards them to the leader. Each forwarded call
+//!    carries a deadline after which the leader must not propose it.
+//! 2. The leader queues the calls (`queue`) and proposes the queued calls together as one
+//!    [`Batch`](crate::batch::Batch).
+//! 3. Each machine applies the batch once it knows that the batch is committed, and responds to the
+//!    calls that it accepted itself.
 //!
-//! A call whose fate is unknown is never reported as not executed.
+//! Queries are part of the batch as well. A query is answered from the state at the position of its
+//! batch. The batch is proposed after the query arrived, so the query observes every write that was
+//! acknowledged before it.
+//!
+//! A call whose outcome is unknown is never reported as not executed.
 
 mod action;
 mod calls;
+mod freshness;
 mod leadership;
 mod lease_clock;
 mod log_event;
@@ -22,7 +27,6 @@
 mod queue;
 mod replication;
 mod settings;
-mod state_age;
 mod status;
 mod watches;
 
@@ -34,11 +38,11 @@
 
 use crate::state::CoordinationState;
 use calls::PendingCalls;
+use freshness::StateFreshness;
 use leadership::LeadershipTracker;
 use lease_clock::LeaseClock;
 use peers::{Peer, PeerTimers};
 use queue::CallQueue;
-use state_age::StateAge;
 use std::collections::{BTreeMap, BTreeSet};
 use watches::Watches;
 use woadstall_consensus::{DurableState, LeaderClock, Replica, Settings, Timing};
@@ -47,30 +51,32 @@
 #[derive(Debug)]
 pub struct CoordinationMachine {
     settings: MachineSettings,
-    /// The latest time that was handed in, in milliseconds.
+    /// The latest time passed in by the process, in milliseconds of this machine's monotonic clock.
     now: u64,
     actions: Vec<Action>,
     timers: PeerTimers,
     replica: Replica,
-    /// The state as far as the log is applied.
+    /// The state after the last applied entry.
     state: CoordinationState,
-    /// The position of the last entry that was applied.
+    /// The log index of the last applied entry or restored snapshot.
     applied: u64,
-    state_age: StateAge,
-    /// Whether an entry or a snapshot could not be read, so that the state is not the group's.
-    is_state_damaged: bool,
-    /// Bytes of commands in the log since its last snapshot.
+    state_freshness: StateFreshness,
+    /// Whether an entry or a snapshot could not be decoded. The local state then no longer matches
+    /// the state of the group.
+    is_state_invalid: bool,
+    /// Bytes of batches applied since the last snapshot of the log.
     log_bytes: usize,
     leader_clock: LeaderClock,
-    /// While this machine leads: how it continues the state's clock.
+    /// The source of the state's clock. Present on a leader that has applied the first entry of its
+    /// term.
     lease_clock: Option<LeaseClock>,
     leadership: LeadershipTracker,
-    /// Other machines by their internal addresses.
+    /// Other machines, by internal address.
     peers: BTreeMap<String, Peer>,
-    /// Addresses that machines of the group may have, as the process knows them.
+    /// Internal addresses of possible group members, supplied by the process.
     known_addresses: BTreeSet<String>,
-    /// Internal addresses to which a connection is kept.
-    connected: BTreeSet<String>,
+    /// Internal addresses to which the process maintains connections.
+    connection_targets: BTreeSet<String>,
     calls: PendingCalls,
     queue: CallQueue,
     watches: Watches,
@@ -78,8 +84,8 @@
 }
 
 impl CoordinationMachine {
-    /// A machine with what its disk holds, at a time in milliseconds. The seed is for the random
-    /// draws of its replica.
+    /// Creates a machine from its durable state. `now` is the machine's monotonic clock in
+    /// milliseconds, `seed` initializes the random number generator of the replica.
     pub fn new(settings: MachineSettings, durable: DurableState, now: u64, seed: u64) -> Self {
         let replica_settings = Settings {
             timing: Timing::MULTI_REGION,
@@ -92,15 +98,15 @@
             replica: Replica::new(durable, replica_settings, now, seed),
             state: CoordinationState::default(),
             applied: 0,
-            state_age: StateAge::default(),
-            is_state_damaged: false,
+            state_freshness: StateFreshness::default(),
+            is_state_invalid: false,
             log_bytes: 0,
             leader_clock: LeaderClock::default(),
             lease_clock: None,
             leadership: LeadershipTracker::default(),
             peers: BTreeMap::new(),
             known_addresses: BTreeSet::new(),
-            connected: BTreeSet::new(),
+            connection_targets: BTreeSet::new(),
             calls: PendingCalls::default(),
             queue: CallQueue::new(now),
             watches: Watches::default(),
@@ -110,33 +116,34 @@
         let address = machine.settings.machine.member.address.clone();
         let domain = peers::failure_domain_of(&machine.settings.machine);
         machine.replica.set_failure_domain(address, domain);
-        machine.connect_known();
+        machine.connect_known_addresses();
         machine.process_replica_outputs();
         machine
     }
 
-    /// Takes the actions that are to be carried out.
+    /// Drains the pending actions. The process carries them out in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The state as far as it is applied here.
+    /// The state after the last entry that this machine has applied.
     pub fn state(&self) -> &CoordinationState {
         &self.state
     }
 
-    /// The replica of the log.
+    /// The machine's replica of the consensus log.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The time at which [`tick`](Self::tick) is to be called at the latest, beside its regular
-    /// interval; `None` where nothing is due.
+    /// The time in milliseconds at which the next batch is due. The process calls
+    /// [`tick`](Self::tick) by then, in addition to its regular interval. `None` if no batch is
+    /// waiting.
     pub fn next_due(&self) -> Option<u64> {
         self.batch_due()
     }
 
-    /// Lets time pass, and does what is due.
+    /// Advances the clock to `now` and performs the work that is due.
     pub fn tick(&mut self, now: u64) {
         self.advance_clock(now);
         self.replica.tick(self.now);
@@ -147,7 +154,7 @@
         self.advance_watches();
     }
 
-    /// Takes over the time of an event; time never goes back.
+    /// Advances the clock to `now`. An earlier time is ignored, so the clock is monotonic.
     fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
     }
--- a/crates/coordination/src/machine/packets.rs
+++ b/crates/coordination/src/machine/packets.rs
@@ -1,10 +1,11 @@
-//! Packets from other machines, each handed to the module that is responsible for it.
+//! Dispatches packets from other machines to the modules that handle them.
 
 use super::CoordinationMachine;
 use crate::wire::Packet;
 
 impl CoordinationMachine {
-    /// A packet has arrived from the machine with this internal address.
+    /// Handles a packet from the machine with the internal address `from`. `now` is the machine's
+    /// monotonic clock in milliseconds.
     pub fn receive_packet(&mut self, now: u64, from: &str, packet: Packet) {
         self.advance_clock(now);
         if let Some(peer) = self.peers.get_mut(from) {
--- a/crates/coordination/src/machine/peers.rs
+++ b/crates/coordination/src/machine/peers.rs
@@ -1,26 +1,25 @@
-//! The other machines of the group: connections, introductions, membership.
+//! The other machines of the group: connections, hello packets and join requests.
 
 use super::{Action, CoordinationMachine};
 use crate::wire::{MachineInfo, Packet};
 use woadstall_consensus::{FailureDomain, ReplicaId};
 
-/// The interval in milliseconds at which machines introduce themselves to each other.
+/// The interval in milliseconds at which a machine broadcasts its hello packet.
 const HELLO_INTERVAL_MS: u64 = 1_000;
-/// The interval in milliseconds at which a machine that does not vote asks to join.
+/// The interval in milliseconds at which a machine that is not a voter asks to join.
 const JOIN_INTERVAL_MS: u64 = 500;
-/// The time in milliseconds for which a machine that does not vote is remembered after it was last
-/// heard of.
+/// The time in milliseconds after its last packet for which a peer that is not a voter is retained.
 const PEER_RETENTION_MS: u64 = 30_000;
 
-/// Another machine.
+/// Another machine that has introduced itself.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub machine: MachineInfo,
-    /// When the last packet of it arrived, in milliseconds.
+    /// The arrival time of the peer's last packet, in milliseconds of this machine's clock.
     pub last_heard: u64,
 }
 
-/// When periodic work is due, in milliseconds.
+/// The due times of periodic work, in milliseconds of this machine's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerTimers {
     hello_due: u64,
@@ -28,8 +27,8 @@
 }
 
 impl PeerTimers {
-    /// Introductions are due at once; a new machine first waits to hear from others before it asks
-    /// to join.
+    /// Schedules the first hello packet immediately and the first join request after one interval.
+    /// The delay lets a new machine receive packets from others before it asks to join.
     pub fn new(now: u64) -> Self {
         Self {
             hello_due: now,
@@ -39,19 +38,20 @@
 }
 
 impl CoordinationMachine {
-    /// The settings name other seeds: connections to them are kept as well.
+    /// Replaces the seed addresses and connects to the new seeds.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
         self.settings.seeds = seeds;
-        self.connect_known();
+        self.connect_known_addresses();
     }
 
-    /// Machines of the group may be found at these internal addresses.
+    /// Replaces the internal addresses of possible group members and connects to them.
     pub fn set_known_addresses(&mut self, addresses: impl IntoIterator<Item = String>) {
         self.known_addresses = addresses.into_iter().collect();
-        self.connect_known();
+        self.connect_known_addresses();
     }
 
-    /// The connection to a machine is up. What was in flight on a former one may be lost.
+    /// Handles a new connection to a machine. Packets in flight on a former connection may be lost,
+    /// so calls assigned to that machine are sent again where that is safe.
     pub fn connection_established(&mut self, now: u64, address: &str) {
         self.advance_clock(now);
         let hello = self.hello();
@@ -59,8 +59,8 @@
         self.resend_calls(address);
     }
 
-    /// Hands leadership and, where there is a learner, the vote over before the process stops, and
-    /// responds to all watches.
+    /// Prepares the machine for the end of the process. It transfers the leadership, requests that
+    /// a learner, if there is one, replaces it as a voter, and ends all watches.
     pub fn begin_shutdown(&mut self, now: u64) {
         self.advance_clock(now);
         let id = self.replica.id();
@@ -71,7 +71,7 @@
         self.end_watches();
     }
 
-    /// Whether this machine's vote is being given to another one.
+    /// Whether a membership change in progress removes this machine from the voters.
     pub fn is_being_replaced(&self) -> bool {
         let members = self.replica.membership();
         let id = self.replica.id();
@@ -79,11 +79,12 @@
         members.is_joint() && members.is_voter(id) && !is_next
     }
 
-    /// Introduces this machine, forgets others that are gone, and asks to join, where that is due.
+    /// Performs the periodic work that is due: broadcasts the hello packet, evicts silent peers,
+    /// closes unneeded connections and asks to join.
     pub(super) fn maintain_peers(&mut self) {
         if self.now >= self.timers.hello_due {
             self.timers.hello_due = self.now + HELLO_INTERVAL_MS;
-            self.forget_peers();
+            self.evict_silent_peers();
             self.disconnect_unneeded();
             let hello = self.hello();
             self.broadcast(&hello);
@@ -113,8 +114,8 @@
         self.peers.insert(address, peer);
     }
 
-    /// Keeps connections to the seeds and to the addresses that the process knows.
-    pub(super) fn connect_known(&mut self) {
+    /// Connects to the seeds and to the addresses supplied by the process.
+    pub(super) fn connect_known_addresses(&mut self) {
         let seeds = self.settings.seeds.iter();
         let known: Vec<String> = seeds.chain(&self.known_addresses).cloned().collect();
         for address in known {
@@ -122,10 +123,10 @@
         }
     }
 
-    /// Keeps connections to all voters.
+    /// Connects to all voters, including the voters of a membership change in progress.
     pub(super) fn connect_members(&mut self) {
         let members = self.replica.membership().all_voters();
-        let is_new = |address: &&String| !self.connected.contains(*address);
+        let is_new = |address: &&String| !self.connection_targets.contains(*address);
         let addresses = members.map(|member| &member.address).filter(is_new);
         let addresses: Vec<String> = addresses.cloned().collect();
         for address in addresses {
@@ -133,7 +134,8 @@
         }
     }
 
-    /// The internal address of a replica.
+    /// The internal address of a replica. The address from the peer's hello packet takes precedence
+    /// over the address in the membership.
     pub(super) fn address_of(&self, id: ReplicaId) -> Option<String> {
         let by_peer = self
             .peers
@@ -164,7 +166,7 @@
     }
 
     fn connect(&mut self, address: String) {
-        if address != self.own_address() && self.connected.insert(address.clone()) {
+        if address != self.own_address() && self.connection_targets.insert(address.clone()) {
             self.actions.push(Action::Connect { address });
         }
     }
@@ -173,7 +175,7 @@
         Packet::Hello(self.settings.machine.clone())
     }
 
-    fn forget_peers(&mut self) {
+    fn evict_silent_peers(&mut self) {
         let members = self.replica.membership();
         let now = self.now;
         self.peers.retain(|_, peer| {
@@ -181,7 +183,8 @@
         });
     }
 
-    /// Closes connections to machines that are neither known, nor seeds, nor members.
+    /// Closes connections to machines that are neither peers, nor known addresses, nor seeds, nor
+    /// voters.
     fn disconnect_unneeded(&mut self) {
         let members = self.replica.membership();
         let is_needed = |address: &String| {
@@ -192,19 +195,19 @@
                     .all_voters()
                     .any(|member| member.address == *address)
         };
-        let connected = self.connected.iter();
-        let unneeded: Vec<String> = connected
+        let targets = self.connection_targets.iter();
+        let unneeded: Vec<String> = targets
             .filter(|address| !is_needed(address))
             .cloned()
             .collect();
         for address in unneeded {
-            self.connected.remove(&address);
+            self.connection_targets.remove(&address);
             self.actions.push(Action::Disconnect { address });
         }
     }
 }
 
-/// The failure domain of a machine.
+/// The failure domain of a machine, for the placement of voters.
 pub(super) fn failure_domain_of(machine: &MachineInfo) -> FailureDomain {
     FailureDomain {
         zone: machine.zone.clone(),
--- a/crates/coordination/src/machine/queue.rs
+++ b/crates/coordination/src/machine/queue.rs
@@ -1,36 +1,36 @@
-//! The leader's queue: calls of all machines, which are proposed together.
+//! The leader's queue of calls from all machines. The queued calls are proposed in batches.
 
 use super::CoordinationMachine;
 use crate::batch::{Batch, BatchedCall, CallId};
 use crate::wire::{ForwardedCall, Packet};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// The shortest time between two batches, in milliseconds: each costs a message to every replica
-/// and a sync of every disk, and delays a call by half of this.
+/// The minimum interval between two batches, in milliseconds. Each batch costs a message to every
+/// replica and a sync of every disk. The interval delays a call by half its length on average.
 const BATCH_INTERVAL_MS: u64 = 20;
-/// Bytes of calls in a batch.
+/// The size of calls, in bytes, at which a batch is full. The last call of a batch may exceed it.
 const MAX_BATCH_BYTES: usize = 128 << 10;
-/// Calls that may wait to be proposed.
+/// The maximum number of queued calls on the leader.
 const MAX_QUEUED_CALLS: usize = 4_096;
-/// The interval in milliseconds at which an idle leader of a state with leases records how much time
-/// has passed, so that the next leader knows it.
+/// The interval in milliseconds at which an idle leader records the elapsed time in the log while
+/// leases exist. The record tells the next leader how much time has passed.
 const CHECKPOINT_INTERVAL_MS: u64 = 500;
 
-/// A call that waits to be proposed.
+/// A call in the leader's queue.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedCall {
     pub call: BatchedCall,
-    /// The internal address of the machine that has taken it, which may be this one.
-    pub taken_by: String,
-    /// After this time it must not be proposed.
+    /// The internal address of the machine that accepted the call. It may be this machine.
+    pub origin: String,
+    /// The time, by this machine's clock, after which the call must not be proposed.
     pub deadline: u64,
 }
 
-/// Calls that wait to be proposed.
+/// The calls that wait to be proposed, in order of arrival.
 #[derive(Clone, Debug)]
 pub(super) struct CallQueue {
     waiting: VecDeque<QueuedCall>,
-    /// The calls that wait: one that is forwarded twice is queued once.
+    /// The identifiers of the waiting calls. A call that is forwarded twice is queued once.
     ids: HashSet<CallId>,
     last_batch_ms: u64,
 }
@@ -54,19 +54,19 @@
         }
     }
 
-    /// Takes the calls whose time is over at `now`.
-    fn take_overdue(&mut self, now: u64) -> Vec<QueuedCall> {
-        let (overdue, waiting): (VecDeque<_>, _) = std::mem::take(&mut self.waiting)
+    /// Removes and returns the calls whose deadline has passed at `now`.
+    fn take_expired(&mut self, now: u64) -> Vec<QueuedCall> {
+        let (expired, waiting): (VecDeque<_>, _) = std::mem::take(&mut self.waiting)
             .into_iter()
             .partition(|call| now > call.deadline);
         self.waiting = waiting;
-        for call in &overdue {
+        for call in &expired {
             self.ids.remove(&call.call.id);
         }
-        overdue.into()
+        expired.into()
     }
 
-    /// Takes the calls of the next batch.
+    /// Removes and returns the calls of the next batch.
     fn take_batch(&mut self) -> Vec<QueuedCall> {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -87,18 +87,19 @@
 }
 
 impl CoordinationMachine {
-    /// Calls that other machines forward. They are queued by the leader that they were meant for,
-    /// and not after their time.
+    /// Queues the calls that another machine has forwarded. A call is rejected if this machine does
+    /// not lead the term that the call is addressed to, or if the deadline of the call has passed.
     pub(super) fn on_forwarded_calls(&mut self, from: &str, calls: Vec<ForwardedCall>) {
         let mut rejected = Vec::new();
         for ForwardedCall { call, deadline } in calls {
-            let is_meant = self.replica.is_leader() && deadline.term == self.replica.term();
+            let is_addressed_leader =
+                self.replica.is_leader() && deadline.term == self.replica.term();
             let call = QueuedCall {
                 call,
-                taken_by: from.to_owned(),
+                origin: from.to_owned(),
                 deadline: deadline.at,
             };
-            if is_meant && self.now <= call.deadline {
+            if is_addressed_leader && self.now <= call.deadline {
                 rejected.extend(self.enqueue(call));
             } else {
                 rejected.push(call);
@@ -108,7 +109,7 @@
         self.flush_queue();
     }
 
-    /// Queues a call on the leader. Returns it if the queue is full.
+    /// Queues a call on the leader. Returns the call if the queue is full.
     pub(super) fn enqueue(&mut self, call: QueuedCall) -> Option<QueuedCall> {
         if self.queue.len() >= MAX_QUEUED_CALLS {
             return Some(call);
@@ -117,20 +118,22 @@
         None
     }
 
-    /// When the next batch is due.
+    /// The time at which the next batch is due. `None` without queued calls or without a lease
+    /// clock.
     pub(super) fn batch_due(&self) -> Option<u64> {
         let is_ready = self.lease_clock.is_some() && self.queue.len() > 0;
         is_ready.then_some(self.queue.last_batch_ms + BATCH_INTERVAL_MS)
     }
 
-    /// Proposes what waits, if a batch is due, or else how much time has passed.
+    /// Proposes the queued calls if a batch is due. If a checkpoint is due, the batch may be empty
+    /// and only records the elapsed time. Queued calls whose deadline has passed are rejected.
     pub(super) fn flush_queue(&mut self) {
         let is_due = self.batch_due().is_some_and(|due| self.now >= due);
         if !is_due && self.lease_clock.is_some() && !self.is_checkpoint_due() {
             return;
         }
-        let overdue = self.queue.take_overdue(self.now);
-        self.reject(overdue);
+        let expired = self.queue.take_expired(self.now);
+        self.reject(expired);
         if is_due || self.is_checkpoint_due() {
             self.propose_batch();
         }
@@ -159,17 +162,17 @@
         self.process_replica_outputs();
     }
 
-    /// This machine no longer leads.
-    pub(super) fn abandon_queue(&mut self) {
+    /// Rejects all queued calls after this machine has stopped leading.
+    pub(super) fn reject_queued_calls(&mut self) {
         let waiting = self.queue.take_all();
         self.reject(waiting);
     }
 
-    /// Tells the machines that have taken these calls that they will not be proposed.
+    /// Notifies the machines that accepted these calls that the calls will not be proposed.
     pub(super) fn reject(&mut self, calls: Vec<QueuedCall>) {
         let mut by_machine: BTreeMap<String, Vec<CallId>> = BTreeMap::new();
-        for QueuedCall { call, taken_by, .. } in calls {
-            by_machine.entry(taken_by).or_default().push(call.id);
+        for QueuedCall { call, origin, .. } in calls {
+            by_machine.entry(origin).or_default().push(call.id);
         }
         for (address, ids) in by_machine {
             if address == self.own_address() {
--- a/crates/coordination/src/machine/replication.rs
+++ b/crates/coordination/src/machine/replication.rs
@@ -1,30 +1,32 @@
-//! The replicated log behind the machine: carries out what the replica asks for, and applies
-//! committed entries to the state.
+//! Connects the machine to its consensus replica. It processes the outputs of the replica and
+//! applies committed entries to the state.
 
+use super::freshness::leader_commit;
 use super::lease_clock::LeaseClock;
-use super::state_age::leader_commit;
 use super::{Action, CoordinationMachine, LogEvent};
 use crate::batch::Batch;
 use crate::state::{AppliedBatch, CoordinationState};
 use crate::wire::Packet;
 use woadstall_consensus::{Entry, EntryPayload, Message, Output, Snapshot, is_from_leader};
 
-/// Bytes of batches in the log since its last snapshot from which on a new one is taken.
-const COMPACT_BYTES: usize = 1 << 20;
-/// Entries in the log since its last snapshot from which on a new one is taken.
-const COMPACT_ENTRIES: usize = 2_000;
-/// The same while a snapshot is on its way to another machine, which needs the entries next.
-const COMPACT_ENTRIES_DURING_TRANSFER: usize = 6_000;
+/// The size of batches since the last snapshot, in bytes, that triggers a new snapshot.
+const COMPACTION_THRESHOLD_BYTES: usize = 1 << 20;
+/// The number of log entries since the last snapshot that triggers a new snapshot.
+const COMPACTION_THRESHOLD_ENTRIES: usize = 2_000;
+/// The number of log entries that triggers a new snapshot during the transfer of a snapshot to
+/// another machine. It is higher because the receiver needs the entries after that snapshot next.
+const COMPACTION_THRESHOLD_ENTRIES_DURING_TRANSFER: usize = 6_000;
 
 impl CoordinationMachine {
-    /// Records up to this number are durable.
+    /// Reports that all records up to the sequence number `sequence` are durable.
     pub fn persisted(&mut self, now: u64, sequence: u64) {
         self.advance_clock(now);
         self.replica.handle_persisted(sequence);
         self.process_replica_outputs();
     }
 
-    /// A message of the log has arrived, with its sender's time.
+    /// Handles a consensus message. `clock` is the sender's clock in milliseconds when it sent the
+    /// message.
     pub(super) fn on_consensus(&mut self, message: Message, clock: u64) {
         let (from, term) = (message.from, message.term);
         let is_from_leader = is_from_leader(&message);
@@ -39,10 +41,11 @@
         {
             self.observe_leader_commit(commit);
         }
-        self.answer_held_back_watches();
+        self.retry_deferred_watches();
     }
 
-    /// Carries out all that the replica asks for, until it asks for nothing more.
+    /// Processes the outputs of the replica until no output is left, then updates the dependent
+    /// state: connections, leadership and log compaction.
     pub(super) fn process_replica_outputs(&mut self) {
         loop {
             let outputs = self.replica.take_outputs();
@@ -67,7 +70,7 @@
             Output::Send(message) => self.send_consensus(message),
             Output::Apply(entry) => self.apply_entry(entry),
             Output::Restore(snapshot) => self.restore_snapshot(&snapshot),
-            // Queries ride on batches.
+            // Queries are part of batches, so the machine never requests reads from the replica.
             Output::ReadReady { .. } | Output::ReadFailed { .. } => {}
         }
     }
@@ -79,8 +82,9 @@
         }
     }
 
-    /// Tells the voters that are not known to hold the newest entries durably which ones do, so that
-    /// they answer their calls without waiting for the notice of the commit.
+    /// Sends the durable report to the voters that are not known to have persisted the newest
+    /// entries. The report lists the voters that have persisted them. It lets the receivers respond
+    /// to their calls without waiting for the leader's next commit index.
     fn send_durable_report(&mut self) {
         let Some(report) = self.replica.take_durable_report() else {
             return;
@@ -103,14 +107,14 @@
         match CoordinationState::decode(&snapshot.state) {
             Ok(state) => {
                 self.applied = snapshot.index;
-                self.state_age.applied_term = snapshot.term;
+                self.state_freshness.applied_term = snapshot.term;
                 self.log_bytes = 0;
                 self.state = state;
-                self.is_state_damaged = false;
-                self.answer_all_watches();
+                self.is_state_invalid = false;
+                self.advance_watches();
             }
             Err(error) => {
-                self.is_state_damaged = true;
+                self.is_state_invalid = true;
                 self.log(LogEvent::SnapshotRejected {
                     index: snapshot.index,
                     error: error.to_string(),
@@ -122,14 +126,14 @@
     fn apply_entry(&mut self, entry: Entry) {
         let index = entry.index;
         self.applied = index;
-        self.state_age.applied_term = entry.term;
+        self.state_freshness.applied_term = entry.term;
         match entry.payload {
             EntryPayload::Command(bytes) => {
                 self.log_bytes += bytes.len();
                 match Batch::decode(&bytes) {
                     Ok(batch) => self.apply_batch(index, batch),
                     Err(error) => {
-                        self.is_state_damaged = true;
+                        self.is_state_invalid = true;
                         self.log(LogEvent::EntryRejected {
                             index,
                             error: error.to_string(),
@@ -144,7 +148,8 @@
         }
     }
 
-    /// The first entry of a leader's term is applied, and with it all entries of former leaders.
+    /// Starts the lease clock if this machine leads `term`. Called when the first entry of a term
+    /// is applied, which implies that all entries of former leaders are applied.
     fn start_lease_clock(&mut self, term: u64) {
         if self.replica.is_leader() && self.replica.term() == term {
             let clock = LeaseClock::starting_at(term, self.state.clock_ms(), self.now);
@@ -165,23 +170,24 @@
             }
         }
         for group in &changed_groups {
-            self.answer_watches_of(group);
+            self.advance_watches_of_group(group);
         }
         self.on_executed_calls(outcomes);
     }
 
-    /// Replaces the log's beginning by a snapshot of the state, where it has grown long.
+    /// Replaces the prefix of the log by a snapshot of the state once the log exceeds a threshold.
+    /// An invalid state is never used for a snapshot.
     fn compact(&mut self) {
-        if self.is_state_damaged {
+        if self.is_state_invalid {
             return;
         }
         let entries = self.replica.log().entries().len();
-        let most_entries = if self.replica.is_sending_snapshot() {
-            COMPACT_ENTRIES_DURING_TRANSFER
+        let threshold_entries = if self.replica.is_sending_snapshot() {
+            COMPACTION_THRESHOLD_ENTRIES_DURING_TRANSFER
         } else {
-            COMPACT_ENTRIES
+            COMPACTION_THRESHOLD_ENTRIES
         };
-        if self.log_bytes < COMPACT_BYTES && entries < most_entries {
+        if self.log_bytes < COMPACTION_THRESHOLD_BYTES && entries < threshold_entries {
             return;
         }
         let index = self.state.index();
--- a/crates/coordination/src/machine/settings.rs
+++ b/crates/coordination/src/machine/settings.rs
@@ -1,26 +1,27 @@
-//! What a machine is given at its start.
+//! The settings of a machine and the snapshot that a new group starts from.
 
 use crate::state::CoordinationState;
 use crate::wire::MachineInfo;
 use woadstall_consensus::{Member, Membership, Snapshot};
 
-/// The settings of a machine.
+/// The settings with which a machine starts.
 #[derive(Clone, Debug)]
 pub struct MachineSettings {
-    /// The machine itself.
+    /// The identity and the location of this machine.
     pub machine: MachineInfo,
-    /// Internal addresses of the seeds.
+    /// Internal addresses of the seed machines.
     pub seeds: Vec<String>,
-    /// The number of machines with a disk that may be lost at a time.
+    /// The number of simultaneous failures of machines with a disk that the group tolerates. The
+    /// group needs `2 * tolerated_failures + 1` voters.
     pub tolerated_failures: usize,
-    /// For how long the history of keys is kept at least, in milliseconds.
+    /// The minimum retention time of the key history, in milliseconds.
     pub history_ms: u64,
-    /// Distinguishes this process and its calls from earlier processes of the machine.
+    /// Distinguishes this process and its calls from earlier processes on the machine.
     pub incarnation: u64,
 }
 
-/// The snapshot that founders of a group begin with: the seeds are its voters. All founders make
-/// the same one, so that there is one group, whichever of them starts first.
+/// The snapshot from which the seeds bootstrap a group, with the seeds as voters. Every seed builds
+/// an identical snapshot, so a single group forms regardless of the order in which the seeds start.
 pub fn initial_snapshot(seeds: &[Member]) -> Snapshot {
     let mut voters = seeds.to_vec();
     voters.sort_by_key(|member| member.id);
--- a/crates/coordination/src/machine/status.rs
+++ b/crates/coordination/src/machine/status.rs
@@ -1,33 +1,33 @@
-//! Figures of a machine.
+//! Status and counters of a machine.
 
 use super::{CoordinationMachine, Response};
 use crate::state::StateSize;
 
-/// What has happened since the start of the process.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Calls that were executed.
+    /// Calls that were answered with an outcome.
     pub executed: u64,
-    /// Calls that were reported as not executed.
+    /// Calls and watches that were reported as not executed.
     pub not_executed: u64,
-    /// Calls that were rejected because too many waited.
+    /// Calls and watches that were rejected because too many were pending.
     pub overloaded: u64,
-    /// Calls whose fate was unknown when their time was over.
+    /// Calls that timed out with an unknown outcome.
     pub unknown: u64,
-    /// Watches that were answered with events.
+    /// Watches that returned events.
     pub watches_with_events: u64,
-    /// Watches whose time was over before there was an event.
+    /// Watches that ended without an event.
     pub watches_without_events: u64,
-    /// Watches from a revision to which the history does not reach back.
+    /// Watches that started at a compacted revision, or at a revision that their group never had.
     pub watches_compacted: u64,
-    /// Batches that were proposed as leader.
+    /// Batches that this machine proposed as leader.
     pub batches: u64,
-    /// Leases that ran out, as far as this process has applied the log.
+    /// Leases that expired in the batches that this process has applied.
     pub expired_leases: u64,
 }
 
 impl Counters {
-    /// Counts a response.
+    /// Increments the counter of a response's kind.
     pub(super) fn count(&mut self, response: &Response) {
         let counter = match response {
             Response::Executed(_) => &mut self.executed,
@@ -42,25 +42,25 @@
     }
 }
 
-/// The status of a machine.
+/// A snapshot of a machine's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineStatus {
-    /// Counted since the start.
+    /// Counters since the start of the process.
     pub counters: Counters,
-    /// What the state holds.
+    /// The size of the replicated state.
     pub state: StateSize,
-    /// Calls that wait for a result.
+    /// Calls accepted by this machine that have no result yet.
     pub pending_calls: usize,
-    /// Calls that wait to be proposed, on the leader.
+    /// Calls that wait to be proposed. 0 on machines that do not lead.
     pub queued_calls: usize,
-    /// Entries of the log that this machine does not know to be committed.
+    /// Log entries after the commit index of this machine.
     pub uncommitted_entries: u64,
-    /// Watches that wait.
+    /// Pending watches.
     pub watches: usize,
 }
 
 impl CoordinationMachine {
-    /// The status of the machine.
+    /// The machine's current load and its counters.
     pub fn status(&self) -> MachineStatus {
         MachineStatus {
             counters: self.counters,
--- a/crates/coordination/src/machine/watches.rs
+++ b/crates/coordination/src/machine/watches.rs
@@ -1,10 +1,12 @@
-//! Watches: callers that wait for events of a group. Any machine serves them from the feed of its
-//! own state.
+//! Watches: clients that wait for events of a key group. Any machine serves watches from the event
+//! history of its own state.
 //!
-//! A watch that has seen an event needs no confirmation: its events are in order and without a gap,
-//! and the state here is not so old that the next ones may have left the history elsewhere.
-//! One that ends without events says that there are none, so the leader first confirms the revision
-//! of the group, and this machine must have applied it.
+//! A response with events needs no confirmation by the leader. Its events are in order and without
+//! a gap, and the local state is recent enough that the events after them are still in the history
+//! of the other machines.
+//!
+//! A response without events states that there are none. The leader therefore first confirms the
+//! current revision of the group, and this machine must have applied that revision.
 
 use super::calls::{CallResult, Caller};
 use super::{CoordinationMachine, Response};
@@ -13,34 +15,36 @@
 use crate::state::{GroupEvents, WatchError};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Watches that may wait at a machine.
+/// The maximum number of pending watches per machine.
 const MAX_WATCHES: usize = 1_024;
-/// How long before the end of a watch its group's revision is confirmed, in milliseconds.
+/// The time in milliseconds before a watch's deadline at which the confirmation of the group's
+/// revision is requested.
 const CONFIRMATION_LEAD_MS: u64 = 300;
-/// How long after its end a watch waits for the confirmation, in milliseconds.
+/// The time in milliseconds after a watch's deadline for which the watch waits for the
+/// confirmation.
 const CONFIRMATION_TIMEOUT_MS: u64 = 600;
 
-/// A request for the events of a group.
+/// A request for the events of a key group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchRequest {
-    /// The group; see [`group_of`](crate::command::group_of).
+    /// The name of the group; see [`group_of`](crate::command::group_of).
     pub group: String,
-    /// The revision after which events are wanted; with 0 only the group's revision is.
+    /// The revision after which events are returned. 0 requests the group's current revision only.
     pub after: u64,
-    /// How long to wait for the first event, in milliseconds.
+    /// The maximum time to wait for the first event, in milliseconds. Ignored if `after` is 0.
     pub wait_ms: u64,
 }
 
-/// Whether the leader has confirmed the revision of a watch's group.
+/// The progress of the leader's confirmation of the group's revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Confirmation {
     NotRequested,
     Requested,
-    /// The group had this revision then.
+    /// The leader has confirmed that the group had this revision.
     Confirmed(u64),
 }
 
-/// A watch that waits.
+/// A pending watch.
 #[derive(Clone, Debug)]
 struct Watch {
     token: u64,
@@ -51,13 +55,14 @@
     confirmation: Confirmation,
 }
 
-/// The watches by their numbers.
+/// The pending watches by watch number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Watches {
     last_number: u64,
     by_number: BTreeMap<u64, Watch>,
-    /// Whether there may be watches whose events wait until the state is complete.
-    has_held_back: bool,
+    /// Whether a watch may have been deferred since the last retry, for example because the local
+    /// state is not known to be recent enough.
+    may_have_deferred: bool,
 }
 
 impl Watches {
@@ -73,7 +78,8 @@
 }
 
 impl CoordinationMachine {
-    /// An application asks for the events of a group; the response comes with the token.
+    /// Starts a watch of a client. The response is issued as
+    /// [`Action::Respond`](super::Action::Respond) with the same token.
     pub fn watch(&mut self, now: u64, token: u64, request: WatchRequest) {
         self.advance_clock(now);
         if self.watches.len() >= MAX_WATCHES {
@@ -100,39 +106,36 @@
         self.flush_queue();
     }
 
-    /// The applications that wait with these tokens have left.
+    /// Removes the watches with these tokens without a response, after their clients have
+    /// disconnected.
     pub fn cancel_watches(&mut self, tokens: &BTreeSet<u64>) {
         let watches = &mut self.watches.by_number;
         watches.retain(|_, watch| !tokens.contains(&watch.token));
     }
 
-    /// Events of a group were applied.
-    pub(super) fn answer_watches_of(&mut self, group: &str) {
+    /// Advances the watches of a group after events of that group were applied.
+    pub(super) fn advance_watches_of_group(&mut self, group: &str) {
         for number in self.watches.numbers(|watch| watch.group == group) {
             self.advance_watch(number);
         }
     }
 
-    /// The state was replaced.
-    pub(super) fn answer_all_watches(&mut self) {
-        self.advance_watches();
-    }
-
-    /// Time has passed.
+    /// Advances all watches, after time has passed or the state was replaced.
     pub(super) fn advance_watches(&mut self) {
         for number in self.watches.numbers(|_| true) {
             self.advance_watch(number);
         }
     }
 
-    /// The process is about to end.
+    /// Ends all watches before the process stops.
     pub(super) fn end_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches.by_number).into_values() {
             self.respond(watch.token, Response::NotExecuted);
         }
     }
 
-    /// Answers a watch if that is possible, and requests a confirmation where one is needed.
+    /// Responds to a watch if possible. Otherwise requests the leader's confirmation once the
+    /// watch's deadline is near.
     fn advance_watch(&mut self, number: u64) {
         let Some(watch) = self.watches.by_number.get_mut(&number) else {
             return;
@@ -147,14 +150,14 @@
             self.finish_watch(number, response);
             return;
         }
-        self.watches.has_held_back = true;
+        self.watches.may_have_deferred = true;
         if needs_confirmation {
             let query = Query::GroupRevision { group };
             self.add_call(Caller::Watch(number), Call::Query(query));
         }
     }
 
-    /// The response to a watch, if there is one by now.
+    /// The response to a watch, or `None` if the watch has to wait.
     fn response_to_watch(&self, number: u64) -> Option<Response> {
         let watch = self.watches.by_number.get(&number)?;
         let is_confirmed = self.is_revision_confirmed(watch);
@@ -163,7 +166,7 @@
             Err(_) => return Some(Response::HistoryCompacted),
         };
         if !events.events.is_empty() {
-            let is_complete = is_confirmed || self.is_state_complete_since(watch.arrived);
+            let is_complete = is_confirmed || self.is_state_complete_as_of(watch.arrived);
             return is_complete
                 .then_some(Response::Events(events))
                 .or_else(|| self.response_to_overdue(watch));
@@ -173,14 +176,15 @@
         }
         let revision = self.state.group_revision(&watch.group);
         if watch.after > revision {
-            // A revision that this group never had.
+            // The group never had the requested revision.
             return Some(Response::HistoryCompacted);
         }
         let events = Vec::new();
         Some(Response::Events(GroupEvents { events, revision }))
     }
 
-    /// The events that a watch waits for. One that begins at 0 asks for the revision alone.
+    /// The events that a watch waits for. A watch from revision 0 asks for the revision only and
+    /// gets no events.
     fn events_of(&self, watch: &Watch) -> Result<GroupEvents, WatchError> {
         if watch.after == 0 {
             return Ok(GroupEvents::default());
@@ -188,7 +192,7 @@
         self.state.events_after(&watch.group, watch.after)
     }
 
-    /// Whether this machine has applied the revision that the leader has confirmed for a watch.
+    /// Whether the leader has confirmed a revision for the watch and this machine has applied it.
     fn is_revision_confirmed(&self, watch: &Watch) -> bool {
         let Confirmation::Confirmed(confirmed) = watch.confirmation else {
             return false;
@@ -196,20 +200,22 @@
         self.state.group_revision(&watch.group) >= confirmed
     }
 
-    /// The response to a watch that has waited for a confirmation in vain.
+    /// The response to a watch whose confirmation has timed out, or `None` before the timeout.
     fn response_to_overdue(&self, watch: &Watch) -> Option<Response> {
         let is_overdue = self.now >= watch.deadline.saturating_add(CONFIRMATION_TIMEOUT_MS);
         is_overdue.then_some(Response::NotExecuted)
     }
 
-    /// The leader has been heard from: events that wait until the state is complete may go out.
-    pub(super) fn answer_held_back_watches(&mut self) {
-        if std::mem::take(&mut self.watches.has_held_back) {
+    /// Retries the deferred watches. A message of the leader may have shown that the local state is
+    /// recent enough.
+    pub(super) fn retry_deferred_watches(&mut self) {
+        if std::mem::take(&mut self.watches.may_have_deferred) {
             self.advance_watches();
         }
     }
 
-    /// The leader has confirmed the revision of a watch's group, or could not.
+    /// Handles the result of the query that confirms the revision of a watch's group. The watch
+    /// fails if the query was not executed.
     pub(super) fn on_revision_confirmed(&mut self, number: u64, result: &CallResult) {
         let Some(watch) = self.watches.by_number.get_mut(&number) else {
             return;
--- a/crates/coordination/src/outcome.rs
+++ b/crates/coordination/src/outcome.rs
@@ -1,52 +1,54 @@
-//! What comes of a call that was executed.
+//! Outcomes of executed calls.
 
 use nanoserde::{DeBin, SerBin};
 
-/// The outcome of a call, as of its position in the log.
+/// The outcome of an executed call. It reflects the state at the position of the call in the log.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Outcome {
-    /// The lock is acquired.
+    /// The caller has acquired the lock.
     LockAcquired {
-        /// The fencing token of the lease, greater than all tokens before.
+        /// The fencing token of the lease. It is greater than every token issued before, for any
+        /// lock.
         fencing_token: u64,
     },
-    /// The lock is held by another caller.
+    /// Another owner has a lease of the lock.
     LockHeld,
-    /// The lease is extended.
+    /// The lease was extended, or already ended later than requested.
     LockRenewed,
-    /// The caller's lease has ended.
+    /// The lease to renew is not the current lease of the lock. It has expired, was released or was
+    /// replaced by a newer lease.
     LockLost,
-    /// The caller does not hold the lock, or no longer does.
+    /// The lease with the given owner and fencing token does not exist, or no longer exists.
     LockReleased,
-    /// The next number of a sequence.
+    /// A number was allocated from a sequence.
     Number {
-        /// The number, greater than all before.
+        /// The allocated number, greater than every number of the sequence before.
         value: u64,
     },
-    /// The value is set.
+    /// The value is set. A repeated put reports its first execution.
     Put {
-        /// The revision at which the value was first set.
+        /// The revision of the first execution of the put.
         revision: u64,
     },
-    /// The key has another revision than the caller required; nothing was changed.
+    /// The key does not have the required revision. The state is unchanged.
     RevisionConflict {
-        /// The revision of the key, 0 if it does not exist.
+        /// The current revision of the key, 0 if the key does not exist.
         current: u64,
     },
-    /// There is no room for more names, values or history; nothing was changed.
+    /// The state has reached its size limit for names, values and history. The state is unchanged.
     LimitReached,
-    /// The value of a key.
+    /// The key exists.
     Value {
-        /// The value.
+        /// The current value of the key.
         value: String,
-        /// The revision at which it was set.
+        /// The revision at which the value was set.
         revision: u64,
     },
     /// The key does not exist.
     KeyNotFound,
-    /// The current revision of a group, 0 if nothing was put yet.
+    /// The current revision of a key group.
     GroupRevision {
-        /// The revision.
+        /// The revision of the group's newest put, 0 if the group has no puts.
         revision: u64,
     },
 }
--- a/crates/coordination/src/state/feed.rs
+++ b/crates/coordination/src/state/feed.rs
@@ -1,70 +1,71 @@
-//! The feed: the puts of all groups in the order of the log, numbered, for as long as watches may
-//! resume from them.
+//! The feed: the retained puts of all groups in log order. Each put has an offset. Puts are
+//! retained for as long as watches may resume from them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Bytes that an event takes beside its key and its value.
+/// The overhead of an event beyond its key and its value, in bytes. Also the overhead of a group.
 const EVENT_BYTES: usize = 64;
-/// Bytes of keys and values after which a list of events goes no further.
+/// The size of keys and values, in bytes, after which a list of events is cut off. The last event
+/// of a list may exceed it.
 const MAX_LIST_BYTES: usize = 256 << 10;
 
-/// A put, as watches get it.
+/// A put, as delivered to watches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// The key.
+    /// The name of the key.
     pub key: Arc<str>,
-    /// The value.
+    /// The value that was put.
     pub value: Arc<str>,
-    /// The revision of the key and of its group from then on.
+    /// The revision that the put gave to the key and its group.
     pub revision: u64,
 }
 
-/// The events of a group after a revision.
+/// The events of a key group after a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupEvents {
-    /// The events, the oldest first.
+    /// The events, oldest first.
     pub events: Vec<Event>,
-    /// The revision up to which these are all.
+    /// The revision up to which the list is complete. The next watch resumes from it.
     pub revision: u64,
 }
 
-/// The events after a revision can't be told.
+/// The events after a revision are not available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WatchError {
-    /// The history begins later.
-    #[error("the history begins after revision {compacted}")]
+    /// The history no longer contains all events after the requested revision.
+    #[error("history is compacted up to revision {compacted}")]
     Compacted {
-        /// The newest revision whose event is no longer there.
+        /// The newest revision of the group whose event has been removed.
         compacted: u64,
     },
 }
 
-/// An event of the feed.
+/// An event with its group and its time.
 #[derive(Clone, Debug)]
 pub(super) struct FeedEvent {
     pub group: Arc<str>,
     pub event: Event,
-    /// When it was put, by the state's clock.
+    /// The time of the put, in milliseconds of the state's clock.
     pub at_ms: u64,
 }
 
-/// What is known of a group of keys.
+/// The revisions of a key group and the index of its events.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Group {
-    /// The revision of its newest put.
+    /// The revision of the newest put.
     pub revision: u64,
     /// The newest revision whose event is no longer in the feed.
     pub compacted: u64,
-    /// The offsets of its events, rising.
+    /// The feed offsets of the group's events, in increasing order.
     offsets: VecDeque<u64>,
 }
 
 /// The feed with an index by group.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Feed {
-    /// The offset of the first event.
+    /// The offset of the oldest retained event.
     first_offset: u64,
     events: VecDeque<FeedEvent>,
     groups: BTreeMap<Arc<str>, Group>,
@@ -92,7 +93,7 @@
         self.groups.iter()
     }
 
-    /// The name of a group, shared, if something was put in it.
+    /// The shared name of a group, if the group has had a put.
     pub fn group_name(&self, group: &str) -> Option<Arc<str>> {
         self.groups
             .get_key_value(group)
@@ -103,7 +104,7 @@
         self.groups.get(group).map_or(0, |group| group.revision)
     }
 
-    /// An empty feed that begins at an offset.
+    /// Creates an empty feed whose first event gets the offset `first_offset`.
     pub fn starting_at(first_offset: u64) -> Self {
         Self {
             first_offset,
@@ -122,7 +123,7 @@
         self.groups.insert(name, group);
     }
 
-    /// Adds an event at the end.
+    /// Appends an event.
     pub fn push(&mut self, event: FeedEvent) {
         let offset = self.first_offset + self.events.len() as u64;
         if !self.groups.contains_key(&event.group) {
@@ -136,9 +137,9 @@
         self.events.push_back(event);
     }
 
-    /// Removes the first event if it is older than a time of the state's clock.
-    pub fn pop_older_than(&mut self, at_ms: u64) -> Option<FeedEvent> {
-        if self.events.front()?.at_ms >= at_ms {
+    /// Removes and returns the oldest event if it was put before `cutoff_ms` of the state's clock.
+    pub fn pop_older_than(&mut self, cutoff_ms: u64) -> Option<FeedEvent> {
+        if self.events.front()?.at_ms >= cutoff_ms {
             return None;
         }
         let event = self.events.pop_front()?;
@@ -151,7 +152,8 @@
         Some(event)
     }
 
-    /// The events of a group after a revision. A long list ends early; its revision says where.
+    /// The events of a group after the revision `after`. A list that exceeds [`MAX_LIST_BYTES`] is
+    /// cut off, and its `revision` is the revision before the first omitted event.
     pub fn events_after(&self, group: &str, after: u64) -> Result<GroupEvents, WatchError> {
         let Some(group) = self.groups.get(group) else {
             return Ok(GroupEvents::default());
@@ -161,8 +163,8 @@
                 compacted: group.compacted,
             });
         }
-        let is_known = |offset: &u64| self.at(*offset).event.revision <= after;
-        let first = group.offsets.partition_point(is_known);
+        let is_delivered = |offset: &u64| self.at(*offset).event.revision <= after;
+        let first = group.offsets.partition_point(is_delivered);
         let mut found = GroupEvents {
             events: Vec::new(),
             revision: group.revision,
--- a/crates/coordination/src/state/keys.rs
+++ b/crates/coordination/src/state/keys.rs
@@ -1,4 +1,4 @@
-//! Keys with their values and revisions, and the puts of late.
+//! Keys with their values and revisions, and the history of recent puts.
 
 use super::feed::{Event, Feed, FeedEvent, GroupEvents, WatchError};
 use crate::command::group_of;
@@ -6,40 +6,40 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Bytes that a key takes beside its name and its value.
+/// The overhead of a key beyond its name and its value, in bytes.
 const KEY_BYTES: usize = 48;
 
-/// The value of a key.
+/// The current value and revision of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Entry {
     pub value: Arc<str>,
     pub revision: u64,
 }
 
-/// A request to set a value.
+/// A request to set the value of a key.
 #[derive(Clone, Debug)]
 pub(super) struct PutRequest {
     pub key: String,
     pub value: String,
     pub if_revision: Option<u64>,
-    /// The time of the state's clock.
+    /// The time of the put, in milliseconds of the state's clock.
     pub at_ms: u64,
-    /// Whether the state may grow.
-    pub has_room: bool,
+    /// Whether the state has capacity for the put.
+    pub may_grow: bool,
 }
 
-/// Identifies a put: a caller that repeats one repeats its value.
+/// Identifies a put for deduplication. A caller that retries a put sends the same key and value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PutId {
     key: Arc<str>,
     value: Arc<str>,
 }
 
-/// All keys, and the feed of their puts.
+/// All keys and the feed of recent puts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KeyTable {
     entries: BTreeMap<Arc<str>, Entry>,
-    /// The revisions of the puts in the feed.
+    /// The revisions of the puts in the feed, for deduplication.
     recent_puts: HashMap<PutId, u64>,
     feed: Feed,
     entry_bytes: usize,
@@ -67,7 +67,7 @@
         self.entries.iter()
     }
 
-    /// The table with a feed that has no events yet.
+    /// Creates a table without keys. `feed` must have no events.
     pub fn with_feed(feed: Feed) -> Self {
         Self {
             feed,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The value and the revision of a key.
+    /// The current value and revision of a key.
     pub fn get(&self, key: &str) -> Option<(&str, u64)> {
         let entry = self.entries.get(key)?;
         Some((&*entry.value, entry.revision))
@@ -103,7 +103,7 @@
         {
             return Outcome::RevisionConflict { current };
         }
-        if !request.has_room {
+        if !request.may_grow {
             return Outcome::LimitReached;
         }
         let group = group_of(&key);
@@ -131,7 +131,8 @@
         Outcome::Put { revision }
     }
 
-    /// The revision at which a value was put to a key, if that is remembered.
+    /// The revision of an earlier put of the same value to the same key. `None` if there was no
+    /// such put or the put is neither the current value nor in the feed.
     fn revision_of_put(&self, key: &Arc<str>, value: &Arc<str>) -> Option<u64> {
         let current = self.entries.get(key).filter(|entry| entry.value == *value);
         if let Some(entry) = current {
@@ -144,7 +145,7 @@
         self.recent_puts.get(&id).copied()
     }
 
-    /// Sets the value of a key.
+    /// Sets the value of a key without recording an event.
     pub fn set(&mut self, key: Arc<str>, entry: Entry) {
         let size = |entry: &Entry| KEY_BYTES + key.len() + entry.value.len();
         let added = size(&entry);
@@ -153,7 +154,7 @@
         self.entries.insert(key, entry);
     }
 
-    /// Adds an event to the feed.
+    /// Appends an event to the feed and indexes it for deduplication.
     pub fn record(&mut self, event: FeedEvent) {
         let id = PutId {
             key: event.event.key.clone(),
@@ -163,10 +164,10 @@
         self.feed.push(event);
     }
 
-    /// Forgets the events that are older than the history has to be.
+    /// Removes the events older than `history_ms` before `now_ms` of the state's clock.
     pub fn expire_history(&mut self, now_ms: u64, history_ms: u64) {
-        let oldest_ms = now_ms.saturating_sub(history_ms);
-        while let Some(FeedEvent { event, .. }) = self.feed.pop_older_than(oldest_ms) {
+        let cutoff_ms = now_ms.saturating_sub(history_ms);
+        while let Some(FeedEvent { event, .. }) = self.feed.pop_older_than(cutoff_ms) {
             self.recent_puts.remove(&PutId {
                 key: event.key,
                 value: event.value,
--- a/crates/coordination/src/state/locks.rs
+++ b/crates/coordination/src/state/locks.rs
@@ -1,9 +1,9 @@
-//! Locks: who holds which, with which fencing token, and until when.
+//! Locks and their leases: owner, fencing token and expiry of each lease.
 
 use crate::outcome::Outcome;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes that a lease takes beside its names.
+/// The overhead of a lease beyond its names, in bytes.
 const LEASE_BYTES: usize = 48;
 
 /// A lease of a lock.
@@ -11,7 +11,7 @@
 pub(super) struct Lease {
     pub owner: String,
     pub fencing_token: u64,
-    /// When it runs out, by the state's clock.
+    /// The end of the lease, in milliseconds of the state's clock.
     pub expires_ms: u64,
 }
 
@@ -21,11 +21,11 @@
     pub lock: String,
     pub owner: String,
     pub expires_ms: u64,
-    /// Whether the state may grow.
-    pub has_room: bool,
+    /// Whether the state has capacity for another lease.
+    pub may_grow: bool,
 }
 
-/// What a caller says of the lease that it holds.
+/// Identifies a lease in the request of a caller.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseId<'a> {
     pub lock: &'a str,
@@ -33,14 +33,14 @@
     pub fencing_token: u64,
 }
 
-/// The leases that have not run out.
+/// The leases that have not expired.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LockTable {
-    /// The greatest fencing token that was given out. All locks share one count, so that no token
-    /// comes again after the lease of a lock is forgotten.
+    /// The greatest fencing token issued so far. All locks share one counter, so a token is never
+    /// reused after the lease of a lock has been removed.
     last_fencing_token: u64,
     leases: BTreeMap<String, Lease>,
-    /// The locks by the time at which their leases run out.
+    /// The locks, ordered by the expiry of their leases.
     by_expiry: BTreeSet<(u64, String)>,
     bytes: usize,
 }
@@ -62,21 +62,22 @@
         self.leases.iter()
     }
 
-    /// Acquires a lock that nobody else holds. Its owner gets a new fencing token, so that calls
-    /// of its former hold that are still under way do not concern this one. The lease never ends
-    /// earlier than it was to end before: where the response is lost, the owner relies on that.
+    /// Acquires a lock unless another owner has a lease of it. An owner that acquires its own lock
+    /// again gets a new fencing token, so delayed calls with the former token don't affect the new
+    /// lease. The new lease never ends earlier than the former one. An owner that has not received
+    /// the response still relies on the former lease.
     pub fn acquire(&mut self, request: AcquireRequest) -> Outcome {
         let AcquireRequest {
             lock,
             owner,
             expires_ms,
-            has_room,
+            may_grow,
         } = request;
         let current = self.leases.get(&lock);
         if current.is_some_and(|lease| lease.owner != owner) {
             return Outcome::LockHeld;
         }
-        if current.is_none() && !has_room {
+        if current.is_none() && !may_grow {
             return Outcome::LimitReached;
         }
         let former_expiry_ms = current.map_or(0, |lease| lease.expires_ms);
@@ -91,7 +92,7 @@
         Outcome::LockAcquired { fencing_token }
     }
 
-    /// Extends a lease; it never ends earlier than it was to end before.
+    /// Extends a lease. A renewal never shortens the lease.
     pub fn renew(&mut self, id: LeaseId<'_>, expires_ms: u64) -> Outcome {
         let Some(lease) = self.current(id) else {
             return Outcome::LockLost;
@@ -105,7 +106,7 @@
         Outcome::LockRenewed
     }
 
-    /// Ends a lease, if it is the current one of the lock.
+    /// Ends a lease if it is the current lease of its lock.
     pub fn release(&mut self, id: LeaseId<'_>) -> Outcome {
         if self.current(id).is_some() {
             self.remove(id.lock);
@@ -113,7 +114,8 @@
         Outcome::LockReleased
     }
 
-    /// Ends the leases that have run out by a time, and returns their locks.
+    /// Removes the leases that have expired at `now_ms` and returns the names of their locks in
+    /// order of expiry.
     pub fn expire(&mut self, now_ms: u64) -> Vec<String> {
         let mut expired = Vec::new();
         while let Some((expires_ms, lock)) = self.by_expiry.first() {
@@ -127,14 +129,14 @@
         expired
     }
 
-    /// The lease that a caller means, if it is the current one of its lock.
+    /// The lease identified by `id`, if it is the current lease of its lock.
     fn current(&self, id: LeaseId<'_>) -> Option<&Lease> {
-        let is_meant =
+        let matches_id =
             |lease: &&Lease| lease.owner == id.owner && lease.fencing_token == id.fencing_token;
-        self.leases.get(id.lock).filter(is_meant)
+        self.leases.get(id.lock).filter(matches_id)
     }
 
-    /// Sets the lease of a lock.
+    /// Sets the lease of a lock, replacing a former lease.
     pub fn insert(&mut self, lock: String, lease: Lease) {
         self.remove(&lock);
         self.last_fencing_token = self.last_fencing_token.max(lease.fencing_token);
@@ -143,7 +145,7 @@
         self.leases.insert(lock, lease);
     }
 
-    /// Continues the count of fencing tokens from this one.
+    /// Raises the token counter to at least `last`.
     pub fn set_last_fencing_token(&mut self, last: u64) {
         self.last_fencing_token = self.last_fencing_token.max(last);
     }
--- a/crates/coordination/src/state/mod.rs
+++ b/crates/coordination/src/state/mod.rs
@@ -1,11 +1,11 @@
-//! The state that the replicated log makes: leases of locks, sequences, keys and their history.
+//! The replicated state: leases of locks, sequences, and keys with their history.
 //!
 //! # Time
 //!
-//! The state has a clock of its own, which moves only with batches. A leader measures it: from the
-//! moment at which it has applied all entries of former leaders it adds what passes on its own
-//! monotonic clock. Between leaders the clock stands still, so it never runs ahead of real time, and a
-//! lease never ends earlier than the caller that holds it expects.
+//! The state has its own clock, which advances only with applied batches. The leader measures it.
+//! Once the leader has applied all entries of former leaders, it adds the time that elapses on its
+//! own monotonic clock. The state's clock stands still between leaders, so it never runs ahead of
+//! real time. A lease therefore never ends earlier than its owner expects.
 
 mod feed;
 mod keys;
@@ -23,13 +23,14 @@
 use sequences::SequenceTable;
 use woadstall_consensus::LogIndex;
 
-/// Bytes of names, values and history at most, so that a snapshot fits the storage.
+/// The maximum size of names, values and history, in bytes. The limit ensures that a snapshot fits
+/// the storage.
 const MAX_STATE_BYTES: usize = 4 << 20;
 
-/// The state after a number of batches.
+/// The replicated state after the last applied batch.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinationState {
-    /// The position of the last batch in the log.
+    /// The log index of the last applied batch.
     index: LogIndex,
     /// The state's clock in milliseconds.
     clock_ms: u64,
@@ -38,54 +39,54 @@
     keys: KeyTable,
 }
 
-/// The outcome of a call of a batch.
+/// The outcome of a call in a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// The call.
+    /// The identifier of the call.
     pub id: CallId,
-    /// Its outcome.
+    /// The outcome at the position of the call in the log.
     pub outcome: Outcome,
 }
 
-/// What a batch has done.
+/// The effects of an applied batch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AppliedBatch {
-    /// The outcomes of the commands, and of the queries of the process that applies the batch, in
-    /// the order of the batch.
+    /// The outcomes in the order of the batch. They cover all commands, but only the queries that
+    /// were accepted by the process that applies the batch.
     pub outcomes: Vec<CallOutcome>,
-    /// The groups whose keys have changed, each once.
+    /// The groups with new events, without duplicates.
     pub changed_groups: Vec<String>,
-    /// The locks whose leases ran out by the time of the batch.
+    /// The locks whose leases expired by the time of the batch, in order of expiry.
     pub expired_locks: Vec<String>,
 }
 
-/// Numbers of what the state holds.
+/// The size of the state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateSize {
-    /// Leases that have not run out.
+    /// The number of leases that have not expired.
     pub leases: usize,
-    /// Sequences.
+    /// The number of sequences.
     pub sequences: usize,
-    /// Keys.
+    /// The number of keys.
     pub keys: usize,
-    /// Events in the history.
+    /// The number of events in the history.
     pub events: usize,
-    /// Bytes of names, values and history.
+    /// The size of names, values and history, in bytes.
     pub bytes: usize,
 }
 
 impl CoordinationState {
-    /// The position of the last batch in the log.
+    /// The log index of the last applied batch, 0 before the first batch.
     pub fn index(&self) -> LogIndex {
         self.index
     }
 
-    /// The state's clock in milliseconds.
+    /// The state's clock in milliseconds, as of the last applied batch.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// What the state holds.
+    /// The numbers of leases, sequences, keys and events, and their total size in bytes.
     pub fn size(&self) -> StateSize {
         StateSize {
             leases: self.locks.len(),
@@ -100,8 +101,9 @@
         self.locks.bytes() + self.sequences.bytes() + self.keys.bytes()
     }
 
-    /// Applies a batch at a position of the log. Queries change nothing: they are answered only if
-    /// the process with this incarnation, which applies the batch, has taken them.
+    /// Applies the batch at the log index `index`. `incarnation` identifies the process that
+    /// applies the batch. Queries don't change the state, so the queries of other processes are
+    /// skipped.
     pub fn apply(&mut self, index: LogIndex, batch: Batch, incarnation: u64) -> AppliedBatch {
         self.index = index;
         self.clock_ms = self.clock_ms.max(batch.clock_ms);
@@ -121,7 +123,7 @@
         applied
     }
 
-    /// Answers a query as of now.
+    /// Answers a query from the current state.
     pub fn query(&self, query: &Query) -> Outcome {
         match query {
             Query::Get { key } => match self.keys.get(key) {
@@ -137,23 +139,25 @@
         }
     }
 
-    /// The current revision of a group, 0 if nothing was put yet.
+    /// The current revision of a key group, 0 if the group has no puts.
     pub fn group_revision(&self, group: &str) -> u64 {
         self.keys.group_revision(group)
     }
 
-    /// The events of a group after a revision, the oldest first.
+    /// The events of a key group after the revision `after`, oldest first. A long list is cut off;
+    /// see [`GroupEvents::revision`].
     ///
     /// # Errors
     ///
-    /// [`WatchError::Compacted`] if the history does not reach back to the revision.
+    /// Returns [`WatchError::Compacted`] if the history no longer contains all events after
+    /// `after`.
     pub fn events_after(&self, group: &str, after: u64) -> Result<GroupEvents, WatchError> {
         self.keys.events_after(group, after)
     }
 
     fn execute(&mut self, command: Command, changed_groups: &mut Vec<String>) -> Outcome {
         let now_ms = self.clock_ms;
-        let has_room = self.bytes() + command.size() <= MAX_STATE_BYTES;
+        let may_grow = self.bytes() + command.size() <= MAX_STATE_BYTES;
         match command {
             Command::AcquireLock {
                 lock,
@@ -164,7 +168,7 @@
                     lock,
                     owner,
                     expires_ms: now_ms.saturating_add(lease_ms),
-                    has_room,
+                    may_grow,
                 };
                 self.locks.acquire(request)
             }
@@ -193,7 +197,7 @@
                 };
                 self.locks.release(lease)
             }
-            Command::NextNumber { sequence } => self.sequences.next(sequence, has_room),
+            Command::NextNumber { sequence } => self.sequences.next(sequence, may_grow),
             Command::Put {
                 key,
                 value,
@@ -204,7 +208,7 @@
                     value,
                     if_revision,
                     at_ms: now_ms,
-                    has_room,
+                    may_grow,
                 };
                 self.keys.put(put, changed_groups)
             }
--- a/crates/coordination/src/state/sequences.rs
+++ b/crates/coordination/src/state/sequences.rs
@@ -1,12 +1,12 @@
-//! Sequences of numbers.
+//! Sequences of increasing numbers.
 
 use crate::outcome::Outcome;
 use std::collections::BTreeMap;
 
-/// Bytes that a sequence takes beside its name.
+/// The overhead of a sequence beyond its name, in bytes.
 const SEQUENCE_BYTES: usize = 16;
 
-/// The last number of each sequence.
+/// The last allocated number of each sequence.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SequenceTable {
     last: BTreeMap<String, u64>,
@@ -26,11 +26,11 @@
         self.last.iter().map(|(name, last)| (name, *last))
     }
 
-    /// The next number of a sequence; the first one is 1. `has_room` tells whether the state may
-    /// grow.
-    pub fn next(&mut self, sequence: String, has_room: bool) -> Outcome {
+    /// Allocates the next number of a sequence. The first number is 1. `may_grow` permits the
+    /// creation of a new sequence.
+    pub fn next(&mut self, sequence: String, may_grow: bool) -> Outcome {
         let last = self.last.get(&sequence).copied();
-        if last.is_none() && !has_room {
+        if last.is_none() && !may_grow {
             return Outcome::LimitReached;
         }
         let value = last.unwrap_or_default() + 1;
@@ -38,7 +38,7 @@
         Outcome::Number { value }
     }
 
-    /// Sets the last number of a sequence.
+    /// Sets the last allocated number of a sequence.
     pub fn set(&mut self, sequence: String, value: u64) {
         let size = SEQUENCE_BYTES + sequence.len();
         if self.last.insert(sequence, value).is_none() {
--- a/crates/coordination/src/state/snapshot.rs
+++ b/crates/coordination/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state as bytes, as it stands in snapshots of the log.
+//! Encoding and decoding of the state for snapshots of the log.
 
 use super::CoordinationState;
 use super::feed::{Event, Feed, FeedEvent};
@@ -9,7 +9,7 @@
 use crate::encoding::{self, DecodeError};
 use nanoserde::{DeBin, SerBin};
 
-/// The fields of a state, in the order in which they are stored.
+/// The stored form of a state. The binary format depends on the order of the fields.
 #[derive(SerBin, DeBin)]
 struct StoredState {
     index: u64,
@@ -60,7 +60,7 @@
 }
 
 impl CoordinationState {
-    /// The state as bytes.
+    /// Encodes the state with a version and a checksum.
     pub fn encode(&self) -> Vec<u8> {
         let feed = self.keys.feed();
         let stored = StoredState {
@@ -77,11 +77,11 @@
         encoding::encode(&stored)
     }
 
-    /// The state from its bytes.
+    /// Decodes a state.
     ///
     /// # Errors
     ///
-    /// Where the bytes are damaged or of another version.
+    /// Returns an error if the bytes are corrupt or have a different format version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let stored: StoredState = encoding::decode(bytes)?;
         let mut state = Self {
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -1,55 +1,56 @@
-//! What the machines of the group send each other, in `nanoserde` binary. The order of the variants
-//! and of their fields is the wire format.
+//! Packets that the machines of the group exchange, in `nanoserde` binary. The wire format depends
+//! on the order of the variants and of their fields.
 
 use crate::batch::{BatchedCall, CallId};
 use nanoserde::{DeBin, SerBin};
 use woadstall_consensus::{DurableReport, LeaderTime, Member, Message, ReplicaId};
 
-/// A machine of the group.
+/// The identity and the location of a machine of the group.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct MachineInfo {
-    /// Its replica's identity and its internal address.
+    /// The replica's identifier and the machine's internal address.
     pub member: Member,
-    /// Its zone.
+    /// The availability zone of the machine.
     pub zone: String,
-    /// Its region.
+    /// The region of the machine.
     pub region: String,
 }
 
-/// A call that is forwarded to the leader.
+/// A call forwarded to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ForwardedCall {
-    /// The call.
+    /// The call with its identifier.
     pub call: BatchedCall,
-    /// Until when the leader may propose it.
+    /// The latest time, by the leader's clock, at which the leader may propose the call.
     pub deadline: LeaderTime,
 }
 
-/// A message from one machine to another.
+/// A packet from one machine to another.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Packet {
-    /// Begins a connection, and is repeated on it.
+    /// Introduces the sender. Sent when a connection is established and repeated periodically.
     Hello(MachineInfo),
-    /// A message of the replicated log.
+    /// A consensus message.
     Consensus {
-        /// The message.
+        /// The message for the replica.
         message: Message,
-        /// The sender's clock in milliseconds.
+        /// The sender's clock in milliseconds at the time of sending.
         clock: u64,
     },
-    /// A replica asks to become a member.
+    /// Asks to add the sender's replica to the group.
     JoinRequest(Member),
-    /// A replica's process is about to end.
+    /// Announces that the process of a replica is about to stop.
     ReplicaStopping(ReplicaId),
-    /// Calls for the leader.
+    /// Forwards calls to the leader.
     Calls(Vec<ForwardedCall>),
-    /// Calls that the sender has not proposed and never will.
+    /// Rejects forwarded calls that the sender has not proposed and never will propose.
     RejectedCalls(Vec<CallId>),
-    /// The leader's report to the voters that lack entries which others hold durably.
+    /// Reports which voters have persisted the newest entries. The leader sends it to the voters
+    /// that are not in the report.
     DurableReport {
-        /// The leader's replica.
+        /// The replica of the leader.
         from: ReplicaId,
-        /// The report.
+        /// The persisted entries and the voters that have persisted them.
         report: DurableReport,
     },
 }
