--- a/crates/coordination/src/machine/action.rs
+++ b/crates/coordination/src/machine/action.rs
@@ -49,9 +49,10 @@
 /// The response to a call or a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// The call was executed.
+    /// The call was executed with this outcome.
     Executed(Outcome),
-    /// The events of a watch. The list is empty if the watch timed out without an event.
+    /// The events of a watch. The list is empty if the watch timed out without an event or asked
+    /// for the revision only.
     Events(GroupEvents),
     /// The history no longer contains the revision at which a watch starts, or the group never had
     /// that revision.
--- a/crates/coordination/src/machine/replication.rs
+++ b/crates/coordination/src/machine/replication.rs
@@ -83,8 +83,9 @@
     }
 
     /// Sends the durable report to the voters that are not known to have persisted the newest
-    /// entries. The report lists the voters that have persisted them. It lets the receivers respond
-    /// to their calls without waiting for the leader's next commit index.
+    /// entries. The report lists the voters that have persisted them. A receiver that persists them
+    /// as well completes the quorum and responds to its calls without waiting for the leader's next
+    /// commit index.
     fn send_durable_report(&mut self) {
         let Some(report) = self.replica.take_durable_report() else {
             return;
--- a/crates/coordination/src/machine/status.rs
+++ b/crates/coordination/src/machine/status.rs
@@ -6,17 +6,17 @@
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Calls that were answered with an outcome.
+    /// Calls that were executed and answered with their outcome.
     pub executed: u64,
     /// Calls and watches that were reported as not executed.
     pub not_executed: u64,
     /// Calls and watches that were rejected because too many were pending.
     pub overloaded: u64,
-    /// Calls that timed out with an unknown outcome.
+    /// Calls that were answered without a known outcome.
     pub unknown: u64,
     /// Watches that returned events.
     pub watches_with_events: u64,
-    /// Watches that ended without an event.
+    /// Watches that ended without an event, including watches for the revision only.
     pub watches_without_events: u64,
     /// Watches that started at a compacted revision, or at a revision that their group never had.
     pub watches_compacted: u64,
--- a/crates/coordination/src/outcome.rs
+++ b/crates/coordination/src/outcome.rs
@@ -13,7 +13,7 @@
     },
     /// Another owner has a lease of the lock.
     LockHeld,
-    /// The lease was extended, or already ended later than requested.
+    /// The lease was renewed. Its expiry is unchanged if it was already later than requested.
     LockRenewed,
     /// The lease to renew is not the current lease of the lock. It has expired, was released or was
     /// replaced by a newer lease.
--- a/crates/coordination/src/state/keys.rs
+++ b/crates/coordination/src/state/keys.rs
@@ -89,7 +89,9 @@
         self.feed.events_after(group, after)
     }
 
-    /// Sets a value, unless that was done before or the key has another revision than required.
+    /// Executes a put. A repeated put changes nothing and returns the revision of its first
+    /// execution. A put is rejected if the key does not have the required revision or the state is
+    /// full. The group of a successful new put is added to `changed_groups`.
     pub fn put(&mut self, request: PutRequest, changed_groups: &mut Vec<String>) -> Outcome {
         let key: Arc<str> = request.key.into();
         let value: Arc<str> = request.value.into();
--- a/crates/coordination/tests/early_commit.rs
+++ b/crates/coordination/tests/early_commit.rs
@@ -1,4 +1,6 @@
-//! How long a call takes at a voter in another region than the leader, in virtual time.
+//! The latency of a call on a voter in another region than the leader, in virtual time. The voter
+//! must respond after one round trip to the leader, without waiting for the leader's next commit
+//! index.
 
 use std::collections::BTreeMap;
 use woadstall_consensus::{DurableState, Member};
@@ -8,21 +10,24 @@
 };
 use woadstall_coordination::wire::{MachineInfo, Packet};
 
-/// Faults that a group of five voters tolerates.
-const TOLERATED: usize = 2;
+/// The number of failures that a group of five voters tolerates.
+const TOLERATED_FAILURES: usize = 2;
 const MACHINES: usize = 5;
-/// The region of each voter, beginning with the leader.
+/// The region of each voter, starting with the leader.
 const REGIONS: [usize; MACHINES] = [0, 0, 1, 1, 2];
-/// One way, in milliseconds.
+/// The one-way delay of packets between regions, in milliseconds.
 const DELAY_BETWEEN_REGIONS_MS: u64 = 55;
+/// The one-way delay of packets within a region, in milliseconds.
 const DELAY_IN_REGION_MS: u64 = 1;
+/// The duration of a disk sync, in milliseconds.
 const SYNC_MS: u64 = 1;
-/// Longer than an election takes.
+/// The time for the group to elect a leader, in milliseconds. It exceeds the duration of an
+/// election.
 const START_MS: u64 = 5_000;
 const CALLS: u64 = 20;
 const CALL_INTERVAL_MS: u64 = 250;
 
-/// What happens to a machine.
+/// A simulated event on a machine.
 enum Event {
     Packet { from: usize, packet: Packet },
     Persisted(u64),
@@ -32,10 +37,10 @@
     now: u64,
     machines: Vec<CoordinationMachine>,
     regions: [usize; MACHINES],
-    /// By time and order.
+    /// The scheduled events by time and scheduling order, with their machines.
     events: BTreeMap<(u64, u64), (usize, Event)>,
     scheduled: u64,
-    /// When the response to each token came.
+    /// The arrival time of the response to each token.
     responses: BTreeMap<u64, u64>,
 }
 
@@ -61,7 +66,7 @@
                     region: address(machine),
                 },
                 seeds: (0..MACHINES).map(address).collect(),
-                tolerated_failures: TOLERATED,
+                tolerated_failures: TOLERATED_FAILURES,
                 history_ms: 20_000,
                 incarnation: machine as u64 + 1,
             };
@@ -149,7 +154,7 @@
 }
 
 #[test]
-fn a_voter_answers_its_call_one_round_trip_to_the_leader_after_it() {
+fn a_voter_responds_to_its_call_after_one_round_trip_to_the_leader() {
     for seed in 0..10 {
         println!("seed {seed}");
         let mut group = Group::new(seed);
--- a/crates/coordination/tests/keys.rs
+++ b/crates/coordination/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: values, revisions, conditions, and puts that are repeated.
+//! Keys: values, revisions, conditional puts and repeated puts.
 
 mod support;
 
@@ -7,7 +7,8 @@
 use woadstall_coordination::command::{Call, group_of};
 use woadstall_coordination::outcome::Outcome;
 
-/// Larger than anything that a test puts beside it; some of them fill the state.
+/// The size of large values, in bytes. It exceeds the size of any other entry in these tests. A
+/// number of such values fills the state.
 const LARGE_VALUE_BYTES: usize = 64 << 10;
 
 fn conflict(current: u64) -> Outcome {
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn the_keys_of_a_group_share_a_count_of_revisions() {
+fn the_keys_of_a_group_share_a_revision_counter() {
     let mut service = Service::new();
     assert_eq!(service.execute(put("g.a", "x", None)), put_at(1));
     assert_eq!(service.execute(put("g.b", "y", None)), put_at(2));
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_condition_is_on_the_revision_of_the_key_not_of_its_group() {
+fn a_condition_refers_to_the_revision_of_the_key_not_of_its_group() {
     let mut service = Service::new();
     service.execute(put("g.a", "x", None));
     service.execute(put("g.b", "y", None));
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_put_that_is_rejected_changes_nothing() {
+fn a_rejected_put_changes_nothing() {
     let mut service = Service::new();
     service.execute(put("g.a", "x", None));
     let size = service.state.size();
@@ -78,7 +79,7 @@
     assert_eq!(service.state.size(), size);
     assert_eq!(service.query(get("g.a")), value("x", 1));
     assert!(service.events_after("g", 1).unwrap().events.is_empty());
-    // The value was never put, so it is put now.
+    // The rejected put is not indexed for deduplication, so the same value can still be put.
     assert_eq!(service.execute(put("g.a", "y", Some(1))), put_at(2));
 }
 
@@ -86,12 +87,12 @@
 #[case::without_condition(None)]
 #[case::with_the_condition_that_was_met(Some(0))]
 #[case::with_another_condition(Some(9))]
-fn a_repeated_put_gets_its_first_revision(#[case] if_revision: Option<u64>) {
+fn a_repeated_put_returns_its_first_revision(#[case] if_revision: Option<u64>) {
     let mut service = Service::new();
     assert_eq!(service.execute(put("g.a", "x", Some(0))), put_at(1));
     let repeated = put("g.a", "x", if_revision);
     assert_eq!(service.execute(repeated.clone()), put_at(1));
-    // Other puts to the key and its group come between.
+    // Other puts to the key and its group follow before the next repetition.
     service.execute(put("g.a", "y", Some(1)));
     service.execute(put("g.b", "z", None));
     assert_eq!(service.execute(repeated.clone()), put_at(1));
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_repeated_put_is_known_for_as_long_as_history() {
+fn a_repeated_put_is_recognized_within_the_history_retention_time() {
     let mut service = Service::new();
     service.execute(put("g.a", "x", None));
     service.execute(put("g.a", "y", None));
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn the_current_value_is_known_for_ever() {
+fn a_repeated_put_of_the_current_value_is_always_recognized() {
     let mut service = Service::new();
     service.execute(put("g.a", "x", None));
     service.advance(10 * HISTORY_MS);
@@ -135,9 +136,10 @@
     assert_eq!(service.query(get("g.b")), value("x", 2));
 }
 
-// The put in doubt is executed late: what was put over the key meanwhile stays.
+// The outcome of a put is unknown to its caller and another put overwrites it. A late second
+// execution of the first put must not revert the key.
 #[test]
-fn a_conditional_put_over_an_entry_in_doubt_succeeds_once() {
+fn a_late_execution_of_a_put_in_doubt_does_not_revert_the_key() {
     let mut service = Service::new();
     service.execute(put("g.a", "x", None));
     let in_doubt = put("g.a", "y", Some(1));
@@ -149,7 +151,7 @@
 }
 
 #[test]
-fn a_conditional_put_that_comes_too_late_never_succeeds() {
+fn a_conditional_put_on_an_outdated_revision_never_succeeds() {
     let mut service = Service::new();
     service.execute(put("g.a", "x", None));
     service.execute(put("g.a", "y", None));
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -1,4 +1,5 @@
-//! A state that is full: calls that would let it grow change nothing, all others go on.
+//! The size limit of the state. In a full state, calls that need more space are rejected
+//! without any effect and all other calls succeed.
 
 mod support;
 
@@ -8,12 +9,13 @@
 };
 use woadstall_coordination::outcome::Outcome;
 
-/// What the state holds at most, in bytes, and a call that passes that.
+/// The size limit of the state, in bytes.
 const MAX_STATE_BYTES: usize = 4 << 20;
+/// The size of the largest values used to fill the state, in bytes.
 const VALUE_BYTES: usize = 64 << 10;
 
-/// A state with a lock, a sequence and a key, filled up with values.
-fn full() -> Service {
+/// A full state that contains the lock `l`, the sequence `n` and the key `g.a`.
+fn full_state() -> Service {
     let mut service = Service::new();
     assert_eq!(service.execute(acquire("l", "a", 600_000)), acquired(1));
     assert_eq!(service.execute(next_number("n")), number(1));
@@ -33,8 +35,8 @@
 }
 
 #[test]
-fn what_does_not_fit_changes_nothing() {
-    let mut service = full();
+fn calls_that_exceed_the_limit_change_nothing() {
+    let mut service = full_state();
     let name = "x".repeat(1_024);
     let before = service.state.encode();
     for command in [
@@ -47,25 +49,26 @@
         assert_eq!(service.execute(command), Outcome::LimitReached);
         assert_eq!(service.state.size(), size);
     }
-    // Only the position of the last batch differs: tokens, numbers and revisions are not used up.
-    let mut service = full();
+    // Rejected calls consume no tokens, numbers or revisions. After the same number of batches, a
+    // state with rejected calls therefore equals a state with empty batches.
+    let mut service = full_state();
     for _ in 0..4 {
         service.checkpoint();
     }
-    let mut filled_before = full();
+    let mut with_rejected_calls = full_state();
     for command in [acquire(&name, "a", 1_000), next_number(&name)] {
-        filled_before.execute(command);
+        with_rejected_calls.execute(command);
     }
     for command in [put("g.b", &name, None), put("g.a", &name, Some(1))] {
-        filled_before.execute(command);
+        with_rejected_calls.execute(command);
     }
-    assert_eq!(service.state.encode(), filled_before.state.encode());
+    assert_eq!(service.state.encode(), with_rejected_calls.state.encode());
     assert_ne!(before, service.state.encode());
 }
 
 #[test]
-fn what_exists_can_be_used_in_a_full_state() {
-    let mut service = full();
+fn existing_entries_remain_usable_in_a_full_state() {
+    let mut service = full_state();
     assert_eq!(
         service.execute(renew("l", "a", 1, 1_000)),
         Outcome::LockRenewed
@@ -78,18 +81,19 @@
 }
 
 #[test]
-fn there_is_room_again_after_history_has_expired() {
-    let mut service = full();
+fn expired_history_frees_space() {
+    let mut service = full_state();
     service.advance(HISTORY_MS + 1);
     assert_eq!(service.execute(put("g.b", "y", None)), put_at(2));
     assert_eq!(service.execute(next_number("m")), number(1));
     assert_eq!(service.state.size().events, 1);
 }
 
-// Whether there is room is decided alike on a replica that was restored from a snapshot.
+// A replica restored from a snapshot must accept and reject the same calls as the other replicas.
+// Its size accounting must therefore match theirs.
 #[test]
-fn a_restored_state_counts_the_same_bytes() {
-    let mut service = full();
+fn a_restored_state_has_the_same_size() {
+    let mut service = full_state();
     service.advance(HISTORY_MS / 2);
     service.execute(release("l", "a", 1));
     for round in 0..2 {
--- a/crates/coordination/tests/locks.rs
+++ b/crates/coordination/tests/locks.rs
@@ -1,4 +1,4 @@
-//! Locks: who holds one, until when, and with which fencing token.
+//! Locks: lease owners, lease durations and fencing tokens.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use woadstall_coordination::outcome::Outcome;
 
 #[test]
-fn a_lock_is_held_by_one_caller_at_a_time() {
+fn a_lock_has_one_owner_at_a_time() {
     let mut service = Service::new();
     assert_eq!(service.execute(acquire("l", "a", 3_000)), acquired(1));
     assert_eq!(service.execute(acquire("l", "b", 3_000)), Outcome::LockHeld);
@@ -15,10 +15,10 @@
 }
 
 #[rstest]
-#[case::just_before_its_end(2_999, Outcome::LockHeld)]
-#[case::at_its_end(3_000, acquired(2))]
-#[case::long_after(60_000, acquired(2))]
-fn a_lease_ends_after_its_duration(#[case] elapsed_ms: u64, #[case] expected: Outcome) {
+#[case::just_before_its_expiry(2_999, Outcome::LockHeld)]
+#[case::at_its_expiry(3_000, acquired(2))]
+#[case::long_after_its_expiry(60_000, acquired(2))]
+fn a_lease_expires_after_its_duration(#[case] elapsed_ms: u64, #[case] expected: Outcome) {
     let mut service = Service::new();
     service.advance(10_000);
     service.execute(acquire("l", "a", 3_000));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_batch_reports_the_leases_that_ran_out_by_its_time() {
+fn a_batch_reports_the_leases_that_expired_by_its_time() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     service.execute(acquire("m", "a", 2_000));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_holder_gets_its_lock_again_with_a_greater_token_and_more_time() {
+fn reacquiring_a_lock_issues_a_greater_token_and_extends_the_lease() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     service.advance(2_000);
@@ -50,9 +50,9 @@
     assert_eq!(service.execute(acquire("l", "b", 1_000)), acquired(3));
 }
 
-// A caller whose second request got no answer counts from its first one.
+// An owner whose second request got no response relies on the lease of the first request.
 #[test]
-fn a_second_request_of_the_holder_never_shortens_its_lease() {
+fn reacquiring_a_lock_never_shortens_the_lease() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 5_000));
     service.execute(acquire("l", "a", 1_000));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_renewal_counts_from_its_own_time() {
+fn a_renewed_lease_starts_at_the_time_of_the_renewal() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     service.advance(2_999);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_renewal_at_the_end_of_the_lease_or_later_fails() {
+fn a_renewal_at_or_after_the_expiry_fails() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     service.advance(3_000);
@@ -100,11 +100,14 @@
 }
 
 #[rstest]
-#[case::another_holder("b", 2)]
-#[case::an_older_token("a", 1)]
-#[case::a_token_to_come("a", 3)]
+#[case::another_owner("b", 2)]
+#[case::a_former_token("a", 1)]
+#[case::a_future_token("a", 3)]
 #[case::token_0("a", 0)]
-fn calls_that_do_not_name_the_lease_leave_it_alone(#[case] owner: &str, #[case] token: u64) {
+fn calls_with_another_owner_or_token_do_not_affect_the_lease(
+    #[case] owner: &str,
+    #[case] token: u64,
+) {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     service.execute(acquire("l", "a", 3_000));
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn a_released_lock_is_free_at_once() {
+fn a_released_lock_is_available_immediately() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     assert_eq!(service.execute(release("l", "a", 1)), Outcome::LockReleased);
@@ -133,7 +136,7 @@
 }
 
 #[test]
-fn a_release_of_what_is_not_held_succeeds() {
+fn releasing_a_lock_without_a_lease_succeeds() {
     let mut service = Service::new();
     assert_eq!(service.execute(release("l", "a", 1)), Outcome::LockReleased);
     service.execute(acquire("l", "a", 3_000));
@@ -141,9 +144,9 @@
     assert_eq!(service.execute(release("l", "a", 1)), Outcome::LockReleased);
 }
 
-// The release of the former hold is still under way when the same owner acquires the lock again.
+// The release of the former lease is still in transit when the same owner acquires the lock again.
 #[test]
-fn a_late_release_of_a_former_hold_does_not_touch_the_new_one() {
+fn a_delayed_release_of_a_former_lease_does_not_end_the_new_lease() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     assert_eq!(service.execute(acquire("l", "a", 3_000)), acquired(2));
@@ -156,14 +159,14 @@
 }
 
 #[test]
-fn the_next_life_of_a_holder_that_died_takes_its_lock_back() {
+fn a_restarted_owner_reacquires_its_lock() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 5_000));
     service.advance(1_000);
     assert_eq!(service.execute(acquire("l", "a", 5_000)), acquired(2));
-    let renewal_of_the_former_life = renew("l", "a", 1, 60_000);
+    let renewal_of_the_former_lease = renew("l", "a", 1, 60_000);
     assert_eq!(
-        service.execute(renewal_of_the_former_life),
+        service.execute(renewal_of_the_former_lease),
         Outcome::LockLost
     );
     service.advance(5_000);
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn fencing_tokens_rise_over_releases_expiries_and_snapshots() {
+fn fencing_tokens_increase_across_releases_expiries_and_snapshots() {
     let mut service = Service::new();
     assert_eq!(service.execute(acquire("l", "a", 3_000)), acquired(1));
     service.execute(release("l", "a", 1));
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn a_rejected_request_takes_no_fencing_token() {
+fn a_rejected_request_consumes_no_fencing_token() {
     let mut service = Service::new();
     service.execute(acquire("l", "a", 3_000));
     service.execute(acquire("l", "b", 3_000));
@@ -192,9 +195,9 @@
 }
 
 #[rstest]
-#[case::nothing(0)]
-#[case::forever(u64::MAX)]
-fn extreme_durations_are_kept(#[case] lease_ms: u64) {
+#[case::zero(0)]
+#[case::maximum(u64::MAX)]
+fn extreme_lease_durations_are_honored(#[case] lease_ms: u64) {
     let mut service = Service::new();
     service.advance(1_000);
     assert_eq!(service.execute(acquire("l", "a", lease_ms)), acquired(1));
@@ -204,7 +207,7 @@
 }
 
 #[test]
-fn calls_of_one_batch_are_executed_in_their_order() {
+fn calls_of_a_batch_are_executed_in_order() {
     use woadstall_coordination::command::Call;
     let mut service = Service::new();
     let calls = [
@@ -229,7 +232,7 @@
 }
 
 #[test]
-fn names_of_locks_are_any_text() {
+fn lock_names_may_be_any_text() {
     let mut service = Service::new();
     for (token, lock) in (1..).zip(["", ".", "l ", "l\0", "\u{10ffff}", &"x".repeat(256)]) {
         assert_eq!(service.execute(acquire(lock, "a", 3_000)), acquired(token));
--- a/crates/coordination/tests/machine/calls.rs
+++ b/crates/coordination/tests/machine/calls.rs
@@ -1,5 +1,5 @@
-//! The way of a call: to the leader, into the log, and back; and what its caller is told where that
-//! fails.
+//! The life cycle of a call: forwarding to the leader, execution through the log, and the response
+//! after failures on that path.
 
 use crate::calls_support::{acquire, acquired, get, next_number, number, put, put_at, value};
 use crate::cluster::{Cluster, STEP_MS};
@@ -9,16 +9,16 @@
 use woadstall_coordination::outcome::Outcome;
 use woadstall_coordination::wire::Packet;
 
-/// The time in milliseconds in which a call is executed where nothing is wrong.
+/// The time in milliseconds within which a call is executed without failures.
 const FIRST_ATTEMPT_MS: u64 = 150;
-/// The time in milliseconds after which a call has its answer.
+/// The time in milliseconds after which every call has a response.
 const CALL_TIMEOUT_MS: u64 = 900;
 
 fn executed(outcome: Outcome) -> Option<Response> {
     Some(Response::Executed(outcome))
 }
 
-/// A query that has nothing to find.
+/// A query for the key `g.a`.
 fn query() -> Call {
     Call::Query(get("g.a"))
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn every_machine_takes_calls() {
+fn every_machine_accepts_calls() {
     let (mut cluster, _) = Cluster::with_leader(3);
     for (id, expected) in [(1, 1), (2, 2), (3, 3)] {
         assert_eq!(cluster.execute(id, next_number("n")), number(expected));
@@ -46,7 +46,7 @@
         let response = cluster.await_response(token, 100);
         assert_eq!(response, executed(value("x", 1)), "machine {id}");
     }
-    cluster.await_same_states();
+    cluster.await_convergence();
 }
 
 #[test]
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_isolated_machine_stops_taking_calls() {
+fn an_isolated_machine_stops_accepting_calls() {
     let (mut cluster, _) = Cluster::with_leader(3);
     let follower = cluster.follower();
     cluster.isolate(follower);
@@ -90,7 +90,7 @@
 #[rstest]
 #[case::command(Call::Command(next_number("n")), Response::Unknown)]
 #[case::query(query(), Response::NotExecuted)]
-fn a_forwarded_call_without_an_answer_ends_in_time(#[case] call: Call, #[case] expected: Response) {
+fn a_forwarded_call_without_a_response_times_out(#[case] call: Call, #[case] expected: Response) {
     let (mut cluster, _) = Cluster::with_leader(3);
     let follower = cluster.follower();
     cluster.drop_packets(|_, _, packet| matches!(packet, Packet::Calls(_)));
@@ -104,19 +104,20 @@
     assert!(cluster.now <= end + STEP_MS);
 }
 
-// The caller has been told that the outcome is unknown; the call arrives at the leader afterwards.
+// The call reaches the leader after its caller was told that the outcome is unknown. An execution
+// at that point would leave a lease that no caller knows of.
 #[test]
-fn a_call_that_reaches_the_leader_after_its_time_is_not_executed() {
+fn a_call_that_reaches_the_leader_after_its_deadline_is_not_executed() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let follower = cluster.follower();
     cluster.drop_packets(|_, _, packet| matches!(packet, Packet::Calls(_)));
     cluster.submit_command(follower, acquire("l", "a", 60_000));
     let calls = cluster.forwarded_calls();
     assert_eq!(calls.len(), 1);
-    cluster.drop_nothing();
+    cluster.clear_packet_filter();
     cluster.run(CALL_TIMEOUT_MS + 2 * STEP_MS);
     let sent = cluster.sent.len();
-    cluster.hand_in(follower, leader, calls[0].clone());
+    cluster.deliver_packet(follower, leader, calls[0].clone());
     cluster.run(200);
     let rejected = |packet: &Packet| matches!(packet, Packet::RejectedCalls(ids) if ids.len() == 1);
     let mut later = cluster.sent[sent..].iter();
@@ -134,54 +135,54 @@
         unreachable!()
     };
     calls[0].deadline.term -= 1;
-    cluster.hand_in(follower, leader, Packet::Calls(calls));
+    cluster.deliver_packet(follower, leader, Packet::Calls(calls));
     cluster.run(200);
     assert_eq!(cluster.machine(leader).state().size().leases, 0);
 }
 
 #[test]
-fn a_call_that_was_lost_with_its_connection_is_sent_again() {
+fn a_call_lost_with_its_connection_is_resent() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let follower = cluster.follower();
     cluster.drop_packets(|_, _, packet| matches!(packet, Packet::Calls(_)));
     let token = cluster.submit_command(follower, put("g.a", "x", Some(0)));
-    cluster.drop_nothing();
+    cluster.clear_packet_filter();
     cluster.run(100);
     assert_eq!(cluster.response(token), None);
-    cluster.reset_link(follower, leader);
+    cluster.reset_connection(follower, leader);
     assert_eq!(cluster.await_response(token, 100), executed(put_at(1)));
 }
 
 #[test]
-fn a_request_for_a_lock_is_never_sent_twice() {
+fn an_acquire_call_is_never_resent() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let follower = cluster.follower();
     cluster.drop_packets(|_, _, packet| matches!(packet, Packet::Calls(_)));
     let token = cluster.submit_command(follower, acquire("l", "a", 60_000));
-    cluster.drop_nothing();
-    cluster.reset_link(follower, leader);
+    cluster.clear_packet_filter();
+    cluster.reset_connection(follower, leader);
     let response = cluster.await_response(token, CALL_TIMEOUT_MS + STEP_MS);
     assert_eq!(response, Some(Response::Unknown));
     assert_eq!(cluster.forwarded_calls().len(), 1);
     assert_eq!(cluster.machine(leader).state().size().leases, 0);
 }
 
-// The first copy has been proposed, its outcome is on its way.
+// The leader has proposed the first copy, and the follower has not received its outcome yet.
 #[test]
-fn a_call_that_is_sent_twice_takes_effect_once() {
+fn a_resent_put_takes_effect_once() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let follower = cluster.follower();
     let token = cluster.submit_command(follower, put("g.a", "x", None));
     cluster.run(2 * STEP_MS);
-    cluster.reset_link(follower, leader);
+    cluster.reset_connection(follower, leader);
     assert_eq!(cluster.await_response(token, 300), executed(put_at(1)));
     cluster.run(300);
     assert_eq!(cluster.machine(leader).state().group_revision("g"), 1);
 }
 
-/// Two copies of a follower's put are committed in two batches, with another put in between.
-/// Returns what the caller of the first put is told.
-fn response_to_a_put_that_is_proposed_twice(required: u64, between: Command) -> Option<Response> {
+/// Commits two copies of a follower's put in two batches, with the command `between` executed
+/// between them. Returns the response to the caller of the duplicated put.
+fn response_to_duplicated_put(required: u64, between: Command) -> Option<Response> {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let follower = cluster.follower();
     assert_eq!(
@@ -189,7 +190,7 @@
         put_at(1)
     );
     cluster.run(100);
-    // The leader's commit does not reach the follower while the copies are made.
+    // The leader's commit index does not reach the follower until both copies are proposed.
     let from_leader = move |from, to, packet: &Packet| {
         (from, to) == (leader, follower) && matches!(packet, Packet::Consensus { .. })
     };
@@ -198,32 +199,32 @@
     cluster.run(100);
     cluster.execute(leader, between);
     cluster.run(100);
-    cluster.reset_link(follower, leader);
+    cluster.reset_connection(follower, leader);
     cluster.run(100);
-    cluster.drop_nothing();
+    cluster.clear_packet_filter();
     cluster.await_response(token, CALL_TIMEOUT_MS)
 }
 
 #[test]
-fn a_put_over_a_revision_that_is_gone_is_rejected_for_good() {
+fn a_duplicated_put_on_an_outdated_revision_is_reported_as_rejected() {
     let between = put("g.a", "between", Some(1));
-    let response = response_to_a_put_that_is_proposed_twice(0, between);
+    let response = response_to_duplicated_put(0, between);
     assert_eq!(response, executed(Outcome::RevisionConflict { current: 1 }));
 }
 
-// The first copy is rejected, and the second one succeeds.
+// The first copy is rejected and the second copy succeeds.
 #[test]
-fn a_put_is_not_reported_as_rejected_while_a_second_copy_may_succeed() {
+fn a_duplicated_put_is_not_reported_as_rejected_while_the_second_copy_may_succeed() {
     let between = put("g.a", "between", Some(1));
-    let response = response_to_a_put_that_is_proposed_twice(2, between);
+    let response = response_to_duplicated_put(2, between);
     assert_eq!(response, Some(Response::Unknown));
 }
 
 #[test]
-fn calls_that_the_queue_has_no_room_for_are_executed_later() {
+fn calls_beyond_the_queue_limit_are_executed_later() {
     const CALLS: u64 = 6_000;
     let (mut cluster, leader) = Cluster::with_leader(3);
-    // No machine takes more than 2,048 at a time.
+    // A machine accepts at most 2,048 pending calls, so the calls are spread over three machines.
     let submit = |call| cluster.submit_command(call % 3 + 1, next_number("n"));
     let tokens: Vec<u64> = (0..CALLS).map(submit).collect();
     assert!(cluster.machine(leader).status().queued_calls <= 4_096);
@@ -240,7 +241,7 @@
 }
 
 #[test]
-fn a_batch_is_bounded_and_calls_keep_their_order() {
+fn batches_are_bounded_and_calls_keep_their_order() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let large = "v".repeat(60 << 10);
     let mut tokens = Vec::new();
@@ -268,21 +269,22 @@
     assert_eq!(cluster.await_response(token, 300), executed(number(1)));
     assert!(cluster.machine(leader).replica().is_leader());
     let outcome = cluster.execute(follower, acquire("m", "a", 1_000));
-    // The machine that answers may have applied the batch before the leader has.
+    // The lease count is read from the responding machine, because it may apply the batch before
+    // the leader does.
     let leases = cluster.machine(follower).state().size().leases as u64;
     assert_eq!(outcome, acquired(leases));
 }
 
 #[test]
-fn a_call_that_waited_too_long_in_the_queue_is_not_executed() {
+fn a_queued_call_is_not_executed_after_its_deadline() {
     let (mut cluster, leader) = Cluster::with_leader(3);
-    // The first call makes the second one wait for the next batch.
+    // The first call is proposed at once, so the second call waits for the next batch.
     cluster.submit_command(leader, next_number("n"));
     let token = cluster.submit_command(leader, acquire("l", "a", 60_000));
     assert_eq!(cluster.machine(leader).status().queued_calls, 1);
     cluster.freeze(leader);
     cluster.run(CALL_TIMEOUT_MS + 2 * STEP_MS);
-    cluster.thaw(leader);
+    cluster.resume(leader);
     cluster.run(STEP_MS);
     assert!(cluster.machine(leader).replica().is_leader());
     assert!(cluster.response(token).is_some());
@@ -291,29 +293,30 @@
 }
 
 #[test]
-fn a_call_that_arrives_twice_is_queued_once() {
+fn a_call_forwarded_twice_is_queued_once() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let follower = cluster.follower();
     cluster.drop_packets(|_, _, packet| matches!(packet, Packet::Calls(_)));
     let token = cluster.submit_command(follower, next_number("n"));
-    cluster.drop_nothing();
-    // A batch was just proposed, so that both copies wait.
+    cluster.clear_packet_filter();
+    // A batch has just been proposed, so both copies wait in the queue.
     cluster.submit_command(leader, next_number("m"));
     let calls = cluster.forwarded_calls().remove(0);
-    cluster.hand_in(follower, leader, calls.clone());
-    cluster.hand_in(follower, leader, calls);
+    cluster.deliver_packet(follower, leader, calls.clone());
+    cluster.deliver_packet(follower, leader, calls);
     assert_eq!(cluster.await_response(token, 300), executed(number(1)));
     assert_eq!(cluster.execute(leader, next_number("n")), number(2));
 }
 
-// Nothing has told it yet that the leader may be gone.
+// The machine has received no message since it was frozen, so it can't know whether the leader
+// still leads.
 #[test]
-fn a_machine_that_wakes_takes_no_calls_before_it_hears_from_the_leader() {
+fn a_resumed_machine_accepts_no_calls_before_it_hears_from_the_leader() {
     let (mut cluster, _) = Cluster::with_leader(3);
     let follower = cluster.follower();
     cluster.freeze(follower);
     cluster.run(3_000);
-    cluster.thaw(follower);
+    cluster.resume(follower);
     let token = cluster.submit_command(follower, acquire("l", "a", 60_000));
     assert_eq!(cluster.response(token), Some(Response::NotExecuted));
     cluster.run(500);
@@ -322,11 +325,11 @@
 }
 
 #[rstest]
-#[case::a_revision_that_is_gone(Outcome::RevisionConflict { current: 6 }, true)]
-#[case::a_revision_to_come(Outcome::RevisionConflict { current: 4 }, false)]
-#[case::no_room(Outcome::LimitReached, false)]
+#[case::an_outdated_revision(Outcome::RevisionConflict { current: 6 }, true)]
+#[case::a_future_revision(Outcome::RevisionConflict { current: 4 }, false)]
+#[case::limit_reached(Outcome::LimitReached, false)]
 #[case::success(put_at(6), true)]
-fn an_outcome_settles_a_put_unless_a_second_copy_may_succeed(
+fn an_outcome_of_a_put_is_final_unless_a_second_copy_may_succeed(
     #[case] outcome: Outcome,
     #[case] expected: bool,
 ) {
--- a/crates/coordination/tests/machine/cluster.rs
+++ b/crates/coordination/tests/machine/cluster.rs
@@ -1,4 +1,4 @@
-//! A group of machines with a network, disks and a clock that tests control.
+//! A group of machines with a network, disks and a clock under the control of the test.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use woadstall_consensus::{DurableState, Member};
@@ -12,15 +12,14 @@
 
 use crate::calls_support::HISTORY_MS;
 
-/// How long a packet is on its way, and how often machines are ticked, in milliseconds.
+/// The delay of packets and the interval between ticks, in milliseconds.
 pub const STEP_MS: u64 = 5;
-/// The longest time in which a group elects a leader that has applied its first entry, in
-/// milliseconds.
+/// The maximum time, in milliseconds, until a group has a leader that has applied its first entry.
 const ELECTION_MS: u64 = 6_000;
-/// The longest time in which machines that can reach each other come to one state, in milliseconds.
+/// The maximum time, in milliseconds, until connected machines have identical states.
 const CONVERGENCE_MS: u64 = 2_000;
 
-/// A packet on its way.
+/// A packet in transit.
 struct InFlight {
     from: u64,
     to: u64,
@@ -34,23 +33,23 @@
     machine: CoordinationMachine,
     durable: DurableState,
     incarnation: u64,
-    /// The machine's clock at the group's time 0.
-    clock_offset: u64,
+    /// The difference between the machine's clock and the group's time, in milliseconds.
+    clock_offset_ms: u64,
     is_frozen: bool,
     is_down: bool,
 }
 
-/// A group of machines with the identities from 1 on.
+/// A group of machines. The replica identifiers are 1 to the number of machines.
 pub struct Cluster {
     hosts: BTreeMap<u64, Host>,
-    /// Milliseconds since the group was founded.
+    /// Milliseconds since the start of the group.
     pub now: u64,
     in_flight: VecDeque<InFlight>,
     isolated: BTreeSet<u64>,
     filter: Option<Filter>,
     last_token: u64,
     responses: BTreeMap<u64, Response>,
-    /// The packets that were handed to the network, by their sender and receiver.
+    /// All packets sent so far, including dropped packets, as (sender, receiver, packet).
     pub sent: Vec<(u64, u64, Packet)>,
     pub log: Vec<LogEvent>,
 }
@@ -85,7 +84,7 @@
 }
 
 impl Cluster {
-    /// A group that has just been founded. The clocks of its machines differ.
+    /// Starts a new group. The clocks of the machines differ.
     pub fn new(count: u64) -> Self {
         let members: Vec<Member> = (1..=count).map(member).collect();
         let mut cluster = Self {
@@ -101,14 +100,15 @@
         };
         for id in 1..=count {
             let durable = DurableState::new(id, initial_snapshot(&members));
-            let clock_offset = 1_000_000 * (count - id);
-            cluster.start(id, count, durable, 100 + id, clock_offset);
+            let clock_offset_ms = 1_000_000 * (count - id);
+            cluster.start(id, count, durable, 100 + id, clock_offset_ms);
         }
         cluster.carry_out_all();
         cluster
     }
 
-    /// The same with a leader that has applied its first entry.
+    /// Starts a new group and waits for a leader that has applied its first entry. Returns the
+    /// group and the leader.
     pub fn with_leader(count: u64) -> (Self, u64) {
         let mut cluster = Self::new(count);
         let leader = cluster.await_leader();
@@ -123,7 +123,7 @@
             machine,
             durable,
             incarnation,
-            clock_offset: offset,
+            clock_offset_ms: offset,
             is_frozen: false,
             is_down: false,
         };
@@ -138,7 +138,7 @@
         &self.hosts[&id].machine
     }
 
-    /// The machines that run.
+    /// The machines that are neither frozen nor stopped.
     pub fn running(&self) -> Vec<u64> {
         let hosts = self.hosts.iter();
         let running = hosts.filter(|(_, host)| !host.is_frozen && !host.is_down);
@@ -152,20 +152,20 @@
         running.into_iter().find(is_follower).unwrap()
     }
 
-    /// Runs until a machine leads with a quorum, all running machines that can reach it know that,
-    /// and it has applied its first entry.
+    /// Runs until all running machines that are not isolated follow the same leader with a quorum
+    /// and have committed the leader's first entry. Returns the leader.
     pub fn await_leader(&mut self) -> u64 {
         let end = self.now + ELECTION_MS;
         while self.now < end {
             self.run(STEP_MS);
-            if let Some(leader) = self.settled_leader() {
+            if let Some(leader) = self.agreed_leader() {
                 return leader;
             }
         }
         panic!("no leader after {ELECTION_MS} ms");
     }
 
-    fn settled_leader(&self) -> Option<u64> {
+    fn agreed_leader(&self) -> Option<u64> {
         let reachable = self.running().into_iter();
         let reachable: Vec<u64> = reachable.filter(|id| !self.isolated.contains(id)).collect();
         let leads = |id: &u64| self.machine(*id).replica().is_leader();
@@ -183,7 +183,7 @@
         reachable.iter().all(follows).then_some(leader)
     }
 
-    /// Time passes.
+    /// Advances the time, delivers packets and ticks the running machines.
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         while self.now < end {
@@ -197,8 +197,8 @@
         }
     }
 
-    /// Runs until all running machines have the same state.
-    pub fn await_same_states(&mut self) {
+    /// Runs until all running machines have identical states.
+    pub fn await_convergence(&mut self) {
         let end = self.now + CONVERGENCE_MS;
         while self.now < end {
             self.run(STEP_MS);
@@ -212,7 +212,8 @@
         panic!("the states differ after {CONVERGENCE_MS} ms");
     }
 
-    /// Runs until a response has come, for this long at most.
+    /// Runs until a response has arrived, but no longer than `milliseconds`. Removes and returns
+    /// the response.
     pub fn await_response(&mut self, token: u64, milliseconds: u64) -> Option<Response> {
         let end = self.now + milliseconds;
         while self.now < end && !self.responses.contains_key(&token) {
@@ -225,7 +226,7 @@
         self.responses.remove(&token)
     }
 
-    /// An application makes a call at a machine.
+    /// Submits a call to a machine. Returns the token of the call.
     pub fn submit(&mut self, id: u64, call: Call) -> u64 {
         self.last_token += 1;
         let (now, token) = (self.clock(id), self.last_token);
@@ -238,7 +239,7 @@
         self.submit(id, Call::Command(command))
     }
 
-    /// An application executes a command and waits for the outcome.
+    /// Submits a command and waits for its outcome.
     pub fn execute(&mut self, id: u64, command: Command) -> Outcome {
         let token = self.submit_command(id, command);
         match self.await_response(token, 1_000) {
@@ -267,7 +268,7 @@
         self.carry_out(id);
     }
 
-    /// Nothing reaches or leaves a machine; what is on its way is lost.
+    /// Disconnects a machine from all others. Packets in transit to or from it are lost.
     pub fn isolate(&mut self, id: u64) {
         self.isolated.insert(id);
         self.in_flight.retain(|one| one.from != id && one.to != id);
@@ -277,13 +278,13 @@
         self.isolated.remove(&id);
         for other in self.running() {
             if other != id {
-                self.reset_link(id, other);
+                self.reset_connection(id, other);
             }
         }
     }
 
-    /// The connection between two machines breaks and is made again; what is on its way is lost.
-    pub fn reset_link(&mut self, one: u64, other: u64) {
+    /// Resets the connection between two machines. Packets in transit between them are lost.
+    pub fn reset_connection(&mut self, one: u64, other: u64) {
         self.in_flight
             .retain(|packet| ![(one, other), (other, one)].contains(&(packet.from, packet.to)));
         for (id, peer) in [(one, other), (other, one)] {
@@ -295,22 +296,22 @@
         }
     }
 
-    /// A machine stands still: packets wait for it.
+    /// Suspends a machine. Packets for the machine are delivered after it is resumed.
     pub fn freeze(&mut self, id: u64) {
         self.host(id).is_frozen = true;
     }
 
-    pub fn thaw(&mut self, id: u64) {
+    pub fn resume(&mut self, id: u64) {
         self.host(id).is_frozen = false;
     }
 
-    /// A machine loses power; its disk stays.
+    /// Stops a machine as a power failure would. Its disk is preserved.
     pub fn stop(&mut self, id: u64) {
         self.host(id).is_down = true;
         self.in_flight.retain(|one| one.from != id && one.to != id);
     }
 
-    /// A machine that was stopped starts again with what its disk holds.
+    /// Restarts a stopped machine from its disk.
     pub fn restart(&mut self, id: u64) {
         let host = &self.hosts[&id];
         let (durable, incarnation) = (host.durable.clone(), host.incarnation + 1_000);
@@ -320,33 +321,33 @@
         self.heal(id);
     }
 
-    /// Drops the packets that a filter names, from now on.
+    /// Drops the packets that match a filter from now on.
     pub fn drop_packets(&mut self, filter: impl Fn(u64, u64, &Packet) -> bool + 'static) {
         self.filter = Some(Box::new(filter));
     }
 
-    pub fn drop_nothing(&mut self) {
+    pub fn clear_packet_filter(&mut self) {
         self.filter = None;
     }
 
-    /// A packet of a test's own reaches a machine at once.
-    pub fn hand_in(&mut self, from: u64, to: u64, packet: Packet) {
+    /// Delivers a packet to a machine immediately.
+    pub fn deliver_packet(&mut self, from: u64, to: u64, packet: Packet) {
         let now = self.clock(to);
         let host = self.host(to);
         host.machine.receive_packet(now, &address(from), packet);
         self.carry_out(to);
     }
 
-    /// The packets between two machines that carry forwarded calls.
+    /// All sent packets that carry forwarded calls.
     pub fn forwarded_calls(&self) -> Vec<Packet> {
         let packets = self.sent.iter().map(|(_, _, packet)| packet);
         let calls = packets.filter(|packet| matches!(packet, Packet::Calls(_)));
         calls.cloned().collect()
     }
 
-    /// A machine's clock.
+    /// The clock of a machine, in milliseconds.
     pub fn clock(&self, id: u64) -> u64 {
-        self.now + self.hosts[&id].clock_offset
+        self.now + self.hosts[&id].clock_offset_ms
     }
 
     fn host(&mut self, id: u64) -> &mut Host {
@@ -364,7 +365,7 @@
                 self.in_flight.push_back(packet);
                 continue;
             }
-            self.hand_in(packet.from, packet.to, packet.packet);
+            self.deliver_packet(packet.from, packet.to, packet.packet);
         }
     }
 
@@ -374,7 +375,7 @@
         }
     }
 
-    /// Carries out what a machine asks for; its disk writes at once.
+    /// Carries out the actions of a machine. Disk writes take effect immediately.
     fn carry_out(&mut self, id: u64) {
         loop {
             let actions = self.host(id).machine.take_actions();
@@ -415,9 +416,9 @@
 
     fn send(&mut self, from: u64, to: u64, packet: Packet) {
         let is_dropped = |filter: &Filter| filter(from, to, &packet);
-        let is_cut = self.isolated.contains(&from) || self.isolated.contains(&to);
+        let is_isolated = self.isolated.contains(&from) || self.isolated.contains(&to);
         self.sent.push((from, to, packet.clone()));
-        if is_cut || self.filter.as_ref().is_some_and(is_dropped) {
+        if is_isolated || self.filter.as_ref().is_some_and(is_dropped) {
             return;
         }
         self.in_flight.push_back(InFlight { from, to, packet });
--- a/crates/coordination/tests/machine/leadership.rs
+++ b/crates/coordination/tests/machine/leadership.rs
@@ -1,18 +1,17 @@
-//! Changes of leadership: a leader that is cut off, frozen, stopped or restarted, and the calls
-//! that it had.
+//! Leadership changes: the effect of an isolated, frozen, stopped or restarted leader on its calls.
 
 use crate::calls_support::{acquire, acquired, next_number, number, put, put_at, release, renew};
 use crate::cluster::{Cluster, STEP_MS};
 use woadstall_coordination::machine::{LogEvent, Response};
 use woadstall_coordination::outcome::Outcome;
 
-/// The time in milliseconds after which a call has its answer.
+/// The time in milliseconds after which every call has a response.
 const CALL_TIMEOUT_MS: u64 = 900;
-/// Longer than a leader without a quorum goes on to lead, in milliseconds.
+/// An upper bound of the time, in milliseconds, for which a leader without a quorum keeps leading.
 const STEP_DOWN_MS: u64 = 2_000;
 
 #[test]
-fn a_leader_that_is_cut_off_promises_nothing() {
+fn an_isolated_leader_grants_nothing() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.isolate(leader);
     let token = cluster.submit_command(leader, acquire("l", "a", 60_000));
@@ -27,20 +26,20 @@
         acquired(1)
     );
     cluster.heal(leader);
-    cluster.await_same_states();
+    cluster.await_convergence();
     let renewal = renew("l", "a", 1, 60_000);
     assert_eq!(cluster.execute(leader, renewal), Outcome::LockLost);
 }
 
 #[test]
-fn a_frozen_leader_grants_nothing_that_another_one_has_granted() {
+fn a_resumed_leader_grants_no_lock_that_its_successor_has_granted() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     assert_eq!(
         cluster.execute(leader, acquire("l", "a", 1_000)),
         acquired(1)
     );
     cluster.freeze(leader);
-    // Calls of others wait in front of the frozen machine.
+    // Forwarded calls queue up at the frozen machine.
     let follower = cluster.follower();
     let waiting = cluster.submit_command(follower, acquire("m", "c", 60_000));
     cluster.run(CALL_TIMEOUT_MS);
@@ -51,7 +50,7 @@
         cluster.execute(next, acquire("l", "b", 60_000)),
         acquired(2)
     );
-    cluster.thaw(leader);
+    cluster.resume(leader);
     let renewal = cluster.submit_command(leader, renew("l", "a", 1, 60_000));
     let again = cluster.submit_command(leader, acquire("l", "a", 60_000));
     let fresh = cluster.submit_command(leader, acquire("n", "a", 60_000));
@@ -73,9 +72,10 @@
 }
 
 #[test]
-fn the_queue_of_a_former_leader_goes_to_the_next_one() {
+fn queued_calls_of_a_former_leader_are_executed_by_its_successor() {
     let (mut cluster, leader) = Cluster::with_leader(3);
-    // The first call makes the second one wait for the next batch.
+    // The second number is proposed at once, so the lock calls wait in the queue for the next
+    // batch.
     cluster.execute(leader, next_number("n"));
     cluster.submit_command(leader, next_number("n"));
     let own = cluster.submit_command(leader, acquire("l", "a", 60_000));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_survives_the_loss_of_power_everywhere() {
+fn acknowledged_writes_survive_a_power_failure_of_all_machines() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     assert_eq!(cluster.execute(leader, put("g.a", "x", None)), put_at(1));
     assert_eq!(cluster.execute(leader, next_number("n")), number(1));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn calls_are_executed_soon_after_a_leader_is_lost() {
+fn calls_are_executed_soon_after_a_leader_fails() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     assert_eq!(cluster.execute(leader, next_number("n")), number(1));
     cluster.stop(leader);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_machine_behind_a_snapshot_has_the_same_state() {
+fn a_machine_that_is_behind_the_snapshot_catches_up() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let follower = cluster.follower();
     cluster.stop(follower);
@@ -153,7 +153,7 @@
     let log = cluster.machine(leader).replica().log();
     assert!(log.snapshot().index > 1, "the log was not compacted");
     cluster.restart(follower);
-    cluster.await_same_states();
+    cluster.await_convergence();
     assert!(cluster.machine(follower).replica().log().snapshot().index > 1);
     assert_eq!(
         cluster.execute(follower, acquire("l", "b", 1_000)),
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn leadership_is_logged_where_it_begins_and_ends() {
+fn the_start_and_the_end_of_leadership_are_logged() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     let term = cluster.machine(leader).replica().term();
     let id = leader;
--- a/crates/coordination/tests/machine/lease_clock.rs
+++ b/crates/coordination/tests/machine/lease_clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the state over changes of leadership: leases end no earlier than their holders
-//! expect, and soon after that.
+//! The state's clock across leadership changes. A lease must not end earlier than its owner
+//! expects, and must end soon afterwards.
 
 use crate::calls_support::{acquire, acquired, next_number};
 use crate::cluster::Cluster;
@@ -7,15 +7,16 @@
 use woadstall_coordination::machine::{LogEvent, Response};
 use woadstall_coordination::outcome::Outcome;
 
-/// How often an idle leader records the time at least, in milliseconds.
+/// The maximum interval at which an idle leader records the elapsed time, in milliseconds.
 const CHECKPOINT_INTERVAL_MS: u64 = 500;
-/// How often the competitor asks for the lock, in milliseconds.
+/// The interval at which the competing client requests the lock, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 50;
-/// A commit and the answer, in milliseconds.
+/// The maximum time for a commit and the response, in milliseconds.
 const ROUND_TRIP_MS: u64 = 60;
 
-/// Asks the running machines in turn for a lock until it is acquired, and returns the time.
-fn acquire_at_last(cluster: &mut Cluster, lock: &str, owner: &str) -> u64 {
+/// Requests a lock from the running machines in turn until the lock is acquired. Returns the time
+/// of the acquisition.
+fn acquire_with_retries(cluster: &mut Cluster, lock: &str, owner: &str) -> u64 {
     let end = cluster.now + 60_000;
     while cluster.now < end {
         let running = cluster.running();
@@ -33,7 +34,7 @@
 #[rstest]
 #[case::one_machine(1)]
 #[case::three_machines(3)]
-fn a_lease_ends_at_its_time_under_one_leader(#[case] count: u64) {
+fn a_lease_expires_on_time_under_one_leader(#[case] count: u64) {
     let (mut cluster, leader) = Cluster::with_leader(count);
     let sent = cluster.now;
     assert_eq!(
@@ -41,47 +42,48 @@
         acquired(1)
     );
     let granted = cluster.now;
-    let acquired_at = acquire_at_last(&mut cluster, "l", "b");
+    let acquired_at = acquire_with_retries(&mut cluster, "l", "b");
     assert!(acquired_at >= sent + 3_000);
     assert!(acquired_at <= granted + 3_000 + RETRY_INTERVAL_MS + ROUND_TRIP_MS);
 }
 
 #[rstest]
-#[case::one_loss(1)]
-#[case::two_losses(2)]
-fn a_lease_outlives_the_loss_of_leaders_by_the_time_without_one(
-    #[case] losses: u64,
-    #[values(0, 170, 330, 1_000)] until_loss_ms: u64,
+#[case::one_failure(1)]
+#[case::two_failures(2)]
+fn leader_failures_extend_a_lease_by_at_most_the_time_without_a_leader(
+    #[case] failures: u64,
+    #[values(0, 170, 330, 1_000)] until_failure_ms: u64,
 ) {
-    const HOLD_MS: u64 = 5_000;
+    const LEASE_MS: u64 = 5_000;
     let (mut cluster, mut leader) = Cluster::with_leader(5);
     let sent = cluster.now;
     assert_eq!(
-        cluster.execute(leader, acquire("l", "a", HOLD_MS)),
+        cluster.execute(leader, acquire("l", "a", LEASE_MS)),
         acquired(1)
     );
     let granted = cluster.now;
     let mut outage_ms = 0;
-    for _ in 0..losses {
-        cluster.run(until_loss_ms);
-        let lost_at = cluster.now;
+    for _ in 0..failures {
+        cluster.run(until_failure_ms);
+        let failed_at = cluster.now;
         cluster.stop(leader);
         leader = cluster.await_leader();
-        outage_ms += cluster.now - lost_at + CHECKPOINT_INTERVAL_MS;
+        outage_ms += cluster.now - failed_at + CHECKPOINT_INTERVAL_MS;
     }
-    let acquired_at = acquire_at_last(&mut cluster, "l", "b");
+    let acquired_at = acquire_with_retries(&mut cluster, "l", "b");
     assert!(
-        acquired_at >= sent + HOLD_MS,
+        acquired_at >= sent + LEASE_MS,
         "{} ms early",
-        sent + HOLD_MS - acquired_at
+        sent + LEASE_MS - acquired_at
     );
-    let latest = granted + HOLD_MS + outage_ms + RETRY_INTERVAL_MS + 2 * ROUND_TRIP_MS;
+    let latest = granted + LEASE_MS + outage_ms + RETRY_INTERVAL_MS + 2 * ROUND_TRIP_MS;
     assert!(acquired_at <= latest, "{} ms late", acquired_at - latest);
 }
 
-// Frozen leaders wake with a clock that has gone on, and have proposals of their own.
+// A frozen leader resumes with an advanced clock and with proposals of its own. The state's clock
+// must neither decrease nor run ahead of real time.
 #[test]
-fn the_clock_of_the_state_never_runs_ahead_and_never_back() {
+fn the_state_clock_never_runs_ahead_and_never_decreases() {
     let (mut cluster, mut leader) = Cluster::with_leader(3);
     let start = cluster.now;
     cluster.execute(leader, acquire("l", "a", 600_000));
@@ -89,7 +91,7 @@
     let check = |cluster: &Cluster, clocks: &mut [u64; 3]| {
         for (id, clock) in (1..).zip(clocks.iter_mut()) {
             let now = cluster.machine(id).state().clock_ms();
-            assert!(now >= *clock, "the clock of machine {id} went back");
+            assert!(now >= *clock, "the clock of machine {id} decreased");
             assert!(
                 now <= cluster.now - start,
                 "the clock of machine {id} is ahead"
@@ -104,7 +106,7 @@
             cluster.run(100);
             check(&cluster, &mut clocks);
         }
-        cluster.thaw(leader);
+        cluster.resume(leader);
         for _ in 0..20 {
             cluster.submit_command(leader, next_number("n"));
             cluster.run(100);
@@ -112,7 +114,7 @@
         }
         leader = cluster.await_leader();
     }
-    // While there is a leader, the clock goes on.
+    // The clock advances while the group has a leader.
     let before = cluster.machine(leader).state().clock_ms();
     cluster.run(5_000);
     let elapsed_ms = cluster.machine(leader).state().clock_ms() - before;
@@ -137,7 +139,7 @@
 }
 
 #[test]
-fn a_group_without_leases_writes_nothing_while_idle() {
+fn an_idle_group_without_leases_writes_nothing() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.execute(leader, acquire("l", "a", 1_000));
     cluster.run(2_000);
@@ -153,7 +155,7 @@
 }
 
 #[test]
-fn an_expiry_is_counted_everywhere_and_logged_by_the_leader() {
+fn an_expiry_is_counted_on_all_machines_and_logged_by_the_leader() {
     let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.execute(leader, acquire("l", "a", 1_000));
     cluster.run(1_000 + CHECKPOINT_INTERVAL_MS + ROUND_TRIP_MS);
--- a/crates/coordination/tests/machine/main.rs
+++ b/crates/coordination/tests/machine/main.rs
@@ -1,4 +1,4 @@
-//! Machines of the coordination group, wired by hand in virtual time.
+//! Tests of coordination groups in virtual time, on a simulated network.
 
 mod calls;
 #[path = "../support/mod.rs"]
--- a/crates/coordination/tests/machine/watches.rs
+++ b/crates/coordination/tests/machine/watches.rs
@@ -1,4 +1,5 @@
-//! Watches at any machine: events at once, and "none" only where that is certain.
+//! Watches on any machine. Events are delivered as they are applied. The absence of events is only
+//! reported if the leader has confirmed it.
 
 use crate::calls_support::{HISTORY_MS, acquire, listed, next_number, put, put_at};
 use crate::cluster::{Cluster, STEP_MS};
@@ -8,18 +9,19 @@
 use woadstall_coordination::state::GroupEvents;
 use woadstall_coordination::wire::Packet;
 
-/// Watches that may wait at a machine.
+/// The maximum number of pending watches per machine.
 const MAX_WATCHES: u64 = 1_024;
-/// How long after its end a watch is answered at the latest, in milliseconds.
+/// The maximum time between the deadline of a watch and its response, in milliseconds.
 const CONFIRMATION_TIMEOUT_MS: u64 = 600;
-/// A commit on all machines, in milliseconds.
+/// The maximum time for a commit on all machines, in milliseconds.
 const COMMIT_MS: u64 = 200;
 
-/// The time in milliseconds after which a machine knows that it has all that was committed before:
-/// two heartbeats of the leader.
+/// The time in milliseconds after which a machine knows that it has applied every earlier commit.
+/// It covers two heartbeats of the leader.
 const CURRENT_STATE_MS: u64 = 300;
 
-/// A group of three machines that have a key at revision 1, their leader and a follower.
+/// A group of three machines with one key at revision 1. Returns the group, its leader and a
+/// follower.
 fn cluster() -> (Cluster, u64, u64) {
     let (mut cluster, leader) = Cluster::with_leader(3);
     assert_eq!(cluster.execute(leader, put("g.a", "x", None)), put_at(1));
@@ -64,7 +66,7 @@
 }
 
 #[test]
-fn events_that_exist_are_answered_once_the_leader_was_heard_from() {
+fn existing_events_are_returned_once_the_leader_was_heard_from() {
     let (mut cluster, leader, follower) = cluster();
     cluster.execute(leader, put("g.b", "y", None));
     cluster.execute(leader, put("g.a", "z", None));
@@ -75,10 +77,10 @@
 }
 
 #[rstest]
-#[case::no_time(0)]
-#[case::less_than_a_confirmation_takes(10)]
+#[case::zero(0)]
+#[case::shorter_than_a_confirmation(10)]
 #[case::two_seconds(2_000)]
-fn a_watch_without_events_ends_in_time(#[case] wait_ms: u64) {
+fn a_watch_without_events_ends_at_its_deadline(#[case] wait_ms: u64) {
     let (mut cluster, _, _) = cluster();
     let started = cluster.now;
     let tokens = [1, 2, 3].map(|id| cluster.watch(id, "g", 1, wait_ms));
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn a_watch_from_0_asks_for_the_revision_only() {
+fn a_watch_from_revision_0_returns_the_revision_only() {
     let (mut cluster, leader, follower) = cluster();
     cluster.execute(leader, put("g.b", "y", None));
     for (group, revision) in [("g", 2), ("h", 0)] {
@@ -106,9 +108,9 @@
     }
 }
 
-// A revision that was acknowledged before the watch came is never denied.
+// The reported revision must include every put that was acknowledged before the watch arrived.
 #[test]
-fn a_watch_from_0_sees_what_was_acknowledged_elsewhere() {
+fn a_watch_from_revision_0_observes_puts_acknowledged_by_other_machines() {
     let (mut cluster, leader, follower) = cluster();
     for revision in 2..20 {
         let value = revision.to_string();
@@ -123,9 +125,12 @@
 }
 
 #[rstest]
-#[case::from_0(0, 0)]
-#[case::at_its_end(1, 400)]
-fn an_isolated_machine_never_says_that_there_is_no_event(#[case] after: u64, #[case] wait_ms: u64) {
+#[case::from_revision_0(0, 0)]
+#[case::at_its_deadline(1, 400)]
+fn an_isolated_machine_never_reports_the_absence_of_events(
+    #[case] after: u64,
+    #[case] wait_ms: u64,
+) {
     let (mut cluster, leader, follower) = cluster();
     cluster.isolate(follower);
     let token = cluster.watch(follower, "g", after, wait_ms);
@@ -136,7 +141,7 @@
 }
 
 #[test]
-fn a_machine_behind_the_revision_of_a_watch_waits() {
+fn a_watch_waits_on_a_machine_that_is_behind_its_revision() {
     let (mut cluster, leader, follower) = cluster();
     cluster.isolate(follower);
     cluster.execute(leader, put("g.b", "y", None));
@@ -150,7 +155,7 @@
 }
 
 #[test]
-fn the_history_is_compacted_for_watches_that_come_too_late() {
+fn a_watch_from_a_compacted_revision_is_rejected() {
     let (mut cluster, leader, _) = cluster();
     cluster.execute(leader, put("g.b", "y", None));
     cluster.run(HISTORY_MS + 1);
@@ -167,7 +172,7 @@
 }
 
 #[test]
-fn a_revision_that_was_never_given_is_not_confirmed() {
+fn a_watch_from_a_revision_that_never_existed_is_rejected() {
     let (mut cluster, _, follower) = cluster();
     let token = cluster.watch(follower, "g", 9, 1_000);
     cluster.run(1_000 - STEP_MS);
@@ -193,7 +198,7 @@
 }
 
 #[test]
-fn a_shutdown_answers_all_watches() {
+fn a_shutdown_responds_to_all_watches() {
     let (mut cluster, _, follower) = cluster();
     let tokens = [0, 1, 1].map(|after| cluster.watch(follower, "g", after, 20_000));
     cluster.begin_shutdown(follower);
@@ -204,7 +209,7 @@
 }
 
 #[test]
-fn a_change_of_leadership_skips_no_event() {
+fn a_leadership_change_skips_no_event() {
     let (mut cluster, leader, follower) = cluster();
     let token = cluster.watch(follower, "g", 1, 20_000);
     cluster.stop(leader);
@@ -224,7 +229,7 @@
 }
 
 #[test]
-fn a_snapshot_wakes_the_watches_of_a_machine_that_was_behind() {
+fn a_restored_snapshot_advances_the_watches_of_a_machine_that_was_behind() {
     let (mut cluster, leader, follower) = cluster();
     cluster.isolate(follower);
     cluster.execute(leader, acquire("l", "a", 600_000));
@@ -243,8 +248,9 @@
     assert!(cluster.machine(follower).replica().log().snapshot().index > 1);
 }
 
-/// A machine whose state is older than the history of the others: it was cut off, or was down.
-fn cluster_with_an_old_machine(is_restarted: bool) -> (Cluster, u64, u64) {
+/// A group with a follower whose state is older than the history of the other machines. The
+/// follower was isolated, or was stopped and then restarted in isolation.
+fn cluster_with_outdated_follower(is_restarted: bool) -> (Cluster, u64, u64) {
     let (mut cluster, leader, follower) = cluster();
     cluster.execute(leader, put("g.b", "y", None));
     cluster.run(COMMIT_MS);
@@ -257,19 +263,20 @@
     cluster.run(HISTORY_MS + 1);
     cluster.execute(leader, next_number("n"));
     if is_restarted {
-        // Its disk is read; nothing has arrived from the others.
+        // The follower has loaded its disk and has received no packet from the other machines.
         cluster.restart(follower);
         cluster.isolate(follower);
     }
     (cluster, leader, follower)
 }
 
-// Its caller would resume elsewhere from a revision that is no longer in the history.
+// A client that receives events from an outdated machine would resume on another machine from a
+// revision that the history no longer contains.
 #[rstest]
 #[case::isolated(false)]
 #[case::restarted(true)]
-fn a_machine_far_behind_gives_no_events(#[case] is_restarted: bool) {
-    let (mut cluster, _, follower) = cluster_with_an_old_machine(is_restarted);
+fn an_outdated_machine_returns_no_events(#[case] is_restarted: bool) {
+    let (mut cluster, _, follower) = cluster_with_outdated_follower(is_restarted);
     let token = cluster.watch(follower, "g", 1, 1_000);
     let response = cluster.await_response(token, 2_000);
     assert_eq!(response, Some(Response::NotExecuted));
@@ -282,10 +289,10 @@
     matches!(&message.body, MessageBody::AppendEntriesRequest(request) if !request.entries.is_empty())
 }
 
-// It hears of the leader, but the entries that it lacks do not arrive.
+// The outdated machine receives messages of the leader, but the missing entries are dropped.
 #[test]
-fn a_machine_that_catches_up_gives_no_events_before_it_has() {
-    let (mut cluster, _, follower) = cluster_with_an_old_machine(false);
+fn a_machine_returns_no_events_before_it_has_caught_up() {
+    let (mut cluster, _, follower) = cluster_with_outdated_follower(false);
     cluster.drop_packets(move |_, to, packet| to == follower && is_consensus_with_entries(packet));
     cluster.heal(follower);
     cluster.run(300);
@@ -293,8 +300,8 @@
     let token = cluster.watch(follower, "g", 1, 20_000);
     cluster.run(1_000);
     assert_eq!(cluster.response(token), None);
-    cluster.drop_nothing();
-    cluster.reset_link(
+    cluster.clear_packet_filter();
+    cluster.reset_connection(
         follower,
         cluster.machine(follower).replica().leader().unwrap(),
     );
@@ -304,9 +311,9 @@
 
 #[rstest]
 #[case::a_delayed_heartbeat(0)]
-#[case::a_leader_that_knows_no_better(1)]
-fn a_heartbeat_does_not_make_an_old_state_recent(#[case] later_terms: u64) {
-    let (mut cluster, leader, follower) = cluster_with_an_old_machine(false);
+#[case::a_new_leader_with_an_outdated_commit_index(1)]
+fn a_single_heartbeat_does_not_prove_that_a_state_is_recent(#[case] later_terms: u64) {
+    let (mut cluster, leader, follower) = cluster_with_outdated_follower(false);
     let heartbeat = cluster
         .sent
         .iter()
@@ -331,16 +338,16 @@
     let term = cluster.machine(follower).replica().term();
     message.term = term + later_terms;
     if later_terms == 0 {
-        // It was sent when the machine was cut off.
+        // The heartbeat was sent when the machine was isolated and has been delayed since.
         clock -= HISTORY_MS;
     }
-    cluster.hand_in(leader, follower, Packet::Consensus { message, clock });
+    cluster.deliver_packet(leader, follower, Packet::Consensus { message, clock });
     let token = cluster.watch(follower, "g", 1, 1_000);
     assert_eq!(cluster.response(token), None);
 }
 
 #[test]
-fn a_former_leader_gives_no_events_before_it_has_caught_up() {
+fn a_former_leader_returns_no_events_before_it_has_caught_up() {
     let (mut cluster, former, _) = cluster();
     cluster.execute(former, put("g.b", "y", None));
     cluster.isolate(former);
--- a/crates/coordination/tests/properties.rs
+++ b/crates/coordination/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Drawn batches against a reference model, and against replicas that are restored from snapshots.
+//! Property tests of the state. Random batches are checked against a reference model and against
+//! replicas restored from snapshots.
 
 mod support;
 
@@ -14,10 +15,11 @@
 const GROUPS: [&str; 3] = ["g", "h", "i"];
 const MAX_BATCHES: usize = 40;
 
-/// A batch as it is drawn.
+/// A randomly generated batch.
 #[derive(Clone, Debug)]
-struct DrawnBatch {
-    /// How the clock moves, in milliseconds; leaders that disagree may name an earlier time.
+struct GeneratedBatch {
+    /// The change of the clock in milliseconds. It may be negative, because the clocks of
+    /// successive leaders may disagree.
     elapsed_ms: i64,
     calls: Vec<Call>,
 }
@@ -34,9 +36,9 @@
     let lease_ms = || prop_oneof![Just(0), 1..6_000_u64, Just(u64::MAX)];
     let if_revision = prop_oneof![Just(None), (0..8_u64).prop_map(Some)];
     prop_oneof![
-        3 => (lock(), owner(), lease_ms()).prop_map(|(lock, owner, hold)| acquire(lock, owner, hold)),
+        3 => (lock(), owner(), lease_ms()).prop_map(|(lock, owner, lease)| acquire(lock, owner, lease)),
         2 => (lock(), owner(), 0..12_u64, lease_ms())
-            .prop_map(|(lock, owner, token, hold)| renew(lock, owner, token, hold)),
+            .prop_map(|(lock, owner, token, lease)| renew(lock, owner, token, lease)),
         2 => (lock(), owner(), 0..12_u64).prop_map(|(lock, owner, token)| release(lock, owner, token)),
         1 => name(&["n", "o"]).prop_map(next_number),
         4 => (key(), value(), if_revision).prop_map(|(key, value, required)| put(key, value, required)),
@@ -51,15 +53,15 @@
     ]
 }
 
-fn batches() -> impl Strategy<Value = Vec<DrawnBatch>> {
+fn batches() -> impl Strategy<Value = Vec<GeneratedBatch>> {
     let elapsed_ms =
         prop_oneof![4 => 0..1_500_i64, 1 => 0..HISTORY_MS as i64 + 2, 1 => -2_000..0_i64];
     let drawn = (elapsed_ms, prop::collection::vec(call(), 0..6));
-    let drawn = drawn.prop_map(|(elapsed_ms, calls)| DrawnBatch { elapsed_ms, calls });
+    let drawn = drawn.prop_map(|(elapsed_ms, calls)| GeneratedBatch { elapsed_ms, calls });
     prop::collection::vec(drawn, 1..MAX_BATCHES)
 }
 
-/// A put that the model remembers for ever.
+/// An executed put. The model never removes puts.
 struct ModelPut {
     key: String,
     value: String,
@@ -67,24 +69,24 @@
     at_ms: u64,
 }
 
-/// What the service promises, written down as plainly as possible.
+/// A simple reference implementation of the state.
 #[derive(Default)]
 struct Model {
     now_ms: u64,
     last_token: u64,
-    /// By lock: the owner, its token, and the end of its lease.
+    /// By lock: the owner, the fencing token and the expiry of the lease.
     leases: BTreeMap<String, (String, u64, u64)>,
     numbers: BTreeMap<String, u64>,
     puts: Vec<ModelPut>,
 }
 
 impl Model {
-    fn is_holder(&self, lock: &str, owner: &str, token: u64) -> bool {
+    fn is_current_lease(&self, lock: &str, owner: &str, token: u64) -> bool {
         let lease = self.leases.get(lock);
         lease.is_some_and(|lease| lease.0 == owner && lease.1 == token)
     }
 
-    /// The clock reaches a time: leases that have run out are gone.
+    /// Advances the clock, removes the expired leases and returns their locks in order of expiry.
     fn advance_to(&mut self, now_ms: u64) -> Vec<String> {
         self.now_ms = self.now_ms.max(now_ms);
         let mut expired: Vec<(u64, String)> = Vec::new();
@@ -146,7 +148,7 @@
                 fencing_token,
                 lease_ms,
             } => {
-                if !self.is_holder(lock, owner, *fencing_token) {
+                if !self.is_current_lease(lock, owner, *fencing_token) {
                     return Outcome::LockLost;
                 }
                 let end = self.now_ms.saturating_add(*lease_ms);
@@ -159,7 +161,7 @@
                 owner,
                 fencing_token,
             } => {
-                if self.is_holder(lock, owner, *fencing_token) {
+                if self.is_current_lease(lock, owner, *fencing_token) {
                     self.leases.remove(lock);
                 }
                 Outcome::LockReleased
@@ -216,14 +218,15 @@
         support::put_at(revision)
     }
 
-    /// The events after a revision, or the newest revision that is no longer in history.
+    /// The events after a revision. If the history no longer contains all of them, the error is the
+    /// newest revision that has been removed.
     fn events_after<'a>(
         &'a self,
         group: &'a str,
         after: u64,
     ) -> Result<Vec<(&'a str, &'a str, u64)>, u64> {
-        let mut forgotten = self.puts_of(group).filter(|put| !self.is_in_history(put));
-        let compacted = forgotten.next_back().map_or(0, |put| put.revision);
+        let mut removed = self.puts_of(group).filter(|put| !self.is_in_history(put));
+        let compacted = removed.next_back().map_or(0, |put| put.revision);
         if after < compacted {
             return Err(compacted);
         }
@@ -256,15 +259,17 @@
     Ok(())
 }
 
-/// The clock of the next batch.
-fn advance(service: &mut Service, batch: &DrawnBatch) {
+/// Advances the clock to the time of the next batch.
+fn advance(service: &mut Service, batch: &GeneratedBatch) {
     service.clock_ms = service.clock_ms.saturating_add_signed(batch.elapsed_ms);
 }
 
-/// What must rise each time that it is given out, and under which name it does.
-fn rising(call: &Call, outcome: &Outcome) -> Option<(String, u64)> {
+/// The counter that a call has incremented, if any, and its new value.
+fn incremented_counter(call: &Call, outcome: &Outcome) -> Option<(String, u64)> {
     match (call, outcome) {
-        (_, Outcome::LockAcquired { fencing_token }) => Some(("fence".to_owned(), *fencing_token)),
+        (_, Outcome::LockAcquired { fencing_token }) => {
+            Some(("fencing token".to_owned(), *fencing_token))
+        }
         (Call::Command(Command::NextNumber { sequence }), Outcome::Number { value }) => {
             Some((format!("number {sequence}"), *value))
         }
@@ -276,7 +281,7 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn a_state_does_what_the_model_does(batches in batches()) {
+    fn a_state_matches_the_model(batches in batches()) {
         let mut service = Service::new();
         let mut model = Model::default();
         for batch in batches {
@@ -293,7 +298,7 @@
     }
 
     #[test]
-    fn a_replica_from_a_snapshot_does_the_same(batches in batches(), at in 0..MAX_BATCHES) {
+    fn a_restored_replica_stays_identical(batches in batches(), at in 0..MAX_BATCHES) {
         let mut service = Service::new();
         let mut restored: Option<CoordinationState> = None;
         for (number, drawn) in batches.iter().enumerate() {
@@ -312,22 +317,22 @@
         }
     }
 
-    // A replica that applies the same batches without having taken their calls.
+    // `other` applies the same batches as a process that has not accepted their calls.
     #[test]
-    fn queries_leave_no_trace_in_the_state(batches in batches()) {
-        let mut taker = Service::new();
+    fn queries_do_not_change_the_state(batches in batches()) {
+        let mut accepting = Service::new();
         let mut other = CoordinationState::default();
         for (index, drawn) in (1..).zip(&batches) {
-            advance(&mut taker, drawn);
-            let next = batch(taker.clock_ms, drawn.calls.clone());
-            taker.state.apply(index, next.clone(), INCARNATION);
+            advance(&mut accepting, drawn);
+            let next = batch(accepting.clock_ms, drawn.calls.clone());
+            accepting.state.apply(index, next.clone(), INCARNATION);
             other.apply(index, next, INCARNATION + 1);
-            prop_assert_eq!(taker.state.encode(), other.encode());
+            prop_assert_eq!(accepting.state.encode(), other.encode());
         }
     }
 
     #[test]
-    fn tokens_numbers_revisions_and_the_clock_rise(batches in batches()) {
+    fn tokens_numbers_revisions_and_the_clock_increase(batches in batches()) {
         let mut service = Service::new();
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
         let mut clock_ms = 0;
@@ -336,7 +341,7 @@
             let revisions = GROUPS.map(|group| service.state.group_revision(group));
             let applied = service.apply(batch.calls.clone());
             for (call, found) in batch.calls.iter().zip(&applied.outcomes) {
-                if let Some((name, value)) = rising(call, &found.outcome) {
+                if let Some((name, value)) = incremented_counter(call, &found.outcome) {
                     let former = last.insert(name, value);
                     prop_assert!(former.is_none_or(|former| former < value));
                 }
--- a/crates/coordination/tests/sequences.rs
+++ b/crates/coordination/tests/sequences.rs
@@ -1,11 +1,11 @@
-//! Sequences: numbers that rise.
+//! Sequences of increasing numbers.
 
 mod support;
 
 use support::{Service, next_number, number};
 
 #[test]
-fn numbers_of_a_sequence_rise_from_1() {
+fn the_numbers_of_a_sequence_start_at_1_and_increase() {
     let mut service = Service::new();
     for expected in 1..=5 {
         assert_eq!(service.execute(next_number("n")), number(expected));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn sequences_do_not_share_their_numbers() {
+fn sequences_are_independent() {
     let mut service = Service::new();
     service.execute(next_number("n"));
     assert_eq!(service.execute(next_number("m")), number(1));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn numbers_rise_over_time_and_snapshots() {
+fn numbers_increase_across_time_and_snapshots() {
     let mut service = Service::new();
     service.execute(next_number("n"));
     service.execute(next_number("m"));
--- a/crates/coordination/tests/snapshot.rs
+++ b/crates/coordination/tests/snapshot.rs
@@ -1,8 +1,8 @@
-//! Batches, states and packets as bytes: their fixed forms, and bytes that are damaged.
+//! The binary formats of batches, states and packets, and the rejection of corrupt bytes.
 //!
-//! The fixture holds one form a line, its name and its bytes in hexadecimal. A difference means that
-//! stored data can no longer be read, or that processes of two versions no longer understand each
-//! other.
+//! Each line of the golden file holds the name of a value and its bytes in hexadecimal. A
+//! difference means that stored data can no longer be read, or that processes of two versions can
+//! no longer communicate.
 
 mod support;
 
@@ -31,12 +31,12 @@
     })
 }
 
-/// The bytes of a form in the fixture.
+/// The bytes of a value in the golden file.
 fn golden(name: &str) -> Vec<u8> {
-    let form = GOLDEN
+    let value = GOLDEN
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    let digits = form.unwrap_or_else(|| panic!("the fixture has no form {name}"));
+    let digits = value.unwrap_or_else(|| panic!("the golden file has no value {name}"));
     (0..digits.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
@@ -52,7 +52,7 @@
 }
 
 /// A batch with each kind of call.
-fn batch_of_all() -> Batch {
+fn batch_of_all_calls() -> Batch {
     let calls = [
         Call::Command(acquire("l", "a", 3_000)),
         Call::Command(renew("l", "a", 1, 4_000)),
@@ -66,13 +66,13 @@
     batch(1_000, calls)
 }
 
-/// A state in which each table has entries and some history has expired.
+/// A state with entries in each table and with expired history.
 fn state() -> CoordinationState {
     let mut service = Service::new();
     service.execute(put("h.a", "w", None));
     let batch = Batch {
         clock_ms: HISTORY_MS + 1,
-        ..batch_of_all()
+        ..batch_of_all_calls()
     };
     service.state.apply(7, batch, support::INCARNATION);
     service.state
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn the_bytes_of_packets_are_those_in_use() {
+fn packet_encoding_is_stable() {
     for (name, packet) in packets() {
         assert_golden(name, &packet.serialize_bin());
         assert_eq!(Packet::deserialize_bin(&golden(name)).unwrap(), packet);
@@ -154,13 +154,16 @@
 }
 
 #[test]
-fn the_bytes_of_a_batch_are_those_in_use() {
-    assert_golden("batch", &batch_of_all().encode());
-    assert_eq!(Batch::decode(&golden("batch")).unwrap(), batch_of_all());
+fn batch_encoding_is_stable() {
+    assert_golden("batch", &batch_of_all_calls().encode());
+    assert_eq!(
+        Batch::decode(&golden("batch")).unwrap(),
+        batch_of_all_calls()
+    );
 }
 
 #[test]
-fn the_bytes_of_a_state_are_those_in_use() {
+fn state_encoding_is_stable() {
     assert_golden("state", &state().encode());
     let restored = CoordinationState::decode(&golden("state")).unwrap();
     assert_eq!(restored.encode(), golden("state"));
@@ -169,11 +172,11 @@
 }
 
 #[test]
-fn the_bytes_of_an_empty_state_are_those_in_use() {
+fn empty_state_encoding_is_stable() {
     assert_golden("state_empty", &CoordinationState::default().encode());
 }
 
-/// Whether bytes can be decoded as a form.
+/// Whether bytes can be decoded as a particular type.
 type Decodes = fn(&[u8]) -> bool;
 
 const DECODES_BATCH: Decodes = |bytes| Batch::decode(bytes).is_ok();
@@ -181,31 +184,31 @@
 const DECODES_FRAME: Decodes = |bytes| decode_frame::<Packet>(bytes).is_ok();
 
 #[rstest]
-#[case::batch(vec![batch_of_all().encode()], DECODES_BATCH)]
+#[case::batch(vec![batch_of_all_calls().encode()], DECODES_BATCH)]
 #[case::state(vec![state().encode()], DECODES_STATE)]
 #[case::packets(packets().iter().map(|(_, packet)| encode_frame(packet)).collect(), DECODES_FRAME)]
-fn damaged_bytes_are_rejected(#[case] forms: Vec<Vec<u8>>, #[case] decodes: Decodes) {
-    for bytes in forms {
+fn corrupt_bytes_are_rejected(#[case] encoded: Vec<Vec<u8>>, #[case] decodes: Decodes) {
+    for bytes in encoded {
         assert!(decodes(&bytes));
         for length in 0..bytes.len() {
             assert!(!decodes(&bytes[..length]), "truncated to {length} bytes");
         }
         for (at, bit) in (0..bytes.len()).flat_map(|at| (0..8).map(move |bit| (at, bit))) {
-            let mut damaged = bytes.clone();
-            damaged[at] ^= 1 << bit;
-            assert!(!decodes(&damaged), "bit {bit} of byte {at} flipped");
+            let mut corrupt = bytes.clone();
+            corrupt[at] ^= 1 << bit;
+            assert!(!decodes(&corrupt), "bit {bit} of byte {at} flipped");
         }
         for at in 0..bytes.len() {
-            let mut damaged = bytes.clone();
-            damaged[at] = !damaged[at];
-            assert!(!decodes(&damaged), "byte {at} inverted");
+            let mut corrupt = bytes.clone();
+            corrupt[at] = !corrupt[at];
+            assert!(!decodes(&corrupt), "byte {at} inverted");
         }
     }
 }
 
 #[test]
-fn another_version_is_named() {
-    let mut bytes = batch_of_all().encode();
+fn an_unsupported_version_is_reported() {
+    let mut bytes = batch_of_all_calls().encode();
     bytes[0] = 9;
     bytes.truncate(40);
     assert!(matches!(
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -1,18 +1,18 @@
-//! A state as tests drive it: one call a batch, with a clock that they move.
+//! A replicated state for tests, with a manual clock. Commands are applied in batches of one call.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use woadstall_coordination::batch::{Batch, BatchedCall, CallId};
 use woadstall_coordination::command::{Call, Command, Query};
 use woadstall_coordination::outcome::Outcome;
 use woadstall_coordination::state::{AppliedBatch, CoordinationState, GroupEvents, WatchError};
 
-/// The incarnation of the process that applies the batches, and takes the calls.
+/// The incarnation of the process that accepts the calls and applies the batches.
 pub const INCARNATION: u64 = 77;
-/// For how long history is kept, in milliseconds.
+/// The retention time of the key history, in milliseconds.
 pub const HISTORY_MS: u64 = 20_000;
 
-/// A batch with calls of this process.
+/// A batch of calls with the identifiers of process [`INCARNATION`].
 pub fn batch(clock_ms: u64, calls: impl IntoIterator<Item = Call>) -> Batch {
     let batched = |(number, call)| BatchedCall {
         id: CallId {
@@ -28,7 +28,7 @@
     }
 }
 
-/// A request for a lock.
+/// A command that acquires a lock.
 pub fn acquire(lock: &str, owner: &str, lease_ms: u64) -> Command {
     Command::AcquireLock {
         lock: lock.to_owned(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// A request to extend a lease.
+/// A command that renews a lease.
 pub fn renew(lock: &str, owner: &str, fencing_token: u64, lease_ms: u64) -> Command {
     Command::RenewLock {
         lock: lock.to_owned(),
@@ -47,7 +47,7 @@
     }
 }
 
-/// A request to end a lease.
+/// A command that releases a lock.
 pub fn release(lock: &str, owner: &str, fencing_token: u64) -> Command {
     Command::ReleaseLock {
         lock: lock.to_owned(),
@@ -56,14 +56,14 @@
     }
 }
 
-/// A request for a number.
+/// A command that allocates the next number of a sequence.
 pub fn next_number(sequence: &str) -> Command {
     Command::NextNumber {
         sequence: sequence.to_owned(),
     }
 }
 
-/// A request to set a value.
+/// A command that sets the value of a key.
 pub fn put(key: &str, value: &str, if_revision: Option<u64>) -> Command {
     Command::Put {
         key: key.to_owned(),
@@ -72,36 +72,36 @@
     }
 }
 
-/// A request for a value.
+/// A query for the value of a key.
 pub fn get(key: &str) -> Query {
     Query::Get {
         key: key.to_owned(),
     }
 }
 
-/// A request for the revision of a group.
+/// A query for the revision of a key group.
 pub fn group_revision(group: &str) -> Query {
     Query::GroupRevision {
         group: group.to_owned(),
     }
 }
 
-/// The outcome of a request for a lock that succeeded.
+/// The outcome of an acquired lock.
 pub fn acquired(fencing_token: u64) -> Outcome {
     Outcome::LockAcquired { fencing_token }
 }
 
-/// The outcome of a request for a number.
+/// The outcome of an allocated number.
 pub fn number(value: u64) -> Outcome {
     Outcome::Number { value }
 }
 
-/// The outcome of a put that succeeded.
+/// The outcome of a successful put.
 pub fn put_at(revision: u64) -> Outcome {
     Outcome::Put { revision }
 }
 
-/// The outcome of a read that found a value.
+/// The outcome of a query that found a value.
 pub fn value(value: &str, revision: u64) -> Outcome {
     Outcome::Value {
         value: value.to_owned(),
@@ -109,7 +109,7 @@
     }
 }
 
-/// A state with the clock of its next batch.
+/// A state and the clock of the next batch.
 #[derive(Clone, Default)]
 pub struct Service {
     pub state: CoordinationState,
@@ -118,12 +118,12 @@
 }
 
 impl Service {
-    /// An empty state at clock 0.
+    /// Creates an empty state with the clock at 0.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Time passes without a batch.
+    /// Advances the clock without applying a batch.
     pub fn advance(&mut self, milliseconds: u64) {
         self.clock_ms += milliseconds;
     }
@@ -135,7 +135,7 @@
         self.state.apply(self.index, batch, INCARNATION)
     }
 
-    /// Applies a batch without calls, as a leader that is idle proposes it.
+    /// Applies a batch without calls, such as an idle leader proposes.
     pub fn checkpoint(&mut self) -> AppliedBatch {
         self.apply([])
     }
@@ -153,19 +153,19 @@
         self.apply([Call::Query(query)]).outcomes.remove(0).outcome
     }
 
-    /// The events of a group after a revision.
+    /// The events of a key group after the revision `after`.
     pub fn events_after(&self, group: &str, after: u64) -> Result<GroupEvents, WatchError> {
         self.state.events_after(group, after)
     }
 
-    /// Replaces the state by what its snapshot holds.
+    /// Replaces the state by the decoded form of its own snapshot.
     pub fn restore_from_snapshot(&mut self) {
         let bytes = self.state.encode();
         self.state = CoordinationState::decode(&bytes).unwrap();
     }
 }
 
-/// The names, values and revisions of events.
+/// The key, value and revision of each event.
 pub fn listed(found: &GroupEvents) -> Vec<(&str, &str, u64)> {
     let events = found.events.iter();
     events
--- a/crates/coordination/tests/watches.rs
+++ b/crates/coordination/tests/watches.rs
@@ -1,4 +1,5 @@
-//! The feed behind watches: events in order and without a gap, for as long as history is kept.
+//! The event feed that serves watches. Events are in order and without a gap within the retention
+//! time of the history.
 
 mod support;
 
@@ -7,13 +8,14 @@
 use woadstall_coordination::command::Call;
 use woadstall_coordination::state::{GroupEvents, WatchError};
 
-/// A value of which a few fill a list of events.
+/// A value size, in bytes, of which a few values exceed the size limit of an event list.
 const LARGE_VALUE_BYTES: usize = 60 << 10;
-/// Bytes of keys and values that a list of events holds at most, with the event that passes it.
+/// The maximum size of keys and values in an event list, in bytes, including the last event, which
+/// may exceed the limit.
 const MAX_LIST_BYTES: usize = (256 << 10) + LARGE_VALUE_BYTES + 64;
 
-/// Three puts of a group, with one of another in between.
-fn service() -> Service {
+/// A state with three puts in group `g` and one put in group `h` between them.
+fn service_with_events() -> Service {
     let mut service = Service::new();
     service.execute(put("g.a", "x", None));
     service.execute(put("h.a", "other", None));
@@ -25,11 +27,14 @@
 #[rstest]
 #[case::all(0, &[("g.a", "x", 1), ("g.b", "y", 2), ("g.a", "z", 3)])]
 #[case::some(1, &[("g.b", "y", 2), ("g.a", "z", 3)])]
-#[case::the_last(2, &[("g.a", "z", 3)])]
+#[case::the_last_one(2, &[("g.a", "z", 3)])]
 #[case::none(3, &[])]
-#[case::a_revision_to_come(9, &[])]
-fn events_are_those_after_a_revision(#[case] after: u64, #[case] expected: &[(&str, &str, u64)]) {
-    let mut service = service();
+#[case::a_future_revision(9, &[])]
+fn events_after_a_revision_are_returned(
+    #[case] after: u64,
+    #[case] expected: &[(&str, &str, u64)],
+) {
+    let mut service = service_with_events();
     for _ in 0..2 {
         let found = service.events_after("g", after).unwrap();
         assert_eq!(listed(&found), expected);
@@ -40,20 +45,20 @@
 
 #[test]
 fn a_group_without_puts_has_no_events() {
-    let service = service();
+    let service = service_with_events();
     assert_eq!(service.events_after("i", 0), Ok(GroupEvents::default()));
 }
 
 #[test]
-fn a_repeated_put_is_no_event() {
-    let mut service = service();
+fn a_repeated_put_adds_no_event() {
+    let mut service = service_with_events();
     assert_eq!(service.execute(put("g.b", "y", None)), put_at(2));
     assert_eq!(service.events_after("g", 3).unwrap().events.len(), 0);
 }
 
 #[test]
-fn events_are_kept_for_as_long_as_history() {
-    let mut service = service();
+fn events_are_retained_for_the_history_retention_time() {
+    let mut service = service_with_events();
     service.advance(5_000);
     service.execute(put("g.c", "w", None));
     service.advance(HISTORY_MS - 5_000);
@@ -91,7 +96,7 @@
 }
 
 #[test]
-fn the_clock_never_goes_back() {
+fn the_clock_never_decreases() {
     let mut service = Service::new();
     service.advance(HISTORY_MS + 1);
     service.execute(put("g.a", "x", None));
@@ -103,11 +108,12 @@
     assert_eq!(service.events_after("g", 0).unwrap().events.len(), 2);
 }
 
-// A list that is cut short must not claim the revisions that it leaves out.
+// The revision of a list that is cut off must not cover the omitted events. A watch that resumes
+// from that revision would miss them.
 #[rstest]
 #[case::of_one_group(1)]
 #[case::of_three_groups(3)]
-fn a_long_list_ends_early_at_the_revision_of_its_last_event(#[case] groups: usize) {
+fn a_long_list_is_cut_off_at_the_revision_of_its_last_event(#[case] groups: usize) {
     let mut service = Service::new();
     for number in 0..10 * groups {
         let group = number % groups;
