--- a/crates/coordination/src/machine/calls.rs
+++ b/crates/coordination/src/machine/calls.rs
@@ -47,7 +47,9 @@
 struct PendingCall {
     caller: Caller,
     call: Call,
-    started: u64,
+    /// The submission time, in milliseconds of this machine's clock.
+    started_at: u64,
+    /// The time at which the call times out, in milliseconds of this machine's clock.
     deadline: u64,
     /// The leader that the call is assigned to. It may be this machine.
     assigned_to: Option<LeaderAddress>,
@@ -148,7 +150,7 @@
         let pending = PendingCall {
             caller,
             call,
-            started: self.now,
+            started_at: self.now,
             deadline: self.now + CALL_TIMEOUT_MS,
             assigned_to: None,
             is_in_doubt: false,
@@ -296,7 +298,7 @@
     }
 
     fn log_if_slow(&mut self, pending: &PendingCall, result: &CallResult) {
-        let elapsed_ms = self.now - pending.started;
+        let elapsed_ms = self.now - pending.started_at;
         if elapsed_ms < SLOW_CALL_MS {
             return;
         }
--- a/crates/coordination/src/machine/watches.rs
+++ b/crates/coordination/src/machine/watches.rs
@@ -50,7 +50,9 @@
     token: u64,
     group: String,
     after: u64,
-    arrived: u64,
+    /// The arrival time, in milliseconds of this machine's clock.
+    arrived_at: u64,
+    /// The time at which the watch ends without an event, in milliseconds of this machine's clock.
     deadline: u64,
     confirmation: Confirmation,
 }
@@ -70,10 +72,11 @@
         self.by_number.len()
     }
 
-    fn numbers(&self, is_wanted: impl Fn(&Watch) -> bool) -> Vec<u64> {
+    /// The numbers of the watches that match a predicate, in ascending order.
+    fn numbers(&self, matches: impl Fn(&Watch) -> bool) -> Vec<u64> {
         let watches = self.by_number.iter();
-        let wanted = watches.filter(|(_, watch)| is_wanted(watch));
-        wanted.map(|(number, _)| *number).collect()
+        let matching = watches.filter(|(_, watch)| matches(watch));
+        matching.map(|(number, _)| *number).collect()
     }
 }
 
@@ -97,7 +100,7 @@
             token,
             group: request.group,
             after: request.after,
-            arrived: self.now,
+            arrived_at: self.now,
             deadline: self.now.saturating_add(wait_ms),
             confirmation: Confirmation::NotRequested,
         };
@@ -166,13 +169,13 @@
             Err(_) => return Some(Response::HistoryCompacted),
         };
         if !events.events.is_empty() {
-            let is_complete = is_confirmed || self.is_state_complete_as_of(watch.arrived);
+            let is_complete = is_confirmed || self.is_state_complete_as_of(watch.arrived_at);
             return is_complete
                 .then_some(Response::Events(events))
-                .or_else(|| self.response_to_overdue(watch));
+                .or_else(|| self.response_after_timeout(watch));
         }
         if !is_confirmed || self.now < watch.deadline {
-            return self.response_to_overdue(watch);
+            return self.response_after_timeout(watch);
         }
         let revision = self.state.group_revision(&watch.group);
         if watch.after > revision {
@@ -201,9 +204,9 @@
     }
 
     /// The response to a watch whose confirmation has timed out, or `None` before the timeout.
-    fn response_to_overdue(&self, watch: &Watch) -> Option<Response> {
-        let is_overdue = self.now >= watch.deadline.saturating_add(CONFIRMATION_TIMEOUT_MS);
-        is_overdue.then_some(Response::NotExecuted)
+    fn response_after_timeout(&self, watch: &Watch) -> Option<Response> {
+        let has_timed_out = self.now >= watch.deadline.saturating_add(CONFIRMATION_TIMEOUT_MS);
+        has_timed_out.then_some(Response::NotExecuted)
     }
 
     /// Retries the deferred watches. A message of the leader may have shown that the local state is
