--- a/crates/node/src/core/golden_tests.rs
+++ b/crates/node/src/core/golden_tests.rs
@@ -6,7 +6,7 @@
 use super::bootstrap::{founder_id, initial_state};
 use super::event::Event;
 use super::registration_store::RegistrationStore;
-use crate::golden::{assert_golden, shown};
+use crate::golden::{assert_golden, escape};
 use crate::settings::NodeSettings;
 use serde_json::json;
 use std::fmt::Write;
@@ -183,13 +183,13 @@
 
 fn described(request: ApiRequest) -> String {
     use woadstall_control::command::Command;
-    let shown = |body: &[u8]| body.escape_ascii().to_string();
+    let escape = |body: &[u8]| body.escape_ascii().to_string();
     match request {
         ApiRequest::Order(Command::Put { base, body }) => {
-            format!("put base={base} body={}", shown(&body))
+            format!("put base={base} body={}", escape(&body))
         }
         ApiRequest::Order(Command::Patch { base, body }) => {
-            format!("patch base={base} body={}", shown(&body))
+            format!("patch base={base} body={}", escape(&body))
         }
         ApiRequest::Order(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
         ApiRequest::Order(Command::EndEvacuation { zone }) => format!("return zone={zone}"),
@@ -247,7 +247,7 @@
     format!(
         "{status} {} {}",
         content_type.unwrap_or_default(),
-        shown(&response.bytes().unwrap())
+        escape(&response.bytes().unwrap())
     )
 }
 
--- a/crates/node/src/front/attempt/headers.rs
+++ b/crates/node/src/front/attempt/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of requests to upstreams and of their responses.
+//! Headers of requests to upstreams and of responses from upstreams.
 
 use super::ForwardedRequest;
 use hyper::header::{CONTENT_ENCODING, HeaderName, HeaderValue};
@@ -9,34 +9,35 @@
 use woadstall_routing::Target;
 use woadstall_transport::{RequestBody, closes_connection};
 
-/// Identifies a request; its response repeats it.
+/// Identifier of a request. The upstream repeats the identifier in its response.
 pub(in crate::front) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// The milliseconds that are left for a request.
+/// Time left to answer a request, in milliseconds.
 pub(in crate::front) const DEADLINE: HeaderName = HeaderName::from_static("deadline");
-/// The id of the upstream that a request is meant for; another one at its address rejects it with
-/// 421.
+/// Id of the upstream that a request is addressed to. A different instance at the same address
+/// rejects the request with status 421.
 const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("expect-instance");
-/// The priority of a request; 0 is the highest.
+/// Priority of a request; 0 is the highest.
 const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// In a response: the upstream did not execute the request.
+/// Response header that says that the upstream did not execute the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// In a successful response: the upstream's application wrote it, not something between.
+/// Response header that shows that a successful response was written by the upstream's application
+/// and not by an intermediary.
 const RESPONSE_STAMP: HeaderName = HeaderName::from_static("response-stamp");
-/// In a response: how long the connection is kept open.
+/// Response header with the time for which the upstream keeps the idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Whether, and for how long, an upstream keeps a connection open after a response.
+/// Persistence of a connection after a response, as announced by the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::front) enum KeepAlive {
-    /// It closes the connection.
+    /// The upstream closes the connection after the response.
     Close,
-    /// It does not say.
+    /// The upstream keeps the connection open and announces no time-out.
     Unspecified,
-    /// It closes the connection after this time without a request.
+    /// The upstream closes the connection after this time without a request.
     Timeout(Duration),
 }
 
-/// The request as it is sent to a target.
+/// Builds the request that is sent to a target: the client's head with the headers of this attempt.
 pub(super) fn upstream_request(
     request: &ForwardedRequest,
     target: &Target,
@@ -60,27 +61,28 @@
     result
 }
 
-/// Whether a response says that the upstream did not execute the request with this id.
+/// Returns whether a response says that the upstream did not execute the request with this id.
 pub(super) fn is_rejection(parts: &Parts, id: &HeaderValue) -> bool {
-    let is_own = parts
+    let id_matches = parts
         .headers
         .get(REQUEST_ID)
         .is_none_or(|other| other == id);
     let is_rejected =
         parts.headers.contains_key(NOT_EXECUTED) || parts.status == StatusCode::MISDIRECTED_REQUEST;
-    is_own && is_rejected && !parts.status.is_success()
+    id_matches && is_rejected && !parts.status.is_success()
 }
 
-/// Whether a response belongs to the request with this id and was written by the upstream's
-/// application.
+/// Returns whether a response belongs to the request with this id. A successful response must also
+/// carry the stamp of the upstream's application and have no content encoding.
 pub(super) fn is_valid_response(parts: &Parts, id: &HeaderValue) -> bool {
     let headers = &parts.headers;
-    let is_own = headers.get(REQUEST_ID) == Some(id);
-    let is_intact = headers.contains_key(RESPONSE_STAMP) && !headers.contains_key(CONTENT_ENCODING);
-    is_own && (is_intact || !parts.status.is_success()) && !parts.status.is_informational()
+    let id_matches = headers.get(REQUEST_ID) == Some(id);
+    let is_unaltered =
+        headers.contains_key(RESPONSE_STAMP) && !headers.contains_key(CONTENT_ENCODING);
+    id_matches && (is_unaltered || !parts.status.is_success()) && !parts.status.is_informational()
 }
 
-/// What a response says about its connection.
+/// Reads the persistence of the connection from the headers of a response.
 pub(super) fn keep_alive(parts: &Parts) -> KeepAlive {
     if closes_connection(parts) {
         return KeepAlive::Close;
--- a/crates/node/src/front/attempt/mod.rs
+++ b/crates/node/src/front/attempt/mod.rs
@@ -1,5 +1,5 @@
-//! One attempt of a request at one upstream: until the response is complete, or for a stream until
-//! its head has come.
+//! Sends a request to one upstream. An attempt ends when the response is complete or, for a
+//! streamed response, when its head has arrived.
 
 mod headers;
 mod in_flight;
@@ -26,27 +26,27 @@
 use woadstall_routing::{Outcome, Target};
 use woadstall_transport::{RequestBody, end_to_end};
 
-/// Bytes of a response at most that is received completely before it is forwarded.
-const MAX_BUFFERED_RESPONSE: usize = 8 << 20;
+/// Maximum body size of a buffered response, in bytes.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 
-/// A request got no response.
+/// Reason why an attempt has received no response head.
 #[derive(Debug, Error)]
 enum SendError {
-    /// The connection broke before anything was written.
-    #[error("not sent: {0}")]
+    /// The connection broke before any byte of the request was written.
+    #[error("connection failed before the request was sent: {0}")]
     NotSent(#[source] hyper::Error),
-    /// The connection broke after something was written.
-    #[error("no response: {0}")]
+    /// The connection broke after a part of the request was written.
+    #[error("connection failed before a response arrived: {0}")]
     NoResponse(#[source] hyper::Error),
-    /// The deadline passed before anything was written.
-    #[error("the deadline passed before the request was sent")]
+    /// The deadline passed before any byte of the request was written.
+    #[error("deadline exceeded before the request was sent")]
     DeadlineBeforeSend,
-    /// The deadline passed after something was written.
-    #[error("the deadline passed before a response came")]
+    /// The deadline passed after a part of the request was written.
+    #[error("deadline exceeded before a response arrived")]
     DeadlineBeforeResponse,
 }
 
-/// Sends a request to an upstream.
+/// Sends a request to an upstream over a pooled connection and classifies the result.
 pub(super) async fn attempt(
     front: &Arc<Front>,
     request: &ForwardedRequest,
@@ -70,8 +70,8 @@
         }
         Err(_) => return AttemptResult::NotSent,
     };
-    // The upstream may have begun to drain, or its zone been evacuated, while the connection was
-    // established.
+    // While the connection was being established, the upstream may have begun to drain or its zone
+    // may have been evacuated.
     if !lock(&front.router).is_usable(&in_flight.target.id) {
         return AttemptResult::NotSent;
     }
@@ -106,7 +106,7 @@
     } else {
         lock(&front.router).record_response(front.now(), &in_flight.target.id);
     }
-    // Read before `end_to_end` removes the headers that it is in.
+    // `end_to_end` removes the hop-by-hop headers, so `Keep-Alive` is read first.
     let keep_alive = keep_alive(&parts);
     end_to_end(&mut parts.headers);
     let response = StreamingResponse {
@@ -122,7 +122,7 @@
     receive_body(front, request.deadline, response).await
 }
 
-/// Sends a request over a connection, and waits for the head of the response.
+/// Sends a request over a connection and waits for the head of the response.
 async fn send(
     request: &ForwardedRequest,
     connection: &mut PooledConnection,
@@ -156,7 +156,8 @@
         in_flight.target.id
     );
     match error {
-        // That an idle connection was just closed by its upstream says nothing about the upstream.
+        // The upstream may have closed the idle connection at the same time, which is no sign of a
+        // fault.
         SendError::NotSent(_) if connection_is_reused => {
             in_flight.end(Outcome::Cancelled);
             AttemptResult::NotSent
@@ -227,14 +228,15 @@
     }
 }
 
-/// A complete body; `None` if it is truncated or too large.
+/// Reads a complete response body; `None` if the body is truncated or exceeds
+/// [`MAX_BUFFERED_RESPONSE_BYTES`].
 async fn collect(mut body: Incoming) -> Option<Bytes> {
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
-        if collected.len() + data.len() > MAX_BUFFERED_RESPONSE {
+        if collected.len() + data.len() > MAX_BUFFERED_RESPONSE_BYTES {
             return None;
         }
         collected.extend_from_slice(&data);
@@ -242,7 +244,8 @@
     Some(collected.freeze())
 }
 
-/// Returns a connection to the pool after a complete response, if its upstream keeps it open.
+/// Returns a connection to the pool after a complete response unless the upstream closes the
+/// connection or the request was not written completely.
 pub(super) fn release_connection(
     front: &Arc<Front>,
     mut connection: PooledConnection,
--- a/crates/node/src/front/attempt/request.rs
+++ b/crates/node/src/front/attempt/request.rs
@@ -1,31 +1,29 @@
-//! A request as attempts send it.
+//! The request that attempts send to upstreams.
 
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::http::request;
 use tokio::time::Instant;
 
-/// A request as it is sent to upstreams.
+/// A client request that is ready to be sent to upstreams.
 pub(in crate::front) struct ForwardedRequest {
-    /// The client's head without hop-by-hop headers.
+    /// Head of the client's request without hop-by-hop headers.
     pub head: request::Parts,
-    /// The body.
     pub body: Bytes,
-    /// The value of `Request-Id`.
+    /// Value of the `Request-Id` header.
     pub id: HeaderValue,
-    /// Its priority at the upstream; 0 is the highest.
+    /// Priority of the request at the upstream; 0 is the highest.
     pub priority: u8,
-    /// When it must be answered.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// How its response is forwarded.
     pub response_mode: ResponseMode,
 }
 
-/// How a response is forwarded.
+/// Forwarding mode of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::front) enum ResponseMode {
-    /// Once it is complete.
+    /// The response is forwarded once it is complete.
     Buffered,
-    /// As it arrives, if its status is a success.
+    /// A successful response is forwarded as it arrives.
     Streaming,
 }
--- a/crates/node/src/front/attempt/result.rs
+++ b/crates/node/src/front/attempt/result.rs
@@ -1,4 +1,4 @@
-//! What attempts return.
+//! Results of attempts.
 
 use super::headers::KeepAlive;
 use super::in_flight::InFlight;
@@ -7,28 +7,28 @@
 use hyper::body::Incoming;
 use hyper::http::response::Parts;
 
-/// How an attempt has ended.
+/// Result of an attempt at one upstream.
 pub(in crate::front) enum AttemptResult {
-    /// Nothing was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// The upstream did not execute the request.
+    /// The upstream rejected the request without executing it.
     Rejected,
-    /// There is no response, and the upstream may have executed the request.
+    /// No valid response arrived, and the upstream may have executed the request.
     Failed,
-    /// The deadline has passed, and the upstream may have executed the request.
+    /// The deadline passed, and the upstream may have executed the request.
     TimedOut,
-    /// A complete response.
+    /// A complete response arrived.
     Complete(Parts, Bytes),
-    /// The head of a streamed response.
+    /// The head of a streamed response arrived.
     Streaming(Box<StreamingResponse>),
 }
 
-/// A response whose body is still to come.
+/// A response whose head has arrived, with the connection that delivers its body.
 pub(in crate::front) struct StreamingResponse {
     pub parts: Parts,
     pub body: Incoming,
     pub connection: PooledConnection,
     pub in_flight: InFlight,
-    /// How long the upstream keeps the connection open after the response.
+    /// Persistence of the connection after the response.
     pub keep_alive: KeepAlive,
 }
--- a/crates/node/src/front/client_connection.rs
+++ b/crates/node/src/front/client_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its requests, time-outs and close.
+//! Serves one client connection: reads requests, enforces time-outs and closes the connection.
 
 use super::forward::handle_request;
 use super::response::ClientResponse;
@@ -22,53 +22,52 @@
 use woadstall_socket_options::enable_dead_peer_detection;
 use woadstall_transport::SharedStream;
 
-/// How often time-outs of a connection are checked.
+/// Interval at which the time-outs of a connection are checked.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How often a connection that is to be closed is checked for being idle.
+/// Interval at which a connection that is being closed is checked for being idle.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How much longer than the configured time-outs a connection is kept.
+/// A connection is closed this long after the configured time-out has passed.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
-/// How long data sent to a client may stay unacknowledged.
+/// Maximum time for which data sent to a client may stay unacknowledged.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of hyper's read buffer.
+/// Size of hyper's read buffer.
 const READ_BUFFER_BYTES: usize = 32 << 10;
-/// Closed connections at most that wait for their client to close too.
+/// Maximum number of connections closed by this process that wait for the client's close.
 const MAX_LINGERING: usize = 64;
 
 /// How a connection has ended.
 enum ConnectionEnd {
-    /// In order: the client has got all that was meant for it.
+    /// All responses were sent completely.
     Orderly,
-    /// Broken, or with a response cut off.
+    /// The connection broke, or a response was truncated.
     Aborted,
 }
 
-/// A connection of a client.
+/// An accepted client connection and the state that it shares with other connections.
 pub(super) struct ClientConnection<'a> {
     front: &'a Arc<Front>,
     lingering: &'a Arc<LingeringConnections>,
 }
 
 impl<'a> ClientConnection<'a> {
-    /// A connection that is not served yet.
     pub fn new(front: &'a Arc<Front>, lingering: &'a Arc<LingeringConnections>) -> Self {
         Self { front, lingering }
     }
 
-    /// Serves the connection until it ends. `closing` becomes true when it is to be closed once it
-    /// is idle.
+    /// Serves requests until the connection ends. Once `closing` becomes true, the connection is
+    /// closed as soon as it is idle.
     ///
     /// # Errors
     ///
-    /// A response was cut off, and the kernel refuses to have the connection reset.
+    /// Fails if a response was truncated and the kernel does not allow the connection to be reset.
     pub async fn serve(&self, stream: TcpStream, closing: watch::Receiver<bool>) -> io::Result<()> {
         enable_dead_peer_detection(&stream, USER_TIMEOUT);
         let stream = SharedStream::new(stream);
-        let (gate, seen) = RequestGate::new(stream.clone());
-        match self.drive(gate, &seen, &stream, closing).await {
-            // A response that was cut off must not look complete.
+        let (gate, state) = RequestGate::new(stream.clone());
+        match self.drive(gate, &state, &stream, closing).await {
+            // The reset tells the client that a truncated response is not complete.
             ConnectionEnd::Aborted => stream.reset_on_close()?,
-            ConnectionEnd::Orderly if lock(&seen).has_ended() => {}
+            ConnectionEnd::Orderly if lock(&state).has_ended() => {}
             ConnectionEnd::Orderly => {
                 self.lingering.close(stream);
                 self.lingering.keep_at_most(MAX_LINGERING);
@@ -80,12 +79,12 @@
     async fn drive(
         &self,
         gate: RequestGate,
-        seen: &Arc<Mutex<ConnectionState>>,
+        state: &Arc<Mutex<ConnectionState>>,
         stream: &SharedStream,
         mut closing: watch::Receiver<bool>,
     ) -> ConnectionEnd {
         let service =
-            service_fn(|request| async { Ok::<_, Infallible>(self.respond(request, seen).await) });
+            service_fn(|request| async { Ok::<_, Infallible>(self.respond(request, state).await) });
         let mut builder = http1::Builder::new();
         let connection = builder
             .max_buf_size(READ_BUFFER_BYTES)
@@ -95,14 +94,14 @@
         let mut is_closing = false;
         while !is_closing {
             tokio::select! {
-                biased; // a request that has arrived is read before its connection is closed as idle
+                biased; // Reads a request that has arrived before the connection is closed as idle.
                 result = connection.as_mut() => return ConnectionEnd::of(&result),
                 _ = closing.wait_for(|close| *close) => is_closing = true,
-                _ = checks.tick() => is_closing = self.has_timed_out(seen),
+                _ = checks.tick() => is_closing = self.has_timed_out(state),
             }
         }
-        while !(lock(seen).is_idle() && stream.is_quiet()) {
-            if self.has_stalled(seen) {
+        while !(lock(state).is_idle() && stream.is_quiet()) {
+            if self.has_stalled(state) {
                 return ConnectionEnd::Aborted;
             }
             if let Ok(result) = timeout(IDLE_CHECK_INTERVAL, connection.as_mut()).await {
@@ -113,20 +112,21 @@
         ConnectionEnd::of(&connection.await)
     }
 
-    /// Whether the connection has been idle, or has taken for a request's head, for longer than the
-    /// configuration allows.
-    fn has_timed_out(&self, seen: &Arc<Mutex<ConnectionState>>) -> bool {
+    /// Returns whether the connection has exceeded the idle time-out or the time-out for receiving
+    /// the head of a request.
+    fn has_timed_out(&self, state: &Arc<Mutex<ConnectionState>>) -> bool {
         let limits = self.limits();
-        let seen = lock(seen);
-        match seen.idle() {
+        let state = lock(state);
+        match state.idle() {
             Some((_, since)) => since.elapsed() > limits.idle_timeout + TIMEOUT_MARGIN,
-            None => seen.is_overdue(limits.header_timeout + TIMEOUT_MARGIN),
+            None => state.is_overdue(limits.header_timeout + TIMEOUT_MARGIN),
         }
     }
 
-    /// Whether a connection that is to be closed has taken too long for a request's head.
-    fn has_stalled(&self, seen: &Arc<Mutex<ConnectionState>>) -> bool {
-        lock(seen).is_overdue(self.limits().header_timeout)
+    /// Returns whether a connection that is being closed has exceeded the time-out for receiving
+    /// the head of a request.
+    fn has_stalled(&self, state: &Arc<Mutex<ConnectionState>>) -> bool {
+        lock(state).is_overdue(self.limits().header_timeout)
     }
 
     fn limits(&self) -> Limits {
@@ -139,20 +139,20 @@
     async fn respond(
         &self,
         request: Request<Incoming>,
-        seen: &Arc<Mutex<ConnectionState>>,
+        state: &Arc<Mutex<ConnectionState>>,
     ) -> ClientResponse {
         let mut response = handle_request(self.front, request).await;
-        let mut seen = lock(seen);
+        let mut state = lock(state);
         let shutting_down = self.front.shutting_down.load(Ordering::Relaxed);
-        if seen.is_last_request()
-            || seen.has_both_lengths()
-            || shutting_down && !seen.has_pipelined_bytes()
+        if state.is_last_request()
+            || state.has_both_lengths()
+            || shutting_down && !state.has_pipelined_bytes()
         {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
-        seen.request_completed();
-        seen.request_answered();
+        state.request_completed();
+        state.request_answered();
         response
     }
 }
--- a/crates/node/src/front/clients.rs
+++ b/crates/node/src/front/clients.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, and closes them in order at the end of the process.
+//! Accepts client connections and closes them gracefully at shutdown.
 
 use super::client_connection::ClientConnection;
 use super::state::Front;
@@ -10,26 +10,28 @@
 use tokio::time::sleep;
 use woadstall_inbound::LingeringConnections;
 
-/// How long connections are still accepted after SIGTERM. Clients use the directory's response for
-/// some seconds, and one whose connection is refused has lost an attempt.
-const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(3_000);
-/// How long idle connections are kept open after SIGTERM, so that no request crosses their close.
-const KEEP_IDLE_AFTER_STOP: Duration = Duration::from_millis(1_200);
-/// Pause after a failed accept, such as for lack of descriptors.
+/// Time after SIGTERM for which connections are still accepted. Clients cache the directory's
+/// response for some seconds, and a refused connection costs a client one of its attempts.
+const ACCEPT_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(3_000);
+/// Time after SIGTERM for which idle connections stay open, so that a client does not send a
+/// request on a connection that is being closed.
+const IDLE_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(1_200);
+/// Pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// The part of the descriptors that clients may use.
+/// Fraction of the process's file descriptors that client connections may use.
 const CLIENT_DESCRIPTOR_RATIO: f64 = 0.45;
 
-/// What the connections share.
+/// State shared by all client connections.
 struct Clients {
     front: Arc<Front>,
     open_connections: AtomicUsize,
-    /// Notified when a connection has ended.
+    /// Notified whenever a connection ends.
     connection_ended: Notify,
     lingering: Arc<LingeringConnections>,
 }
 
-/// Serves clients until `stopping` becomes true, and then until all accepted requests are answered.
+/// Serves clients until `stopping` becomes true, then until all accepted requests are answered and
+/// all connections are closed.
 pub(super) async fn serve(
     front: Arc<Front>,
     listener: TcpListener,
@@ -44,7 +46,7 @@
     let closing = close_after(stopping.clone());
     let accept_ended = async {
         stopping.wait_for(|stop| *stop).await.ok();
-        sleep(ACCEPT_AFTER_STOP).await;
+        sleep(ACCEPT_PERIOD_AFTER_SIGTERM).await;
     };
     tokio::select! {
         () = accept(&clients, &listener, &closing) => {}
@@ -57,12 +59,13 @@
     clients.lingering.all_closed().await;
 }
 
-/// A signal to close idle connections, some time after `stopping`.
+/// Returns a receiver that becomes true [`IDLE_PERIOD_AFTER_SIGTERM`] after `stopping`; idle
+/// connections are then closed.
 fn close_after(mut stopping: watch::Receiver<bool>) -> watch::Receiver<bool> {
     let (close, closing) = watch::channel(false);
     tokio::spawn(async move {
         stopping.wait_for(|stop| *stop).await.ok();
-        sleep(KEEP_IDLE_AFTER_STOP).await;
+        sleep(IDLE_PERIOD_AFTER_SIGTERM).await;
         close.send_replace(true);
     });
     closing
--- a/crates/node/src/front/datagrams.rs
+++ b/crates/node/src/front/datagrams.rs
@@ -1,11 +1,11 @@
-//! What heartbeats and load reports have in common: both go to core machines in datagrams.
+//! Datagram socket and sequence numbers used by heartbeats and load reports.
 
 use super::state::Front;
 use crate::time::{millis, unix_time};
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// A socket for datagrams of this balancer. `None`, and a line in the log, if it can't be bound.
+/// Binds a UDP socket on the address of this machine. Logs the error and returns `None` on failure.
 pub(super) async fn bind_socket(front: &Front, purpose: &str) -> Option<UdpSocket> {
     UdpSocket::bind(SocketAddr::new(front.settings.ip, 0))
         .await
@@ -13,8 +13,8 @@
         .ok()
 }
 
-/// The wall clock in milliseconds: a number that is higher after a restart, as long as the clock is
-/// not set back.
-pub(super) fn start_number() -> u64 {
+/// Returns the wall clock in milliseconds as a number that increases with every restart of the
+/// process, unless the clock is set back.
+pub(super) fn startup_timestamp_ms() -> u64 {
     millis(unix_time())
 }
--- a/crates/node/src/front/error.rs
+++ b/crates/node/src/front/error.rs
@@ -1,15 +1,15 @@
-//! The error that a front process ends with.
+//! Errors that end a front process.
 
 use crate::error::SetupError;
 use thiserror::Error;
 
-/// A front process can't run.
+/// Reason why a front process can't run.
 #[derive(Debug, Error)]
 pub enum FrontError {
-    /// The settings lack a field that this process needs.
+    /// The settings lack this field, which a front process requires.
     #[error("the settings of a front process lack {0}")]
     MissingSetting(&'static str),
-    /// The operating system refused a socket, a signal handler or the runtime.
+    /// The operating system refused to create a socket, a signal handler or the async runtime.
     #[error(transparent)]
     Setup(#[from] SetupError),
 }
--- a/crates/node/src/front/event_buffer.rs
+++ b/crates/node/src/front/event_buffer.rs
@@ -1,9 +1,9 @@
 //! Splits an event stream (`text/event-stream`, WHATWG HTML 9.2) into complete events, so that a
-//! stream which breaks can be resumed after the last one.
+//! broken stream can be resumed after the last complete event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Collects the data of a stream and returns complete events.
+/// Buffers the data of an event stream and returns complete events.
 #[derive(Debug, Default)]
 pub(super) struct EventBuffer {
     pending: BytesMut,
@@ -11,7 +11,7 @@
 }
 
 impl EventBuffer {
-    /// Adds data, and returns all events that are complete now.
+    /// Appends data and returns all events that it completes.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
         self.pending.extend_from_slice(data);
         let Some(end) = end_of_last_event(&self.pending) else {
@@ -29,13 +29,13 @@
         self.pending.split().freeze()
     }
 
-    /// The last id among the complete events.
+    /// Returns the id of the last complete event that has an id.
     pub fn last_id(&self) -> Option<&[u8]> {
         self.last_id.as_deref()
     }
 }
 
-/// The offset after the last blank line.
+/// Returns the offset after the last blank line, which ends an event.
 fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
     let newlines = bytes
         .iter()
--- a/crates/node/src/front/feed_sources.rs
+++ b/crates/node/src/front/feed_sources.rs
@@ -1,24 +1,25 @@
-//! Chooses the core machines that the feeds are read from: different ones, by preference, and for a
-//! while none that was abandoned because it did not respond or had no quorum.
+//! Selects the core machine that each feed is read from. The feeds read different machines in order
+//! of preference. A machine that did not respond or had no quorum is avoided for
+//! [`AVOIDANCE_PERIOD`].
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long an abandoned machine is avoided if there is another one: a partitioned machine has
-/// stale data.
+/// Time for which an abandoned machine is avoided if another machine is available. A partitioned
+/// machine has stale data.
 const AVOIDANCE_PERIOD: Duration = Duration::from_secs(5);
 
-/// The machines that are read, and those that were abandoned lately.
+/// Machines that the feeds currently read, and machines that were abandoned recently.
 #[derive(Debug)]
 pub(super) struct FeedSources {
-    /// The machine of each feed.
+    /// Machine that each feed reads, by the feed's index.
     current: Vec<Option<SocketAddr>>,
     abandoned_at: HashMap<SocketAddr, Instant>,
 }
 
 impl FeedSources {
-    /// So many feeds that read nothing yet.
+    /// Creates the selection for `feeds` feeds that have no machine yet.
     pub fn new(feeds: usize) -> Self {
         Self {
             current: vec![None; feeds],
@@ -26,8 +27,8 @@
         }
     }
 
-    /// Chooses the machine that a feed reads next: the first one by preference that no other feed
-    /// reads and that was not abandoned lately, else the one that was abandoned longest ago.
+    /// Selects the machine that a feed reads next: the most preferred machine that no other feed
+    /// reads and that was not abandoned recently, or else the machine that was abandoned first.
     pub fn select(
         &mut self,
         now: Instant,
@@ -54,7 +55,7 @@
         selected
     }
 
-    /// Notes that a feed has ended.
+    /// Records that a feed has ended, so that its machine is avoided.
     pub fn abandon(&mut self, now: Instant, feed: usize) {
         if let Some(address) = self.current[feed].take() {
             self.abandoned_at.insert(address, now);
--- a/crates/node/src/front/feed_sources/tests.rs
+++ b/crates/node/src/front/feed_sources/tests.rs
@@ -1,11 +1,11 @@
-//! The choice of machines to read from, with times handed in.
+//! Selection of the machines that the feeds read, with simulated time.
 
 use super::{AVOIDANCE_PERIOD, FeedSources};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-const FEEDS: usize = 2;
-const A_MOMENT: Duration = Duration::from_millis(150);
+const FEED_COUNT: usize = 2;
+const TIME_STEP: Duration = Duration::from_millis(150);
 
 fn machines(count: u16) -> Vec<SocketAddr> {
     (1..=count)
@@ -14,31 +14,31 @@
 }
 
 #[test]
-fn the_feeds_read_different_machines_by_preference() {
-    let (mut sources, all, now) = (FeedSources::new(FEEDS), machines(3), Instant::now());
+fn feeds_read_different_machines_by_preference() {
+    let (mut sources, all, now) = (FeedSources::new(FEED_COUNT), machines(3), Instant::now());
     assert_eq!(sources.select(now, 0, &all), Some(all[0]));
     assert_eq!(sources.select(now, 1, &all), Some(all[1]));
     assert_eq!(
         sources.select(now, 0, &all),
         Some(all[0]),
-        "it may go on with its own"
+        "a feed may select its current machine again"
     );
     assert_eq!(
         sources.select(now, 1, &all[..1]),
         None,
-        "the only one is taken"
+        "the only machine is read by the other feed"
     );
 }
 
 #[test]
-fn an_abandoned_machine_is_avoided_for_a_while() {
-    let (mut sources, all, mut now) = (FeedSources::new(FEEDS), machines(3), Instant::now());
+fn an_abandoned_machine_is_avoided_for_the_avoidance_period() {
+    let (mut sources, all, mut now) = (FeedSources::new(FEED_COUNT), machines(3), Instant::now());
     sources.select(now, 0, &all);
     sources.abandon(now, 0);
-    now += A_MOMENT;
+    now += TIME_STEP;
     assert_eq!(sources.select(now, 0, &all), Some(all[1]));
     sources.abandon(now, 0);
-    now += A_MOMENT;
+    now += TIME_STEP;
     assert_eq!(sources.select(now, 0, &all), Some(all[2]));
     sources.abandon(now, 0);
     now += AVOIDANCE_PERIOD;
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn if_all_were_abandoned_the_one_longest_ago_is_selected_first() {
-    let (mut sources, all, mut now) = (FeedSources::new(FEEDS), machines(2), Instant::now());
+fn if_all_machines_were_abandoned_the_first_one_is_selected() {
+    let (mut sources, all, mut now) = (FeedSources::new(FEED_COUNT), machines(2), Instant::now());
     for expected in [all[0], all[1], all[0], all[1]] {
         assert_eq!(sources.select(now, 0, &all), Some(expected));
         sources.abandon(now, 0);
-        now += A_MOMENT;
+        now += TIME_STEP;
     }
 }
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -1,6 +1,6 @@
-//! Reads the change feed from two core machines at a time, so that the changes come from the one if
-//! the other is partitioned. Each feed has all commands after its beginning in order; a change is
-//! applied from the feed that brings it first.
+//! Reads the change feeds of two core machines at a time, so that changes still arrive if one of
+//! the machines is partitioned. Each feed delivers all commands after its starting point in order.
+//! Each change is applied from the feed that delivers the change first.
 
 use super::feed_sources::FeedSources;
 use super::state::Front;
@@ -17,41 +17,42 @@
 use woadstall_control::wire::{MachineInfo, Packet, SubscribeRequest};
 use woadstall_inbound::lock;
 
-/// Feeds that are read at a time.
-const FEEDS: usize = 2;
-/// How long a machine may send nothing before it is abandoned; it sends its status twice a second.
+/// Number of feeds that are read concurrently.
+const FEED_COUNT: usize = 2;
+/// A machine that sends nothing for this long is abandoned. Machines send their status twice a
+/// second.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// How many statuses without a quorum in a row a machine may send before it is abandoned.
+/// A machine is abandoned after more than this many consecutive statuses without a quorum.
 const MAX_STATUSES_WITHOUT_QUORUM: u32 = 2;
-/// Time between attempts to read a feed.
+/// Pause between attempts to read a feed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How far a feed was read.
+/// FeedPosition in a machine's change feed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Position {
-    /// The epoch of the machine's journal; 0 before anything was read.
+struct FeedPosition {
+    /// Epoch of the machine's journal; 0 before the first snapshot.
     epoch: u64,
-    /// The offset in it after the last event.
+    /// Offset in the journal after the last event.
     offset: u64,
 }
 
-/// Starts a task for each feed.
+/// Spawns a task for each feed.
 pub(super) fn start(front: &Arc<Front>) {
-    let sources = Arc::new(Mutex::new(FeedSources::new(FEEDS)));
-    for feed in 0..FEEDS {
-        tokio::spawn(follow(front.clone(), feed, sources.clone()));
+    let sources = Arc::new(Mutex::new(FeedSources::new(FEED_COUNT)));
+    for feed in 0..FEED_COUNT {
+        tokio::spawn(follow_feed(front.clone(), feed, sources.clone()));
     }
 }
 
-async fn follow(front: Arc<Front>, feed: usize, sources: Arc<Mutex<FeedSources>>) {
-    let mut last: Option<(SocketAddr, Position)> = None;
+async fn follow_feed(front: Arc<Front>, feed: usize, sources: Arc<Mutex<FeedSources>>) {
+    let mut last: Option<(SocketAddr, FeedPosition)> = None;
     loop {
         let preference = machines_by_preference(&front, feed);
         let selected = lock(&sources).select(Instant::now(), feed, &preference);
         if let Some(address) = selected {
             let mut position = match last {
                 Some((last_address, position)) if last_address == address => position,
-                _ => Position::default(),
+                _ => FeedPosition::default(),
             };
             if let Err(error) = read_feed(&front, address, &mut position).await {
                 log::debug!("feed_ended peer={address} error={error}");
@@ -63,9 +64,10 @@
     }
 }
 
-/// The machines in the order in which a feed prefers them, then the seeds. The first feed prefers
-/// machines of the zone, the others those of the region's other zones, so that little traffic
-/// crosses regions. Machines of equal rank come in an order that is different for each balancer.
+/// Returns the addresses of the known machines in order of preference, followed by the seeds. The
+/// first feed prefers machines of this zone, the others prefer machines of the region's other
+/// zones, so that little traffic crosses regions. The order of machines with equal rank differs
+/// between balancers.
 fn machines_by_preference(front: &Front, feed: usize) -> Vec<SocketAddr> {
     let mut ordered: Vec<(u8, u64, SocketAddr)> = Vec::new();
     for machine in front.core_machines() {
@@ -86,7 +88,7 @@
     addresses
 }
 
-/// How much a feed prefers a machine; 0 is best.
+/// Returns the rank of a machine for a feed; 0 is preferred most.
 fn rank(front: &Front, feed: usize, machine: &MachineInfo) -> u8 {
     let same_zone = machine.zone == front.settings.zone;
     let same_region = machine.region == front.settings.region;
@@ -99,12 +101,12 @@
     }
 }
 
-/// Subscribes to a machine's feed and applies what comes, until the machine has no quorum (`Ok`) or
-/// the connection ends.
+/// Subscribes to a machine's feed and applies the received changes until the machine has lost its
+/// quorum (`Ok`) or the connection fails (`Err`).
 async fn read_feed(
     front: &Arc<Front>,
     address: SocketAddr,
-    position: &mut Position,
+    position: &mut FeedPosition,
 ) -> io::Result<()> {
     let mut stream: TcpStream = packet_stream::connect(address).await?;
     let subscribe = Packet::Subscribe(SubscribeRequest {
@@ -124,7 +126,7 @@
                 state,
                 registrations,
             } => {
-                *position = Position { epoch, offset };
+                *position = FeedPosition { epoch, offset };
                 if !state.is_empty() {
                     apply_snapshot(front, &state);
                 }
@@ -164,7 +166,8 @@
     io::Error::new(io::ErrorKind::InvalidData, kind)
 }
 
-/// Replaces the state by that of a snapshot, unless a newer one is applied already.
+/// Replaces the configuration and evacuations by a snapshot unless a newer state is already
+/// applied.
 fn apply_snapshot(front: &Front, bytes: &[u8]) {
     match ControlState::decode(bytes) {
         Ok(state) => front.update_control_state(|current| current.replace_if_newer(state)),
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -1,4 +1,5 @@
-//! A client's request, from its head to its response.
+//! Handles one client request: finds the route, reads the body, and sends the request to upstreams
+//! until one of them answers.
 
 use super::attempt::{
     AttemptResult, DEADLINE, ForwardedRequest, REQUEST_ID, ResponseMode, attempt,
@@ -23,25 +24,25 @@
 use woadstall_routing::Prompt;
 use woadstall_transport::end_to_end;
 
-/// When a client may retry at a front that knows no configuration yet: about the time that an
-/// election and a snapshot take.
+/// Retry time for clients of a front that has no configuration: about the duration of an election
+/// and a snapshot transfer.
 const NO_CONFIGURATION_RETRY: Duration = Duration::from_millis(1_200);
-/// When a client may retry whose body exceeds the memory for bodies.
+/// Retry time for clients whose request body does not fit into the memory for bodies.
 const OVERLOAD_RETRY: Duration = Duration::from_millis(500);
-/// The bodies of all requests together may use one part in so many of the memory.
+/// Request bodies may use the process's memory limit divided by this number.
 const BODY_MEMORY_DIVISOR: usize = 3;
 
-/// The body of a request can't be received.
+/// Failure to receive a request body.
 #[derive(Debug, Error)]
 enum BodyError {
-    /// It is larger than the configuration allows.
-    #[error("the body is too large")]
+    /// The body exceeds the configured size limit.
+    #[error("request body too large")]
     TooLarge,
-    /// The client's connection broke, or its framing is invalid.
-    #[error("the body is broken")]
+    /// The client connection broke, or the framing of the body is invalid.
+    #[error("request body incomplete or malformed")]
     Broken,
-    /// The bodies of all requests together use too much memory.
-    #[error("the memory for bodies is used up")]
+    /// The bodies of all requests together exceed their memory limit.
+    #[error("memory for request bodies exhausted")]
     OutOfMemory,
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// Answers a request.
+/// Forwards a client request and returns the response of an upstream or an error response.
 pub(super) async fn handle_request(
     front: &Arc<Front>,
     request: Request<Incoming>,
@@ -75,7 +76,7 @@
     let route = Arc::new(route.clone());
     let timeout = request_timeout(request.headers(), &route);
     let (mut head, body) = request.into_parts();
-    // Dropped, it gives the memory back: not before the request is answered or its stream begins.
+    // The reservation is released on drop, after the response is complete or its stream has begun.
     let mut memory = BodyMemory::new(
         &front.body_bytes,
         front.settings.memory_bytes / BODY_MEMORY_DIVISOR,
@@ -112,9 +113,9 @@
     forward(front, retries, forwarded).await
 }
 
-/// Sends a request to upstreams until one answers or no further attempt may be made. An upstream's
-/// error is a response too; a request that may be executed again gets it only if no other upstream
-/// does better.
+/// Sends a request to upstreams until one answers or no further attempt may be made. The error
+/// response of an upstream ends a request that is not idempotent. An idempotent request is retried,
+/// and its last error response is returned only if no other upstream succeeds.
 async fn forward(
     front: &Arc<Front>,
     mut retries: RetryState,
@@ -180,7 +181,8 @@
     configuration.route(host, request.uri().path())
 }
 
-/// The time for a request: what its header `Deadline` says, the route's time-out at most.
+/// Returns the time-out of a request: the milliseconds in its `Deadline` header, limited to the
+/// route's time-out.
 fn request_timeout(headers: &HeaderMap, route: &Route) -> Duration {
     headers
         .get(DEADLINE)
@@ -189,7 +191,8 @@
         .min(route.timeout)
 }
 
-/// One of the route's services, drawn by weight; `None` if it is not configured.
+/// Selects one of the route's services at random by weight; `None` if the selected service is not
+/// configured.
 fn pick_service(configuration: &Configuration, route: &Route) -> Option<Arc<Service>> {
     let total: u64 = route.targets.iter().map(|target| target.weight).sum();
     let mut drawn = fastrand::u64(..total.max(1));
@@ -208,7 +211,7 @@
     None
 }
 
-/// Receives a complete body.
+/// Reads a complete request body, limited to `max_bytes` and to the memory reserved for bodies.
 async fn read_body(
     mut body: Incoming,
     memory: &mut BodyMemory<'_>,
--- a/crates/node/src/front/golden_tests.rs
+++ b/crates/node/src/front/golden_tests.rs
@@ -1,11 +1,11 @@
-//! What a front writes to others, to the byte: its datagrams, its request for the feed, its
-//! requests to upstreams, and its own answers.
+//! Compares messages that a front sends byte for byte with golden files: datagrams, feed
+//! subscriptions, requests to upstreams and responses that the front generates itself.
 
 use super::attempt::{AttemptResult, ForwardedRequest, ResponseMode, attempt};
 use super::response::{ClientResponse, service_unavailable, text_response};
 use super::state::Front;
 use super::{feeds, heartbeat, load_reports};
-use crate::golden::{assert_golden, shown};
+use crate::golden::{assert_golden, escape};
 use crate::settings::NodeSettings;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -27,10 +27,10 @@
 use woadstall_routing::{Decision, Prompt, Query, Target};
 
 const LOCAL: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-const PATIENCE: Duration = Duration::from_secs(10);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A front whose control machines listen on this port.
-fn front(internal_port: u16) -> Arc<Front> {
+/// Creates a front that expects the internal protocol of core machines on `internal_port`.
+fn new_front(internal_port: u16) -> Arc<Front> {
     let document = json!({
         "node": "m-1", "ip": LOCAL, "zone": "a-1", "region": "a", "zones": { "a-1": "a", "a-2": "a" },
         "ephemeral_ports": [internal_port, internal_port], "seeds": ["127.0.0.1:7000"],
@@ -42,16 +42,16 @@
     ))
 }
 
-async fn datagram(socket: &UdpSocket) -> Vec<u8> {
+async fn receive_datagram(socket: &UdpSocket) -> Vec<u8> {
     let mut buffer = [0; 2_048];
-    let length = timeout(PATIENCE, socket.recv(&mut buffer))
+    let length = timeout(RECEIVE_TIMEOUT, socket.recv(&mut buffer))
         .await
         .unwrap()
         .unwrap();
     buffer[..length].to_vec()
 }
 
-fn state(generation: u64) -> ControlState {
+fn control_state(generation: u64) -> ControlState {
     let document = json!({
         "generation": generation,
         "routes": [{
@@ -68,20 +68,20 @@
 #[tokio::test]
 async fn heartbeats_are_unchanged() {
     let socket = UdpSocket::bind((LOCAL, 0)).await.unwrap();
-    let front = front(socket.local_addr().unwrap().port());
+    let front = new_front(socket.local_addr().unwrap().port());
     heartbeat::start(&front);
     for (sequence, name) in [(1, "heartbeat-first"), (2, "heartbeat-ready")] {
-        let frame = datagram(&socket).await;
+        let frame = receive_datagram(&socket).await;
         let Packet::BalancerHeartbeat(mut heartbeat) = Packet::decode_datagram(&frame).unwrap()
         else {
             panic!()
         };
         assert_eq!(heartbeat.sequence, sequence);
-        // The time of the start is another one each time.
+        // The incarnation is the start time, so a fixed value replaces it.
         assert!(heartbeat.incarnation > 1_700_000_000_000);
         heartbeat.incarnation = 1_764_600_000_123;
         assert_golden(name, &Packet::BalancerHeartbeat(heartbeat).encode());
-        front.update_control_state(|current| *current = state(3));
+        front.update_control_state(|current| *current = control_state(3));
     }
 }
 
@@ -113,15 +113,15 @@
 }
 
 #[tokio::test]
-async fn reports_of_loads_are_unchanged() {
+async fn load_reports_are_unchanged() {
     let socket = UdpSocket::bind((LOCAL, 0)).await.unwrap();
-    let front = front(1);
+    let front = new_front(1);
     let address = socket.local_addr().unwrap();
     front.set_core_machines(vec![
         control_machine("127.0.0.1:9".parse().unwrap(), "b"),
         control_machine(address, "a"),
     ]);
-    let configuration = state(3).configuration.unwrap();
+    let configuration = control_state(3).configuration.unwrap();
     {
         let mut router = lock(&front.router);
         router.register(0, &registration("i-1"));
@@ -143,13 +143,13 @@
         assert!(matches!(decision, Decision::Forward(_)));
     }
     load_reports::start(&front);
-    let frame = datagram(&socket).await;
+    let frame = receive_datagram(&socket).await;
     let Packet::LoadReport(mut report) = Packet::decode_datagram(&frame).unwrap() else {
         panic!()
     };
     assert!(report.sequence > 1_700_000_000_000);
     report.sequence = 1_764_600_000_123;
-    // Drawn by chance.
+    // The placement numbers are random, so a fixed value replaces them.
     report
         .placements
         .iter_mut()
@@ -158,40 +158,46 @@
 }
 
 #[tokio::test]
-async fn the_request_for_the_feed_is_unchanged() {
+async fn the_feed_subscription_is_unchanged() {
     let listener = TcpListener::bind((LOCAL, 0)).await.unwrap();
-    let front = front(listener.local_addr().unwrap().port());
+    let front = new_front(listener.local_addr().unwrap().port());
     feeds::start(&front);
-    let (mut stream, _) = timeout(PATIENCE, listener.accept()).await.unwrap().unwrap();
-    let mut frame = vec![0; HEADER_BYTES];
-    timeout(PATIENCE, stream.read_exact(&mut frame))
+    let (mut stream, _) = timeout(RECEIVE_TIMEOUT, listener.accept())
         .await
         .unwrap()
         .unwrap();
-    let length = payload_length(frame[..].try_into().unwrap()).unwrap();
-    frame.resize(HEADER_BYTES + length, 0);
-    timeout(PATIENCE, stream.read_exact(&mut frame[HEADER_BYTES..]))
+    let mut frame = vec![0; HEADER_BYTES];
+    timeout(RECEIVE_TIMEOUT, stream.read_exact(&mut frame))
         .await
         .unwrap()
         .unwrap();
+    let length = payload_length(frame[..].try_into().unwrap()).unwrap();
+    frame.resize(HEADER_BYTES + length, 0);
+    timeout(
+        RECEIVE_TIMEOUT,
+        stream.read_exact(&mut frame[HEADER_BYTES..]),
+    )
+    .await
+    .unwrap()
+    .unwrap();
     assert_golden("subscribe", &frame);
 }
 
-/// Reads a request's head and a body of `body` bytes.
-async fn read_request(stream: &mut TcpStream, body: usize) -> String {
+/// Reads the head of a request and a body of `body_bytes` bytes.
+async fn read_request(stream: &mut TcpStream, body_bytes: usize) -> String {
     let mut bytes = Vec::new();
     loop {
         let mut buffer = [0; 4_096];
-        let length = timeout(PATIENCE, stream.read(&mut buffer))
+        let length = timeout(RECEIVE_TIMEOUT, stream.read(&mut buffer))
             .await
             .unwrap()
             .unwrap();
-        assert!(length > 0, "{}", shown(&bytes));
+        assert!(length > 0, "{}", escape(&bytes));
         bytes.extend_from_slice(&buffer[..length]);
         let text = String::from_utf8(bytes.clone()).unwrap();
         if text
             .split_once("\r\n\r\n")
-            .is_some_and(|(_, rest)| rest.len() >= body)
+            .is_some_and(|(_, rest)| rest.len() >= body_bytes)
         {
             return text;
         }
@@ -202,7 +208,7 @@
 async fn requests_to_upstreams_are_unchanged() {
     let listener = TcpListener::bind((LOCAL, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
-    let front = front(1);
+    let front = new_front(1);
     lock(&front.router).register(0, &registration("i-1"));
     let client = Request::builder()
         .method("POST")
@@ -244,7 +250,7 @@
         panic!("no answer")
     };
     assert_eq!((parts.status, &body[..]), (StatusCode::OK, &b"ok"[..]));
-    // The time that is left is another one each time.
+    // The remaining time varies, so a fixed value replaces it.
     let lines: Vec<String> = request
         .split("\r\n")
         .map(|line| match line.strip_prefix("deadline: ") {
@@ -261,20 +267,20 @@
     assert_golden("request-to-upstream.txt", lines.join("\r\n").as_bytes());
 }
 
-async fn written(response: ClientResponse) -> String {
+async fn describe_response(response: ClientResponse) -> String {
     let (parts, body) = response.into_parts();
     let body = body.collect().await.unwrap().to_bytes();
-    format!("{} {:?} {}\n", parts.status, parts.headers, shown(&body))
+    format!("{} {:?} {}\n", parts.status, parts.headers, escape(&body))
 }
 
 #[tokio::test]
-async fn responses_of_its_own_are_unchanged() {
+async fn generated_responses_are_unchanged() {
     assert_eq!(
-        written(text_response(StatusCode::NOT_FOUND, "no such route\n")).await,
+        describe_response(text_response(StatusCode::NOT_FOUND, "no such route\n")).await,
         "404 Not Found {} no such route\n\n"
     );
     assert_eq!(
-        written(service_unavailable(Duration::from_micros(1_200_400))).await,
+        describe_response(service_unavailable(Duration::from_micros(1_200_400))).await,
         "503 Service Unavailable {\"retry-after\": \"1.200\"} not now\n\n"
     );
 }
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -1,6 +1,6 @@
-//! Sends heartbeats to some core machines, so that clients are directed to this balancer.
+//! Sends heartbeats to core machines, so that the directory lists this balancer for clients.
 
-use super::datagrams::{bind_socket, start_number};
+use super::datagrams::{bind_socket, startup_timestamp_ms};
 use super::state::Front;
 use crate::settings::Endpoint;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 use woadstall_control::shards::{MONITOR_COUNT, monitors};
 use woadstall_control::wire::Packet;
 
-/// The interval between heartbeats; one with something new is sent at once.
+/// Interval between heartbeats. A change of readiness is sent at once.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Starts the task that sends heartbeats.
+/// Spawns the task that sends heartbeats.
 pub(super) fn start(front: &Arc<Front>) {
     tokio::spawn(send_heartbeats(front.clone()));
 }
@@ -23,13 +23,13 @@
     let Some(socket) = bind_socket(&front, "heartbeats").await else {
         return;
     };
-    let incarnation = start_number();
+    let incarnation = startup_timestamp_ms();
     for sequence in 1.. {
         let frame = Packet::BalancerHeartbeat(heartbeat(&front, incarnation, sequence)).encode();
         for monitor in monitor_addresses(&front) {
             socket.send_to(&frame, monitor).await.ok();
         }
-        timeout(HEARTBEAT_INTERVAL, front.announce.notified())
+        timeout(HEARTBEAT_INTERVAL, front.heartbeat_due.notified())
             .await
             .ok();
     }
@@ -49,8 +49,9 @@
     }
 }
 
-/// The machines that follow this balancer on the hash ring, and one of its own zone, which may be
-/// the only one that it reaches during a network partition. The seeds before any machine is known.
+/// Returns the addresses of the machines that follow this balancer on the hash ring, and of one
+/// machine of its own zone, which may be the only reachable machine during a network partition.
+/// Returns the seeds until the first machine is known.
 fn monitor_addresses(front: &Front) -> Vec<SocketAddr> {
     let machines = front.core_machines();
     if machines.is_empty() {
--- a/crates/node/src/front/load_reports.rs
+++ b/crates/node/src/front/load_reports.rs
@@ -1,7 +1,7 @@
-//! Reports upstreams' load, as this balancer sees it, to the core machines of its region, for the
-//! other balancers there.
+//! Reports the load that this balancer puts on upstreams to the core machines of its region, which
+//! pass the reports on to the region's other balancers.
 
-use super::datagrams::{bind_socket, start_number};
+use super::datagrams::{bind_socket, startup_timestamp_ms};
 use super::state::Front;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,12 +12,12 @@
 use woadstall_control::wire::Packet;
 use woadstall_inbound::lock;
 
-/// How often the load is checked for changes.
+/// Interval at which the load is checked for changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often a report without changes is repeated, as receivers let it expire.
+/// Interval at which an unchanged report is repeated, because receivers let reports expire.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Starts the task that sends reports.
+/// Spawns the task that sends load reports.
 pub(super) fn start(front: &Arc<Front>) {
     tokio::spawn(send_reports(front.clone()));
 }
@@ -26,7 +26,7 @@
     let Some(socket) = bind_socket(&front, "loads").await else {
         return;
     };
-    let first_sequence = start_number();
+    let first_sequence = startup_timestamp_ms();
     let mut last = LoadReport {
         balancer: short_hash(&front.settings.node),
         zone: front.settings.zone.clone(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// A report like the last one with the load of now.
+/// Builds a report of the current load with the sender and sequence number of the last report.
 fn current_load(front: &Front, last: &LoadReport) -> LoadReport {
     let mut router = lock(&front.router);
     LoadReport {
@@ -69,8 +69,8 @@
     }
 }
 
-/// The core machines of this region: the balancers that share its upstreams read their feeds from
-/// them.
+/// Returns the addresses of this region's core machines. The balancers that share the region's
+/// upstreams read their feeds from these machines.
 fn region_machines(front: &Front) -> Vec<SocketAddr> {
     front
         .core_machines()
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -1,12 +1,13 @@
 //! The front process: forwards clients' requests to upstreams.
 //!
-//! The way of a request: [`clients`] accepts its connection, [`client_connection`] reads it,
-//! [`forward`] finds its route and loops over attempts, [`retry`] decides on each further attempt,
-//! [`attempt`] sends it over a connection of the [`pool`], and [`stream`] forwards a streamed
-//! response. The router (`woadstall-routing`) chooses the upstreams.
+//! Each request passes through these modules: [`clients`] accepts the connection,
+//! [`client_connection`] reads the request, [`forward`] finds the route and loops over attempts,
+//! [`retry`] decides on each further attempt, [`attempt`] sends the request over a connection of
+//! the [`pool`], and [`stream`] forwards a streamed response. The router (`woadstall-routing`)
+//! chooses the upstreams.
 //!
-//! What the router knows comes from core machines: [`feeds`] reads their change feeds.
-//! [`heartbeat`] and [`load_reports`] tell them about this balancer.
+//! [`feeds`] reads the change feeds of core machines and keeps the router up to date. [`heartbeat`]
+//! and [`load_reports`] report the state and the load of this balancer to core machines.
 
 mod attempt;
 mod client_connection;
@@ -42,18 +43,19 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use woadstall_inbound::listen;
 
-/// How often expired state is removed and the settings file is checked for changes.
+/// Interval at which expired state is removed and the settings file is checked for changes.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long before the end of the grace period the process ends by itself.
+/// The process exits this long before the grace period ends, so that it is not killed first.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Runs until SIGTERM, and then until all accepted requests are answered or the grace period ends.
-/// Logs at most `reports_per_second` reports of requests that were late, rejected, failed or
-/// retried; none if that is 0.
+/// Runs the front until SIGTERM, then until all accepted requests are answered or the grace period
+/// ends. Logs at most `reports_per_second` reports of requests that were late, rejected, failed or
+/// retried; 0 turns the reports off.
 ///
 /// # Errors
 ///
-/// The settings lack a field, or the operating system refuses a socket or a signal handler.
+/// Fails if the settings lack a required field or if the operating system refuses a socket or a
+/// signal handler.
 pub fn run(
     settings: NodeSettings,
     watcher: SettingsWatcher,
@@ -62,7 +64,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(SetupError::during("the runtime"))?;
+        .map_err(SetupError::during("start the async runtime"))?;
     let result = runtime.block_on(serve(settings, watcher, reports_per_second));
     runtime.shutdown_background();
     result
@@ -77,9 +79,13 @@
         .listen_address(Endpoint::Front)
         .ok_or(FrontError::MissingSetting("listen.front"))?;
     let front = Arc::new(Front::new(settings, reports_per_second));
-    let mut terminate = signal(SignalKind::terminate()).map_err(SetupError::during("SIGTERM"))?;
-    let mut hangup = signal(SignalKind::hangup()).map_err(SetupError::during("SIGHUP"))?;
-    let listener = listen(address).map_err(SetupError::during("the address for clients"))?;
+    let mut terminate = signal(SignalKind::terminate())
+        .map_err(SetupError::during("install the SIGTERM handler"))?;
+    let mut hangup =
+        signal(SignalKind::hangup()).map_err(SetupError::during("install the SIGHUP handler"))?;
+    let listener = listen(address).map_err(SetupError::during(format!(
+        "listen for clients on {address}"
+    )))?;
     if let Some(address) = front.settings.listen_address(Endpoint::Readiness) {
         readiness::start(address, front.clone())?;
     }
@@ -105,11 +111,12 @@
     Ok(())
 }
 
-/// Announces that no more clients should come, and waits until all accepted requests are answered.
+/// Reports the balancer as not ready to core machines and waits until all accepted requests are
+/// answered or the grace period ends.
 async fn shut_down(front: &Front, stop: &watch::Sender<bool>, clients: JoinHandle<()>) {
     front.shutting_down.store(true, Ordering::Relaxed);
     log::info!("shutdown_started signal=SIGTERM");
-    front.announce.notify_one();
+    front.heartbeat_due.notify_one();
     stop.send_replace(true);
     let grace_period = front.settings.grace_period.saturating_sub(GRACE_MARGIN);
     tokio::select! {
--- a/crates/node/src/front/pool.rs
+++ b/crates/node/src/front/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to upstreams, and limits of open ones.
+//! Pools idle connections to upstreams and limits the number of open connections.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -14,36 +14,37 @@
 use woadstall_socket_options::enable_dead_peer_detection;
 use woadstall_transport::{Connection, ConnectionCounts};
 
-/// How long a connection to an upstream of this region may take to be established, and to one of
-/// another region: some round trips, far less than the second after which a lost SYN would be
-/// retransmitted.
+/// Connect time-out for upstreams of this region. Both connect time-outs allow some round trips and
+/// are far below the one second after which the kernel retransmits a lost SYN.
 const LOCAL_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Connect time-out for upstreams of other regions.
 const REMOTE_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long data sent to an upstream may stay unacknowledged.
+/// Maximum time for which data sent to an upstream may stay unacknowledged.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long an idle connection is kept if its upstream does not say how long it keeps it.
+/// Idle time-out of connections to upstreams that send no `Keep-Alive` time-out.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long before its upstream an idle connection is closed here, at most: a round trip between
-/// regions and time in queues.
+/// An idle connection is closed up to this long before its upstream would close the connection. The
+/// margin covers a round trip between regions and queueing.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
-/// The part of the descriptors that upstreams may use; the rest is for clients and other uses.
+/// Fraction of the process's file descriptors that connections to upstreams may use. The remaining
+/// descriptors are left for clients and other uses.
 const UPSTREAM_DESCRIPTOR_RATIO: f64 = 0.45;
 
-/// There is no connection for a request.
+/// Reason why the pool has no connection for a request.
 #[derive(Debug, Error)]
 pub(super) enum PoolError {
-    /// The limit of connections, to this upstream or to all, is reached.
-    #[error("the limit of connections is reached")]
+    /// The connection limit of the upstream or of the whole pool is reached.
+    #[error("connection limit reached")]
     Full,
     /// The connection can't be established.
     #[error("{0}")]
     Unreachable(#[from] io::Error),
 }
 
-/// A connection of the pool, counted while it is open.
+/// An open connection that counts against the limits of the pool.
 pub(super) struct PooledConnection {
     connection: Connection,
-    /// Whether it has been used before.
+    /// Whether the connection has carried an earlier request.
     pub is_reused: bool,
     _permit: ConnectionPermit,
 }
@@ -62,7 +63,7 @@
     }
 }
 
-/// Counts a connection, to its upstream and in total, until dropped.
+/// Counts one connection against the limits of its upstream and of the pool until it is dropped.
 struct ConnectionPermit {
     upstream_open: Arc<AtomicUsize>,
     total_open: Arc<AtomicUsize>,
@@ -97,14 +98,14 @@
     }
 }
 
-/// The connections to one upstream.
+/// Idle connections to one upstream and the number of its open connections.
 #[derive(Default)]
 struct UpstreamConnections {
     open: Arc<AtomicUsize>,
     idle: Vec<IdleConnection>,
 }
 
-/// The connections to all upstreams.
+/// Connections to all upstreams of a front.
 pub(super) struct ConnectionPool {
     upstreams: Mutex<HashMap<UpstreamId, UpstreamConnections>>,
     open: Arc<AtomicUsize>,
@@ -112,14 +113,14 @@
     counts: Arc<ConnectionCounts>,
 }
 
-/// What [`ConnectionPool::acquire`] has found.
+/// An idle connection, or the permission to open a new connection.
 enum Acquired {
     Idle(PooledConnection),
     Permit(ConnectionPermit),
 }
 
 impl ConnectionPool {
-    /// An empty pool in a process with so many file descriptors.
+    /// Creates an empty pool for a process that may open `max_fds` file descriptors.
     pub fn new(max_fds: usize) -> Self {
         Self {
             upstreams: Mutex::default(),
@@ -129,11 +130,11 @@
         }
     }
 
-    /// An idle connection to a target, or a new one.
+    /// Returns an idle connection to a target or establishes a new connection.
     ///
     /// # Errors
     ///
-    /// The limit of connections is reached, or a new connection can't be established.
+    /// Fails if the connection limit is reached or if a new connection can't be established.
     pub async fn acquire(&self, target: &Target) -> Result<PooledConnection, PoolError> {
         let permit = match self.acquire_idle_or_permit(target)? {
             Acquired::Idle(connection) => return Ok(connection),
@@ -172,8 +173,9 @@
         Ok(Acquired::Permit(permit))
     }
 
-    /// Keeps a connection after a complete response. `upstream_timeout` is the time after which its
-    /// upstream closes it.
+    /// Returns a connection to the pool after a complete response. `upstream_timeout` is the time
+    /// after which the upstream closes the idle connection; `None` if the upstream has not
+    /// announced one.
     pub fn release(
         &self,
         id: &UpstreamId,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Closes idle connections that have expired, and removes upstreams without connections.
+    /// Closes expired idle connections and removes upstreams without open connections.
     pub fn sweep(&self) {
         let now = Instant::now();
         let mut upstreams = lock(&self.upstreams);
@@ -205,7 +207,7 @@
     }
 }
 
-/// How long a connection may be idle that its upstream closes after a time.
+/// Returns the idle time-out for a connection that its upstream closes after `upstream_timeout`.
 fn idle_timeout(upstream_timeout: Duration) -> Duration {
     upstream_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN.min(upstream_timeout / 2))
 }
--- a/crates/node/src/front/prompt.rs
+++ b/crates/node/src/front/prompt.rs
@@ -1,17 +1,19 @@
-//! The header `prompt-prefix`, in which a client describes the prompt of a request to a model.
+//! Parses the `prompt-prefix` header, in which a client describes the prompt of a model request.
 
 use hyper::header::HeaderMap;
 use woadstall_control::shards::short_hash;
 use woadstall_routing::Prompt;
 
-/// The header: `id:tokens` for each section of the prompt in order, separated by commas.
+/// Name of the header. Its value lists the sections of the prompt in order as `id:tokens`,
+/// separated by commas.
 const PROMPT_PREFIX: &str = "prompt-prefix";
-/// Tokens of a shared prefix from which on a prefix cache is worth looking for: to prefill them
-/// takes some ten milliseconds.
+/// Minimum length of a shared prefix that is routed by prefix cache, in tokens. Prefilling so many
+/// tokens takes some ten milliseconds.
 const MIN_SHARED_TOKENS: u64 = 1_024;
 
-/// The prompt that a request's headers describe. Its shared prefix are the sections up to the one
-/// with which it reaches [`MIN_SHARED_TOKENS`]; the last section is never shared.
+/// Returns the prompt described by the headers of a request. The shared prefix ends with the
+/// section that brings it to [`MIN_SHARED_TOKENS`]. The last section is never part of the shared
+/// prefix.
 pub(super) fn prompt_of(headers: &HeaderMap) -> Prompt {
     let value = headers
         .get(PROMPT_PREFIX)
--- a/crates/node/src/front/prompt/tests.rs
+++ b/crates/node/src/front/prompt/tests.rs
@@ -1,4 +1,4 @@
-//! Prompts as the header describes them.
+//! Parsing of the `prompt-prefix` header.
 
 use super::{PROMPT_PREFIX, prompt_of};
 use hyper::header::{HeaderMap, HeaderValue};
--- a/crates/node/src/front/readiness.rs
+++ b/crates/node/src/front/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness endpoint, by which the platform learns whether clients may come.
+//! Readiness endpoint, which the platform probes to learn whether clients may connect.
 
 use super::FrontError;
 use super::state::Front;
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Serves `GET /v1/readiness` on an address of its own.
+/// Serves `GET /v1/readiness` on `address`.
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Fails if the address can't be bound.
 pub(super) fn start(address: SocketAddr, front: Arc<Front>) -> Result<(), FrontError> {
     http_server::spawn(address, None, move |request| match request.url().as_str() {
         "/v1/readiness" if front.is_ready() => Response::text("ready\n"),
--- a/crates/node/src/front/request_reports.rs
+++ b/crates/node/src/front/request_reports.rs
@@ -1,5 +1,5 @@
-//! Reports in the log of requests that were late, rejected, failed or retried: off unless the
-//! command line asks for them, and limited in rate.
+//! Logs reports of requests that were late, rejected, failed or retried. Reports are rate limited
+//! and disabled unless the command line sets a rate.
 
 use crate::time::millis;
 use std::collections::BTreeMap;
@@ -12,20 +12,20 @@
 use woadstall_request_reports::{AttemptOutcome, AttemptReport, Cause, RequestReport};
 use woadstall_routing::{CandidateSummary, Prompt, Target};
 
-/// The window of the rate limit.
+/// Length of the windows in which reports are counted for the rate limit.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Writes reports, at a limited rate.
+/// Writes request reports to the log at a limited rate.
 pub(super) struct ReportLog {
-    /// This balancer's zone.
+    /// Zone of this balancer.
     zone: String,
     max_per_second: u64,
     window: Mutex<RateWindow>,
-    /// Reports above the rate limit that no line has counted yet.
+    /// Number of reports dropped by the rate limit since the last `request_reports_dropped` line.
     dropped: AtomicU64,
 }
 
-/// The window of the rate limit in which reports were written last.
+/// The most recent window of the rate limit and the number of reports written in it.
 struct RateWindow {
     began: Instant,
     written: u64,
@@ -41,7 +41,7 @@
 }
 
 impl ReportLog {
-    /// The reports of a balancer in this zone; none if the rate is 0.
+    /// Creates the report log of a balancer in `zone`. A rate of 0 disables reports.
     pub fn new(zone: String, max_per_second: u64) -> Self {
         Self {
             zone,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Begins to trace a request; `None` if reports are off.
+    /// Starts tracing a request; `None` if reports are disabled.
     pub fn trace(
         self: &Arc<Self>,
         route: &Arc<Route>,
@@ -87,8 +87,8 @@
     }
 }
 
-/// Collects what a report says about one request. Dropped before its end, it reports that the
-/// client has disconnected.
+/// Collects the data for the report of one request. A trace that is dropped before the request has
+/// ended reports that the client has disconnected.
 pub(super) struct RequestTrace {
     log: Arc<ReportLog>,
     route: Arc<Route>,
@@ -96,8 +96,9 @@
     prompt: Prompt,
     arrived: Instant,
     attempt_began: Instant,
-    /// When the first and the last data of the response came.
+    /// Arrival of the first response data.
     first_data: Option<Instant>,
+    /// Arrival of the most recent response data.
     last_data: Option<Instant>,
     longest_gap: Duration,
     attempts: Vec<AttemptReport>,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// An attempt at an upstream begins.
+    /// Starts the record of an attempt, together with the router's summary of the candidates.
     pub fn begin_attempt(&mut self, target: &Target, candidates: &CandidateSummary) {
         self.attempt_began = Instant::now();
         let excluded: BTreeMap<String, usize> = candidates
@@ -143,7 +144,7 @@
         });
     }
 
-    /// The attempt has ended, and so has its response.
+    /// Records the outcome and the duration of the current attempt.
     pub fn end_attempt(&mut self, outcome: AttemptOutcome) {
         let duration_ms = millis(self.attempt_began.elapsed());
         if let Some(attempt) = self.attempts.last_mut() {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Data of the response has come.
+    /// Records the arrival of response data and updates the longest gap between arrivals.
     pub fn record_data(&mut self) {
         let now = Instant::now();
         self.first_data.get_or_insert(now);
@@ -161,7 +162,8 @@
         }
     }
 
-    /// The request was answered completely; that is reported if it was late or retried.
+    /// Ends the trace of a request that was answered completely. A report is written only if the
+    /// request missed its latency targets or was retried.
     pub fn complete(mut self) {
         let latency = self.first_data.unwrap_or_else(Instant::now) - self.arrived;
         let gap_limit = self.route.inter_event_target;
@@ -176,7 +178,7 @@
         }
     }
 
-    /// The request has ended otherwise.
+    /// Ends the trace of a request that did not get a complete response and writes its report.
     pub fn fail(mut self, cause: Cause) {
         self.report(cause);
     }
--- a/crates/node/src/front/response.rs
+++ b/crates/node/src/front/response.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A response as hyper writes it.
+/// A response that hyper sends to a client.
 pub(super) type ClientResponse = Response<ResponseBody>;
 
-/// The body of a response.
+/// Body of a response to a client.
 pub(super) enum ResponseBody {
-    /// All of it.
+    /// A body that is completely in memory.
     Complete(Bytes),
-    /// A stream. An error closes the connection, so that the client does not take the body for
-    /// complete.
+    /// A streamed body. An error closes the connection, so that the client recognizes the body as
+    /// truncated.
     Stream(mpsc::Receiver<io::Result<Bytes>>),
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// A response of this balancer's own, with a line of text.
+/// Builds a plain-text response that the balancer generates itself.
 pub(super) fn text_response(status: StatusCode, text: &'static str) -> ClientResponse {
     let body = ResponseBody::Complete(Bytes::from_static(text.as_bytes()));
     let mut response = Response::new(body);
@@ -59,9 +59,9 @@
     response
 }
 
-/// The rejection of a request that has not been executed and never will be, with the time after
-/// which the client may retry (`Retry-After` in seconds with three decimals; RFC 9110 has whole
-/// seconds).
+/// Builds the response to a request that has not been executed and never will be. `Retry-After`
+/// holds the time after which the client may retry, in seconds with three decimals (RFC 9110
+/// specifies whole seconds).
 pub(super) fn service_unavailable(retry_after: Duration) -> ClientResponse {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "not now\n");
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
--- a/crates/node/src/front/retry.rs
+++ b/crates/node/src/front/retry.rs
@@ -1,4 +1,4 @@
-//! Decides whether a request gets a further attempt, and where.
+//! Decides whether a request is retried and selects the upstream of each attempt.
 
 use super::attempt::AttemptResult;
 use super::request_reports::RequestTrace;
@@ -13,46 +13,47 @@
 use woadstall_request_reports::{AttemptOutcome, Cause};
 use woadstall_routing::{Decision, Prompt, Query, Rejection, Target, UpstreamId};
 
-/// Attempts at most for which no connection can be established.
-const MAX_UNSENT: u32 = 4;
-/// Rejections by upstreams at most; none of them has executed the request.
+/// Maximum number of attempts per request that end before anything is sent to the upstream.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
+/// Maximum number of upstreams that may reject a request. An upstream that rejects a request has
+/// not executed it.
 const MAX_REJECTIONS: u32 = 2;
 
-/// The attempts of one request so far.
+/// Attempts of one request and the limits that apply to further attempts.
 pub(super) struct RetryState {
     pub route: Arc<Route>,
     service: Arc<Service>,
     prompt: Prompt,
     attempted: Vec<UpstreamId>,
-    /// Attempts that were sent and not rejected.
+    /// Number of attempts that were sent and not rejected.
     sent: u32,
     unsent: u32,
     rejected: u32,
-    /// An upstream may have executed the request.
+    /// Whether an upstream may have executed the request.
     may_have_executed: bool,
-    /// When the client may retry if the request is rejected.
+    /// Time until the client may retry if the request is rejected.
     retry_after: Duration,
-    /// The report of the request, if it is wanted.
+    /// Report of the request; `None` if reports are disabled.
     trace: Option<RequestTrace>,
 }
 
-/// A request gets no further attempt.
+/// Reason why a request gets no further attempt.
 #[derive(Debug, Error)]
-pub(super) enum NoFurtherAttempt {
-    /// It has had as many attempts as it may have.
-    #[error("the limit of attempts is reached")]
+pub(super) enum RetryDenied {
+    /// The request has reached the limit of attempts, unsent attempts or rejections.
+    #[error("attempt limit reached")]
     AttemptLimit,
-    /// The retry budget of its service is used up.
-    #[error("the retry budget is used up")]
+    /// The retry budget of the service is exhausted.
+    #[error("retry budget exhausted")]
     RetryBudget,
-    /// The router has no upstream for it now.
-    #[error("no upstream is available")]
+    /// The router has no usable upstream for the request.
+    #[error("no upstream available")]
     NoUpstream,
 }
 
 impl RetryState {
-    /// The state of a request without an attempt. `retry_after` is for a client whose request is
-    /// rejected before the router has said when it may retry.
+    /// Creates the state of a request before its first attempt. `retry_after` is sent to the client
+    /// if the request is rejected before the router has returned a retry time.
     pub fn new(
         route: Arc<Route>,
         service: Arc<Service>,
@@ -74,20 +75,20 @@
         }
     }
 
-    /// The upstream for the next attempt.
+    /// Selects the upstream for the next attempt and counts retries against the retry budget.
     ///
     /// # Errors
     ///
-    /// There is to be no further attempt.
-    pub fn next_target(&mut self, front: &Front) -> Result<Target, NoFurtherAttempt> {
+    /// Fails if the request may not be attempted again or if no upstream is available.
+    pub fn next_target(&mut self, front: &Front) -> Result<Target, RetryDenied> {
         if self.is_limit_reached() {
-            return Err(NoFurtherAttempt::AttemptLimit);
+            return Err(RetryDenied::AttemptLimit);
         }
         let now = front.now();
         let mut router = lock(&front.router);
         let is_retry = self.sent + self.rejected > 0;
         if is_retry && !router.try_withdraw_retry(now, &self.service.name) {
-            return Err(NoFurtherAttempt::RetryBudget);
+            return Err(RetryDenied::RetryBudget);
         }
         let query = Query {
             route: &self.route,
@@ -115,18 +116,18 @@
                 if no_usable_upstream && self.attempted.is_empty() {
                     log::debug!("no_usable_upstream service={}", self.service.name);
                 }
-                Err(NoFurtherAttempt::NoUpstream)
+                Err(RetryDenied::NoUpstream)
             }
         }
     }
 
     fn is_limit_reached(&self) -> bool {
         self.sent >= self.route.max_attempts.max(1)
-            || self.unsent >= MAX_UNSENT
+            || self.unsent >= MAX_UNSENT_ATTEMPTS
             || self.rejected >= MAX_REJECTIONS
     }
 
-    /// Counts an attempt that has ended, or whose streamed response has begun.
+    /// Counts an attempt that has ended or whose streamed response has begun.
     pub fn record(&mut self, result: &AttemptResult) {
         match result {
             AttemptResult::NotSent => self.unsent += 1,
@@ -144,36 +145,36 @@
         }
     }
 
-    /// Reports how the current attempt has ended.
+    /// Records the outcome of the current attempt in the request report.
     pub fn end_attempt(&mut self, outcome: AttemptOutcome) {
         if let Some(trace) = &mut self.trace {
             trace.end_attempt(outcome);
         }
     }
 
-    /// Reports that a part of the response has come.
+    /// Records in the request report that response data has arrived.
     pub fn record_data(&mut self) {
         if let Some(trace) = &mut self.trace {
             trace.record_data();
         }
     }
 
-    /// Reports that the request was answered completely.
+    /// Finishes the request report after a complete response.
     pub fn complete(&mut self) {
         if let Some(trace) = self.trace.take() {
             trace.complete();
         }
     }
 
-    /// Reports that the request has ended otherwise.
+    /// Finishes the request report of a request that did not get a complete response.
     pub fn fail(&mut self, cause: Cause) {
         if let Some(trace) = self.trace.take() {
             trace.fail(cause);
         }
     }
 
-    /// The response to a request without a response from an upstream: with `Retry-After` only if it
-    /// was not executed.
+    /// Returns the response to a request that no upstream has answered. The response contains
+    /// `Retry-After` only if no upstream can have executed the request.
     pub fn into_failure(mut self) -> ClientResponse {
         if self.may_have_executed {
             self.fail(Cause::Failed);
@@ -184,7 +185,8 @@
     }
 }
 
-/// How an attempt is reported; `None` where its end is still to come.
+/// Returns the outcome of an attempt for the request report; `None` for a streamed response, whose
+/// outcome is not known until the stream ends.
 fn outcome_of(result: &AttemptResult) -> Option<AttemptOutcome> {
     match result {
         AttemptResult::NotSent => Some(AttemptOutcome::NotSent),
--- a/crates/node/src/front/state.rs
+++ b/crates/node/src/front/state.rs
@@ -1,4 +1,4 @@
-//! The state that the tasks of a front share.
+//! State shared by all tasks of a front process.
 
 use super::pool::ConnectionPool;
 use super::request_reports::ReportLog;
@@ -17,42 +17,42 @@
 use woadstall_inbound::lock;
 use woadstall_routing::{Fleet, Location, Router};
 
-/// How long a balancer counts among those that share limits after it was last listed, in
-/// milliseconds: one that can't be heard of may go on sending.
+/// Time after its last listing for which a balancer still takes part in shared limits, in
+/// milliseconds. A balancer that core machines have lost contact with may still send requests.
 const BALANCER_EXPIRY_MS: u64 = 30_000;
 
-/// The shared state of a front.
+/// Settings, router, connection pool and known machines of a front process.
 pub(super) struct Front {
     pub settings: NodeSettings,
     started: Instant,
-    /// The configuration and evacuations that are applied here.
+    /// Configuration and evacuations that this front has applied.
     control_state: Mutex<ControlState>,
     pub router: Mutex<Router>,
     pub pool: ConnectionPool,
     core_machines: Mutex<Vec<MachineInfo>>,
     /// Internal addresses of the seeds in the current settings.
     seeds: Mutex<Vec<SocketAddr>>,
-    /// Balancers that were listed lately, by the hash of their name.
+    /// Balancers listed within [`BALANCER_EXPIRY_MS`], by the hash of their name.
     balancers: Mutex<BTreeMap<u32, ListedBalancer>>,
-    /// Notified when a heartbeat has something new to say.
-    pub announce: Notify,
-    /// SIGTERM has come.
+    /// Notified when the readiness of this balancer changes, so that a heartbeat is sent at once.
+    pub heartbeat_due: Notify,
+    /// Set when SIGTERM is received.
     pub shutting_down: AtomicBool,
-    /// Bytes in the bodies of requests that are being forwarded.
+    /// Total size of the request bodies that are held in memory, in bytes.
     pub body_bytes: AtomicUsize,
-    /// Reports of requests that did not go well.
+    /// Log of reports on requests that were late, rejected, failed or retried.
     pub reports: Arc<ReportLog>,
 }
 
-/// A balancer as a core machine has listed it.
+/// An active balancer reported by a core machine.
 struct ListedBalancer {
-    /// Milliseconds since this process's start.
+    /// Time of the last report, in milliseconds since the start of this process.
     listed_at: u64,
     zone: String,
 }
 
 impl Front {
-    /// The state of a front that knows no configuration yet.
+    /// Creates the state of a front that has not received a configuration.
     pub fn new(settings: NodeSettings, reports_per_second: u64) -> Self {
         let location = Location {
             region: settings.region.clone(),
@@ -67,7 +67,7 @@
             core_machines: Mutex::default(),
             seeds: Mutex::new(settings.internal_seeds()),
             balancers: Mutex::default(),
-            announce: Notify::new(),
+            heartbeat_due: Notify::new(),
             shutting_down: AtomicBool::new(false),
             body_bytes: AtomicUsize::new(0),
             reports: Arc::new(ReportLog::new(settings.zone.clone(), reports_per_second)),
@@ -75,43 +75,44 @@
         }
     }
 
-    /// Milliseconds since the start: the router's clock.
+    /// Time since the start of the process in milliseconds, used as the router's clock.
     pub fn now(&self) -> u64 {
         millis(self.started.elapsed())
     }
 
-    /// The configuration that is applied.
+    /// Returns the applied configuration; `None` until the first snapshot is applied.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         lock(&self.control_state).configuration.clone()
     }
 
-    /// The position of the last applied command in the replicated log.
+    /// Returns the replicated log's index of the last applied command.
     pub fn applied_index(&self) -> u64 {
         lock(&self.control_state).index
     }
 
-    /// Whether clients may come.
+    /// Returns whether clients may connect: a configuration is applied and no shutdown has begun.
     pub fn is_ready(&self) -> bool {
         !self.shutting_down.load(Ordering::Relaxed)
             && lock(&self.control_state).configuration.is_some()
     }
 
-    /// Internal addresses of the seeds.
+    /// Returns the internal addresses of the seeds in the current settings.
     pub fn seeds(&self) -> Vec<SocketAddr> {
         lock(&self.seeds).clone()
     }
 
-    /// The core machines that are known.
+    /// Returns the core machines from the latest machine status that was accepted.
     pub fn core_machines(&self) -> Vec<MachineInfo> {
         lock(&self.core_machines).clone()
     }
 
-    /// Replaces the core machines that are known.
+    /// Replaces the list of known core machines.
     pub fn set_core_machines(&self, machines: Vec<MachineInfo>) {
         *lock(&self.core_machines) = machines;
     }
 
-    /// Changes the configuration or the evacuations, and informs the router.
+    /// Applies `change` to the configuration and evacuations. Passes changed evacuations to the
+    /// router and sends a heartbeat when the first configuration arrives.
     pub fn update_control_state(&self, change: impl FnOnce(&mut ControlState)) {
         let mut state = lock(&self.control_state);
         let evacuated_before = state.evacuated_zones.clone();
@@ -120,7 +121,7 @@
         if state.generation() != generation_before {
             log::info!("configuration_applied generation={}", state.generation());
             if generation_before == 0 {
-                self.announce.notify_one();
+                self.heartbeat_due.notify_one();
             }
         }
         if state.evacuated_zones != evacuated_before {
@@ -142,15 +143,15 @@
         lock(&self.router).set_evacuated_zones(self.now(), &state.evacuated_zones, warmup);
     }
 
-    /// Applies what may change while the process runs: the seeds.
+    /// Applies reloaded settings. Only the seeds can change while the process runs.
     pub fn apply_settings(&self, settings: Option<NodeSettings>) {
         if let Some(settings) = settings {
             *lock(&self.seeds) = settings.internal_seeds();
         }
     }
 
-    /// Updates the balancers that share limits with this one. Those that were listed a while ago
-    /// still count: they may still send requests.
+    /// Updates the balancers that share limits with this one. A balancer that is no longer listed
+    /// is counted until [`BALANCER_EXPIRY_MS`] has passed because it may still send requests.
     pub fn update_balancers(&self, zones: &[ZoneBalancers]) {
         let now = self.now();
         let mut known = lock(&self.balancers);
@@ -173,7 +174,7 @@
         lock(&self.router).set_fleet(fleet);
     }
 
-    /// Removes expired state.
+    /// Removes expired entries of the router and expired idle connections.
     pub fn sweep(&self) {
         lock(&self.router).sweep(self.now());
         self.pool.sweep();
--- a/crates/node/src/front/stream.rs
+++ b/crates/node/src/front/stream.rs
@@ -1,5 +1,5 @@
-//! Forwards a streamed response as it arrives, and resumes it at another upstream if its route
-//! allows that.
+//! Forwards streamed responses as they arrive and resumes a broken stream at another upstream if
+//! the route is resumable.
 
 use super::attempt::{
     AttemptResult, ForwardedRequest, StreamingResponse, attempt, release_connection,
@@ -20,12 +20,12 @@
 use woadstall_request_reports::{AttemptOutcome, Cause};
 use woadstall_routing::Outcome;
 
-/// The id of the last event that a client has received (WHATWG HTML 9.2.4).
+/// Request header with the id of the last event that the client has received (WHATWG HTML 9.2.4).
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Chunks at most that wait for a client.
+/// Maximum number of chunks queued for a client.
 const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// How a body has ended.
+/// Reason why copying a response body has ended.
 enum StreamEnd {
     Complete,
     Truncated,
@@ -33,8 +33,8 @@
     TimedOut,
 }
 
-/// Forwards a response that has begun, in a task of its own; returns the body of the client's
-/// response.
+/// Spawns a task that forwards a response whose head has arrived. Returns the body of the response
+/// to the client.
 pub(super) fn forward_stream(
     front: &Arc<Front>,
     retries: RetryState,
@@ -53,12 +53,12 @@
     ResponseBody::Stream(receiver)
 }
 
-/// A stream to a client, from one upstream after the other.
+/// A streamed response to one client. Its data may come from several upstreams in turn.
 struct Stream {
     front: Arc<Front>,
     retries: RetryState,
     request: ForwardedRequest,
-    /// Present if the stream can be resumed: the client then gets complete events only.
+    /// Present if the route is resumable. The client then receives complete events only.
     event_buffer: Option<EventBuffer>,
     client: mpsc::Sender<io::Result<Bytes>>,
 }
@@ -67,8 +67,8 @@
     async fn run(mut self, mut response: StreamingResponse) {
         loop {
             let end = self.copy_body(&mut response).await;
-            // Until the next attempt has ended the broken connection still counts against the
-            // limits of connections.
+            // The broken connection is kept, and counted against the connection limits, until the
+            // next attempt has ended.
             let _broken = match self.end_attempt(end, response).await {
                 ControlFlow::Continue(connection) => connection,
                 ControlFlow::Break(()) => return,
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Copies a body to the client until it ends.
+    /// Copies a response body to the client until the body ends, the client disconnects or the
+    /// deadline passes.
     async fn copy_body(&mut self, response: &mut StreamingResponse) -> StreamEnd {
         let deadline = self.request.deadline;
         loop {
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Ends an attempt; continues, with the broken connection, if the stream may be resumed.
+    /// Records the outcome of an attempt. Returns the broken connection if the response was
+    /// truncated, so that the stream may be resumed.
     async fn end_attempt(
         &mut self,
         end: StreamEnd,
@@ -169,7 +171,8 @@
         self.client.send(Err(kind.into())).await.ok();
     }
 
-    /// Requests the events after the last complete one from another upstream.
+    /// Requests the events that follow the last complete event from another upstream. Returns
+    /// `None` if no upstream can continue the stream.
     async fn resume(&mut self) -> Option<StreamingResponse> {
         let buffer = self.event_buffer.as_mut()?;
         buffer.take_incomplete();
--- a/crates/node/src/golden.rs
+++ b/crates/node/src/golden.rs
@@ -11,12 +11,12 @@
     assert!(
         bytes == expected,
         "{name}:\n{}\ninstead of\n{}",
-        shown(bytes),
-        shown(&expected)
+        escape(bytes),
+        escape(&expected)
     );
 }
 
 /// Bytes as text.
-pub(crate) fn shown(bytes: &[u8]) -> String {
+pub(crate) fn escape(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string().replace("\\n", "\n")
 }
