--- a/crates/node/src/core/api/coordination.rs
+++ b/crates/node/src/core/api/coordination.rs
@@ -1,4 +1,5 @@
-//! Requests and responses of the coordination service: locks, numbers, keys and watches.
+//! Parses requests and renders responses of the coordination service: locks, sequence numbers, keys
+//! and watches.
 
 use super::http::{HttpRequest, HttpResponse};
 use super::request::RequestError;
@@ -10,41 +11,44 @@
 use woadstall_coordination::outcome::Outcome;
 use woadstall_coordination::state::{Event, GroupEvents};
 
-/// Bytes of a name at most: of a lock, a holder, a sequence, a key or a group.
+/// Maximum length of the name of a lock, holder, sequence, key or group, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Bytes of a value at most.
+/// Maximum length of a value, in bytes.
 const MAX_VALUE_BYTES: usize = 64 << 10;
-/// The longest lease: a day, in milliseconds.
+/// Maximum duration of a lease: one day, in milliseconds.
 const MAX_HOLD_MS: u64 = 24 * 60 * 60 * 1_000;
-/// The longest that a watch waits, in milliseconds.
+/// Maximum time for which a watch waits for events, in milliseconds.
 const MAX_WAIT_MS: u64 = 30_000;
-/// How long a watch waits if its request does not say, in milliseconds.
+/// Time for which a watch waits if the request specifies no time, in milliseconds.
 const DEFAULT_WAIT_MS: u64 = 2_000;
 
-/// The kinds of resources, by their place in the path.
-const LOCKS: &str = "/v1/locks/";
-const NUMBERS: &str = "/v1/numbers/";
-const KEYS: &str = "/v1/cells/";
-const WATCHES: &str = "/v1/watch/";
+/// Path prefix of locks.
+const LOCKS_PATH: &str = "/v1/locks/";
+/// Path prefix of sequences.
+const SEQUENCES_PATH: &str = "/v1/numbers/";
+/// Path prefix of keys.
+const KEYS_PATH: &str = "/v1/cells/";
+/// Path prefix of watches.
+const WATCHES_PATH: &str = "/v1/watch/";
 
-/// Parses a request; `None` if its path is none of the service's.
+/// Parses a request; `None` if the path does not belong to the coordination service.
 ///
 /// # Errors
 ///
-/// The method is unknown, or names or body are invalid.
+/// Fails if the method is unknown or if a name, a parameter or the body is invalid.
 pub(super) fn parse(
     request: &HttpRequest,
     path: &str,
 ) -> Option<Result<CoordinationRequest, RequestError>> {
     let method = request.method.as_str();
-    if let Some(lock) = path.strip_prefix(LOCKS) {
+    if let Some(lock) = path.strip_prefix(LOCKS_PATH) {
         Some(parse_lock(request, method, lock).map(command))
-    } else if let Some(sequence) = path.strip_prefix(NUMBERS) {
-        Some(parse_number(method, sequence).map(command))
-    } else if let Some(key) = path.strip_prefix(KEYS) {
+    } else if let Some(sequence) = path.strip_prefix(SEQUENCES_PATH) {
+        Some(parse_sequence(method, sequence).map(command))
+    } else if let Some(key) = path.strip_prefix(KEYS_PATH) {
         Some(parse_key(request, method, key))
     } else {
-        let group = path.strip_prefix(WATCHES)?;
+        let group = path.strip_prefix(WATCHES_PATH)?;
         Some(parse_watch(request, method, group))
     }
 }
@@ -81,16 +85,16 @@
             fencing_token: root.field("fence").integer(findings),
         },
     };
-    without_findings(command, findings)
+    reject_findings(command, findings)
 }
 
-fn parse_number(method: &str, sequence: &str) -> Result<Command, RequestError> {
+fn parse_sequence(method: &str, sequence: &str) -> Result<Command, RequestError> {
     if method != "POST" {
         return Err(RequestError::UnknownMethod);
     }
     let findings = &mut Findings::default();
     let sequence = checked_name("(number)", sequence, findings);
-    without_findings(Command::NextNumber { sequence }, findings)
+    reject_findings(Command::NextNumber { sequence }, findings)
 }
 
 fn parse_key(
@@ -102,7 +106,7 @@
     let key = checked_name("(key)", key, findings);
     match method {
         "GET" => {
-            let query = without_findings(Query::Get { key }, findings)?;
+            let query = reject_findings(Query::Get { key }, findings)?;
             Ok(CoordinationRequest::Call(Call::Query(query)))
         }
         "PUT" => parse_put(request, key, findings).map(command),
@@ -123,7 +127,7 @@
         value: value(&root.field("value"), findings),
         if_revision: if_revision.value().map(|_| if_revision.integer(findings)),
     };
-    without_findings(put, findings)
+    reject_findings(put, findings)
 }
 
 fn parse_watch(
@@ -143,10 +147,10 @@
         after,
         wait_ms,
     };
-    without_findings(watch, findings).map(CoordinationRequest::Watch)
+    reject_findings(watch, findings).map(CoordinationRequest::Watch)
 }
 
-/// A number in the query of a request.
+/// Reads a whole number from the query of a request.
 fn parameter(request: &HttpRequest, name: &str, default: u64, findings: &mut Findings) -> u64 {
     let Some(text) = request.parameter(name) else {
         return default;
@@ -165,7 +169,7 @@
     if name.len() > MAX_NAME_BYTES {
         findings.add(path, format!("is longer than {MAX_NAME_BYTES} bytes"));
     }
-    // A field that is empty has its finding already.
+    // For names from the body, `FieldReader` has already added the finding.
     if name.is_empty() && path.starts_with('(') {
         findings.add(path, "must not be empty");
     }
@@ -174,9 +178,9 @@
 
 fn hold_ms(root: &FieldReader<'_>, findings: &mut Findings) -> u64 {
     let field = root.field("hold_ms");
-    let found = findings.0.len();
+    let findings_before = findings.0.len();
     let hold_ms = field.integer(findings);
-    if findings.0.len() == found && !(1..=MAX_HOLD_MS).contains(&hold_ms) {
+    if findings.0.len() == findings_before && !(1..=MAX_HOLD_MS).contains(&hold_ms) {
         findings.add(field.path(), format!("must be between 1 and {MAX_HOLD_MS}"));
     }
     hold_ms
@@ -201,7 +205,7 @@
     text.to_owned()
 }
 
-fn without_findings<T>(request: T, findings: &mut Findings) -> Result<T, RequestError> {
+fn reject_findings<T>(request: T, findings: &mut Findings) -> Result<T, RequestError> {
     if findings.is_empty() {
         Ok(request)
     } else {
@@ -209,8 +213,8 @@
     }
 }
 
-/// Renders a response. A status of 412, 429 or 503 says that the call has not taken effect and never
-/// will; where that is not known, it is 504.
+/// Renders a response. Status 412, 429 or 503 means that the call has not taken effect and never
+/// will. Status 504 means that the outcome of the call is unknown.
 pub(super) fn render(response: machine::Response) -> HttpResponse {
     match response {
         machine::Response::Executed(outcome) => render_outcome(outcome),
@@ -226,7 +230,8 @@
     }
 }
 
-/// It is not known whether the call was or will be executed.
+/// Builds the response to a call whose outcome is unknown: the call may have been executed or may
+/// still be executed.
 pub(super) fn unknown() -> HttpResponse {
     HttpResponse::text(504, "the outcome is not known\n")
 }
@@ -260,7 +265,7 @@
     json!({ "name": &*event.key, "value": &*event.value, "revision": event.revision })
 }
 
-/// The status of the service on a machine as JSON. The keys are documented in
+/// Returns the status of the coordination service on a machine as JSON. The keys are documented in
 /// `docs/system-operators.md`.
 pub(in crate::core) fn coordination_status(machine: &CoordinationMachine) -> String {
     let replica = machine.replica();
--- a/crates/node/src/core/api/http.rs
+++ b/crates/node/src/core/api/http.rs
@@ -1,4 +1,4 @@
-//! HTTP requests and responses as the API sees them: a request is complete, with its body.
+//! HTTP requests and responses of the API with complete bodies.
 
 use super::request::RequestError;
 use bytes::Bytes;
@@ -10,22 +10,22 @@
 use std::borrow::Cow;
 use std::net::IpAddr;
 
-/// A request.
+/// HTTP request with its complete body.
 #[derive(Clone, Debug)]
 pub(in crate::core) struct HttpRequest {
     pub method: Method,
-    /// The decoded path; `None` if it is not UTF-8.
+    /// Percent-decoded path; `None` if the path is not UTF-8.
     path: Option<String>,
-    /// The query as it was sent, without the question mark.
+    /// Encoded query without the question mark.
     query: String,
     headers: HeaderMap,
-    /// The address of the client.
+    /// IP address of the client.
     pub client: IpAddr,
     pub body: Bytes,
 }
 
 impl HttpRequest {
-    /// A request with its head and its body.
+    /// Creates a request from its head and its body.
     pub fn new(head: Parts, body: Bytes, client: IpAddr) -> Self {
         let path = percent_decode_str(head.uri.path()).decode_utf8();
         Self {
@@ -38,21 +38,22 @@
         }
     }
 
-    /// The decoded path.
+    /// Returns the percent-decoded path.
     ///
     /// # Errors
     ///
-    /// The path is not UTF-8: different names must not become the same one.
+    /// Fails if the path is not UTF-8. A lossy conversion could map different names to the same
+    /// name.
     pub fn path(&self) -> Result<&str, RequestError> {
         self.path.as_deref().ok_or(RequestError::InvalidPath)
     }
 
-    /// The text of a header, if it is there.
+    /// Returns the value of a header; `None` if the header is missing or not visible ASCII.
     pub fn header(&self, name: &HeaderName) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The decoded value of a parameter of the query.
+    /// Returns the decoded value of a query parameter.
     pub fn parameter(&self, name: &str) -> Option<String> {
         let mut parameters = form_urlencoded::parse(self.query.as_bytes());
         let found = parameters.find(|(found, _)| found == name);
@@ -60,7 +61,7 @@
     }
 }
 
-/// A response.
+/// HTTP response with its complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::core) struct HttpResponse {
     pub status: u16,
@@ -69,7 +70,7 @@
 }
 
 impl HttpResponse {
-    /// A text.
+    /// Creates a plain-text response.
     pub fn text(status: u16, text: impl Into<Bytes>) -> Self {
         Self {
             status,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// A body that is JSON already.
+    /// Creates a response whose body is serialized JSON.
     pub fn json(status: u16, body: impl Into<Bytes>) -> Self {
         Self {
             status,
--- a/crates/node/src/core/api/mod.rs
+++ b/crates/node/src/core/api/mod.rs
@@ -1,5 +1,6 @@
-//! Requests and responses of the HTTP API, for operators (configuration, evacuations, status),
-//! upstreams (registrations), clients (directory) and applications (coordination): how they are read and written.
+//! Parses requests and renders responses of the HTTP API. The API serves operators (configuration,
+//! evacuations, status), upstreams (registrations), clients (directory) and applications
+//! (coordination).
 
 mod coordination;
 mod http;
--- a/crates/node/src/core/api/request.rs
+++ b/crates/node/src/core/api/request.rs
@@ -1,4 +1,4 @@
-//! Parses requests to the API.
+//! Parses requests to the HTTP API.
 
 use super::coordination;
 use super::http::HttpRequest;
@@ -12,53 +12,53 @@
 use woadstall_control::reader::{FieldReader, Findings};
 use woadstall_control::registry::{Registration, UpstreamStatus};
 
-/// Bytes of a body at most.
+/// Maximum size of a request body, in bytes.
 pub(in crate::core) const MAX_BODY_BYTES: usize = 6 << 20;
 
-/// A request that can be passed to the machine.
+/// A parsed request for the control machine or the coordination service.
 #[derive(Clone, Debug)]
 pub(in crate::core) enum ApiRequest {
-    /// `PUT` or `PATCH /v1/config`, `POST` or `DELETE /v1/evacuations/ZONE`: a change of the
-    /// replicated state.
-    Order(Command),
-    /// `GET /v1/config`.
+    /// `PUT` or `PATCH /v1/config`, `POST` or `DELETE /v1/evacuations/ZONE`: changes the replicated
+    /// state.
+    Command(Command),
+    /// `GET /v1/config`: reads the configuration.
     ReadConfiguration,
-    /// `PUT /v1/instances/ID`: an upstream's heartbeat.
+    /// `PUT /v1/instances/ID`: registers an upstream or renews its registration by a heartbeat.
     Register(Registration),
-    /// `DELETE /v1/instances/ID`: an upstream has left.
+    /// `DELETE /v1/instances/ID`: removes the registration of the upstream with this id.
     Deregister(String),
-    /// `GET /v1/resolve`: a client looks up balancers.
+    /// `GET /v1/resolve`: looks up balancers for a client.
     Resolve(ResolveRequest),
-    /// `GET /v1/status`.
+    /// `GET /v1/status`: reads the status of the control machine.
     Status,
-    /// `GET /v1/status/coordination`.
+    /// `GET /v1/status/coordination`: reads the status of the coordination service.
     CoordinationStatus,
-    /// A call or a watch of an application.
+    /// Call or watch of an application, handled by the coordination service.
     Coordination(CoordinationRequest),
 }
 
-/// A request is rejected before it reaches the machine.
+/// Reason why a request is rejected before it is passed on.
 #[derive(Debug, Error)]
 pub(in crate::core) enum RequestError {
-    /// Nothing has this path.
+    /// The path belongs to no resource of the API.
     #[error("no such path\n")]
     UnknownPath,
-    /// The decoded path is not UTF-8.
+    /// The percent-decoded path is not UTF-8.
     #[error("(path): must be UTF-8\n")]
     InvalidPath,
-    /// The path has no such method.
+    /// The resource does not support the method.
     #[error("no such method here\n")]
     UnknownMethod,
-    /// `If-Match` is missing or no number.
+    /// `If-Match` is missing or not a number.
     #[error("If-Match must hold the version that this builds on\n")]
     InvalidIfMatch,
     /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is too large\n")]
     BodyTooLarge,
-    /// The body was not complete in time.
+    /// The body was not received completely within the time-out.
     #[error("the body did not come in time\n")]
     BodyTimeout,
-    /// The thread that parsed the request has ended.
+    /// The thread that parsed the request has panicked or was cancelled.
     #[error("the request could not be parsed\n")]
     ParserEnded,
     /// The body of a registration or of an application's call is not JSON.
@@ -72,11 +72,11 @@
     InvalidFields(Findings),
 }
 
-/// Parses a request.
+/// Parses an HTTP request.
 ///
 /// # Errors
 ///
-/// The path or method is unknown, or headers or body are invalid.
+/// Fails if the path or the method is unknown or if a header or the body is invalid.
 pub(in crate::core) fn parse(request: &HttpRequest) -> Result<ApiRequest, RequestError> {
     if let Some(coordination) = coordination::parse(request, request.path()?) {
         return coordination.map(ApiRequest::Coordination);
@@ -91,19 +91,21 @@
         ("GET", ["v1", "config"]) => Ok(ApiRequest::ReadConfiguration),
         ("PUT", ["v1", "config"]) => {
             let (base, body) = configuration_change(request)?;
-            Ok(ApiRequest::Order(Command::Put { base, body }))
+            Ok(ApiRequest::Command(Command::Put { base, body }))
         }
         ("PATCH", ["v1", "config"]) => {
             let (base, body) = configuration_change(request)?;
-            Ok(ApiRequest::Order(Command::Patch { base, body }))
+            Ok(ApiRequest::Command(Command::Patch { base, body }))
         }
-        ("POST", ["v1", "evacuations", zone]) => Ok(ApiRequest::Order(Command::Evacuate {
+        ("POST", ["v1", "evacuations", zone]) => Ok(ApiRequest::Command(Command::Evacuate {
             zone: (*zone).to_owned(),
         })),
-        ("DELETE", ["v1", "evacuations", zone]) => Ok(ApiRequest::Order(Command::EndEvacuation {
-            zone: (*zone).to_owned(),
-        })),
-        ("GET", ["v1", "resolve"]) => Ok(ApiRequest::Resolve(directory_question(request))),
+        ("DELETE", ["v1", "evacuations", zone]) => {
+            Ok(ApiRequest::Command(Command::EndEvacuation {
+                zone: (*zone).to_owned(),
+            }))
+        }
+        ("GET", ["v1", "resolve"]) => Ok(ApiRequest::Resolve(resolve_request(request))),
         ("GET", ["v1", "status"]) => Ok(ApiRequest::Status),
         ("GET", ["v1", "status", "coordination"]) => Ok(ApiRequest::CoordinationStatus),
         (
@@ -117,7 +119,7 @@
     }
 }
 
-fn directory_question(request: &HttpRequest) -> ResolveRequest {
+fn resolve_request(request: &HttpRequest) -> ResolveRequest {
     let parameter = |name: &str| request.parameter(name).unwrap_or_default();
     ResolveRequest {
         client: request.client.to_string(),
@@ -127,8 +129,8 @@
     }
 }
 
-/// The version that a change builds on, and the change. One that is not JSON never becomes an
-/// order.
+/// Returns the version that a change is based on, and the body of the change. A body that is not
+/// JSON is rejected here, before it can become a command.
 fn configuration_change(request: &HttpRequest) -> Result<(u64, Vec<u8>), RequestError> {
     let base = request
         .header(&IF_MATCH)
@@ -168,7 +170,7 @@
 
 fn status(state: &FieldReader<'_>, findings: &mut Findings) -> UpstreamStatus {
     match state.string(findings).as_str() {
-        // An empty or missing state has its finding already.
+        // `FieldReader` has already added a finding for an empty or missing state.
         "ready" | "" => UpstreamStatus::Ready,
         "draining" => UpstreamStatus::Draining,
         other => {
--- a/crates/node/src/core/api/response.rs
+++ b/crates/node/src/core/api/response.rs
@@ -1,4 +1,4 @@
-//! Renders responses of the API.
+//! Renders responses of the HTTP API.
 
 use super::coordination;
 use super::http::HttpResponse;
@@ -7,21 +7,21 @@
 use woadstall_control::machine::{CallResponse, ResolveResponse};
 use woadstall_coordination::machine;
 
-/// The response to a request, before it is rendered.
+/// Response to an API request before it is rendered as HTTP.
 #[derive(Clone, Debug)]
 pub(in crate::core) enum ApiResponse {
-    /// The machine's answer to an order, a read or a registration.
+    /// Response of the control machine to a command, a read or a registration.
     Machine(CallResponse),
-    /// A heartbeat of an upstream was accepted.
+    /// The registration of an upstream was accepted.
     Registered {
-        /// Where the upstream sends later ones.
+        /// URL for the upstream's later heartbeats.
         heartbeat_url: String,
     },
-    /// Balancers for a client.
+    /// Balancers found for a client.
     Balancers(ResolveResponse),
-    /// The machine's status as JSON.
+    /// Status of the control machine or the coordination service as JSON.
     Status(String),
-    /// The coordination service's answer to an application.
+    /// Response of the coordination service to an application.
     Coordination(machine::Response),
 }
 
@@ -57,13 +57,14 @@
     }
 }
 
-/// The outcome is unknown: the caller retries, here or elsewhere.
+/// Builds the response to a request whose outcome is unknown. The caller may retry at this machine
+/// or at another one.
 pub(in crate::core) fn unavailable() -> HttpResponse {
     HttpResponse::text(503, "no clear answer; ask again\n")
 }
 
-/// The response to a request that nobody has answered in time: what came of an application's command
-/// is not known.
+/// Builds the response to a coordination request that was not answered in time. The outcome of a
+/// command is unknown; other requests can be retried.
 pub(in crate::core) fn timed_out(is_command: bool) -> HttpResponse {
     if is_command {
         coordination::unknown()
@@ -72,7 +73,7 @@
     }
 }
 
-/// The response to a request that can't be parsed.
+/// Builds the response to a request that was rejected before it was passed on.
 pub(in crate::core) fn rejection(error: &RequestError) -> HttpResponse {
     let status = match error {
         RequestError::UnknownPath => 404,
--- a/crates/node/src/core/api/status.rs
+++ b/crates/node/src/core/api/status.rs
@@ -1,10 +1,10 @@
-//! The status of a machine as JSON, for `woadstall status`. The keys are documented in
-//! `docs/system-operators.md`.
+//! Renders the status of a control machine as JSON for `woadstall status`. The keys are documented
+//! in `docs/system-operators.md`.
 
 use serde_json::{Value, json};
 use woadstall_control::machine::ControlMachine;
 
-/// The status of a machine at a time of its clock, in milliseconds.
+/// Returns the status of a machine as JSON. `now` is the machine's clock in milliseconds.
 pub(in crate::core) fn status(machine: &ControlMachine, now: u64) -> String {
     let replica = machine.replica();
     json!({
--- a/crates/node/src/core/api_server.rs
+++ b/crates/node/src/core/api_server.rs
@@ -1,4 +1,4 @@
-//! Serves the HTTP API: hands requests to the control machine or to the coordination service and waits
+//! HTTP API server: passes requests to the control machine or to the coordination service and waits
 //! for their responses.
 
 use super::CoreError;
@@ -24,33 +24,37 @@
 use woadstall_coordination::command::Call;
 use woadstall_socket_options::set_nodelay;
 
-/// How long a request waits for its response; the machine itself gives up a little sooner.
+/// Maximum time for which a request waits for its response. The machine's own time-out is slightly
+/// shorter.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a client may take to send the head of a request, from the end of the last one on.
+/// Time within which a client must send the head of a request, measured from the end of the
+/// previous request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a client may take to send a body.
+/// Time within which a client must send a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of a body that is too large which are still read, so that its sender gets the response.
+/// Maximum size up to which an oversized body is read and discarded, so that its sender receives
+/// the error response.
 const MAX_DISCARDED_BYTES: usize = 32 << 20;
-/// Bytes of a body from which on it is parsed on another thread: the replicated logs go on meanwhile.
+/// Minimum size of a body that is parsed on a separate thread, so that parsing does not delay the
+/// replicated logs.
 const LARGE_BODY_BYTES: usize = 64 << 10;
-/// The part of the descriptors that clients of the API may use.
+/// Fraction of the process's file descriptors that API clients may use.
 const CLIENT_DESCRIPTOR_RATIO: f64 = 0.7;
 
-/// Where requests go.
+/// Queues of the services that handle API requests.
 #[derive(Clone, Debug)]
 pub(super) struct RequestQueues {
-    /// The control machine.
+    /// Event queue of the control machine.
     pub control: EventSender,
-    /// The coordination service, if it runs.
+    /// Handle of the coordination service; `None` if the service is disabled.
     pub coordination: Option<CoordinationHandle>,
 }
 
-/// Serves the API on the addresses of the control and directory endpoints, which may be the same.
+/// Serves the API on the addresses of the control and directory endpoints, which may be equal.
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// Fails if an address can't be bound.
 pub(super) async fn start(
     settings: &NodeSettings,
     control: SocketAddr,
@@ -73,7 +77,7 @@
     Ok(())
 }
 
-/// Accepts connections, for as long as the process runs.
+/// Accepts connections until the process ends.
 async fn accept(server: Arc<ApiServer>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -110,17 +114,17 @@
     server.connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// What the connections share.
+/// State shared by all connections of the API.
 #[derive(Debug)]
 struct ApiServer {
     queues: RequestQueues,
     max_connections: usize,
-    /// The number of open connections.
+    /// Number of open connections.
     connections: AtomicUsize,
 }
 
 impl ApiServer {
-    /// Answers a request. An error closes the connection.
+    /// Reads and answers a request. An error closes the connection.
     async fn serve(
         &self,
         request: hyper::Request<Incoming>,
@@ -200,12 +204,12 @@
     parsed.unwrap_or(Err(request::RequestError::ParserEnded))
 }
 
-/// Waits for a response; `None` if there is none in time.
+/// Waits for a response; `None` if the time-out passes or if the responder is dropped.
 async fn receive(response: oneshot::Receiver<ApiResponse>, time: Duration) -> Option<ApiResponse> {
     timeout(time, response).await.ok()?.ok()
 }
 
-/// Reads a body; `None` if it is too large.
+/// Reads a request body; `None` if it exceeds [`request::MAX_BODY_BYTES`].
 async fn read_body(mut body: Incoming) -> Result<Option<Bytes>, hyper::Error> {
     let mut read = Vec::new();
     let mut size = 0;
--- a/crates/node/src/core/coordination/disk.rs
+++ b/crates/node/src/core/coordination/disk.rs
@@ -1,5 +1,5 @@
-//! The thread that writes the group's log. Records that arrive while it writes are written together,
-//! with one sync.
+//! Thread that writes the replicated log of the coordination group. Records that arrive during a
+//! write are batched and written with one sync.
 
 use super::event::{Event, EventSender};
 use crate::core::log_writer::LogWriter;
@@ -8,28 +8,28 @@
 use woadstall_consensus::Record;
 use woadstall_storage::Storage;
 
-/// A record to be written.
+/// A record with its sequence number, queued for the disk thread.
 #[derive(Debug)]
 struct NumberedRecord {
     sequence: u64,
     record: Record,
 }
 
-/// The handle of the thread. Dropped, the thread ends.
+/// Handle of the disk thread. The thread ends when the handle is dropped.
 #[derive(Debug)]
 pub(super) struct Disk {
     records: Sender<NumberedRecord>,
 }
 
 impl Disk {
-    /// Starts the thread.
+    /// Spawns the disk thread.
     pub fn start(storage: Storage, events: EventSender) -> Self {
         let (records, record_queue) = channel();
         thread::spawn(move || write_records(LogWriter::new(storage), &record_queue, &events));
         Self { records }
     }
 
-    /// Writes a record; [`Event::RecordsPersisted`] follows when it is durable.
+    /// Queues a record. [`Event::RecordsPersisted`] is sent when the record is durable.
     pub fn persist(&self, sequence: u64, record: Record) {
         let record = NumberedRecord { sequence, record };
         if self.records.send(record).is_err() {
--- a/crates/node/src/core/coordination/event.rs
+++ b/crates/node/src/core/coordination/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the service: the tasks and threads around it send it events.
+//! Events that other tasks and threads send to the task of the coordination service.
 
 use super::super::pending_requests::Responder;
 use std::time::Instant;
@@ -7,50 +7,48 @@
 use woadstall_coordination::machine::WatchRequest;
 use woadstall_coordination::wire::Packet;
 
-/// The sending end of the service's event queue.
+/// Sender of the service's event queue.
 pub(in crate::core) type EventSender = UnboundedSender<Event>;
 
-/// Something that happened.
+/// Event for the coordination service.
 #[derive(Debug)]
 pub(in crate::core) enum Event {
-    /// A connection to the machine at this internal address is established.
+    /// A connection to the peer with this internal address was established.
     PeerConnected(String),
-    /// A packet has arrived.
+    /// A packet was received.
     Packet {
-        /// The sender's internal address.
+        /// Internal address of the sender.
         from: String,
-        /// The packet.
         packet: Packet,
     },
-    /// The records of the group's log up to this number are durable.
+    /// All records of the group's log up to this sequence number are durable.
     RecordsPersisted(u64),
-    /// An application calls.
+    /// The HTTP API has received a request of an application.
     Request {
-        /// The request.
         request: CoordinationRequest,
-        /// When it was read from its socket.
+        /// Time at which the request was read from its socket.
         received_at: Instant,
-        /// Where the response goes.
+        /// Channel for the response.
         responder: Responder,
     },
-    /// An operator asks for the status.
+    /// An operator requests the status of the service.
     Status {
-        /// Where the response goes.
+        /// Channel for the response.
         responder: Responder,
     },
-    /// Machines of the group may be found at these internal addresses.
+    /// Internal addresses at which machines of the group may be reached.
     KnownAddresses(Vec<String>),
-    /// The settings name these seeds now.
+    /// Internal addresses of the seeds in the reloaded settings.
     Seeds(Vec<String>),
-    /// The process is about to end.
+    /// The process is shutting down.
     ShutdownStarted,
 }
 
-/// A request of an application.
+/// Request of an application to the coordination service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::core) enum CoordinationRequest {
-    /// A call that is answered once.
+    /// Command or query, answered as soon as it is executed.
     Call(Call),
-    /// A watch, which waits for events.
+    /// Watch, answered when an event occurs or its wait time has passed.
     Watch(WatchRequest),
 }
--- a/crates/node/src/core/coordination/listener.rs
+++ b/crates/node/src/core/coordination/listener.rs
@@ -1,4 +1,4 @@
-//! Connections of other machines of the group.
+//! Accepts connections from other machines of the coordination group.
 
 use super::event::{Event, EventSender};
 use crate::core::listener::{accept_connections, read_first_packet};
@@ -7,16 +7,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use woadstall_coordination::wire::Packet;
 
-/// Accepts connections, for as long as the process runs.
+/// Accepts connections until the process ends.
 pub(super) async fn run(listener: TcpListener, events: EventSender) {
     accept_connections(listener, |_, stream| serve_peer(stream, events.clone())).await;
 }
 
-/// The first packet of a connection tells who its peer is.
+/// Receives the packets of a peer. The first packet of the connection must identify the peer.
 async fn serve_peer(mut stream: TcpStream, events: EventSender) -> io::Result<()> {
     let mut packet = read_first_packet(&mut stream).await?;
     let Packet::Hello(machine) = &packet else {
-        let message = "a connection that begins without a hello";
+        let message = "first packet is not Hello";
         return Err(io::Error::new(ErrorKind::InvalidData, message));
     };
     let peer = machine.member.address.clone();
--- a/crates/node/src/core/coordination/mod.rs
+++ b/crates/node/src/core/coordination/mod.rs
@@ -1,9 +1,10 @@
-//! The coordination service in a core process: a machine of its group (`woadstall-coordination`) with
-//! its own port, its own storage and its own task.
+//! Coordination service of a core process: runs a machine of the coordination group
+//! (`woadstall-coordination`) in a separate task with a separate port and storage.
 
+mod bootstrap;
 mod disk;
 mod event;
-mod founding;
+
 mod listener;
 mod process;
 
@@ -13,8 +14,9 @@
 use crate::error::SetupError;
 use crate::settings::NodeSettings;
 use crate::time::millis;
+use bootstrap::initial_state;
 use disk::Disk;
-use founding::initial_state;
+
 use process::Process;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -27,50 +29,50 @@
 use woadstall_coordination::wire::MachineInfo;
 use woadstall_storage::Storage;
 
-/// The folder of the group's storage, under the process's own.
+/// Subdirectory of the process's data directory that holds the storage of the group.
 const STORAGE_FOLDER: &str = "coordination";
-/// Bytes of a file of the storage: a state of 4 MB, as much that waits to be compacted or committed,
-/// and room to spare.
+/// Size of a storage file: a state of 4 MB, the same amount of log entries that wait to be
+/// compacted or committed, and a reserve.
 const SEGMENT_BYTES: u64 = 12 << 20;
-/// How much longer than asked for the history of keys is kept, so that a watch that resumes in time
-/// never comes too late.
+/// The key history is kept for this multiple of the configured period plus [`HISTORY_SLACK_MS`], so
+/// that a watch that resumes within the configured period always finds its history.
 const HISTORY_FACTOR: u64 = 2;
-/// The same in milliseconds, beside the factor.
+/// Fixed time added to the retention of the key history, in milliseconds; see [`HISTORY_FACTOR`].
 const HISTORY_SLACK_MS: u64 = 10_000;
 
-/// The process's end of the service.
+/// Handle with which the process communicates with the service.
 #[derive(Clone, Debug)]
 pub(super) struct CoordinationHandle {
     events: EventSender,
-    /// The port of the service's internal protocol, the same on all machines.
+    /// Port of the service's internal protocol, which is the same on all machines.
     port: u16,
     is_being_replaced: Arc<AtomicBool>,
 }
 
 impl CoordinationHandle {
-    /// Tells the service something.
+    /// Sends an event to the service.
     pub fn send(&self, event: Event) {
         if self.events.send(event).is_err() {
             log::error!("coordination_task_ended");
         }
     }
 
-    /// The port of the service's internal protocol, the same on all machines.
+    /// Returns the port of the service's internal protocol, which is the same on all machines.
     pub fn port(&self) -> u16 {
         self.port
     }
 
-    /// Whether the vote of this machine is being given to another one.
+    /// Returns whether another machine is taking over the vote of this machine.
     pub fn is_being_replaced(&self) -> bool {
         self.is_being_replaced.load(Ordering::Relaxed)
     }
 }
 
-/// Starts the service. `None`, and a warning, where the settings leave it no port.
+/// Starts the service. Logs a warning and returns `None` if the settings provide no port for it.
 ///
 /// # Errors
 ///
-/// The storage can't be opened, or the port can't be bound.
+/// Fails if the storage can't be opened or if the port can't be bound.
 pub(super) async fn start(
     settings: &NodeSettings,
     control: SocketAddr,
@@ -88,7 +90,7 @@
     );
     let listener = TcpListener::bind(address)
         .await
-        .map_err(SetupError::during("the coordination address"))?;
+        .map_err(SetupError::during("bind the coordination address"))?;
     let (events, event_queue) = mpsc::unbounded_channel();
     tokio::spawn(listener::run(listener, events.clone()));
     let machine_settings = machine_settings(settings, address, durable.id);
@@ -104,7 +106,7 @@
     Ok(Some(handle))
 }
 
-/// Opens the storage of the group's log. An empty one is initialized.
+/// Opens the storage of the group's log and initializes an empty storage.
 fn open_storage(
     data_dir: &Path,
     settings: &NodeSettings,
--- a/crates/node/src/core/coordination/process.rs
+++ b/crates/node/src/core/coordination/process.rs
@@ -1,4 +1,5 @@
-//! The task that owns the machine: it feeds events into it and executes the actions that come out.
+//! Task that owns the coordination machine, passes events to the machine and executes the machine's
+//! actions.
 
 use super::disk::Disk;
 use super::event::{CoordinationRequest, Event, EventSender};
@@ -16,28 +17,29 @@
 use woadstall_control::wire::encode_frame;
 use woadstall_coordination::machine::{Action, CoordinationMachine, Response};
 
-/// How often the machine's clock advances at least.
+/// Maximum interval between two advances of the machine's clock.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long the task waits for its next event where nothing is due.
+/// Maximum time for which the task waits for an event while the machine has no deadline.
 const IDLE_PERIOD: Duration = Duration::from_secs(1);
 
-/// The service while it runs.
+/// State of the running coordination service.
 pub(super) struct Process {
     started: Instant,
     machine: CoordinationMachine,
     peers: Peers,
     disk: Disk,
     stalls: StallDetector,
-    /// Whether the process is about to end: new requests go to other machines.
+    /// Whether the process is shutting down. New requests are then rejected, so that callers use
+    /// other machines.
     is_shutting_down: bool,
     is_being_replaced: Arc<AtomicBool>,
     last_token: u64,
-    /// The requests that wait for the machine, by their tokens.
+    /// Response channels of the requests that wait for the machine, by token.
     responders: HashMap<u64, Responder>,
 }
 
 impl Process {
-    /// A service that has not begun to run.
+    /// Creates a service that is started by [`Self::run`].
     pub fn new(
         machine: CoordinationMachine,
         disk: Disk,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Runs for as long as the process.
+    /// Runs the event loop until the event queue is closed.
     pub async fn run(mut self, mut events: UnboundedReceiver<Event>) {
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -78,7 +80,7 @@
                 }
                 () = sleep_until(due.into()) => self.machine.tick(self.now()),
             }
-            // Events that have arrived meanwhile are handled before anything is sent.
+            // All queued events are handled first, so that the resulting actions are sent together.
             while let Ok(event) = events.try_recv() {
                 self.handle(event);
             }
@@ -89,7 +91,7 @@
         }
     }
 
-    /// When the machine has something to do at the latest.
+    /// Returns the time at which the machine's clock must advance at the latest.
     fn next_due(&self) -> Instant {
         let due = self.machine.next_due();
         due.map_or_else(
@@ -98,7 +100,7 @@
         )
     }
 
-    /// Milliseconds since the start: the machine's clock.
+    /// Time since the start of the service in milliseconds, used as the machine's clock.
     fn now(&self) -> u64 {
         millis(self.started.elapsed())
     }
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Watches whose connections have ended make room for others. A call goes on: it may have been
-    /// proposed.
+    /// Cancels watches whose connections have ended, so that their slots become free. Calls can't
+    /// be cancelled because they may already have been proposed.
     fn cancel_abandoned_watches(&mut self) {
         let responders = self.responders.iter();
         let abandoned = responders.filter(|(_, responder)| responder.is_closed());
--- a/crates/node/src/core/datagrams.rs
+++ b/crates/node/src/core/datagrams.rs
@@ -1,4 +1,4 @@
-//! Incoming datagrams: heartbeats and load reports of balancers.
+//! Receives heartbeats and load reports of balancers as datagrams.
 
 use super::event::{Event, EventSender};
 use super::listener::ACCEPT_RETRY_INTERVAL;
@@ -6,10 +6,10 @@
 use tokio::time::sleep;
 use woadstall_control::wire::Packet;
 
-/// Bytes of a datagram at most; longer ones are truncated, and rejected by their checksum.
+/// Size of the receive buffer. A longer datagram is truncated and then rejected by its checksum.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// Receives datagrams, for as long as the process runs.
+/// Receives datagrams until the process ends.
 pub(super) async fn run(socket: UdpSocket, events: EventSender) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
--- a/crates/node/src/core/disk.rs
+++ b/crates/node/src/core/disk.rs
@@ -1,4 +1,5 @@
-//! The disk's thread. Records that arrive while it writes are written together, with one sync.
+//! Disk thread of a core process. Records that arrive during a write are batched and written with
+//! one sync.
 
 use super::event::{Event, EventSender};
 use super::log_writer::{LogWriter, RETRY_INTERVAL};
@@ -10,31 +11,31 @@
 use woadstall_control::registry::Registration;
 use woadstall_storage::Storage;
 
-/// A write.
+/// Job for the disk thread.
 #[derive(Debug, PartialEq)]
 enum WriteJob {
-    /// A record of the replicated log.
+    /// Appends a record to the replicated log.
     Record { sequence: u64, record: Record },
-    /// All registrations.
+    /// Replaces the stored registrations.
     Registrations(RegistrationWrite),
 }
 
-/// Registrations to be written.
+/// Registrations to be written to the disk.
 #[derive(Debug, PartialEq)]
 struct RegistrationWrite {
-    /// The number of the machine's request that this write fulfils, or 0.
+    /// Number of the latest machine request that this write completes; 0 for a periodic write.
     number: u64,
     registrations: Vec<Registration>,
 }
 
-/// The handle of the disk's thread. Dropped, the thread ends.
+/// Handle of the disk thread. The thread ends when the handle is dropped.
 #[derive(Debug)]
 pub(super) struct Disk {
     jobs: Sender<WriteJob>,
 }
 
 impl Disk {
-    /// Starts the thread.
+    /// Spawns the disk thread.
     pub fn start(storage: Storage, store: RegistrationStore, events: EventSender) -> Self {
         let (jobs, job_queue) = channel();
         let writer = Writer {
@@ -47,12 +48,14 @@
         Self { jobs }
     }
 
-    /// Writes a record; [`Event::RecordsPersisted`] follows when it is durable.
+    /// Queues a record of the replicated log. [`Event::RecordsPersisted`] is sent when the record
+    /// is durable.
     pub fn persist(&self, sequence: u64, record: Record) {
         self.submit(WriteJob::Record { sequence, record });
     }
 
-    /// Writes the registrations; [`Event::RegistrationsSaved`] follows when they are durable.
+    /// Queues a write of all registrations. [`Event::RegistrationsSaved`] is sent when the
+    /// registrations are durable.
     pub fn save_registrations(&self, number: u64, registrations: Vec<Registration>) {
         self.submit(WriteJob::Registrations(RegistrationWrite {
             number,
@@ -67,15 +70,15 @@
     }
 }
 
-/// The receiver of events no longer exists: the process ends.
+/// The event queue is closed because the process is ending.
 struct Closed;
 
-/// What the thread owns.
+/// State of the disk thread.
 struct Writer {
     log: LogWriter,
     store: RegistrationStore,
     events: EventSender,
-    /// Registrations that the disk has not accepted yet.
+    /// Registrations that have not been written yet.
     pending_registrations: Option<RegistrationWrite>,
 }
 
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Waits for a job, but not for longer than until registrations that could not be written are
-    /// tried again.
+    /// Waits for a job. If a write of registrations has failed, the wait ends after
+    /// [`RETRY_INTERVAL`] so that the write is retried.
     fn next_job(&self, jobs: &Receiver<WriteJob>) -> Result<WriteJob, RecvTimeoutError> {
         if self.pending_registrations.is_some() {
             jobs.recv_timeout(RETRY_INTERVAL)
@@ -125,7 +128,8 @@
         Ok(())
     }
 
-    /// The newest registrations replace older ones, and fulfil the older requests too.
+    /// Replaces pending registrations by newer ones. The newer write also completes the older
+    /// requests.
     fn replace_pending_registrations(&mut self, mut write: RegistrationWrite) {
         if let Some(older) = &self.pending_registrations {
             write.number = write.number.max(older.number);
@@ -133,7 +137,8 @@
         self.pending_registrations = Some(write);
     }
 
-    /// Writes the pending registrations once. A failure does not delay the replicated log.
+    /// Tries once to write the pending registrations and returns the number of the completed
+    /// request. A failed write is retried later and does not delay the replicated log.
     fn try_save_registrations(&mut self) -> Option<u64> {
         let write = self.pending_registrations.take()?;
         match self.store.save(&write.registrations, unix_time()) {
--- a/crates/node/src/core/error.rs
+++ b/crates/node/src/core/error.rs
@@ -1,22 +1,22 @@
-//! The error that a core process ends with.
+//! Errors that end a core process.
 
 use crate::error::SetupError;
 use thiserror::Error;
 use woadstall_storage::{OpenError, WriteError};
 
-/// A core process can't run.
+/// Reason why a core process can't run.
 #[derive(Debug, Error)]
 pub enum CoreError {
-    /// The settings lack a field that this process needs.
+    /// The settings lack this field, which a core process requires.
     #[error("the settings of a core process lack {0}")]
     MissingSetting(&'static str),
     /// The storage of the replicated log can't be opened.
     #[error("storage: {0}")]
     OpenStorage(#[from] OpenError),
-    /// The first state of the replica can't be stored.
+    /// The initial state of the replica can't be written to an empty storage.
     #[error("storage: {0}")]
     InitializeStorage(#[from] WriteError),
-    /// The operating system refused a socket, a signal handler or the runtime.
+    /// The operating system refused to create a socket, a signal handler or the async runtime.
     #[error(transparent)]
     Setup(#[from] SetupError),
 }
--- a/crates/node/src/core/event.rs
+++ b/crates/node/src/core/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a core process: the tasks and threads around it send it events.
+//! Events that the tasks and threads of a core process send to its main task.
 
 use super::api::ApiRequest;
 use super::frame_queue::FrameSender;
@@ -7,43 +7,40 @@
 use tokio::sync::mpsc::UnboundedSender;
 use woadstall_control::wire::{Packet, SubscribeRequest};
 
-/// The sending end of the process's event queue.
+/// Sender of the main task's event queue.
 pub(super) type EventSender = UnboundedSender<Event>;
 
-/// Something that happened.
+/// Event for the main task.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A connection to the machine at this internal address is established.
+    /// A connection to the peer with this internal address was established.
     PeerConnected(String),
-    /// A packet has arrived.
+    /// A packet was received.
     Packet {
-        /// The sender's internal address.
+        /// Internal address of the sender.
         from: String,
-        /// The packet.
         packet: Packet,
     },
     /// A balancer subscribes to the change feed.
     Subscribe {
-        /// The number of its connection.
+        /// Number of the balancer's connection.
         subscriber: u64,
-        /// Its request.
         request: SubscribeRequest,
-        /// Where frames for it go.
+        /// Queue of the frames to be sent to the balancer.
         queue: FrameSender,
     },
-    /// The connection of a subscriber has ended.
+    /// The connection of the subscriber with this number has ended.
     Unsubscribe(u64),
-    /// The records of the replicated log up to this number are durable.
+    /// All records of the replicated log up to this sequence number are durable.
     RecordsPersisted(u64),
-    /// The registrations are durable, as requested under this number.
+    /// The registrations of the write request with this number are durable.
     RegistrationsSaved(u64),
-    /// A request has come to the HTTP API.
+    /// The HTTP API has received a request.
     Api {
-        /// The request.
         request: ApiRequest,
-        /// When it was read from its socket.
+        /// Time at which the request was read from its socket.
         received_at: Instant,
-        /// Where the response goes.
+        /// Channel for the response.
         responder: Responder,
     },
 }
--- a/crates/node/src/core/frame_queue.rs
+++ b/crates/node/src/core/frame_queue.rs
@@ -1,4 +1,4 @@
-//! Queues of frames for a connection, bounded in number and in bytes.
+//! Queues of frames for one connection, bounded in number of frames and in bytes.
 
 use bytes::Bytes;
 use std::sync::Arc;
@@ -6,18 +6,18 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// A frame was not queued.
+/// Reason why a frame was not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum SendError {
     /// The queue has reached its limit of frames or bytes.
-    #[error("the queue is full")]
+    #[error("frame queue full")]
     Full,
-    /// The receiver no longer exists.
-    #[error("the queue is closed")]
+    /// The receiver was dropped.
+    #[error("frame queue closed")]
     Closed,
 }
 
-/// The sending end of a queue.
+/// Sender of a frame queue.
 #[derive(Clone, Debug)]
 pub(super) struct FrameSender {
     frames: mpsc::Sender<Bytes>,
@@ -25,15 +25,15 @@
     max_bytes: usize,
 }
 
-/// The receiving end of a queue.
+/// Receiver of a frame queue.
 #[derive(Debug)]
 pub(super) struct FrameReceiver {
     frames: mpsc::Receiver<Bytes>,
     queued_bytes: Arc<AtomicUsize>,
 }
 
-/// A queue of at most `max_frames` frames and `max_bytes` bytes. An empty queue accepts a frame of
-/// any size.
+/// Creates a queue of at most `max_frames` frames and `max_bytes` bytes. An empty queue accepts a
+/// frame of any size.
 pub(super) fn frame_queue(max_frames: usize, max_bytes: usize) -> (FrameSender, FrameReceiver) {
     let (sender, receiver) = mpsc::channel(max_frames);
     let queued_bytes = Arc::new(AtomicUsize::new(0));
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// The queue is full or closed.
+    /// Fails if the queue is full or closed.
     pub fn send(&self, frame: Bytes) -> Result<(), SendError> {
         let size = frame.len();
         let before = self.queued_bytes.fetch_add(size, Ordering::Relaxed);
@@ -81,7 +81,7 @@
 }
 
 impl FrameReceiver {
-    /// Waits for the next frame; `None` once there is no sender.
+    /// Waits for the next frame; `None` once all senders are dropped and the queue is empty.
     pub async fn receive(&mut self) -> Option<Bytes> {
         let frame = self.frames.recv().await?;
         self.queued_bytes.fetch_sub(frame.len(), Ordering::Relaxed);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether there is no sender.
+    /// Returns whether all senders are dropped.
     pub fn is_closed(&self) -> bool {
         self.frames.is_closed()
     }
--- a/crates/node/src/core/frame_queue/tests.rs
+++ b/crates/node/src/core/frame_queue/tests.rs
@@ -1,4 +1,4 @@
-//! Bounds of the queues of frames.
+//! Limits of frame queues.
 
 use super::{SendError, frame_queue};
 use bytes::Bytes;
@@ -22,10 +22,10 @@
 #[test]
 fn the_limit_of_frames_is_enforced() {
     let (sender, _receiver) = frame_queue(3, 1_000);
-    let taken = (0..10)
+    let accepted = (0..10)
         .take_while(|_| sender.send(frame(1)).is_ok())
         .count();
-    assert_eq!(taken, 3);
+    assert_eq!(accepted, 3);
 }
 
 #[test]
--- a/crates/node/src/core/golden_tests.rs
+++ b/crates/node/src/core/golden_tests.rs
@@ -1,9 +1,9 @@
-//! What a core process writes for others, to the byte: its disk, its identity, and its answers over
-//! HTTP.
+//! Compares the registration files, the initial state and the HTTP responses of a core process byte
+//! for byte with golden files.
 
 use super::api::{self, ApiRequest, ApiResponse};
 use super::api_server::{self, RequestQueues};
-use super::bootstrap::{founder_id, initial_state};
+use super::bootstrap::{initial_member_id, initial_state};
 use super::event::Event;
 use super::registration_store::RegistrationStore;
 use crate::golden::{assert_golden, escape};
@@ -22,7 +22,7 @@
 use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_control::wire::MachineInfo;
 
-const WRITTEN: Duration = Duration::from_millis(1_764_600_000_123);
+const WRITE_TIME: Duration = Duration::from_millis(1_764_600_000_123);
 
 fn registration(id: &str, status: UpstreamStatus) -> Registration {
     Registration {
@@ -48,7 +48,7 @@
     ]
 }
 
-/// More than a kilobyte: it is compressed.
+/// Enough registrations for a frame of more than a kilobyte, which is compressed.
 fn many_registrations() -> Vec<Registration> {
     (0..40)
         .map(|number| registration(&format!("i-{number}"), UpstreamStatus::Ready))
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn files_of_registrations_are_unchanged() {
+fn registration_files_are_unchanged() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
-    store.save(&registrations(), WRITTEN).unwrap();
-    store.save(&many_registrations(), WRITTEN).unwrap();
+    let (mut store, _) = RegistrationStore::open(folder.path(), WRITE_TIME);
+    store.save(&registrations(), WRITE_TIME).unwrap();
+    store.save(&many_registrations(), WRITE_TIME).unwrap();
     let written = |name: &str| std::fs::read(folder.path().join(name)).unwrap();
     assert_golden("registrations-1", &written("registrations-1"));
     assert_golden("registrations-0", &written("registrations-0"));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn files_of_registrations_are_read_back() {
+fn registration_files_are_read_back() {
     let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
     for (name, expected) in [
         ("registrations-1", registrations()),
@@ -76,11 +76,11 @@
     ] {
         let folder = tempfile::tempdir().unwrap();
         std::fs::copy(golden.join(name), folder.path().join(name)).unwrap();
-        let (_, read) = RegistrationStore::open(folder.path(), WRITTEN);
+        let (_, read) = RegistrationStore::open(folder.path(), WRITE_TIME);
         assert_eq!(read, expected, "{name}");
     }
-    let (_, newest) = RegistrationStore::open(&golden, WRITTEN + Duration::from_millis(7));
-    assert_eq!(newest.len(), 40, "the second writing is newer");
+    let (_, newest) = RegistrationStore::open(&golden, WRITE_TIME + Duration::from_millis(7));
+    assert_eq!(newest.len(), 40, "the second write is newer");
     assert_eq!(newest[0].age_ms, 357);
 }
 
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn founders_keep_their_identity_and_initial_state() {
+fn initial_members_keep_their_ids_and_initial_state() {
     let control: SocketAddr = "10.2.0.1:7000".parse().unwrap();
     let state = initial_state(&settings_with_seeds(true), control);
     let mut text = format!(
@@ -121,11 +121,11 @@
         writeln!(text, "member {:x} {}", member.id, member.address).unwrap();
     }
     assert_golden("founder.txt", text.as_bytes());
-    assert_eq!(state.id, founder_id(control));
+    assert_eq!(state.id, initial_member_id(control));
 }
 
 #[test]
-fn others_begin_without_members() {
+fn joining_machines_start_without_members() {
     let others = [(false, "10.2.0.1:7000"), (true, "10.4.0.1:7000")];
     for (bootstrap, control) in others {
         let state = initial_state(&settings_with_seeds(bootstrap), control.parse().unwrap());
@@ -149,8 +149,8 @@
         .unwrap()
 }
 
-/// The API of a machine that gives this response to each request; the requests come out in the
-/// channel.
+/// Starts an API server that gives the same response to each request. Descriptions of the received
+/// requests are sent to the returned channel.
 fn start_api(response: ApiResponse) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
     let (events, mut received) = mpsc::unbounded_channel();
     let control = free_address();
@@ -166,33 +166,33 @@
     let start = api_server::start(&settings, control, queues);
     runtime.block_on(start).unwrap();
     thread::spawn(move || runtime.block_on(std::future::pending::<()>()));
-    let (tell, calls) = std::sync::mpsc::channel();
+    let (descriptions, received_requests) = std::sync::mpsc::channel();
     thread::spawn(move || {
         while let Some(event) = received.blocking_recv() {
             if let Event::Api {
                 request, responder, ..
             } = event
             {
-                tell.send(described(request)).ok();
+                descriptions.send(describe(request)).ok();
                 responder.send(response.clone()).ok();
             }
         }
     });
-    (control, calls)
+    (control, received_requests)
 }
 
-fn described(request: ApiRequest) -> String {
+fn describe(request: ApiRequest) -> String {
     use woadstall_control::command::Command;
     let escape = |body: &[u8]| body.escape_ascii().to_string();
     match request {
-        ApiRequest::Order(Command::Put { base, body }) => {
+        ApiRequest::Command(Command::Put { base, body }) => {
             format!("put base={base} body={}", escape(&body))
         }
-        ApiRequest::Order(Command::Patch { base, body }) => {
+        ApiRequest::Command(Command::Patch { base, body }) => {
             format!("patch base={base} body={}", escape(&body))
         }
-        ApiRequest::Order(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
-        ApiRequest::Order(Command::EndEvacuation { zone }) => format!("return zone={zone}"),
+        ApiRequest::Command(Command::Evacuate { zone }) => format!("evacuate zone={zone}"),
+        ApiRequest::Command(Command::EndEvacuation { zone }) => format!("return zone={zone}"),
         ApiRequest::ReadConfiguration => "read configuration".to_owned(),
         ApiRequest::Register(registration) => {
             let Registration {
@@ -214,9 +214,9 @@
             )
         }
         ApiRequest::Deregister(id) => format!("deregister id={id}"),
-        ApiRequest::Resolve(question) => format!(
+        ApiRequest::Resolve(request) => format!(
             "resolve client={} host={} zone={} region={}",
-            question.client, question.host, question.zone, question.region
+            request.client, request.host, request.zone, request.region
         ),
         ApiRequest::Status => "status".to_owned(),
         ApiRequest::CoordinationStatus => "coordination status".to_owned(),
@@ -224,7 +224,7 @@
     }
 }
 
-/// Status, type and body of the answer.
+/// Sends a request and describes the status, the content type and the body of the response.
 fn call(
     address: SocketAddr,
     method: &str,
@@ -252,25 +252,25 @@
 }
 
 #[test]
-fn calls_are_read_as_before() {
-    let registered = |state: &str| {
+fn request_parsing_is_unchanged() {
+    let registration_body = |state: &str| {
         format!(
             r#"{{"service":"llm","address":"10.1.0.1:80","zone":"a-1","capacity":4,"sequence":17,{state}"cold_remaining_ms":1500.7,"remaining_ms":2500}}"#
         )
     };
-    let least = r#"{"service":"llm","address":"10.1.0.1:80","zone":"a-1","state":"ready"}"#;
-    let faulty = r#"{"service":"","address":"10.1.0.1","zone":1,"state":"asleep","capacity":-1}"#;
+    let minimal = r#"{"service":"llm","address":"10.1.0.1:80","zone":"a-1","state":"ready"}"#;
+    let invalid = r#"{"service":"","address":"10.1.0.1","zone":1,"state":"asleep","capacity":-1}"#;
     let (ready, draining) = (
-        registered(r#""state":"ready","#),
-        registered(r#""state":"draining","#),
+        registration_body(r#""state":"ready","#),
+        registration_body(r#""state":"draining","#),
     );
-    let stateless = registered("");
+    let stateless = registration_body("");
     let calls = [
         ("PUT", "/v1/instances/i-1", None, ready.as_str()),
         ("PUT", "/v1/instances/i-1", None, draining.as_str()),
         ("PUT", "/v1/instances/i-1", None, stateless.as_str()),
-        ("PUT", "/v1/instances/i-1", None, least),
-        ("PUT", "/v1/instances/i-1", None, faulty),
+        ("PUT", "/v1/instances/i-1", None, minimal),
+        ("PUT", "/v1/instances/i-1", None, invalid),
         ("PUT", "/v1/instances/i-1", None, "{"),
         ("PUT", "/v1/instances/i-1", None, "{}"),
         ("DELETE", "/v1/instances/i-1", None, ""),
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn bodies_that_are_too_large_are_refused_as_before() {
+fn oversized_bodies_are_rejected() {
     let (address, _received) = start_api(ApiResponse::Machine(CallResponse::Acknowledged));
     let body = format!("\"{}\"", "x".repeat(6 << 20));
     let answer = call(address, "PUT", "/v1/config", Some("3"), &body);
@@ -386,13 +386,13 @@
         address: "10.1.0.1:7001".to_owned(),
     };
     let others = (1_u64..).zip(seeds);
-    let mut founders: Vec<Member> = others
+    let mut members: Vec<Member> = others
         .map(|(id, address)| Member {
             id,
             address: (*address).to_owned(),
         })
         .collect();
-    founders.push(member.clone());
+    members.push(member.clone());
     let settings = MachineSettings {
         machine: MachineInfo {
             member,
@@ -408,7 +408,7 @@
     };
     ControlMachine::new(
         settings,
-        DurableState::new(0x5eed, founding_snapshot(&founders)),
+        DurableState::new(0x5eed, founding_snapshot(&members)),
         0,
         1,
     )
--- a/crates/node/src/core/listener.rs
+++ b/crates/node/src/core/listener.rs
@@ -1,5 +1,5 @@
-//! Incoming connections: other core machines that send packets, and balancers that subscribe to the
-//! change feed.
+//! Accepts internal connections from other core machines, which send packets, and from balancers,
+//! which subscribe to the change feed.
 
 use super::event::{Event, EventSender};
 use super::frame_queue::frame_queue;
@@ -13,15 +13,16 @@
 use woadstall_control::wire::{Packet, SubscribeRequest};
 use woadstall_socket_options::{enable_dead_peer_detection, set_nodelay};
 
-/// Limits of a subscriber's queue.
+/// Maximum number of frames in a subscriber's queue.
 const MAX_QUEUED_FRAMES: usize = 512;
+/// Maximum size of a subscriber's queue.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
-/// How long a new connection may take to send its first packet.
+/// Time within which a new connection must deliver its first packet.
 const FIRST_PACKET_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after a failed accept, such as for lack of descriptors.
+/// Pause after a failed accept, for example when no file descriptors are left.
 pub(super) const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts connections of machines and subscribers, for as long as the process runs.
+/// Accepts connections of core machines and subscribers until the process ends.
 pub(super) async fn run(listener: TcpListener, events: EventSender) {
     accept_connections(listener, |number, stream| {
         serve_connection(number, stream, events.clone())
@@ -29,8 +30,8 @@
     .await;
 }
 
-/// Accepts connections, for as long as the process runs; each is numbered and served by a task of
-/// its own. One on which an invalid packet comes is logged.
+/// Accepts connections until the process ends. Each connection gets a number and is served by a
+/// separate task. Connections that end because of an invalid packet are logged.
 pub(super) async fn accept_connections<F>(
     listener: TcpListener,
     serve: impl Fn(u64, TcpStream) -> F,
@@ -58,14 +59,14 @@
     }
 }
 
-/// Reads the first packet of a new connection, which tells who its peer is.
+/// Reads the first packet of a new connection, which identifies the peer.
 pub(super) async fn read_first_packet<T: DeBin>(stream: &mut TcpStream) -> io::Result<T> {
     set_nodelay(stream);
     enable_dead_peer_detection(stream, packet_stream::USER_TIMEOUT);
     timeout(FIRST_PACKET_TIMEOUT, read_packet(stream)).await?
 }
 
-/// Serves another core machine, or a balancer that subscribes to the feed.
+/// Serves the connection of a core machine or of a subscribing balancer.
 async fn serve_connection(
     number: u64,
     mut stream: TcpStream,
@@ -80,7 +81,7 @@
         Packet::Subscribe(request) => serve_subscriber(number, request, &mut stream, &events).await,
         _ => Err(io::Error::new(
             ErrorKind::InvalidData,
-            "neither a machine nor a balancer",
+            "first packet is neither Hello nor Subscribe",
         )),
     }
 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,9 +1,9 @@
-//! The core process: a control machine (`woadstall-control`) with its sockets and its disk.
+//! The core process: connects a control machine (`woadstall-control`) to its sockets and its disk.
 //!
-//! One task owns the machine ([`process::Process`]). Around it are the peers' connections
-//! ([`peers`], [`listener`], [`datagrams`]), the HTTP API ([`api`]) and the disk's thread
-//! ([`disk`]); they send it [`event::Event`]s, and it executes the machine's actions. The coordination
-//! service ([`coordination`]) has a task, a port and a storage of its own.
+//! One task ([`process::Process`]) owns the machine and executes the machine's actions. The task
+//! receives [`event::Event`]s from the peer connections ([`peers`], [`listener`], [`datagrams`]),
+//! the HTTP API ([`api`]) and the disk thread ([`disk`]). The coordination service
+//! ([`coordination`]) has a separate task, port and storage.
 
 mod api;
 mod api_server;
@@ -42,17 +42,17 @@
 use woadstall_control::wire::MachineInfo;
 use woadstall_storage::Storage;
 
-/// Runs until SIGTERM.
+/// Runs a core process until it has shut down after SIGTERM.
 ///
 /// # Errors
 ///
-/// The settings lack a field, the storage can't be opened, or the operating system refuses a socket
-/// or a signal handler.
+/// Fails if the settings lack a required field, if the storage can't be opened, or if the operating
+/// system refuses a socket or a signal handler.
 pub fn run(settings: &NodeSettings, watcher: SettingsWatcher) -> Result<(), CoreError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(SetupError::during("the runtime"))?;
+        .map_err(SetupError::during("start the async runtime"))?;
     runtime.block_on(serve(settings, watcher))
 }
 
@@ -80,10 +80,10 @@
     let (events, event_queue) = mpsc::unbounded_channel();
     let tcp = TcpListener::bind(internal)
         .await
-        .map_err(SetupError::during("the internal address"))?;
+        .map_err(SetupError::during("bind the internal TCP address"))?;
     let udp = UdpSocket::bind(internal)
         .await
-        .map_err(SetupError::during("the internal address, UDP"))?;
+        .map_err(SetupError::during("bind the internal UDP address"))?;
     tokio::spawn(listener::run(tcp, events.clone()));
     tokio::spawn(datagrams::run(udp, events.clone()));
     let coordination = coordination::start(settings, control, data_dir).await?;
@@ -101,7 +101,7 @@
     process.run(event_queue, signals).await
 }
 
-/// Opens the storage of the replicated log. An empty one is initialized.
+/// Opens the storage of the replicated log and initializes an empty storage.
 fn open_storage(
     data_dir: &Path,
     settings: &NodeSettings,
@@ -140,7 +140,7 @@
     }
 }
 
-/// Addresses as the internal protocol writes them.
+/// Formats addresses as strings for the internal protocol.
 fn addresses(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(SocketAddr::to_string).collect()
 }
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -1,5 +1,5 @@
-//! Outgoing connections to other core machines. Each direction of a pair of machines has a
-//! connection of its own: a machine sends on those that it has opened.
+//! Outgoing connections to other core machines. Two machines use one connection for each direction:
+//! a machine sends only on connections that it has opened.
 
 use super::frame_queue::{FrameReceiver, FrameSender, frame_queue};
 use crate::packet_stream;
@@ -14,23 +14,24 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Limits of a peer's queue. Beyond them its connection is replaced, and the machine repeats what
-/// may have been lost. A frame may be as large as a configuration.
+/// Maximum number of frames in a peer's queue. If a queue limit is exceeded, the connection is
+/// replaced and the machine repeats the packets that may have been lost.
 const MAX_QUEUED_FRAMES: usize = 4_096;
+/// Maximum size of a peer's queue. One frame may be as large as a configuration.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
-/// Time between attempts to connect.
+/// Pause between attempts to connect.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes in one write. A large frame may take longer than [`WRITE_TIMEOUT`], as long as its peer
-/// keeps reading.
+/// Size of one write. Frames are written in chunks, so that a large frame may take longer than
+/// [`WRITE_TIMEOUT`] as long as the peer keeps reading.
 const WRITE_CHUNK_BYTES: usize = 64 << 10;
-/// How long one write may take.
+/// Maximum duration of one write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Is called with a peer's address whenever a connection to it is established. Returns whether
-/// anybody is still interested.
+/// Callback that is invoked with the address of a peer whenever a connection to the peer is
+/// established. Returns false if the event queue is closed; the connection is then abandoned.
 type ConnectedCallback = Arc<dyn Fn(String) -> bool + Send + Sync>;
 
-/// The connections, by the peers' internal addresses.
+/// Outgoing connections, by the internal addresses of the peers.
 pub(super) struct Peers {
     on_connected: ConnectedCallback,
     queues: HashMap<String, FrameSender>,
@@ -44,8 +45,9 @@
 }
 
 impl Peers {
-    /// No connection yet. `on_connected` is called with a peer's address whenever a connection to
-    /// it is established; it returns whether anybody is still interested.
+    /// Creates an empty set of connections. `on_connected` is called with the address of a peer
+    /// whenever a connection to the peer is established; if it returns false, the connection is
+    /// abandoned.
     pub fn new(on_connected: impl Fn(String) -> bool + Send + Sync + 'static) -> Self {
         Self {
             on_connected: Arc::new(on_connected),
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Connects to a machine, and again whenever the connection is lost, until
-    /// [`Self::disconnect`]. Replaces a previous connection to it.
+    /// Connects to a machine, replacing any previous connection. A lost connection is
+    /// re-established until [`Self::disconnect`] is called.
     pub fn connect(&mut self, address: String) {
         let Ok(socket_address) = address.parse::<SocketAddr>() else {
             log::warn!("peer_address_invalid peer={address:?}");
@@ -75,8 +77,8 @@
         self.queues.remove(address);
     }
 
-    /// Queues a frame for a machine, if it has a connection. A full queue is dropped with its
-    /// connection, and a new one begins.
+    /// Queues a frame for a machine if [`Self::connect`] was called for it. If the queue is full,
+    /// the queue and its connection are dropped and a new connection is opened.
     pub fn send(&mut self, address: &str, frame: impl FnOnce() -> Bytes) {
         let Some(queue) = self.queues.get(address) else {
             return;
@@ -96,7 +98,8 @@
 ) {
     loop {
         if let Ok(mut stream) = packet_stream::connect(socket_address).await {
-            // Frames for the previous connection: the machine repeats what matters.
+            // Frames queued for the previous connection are dropped; the machine repeats packets
+            // that still matter.
             frames.clear();
             if !on_connected(address.clone()) {
                 return;
@@ -117,7 +120,8 @@
 ///
 /// # Errors
 ///
-/// The connection is broken, the peer closes it, or a write takes longer than [`WRITE_TIMEOUT`].
+/// Fails if the connection breaks, if the peer closes it, or if a write takes longer than
+/// [`WRITE_TIMEOUT`].
 pub(super) async fn write_frames(
     stream: &mut TcpStream,
     frames: &mut FrameReceiver,
@@ -132,7 +136,7 @@
                     timeout(WRITE_TIMEOUT, write.write_all(chunk)).await??;
                 }
             }
-            // The peer sends nothing on this connection: whatever can be read is its end.
+            // Peers never send on this connection, so a completed read means that it was closed.
             result = read.read(&mut buffer) => {
                 return result.and_then(|_| Err(ErrorKind::ConnectionReset.into()));
             }
--- a/crates/node/src/core/pending_requests.rs
+++ b/crates/node/src/core/pending_requests.rs
@@ -1,14 +1,14 @@
-//! API requests that wait for the machine's answer.
+//! API requests that wait for a response of the control machine.
 
 use super::api::ApiResponse;
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 use woadstall_control::machine::CallResponse;
 
-/// Where the response to a request goes; its connection waits there.
+/// Channel on which the connection of a request waits for the response.
 pub(super) type Responder = oneshot::Sender<ApiResponse>;
 
-/// The requests, by the token that the machine returns with its answer.
+/// Pending requests, by the token that the machine returns with its response.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
     last_token: u64,
@@ -18,23 +18,24 @@
 #[derive(Debug)]
 struct PendingRequest {
     responder: Responder,
-    /// For a registration: where the upstream sends its later heartbeats.
+    /// URL for the upstream's later heartbeats, set for registrations only.
     heartbeat_url: Option<String>,
 }
 
 impl PendingRequests {
-    /// A token that was not used before.
+    /// Returns a token that was not used before.
     pub fn next_token(&mut self) -> u64 {
         self.last_token += 1;
         self.last_token
     }
 
-    /// Adds a request under its token.
+    /// Adds a pending request.
     pub fn add(&mut self, token: u64, responder: Responder) {
         self.insert(token, responder, None);
     }
 
-    /// Adds the registration of an upstream, which is told where to send its later heartbeats.
+    /// Adds a pending registration. Its response contains the URL for the upstream's later
+    /// heartbeats.
     pub fn add_registration(
         &mut self,
         token: u64,
@@ -52,7 +53,7 @@
         self.by_token.insert(token, request);
     }
 
-    /// Responds to the request with a token, if it is pending.
+    /// Responds to the request with this token. Does nothing if no such request is pending.
     pub fn complete(&mut self, token: u64, answer: CallResponse) {
         let Some(request) = self.by_token.remove(&token) else {
             return;
@@ -67,7 +68,8 @@
     }
 }
 
-/// Hands a response to the connection that waits for it; one that has timed out takes none.
+/// Sends a response to the connection that waits for it. The response is dropped if the connection
+/// has already timed out.
 pub(super) fn respond(responder: Responder, response: ApiResponse) {
     responder.send(response).ok();
 }
--- a/crates/node/src/core/pending_requests/tests.rs
+++ b/crates/node/src/core/pending_requests/tests.rs
@@ -1,4 +1,5 @@
-//! Requests are answered once, and registrations with the address of later heartbeats.
+//! Each request is answered once. The response to a registration contains the URL for later
+//! heartbeats.
 
 use super::{ApiResponse, PendingRequests};
 use tokio::sync::oneshot;
@@ -14,14 +15,20 @@
     let (responder, mut response) = oneshot::channel();
     pending.add(tokens[0], responder);
     pending.complete(tokens[1], CallResponse::Indeterminate);
-    assert!(response.try_recv().is_err(), "it is another request's");
+    assert!(
+        response.try_recv().is_err(),
+        "the token belongs to another request"
+    );
     pending.complete(tokens[0], CallResponse::Acknowledged);
     assert!(matches!(
         response.try_recv(),
         Ok(ApiResponse::Machine(CallResponse::Acknowledged))
     ));
     pending.complete(tokens[0], CallResponse::Acknowledged);
-    assert!(response.try_recv().is_err(), "it has its answer");
+    assert!(
+        response.try_recv().is_err(),
+        "the request is already answered"
+    );
 }
 
 #[test]
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -1,5 +1,5 @@
-//! The task that owns the control machine: it feeds events into the machine and executes the
-//! actions that come out.
+//! Task that owns the control machine, passes events to the machine and executes the machine's
+//! actions.
 
 use super::api::{self, ApiRequest, ApiResponse};
 use super::coordination::{self, CoordinationHandle};
@@ -22,44 +22,44 @@
 use woadstall_control::machine::{Action, CallResponse, ControlMachine};
 use woadstall_control::wire::{MachineInfo, Packet};
 
-/// How often the machine's clock advances.
+/// Interval at which the machine's clock advances.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the settings file is checked for changes.
+/// Interval at which the settings file is checked for changes.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum time between two writes of changed registrations.
 const REGISTRATION_SAVE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often registrations are written although none has changed, so that their age is known after
-/// a restart.
+/// Interval at which unchanged registrations are written, so that their age is known after a
+/// restart.
 const REGISTRATION_REFRESH_INTERVAL: Duration = Duration::from_secs(10);
-/// How often the coordination service is told where other control machines are.
+/// Interval at which the coordination service receives the addresses of other control machines.
 const KNOWN_ADDRESSES_INTERVAL: Duration = Duration::from_secs(1);
-/// How long requests are still answered after SIGTERM, while leadership is transferred.
+/// Time after SIGTERM for which requests are still answered while leadership is transferred.
 const SHUTDOWN_PERIOD: Duration = Duration::from_millis(600);
-/// The same while another machine replaces this one as a voter.
+/// Replaces [`SHUTDOWN_PERIOD`] while another machine takes over this machine's vote.
 const REPLACEMENT_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// A core process while it runs.
+/// State of a running core process.
 pub(super) struct Process {
     started: Instant,
     machine: ControlMachine,
     peers: Peers,
     disk: Disk,
-    /// The registry's version that was last given to the disk.
+    /// Version of the registry that was last passed to the disk thread.
     saved_version: u64,
     saved_at: Instant,
     stalls: StallDetector,
     watcher: SettingsWatcher,
     settings_checked: Instant,
-    /// Queues of the balancers that read the feed, by the number of their connection.
+    /// Frame queues of the subscribed balancers, by connection number.
     subscribers: BTreeMap<u64, FrameSender>,
     pending_requests: PendingRequests,
-    /// The coordination service, if it runs.
+    /// Handle of the coordination service; `None` if the service is disabled.
     coordination: Option<CoordinationHandle>,
     known_addresses_sent: Instant,
 }
 
 impl Process {
-    /// A process that has not begun to run.
+    /// Creates a process that is started by [`Self::run`].
     pub fn new(
         machine: ControlMachine,
         disk: Disk,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Runs until SIGTERM, and then for [`SHUTDOWN_PERIOD`] or [`REPLACEMENT_PERIOD`].
+    /// Runs the event loop until SIGTERM, then for [`SHUTDOWN_PERIOD`] or [`REPLACEMENT_PERIOD`].
     pub async fn run(
         mut self,
         mut events: UnboundedReceiver<Event>,
@@ -117,7 +117,7 @@
                     }
                 }
             }
-            // Events that have arrived meanwhile are handled before anything is sent.
+            // All queued events are handled first, so that the resulting actions are sent together.
             while let Ok(event) = events.try_recv() {
                 self.handle(event);
             }
@@ -139,7 +139,7 @@
     fn begin_shutdown(&mut self) {
         log::info!("shutdown_started signal=SIGTERM");
         self.machine.begin_shutdown(self.now());
-        self.tell_coordination(coordination::Event::ShutdownStarted);
+        self.notify_coordination(coordination::Event::ShutdownStarted);
     }
 
     fn shutdown_period(&self) -> Duration {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Milliseconds since the start: the machine's clock.
+    /// Time since the start of the process in milliseconds, used as the machine's clock.
     fn now(&self) -> u64 {
         millis(self.started.elapsed())
     }
@@ -198,14 +198,14 @@
         received_at: Instant,
         responder: Responder,
     ) {
-        let is_order = matches!(request, ApiRequest::Order(_));
-        if is_order && self.stalls.is_stale(Instant::now(), received_at) {
+        let is_command = matches!(request, ApiRequest::Command(_));
+        if is_command && self.stalls.is_stale(Instant::now(), received_at) {
             respond(responder, ApiResponse::Machine(CallResponse::Indeterminate));
             return;
         }
         let token = self.pending_requests.next_token();
         match request {
-            ApiRequest::Order(command) => {
+            ApiRequest::Command(command) => {
                 self.pending_requests.add(token, responder);
                 self.machine.submit_command(now, token, command);
             }
@@ -225,11 +225,11 @@
                 self.pending_requests.add(token, responder);
                 self.machine.deregister(now, token, &id);
             }
-            ApiRequest::Resolve(question) => {
-                let balancers = self.machine.resolve(&question);
+            ApiRequest::Resolve(request) => {
+                let balancers = self.machine.resolve(&request);
                 respond(responder, ApiResponse::Balancers(balancers));
             }
-            // They go to the coordination service.
+            // The API server passes coordination requests directly to the coordination service.
             ApiRequest::Coordination(_) | ApiRequest::CoordinationStatus => {}
             ApiRequest::Status => {
                 let status = api::status(&self.machine, now);
@@ -238,18 +238,18 @@
         }
     }
 
-    /// Applies what may change while the process runs: the seeds.
+    /// Applies reloaded settings. Only the seeds can change while the process runs.
     fn apply_settings(&mut self, settings: Option<NodeSettings>) {
         self.settings_checked = Instant::now();
         if let Some(settings) = settings {
             self.machine
                 .set_seeds(addresses(&settings.internal_seeds()));
             let seeds = addresses(&settings.coordination_seeds());
-            self.tell_coordination(coordination::Event::Seeds(seeds));
+            self.notify_coordination(coordination::Event::Seeds(seeds));
         }
     }
 
-    /// Tells the coordination service where other control machines are.
+    /// Passes the addresses of the known control machines to the coordination service.
     fn send_known_addresses(&mut self) {
         self.known_addresses_sent = Instant::now();
         let Some(port) = self.coordination.as_ref().map(CoordinationHandle::port) else {
@@ -261,10 +261,10 @@
             Some(SocketAddr::new(internal.ip(), port).to_string())
         };
         let known = machines.iter().filter_map(address).collect();
-        self.tell_coordination(coordination::Event::KnownAddresses(known));
+        self.notify_coordination(coordination::Event::KnownAddresses(known));
     }
 
-    fn tell_coordination(&self, event: coordination::Event) {
+    fn notify_coordination(&self, event: coordination::Event) {
         if let Some(coordination) = &self.coordination {
             coordination.send(event);
         }
@@ -280,7 +280,8 @@
         }
     }
 
-    /// Has the disk write the registrations; `number` is that of the machine's request, or 0.
+    /// Passes the registrations to the disk thread. `number` identifies the machine's request to
+    /// persist them; it is 0 for a periodic write.
     fn save_registrations(&mut self, number: u64) {
         self.saved_version = self.machine.registry_version();
         self.saved_at = Instant::now();
@@ -309,14 +310,14 @@
                 Action::Log(event) => log::info!("{event}"),
             }
         }
-        // After the other actions: one write includes all that they have changed.
+        // Written after all other actions, so that one write contains all of their changes.
         if let Some(number) = save_number {
             self.save_registrations(number);
         }
     }
 
-    /// Sends a packet to subscribers, encoded once. One whose queue is full is disconnected; it
-    /// reconnects and gets a snapshot.
+    /// Encodes a packet once and sends it to subscribers. A subscriber whose queue is full is
+    /// disconnected; it receives a snapshot after reconnecting.
     fn deliver(&mut self, subscribers: &[u64], packet: &Packet) {
         let frame = Bytes::from(packet.encode());
         for subscriber in subscribers {
--- a/crates/node/src/core/registration_store.rs
+++ b/crates/node/src/core/registration_store.rs
@@ -1,9 +1,9 @@
-//! Registrations on the disk. That an upstream leaves is durable before it is acknowledged; the
-//! other registrations are hints for the first moments after a restart, until upstreams send
+//! Stores the upstream registrations on the disk. A deregistration is durable before it is
+//! acknowledged. All other registrations serve as hints after a restart until the upstreams send
 //! heartbeats again.
 //!
-//! Two files, `registrations-0` and `registrations-1`, are written alternately, so that a crash
-//! leaves one of them complete.
+//! Two files, `registrations-0` and `registrations-1`, are written alternately, so that at least
+//! one file is complete after a crash.
 
 use crate::time::millis;
 use nanoserde::{DeBin, SerBin};
@@ -14,32 +14,32 @@
 use woadstall_control::registry::Registration;
 use woadstall_control::wire::{MAX_FRAME_BYTES, decode_frame, encode_frame};
 
-/// Files that are written alternately.
-const FILES: u64 = 2;
+/// Number of files that are written alternately.
+const FILE_COUNT: u64 = 2;
 
-/// The content of a file, in a frame of the internal protocol.
+/// Content of a file, encoded as a frame of the internal protocol.
 #[derive(Clone, Debug, Default, PartialEq, SerBin, DeBin)]
 struct StoredRegistrations {
-    /// The number of the write; the higher one is the newer file.
+    /// Number of the write. The file with the higher number is newer.
     number: u64,
-    /// The wall clock at the write, in milliseconds since 1970-01-01 UTC.
+    /// Wall-clock time of the write, in milliseconds since 1970-01-01 UTC.
     written_at: u64,
     registrations: Vec<Registration>,
 }
 
-/// The files of one machine.
+/// Registration files of one machine.
 #[derive(Debug)]
 pub(super) struct RegistrationStore {
     directory: PathBuf,
-    /// The number of the last write.
+    /// Number of the last write.
     number: u64,
 }
 
 impl RegistrationStore {
-    /// Opens the files in a directory and reads the newest one that is intact. The registrations'
-    /// age includes the time since they were written; `now` is the wall clock.
+    /// Opens the files in a directory and reads the newest intact file. The time since the write,
+    /// measured by the wall clock `now`, is added to the age of each registration.
     pub fn open(directory: &Path, now: Duration) -> (Self, Vec<Registration>) {
-        let newest = (0..FILES)
+        let newest = (0..FILE_COUNT)
             .filter_map(|number| read(&path(directory, number)))
             .max_by_key(|stored| stored.number)
             .unwrap_or_default();
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// The file can't be written or synced. The other one stays as it is.
+    /// Fails if the file can't be written or synced. The other file is not changed.
     pub fn save(&mut self, registrations: &[Registration], now: Duration) -> io::Result<()> {
         let stored = StoredRegistrations {
             number: self.number + 1,
@@ -70,7 +70,7 @@
             .write(true)
             .create(true)
             .truncate(true)
-            .open(path(&self.directory, stored.number % FILES))?;
+            .open(path(&self.directory, stored.number % FILE_COUNT))?;
         file.write_all(&encode_frame(&stored))?;
         file.sync_data()?;
         self.number = stored.number;
@@ -82,7 +82,7 @@
     directory.join(format!("registrations-{file_number}"))
 }
 
-/// The content of a file; `None` if it is missing or damaged.
+/// Reads a file; `None` if the file is missing or corrupt.
 fn read(path: &Path) -> Option<StoredRegistrations> {
     let mut bytes = Vec::new();
     File::open(path)
--- a/crates/node/src/core/registration_store/tests.rs
+++ b/crates/node/src/core/registration_store/tests.rs
@@ -1,10 +1,11 @@
-//! Registrations on the disk: two files that are written alternately, torn files, and ages.
+//! Storage of registrations: alternating files, files truncated by a crash, and the age of
+//! registrations after a restart.
 
 use super::{RegistrationStore, path};
 use std::time::Duration;
 use woadstall_control::registry::{Registration, UpstreamStatus};
 
-const WRITTEN: Duration = Duration::from_secs(1_000_000);
+const WRITE_TIME: Duration = Duration::from_secs(1_000_000);
 
 fn registration(id: &str, status: UpstreamStatus) -> Registration {
     Registration {
@@ -22,7 +23,7 @@
 }
 
 fn statuses(folder: &std::path::Path, after: Duration) -> Vec<UpstreamStatus> {
-    let (_, registrations) = RegistrationStore::open(folder, WRITTEN + after);
+    let (_, registrations) = RegistrationStore::open(folder, WRITE_TIME + after);
     registrations
         .iter()
         .map(|registration| registration.status)
@@ -32,32 +33,34 @@
 #[test]
 fn the_newest_write_is_read() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut store, none) = RegistrationStore::open(folder.path(), WRITTEN);
+    let (mut store, none) = RegistrationStore::open(folder.path(), WRITE_TIME);
     assert!(none.is_empty());
     for status in [
         UpstreamStatus::Ready,
         UpstreamStatus::Draining,
         UpstreamStatus::Deregistered,
     ] {
-        store.save(&[registration("i-1", status)], WRITTEN).unwrap();
+        store
+            .save(&[registration("i-1", status)], WRITE_TIME)
+            .unwrap();
         assert_eq!(statuses(folder.path(), Duration::ZERO), [status]);
     }
 }
 
 #[test]
-fn a_torn_file_is_ignored_and_overwritten_next() {
+fn a_truncated_file_is_ignored_and_overwritten_next() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
+    let (mut store, _) = RegistrationStore::open(folder.path(), WRITE_TIME);
     store
-        .save(&[registration("i-1", UpstreamStatus::Draining)], WRITTEN)
+        .save(&[registration("i-1", UpstreamStatus::Draining)], WRITE_TIME)
         .unwrap();
     store
         .save(
             &[registration("i-1", UpstreamStatus::Deregistered)],
-            WRITTEN,
+            WRITE_TIME,
         )
         .unwrap();
-    let newest = path(folder.path(), store.number % super::FILES);
+    let newest = path(folder.path(), store.number % super::FILE_COUNT);
     let complete = std::fs::read(&newest).unwrap();
     for length in 0..complete.len() {
         std::fs::write(&newest, &complete[..length]).unwrap();
@@ -67,11 +70,11 @@
             "truncated to {length} bytes"
         );
     }
-    let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
+    let (mut store, _) = RegistrationStore::open(folder.path(), WRITE_TIME);
     store
         .save(
             &[registration("i-1", UpstreamStatus::Deregistered)],
-            WRITTEN,
+            WRITE_TIME,
         )
         .unwrap();
     assert_eq!(
@@ -83,23 +86,23 @@
 #[test]
 fn registrations_age_while_the_machine_is_down() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut store, _) = RegistrationStore::open(folder.path(), WRITTEN);
-    let heard = Registration {
+    let (mut store, _) = RegistrationStore::open(folder.path(), WRITE_TIME);
+    let registration_before = Registration {
         age_ms: 500,
         ..registration("i-1", UpstreamStatus::Ready)
     };
-    store.save(&[heard], WRITTEN).unwrap();
-    let ages = |time_of_day: Duration| -> Vec<u64> {
-        let (_, registrations) = RegistrationStore::open(folder.path(), time_of_day);
+    store.save(&[registration_before], WRITE_TIME).unwrap();
+    let ages = |wall_clock: Duration| -> Vec<u64> {
+        let (_, registrations) = RegistrationStore::open(folder.path(), wall_clock);
         registrations
             .iter()
             .map(|registration| registration.age_ms)
             .collect()
     };
-    assert_eq!(ages(WRITTEN + Duration::from_secs(90)), [90_500]);
+    assert_eq!(ages(WRITE_TIME + Duration::from_secs(90)), [90_500]);
     assert_eq!(
-        ages(WRITTEN - Duration::from_secs(90)),
+        ages(WRITE_TIME - Duration::from_secs(90)),
         [500],
-        "the time of day has stepped back"
+        "the wall clock was set back"
     );
 }
--- a/crates/node/src/core/signals.rs
+++ b/crates/node/src/core/signals.rs
@@ -1,28 +1,30 @@
-//! The signals that a core process handles. They are handled from its start on: by default each of
-//! them would end the process.
+//! Signal handlers of a core process. They are installed first at start-up because the default
+//! action of each signal would end the process.
 
 use crate::error::SetupError;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Receivers of the signals.
+/// Receivers of the handled signals.
 #[derive(Debug)]
 pub(super) struct Signals {
-    /// SIGTERM: the process shuts down.
+    /// SIGTERM, which shuts the process down.
     pub terminate: Signal,
-    /// SIGHUP: the settings are read again.
+    /// SIGHUP, which reloads the settings.
     pub hangup: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// The operating system refuses one.
+    /// Fails if the operating system refuses a handler.
     pub fn install() -> Result<Self, SetupError> {
         Ok(Self {
-            terminate: signal(SignalKind::terminate()).map_err(SetupError::during("SIGTERM"))?,
-            hangup: signal(SignalKind::hangup()).map_err(SetupError::during("SIGHUP"))?,
+            terminate: signal(SignalKind::terminate())
+                .map_err(SetupError::during("install the SIGTERM handler"))?,
+            hangup: signal(SignalKind::hangup())
+                .map_err(SetupError::during("install the SIGHUP handler"))?,
         })
     }
 }
--- a/crates/node/src/core/stall/tests.rs
+++ b/crates/node/src/core/stall/tests.rs
@@ -1,6 +1,6 @@
-//! The detector of stalls, with times handed in.
+//! Stall detection with simulated time.
 
-use super::{MAX_ITERATION, MAX_QUEUE_TIME, SUSPECT_PERIOD, StallDetector};
+use super::{MAX_ITERATION_TIME, MAX_QUEUE_TIME, SUSPECT_PERIOD, StallDetector};
 use std::time::{Duration, Instant};
 
 const ITERATION: Duration = Duration::from_millis(50);
@@ -18,18 +18,18 @@
 }
 
 #[test]
-fn requests_are_stale_for_a_while_after_a_stall() {
+fn requests_are_stale_for_the_suspect_period_after_a_stall() {
     let start = Instant::now();
     let mut detector = StallDetector::new(start);
-    let thawed = start + MAX_ITERATION + ITERATION;
-    detector.record_iteration(thawed);
+    let resumed = start + MAX_ITERATION_TIME + ITERATION;
+    detector.record_iteration(resumed);
     assert!(
-        detector.is_stale(thawed, thawed),
-        "it may have waited at the socket all the while"
+        detector.is_stale(resumed, resumed),
+        "the request may have waited in the socket buffer during the stall"
     );
-    detector.record_iteration(thawed + ITERATION);
-    assert!(detector.is_stale(thawed + ITERATION, thawed + ITERATION));
-    let later = thawed + SUSPECT_PERIOD;
+    detector.record_iteration(resumed + ITERATION);
+    assert!(detector.is_stale(resumed + ITERATION, resumed + ITERATION));
+    let later = resumed + SUSPECT_PERIOD;
     assert!(!detector.is_stale(later, later));
 }
 
