--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -7,7 +7,7 @@
 use woadstall_control::configuration::Configuration;
 use woadstall_control::reader::Findings;
 
-/// Files that are not valid, in the order in which they were named.
+/// Errors of all invalid files, in the order of the command-line arguments.
 #[derive(Debug, Error)]
 pub(super) struct InvalidFiles(Vec<FileError>);
 
@@ -21,31 +21,31 @@
     }
 }
 
-/// A file is not valid.
+/// Reason why a file is invalid.
 #[derive(Debug, Error)]
 enum FileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{path}: {source}")]
     Io {
         path: PathBuf,
         source: std::io::Error,
     },
-    /// It is not JSON.
+    /// The file is not JSON.
     #[error("{path}: {source}")]
     Json {
         path: PathBuf,
         source: serde_json::Error,
     },
-    /// Fields are missing or invalid.
+    /// The document lacks required fields or has invalid fields.
     #[error("{path}:\n{findings}")]
     Invalid { path: PathBuf, findings: Findings },
 }
 
-/// Validates files.
+/// Validates all files.
 ///
 /// # Errors
 ///
-/// All that is wrong with each file.
+/// Returns the errors of all invalid files.
 pub(super) fn run(files: &[PathBuf]) -> Result<(), InvalidFiles> {
     let errors: Vec<FileError> = files
         .iter()
@@ -58,7 +58,8 @@
     }
 }
 
-/// Validates a file: one with routes as a configuration, any other as settings.
+/// Validates a file. A document with the field `routes` is a configuration; any other document is a
+/// settings file.
 fn check_file(path: &Path) -> Result<(), FileError> {
     let path = path.to_owned();
     let text = match std::fs::read(&path) {
--- a/crates/node/src/cli/logging.rs
+++ b/crates/node/src/cli/logging.rs
@@ -1,20 +1,20 @@
-//! The log of a process: lines on standard error.
+//! Logger of the processes, which writes lines to standard error.
 
 use flexi_logger::{DeferredNow, FlexiLoggerError, Logger};
 use log::Record;
 use std::io::{self, Write};
 
-/// Starts the log. `RUST_LOG` sets the level; `info` by default.
+/// Starts the logger. `RUST_LOG` sets the log level; the default is `info`.
 ///
 /// # Errors
 ///
-/// `RUST_LOG` can't be parsed, or a logger has been set already.
+/// Fails if `RUST_LOG` can't be parsed or if a logger is already installed.
 pub(super) fn start() -> Result<(), FlexiLoggerError> {
     let handle = Logger::try_with_env_or_str("info")?
         .format(write_record)
         .log_to_stderr()
         .start()?;
-    // Dropping the handle would stop the log.
+    // Dropping the handle would stop the logger.
     std::mem::forget(handle);
     Ok(())
 }
--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the serving system: the two processes, and tools for operators.
+//! Commands of the serving system: the `front` and `core` processes and tools for operators.
 
 mod arguments;
 mod check;
@@ -17,37 +17,38 @@
 use thiserror::Error;
 use why::WhyError;
 
-/// The names of the system's commands.
+/// Names of the commands that [`run`] handles.
 pub const COMMANDS: [&str; 5] = ["front", "core", "why", "status", "check-system"];
 
-/// A command has failed.
+/// Reason why a command has failed.
 #[derive(Debug, Error)]
 enum CommandError {
-    /// The log can't be started.
+    /// The logger can't be started.
     #[error(transparent)]
     Log(#[from] FlexiLoggerError),
-    /// The settings can't be used.
+    /// The settings can't be read or are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The front process can't run.
+    /// The front process has failed.
     #[error(transparent)]
     Front(#[from] FrontError),
-    /// The core process can't run.
+    /// The core process has failed.
     #[error(transparent)]
     Core(#[from] CoreError),
-    /// Reports can't be summarized.
+    /// The request reports can't be summarized.
     #[error(transparent)]
     Why(#[from] WhyError),
-    /// A control machine's status can't be shown.
+    /// The status of a control machine can't be retrieved or printed.
     #[error(transparent)]
     Status(#[from] StatusError),
-    /// Files are invalid.
+    /// Checked files are invalid.
     #[error(transparent)]
     Check(#[from] InvalidFiles),
 }
 
-/// Runs the command that the process's arguments name; `None` if it is none of the system's. Prints
-/// an error to standard error, and ends the process itself if the arguments can't be parsed.
+/// Runs the command given by the process's arguments. Returns `None` if the first argument is not
+/// one of [`COMMANDS`]. Prints errors to standard error. Exits the process if the arguments can't
+/// be parsed.
 pub fn run() -> Option<ExitCode> {
     let command = std::env::args().nth(1)?;
     if !COMMANDS.contains(&command.as_str()) {
@@ -79,7 +80,7 @@
     Ok(())
 }
 
-/// What both processes begin with: the log, and the settings.
+/// Starts the logger and loads the settings of a `front` or `core` process.
 fn start_process() -> Result<(NodeSettings, SettingsWatcher), CommandError> {
     logging::start()?;
     Ok(SettingsWatcher::load()?)
--- a/crates/node/src/cli/status.rs
+++ b/crates/node/src/cli/status.rs
@@ -1,31 +1,33 @@
-//! `woadstall status`: shows the status of a control machine.
+//! `woadstall status`: prints the status of a control machine.
 
 use std::io::{self, Write};
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a control machine may take to respond.
+/// Time within which a control machine must respond.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The status can't be shown.
+/// Reason why the status can't be printed.
 #[derive(Debug, Error)]
 pub(super) enum StatusError {
-    /// The machine can't be asked.
+    /// The HTTP request to the machine failed.
     #[error(transparent)]
     Request(#[from] attohttpc::Error),
-    /// Its response is not JSON.
+    /// The response of the machine is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Standard output can't be written to.
+    /// Writing to standard output failed.
     #[error(transparent)]
     Output(#[from] io::Error),
 }
 
-/// Asks the control machine at `address` (`ip:port`) and prints its response.
+/// Requests the status of the control machine at `address` (`ip:port`) and prints it as formatted
+/// JSON.
 ///
 /// # Errors
 ///
-/// The machine does not respond with JSON within [`RESPONSE_TIMEOUT`], or the output is closed.
+/// Fails if the machine does not respond with JSON within [`RESPONSE_TIMEOUT`] or if standard
+/// output is closed.
 pub(super) fn run(address: &str) -> Result<(), StatusError> {
     let url = format!("http://{address}/v1/status");
     let response = attohttpc::get(url).timeout(RESPONSE_TIMEOUT).send()?;
--- a/crates/node/src/cli/why.rs
+++ b/crates/node/src/cli/why.rs
@@ -6,37 +6,32 @@
 use thiserror::Error;
 use woadstall_request_reports::{LINE_PREFIX, ParseReportError, PlotError, RequestReport, Summary};
 
-/// Reports can't be summarized.
+/// Reason why reports can't be summarized.
 #[derive(Debug, Error)]
 pub(super) enum WhyError {
-    /// A file can't be read or written.
+    /// A log can't be read, or the output can't be written.
     #[error("{path}: {source}")]
-    Io {
-        /// The file.
-        path: PathBuf,
-        /// The operating system's answer.
-        source: io::Error,
-    },
-    /// A line has the prefix of a report and can't be parsed as one.
+    Io { path: PathBuf, source: io::Error },
+    /// A line contains the prefix of a report but is not a valid report.
     #[error("{path}, line {line_number}: {source}")]
     InvalidReport {
-        /// The file.
         path: PathBuf,
-        /// The number of the line, from 1 on.
+        /// Line number, starting at 1.
         line_number: usize,
-        /// What is wrong with it.
         source: ParseReportError,
     },
-    /// The plot can't be drawn.
+    /// The plot can't be rendered.
     #[error("the plot: {0}")]
     Plot(#[from] PlotError),
 }
 
-/// Reads the log files, prints the tables, and writes the plot to `plot_path` if there is one.
+/// Reads the log files and prints the tables. If `plot_path` is set, writes the plot to this file
+/// as SVG.
 ///
 /// # Errors
 ///
-/// A file can't be read or written, a report can't be parsed, or the plot can't be drawn.
+/// Fails if a file can't be read or written, if a report can't be parsed, or if the plot can't be
+/// rendered.
 pub(super) fn run(files: &[PathBuf], plot_path: Option<&Path>) -> Result<(), WhyError> {
     let mut summary = Summary::default();
     for path in files {
@@ -59,7 +54,7 @@
     }
 }
 
-/// Adds the reports in one log.
+/// Adds all reports of one log to the summary.
 fn add_log(path: &Path, log: impl BufRead, summary: &mut Summary) -> Result<(), WhyError> {
     for (index, text) in log.lines().enumerate() {
         let text = text.map_err(io_error(path))?;
@@ -76,8 +71,8 @@
     Ok(())
 }
 
-/// The second in which a line was written: the first time of day in it, else the first number, else
-/// 0.
+/// Returns the second in which a line was written: the first time of day in the line, or else the
+/// first number, or else 0.
 fn second_of(text: &str) -> u64 {
     let times = text.split_whitespace().filter_map(second_of_day);
     let numbers = text
@@ -86,7 +81,7 @@
     times.chain(numbers).next().unwrap_or(0)
 }
 
-/// The second of the day of `hours:minutes:seconds`.
+/// Parses `hours:minutes:seconds` as a number of seconds since midnight.
 fn second_of_day(text: &str) -> Option<u64> {
     let mut fields = text.split(':');
     let (hours, minutes, seconds) = (fields.next()?, fields.next()?, fields.next()?);
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,20 +1,20 @@
-//! The error that starting either process can end with.
+//! Errors during the start of a process.
 
 use std::io;
 use thiserror::Error;
 
-/// The operating system refused something that a process needs at its start.
+/// Failure of a system call that a process needs at its start.
 #[derive(Debug, Error)]
 #[error("{operation}: {source}")]
 pub struct SetupError {
-    /// What was tried.
+    /// Operation that failed, in the words of the error message.
     operation: String,
-    /// The operating system's answer.
+    /// Error returned by the operating system.
     source: io::Error,
 }
 
 impl SetupError {
-    /// Wraps the error of an operation; made for `map_err`.
+    /// Returns a function for `map_err` that adds the name of the failed operation to an I/O error.
     pub(crate) fn during(operation: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
         let operation = operation.into();
         move |source| Self { operation, source }
--- a/crates/node/src/golden.rs
+++ b/crates/node/src/golden.rs
@@ -1,8 +1,8 @@
-//! Golden files of unit tests, in `tests/golden`: bytes that must stay as they are.
+//! Compares bytes with the golden files of unit tests in `tests/golden`.
 
 use std::path::Path;
 
-/// Asserts that bytes are those of a golden file.
+/// Asserts that `bytes` equals the content of a golden file.
 pub(crate) fn assert_golden(name: &str, bytes: &[u8]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
@@ -16,7 +16,7 @@
     );
 }
 
-/// Bytes as text.
+/// Formats bytes as text, with all non-printable bytes except newlines escaped.
 pub(crate) fn escape(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string().replace("\\n", "\n")
 }
--- a/crates/node/src/http_server.rs
+++ b/crates/node/src/http_server.rs
@@ -1,4 +1,4 @@
-//! Blocking HTTP servers for calls that are few: the operator's API and the readiness endpoint.
+//! Blocking HTTP server for endpoints with few requests, such as the readiness endpoint.
 
 use crate::error::SetupError;
 use rouille::{Request, Response, Server};
@@ -6,12 +6,13 @@
 use std::net::SocketAddr;
 use std::thread;
 
-/// Serves `handler` on `address` in threads of its own until the process ends. `workers` threads
-/// answer requests; where it is `None`, the server's default, which depends on the number of cores.
+/// Serves `handler` on `address` in separate threads until the process ends. `workers` sets the
+/// number of threads that answer requests; `None` selects the server's default, which depends on
+/// the number of cores.
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Fails if the address can't be bound.
 pub(crate) fn spawn(
     address: SocketAddr,
     workers: Option<usize>,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,11 +1,12 @@
-//! The processes of woadstall's serving system, and the commands that operators have for them.
+//! Processes of woadstall's serving system and command-line tools for operators.
 //!
-//! - `front` forwards clients' requests to upstreams.
-//! - `core` holds the configuration, the registrations and the membership that fronts need.
+//! - `front` forwards client requests to upstreams.
+//! - `core` stores the configuration, the upstream registrations and the membership, and provides
+//!   them to fronts.
 //!
-//! This crate has the sockets, disks, signals and clocks. The decisions are in crates without I/O:
-//! `woadstall-control` (state of a control machine), `woadstall-consensus` (replicated log) and
-//! `woadstall-routing` (choice of an upstream).
+//! This crate performs all I/O: sockets, disks, signals and clocks. The decision logic is in crates
+//! without I/O: `woadstall-control` (state of a control machine), `woadstall-consensus` (replicated
+//! log) and `woadstall-routing` (selection of upstreams).
 
 pub mod cli;
 mod core;
--- a/crates/node/src/packet_stream.rs
+++ b/crates/node/src/packet_stream.rs
@@ -1,4 +1,4 @@
-//! Packets of the internal protocol over TCP connections.
+//! Reads and writes packets of the internal protocol on TCP connections.
 
 use nanoserde::DeBin;
 use std::io::{self, ErrorKind};
@@ -10,18 +10,18 @@
 use woadstall_control::wire::{HEADER_BYTES, Packet, decode_split_frame, payload_length};
 use woadstall_socket_options::{enable_dead_peer_detection, set_nodelay};
 
-/// How long sent data may stay unacknowledged before a connection is closed. A lost segment is
-/// retransmitted within a few hundred milliseconds, also between regions.
+/// A connection is closed when sent data stays unacknowledged for this long. A lost segment is
+/// retransmitted within a few hundred milliseconds, even between regions.
 pub(crate) const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a connection may take to be established: some round trips between regions. To connect
-/// again is quicker than to wait for the retransmission of a lost SYN.
+/// Connect time-out, which allows some round trips between regions. Connecting again is faster than
+/// waiting for the retransmission of a lost SYN.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Connects to another process of the system.
 ///
 /// # Errors
 ///
-/// The connection is refused, or not established within [`CONNECT_TIMEOUT`] (`TimedOut`).
+/// Fails if the connection is refused or not established within [`CONNECT_TIMEOUT`] (`TimedOut`).
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_| io::Error::from(ErrorKind::TimedOut))??;
@@ -30,11 +30,11 @@
     Ok(stream)
 }
 
-/// Writes a packet.
+/// Encodes a packet and writes its frame.
 ///
 /// # Errors
 ///
-/// The connection is broken.
+/// Fails if the connection is broken.
 pub(crate) async fn write_packet(
     stream: &mut (impl AsyncWriteExt + Unpin),
     packet: &Packet,
@@ -42,11 +42,12 @@
     stream.write_all(&packet.encode()).await
 }
 
-/// Reads a packet.
+/// Reads a frame and decodes its packet.
 ///
 /// # Errors
 ///
-/// The connection is broken or closed (`UnexpectedEof`), or the frame is invalid (`InvalidData`).
+/// Fails if the connection is broken or closed (`UnexpectedEof`) or if the frame is invalid
+/// (`InvalidData`).
 pub(crate) async fn read_packet<T: DeBin>(
     stream: &mut (impl AsyncReadExt + Unpin),
 ) -> io::Result<T> {
@@ -55,7 +56,7 @@
     let invalid = |error| io::Error::new(ErrorKind::InvalidData, error);
     let length = payload_length(&header).map_err(invalid)?;
     let mut payload = Vec::new();
-    // The buffer grows with the data received, not with the length that a header claims.
+    // The buffer grows with the received data, so a false length in a header allocates no memory.
     let received = stream.take(length as u64).read_to_end(&mut payload).await?;
     if received < length {
         return Err(ErrorKind::UnexpectedEof.into());
--- a/crates/node/src/settings/document.rs
+++ b/crates/node/src/settings/document.rs
@@ -1,4 +1,4 @@
-//! Parses the settings document. The findings come in the order in which the fields are parsed.
+//! Parses the settings document. Findings are listed in the order in which the fields are parsed.
 
 use super::{NodeSettings, PortRange};
 use serde_json::Value;
@@ -11,10 +11,11 @@
 use woadstall_control::reader::{FieldReader, Findings};
 use woadstall_routing::RoutingLimits;
 
-/// Stands for an address that is missing or invalid, so that the other fields are still checked.
+/// Placeholder for a missing or invalid address, so that the remaining fields are still checked.
 const INVALID_IP: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
 
-/// The settings in a document, or what is wrong with it.
+/// Parses the settings in a document. Returns findings for all missing or invalid fields on
+/// failure.
 pub(super) fn parse(document: &Value) -> Result<NodeSettings, Findings> {
     let findings = &mut Findings::default();
     let root = FieldReader::new(document);
@@ -22,11 +23,11 @@
     let internal_ports = port_range(&root.field("ephemeral_ports"), findings);
     let settings = NodeSettings {
         node: root.field("node").string(findings),
-        ip: parsed_text(&root.field("ip"), findings).unwrap_or(INVALID_IP),
+        ip: parse_string(&root.field("ip"), findings).unwrap_or(INVALID_IP),
         zone: root.field("zone").string(findings),
         region: root.field("region").string(findings),
-        zones: texts(&root.field("zones"), findings),
-        listen: addresses(&root.field("listen"), findings),
+        zones: string_map(&root.field("zones"), findings),
+        listen: address_map(&root.field("listen"), findings),
         internal_ports,
         seeds: address_list(&root.field("seeds"), findings),
         bootstrap: root.field("bootstrap").bool_or(false, findings),
@@ -36,15 +37,15 @@
             .map(PathBuf::from),
         tolerated_failures: tolerated_failures(&root.field("fault_tolerance"), findings),
         heartbeat_ms: root.field("heartbeat_ms").integer_or(1_200, findings),
-        memory_bytes: mebibytes(limits.field("memory_mb").integer_or(256, findings)),
+        memory_bytes: mebibytes_to_bytes(limits.field("memory_mb").integer_or(256, findings)),
         max_fds: usize::try_from(limits.field("max_fds").integer_or(1_024, findings))
             .unwrap_or(usize::MAX),
-        history_period: Duration::from_millis(milliseconds(
+        history_period: Duration::from_millis(seconds_to_ms(
             &root.field("bounds").field("history_s"),
             20.0,
             findings,
         )),
-        grace_period: Duration::from_millis(milliseconds(
+        grace_period: Duration::from_millis(seconds_to_ms(
             &root.field("bounds").field("grace_s"),
             8.0,
             findings,
@@ -61,19 +62,19 @@
 fn routing_limits(bounds: &FieldReader<'_>, findings: &mut Findings) -> RoutingLimits {
     RoutingLimits {
         retry_budget_ratio: bounds.field("retry_budget_ratio").number_or(0.2, findings),
-        retry_budget_window_ms: milliseconds(&bounds.field("budget_window_s"), 10.0, findings),
+        retry_budget_window_ms: seconds_to_ms(&bounds.field("budget_window_s"), 10.0, findings),
         retry_budget_slack: bounds.field("budget_slack").number_or(0.0, findings),
         warmup_factor: bounds.field("cold_over").number_or(1.0, findings),
         warmup_slack: bounds.field("cold_slack").number_or(0.0, findings),
     }
 }
 
-/// The milliseconds of a field in seconds.
-fn milliseconds(seconds: &FieldReader<'_>, default_seconds: f64, findings: &mut Findings) -> u64 {
+/// Reads a field in seconds and converts it to milliseconds.
+fn seconds_to_ms(seconds: &FieldReader<'_>, default_seconds: f64, findings: &mut Findings) -> u64 {
     (seconds.number_or(default_seconds, findings) * 1e3) as u64
 }
 
-fn mebibytes(count: u64) -> usize {
+fn mebibytes_to_bytes(count: u64) -> usize {
     usize::try_from(count).unwrap_or(usize::MAX >> 20) << 20
 }
 
@@ -105,8 +106,9 @@
     })
 }
 
-/// A value that is written as a string; `None`, and a finding, where it is missing or invalid.
-fn parsed_text<T>(reader: &FieldReader<'_>, findings: &mut Findings) -> Option<T>
+/// Parses a value from a string field. Adds a finding and returns `None` if the field is missing or
+/// invalid.
+fn parse_string<T>(reader: &FieldReader<'_>, findings: &mut Findings) -> Option<T>
 where
     T: FromStr<Err: Display>,
 {
@@ -123,25 +125,25 @@
     reader
         .items(findings)
         .iter()
-        .filter_map(|item| parsed_text(item, findings))
+        .filter_map(|item| parse_string(item, findings))
         .collect()
 }
 
-fn texts(reader: &FieldReader<'_>, findings: &mut Findings) -> BTreeMap<String, String> {
+fn string_map(reader: &FieldReader<'_>, findings: &mut Findings) -> BTreeMap<String, String> {
     fields(reader, findings)
         .into_iter()
         .map(|(name, field)| (name.clone(), field.string(findings)))
         .collect()
 }
 
-fn addresses(reader: &FieldReader<'_>, findings: &mut Findings) -> BTreeMap<String, SocketAddr> {
+fn address_map(reader: &FieldReader<'_>, findings: &mut Findings) -> BTreeMap<String, SocketAddr> {
     fields(reader, findings)
         .into_iter()
-        .filter_map(|(name, field)| Some((name.clone(), parsed_text(&field, findings)?)))
+        .filter_map(|(name, field)| Some((name.clone(), parse_string(&field, findings)?)))
         .collect()
 }
 
-/// All fields of an object, by their names.
+/// Returns the names and values of all fields of an object.
 fn fields<'a>(
     reader: &FieldReader<'a>,
     findings: &mut Findings,
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of a process: a JSON file whose path is in `WOADSTALL_BOOT`.
+//! Settings of a process, read from the JSON file at the path in `WOADSTALL_BOOT`.
 
 mod document;
 mod watcher;
@@ -14,56 +14,56 @@
 use woadstall_control::reader::Findings;
 use woadstall_routing::RoutingLimits;
 
-/// The environment variable with the path of the settings file.
+/// Environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "WOADSTALL_BOOT";
 
-/// The settings can't be used.
+/// Reason why the settings can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The environment variable is not set.
+    /// [`PATH_VARIABLE`] is not set.
     #[error("{PATH_VARIABLE} does not name the settings file")]
     NoPath,
     /// The file can't be read.
     #[error("{path}: {source}")]
     Io {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The operating system's answer.
+        /// Error returned by the operating system.
         source: std::io::Error,
     },
     /// The file is not JSON.
     #[error("{path}: {source}")]
     Json {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The syntax error with its position.
+        /// Syntax error with its position in the file.
         source: serde_json::Error,
     },
-    /// Fields are missing or invalid.
+    /// The document lacks required fields or has invalid fields.
     #[error("{path}:\n{findings}")]
     Invalid {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// One finding for each field.
+        /// Findings for all missing or invalid fields.
         findings: Findings,
     },
 }
 
-/// An endpoint that a process can serve, each on an address of its own.
+/// Endpoint that a process can serve, with its own address in the field `listen`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// The operator's API and the registrations of upstreams (core).
+    /// HTTP API for operators, upstreams and applications, served by `core`.
     Control,
-    /// The directory in which clients look up balancers (core).
+    /// Directory in which clients look up balancers, served by `core`.
     Directory,
-    /// Clients' requests (front).
+    /// Endpoint for client requests, served by `front`.
     Front,
-    /// The platform's readiness probe (front).
+    /// Readiness probe of the platform, served by `front`.
     Readiness,
 }
 
 impl Endpoint {
-    /// Its key in the field `listen`.
+    /// Key of the endpoint in the field `listen`.
     fn key(self) -> &'static str {
         match self {
             Self::Control => "control",
@@ -74,74 +74,76 @@
     }
 }
 
-/// A range of ports.
+/// Inclusive range of ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
-    /// The first port.
+    /// First port, used for the internal protocol of the control plane.
     pub first: u16,
-    /// The last port, included.
+    /// Last port of the range, used for the internal protocol of the coordination service if it
+    /// differs from the first port.
     pub last: u16,
 }
 
-/// The settings of a process. The comments name the field of the file and its default; a field
-/// without one is required.
+/// Settings of a process. Each comment names the field of the settings file and its default. A
+/// field without a default is required.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// `node`: the machine's name.
+    /// `node`: name of the machine.
     pub node: String,
-    /// `ip`: the machine's address.
+    /// `ip`: IP address of the machine.
     pub ip: IpAddr,
-    /// `zone`: its zone.
+    /// `zone`: zone of the machine.
     pub zone: String,
-    /// `region`: its region.
+    /// `region`: region of the machine.
     pub region: String,
-    /// `zones`: the region of each zone; default: empty.
+    /// `zones`: region of each zone; default: empty.
     pub zones: BTreeMap<String, String>,
-    /// `listen`: the addresses that the process serves, by the name of the endpoint; default:
-    /// empty.
+    /// `listen`: addresses that the process serves, by the key of the endpoint; default: empty.
     pub listen: BTreeMap<String, SocketAddr>,
-    /// `ephemeral_ports`: ports for the internal protocol.
+    /// `ephemeral_ports`: first and last port for the internal protocols.
     pub internal_ports: PortRange,
-    /// `seeds`: control addresses of some machines; default: empty.
+    /// `seeds`: control addresses of machines through which a process finds the system; default:
+    /// empty.
     pub seeds: Vec<SocketAddr>,
     /// `bootstrap`: whether this is the first start of the whole system; default: false.
     pub bootstrap: bool,
-    /// `data_dir`: the directory for durable files; default: none, on machines without a disk.
+    /// `data_dir`: directory for durable files; default: none, for machines without a disk.
     pub data_dir: Option<PathBuf>,
-    /// `fault_tolerance.machines`: how many machines with a disk may fail at a time; default: 1.
+    /// `fault_tolerance.machines`: number of machines with a disk that may fail at the same time;
+    /// default: 1.
     pub tolerated_failures: usize,
-    /// `heartbeat_ms`: the interval between heartbeats of an upstream, in milliseconds; default:
-    /// 1,200.
+    /// `heartbeat_ms`: interval between heartbeats of an upstream, in milliseconds; default: 1,200.
     pub heartbeat_ms: u64,
-    /// `limits.memory_mb`: memory of the process, here in bytes; default: 256 MiB.
+    /// `limits.memory_mb`: memory limit of the process, converted from MiB to bytes; default:
+    /// 256 MiB.
     pub memory_bytes: usize,
-    /// `limits.max_fds`: file descriptors of the process; default: 1,024.
+    /// `limits.max_fds`: limit of file descriptors of the process; default: 1,024.
     pub max_fds: usize,
-    /// `bounds.history_s`: for how long applications may resume watches; default: 20 s.
+    /// `bounds.history_s`: time within which applications may resume watches; default: 20 s.
     pub history_period: Duration,
-    /// `bounds.grace_s`: how long a process may go on after SIGTERM; default: 8 s.
+    /// `bounds.grace_s`: time within which a process must exit after SIGTERM; default: 8 s.
     pub grace_period: Duration,
-    /// The other fields of `bounds`: limits for routing.
+    /// Routing limits, read from the remaining fields of `bounds`.
     pub bounds: RoutingLimits,
 }
 
 impl NodeSettings {
-    /// The path that the environment names.
+    /// Returns the path of the settings file from the environment variable [`PATH_VARIABLE`].
     ///
     /// # Errors
     ///
-    /// [`SettingsError::NoPath`] if the variable is not set.
+    /// Returns [`SettingsError::NoPath`] if the variable is not set.
     pub fn path() -> Result<PathBuf, SettingsError> {
         std::env::var_os(PATH_VARIABLE)
             .map(PathBuf::from)
             .ok_or(SettingsError::NoPath)
     }
 
-    /// Reads a file.
+    /// Reads a settings file.
     ///
     /// # Errors
     ///
-    /// The file can't be read, is not JSON, or has invalid fields.
+    /// Fails if the file can't be read, is not JSON, or has missing or invalid fields.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let path = path.to_owned();
         let text = match std::fs::read(&path) {
@@ -155,34 +157,36 @@
         Self::from_document(&document).map_err(|findings| SettingsError::Invalid { path, findings })
     }
 
-    /// Reads a JSON document. Unknown fields are ignored.
+    /// Reads settings from a JSON document. Unknown fields are ignored.
     ///
     /// # Errors
     ///
-    /// A finding with its position for each field that is missing or invalid.
+    /// Returns a finding with its position for each field that is missing or invalid.
     pub fn from_document(document: &Value) -> Result<Self, Findings> {
         document::parse(document)
     }
 
-    /// Where this process listens for the internal protocol.
+    /// Returns the address on which this process listens for the internal protocol.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_ports.first)
     }
 
-    /// Where this process listens for the internal protocol of the coordination service: a port of
-    /// its own, so that neither group delays the other. `None` where there is only one port.
+    /// Returns the address on which this process listens for the internal protocol of the
+    /// coordination service. The service uses a separate port so that the control group and the
+    /// coordination group do not delay each other. Returns `None` if `ephemeral_ports` holds only
+    /// one port.
     pub fn coordination_address(&self) -> Option<SocketAddr> {
         self.coordination_address_of(self.ip)
     }
 
-    /// Where the machine with this address listens for the internal protocol of the coordination
-    /// service.
+    /// Returns the address on which the machine with this IP address listens for the internal
+    /// protocol of the coordination service; `None` if `ephemeral_ports` holds only one port.
     pub fn coordination_address_of(&self, ip: IpAddr) -> Option<SocketAddr> {
         let PortRange { first, last } = self.internal_ports;
         (last > first).then(|| SocketAddr::new(ip, last))
     }
 
-    /// Internal addresses of the seeds in the coordination service.
+    /// Returns the addresses of the seeds in the internal protocol of the coordination service.
     pub fn coordination_seeds(&self) -> Vec<SocketAddr> {
         self.seeds
             .iter()
@@ -190,13 +194,13 @@
             .collect()
     }
 
-    /// Where the machine with this control address listens for the internal protocol; all machines
-    /// use the same ports.
+    /// Returns the address on which the machine with this control address listens for the internal
+    /// protocol. All machines use the same ports.
     pub fn internal_address_of(&self, control: SocketAddr) -> SocketAddr {
         SocketAddr::new(control.ip(), self.internal_ports.first)
     }
 
-    /// Internal addresses of the seeds.
+    /// Returns the addresses of the seeds in the internal protocol.
     pub fn internal_seeds(&self) -> Vec<SocketAddr> {
         self.seeds
             .iter()
@@ -204,7 +208,8 @@
             .collect()
     }
 
-    /// Where the process serves an endpoint, if it does.
+    /// Returns the address on which the process serves an endpoint; `None` if `listen` does not
+    /// contain the endpoint.
     pub fn listen_address(&self, endpoint: Endpoint) -> Option<SocketAddr> {
         self.listen.get(endpoint.key()).copied()
     }
--- a/crates/node/src/settings/watcher.rs
+++ b/crates/node/src/settings/watcher.rs
@@ -1,11 +1,11 @@
-//! Reloads the settings file when it has changed.
+//! Reloads the settings file after it was modified.
 
 use super::{NodeSettings, SettingsError};
 use std::fs;
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-/// The settings file, and its modification time when it was last read.
+/// Path of the settings file and its modification time at the last read.
 #[derive(Debug)]
 pub struct SettingsWatcher {
     path: PathBuf,
@@ -13,23 +13,23 @@
 }
 
 impl SettingsWatcher {
-    /// Reads the file that the environment names, and watches it from then on.
+    /// Reads the settings file given by the environment and returns its settings with a watcher.
     ///
     /// # Errors
     ///
-    /// The variable is not set, or the file can't be read or is invalid.
+    /// Fails if the environment variable is not set, or if the file can't be read or is invalid.
     pub fn load() -> Result<(NodeSettings, Self), SettingsError> {
         let mut watcher = Self {
             path: NodeSettings::path()?,
             modified: None,
         };
-        // Taken before the file is read, so that a change in between is noticed.
+        // Taken before the file is read, so that a concurrent modification is detected later.
         watcher.modified = watcher.modification_time();
         Ok((NodeSettings::read(&watcher.path)?, watcher))
     }
 
-    /// Reads the file if it has been modified since it was last read. An invalid file is logged and
-    /// ignored.
+    /// Reads the file again if it was modified since the last read. Returns `None` if it was not
+    /// modified. An invalid file is logged and ignored.
     pub fn reload_if_modified(&mut self) -> Option<NodeSettings> {
         if self.modification_time() == self.modified {
             return None;
@@ -37,7 +37,7 @@
         self.reload()
     }
 
-    /// Reads the file whether or not it has been modified. An invalid file is logged and ignored.
+    /// Reads the file again, even if it was not modified. An invalid file is logged and ignored.
     pub fn reload(&mut self) -> Option<NodeSettings> {
         self.modified = self.modification_time();
         match NodeSettings::read(&self.path) {
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: each key with its default, and the text of each finding, stay as they are.
+//! Compares parsed settings, their defaults and the text of all findings with golden files.
 
 use serde_json::{Value, json};
 use std::fmt::Write;
@@ -13,15 +13,15 @@
     assert_eq!(text, expected, "{name}");
 }
 
-/// All that is required.
-fn least() -> Value {
+/// Settings with the required fields only.
+fn minimal_document() -> Value {
     json!({
         "node": "m-1", "ip": "10.1.0.1", "zone": "a-1", "region": "a", "ephemeral_ports": [7001, 7009],
     })
 }
 
-/// Each key, none with its default.
-fn most() -> Value {
+/// Settings with all fields, each with a value other than its default.
+fn full_document() -> Value {
     json!({
         "node": "m-1", "ip": "10.1.0.1", "zone": "a-1", "region": "a",
         "zones": { "a-1": "a", "b-1": "b" },
@@ -39,8 +39,8 @@
     })
 }
 
-/// The settings, one a line.
-fn written(settings: &NodeSettings) -> String {
+/// Formats settings with one field per line.
+fn format_settings(settings: &NodeSettings) -> String {
     let NodeSettings {
         node,
         ip,
@@ -89,25 +89,25 @@
 fn defaults_are_unchanged() {
     assert_golden(
         "settings-least.txt",
-        &written(&NodeSettings::from_document(&least()).unwrap()),
+        &format_settings(&NodeSettings::from_document(&minimal_document()).unwrap()),
     );
 }
 
 #[test]
-fn each_key_is_read_as_before() {
+fn parsing_of_each_field_is_unchanged() {
     assert_golden(
         "settings-most.txt",
-        &written(&NodeSettings::from_document(&most()).unwrap()),
+        &format_settings(&NodeSettings::from_document(&full_document()).unwrap()),
     );
 }
 
 #[test]
-fn the_variable_is_unchanged() {
+fn the_path_variable_is_unchanged() {
     assert_eq!(woadstall_node::settings::PATH_VARIABLE, "WOADSTALL_BOOT");
 }
 
-/// Each key of the document in turn, by its path.
-const KEYS: [&str; 30] = [
+/// Paths of all fields that are replaced by invalid values.
+const FIELD_PATHS: [&str; 30] = [
     "/node",
     "/ip",
     "/zone",
@@ -142,7 +142,7 @@
 
 #[test]
 fn findings_are_unchanged() {
-    let wrong_values = [
+    let invalid_values = [
         json!(null),
         json!(""),
         json!("what"),
@@ -153,15 +153,15 @@
         json!({}),
     ];
     let mut text = String::new();
-    for key in KEYS {
-        for value in &wrong_values {
-            let mut document = most();
-            *document.pointer_mut(key).unwrap() = value.clone();
+    for path in FIELD_PATHS {
+        for value in &invalid_values {
+            let mut document = full_document();
+            *document.pointer_mut(path).unwrap() = value.clone();
             let outcome = match NodeSettings::from_document(&document) {
                 Ok(_) => "sound\n".to_owned(),
                 Err(findings) => findings.to_string(),
             };
-            write!(text, "{key} = {value}\n{outcome}").unwrap();
+            write!(text, "{path} = {value}\n{outcome}").unwrap();
         }
     }
     for document in [
@@ -172,7 +172,7 @@
         let findings = NodeSettings::from_document(&document).unwrap_err();
         write!(text, "{document}\n{findings}").unwrap();
     }
-    let mut three_ports = least();
+    let mut three_ports = minimal_document();
     three_ports["ephemeral_ports"] = json!([1, 2, 3]);
     write!(
         text,
@@ -193,21 +193,21 @@
         }
         NodeSettings::read(&path).unwrap_err()
     };
-    let path_shown = path.display();
+    let displayed_path = path.display();
     assert_eq!(
         error(None).to_string(),
-        format!("{path_shown}: No such file or directory (os error 2)")
+        format!("{displayed_path}: No such file or directory (os error 2)")
     );
     assert_eq!(
         error(Some("{")).to_string(),
-        format!("{path_shown}: EOF while parsing an object at line 1 column 1")
+        format!("{displayed_path}: EOF while parsing an object at line 1 column 1")
     );
     let fields = error(Some(
         r#"{"node":"m-1","ip":"10.1.0.1","zone":"a-1","ephemeral_ports":[1,2]}"#,
     ));
     assert_eq!(
         fields.to_string(),
-        format!("{path_shown}:\nregion: is missing\n")
+        format!("{displayed_path}:\nregion: is missing\n")
     );
     assert_eq!(
         SettingsError::NoPath.to_string(),
