--- a/crates/node/src/core/api/coordination.rs
+++ b/crates/node/src/core/api/coordination.rs
@@ -64,20 +64,20 @@
     let body = read_document(request)?;
     let root = FieldReader::new(&body);
     let findings = &mut Findings::default();
-    let lock = checked_name("(lock)", lock, findings);
+    let lock = validate_name("(lock)", lock, findings);
     let holder = root.field("holder").string(findings);
-    let holder = checked_name("holder", &holder, findings);
+    let holder = validate_name("holder", &holder, findings);
     let command = match method {
         "POST" => Command::AcquireLock {
             lock,
             holder,
-            hold_ms: hold_ms(&root, findings),
+            hold_ms: read_hold_ms(&root, findings),
         },
         "PUT" => Command::RenewLock {
             lock,
             holder,
             fencing_token: root.field("fence").integer(findings),
-            hold_ms: hold_ms(&root, findings),
+            hold_ms: read_hold_ms(&root, findings),
         },
         _ => Command::ReleaseLock {
             lock,
@@ -93,7 +93,7 @@
         return Err(RequestError::UnknownMethod);
     }
     let findings = &mut Findings::default();
-    let sequence = checked_name("(number)", sequence, findings);
+    let sequence = validate_name("(number)", sequence, findings);
     reject_findings(Command::NextNumber { sequence }, findings)
 }
 
@@ -103,7 +103,7 @@
     key: &str,
 ) -> Result<CoordinationRequest, RequestError> {
     let findings = &mut Findings::default();
-    let key = checked_name("(key)", key, findings);
+    let key = validate_name("(key)", key, findings);
     match method {
         "GET" => {
             let query = reject_findings(Query::Get { key }, findings)?;
@@ -124,7 +124,7 @@
     let if_revision = root.field("if_revision");
     let put = Command::Put {
         key,
-        value: value(&root.field("value"), findings),
+        value: read_value(&root.field("value"), findings),
         if_revision: if_revision.value().map(|_| if_revision.integer(findings)),
     };
     reject_findings(put, findings)
@@ -139,9 +139,9 @@
         return Err(RequestError::UnknownMethod);
     }
     let findings = &mut Findings::default();
-    let group = checked_name("(group)", group_of(group), findings);
-    let after = parameter(request, "after", 0, findings);
-    let wait_ms = parameter(request, "wait_ms", DEFAULT_WAIT_MS, findings).min(MAX_WAIT_MS);
+    let group = validate_name("(group)", group_of(group), findings);
+    let after = read_parameter(request, "after", 0, findings);
+    let wait_ms = read_parameter(request, "wait_ms", DEFAULT_WAIT_MS, findings).min(MAX_WAIT_MS);
     let watch = WatchRequest {
         group,
         after,
@@ -151,7 +151,7 @@
 }
 
 /// Reads a whole number from the query of a request.
-fn parameter(request: &HttpRequest, name: &str, default: u64, findings: &mut Findings) -> u64 {
+fn read_parameter(request: &HttpRequest, name: &str, default: u64, findings: &mut Findings) -> u64 {
     let Some(text) = request.parameter(name) else {
         return default;
     };
@@ -165,7 +165,7 @@
     Ok(serde_json::from_slice(&request.body)?)
 }
 
-fn checked_name(path: &str, name: &str, findings: &mut Findings) -> String {
+fn validate_name(path: &str, name: &str, findings: &mut Findings) -> String {
     if name.len() > MAX_NAME_BYTES {
         findings.add(path, format!("is longer than {MAX_NAME_BYTES} bytes"));
     }
@@ -176,7 +176,7 @@
     name.to_owned()
 }
 
-fn hold_ms(root: &FieldReader<'_>, findings: &mut Findings) -> u64 {
+fn read_hold_ms(root: &FieldReader<'_>, findings: &mut Findings) -> u64 {
     let field = root.field("hold_ms");
     let findings_before = findings.0.len();
     let hold_ms = field.integer(findings);
@@ -186,7 +186,7 @@
     hold_ms
 }
 
-fn value(field: &FieldReader<'_>, findings: &mut Findings) -> String {
+fn read_value(field: &FieldReader<'_>, findings: &mut Findings) -> String {
     let text = match field.value().map(Value::as_str) {
         Some(Some(text)) => text,
         Some(None) => {
@@ -218,7 +218,9 @@
 pub(super) fn render(response: machine::Response) -> HttpResponse {
     match response {
         machine::Response::Executed(outcome) => render_outcome(outcome),
-        machine::Response::Events(found) => HttpResponse::json(200, events(&found).to_string()),
+        machine::Response::Events(found) => {
+            HttpResponse::json(200, render_events(&found).to_string())
+        }
         machine::Response::HistoryCompacted => {
             HttpResponse::text(410, "the history begins later\n")
         }
@@ -226,13 +228,13 @@
             HttpResponse::text(503, "not executed; ask another machine\n")
         }
         machine::Response::Overloaded => HttpResponse::text(429, "too many requests wait here\n"),
-        machine::Response::Unknown => unknown(),
+        machine::Response::Unknown => unknown_outcome(),
     }
 }
 
 /// Builds the response to a call whose outcome is unknown: the call may have been executed or may
 /// still be executed.
-pub(super) fn unknown() -> HttpResponse {
+pub(super) fn unknown_outcome() -> HttpResponse {
     HttpResponse::text(504, "the outcome is not known\n")
 }
 
@@ -256,12 +258,12 @@
     HttpResponse::json(status, body.to_string())
 }
 
-fn events(found: &GroupEvents) -> Value {
-    let events: Vec<Value> = found.events.iter().map(event).collect();
+fn render_events(found: &GroupEvents) -> Value {
+    let events: Vec<Value> = found.events.iter().map(render_event).collect();
     json!({ "events": events, "revision": found.revision })
 }
 
-fn event(event: &Event) -> Value {
+fn render_event(event: &Event) -> Value {
     json!({ "name": &*event.key, "value": &*event.value, "revision": event.revision })
 }
 
--- a/crates/node/src/core/api/request.rs
+++ b/crates/node/src/core/api/request.rs
@@ -25,7 +25,7 @@
     ReadConfiguration,
     /// `PUT /v1/instances/ID`: registers an upstream or renews its registration by a heartbeat.
     Register(Registration),
-    /// `DELETE /v1/instances/ID`: removes the registration of the upstream with this id.
+    /// `DELETE /v1/instances/ID`: deregisters the upstream with this id.
     Deregister(String),
     /// `GET /v1/resolve`: looks up balancers for a client.
     Resolve(ResolveRequest),
@@ -85,7 +85,7 @@
     match (request.method.as_str(), segments.as_slice()) {
         ("PUT", ["v1", "instances", id]) => {
             let body: Value = serde_json::from_slice(&request.body)?;
-            registration(id, &body).map(ApiRequest::Register)
+            parse_registration(id, &body).map(ApiRequest::Register)
         }
         ("DELETE", ["v1", "instances", id]) => Ok(ApiRequest::Deregister((*id).to_owned())),
         ("GET", ["v1", "config"]) => Ok(ApiRequest::ReadConfiguration),
@@ -141,10 +141,10 @@
     Ok((base, body))
 }
 
-fn registration(id: &str, body: &Value) -> Result<Registration, RequestError> {
+fn parse_registration(id: &str, body: &Value) -> Result<Registration, RequestError> {
     let findings = &mut Findings::default();
     let root = FieldReader::new(body);
-    let status = status(&root.field("state"), findings);
+    let status = parse_status(&root.field("state"), findings);
     let registration = Registration {
         id: id.to_owned(),
         service: root.field("service").string(findings),
@@ -168,7 +168,7 @@
     }
 }
 
-fn status(state: &FieldReader<'_>, findings: &mut Findings) -> UpstreamStatus {
+fn parse_status(state: &FieldReader<'_>, findings: &mut Findings) -> UpstreamStatus {
     match state.string(findings).as_str() {
         // `FieldReader` has already added a finding for an empty or missing state.
         "ready" | "" => UpstreamStatus::Ready,
--- a/crates/node/src/core/api/response.rs
+++ b/crates/node/src/core/api/response.rs
@@ -28,7 +28,7 @@
 /// Renders a response as HTTP.
 pub(in crate::core) fn render(response: ApiResponse) -> HttpResponse {
     match response {
-        ApiResponse::Machine(answer) => render_machine_answer(answer),
+        ApiResponse::Machine(answer) => render_machine_response(answer),
         ApiResponse::Registered { heartbeat_url } => {
             HttpResponse::json(200, json!({ "heartbeat_url": heartbeat_url }).to_string())
         }
@@ -44,7 +44,7 @@
     }
 }
 
-fn render_machine_answer(answer: CallResponse) -> HttpResponse {
+fn render_machine_response(answer: CallResponse) -> HttpResponse {
     match answer {
         CallResponse::Acknowledged => HttpResponse::json(200, "{}".to_owned()),
         CallResponse::Conflict { current } => HttpResponse::json(
@@ -67,7 +67,7 @@
 /// command is unknown; other requests can be retried.
 pub(in crate::core) fn timed_out(is_command: bool) -> HttpResponse {
     if is_command {
-        coordination::unknown()
+        coordination::unknown_outcome()
     } else {
         unavailable()
     }
--- a/crates/node/src/core/api_server.rs
+++ b/crates/node/src/core/api_server.rs
@@ -133,7 +133,7 @@
         let (head, body) = request.into_parts();
         let response = match timeout(BODY_TIMEOUT, read_body(body)).await {
             Ok(body) => match body? {
-                Some(body) => self.answer(HttpRequest::new(head, body, client)).await,
+                Some(body) => self.handle(HttpRequest::new(head, body, client)).await,
                 None => response::rejection(&request::RequestError::BodyTooLarge),
             },
             Err(_) => response::rejection(&request::RequestError::BodyTimeout),
@@ -141,16 +141,18 @@
         Ok(response.into())
     }
 
-    async fn answer(&self, request: HttpRequest) -> HttpResponse {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
         match parse(request).await {
-            Ok(ApiRequest::Coordination(request)) => self.coordinate(request).await,
+            Ok(ApiRequest::Coordination(request)) => {
+                self.handle_coordination_request(request).await
+            }
             Ok(ApiRequest::CoordinationStatus) => self.coordination_status().await,
-            Ok(request) => self.control(request).await,
+            Ok(request) => self.handle_control_request(request).await,
             Err(error) => response::rejection(&error),
         }
     }
 
-    async fn control(&self, request: ApiRequest) -> HttpResponse {
+    async fn handle_control_request(&self, request: ApiRequest) -> HttpResponse {
         let (responder, response) = oneshot::channel();
         let event = Event::Api {
             request,
@@ -160,7 +162,7 @@
         if self.queues.control.send(event).is_err() {
             return response::unavailable();
         }
-        let response = receive(response, RESPONSE_TIMEOUT).await;
+        let response = receive_response(response, RESPONSE_TIMEOUT).await;
         response.map_or_else(response::unavailable, response::render)
     }
 
@@ -170,15 +172,15 @@
         };
         let (responder, response) = oneshot::channel();
         coordination.send(coordination::Event::Status { responder });
-        let response = receive(response, RESPONSE_TIMEOUT).await;
+        let response = receive_response(response, RESPONSE_TIMEOUT).await;
         response.map_or_else(response::unavailable, response::render)
     }
 
-    async fn coordinate(&self, request: CoordinationRequest) -> HttpResponse {
+    async fn handle_coordination_request(&self, request: CoordinationRequest) -> HttpResponse {
         let Some(coordination) = &self.queues.coordination else {
             return response::unavailable();
         };
-        let time = match &request {
+        let time_limit = match &request {
             CoordinationRequest::Call(_) => RESPONSE_TIMEOUT,
             CoordinationRequest::Watch(watch) => {
                 Duration::from_millis(watch.wait_ms) + RESPONSE_TIMEOUT
@@ -191,7 +193,7 @@
             received_at: Instant::now(),
             responder,
         });
-        let response = receive(response, time).await;
+        let response = receive_response(response, time_limit).await;
         response.map_or_else(|| response::timed_out(is_command), response::render)
     }
 }
@@ -205,8 +207,11 @@
 }
 
 /// Waits for a response; `None` if the time-out passes or if the responder is dropped.
-async fn receive(response: oneshot::Receiver<ApiResponse>, time: Duration) -> Option<ApiResponse> {
-    timeout(time, response).await.ok()?.ok()
+async fn receive_response(
+    response: oneshot::Receiver<ApiResponse>,
+    time_limit: Duration,
+) -> Option<ApiResponse> {
+    timeout(time_limit, response).await.ok()?.ok()
 }
 
 /// Reads a request body; `None` if it exceeds [`request::MAX_BODY_BYTES`].
--- a/crates/node/src/core/coordination/process.rs
+++ b/crates/node/src/core/coordination/process.rs
@@ -100,7 +100,8 @@
         )
     }
 
-    /// Time since the start of the service in milliseconds, used as the machine's clock.
+    /// Returns the time since the start of the service in milliseconds, used as the machine's
+    /// clock.
     fn now(&self) -> u64 {
         millis(self.started.elapsed())
     }
--- a/crates/node/src/core/golden_tests.rs
+++ b/crates/node/src/core/golden_tests.rs
@@ -126,8 +126,8 @@
 
 #[test]
 fn joining_machines_start_without_members() {
-    let others = [(false, "10.2.0.1:7000"), (true, "10.4.0.1:7000")];
-    for (bootstrap, control) in others {
+    let joining = [(false, "10.2.0.1:7000"), (true, "10.4.0.1:7000")];
+    for (bootstrap, control) in joining {
         let state = initial_state(&settings_with_seeds(bootstrap), control.parse().unwrap());
         assert_eq!(
             (
@@ -264,11 +264,11 @@
         registration_body(r#""state":"ready","#),
         registration_body(r#""state":"draining","#),
     );
-    let stateless = registration_body("");
+    let without_state = registration_body("");
     let calls = [
         ("PUT", "/v1/instances/i-1", None, ready.as_str()),
         ("PUT", "/v1/instances/i-1", None, draining.as_str()),
-        ("PUT", "/v1/instances/i-1", None, stateless.as_str()),
+        ("PUT", "/v1/instances/i-1", None, without_state.as_str()),
         ("PUT", "/v1/instances/i-1", None, minimal),
         ("PUT", "/v1/instances/i-1", None, invalid),
         ("PUT", "/v1/instances/i-1", None, "{"),
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -153,7 +153,8 @@
         }
     }
 
-    /// Time since the start of the process in milliseconds, used as the machine's clock.
+    /// Returns the time since the start of the process in milliseconds, used as the machine's
+    /// clock.
     fn now(&self) -> u64 {
         millis(self.started.elapsed())
     }
@@ -280,8 +281,8 @@
         }
     }
 
-    /// Passes the registrations to the disk thread. `number` identifies the machine's request to
-    /// persist them; it is 0 for a periodic write.
+    /// Passes the registrations to the disk thread. `number` identifies the machine's request that
+    /// the write completes; 0 means a periodic write.
     fn save_registrations(&mut self, number: u64) {
         self.saved_version = self.machine.registry_version();
         self.saved_at = Instant::now();
@@ -317,7 +318,7 @@
     }
 
     /// Encodes a packet once and sends it to subscribers. A subscriber whose queue is full is
-    /// disconnected; it receives a snapshot after reconnecting.
+    /// disconnected, so that the balancer reconnects and receives a snapshot.
     fn deliver(&mut self, subscribers: &[u64], packet: &Packet) {
         let frame = Bytes::from(packet.encode());
         for subscriber in subscribers {
--- a/crates/node/src/core/registration_store/tests.rs
+++ b/crates/node/src/core/registration_store/tests.rs
@@ -87,11 +87,11 @@
 fn registrations_age_while_the_machine_is_down() {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = RegistrationStore::open(folder.path(), WRITE_TIME);
-    let registration_before = Registration {
+    let saved = Registration {
         age_ms: 500,
         ..registration("i-1", UpstreamStatus::Ready)
     };
-    store.save(&[registration_before], WRITE_TIME).unwrap();
+    store.save(&[saved], WRITE_TIME).unwrap();
     let ages = |wall_clock: Duration| -> Vec<u64> {
         let (_, registrations) = RegistrationStore::open(folder.path(), wall_clock);
         registrations
--- a/crates/node/src/front/attempt/mod.rs
+++ b/crates/node/src/front/attempt/mod.rs
@@ -29,19 +29,20 @@
 /// Maximum body size of a buffered response, in bytes.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Reason why an attempt has received no response head.
+/// Reason why an attempt has not received the head of a response.
 #[derive(Debug, Error)]
 enum SendError {
-    /// The connection broke before any byte of the request was written.
+    /// The connection broke before the last byte of the request was written, so the upstream can't
+    /// have executed the request.
     #[error("connection failed before the request was sent: {0}")]
     NotSent(#[source] hyper::Error),
-    /// The connection broke after a part of the request was written.
+    /// The connection broke after the complete request was written.
     #[error("connection failed before a response arrived: {0}")]
     NoResponse(#[source] hyper::Error),
-    /// The deadline passed before any byte of the request was written.
+    /// The deadline passed before the last byte of the request was written.
     #[error("deadline exceeded before the request was sent")]
     DeadlineBeforeSend,
-    /// The deadline passed after a part of the request was written.
+    /// The deadline passed after the complete request was written.
     #[error("deadline exceeded before a response arrived")]
     DeadlineBeforeResponse,
 }
@@ -207,7 +208,7 @@
         in_flight,
         keep_alive,
     } = response;
-    match timeout_at(deadline, collect(body)).await {
+    match timeout_at(deadline, collect_body(body)).await {
         Ok(Some(bytes)) => {
             release_connection(front, connection, &in_flight, keep_alive);
             in_flight.end(if parts.status.is_server_error() {
@@ -230,7 +231,7 @@
 
 /// Reads a complete response body; `None` if the body is truncated or exceeds
 /// [`MAX_BUFFERED_RESPONSE_BYTES`].
-async fn collect(mut body: Incoming) -> Option<Bytes> {
+async fn collect_body(mut body: Incoming) -> Option<Bytes> {
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else {
--- a/crates/node/src/front/attempt/result.rs
+++ b/crates/node/src/front/attempt/result.rs
@@ -9,7 +9,7 @@
 
 /// Result of an attempt at one upstream.
 pub(in crate::front) enum AttemptResult {
-    /// No byte of the request was sent.
+    /// The request was not sent completely, so the upstream can't have executed it.
     NotSent,
     /// The upstream rejected the request without executing it.
     Rejected,
--- a/crates/node/src/front/feed_sources.rs
+++ b/crates/node/src/front/feed_sources.rs
@@ -28,7 +28,8 @@
     }
 
     /// Selects the machine that a feed reads next: the most preferred machine that no other feed
-    /// reads and that was not abandoned recently, or else the machine that was abandoned first.
+    /// reads and that was not abandoned recently. If there is none, selects the machine that was
+    /// abandoned the longest time ago.
     pub fn select(
         &mut self,
         now: Instant,
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -27,7 +27,7 @@
 /// Pause between attempts to read a feed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// FeedPosition in a machine's change feed.
+/// Position in the change feed of a machine.
 #[derive(Clone, Copy, Debug, Default)]
 struct FeedPosition {
     /// Epoch of the machine's journal; 0 before the first snapshot.
--- a/crates/node/src/front/heartbeat.rs
+++ b/crates/node/src/front/heartbeat.rs
@@ -25,7 +25,8 @@
     };
     let incarnation = startup_timestamp_ms();
     for sequence in 1.. {
-        let frame = Packet::BalancerHeartbeat(heartbeat(&front, incarnation, sequence)).encode();
+        let frame =
+            Packet::BalancerHeartbeat(build_heartbeat(&front, incarnation, sequence)).encode();
         for monitor in monitor_addresses(&front) {
             socket.send_to(&frame, monitor).await.ok();
         }
@@ -35,7 +36,7 @@
     }
 }
 
-fn heartbeat(front: &Front, incarnation: u64, sequence: u64) -> BalancerHeartbeat {
+fn build_heartbeat(front: &Front, incarnation: u64, sequence: u64) -> BalancerHeartbeat {
     let address = front.settings.listen_address(Endpoint::Front);
     BalancerHeartbeat {
         name: front.settings.node.clone(),
--- a/crates/node/src/front/load_reports.rs
+++ b/crates/node/src/front/load_reports.rs
@@ -1,5 +1,5 @@
-//! Reports the load that this balancer puts on upstreams to the core machines of its region, which
-//! pass the reports on to the region's other balancers.
+//! Reports the load of upstreams, as observed by this balancer, to the core machines of its region.
+//! The core machines pass the reports on to the region's other balancers.
 
 use super::datagrams::{bind_socket, startup_timestamp_ms};
 use super::state::Front;
--- a/crates/node/src/front/prompt.rs
+++ b/crates/node/src/front/prompt.rs
@@ -4,16 +4,16 @@
 use woadstall_control::shards::short_hash;
 use woadstall_routing::Prompt;
 
-/// Name of the header. Its value lists the sections of the prompt in order as `id:tokens`,
-/// separated by commas.
+/// Name of the header. The header's value lists the sections of the prompt in order as
+/// `id:tokens`, separated by commas.
 const PROMPT_PREFIX: &str = "prompt-prefix";
 /// Minimum length of a shared prefix that is routed by prefix cache, in tokens. Prefilling so many
 /// tokens takes some ten milliseconds.
 const MIN_SHARED_TOKENS: u64 = 1_024;
 
-/// Returns the prompt described by the headers of a request. The shared prefix ends with the
-/// section that brings it to [`MIN_SHARED_TOKENS`]. The last section is never part of the shared
-/// prefix.
+/// Returns the prompt described by the headers of a request. The shared prefix ends with the first
+/// section at which the prefix has at least [`MIN_SHARED_TOKENS`] tokens. The last section of the
+/// prompt is never part of the shared prefix.
 pub(super) fn prompt_of(headers: &HeaderMap) -> Prompt {
     let value = headers
         .get(PROMPT_PREFIX)
--- a/crates/node/src/front/retry.rs
+++ b/crates/node/src/front/retry.rs
@@ -13,7 +13,8 @@
 use woadstall_request_reports::{AttemptOutcome, Cause};
 use woadstall_routing::{Decision, Prompt, Query, Rejection, Target, UpstreamId};
 
-/// Maximum number of attempts per request that end before anything is sent to the upstream.
+/// Maximum number of attempts per request that end before the request is sent completely, for
+/// example because no connection can be established.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
 /// Maximum number of upstreams that may reject a request. An upstream that rejects a request has
 /// not executed it.
--- a/crates/node/src/front/state.rs
+++ b/crates/node/src/front/state.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Time since the start of the process in milliseconds, used as the router's clock.
+    /// Returns the time since the start of the process in milliseconds, used as the router's clock.
     pub fn now(&self) -> u64 {
         millis(self.started.elapsed())
     }
