--- a/crates/node/src/core/api_server.rs
+++ b/crates/node/src/core/api_server.rs
@@ -1,4 +1,4 @@
-//! Serves the HTTP API: hands requests to the control machine or to the coordination service and waits
+//! HTTP API server: passes requests to the control machine or to the coordination service and waits
 //! for their responses.
 
 use super::CoreError;
@@ -24,33 +24,37 @@
 use woadstall_coordination::command::Call;
 use woadstall_socket_options::set_nodelay;
 
-/// How long a request waits for its response; the machine itself gives up a little sooner.
+/// Maximum time for which a request waits for its response. The machine's own time-out is slightly
+/// shorter.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a client may take to send the head of a request, from the end of the last one on.
+/// Time within which a client must send the head of a request, measured from the end of the
+/// previous request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a client may take to send a body.
+/// Time within which a client must send a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of a body that is too large which are still read, so that its sender gets the response.
+/// Maximum size up to which an oversized body is read and discarded, so that its sender receives
+/// the error response.
 const MAX_DISCARDED_BYTES: usize = 32 << 20;
-/// Bytes of a body from which on it is parsed on another thread: the replicated logs go on meanwhile.
+/// Minimum size of a body that is parsed on a separate thread, so that parsing does not delay the
+/// replicated logs.
 const LARGE_BODY_BYTES: usize = 64 << 10;
-/// The part of the descriptors that clients of the API may use.
+/// Fraction of the process's file descriptors that API clients may use.
 const CLIENT_DESCRIPTOR_RATIO: f64 = 0.7;
 
-/// Where requests go.
+/// Queues of the services that handle API requests.
 #[derive(Clone, Debug)]
 pub(super) struct RequestQueues {
-    /// The control machine.
+    /// Event queue of the control machine.
     pub control: EventSender,
-    /// The coordination service, if it runs.
+    /// Handle of the coordination service; `None` if the service is disabled.
     pub coordination: Option<CoordinationHandle>,
 }
 
-/// Serves the API on the addresses of the control and directory endpoints, which may be the same.
+/// Serves the API on the addresses of the control and directory endpoints, which may be equal.
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// Fails if an address can't be bound.
 pub(super) async fn start(
     settings: &NodeSettings,
     control: SocketAddr,
@@ -73,7 +77,7 @@
     Ok(())
 }
 
-/// Accepts connections, for as long as the process runs.
+/// Accepts connections until the process ends.
 async fn accept(server: Arc<ApiServer>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -110,17 +114,17 @@
     server.connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// What the connections share.
+/// State shared by all connections of the API.
 #[derive(Debug)]
 struct ApiServer {
     queues: RequestQueues,
     max_connections: usize,
-    /// The number of open connections.
+    /// Number of open connections.
     connections: AtomicUsize,
 }
 
 impl ApiServer {
-    /// Answers a request. An error closes the connection.
+    /// Reads and answers a request. An error closes the connection.
     async fn serve(
         &self,
         request: hyper::Request<Incoming>,
@@ -129,7 +133,7 @@
         let (head, body) = request.into_parts();
         let response = match timeout(BODY_TIMEOUT, read_body(body)).await {
             Ok(body) => match body? {
-                Some(body) => self.answer(HttpRequest::new(head, body, client)).await,
+                Some(body) => self.handle(HttpRequest::new(head, body, client)).await,
                 None => response::rejection(&request::RequestError::BodyTooLarge),
             },
             Err(_) => response::rejection(&request::RequestError::BodyTimeout),
@@ -137,16 +141,18 @@
         Ok(response.into())
     }
 
-    async fn answer(&self, request: HttpRequest) -> HttpResponse {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
         match parse(request).await {
-            Ok(ApiRequest::Coordination(request)) => self.coordinate(request).await,
+            Ok(ApiRequest::Coordination(request)) => {
+                self.handle_coordination_request(request).await
+            }
             Ok(ApiRequest::CoordinationStatus) => self.coordination_status().await,
-            Ok(request) => self.control(request).await,
+            Ok(request) => self.handle_control_request(request).await,
             Err(error) => response::rejection(&error),
         }
     }
 
-    async fn control(&self, request: ApiRequest) -> HttpResponse {
+    async fn handle_control_request(&self, request: ApiRequest) -> HttpResponse {
         let (responder, response) = oneshot::channel();
         let event = Event::Api {
             request,
@@ -156,7 +162,7 @@
         if self.queues.control.send(event).is_err() {
             return response::unavailable();
         }
-        let response = receive(response, RESPONSE_TIMEOUT).await;
+        let response = receive_response(response, RESPONSE_TIMEOUT).await;
         response.map_or_else(response::unavailable, response::render)
     }
 
@@ -166,15 +172,15 @@
         };
         let (responder, response) = oneshot::channel();
         coordination.send(coordination::Event::Status { responder });
-        let response = receive(response, RESPONSE_TIMEOUT).await;
+        let response = receive_response(response, RESPONSE_TIMEOUT).await;
         response.map_or_else(response::unavailable, response::render)
     }
 
-    async fn coordinate(&self, request: CoordinationRequest) -> HttpResponse {
+    async fn handle_coordination_request(&self, request: CoordinationRequest) -> HttpResponse {
         let Some(coordination) = &self.queues.coordination else {
             return response::unavailable();
         };
-        let time = match &request {
+        let time_limit = match &request {
             CoordinationRequest::Call(_) => RESPONSE_TIMEOUT,
             CoordinationRequest::Watch(watch) => {
                 Duration::from_millis(watch.wait_ms) + RESPONSE_TIMEOUT
@@ -187,7 +193,7 @@
             received_at: Instant::now(),
             responder,
         });
-        let response = receive(response, time).await;
+        let response = receive_response(response, time_limit).await;
         response.map_or_else(|| response::timed_out(is_command), response::render)
     }
 }
@@ -200,12 +206,15 @@
     parsed.unwrap_or(Err(request::RequestError::ParserEnded))
 }
 
-/// Waits for a response; `None` if there is none in time.
-async fn receive(response: oneshot::Receiver<ApiResponse>, time: Duration) -> Option<ApiResponse> {
-    timeout(time, response).await.ok()?.ok()
+/// Waits for a response; `None` if the time-out passes or if the responder is dropped.
+async fn receive_response(
+    response: oneshot::Receiver<ApiResponse>,
+    time_limit: Duration,
+) -> Option<ApiResponse> {
+    timeout(time_limit, response).await.ok()?.ok()
 }
 
-/// Reads a body; `None` if it is too large.
+/// Reads a request body; `None` if it exceeds [`request::MAX_BODY_BYTES`].
 async fn read_body(mut body: Incoming) -> Result<Option<Bytes>, hyper::Error> {
     let mut read = Vec::new();
     let mut size = 0;
