--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -67,7 +67,7 @@
         let mut faults = self.scenario.fault.iter().zip(active.iter());
         faults.any(|(fault, targets)| {
             let targets = targets.as_ref();
-            kills(&fault.what)
+            kills(&fault.kind)
                 && targets.is_some_and(|targets| targets.upstreams.contains(&upstream))
         })
     }
@@ -119,7 +119,7 @@
             balancers = ?targets.balancers,
             "fault begins"
         );
-        match &fault.what {
+        match &fault.kind {
             FaultKind::Kill { .. } => self.kill_for_a_while(&fault, index, &targets).await,
             FaultKind::PowerLoss { stale, over, files } => {
                 let settings = power_loss::Settings {
@@ -140,7 +140,7 @@
             | FaultKind::PartitionFrom
             | FaultKind::SlowLink(_)
             | FaultKind::Link(_)
-            | FaultKind::Between(_) => {
+            | FaultKind::MemberLink(_) => {
                 self.update_links();
                 self.schedule.fault_end(&fault).await;
                 lock(&self.active_faults)[index] = None;
@@ -148,9 +148,9 @@
                 Ok(())
             }
             _ => {
-                self.set_fault(&fault.what, &targets, true);
+                self.set_fault(&fault.kind, &targets, true);
                 self.schedule.fault_end(&fault).await;
-                self.set_fault(&fault.what, &targets, false);
+                self.set_fault(&fault.kind, &targets, false);
                 Ok(())
             }
         }
@@ -163,8 +163,10 @@
             numbers.map(|&number| &self.upstreams[number as usize])
         };
         match what {
-            FaultKind::Stall => self.set_suspended(&targets.balancers, active),
-            FaultKind::Stop => upstreams().for_each(|upstream| upstream.set_suspended(active)),
+            FaultKind::PauseBalancers => self.set_suspended(&targets.balancers, active),
+            FaultKind::SuspendUpstreams => {
+                upstreams().for_each(|upstream| upstream.set_suspended(active))
+            }
             FaultKind::RegistrySilent => self.set_agents_unresponsive(active),
             FaultKind::RegistryWrong => {
                 let state = if active { GONE } else { IN_SERVICE };
--- a/crates/cluster-test/src/faults/rolling.rs
+++ b/crates/cluster-test/src/faults/rolling.rs
@@ -51,7 +51,7 @@
             let begins = self.schedule.slot_begin(fault, 1, index, count);
             restarts.spawn(async move {
                 fleet.schedule.wait_until(begins).await;
-                let longest_call = Duration::from_nanos(fleet.scenario.longest().0);
+                let longest_call = Duration::from_nanos(fleet.scenario.longest_deadline().0);
                 let balancer = &fleet.balancers[number as usize];
                 balancer.shut_down(longest_call + SHUTDOWN_MARGIN).await;
                 fleet.record_member_end(number);
--- a/crates/cluster-test/src/fleet/network.rs
+++ b/crates/cluster-test/src/fleet/network.rs
@@ -62,6 +62,6 @@
         let end = |member: usize| (member as u32, self.balancers[member].placement.zone);
         let faults = self.faults_in_force(active, |targets| &targets.balancers);
         self.scenario
-            .among(end(from), end(to), self.balancers.len(), faults)
+            .member_link(end(from), end(to), self.balancers.len(), faults)
     }
 }
--- a/crates/cluster-test/src/links.rs
+++ b/crates/cluster-test/src/links.rs
@@ -66,9 +66,9 @@
     let network = &scenario.network;
     let crosses_zones = link.balancer_zone != link.upstream_zone;
     let base = if crosses_zones {
-        network.across
+        network.between_zones
     } else {
-        network.within
+        network.within_zone
     };
     let (from, to) = match link.direction {
         Direction::ToUpstream => (link.balancer_zone, link.upstream_zone),
@@ -80,7 +80,7 @@
     let (mut loss, mut partitioned) = (network.loss, false);
     for (fault, upstreams) in faults {
         let hits_link = crosses_zones && fault.zone.as_ref() == upstream_zone;
-        match &fault.what {
+        match &fault.kind {
             FaultKind::PartitionTo => {
                 partitioned |= hits_link && link.direction == Direction::ToUpstream
             }
--- a/crates/cluster-test/src/membership.rs
+++ b/crates/cluster-test/src/membership.rs
@@ -123,9 +123,11 @@
         member.started_ms = None;
         member.last_report = None;
         member.former_bytes += std::mem::take(&mut member.present_bytes);
-        views.observer.runs(self.now(), number as usize, running);
+        views
+            .observer
+            .set_running(self.now(), number as usize, running);
         if running {
-            lock(&self.evacuations).begins(self.now(), number as usize);
+            lock(&self.evacuations).balancer_started(self.now(), number as usize);
         }
     }
 
@@ -169,8 +171,8 @@
                     delay,
                     jitter: delay.mul_f64(scenario.network.jitter),
                     loss: link.loss,
-                    duplication: link.doubled,
-                    reordering: link.overtaken,
+                    duplication: link.duplicated,
+                    reordering: link.reordered,
                     bytes_per_second: 0,
                     partitioned: is_partitioned,
                 };
--- a/crates/cluster-test/src/membership/observations.rs
+++ b/crates/cluster-test/src/membership/observations.rs
@@ -19,7 +19,7 @@
         let now = self.now();
         let mut views = lock(&self.views);
         let MemberViews { observer, reported } = &mut *views;
-        if !observer.is_there(number) {
+        if !observer.is_active(number) {
             return; // requested before it was suspended or ended
         }
         reported[number].started_ms = Some(report.started_ms);
@@ -30,7 +30,7 @@
             };
             let state = match reported[of].started_ms {
                 // One that has just started has not reported its incarnation: the row is of the former.
-                None if observer.is_there(of) => MemberView::Unknown,
+                None if observer.is_active(of) => MemberView::Unknown,
                 // Of one whose process has ended, its last incarnation counts.
                 started_ms => state_in(row, started_ms),
             };
@@ -46,7 +46,7 @@
             let Some(zone) = place.name.strip_prefix("zone ") else {
                 continue;
             };
-            lock(&self.evacuations).seen(now, balancer, zone, place.share);
+            lock(&self.evacuations).record_zone_share(now, balancer, zone, place.share);
         }
     }
 
--- a/crates/cluster-test/src/membership/settings.rs
+++ b/crates/cluster-test/src/membership/settings.rs
@@ -68,7 +68,7 @@
     let Some(evacuation) = &scenario.evacuation else {
         return text;
     };
-    let every_ms = millis(evacuation.every);
+    let every_ms = millis(evacuation.interval);
     let _ = writeln!(text, "[evacuation]\nevery_ms = {every_ms}");
     let _ = writeln!(text, "[evacuation.regions]");
     for (zone, region) in &scenario.regions {
--- a/crates/cluster-test/src/membership_poll.rs
+++ b/crates/cluster-test/src/membership_poll.rs
@@ -83,7 +83,7 @@
     let mut times: Vec<u64> = scenario
         .bound
         .iter()
-        .filter_map(|bound| match bound.what {
+        .filter_map(|bound| match bound.requirement {
             Requirement::PartitionsReported { at, .. } => Some(at.0),
             _ => None,
         })
--- a/crates/cluster-test/src/process/own_files.rs
+++ b/crates/cluster-test/src/process/own_files.rs
@@ -32,7 +32,7 @@
                 StoredFiles::Lost => std::fs::remove_file(&path)?,
                 StoredFiles::Torn => replace(&path, &content[..content.len() / 2])?,
                 StoredFiles::Empty => replace(&path, b"")?,
-                StoredFiles::Stranger => match foreign_files.next() {
+                StoredFiles::OtherBalancer => match foreign_files.next() {
                     Some(foreign) => {
                         std::fs::remove_file(&path)?;
                         std::os::unix::fs::symlink(foreign, &path)?;
--- a/crates/cluster-test/src/results/json.rs
+++ b/crates/cluster-test/src/results/json.rs
@@ -45,7 +45,7 @@
             "attempts-a-request": end.counts.attempts as f64 / requests,
         },
         "members": end.members,
-        "evacuated": end.evacuated,
+        "evacuated": end.evacuation,
         "members-cores": result.membership_cores,
         "lag": {"calls": result.lag, "own": result.timer_lag, "starved": result.starved},
         "steps": end.steps,
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -24,7 +24,7 @@
     if let Some(members) = &end.members {
         write_members(out, members, &result.membership_cores)?;
     }
-    if let Some(evacuated) = &end.evacuated {
+    if let Some(evacuated) = &end.evacuation {
         write_evacuations(out, evacuated)?;
     }
     for line in report::rule_lines(end) {
@@ -111,7 +111,7 @@
         100.0 * mean_cores,
         100.0 * max_cores
     )?;
-    for story in &members.stories {
+    for story in &members.false_death_details {
         writeln!(out, "    {story}")?;
     }
     Ok(())
@@ -119,14 +119,14 @@
 
 fn write_evacuations(out: &mut String, evacuated: &EvacuationReport) -> fmt::Result {
     let moved: Vec<String> = evacuated
-        .moved
+        .diverted_share_seconds
         .iter()
         .map(|(zone, seconds)| format!("{zone} {seconds:.1}"))
         .collect();
     writeln!(
         out,
         "  left           {} moves; seconds without, a balancer: {}",
-        evacuated.moves,
+        evacuated.share_changes,
         moved.join(", ")
     )
 }
--- a/crates/cluster-test/src/run.rs
+++ b/crates/cluster-test/src/run.rs
@@ -51,7 +51,7 @@
     const PER_BALANCER_MS: u64 = 30;
     const PER_UPSTREAM_MS: u64 = 5;
     const MAX: Duration = Duration::from_secs(10);
-    let (balancers, upstreams) = scenario.sizes();
+    let (balancers, upstreams) = scenario.process_counts();
     let millis = BASE_MS + PER_BALANCER_MS * balancers + PER_UPSTREAM_MS * upstreams;
     Duration::from_millis(millis).min(MAX)
 }
@@ -188,7 +188,7 @@
     if let Some(membership) = &fleet.membership {
         end.members = Some(membership.members_end());
         let evacuates = fleet.scenario.evacuation.is_some();
-        end.evacuated = evacuates.then(|| membership.evacuations_end());
+        end.evacuation = evacuates.then(|| membership.evacuations_end());
     }
     end.bounds = fleet.scenario.evaluate(&end);
     end
--- a/crates/cluster-test/src/supported.rs
+++ b/crates/cluster-test/src/supported.rs
@@ -45,7 +45,7 @@
 }
 
 fn check_size(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
-    let (balancers, upstreams) = scenario.sizes();
+    let (balancers, upstreams) = scenario.process_counts();
     if balancers > MAX_BALANCERS || upstreams > MAX_UPSTREAMS {
         return Err(UnsupportedScenario::TooManyProcesses);
     }
@@ -53,7 +53,7 @@
         .tier
         .iter()
         .enumerate()
-        .map(|(index, tier)| u64::from(scenario.senders(index)) * u64::from(tier.upstreams))
+        .map(|(index, tier)| u64::from(scenario.balancer_count(index)) * u64::from(tier.upstreams))
         .sum();
     if pairs > MAX_PAIRS {
         return Err(UnsupportedScenario::TooManyPairs);
@@ -96,7 +96,7 @@
 
 fn check_faults(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
     for (index, fault) in scenario.fault.iter().enumerate() {
-        let kind = match fault.what {
+        let kind = match fault.kind {
             FaultKind::Replace => "replaced nodos",
             FaultKind::ClockStep(_) => "clocks that step",
             _ => continue,
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -43,7 +43,7 @@
         "{} nodos, {:.0} calls a second by {} daemon and {} plug-in, for {seconds} s; one nodo dies half-way, and\n\
          comes back cold",
         tier.upstreams,
-        scenario.callers[0].load.most(),
+        scenario.callers[0].load.max_rate(),
         tier.balancers,
         tier.balancers
     );
@@ -54,7 +54,7 @@
     print_results(&played);
     let counts = &played.end.counts;
     let ended = counts.on_time + counts.late + counts.refused + counts.failed;
-    Ok(played.end.broken() == 0 && ended == counts.offered)
+    Ok(played.end.breach_count() == 0 && ended == counts.offered)
 }
 
 /// Prints the responses by path and class, what each upstream saw, and the rules.
--- a/crates/emulator-cli/src/commands.rs
+++ b/crates/emulator-cli/src/commands.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use tracing::{info, warn};
-use woadstall_emulator::{Policy, World};
+use woadstall_emulator::{Policy, Simulation};
 use woadstall_emulator_cli::compare::{self, Difference, Figure};
 use woadstall_emulator_cli::grid::{self, Job, Overrides, ScenarioFile};
 use woadstall_emulator_cli::report::{self, FaultBand};
@@ -169,13 +169,13 @@
     call: u64,
 ) -> Result<u8, CommandError> {
     let (scenario, _) = ScenarioFile::read(scenario)?.with(set)?;
-    let mut world = World::new(&scenario, policy, seed);
+    let mut world = Simulation::new(&scenario, policy, seed);
     world.follow(call);
     let result = world.run();
-    if result.story.is_empty() {
+    if result.call_trace.is_empty() {
         return Err(CommandError::NoCall { call });
     }
-    for (at, text) in &result.story {
+    for (at, text) in &result.call_trace {
         println!("{:>12.6} s  {text}", *at as f64 / NANOS_PER_SECOND);
     }
     Ok(0)
--- a/crates/emulator-cli/src/compare.rs
+++ b/crates/emulator-cli/src/compare.rs
@@ -41,7 +41,7 @@
             Self::Served => end.served,
             Self::P99 => end.latency.p99,
             Self::Attempts => end.counts.attempts as f64 / end.counts.requests.max(1) as f64,
-            Self::Broken => end.broken() as f64,
+            Self::Broken => end.breach_count() as f64,
         }
     }
 }
--- a/crates/emulator-cli/src/print.rs
+++ b/crates/emulator-cli/src/print.rs
@@ -25,7 +25,7 @@
     );
     println!(
         "  attempts       {}, of these {} repeats and {} across zones, for {} requests",
-        counts.attempts, counts.repeats, counts.crossings, counts.requests
+        counts.attempts, counts.retries, counts.cross_zone_attempts, counts.requests
     );
     println!(
         "  latency        p50 {:.0} ms, p90 {:.0}, p99 {:.0}, p99.9 {:.0}, longest {:.0}",
@@ -40,20 +40,20 @@
 
 /// What the fleets paid beside the work.
 fn costs(row: &Row) {
-    if !row.end.prices.is_empty() {
+    if !row.end.costs.is_empty() {
         println!(
             "  {:<12} {:<25} {:>9} {:>10}  largest sender  worst second",
             "prices", "", "total", "a request"
         );
     }
-    for cost in &row.end.prices {
-        let ((sender, fraction), (second, count)) = (cost.largest, cost.worst);
+    for cost in &row.end.costs {
+        let ((sender, fraction), (second, count)) = (cost.largest_sender, cost.worst_second);
         println!(
             "  {:<12} {:<25} {:>9} {:>10.4}  {:>6} {:>6.1}%  {:>6} {:>5}",
             cost.tier,
-            cost.price.to_string(),
+            cost.cost.to_string(),
             cost.total,
-            cost.each,
+            cost.per_request,
             sender,
             100.0 * fraction,
             second,
--- a/crates/emulator-cli/src/report/fault_band.rs
+++ b/crates/emulator-cli/src/report/fault_band.rs
@@ -42,7 +42,7 @@
 
 /// The kind of a fault, as scenario files write it.
 fn fault_kind(fault: &Fault) -> String {
-    match toml::Value::try_from(&fault.what) {
+    match toml::Value::try_from(&fault.kind) {
         Ok(toml::Value::String(name)) => name,
         Ok(toml::Value::Table(table)) => table.keys().next().cloned().unwrap_or_default(),
         _ => String::new(),
--- a/crates/emulator-cli/src/report/tables.rs
+++ b/crates/emulator-cli/src/report/tables.rs
@@ -27,7 +27,7 @@
             |figure: &dyn Fn(&Row) -> f64| rows.iter().map(|row| figure(row)).sum::<f64>() / count;
         let scores: Vec<f64> = rows.iter().map(|row| row.end.score).collect();
         let (low, high) = interval(&scores);
-        let broken: u64 = rows.iter().map(|row| row.end.broken()).sum();
+        let broken: u64 = rows.iter().map(|row| row.end.breach_count()).sum();
         let class = if broken > 0 { " class=\"bad\"" } else { "" };
         let _ = writeln!(
             html,
@@ -54,12 +54,12 @@
 pub fn costs(rows: &[&Row]) -> String {
     let mut groups: BTreeMap<(String, String, String, String), Vec<&CostRow>> = BTreeMap::new();
     for row in rows {
-        for price in &row.end.prices {
+        for price in &row.end.costs {
             let key = (
                 row.key.policy.clone(),
                 row.set(),
                 price.tier.clone(),
-                price.price.to_string(),
+                price.cost.to_string(),
             );
             groups.entry(key).or_default().push(price);
         }
@@ -83,9 +83,9 @@
             escape(&set),
             escape(&tier),
             mean(&|row| row.total as f64),
-            mean(&|row| row.each),
-            mean(&|row| 100.0 * row.largest.1),
-            mean(&|row| row.worst.1 as f64),
+            mean(&|row| row.per_request),
+            mean(&|row| 100.0 * row.largest_sender.1),
+            mean(&|row| row.worst_second.1 as f64),
         );
     }
     html + "</table>\n"
--- a/crates/emulator-cli/src/sweep.rs
+++ b/crates/emulator-cli/src/sweep.rs
@@ -200,7 +200,7 @@
         early.insert(number, row);
         while let Some(row) = early.remove(&outcome.rows) {
             outcome.rows += 1;
-            outcome.broken += row.end.broken();
+            outcome.broken += row.end.breach_count();
             let line = row.line().map_err(RowError::Json)?;
             writeln!(file, "{line}")
                 .and_then(|()| file.flush())
--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -17,20 +17,20 @@
     /// When [`Input::Tick`] is due at the latest.
     fn wake_at(&self) -> Option<Time>;
     /// How many requests are not answered, or have attempts out.
-    fn open(&self) -> usize;
+    fn open_call_count(&self) -> usize;
     /// The ends of attempts are to be kept from now on, if it can.
-    fn observe(&mut self) {}
+    fn record_attempts(&mut self) {}
     /// Those that have come since this was asked last.
-    fn take_observed(&mut self) -> Vec<AttemptRecord> {
+    fn take_attempt_records(&mut self) -> Vec<AttemptRecord> {
         Vec::new()
     }
     /// The attempts that are out.
-    fn outstanding(&self, now: Time) -> Vec<AttemptInFlight> {
+    fn attempts_in_flight(&self, now: Time) -> Vec<AttemptInFlight> {
         let _ = now;
         Vec::new()
     }
     /// The upstreams that are listed, where they have changed since `seen`.
-    fn listed(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
+    fn listed_upstreams(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
         let _ = seen;
         None
     }
@@ -52,23 +52,23 @@
         Engine::wake_at(self)
     }
 
-    fn open(&self) -> usize {
+    fn open_call_count(&self) -> usize {
         Engine::open_call_count(self)
     }
 
-    fn observe(&mut self) {
+    fn record_attempts(&mut self) {
         Engine::record_attempts(self);
     }
 
-    fn take_observed(&mut self) -> Vec<AttemptRecord> {
+    fn take_attempt_records(&mut self) -> Vec<AttemptRecord> {
         Engine::take_attempt_records(self)
     }
 
-    fn outstanding(&self, now: Time) -> Vec<AttemptInFlight> {
+    fn attempts_in_flight(&self, now: Time) -> Vec<AttemptInFlight> {
         Engine::attempts_in_flight(self, now).collect()
     }
 
-    fn listed(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
+    fn listed_upstreams(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
         let (changes, all) = Engine::listed_upstreams(self);
         (changes != seen).then(|| (changes, all.collect()))
     }
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -305,7 +305,7 @@
     }
 
     /// Looks for requests without an answer whose time is over. `stalled`: as for answers.
-    pub fn look(&mut self, now: Time, stalled: Time) {
+    pub fn check_overdue(&mut self, now: Time, stalled: Time) {
         let late = |case: &Case| now > case.deadline + GRACE + stalled;
         let open = self
             .cases
--- a/crates/emulator/src/baseline/config.rs
+++ b/crates/emulator/src/baseline/config.rs
@@ -54,10 +54,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BaselineConfig {
     /// How a server is picked.
-    pub pick: ServerSelection,
+    pub selection: ServerSelection,
     /// Servers that fail five times in a row are left out for 30 s, a tenth of them at most (Envoy's
     /// documentation, "Outlier detection", consecutive 5xx).
-    pub ejects: bool,
+    pub ejects_outliers: bool,
     /// What limits the calls in flight.
     pub limit: ConcurrencyLimit,
     /// When a call is tried again.
@@ -77,10 +77,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = PICKS
             .iter()
-            .find(|(_, pick)| *pick == self.pick)
+            .find(|(_, pick)| *pick == self.selection)
             .map_or("", |(name, _)| name);
         f.write_str(name)?;
-        f.write_str(if self.ejects { "+outlier" } else { "" })?;
+        f.write_str(if self.ejects_outliers { "+outlier" } else { "" })?;
         f.write_str(match self.limit {
             ConcurrencyLimit::None => "",
             ConcurrencyLimit::Aimd => "+aimd",
@@ -108,14 +108,14 @@
             });
         };
         let mut config = Self {
-            pick: *pick,
-            ejects: false,
+            selection: *pick,
+            ejects_outliers: false,
             limit: ConcurrencyLimit::None,
             retries: RetryPolicy::Never,
         };
         for part in parts {
             match part {
-                "outlier" => config.ejects = true,
+                "outlier" => config.ejects_outliers = true,
                 "aimd" => config.limit = ConcurrencyLimit::Aimd,
                 "gradient" => config.limit = ConcurrencyLimit::Gradient,
                 "retries" => config.retries = RetryPolicy::Fixed,
--- a/crates/emulator/src/baseline/learning.rs
+++ b/crates/emulator/src/baseline/learning.rs
@@ -32,7 +32,7 @@
 impl BaselinePolicy {
     pub(super) fn learn(&mut self, now: Time, at: usize, took: Time, outcome: Outcome) {
         self.in_flight -= 1;
-        let ribbon = self.config.pick == ServerSelection::Ribbon;
+        let ribbon = self.config.selection == ServerSelection::Ribbon;
         let server = &mut self.servers[at];
         server.in_flight = server.in_flight.saturating_sub(1);
         let connection = matches!(
@@ -48,7 +48,7 @@
         if ribbon && server.failures >= TRIP_FAILURES {
             let open_for = (TRIP_TIME << server.trips.min(4)).min(TRIP_TIME_MAX);
             (server.out_until, server.trips) = (now + open_for, server.trips + 1);
-        } else if self.config.ejects && server.failures >= EJECT_FAILURES {
+        } else if self.config.ejects_outliers && server.failures >= EJECT_FAILURES {
             self.eject(now, at);
         }
         let took = took as f64;
--- a/crates/emulator/src/baseline/mod.rs
+++ b/crates/emulator/src/baseline/mod.rs
@@ -329,7 +329,7 @@
         None // an attempt's own time limit is the request's
     }
 
-    fn open(&self) -> usize {
+    fn open_call_count(&self) -> usize {
         self.open.len()
     }
 }
--- a/crates/emulator/src/baseline/selection.rs
+++ b/crates/emulator/src/baseline/selection.rs
@@ -13,13 +13,13 @@
         if count == 0 {
             return None;
         }
-        if self.config.pick == ServerSelection::Ribbon {
+        if self.config.selection == ServerSelection::Ribbon {
             return self.pick_ribbon(now, not);
         }
         let usable = |this: &Self, at: usize| {
             this.servers[at].out_until <= now && (Some(at) != not || count == 1)
         };
-        match self.config.pick {
+        match self.config.selection {
             ServerSelection::RoundRobin | ServerSelection::Ribbon => {
                 self.in_turn(count, |this, at| usable(this, at))
             }
@@ -32,14 +32,14 @@
             }
             ServerSelection::Random | ServerSelection::TwoChoices | ServerSelection::PeakEwma => {
                 let one = self.draw(usable)?;
-                if self.config.pick == ServerSelection::Random {
+                if self.config.selection == ServerSelection::Random {
                     return Some(one);
                 }
                 let two = self.draw(usable)?;
                 let cost = |at: usize| {
                     let server = &self.servers[at];
                     let calls = f64::from(server.in_flight) + 1.0;
-                    match self.config.pick {
+                    match self.config.selection {
                         // What is not known yet is dear while a call is out at it.
                         ServerSelection::PeakEwma if server.cost == 0.0 && server.in_flight > 0 => {
                             1e12 * calls
--- a/crates/emulator/src/bound_check.rs
+++ b/crates/emulator/src/bound_check.rs
@@ -51,13 +51,13 @@
 impl Bound {
     /// How it was kept in a run.
     pub fn evaluate(&self, scenario: &Scenario, end: &RunResult) -> BoundResult {
-        match &self.what {
+        match &self.requirement {
             Requirement::Served { least: wanted, .. }
             | Requirement::PartitionsReported { least: wanted, .. } => {
                 self.at_least(*wanted, self.measured(scenario, end))
             }
             Requirement::Refused { most: wanted, .. }
-            | Requirement::Stays { most: wanted, .. }
+            | Requirement::ZoneNotEvacuated { most: wanted, .. }
             | Requirement::Attempts { most: wanted } => {
                 self.at_most(*wanted, self.measured(scenario, end))
             }
@@ -68,7 +68,7 @@
             | Requirement::LogLines { within, .. }
             | Requirement::DeathsKnown { within }
             | Requirement::Agreement { within, .. }
-            | Requirement::Out { within, .. } => {
+            | Requirement::ZoneEvacuated { within, .. } => {
                 self.at_most(within.seconds(), self.measured(scenario, end))
             }
         }
@@ -85,16 +85,16 @@
     fn result(&self, wanted: f64, seen: Option<f64>, kept: bool) -> BoundResult {
         BoundResult {
             name: self.name.clone(),
-            wanted,
-            seen,
-            kept,
+            threshold: wanted,
+            measured: seen,
+            is_met: kept,
         }
     }
 
     /// What a run shows of it: a part, a count, or seconds; nothing where it never came.
     fn measured(&self, scenario: &Scenario, end: &RunResult) -> Option<f64> {
-        let (members, evacuated) = (end.members.as_ref(), end.evacuated.as_ref());
-        match &self.what {
+        let (members, evacuated) = (end.members.as_ref(), end.evacuation.as_ref());
+        match &self.requirement {
             Requirement::Served { from, until, .. } => {
                 let sum = sum(&end.steps, from.seconds(), until.seconds());
                 part(sum.value, sum.value_offered)
@@ -118,19 +118,19 @@
                 .filter(|members| members.never_known == 0)
                 .map(|members| members.known_ms.max / 1e3),
             Requirement::Agreement { from, within } => {
-                members?.together_after(from.seconds(), within.seconds())
+                members?.agreement_after(from.seconds(), within.seconds())
             }
             Requirement::PartitionsReported { at, .. } => members?
                 .partitions_reported
                 .iter()
                 .find(|(when, _)| *when >= at.seconds())
                 .map(|(_, part)| *part),
-            Requirement::Out {
+            Requirement::ZoneEvacuated {
                 zone, from, part, ..
-            } => evacuated?.out_after(zone, from.seconds(), *part),
-            Requirement::Stays {
+            } => evacuated?.evacuated_after(zone, from.seconds(), *part),
+            Requirement::ZoneNotEvacuated {
                 zone, from, until, ..
-            } => Some(evacuated?.most_out(zone, from.seconds(), until.seconds())),
+            } => Some(evacuated?.max_evacuated_fraction(zone, from.seconds(), until.seconds())),
             Requirement::Attempts { .. } => {
                 part(end.counts.attempts as f64, end.counts.requests as f64)
             }
--- a/crates/emulator/src/costs.rs
+++ b/crates/emulator/src/costs.rs
@@ -25,7 +25,8 @@
     #[serde(rename = "repeats")]
     Retries,
     /// Attempts that crossed zones.
-    Crossings,
+    #[serde(rename = "crossings")]
+    CrossZoneAttempts,
     /// Requests that a balancer refused.
     Refusals,
     /// Connections of callers to balancers.
@@ -44,7 +45,7 @@
         Self::FailedReads,
         Self::Probes,
         Self::Retries,
-        Self::Crossings,
+        Self::CrossZoneAttempts,
         Self::Refusals,
         Self::CallerConnections,
         Self::Unreached,
@@ -60,7 +61,7 @@
             Self::FailedReads => "list reads that failed",
             Self::Probes => "probes",
             Self::Retries => "repeats",
-            Self::Crossings => "crossings",
+            Self::CrossZoneAttempts => "crossings",
             Self::Refusals => "refusals",
             Self::CallerConnections => "callers' connections",
             Self::Unreached => "reached no balancer",
@@ -75,15 +76,19 @@
     /// The tier that was sent to.
     pub tier: String,
     /// What was paid for.
-    pub price: Cost,
+    #[serde(rename = "price")]
+    pub cost: Cost,
     /// How often, in all.
     pub total: u64,
     /// For each request that balancers of the tier took.
-    pub each: f64,
+    #[serde(rename = "each")]
+    pub per_request: f64,
     /// The balancer that paid most often, and its part of the total.
-    pub largest: (u32, f64),
+    #[serde(rename = "largest")]
+    pub largest_sender: (u32, f64),
     /// The worst second, and how often it was paid in that.
-    pub worst: (u64, u64),
+    #[serde(rename = "worst")]
+    pub worst_second: (u64, u64),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -151,11 +156,11 @@
                         (most(&tally.senders), most(&tally.seconds));
                     CostRow {
                         tier: tier.clone(),
-                        price,
+                        cost: price,
                         total: tally.total,
-                        each: tally.total as f64 / (*requests).max(1) as f64,
-                        largest: (sender as u32, f64::from(count) / tally.total as f64),
-                        worst: (second as u64, u64::from(worst)),
+                        per_request: tally.total as f64 / (*requests).max(1) as f64,
+                        largest_sender: (sender as u32, f64::from(count) / tally.total as f64),
+                        worst_second: (second as u64, u64::from(worst)),
                     }
                 })
         });
--- a/crates/emulator/src/costs/tests.rs
+++ b/crates/emulator/src/costs/tests.rs
@@ -14,10 +14,13 @@
         panic!("one line")
     };
     assert_eq!(
-        (row.tier.as_str(), row.price, row.total),
+        (row.tier.as_str(), row.cost, row.total),
         ("two", Cost::Handshakes, 5)
     );
-    assert_eq!((row.each, row.largest, row.worst), (0.5, (7, 0.6), (2, 3)));
+    assert_eq!(
+        (row.per_request, row.largest_sender, row.worst_second),
+        (0.5, (7, 0.6), (2, 3))
+    );
 }
 
 #[test]
--- a/crates/emulator/src/evacuation.rs
+++ b/crates/emulator/src/evacuation.rs
@@ -35,11 +35,14 @@
 #[serde(rename_all = "kebab-case")]
 pub struct EvacuationReport {
     /// Times at which the part of the balancers that is out of a zone changed: second, zone, part.
-    pub out: Vec<(f64, String, f64)>,
+    #[serde(rename = "out")]
+    pub evacuated_fractions: Vec<(f64, String, f64)>,
     /// For each zone, the share that it did not get, times seconds, over all balancers' number.
-    pub moved: Vec<(String, f64)>,
+    #[serde(rename = "moved")]
+    pub diverted_share_seconds: Vec<(String, f64)>,
     /// Changes of shares.
-    pub moves: u64,
+    #[serde(rename = "moves")]
+    pub share_changes: u64,
 }
 
 impl EvacuationTracker {
@@ -56,9 +59,9 @@
     }
 
     /// A balancer begins anew, in all zones.
-    pub fn begins(&mut self, at: Time, balancer: usize) {
+    pub fn balancer_started(&mut self, at: Time, balancer: usize) {
         for zone in 0..self.zones.len() as u8 {
-            self.moved(ShareChange {
+            self.record_share_change(ShareChange {
                 at,
                 balancer: balancer as u32,
                 zone,
@@ -68,7 +71,7 @@
     }
 
     /// A balancer gives a zone a share.
-    pub fn moved(&mut self, to: ShareChange) {
+    pub fn record_share_change(&mut self, to: ShareChange) {
         let (balancer, zone) = (to.balancer as usize, usize::from(to.zone));
         let was = self.shares[balancer][zone];
         if was == to.share {
@@ -80,9 +83,9 @@
     }
 
     /// The share of a zone, by its name, as it is seen at a balancer.
-    pub fn seen(&mut self, at: Time, balancer: u32, zone: &str, share: f64) {
+    pub fn record_zone_share(&mut self, at: Time, balancer: u32, zone: &str, share: f64) {
         if let Some(zone) = self.zones.iter().position(|known| known == zone) {
-            self.moved(ShareChange {
+            self.record_share_change(ShareChange {
                 at,
                 balancer,
                 zone: zone as u8,
@@ -120,17 +123,20 @@
             .zip(self.away.iter().map(|away| away / of))
             .collect();
         EvacuationReport {
-            out,
-            moved,
-            moves: self.moves.len() as u64,
+            evacuated_fractions: out,
+            diverted_share_seconds: moved,
+            share_changes: self.moves.len() as u64,
         }
     }
 }
 
 impl EvacuationReport {
     /// How long after a second so large a part of the balancers was out of a zone.
-    pub fn out_after(&self, zone: &str, from: f64, part: f64) -> Option<f64> {
-        let of = self.out.iter().filter(|(_, name, _)| name == zone);
+    pub fn evacuated_after(&self, zone: &str, from: f64, part: f64) -> Option<f64> {
+        let of = self
+            .evacuated_fractions
+            .iter()
+            .filter(|(_, name, _)| name == zone);
         let before = of
             .clone()
             .rfind(|(at, ..)| *at <= from)
@@ -144,9 +150,9 @@
     }
 
     /// The largest part of the balancers that was out of a zone from a second on.
-    pub fn most_out(&self, zone: &str, from: f64, until: f64) -> f64 {
+    pub fn max_evacuated_fraction(&self, zone: &str, from: f64, until: f64) -> f64 {
         let of = self
-            .out
+            .evacuated_fractions
             .iter()
             .filter(|(at, name, _)| name == zone && *at < until);
         let before = of
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -34,14 +34,14 @@
 pub use measure::{CallOutcome, Counts, Latencies, Meter, RunResult, TimelineStep};
 pub use observer::{MemberView, MembershipObserver, MembershipReport, Quantiles};
 pub use policy::Policy;
-pub use random::{Actor, Dist, chance, gap, sample, stream};
+pub use random::{Actor, Dist, chance, exponential_gap, sample, stream};
 pub use scenario::*;
 pub use units::Span;
 pub use upstream::{Admission, Upstream, UpstreamFaults};
 pub use woadstall_engine as engine;
-pub use world::{AgentWrapper, EPOCH, World};
+pub use world::{AgentWrapper, EPOCH, Simulation};
 
 /// Plays a scenario to its end.
 pub fn run(scenario: &Scenario, policy: Policy, seed: u64) -> RunResult {
-    World::new(scenario, policy, seed).run()
+    Simulation::new(scenario, policy, seed).run()
 }
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -42,9 +42,11 @@
     /// Attempts at upstreams, those of all tiers.
     pub attempts: u64,
     /// Those that were not the first of their request.
-    pub repeats: u64,
+    #[serde(rename = "repeats")]
+    pub retries: u64,
     /// Those that crossed zones.
-    pub crossings: u64,
+    #[serde(rename = "crossings")]
+    pub cross_zone_attempts: u64,
     /// Worth of what was offered.
     #[serde(rename = "worth-offered")]
     pub value_offered: f64,
@@ -124,7 +126,8 @@
     pub events: u64,
     /// The price list.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub prices: Vec<CostRow>,
+    #[serde(rename = "prices")]
+    pub costs: Vec<CostRow>,
     /// How the scenario's bounds were kept.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub bounds: Vec<BoundResult>,
@@ -133,21 +136,23 @@
     pub members: Option<MembershipReport>,
     /// What balancers that leave places together made of zones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub evacuated: Option<EvacuationReport>,
+    #[serde(rename = "evacuated")]
+    pub evacuation: Option<EvacuationReport>,
     /// The timeline.
     pub steps: Vec<TimelineStep>,
     /// The story of the call that was followed: when, in nanoseconds, and what.
-    pub story: Vec<(Time, String)>,
+    #[serde(rename = "story")]
+    pub call_trace: Vec<(Time, String)>,
 }
 
 impl RunResult {
     /// Whether each rule and each bound was kept.
     pub fn is_satisfied(&self) -> bool {
-        self.broken() == 0 && self.bounds.iter().all(|bound| bound.kept)
+        self.breach_count() == 0 && self.bounds.iter().all(|bound| bound.is_met)
     }
 
     /// Breaches in all.
-    pub fn broken(&self) -> u64 {
+    pub fn breach_count(&self) -> u64 {
         self.breaches.values().sum()
     }
 }
@@ -241,7 +246,7 @@
             steps: Vec::new(),
             all_came: Vec::new(),
             step_length: scenario.step.0,
-            hosts: scenario.sizes().1 as usize,
+            hosts: scenario.process_counts().1 as usize,
             multiple,
             log_lines: 0,
         }
@@ -268,8 +273,8 @@
     pub fn sent(&mut self, attempt: u32, crosses: bool, host: u32) {
         let counts = &mut self.step.counts;
         counts.attempts += 1;
-        counts.repeats += u64::from(attempt > 0);
-        counts.crossings += u64::from(crosses);
+        counts.retries += u64::from(attempt > 0);
+        counts.cross_zone_attempts += u64::from(crosses);
         let (hosts, host) = (&mut self.step.hosts, host as usize);
         if hosts.len() <= host {
             hosts.resize(self.hosts.max(host + 1), 0);
@@ -449,8 +454,8 @@
         for step in &self.steps {
             all.requests += step.counts.requests;
             all.attempts += step.counts.attempts;
-            all.repeats += step.counts.repeats;
-            all.crossings += step.counts.crossings;
+            all.retries += step.counts.retries;
+            all.cross_zone_attempts += step.counts.cross_zone_attempts;
         }
         let part = |value: f64, of: f64| if of > 0.0 { value / of } else { 1.0 };
         let ms = |part: f64| self.latency.value_at_quantile(part) as f64 / 1e3;
@@ -472,12 +477,12 @@
             log_lines: self.log_lines,
             events,
             counts: all,
-            prices: Vec::new(),
+            costs: Vec::new(),
             bounds: Vec::new(),
             members: None,
-            evacuated: None,
+            evacuation: None,
             steps: self.steps,
-            story,
+            call_trace: story,
         }
     }
 }
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -75,7 +75,8 @@
     /// Members that were held for dead though they were there, each as often as that began.
     pub false_deaths: u64,
     /// The first of them in words.
-    pub stories: Vec<String>,
+    #[serde(rename = "stories")]
+    pub false_death_details: Vec<String>,
     /// Members whose process ended.
     pub deaths: u64,
     /// Milliseconds until a death was known, over all that had to hear of it.
@@ -85,7 +86,8 @@
     /// How often one had not heard of a death that lasted for half a minute.
     pub never_known: u64,
     /// Times in seconds at which all that run began to hold all others for there, or ceased to.
-    pub together: Vec<(f64, bool)>,
+    #[serde(rename = "together")]
+    pub agreement_changes: Vec<(f64, bool)>,
     /// Parts of the cut ways that were named right by both sides, less those that were named and are not cut, by the
     /// second at which that was looked at.
     #[serde(rename = "cuts-named")]
@@ -146,7 +148,7 @@
 
     fn disagrees(&self, by: usize, of: usize) -> bool {
         let view = self.views[by * self.members.len() + of];
-        by != of && view != MemberView::Alive && self.is_there(by) && self.is_there(of)
+        by != of && view != MemberView::Alive && self.is_active(by) && self.is_active(of)
     }
 
     /// How many pairs with one member are not as they should be.
@@ -178,7 +180,7 @@
     }
 
     /// A member's process begins, as a new incarnation of it, or ends.
-    pub fn runs(&mut self, now: Time, who: usize, up: bool) {
+    pub fn set_running(&mut self, now: Time, who: usize, up: bool) {
         if self.members[who].up == up {
             return;
         }
@@ -335,7 +337,7 @@
     /// All ordered pairs of those that are there and have spoken.
     pub fn pairs(&self, has_spoken: impl Fn(usize) -> bool) -> Vec<(usize, usize)> {
         let there: Vec<usize> = (0..self.members.len())
-            .filter(|&who| self.is_there(who) && has_spoken(who))
+            .filter(|&who| self.is_active(who) && has_spoken(who))
             .collect();
         let pairs = there
             .iter()
@@ -344,7 +346,7 @@
     }
 
     /// Whether a member runs and does not stand still.
-    pub fn is_there(&self, who: usize) -> bool {
+    pub fn is_active(&self, who: usize) -> bool {
         self.members[who].up && self.members[who].still_since.is_none()
     }
 
@@ -362,12 +364,12 @@
         let mean = rate(bytes.iter().sum()) / bytes.len().max(1) as f64;
         MembershipReport {
             false_deaths: self.false_deaths,
-            stories: self.stories,
+            false_death_details: self.stories,
             deaths: self.died,
             known_ms: Quantiles::of(&self.known),
             known_by_all_ms: Quantiles::of(&self.known_by_all),
             never_known: self.never_known,
-            together: self
+            agreement_changes: self
                 .together
                 .iter()
                 .map(|(at, is)| (seconds(*at), *is))
@@ -387,8 +389,11 @@
 
 impl MembershipReport {
     /// How long after a second all that ran held all others for there, as they still did when so many seconds had passed.
-    pub fn together_after(&self, from: f64, within: f64) -> Option<f64> {
-        let last = self.together.iter().rfind(|(at, _)| *at <= from + within)?;
+    pub fn agreement_after(&self, from: f64, within: f64) -> Option<f64> {
+        let last = self
+            .agreement_changes
+            .iter()
+            .rfind(|(at, _)| *at <= from + within)?;
         last.1.then_some((last.0 - from).max(0.0))
     }
 }
--- a/crates/emulator/src/observer/tests.rs
+++ b/crates/emulator/src/observer/tests.rs
@@ -7,7 +7,7 @@
 /// Three that hold each other for there.
 fn three() -> MembershipObserver {
     let mut all = MembershipObserver::new(3, 5 * S);
-    (0..3).for_each(|who| all.runs(0, who, true));
+    (0..3).for_each(|who| all.set_running(0, who, true));
     for (by, of) in (0..9)
         .map(|pair| (pair / 3, pair % 3))
         .filter(|(by, of)| by != of)
@@ -30,15 +30,15 @@
     all.record_view(12 * S, 2, 1, MemberView::Dead);
     all.record_view(13 * S, 0, 1, MemberView::Alive);
     all.record_view(13 * S, 2, 1, MemberView::Alive);
-    all.runs(20 * S, 2, false);
+    all.set_running(20 * S, 2, false);
     all.record_view(21 * S, 0, 2, MemberView::Dead);
     all.record_view(23 * S, 1, 2, MemberView::Dead);
-    all.runs(60 * S, 2, true);
+    all.set_running(60 * S, 2, true);
     let end = all.end(70 * S, &[7_000, 0, 0], 70 * S);
     assert_eq!(
         (
             end.false_deaths,
-            end.stories.len(),
+            end.false_death_details.len(),
             end.deaths,
             end.never_known
         ),
@@ -49,9 +49,12 @@
         end.known_ms.count == 2 && (3_000.0..3_010.0).contains(&end.known_by_all_ms.max),
         "{end:?}"
     );
-    assert_eq!(end.together_after(2.5, 1.0), Some(0.5));
+    assert_eq!(end.agreement_after(2.5, 1.0), Some(0.5));
     assert_eq!(
-        (end.together_after(14.0, 1.0), end.together_after(60.0, 5.0)),
+        (
+            end.agreement_after(14.0, 1.0),
+            end.agreement_after(60.0, 5.0)
+        ),
         (Some(0.0), None)
     );
     assert_eq!(end.bytes_a_second.1, 100.0);
@@ -60,7 +63,7 @@
 #[test]
 fn what_was_not_heard_is_counted() {
     let mut all = three();
-    all.runs(2 * S, 0, false);
+    all.set_running(2 * S, 0, false);
     all.record_view(3 * S, 1, 0, MemberView::Dead);
     all.record_path_reports(
         3 * S,
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -16,7 +16,7 @@
     /// Arrivals of a group of callers.
     Arrivals,
     /// What a group of callers does beside arriving.
-    Habits,
+    CallerBehavior,
     /// An upstream.
     Upstream,
     /// What a balancer's own seed comes from.
@@ -98,7 +98,7 @@
 }
 
 /// A time until the next of events that come at random, so many a second.
-pub fn gap(rng: &mut ChaCha8Rng, rate: f64) -> Time {
+pub fn exponential_gap(rng: &mut ChaCha8Rng, rate: f64) -> Time {
     let gap: f64 = Exp1.sample(rng);
     (gap / rate * 1e9).min(1e18) as Time
 }
--- a/crates/emulator/src/scenario/bound.rs
+++ b/crates/emulator/src/scenario/bound.rs
@@ -12,7 +12,8 @@
     /// Its name.
     pub name: String,
     /// What is wanted.
-    pub what: Requirement,
+    #[serde(rename = "what")]
+    pub requirement: Requirement,
 }
 
 /// What is wanted.
@@ -88,7 +89,8 @@
         least: f64,
     },
     /// Within so long of a time, this part of the balancers is out of a zone, but for trials.
-    Out {
+    #[serde(rename = "out")]
+    ZoneEvacuated {
         /// The zone.
         zone: String,
         /// From when on.
@@ -99,7 +101,8 @@
         within: Span,
     },
     /// At no time of a window is more than a part of the balancers out of a zone.
-    Stays {
+    #[serde(rename = "stays")]
+    ZoneNotEvacuated {
         /// The zone.
         zone: String,
         /// From when on.
@@ -123,23 +126,26 @@
     /// Its name.
     pub name: String,
     /// The least or most that was wanted; seconds for a return.
-    pub wanted: f64,
+    #[serde(rename = "wanted")]
+    pub threshold: f64,
     /// What was seen; nothing where it never came.
-    pub seen: Option<f64>,
+    #[serde(rename = "seen")]
+    pub measured: Option<f64>,
     /// Whether it was kept.
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub is_met: bool,
 }
 
 impl fmt::Display for BoundResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seen = self
-            .seen
+            .measured
             .map_or("nothing".to_owned(), |seen| format!("{seen:.3}"));
-        let kept = if self.kept { "kept" } else { "BROKEN" };
+        let kept = if self.is_met { "kept" } else { "BROKEN" };
         write!(
             f,
             "bound {}: {kept}, {seen} seen, {:.3} wanted",
-            self.name, self.wanted
+            self.name, self.threshold
         )
     }
 }
@@ -150,7 +156,7 @@
             true => Ok(()),
             false => inconsistent("`until` is not after `from`, or after the end of the run"),
         };
-        match &self.what {
+        match &self.requirement {
             Requirement::Served { from, until, least } => {
                 window(from, until).and_then(|()| in_range("least", *least, 0.0, 1.0))
             }
@@ -177,18 +183,18 @@
                 inconsistent("there is no `[members]`: balancers do not speak")
             }
             Requirement::FalseDeaths { .. } | Requirement::DeathsKnown { .. } => Ok(()),
-            Requirement::Out { .. } | Requirement::Stays { .. }
+            Requirement::ZoneEvacuated { .. } | Requirement::ZoneNotEvacuated { .. }
                 if scenario.evacuation.is_none() =>
             {
                 inconsistent("there is no `[evacuation]`: balancers leave nothing together")
             }
-            Requirement::Out {
+            Requirement::ZoneEvacuated {
                 zone, from, part, ..
             } => {
                 scenario.zone(&Some(zone.clone()))?;
                 window(from, &scenario.time).and_then(|()| in_range("part", *part, 0.0, 1.0))
             }
-            Requirement::Stays {
+            Requirement::ZoneNotEvacuated {
                 zone,
                 from,
                 until,
--- a/crates/emulator/src/scenario/check/callers.rs
+++ b/crates/emulator/src/scenario/check/callers.rs
@@ -1,7 +1,7 @@
 //! Checks of groups of callers.
 
 use super::*;
-use crate::scenario::{CallerGroup, CallerRetries, Load, MOST_CALLS};
+use crate::scenario::{CallerGroup, CallerRetries, Load, MAX_CALLS};
 use crate::units::Span;
 
 impl Scenario {
@@ -14,10 +14,10 @@
         let calls: f64 = self
             .callers
             .iter()
-            .map(|group| group.load.most() * self.time.seconds())
+            .map(|group| group.load.max_rate() * self.time.seconds())
             .sum();
-        if calls > MOST_CALLS {
-            let most = MOST_CALLS;
+        if calls > MAX_CALLS {
+            let most = MAX_CALLS;
             return Err(ScenarioError::TooManyCalls { calls, most });
         }
         Ok(())
@@ -41,7 +41,7 @@
         }
         self.check_zone(group.zone.as_ref())?;
         let thinks_not = matches!(group.load, Load::Closed { think: Span(0), .. });
-        if group.again != CallerRetries::Never && thinks_not {
+        if group.retries != CallerRetries::Never && thinks_not {
             return inconsistent("`load`: a crowd that asks again needs a `think` over 0");
         }
         Ok(())
--- a/crates/emulator/src/scenario/check/faults.rs
+++ b/crates/emulator/src/scenario/check/faults.rs
@@ -30,16 +30,18 @@
     }
 
     fn check_kind(&self, fault: &Fault) -> Check {
-        match &fault.what {
+        match &fault.kind {
             FaultKind::Slow(times) | FaultKind::SlowLink(times) => {
                 in_range("what", *times, 0.01, 1e4)
             }
-            FaultKind::Lost(part) | FaultKind::Resets(part) => in_range("what", *part, 0.0, 1.0),
+            FaultKind::ResponseLoss(part) | FaultKind::Resets(part) => {
+                in_range("what", *part, 0.0, 1.0)
+            }
             FaultKind::Errors { share, class } => self.check_errors(*share, class.as_ref()),
             FaultKind::RollBalancers if fault.until.is_none() => {
                 inconsistent("`until` is missing: a roll has an end")
             }
-            FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::Stall
+            FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::PauseBalancers
                 if self.hits_sidecars(fault) =>
             {
                 inconsistent("`tier`: its balancers go with their nodos")
@@ -50,11 +52,11 @@
                 inconsistent("`zone` is missing: a cut has one, and a link begins in one")
             }
             FaultKind::Link(link) => self.check_link(link),
-            FaultKind::Between(_) if self.members.is_none() => {
+            FaultKind::MemberLink(_) if self.members.is_none() => {
                 inconsistent("there is no `[members]`: balancers do not speak")
             }
-            FaultKind::Between(between) => between.check(self),
-            FaultKind::PowerLoss { .. } | FaultKind::Stop if fault.until.is_none() => {
+            FaultKind::MemberLink(between) => between.check(self),
+            FaultKind::PowerLoss { .. } | FaultKind::SuspendUpstreams if fault.until.is_none() => {
                 inconsistent("`until` is missing: power comes back, and what stands still goes on")
             }
             _ => Ok(()),
--- a/crates/emulator/src/scenario/check/tiers.rs
+++ b/crates/emulator/src/scenario/check/tiers.rs
@@ -13,7 +13,7 @@
 
 impl Scenario {
     pub(super) fn check_sizes(&self) -> Check {
-        let (balancers, upstreams) = self.sizes();
+        let (balancers, upstreams) = self.process_counts();
         if upstreams > u64::from(MAX_UPSTREAMS) || balancers > u64::from(MAX_BALANCERS) {
             return Err(ScenarioError::TooManyProcesses {
                 upstreams: MAX_UPSTREAMS,
--- a/crates/emulator/src/scenario/evacuation.rs
+++ b/crates/emulator/src/scenario/evacuation.rs
@@ -10,7 +10,8 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct EvacuationConfig {
     /// How often each looks at what is known.
-    pub every: Span,
+    #[serde(rename = "every")]
+    pub interval: Span,
     /// What liars say; none, if it is left out.
     #[serde(rename = "lie")]
     pub false_reporting: Option<FalseReporting>,
@@ -19,7 +20,7 @@
 impl Default for EvacuationConfig {
     fn default() -> Self {
         Self {
-            every: Span(100 * MS),
+            interval: Span(100 * MS),
             false_reporting: None,
         }
     }
@@ -32,7 +33,8 @@
     /// Part of the balancers that say it: the first of each zone.
     pub part: f64,
     /// What.
-    pub says: FalseReport,
+    #[serde(rename = "says")]
+    pub report: FalseReport,
 }
 
 /// What a liar says.
@@ -40,11 +42,14 @@
 #[serde(rename_all = "kebab-case")]
 pub enum FalseReport {
     /// All calls fail, everywhere.
-    AllBad,
+    #[serde(rename = "all-bad")]
+    AllCallsFail,
     /// No call fails, anywhere.
-    AllWell,
+    #[serde(rename = "all-well")]
+    NoCallFails,
     /// All calls to its own zone fail.
-    OwnZoneBad,
+    #[serde(rename = "own-zone-bad")]
+    OwnZoneCallsFail,
 }
 
 impl Scenario {
@@ -57,7 +62,7 @@
                 "`evacuation`: there are no `members`, so nobody can tell anything",
             );
         }
-        if evacuation.every.0 < MS {
+        if evacuation.interval.0 < MS {
             return inconsistent("`evacuation.every` is shorter than a millisecond");
         }
         evacuation
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -25,10 +25,12 @@
     #[serde(default = "one")]
     pub part: f64,
     /// What it is.
-    pub what: FaultKind,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// It comes again and again; read as so many faults that hit the same.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub again: Option<FaultRepetition>,
+    #[serde(rename = "again")]
+    pub repetition: Option<FaultRepetition>,
     /// Its place in the file, where others before it come again: what it hits is drawn by that.
     #[serde(skip)]
     pub file_position: Option<u32>,
@@ -39,9 +41,11 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct FaultRepetition {
     /// From one beginning to the next.
-    pub every: Span,
+    #[serde(rename = "every")]
+    pub period: Span,
     /// How often in all.
-    pub times: u32,
+    #[serde(rename = "times")]
+    pub count: u32,
 }
 
 /// Faults that one may come to.
@@ -51,11 +55,11 @@
     /// What it stands for: itself, or one for each time that it comes.
     pub(super) fn each_time(self, file_position: u32) -> Result<Vec<Self>, ScenarioError> {
         let one = Self {
-            again: None,
+            repetition: None,
             file_position: Some(file_position),
             ..self.clone()
         };
-        let Some(again) = self.again else {
+        let Some(again) = self.repetition else {
             return Ok(vec![one]);
         };
         let wrong = |text| {
@@ -64,32 +68,32 @@
                 .within(ScenarioPart::Key("again"))
                 .within(part))
         };
-        if !(1..=MOST_TIMES).contains(&again.times) {
+        if !(1..=MOST_TIMES).contains(&again.count) {
             return wrong("`times` is not from 1 to 1,000");
         }
         if self
             .until
-            .is_none_or(|until| until.0 < self.at.0 || until.0 - self.at.0 >= again.every.0)
+            .is_none_or(|until| until.0 < self.at.0 || until.0 - self.at.0 >= again.period.0)
         {
             return wrong("`until` is missing, or not before the next time");
         }
-        let later = |span: Span, time: u32| Span(span.0 + u64::from(time) * again.every.0);
+        let later = |span: Span, time: u32| Span(span.0 + u64::from(time) * again.period.0);
         let at = |time| Self {
             at: later(one.at, time),
             until: one.until.map(|it| later(it, time)),
             ..one.clone()
         };
-        Ok((0..again.times).map(at).collect())
+        Ok((0..again.count).map(at).collect())
     }
 
     /// Whether it has begun and is not over.
-    pub fn is_in_force(&self, now: Time) -> bool {
+    pub fn is_active(&self, now: Time) -> bool {
         self.at.0 <= now && self.until.is_none_or(|until| now < until.0)
     }
 
     /// What it does to all that goes from one zone to another, if it is of that way.
     pub fn link(&self, from: Option<&String>, to: Option<&String>) -> Option<&LinkFault> {
-        match &self.what {
+        match &self.kind {
             FaultKind::Link(link) if self.zone.as_ref() == from && Some(&link.to) == to => {
                 Some(link)
             }
@@ -124,11 +128,13 @@
         class: Option<String>,
     },
     /// A part of the answers is lost, after the work.
-    Lost(f64),
+    #[serde(rename = "lost")]
+    ResponseLoss(f64),
     /// A part of the connections breaks before the answer, half of them after the work.
     Resets(f64),
     /// Upstreams take requests and say nothing.
-    Silent,
+    #[serde(rename = "silent")]
+    Unresponsive,
     /// Upstreams turn everything away as full.
     Full,
     /// Nothing reaches the zone's upstreams from other zones.
@@ -160,10 +166,12 @@
     /// answers what it holds, and a new process takes its place. With `sidecar`, none: they go with their upstreams.
     RollBalancers,
     /// Balancers' processes stand still.
-    Stall,
+    #[serde(rename = "stall")]
+    PauseBalancers,
     /// Upstreams' processes stand still: connections stay, what comes waits, and what was begun is answered once they
     /// go on, all at once.
-    Stop,
+    #[serde(rename = "stop")]
+    SuspendUpstreams,
     /// Power is lost: upstreams die in one instant with the balancers that send to them, and come back from the end
     /// on. Upstreams are cold, and balancers know the list that they had so long ago.
     PowerLoss {
@@ -180,7 +188,8 @@
     /// What goes from the fault's zone to another is hit, that of all tiers; the way back is not.
     Link(LinkFault),
     /// What goes between balancers is hit.
-    Between(MemberLinkFault),
+    #[serde(rename = "between")]
+    MemberLink(MemberLinkFault),
 }
 
 fn lost() -> StoredFiles {
@@ -201,7 +210,8 @@
     /// Each, without a byte in it.
     Empty,
     /// Those of another balancer under its own names.
-    Stranger,
+    #[serde(rename = "stranger")]
+    OtherBalancer,
 }
 
 /// What is wrong with all that goes from one zone to another.
--- a/crates/emulator/src/scenario/limits.rs
+++ b/crates/emulator/src/scenario/limits.rs
@@ -51,9 +51,11 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Network {
     /// One way within a zone.
-    pub within: Span,
+    #[serde(rename = "within")]
+    pub within_zone: Span,
     /// One way between zones.
-    pub across: Span,
+    #[serde(rename = "across")]
+    pub between_zones: Span,
     /// Up to this part more, evenly.
     pub jitter: f64,
     /// Part of the messages, either way, that is lost without notice.
@@ -67,8 +69,8 @@
 impl Default for Network {
     fn default() -> Self {
         Self {
-            within: Span(250_000),
-            across: Span(MS),
+            within_zone: Span(250_000),
+            between_zones: Span(MS),
             jitter: 0.5,
             loss: 0.0,
             resets: 0.0,
--- a/crates/emulator/src/scenario/load.rs
+++ b/crates/emulator/src/scenario/load.rs
@@ -22,7 +22,8 @@
     pub load: Load,
     /// What they do where they get no answer.
     #[serde(default)]
-    pub again: CallerRetries,
+    #[serde(rename = "again")]
+    pub retries: CallerRetries,
     /// Part of them that waits as long as a refusal advises.
     #[serde(default = "one")]
     #[serde(rename = "heeds-advice")]
@@ -90,7 +91,7 @@
     }
 
     /// The highest rate.
-    pub fn most(&self) -> f64 {
+    pub fn max_rate(&self) -> f64 {
         match self {
             Self::Constant(rate) => *rate,
             Self::Curve(points) => points.iter().map(|(_, rate)| *rate).fold(0.0, f64::max),
@@ -145,12 +146,14 @@
     #[default]
     Never,
     /// They ask again at once.
-    AtOnce {
+    #[serde(rename = "at-once")]
+    Immediate {
         /// Most tries in all.
         most: u32,
     },
     /// They ask again after a while.
-    After {
+    #[serde(rename = "after")]
+    FixedDelay {
         /// How long.
         wait: Span,
         /// Most tries in all.
@@ -170,11 +173,11 @@
 impl CallerRetries {
     /// How long a caller waits before it asks again after so many tries; `None` if it does not. `draw` gives a
     /// number from 0 to 1.
-    pub fn wait(&self, tries: u32, draw: impl FnOnce() -> f64) -> Option<u64> {
+    pub fn delay(&self, tries: u32, draw: impl FnOnce() -> f64) -> Option<u64> {
         match *self {
             Self::Never => None,
-            Self::AtOnce { most } => (tries < most).then_some(0),
-            Self::After { wait, most } => (tries < most).then_some(wait.0),
+            Self::Immediate { most } => (tries < most).then_some(0),
+            Self::FixedDelay { wait, most } => (tries < most).then_some(wait.0),
             Self::Backoff { first, cap, most } => (tries < most).then(|| {
                 let wait = first
                     .0
--- a/crates/emulator/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -49,9 +49,11 @@
 pub enum Direction {
     /// From those that the fault hits to the others.
     #[default]
-    There,
+    #[serde(rename = "there")]
+    Forward,
     /// From the others to those.
-    Back,
+    #[serde(rename = "back")]
+    Reverse,
     /// Both.
     Both,
 }
@@ -74,24 +76,26 @@
     /// Part of it that is lost.
     pub loss: f64,
     /// Part of it that comes twice.
-    pub doubled: f64,
+    #[serde(rename = "doubled")]
+    pub duplicated: f64,
     /// Part of it that is overtaken.
-    pub overtaken: f64,
+    #[serde(rename = "overtaken")]
+    pub reordered: f64,
     /// So many of those that it does not hit, the first by number, see both sides.
     pub bridges: u32,
 }
 
 impl Default for MemberLinkFault {
     fn default() -> Self {
-        let (to, direction, partitioned, delay) = (None, Direction::There, false, Span(0));
+        let (to, direction, partitioned, delay) = (None, Direction::Forward, false, Span(0));
         Self {
             to,
             direction,
             partitioned,
             delay,
             loss: 0.0,
-            doubled: 0.0,
-            overtaken: 0.0,
+            duplicated: 0.0,
+            reordered: 0.0,
             bridges: 0,
         }
     }
@@ -107,17 +111,17 @@
     /// Part that is lost.
     pub loss: f64,
     /// Part that comes twice.
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Part that is overtaken.
-    pub overtaken: f64,
+    pub reordered: f64,
 }
 
 impl MemberLinkFault {
     pub(super) fn check(&self, scenario: &Scenario) -> Check {
         scenario.zone(&self.to)?;
         in_range("loss", self.loss, 0.0, 1.0)?;
-        in_range("doubled", self.doubled, 0.0, 1.0)?;
-        in_range("overtaken", self.overtaken, 0.0, 1.0)
+        in_range("doubled", self.duplicated, 0.0, 1.0)?;
+        in_range("overtaken", self.reordered, 0.0, 1.0)
     }
 
     /// Whether what goes from one to the other is hit, of `all` balancers. `hit` are those that the fault hits, in the order of
@@ -143,8 +147,8 @@
         let there = is_hit(from.0) && is_other(to);
         let back = is_hit(to.0) && is_other(from);
         match self.direction {
-            Direction::There => there,
-            Direction::Back => back,
+            Direction::Forward => there,
+            Direction::Reverse => back,
             Direction::Both => there || back,
         }
     }
@@ -153,7 +157,7 @@
 impl Scenario {
     /// What goes from one balancer to another, each by its number and zone, of so many. `faults` are those in force, with
     /// the balancers that each hits.
-    pub fn among<'a>(
+    pub fn member_link<'a>(
         &self,
         from: (u32, u8),
         to: (u32, u8),
@@ -162,9 +166,9 @@
     ) -> MemberLink {
         let network = &self.network;
         let base = if from.1 == to.1 {
-            network.within
+            network.within_zone
         } else {
-            network.across
+            network.between_zones
         };
         let mut among = MemberLink {
             delay: base.0,
@@ -172,14 +176,14 @@
             ..MemberLink::default()
         };
         for (fault, hit) in faults {
-            if let FaultKind::Between(ill) = &fault.what {
+            if let FaultKind::MemberLink(ill) = &fault.kind {
                 let zone = self.zone(&ill.to).unwrap_or(None);
                 if ill.hits(hit, all, zone, from, to) {
                     among.partitioned |= ill.partitioned;
                     among.delay += ill.delay.0;
                     among.loss = among.loss.max(ill.loss);
-                    among.doubled = among.doubled.max(ill.doubled);
-                    among.overtaken = among.overtaken.max(ill.overtaken);
+                    among.duplicated = among.duplicated.max(ill.duplicated);
+                    among.reordered = among.reordered.max(ill.reordered);
                 }
             } else if let Some(link) = fault.link(self.zone_name(from.1), self.zone_name(to.1)) {
                 among.partitioned |= link.partitioned;
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -28,7 +28,7 @@
 use std::collections::BTreeMap;
 
 /// Most calls that one run may ask for: bounds its time and memory.
-pub const MOST_CALLS: f64 = 50e6;
+pub const MAX_CALLS: f64 = 50e6;
 
 /// A whole scenario.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
@@ -38,7 +38,8 @@
     pub name: String,
     /// What it is for.
     #[serde(default)]
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     /// How long callers come.
     pub time: Span,
     /// What comes before this is not counted: averages are not learned yet.
@@ -211,7 +212,7 @@
     }
 
     /// The longest that a caller waits.
-    pub fn longest(&self) -> Span {
+    pub fn longest_deadline(&self) -> Span {
         self.class
             .iter()
             .map(|class| class.deadline)
@@ -220,7 +221,7 @@
     }
 
     /// How many balancers send to a tier.
-    pub fn senders(&self, tier: usize) -> u32 {
+    pub fn balancer_count(&self, tier: usize) -> u32 {
         match self.tier[tier].sidecar {
             true => self
                 .caller_of(tier)
@@ -230,9 +231,9 @@
     }
 
     /// How many balancers and upstreams there are in all.
-    pub fn sizes(&self) -> (u64, u64) {
+    pub fn process_counts(&self) -> (u64, u64) {
         let balancers = (0..self.tier.len())
-            .map(|tier| u64::from(self.senders(tier)))
+            .map(|tier| u64::from(self.balancer_count(tier)))
             .sum();
         (
             balancers,
--- a/crates/emulator/src/scenario/settings.rs
+++ b/crates/emulator/src/scenario/settings.rs
@@ -26,7 +26,11 @@
             late_value: class.late_value,
             value: class.value,
         };
-        let (depth, siblings, tier) = (self.depth(tier), self.senders(tier), &self.tier[tier]);
+        let (depth, siblings, tier) = (
+            self.depth(tier),
+            self.balancer_count(tier),
+            &self.tier[tier],
+        );
         Settings {
             classes: self.class.iter().map(class).collect(),
             tenants: self
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -144,7 +144,7 @@
     }
 
     /// Its process dies, with all that it was at.
-    pub fn die(&mut self) {
+    pub fn kill(&mut self) {
         self.alive = false;
         self.clear();
     }
@@ -250,7 +250,7 @@
     }
 
     /// Whether this request is to get an error.
-    pub fn errs(&mut self, class: usize) -> bool {
+    pub fn draw_error(&mut self, class: usize) -> bool {
         let share = self
             .active_faults
             .errors
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn handle_input(&mut self, at: usize, input: Input<'_, Ticket, ()>) {
         let local = self.balancers[at].local(self.event_queue.now());
         self.balancers[at].agent.handle(local, input);
@@ -59,8 +59,8 @@
     }
 
     pub(super) fn stalled_most(&self) -> Time {
-        let longest = |fault: &Fault| match fault.what {
-            FaultKind::Stall => {
+        let longest = |fault: &Fault| match fault.kind {
+            FaultKind::PauseBalancers => {
                 fault.until.map_or(self.scenario.time.0, |until| until.0) - fault.at.0
             }
             _ => 0,
@@ -189,7 +189,7 @@
             .scenario
             .fault
             .iter()
-            .filter(move |fault| fault.is_in_force(now));
+            .filter(move |fault| fault.is_active(now));
         in_force.filter_map(move |fault| fault.link(from, into))
     }
 
@@ -211,9 +211,9 @@
         let (network, upstream) = (&self.scenario.network, &self.upstreams[upstream]);
         let balancer = &mut self.balancers[at];
         let base = if balancer.zone == upstream.zone {
-            network.within
+            network.within_zone
         } else {
-            network.across
+            network.between_zones
         };
         let jitter = 1.0 + network.jitter * balancer.network.random::<f64>();
         (base.0 as f64 * jitter * upstream.active_faults.delay_factor) as Time + more
--- a/crates/emulator/src/world/build.rs
+++ b/crates/emulator/src/world/build.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Sets up all that the scenario has, and plans its faults and first calls.
     pub(super) fn build(&mut self) {
         for tier in 0..self.scenario.tier.len() {
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn plan_arrival(&mut self, group: usize) {
         let load = &self.scenario.callers[group].load;
-        let most = load.most();
+        let most = load.max_rate();
         if most <= 0.0 {
             return;
         }
         // A process whose rate changes is thinned out of one at the highest rate.
         let mut at = self.event_queue.now();
         loop {
-            at = at.saturating_add(gap(&mut self.arrival_rngs[group], most));
+            at = at.saturating_add(exponential_gap(&mut self.arrival_rngs[group], most));
             if at >= self.scenario.time.0 {
                 return;
             }
@@ -283,7 +283,7 @@
             || self.scenario.class[call.class].effect != CallEffect::Unsafe;
         let callers = &self.scenario.callers[group];
         let rng = &mut self.behavior_rngs[group];
-        let wait = callers.again.wait(call.tries, || rng.random::<f64>());
+        let wait = callers.retries.delay(call.tries, || rng.random::<f64>());
         let retry_after = match result {
             CallResult::Rejected(after) if chance(rng, callers.honors_retry_after) => *after,
             _ => 0,
@@ -306,7 +306,7 @@
     fn plan_closed_loop_call(&mut self, group: usize) {
         if let Load::Closed { think, .. } = self.scenario.callers[group].load {
             let rate = 1e9 / (think.0.max(1)) as f64;
-            let wait = gap(&mut self.behavior_rngs[group], rate);
+            let wait = exponential_gap(&mut self.behavior_rngs[group], rate);
             let event = Event::ClosedLoopCall(group as u32);
             self.event_queue.after(wait, event);
         }
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -45,10 +45,10 @@
             false_reporters
                 .iter_mut()
                 .take(count)
-                .for_each(|liar| *liar = Some(false_reporting.says));
+                .for_each(|liar| *liar = Some(false_reporting.report));
         }
         Self {
-            every: of.every.0,
+            every: of.interval.0,
             all: settings.iter().cloned().map(Coordinator::new).collect(),
             seen: vec![u64::MAX; balancers.len()],
             evacuated: EvacuationTracker::new(scenario.zones.clone(), balancers.len()),
@@ -67,19 +67,21 @@
         let own = self.settings[at].zone;
         match self.false_reporters[at] {
             None => saw,
-            Some(FalseReport::AllWell) => CompletedAttempt {
+            Some(FalseReport::NoCallFails) => CompletedAttempt {
                 outcome: Outcome::Ok,
                 ..saw
             },
-            Some(FalseReport::AllBad) => CompletedAttempt {
+            Some(FalseReport::AllCallsFail) => CompletedAttempt {
                 outcome: Outcome::Error,
                 ..saw
             },
-            Some(FalseReport::OwnZoneBad) if zone_of(saw.server) == Some(own) => CompletedAttempt {
-                outcome: Outcome::Error,
-                ..saw
-            },
-            Some(FalseReport::OwnZoneBad) => saw,
+            Some(FalseReport::OwnZoneCallsFail) if zone_of(saw.server) == Some(own) => {
+                CompletedAttempt {
+                    outcome: Outcome::Error,
+                    ..saw
+                }
+            }
+            Some(FalseReport::OwnZoneCallsFail) => saw,
         }
     }
 
@@ -113,7 +115,7 @@
     }
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// All of them begin.
     pub(super) fn coordinators_begin(&mut self) {
         let Some(of) = &self.scenario.evacuation else {
@@ -138,8 +140,10 @@
         };
         coordinators.all[at] = Coordinator::new(coordinators.settings[at].clone());
         coordinators.seen[at] = u64::MAX;
-        coordinators.evacuated.begins(self.event_queue.now(), at);
-        self.balancers[at].agent.observe();
+        coordinators
+            .evacuated
+            .balancer_started(self.event_queue.now(), at);
+        self.balancers[at].agent.record_attempts();
     }
 
     /// A balancer's coordinator has its turn.
@@ -174,8 +178,8 @@
         };
         let balancer = &mut self.balancers[at];
         let local = balancer.local(now);
-        let observed = balancer.agent.take_observed();
-        if let Some((changes, all)) = balancer.agent.listed(coordinators.seen[at]) {
+        let observed = balancer.agent.take_attempt_records();
+        if let Some((changes, all)) = balancer.agent.listed_upstreams(coordinators.seen[at]) {
             coordinators.seen[at] = changes;
             let all = all.into_iter();
             coordinators.all[at].set_servers(all.map(|of| ListedServer {
@@ -189,7 +193,7 @@
         for seen in observed {
             coordinators.record_completed(now, at, &seen);
         }
-        let outstanding = balancer.agent.outstanding(local).into_iter();
+        let outstanding = balancer.agent.attempts_in_flight(local).into_iter();
         coordinators.all[at].record_pending(now, outstanding.map(pending_attempt));
         let turn = coordinators.all[at].step(now, local / MS, node);
         for line in turn.lines {
@@ -198,7 +202,7 @@
         for finding in &turn.verdicts {
             if let FailureDomain::Zone(zone, None) = finding.domain {
                 let share = f64::from(finding.share);
-                coordinators.evacuated.moved(ShareChange {
+                coordinators.evacuated.record_share_change(ShareChange {
                     at: now,
                     balancer: at as u32,
                     zone: zone.0,
--- a/crates/emulator/src/world/dispatch.rs
+++ b/crates/emulator/src/world/dispatch.rs
@@ -24,7 +24,7 @@
     Arrives(Time),
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn dispatch(&mut self, at: usize, send: &SendAttempt) {
         let now = self.event_queue.now();
         let host = Self::host_by_address(send.to.address);
@@ -86,7 +86,7 @@
             self.costs.pay(now, tier, Cost::Retries, at);
         }
         if crosses_zones {
-            self.costs.pay(now, tier, Cost::Crossings, at);
+            self.costs.pay(now, tier, Cost::CrossZoneAttempts, at);
         }
     }
 
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn fault_changes(&mut self, at: usize, begins: bool) {
         if begins {
             self.draw_targets(at);
@@ -10,7 +10,7 @@
         let targets = &self.faults[at];
         let (upstreams, balancers) = (targets.upstreams.clone(), targets.balancers.clone());
         let fault = &self.scenario.fault[at];
-        match &fault.what {
+        match &fault.kind {
             FaultKind::Kill { .. }
             | FaultKind::Roll
             | FaultKind::Replace
@@ -18,7 +18,7 @@
             FaultKind::ClockStep(_)
             | FaultKind::Restart { .. }
             | FaultKind::RollBalancers
-            | FaultKind::Stall => self.balancer_fault(at, begins, &balancers),
+            | FaultKind::PauseBalancers => self.balancer_fault(at, begins, &balancers),
             FaultKind::PowerLoss { stale, over, .. } => match begins {
                 true => self.power_lost(&upstreams, &balancers),
                 false => self.power_returns(at, &upstreams, &balancers, (stale.0, over.0)),
@@ -26,7 +26,7 @@
             FaultKind::RegistrySilent => self.registry_outage(begins),
             FaultKind::PartitionTo | FaultKind::PartitionFrom => self.partition(at, begins),
             // Looked up where something is sent.
-            FaultKind::Link(_) | FaultKind::Between(_) => self.members_partitioned(),
+            FaultKind::Link(_) | FaultKind::MemberLink(_) => self.members_partitioned(),
             _ => upstreams
                 .iter()
                 .for_each(|&upstream| self.refresh_upstream_faults(upstream, at, begins)),
@@ -69,7 +69,7 @@
 
     /// Upstreams die, are rolled, or are listed as removed.
     fn upstream_fault(&mut self, at: usize, begins: bool, upstreams: &[u32]) {
-        match (&self.scenario.fault[at].what, begins) {
+        match (&self.scenario.fault[at].kind, begins) {
             (FaultKind::Kill { done }, true) => upstreams
                 .iter()
                 .for_each(|&upstream| self.kill_upstream(upstream as usize, *done)),
@@ -111,7 +111,7 @@
 
     /// Balancers restart, are rolled or stand still, or their clocks step.
     fn balancer_fault(&mut self, at: usize, begins: bool, balancers: &[u32]) {
-        match (&self.scenario.fault[at].what, begins) {
+        match (&self.scenario.fault[at].kind, begins) {
             (FaultKind::ClockStep(step), true) => {
                 for &balancer in balancers {
                     self.balancers[balancer as usize].ahead += step.0 as i64;
@@ -128,7 +128,7 @@
                 }
             }
             (FaultKind::RollBalancers, true) => self.plan_balancer_roll(at, balancers),
-            (FaultKind::Stall, true) => {
+            (FaultKind::PauseBalancers, true) => {
                 let until = self.scenario.fault[at].until;
                 let until = until.unwrap_or(self.scenario.time).0;
                 for &balancer in balancers {
@@ -137,7 +137,7 @@
                 self.stalled = self.stalled.max(until);
                 self.members_paused(balancers, true);
             }
-            (FaultKind::Stall, false) => self.members_paused(balancers, false),
+            (FaultKind::PauseBalancers, false) => self.members_paused(balancers, false),
             _ => {}
         }
     }
@@ -208,7 +208,7 @@
     /// A zone's upstreams are cut off from other zones, one way.
     fn partition(&mut self, at: usize, begins: bool) {
         let (_, zone) = self.scope(at);
-        let is_to = self.scenario.fault[at].what == FaultKind::PartitionTo;
+        let is_to = self.scenario.fault[at].kind == FaultKind::PartitionTo;
         let partition = (zone.unwrap_or(0), is_to);
         if begins {
             self.partitions.push(partition);
@@ -224,12 +224,12 @@
         for (at, fault) in self.scenario.fault.iter().enumerate() {
             let active = match at == changed {
                 true => begins,
-                false => fault.is_in_force(now),
+                false => fault.is_active(now),
             };
             if !active || self.faults[at].upstreams.binary_search(&upstream).is_err() {
                 continue;
             }
-            match &fault.what {
+            match &fault.kind {
                 FaultKind::Slow(times) => active_faults.slowdown *= times,
                 FaultKind::SlowLink(times) => active_faults.delay_factor *= times,
                 FaultKind::Errors { share, class } => {
@@ -238,11 +238,11 @@
                         class.as_ref().and_then(|name| self.scenario.class(name)),
                     ));
                 }
-                FaultKind::Lost(part) => active_faults.lost = active_faults.lost.max(*part),
+                FaultKind::ResponseLoss(part) => active_faults.lost = active_faults.lost.max(*part),
                 FaultKind::Resets(part) => active_faults.resets = active_faults.resets.max(*part),
-                FaultKind::Silent => active_faults.unresponsive = true,
+                FaultKind::Unresponsive => active_faults.unresponsive = true,
                 FaultKind::Full => active_faults.full = true,
-                FaultKind::Stop => active_faults.stopped = true,
+                FaultKind::SuspendUpstreams => active_faults.stopped = true,
                 _ => {}
             }
         }
@@ -259,7 +259,7 @@
     }
 
     pub(super) fn roll_upstream(&mut self, upstream: u32, step: u8, fault: usize) {
-        let longest = self.scenario.longest().0;
+        let longest = self.scenario.longest_deadline().0;
         let at = upstream as usize;
         match step {
             0 => {
@@ -279,7 +279,7 @@
             }
             _ => {
                 self.kill_upstream(at, false);
-                if self.scenario.fault[fault].what == FaultKind::Replace {
+                if self.scenario.fault[fault].kind == FaultKind::Replace {
                     return self.replace(upstream);
                 }
                 self.event_queue
@@ -413,7 +413,7 @@
         self.front
             .iter_mut()
             .for_each(|front| front.close(at as u32));
-        let longest = self.scenario.longest().0;
+        let longest = self.scenario.longest_deadline().0;
         let balancer = at as u32;
         self.event_queue.after(
             longest + 700 * MS,
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -153,7 +153,7 @@
     }
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// All of them begin.
     pub(super) fn members_begin(&mut self) {
         let Some(of) = &self.scenario.members else {
@@ -166,7 +166,7 @@
         ));
         (0..self.balancers.len()).for_each(|at| self.member_begins(at));
         for bound in &self.scenario.bound {
-            if let crate::scenario::Requirement::PartitionsReported { at, .. } = bound.what {
+            if let crate::scenario::Requirement::PartitionsReported { at, .. } = bound.requirement {
                 self.event_queue.at(at.0, Event::RecordPathReports);
             }
         }
@@ -202,7 +202,7 @@
         members.nodes[at] = node;
         (members.planned[at], members.looks[at]) = (Time::MAX, false);
         members.power[at] = true;
-        members.observer.runs(now, at, true);
+        members.observer.set_running(now, at, true);
         self.flush_member(at);
         self.coordinator_begins(at);
     }
@@ -227,7 +227,7 @@
             members.last_incarnation[at] = Some(node.local().generation);
             members.power[at] = power;
         }
-        members.observer.runs(now, at, false);
+        members.observer.set_running(now, at, false);
     }
 
     /// Some processes stand still until a time.
@@ -342,10 +342,10 @@
             .fault
             .iter()
             .zip(faults)
-            .filter(|(fault, _)| fault.is_in_force(now));
+            .filter(|(fault, _)| fault.is_active(now));
         let in_force = in_force.map(|(fault, targets)| (fault, targets.balancers.as_slice()));
         let end = |of: usize| (of as u32, balancers[of].zone);
-        scenario.among(end(from), end(to), balancers.len(), in_force)
+        scenario.member_link(end(from), end(to), balancers.len(), in_force)
     }
 
     /// Sends what a member has to send, and notes what it found.
@@ -364,7 +364,7 @@
         let has_targets = node.connection_check_targets(now).next().is_some();
         let balancer = at as u32;
         if suspects && !std::mem::replace(&mut members.looks[at], true) {
-            let wait = 2 * self.scenario.network.across.0;
+            let wait = 2 * self.scenario.network.between_zones.0;
             self.event_queue.after(wait, Event::CheckSuspects(balancer));
         } else if !members.looks[at] && has_targets {
             members.looks[at] = true;
@@ -407,10 +407,10 @@
         if reliable {
             // Its handshake, and what is sent again.
             delay = 3 * delay + if lost < way.loss { SENT_AGAIN } else { 0 };
-        } else if overtaken < way.overtaken {
+        } else if overtaken < way.reordered {
             delay = (2 * delay).max(delay + MS);
         }
-        if !reliable && doubled < way.doubled {
+        if !reliable && doubled < way.duplicated {
             let again = members.messages.add(PendingMessage {
                 to: to as u32,
                 bytes: bytes.clone(),
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -29,7 +29,7 @@
 use crate::front::Front;
 use crate::measure::{CallOutcome, Meter, RunResult};
 use crate::policy::Policy;
-use crate::random::{Actor, chance, gap, sample, stream};
+use crate::random::{Actor, chance, exponential_gap, sample, stream};
 use crate::scenario::{
     CallEffect, CallGroup, Fault, FaultKind, LinkFault, Load, Scenario, by_weight,
 };
@@ -61,7 +61,7 @@
 pub type AgentWrapper<'a> = dyn Fn(BoxedAgent) -> BoxedAgent + 'a;
 
 /// A run, from its start to its end.
-pub struct World<'a> {
+pub struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
     policy: Policy,
@@ -105,7 +105,7 @@
     events: u64,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// A run that has not begun. The scenario is checked.
     pub fn new(scenario: &'a Scenario, policy: Policy, seed: u64) -> Self {
         let groups = scenario.callers.len() as u32;
@@ -136,7 +136,7 @@
                 .map(|group| stream(seed, Actor::Arrivals, group))
                 .collect(),
             behavior_rngs: (0..groups)
-                .map(|group| stream(seed, Actor::Habits, group))
+                .map(|group| stream(seed, Actor::CallerBehavior, group))
                 .collect(),
             mixes: Vec::new(),
             zones: Vec::new(),
@@ -207,7 +207,7 @@
         }
         self.members_begin();
         self.coordinators_begin();
-        let longest = self.scenario.longest().0;
+        let longest = self.scenario.longest_deadline().0;
         let end = self.scenario.time.0 + longest + TAIL;
         // What stands still at the end must not make what it holds look lost.
         while let Some(event) = self.event_queue.next(end.max(self.stalled)) {
@@ -215,11 +215,11 @@
             self.happen(event);
         }
         let now = self.event_queue.now();
-        self.auditor.look(now, self.stall_grace(now));
+        self.auditor.check_overdue(now, self.stall_grace(now));
         let open = self
             .balancers
             .iter()
-            .map(|balancer| balancer.agent.open())
+            .map(|balancer| balancer.agent.open_call_count())
             .sum();
         self.auditor.end(now, open);
         let members = self.members_end();
@@ -234,9 +234,9 @@
         let costs = self.costs.rows(&names);
         let end = self.meter.end(self.auditor.findings(), self.events, story);
         let end = RunResult {
-            prices: costs,
+            costs,
             members,
-            evacuated,
+            evacuation: evacuated,
             ..end
         };
         RunResult {
@@ -321,7 +321,7 @@
 
     fn step(&mut self) {
         let now = self.event_queue.now();
-        self.auditor.look(now, self.stall_grace(now));
+        self.auditor.check_overdue(now, self.stall_grace(now));
         let tiers = self.scenario.tier.len();
         let mut speed = vec![0.0; tiers];
         for upstream in &self.upstreams {
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn boot_ms(upstream: &Upstream) -> u64 {
         upstream.started.map_or(0, |started| (EPOCH + started) / MS)
     }
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn attempt_arrived(&mut self, event: Event, number: u64) {
         let Some(attempt) = self.attempts.get(number) else {
             return;
@@ -36,7 +36,7 @@
         if chance(&mut there.rng, resets / 2.0) {
             return self.respond(number, Outcome::Reset);
         }
-        if there.errs(class) {
+        if there.draw_error(class) {
             return self.respond(number, Outcome::Error);
         }
         self.admit(upstream, number, (client_call, class));
@@ -271,7 +271,7 @@
             return;
         }
         let process = self.upstreams[upstream].process;
-        self.upstreams[upstream].die();
+        self.upstreams[upstream].kill();
         let here =
             |attempt: &Attempt| attempt.upstream as usize == upstream && attempt.process == process;
         let lost = self
--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 use woadstall_emulator::engine::{Command, Input, Lifecycle, Peer, RequestId, Time};
-use woadstall_emulator::{BalancerAgent, Policy, Rule, RunResult, Scenario, Ticket, World};
+use woadstall_emulator::{BalancerAgent, Policy, Rule, RunResult, Scenario, Simulation, Ticket};
 
 type Boxed = Box<dyn BalancerAgent + Send>;
 
@@ -122,8 +122,8 @@
         self.agent.wake_at()
     }
 
-    fn open(&self) -> usize {
-        self.agent.open()
+    fn open_call_count(&self) -> usize {
+        self.agent.open_call_count()
     }
 }
 
@@ -141,7 +141,7 @@
             done: 0,
         })
     };
-    let mut world = World::new(scenario, Policy::Woadstall, 7);
+    let mut world = Simulation::new(scenario, Policy::Woadstall, 7);
     world.wrap_agents(&wrap);
     world.run()
 }
@@ -185,9 +185,9 @@
     let scenario = small("");
     let end = sabotaged(&scenario, Does::SendsTwice);
     let breach = end.first_breaches.first().unwrap();
-    let mut world = World::new(&scenario, Policy::Woadstall, 7);
+    let mut world = Simulation::new(&scenario, Policy::Woadstall, 7);
     world.follow(breach.call.unwrap());
-    let story = world.run().story;
+    let story = world.run().call_trace;
     let text: Vec<_> = story.iter().map(|(_, text)| text.as_str()).collect();
     assert!(text[0].contains("reaches balancer"), "{text:?}");
     assert!(
@@ -225,8 +225,8 @@
         self.agent.wake_at()
     }
 
-    fn open(&self) -> usize {
-        self.agent.open()
+    fn open_call_count(&self) -> usize {
+        self.agent.open_call_count()
     }
 }
 
@@ -299,8 +299,8 @@
         self.agent.wake_at()
     }
 
-    fn open(&self) -> usize {
-        self.agent.open()
+    fn open_call_count(&self) -> usize {
+        self.agent.open_call_count()
     }
 }
 
@@ -319,9 +319,9 @@
             compared: compared.clone(),
         })
     };
-    let mut world = World::new(&scenario, Policy::Woadstall, 3);
+    let mut world = Simulation::new(&scenario, Policy::Woadstall, 3);
     world.wrap_agents(&wrap);
-    assert_eq!(world.run().broken(), 0);
+    assert_eq!(world.run().breach_count(), 0);
     assert!(*compared.lock().unwrap() > 3_000);
 }
 
@@ -337,7 +337,7 @@
                 tape: tape.clone(),
             })
         };
-        let mut world = World::new(&scenario, Policy::Woadstall, seed);
+        let mut world = Simulation::new(&scenario, Policy::Woadstall, seed);
         world.wrap_agents(&wrap);
         let end = world.run();
         let tape = std::mem::take(&mut *tape.lock().unwrap());
--- a/crates/emulator/tests/evacuation.rs
+++ b/crates/emulator/tests/evacuation.rs
@@ -15,9 +15,9 @@
 
 fn kept(name: &str, seed: u64) -> RunResult {
     let end = played(name, seed);
-    assert_eq!(end.broken(), 0, "{name}: {:?}", end.first_breaches);
+    assert_eq!(end.breach_count(), 0, "{name}: {:?}", end.first_breaches);
     assert!(
-        end.bounds.iter().all(|bound| bound.kept),
+        end.bounds.iter().all(|bound| bound.is_met),
         "{name}, seed {seed}: {:?}",
         end.bounds
     );
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -34,14 +34,14 @@
 
 fn play(scenario: &Scenario) -> RunResult {
     let end = run(scenario, Policy::Woadstall, 1);
-    assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
+    assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
     end
 }
 
 fn paid(end: &RunResult, tier: &str, price: Cost) -> u64 {
-    end.prices
+    end.costs
         .iter()
-        .find(|row| row.tier == tier && row.price == price)
+        .find(|row| row.tier == tier && row.cost == price)
         .map_or(0, |row| row.total)
 }
 
@@ -50,9 +50,9 @@
     let scenario = tiers("");
     assert_eq!(
         (
-            scenario.senders(0),
-            scenario.senders(1),
-            scenario.senders(2)
+            scenario.balancer_count(0),
+            scenario.balancer_count(1),
+            scenario.balancer_count(2)
         ),
         (3, 6, 9)
     );
@@ -61,11 +61,11 @@
     assert!(end.served > 0.97, "{}", end.served);
     // Each of nine senders opens connections to the upstreams of its zone; none has more than its part of them.
     let row = end
-        .prices
+        .costs
         .iter()
-        .find(|row| row.tier == "ledger" && row.price == Cost::Handshakes)
+        .find(|row| row.tier == "ledger" && row.cost == Cost::Handshakes)
         .unwrap();
-    assert!(row.total >= 9 * 6 && row.largest.1 < 0.25, "{row:?}");
+    assert!(row.total >= 9 * 6 && row.largest_sender.1 < 0.25, "{row:?}");
 }
 
 /// A balancer sidecar of an upstream dies with it, and starts with it: what it held is no one's to answer, and the next
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -6,7 +6,7 @@
 
 use common::small;
 use std::path::Path;
-use woadstall_emulator::{Scenario, World};
+use woadstall_emulator::{Scenario, Simulation};
 
 const SECOND: u64 = 1_000_000_000;
 /// The request whose story is part of a result.
@@ -23,7 +23,7 @@
 /// Runs the scenario under the policy and compares its result with the digest of that name.
 #[track_caller]
 fn assert_golden(name: &str, scenario: &Scenario, policy: &str, seed: u64) {
-    let mut world = World::new(scenario, policy.parse().unwrap(), seed);
+    let mut world = Simulation::new(scenario, policy.parse().unwrap(), seed);
     world.follow(FOLLOWED);
     let json = serde_json::to_string(&world.run()).unwrap();
     let seen = format!("{name} {:016x} {}", fnv1a(json.as_bytes()), json.len());
--- a/crates/emulator/tests/power.rs
+++ b/crates/emulator/tests/power.rs
@@ -7,7 +7,7 @@
 
 fn played(more: &str) -> RunResult {
     let end = run(&small(more), Policy::Woadstall, 3);
-    assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
+    assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
     end
 }
 
@@ -75,7 +75,7 @@
     let kept: Vec<(&str, bool)> = end
         .bounds
         .iter()
-        .map(|kept| (kept.name.as_str(), kept.kept))
+        .map(|kept| (kept.name.as_str(), kept.is_met))
         .collect();
     assert_eq!(
         kept,
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -121,21 +121,21 @@
     none.tier[0].upstreams = 0;
     let end = run(&none, Policy::Woadstall, 1);
     assert_eq!(
-        (end.broken(), end.counts.on_time, end.counts.refused),
+        (end.breach_count(), end.counts.on_time, end.counts.refused),
         (0, 0, end.counts.offered)
     );
     let mut one = small("");
     (one.tier[0].upstreams, one.tier[0].workers) = (1, 16);
     let end = run(&one, Policy::Woadstall, 1);
     assert!(
-        end.broken() == 0 && end.served > 0.95,
+        end.breach_count() == 0 && end.served > 0.95,
         "{} {:?}",
         end.served,
         end.first_breaches
     );
     let idle = Scenario::read(&SMALL.replace("constant = 200.0", "constant = 0.0")).unwrap();
     let end = run(&idle, Policy::Woadstall, 1);
-    assert_eq!((end.broken(), end.counts.offered), (0, 0));
+    assert_eq!((end.breach_count(), end.counts.offered), (0, 0));
     let partitioned =
         |zone: &str| format!("[[fault]]\nat = \"0 s\"\nzone = \"{zone}\"\nwhat = \"silent\"\n");
     let end = run(
@@ -144,7 +144,7 @@
         1,
     );
     assert_eq!(
-        (end.broken(), end.counts.on_time + end.counts.late),
+        (end.breach_count(), end.counts.on_time + end.counts.late),
         (0, 0),
         "{:?}",
         end.first_breaches
@@ -152,13 +152,13 @@
     let dying =
         "[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\nwhat = { restart = { stale = \"1 s\" } }\n";
     let end = run(&small(dying), Policy::Woadstall, 1);
-    assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
+    assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
     assert!(end.counts.failed > 50, "nobody is there for two seconds");
     let mut clocks =
         small("[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\npart = 0.5\nwhat = { kill = {} }\n");
     (clocks.clocks.offset, clocks.clocks.drift) = (woadstall_emulator::Span(1_000_000_000), 0.001);
     let end = run(&clocks, Policy::Woadstall, 1);
-    assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
+    assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
 }
 
 /// A registry that is wrong, clocks that step, messages that vanish, hardly any sockets: no rule is broken, and what
@@ -171,7 +171,7 @@
         ));
         change(&mut scenario);
         let end = run(&scenario, Policy::Woadstall, 1);
-        assert_eq!(end.broken(), 0, "{fault}: {:?}", end.first_breaches);
+        assert_eq!(end.breach_count(), 0, "{fault}: {:?}", end.first_breaches);
         end
     };
     let served = with("\"padron-wrong\"", &|scenario| {
@@ -268,7 +268,7 @@
         scenario.time.0 = scenario.time.0.min(most * 1_000_000_000);
         let end = run(&scenario, Policy::Woadstall, 1);
         assert_eq!(
-            end.broken(),
+            end.breach_count(),
             0,
             "{}: {:?}",
             scenario.name,
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -48,7 +48,7 @@
 fn wait(service: &str, workers: u32, load: f64, calls: f64) -> f64 {
     let scenario = queue(service, workers, load, calls);
     let end = run(&scenario, "random".parse().unwrap(), 11);
-    assert_eq!(end.broken(), 0, "{:?}", end.first_breaches);
+    assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
     end.latency.mean - 10.0
 }
 
--- a/crates/load-test/src/callers.rs
+++ b/crates/load-test/src/callers.rs
@@ -22,7 +22,9 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
-use woadstall_emulator::{Actor, Load, Meter, RunResult, Scenario, chance, gap, stream};
+use woadstall_emulator::{
+    Actor, Load, Meter, RunResult, Scenario, chance, exponential_gap, stream,
+};
 use woadstall_emulator_cli::rows::Lag;
 use woadstall_tower::Balance;
 
@@ -139,14 +141,14 @@
     async fn open_loop(self: Arc<Self>, group: usize) {
         // The same random numbers as in the emulator, so that the same calls come at the same times.
         let mut arrivals = stream(self.seed, Actor::Arrivals, group as u32);
-        let mut habits = stream(self.seed, Actor::Habits, group as u32);
+        let mut habits = stream(self.seed, Actor::CallerBehavior, group as u32);
         let load = &self.scenario.callers[group].load;
-        let (max_rate, mut at, mut calls) = (load.most(), 0_u64, JoinSet::new());
+        let (max_rate, mut at, mut calls) = (load.max_rate(), 0_u64, JoinSet::new());
         if max_rate <= 0.0 {
             return;
         }
         loop {
-            at = at.saturating_add(gap(&mut arrivals, max_rate));
+            at = at.saturating_add(exponential_gap(&mut arrivals, max_rate));
             if at >= self.scenario.time.0 {
                 break;
             }
@@ -164,13 +166,17 @@
 
     /// One caller of a crowd: it calls, waits for the response, and pauses for `think` nanoseconds on average.
     async fn closed_loop(self: Arc<Self>, group: usize, caller: u32, think: u64) {
-        let mut habits = stream(self.seed, Actor::Habits, (group as u32) << 16 | caller);
+        let mut habits = stream(
+            self.seed,
+            Actor::CallerBehavior,
+            (group as u32) << 16 | caller,
+        );
         let first_backoff = (habits.random::<f64>() * think as f64) as u64;
         sleep(Duration::from_nanos(first_backoff)).await;
         while self.now() < self.scenario.time.0 {
             let seed = habits.random();
             self.clone().call(group, self.now(), seed).await;
-            let pause = gap(&mut habits, 1e9 / think.max(1) as f64);
+            let pause = exponential_gap(&mut habits, 1e9 / think.max(1) as f64);
             sleep(Duration::from_nanos(pause)).await;
         }
     }
--- a/crates/load-test/src/callers/call.rs
+++ b/crates/load-test/src/callers/call.rs
@@ -33,7 +33,7 @@
     /// Makes one call, with all its attempts.
     pub(super) async fn call(self: Arc<Self>, group: usize, due: u64, seed: u64) {
         self.record_lateness(due);
-        let mut rng = stream(seed, Actor::Habits, 0);
+        let mut rng = stream(seed, Actor::CallerBehavior, 0);
         let callers = &self.scenario.callers[group];
         let class = by_weight(&self.mixes[group], rng.random::<f64>()).unwrap_or(0);
         let call = Call {
@@ -56,7 +56,7 @@
             if matches!(result, AttemptResult::Served) {
                 break self.served_outcome(&call, ended);
             }
-            let backoff = callers.again.wait(attempts, || rng.random::<f64>());
+            let backoff = callers.retries.delay(attempts, || rng.random::<f64>());
             let heeds_advice = chance(&mut rng, callers.honors_retry_after);
             let advice = match result {
                 AttemptResult::Rejected { retry_after_ns } if heeds_advice => retry_after_ns,
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -157,7 +157,7 @@
         let fault = &self.scenario.fault[index];
         let targets = self.draw_targets(index);
         self.schedule.fault_begin(fault).await;
-        match &fault.what {
+        match &fault.kind {
             FaultKind::Kill { .. } => self.kill_for_a_while(fault, &targets).await,
             FaultKind::Roll => self.roll(fault, &targets).await,
             what => {
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -89,7 +89,7 @@
 }
 
 fn exit_code(end: &RunResult, lag: &Lag) -> u8 {
-    let is_broken = end.broken() > 0;
+    let is_broken = end.breach_count() > 0;
     if lag.late as f64 > MAX_DELAYED_CALLS * lag.calls as f64 {
         let (late, calls, worst_ms) = (lag.late, lag.calls, lag.worst_ms);
         warn!(
--- a/crates/load-test/src/schedule.rs
+++ b/crates/load-test/src/schedule.rs
@@ -71,11 +71,11 @@
 
     /// Waits until a draining upstream has had its time.
     pub async fn drain(&self) {
-        sleep(Duration::from_nanos(self.scenario.longest().0) + DRAIN_MARGIN).await;
+        sleep(Duration::from_nanos(self.scenario.longest_deadline().0) + DRAIN_MARGIN).await;
     }
 }
 
 /// Waits for work that upstreams may still do though it was given up on: its effects count against the rules as well.
 pub async fn wait_for_delayed_effects(scenario: &Scenario) {
-    sleep(Duration::from_nanos(scenario.longest().0).min(MAX_EFFECT_DELAY)).await;
+    sleep(Duration::from_nanos(scenario.longest_deadline().0).min(MAX_EFFECT_DELAY)).await;
 }
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -44,7 +44,7 @@
         "Classes": scenario.class.iter().map(class_settings).collect::<Vec<_>>(),
         "Discovery": if polled.is_some() { "ask" } else { "push" },
         "Layer": scenario.depth(placement.tier),
-        "Siblings": scenario.senders(placement.tier),
+        "Siblings": scenario.balancer_count(placement.tier),
         "Limits": {
             "Cancelling": limits.cancel,
             "ConnIdleNs": limits.idle.0,
--- a/crates/load-test/src/supported.rs
+++ b/crates/load-test/src/supported.rs
@@ -75,18 +75,18 @@
 fn check_faults(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
     for (index, fault) in scenario.fault.iter().enumerate() {
         let number = index + 1;
-        let kind = match fault.what {
+        let kind = match fault.kind {
             FaultKind::PartitionTo | FaultKind::PartitionFrom | FaultKind::SlowLink(_) => {
                 "cuts and slow links"
             }
             FaultKind::RegistrySilent | FaultKind::RegistryWrong => "a silent or wrong padron",
             FaultKind::ClockStep(_) => "clocks that step",
-            FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::Stall => {
+            FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::PauseBalancers => {
                 "restarts and stalls of balancers"
             }
             FaultKind::Replace => "replaced nodos",
-            FaultKind::Between(_) => "faults between balancers",
-            FaultKind::Stop | FaultKind::PowerLoss { .. } | FaultKind::Link(_) => {
+            FaultKind::MemberLink(_) => "faults between balancers",
+            FaultKind::SuspendUpstreams | FaultKind::PowerLoss { .. } | FaultKind::Link(_) => {
                 return Err(UnsupportedScenario::ClusterFault { number });
             }
             _ => continue,
--- a/crates/load-test/src/upstream.rs
+++ b/crates/load-test/src/upstream.rs
@@ -176,7 +176,7 @@
     pub fn kill(&self) {
         lock(&self.process).take();
         let mut state = lock(&self.state);
-        state.model.die();
+        state.model.kill();
         state.queued.clear();
     }
 
@@ -211,9 +211,9 @@
                 let only = class.as_ref().and_then(|name| self.scenario.class(name));
                 faults.errors.extend(active.then_some((*share, only)));
             }
-            FaultKind::Lost(share) => faults.lost = pick(*share, healthy.lost),
+            FaultKind::ResponseLoss(share) => faults.lost = pick(*share, healthy.lost),
             FaultKind::Resets(share) => faults.resets = pick(*share, healthy.resets),
-            FaultKind::Silent => faults.unresponsive = active,
+            FaultKind::Unresponsive => faults.unresponsive = active,
             FaultKind::Full => faults.full = active,
             _ => {} // rejected before the run
         }
--- a/crates/load-test/src/upstream/requests.rs
+++ b/crates/load-test/src/upstream/requests.rs
@@ -99,7 +99,7 @@
         if state.model.active_faults.unresponsive {
             return Admission::Ignored;
         }
-        if state.model.errs(class) {
+        if state.model.draw_error(class) {
             return Admission::Error;
         }
         let number = state.next_request;
--- a/crates/load-test/tests/load.rs
+++ b/crates/load-test/tests/load.rs
@@ -35,7 +35,7 @@
             tally,
             upstreams,
         } = run(scenario.clone(), path.clone(), 4).await.unwrap();
-        assert_eq!(end.broken(), 0, "{path:?}: {:?}", end.first_breaches);
+        assert_eq!(end.breach_count(), 0, "{path:?}: {:?}", end.first_breaches);
         assert_eq!(end.counts.offered, emulated.counts.offered, "{path:?}");
         assert!(lag.calls >= end.counts.offered);
         assert!(end.served > 0.9, "{path:?}: {}", end.served);
@@ -66,10 +66,10 @@
     }
     let fault = &mut scenario.fault[0];
     (fault.at, fault.until, fault.part) = (Span(0), None, 1.0);
-    for what in [FaultKind::Silent, FaultKind::Lost(1.0)] {
-        scenario.fault[0].what = what.clone();
+    for what in [FaultKind::Unresponsive, FaultKind::ResponseLoss(1.0)] {
+        scenario.fault[0].kind = what.clone();
         let end = run(scenario.clone(), Path::Daemon, 2).await.unwrap().end;
-        assert_eq!(end.broken(), 0, "{what:?}: {:?}", end.first_breaches);
+        assert_eq!(end.breach_count(), 0, "{what:?}: {:?}", end.first_breaches);
         assert_eq!(end.counts.on_time + end.counts.late, 0, "{what:?}");
         assert_eq!(
             end.counts.refused + end.counts.failed,
@@ -83,14 +83,14 @@
 fn unsupported_scenarios_are_rejected_by_name() {
     let mut scenario = short_scenario();
     assert_eq!(check_supported(&scenario), Ok(()));
-    scenario.fault[0].what = FaultKind::RegistrySilent;
+    scenario.fault[0].kind = FaultKind::RegistrySilent;
     assert!(
         check_supported(&scenario)
             .unwrap_err()
             .to_string()
             .contains("fault 1: a silent or wrong padron")
     );
-    scenario.fault[0].what = FaultKind::RollBalancers;
+    scenario.fault[0].kind = FaultKind::RollBalancers;
     assert!(
         check_supported(&scenario)
             .unwrap_err()
