--- a/crates/cluster-test/src/faults/power_loss.rs
+++ b/crates/cluster-test/src/faults/power_loss.rs
@@ -60,7 +60,7 @@
         upstreams: &[u32],
         window: Duration,
     ) -> Result<(), ClusterError> {
-        let end = fault.until.unwrap_or(self.scenario.time).0;
+        let end = fault.until.unwrap_or(self.scenario.duration).0;
         for (index, &upstream) in upstreams.iter().enumerate() {
             let delay = window.as_nanos() as u64 * index as u64 / upstreams.len() as u64;
             self.schedule.wait_until(end + delay).await;
--- a/crates/cluster-test/src/fleet/start.rs
+++ b/crates/cluster-test/src/fleet/start.rs
@@ -232,7 +232,7 @@
 
     /// By how much a balancer's clock is ahead: the same random number as in the emulator.
     fn clock_offset_ms(&self, number: u32) -> i64 {
-        let max_offset_ns = self.scenario.clocks.offset.0 as i64;
+        let max_offset_ns = self.scenario.clocks.max_offset.0 as i64;
         let mut rng = stream(self.seed, Actor::Balancer, number);
         if max_offset_ns > 0 {
             rng.random_range(-max_offset_ns..=max_offset_ns) / NANOS_PER_MILLI
--- a/crates/cluster-test/src/results/compare.rs
+++ b/crates/cluster-test/src/results/compare.rs
@@ -83,10 +83,10 @@
             processes: processes.key.scenario.clone(),
         });
     }
-    let pairs = emulator.end.steps.iter().zip(&processes.end.steps);
+    let pairs = emulator.end.timeline.iter().zip(&processes.end.timeline);
     let steps: Vec<StepShares> = pairs
         .map(|(emulator, processes)| StepShares {
-            until_s: emulator.until,
+            until_s: emulator.end_seconds,
             served: Pair {
                 emulator: served_ratio(&emulator.counts),
                 processes: served_ratio(&processes.counts),
@@ -101,8 +101,8 @@
         mean_distance: distances().sum::<f64>() / steps.len() as f64,
         worst: worst_step(&steps),
         served: Pair {
-            emulator: emulator.end.served,
-            processes: processes.end.served,
+            emulator: emulator.end.served_value_fraction,
+            processes: processes.end.served_value_fraction,
         },
         rejected: Pair {
             emulator: rejected_ratio(emulator),
--- a/crates/cluster-test/src/results/json.rs
+++ b/crates/cluster-test/src/results/json.rs
@@ -20,7 +20,7 @@
         "commit": row.commit,
         "kept": result.is_passed(),
         "too-slow": result.too_slow(),
-        "served": end.served,
+        "served": end.served_value_fraction,
         "counts": end.counts,
         "latency": end.latency,
         "processes": {
@@ -48,6 +48,6 @@
         "evacuated": end.evacuation,
         "members-cores": result.membership_cores,
         "lag": {"calls": result.lag, "own": result.timer_lag, "starved": result.starved},
-        "steps": end.steps,
+        "steps": end.timeline,
     })
 }
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -44,7 +44,7 @@
     writeln!(
         out,
         "  worth served   {:.3} of what was offered",
-        result.end.served
+        result.end.served_value_fraction
     )?;
     writeln!(
         out,
@@ -106,8 +106,8 @@
     writeln!(
         out,
         "                 {:.0} bytes/s each, {:.0} at most; {:.2}% of a core, {:.2}% at most",
-        members.bytes_a_second.0,
-        members.bytes_a_second.1,
+        members.bytes_per_second.0,
+        members.bytes_per_second.1,
         100.0 * mean_cores,
         100.0 * max_cores
     )?;
--- a/crates/cluster-test/src/run.rs
+++ b/crates/cluster-test/src/run.rs
@@ -180,10 +180,10 @@
 fn collect_end(observer: &Observer) -> RunResult {
     let Observer { fleet, callers, .. } = observer;
     let mut end = callers.end();
-    for (step, sample) in end.steps.iter_mut().zip(observer.take_samples()) {
+    for (step, sample) in end.timeline.iter_mut().zip(observer.take_samples()) {
         let running = sample.running;
-        step.up = Some((running.balancers, running.upstreams));
-        step.lines = sample.log_lines;
+        step.running_processes = Some((running.balancers, running.upstreams));
+        step.log_lines_by_topic = sample.log_lines;
     }
     if let Some(membership) = &fleet.membership {
         end.members = Some(membership.members_end());
--- a/crates/cluster-test/src/run/observer.rs
+++ b/crates/cluster-test/src/run/observer.rs
@@ -102,7 +102,7 @@
 
     fn show_progress(&self, running: RunningCounts) {
         let seconds = self.fleet.schedule.start.elapsed().as_secs();
-        let length = self.fleet.scenario.time.seconds();
+        let length = self.fleet.scenario.duration.seconds();
         let (balancers, upstreams) = (self.fleet.balancers.len(), self.fleet.upstreams.len());
         eprint!(
             "\r  {seconds:>4} of {length:.0} s, {} of {balancers} balancers, {} of {upstreams} nodos   ",
--- a/crates/cluster-test/src/supported.rs
+++ b/crates/cluster-test/src/supported.rs
@@ -77,7 +77,7 @@
             scenario.network.bytes_per_second > 0.0,
         ),
         ("network.resets", scenario.network.resets > 0.0),
-        ("clocks.drift", scenario.clocks.drift != 0.0),
+        ("clocks.drift", scenario.clocks.max_drift != 0.0),
         ("limits.http2", scenario.limits.http2),
         (
             "evacuation.false_reporting",
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -18,7 +18,7 @@
     let mut scenario =
         Scenario::read(SCENARIO).map_err(|error| DemoError::Scenario(error.into()))?;
     let scale = |span: Span| Span::from_seconds(span.seconds() * seconds as f64 / SCENARIO_SECONDS);
-    scenario.time = scale(scenario.time);
+    scenario.duration = scale(scenario.duration);
     for fault in &mut scenario.fault {
         fault.at = scale(fault.at);
         fault.until = fault.until.map(scale);
--- a/crates/emulator-cli/src/compare.rs
+++ b/crates/emulator-cli/src/compare.rs
@@ -38,7 +38,7 @@
         let end = &row.end;
         match self {
             Self::Score => end.score,
-            Self::Served => end.served,
+            Self::Served => end.served_value_fraction,
             Self::P99 => end.latency.p99,
             Self::Attempts => end.counts.attempts as f64 / end.counts.requests.max(1) as f64,
             Self::Broken => end.breach_count() as f64,
--- a/crates/emulator-cli/src/print.rs
+++ b/crates/emulator-cli/src/print.rs
@@ -14,10 +14,13 @@
         row.key.seed,
         row.set()
     );
-    println!("  worth served   {:.3} of what was offered", row.end.served);
+    println!(
+        "  worth served   {:.3} of what was offered",
+        row.end.served_value_fraction
+    );
     println!(
         "  score          {:.3} of what a fluid bound allows ({:.3})",
-        row.end.score, row.end.bound
+        row.end.score, row.end.fluid_bound
     );
     println!(
         "  calls          {} offered, {} on time, {} late, {} refused, {} failed",
--- a/crates/emulator-cli/src/report.rs
+++ b/crates/emulator-cli/src/report.rs
@@ -80,7 +80,7 @@
     let with_time: Vec<&Row> = rows
         .iter()
         .copied()
-        .filter(|row| !row.end.steps.is_empty())
+        .filter(|row| !row.end.timeline.is_empty())
         .collect();
     // One seed of each policy: more lines cannot be told apart.
     let seed = with_time.first().map(|row| row.key.seed);
--- a/crates/emulator-cli/src/report/charts.rs
+++ b/crates/emulator-cli/src/report/charts.rs
@@ -87,7 +87,11 @@
 
 /// Attempts at each host over time: dark where there are more. Empty if no host is known.
 pub fn heat_map(title: &str, steps: &[TimelineStep]) -> Result<String, ReportError> {
-    let hosts = steps.iter().map(|step| step.hosts.len()).max().unwrap_or(0);
+    let hosts = steps
+        .iter()
+        .map(|step| step.attempts_by_host.len())
+        .max()
+        .unwrap_or(0);
     let rows = hosts.min(MAX_HEAT_ROWS);
     if rows == 0 {
         return Ok(String::new());
@@ -115,7 +119,11 @@
     /// Attempts per host in a row and step.
     fn value(&self, step: &TimelineStep, row: usize) -> f64 {
         let first = row * self.hosts_per_row;
-        let hosts = step.hosts.iter().skip(first).take(self.hosts_per_row);
+        let hosts = step
+            .attempts_by_host
+            .iter()
+            .skip(first)
+            .take(self.hosts_per_row);
         let attempts = hosts.sum::<u32>();
         let count = self.hosts_per_row.min(self.hosts.saturating_sub(first));
         f64::from(attempts) / count.max(1) as f64
@@ -128,7 +136,7 @@
     steps: &[TimelineStep],
     grid: &HeatGrid,
 ) -> Result<(), DrawError> {
-    let until = steps.last().map_or(1.0, |step| step.until);
+    let until = steps.last().map_or(1.0, |step| step.end_seconds);
     let darkest = steps
         .iter()
         .flat_map(|step| (0..grid.rows).map(move |row| grid.value(step, row)))
@@ -154,11 +162,11 @@
         let filled = (0..grid.rows).filter(|&row| grid.value(step, row) > 0.0);
         let cells = filled.map(|row| {
             let color = heat_color(grid.value(step, row) / darkest);
-            let corners = [(from, row as f64), (step.until, (row + 1) as f64)];
+            let corners = [(from, row as f64), (step.end_seconds, (row + 1) as f64)];
             Rectangle::new(corners, color.filled())
         });
         chart.draw_series(cells)?;
-        from = step.until;
+        from = step.end_seconds;
     }
     area.present()
 }
--- a/crates/emulator-cli/src/report/fault_band.rs
+++ b/crates/emulator-cli/src/report/fault_band.rs
@@ -18,7 +18,7 @@
     pub fn of(scenario: &Scenario) -> Vec<Self> {
         let band = |fault: &Fault| Self {
             from: fault.at.seconds(),
-            until: fault.until.unwrap_or(scenario.time).seconds(),
+            until: fault.until.unwrap_or(scenario.duration).seconds(),
             name: fault_name(fault),
         };
         scenario.fault.iter().map(band).collect()
--- a/crates/emulator-cli/src/report/timeline.rs
+++ b/crates/emulator-cli/src/report/timeline.rs
@@ -35,12 +35,12 @@
         let figure = figure(step);
         let value = match scale {
             Scale::Absolute => figure,
-            Scale::PerSecond => figure / (step.until - before).max(1e-9),
+            Scale::PerSecond => figure / (step.end_seconds - before).max(1e-9),
         };
-        before = step.until;
-        (step.until, value)
+        before = step.end_seconds;
+        (step.end_seconds, value)
     };
-    row.end.steps.iter().map(point).collect()
+    row.end.timeline.iter().map(point).collect()
 }
 
 fn named(name: &str, row: &Row, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64) -> Series {
@@ -70,7 +70,7 @@
     html += &processes(rows, bands)?;
     for row in rows {
         let title = format!("Attempts at each nodo, {}", name(row));
-        html += &heat_map(&title, &row.end.steps)?;
+        html += &heat_map(&title, &row.end.timeline)?;
     }
     Ok(html)
 }
@@ -110,7 +110,7 @@
         })?,
         chart("Latency, median", "ms", Absolute, &|step| step.p50_ms)?,
         chart("Open attempts", "attempts", Absolute, &|step| {
-            step.open.1 as f64
+            step.open_requests_and_attempts.1 as f64
         })?,
     ];
     Ok(charts.concat())
@@ -120,7 +120,8 @@
 fn log_lines(first: &Row, bands: &[FaultBand]) -> Result<String, ReportError> {
     let mut topics: Vec<Series> = Vec::new();
     for topic in LOG_TOPICS {
-        let count = |step: &TimelineStep| step.lines.get(topic).copied().unwrap_or(0) as f64;
+        let count =
+            |step: &TimelineStep| step.log_lines_by_topic.get(topic).copied().unwrap_or(0) as f64;
         let series = named(topic, first, Scale::Absolute, &count);
         if series.points.iter().any(|(_, count)| *count > 0.0) {
             topics.push(series);
@@ -135,13 +136,15 @@
 
 /// Processes that run, for each row that counts them.
 fn processes(rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
-    let balancers = |step: &TimelineStep| step.up.map_or(0.0, |up| up.0 as f64);
-    let upstreams = |step: &TimelineStep| step.up.map_or(0.0, |up| up.1 as f64);
+    let balancers = |step: &TimelineStep| step.running_processes.map_or(0.0, |up| up.0 as f64);
+    let upstreams = |step: &TimelineStep| step.running_processes.map_or(0.0, |up| up.1 as f64);
     let mut html = String::new();
-    for row in rows
-        .iter()
-        .filter(|row| row.end.steps.iter().any(|step| step.up.is_some()))
-    {
+    for row in rows.iter().filter(|row| {
+        row.end
+            .timeline
+            .iter()
+            .any(|step| step.running_processes.is_some())
+    }) {
         let series = [
             named("balancers", row, Scale::Absolute, &balancers),
             named("nodos", row, Scale::Absolute, &upstreams),
--- a/crates/emulator-cli/src/rows.rs
+++ b/crates/emulator-cli/src/rows.rs
@@ -89,7 +89,7 @@
     pub fn run(job: &Job, timeline: bool) -> Self {
         let mut end = run(&job.scenario, job.policy, job.seed);
         if !timeline {
-            end.steps.clear();
+            end.timeline.clear();
         }
         Self::new(job.key(), end, None)
     }
--- a/crates/emulator/src/bound_check.rs
+++ b/crates/emulator/src/bound_check.rs
@@ -12,8 +12,8 @@
     // A step that is in the window by its middle counts.
     let mut before = 0.0;
     for step in steps {
-        let middle = (before + step.until) / 2.0;
-        before = step.until;
+        let middle = (before + step.end_seconds) / 2.0;
+        before = step.end_seconds;
         if middle < from || middle >= until {
             continue;
         }
@@ -40,11 +40,11 @@
 fn log_lines_after(steps: &[TimelineStep], topic: &str, from: f64, least: u64) -> Option<f64> {
     let (mut lines, mut begins) = (0, 0.0);
     steps.iter().find_map(|step| {
-        let before = std::mem::replace(&mut begins, step.until);
+        let before = std::mem::replace(&mut begins, step.end_seconds);
         if before >= from {
-            lines += step.lines.get(topic).copied().unwrap_or(0);
+            lines += step.log_lines_by_topic.get(topic).copied().unwrap_or(0);
         }
-        (lines >= least).then_some(step.until - from)
+        (lines >= least).then_some(step.end_seconds - from)
     })
 }
 
@@ -96,23 +96,23 @@
         let (members, evacuated) = (end.members.as_ref(), end.evacuation.as_ref());
         match &self.requirement {
             Requirement::Served { from, until, .. } => {
-                let sum = sum(&end.steps, from.seconds(), until.seconds());
+                let sum = sum(&end.timeline, from.seconds(), until.seconds());
                 part(sum.value, sum.value_offered)
             }
             Requirement::Refused { from, until, .. } => {
-                let sum = sum(&end.steps, from.seconds(), until.seconds());
+                let sum = sum(&end.timeline, from.seconds(), until.seconds());
                 part(sum.refused as f64, sum.offered as f64)
             }
             Requirement::Recovered {
                 from, part: level, ..
             } => {
-                let level = level * served_before_faults(scenario, &end.steps);
-                let until = scenario.time.seconds();
-                self.back(&end.steps, from.seconds(), until, level)
+                let level = level * served_before_faults(scenario, &end.timeline);
+                let until = scenario.duration.seconds();
+                self.back(&end.timeline, from.seconds(), until, level)
             }
             Requirement::LogLines {
                 topic, from, least, ..
-            } => log_lines_after(&end.steps, topic, from.seconds(), *least),
+            } => log_lines_after(&end.timeline, topic, from.seconds(), *least),
             Requirement::FalseDeaths { .. } => members.map(|members| members.false_deaths as f64),
             Requirement::DeathsKnown { .. } => members
                 .filter(|members| members.never_known == 0)
@@ -140,9 +140,9 @@
     /// How long after a time service was back at a level, over some steps together: in a single one chance and what
     /// was offered before weigh too much.
     fn back(&self, steps: &[TimelineStep], from: f64, until: f64, level: f64) -> Option<f64> {
-        let begins = std::iter::once(0.0).chain(steps.iter().map(|step| step.until));
+        let begins = std::iter::once(0.0).chain(steps.iter().map(|step| step.end_seconds));
         let steps: Vec<(f64, &TimelineStep)> = begins.zip(steps).collect();
-        let after = steps.iter().position(|(_, step)| step.until > from)?;
+        let after = steps.iter().position(|(_, step)| step.end_seconds > from)?;
         (after..steps.len())
             .filter(|&at| steps[at].0 < until)
             .find_map(|at| {
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -65,7 +65,7 @@
 
     /// A connection for a call from a zone: the one that was idle last, or else a new one, whose incarnation the caller
     /// fills in. `None` where all balancers are known to be out.
-    pub fn take(
+    pub fn acquire(
         &mut self,
         zone: usize,
         now: Time,
@@ -109,7 +109,7 @@
     }
 
     /// A call on a connection is over, and the connection stays.
-    pub fn give_back(&mut self, connection: CallerConnection, now: Time) {
+    pub fn release(&mut self, connection: CallerConnection, now: Time) {
         let idle = &mut self.idle[connection.zone];
         if idle.len() < MAX_IDLE {
             idle.push((connection, now));
--- a/crates/emulator/src/front/tests.rs
+++ b/crates/emulator/src/front/tests.rs
@@ -19,19 +19,19 @@
 #[test]
 fn connections_are_used_again_until_they_idled_too_long_or_were_closed() {
     let (mut front, mut rng) = front(1.0);
-    let (connection, fresh) = front.take(0, 0, &mut rng).unwrap();
+    let (connection, fresh) = front.acquire(0, 0, &mut rng).unwrap();
     assert!(fresh && connection.balancer < 3);
-    front.give_back(connection, 10);
-    assert_eq!(front.take(0, 500, &mut rng), Some((connection, false)));
-    front.give_back(connection, 500);
+    front.release(connection, 10);
+    assert_eq!(front.acquire(0, 500, &mut rng), Some((connection, false)));
+    front.release(connection, 500);
     assert!(
-        front.take(0, 1_500, &mut rng).unwrap().1,
+        front.acquire(0, 1_500, &mut rng).unwrap().1,
         "it has idled for 1,000"
     );
     assert_eq!(idle_connections(&front), 0);
-    front.give_back(connection, 1_500);
+    front.release(connection, 1_500);
     front.close(connection.balancer);
-    assert!(front.take(0, 1_500, &mut rng).unwrap().1);
+    assert!(front.acquire(0, 1_500, &mut rng).unwrap().1);
 }
 
 #[test]
@@ -39,14 +39,14 @@
     let (mut front, mut rng) = front(1.0);
     front.set_out(0, true);
     front.set_out(1, true);
-    assert!((0..50).all(|_| front.take(0, 0, &mut rng).unwrap().0.balancer == 2));
+    assert!((0..50).all(|_| front.acquire(0, 0, &mut rng).unwrap().0.balancer == 2));
     front.set_out(2, true);
-    let connection = front.take(0, 0, &mut rng).unwrap().0;
+    let connection = front.acquire(0, 0, &mut rng).unwrap().0;
     assert_eq!((connection.zone, connection.balancer), (0, 3));
     front.set_out(3, true);
-    assert_eq!(front.take(0, 0, &mut rng), None);
+    assert_eq!(front.acquire(0, 0, &mut rng), None);
     front.set_out(1, false);
-    assert_eq!(front.take(1, 0, &mut rng).unwrap().0.balancer, 1);
+    assert_eq!(front.acquire(1, 0, &mut rng).unwrap().0.balancer, 1);
 }
 
 #[test]
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -60,7 +60,8 @@
 #[serde(rename_all = "kebab-case")]
 pub struct TimelineStep {
     /// When it ended, in seconds.
-    pub until: f64,
+    #[serde(rename = "until")]
+    pub end_seconds: f64,
     /// What was counted in it.
     pub counts: Counts,
     /// Latency of what was served, in milliseconds.
@@ -68,18 +69,24 @@
     /// The same.
     pub p99_ms: f64,
     /// Latencies of what was served: microseconds, and how many there were of about that.
-    pub latencies: Vec<(u64, u64)>,
+    #[serde(rename = "latencies")]
+    pub latency_histogram_us: Vec<(u64, u64)>,
     /// What each tier's upstreams could do, in workers of sound warm ones.
-    pub speed: Vec<f64>,
+    #[serde(rename = "speed")]
+    pub tier_capacity_workers: Vec<f64>,
     /// Requests and attempts that were open at its end.
-    pub open: (u64, u64),
+    #[serde(rename = "open")]
+    pub open_requests_and_attempts: (u64, u64),
     /// Attempts that went to each host.
-    pub hosts: Vec<u32>,
+    #[serde(rename = "hosts")]
+    pub attempts_by_host: Vec<u32>,
     /// Lines that balancers logged, by what they are of. Each balancer tells of a matter every 5 s at most.
-    pub lines: BTreeMap<String, u64>,
+    #[serde(rename = "lines")]
+    pub log_lines_by_topic: BTreeMap<String, u64>,
     /// Balancers and upstreams whose processes ran at its end, where they are processes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub up: Option<(u64, u64)>,
+    #[serde(rename = "up")]
+    pub running_processes: Option<(u64, u64)>,
 }
 
 /// Latencies of what was served, in milliseconds.
@@ -107,9 +114,11 @@
     /// Calls that came after the warm-up.
     pub counts: Counts,
     /// Worth served over value offered.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub served_value_fraction: f64,
     /// Worth that the fluid bound allows over value offered.
-    pub bound: f64,
+    #[serde(rename = "bound")]
+    pub fluid_bound: f64,
     /// Worth served over what the bound allows.
     pub score: f64,
     /// Latencies.
@@ -139,7 +148,8 @@
     #[serde(rename = "evacuated")]
     pub evacuation: Option<EvacuationReport>,
     /// The timeline.
-    pub steps: Vec<TimelineStep>,
+    #[serde(rename = "steps")]
+    pub timeline: Vec<TimelineStep>,
     /// The story of the call that was followed: when, in nanoseconds, and what.
     #[serde(rename = "story")]
     pub call_trace: Vec<(Time, String)>,
@@ -275,7 +285,7 @@
         counts.attempts += 1;
         counts.retries += u64::from(attempt > 0);
         counts.cross_zone_attempts += u64::from(crosses);
-        let (hosts, host) = (&mut self.step.hosts, host as usize);
+        let (hosts, host) = (&mut self.step.attempts_by_host, host as usize);
         if hosts.len() <= host {
             hosts.resize(self.hosts.max(host + 1), 0);
         }
@@ -320,21 +330,25 @@
     pub fn log_line(&mut self, line: &str) {
         self.log_lines += 1;
         let topic = line.split(' ').next().unwrap_or_default();
-        *self.step.lines.entry(topic.to_owned()).or_default() += 1;
+        *self
+            .step
+            .log_lines_by_topic
+            .entry(topic.to_owned())
+            .or_default() += 1;
     }
 
     /// A step of the timeline ends: what each tier can do, and what is open.
     pub fn step(&mut self, now: Time, speed: &[f64], requests: usize, attempts: usize) {
         let mut step = std::mem::take(&mut self.step);
-        step.until = now as f64 / 1e9;
+        step.end_seconds = now as f64 / 1e9;
         let ms = |part: f64| self.step_latency.value_at_quantile(part) as f64 / 1e3;
         (step.p50_ms, step.p99_ms) = (ms(0.5), ms(0.99));
         let recorded = self.step_latency.iter_recorded();
-        step.latencies = recorded
+        step.latency_histogram_us = recorded
             .map(|value| (value.value_iterated_to(), value.count_at_value()))
             .collect();
-        step.speed = speed.to_vec();
-        step.open = (requests as u64, attempts as u64);
+        step.tier_capacity_workers = speed.to_vec();
+        step.open_requests_and_attempts = (requests as u64, attempts as u64);
         self.step_latency.reset();
         self.steps.push(step);
         self.all_came.push(std::mem::replace(
@@ -384,7 +398,7 @@
     fn capacity_of_step(&self, at: usize) -> f64 {
         let step = &self.steps[at.min(self.steps.len() - 1)];
         let least = step
-            .speed
+            .tier_capacity_workers
             .iter()
             .zip(&self.multiple)
             .filter(|(_, multiple)| **multiple > 0.0)
@@ -460,8 +474,8 @@
         let part = |value: f64, of: f64| if of > 0.0 { value / of } else { 1.0 };
         let ms = |part: f64| self.latency.value_at_quantile(part) as f64 / 1e3;
         RunResult {
-            served: part(all.value, all.value_offered),
-            bound: part(bound, all.value_offered).min(1.0),
+            served_value_fraction: part(all.value, all.value_offered),
+            fluid_bound: part(bound, all.value_offered).min(1.0),
             score: part(all.value, bound.min(all.value_offered)),
             latency: Latencies {
                 mean: self.took / (all.on_time + all.late).max(1) as f64 / 1e6,
@@ -481,7 +495,7 @@
             bounds: Vec::new(),
             members: None,
             evacuation: None,
-            steps: self.steps,
+            timeline: self.steps,
             call_trace: story,
         }
     }
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -93,7 +93,8 @@
     #[serde(rename = "cuts-named")]
     pub partitions_reported: Vec<(f64, f64)>,
     /// Bytes a second that a member sent, on average and the most.
-    pub bytes_a_second: (f64, f64),
+    #[serde(rename = "bytes-a-second")]
+    pub bytes_per_second: (f64, f64),
 }
 
 /// Of some times.
@@ -379,7 +380,7 @@
                 .iter()
                 .map(|(at, part)| (seconds(*at), *part))
                 .collect(),
-            bytes_a_second: (
+            bytes_per_second: (
                 mean,
                 bytes.iter().map(|bytes| rate(*bytes)).fold(0.0, f64::max),
             ),
--- a/crates/emulator/src/observer/tests.rs
+++ b/crates/emulator/src/observer/tests.rs
@@ -57,7 +57,7 @@
         ),
         (Some(0.0), None)
     );
-    assert_eq!(end.bytes_a_second.1, 100.0);
+    assert_eq!(end.bytes_per_second.1, 100.0);
 }
 
 #[test]
--- a/crates/emulator/src/scenario/bound.rs
+++ b/crates/emulator/src/scenario/bound.rs
@@ -152,7 +152,7 @@
 
 impl Bound {
     pub(super) fn check(&self, scenario: &Scenario) -> Check {
-        let window = |from: &Span, until: &Span| match from < until && *until <= scenario.time {
+        let window = |from: &Span, until: &Span| match from < until && *until <= scenario.duration {
             true => Ok(()),
             false => inconsistent("`until` is not after `from`, or after the end of the run"),
         };
@@ -164,14 +164,14 @@
                 window(from, until).and_then(|()| in_range("most", *most, 0.0, 1.0))
             }
             Requirement::Recovered { from, part, .. } => {
-                window(from, &scenario.time)?;
+                window(from, &scenario.duration)?;
                 if scenario.first_fault() <= scenario.warm_up {
                     return inconsistent("`back`: no time before the first fault to compare with");
                 }
                 in_range("part", *part, 0.0, 1.0)
             }
             Requirement::LogLines { from, least, .. } => {
-                window(from, &scenario.time)?;
+                window(from, &scenario.duration)?;
                 if *least == 0 {
                     inconsistent("`least` is 0, which always holds")
                 } else {
@@ -192,7 +192,7 @@
                 zone, from, part, ..
             } => {
                 scenario.zone(&Some(zone.clone()))?;
-                window(from, &scenario.time).and_then(|()| in_range("part", *part, 0.0, 1.0))
+                window(from, &scenario.duration).and_then(|()| in_range("part", *part, 0.0, 1.0))
             }
             Requirement::ZoneNotEvacuated {
                 zone,
@@ -203,9 +203,9 @@
                 scenario.zone(&Some(zone.clone()))?;
                 window(from, until).and_then(|()| in_range("most", *most, 0.0, 1.0))
             }
-            Requirement::Agreement { from, .. } => window(from, &scenario.time),
+            Requirement::Agreement { from, .. } => window(from, &scenario.duration),
             Requirement::PartitionsReported { at, least } => {
-                window(at, &scenario.time).and_then(|()| in_range("least", *least, 0.0, 1.0))
+                window(at, &scenario.duration).and_then(|()| in_range("least", *least, 0.0, 1.0))
             }
         }
     }
@@ -218,6 +218,6 @@
             .iter()
             .map(|fault| fault.at)
             .min()
-            .unwrap_or(self.time)
+            .unwrap_or(self.duration)
     }
 }
--- a/crates/emulator/src/scenario/check/callers.rs
+++ b/crates/emulator/src/scenario/check/callers.rs
@@ -14,7 +14,7 @@
         let calls: f64 = self
             .callers
             .iter()
-            .map(|group| group.load.max_rate() * self.time.seconds())
+            .map(|group| group.load.max_rate() * self.duration.seconds())
             .sum();
         if calls > MAX_CALLS {
             let most = MAX_CALLS;
--- a/crates/emulator/src/scenario/check/environment.rs
+++ b/crates/emulator/src/scenario/check/environment.rs
@@ -11,7 +11,7 @@
         let rate = network.bytes_per_second;
         in_range("network.bytes-per-second", rate, 0.0, 1e12)?;
         if let Some(front) = &self.front {
-            in_range("front.uneven", front.uneven, 1.0, 1e4)?;
+            in_range("front.uneven", front.max_weight_ratio, 1.0, 1e4)?;
         }
         if let Some(queries) = &self.registry.queries {
             in_range("padron.asked.reads", queries.reads_per_second, 0.001, 1e9)?;
@@ -19,11 +19,11 @@
                 return inconsistent("`padron.asked`: `patience` and `within` must not be 0");
             }
         }
-        in_range("clocks.drift", self.clocks.drift, 0.0, 0.1)?;
+        in_range("clocks.drift", self.clocks.max_drift, 0.0, 0.1)?;
         let limits = &self.limits;
         in_range("limits.cross-price", limits.cross_zone_cost, 0.0, 1.0)?;
         in_range("limits.over-quota-worth", limits.over_quota_value, 0.0, 1.0)?;
-        if limits.attempts == 0 {
+        if limits.max_attempts == 0 {
             return inconsistent("`limits.attempts` is 0");
         }
         Ok(())
--- a/crates/emulator/src/scenario/check/mod.rs
+++ b/crates/emulator/src/scenario/check/mod.rs
@@ -34,13 +34,13 @@
     }
 
     fn check_times(&self) -> Check {
-        if self.time.0 == 0 || self.step.0 == 0 {
+        if self.duration.0 == 0 || self.step.0 == 0 {
             return inconsistent("`time` and `step` must not be 0");
         }
-        if self.warm_up >= self.time {
+        if self.warm_up >= self.duration {
             return inconsistent("`warm-up` must be shorter than `time`");
         }
-        if self.time.0 / self.step.0 > MAX_STEPS {
+        if self.duration.0 / self.step.0 > MAX_STEPS {
             return inconsistent("`step`: more than 100,000 steps in `time`");
         }
         Ok(())
--- a/crates/emulator/src/scenario/check/tiers.rs
+++ b/crates/emulator/src/scenario/check/tiers.rs
@@ -36,11 +36,11 @@
             return inconsistent("`workers` and `cells` must not be 0");
         }
         self.check_balancers_of(at, tier)?;
-        if tier.connections.trips > MAX_HANDSHAKE_LATENCIES {
+        if tier.connections.handshake_round_trips > MAX_HANDSHAKE_LATENCIES {
             return inconsistent("`connections.trips` is over 10");
         }
         if let Some(probed) = &tier.probed {
-            in_range("probed.price", probed.price, 0.0, 1.0)?;
+            in_range("probed.price", probed.cost, 0.0, 1.0)?;
             if probed.timeout.0 == 0 {
                 return inconsistent("`probed.patience` is 0");
             }
--- a/crates/emulator/src/scenario/limits.rs
+++ b/crates/emulator/src/scenario/limits.rs
@@ -8,18 +8,23 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Limits {
     /// Attempts for one request.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    #[serde(rename = "cancel")]
+    pub cancellation: bool,
     /// The longest advice that callers follow.
     #[serde(rename = "most-advice")]
     pub max_retry_after: Span,
     /// Idle connections are closed after this time.
-    pub idle: Span,
+    #[serde(rename = "idle")]
+    pub idle_timeout: Span,
     /// How long a connection may take to come up.
-    pub connect: Span,
+    #[serde(rename = "connect")]
+    pub connect_timeout: Span,
     /// Connections to upstreams that a balancer may have open, over HTTP/1.1; 0 for as many as it likes.
-    pub sockets: u32,
+    #[serde(rename = "sockets")]
+    pub max_connections: u32,
     /// Upstreams speak HTTP/2: many attempts on one connection.
     pub http2: bool,
     /// What a crossing of zones costs, as part of a request's value.
@@ -33,12 +38,12 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            attempts: 6,
-            cancel: true,
+            max_attempts: 6,
+            cancellation: true,
             max_retry_after: Span(SECOND),
-            idle: Span(10 * SECOND),
-            connect: Span(250 * MS),
-            sockets: 0,
+            idle_timeout: Span(10 * SECOND),
+            connect_timeout: Span(250 * MS),
+            max_connections: 0,
             http2: false,
             cross_zone_cost: 0.02,
             over_quota_value: 0.2,
@@ -126,7 +131,9 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Clocks {
     /// Each is up to this much fast or slow.
-    pub offset: Span,
+    #[serde(rename = "offset")]
+    pub max_offset: Span,
     /// Each goes up to this part faster or slower.
-    pub drift: f64,
+    #[serde(rename = "drift")]
+    pub max_drift: f64,
 }
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -41,7 +41,8 @@
     #[serde(rename = "about")]
     pub description: String,
     /// How long callers come.
-    pub time: Span,
+    #[serde(rename = "time")]
+    pub duration: Span,
     /// What comes before this is not counted: averages are not learned yet.
     #[serde(default)]
     pub warm_up: Span,
--- a/crates/emulator/src/scenario/settings.rs
+++ b/crates/emulator/src/scenario/settings.rs
@@ -53,17 +53,17 @@
                 .queries
                 .as_ref()
                 .map_or(0, |queries| queries.within.0),
-            may_cancel: self.limits.cancel,
+            may_cancel: self.limits.cancellation,
             max_retry_after: self.limits.max_retry_after.0,
-            max_attempts: self.limits.attempts,
-            idle_timeout: self.limits.idle.0.max(1),
+            max_attempts: self.limits.max_attempts,
+            idle_timeout: self.limits.idle_timeout.0.max(1),
             slow_start_capacity: tier.start_capacity,
             slow_start_overload: tier.overload_multiple,
             slow_start_window: tier.slow_start_window.0,
             in_flight_report_field: tier.probed.is_some().then_some(0),
             probes_for_load: tier.probed.is_some(),
             cross_zone_cost: self.limits.cross_zone_cost,
-            probe_cost: tier.probed.as_ref().map_or(0.0, |probed| probed.price),
+            probe_cost: tier.probed.as_ref().map_or(0.0, |probed| probed.cost),
         }
     }
 }
--- a/crates/emulator/src/scenario/tiers.rs
+++ b/crates/emulator/src/scenario/tiers.rs
@@ -24,10 +24,12 @@
     pub workers: u32,
     /// Requests that may wait at an upstream.
     #[serde(default = "sixty_four")]
-    pub queue: u32,
+    #[serde(rename = "queue")]
+    pub queue_capacity: u32,
     /// Which of them is next.
     #[serde(default)]
-    pub order: QueueOrder,
+    #[serde(rename = "order")]
+    pub queue_order: QueueOrder,
     /// Cells, in which the upstreams stand in turn.
     #[serde(default = "one_cell")]
     pub cells: u16,
@@ -61,19 +63,22 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Connections {
     /// Work on a new one, which the first request on it waits for.
-    pub work: Span,
+    #[serde(rename = "work")]
+    pub handshake_work: Span,
     /// Round trips until it is up.
-    pub trips: u32,
+    #[serde(rename = "trips")]
+    pub handshake_round_trips: u32,
     /// So many are accepted; 0 for as many as come.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_open: u32,
 }
 
 impl Default for Connections {
     fn default() -> Self {
         Self {
-            work: Span(0),
-            trips: 1,
-            most: 0,
+            handshake_work: Span(0),
+            handshake_round_trips: 1,
+            max_open: 0,
         }
     }
 }
@@ -83,7 +88,8 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ProbeConfig {
     /// The price that balancers are told, as part of a request's value.
-    pub price: f64,
+    #[serde(rename = "price")]
+    pub cost: f64,
     /// One that is not answered has failed after this time.
     #[serde(rename = "patience")]
     pub timeout: Span,
@@ -97,7 +103,8 @@
     #[serde(rename = "notices")]
     pub detection_delay: Span,
     /// Some balancers get up to so many times as many connections as others.
-    pub uneven: f64,
+    #[serde(rename = "uneven")]
+    pub max_weight_ratio: f64,
     /// Callers close connections that have idled for this time.
     #[serde(rename = "kept")]
     pub idle_timeout: Span,
@@ -107,7 +114,7 @@
     fn default() -> Self {
         Self {
             detection_delay: Span(3 * SECOND),
-            uneven: 1.0,
+            max_weight_ratio: 1.0,
             idle_timeout: Span(15 * SECOND),
         }
     }
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -124,13 +124,13 @@
             rng,
             workers: like.workers,
             busy: 0,
-            queue_capacity: like.queue,
-            order: like.order,
+            queue_capacity: like.queue_capacity,
+            order: like.queue_order,
             start_capacity: like.start_capacity,
             slow_start_window: like.slow_start_window.0,
             overload_multiple: like.overload_multiple,
             connections: 0,
-            most_connections: like.connections.most,
+            most_connections: like.connections.max_open,
             queue: VecDeque::new(),
             came: VecDeque::new(),
         }
@@ -187,7 +187,7 @@
     }
 
     /// A request has come. Room in the queue is that of requests that still wait.
-    pub fn take(&mut self, request: u64) -> Admission {
+    pub fn accept(&mut self, request: u64) -> Admission {
         if self.active_faults.full {
             Admission::Full
         } else if self.busy < self.workers {
@@ -232,7 +232,7 @@
     }
 
     /// A worker is free: the next request that still waits, if there is one.
-    pub fn next(&mut self, mut waits: impl FnMut(u64) -> bool) -> Option<u64> {
+    pub fn next_request(&mut self, mut waits: impl FnMut(u64) -> bool) -> Option<u64> {
         loop {
             let next = match self.order {
                 QueueOrder::Fifo => self.queue.pop_front(),
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -61,7 +61,10 @@
     pub(super) fn stalled_most(&self) -> Time {
         let longest = |fault: &Fault| match fault.kind {
             FaultKind::PauseBalancers => {
-                fault.until.map_or(self.scenario.time.0, |until| until.0) - fault.at.0
+                fault
+                    .until
+                    .map_or(self.scenario.duration.0, |until| until.0)
+                    - fault.at.0
             }
             _ => 0,
         };
@@ -147,7 +150,7 @@
 
     /// Whether a balancer may open one more connection, if need be after closing the one idle for longest.
     pub(super) fn may_open(&mut self, at: usize) -> bool {
-        let most = self.scenario.limits.sockets;
+        let most = self.scenario.limits.max_connections;
         if most == 0 || self.scenario.limits.http2 || self.balancers[at].open < most {
             return true;
         }
--- a/crates/emulator/src/world/build.rs
+++ b/crates/emulator/src/world/build.rs
@@ -14,8 +14,11 @@
             self.add_balancers(tier);
         }
         if let Some(front) = &self.scenario.front {
-            let (uneven, idle_timeout, zones) =
-                (front.uneven, front.idle_timeout.0, &self.of_zone[0]);
+            let (uneven, idle_timeout, zones) = (
+                front.max_weight_ratio,
+                front.idle_timeout.0,
+                &self.of_zone[0],
+            );
             self.front = Some(Front::new(zones, uneven, idle_timeout, &mut self.front_rng));
         }
         self.plan_faults();
@@ -101,13 +104,13 @@
     fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
         let (scenario, number) = (self.scenario, self.balancers.len() as u32);
         let mut clock = stream(self.seed, Actor::Balancer, number);
-        let offset = scenario.clocks.offset.0 as i64;
+        let offset = scenario.clocks.max_offset.0 as i64;
         let ahead = if offset > 0 {
             clock.random_range(-offset..=offset)
         } else {
             0
         };
-        let drift = scenario.clocks.drift * (2.0 * clock.random::<f64>() - 1.0);
+        let drift = scenario.clocks.max_drift * (2.0 * clock.random::<f64>() - 1.0);
         let (mind_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
         self.balancers.push(Balancer {
             tier,
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -13,7 +13,7 @@
         let mut at = self.event_queue.now();
         loop {
             at = at.saturating_add(exponential_gap(&mut self.arrival_rngs[group], most));
-            if at >= self.scenario.time.0 {
+            if at >= self.scenario.duration.0 {
                 return;
             }
             if chance(&mut self.arrival_rngs[group], load.rate(at) / most) {
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn closed_loop_call(&mut self, group: usize) {
-        if self.event_queue.now() < self.scenario.time.0 {
+        if self.event_queue.now() < self.scenario.duration.0 {
             self.start_call(group, true);
         }
     }
@@ -160,7 +160,10 @@
             || self.behavior_rngs[group].random_range(..zones),
             usize::from,
         );
-        let (mut connection, fresh) = self.front.as_mut()?.take(zone, now, &mut self.front_rng)?;
+        let (mut connection, fresh) =
+            self.front
+                .as_mut()?
+                .acquire(zone, now, &mut self.front_rng)?;
         let at = connection.balancer as usize;
         let there = &self.balancers[at];
         if fresh {
@@ -195,7 +198,7 @@
             let now = self.event_queue.now();
             self.front
                 .iter_mut()
-                .for_each(|front| front.give_back(connection, now));
+                .for_each(|front| front.release(connection, now));
         }
     }
 
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -227,7 +227,7 @@
         Some(
             coordinators
                 .evacuated
-                .end(self.event_queue.now().min(self.scenario.time.0)),
+                .end(self.event_queue.now().min(self.scenario.duration.0)),
         )
     }
 }
--- a/crates/emulator/src/world/dispatch.rs
+++ b/crates/emulator/src/world/dispatch.rs
@@ -141,7 +141,7 @@
                 idle_since: 0,
             };
         }
-        let fresh = pool.idle > 0 && now - pool.idle_since < self.scenario.limits.idle.0;
+        let fresh = pool.idle > 0 && now - pool.idle_since < self.scenario.limits.idle_timeout.0;
         let reused = fresh && alive;
         if reused && !self.scenario.limits.http2 {
             pool.idle -= 1;
@@ -183,7 +183,11 @@
         let delay = self.delay(at, upstream, true);
         let lost = self.is_lost(at, upstream, true);
         let reset = chance(&mut self.balancers[at].network, scenario.network.resets);
-        let trips = Time::from(scenario.tier[self.balancers[at].tier].connections.trips);
+        let trips = Time::from(
+            scenario.tier[self.balancers[at].tier]
+                .connections
+                .handshake_round_trips,
+        );
         let handshake = if outgoing.reused {
             0
         } else {
@@ -193,7 +197,7 @@
             || self.is_partitioned(at, upstream, true)
             || !outgoing.reused && self.is_partitioned(at, upstream, false);
         if unreachable && !outgoing.reused {
-            Transit::Failed(scenario.limits.connect.0, Outcome::ConnectFailed)
+            Transit::Failed(scenario.limits.connect_timeout.0, Outcome::ConnectFailed)
         } else if unreachable {
             Transit::Lost
         } else if !self.upstreams[upstream].alive || outgoing.refused {
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -64,7 +64,7 @@
     /// How long a fault lasts, in nanoseconds.
     fn duration(&self, at: usize) -> Time {
         let fault = &self.scenario.fault[at];
-        fault.until.unwrap_or(self.scenario.time).0 - fault.at.0
+        fault.until.unwrap_or(self.scenario.duration).0 - fault.at.0
     }
 
     /// Upstreams die, are rolled, or are listed as removed.
@@ -130,7 +130,7 @@
             (FaultKind::RollBalancers, true) => self.plan_balancer_roll(at, balancers),
             (FaultKind::PauseBalancers, true) => {
                 let until = self.scenario.fault[at].until;
-                let until = until.unwrap_or(self.scenario.time).0;
+                let until = until.unwrap_or(self.scenario.duration).0;
                 for &balancer in balancers {
                     self.balancers[balancer as usize].stalled_until = until;
                 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -208,7 +208,7 @@
         self.members_begin();
         self.coordinators_begin();
         let longest = self.scenario.longest_deadline().0;
-        let end = self.scenario.time.0 + longest + TAIL;
+        let end = self.scenario.duration.0 + longest + TAIL;
         // What stands still at the end must not make what it holds look lost.
         while let Some(event) = self.event_queue.next(end.max(self.stalled)) {
             self.events += 1;
@@ -331,7 +331,7 @@
         }
         self.meter
             .step(now, &speed, self.requests.len(), self.attempts.len());
-        if now < self.scenario.time.0 {
+        if now < self.scenario.duration.0 {
             self.event_queue
                 .after(self.scenario.step.0, Event::EndOfStep);
         }
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -65,7 +65,7 @@
     /// An upstream begins work on an attempt, queues it, or turns it away.
     fn admit(&mut self, upstream: usize, number: u64, (client_call, class): (u64, usize)) {
         let name = self.upstreams[upstream].name.clone();
-        match self.upstreams[upstream].take(number) {
+        match self.upstreams[upstream].accept(number) {
             Admission::Begun => {
                 self.record_story(client_call, || format!("{name} begins it"));
                 self.begin_work(upstream, number, class);
@@ -88,13 +88,13 @@
         let now = self.event_queue.now();
         let mut took = self.upstreams[upstream].service(now, &self.scenario.class[class].service);
         let connections = &self.scenario.tier[self.upstreams[upstream].tier].connections;
-        if connections.work.0 > 0
+        if connections.handshake_work.0 > 0
             && self
                 .attempts
                 .get(attempt)
                 .is_some_and(|attempt| attempt.fresh)
         {
-            took += self.upstreams[upstream].overhead(now, connections.work.0);
+            took += self.upstreams[upstream].overhead(now, connections.handshake_work.0);
         }
         let process = self.upstreams[upstream].process;
         self.event_queue.after(
@@ -210,7 +210,7 @@
 
     pub(super) fn take_next(&mut self, upstream: usize) {
         let (attempts, mut dropped) = (&self.attempts, SmallVec::<[u64; 4]>::new());
-        let next = self.upstreams[upstream].next(|request| {
+        let next = self.upstreams[upstream].next_request(|request| {
             let waits = attempts.get(request).is_some_and(|attempt| attempt.out);
             if !waits {
                 dropped.push(request); // its connection is closed: an upstream sees that before it begins
--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -360,7 +360,7 @@
 fn actors_draw_for_themselves() {
     let offered = |scenario: &Scenario| {
         let end = woadstall_emulator::run(scenario, Policy::Woadstall, 1);
-        end.steps
+        end.timeline
             .iter()
             .map(|step| step.counts.offered)
             .collect::<Vec<_>>()
--- a/crates/emulator/tests/evacuation.rs
+++ b/crates/emulator/tests/evacuation.rs
@@ -89,7 +89,7 @@
     let seeds = std::env::var("WOADSTALL_SEEDS").ok();
     let seeds = seeds.and_then(|seeds| seeds.parse().ok());
     let scenario = Scenario {
-        time: Span(25_000_000_000),
+        duration: Span(25_000_000_000),
         ..read("all-slow")
     };
     let result = |seed| serde_json::to_string(&run(&scenario, Policy::Woadstall, seed)).unwrap();
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -58,7 +58,11 @@
     );
     assert_eq!(scenario.settings(2, 0).balancers, 9);
     let end = play(&scenario);
-    assert!(end.served > 0.97, "{}", end.served);
+    assert!(
+        end.served_value_fraction > 0.97,
+        "{}",
+        end.served_value_fraction
+    );
     // Each of nine senders opens connections to the upstreams of its zone; none has more than its part of them.
     let row = end
         .costs
@@ -76,9 +80,9 @@
     let all = fault.to_owned() + &fault.replace("part = 0.5", "part = 0.34\ntier = \"posting\"");
     let end = play(&tiers(&all));
     assert!(
-        end.served > 0.9 && end.counts.failed > 0,
+        end.served_value_fraction > 0.9 && end.counts.failed > 0,
         "{} {:?}",
-        end.served,
+        end.served_value_fraction,
         end.counts
     );
     // The next process has no connections: it opens all of them again.
@@ -87,9 +91,10 @@
         killed >= paid(&calm, "ledger", Cost::Handshakes) + 10,
         "{killed}"
     );
-    let after = |step: &&woadstall_emulator::TimelineStep| step.until > 6.5 && step.until < 8.0;
+    let after =
+        |step: &&woadstall_emulator::TimelineStep| step.end_seconds > 6.5 && step.end_seconds < 8.0;
     let (served, offered) = end
-        .steps
+        .timeline
         .iter()
         .filter(after)
         .fold((0, 0), |(served, offered), step| {
@@ -128,7 +133,7 @@
 fn callers_keep_their_connections() {
     let mut scenario = small("");
     scenario.front = Some(FrontConfig {
-        uneven: 20.0,
+        max_weight_ratio: 20.0,
         ..FrontConfig::default()
     });
     let end = play(&scenario);
@@ -152,17 +157,17 @@
             crowded,
             paid(&end, "only", Cost::Handshakes),
             end.latency.mean,
-            end.served,
+            end.served_value_fraction,
         )
     };
     let free = with(Connections::default());
     let scarce = with(Connections {
-        most: 2,
+        max_open: 2,
         ..Connections::default()
     });
     let dear = with(Connections {
-        work: Span(SECOND / 10),
-        trips: 3,
+        handshake_work: Span(SECOND / 10),
+        handshake_round_trips: 3,
         ..Connections::default()
     });
     assert!(free.0 == 0 && scarce.0 > 10, "{free:?} {scarce:?}");
@@ -193,7 +198,7 @@
 "#;
     let mut scenario = small(queries);
     (
-        scenario.time,
+        scenario.duration,
         scenario.tier[0].balancers,
         scenario.tier[0].upstreams,
     ) = (Span(25 * SECOND), 24, 12);
@@ -207,9 +212,9 @@
         "{reads_per_second} reads, {failed} failed"
     );
     let late = end
-        .steps
+        .timeline
         .iter()
-        .filter(|step| step.until > 20.0 && step.until < 25.0);
+        .filter(|step| step.end_seconds > 20.0 && step.end_seconds < 25.0);
     let (served, offered) = late.fold((0, 0), |(served, offered), step| {
         (served + step.counts.on_time, offered + step.counts.offered)
     });
@@ -239,7 +244,7 @@
     let mut scenario =
         small("[[fault]]\nat = \"3 s\"\nuntil = \"5 s\"\npart = 0.34\nwhat = \"silent\"\n");
     scenario.tier[0].probed = Some(ProbeConfig {
-        price: 0.001,
+        cost: 0.001,
         timeout: Span(SECOND / 20),
     });
     let end = play(&scenario);
@@ -249,9 +254,13 @@
         "{probes} for {}",
         end.counts.offered
     );
-    assert!(end.served > 0.9, "{}", end.served);
+    assert!(
+        end.served_value_fraction > 0.9,
+        "{}",
+        end.served_value_fraction
+    );
     scenario.tier[0].probed = Some(ProbeConfig {
-        price: 0.5,
+        cost: 0.5,
         timeout: Span(SECOND / 20),
     });
     assert_eq!(paid(&play(&scenario), "only", Cost::Probes), 0, "too dear");
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -39,7 +39,7 @@
         .join("../../scenarios")
         .join(file);
     let mut scenario = Scenario::read(&std::fs::read_to_string(path).unwrap()).unwrap();
-    scenario.time.0 = scenario.time.0.min(seconds * SECOND);
+    scenario.duration.0 = scenario.duration.0.min(seconds * SECOND);
     scenario
 }
 
@@ -145,13 +145,13 @@
 #[test]
 fn limits_of_balancers_are_unchanged() {
     let mut sockets = small("");
-    sockets.limits.sockets = 2;
+    sockets.limits.max_connections = 2;
     assert_golden("sockets", &sockets, "woadstall", 8);
     let mut http2 = with_fault("what = { kill = {} }");
     http2.limits.http2 = true;
     assert_golden("http2", &http2, "woadstall", 8);
     let mut clocks = with_fault("what = { kill = {} }");
-    (clocks.clocks.offset.0, clocks.clocks.drift) = (SECOND, 0.001);
+    (clocks.clocks.max_offset.0, clocks.clocks.max_drift) = (SECOND, 0.001);
     assert_golden("clocks", &clocks, "woadstall", 8);
 }
 
--- a/crates/emulator/tests/power.rs
+++ b/crates/emulator/tests/power.rs
@@ -13,9 +13,9 @@
 
 fn served(end: &RunResult, from: f64, until: f64) -> f64 {
     let steps = end
-        .steps
+        .timeline
         .iter()
-        .filter(|step| step.until > from && step.until <= until);
+        .filter(|step| step.end_seconds > from && step.end_seconds <= until);
     let (value, offered) = steps.fold((0.0, 0.0), |(value, all), step| {
         (value + step.counts.value, all + step.counts.value_offered)
     });
@@ -37,7 +37,7 @@
     );
     assert!(served(&short, 5.0, 8.0) > 0.9);
     let long = played(&stop("6 s"));
-    assert!(served(&long, 4.0, 6.0) < 0.05, "{:?}", long.steps);
+    assert!(served(&long, 4.0, 6.0) < 0.05, "{:?}", long.timeline);
     assert!(long.counts.failed + long.counts.refused > short.counts.failed + short.counts.refused);
 }
 
@@ -49,7 +49,11 @@
     let end = played(loss);
     assert!(served(&end, 2.0, 3.0) < 0.05, "nobody is there");
     assert!(served(&end, 5.0, 8.0) > 0.1, "{}", served(&end, 5.0, 8.0));
-    assert_eq!(end.steps[2].speed, [0.0], "no nodo has power");
+    assert_eq!(
+        end.timeline[2].tier_capacity_workers,
+        [0.0],
+        "no nodo has power"
+    );
 }
 
 /// A way that is cut from one zone to the other loses what goes there and the answers that come back by it; with
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -128,9 +128,9 @@
     (one.tier[0].upstreams, one.tier[0].workers) = (1, 16);
     let end = run(&one, Policy::Woadstall, 1);
     assert!(
-        end.breach_count() == 0 && end.served > 0.95,
+        end.breach_count() == 0 && end.served_value_fraction > 0.95,
         "{} {:?}",
-        end.served,
+        end.served_value_fraction,
         end.first_breaches
     );
     let idle = Scenario::read(&SMALL.replace("constant = 200.0", "constant = 0.0")).unwrap();
@@ -156,7 +156,8 @@
     assert!(end.counts.failed > 50, "nobody is there for two seconds");
     let mut clocks =
         small("[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\npart = 0.5\nwhat = { kill = {} }\n");
-    (clocks.clocks.offset, clocks.clocks.drift) = (woadstall_emulator::Span(1_000_000_000), 0.001);
+    (clocks.clocks.max_offset, clocks.clocks.max_drift) =
+        (woadstall_emulator::Span(1_000_000_000), 0.001);
     let end = run(&clocks, Policy::Woadstall, 1);
     assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
 }
@@ -177,27 +178,27 @@
     let served = with("\"padron-wrong\"", &|scenario| {
         scenario.tier[0].upstreams = 12
     })
-    .served;
+    .served_value_fraction;
     assert!(served > 0.97, "{served}: half the nodos are enough");
     // What is under way when a clock steps is given up; the rest goes on.
-    let served = with("{ clock-step = \"3 s\" }", &|_| {}).served;
+    let served = with("{ clock-step = \"3 s\" }", &|_| {}).served_value_fraction;
     assert!(served > 0.9, "{served}");
     let lossy = with("\"padron-wrong\"", &|scenario| {
         scenario.fault.clear();
         (scenario.network.loss, scenario.network.resets) = (0.02, 0.02);
     });
     assert!(
-        lossy.served > 0.85 && lossy.counts.failed > 20,
+        lossy.served_value_fraction > 0.85 && lossy.counts.failed > 20,
         "{} {:?}",
-        lossy.served,
+        lossy.served_value_fraction,
         lossy.counts
     );
     let few = |sockets| {
         let end = with("\"padron-wrong\"", &|scenario| {
             scenario.fault.clear();
-            scenario.limits.sockets = sockets;
+            scenario.limits.max_connections = sockets;
         });
-        (end.served, end.counts.refused)
+        (end.served_value_fraction, end.counts.refused)
     };
     let (enough, one) = (few(16), few(1));
     assert!(enough.0 > 0.97, "{enough:?}");
@@ -215,9 +216,9 @@
         } else {
             fault
         };
-        run(&small(&fault), "random".parse().unwrap(), 1).served
+        run(&small(&fault), "random".parse().unwrap(), 1).served_value_fraction
     };
-    let sound = run(&small(""), "random".parse().unwrap(), 1).served;
+    let sound = run(&small(""), "random".parse().unwrap(), 1).served_value_fraction;
     assert!(sound > 0.97, "{sound}");
     for fault in [
         "{ kill = {} }",
@@ -265,7 +266,7 @@
         } else {
             45
         };
-        scenario.time.0 = scenario.time.0.min(most * 1_000_000_000);
+        scenario.duration.0 = scenario.duration.0.min(most * 1_000_000_000);
         let end = run(&scenario, Policy::Woadstall, 1);
         assert_eq!(
             end.breach_count(),
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -123,7 +123,7 @@
         let mut scenario = queue(EXPONENTIAL, 1, 0.9, 1e4);
         scenario.tier[0].upstreams = upstreams;
         scenario.callers[0].load = woadstall_emulator::Load::Constant(90.0 * f64::from(upstreams));
-        scenario.time = woadstall_emulator::Span(5_000_000_000);
+        scenario.duration = woadstall_emulator::Span(5_000_000_000);
         scenario.warm_up = woadstall_emulator::Span(1_000_000_000);
         scenario.step = woadstall_emulator::Span(5_000_000_000);
         let policy: Policy = policy.parse().unwrap();
--- a/crates/load-test/src/callers.rs
+++ b/crates/load-test/src/callers.rs
@@ -149,7 +149,7 @@
         }
         loop {
             at = at.saturating_add(exponential_gap(&mut arrivals, max_rate));
-            if at >= self.scenario.time.0 {
+            if at >= self.scenario.duration.0 {
                 break;
             }
             // Thinning (Lewis and Shedler, 1979): arrivals at the highest rate, of which those of the present rate stay.
@@ -173,7 +173,7 @@
         );
         let first_backoff = (habits.random::<f64>() * think as f64) as u64;
         sleep(Duration::from_nanos(first_backoff)).await;
-        while self.now() < self.scenario.time.0 {
+        while self.now() < self.scenario.duration.0 {
             let seed = habits.random();
             self.clone().call(group, self.now(), seed).await;
             let pause = exponential_gap(&mut habits, 1e9 / think.max(1) as f64);
--- a/crates/load-test/src/latency_log.rs
+++ b/crates/load-test/src/latency_log.rs
@@ -30,16 +30,16 @@
         .with_max_value_divisor(MAX_VALUE_DIVISOR)
         .begin_log_with(&mut file, &mut serializer)?;
     let mut step_begin = 0.0;
-    for step in &end.steps {
+    for step in &end.timeline {
         let mut histogram =
             Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)?;
-        for &(micros, count) in &step.latencies {
+        for &(micros, count) in &step.latency_histogram_us {
             histogram.saturating_record_n(micros, count);
         }
-        let length = Duration::from_secs_f64((step.until - step_begin).max(0.0));
+        let length = Duration::from_secs_f64((step.end_seconds - step_begin).max(0.0));
         let begin = Duration::from_secs_f64(step_begin);
         log.write_histogram(&histogram, begin, length, None)?;
-        step_begin = step.until;
+        step_begin = step.end_seconds;
     }
     file.flush()?;
     Ok(())
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -50,7 +50,7 @@
     info!(
         scenario = key.scenario,
         through = key.policy,
-        seconds = scenario.time.seconds(),
+        seconds = scenario.duration.seconds(),
         "run starts"
     );
     let started = SystemTime::now();
@@ -105,7 +105,10 @@
 
 fn print_summary(end: &RunResult, lag: &Lag) {
     let (counts, latency) = (&end.counts, &end.latency);
-    println!("  worth served   {:.3} of what was offered", end.served);
+    println!(
+        "  worth served   {:.3} of what was offered",
+        end.served_value_fraction
+    );
     println!(
         "  calls          {} offered, {} on time, {} late, {} refused, {} failed",
         counts.offered, counts.on_time, counts.late, counts.refused, counts.failed
--- a/crates/load-test/src/schedule.rs
+++ b/crates/load-test/src/schedule.rs
@@ -50,7 +50,7 @@
 
     /// The length of a fault, in nanoseconds.
     fn length(&self, fault: &Fault) -> u64 {
-        fault.until.unwrap_or(self.scenario.time).0 - fault.at.0
+        fault.until.unwrap_or(self.scenario.duration).0 - fault.at.0
     }
 
     /// Waits until discovery has noticed what died with a fault's begin, or until the fault is over.
--- a/crates/load-test/src/upstream/requests.rs
+++ b/crates/load-test/src/upstream/requests.rs
@@ -104,7 +104,7 @@
         }
         let number = state.next_request;
         state.next_request += 1;
-        match state.model.take(number) {
+        match state.model.accept(number) {
             ModelAdmission::Full => {
                 state.counts.rejected += 1;
                 Admission::Rejected
@@ -213,7 +213,7 @@
         }
         let State { model, queued, .. } = &mut *state;
         // A request whose caller has left is not started.
-        model.next(|next| {
+        model.next_request(|next| {
             queued
                 .remove(&next)
                 .is_some_and(|notification| notification.send(()).is_ok())
--- a/crates/load-test/tests/load.rs
+++ b/crates/load-test/tests/load.rs
@@ -12,7 +12,7 @@
 fn short_scenario() -> Scenario {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/loopback.toml");
     let mut scenario = Scenario::read(&std::fs::read_to_string(file).unwrap()).unwrap();
-    (scenario.time, scenario.warm_up) = (Span(5_000 * MS), Span(1_000 * MS));
+    (scenario.duration, scenario.warm_up) = (Span(5_000 * MS), Span(1_000 * MS));
     scenario.callers[0].load = Load::Constant(150.0);
     scenario.fault.truncate(1);
     (scenario.fault[0].at, scenario.fault[0].until) = (Span(2_000 * MS), Some(Span(3_000 * MS)));
@@ -38,8 +38,16 @@
         assert_eq!(end.breach_count(), 0, "{path:?}: {:?}", end.first_breaches);
         assert_eq!(end.counts.offered, emulated.counts.offered, "{path:?}");
         assert!(lag.calls >= end.counts.offered);
-        assert!(end.served > 0.9, "{path:?}: {}", end.served);
-        assert!(end.steps.iter().any(|step| !step.latencies.is_empty()));
+        assert!(
+            end.served_value_fraction > 0.9,
+            "{path:?}: {}",
+            end.served_value_fraction
+        );
+        assert!(
+            end.timeline
+                .iter()
+                .any(|step| !step.latency_histogram_us.is_empty())
+        );
         let transports: BTreeSet<&str> = tally.keys().map(|key| key.transport).collect();
         assert_eq!(
             transports.len(),
@@ -59,7 +67,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn unresponsive_upstreams_and_lost_responses_end_calls_in_time() {
     let mut scenario = short_scenario();
-    (scenario.time, scenario.warm_up) = (Span(1_500 * MS), Span(0));
+    (scenario.duration, scenario.warm_up) = (Span(1_500 * MS), Span(0));
     scenario.callers[0].load = Load::Constant(60.0);
     for class in &mut scenario.class {
         (class.latency_target, class.deadline) = (Span(400 * MS), Span(800 * MS));
@@ -106,7 +114,7 @@
             .contains("`front`: for the lab alone")
     );
     scenario.front = None;
-    scenario.tier[0].connections.most = 8;
+    scenario.tier[0].connections.max_open = 8;
     assert!(
         check_supported(&scenario)
             .unwrap_err()
@@ -180,7 +188,7 @@
     let logged = IntervalLogIterator::new(&text)
         .filter(|entry| matches!(entry, Ok(LogEntry::Interval(_))))
         .count();
-    assert_eq!(logged, rows[0].end.steps.len());
+    assert_eq!(logged, rows[0].end.timeline.len());
     let output = run_command(&[scenario, "--target", "192.0.2.1:80"]);
     assert_eq!(output.status.code(), Some(3));
     assert!(String::from_utf8_lossy(&output.stderr).contains("this machine only"));
