--- a/crates/emulator/src/bound_check.rs
+++ b/crates/emulator/src/bound_check.rs
@@ -12,8 +12,8 @@
     // A step that is in the window by its middle counts.
     let mut before = 0.0;
     for step in steps {
-        let middle = (before + step.until) / 2.0;
-        before = step.until;
+        let middle = (before + step.end_seconds) / 2.0;
+        before = step.end_seconds;
         if middle < from || middle >= until {
             continue;
         }
@@ -40,24 +40,24 @@
 fn log_lines_after(steps: &[TimelineStep], topic: &str, from: f64, least: u64) -> Option<f64> {
     let (mut lines, mut begins) = (0, 0.0);
     steps.iter().find_map(|step| {
-        let before = std::mem::replace(&mut begins, step.until);
+        let before = std::mem::replace(&mut begins, step.end_seconds);
         if before >= from {
-            lines += step.lines.get(topic).copied().unwrap_or(0);
+            lines += step.log_lines_by_topic.get(topic).copied().unwrap_or(0);
         }
-        (lines >= least).then_some(step.until - from)
+        (lines >= least).then_some(step.end_seconds - from)
     })
 }
 
 impl Bound {
     /// How it was kept in a run.
     pub fn evaluate(&self, scenario: &Scenario, end: &RunResult) -> BoundResult {
-        match &self.what {
+        match &self.requirement {
             Requirement::Served { least: wanted, .. }
             | Requirement::PartitionsReported { least: wanted, .. } => {
                 self.at_least(*wanted, self.measured(scenario, end))
             }
             Requirement::Refused { most: wanted, .. }
-            | Requirement::Stays { most: wanted, .. }
+            | Requirement::ZoneNotEvacuated { most: wanted, .. }
             | Requirement::Attempts { most: wanted } => {
                 self.at_most(*wanted, self.measured(scenario, end))
             }
@@ -68,7 +68,7 @@
             | Requirement::LogLines { within, .. }
             | Requirement::DeathsKnown { within }
             | Requirement::Agreement { within, .. }
-            | Requirement::Out { within, .. } => {
+            | Requirement::ZoneEvacuated { within, .. } => {
                 self.at_most(within.seconds(), self.measured(scenario, end))
             }
         }
@@ -85,52 +85,52 @@
     fn result(&self, wanted: f64, seen: Option<f64>, kept: bool) -> BoundResult {
         BoundResult {
             name: self.name.clone(),
-            wanted,
-            seen,
-            kept,
+            threshold: wanted,
+            measured: seen,
+            is_met: kept,
         }
     }
 
     /// What a run shows of it: a part, a count, or seconds; nothing where it never came.
     fn measured(&self, scenario: &Scenario, end: &RunResult) -> Option<f64> {
-        let (members, evacuated) = (end.members.as_ref(), end.evacuated.as_ref());
-        match &self.what {
+        let (members, evacuated) = (end.members.as_ref(), end.evacuation.as_ref());
+        match &self.requirement {
             Requirement::Served { from, until, .. } => {
-                let sum = sum(&end.steps, from.seconds(), until.seconds());
+                let sum = sum(&end.timeline, from.seconds(), until.seconds());
                 part(sum.value, sum.value_offered)
             }
             Requirement::Refused { from, until, .. } => {
-                let sum = sum(&end.steps, from.seconds(), until.seconds());
+                let sum = sum(&end.timeline, from.seconds(), until.seconds());
                 part(sum.refused as f64, sum.offered as f64)
             }
             Requirement::Recovered {
                 from, part: level, ..
             } => {
-                let level = level * served_before_faults(scenario, &end.steps);
-                let until = scenario.time.seconds();
-                self.back(&end.steps, from.seconds(), until, level)
+                let level = level * served_before_faults(scenario, &end.timeline);
+                let until = scenario.duration.seconds();
+                self.back(&end.timeline, from.seconds(), until, level)
             }
             Requirement::LogLines {
                 topic, from, least, ..
-            } => log_lines_after(&end.steps, topic, from.seconds(), *least),
+            } => log_lines_after(&end.timeline, topic, from.seconds(), *least),
             Requirement::FalseDeaths { .. } => members.map(|members| members.false_deaths as f64),
             Requirement::DeathsKnown { .. } => members
                 .filter(|members| members.never_known == 0)
                 .map(|members| members.known_ms.max / 1e3),
             Requirement::Agreement { from, within } => {
-                members?.together_after(from.seconds(), within.seconds())
+                members?.agreement_after(from.seconds(), within.seconds())
             }
             Requirement::PartitionsReported { at, .. } => members?
                 .partitions_reported
                 .iter()
                 .find(|(when, _)| *when >= at.seconds())
                 .map(|(_, part)| *part),
-            Requirement::Out {
+            Requirement::ZoneEvacuated {
                 zone, from, part, ..
-            } => evacuated?.out_after(zone, from.seconds(), *part),
-            Requirement::Stays {
+            } => evacuated?.evacuated_after(zone, from.seconds(), *part),
+            Requirement::ZoneNotEvacuated {
                 zone, from, until, ..
-            } => Some(evacuated?.most_out(zone, from.seconds(), until.seconds())),
+            } => Some(evacuated?.max_evacuated_fraction(zone, from.seconds(), until.seconds())),
             Requirement::Attempts { .. } => {
                 part(end.counts.attempts as f64, end.counts.requests as f64)
             }
@@ -140,9 +140,9 @@
     /// How long after a time service was back at a level, over some steps together: in a single one chance and what
     /// was offered before weigh too much.
     fn back(&self, steps: &[TimelineStep], from: f64, until: f64, level: f64) -> Option<f64> {
-        let begins = std::iter::once(0.0).chain(steps.iter().map(|step| step.until));
+        let begins = std::iter::once(0.0).chain(steps.iter().map(|step| step.end_seconds));
         let steps: Vec<(f64, &TimelineStep)> = begins.zip(steps).collect();
-        let after = steps.iter().position(|(_, step)| step.until > from)?;
+        let after = steps.iter().position(|(_, step)| step.end_seconds > from)?;
         (after..steps.len())
             .filter(|&at| steps[at].0 < until)
             .find_map(|at| {
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -42,9 +42,11 @@
     /// Attempts at upstreams, those of all tiers.
     pub attempts: u64,
     /// Those that were not the first of their request.
-    pub repeats: u64,
+    #[serde(rename = "repeats")]
+    pub retries: u64,
     /// Those that crossed zones.
-    pub crossings: u64,
+    #[serde(rename = "crossings")]
+    pub cross_zone_attempts: u64,
     /// Worth of what was offered.
     #[serde(rename = "worth-offered")]
     pub value_offered: f64,
@@ -58,7 +60,8 @@
 #[serde(rename_all = "kebab-case")]
 pub struct TimelineStep {
     /// When it ended, in seconds.
-    pub until: f64,
+    #[serde(rename = "until")]
+    pub end_seconds: f64,
     /// What was counted in it.
     pub counts: Counts,
     /// Latency of what was served, in milliseconds.
@@ -66,18 +69,24 @@
     /// The same.
     pub p99_ms: f64,
     /// Latencies of what was served: microseconds, and how many there were of about that.
-    pub latencies: Vec<(u64, u64)>,
+    #[serde(rename = "latencies")]
+    pub latency_histogram_us: Vec<(u64, u64)>,
     /// What each tier's upstreams could do, in workers of sound warm ones.
-    pub speed: Vec<f64>,
+    #[serde(rename = "speed")]
+    pub tier_capacity_workers: Vec<f64>,
     /// Requests and attempts that were open at its end.
-    pub open: (u64, u64),
+    #[serde(rename = "open")]
+    pub open_requests_and_attempts: (u64, u64),
     /// Attempts that went to each host.
-    pub hosts: Vec<u32>,
+    #[serde(rename = "hosts")]
+    pub attempts_by_host: Vec<u32>,
     /// Lines that balancers logged, by what they are of. Each balancer tells of a matter every 5 s at most.
-    pub lines: BTreeMap<String, u64>,
+    #[serde(rename = "lines")]
+    pub log_lines_by_topic: BTreeMap<String, u64>,
     /// Balancers and upstreams whose processes ran at its end, where they are processes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub up: Option<(u64, u64)>,
+    #[serde(rename = "up")]
+    pub running_processes: Option<(u64, u64)>,
 }
 
 /// Latencies of what was served, in milliseconds.
@@ -105,9 +114,11 @@
     /// Calls that came after the warm-up.
     pub counts: Counts,
     /// Worth served over value offered.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub served_value_fraction: f64,
     /// Worth that the fluid bound allows over value offered.
-    pub bound: f64,
+    #[serde(rename = "bound")]
+    pub fluid_bound: f64,
     /// Worth served over what the bound allows.
     pub score: f64,
     /// Latencies.
@@ -124,7 +135,8 @@
     pub events: u64,
     /// The price list.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub prices: Vec<CostRow>,
+    #[serde(rename = "prices")]
+    pub costs: Vec<CostRow>,
     /// How the scenario's bounds were kept.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub bounds: Vec<BoundResult>,
@@ -133,21 +145,24 @@
     pub members: Option<MembershipReport>,
     /// What balancers that leave places together made of zones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub evacuated: Option<EvacuationReport>,
+    #[serde(rename = "evacuated")]
+    pub evacuation: Option<EvacuationReport>,
     /// The timeline.
-    pub steps: Vec<TimelineStep>,
+    #[serde(rename = "steps")]
+    pub timeline: Vec<TimelineStep>,
     /// The story of the call that was followed: when, in nanoseconds, and what.
-    pub story: Vec<(Time, String)>,
+    #[serde(rename = "story")]
+    pub call_trace: Vec<(Time, String)>,
 }
 
 impl RunResult {
     /// Whether each rule and each bound was kept.
     pub fn is_satisfied(&self) -> bool {
-        self.broken() == 0 && self.bounds.iter().all(|bound| bound.kept)
+        self.breach_count() == 0 && self.bounds.iter().all(|bound| bound.is_met)
     }
 
     /// Breaches in all.
-    pub fn broken(&self) -> u64 {
+    pub fn breach_count(&self) -> u64 {
         self.breaches.values().sum()
     }
 }
@@ -241,7 +256,7 @@
             steps: Vec::new(),
             all_came: Vec::new(),
             step_length: scenario.step.0,
-            hosts: scenario.sizes().1 as usize,
+            hosts: scenario.process_counts().1 as usize,
             multiple,
             log_lines: 0,
         }
@@ -268,9 +283,9 @@
     pub fn sent(&mut self, attempt: u32, crosses: bool, host: u32) {
         let counts = &mut self.step.counts;
         counts.attempts += 1;
-        counts.repeats += u64::from(attempt > 0);
-        counts.crossings += u64::from(crosses);
-        let (hosts, host) = (&mut self.step.hosts, host as usize);
+        counts.retries += u64::from(attempt > 0);
+        counts.cross_zone_attempts += u64::from(crosses);
+        let (hosts, host) = (&mut self.step.attempts_by_host, host as usize);
         if hosts.len() <= host {
             hosts.resize(self.hosts.max(host + 1), 0);
         }
@@ -315,21 +330,25 @@
     pub fn log_line(&mut self, line: &str) {
         self.log_lines += 1;
         let topic = line.split(' ').next().unwrap_or_default();
-        *self.step.lines.entry(topic.to_owned()).or_default() += 1;
+        *self
+            .step
+            .log_lines_by_topic
+            .entry(topic.to_owned())
+            .or_default() += 1;
     }
 
     /// A step of the timeline ends: what each tier can do, and what is open.
     pub fn step(&mut self, now: Time, speed: &[f64], requests: usize, attempts: usize) {
         let mut step = std::mem::take(&mut self.step);
-        step.until = now as f64 / 1e9;
+        step.end_seconds = now as f64 / 1e9;
         let ms = |part: f64| self.step_latency.value_at_quantile(part) as f64 / 1e3;
         (step.p50_ms, step.p99_ms) = (ms(0.5), ms(0.99));
         let recorded = self.step_latency.iter_recorded();
-        step.latencies = recorded
+        step.latency_histogram_us = recorded
             .map(|value| (value.value_iterated_to(), value.count_at_value()))
             .collect();
-        step.speed = speed.to_vec();
-        step.open = (requests as u64, attempts as u64);
+        step.tier_capacity_workers = speed.to_vec();
+        step.open_requests_and_attempts = (requests as u64, attempts as u64);
         self.step_latency.reset();
         self.steps.push(step);
         self.all_came.push(std::mem::replace(
@@ -379,7 +398,7 @@
     fn capacity_of_step(&self, at: usize) -> f64 {
         let step = &self.steps[at.min(self.steps.len() - 1)];
         let least = step
-            .speed
+            .tier_capacity_workers
             .iter()
             .zip(&self.multiple)
             .filter(|(_, multiple)| **multiple > 0.0)
@@ -449,14 +468,14 @@
         for step in &self.steps {
             all.requests += step.counts.requests;
             all.attempts += step.counts.attempts;
-            all.repeats += step.counts.repeats;
-            all.crossings += step.counts.crossings;
+            all.retries += step.counts.retries;
+            all.cross_zone_attempts += step.counts.cross_zone_attempts;
         }
         let part = |value: f64, of: f64| if of > 0.0 { value / of } else { 1.0 };
         let ms = |part: f64| self.latency.value_at_quantile(part) as f64 / 1e3;
         RunResult {
-            served: part(all.value, all.value_offered),
-            bound: part(bound, all.value_offered).min(1.0),
+            served_value_fraction: part(all.value, all.value_offered),
+            fluid_bound: part(bound, all.value_offered).min(1.0),
             score: part(all.value, bound.min(all.value_offered)),
             latency: Latencies {
                 mean: self.took / (all.on_time + all.late).max(1) as f64 / 1e6,
@@ -472,12 +491,12 @@
             log_lines: self.log_lines,
             events,
             counts: all,
-            prices: Vec::new(),
+            costs: Vec::new(),
             bounds: Vec::new(),
             members: None,
-            evacuated: None,
-            steps: self.steps,
-            story,
+            evacuation: None,
+            timeline: self.steps,
+            call_trace: story,
         }
     }
 }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn handle_input(&mut self, at: usize, input: Input<'_, Ticket, ()>) {
         let local = self.balancers[at].local(self.event_queue.now());
         self.balancers[at].agent.handle(local, input);
@@ -59,9 +59,12 @@
     }
 
     pub(super) fn stalled_most(&self) -> Time {
-        let longest = |fault: &Fault| match fault.what {
-            FaultKind::Stall => {
-                fault.until.map_or(self.scenario.time.0, |until| until.0) - fault.at.0
+        let longest = |fault: &Fault| match fault.kind {
+            FaultKind::PauseBalancers => {
+                fault
+                    .until
+                    .map_or(self.scenario.duration.0, |until| until.0)
+                    - fault.at.0
             }
             _ => 0,
         };
@@ -147,7 +150,7 @@
 
     /// Whether a balancer may open one more connection, if need be after closing the one idle for longest.
     pub(super) fn may_open(&mut self, at: usize) -> bool {
-        let most = self.scenario.limits.sockets;
+        let most = self.scenario.limits.max_connections;
         if most == 0 || self.scenario.limits.http2 || self.balancers[at].open < most {
             return true;
         }
@@ -189,7 +192,7 @@
             .scenario
             .fault
             .iter()
-            .filter(move |fault| fault.is_in_force(now));
+            .filter(move |fault| fault.is_active(now));
         in_force.filter_map(move |fault| fault.link(from, into))
     }
 
@@ -211,9 +214,9 @@
         let (network, upstream) = (&self.scenario.network, &self.upstreams[upstream]);
         let balancer = &mut self.balancers[at];
         let base = if balancer.zone == upstream.zone {
-            network.within
+            network.within_zone
         } else {
-            network.across
+            network.between_zones
         };
         let jitter = 1.0 + network.jitter * balancer.network.random::<f64>();
         (base.0 as f64 * jitter * upstream.active_faults.delay_factor) as Time + more
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn plan_arrival(&mut self, group: usize) {
         let load = &self.scenario.callers[group].load;
-        let most = load.most();
+        let most = load.max_rate();
         if most <= 0.0 {
             return;
         }
         // A process whose rate changes is thinned out of one at the highest rate.
         let mut at = self.event_queue.now();
         loop {
-            at = at.saturating_add(gap(&mut self.arrival_rngs[group], most));
-            if at >= self.scenario.time.0 {
+            at = at.saturating_add(exponential_gap(&mut self.arrival_rngs[group], most));
+            if at >= self.scenario.duration.0 {
                 return;
             }
             if chance(&mut self.arrival_rngs[group], load.rate(at) / most) {
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn closed_loop_call(&mut self, group: usize) {
-        if self.event_queue.now() < self.scenario.time.0 {
+        if self.event_queue.now() < self.scenario.duration.0 {
             self.start_call(group, true);
         }
     }
@@ -160,7 +160,10 @@
             || self.behavior_rngs[group].random_range(..zones),
             usize::from,
         );
-        let (mut connection, fresh) = self.front.as_mut()?.take(zone, now, &mut self.front_rng)?;
+        let (mut connection, fresh) =
+            self.front
+                .as_mut()?
+                .acquire(zone, now, &mut self.front_rng)?;
         let at = connection.balancer as usize;
         let there = &self.balancers[at];
         if fresh {
@@ -195,7 +198,7 @@
             let now = self.event_queue.now();
             self.front
                 .iter_mut()
-                .for_each(|front| front.give_back(connection, now));
+                .for_each(|front| front.release(connection, now));
         }
     }
 
@@ -283,7 +286,7 @@
             || self.scenario.class[call.class].effect != CallEffect::Unsafe;
         let callers = &self.scenario.callers[group];
         let rng = &mut self.behavior_rngs[group];
-        let wait = callers.again.wait(call.tries, || rng.random::<f64>());
+        let wait = callers.retries.delay(call.tries, || rng.random::<f64>());
         let retry_after = match result {
             CallResult::Rejected(after) if chance(rng, callers.honors_retry_after) => *after,
             _ => 0,
@@ -306,7 +309,7 @@
     fn plan_closed_loop_call(&mut self, group: usize) {
         if let Load::Closed { think, .. } = self.scenario.callers[group].load {
             let rate = 1e9 / (think.0.max(1)) as f64;
-            let wait = gap(&mut self.behavior_rngs[group], rate);
+            let wait = exponential_gap(&mut self.behavior_rngs[group], rate);
             let event = Event::ClosedLoopCall(group as u32);
             self.event_queue.after(wait, event);
         }
--- a/crates/emulator/tests/evacuation.rs
+++ b/crates/emulator/tests/evacuation.rs
@@ -15,9 +15,9 @@
 
 fn kept(name: &str, seed: u64) -> RunResult {
     let end = played(name, seed);
-    assert_eq!(end.broken(), 0, "{name}: {:?}", end.first_breaches);
+    assert_eq!(end.breach_count(), 0, "{name}: {:?}", end.first_breaches);
     assert!(
-        end.bounds.iter().all(|bound| bound.kept),
+        end.bounds.iter().all(|bound| bound.is_met),
         "{name}, seed {seed}: {:?}",
         end.bounds
     );
@@ -89,7 +89,7 @@
     let seeds = std::env::var("WOADSTALL_SEEDS").ok();
     let seeds = seeds.and_then(|seeds| seeds.parse().ok());
     let scenario = Scenario {
-        time: Span(25_000_000_000),
+        duration: Span(25_000_000_000),
         ..read("all-slow")
     };
     let result = |seed| serde_json::to_string(&run(&scenario, Policy::Woadstall, seed)).unwrap();
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -6,7 +6,7 @@
 
 use common::small;
 use std::path::Path;
-use woadstall_emulator::{Scenario, World};
+use woadstall_emulator::{Scenario, Simulation};
 
 const SECOND: u64 = 1_000_000_000;
 /// The request whose story is part of a result.
@@ -23,7 +23,7 @@
 /// Runs the scenario under the policy and compares its result with the digest of that name.
 #[track_caller]
 fn assert_golden(name: &str, scenario: &Scenario, policy: &str, seed: u64) {
-    let mut world = World::new(scenario, policy.parse().unwrap(), seed);
+    let mut world = Simulation::new(scenario, policy.parse().unwrap(), seed);
     world.follow(FOLLOWED);
     let json = serde_json::to_string(&world.run()).unwrap();
     let seen = format!("{name} {:016x} {}", fnv1a(json.as_bytes()), json.len());
@@ -39,7 +39,7 @@
         .join("../../scenarios")
         .join(file);
     let mut scenario = Scenario::read(&std::fs::read_to_string(path).unwrap()).unwrap();
-    scenario.time.0 = scenario.time.0.min(seconds * SECOND);
+    scenario.duration.0 = scenario.duration.0.min(seconds * SECOND);
     scenario
 }
 
@@ -145,13 +145,13 @@
 #[test]
 fn limits_of_balancers_are_unchanged() {
     let mut sockets = small("");
-    sockets.limits.sockets = 2;
+    sockets.limits.max_connections = 2;
     assert_golden("sockets", &sockets, "woadstall", 8);
     let mut http2 = with_fault("what = { kill = {} }");
     http2.limits.http2 = true;
     assert_golden("http2", &http2, "woadstall", 8);
     let mut clocks = with_fault("what = { kill = {} }");
-    (clocks.clocks.offset.0, clocks.clocks.drift) = (SECOND, 0.001);
+    (clocks.clocks.max_offset.0, clocks.clocks.max_drift) = (SECOND, 0.001);
     assert_golden("clocks", &clocks, "woadstall", 8);
 }
 
--- a/crates/load-test/src/schedule.rs
+++ b/crates/load-test/src/schedule.rs
@@ -50,7 +50,7 @@
 
     /// The length of a fault, in nanoseconds.
     fn length(&self, fault: &Fault) -> u64 {
-        fault.until.unwrap_or(self.scenario.time).0 - fault.at.0
+        fault.until.unwrap_or(self.scenario.duration).0 - fault.at.0
     }
 
     /// Waits until discovery has noticed what died with a fault's begin, or until the fault is over.
@@ -71,11 +71,11 @@
 
     /// Waits until a draining upstream has had its time.
     pub async fn drain(&self) {
-        sleep(Duration::from_nanos(self.scenario.longest().0) + DRAIN_MARGIN).await;
+        sleep(Duration::from_nanos(self.scenario.longest_deadline().0) + DRAIN_MARGIN).await;
     }
 }
 
 /// Waits for work that upstreams may still do though it was given up on: its effects count against the rules as well.
 pub async fn wait_for_delayed_effects(scenario: &Scenario) {
-    sleep(Duration::from_nanos(scenario.longest().0).min(MAX_EFFECT_DELAY)).await;
+    sleep(Duration::from_nanos(scenario.longest_deadline().0).min(MAX_EFFECT_DELAY)).await;
 }
