--- a/crates/runtime/src/attempt.rs
+++ b/crates/runtime/src/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt as a transport makes it, and whether it may still begin.
+//! The handle through which a transport asks whether an attempt may still be sent.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 use woadstall_engine::Peer;
 
-/// An attempt at an upstream. Connecting may take its time, and what held when the attempt was decided on may no longer
-/// hold afterwards: [`Attempt::begin`] tells.
+/// An attempt at an upstream. While the connection is established, the caller may disconnect or the deadline may pass.
+/// [`Attempt::begin`] therefore checks again whether the attempt may be sent.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     peer: Peer,
@@ -17,7 +17,8 @@
 }
 
 impl Attempt {
-    /// An attempt for a caller that waits until `deadline`, whose first byte must be written before `begin_by`.
+    /// Creates an attempt for a caller that waits until `deadline`. The first byte of the attempt must be written
+    /// before `begin_by`; `None` sets no such limit.
     pub fn new(peer: Peer, deadline: Instant, begin_by: Option<Instant>) -> Self {
         Self {
             peer,
@@ -27,13 +28,13 @@
         }
     }
 
-    /// The process of the upstream that it goes to.
+    /// The upstream process that receives the attempt.
     pub fn peer(&self) -> Peer {
         self.peer
     }
 
-    /// To be called right before the first byte is written. Returns how long the caller still waits; `None` means that
-    /// nothing may be written, and that the attempt ends as `Outcome::Moot`.
+    /// Must be called immediately before the first byte is written. Returns the time left until the caller's deadline.
+    /// After `None`, nothing may be written, and the attempt ends with `Outcome::Moot`.
     pub fn begin(&self) -> Option<Duration> {
         let now = Instant::now();
         let time_left = self.deadline.saturating_duration_since(now);
@@ -42,7 +43,8 @@
         may_begin.then_some(time_left)
     }
 
-    /// Revokes the permission to begin. Returns whether the attempt had not begun: nothing of it is written then.
+    /// Revokes the permission to begin. Returns `true` if the attempt had not begun: no byte of the attempt is written
+    /// from then on.
     pub(crate) fn revoke(&self) -> bool {
         self.permission.revoke()
     }
@@ -52,29 +54,30 @@
 const BEGUN: u8 = 1;
 const REVOKED: u8 = 2;
 
-/// Whether the first byte of an attempt may be written, or was.
+/// Records whether an attempt is pending, has begun or was revoked.
 #[derive(Debug, Default)]
 struct BeginPermission(AtomicU8);
 
 impl BeginPermission {
-    /// Whether the attempt begins now, or had begun.
+    /// Marks the attempt as begun. Returns `false` if the permission was revoked before.
     fn begin(&self) -> bool {
         self.leave_pending_for(BEGUN)
     }
 
-    /// Whether the permission is revoked now, or was.
+    /// Marks the permission as revoked. Returns `false` if the attempt had begun before.
     fn revoke(&self) -> bool {
         self.leave_pending_for(REVOKED)
     }
 
-    /// Whether the state is `next` afterwards. It only ever leaves the first one.
+    /// Moves from `PENDING` to `next`, and returns whether the state is `next` afterwards. `BEGUN` and `REVOKED` are
+    /// final.
     fn leave_pending_for(&self, next: u8) -> bool {
         match self
             .0
             .compare_exchange(PENDING, next, Ordering::AcqRel, Ordering::Acquire)
         {
             Ok(_) => true,
-            Err(present) => present == next,
+            Err(current) => current == next,
         }
     }
 }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,10 +1,11 @@
-//! The clock of the decision module.
+//! The monotonic clock that supplies the engine's timestamps.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 use woadstall_engine::Time;
 
-/// Unix time in nanoseconds, which an upstream's start can be given in, but never set back.
+/// A clock of Unix time in nanoseconds, the unit in which an upstream's start time can be given. The system time is
+/// read once, at creation; the clock then advances monotonically and ignores adjustments of the system time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -24,17 +25,18 @@
 }
 
 impl Clock {
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.time(Instant::now())
     }
 
-    /// The time at an instant.
+    /// Converts an instant to Unix time in nanoseconds. An instant before the clock's creation yields the creation
+    /// time.
     pub fn time(&self, at: Instant) -> Time {
         self.start_unix + at.saturating_duration_since(self.start).as_nanos() as Time
     }
 
-    /// The instant of a time.
+    /// Converts Unix time in nanoseconds to an instant. A time before the clock's creation yields the creation instant.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + Duration::from_nanos(time.saturating_sub(self.start_unix))
     }
--- a/crates/runtime/src/command_queue.rs
+++ b/crates/runtime/src/command_queue.rs
@@ -1,22 +1,22 @@
-//! What the engine wants of a call, queued for the call's own task.
+//! Queues of engine commands, each read by the task of one call.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 use woadstall_engine::{CallResult, SendAttempt};
 
-/// What a call is to do.
+/// A command from the engine to one call.
 #[derive(Debug)]
 pub(crate) enum CallCommand {
-    /// Make an attempt.
+    /// Starts an attempt.
     SendAttempt(SendAttempt),
-    /// Cancel the attempt of a number.
+    /// Cancels the attempt with this number.
     CancelAttempt(u32),
-    /// Return the result. The response itself is with the call, whose own attempt received it.
+    /// Returns the result to the caller. The call's task already holds the response, so the command carries none.
     Respond(CallResult<()>),
 }
 
-/// The commands for one call.
+/// The pending commands of one call.
 #[derive(Debug, Default)]
 pub(crate) struct CommandQueue(Mutex<Queue>);
 
@@ -54,7 +54,7 @@
         Poll::Pending
     }
 
-    /// All commands that were not taken.
+    /// Removes and returns all commands that have not been polled.
     pub fn take_all(&self) -> VecDeque<CallCommand> {
         std::mem::take(&mut self.lock().commands)
     }
--- a/crates/runtime/src/discovery_status.rs
+++ b/crates/runtime/src/discovery_status.rs
@@ -1,20 +1,21 @@
-//! How discovery fares: the age of the list, and the calls that failed.
+//! The age of the endpoint list and the number of failed discovery calls.
 
 use crate::Clock;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use woadstall_engine::Time;
 
-/// How discovery fares at present.
+/// A snapshot of discovery's condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryStatus {
-    /// Time since discovery last answered, with changes or without; since the start, if it never has.
+    /// Time since discovery last responded, with or without changes. Before the first response, the time since the load
+    /// balancer's start.
     pub list_age: Duration,
-    /// Calls that failed, since the start.
+    /// Number of failed discovery calls since the load balancer's start.
     pub failed_calls: u64,
 }
 
-/// Counts what the watch on discovery reports.
+/// Records responses and failed calls of the discovery watch.
 #[derive(Debug)]
 pub(crate) struct DiscoveryCounts {
     clock: Clock,
@@ -23,7 +24,7 @@
 }
 
 impl DiscoveryCounts {
-    /// Counts from now on.
+    /// Creates counters without failures; the age of the list starts at zero.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
@@ -32,17 +33,16 @@
         }
     }
 
-    /// Discovery has responded.
+    /// Records a response from discovery.
     pub fn count_response(&self) {
         self.responded_at.store(self.clock.now(), Ordering::Relaxed);
     }
 
-    /// A call has failed.
+    /// Records a failed call.
     pub fn count_failure(&self) {
         self.failed_calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The present status.
     pub fn status(&self) -> DiscoveryStatus {
         let responded_at: Time = self.responded_at.load(Ordering::Relaxed);
         DiscoveryStatus {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,12 +1,13 @@
-//! The engine on tokio, as the daemon and the plug-in both use it.
+//! Runs the engine on tokio, for the daemon and for the tower plug-in.
 //!
-//! A [`LoadBalancer`] holds the engine behind a mutex that is never held across an await. A call drives its own attempts
-//! in its own task: it passes the call to the engine, makes each attempt through a [`Transport`], reports how that ended,
-//! and so on until there is a result. Nothing is spawned for it. One task of the load balancer runs the timers, another
-//! watches discovery; both end with its last clone.
+//! A [`LoadBalancer`] holds the engine behind a mutex that is never held across an await. Each call drives its attempts
+//! in the caller's task: the call is passed to the engine, each attempt is made through a [`Transport`], and the
+//! outcome of each attempt is reported to the engine, until the engine returns a result. No task is spawned per call.
+//! Each load balancer has one task for timers and one for the discovery watch; both tasks end when the last clone is
+//! dropped.
 //!
-//! A call that is dropped cancels its attempt at once, in the same drop. Where the settings forbid that, the attempt is
-//! left to finish in a task of its own, so that its end is still learned.
+//! Dropping a call cancels its running attempt immediately. If the settings forbid cancellation, the attempt continues
+//! in a separate task, so that the engine still learns the outcome.
 
 mod attempt;
 mod clock;
--- a/crates/runtime/src/load_balancer.rs
+++ b/crates/runtime/src/load_balancer.rs
@@ -1,4 +1,4 @@
-//! The load balancer as fronts use it.
+//! The load balancer's public interface, used by the daemon and the plug-in.
 
 use crate::command_queue::CommandQueue;
 use crate::discovery_status::{DiscoveryCounts, DiscoveryStatus};
@@ -21,35 +21,35 @@
 };
 use woadstall_settings::{Names, SettingsChange};
 
-/// What a load balancer starts with.
+/// The configuration of a new load balancer.
 #[derive(Clone, Debug)]
 pub struct LoadBalancerConfig {
-    /// The settings of its decisions.
+    /// The engine's settings.
     pub settings: Settings,
-    /// Their names.
+    /// The names of classes, tenants and zones in the settings.
     pub names: Names,
-    /// Seed of its random numbers: another for each instance, and with each start.
+    /// Seed of the random numbers. Must differ between instances and between starts.
     pub seed: u64,
-    /// The list of upstreams as it is known already; it may be old.
+    /// The list of upstreams known at the start, possibly out of date.
     pub known_endpoints: EndpointList,
 }
 
-/// What a call asks for.
+/// The parameters of one call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallParameters {
-    /// Its class, as a position in the settings.
+    /// Index of the call's class in the settings.
     pub class: usize,
-    /// Its tenant, as a position in the settings.
+    /// Index of the call's tenant in the settings.
     pub tenant: usize,
-    /// Its work in nanoseconds, where the caller has an estimate.
+    /// Estimated amount of work in nanoseconds, or `None` if the caller has no estimate.
     pub work: Option<u64>,
-    /// When its caller stops waiting.
+    /// The instant at which the caller stops waiting.
     pub deadline: Instant,
-    /// Most attempts for it; 1 where it cannot be sent again.
+    /// Maximum number of attempts; 1 for a request that cannot be sent again.
     pub max_attempts: u32,
 }
 
-/// Ends the tasks of a load balancer with its last clone.
+/// The background tasks of a load balancer. They are aborted when the last clone is dropped.
 struct Tasks(Mutex<Vec<AbortHandle>>);
 
 impl Tasks {
@@ -68,13 +68,13 @@
     }
 }
 
-/// What a watch on discovery needs, until there is one.
+/// The arguments of the discovery watch, kept until the watch is started.
 struct UnstartedWatch {
     config: WatchConfig,
     subscriptions: UnboundedReceiver<()>,
 }
 
-/// See the crate's documentation. Clones share everything.
+/// A handle to a load balancer, described in the crate's documentation. Clones share all state.
 pub struct LoadBalancer<T> {
     shared: Arc<Shared<T>>,
     tasks: Arc<Tasks>,
@@ -92,11 +92,11 @@
 }
 
 impl<T: Transport> LoadBalancer<T> {
-    /// A load balancer that knows the upstreams of its configuration, on the runtime that this is called in.
+    /// Starts a load balancer on the current tokio runtime with the upstreams of its configuration.
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense, and outside a tokio runtime.
+    /// Fails if the settings are invalid, or if called outside a tokio runtime.
     pub fn new(config: LoadBalancerConfig, transport: T, log: LogSink) -> Result<Self, StartError> {
         let LoadBalancerConfig {
             settings,
@@ -142,8 +142,8 @@
         })
     }
 
-    /// Watches discovery at an address that may change, from the list that is known on. Only the first call of this has
-    /// an effect.
+    /// Starts the discovery watch at the latest address of `addresses`, beginning with the revision of the known list.
+    /// Only the first invocation has an effect.
     pub fn watch_discovery(&self, addresses: watch::Receiver<SocketAddr>) {
         let watch = self
             .unstarted_watch
@@ -166,36 +166,36 @@
         self.tasks.push(tokio::spawn(watch).abort_handle());
     }
 
-    /// Takes a list of upstreams: all of them, or those that changed.
+    /// Updates the upstreams from a complete or an incremental list.
     pub fn list(&self, list: &EndpointList) {
         self.shared.on_list(list);
     }
 
-    /// Turns true once there is an upstream that takes requests.
+    /// Returns a channel whose value becomes `true`, and stays so, once an upstream accepts requests.
     pub fn ready(&self) -> watch::Receiver<bool> {
         self.shared.ready.subscribe()
     }
 
-    /// The names in the settings.
+    /// The names of classes, tenants and zones in the settings.
     pub fn names(&self) -> &Names {
         &self.shared.names
     }
 
-    /// The connections to upstreams.
+    /// The transport that holds the connections to upstreams.
     pub fn transport(&self) -> &T {
         &self.shared.transport
     }
 
-    /// How many calls have no result yet, or have attempts in flight.
+    /// Number of calls that have no result yet or still have attempts in flight.
     pub fn open(&self) -> usize {
         self.shared.lock().engine.open_call_count()
     }
 
-    /// Takes new settings, see [`Engine::reconfigure`].
+    /// Applies new settings; see [`Engine::reconfigure`].
     ///
     /// # Errors
     ///
-    /// Fails if the settings make no sense; nothing has changed then.
+    /// Fails if the settings are invalid; the previous settings then stay in effect.
     pub fn reconfigure(&self, change: SettingsChange) -> Result<(), ReconfigureError> {
         let SettingsChange {
             settings,
@@ -208,7 +208,7 @@
             .map_err(ReconfigureError)
     }
 
-    /// What a process that takes over should know, and the names of the upstreams in it.
+    /// Returns the learned state to transfer to a successor process, and the names of the upstreams by server id.
     pub fn learned(&self) -> (LearnedState, HashMap<ServerId, String>) {
         let state = self.shared.lock();
         let ids = state.engine.upstream_ids().iter();
@@ -216,7 +216,8 @@
         (state.engine.learned_state(), names)
     }
 
-    /// Takes what a predecessor has learned of the upstreams that are listed here, by their names.
+    /// Restores the state that a predecessor process has learned. `learned` receives the ids of the listed upstreams by
+    /// name.
     pub fn learn_from(&self, learned: impl FnOnce(&BTreeMap<String, ServerId>) -> LearnedState) {
         let mut state = self.shared.lock();
         let learned = learned(state.engine.upstream_ids());
@@ -225,13 +226,13 @@
             .restore_learned_state(self.shared.clock.now(), &learned);
     }
 
-    /// Keeps the ends of attempts from now on, to be taken by [`LoadBalancer::observations`].
+    /// Starts recording completed attempts, which [`LoadBalancer::observations`] returns.
     pub fn observe(&self) {
         self.shared.lock().engine.record_attempts();
     }
 
-    /// What has happened since the last call of this. With the list, if it has changed another number of times than
-    /// `known_changes`.
+    /// Returns the attempts completed since the previous invocation and the attempts in flight. The list of upstreams
+    /// is included if its change count differs from `known_changes`.
     pub fn observations(&self, known_changes: u64) -> Observations {
         let mut state = self.shared.lock();
         let ended = state.engine.take_attempt_records();
@@ -249,14 +250,14 @@
         }
     }
 
-    /// Passes to the module what the fleet has found, as of the time on its clock.
+    /// Passes the fleet's health verdicts to the engine. `verdicts` receives the current time of the engine's clock.
     pub fn apply_verdicts(&self, verdicts: impl FnOnce(Time) -> Vec<HealthVerdict>) {
         let verdicts = verdicts(self.shared.clock.now());
         self.shared
             .handle(&mut self.shared.lock(), Input::HealthVerdicts(&verdicts));
     }
 
-    /// How many upstreams are listed, and how many of them are ejected.
+    /// Returns the number of listed upstreams and the number of ejected upstreams.
     pub fn upstreams(&self) -> (usize, usize) {
         let state = self.shared.lock();
         (
@@ -265,12 +266,12 @@
         )
     }
 
-    /// How discovery fares.
+    /// Returns the age of the endpoint list and the number of failed discovery calls.
     pub fn discovery(&self) -> DiscoveryStatus {
         self.shared.discovery.status()
     }
 
-    /// Makes a call. Dropping the future means that its caller has disconnected.
+    /// Makes a call. Dropping the future signals that the caller has disconnected.
     pub async fn call(
         &self,
         parameters: CallParameters,
@@ -283,7 +284,7 @@
             .await
     }
 
-    /// Passes a call to the engine, under a number that is free.
+    /// Passes a call to the engine under an unused id.
     fn take_call(&self, parameters: CallParameters, commands: Arc<CommandQueue>) -> RequestId {
         let CallParameters {
             class,
--- a/crates/runtime/src/observations.rs
+++ b/crates/runtime/src/observations.rs
@@ -1,20 +1,20 @@
-//! What others observe of a load balancer: the evidence of a fleet's health.
+//! Observations of a load balancer's attempts and upstreams, from which the fleet's health is assessed.
 
 use woadstall_engine::decisions::ZoneId;
 use woadstall_engine::{AttemptInFlight, AttemptRecord, ListedUpstream, ServerId};
 
-/// An upstream that is listed.
+/// A listed upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Its number.
+    /// The upstream's id in this load balancer.
     pub server: ServerId,
-    /// Its name.
+    /// The upstream's name in discovery, stable across restarts.
     pub name: String,
-    /// When its process started, Unix time in milliseconds.
+    /// Start time of the upstream process, in Unix milliseconds.
     pub boot_ms: u64,
-    /// Its zone.
+    /// The zone that the upstream belongs to.
     pub zone: ZoneId,
-    /// Its capacity relative to that of others, if it takes requests.
+    /// Capacity relative to other upstreams; `None` if the upstream accepts no requests.
     pub size: Option<f32>,
 }
 
@@ -30,13 +30,13 @@
     }
 }
 
-/// What has happened since the last observation.
+/// Attempts and list changes since the previous observation.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// Attempts that have ended.
+    /// Attempts completed since the previous observation.
     pub ended: Vec<AttemptRecord>,
-    /// Attempts that are in flight.
+    /// Attempts in flight at the time of the observation.
     pub in_flight: Vec<AttemptInFlight>,
-    /// How often the list of upstreams had changed and all of it, where it has changed since.
+    /// The list's change count and all listed upstreams; `None` if the count equals the caller's.
     pub listed: Option<(u64, Vec<Upstream>)>,
 }
--- a/crates/runtime/src/pending_call.rs
+++ b/crates/runtime/src/pending_call.rs
@@ -1,4 +1,4 @@
-//! A call that drives its own attempts.
+//! The state machine of one call, run in the caller's task.
 
 use crate::command_queue::{CallCommand, CommandQueue};
 use crate::response_tail::EndSink;
@@ -13,44 +13,45 @@
 
 type BoxedAttempt<R> = Pin<Box<dyn Future<Output = AttemptProgress<R>> + Send>>;
 
-/// Makes a response of the tail that reports its end.
+/// Builds the response from the [`ResponseTail`] that reports the response's end.
 type MakeResponse<R> = Box<dyn FnOnce(ResponseTail) -> R + Send>;
 
-/// An attempt that is in flight.
+/// An attempt in flight.
 struct RunningAttempt<R> {
     number: u32,
     attempt: Attempt,
     future: BoxedAttempt<R>,
 }
 
-/// The response that a call's own attempt has received.
+/// A response received by one of the call's attempts.
 enum ReceivedResponse<R> {
-    /// All of it.
+    /// The complete response.
     Complete(R),
-    /// It has started, at the attempt of a number.
+    /// A response that has started, with the number of its attempt.
     Started(u32, MakeResponse<R>),
 }
 
-/// What a call waits for.
+/// An event that wakes up a call.
 enum CallEvent<R> {
     Command(CallCommand),
     Progress(AttemptProgress<R>),
 }
 
-/// A call and the attempt that it has in flight.
+/// A call without a result, with at most one attempt in flight.
 pub(crate) struct PendingCall<T: Transport> {
     shared: Arc<Shared<T>>,
     id: RequestId,
     commands: Arc<CommandQueue>,
     request: T::Request,
     running: Option<RunningAttempt<T::Response>>,
-    /// The attempt whose response has started, until that is handed over: its end is this call's to report.
+    /// Number of the attempt whose response has started. Until the response is handed over to the caller, the call
+    /// itself reports the attempt's end.
     started: Option<u32>,
     has_result: bool,
 }
 
 impl<T: Transport> PendingCall<T> {
-    /// A call that the engine has taken.
+    /// Creates the state of a call that has been passed to the engine.
     pub fn new(
         shared: Arc<Shared<T>>,
         id: RequestId,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Does what the engine says until there is a result.
+    /// Executes the engine's commands until the call has a result.
     pub async fn drive(mut self) -> CallResult<T::Response> {
         let mut received = None;
         loop {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Commands come first.
+    /// Returns the next event. Queued commands take precedence over progress of the attempt.
     async fn next_event(&mut self) -> CallEvent<T::Response> {
         poll_fn(|cx| {
             if let Poll::Ready(command) = self.commands.poll_next(cx) {
@@ -106,7 +107,8 @@
         .await
     }
 
-    /// Reports how far the attempt has come, and returns what response it has received. `None` if there is no attempt.
+    /// Reports progress of the running attempt to the engine and returns the response received, if any. The outer
+    /// `Option` is `None` if no attempt is running.
     fn on_progress(
         &mut self,
         progress: AttemptProgress<T::Response>,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// The result for the caller, with the response that was received.
+    /// Combines the engine's result with the received response.
     fn finish(
         &mut self,
         result: CallResult<()>,
@@ -153,7 +155,7 @@
                 CallResult::Served(response)
             }
             (CallResult::Served(()), Some(ReceivedResponse::Started(attempt, make))) => {
-                self.started = None; // its end is the tail's to report from here on
+                self.started = None; // from here on, the tail reports the attempt's end
                 let sink: Arc<dyn EndSink> = self.shared.clone();
                 CallResult::Served(make(ResponseTail::new(sink, self.id, attempt)))
             }
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Makes an attempt, unless its upstream was listed as draining or gone since it was decided on.
+    /// Starts an attempt, unless discovery has listed the upstream as draining or removed since the engine chose it.
     fn start(&mut self, send: &SendAttempt) {
         if !self.shared.lock().engine.accepts_new_attempts(&send.to) {
             return self
@@ -182,7 +184,7 @@
         });
     }
 
-    /// Cancels an attempt, and reports whether it can have run.
+    /// Cancels an attempt. The reported outcome tells whether the upstream may have executed the request.
     fn cancel(&self, running: RunningAttempt<T::Response>) {
         let never_began = running.attempt.revoke();
         let outcome = if never_began {
@@ -195,7 +197,7 @@
             .attempt_ended(self.id, running.number, outcome.into());
     }
 
-    /// Leaves an attempt to finish in a task of its own, so that its end is still learned.
+    /// Lets an attempt finish in a separate task, so that the engine still learns the outcome.
     fn detach(&self, running: RunningAttempt<T::Response>) {
         let (shared, id, attempt) = (self.shared.clone(), self.id, running.number);
         self.shared.runtime.spawn(async move {
@@ -212,7 +214,8 @@
     }
 }
 
-/// An attempt that is given up at a time. One that has not begun by then never ran.
+/// Ends an attempt at `until`. An attempt that has not begun by then counts as a failed connect, since the upstream
+/// never received the request.
 async fn with_time_limit<R>(
     until: Instant,
     attempt: Attempt,
@@ -230,7 +233,8 @@
 }
 
 impl<T: Transport> Drop for PendingCall<T> {
-    /// The caller has disconnected, or has its result: what is in flight is cancelled, and what was to be sent is not.
+    /// Runs when the caller has disconnected or has received the result: attempts in flight are cancelled, and queued
+    /// attempts are not sent.
     fn drop(&mut self) {
         let commands = self.commands.take_all();
         let running = self.running.take();
@@ -249,7 +253,8 @@
                 .attempt_ended(self.id, attempt, Outcome::Cancelled.into());
         }
         let Some(running) = running else { return };
-        // What has not begun must not begin for a caller that has disconnected, as while it still connects.
+        // An attempt that has not begun, for example while its connection is being established, must not be sent for a
+        // caller that has disconnected.
         if self.shared.may_cancel || running.attempt.revoke() {
             self.cancel(running);
         } else {
--- a/crates/runtime/src/response_tail.rs
+++ b/crates/runtime/src/response_tail.rs
@@ -1,11 +1,11 @@
-//! The rest of a response that has started, and the report of its end.
+//! Reports the end of a response that is streamed to the caller.
 
 use crate::Transport;
 use crate::shared::Shared;
 use std::sync::Arc;
 use woadstall_engine::{Outcome, RequestId};
 
-/// Takes the ends of attempts whose responses are read elsewhere.
+/// Receives the outcomes of attempts whose responses are streamed outside the call's task.
 pub(crate) trait EndSink: Send + Sync {
     fn end(self: Arc<Self>, id: RequestId, attempt: u32, outcome: Outcome);
 }
@@ -16,8 +16,8 @@
     }
 }
 
-/// Reports the end of an attempt whose response has started, once. Dropped before, it reports that the attempt was
-/// cancelled.
+/// Reports the outcome of an attempt whose response has started, exactly once. If dropped before [`ResponseTail::end`],
+/// the attempt is reported as cancelled.
 pub struct ResponseTail {
     unreported: Option<(Arc<dyn EndSink>, RequestId, u32)>,
 }
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The response has ended so.
+    /// Reports the outcome of the completed or broken response.
     pub fn end(mut self, outcome: Outcome) {
         self.report(outcome);
     }
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -1,4 +1,4 @@
-//! The engine behind a mutex, and the execution of its commands.
+//! The engine behind a mutex, and the execution of the engine's commands.
 
 use crate::command_queue::{CallCommand, CommandQueue};
 use crate::discovery_status::DiscoveryCounts;
@@ -16,27 +16,27 @@
 };
 use woadstall_settings::Names;
 
-/// Timers fire together at steps of this. Each call sets one, and few are of any use once they fire: to wake a thread for
-/// each costs more than the whole rest of the decisions.
+/// Resolution of the timers: timers that are due within one step fire together. Each call sets a timer, and few timers
+/// still matter when they fire. Waking up a thread for each timer costs more than all other decision work.
 pub(crate) const TIMER_STEP: Duration = Duration::from_millis(4);
 
-/// How long a probe may take.
+/// Time limit of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Where lines of the log go.
+/// Receives log lines.
 pub type LogSink = Arc<dyn Fn(fmt::Arguments<'_>) + Send + Sync>;
 
-/// The engine, whose requests are the queues that calls take their commands from.
+/// The engine type of the runtime. Each request in the engine is the command queue of its call.
 pub(crate) type CallEngine = Engine<Arc<CommandQueue>, ()>;
 
-/// What the mutex guards.
+/// The state guarded by the mutex of [`Shared`].
 pub(crate) struct EngineState {
     pub engine: CallEngine,
-    /// Number of the next call.
+    /// Candidate for the id of the next call.
     next_id: u32,
-    /// When the timers wake up next.
+    /// Time at which the timer task wakes up next.
     pub planned_wake_up: Time,
-    /// A call came since the timers fired last.
+    /// Whether a call has arrived since the timers last fired.
     pub had_calls: bool,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A number that no open call has.
+    /// Returns an id that no open call uses.
     pub fn unused_id(&mut self) -> RequestId {
         loop {
             let id = RequestId(self.next_id);
@@ -62,17 +62,17 @@
     }
 }
 
-/// What calls, the timers and the watch on discovery share.
+/// State shared by calls, the timer task and the discovery watch.
 pub(crate) struct Shared<T> {
     pub state: Mutex<EngineState>,
     pub transport: T,
     pub clock: Clock,
     pub names: Names,
-    /// Attempts may be cancelled.
+    /// Whether the settings allow cancelling an attempt in flight.
     pub may_cancel: bool,
-    /// Asks for a watch on discovery.
+    /// Sends a request to open the discovery watch.
     pub subscribe: UnboundedSender<()>,
-    /// A timer is due before the planned wake-up.
+    /// Notifies the timer task of a timer that is due before the planned wake-up.
     pub earlier_timer: Notify,
     pub ready: watch::Sender<bool>,
     pub discovery: DiscoveryCounts,
@@ -85,7 +85,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes an input to the engine, and does what it says.
+    /// Passes an input to the engine and executes the resulting commands.
     pub fn handle(
         self: &Arc<Self>,
         state: &mut EngineState,
@@ -96,14 +96,15 @@
         self.plan_wake_up(state);
     }
 
-    /// Does what the engine says; what concerns a call is left for its own task.
+    /// Executes the engine's commands; commands for a call are queued for the call's task.
     fn execute_commands(self: &Arc<Self>, state: &mut EngineState) {
         let engine = &mut state.engine;
         while let Some(command) = engine.next_command() {
             match command {
                 Command::SendAttempt(send) => self.send_attempt(engine, send),
                 Command::CancelAttempt { id, attempt } => {
-                    // A call that has its result or is dropped cancels its attempt by itself.
+                    // The engine no longer knows a call that has its result or was dropped; such a call cancels its
+                    // own attempt.
                     if let Some(queue) = engine.request(id) {
                         queue.push(CallCommand::CancelAttempt(attempt));
                     }
@@ -132,7 +133,7 @@
         engine.handle(self.clock.now(), Input::AttemptEnded { id, attempt, end });
     }
 
-    /// Wakes the timers earlier than planned where one is due before.
+    /// Moves the planned wake-up forward if a timer is due earlier.
     fn plan_wake_up(&self, state: &mut EngineState) {
         let Some(due) = state
             .engine
@@ -159,7 +160,7 @@
         });
     }
 
-    /// Takes a list of upstreams.
+    /// Passes a list of upstreams to the engine.
     pub fn on_list(self: &Arc<Self>, list: &EndpointList) {
         let entries = list.entries(&self.names);
         let mut state = self.lock();
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Takes what the watch on discovery reports.
+    /// Handles an event of the discovery watch.
     pub fn on_watch_event(self: &Arc<Self>, event: WatchEvent) {
         match event {
             WatchEvent::List(list) => {
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Reports the end of an attempt to the engine.
+    /// Reports a completed attempt to the engine.
     pub fn attempt_ended(self: &Arc<Self>, id: RequestId, attempt: u32, end: AttemptEnd<()>) {
         self.handle(&mut self.lock(), Input::AttemptEnded { id, attempt, end });
     }
--- a/crates/runtime/src/timers.rs
+++ b/crates/runtime/src/timers.rs
@@ -7,10 +7,10 @@
 use tokio::time::{Instant, sleep_until};
 use woadstall_engine::{Input, Time};
 
-/// How often idle connections are swept.
+/// Interval between sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs the timers until the load balancer is gone.
+/// Runs the timers until the load balancer is dropped.
 pub(crate) async fn run_timers<T: Transport>(shared: Weak<Shared<T>>) {
     let mut sweep_at = Instant::now() + SWEEP_INTERVAL;
     loop {
@@ -30,16 +30,16 @@
     }
 }
 
-/// Fires the timers that are due, and returns when the next ones are, or the next sweep is.
+/// Fires all due timers. Returns the instant of the next wake-up, for a timer or for the sweep at `sweep_at`.
 fn fire_timers<T: Transport>(shared: &Arc<Shared<T>>, sweep_at: Instant) -> Instant {
     let mut state = shared.lock();
-    // Nothing asks for an earlier wake-up while timers fire.
+    // A planned wake-up of 0 keeps `plan_wake_up` from notifying this task while timers fire.
     state.planned_wake_up = 0;
     shared.handle(&mut state, Input::Tick);
     let sweep = shared.clock.time(sweep_at);
     let next_step = shared.clock.now() + TIMER_STEP.as_nanos() as Time;
     let due = state.engine.wake_at().map_or(sweep, |at| at.min(sweep));
-    // While calls come, the next one finds a step planned that is early enough for its timer.
+    // While calls arrive, a wake-up is planned at every step, so that the timer of the next call needs no earlier one.
     let had_calls = std::mem::take(&mut state.had_calls);
     state.planned_wake_up = if had_calls {
         next_step
--- a/crates/runtime/src/transport.rs
+++ b/crates/runtime/src/transport.rs
@@ -1,47 +1,48 @@
-//! What a transport does for the runtime.
+//! The interface between the runtime and a transport.
 
 use crate::{Attempt, ResponseTail};
 use std::future::Future;
 use std::time::Duration;
 use woadstall_engine::{AttemptEnd, LoadReport, Outcome, Peer, ServerId};
 
-/// How far an attempt has come when it has something to report.
+/// Progress of an attempt.
 pub enum AttemptProgress<A> {
-    /// To its end. The response comes with it if it is the final one.
+    /// The attempt has ended, with a response if a final one was received.
     Ended(AttemptEnd<A>),
-    /// The final response has started, and is passed on as it comes. Whoever reads it reports its end by the tail;
-    /// dropping the tail means that the caller has given up.
+    /// The final response has started and is streamed to the caller. The reader reports the response's end through the
+    /// [`ResponseTail`]; dropping the tail signals that the caller has given up.
     ResponseStarted(Box<dyn FnOnce(ResponseTail) -> A + Send>),
 }
 
-/// Connections to upstreams, and attempts on them. Nothing here may call back into the load balancer from within.
+/// Makes attempts and manages connections to upstreams. Implementations must not call back into the load balancer from
+/// these methods: the engine's mutex may be locked.
 pub trait Transport: Send + Sync + 'static {
-    /// What is sent; an attempt may take from it what cannot be sent twice.
+    /// The request. An attempt may move parts out of it that cannot be sent twice.
     type Request: Send + 'static;
-    /// What comes back.
+    /// The response returned to the caller.
     type Response: Send + 'static;
 
-    /// Makes an attempt. Dropping the future cancels it: nothing of it is sent afterwards. It need not mind its time, but
-    /// must ask [`Attempt::begin`] right before it writes the first byte.
+    /// Makes an attempt. Dropping the future cancels the attempt: no further byte is sent. The runtime enforces the
+    /// time limit, but the transport must call [`Attempt::begin`] immediately before writing the first byte.
     fn attempt(
         &self,
         request: &mut Self::Request,
         attempt: &Attempt,
     ) -> impl Future<Output = AttemptProgress<Self::Response>> + Send + 'static;
 
-    /// Asks an upstream for its load report.
+    /// Requests a load report from an upstream.
     fn probe(
         &self,
         peer: Peer,
         timeout: Duration,
     ) -> impl Future<Output = (Outcome, Option<LoadReport>)> + Send + 'static;
 
-    /// Closes the idle connections to an upstream; busy ones may be used again.
+    /// Closes the idle connections to an upstream. Busy connections may be reused after their requests complete.
     fn close_idle(&self, server: ServerId);
 
-    /// Uses no present connection to an upstream for anything new. What is in flight goes on.
+    /// Excludes all existing connections to an upstream from new requests. Requests in flight continue.
     fn retire(&self, server: ServerId);
 
-    /// Closes what has been idle for too long; called now and then.
+    /// Closes connections whose idle time exceeds the limit; called periodically.
     fn sweep(&self);
 }
