--- a/crates/inbound/src/body_memory.rs
+++ b/crates/inbound/src/body_memory.rs
@@ -1,8 +1,8 @@
-//! Memory for the bodies of open requests.
+//! Accounting of the memory that bodies of open requests occupy.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What one body takes of the memory that all open requests share. Dropped, it is given back.
+/// One body's share of the memory that all open requests share. Dropping the value releases the share.
 #[derive(Debug)]
 pub struct BodyMemory<'a> {
     total: &'a AtomicUsize,
@@ -11,7 +11,7 @@
 }
 
 impl<'a> BodyMemory<'a> {
-    /// No memory yet, of `limit` bytes that all bodies may take together; `total` counts what they do.
+    /// Creates a share of zero bytes. `total` counts the bytes reserved by all bodies, and `limit` is their maximum.
     pub fn new(total: &'a AtomicUsize, limit: usize) -> Self {
         Self {
             total,
@@ -20,12 +20,13 @@
         }
     }
 
-    /// What this body has taken, in bytes.
+    /// Number of bytes reserved for this body.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes so many bytes more. Returns `false` if all bodies are over the limit then; the bytes count all the same.
+    /// Reserves `bytes` more. Returns `false` if the total then exceeds the limit; the bytes stay reserved until drop
+    /// even so.
     pub fn reserve(&mut self, bytes: usize) -> bool {
         let before = self.total.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
--- a/crates/inbound/src/connection_state.rs
+++ b/crates/inbound/src/connection_state.rs
@@ -1,4 +1,4 @@
-//! What is known of a client's connection.
+//! The state of a client's connection, tracked by the request gate.
 
 use crate::request_head::{MAX_HEAD_BYTES, ParsedHead, RequestLength, parse_head};
 use bytes::{Buf, BytesMut};
@@ -8,66 +8,69 @@
 use tokio::io::ReadBuf;
 use tokio::time::Instant;
 
-/// Slowest rate at which a body may come, in bytes a millisecond.
+/// Minimum average rate at which a body must arrive, in bytes per millisecond.
 const MIN_BODY_RATE: u64 = 32;
-/// How long a body may stall, and a response past its deadline.
+/// Maximum time without progress, for a request body and for a response past its deadline.
 const STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long after its deadline a response may still come to its end: until then it only has no value.
+/// Time after the deadline during which a response may still complete. A late response has no value to the client, but
+/// is not yet an error.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// Reads so close to each other count as one.
+/// Reads within this interval share one timestamp.
 const READ_RESOLUTION: Duration = Duration::from_millis(2);
 
-/// How far a connection is with its present request.
+/// Phase of the current request on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Its head has not come to its end.
+    /// The head is incomplete, or no request has begun.
     Head,
-    /// So many bytes of it have still to go to hyper.
+    /// This number of bytes of the request must still be passed to hyper.
     Passing(u64),
-    /// Where it ends is for hyper to say. Nothing may follow it.
+    /// Only hyper can determine the end of the request. No further request is accepted on the connection.
     Unbounded,
-    /// All of it has gone to hyper, and nothing else does until it has its response.
+    /// The whole request has been passed to hyper. No further bytes are passed until the response has been sent.
     Complete,
 }
 
-/// The latest response on a connection.
+/// The most recent response on a connection.
 struct Response {
-    /// Until when it is of any use.
+    /// The client's deadline, after which the response has no value.
     deadline: Instant,
-    /// hyper has all of it.
+    /// Whether hyper has received the whole response.
     is_complete: bool,
 }
 
-/// What is known of a client's connection.
+/// The state of a client's connection: the phase of the current request, buffered bytes and timestamps.
 pub struct ConnectionState {
     phase: Phase,
-    /// What has come and has not gone to hyper.
+    /// Received bytes that have not been passed to hyper.
     pub(crate) buffered: BytesMut,
     pub(crate) has_ended: bool,
-    /// Bytes that came, in all.
+    /// Total number of received bytes.
     received: u64,
-    /// For each read of bytes that have not gone to hyper: the bytes that had come by then, and when it was.
+    /// For each read of bytes not yet passed to hyper: the total number of bytes received up to and including that
+    /// read, and the time of the read.
     read_times: VecDeque<(u64, Instant)>,
-    /// Bytes that have gone to hyper, in all.
+    /// Total number of bytes passed to hyper.
     passed: u64,
-    /// When the last byte of the present request came.
+    /// Time at which the last byte of the current request arrived.
     request_received_at: Instant,
-    /// Since when it waits for a request, or for the rest of one that has begun.
+    /// Start of the wait for a request, or for the rest of a request that has begun.
     waiting_since: Instant,
-    /// There was a request before the present one.
+    /// Whether an earlier request on the connection has completed.
     had_request: bool,
-    /// The present request has its response.
+    /// Whether the current request has its response.
     is_answered: bool,
-    /// The present request has both lengths, of which hyper shows only one.
+    /// Whether the current request has both a `Content-Length` and a `Transfer-Encoding`. hyper exposes only one of
+    /// them.
     has_both_lengths: bool,
-    /// Bytes that had come when the head of the present request was read.
+    /// Total number of received bytes when the head of the current request was parsed.
     received_at_head: u64,
     last_read: Instant,
-    /// Waits for more to go to hyper.
+    /// Waker of the task that waits for bytes to pass to hyper.
     pub(crate) reader: Option<Waker>,
-    /// The kernel may hold bytes that the runtime will not report again.
+    /// Whether the kernel may hold unread bytes for which tokio will not report readiness again.
     pub(crate) left_unread: bool,
-    /// The client takes nothing of its response just now.
+    /// Whether the last write blocked because the client does not read the response.
     is_write_blocked: bool,
     last_write: Instant,
     response: Option<Response>,
@@ -98,38 +101,41 @@
         }
     }
 
-    /// Whether there ever was a request, and since when none is open; `None` while one is, or has begun to come.
+    /// Returns whether the connection has served a request, and the time since when it has been idle. `None` while a
+    /// request is open or has partly arrived.
     pub fn idle(&self) -> Option<(bool, Instant)> {
         self.is_idle()
             .then_some((self.had_request, self.waiting_since))
     }
 
-    /// Whether no request is open, and no part of one has been read.
+    /// Whether no request is open and no part of a request has been read.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Head && self.buffered.is_empty()
     }
 
-    /// Whether bytes have come that do not belong to the present request: the next one, or a part of it.
+    /// Whether buffered bytes belong to a later request than the current one.
     pub fn has_pipelined_bytes(&self) -> bool {
         !self.buffered.is_empty() && matches!(self.phase, Phase::Head | Phase::Complete)
     }
 
-    /// Whether the end of the client's side has been read.
+    /// Whether the client has closed its sending side.
     pub fn has_ended(&self) -> bool {
         self.has_ended
     }
 
-    /// Whether the present request has its length in both ways: it may hide another one (RFC 9112, section 6.3).
+    /// Whether the current request has both a `Content-Length` and a `Transfer-Encoding`. Such a request may smuggle
+    /// another request (RFC 9112, section 6.3).
     pub fn has_both_lengths(&self) -> bool {
         self.has_both_lengths
     }
 
-    /// Whether nothing may follow the present request.
+    /// Whether the connection accepts no request after the current one.
     pub fn is_last_request(&self) -> bool {
         self.phase == Phase::Unbounded
     }
 
-    /// A response goes out that is of use until its deadline; `is_complete` where hyper has all of it.
+    /// Records progress of a response to a request with this deadline. `is_complete` tells whether hyper has received
+    /// the whole response.
     pub fn response_progressed(&mut self, deadline: Instant, is_complete: bool) {
         self.response = Some(Response {
             deadline,
@@ -138,7 +144,7 @@
         self.last_write = Instant::now();
     }
 
-    /// The present request has been read to its end; returns when its last byte came.
+    /// Records that hyper has read the current request to its end. Returns the arrival time of the request's last byte.
     pub fn request_completed(&mut self) -> Instant {
         if self.phase == Phase::Unbounded {
             self.phase = Phase::Complete;
@@ -147,7 +153,7 @@
         self.request_received_at
     }
 
-    /// The present request has its response; the next may go to hyper.
+    /// Records that the current request has its response, so that the next request may be passed to hyper.
     pub fn request_answered(&mut self) {
         self.is_answered = true;
         self.next_request();
@@ -162,8 +168,9 @@
         }
     }
 
-    /// Whether a complete request is owed for longer than `timeout`, a body stalls or comes too slowly after that, or a
-    /// response stalls past its deadline. A connection that had a request may be idle.
+    /// Whether the connection should be closed: the client has not sent a complete request within `timeout` and the
+    /// body stalls or arrives too slowly, or a response stalls past its deadline. A connection that has served a
+    /// request may be idle.
     pub fn is_overdue(&self, timeout: Duration) -> bool {
         let waited = self.waiting_since.elapsed();
         self.is_response_overdue() || self.is_request_overdue(waited, timeout)
@@ -179,15 +186,15 @@
             Phase::Passing(_) | Phase::Unbounded => {
                 let body_bytes = self.received - self.received_at_head;
                 let body_time = Duration::from_millis(body_bytes / MIN_BODY_RATE);
-                // What waits for hyper has come: it is not its client that stalls.
+                // Buffered bytes mean that hyper has yet to read; the client does not stall then.
                 waited > timeout + body_time
                     || self.buffered.is_empty() && self.last_read.elapsed() > STALL_TIMEOUT
             }
         }
     }
 
-    /// Whether a response that is of no use any more stalls, at its upstream or at its client. One that moves is passed
-    /// on: to cut it off would be this side's fault.
+    /// Whether a response past its deadline has stalled, at the upstream or at the client. A late response that still
+    /// makes progress is passed on, since aborting it would be the load balancer's fault.
     fn is_response_overdue(&self) -> bool {
         let Some(response) = &self.response else {
             return false;
@@ -198,7 +205,7 @@
             && self.last_write.elapsed() > STALL_TIMEOUT
     }
 
-    /// Bytes were offered to the socket; `written` of them went out, `None` if it takes nothing just now.
+    /// Records a write to the socket: `written` is the number of accepted bytes, or `None` if the socket would block.
     pub(crate) fn on_write(&mut self, written: Option<usize>) {
         self.is_write_blocked = written.is_none();
         if written.is_some_and(|bytes| bytes > 0) {
@@ -206,7 +213,7 @@
         }
     }
 
-    /// So many bytes were read into the buffer; none at the end of the client's side.
+    /// Records a read of `bytes` into the buffer. Zero means that the client has closed its sending side.
     pub(crate) fn on_read(&mut self, bytes: usize) {
         let now = Instant::now();
         if bytes == 0 {
@@ -222,7 +229,8 @@
         }
     }
 
-    /// Looks for a complete head in what has come. What hyper will reject goes to it as it is.
+    /// Parses the head of the next request from the buffer. An invalid or oversized head is passed to hyper unchanged,
+    /// which rejects it.
     fn read_head(&mut self) {
         if self.phase != Phase::Head || self.buffered.is_empty() {
             return;
@@ -250,7 +258,7 @@
         };
     }
 
-    /// How much of what has come may go to hyper, in bytes.
+    /// Number of buffered bytes that may be passed to hyper.
     pub(crate) fn passable(&mut self) -> usize {
         self.read_head();
         let buffered = self.buffered.len();
@@ -261,7 +269,7 @@
         }
     }
 
-    /// Passes so many bytes to hyper, as far as its buffer takes them.
+    /// Passes up to `limit` buffered bytes to hyper, as far as `buffer` has room.
     pub(crate) fn pass(&mut self, buffer: &mut ReadBuf<'_>, limit: usize) {
         let bytes = limit.min(buffer.remaining());
         buffer.put_slice(&self.buffered[..bytes]);
@@ -278,7 +286,7 @@
                     .read_times
                     .front()
                     .map_or_else(Instant::now, |(_, at)| *at);
-                self.next_request(); // its response may have been given before its end came
+                self.next_request(); // the response may have been sent before the request's last byte arrived
             }
         }
     }
--- a/crates/inbound/src/lib.rs
+++ b/crates/inbound/src/lib.rs
@@ -1,5 +1,5 @@
-//! Sockets of clients, shared by the balancer and the system's front: a gate that passes on one request at a time,
-//! connections that are closed without losing what was written last, and the memory of request bodies.
+//! Client connections of the daemon and of the node's front: a gate that passes one request at a time to hyper, a
+//! lingering close that keeps the last response from being lost, and the memory accounting of request bodies.
 
 mod body_memory;
 mod connection_state;
--- a/crates/inbound/src/lingering.rs
+++ b/crates/inbound/src/lingering.rs
@@ -1,7 +1,8 @@
 //! Lingering close.
 //!
-//! A connection that is closed while bytes of the peer are unread is reset, and the reset overtakes what was written
-//! last. So the sending side is ended first, what still comes is dropped, and then the connection is closed.
+//! Closing a connection with unread bytes resets it, and the reset can discard the response before the peer has read
+//! it. The sending side is therefore shut down first; incoming bytes are discarded until the peer closes its side, and
+//! only then is the connection closed.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -12,28 +13,29 @@
 use tokio::time::timeout;
 use woadstall_transport::{SharedStream, lock};
 
-/// How long a peer may take to close its side once it has seen the end of ours: a round trip, and a busy peer.
+/// Time that a peer has to close its side after the local sending side is shut down. Allows for one round trip and a
+/// busy peer.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes dropped at a time.
+/// Size of the buffer that incoming bytes are discarded into.
 const BUFFER_BYTES: usize = 4 << 10;
 
-/// Connections whose sending side is ended.
+/// Connections in lingering close.
 #[derive(Debug, Default)]
 pub struct LingeringConnections {
     open: Mutex<OpenConnections>,
-    /// One of them has been closed.
+    /// Notified when a connection has been closed.
     closed: Notify,
 }
 
 #[derive(Debug, Default)]
 struct OpenConnections {
     next_number: u64,
-    /// By number, so that the oldest comes first.
+    /// Tasks by ascending number, so that the oldest connection is first.
     tasks: BTreeMap<u64, AbortHandle>,
 }
 
 impl LingeringConnections {
-    /// Closes a connection so.
+    /// Shuts down the sending side of a connection and closes it in a background task.
     pub fn close(self: &Arc<Self>, stream: SharedStream) {
         let mut open = lock(&self.open);
         let number = open.next_number;
@@ -48,7 +50,7 @@
         open.tasks.insert(number, task.abort_handle());
     }
 
-    /// Lets no more than `limit` linger on: the oldest beyond that are closed as they are.
+    /// Closes the oldest lingering connections immediately until at most `limit` are left.
     pub fn keep_at_most(&self, limit: usize) {
         let mut open = lock(&self.open);
         while open.tasks.len() > limit {
@@ -59,7 +61,7 @@
         self.closed.notify_one();
     }
 
-    /// Waits until there are none.
+    /// Waits until no connection lingers.
     pub async fn all_closed(&self) {
         while !lock(&self.open).tasks.is_empty() {
             self.closed.notified().await;
@@ -67,7 +69,7 @@
     }
 }
 
-/// Ends the sending side, and drops what comes until the peer has ended its own.
+/// Shuts down the sending side, and discards incoming bytes until the peer has closed its own sending side.
 async fn drain(stream: &SharedStream) {
     if stream.shutdown_write().is_err() {
         return; // the peer has reset it
--- a/crates/inbound/src/listen.rs
+++ b/crates/inbound/src/listen.rs
@@ -6,10 +6,11 @@
 use tokio::net::TcpListener;
 use woadstall_socket_options::{set_reuse_address, set_reuse_port};
 
-/// Most connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Listens where another process of this program may listen too: its successor at a hot restart.
+/// Listens on an address with `SO_REUSEPORT`, so that the successor process can listen on the same address during a hot
+/// restart.
 ///
 /// # Errors
 ///
--- a/crates/inbound/src/request_gate.rs
+++ b/crates/inbound/src/request_gate.rs
@@ -9,22 +9,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use woadstall_transport::{SharedStream, lock};
 
-/// Most bytes that are buffered of what comes while a request is open.
+/// Maximum number of bytes buffered while a request is open.
 const MAX_BUFFERED_BYTES: usize = 2 * MAX_HEAD_BYTES;
-/// Most bytes of one read.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = MAX_HEAD_BYTES / 2;
 
-/// A socket that passes on no byte of a request before the one in front of it has its response.
+/// A client's socket that withholds the bytes of each request from hyper until the previous request has its response.
 ///
-/// So the end of a client shows while its request is open, a request's time can run from its last byte, and a client that
-/// stalls between requests, or in the midst of one, is told from one that has a request open.
+/// The gate keeps reading from the socket, so that a client's disconnection is detected while its request is open. It
+/// also records when the last byte of a request arrived, from which the request's time limit can run, and tells clients
+/// that stall between requests or within a request from clients that wait for a response.
 pub struct RequestGate {
     stream: SharedStream,
     state: Arc<Mutex<ConnectionState>>,
 }
 
 impl RequestGate {
-    /// A gate on a client's socket, and what will be known of the connection.
+    /// Creates a gate on a client's socket, and the connection state that the gate maintains.
     pub fn new(stream: SharedStream) -> (Self, Arc<Mutex<ConnectionState>>) {
         let state = Arc::new(Mutex::new(ConnectionState::new()));
         (
@@ -36,7 +37,7 @@
         )
     }
 
-    /// Reads more into the buffer; `Pending` where there is nothing.
+    /// Reads from the socket into the buffer; `Pending` if no bytes are available.
     fn poll_buffer(
         &self,
         cx: &mut Context<'_>,
@@ -61,7 +62,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads what the kernel holds, whether or not the runtime reports it; `None` where it holds nothing.
+    /// Reads unread bytes from the kernel even if tokio does not report the socket as readable; `None` if there are
+    /// none.
     fn read_unreported(
         &self,
         state: &mut ConnectionState,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Where no more is read before the present request has its response: waits for its client to disconnect.
+    /// Waits for the client to disconnect while the buffer is full and nothing more is read.
     fn poll_end(&self, cx: &mut Context<'_>, state: &mut ConnectionState) -> Poll<io::Result<()>> {
         state.left_unread = true;
         loop {
--- a/crates/inbound/src/request_head.rs
+++ b/crates/inbound/src/request_head.rs
@@ -1,35 +1,36 @@
-//! The head of a request, as far as it tells where the request ends (RFC 9112, section 6).
+//! Parses the head of a request to determine where the request ends (RFC 9112, section 6).
 
-/// Largest head of a request, in bytes: a larger one may be too large for upstreams, and would fill the memory.
+/// Maximum size of a request head, in bytes. Upstreams may reject larger heads, and larger heads would use too much
+/// memory.
 pub const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Most headers of a request, as in hyper.
+/// Maximum number of headers of a request, equal to hyper's limit.
 const MAX_HEADERS: usize = 100;
 
 /// Where a request ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestLength {
-    /// So many bytes after its first one, head included.
+    /// Total length of head and body, in bytes.
     Known(u64),
-    /// It comes in chunks, or its length cannot be read.
+    /// The body is chunked, or the `Content-Length` is invalid.
     Unknown,
 }
 
-/// What the beginning of a request tells.
+/// The result of parsing the first bytes of a request.
 pub(crate) enum ParsedHead {
-    /// Its head has not come to its end.
+    /// The head is incomplete.
     Incomplete,
-    /// It is no request.
+    /// The bytes are not a valid request head.
     Invalid,
-    /// Its head is there.
+    /// The head is complete.
     Complete {
-        /// Where the request ends.
         length: RequestLength,
-        /// It has both a length and a transfer coding: it may hide another request.
+        /// Whether the head has both a `Content-Length` and a `Transfer-Encoding`; such a request may smuggle another
+        /// one.
         has_both_lengths: bool,
     },
 }
 
-/// Parses the bytes of a connection from the beginning of a request on.
+/// Parses the head of the request that starts at the first byte.
 pub(crate) fn parse_head(bytes: &[u8]) -> ParsedHead {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -57,7 +58,7 @@
     }
 }
 
-/// A number of digits alone: `parse` would take a sign.
+/// Parses a number that consists of digits only; `str::parse` would also accept a leading `+`.
 fn parse_number(text: &[u8]) -> Option<u64> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return None;
