--- a/crates/discovery/src/connection.rs
+++ b/crates/discovery/src/connection.rs
@@ -1,4 +1,4 @@
-//! One kept-alive connection to discovery, and calls on it.
+//! A keep-alive HTTP/1.1 connection to discovery.
 
 use crate::EndpointList;
 use crate::timing::{CONNECT_TIMEOUT, Call};
@@ -14,46 +14,46 @@
 use tokio::time::timeout;
 use woadstall_socket_options::set_nodelay;
 
-/// Largest list, in bytes. Bounds the memory.
+/// Maximum size of a response body, in bytes; bounds memory use.
 const MAX_LIST_BYTES: usize = 8 << 20;
 
-/// Why a call to discovery failed.
+/// The error of a failed call to discovery.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// It took longer than it may.
+    /// The call exceeded its time limit.
     #[error("no answer in time")]
     TimedOut,
-    /// The connection was not established in time.
+    /// The connection was not established within the connect timeout.
     #[error("no connection in time")]
     ConnectTimedOut,
-    /// The socket failed.
+    /// An I/O error of the socket.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The connection broke, or the peer does not keep to HTTP.
+    /// The connection broke, or the peer violated HTTP.
     #[error(transparent)]
     Connection(#[from] hyper::Error),
     /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The body broke off, or is over the limit.
+    /// The body was truncated or exceeds the size limit.
     #[error(transparent)]
     Body(Box<dyn Error + Send + Sync>),
-    /// The status is no success.
+    /// The response has a status outside 2xx.
     #[error("status {0}")]
     Status(StatusCode),
-    /// The body is no list of endpoints.
+    /// The body is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] serde_json::Error),
 }
 
-/// A connection to discovery that is opened anew where it was closed.
+/// A connection to discovery that is reopened on demand.
 pub struct Connection {
     address: SocketAddr,
     sender: Option<SendRequest<Empty<Bytes>>>,
 }
 
 impl Connection {
-    /// A connection that is opened with the first call.
+    /// Creates a connection that is opened by the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -61,16 +61,17 @@
         }
     }
 
-    /// Drops the connection: the next call opens another one.
+    /// Closes the connection; the next call opens a new one.
     pub fn close(&mut self) {
         self.sender = None;
     }
 
-    /// Makes a call.
+    /// Makes a call and returns the received list.
     ///
     /// # Errors
     ///
-    /// Fails if the call takes too long, if the connection or the response is broken, or if the status is no success.
+    /// Fails if the call exceeds its time limit, if the connection breaks, if the response is invalid, or if its status
+    /// is outside 2xx.
     pub async fn call(&mut self, call: &Call) -> Result<EndpointList, CallError> {
         let exchanged = timeout(call.timeout, self.exchange(&call.path)).await;
         exchanged.map_err(|_| CallError::TimedOut)?
@@ -78,7 +79,7 @@
 
     async fn exchange(&mut self, path: &str) -> Result<EndpointList, CallError> {
         let mut sender = match self.sender.take() {
-            // The agent may have closed it since.
+            // The agent may have closed the connection since the last call.
             Some(sender) if !sender.is_closed() => sender,
             _ => self.open().await?,
         };
--- a/crates/discovery/src/endpoints.rs
+++ b/crates/discovery/src/endpoints.rs
@@ -1,58 +1,59 @@
-//! The list of endpoints in discovery's JSON form. Names of keys are the platform's.
+//! The endpoint list in the JSON format of the platform's discovery, which defines the key names.
 
 use serde::Deserialize;
 use woadstall_engine::Lifecycle;
 use woadstall_engine::UpstreamEntry;
 use woadstall_settings::Names;
 
-/// A list of endpoints: all of them, or those that changed.
+/// A complete or incremental list of endpoints.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// Version of the list, raised with each change.
+    /// Version of the list, incremented by each change.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether these are all endpoints: what is missing is gone.
+    /// Whether the list is complete. Endpoints missing from a complete list have been removed.
     #[serde(rename = "all", default)]
     pub is_complete: bool,
-    /// The endpoints.
+    /// All endpoints of a complete list, or the changed endpoints of an incremental list.
     #[serde(rename = "targets", default)]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// One endpoint of a list: a process of an upstream.
+/// An entry of the list: one process of an upstream.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoint {
-    /// Name of the upstream, which stays the same over its restarts.
+    /// Name of the upstream, stable across restarts.
     #[serde(rename = "uid")]
     pub name: String,
-    /// Where it listens: an IP address with a port.
+    /// IP address and port that the process listens on.
     #[serde(rename = "endpoint")]
     pub address: String,
-    /// Name of its zone.
+    /// Name of the endpoint's zone; empty by default.
     #[serde(rename = "az", default)]
     pub zone: String,
-    /// The cell that it shares seen idempotency keys with.
+    /// Number of the cell whose members share the idempotency keys of processed requests; 0 by default.
     #[serde(rename = "pod_group", default)]
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Whether the endpoint accepts requests.
     pub state: EndpointState,
-    /// Its capacity relative to that of others; 1 by default.
+    /// Capacity relative to other endpoints; 1 by default.
     #[serde(rename = "capacity_hint", default = "default_capacity")]
     pub capacity: f32,
-    /// When its process started, Unix time in milliseconds; 0 for long ago.
+    /// Start time of the process, in Unix milliseconds; 0 by default, which stands for a process that started long ago.
     #[serde(rename = "boot_ms", default)]
     pub started_ms: u64,
 }
 
-/// State of an endpoint. One that is not known counts as [`EndpointState::Terminating`], so that nothing new is sent there.
+/// State of an endpoint. Unknown states count as [`EndpointState::Terminating`], so that the endpoint receives no new
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     InService,
-    /// It is gone.
+    /// The endpoint has been removed.
     Terminated,
-    /// It is draining: requests in flight end, and it takes no new ones.
+    /// The endpoint is draining: it completes requests in flight and accepts no new ones.
     #[serde(other)]
     Terminating,
 }
@@ -68,7 +69,7 @@
 }
 
 impl EndpointList {
-    /// The endpoints as the engine takes them, with zones by their positions in the settings.
+    /// Converts the endpoints to the engine's form, which identifies a zone by its position in the settings.
     pub fn entries(&self, names: &Names) -> Vec<UpstreamEntry> {
         self.endpoints
             .iter()
--- a/crates/discovery/src/failures.rs
+++ b/crates/discovery/src/failures.rs
@@ -1,42 +1,42 @@
-//! Failed calls in a row, and which of them are worth a line of a log.
+//! Tracks consecutive failed calls and decides which failures to log.
 //!
-//! A balancer whose discovery fails goes on with the last list, and counts as ready. A single line would be all that is
-//! ever seen of that, so that it is repeated, at intervals that double.
+//! While discovery fails, the load balancer continues with the last list and counts as ready, so the log is the only
+//! sign of the failure. A single line is easily missed; reminders are therefore logged at intervals that double.
 
 use crate::CallError;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time from the first failed call in a row to the first reminder of it.
+/// Time from the first failed call of a streak to the first reminder.
 const FIRST_REMINDER: Duration = Duration::from_secs(1);
-/// Longest time between two reminders.
+/// Maximum interval between two reminders.
 const MAX_REMINDER_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Whether a failed call is worth a line of a log.
+/// Whether, and how, a failed call is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureNotice {
-    /// The first of one or more in a row.
+    /// The first failure of a streak, which is logged.
     First,
-    /// Calls have been failing for a while, and nothing was said of it lately.
+    /// A failure after the reminder interval has elapsed, logged as a reminder of the streak.
     Reminder,
-    /// One of many.
+    /// A failure within the reminder interval, which is not logged.
     Quiet,
 }
 
-/// A failed call.
+/// A failed call and its place in the streak of failures.
 #[derive(Debug)]
 pub struct FailedCall {
-    /// Why it failed.
+    /// The cause of the failure.
     pub error: CallError,
-    /// How many calls in a row have failed, with this one.
+    /// Number of consecutive failed calls, including this one.
     pub failures: u32,
-    /// Time since the first of them failed.
+    /// Time since the first failure of the streak.
     pub duration: Duration,
-    /// Whether it is worth a line of a log.
+    /// Whether, and how, the failure is logged.
     pub notice: FailureNotice,
 }
 
-/// Failed calls in a row.
+/// The current streak of failed calls, if the last call failed.
 #[derive(Debug, Default)]
 pub(crate) struct FailureStreak(Option<Streak>);
 
@@ -49,7 +49,7 @@
 }
 
 impl FailureStreak {
-    /// Adds a failed call.
+    /// Records a failed call.
     pub fn add(&mut self, error: CallError) -> FailedCall {
         let now = Instant::now();
         let (streak, notice) = match self.0 {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A call has succeeded. How many had failed in a row, if any.
+    /// Records a successful call. Returns the number of failures in the streak that the success ends, if any.
     pub fn end(&mut self) -> Option<u32> {
         self.0.take().map(|streak| streak.failures)
     }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,5 +1,5 @@
-//! Service discovery: the list of endpoints in the platform's JSON form, and a client that watches it by long polling
-//! over HTTP/1.1.
+//! Service discovery: the endpoint list in the platform's JSON format, and a client that watches the list by long
+//! polling over HTTP/1.1.
 
 mod connection;
 mod endpoints;
--- a/crates/discovery/src/timing.rs
+++ b/crates/discovery/src/timing.rs
@@ -1,44 +1,48 @@
-//! How long calls to discovery may take, and how long the pauses between them are.
+//! Time limits of calls to discovery, and pauses between calls.
 
 use fastrand::Rng;
 use std::time::Duration;
 
-/// How long a long poll may wait where an agent on the own machine responds, at no cost. A change counts as notified 6 s
-/// after a poll became unresponsive: even the second unresponsive call in a row must be given up well before.
+/// Wait of a long poll to an agent on the local machine, where polls are cheap. The platform considers a change
+/// delivered 6 s after a poll became unresponsive, so even a second consecutive unresponsive call must time out well
+/// before that.
 const PUSHED_WAIT: Duration = Duration::from_secs(1);
-/// How long a long poll may wait where one service responds to all balancers, which spares it calls. Each poll draws its
-/// own wait between these: the service works through calls in turn, and those of balancers that started together, or
-/// whose polls became unresponsive together, would come together again and again.
+/// Minimum wait of a long poll to a central service; long waits save the service calls. Each poll draws its wait
+/// between the minimum and [`MAX_POLLED_WAIT`]. The service processes calls one after another, and with equal waits the
+/// calls of load balancers that started together, or whose polls became unresponsive together, would coincide again and
+/// again.
 const MIN_POLLED_WAIT: Duration = Duration::from_secs(10);
+/// Maximum wait of a long poll to a central service; see [`MIN_POLLED_WAIT`].
 const MAX_POLLED_WAIT: Duration = Duration::from_secs(20);
-/// Time beyond its wait after which a poll has failed. A change counts as notified 2 s after that wait, and the next call
-/// has to come through until then, behind those of others.
+/// Time after the end of its wait at which a long poll times out. The platform considers a change delivered 2 s after
+/// the end of the wait; by then, the next call must have completed, queued behind calls of other load balancers.
 const POLL_GRACE: Duration = Duration::from_millis(750);
-/// How long a call for the complete list may take.
+/// Time limit of a call for the complete list.
 const COMPLETE_LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection may take to be established: an attempt that goes on for the time of a poll would hide a service
-/// that is back.
+/// Time limit of establishing a connection. Without it, a connection attempt could last as long as a poll and delay the
+/// use of a service that has recovered.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Backoff after the first failed call in a row to an agent, doubling with each up to the longest.
+/// Backoff after the first failed call to an agent. Each further consecutive failure doubles it, up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest backoff after a failed call to an agent. What it has counts as notified the moment it is back.
+/// Maximum backoff after a failed call to an agent. It is short because the platform considers pending changes
+/// delivered as soon as the agent is available again.
 const MAX_BACKOFF: Duration = Duration::from_millis(250);
-/// Most doublings of the backoff, so that it does not overflow.
+/// Maximum number of doublings of the backoff; prevents overflow.
 const MAX_DOUBLINGS: u32 = 16;
-/// Pause before the next call where the last one brought nothing new: an agent that does not wait, or returns nonsense,
-/// would be polled in a loop. Short enough for the watch to go on.
+/// Pause after a call that returned nothing new. Prevents a busy loop with an agent that responds without waiting or
+/// with outdated revisions, and is short enough to keep the watch up to date.
 pub const IDLE_BACKOFF: Duration = Duration::from_millis(50);
 
-/// One call: its path, and how long it may take.
+/// A call to discovery.
 pub struct Call {
     /// Path and query.
     pub path: String,
-    /// When it has failed.
+    /// Time limit of the call.
     pub timeout: Duration,
 }
 
 impl Call {
-    /// A call for the complete list.
+    /// Creates a call for the complete list.
     pub fn complete_list() -> Self {
         Self {
             path: "/v1/servers".to_owned(),
@@ -46,7 +50,7 @@
         }
     }
 
-    /// A long poll for what comes after a revision.
+    /// Creates a long poll for changes after a revision.
     pub fn long_poll(revision: u64, wait: Duration) -> Self {
         let wait_ms = wait.as_millis();
         Self {
@@ -56,7 +60,7 @@
     }
 }
 
-/// How long a long poll waits. Draws a number where one service responds to all balancers (`on_demand`).
+/// Returns the wait of the next long poll. Draws a random number only if a central service is polled (`on_demand`).
 pub fn poll_wait(on_demand: bool, random: &mut Rng) -> Duration {
     if !on_demand {
         return PUSHED_WAIT;
@@ -65,7 +69,7 @@
     MIN_POLLED_WAIT + range.mul_f64(random.f64())
 }
 
-/// How long to wait after so many failed calls in a row.
+/// Returns the pause after this number of consecutive failed calls.
 pub fn backoff(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
     FIRST_BACKOFF
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,4 +1,4 @@
-//! A watch on the list of endpoints, which is opened anew whenever it ends.
+//! Watches the endpoint list by repeated long polls.
 
 use crate::connection::Connection;
 use crate::failures::{FailedCall, FailureStreak};
@@ -14,38 +14,40 @@
 #[cfg(test)]
 mod tests;
 
-/// What a watch reports.
+/// An event reported by the watch.
 #[derive(Debug)]
 pub enum WatchEvent {
     /// Discovery has responded with a list.
     List(EndpointList),
-    /// The watch that was subscribed to has failed. Reported only where discovery is watched on demand.
+    /// The subscribed watch has failed. Reported only if discovery is watched on demand.
     SubscriptionFailed,
-    /// A call has failed.
+    /// A call to discovery has failed.
     CallFailed(FailedCall),
-    /// Discovery responds again.
+    /// Discovery responds again after one or more failed calls.
     Recovered {
-        /// How many calls in a row had failed.
+        /// Number of consecutive failed calls before the response.
         failures: u32,
     },
 }
 
-/// What to watch.
+/// The configuration of a watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchConfig {
-    /// The revision of the list that is known already; `None` asks for the complete list first.
+    /// Revision of the known list; with `None`, the complete list is requested first.
     pub known_revision: Option<u64>,
-    /// One service responds to all balancers, and is watched only while there is a subscription. Otherwise an agent on
-    /// the own machine is watched all the time.
+    /// Whether discovery is a central service for all load balancers, watched only while a subscription exists.
+    /// Otherwise, an agent on the local machine is watched continuously.
     pub on_demand: bool,
-    /// Seed of the draws that spread the calls of balancers.
+    /// Seed of the random waits that keep load balancers from polling in step.
     pub seed: u64,
 }
 
-/// Reports all that happens to `on_event`, until that returns `false`.
+/// Watches discovery and reports each event to `on_event`, until `on_event` returns `false` for a list or a failed
+/// subscription, or until one of the channels closes.
 ///
-/// Each message of `subscriptions` asks for a watch where one is opened on demand. Another address ends the watch on the
-/// one before, and its complete list is asked for at once: revisions of two services cannot be compared.
+/// If discovery is watched on demand, each message of `subscriptions` requests a watch. A new address ends the watch on
+/// the previous address, and the complete list is requested from the new one at once, because revisions of different
+/// services cannot be compared.
 pub async fn watch_endpoints(
     config: WatchConfig,
     mut on_event: impl FnMut(WatchEvent) -> bool,
@@ -76,12 +78,12 @@
     }
 }
 
-/// Where lists come from.
+/// A source of endpoint lists.
 trait ListSource {
-    /// Makes a call.
+    /// Makes a call and returns the received list.
     async fn call(&mut self, call: &Call) -> Result<EndpointList, CallError>;
 
-    /// Drops what the last call has left open.
+    /// Closes the connection of the last call.
     fn close(&mut self);
 }
 
@@ -99,13 +101,13 @@
 struct Watcher<'a, S, F> {
     source: S,
     on_demand: bool,
-    /// The latest revision that is known.
+    /// Revision of the known list.
     revision: u64,
-    /// The next call asks for the complete list.
+    /// Whether the next call requests the complete list.
     needs_complete_list: bool,
-    /// Failed calls in a row.
+    /// Consecutive failed calls.
     streak: FailureStreak,
-    /// An unresponsive poll was opened anew at once, and no call has succeeded since.
+    /// Whether an unresponsive poll has been repeated without a pause and no call has succeeded since.
     reopened: bool,
     random: &'a mut Rng,
     on_event: &'a mut F,
@@ -113,7 +115,7 @@
 }
 
 impl<S: ListSource, F: FnMut(WatchEvent) -> bool> Watcher<'_, S, F> {
-    /// Watches until nobody listens any more.
+    /// Watches until the receiver of events or the sender of subscriptions is gone.
     async fn run(mut self) {
         if self.on_demand && !self.needs_complete_list && self.subscriptions.recv().await.is_none()
         {
@@ -137,7 +139,7 @@
 
     async fn on_list(&mut self, list: EndpointList) -> ControlFlow<()> {
         if list.revision < self.revision && !list.is_complete {
-            // A revision that goes back means another service: only its complete list shows what it has.
+            // A lower revision means that a different service responds; its state is known only from its complete list.
             self.needs_complete_list = true;
             sleep(IDLE_BACKOFF).await;
             return ControlFlow::Continue(());
@@ -168,19 +170,19 @@
             sleep(backoff(failures)).await;
             return ControlFlow::Continue(());
         }
-        // An unresponsive poll is opened anew at once: what it missed may count as notified already.
+        // An unresponsive poll is repeated at once: the platform may already consider the missed changes delivered.
         if timed_out && !self.needs_complete_list && !std::mem::replace(&mut self.reopened, true) {
             return ControlFlow::Continue(());
         }
         self.await_subscription().await
     }
 
-    /// Reports that the subscription has failed, and waits for the next one.
+    /// Reports the failed subscription and waits for the next one.
     async fn await_subscription(&mut self) -> ControlFlow<()> {
-        // Those from before this failure.
+        // Discards subscriptions requested before this failure.
         while self.subscriptions.try_recv().is_ok() {}
-        let is_heard = (self.on_event)(WatchEvent::SubscriptionFailed);
-        if !is_heard || self.subscriptions.recv().await.is_none() {
+        let has_listener = (self.on_event)(WatchEvent::SubscriptionFailed);
+        if !has_listener || self.subscriptions.recv().await.is_none() {
             return ControlFlow::Break(());
         }
         ControlFlow::Continue(())
--- a/crates/discovery/src/watch/tests.rs
+++ b/crates/discovery/src/watch/tests.rs
@@ -1,4 +1,4 @@
-//! The watch over a source of lists whose answers are written here, in virtual time.
+//! Tests of the watch with simulated discovery services, in virtual time.
 
 use super::*;
 use crate::FailureNotice;
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::{Instant, timeout};
 
-/// Answers no call until a time, and every call from then on.
+/// Responds to no call before `responds_from` and to every call from then on; never responds if it is `None`.
 struct UnresponsiveUntil {
     responds_from: Option<Instant>,
     revision: u64,
@@ -30,7 +30,7 @@
     fn close(&mut self) {}
 }
 
-/// Refuses each call at once.
+/// Refuses each call immediately.
 struct Refusing;
 
 impl ListSource for Refusing {
@@ -41,10 +41,10 @@
     fn close(&mut self) {}
 }
 
-/// What a watch has reported, each with the time since its start.
+/// The reported events, each with the time since the start of the watch.
 type Reports = Vec<(Duration, WatchEvent)>;
 
-/// Watches an agent for a while, from the start of a balancer that knows the list of its configuration.
+/// Watches an agent for `duration`, beginning with a call for the complete list.
 async fn watch_agent(source: impl ListSource, duration: Duration) -> Reports {
     let (_subscribe, mut subscriptions) = unbounded_channel();
     let began = Instant::now();
@@ -68,7 +68,7 @@
     reports
 }
 
-/// The failures that are worth a line: when, and how.
+/// Time and kind of each failure that is logged.
 fn notices(reports: &Reports) -> Vec<(Duration, FailureNotice)> {
     let failed = reports.iter().filter_map(|(at, event)| match event {
         WatchEvent::CallFailed(failed) => Some((*at, failed.notice)),
@@ -97,7 +97,7 @@
         .windows(2)
         .map(|pair| pair[1].0 - pair[0].0)
         .collect();
-    // A call takes up to 2 s to fail, and a pause of 0.25 s follows: a reminder may be as late.
+    // A call takes up to 2 s to fail and is followed by a pause of 0.25 s, so a reminder may be late by their sum.
     let tolerance = Duration::from_millis(2_250);
     let mut interval = Duration::from_secs(1);
     for gap in &gaps {
@@ -106,7 +106,7 @@
     }
     assert!(
         gaps.len() >= 12,
-        "the last minutes are reported too: {gaps:?}"
+        "reminders continue until the end: {gaps:?}"
     );
     let failures: Vec<u32> = reports
         .iter()
@@ -118,7 +118,7 @@
     assert!(failures.iter().copied().eq(1..=failures.len() as u32));
 }
 
-/// A refusal comes at once: neither the calls nor the lines come in a loop.
+/// Guards against a busy loop of calls and log lines when discovery refuses connections immediately.
 #[tokio::test(start_paused = true)]
 async fn refused_calls_are_neither_made_nor_reported_in_a_loop() {
     let reports = watch_agent(Refusing, Duration::from_secs(60)).await;
@@ -143,7 +143,7 @@
         matches!(recovered, WatchEvent::Recovered { failures } if *failures as usize == failed),
         "{recovered:?} after {failed}"
     );
-    // The call that was made just before, its pause, and the call that is answered.
+    // Allows for a call that begins just before the recovery, the pause after it, and the successful call.
     assert!(*at < outage + Duration::from_millis(2_300), "{at:?}");
     assert!(matches!(&reports[failed + 1].1, WatchEvent::List(list) if list.is_complete));
     assert!(
--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Discovery's list messages, pinned: every key, every default and every state.
+//! Pins the JSON format of discovery's endpoint lists: every key, default, state and error.
 
 use std::time::Duration;
 use woadstall_discovery::{EndpointList, EndpointState};
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_list_has_defaults() {
+fn optional_keys_of_a_list_have_defaults() {
     let list: EndpointList = serde_json::from_str(r#"{"rev":9}"#).unwrap();
     assert!(list.revision == 9 && !list.is_complete && list.endpoints.is_empty());
     let none = EndpointList::default();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn entries_as_the_engine_takes_them() {
+fn entries_are_converted_to_the_form_of_the_engine() {
     let list: EndpointList = serde_json::from_str(EVERY_KEY).unwrap();
     let entries: Vec<UpstreamEntry> = list.entries(&names());
     let zones: Vec<Option<u8>> = entries
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn every_error() {
+fn invalid_lists_are_rejected_with_the_recorded_errors() {
     let texts = [
         "",
         "{}",
