--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,8 +1,8 @@
-//! Hot restart: a new process takes over what the process before it has learned about latencies and upstreams.
+//! Hot restart: a new process takes over the latency and upstream statistics learned by its predecessor.
 //!
-//! [`TransferredState`] is the document that crosses from one process to the other, and [`socket`] the Unix domain
-//! socket that carries it. The two processes may run different versions of the program, so the form of the document
-//! is versioned and checked.
+//! [`TransferredState`] is the transferred document; [`socket`] transfers it over a Unix domain socket. The two
+//! processes may run different versions of the program, so the document's format is versioned and each document is
+//! validated.
 
 pub mod socket;
 mod state;
--- a/crates/hot-restart/src/socket.rs
+++ b/crates/hot-restart/src/socket.rs
@@ -1,7 +1,7 @@
-//! Carries the state from a process to its successor over a Unix domain socket in a directory that both share.
+//! Transfers the state to a successor process over a Unix domain socket in a shared directory.
 //!
-//! The successor connects, the predecessor writes one document and closes. Either side serves only processes of its own
-//! user: the state steers where requests go.
+//! The successor connects; the predecessor writes one document and closes the connection. Both sides accept only peers
+//! that run as the same user, because the state determines the routing of requests.
 
 use crate::{DecodeError, MAX_STATE_BYTES, TransferredState};
 use std::fs;
@@ -14,13 +14,13 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
-/// How long one transfer may take. A start must not be delayed by a predecessor that hangs.
+/// Time limit of one transfer. Keeps an unresponsive predecessor from delaying the start of its successor.
 pub const TRANSFER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Permissions of the socket: its owner alone.
+/// Permissions of the socket file: access for the owner only.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Why the state could not be fetched from the process at a path.
+/// The error of a failed fetch of the predecessor's state.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
     /// The transfer did not end within [`TRANSFER_TIMEOUT`].
@@ -29,12 +29,12 @@
         /// The socket.
         path: PathBuf,
     },
-    /// The socket failed, or belongs to a process of another user.
+    /// The socket reported an error, or belongs to a process of another user.
     #[error("{}: {source}", path.display())]
     Io {
         /// The socket.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The document is larger than [`MAX_STATE_BYTES`].
@@ -48,12 +48,12 @@
     Decode {
         /// The socket.
         path: PathBuf,
-        /// What is wrong with the document.
+        /// The decoding error.
         source: DecodeError,
     },
 }
 
-/// The socket could not be created.
+/// The error of a socket that could not be created.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub struct BindError {
@@ -61,18 +61,18 @@
     source: io::Error,
 }
 
-/// The path of the socket of the process that listens on `listen_address`.
+/// Returns the socket path of the process that listens on `listen_address`.
 pub fn socket_path(directory: &Path, listen_address: SocketAddr) -> PathBuf {
     let (ip, port) = (listen_address.ip(), listen_address.port());
     directory.join(format!("woadstall-{ip}-{port}.state"))
 }
 
-/// Fetches the state from the process that serves it at `path`; `None` if no process does.
+/// Fetches the state from the process that serves it at `path`; `None` if no process listens there.
 ///
 /// # Errors
 ///
-/// Fails if the transfer takes longer than [`TRANSFER_TIMEOUT`], if the socket fails or belongs to another user, and if
-/// the document is too large or not valid.
+/// Fails if the transfer exceeds [`TRANSFER_TIMEOUT`], if the socket reports an error or belongs to another user, or if
+/// the document is too large or invalid.
 pub async fn fetch_state(path: &Path) -> Result<Option<TransferredState>, FetchError> {
     let io_error = |source| FetchError::Io {
         path: path.to_owned(),
@@ -100,7 +100,8 @@
     }
 }
 
-/// Reads all that the process at a path sends, up to one byte over the limit; `None` if nobody listens there.
+/// Reads the document from the process at `path`; `None` if no process listens there. Reads at most one byte more than
+/// [`MAX_STATE_BYTES`], which is enough to detect an oversized document.
 async fn receive_document(path: &Path) -> io::Result<Option<Vec<u8>>> {
     let mut stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
@@ -119,7 +120,7 @@
     Ok(Some(document))
 }
 
-/// Whether an error of a connection means that no process listens.
+/// Whether a connect error means that no process listens at the path.
 fn is_absent(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -127,11 +128,11 @@
     )
 }
 
-/// Listens at a path, in place of any process that did so before.
+/// Listens at `path`, replacing the socket of any earlier process.
 ///
 /// # Errors
 ///
-/// Fails if a former socket cannot be removed, or the new one cannot be created or restricted to its owner.
+/// Fails if an earlier socket cannot be removed, or if the new socket cannot be created or restricted to its owner.
 pub fn bind(path: &Path) -> Result<UnixListener, BindError> {
     bind_owner_only(path).map_err(|source| BindError {
         path: path.to_owned(),
@@ -149,11 +150,11 @@
     Ok(listener)
 }
 
-/// Sends the present state to each process of the same user that connects. Never returns.
+/// Sends the current state to each connecting process of the same user. Never returns.
 pub async fn serve_state(listener: UnixListener, state: impl Fn() -> TransferredState) {
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            // Out of descriptors: another attempt at once would fail alike.
+            // The process is out of file descriptors; an immediate retry would fail as well.
             tokio::time::sleep(TRANSFER_TIMEOUT).await;
             continue;
         };
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -1,5 +1,5 @@
-//! The document that is transferred. Classes and upstreams go by name and times are lengths, since the two processes
-//! have positions and clocks of their own.
+//! The transferred document. Classes and upstreams are identified by name, and times are given as durations, since
+//! positions, ids and clocks differ between the two processes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -10,28 +10,30 @@
 #[cfg(test)]
 mod tests;
 
-/// The version that is written, and the only one that is read: what another one means is not guessed.
+/// Version of the document's format. Documents of other versions are rejected, since their fields may mean something
+/// else.
 const VERSION: u32 = 1;
 
-/// Largest document, in bytes: some 20,000 upstreams. Bounds the memory.
+/// Maximum size of a document, in bytes; enough for about 20,000 upstreams. Bounds memory use.
 pub const MAX_STATE_BYTES: usize = 4 << 20;
 
-/// Why a document could not be decoded. The text names the field, and nothing of the document is used.
+/// The error of a document that could not be decoded. The message names the invalid field. No part of the document is
+/// used.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// It is not JSON, or has no version.
+    /// The document is not JSON or has no version.
     #[error("state: {0}")]
     Syntax(#[source] serde_json::Error),
-    /// Another version of the form.
+    /// The document has an unsupported version.
     #[error("state: `version` is {found}, and only {VERSION} can be read")]
     UnsupportedVersion {
         /// The version of the document.
         found: u32,
     },
-    /// A field is missing or of another type.
+    /// A field is missing or has the wrong type.
     #[error("state: {0}")]
     Field(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// A figure is negative or not finite.
+    /// A number is negative or not finite.
     #[error("state: `{field}` is {value}")]
     InvalidNumber {
         /// Path of the field.
@@ -39,7 +41,7 @@
         /// Its value.
         value: f64,
     },
-    /// A ratio lies outside 0 to 1.
+    /// A ratio is outside the range from 0 to 1.
     #[error("state: `{field}` is {value}, not between 0 and 1")]
     InvalidRatio {
         /// Path of the field.
@@ -49,51 +51,53 @@
     },
 }
 
-/// What a process has learned, as its successor gets it.
+/// The learned state in the form that is transferred to the successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredState {
     version: u32,
-    /// Latency by class.
+    /// Latency by name of the class.
     classes: BTreeMap<String, LatencyEstimate>,
     /// Latency over all classes.
     overall: LatencyEstimate,
-    /// Responses a second.
+    /// Responses per second.
     rate: f64,
-    /// Responses counted lately, decayed.
+    /// Exponentially decayed number of responses.
     answers: f64,
-    /// Requests in flight meanwhile, each weighted by one over its latency target, decayed over the same time.
+    /// Number of requests in flight over the same period, each weighted by the inverse of its latency target, with the
+    /// same decay.
     #[serde(rename = "held")]
     in_flight: f64,
-    /// Ratio of attempts that fail, 0 to 1.
+    /// Ratio of failed attempts, from 0 to 1.
     #[serde(rename = "failing")]
     failure_ratio: f64,
     upstreams: BTreeMap<String, UpstreamRecord>,
 }
 
-/// A latency in nanoseconds, and the calls that it rests on.
+/// A latency estimate in nanoseconds, and the number of calls that it is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct LatencyEstimate {
     mean: f64,
     deviation: f64,
-    /// The mean without load.
+    /// Mean latency without load.
     #[serde(rename = "calm")]
     unloaded: f64,
     calls: u32,
 }
 
-/// What is known of one process of an upstream.
+/// Statistics of one upstream process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct UpstreamRecord {
-    /// When the process started, in Unix nanoseconds: the record does not hold for another process.
+    /// Start time of the process, in Unix nanoseconds. Identifies the process, since the record is invalid for any
+    /// other.
     #[serde(rename = "started", skip_serializing_if = "Option::is_none")]
     started_at: Option<Time>,
-    /// Latency of its calls as a multiple of their class's mean.
+    /// Latency of calls to the upstream, relative to the mean of their class.
     #[serde(rename = "slowness")]
     latency_ratio: f64,
-    /// How often its circuit breaker opened lately.
+    /// Number of recent openings of the upstream's circuit breaker.
     #[serde(rename = "opens")]
     breaker_openings: u32,
-    /// For how much longer the breaker stays open, in nanoseconds; `None` if it is closed.
+    /// Remaining time until the circuit breaker may close, in nanoseconds; `None` if the breaker is closed.
     #[serde(rename = "open_for", skip_serializing_if = "Option::is_none")]
     breaker_open_for: Option<Duration>,
 }
@@ -132,7 +136,7 @@
 }
 
 impl UpstreamRecord {
-    /// The record as the decision module takes it, under the number that the upstream has here.
+    /// Converts the record to the form of the decision module, with the upstream's id in this process.
     fn learned(&self, server: ServerId) -> LearnedServer {
         LearnedServer {
             server,
@@ -145,7 +149,7 @@
 }
 
 impl TransferredState {
-    /// What was learned, under the names of classes and upstreams. What has no name is left out.
+    /// Converts learned state to a document. Classes and upstreams without a name are omitted.
     pub fn new<'a>(
         learned: &LearnedState,
         class_name: impl Fn(usize) -> Option<&'a str>,
@@ -170,7 +174,7 @@
         }
     }
 
-    /// What was learned, of the classes and upstreams that are known here.
+    /// Converts the document to learned state. Classes and upstreams unknown to this process are omitted.
     pub fn learned(
         &self,
         class_position: impl Fn(&str) -> Option<usize>,
@@ -197,7 +201,7 @@
 
     /// Encodes the document as JSON.
     pub fn encode(&self) -> Vec<u8> {
-        // Cannot fail: all keys are text, and figures that are not finite become `null`.
+        // Cannot fail: all keys are strings, and numbers that are not finite become `null`.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
@@ -205,7 +209,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the document is not JSON of the version that is known here, or holds a figure that makes no sense.
+    /// Fails if the document is not valid JSON of the supported version or contains a number outside its range.
     pub fn decode(document: &[u8]) -> Result<Self, DecodeError> {
         #[derive(Deserialize)]
         struct Version {
@@ -223,7 +227,7 @@
         Ok(state)
     }
 
-    /// Checks that figures make sense.
+    /// Checks that all numbers are within their ranges.
     fn check(&self) -> Result<(), DecodeError> {
         for (class, latency) in &self.classes {
             latency.check(&format!("classes.{class}"))?;
@@ -256,7 +260,7 @@
     }
 }
 
-/// Checks that a figure is finite and not negative. The path of its field is made only for the error.
+/// Checks that a number is finite and not negative. The path of the field is built only for the error.
 fn check_number(field: impl FnOnce() -> String, value: f64) -> Result<(), DecodeError> {
     if value.is_finite() && value >= 0.0 {
         return Ok(());
--- a/crates/hot-restart/src/state/tests.rs
+++ b/crates/hot-restart/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the transferred document.
+//! Tests of encoding, decoding and validating the transferred document.
 
 use super::*;
 use proptest::prelude::*;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn learned_figures_come_back_under_the_positions_of_the_successor() {
+fn learned_state_is_restored_under_the_ids_of_the_successor() {
     let decoded = TransferredState::decode(&state().encode()).unwrap();
     let upstream = |name: &str| (name == "s-2").then_some(ServerId(5));
     let back = decoded.learned(|name| (name == "pay").then_some(7), upstream);
@@ -94,7 +94,8 @@
 }
 
 proptest! {
-    /// Guards the start of a process: no document of a predecessor may stop it.
+    /// Guards against a crash at startup: a corrupted document of a predecessor must be decoded or rejected, without a
+    /// panic.
     #[test]
     fn a_corrupted_document_is_decoded_or_rejected(
         length in 0usize..2000, at in 0usize..2000, byte in any::<u8>(),
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,9 +1,9 @@
-//! The bytes that a process hands to its successor, pinned: either of the two may be of another version.
+//! Pins the bytes of the transferred document, since predecessor and successor may run different versions.
 
 use woadstall_decisions::api::{LearnedLatency, LearnedServer, LearnedState, ServerId};
 use woadstall_hot_restart::TransferredState;
 
-/// Compares with the fixture of this name.
+/// Compares a text with the golden file `name`.
 fn assert_golden(name: &str, text: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
@@ -19,7 +19,7 @@
     }
 }
 
-/// An upstream with the figures of its breaker: how often it opened, and for how much longer it is open.
+/// Builds the state of an upstream. `breaker` holds the number of openings and the remaining open time in nanoseconds.
 fn server(
     id: u32,
     started: Option<u64>,
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn each_field_is_written_as_before_and_read_back() {
+fn each_field_is_encoded_as_recorded_and_decoded_unchanged() {
     let text = String::from_utf8(state(&learned()).encode()).unwrap();
     assert_golden("state.json", &text);
     assert_eq!(
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_state_of_a_process_that_has_learned_nothing() {
+fn empty_state_is_encoded_as_recorded() {
     let text = String::from_utf8(state(&LearnedState::default()).encode()).unwrap();
     assert_golden("state-empty.json", &text);
     assert_eq!(
