--- a/crates/socket-options/src/lib.rs
+++ b/crates/socket-options/src/lib.rs
@@ -1,12 +1,12 @@
-//! Options that a socket can do without.
+//! Best-effort socket options.
 //!
-//! They save latency, hold bursts, or let a dead peer or a successor be noticed sooner. None of them is a reason to close
-//! a connection or to fail a start: where the kernel refuses one, the socket is used as it is, the failure is counted
-//! ([`failures`]) and the first one of each option is logged as `socket_option_failed option=… error=…`.
+//! These options reduce latency, buffer bursts, detect dead peers sooner, or let a listener share or reuse its address.
+//! A refused option is no reason to close a connection or to abort a start: the socket is used without the option, the
+//! failure is counted ([`failures`]), and the first failure of each option is logged as
+//! `socket_option_failed option=… error=…`.
 //!
-//! Two options are no matter of this crate, as a socket is of no use without them, and their callers return the error:
-//! non-blocking mode, without which a socket would block its runtime, and a linger time of zero, without which a response
-//! that was cut off looks complete.
+//! Two mandatory options are set elsewhere, by callers that return the error: non-blocking mode, without which a socket
+//! would block its runtime, and a linger time of zero, without which a truncated response would look complete.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
@@ -17,25 +17,25 @@
 /// Idle time before the first keepalive probe, and time between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An option that a socket can do without.
+/// A best-effort socket option.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketOption {
     /// `TCP_NODELAY`. Without it, small writes may wait for the acknowledgement of earlier ones.
     NoDelay,
     /// `SO_RCVBUF`. Without it, more datagrams of a burst are dropped.
     ReceiveBuffer,
-    /// `SO_REUSEADDR`. Without it, an address that was in use a moment ago cannot be bound, which `bind` reports.
+    /// `SO_REUSEADDR`. Without it, a recently used address cannot be bound; `bind` reports that error.
     ReuseAddress,
-    /// `SO_REUSEPORT`. Without it, no successor can listen beside this process at a hot restart.
+    /// `SO_REUSEPORT`. Without it, a successor process cannot listen on the same address during a hot restart.
     ReusePort,
-    /// `TCP_USER_TIMEOUT` (RFC 5482). Without it, a dead peer is noticed by the time limits of the calls alone.
+    /// `TCP_USER_TIMEOUT` (RFC 5482). Without it, a dead peer is detected only by the time limits of calls.
     UserTimeout,
-    /// `SO_KEEPALIVE` and its intervals. Without them, an idle connection to a dead peer stays open.
+    /// `SO_KEEPALIVE` and the probe intervals. Without them, an idle connection to a dead peer stays open.
     Keepalive,
 }
 
 impl SocketOption {
-    /// All of them.
+    /// All options, in the order of declaration.
     pub const ALL: [Self; 6] = [
         Self::NoDelay,
         Self::ReceiveBuffer,
@@ -45,7 +45,7 @@
         Self::Keepalive,
     ];
 
-    /// Its name in logs and metrics.
+    /// The option's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoDelay => "nodelay",
@@ -58,11 +58,11 @@
     }
 }
 
-/// Failures of each option in this process.
+/// Number of failures of each option in this process.
 static FAILURES: [AtomicU64; SocketOption::ALL.len()] =
     [const { AtomicU64::new(0) }; SocketOption::ALL.len()];
 
-/// How many times an option could not be set, since the start of this process.
+/// Returns how often setting the option has failed since the start of this process.
 pub fn failures(option: SocketOption) -> u64 {
     FAILURES[option as usize].load(Ordering::Relaxed)
 }
@@ -77,32 +77,32 @@
     }
 }
 
-/// Has small writes sent at once.
+/// Sets `TCP_NODELAY`, so that small writes are sent immediately.
 pub fn set_nodelay(stream: &impl AsFd) {
     let result = SockRef::from(stream).set_tcp_nodelay(true);
     count_failure(SocketOption::NoDelay, result);
 }
 
-/// Has the kernel hold so many bytes that were not read yet.
+/// Sets the size of the kernel's receive buffer for unread data.
 pub fn set_receive_buffer(socket: &impl AsFd, bytes: usize) {
     let result = SockRef::from(socket).set_recv_buffer_size(bytes);
     count_failure(SocketOption::ReceiveBuffer, result);
 }
 
-/// Lets a listener bind an address whose former connections have not timed out yet.
+/// Sets `SO_REUSEADDR`, so that a listener can bind an address with connections in `TIME_WAIT`.
 pub fn set_reuse_address(socket: &impl AsFd) {
     let result = SockRef::from(socket).set_reuse_address(true);
     count_failure(SocketOption::ReuseAddress, result);
 }
 
-/// Lets several processes listen on one address.
+/// Sets `SO_REUSEPORT`, so that several processes can listen on the same address.
 pub fn set_reuse_port(socket: &impl AsFd) {
     let result = SockRef::from(socket).set_reuse_port(true);
     count_failure(SocketOption::ReusePort, result);
 }
 
-/// Has the kernel close a connection whose peer no longer responds: one with data unacknowledged for `user_timeout`, or an
-/// idle one whose keepalive probes nobody answers.
+/// Makes the kernel close a connection whose peer no longer responds: after data stays unacknowledged for
+/// `user_timeout`, or after the keepalive probes of an idle connection stay unanswered.
 pub fn enable_dead_peer_detection(stream: &impl AsFd, user_timeout: Duration) {
     let socket = SockRef::from(stream);
     let result = socket.set_tcp_user_timeout(Some(user_timeout));
--- a/crates/socket-options/tests/refused_options.rs
+++ b/crates/socket-options/tests/refused_options.rs
@@ -1,4 +1,4 @@
-//! Options that the kernel refuses: those of TCP, on sockets that speak no TCP.
+//! Tests options that the kernel refuses, by setting TCP options on Unix domain sockets.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::{Read, Write};
@@ -11,7 +11,7 @@
     set_reuse_address, set_reuse_port,
 };
 
-/// Keeps the lines of the log.
+/// A logger that stores all log lines.
 struct Lines(Mutex<Vec<String>>);
 
 static LINES: Lines = Lines(Mutex::new(Vec::new()));
@@ -28,7 +28,7 @@
     fn flush(&self) {}
 }
 
-/// One test, as the counts and the log are the process's.
+/// A single test covers all options, since failure counts and the logger are shared by the whole process.
 #[test]
 fn a_refused_option_is_counted_logged_once_and_leaves_the_socket_usable() {
     log::set_logger(&LINES).unwrap();
@@ -55,11 +55,11 @@
     assert_eq!(failures(SocketOption::NoDelay), 3);
     assert_eq!(failures(SocketOption::UserTimeout), 3);
     let lines = LINES.0.lock().unwrap().clone();
-    let of_nodelay: Vec<_> = lines
+    let nodelay_lines: Vec<_> = lines
         .iter()
         .filter(|line| line.starts_with("socket_option_failed option=nodelay error=\""))
         .collect();
-    assert_eq!(of_nodelay.len(), 1, "{lines:?}");
+    assert_eq!(nodelay_lines.len(), 1, "{lines:?}");
 
     here.write_all(b"still usable").unwrap();
     let mut received = [0; 12];
@@ -67,7 +67,7 @@
     assert_eq!(&received, b"still usable");
 }
 
-/// Names are labels of a metric: no two are the same.
+/// Names serve as metric labels and must be unique.
 #[test]
 fn names_differ() {
     let names: std::collections::BTreeSet<_> = SocketOption::ALL
