--- a/crates/runtime/src/load_balancer.rs
+++ b/crates/runtime/src/load_balancer.rs
@@ -167,7 +167,7 @@
     }
 
     /// Updates the upstreams from a complete or an incremental list.
-    pub fn list(&self, list: &EndpointList) {
+    pub fn update_endpoints(&self, list: &EndpointList) {
         self.shared.on_list(list);
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Number of calls that have no result yet or still have attempts in flight.
-    pub fn open(&self) -> usize {
+    pub fn open_call_count(&self) -> usize {
         self.shared.lock().engine.open_call_count()
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// Returns the learned state to transfer to a successor process, and the names of the upstreams by server id.
-    pub fn learned(&self) -> (LearnedState, HashMap<ServerId, String>) {
+    pub fn learned_state(&self) -> (LearnedState, HashMap<ServerId, String>) {
         let state = self.shared.lock();
         let ids = state.engine.upstream_ids().iter();
         let names = ids.map(|(name, server)| (*server, name.clone())).collect();
@@ -218,7 +218,10 @@
 
     /// Restores the state that a predecessor process has learned. `learned` receives the ids of the listed upstreams by
     /// name.
-    pub fn learn_from(&self, learned: impl FnOnce(&BTreeMap<String, ServerId>) -> LearnedState) {
+    pub fn restore_learned_state(
+        &self,
+        learned: impl FnOnce(&BTreeMap<String, ServerId>) -> LearnedState,
+    ) {
         let mut state = self.shared.lock();
         let learned = learned(state.engine.upstream_ids());
         state
@@ -227,7 +230,7 @@
     }
 
     /// Starts recording completed attempts, which [`LoadBalancer::observations`] returns.
-    pub fn observe(&self) {
+    pub fn record_attempts(&self) {
         self.shared.lock().engine.record_attempts();
     }
 
@@ -258,7 +261,7 @@
     }
 
     /// Returns the number of listed upstreams and the number of ejected upstreams.
-    pub fn upstreams(&self) -> (usize, usize) {
+    pub fn upstream_counts(&self) -> (usize, usize) {
         let state = self.shared.lock();
         (
             state.engine.upstream_count(),
@@ -267,7 +270,7 @@
     }
 
     /// Returns the age of the endpoint list and the number of failed discovery calls.
-    pub fn discovery(&self) -> DiscoveryStatus {
+    pub fn discovery_status(&self) -> DiscoveryStatus {
         self.shared.discovery.status()
     }
 
--- a/crates/tower/src/service.rs
+++ b/crates/tower/src/service.rs
@@ -45,7 +45,7 @@
 
     /// Takes a list of upstreams, complete or what changed, from a source of the caller's own.
     pub fn list(&self, listing: &EndpointList) {
-        self.0.load_balancer.list(listing);
+        self.0.load_balancer.update_endpoints(listing);
     }
 
     /// Follows discovery at another address from now on; its complete list is requested at once. Does nothing
@@ -64,7 +64,7 @@
 
     /// How many calls are not answered, or have an attempt in flight.
     pub fn open_calls(&self) -> usize {
-        self.0.load_balancer.open()
+        self.0.load_balancer.open_call_count()
     }
 
     /// How many connections to upstreams are open.
--- a/src/net/admin/routes.rs
+++ b/src/net/admin/routes.rs
@@ -80,13 +80,13 @@
 }
 
 fn metrics(state: &AdminState) -> AdminResponse {
-    let (upstreams, ejected) = state.load_balancer.upstreams();
+    let (upstreams, ejected) = state.load_balancer.upstream_counts();
     let attempts = state.load_balancer.transport().written();
     let status = LoadBalancerStatus {
         attempts,
         upstreams,
         ejected,
-        discovery: state.load_balancer.discovery(),
+        discovery: state.load_balancer.discovery_status(),
     };
     match state.metrics.encode(&status) {
         Ok(text) => response(StatusCode::OK, text),
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -65,7 +65,7 @@
             coordinator,
             membership,
         };
-        load_balancer.observe();
+        load_balancer.record_attempts();
         let evaluation_interval = Duration::from_millis(section.evaluation_interval_ms);
         tokio::spawn(task.clone().run(load_balancer, evaluation_interval));
         task
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -26,7 +26,7 @@
     match socket::fetch_state(&socket::socket_path(directory, config.listen)).await {
         Ok(None) => {}
         Ok(Some(state)) => {
-            load_balancer.learn_from(|upstreams| {
+            load_balancer.restore_learned_state(|upstreams| {
                 let class_position = |name: &str| config.names.class(name);
                 state.learned(class_position, |name| upstreams.get(name).copied())
             });
@@ -57,7 +57,7 @@
     load_balancer: &LoadBalancer<Http1>,
     settings: &ActiveSettings,
 ) -> TransferredState {
-    let (learned, names) = load_balancer.learned();
+    let (learned, names) = load_balancer.learned_state();
     // Of a class that has changed, only the active one goes on.
     let class_name = |position: usize| {
         let name = settings.names().classes.get(position)?.as_str();
