--- a/crates/inbound/src/request_gate.rs
+++ b/crates/inbound/src/request_gate.rs
@@ -94,7 +94,7 @@
                 state.has_ended = true;
                 return Poll::Ready(Ok(()));
             }
-            ready!(self.stream.poll_readable_anew(cx))?;
+            ready!(self.stream.poll_new_input(cx))?;
         }
     }
 }
--- a/crates/node/src/front/attempt/mod.rs
+++ b/crates/node/src/front/attempt/mod.rs
@@ -24,7 +24,7 @@
 use tokio::time::{Instant, timeout_at};
 use woadstall_inbound::lock;
 use woadstall_routing::{Outcome, Target};
-use woadstall_transport::{RequestBody, end_to_end};
+use woadstall_transport::{RequestBody, remove_hop_by_hop_headers};
 
 /// Bytes of a response at most that is received completely before it is forwarded.
 const MAX_BUFFERED_RESPONSE: usize = 8 << 20;
@@ -106,9 +106,9 @@
     } else {
         lock(&front.router).record_response(front.now(), &in_flight.target.id);
     }
-    // Read before `end_to_end` removes the headers that it is in.
+    // Read before `remove_hop_by_hop_headers` removes the headers that it is in.
     let keep_alive = keep_alive(&parts);
-    end_to_end(&mut parts.headers);
+    remove_hop_by_hop_headers(&mut parts.headers);
     let response = StreamingResponse {
         parts,
         body,
--- a/crates/node/src/front/client_connection.rs
+++ b/crates/node/src/front/client_connection.rs
@@ -101,7 +101,7 @@
                 _ = checks.tick() => is_closing = self.has_timed_out(seen),
             }
         }
-        while !(lock(seen).is_idle() && stream.is_quiet()) {
+        while !(lock(seen).is_idle() && stream.has_no_pending_input()) {
             if self.has_stalled(seen) {
                 return ConnectionEnd::Aborted;
             }
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -21,7 +21,7 @@
 use woadstall_inbound::{BodyMemory, lock};
 use woadstall_request_reports::Cause;
 use woadstall_routing::Prompt;
-use woadstall_transport::end_to_end;
+use woadstall_transport::remove_hop_by_hop_headers;
 
 /// When a client may retry at a front that knows no configuration yet: about the time that an
 /// election and a snapshot take.
@@ -90,7 +90,7 @@
     } else {
         Prompt::default()
     };
-    end_to_end(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     let Some(service) = pick_service(&configuration, &route) else {
         return text_response(StatusCode::BAD_GATEWAY, "the route has no service\n");
     };
--- a/crates/node/src/front/pool.rs
+++ b/crates/node/src/front/pool.rs
@@ -93,7 +93,7 @@
 
 impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
-        now < self.expires && self.connection.is_quiet()
+        now < self.expires && self.connection.is_reusable()
     }
 }
 
@@ -147,7 +147,7 @@
         let connected = timeout(connect_timeout, TcpStream::connect(target.address)).await;
         let stream = connected.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))?;
         enable_dead_peer_detection(&stream, USER_TIMEOUT);
-        let connection = Connection::over(stream, self.counts.clone()).await?;
+        let connection = Connection::from_tcp(stream, self.counts.clone()).await?;
         Ok(PooledConnection {
             connection,
             is_reused: false,
--- a/crates/tower/src/upstream_transport.rs
+++ b/crates/tower/src/upstream_transport.rs
@@ -32,7 +32,7 @@
     /// Connections to upstreams that are open.
     pub(crate) fn open_connections(&self) -> usize {
         match self {
-            Self::Http1(transport) => transport.open(),
+            Self::Http1(transport) => transport.open_connections(),
             Self::Http2(transport) => transport.open_connections(),
         }
     }
--- a/crates/transport/src/headers.rs
+++ b/crates/transport/src/headers.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, HeaderName};
 
 /// The headers that a message says belong to its connection alone (RFC 9110, section 7.6.1).
-pub fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+pub fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers
         .get_all(CONNECTION)
         .iter()
@@ -16,8 +16,8 @@
 }
 
 /// Removes the headers that are meant for this connection alone, and leaves those for the other end.
-pub fn end_to_end(headers: &mut HeaderMap) {
-    let named = named_by_connection(headers);
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let named = connection_options(headers);
     let hop_by_hop = [
         CONNECTION,
         CONTENT_LENGTH,
--- a/crates/transport/src/http1/connection.rs
+++ b/crates/transport/src/http1/connection.rs
@@ -16,7 +16,7 @@
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Whether a connection failed for lack of our own descriptors, ports or memory.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_resource_error(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     const ENOBUFS: i32 = 105;
@@ -45,7 +45,7 @@
     ///
     /// Fails if the connection cannot be established.
     pub async fn open(address: SocketAddr, counts: Arc<ConnectionCounts>) -> io::Result<Self> {
-        Self::over(TcpStream::connect(address).await?, counts).await
+        Self::from_tcp(TcpStream::connect(address).await?, counts).await
     }
 
     /// Takes a socket that is connected.
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// Fails if the connection cannot be driven.
-    pub async fn over(tcp: TcpStream, counts: Arc<ConnectionCounts>) -> io::Result<Self> {
+    pub async fn from_tcp(tcp: TcpStream, counts: Arc<ConnectionCounts>) -> io::Result<Self> {
         let stream = SharedStream::new(tcp);
         let progress = Arc::<Progress>::default();
         let socket = Socket::new(stream.clone(), progress.clone(), counts.clone());
@@ -62,7 +62,7 @@
         let handshake = builder.handshake(TokioIo::new(socket)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let task = tokio::spawn(connection).abort_handle();
-        counts.open.fetch_add(1, Ordering::Relaxed);
+        counts.open_connections.fetch_add(1, Ordering::Relaxed);
         Ok(Self {
             sender,
             progress,
@@ -74,8 +74,8 @@
 
     /// Whether nothing has come since the last response. What an idle connection brings is its end, and the runtime may
     /// not have reported that yet: a request written to it would be lost.
-    pub fn is_quiet(&self) -> bool {
-        self.sender.is_ready() && self.stream.is_quiet()
+    pub fn is_reusable(&self) -> bool {
+        self.sender.is_ready() && self.stream.has_no_pending_input()
     }
 
     /// Its upstream has broken the protocol.
@@ -90,6 +90,6 @@
         // such before another one is written.
         self.stream.shutdown_write().ok();
         self.task.abort();
-        self.counts.open.fetch_sub(1, Ordering::Relaxed);
+        self.counts.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/transport/src/http1/exchange.rs
+++ b/crates/transport/src/http1/exchange.rs
@@ -5,7 +5,7 @@
 use super::load_report::load_report;
 use super::progress::RequestBody;
 use crate::classify::{Classification, classify_http};
-use crate::headers::named_by_connection;
+use crate::headers::connection_options;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Body;
@@ -163,7 +163,7 @@
 /// Whether an upstream says that it closes the connection after its response.
 pub fn closes_connection(head: &Parts) -> bool {
     let is_close = |name: HeaderName| name == "close";
-    head.version < Version::HTTP_11 || named_by_connection(&head.headers).into_iter().any(is_close)
+    head.version < Version::HTTP_11 || connection_options(&head.headers).into_iter().any(is_close)
 }
 
 /// The connection, if it can be used again. It is ready by now unless its upstream closes it; a response to a request that
--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 pub use self::body::Http1Body;
-pub use self::connection::{Connection, is_local};
+pub use self::connection::{Connection, is_local_resource_error};
 pub use self::exchange::closes_connection;
 pub use self::load_report::load_report;
 pub use self::progress::{ConnectionCounts, Progress, RequestBody};
@@ -94,13 +94,13 @@
     }
 
     /// Connections that are open, idle or not.
-    pub fn open(&self) -> usize {
-        self.counts.open.load(Ordering::Relaxed)
+    pub fn open_connections(&self) -> usize {
+        self.counts.open_connections.load(Ordering::Relaxed)
     }
 
     /// Requests that were written to their last byte, since the start.
-    pub fn written(&self) -> u64 {
-        self.counts.written.load(Ordering::Relaxed)
+    pub fn requests_written(&self) -> u64 {
+        self.counts.requests_written.load(Ordering::Relaxed)
     }
 
     /// An attempt to its end: a response that is larger than may be buffered fails.
@@ -260,7 +260,7 @@
     match timeout(connect_timeout, Connection::open(address, counts)).await {
         Ok(Ok(connection)) => Ok(connection),
         // Our own lack of descriptors or ports says nothing of the upstream.
-        Ok(Err(error)) if is_local(&error) => Err(Outcome::Moot),
+        Ok(Err(error)) if is_local_resource_error(&error) => Err(Outcome::Moot),
         Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
     }
 }
--- a/crates/transport/src/http1/pool.rs
+++ b/crates/transport/src/http1/pool.rs
@@ -41,7 +41,7 @@
 impl IdleConnection {
     /// Whether it can be used: its upstream may not have closed it yet, and nothing came on it.
     fn is_usable(&self, idle_timeout: Duration) -> bool {
-        self.since.elapsed() < idle_timeout && self.connection.is_quiet()
+        self.since.elapsed() < idle_timeout && self.connection.is_reusable()
     }
 }
 
@@ -177,7 +177,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.counts.open.load(Ordering::Relaxed) >= self.max_open
+        self.counts.open_connections.load(Ordering::Relaxed) >= self.max_open
     }
 }
 
--- a/crates/transport/src/http1/progress.rs
+++ b/crates/transport/src/http1/progress.rs
@@ -25,9 +25,9 @@
 #[derive(Default)]
 pub struct ConnectionCounts {
     /// Connections that are open.
-    pub open: AtomicUsize,
+    pub open_connections: AtomicUsize,
     /// Requests that were written to their last byte.
-    pub written: AtomicU64,
+    pub requests_written: AtomicU64,
     /// When an upstream last broke the protocol.
     last_violation: Mutex<Option<Instant>>,
 }
--- a/crates/transport/src/http1/socket.rs
+++ b/crates/transport/src/http1/socket.rs
@@ -66,7 +66,7 @@
         let offered: usize = slices.iter().map(|slice| slice.len()).sum();
         let is_complete = written == offered && self.progress.body_taken.load(Ordering::Relaxed);
         if is_complete && !self.progress.written.swap(true, Ordering::Relaxed) {
-            self.counts.written.fetch_add(1, Ordering::Relaxed);
+            self.counts.requests_written.fetch_add(1, Ordering::Relaxed);
         }
         Poll::Ready(Ok(written))
     }
--- a/crates/transport/src/http1/tests.rs
+++ b/crates/transport/src/http1/tests.rs
@@ -47,10 +47,10 @@
 async fn an_idle_connection_is_not_quiet_once_its_peer_has_closed_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (connection, peer) = used_connection(&listener).await;
-    assert!(connection.is_quiet());
+    assert!(connection.is_reusable());
     drop(peer);
     let started = Instant::now();
-    while connection.is_quiet() {
+    while connection.is_reusable() {
         assert!(started.elapsed() < Duration::from_secs(30)); // no await: the runtime reports nothing
     }
 }
--- a/crates/transport/src/http2/pool.rs
+++ b/crates/transport/src/http2/pool.rs
@@ -2,7 +2,7 @@
 
 use super::Http2Limits;
 use super::connection::{Http2Connection, Http2Counts, StreamLease};
-use crate::http1::is_local;
+use crate::http1::is_local_resource_error;
 use crate::sync::lock;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -145,7 +145,7 @@
         let opened = match timeout(self.limits.connect_timeout, opening).await {
             Ok(Ok(connection)) => Ok(connection),
             // Our own lack of descriptors or ports says nothing of the upstream.
-            Ok(Err(error)) if is_local(&error) => Err(Outcome::Moot),
+            Ok(Err(error)) if is_local_resource_error(&error) => Err(Outcome::Moot),
             Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
         };
         let mut upstreams = lock(&self.upstreams);
--- a/crates/transport/src/http2/request_head.rs
+++ b/crates/transport/src/http2/request_head.rs
@@ -1,6 +1,6 @@
 //! The head of a request as an upstream gets it.
 
-use crate::headers::named_by_connection;
+use crate::headers::connection_options;
 use crate::outbound_request::OutboundRequest;
 use http::header::{CONNECTION, HOST, HeaderName, TE, TRANSFER_ENCODING, UPGRADE};
 use http::uri::{self, Authority, PathAndQuery, Scheme};
@@ -28,7 +28,7 @@
 
 /// Removes what belongs to one connection (RFC 9113, section 8.2.2).
 fn remove_connection_headers(headers: &mut HeaderMap) {
-    let named = named_by_connection(headers);
+    let named = connection_options(headers);
     let others = ["keep-alive", "proxy-connection"].map(HeaderName::from_static);
     for name in [CONNECTION, TRANSFER_ENCODING, UPGRADE]
         .into_iter()
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -12,10 +12,10 @@
 mod sync;
 
 pub use classify::grpc_status;
-pub use headers::{end_to_end, is_grpc, named_by_connection};
+pub use headers::{connection_options, is_grpc, remove_hop_by_hop_headers};
 pub use http1::{
     Connection, ConnectionCounts, Http1, Http1Body, Progress, RequestBody, closes_connection,
-    is_local, load_report,
+    is_local_resource_error, load_report,
 };
 #[cfg(feature = "http2")]
 pub use http2::{Http2, Http2Limits, ResponseBody, ResponseBodyError, grpc_timeout_of};
--- a/crates/transport/src/shared_stream.rs
+++ b/crates/transport/src/shared_stream.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether nothing has come that was not read, as the kernel knows it: the runtime may not have reported it yet.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_pending_input(&self) -> bool {
         let peeked = SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
@@ -44,7 +44,7 @@
 
     /// Waits for something new to come, without reading it: what is there already does not count. Bytes that are left
     /// unread so must be read with [`SharedStream::read_now`] first when reading goes on.
-    pub fn poll_readable_anew(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    pub fn poll_new_input(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         // Clears the readiness that the runtime has noted.
         let cleared: io::Result<()> = self
             .0
--- a/src/net/admin/routes.rs
+++ b/src/net/admin/routes.rs
@@ -81,7 +81,7 @@
 
 fn metrics(state: &AdminState) -> AdminResponse {
     let (upstreams, ejected) = state.load_balancer.upstreams();
-    let attempts = state.load_balancer.transport().written();
+    let attempts = state.load_balancer.transport().requests_written();
     let status = LoadBalancerStatus {
         attempts,
         upstreams,
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 use woadstall_inbound::lock;
-use woadstall_transport::{SharedStream, is_local};
+use woadstall_transport::{SharedStream, is_local_resource_error};
 
 /// Pause after a connection could not be accepted for lack of descriptors: another attempt at once would fail alike.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(5);
@@ -37,7 +37,7 @@
                 Ok((tcp, _)) => self.serve_connection(tcp, closing),
                 Err(error) => {
                     log(format_args!("accept_failed error=\"{error}\""));
-                    if is_local(&error) {
+                    if is_local_resource_error(&error) {
                         self.free_descriptors();
                         sleep(ACCEPT_BACKOFF).await;
                     }
--- a/src/net/server/call.rs
+++ b/src/net/server/call.rs
@@ -14,7 +14,7 @@
 use woadstall_engine::CallResult;
 use woadstall_inbound::{BodyMemory, ConnectionState, lock};
 use woadstall_runtime::CallParameters;
-use woadstall_transport::{Http1Body, end_to_end};
+use woadstall_transport::{Http1Body, remove_hop_by_hop_headers};
 
 /// Path of the health check.
 const HEALTH_PATH: &str = "/healthz";
@@ -76,7 +76,7 @@
             return Ok((response::rejection(REJECTION_RETRY_AFTER), deadline));
         };
         let _active = self.metrics.start_request();
-        end_to_end(&mut head.headers);
+        remove_hop_by_hop_headers(&mut head.headers);
         let parameters = CallParameters {
             class: call.class,
             tenant: call.tenant,
@@ -96,7 +96,7 @@
         CallResult::Served(response) => {
             let mut response = response.map(ResponseBody::from);
             *response.version_mut() = Version::HTTP_11;
-            end_to_end(response.headers_mut());
+            remove_hop_by_hop_headers(response.headers_mut());
             response
         }
         CallResult::Rejected(nanos) => response::rejection(Duration::from_nanos(nanos)),
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -61,7 +61,7 @@
 
     /// Whether no request is open, and nothing of one has come.
     fn is_idle(&self) -> bool {
-        lock(&self.state).is_idle() && self.stream.is_quiet()
+        lock(&self.state).is_idle() && self.stream.has_no_pending_input()
     }
 
     /// Whether it ever had a request, and since when it is idle; `None` while a request is open or has begun to come.
