--- a/crates/transport/src/classify.rs
+++ b/crates/transport/src/classify.rs
@@ -1,4 +1,5 @@
-//! What came back, and can the request have run? The tables of docs/plugin.md, in code.
+//! Maps responses and stream errors to the outcomes of attempts, which say whether the request can have been executed.
+//! The mappings implement the tables in docs/plugin.md.
 
 use http::{HeaderMap, StatusCode};
 use woadstall_runtime::engine::Outcome;
@@ -6,17 +7,16 @@
 #[cfg(all(test, feature = "http2"))]
 mod tests;
 
-/// What is known of an attempt from what came back, and whether that is the final response.
+/// The outcome of an attempt, and whether its response is final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Classification {
     /// The outcome for the decision module.
     pub outcome: Outcome,
-    /// It is passed on to the caller as it is.
+    /// The response is passed on to the caller unchanged; otherwise another attempt may follow.
     pub is_final: bool,
 }
 
 impl Classification {
-    /// The response is the final one.
     const fn final_response(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -24,7 +24,6 @@
         }
     }
 
-    /// Another attempt may follow.
     const fn retryable(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -33,18 +32,18 @@
     }
 }
 
-/// Whether an upstream says that it has rejected a request without running it.
+/// Whether the upstream declares that it rejected the request without executing it.
 fn is_rejected(headers: &HeaderMap) -> bool {
     headers.get("x-rejected").is_some_and(|value| value == "1")
 }
 
-/// A complete HTTP response, by its status.
+/// Classifies an HTTP response by its status.
 pub fn classify_http(status: StatusCode, headers: &HeaderMap) -> Classification {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected(headers) => {
             Classification::retryable(Outcome::Full)
         }
-        // 408 and 429 are about the connection and the load; all else of its kind is about the request.
+        // 408 and 429 concern the connection and the load. All other 4xx statuses concern the request.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => {
             Classification::retryable(Outcome::Error)
         }
@@ -56,17 +55,17 @@
     }
 }
 
-/// Status codes of gRPC that matter here (grpc/doc/statuscodes.md).
+/// The gRPC status codes that the balancer interprets or sends (grpc/doc/statuscodes.md).
 pub mod grpc_status {
     /// Success.
     pub const OK: u32 = 0;
     /// The caller cancelled the call.
     pub const CANCELLED: u32 = 1;
-    /// An error that is not known better.
+    /// An error without further information.
     pub const UNKNOWN: u32 = 2;
     /// The deadline has passed.
     pub const DEADLINE_EXCEEDED: u32 = 4;
-    /// A quota or a resource is used up.
+    /// A quota or a resource is exhausted.
     pub const RESOURCE_EXHAUSTED: u32 = 8;
     /// An invariant of the server is broken.
     pub const INTERNAL: u32 = 13;
@@ -76,7 +75,7 @@
     pub const DATA_LOSS: u32 = 15;
 }
 
-/// The end of a gRPC call, by its trailers, or by its headers where these are all there is.
+/// Classifies the end of a gRPC call by its trailers; in a Trailers-Only response these are the response headers.
 #[cfg(feature = "http2")]
 pub fn classify_grpc(trailers: &HeaderMap) -> Classification {
     use grpc_status::{
@@ -92,25 +91,25 @@
             Classification::retryable(Outcome::Full)
         }
         Some(RESOURCE_EXHAUSTED) if has_pushback => Classification::retryable(Outcome::Full),
-        // From the wire alone it cannot be told whether it ran.
+        // UNAVAILABLE alone does not say whether the request was executed.
         Some(UNAVAILABLE) => Classification::retryable(Outcome::Error),
         Some(DEADLINE_EXCEEDED) => Classification::retryable(Outcome::Timeout),
-        // The server's own failures: final, as what they mean is between caller and server, but it failed.
+        // Server failures are final, because only the caller can interpret them, and count as errors of the upstream.
         Some(UNKNOWN | INTERNAL | DATA_LOSS) => Classification::final_response(Outcome::Error),
         Some(_) => Classification::final_response(Outcome::Declined),
-        // No status at all: the peer does not keep to the protocol.
+        // A missing or unreadable status violates the gRPC protocol.
         None => Classification::retryable(Outcome::Error),
     }
 }
 
-/// A stream that broke (RFC 9113, sections 5.4 and 6.8).
+/// The outcome of an attempt whose stream ended with an error (RFC 9113, sections 5.4 and 6.8).
 #[cfg(feature = "http2")]
 pub fn classify_stream_error(error: &h2::Error) -> Outcome {
-    // GOAWAY: h2 ends with it those streams alone that lie above the last one the peer may have acted on.
+    // GOAWAY: h2 reports it only for streams above the last stream that the peer may have processed.
     if error.is_go_away() && error.is_remote() {
         return Outcome::Moot;
     }
-    // REFUSED_STREAM: closed before any of it was processed (RFC 9113, section 8.7).
+    // REFUSED_STREAM: the peer closed the stream before it processed any of the request (RFC 9113, section 8.7).
     let is_refused = error.reason() == Some(h2::Reason::REFUSED_STREAM);
     if error.is_reset() && error.is_remote() && is_refused {
         return Outcome::Full;
--- a/crates/transport/src/classify/tests.rs
+++ b/crates/transport/src/classify/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the tables of statuses.
+//! Tests of the classification of HTTP and gRPC statuses.
 
 use super::*;
 
@@ -14,7 +14,8 @@
         .collect()
 }
 
-/// Each row of the table. "Never ran" is what lets unsafe work be sent again: no row may claim it wrongly.
+/// Guards against a request that must not run twice being retried: `Outcome::Full` permits that retry, so it may result
+/// only where the upstream cannot have executed the request.
 #[test]
 fn each_status_has_its_classification() {
     let cases: &[(&str, Pairs, Outcome, bool)] = &[
--- a/crates/transport/src/http1/body.rs
+++ b/crates/transport/src/http1/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses, complete or passed on as they come.
+//! Response bodies, complete or streamed.
 
 use super::connection::Connection;
 use super::pool::Pool;
@@ -15,27 +15,27 @@
 
 /// The body of an upstream's response.
 pub enum Http1Body {
-    /// All of it, until it is taken.
+    /// The whole body; empty once it has been read.
     Complete(Bytes),
-    /// What has come so far, and what comes.
+    /// A body that is forwarded while it is received.
     Streaming(Box<StreamingBody>),
 }
 
-/// Where a connection goes after its response.
+/// The place in the pool to which a connection returns after its response.
 struct PoolSlot {
     pool: Arc<Mutex<Pool>>,
     server: ServerId,
     epoch: u64,
 }
 
-/// The body of a response that has started. Dropped before its end, the attempt is cancelled.
+/// The body of a response that has started. Dropping it before its end cancels the attempt.
 pub struct StreamingBody {
-    /// What has come so far, until it is taken.
+    /// Bytes received before streaming began; empty once they have been read.
     first: Bytes,
-    /// Length of the whole body, where that is known.
+    /// Length of the whole body in bytes, if known.
     length: Option<u64>,
-    /// Bytes that may still come.
-    allowance: usize,
+    /// Number of further bytes that the size limit allows.
+    remaining_limit: usize,
     body: Incoming,
     connection: Connection,
     tail: Option<ResponseTail>,
@@ -43,7 +43,7 @@
 }
 
 impl Http1Body {
-    /// Whether all of it is there.
+    /// Whether the whole body has been received.
     pub fn is_complete(&self) -> bool {
         matches!(self, Self::Complete(_))
     }
@@ -56,18 +56,19 @@
 }
 
 impl StreamingBody {
-    /// A body of which `first` has come, and `allowance` bytes more may.
+    /// Creates a body of which `first` has been received. A body with more than `remaining_limit` further bytes is an
+    /// error.
     pub(super) fn new(
         first: Bytes,
         length: Option<u64>,
-        allowance: usize,
+        remaining_limit: usize,
         body: Incoming,
         connection: Connection,
     ) -> Self {
         Self {
             first,
             length,
-            allowance,
+            remaining_limit,
             body,
             connection,
             tail: None,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Where the connection goes at the end.
+    /// Sets the pool entry to which the connection returns when the body ends.
     pub(super) fn return_to(&mut self, pool: Arc<Mutex<Pool>>, server: ServerId, epoch: u64) {
         self.pool_slot = Some(PoolSlot {
             pool,
@@ -84,7 +85,7 @@
         });
     }
 
-    /// Where the end is reported.
+    /// Sets the receiver of the attempt's outcome.
     pub(super) fn report_to(&mut self, tail: ResponseTail) {
         self.tail = Some(tail);
     }
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Whether its end has come; reports it then. Where the length is known, nobody polls for more than that.
+    /// Whether the body has ended; reports the end if so. If the length is known, readers do not poll beyond it, so the
+    /// end must be detected without another poll.
     fn has_ended(&mut self, polled_to_end: bool) -> bool {
         let has_ended = polled_to_end || self.first.is_empty() && self.body.is_end_stream();
         if has_ended {
@@ -113,15 +115,15 @@
                 None => return Poll::Ready(None),
                 Some(Err(error)) => (Outcome::Reset, io::Error::other(error)),
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(data) if data.len() <= self.allowance => {
-                        self.allowance -= data.len();
+                    Ok(data) if data.len() <= self.remaining_limit => {
+                        self.remaining_limit -= data.len();
                         return Poll::Ready(Some(Ok(data)));
                     }
                     Ok(_) => (
                         Outcome::Error,
-                        io::Error::other("an answer is larger than any may be"),
+                        io::Error::other("response body exceeds the size limit"),
                     ),
-                    Err(_) => continue, // trailers belong to the connection
+                    Err(_) => continue, // trailers apply to this connection only
                 },
             };
             self.report_end(outcome);
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Keeps the connection for the next attempt, once it is ready for it.
+    /// Returns the connection to the pool once it can take another request.
     fn return_connection(self) {
         let Self {
             mut connection,
--- a/crates/transport/src/http1/connection.rs
+++ b/crates/transport/src/http1/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an upstream.
+//! An HTTP/1.1 connection to an upstream.
 
 use super::progress::{ConnectionCounts, Progress, RequestBody};
 use super::socket::Socket;
@@ -12,10 +12,11 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// hyper's buffer for a response, in bytes: a head without end is given up at this size.
+/// Size of hyper's read buffer in bytes. A response head that does not fit is an error, which bounds the memory that an
+/// endless head can take.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Whether a connection failed for lack of our own descriptors, ports or memory.
+/// Whether a connection failed because this process or machine lacks descriptors, ports or memory.
 pub fn is_local_resource_error(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
@@ -27,11 +28,11 @@
         )
 }
 
-/// A connection to an upstream. Dropping it closes it.
+/// An HTTP/1.1 connection to an upstream. It is closed when dropped.
 pub struct Connection {
-    /// Takes the next request.
+    /// Sends requests through hyper.
     pub sender: SendRequest<RequestBody>,
-    /// How far the present request has got.
+    /// Progress of the present request.
     pub progress: Arc<Progress>,
     stream: SharedStream,
     task: AbortHandle,
@@ -39,7 +40,7 @@
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects to an address.
     ///
     /// # Errors
     ///
@@ -48,11 +49,11 @@
         Self::from_tcp(TcpStream::connect(address).await?, counts).await
     }
 
-    /// Takes a socket that is connected.
+    /// Creates a connection from a connected socket.
     ///
     /// # Errors
     ///
-    /// Fails if the connection cannot be driven.
+    /// Fails if hyper's handshake does.
     pub async fn from_tcp(tcp: TcpStream, counts: Arc<ConnectionCounts>) -> io::Result<Self> {
         let stream = SharedStream::new(tcp);
         let progress = Arc::<Progress>::default();
@@ -72,13 +73,14 @@
         })
     }
 
-    /// Whether nothing has come since the last response. What an idle connection brings is its end, and the runtime may
-    /// not have reported that yet: a request written to it would be lost.
+    /// Whether the connection can take a request: nothing has arrived since the last response. On an idle connection the
+    /// next event is normally its close. The kernel is asked, because the runtime may not have reported the close yet and
+    /// a request written to a closed connection would be lost.
     pub fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.stream.has_no_pending_input()
     }
 
-    /// Its upstream has broken the protocol.
+    /// Records that the upstream has violated the protocol.
     pub fn record_violation(&self) {
         self.counts.record_violation();
     }
@@ -86,8 +88,8 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // At once: the aborted task holds the socket until it is scheduled, and an attempt given up is to be known as
-        // such before another one is written.
+        // Shuts the socket down at once, because the aborted task holds it until the task is scheduled, and the upstream
+        // must see that the attempt was abandoned before another attempt is written.
         self.stream.shutdown_write().ok();
         self.task.abort();
         self.counts.open_connections.fetch_sub(1, Ordering::Relaxed);
--- a/crates/transport/src/http1/exchange.rs
+++ b/crates/transport/src/http1/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection.
+//! Sending a request on a connection and receiving its response.
 
 use super::body::StreamingBody;
 use super::connection::Connection;
@@ -15,22 +15,23 @@
 use std::sync::atomic::Ordering;
 use woadstall_runtime::engine::{AttemptEnd, Outcome};
 
-/// Bytes of a large response that must have come before it is passed on: a broken one that claims to be large hardly has
-/// more, and can still be retried.
+/// Number of bytes of a large response that are received before it is streamed. A broken response that announces a large
+/// body rarely has more bytes than this, and can still be retried as long as none have been passed on.
 const STREAMING_THRESHOLD: usize = 4 << 10;
 
-/// How an attempt ended.
+/// The result of an attempt that has ended.
 pub(super) struct CompletedExchange {
     pub outcome: Outcome,
     is_final: bool,
-    /// The response, if all of it came.
+    /// The response, if it was received completely.
     pub response: Option<Response<Bytes>>,
-    /// The connection, if it can be used again.
+    /// The connection, if it can take another request.
     pub connection: Option<Connection>,
 }
 
 impl CompletedExchange {
-    /// The end as the runtime takes it, with the load report by these fields.
+    /// Converts the result for the runtime. The load report is read from the response header `x-load-report`, with
+    /// `fields` in their order.
     pub fn into_attempt_end(self, fields: &[String]) -> AttemptEnd<Response<Bytes>> {
         let response = self.response.as_ref();
         let report = response.and_then(|response| response.headers().get("x-load-report"));
@@ -55,11 +56,11 @@
     }
 }
 
-/// What came of a request on a connection.
+/// The result of sending a request on a connection.
 pub(super) enum Exchange {
     /// The attempt has ended.
     Completed(CompletedExchange),
-    /// The final response has started, and is too large to wait for its end.
+    /// The final response has started, and is too large to be buffered.
     Started(Response<StreamingBody>),
 }
 
@@ -69,16 +70,16 @@
     }
 }
 
-/// How large responses may be, in bytes.
+/// Limits on the size of response bodies, in bytes.
 #[derive(Clone, Copy)]
 pub(super) struct SizeLimits {
-    /// Up to this, a response is read to its end before it is passed on.
+    /// Responses up to this size are received completely before they are passed on.
     pub buffered: usize,
-    /// In all: a response between the two is passed on as it comes.
+    /// Maximum size. Responses between `buffered` and `max` are streamed.
     pub max: usize,
 }
 
-/// Sends a request on a connection and waits for its response, or for its beginning where it is large.
+/// Sends a request on a connection and waits for the response, or for the beginning of a large response.
 pub(super) async fn exchange(
     request: Request<Bytes>,
     mut connection: Connection,
@@ -96,20 +97,21 @@
             if error.is_parse() {
                 connection.record_violation();
             }
-            broken_outcome(&connection).into()
+            outcome_of_broken_connection(&connection).into()
         }
     }
 }
 
-/// The outcome where a connection breaks: only a request whose last byte was not written is known not to have run.
-fn broken_outcome(connection: &Connection) -> Outcome {
+/// The outcome of an attempt whose connection broke. Only if the last byte of the request was not written, the upstream
+/// cannot have executed it.
+fn outcome_of_broken_connection(connection: &Connection) -> Outcome {
     match connection.progress.written.load(Ordering::Relaxed) {
         true => Outcome::Reset,
         false => Outcome::ConnectFailed,
     }
 }
 
-/// Reads a response to its end, or to where it is passed on as it comes.
+/// Receives a response completely, or until it must be streamed.
 async fn receive(
     response: Response<hyper::body::Incoming>,
     connection: Connection,
@@ -119,7 +121,7 @@
     let Classification { outcome, is_final } = classify_http(head.status, &head.headers);
     let length = body.size_hint().exact();
     if body.size_hint().lower() > limits.max as u64 {
-        return Outcome::Error.into(); // larger than any response may be
+        return Outcome::Error.into(); // exceeds the size limit
     }
     let may_stream = is_final && limits.max > limits.buffered;
     let buffer_limit = match length {
@@ -129,20 +131,20 @@
     let mut received = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return broken_outcome(&connection).into();
+            return outcome_of_broken_connection(&connection).into();
         };
         let Ok(data) = frame.into_data() else {
             continue;
-        }; // trailers belong to the connection
+        }; // trailers apply to this connection only
         received.extend_from_slice(&data);
         if received.len() <= buffer_limit {
             continue;
         }
         if !may_stream || received.len() > limits.max {
-            return Outcome::Error.into(); // larger than any response may be
+            return Outcome::Error.into(); // exceeds the size limit
         }
-        let allowance = limits.max - received.len();
-        let body = StreamingBody::new(received.freeze(), length, allowance, body, connection);
+        let remaining_limit = limits.max - received.len();
+        let body = StreamingBody::new(received.freeze(), length, remaining_limit, body, connection);
         return Exchange::Started(Response::from_parts(head, body));
     }
     connection
@@ -160,21 +162,22 @@
     })
 }
 
-/// Whether an upstream says that it closes the connection after its response.
+/// Whether a response head announces that the upstream closes the connection after the response.
 pub fn closes_connection(head: &Parts) -> bool {
     let is_close = |name: HeaderName| name == "close";
     head.version < Version::HTTP_11 || connection_options(&head.headers).into_iter().any(is_close)
 }
 
-/// The connection, if it can be used again. It is ready by now unless its upstream closes it; a response to a request that
-/// was not yet written to its end leaves one behind that may never be.
+/// Returns the connection if it can take another request. After a complete response hyper reports it as ready, unless the
+/// upstream closes it. A connection whose response ended before the request was fully written might never become ready and
+/// is closed.
 async fn reusable(mut connection: Connection, keeps_alive: bool) -> Option<Connection> {
     if !connection.progress.written.load(Ordering::Relaxed) {
         return None;
     }
     let is_ready = connection.sender.ready().await.is_ok();
     if keeps_alive && !is_ready {
-        connection.record_violation(); // more came than its response
+        connection.record_violation(); // bytes arrived after the response
     }
     is_ready.then_some(connection)
 }
--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams over HTTP/1.1, and attempts on them: one attempt at a time on each.
+//! Connections to upstreams over HTTP/1.1. Each connection carries one attempt at a time.
 
 mod body;
 mod connection;
@@ -31,10 +31,11 @@
 use woadstall_runtime::{Attempt, AttemptProgress, Transport};
 use woadstall_settings::Names;
 
-/// An idle connection is dropped by this much, or by half its time, before its upstream may close it.
-const IDLE_MARGIN: Duration = Duration::from_millis(500);
+/// An idle connection is closed earlier than its upstream may close it, by this margin or by half the upstream's idle
+/// timeout, whichever is shorter.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Where upstreams serve their load report.
+/// Path at which upstreams serve their load report.
 const LOAD_REPORT_PATH: &str = "/load";
 
 type BoxedExchange = Pin<Box<dyn Future<Output = Exchange> + Send>>;
@@ -43,12 +44,12 @@
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// How long an idle connection is kept that its upstream may close after a time.
+/// Returns for how long an idle connection is kept, given the idle timeout of its upstream.
 fn with_margin(upstream_timeout: Duration) -> Duration {
-    upstream_timeout - IDLE_MARGIN.min(upstream_timeout / 2)
+    upstream_timeout - IDLE_TIMEOUT_MARGIN.min(upstream_timeout / 2)
 }
 
-/// Connections over HTTP/1.1 to all upstreams: one attempt at a time on each.
+/// The HTTP/1.1 transport: pooled connections to all upstreams, each with one attempt at a time.
 pub struct Http1 {
     pool: Arc<Mutex<Pool>>,
     counts: Arc<ConnectionCounts>,
@@ -58,8 +59,9 @@
 }
 
 impl Http1 {
-    /// Idle connections are kept for less than `idle_timeout`, no more than `max_open` are open, idle or not, and a
-    /// response has at most `max_body` bytes.
+    /// Creates a transport without connections. `idle_timeout` is the time after which upstreams may close an idle
+    /// connection; the pool closes it earlier. `max_open` limits the open connections, idle and busy, and `max_body` the
+    /// bytes of a response body.
     pub fn new(names: &Names, idle_timeout: Duration, max_open: usize, max_body: usize) -> Self {
         let counts = Arc::<ConnectionCounts>::default();
         let pool = Pool::new(with_margin(idle_timeout), max_open, counts.clone());
@@ -75,35 +77,35 @@
         }
     }
 
-    /// Passes responses that are larger than that on as they come, up to this size in bytes.
+    /// Streams responses that are larger than the limit given to [`Http1::new`], up to `max_body` bytes.
     pub fn with_streaming(mut self, max_body: usize) -> Self {
         self.limits.max = max_body;
         self
     }
 
-    /// Takes new settings: what is open is kept for no longer than these say.
+    /// Applies new settings. The new idle timeout also holds for connections that are already open.
     pub fn reconfigure(&self, names: &Names, idle_timeout: Duration) {
         self.connect_timeout_ns
             .store(nanos(names.connect_timeout), Ordering::Relaxed);
         lock(&self.pool).set_idle_timeout(with_margin(idle_timeout));
     }
 
-    /// Closes all idle connections.
+    /// Closes all idle connections. Busy connections are closed after their present response.
     pub fn close_all(&self) {
         lock(&self.pool).clear();
     }
 
-    /// Connections that are open, idle or not.
+    /// The number of open connections, idle and busy.
     pub fn open_connections(&self) -> usize {
         self.counts.open_connections.load(Ordering::Relaxed)
     }
 
-    /// Requests that were written to their last byte, since the start.
+    /// The number of requests written to their last byte since the transport was created.
     pub fn requests_written(&self) -> u64 {
         self.counts.requests_written.load(Ordering::Relaxed)
     }
 
-    /// An attempt to its end: a response that is larger than may be buffered fails.
+    /// Makes an attempt and waits for the whole response. A response larger than the buffer limit is an error.
     pub fn buffered_attempt(
         &self,
         request: &Request<Bytes>,
@@ -114,12 +116,12 @@
         async move {
             match exchange.await {
                 Exchange::Completed(completed) => completed.into_attempt_end(&fields),
-                Exchange::Started(_) => Outcome::Error.into(), // larger than any response may be
+                Exchange::Started(_) => Outcome::Error.into(), // exceeds the buffer limit
             }
         }
     }
 
-    /// Limits under which no response is passed on before its end.
+    /// Limits under which no response is streamed.
     fn buffered_only(&self) -> SizeLimits {
         SizeLimits {
             max: self.limits.buffered,
@@ -139,8 +141,9 @@
         self.exchange(request, peer, limits, move || attempt.begin())
     }
 
-    /// One request and its response, on a kept connection or a new one. On the heap: each future that wraps it would hold
-    /// it twice over.
+    /// Sends a request on a pooled connection or a new one and receives its response. `begin` returns how long the caller
+    /// still waits, or `None` if the attempt must not be made. The future is boxed because each future that wraps it would
+    /// otherwise store it twice.
     fn exchange(
         &self,
         mut request: Request<Bytes>,
@@ -162,11 +165,12 @@
                     Err(outcome) => return outcome.into(),
                 },
             };
-            // Guards rule 3: since it was begun, the upstream may have been listed as draining or gone.
+            // While the connection was opened, the upstream may have been listed as draining or gone. Such an upstream
+            // must not receive new requests.
             if !lock(&pool).is_current(peer.server, epoch) {
                 return Outcome::Moot.into();
             }
-            // As late as this, since connecting takes its time.
+            // Called after connecting, so that the time left does not include the time spent on connecting.
             let Some(time_left) = begin() else {
                 return Outcome::Moot.into();
             };
@@ -226,7 +230,7 @@
         let fields = self.report_fields.clone();
         async move {
             let Exchange::Completed(completed) = exchange.await else {
-                return (Outcome::Error, None); // larger than any report may be
+                return (Outcome::Error, None); // the report exceeds the buffer limit
             };
             let CompletedExchange {
                 outcome, response, ..
@@ -251,7 +255,7 @@
     }
 }
 
-/// Connects; the error is the outcome of the attempt.
+/// Opens a connection. The error is the outcome of the attempt.
 async fn connect(
     address: SocketAddr,
     counts: Arc<ConnectionCounts>,
@@ -259,13 +263,14 @@
 ) -> Result<Connection, Outcome> {
     match timeout(connect_timeout, Connection::open(address, counts)).await {
         Ok(Ok(connection)) => Ok(connection),
-        // Our own lack of descriptors or ports says nothing of the upstream.
+        // A lack of local descriptors or ports does not indicate a failure of the upstream.
         Ok(Err(error)) if is_local_resource_error(&error) => Err(Outcome::Moot),
         Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
     }
 }
 
-/// The request as an upstream gets it: as it came, and in the form for an origin (RFC 9112, section 3.2.1).
+/// Copies a request for an upstream: as HTTP/1.1, with its target in origin form (RFC 9112, section 3.2.1) and with a
+/// `Host` header.
 fn forwarded(request: &Request<Bytes>, address: SocketAddr) -> Request<Bytes> {
     let mut request = request.clone();
     *request.version_mut() = Version::HTTP_11;
@@ -285,7 +290,7 @@
     request
 }
 
-/// Sets how long the caller still waits, in seconds.
+/// Sets the header `x-budget` to the time that the caller still waits, in seconds.
 fn set_budget(request: &mut Request<Bytes>, time_left: Duration) {
     let budget = HeaderValue::from_str(&format!("{:.6}", time_left.as_secs_f64()));
     let budget = budget.unwrap_or(HeaderValue::from_static("0"));
--- a/crates/transport/src/http1/pool.rs
+++ b/crates/transport/src/http1/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections between two requests.
+//! The pool of idle connections.
 
 use super::connection::Connection;
 use super::progress::ConnectionCounts;
@@ -8,14 +8,15 @@
 use tokio::time::{Duration, Instant};
 use woadstall_runtime::engine::ServerId;
 
-/// How long a connection rests before its next request, once an upstream has broken the protocol: a second response that
-/// comes some milliseconds late would else be taken for that of the next request, perhaps another customer's.
-const REST_TIME: Duration = Duration::from_millis(20);
-/// For how long a violation of the protocol is remembered.
-const VIOLATION_MEMORY: Duration = Duration::from_secs(60);
-/// Most connections to an upstream that may rest so while another one is opened; with more, the one that has rested for
-/// longest is used.
-const MAX_RESTING: usize = 4;
+/// Minimum time between two requests on a connection after any upstream has violated the protocol. A surplus response
+/// that arrives a few milliseconds late would otherwise be taken for the response to the next request, which may belong
+/// to another customer.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
+/// Time after a protocol violation during which [`REUSE_DELAY`] applies.
+const VIOLATION_RETENTION: Duration = Duration::from_secs(60);
+/// Number of idle connections to an upstream within their [`REUSE_DELAY`] at which no further connection is opened;
+/// the connection that has been idle for longest is used instead.
+const MAX_DELAYED_CONNECTIONS: usize = 4;
 
 /// Idle connections to all upstreams.
 pub(super) struct Pool {
@@ -26,8 +27,8 @@
     next_epoch: u64,
 }
 
-/// The idle connections to one process of an upstream, the latest used last. What was begun in another epoch belongs to a
-/// former process, or to one that takes nothing new.
+/// The idle connections to one process of an upstream, the most recently used last. Connections and attempts of another
+/// epoch belong to a former process, or to a process that receives no new requests.
 struct UpstreamPool {
     epoch: u64,
     idle: Vec<IdleConnection>,
@@ -39,23 +40,23 @@
 }
 
 impl IdleConnection {
-    /// Whether it can be used: its upstream may not have closed it yet, and nothing came on it.
+    /// Whether the connection is within the idle timeout and has received nothing since its last response.
     fn is_usable(&self, idle_timeout: Duration) -> bool {
         self.since.elapsed() < idle_timeout && self.connection.is_reusable()
     }
 }
 
-/// A permission to make an attempt.
+/// The epoch and the connection with which an attempt is made.
 pub(super) struct Checkout {
-    /// The process that the attempt belongs to.
+    /// Epoch of the upstream process that the attempt belongs to.
     pub epoch: u64,
-    /// A connection to use; `None` where one is to be opened.
+    /// The pooled connection to use; `None` if a new one must be opened.
     pub idle: Option<Connection>,
 }
 
 impl Pool {
-    /// No connection yet. Idle ones are kept for less than `idle_timeout`, and no more than `max_open` are open, idle or
-    /// not.
+    /// Creates an empty pool. Idle connections are kept for less than `idle_timeout`. `max_open` limits the open
+    /// connections, idle and busy.
     pub fn new(idle_timeout: Duration, max_open: usize, counts: Arc<ConnectionCounts>) -> Self {
         Self {
             idle_timeout,
@@ -66,30 +67,31 @@
         }
     }
 
-    /// Keeps idle connections for less than this from now on.
     pub fn set_idle_timeout(&mut self, idle_timeout: Duration) {
         self.idle_timeout = idle_timeout;
     }
 
-    /// Closes the idle connections to an upstream; busy ones may be kept again.
+    /// Closes the idle connections to an upstream. Busy connections may still return to the pool.
     pub fn close_idle(&mut self, server: ServerId) {
         if let Some(pool) = self.upstreams.get_mut(&server) {
             pool.idle.clear();
         }
     }
 
-    /// Keeps no present connection to an upstream.
+    /// Ends the present epoch of an upstream: closes its idle connections, and keeps its busy connections from returning
+    /// to the pool.
     pub fn retire(&mut self, server: ServerId) {
         self.upstreams.remove(&server);
     }
 
-    /// Keeps no present connection.
+    /// Ends the present epochs of all upstreams: closes all idle connections, and keeps the busy ones from returning to the
+    /// pool.
     pub fn clear(&mut self) {
         self.upstreams.clear();
     }
 
-    /// The present epoch, and the latest used connection that is usable. `None` if there is none, nor capacity for one
-    /// more.
+    /// Returns the present epoch of the upstream, with the most recently used connection that is usable, or without one if
+    /// a connection may be opened. `None` if there is neither a usable connection nor capacity for a new one.
     pub fn check_out(&mut self, server: ServerId) -> Option<Checkout> {
         let next_epoch = &mut self.next_epoch;
         let pool = self.upstreams.entry(server).or_insert_with(|| {
@@ -100,45 +102,45 @@
             }
         });
         let epoch = pool.epoch;
-        let had_violation = self.counts.had_violation_within(VIOLATION_MEMORY);
-        let rest_time = if had_violation {
-            REST_TIME
+        let had_violation = self.counts.had_violation_within(VIOLATION_RETENTION);
+        let reuse_delay = if had_violation {
+            REUSE_DELAY
         } else {
             Duration::ZERO
         };
-        if let Some(connection) = pool.take_usable(rest_time, self.idle_timeout) {
+        if let Some(connection) = pool.take_usable(reuse_delay, self.idle_timeout) {
             return Some(Checkout {
                 epoch,
                 idle: Some(connection),
             });
         }
         pool.idle.retain(|idle| idle.is_usable(self.idle_timeout));
-        let resting = pool.idle.len();
+        let delayed = pool.idle.len();
         let may_open = self.make_capacity();
-        if may_open && resting < MAX_RESTING {
+        if may_open && delayed < MAX_DELAYED_CONNECTIONS {
             return Some(Checkout { epoch, idle: None });
         }
-        let rested_longest = self
+        let oldest = self
             .upstreams
             .get_mut(&server)
             .and_then(UpstreamPool::take_oldest);
-        if rested_longest.is_none() && !may_open {
+        if oldest.is_none() && !may_open {
             return None;
         }
         Some(Checkout {
             epoch,
-            idle: rested_longest,
+            idle: oldest,
         })
     }
 
-    /// Whether connections of this epoch are still of use.
+    /// Whether the upstream is still in this epoch.
     pub fn is_current(&self, server: ServerId, epoch: u64) -> bool {
         self.upstreams
             .get(&server)
             .is_some_and(|pool| pool.epoch == epoch)
     }
 
-    /// Keeps a connection for the next attempt.
+    /// Returns a connection to the pool. Closes it if the epoch of the upstream has ended.
     pub fn put(&mut self, server: ServerId, epoch: u64, connection: Connection) {
         if let Some(pool) = self
             .upstreams
@@ -152,14 +154,15 @@
         }
     }
 
-    /// Closes what has been idle for too long, or has ended.
+    /// Closes the idle connections that have exceeded the idle timeout, have ended or have received surplus bytes.
     pub fn sweep(&mut self) {
         for pool in self.upstreams.values_mut() {
             pool.idle.retain(|idle| idle.is_usable(self.idle_timeout));
         }
     }
 
-    /// Whether one more connection may be opened, after closing the one idle for longest if need be.
+    /// Closes the connection that has been idle for longest if the limit is reached, and returns whether one more
+    /// connection may be opened.
     fn make_capacity(&mut self) -> bool {
         if self.is_full() {
             let oldest = self
@@ -182,11 +185,11 @@
 }
 
 impl UpstreamPool {
-    /// The latest used connection that is usable and has rested; drops those that are not usable. One look at a socket in
-    /// most cases, not one at each that is idle.
-    fn take_usable(&mut self, rest_time: Duration, idle_timeout: Duration) -> Option<Connection> {
-        let has_rested = |idle: &IdleConnection| idle.since.elapsed() >= rest_time;
-        while let Some(position) = self.idle.iter().rposition(has_rested) {
+    /// Takes the most recently used connection that is usable and has been idle for at least `reuse_delay`. Closes the
+    /// unusable connections that it meets; in most cases this inspects one socket instead of all idle ones.
+    fn take_usable(&mut self, reuse_delay: Duration, idle_timeout: Duration) -> Option<Connection> {
+        let is_past_delay = |idle: &IdleConnection| idle.since.elapsed() >= reuse_delay;
+        while let Some(position) = self.idle.iter().rposition(is_past_delay) {
             let idle = self.idle.remove(position);
             if idle.is_usable(idle_timeout) {
                 return Some(idle.connection);
@@ -195,7 +198,7 @@
         None
     }
 
-    /// The connection that has been idle for longest.
+    /// Takes the connection that has been idle for longest.
     fn take_oldest(&mut self) -> Option<Connection> {
         if self.idle.is_empty() {
             return None;
--- a/crates/transport/src/http1/progress.rs
+++ b/crates/transport/src/http1/progress.rs
@@ -1,4 +1,4 @@
-//! How far requests have got on their way out, and what is counted over all connections.
+//! Progress of requests while they are written, and counters over all connections.
 
 use crate::sync::lock;
 use bytes::Bytes;
@@ -10,48 +10,47 @@
 use std::task::{Context, Poll};
 use tokio::time::{Duration, Instant};
 
-/// How far a request has got on its way out.
+/// Progress of the present request on a connection.
 #[derive(Default)]
 pub struct Progress {
-    /// The last of its body is in hyper's hands.
+    /// hyper has taken the whole body.
     pub body_taken: AtomicBool,
-    /// Its last byte is written: the upstream may run it from here on.
+    /// The last byte of the request is written to the socket. From then on the upstream may execute the request.
     pub written: AtomicBool,
-    /// Its response has not come to its end: what comes belongs to it.
+    /// The response has not ended yet. Bytes received while this is false belong to no request.
     pub response_due: AtomicBool,
 }
 
-/// What is counted over all connections.
+/// Counters over all connections.
 #[derive(Default)]
 pub struct ConnectionCounts {
-    /// Connections that are open.
+    /// Connections that are open, idle and busy.
     pub open_connections: AtomicUsize,
-    /// Requests that were written to their last byte.
+    /// Requests written to their last byte.
     pub requests_written: AtomicU64,
-    /// When an upstream last broke the protocol.
+    /// Time of the last protocol violation by any upstream.
     last_violation: Mutex<Option<Instant>>,
 }
 
 impl ConnectionCounts {
-    /// Notes that an upstream has just broken the protocol.
     pub(super) fn record_violation(&self) {
         *lock(&self.last_violation) = Some(Instant::now());
     }
 
-    /// Whether an upstream has broken the protocol within this time.
-    pub fn had_violation_within(&self, time: Duration) -> bool {
-        lock(&self.last_violation).is_some_and(|at| at.elapsed() < time)
+    /// Whether any upstream has violated the protocol within the last `period`.
+    pub fn had_violation_within(&self, period: Duration) -> bool {
+        lock(&self.last_violation).is_some_and(|at| at.elapsed() < period)
     }
 }
 
-/// The body of a request, which notes when it was taken.
+/// A request body that records in [`Progress`] when hyper has taken it.
 pub struct RequestBody {
     data: Option<Bytes>,
     progress: Arc<Progress>,
 }
 
 impl RequestBody {
-    /// The body of the next request on a connection.
+    /// Creates the body of the next request on a connection, and resets the connection's progress.
     pub fn new(body: Bytes, progress: Arc<Progress>) -> Self {
         progress
             .body_taken
--- a/crates/transport/src/http1/socket.rs
+++ b/crates/transport/src/http1/socket.rs
@@ -1,4 +1,4 @@
-//! The socket that hyper drives, which notes when the last byte of a request is written.
+//! The socket that hyper reads and writes.
 
 use super::progress::{ConnectionCounts, Progress};
 use crate::shared_stream::SharedStream;
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A socket that notes when the last byte of a request is written, and bytes that belong to no request.
+/// A socket that records when the last byte of a request is written, and when bytes arrive that belong to no request.
 pub(super) struct Socket {
     stream: SharedStream,
     progress: Arc<Progress>,
@@ -17,7 +17,6 @@
 }
 
 impl Socket {
-    /// A socket for hyper.
     pub fn new(
         stream: SharedStream,
         progress: Arc<Progress>,
@@ -62,7 +61,8 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(self.stream.poll_write_slices(cx, slices))?;
-        // All that hyper had is written, and it had all of the request.
+        // The request is written when hyper has taken its whole body and the socket has accepted all bytes that hyper
+        // offered.
         let offered: usize = slices.iter().map(|slice| slice.len()).sum();
         let is_complete = written == offered && self.progress.body_taken.load(Ordering::Relaxed);
         if is_complete && !self.progress.written.swap(true, Ordering::Relaxed) {
--- a/crates/transport/src/http1/tests.rs
+++ b/crates/transport/src/http1/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what no peer can see.
+//! Tests of connection states that cannot be observed through a peer.
 
 use super::socket::Socket;
 use super::*;
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A connection that has had a response, and its peer.
+/// Returns an idle connection that has received a response, and the peer's end of it.
 async fn used_connection(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
     let address = listener.local_addr().unwrap();
     let peer = listener.try_clone().unwrap();
@@ -33,31 +33,33 @@
         max: 1 << 10,
     };
     let Exchange::Completed(completed) = exchange(request, connection, limits).await else {
-        panic!("a response that is not complete")
+        panic!("incomplete response")
     };
     (
-        completed.connection.expect("a connection to use again"),
+        completed.connection.expect("a reusable connection"),
         peer.await.unwrap(),
     )
 }
 
-/// Guards against a balancer that is held up: between the end of an idle connection and the runtime's
-/// next poll of its sockets, work would be written to it and lost.
+/// Guards against requests being written to a closed connection and lost: if the balancer is busy, some time passes
+/// between the peer's close and the runtime's next poll of its sockets.
 #[tokio::test]
-async fn an_idle_connection_is_not_quiet_once_its_peer_has_closed_it() {
+async fn idle_connection_is_not_reusable_once_its_peer_has_closed_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (connection, peer) = used_connection(&listener).await;
     assert!(connection.is_reusable());
     drop(peer);
     let started = Instant::now();
     while connection.is_reusable() {
-        assert!(started.elapsed() < Duration::from_secs(30)); // no await: the runtime reports nothing
+        // Without an await, the runtime cannot report the close.
+        assert!(started.elapsed() < Duration::from_secs(30));
     }
 }
 
-/// Guards rule 2: only a request whose last byte was not written is known not to have run.
+/// Guards against a request running twice: it may be retried as one that was not executed only if its last byte was not
+/// written.
 #[tokio::test]
-async fn a_request_is_written_when_its_last_byte_is() {
+async fn request_counts_as_written_once_its_last_byte_is() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let tcp = TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -67,12 +69,12 @@
     let mut socket = Socket::new(stream, progress.clone(), Arc::default());
     let written = || progress.written.load(Ordering::Relaxed);
     socket.write_all(b"head").await.unwrap();
-    assert!(!written(), "the body is still to come");
+    assert!(!written(), "the body has not been taken yet");
     progress.body_taken.store(true, Ordering::Relaxed);
     let written_bytes = socket.write(&vec![0; 64 << 20]).await.unwrap();
     assert!(
         written_bytes < 64 << 20 && !written(),
-        "the peer's buffer holds a part only"
+        "the socket buffers must not hold the whole body"
     );
     let mut peer = listener.accept().unwrap().0;
     std::thread::spawn(move || std::io::copy(&mut peer, &mut std::io::sink()));
--- a/crates/transport/src/http2/connection.rs
+++ b/crates/transport/src/http2/connection.rs
@@ -1,4 +1,4 @@
-//! A connection over HTTP/2, and the lease of a stream on it.
+//! An HTTP/2 connection, and the lease of a stream on it.
 
 use bytes::Bytes;
 use h2::client::{Builder, Connection as H2Connection, SendRequest};
@@ -13,34 +13,34 @@
 use tokio::time::{Duration, Instant};
 use woadstall_socket_options::set_nodelay;
 
-/// Largest head of a response, and of its trailers, in bytes.
+/// Maximum size of a response head, and of trailers, in bytes.
 const MAX_HEAD_BYTES: u32 = 64 << 10;
-/// What a peer may send on one stream before it is read, in bytes. Bounds the memory of slow readers.
+/// Number of unread bytes that a peer may send on one stream. Bounds the memory that slow readers take.
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
-/// What a peer may send on all streams of a connection before it is read, in bytes.
+/// Number of unread bytes that a peer may send on all streams of a connection.
 const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
-/// A connection that was silent for so long while an attempt waited is not used for new ones: the machine behind it may
-/// have vanished, and only a new connection would tell.
+/// A connection that received nothing for longer than this while an attempt waited is not used for new streams. Its
+/// machine may have become unreachable, which only opening a new connection would show.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
 
-/// Connections that are open, and streams on them.
+/// Numbers of open connections and of open streams on them.
 #[derive(Default)]
 pub(super) struct Http2Counts {
     pub connections: AtomicUsize,
     pub streams: AtomicUsize,
 }
 
-/// A connection.
+/// An HTTP/2 connection to an upstream.
 pub(super) struct Http2Connection {
     sender: SendRequest<Bytes>,
     streams: AtomicUsize,
-    /// No new stream may be opened on it.
+    /// No new stream may be opened.
     is_closing: AtomicBool,
     opened_at: Instant,
-    /// When its last stream ended, in nanoseconds since it was opened.
-    idle_from: AtomicU64,
-    /// When the peer last sent anything, in nanoseconds since it was opened.
-    last_received: AtomicU64,
+    /// Time at which the last stream ended, in nanoseconds since the connection was opened.
+    idle_since_ns: AtomicU64,
+    /// Time at which the peer last sent anything, in nanoseconds since the connection was opened.
+    last_received_ns: AtomicU64,
     counts: Arc<Http2Counts>,
     task: AbortHandle,
 }
@@ -48,7 +48,7 @@
 impl Drop for Http2Connection {
     fn drop(&mut self) {
         self.counts.connections.fetch_sub(1, Ordering::Relaxed);
-        // The task ends by itself once the peer has closed, or at once where it has nothing to finish.
+        // Without an abort, the task ends when the peer has closed the connection, or at once if no stream is open.
         if self.is_closing() {
             self.task.abort();
         }
@@ -56,7 +56,7 @@
 }
 
 impl Http2Connection {
-    /// Connects, and waits for the peer's settings.
+    /// Opens a connection and waits for the peer's settings.
     pub async fn open(address: SocketAddr, counts: Arc<Http2Counts>) -> io::Result<Arc<Self>> {
         let tcp = TcpStream::connect(address).await?;
         set_nodelay(&tcp);
@@ -69,8 +69,8 @@
         let handshake = builder.handshake::<_, Bytes>(tcp).await;
         let (sender, mut connection) = handshake.map_err(io::Error::other)?;
         let ping_pong = connection.ping_pong();
-        let (send_link, link) = oneshot::channel();
-        let task = tokio::spawn(drive(connection, link));
+        let (send_handle, handle) = oneshot::channel();
+        let task = tokio::spawn(drive(connection, handle));
         if let Err(error) = await_settings(ping_pong).await {
             task.abort();
             return Err(error);
@@ -81,67 +81,67 @@
             streams: AtomicUsize::new(0),
             is_closing: AtomicBool::new(false),
             opened_at: Instant::now(),
-            idle_from: AtomicU64::new(0),
-            last_received: AtomicU64::new(0),
+            idle_since_ns: AtomicU64::new(0),
+            last_received_ns: AtomicU64::new(0),
             counts,
             task: task.abort_handle(),
         });
-        send_link.send(Arc::downgrade(&connection)).ok();
+        send_handle.send(Arc::downgrade(&connection)).ok();
         Ok(connection)
     }
 
-    /// Nanoseconds since it was opened.
-    fn age(&self) -> u64 {
+    /// Nanoseconds since the connection was opened.
+    fn age_ns(&self) -> u64 {
         self.opened_at.elapsed().as_nanos() as u64
     }
 
-    /// Streams that are open on it.
+    /// The number of open streams.
     pub fn streams(&self) -> usize {
         self.streams.load(Ordering::Relaxed)
     }
 
-    /// Whether no new stream may be opened on it.
+    /// Whether no new stream may be opened.
     pub fn is_closing(&self) -> bool {
         self.is_closing.load(Ordering::Relaxed)
     }
 
-    /// No new stream may be opened on it from now on.
+    /// Permits no new streams from now on. Open streams continue.
     fn close(&self) {
         self.is_closing.store(true, Ordering::Relaxed);
     }
 
-    /// Whether one more stream may be opened on it, of `max_streams` at most.
+    /// Whether one more stream may be opened under `max_streams`, the peer's own limit and the state of the connection.
     pub fn has_capacity(&self, max_streams: usize) -> bool {
         let max_streams = max_streams.min(self.sender.current_max_send_streams());
         !self.is_closing() && self.streams() < max_streams
     }
 
-    /// Whether it has had no stream for this time.
+    /// Whether no stream has been open for this time.
     pub fn is_idle_for(&self, time: Duration) -> bool {
-        let idle = self
-            .age()
-            .saturating_sub(self.idle_from.load(Ordering::Relaxed));
-        self.streams() == 0 && idle >= time.as_nanos() as u64
+        let idle_ns = self
+            .age_ns()
+            .saturating_sub(self.idle_since_ns.load(Ordering::Relaxed));
+        self.streams() == 0 && idle_ns >= time.as_nanos() as u64
     }
 }
 
-/// Drives a connection to its end. Nothing can be opened on it then.
+/// Drives a connection until it ends, and then marks it as closing.
 async fn drive(
     connection: H2Connection<TcpStream, Bytes>,
-    link: oneshot::Receiver<Weak<Http2Connection>>,
+    handle: oneshot::Receiver<Weak<Http2Connection>>,
 ) {
     connection.await.ok();
-    if let Some(connection) = link.await.ok().and_then(|link| link.upgrade()) {
+    if let Some(connection) = handle.await.ok().and_then(|handle| handle.upgrade()) {
         connection.close();
     }
 }
 
-/// Waits for the peer's settings: the response to a ping comes after them. Without these, a crowd that waits for a new
-/// connection would open more streams than the peer takes; and a peer that accepts connections without reading them shows
-/// here, where nothing has been sent yet.
+/// Waits for the peer's settings, by means of a ping whose response follows them. Without the settings, the attempts that
+/// wait for a new connection would open more streams than the peer permits. The ping also detects a peer that accepts
+/// connections but does not read from them, before any request is sent.
 async fn await_settings(ping_pong: Option<PingPong>) -> io::Result<()> {
     let Some(mut ping_pong) = ping_pong else {
-        return Err(io::Error::other("no ping"));
+        return Err(io::Error::other("the connection's ping handle is taken"));
     };
     ping_pong
         .ping(Ping::opaque())
@@ -150,44 +150,46 @@
         .map_err(io::Error::other)
 }
 
-/// The lease of one stream on a connection.
+/// The lease of one stream on a connection. Dropping it frees the stream's place.
 pub(super) struct StreamLease {
     connection: Arc<Http2Connection>,
     /// Notified when the stream has ended.
     changed: Arc<Notify>,
-    /// When it was leased, in nanoseconds since the connection was opened.
-    leased_at: u64,
-    /// Something came back on the stream.
+    /// Start of the lease, in nanoseconds since the connection was opened.
+    leased_at_ns: u64,
+    /// The stream has received a response head or data.
     has_received: bool,
 }
 
 impl StreamLease {
-    /// Takes a stream of a connection.
+    /// Leases a stream of a connection. `changed` is notified when the lease ends.
     pub fn new(connection: Arc<Http2Connection>, changed: Arc<Notify>) -> Self {
         connection.streams.fetch_add(1, Ordering::Relaxed);
         connection.counts.streams.fetch_add(1, Ordering::Relaxed);
-        let leased_at = connection.age();
+        let leased_at_ns = connection.age_ns();
         Self {
             connection,
             changed,
-            leased_at,
+            leased_at_ns,
             has_received: false,
         }
     }
 
-    /// What the stream is opened with.
+    /// The `h2` handle that opens the stream.
     pub fn sender(&self) -> SendRequest<Bytes> {
         self.connection.sender.clone()
     }
 
-    /// Something came back on the stream.
+    /// Records that something was received on the stream.
     pub fn record_received(&mut self) {
         self.has_received = true;
-        let now = self.connection.age();
-        self.connection.last_received.store(now, Ordering::Relaxed);
+        let now_ns = self.connection.age_ns();
+        self.connection
+            .last_received_ns
+            .store(now_ns, Ordering::Relaxed);
     }
 
-    /// The connection takes nothing new from now on.
+    /// Marks the connection as closing, so that no new stream is opened on it.
     pub fn close_connection(&self) {
         self.connection.close();
     }
@@ -196,15 +198,15 @@
 impl Drop for StreamLease {
     fn drop(&mut self) {
         let connection = &self.connection;
-        let now = connection.age();
-        let waited = now.saturating_sub(self.leased_at);
-        let last_received = connection.last_received.load(Ordering::Relaxed);
-        let received_nothing = last_received <= self.leased_at;
-        let is_unresponsive = waited > UNRESPONSIVE_AFTER.as_nanos() as u64 && received_nothing;
+        let now_ns = connection.age_ns();
+        let waited_ns = now_ns.saturating_sub(self.leased_at_ns);
+        let last_received_ns = connection.last_received_ns.load(Ordering::Relaxed);
+        let received_nothing = last_received_ns <= self.leased_at_ns;
+        let is_unresponsive = waited_ns > UNRESPONSIVE_AFTER.as_nanos() as u64 && received_nothing;
         if !self.has_received && is_unresponsive {
             connection.close();
         }
-        connection.idle_from.store(now, Ordering::Relaxed);
+        connection.idle_since_ns.store(now_ns, Ordering::Relaxed);
         connection.streams.fetch_sub(1, Ordering::Relaxed);
         connection.counts.streams.fetch_sub(1, Ordering::Relaxed);
         self.changed.notify_one();
--- a/crates/transport/src/http2/mod.rs
+++ b/crates/transport/src/http2/mod.rs
@@ -1,8 +1,10 @@
-//! Connections over HTTP/2 with prior knowledge (RFC 9113): many attempts on each, one stream an attempt.
+//! Connections to upstreams over HTTP/2 with prior knowledge (RFC 9113). Each connection carries many attempts, one per
+//! stream.
 //!
-//! `h2` is used directly, not through a client that hides streams: whether an attempt can have run depends on GOAWAY's
-//! last stream id and on REFUSED_STREAM, and what waits behind MAX_CONCURRENT_STREAMS must be known not to have been sent.
-//! A stream is opened here only where the peer has capacity for it, so none waits inside `h2`.
+//! `h2` is used directly instead of through a client that hides streams. Whether the upstream can have executed a request
+//! depends on GOAWAY's last stream id and on REFUSED_STREAM, and a request that waits because of MAX_CONCURRENT_STREAMS
+//! must be known not to have been sent. A stream is opened only if the peer has capacity for it, so no stream waits
+//! inside `h2`.
 
 mod connection;
 mod pool;
@@ -27,27 +29,27 @@
 use woadstall_runtime::{Attempt, AttemptProgress, Transport};
 use woadstall_settings::Names;
 
-/// Most connections tried for one attempt, where one after another turns out to be closing.
+/// Maximum number of connections tried for one attempt when each one turns out to be closing.
 const MAX_CONNECTION_ATTEMPTS: u32 = 3;
 
-/// How connections over HTTP/2 are kept.
+/// Limits and timeouts of the HTTP/2 transport.
 #[derive(Clone, Copy, Debug)]
 pub struct Http2Limits {
-    /// Most connections to one upstream.
+    /// Maximum number of connections to one upstream.
     pub max_connections: usize,
-    /// Most streams on one, whatever the peer allows beyond that.
+    /// Maximum number of streams on one connection. The peer's own limit applies if it is lower.
     pub max_streams: usize,
-    /// A connection without streams is closed after this time.
+    /// Time after which a connection without streams is closed.
     pub idle_timeout: Duration,
-    /// How long a connection may take to be established.
+    /// Maximum time for establishing a connection.
     pub connect_timeout: Duration,
-    /// Up to this size in bytes, responses are read to their end before they are passed on, so that another attempt can
-    /// follow one that breaks; larger ones, and those whose size is not known, are passed on as they come.
+    /// Responses up to this size in bytes are received completely before they are passed on, so that a response that
+    /// breaks off can be retried. Larger responses, and responses of unknown size, are streamed.
     pub max_buffered: usize,
 }
 
 impl Http2Limits {
-    /// The usual limits, with the time for a connection from the settings.
+    /// Creates the default limits, with the connect timeout of the settings.
     pub fn new(names: &Names, idle_timeout: Duration) -> Self {
         Self {
             max_connections: 4,
@@ -59,25 +61,25 @@
     }
 }
 
-/// Connections to all upstreams over HTTP/2.
+/// The HTTP/2 transport: connections to all upstreams.
 pub struct Http2 {
     pool: Arc<Pool>,
 }
 
 impl Http2 {
-    /// No connection yet.
+    /// Creates a transport without connections.
     pub fn new(limits: Http2Limits) -> Self {
         Self {
             pool: Arc::new(Pool::new(limits)),
         }
     }
 
-    /// How many connections are open.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
         self.pool.counts.connections.load(Ordering::Relaxed)
     }
 
-    /// How many streams are open, on all connections.
+    /// The number of open streams on all connections.
     pub fn open_streams(&self) -> usize {
         self.pool.counts.streams.load(Ordering::Relaxed)
     }
@@ -97,7 +99,7 @@
         let mut head = forwarded_head(request, peer.address);
         let is_grpc = request.is_grpc;
         let body = request.body.take();
-        let deadline = request.body_deadline;
+        let deadline = request.response_deadline;
         let (pool, attempt) = (self.pool.clone(), attempt.clone());
         async move {
             let Some(mut body) = body else {
@@ -114,17 +116,17 @@
                 set_budget(&mut head, time_left, is_grpc);
                 match lease.sender().send_request(head.clone(), body.is_empty()) {
                     Ok((response, stream)) => {
-                        let pump = send_body(&mut body, stream);
+                        let body_sender = send_body(&mut body, stream);
                         let max_buffered = pool.limits.max_buffered;
                         let sent = SentStream {
                             lease,
-                            pump,
+                            body_sender,
                             max_buffered,
                             deadline,
                         };
                         return receive(response, sent).await;
                     }
-                    // Not a byte of it is written: the connection is on its way out.
+                    // `h2` refuses a new stream while the connection is closing; nothing of the request was written.
                     Err(_) => lease.close_connection(),
                 }
             }
@@ -137,7 +139,7 @@
         _: Peer,
         _: Duration,
     ) -> impl Future<Output = (Outcome, Option<LoadReport>)> + Send + 'static {
-        // The platform's probes are HTTP/1.1; the module does not wait for one that brings nothing.
+        // The platform defines probes for HTTP/1.1 only. The decision module does not depend on a probe's result.
         std::future::ready((Outcome::Moot, None))
     }
 
--- a/crates/transport/src/http2/pool.rs
+++ b/crates/transport/src/http2/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to all upstreams, and leases of streams on them.
+//! The pool of HTTP/2 connections, which leases streams on them.
 
 use super::Http2Limits;
 use super::connection::{Http2Connection, Http2Counts, StreamLease};
@@ -25,11 +25,11 @@
     epoch: u64,
     connections: Vec<Arc<Http2Connection>>,
     is_connecting: bool,
-    /// How often a connection could not be established.
+    /// Number of connections that could not be established.
     failures: u64,
-    /// The outcome for attempts that waited for the last one of these.
+    /// Outcome for the attempts that waited for the connection that failed last.
     last_failure: Outcome,
-    /// A stream has ended, or a connection was established or failed.
+    /// Notified when a stream has ended, or a connection was established or failed.
     changed: Arc<Notify>,
 }
 
@@ -46,23 +46,22 @@
     }
 }
 
-/// Where to wait for a stream, at a process of an upstream.
+/// What an attempt waits for when no stream is available.
 struct LeaseWait {
     changed: OwnedNotified,
-    /// Failures before this.
+    /// The upstream's failure count when the wait began.
     failures: u64,
 }
 
-/// What comes of asking for a stream.
+/// The result of asking for a stream.
 enum LeaseAttempt {
     Leased(StreamLease),
     Wait(LeaseWait),
-    /// The process was replaced, or takes nothing new.
+    /// The process was replaced, or must not receive new requests.
     Retired,
 }
 
 impl Pool {
-    /// No connection yet.
     pub fn new(limits: Http2Limits) -> Self {
         Self {
             limits,
@@ -72,15 +71,15 @@
         }
     }
 
-    /// The epoch of the process that an attempt belongs to from now on.
+    /// The present epoch of an upstream. An attempt that begins now belongs to this epoch.
     pub fn epoch(&self, server: ServerId) -> u64 {
         let mut upstreams = lock(&self.upstreams);
         let new = || UpstreamConnections::new(self.next_epoch.fetch_add(1, Ordering::Relaxed));
         upstreams.entry(server).or_insert_with(new).epoch
     }
 
-    /// Waits for a stream at a process of an upstream. The time limit is for the caller to mind. The error is the outcome
-    /// of the attempt.
+    /// Waits for a stream on a connection to a process of an upstream. Has no timeout; the caller must limit the wait. The
+    /// error is the outcome of the attempt.
     pub async fn lease(self: &Arc<Self>, peer: &Peer, epoch: u64) -> Result<StreamLease, Outcome> {
         loop {
             match self.try_lease(peer, epoch) {
@@ -96,8 +95,8 @@
         }
     }
 
-    /// A stream on a connection, or where to wait for one. Opens a connection if need be: one at a time, so that a crowd
-    /// that comes at once does not open one each.
+    /// Leases a stream, or returns what to wait for. Starts to open a connection if no open one has capacity. Connections
+    /// to an upstream are opened one at a time, so that many simultaneous attempts do not open one connection each.
     fn try_lease(self: &Arc<Self>, peer: &Peer, epoch: u64) -> LeaseAttempt {
         let mut upstreams = lock(&self.upstreams);
         let upstream = upstreams
@@ -109,7 +108,7 @@
         upstream
             .connections
             .retain(|connection| !connection.is_closing());
-        // The fullest that has capacity, so that the others may fall idle.
+        // Prefers the connection with the most streams, so that the others can become idle and close.
         let with_capacity = upstream
             .connections
             .iter()
@@ -125,13 +124,14 @@
         let may_open = upstream.connections.len() < self.limits.max_connections;
         if !upstream.is_connecting && may_open {
             upstream.is_connecting = true;
-            // In a task of its own: others wait for it, and its caller may disconnect.
+            // Runs in its own task because other attempts wait for the connection too, and the caller of this attempt may
+            // disconnect.
             tokio::spawn(self.clone().connect(*peer, epoch));
         }
         LeaseAttempt::Wait(wait)
     }
 
-    /// How the connection failed that was being established since there were so many failures, if it did.
+    /// The outcome of the last failed connection, if a connection has failed since the failure count was `failures`.
     fn failure_since(&self, server: ServerId, epoch: u64, failures: u64) -> Option<Outcome> {
         let upstreams = lock(&self.upstreams);
         let upstream = upstreams
@@ -144,7 +144,7 @@
         let opening = Http2Connection::open(peer.address, self.counts.clone());
         let opened = match timeout(self.limits.connect_timeout, opening).await {
             Ok(Ok(connection)) => Ok(connection),
-            // Our own lack of descriptors or ports says nothing of the upstream.
+            // A lack of local descriptors or ports does not indicate a failure of the upstream.
             Ok(Err(error)) if is_local_resource_error(&error) => Err(Outcome::Moot),
             Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
         };
@@ -164,7 +164,7 @@
         upstream.changed.notify_waiters();
     }
 
-    /// Closes the connections to an upstream that have no streams.
+    /// Closes the connections to an upstream on which no stream is open.
     pub fn close_idle(&self, server: ServerId) {
         if let Some(upstream) = lock(&self.upstreams).get_mut(&server) {
             upstream
@@ -173,15 +173,16 @@
         }
     }
 
-    /// Uses no present connection to an upstream for anything new.
+    /// Ends the present epoch of an upstream: no new stream is opened on its connections, which close after their last
+    /// stream.
     pub fn retire(&self, server: ServerId) {
         if let Some(upstream) = lock(&self.upstreams).remove(&server) {
-            // What waits for a stream learns that there is none.
+            // Wakes the attempts that wait for a stream, which then find the epoch ended.
             upstream.changed.notify_waiters();
         }
     }
 
-    /// Closes connections that have been idle for too long, or take nothing new.
+    /// Removes the connections that have exceeded the idle timeout or accept no new streams.
     pub fn sweep(&self) {
         let idle_timeout = self.limits.idle_timeout;
         for upstream in lock(&self.upstreams).values_mut() {
--- a/crates/transport/src/http2/receive.rs
+++ b/crates/transport/src/http2/receive.rs
@@ -1,8 +1,8 @@
-//! Receiving a response, until it is complete or known to be the one that is passed on.
+//! Receiving a response, until it is complete or must be streamed.
 
 use super::connection::StreamLease;
 use super::response_body::{ResponseBody, StreamingBody};
-use super::send_body::BodyPump;
+use super::send_body::BodySender;
 use crate::classify::{Classification, classify_grpc, classify_http, classify_stream_error};
 use crate::headers::is_grpc;
 use bytes::Bytes;
@@ -18,37 +18,38 @@
 
 type Progress = AttemptProgress<Response<ResponseBody>>;
 
-/// A stream whose request is on its way.
+/// A stream on which a request is being sent.
 pub(super) struct SentStream {
-    pub pump: BodyPump,
+    pub body_sender: BodySender,
     pub lease: StreamLease,
-    /// Up to this size in bytes, a response is read to its end before it is passed on.
+    /// Responses up to this size in bytes are received completely before they are passed on.
     pub max_buffered: usize,
-    /// When a response that is passed on as it comes must have ended.
+    /// Time by which a streamed response must have ended.
     pub deadline: Option<Instant>,
 }
 
-/// What has come of a response.
+/// The part of a response that has been received.
 struct Received {
     head: Response<()>,
     data: Vec<Bytes>,
+    /// Length of `data` in bytes.
     length: usize,
     is_grpc: bool,
 }
 
-/// How far a body was read.
+/// How far a body has been received.
 enum BodyRead {
-    /// To its end, with its trailers.
+    /// The body is complete, with these trailers.
     Complete(Option<HeaderMap>),
-    /// As far as it is read before the response is passed on.
+    /// The body is incomplete, and the response must be streamed.
     Partial,
 }
 
-/// Waits until a response is complete, or is known to be the one that is passed on.
+/// Receives a response until it is complete or must be streamed.
 pub(super) async fn receive(response: ResponseFuture, mut stream: SentStream) -> Progress {
     let response = match response.await {
         Ok(response) => response,
-        Err(error) => return broken(&error, &stream.lease),
+        Err(error) => return end_with_error(&error, &stream.lease),
     };
     stream.lease.record_received();
     let (head, mut body) = response.into_parts();
@@ -69,20 +70,20 @@
     match read_body(&mut received, &mut body, &mut stream).await {
         Ok(BodyRead::Complete(trailers)) => received.complete(trailers),
         Ok(BodyRead::Partial) => received.started(body, stream),
-        Err(error) => broken(&error, &stream.lease),
+        Err(error) => end_with_error(&error, &stream.lease),
     }
 }
 
-/// Reads a body to its end, or until the response is to be passed on.
+/// Receives a body until it is complete or the response must be streamed.
 async fn read_body(
     received: &mut Received,
     body: &mut RecvStream,
     stream: &mut SentStream,
 ) -> Result<BodyRead, h2::Error> {
-    let wait_for = received.bytes_to_wait_for(stream.max_buffered);
+    let min_bytes = received.min_bytes_to_receive(stream.max_buffered);
     loop {
-        // Once there is something to pass on, only what has come already is taken along.
-        let next = if received.length >= wait_for && received.length > 0 {
+        // Once enough is received for streaming, only the data that is already available is added.
+        let next = if received.length >= min_bytes && received.length > 0 {
             match poll_fn(|cx| Poll::Ready(body.poll_data(cx))).await {
                 Poll::Ready(next) => next,
                 Poll::Pending => return Ok(BodyRead::Partial),
@@ -103,8 +104,8 @@
     }
 }
 
-/// The end of an attempt whose stream broke.
-fn broken(error: &h2::Error, lease: &StreamLease) -> Progress {
+/// Ends an attempt whose stream ended with an error.
+fn end_with_error(error: &h2::Error, lease: &StreamLease) -> Progress {
     if error.is_go_away() || error.is_io() {
         lease.close_connection();
     }
@@ -112,9 +113,9 @@
 }
 
 impl Received {
-    /// How many bytes are waited for before the response is passed on. Messages of gRPC are passed on from the first one
-    /// on; of other responses it is known how large they are.
-    fn bytes_to_wait_for(&self, max_buffered: usize) -> usize {
+    /// The number of body bytes to receive before the response is streamed. A gRPC response is streamed from its first
+    /// data on. Another response is received completely if its `Content-Length` is at most `max_buffered`.
+    fn min_bytes_to_receive(&self, max_buffered: usize) -> usize {
         if self.is_grpc {
             return 0;
         }
@@ -123,10 +124,10 @@
         length.filter(|length| *length <= max_buffered).unwrap_or(0)
     }
 
-    /// All of the response has come.
+    /// Ends the attempt with a complete response.
     fn complete(self, trailers: Option<HeaderMap>) -> Progress {
         let Classification { outcome, is_final } = match self.is_grpc {
-            // What precedes the trailers is no answer yet; where there are none, the head has the status.
+            // The status of a gRPC call is in its trailers, or in the head of a Trailers-Only response.
             true => classify_grpc(trailers.as_ref().unwrap_or(self.head.headers())),
             false => classify_http(self.head.status(), self.head.headers()),
         };
@@ -139,16 +140,16 @@
         })
     }
 
-    /// The response is passed on as it comes.
+    /// Passes on the response that has been received so far, and streams its rest.
     fn started(self, body: RecvStream, stream: SentStream) -> Progress {
         let SentStream {
             lease,
-            pump,
+            body_sender,
             deadline,
             ..
         } = stream;
         AttemptProgress::ResponseStarted(Box::new(move |tail| {
-            let rest = StreamingBody::new(body, lease, pump, tail, deadline, self.is_grpc);
+            let rest = StreamingBody::new(body, lease, body_sender, tail, deadline, self.is_grpc);
             self.head.map(|()| ResponseBody::streaming(self.data, rest))
         }))
     }
--- a/crates/transport/src/http2/request_head.rs
+++ b/crates/transport/src/http2/request_head.rs
@@ -1,4 +1,4 @@
-//! The head of a request as an upstream gets it.
+//! Heads of requests to upstreams.
 
 use crate::headers::connection_options;
 use crate::outbound_request::OutboundRequest;
@@ -14,7 +14,7 @@
 const MAX_GRPC_TIMEOUT: u64 = 99_999_999;
 const NANOS_PER_HOUR: u64 = 3_600_000_000_000;
 
-/// The head of a request as an upstream gets it: as it came, but for what belongs to one connection.
+/// Creates the head of a request to an upstream: the caller's head without the headers that apply to one connection.
 pub(super) fn forwarded_head(request: &OutboundRequest, address: SocketAddr) -> Request<()> {
     let mut head = Request::new(());
     *head.method_mut() = request.head.method.clone();
@@ -26,14 +26,14 @@
     head
 }
 
-/// Removes what belongs to one connection (RFC 9113, section 8.2.2).
+/// Removes the headers that apply to one connection (RFC 9113, section 8.2.2).
 fn remove_connection_headers(headers: &mut HeaderMap) {
-    let named = connection_options(headers);
+    let options = connection_options(headers);
     let others = ["keep-alive", "proxy-connection"].map(HeaderName::from_static);
     for name in [CONNECTION, TRANSFER_ENCODING, UPGRADE]
         .into_iter()
         .chain(others)
-        .chain(named)
+        .chain(options)
     {
         headers.remove(name);
     }
@@ -59,7 +59,7 @@
     Uri::from_parts(parts).unwrap_or_default()
 }
 
-/// Sets how long the caller still waits.
+/// Sets the headers `x-budget` and, for gRPC, `grpc-timeout` to the time that the caller still waits.
 pub(super) fn set_budget(head: &mut Request<()>, time_left: Duration, is_grpc: bool) {
     let headers = head.headers_mut();
     let seconds = format!("{}.{:06}", time_left.as_secs(), time_left.subsec_micros());
@@ -70,15 +70,16 @@
     }
 }
 
-/// A value that is another one with each call: it must not push what repeats out of the peer's table (RFC 7541, section
-/// 7.1.3).
+/// Creates a header value that is not added to the HPACK table (RFC 7541, section 7.1.3). The value differs with each
+/// call, and would evict values that repeat.
 fn sensitive_value(text: &str) -> HeaderValue {
     let mut value = HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("0"));
     value.set_sensitive(true);
     value
 }
 
-/// A time in nanoseconds as the header `grpc-timeout` has it: at most eight digits and a unit (gRPC over HTTP/2, Timeout).
+/// Formats a time in nanoseconds as a value of `grpc-timeout`: at most eight digits and a unit (gRPC over HTTP/2,
+/// Timeout). Rounds down, so that the upstream is never given more time than is left.
 pub fn grpc_timeout_of(nanos: u64) -> String {
     let units = [
         (1, 'n'),
--- a/crates/transport/src/http2/response_body.rs
+++ b/crates/transport/src/http2/response_body.rs
@@ -1,7 +1,7 @@
-//! Bodies of responses, complete or passed on as they come.
+//! Response bodies, complete or streamed.
 
 use super::connection::StreamLease;
-use super::send_body::BodyPump;
+use super::send_body::BodySender;
 use crate::classify::classify_grpc;
 use bytes::Bytes;
 use h2::RecvStream;
@@ -14,27 +14,27 @@
 use woadstall_runtime::ResponseTail;
 use woadstall_runtime::engine::Outcome;
 
-/// The body of a response.
+/// The body of an upstream's response.
 pub struct ResponseBody {
-    /// What has come and was not taken.
+    /// Data that has been received and not yet read.
     data: VecDeque<Bytes>,
     trailers: Option<HeaderMap>,
     streaming: Option<Box<StreamingBody>>,
 }
 
-/// Why a response that had started was not passed on to its end.
+/// The error with which a streamed response ends prematurely.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseBodyError {
-    /// The stream broke.
-    #[error("the answer broke off: {0}")]
+    /// The stream ended with an error.
+    #[error("response stream failed: {0}")]
     Broken(#[source] h2::Error),
-    /// The caller's time ran out.
-    #[error("the answer did not end in its time")]
+    /// The response had not ended at the caller's deadline.
+    #[error("response did not end before the caller's deadline")]
     OutOfTime,
 }
 
 impl ResponseBody {
-    /// A body that is complete.
+    /// Creates a complete body without trailers.
     pub fn new(data: Bytes) -> Self {
         let data = if data.is_empty() {
             VecDeque::new()
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A body that is complete, with trailers.
+    /// Creates a complete body.
     pub(super) fn buffered(data: Vec<Bytes>, trailers: Option<HeaderMap>) -> Self {
         Self {
             data: data.into(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A body of which `data` has come.
+    /// Creates a body of which `data` has been received.
     pub(super) fn streaming(data: Vec<Bytes>, rest: StreamingBody) -> Self {
         Self {
             data: data.into(),
@@ -67,12 +67,12 @@
     }
 }
 
-/// What is still to come of a response.
+/// The part of a response body that has not been received yet.
 pub(super) struct StreamingBody {
     body: RecvStream,
     lease: StreamLease,
-    /// Sends the rest of the request for as long as the response is read.
-    _pump: BodyPump,
+    /// Sends the rest of the request body until the response ends or is dropped.
+    _body_sender: BodySender,
     tail: Option<ResponseTail>,
     deadline: Option<Pin<Box<Sleep>>>,
     is_grpc: bool,
@@ -83,7 +83,7 @@
     pub fn new(
         body: RecvStream,
         lease: StreamLease,
-        pump: BodyPump,
+        body_sender: BodySender,
         tail: ResponseTail,
         deadline: Option<Instant>,
         is_grpc: bool,
@@ -91,7 +91,7 @@
         Self {
             body,
             lease,
-            _pump: pump,
+            _body_sender: body_sender,
             tail: Some(tail),
             deadline: deadline.map(|deadline| Box::pin(sleep_until(deadline))),
             is_grpc,
@@ -122,7 +122,7 @@
                 self.body.flow_control().release_capacity(data.len()).ok();
                 return Poll::Ready(Some(Ok(Frame::data(data))));
             }
-            Some(Err(error)) => return Poll::Ready(Some(Err(self.broken(error)))),
+            Some(Err(error)) => return Poll::Ready(Some(Err(self.end_with_error(error)))),
             None => {}
         }
         match ready!(self.body.poll_trailers(cx)) {
@@ -130,11 +130,11 @@
                 self.end(self.outcome(trailers.as_ref()));
                 Poll::Ready(trailers.map(|trailers| Ok(Frame::trailers(trailers))))
             }
-            Err(error) => Poll::Ready(Some(Err(self.broken(error)))),
+            Err(error) => Poll::Ready(Some(Err(self.end_with_error(error)))),
         }
     }
 
-    /// The outcome of a response that has come to its end.
+    /// The outcome of a response that has ended.
     fn outcome(&self, trailers: Option<&HeaderMap>) -> Outcome {
         if !self.is_grpc {
             return Outcome::Ok;
@@ -142,7 +142,7 @@
         classify_grpc(trailers.unwrap_or(&HeaderMap::new())).outcome
     }
 
-    fn broken(&mut self, error: h2::Error) -> ResponseBodyError {
+    fn end_with_error(&mut self, error: h2::Error) -> ResponseBodyError {
         self.lease.close_connection();
         self.end(Outcome::Reset);
         ResponseBodyError::Broken(error)
--- a/crates/transport/src/http2/send_body.rs
+++ b/crates/transport/src/http2/send_body.rs
@@ -1,4 +1,4 @@
-//! Sending the body of a request on a stream.
+//! Sending a request body on a stream.
 
 use crate::outbound_request::{BodyToSend, RemainingBody};
 use bytes::Bytes;
@@ -8,10 +8,10 @@
 use std::future::poll_fn;
 use tokio::task::AbortHandle;
 
-/// The task that sends the rest of a body that is not buffered to its end. Dropping it stops that.
-pub(super) struct BodyPump(Option<AbortHandle>);
+/// The task that sends the part of a body that is not buffered, if there is one. Dropping the sender stops the task.
+pub(super) struct BodySender(Option<AbortHandle>);
 
-impl Drop for BodyPump {
+impl Drop for BodySender {
     fn drop(&mut self) {
         if let Some(task) = self.0.take() {
             task.abort();
@@ -19,26 +19,28 @@
     }
 }
 
-/// Sends a body on a stream. What is buffered is left to `h2`, which minds the peer's window; the rest of a body that is
-/// still to come goes out as the window allows.
-pub(super) fn send_body(body: &mut BodyToSend, mut stream: SendStream<Bytes>) -> BodyPump {
+/// Sends a body on a stream. The buffered part is handed to `h2`, which respects the peer's flow-control window. A task
+/// sends the rest while it arrives, as the window allows.
+pub(super) fn send_body(body: &mut BodyToSend, mut stream: SendStream<Bytes>) -> BodySender {
     let ends_with_data = body.remaining.is_none() && body.trailers.is_none();
     let chunks = body.data.len();
     for (position, data) in body.data.iter().enumerate() {
         let is_last = ends_with_data && position + 1 == chunks;
         if stream.send_data(data.clone(), is_last).is_err() {
-            return BodyPump(None); // the stream is over, as its response tells
+            return BodySender(None); // the stream has ended, which the response reports
         }
     }
     if let Some(trailers) = body.trailers.clone() {
         stream.send_trailers(trailers).ok();
     }
     let remaining = body.remaining.take();
-    BodyPump(remaining.map(|remaining| tokio::spawn(pump(remaining, stream)).abort_handle()))
+    BodySender(
+        remaining.map(|remaining| tokio::spawn(send_remaining(remaining, stream)).abort_handle()),
+    )
 }
 
-/// Sends what comes of a body, as fast as the peer takes it.
-async fn pump(mut remaining: RemainingBody, mut stream: SendStream<Bytes>) {
+/// Sends the rest of a body while it arrives, as fast as the peer's flow-control window allows.
+async fn send_remaining(mut remaining: RemainingBody, mut stream: SendStream<Bytes>) {
     loop {
         let frame = tokio::select! {
             frame = remaining.frame() => frame,
@@ -55,14 +57,14 @@
                     stream.send_trailers(trailers).ok();
                 }
             }
-            // The caller's own body broke: what was sent of it is no request.
+            // The caller's body failed, so the upstream must not take the part that was sent for a complete request.
             Some(Err(_)) => stream.send_reset(h2::Reason::CANCEL),
         }
         return;
     }
 }
 
-/// Sends one chunk as the window allows; `None` if the stream is over.
+/// Sends one chunk as the flow-control window allows; `None` if the stream has ended.
 async fn send_chunk(mut data: Bytes, stream: &mut SendStream<Bytes>) -> Option<()> {
     while !data.is_empty() {
         stream.reserve_capacity(data.len());
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,7 @@
-//! Connections to upstreams, and what the end of an attempt on them proves. HTTP/1.1 always; HTTP/2 with the feature
-//! `http2`.
+//! Connections to upstreams over HTTP/1.1 and, with the feature `http2`, over HTTP/2.
+//!
+//! Each attempt ends with an outcome that says whether the upstream can have executed the request. The decision
+//! module retries a request that must not run twice only if the outcome rules that out.
 
 mod classify;
 mod headers;
--- a/crates/transport/src/outbound_request.rs
+++ b/crates/transport/src/outbound_request.rs
@@ -1,4 +1,4 @@
-//! A request that may have to be sent more than once.
+//! A request whose body is buffered, as far as a limit allows, so that it can be retried.
 
 use bytes::Bytes;
 use http::request::Parts;
@@ -11,31 +11,31 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// Why the caller's body ended before its end.
+/// The error with which the request body ended prematurely.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// What is still to come of a body.
+/// The part of a request body that has not been read yet.
 pub(crate) type RemainingBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A request on its way to an upstream.
+/// A request to be sent to upstreams.
 pub struct OutboundRequest {
     pub(crate) head: Parts,
     pub(crate) body: OutboundBody,
     pub(crate) is_grpc: bool,
-    /// When a body that is passed on as it comes must have ended.
-    pub(crate) body_deadline: Option<Instant>,
+    /// Time by which a streamed response body must have ended.
+    pub(crate) response_deadline: Option<Instant>,
 }
 
 /// The body of a request.
 pub(crate) enum OutboundBody {
-    /// All of it is buffered: it can be sent as often as need be.
+    /// The whole body is buffered and can be sent any number of times.
     Buffered(BodyToSend),
-    /// It can be sent once, until it is taken.
+    /// The body can be sent once; `None` after it has been taken.
     Once(Option<BodyToSend>),
 }
 
 impl OutboundBody {
-    /// The body for the next attempt; `None` if it was sent and cannot be sent again.
+    /// The body for the next attempt; `None` if an earlier attempt has taken a body that can be sent only once.
     pub fn take(&mut self) -> Option<BodyToSend> {
         match self {
             Self::Buffered(BodyToSend { data, trailers, .. }) => Some(BodyToSend {
@@ -48,7 +48,7 @@
     }
 }
 
-/// What is sent on one stream.
+/// The body that one attempt sends.
 pub(crate) struct BodyToSend {
     pub data: Vec<Bytes>,
     pub trailers: Option<HeaderMap>,
@@ -61,18 +61,18 @@
     }
 }
 
-/// The beginning of a body.
+/// The buffered beginning of a body.
 #[derive(Default)]
 struct BodyPrefix {
     data: Vec<Bytes>,
     trailers: Option<HeaderMap>,
+    /// Length of `data` in bytes.
     length: usize,
-    /// It is the whole body.
+    /// The prefix is the whole body.
     is_complete: bool,
 }
 
 impl BodyPrefix {
-    /// Takes a frame in.
     fn push(&mut self, frame: Frame<Bytes>) {
         match frame.into_data() {
             Ok(data) => {
@@ -87,17 +87,20 @@
 }
 
 impl OutboundRequest {
-    /// Buffers as much of a body as it may take to send it again: `limit` bytes. A body whose length is known is waited
-    /// for; of one whose length is not, only what is there already is taken, as the other end may respond before it ends.
+    /// Buffers up to `limit` bytes of the body, so that a body within the limit can be sent again. Waits for a body whose
+    /// length is known to be within the limit. Of any other body, only the frames that are already available are
+    /// buffered, because the upstream may respond before the body ends.
+    ///
+    /// `response_deadline` is the time by which a streamed response body must have ended.
     ///
     /// # Errors
     ///
-    /// Fails if the body does.
+    /// Returns the error of the body.
     pub async fn buffer<B>(
         request: Request<B>,
         limit: usize,
         is_grpc: bool,
-        body_deadline: Option<Instant>,
+        response_deadline: Option<Instant>,
     ) -> Result<Self, BodyError>
     where
         B: Body<Data = Bytes> + Send + 'static,
@@ -130,11 +133,11 @@
             head,
             body,
             is_grpc,
-            body_deadline,
+            response_deadline,
         })
     }
 
-    /// Most attempts that can be made with it.
+    /// The maximum number of attempts: 1 if the body is not fully buffered, else unlimited.
     pub fn max_attempts(&self) -> u32 {
         match self.body {
             OutboundBody::Buffered(_) => u32::MAX,
@@ -142,7 +145,7 @@
         }
     }
 
-    /// The request with its body in one piece; `None` if that is not buffered to its end.
+    /// The request with its body in one piece; `None` if the body is not fully buffered.
     pub fn to_buffered(&self) -> Option<Request<Bytes>> {
         let OutboundBody::Buffered(BodyToSend { data, .. }) = &self.body else {
             return None;
@@ -160,7 +163,7 @@
     }
 }
 
-/// Reads the beginning of a body, up to one frame over the limit.
+/// Reads the beginning of a body. Stops after the first frame that exceeds the limit.
 async fn read_prefix<B>(body: &mut Pin<Box<B>>, limit: usize) -> Result<BodyPrefix, B::Error>
 where
     B: Body<Data = Bytes>,
@@ -187,7 +190,7 @@
     Ok(prefix)
 }
 
-/// A body on the heap, which can be moved.
+/// A body pinned on the heap, so that the wrapper is `Unpin`.
 struct BoxedBody<B>(Pin<Box<B>>);
 
 impl<B: Body> Body for BoxedBody<B> {
--- a/crates/transport/src/shared_stream.rs
+++ b/crates/transport/src/shared_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP socket that is driven by hyper while its owner can still look at it and end it.
+//! A TCP socket that hyper reads and writes while the owner of the connection can still inspect and close it.
 
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice, Read};
@@ -12,40 +12,41 @@
 use tokio::time::Duration;
 use woadstall_socket_options::set_nodelay;
 
-/// A socket with several handles. It is closed with the last of them.
+/// A handle of a TCP socket. Clones share the socket, which is closed when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct SharedStream(Arc<TcpStream>);
 
 impl SharedStream {
-    /// Shares a socket. Small writes go out at once.
+    /// Creates the first handle of a socket, and disables Nagle's algorithm so that small writes are sent at once.
     pub fn new(tcp: TcpStream) -> Self {
         set_nodelay(&tcp);
         Self(Arc::new(tcp))
     }
 
-    /// The socket.
+    /// The underlying socket.
     pub fn tcp(&self) -> &TcpStream {
         &self.0
     }
 
-    /// Whether nothing has come that was not read, as the kernel knows it: the runtime may not have reported it yet.
+    /// Whether the kernel holds neither unread bytes nor the end of the stream or an error. Asks the kernel, because the
+    /// runtime may not have reported the latest readiness yet.
     pub fn has_no_pending_input(&self) -> bool {
         let peeked = SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the peer has closed or reset the connection, as far as the runtime has reported it, behind any unread
-    /// bytes.
+    /// Whether the runtime has reported that the peer closed or reset the connection. Unread bytes may precede the close.
     pub fn is_read_closed(&self) -> bool {
         let cx = &mut Context::from_waker(Waker::noop());
         let ready = pin!(self.0.ready(Interest::READABLE)).poll(cx);
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Waits for something new to come, without reading it: what is there already does not count. Bytes that are left
-    /// unread so must be read with [`SharedStream::read_now`] first when reading goes on.
+    /// Waits for new input without reading it; input that has already been reported does not count. When reading
+    /// resumes, the bytes left unread must first be read with [`SharedStream::read_now`], since their readiness has been
+    /// cleared.
     pub fn poll_new_input(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Clears the readiness that the runtime has noted.
+        // `WouldBlock` makes the runtime clear the recorded readiness.
         let cleared: io::Result<()> = self
             .0
             .try_io(Interest::READABLE, || Err(ErrorKind::WouldBlock.into()));
@@ -53,17 +54,17 @@
         self.0.poll_read_ready(cx)
     }
 
-    /// Reads what the kernel has, whether or not the runtime has reported it.
+    /// Reads bytes that the kernel holds, whether or not the runtime has reported them.
     ///
     /// # Errors
     ///
-    /// Fails as `read` does, with `WouldBlock` where there is nothing.
+    /// Returns the errors of `read`, with `WouldBlock` if there is nothing to read.
     pub fn read_now(&self, buffer: &mut [u8]) -> io::Result<usize> {
         let socket = SockRef::from(&*self.0);
         (&mut &*socket).read(buffer)
     }
 
-    /// Ends the sending side.
+    /// Shuts down the sending side.
     ///
     /// # Errors
     ///
@@ -72,7 +73,8 @@
         SockRef::from(&*self.0).shutdown(Shutdown::Write)
     }
 
-    /// Has the connection reset when it is closed, so that the peer cannot take what it got for a complete response.
+    /// Makes closing the socket reset the connection, so that the peer cannot take a truncated response for a complete
+    /// one.
     ///
     /// # Errors
     ///
@@ -81,7 +83,7 @@
         SockRef::from(&*self.0).set_linger(Some(Duration::ZERO))
     }
 
-    /// Writes the slices, as `AsyncWrite::poll_write_vectored` does.
+    /// Writes the slices like `AsyncWrite::poll_write_vectored`.
     pub fn poll_write_slices(
         &self,
         cx: &mut Context<'_>,
@@ -93,7 +95,7 @@
         )
     }
 
-    /// Tries an operation each time the socket is ready, until it would not block.
+    /// Waits until the socket is ready and tries the operation, repeatedly until it does not return `WouldBlock`.
     fn poll_io(
         &self,
         mut poll_ready: impl FnMut(&TcpStream) -> Poll<io::Result<()>>,
@@ -103,7 +105,7 @@
             ready!(poll_ready(&self.0))?;
             match operation(&self.0) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
