--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -1,4 +1,4 @@
-//! How a plug-in is set up, with the defaults of what is not said.
+//! The builder of a plug-in, and its defaults.
 
 use crate::call_classes::CallClasses;
 use crate::error::BuildError;
@@ -17,27 +17,27 @@
 use woadstall_settings::Names;
 use woadstall_transport::{Http1, Http2, Http2Limits};
 
-/// Bytes of a request's body that are buffered by default.
+/// Default number of bytes of a request body that are buffered for retries.
 const DEFAULT_REPLAY_LIMIT: usize = 64 << 10;
 
-/// Connections to one upstream by default.
+/// Default maximum number of connections to one upstream.
 const DEFAULT_CONNECTIONS: usize = 4;
 
-/// Calls that the daemon would have in flight; over HTTP/1.1 each takes a connection.
+/// Number of calls that the daemon would have in flight. Over HTTP/1.1 each call takes a connection.
 const HTTP1_CALLS: usize = 128;
 
 impl Balance {
-    /// Sets one up.
+    /// Returns a builder with the defaults.
     pub fn builder() -> Builder {
         Builder::default()
     }
 }
 
-/// Sets up a [`Balance`]; only the settings are required.
+/// Builds a [`Balance`]. Only [`Builder::settings`] is required.
 #[derive(Clone)]
 pub struct Builder {
     settings: Option<(Settings, Names)>,
-    /// Paths of methods, and the class of each.
+    /// Path and class of each method.
     methods: Vec<(String, String)>,
     discovery: Option<SocketAddr>,
     known_endpoints: EndpointList,
@@ -65,12 +65,11 @@
 }
 
 impl Builder {
-    /// The settings of the decisions, in the JSON form that the daemon gets too. Required.
+    /// Sets the load-balancing settings, in the same JSON form as the daemon's. Required.
     ///
     /// # Errors
     ///
-    /// [`BuildError::Settings`], if they cannot be read. Whether their values make sense shows at
-    /// [`Builder::build`].
+    /// [`BuildError::Settings`], if the settings cannot be parsed. Their values are validated by [`Builder::build`].
     pub fn settings(mut self, json: &[u8]) -> Result<Self, BuildError> {
         let settings = woadstall_settings::parse_settings(json).map_err(BuildError::Settings)?;
         let names = woadstall_settings::parse_names(json).map_err(BuildError::Settings)?;
@@ -78,20 +77,20 @@
         Ok(self)
     }
 
-    /// The class of a method, by the path of its requests (`/package.Service/Method`). A method that is neither
-    /// named here nor in a call's [`crate::CallInfo`] counts as unsafe to repeat, unless the first part of its
-    /// path is a class's name.
+    /// Sets the class of a method, which is identified by the path of its requests (`/package.Service/Method`). Calls
+    /// whose class is given neither here nor in a [`crate::CallInfo`] are treated as unsafe to run twice, unless the
+    /// first segment of their path is the name of a class.
     pub fn method(mut self, path: impl Into<String>, class: impl Into<String>) -> Self {
         self.methods.push((path.into(), class.into()));
         self
     }
 
-    /// Takes the section `[plugin]` of the operators' file: protocol, replay limit and connections, and the
-    /// classes of methods, in addition to methods that are named otherwise.
+    /// Applies the section `[plugin]` of an operators' file, given as its text: protocol, replay limit, connections and
+    /// the classes of methods. The methods are added to those set with [`Builder::method`].
     ///
     /// # Errors
     ///
-    /// [`BuildError::Operator`], if the file cannot be read or a value in it makes no sense.
+    /// [`BuildError::Operator`], if the text cannot be parsed or a value in it is invalid.
     pub fn operator_config(mut self, file: &str) -> Result<Self, BuildError> {
         let config = OperatorConfig::parse(file).map_err(BuildError::Operator)?;
         let plugin = config.plugin;
@@ -105,58 +104,59 @@
         Ok(self)
     }
 
-    /// Where discovery is. By default nowhere: the endpoint list stays as it is known, or as [`Balance::update_endpoints`]
-    /// changes it.
+    /// Sets the address of discovery. Without discovery, which is the default, only [`Builder::known_endpoints`] and
+    /// [`Balance::update_endpoints`] set the list of upstreams.
     pub fn discovery(mut self, address: SocketAddr) -> Self {
         self.discovery = Some(address);
         self
     }
 
-    /// The list of upstreams as it is known already; it may be old. Empty by default.
+    /// Sets the initial list of upstreams, which may be out of date. Empty by default.
     pub fn known_endpoints(mut self, endpoints: EndpointList) -> Self {
         self.known_endpoints = endpoints;
         self
     }
 
-    /// Seed of the random numbers. Instances must not share one; by default it is random.
+    /// Sets the seed of the random numbers. Instances must not share a seed. Random by default.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = Some(seed);
         self
     }
 
-    /// What upstreams speak; HTTP/2 by default.
+    /// Sets the protocol of the connections to upstreams; HTTP/2 by default.
     pub fn protocol(mut self, protocol: Protocol) -> Self {
         self.protocol = protocol;
         self
     }
 
-    /// How much of a request's body is buffered so that it can be sent again, in bytes, 64 KiB by default. A larger
-    /// one is sent once, over HTTP/2, or refused, over HTTP/1.1.
+    /// Sets how many bytes of a request body are buffered for retries; 64 KiB by default. A request with a larger body
+    /// is sent only once over HTTP/2, and rejected over HTTP/1.1.
     pub fn replay_limit(mut self, bytes: usize) -> Self {
         self.replay_limit = bytes;
         self
     }
 
-    /// Most connections: over HTTP/2 to one upstream (4 by default), over HTTP/1.1 that many for each call that
-    /// the daemon would have in flight, 128 times as many in all. At least 1.
+    /// Sets the maximum number of connections; 4 by default and at least 1. Over HTTP/2 the maximum applies to each
+    /// upstream. Over HTTP/1.1, 128 times the maximum applies to all upstreams together, because each call takes a
+    /// connection and the daemon would have 128 calls in flight.
     pub fn connections(mut self, max: usize) -> Self {
         self.connections = max;
         self
     }
 
-    /// Where log lines for the operators go; nowhere by default.
+    /// Sets the function that receives log lines for operators. By default log lines are discarded.
     pub fn log(mut self, log: impl Fn(fmt::Arguments<'_>) + Send + Sync + 'static) -> Self {
         self.log = Arc::new(log);
         self
     }
 
-    /// Starts the plug-in on the tokio runtime that this is called in.
+    /// Starts the plug-in on the current tokio runtime.
     ///
     /// # Errors
     ///
-    /// [`BuildError::NoSettings`] and [`BuildError::NoConnections`]; [`BuildError::UnknownClass`] and
-    /// [`BuildError::DuplicateMethod`], of a method's class; [`BuildError::Start`], if the settings make no sense
-    /// or this is called outside a tokio runtime.
+    /// [`BuildError::NoSettings`] or [`BuildError::NoConnections`], if the builder is incomplete;
+    /// [`BuildError::UnknownClass`] or [`BuildError::DuplicateMethod`], if the class of a method is invalid;
+    /// [`BuildError::Start`], if the settings are inconsistent or there is no current tokio runtime.
     pub fn build(self) -> Result<Balance, BuildError> {
         let (mut settings, names) = self.settings.ok_or(BuildError::NoSettings)?;
         if self.connections == 0 {
@@ -199,7 +199,7 @@
     }
 }
 
-/// A seed from the standard library's hasher, which takes its keys from the operating system.
+/// Returns a random seed from the standard library's hasher, whose keys come from the operating system.
 fn random_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/crates/tower/src/call_classes.rs
+++ b/crates/tower/src/call_classes.rs
@@ -1,4 +1,4 @@
-//! The requirements of a call: its class, tenant, estimated work and timeout.
+//! Determines the class, tenant, estimated work and timeout of a call.
 
 use crate::call_info::CallInfo;
 use crate::error::BuildError;
@@ -10,31 +10,31 @@
 use woadstall_engine::decisions::{Class, Effect};
 use woadstall_settings::Names;
 
-/// Tenant of a call whose tenant the settings do not name: it has no quota of its own.
+/// Tenant index of calls whose tenant is not in the settings. These calls have no quota of their own.
 const UNNAMED_TENANT: usize = usize::MAX;
 
-/// The classes of the plug-in: those of the settings, then for each its non-idempotent variant, then one for
-/// calls that no setting names.
+/// The classes of the plug-in, in this order: the classes of the settings, the non-idempotent variant of each of them, and
+/// the class of calls whose class is unknown.
 pub(crate) struct CallClasses {
     names: Names,
     effects: Vec<Effect>,
     deadlines: Vec<Duration>,
-    /// The class of each method that has one, by the method's path.
+    /// Class index of each configured method, by the method's path.
     methods: HashMap<String, usize>,
 }
 
-/// What the decisions need to know of a call.
+/// The parameters of a call that the load balancer needs.
 #[derive(Debug, PartialEq)]
 pub(crate) struct CallRequirements {
-    /// Index of its class.
+    /// Index of the class.
     pub class: usize,
-    /// Index of its tenant, or [`UNNAMED_TENANT`].
+    /// Index of the tenant, or [`UNNAMED_TENANT`].
     pub tenant: usize,
-    /// An estimate of its work, in nanoseconds.
+    /// Estimated time that a server works on the call, in nanoseconds.
     pub estimated_work: Option<u64>,
     /// How long the caller waits.
     pub timeout: Duration,
-    /// The caller has set the timeout itself; it is not its class's deadline.
+    /// Whether the caller set the timeout; otherwise it is the deadline of the class.
     pub has_caller_timeout: bool,
 }
 
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// [`BuildError::UnknownClass`] and [`BuildError::DuplicateMethod`], of the first method at fault.
+    /// [`BuildError::UnknownClass`] or [`BuildError::DuplicateMethod`], for the first invalid method.
     pub fn new(
         settings: &mut Settings,
         names: Names,
@@ -62,8 +62,7 @@
         })
     }
 
-    /// The requirements of a call. Nothing that it says wrongly is an error: it only loses what that would have
-    /// allowed it.
+    /// Determines the requirements of a call. Invalid values are not an error; they are treated like absent ones.
     pub fn requirements(&self, head: &Parts) -> CallRequirements {
         let absent = CallInfo::default();
         let info = head.extensions.get::<CallInfo>().unwrap_or(&absent);
@@ -86,12 +85,12 @@
         }
     }
 
-    /// The class of a call, in its non-idempotent variant where a repeat could run it twice.
+    /// The class of a call, in its non-idempotent variant if a retry could run the call twice.
     fn class(&self, head: &Parts, info: &CallInfo) -> usize {
         let Some(class) = self.named_class(head, info) else {
             return self.effects.len() - 1;
         };
-        // Without its key no server would drop a repeat.
+        // Without an idempotency key no server would drop a retry.
         let lacks_key =
             matches!(self.effects[class], Effect::Keyed(..)) && !has_idempotency_key(head, info);
         if info.non_idempotent || lacks_key {
@@ -101,7 +100,8 @@
         }
     }
 
-    /// The class that the caller names, or that of the method, or that of the path's first segment.
+    /// The class named in the [`CallInfo`], or else the class of the method, or else the class named by the first segment
+    /// of the path.
     fn named_class(&self, head: &Parts, info: &CallInfo) -> Option<usize> {
         if let Some(class) = &info.class {
             return self.names.class(class);
@@ -112,7 +112,7 @@
     }
 }
 
-/// The class of each method, by its path.
+/// Maps the path of each method to the index of its class.
 fn index_methods(
     names: &Names,
     methods: &[(String, String)],
@@ -132,7 +132,7 @@
     Ok(by_path)
 }
 
-/// The same class for calls that must not run twice.
+/// Returns a copy of a class for calls that must not run twice.
 fn non_idempotent(class: &Class) -> Class {
     Class {
         effect: Effect::Unsafe,
@@ -140,7 +140,8 @@
     }
 }
 
-/// The class of calls that no setting names: the longest times and the least values of all, never repeated.
+/// Returns the class of calls whose class is unknown. It has the longest times and the lowest values of all named classes,
+/// and its calls must not run twice.
 fn unknown_class(named: &[Class]) -> Class {
     let longest = |time: fn(&Class) -> u64| named.iter().map(time).max().unwrap_or(1);
     let least = |value: fn(&Class) -> f64| named.iter().map(value).fold(f64::MAX, f64::min);
@@ -161,7 +162,7 @@
         .is_some_and(|key| !key.is_empty())
 }
 
-/// The work of a call in nanoseconds, as the caller or the header `x-call-cost` (microseconds) estimates it.
+/// The estimated work of a call in nanoseconds, from its [`CallInfo`] or the header `x-call-cost` (microseconds).
 fn estimated_work(head: &Parts, info: &CallInfo) -> Option<u64> {
     if let Some(work) = info.work {
         return Some(work.as_nanos() as u64);
--- a/crates/tower/src/call_classes/tests.rs
+++ b/crates/tower/src/call_classes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the classes of calls and of their timeouts.
+//! Tests of the classes and timeouts of calls.
 
 use super::*;
 use http::Request;
@@ -32,7 +32,8 @@
 const NON_IDEMPOTENT: usize = 3;
 const UNKNOWN: usize = 6;
 
-/// Guards rule 2: what nobody has said to be safe, or keyed with a key, is never sent twice.
+/// Guards against a call running twice: only calls of a class that is safe, or keyed and sent with an idempotency key, may
+/// be retried after they may have run.
 #[test]
 fn unknown_calls_are_unsafe() {
     let effects = classes().effects;
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn shortest_timeout_counts() {
+fn shortest_timeout_applies() {
     let timeout = |headers: &[(&str, &str)], info: Option<u64>| {
         let info = info.map(|ms| CallInfo {
             timeout: Some(Duration::from_millis(ms)),
@@ -97,7 +98,11 @@
         let found = requirements("/look", headers, info);
         (found.timeout.as_millis(), found.has_caller_timeout)
     };
-    assert_eq!(timeout(&[], None), (60_000, false), "the class's own");
+    assert_eq!(
+        timeout(&[], None),
+        (60_000, false),
+        "the deadline of the class"
+    );
     assert_eq!(timeout(&[("grpc-timeout", "80m")], None), (80, true));
     assert_eq!(
         timeout(&[("grpc-timeout", "80m"), ("x-budget", "0.050")], None),
@@ -110,7 +115,7 @@
     assert_eq!(
         timeout(&[("grpc-timeout", "99999999H")], None),
         (3_600_000, true),
-        "bounded"
+        "at most one hour"
     );
     assert_eq!(
         timeout(&[("x-budget", "NaN"), ("grpc-timeout", "oops")], None),
@@ -143,6 +148,6 @@
     );
     assert_eq!(
         build(&[("/a", "look"), ("/a", "pay")]),
-        "method /a is there twice"
+        "method /a is listed twice"
     );
 }
--- a/crates/tower/src/call_info.rs
+++ b/crates/tower/src/call_info.rs
@@ -1,9 +1,9 @@
-//! What a caller may say of a call beside its path and headers.
+//! Information about a call that the caller gives in addition to the path and headers.
 
 use std::time::Duration;
 
-/// What a caller may say of a call, as an extension of its request. What it leaves out is taken from the
-/// method's path and the headers.
+/// Information about a call, given as an extension of its request. Fields that are `None` are taken from the request's
+/// path and headers.
 ///
 /// ```
 /// # use std::time::Duration;
@@ -18,17 +18,17 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CallInfo {
-    /// The class, by its name in the settings; by default that of the method's path.
+    /// Name of the class in the settings; the class of the request's path by default.
     pub class: Option<String>,
-    /// The tenant, by its name in the settings; by default the header `x-caller`.
+    /// Name of the tenant in the settings; the header `x-caller` by default.
     pub tenant: Option<String>,
-    /// How long the caller waits. The least of this, `grpc-timeout` and `x-budget` counts; where none is there,
-    /// the class's deadline. One hour at most.
+    /// How long the caller waits, at most one hour. The shortest of this, `grpc-timeout` and `x-budget` applies; if none
+    /// of them is given, the deadline of the class applies.
     pub timeout: Option<Duration>,
-    /// An estimate of the time that a server works on it; by default the header `x-call-cost`, in microseconds.
+    /// Estimated time that a server works on the call; the header `x-call-cost`, in microseconds, by default.
     pub work: Option<Duration>,
-    /// The idempotency key, by which servers drop its repeats; by default the header `idempotency-key`.
+    /// The idempotency key, by which servers recognize and drop retries; the header `idempotency-key` by default.
     pub key: Option<String>,
-    /// It must never run twice, whatever its class says; false by default.
+    /// Whether the call must never run twice, regardless of its class; false by default.
     pub non_idempotent: bool,
 }
--- a/crates/tower/src/error.rs
+++ b/crates/tower/src/error.rs
@@ -1,40 +1,40 @@
-//! What may go wrong where a plug-in is set up.
+//! Errors of building a plug-in.
 
 use woadstall_operator_config::ConfigError;
 use woadstall_runtime::StartError;
 use woadstall_settings::ParseError;
 
-/// What is wrong with how a plug-in is set up; the text names what is at fault.
+/// The error with which [`crate::Builder`] rejects its input. Its text names the invalid setting or method.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum BuildError {
     /// [`crate::Builder::settings`] was not called.
     #[error("no settings are given")]
     NoSettings,
-    /// The settings could not be read.
+    /// The settings could not be parsed.
     #[error(transparent)]
     Settings(ParseError),
-    /// The operators' file could not be read, or a value in it makes no sense.
+    /// The operators' file could not be parsed, or a value in it is invalid.
     #[error(transparent)]
     Operator(ConfigError),
     /// [`crate::Builder::connections`] is 0.
     #[error("`connections` is 0")]
     NoConnections,
-    /// A method is given a class that the settings don't have.
+    /// A method has a class that is not in the settings.
     #[error("method {path}: the settings have no class {class:?}")]
     UnknownClass {
         /// Path of the method.
         path: String,
-        /// The class that it is given.
+        /// Name of the missing class.
         class: String,
     },
-    /// A method is given a class twice.
-    #[error("method {path} is there twice")]
+    /// A class is given for the same method more than once.
+    #[error("method {path} is listed twice")]
     DuplicateMethod {
         /// Path of the method.
         path: String,
     },
-    /// The settings make no sense together, or there is no tokio runtime to start on.
+    /// The settings are inconsistent, or there is no current tokio runtime.
     #[error(transparent)]
     Start(StartError),
 }
--- a/crates/tower/src/inherit_time.rs
+++ b/crates/tower/src/inherit_time.rs
@@ -1,4 +1,4 @@
-//! The deadline that a service's own caller has set, for the calls that the service makes in turn.
+//! A layer that passes the deadline of a request on to the calls that its handler makes.
 
 use crate::timeout::{MAX_TIMEOUT, timeout_from_headers};
 use http::Request;
@@ -12,15 +12,15 @@
     static DEADLINE: Instant;
 }
 
-/// The deadline of the request that this task serves, if an [`InheritTime`] stands before its service.
+/// The deadline of the request that the current task serves, if its service is wrapped by [`InheritTime`].
 pub(crate) fn inherited_deadline() -> Option<Instant> {
     DEADLINE.try_with(|deadline| *deadline).ok()
 }
 
-/// A layer for a service's own server. It reads how long the caller of each request waits (`grpc-timeout`,
-/// `x-budget`; one hour at most, and by default), and the calls that the service makes through a
-/// [`crate::Balance`] while it works on that request wait no longer. It goes with the task that serves the
-/// request: calls made in a task of their own don't inherit.
+/// A layer for a server, which limits the calls that a request handler makes through a [`crate::Balance`] to the deadline
+/// of the request that it serves. The deadline is read from the headers `grpc-timeout` and `x-budget`; it is one hour if
+/// neither is present, and at most one hour. Only calls made in the task that serves the request inherit the deadline;
+/// calls made in a spawned task do not.
 ///
 /// ```
 /// # use tower_layer::Layer;
@@ -39,7 +39,7 @@
     }
 }
 
-/// The service that [`InheritTime`] wraps around another.
+/// A service wrapped by [`InheritTime`].
 #[derive(Clone, Debug)]
 pub struct InheritTimeService<S> {
     inner: S,
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -1,5 +1,5 @@
-//! woadstall inside the caller: the daemon's decisions as a `tower::Service` under a `tonic` client, or any
-//! client that speaks `http`.
+//! The load balancer as a plug-in in the caller's process: a `tower::Service` for a `tonic` client or any other client
+//! that uses the types of the `http` crate. It makes the same decisions as the daemon.
 //!
 //! ```no_run
 //! # use woadstall_tower::{Balance, Protocol};
@@ -15,10 +15,10 @@
 //! # }
 //! ```
 //!
-//! Clones share everything; the last one ends the plug-in's two tasks. [`CallInfo`] among a request's extensions
-//! says what the call is (its class, tenant, key and timeout), or else its method's path and headers do; a method
-//! that is not known counts as one that must never run twice. Only the decisions retry: no layer below does so by
-//! itself. `docs/plugin.md` has the tables of outcomes and the reasons.
+//! Clones share all state. Dropping the last clone ends the plug-in's two tasks. A call's class, tenant, idempotency key
+//! and timeout are taken from a [`CallInfo`] in the request's extensions, or else from the request's path and headers.
+//! Calls of an unknown method are treated as unsafe to run twice. Only the plug-in retries; no layer below it does so on
+//! its own. `docs/plugin.md` has the tables of outcomes and the reasons for them.
 
 mod builder;
 mod call_classes;
--- a/crates/tower/src/local_response.rs
+++ b/crates/tower/src/local_response.rs
@@ -1,24 +1,24 @@
-//! Responses that no upstream made: rejections and failures, in the form that the caller's library reads.
+//! Responses that the plug-in creates itself: rejections and failures, in the form that the caller's library expects.
 
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
 use std::time::Duration;
 use woadstall_transport::{ResponseBody, grpc_status, is_grpc};
 
-/// Milliseconds until a retry is welcome (gRFC A6, server pushback).
+/// Header with the time after which the client may retry, in milliseconds (gRFC A6, server pushback).
 const GRPC_RETRY_PUSHBACK: HeaderName = HeaderName::from_static("grpc-retry-pushback-ms");
 
-/// How the caller's library reads the status of a response.
+/// The form in which a response carries its status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseFormat {
-    /// By the status of HTTP.
+    /// As the HTTP status.
     Http,
-    /// By `grpc-status`, in headers that are the trailers too (gRPC over HTTP/2, Trailers-Only).
+    /// As `grpc-status` in a response without body or separate trailers (gRPC over HTTP/2, Trailers-Only).
     Grpc,
 }
 
 impl ResponseFormat {
-    /// The format that suits a request with these headers.
+    /// The format for the response to a request with these headers.
     pub(crate) fn for_request(headers: &HeaderMap) -> Self {
         if is_grpc(headers) {
             Self::Grpc
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Rejected: a retry is harmless, after `retry_after` if that is not zero.
+    /// The response to a request that was not executed, so that a retry is safe. Advises the client to retry after
+    /// `retry_after`, unless that is zero.
     pub(crate) fn rejected(self, retry_after: Duration) -> Response<ResponseBody> {
         let mut response = match self {
             Self::Grpc => trailers_only(
@@ -43,7 +44,7 @@
         response
     }
 
-    /// Failed, and it may have run.
+    /// The response to a request that failed and may have been executed.
     pub(crate) fn failed(self) -> Response<ResponseBody> {
         match self {
             Self::Grpc => trailers_only(grpc_status::UNKNOWN, "failed; it may have run"),
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The caller's own body could not be read; nothing was sent.
+    /// The response to a request whose body failed before anything was sent.
     pub(crate) fn unreadable_body(self) -> Response<ResponseBody> {
         match self {
             Self::Grpc => trailers_only(
@@ -62,7 +63,8 @@
         }
     }
 
-    /// The body is larger than the protocol towards the upstreams takes; nothing was sent.
+    /// The response to a request whose body exceeds the replay limit, which HTTP/1.1 upstreams cannot receive. Nothing was
+    /// sent.
     pub(crate) fn body_too_large(self) -> Response<ResponseBody> {
         match self {
             Self::Grpc => trailers_only(
@@ -73,7 +75,7 @@
         }
     }
 
-    /// The header that says when a retry is welcome: milliseconds for gRPC, else seconds to three digits.
+    /// The header that advises when to retry: in milliseconds for gRPC, otherwise in seconds with three decimals.
     fn retry_header(self, retry_after: Duration) -> (HeaderName, HeaderValue) {
         match self {
             Self::Grpc => {
@@ -88,7 +90,7 @@
     }
 }
 
-/// A number's text as a header's value.
+/// Converts the text of a number to a header value.
 fn numeric_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("0"))
 }
--- a/crates/tower/src/parity_tests.rs
+++ b/crates/tower/src/parity_tests.rs
@@ -1,4 +1,4 @@
-//! The plug-in's engine and the daemon's do the same, to the byte, when they are told the same.
+//! Checks that the plug-in's engine and the daemon's engine issue identical commands for identical inputs.
 
 use crate::call_classes::CallClasses;
 use woadstall_engine::{AttemptEnd, Call, Engine, Input, Outcome, RequestId, Time};
@@ -6,28 +6,31 @@
 
 const MS: u64 = 1_000_000;
 
-/// Steps of a recording: between two of them at most [`MAX_STEP`] passes.
+/// Number of steps of a run.
 const STEPS: usize = 4000;
+/// Upper limit of the time between two steps, in nanoseconds.
 const MAX_STEP: u64 = 8 * MS;
 const UPSTREAMS: usize = 9;
 const START: Time = 1_700_000_000_000 * MS;
 
-/// Plays a recorded day to an engine: lists, requests, ends, drains, deaths, timers, at recorded times.
-struct Recording<'a> {
+/// A run of an engine under inputs drawn from a seed: endpoint lists, requests, ends of attempts, drained and terminated
+/// upstreams, disconnecting callers and timers.
+struct RandomRun<'a> {
     engine: Engine<u32, u32>,
     names: &'a Names,
     rng: fastrand::Rng,
     now: Time,
     next_request: u32,
-    /// Attempts that have not ended.
+    /// Request and number of each attempt that has not ended.
     in_flight: Vec<(RequestId, u32)>,
-    /// Every command, with its time.
+    /// All commands of the engine, each with its time.
     commands: Vec<String>,
 }
 
-impl<'a> Recording<'a> {
+impl<'a> RandomRun<'a> {
+    /// Runs an engine and returns its commands.
     fn play(engine: Engine<u32, u32>, names: &'a Names, seed: u64) -> Vec<String> {
-        let mut recording = Self {
+        let mut run = Self {
             engine,
             names,
             rng: fastrand::Rng::with_seed(seed),
@@ -37,11 +40,11 @@
             commands: Vec::new(),
         };
         let all: Vec<_> = (0..UPSTREAMS).map(|at| (at, "in_service", 0)).collect();
-        recording.list(true, &all);
+        run.apply_list(true, &all);
         for _ in 0..STEPS {
-            recording.step();
+            run.step();
         }
-        recording.commands
+        run.commands
     }
 
     fn step(&mut self) {
@@ -63,7 +66,7 @@
         self.record_commands();
     }
 
-    fn list(&mut self, is_complete: bool, members: &[(usize, &str, u64)]) {
+    fn apply_list(&mut self, is_complete: bool, members: &[(usize, &str, u64)]) {
         let zones = &self.names.zones;
         let target = |&(at, state, boot_ms): &(usize, &str, u64)| {
             serde_json::json!({"uid": format!("s-{at}"), "endpoint": format!("127.0.0.1:{}", 9000 + at),
@@ -83,7 +86,7 @@
         let state = ["in_service", "terminating", "terminated"][self.rng.usize(..3)];
         let boot_ms = if self.rng.bool() { self.now / MS } else { 0 };
         let upstream = self.rng.usize(..UPSTREAMS);
-        self.list(false, &[(upstream, state, boot_ms)]);
+        self.apply_list(false, &[(upstream, state, boot_ms)]);
     }
 
     fn request(&mut self) {
@@ -139,15 +142,16 @@
 }
 
 #[test]
-fn recorded_inputs_give_equal_commands_in_daemon_and_plug_in() {
-    // Both tiers that tell the two apart: only the first sheds, by the classes that there are.
+fn identical_inputs_give_identical_commands_in_daemon_and_plug_in() {
+    // The number of classes differs between the daemon and the plug-in. It could affect load shedding, which only the
+    // first tier performs.
     for tier in [0, 1] {
         for seed in 0..8 {
             let mut config = woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[]);
             config["settings"]["Layer"] = tier.into();
             config["settings"]["Zones"] = serde_json::json!(["a", "b", "c"]);
             for class in config["settings"]["Classes"].as_array_mut().unwrap() {
-                class["AimNs"] = 200_000_000_u64.into(); // so that late answers and shedding come up
+                class["AimNs"] = 200_000_000_u64.into(); // causes late responses and load shedding
                 class["WindowNs"] = 300_000_000_u64.into();
             }
             let text = config["settings"].to_string();
@@ -161,8 +165,8 @@
             )
             .unwrap();
             assert!(extended.classes.len() > settings.classes.len());
-            let daemon = Recording::play(Engine::new(settings, 5, START).unwrap(), &names, seed);
-            let plugin = Recording::play(Engine::new(extended, 5, START).unwrap(), &names, seed);
+            let daemon = RandomRun::play(Engine::new(settings, 5, START).unwrap(), &names, seed);
+            let plugin = RandomRun::play(Engine::new(extended, 5, START).unwrap(), &names, seed);
             assert!(daemon.len() > 3000, "{} commands", daemon.len());
             let differs = daemon
                 .iter()
--- a/crates/tower/src/service.rs
+++ b/crates/tower/src/service.rs
@@ -1,4 +1,4 @@
-//! The plug-in as a tower service.
+//! The tower service of the plug-in.
 
 use crate::call_classes::{CallClasses, CallRequirements};
 use crate::call_info::CallInfo;
@@ -23,18 +23,18 @@
 use woadstall_runtime::{CallParameters, LoadBalancer};
 use woadstall_transport::{BodyError, OutboundRequest, ResponseBody};
 
-/// The decisions inside the caller. Clones share everything; [`Balance::builder`] sets one up.
+/// A tower service that balances requests over upstreams. Clones share all state. Created by [`Balance::builder`].
 #[derive(Clone)]
 pub struct Balance(Arc<Shared>);
 
-/// What the clones of a [`Balance`] share.
+/// The state that the clones of a [`Balance`] share.
 pub(crate) struct Shared {
     pub load_balancer: LoadBalancer<UpstreamTransport>,
     pub classes: CallClasses,
-    /// Where discovery is; `None` where the plug-in was set up without it.
+    /// Address of discovery; `None` if the plug-in was built without discovery.
     pub discovery: Option<watch::Sender<SocketAddr>>,
     pub protocol: Protocol,
-    /// Bytes of a request's body that are buffered so that it can be sent again.
+    /// Maximum number of bytes of a request body that are buffered for retries.
     pub replay_limit: usize,
 }
 
@@ -43,36 +43,38 @@
         Self(Arc::new(shared))
     }
 
-    /// Takes a list of upstreams, complete or what changed, from a source of the caller's own.
+    /// Applies a list of upstreams from the caller's own source. The list is either complete or contains only the entries
+    /// that changed.
     pub fn update_endpoints(&self, listing: &EndpointList) {
         self.0.load_balancer.list(listing);
     }
 
-    /// Follows discovery at another address from now on; its complete list is requested at once. Does nothing
-    /// on a plug-in that was set up without [`crate::Builder::discovery`].
+    /// Changes the address of discovery and requests its complete list at once. Does nothing if the plug-in was built
+    /// without [`crate::Builder::discovery`].
     pub fn set_discovery_address(&self, address: SocketAddr) {
         if let Some(addresses) = &self.0.discovery {
             addresses.send_replace(address);
         }
     }
 
-    /// Waits until there is an upstream to send to; without limit.
+    /// Waits until there is an upstream that can receive requests. Has no timeout.
     pub async fn ready(&self) {
         let mut readiness = self.0.load_balancer.ready();
         readiness.wait_for(|ready| *ready).await.ok();
     }
 
-    /// How many calls are not answered, or have an attempt in flight.
+    /// The number of calls that have no response yet or have an attempt in flight.
     pub fn open_calls(&self) -> usize {
         self.0.load_balancer.open()
     }
 
-    /// How many connections to upstreams are open.
+    /// The number of open connections to upstreams.
     pub fn open_connections(&self) -> usize {
         self.0.load_balancer.transport().open_connections()
     }
 
-    /// The response to a request that arrived at `arrival`, in the time that the caller's caller has left.
+    /// Responds to a request that arrived at `arrival`. `inherited` is the deadline of the request that the caller itself
+    /// serves, if known.
     async fn respond<B>(
         self,
         mut request: Request<B>,
@@ -99,13 +101,14 @@
         let outbound = match timeout_at(deadline, buffering).await {
             Ok(Ok(outbound)) => outbound,
             Ok(Err(_)) => return format.unreadable_body(),
-            Err(_) => return format.rejected(Duration::ZERO), // nothing was sent
+            // The deadline passed while the body was read; nothing was sent.
+            Err(_) => return format.rejected(Duration::ZERO),
         };
         self.balance(outbound, &requirements, deadline, format)
             .await
     }
 
-    /// Has the load balancer send a request to upstreams until one serves it or none may.
+    /// Passes a request to the load balancer, which makes attempts until the call is served, rejected or failed.
     async fn balance(
         &self,
         outbound: OutboundRequest,
@@ -132,7 +135,7 @@
     }
 }
 
-/// Writes the key that the caller gives beside the request into its header, where servers look for it.
+/// Copies the idempotency key of the request's [`CallInfo`] into the header `idempotency-key`, which servers read.
 fn set_idempotency_key<B>(request: &mut Request<B>) {
     let info = request.extensions().get::<CallInfo>();
     let key = info.and_then(|info| HeaderValue::from_str(info.key.as_deref()?).ok());
@@ -150,14 +153,14 @@
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Response<ResponseBody>, Infallible>> + Send>>;
 
-    /// Always ready: what cannot be taken is rejected, as soon as that is known.
+    /// Always ready. A request that cannot be sent is answered with a rejection instead.
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
-    /// The response. Dropping the future withdraws the call: nothing is sent for it afterwards.
+    /// Sends the request. Dropping the future cancels the call; no further attempt is made for it.
     fn call(&mut self, request: Request<B>) -> Self::Future {
-        // The task that calls may not be the one that waits.
+        // The deadline is read here because the returned future may run in another task, without the task-local deadline.
         let (balance, arrival, inherited) = (self.clone(), Instant::now(), inherited_deadline());
         Box::pin(async move { Ok(balance.respond(request, arrival, inherited).await) })
     }
--- a/crates/tower/src/timeout.rs
+++ b/crates/tower/src/timeout.rs
@@ -1,20 +1,20 @@
-//! How long a caller waits, as its headers say.
+//! Parsing of the caller's timeout from request headers.
 
 use http::HeaderMap;
 use std::time::Duration;
 
-/// No caller waits for longer, whatever it says.
+/// Upper limit of all timeouts. Longer timeouts are shortened to it.
 pub(crate) const MAX_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Digits that `grpc-timeout` has at most (gRPC over HTTP/2, Timeout).
+/// Maximum number of digits of `grpc-timeout` (gRPC over HTTP/2, Timeout).
 const MAX_GRPC_TIMEOUT_DIGITS: usize = 8;
 
-/// The value of a header, if it is there and is text.
+/// The value of a header, if the header is present and its value is text.
 pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The least that `x-budget` (seconds) and `grpc-timeout` say; what cannot be read counts as absent.
+/// The shorter of the timeouts in the headers `x-budget` (seconds) and `grpc-timeout`. Invalid values are ignored.
 pub(crate) fn timeout_from_headers(headers: &HeaderMap) -> Option<Duration> {
     let budget = header_text(headers, "x-budget").and_then(|text| text.parse().ok());
     let budget = budget.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
@@ -22,7 +22,7 @@
     budget.into_iter().chain(timeout).min()
 }
 
-/// Parses `grpc-timeout`: one to eight digits and a unit (gRPC over HTTP/2, Timeout).
+/// Parses a value of `grpc-timeout`: one to eight digits and a unit (gRPC over HTTP/2, Timeout).
 fn parse_grpc_timeout(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     if digits.is_empty()
--- a/crates/tower/src/timeout/tests.rs
+++ b/crates/tower/src/timeout/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of timeouts in headers.
+//! Tests of parsing timeouts from headers.
 
 use super::*;
 use woadstall_transport::grpc_timeout_of;
@@ -10,9 +10,10 @@
     }
 }
 
-/// What goes upstream must never say more than is left, and stay within eight digits.
+/// Guards against upstreams being given more time than the caller has left: the formatted timeout must be rounded down and
+/// have at most eight digits.
 #[test]
-fn written_timeouts_are_read_back() {
+fn formatted_timeouts_are_parsed_back() {
     for nanos in [
         0,
         1,
--- a/crates/tower/src/upstream_transport.rs
+++ b/crates/tower/src/upstream_transport.rs
@@ -1,4 +1,4 @@
-//! The transport to the upstreams, over the protocol that is set for the plug-in.
+//! The plug-in's transport to upstreams, over HTTP/1.1 or HTTP/2.
 
 use http::Response;
 use std::future::Future;
@@ -8,28 +8,29 @@
 use woadstall_runtime::{Attempt, AttemptProgress, Transport};
 use woadstall_transport::{Http1, Http2, OutboundRequest, ResponseBody};
 
-/// What upstreams speak.
+/// The protocol of the connections to upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Protocol {
-    /// HTTP/1.1: one call at a time on a connection; bodies up to the replay limit either way, read whole.
+    /// HTTP/1.1, with one call at a time per connection. Request and response bodies are buffered completely and limited to
+    /// the replay limit.
     Http1,
     /// HTTP/2 with prior knowledge, as gRPC uses it.
     #[default]
     Http2,
 }
 
-/// Either transport behind one type, as the protocol is chosen at run time.
+/// The transport for the protocol that is chosen at run time.
 pub(crate) enum UpstreamTransport {
     Http1(Http1),
     Http2(Http2),
 }
 
-/// What an attempt comes to, on the heap: a future that is wrapped is stored twice over in each wrapper.
+/// The future of an attempt. It is boxed because each future that wraps it would otherwise store it twice.
 type BoxedAttempt =
     Pin<Box<dyn Future<Output = AttemptProgress<Response<ResponseBody>>> + Send + 'static>>;
 
 impl UpstreamTransport {
-    /// Connections to upstreams that are open.
+    /// The number of open connections to upstreams.
     pub(crate) fn open_connections(&self) -> usize {
         match self {
             Self::Http1(transport) => transport.open_connections(),
@@ -38,7 +39,7 @@
     }
 }
 
-/// Begins an attempt over HTTP/1.1, which sends complete bodies only.
+/// Begins an attempt over HTTP/1.1. The attempt is not made if the request body is not fully buffered.
 fn http1_attempt(
     transport: &Http1,
     request: &mut OutboundRequest,
@@ -72,10 +73,10 @@
     fn probe(
         &self,
         peer: Peer,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = (Outcome, Option<LoadReport>)> + Send + 'static {
         let probe = match self {
-            Self::Http1(transport) => Some(transport.probe(peer, patience)),
+            Self::Http1(transport) => Some(transport.probe(peer, timeout)),
             Self::Http2(_) => None,
         };
         async move {
--- a/crates/tower/tests/build_errors.rs
+++ b/crates/tower/tests/build_errors.rs
@@ -1,4 +1,4 @@
-//! What is wrong with how a plug-in is set up, in the text that the error gives.
+//! Errors of building a plug-in, and their texts.
 
 mod common;
 
@@ -7,14 +7,14 @@
 use woadstall_tower::{Balance, BuildError};
 
 #[tokio::test]
-async fn missing_settings_are_an_error() {
+async fn missing_settings_are_rejected() {
     let error = Balance::builder().build().err().unwrap();
     assert!(matches!(error, BuildError::NoSettings));
     assert_eq!(error.to_string(), "no settings are given");
 }
 
 #[tokio::test]
-async fn zero_connections_are_an_error() {
+async fn zero_connections_are_rejected() {
     let builder = builder(&settings(|_| {})).connections(0);
     let error = builder.build().err().unwrap();
     assert!(matches!(error, BuildError::NoConnections));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn unreadable_settings_name_the_key_and_keep_the_source() {
+fn error_of_invalid_settings_names_the_key_and_has_a_source() {
     let json = settings(|settings| settings["Classes"] = 3.into());
     let error = Balance::builder().settings(&json).err().unwrap();
     assert!(matches!(error, BuildError::Settings(_)));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn errors_in_the_operators_file_name_the_line_or_field() {
+fn error_in_the_operators_file_names_the_field() {
     let error = Balance::builder()
         .operator_config("[plugin]\nprotocol = 7")
         .err()
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn outside_a_runtime_nothing_starts() {
+fn building_outside_a_runtime_is_rejected() {
     let error = builder(&settings(|_| {})).build().err().unwrap();
     assert!(matches!(error, BuildError::Start(_)));
 }
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A plug-in under test, and calls through it.
-#![allow(dead_code, reason = "each test binary uses its own part of these")]
+//! Helpers that build a plug-in and make calls through it.
+#![allow(dead_code, reason = "each test binary uses a part of the helpers")]
 
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response, StatusCode};
@@ -14,13 +14,14 @@
 pub const PAY: &str = "/test.Test/Pay";
 pub const POST: &str = "/test.Test/Post";
 
-/// Far more than anything takes here; reached only where something hangs.
+/// How long tests wait for an event. No event takes nearly as long, so only a hang reaches it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An upstream of a list, with its state and when it started.
+/// An entry of an endpoint list: the upstream's uid, address, state and start time in Unix milliseconds.
 #[derive(Clone)]
 pub struct Member<'a>(pub &'a str, pub SocketAddr, pub &'a str, pub u64);
 
+/// An endpoint list of these entries: the complete list if `all`, otherwise only the entries that changed.
 pub fn listing(all: bool, members: &[Member<'_>]) -> EndpointList {
     let targets: Vec<_> = members
         .iter()
@@ -32,6 +33,7 @@
     serde_json::from_value(serde_json::json!({"rev": 1, "all": all, "targets": targets})).unwrap()
 }
 
+/// A complete endpoint list of upstreams in service, named `s-0`, `s-1`, ...
 pub fn in_service(addresses: &[SocketAddr]) -> EndpointList {
     let names: Vec<String> = (0..addresses.len()).map(|at| format!("s-{at}")).collect();
     let members: Vec<_> = names
@@ -42,7 +44,7 @@
     listing(true, &members)
 }
 
-/// Settings with a class that is safe, one that is keyed and one that is unsafe, after `change`.
+/// Settings with a safe class (`look`), a keyed class (`pay`) and an unsafe class (`post`), modified by `change`.
 pub fn settings(change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
     let mut settings =
         woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
@@ -65,7 +67,7 @@
         .unwrap()
 }
 
-/// A gRPC call of one message.
+/// A gRPC request with one message.
 pub fn request(path: &str) -> Request<Full<Bytes>> {
     let mut request = Request::post(path)
         .header("content-type", "application/grpc")
@@ -84,15 +86,16 @@
     balance.clone().call(request).await.unwrap()
 }
 
-/// How a call ended for its caller.
+/// The response of a call as its caller sees it.
 #[derive(Debug, PartialEq)]
 pub struct Outcome {
     pub http: StatusCode,
-    /// The gRPC status, from headers or trailers; `None` if there is none.
+    /// The gRPC status, from headers or trailers; `None` if absent.
     pub status: Option<u32>,
+    /// The advised time before a retry, in milliseconds.
     pub pushback: Option<u64>,
     pub body: Bytes,
-    /// The body broke off.
+    /// The body ended with an error.
     pub broken: bool,
 }
 
@@ -101,12 +104,12 @@
         self.status == Some(0) && !self.broken
     }
 
-    /// Rejected by the plug-in: a retry is harmless.
+    /// Whether the plug-in rejected the call, so that a retry is safe.
     pub fn is_rejected(&self) -> bool {
         self.status == Some(14)
     }
 
-    /// Failed, and it may have run: nothing tells a client to retry.
+    /// Whether the call failed and may have run. No header advises the client to retry.
     pub fn is_failed(&self) -> bool {
         self.status == Some(2) && self.pushback.is_none()
     }
@@ -142,13 +145,13 @@
     outcome(send(balance, request(path)).await).await
 }
 
-/// Waits until this holds; what it waits for has no event of its own.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls a condition that no event announces until it holds.
+pub async fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !holds() {
         assert!(
             start.elapsed() < TEST_TIMEOUT,
-            "it never came to this: {what}"
+            "timed out waiting until {condition}"
         );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
--- a/crates/tower/tests/grpc.rs
+++ b/crates/tower/tests/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC through the plug-in: what came back, has it run, and what the caller hears.
+//! gRPC through the plug-in: which attempts are retried, and which status the caller receives.
 
 mod common;
 
@@ -20,7 +20,7 @@
     Reply::Ok(Bytes::from_static(b"done"))
 }
 
-/// The first call ends with `first`, all later ones are served.
+/// A script that replies to the first call with `first` and serves all later calls.
 fn once(first: Reply) -> impl Fn(&ReceivedCall) -> Reply + Send + Sync {
     let count = AtomicUsize::new(0);
     move |_| match count.fetch_add(1, Ordering::Relaxed) {
@@ -29,16 +29,16 @@
     }
 }
 
-/// What a caller hears, and how many attempts came, where the first attempt ends so.
-async fn first_attempt_ends(path: &str, first: Reply) -> (Outcome, usize) {
+/// Makes a call whose first attempt receives the reply `first`. Returns the caller's outcome and the number of attempts.
+async fn call_with_first_reply(path: &str, first: Reply) -> (Outcome, usize) {
     let upstream = GrpcUpstream::start(once(first)).await;
     let balance = balance(&[upstream.address]);
     let outcome = call(&balance, path).await;
-    until("all is over", || balance.open_calls() == 0).await;
+    wait_until("no call is open", || balance.open_calls() == 0).await;
     (outcome, upstream.total())
 }
 
-/// The rows that never ran: another attempt follows, also for unsafe work.
+/// Guards against calls failing that the upstream declared as not executed: they are retried, even unsafe ones.
 #[tokio::test]
 async fn requests_that_never_ran_are_retried() {
     let full = Reply::Status(14, vec![("x-rejected", "1")]);
@@ -52,7 +52,7 @@
         ("http", http),
     ] {
         for path in [LOOK, PAY, POST] {
-            let (outcome, attempts) = first_attempt_ends(path, first.clone()).await;
+            let (outcome, attempts) = call_with_first_reply(path, first.clone()).await;
             assert!(outcome.is_served(), "{name} {path}: {outcome:?}");
             assert_eq!(
                 (attempts, &outcome.body),
@@ -63,7 +63,8 @@
     }
 }
 
-/// The rows that may have run: safe and keyed work is sent again, unsafe work fails with no promise.
+/// Guards against unsafe calls running twice: after an attempt that may have run, only safe and keyed calls are retried.
+/// Unsafe calls, and calls of an unknown method, fail without advice to retry.
 #[tokio::test]
 async fn unsafe_requests_that_may_have_run_are_not_retried() {
     let rows = [
@@ -82,14 +83,14 @@
     ];
     for (name, first) in rows {
         for path in [LOOK, PAY] {
-            let (outcome, attempts) = first_attempt_ends(path, first.clone()).await;
+            let (outcome, attempts) = call_with_first_reply(path, first.clone()).await;
             assert!(
                 outcome.is_served() && attempts == 2,
                 "{name} {path}: {outcome:?} after {attempts}"
             );
         }
         for path in [POST, "/test.Test/Unknown"] {
-            let (outcome, attempts) = first_attempt_ends(path, first.clone()).await;
+            let (outcome, attempts) = call_with_first_reply(path, first.clone()).await;
             assert!(
                 outcome.is_failed() && attempts == 1,
                 "{name} {path}: {outcome:?} after {attempts}"
@@ -98,17 +99,17 @@
     }
 }
 
-/// All other statuses are the answer, as they came.
+/// Guards against retries of calls that the server has answered: all other statuses are forwarded unchanged.
 #[tokio::test]
 async fn other_statuses_are_final() {
     for status in [1, 2, 3, 5, 6, 7, 8, 9, 10, 11, 12, 13, 15, 16] {
         let (outcome, attempts) =
-            first_attempt_ends(LOOK, Reply::Status(status, vec![("x-from", "upstream")])).await;
+            call_with_first_reply(LOOK, Reply::Status(status, vec![("x-from", "upstream")])).await;
         assert_eq!((outcome.status, attempts), (Some(status), 1));
     }
 }
 
-/// Rule 2 on a connection with many streams: it dies, and what was on it may have run.
+/// Guards against unsafe calls running twice when a connection with many streams closes: each of the calls may have run.
 #[tokio::test]
 async fn streams_on_a_lost_connection_are_not_retried() {
     let dying = RawHttp2Server::start(30, ScriptedAction::Close);
@@ -120,7 +121,7 @@
         })
         .collect();
     let sound = GrpcUpstream::start(|_| ok_response()).await;
-    // All thirty are out before the other upstream is there to be sent to.
+    // All calls are sent before the other upstream becomes available.
     tokio::task::spawn_blocking(move || dying.wait_for(29))
         .await
         .unwrap();
@@ -135,7 +136,8 @@
     assert_eq!(sound.total(), 0);
 }
 
-/// RFC 9113, section 6.8: what lies above GOAWAY's last stream was not acted on, and goes elsewhere.
+/// GOAWAY's last stream id separates streams that may have been processed from streams that were not (RFC 9113, section
+/// 6.8). Guards against the former being retried, and against the latter failing.
 #[tokio::test]
 async fn only_streams_above_goaway_are_retried_elsewhere() {
     let draining = RawHttp2Server::start(
@@ -160,7 +162,8 @@
         ("other", sound.address, "in_service"),
     ];
     let members = members.map(|(name, address, state)| Member(name, address, state, 0));
-    // The thirtieth opens the way out, on the same connection, before that is told to drain.
+    // The thirtieth stream triggers the GOAWAY. It is opened on the same connection before the upstream is listed as
+    // draining.
     let last = {
         let balance = balance.clone();
         tokio::spawn(async move { call(&balance, POST).await })
@@ -179,11 +182,12 @@
     drop(draining);
 }
 
-/// Rule 3: a drain lets the streams finish, and no new one opens, neither at once nor from the queue.
+/// Guards against new streams on an upstream that is listed as draining, including streams for calls that were already
+/// waiting for it. Open streams finish.
 #[tokio::test]
 async fn draining_finishes_open_streams_and_opens_none() {
-    let ring = Arc::new(Notify::new());
-    let reply = Reply::OnNotify(ring.clone(), Box::new(ok_response()));
+    let notify = Arc::new(Notify::new());
+    let reply = Reply::OnNotify(notify.clone(), Box::new(ok_response()));
     let draining = GrpcUpstream::start_with_max_streams(Some(10), move |_| reply.clone()).await;
     let settings = settings(|settings| settings["Limits"]["TryLimit"] = 6.into());
     let balance = builder(&settings)
@@ -197,9 +201,9 @@
             tokio::spawn(async move { call(&balance, POST).await })
         })
         .collect();
-    // Ten are out; forty wait behind MAX_CONCURRENT_STREAMS.
-    until("ten are held", || draining.in_flight() == 10).await;
-    until("all are out", || balance.open_calls() == 50).await;
+    // Ten calls are sent; forty wait because of MAX_CONCURRENT_STREAMS.
+    wait_until("ten calls are in flight", || draining.in_flight() == 10).await;
+    wait_until("fifty calls are open", || balance.open_calls() == 50).await;
     let sound = GrpcUpstream::start(|_| ok_response()).await;
     balance.update_endpoints(&listing(
         false,
@@ -208,10 +212,17 @@
             Member("other", sound.address, "in_service", 0),
         ],
     ));
-    until("the forty went elsewhere", || sound.total() == 40).await;
-    assert_eq!(draining.total(), 10, "nothing new after the drain was told");
+    wait_until("the other upstream has received forty calls", || {
+        sound.total() == 40
+    })
+    .await;
+    assert_eq!(
+        draining.total(),
+        10,
+        "a draining upstream receives no new call"
+    );
     let mut open = draining.open_connections();
-    ring.notify_waiters();
+    notify.notify_waiters();
     for ended in calls {
         let outcome = ended.await.unwrap();
         assert!(outcome.is_served(), "{outcome:?}");
@@ -220,18 +231,18 @@
         (draining.total(), sound.total(), draining.connections()),
         (10, 40, 1)
     );
-    // With its last stream the connection goes.
+    // The connection closes after its last stream.
     tokio::time::timeout(TEST_TIMEOUT, open.wait_for(|open| *open == 0))
         .await
         .unwrap()
         .unwrap();
 }
 
-/// A server that asks for no more streams is no failure: what it has finishes, the next goes to a new connection.
+/// Guards against a graceful GOAWAY being treated as a failure: open streams finish, and later calls use a new connection.
 #[tokio::test]
 async fn graceful_goaway_loses_no_request() {
-    let ring = Arc::new(Notify::new());
-    let wait = Reply::OnNotify(ring.clone(), Box::new(ok_response()));
+    let notify = Arc::new(Notify::new());
+    let wait = Reply::OnNotify(notify.clone(), Box::new(ok_response()));
     let upstream = GrpcUpstream::start(once(wait)).await;
     let balance = balance(&[upstream.address]);
     let pending = {
@@ -240,16 +251,16 @@
     };
     upstream.next_call().await;
     upstream.go_away();
-    // The other connection may be opened before the first has heard; either way nothing is lost.
+    // The calls may be sent before or after the GOAWAY is received; none may be lost in either case.
     for _ in 0..20 {
         assert!(call(&balance, POST).await.is_served());
     }
-    ring.notify_one();
+    notify.notify_one();
     assert!(pending.await.unwrap().is_served());
     assert_eq!(upstream.total(), 21);
 }
 
-/// What goes upstream is what is left then, each attempt anew.
+/// Guards against a retry carrying the original timeout: each attempt carries the time left when it is sent.
 #[tokio::test]
 async fn each_attempt_carries_the_remaining_time() {
     let wait = Duration::from_millis(300);
@@ -290,7 +301,7 @@
     assert!((budget * 1e3 - second.time_left_ms() as f64).abs() < 2.0);
 }
 
-/// No time left: refused at once, nothing is sent.
+/// Guards against calls being sent whose time has already expired: they are rejected at once.
 #[tokio::test]
 async fn expired_requests_are_rejected_unsent() {
     let upstream = GrpcUpstream::start(|_| ok_response()).await;
@@ -307,7 +318,7 @@
     assert_eq!(upstream.total(), 1);
 }
 
-/// A service's calls wait no longer than its own caller.
+/// Guards against calls that outlive the request on whose behalf they are made.
 #[tokio::test]
 async fn deadline_of_a_services_caller_is_inherited() {
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
@@ -328,7 +339,8 @@
     assert!(upstream.next_call().await.time_left_ms() <= 150);
 }
 
-/// A dropped call is withdrawn: its stream is reset, and its next attempt never made.
+/// Guards against calls that continue after their caller has dropped them: the stream is reset, and no further attempt is
+/// made.
 #[tokio::test]
 async fn dropped_call_resets_its_stream() {
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
@@ -339,13 +351,13 @@
             tokio::spawn(async move { call(&balance, LOOK).await })
         })
         .collect();
-    until("all are out", || upstream.in_flight() == 200).await;
+    wait_until("all calls are in flight", || upstream.in_flight() == 200).await;
     calls.iter().for_each(|call| call.abort());
-    until("all are withdrawn", || upstream.in_flight() == 0).await;
+    wait_until("all streams are reset", || upstream.in_flight() == 0).await;
     assert_eq!((balance.open_calls(), upstream.total()), (0, 200));
 }
 
-/// Server streaming: after the first message there is no other attempt, whatever happens to the stream.
+/// Guards against a retry after a part of the response was passed on: the caller would receive the first message twice.
 #[tokio::test]
 async fn no_retry_after_the_first_message() {
     let upstream = GrpcUpstream::start(once(Reply::MessageThenReset(
@@ -364,8 +376,8 @@
 
 #[tokio::test]
 async fn streamed_messages_are_forwarded_as_they_arrive() {
-    let ring = Arc::new(Notify::new());
-    let reply = Reply::Stream(Bytes::from_static(b"x"), 3, ring.clone());
+    let notify = Arc::new(Notify::new());
+    let reply = Reply::Stream(Bytes::from_static(b"x"), 3, notify.clone());
     let upstream = GrpcUpstream::start(move |_| reply.clone()).await;
     let balance = balance(&[upstream.address]);
     let mut body = send(&balance, request(LOOK)).await.into_body();
@@ -376,8 +388,8 @@
             .unwrap()
             .unwrap();
         assert_eq!(frame.into_data().unwrap(), message(b"x"));
-        assert_eq!(balance.open_calls(), 1, "the stream goes on");
-        ring.notify_one();
+        assert_eq!(balance.open_calls(), 1, "the stream is still open");
+        notify.notify_one();
     }
     assert_eq!(
         body.frame().await.unwrap().unwrap().into_data().unwrap(),
@@ -392,16 +404,16 @@
         .unwrap();
     assert_eq!(trailers["grpc-status"], "0");
     assert!(body.frame().await.is_none());
-    until("the stream is over", || balance.open_calls() == 0).await;
-    // A caller that has heard enough: the stream is reset.
+    wait_until("no call is open", || balance.open_calls() == 0).await;
+    // Dropping the response body resets the stream.
     let body = send(&balance, request(LOOK)).await;
-    until("it is held", || upstream.in_flight() == 1).await;
+    wait_until("the call is in flight", || upstream.in_flight() == 1).await;
     drop(body);
-    until("it is withdrawn", || upstream.in_flight() == 0).await;
+    wait_until("the stream is reset", || upstream.in_flight() == 0).await;
     assert_eq!(balance.open_calls(), 0);
 }
 
-/// A stream whose caller has said how long it waits ends then, at both ends.
+/// Guards against streams that stay open beyond the caller's deadline, at the caller or at the upstream.
 #[tokio::test]
 async fn stream_ends_at_its_callers_deadline() {
     let upstream = GrpcUpstream::start(|_| {
@@ -418,10 +430,11 @@
         outcome.broken && outcome.body == message(b"x"),
         "{outcome:?}"
     );
-    until("it is withdrawn", || upstream.in_flight() == 0).await;
+    wait_until("the stream is reset", || upstream.in_flight() == 0).await;
 }
 
-/// A server that answers headers and then nothing: the call ends in its time, and unsafe work with no promise.
+/// Guards against calls that wait forever for an upstream that sends headers and then nothing. At the deadline a safe call
+/// is rejected, and an unsafe call fails because it may have run.
 #[tokio::test]
 async fn headers_without_trailers_time_out() {
     for (path, rejected) in [(LOOK, true), (POST, false)] {
@@ -440,7 +453,8 @@
     }
 }
 
-/// A body beyond the replay limit, or one still to come, is sent once: after that there is no other attempt.
+/// Guards against a retry with a truncated body: a body that exceeds the replay limit or has not been received completely
+/// cannot be sent twice.
 #[tokio::test]
 async fn bodies_beyond_the_replay_limit_have_one_attempt() {
     let upstream = GrpcUpstream::start(|_| Reply::Status(14, vec![("x-rejected", "1")])).await;
@@ -453,9 +467,9 @@
     let small = outcome(send(&balance, sized(900)).await).await;
     assert!(small.is_rejected(), "{small:?}");
     let attempts = upstream.total();
-    assert!(attempts > 1, "a small body is sent again");
+    assert!(attempts > 1, "a call with a small body is retried");
     let large = outcome(send(&balance, sized(300_000)).await).await;
-    assert!(large.is_rejected(), "it never ran: {large:?}");
+    assert!(large.is_rejected(), "the call never ran: {large:?}");
     assert_eq!(upstream.total(), attempts + 1);
     for _ in 0..attempts {
         upstream.next_call().await;
@@ -463,9 +477,9 @@
     assert_eq!(
         upstream.next_call().await.body,
         message(&vec![7; 300_000]),
-        "and is sent whole"
+        "a large body is sent completely"
     );
-    // A body that comes in pieces, the second later.
+    // A body of two frames, the second of which arrives later.
     let parts = futures_util::stream::unfold(0, |at| async move {
         if at == 1 {
             tokio::time::sleep(Duration::from_millis(30)).await;
@@ -482,8 +496,8 @@
     );
 }
 
-/// The caller's runtime stands still, clones go in any order, and the last one goes with calls open: nothing is
-/// left behind, and nothing is sent afterwards.
+/// Guards against leaked connections and late attempts when the caller's runtime is blocked for a while, clones are
+/// dropped in any order, and the last clone is dropped while calls are open.
 #[tokio::test]
 async fn stalled_runtime_and_dropped_clones_leak_nothing() {
     let upstream = GrpcUpstream::start(|_| {
@@ -495,14 +509,14 @@
         .map(|_| Box::pin(balance.clone().call(request(POST))))
         .collect();
     let mut calls: Vec<_> = calls.into_iter().map(|call| tokio::spawn(call)).collect();
-    until("they are out", || upstream.in_flight() > 0).await;
-    std::thread::sleep(Duration::from_millis(200)); // the whole runtime, upstream included
+    wait_until("calls are in flight", || upstream.in_flight() > 0).await;
+    std::thread::sleep(Duration::from_millis(200)); // blocks the whole runtime, including the upstream
     for call in calls.drain(..10) {
         assert_eq!(outcome(call.await.unwrap().unwrap()).await.status, Some(0));
     }
     drop(calls);
     let mut open = upstream.open_connections();
-    // The last clone goes with calls open, whose futures go after it.
+    // The last clone is dropped while calls are open, and their futures after it.
     let orphans: Vec<_> = (0..5)
         .map(|_| balance.clone().call(request(POST)))
         .collect();
@@ -516,7 +530,7 @@
     assert_eq!(upstream.total(), total);
 }
 
-/// A new process at the address of a former one: no stream of its goes on the old connection.
+/// Guards against calls being sent on a connection to a former process after a new one has started at its address.
 #[tokio::test]
 async fn restarted_upstream_gets_a_new_connection() {
     let upstream = GrpcUpstream::start(|_| ok_response()).await;
@@ -536,13 +550,13 @@
     assert_eq!(upstream.next_call().await.connection, 1);
 }
 
-/// Nobody listens: refused, as it never ran, with advice on when to come back.
+/// Guards against calls failing that never reached an upstream: they are rejected, with advice on when to retry.
 #[tokio::test]
 async fn unreachable_upstream_means_rejection_with_pushback() {
     let settings = settings(|settings| settings["Limits"]["RetryAfter"] = true.into());
-    let nowhere = woadstall_mock_servers::http1::refused_address();
+    let refused = woadstall_mock_servers::http1::refused_address();
     let balance = builder(&settings)
-        .known_endpoints(in_service(&[nowhere]))
+        .known_endpoints(in_service(&[refused]))
         .build()
         .unwrap();
     let outcome = call(&balance, POST).await;
@@ -565,7 +579,7 @@
     );
 }
 
-/// HTTP/1.1 upstreams behind the same service.
+/// Guards against HTTP/1.1 upstreams being retried by other rules than HTTP/2 upstreams.
 #[tokio::test]
 async fn http1_upstreams_are_retried_by_the_same_rules() {
     use woadstall_mock_servers::http1::{Reaction, Upstream, ok_response, overloaded_response};
@@ -588,7 +602,7 @@
             .body(Full::new(Bytes::from(vec![b'b'; size])))
             .unwrap()
     };
-    // Full, sent again; then silence: it may have run.
+    // The first attempt is rejected and retried; the second receives no response, so the call may have run and fails.
     let response = send(&balance, post(4, "0.2")).await;
     assert_eq!(
         (response.status().as_u16(), upstream.count_requests()),
--- a/crates/tower/tests/tonic.rs
+++ b/crates/tower/tests/tonic.rs
@@ -1,5 +1,5 @@
-//! Clients that this project did not write, unmodified: a generated tonic client, and hyper-util's in front of a
-//! server that is nothing but the plug-in.
+//! The plug-in with unmodified third-party clients: a generated tonic client, and hyper-util's client in front of a hyper
+//! server whose service is the plug-in.
 
 mod common;
 
@@ -22,7 +22,7 @@
 const CHECK: &str = "/grpc.health.v1.Health/Check";
 const WATCH: &str = "/grpc.health.v1.Health/Watch";
 
-/// tonic's own server with its generated health service.
+/// Starts a tonic server with tonic's health service.
 async fn tonic_server() -> (SocketAddr, HealthReporter) {
     let (reporter, service) = tonic_health::server::health_reporter();
     reporter
@@ -67,14 +67,18 @@
             tonic_health::pb::health_check_response::ServingStatus::Serving
         );
     }
-    assert_eq!(balance.open_connections(), 2, "both upstreams have served");
-    // A server's own status comes through as it is, with its message.
+    assert_eq!(
+        balance.open_connections(),
+        2,
+        "both upstreams have received requests"
+    );
+    // The status and message of a server's own error are forwarded unchanged.
     let error = client.check(check_request("unknown")).await.unwrap_err();
     assert_eq!(
         (error.code(), error.message()),
         (Code::NotFound, "service not registered")
     );
-    // Calls at once from many tasks, on clones.
+    // Concurrent calls through clones in many tasks.
     let calls: Vec<_> = (0..200)
         .map(|_| {
             let mut client = client.clone();
@@ -84,7 +88,7 @@
     for call in calls {
         call.await.unwrap().unwrap();
     }
-    // Server streaming: what changes while it is open comes at once, and its end is seen.
+    // Server streaming: a change while the stream is open is forwarded at once, and dropping the stream ends the call.
     let balance = health(&[one]);
     let mut client = HealthClient::new(balance.clone());
     let mut watch = client
@@ -116,17 +120,17 @@
     call_through_a_generated_client().await;
 }
 
-/// What the decisions refuse or fail reaches a tonic client as a status that it knows what to do with.
+/// Guards against rejections and failures reaching a tonic client in a form that it cannot interpret.
 #[tokio::test]
 async fn rejections_and_failures_are_grpc_statuses() {
-    let nowhere = woadstall_mock_servers::http1::refused_address();
-    let error = HealthClient::new(health(&[nowhere]))
+    let refused = woadstall_mock_servers::http1::refused_address();
+    let error = HealthClient::new(health(&[refused]))
         .check(check_request(""))
         .await
         .unwrap_err();
     assert_eq!(error.code(), Code::Unavailable);
     assert!(error.metadata().get("grpc-retry-pushback-ms").is_some());
-    // A service that nobody named a class for: unsafe, and it may have run.
+    // The method has no class, so it is unsafe to retry a call that may have run.
     let upstream = GrpcUpstream::start(|_| Reply::Status(14, vec![])).await;
     let balance = builder(&settings(|_| {}))
         .known_endpoints(in_service(&[upstream.address]))
@@ -138,7 +142,7 @@
         .unwrap_err();
     assert_eq!((error.code(), upstream.total()), (Code::Unknown, 1));
     assert!(error.metadata().get("grpc-retry-pushback-ms").is_none());
-    // tonic's own time limit goes on to the upstream, and the call ends by it.
+    // The timeout set in tonic is forwarded to the upstream, and the call ends when it expires.
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
     let mut request = tonic::Request::new(check_request(""));
     request.set_timeout(std::time::Duration::from_millis(150));
@@ -149,13 +153,16 @@
     assert_eq!(
         error.code(),
         Code::Unavailable,
-        "safe to repeat, so refused: {error:?}"
+        "a safe call is rejected, not failed: {error:?}"
     );
     assert!(upstream.next_call().await.time_left_ms() <= 150);
-    until("nothing is left", || upstream.in_flight() == 0).await;
+    wait_until("the upstream has no call in flight", || {
+        upstream.in_flight() == 0
+    })
+    .await;
 }
 
-/// A message over the limit of the caller's library: its error, and the stream is ended, not read on.
+/// Guards against a stream being read on after the caller's library has rejected a message as too large.
 #[tokio::test]
 async fn message_over_the_limit_ends_its_stream() {
     let upstream = GrpcUpstream::start(|_| Reply::Ok(Bytes::from(vec![0; 300_000]))).await;
@@ -163,10 +170,10 @@
     let mut client = HealthClient::new(balance.clone()).max_decoding_message_size(100_000);
     let error = client.check(check_request("")).await.unwrap_err();
     assert_eq!((error.code(), upstream.total()), (Code::OutOfRange, 1));
-    until("nothing is left", || balance.open_calls() == 0).await;
+    wait_until("no call is open", || balance.open_calls() == 0).await;
 }
 
-/// hyper's server with the plug-in as its service, hyper-util's client in front, HTTP/1.1 upstreams behind.
+/// A chain of hyper-util's client, hyper's server with the plug-in as its service, and an HTTP/1.1 upstream.
 #[tokio::test]
 async fn hyper_client_and_server_around_the_plug_in() {
     use woadstall_mock_servers::http1::{Reaction, Upstream, ok_response, overloaded_response};
@@ -206,12 +213,12 @@
         assert_eq!(
             body,
             format!("reading {number}"),
-            "each caller has its own answer"
+            "each caller receives its own response"
         );
     }
     assert_eq!(
         upstream.count_requests(),
         20,
-        "each was turned away once and sent again, by nobody but the decisions"
+        "each request is rejected once and retried once, only by the plug-in"
     );
 }
