--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,97 +1,98 @@
-//! What may be wrong with an operators' file.
+//! Errors in an operators' file.
 
 use crate::{MAX_FILE_BYTES, MAX_METHODS, MAX_NAME_BYTES};
 use std::net::SocketAddr;
 
-/// What is wrong with the file, in one line that names the field.
+/// An error in an operators' file. Its text is one line that names the line or the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// It is larger than [`MAX_FILE_BYTES`].
+    /// The file is larger than [`MAX_FILE_BYTES`].
     #[error("the file is over {MAX_FILE_BYTES} bytes")]
     TooLarge,
-    /// It is not TOML.
+    /// The file is not valid TOML.
     #[error("line {line}: {message}")]
     Syntax {
-        /// The line, counted from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the parser reports.
+        /// The parser's message.
         message: String,
     },
-    /// A field is unknown, missing or of another type.
+    /// A field is unknown, missing or of the wrong type.
     #[error("`{path}`: {message}")]
     Field {
         /// Path of the field.
         path: String,
-        /// What the deserializer reports.
+        /// The deserializer's message.
         message: String,
     },
-    /// A number lies outside its range.
+    /// A number is outside its range.
     #[error("`{field}` is {value}, not between {min} and {max}")]
     OutOfRange {
         /// Path of the field.
         field: &'static str,
-        /// Its value.
+        /// Value in the file.
         value: u64,
-        /// The least that is allowed.
+        /// Lowest valid value.
         min: u64,
-        /// The most that is allowed.
+        /// Highest valid value.
         max: u64,
     },
-    /// A name is empty, too long or has blanks.
+    /// A name is empty, too long or contains whitespace.
     #[error("`{field}` is not 1 to {MAX_NAME_BYTES} bytes without blanks")]
     InvalidName {
         /// Path of the field.
         field: &'static str,
     },
-    /// A key is given to a member that is to go without one.
+    /// A key file is given although `insecure` is true.
     #[error("`instances.insecure` is true beside a `key_file`")]
     InsecureWithKey,
-    /// No key is given, and none is not allowed.
+    /// No key file is given although `insecure` is not true.
     #[error("`instances.key_file` is missing, and `insecure` is not true")]
     MissingKey,
-    /// The member listens on all addresses, and others are not told which one to use.
+    /// The member listens on all addresses, and no address is advertised to other members.
     #[error("`instances.advertise` is missing, and `listen` is all addresses")]
     MissingAdvertisedAddress,
-    /// Nobody can be reached at the advertised address.
+    /// The advertised address is unspecified or has port 0, so other members cannot reach it.
     #[error("`instances.advertise` is {address}, where nobody is found")]
     UnreachableAdvertisedAddress {
-        /// The address.
+        /// The advertised address.
         address: SocketAddr,
     },
-    /// A direct probe would not leave the time for an indirect one within its period.
+    /// The timeout of a direct probe leaves no time for an indirect probe within the probe period.
     #[error("`instances.patience_ms` is over half of `period_ms`")]
     ProbeTimeoutTooLong,
-    /// A member would be declared dead before it is probed again.
+    /// The suspicion timeout is shorter than the probe period, so a member could be declared dead before it is probed
+    /// again.
     #[error("`instances.suspicion_ms` is less than `period_ms`")]
     SuspicionTimeoutTooShort,
-    /// Evacuation rests on the membership.
+    /// Evacuation is enabled without membership, which it requires.
     #[error("`evacuation`: there is no `[instances]`, so nobody tells anything")]
     EvacuationWithoutMembership,
     /// A zone or a region has an empty name.
     #[error("`evacuation.regions` has an empty name")]
     EmptyRegionName,
-    /// More methods than may be named.
+    /// `plugin.methods` has too many entries.
     #[error("`plugin.methods` has {count} entries, over {MAX_METHODS}")]
     TooManyMethods {
-        /// How many there are.
+        /// Number of entries.
         count: usize,
     },
-    /// A method names no class.
+    /// The class of a method is empty.
     #[error("`plugin.methods.{path:?}` names no class")]
     MethodWithoutClass {
-        /// The path of the method.
+        /// Path of the method.
         path: String,
     },
-    /// A method is not named by an absolute path.
+    /// The path of a method does not begin with `/`.
     #[error("`plugin.methods.{path:?}` is not a path from `/` on")]
     InvalidMethodPath {
-        /// The path of the method.
+        /// Path of the method.
         path: String,
     },
 }
 
 impl ConfigError {
-    /// An error of the TOML parser, at its line of `text`.
+    /// Converts an error of the TOML parser, which refers to `text`.
     pub(crate) fn syntax(text: &str, error: &toml::de::Error) -> Self {
         let offset = error.span().map_or(0, |span| span.start).min(text.len());
         let newlines = text.as_bytes()[..offset]
@@ -104,7 +105,7 @@
         }
     }
 
-    /// An error of the deserializer, at the path of its field.
+    /// Converts an error of the deserializer, with the path of the field.
     pub(crate) fn field(error: &serde_path_to_error::Error<toml::de::Error>) -> Self {
         Self::Field {
             path: error.path().to_string(),
@@ -113,7 +114,7 @@
     }
 }
 
-/// Checks that a number lies within its range, both ends included.
+/// Checks that a number is between `min` and `max`, both included.
 pub(crate) fn check_range(
     field: &'static str,
     value: u64,
--- a/crates/operator-config/src/evacuation.rs
+++ b/crates/operator-config/src/evacuation.rs
@@ -1,18 +1,18 @@
-//! Section `[evacuation]`: all balancers together stop sending to a failing upstream, zone or region.
+//! Section `[evacuation]`: all balancers together stop sending requests to a failing upstream, zone or region.
 
 use crate::ConfigError;
 use crate::error::check_range;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Section `[evacuation]`. It needs section `[instances]`.
+/// Settings of section `[evacuation]`, which requires section `[instances]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EvacuationConfig {
-    /// How often the evidence is evaluated, in milliseconds: 20 to 5000, 100 by default.
+    /// Interval at which the evidence of failures is evaluated, in milliseconds: 20 to 5000, 100 by default.
     #[serde(rename = "every_ms")]
     pub evaluation_interval_ms: u64,
-    /// The region of each zone that lies in one, by the zone's name.
+    /// Region of each zone, by the zone's name. Zones that belong to no region are omitted.
     pub regions: BTreeMap<String, String>,
 }
 
@@ -26,7 +26,6 @@
 }
 
 impl EvacuationConfig {
-    /// Checks ranges and names.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         check_range(
             "evacuation.every_ms",
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' file, `deploy/operator.toml`: what operators decide, beside the configuration that the platform
-//! writes.
+//! The operators' file, `deploy/operator.toml`: the settings that operators control, in addition to the configuration that
+//! the platform writes.
 //!
-//! The whole file and each section may be left out. A file with an unknown key or a value that makes no sense is
-//! rejected as a whole, with an error of one line that names the field.
+//! The file and each of its sections are optional. A file with an unknown key or an invalid value is rejected as a whole,
+//! with a one-line error that names the field.
 
 mod error;
 mod evacuation;
@@ -18,33 +18,33 @@
 
 use serde::Deserialize;
 
-/// Largest file that is read, in bytes. Bounds the memory where a path names something else.
+/// Maximum size of the file in bytes. Bounds the memory that is used when a path mistakenly names another file.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
-/// Longest name of a member, a zone or a region, in bytes.
+/// Maximum length of the name of a member, zone or region, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Most methods that may be named.
+/// Maximum number of entries of `plugin.methods`.
 const MAX_METHODS: usize = 10_000;
 
-/// The whole file, checked.
+/// The validated contents of an operators' file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
-    /// Section `[plugin]`: the load balancer inside callers' processes.
+    /// Section `[plugin]`: the load balancer as a library in callers' processes.
     pub plugin: PluginConfig,
-    /// Section `[instances]`: membership among balancers. Without the section there is none.
+    /// Section `[instances]`: membership among balancers, which is disabled without the section.
     #[serde(rename = "instances")]
     pub membership: Option<MembershipConfig>,
-    /// Section `[evacuation]`: evacuation of failure domains by all balancers together. Without the section there is
-    /// none.
+    /// Section `[evacuation]`: evacuation of failure domains by all balancers together, which is disabled without the
+    /// section.
     pub evacuation: Option<EvacuationConfig>,
 }
 
 impl OperatorConfig {
-    /// Reads the text of a file and checks it.
+    /// Parses and validates the text of a file.
     ///
     /// # Errors
     ///
-    /// Fails if the text is too large, is not TOML, has an unknown key, or a value that makes no sense.
+    /// Fails if the text exceeds [`MAX_FILE_BYTES`], is not TOML, or has an unknown key or an invalid value.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         if text.len() > MAX_FILE_BYTES {
             return Err(ConfigError::TooLarge);
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -1,4 +1,4 @@
-//! Section `[instances]`: membership among balancers, by a SWIM protocol.
+//! Section `[instances]`: membership among balancers, with a SWIM protocol.
 
 use crate::error::check_range;
 use crate::{ConfigError, MAX_NAME_BYTES};
@@ -10,39 +10,39 @@
 const DEFAULT_PROBE_TIMEOUT_MS: u64 = 200;
 const DEFAULT_SUSPICION_TIMEOUT_MS: u64 = 6_000;
 
-/// Section `[instances]`.
+/// Settings of section `[instances]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MembershipConfig {
-    /// Where the balancer listens for the other members, for datagrams and streams. Port 0 takes a free one.
+    /// Address on which the balancer receives datagrams and streams from other members. Port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where the others reach it, if that is another address.
+    /// Address at which other members reach the balancer; the listen address by default.
     pub advertise: Option<SocketAddr>,
-    /// Its name, unique in the fleet; the environment's `LB_NAME` by default, or else its address.
+    /// Name of the balancer, unique in the fleet; by default the environment variable `LB_NAME`, or else the address.
     pub name: Option<String>,
-    /// Its zone; that of its configuration by default.
+    /// Zone of the balancer; by default the zone of its configuration.
     pub zone: Option<String>,
-    /// The zone's region.
+    /// Region of the zone.
     pub region: Option<String>,
-    /// Members to join through.
+    /// Addresses of members through which the balancer joins.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// A file of more seeds, one address a line; read again at SIGHUP.
+    /// File with further seeds, one address per line; read again at SIGHUP.
     pub seeds_file: Option<PathBuf>,
-    /// The file of the keys that the fleet shares; read again at SIGHUP.
+    /// File with the keys that the fleet shares; read again at SIGHUP.
     pub key_file: Option<PathBuf>,
-    /// Whether it may go without a key; false by default.
+    /// Whether the balancer runs without a key; false by default.
     #[serde(default)]
     pub insecure: bool,
-    /// The protocol period, in which one other member is probed, in milliseconds: 10 to 60,000, 500 by default.
+    /// Protocol period, in which one other member is probed, in milliseconds: 10 to 60,000, 500 by default.
     #[serde(rename = "period_ms", default = "default_probe_period_ms")]
     pub probe_period_ms: u64,
-    /// How long a direct probe may take before others are asked to probe, in milliseconds: 1 to 30,000 and half of the
-    /// period at most, 200 by default.
+    /// Time after which an unanswered direct probe is followed by indirect probes through other members, in
+    /// milliseconds: 1 to 30,000, and at most half of the period; 200 by default.
     #[serde(rename = "patience_ms", default = "default_probe_timeout_ms")]
     pub probe_timeout_ms: u64,
-    /// How long a member that does not respond is suspected at least before it is declared dead, in milliseconds: 1 to
-    /// 3,600,000, and one period at least; 6000 by default. Longer than the pauses that a sound member may make.
+    /// Minimum time for which an unresponsive member is suspected before it is declared dead, in milliseconds: 1 to
+    /// 3,600,000, and at least one period; 6000 by default. Must exceed the pauses that a healthy member may make.
     #[serde(rename = "suspicion_ms", default = "default_suspicion_timeout_ms")]
     pub suspicion_timeout_ms: u64,
 }
@@ -60,7 +60,6 @@
 }
 
 impl MembershipConfig {
-    /// Checks names, the key, the address that others use, and the times.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         self.check_names()?;
         self.check_key()?;
--- a/crates/operator-config/src/plugin.rs
+++ b/crates/operator-config/src/plugin.rs
@@ -1,4 +1,4 @@
-//! Section `[plugin]`: the load balancer as a library inside callers' processes.
+//! Section `[plugin]`: the load balancer as a library in callers' processes.
 
 use crate::error::check_range;
 use crate::{ConfigError, MAX_METHODS};
@@ -8,19 +8,21 @@
 const MAX_REPLAY_LIMIT_BYTES: u64 = 64 << 20;
 const MAX_CONNECTIONS: u64 = 1_000;
 
-/// Section `[plugin]`.
+/// Settings of section `[plugin]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PluginConfig {
-    /// What upstreams speak to plug-ins; HTTP/2 by default.
+    /// Protocol of the connections to upstreams; HTTP/2 by default.
     pub protocol: Protocol,
-    /// Bytes of a request's body that are buffered for a retry: 64 MiB at most, 64 KiB by default.
+    /// Maximum number of bytes of a request body that are buffered for retries: at most 64 MiB, 64 KiB by default.
     #[serde(rename = "replay_limit")]
     pub replay_limit_bytes: usize,
-    /// Most connections, as the plug-in's builder counts them: 1 to 1000, 4 by default.
+    /// Maximum number of connections: 1 to 1000, 4 by default. Over HTTP/2 the maximum applies to each upstream. Over
+    /// HTTP/1.1, 128 times the maximum applies to all upstreams together.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// The class of each method, by the method's path. A method that is not named here must never run twice.
+    /// Class of each method, by the method's path. Calls of other methods are treated as unsafe to run twice, unless the
+    /// caller gives their class or the first segment of their path is the name of a class.
     #[serde(rename = "methods")]
     pub method_classes: BTreeMap<String, String>,
 }
@@ -36,7 +38,7 @@
     }
 }
 
-/// A protocol towards upstreams.
+/// A protocol of connections to upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Protocol {
@@ -48,7 +50,6 @@
 }
 
 impl PluginConfig {
-    /// Checks ranges and methods.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         let replay_limit = self.replay_limit_bytes as u64;
         check_range(
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of reading and checking the file.
+//! Tests of parsing and validating the file.
 
 use super::*;
 
 #[test]
-fn keys_that_are_left_out_have_their_defaults() {
+fn omitted_keys_have_their_defaults() {
     assert_eq!(
         OperatorConfig::parse("").unwrap(),
         OperatorConfig::default()
--- a/crates/operator-config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -1,11 +1,11 @@
-//! The operators' file, pinned: every key, every default and the text of every error.
+//! Guards against unintended changes of the operators' file format: each key, default and error text is checked.
 
 use std::path::Path;
 use woadstall_operator_config::{
     EvacuationConfig, MAX_FILE_BYTES, MembershipConfig, OperatorConfig, PluginConfig, Protocol,
 };
 
-/// Compares with the fixture of this name.
+/// Asserts that the text equals the golden file of this name.
 fn assert_golden(name: &str, text: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
@@ -45,7 +45,7 @@
 #[test]
 fn every_key_is_read() {
     let operator = OperatorConfig::parse(EVERY_KEY).unwrap();
-    let pair = |one: &str, other: &str| (one.to_owned(), other.to_owned());
+    let pair = |key: &str, value: &str| (key.to_owned(), value.to_owned());
     let plugin = PluginConfig {
         protocol: Protocol::Http1,
         replay_limit_bytes: 1000,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn every_default() {
+fn every_default_is_unchanged() {
     let operator = OperatorConfig::parse("").unwrap();
     assert_eq!(operator.plugin.protocol, Protocol::Http2);
     assert_eq!(
@@ -115,15 +115,15 @@
     assert!(evacuation.evaluation_interval_ms == 100 && evacuation.regions.is_empty());
 }
 
-/// A section `[instances]` that is sound but for what is added.
-fn instances(more: &str) -> String {
-    format!("[instances]\nlisten = \"1.2.3.4:5\"\ninsecure = true\n{more}\n")
+/// A valid section `[instances]` with one more line.
+fn instances(line: &str) -> String {
+    format!("[instances]\nlisten = \"1.2.3.4:5\"\ninsecure = true\n{line}\n")
 }
 
 #[test]
-fn every_error() {
-    let many: String = (0..10_001)
-        .map(|at| format!("\"/{at}\" = \"c\"\n"))
+fn every_error_text_is_unchanged() {
+    let many_methods: String = (0..10_001)
+        .map(|number| format!("\"/{number}\" = \"c\"\n"))
         .collect();
     let texts = [
         "#".repeat(MAX_FILE_BYTES + 1),
@@ -141,7 +141,7 @@
         "[plugin.methods]\n\"p.P/Load\" = \"x\"".to_owned(),
         "[plugin.methods]\n\"/p.P/Load\" = \"\"".to_owned(),
         "[plugin.methods]\n\"/a\" = \"x\"\n\"/a\" = \"y\"".to_owned(),
-        format!("[plugin.methods]\n{many}"),
+        format!("[plugin.methods]\n{many_methods}"),
         "[instances]".to_owned(),
         "[instances]\nlisten = \"here\"".to_owned(),
         "[instances]\nlisten = \"1.2.3.4:5\"".to_owned(),
