--- a/crates/mock-servers/src/grpc.rs
+++ b/crates/mock-servers/src/grpc.rs
@@ -1,4 +1,4 @@
-//! A scripted gRPC upstream on `h2`. It reports the calls that it receives.
+//! A scripted gRPC upstream, based on `h2`, which reports the calls that it receives.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use h2::server::{Builder, SendResponse};
@@ -13,53 +13,53 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// What the upstream does with a call.
+/// The upstream's reply to a call.
 #[derive(Clone)]
 pub enum Reply {
-    /// One message and status 0.
+    /// Sends one message and status 0.
     Ok(Bytes),
-    /// The status alone, with further headers.
+    /// Sends a Trailers-Only response with this status and further headers.
     Status(u32, Vec<(&'static str, &'static str)>),
-    /// A plain HTTP response.
+    /// Sends a plain HTTP response with this status, headers and body.
     Http(u16, Vec<(&'static str, &'static str)>, Bytes),
-    /// One message, and trailers without a status.
+    /// Sends one message, and trailers without a status.
     NoStatus(Bytes),
-    /// Headers, and then nothing.
+    /// Sends headers, and then nothing until the caller cancels.
     HeadersOnly,
-    /// Nothing.
+    /// Sends nothing until the caller cancels.
     Stall,
-    /// The stream is ended with this error.
+    /// Resets the stream with this error.
     Reset(Reason),
-    /// A message, and more whenever the notify rings, until the count is reached; then status 0.
+    /// Sends the message this number of times, the first time at once and then upon each notification; then sends status 0.
     Stream(Bytes, u32, Arc<Notify>),
-    /// A message, and then the stream is ended with this error.
+    /// Sends one message, and then resets the stream with this error.
     MessageThenReset(Bytes, Reason),
-    /// The other, once this rings.
+    /// Sends the inner reply once notified.
     OnNotify(Arc<Notify>, Box<Reply>),
-    /// The other, after a while.
+    /// Sends the inner reply after this time.
     AfterDelay(Duration, Box<Reply>),
 }
 
-/// A call as it was received.
+/// A call that the upstream has received.
 #[derive(Clone, Debug)]
 pub struct ReceivedCall {
-    /// Path of its method.
+    /// Path of the request, which names the method.
     pub path: String,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its body, unless the reply did not wait for that.
+    /// Request body, up to its end or to the point at which the caller cancelled the call.
     pub body: Bytes,
-    /// Number of its connection, from 0.
+    /// Number of the connection in the order of acceptance, from 0.
     pub connection: u32,
 }
 
 impl ReceivedCall {
-    /// What is left of the caller's time, by `grpc-timeout`, in whole milliseconds.
+    /// The caller's remaining time from `grpc-timeout`, in whole milliseconds. Panics if the header is missing or invalid.
     pub fn time_left_ms(&self) -> u64 {
         let text = self
             .headers
             .get("grpc-timeout")
-            .expect("a time")
+            .expect("the header grpc-timeout")
             .to_str()
             .unwrap();
         let (digits, unit) = text.split_at(text.len() - 1);
@@ -69,19 +69,19 @@
             "u" => count / 1_000,
             "m" => count,
             "S" => count * 1_000,
-            other => panic!("a time in {other}"),
+            other => panic!("unexpected unit of grpc-timeout: {other}"),
         }
     }
 }
 
 type Script = dyn Fn(&ReceivedCall) -> Reply + Send + Sync;
 
-/// The upstream. Dropping it resets its connections, and new ones are refused.
+/// A scripted gRPC upstream. Dropping it closes its connections and its listener.
 pub struct GrpcUpstream {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    seen: tokio::sync::Mutex<mpsc::UnboundedReceiver<ReceivedCall>>,
+    calls: tokio::sync::Mutex<mpsc::UnboundedReceiver<ReceivedCall>>,
     accepting: JoinHandle<()>,
 }
 
@@ -97,7 +97,7 @@
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
-/// One message in gRPC's frame (gRPC over HTTP/2, Length-Prefixed-Message).
+/// Frames a gRPC message (gRPC over HTTP/2, Length-Prefixed-Message).
 pub fn message(data: &[u8]) -> Bytes {
     let mut framed = BytesMut::with_capacity(data.len() + 5);
     framed.put_u8(0);
@@ -107,19 +107,20 @@
 }
 
 impl GrpcUpstream {
-    /// Starts it; `script` decides on each call.
+    /// Starts an upstream whose `script` returns the reply to each call.
     pub async fn start(script: impl Fn(&ReceivedCall) -> Reply + Send + Sync + 'static) -> Self {
         Self::start_with_max_streams(None, script).await
     }
 
-    /// Starts it with a limit on the concurrent streams of a connection.
+    /// Starts an upstream with a limit on the concurrent streams of each connection. `script` returns the reply to each
+    /// call.
     pub async fn start_with_max_streams(
         max_streams: Option<u32>,
         script: impl Fn(&ReceivedCall) -> Reply + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (event_sender, seen) = mpsc::unbounded_channel();
+        let (event_sender, calls) = mpsc::unbounded_channel();
         let shared = Arc::new(Shared {
             script: Box::new(script),
             max_streams,
@@ -144,39 +145,39 @@
         Self {
             address,
             shared,
-            seen: tokio::sync::Mutex::new(seen),
+            calls: tokio::sync::Mutex::new(calls),
             accepting,
         }
     }
 
-    /// The next call.
+    /// Waits for the next call that has not been returned yet.
     pub async fn next_call(&self) -> ReceivedCall {
-        let mut seen = self.seen.lock().await;
-        let next = tokio::time::timeout(crate::http1::TEST_TIMEOUT, seen.recv());
+        let mut calls = self.calls.lock().await;
+        let next = tokio::time::timeout(crate::http1::TEST_TIMEOUT, calls.recv());
         next.await.expect("a call").expect("a call")
     }
 
-    /// Calls received so far.
+    /// The number of calls received so far.
     pub fn total(&self) -> usize {
         self.shared.total.load(Ordering::Relaxed)
     }
 
-    /// Calls in flight.
+    /// The number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Connections so far.
+    /// The number of connections accepted so far.
     pub fn connections(&self) -> u32 {
         self.shared.connections.load(Ordering::Relaxed)
     }
 
-    /// Connections that are open, to wait on.
+    /// The number of open connections, as a value whose changes can be awaited.
     pub fn open_connections(&self) -> watch::Receiver<usize> {
         self.shared.open.subscribe()
     }
 
-    /// Sends GOAWAY on all connections; streams that are open continue.
+    /// Sends GOAWAY on all connections. Open streams continue.
     pub fn go_away(&self) {
         self.shared.go_away_requested.notify_waiters();
     }
@@ -189,10 +190,10 @@
     }
 }
 
-/// Counts down when it is dropped, however its task ends.
-struct Counted<'a>(&'a Shared);
+/// Decrements the number of calls in flight on drop, so that aborted tasks are counted too.
+struct InFlightGuard<'a>(&'a Shared);
 
-impl Drop for Counted<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
@@ -215,7 +216,7 @@
         self.open.send_modify(|open| *open += 1);
         let go_away_requested = self.go_away_requested.notified();
         tokio::pin!(go_away_requested);
-        let mut going = false;
+        let mut is_closing = false;
         loop {
             tokio::select! {
                 accepted = connection.accept() => match accepted {
@@ -225,8 +226,8 @@
                     }
                     _ => break,
                 },
-                () = &mut go_away_requested, if !going => {
-                    going = true;
+                () = &mut go_away_requested, if !is_closing => {
+                    is_closing = true;
                     connection.graceful_shutdown();
                 }
             }
@@ -242,7 +243,7 @@
     ) {
         self.total.fetch_add(1, Ordering::Relaxed);
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        let _counted = Counted(&self);
+        let _in_flight = InFlightGuard(&self);
         let (head, mut incoming) = request.into_parts();
         let mut body = BytesMut::new();
         while let Some(Ok(data)) = incoming.data().await {
@@ -277,7 +278,7 @@
     head(200, &[("content-type", "application/grpc")])
 }
 
-fn ended_well() -> HeaderMap {
+fn ok_trailers() -> HeaderMap {
     [(
         HeaderName::from_static("grpc-status"),
         HeaderValue::from_static("0"),
@@ -286,7 +287,8 @@
     .collect()
 }
 
-/// Sends the reply. A caller that has cancelled its call gets no more of it; errors mean that the caller has disconnected.
+/// Sends a reply until it is complete or the caller cancels the call. Errors are ignored, because they mean that the caller
+/// has disconnected.
 async fn send_reply(reply: Reply, mut respond: SendResponse<Bytes>) {
     let Some(reply) = wait_for_reply(reply, &mut respond).await else {
         return;
@@ -297,7 +299,7 @@
         Reply::Reset(reason) => respond.send_reset(reason),
         Reply::Status(code, headers) => send_status(&mut respond, code, headers),
         Reply::Http(status, headers, body) => send_http(&mut respond, status, &headers, body),
-        Reply::Ok(data) => send_message(&mut respond, &data, ended_well()),
+        Reply::Ok(data) => send_message(&mut respond, &data, ok_trailers()),
         Reply::NoStatus(data) => send_message(&mut respond, &data, HeaderMap::new()),
         Reply::HeadersOnly => {
             if let Ok(mut stream) = respond.send_response(grpc_head(), false) {
@@ -307,22 +309,25 @@
         Reply::MessageThenReset(data, reason) => {
             if let Ok(mut stream) = respond.send_response(grpc_head(), false) {
                 stream.send_data(message(&data), false).ok();
-                // The reset would overtake data that is not on its way yet.
+                // Without a pause, the reset would overtake data that has not been sent yet.
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 stream.send_reset(reason);
             }
         }
-        Reply::Stream(data, count, ring) => send_stream(&mut respond, &data, count, &ring).await,
+        Reply::Stream(data, count, notify) => {
+            send_stream(&mut respond, &data, count, &notify).await
+        }
     }
 }
 
-/// Waits as the reply says; `None` if the caller cancels its call meanwhile.
+/// Waits for the notification or time that delays a reply, and returns the inner reply; `None` if the caller cancels the
+/// call meanwhile.
 async fn wait_for_reply(mut reply: Reply, respond: &mut SendResponse<Bytes>) -> Option<Reply> {
     loop {
         reply = match reply {
-            Reply::OnNotify(ring, then) => tokio::select! {
+            Reply::OnNotify(notify, then) => tokio::select! {
                 _ = poll_fn(|cx| respond.poll_reset(cx)) => return None,
-                () = ring.notified() => *then,
+                () = notify.notified() => *then,
             },
             Reply::AfterDelay(wait, then) => tokio::select! {
                 _ = poll_fn(|cx| respond.poll_reset(cx)) => return None,
@@ -368,7 +373,7 @@
     }
 }
 
-async fn send_stream(respond: &mut SendResponse<Bytes>, data: &[u8], count: u32, ring: &Notify) {
+async fn send_stream(respond: &mut SendResponse<Bytes>, data: &[u8], count: u32, notify: &Notify) {
     let Ok(mut stream) = respond.send_response(grpc_head(), false) else {
         return;
     };
@@ -376,12 +381,12 @@
         if number > 0 {
             tokio::select! {
                 _ = poll_fn(|cx| stream.poll_reset(cx)) => return,
-                () = ring.notified() => {}
+                () = notify.notified() => {}
             }
         }
         if stream.send_data(message(data), false).is_err() {
             return;
         }
     }
-    stream.send_trailers(ended_well()).ok();
+    stream.send_trailers(ok_trailers()).ok();
 }
--- a/crates/mock-servers/src/http1.rs
+++ b/crates/mock-servers/src/http1.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on plain threads: a scripted upstream, discovery, and a caller.
+//! HTTP/1.1 mocks on plain threads: a scripted upstream, a discovery server and a caller.
 
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
@@ -9,19 +9,19 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// How long a test waits for an event: far longer than any takes, so that only a hang reaches it.
+/// How long tests wait for an event. No event takes nearly as long, so only a hang reaches the timeout.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// A budget (`X-Budget`, seconds) that does not expire within a test.
+/// A value of the header `X-Budget`, in seconds, that does not expire within a test.
 pub const LONG_BUDGET: &str = "60";
 
-/// A request or a response as it was read from a socket.
+/// A request or response that was read from a socket.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The request line or status line, without its line end.
+    /// The request line or status line, without the line ending.
     pub start_line: String,
-    /// Header values by lower-case name.
+    /// Header values by lower-case name. Of headers with the same name, the last value is kept.
     pub headers: HashMap<String, String>,
-    /// The body as `Content-Length` gives it.
+    /// The body, whose length is given by `Content-Length`; empty without that header.
     pub body: Vec<u8>,
 }
 
@@ -30,7 +30,7 @@
     pub fn read(input: &mut impl BufRead) -> Option<Self> {
         let mut line = || {
             let mut line = String::new();
-            input.read_line(&mut line).ok().filter(|&got| got > 0)?;
+            input.read_line(&mut line).ok().filter(|&bytes| bytes > 0)?;
             Some(line.trim_end().to_owned())
         };
         let start_line = line()?;
@@ -60,20 +60,20 @@
     }
 }
 
-/// What an upstream does with a request.
+/// An upstream's reaction to a request.
 #[derive(Clone)]
 pub enum Reaction {
-    /// Writes this and keeps the connection.
+    /// Writes this response and keeps the connection open.
     Respond(String),
-    /// Writes this and closes the connection.
+    /// Writes this response and closes the connection.
     RespondAndClose(String),
     /// Writes a response, and then surplus bytes that belong to no request.
     RespondWithSurplus(String, String),
-    /// Writes nothing until the peer closes.
+    /// Writes no response.
     Stall,
 }
 
-/// A 200 response with a body.
+/// Returns the text of a 200 response with a body.
 pub fn ok_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -81,12 +81,12 @@
     )
 }
 
-/// A 503 response that says that the request was rejected and not executed (`X-Rejected`).
+/// Returns the text of a 503 response that declares the request as rejected and not executed (header `X-Rejected`).
 pub fn overloaded_response() -> String {
     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".into()
 }
 
-/// What an upstream observes.
+/// An event at a scripted upstream.
 #[derive(Debug)]
 pub enum UpstreamEvent {
     /// A connection was accepted.
@@ -99,23 +99,23 @@
     Closed,
 }
 
-/// A scripted upstream. It reports its events in order.
+/// A scripted upstream that reports its events in order.
 pub struct Upstream {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Its events.
+    /// Receives the events of all connections.
     pub events: Receiver<UpstreamEvent>,
 }
 
 impl Upstream {
-    /// Starts it; `react` decides on each request.
+    /// Starts an upstream whose `react` returns the reaction to each request.
     pub fn start(react: impl Fn(&Message) -> Reaction + Send + Sync + 'static) -> Self {
         let (event_sender, events) = channel();
         let address = listen(move |stream| upstream_connection(stream, &react, &event_sender));
         Self { address, events }
     }
 
-    /// Waits for the next request; skips other events.
+    /// Waits for the next request, and drops the events before it.
     pub fn request(&self) -> Message {
         loop {
             if let UpstreamEvent::Request(message) =
@@ -141,16 +141,16 @@
         while !matches!(
             self.events
                 .recv_timeout(TEST_TIMEOUT)
-                .expect("more than an answer"),
+                .expect("the writing of surplus bytes"),
             UpstreamEvent::SurplusWritten
         ) {}
     }
 
-    /// Counts the requests since the last call, and drops all pending events.
+    /// Drops all pending events and returns the number of requests among them.
     pub fn count_requests(&self) -> usize {
         self.events
             .try_iter()
-            .filter(|events| matches!(events, UpstreamEvent::Request(_)))
+            .filter(|event| matches!(event, UpstreamEvent::Request(_)))
             .count()
     }
 }
@@ -181,12 +181,13 @@
             Reaction::Stall => {}
         }
     }
-    // Dropping it is not enough: a program that a test spawns at this moment inherits the descriptor until it executes.
+    // Dropping the socket does not close the connection if a test is spawning a program at this moment: the child holds an
+    // inherited descriptor until it executes the program.
     output.shutdown(Shutdown::Both).ok();
     event_sender.send(UpstreamEvent::Closed).ok();
 }
 
-/// Serves each connection to a free port on a thread of its own, until the test ends.
+/// Listens on a free port until the test process ends, and serves each connection on its own thread.
 fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -200,7 +201,7 @@
     address
 }
 
-/// An address that refuses connections. The port stays reserved until the test process ends.
+/// Returns an address that refuses connections. Its port stays reserved until the test process ends.
 pub fn refused_address() -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
@@ -213,20 +214,22 @@
 
 /// A discovery server with long polling.
 pub struct Discovery {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
+    /// Revision and entries of the list.
     state: Arc<(Mutex<(u64, String)>, Condvar)>,
+    /// Receives the revision that each request names, or 0 for a request for the complete list.
     queries: Receiver<u64>,
 }
 
 impl Discovery {
-    /// Starts it with an empty list.
+    /// Starts a server with an empty list.
     pub fn start() -> Self {
         Self::start_failing("")
     }
 
-    /// Starts it so that the first request gets `first` as its response and the end of its connection; no such failure if
-    /// `first` is empty.
+    /// Starts a server with an empty list that writes the text `first` in response to the first request and then closes its
+    /// connection. If `first` is empty, the first request is served normally.
     pub fn start_failing(first: &'static str) -> Self {
         let failed = AtomicBool::new(first.is_empty());
         let state = Arc::new((Mutex::new((1, String::new())), Condvar::new()));
@@ -239,22 +242,22 @@
                     output.write_all(first.as_bytes()).unwrap();
                     return;
                 }
-                // A request for the complete list names no version.
+                // A request for the complete list names no revision.
                 let after = message.start_line.split("after=").nth(1);
                 let after: u64 =
                     after.map_or(0, |after| after.split('&').next().unwrap().parse().unwrap());
                 event_sender.send(after).ok();
-                // One without a wait asks for the complete list, which is available at once.
+                // A request without `wait_ms` asks for the complete list, which is available at once.
                 let wait = message.start_line.split("wait_ms=").nth(1);
                 let wait = wait
                     .and_then(|wait| wait.split([' ', '&']).next()?.parse().ok())
                     .unwrap_or(0);
                 let (lock, changed) = &*shared;
-                let newer = |(rev, _): &mut (u64, String)| *rev <= after;
+                let is_unchanged = |(rev, _): &mut (u64, String)| *rev <= after;
                 let waited = changed.wait_timeout_while(
                     lock.lock().unwrap(),
                     Duration::from_millis(wait),
-                    newer,
+                    is_unchanged,
                 );
                 let state = waited.unwrap().0;
                 let (rev, targets) = &*state;
@@ -275,13 +278,13 @@
         }
     }
 
-    /// Publishes a list, and waits until the balancer has applied it and watches for the next.
+    /// Publishes a list, and waits until the balancer has applied it and requested the next one.
     pub fn publish(&self, targets: &[String]) {
         self.set(targets);
         self.wait_until_watched();
     }
 
-    /// Publishes a list without waiting.
+    /// Publishes a list without waiting for the balancer.
     pub fn set(&self, targets: &[String]) {
         let (lock, changed) = &*self.state;
         let mut state = lock.lock().unwrap();
@@ -290,34 +293,34 @@
         changed.notify_all();
     }
 
-    /// Waits until the balancer has applied the current list and watches for the next.
+    /// Waits until the balancer has applied the current list and requested the next one.
     pub fn wait_until_watched(&self) {
         let rev = self.state.0.lock().unwrap().0;
         while self
             .queries
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the next watch")
+            .expect("a request for the next list")
             < rev
         {}
     }
 }
 
-/// An entry of discovery's list: a warm upstream in the balancer's zone.
+/// Returns an entry of discovery's list, as JSON, for an upstream at full capacity in the balancer's zone.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
-/// Entries of upstreams in service, named `s-0`, `s-1`, ...
+/// Returns entries of discovery's list for upstreams in service, named `s-0`, `s-1`, ...
 pub fn in_service(upstreams: &[&Upstream]) -> Vec<String> {
-    let entry = |(at, upstream): (usize, &&Upstream)| {
-        target(&format!("s-{at}"), upstream.address, "in_service")
+    let entry = |(number, upstream): (usize, &&Upstream)| {
+        target(&format!("s-{number}"), upstream.address, "in_service")
     };
     upstreams.iter().enumerate().map(entry).collect()
 }
 
-/// A configuration with a class that is safe (`look`), keyed (`pay`) and unsafe (`post`).
+/// Returns a daemon configuration with a safe class (`look`), a keyed class (`pay`) and an unsafe class (`post`).
 pub fn config(discovery: SocketAddr, known: &[String]) -> serde_json::Value {
     let class = |name: &str, effect: &str| {
         serde_json::json!({"Name": name, "Effect": effect, "Group": "all", "WindowNs": 60_000_000_000_u64,
@@ -352,7 +355,7 @@
 }
 
 impl Caller {
-    /// Connects; `None` where that is refused.
+    /// Opens a connection; `None` if connecting fails.
     pub fn connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -366,7 +369,7 @@
         self.input.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Writes a request; see [`request`].
+    /// Writes a request with a unique id, as created by [`request`].
     pub fn send(&mut self, class: &str, budget: &str, body: &str) {
         self.write(&request(class, budget, body));
     }
@@ -381,10 +384,10 @@
         self.input
             .get_ref()
             .peek(&mut [0])
-            .expect("the beginning of an answer");
+            .expect("the beginning of a response");
     }
 
-    /// Reads a response in chunked coding and returns its body; `None` if it is truncated.
+    /// Reads a response with chunked transfer coding and returns its body; `None` if the response is truncated.
     pub fn read_chunked_body(&mut self) -> Option<Vec<u8>> {
         let mut line = String::new();
         while line != "\r\n" {
@@ -392,7 +395,7 @@
             self.input
                 .read_line(&mut line)
                 .ok()
-                .filter(|&got| got > 0)?;
+                .filter(|&bytes| bytes > 0)?;
         }
         let mut body = Vec::new();
         loop {
@@ -400,7 +403,7 @@
             self.input
                 .read_line(&mut line)
                 .ok()
-                .filter(|&got| got > 0)?;
+                .filter(|&bytes| bytes > 0)?;
             let length = usize::from_str_radix(line.trim_end(), 16).ok()?;
             let start = body.len();
             body.resize(start + length, 0);
@@ -422,7 +425,8 @@
     }
 }
 
-/// A request of a class (`look`, `pay` or `post`) with a unique id; `budget` is the header `X-Budget`, in seconds.
+/// Returns the text of a request of a class (`look`, `pay` or `post`) with a unique id. `budget` is the value of the header
+/// `X-Budget`, in seconds.
 pub fn request(class: &str, budget: &str, body: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     named_request(
@@ -433,7 +437,7 @@
     )
 }
 
-/// The same with a given id.
+/// Returns the text of a request like [`request`], with the id `id` in the header `X-Call-Id`.
 pub fn named_request(id: &str, class: &str, budget: &str, body: &str) -> String {
     let (method, extra, body) = match class {
         "look" => ("GET", "", ""),
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,11 +1,11 @@
-//! Mock servers and processes for tests: upstreams over HTTP/1.1, HTTP/2 and gRPC, discovery, callers, and the serving
-//! system's own processes. All listen on loopback addresses and free ports. Their functions panic where a socket fails:
-//! in a test the panic is the report.
+//! Mock servers and processes for tests: upstreams over HTTP/1.1, HTTP/2 and gRPC, discovery, callers, and the processes
+//! of the serving system. All of them listen on loopback addresses and free ports. The functions panic if a socket fails,
+//! so that the test reports the failure.
 
 #![allow(
     clippy::unwrap_used,
     clippy::missing_panics_doc,
-    reason = "started by tests only, where a panic is the report"
+    reason = "used in tests only, where a panic reports the failure"
 )]
 
 pub mod grpc;
--- a/crates/mock-servers/src/raw_http2.rs
+++ b/crates/mock-servers/src/raw_http2.rs
@@ -1,5 +1,5 @@
-//! An HTTP/2 server that writes its own frames (RFC 9113, section 4.1), to do what a correct server never does: it
-//! counts the streams that are opened, and then ends the connection as scripted.
+//! An HTTP/2 server that writes raw frames (RFC 9113, section 4.1), so that it can violate the protocol. It counts the
+//! streams that are opened on a connection, and acts as scripted at a given number.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,37 +11,38 @@
 const PING: u8 = 0x6;
 const GOAWAY: u8 = 0x7;
 const ACK: u8 = 0x1;
-const PREFACE: usize = 24;
+/// Length of the client's connection preface in bytes (RFC 9113, section 3.4).
+const PREFACE_BYTES: usize = 24;
 
-/// What the server does once a number of streams has been opened on a connection.
+/// The server's action when the given number of streams has been opened on a connection.
 #[derive(Clone, Debug)]
 pub enum ScriptedAction {
-    /// Sends GOAWAY, by which no stream after this one was processed, and ends the connection.
+    /// Sends GOAWAY and shuts down the sending side of the connection.
     GoAway {
-        /// Streams that may have been processed.
+        /// Number of streams, in the order of their opening, that GOAWAY declares as possibly processed.
         processed_streams: u32,
     },
-    /// Resets each stream with this error, and keeps the connection.
+    /// Resets all streams and keeps the connection open.
     ResetAll {
-        /// The error (RFC 9113, section 7).
+        /// Error code of the resets (RFC 9113, section 7).
         error: u32,
     },
-    /// Closes the connection without a frame.
+    /// Closes the connection without sending a frame.
     Close,
-    /// Does nothing.
+    /// Keeps the connection open without responding.
     Stall,
 }
 
-/// The server.
+/// An HTTP/2 server that writes raw frames.
 pub struct RawHttp2Server {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// The number of each stream as it is opened, over all connections.
+    /// Receives the id of each stream when it is opened, on any connection.
     pub opened: Receiver<u32>,
 }
 
 impl RawHttp2Server {
-    /// Starts it; `then` happens once `streams` have been opened on a connection.
+    /// Starts a server that takes the action `then` once `streams` streams have been opened on a connection.
     pub fn start(streams: usize, then: ScriptedAction) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -55,7 +56,7 @@
         Self { address, opened }
     }
 
-    /// Waits until `streams` more have been opened, and returns their ids.
+    /// Waits until `streams` more streams have been opened, and returns their ids.
     pub fn wait_for(&self, streams: usize) -> Vec<u32> {
         let next = || {
             self.opened
@@ -76,11 +77,11 @@
 
 fn serve(
     mut stream: TcpStream,
-    most: usize,
+    streams: usize,
     then: &ScriptedAction,
     event_sender: &Sender<u32>,
 ) -> Option<()> {
-    let mut preface = [0; PREFACE];
+    let mut preface = [0; PREFACE_BYTES];
     stream.read_exact(&mut preface).ok()?;
     stream.write_all(&frame(SETTINGS, 0, 0, &[])).ok()?;
     let mut opened = Vec::new();
@@ -99,7 +100,7 @@
             HEADERS => {
                 opened.push(id);
                 event_sender.send(id).ok();
-                if opened.len() == most {
+                if opened.len() == streams {
                     act(&mut stream, &opened, then)?;
                 }
             }
--- a/crates/mock-servers/src/simulated_upstream.rs
+++ b/crates/mock-servers/src/simulated_upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream with a capacity: slots, a queue, a slow start, and a limit beyond which it becomes overloaded. It
-//! speaks HTTP/1.1 and HTTP/2 on one port, gRPC or plain, and can be killed and restarted at its address.
+//! An upstream with limited capacity: slots, a queue, a slow start, and an overload limit. It serves HTTP/1.1, HTTP/2 and
+//! gRPC on one port, and can be killed and restarted at the same address.
 
 use crate::grpc::message;
 use bytes::Bytes;
@@ -22,25 +22,25 @@
 /// The capacity of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamSpec {
-    /// Requests that are executed at a time.
+    /// Number of requests that are executed concurrently.
     pub slots: usize,
-    /// Time that a request takes once the upstream is warm.
+    /// Execution time of a request at full capacity.
     pub service_time: Duration,
-    /// Requests that may wait for a slot; further ones are rejected.
+    /// Number of requests that may wait for a slot. Further requests are rejected.
     pub queue_length: usize,
-    /// Fraction of its capacity at its start.
+    /// Fraction of the full capacity at the start of a process.
     pub start_fraction: f64,
-    /// Its capacity grows linearly to the full one over this time.
+    /// Time over which the capacity grows linearly from `start_fraction` to the full capacity.
     pub slow_start: Duration,
-    /// While it warms up, it becomes overloaded if it receives more than this multiple of its present capacity within
-    /// `window`, and then rejects everything.
+    /// Overload limit during the slow start, as a multiple of the present capacity. An upstream that receives more requests
+    /// than this within `window` becomes overloaded and rejects all further requests.
     pub overload_factor: f64,
-    /// The time over which that load is measured.
+    /// Time over which the received requests are counted for `overload_factor`.
     pub window: Duration,
 }
 
 impl UpstreamSpec {
-    /// Requests per second once it is warm.
+    /// The full capacity in requests per second.
     pub fn capacity(&self) -> f64 {
         self.slots as f64 / self.service_time.as_secs_f64()
     }
@@ -48,7 +48,7 @@
 
 type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// Counters of an upstream, over all its processes.
+/// Counters of an upstream over all its processes.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamCounters {
     /// Requests received.
@@ -57,19 +57,19 @@
     pub executed: u64,
     /// Requests rejected.
     pub rejected: u64,
-    /// How often each key (`x-call-id`) was executed.
+    /// Number of executions by call id (header `x-call-id`).
     pub executions_by_call_id: HashMap<String, u32>,
-    /// The highest load within a window while warming up, as a fraction of the overload limit.
+    /// The highest load within a window during a slow start, as a fraction of the overload limit.
     pub peak_load: f64,
-    /// Whether it has become overloaded.
+    /// Whether the upstream has become overloaded.
     pub overloaded: bool,
 }
 
-/// The upstream.
+/// An upstream with limited capacity.
 pub struct SimulatedUpstream {
-    /// Its name.
+    /// Name of the upstream, which is its uid in discovery and the body of its responses.
     pub name: String,
-    /// Where it listens, also after a restart.
+    /// Listen address, which stays the same after a restart.
     pub address: SocketAddr,
     inner: Arc<Inner>,
     process: Mutex<Option<JoinSet<()>>>,
@@ -85,11 +85,13 @@
 #[derive(Default)]
 struct State {
     counters: UpstreamCounters,
-    /// When its process started; `None` if long ago.
+    /// Start of the present process; `None` for the first process, which starts at full capacity.
     started: Option<Instant>,
+    /// Start of the present process in Unix milliseconds; 0 for the first process.
     boot_ms: u64,
+    /// Requests that wait for a slot or are being executed.
     queued: usize,
-    /// When requests came lately, while it was cold.
+    /// Arrival times of the requests within the last window, during a slow start.
     received: VecDeque<Instant>,
 }
 
@@ -98,7 +100,7 @@
 }
 
 impl SimulatedUpstream {
-    /// Starts it, warm.
+    /// Starts an upstream at full capacity.
     pub async fn start(name: impl Into<String>, spec: UpstreamSpec) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -119,18 +121,18 @@
         }
     }
 
-    /// Ends its process: connections are reset, new ones refused, requests in flight lost.
+    /// Ends the process: its connections are closed, new connections are refused, and requests in flight are lost.
     pub fn kill(&self) {
         lock(&self.process).take();
     }
 
-    /// Starts a new process at its address, which warms up.
+    /// Starts a new process at the same address, with a slow start.
     pub async fn restart(&self) {
         self.kill();
         let listener = loop {
             match TcpListener::bind(self.address).await {
                 Ok(listener) => break listener,
-                // The former process's sockets are closed by its tasks, which may not have run yet.
+                // The sockets of the former process are closed by its tasks, which may not have run yet.
                 Err(_) => sleep(Duration::from_millis(1)).await,
             }
         };
@@ -145,12 +147,12 @@
         *lock(&self.process) = Some(serve(listener, self.inner.clone()));
     }
 
-    /// Its counters.
+    /// Returns a copy of the counters.
     pub fn counters(&self) -> UpstreamCounters {
         lock(&self.inner.state).counters.clone()
     }
 
-    /// Its entry in discovery's list.
+    /// The upstream's entry in discovery's list, as JSON.
     pub fn target(&self, zone: &str, state: &str) -> String {
         let boot_ms = lock(&self.inner.state).boot_ms;
         serde_json::json!({"uid": self.name, "endpoint": self.address.to_string(), "az": zone, "model": "m",
@@ -166,8 +168,8 @@
     })
 }
 
-/// Serves HTTP/1.1 and HTTP/2 on a listener until what is returned is dropped: all of a process's connections end
-/// with it. An error of `send_reply` closes its connection.
+/// Serves HTTP/1.1 and HTTP/2 on a listener until the returned set of tasks is dropped, which also closes all connections.
+/// An error of `respond` closes the connection of its request.
 pub fn serve_process<F, A, B, E>(listener: TcpListener, respond: F) -> JoinSet<()>
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
@@ -196,7 +198,7 @@
     process
 }
 
-/// A place in the queue, until it is given up.
+/// A place in the queue, which is freed on drop.
 struct QueueSlot<'a>(&'a Inner);
 
 impl Drop for QueueSlot<'_> {
@@ -207,21 +209,22 @@
 }
 
 impl Inner {
-    fn warmth(&self, state: &State, at: Instant) -> f64 {
+    /// The fraction of the full capacity that is available at a time.
+    fn capacity_fraction(&self, state: &State, at: Instant) -> f64 {
         let Some(started) = state.started else {
             return 1.0;
         };
-        let part = (at - started).as_secs_f64() / self.spec.slow_start.as_secs_f64();
-        (self.spec.start_fraction + (1.0 - self.spec.start_fraction) * part).min(1.0)
+        let progress = (at - started).as_secs_f64() / self.spec.slow_start.as_secs_f64();
+        (self.spec.start_fraction + (1.0 - self.spec.start_fraction) * progress).min(1.0)
     }
 
-    /// Counts a request, and tells whether there is a place for it.
-    fn take(&self) -> Option<QueueSlot<'_>> {
+    /// Counts a request and takes a place in the queue for it; `None` if the request is rejected.
+    fn admit(&self) -> Option<QueueSlot<'_>> {
         let (now, spec) = (Instant::now(), &self.spec);
         let mut state = lock(&self.state);
         state.counters.received += 1;
-        let warmth = self.warmth(&state, now);
-        if warmth < 1.0 {
+        let capacity_fraction = self.capacity_fraction(&state, now);
+        if capacity_fraction < 1.0 {
             state.received.push_back(now);
             while state
                 .received
@@ -230,10 +233,10 @@
             {
                 state.received.pop_front();
             }
-            let can_do = spec.capacity() * warmth * spec.window.as_secs_f64();
-            let part = state.received.len() as f64 / (spec.overload_factor * can_do);
-            state.counters.peak_load = state.counters.peak_load.max(part);
-            state.counters.overloaded |= part > 1.0;
+            let expected = spec.capacity() * capacity_fraction * spec.window.as_secs_f64();
+            let load = state.received.len() as f64 / (spec.overload_factor * expected);
+            state.counters.peak_load = state.counters.peak_load.max(load);
+            state.counters.overloaded |= load > 1.0;
         }
         if state.counters.overloaded || state.queued >= spec.queue_length + spec.slots {
             state.counters.rejected += 1;
@@ -245,14 +248,15 @@
 
     async fn respond(&self, request: Request<Incoming>) -> Response<Body> {
         let (head, body) = request.into_parts();
-        let kind = head.headers.get("content-type");
-        let grpc = kind.is_some_and(|kind| kind.as_bytes().starts_with(b"application/grpc"));
+        let content_type = head.headers.get("content-type");
+        let is_grpc =
+            content_type.is_some_and(|value| value.as_bytes().starts_with(b"application/grpc"));
         body.collect().await.ok();
-        let Some(_waiting) = self.take() else {
-            return rejected(grpc);
+        let Some(_queue_slot) = self.admit() else {
+            return rejected_response(is_grpc);
         };
         let slot = self.slots.acquire().await;
-        let speed = self.warmth(&lock(&self.state), Instant::now());
+        let speed = self.capacity_fraction(&lock(&self.state), Instant::now());
         sleep(self.spec.service_time.div_f64(speed)).await;
         drop(slot);
         let mut state = lock(&self.state);
@@ -269,12 +273,12 @@
                 .or_default() += 1;
         }
         drop(state);
-        done(grpc, &self.name)
+        ok_response(is_grpc, &self.name)
     }
 }
 
-fn done(grpc: bool, name: &str) -> Response<Body> {
-    if !grpc {
+fn ok_response(is_grpc: bool, name: &str) -> Response<Body> {
+    if !is_grpc {
         return Response::new(Full::new(Bytes::copy_from_slice(name.as_bytes())).boxed_unsync());
     }
     let status: HeaderMap = [(
@@ -291,11 +295,11 @@
     response
 }
 
-fn rejected(grpc: bool) -> Response<Body> {
+fn rejected_response(is_grpc: bool) -> Response<Body> {
     let mut response = Response::new(Full::default().boxed_unsync());
     let headers = response.headers_mut();
     headers.insert("x-rejected", HeaderValue::from_static("1"));
-    if grpc {
+    if is_grpc {
         headers.insert("content-type", HeaderValue::from_static("application/grpc"));
         headers.insert("grpc-status", HeaderValue::from_static("14"));
     } else {
--- a/crates/mock-servers/src/stalled_listener.rs
+++ b/crates/mock-servers/src/stalled_listener.rs
@@ -1,4 +1,4 @@
-//! A listener whose connections are not established until a test allows it.
+//! A listener whose incoming connections are not established until a test permits it.
 
 use crate::http1::TEST_TIMEOUT;
 use socket2::{Domain, SockAddr, Socket, Type};
@@ -7,18 +7,18 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// State of a dialling socket in `/proc/net/tcp`.
+/// Code of the state SYN_SENT in `/proc/net/tcp`.
 const SYN_SENT: &str = "02";
-/// How often `/proc/net/tcp` is polled.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-/// Connections that fill the backlog of the listener: more than it accepts.
-const FILLERS: usize = 4;
+/// Interval at which `/proc/net/tcp` and the listener are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of connections that fill the listener's backlog. It exceeds the number that the backlog holds.
+const BACKLOG_CONNECTIONS: usize = 4;
 
-/// A listener with a full backlog: the kernel drops further SYNs, and the connecting side retransmits them after a second.
+/// A listener with a full backlog. The kernel drops further SYNs, which the connecting side retransmits after one second.
 pub struct StalledListener {
     listener: Socket,
     address: SocketAddr,
-    fillers: Vec<Socket>,
+    backlog: Vec<Socket>,
 }
 
 impl StalledListener {
@@ -30,76 +30,80 @@
             .unwrap();
         listener.listen(0).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
-        let fillers = (0..FILLERS)
-            .map(|_| Self::filler(&address.into()))
+        let backlog = (0..BACKLOG_CONNECTIONS)
+            .map(|_| Self::connect_to_backlog(&address.into()))
             .collect();
         Self {
             listener,
             address,
-            fillers,
+            backlog,
         }
     }
 
-    fn filler(address: &SockAddr) -> Socket {
+    fn connect_to_backlog(address: &SockAddr) -> Socket {
         let filler = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         filler.set_nonblocking(true).unwrap();
         filler.connect(address).unwrap_or(());
         filler
     }
 
-    /// Where it listens.
+    /// The listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sockets that are connecting now, without those that fill the backlog.
-    fn dialling(&self) -> usize {
+    /// The number of sockets in the state SYN_SENT towards this listener, without the sockets that fill the backlog.
+    fn connecting_sockets(&self) -> usize {
         let port = |address: &SocketAddr| format!(":{:04X}", address.port());
         let own: Vec<String> = self
-            .fillers
+            .backlog
             .iter()
             .map(|filler| port(&filler.local_addr().unwrap().as_socket().unwrap()))
             .collect();
         let sockets = fs::read_to_string("/proc/net/tcp").unwrap();
-        let dials_it = |line: &&str| {
+        let is_connecting = |line: &&str| {
             let fields: Vec<&str> = line.split_whitespace().collect();
             let [local, remote, state] = [fields[1], fields[2], fields[3]];
             remote.ends_with(&port(&self.address))
                 && state == SYN_SENT
                 && !own.iter().any(|own| local.ends_with(own.as_str()))
         };
-        sockets.lines().skip(1).filter(dials_it).count()
+        sockets.lines().skip(1).filter(is_connecting).count()
     }
 
-    /// Waits until a connection is being established.
+    /// Waits until a socket is connecting to this listener.
     pub fn wait_until_connecting(&self) {
-        self.until("nobody dials", TEST_TIMEOUT, || self.dialling() > 0);
+        self.wait_until("no socket is connecting", TEST_TIMEOUT, || {
+            self.connecting_sockets() > 0
+        });
     }
 
-    /// Waits until no connection is being established, at most `within`.
-    pub fn wait_until_connect_abandoned(&self, within: Duration) {
-        self.until("somebody still dials", within, || self.dialling() == 0);
+    /// Waits until no socket is connecting to this listener. Panics after `timeout`.
+    pub fn wait_until_connect_abandoned(&self, timeout: Duration) {
+        self.wait_until("a socket is still connecting", timeout, || {
+            self.connecting_sockets() == 0
+        });
     }
 
-    fn until(&self, otherwise: &str, within: Duration, there: impl Fn() -> bool) {
+    fn wait_until(&self, failure: &str, timeout: Duration, holds: impl Fn() -> bool) {
         let began = Instant::now();
-        while !there() {
-            assert!(began.elapsed() < within, "{otherwise}");
-            std::thread::sleep(LOOK_EVERY);
+        while !holds() {
+            assert!(began.elapsed() < timeout, "{failure}");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Frees the backlog, and returns the next connection that is not one of its own; `None` if there is none within this
-    /// time.
-    pub fn accept(&mut self, within: Duration) -> Option<TcpStream> {
+    /// Empties the backlog, and accepts the next connection that the listener did not open itself; `None` if there is none
+    /// within `timeout`.
+    pub fn accept(&mut self, timeout: Duration) -> Option<TcpStream> {
         let own: Vec<SockAddr> = self
-            .fillers
+            .backlog
             .drain(..)
             .map(|filler| filler.local_addr().unwrap())
             .collect();
         self.listener.set_nonblocking(true).unwrap();
         let began = Instant::now();
-        while began.elapsed() < within {
+        while began.elapsed() < timeout {
             match self.listener.accept() {
                 Ok((stream, peer))
                     if !own.iter().any(|own| own.as_socket() == peer.as_socket()) =>
@@ -110,7 +114,7 @@
                 }
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    std::thread::sleep(LOOK_EVERY)
+                    std::thread::sleep(POLL_INTERVAL)
                 }
                 Err(error) => panic!("{error}"),
             }
--- a/crates/mock-servers/src/system.rs
+++ b/crates/mock-servers/src/system.rs
@@ -1,4 +1,5 @@
-//! The system's processes on loopback addresses: core machines and fronts, with settings files, logs and an operator.
+//! The processes of the serving system on loopback addresses: core machines and fronts, with their settings files and logs,
+//! and an operator's calls.
 
 use crate::http1::{Message, TEST_TIMEOUT};
 use serde_json::{Map, Value, json};
@@ -13,48 +14,50 @@
 use std::time::Instant;
 use tempfile::TempDir;
 
-/// What a system consists of. Each machine of the core has a zone of its own and is a seed.
+/// The numbers of processes, zones and regions of a system. Each core machine has its own zone and is a seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Layout {
-    /// Core machines.
+    /// Number of core machines.
     pub cores: u8,
-    /// Zones, and core machines, in a region.
-    pub zones_in_region: u8,
-    /// Fronts.
+    /// Number of zones in a region, and thereby of core machines in a region.
+    pub zones_per_region: u8,
+    /// Number of fronts.
     pub fronts: u8,
-    /// Machines with a disk that may be lost at a time.
+    /// Number of core machines whose simultaneous loss, including their disks, must be tolerated.
     pub tolerated_failures: u8,
 }
 
 impl Layout {
-    /// Three core machines, each in a region of its own, and so many fronts.
+    /// A layout of three core machines, each in its own region, and the given number of fronts.
     pub fn small(fronts: u8) -> Self {
         Self {
             cores: 3,
-            zones_in_region: 1,
+            zones_per_region: 1,
             fronts,
             tolerated_failures: 1,
         }
     }
 }
 
-/// Systems of one process must not share addresses: a port that one has found free another may have found free too.
+/// Distinguishes the addresses of the systems in one test process. Without it, two systems could share an address and both
+/// find the same port free.
 static NEXT_SUBNET: AtomicU8 = AtomicU8::new(0);
-/// The ports of a machine: control, directory, front, ready, and the first and the last one between processes.
+/// Number of ports of a system: control, directory, front, ready, and the first and last ephemeral port.
 const PORTS: usize = 6;
-/// Times of the operator's and the upstreams' calls: far more often than upstreams really say that they are there.
+/// Heartbeat interval of upstreams, in milliseconds. It is far longer than the default of 1.2 s, because
+/// [`System::register`] registers an upstream once and sends no heartbeats.
 const HEARTBEAT_MS: u64 = 60_000;
 
 /// A process of the system.
 pub struct Process {
-    /// The name in its settings, such as `core-0`.
+    /// Name of the process in its settings, such as `core-0`.
     pub name: String,
     child: Child,
     log: Receiver<String>,
 }
 
 impl Process {
-    /// Waits until its log has a line with this text, and gives the line.
+    /// Waits for the next log line that contains this text, and returns the line.
     pub fn wait_for(&self, text: &str) -> String {
         let begin = Instant::now();
         while begin.elapsed() < TEST_TIMEOUT {
@@ -64,15 +67,15 @@
                 Err(_) => break,
             }
         }
-        panic!("{} never logged {text:?}", self.name)
+        panic!("{} did not log {text:?}", self.name)
     }
 
-    /// The identity of the process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by its name.
+    /// Sends the process a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args([&format!("-{name}"), &self.child.id().to_string()])
@@ -80,7 +83,7 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Waits for its end.
+    /// Waits until the process has ended.
     pub fn wait(mut self) -> ExitStatus {
         self.child.wait().expect("the process ends")
     }
@@ -93,39 +96,38 @@
     }
 }
 
-/// The whole system.
+/// The processes of a serving system. They are killed on drop.
 pub struct System {
     program: PathBuf,
     folder: TempDir,
     layout: Layout,
-    /// Where the logs of the processes are kept, if they are.
+    /// Folder to which the logs of the processes are written; `None` if they are not kept.
     log_folder: Option<PathBuf>,
     ports: [u16; PORTS],
-    /// The second and third part of all its addresses, so that several systems can run side by side.
+    /// The second and third byte of all addresses of the system, so that several systems can run at the same time.
     subnet: (u8, u8),
-    /// Core machines; `None` while one is down.
+    /// Processes of the core machines; `None` while a machine is down.
     pub cores: Vec<Option<Process>>,
-    /// Fronts; `None` while one is down.
+    /// Processes of the fronts; `None` while a front is down.
     pub fronts: Vec<Option<Process>>,
 }
 
 impl System {
-    /// Starts three core machines and so many fronts.
+    /// Starts three core machines and the given number of fronts.
     pub fn start(program: &Path, fronts: u8) -> Self {
         Self::start_layout(program, Layout::small(fronts), None)
     }
 
-    /// Starts all machines of a layout. The logs of their processes are appended to files of this
-    /// folder, if one is given.
+    /// Starts all processes of a layout. If a log folder is given, the log of each process is appended to a file in it.
     pub fn start_layout(program: &Path, layout: Layout, log_folder: Option<PathBuf>) -> Self {
-        let in_flight: Vec<TcpListener> = (0..PORTS)
+        let listeners: Vec<TcpListener> = (0..PORTS)
             .map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port"))
             .collect();
-        let mut ports: Vec<u16> = in_flight
+        let mut ports: Vec<u16> = listeners
             .iter()
-            .map(|in_flight| in_flight.local_addr().expect("an address").port())
+            .map(|listener| listener.local_addr().expect("an address").port())
             .collect();
-        drop(in_flight);
+        drop(listeners);
         ports[4..].sort_unstable();
         let id = std::process::id().to_le_bytes();
         let mut system = Self {
@@ -159,17 +161,17 @@
         SocketAddr::new(self.core_ip(number), self.ports[0])
     }
 
-    /// The directory of a core machine.
+    /// The directory address of a core machine.
     pub fn directory(&self, number: u8) -> SocketAddr {
         SocketAddr::new(self.core_ip(number), self.ports[1])
     }
 
-    /// The address of a front for clients.
+    /// The address at which a front serves clients.
     pub fn front(&self, number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(100 + number), self.ports[2])
     }
 
-    /// Where the platform asks a front whether it is ready.
+    /// The address of a front's readiness check.
     pub fn ready(&self, number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(100 + number), self.ports[3])
     }
@@ -178,7 +180,7 @@
         let seeds: Vec<String> = (0..self.layout.cores)
             .map(|number| self.control(number).to_string())
             .collect();
-        let region = |zone: u8| format!("region-{}", zone / self.layout.zones_in_region);
+        let region = |zone: u8| format!("region-{}", zone / self.layout.zones_per_region);
         let zones: Map<String, Value> = (0..self.layout.cores)
             .map(|zone| (format!("zone-{zone}"), region(zone).into()))
             .collect();
@@ -195,14 +197,14 @@
         })
     }
 
-    /// Starts a core machine, on the disk that it has.
+    /// Starts a core machine on its present data directory.
     pub fn start_core(&mut self, number: u8, bootstrap: bool) {
         let name = format!("core-{number}");
         let listen =
             json!({ "control": self.control(number), "directory": self.directory(number) });
         let mut settings = self.settings(&name, self.core_ip(number), number, &listen);
         settings["bootstrap"] = bootstrap.into();
-        settings["data_dir"] = json!(self.disk(number));
+        settings["data_dir"] = json!(self.data_dir(number));
         self.cores[usize::from(number)] = Some(self.spawn(&name, "core", &settings));
     }
 
@@ -228,33 +230,38 @@
         std::fs::write(&path, settings.to_string()).expect("the settings can be written");
     }
 
-    /// Ends a core machine's process at once.
+    /// Kills the process of a core machine.
     pub fn kill_core(&mut self, number: u8) {
         self.cores[usize::from(number)] = None;
     }
 
-    fn disk(&self, number: u8) -> PathBuf {
+    fn data_dir(&self, number: u8) -> PathBuf {
         self.folder.path().join(format!("data-{number}"))
     }
 
-    /// Removes what a core machine that is down has on its disk.
+    /// Removes the data directory of a core machine that is down.
     pub fn lose_disk(&self, number: u8) {
-        assert!(self.cores[usize::from(number)].is_none(), "it runs");
-        std::fs::remove_dir_all(self.disk(number)).expect("the disk can be emptied");
+        assert!(
+            self.cores[usize::from(number)].is_none(),
+            "core machine {number} is running"
+        );
+        std::fs::remove_dir_all(self.data_dir(number)).expect("the data directory can be removed");
     }
 
     /// The process of a core machine.
     pub fn core_process(&self, number: u8) -> &Process {
-        self.cores[usize::from(number)].as_ref().expect("it runs")
+        self.cores[usize::from(number)]
+            .as_ref()
+            .expect("the core machine is running")
     }
 
-    /// Waits for the end of a core machine's process, which was told to end.
+    /// Waits until the process of a core machine has ended. The process must have been signalled to end.
     pub fn wait_for_core_end(&mut self, number: u8) -> ExitStatus {
         let process = self.cores[usize::from(number)].take();
-        process.expect("it runs").wait()
+        process.expect("the core machine is running").wait()
     }
 
-    /// The file for the log of a process.
+    /// Opens the log file of a process; `None` if logs are not kept.
     fn log_file(&self, name: &str) -> Option<File> {
         let folder = self.log_folder.as_ref()?;
         let mut options = OpenOptions::new();
@@ -276,7 +283,7 @@
         let (event_sender, log) = channel();
         let lines = child.stderr.take().expect("its standard error");
         let file = self.log_file(name);
-        thread::spawn(move || pass_lines(lines, &event_sender, file));
+        thread::spawn(move || forward_lines(lines, &event_sender, file));
         Process {
             name: name.to_owned(),
             child,
@@ -286,14 +293,17 @@
 
     /// The process of a front.
     pub fn front_process(&self, number: u8) -> &Process {
-        self.fronts[usize::from(number)].as_ref().expect("it runs")
+        self.fronts[usize::from(number)]
+            .as_ref()
+            .expect("the front is running")
     }
 
-    /// Puts a configuration at a core machine until that takes it, and waits until it is in force on all fronts.
+    /// Sends a configuration to a core machine until it is accepted, and waits until all fronts have applied it. `base` is
+    /// the generation that it replaces.
     pub fn configure(&self, core: u8, base: u64, configuration: &Value) {
         let headers = format!("If-Match: {base}\r\n");
         let body = configuration.to_string();
-        self.until_done(|| {
+        self.repeat_until_done(|| {
             call(
                 self.control(core),
                 "PUT",
@@ -312,14 +322,14 @@
             .for_each(|front| drop(front.wait_for(&line)));
     }
 
-    /// Registers an upstream, and waits until all fronts know it.
+    /// Registers an upstream at a core machine, and waits until all fronts have applied the registration.
     pub fn register(&self, core: u8, id: &str, service: &str, address: SocketAddr, zone: u8) {
         let body = json!({
             "service": service, "address": address, "zone": format!("zone-{zone}"), "capacity": 8, "state": "ready",
             "cold_remaining_ms": 0, "sequence": 1,
         });
         let path = format!("/v1/instances/{id}");
-        self.until_done(|| {
+        self.repeat_until_done(|| {
             call(
                 self.control(core),
                 "PUT",
@@ -335,22 +345,26 @@
             .for_each(|front| drop(front.wait_for(&line)));
     }
 
-    fn until_done(&self, order: impl Fn() -> Option<Message>) {
+    /// Repeats a request until its response is 200. Panics upon other responses below 500.
+    fn repeat_until_done(&self, send: impl Fn() -> Option<Message>) {
         let begin = Instant::now();
         loop {
-            match order() {
+            match send() {
                 Some(response) if response.status() == 200 => return,
-                Some(response) if response.status() < 500 => panic!("refused: {response:?}"),
-                _ => assert!(begin.elapsed() < TEST_TIMEOUT, "an order was never taken"),
+                Some(response) if response.status() < 500 => panic!("rejected: {response:?}"),
+                _ => assert!(
+                    begin.elapsed() < TEST_TIMEOUT,
+                    "the request was not accepted within {TEST_TIMEOUT:?}"
+                ),
             }
         }
     }
 }
 
-fn pass_lines(lines: impl Read, event_sender: &Sender<String>, mut file: Option<File>) {
+fn forward_lines(lines: impl Read, event_sender: &Sender<String>, mut file: Option<File>) {
     for line in BufReader::new(lines).lines().map_while(Result::ok) {
         if let Some(file) = &mut file {
-            writeln!(file, "{line}").expect("the log can be kept");
+            writeln!(file, "{line}").expect("the log file can be written");
         }
         if event_sender.send(line).is_err() {
             return;
@@ -358,7 +372,8 @@
     }
 }
 
-/// One call on a connection of its own; `None` where no answer comes.
+/// Sends a request on a new connection and reads its response; `None` if connecting fails or the response is missing or
+/// truncated.
 pub fn call(
     address: SocketAddr,
     method: &str,
@@ -386,7 +401,7 @@
     Some(response)
 }
 
-/// The chunks of a body; `None` where they break off.
+/// Reads a body with chunked transfer coding; `None` if it is truncated.
 fn read_chunks(input: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -402,7 +417,7 @@
     }
 }
 
-/// An upstream's whole answer to a request, with its id and a stamp.
+/// Returns the text of an upstream's complete response, with the request's id and a stamp derived from the id.
 pub fn response(request: &Message, body: &str) -> String {
     format!(
         "{}Content-Length: {}\r\n\r\n{body}",
@@ -411,8 +426,9 @@
     )
 }
 
-/// An upstream's events, of which all came if `is_whole`.
-pub fn events(request: &Message, events: &[&str], is_whole: bool) -> String {
+/// Returns the text of an upstream's event stream, one chunk per event. The stream ends properly if `is_complete`, and is
+/// truncated otherwise.
+pub fn events(request: &Message, events: &[&str], is_complete: bool) -> String {
     let mut text = format!(
         "{}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
         head(request)
@@ -420,7 +436,7 @@
     for event in events {
         text += &format!("{:x}\r\n{event}\r\n", event.len());
     }
-    if is_whole {
+    if is_complete {
         text += "0\r\n\r\n";
     }
     text
--- a/tests/coordination_soak.rs
+++ b/tests/coordination_soak.rs
@@ -38,7 +38,7 @@
 /// Three regions of two zones.
 const LAYOUT: Layout = Layout {
     cores: 6,
-    zones_in_region: 2,
+    zones_per_region: 2,
     fronts: 0,
     tolerated_failures: 2,
 };
