--- a/crates/node/src/front/attempt/mod.rs
+++ b/crates/node/src/front/attempt/mod.rs
@@ -24,7 +24,7 @@
 use tokio::time::{Instant, timeout_at};
 use woadstall_inbound::lock;
 use woadstall_routing::{Outcome, Target};
-use woadstall_transport::{RequestBody, end_to_end};
+use woadstall_transport::{RequestBody, remove_hop_by_hop_headers};
 
 /// Maximum body size of a buffered response, in bytes.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
@@ -107,9 +107,9 @@
     } else {
         lock(&front.router).record_response(front.now(), &in_flight.target.id);
     }
-    // `end_to_end` removes the hop-by-hop headers, so `Keep-Alive` is read first.
+    // `remove_hop_by_hop_headers` removes the hop-by-hop headers, so `Keep-Alive` is read first.
     let keep_alive = keep_alive(&parts);
-    end_to_end(&mut parts.headers);
+    remove_hop_by_hop_headers(&mut parts.headers);
     let response = StreamingResponse {
         parts,
         body,
--- a/crates/node/src/front/client_connection.rs
+++ b/crates/node/src/front/client_connection.rs
@@ -100,7 +100,7 @@
                 _ = checks.tick() => is_closing = self.has_timed_out(state),
             }
         }
-        while !(lock(state).is_idle() && stream.is_quiet()) {
+        while !(lock(state).is_idle() && stream.has_no_pending_input()) {
             if self.has_stalled(state) {
                 return ConnectionEnd::Aborted;
             }
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -22,7 +22,7 @@
 use woadstall_inbound::{BodyMemory, lock};
 use woadstall_request_reports::Cause;
 use woadstall_routing::Prompt;
-use woadstall_transport::end_to_end;
+use woadstall_transport::remove_hop_by_hop_headers;
 
 /// Retry time for clients of a front that has no configuration: about the duration of an election
 /// and a snapshot transfer.
@@ -91,7 +91,7 @@
     } else {
         Prompt::default()
     };
-    end_to_end(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     let Some(service) = pick_service(&configuration, &route) else {
         return text_response(StatusCode::BAD_GATEWAY, "the route has no service\n");
     };
