--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -1,10 +1,11 @@
-//! Balancers' processes: what their agents are told and what they do, up to the network between them and the upstreams.
+//! Balancer processes: delivers inputs to the agents, executes their commands, and models the network between
+//! balancers and upstreams.
 
 use super::*;
 
 impl Simulation<'_> {
     pub(super) fn handle_input(&mut self, at: usize, input: Input<'_, Ticket, ()>) {
-        let local = self.balancers[at].local(self.event_queue.now());
+        let local = self.balancers[at].local_time(self.event_queue.now());
         self.balancers[at].agent.handle(local, input);
         while let Some(command) = self.balancers[at].agent.next_command() {
             self.execute(at, command);
@@ -12,9 +13,9 @@
         let now = self.event_queue.now();
         let balancer = &mut self.balancers[at];
         if let Some(due) = balancer.agent.wake_at() {
-            let due = balancer.world(due).max(now + RING);
-            if due < balancer.planned {
-                balancer.planned = due;
+            let due = balancer.simulated_time(due).max(now + TIMER_GRANULARITY);
+            if due < balancer.planned_tick {
+                balancer.planned_tick = due;
                 self.event_queue.at(
                     due,
                     Event::AgentTimer {
@@ -27,11 +28,11 @@
     }
 
     pub(super) fn agent_timer(&mut self, at: usize, planned: Time) {
-        if self.balancers[at].planned != planned || !self.balancers[at].alive {
-            return; // an earlier one was planned since
+        if self.balancers[at].planned_tick != planned || !self.balancers[at].alive {
+            return; // superseded by an earlier timer
         }
         if let Some(until) = self.paused_until(at) {
-            self.balancers[at].planned = until;
+            self.balancers[at].planned_tick = until;
             let balancer = at as u32;
             return self.event_queue.at(
                 until,
@@ -41,24 +42,24 @@
                 },
             );
         }
-        self.balancers[at].planned = Time::MAX;
+        self.balancers[at].planned_tick = Time::MAX;
         self.handle_input(at, Input::Tick);
     }
 
     pub(super) fn paused_until(&self, at: usize) -> Option<Time> {
-        Some(self.balancers[at].stalled_until).filter(|&until| until > self.event_queue.now())
+        Some(self.balancers[at].resume_at).filter(|&until| until > self.event_queue.now())
     }
 
-    pub(super) fn stall_grace(&self, now: Time) -> Time {
-        // Whoever stood still until lately answers late for that reason.
-        if now < self.stalled.saturating_add(SECOND) {
-            self.stalled_most()
+    pub(super) fn pause_grace(&self, now: Time) -> Time {
+        // A balancer that was paused until recently answers late because of the pause.
+        if now < self.latest_resume_at.saturating_add(SECOND) {
+            self.longest_pause()
         } else {
             0
         }
     }
 
-    pub(super) fn stalled_most(&self) -> Time {
+    pub(super) fn longest_pause(&self) -> Time {
         let longest = |fault: &Fault| match fault.kind {
             FaultKind::PauseBalancers => {
                 fault
@@ -74,13 +75,13 @@
     pub(super) fn execute(&mut self, at: usize, command: Command<Ticket, ()>) {
         match command {
             Command::SendAttempt(send) => self.dispatch(at, &send),
-            Command::CancelAttempt { id, attempt } => self.withdraw(id, attempt),
+            Command::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
             Command::Respond {
                 request: Ticket(request),
                 result: verdict,
             } => {
                 let now = self.event_queue.now();
-                let grace = self.stall_grace(now);
+                let grace = self.pause_grace(now);
                 self.auditor.answered(now, request, &verdict, grace);
                 let Some(known) = self.requests.get_mut(request) else {
                     return;
@@ -93,8 +94,8 @@
                     self.costs
                         .pay(now, self.balancers[at].tier, Cost::Refusals, at);
                 }
-                self.record_story(client_call, || {
-                    let text = story::result_text(&verdict);
+                self.record_trace(client_call, || {
+                    let text = call_trace::result_text(&verdict);
                     format!("balancer {at} answers {text}")
                 });
                 self.client_call_answered(client_call, &verdict);
@@ -109,7 +110,7 @@
     }
 
     pub(super) fn forget_request(&mut self, request: u64) {
-        let over = |request: &Request| request.answered && request.attempts == 0;
+        let over = |request: &Request| request.answered && request.live_attempts == 0;
         if let Some(client_call) = self
             .requests
             .get(request)
@@ -118,17 +119,17 @@
         {
             self.requests.take(request);
             if let Some(client_call) = self.client_calls.get_mut(client_call) {
-                client_call.requests -= 1;
+                client_call.open_requests -= 1;
             }
             self.forget_client_call(client_call);
         }
     }
 
-    /// The idle connections of a balancer to one that it has sent to are closed; `retire`: what is busy is not used
-    /// again either.
+    /// Closes a balancer's idle connections to a server. With `retire`, its busy connections are not reused
+    /// either.
     fn close_idle(&mut self, at: usize, server: ServerId, retire: bool) {
         let balancer = &mut self.balancers[at];
-        let Some(&host) = balancer.hosts.get(server.0 as usize) else {
+        let Some(&host) = balancer.host_by_server.get(server.0 as usize) else {
             return;
         };
         let Some(links) = balancer.pools.get_mut(host as usize) else {
@@ -136,22 +137,23 @@
         };
         links.epoch += u32::from(retire);
         let (closed, process) = (std::mem::take(&mut links.idle), links.process);
-        self.closed(at, host as usize, process, closed);
+        self.connections_closed(at, host as usize, process, closed);
     }
 
-    /// So many connections of a balancer to a process are closed.
-    pub(super) fn closed(&mut self, at: usize, host: usize, process: u32, count: u16) {
+    /// Accounts for `count` closed connections from a balancer to one process of an upstream.
+    pub(super) fn connections_closed(&mut self, at: usize, host: usize, process: u32, count: u16) {
         let balancer = &mut self.balancers[at];
-        balancer.open = balancer.open.saturating_sub(u32::from(count));
-        if let Some(&upstream) = self.hosts.get(host) {
+        balancer.open_connections = balancer.open_connections.saturating_sub(u32::from(count));
+        if let Some(&upstream) = self.upstream_by_host.get(host) {
             self.upstreams[upstream as usize].disconnect(process, u32::from(count));
         }
     }
 
-    /// Whether a balancer may open one more connection, if need be after closing the one idle for longest.
-    pub(super) fn may_open(&mut self, at: usize) -> bool {
+    /// Whether a balancer may open another connection. At the limit, the connection that has been idle longest
+    /// is closed to make room.
+    pub(super) fn make_room_for_connection(&mut self, at: usize) -> bool {
         let most = self.scenario.limits.max_connections;
-        if most == 0 || self.scenario.limits.http2 || self.balancers[at].open < most {
+        if most == 0 || self.scenario.limits.http2 || self.balancers[at].open_connections < most {
             return true;
         }
         let links = self.balancers[at].pools.iter_mut().enumerate();
@@ -163,7 +165,7 @@
         };
         links.idle -= 1;
         let process = links.process;
-        self.closed(at, host, process, 1);
+        self.connections_closed(at, host, process, 1);
         true
     }
 
@@ -174,7 +176,7 @@
         }
     }
 
-    /// What is wrong now with what goes to an upstream, or comes back.
+    /// Active link faults on the path from a balancer to an upstream, or, unless `to`, on the path back.
     fn link_faults(
         &self,
         at: usize,
@@ -196,14 +198,14 @@
         in_force.filter_map(move |fault| fault.link(from, into))
     }
 
-    /// Whether a message gets lost by chance.
+    /// Draws whether the network loses a message.
     pub(super) fn is_lost(&mut self, at: usize, upstream: usize, to: bool) -> bool {
         let link = self
             .link_faults(at, upstream, to)
             .map(|link| link.loss)
             .fold(0.0, f64::max);
         let loss = self.scenario.network.loss.max(link);
-        chance(&mut self.balancers[at].network, loss)
+        chance(&mut self.balancers[at].network_rng, loss)
     }
 
     pub(super) fn delay(&mut self, at: usize, upstream: usize, to: bool) -> Time {
@@ -218,21 +220,22 @@
         } else {
             network.between_zones
         };
-        let jitter = 1.0 + network.jitter * balancer.network.random::<f64>();
+        let jitter = 1.0 + network.jitter * balancer.network_rng.random::<f64>();
         (base.0 as f64 * jitter * upstream.active_faults.delay_factor) as Time + more
     }
 
-    /// Whether what goes to a zone's upstreams, or comes back, is cut off.
+    /// Whether a partition blocks the path from a balancer to an upstream, or, unless `to`, the path back.
     pub(super) fn is_partitioned(&self, at: usize, upstream: usize, to: bool) -> bool {
         let zone = self.upstreams[upstream].zone;
-        let partitioned = self.balancers[at].zone != zone && self.partitions.contains(&(zone, to));
+        let partitioned =
+            self.balancers[at].zone != zone && self.partitioned_zones.contains(&(zone, to));
         partitioned
             || self
                 .link_faults(at, upstream, to)
                 .any(|link| link.partitioned)
     }
 
-    /// The request that a balancer's number stands for: the latest of that number.
+    /// Number of the latest request whose low 32 bits are the balancer's request id.
     pub(super) fn request_by_id(&self, id: RequestId) -> u64 {
         let next = self.requests.next();
         let high = next & !0xffff_ffff;
@@ -244,16 +247,17 @@
         }
     }
 
-    /// Nothing of an attempt is under way any more, though its balancer may still wait for it.
+    /// Marks an attempt as finished at the upstream and on the network. Its balancer may still be waiting for
+    /// it.
     pub(super) fn drop_attempt(&mut self, number: u64) {
         if let Some(attempt) = self.attempts.get_mut(number) {
-            attempt.there = false;
+            attempt.in_progress = false;
         }
         self.forget_attempt(number);
     }
 
     pub(super) fn forget_attempt(&mut self, number: u64) {
-        let over = |attempt: &Attempt| !attempt.out && !attempt.there;
+        let over = |attempt: &Attempt| !attempt.end_pending && !attempt.in_progress;
         let Some(attempt) = self.attempts.get(number).filter(|attempt| over(attempt)) else {
             return;
         };
@@ -261,40 +265,44 @@
         self.attempts.take(number);
         self.auditor.attempt_over(self.event_queue.now(), request);
         if let Some(known) = self.requests.get_mut(request) {
-            known.attempts -= 1;
+            known.live_attempts -= 1;
         }
         self.forget_request(request);
     }
 
-    pub(super) fn withdraw(&mut self, id: RequestId, attempt: u32) {
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let request = self.request_by_id(id);
         let out = self
             .requests
             .get(request)
-            .and_then(|r| r.out.iter().find(|(n, _)| *n == attempt));
+            .and_then(|r| r.pending_attempts.iter().find(|(n, _)| *n == attempt));
         if let Some(&(_, number)) = out {
             self.end_attempt(number, Outcome::Cancelled);
         }
     }
 
-    /// Tells a balancer how an attempt ended, once.
+    /// Reports the outcome of an attempt to its balancer, at most once.
     pub(super) fn end_attempt(&mut self, number: u64, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get_mut(number).filter(|attempt| attempt.out) else {
+        let Some(attempt) = self
+            .attempts
+            .get_mut(number)
+            .filter(|attempt| attempt.end_pending)
+        else {
             return;
         };
-        attempt.out = false;
+        attempt.end_pending = false;
         let (request, at, tries) = (attempt.request, attempt.balancer as usize, attempt.number);
-        let took = self.event_queue.now() - attempt.sent;
+        let took = self.event_queue.now() - attempt.sent_at;
         let mut client_call = 0;
         if let Some(known) = self.requests.get_mut(request) {
-            known.out.retain(|(_, out)| *out != number);
+            known.pending_attempts.retain(|(_, out)| *out != number);
             client_call = known.client_call;
         }
         self.release_connection(number, outcome);
-        self.record_story(client_call, || {
+        self.record_trace(client_call, || {
             format!(
                 "balancer {at} has {} for attempt {tries} after {:.1} ms",
-                story::outcome_text(outcome),
+                call_trace::outcome_text(outcome),
                 took as f64 / 1e6
             )
         });
@@ -314,14 +322,14 @@
         self.forget_attempt(number);
     }
 
-    /// The connection of an attempt is idle again where its answer came whole from the process that it went to, and
-    /// is closed otherwise.
+    /// Returns an attempt's connection to the pool if a complete response came from the process that the
+    /// attempt was sent to; closes the connection otherwise.
     fn release_connection(&mut self, number: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get(number) else {
             return;
         };
         let (at, host) = (attempt.balancer as usize, attempt.host as usize);
-        let (process, epoch, socket) = (attempt.process, attempt.epoch, attempt.socket);
+        let (process, epoch, socket) = (attempt.process, attempt.epoch, attempt.holds_connection);
         let is_complete = matches!(
             outcome,
             Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined
@@ -341,25 +349,33 @@
             };
             pool.idle_since = now;
         } else if socket {
-            self.closed(at, host, process, 1);
+            self.connections_closed(at, host, process, 1);
         }
     }
 
     pub(super) fn response_arrived(&mut self, event: Event, number: u64, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get(number).filter(|attempt| attempt.out) else {
+        let Some(attempt) = self
+            .attempts
+            .get(number)
+            .filter(|attempt| attempt.end_pending)
+        else {
             return self.drop_attempt(number);
         };
         if let Some(until) = self.paused_until(attempt.balancer as usize) {
             return self.event_queue.at(until, event);
         }
         if let Some(attempt) = self.attempts.get_mut(number) {
-            attempt.there = false;
+            attempt.in_progress = false;
         }
         self.end_attempt(number, outcome);
     }
 
     pub(super) fn attempt_expired(&mut self, event: Event, number: u64) {
-        let Some(attempt) = self.attempts.get(number).filter(|attempt| attempt.out) else {
+        let Some(attempt) = self
+            .attempts
+            .get(number)
+            .filter(|attempt| attempt.end_pending)
+        else {
             return;
         };
         if let Some(until) = self.paused_until(attempt.balancer as usize) {
--- a/crates/emulator/src/world/build.rs
+++ b/crates/emulator/src/world/build.rs
@@ -1,15 +1,15 @@
-//! How a run is set up: upstreams, balancers, the front, and the first events.
+//! Sets up a run: upstreams, balancers, the front, and the first events.
 
 use super::*;
 
 impl Simulation<'_> {
-    /// Sets up all that the scenario has, and plans its faults and first calls.
+    /// Creates all entities of the scenario, and schedules its faults and first calls.
     pub(super) fn build(&mut self) {
         for tier in 0..self.scenario.tier.len() {
             self.add_upstreams(tier);
         }
-        self.sidecar = vec![None; self.upstreams.len()];
-        self.stopped = vec![Vec::new(); self.upstreams.len()];
+        self.sidecar_by_host = vec![None; self.upstreams.len()];
+        self.suspended_events = vec![Vec::new(); self.upstreams.len()];
         for tier in 0..self.scenario.tier.len() {
             self.add_balancers(tier);
         }
@@ -17,7 +17,7 @@
             let (uneven, idle_timeout, zones) = (
                 front.max_weight_ratio,
                 front.idle_timeout.0,
-                &self.of_zone[0],
+                &self.balancers_by_zone[0],
             );
             self.front = Some(Front::new(zones, uneven, idle_timeout, &mut self.front_rng));
         }
@@ -33,7 +33,7 @@
         let scenario = self.scenario;
         let tier = &scenario.tier[at];
         let calls = tier.calls.as_ref();
-        self.calls
+        self.downstream_by_tier
             .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
         for upstream in 0..tier.upstreams {
             let host = self.upstreams.len() as u32;
@@ -43,25 +43,28 @@
             let rng = stream(self.seed, Actor::Upstream, host);
             self.upstreams
                 .push(Upstream::new(name, at, tier, place, rng));
-            self.hosts.push(host);
+            self.upstream_by_host.push(host);
         }
-        self.of_zone.push(vec![Vec::new(); scenario.zones.len()]);
+        self.balancers_by_zone
+            .push(vec![Vec::new(); scenario.zones.len()]);
     }
 
-    /// The balancers before a tier: its own, or a sidecar for each upstream that calls it.
+    /// Adds the balancers of a tier: its own ones, or one sidecar for each upstream that calls the tier.
     fn add_balancers(&mut self, at: usize) {
         let tier = &self.scenario.tier[at];
         if !tier.sidecar {
             for balancer in 0..tier.balancers {
                 let zone = self.scenario.zone_in_turn(balancer);
                 let number = self.add_balancer(at, zone);
-                self.of_zone[at][usize::from(zone)].push(number);
+                self.balancers_by_zone[at][usize::from(zone)].push(number);
             }
             return;
         }
         for host in 0..self.upstreams.len() {
-            if self.calls[self.upstreams[host].tier].is_some_and(|(called, _)| called == at) {
-                self.sidecar[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
+            if self.downstream_by_tier[self.upstreams[host].tier]
+                .is_some_and(|(called, _)| called == at)
+            {
+                self.sidecar_by_host[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
             }
         }
     }
@@ -70,7 +73,7 @@
         for (fault, planned) in (0..).zip(&self.scenario.fault) {
             let position = planned.file_position.unwrap_or(fault);
             let rng = stream(self.seed, Actor::Fault, position);
-            self.faults.push(FaultTargets {
+            self.fault_targets.push(FaultTargets {
                 rng,
                 upstreams: Vec::new(),
                 balancers: Vec::new(),
@@ -118,19 +121,19 @@
             agent: self
                 .policy
                 .agent(scenario.settings(tier, zone), mind_seed, local),
-            ahead,
-            drift,
-            network: stream(self.seed, Actor::Network, number),
-            registry: stream(self.seed, Actor::Registry, number),
-            seeds: clock,
+            clock_offset: ahead,
+            clock_drift: drift,
+            network_rng: stream(self.seed, Actor::Network, number),
+            registry_rng: stream(self.seed, Actor::Registry, number),
+            seed_rng: clock,
             pools: Vec::new(),
-            open: 0,
-            hosts: Vec::new(),
-            planned: Time::MAX,
+            open_connections: 0,
+            host_by_server: Vec::new(),
+            planned_tick: Time::MAX,
             alive: true,
             incarnation: 0,
-            stalled_until: 0,
-            leaving: false,
+            resume_at: 0,
+            draining: false,
             subscribed: scenario.registry.queries.is_none(),
             applied_changes: 0,
             updates: VecDeque::new(),
--- a/crates/emulator/src/world/story.rs
+++ b/crates/emulator/src/world/call_trace.rs
@@ -1,11 +1,11 @@
-//! The story of the one request that is followed: what happened to it, as `explain` prints it.
+//! Texts in the trace of a single call, which `explain` prints.
 //!
-//! The texts of results and outcomes are written out here, since they are part of a run's result and must not follow
-//! the names of the engine's types.
+//! The texts of results and outcomes are written out here, since they are part of a run's result and must not
+//! follow the names of the engine's types.
 
 use woadstall_engine::{CallResult, Outcome};
 
-/// Text of a balancer's result, with the advice on when to retry in nanoseconds.
+/// Text of a balancer's result, with the retry-after advice in nanoseconds.
 pub(super) fn result_text(result: &CallResult<()>) -> String {
     match result {
         CallResult::Served(()) => "Served(())".to_owned(),
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -9,7 +9,7 @@
         if most <= 0.0 {
             return;
         }
-        // A process whose rate changes is thinned out of one at the highest rate.
+        // Thinning: arrivals are drawn at the maximum rate and accepted in proportion to the present rate.
         let mut at = self.event_queue.now();
         loop {
             at = at.saturating_add(exponential_gap(&mut self.arrival_rngs[group], most));
@@ -35,21 +35,21 @@
 
     pub(super) fn start_call(&mut self, group: usize, closed_loop: bool) {
         let now = self.event_queue.now();
-        let mix = &self.mixes[group];
+        let mix = &self.class_mix_by_group[group];
         let class = by_weight(mix, self.behavior_rngs[group].random::<f64>()).unwrap_or(0);
         let client_call = ClientCall {
             class,
             group: Some(group as u32),
             parent: None,
             closed_loop,
-            born: now,
+            created_at: now,
             deadline: now + self.scenario.class[class].deadline.0,
-            tries: 0,
-            requests: 0,
-            closed: false,
+            send_count: 0,
+            open_requests: 0,
+            concluded: false,
             measured: now >= self.scenario.warm_up.0,
             connection: None,
-            seen: SmallVec::new(),
+            executed_groups: SmallVec::new(),
         };
         self.meter.offered(class, client_call.measured);
         let client_call = self.client_calls.add(client_call);
@@ -60,8 +60,8 @@
         let Some(known) = self.client_calls.get_mut(client_call) else {
             return;
         };
-        known.tries += 1;
-        let (class, deadline, tries) = (known.class, known.deadline, known.tries);
+        known.send_count += 1;
+        let (class, deadline, tries) = (known.class, known.deadline, known.send_count);
         let (group, parent) = (known.group, known.parent);
         let (tier, found) = match (group, parent) {
             (Some(group), _) => (0, self.balancer_of_caller(client_call, group as usize)),
@@ -69,7 +69,7 @@
             (None, None) => return,
         };
         let Some(balancer) = found else {
-            self.record_story(client_call, || "no balancer is there".to_owned());
+            self.record_trace(client_call, || "no balancer is there".to_owned());
             return self.conclude_client_call(client_call, &CallResult::Failed, true);
         };
         self.costs.request(tier);
@@ -80,23 +80,23 @@
             client_call,
             balancer,
             answered: false,
-            attempts: 0,
-            out,
+            live_attempts: 0,
+            pending_attempts: out,
         });
         debug_assert_eq!(request, mine);
         if let Some(known) = self.client_calls.get_mut(client_call) {
-            known.requests += 1;
+            known.open_requests += 1;
         }
-        self.record_story(client_call, || {
+        self.record_trace(client_call, || {
             format!("try {tries} reaches balancer {balancer}")
         });
-        self.balancer_queries(request);
+        self.request_reaches_balancer(request);
     }
 
-    /// The balancer that a caller's connection leads to.
+    /// Picks the balancer for a call from a group of callers.
     fn balancer_of_caller(&mut self, client_call: u64, group: usize) -> Option<u32> {
         self.meter.request_sent();
-        let zone = self.zones[group];
+        let zone = self.zone_by_group[group];
         if self.front.is_some() {
             return self.fronted_balancer(client_call, group, zone);
         }
@@ -104,22 +104,22 @@
         self.balancer_for(0, zone, draw)
     }
 
-    /// The tier that the upstream of an attempt calls, and the balancer that it asks.
+    /// The tier that an attempt's upstream calls, and the balancer for that call.
     fn balancer_of_upstream(&mut self, attempt: u64) -> (usize, Option<u32>) {
         let attempt = self.attempts.get(attempt);
         let host = attempt.map_or(0, |attempt| attempt.upstream as usize);
         let (caller_tier, zone) = (self.upstreams[host].tier, self.upstreams[host].zone);
-        let tier = self.calls[caller_tier].map_or(0, |(tier, _)| tier);
+        let tier = self.downstream_by_tier[caller_tier].map_or(0, |(tier, _)| tier);
         self.meter.request_sent();
         if self.scenario.tier[tier].sidecar {
             return (tier, self.sidecar_of(host));
         }
-        let draw = self.upstreams[host].rng.next_u64(); // an upstream draws from its own stream
+        let draw = self.upstreams[host].rng.next_u64(); // each upstream draws from its own stream
         (tier, self.balancer_for(tier, Some(zone), draw))
     }
 
-    /// A balancer reads a request, once its process does not stand still.
-    pub(super) fn balancer_queries(&mut self, number: u64) {
+    /// Hands a request to its balancer's agent, once the balancer is not paused.
+    pub(super) fn request_reaches_balancer(&mut self, number: u64) {
         let Some(request) = self
             .requests
             .get(number)
@@ -129,7 +129,7 @@
         };
         let at = request.balancer as usize;
         if let Some(until) = self.paused_until(at) {
-            return self.event_queue.at(until, Event::BalancerQueries(number));
+            return self.event_queue.at(until, Event::RequestReaches(number));
         }
         let Some(client_call) = self.client_calls.get(request.client_call) else {
             return;
@@ -140,15 +140,16 @@
             class: client_call.class,
             tenant: client_call
                 .group
-                .map_or(0, |group| self.tenants[group as usize]),
+                .map_or(0, |group| self.tenant_by_group[group as usize]),
             work: None,
-            deadline: self.balancers[at].local(client_call.deadline),
+            deadline: self.balancers[at].local_time(client_call.deadline),
             max_attempts: u32::MAX,
         };
         self.handle_input(at, Input::Call(call));
     }
 
-    /// The balancer that the front's connection for a call leads to, if that lives.
+    /// The balancer at the other end of the connection that the front provides for a call, if its process is
+    /// alive.
     fn fronted_balancer(
         &mut self,
         client_call: u64,
@@ -167,7 +168,7 @@
         let at = connection.balancer as usize;
         let there = &self.balancers[at];
         if fresh {
-            if !there.alive || there.leaving {
+            if !there.alive || there.draining {
                 self.costs.pay(now, 0, Cost::Unreached, at);
                 return None;
             }
@@ -180,21 +181,23 @@
         Some(connection.balancer)
     }
 
-    /// The balancer sidecar of an upstream, if it lives.
+    /// The live sidecar balancer of an upstream.
     fn sidecar_of(&self, upstream: usize) -> Option<u32> {
-        let balancer = *self.sidecar.get(self.upstreams[upstream].host as usize)?;
+        let balancer = *self
+            .sidecar_by_host
+            .get(self.upstreams[upstream].host as usize)?;
         balancer.filter(|&balancer| self.balancers[balancer as usize].alive)
     }
 
-    /// A caller's connection is free again, unless its balancer leaves or is another process by now.
-    fn give_back(&mut self, client_call: u64) {
+    /// Returns a caller's connection to the front, unless the balancer is draining or has restarted since.
+    fn release_caller_connection(&mut self, client_call: u64) {
         let connection = self
             .client_calls
             .get_mut(client_call)
             .and_then(|client_call| client_call.connection.take());
         let Some(connection) = connection else { return };
         let there = &self.balancers[connection.balancer as usize];
-        if there.alive && !there.leaving && there.incarnation == connection.incarnation {
+        if there.alive && !there.draining && there.incarnation == connection.incarnation {
             let now = self.event_queue.now();
             self.front
                 .iter_mut()
@@ -205,9 +208,9 @@
     pub(super) fn balancer_for(&self, tier: usize, zone: Option<u8>, draw: u64) -> Option<u32> {
         let zones = self.scenario.zones.len();
         let first = zone.map_or((draw >> 32) as usize % zones, usize::from);
-        // The caller's own zone first, then the others in turn.
+        // The caller's own zone comes first, then the other zones in order.
         for step in 0..zones {
-            let there = &self.of_zone[tier][(first + step) % zones];
+            let there = &self.balancers_by_zone[tier][(first + step) % zones];
             let count = there.len();
             let start = draw as u32 as usize;
             let alive = (0..count).map(|at| there[(start + at) % count]);
@@ -221,28 +224,29 @@
         None
     }
 
-    /// A caller has what its balancer made of its request.
+    /// Delivers a balancer's result to the caller.
     pub(super) fn client_call_answered(&mut self, number: u64, verdict: &CallResult<()>) {
         self.conclude_client_call(number, verdict, false);
     }
 
-    /// The same; `unseen`: no balancer has had the request, so that asking again is harmless.
+    /// Ends a client call with a result, or schedules its retry. `unseen` means that no balancer received the
+    /// request, so that a retry is safe.
     fn conclude_client_call(&mut self, number: u64, verdict: &CallResult<()>, unseen: bool) {
-        self.give_back(number);
+        self.release_caller_connection(number);
         let now = self.event_queue.now();
         let Some(client_call) = self.client_calls.get(number) else {
             return;
         };
-        if client_call.closed {
+        if client_call.concluded {
             return;
         }
         let (class, group, measured) = (client_call.class, client_call.group, client_call.measured);
-        let (took, parent) = (now - client_call.born, client_call.parent);
+        let (took, parent) = (now - client_call.created_at, client_call.parent);
         let closed_loop = client_call.closed_loop;
-        self.record_story(number, || {
+        self.record_trace(number, || {
             format!(
                 "its caller has {} after {:.1} ms",
-                story::result_text(verdict),
+                call_trace::result_text(verdict),
                 took as f64 / 1e6
             )
         });
@@ -254,7 +258,7 @@
         }
         let outcome = self.call_outcome(class, took, verdict);
         if let Some(client_call) = self.client_calls.get_mut(number) {
-            client_call.closed = true;
+            client_call.concluded = true;
         }
         if let Some(group) = group {
             self.meter.ended(class, outcome, took, measured);
@@ -268,7 +272,8 @@
         self.forget_client_call(number);
     }
 
-    /// How long a caller waits until it asks again, if it does. `unseen`: no balancer has had the request.
+    /// Delay before a caller's retry; `None` if the caller gives up. `unseen` means that no balancer received
+    /// the request.
     fn retry_wait(
         &mut self,
         number: u64,
@@ -280,13 +285,15 @@
         if *result == CallResult::Served(()) {
             return None;
         }
-        // Callers know as well as balancers what must not run twice.
+        // Callers, like balancers, know which requests must not run twice.
         let may = unseen
             || matches!(result, CallResult::Rejected(_))
             || self.scenario.class[call.class].effect != CallEffect::Unsafe;
         let callers = &self.scenario.callers[group];
         let rng = &mut self.behavior_rngs[group];
-        let wait = callers.retries.delay(call.tries, || rng.random::<f64>());
+        let wait = callers
+            .retries
+            .delay(call.send_count, || rng.random::<f64>());
         let retry_after = match result {
             CallResult::Rejected(after) if chance(rng, callers.honors_retry_after) => *after,
             _ => 0,
@@ -305,7 +312,7 @@
         }
     }
 
-    /// A caller of a closed group thinks before it calls again.
+    /// Schedules the next call of a closed-loop caller after its think time.
     fn plan_closed_loop_call(&mut self, group: usize) {
         if let Load::Closed { think, .. } = self.scenario.callers[group].load {
             let rate = 1e9 / (think.0.max(1)) as f64;
@@ -319,7 +326,7 @@
         if self
             .client_calls
             .get(number)
-            .is_some_and(|client_call| client_call.closed && client_call.requests == 0)
+            .is_some_and(|client_call| client_call.concluded && client_call.open_requests == 0)
         {
             self.client_calls.take(number);
         }
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -1,4 +1,4 @@
-//! Evacuation: the coordinator of the shipped crate in each balancer, on the facts of membership.
+//! Evacuation: each balancer runs the shipped crate's coordinator on top of its membership node.
 
 use super::*;
 use crate::evacuation::{EvacuationTracker, ShareChange};
@@ -9,15 +9,15 @@
 use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt};
 use woadstall_membership::Node;
 
-/// See the module's documentation.
+/// Evacuation coordinators of all balancers.
 pub(super) struct Coordinators {
-    every: Time,
-    all: Vec<Coordinator>,
-    /// How often the list of each had changed when its coordinator was told.
-    seen: Vec<u64>,
+    interval: Time,
+    coordinators: Vec<Coordinator>,
+    /// Revision of each balancer's upstream list that its coordinator received last.
+    listed_revisions: Vec<u64>,
     settings: Vec<CoordinatorSettings>,
     false_reporters: Vec<Option<FalseReport>>,
-    evacuated: EvacuationTracker,
+    tracker: EvacuationTracker,
 }
 
 impl Coordinators {
@@ -48,16 +48,16 @@
                 .for_each(|liar| *liar = Some(false_reporting.report));
         }
         Self {
-            every: of.interval.0,
-            all: settings.iter().cloned().map(Coordinator::new).collect(),
-            seen: vec![u64::MAX; balancers.len()],
-            evacuated: EvacuationTracker::new(scenario.zones.clone(), balancers.len()),
+            interval: of.interval.0,
+            coordinators: settings.iter().cloned().map(Coordinator::new).collect(),
+            listed_revisions: vec![u64::MAX; balancers.len()],
+            tracker: EvacuationTracker::new(scenario.zones.clone(), balancers.len()),
             settings,
             false_reporters,
         }
     }
 
-    /// What a liar sees, whatever it is.
+    /// Applies a balancer's false reporting, if it has any, to a completed attempt.
     fn falsify(
         &self,
         at: usize,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Hands a balancer's coordinator the end of an attempt, as the balancer reports it.
+    /// Passes a completed attempt to a balancer's coordinator, falsified if the balancer reports falsely.
     fn record_completed(&mut self, now: Time, at: usize, seen: &AttemptRecord) {
         let attempt = CompletedAttempt {
             id: AttemptId {
@@ -97,9 +97,9 @@
             outcome: seen.outcome,
             took: seen.elapsed,
         };
-        let zone_of = |server| self.all[at].zone_of(server);
+        let zone_of = |server| self.coordinators[at].zone_of(server);
         let attempt = self.falsify(at, zone_of, attempt);
-        self.all[at].record_completed(now, &attempt);
+        self.coordinators[at].record_completed(now, &attempt);
     }
 }
 
@@ -116,44 +116,44 @@
 }
 
 impl Simulation<'_> {
-    /// All of them begin.
-    pub(super) fn coordinators_begin(&mut self) {
+    /// Starts all coordinators.
+    pub(super) fn start_coordinators(&mut self) {
         let Some(of) = &self.scenario.evacuation else {
             return;
         };
         let coordinators = Coordinators::new(of, self.scenario, &self.balancers);
-        let every = coordinators.every;
+        let every = coordinators.interval;
         self.coordinators = Some(coordinators);
         for at in 0..self.balancers.len() {
-            self.coordinator_begins(at);
-            // Not all at once.
+            self.reset_coordinator(at);
+            // The first rounds are spread over one interval.
             let first = every * (at as Time + 1) / self.balancers.len() as Time;
             self.event_queue
                 .at(first.max(1), Event::CoordinatorTimer(at as u32));
         }
     }
 
-    /// A process of a balancer begins, and knows nothing.
-    pub(super) fn coordinator_begins(&mut self, at: usize) {
+    /// Replaces a balancer's coordinator by an empty one, as its process starts.
+    pub(super) fn reset_coordinator(&mut self, at: usize) {
         let Some(coordinators) = &mut self.coordinators else {
             return;
         };
-        coordinators.all[at] = Coordinator::new(coordinators.settings[at].clone());
-        coordinators.seen[at] = u64::MAX;
+        coordinators.coordinators[at] = Coordinator::new(coordinators.settings[at].clone());
+        coordinators.listed_revisions[at] = u64::MAX;
         coordinators
-            .evacuated
+            .tracker
             .balancer_started(self.event_queue.now(), at);
         self.balancers[at].agent.record_attempts();
     }
 
-    /// A balancer's coordinator has its turn.
-    pub(super) fn coordinator(&mut self, at: usize) {
+    /// Runs one round of a balancer's coordinator.
+    pub(super) fn coordinator_timer(&mut self, at: usize) {
         let now = self.event_queue.now();
         let Some(coordinators) = &self.coordinators else {
             return;
         };
         self.event_queue
-            .after(coordinators.every, Event::CoordinatorTimer(at as u32));
+            .after(coordinators.interval, Event::CoordinatorTimer(at as u32));
         if self.balancers[at].alive && self.paused_until(at).is_none() {
             let node = self
                 .members
@@ -177,12 +177,15 @@
             return Vec::new();
         };
         let balancer = &mut self.balancers[at];
-        let local = balancer.local(now);
+        let local = balancer.local_time(now);
         let observed = balancer.agent.take_attempt_records();
-        if let Some((changes, all)) = balancer.agent.listed_upstreams(coordinators.seen[at]) {
-            coordinators.seen[at] = changes;
+        if let Some((changes, all)) = balancer
+            .agent
+            .listed_upstreams(coordinators.listed_revisions[at])
+        {
+            coordinators.listed_revisions[at] = changes;
             let all = all.into_iter();
-            coordinators.all[at].set_servers(all.map(|of| ListedServer {
+            coordinators.coordinators[at].set_servers(all.map(|of| ListedServer {
                 server: of.server,
                 name: of.name,
                 boot_ms: of.boot_ms,
@@ -194,15 +197,15 @@
             coordinators.record_completed(now, at, &seen);
         }
         let outstanding = balancer.agent.attempts_in_flight(local).into_iter();
-        coordinators.all[at].record_pending(now, outstanding.map(pending_attempt));
-        let turn = coordinators.all[at].step(now, local / MS, node);
+        coordinators.coordinators[at].record_pending(now, outstanding.map(pending_attempt));
+        let turn = coordinators.coordinators[at].step(now, local / MS, node);
         for line in turn.lines {
             self.meter.log_line(&line.to_string());
         }
         for finding in &turn.verdicts {
             if let FailureDomain::Zone(zone, None) = finding.domain {
                 let share = f64::from(finding.share);
-                coordinators.evacuated.record_share_change(ShareChange {
+                coordinators.tracker.record_share_change(ShareChange {
                     at: now,
                     balancer: at as u32,
                     zone: zone.0,
@@ -210,7 +213,7 @@
                 });
             }
         }
-        // The module's clock is the balancer's own.
+        // Verdicts expire by the balancer's own clock.
         let until = |finding: &Finding| local + finding.until.saturating_sub(now);
         turn.verdicts
             .iter()
@@ -221,12 +224,12 @@
             .collect()
     }
 
-    /// What came of it.
-    pub(super) fn coordinators_end(&mut self) -> Option<crate::evacuation::EvacuationReport> {
+    /// Report on evacuation at the end of the run.
+    pub(super) fn finish_coordinators(&mut self) -> Option<crate::evacuation::EvacuationReport> {
         let coordinators = self.coordinators.take()?;
         Some(
             coordinators
-                .evacuated
+                .tracker
                 .end(self.event_queue.now().min(self.scenario.duration.0)),
         )
     }
--- a/crates/emulator/src/world/dispatch.rs
+++ b/crates/emulator/src/world/dispatch.rs
@@ -1,26 +1,26 @@
-//! How an attempt leaves a balancer: its costs, its connection, and its way to the upstream.
+//! Sends an attempt from a balancer: costs, connection, and path to the upstream.
 
 use super::*;
 
-/// The connection that an attempt goes out on.
+/// Connection that an attempt is sent on.
 struct Outgoing {
-    /// Epoch of the balancer's pool for that host.
+    /// Epoch of the balancer's connection pool for the host.
     epoch: u32,
-    /// It was open before.
+    /// The connection was open before.
     reused: bool,
-    /// The balancer may have it: it is open, or one more may be opened.
+    /// The connection is open, or the balancer may open another one.
     available: bool,
     /// The upstream accepts no more connections.
     refused: bool,
 }
 
-/// What becomes of an attempt on its way, and after how long, in nanoseconds.
+/// Fate of an attempt on the network. Times are nanoseconds after the send.
 enum Transit {
-    /// It gets lost without notice.
+    /// The attempt is lost; the balancer is not notified.
     Lost,
-    /// The balancer hears of a failure.
+    /// The balancer learns of a failure after this time.
     Failed(Time, Outcome),
-    /// It reaches the upstream.
+    /// The attempt reaches the upstream after this time.
     Arrives(Time),
 }
 
@@ -30,14 +30,14 @@
         let host = Self::host_by_address(send.to.address);
         let request = self.request_by_id(send.id);
         self.auditor.sent(now, request, at, host);
-        let Some(&upstream) = self.hosts.get(host as usize) else {
+        let Some(&upstream) = self.upstream_by_host.get(host as usize) else {
             return;
         };
         let upstream = upstream as usize;
         let Some(known) = self.requests.get_mut(request) else {
             return;
         };
-        known.attempts += 1;
+        known.live_attempts += 1;
         let client_call = known.client_call;
         self.count_attempt(at, upstream, host, send.attempt);
         let server = send.to.server.0 as usize;
@@ -50,24 +50,24 @@
             host,
             process: self.upstreams[upstream].process,
             epoch: outgoing.epoch,
-            out: true,
-            there: true,
-            socket: outgoing.available && !outgoing.refused,
-            fresh: !outgoing.reused,
-            calls: 0,
-            spoilt: false,
-            sent: now,
+            end_pending: true,
+            in_progress: true,
+            holds_connection: outgoing.available && !outgoing.refused,
+            new_connection: !outgoing.reused,
+            open_downstream_calls: 0,
+            downstream_failed: false,
+            sent_at: now,
         });
         if let Some(known) = self.requests.get_mut(request) {
-            known.out.push((send.attempt, number));
+            known.pending_attempts.push((send.attempt, number));
         }
         let name = &self.upstreams[upstream].name;
         let text = format!(
             "balancer {at} sends attempt {} to {name} (host {host})",
             send.attempt
         );
-        self.record_story(client_call, || text);
-        let until = self.balancers[at].world(send.until);
+        self.record_trace(client_call, || text);
+        let until = self.balancers[at].simulated_time(send.until);
         self.event_queue.at(until, Event::AttemptExpired(number));
         let transit = if outgoing.available {
             self.transit(at, upstream, client_call, &outgoing)
@@ -77,7 +77,7 @@
         self.schedule_transit(number, transit);
     }
 
-    /// Counts an attempt, and what it costs.
+    /// Counts an attempt and its costs.
     fn count_attempt(&mut self, at: usize, upstream: usize, host: u32, attempt: u32) {
         let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
         let crosses_zones = self.balancers[at].zone != self.upstreams[upstream].zone;
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Takes an idle connection to the upstream, or opens one. `server` is the balancer's own number for it.
+    /// Takes an idle connection to the upstream or opens a new one. `server` is the balancer's own number for
+    /// the upstream.
     fn open_connection(
         &mut self,
         at: usize,
@@ -100,7 +101,7 @@
     ) -> Outgoing {
         self.remember_host(at, host, server);
         let (epoch, reused) = self.take_idle(at, upstream, host as usize);
-        let available = reused || self.may_open(at);
+        let available = reused || self.make_room_for_connection(at);
         let refused = !reused && available && self.connect(at, upstream);
         Outgoing {
             epoch,
@@ -113,17 +114,17 @@
     fn remember_host(&mut self, at: usize, host: u32, server: usize) {
         let balancer = &mut self.balancers[at];
         if balancer.pools.len() <= host as usize {
-            let hosts = self.hosts.len().max(host as usize + 1);
+            let hosts = self.upstream_by_host.len().max(host as usize + 1);
             balancer.pools.resize(hosts, ConnectionPool::default());
         }
-        if balancer.hosts.len() <= server {
-            balancer.hosts.resize(server + 1, u32::MAX);
+        if balancer.host_by_server.len() <= server {
+            balancer.host_by_server.resize(server + 1, u32::MAX);
         }
-        balancer.hosts[server] = host;
+        balancer.host_by_server[server] = host;
     }
 
-    /// Takes an idle connection, if one to the present process is young enough; closes what is not. The epoch of
-    /// the pool, and whether there was one.
+    /// Takes an idle connection to the present process if it is younger than the idle timeout, and closes
+    /// expired ones. Returns the pool's epoch and whether a connection was reused.
     fn take_idle(&mut self, at: usize, upstream: usize, host: usize) -> (u32, bool) {
         let now = self.event_queue.now();
         let (alive, process) = (
@@ -149,14 +150,14 @@
             closed += std::mem::take(&mut pool.idle);
         }
         let epoch = pool.epoch;
-        self.closed(at, host, former, closed);
+        self.connections_closed(at, host, former, closed);
         (epoch, reused)
     }
 
-    /// Opens a connection, and tells whether the upstream refuses it.
+    /// Opens a connection; returns `true` if the upstream refuses it.
     fn connect(&mut self, at: usize, upstream: usize) -> bool {
         let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
-        self.balancers[at].open += 1;
+        self.balancers[at].open_connections += 1;
         let refused = self.upstreams[upstream].alive && !self.upstreams[upstream].connect();
         let cost = if refused {
             Cost::ConnectionsRefused
@@ -165,13 +166,13 @@
         };
         self.costs.pay(now, tier, cost, at);
         if refused {
-            self.balancers[at].open -= 1; // refused before it was one
+            self.balancers[at].open_connections -= 1; // a refused connection does not count as open
         }
         refused
     }
 
-    /// Draws what becomes of an attempt on its way. A list may name a process that is no longer there; what listens
-    /// at its address takes the request.
+    /// Draws the fate of an attempt on the network. A stale list may name a process that has been replaced; the
+    /// process that listens at the address receives the request.
     fn transit(
         &mut self,
         at: usize,
@@ -182,7 +183,7 @@
         let scenario = self.scenario;
         let delay = self.delay(at, upstream, true);
         let lost = self.is_lost(at, upstream, true);
-        let reset = chance(&mut self.balancers[at].network, scenario.network.resets);
+        let reset = chance(&mut self.balancers[at].network_rng, scenario.network.resets);
         let trips = Time::from(
             scenario.tier[self.balancers[at].tier]
                 .connections
@@ -209,7 +210,7 @@
         }
     }
 
-    /// How long the body of a call takes on the network, in nanoseconds.
+    /// Transfer time of a call's body, in nanoseconds.
     fn body_time(&self, client_call: u64) -> Time {
         let rate = self.scenario.network.bytes_per_second;
         if rate <= 0.0 {
--- a/crates/emulator/src/world/entities.rs
+++ b/crates/emulator/src/world/entities.rs
@@ -1,5 +1,4 @@
-//! What a run keeps while it goes on: calls, requests, attempts, balancers with their connections, and what is under
-//! way.
+//! State of a run: client calls, requests, attempts, balancers with their connections, and messages in transit.
 
 use super::EPOCH;
 use crate::agent::BoxedAgent;
@@ -9,33 +8,33 @@
 use std::collections::VecDeque;
 use woadstall_engine::{Lifecycle, ServerId, Time};
 
-/// One thing that a caller, or an upstream, wants done.
+/// One operation that a caller or an upstream wants done, including its retries.
 pub(super) struct ClientCall {
     pub(super) class: usize,
-    /// The group of callers, or none for an upstream's.
+    /// Group of the caller; `None` for a call from an upstream.
     pub(super) group: Option<u32>,
-    /// The attempt that an upstream calls for.
+    /// Attempt on whose behalf an upstream makes the call.
     pub(super) parent: Option<u64>,
     pub(super) closed_loop: bool,
-    pub(super) born: Time,
+    pub(super) created_at: Time,
     pub(super) deadline: Time,
-    pub(super) tries: u32,
-    /// Requests of it that are not over.
-    pub(super) requests: u32,
-    pub(super) closed: bool,
+    pub(super) send_count: u32,
+    /// Requests of this call that are still open.
+    pub(super) open_requests: u32,
+    pub(super) concluded: bool,
     pub(super) measured: bool,
-    /// The connection that its caller has asked on.
+    /// Connection that the caller sent the request on.
     pub(super) connection: Option<CallerConnection>,
-    /// Groups of upstreams in which it ran, and when.
-    pub(super) seen: SmallVec<[(u32, Time); 1]>,
+    /// Deduplication groups of upstreams in which the call ran, with the time of execution.
+    pub(super) executed_groups: SmallVec<[(u32, Time); 1]>,
 }
 
 pub(super) struct Request {
     pub(super) client_call: u64,
     pub(super) balancer: u32,
     pub(super) answered: bool,
-    pub(super) attempts: u32,
-    pub(super) out: SmallVec<[(u32, u64); 1]>,
+    pub(super) live_attempts: u32,
+    pub(super) pending_attempts: SmallVec<[(u32, u64); 1]>,
 }
 
 pub(super) struct Attempt {
@@ -45,22 +44,22 @@
     pub(super) upstream: u32,
     pub(super) host: u32,
     pub(super) process: u32,
-    /// Epoch of the connections to that upstream when it was sent.
+    /// Epoch of the connection pool when the attempt was sent.
     pub(super) epoch: u32,
-    /// The balancer has not been told its end.
-    pub(super) out: bool,
-    /// Something of it is under way, waits or is worked on.
-    pub(super) there: bool,
-    /// It has a connection, and that is a new one.
-    pub(super) socket: bool,
-    pub(super) fresh: bool,
-    /// Calls to the next tier that are not answered, and whether one went wrong.
-    pub(super) calls: u32,
-    pub(super) spoilt: bool,
-    pub(super) sent: Time,
+    /// The balancer has not received the outcome.
+    pub(super) end_pending: bool,
+    /// The attempt is on the network, queued, or being processed.
+    pub(super) in_progress: bool,
+    /// The attempt occupies a connection.
+    pub(super) holds_connection: bool,
+    pub(super) new_connection: bool,
+    /// Calls to the next tier that are not answered yet.
+    pub(super) open_downstream_calls: u32,
+    pub(super) downstream_failed: bool,
+    pub(super) sent_at: Time,
 }
 
-/// The connections of a balancer to one host.
+/// Connections from a balancer to one host.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ConnectionPool {
     pub(super) epoch: u32,
@@ -73,47 +72,48 @@
     pub(super) tier: usize,
     pub(super) zone: u8,
     pub(super) agent: BoxedAgent,
-    /// Its clock: what it is ahead by, and goes faster by.
-    pub(super) ahead: i64,
-    pub(super) drift: f64,
-    pub(super) network: ChaCha8Rng,
-    pub(super) registry: ChaCha8Rng,
-    pub(super) seeds: ChaCha8Rng,
+    /// Clock offset in nanoseconds; positive if the clock is ahead.
+    pub(super) clock_offset: i64,
+    pub(super) clock_drift: f64,
+    pub(super) network_rng: ChaCha8Rng,
+    pub(super) registry_rng: ChaCha8Rng,
+    pub(super) seed_rng: ChaCha8Rng,
     pub(super) pools: Vec<ConnectionPool>,
-    /// Connections that are open, idle or not, over HTTP/1.1.
-    pub(super) open: u32,
-    /// The host of each server that it has sent to, by its own number for it.
-    pub(super) hosts: Vec<u32>,
-    pub(super) planned: Time,
+    /// Open connections over HTTP/1.1, idle and busy.
+    pub(super) open_connections: u32,
+    /// Host of each server that the balancer sent to, by the balancer's own number for the server.
+    pub(super) host_by_server: Vec<u32>,
+    pub(super) planned_tick: Time,
     pub(super) alive: bool,
     pub(super) incarnation: u32,
-    pub(super) stalled_until: Time,
-    /// It is dealt no new connections, and answers what it holds.
-    pub(super) leaving: bool,
-    /// It is told of changes of the list.
+    pub(super) resume_at: Time,
+    /// The balancer drains: it gets no new connections, and answers its open requests.
+    pub(super) draining: bool,
+    /// The balancer receives changes of the upstream list.
     pub(super) subscribed: bool,
-    /// Changes of the list that it was told of.
+    /// Number of list changes that the balancer has applied.
     pub(super) applied_changes: u32,
-    /// Updates on their way: when each comes, and how many changes it covers. What comes at once is one list.
+    /// Updates in transit: arrival time, and the number of changes they cover. Updates that arrive at the same
+    /// time are merged.
     pub(super) updates: VecDeque<(Time, u32)>,
 }
 
 impl Balancer {
-    pub(super) fn local(&self, now: Time) -> Time {
-        let drifted = (now as f64 * self.drift) as i64;
-        (EPOCH + now).saturating_add_signed(self.ahead + drifted)
+    pub(super) fn local_time(&self, now: Time) -> Time {
+        let drifted = (now as f64 * self.clock_drift) as i64;
+        (EPOCH + now).saturating_add_signed(self.clock_offset + drifted)
     }
 
-    /// When its clock shows a time.
-    pub(super) fn world(&self, local: Time) -> Time {
+    /// Simulated time at which this balancer's clock shows `local`.
+    pub(super) fn simulated_time(&self, local: Time) -> Time {
         let passed = local
-            .saturating_add_signed(-self.ahead)
+            .saturating_add_signed(-self.clock_offset)
             .saturating_sub(EPOCH);
-        (passed as f64 / (1.0 + self.drift)).round() as Time
+        (passed as f64 / (1.0 + self.clock_drift)).round() as Time
     }
 }
 
-/// A probe that is out.
+/// A health probe without an answer yet.
 pub(super) struct PendingProbe {
     pub(super) balancer: u32,
     pub(super) incarnation: u32,
@@ -129,7 +129,7 @@
     pub(super) boot_ms: u64,
 }
 
-/// What a fault of the script hits, drawn as it begins; numbers rise.
+/// Targets of a scenario's fault, drawn when the fault begins, in ascending order.
 pub(super) struct FaultTargets {
     pub(super) rng: ChaCha8Rng,
     pub(super) upstreams: Vec<u32>,
--- a/crates/emulator/src/world/event.rs
+++ b/crates/emulator/src/world/event.rs
@@ -1,20 +1,20 @@
-//! What can happen in a run, each at its time.
+//! Events of the simulation.
 
 use woadstall_engine::{Outcome, Time};
 
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// A group's next call.
+    /// The next call of a group of callers.
     CallArrives(u32),
-    /// One of a crowd calls.
+    /// The next call of a closed-loop caller.
     ClosedLoopCall(u32),
-    /// A caller asks again.
+    /// A caller retries a call.
     CallerRetries(u64),
-    /// A balancer that stood still reads a request.
-    BalancerQueries(u64),
+    /// A request reaches a balancer that was paused.
+    RequestReaches(u64),
     /// An attempt reaches its upstream.
     AttemptArrived(u64),
-    /// An upstream is done with its own work on an attempt.
+    /// An upstream has finished its own work on an attempt.
     WorkFinished {
         attempt: u64,
         upstream: u32,
@@ -25,25 +25,25 @@
         attempt: u64,
         outcome: Outcome,
     },
-    /// An attempt's time is over.
+    /// An attempt's timeout has expired.
     AttemptExpired(u64),
-    /// A balancer's timers are due.
+    /// A balancer's timer is due.
     AgentTimer {
         balancer: u32,
         at: Time,
     },
-    /// A balancer hears of changes of the list.
+    /// A change of the upstream list reaches a balancer.
     RegistryUpdate {
         balancer: u32,
         incarnation: u32,
     },
-    /// A balancer's read of the list is answered, or has failed.
+    /// A balancer's read of the upstream list has succeeded or failed.
     QueryCompleted {
         balancer: u32,
         incarnation: u32,
-        well: bool,
+        succeeded: bool,
     },
-    /// A probe reaches its upstream, and is over.
+    /// A probe reaches its upstream.
     ProbeArrives {
         probe: u64,
     },
@@ -51,54 +51,54 @@
         probe: u64,
         in_flight: Option<u32>,
     },
-    /// The front notices that a balancer is out, or back.
+    /// The front detects that a balancer is down, or up again.
     FrontNoticed {
         balancer: u32,
         incarnation: u32,
         out: bool,
     },
-    /// A balancer's part of a roll: it drains, and is replaced.
+    /// A balancer's turn in a rolling restart: it drains first, and is replaced then.
     RollBalancer {
         balancer: u32,
         incarnation: u32,
         drained: bool,
     },
-    /// A fault begins, or ends.
+    /// A fault begins or ends.
     FaultChanges {
         fault: u32,
         begins: bool,
     },
-    /// An upstream's part of a roll: told to drain, dies, comes back.
+    /// An upstream's turn in a rolling restart: it is listed as draining first, and is killed then.
     RollUpstream {
         upstream: u32,
         step: u8,
         fault: u32,
     },
-    /// An upstream that fell over comes back.
+    /// An upstream comes back after an overload or a restart.
     UpstreamBoots(u32),
-    /// The registry notices a death.
+    /// The registry detects the death of an upstream's process.
     DeathNoticed {
         upstream: u32,
         process: u32,
     },
-    /// A balancer is back.
+    /// A balancer starts again.
     BalancerStarts {
         balancer: u32,
         stale: Time,
     },
-    /// A step of the timeline.
+    /// A step of the timeline ends.
     EndOfStep,
-    /// A balancer's turn as a member among the others.
+    /// The timer of a balancer's membership node is due.
     MemberTimer {
         balancer: u32,
         at: Time,
     },
-    /// What one has sent to another arrives.
+    /// A membership message arrives.
     MessageArrives(u64),
-    /// One looks whether those that it suspects listen.
+    /// A membership node checks whether a process listens at the addresses of its suspects.
     CheckSuspects(u32),
-    /// It is looked at how cut ways are named.
+    /// The members' reports of partitioned paths are recorded.
     RecordPathReports,
-    /// A balancer's turn to weigh what all have told.
+    /// The next round of a balancer's evacuation coordinator.
     CoordinatorTimer(u32),
 }
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! The script of faults.
+//! Applies the scenario's faults.
 
 use super::*;
 
@@ -7,7 +7,7 @@
         if begins {
             self.draw_targets(at);
         }
-        let targets = &self.faults[at];
+        let targets = &self.fault_targets[at];
         let (upstreams, balancers) = (targets.upstreams.clone(), targets.balancers.clone());
         let fault = &self.scenario.fault[at];
         match &fault.kind {
@@ -20,20 +20,20 @@
             | FaultKind::RollBalancers
             | FaultKind::PauseBalancers => self.balancer_fault(at, begins, &balancers),
             FaultKind::PowerLoss { stale, over, .. } => match begins {
-                true => self.power_lost(&upstreams, &balancers),
-                false => self.power_returns(at, &upstreams, &balancers, (stale.0, over.0)),
+                true => self.lose_power(&upstreams, &balancers),
+                false => self.restore_power(at, &upstreams, &balancers, (stale.0, over.0)),
             },
             FaultKind::RegistrySilent => self.registry_outage(begins),
             FaultKind::PartitionTo | FaultKind::PartitionFrom => self.partition(at, begins),
-            // Looked up where something is sent.
-            FaultKind::Link(_) | FaultKind::MemberLink(_) => self.members_partitioned(),
+            // Link faults are evaluated at each send.
+            FaultKind::Link(_) | FaultKind::MemberLink(_) => self.update_member_partitions(),
             _ => upstreams
                 .iter()
                 .for_each(|&upstream| self.refresh_upstream_faults(upstream, at, begins)),
         }
     }
 
-    /// The tier that a fault is in, and its zone; `None` for all zones.
+    /// Tier and zone of a fault; the zone is `None` for all zones.
     fn scope(&self, at: usize) -> (usize, Option<u8>) {
         let fault = &self.scenario.fault[at];
         let tier = fault.tier.as_ref();
@@ -41,7 +41,7 @@
         (tier, self.scenario.zone(&fault.zone).unwrap_or(None))
     }
 
-    /// Draws the upstreams and balancers that a fault hits.
+    /// Draws the upstreams and balancers that a fault affects.
     fn draw_targets(&mut self, at: usize) {
         let (tier, zone) = self.scope(at);
         let is_within = |of: usize, there: u8| of == tier && zone.is_none_or(|zone| zone == there);
@@ -56,18 +56,18 @@
             .map(|(number, _)| number)
             .collect();
         let part = self.scenario.fault[at].part;
-        let targets = &mut self.faults[at];
+        let targets = &mut self.fault_targets[at];
         targets.upstreams = sample(&mut targets.rng, &upstreams, part);
         targets.balancers = sample(&mut targets.rng, &balancers, part);
     }
 
-    /// How long a fault lasts, in nanoseconds.
-    fn duration(&self, at: usize) -> Time {
+    /// Duration of a fault, in nanoseconds.
+    fn fault_duration(&self, at: usize) -> Time {
         let fault = &self.scenario.fault[at];
         fault.until.unwrap_or(self.scenario.duration).0 - fault.at.0
     }
 
-    /// Upstreams die, are rolled, or are listed as removed.
+    /// Applies faults that kill upstreams, restart them one by one, or list them as removed.
     fn upstream_fault(&mut self, at: usize, begins: bool, upstreams: &[u32]) {
         match (&self.scenario.fault[at].kind, begins) {
             (FaultKind::Kill { done }, true) => upstreams
@@ -77,7 +77,7 @@
                 .iter()
                 .for_each(|&upstream| self.boot_upstream(upstream as usize)),
             (FaultKind::Roll | FaultKind::Replace, true) => {
-                let half = self.duration(at) / 2;
+                let half = self.fault_duration(at) / 2;
                 for (turn, &upstream) in upstreams.iter().enumerate() {
                     let wait = half * turn as Time / upstreams.len().max(1) as Time;
                     let (step, fault) = (0, at as u32);
@@ -89,13 +89,13 @@
                     self.event_queue.after(wait, event);
                 }
             }
-            (FaultKind::RegistryWrong, _) => self.list_wrongly(begins, upstreams),
+            (FaultKind::RegistryWrong, _) => self.set_falsely_removed(begins, upstreams),
             _ => {}
         }
     }
 
-    /// Upstreams that are well are listed as removed, or as ready again.
-    fn list_wrongly(&mut self, begins: bool, upstreams: &[u32]) {
+    /// Lists healthy upstreams as removed when the fault begins, and as ready again when it ends.
+    fn set_falsely_removed(&mut self, begins: bool, upstreams: &[u32]) {
         let lifecycle = if begins {
             Lifecycle::Removed
         } else {
@@ -109,12 +109,12 @@
         }
     }
 
-    /// Balancers restart, are rolled or stand still, or their clocks step.
+    /// Applies faults of balancers: restarts, rolling restarts, pauses, and clock steps.
     fn balancer_fault(&mut self, at: usize, begins: bool, balancers: &[u32]) {
         match (&self.scenario.fault[at].kind, begins) {
             (FaultKind::ClockStep(step), true) => {
                 for &balancer in balancers {
-                    self.balancers[balancer as usize].ahead += step.0 as i64;
+                    self.balancers[balancer as usize].clock_offset += step.0 as i64;
                 }
             }
             (FaultKind::Restart { .. }, true) => balancers
@@ -132,19 +132,19 @@
                 let until = self.scenario.fault[at].until;
                 let until = until.unwrap_or(self.scenario.duration).0;
                 for &balancer in balancers {
-                    self.balancers[balancer as usize].stalled_until = until;
+                    self.balancers[balancer as usize].resume_at = until;
                 }
-                self.stalled = self.stalled.max(until);
-                self.members_paused(balancers, true);
+                self.latest_resume_at = self.latest_resume_at.max(until);
+                self.set_members_paused(balancers, true);
             }
-            (FaultKind::PauseBalancers, false) => self.members_paused(balancers, false),
+            (FaultKind::PauseBalancers, false) => self.set_members_paused(balancers, false),
             _ => {}
         }
     }
 
-    /// Balancers are told to stop one after another, each at its part of the fault's time.
+    /// Schedules a rolling restart: the balancers' turns are spread evenly over the fault's duration.
     fn plan_balancer_roll(&mut self, at: usize, balancers: &[u32]) {
-        let time = self.duration(at);
+        let time = self.fault_duration(at);
         for (turn, &balancer) in balancers.iter().enumerate() {
             let wait = time * turn as Time / balancers.len().max(1) as Time;
             let event = Event::RollBalancer {
@@ -156,11 +156,11 @@
         }
     }
 
-    /// Upstreams die in one instant with the balancers that send to them.
-    fn power_lost(&mut self, upstreams: &[u32], balancers: &[u32]) {
+    /// Kills upstreams and the balancers that send to them at the same instant.
+    fn lose_power(&mut self, upstreams: &[u32], balancers: &[u32]) {
         balancers
             .iter()
-            .for_each(|&balancer| self.member_ends(balancer as usize, false, false));
+            .for_each(|&balancer| self.stop_member(balancer as usize, false, false));
         upstreams
             .iter()
             .for_each(|&upstream| self.kill_upstream(upstream as usize, false));
@@ -169,8 +169,9 @@
             .for_each(|&balancer| self.stop_balancer(balancer as usize));
     }
 
-    /// Upstreams boot one after another over a time, and balancers start with a list that is so old.
-    fn power_returns(
+    /// Boots upstreams one after another over `over`, and starts balancers with an upstream list of age
+    /// `stale`.
+    fn restore_power(
         &mut self,
         at: usize,
         upstreams: &[u32],
@@ -183,7 +184,7 @@
         }
         let (tier, _) = self.scope(at);
         if self.scenario.tier[tier].sidecar {
-            return; // they start with their upstreams
+            return; // sidecars start with their upstreams
         }
         for &balancer in balancers {
             let event = Event::BalancerStarts { balancer, stale };
@@ -205,19 +206,19 @@
         }
     }
 
-    /// A zone's upstreams are cut off from other zones, one way.
+    /// Partitions a zone's upstreams from other zones in one direction.
     fn partition(&mut self, at: usize, begins: bool) {
         let (_, zone) = self.scope(at);
         let is_to = self.scenario.fault[at].kind == FaultKind::PartitionTo;
         let partition = (zone.unwrap_or(0), is_to);
         if begins {
-            self.partitions.push(partition);
+            self.partitioned_zones.push(partition);
         } else {
-            self.partitions.retain(|other| *other != partition);
+            self.partitioned_zones.retain(|other| *other != partition);
         }
     }
 
-    /// What is wrong with an upstream, from all faults that hit it now.
+    /// Recomputes an upstream's active faults from all faults that affect it now.
     pub(super) fn refresh_upstream_faults(&mut self, upstream: u32, changed: usize, begins: bool) {
         let now = self.event_queue.now();
         let mut active_faults = UpstreamFaults::default();
@@ -226,7 +227,12 @@
                 true => begins,
                 false => fault.is_active(now),
             };
-            if !active || self.faults[at].upstreams.binary_search(&upstream).is_err() {
+            if !active
+                || self.fault_targets[at]
+                    .upstreams
+                    .binary_search(&upstream)
+                    .is_err()
+            {
                 continue;
             }
             match &fault.kind {
@@ -250,8 +256,9 @@
             self.upstreams[upstream as usize].active_faults.stopped && !active_faults.stopped;
         self.upstreams[upstream as usize].active_faults = active_faults;
         if goes_on {
-            // All at once: what came meanwhile, and what would have been done.
-            let waiting = std::mem::take(&mut self.stopped[upstream as usize]);
+            // A resumed process handles at once the messages that arrived and the work that ended during the
+            // suspension.
+            let waiting = std::mem::take(&mut self.suspended_events[upstream as usize]);
             waiting
                 .into_iter()
                 .for_each(|event| self.event_queue.after(0, event));
@@ -265,7 +272,7 @@
             0 => {
                 self.upstreams[at].draining = true;
                 self.change_registry(upstream, Lifecycle::Draining);
-                // The update's way, the second that rule 3 allows, and the work.
+                // Propagation of the update, the one second that rule 3 allows, and the longest request.
                 let registry = &self.scenario.registry;
                 let wait = registry.delay.0 + registry.jitter.0 + SECOND + longest;
                 self.event_queue.after(
@@ -280,7 +287,7 @@
             _ => {
                 self.kill_upstream(at, false);
                 if self.scenario.fault[fault].kind == FaultKind::Replace {
-                    return self.replace(upstream);
+                    return self.replace_upstream(upstream);
                 }
                 self.event_queue
                     .after(SECOND, Event::UpstreamBoots(upstream));
@@ -288,8 +295,8 @@
         }
     }
 
-    /// A new upstream at the address of one that is gone.
-    pub(super) fn replace(&mut self, old: u32) {
+    /// Starts a new upstream at the address of a removed one.
+    pub(super) fn replace_upstream(&mut self, old: u32) {
         self.change_registry(old, Lifecycle::Removed);
         let (now, number) = (self.event_queue.now(), self.upstreams.len() as u32);
         let gone = &self.upstreams[old as usize];
@@ -299,32 +306,33 @@
         let mut upstream = Upstream::new(name, tier, &self.scenario.tier[tier], place, rng);
         upstream.process = gone.process;
         upstream.boot(now);
-        self.hosts[place.2 as usize] = number;
+        self.upstream_by_host[place.2 as usize] = number;
         self.upstreams.push(upstream);
-        self.stopped.push(Vec::new());
+        self.suspended_events.push(Vec::new());
         self.start_sidecar(number as usize);
         self.change_registry(number, Lifecycle::Ready);
     }
 
-    /// A balancer's process dies, with all that it holds.
+    /// Kills a balancer's process, which loses its whole state.
     pub(super) fn stop_balancer(&mut self, at: usize) {
         let balancer = &mut self.balancers[at];
         if !std::mem::replace(&mut balancer.alive, false) {
             return;
         }
         balancer.incarnation += 1;
-        self.member_ends(at, false, true);
+        self.stop_member(at, false, true);
         let balancer = &mut self.balancers[at];
-        (balancer.leaving, balancer.subscribed) = (false, self.scenario.registry.queries.is_none());
+        (balancer.draining, balancer.subscribed) =
+            (false, self.scenario.registry.queries.is_none());
         let links = std::mem::take(&mut balancer.pools);
-        balancer.open = 0;
-        balancer.hosts.clear();
+        balancer.open_connections = 0;
+        balancer.host_by_server.clear();
         balancer.updates.clear();
-        balancer.planned = Time::MAX;
+        balancer.planned_tick = Time::MAX;
         let out = self
             .attempts
             .iter()
-            .filter(|(_, a)| a.balancer as usize == at && a.out);
+            .filter(|(_, a)| a.balancer as usize == at && a.end_pending);
         let out: Vec<u64> = out.map(|(number, _)| number).collect();
         let held = self
             .requests
@@ -341,25 +349,21 @@
             if let Some(request) = self.requests.get_mut(number) {
                 request.answered = true;
             }
-            self.record_story(client_call, || format!("balancer {at} dies with it"));
+            self.record_trace(client_call, || format!("balancer {at} dies with it"));
             self.client_call_answered(client_call, &CallResult::Failed);
             self.forget_request(number);
         }
-        let agent = self.agent(at);
+        let agent = self.new_agent(at);
         self.balancers[at].agent = agent;
-        // Its connections are reset; those of attempts were closed with these.
+        // Idle connections are reset here; busy ones were closed with their attempts.
         for (host, links) in links.iter().enumerate().filter(|(_, links)| links.idle > 0) {
-            self.closed(at, host, links.process, links.idle);
+            self.connections_closed(at, host, links.process, links.idle);
         }
         if let Some(front) = &mut self.front {
             front.close(at as u32);
-            let (detection_delay, incarnation) = (
-                self.scenario
-                    .front
-                    .as_ref()
-                    .map_or(0, |f| f.detection_delay.0),
-                self.balancers[at].incarnation,
-            );
+            let config = self.scenario.front.as_ref();
+            let detection_delay = config.map_or(0, |config| config.detection_delay.0);
+            let incarnation = self.balancers[at].incarnation;
             self.event_queue.after(
                 detection_delay,
                 Event::FrontNoticed {
@@ -375,12 +379,12 @@
         if self.balancers[at].alive {
             return;
         }
-        // A process that has just started knows that it has: what it allows itself as such counts from now.
-        let agent = self.agent(at);
+        // The agent is created at the start of the process, so that its start-up allowances count from now.
+        let agent = self.new_agent(at);
         let balancer = &mut self.balancers[at];
         (balancer.agent, balancer.alive) = (agent, true);
         self.auditor.balancer_restarted(at);
-        self.member_begins(at);
+        self.start_member(at);
         self.send_full_list(at, stale);
         if self.front.is_some() {
             let incarnation = self.balancers[at].incarnation;
@@ -388,27 +392,29 @@
         }
     }
 
-    /// The front notices that a incarnation of a balancer is over, unless the next has begun, or that one has begun.
+    /// Tells the front that an incarnation of a balancer is down or up. A report on an earlier incarnation is
+    /// dropped.
     pub(super) fn front_noticed(&mut self, at: usize, incarnation: u32, out: bool) {
         let balancer = &self.balancers[at];
-        if balancer.incarnation == incarnation && (!out || !balancer.alive || balancer.leaving) {
+        if balancer.incarnation == incarnation && (!out || !balancer.alive || balancer.draining) {
             self.front
                 .iter_mut()
                 .for_each(|front| front.set_out(at as u32, out));
         }
     }
 
-    /// A balancer is told to stop: it is dealt nothing new, answers what it holds, and another process follows.
+    /// Rolling restart of one balancer: it gets no new connections and answers its open requests, and then a
+    /// new process takes its place.
     pub(super) fn roll_balancer(&mut self, at: usize, incarnation: u32, drained: bool) {
         if self.balancers[at].incarnation != incarnation || !self.balancers[at].alive {
             return;
         }
         if drained {
-            self.member_ends(at, true, true);
+            self.stop_member(at, true, true);
             self.stop_balancer(at);
             return self.start_balancer(at, 0);
         }
-        self.balancers[at].leaving = true;
+        self.balancers[at].draining = true;
         self.front_noticed(at, incarnation, true);
         self.front
             .iter_mut()
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -1,4 +1,4 @@
-//! Membership: a node of the shipped crate in each balancer, over the run's network.
+//! Membership: each balancer runs a node of the shipped crate over the simulated network.
 
 use super::*;
 use crate::observer::{MemberView, MembershipObserver, MembershipReport};
@@ -9,37 +9,38 @@
     PathState, Settings,
 };
 
-/// Members that a new one asks.
+/// Number of members that a new node contacts first.
 const SEEDS: u32 = 3;
-/// A process looks this often whether one listens where it suspects another.
-const LOOK: Time = SECOND;
-/// What a lost piece of a stream costs.
-const SENT_AGAIN: Time = 200 * MS;
+/// Interval at which a node checks whether its suspects still accept connections.
+const CONNECTION_CHECK_INTERVAL: Time = SECOND;
+/// Delay of a reliable message whose first transmission was lost.
+const RETRANSMISSION_DELAY: Time = 200 * MS;
 const PORT: u16 = 7_946;
 
-/// What one has sent to another and is under way.
+/// A membership message in transit.
 struct PendingMessage {
     to: u32,
     bytes: Vec<u8>,
 }
 
-/// See the module's documentation.
+/// Membership nodes of all balancers, with their messages in transit.
 pub(super) struct MembershipSimulation {
     settings: Settings,
     nodes: Vec<Option<Node>>,
-    planned: Vec<Time>,
-    /// Whether it looks for those that it suspects.
-    looks: Vec<bool>,
-    /// Its machine has power, so that it says where no process listens.
-    power: Vec<bool>,
-    chance: Vec<ChaCha8Rng>,
+    planned_ticks: Vec<Time>,
+    /// Whether a connection check is scheduled, by balancer.
+    check_planned: Vec<bool>,
+    /// Whether a balancer's machine has power. A machine with power refuses connections to a process that has
+    /// ended.
+    machine_powered: Vec<bool>,
+    rngs: Vec<ChaCha8Rng>,
     by_name: std::collections::HashMap<Name, u32>,
     messages: SequenceMap<PendingMessage>,
     observer: MembershipObserver,
-    /// The incarnation that each had last.
+    /// Latest incarnation of each member.
     last_incarnation: Vec<Option<Generation>>,
-    /// Bytes that former incarnations have sent.
-    bytes: Vec<u64>,
+    /// Bytes that each member's earlier incarnations sent.
+    former_bytes_sent: Vec<u64>,
 }
 
 fn name(of: u32) -> Name {
@@ -57,11 +58,15 @@
     }
 }
 
-/// The number of each balancer by its name as a member.
-type Numbers = std::collections::HashMap<Name, u32>;
+/// Number of each balancer, by its member name.
+type NumbersByName = std::collections::HashMap<Name, u32>;
 
-/// Takes a member's events: whether it suspects another, and what it holds of those that the events are about.
-fn drain_events(node: &mut Node, by_name: &Numbers) -> (bool, Vec<(usize, Option<MemberStatus>)>) {
+/// Drains a node's events. Returns whether the node newly suspects a member, and its present status of each
+/// member that an event names.
+fn drain_events(
+    node: &mut Node,
+    by_name: &NumbersByName,
+) -> (bool, Vec<(usize, Option<MemberStatus>)>) {
     let (mut suspects, mut found) = (false, Vec::new());
     while let Some(event) = node.next_event() {
         suspects |= matches!(event, MembershipEvent::Suspected { .. });
@@ -71,7 +76,7 @@
             MembershipEvent::Suspected { name, .. } | MembershipEvent::Dead { name, .. } => name,
             _ => continue,
         };
-        // One that was told of as new may be told of as gone in the same breath: the last claim counts.
+        // A member may be reported as joined and as dead in one batch; the latest status counts.
         if let Some(&number) = by_name.get(&of) {
             found.push((number as usize, node.status(&of)));
         }
@@ -93,10 +98,10 @@
         Self {
             settings,
             nodes: numbers.clone().map(|_| None).collect(),
-            planned: vec![Time::MAX; count],
-            looks: vec![false; count],
-            power: vec![true; count],
-            chance: numbers
+            planned_ticks: vec![Time::MAX; count],
+            check_planned: vec![false; count],
+            machine_powered: vec![true; count],
+            rngs: numbers
                 .clone()
                 .map(|of| stream(seed, Actor::Member, of))
                 .collect(),
@@ -104,12 +109,13 @@
             messages: SequenceMap::default(),
             observer: MembershipObserver::new(count, of.tolerated_pause.0),
             last_incarnation: vec![None; count],
-            bytes: vec![0; count],
+            former_bytes_sent: vec![0; count],
         }
     }
 
-    /// What is held of a member's present incarnation; what is held of a former one says nothing of it.
-    fn view_of_present(&self, of: usize, status: Option<MemberStatus>) -> MemberView {
+    /// Maps a status to a view of the member's current incarnation. A status of an earlier incarnation counts
+    /// as unknown.
+    fn view_of_current_incarnation(&self, of: usize, status: Option<MemberStatus>) -> MemberView {
         let present = self.nodes[of].as_ref();
         let incarnation = present
             .map(|node| node.local().generation)
@@ -124,7 +130,7 @@
         }
     }
 
-    /// Lends out a member, to be put back at once.
+    /// Takes a node out temporarily; the caller puts it back with [`Self::put_node`].
     pub(super) fn take_node(&mut self, at: usize) -> Option<Node> {
         self.nodes[at].take()
     }
@@ -133,7 +139,7 @@
         self.nodes[at] = Some(node);
     }
 
-    /// What the sound ones and the cut ones are called by those that run.
+    /// Compares the partitions that running members report with the actual ones.
     fn record_path_reports(&mut self, now: Time, is_partitioned: impl Fn(usize, usize) -> bool) {
         let pairs = self.observer.pairs(|of| self.nodes[of].is_some());
         let says = |by: usize, of: usize| {
@@ -154,8 +160,8 @@
 }
 
 impl Simulation<'_> {
-    /// All of them begin.
-    pub(super) fn members_begin(&mut self) {
+    /// Starts all members.
+    pub(super) fn start_members(&mut self) {
         let Some(of) = &self.scenario.members else {
             return;
         };
@@ -164,7 +170,7 @@
             self.balancers.len(),
             self.seed,
         ));
-        (0..self.balancers.len()).for_each(|at| self.member_begins(at));
+        (0..self.balancers.len()).for_each(|at| self.start_member(at));
         for bound in &self.scenario.bound {
             if let crate::scenario::Requirement::PartitionsReported { at, .. } = bound.requirement {
                 self.event_queue.at(at.0, Event::RecordPathReports);
@@ -172,17 +178,17 @@
         }
     }
 
-    /// A process of a balancer begins, and has nothing but seeds.
-    pub(super) fn member_begins(&mut self, at: usize) {
+    /// Starts a member's process, which knows only its seed addresses.
+    pub(super) fn start_member(&mut self, at: usize) {
         let now = self.event_queue.now();
-        let (zone, local) = (self.balancers[at].zone, self.balancers[at].local(now));
+        let (zone, local) = (self.balancers[at].zone, self.balancers[at].local_time(now));
         let Some(members) = &mut self.members else {
             return;
         };
         let zones = &self.scenario.zones;
         let label = |text: &str| Name::new(text).unwrap_or_else(|_| name(u32::from(zone)));
         let zone = &zones[usize::from(zone)];
-        let chance = &mut members.chance[at];
+        let chance = &mut members.rngs[at];
         let me = MemberMetadata {
             name: name(at as u32),
             generation: Generation {
@@ -196,19 +202,20 @@
         let seeds = (0..SEEDS.min(members.nodes.len() as u32))
             .map(address)
             .collect();
-        // What cannot work was refused with the scenario.
+        // Settings that the node would refuse were refused with the scenario.
         let node = Node::new(me, seeds, members.settings.clone(), chance.next_u64(), now).ok();
         members.last_incarnation[at] = node.as_ref().map(|node| node.local().generation);
         members.nodes[at] = node;
-        (members.planned[at], members.looks[at]) = (Time::MAX, false);
-        members.power[at] = true;
+        (members.planned_ticks[at], members.check_planned[at]) = (Time::MAX, false);
+        members.machine_powered[at] = true;
         members.observer.set_running(now, at, true);
         self.flush_member(at);
-        self.coordinator_begins(at);
+        self.reset_coordinator(at);
     }
 
-    /// A process of a balancer ends: it says that it leaves, or dies with its machine's power or without it.
-    pub(super) fn member_ends(&mut self, at: usize, leaves: bool, power: bool) {
+    /// Ends a member's process. `leaves` announces the departure first; `power` tells whether the machine keeps
+    /// its power.
+    pub(super) fn stop_member(&mut self, at: usize, leaves: bool, power: bool) {
         let now = self.event_queue.now();
         if leaves
             && let Some(node) = self
@@ -223,15 +230,15 @@
             return;
         };
         if let Some(node) = members.nodes[at].take() {
-            members.bytes[at] += node.counters().bytes_sent;
+            members.former_bytes_sent[at] += node.counters().bytes_sent;
             members.last_incarnation[at] = Some(node.local().generation);
-            members.power[at] = power;
+            members.machine_powered[at] = power;
         }
         members.observer.set_running(now, at, false);
     }
 
-    /// Some processes stand still until a time.
-    pub(super) fn members_paused(&mut self, who: &[u32], still: bool) {
+    /// Pauses or resumes member processes.
+    pub(super) fn set_members_paused(&mut self, who: &[u32], still: bool) {
         let now = self.event_queue.now();
         let Some(members) = &mut self.members else {
             return;
@@ -245,12 +252,12 @@
         let Some(members) = &mut self.members else {
             return;
         };
-        if members.planned[at] != planned || members.nodes[at].is_none() {
-            return; // an earlier one was planned since
+        if members.planned_ticks[at] != planned || members.nodes[at].is_none() {
+            return; // superseded by an earlier timer
         }
-        members.planned[at] = Time::MAX;
+        members.planned_ticks[at] = Time::MAX;
         if let Some(until) = still {
-            members.planned[at] = until;
+            members.planned_ticks[at] = until;
             return self.event_queue.at(
                 until,
                 Event::MemberTimer {
@@ -266,7 +273,7 @@
         self.flush_member(at);
     }
 
-    /// A message comes. While the process stands still, the machine holds it.
+    /// Delivers a message. While the process is paused, the machine buffers the message.
     pub(super) fn receive_member_message(&mut self, messages: u64) {
         let now = self.event_queue.now();
         let to = self
@@ -294,13 +301,13 @@
         self.flush_member(to);
     }
 
-    /// It looks whether processes listen where it suspects others.
+    /// Checks whether a process listens at each suspect's address, and reports refused connections to the node.
     pub(super) fn check_suspects(&mut self, at: usize) {
         let (now, still) = (self.event_queue.now(), self.paused_until(at));
         let Some(members) = &mut self.members else {
             return;
         };
-        members.looks[at] = false;
+        members.check_planned[at] = false;
         let Some(node) = members.nodes[at].as_ref().filter(|_| still.is_none()) else {
             return;
         };
@@ -313,11 +320,18 @@
                 .map(|of| of as usize)
                 .filter(|&of| members.nodes[of].is_none());
             let is_partitioned = |from, to| {
-                Self::link_between(self.scenario, &self.balancers, &self.faults, now, from, to)
-                    .partitioned
+                Self::link_between(
+                    self.scenario,
+                    &self.balancers,
+                    &self.fault_targets,
+                    now,
+                    from,
+                    to,
+                )
+                .partitioned
             };
             of.is_some_and(|of| {
-                members.power[of] && !is_partitioned(at, of) && !is_partitioned(of, at)
+                members.machine_powered[of] && !is_partitioned(at, of) && !is_partitioned(of, at)
             })
         };
         let refused: Vec<SocketAddr> = sought.into_iter().filter(refuses).collect();
@@ -329,7 +343,7 @@
         self.flush_member(at);
     }
 
-    /// What a fault makes of the way from one to another.
+    /// Condition of the path between two balancers under all active faults.
     fn link_between(
         scenario: &Scenario,
         balancers: &[Balancer],
@@ -348,7 +362,7 @@
         scenario.member_link(end(from), end(to), balancers.len(), in_force)
     }
 
-    /// Sends what a member has to send, and notes what it found.
+    /// Sends a node's outgoing messages, schedules its timers, and records the changes of its views.
     pub(super) fn flush_member(&mut self, at: usize) {
         let now = self.event_queue.now();
         let Some(members) = &mut self.members else {
@@ -363,15 +377,16 @@
         let deadline = node.next_deadline().max(now + MS);
         let has_targets = node.connection_check_targets(now).next().is_some();
         let balancer = at as u32;
-        if suspects && !std::mem::replace(&mut members.looks[at], true) {
+        if suspects && !std::mem::replace(&mut members.check_planned[at], true) {
             let wait = 2 * self.scenario.network.between_zones.0;
             self.event_queue.after(wait, Event::CheckSuspects(balancer));
-        } else if !members.looks[at] && has_targets {
-            members.looks[at] = true;
-            self.event_queue.after(LOOK, Event::CheckSuspects(balancer));
+        } else if !members.check_planned[at] && has_targets {
+            members.check_planned[at] = true;
+            self.event_queue
+                .after(CONNECTION_CHECK_INTERVAL, Event::CheckSuspects(balancer));
         }
-        if deadline < members.planned[at] {
-            members.planned[at] = deadline;
+        if deadline < members.planned_ticks[at] {
+            members.planned_ticks[at] = deadline;
             let event = Event::MemberTimer {
                 balancer,
                 at: deadline,
@@ -379,7 +394,7 @@
             self.event_queue.at(deadline, event);
         }
         for (of, status) in found {
-            let view = members.view_of_present(of, status);
+            let view = members.view_of_current_incarnation(of, status);
             members.observer.record_view(now, at, of, view);
         }
         for out in outs {
@@ -392,21 +407,34 @@
 
     fn send_member_message(&mut self, from: usize, to: usize, bytes: Vec<u8>, reliable: bool) {
         let now = self.event_queue.now();
-        let way = Self::link_between(self.scenario, &self.balancers, &self.faults, now, from, to);
+        let way = Self::link_between(
+            self.scenario,
+            &self.balancers,
+            &self.fault_targets,
+            now,
+            from,
+            to,
+        );
         let jitter = self.scenario.network.jitter;
         let Some(members) = &mut self.members else {
             return;
         };
-        let chance = &mut members.chance[from];
-        // All draws are made for each, so that one fault does not change what another hits.
+        let chance = &mut members.rngs[from];
+        // All draws are made for each message, so that one fault does not change which messages another fault
+        // affects.
         let (lost, doubled, overtaken, more): (f64, f64, f64, f64) = chance.random();
         let mut delay = (way.delay as f64 * (1.0 + jitter * more)) as Time;
         if way.partitioned || !reliable && lost < way.loss {
             return;
         }
         if reliable {
-            // Its handshake, and what is sent again.
-            delay = 3 * delay + if lost < way.loss { SENT_AGAIN } else { 0 };
+            // Connection handshake and retransmission.
+            delay = 3 * delay
+                + if lost < way.loss {
+                    RETRANSMISSION_DELAY
+                } else {
+                    0
+                };
         } else if overtaken < way.reordered {
             delay = (2 * delay).max(delay + MS);
         }
@@ -426,10 +454,10 @@
             .after(delay, Event::MessageArrives(messages));
     }
 
-    /// How cut ways are named at this moment.
-    pub(super) fn members_path_reports(&mut self) {
+    /// Records how well the members report the present partitions.
+    pub(super) fn record_member_path_reports(&mut self) {
         let now = self.event_queue.now();
-        let (scenario, balancers, faults) = (self.scenario, &self.balancers, &self.faults);
+        let (scenario, balancers, faults) = (self.scenario, &self.balancers, &self.fault_targets);
         let is_partitioned =
             |from, to| Self::link_between(scenario, balancers, faults, now, from, to).partitioned;
         self.members
@@ -437,10 +465,10 @@
             .for_each(|members| members.record_path_reports(now, is_partitioned));
     }
 
-    /// Faults between them have begun or ended.
-    pub(super) fn members_partitioned(&mut self) {
+    /// Updates the observer after a fault between members has begun or ended.
+    pub(super) fn update_member_partitions(&mut self) {
         let now = self.event_queue.now();
-        let (scenario, balancers, faults) = (self.scenario, &self.balancers, &self.faults);
+        let (scenario, balancers, faults) = (self.scenario, &self.balancers, &self.fault_targets);
         let is_partitioned =
             |from, to| Self::link_between(scenario, balancers, faults, now, from, to).partitioned;
         self.members
@@ -448,11 +476,11 @@
             .for_each(|members| members.observer.partition(now, is_partitioned));
     }
 
-    /// What was seen of them.
-    pub(super) fn members_end(&mut self) -> Option<MembershipReport> {
+    /// Report on membership at the end of the run.
+    pub(super) fn finish_members(&mut self) -> Option<MembershipReport> {
         let members = self.members.take()?;
         let bytes: Vec<u64> = members
-            .bytes
+            .former_bytes_sent
             .iter()
             .zip(&members.nodes)
             .map(|(before, node)| {
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,10 +1,12 @@
-//! The world: callers, balancers, upstreams, the network and the registry, in simulated time.
+//! Discrete-event simulation of callers, balancers, upstreams, the network and the registry.
 //!
-//! One event at a time, in the order of their times, so one seed gives one result. What decides is the real
-//! engine (or a baseline policy); all round it is a model, and docs/emulator.md says what that leaves out.
+//! Events are handled one at a time in the order of their times, so that one seed gives one result. The
+//! decisions come from the real engine or from a baseline policy; everything else is a model, whose limits
+//! docs/emulator.md describes.
 
 mod balancers;
 mod build;
+mod call_trace;
 mod callers;
 mod coordinators;
 mod dispatch;
@@ -13,7 +15,7 @@
 mod faults;
 mod members;
 mod registry;
-mod story;
+
 mod upstreams;
 
 use self::entities::{
@@ -46,21 +48,21 @@
     SendAttempt, ServerId, Time, UpstreamEntry,
 };
 
-/// Unix time at the start of a run, on a clock that is right.
+/// Unix time at the start of a run, by an exact clock.
 pub const EPOCH: Time = 1_760_000_000 * SECOND;
-/// Timers ring at steps of this, as in the runtime.
-const RING: Time = 4 * MS;
-/// How long an upstream that fell over takes to come back.
+/// Timers fire at this granularity, as in the runtime.
+const TIMER_GRANULARITY: Time = 4 * MS;
+/// Time until an overloaded upstream that crashed is back.
 const OVERLOAD_RECOVERY: Time = 5 * SECOND;
-/// After the callers' last call, the world goes on for as long as the longest deadline and this.
-const TAIL: Time = 2 * SECOND;
-/// Longest story that is kept of one call.
-const STORY: usize = 10_000;
+/// Time that the simulation continues after the callers' last call, in addition to the longest deadline.
+const DRAIN_TIME: Time = 2 * SECOND;
+/// Maximum number of entries in the trace of a call.
+const MAX_TRACE_ENTRIES: usize = 10_000;
 
-/// What wraps an agent.
+/// Function that wraps each balancer's agent.
 pub type AgentWrapper<'a> = dyn Fn(BoxedAgent) -> BoxedAgent + 'a;
 
-/// A run, from its start to its end.
+/// A simulation run.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
@@ -71,42 +73,42 @@
     attempts: SequenceMap<Attempt>,
     probes: SequenceMap<PendingProbe>,
     balancers: Vec<Balancer>,
-    /// The balancer beside the upstream at an address.
-    sidecar: Vec<Option<u32>>,
+    /// Sidecar balancer of the upstream at each host.
+    sidecar_by_host: Vec<Option<u32>>,
     front: Option<Front>,
     front_rng: ChaCha8Rng,
     discovery: Option<Discovery>,
-    /// The balancers of a tier in a zone.
-    of_zone: Vec<Vec<Vec<u32>>>,
+    /// Balancers by tier and zone.
+    balancers_by_zone: Vec<Vec<Vec<u32>>>,
     upstreams: Vec<Upstream>,
-    /// What waits for each until its process goes on.
-    stopped: Vec<Vec<Event>>,
-    /// Who listens at an address.
-    hosts: Vec<u32>,
+    /// Events held back for each suspended upstream.
+    suspended_events: Vec<Vec<Event>>,
+    /// Upstream that listens at each host.
+    upstream_by_host: Vec<u32>,
     changes: Vec<RegistryChange>,
     arrival_rngs: Vec<ChaCha8Rng>,
     behavior_rngs: Vec<ChaCha8Rng>,
-    mixes: Vec<Vec<(f64, usize)>>,
-    zones: Vec<Option<u8>>,
-    tenants: Vec<usize>,
-    calls: Vec<Option<(usize, f64)>>,
-    faults: Vec<FaultTargets>,
-    partitions: Vec<(u8, bool)>,
+    class_mix_by_group: Vec<Vec<(f64, usize)>>,
+    zone_by_group: Vec<Option<u8>>,
+    tenant_by_group: Vec<usize>,
+    downstream_by_tier: Vec<Option<(usize, f64)>>,
+    fault_targets: Vec<FaultTargets>,
+    partitioned_zones: Vec<(u8, bool)>,
     registry_outages: u32,
-    stalled: Time,
+    latest_resume_at: Time,
     members: Option<members::MembershipSimulation>,
     coordinators: Option<coordinators::Coordinators>,
     auditor: Auditor,
     meter: Meter,
     costs: CostCounters,
-    story: Option<(u64, Vec<(Time, String)>)>,
-    /// Wraps each agent as it starts; for tests that spoil or record one.
-    wrap: Option<&'a AgentWrapper<'a>>,
-    events: u64,
+    call_trace: Option<(u64, Vec<(Time, String)>)>,
+    /// Wraps each new agent; tests use it to record an agent or to make it misbehave.
+    agent_wrapper: Option<&'a AgentWrapper<'a>>,
+    event_count: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// A run that has not begun. The scenario is checked.
+    /// Sets up a run. The scenario must have passed [`Scenario::check`].
     pub fn new(scenario: &'a Scenario, policy: Policy, seed: u64) -> Self {
         let groups = scenario.callers.len() as u32;
         let mut world = Self {
@@ -119,7 +121,7 @@
             attempts: SequenceMap::default(),
             probes: SequenceMap::default(),
             balancers: Vec::new(),
-            sidecar: Vec::new(),
+            sidecar_by_host: Vec::new(),
             front: None,
             front_rng: stream(seed, Actor::Front, 0),
             discovery: scenario
@@ -127,10 +129,10 @@
                 .queries
                 .as_ref()
                 .map(|a| Discovery::new(a.reads_per_second, a.timeout.0)),
-            of_zone: Vec::new(),
+            balancers_by_zone: Vec::new(),
             upstreams: Vec::new(),
-            stopped: Vec::new(),
-            hosts: Vec::new(),
+            suspended_events: Vec::new(),
+            upstream_by_host: Vec::new(),
             changes: Vec::new(),
             arrival_rngs: (0..groups)
                 .map(|group| stream(seed, Actor::Arrivals, group))
@@ -138,93 +140,93 @@
             behavior_rngs: (0..groups)
                 .map(|group| stream(seed, Actor::CallerBehavior, group))
                 .collect(),
-            mixes: Vec::new(),
-            zones: Vec::new(),
-            tenants: Vec::new(),
-            calls: Vec::new(),
-            faults: Vec::new(),
-            partitions: Vec::new(),
+            class_mix_by_group: Vec::new(),
+            zone_by_group: Vec::new(),
+            tenant_by_group: Vec::new(),
+            downstream_by_tier: Vec::new(),
+            fault_targets: Vec::new(),
+            partitioned_zones: Vec::new(),
             registry_outages: 0,
-            stalled: 0,
+            latest_resume_at: 0,
             members: None,
             coordinators: None,
             auditor: Auditor::default(),
             meter: Meter::new(scenario),
             costs: CostCounters::new(scenario.tier.len()),
-            story: None,
-            wrap: None,
-            events: 0,
+            call_trace: None,
+            agent_wrapper: None,
+            event_count: 0,
         };
         for callers in &scenario.callers {
-            world.mixes.push(scenario.mix(callers));
+            world.class_mix_by_group.push(scenario.mix(callers));
             world
-                .zones
+                .zone_by_group
                 .push(scenario.zone(&callers.zone).unwrap_or(None));
             let tenant = callers.tenant.as_ref();
             let tenant = tenant
                 .and_then(|name| scenario.tenant.iter().position(|known| known.name == *name));
-            world.tenants.push(tenant.unwrap_or(0));
+            world.tenant_by_group.push(tenant.unwrap_or(0));
         }
         world.build();
         world
     }
 
-    /// Keeps the story of one call.
-    pub fn follow(&mut self, call: u64) {
-        self.story = Some((call, Vec::new()));
+    /// Records the events of one call in [`RunResult::call_trace`].
+    pub fn trace_call(&mut self, call: u64) {
+        self.call_trace = Some((call, Vec::new()));
     }
 
-    /// Wraps each agent as it starts.
+    /// Replaces each balancer's agent by a wrapped one, and wraps all agents that are created later.
     pub fn wrap_agents(&mut self, wrap: &'a AgentWrapper<'a>) {
-        self.wrap = Some(wrap);
+        self.agent_wrapper = Some(wrap);
         for at in 0..self.balancers.len() {
-            let agent = self.agent(at);
+            let agent = self.new_agent(at);
             self.balancers[at].agent = agent;
         }
     }
 
-    /// A new agent for a balancer, with the seed of its next incarnation.
-    fn agent(&mut self, at: usize) -> BoxedAgent {
+    /// Creates an agent for a balancer, with the seed of its next incarnation.
+    fn new_agent(&mut self, at: usize) -> BoxedAgent {
         let now = self.event_queue.now();
         let balancer = &mut self.balancers[at];
         let (settings, local) = (
             self.scenario.settings(balancer.tier, balancer.zone),
-            balancer.local(now),
+            balancer.local_time(now),
         );
         let agent = self
             .policy
-            .agent(settings, balancer.seeds.next_u64(), local);
-        match self.wrap {
+            .agent(settings, balancer.seed_rng.next_u64(), local);
+        match self.agent_wrapper {
             Some(wrap) => wrap(agent),
             None => agent,
         }
     }
 
-    /// Runs it to its end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> RunResult {
         for at in 0..self.balancers.len() {
             self.send_full_list(at, 0);
         }
-        self.members_begin();
-        self.coordinators_begin();
+        self.start_members();
+        self.start_coordinators();
         let longest = self.scenario.longest_deadline().0;
-        let end = self.scenario.duration.0 + longest + TAIL;
-        // What stands still at the end must not make what it holds look lost.
-        while let Some(event) = self.event_queue.next(end.max(self.stalled)) {
-            self.events += 1;
-            self.happen(event);
+        let end = self.scenario.duration.0 + longest + DRAIN_TIME;
+        // A process that is paused at the end must be resumed, or its requests would be reported as lost.
+        while let Some(event) = self.event_queue.next(end.max(self.latest_resume_at)) {
+            self.event_count += 1;
+            self.handle_event(event);
         }
         let now = self.event_queue.now();
-        self.auditor.check_overdue(now, self.stall_grace(now));
+        self.auditor.check_overdue(now, self.pause_grace(now));
         let open = self
             .balancers
             .iter()
             .map(|balancer| balancer.agent.open_call_count())
             .sum();
         self.auditor.end(now, open);
-        let members = self.members_end();
-        let evacuated = self.coordinators_end();
-        let story = self.story.map(|(_, story)| story).unwrap_or_default();
+        let members = self.finish_members();
+        let evacuated = self.finish_coordinators();
+        let story = self.call_trace.map(|(_, story)| story).unwrap_or_default();
         let names: Vec<String> = self
             .scenario
             .tier
@@ -232,7 +234,9 @@
             .map(|tier| tier.name.clone())
             .collect();
         let costs = self.costs.rows(&names);
-        let end = self.meter.end(self.auditor.findings(), self.events, story);
+        let end = self
+            .meter
+            .end(self.auditor.findings(), self.event_count, story);
         let end = RunResult {
             costs,
             members,
@@ -245,26 +249,26 @@
         }
     }
 
-    fn record_story(&mut self, client_call: u64, text: impl FnOnce() -> String) {
-        if let Some((call, story)) = &mut self.story
+    fn record_trace(&mut self, client_call: u64, text: impl FnOnce() -> String) {
+        if let Some((call, story)) = &mut self.call_trace
             && *call == client_call
-            && story.len() < STORY
+            && story.len() < MAX_TRACE_ENTRIES
         {
             story.push((self.event_queue.now(), text()));
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::CallArrives(group) => self.call_arrives(group as usize),
             Event::ClosedLoopCall(group) => self.closed_loop_call(group as usize),
             Event::CallerRetries(client_call) => self.send_to_balancer(client_call),
-            Event::BalancerQueries(request) => self.balancer_queries(request),
+            Event::RequestReaches(request) => self.request_reaches_balancer(request),
             Event::AttemptArrived(attempt) => self.attempt_arrived(event, attempt),
             Event::WorkFinished { upstream, .. }
                 if self.upstreams[upstream as usize].active_faults.stopped =>
             {
-                self.stopped[upstream as usize].push(event);
+                self.suspended_events[upstream as usize].push(event);
             }
             Event::WorkFinished {
                 attempt,
@@ -283,10 +287,10 @@
             Event::QueryCompleted {
                 balancer,
                 incarnation,
-                well,
+                succeeded: well,
             } => self.query_completed(balancer as usize, incarnation, well),
-            Event::ProbeArrives { probe } => self.probe_reaches(probe),
-            Event::ProbeCompleted { probe, in_flight } => self.probe_ends(probe, in_flight),
+            Event::ProbeArrives { probe } => self.probe_arrived(probe),
+            Event::ProbeCompleted { probe, in_flight } => self.probe_completed(probe, in_flight),
             Event::FrontNoticed {
                 balancer,
                 incarnation,
@@ -308,20 +312,20 @@
             Event::BalancerStarts { balancer, stale } => {
                 self.start_balancer(balancer as usize, stale)
             }
-            Event::EndOfStep => self.step(),
+            Event::EndOfStep => self.end_step(),
             Event::MemberTimer { balancer, at } => self.member_timer(balancer as usize, at),
             Event::MessageArrives(messages) => self.receive_member_message(messages),
             Event::CheckSuspects(balancer) => self.check_suspects(balancer as usize),
-            Event::RecordPathReports => self.members_path_reports(),
-            Event::CoordinatorTimer(balancer) => self.coordinator(balancer as usize),
+            Event::RecordPathReports => self.record_member_path_reports(),
+            Event::CoordinatorTimer(balancer) => self.coordinator_timer(balancer as usize),
         }
     }
 
-    // ---- Measures ----
+    // ---- Measurements ----
 
-    fn step(&mut self) {
+    fn end_step(&mut self) {
         let now = self.event_queue.now();
-        self.auditor.check_overdue(now, self.stall_grace(now));
+        self.auditor.check_overdue(now, self.pause_grace(now));
         let tiers = self.scenario.tier.len();
         let mut speed = vec![0.0; tiers];
         for upstream in &self.upstreams {
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: changes of the list, and how they reach the balancers.
+//! The registry: changes of the upstream list, and their distribution to the balancers.
 
 use super::*;
 
@@ -21,10 +21,10 @@
         }
     }
 
-    /// The registry notices the death of an upstream's process, unless another has come up since.
+    /// Lists an upstream as removed after its process died, unless a new process has started since.
     pub(super) fn death_noticed(&mut self, upstream: u32, process: u32) {
         let dead = &self.upstreams[upstream as usize];
-        let there = self.hosts[dead.host as usize] == upstream;
+        let there = self.upstream_by_host[dead.host as usize] == upstream;
         if there && !dead.alive && dead.process == process {
             self.change_registry(upstream, Lifecycle::Removed);
         }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends all changes so far to all balancers of their tiers.
+    /// Sends all changes so far to the subscribed balancers.
     pub(super) fn publish_changes(&mut self) {
         let upto = self.changes.len() as u32;
         for at in 0..self.balancers.len() {
@@ -56,8 +56,8 @@
     pub(super) fn send_update(&mut self, at: usize, upto: u32) {
         let (now, registry) = (self.event_queue.now(), &self.scenario.registry);
         let balancer = &mut self.balancers[at];
-        let jitter = (balancer.registry.random::<f64>() * registry.jitter.0 as f64) as Time;
-        // In order: never before what was sent earlier.
+        let jitter = (balancer.registry_rng.random::<f64>() * registry.jitter.0 as f64) as Time;
+        // Updates stay in order: none arrives before an earlier one.
         let latest = balancer.updates.back().map_or(0, |(at, _)| *at);
         let comes = latest.max(now + registry.delay.0 + jitter);
         match balancer.updates.back_mut() {
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Tells a balancer the whole list as it was some time ago, and sends the rest as an update.
+    /// Gives a balancer the complete list of `stale` ago, and sends the later changes as an update.
     pub(super) fn send_full_list(&mut self, at: usize, stale: Time) {
         let now = self.event_queue.now();
         let tier = self.balancers[at].tier;
         let before = now.saturating_sub(stale);
         let upto = self.changes.partition_point(|change| change.at <= before);
         let mut state: Vec<Option<(Lifecycle, u64)>> = Vec::new();
-        // Those of the start; what came later is among the changes.
+        // Upstreams that exist from the start; later ones appear in the changes.
         let first: u32 = self.scenario.tier.iter().map(|tier| tier.upstreams).sum();
         for upstream in 0..self.upstreams.len() {
             let cold = self.scenario.tier[self.upstreams[upstream].tier].cold;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// A balancer asks discovery: what has changed, and to be told from then on.
+    /// Reads the list from discovery for a balancer, and subscribes the balancer to changes.
     pub(super) fn query_registry(&mut self, at: usize) {
         let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
         let Some(discovery) = &mut self.discovery else {
@@ -174,7 +174,7 @@
             Event::QueryCompleted {
                 balancer,
                 incarnation,
-                well,
+                succeeded: well,
             },
         );
     }
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -1,4 +1,4 @@
-//! What upstreams do with the attempts that reach them, and how their processes die and start.
+//! Upstreams: how they handle attempts, and how their processes die and start.
 
 use super::*;
 
@@ -9,21 +9,21 @@
         };
         let (request, host) = (attempt.request, attempt.host);
         let (sent_to, process) = (attempt.upstream as usize, attempt.process);
-        let upstream = self.hosts[host as usize] as usize;
+        let upstream = self.upstream_by_host[host as usize] as usize;
         if !self.upstreams[upstream].alive
             || upstream != sent_to
             || self.upstreams[upstream].process != process
         {
-            // It died on the way. What was written may have been read.
+            // The process died while the attempt was in transit. It may have read the request.
             return self.respond(number, Outcome::Reset);
         }
         if self.upstreams[upstream].active_faults.stopped {
-            return self.stopped[upstream].push(event);
+            return self.suspended_events[upstream].push(event);
         }
-        let Some((client_call, class)) = self.call_of(request) else {
+        let Some((client_call, class)) = self.client_call_and_class(request) else {
             return;
         };
-        if self.is_pushed_over(upstream, class) {
+        if self.overloads_cold_upstream(upstream, class) {
             self.kill_upstream(upstream, false);
             let event = Event::UpstreamBoots(upstream as u32);
             return self.event_queue.after(OVERLOAD_RECOVERY, event);
@@ -42,15 +42,15 @@
         self.admit(upstream, number, (client_call, class));
     }
 
-    /// The client call of a request, and its class.
-    fn call_of(&self, request: u64) -> Option<(u64, usize)> {
+    /// Client call and class of a request.
+    fn client_call_and_class(&self, request: u64) -> Option<(u64, usize)> {
         let client_call = self.requests.get(request)?.client_call;
         let class = self.client_calls.get(client_call)?.class;
         Some((client_call, class))
     }
 
-    /// Whether one more request overloads a cold upstream; the auditor hears of it.
-    fn is_pushed_over(&mut self, upstream: usize, class: usize) -> bool {
+    /// Whether another request overloads a cold upstream. Reports the overload to the auditor.
+    fn overloads_cold_upstream(&mut self, upstream: usize, class: usize) -> bool {
         let now = self.event_queue.now();
         let mean = self.scenario.class[class].service.mean();
         let there = &mut self.upstreams[upstream];
@@ -62,23 +62,23 @@
         true
     }
 
-    /// An upstream begins work on an attempt, queues it, or turns it away.
+    /// Starts work on an attempt, queues it, or rejects it as full.
     fn admit(&mut self, upstream: usize, number: u64, (client_call, class): (u64, usize)) {
         let name = self.upstreams[upstream].name.clone();
         match self.upstreams[upstream].accept(number) {
             Admission::Begun => {
-                self.record_story(client_call, || format!("{name} begins it"));
+                self.record_trace(client_call, || format!("{name} begins it"));
                 self.begin_work(upstream, number, class);
             }
             Admission::Queued => {
                 let in_flight = self.upstreams[upstream].in_flight();
                 self.meter.queued(in_flight);
-                self.record_story(client_call, || {
+                self.record_trace(client_call, || {
                     format!("{name} lets it wait behind {}", in_flight - 1)
                 });
             }
             Admission::Full => {
-                self.record_story(client_call, || format!("{name} turns it away as full"));
+                self.record_trace(client_call, || format!("{name} turns it away as full"));
                 self.respond(number, Outcome::Full);
             }
         }
@@ -92,7 +92,7 @@
             && self
                 .attempts
                 .get(attempt)
-                .is_some_and(|attempt| attempt.fresh)
+                .is_some_and(|attempt| attempt.new_connection)
         {
             took += self.upstreams[upstream].overhead(now, connections.handshake_work.0);
         }
@@ -128,10 +128,10 @@
 
     pub(super) fn work_finished(&mut self, number: u64, upstream: usize, process: u32) {
         if self.upstreams[upstream].process != process || !self.upstreams[upstream].alive {
-            return; // it died meanwhile, and all that it was at with it
+            return; // the process died in the meantime, and its work was lost
         }
-        self.take_effect(number);
-        let calls = self.calls[self.upstreams[upstream].tier];
+        self.apply_effect(number);
+        let calls = self.downstream_by_tier[self.upstreams[upstream].tier];
         let parent = self.attempts.get(number).and_then(|attempt| {
             let client_call = self.requests.get(attempt.request)?.client_call;
             self.client_calls
@@ -141,7 +141,7 @@
         let (Some((_, mean)), Some((class, deadline))) = (calls, parent) else {
             return self.finish_attempt(number, upstream);
         };
-        // A whole number on either side of the mean.
+        // A whole number of calls whose mean is `mean`.
         let rng = &mut self.upstreams[upstream].rng;
         let count = mean.floor() as u32 + u32::from(chance(rng, mean.fract()));
         let now = self.event_queue.now();
@@ -149,7 +149,7 @@
             return self.finish_attempt(number, upstream);
         }
         if let Some(attempt) = self.attempts.get_mut(number) {
-            attempt.calls = count;
+            attempt.open_downstream_calls = count;
         }
         for _ in 0..count {
             let client_call = self.client_calls.add(ClientCall {
@@ -157,31 +157,35 @@
                 group: None,
                 parent: Some(number),
                 closed_loop: false,
-                born: now,
+                created_at: now,
                 deadline,
-                tries: 0,
-                requests: 0,
-                closed: false,
+                send_count: 0,
+                open_requests: 0,
+                concluded: false,
                 measured: false,
                 connection: None,
-                seen: SmallVec::new(),
+                executed_groups: SmallVec::new(),
             });
             self.send_to_balancer(client_call);
         }
     }
 
-    /// An upstream's call to the next tier is answered.
+    /// Counts an answer to one of an attempt's calls to the next tier; the last answer finishes the attempt.
     pub(super) fn downstream_call_answered(&mut self, number: u64, well: bool) {
         let Some(attempt) = self
             .attempts
             .get_mut(number)
-            .filter(|attempt| attempt.calls > 0)
+            .filter(|attempt| attempt.open_downstream_calls > 0)
         else {
             return;
         };
-        attempt.calls -= 1;
-        attempt.spoilt |= !well;
-        let (left, upstream, process) = (attempt.calls, attempt.upstream as usize, attempt.process);
+        attempt.open_downstream_calls -= 1;
+        attempt.downstream_failed |= !well;
+        let (left, upstream, process) = (
+            attempt.open_downstream_calls,
+            attempt.upstream as usize,
+            attempt.process,
+        );
         if left == 0
             && self.upstreams[upstream].alive
             && self.upstreams[upstream].process == process
@@ -190,12 +194,12 @@
         }
     }
 
-    /// An upstream is done with an attempt: it answers and takes the next.
+    /// Finishes an attempt: responds to the balancer and starts the next queued attempt.
     pub(super) fn finish_attempt(&mut self, number: u64, upstream: usize) {
         let spoilt = self
             .attempts
             .get(number)
-            .is_some_and(|attempt| attempt.spoilt);
+            .is_some_and(|attempt| attempt.downstream_failed);
         let there = &mut self.upstreams[upstream];
         let (lost, resets) = (there.active_faults.lost, there.active_faults.resets / 2.0);
         if chance(&mut there.rng, lost) {
@@ -205,15 +209,17 @@
         } else {
             self.respond(number, if spoilt { Outcome::Error } else { Outcome::Ok });
         }
-        self.take_next(upstream);
+        self.start_next_attempt(upstream);
     }
 
-    pub(super) fn take_next(&mut self, upstream: usize) {
+    pub(super) fn start_next_attempt(&mut self, upstream: usize) {
         let (attempts, mut dropped) = (&self.attempts, SmallVec::<[u64; 4]>::new());
         let next = self.upstreams[upstream].next_request(|request| {
-            let waits = attempts.get(request).is_some_and(|attempt| attempt.out);
+            let waits = attempts
+                .get(request)
+                .is_some_and(|attempt| attempt.end_pending);
             if !waits {
-                dropped.push(request); // its connection is closed: an upstream sees that before it begins
+                dropped.push(request); // the connection is closed, which the upstream sees before it starts the work
             }
             waits
         });
@@ -230,8 +236,9 @@
         self.begin_work(upstream, next, class.unwrap_or(0));
     }
 
-    /// The work of an attempt is done. Upstreams drop the repeats of keyed work in their group and window.
-    pub(super) fn take_effect(&mut self, number: u64) {
+    /// Applies the effect of an attempt's work. Upstreams drop repeats of keyed work within their group and
+    /// window.
+    pub(super) fn apply_effect(&mut self, number: u64) {
         let now = self.event_queue.now();
         let Some(attempt) = self.attempts.get(number) else {
             return;
@@ -255,17 +262,17 @@
         };
         if class.effect == CallEffect::Keyed {
             let within = |(seen, at): &(u32, Time)| *seen == group && now < at + class.window.0;
-            if client_call.seen.iter().any(within) {
+            if client_call.executed_groups.iter().any(within) {
                 return;
             }
-            client_call.seen.push((group, now));
+            client_call.executed_groups.push((group, now));
         }
         let name = upstream.name.clone();
         self.auditor.effect_happened(now, request);
-        self.record_story(client_call_number, || format!("{name} has done it"));
+        self.record_trace(client_call_number, || format!("{name} has done it"));
     }
 
-    /// An upstream's process dies. What it was at breaks, done or not.
+    /// Kills an upstream's process. Its attempts are reset; with `done`, their work takes effect before.
     pub(super) fn kill_upstream(&mut self, upstream: usize, done: bool) {
         if !self.upstreams[upstream].alive {
             return;
@@ -277,14 +284,14 @@
         let lost = self
             .attempts
             .iter()
-            .filter(|(_, attempt)| here(attempt) && attempt.there);
+            .filter(|(_, attempt)| here(attempt) && attempt.in_progress);
         let lost: Vec<u64> = lost.map(|(number, _)| number).collect();
         for number in lost {
             if done {
-                self.take_effect(number);
+                self.apply_effect(number);
             }
             if let Some(attempt) = self.attempts.get_mut(number) {
-                attempt.calls = 0;
+                attempt.open_downstream_calls = 0;
             }
             self.respond(number, Outcome::Reset);
         }
@@ -296,14 +303,14 @@
                 process,
             },
         );
-        if let Some(balancer) = self.sidecar[self.upstreams[upstream].host as usize] {
+        if let Some(balancer) = self.sidecar_by_host[self.upstreams[upstream].host as usize] {
             self.stop_balancer(balancer as usize);
         }
     }
 
     pub(super) fn boot_upstream(&mut self, upstream: usize) {
         let host = self.upstreams[upstream].host as usize;
-        if self.upstreams[upstream].alive || self.hosts[host] as usize != upstream {
+        if self.upstreams[upstream].alive || self.upstream_by_host[host] as usize != upstream {
             return;
         }
         let now = self.event_queue.now();
@@ -312,9 +319,9 @@
         self.change_registry(upstream as u32, Lifecycle::Ready);
     }
 
-    /// The balancer sidecar of an upstream starts with it.
+    /// Starts the sidecar balancer of an upstream.
     pub(super) fn start_sidecar(&mut self, upstream: usize) {
-        if let Some(balancer) = self.sidecar[self.upstreams[upstream].host as usize] {
+        if let Some(balancer) = self.sidecar_by_host[self.upstreams[upstream].host as usize] {
             self.start_balancer(balancer as usize, 0);
         }
     }
@@ -325,9 +332,10 @@
         let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
         self.costs.pay(now, tier, Cost::Probes, at);
         let host = Self::host_by_address(peer.address) as usize;
-        let (Some(&upstream), Some(probed)) =
-            (self.hosts.get(host), &self.scenario.tier[tier].probed)
-        else {
+        let (Some(&upstream), Some(probed)) = (
+            self.upstream_by_host.get(host),
+            &self.scenario.tier[tier].probed,
+        ) else {
             return;
         };
         let timeout = probed.timeout.0;
@@ -356,7 +364,7 @@
         }
     }
 
-    pub(super) fn probe_reaches(&mut self, probe: u64) {
+    pub(super) fn probe_arrived(&mut self, probe: u64) {
         let Some(out) = self.probes.get(probe) else {
             return;
         };
@@ -377,8 +385,8 @@
         }
     }
 
-    /// A probe is over, by its answer or by its patience, whichever came first.
-    pub(super) fn probe_ends(&mut self, probe: u64, in_flight: Option<u32>) {
+    /// Completes a probe by its answer or its timeout, whichever comes first.
+    pub(super) fn probe_completed(&mut self, probe: u64, in_flight: Option<u32>) {
         let Some(out) = self.probes.take(probe) else {
             return;
         };
--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -186,7 +186,7 @@
     let end = sabotaged(&scenario, Does::SendsTwice);
     let breach = end.first_breaches.first().unwrap();
     let mut world = Simulation::new(&scenario, Policy::Woadstall, 7);
-    world.follow(breach.call.unwrap());
+    world.trace_call(breach.call.unwrap());
     let story = world.run().call_trace;
     let text: Vec<_> = story.iter().map(|(_, text)| text.as_str()).collect();
     assert!(text[0].contains("reaches balancer"), "{text:?}");
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -24,7 +24,7 @@
 #[track_caller]
 fn assert_golden(name: &str, scenario: &Scenario, policy: &str, seed: u64) {
     let mut world = Simulation::new(scenario, policy.parse().unwrap(), seed);
-    world.follow(FOLLOWED);
+    world.trace_call(FOLLOWED);
     let json = serde_json::to_string(&world.run()).unwrap();
     let seen = format!("{name} {:016x} {}", fnv1a(json.as_bytes()), json.len());
     let golden = DIGESTS
