--- a/crates/emulator-cli/src/commands.rs
+++ b/crates/emulator-cli/src/commands.rs
@@ -170,7 +170,7 @@
 ) -> Result<u8, CommandError> {
     let (scenario, _) = ScenarioFile::read(scenario)?.with(set)?;
     let mut world = Simulation::new(&scenario, policy, seed);
-    world.follow(call);
+    world.trace_call(call);
     let result = world.run();
     if result.call_trace.is_empty() {
         return Err(CommandError::NoCall { call });
--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -1,42 +1,42 @@
-//! The interface of what decides inside a balancer: the real engine, or a baseline policy.
+//! Interface of the decision logic inside a balancer: the real engine or a baseline policy.
 
 use woadstall_engine::{
     AttemptInFlight, AttemptRecord, Command, Engine, Input, ListedUpstream, Time,
 };
 
-/// The number of a request at a balancer, in the emulator.
+/// Number of a request at a balancer, unique within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// What decides inside a balancer. It is told what happened and says what is to be done, as the engine does.
+/// Decision logic inside a balancer. Like the engine, an agent receives inputs and returns commands.
 pub trait BalancerAgent {
-    /// Takes what happened. Times are of the balancer's own clock.
+    /// Handles an input. Times are those of the balancer's own clock.
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>);
-    /// The next thing to do, until there is nothing more.
+    /// Takes the next command; `None` once all commands are taken.
     fn next_command(&mut self) -> Option<Command<Ticket, ()>>;
-    /// When [`Input::Tick`] is due at the latest.
+    /// Latest time at which [`Input::Tick`] is due.
     fn wake_at(&self) -> Option<Time>;
-    /// How many requests are not answered, or have attempts out.
+    /// Number of requests without an answer or with attempts in flight.
     fn open_call_count(&self) -> usize;
-    /// The ends of attempts are to be kept from now on, if it can.
+    /// Starts recording the ends of attempts, if the agent supports that.
     fn record_attempts(&mut self) {}
-    /// Those that have come since this was asked last.
+    /// Takes the attempt records since the last call.
     fn take_attempt_records(&mut self) -> Vec<AttemptRecord> {
         Vec::new()
     }
-    /// The attempts that are out.
+    /// Attempts in flight.
     fn attempts_in_flight(&self, now: Time) -> Vec<AttemptInFlight> {
         let _ = now;
         Vec::new()
     }
-    /// The upstreams that are listed, where they have changed since `seen`.
+    /// Listed upstreams with the revision of the list, or `None` if the revision is still `seen`.
     fn listed_upstreams(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
         let _ = seen;
         None
     }
 }
 
-/// An agent that may go from thread to thread.
+/// An agent that can be sent between threads.
 pub type BoxedAgent = Box<dyn BalancerAgent + Send>;
 
 impl BalancerAgent for Engine<Ticket, ()> {
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -1,5 +1,5 @@
-//! The auditor: sees everything that happens and trusts no balancer. It holds the four rules against each
-//! request, and counts calls and attempts, which must all end once.
+//! Audits a run independently of the balancers: checks each request against the four rules, and checks that
+//! each call and each attempt ends exactly once.
 
 use crate::event_queue::SequenceMap;
 use crate::scenario::CallEffect;
@@ -8,31 +8,31 @@
 use std::fmt;
 use woadstall_engine::{CallResult, Time};
 
-/// Grace for an answer: the safety net's, and a step of the timers.
-pub const GRACE: Time = 40 * MS;
-/// Time after which nothing new may go to what is told to drain, or gone.
-pub const DRAIN: Time = SECOND;
-/// Breaches that are told in full; the rest is counted.
+/// Grace period for an answer after the deadline: the engine's deadline guard plus one step of the timers.
+pub const RESPONSE_GRACE: Time = 40 * MS;
+/// Time after which a balancer must send nothing new to an upstream that it knows to be draining or removed.
+pub const DRAIN_GRACE: Time = SECOND;
+/// Maximum number of breaches reported in full; further ones are only counted.
 const MAX_REPORTED: usize = 20;
 
-/// What can be broken.
+/// Rules that the auditor checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// 1: one final answer in its time, and nothing sent afterwards.
+    /// Rule 1: one final answer in time, and nothing sent afterwards.
     OneAnswer,
-    /// 2: no effect twice, and none behind a refusal.
+    /// Rule 2: no effect happens twice, and none after a refusal.
     NoEffectTwice,
-    /// 3: nothing new to what drains or is gone, later than 1 s after being told.
+    /// Rule 3: nothing new is sent to a draining or removed upstream more than 1 s after the balancer was told.
     Drained,
-    /// 4: no cold upstream pushed over.
+    /// Rule 4: no cold upstream is overloaded.
     Cold,
-    /// Each call and each attempt ends once; nothing is left at the end.
+    /// Each call and each attempt ends once, and nothing is open at the end of the run.
     Conservation,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules, in the order of their counts.
     pub const ALL: [Self; 5] = [
         Self::OneAnswer,
         Self::NoEffectTwice,
@@ -54,53 +54,53 @@
     }
 }
 
-/// A breach.
+/// A breach of a rule.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Breach {
-    /// What was broken.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When, in nanoseconds of the run.
+    /// Time of the breach, in nanoseconds since the start of the run.
     pub at: Time,
-    /// The call, where there is one: `explain` tells its story.
+    /// Affected client call, if any; `explain` prints its trace.
     pub call: Option<u64>,
-    /// What happened.
+    /// Description of the breach.
     pub text: String,
 }
 
-/// A request at a balancer.
-struct Case {
+/// Audit state of a request at a balancer.
+struct AuditedRequest {
     call: u64,
     effect: CallEffect,
     deadline: Time,
     answered: u32,
     refused: bool,
-    out: u32,
-    ran: u32,
-    overdue: bool,
+    open_attempts: u32,
+    effect_count: u32,
+    reported_overdue: bool,
 }
 
-/// What a balancer was last told of the process at a host.
+/// Latest information that a balancer has on the process at a host.
 #[derive(Clone, Copy, Default)]
 struct Notified {
-    /// Start of the process, in milliseconds of Unix time.
+    /// Start time of the process, in milliseconds of Unix time.
     boot_ms: u64,
-    /// Since when it is told to drain, or removed.
+    /// When the balancer was told that the process drains or is removed.
     unready_since: Option<Time>,
 }
 
-/// See the module's documentation.
+/// Audits a run; collects the breaches of all rules.
 #[derive(Default)]
 pub struct Auditor {
-    cases: SequenceMap<Case>,
-    /// For each balancer and host: the process it was told of, and since when it is not in service.
+    requests: SequenceMap<AuditedRequest>,
+    /// Latest information on each host, by balancer and host number.
     notified: Vec<Vec<Notified>>,
     breaches: Vec<Breach>,
-    counts: [u64; 5],
+    breach_counts: [u64; 5],
 }
 
 impl Auditor {
-    fn breach(&mut self, rule: Rule, at: Time, call: Option<u64>, text: String) {
-        self.counts[rule as usize] += 1;
+    fn record_breach(&mut self, rule: Rule, at: Time, call: Option<u64>, text: String) {
+        self.breach_counts[rule as usize] += 1;
         if self.breaches.len() < MAX_REPORTED {
             self.breaches.push(Breach {
                 rule,
@@ -111,25 +111,26 @@
         }
     }
 
-    /// A request reached a balancer. Its number is that of all requests, from 0.
+    /// Registers a request that reached a balancer, and returns its number. Requests are numbered from 0.
     pub fn request_received(&mut self, call: u64, effect: CallEffect, deadline: Time) -> u64 {
         let (answered, refused, out, ran, overdue) = (0, false, 0, 0, false);
-        self.cases.add(Case {
+        self.requests.add(AuditedRequest {
             call,
             effect,
             deadline,
             answered,
             refused,
-            out,
-            ran,
-            overdue,
+            open_attempts: out,
+            effect_count: ran,
+            reported_overdue: overdue,
         })
     }
 
-    /// A balancer answered. Its process stood still for `stalled` of late: that is not the program's doing.
+    /// Checks a balancer's answer. `stalled` is the length of a recent pause of the balancer's process, which
+    /// extends the grace period.
     pub fn answered(&mut self, now: Time, request: u64, verdict: &CallResult<()>, stalled: Time) {
-        let Some(case) = self.cases.get_mut(request) else {
-            return self.breach(
+        let Some(case) = self.requests.get_mut(request) else {
+            return self.record_breach(
                 Rule::OneAnswer,
                 now,
                 None,
@@ -137,13 +138,18 @@
             );
         };
         case.answered += 1;
-        let (call, answered, ran, out) = (case.call, case.answered, case.ran, case.out);
+        let (call, answered, ran, out) = (
+            case.call,
+            case.answered,
+            case.effect_count,
+            case.open_attempts,
+        );
         let late = now.saturating_sub(case.deadline);
         let repeats = case.effect != CallEffect::Safe;
         if let CallResult::Rejected(_) = verdict {
             case.refused = true;
             if repeats && ran > 0 {
-                self.breach(
+                self.record_breach(
                     Rule::NoEffectTwice,
                     now,
                     Some(call),
@@ -152,45 +158,45 @@
             }
         }
         if answered > 1 {
-            self.breach(
+            self.record_breach(
                 Rule::OneAnswer,
                 now,
                 Some(call),
                 format!("answered {answered} times"),
             );
-        } else if late > GRACE + stalled {
+        } else if late > RESPONSE_GRACE + stalled {
             let late = late / MS;
-            self.breach(
+            self.record_breach(
                 Rule::OneAnswer,
                 now,
                 Some(call),
                 format!("answered {late} ms past its time"),
             );
         }
-        self.forget(request, out);
+        self.remove_if_finished(request, out);
     }
 
-    /// The balancer died with the request, or its caller left: no answer is owed any more.
+    /// Closes a request that needs no answer any more, because its balancer died or its caller left.
     pub fn request_abandoned(&mut self, request: u64) {
-        if let Some(case) = self.cases.get_mut(request) {
+        if let Some(case) = self.requests.get_mut(request) {
             case.answered = 1;
-            let out = case.out;
-            self.forget(request, out);
+            let out = case.open_attempts;
+            self.remove_if_finished(request, out);
         }
     }
 
-    fn forget(&mut self, request: u64, out: u32) {
+    fn remove_if_finished(&mut self, request: u64, out: u32) {
         if out == 0
             && self
-                .cases
+                .requests
                 .get(request)
                 .is_some_and(|case| case.answered > 0)
         {
-            self.cases.take(request);
+            self.requests.take(request);
         }
     }
 
-    /// A balancer was told of a host's process.
+    /// Registers what a balancer was told of the process at a host.
     pub fn notified(&mut self, now: Time, balancer: usize, host: u32, boot_ms: u64, ready: bool) {
         let host = host as usize;
         if self.notified.len() <= balancer {
@@ -208,27 +214,27 @@
         };
     }
 
-    /// A balancer started again: what it was told counts anew, from the list that it has now.
+    /// Clears what a balancer was told, as its new process receives the list anew.
     pub fn balancer_restarted(&mut self, balancer: usize) {
         if let Some(notified) = self.notified.get_mut(balancer) {
             notified.clear();
         }
     }
 
-    /// A balancer sent an attempt.
+    /// Checks an attempt that a balancer sends.
     pub fn sent(&mut self, now: Time, request: u64, balancer: usize, host: u32) {
-        let Some(case) = self.cases.get_mut(request) else {
-            return self.breach(
+        let Some(case) = self.requests.get_mut(request) else {
+            return self.record_breach(
                 Rule::OneAnswer,
                 now,
                 None,
                 format!("sent for request {request}, which is over"),
             );
         };
-        case.out += 1;
+        case.open_attempts += 1;
         let (call, answered, late) = (case.call, case.answered, now.saturating_sub(case.deadline));
-        if answered > 0 || late > GRACE {
-            self.breach(
+        if answered > 0 || late > RESPONSE_GRACE {
+            self.record_breach(
                 Rule::OneAnswer,
                 now,
                 Some(call),
@@ -240,34 +246,34 @@
             .get(balancer)
             .and_then(|notified| notified.get(host as usize));
         if let Some(since) = notified.and_then(|notified| notified.unready_since)
-            && now > since + DRAIN
+            && now > since + DRAIN_GRACE
         {
             let after = (now - since) as f64 / SECOND as f64;
             let text =
                 format!("sent to host {host} {after:.3} s after it was told to drain, or gone");
-            self.breach(Rule::Drained, now, Some(call), text);
+            self.record_breach(Rule::Drained, now, Some(call), text);
         }
     }
 
-    /// An attempt had its effect. One whose repeats upstreams drop does not count if they dropped it.
+    /// Checks an attempt that took effect. Repeats of keyed work that upstreams dropped are not reported here.
     pub fn effect_happened(&mut self, now: Time, request: u64) {
-        let Some(case) = self.cases.get_mut(request) else {
+        let Some(case) = self.requests.get_mut(request) else {
             return;
         };
-        case.ran += 1;
-        let (call, ran, refused) = (case.call, case.ran, case.refused);
+        case.effect_count += 1;
+        let (call, ran, refused) = (case.call, case.effect_count, case.refused);
         if case.effect == CallEffect::Safe {
             return;
         }
         if ran > 1 {
-            self.breach(
+            self.record_breach(
                 Rule::NoEffectTwice,
                 now,
                 Some(call),
                 format!("had its effect {ran} times"),
             );
         } else if refused {
-            self.breach(
+            self.record_breach(
                 Rule::NoEffectTwice,
                 now,
                 Some(call),
@@ -276,19 +282,19 @@
         }
     }
 
-    /// Nothing of an attempt is left anywhere.
+    /// Registers that an attempt has ended both at its balancer and at its upstream.
     pub fn attempt_over(&mut self, now: Time, request: u64) {
-        let Some(case) = self.cases.get_mut(request) else {
+        let Some(case) = self.requests.get_mut(request) else {
             return;
         };
-        match case.out.checked_sub(1) {
+        match case.open_attempts.checked_sub(1) {
             Some(out) => {
-                case.out = out;
-                self.forget(request, out);
+                case.open_attempts = out;
+                self.remove_if_finished(request, out);
             }
             None => {
                 let call = case.call;
-                self.breach(
+                self.record_breach(
                     Rule::Conservation,
                     now,
                     Some(call),
@@ -298,25 +304,27 @@
         }
     }
 
-    /// A cold upstream was sent more than pushes it over.
-    pub fn pushed_over(&mut self, now: Time, upstream: &str, part: f64) {
+    /// Reports that a cold upstream was overloaded. `part` is the received load relative to the overload
+    /// threshold.
+    pub fn cold_overload(&mut self, now: Time, upstream: &str, part: f64) {
         let text = format!("{upstream} was sent {part:.2} of what pushes it over");
-        self.breach(Rule::Cold, now, None, text);
+        self.record_breach(Rule::Cold, now, None, text);
     }
 
-    /// Looks for requests without an answer whose time is over. `stalled`: as for answers.
+    /// Reports requests that are overdue without an answer. `stalled` extends the grace period as in
+    /// [`Self::answered`].
     pub fn check_overdue(&mut self, now: Time, stalled: Time) {
-        let late = |case: &Case| now > case.deadline + GRACE + stalled;
+        let late = |case: &AuditedRequest| now > case.deadline + RESPONSE_GRACE + stalled;
         let open = self
-            .cases
+            .requests
             .iter()
-            .filter(|(_, case)| case.answered == 0 && !case.overdue && late(case));
+            .filter(|(_, case)| case.answered == 0 && !case.reported_overdue && late(case));
         let open: Vec<_> = open.map(|(request, case)| (request, case.call)).collect();
         for (request, call) in open {
-            if let Some(case) = self.cases.get_mut(request) {
-                case.overdue = true;
+            if let Some(case) = self.requests.get_mut(request) {
+                case.reported_overdue = true;
             }
-            self.breach(
+            self.record_breach(
                 Rule::OneAnswer,
                 now,
                 Some(call),
@@ -325,25 +333,26 @@
         }
     }
 
-    /// The end of the run, when all should be over. `open`: what the balancers hold by their own count.
+    /// Checks at the end of the run that nothing is open. `open` is the number of requests that the balancers
+    /// count as open.
     pub fn end(&mut self, now: Time, open: usize) {
         let cases = self
-            .cases
+            .requests
             .iter()
             .map(|(_, case)| case.call)
             .collect::<Vec<_>>();
         if let Some(&call) = cases.first() {
             let text = format!("{} requests are not over at the end", cases.len());
-            self.breach(Rule::Conservation, now, Some(call), text);
+            self.record_breach(Rule::Conservation, now, Some(call), text);
         }
         if open > 0 {
             let text = format!("{open} requests are open in balancers at the end");
-            self.breach(Rule::Conservation, now, None, text);
+            self.record_breach(Rule::Conservation, now, None, text);
         }
     }
 
-    /// How often each rule was broken, in their order, and the first breaches in full.
+    /// Number of breaches by rule, in the order of [`Rule::ALL`], and the first breaches in full.
     pub fn findings(self) -> ([u64; 5], Vec<Breach>) {
-        (self.counts, self.breaches)
+        (self.breach_counts, self.breaches)
     }
 }
--- a/crates/emulator/src/baseline/config.rs
+++ b/crates/emulator/src/baseline/config.rs
@@ -1,70 +1,70 @@
-//! Which baseline policies there are, and their names.
+//! Baseline policies and their names.
 
 use super::error::PolicyError;
 use std::fmt;
 use std::str::FromStr;
 
-/// How a server is picked.
+/// How a server is selected for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerSelection {
-    /// Any, each as likely.
+    /// Uniformly at random.
     Random,
-    /// One after the other.
+    /// Round robin.
     RoundRobin,
-    /// Of two drawn at random the one with fewer calls in flight (Mitzenmacher, "The Power of Two Choices in
+    /// Of two random servers, the one with fewer calls in flight (Mitzenmacher, "The Power of Two Choices in
     /// Randomized Load Balancing", 2001).
     TwoChoices,
-    /// The one with the fewest calls in flight; the first in turn among equals.
+    /// The server with the fewest calls in flight; among equals, the next one in round-robin order.
     LeastConnections,
-    /// Of two drawn at random the one with the lower peak-sensitive moving average of the latency times its
-    /// calls in flight (Finagle's documentation, "Power of Two Choices (P2C) + Peak EWMA").
+    /// Of two random servers, the one with the lower product of calls in flight and peak-sensitive moving
+    /// average of the latency (Finagle's documentation, "Power of Two Choices (P2C) + Peak EWMA").
     PeakEwma,
-    /// Ribbon's zone avoidance and availability filter, with round robin ("Deep Dive into Ribbon"): its
-    /// thresholds as the article has them, its breaker as Ribbon's wiki describes it (three connection failures
-    /// or time-outs in a row, an open time that doubles up to 30 s).
+    /// Ribbon's zone avoidance and availability filter, with round robin. The thresholds follow the article
+    /// "Deep Dive into Ribbon"; the circuit breaker follows Ribbon's wiki (three connection failures or
+    /// timeouts in a row, and an open time that doubles up to 30 s).
     Ribbon,
 }
 
-/// What limits the calls in flight from one balancer.
+/// How the calls in flight from one balancer are limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConcurrencyLimit {
-    /// Nothing.
+    /// No limit.
     None,
-    /// One more while the limit is used and all goes well, a tenth less on each failure (TCP's rule; Netflix
-    /// concurrency-limits, `AIMDLimit`).
+    /// Additive increase while the limit is used and calls succeed, and a decrease by a tenth on each failure,
+    /// as in TCP (Netflix concurrency-limits, `AIMDLimit`).
     Aimd,
-    /// The limit follows the ratio of the least latency to the present one (Netflix concurrency-limits,
+    /// The limit follows the ratio of the lowest latency to the present latency (Netflix concurrency-limits,
     /// `Gradient2Limit`).
     Gradient,
 }
 
-/// When a call that failed is tried again.
+/// When a failed call is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Never.
+    /// No retries.
     Never,
-    /// Always, as often as the settings allow.
+    /// Retries up to the number of attempts that the settings allow.
     Fixed,
-    /// While a token bucket lasts, into which each call puts a fifth (gRPC A6, "retryThrottling"; Finagle's
-    /// `RetryBudget`).
+    /// Retries while a token bucket lasts, to which each call adds a fifth of a token (gRPC A6,
+    /// "retryThrottling"; Finagle's `RetryBudget`).
     Budget,
 }
 
-/// A baseline policy.
+/// Configuration of a baseline policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BaselineConfig {
-    /// How a server is picked.
+    /// Selection of a server.
     pub selection: ServerSelection,
-    /// Servers that fail five times in a row are left out for 30 s, a tenth of them at most (Envoy's
-    /// documentation, "Outlier detection", consecutive 5xx).
+    /// Servers that fail five times in a row are ejected for 30 s, at most a tenth of all servers at a time
+    /// (Envoy's documentation, "Outlier detection", consecutive 5xx).
     pub ejects_outliers: bool,
-    /// What limits the calls in flight.
+    /// Limit of the calls in flight.
     pub limit: ConcurrencyLimit,
-    /// When a call is tried again.
+    /// Retries of failed calls.
     pub retries: RetryPolicy,
 }
 
-const PICKS: [(&str, ServerSelection); 6] = [
+const SELECTION_NAMES: [(&str, ServerSelection); 6] = [
     ("random", ServerSelection::Random),
     ("round-robin", ServerSelection::RoundRobin),
     ("two-choices", ServerSelection::TwoChoices),
@@ -75,7 +75,7 @@
 
 impl fmt::Display for BaselineConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = PICKS
+        let name = SELECTION_NAMES
             .iter()
             .find(|(_, pick)| *pick == self.selection)
             .map_or("", |(name, _)| name);
@@ -100,8 +100,8 @@
     fn from_str(text: &str) -> Result<Self, PolicyError> {
         let mut parts = text.split('+');
         let name = parts.next().unwrap_or_default();
-        let Some((_, pick)) = PICKS.iter().find(|(known, _)| *known == name) else {
-            let known: Vec<_> = PICKS.iter().map(|(known, _)| *known).collect();
+        let Some((_, pick)) = SELECTION_NAMES.iter().find(|(known, _)| *known == name) else {
+            let known: Vec<_> = SELECTION_NAMES.iter().map(|(known, _)| *known).collect();
             return Err(PolicyError::UnknownPolicy {
                 name: name.to_owned(),
                 known: known.join(", "),
--- a/crates/emulator/src/baseline/error.rs
+++ b/crates/emulator/src/baseline/error.rs
@@ -1,17 +1,17 @@
-//! Names that are no policies.
+//! Errors in the names of policies.
 
-/// A name that is no policy.
+/// Error in the name of a policy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyError {
     /// No policy has this name.
     #[error("there is no policy {name:?}; there are woadstall, {known}")]
     UnknownPolicy {
-        /// The name that was given.
+        /// The given name.
         name: String,
-        /// The names of the baseline policies, with commas.
+        /// Names of the baseline policies, separated by commas.
         known: String,
     },
-    /// Baseline policies have no such addition.
+    /// The suffix after `+` names no option of a baseline policy.
     #[error("there is no addition {0:?}; there are outlier, aimd, gradient, retries, budget")]
     UnknownAddition(String),
 }
--- a/crates/emulator/src/baseline/learning.rs
+++ b/crates/emulator/src/baseline/learning.rs
@@ -1,22 +1,24 @@
-//! What a baseline policy learns from the end of an attempt: ejection, Ribbon's breaker, latencies and limits.
+//! State that a baseline policy updates when an attempt ends: ejection, Ribbon's circuit breaker, latencies and
+//! limits.
 
 use super::*;
 
-/// Failures in a row after which a server is ejected.
+/// Consecutive failures after which a server is ejected.
 const EJECT_FAILURES: u32 = 5;
-/// How long a server is ejected for the first time, in nanoseconds; each time it is once more as long.
+/// First ejection time, in nanoseconds. The n-th ejection in a row lasts n times as long.
 const EJECT_TIME: Time = 30 * SECOND;
-/// Part of the servers that may be ejected at a time.
-const EJECT_PART: f64 = 0.1;
-/// Failures in a row that trip Ribbon's breaker.
+/// Maximum fraction of the servers that are ejected at a time.
+const MAX_EJECTED_FRACTION: f64 = 0.1;
+/// Consecutive failures that open Ribbon's circuit breaker.
 const TRIP_FAILURES: u32 = 3;
-/// How long Ribbon's breaker is open for the first time, in nanoseconds; each time it is twice as long.
+/// First open time of Ribbon's circuit breaker, in nanoseconds; it doubles each time.
 const TRIP_TIME: Time = 10 * SECOND;
-/// The longest that Ribbon's breaker is open, in nanoseconds.
+/// Longest open time of Ribbon's circuit breaker, in nanoseconds.
 const TRIP_TIME_MAX: Time = 30 * SECOND;
 
 impl Server {
-    /// Feeds the peak-sensitive average with a latency in nanoseconds: a peak counts at once, and fades.
+    /// Updates the peak-sensitive average with a latency in nanoseconds: a higher value replaces the average at
+    /// once, a lower one enters with decay.
     fn observe_latency(&mut self, now: Time, took: f64) {
         let age = now.saturating_sub(self.cost_at) as f64;
         let weight = (-age / DECAY).exp();
@@ -75,7 +77,7 @@
         }
     }
 
-    /// `took`: latency in nanoseconds.
+    /// Updates the gradient limit; `took` is the latency in nanoseconds.
     fn adapt_gradient(&mut self, took: f64, outcome: Outcome) {
         if outcome == Outcome::Full {
             self.limit = (0.9 * self.limit).max(4.0);
@@ -104,14 +106,14 @@
         }
     }
 
-    /// Leaves a server out for a while, unless too many are.
+    /// Ejects a server for a while, unless too many servers are ejected already.
     fn eject(&mut self, now: Time, at: usize) {
         let out = self
             .ready
             .iter()
             .filter(|&&at| self.servers[at].out_until > now)
             .count();
-        if (out as f64) < (EJECT_PART * self.ready.len() as f64).max(1.0) {
+        if (out as f64) < (MAX_EJECTED_FRACTION * self.ready.len() as f64).max(1.0) {
             let server = &mut self.servers[at];
             server.trips += 1;
             (server.out_until, server.failures) = (now + EJECT_TIME * Time::from(server.trips), 0);
--- a/crates/emulator/src/baseline/mod.rs
+++ b/crates/emulator/src/baseline/mod.rs
@@ -1,7 +1,7 @@
-//! Baseline policies on the same wire, written from their public descriptions. Each is a way to pick a server, with or
-//! without an ejection of outliers, a limit of what is in flight, and a rule for retries. What they share, they
-//! share in [`BaselinePolicy`]: the list, the calls, the time limits. None of them ever repeats work that must not run
-//! twice, so that they are compared by what they serve.
+//! Baseline policies with the engine's interface, written from their public descriptions. Each policy combines
+//! a server selection with optional outlier ejection, a concurrency limit and a retry rule. [`BaselinePolicy`]
+//! holds the parts that all policies share: the upstream list, the calls, and the time limits. No policy
+//! repeats work that must not run twice, so that the policies are compared by the calls that they serve.
 
 mod config;
 mod error;
@@ -23,13 +23,13 @@
     ServerId, Time, UpstreamEntry,
 };
 
-/// Time over which the peak-sensitive average decays, in nanoseconds.
+/// Decay time of the peak-sensitive average, in nanoseconds.
 const DECAY: f64 = 10e9;
-/// Tokens that each call puts into the retry budget; a retry takes one.
+/// Tokens that each call adds to the retry budget; a retry takes one token.
 const BUDGET_EARNED: f64 = 0.2;
-/// Tokens that the retry budget holds at most, and begins with.
+/// Capacity and initial content of the retry budget, in tokens.
 const BUDGET_MAX: f64 = 10.0;
-/// Advice on when to come back, for what is refused by a limit.
+/// Retry-after advice for calls refused by a limit.
 const RETRY_AFTER: Time = 200 * MS;
 
 #[derive(Clone, Debug)]
@@ -40,9 +40,11 @@
     zone: usize,
     ready: bool,
     in_flight: u32,
-    /// Failures in a row, how often it was left out, and until when it is.
+    /// Consecutive failures.
     failures: u32,
+    /// Consecutive ejections, or openings of Ribbon's circuit breaker.
     trips: u32,
+    /// Time until which the server is not selected.
     out_until: Time,
     cost: f64,
     cost_at: Time,
@@ -54,13 +56,13 @@
     deadline: Time,
     attempts: u32,
     most: u32,
-    /// The server of the attempt out, and when it was sent.
+    /// Server of the attempt in flight, and the time when the attempt was sent.
     out: Option<(usize, Time)>,
     last: Option<usize>,
     may_have_run: bool,
 }
 
-/// See the module's documentation.
+/// A balancer agent that follows a baseline policy.
 pub struct BaselinePolicy {
     config: BaselineConfig,
     settings: Settings,
@@ -74,13 +76,13 @@
     tokens: f64,
     limit: f64,
     in_flight: u32,
-    /// Short and long moving averages of the latency, in nanoseconds; 0 before the first call.
+    /// Short-term moving average of the latency, in nanoseconds; 0 before the first call.
     short_latency: f64,
     long_latency: f64,
 }
 
 impl BaselinePolicy {
-    /// One that knows no server yet.
+    /// Creates an agent that knows no server yet.
     pub fn new(config: BaselineConfig, settings: Settings, seed: u64) -> Self {
         Self {
             config,
@@ -143,7 +145,7 @@
         self.ready = (0..servers.len())
             .filter(|&at| servers[at].ready && servers[at].address.is_some())
             .collect();
-        // Copies that start together must not all begin with the same server.
+        // A random start keeps balancers that start together from choosing the same first server.
         if all && !self.ready.is_empty() {
             self.cursor = self.rng.random_range(..self.ready.len());
         }
@@ -193,11 +195,11 @@
             return;
         };
         let Some(at) = picked else {
-            return self.give_up(id);
+            return self.finish_without_response(id);
         };
         let server = &mut self.servers[at];
         let Some(address) = server.address else {
-            return self.give_up(id);
+            return self.finish_without_response(id);
         };
         server.in_flight += 1;
         self.in_flight += 1;
@@ -220,7 +222,7 @@
         self.commands.push_back(Command::SendAttempt(send));
     }
 
-    fn give_up(&mut self, id: RequestId) {
+    fn finish_without_response(&mut self, id: RequestId) {
         let Some(open) = self.open.remove(&id) else {
             return;
         };
@@ -278,7 +280,7 @@
             self.tokens -= 1.0;
             self.attempt(now, id);
         } else {
-            self.give_up(id);
+            self.finish_without_response(id);
         }
     }
 }
@@ -312,7 +314,7 @@
                 attempt,
                 end: ended,
             } => self.on_ended(now, id, attempt, &ended),
-            // Each for itself: what a fleet finds is told in vain.
+            // Baseline policies use no health verdicts of the fleet, probes or timers.
             Input::DiscoveryFailed
             | Input::ResponseStarted { .. }
             | Input::ProbeEnded(..)
@@ -326,7 +328,7 @@
     }
 
     fn wake_at(&self) -> Option<Time> {
-        None // an attempt's own time limit is the request's
+        None // no timer: each attempt ends at the request's deadline
     }
 
     fn open_call_count(&self) -> usize {
--- a/crates/emulator/src/baseline/selection.rs
+++ b/crates/emulator/src/baseline/selection.rs
@@ -1,10 +1,10 @@
-//! How a baseline policy picks a server.
+//! Server selection of the baseline policies.
 
 use super::*;
 
-/// Ribbon avoids a zone from so many calls in flight per server on.
+/// Calls in flight per server from which on Ribbon avoids a zone.
 const ZONE_LOAD: f64 = 0.6;
-/// Ribbon avoids a zone from this part of its servers tripped on.
+/// Fraction of tripped servers from which on Ribbon avoids a zone.
 const ZONE_TRIPPED: f64 = 0.2;
 
 impl BaselinePolicy {
@@ -21,7 +21,7 @@
         };
         match self.config.selection {
             ServerSelection::RoundRobin | ServerSelection::Ribbon => {
-                self.in_turn(count, |this, at| usable(this, at))
+                self.next_in_order(count, |this, at| usable(this, at))
             }
             ServerSelection::LeastConnections => {
                 let start = self.cursor;
@@ -40,7 +40,7 @@
                     let server = &self.servers[at];
                     let calls = f64::from(server.in_flight) + 1.0;
                     match self.config.selection {
-                        // What is not known yet is dear while a call is out at it.
+                        // A server without a known latency is expensive while a call to it is in flight.
                         ServerSelection::PeakEwma if server.cost == 0.0 && server.in_flight > 0 => {
                             1e12 * calls
                         }
@@ -54,10 +54,11 @@
                 Some(if cost(two) < cost(one) { two } else { one })
             }
         }
-        .or_else(|| self.in_turn(count, |_, _| true))
+        .or_else(|| self.next_in_order(count, |_, _| true))
     }
 
-    /// One that will do, drawn at random; after some draws in vain the next in turn.
+    /// Draws a usable server at random; after several draws without success, takes the next usable one in
+    /// order.
     fn draw(&mut self, usable: impl Fn(&Self, usize) -> bool) -> Option<usize> {
         for _ in 0..8 {
             let at = self.ready[self.rng.random_range(..self.ready.len())];
@@ -65,10 +66,14 @@
                 return Some(at);
             }
         }
-        self.in_turn(self.ready.len(), usable)
+        self.next_in_order(self.ready.len(), usable)
     }
 
-    fn in_turn(&mut self, tries: usize, usable: impl Fn(&Self, usize) -> bool) -> Option<usize> {
+    fn next_in_order(
+        &mut self,
+        tries: usize,
+        usable: impl Fn(&Self, usize) -> bool,
+    ) -> Option<usize> {
         for _ in 0..tries {
             self.cursor = (self.cursor + 1) % self.ready.len();
             let at = self.ready[self.cursor];
@@ -128,7 +133,7 @@
             Some(server.zone) == one && server.out_until <= now && Some(at) != not
         };
         let count = self.ready.len();
-        self.in_turn(count, usable)
-            .or_else(|| self.in_turn(1, |_, _| true))
+        self.next_in_order(count, usable)
+            .or_else(|| self.next_in_order(1, |_, _| true))
     }
 }
--- a/crates/emulator/src/bound_check.rs
+++ b/crates/emulator/src/bound_check.rs
@@ -1,15 +1,15 @@
-//! Whether bounds were kept, judged from the timeline of a run alone, so that a run on sockets and one of the emulator
-//! are judged alike.
+//! Evaluates a scenario's bounds from the timeline of a run alone, so that runs on sockets and emulated runs
+//! are judged in the same way.
 
 use crate::measure::{Counts, RunResult, TimelineStep};
 use crate::scenario::{Bound, BoundResult, Requirement, Scenario};
 
-/// Steps that show a return.
-const IN_A_ROW: usize = 3;
+/// Number of consecutive steps over which a recovery is measured.
+const RECOVERY_STEPS: usize = 3;
 
-fn sum(steps: &[TimelineStep], from: f64, until: f64) -> Counts {
+fn sum_counts(steps: &[TimelineStep], from: f64, until: f64) -> Counts {
     let mut sum = Counts::default();
-    // A step that is in the window by its middle counts.
+    // A step counts if its midpoint lies in the window.
     let mut before = 0.0;
     for step in steps {
         let middle = (before + step.end_seconds) / 2.0;
@@ -25,18 +25,19 @@
     sum
 }
 
-fn part(of: f64, all: f64) -> Option<f64> {
+fn fraction(of: f64, all: f64) -> Option<f64> {
     (all > 0.0).then(|| of / all)
 }
 
-/// The part of the value offered between the warm-up and the first fault that was served.
+/// Fraction of the value offered between the warm-up and the first fault that was served.
 fn served_before_faults(scenario: &Scenario, steps: &[TimelineStep]) -> f64 {
     let (from, until) = (scenario.warm_up.seconds(), scenario.first_fault().seconds());
-    let before = sum(steps, from, until);
-    part(before.value, before.value_offered).unwrap_or(0.0)
+    let before = sum_counts(steps, from, until);
+    fraction(before.value, before.value_offered).unwrap_or(0.0)
 }
 
-/// Seconds from a time until so many log lines of a topic were written, in steps that began after it.
+/// Seconds from `from` until `least` log lines of a topic were written, counted over steps that began at or
+/// after `from`.
 fn log_lines_after(steps: &[TimelineStep], topic: &str, from: f64, least: u64) -> Option<f64> {
     let (mut lines, mut begins) = (0, 0.0);
     steps.iter().find_map(|step| {
@@ -49,27 +50,27 @@
 }
 
 impl Bound {
-    /// How it was kept in a run.
+    /// Evaluates this bound for a run.
     pub fn evaluate(&self, scenario: &Scenario, end: &RunResult) -> BoundResult {
         match &self.requirement {
             Requirement::Served { least: wanted, .. }
             | Requirement::PartitionsReported { least: wanted, .. } => {
-                self.at_least(*wanted, self.measured(scenario, end))
+                self.at_least(*wanted, self.measure(scenario, end))
             }
             Requirement::Refused { most: wanted, .. }
             | Requirement::ZoneNotEvacuated { most: wanted, .. }
             | Requirement::Attempts { most: wanted } => {
-                self.at_most(*wanted, self.measured(scenario, end))
+                self.at_most(*wanted, self.measure(scenario, end))
             }
             Requirement::FalseDeaths { most } => {
-                self.at_most(*most as f64, self.measured(scenario, end))
+                self.at_most(*most as f64, self.measure(scenario, end))
             }
             Requirement::Recovered { within, .. }
             | Requirement::LogLines { within, .. }
             | Requirement::DeathsKnown { within }
             | Requirement::Agreement { within, .. }
             | Requirement::ZoneEvacuated { within, .. } => {
-                self.at_most(within.seconds(), self.measured(scenario, end))
+                self.at_most(within.seconds(), self.measure(scenario, end))
             }
         }
     }
@@ -91,24 +92,24 @@
         }
     }
 
-    /// What a run shows of it: a part, a count, or seconds; nothing where it never came.
-    fn measured(&self, scenario: &Scenario, end: &RunResult) -> Option<f64> {
+    /// Measured value of the requirement: a fraction, a count, or seconds; `None` if the condition never held.
+    fn measure(&self, scenario: &Scenario, end: &RunResult) -> Option<f64> {
         let (members, evacuated) = (end.members.as_ref(), end.evacuation.as_ref());
         match &self.requirement {
             Requirement::Served { from, until, .. } => {
-                let sum = sum(&end.timeline, from.seconds(), until.seconds());
-                part(sum.value, sum.value_offered)
+                let sum = sum_counts(&end.timeline, from.seconds(), until.seconds());
+                fraction(sum.value, sum.value_offered)
             }
             Requirement::Refused { from, until, .. } => {
-                let sum = sum(&end.timeline, from.seconds(), until.seconds());
-                part(sum.refused as f64, sum.offered as f64)
+                let sum = sum_counts(&end.timeline, from.seconds(), until.seconds());
+                fraction(sum.refused as f64, sum.offered as f64)
             }
             Requirement::Recovered {
                 from, part: level, ..
             } => {
                 let level = level * served_before_faults(scenario, &end.timeline);
                 let until = scenario.duration.seconds();
-                self.back(&end.timeline, from.seconds(), until, level)
+                self.recovery_seconds(&end.timeline, from.seconds(), until, level)
             }
             Requirement::LogLines {
                 topic, from, least, ..
@@ -132,21 +133,27 @@
                 zone, from, until, ..
             } => Some(evacuated?.max_evacuated_fraction(zone, from.seconds(), until.seconds())),
             Requirement::Attempts { .. } => {
-                part(end.counts.attempts as f64, end.counts.requests as f64)
+                fraction(end.counts.attempts as f64, end.counts.requests as f64)
             }
         }
     }
 
-    /// How long after a time service was back at a level, over some steps together: in a single one chance and what
-    /// was offered before weigh too much.
-    fn back(&self, steps: &[TimelineStep], from: f64, until: f64, level: f64) -> Option<f64> {
+    /// Seconds from `from` until service was back at `level`, averaged over several steps. In a single step,
+    /// random variation and calls offered in earlier steps weigh too much.
+    fn recovery_seconds(
+        &self,
+        steps: &[TimelineStep],
+        from: f64,
+        until: f64,
+        level: f64,
+    ) -> Option<f64> {
         let begins = std::iter::once(0.0).chain(steps.iter().map(|step| step.end_seconds));
         let steps: Vec<(f64, &TimelineStep)> = begins.zip(steps).collect();
         let after = steps.iter().position(|(_, step)| step.end_seconds > from)?;
         (after..steps.len())
             .filter(|&at| steps[at].0 < until)
             .find_map(|at| {
-                let row = &steps[at..steps.len().min(at + IN_A_ROW)];
+                let row = &steps[at..steps.len().min(at + RECOVERY_STEPS)];
                 let (value, offered) =
                     row.iter().fold((0.0, 0.0), |(value, offered), (_, step)| {
                         (
@@ -154,7 +161,7 @@
                             offered + step.counts.value_offered,
                         )
                     });
-                part(value, offered)
+                fraction(value, offered)
                     .is_none_or(|part| part >= level)
                     .then_some((steps[at].0 - from).max(0.0))
             })
@@ -162,7 +169,7 @@
 }
 
 impl Scenario {
-    /// How the bounds were kept in a run.
+    /// Evaluates all bounds for a run.
     pub fn evaluate(&self, end: &RunResult) -> Vec<BoundResult> {
         self.bound
             .iter()
--- a/crates/emulator/src/costs.rs
+++ b/crates/emulator/src/costs.rs
@@ -1,43 +1,43 @@
-//! The price list: what a fleet pays beside the work itself, by tier, with the largest sender and the worst second
-//! of each. What does no harm in one balancer shows here where all do it.
+//! Costs of a run apart from the work on requests, by tier, with the largest sender and the worst second. They
+//! show behavior that is harmless in one balancer and expensive when all balancers do it.
 
 use crate::units::SECOND;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use woadstall_engine::Time;
 
-/// What is paid for.
+/// Kinds of cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cost {
     /// Connections opened to upstreams.
     Handshakes,
-    /// Connections that upstreams had no place for.
+    /// Connections that upstreams refused for lack of capacity.
     #[serde(rename = "crowded")]
     ConnectionsRefused,
-    /// Reads of the list from discovery.
+    /// Reads of the upstream list from discovery.
     Reads,
-    /// Those of them that failed.
+    /// Reads of the upstream list that failed.
     FailedReads,
-    /// Probes of upstreams.
+    /// Health probes of upstreams.
     Probes,
-    /// Attempts that were not the first of their request.
+    /// Attempts after the first one of their request.
     #[serde(rename = "repeats")]
     Retries,
-    /// Attempts that crossed zones.
+    /// Attempts from one zone to another.
     #[serde(rename = "crossings")]
     CrossZoneAttempts,
     /// Requests that a balancer refused.
     Refusals,
-    /// Connections of callers to balancers.
+    /// Connections opened by callers to balancers.
     #[serde(rename = "lines")]
     CallerConnections,
-    /// Requests that reached no balancer: it was dead, and the front had not noticed.
+    /// Requests that reached no balancer, because the front had not detected the death of the balancer yet.
     Unreached,
 }
 
 impl Cost {
-    /// All of them.
+    /// All kinds, in the order of the report.
     pub const ALL: [Self; 10] = [
         Self::Handshakes,
         Self::ConnectionsRefused,
@@ -69,24 +69,24 @@
     }
 }
 
-/// One line of the list.
+/// Row of the cost table.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CostRow {
-    /// The tier that was sent to.
+    /// Tier whose balancers incurred the cost.
     pub tier: String,
-    /// What was paid for.
+    /// Kind of cost.
     #[serde(rename = "price")]
     pub cost: Cost,
-    /// How often, in all.
+    /// Number of occurrences in the whole run.
     pub total: u64,
-    /// For each request that balancers of the tier took.
+    /// Occurrences per request that the tier's balancers received.
     #[serde(rename = "each")]
     pub per_request: f64,
-    /// The balancer that paid most often, and its part of the total.
+    /// Balancer with the most occurrences, and its fraction of the total.
     #[serde(rename = "largest")]
     pub largest_sender: (u32, f64),
-    /// The worst second, and how often it was paid in that.
+    /// Second of the run with the most occurrences, and their number.
     #[serde(rename = "worst")]
     pub worst_second: (u64, u64),
 }
@@ -94,19 +94,19 @@
 #[derive(Clone, Debug, Default)]
 struct Tally {
     total: u64,
-    senders: Vec<u32>,
-    seconds: Vec<u32>,
+    count_by_sender: Vec<u32>,
+    count_by_second: Vec<u32>,
 }
 
-fn raise(counts: &mut Vec<u32>, at: usize) {
+fn increment(counts: &mut Vec<u32>, at: usize) {
     if counts.len() <= at {
         counts.resize(at + 1, 0);
     }
     counts[at] = counts[at].saturating_add(1);
 }
 
-fn most(counts: &[u32]) -> (usize, u32) {
-    // Of equals the first, so that the same run names the same one.
+fn first_maximum(counts: &[u32]) -> (usize, u32) {
+    // Of equal counts the first one is taken, so that the result is deterministic.
     counts
         .iter()
         .copied()
@@ -116,34 +116,34 @@
         .unwrap_or((0, 0))
 }
 
-/// Counts while a run goes on.
+/// Collects the costs during a run.
 #[derive(Clone, Debug, Default)]
 pub struct CostCounters {
     tiers: Vec<(u64, [Tally; Cost::ALL.len()])>,
 }
 
 impl CostCounters {
-    /// For so many tiers.
+    /// Creates counters for a number of tiers.
     pub fn new(tiers: usize) -> Self {
         Self {
             tiers: vec![Default::default(); tiers],
         }
     }
 
-    /// A balancer of a tier took a request.
-    pub fn request(&mut self, tier: usize) {
+    /// Counts a request that a balancer of the tier received.
+    pub fn count_request(&mut self, tier: usize) {
         self.tiers[tier].0 += 1;
     }
 
-    /// A balancer of a tier paid.
-    pub fn pay(&mut self, now: Time, tier: usize, price: Cost, sender: usize) {
+    /// Counts one occurrence of a cost at a balancer of the tier.
+    pub fn count(&mut self, now: Time, tier: usize, price: Cost, sender: usize) {
         let tally = &mut self.tiers[tier].1[price as usize];
         tally.total += 1;
-        raise(&mut tally.senders, sender);
-        raise(&mut tally.seconds, (now / SECOND) as usize);
+        increment(&mut tally.count_by_sender, sender);
+        increment(&mut tally.count_by_second, (now / SECOND) as usize);
     }
 
-    /// What was paid at all, by tier.
+    /// Table of all costs that occurred, by tier.
     pub fn rows(&self, names: &[String]) -> Vec<CostRow> {
         let tiers = self.tiers.iter().zip(names);
         let rows = tiers.flat_map(|((requests, tallies), tier)| {
@@ -152,8 +152,10 @@
                 .zip(tallies)
                 .filter(|(_, tally)| tally.total > 0)
                 .map(move |(price, tally)| {
-                    let ((sender, count), (second, worst)) =
-                        (most(&tally.senders), most(&tally.seconds));
+                    let ((sender, count), (second, worst)) = (
+                        first_maximum(&tally.count_by_sender),
+                        first_maximum(&tally.count_by_second),
+                    );
                     CostRow {
                         tier: tier.clone(),
                         cost: price,
--- a/crates/emulator/src/costs/tests.rs
+++ b/crates/emulator/src/costs/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of `costs`.
+//! Unit tests of `costs`.
 
 use super::*;
 
 #[test]
 fn rows_name_the_largest_sender_and_the_worst_second() {
-    let mut prices = CostCounters::new(2);
-    (0..10).for_each(|_| prices.request(1));
+    let mut costs = CostCounters::new(2);
+    (0..10).for_each(|_| costs.count_request(1));
     for (second, sender) in [(0, 4), (2, 7), (2, 7), (2, 4), (5, 7)] {
-        prices.pay(second * SECOND + 1, 1, Cost::Handshakes, sender);
+        costs.count(second * SECOND + 1, 1, Cost::Handshakes, sender);
     }
     let names = ["one".to_owned(), "two".to_owned()];
-    let [row] = &prices.rows(&names)[..] else {
+    let [row] = &costs.rows(&names)[..] else {
         panic!("one line")
     };
     assert_eq!(
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_equal_goes_to_the_first() {
-    assert_eq!(most(&[1, 3, 3, 0]), (1, 3));
-    assert_eq!(most(&[]), (0, 0));
+fn the_first_of_equal_counts_is_the_maximum() {
+    assert_eq!(first_maximum(&[1, 3, 3, 0]), (1, 3));
+    assert_eq!(first_maximum(&[]), (0, 0));
 }
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,47 +1,47 @@
-//! Discovery that is asked: one service for all balancers, which works through reads in turn and turns away what
-//! would wait too long. Handed its time.
+//! Model of a discovery service that balancers query: a single server for all balancers, which handles reads in
+//! order and rejects reads that would wait too long. The caller passes the time.
 
 use woadstall_engine::Time;
 
-/// What becomes of a read.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Read {
-    /// It is answered then.
+    /// The read is answered at this time.
     Answered(Time),
-    /// It is answered 503, or not at all, then.
+    /// The read fails at this time, with status 503 or without an answer.
     Failed(Time),
 }
 
-/// See the module's documentation.
+/// Discovery service with a queue of reads.
 #[derive(Clone, Copy, Debug)]
 pub struct Discovery {
-    /// How long it works on a read.
-    work: Time,
-    /// A read that would wait for longer fails after this time.
+    /// Service time of a read.
+    service_time: Time,
+    /// A read fails after this time if its answer would come later.
     timeout: Time,
     free_at: Time,
     down: bool,
 }
 
 impl Discovery {
-    /// One that can answer so many reads a second.
+    /// Creates a service that answers `reads_per_second`.
     pub fn new(reads_per_second: f64, timeout: Time) -> Self {
         Self {
-            work: (1e9 / reads_per_second.max(1e-6)) as Time,
+            service_time: (1e9 / reads_per_second.max(1e-6)) as Time,
             timeout,
             free_at: 0,
             down: false,
         }
     }
 
-    /// It is down, or up again. What waits in it is answered all the same.
+    /// Takes the service down or up again. Reads that are queued already are answered all the same.
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
     }
 
-    /// A read comes.
+    /// Queues a read.
     pub fn read(&mut self, now: Time) -> Read {
-        let done = self.free_at.max(now) + self.work;
+        let done = self.free_at.max(now) + self.service_time;
         if self.down || done > now + self.timeout {
             return Read::Failed(now + self.timeout);
         }
--- a/crates/emulator/src/evacuation.rs
+++ b/crates/emulator/src/evacuation.rs
@@ -4,61 +4,62 @@
 use serde::{Deserialize, Serialize};
 use woadstall_engine::Time;
 
-/// A share up to this is out, but for trials.
-pub const OUT: f64 = 0.3;
+/// A balancer counts as having evacuated a zone at this share or below; the remaining share is for trial
+/// requests.
+pub const EVACUATED_MAX_SHARE: f64 = 0.3;
 
-/// A balancer gives a zone another share of its new work.
+/// A balancer changes the share of new requests that it sends to a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareChange {
-    /// When.
+    /// Time of the change.
     pub at: Time,
-    /// Which balancer.
+    /// Number of the balancer.
     pub balancer: u32,
-    /// Which zone, by position.
+    /// Position of the zone in the scenario.
     pub zone: u8,
-    /// The share.
+    /// New share; 1 means that nothing is diverted.
     pub share: f64,
 }
 
-/// Takes moves as they come.
+/// Collects the share changes of a run.
 #[derive(Clone, Debug)]
 pub struct EvacuationTracker {
     zones: Vec<String>,
     shares: Vec<Vec<f64>>,
     since: Vec<Vec<Time>>,
-    moves: Vec<ShareChange>,
-    away: Vec<f64>,
+    changes: Vec<ShareChange>,
+    diverted_seconds: Vec<f64>,
 }
 
-/// All that was seen, for a run's end.
+/// Report on the evacuations of a run.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct EvacuationReport {
-    /// Times at which the part of the balancers that is out of a zone changed: second, zone, part.
+    /// Changes of the fraction of balancers that evacuated a zone: time in seconds, zone, new fraction.
     #[serde(rename = "out")]
     pub evacuated_fractions: Vec<(f64, String, f64)>,
-    /// For each zone, the share that it did not get, times seconds, over all balancers' number.
+    /// Diverted share of each zone, integrated over time in seconds and averaged over all balancers.
     #[serde(rename = "moved")]
     pub diverted_share_seconds: Vec<(String, f64)>,
-    /// Changes of shares.
+    /// Number of share changes.
     #[serde(rename = "moves")]
     pub share_changes: u64,
 }
 
 impl EvacuationTracker {
-    /// Of these zones, by so many balancers.
+    /// Creates a tracker for these zones and a number of balancers.
     pub fn new(zones: Vec<String>, balancers: usize) -> Self {
         let count = zones.len();
         Self {
             zones,
             shares: vec![vec![1.0; count]; balancers],
             since: vec![vec![0; count]; balancers],
-            moves: Vec::new(),
-            away: vec![0.0; count],
+            changes: Vec::new(),
+            diverted_seconds: vec![0.0; count],
         }
     }
 
-    /// A balancer begins anew, in all zones.
+    /// Resets a balancer's shares to 1, as its process starts.
     pub fn balancer_started(&mut self, at: Time, balancer: usize) {
         for zone in 0..self.zones.len() as u8 {
             self.record_share_change(ShareChange {
@@ -70,19 +71,19 @@
         }
     }
 
-    /// A balancer gives a zone a share.
+    /// Records a share change of a balancer.
     pub fn record_share_change(&mut self, to: ShareChange) {
         let (balancer, zone) = (to.balancer as usize, usize::from(to.zone));
         let was = self.shares[balancer][zone];
         if was == to.share {
-            return; // renewed
+            return; // an unchanged share that was renewed
         }
-        self.add_up(to.at, balancer, zone);
+        self.accumulate(to.at, balancer, zone);
         self.shares[balancer][zone] = to.share;
-        self.moves.push(to);
+        self.changes.push(to);
     }
 
-    /// The share of a zone, by its name, as it is seen at a balancer.
+    /// Records the share of a zone, given by its name, as observed at a balancer.
     pub fn record_zone_share(&mut self, at: Time, balancer: u32, zone: &str, share: f64) {
         if let Some(zone) = self.zones.iter().position(|known| known == zone) {
             self.record_share_change(ShareChange {
@@ -94,24 +95,26 @@
         }
     }
 
-    fn add_up(&mut self, now: Time, balancer: usize, zone: usize) {
+    fn accumulate(&mut self, now: Time, balancer: usize, zone: usize) {
         let since = std::mem::replace(&mut self.since[balancer][zone], now);
         let time = now.saturating_sub(since) as f64 / SECOND as f64;
-        self.away[zone] += (1.0 - self.shares[balancer][zone]) * time;
+        self.diverted_seconds[zone] += (1.0 - self.shares[balancer][zone]) * time;
     }
 
-    /// All that was seen.
+    /// Finishes the tracking and returns the report.
     pub fn end(mut self, now: Time) -> EvacuationReport {
         let balancers = self.shares.len();
         for balancer in 0..balancers {
-            (0..self.zones.len()).for_each(|zone| self.add_up(now, balancer, zone));
+            (0..self.zones.len()).for_each(|zone| self.accumulate(now, balancer, zone));
         }
         let of = balancers.max(1) as f64;
         let mut outs = vec![vec![false; self.zones.len()]; balancers];
         let mut out = Vec::new();
-        for to in &self.moves {
+        for to in &self.changes {
             let (balancer, zone) = (to.balancer as usize, usize::from(to.zone));
-            if std::mem::replace(&mut outs[balancer][zone], to.share <= OUT) != (to.share <= OUT) {
+            if std::mem::replace(&mut outs[balancer][zone], to.share <= EVACUATED_MAX_SHARE)
+                != (to.share <= EVACUATED_MAX_SHARE)
+            {
                 let part = outs.iter().filter(|outs| outs[zone]).count() as f64 / of;
                 out.push((to.at as f64 / SECOND as f64, self.zones[zone].clone(), part));
             }
@@ -120,18 +123,18 @@
             .zones
             .iter()
             .cloned()
-            .zip(self.away.iter().map(|away| away / of))
+            .zip(self.diverted_seconds.iter().map(|away| away / of))
             .collect();
         EvacuationReport {
             evacuated_fractions: out,
             diverted_share_seconds: moved,
-            share_changes: self.moves.len() as u64,
+            share_changes: self.changes.len() as u64,
         }
     }
 }
 
 impl EvacuationReport {
-    /// How long after a second so large a part of the balancers was out of a zone.
+    /// Seconds after `from` until at least the fraction `part` of the balancers had evacuated a zone.
     pub fn evacuated_after(&self, zone: &str, from: f64, part: f64) -> Option<f64> {
         let of = self
             .evacuated_fractions
@@ -149,7 +152,7 @@
             .map(|(at, ..)| at - from)
     }
 
-    /// The largest part of the balancers that was out of a zone from a second on.
+    /// Largest fraction of the balancers that had evacuated a zone between two times in seconds.
     pub fn max_evacuated_fraction(&self, zone: &str, from: f64, until: f64) -> f64 {
         let of = self
             .evacuated_fractions
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,5 +1,4 @@
-//! The queue of events by time. Events of the same instant happen in the order in which they
-//! were planned; that is the rule for ties.
+//! Queue of events by time. Events of the same instant are handled in the order in which they were scheduled.
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, VecDeque};
@@ -13,7 +12,7 @@
 
 impl<E> Ord for ScheduledEvent<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.sequence).cmp(&(self.at, self.sequence)) // the heap's greatest is the earliest
+        (other.at, other.sequence).cmp(&(self.at, self.sequence)) // reversed: BinaryHeap is a max-heap
     }
 }
 
@@ -31,7 +30,7 @@
 
 impl<E> Eq for ScheduledEvent<E> {}
 
-/// The events to come.
+/// Scheduled events in the order of their times.
 pub struct EventQueue<E> {
     heap: BinaryHeap<ScheduledEvent<E>>,
     sequence: u64,
@@ -49,12 +48,12 @@
 }
 
 impl<E> EventQueue<E> {
-    /// The time of the event that was taken last.
+    /// Time of the event that was taken last.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Plans an event; what lies in the past happens now.
+    /// Schedules an event. A time in the past is replaced by the present time.
     pub fn at(&mut self, at: Time, event: E) {
         self.sequence += 1;
         self.heap.push(ScheduledEvent {
@@ -64,12 +63,12 @@
         });
     }
 
-    /// Plans an event after a while.
+    /// Schedules an event after a delay.
     pub fn after(&mut self, after: Time, event: E) {
         self.at(self.now.saturating_add(after), event);
     }
 
-    /// The next event, unless that is later than `until`.
+    /// Takes the next event, unless it is later than `until`.
     pub fn next(&mut self, until: Time) -> Option<E> {
         if self.heap.peek()?.at > until {
             return None;
@@ -80,8 +79,8 @@
     }
 }
 
-/// Things that are numbered in the order in which they come, and forgotten one by one. A number is never used
-/// again; what is older than the oldest that is kept takes no memory.
+/// Map with consecutive keys in the order of insertion. Keys are never reused, and entries below the oldest
+/// present key take no memory.
 pub struct SequenceMap<T> {
     first: u64,
     entries: VecDeque<Option<T>>,
@@ -99,33 +98,33 @@
 }
 
 impl<T> SequenceMap<T> {
-    /// Keeps one more; tells its number.
+    /// Adds a value and returns its key.
     pub fn add(&mut self, value: T) -> u64 {
         self.entries.push_back(Some(value));
         self.count += 1;
         self.next() - 1
     }
 
-    /// The number of the next one.
+    /// Key of the next value to be added.
     pub fn next(&self) -> u64 {
         self.first + self.entries.len() as u64
     }
 
-    /// One that is kept.
+    /// Value of a key, if present.
     pub fn get(&self, number: u64) -> Option<&T> {
         self.entries
             .get(usize::try_from(number.checked_sub(self.first)?).ok()?)?
             .as_ref()
     }
 
-    /// One that is kept.
+    /// Mutable value of a key, if present.
     pub fn get_mut(&mut self, number: u64) -> Option<&mut T> {
         self.entries
             .get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?
             .as_mut()
     }
 
-    /// Forgets one.
+    /// Removes the value of a key.
     pub fn take(&mut self, number: u64) -> Option<T> {
         let taken = self
             .entries
@@ -139,17 +138,17 @@
         taken
     }
 
-    /// How many are kept.
+    /// Number of values present.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether none is kept.
+    /// Whether no value is present.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Those that are kept, oldest first, with their numbers.
+    /// Present values with their keys, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
         self.entries
             .iter()
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -1,23 +1,24 @@
-//! The front: deals out callers' connections among the balancers of their zone, and notices deaths late.
+//! Front that distributes callers' connections among the balancers of their zone, and that detects deaths of
+//! balancers late.
 //!
-//! Callers keep their connections, send one request at a time on each, and open one more when all are busy.
-//! Handed its time and its randomness; it knows balancers by number alone.
+//! Callers keep their connections open, send one request at a time on each connection, and open another one
+//! when all are busy. The caller of this module passes the time and the random generator.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use woadstall_engine::Time;
 
-/// Most idle connections that the callers of a zone keep to all balancers together.
+/// Maximum number of idle connections that the callers of one zone keep open.
 const MAX_IDLE: usize = 100_000;
 
-/// A connection of a caller to one incarnation of a balancer.
+/// A caller's connection to one incarnation of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerConnection {
-    /// The zone of its callers.
+    /// Zone of the caller.
     pub zone: usize,
-    /// The balancer.
+    /// Number of the balancer.
     pub balancer: u32,
-    /// Which of its processes.
+    /// Incarnation of the balancer's process.
     pub incarnation: u32,
 }
 
@@ -25,22 +26,23 @@
 struct FrontedBalancer {
     balancer: u32,
     weight: f64,
-    out: bool,
+    detected_down: bool,
 }
 
-/// See the module's documentation.
+/// Distributes callers' connections among balancers.
 #[derive(Debug)]
 pub struct Front {
-    /// The balancers of each zone.
+    /// Balancers by zone.
     zones: Vec<Vec<FrontedBalancer>>,
-    /// Idle connections of each zone's callers, and since when they are.
+    /// Idle connections by the callers' zone, with the time since when each is idle.
     idle: Vec<Vec<(CallerConnection, Time)>>,
     idle_timeout: Time,
 }
 
 impl Front {
-    /// A front before the balancers of each zone. Their weights lie between 1 and `uneven`, the logarithm evenly:
-    /// some get several times as many connections as others. Idle connections are closed after `kept`.
+    /// Creates a front for the balancers of each zone. Weights are log-uniform between 1 and
+    /// `max_weight_ratio`, so that some balancers get several times as many connections as others. Idle
+    /// connections are closed after `idle_timeout`.
     pub fn new(
         zones: &[Vec<u32>],
         max_weight_ratio: f64,
@@ -50,11 +52,11 @@
         let mut fronted_balancer = |&balancer: &u32| FrontedBalancer {
             balancer,
             weight: max_weight_ratio.max(1.0).powf(rng.random::<f64>()),
-            out: false,
+            detected_down: false,
         };
         let zones: Vec<Vec<FrontedBalancer>> = zones
             .iter()
-            .map(|there| there.iter().map(&mut fronted_balancer).collect())
+            .map(|zone_balancers| zone_balancers.iter().map(&mut fronted_balancer).collect())
             .collect();
         Self {
             idle: vec![Vec::new(); zones.len()],
@@ -63,8 +65,9 @@
         }
     }
 
-    /// A connection for a call from a zone: the one that was idle last, or else a new one, whose incarnation the caller
-    /// fills in. `None` where all balancers are known to be out.
+    /// Provides a connection for a call from a zone: the connection that became idle last, or a new one, whose
+    /// incarnation the caller fills in. The flag is `true` for a new connection. `None` if all balancers are
+    /// known to be down.
     pub fn acquire(
         &mut self,
         zone: usize,
@@ -73,7 +76,7 @@
     ) -> Option<(CallerConnection, bool)> {
         let idle_timeout = self.idle_timeout;
         let idle = &mut self.idle[zone];
-        // The rest of the pile has been idle for longer.
+        // All other connections on the stack have been idle for longer.
         if idle
             .last()
             .is_some_and(|(_, since)| now.saturating_sub(*since) >= idle_timeout)
@@ -85,18 +88,23 @@
         }
         let zones = self.zones.len();
         (0..zones).find_map(|step| {
-            let there = &self.zones[(zone + step) % zones];
-            let sum: f64 = there
+            let zone_balancers = &self.zones[(zone + step) % zones];
+            let sum: f64 = zone_balancers
                 .iter()
-                .filter(|one| !one.out)
+                .filter(|one| !one.detected_down)
                 .map(|one| one.weight)
                 .sum();
             let mut left = rng.random::<f64>() * sum;
-            let drawn = there.iter().filter(|one| !one.out).find(|one| {
-                left -= one.weight;
-                left < 0.0
-            });
-            let balancer = drawn.or(there.iter().rev().find(|one| !one.out))?.balancer;
+            let drawn = zone_balancers
+                .iter()
+                .filter(|one| !one.detected_down)
+                .find(|one| {
+                    left -= one.weight;
+                    left < 0.0
+                });
+            let balancer = drawn
+                .or(zone_balancers.iter().rev().find(|one| !one.detected_down))?
+                .balancer;
             Some((
                 CallerConnection {
                     zone,
@@ -108,7 +116,7 @@
         })
     }
 
-    /// A call on a connection is over, and the connection stays.
+    /// Returns a connection after its call; it becomes idle.
     pub fn release(&mut self, connection: CallerConnection, now: Time) {
         let idle = &mut self.idle[connection.zone];
         if idle.len() < MAX_IDLE {
@@ -116,18 +124,18 @@
         }
     }
 
-    /// All connections to a balancer are closed.
+    /// Closes all idle connections to a balancer.
     pub fn close(&mut self, balancer: u32) {
         self.idle
             .iter_mut()
             .for_each(|idle| idle.retain(|(connection, _)| connection.balancer != balancer));
     }
 
-    /// It is known by now that a balancer is out, or back.
-    pub fn set_out(&mut self, balancer: u32, out: bool) {
+    /// Marks a balancer as detected down, or as up again.
+    pub fn set_detected_down(&mut self, balancer: u32, out: bool) {
         let all = self.zones.iter_mut().flatten();
         all.filter(|one| one.balancer == balancer)
-            .for_each(|one| one.out = out);
+            .for_each(|one| one.detected_down = out);
     }
 }
 
--- a/crates/emulator/src/front/tests.rs
+++ b/crates/emulator/src/front/tests.rs
@@ -1,23 +1,23 @@
-//! Tests of `front`.
+//! Unit tests of `front`.
 
 use super::*;
 use rand::SeedableRng;
 
-/// How many connections are idle.
+/// Number of idle connections in all zones.
 fn idle_connections(front: &Front) -> usize {
     front.idle.iter().map(Vec::len).sum()
 }
 
-fn front(uneven: f64) -> (Front, ChaCha8Rng) {
+fn front(max_weight_ratio: f64) -> (Front, ChaCha8Rng) {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     (
-        Front::new(&[vec![0, 1, 2], vec![3]], uneven, 1_000, &mut rng),
+        Front::new(&[vec![0, 1, 2], vec![3]], max_weight_ratio, 1_000, &mut rng),
         rng,
     )
 }
 
 #[test]
-fn connections_are_used_again_until_they_idled_too_long_or_were_closed() {
+fn connections_are_reused_until_idle_timeout_or_close() {
     let (mut front, mut rng) = front(1.0);
     let (connection, fresh) = front.acquire(0, 0, &mut rng).unwrap();
     assert!(fresh && connection.balancer < 3);
@@ -35,22 +35,22 @@
 }
 
 #[test]
-fn the_dead_are_dealt_to_until_they_are_noticed_and_then_other_zones_stand_in() {
+fn balancers_detected_down_are_skipped_and_other_zones_take_over() {
     let (mut front, mut rng) = front(1.0);
-    front.set_out(0, true);
-    front.set_out(1, true);
+    front.set_detected_down(0, true);
+    front.set_detected_down(1, true);
     assert!((0..50).all(|_| front.acquire(0, 0, &mut rng).unwrap().0.balancer == 2));
-    front.set_out(2, true);
+    front.set_detected_down(2, true);
     let connection = front.acquire(0, 0, &mut rng).unwrap().0;
     assert_eq!((connection.zone, connection.balancer), (0, 3));
-    front.set_out(3, true);
+    front.set_detected_down(3, true);
     assert_eq!(front.acquire(0, 0, &mut rng), None);
-    front.set_out(1, false);
+    front.set_detected_down(1, false);
     assert_eq!(front.acquire(1, 0, &mut rng).unwrap().0.balancer, 1);
 }
 
 #[test]
-fn weights_are_as_uneven_as_configured() {
+fn weights_spread_over_the_configured_ratio() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let all: Vec<u32> = (0..400).collect();
     let front = Front::new(&[all], 20.0, 1_000, &mut rng);
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! An emulator of whole fleets in simulated time, round the real engine and module.
+//! Discrete-event emulator of whole fleets around the real load-balancing engine.
 //!
-//! A [`Scenario`] says what there is, what comes and what goes wrong; [`run`] plays it with the real engine or a
-//! baseline policy ([`Policy`]) in the balancers. An auditor that trusts nobody holds the four rules against each
-//! request. One scenario, policy and seed give one result, to the byte, wherever it runs. Nothing here does
-//! input or output.
+//! A [`Scenario`] describes the fleet, its load and its faults; [`run`] plays the scenario with the real engine
+//! or a baseline policy ([`Policy`]) in the balancers. An independent auditor checks each request against the
+//! four rules. The same scenario, policy and seed give the same result to the byte on every machine. This crate
+//! does no input or output.
 
 mod agent;
 mod audit;
@@ -41,7 +41,7 @@
 pub use woadstall_engine as engine;
 pub use world::{AgentWrapper, EPOCH, Simulation};
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end.
 pub fn run(scenario: &Scenario, policy: Policy, seed: u64) -> RunResult {
     Simulation::new(scenario, policy, seed).run()
 }
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -1,4 +1,4 @@
-//! Measures of a run: value served over value offered, and over what a fluid bound allows.
+//! Measurements of a run: value served relative to the value offered and to a fluid bound.
 
 use crate::audit::{Breach, Rule};
 use crate::costs::CostRow;
@@ -10,16 +10,16 @@
 use std::collections::{BTreeMap, VecDeque};
 use woadstall_engine::Time;
 
-/// What became of a call.
+/// Final outcome of a client call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Served within its class's aim.
+    /// Served within the latency target of its class.
     OnTime,
-    /// Served later.
+    /// Served after the latency target.
     Late,
-    /// Refused to the end.
+    /// Refused, also after all retries of the caller.
     Refused,
-    /// Failed.
+    /// Failed without a usable answer.
     Failed,
 }
 
@@ -27,30 +27,30 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Counts {
-    /// Calls that callers wished for.
+    /// Calls that callers wanted to make.
     pub offered: u64,
-    /// Requests at balancers, repeats by callers included.
+    /// Requests at balancers, including callers' retries.
     pub requests: u64,
-    /// Served within the aim.
+    /// Calls served within the latency target.
     pub on_time: u64,
-    /// Served later.
+    /// Calls served after the latency target.
     pub late: u64,
-    /// Refused to the end.
+    /// Calls refused, also after all retries of the caller.
     pub refused: u64,
-    /// Failed.
+    /// Calls that failed.
     pub failed: u64,
-    /// Attempts at upstreams, those of all tiers.
+    /// Attempts at upstreams of all tiers.
     pub attempts: u64,
-    /// Those that were not the first of their request.
+    /// Attempts after the first one of their request.
     #[serde(rename = "repeats")]
     pub retries: u64,
-    /// Those that crossed zones.
+    /// Attempts from one zone to another.
     #[serde(rename = "crossings")]
     pub cross_zone_attempts: u64,
-    /// Worth of what was offered.
+    /// Value of the offered calls.
     #[serde(rename = "worth-offered")]
     pub value_offered: f64,
-    /// Worth of what was served.
+    /// Value of the served calls.
     #[serde(rename = "worth")]
     pub value: f64,
 }
@@ -59,170 +59,171 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TimelineStep {
-    /// When it ended, in seconds.
+    /// End of the step, in seconds since the start of the run.
     #[serde(rename = "until")]
     pub end_seconds: f64,
-    /// What was counted in it.
+    /// Counts of this step.
     pub counts: Counts,
-    /// Latency of what was served, in milliseconds.
+    /// Median latency of served calls, in milliseconds.
     pub p50_ms: f64,
-    /// The same.
+    /// 99th percentile of the latency of served calls, in milliseconds.
     pub p99_ms: f64,
-    /// Latencies of what was served: microseconds, and how many there were of about that.
+    /// Latency histogram of served calls: upper end of the bucket in microseconds, and count.
     #[serde(rename = "latencies")]
     pub latency_histogram_us: Vec<(u64, u64)>,
-    /// What each tier's upstreams could do, in workers of sound warm ones.
+    /// Capacity of each tier's upstreams, in workers of healthy warm upstreams.
     #[serde(rename = "speed")]
     pub tier_capacity_workers: Vec<f64>,
-    /// Requests and attempts that were open at its end.
+    /// Requests and attempts that were open at the end of the step.
     #[serde(rename = "open")]
     pub open_requests_and_attempts: (u64, u64),
-    /// Attempts that went to each host.
+    /// Number of attempts by host.
     #[serde(rename = "hosts")]
     pub attempts_by_host: Vec<u32>,
-    /// Lines that balancers logged, by what they are of. Each balancer tells of a matter every 5 s at most.
+    /// Log lines of balancers by topic. Each balancer logs a topic at most once in 5 s.
     #[serde(rename = "lines")]
     pub log_lines_by_topic: BTreeMap<String, u64>,
-    /// Balancers and upstreams whose processes ran at its end, where they are processes.
+    /// Balancers and upstreams that were running at the end of the step; only for runs with real processes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "up")]
     pub running_processes: Option<(u64, u64)>,
 }
 
-/// Latencies of what was served, in milliseconds.
+/// Latencies of served calls, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Latencies {
-    /// The mean.
+    /// Mean latency.
     pub mean: f64,
-    /// The median.
+    /// Median latency.
     pub p50: f64,
-    /// Nine in ten are shorter.
+    /// 90th percentile.
     pub p90: f64,
-    /// 99 in a hundred are.
+    /// 99th percentile.
     pub p99: f64,
-    /// 999 in a thousand are.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// Maximum latency.
     pub max: f64,
 }
 
-/// All that a run shows.
+/// Result of a run.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RunResult {
-    /// Calls that came after the warm-up.
+    /// Counts of the calls that arrived after the warm-up.
     pub counts: Counts,
-    /// Worth served over value offered.
+    /// Value served relative to the value offered.
     #[serde(rename = "served")]
     pub served_value_fraction: f64,
-    /// Worth that the fluid bound allows over value offered.
+    /// Value that the fluid bound allows relative to the value offered.
     #[serde(rename = "bound")]
     pub fluid_bound: f64,
-    /// Worth served over what the bound allows.
+    /// Value served relative to the value that the fluid bound allows.
     pub score: f64,
-    /// Latencies.
+    /// Latencies of served calls.
     pub latency: Latencies,
-    /// Breaches of each rule.
+    /// Number of breaches by rule.
     pub breaches: BTreeMap<Rule, u64>,
-    /// The first of them in full.
+    /// The first breaches in full.
     pub first_breaches: Vec<Breach>,
-    /// Most requests that one upstream held.
+    /// Largest number of requests that one upstream held at a time.
     pub longest_queue: u32,
-    /// Lines that balancers logged.
+    /// Number of log lines of all balancers.
     pub log_lines: u64,
-    /// Events that happened.
+    /// Number of simulated events.
     pub events: u64,
-    /// The price list.
+    /// Costs by tier.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "prices")]
     pub costs: Vec<CostRow>,
-    /// How the scenario's bounds were kept.
+    /// Results of the scenario's bounds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub bounds: Vec<BoundResult>,
-    /// What was seen of membership among balancers.
+    /// Report on membership among balancers, if the scenario has it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub members: Option<MembershipReport>,
-    /// What balancers that leave places together made of zones.
+    /// Report on the evacuation of zones, if the scenario has it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "evacuated")]
     pub evacuation: Option<EvacuationReport>,
-    /// The timeline.
+    /// Steps of the run.
     #[serde(rename = "steps")]
     pub timeline: Vec<TimelineStep>,
-    /// The story of the call that was followed: when, in nanoseconds, and what.
+    /// Trace of the selected call: time in nanoseconds, and text.
     #[serde(rename = "story")]
     pub call_trace: Vec<(Time, String)>,
 }
 
 impl RunResult {
-    /// Whether each rule and each bound was kept.
+    /// Whether no rule was broken and all bounds were met.
     pub fn is_satisfied(&self) -> bool {
         self.breach_count() == 0 && self.bounds.iter().all(|bound| bound.is_met)
     }
 
-    /// Breaches in all.
+    /// Number of breaches of all rules.
     pub fn breach_count(&self) -> u64 {
         self.breaches.values().sum()
     }
 }
 
-/// What a class of requests is worth, and costs.
+/// Value and cost of a class of requests.
 #[derive(Clone, Copy)]
 struct ClassFigures {
     /// Value of an answer within the latency target.
     value: f64,
-    /// Part of it that a late answer earns.
+    /// Fraction of the value for a late answer.
     late_value: f64,
-    /// In nanoseconds.
+    /// Latency target, in nanoseconds.
     latency_target: Time,
-    /// In nanoseconds.
+    /// Deadline, in nanoseconds.
     deadline: Time,
     /// Mean work of an upstream on one request, in nanoseconds.
     work: f64,
 }
 
-/// Calls of a class that came in one step and are not served, as a fluid.
+/// Calls of a class that arrived in one step and are not served yet, as a fluid.
 #[derive(Clone, Copy)]
-struct Waiting {
+struct WaitingCalls {
     step: usize,
     calls: f64,
 }
 
-/// Work that is left in a step, in nanoseconds, and the value that was served so far.
+/// Work left in a step, in nanoseconds, and value served so far.
 #[derive(Clone, Copy, Default)]
 struct Fluid {
     capacity: f64,
     value: f64,
 }
 
-/// Counts while a run goes on, simulated or on sockets. Times are nanoseconds from its start.
+/// Collects the measurements of a run, simulated or on sockets. Times are nanoseconds since the start of the
+/// run.
 pub struct Meter {
     classes: Vec<ClassFigures>,
-    all: Counts,
+    totals: Counts,
     latency: Histogram<u64>,
-    /// Sum of the latencies, in nanoseconds.
-    took: f64,
+    /// Sum of the latencies of served calls, in nanoseconds.
+    latency_sum: f64,
     longest_queue: u32,
     step: TimelineStep,
     step_latency: Histogram<u64>,
     steps: Vec<TimelineStep>,
-    /// Calls of each class in a step, from the warm-up on.
-    came: Vec<u64>,
-    all_came: Vec<Vec<u64>>,
+    /// Calls of each class in the present step, from the warm-up on.
+    arrivals: Vec<u64>,
+    arrivals_by_step: Vec<Vec<u64>>,
     step_length: Time,
-    hosts: usize,
-    multiple: Vec<f64>,
+    host_count: usize,
+    requests_per_call: Vec<f64>,
     log_lines: u64,
 }
 
 fn histogram() -> Histogram<u64> {
-    // From a microsecond to an hour, to two digits; the bounds are sound, so this does not fail.
-    Histogram::new_with_bounds(1, 3_600_000_000, 2).unwrap_or_else(|_| unreachable!("sound bounds"))
+    // 1 µs to 1 h with two significant digits; these bounds are valid, so construction cannot fail.
+    Histogram::new_with_bounds(1, 3_600_000_000, 2).unwrap_or_else(|_| unreachable!("valid bounds"))
 }
 
 impl Meter {
-    /// Nothing is counted yet.
+    /// Creates a meter with all counts at 0.
     pub fn new(scenario: &Scenario) -> Self {
         let classes = scenario.class.iter().map(|class| ClassFigures {
             value: class.value,
@@ -231,7 +232,7 @@
             deadline: class.deadline.0,
             work: class.service.mean(),
         });
-        // How many requests of a tier one call of a caller makes.
+        // Mean number of requests to each tier per client call.
         let mut multiple = vec![0.0; scenario.tier.len()];
         let (mut at, mut times) = (0, 1.0);
         loop {
@@ -245,41 +246,41 @@
             (at, times) = (next, times * calls.mean);
         }
         Self {
-            came: vec![0; scenario.class.len()],
+            arrivals: vec![0; scenario.class.len()],
             classes: classes.collect(),
-            all: Counts::default(),
+            totals: Counts::default(),
             latency: histogram(),
-            took: 0.0,
+            latency_sum: 0.0,
             longest_queue: 0,
             step: TimelineStep::default(),
             step_latency: histogram(),
             steps: Vec::new(),
-            all_came: Vec::new(),
+            arrivals_by_step: Vec::new(),
             step_length: scenario.step.0,
-            hosts: scenario.process_counts().1 as usize,
-            multiple,
+            host_count: scenario.process_counts().1 as usize,
+            requests_per_call: multiple,
             log_lines: 0,
         }
     }
 
-    /// A caller wishes for something; `measured`: after the warm-up.
+    /// Counts an offered call. `measured` means that the call arrived after the warm-up.
     pub fn offered(&mut self, class: usize, measured: bool) {
         let value = self.classes[class].value;
         let counts = &mut self.step.counts;
         (counts.offered, counts.value_offered) = (counts.offered + 1, counts.value_offered + value);
         if measured {
-            (self.all.offered, self.all.value_offered) =
-                (self.all.offered + 1, self.all.value_offered + value);
-            self.came[class] += 1;
+            (self.totals.offered, self.totals.value_offered) =
+                (self.totals.offered + 1, self.totals.value_offered + value);
+            self.arrivals[class] += 1;
         }
     }
 
-    /// It asks a balancer.
+    /// Counts a request that a caller sends to a balancer.
     pub fn request_sent(&mut self) {
         self.step.counts.requests += 1;
     }
 
-    /// A balancer sends an attempt to a host.
+    /// Counts an attempt that a balancer sends to a host.
     pub fn sent(&mut self, attempt: u32, crosses: bool, host: u32) {
         let counts = &mut self.step.counts;
         counts.attempts += 1;
@@ -287,12 +288,12 @@
         counts.cross_zone_attempts += u64::from(crosses);
         let (hosts, host) = (&mut self.step.attempts_by_host, host as usize);
         if hosts.len() <= host {
-            hosts.resize(self.hosts.max(host + 1), 0);
+            hosts.resize(self.host_count.max(host + 1), 0);
         }
         hosts[host] += 1;
     }
 
-    /// A call is over, so long after it came.
+    /// Counts a finished call, with its total latency.
     pub fn ended(&mut self, class: usize, outcome: CallOutcome, took: Time, measured: bool) {
         let ClassFigures {
             value, late_value, ..
@@ -313,20 +314,20 @@
             self.step_latency.saturating_record(took / 1_000);
         }
         if measured {
-            count(&mut self.all);
+            count(&mut self.totals);
             if served {
                 self.latency.saturating_record(took / 1_000);
-                self.took += took as f64;
+                self.latency_sum += took as f64;
             }
         }
     }
 
-    /// An upstream holds so many requests.
+    /// Records the number of requests that an upstream holds.
     pub fn queued(&mut self, held: u32) {
         self.longest_queue = self.longest_queue.max(held);
     }
 
-    /// Counts a line by its first word, which tells what it is of.
+    /// Counts a log line by its first word, which is its topic.
     pub fn log_line(&mut self, line: &str) {
         self.log_lines += 1;
         let topic = line.split(' ').next().unwrap_or_default();
@@ -337,7 +338,7 @@
             .or_default() += 1;
     }
 
-    /// A step of the timeline ends: what each tier can do, and what is open.
+    /// Ends a step of the timeline, with the present capacity of each tier and the open requests and attempts.
     pub fn step(&mut self, now: Time, speed: &[f64], requests: usize, attempts: usize) {
         let mut step = std::mem::take(&mut self.step);
         step.end_seconds = now as f64 / 1e9;
@@ -351,19 +352,20 @@
         step.open_requests_and_attempts = (requests as u64, attempts as u64);
         self.step_latency.reset();
         self.steps.push(step);
-        self.all_came.push(std::mem::replace(
-            &mut self.came,
+        self.arrivals_by_step.push(std::mem::replace(
+            &mut self.arrivals,
             vec![0; self.classes.len()],
         ));
     }
 
-    /// What can be served at most where work is a fluid: in each step the upstreams' speed goes to the calls of the
-    /// highest value for their work, of a class to the oldest that are still in their aim, then to late ones.
-    /// Queues within a step, the chance of arrivals and lost work are left out, so it is above what can be done.
-    fn bound(&self) -> f64 {
-        let mut waiting: Vec<VecDeque<Waiting>> = vec![VecDeque::new(); self.classes.len()];
+    /// Upper bound of the value that can be served, with work as a fluid: in each step, the capacity goes to
+    /// the calls with the highest value per work. Within a class, the oldest calls within the latency target
+    /// come first, and late calls after them. The bound ignores queues within a step, random arrivals and lost
+    /// work, so it is above the achievable value.
+    fn fluid_bound(&self) -> f64 {
+        let mut waiting: Vec<VecDeque<WaitingCalls>> = vec![VecDeque::new(); self.classes.len()];
         let order = self.order_of_value();
-        // Until the last are past their time, the speed of the last step goes on.
+        // The capacity of the last step continues until the deadlines of the last calls have passed.
         let longest = self
             .classes
             .iter()
@@ -381,7 +383,7 @@
         fluid.value
     }
 
-    /// Classes, each for calls within their latency target and for late ones, by value for their work.
+    /// Pairs of class and lateness in descending order of value per work.
     fn order_of_value(&self) -> Vec<(usize, bool)> {
         let mut order: Vec<(usize, bool)> = (0..self.classes.len())
             .flat_map(|class| [(class, false), (class, true)])
@@ -394,24 +396,24 @@
         order
     }
 
-    /// What the slowest tier can do in a step, in nanoseconds of work for calls.
+    /// Capacity of the slowest tier in a step, in nanoseconds of work on client calls.
     fn capacity_of_step(&self, at: usize) -> f64 {
         let step = &self.steps[at.min(self.steps.len() - 1)];
         let least = step
             .tier_capacity_workers
             .iter()
-            .zip(&self.multiple)
+            .zip(&self.requests_per_call)
             .filter(|(_, multiple)| **multiple > 0.0)
             .map(|(speed, multiple)| speed / multiple)
             .fold(f64::MAX, f64::min);
         least * self.step_length as f64
     }
 
-    /// The calls that came in a step wait; those past their deadline do no longer.
-    fn admit_calls(&self, at: usize, waiting: &mut [VecDeque<Waiting>]) {
+    /// Adds the calls that arrived in a step, and drops those past their deadline.
+    fn admit_calls(&self, at: usize, waiting: &mut [VecDeque<WaitingCalls>]) {
         for (class, waiting) in waiting.iter_mut().enumerate() {
-            let came = self.all_came.get(at).map_or(0, |came| came[class]);
-            waiting.push_back(Waiting {
+            let came = self.arrivals_by_step.get(at).map_or(0, |came| came[class]);
+            waiting.push_back(WaitingCalls {
                 step: at,
                 calls: came as f64,
             });
@@ -425,12 +427,13 @@
         }
     }
 
-    /// Serves calls of a class, oldest first, those that are late or those that are not.
+    /// Serves waiting calls of a class, oldest first; `late` selects the calls past or within the latency
+    /// target.
     fn serve(
         &self,
         at: usize,
         (class, late): (usize, bool),
-        waiting: &mut VecDeque<Waiting>,
+        waiting: &mut VecDeque<WaitingCalls>,
         fluid: &mut Fluid,
     ) {
         let figures = &self.classes[class];
@@ -447,11 +450,11 @@
             let done = calls.calls.min(fluid.capacity / figures.work);
             calls.calls -= done;
             fluid.capacity -= done * figures.work;
-            fluid.value += done * each; // one sum: the order of additions decides the last digits
+            fluid.value += done * each; // a single running sum: the order of additions affects the last digits
         }
     }
 
-    /// The result, from the auditor's findings.
+    /// Finishes the measurements, with the auditor's findings.
     pub fn end(
         self,
         (counts, first_breaches): ([u64; 5], Vec<Breach>),
@@ -461,10 +464,10 @@
         let bound = if self.steps.is_empty() {
             0.0
         } else {
-            self.bound()
+            self.fluid_bound()
         };
-        let mut all = self.all;
-        // Of these it is not known which belong to calls of the warm-up.
+        let mut all = self.totals;
+        // Requests and attempts are not attributed to calls, so the ones of the warm-up are included.
         for step in &self.steps {
             all.requests += step.counts.requests;
             all.attempts += step.counts.attempts;
@@ -478,7 +481,7 @@
             fluid_bound: part(bound, all.value_offered).min(1.0),
             score: part(all.value, bound.min(all.value_offered)),
             latency: Latencies {
-                mean: self.took / (all.on_time + all.late).max(1) as f64 / 1e6,
+                mean: self.latency_sum / (all.on_time + all.late).max(1) as f64 / 1e6,
                 p50: ms(0.5),
                 p90: ms(0.9),
                 p99: ms(0.99),
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -1,5 +1,5 @@
-//! Compares which members run with what members hold of each other: false deaths, and how long true ones take to
-//! be known.
+//! Compares the running members of a fleet with the members' views of each other: false deaths, and the time
+//! until true deaths are known.
 
 use crate::units::SECOND;
 use hdrhistogram::Histogram;
@@ -7,50 +7,51 @@
 use std::collections::BTreeMap;
 use woadstall_engine::Time;
 
-/// After a pause that was too long, or a cut from all, the news of a death may still be under way for so long.
-const EXCUSED: Time = 10 * SECOND;
-/// A death that lasted for so long has to be known.
-const LASTS: Time = 30 * SECOND;
-/// Stories that are kept.
-const STORIES: usize = 20;
-/// Changes between together and not that are kept.
-const CHANGES: usize = 10_000;
+/// Time after a pause beyond the tolerance, or after complete isolation, during which a report of death may
+/// still be in transit and does not count as false.
+const PROPAGATION_GRACE: Time = 10 * SECOND;
+/// A death that lasts at least this long must become known.
+const MIN_KNOWN_DEATH: Time = 30 * SECOND;
+/// Maximum number of false deaths described in full.
+const MAX_DETAILS: usize = 20;
+/// Maximum number of recorded changes of agreement.
+const MAX_CHANGES: usize = 10_000;
 
-/// What a member holds of the present incarnation of another.
+/// View of a member on another member's present incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MemberView {
-    /// It has not heard of it.
+    /// The member is not known.
     #[default]
     Unknown,
-    /// It is there.
+    /// The member is alive.
     Alive,
-    /// It may be gone.
+    /// The member is suspected to be dead.
     Suspect,
-    /// It is gone.
+    /// The member is considered dead.
     Dead,
-    /// It has left.
+    /// The member has left.
     Left,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Member {
     up: bool,
-    still_since: Option<Time>,
+    paused_since: Option<Time>,
     unreachable_by_all: bool,
-    /// Until when it may be held for dead though it is there.
-    excused: Time,
-    /// Held for dead by some though it is there.
-    wronged: bool,
+    /// Until this time, a view of the running member as dead does not count as false.
+    excused_until: Time,
+    /// Some member considers this one dead although it is running.
+    falsely_dead: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Death {
     at: Time,
-    /// Those that were up then and have not heard of it.
-    needed: usize,
+    /// Number of members that were up at the death and have not learned of it.
+    unaware: usize,
 }
 
-/// See the module's documentation.
+/// Collects the members' states and their views of each other.
 #[derive(Clone, Debug)]
 pub struct MembershipObserver {
     members: Vec<Member>,
@@ -59,55 +60,55 @@
     deaths: BTreeMap<usize, Death>,
     known: Histogram<u64>,
     known_by_all: Histogram<u64>,
-    died: u64,
+    death_count: u64,
     never_known: u64,
     false_deaths: u64,
-    stories: Vec<String>,
+    false_death_details: Vec<String>,
     disagreements: usize,
-    together: Vec<(Time, bool)>,
+    agreement_changes: Vec<(Time, bool)>,
     partitions_reported: Vec<(Time, f64)>,
 }
 
-/// What a run showed of membership.
+/// Membership results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct MembershipReport {
-    /// Members that were held for dead though they were there, each as often as that began.
+    /// Number of times that a running member came to be considered dead.
     pub false_deaths: u64,
-    /// The first of them in words.
+    /// Descriptions of the first false deaths.
     #[serde(rename = "stories")]
     pub false_death_details: Vec<String>,
-    /// Members whose process ended.
+    /// Number of ended member processes.
     pub deaths: u64,
-    /// Milliseconds until a death was known, over all that had to hear of it.
+    /// Milliseconds until a death was known, over all members that had to learn of it.
     pub known_ms: Quantiles,
-    /// Milliseconds until a death was known by all.
+    /// Milliseconds until a death was known by all members.
     pub known_by_all_ms: Quantiles,
-    /// How often one had not heard of a death that lasted for half a minute.
+    /// Number of times that a member had not learned of a death that lasted for half a minute.
     pub never_known: u64,
-    /// Times in seconds at which all that run began to hold all others for there, or ceased to.
+    /// Times in seconds at which all running members began or ceased to consider each other alive.
     #[serde(rename = "together")]
     pub agreement_changes: Vec<(f64, bool)>,
-    /// Parts of the cut ways that were named right by both sides, less those that were named and are not cut, by the
-    /// second at which that was looked at.
+    /// Time in seconds of each check, and the fraction of partitioned paths that both ends reported, less the
+    /// fraction reported wrongly.
     #[serde(rename = "cuts-named")]
     pub partitions_reported: Vec<(f64, f64)>,
-    /// Bytes a second that a member sent, on average and the most.
+    /// Bytes per second that a member sent: mean and maximum.
     #[serde(rename = "bytes-a-second")]
     pub bytes_per_second: (f64, f64),
 }
 
-/// Of some times.
+/// Quantiles of a set of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Quantiles {
-    /// How many there were.
+    /// Number of values.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50: f64,
-    /// 99 in a hundred are shorter.
+    /// 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
@@ -123,26 +124,27 @@
     }
 }
 
-fn times() -> Histogram<u64> {
+fn histogram() -> Histogram<u64> {
     Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits will do"))
 }
 
 impl MembershipObserver {
-    /// Of so many members, none of which runs yet; pauses of up to this are to be borne.
+    /// Creates an observer of a number of members, none of which is running. Pauses of up to `tolerated_pause`
+    /// must not lead to a report of death.
     pub fn new(members: usize, tolerated_pause: Time) -> Self {
         Self {
             members: vec![Member::default(); members],
             views: vec![MemberView::Unknown; members * members],
             tolerated_pause,
             deaths: BTreeMap::new(),
-            known: times(),
-            known_by_all: times(),
-            died: 0,
+            known: histogram(),
+            known_by_all: histogram(),
+            death_count: 0,
             never_known: 0,
             false_deaths: 0,
-            stories: Vec::new(),
+            false_death_details: Vec::new(),
             disagreements: 0,
-            together: Vec::new(),
+            agreement_changes: Vec::new(),
             partitions_reported: Vec::new(),
         }
     }
@@ -152,7 +154,7 @@
         by != of && view != MemberView::Alive && self.is_active(by) && self.is_active(of)
     }
 
-    /// How many pairs with one member are not as they should be.
+    /// Number of ordered pairs with this member in which one running member does not consider the other alive.
     fn disagreements_with(&self, who: usize) -> usize {
         let all = 0..self.members.len();
         all.map(|other| {
@@ -161,7 +163,7 @@
         .sum()
     }
 
-    fn change(&mut self, now: Time, who: usize, change: impl FnOnce(&mut Self)) {
+    fn update_member(&mut self, now: Time, who: usize, change: impl FnOnce(&mut Self)) {
         let before = self.disagreements_with(who);
         change(self);
         self.disagreements = self.disagreements + self.disagreements_with(who) - before;
@@ -171,22 +173,22 @@
     fn record_agreement(&mut self, now: Time) {
         let together = self.disagreements == 0;
         if self
-            .together
+            .agreement_changes
             .last()
             .is_none_or(|(_, last)| *last != together)
-            && self.together.len() < CHANGES
+            && self.agreement_changes.len() < MAX_CHANGES
         {
-            self.together.push((now, together));
+            self.agreement_changes.push((now, together));
         }
     }
 
-    /// A member's process begins, as a new incarnation of it, or ends.
+    /// Records that a member's process starts, as a new incarnation, or ends.
     pub fn set_running(&mut self, now: Time, who: usize, up: bool) {
         if self.members[who].up == up {
             return;
         }
         let size = self.members.len();
-        self.change(now, who, |all| {
+        self.update_member(now, who, |all| {
             all.members[who] = Member {
                 up,
                 unreachable_by_all: all.members[who].unreachable_by_all,
@@ -203,14 +205,14 @@
             if let Some(death) = self
                 .deaths
                 .remove(&who)
-                .filter(|death| now >= death.at + LASTS)
+                .filter(|death| now >= death.at + MIN_KNOWN_DEATH)
             {
-                self.never_known += death.needed as u64;
+                self.never_known += death.unaware as u64;
             }
             return;
         }
-        self.died += 1;
-        // Those that held it for gone already hear nothing new.
+        self.death_count += 1;
+        // Members that had delisted this one already learn nothing new.
         let is_delisted = |by: usize| {
             matches!(
                 self.views[by * size + who],
@@ -225,22 +227,28 @@
                 self.views[who * size + of],
                 MemberView::Dead | MemberView::Left | MemberView::Unknown
             );
-            death.needed -= usize::from(!knows).min(death.needed);
+            death.unaware -= usize::from(!knows).min(death.unaware);
         }
-        self.deaths.insert(who, Death { at: now, needed });
+        self.deaths.insert(
+            who,
+            Death {
+                at: now,
+                unaware: needed,
+            },
+        );
     }
 
-    /// A member stands still, or goes on.
+    /// Records that a member is paused or resumed.
     pub fn set_paused(&mut self, now: Time, who: usize, still: bool) {
         let tolerated_pause = self.tolerated_pause;
-        self.change(now, who, |all| {
+        self.update_member(now, who, |all| {
             let member = &mut all.members[who];
-            match (still, member.still_since) {
-                (true, None) => member.still_since = Some(now),
+            match (still, member.paused_since) {
+                (true, None) => member.paused_since = Some(now),
                 (false, Some(since)) => {
-                    member.still_since = None;
+                    member.paused_since = None;
                     if now - since > tolerated_pause {
-                        member.excused = now + EXCUSED;
+                        member.excused_until = now + PROPAGATION_GRACE;
                     }
                 }
                 _ => {}
@@ -248,8 +256,8 @@
         });
     }
 
-    /// Ways are cut from now on, each from the first to the second. Of one that nobody hears, or that hears nobody,
-    /// others cannot know that it is there.
+    /// Updates the partitions, given as a test of ordered pairs. Other members cannot know that a member is
+    /// alive if it cannot reach anybody or be reached by anybody.
     pub fn partition(&mut self, now: Time, is_partitioned: impl Fn(usize, usize) -> bool) {
         let size = self.members.len();
         for (who, member) in self.members.iter_mut().enumerate() {
@@ -257,12 +265,12 @@
             let off = others.clone().all(|other| is_partitioned(who, other))
                 || others.all(|other| is_partitioned(other, who));
             if std::mem::replace(&mut member.unreachable_by_all, off) && !off {
-                member.excused = member.excused.max(now + EXCUSED);
+                member.excused_until = member.excused_until.max(now + PROPAGATION_GRACE);
             }
         }
     }
 
-    /// What a member holds of the present incarnation of another.
+    /// Records a member's view on another member's present incarnation.
     pub fn record_view(&mut self, now: Time, by: usize, of: usize, view: MemberView) {
         let size = self.members.len();
         let disagreements = self.disagrees(by, of);
@@ -275,7 +283,7 @@
         self.record_agreement(now);
         let is_delisted = |view| matches!(view, MemberView::Dead | MemberView::Left);
         if self.members[of].up {
-            return self.view_of_running(now, by, of, view);
+            return self.check_false_death(now, by, of, view);
         }
         if let Some(death) = self
             .deaths
@@ -284,40 +292,40 @@
         {
             let ms = now.saturating_sub(death.at) / 1_000_000;
             self.known.record(ms).ok();
-            death.needed = death.needed.saturating_sub(1);
-            if death.needed == 0 {
+            death.unaware = death.unaware.saturating_sub(1);
+            if death.unaware == 0 {
                 self.known_by_all.record(ms).ok();
             }
         }
     }
 
-    fn view_of_running(&mut self, now: Time, by: usize, of: usize, view: MemberView) {
+    fn check_false_death(&mut self, now: Time, by: usize, of: usize, view: MemberView) {
         let (tolerated_pause, member) = (self.tolerated_pause, &mut self.members[of]);
         if view != MemberView::Dead {
-            member.wronged &= view != MemberView::Alive;
+            member.falsely_dead &= view != MemberView::Alive;
             return;
         }
         let sleeps = member
-            .still_since
+            .paused_since
             .is_some_and(|since| now - since > tolerated_pause);
         if member.unreachable_by_all
             || sleeps
-            || now < member.excused
-            || std::mem::replace(&mut member.wronged, true)
+            || now < member.excused_until
+            || std::mem::replace(&mut member.falsely_dead, true)
         {
             return;
         }
         self.false_deaths += 1;
-        if self.stories.len() < STORIES {
+        if self.false_death_details.len() < MAX_DETAILS {
             let at = now as f64 / SECOND as f64;
-            self.stories.push(format!(
+            self.false_death_details.push(format!(
                 "{at:.3} s: {by} record_view {of} for dead, which is there"
             ));
         }
     }
 
-    /// How the ways are named, looked at once: pairs of members with whether the way from the first to the second is
-    /// cut, and whether each of the two says so.
+    /// Records one check of the reported partitions. Each pair of members gives whether the path from the first
+    /// to the second is partitioned, and whether the first and the second report it.
     pub fn record_path_reports(
         &mut self,
         now: Time,
@@ -335,7 +343,7 @@
         }
     }
 
-    /// All ordered pairs of those that are there and have spoken.
+    /// All ordered pairs of active members that have spoken.
     pub fn pairs(&self, has_spoken: impl Fn(usize) -> bool) -> Vec<(usize, usize)> {
         let there: Vec<usize> = (0..self.members.len())
             .filter(|&who| self.is_active(who) && has_spoken(who))
@@ -346,18 +354,18 @@
         pairs.filter(|(from, to)| from != to).collect()
     }
 
-    /// Whether a member runs and does not stand still.
+    /// Whether a member is running and not paused.
     pub fn is_active(&self, who: usize) -> bool {
-        self.members[who].up && self.members[who].still_since.is_none()
+        self.members[who].up && self.members[who].paused_since.is_none()
     }
 
-    /// All that was seen; `bytes` are those that each member sent, over so long.
+    /// Finishes the observation. `bytes` are the bytes that each member sent during `over`.
     pub fn end(mut self, now: Time, bytes: &[u64], over: Time) -> MembershipReport {
         let open: usize = self
             .deaths
             .values()
-            .filter(|death| now >= death.at + LASTS)
-            .map(|death| death.needed)
+            .filter(|death| now >= death.at + MIN_KNOWN_DEATH)
+            .map(|death| death.unaware)
             .sum();
         self.never_known += open as u64;
         let seconds = |time: Time| time as f64 / SECOND as f64;
@@ -365,13 +373,13 @@
         let mean = rate(bytes.iter().sum()) / bytes.len().max(1) as f64;
         MembershipReport {
             false_deaths: self.false_deaths,
-            false_death_details: self.stories,
-            deaths: self.died,
+            false_death_details: self.false_death_details,
+            deaths: self.death_count,
             known_ms: Quantiles::of(&self.known),
             known_by_all_ms: Quantiles::of(&self.known_by_all),
             never_known: self.never_known,
             agreement_changes: self
-                .together
+                .agreement_changes
                 .iter()
                 .map(|(at, is)| (seconds(*at), *is))
                 .collect(),
@@ -389,7 +397,8 @@
 }
 
 impl MembershipReport {
-    /// How long after a second all that ran held all others for there, as they still did when so many seconds had passed.
+    /// Seconds after `from` until all running members agreed, if they still agreed `within` seconds after
+    /// `from`.
     pub fn agreement_after(&self, from: f64, within: f64) -> Option<f64> {
         let last = self
             .agreement_changes
--- a/crates/emulator/src/observer/tests.rs
+++ b/crates/emulator/src/observer/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `observer`.
+//! Unit tests of `observer`.
 
 use super::*;
 
 const S: Time = SECOND;
 
-/// Three that hold each other for there.
+/// Three running members that consider each other alive.
 fn three() -> MembershipObserver {
     let mut all = MembershipObserver::new(3, 5 * S);
     (0..3).for_each(|who| all.set_running(0, who, true));
@@ -44,7 +44,7 @@
         ),
         (1, 1, 1, 0)
     );
-    // To three digits.
+    // The histogram has three significant digits.
     assert!(
         end.known_ms.count == 2 && (3_000.0..3_010.0).contains(&end.known_by_all_ms.max),
         "{end:?}"
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_was_not_heard_is_counted() {
+fn deaths_never_known_are_counted() {
     let mut all = three();
     all.set_running(2 * S, 0, false);
     all.record_view(3 * S, 1, 0, MemberView::Dead);
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,4 +1,4 @@
-//! Who decides in the balancers of a run.
+//! Policies that decide in the balancers of a run.
 
 use crate::agent::BoxedAgent;
 use crate::baseline::{BaselineConfig, BaselinePolicy, PolicyError};
@@ -6,17 +6,17 @@
 use std::str::FromStr;
 use woadstall_engine::{Engine, Settings, Time};
 
-/// Which agent the balancers of a run have.
+/// Policy of all balancers of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
-    /// The real engine with the real module.
+    /// The real engine with the real routing module.
     Woadstall,
     /// A baseline policy.
     Baseline(BaselineConfig),
 }
 
 impl Policy {
-    /// An agent that knows no upstream yet. The settings are checked before.
+    /// Creates an agent that knows no upstream yet. The settings must have been checked.
     pub fn agent(self, settings: Settings, seed: u64, now: Time) -> BoxedAgent {
         match self {
             Self::Woadstall => match Engine::new(settings, seed, now) {
@@ -43,7 +43,7 @@
     fn from_str(text: &str) -> Result<Self, PolicyError> {
         match text {
             "woadstall" => Ok(Self::Woadstall),
-            rival => rival.parse().map(Self::Baseline),
+            name => name.parse().map(Self::Baseline),
         }
     }
 }
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -1,7 +1,8 @@
-//! Random numbers: one stream for each actor, all from one seed.
+//! Random numbers: one stream for each actor, all derived from one seed.
 //!
-//! The generator is ChaCha with 8 rounds (`rand_chacha`), whose output is fixed by its specification; the actor's
-//! kind and number choose the stream of it. So an actor more or less does not change what the others draw.
+//! The generator is ChaCha with 8 rounds (`rand_chacha`), whose output is fixed by its specification. The
+//! actor's kind and number select the stream, so that an additional actor does not change the draws of the
+//! others.
 
 use crate::units::Span;
 use rand::{RngExt, SeedableRng};
@@ -10,64 +11,64 @@
 use serde::{Deserialize, Serialize};
 use woadstall_engine::Time;
 
-/// Who draws.
+/// Users of random streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Actor {
     /// Arrivals of a group of callers.
     Arrivals,
-    /// What a group of callers does beside arriving.
+    /// Behavior of a group of callers apart from arrivals, such as classes and retries.
     CallerBehavior,
     /// An upstream.
     Upstream,
-    /// What a balancer's own seed comes from.
+    /// Seeds and clock of a balancer.
     Balancer,
-    /// The network from a balancer.
+    /// Network between a balancer and the upstreams.
     Network,
-    /// Updates from the registry to a balancer.
+    /// Delays of registry updates to a balancer.
     Registry,
-    /// A fault in the script.
+    /// Targets of a fault.
     Fault,
     /// The front.
     Front,
-    /// A balancer as a member among the others.
+    /// Membership node of a balancer.
     Member,
 }
 
-/// The stream of one actor.
+/// Random stream of one actor.
 pub fn stream(seed: u64, actor: Actor, number: u32) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream((actor as u64) << 32 | u64::from(number));
     rng
 }
 
-/// How long something takes.
+/// Distribution of a duration.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Dist {
-    /// Always the same.
+    /// Always the same duration.
     Constant(Span),
-    /// Exponential, with this mean.
+    /// Exponential distribution with this mean.
     Exponential(Span),
-    /// Lognormal, with its mean and its coefficient of variation.
+    /// Lognormal distribution.
     Lognormal {
-        /// The mean.
+        /// Mean duration.
         mean: Span,
-        /// Standard deviation over mean.
+        /// Coefficient of variation: standard deviation divided by the mean.
         cv: f64,
     },
-    /// Pareto, with its mean and shape (over 1).
+    /// Pareto distribution.
     Pareto {
-        /// The mean.
+        /// Mean duration.
         mean: Span,
-        /// The shape.
+        /// Shape parameter, greater than 1.
         shape: f64,
     },
-    /// Drawn from measured values, each as likely.
+    /// Drawn uniformly from measured durations.
     Measured(Vec<Span>),
 }
 
 impl Dist {
-    /// The mean, in nanoseconds.
+    /// Mean of the distribution, in nanoseconds.
     pub fn mean(&self) -> f64 {
         match self {
             Self::Constant(mean) | Self::Exponential(mean) => mean.0 as f64,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// One value, in nanoseconds.
+    /// Draws a duration, in nanoseconds.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
         match self {
             Self::Constant(value) => value.0 as f64,
@@ -97,18 +98,18 @@
     }
 }
 
-/// A time until the next of events that come at random, so many a second.
+/// Draws the time until the next event of a Poisson process with `rate` events per second.
 pub fn exponential_gap(rng: &mut ChaCha8Rng, rate: f64) -> Time {
     let gap: f64 = Exp1.sample(rng);
     (gap / rate * 1e9).min(1e18) as Time
 }
 
-/// True with a chance.
+/// Draws `true` with probability `part`.
 pub fn chance(rng: &mut ChaCha8Rng, part: f64) -> bool {
     part > 0.0 && rng.random::<f64>() < part
 }
 
-/// Part of some that are drawn without repetition, in the order of their numbers.
+/// Draws the fraction `part` of the given numbers without replacement, and returns them in ascending order.
 pub fn sample(rng: &mut ChaCha8Rng, from: &[u32], part: f64) -> Vec<u32> {
     let count = ((part * from.len() as f64).round() as usize).min(from.len());
     let mut left = from.to_vec();
--- a/crates/emulator/src/scenario/bound.rs
+++ b/crates/emulator/src/scenario/bound.rs
@@ -1,137 +1,137 @@
-//! Bounds: what must hold in a run.
+//! Bounds: requirements on the result of a run.
 
-use super::error::{Check, in_range, inconsistent};
+use super::error::{CheckResult, in_range, inconsistent};
 use super::{Scenario, Span};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What must hold.
+/// A named requirement on the result of a run.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Bound {
-    /// Its name.
+    /// Name in reports; unique in a scenario.
     pub name: String,
-    /// What is wanted.
+    /// The requirement.
     #[serde(rename = "what")]
     pub requirement: Requirement,
 }
 
-/// What is wanted.
+/// Kinds of requirement.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Requirement {
-    /// At least this part of the value that is offered from one time to another is served.
+    /// At least a fraction of the value offered in a window is served.
     Served {
-        /// From when on.
+        /// Start of the window.
         from: Span,
-        /// Until when.
+        /// End of the window.
         until: Span,
-        /// The part.
+        /// Minimum fraction.
         least: f64,
     },
-    /// At most this part of the calls that come from one time to another is refused to the end.
+    /// At most a fraction of the calls that arrive in a window is refused, also after the callers' retries.
     Refused {
-        /// From when on.
+        /// Start of the window.
         from: Span,
-        /// Until when.
+        /// End of the window.
         until: Span,
-        /// The part.
+        /// Maximum fraction.
         most: f64,
     },
-    /// From a time on, at least this part of what was served before the first fault is served again within so
-    /// long, over three steps together (or to the end, if that is sooner).
+    /// After a time, service recovers to a fraction of the level before the first fault. The level is averaged
+    /// over three steps, or up to the end of the run if that comes first.
     #[serde(rename = "back")]
     Recovered {
-        /// From when on.
+        /// Start of the measurement.
         from: Span,
-        /// The part.
+        /// Required fraction of the service level before the first fault.
         part: f64,
-        /// Within this time.
+        /// Longest time until the recovery.
         within: Span,
     },
-    /// Balancers report something, by the first word of their log lines: at least so many lines within a time.
+    /// Balancers write at least a number of log lines on a topic within a time.
     #[serde(rename = "told")]
     LogLines {
-        /// The word, as `zone` or `breaker`.
+        /// First word of the log lines, such as `zone` or `breaker`.
         topic: String,
-        /// From when on.
+        /// Start of the measurement.
         from: Span,
-        /// So many lines, of all balancers together.
+        /// Minimum number of lines from all balancers together.
         least: u64,
-        /// Within this time.
+        /// Longest time until the lines are written.
         within: Span,
     },
-    /// Of balancers that speak with each other, at most so many are held for dead though they are there.
+    /// Limits the number of running members that are considered dead.
     FalseDeaths {
-        /// How many.
+        /// Maximum number of false deaths.
         most: u64,
     },
-    /// Each death of such a balancer is known by all within so long.
+    /// All members learn of each death of a member within a time.
     DeathsKnown {
-        /// Within this time.
+        /// Longest time until a death is known.
         within: Span,
     },
-    /// Within so long of a time, all of them that run hold all others for there, and still do when that is over.
+    /// All running members consider each other alive within a time after `from`, and still do at its end.
     #[serde(rename = "together")]
     Agreement {
-        /// From when on.
+        /// Start of the measurement.
         from: Span,
-        /// Within this time.
+        /// Longest time until the agreement.
         within: Span,
     },
-    /// At a time, at least this part of the cut ways between them is named right by both sides; each that is named and
-    /// is not cut counts against it.
+    /// At a time, both ends report at least a fraction of the partitioned paths between members. Each path that
+    /// is reported without being partitioned counts against the fraction.
     #[serde(rename = "cuts-named")]
     PartitionsReported {
-        /// When.
+        /// Time of the check.
         at: Span,
-        /// The part.
+        /// Minimum fraction.
         least: f64,
     },
-    /// Within so long of a time, this part of the balancers is out of a zone, but for trials.
+    /// A fraction of the balancers evacuates a zone, apart from trial requests, within a time.
     #[serde(rename = "out")]
     ZoneEvacuated {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// From when on.
+        /// Start of the measurement.
         from: Span,
-        /// The part.
+        /// Minimum fraction of the balancers.
         part: f64,
-        /// Within this time.
+        /// Longest time until the evacuation.
         within: Span,
     },
-    /// At no time of a window is more than a part of the balancers out of a zone.
+    /// At most a fraction of the balancers has evacuated a zone at any time in a window.
     #[serde(rename = "stays")]
     ZoneNotEvacuated {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// From when on.
+        /// Start of the window.
         from: Span,
-        /// Until when.
+        /// End of the window.
         until: Span,
-        /// The part.
+        /// Maximum fraction of the balancers.
         most: f64,
     },
-    /// At most so many attempts for each request, those at all tiers together.
+    /// Limits the attempts per request, summed over all tiers.
     Attempts {
-        /// How many.
+        /// Maximum number of attempts per request.
         most: f64,
     },
 }
 
-/// How a bound was kept.
+/// Result of a bound.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct BoundResult {
-    /// Its name.
+    /// Name of the bound.
     pub name: String,
-    /// The least or most that was wanted; seconds for a return.
+    /// Required minimum or maximum: a fraction, a count, or seconds.
     #[serde(rename = "wanted")]
     pub threshold: f64,
-    /// What was seen; nothing where it never came.
+    /// Measured value in the unit of the threshold; `None` if the condition never held.
     #[serde(rename = "seen")]
     pub measured: Option<f64>,
-    /// Whether it was kept.
+    /// Whether the measured value meets the threshold.
     #[serde(rename = "kept")]
     pub is_met: bool,
 }
@@ -151,7 +151,7 @@
 }
 
 impl Bound {
-    pub(super) fn check(&self, scenario: &Scenario) -> Check {
+    pub(super) fn check(&self, scenario: &Scenario) -> CheckResult {
         let window = |from: &Span, until: &Span| match from < until && *until <= scenario.duration {
             true => Ok(()),
             false => inconsistent("`until` is not after `from`, or after the end of the run"),
@@ -212,7 +212,7 @@
 }
 
 impl Scenario {
-    /// When the first fault begins; the end of the run, if there is none.
+    /// Start of the first fault; the end of the run if there is no fault.
     pub fn first_fault(&self) -> Span {
         self.fault
             .iter()
--- a/crates/emulator/src/scenario/check/callers.rs
+++ b/crates/emulator/src/scenario/check/callers.rs
@@ -1,11 +1,11 @@
-//! Checks of groups of callers.
+//! Validation of groups of callers.
 
 use super::*;
 use crate::scenario::{CallerGroup, CallerRetries, Load, MAX_CALLS};
 use crate::units::Span;
 
 impl Scenario {
-    pub(super) fn check_callers(&self) -> Check {
+    pub(super) fn check_callers(&self) -> CheckResult {
         self.callers.iter().try_for_each(|group| {
             let part = || ScenarioPart::Callers(group.name.clone());
             self.check_group(group)
@@ -23,7 +23,7 @@
         Ok(())
     }
 
-    fn check_group(&self, group: &CallerGroup) -> Check {
+    fn check_group(&self, group: &CallerGroup) -> CheckResult {
         group
             .load
             .check()
@@ -47,8 +47,8 @@
         Ok(())
     }
 
-    /// The classes that a group calls, and their shares.
-    fn check_mix(&self, group: &CallerGroup) -> Check {
+    /// Validates the classes that a group calls, and their shares.
+    fn check_mix(&self, group: &CallerGroup) -> CheckResult {
         for (class, share) in &group.classes {
             if self.class(class).is_none() {
                 return Err(ScenarioError::UnknownName {
--- a/crates/emulator/src/scenario/check/environment.rs
+++ b/crates/emulator/src/scenario/check/environment.rs
@@ -1,9 +1,9 @@
-//! Checks of the network, the front, the registry, clocks, limits and membership.
+//! Validation of the network, the front, the registry, clocks, limits and membership.
 
 use super::*;
 
 impl Scenario {
-    pub(super) fn check_environment(&self) -> Check {
+    pub(super) fn check_environment(&self) -> CheckResult {
         let network = &self.network;
         in_range("network.jitter", network.jitter, 0.0, 100.0)?;
         in_range("network.loss", network.loss, 0.0, 1.0)?;
@@ -29,7 +29,7 @@
         Ok(())
     }
 
-    pub(super) fn check_members(&self) -> Check {
+    pub(super) fn check_members(&self) -> CheckResult {
         let Some(members) = &self.members else {
             return Ok(());
         };
--- a/crates/emulator/src/scenario/check/faults.rs
+++ b/crates/emulator/src/scenario/check/faults.rs
@@ -1,17 +1,17 @@
-//! Checks of the script of faults.
+//! Validation of faults.
 
 use super::*;
 use crate::scenario::{Fault, FaultKind, LinkFault};
 
 impl Scenario {
-    pub(super) fn check_faults(&self) -> Check {
+    pub(super) fn check_faults(&self) -> CheckResult {
         self.fault.iter().zip(1..).try_for_each(|(fault, number)| {
             self.check_fault(fault)
                 .map_err(|error| error.within(ScenarioPart::Fault(number)))
         })
     }
 
-    fn check_fault(&self, fault: &Fault) -> Check {
+    fn check_fault(&self, fault: &Fault) -> CheckResult {
         in_range("part", fault.part, 0.0, 1.0)?;
         if fault.until.is_some_and(|until| until <= fault.at) {
             return inconsistent("`until` is not after `at`");
@@ -29,7 +29,7 @@
         self.check_kind(fault)
     }
 
-    fn check_kind(&self, fault: &Fault) -> Check {
+    fn check_kind(&self, fault: &Fault) -> CheckResult {
         match &fault.kind {
             FaultKind::Slow(times) | FaultKind::SlowLink(times) => {
                 in_range("what", *times, 0.01, 1e4)
@@ -69,7 +69,7 @@
         tier.is_some_and(|at| self.tier[at].sidecar)
     }
 
-    fn check_errors(&self, share: f64, class: Option<&String>) -> Check {
+    fn check_errors(&self, share: f64, class: Option<&String>) -> CheckResult {
         in_range("share", share, 0.0, 1.0)?;
         match class {
             Some(name) if self.class(name).is_none() => Err(ScenarioError::UnknownName {
@@ -81,7 +81,7 @@
         }
     }
 
-    fn check_link(&self, link: &LinkFault) -> Check {
+    fn check_link(&self, link: &LinkFault) -> CheckResult {
         self.check_zone(Some(&link.to))?;
         in_range("loss", link.loss, 0.0, 1.0)
     }
--- a/crates/emulator/src/scenario/check/mod.rs
+++ b/crates/emulator/src/scenario/check/mod.rs
@@ -1,21 +1,20 @@
-//! Refuses scenarios that make no sense, each by the name of its key. The first fault that is found is reported, in
-//! the order of the checks here.
+//! Validation of scenarios. The first error in the order of these checks is reported, with the name of its key.
 
 mod callers;
 mod environment;
 mod faults;
 mod tiers;
 
-use super::error::{Check, in_range, inconsistent, unique_names};
+use super::error::{CheckResult, in_range, inconsistent, unique_names};
 use super::{CallClass, CallEffect, Scenario, ScenarioError, ScenarioPart};
 
-/// Most steps of the timeline in a run.
+/// Maximum number of timeline steps in a run.
 const MAX_STEPS: u64 = 100_000;
-/// Most zones of a scenario.
+/// Maximum number of zones.
 const MAX_ZONES: usize = 64;
 
 impl Scenario {
-    pub(super) fn check_all(&self) -> Check {
+    pub(super) fn check_all(&self) -> CheckResult {
         self.check_times()?;
         self.check_lists()?;
         self.class.iter().try_for_each(check_class)?;
@@ -33,7 +32,7 @@
         self.check_engine_settings()
     }
 
-    fn check_times(&self) -> Check {
+    fn check_times(&self) -> CheckResult {
         if self.duration.0 == 0 || self.step.0 == 0 {
             return inconsistent("`time` and `step` must not be 0");
         }
@@ -46,8 +45,8 @@
         Ok(())
     }
 
-    /// The lists that need an entry, and names that must be told apart.
-    fn check_lists(&self) -> Check {
+    /// Requires at least one zone, class and tier, and unique names.
+    fn check_lists(&self) -> CheckResult {
         let needed = [
             ("zones", self.zones.is_empty()),
             ("class", self.class.is_empty()),
@@ -66,21 +65,21 @@
         unique_names("tenant", self.tenant.iter().map(|tenant| &tenant.name))
     }
 
-    fn check_tenants(&self) -> Check {
+    fn check_tenants(&self) -> CheckResult {
         self.tenant.iter().try_for_each(|tenant| {
             let part = || ScenarioPart::Tenant(tenant.name.clone());
             in_range("quota", tenant.quota, 0.0, 1e9).map_err(|error| error.within(part()))
         })
     }
 
-    fn check_regions(&self) -> Check {
+    fn check_regions(&self) -> CheckResult {
         self.regions.keys().try_for_each(|zone| {
             self.check_zone(Some(zone))
                 .map_err(|error| error.within(ScenarioPart::Key("regions")))
         })
     }
 
-    fn check_bounds(&self) -> Check {
+    fn check_bounds(&self) -> CheckResult {
         unique_names("bound", self.bound.iter().map(|bound| &bound.name))?;
         self.bound.iter().try_for_each(|bound| {
             let part = || ScenarioPart::Bound(bound.name.clone());
@@ -88,24 +87,24 @@
         })
     }
 
-    fn check_engine_settings(&self) -> Check {
+    fn check_engine_settings(&self) -> CheckResult {
         (0..self.zones.len()).try_for_each(|zone| {
             self.settings(0, zone as u8).check()?;
             Ok(())
         })
     }
 
-    /// Refuses a zone that the scenario does not have.
-    pub(super) fn check_zone(&self, name: Option<&String>) -> Check {
+    /// Fails if the scenario has no zone of this name.
+    pub(super) fn check_zone(&self, name: Option<&String>) -> CheckResult {
         self.zone(&name.cloned()).map(drop)
     }
 }
 
-fn check_class(class: &CallClass) -> Check {
+fn check_class(class: &CallClass) -> CheckResult {
     check_class_values(class).map_err(|error| error.within(ScenarioPart::Class(class.name.clone())))
 }
 
-fn check_class_values(class: &CallClass) -> Check {
+fn check_class_values(class: &CallClass) -> CheckResult {
     class
         .service
         .check()
--- a/crates/emulator/src/scenario/check/tiers.rs
+++ b/crates/emulator/src/scenario/check/tiers.rs
@@ -1,18 +1,18 @@
-//! Checks of tiers, their sizes and their calls to each other.
+//! Validation of tiers, their sizes and their calls to each other.
 
 use super::*;
 use crate::scenario::Tier;
 use std::collections::HashSet;
 
-/// Most upstreams in all tiers of a scenario.
+/// Maximum number of upstreams in all tiers.
 const MAX_UPSTREAMS: u32 = 100_000;
-/// Most balancers in all tiers of a scenario.
+/// Maximum number of balancers in all tiers.
 const MAX_BALANCERS: u32 = 20_000;
-/// Most round trips until a connection is up.
-const MAX_HANDSHAKE_LATENCIES: u32 = 10;
+/// Maximum number of round trips until a connection is open.
+const MAX_HANDSHAKE_ROUND_TRIPS: u32 = 10;
 
 impl Scenario {
-    pub(super) fn check_sizes(&self) -> Check {
+    pub(super) fn check_sizes(&self) -> CheckResult {
         let (balancers, upstreams) = self.process_counts();
         if upstreams > u64::from(MAX_UPSTREAMS) || balancers > u64::from(MAX_BALANCERS) {
             return Err(ScenarioError::TooManyProcesses {
@@ -23,7 +23,7 @@
         Ok(())
     }
 
-    pub(super) fn check_each_tier(&self) -> Check {
+    pub(super) fn check_each_tier(&self) -> CheckResult {
         self.tier.iter().enumerate().try_for_each(|(at, tier)| {
             let part = || ScenarioPart::Tier(tier.name.clone());
             self.check_tier(at, tier)
@@ -31,12 +31,12 @@
         })
     }
 
-    fn check_tier(&self, at: usize, tier: &Tier) -> Check {
+    fn check_tier(&self, at: usize, tier: &Tier) -> CheckResult {
         if tier.workers == 0 || tier.cells == 0 {
             return inconsistent("`workers` and `cells` must not be 0");
         }
         self.check_balancers_of(at, tier)?;
-        if tier.connections.handshake_round_trips > MAX_HANDSHAKE_LATENCIES {
+        if tier.connections.handshake_round_trips > MAX_HANDSHAKE_ROUND_TRIPS {
             return inconsistent("`connections.trips` is over 10");
         }
         if let Some(probed) = &tier.probed {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// A tier has balancers of its own, or sidecars of the upstreams that call it.
-    fn check_balancers_of(&self, at: usize, tier: &Tier) -> Check {
+    /// A tier needs either its own balancers, or a calling tier whose upstreams have sidecars.
+    fn check_balancers_of(&self, at: usize, tier: &Tier) -> CheckResult {
         match (tier.sidecar, self.caller_of(at)) {
             (true, None) => inconsistent("`beside`: no tier calls it"),
             (true, Some(_)) if tier.balancers > 0 => {
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Each tier calls another one at most, and no tier is come to twice.
-    pub(super) fn check_call_chain(&self) -> Check {
+    /// Fails if the calls from one tier to the next form a cycle.
+    pub(super) fn check_call_chain(&self) -> CheckResult {
         for tier in &self.tier {
             let (mut seen, mut next) = (HashSet::from([&tier.name]), tier);
             while let Some(calls) = &next.calls {
--- a/crates/emulator/src/scenario/distribution.rs
+++ b/crates/emulator/src/scenario/distribution.rs
@@ -1,14 +1,14 @@
-//! Which distributions make sense.
+//! Validation of distributions.
 
 use super::ScenarioError;
 use crate::random::Dist;
 
 impl Dist {
-    /// Refuses what no distribution can have.
+    /// Validates the parameters.
     ///
     /// # Errors
     ///
-    /// A shape without a mean, a mean of 0, or no measured values.
+    /// A parameter out of range, a mean of 0, or an empty list of measured values.
     pub fn check(&self) -> Result<(), ScenarioError> {
         match self {
             Self::Lognormal { cv, .. } if !(cv.is_finite() && *cv >= 0.0) => {
--- a/crates/emulator/src/scenario/error.rs
+++ b/crates/emulator/src/scenario/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with a scenario, and where in it.
+//! Errors in scenarios, with their location.
 
 use std::fmt;
 
-/// A part of a scenario that an error lies in.
+/// Part of a scenario that contains an error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScenarioPart {
     /// A class of requests, by its name.
@@ -13,11 +13,11 @@
     Tier(String),
     /// A group of callers, by its name.
     Callers(String),
-    /// A fault, by its position in the list from 1 on.
+    /// A fault, by its position in the list, from 1 on.
     Fault(usize),
     /// A bound, by its name.
     Bound(String),
-    /// A key of what surrounds it.
+    /// A key of the enclosing part.
     Key(&'static str),
 }
 
@@ -35,95 +35,95 @@
     }
 }
 
-/// What is wrong with a scenario.
+/// Error in a scenario.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is not TOML, or not of a scenario's form; the message names the line and the key.
+    /// The text is not TOML or does not have the form of a scenario; the message names the line and the key.
     #[error("{0}")]
     Syntax(Box<toml::de::Error>),
-    /// Something is wrong in a part of the scenario.
+    /// Error in a part of the scenario.
     #[error("{part}: {source}")]
     In {
-        /// The part.
+        /// Part that contains the error.
         part: ScenarioPart,
-        /// What is wrong in it.
+        /// Error in that part.
         source: Box<ScenarioError>,
     },
-    /// A number lies outside its range, or is none.
+    /// A number is outside its range or not a number.
     #[error("`{key}` is {number}, not from {least} to {most}")]
     OutOfRange {
-        /// The key, or the name that a share is of.
+        /// Key of the number, or the name that the number belongs to.
         key: String,
-        /// The number that was given.
+        /// The given number.
         number: f64,
-        /// The least that is taken.
+        /// Smallest allowed number.
         least: f64,
-        /// The most that is taken.
+        /// Largest allowed number.
         most: f64,
     },
-    /// A mean, a shape or a rate is no number that a distribution can have.
+    /// A parameter of a distribution or a rate is invalid.
     #[error("{name} is {number}, {fault}")]
     Distribution {
-        /// What the number is.
+        /// Name of the parameter.
         name: &'static str,
-        /// The number that was given.
+        /// The given number.
         number: f64,
-        /// What is wrong with it.
+        /// Reason why the number is invalid.
         fault: &'static str,
     },
-    /// A name is empty, or used twice in a list.
+    /// A name is empty or used twice in a list.
     #[error("`{list}`: the name {name:?} is empty or there twice")]
     AmbiguousName {
-        /// The key of the list.
+        /// Key of the list.
         list: &'static str,
-        /// The name.
+        /// The ambiguous name.
         name: String,
     },
-    /// A list that needs an entry has none.
+    /// A list that needs an entry is empty.
     #[error("`{0}` is empty")]
     EmptyList(&'static str),
-    /// A name stands for nothing in the scenario.
+    /// A name refers to nothing in the scenario.
     #[error("`{key}`: there is no {kind} {name}")]
     UnknownName {
-        /// The key that holds the name.
+        /// Key that holds the name.
         key: &'static str,
-        /// What it should name.
+        /// Kind of object that the name should refer to.
         kind: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
-    /// Tiers call each other in a circle.
+    /// Tiers call each other in a cycle.
     #[error("`calls` goes in a circle by {0}")]
     CallCycle(String),
-    /// There are more upstreams or balancers than one run takes.
+    /// There are more upstreams or balancers than a run supports.
     #[error("`tier`: at most {upstreams} nodos and {balancers} balancers in all")]
     TooManyProcesses {
-        /// Upstreams that a run takes.
+        /// Maximum number of upstreams in a run.
         upstreams: u32,
-        /// Balancers that a run takes.
+        /// Maximum number of balancers in a run.
         balancers: u32,
     },
-    /// Callers would make more calls than one run takes.
+    /// Callers would make more calls than a run supports.
     #[error("`callers`: {calls:.0} calls, of {most:.0} that one run may have")]
     TooManyCalls {
-        /// Calls that the scenario asks for.
+        /// Number of calls in the scenario.
         calls: f64,
-        /// Calls that a run takes.
+        /// Maximum number of calls in a run.
         most: f64,
     },
-    /// A closed group has more callers than a run takes.
+    /// A closed-loop group has more callers than a run supports.
     #[error("{0} callers are more than a million")]
     TooManyCallers(u32),
-    /// Values that do not go together, or a value that a key may not have.
+    /// Values contradict each other, or a value is not allowed for its key.
     #[error("{0}")]
     Inconsistent(&'static str),
-    /// The engine refuses the settings that the scenario gives its balancers.
+    /// The engine refuses the settings that result from the scenario.
     #[error(transparent)]
     EngineSettings(#[from] woadstall_engine::decisions::SettingsError),
 }
 
 impl ScenarioError {
-    /// The same error, as one in a part of the scenario.
+    /// Wraps the error with the part of the scenario that contains it.
     pub(super) fn within(self, part: ScenarioPart) -> Self {
         Self::In {
             part,
@@ -132,16 +132,16 @@
     }
 }
 
-/// The result of a check.
-pub(super) type Check = Result<(), ScenarioError>;
+/// Result of a check.
+pub(super) type CheckResult = Result<(), ScenarioError>;
 
-/// Refuses with a fixed text.
-pub(super) fn inconsistent(text: &'static str) -> Check {
+/// Fails with a fixed text.
+pub(super) fn inconsistent(text: &'static str) -> CheckResult {
     Err(ScenarioError::Inconsistent(text))
 }
 
-/// Refuses a number that is not in a range.
-pub(super) fn in_range(key: &str, number: f64, least: f64, most: f64) -> Check {
+/// Fails if a number is outside its range.
+pub(super) fn in_range(key: &str, number: f64, least: f64, most: f64) -> CheckResult {
     if number.is_finite() && (least..=most).contains(&number) {
         return Ok(());
     }
@@ -153,11 +153,11 @@
     })
 }
 
-/// Refuses a name that is empty or used twice.
+/// Fails if a name is empty or used twice.
 pub(super) fn unique_names<'a>(
     list: &'static str,
     names: impl Iterator<Item = &'a String>,
-) -> Check {
+) -> CheckResult {
     let mut seen = std::collections::HashSet::new();
     for name in names {
         if name.is_empty() || !seen.insert(name) {
--- a/crates/emulator/src/scenario/evacuation.rs
+++ b/crates/emulator/src/scenario/evacuation.rs
@@ -1,18 +1,19 @@
-//! Settings of evacuation (balancers leave failure domains together), and of balancers that report falsely.
+//! Settings of evacuation, by which balancers leave failing zones together, and of balancers that report
+//! falsely.
 
 use super::Scenario;
-use super::error::{Check, in_range, inconsistent};
+use super::error::{CheckResult, in_range, inconsistent};
 use crate::units::{MS, Span};
 use serde::{Deserialize, Serialize};
 
-/// Evacuation as a fleet, by the shipped crate in each balancer.
+/// Evacuation by the fleet; each balancer runs the shipped crate's coordinator.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct EvacuationConfig {
-    /// How often each looks at what is known.
+    /// Interval of each coordinator's rounds.
     #[serde(rename = "every")]
     pub interval: Span,
-    /// What liars say; none, if it is left out.
+    /// Balancers that report falsely; none by default.
     #[serde(rename = "lie")]
     pub false_reporting: Option<FalseReporting>,
 }
@@ -26,34 +27,34 @@
     }
 }
 
-/// What some of the balancers say whatever they see.
+/// False reports by some of the balancers, independent of their observations.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct FalseReporting {
-    /// Part of the balancers that say it: the first of each zone.
+    /// Fraction of the balancers that report falsely: the first ones by number, which are spread over the zones.
     pub part: f64,
-    /// What.
+    /// The false report.
     #[serde(rename = "says")]
     pub report: FalseReport,
 }
 
-/// What a liar says.
+/// Kinds of false report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FalseReport {
-    /// All calls fail, everywhere.
+    /// All calls fail, in every zone.
     #[serde(rename = "all-bad")]
     AllCallsFail,
-    /// No call fails, anywhere.
+    /// No call fails, in any zone.
     #[serde(rename = "all-well")]
     NoCallFails,
-    /// All calls to its own zone fail.
+    /// All calls to the balancer's own zone fail.
     #[serde(rename = "own-zone-bad")]
     OwnZoneCallsFail,
 }
 
 impl Scenario {
-    pub(super) fn check_evacuation(&self) -> Check {
+    pub(super) fn check_evacuation(&self) -> CheckResult {
         let Some(evacuation) = &self.evacuation else {
             return Ok(());
         };
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! Faults: what goes wrong, where and when.
+//! Faults: kind, time and scope.
 
 use super::members::MemberLinkFault;
 use super::{ScenarioError, ScenarioPart, one};
@@ -6,54 +6,54 @@
 use serde::{Deserialize, Serialize};
 use woadstall_engine::Time;
 
-/// A fault, from one time to another.
+/// A fault that is active for a period of time.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins.
+    /// Start of the fault.
     pub at: Span,
-    /// When it is over; the end of the run, if it is left out.
+    /// End of the fault; the end of the run by default.
     #[serde(default)]
     pub until: Option<Span>,
-    /// The tier it is in; the first, if it is left out.
+    /// Affected tier; the first one by default.
     #[serde(default)]
     pub tier: Option<String>,
-    /// The zone it is in; all, if it is left out.
+    /// Affected zone; all zones by default.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Part of the upstreams (or balancers) there that it hits.
+    /// Fraction of the upstreams or balancers in scope that the fault affects.
     #[serde(default = "one")]
     pub part: f64,
-    /// What it is.
+    /// Kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// It comes again and again; read as so many faults that hit the same.
+    /// Repeats the fault; reading a scenario expands it into separate faults with the same targets.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "again")]
     pub repetition: Option<FaultRepetition>,
-    /// Its place in the file, where others before it come again: what it hits is drawn by that.
+    /// Position in the file before repetitions were expanded. It selects the random stream for the targets.
     #[serde(skip)]
     pub file_position: Option<u32>,
 }
 
-/// How a fault comes again.
+/// Periodic repetition of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct FaultRepetition {
-    /// From one beginning to the next.
+    /// Time from one start to the next.
     #[serde(rename = "every")]
     pub period: Span,
-    /// How often in all.
+    /// Total number of occurrences.
     #[serde(rename = "times")]
     pub count: u32,
 }
 
-/// Faults that one may come to.
-const MOST_TIMES: u32 = 1_000;
+/// Maximum number of occurrences of a repeated fault.
+const MAX_OCCURRENCES: u32 = 1_000;
 
 impl Fault {
-    /// What it stands for: itself, or one for each time that it comes.
-    pub(super) fn each_time(self, file_position: u32) -> Result<Vec<Self>, ScenarioError> {
+    /// Expands the fault into its occurrences; a fault without repetition stays a single one.
+    pub(super) fn expand_repetition(self, file_position: u32) -> Result<Vec<Self>, ScenarioError> {
         let one = Self {
             repetition: None,
             file_position: Some(file_position),
@@ -68,7 +68,7 @@
                 .within(ScenarioPart::Key("again"))
                 .within(part))
         };
-        if !(1..=MOST_TIMES).contains(&again.count) {
+        if !(1..=MAX_OCCURRENCES).contains(&again.count) {
             return wrong("`times` is not from 1 to 1,000");
         }
         if self
@@ -86,12 +86,12 @@
         Ok((0..again.count).map(at).collect())
     }
 
-    /// Whether it has begun and is not over.
+    /// Whether the fault has started and not ended.
     pub fn is_active(&self, now: Time) -> bool {
         self.at.0 <= now && self.until.is_none_or(|until| now < until.0)
     }
 
-    /// What it does to all that goes from one zone to another, if it is of that way.
+    /// The link fault, if this fault affects the path from one zone to another.
     pub fn link(&self, from: Option<&String>, to: Option<&String>) -> Option<&LinkFault> {
         match &self.kind {
             FaultKind::Link(link) if self.zone.as_ref() == from && Some(&link.to) == to => {
@@ -102,92 +102,94 @@
     }
 }
 
-/// What goes wrong.
+/// Kinds of fault.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// Upstreams die, work and all, and come back cold at the end.
+    /// Upstreams die with their work, and start cold at the end of the fault.
     Kill {
-        /// What they were at has taken effect, though no answer comes.
+        /// The work in progress takes effect although no response is sent.
         #[serde(default)]
         done: bool,
     },
-    /// Upstreams are told to the balancers as draining, die once that has had its time, and come back cold at the
-    /// end. They go one after another, each at its part of the fault's first half.
+    /// Rolling restart: upstreams are listed as draining, die after the drain time, and start cold. Their turns
+    /// are spread over the first half of the fault.
     Roll,
-    /// As `roll`, but new upstreams come up at the addresses of those that went.
+    /// Rolling restart as in `roll`, with new upstreams at the addresses of the old ones.
     Replace,
-    /// Upstreams work so many times slower, without errors.
+    /// Factor by which upstreams work more slowly, without errors.
     Slow(f64),
-    /// Upstreams answer a part of the requests with errors, unseen by them or after the work.
+    /// Upstreams answer a fraction of the requests with errors, without doing the work.
     Errors {
-        /// The part.
+        /// Fraction of the requests.
         share: f64,
-        /// Of this class only.
+        /// Restricts the errors to one class.
         #[serde(default)]
         class: Option<String>,
     },
-    /// A part of the answers is lost, after the work.
+    /// Fraction of the responses that are lost after the work.
     #[serde(rename = "lost")]
     ResponseLoss(f64),
-    /// A part of the connections breaks before the answer, half of them after the work.
+    /// Fraction of the connections that are reset before the response, half of them after the work.
     Resets(f64),
-    /// Upstreams take requests and say nothing.
+    /// Upstreams accept requests and never respond.
     #[serde(rename = "silent")]
     Unresponsive,
-    /// Upstreams turn everything away as full.
+    /// Upstreams reject all requests as full.
     Full,
-    /// Nothing reaches the zone's upstreams from other zones.
+    /// No message from other zones reaches the zone's upstreams.
     #[serde(rename = "cut-to")]
     PartitionTo,
-    /// Nothing comes back from the zone's upstreams to other zones.
+    /// No message from the zone's upstreams reaches other zones.
     #[serde(rename = "cut-from")]
     PartitionFrom,
-    /// Delays to and from the upstreams are so many times longer.
+    /// Factor by which delays to and from the upstreams are longer.
     SlowLink(f64),
-    /// The registry tells nothing.
+    /// The registry sends no updates.
     #[serde(rename = "padron-silent")]
     RegistrySilent,
-    /// The registry lists upstreams as gone that are well.
+    /// The registry lists healthy upstreams as removed.
     #[serde(rename = "padron-wrong")]
     RegistryWrong,
-    /// Balancers' clocks step forward.
+    /// Balancers' clocks step forward by this duration.
     ClockStep(Span),
-    /// Balancers restart: they know the list that they had so long ago.
+    /// Balancers restart with an upstream list of a given age.
     Restart {
-        /// How old it is.
+        /// Age of the list.
         #[serde(default)]
         stale: Span,
-        /// What they find of what they had written; where balancers are processes.
+        /// State of the files that the balancers find; only for runs with real processes.
         #[serde(default)]
         files: StoredFiles,
     },
-    /// Balancers restart one after another, each at its part of the fault's time: it is dealt no new connections,
-    /// answers what it holds, and a new process takes its place. With `sidecar`, none: they go with their upstreams.
+    /// Rolling restart of balancers, spread over the fault's duration: each gets no new connections, answers
+    /// its open requests, and is replaced by a new process. Not for sidecars, which restart with their
+    /// upstreams.
     RollBalancers,
-    /// Balancers' processes stand still.
+    /// Balancers' processes are paused.
     #[serde(rename = "stall")]
     PauseBalancers,
-    /// Upstreams' processes stand still: connections stay, what comes waits, and what was begun is answered once they
-    /// go on, all at once.
+    /// Upstreams' processes are suspended: connections stay open and arriving requests wait. Upon resumption
+    /// all work that was begun is answered at once.
     #[serde(rename = "stop")]
     SuspendUpstreams,
-    /// Power is lost: upstreams die in one instant with the balancers that send to them, and come back from the end
-    /// on. Upstreams are cold, and balancers know the list that they had so long ago.
+    /// Power loss: upstreams die at the same instant as the balancers that send to them, and start again from
+    /// the end of the fault on. Upstreams start cold; balancers start with an upstream list of a given age.
     PowerLoss {
-        /// How old it is.
+        /// Age of the list.
         #[serde(default)]
         stale: Span,
-        /// They come back one after another over this time.
+        /// Time over which the upstreams start one after another.
         #[serde(default)]
         over: Span,
-        /// What they find of what they had written; where balancers are processes.
+        /// State of the files that the balancers find; only for runs with real processes.
         #[serde(default = "lost")]
         files: StoredFiles,
     },
-    /// What goes from the fault's zone to another is hit, that of all tiers; the way back is not.
+    /// Faults on the path from the fault's zone to another zone, for all tiers; the reverse path is not
+    /// affected.
     Link(LinkFault),
-    /// What goes between balancers is hit.
+    /// Faults between balancers.
     #[serde(rename = "between")]
     MemberLink(MemberLinkFault),
 }
@@ -196,38 +198,38 @@
     StoredFiles::Lost
 }
 
-/// What a process finds where the one before it has written.
+/// State of the files that an earlier process left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StoredFiles {
-    /// All as it was.
+    /// The files are intact.
     #[default]
     Kept,
-    /// Nothing.
+    /// The files are missing.
     Lost,
-    /// The first half of each.
+    /// Each file is truncated to its first half.
     Torn,
-    /// Each, without a byte in it.
+    /// Each file exists and is empty.
     Empty,
-    /// Those of another balancer under its own names.
+    /// The files of another balancer stand under the process's own names.
     #[serde(rename = "stranger")]
     OtherBalancer,
 }
 
-/// What is wrong with all that goes from one zone to another.
+/// Faults on the path from one zone to another.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct LinkFault {
-    /// The other zone.
+    /// Zone at the other end.
     pub to: String,
-    /// Nothing comes through.
+    /// The path is partitioned.
     #[serde(default)]
     #[serde(rename = "cut")]
     pub partitioned: bool,
-    /// It takes so much longer.
+    /// Additional delay.
     #[serde(default)]
     pub delay: Span,
-    /// Part of it that is lost.
+    /// Fraction of the messages that are lost.
     #[serde(default)]
     pub loss: f64,
 }
--- a/crates/emulator/src/scenario/limits.rs
+++ b/crates/emulator/src/scenario/limits.rs
@@ -1,36 +1,36 @@
-//! What balancers may do, the network, the registry and the clocks.
+//! Limits of balancers, the network, the registry and the clocks.
 
 use crate::units::{MS, SECOND, Span};
 use serde::{Deserialize, Serialize};
 
-/// What balancers may do.
+/// Limits that apply to all balancers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Limits {
-    /// Attempts for one request.
+    /// Maximum number of attempts for one request.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether balancers cancel attempts.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
-    /// The longest advice that callers follow.
+    /// Longest retry-after advice that callers follow.
     #[serde(rename = "most-advice")]
     pub max_retry_after: Span,
-    /// Idle connections are closed after this time.
+    /// Idle time after which a connection is closed.
     #[serde(rename = "idle")]
     pub idle_timeout: Span,
-    /// How long a connection may take to come up.
+    /// Timeout for opening a connection.
     #[serde(rename = "connect")]
     pub connect_timeout: Span,
-    /// Connections to upstreams that a balancer may have open, over HTTP/1.1; 0 for as many as it likes.
+    /// Maximum number of connections from a balancer to upstreams over HTTP/1.1; 0 for no limit.
     #[serde(rename = "sockets")]
     pub max_connections: u32,
-    /// Upstreams speak HTTP/2: many attempts on one connection.
+    /// Whether upstreams speak HTTP/2, with many attempts on one connection.
     pub http2: bool,
-    /// What a crossing of zones costs, as part of a request's value.
+    /// Cost of an attempt that crosses zones, as a fraction of the request's value.
     #[serde(rename = "cross-price")]
     pub cross_zone_cost: f64,
-    /// Part of its value that a request beyond its tenant's quota keeps.
+    /// Fraction of its value that a request above its tenant's quota keeps.
     #[serde(rename = "over-quota-worth")]
     pub over_quota_value: f64,
 }
@@ -51,23 +51,23 @@
     }
 }
 
-/// The network. Between callers and their balancer there is none: it stands beside them.
+/// Network between balancers and upstreams. Callers are next to their balancers and need no network.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Network {
-    /// One way within a zone.
+    /// One-way delay within a zone.
     #[serde(rename = "within")]
     pub within_zone: Span,
-    /// One way between zones.
+    /// One-way delay between zones.
     #[serde(rename = "across")]
     pub between_zones: Span,
-    /// Up to this part more, evenly.
+    /// Maximum relative increase of each delay, uniformly distributed.
     pub jitter: f64,
-    /// Part of the messages, either way, that is lost without notice.
+    /// Fraction of the messages in either direction that are lost without notice.
     pub loss: f64,
-    /// Part of the requests whose connection breaks on their way.
+    /// Fraction of the requests whose connection is reset in transit.
     pub resets: f64,
-    /// Bytes a second of one connection; 0 if bodies take no time.
+    /// Transfer rate of one connection, in bytes per second; 0 if bodies take no time.
     pub bytes_per_second: f64,
 }
 
@@ -84,34 +84,34 @@
     }
 }
 
-/// How the list of upstreams reaches the balancers: pushed, in order, to each after a time of its own, where need be
-/// once it has asked.
+/// Registry that pushes the upstream list to the balancers, in order and to each with its own delay. It may
+/// require a query before the first push.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct RegistryConfig {
-    /// After this time at the earliest ...
+    /// Minimum delay of an update.
     pub delay: Span,
-    /// ... and up to this much later.
+    /// Maximum additional delay of an update, uniformly distributed.
     pub jitter: Span,
-    /// An upstream that dies is taken off after this time.
+    /// Time until an upstream whose process died is removed from the list.
     #[serde(rename = "notices")]
     pub detection_delay: Span,
-    /// It has to be asked, and then tells of changes until the balancer's process ends.
+    /// If set, a balancer must query the list, and receives changes afterwards until its process ends.
     #[serde(rename = "asked")]
     pub queries: Option<RegistryQueries>,
 }
 
-/// What a registry that has to be asked can do.
+/// Capacity of a registry that balancers query.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RegistryQueries {
-    /// Reads a second, of all balancers together; they wait in turn.
+    /// Reads per second for all balancers together; further reads are queued.
     #[serde(rename = "reads")]
     pub reads_per_second: f64,
-    /// A read that would wait for longer fails.
+    /// Longest wait of a read; a read that would take longer fails.
     #[serde(rename = "patience")]
     pub timeout: Span,
-    /// How long ago a balancer counts as told of what it has not asked for.
+    /// Time after which a balancer without a subscription counts as notified of a listed change.
     pub within: Span,
 }
 
@@ -126,14 +126,14 @@
     }
 }
 
-/// The balancers' clocks, which the registry's start times are compared with.
+/// Balancers' clocks, which are compared with the start times in the upstream list.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Clocks {
-    /// Each is up to this much fast or slow.
+    /// Maximum offset of a clock in either direction.
     #[serde(rename = "offset")]
     pub max_offset: Span,
-    /// Each goes up to this part faster or slower.
+    /// Maximum relative drift of a clock in either direction.
     #[serde(rename = "drift")]
     pub max_drift: f64,
 }
--- a/crates/emulator/src/scenario/load.rs
+++ b/crates/emulator/src/scenario/load.rs
@@ -1,7 +1,7 @@
-//! Callers: how they come, and what they do where they get no answer.
+//! Callers: their load, and their retries.
 
 use super::ScenarioError;
-use super::error::{Check, inconsistent};
+use super::error::{CheckResult, inconsistent};
 use super::one;
 use crate::units::Span;
 use serde::{Deserialize, Serialize};
@@ -11,56 +11,56 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CallerGroup {
-    /// Its name.
+    /// Name in reports; unique in a scenario.
     pub name: String,
-    /// Its classes, with the share of each.
+    /// Share of each class in the group's calls.
     pub classes: BTreeMap<String, f64>,
-    /// Its tenant, if there are tenants.
+    /// Tenant of the group, if the scenario has tenants.
     #[serde(default)]
     pub tenant: Option<String>,
-    /// How they come.
+    /// Arrival process of the calls.
     pub load: Load,
-    /// What they do where they get no answer.
+    /// Retries of calls that were refused or failed.
     #[serde(default)]
     #[serde(rename = "again")]
     pub retries: CallerRetries,
-    /// Part of them that waits as long as a refusal advises.
+    /// Fraction of the refusals whose retry-after advice is followed.
     #[serde(default = "one")]
     #[serde(rename = "heeds-advice")]
     pub honors_retry_after: f64,
-    /// The zone they are in; in all, if it is left out.
+    /// Zone of the callers; all zones by default.
     #[serde(default)]
     pub zone: Option<String>,
 }
 
-/// How callers come: so many a second, at random, or a fixed crowd.
+/// Arrival process: a rate of random arrivals, or a fixed number of closed-loop callers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Load {
-    /// Always as many a second.
+    /// Constant rate, in calls per second.
     Constant(f64),
-    /// As many a second as on a line through points, each a time and a rate.
+    /// Piecewise linear rate, given by points of time and calls per second.
     Curve(Vec<(Span, f64)>),
-    /// A day pressed into a period: so many a second on average, by so much part up and down.
+    /// Sinusoidal rate over a period that stands for a day.
     Daily {
-        /// The mean.
+        /// Mean rate, in calls per second.
         mean: f64,
-        /// Part of the mean that it goes up and down by.
+        /// Relative amplitude of the rate.
         swing: f64,
-        /// The length of a day.
+        /// Length of the period.
         period: Span,
     },
-    /// A crowd that calls again once it has had its answer.
+    /// Closed loop: each caller calls again some time after it has its answer.
     Closed {
-        /// Its size.
+        /// Number of callers.
         callers: u32,
-        /// Mean time between an answer and the next call.
+        /// Mean think time between an answer and the next call.
         think: Span,
     },
 }
 
 impl Load {
-    /// Calls a second at a time; none for a closed group.
+    /// Rate at a time, in calls per second; 0 for a closed loop.
     pub fn rate(&self, at: u64) -> f64 {
         match self {
             Self::Constant(rate) => *rate,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The highest rate.
+    /// Highest rate, in calls per second.
     pub fn max_rate(&self) -> f64 {
         match self {
             Self::Constant(rate) => *rate,
@@ -100,7 +100,7 @@
         }
     }
 
-    pub(super) fn check(&self) -> Check {
+    pub(super) fn check(&self) -> CheckResult {
         let rates: Vec<f64> = match self {
             Self::Constant(rate) => vec![*rate],
             Self::Curve(points) => {
@@ -138,41 +138,41 @@
     }
 }
 
-/// What callers do where they get no answer: within their time, and only where they may.
+/// Retries by callers, within the deadline and only for requests that may be repeated.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum CallerRetries {
-    /// They leave it at that.
+    /// No retries.
     #[default]
     Never,
-    /// They ask again at once.
+    /// Retry without delay.
     #[serde(rename = "at-once")]
     Immediate {
-        /// Most tries in all.
+        /// Maximum number of sends, the first one included.
         most: u32,
     },
-    /// They ask again after a while.
+    /// Retry after a fixed delay.
     #[serde(rename = "after")]
     FixedDelay {
-        /// How long.
+        /// Delay before each retry.
         wait: Span,
-        /// Most tries in all.
+        /// Maximum number of sends, the first one included.
         most: u32,
     },
-    /// They wait twice as long each time, anywhere in the second half of it.
+    /// Exponential backoff: the delay doubles each time, and is drawn from its upper half.
     Backoff {
-        /// The first wait.
+        /// First delay.
         first: Span,
-        /// No wait is longer.
+        /// Longest delay.
         cap: Span,
-        /// Most tries in all.
+        /// Maximum number of sends, the first one included.
         most: u32,
     },
 }
 
 impl CallerRetries {
-    /// How long a caller waits before it asks again after so many tries; `None` if it does not. `draw` gives a
-    /// number from 0 to 1.
+    /// Delay before the next retry after a number of sends, in nanoseconds; `None` if there is no retry. `draw`
+    /// returns a number from 0 to 1.
     pub fn delay(&self, tries: u32, draw: impl FnOnce() -> f64) -> Option<u64> {
         match *self {
             Self::Never => None,
@@ -189,7 +189,7 @@
     }
 }
 
-/// One of some that have shares, by a number from 0 to 1.
+/// Selects an entry in proportion to the shares, by a number from 0 to 1.
 pub fn by_weight(mix: &[(f64, usize)], draw: f64) -> Option<usize> {
     let mut left = draw * mix.iter().map(|(share, _)| share).sum::<f64>();
     let drawn = mix.iter().find(|(share, _)| {
--- a/crates/emulator/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -1,25 +1,27 @@
 //! Settings of membership among balancers, and faults of the links between them.
 
-use super::error::{Check, in_range};
+use super::error::{CheckResult, in_range};
 use super::{Fault, FaultKind, Scenario};
 use crate::units::{SECOND, Span};
 use serde::{Deserialize, Serialize};
 
-/// Membership among all balancers of a run; without it they have no way to speak.
+/// Membership among all balancers of a run. Without it, balancers exchange no messages.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct MembershipConfig {
-    /// Each probes one other each time this is over.
+    /// Interval at which each member probes another one.
     pub period: Span,
-    /// Then others are asked to.
+    /// Timeout of a probe, after which other members are asked to probe.
     #[serde(rename = "patience")]
     pub timeout: Span,
-    /// One that nobody hears is suspected for so long at least.
+    /// Minimum time that an unreachable member is suspected before it is declared dead.
     pub suspicion: Span,
-    /// Pauses that are to be borne: one that stood still for longer may be called dead.
+    /// Longest pause of a process that must be tolerated; a member that was paused for longer may be declared
+    /// dead.
     #[serde(rename = "pauses")]
     pub tolerated_pause: Span,
-    /// Plain SWIM, for comparisons: without local health, directions, and anything that holds judgement back.
+    /// Plain SWIM for comparisons: without local health, reports on path directions, and other delays of a
+    /// verdict.
     #[serde(rename = "plain")]
     pub plain_swim: bool,
 }
@@ -43,45 +45,45 @@
     }
 }
 
-/// Which direction is hit.
+/// Direction of an affected path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// From those that the fault hits to the others.
+    /// From the balancers in the fault's scope to the others.
     #[default]
     #[serde(rename = "there")]
     Forward,
-    /// From the others to those.
+    /// From the other balancers to the ones in scope.
     #[serde(rename = "back")]
     Reverse,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
-/// What is wrong between the balancers that a fault hits and others: those of a zone, or all that it does not hit,
-/// or, where it hits all, all of them.
+/// Fault on the paths between the balancers in its scope and others: the balancers of a zone, or all balancers
+/// out of scope, or, if all balancers are in scope, all of them.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct MemberLinkFault {
-    /// The others' zone.
+    /// Zone of the other balancers.
     pub to: Option<String>,
-    /// Which way.
+    /// Affected direction.
     #[serde(rename = "way")]
     pub direction: Direction,
-    /// Nothing comes through.
+    /// The paths are partitioned.
     #[serde(rename = "cut")]
     pub partitioned: bool,
-    /// It takes so much longer.
+    /// Additional delay.
     pub delay: Span,
-    /// Part of it that is lost.
+    /// Fraction of the messages that are lost.
     pub loss: f64,
-    /// Part of it that comes twice.
+    /// Fraction of the messages that are duplicated.
     #[serde(rename = "doubled")]
     pub duplicated: f64,
-    /// Part of it that is overtaken.
+    /// Fraction of the messages that are reordered.
     #[serde(rename = "overtaken")]
     pub reordered: f64,
-    /// So many of those that it does not hit, the first by number, see both sides.
+    /// Number of balancers out of scope, the first ones by number, whose paths to both sides are not affected.
     pub bridges: u32,
 }
 
@@ -101,31 +103,31 @@
     }
 }
 
-/// What goes from one balancer to another, under all that hits it.
+/// Condition of the path from one balancer to another under all active faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemberLink {
-    /// Nothing comes through.
+    /// The path is partitioned.
     pub partitioned: bool,
-    /// Time under way, in nanoseconds, before jitter.
+    /// Delay before jitter, in nanoseconds.
     pub delay: u64,
-    /// Part that is lost.
+    /// Fraction of the messages that are lost.
     pub loss: f64,
-    /// Part that comes twice.
+    /// Fraction of the messages that are duplicated.
     pub duplicated: f64,
-    /// Part that is overtaken.
+    /// Fraction of the messages that are reordered.
     pub reordered: f64,
 }
 
 impl MemberLinkFault {
-    pub(super) fn check(&self, scenario: &Scenario) -> Check {
+    pub(super) fn check(&self, scenario: &Scenario) -> CheckResult {
         scenario.zone(&self.to)?;
         in_range("loss", self.loss, 0.0, 1.0)?;
         in_range("doubled", self.duplicated, 0.0, 1.0)?;
         in_range("overtaken", self.reordered, 0.0, 1.0)
     }
 
-    /// Whether what goes from one to the other is hit, of `all` balancers. `hit` are those that the fault hits, in the order of
-    /// their numbers.
+    /// Whether the fault affects the path between two balancers, given by number and zone. `hit` are the
+    /// numbers of the balancers in scope in ascending order, and `all` is the number of all balancers.
     fn hits(
         &self,
         hit: &[u32],
@@ -155,8 +157,8 @@
 }
 
 impl Scenario {
-    /// What goes from one balancer to another, each by its number and zone, of so many. `faults` are those in force, with
-    /// the balancers that each hits.
+    /// Condition of the path between two balancers, given by number and zone. `all` is the number of all
+    /// balancers; `faults` are the active faults, each with the balancers in its scope.
     pub fn member_link<'a>(
         &self,
         from: (u32, u8),
@@ -170,27 +172,27 @@
         } else {
             network.between_zones
         };
-        let mut among = MemberLink {
+        let mut path = MemberLink {
             delay: base.0,
             loss: network.loss,
             ..MemberLink::default()
         };
         for (fault, hit) in faults {
-            if let FaultKind::MemberLink(ill) = &fault.kind {
-                let zone = self.zone(&ill.to).unwrap_or(None);
-                if ill.hits(hit, all, zone, from, to) {
-                    among.partitioned |= ill.partitioned;
-                    among.delay += ill.delay.0;
-                    among.loss = among.loss.max(ill.loss);
-                    among.duplicated = among.duplicated.max(ill.duplicated);
-                    among.reordered = among.reordered.max(ill.reordered);
+            if let FaultKind::MemberLink(member_fault) = &fault.kind {
+                let zone = self.zone(&member_fault.to).unwrap_or(None);
+                if member_fault.hits(hit, all, zone, from, to) {
+                    path.partitioned |= member_fault.partitioned;
+                    path.delay += member_fault.delay.0;
+                    path.loss = path.loss.max(member_fault.loss);
+                    path.duplicated = path.duplicated.max(member_fault.duplicated);
+                    path.reordered = path.reordered.max(member_fault.reordered);
                 }
             } else if let Some(link) = fault.link(self.zone_name(from.1), self.zone_name(to.1)) {
-                among.partitioned |= link.partitioned;
-                among.delay += link.delay.0;
-                among.loss = among.loss.max(link.loss);
+                path.partitioned |= link.partitioned;
+                path.delay += link.delay.0;
+                path.loss = path.loss.max(link.loss);
             }
         }
-        among
+        path
     }
 }
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: a fleet, its load, and a script of faults, as a TOML file says them. Keys that are not known are
-//! refused, and whatever makes no sense is refused with the name of its key.
+//! Scenarios: a fleet, its load, and its faults, read from a TOML file. Unknown keys are refused, and invalid
+//! values are refused with the name of their key.
 
 mod bound;
 mod check;
@@ -27,68 +27,68 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most calls that one run may ask for: bounds its time and memory.
+/// Maximum number of calls in a run, which bounds its time and memory.
 pub const MAX_CALLS: f64 = 50e6;
 
-/// A whole scenario.
+/// A fleet, its load, and the faults of a run.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// What it is for.
+    /// Purpose of the scenario.
     #[serde(default)]
     #[serde(rename = "about")]
     pub description: String,
-    /// How long callers come.
+    /// Duration of the callers' load.
     #[serde(rename = "time")]
     pub duration: Span,
-    /// What comes before this is not counted: averages are not learned yet.
+    /// Calls before this time are not counted, as the engine has not learned its averages yet.
     #[serde(default)]
     pub warm_up: Span,
-    /// The timeline's step.
+    /// Length of a step of the timeline.
     #[serde(default = "one_second")]
     pub step: Span,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// The classes of requests.
+    /// Classes of requests.
     pub class: Vec<CallClass>,
-    /// Tenants with quotas; may be left out.
+    /// Tenants with quotas; optional.
     #[serde(default)]
     pub tenant: Vec<CallTenant>,
-    /// The tiers; the first serves the callers.
+    /// Tiers; the first one serves the callers.
     pub tier: Vec<Tier>,
     /// Groups of callers.
     pub callers: Vec<CallerGroup>,
-    /// The front that deals out callers' connections; without one, each call goes to any balancer that is there.
+    /// Front that distributes callers' connections; without it, each call goes to a live balancer.
     #[serde(default)]
     pub front: Option<FrontConfig>,
-    /// What balancers may do.
+    /// Limits of the balancers.
     #[serde(default)]
     pub limits: Limits,
-    /// The network.
+    /// Network between balancers and upstreams.
     #[serde(default)]
     pub network: Network,
-    /// How the list of upstreams reaches the balancers.
+    /// Distribution of the upstream list.
     #[serde(default)]
     #[serde(rename = "padron")]
     pub registry: RegistryConfig,
-    /// The balancers' clocks.
+    /// Clocks of the balancers.
     #[serde(default)]
     pub clocks: Clocks,
-    /// Membership among the balancers; none, if it is left out.
+    /// Membership among the balancers; none by default.
     #[serde(default)]
     pub members: Option<MembershipConfig>,
-    /// Leaving upstreams, zones and regions as a fleet; needs `members`.
+    /// Evacuation of upstreams, zones and regions by the fleet; needs `members`.
     #[serde(default)]
     pub evacuation: Option<EvacuationConfig>,
-    /// Faults, in any order.
+    /// Faults in any order.
     #[serde(default)]
     pub fault: Vec<Fault>,
-    /// The region of each zone that lies in one.
+    /// Region of each zone that belongs to one.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// What must hold, judged from what callers saw.
+    /// Requirements on the result, judged from the callers' observations.
     #[serde(default)]
     pub bound: Vec<Bound>,
 }
@@ -101,32 +101,32 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CallClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// What repeating it does.
+    /// Effect of a repetition.
     pub effect: CallEffect,
-    /// For keyed work: the upstreams that drop its repeats.
+    /// Upstreams that drop repeats of a keyed request.
     #[serde(default)]
     pub group: CallGroup,
-    /// For keyed work: how long they do.
+    /// Time during which upstreams drop repeats of a keyed request.
     #[serde(default)]
     pub window: Span,
-    /// An answer within this earns the full value.
+    /// Latency within which an answer earns the full value.
     #[serde(rename = "aim")]
     pub latency_target: Span,
-    /// The caller waits for no longer.
+    /// Time that the caller waits for an answer.
     pub deadline: Span,
-    /// Worth of an answer.
+    /// Value of an answer.
     #[serde(default = "one")]
     #[serde(rename = "worth")]
     pub value: f64,
-    /// Part of it that a late answer earns.
+    /// Fraction of the value that a late answer earns.
     #[serde(default)]
     #[serde(rename = "late-worth")]
     pub late_value: f64,
-    /// How long a warm upstream works on it.
+    /// Duration of the work at a warm upstream.
     pub service: Dist,
-    /// Bytes of its body, which the network takes its time for.
+    /// Size of the body in bytes, which determines its transfer time.
     #[serde(default)]
     pub bytes: f64,
 }
@@ -135,68 +135,70 @@
     1.0
 }
 
-/// What repeating a request does.
+/// Effect of a repeated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallEffect {
-    /// Nothing.
+    /// A repetition does no harm.
     Safe,
-    /// Upstreams drop repeats for a while.
+    /// Upstreams drop repetitions within a window.
     Keyed,
-    /// It must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
-/// The upstreams that drop the repeats of a key.
+/// Upstreams that drop repetitions of a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallGroup {
-    /// All.
+    /// All upstreams.
     #[default]
     All,
-    /// Those of the zone that had it first.
+    /// Upstreams in the zone of the first execution.
     Zone,
-    /// Those of the cell that had it first.
+    /// Upstreams in the cell of the first execution.
     Cell,
 }
 
-/// A tenant.
+/// A tenant with a quota.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CallTenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Requests a second that count in full.
+    /// Requests per second that keep their full value.
     pub quota: f64,
 }
 
 impl Scenario {
-    /// Reads a scenario and checks it.
+    /// Reads and validates a scenario.
     ///
     /// # Errors
     ///
-    /// A text that is not of a scenario's form, by line and key, or values that make no sense, by key.
+    /// An invalid form, with line and key, or an invalid value, with its key.
     pub fn read(text: &str) -> Result<Self, ScenarioError> {
         let mut scenario: Self =
             toml::from_str(text).map_err(|error| ScenarioError::Syntax(Box::new(error)))?;
         let faults = std::mem::take(&mut scenario.fault).into_iter().zip(0..);
         for (fault, file_position) in faults {
-            scenario.fault.extend(fault.each_time(file_position)?);
+            scenario
+                .fault
+                .extend(fault.expand_repetition(file_position)?);
         }
         scenario.check()?;
         Ok(scenario)
     }
 
-    /// Refuses what makes no sense.
+    /// Validates the scenario.
     ///
     /// # Errors
     ///
-    /// The first fault that is found, with the part of the scenario that it lies in.
+    /// The first error that is found, with the part of the scenario that contains it.
     pub fn check(&self) -> Result<(), ScenarioError> {
         self.check_all()
     }
 
-    /// The tier whose upstreams call this one.
+    /// Tier whose upstreams call this one.
     pub fn caller_of(&self, tier: usize) -> Option<usize> {
         let name = &self.tier[tier].name;
         self.tier.iter().position(|other| {
@@ -207,12 +209,12 @@
         })
     }
 
-    /// Zone of an upstream or balancer, by its number in its tier: they stand in the zones in turn.
+    /// Zone of an upstream or balancer by its number in the tier; zones are assigned round robin.
     pub fn zone_in_turn(&self, number: u32) -> u8 {
         (number as usize % self.zones.len()) as u8
     }
 
-    /// The longest that a caller waits.
+    /// Longest deadline of all classes.
     pub fn longest_deadline(&self) -> Span {
         self.class
             .iter()
@@ -221,7 +223,7 @@
             .unwrap_or(Span(0))
     }
 
-    /// How many balancers send to a tier.
+    /// Number of balancers that send to a tier.
     pub fn balancer_count(&self, tier: usize) -> u32 {
         match self.tier[tier].sidecar {
             true => self
@@ -231,7 +233,7 @@
         }
     }
 
-    /// How many balancers and upstreams there are in all.
+    /// Number of balancers and number of upstreams in all tiers.
     pub fn process_counts(&self) -> (u64, u64) {
         let balancers = (0..self.tier.len())
             .map(|tier| u64::from(self.balancer_count(tier)))
@@ -242,12 +244,12 @@
         )
     }
 
-    /// Position of a class.
+    /// Position of a class, by its name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.class.iter().position(|class| class.name == name)
     }
 
-    /// The classes that a group of callers calls, by position, with the share of each.
+    /// Classes that a group of callers calls, as pairs of share and position.
     pub fn mix(&self, callers: &CallerGroup) -> Vec<(f64, usize)> {
         let classes = callers.classes.iter();
         classes
@@ -255,16 +257,16 @@
             .collect()
     }
 
-    /// Position of a tier.
+    /// Position of a tier, by its name.
     pub fn tier(&self, name: &str) -> Option<usize> {
         self.tier.iter().position(|tier| tier.name == name)
     }
 
-    /// Position of a zone; `None` for all.
+    /// Position of a zone, by its name; `None` for all zones.
     ///
     /// # Errors
     ///
-    /// A name that no zone of the scenario has.
+    /// The scenario has no zone of this name.
     pub fn zone(&self, name: &Option<String>) -> Result<Option<u8>, ScenarioError> {
         let Some(name) = name else { return Ok(None) };
         let at = self.zones.iter().position(|zone| zone == name);
@@ -281,7 +283,7 @@
         self.zones.get(usize::from(zone))
     }
 
-    /// How deep a tier lies under the callers.
+    /// Number of tiers between the callers and this one.
     pub fn depth(&self, tier: usize) -> u32 {
         std::iter::successors(self.caller_of(tier), |&above| self.caller_of(above)).count() as u32
     }
--- a/crates/emulator/src/scenario/settings.rs
+++ b/crates/emulator/src/scenario/settings.rs
@@ -1,11 +1,11 @@
-//! The engine's settings that a scenario gives its balancers.
+//! Engine settings of the balancers in a scenario.
 
 use super::{CallClass, CallEffect, CallGroup, Scenario};
 use woadstall_engine::Settings;
 use woadstall_engine::decisions::{Class, DedupScope, Effect, Tenant, ZoneId};
 
 impl Scenario {
-    /// What a balancer of a tier is told at its start.
+    /// Settings of a balancer of a tier in a zone.
     pub fn settings(&self, tier: usize, zone: u8) -> Settings {
         let class = |class: &CallClass| Class {
             latency_target: class.latency_target.0,
