--- a/crates/emulator/src/scenario/tiers.rs
+++ b/crates/emulator/src/scenario/tiers.rs
@@ -1,74 +1,74 @@
-//! Tiers: upstreams, the balancers before them, and the front before all.
+//! Tiers: upstreams, their balancers, and the front.
 
 use crate::units::{MS, SECOND, Span};
 use serde::{Deserialize, Serialize};
 
-/// A tier: upstreams, and the balancers before them.
+/// A tier of upstreams with the balancers that send to them.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Tier {
-    /// Its name.
+    /// Name of the tier.
     pub name: String,
-    /// How many balancers send to it; they stand in the zones in turn. With `sidecar`, there is none to say.
+    /// Number of balancers, assigned to zones round robin; must be left out with `sidecar`.
     #[serde(default)]
     pub balancers: u32,
-    /// Each upstream of the tier before has a balancer of its own for its calls, which dies and starts with it.
+    /// Each upstream that calls this tier has a sidecar balancer, which dies and starts with the upstream.
     #[serde(default)]
     #[serde(rename = "beside")]
     pub sidecar: bool,
-    /// How many upstreams it has; they stand in the zones in turn.
+    /// Number of upstreams, assigned to zones round robin.
     #[serde(rename = "nodos")]
     pub upstreams: u32,
-    /// Requests that an upstream works on at a time.
+    /// Requests that an upstream processes concurrently.
     #[serde(default = "four")]
     pub workers: u32,
-    /// Requests that may wait at an upstream.
+    /// Requests that can wait at an upstream.
     #[serde(default = "sixty_four")]
     #[serde(rename = "queue")]
     pub queue_capacity: u32,
-    /// Which of them is next.
+    /// Order in which waiting requests are served.
     #[serde(default)]
     #[serde(rename = "order")]
     pub queue_order: QueueOrder,
-    /// Cells, in which the upstreams stand in turn.
+    /// Number of cells; upstreams are assigned to cells round robin.
     #[serde(default = "one_cell")]
     pub cells: u16,
-    /// Part of its capacity that an upstream starts with.
+    /// Fraction of its capacity that an upstream starts with.
     #[serde(default = "third")]
     pub start_capacity: f64,
-    /// An upstream is warm after this time.
+    /// Time until an upstream that started cold is warm.
     #[serde(default = "slow_start_window")]
     #[serde(rename = "ramp")]
     pub slow_start_window: Span,
-    /// A cold upstream falls over where it is sent more than this multiple of what it can do for 3 s.
+    /// A cold upstream crashes if its load over 3 s exceeds this multiple of its capacity.
     #[serde(default = "overload_multiple")]
     #[serde(rename = "tip-multiple")]
     pub overload_multiple: f64,
     /// All upstreams start cold.
     #[serde(default)]
     pub cold: bool,
-    /// Its upstreams call another tier.
+    /// Calls of the tier's upstreams to another tier.
     #[serde(default)]
     pub calls: Option<DownstreamCalls>,
-    /// What connections cost its upstreams.
+    /// Cost and limit of connections to the upstreams.
     #[serde(default)]
     pub connections: Connections,
-    /// Its upstreams tell how many requests they hold when they are probed.
+    /// If set, upstreams report their number of requests to probes.
     #[serde(default)]
     pub probed: Option<ProbeConfig>,
 }
 
-/// What connections cost an upstream.
+/// Cost and limit of connections to an upstream.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Connections {
-    /// Work on a new one, which the first request on it waits for.
+    /// Work of the upstream on a new connection, which delays the first request on it.
     #[serde(rename = "work")]
     pub handshake_work: Span,
-    /// Round trips until it is up.
+    /// Round trips until a connection is open.
     #[serde(rename = "trips")]
     pub handshake_round_trips: u32,
-    /// So many are accepted; 0 for as many as come.
+    /// Maximum number of open connections; 0 for no limit.
     #[serde(rename = "most")]
     pub max_open: u32,
 }
@@ -83,29 +83,29 @@
     }
 }
 
-/// What probes cost.
+/// Cost of probes.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ProbeConfig {
-    /// The price that balancers are told, as part of a request's value.
+    /// Cost of a probe that balancers assume, as a fraction of a request's value.
     #[serde(rename = "price")]
     pub cost: f64,
-    /// One that is not answered has failed after this time.
+    /// Timeout of a probe.
     #[serde(rename = "patience")]
     pub timeout: Span,
 }
 
-/// How callers' connections are dealt out.
+/// Distribution of callers' connections among balancers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct FrontConfig {
-    /// It goes on dealing to a dead balancer for this time.
+    /// Time until the front detects that a balancer has died.
     #[serde(rename = "notices")]
     pub detection_delay: Span,
-    /// Some balancers get up to so many times as many connections as others.
+    /// Ratio of the largest to the smallest number of connections that the weights give to balancers.
     #[serde(rename = "uneven")]
     pub max_weight_ratio: f64,
-    /// Callers close connections that have idled for this time.
+    /// Idle time after which callers close a connection.
     #[serde(rename = "kept")]
     pub idle_timeout: Span,
 }
@@ -144,23 +144,23 @@
     2.5
 }
 
-/// Which request in a queue is next.
+/// Order in which waiting requests are served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum QueueOrder {
-    /// The oldest.
+    /// Oldest request first.
     #[default]
     Fifo,
-    /// The youngest.
+    /// Newest request first.
     Lifo,
 }
 
-/// Calls of an upstream to the next tier, for each request that it works on.
+/// Calls of an upstream to the next tier, for each request that it processes.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct DownstreamCalls {
-    /// The tier.
+    /// Name of the called tier.
     pub tier: String,
-    /// How many on average, all at once; up to two more or less.
+    /// Mean number of concurrent calls; each request makes the next lower or next higher whole number.
     pub mean: f64,
 }
--- a/crates/emulator/src/units.rs
+++ b/crates/emulator/src/units.rs
@@ -1,28 +1,28 @@
-//! Times as scenarios write them: a number with its unit, as in `"250 ms"` or `"1m 30s"`.
+//! Durations as scenarios write them: a number with its unit, as in `"250 ms"` or `"1m 30s"`.
 
 use serde::de::{self, Deserializer, Visitor};
 use serde::{Deserialize, Serialize, Serializer};
 use std::fmt;
 use woadstall_engine::Time;
 
-/// Nanoseconds in a millisecond, and in a second.
+/// Nanoseconds in a millisecond.
 pub const MS: Time = 1_000_000;
 /// Nanoseconds in a second.
 pub const SECOND: Time = 1_000 * MS;
-/// No time in a scenario is longer: what is, is a slip of the pen.
-const MOST: Time = 7 * 24 * 3600 * SECOND;
+/// Longest duration in a scenario; a longer one is refused as a probable typing error.
+const MAX_SPAN: Time = 7 * 24 * 3600 * SECOND;
 
-/// A length of time, in nanoseconds.
+/// A duration in nanoseconds, written with its unit in scenarios.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Time);
 
 impl Span {
-    /// In seconds.
+    /// Duration in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / SECOND as f64
     }
 
-    /// From seconds.
+    /// Converts seconds; a negative value becomes 0.
     pub fn from_seconds(seconds: f64) -> Self {
         Self((seconds.max(0.0) * SECOND as f64) as Time)
     }
@@ -43,7 +43,7 @@
                     E::custom(format!("{text:?} is no time with a unit: {error}"))
                 })?;
                 match Time::try_from(time.as_nanos()) {
-                    Ok(nanos) if nanos <= MOST => Ok(Span(nanos)),
+                    Ok(nanos) if nanos <= MAX_SPAN => Ok(Span(nanos)),
                     _ => Err(E::custom(format!("{text:?} is longer than a week"))),
                 }
             }
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream: workers, a queue, a cold start, and what can be wrong with it. Handed its time and its randomness.
+//! Model of an upstream: workers, a queue, a cold start, and active faults. The caller passes the time.
 
 use crate::random::{Dist, chance};
 use crate::scenario::{QueueOrder, Tier};
@@ -7,27 +7,27 @@
 use std::collections::VecDeque;
 use woadstall_engine::Time;
 
-/// Rule 4 looks at what came within this time.
-pub const WINDOW: Time = 3 * SECOND;
+/// Window over which rule 4 measures the load of a cold upstream.
+pub const OVERLOAD_WINDOW: Time = 3 * SECOND;
 
-/// What is wrong with an upstream at present.
+/// Faults that affect an upstream at present.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamFaults {
-    /// It works so many times slower.
+    /// Factor by which the work takes longer.
     pub slowdown: f64,
-    /// Part of the requests that get errors, and the class if it is but one.
+    /// Fractions of the requests that are answered with errors; `None` instead of a class means all classes.
     pub errors: Vec<(f64, Option<usize>)>,
-    /// Part of the answers that are lost.
+    /// Fraction of the responses that are lost.
     pub lost: f64,
-    /// Part of the connections that break.
+    /// Fraction of the connections that are reset.
     pub resets: f64,
-    /// It takes requests and says nothing.
+    /// The upstream accepts requests and never responds.
     pub unresponsive: bool,
-    /// It turns everything away.
+    /// The upstream rejects all requests as full.
     pub full: bool,
-    /// Its process stands still.
+    /// The upstream's process is suspended.
     pub stopped: bool,
-    /// Delays to and from it are so many times longer.
+    /// Factor by which network delays to and from the upstream are longer.
     pub delay_factor: f64,
 }
 
@@ -46,61 +46,61 @@
     }
 }
 
-/// An upstream, over all its processes.
+/// An upstream, across all its processes.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Its name.
+    /// Name in the upstream list.
     pub name: String,
-    /// Its tier.
+    /// Position of the tier.
     pub tier: usize,
-    /// Its zone.
+    /// Position of the zone.
     pub zone: u8,
-    /// Its cell.
+    /// Number of the cell.
     pub cell: u16,
-    /// The number of its address.
+    /// Number of the address.
     pub host: u32,
-    /// A process of it is running.
+    /// Whether a process is running.
     pub alive: bool,
-    /// It is told to the balancers as draining.
+    /// Whether the upstream is listed as draining.
     pub draining: bool,
-    /// Which of its processes is running, or ran last.
+    /// Number of the process that is running or ran last.
     pub process: u32,
-    /// When that started; `None` if it was warm from the start.
+    /// Start time of the process; `None` if the upstream was warm from the start of the run.
     pub started: Option<Time>,
-    /// It fell over, and whoever runs it has not seen to that yet.
+    /// The process crashed by overload and has not been restarted yet.
     pub overloaded: bool,
-    /// What is wrong with it.
+    /// Faults that affect the upstream at present.
     pub active_faults: UpstreamFaults,
-    /// Its random numbers.
+    /// Random stream of the upstream.
     pub rng: ChaCha8Rng,
     workers: u32,
     busy: u32,
     queue_capacity: u32,
-    order: QueueOrder,
+    queue_order: QueueOrder,
     start_capacity: f64,
     slow_start_window: Time,
     overload_multiple: f64,
-    /// Connections to its process, and how many it accepts.
+    /// Open connections to the process.
     connections: u32,
-    most_connections: u32,
+    max_connections: u32,
     queue: VecDeque<u64>,
-    /// When requests came lately, while it was cold.
-    came: VecDeque<Time>,
+    /// Arrival times of recent requests while the upstream is cold.
+    recent_arrivals: VecDeque<Time>,
 }
 
-/// What becomes of a request that reaches an upstream.
+/// Result of a request's arrival at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is worked on.
+    /// Work on the request begins.
     Begun,
-    /// It waits.
+    /// The request waits in the queue.
     Queued,
-    /// It is turned away.
+    /// The request is rejected, as the queue is full.
     Full,
 }
 
 impl Upstream {
-    /// An upstream of a tier, warm or cold.
+    /// Creates an upstream of a tier; the tier decides whether it starts cold.
     pub fn new(
         name: String,
         tier: usize,
@@ -125,25 +125,25 @@
             workers: like.workers,
             busy: 0,
             queue_capacity: like.queue_capacity,
-            order: like.queue_order,
+            queue_order: like.queue_order,
             start_capacity: like.start_capacity,
             slow_start_window: like.slow_start_window.0,
             overload_multiple: like.overload_multiple,
             connections: 0,
-            most_connections: like.connections.max_open,
+            max_connections: like.connections.max_open,
             queue: VecDeque::new(),
-            came: VecDeque::new(),
+            recent_arrivals: VecDeque::new(),
         }
     }
 
-    /// A new process, cold.
+    /// Starts a new, cold process.
     pub fn boot(&mut self, now: Time) {
         (self.alive, self.draining, self.started) = (true, false, Some(now));
         self.process += 1;
         self.clear();
     }
 
-    /// Its process dies, with all that it was at.
+    /// Kills the process, with all its requests.
     pub fn kill(&mut self) {
         self.alive = false;
         self.clear();
@@ -152,21 +152,21 @@
     fn clear(&mut self) {
         (self.busy, self.connections) = (0, 0);
         self.queue.clear();
-        self.came.clear();
+        self.recent_arrivals.clear();
     }
 
-    /// Requests that it holds.
+    /// Number of requests in the queue or in progress.
     pub fn in_flight(&self) -> u32 {
         self.busy + self.queue.len() as u32
     }
 
-    /// Requests that it works on at a time.
+    /// Number of requests that are processed concurrently.
     pub fn workers(&self) -> u32 {
         self.workers
     }
 
-    /// Part of its speed that it has while cold.
-    pub fn warmth(&self, now: Time) -> f64 {
+    /// Fraction of the full speed during the cold start; 1 once warm.
+    pub fn warm_fraction(&self, now: Time) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
         };
@@ -174,19 +174,19 @@
         (self.start_capacity + (1.0 - self.start_capacity) * age).min(1.0)
     }
 
-    /// What it can do at present, in workers of a sound warm one.
+    /// Present capacity, in workers of a healthy warm upstream.
     pub fn speed(&self, now: Time) -> f64 {
         match self.alive
             && !self.active_faults.unresponsive
             && !self.active_faults.full
             && !self.active_faults.stopped
         {
-            true => f64::from(self.workers) * self.warmth(now) / self.active_faults.slowdown,
+            true => f64::from(self.workers) * self.warm_fraction(now) / self.active_faults.slowdown,
             false => 0.0,
         }
     }
 
-    /// A request has come. Room in the queue is that of requests that still wait.
+    /// Accepts a request into a worker or into the queue, or rejects it.
     pub fn accept(&mut self, request: u64) -> Admission {
         if self.active_faults.full {
             Admission::Full
@@ -201,40 +201,40 @@
         }
     }
 
-    /// How long it takes for a request that it begins now.
+    /// Draws the duration of the work on a request that begins now.
     pub fn service(&mut self, now: Time, service: &Dist) -> Time {
         let work = service.draw(&mut self.rng);
-        (work * self.active_faults.slowdown / self.warmth(now)).clamp(1.0, 1e18) as Time
+        (work * self.active_faults.slowdown / self.warm_fraction(now)).clamp(1.0, 1e18) as Time
     }
 
-    /// How long other work takes it, slow and cold as it is.
+    /// Duration of other work at the present speed.
     pub fn overhead(&self, now: Time, work: Time) -> Time {
-        (work as f64 * self.active_faults.slowdown / self.warmth(now)) as Time
+        (work as f64 * self.active_faults.slowdown / self.warm_fraction(now)) as Time
     }
 
-    /// One more connection; `false` if it has no place for it.
+    /// Opens a connection; `false` if the upstream accepts no more.
     pub fn connect(&mut self) -> bool {
-        let has_capacity = self.most_connections == 0 || self.connections < self.most_connections;
+        let has_capacity = self.max_connections == 0 || self.connections < self.max_connections;
         self.connections += u32::from(has_capacity);
         has_capacity
     }
 
-    /// Connections to one of its processes are closed: what went to an earlier one went with that.
+    /// Closes connections to a process. Connections to an earlier process ended with that process.
     pub fn disconnect(&mut self, process: u32, count: u32) {
         if process == self.process {
             self.connections = self.connections.saturating_sub(count);
         }
     }
 
-    /// Connections to its process.
+    /// Number of open connections to the process.
     pub fn connections(&self) -> u32 {
         self.connections
     }
 
-    /// A worker is free: the next request that still waits, if there is one.
+    /// Frees a worker, and returns the next queued request that still `waits`, if any.
     pub fn next_request(&mut self, mut waits: impl FnMut(u64) -> bool) -> Option<u64> {
         loop {
-            let next = match self.order {
+            let next = match self.queue_order {
                 QueueOrder::Fifo => self.queue.pop_front(),
                 QueueOrder::Lifo => self.queue.pop_back(),
             };
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Whether this request is to get an error.
+    /// Draws whether a request of a class is answered with an error.
     pub fn draw_error(&mut self, class: usize) -> bool {
         let share = self
             .active_faults
@@ -260,26 +260,30 @@
         chance(&mut self.rng, share)
     }
 
-    /// Counts a request that came while it was cold. Tells the part of what pushes it over that came within the
-    /// window, if that is over 1; `capacity` is the requests a second that it can do when warm.
-    pub fn count_warming_up(&mut self, now: Time, capacity: f64) -> Option<f64> {
+    /// Counts a request that arrives during the cold start. Returns the load in the window relative to the
+    /// overload threshold if it exceeds 1. `capacity` is the warm upstream's capacity in requests per second.
+    pub fn count_cold_arrival(&mut self, now: Time, capacity: f64) -> Option<f64> {
         let started = self.started?;
-        if now >= started + self.slow_start_window + WINDOW {
+        if now >= started + self.slow_start_window + OVERLOAD_WINDOW {
             return None;
         }
-        while self.came.front().is_some_and(|&at| at + WINDOW <= now) {
-            self.came.pop_front();
+        while self
+            .recent_arrivals
+            .front()
+            .is_some_and(|&at| at + OVERLOAD_WINDOW <= now)
+        {
+            self.recent_arrivals.pop_front();
         }
-        self.came.push_back(now);
-        // What it can do in a whole window, also where its process is younger than that.
-        let from = now.saturating_sub(WINDOW).max(started);
-        let warm = |at: Time| self.warmth(at);
+        self.recent_arrivals.push_back(now);
+        // Capacity over a whole window, even if the process is younger than the window.
+        let from = now.saturating_sub(OVERLOAD_WINDOW).max(started);
+        let warm = |at: Time| self.warm_fraction(at);
         let steps = 6;
         let sum: f64 = (0..steps)
-            .map(|step| warm(from + WINDOW * (2 * step + 1) / (2 * steps)))
+            .map(|step| warm(from + OVERLOAD_WINDOW * (2 * step + 1) / (2 * steps)))
             .sum();
-        let can = capacity * sum / steps as f64 * WINDOW as f64 / 1e9;
-        let part = self.came.len() as f64 / (self.overload_multiple * can).max(1.0);
+        let can = capacity * sum / steps as f64 * OVERLOAD_WINDOW as f64 / 1e9;
+        let part = self.recent_arrivals.len() as f64 / (self.overload_multiple * can).max(1.0);
         (part > 1.0).then_some(part)
     }
 }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -92,7 +92,7 @@
                 let client_call = known.client_call;
                 if matches!(verdict, CallResult::Rejected(_)) {
                     self.costs
-                        .pay(now, self.balancers[at].tier, Cost::Refusals, at);
+                        .count(now, self.balancers[at].tier, Cost::Refusals, at);
                 }
                 self.record_trace(client_call, || {
                     let text = call_trace::result_text(&verdict);
--- a/crates/emulator/src/world/build.rs
+++ b/crates/emulator/src/world/build.rs
@@ -114,13 +114,13 @@
             0
         };
         let drift = scenario.clocks.max_drift * (2.0 * clock.random::<f64>() - 1.0);
-        let (mind_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
+        let (agent_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
         self.balancers.push(Balancer {
             tier,
             zone,
             agent: self
                 .policy
-                .agent(scenario.settings(tier, zone), mind_seed, local),
+                .agent(scenario.settings(tier, zone), agent_seed, local),
             clock_offset: ahead,
             clock_drift: drift,
             network_rng: stream(self.seed, Actor::Network, number),
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -72,7 +72,7 @@
             self.record_trace(client_call, || "no balancer is there".to_owned());
             return self.conclude_client_call(client_call, &CallResult::Failed, true);
         };
-        self.costs.request(tier);
+        self.costs.count_request(tier);
         let effect = self.scenario.class[class].effect;
         let request = self.auditor.request_received(client_call, effect, deadline);
         let out = SmallVec::new();
@@ -166,14 +166,14 @@
                 .as_mut()?
                 .acquire(zone, now, &mut self.front_rng)?;
         let at = connection.balancer as usize;
-        let there = &self.balancers[at];
+        let target = &self.balancers[at];
         if fresh {
-            if !there.alive || there.draining {
-                self.costs.pay(now, 0, Cost::Unreached, at);
+            if !target.alive || target.draining {
+                self.costs.count(now, 0, Cost::Unreached, at);
                 return None;
             }
-            connection.incarnation = there.incarnation;
-            self.costs.pay(now, 0, Cost::CallerConnections, at);
+            connection.incarnation = target.incarnation;
+            self.costs.count(now, 0, Cost::CallerConnections, at);
         }
         if let Some(client_call) = self.client_calls.get_mut(client_call) {
             client_call.connection = Some(connection);
@@ -196,8 +196,8 @@
             .get_mut(client_call)
             .and_then(|client_call| client_call.connection.take());
         let Some(connection) = connection else { return };
-        let there = &self.balancers[connection.balancer as usize];
-        if there.alive && !there.draining && there.incarnation == connection.incarnation {
+        let target = &self.balancers[connection.balancer as usize];
+        if target.alive && !target.draining && target.incarnation == connection.incarnation {
             let now = self.event_queue.now();
             self.front
                 .iter_mut()
@@ -210,10 +210,10 @@
         let first = zone.map_or((draw >> 32) as usize % zones, usize::from);
         // The caller's own zone comes first, then the other zones in order.
         for step in 0..zones {
-            let there = &self.balancers_by_zone[tier][(first + step) % zones];
-            let count = there.len();
+            let balancers = &self.balancers_by_zone[tier][(first + step) % zones];
+            let count = balancers.len();
             let start = draw as u32 as usize;
-            let alive = (0..count).map(|at| there[(start + at) % count]);
+            let alive = (0..count).map(|at| balancers[(start + at) % count]);
             if let Some(balancer) = alive
                 .into_iter()
                 .find(|&at| self.balancers[at as usize].alive)
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -45,7 +45,7 @@
             false_reporters
                 .iter_mut()
                 .take(count)
-                .for_each(|liar| *liar = Some(false_reporting.report));
+                .for_each(|reporter| *reporter = Some(false_reporting.report));
         }
         Self {
             interval: of.interval.0,
@@ -62,26 +62,26 @@
         &self,
         at: usize,
         zone_of: impl Fn(ServerId) -> Option<usize>,
-        saw: CompletedAttempt,
+        completed: CompletedAttempt,
     ) -> CompletedAttempt {
         let own = self.settings[at].zone;
         match self.false_reporters[at] {
-            None => saw,
+            None => completed,
             Some(FalseReport::NoCallFails) => CompletedAttempt {
                 outcome: Outcome::Ok,
-                ..saw
+                ..completed
             },
             Some(FalseReport::AllCallsFail) => CompletedAttempt {
                 outcome: Outcome::Error,
-                ..saw
+                ..completed
             },
-            Some(FalseReport::OwnZoneCallsFail) if zone_of(saw.server) == Some(own) => {
+            Some(FalseReport::OwnZoneCallsFail) if zone_of(completed.server) == Some(own) => {
                 CompletedAttempt {
                     outcome: Outcome::Error,
-                    ..saw
+                    ..completed
                 }
             }
-            Some(FalseReport::OwnZoneCallsFail) => saw,
+            Some(FalseReport::OwnZoneCallsFail) => completed,
         }
     }
 
--- a/crates/emulator/src/world/dispatch.rs
+++ b/crates/emulator/src/world/dispatch.rs
@@ -83,10 +83,10 @@
         let crosses_zones = self.balancers[at].zone != self.upstreams[upstream].zone;
         self.meter.sent(attempt, crosses_zones, host);
         if attempt > 0 {
-            self.costs.pay(now, tier, Cost::Retries, at);
+            self.costs.count(now, tier, Cost::Retries, at);
         }
         if crosses_zones {
-            self.costs.pay(now, tier, Cost::CrossZoneAttempts, at);
+            self.costs.count(now, tier, Cost::CrossZoneAttempts, at);
         }
     }
 
@@ -164,7 +164,7 @@
         } else {
             Cost::Handshakes
         };
-        self.costs.pay(now, tier, cost, at);
+        self.costs.count(now, tier, cost, at);
         if refused {
             self.balancers[at].open_connections -= 1; // a refused connection does not count as open
         }
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -44,7 +44,8 @@
     /// Draws the upstreams and balancers that a fault affects.
     fn draw_targets(&mut self, at: usize) {
         let (tier, zone) = self.scope(at);
-        let is_within = |of: usize, there: u8| of == tier && zone.is_none_or(|zone| zone == there);
+        let is_within =
+            |of: usize, its_zone: u8| of == tier && zone.is_none_or(|zone| zone == its_zone);
         let upstreams: Vec<u32> = (0..)
             .zip(&self.upstreams)
             .filter(|(_, upstream)| is_within(upstream.tier, upstream.zone) && upstream.alive)
@@ -102,8 +103,8 @@
             Lifecycle::Ready
         };
         for &upstream in upstreams {
-            let there = &self.upstreams[upstream as usize];
-            if there.alive && !there.draining {
+            let target = &self.upstreams[upstream as usize];
+            if target.alive && !target.draining {
                 self.change_registry(upstream, lifecycle);
             }
         }
@@ -252,10 +253,10 @@
                 _ => {}
             }
         }
-        let goes_on =
+        let resumes =
             self.upstreams[upstream as usize].active_faults.stopped && !active_faults.stopped;
         self.upstreams[upstream as usize].active_faults = active_faults;
-        if goes_on {
+        if resumes {
             // A resumed process handles at once the messages that arrived and the work that ended during the
             // suspension.
             let waiting = std::mem::take(&mut self.suspended_events[upstream as usize]);
@@ -399,7 +400,7 @@
         if balancer.incarnation == incarnation && (!out || !balancer.alive || balancer.draining) {
             self.front
                 .iter_mut()
-                .for_each(|front| front.set_out(at as u32, out));
+                .for_each(|front| front.set_detected_down(at as u32, out));
         }
     }
 
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -142,7 +142,7 @@
     /// Compares the partitions that running members report with the actual ones.
     fn record_path_reports(&mut self, now: Time, is_partitioned: impl Fn(usize, usize) -> bool) {
         let pairs = self.observer.pairs(|of| self.nodes[of].is_some());
-        let says = |by: usize, of: usize| {
+        let reported_paths = |by: usize, of: usize| {
             self.nodes[by]
                 .as_ref()
                 .map(|node| node.path_states(&name(of as u32), now))
@@ -151,8 +151,8 @@
         let named = pairs.into_iter().map(|(from, to)| {
             (
                 is_partitioned(from, to),
-                says(from, to).0 == PathState::Partitioned,
-                says(to, from).1 == PathState::Partitioned,
+                reported_paths(from, to).0 == PathState::Partitioned,
+                reported_paths(to, from).1 == PathState::Partitioned,
             )
         });
         self.observer.record_path_reports(now, named);
@@ -188,12 +188,12 @@
         let zones = &self.scenario.zones;
         let label = |text: &str| Name::new(text).unwrap_or_else(|_| name(u32::from(zone)));
         let zone = &zones[usize::from(zone)];
-        let chance = &mut members.rngs[at];
+        let rng = &mut members.rngs[at];
         let me = MemberMetadata {
             name: name(at as u32),
             generation: Generation {
                 started_ms: local / MS,
-                id: chance.next_u64(),
+                id: rng.next_u64(),
             },
             address: address(at as u32),
             zone: label(zone),
@@ -203,7 +203,7 @@
             .map(address)
             .collect();
         // Settings that the node would refuse were refused with the scenario.
-        let node = Node::new(me, seeds, members.settings.clone(), chance.next_u64(), now).ok();
+        let node = Node::new(me, seeds, members.settings.clone(), rng.next_u64(), now).ok();
         members.last_incarnation[at] = node.as_ref().map(|node| node.local().generation);
         members.nodes[at] = node;
         (members.planned_ticks[at], members.check_planned[at]) = (Time::MAX, false);
@@ -238,17 +238,17 @@
     }
 
     /// Pauses or resumes member processes.
-    pub(super) fn set_members_paused(&mut self, who: &[u32], still: bool) {
+    pub(super) fn set_members_paused(&mut self, who: &[u32], paused: bool) {
         let now = self.event_queue.now();
         let Some(members) = &mut self.members else {
             return;
         };
         who.iter()
-            .for_each(|&of| members.observer.set_paused(now, of as usize, still));
+            .for_each(|&of| members.observer.set_paused(now, of as usize, paused));
     }
 
     pub(super) fn member_timer(&mut self, at: usize, planned: Time) {
-        let still = self.paused_until(at);
+        let paused = self.paused_until(at);
         let Some(members) = &mut self.members else {
             return;
         };
@@ -256,7 +256,7 @@
             return; // superseded by an earlier timer
         }
         members.planned_ticks[at] = Time::MAX;
-        if let Some(until) = still {
+        if let Some(until) = paused {
             members.planned_ticks[at] = until;
             return self.event_queue.at(
                 until,
@@ -303,12 +303,12 @@
 
     /// Checks whether a process listens at each suspect's address, and reports refused connections to the node.
     pub(super) fn check_suspects(&mut self, at: usize) {
-        let (now, still) = (self.event_queue.now(), self.paused_until(at));
+        let (now, paused) = (self.event_queue.now(), self.paused_until(at));
         let Some(members) = &mut self.members else {
             return;
         };
         members.check_planned[at] = false;
-        let Some(node) = members.nodes[at].as_ref().filter(|_| still.is_none()) else {
+        let Some(node) = members.nodes[at].as_ref().filter(|_| paused.is_none()) else {
             return;
         };
         let sought: Vec<SocketAddr> = node
@@ -407,7 +407,7 @@
 
     fn send_member_message(&mut self, from: usize, to: usize, bytes: Vec<u8>, reliable: bool) {
         let now = self.event_queue.now();
-        let way = Self::link_between(
+        let link = Self::link_between(
             self.scenario,
             &self.balancers,
             &self.fault_targets,
@@ -419,26 +419,27 @@
         let Some(members) = &mut self.members else {
             return;
         };
-        let chance = &mut members.rngs[from];
+        let rng = &mut members.rngs[from];
         // All draws are made for each message, so that one fault does not change which messages another fault
         // affects.
-        let (lost, doubled, overtaken, more): (f64, f64, f64, f64) = chance.random();
-        let mut delay = (way.delay as f64 * (1.0 + jitter * more)) as Time;
-        if way.partitioned || !reliable && lost < way.loss {
+        let (loss_draw, duplicate_draw, reorder_draw, jitter_draw): (f64, f64, f64, f64) =
+            rng.random();
+        let mut delay = (link.delay as f64 * (1.0 + jitter * jitter_draw)) as Time;
+        if link.partitioned || !reliable && loss_draw < link.loss {
             return;
         }
         if reliable {
             // Connection handshake and retransmission.
             delay = 3 * delay
-                + if lost < way.loss {
+                + if loss_draw < link.loss {
                     RETRANSMISSION_DELAY
                 } else {
                     0
                 };
-        } else if overtaken < way.reordered {
+        } else if reorder_draw < link.reordered {
             delay = (2 * delay).max(delay + MS);
         }
-        if !reliable && doubled < way.duplicated {
+        if !reliable && duplicate_draw < link.duplicated {
             let again = members.messages.add(PendingMessage {
                 to: to as u32,
                 bytes: bytes.clone(),
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -226,7 +226,7 @@
         self.auditor.end(now, open);
         let members = self.finish_members();
         let evacuated = self.finish_coordinators();
-        let story = self.call_trace.map(|(_, story)| story).unwrap_or_default();
+        let trace = self.call_trace.map(|(_, trace)| trace).unwrap_or_default();
         let names: Vec<String> = self
             .scenario
             .tier
@@ -236,7 +236,7 @@
         let costs = self.costs.rows(&names);
         let end = self
             .meter
-            .end(self.auditor.findings(), self.event_count, story);
+            .end(self.auditor.findings(), self.event_count, trace);
         let end = RunResult {
             costs,
             members,
@@ -250,11 +250,11 @@
     }
 
     fn record_trace(&mut self, client_call: u64, text: impl FnOnce() -> String) {
-        if let Some((call, story)) = &mut self.call_trace
+        if let Some((call, trace)) = &mut self.call_trace
             && *call == client_call
-            && story.len() < MAX_TRACE_ENTRIES
+            && trace.len() < MAX_TRACE_ENTRIES
         {
-            story.push((self.event_queue.now(), text()));
+            trace.push((self.event_queue.now(), text()));
         }
     }
 
@@ -287,8 +287,8 @@
             Event::QueryCompleted {
                 balancer,
                 incarnation,
-                succeeded: well,
-            } => self.query_completed(balancer as usize, incarnation, well),
+                succeeded,
+            } => self.query_completed(balancer as usize, incarnation, succeeded),
             Event::ProbeArrives { probe } => self.probe_arrived(probe),
             Event::ProbeCompleted { probe, in_flight } => self.probe_completed(probe, in_flight),
             Event::FrontNoticed {
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -24,8 +24,8 @@
     /// Lists an upstream as removed after its process died, unless a new process has started since.
     pub(super) fn death_noticed(&mut self, upstream: u32, process: u32) {
         let dead = &self.upstreams[upstream as usize];
-        let there = self.upstream_by_host[dead.host as usize] == upstream;
-        if there && !dead.alive && dead.process == process {
+        let is_current = self.upstream_by_host[dead.host as usize] == upstream;
+        if is_current && !dead.alive && dead.process == process {
             self.change_registry(upstream, Lifecycle::Removed);
         }
     }
@@ -163,9 +163,9 @@
             return;
         };
         let read = discovery.read(now);
-        self.costs.pay(now, tier, Cost::Reads, at);
+        self.costs.count(now, tier, Cost::Reads, at);
         let (balancer, incarnation) = (at as u32, self.balancers[at].incarnation);
-        let (until, well) = match read {
+        let (until, succeeded) = match read {
             Read::Answered(until) => (until, true),
             Read::Failed(until) => (until, false),
         };
@@ -174,18 +174,18 @@
             Event::QueryCompleted {
                 balancer,
                 incarnation,
-                succeeded: well,
+                succeeded,
             },
         );
     }
 
-    pub(super) fn query_completed(&mut self, at: usize, incarnation: u32, well: bool) {
+    pub(super) fn query_completed(&mut self, at: usize, incarnation: u32, succeeded: bool) {
         let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
         if !self.balancers[at].alive || self.balancers[at].incarnation != incarnation {
             return;
         }
-        if !well || self.registry_outages > 0 {
-            self.costs.pay(now, tier, Cost::FailedReads, at);
+        if !succeeded || self.registry_outages > 0 {
+            self.costs.count(now, tier, Cost::FailedReads, at);
             return self.handle_input(at, Input::DiscoveryFailed);
         }
         self.balancers[at].subscribed = true;
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -28,15 +28,15 @@
             let event = Event::UpstreamBoots(upstream as u32);
             return self.event_queue.after(OVERLOAD_RECOVERY, event);
         }
-        let there = &mut self.upstreams[upstream];
-        if there.active_faults.unresponsive {
+        let target = &mut self.upstreams[upstream];
+        if target.active_faults.unresponsive {
             return self.drop_attempt(number);
         }
-        let resets = there.active_faults.resets;
-        if chance(&mut there.rng, resets / 2.0) {
+        let resets = target.active_faults.resets;
+        if chance(&mut target.rng, resets / 2.0) {
             return self.respond(number, Outcome::Reset);
         }
-        if there.draw_error(class) {
+        if target.draw_error(class) {
             return self.respond(number, Outcome::Error);
         }
         self.admit(upstream, number, (client_call, class));
@@ -53,12 +53,12 @@
     fn overloads_cold_upstream(&mut self, upstream: usize, class: usize) -> bool {
         let now = self.event_queue.now();
         let mean = self.scenario.class[class].service.mean();
-        let there = &mut self.upstreams[upstream];
-        let warm = f64::from(there.workers()) * 1e9 / mean;
-        let Some(part) = there.count_warming_up(now, warm) else {
+        let target = &mut self.upstreams[upstream];
+        let warm = f64::from(target.workers()) * 1e9 / mean;
+        let Some(part) = target.count_cold_arrival(now, warm) else {
             return false;
         };
-        self.auditor.pushed_over(now, &there.name, part);
+        self.auditor.cold_overload(now, &target.name, part);
         true
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Counts an answer to one of an attempt's calls to the next tier; the last answer finishes the attempt.
-    pub(super) fn downstream_call_answered(&mut self, number: u64, well: bool) {
+    pub(super) fn downstream_call_answered(&mut self, number: u64, succeeded: bool) {
         let Some(attempt) = self
             .attempts
             .get_mut(number)
@@ -180,7 +180,7 @@
             return;
         };
         attempt.open_downstream_calls -= 1;
-        attempt.downstream_failed |= !well;
+        attempt.downstream_failed |= !succeeded;
         let (left, upstream, process) = (
             attempt.open_downstream_calls,
             attempt.upstream as usize,
@@ -196,18 +196,18 @@
 
     /// Finishes an attempt: responds to the balancer and starts the next queued attempt.
     pub(super) fn finish_attempt(&mut self, number: u64, upstream: usize) {
-        let spoilt = self
+        let failed = self
             .attempts
             .get(number)
             .is_some_and(|attempt| attempt.downstream_failed);
-        let there = &mut self.upstreams[upstream];
-        let (lost, resets) = (there.active_faults.lost, there.active_faults.resets / 2.0);
-        if chance(&mut there.rng, lost) {
+        let target = &mut self.upstreams[upstream];
+        let (lost, resets) = (target.active_faults.lost, target.active_faults.resets / 2.0);
+        if chance(&mut target.rng, lost) {
             self.drop_attempt(number);
         } else if chance(&mut self.upstreams[upstream].rng, resets) {
             self.respond(number, Outcome::Reset);
         } else {
-            self.respond(number, if spoilt { Outcome::Error } else { Outcome::Ok });
+            self.respond(number, if failed { Outcome::Error } else { Outcome::Ok });
         }
         self.start_next_attempt(upstream);
     }
@@ -330,7 +330,7 @@
 
     pub(super) fn probe(&mut self, at: usize, peer: &Peer) {
         let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
-        self.costs.pay(now, tier, Cost::Probes, at);
+        self.costs.count(now, tier, Cost::Probes, at);
         let host = Self::host_by_address(peer.address) as usize;
         let (Some(&upstream), Some(probed)) = (
             self.upstream_by_host.get(host),
@@ -369,11 +369,11 @@
             return;
         };
         let (at, upstream, process) = (out.balancer as usize, out.upstream as usize, out.process);
-        let there = &self.upstreams[upstream];
-        let mute = there.active_faults.unresponsive || there.active_faults.stopped;
-        if there.alive
-            && there.process == process
-            && !mute
+        let target = &self.upstreams[upstream];
+        let is_unresponsive = target.active_faults.unresponsive || target.active_faults.stopped;
+        if target.alive
+            && target.process == process
+            && !is_unresponsive
             && !self.is_partitioned(at, upstream, false)
         {
             let (way, in_flight) = (
--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -1,4 +1,5 @@
-//! The auditor finds what a spoilt balancer does, and finds nothing where none is spoilt.
+//! The auditor detects each way in which a balancer can break a rule, and reports nothing for a correct
+//! balancer. Also checks that runs are deterministic.
 
 mod common;
 
@@ -10,21 +11,21 @@
 
 type Boxed = Box<dyn BalancerAgent + Send>;
 
-/// What a saboteur does.
+/// Misbehavior of an agent.
 #[derive(Clone, Copy, PartialEq)]
-enum Does {
+enum Misbehavior {
     Nothing,
     SendsTwice,
-    SendsToTheDrained,
-    OverloadsWarmingUp,
+    SendsToDraining,
+    OverloadsColdUpstream,
     RespondsTwice,
     NeverResponds,
 }
 
-/// An agent that goes wrong.
-struct Saboteur {
+/// Wraps an agent and breaks one rule on purpose.
+struct MisbehavingAgent {
     agent: Boxed,
-    does: Does,
+    misbehavior: Misbehavior,
     now: Time,
     more: VecDeque<Command<Ticket, ()>>,
     classes: HashMap<RequestId, usize>,
@@ -38,7 +39,7 @@
 const EXTRA: u32 = 1_000;
 const UNSAFE: usize = 1;
 
-impl BalancerAgent for Saboteur {
+impl BalancerAgent for MisbehavingAgent {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
         self.now = now;
         match &input {
@@ -64,7 +65,7 @@
                     }
                 }
             }
-            // The module knows nothing of the attempt that was made up.
+            // The wrapped agent did not send the additional attempt.
             Input::AttemptEnded { attempt, .. } if *attempt >= EXTRA => return,
             _ => {}
         }
@@ -76,8 +77,8 @@
             return Some(more);
         }
         let mut command = self.agent.next_command()?;
-        match (&mut command, self.does) {
-            (Command::SendAttempt(send), Does::SendsTwice)
+        match (&mut command, self.misbehavior) {
+            (Command::SendAttempt(send), Misbehavior::SendsTwice)
                 if self.classes.get(&send.id) == Some(&UNSAFE) =>
             {
                 let again = woadstall_emulator::engine::SendAttempt {
@@ -86,7 +87,7 @@
                 };
                 self.more.push_back(Command::SendAttempt(again));
             }
-            (Command::SendAttempt(send), Does::SendsToTheDrained) => {
+            (Command::SendAttempt(send), Misbehavior::SendsToDraining) => {
                 if let Some((name, since)) = &self.drained
                     && self.now > since + SECOND + SECOND / 1_000
                 {
@@ -94,15 +95,18 @@
                         (self.peers[name].address, self.peers[name].boot_ms);
                 }
             }
-            (Command::SendAttempt(send), Does::OverloadsWarmingUp) => {
+            (Command::SendAttempt(send), Misbehavior::OverloadsColdUpstream) => {
                 if let Some(name) = &self.cold {
                     (send.to.address, send.to.boot_ms) =
                         (self.peers[name].address, self.peers[name].boot_ms);
                 }
             }
-            (Command::Respond { request, .. }, Does::RespondsTwice | Does::NeverResponds) => {
+            (
+                Command::Respond { request, .. },
+                Misbehavior::RespondsTwice | Misbehavior::NeverResponds,
+            ) => {
                 self.done += 1;
-                if self.done == 100 && self.does == Does::NeverResponds {
+                if self.done == 100 && self.misbehavior == Misbehavior::NeverResponds {
                     return self.next_command();
                 }
                 if self.done == 100 {
@@ -127,11 +131,11 @@
     }
 }
 
-fn sabotaged(scenario: &Scenario, does: Does) -> RunResult {
+fn run_misbehaving(scenario: &Scenario, misbehavior: Misbehavior) -> RunResult {
     let wrap = |agent: Boxed| -> Boxed {
-        Box::new(Saboteur {
+        Box::new(MisbehavingAgent {
             agent,
-            does,
+            misbehavior,
             now: 0,
             more: VecDeque::new(),
             classes: HashMap::new(),
@@ -141,14 +145,14 @@
             done: 0,
         })
     };
-    let mut world = Simulation::new(scenario, Policy::Woadstall, 7);
-    world.wrap_agents(&wrap);
-    world.run()
+    let mut simulation = Simulation::new(scenario, Policy::Woadstall, 7);
+    simulation.wrap_agents(&wrap);
+    simulation.run()
 }
 
 const ROLL: &str = "[[fault]]\nat = \"1 s\"\nuntil = \"7 s\"\npart = 0.4\nwhat = \"roll\"\n";
 
-fn broken(end: &RunResult) -> Vec<Rule> {
+fn broken_rules(end: &RunResult) -> Vec<Rule> {
     end.breaches
         .iter()
         .filter(|(_, count)| **count > 0)
@@ -157,37 +161,43 @@
 }
 
 #[test]
-fn five_saboteurs_five_breaches() {
+fn each_misbehavior_breaks_its_rule() {
     let scenario = small(ROLL);
-    let rules = |does| broken(&sabotaged(&scenario, does));
-    assert_eq!(rules(Does::Nothing), []);
-    assert_eq!(rules(Does::SendsTwice), [Rule::NoEffectTwice]);
-    assert_eq!(rules(Does::SendsToTheDrained), [Rule::Drained]);
-    // The module backs off from what is full, whoever that really is: it takes a larger crowd.
-    let mut crowd = scenario.clone();
-    crowd.callers[0].load = woadstall_emulator::Load::Constant(1_500.0);
-    assert_eq!(broken(&sabotaged(&crowd, Does::Nothing)), []);
+    let rules = |misbehavior| broken_rules(&run_misbehaving(&scenario, misbehavior));
+    assert_eq!(rules(Misbehavior::Nothing), []);
+    assert_eq!(rules(Misbehavior::SendsTwice), [Rule::NoEffectTwice]);
+    assert_eq!(rules(Misbehavior::SendsToDraining), [Rule::Drained]);
+    // The engine backs off from an upstream that is full, so overloading a cold one takes a higher load.
+    let mut higher_load = scenario.clone();
+    higher_load.callers[0].load = woadstall_emulator::Load::Constant(1_500.0);
     assert_eq!(
-        broken(&sabotaged(&crowd, Does::OverloadsWarmingUp)),
+        broken_rules(&run_misbehaving(&higher_load, Misbehavior::Nothing)),
+        []
+    );
+    assert_eq!(
+        broken_rules(&run_misbehaving(
+            &higher_load,
+            Misbehavior::OverloadsColdUpstream
+        )),
         [Rule::Cold]
     );
-    assert_eq!(rules(Does::RespondsTwice), [Rule::OneAnswer]);
-    // It is not over at the end either.
+    assert_eq!(rules(Misbehavior::RespondsTwice), [Rule::OneAnswer]);
+    // The unanswered request is also still open at the end of the run.
     assert_eq!(
-        rules(Does::NeverResponds),
+        rules(Misbehavior::NeverResponds),
         [Rule::OneAnswer, Rule::Conservation]
     );
 }
 
-/// A breach names its call, and the call has a story.
+/// The call of a breach can be traced in a second run with the same seed.
 #[test]
-fn a_breach_leads_to_its_story() {
+fn the_call_of_a_breach_can_be_traced() {
     let scenario = small("");
-    let end = sabotaged(&scenario, Does::SendsTwice);
+    let end = run_misbehaving(&scenario, Misbehavior::SendsTwice);
     let breach = end.first_breaches.first().unwrap();
-    let mut world = Simulation::new(&scenario, Policy::Woadstall, 7);
-    world.trace_call(breach.call.unwrap());
-    let story = world.run().call_trace;
+    let mut simulation = Simulation::new(&scenario, Policy::Woadstall, 7);
+    simulation.trace_call(breach.call.unwrap());
+    let story = simulation.run().call_trace;
     let text: Vec<_> = story.iter().map(|(_, text)| text.as_str()).collect();
     assert!(text[0].contains("reaches balancer"), "{text:?}");
     assert!(
@@ -198,17 +208,17 @@
     assert!(story.windows(2).all(|pair| pair[0].0 <= pair[1].0));
 }
 
-/// What one agent was told and said.
+/// Time, input and resulting commands of an agent.
 type Recorded = Arc<Mutex<Vec<(Time, String, String)>>>;
 
 struct Recorder {
     agent: Boxed,
-    tape: Recorded,
+    recording: Recorded,
 }
 
 impl BalancerAgent for Recorder {
     fn handle(&mut self, now: Time, input: Input<'_, Ticket, ()>) {
-        self.tape
+        self.recording
             .lock()
             .unwrap()
             .push((now, format!("{input:?}"), String::new()));
@@ -217,7 +227,7 @@
 
     fn next_command(&mut self) -> Option<Command<Ticket, ()>> {
         let command = self.agent.next_command()?;
-        self.tape.lock().unwrap().last_mut().unwrap().2 += &format!("{command:?}");
+        self.recording.lock().unwrap().last_mut().unwrap().2 += &format!("{command:?}");
         Some(command)
     }
 
@@ -230,7 +240,7 @@
     }
 }
 
-/// A second engine beside the first, told the same, which must say the same.
+/// Passes the same inputs to a second engine and compares the commands.
 struct Twin {
     agent: Boxed,
     twin: woadstall_emulator::engine::Engine<Ticket, ()>,
@@ -281,7 +291,7 @@
                 }
             }
             Input::Tick => Input::Tick,
-            other => unreachable!("the emulator does not tell this: {other:?}"),
+            other => unreachable!("the emulator sends no such input: {other:?}"),
         };
         self.twin.handle(now, copy);
         self.agent.handle(now, input);
@@ -304,8 +314,8 @@
     }
 }
 
-/// The engine in the emulator is the engine: told the same inputs at the same times, another one gives the same
-/// commands.
+/// A second engine with the same inputs at the same times gives the same commands as the engine inside the
+/// emulator.
 #[test]
 fn a_replayed_run_gives_identical_commands() {
     use woadstall_emulator::engine::Engine;
@@ -319,29 +329,30 @@
             compared: compared.clone(),
         })
     };
-    let mut world = Simulation::new(&scenario, Policy::Woadstall, 3);
-    world.wrap_agents(&wrap);
-    assert_eq!(world.run().breach_count(), 0);
+    let mut simulation = Simulation::new(&scenario, Policy::Woadstall, 3);
+    simulation.wrap_agents(&wrap);
+    assert_eq!(simulation.run().breach_count(), 0);
     assert!(*compared.lock().unwrap() > 3_000);
 }
 
-/// Same seed, same bytes; another seed, others. Also what each agent is told, in threads.
+/// The same seed gives the same result and the same agent inputs, also in parallel threads; another seed gives
+/// a different result.
 #[test]
-fn one_seed_one_result() {
+fn the_same_seed_gives_the_same_result() {
     let scenario = small(ROLL);
     let run = |seed| {
-        let tape = Recorded::default();
+        let recording = Recorded::default();
         let wrap = |agent: Boxed| -> Boxed {
             Box::new(Recorder {
                 agent,
-                tape: tape.clone(),
+                recording: recording.clone(),
             })
         };
-        let mut world = Simulation::new(&scenario, Policy::Woadstall, seed);
-        world.wrap_agents(&wrap);
-        let end = world.run();
-        let tape = std::mem::take(&mut *tape.lock().unwrap());
-        (format!("{end:?}"), tape)
+        let mut simulation = Simulation::new(&scenario, Policy::Woadstall, seed);
+        simulation.wrap_agents(&wrap);
+        let end = simulation.run();
+        let recording = std::mem::take(&mut *recording.lock().unwrap());
+        (format!("{end:?}"), recording)
     };
     let alone = run(1);
     let threads = std::thread::scope(|scope| {
@@ -355,9 +366,9 @@
     assert_ne!(run(2).0, alone.0);
 }
 
-/// An actor more does not change what the others draw: the same calls come at the same times.
+/// Additional upstreams and balancers do not change the arrival times of the calls.
 #[test]
-fn actors_draw_for_themselves() {
+fn additional_actors_do_not_change_other_draws() {
     let offered = |scenario: &Scenario| {
         let end = woadstall_emulator::run(scenario, Policy::Woadstall, 1);
         end.timeline
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small scenario that tests change to their needs.
+//! A small scenario that tests extend.
 
 #![allow(dead_code, reason = "each test program uses some of it")]
 
--- a/crates/emulator/tests/evacuation.rs
+++ b/crates/emulator/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Fleets that leave places together, on scenarios of the repository: who left what, and who did not.
+//! Evacuation on the repository's scenarios: failing zones are evacuated, and healthy zones are not.
 
 use std::path::Path;
 use woadstall_emulator::{Policy, RunResult, Scenario, Span, run};
@@ -8,13 +8,13 @@
     Scenario::read(&std::fs::read_to_string(folder.join(format!("{name}.toml"))).unwrap()).unwrap()
 }
 
-fn played(name: &str, seed: u64) -> RunResult {
+fn run_scenario(name: &str, seed: u64) -> RunResult {
     println!("{name}, seed {seed}");
     run(&read(name), Policy::Woadstall, seed)
 }
 
-fn kept(name: &str, seed: u64) -> RunResult {
-    let end = played(name, seed);
+fn run_and_check_bounds(name: &str, seed: u64) -> RunResult {
+    let end = run_scenario(name, seed);
     assert_eq!(end.breach_count(), 0, "{name}: {:?}", end.first_breaches);
     assert!(
         end.bounds.iter().all(|bound| bound.is_met),
@@ -24,9 +24,10 @@
     end
 }
 
-/// A zone dies: all are out of it soon, whether they ever called there or not, and those that restart learn it.
+/// All balancers evacuate a failed zone soon, including balancers that never called there and balancers that
+/// restart.
 #[test]
-fn a_zone_that_fails_is_left_by_all() {
+fn a_failed_zone_is_evacuated_by_all() {
     for name in [
         "zone-dead",
         "zone-silent",
@@ -34,13 +35,14 @@
         "liars-all-well",
         "zone-grey",
     ] {
-        kept(name, 1);
+        run_and_check_bounds(name, 1);
     }
 }
 
-/// Nobody leaves anything where nothing fails, all fail alike, all are as slow, or a tenth of the fleet lies.
+/// No zone is evacuated if nothing fails, if all zones fail or slow down alike, or if a tenth of the balancers
+/// reports falsely.
 #[test]
-fn nobody_is_driven_out() {
+fn healthy_zones_are_not_evacuated() {
     for name in [
         "calm",
         "shared-ill",
@@ -50,22 +52,22 @@
         "nodos-bad",
         "one-class",
     ] {
-        kept(name, 2);
+        run_and_check_bounds(name, 2);
     }
 }
 
-/// Halves that do not hear each other each find what they can, and are of one agent once they do.
+/// Partitioned parts of the fleet decide from their own observations, and agree after the partition ends.
 #[test]
-fn halves_and_single_zones_go_by_what_they_see() {
-    kept("halves", 1);
-    kept("two-of-three", 1);
-    kept("cut-off", 1);
+fn partitioned_parts_decide_from_their_own_observations() {
+    run_and_check_bounds("halves", 1);
+    run_and_check_bounds("two-of-three", 1);
+    run_and_check_bounds("cut-off", 1);
 }
 
-/// The same fleet with and without it: far fewer calls are lost to a zone that falls silent.
+/// With evacuation, a fleet loses far fewer calls to an unresponsive zone than without.
 #[test]
-fn a_fleet_loses_fewer_calls_than_its_members_alone() {
-    let with = played("zone-silent", 1);
+fn evacuation_reduces_failed_calls() {
+    let with = run_scenario("zone-silent", 1);
     let alone = run(
         &Scenario {
             evacuation: None,
@@ -80,12 +82,12 @@
     assert!(with * 10 <= alone * 7, "{with} of {alone}");
 }
 
-/// Seeds that are played twice, unless `WOADSTALL_SEEDS` is set.
+/// Number of seeds that are run twice, unless `WOADSTALL_SEEDS` is set.
 const REPEATED_SEEDS: u64 = 4;
 
-/// One scenario and seed give one result, to the byte.
+/// The same scenario and seed give the same result to the byte.
 #[test]
-fn a_seed_repeats() {
+fn the_same_seed_repeats_the_result() {
     let seeds = std::env::var("WOADSTALL_SEEDS").ok();
     let seeds = seeds.and_then(|seeds| seeds.parse().ok());
     let scenario = Scenario {
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets with a balancer beside each upstream, a front, scarce connections, and discovery that has to be asked.
+//! Fleets with sidecar balancers, a front, limited connections, and discovery that balancers must query.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 const SECOND: u64 = 1_000_000_000;
 
-/// Three tiers; the later two are called by balancers beside upstreams.
+/// Three tiers; sidecars send to the second and the third.
 fn tiers(more: &str) -> Scenario {
     let calls = "workers = 24\ncalls = { tier = \"posting\", mean = 1.0 }\n";
     let first = common::SMALL.replace("workers = 2\n", calls);
@@ -38,7 +38,7 @@
     end
 }
 
-fn paid(end: &RunResult, tier: &str, price: Cost) -> u64 {
+fn cost_total(end: &RunResult, tier: &str, price: Cost) -> u64 {
     end.costs
         .iter()
         .find(|row| row.tier == tier && row.cost == price)
@@ -63,7 +63,7 @@
         "{}",
         end.served_value_fraction
     );
-    // Each of nine senders opens connections to the upstreams of its zone; none has more than its part of them.
+    // Each of nine sidecars opens connections to the upstreams of its zone, and none has a large part of them.
     let row = end
         .costs
         .iter()
@@ -72,8 +72,8 @@
     assert!(row.total >= 9 * 6 && row.largest_sender.1 < 0.25, "{row:?}");
 }
 
-/// A balancer sidecar of an upstream dies with it, and starts with it: what it held is no one's to answer, and the next
-/// process knows the list of its start.
+/// A sidecar dies and starts with its upstream. Its open requests need no answer, and the new process starts
+/// with the present list.
 #[test]
 fn a_sidecar_balancer_dies_and_starts_with_its_upstream() {
     let fault = "[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\npart = 0.5\nwhat = { kill = {} }\n";
@@ -85,10 +85,13 @@
         end.served_value_fraction,
         end.counts
     );
-    // The next process has no connections: it opens all of them again.
-    let (calm, killed) = (play(&tiers("")), paid(&end, "ledger", Cost::Handshakes));
+    // The new process has no connections and opens all of them again.
+    let (calm, killed) = (
+        play(&tiers("")),
+        cost_total(&end, "ledger", Cost::Handshakes),
+    );
     assert!(
-        killed >= paid(&calm, "ledger", Cost::Handshakes) + 10,
+        killed >= cost_total(&calm, "ledger", Cost::Handshakes) + 10,
         "{killed}"
     );
     let after =
@@ -106,7 +109,8 @@
     );
 }
 
-/// The front goes on dealing to the dead until it notices: the same death costs more where it notices late.
+/// The front assigns connections to a dead balancer until it detects the death, so the same death costs more
+/// with a longer detection delay.
 #[test]
 fn a_front_with_delayed_detection_sends_to_dead_processes() {
     let with = |detection_delay: u64| {
@@ -118,7 +122,7 @@
             ..FrontConfig::default()
         });
         let end = play(&scenario);
-        (paid(&end, "only", Cost::Unreached), end.counts.failed)
+        (cost_total(&end, "only", Cost::Unreached), end.counts.failed)
     };
     let (soon, late) = (with(SECOND / 10), with(3 * SECOND));
     assert!(
@@ -128,7 +132,8 @@
     assert!(late.1 > soon.1, "{soon:?} {late:?}");
 }
 
-/// Callers open as many connections as they need at once, keep them, and weights make some balancers busier.
+/// Callers open as many connections as they need concurrently and keep them; weights make some balancers busier
+/// than others.
 #[test]
 fn callers_keep_their_connections() {
     let mut scenario = small("");
@@ -137,7 +142,7 @@
         ..FrontConfig::default()
     });
     let end = play(&scenario);
-    let lines = paid(&end, "only", Cost::CallerConnections);
+    let lines = cost_total(&end, "only", Cost::CallerConnections);
     assert!(
         lines > 3 && lines * 20 < end.counts.offered,
         "{lines} of {}",
@@ -145,17 +150,17 @@
     );
 }
 
-/// Upstreams that accept few connections turn further ones away, and the work of a new one takes its time.
+/// Upstreams with a connection limit refuse further connections, and the work on new connections takes time.
 #[test]
-fn connections_are_scarce_and_dear_where_the_scenario_says_so() {
+fn connections_are_limited_and_costly_as_configured() {
     let with = |connections: Connections| {
         let mut scenario = small("");
         scenario.tier[0].connections = connections;
         let end = play(&scenario);
-        let crowded = paid(&end, "only", Cost::ConnectionsRefused);
+        let crowded = cost_total(&end, "only", Cost::ConnectionsRefused);
         (
             crowded,
-            paid(&end, "only", Cost::Handshakes),
+            cost_total(&end, "only", Cost::Handshakes),
             end.latency.mean,
             end.served_value_fraction,
         )
@@ -178,9 +183,10 @@
     assert!(dear.2 > 1.1 * free.2, "{free:?} {dear:?}");
 }
 
-/// A herd of balancers on a discovery that answers five reads a second: some fail, all get through in the end.
+/// Many balancers that start together on a discovery with five reads per second: some reads fail, and all
+/// balancers succeed in the end.
 #[test]
-fn all_balancers_get_to_read_from_a_discovery_with_little_capacity() {
+fn all_balancers_read_the_list_from_an_overloaded_discovery() {
     let queries = r#"
 [padron]
 asked = { reads = 5.0, patience = "1 s", within = "10 s" }
@@ -204,8 +210,8 @@
     ) = (Span(25 * SECOND), 24, 12);
     let end = play(&scenario);
     let (reads_per_second, failed) = (
-        paid(&end, "only", Cost::Reads),
-        paid(&end, "only", Cost::FailedReads),
+        cost_total(&end, "only", Cost::Reads),
+        cost_total(&end, "only", Cost::FailedReads),
     );
     assert!(
         reads_per_second - failed >= 48 && failed > 0,
@@ -224,21 +230,23 @@
     );
 }
 
-/// Balancers that are replaced one after another lose nothing: no new connections come, and what is held is answered.
+/// A rolling restart of balancers loses no calls: draining balancers get no new connections and answer their
+/// open requests.
 #[test]
-fn rolled_balancers_lose_nothing() {
+fn rolling_restarts_of_balancers_lose_no_calls() {
     let fault = "[[fault]]\nat = \"1 s\"\nuntil = \"5 s\"\nwhat = \"roll-balancers\"\n";
     let mut scenario = small(fault);
     scenario.front = Some(FrontConfig::default());
     scenario.tier[0].upstreams = 10;
     let end = play(&scenario);
-    assert_eq!(paid(&end, "only", Cost::Unreached), 0);
+    assert_eq!(cost_total(&end, "only", Cost::Unreached), 0);
     assert_eq!(end.counts.failed, 0, "{:?}", end.counts);
     let killed = small(&fault.replace("\"roll-balancers\"", "{ restart = {} }"));
     assert!(play(&killed).counts.failed > 50, "the same without a drain");
 }
 
-/// Where upstreams tell their load when probed, balancers ask before they send; a cut or a dead upstream does not answer.
+/// If upstreams report their load to probes, balancers probe before they send. Partitioned and dead upstreams
+/// do not answer.
 #[test]
 fn health_checks_are_answered_by_running_processes() {
     let mut scenario =
@@ -248,7 +256,7 @@
         timeout: Span(SECOND / 20),
     });
     let end = play(&scenario);
-    let probes = paid(&end, "only", Cost::Probes);
+    let probes = cost_total(&end, "only", Cost::Probes);
     assert!(
         2 * probes > 3 * end.counts.offered,
         "{probes} for {}",
@@ -263,12 +271,16 @@
         cost: 0.5,
         timeout: Span(SECOND / 20),
     });
-    assert_eq!(paid(&play(&scenario), "only", Cost::Probes), 0, "too dear");
+    assert_eq!(
+        cost_total(&play(&scenario), "only", Cost::Probes),
+        0,
+        "a probe costs more than it gains"
+    );
 }
 
-/// Bodies take the time of their bytes.
+/// Large bodies take their transfer time.
 #[test]
-fn large_bodies_take_their_time() {
+fn large_bodies_take_transfer_time() {
     let with = |bytes: f64| {
         let mut scenario = small("");
         scenario.network.bytes_per_second = 1e6;
@@ -286,7 +298,7 @@
 }
 
 #[test]
-fn faults_of_the_new_keys_are_named() {
+fn errors_name_the_key_of_the_invalid_value() {
     let error = |text: &str| {
         Scenario::read(&(common::SMALL.to_owned() + text))
             .unwrap_err()
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden digests: one scenario, policy and seed give one result, to the byte. A digest covers the whole result as
-//! JSON (names of its fields, timeline, price list, breaches) with the story of one request. The digests lie in
-//! `golden/digests.txt`, one a line: name, FNV-1a of the JSON, its length in bytes.
+//! Golden digests: one scenario, policy and seed give one result to the byte. A digest covers the whole result
+//! as JSON (field names, timeline, costs, breaches) with the trace of one call. `golden/digests.txt` has one
+//! digest per line: name, FNV-1a of the JSON, and length in bytes.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use woadstall_emulator::{Scenario, Simulation};
 
 const SECOND: u64 = 1_000_000_000;
-/// The request whose story is part of a result.
-const FOLLOWED: u64 = 40;
+/// The call whose trace is part of the result.
+const TRACED_CALL: u64 = 40;
 const DIGESTS: &str = include_str!("golden/digests.txt");
 
 /// FNV-1a, 64 bits (RFC 9923).
@@ -20,12 +20,12 @@
     })
 }
 
-/// Runs the scenario under the policy and compares its result with the digest of that name.
+/// Runs the scenario under the policy and compares the result with the digest of that name.
 #[track_caller]
 fn assert_golden(name: &str, scenario: &Scenario, policy: &str, seed: u64) {
-    let mut world = Simulation::new(scenario, policy.parse().unwrap(), seed);
-    world.trace_call(FOLLOWED);
-    let json = serde_json::to_string(&world.run()).unwrap();
+    let mut simulation = Simulation::new(scenario, policy.parse().unwrap(), seed);
+    simulation.trace_call(TRACED_CALL);
+    let json = serde_json::to_string(&simulation.run()).unwrap();
     let seen = format!("{name} {:016x} {}", fnv1a(json.as_bytes()), json.len());
     let golden = DIGESTS
         .lines()
@@ -33,7 +33,7 @@
     assert_eq!(Some(seen.as_str()), golden);
 }
 
-/// A scenario of the library, cut off after some seconds.
+/// A library scenario, truncated to some seconds.
 fn library(file: &str, seconds: u64) -> Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../scenarios")
@@ -43,7 +43,7 @@
     scenario
 }
 
-/// The small scenario with one fault from its third to its fifth second at half of the fleet.
+/// The small scenario with one fault from second 3 to second 5 that affects half of the targets.
 fn with_fault(fault: &str) -> Scenario {
     small(&format!(
         "[[fault]]\nat = \"2 s\"\nuntil = \"5 s\"\npart = 0.5\n{fault}\n"
--- a/crates/emulator/tests/golden_scenarios.rs
+++ b/crates/emulator/tests/golden_scenarios.rs
@@ -1,5 +1,4 @@
-//! Golden files of scenarios: the keys and values that each of the library is written with, and the text of every
-//! refusal.
+//! Golden files of scenarios: the serialized form of each library scenario, and the text of every refusal.
 
 mod common;
 
@@ -8,8 +7,8 @@
 use std::path::Path;
 use woadstall_emulator::{Policy, Scenario};
 
-/// One a line: the text of the small scenario that is replaced (or nothing), what replaces it (or is added at the
-/// end), and the refusal; line breaks are written as `|`.
+/// One refusal per line: the text of the small scenario to replace (or nothing), its replacement (or the text
+/// to append), and the error; line breaks are written as `|`.
 const REFUSALS: &str = include_str!("golden/refusals.txt");
 const LIBRARY: &str = include_str!("golden/library.txt");
 
@@ -49,7 +48,8 @@
     );
 }
 
-/// Each scenario of the library as JSON: the names of keys, and values after defaults and repeated faults.
+/// Each library scenario as JSON: the names of the keys, and the values after defaults and expanded
+/// repetitions.
 #[test]
 fn written_scenarios_are_unchanged() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
--- a/crates/emulator/tests/power.rs
+++ b/crates/emulator/tests/power.rs
@@ -1,11 +1,11 @@
-//! Faults of whole machines and of ways between zones, and bounds.
+//! Faults of whole machines and of paths between zones, and bounds.
 
 mod common;
 
 use common::small;
 use woadstall_emulator::{Policy, RunResult, Scenario, run};
 
-fn played(more: &str) -> RunResult {
+fn run_small(more: &str) -> RunResult {
     let end = run(&small(more), Policy::Woadstall, 3);
     assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
     end
@@ -22,67 +22,67 @@
     value / offered
 }
 
-/// Upstreams that stand still for less than the callers' time answer late what they had; those that stand still for
-/// good answer nothing.
+/// Upstreams suspended for less than the callers' deadline answer their requests late; upstreams suspended for
+/// longer answer none.
 #[test]
 fn suspended_upstreams_respond_once_they_are_resumed() {
     let stop =
         |until: &str| format!("[[fault]]\nat = \"3 s\"\nuntil = \"{until}\"\nwhat = \"stop\"\n");
-    let short = played(&stop("3500 ms"));
-    // Of the hundred calls that came meanwhile, those whose time has not run out are answered then.
+    let short = run_small(&stop("3500 ms"));
+    // Of the hundred calls during the suspension, the ones before their deadline are answered afterwards.
     assert!(
         (1..90).contains(&(short.counts.failed + short.counts.refused)),
         "{:?}",
         short.counts
     );
     assert!(served(&short, 5.0, 8.0) > 0.9);
-    let long = played(&stop("6 s"));
+    let long = run_small(&stop("6 s"));
     assert!(served(&long, 4.0, 6.0) < 0.05, "{:?}", long.timeline);
     assert!(long.counts.failed + long.counts.refused > short.counts.failed + short.counts.refused);
 }
 
-/// With the power all is gone, also the balancers; both come back, upstreams one after another.
+/// A power loss kills upstreams and balancers; both come back, the upstreams one after another.
 #[test]
-fn power_comes_back() {
+fn service_resumes_after_a_power_loss() {
     let loss = "[[fault]]\nat = \"2 s\"\nuntil = \"3 s\"\n\
                 what = { power-loss = { stale = \"1 s\", over = \"1 s\" } }\n";
-    let end = played(loss);
-    assert!(served(&end, 2.0, 3.0) < 0.05, "nobody is there");
+    let end = run_small(loss);
+    assert!(served(&end, 2.0, 3.0) < 0.05, "no process is running");
     assert!(served(&end, 5.0, 8.0) > 0.1, "{}", served(&end, 5.0, 8.0));
     assert_eq!(
         end.timeline[2].tier_capacity_workers,
         [0.0],
-        "no nodo has power"
+        "no upstream has power"
     );
 }
 
-/// A way that is cut from one zone to the other loses what goes there and the answers that come back by it; with
-/// an upstream of its own zone each balancer serves on.
+/// A one-way partition between two zones loses requests in that direction and the responses to the reverse
+/// ones. Balancers with an upstream in their own zone continue to serve.
 #[test]
 fn one_direction_is_partitioned() {
     let partitioned =
         "[[fault]]\nat = \"3 s\"\nzone = \"a\"\nwhat = { link = { to = \"b\", cut = true } }\n";
-    let end = played(partitioned);
+    let end = run_small(partitioned);
     assert!(served(&end, 4.0, 8.0) > 0.9, "{}", served(&end, 4.0, 8.0));
 }
 
-/// What is wanted is judged from the timeline, and named where it was not had.
+/// Bounds are evaluated from the timeline, and each result says whether the bound was met.
 #[test]
-fn bounds_are_judged() {
+fn bounds_are_evaluated() {
     let text = "[[fault]]\nat = \"3 s\"\nuntil = \"4 s\"\nwhat = \"silent\"\n\
         [[bound]]\nname = \"before\"\nwhat = { served = { from = \"1 s\", until = \"3 s\", least = 0.9 } }\n\
         [[bound]]\nname = \"amid\"\nwhat = { served = { from = \"3 s\", until = \"4 s\", least = 0.9 } }\n\
         [[bound]]\nname = \"few\"\nwhat = { refused = { from = \"1 s\", until = \"3 s\", most = 0.05 } }\n\
         [[bound]]\nname = \"back\"\nwhat = { back = { from = \"4 s\", part = 0.9, within = \"3 s\" } }\n\
         [[bound]]\nname = \"tries\"\nwhat = { attempts = { most = 0.01 } }\n";
-    let end = played(text);
-    let kept: Vec<(&str, bool)> = end
+    let end = run_small(text);
+    let results: Vec<(&str, bool)> = end
         .bounds
         .iter()
-        .map(|kept| (kept.name.as_str(), kept.is_met))
+        .map(|result| (result.name.as_str(), result.is_met))
         .collect();
     assert_eq!(
-        kept,
+        results,
         [
             ("before", true),
             ("amid", false),
--- a/crates/emulator/tests/returning.rs
+++ b/crates/emulator/tests/returning.rs
@@ -1,4 +1,4 @@
-//! Fleets that return cold as a whole: how much is served meanwhile, and that no upstream is pushed over.
+//! Fleets whose upstreams all start cold: service during the warm-up, and no overload of an upstream.
 
 use woadstall_emulator::{Policy, RunResult, Scenario, run};
 
@@ -57,27 +57,28 @@
     assert!(end.is_satisfied(), "{:?}", end.breaches);
 }
 
-/// A third of what warm upstreams can do is asked of cold ones: sent by their warm share alone, 45% of it was refused in the
-/// first seconds. Answers in time let the pace grow.
+/// Cold upstreams get a third of the warm capacity as load. When balancers sent only the warm share, 45% of the
+/// calls were refused in the first seconds; timely responses must raise the pace.
 #[test]
-fn upstreams_that_warm_up_get_what_they_can_serve() {
+fn warming_upstreams_get_the_load_they_can_serve() {
     let end = play(&[]);
     no_upstream_is_overloaded(&end);
     assert!(end.score > 0.96, "{}", end.score);
 }
 
-/// Twice what warm upstreams can do: budgets held it back, and all of it came in the instant in which they ended, so that every
-/// upstream fell. They end as what is answered grows.
+/// Load of twice the warm capacity. The slow-start budgets once held back all load until they expired together,
+/// and the sudden load then crashed every upstream. The budgets must expire as the answered load grows.
 #[test]
-fn an_overload_does_not_come_all_at_once_when_budgets_end() {
+fn slow_start_budgets_do_not_release_an_overload_at_once() {
     let end = play(&[("constant = 350.0", "constant = 2350.0")]);
     no_upstream_is_overloaded(&end);
     assert!(end.score > 0.6, "{}", end.score);
 }
 
-/// All upstreams die for six seconds under callers that ask again at once, and are back: they get what they bore before.
+/// All upstreams die for six seconds while callers retry at once. Afterwards the upstreams get the load that
+/// they sustained before.
 #[test]
-fn what_was_borne_before_an_outage_is_sent_after_it() {
+fn load_after_an_outage_returns_to_the_sustained_level() {
     let fault = "\n[[fault]]\nat = \"8 s\"\nuntil = \"14 s\"\nwhat = { kill = {} }\n";
     let storm = "again = { at-once = { most = 4 } }\nheeds-advice = 0.3";
     let end = play(&[
@@ -90,6 +91,6 @@
         ),
     ]);
     no_upstream_is_overloaded(&end);
-    // A fifth of the time nobody could serve.
+    // No upstream ran for a fifth of the time.
     assert!(end.score > 0.74, "{}", end.score);
 }
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios: what is refused, the library, and the corners.
+//! Scenarios: refused ones, the library, and edge cases.
 
 mod common;
 
@@ -12,7 +12,7 @@
         .to_string()
 }
 
-/// The error names the key, and where the text is at fault, the line.
+/// An error names the key, and for an error in the text also the line.
 #[test]
 fn faults_are_named() {
     let names = |from, to, part: &str| {
@@ -113,10 +113,10 @@
     );
 }
 
-/// No upstreams, one, no load, nothing reachable, callers that vanish with their balancer, clocks that differ: a
-/// sound end, and no rule broken.
+/// Edge cases end without a breach: no upstream, one upstream, no load, no reachable upstream, callers that
+/// vanish with their balancer, and clocks that differ.
 #[test]
-fn corners_end_well() {
+fn edge_cases_end_without_a_breach() {
     let mut none = small("");
     none.tier[0].upstreams = 0;
     let end = run(&none, Policy::Woadstall, 1);
@@ -153,7 +153,7 @@
         "[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\nwhat = { restart = { stale = \"1 s\" } }\n";
     let end = run(&small(dying), Policy::Woadstall, 1);
     assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
-    assert!(end.counts.failed > 50, "nobody is there for two seconds");
+    assert!(end.counts.failed > 50, "no balancer runs for two seconds");
     let mut clocks =
         small("[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\npart = 0.5\nwhat = { kill = {} }\n");
     (clocks.clocks.max_offset, clocks.clocks.max_drift) =
@@ -162,10 +162,10 @@
     assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
 }
 
-/// A registry that is wrong, clocks that step, messages that vanish, hardly any sockets: no rule is broken, and what
-/// can be served is.
+/// Conditions that balancers cannot influence (a wrong registry, clock steps, lost messages, few connections)
+/// break no rule, and the remaining capacity is used.
 #[test]
-fn what_balancers_cannot_help_breaks_no_rule() {
+fn external_conditions_break_no_rule() {
     let with = |fault: &str, change: &dyn Fn(&mut Scenario)| {
         let mut scenario = small(&format!(
             "[[fault]]\nat = \"2 s\"\nuntil = \"5 s\"\npart = 0.5\nwhat = {fault}\n"
@@ -179,8 +179,8 @@
         scenario.tier[0].upstreams = 12
     })
     .served_value_fraction;
-    assert!(served > 0.97, "{served}: half the nodos are enough");
-    // What is under way when a clock steps is given up; the rest goes on.
+    assert!(served > 0.97, "{served}: half of the upstreams suffice");
+    // Requests that are open at the clock step are abandoned; later ones are served.
     let served = with("{ clock-step = \"3 s\" }", &|_| {}).served_value_fraction;
     assert!(served > 0.9, "{served}");
     let lossy = with("\"padron-wrong\"", &|scenario| {
@@ -202,13 +202,13 @@
     };
     let (enough, one) = (few(16), few(1));
     assert!(enough.0 > 0.97, "{enough:?}");
-    // One connection a balancer can end fifty calls a second, three of them 150 of 200.
+    // One connection per balancer can serve fifty calls per second, and three of them serve 150 of 200.
     assert!(one.0 < 0.85 && one.1 > 200, "{one:?}");
 }
 
-/// Faults show: each does something to the fleet without balancing to speak of.
+/// Each fault reduces service with a policy that hardly balances.
 #[test]
-fn faults_hurt() {
+fn faults_reduce_service() {
     let served = |fault: &str| {
         let fault = format!("[[fault]]\nat = \"0 s\"\npart = 0.5\nwhat = {fault}\n");
         let fault = if fault.contains("cut") {
@@ -238,9 +238,9 @@
     }
 }
 
-/// Every scenario of the library is sound, and the module keeps the rules in each, shortened.
+/// Every library scenario is valid, and the engine keeps the rules in a shortened run of each.
 #[test]
-fn the_library_is_sound() {
+fn library_scenarios_are_valid_and_keep_the_rules() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
     let files = ["", "/fleet"]
         .into_iter()
@@ -259,7 +259,7 @@
             Some(scenario.name.as_str())
         );
         if scenario.tier[0].upstreams > 1_000 {
-            continue; // long even when optimized
+            continue; // slow even in optimized builds
         }
         let most = if scenario.name == "fleet-soak" {
             300
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -1,10 +1,10 @@
-//! Queueing theory holds in the emulator, where it can be known what should come out.
+//! Compares the emulator with queueing theory where the expected result is known.
 
 use woadstall_emulator::{Policy, Scenario, run};
 
-/// One queue with so many workers and callers at random, no network, nothing that decides.
+/// One queue with a number of workers and random arrivals, without network delays or balancing decisions.
 fn queue(service: &str, workers: u32, load: f64, calls: f64) -> Scenario {
-    let rate = load * f64::from(workers) * 100.0; // a hundred requests a second for each worker
+    let rate = load * f64::from(workers) * 100.0; // each worker serves a hundred requests per second
     let text = format!(
         r#"
 name = "queue"
@@ -44,7 +44,7 @@
     Scenario::read(&text).unwrap()
 }
 
-/// Mean wait of the waiting ones and those that need not, in milliseconds: time in the system less the work.
+/// Mean waiting time over all calls in milliseconds: time in the system less the service time.
 fn wait(service: &str, workers: u32, load: f64, calls: f64) -> f64 {
     let scenario = queue(service, workers, load, calls);
     let end = run(&scenario, "random".parse().unwrap(), 11);
@@ -55,15 +55,16 @@
 const EXPONENTIAL: &str = "{ exponential = \"10 ms\" }";
 const CONSTANT: &str = "{ constant = \"10 ms\" }";
 
-/// Chance that a call waits (Erlang C).
+/// Probability that a call waits (Erlang C).
 fn erlang_c(workers: u32, load: f64) -> f64 {
     let offered = load * f64::from(workers);
-    // By the recursion for Erlang B, which stays within floats.
+    // The recursion for Erlang B avoids overflow of floating-point numbers.
     let b = (1..=workers).fold(1.0, |b, n| offered * b / (f64::from(n) + offered * b));
     b / (1.0 - load * (1.0 - b))
 }
 
-/// M/M/1: load over (1 - load) times the work; M/D/1: half of that (Pollaczek and Khinchine); M/M/c: Erlang C.
+/// Expected waiting time. M/M/1: load / (1 - load) times the service time; M/D/1: half of that (Pollaczek and
+/// Khinchine); M/M/c: Erlang C.
 fn expected(service: &str, workers: u32, load: f64) -> f64 {
     let wait = erlang_c(workers, load) / (f64::from(workers) * (1.0 - load)) * 10.0;
     if service == CONSTANT {
@@ -73,7 +74,7 @@
     }
 }
 
-fn holds(cases: &[(&str, u32, f64, f64)]) {
+fn assert_waiting_times(cases: &[(&str, u32, f64, f64)]) {
     std::thread::scope(|scope| {
         for &(service, workers, load, calls) in cases {
             scope.spawn(move || {
@@ -92,8 +93,8 @@
 }
 
 #[test]
-fn waiting_times_are_those_of_theory() {
-    holds(&[
+fn waiting_times_match_theory() {
+    assert_waiting_times(&[
         (EXPONENTIAL, 1, 0.5, 600e3),
         (EXPONENTIAL, 1, 0.8, 2_500e3),
         (EXPONENTIAL, 2, 0.5, 1_200e3),
@@ -103,20 +104,21 @@
     ]);
 }
 
-/// The same at 0.95, where chance takes millions of calls to even out:
-/// `cargo test --release -p woadstall-emulator --test theory -- --ignored`.
+/// Waiting times at a load of 0.95, where convergence needs millions of calls: `cargo test --release -p
+/// woadstall-emulator --test theory -- --ignored`.
 #[test]
 #[ignore = "a minute and a half"]
 fn waiting_times_at_high_load() {
-    holds(&[
+    assert_waiting_times(&[
         (EXPONENTIAL, 1, 0.95, 40e6),
         (EXPONENTIAL, 4, 0.95, 40e6),
         (CONSTANT, 1, 0.95, 20e6),
     ]);
 }
 
-/// Servers with one queue each, at a load of 0.9: choosing the shorter of two queues (Mitzenmacher) lets the
-/// largest grow with the logarithm of the logarithm of their number, choosing one with the logarithm.
+/// Servers with a queue each, at a load of 0.9. With the choice of the shorter of two random queues, the
+/// longest queue grows with the logarithm of the logarithm of the number of servers (Mitzenmacher); with one
+/// random queue, with the logarithm.
 #[test]
 fn two_choices_keep_the_largest_queue_short() {
     let largest = |policy: &str, upstreams: u32| {
@@ -132,7 +134,8 @@
     let (one, two) = ("random", "two-choices");
     let (few_one, many_one) = (largest(one, 100), largest(one, 4_000));
     let (few_two, many_two) = (largest(two, 100), largest(two, 4_000));
-    // ln(4000) - ln(100) over -ln(0.9) is 35 more; ln ln of both differ by 0.6, over ln 2 by less than 1.
+    // Expected growth with one choice: (ln(4000) - ln(100)) / -ln(0.9) = 35. With two choices, ln ln differs by
+    // 0.6, which over ln 2 is less than 1.
     assert!(many_one - few_one > 15.0, "{few_one} {many_one}");
     assert!(many_two - few_two <= 2.0, "{few_two} {many_two}");
     assert!(
--- a/crates/load-test/src/upstream/requests.rs
+++ b/crates/load-test/src/upstream/requests.rs
@@ -85,7 +85,7 @@
         }
         let mean_service_ns = self.scenario.class[class].service.mean();
         let warm_rate = f64::from(state.model.workers()) * 1e9 / mean_service_ns;
-        if let Some(share) = state.model.count_warming_up(now, warm_rate) {
+        if let Some(share) = state.model.count_cold_arrival(now, warm_rate) {
             if !std::mem::replace(&mut state.model.overloaded, true) {
                 self.rules.record_overload(&state.model.name, share);
             }
