--- a/src/bin/woadstall-simulation-adapter.rs
+++ b/src/bin/woadstall-simulation-adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts many instances of the decision module on the simulator's wire. Nothing is decided here.
+//! Hosts instances of the decision module for the simulator. Exchanges batches of events and actions over standard
+//! input and output; all decisions are made by the module.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -46,7 +47,7 @@
     Ok(())
 }
 
-/// The next header, or `None` where the input ends between frames.
+/// Reads the next header; `None` if the input ends between frames.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; BATCH_HEADER]>, Box<dyn Error>> {
     let mut header = [0; BATCH_HEADER];
     let mut filled = 0;
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks files before they are used.
+//! Validates configurations and operator files without starting the daemon.
 
 use crate::net::config::{Config, ConfigError};
 use crate::net::operator_file::{OperatorFile, OperatorFileError};
@@ -8,31 +8,31 @@
 use std::process::ExitCode;
 use woadstall_operator_config::MAX_FILE_BYTES;
 
-/// Largest file that is checked, in bytes. A configuration has a list of endpoints, and may be larger than an operators'
-/// file.
+/// Maximum size of a checked file, in bytes. A configuration contains a list of endpoints and may therefore be larger
+/// than an operator file.
 const MAX_CHECKED_BYTES: u64 = 16 * MAX_FILE_BYTES as u64;
 
-/// What is wrong with a file, in one line that names the field.
+/// The error of an invalid file. The message is a single line that names the field.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// It is too large.
+    /// The file exceeds the maximum size.
     #[error("the file is over {MAX_CHECKED_BYTES} bytes")]
     TooLarge,
-    /// It is a configuration that is not valid.
+    /// The file is an invalid configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// It is an operators' file that is not valid.
+    /// The file is an invalid operator file.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// Its ending is that of neither.
+    /// The file name ends neither in `.json` nor in `.toml`.
     #[error("neither a configuration (`.json`) nor an operator file (`.toml`)")]
     UnknownKind,
 }
 
-/// Checks each file and writes a line on it; fails if any is not valid.
+/// Checks each file and writes one line per file to `out`. Returns failure if any file is invalid.
 pub fn check_files(files: &[impl AsRef<Path>], out: &mut impl Write) -> ExitCode {
     let mut are_valid = true;
     for path in files.iter().map(AsRef::as_ref) {
@@ -52,11 +52,11 @@
     }
 }
 
-/// Checks one file, by its ending.
+/// Checks one file. The file name extension determines the kind of file.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be read, is of no known kind, or is not valid.
+/// Fails if the file cannot be read, is too large, has an unknown extension or is invalid.
 pub fn check_file(path: &Path) -> Result<(), CheckError> {
     let mut text = String::new();
     File::open(path)?
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: serves, or does one of the operators' commands.
+//! The command line: starts the daemon or runs an operator's command.
 
 use clap::{Args, Parser, Subcommand};
 use std::error::Error;
@@ -15,7 +15,8 @@
 /// A layer-7 load balancer for services that call services.
 ///
 /// Without a command it serves, as the environment says: `LB_CONFIG` names its configuration, and `LB_NAME`,
-/// `LB_LISTEN` and `LB_DISCOVERY` go before what stands there; `LB_OPERATOR` names the operators' file, if there is one.
+/// `LB_LISTEN` and `LB_DISCOVERY` go before what stands there; `LB_OPERATOR` names the operators' file, if there is
+/// one.
 #[derive(Parser)]
 #[command(version, max_term_width = 100)]
 struct Arguments {
@@ -94,7 +95,7 @@
 
 type CommandResult = Result<(), Box<dyn Error>>;
 
-/// Why a command does not know which balancer to call.
+/// The error of a command without a valid admin address.
 #[derive(Debug, thiserror::Error)]
 enum AdminAddressError {
     #[error("neither `--admin` nor `LB_ADMIN` says where to ask")]
@@ -117,7 +118,7 @@
     }
 }
 
-/// Where the balancer is that operators call.
+/// Returns the admin address from the argument, or from `LB_ADMIN` if the argument is absent.
 fn admin_address(argument: Option<SocketAddr>) -> Result<SocketAddr, AdminAddressError> {
     if let Some(address) = argument {
         return Ok(address);
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' calls, at an address of their own.
+//! The admin server, which handles operators' calls at a separate address.
 
 mod routes;
 
@@ -22,44 +22,44 @@
 use woadstall_socket_options::set_nodelay;
 use woadstall_transport::Http1;
 
-/// Most connections. One more takes the place of the oldest without a complete call, so that whoever holds connections
-/// open keeps nobody out.
+/// Maximum number of connections. A further connection replaces the oldest connection without a complete call, so that
+/// clients cannot lock others out by holding connections open.
 const MAX_CONNECTIONS: usize = 8;
-/// How long a connection may last in all.
+/// Maximum lifetime of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What the operators' calls read and set.
+/// The state that operators' calls read and change.
 pub struct AdminState {
     pub load_balancer: LoadBalancer<Http1>,
     pub metrics: Arc<Metrics>,
-    /// There is an upstream that takes requests.
+    /// Whether an upstream has been available for requests.
     pub ready: watch::Receiver<bool>,
     pub stopping: watch::Receiver<bool>,
-    /// True while clients are to be sent away.
+    /// Whether the daemon is out of service and closes its clients' connections.
     pub out_of_service: watch::Sender<bool>,
     pub membership: Option<Membership>,
     pub evacuation: Option<EvacuationTask>,
 }
 
-/// Serves the operators' calls.
+/// The HTTP server for operators' calls.
 pub struct AdminServer {
     state: AdminState,
-    /// The open connections by number, so that the oldest comes first.
+    /// Open connections by ascending number, so that the oldest is first.
     connections: Mutex<BTreeMap<u64, Arc<AdminConnection>>>,
 }
 
 #[derive(Default)]
 struct AdminConnection {
-    /// Its call has been read to its end.
+    /// Whether a complete call has been read from the connection.
     has_call: AtomicBool,
-    /// It is to be closed as it is.
+    /// Notified to close the connection immediately.
     abort: Notify,
 }
 
 impl AdminServer {
-    /// A server that has no connection yet.
+    /// Creates a server without connections.
     pub fn new(state: AdminState) -> Self {
         Self {
             state,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Serves for as long as the process lives.
+    /// Accepts and serves connections for the lifetime of the process.
     pub async fn run(self, listener: TcpListener) {
         let server = Arc::new(self);
         for number in 0.. {
@@ -101,7 +101,7 @@
         });
     }
 
-    /// Adds a connection, in place of another one where there are too many.
+    /// Registers a connection, and closes another one if the maximum number is reached.
     fn add_connection(&self, number: u64) -> Arc<AdminConnection> {
         let connection = Arc::new(AdminConnection::default());
         let mut connections = lock(&self.connections);
--- a/src/net/admin/routes.rs
+++ b/src/net/admin/routes.rs
@@ -1,4 +1,4 @@
-//! The calls, by path and method.
+//! Routes of the admin server.
 
 use super::AdminState;
 use crate::net::domain_orders::{DOMAINS_PATH, DomainOrder, kind_name};
@@ -18,7 +18,7 @@
 
 type AdminResponse = Response<Full<Bytes>>;
 
-/// Responds to a call.
+/// Returns the response to an operator's call.
 pub(super) fn respond(state: &AdminState, request: &Request<Incoming>) -> AdminResponse {
     let (path, method) = (request.uri().path(), request.method());
     if method == Method::POST
@@ -54,7 +54,7 @@
     only(Method::POST, method, call)
 }
 
-/// Makes a call by its only method.
+/// Runs `call` if the request has the allowed method; responds with status 405 otherwise.
 fn only(allowed: Method, method: &Method, call: impl FnOnce() -> AdminResponse) -> AdminResponse {
     if *method == allowed {
         return call();
@@ -94,7 +94,7 @@
     }
 }
 
-/// Sends clients away, or lets them stay again.
+/// Takes the daemon out of service, or returns it to service.
 fn set_out_of_service(state: &AdminState, out_of_service: bool) -> AdminResponse {
     if state.out_of_service.send_replace(out_of_service) != out_of_service {
         let event = if out_of_service {
--- a/src/net/admin_client.rs
+++ b/src/net/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls of operators to a balancer at its admin address.
+//! HTTP client for the admin address of a load balancer.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -13,10 +13,10 @@
 use tokio::time::timeout;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most bytes of a response: a row for each of a few thousand members.
+/// Maximum size of a response, in bytes; enough for one row for each of a few thousand members.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// A call failed at an address.
+/// The error of a failed call, with the address that was called.
 #[derive(Debug, thiserror::Error)]
 #[error("{address}: {source}")]
 pub struct CallError {
@@ -24,42 +24,43 @@
     source: CallFailure,
 }
 
-/// Why a call failed.
+/// The cause of a failed call.
 #[derive(Debug, thiserror::Error)]
 pub enum CallFailure {
-    /// There was no response in time.
+    /// The call exceeded its time limit.
     #[error("no answer in time")]
     TimedOut,
-    /// The socket failed.
+    /// An I/O error of the socket.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The connection broke, or the peer does not keep to HTTP.
+    /// The connection broke, or the peer violated HTTP.
     #[error(transparent)]
     Connection(#[from] hyper::Error),
     /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The body broke off, or is over the limit.
+    /// The body was truncated or exceeds the size limit.
     #[error(transparent)]
     Body(Box<dyn Error + Send + Sync>),
-    /// The balancer does not have the call, for this reason.
+    /// The load balancer does not provide the call; the text gives the probable reason.
     #[error("{0}")]
     Absent(&'static str),
-    /// The balancer rejects the call.
+    /// The load balancer rejected the call.
     #[error("answered {status}: {text}")]
     Rejected {
-        /// The status.
+        /// Status of the response.
         status: StatusCode,
-        /// The text that comes with it.
+        /// Body of the response, trimmed.
         text: String,
     },
 }
 
-/// Makes a call, and returns the body of its response. `absent` says why the balancer may not have such a call.
+/// Makes a call and returns the body of its response. `absent` is the reason reported if the load balancer does not
+/// provide the call.
 ///
 /// # Errors
 ///
-/// Fails if there is no response in time, or one that is no success.
+/// Fails if the call exceeds its time limit, if the connection breaks, or if the status of the response is not 200.
 pub async fn call(
     address: SocketAddr,
     method: Method,
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,4 +1,4 @@
-//! What the daemon starts with, from the environment and a JSON file. Names of keys are the platform's.
+//! The daemon's configuration, read from the environment and a JSON file. The platform defines the key names.
 
 use super::operator_file::{OperatorFile, OperatorFileError};
 use serde::Deserialize;
@@ -13,123 +13,124 @@
 use woadstall_operator_config::EvacuationConfig;
 use woadstall_settings::{Names, ParseError, parse_names, parse_settings};
 
-/// Descriptors that are neither callers' nor upstreams': standard streams, listener, discovery, the runtime's, callers
-/// accepted only to be rejected, and those at the admin address.
+/// File descriptors reserved for uses other than caller and upstream connections: standard streams, the listener,
+/// discovery, the runtime, surplus callers that are accepted only to be rejected, and admin connections.
 const RESERVED_SOCKETS: usize = 64;
-/// Less memory than this, in MB, cannot serve anybody.
+/// Minimum memory limit, in MB. With less memory, no request could be served.
 const MIN_MEMORY_MB: usize = 8;
-/// Fewer descriptors than this cannot serve anybody.
+/// Minimum limit on file descriptors. With fewer descriptors, no request could be served.
 const MIN_SOCKETS: usize = 96;
 const BYTES_PER_MB: usize = 1 << 20;
 
-/// What is wrong with a configuration, in one line that names the field.
+/// The error of an invalid configuration. The message is a single line that names the field.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// `LB_CONFIG` is not set.
     #[error("`LB_CONFIG` is not set")]
     NoFile,
     /// The file cannot be read.
     #[error("`LB_CONFIG` {path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the configuration file.
         path: String,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The text is not JSON, or a key is missing or of another type.
+    /// The text is not JSON, or a key is missing or has the wrong type.
     #[error("configuration: {0}")]
     Json(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the configuration.
+    /// The text continues after the end of the JSON value.
     #[error("configuration: {0}")]
     TrailingData(#[source] serde_json::Error),
-    /// The settings in it cannot be read.
+    /// The settings cannot be parsed.
     #[error(transparent)]
     Settings(#[from] ParseError),
-    /// The settings in it make no sense.
+    /// The settings have been parsed, but are inconsistent or out of range.
     #[error("settings: {0}")]
     InvalidSettings(#[source] SettingsError),
-    /// It allows too few descriptors.
+    /// The limit on file descriptors is too low.
     #[error("`limits.sockets` is {found}, fewer than {MIN_SOCKETS}")]
     TooFewSockets {
-        /// How many it allows.
+        /// The configured number of file descriptors.
         found: usize,
     },
-    /// It allows too little memory.
+    /// The memory limit is too low.
     #[error("`limits.memory_mb` is {found}, less than {MIN_MEMORY_MB}")]
     TooLittleMemory {
-        /// How much it allows, in MB.
+        /// The configured limit, in MB.
         found: usize,
     },
-    /// An address is missing.
+    /// A required address is missing.
     #[error("`{field}` is missing")]
     MissingAddress {
-        /// The field.
+        /// Key of the address.
         field: &'static str,
     },
-    /// An address is none.
+    /// An address is not an IP address with a port.
     #[error("`{field}` is not an address with a port: {text:?}")]
     InvalidAddress {
-        /// The field.
+        /// Key of the address.
         field: &'static str,
-        /// Its value.
+        /// The configured value.
         text: String,
     },
-    /// The seed is no number.
+    /// The seed is not a hexadecimal number.
     #[error("`seed` is not a hexadecimal number: {text:?}")]
     InvalidSeed {
-        /// Its value.
+        /// The configured value.
         text: String,
     },
-    /// The operators' file cannot be read or is not valid.
+    /// The operator file cannot be read or is invalid.
     #[error("`LB_OPERATOR` {path}: {source}")]
     OperatorFile {
-        /// The file.
+        /// Path of the operator file.
         path: String,
-        /// What is wrong with it.
+        /// The cause.
         source: OperatorFileError,
     },
 }
 
-/// The whole configuration, checked.
+/// The validated configuration of the daemon.
 pub struct Config {
-    /// Where callers connect.
+    /// Address that the daemon listens on for callers.
     pub listen: SocketAddr,
-    /// Where operators call, if they can.
+    /// Address that the daemon listens on for operators' calls; `None` disables the admin server.
     pub admin: Option<SocketAddr>,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The balancer's name, if it has one.
+    /// Name of this load balancer; `None` if it is unset or empty.
     pub name: Option<String>,
-    /// Membership among balancers, where the operators' file has it.
+    /// Configuration of the membership among load balancers; `None` without an `[instances]` section in the operator
+    /// file.
     pub membership: Option<MembershipConfig>,
-    /// Evacuation, where the operators' file has it.
+    /// Configuration of evacuation; `None` without an `[evacuation]` section in the operator file.
     pub evacuation: Option<EvacuationConfig>,
-    /// A directory that a successor shares, if there is one.
+    /// Directory shared with predecessor and successor processes, for hot restarts; `None` disables hot restarts.
     pub shared_directory: Option<PathBuf>,
-    /// Seed of the random numbers, new with each start.
+    /// Seed of the random numbers, which differs with each start.
     pub seed: u64,
-    /// Limits of resources.
+    /// Limits on connections and memory.
     pub limits: Limits,
-    /// The last list of endpoints.
+    /// The list of endpoints known at the start, possibly out of date.
     pub known_endpoints: EndpointList,
-    /// The settings of the decisions.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Their names.
+    /// Names of classes, tenants and zones in the settings.
     pub names: Names,
 }
 
-/// Limits of resources.
+/// Limits on connections and memory.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most connections of callers.
-    pub callers: usize,
-    /// Most connections to upstreams, idle ones included.
-    pub upstreams: usize,
-    /// Memory in bytes.
-    pub memory: usize,
+    /// Maximum number of caller connections.
+    pub caller_connections: usize,
+    /// Maximum number of upstream connections, including idle ones.
+    pub upstream_connections: usize,
+    /// Memory limit, in bytes.
+    pub memory_bytes: usize,
 }
 
-/// The JSON form. Its name stands in the text of errors.
+/// The JSON format of the configuration. serde's error messages contain the name of this type, so it must not change.
 #[derive(Deserialize)]
 struct Raw {
     name: Option<String>,
@@ -161,23 +162,23 @@
                 found: self.memory_mb,
             });
         }
-        // Every caller that waits has an attempt in flight.
+        // Each waiting caller has an attempt in flight, so callers and upstreams get the same number of descriptors.
         let half = (self.sockets - RESERVED_SOCKETS) / 2;
-        let memory = self.memory_mb.saturating_mul(BYTES_PER_MB);
+        let memory_bytes = self.memory_mb.saturating_mul(BYTES_PER_MB);
         Ok(Limits {
-            callers: half,
-            upstreams: half,
-            memory,
+            caller_connections: half,
+            upstream_connections: half,
+            memory_bytes,
         })
     }
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names, and the operators' if `LB_OPERATOR` names one.
+    /// Reads the configuration file named by `LB_CONFIG`, and the operator file if `LB_OPERATOR` is set.
     ///
     /// # Errors
     ///
-    /// Fails if either cannot be read or is not valid.
+    /// Fails if either file cannot be read or is invalid.
     pub fn load() -> Result<Self, ConfigError> {
         let text = read_file()?;
         let mut config = Self::parse(&text, variable("LB_LISTEN"), variable("LB_DISCOVERY"))?;
@@ -187,11 +188,12 @@
         Ok(config)
     }
 
-    /// Reads the file once more. What it says of discovery is newer than the environment.
+    /// Reads the configuration file again. `LB_DISCOVERY` is ignored, since the file's discovery address is newer than
+    /// the environment's.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or is not valid.
+    /// Fails if the file cannot be read or is invalid.
     pub fn reload() -> Result<Self, ConfigError> {
         Self::parse(&read_file()?, variable("LB_LISTEN"), None)
     }
@@ -209,11 +211,11 @@
         Ok(())
     }
 
-    /// Reads the text of a configuration; addresses that are given take precedence over those in the text.
+    /// Parses a configuration. The addresses `listen` and `discovery` take precedence over those in the text.
     ///
     /// # Errors
     ///
-    /// Fails if the text is not JSON, or if a field is missing, of another type, or makes no sense.
+    /// Fails if the text is not JSON, or if a field is missing, has the wrong type or is out of range.
     pub fn parse(
         text: &str,
         listen: Option<String>,
@@ -250,7 +252,7 @@
     std::fs::read_to_string(&path).map_err(|source| ConfigError::Read { path, source })
 }
 
-/// A variable of the environment, unless it is empty.
+/// Returns an environment variable; `None` if it is unset or empty.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
--- a/src/net/daemon.rs
+++ b/src/net/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon that serves: its start, its reloads and its end.
+//! Start, configuration reload and shutdown of the daemon.
 
 use super::admin::{AdminServer, AdminState};
 use super::config::{Config, ConfigError};
@@ -23,11 +23,12 @@
 use woadstall_settings::{ActiveSettings, ChangeError};
 use woadstall_transport::Http1;
 
-/// How often the thread of calls reports to the membership that it runs. The member counts as paused a second after it
-/// last did.
+/// Interval of the heartbeats that the thread serving calls sends to the membership. The member counts as paused one
+/// second after the last heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why a daemon could not start, or did not end in order. One line that names the setting at fault.
+/// The error of a daemon that could not start or did not shut down in order. The message is a single line that names
+/// the setting at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// The load balancer could not start.
@@ -39,30 +40,30 @@
     /// The membership could not start.
     #[error("instances: {0}")]
     Membership(#[from] woadstall_membership_net::StartError),
-    /// An address cannot be listened on.
+    /// The daemon cannot listen on an address.
     #[error("`{field}` {address}: {source}")]
     Listen {
-        /// The field that names it.
+        /// Key of the address in the configuration.
         field: &'static str,
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A signal cannot be waited for.
+    /// A signal handler cannot be installed.
     #[error("{name}: {source}")]
     Signal {
-        /// The signal.
+        /// Name of the signal.
         name: &'static str,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The server has panicked.
+    /// The server task has panicked.
     #[error("the server stopped: {0}")]
     Server(#[from] JoinError),
 }
 
-/// Why a new configuration was not applied. Nothing has changed then.
+/// The error of a rejected configuration reload. The previous configuration stays in effect.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error(transparent)]
@@ -73,7 +74,7 @@
     Reconfigure(#[from] ReconfigureError),
 }
 
-/// A daemon that serves, in the tokio runtime that it was started in.
+/// A running daemon, on the tokio runtime that it was started in.
 pub struct Daemon {
     address: SocketAddr,
     metrics: Arc<Metrics>,
@@ -86,11 +87,11 @@
 }
 
 impl Daemon {
-    /// Listens and serves.
+    /// Starts all components, and listens on the configured addresses.
     ///
     /// # Errors
     ///
-    /// Fails if a part cannot start, or an address cannot be listened on.
+    /// Fails if a component cannot start, or if the daemon cannot listen on an address.
     pub async fn start(config: Config) -> Result<Self, DaemonError> {
         let config = Arc::new(config);
         let load_balancer = start_load_balancer(&config)?;
@@ -108,7 +109,7 @@
         metrics.show_evacuation(evacuation.clone())?;
         let metrics = Arc::new(metrics);
         hot_restart::restore_state(&config, &load_balancer).await;
-        // Last, as a process that listens beside its predecessor gets connections at once.
+        // Listening comes last: during a hot restart, a process receives connections as soon as it listens.
         let admin_listener = bind_admin(config.admin).await?;
         let (listener, address) = bind_callers(config.listen)?;
         log(format_args!("listening address={address}"));
@@ -151,18 +152,18 @@
         })
     }
 
-    /// Where it listens.
+    /// Address that the daemon listens on for callers, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its membership among balancers, where it has one.
+    /// The membership among load balancers, if it is configured.
     pub fn membership(&self) -> Option<&Membership> {
         self.membership.as_ref()
     }
 
-    /// Applies a new configuration: where discovery is, and the settings. All else needs a new start. One that is not
-    /// valid changes nothing.
+    /// Reads the configuration again and applies its discovery address and settings. Changes of other fields require a
+    /// restart. An invalid configuration changes nothing.
     fn reload(&self) {
         match self.apply_new_config() {
             Ok(discovery) => {
@@ -180,11 +181,11 @@
         }
     }
 
-    /// Reads the configuration again and applies its settings; returns where discovery is.
+    /// Reads the configuration again and applies its settings. Returns the address of discovery.
     fn apply_new_config(&self) -> Result<SocketAddr, ReloadError> {
         let config = Config::reload()?;
-        let present = self.settings.borrow().clone();
-        let (active, change) = present.active.apply(&config.settings, &config.names)?;
+        let current = self.settings.borrow().clone();
+        let (active, change) = current.active.apply(&config.settings, &config.names)?;
         self.load_balancer.reconfigure(change)?;
         let idle_timeout = Duration::from_nanos(config.settings.idle_timeout);
         self.load_balancer
@@ -197,15 +198,16 @@
         Ok(config.discovery)
     }
 
-    /// Stops accepting connections, responds to all that was accepted, and returns.
+    /// Stops accepting connections, and returns once all accepted requests have their responses.
     ///
     /// # Errors
     ///
-    /// Fails if the server has panicked.
+    /// Fails if the server task has panicked.
     pub async fn stop(self) -> Result<(), DaemonError> {
         self.stop.send_replace(true);
         let served = self.serving.await;
-        // Last: until here it calls upstreams, and counts for those that share them.
+        // The member leaves last: until now this process has called upstreams, and the other load balancers of these
+        // upstreams must take it into account.
         if let Some(membership) = &self.membership {
             membership.leave().await;
         }
@@ -215,7 +217,7 @@
 
 fn start_load_balancer(config: &Config) -> Result<LoadBalancer<Http1>, DaemonError> {
     let idle_timeout = Duration::from_nanos(config.settings.idle_timeout);
-    let max_open = config.limits.upstreams;
+    let max_open = config.limits.upstream_connections;
     let transport = Http1::new(
         &config.names,
         idle_timeout,
@@ -236,7 +238,7 @@
     )?)
 }
 
-/// The settings that the daemon starts with.
+/// Returns the settings at the start of the daemon.
 fn initial_settings(config: &Config) -> Arc<ServiceSettings> {
     let active = ActiveSettings::new(config.settings.clone(), config.names.clone());
     Arc::new(ServiceSettings {
@@ -245,7 +247,7 @@
     })
 }
 
-/// Starts the membership, and has it notified that calls go on for as long as they do.
+/// Starts the membership and a task that sends heartbeats to it as long as the thread serving calls runs.
 fn start_membership(config: MembershipConfig) -> Result<Membership, DaemonError> {
     let membership = Membership::start(config, Arc::new(log))?;
     let heartbeats = membership.clone();
@@ -272,7 +274,7 @@
     }
 }
 
-/// Listens for callers; returns the address too, whose port may have been chosen by the system.
+/// Listens for callers. Also returns the bound address, since the system may have chosen the port.
 fn bind_callers(address: SocketAddr) -> Result<(TcpListener, SocketAddr), DaemonError> {
     let failed = |source| DaemonError::Listen {
         field: "listen",
@@ -284,7 +286,7 @@
     Ok((listener, bound))
 }
 
-/// Serves the operators' calls, where there is an address for them.
+/// Starts the admin server if an admin address is configured.
 fn start_admin(state: AdminState, listener: Option<TcpListener>) {
     let Some(listener) = listener else { return };
     if let Ok(address) = listener.local_addr() {
@@ -293,11 +295,12 @@
     tokio::spawn(AdminServer::new(state).run(listener));
 }
 
-/// Serves until a signal to stop, and then until all that was accepted has its response.
+/// Runs the daemon until SIGTERM or SIGINT, and then until all accepted requests have their responses. SIGHUP reloads
+/// the configuration.
 ///
 /// # Errors
 ///
-/// Fails if the daemon cannot start, or its server has panicked.
+/// Fails if the daemon cannot start, or if the server task has panicked.
 pub async fn run(config: Config) -> Result<(), DaemonError> {
     install_library_log();
     let mut terminate = wait_for(SignalKind::terminate(), "SIGTERM")?;
--- a/src/net/domain_orders.rs
+++ b/src/net/domain_orders.rs
@@ -1,5 +1,4 @@
-//! Orders of operators on failure domains, as they are sent to a balancer's admin address:
-//! `WHAT/KIND/NAME/SECONDS`.
+//! Operators' orders on failure domains, sent to a load balancer's admin address as `WHAT/KIND/NAME/SECONDS`.
 
 use super::admin_client::{CallError, call};
 use hyper::Method;
@@ -8,9 +7,9 @@
 use woadstall_evacuation::OrderAction;
 use woadstall_health_reports::SubjectKind;
 
-/// Path of the calls on failure domains.
+/// Path of calls on failure domains.
 pub(super) const DOMAINS_PATH: &str = "/control/places";
-/// Why a balancer may not have these calls.
+/// The reason reported if a load balancer does not provide these calls.
 pub(super) const ABSENT: &str = "no `[evacuation]` in its operators' file";
 
 const ACTIONS: [OrderAction; 3] = [
@@ -20,7 +19,7 @@
 ];
 const KINDS: [SubjectKind; 3] = [SubjectKind::Zone, SubjectKind::Region, SubjectKind::Server];
 
-/// An order as operators send it.
+/// An order in the form that operators send.
 pub(super) struct DomainOrder<'a> {
     pub action: OrderAction,
     pub kind: SubjectKind,
@@ -28,7 +27,7 @@
     pub duration: Duration,
 }
 
-/// What a kind of failure domain is called.
+/// Returns the name of a kind of failure domain in commands, paths and logs.
 pub fn kind_name(kind: SubjectKind) -> &'static str {
     match kind {
         SubjectKind::Server => "nodo",
@@ -39,7 +38,7 @@
 }
 
 impl<'a> DomainOrder<'a> {
-    /// Reads what follows [`DOMAINS_PATH`] in a call; `None` if that is no order.
+    /// Parses the part of a path after [`DOMAINS_PATH`]; `None` if that part is not a valid order.
     pub fn parse(path: &'a str) -> Option<Self> {
         let mut segments = path.split('/');
         let (action, kind, name) = (segments.next()?, segments.next()?, segments.next()?);
@@ -59,27 +58,27 @@
     }
 }
 
-/// Why an order was not taken.
+/// The error of an order that was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum OrderError {
-    /// No failure domain can have this name.
+    /// The name contains characters that no failure domain's name may contain, or is empty.
     #[error("{name:?} is no name of a {kind}")]
     InvalidName {
-        /// The name.
+        /// The rejected name.
         name: String,
-        /// The kind of the failure domain.
+        /// Kind of the failure domain.
         kind: String,
     },
-    /// The balancer could not be called, or rejects the order.
+    /// The load balancer could not be called, or rejected the order.
     #[error(transparent)]
     Call(#[from] CallError),
 }
 
-/// Sends an order to the balancer at an admin address.
+/// Sends an order to the load balancer at an admin address.
 ///
 /// # Errors
 ///
-/// Fails if the name is none, and if the balancer does not respond or rejects the order.
+/// Fails if the name is invalid, or if the load balancer does not respond or rejects the order.
 pub async fn send(
     address: SocketAddr,
     action: OrderAction,
--- a/src/net/domain_status.rs
+++ b/src/net/domain_status.rs
@@ -1,4 +1,4 @@
-//! `woadstall zone status` and its like: the state of failure domains, as people read it.
+//! Text output of `woadstall zone status`, `region status` and `nodo status`.
 
 use super::admin_client::{CallError, call};
 use super::domain_orders::{ABSENT, DOMAINS_PATH};
@@ -7,32 +7,33 @@
 use std::net::SocketAddr;
 use woadstall_evacuation::{DomainStatus, Status};
 
-/// Why the state of failure domains could not be read.
+/// The error of a failed status query.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
-    /// The balancer could not be called.
+    /// The load balancer could not be called.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// Its response is none.
+    /// The response is not a valid status.
     #[error("not an answer of a balancer: {0}")]
     Invalid(#[from] serde_json::Error),
 }
 
-/// Fetches the state of all failure domains from the balancer at an admin address.
+/// Fetches the status of all failure domains from the load balancer at an admin address.
 ///
 /// # Errors
 ///
-/// Fails if the balancer does not respond, or has no evacuation.
+/// Fails if the load balancer does not respond, has no evacuation configured, or returns an invalid status.
 pub async fn fetch(address: SocketAddr) -> Result<Status, StatusError> {
     let json = call(address, Method::GET, DOMAINS_PATH, ABSENT).await?;
     Ok(serde_json::from_slice(&json)?)
 }
 
-/// Writes the state of the failure domains of a kind for people: of all, or of those of one name.
+/// Writes the status of failure domains as text: of the domain `name`, or of all domains of the kind if `name` is
+/// `None`.
 ///
 /// # Errors
 ///
-/// Fails as `out` does.
+/// Fails if writing to `out` fails.
 pub fn write(
     status: &Status,
     kind: &str,
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -1,5 +1,5 @@
-//! Evacuation of failure domains by all balancers together: passes observations, messages and verdicts between the load
-//! balancer, the membership and the coordinator.
+//! Coordinated evacuation of failure domains. Passes observations, messages and verdicts between the load balancer, the
+//! membership and the evacuation coordinator.
 
 use super::config::Config;
 use super::domain_orders::{DomainOrder, kind_name};
@@ -19,20 +19,20 @@
 use woadstall_runtime::{LoadBalancer, Observations, Upstream};
 use woadstall_transport::Http1;
 
-/// The coordinator of this balancer. Clones share it.
+/// A handle to this load balancer's evacuation coordinator. Clones share the coordinator.
 #[derive(Clone)]
 pub struct EvacuationTask {
     coordinator: Arc<Mutex<Coordinator>>,
     membership: Membership,
 }
 
-/// Why an order of an operator was not taken.
+/// The error of an operator's order that was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum OrderRejection {
-    /// There is no such failure domain.
+    /// The failure domain is unknown.
     #[error("no {kind} {name}")]
     UnknownDomain { kind: &'static str, name: String },
-    /// The coordinator rejects it.
+    /// The coordinator rejected the order, because a later order is in effect or there are too many orders.
     #[error("a later word holds, or there are too many")]
     Rejected(#[source] SubmitError),
 }
@@ -45,7 +45,7 @@
 }
 
 impl EvacuationTask {
-    /// Starts it: from now on the load balancer gets what the fleet finds.
+    /// Starts the coordinator and the task that applies the fleet's verdicts to the load balancer.
     pub fn start(
         section: &EvacuationConfig,
         config: &Config,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Passes on what was observed, and what follows from it.
+    /// Passes the load balancer's observations to the coordinator, and the resulting verdicts to the load balancer.
     fn evaluate(&self, load_balancer: &LoadBalancer<Http1>, known_changes: &mut u64) {
         let observations = load_balancer.observations(*known_changes);
         let mut coordinator = lock(&self.coordinator);
@@ -99,7 +99,7 @@
         if output.verdicts.is_empty() {
             return;
         }
-        // The member's clock began with it; the module's is Unix time.
+        // The member's clock starts at zero with the member, while the decision module's clock is Unix time.
         load_balancer.apply_verdicts(|module_now| {
             let on_module_clock = |verdict: &HealthVerdict| HealthVerdict {
                 until: module_now + verdict.until.saturating_sub(now),
@@ -120,13 +120,14 @@
         coordinator.record_pending(now, observations.in_flight.iter().map(pending_attempt));
     }
 
-    /// What operators read.
+    /// Returns the status of all failure domains for operators.
     pub fn status(&self) -> Status {
         let now = self.membership.with_node(|_, now| now);
         lock(&self.coordinator).status(now, unix_ms())
     }
 
-    /// Takes an operator's order for a while, and passes it to all balancers.
+    /// Submits an operator's order, which the coordinator distributes to all load balancers. The order expires after
+    /// its duration.
     pub(super) fn submit(&self, order: &DomainOrder<'_>) -> Result<(), OrderRejection> {
         let mut coordinator = lock(&self.coordinator);
         let subject = coordinator.order_subject(order.kind, order.name);
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Hot restart: what was learned passes from a process to its successor at the same address.
+//! Hot restart: transfers the learned state from a process to its successor at the same address.
 
 use super::config::Config;
 use super::log::log;
@@ -12,9 +12,9 @@
 use woadstall_settings::ActiveSettings;
 use woadstall_transport::Http1;
 
-/// Takes over what a predecessor at the same address has learned, if there is one in the directory that they share.
+/// Restores the learned state of a predecessor at the same address, if one serves it in the shared directory.
 pub async fn restore_state(config: &Config, load_balancer: &LoadBalancer<Http1>) {
-    // At port 0 there is nobody before.
+    // With port 0, the system chooses a new port, so there is no predecessor at the same address.
     let has_fixed_port = config.listen.port() != 0;
     let Some(directory) = config
         .shared_directory
@@ -38,7 +38,7 @@
     }
 }
 
-/// Serves what this process has learned to a successor at the same address.
+/// Serves the learned state of this process to a successor at the same address.
 pub fn serve_state(
     directory: &Path,
     address: SocketAddr,
@@ -58,7 +58,7 @@
     settings: &ActiveSettings,
 ) -> TransferredState {
     let (learned, names) = load_balancer.learned_state();
-    // Of a class that has changed, only the active one goes on.
+    // A changed class has several positions under one name; only the active position is transferred.
     let class_name = |position: usize| {
         let name = settings.names().classes.get(position)?.as_str();
         (settings.class(name) == Some(position)).then_some(name)
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines of an event's name and key=value fields on standard error, limited in their rate.
+//! The log: rate-limited lines on standard error, each with the name of an event and key=value fields.
 
 use log::{LevelFilter, Metadata, Record};
 use std::fmt;
@@ -6,25 +6,25 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Most lines in a second. In trouble, what they report happens many times a second.
+/// Maximum number of lines per second. During an incident, the reported events can occur many times per second.
 const MAX_LINES_PER_SECOND: u32 = 20;
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The lines of the present second.
+/// Number of lines in the current one-second window.
 struct RateWindow {
     started: Instant,
     lines: u32,
 }
 
-/// Writes one line to standard error, unless too many were written in this second. Unlike `eprintln`, it does not panic
-/// where that is closed.
+/// Writes one line to standard error, unless the rate limit is exceeded. Unlike `eprintln`, this function does not
+/// panic if standard error is closed.
 pub fn log(text: fmt::Arguments<'_>) {
     static WINDOW_STATE: Mutex<Option<RateWindow>> = Mutex::new(None);
     let mut state = WINDOW_STATE.lock().unwrap_or_else(PoisonError::into_inner);
-    let present = state
+    let current = state
         .take()
         .filter(|window| window.started.elapsed() < WINDOW);
-    let mut window = present.unwrap_or_else(|| RateWindow {
+    let mut window = current.unwrap_or_else(|| RateWindow {
         started: Instant::now(),
         lines: 0,
     });
@@ -39,7 +39,7 @@
     };
 }
 
-/// Writes what libraries of the workspace log with the `log` crate.
+/// Writes log records of the workspace's libraries, which use the `log` crate.
 struct LibraryLog;
 
 static LIBRARY_LOG: LibraryLog = LibraryLog;
@@ -58,7 +58,8 @@
     fn flush(&self) {}
 }
 
-/// Has the warnings of the workspace's libraries written too. Where the process has a logger already, that one gets them.
+/// Installs [`LibraryLog`] for warnings and errors of the workspace's libraries. A logger that is already installed in
+/// the process stays in place and receives them instead.
 pub(super) fn install_library_log() {
     if log::set_logger(&LIBRARY_LOG).is_ok() {
         log::set_max_level(LevelFilter::Warn);
--- a/src/net/membership_report.rs
+++ b/src/net/membership_report.rs
@@ -1,4 +1,4 @@
-//! `woadstall instances`: a balancer's view of the membership, as people read it.
+//! Text output of `woadstall instances`: one load balancer's view of the membership.
 
 use super::admin_client::{CallError, call};
 use bytes::Bytes;
@@ -10,39 +10,39 @@
 
 const PATH: &str = "/control/instances";
 const ABSENT: &str = "no `[instances]` in its operators' file";
-/// Least width of a column of names.
+/// Minimum width of a name column.
 const MIN_NAME_WIDTH: usize = 4;
-/// Least width of a column of the matrix.
+/// Minimum width of a column of the partition matrix.
 const MIN_CELL_WIDTH: usize = 9;
 
-/// The response of a balancer is no report.
+/// The error of a response that is not a valid report.
 #[derive(Debug, thiserror::Error)]
 #[error("not an answer of a balancer: {0}")]
 pub struct InvalidReport(#[from] serde_json::Error);
 
-/// Fetches the report of the balancer at an admin address, in JSON.
+/// Fetches the report of the load balancer at an admin address, as JSON.
 ///
 /// # Errors
 ///
-/// Fails if the balancer does not respond, or has no membership.
+/// Fails if the load balancer does not respond or has no membership configured.
 pub async fn fetch(address: SocketAddr) -> Result<Bytes, CallError> {
     call(address, Method::GET, PATH, ABSENT).await
 }
 
-/// Reads a report.
+/// Parses a report.
 ///
 /// # Errors
 ///
-/// Fails if the text is no report.
+/// Fails if the text is not a valid report.
 pub fn read(json: &[u8]) -> Result<Report, InvalidReport> {
     Ok(serde_json::from_slice(json)?)
 }
 
-/// Writes a report for people.
+/// Writes a report as text.
 ///
 /// # Errors
 ///
-/// Fails as `out` does.
+/// Fails if writing to `out` fails.
 pub fn write(report: &Report, out: &mut impl Write) -> io::Result<()> {
     write_summary(report, out)?;
     write_counters(report, out)?;
@@ -137,7 +137,7 @@
     Ok(())
 }
 
-/// Writes the partitioned paths by zone and zone, where there are any.
+/// Writes a matrix of partitioned paths between zones, or a single line if no path is partitioned.
 fn write_partitions(paths: &[ZonePathReport], out: &mut impl Write) -> io::Result<()> {
     if paths.iter().all(|paths| paths.partitioned == 0) {
         return writeln!(out, "\nno way between balancers is told to be cut");
@@ -177,7 +177,7 @@
     format!("{:.0}%", ratio * 100.0)
 }
 
-/// A number of seconds, in the unit that suits it.
+/// Formats a duration in seconds, minutes or hours, depending on its length.
 fn duration(seconds: f64) -> String {
     match seconds {
         ..120.0 => format!("{seconds:.1} s"),
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a daemon that serves, in the text format of Prometheus. Names and texts are the operators' documentation's.
+//! Metrics of the daemon in the Prometheus text format. Names and help texts must match the operators' documentation.
 
 mod evacuation;
 mod membership;
@@ -16,12 +16,12 @@
 use woadstall_runtime::DiscoveryStatus;
 use woadstall_socket_options::{SocketOption, failures};
 
-/// Metrics could not be registered or encoded.
+/// The error of a metric that could not be registered or encoded.
 #[derive(Debug, thiserror::Error)]
 #[error("figures: {0}")]
 pub struct MetricsError(#[from] prometheus::Error);
 
-/// The metrics since the start of this process.
+/// Metrics of the daemon; counters start at zero with the process.
 pub struct Metrics {
     registry: Registry,
     served: IntCounterVec,
@@ -31,9 +31,9 @@
     active: IntGauge,
     upstreams: IntGauge,
     ejected_upstreams: IntGauge,
-    /// Configurations applied at SIGHUP.
+    /// Number of configurations applied after SIGHUP.
     pub configs_applied: IntCounter,
-    /// Configurations rejected at SIGHUP.
+    /// Number of configurations rejected after SIGHUP.
     pub configs_rejected: IntCounter,
     list_age: IntGauge,
     discovery_failures: IntCounter,
@@ -42,19 +42,19 @@
     evacuation: Option<EvacuationMetrics>,
 }
 
-/// What is not counted as it happens, but read when the metrics are.
+/// Values that are read when metrics are encoded, instead of being counted as events occur.
 pub struct LoadBalancerStatus {
-    /// Attempts that were written to their last byte, since the start.
+    /// Number of attempts that were written completely, since the start of the process.
     pub attempts: u64,
-    /// Upstreams that are listed.
+    /// Number of listed upstreams.
     pub upstreams: usize,
-    /// Those among them that are ejected.
+    /// Number of listed upstreams that are ejected.
     pub ejected: usize,
-    /// How discovery fares.
+    /// Age of the endpoint list, and number of failed discovery calls.
     pub discovery: DiscoveryStatus,
 }
 
-/// Registers a metric, and returns it.
+/// Registers a metric and returns a handle to it.
 fn register<M: Collector + Clone + 'static>(
     registry: &Registry,
     metric: prometheus::Result<M>,
@@ -64,13 +64,13 @@
     Ok(metric)
 }
 
-/// Brings a counter up to a count that is kept elsewhere.
+/// Increases a counter to a count that is maintained elsewhere.
 fn raise_to(counter: &IntCounter, count: u64) {
     counter.inc_by(count.saturating_sub(counter.get()));
 }
 
 impl Metrics {
-    /// All at zero, with these classes.
+    /// Creates metrics with all values at zero, with a label value for each class.
     ///
     /// # Errors
     ///
@@ -122,7 +122,7 @@
         Ok(metrics)
     }
 
-    /// Shows the membership among balancers from now on, where there is one.
+    /// Adds the metrics of the membership, if it is configured.
     ///
     /// # Errors
     ///
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Shows the failure domains that may be evacuated from now on, where there is evacuation.
+    /// Adds the metrics of failure domains, if evacuation is configured.
     ///
     /// # Errors
     ///
@@ -147,7 +147,7 @@
         Ok(())
     }
 
-    /// Shows classes from now on, also those that nobody has asked for.
+    /// Adds label values for classes, so that classes without requests are exported with zero.
     pub fn show_classes<'a>(&self, classes: impl Iterator<Item = &'a str>) {
         for class in classes {
             for counter in [&self.served, &self.rejected, &self.failed] {
@@ -166,17 +166,17 @@
         counter.with_label_values(&[class]).inc();
     }
 
-    /// A request is active, until the result is dropped.
+    /// Counts a request as active until the returned value is dropped.
     pub fn start_request(&self) -> ActiveRequest {
         self.active.inc();
         ActiveRequest(self.active.clone())
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Fails if they cannot be encoded.
+    /// Fails if a metric cannot be encoded.
     pub fn encode(&self, status: &LoadBalancerStatus) -> prometheus::Result<String> {
         raise_to(&self.attempts, status.attempts);
         raise_to(&self.discovery_failures, status.discovery.failed_calls);
@@ -198,7 +198,7 @@
     }
 }
 
-/// A request that has not ended.
+/// An active request; dropping the value ends the request.
 pub struct ActiveRequest(IntGauge);
 
 impl Drop for ActiveRequest {
@@ -207,7 +207,8 @@
     }
 }
 
-/// A request whose response has started: it counts as served once that has ended, and as failed if it breaks off.
+/// A request whose response is being streamed. Counts as served if the response completes, and as failed if the value
+/// is dropped before.
 pub struct StreamingRequest {
     metrics: Arc<Metrics>,
     class: String,
@@ -226,7 +227,7 @@
         }
     }
 
-    /// The response has come to its end.
+    /// Records that the response has been streamed completely.
     pub fn complete(&mut self) {
         self.is_complete = true;
     }
--- a/src/net/metrics/evacuation.rs
+++ b/src/net/metrics/evacuation.rs
@@ -1,13 +1,12 @@
-//! Metrics of the failure domains that may be evacuated.
+//! Metrics of failure domains and their evacuation.
 
 use super::register;
 use crate::net::evacuation::EvacuationTask;
 use prometheus::{GaugeVec, IntGaugeVec, Opts, Registry};
 
-/// The label that names a failure domain.
+/// Label with the name of the failure domain.
 const DOMAIN_LABEL: &str = "place";
 
-/// Metrics of the failure domains.
 pub(super) struct EvacuationMetrics {
     evacuation: EvacuationTask,
     share: GaugeVec,
@@ -33,7 +32,8 @@
         })
     }
 
-    /// Reads the present values. Domains come and go: those that are in use again are shown no more.
+    /// Updates all gauges. Gauges are reset first, so that domains that have returned to normal use are no longer
+    /// exported.
     pub fn update(&self) {
         self.share.reset();
         self.epoch.reset();
--- a/src/net/metrics/membership.rs
+++ b/src/net/metrics/membership.rs
@@ -1,13 +1,12 @@
-//! Metrics of the membership among balancers.
+//! Metrics of the membership among load balancers.
 
 use super::register;
 use prometheus::{IntGauge, IntGaugeVec, Opts, Registry};
 use woadstall_membership_net::Membership;
 
-/// All states of a member, so that each is there from the start.
+/// All states of a member. Each state is exported from the start, even without members.
 const STATES: [&str; 6] = ["alive", "suspect", "cut", "dead", "left", "unknown"];
 
-/// Metrics of the membership.
 pub(super) struct MembershipMetrics {
     membership: Membership,
     members: IntGaugeVec,
@@ -49,7 +48,7 @@
         })
     }
 
-    /// Reads the present values.
+    /// Updates all gauges from the current membership report.
     pub fn update(&self) {
         let report = self.membership.report();
         for state in STATES {
--- a/src/net/metrics/tests.rs
+++ b/src/net/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the counters.
+//! Tests of the encoded metrics.
 
 use super::*;
 use std::time::Duration;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The daemon: callers' sockets on one side, the shared runtime and its connections on the other. Nothing here decides:
-//! the engine asks the decision module.
+//! The daemon: connects callers' sockets to the shared runtime and its upstream connections. Routing decisions are made
+//! by the decision module, which the engine calls.
 
 mod admin;
 pub mod admin_client;
@@ -19,8 +19,8 @@
 pub use log::log;
 pub use metrics::MetricsError;
 
-/// Largest body either way, in bytes.
+/// Maximum size of a request or response body, in bytes.
 const MAX_BODY_BYTES: usize = 32 << 20;
-/// Largest response that is read to its end, so that the request can be retried, in bytes; a larger one is passed on as
-/// it comes.
+/// Maximum size of a response that is buffered completely, in bytes. While a response is buffered, its request can
+/// still be retried; larger responses are streamed to the caller.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
--- a/src/net/operator_file.rs
+++ b/src/net/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operators' file as the daemon takes it: membership among balancers, and evacuation.
+//! The daemon's part of the operator file: membership among load balancers, and evacuation.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -8,54 +8,55 @@
 use woadstall_membership_net::MembershipConfig;
 use woadstall_operator_config::{EvacuationConfig, MAX_FILE_BYTES, OperatorConfig};
 
-/// Shortest pause of the process after which the member does not trust its own observations.
+/// Minimum duration of a process pause after which the member disregards its own observations.
 const MIN_PAUSE_THRESHOLD_MS: u64 = 1_000;
-/// Longest time that a refused connection is taken into account.
+/// Maximum time for which a refused connection is taken into account.
 const MAX_REFUSAL_TIMEOUT_MS: u64 = 1_000;
-/// Stands for the zone of the configuration where that is not known.
+/// Placeholder for the configuration's zone while an operator file is checked on its own.
 const PLACEHOLDER_ZONE: &str = "zone";
 
-/// What is wrong with an operators' file, in one line that names the field.
+/// The error of an invalid operator file. The message is a single line that names the field.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// Its text is not valid.
+    /// The text of the file is invalid.
     #[error(transparent)]
     Invalid(#[from] woadstall_operator_config::ConfigError),
-    /// A name is not one that a member can have.
+    /// A name is not valid for a member, zone or region.
     #[error("`instances.{field}` {text:?}: {source}")]
     InvalidName {
-        /// The field.
+        /// Key of the name.
         field: &'static str,
-        /// Its value.
+        /// The configured value.
         text: String,
-        /// What is wrong with it.
+        /// The violated rule.
         source: NameError,
     },
-    /// Neither the file nor the configuration names the zone.
+    /// Neither the operator file nor the configuration contains the zone.
     #[error("`instances.zone` is missing")]
     MissingZone,
-    /// The membership cannot run so, or the files that it names cannot be read.
+    /// The membership section is inconsistent, or its key or seeds file cannot be read.
     #[error("`instances`: {0}")]
     Membership(#[from] woadstall_membership_net::ConfigError),
 }
 
-/// What the daemon takes of an operators' file.
+/// The sections of an operator file that the daemon uses.
 pub struct OperatorFile {
-    /// Membership among balancers, where the file has it.
+    /// Configuration of the membership among load balancers; `None` without an `[instances]` section.
     pub membership: Option<MembershipConfig>,
-    /// Evacuation, where the file has it.
+    /// Configuration of evacuation; `None` without an `[evacuation]` section.
     pub evacuation: Option<EvacuationConfig>,
 }
 
 impl OperatorFile {
-    /// Reads the file for a balancer of this zone and name, as far as its configuration has them.
+    /// Reads an operator file. `zone` and `name` come from the load balancer's configuration and are used if the file
+    /// does not contain them.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or is not valid.
+    /// Fails if the file cannot be read or is invalid.
     pub fn read(
         path: &Path,
         zone: Option<&str>,
@@ -77,13 +78,13 @@
         })
     }
 
-    /// Checks a file, and the files that it names.
+    /// Checks an operator file and the key and seeds files that it refers to.
     ///
     /// # Errors
     ///
-    /// Fails if any of them cannot be read or is not valid.
+    /// Fails if any of these files cannot be read or is invalid.
     pub fn check(path: &Path) -> Result<(), OperatorFileError> {
-        // The zone may be the configuration's.
+        // A file without a zone is valid, since the configuration may contain the zone.
         let file = Self::read(path, Some(PLACEHOLDER_ZONE), None)?;
         if let Some(membership) = file.membership {
             membership.load_keys()?;
@@ -122,7 +123,7 @@
         listen: section.listen,
         advertise: section.advertise,
         seeds: section.seeds,
-        // Beside the file that names them, unless they say where.
+        // Relative paths are resolved against the directory of the operator file.
         seeds_file: section.seeds_file.map(|path| directory.join(path)),
         key_file: section.key_file.map(|path| directory.join(path)),
         insecure: section.insecure,
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and their number.
+//! Accepts connections and limits their number.
 
 use super::Server;
 use super::connection::{CallerConnection, ConnectionSlot};
@@ -12,12 +12,13 @@
 use woadstall_inbound::lock;
 use woadstall_transport::{SharedStream, is_local};
 
-/// Pause after a connection could not be accepted for lack of descriptors: another attempt at once would fail alike.
+/// Pause after a failed accept for lack of file descriptors; an immediate retry would fail as well.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(5);
-/// Connections accepted beyond those that are served, to reject their requests: left in the kernel's backlog, they would
-/// count as accepted and get no response.
+/// Maximum number of surplus connections, which are accepted beyond the served ones only to reject their requests. If
+/// they stayed in the kernel's backlog, their callers would see accepted connections without responses.
 const MAX_SURPLUS: usize = 32;
-/// Connections that may linger beyond the unused capacity, within the descriptors that are reserved.
+/// Number of connections that may linger in addition to the unused capacity. Their file descriptors come from the
+/// reserve.
 const RESERVED_LINGERING: usize = 8;
 
 impl Server {
@@ -26,9 +27,10 @@
         listener: &TcpListener,
         closing: &watch::Receiver<bool>,
     ) {
-        let max_connections = self.config.limits.callers + MAX_SURPLUS;
+        let max_connections = self.config.limits.caller_connections + MAX_SURPLUS;
         loop {
-            // The surplus is rejected at once and unresponsive callers are aborted, so there is soon capacity again.
+            // Surplus requests are rejected at once and unresponsive callers are aborted, so capacity is available
+            // soon.
             while self.connection_count() >= max_connections {
                 self.close_idle();
                 self.connection_closed.notified().await;
@@ -46,15 +48,17 @@
         }
     }
 
-    /// Closes what can be closed where descriptors have run out.
+    /// Releases file descriptors after the process has run out of them: closes an idle caller connection, all lingering
+    /// connections and the upstream connections that the transport can close.
     fn free_descriptors(&self) {
         self.close_idle();
         self.lingering.keep_at_most(0);
         self.load_balancer.transport().close_all();
     }
 
-    /// Accepts what waits in the backlog, and closes the listener: what waits there counts as accepted, and would be
-    /// reset. Nothing is waited for in between, so that hardly anything comes between the last look and the end.
+    /// Accepts all connections in the backlog and closes the listener. Callers consider these connections accepted, and
+    /// closing the listener would reset them. The function does not await anything, so that hardly any connection can
+    /// arrive between the last accept and the close.
     pub(super) fn accept_backlog(
         self: &Arc<Self>,
         listener: TcpListener,
@@ -79,7 +83,7 @@
 
     fn serve_connection(self: &Arc<Self>, tcp: TcpStream, closing: &watch::Receiver<bool>) {
         let stream = SharedStream::new(tcp);
-        let is_full = self.connection_count() >= self.config.limits.callers;
+        let is_full = self.connection_count() >= self.config.limits.caller_connections;
         let is_surplus = is_full && !self.close_idle();
         let (connection, gate) = CallerConnection::new(is_surplus, stream);
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
@@ -97,15 +101,16 @@
         lock(&self.connections).len()
     }
 
-    /// A caller's connection is not served any more.
+    /// Removes a closed caller connection.
     pub(super) fn remove_connection(&self, number: u64) {
         lock(&self.connections).remove(&number);
         self.connection_closed.notify_one();
     }
 
-    /// Has an idle connection closed: the oldest that never had a request, so that a silent crowd pushes out nobody but
-    /// itself, or else the one idle for longest. Its caller may be writing to it just now; it knows then that its request
-    /// was not accepted.
+    /// Closes an idle connection, and returns `false` if there is none. Prefers the oldest connection that never had a
+    /// request, so that a crowd of silent clients displaces only its own connections; otherwise closes the connection
+    /// that has been idle for longest. A caller that is writing a request at this moment learns that the request was
+    /// not accepted.
     fn close_idle(&self) -> bool {
         let connections = lock(&self.connections);
         let idle = connections
@@ -120,18 +125,18 @@
         true
     }
 
-    /// Closes a connection that its caller may still be writing to.
+    /// Closes a connection whose caller may still be writing, by lingering close.
     pub(super) fn linger(&self, stream: SharedStream) {
         self.lingering.close(stream);
         self.limit_lingering();
     }
 
-    /// Those that linger may have the descriptors of the unused capacity, and a few more.
+    /// Limits lingering connections to the unused capacity plus [`RESERVED_LINGERING`].
     fn limit_lingering(&self) {
         let unused = self
             .config
             .limits
-            .callers
+            .caller_connections
             .saturating_sub(self.connection_count());
         self.lingering.keep_at_most(unused + RESERVED_LINGERING);
     }
--- a/src/net/server/call.rs
+++ b/src/net/server/call.rs
@@ -1,4 +1,4 @@
-//! From a request to its response.
+//! Handles a request: validation, body, load-balanced call and response.
 
 use super::Server;
 use super::connection::REJECTION_RETRY_AFTER;
@@ -18,7 +18,7 @@
 
 /// Path of the health check.
 const HEALTH_PATH: &str = "/healthz";
-/// The bodies of open requests may fill one over this of the memory.
+/// Bodies of open requests may use the memory limit divided by this number.
 const BODY_MEMORY_DIVISOR: usize = 3;
 
 const BOTH_LENGTHS: Rejection = Rejection::new(
@@ -31,7 +31,8 @@
 );
 
 impl Server {
-    /// The response to a request, and when it is of no use any more.
+    /// Returns the response to a request and the caller's deadline. The deadline is `None` for health checks and
+    /// rejected requests.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -66,7 +67,7 @@
         if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(TOO_LARGE);
         }
-        let memory_limit = self.config.limits.memory / BODY_MEMORY_DIVISOR;
+        let memory_limit = self.config.limits.memory_bytes / BODY_MEMORY_DIVISOR;
         let mut memory = BodyMemory::new(&self.body_bytes, memory_limit);
         let _call_id = CallIdGuard::take(&self.open_call_ids, call.call_id)?;
         let (mut head, body) = request.into_parts();
@@ -90,7 +91,7 @@
     }
 }
 
-/// The response that tells the result of a call.
+/// Converts the result of a call to a response.
 fn response_of(result: CallResult<hyper::Response<Http1Body>>) -> CallerResponse {
     match result {
         CallResult::Served(response) => {
@@ -104,8 +105,8 @@
     }
 }
 
-/// The id of an open call. Guards against a second one under it: upstreams and callers could not tell their responses
-/// apart.
+/// Reserves the id of an open call until dropped. Prevents a second open call with the same id, since upstreams and
+/// callers could not tell the responses apart.
 struct CallIdGuard<'a> {
     open: &'a Mutex<HashSet<String>>,
     id: String,
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, from its first byte to its close.
+//! Serves a caller's connection until it is closed.
 
 use super::Server;
 use super::request::class_in_path;
@@ -19,32 +19,34 @@
 use woadstall_inbound::{ConnectionState, MAX_HEAD_BYTES, RequestGate, lock};
 use woadstall_transport::SharedStream;
 
-/// How often a connection is looked at that is to be closed but has a request open, or a part of one.
+/// Interval at which a connection that should close, but has an open or partly received request, is checked for
+/// idleness.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// What a surplus caller is advised to wait before a retry, and one whose body is beyond the memory.
+/// `Retry-After` for surplus callers, and for callers whose request body exceeds the memory limit.
 pub const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// hyper's buffer for what a caller sends, in bytes: beyond a head, it only makes bodies come in larger chunks.
+/// Size of hyper's read buffer, in bytes. Space beyond the size of a head only allows larger chunks of bodies.
 const READ_BUFFER_BYTES: usize = 2 * MAX_HEAD_BYTES;
 
-/// What the server knows of a caller's connection, and may ask of it.
+/// The server's state of a caller's connection.
 pub struct CallerConnection {
-    /// Beyond the connections that may be served: its requests are rejected at once.
+    /// Whether the connection exceeds the maximum number, so that its requests are rejected at once.
     is_surplus: bool,
     stream: SharedStream,
-    /// How far it is with its requests.
+    /// State of the connection's requests, maintained by the request gate.
     pub state: Arc<Mutex<ConnectionState>>,
-    /// It has been asked to close: its responses end the connection, unless another request has come already.
+    /// Whether the connection should close. Responses then carry `Connection: close`, unless bytes of another request
+    /// have already arrived.
     pub is_draining: AtomicBool,
-    /// Its present response ends where the connection does.
+    /// Whether the end of the current response is marked only by the end of the connection.
     is_unframed: AtomicBool,
-    /// It is to be closed between requests.
+    /// Notified to close the connection between requests.
     pub close: Notify,
-    /// It is to be closed as it is.
+    /// Notified to abort the connection immediately.
     pub abort: Notify,
 }
 
 impl CallerConnection {
-    /// A connection that has just been accepted, and the gate that hyper reads it through.
+    /// Creates the state of a new connection, and the gate through which hyper reads from it.
     pub fn new(is_surplus: bool, stream: SharedStream) -> (Arc<Self>, RequestGate) {
         let (gate, state) = RequestGate::new(stream.clone());
         let caller = Self {
@@ -59,18 +61,19 @@
         (Arc::new(caller), gate)
     }
 
-    /// Whether no request is open, and nothing of one has come.
+    /// Whether no request is open, and no part of a request has been received or waits in the kernel.
     fn is_idle(&self) -> bool {
         lock(&self.state).is_idle() && self.stream.is_quiet()
     }
 
-    /// Whether it ever had a request, and since when it is idle; `None` while a request is open or has begun to come.
+    /// Returns whether the connection has served a request, and the time since when it has been idle. `None` while a
+    /// request is open or has partly arrived.
     pub fn idle(&self) -> Option<(bool, Instant)> {
         lock(&self.state).idle()
     }
 }
 
-/// A caller's connection among those of the server, until it is dropped.
+/// Registration of a caller's connection at the server; dropping the slot removes the connection.
 pub struct ConnectionSlot {
     pub server: Arc<Server>,
     pub number: u64,
@@ -83,11 +86,11 @@
     }
 }
 
-/// How a connection came to its end.
+/// The way in which a connection ended.
 enum ConnectionEnd {
-    /// The caller has closed it, or it was closed between requests.
+    /// The caller closed the connection, or the server closed it between requests.
     Graceful,
-    /// In the midst of a request or of a response.
+    /// The connection ended during a request or a response.
     Aborted,
 }
 
@@ -101,16 +104,16 @@
 }
 
 impl ConnectionSlot {
-    /// Serves the connection to its end and closes it.
+    /// Serves the connection until its end, and closes it.
     pub async fn serve(self, gate: RequestGate, closing: watch::Receiver<bool>) {
         let ended = self.drive(gate, closing).await;
         let (server, caller) = (self.server.clone(), self.connection.clone());
         drop(self);
         if lock(&caller.state).has_ended() {
-            return; // the caller has disconnected, and waits for nothing
+            return; // the caller has disconnected, so no lingering close is needed
         }
         if matches!(ended, ConnectionEnd::Aborted) && caller.is_unframed.load(Ordering::Relaxed) {
-            // A graceful close would make what came of the response look complete.
+            // After a graceful close, the truncated response would look complete.
             caller.stream.reset_on_close().ok();
             return;
         }
@@ -126,13 +129,13 @@
             .serve_connection(TokioIo::new(gate), service);
         let mut connection = std::pin::pin!(connection);
         tokio::select! {
-            biased; // a request that has come is read before its connection is closed between requests
+            biased; // a request that has arrived is read before the connection is closed between requests
             end = connection.as_mut() => return ConnectionEnd::of(&end),
             () = self.connection.abort.notified() => return ConnectionEnd::Aborted,
             _ = closing.wait_for(|close| *close) => {}
             () = self.connection.close.notified() => {}
         }
-        // To close on a caller that is writing would reject its request, and what it has sent ahead was accepted.
+        // Closing while the caller is writing would reject its request, and pipelined requests have been accepted.
         while !self.connection.is_idle() {
             tokio::select! {
                 end = connection.as_mut() => return ConnectionEnd::of(&end),
@@ -147,7 +150,7 @@
         }
     }
 
-    /// The response to a request; counts it, and decides whether it ends the connection.
+    /// Returns the response to a request, counts the response, and decides whether the connection closes after it.
     async fn respond(&self, request: Request<Incoming>) -> CallerResponse {
         let (class, version) = (
             self.server.known_class(class_in_path(&request)),
@@ -187,7 +190,7 @@
         self.server.is_draining() || self.connection.is_draining.load(Ordering::Relaxed)
     }
 
-    /// Counts a response, at once or at its end.
+    /// Counts a response: immediately if it is complete, otherwise when its stream ends.
     fn count(&self, class: String, response: &mut CallerResponse, deadline: Option<Instant>) {
         let metrics = &self.server.metrics;
         match deadline.filter(|_| !response.body().is_complete()) {
--- a/src/net/server/drain.rs
+++ b/src/net/server/drain.rs
@@ -1,4 +1,4 @@
-//! Connections that are ended by the server: all of them while it is out of service, and unresponsive ones.
+//! Closes connections while the server is out of service, and aborts connections of unresponsive callers.
 
 use super::Server;
 use std::sync::Arc;
@@ -7,21 +7,21 @@
 use tokio::time::{Instant, sleep, timeout};
 use woadstall_inbound::lock;
 
-/// When responses begin to end their connections, after clients are sent away. The front in front of this process learns
-/// of it within a fifth of a second, and would open those anew that are closed sooner.
+/// Time from being taken out of service until responses carry `Connection: close`. A proxy in front of this process
+/// learns of the change within 200 ms, and would reopen connections that are closed earlier.
 const DRAIN_AFTER: Duration = Duration::from_millis(400);
-/// When connections between requests are closed, after clients are sent away.
+/// Time from being taken out of service until connections are closed between requests.
 const CLOSE_AFTER: Duration = Duration::from_millis(1500);
-/// How often these times are looked at.
+/// Interval at which the elapsed time out of service is checked.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a caller may take over a request, the first one from its connecting on.
+/// Time limit for receiving a request. For the first request, the time starts when the connection is accepted.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How often that is looked at. Together they stay under the 3 s after which a caller that sends nothing complete is owed
-/// an end.
+/// Interval at which [`REQUEST_TIMEOUT`] is checked. The sum of both stays below 3 s, the time within which the
+/// connection of a caller without a complete request must be closed.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Server {
-    /// While clients are sent away: ends their connections, with a response where one is owed.
+    /// Closes callers' connections while the server is out of service; open requests still get their responses.
     pub(super) async fn drain_while_out_of_service(self: Arc<Self>) {
         let mut out_of_service = self.out_of_service.clone();
         while out_of_service.wait_for(|is_out| *is_out).await.is_ok() {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Has all connections closed between requests.
+    /// Asks all connections to close between requests.
     fn close_all(&self) {
         for connection in lock(&self.connections).values() {
             if !connection.is_draining.swap(true, Ordering::Relaxed) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Aborts the connections that take too long over a request. Guards the capacity for the others.
+    /// Aborts connections whose requests or responses are overdue, which keeps capacity available for other callers.
     pub(super) async fn abort_overdue(self: Arc<Self>) {
         loop {
             sleep(TIMEOUT_CHECK_INTERVAL).await;
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: accepts connections, has their requests answered, and shuts down gracefully.
+//! The HTTP server for callers: accepts connections, passes requests to the load balancer, and shuts down gracefully.
 
 mod accept;
 mod call;
@@ -24,36 +24,38 @@
 use woadstall_runtime::LoadBalancer;
 use woadstall_transport::Http1;
 
-/// How long connections are still accepted after a signal to stop: callers learn of it late.
+/// Time after a stop signal during which connections are still accepted, since callers learn of the shutdown with a
+/// delay.
 const ACCEPT_GRACE: Duration = Duration::from_millis(500);
-/// Added to the longest deadline, so long may responses take after the last connection was accepted.
+/// Margin added to the longest deadline. The sum is the time limit for responses after the last connection was
+/// accepted.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(60);
 
-/// What all connections share.
+/// State shared by all connections.
 pub struct Server {
     config: Arc<Config>,
     load_balancer: LoadBalancer<Http1>,
-    /// There is an upstream that takes requests.
+    /// Whether an upstream has been available for requests.
     ready: watch::Receiver<bool>,
     metrics: Arc<Metrics>,
     settings: watch::Receiver<Arc<ServiceSettings>>,
-    /// Clients are to be sent away.
+    /// Whether the server is out of service.
     out_of_service: watch::Receiver<bool>,
-    /// Responses end their connections.
+    /// Whether responses carry `Connection: close`.
     is_draining: AtomicBool,
     next_number: AtomicU64,
     connections: Mutex<HashMap<u64, Arc<CallerConnection>>>,
-    /// The callers' own ids of the requests that are open.
+    /// `X-Call-Id` values of all open requests.
     open_call_ids: Mutex<HashSet<String>>,
-    /// Bytes of the bodies of open requests.
+    /// Number of bytes reserved for bodies of open requests.
     body_bytes: AtomicUsize,
-    /// A caller's connection has ended.
+    /// Notified when a caller's connection has been removed.
     connection_closed: Notify,
     lingering: Arc<LingeringConnections>,
 }
 
 impl Server {
-    /// A server that passes its requests to a load balancer.
+    /// Creates a server that passes requests to `load_balancer`.
     pub fn new(
         config: Arc<Config>,
         load_balancer: LoadBalancer<Http1>,
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Serves until it is to stop, then for a while longer, and returns when all requests have their response.
+    /// Serves until `stopping` is true and for [`ACCEPT_GRACE`] longer. Returns when all connections are closed, or
+    /// when the time limit for the last responses has passed.
     pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let aborting = tokio::spawn(server.clone().abort_overdue());
@@ -101,7 +104,7 @@
         aborting.abort();
     }
 
-    /// The longest deadline of all classes.
+    /// Returns the longest deadline of all classes.
     fn longest_deadline(&self) -> Duration {
         let settings = self.settings.borrow();
         let classes = settings.active.settings().classes.iter();
@@ -117,12 +120,12 @@
         self.lingering.all_closed().await;
     }
 
-    /// Whether responses end their connections.
+    /// Whether responses carry `Connection: close`.
     fn is_draining(&self) -> bool {
         self.is_draining.load(Ordering::Relaxed)
     }
 
-    /// The name of a class, if there is or was one of that name.
+    /// Returns the name as an owned string if it belongs to an active or previous class.
     fn known_class(&self, name: &str) -> Option<String> {
         let settings = self.settings.borrow();
         let active = &settings.active;
--- a/src/net/server/request.rs
+++ b/src/net/server/request.rs
@@ -1,4 +1,4 @@
-//! Requests of callers: what they ask for, and their bodies.
+//! Parses callers' requests and reads their bodies.
 
 use super::ServiceSettings;
 use crate::net::MAX_BODY_BYTES;
@@ -11,11 +11,12 @@
 use woadstall_decisions::api::Effect;
 use woadstall_inbound::BodyMemory;
 
-/// How long callers may still send a class as it was before new settings: their copy may be updated after ours.
+/// Time after a change of settings during which callers may still use the previous definition of a class, since their
+/// copies of the settings may be updated later.
 const CHANGE_GRACE: Duration = Duration::from_secs(3);
-/// Longest time that a caller may wait.
+/// Maximum value of `X-Budget`.
 const MAX_BUDGET: Duration = Duration::from_secs(3600);
-/// Headers that one side might read one way and the other another, if they came twice.
+/// Headers that must not be repeated, since caller and upstream could use different values of a repeated header.
 const SINGLE_HEADERS: [&str; 6] = [
     "x-call-id",
     "x-call-class",
@@ -25,17 +26,17 @@
     "idempotency-key",
 ];
 
-/// Why a request is rejected.
+/// The reason for rejecting a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Rejection {
-    /// The status that the caller gets.
+    /// Status of the response.
     pub code: StatusCode,
-    /// What is at fault, as a line of text.
+    /// Body of the response: one line that names the error.
     pub text: &'static str,
 }
 
 impl Rejection {
-    /// A rejection with a status and a line of text.
+    /// Creates a rejection with a status and a line of text.
     pub const fn new(code: StatusCode, text: &'static str) -> Self {
         Self { code, text }
     }
@@ -45,26 +46,26 @@
     }
 }
 
-/// What a request asks for.
+/// The parameters of a request.
 pub struct CallRequest {
-    /// The caller's own id of it.
+    /// Id chosen by the caller (`X-Call-Id`).
     pub call_id: String,
-    /// Its class, as a position in the settings.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// Its tenant, as a position in the settings.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// How long its caller waits, from its last byte on.
+    /// Time that the caller waits, measured from the last byte of the request.
     pub budget: Duration,
-    /// Its work in nanoseconds, where the caller has an estimate.
+    /// Estimated amount of work in nanoseconds; `None` without an estimate of the caller.
     pub work: Option<u64>,
 }
 
 impl CallRequest {
-    /// Reads what a request asks for under the active settings.
+    /// Parses the parameters of a request according to the active settings.
     ///
     /// # Errors
     ///
-    /// Fails if the request has no path, method or header of a class, or a header that is malformed.
+    /// Fails if path, method and headers do not match a class, or if a header is missing, repeated or malformed.
     pub fn read(
         request: &Request<Incoming>,
         settings: &ServiceSettings,
@@ -94,7 +95,7 @@
     }
 }
 
-/// The class that a request means by its path, its header and its method.
+/// Determines the class of a request from its path, class header and method.
 fn class_of(request: &Request<Incoming>, settings: &ServiceSettings) -> Result<usize, Rejection> {
     let (headers, name) = (request.headers(), class_in_path(request));
     let mut classes = classes_named(settings, name).peekable();
@@ -123,8 +124,8 @@
         })
 }
 
-/// The classes that a request may mean by a name: the active one, and while callers may not know of a change, the one
-/// before.
+/// Returns the classes that a name may refer to: the active class and, within [`CHANGE_GRACE`] after a change of
+/// settings, the previous one.
 fn classes_named(settings: &ServiceSettings, name: &str) -> impl Iterator<Item = usize> {
     let is_recent = settings
         .changed_at
@@ -150,7 +151,7 @@
     Ok(Some((micros * 1e3) as u64))
 }
 
-/// The first segment of a request's path: its class.
+/// Returns the first segment of a request's path, which names the class.
 pub fn class_in_path(request: &Request<Incoming>) -> &str {
     request.uri().path().split('/').nth(1).unwrap_or("")
 }
@@ -159,7 +160,8 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Reads a body to its end; `None` if it is beyond the memory. It need not mind its time: an overdue caller is aborted.
+/// Reads a body to its end; `None` if the memory limit for bodies is exceeded. No time limit is needed here, since
+/// connections of overdue callers are aborted.
 pub async fn read_body(
     mut body: Incoming,
     memory: &mut BodyMemory<'_>,
@@ -169,7 +171,7 @@
         if !memory.reserve(size as usize) {
             return Ok(None);
         }
-        received.reserve(size as usize); // the system gives memory to what is written only
+        received.reserve(size as usize); // the system allocates physical memory only for written pages
     }
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
@@ -182,7 +184,8 @@
             return Err(TOO_LARGE);
         }
         let missing = (received.len() + data.len()).saturating_sub(memory.bytes());
-        // Twice as much each time, as its buffer grows, and as much while it is moved.
+        // Reservations double like the capacity of the growing buffer; this also covers the copy while the buffer
+        // moves.
         if missing > 0 && !memory.reserve(missing.max(memory.bytes())) {
             return Ok(None);
         }
@@ -191,6 +194,6 @@
     Ok(Some(received.freeze()))
 }
 
-/// The body is larger than any may be.
+/// Rejection of a body larger than [`MAX_BODY_BYTES`].
 pub const TOO_LARGE: Rejection =
     Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB\n");
--- a/src/net/server/response.rs
+++ b/src/net/server/response.rs
@@ -14,16 +14,16 @@
 use woadstall_inbound::{ConnectionState, lock};
 use woadstall_transport::Http1Body;
 
-/// A response as hyper writes it.
+/// A response to a caller, in the form that hyper writes.
 pub type CallerResponse = Response<ResponseBody>;
 
-/// The body of a response.
+/// The body of a response, complete or streamed.
 pub struct ResponseBody {
     body: Http1Body,
     stream: Option<StreamState>,
 }
 
-/// What follows a response that is passed on as it comes.
+/// State updated at the end of a streamed response.
 struct StreamState {
     request: StreamingRequest,
     deadline: Instant,
@@ -46,12 +46,12 @@
 }
 
 impl ResponseBody {
-    /// Whether all of it is there.
+    /// Whether the whole body is available.
     pub fn is_complete(&self) -> bool {
         self.body.is_complete()
     }
 
-    /// Reports when a response that is not complete has come to its end.
+    /// Registers a request and a connection whose state is updated when this streamed body ends.
     pub fn track_stream(
         &mut self,
         request: StreamingRequest,
@@ -92,21 +92,21 @@
     }
 }
 
-/// A response without a body.
+/// Creates a response without a body.
 pub fn status(code: StatusCode) -> CallerResponse {
     let mut response = Response::new(ResponseBody::from(Bytes::new()));
     *response.status_mut() = code;
     response
 }
 
-/// A response with a line of text.
+/// Creates a response with a line of text.
 pub fn text(code: StatusCode, text: &'static str) -> CallerResponse {
     let mut response = status(code);
     *response.body_mut() = Bytes::from_static(text.as_bytes()).into();
     response
 }
 
-/// A rejection, with advice on how long to wait before a retry unless that is zero.
+/// Creates a rejection with status 503, and with a `Retry-After` header unless `retry_after` is zero.
 pub fn rejection(retry_after: Duration) -> CallerResponse {
     let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after > Duration::ZERO
--- a/src/net/server/service_settings.rs
+++ b/src/net/server/service_settings.rs
@@ -1,12 +1,12 @@
-//! The settings that requests are taken under.
+//! The settings that apply to new requests.
 
 use tokio::time::Instant;
 use woadstall_settings::ActiveSettings;
 
-/// The settings that requests are taken under.
+/// The settings that apply to new requests, and the time of their last change.
 pub struct ServiceSettings {
-    /// The settings.
+    /// Active settings, with the previous definitions of changed classes.
     pub active: ActiveSettings,
-    /// When they last changed; `None` if they never did.
+    /// Time of the last change; `None` if the settings have not changed since the start.
     pub changed_at: Option<Instant>,
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,82 +1,82 @@
-//! The simulator's wire: bytes to events, actions to bytes. Nothing is decided here.
+//! The simulator's binary protocol: decodes events, and encodes the decision module's actions.
 
 use woadstall_decisions::api::{
     Action, AttemptEnd, Event, Lifecycle, LoadReport, Outcome, RequestId, RequestParameters,
     ServerEntry, ServerId, Time, ZoneId,
 };
 
-/// Bytes of a batch header.
+/// Size of a batch header, in bytes.
 pub const BATCH_HEADER: usize = 20;
-/// Bytes of a reply header.
+/// Size of a reply header, in bytes.
 pub const REPLY_HEADER: usize = 12;
 const EVENT_SIZE: usize = 48;
 const ACTION_SIZE: usize = 24;
 const ENTRY_SIZE: usize = 22;
-/// Numbered lists that may be held at a time.
+/// Number of server tables that can be stored at a time.
 pub const TABLES: usize = 16;
 
-/// What is wrong with a frame.
+/// The error of an invalid frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// A batch is shorter than its records.
+    /// The records of a batch exceed its length.
     #[error("batch {sequence}: {records} records do not fit {length} bytes")]
     RecordsBeyondLength {
-        /// Number of the batch.
+        /// Sequence number of the batch.
         sequence: u32,
-        /// Number of its records.
+        /// Number of records in the batch.
         records: usize,
-        /// Its bytes after the header.
+        /// Length of the batch after the header, in bytes.
         length: usize,
     },
-    /// A record refers to bytes that are not there.
+    /// A record refers to bytes outside the tail of the batch.
     #[error("offset {offset} and length {length} lie outside a tail of {tail}")]
     OutsideTail {
-        /// Where they are to begin.
+        /// Offset of the first byte in the tail.
         offset: usize,
-        /// How many they are.
+        /// Number of bytes.
         length: usize,
-        /// The bytes that are there.
+        /// Length of the tail, in bytes.
         tail: usize,
     },
-    /// No such form of ANNOUNCE.
+    /// An ANNOUNCE record has an unknown form.
     #[error("unknown form {0} of ANNOUNCE")]
     UnknownAnnounceForm(u8),
-    /// No such event.
+    /// A record has an unknown event code.
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// No such list.
+    /// A table number is out of range.
     #[error("list number {0} is over 15")]
     TableNumber(u32),
-    /// No such outcome.
+    /// An attempt has an unknown outcome code.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u8),
-    /// A load report has more values than it may.
+    /// A load report has more than 4 values.
     #[error("load report of {0} values")]
     LoadReportLength(usize),
-    /// No such lifecycle.
+    /// A server has an unknown lifecycle code.
     #[error("unknown lifecycle {0}")]
     UnknownLifecycle(u8),
 }
 
-/// The header of a batch.
+/// The header of a batch of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchHeader {
-    /// The clock.
+    /// Time of the batch on the simulator's clock.
     pub now: Time,
-    /// Bytes after the header.
+    /// Length of the batch after the header, in bytes.
     pub length: usize,
-    /// Number of records.
+    /// Number of records in the batch.
     pub records: usize,
-    /// Number of the batch.
+    /// Sequence number of the batch.
     pub sequence: u32,
 }
 
 impl BatchHeader {
-    /// Reads a header and checks that its records fit its length.
+    /// Decodes a header and checks that the records fit the length of the batch.
     ///
     /// # Errors
     ///
-    /// Fails if they do not.
+    /// Fails if the records exceed the length.
     pub fn decode(bytes: &[u8; BATCH_HEADER]) -> Result<Self, WireError> {
         let header = Self {
             now: u64_at(bytes, 0),
@@ -95,34 +95,34 @@
     }
 }
 
-/// One event record.
+/// A decoded event record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// An instance starts, with the text of its settings.
+    /// Starts an instance of the decision module.
     PowerOn {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
-        /// Seed of its random numbers.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings as JSON text.
+        /// Settings of the instance, as JSON text.
         settings: &'a [u8],
     },
-    /// An instance is gone.
+    /// Removes the instance with this number.
     Retire(u32),
-    /// A numbered list of servers.
+    /// Stores a list of servers under a table number.
     Table(usize, Vec<ServerEntry>),
-    /// Discovery tells an instance of the numbered list.
+    /// Announces a stored list of servers to an instance, on behalf of discovery.
     Announce {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
-        /// Number of the list.
+        /// Number of the table.
         table: usize,
-        /// Only the entries that changed.
+        /// Whether the list contains only changed entries.
         delta: bool,
     },
-    /// Anything else is an event of the module.
+    /// Passes an event to the instance with this number.
     Event(u32, Event<'static>),
-    /// Nothing that the module acts on.
+    /// A record that the decision module does not act on.
     Ignored,
 }
 
@@ -148,7 +148,7 @@
     f32::from_le_bytes(array_at(bytes, at))
 }
 
-/// The records of a batch, in order. `body` is what follows the header.
+/// Decodes the records of a batch, in order. `body` contains the bytes after the header.
 pub fn records(
     header: BatchHeader,
     body: &[u8],
@@ -314,7 +314,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: u32, action: &Action) {
         match action {
             Action::SetTimer { after, token } => self.record(0, instance, &[after, token]),
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Says that an instance cannot go on.
+    /// Appends a fault record: the instance cannot continue, for the reason in `text`.
     pub fn fault(&mut self, instance: u32, text: &str) {
         self.text(9, instance, text);
     }
@@ -358,7 +358,7 @@
         self.records.resize(start + ACTION_SIZE, 0);
     }
 
-    /// Writes the whole frame to `out` and empties the reply.
+    /// Appends the complete frame to `out` and clears the reply.
     pub fn finish(&mut self, sequence: u32, out: &mut Vec<u8>) {
         let length = self.records.len() + self.tail.len();
         let count = self.records.len() / ACTION_SIZE;
