--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -24,7 +24,7 @@
     if let Some(members) = &end.members {
         write_members(out, members, &result.membership_cores)?;
     }
-    if let Some(evacuated) = &end.evacuated {
+    if let Some(evacuated) = &end.evacuation {
         write_evacuations(out, evacuated)?;
     }
     for line in report::rule_lines(end) {
@@ -44,7 +44,7 @@
     writeln!(
         out,
         "  worth served   {:.3} of what was offered",
-        result.end.served
+        result.end.served_value_fraction
     )?;
     writeln!(
         out,
@@ -106,12 +106,12 @@
     writeln!(
         out,
         "                 {:.0} bytes/s each, {:.0} at most; {:.2}% of a core, {:.2}% at most",
-        members.bytes_a_second.0,
-        members.bytes_a_second.1,
+        members.bytes_per_second.0,
+        members.bytes_per_second.1,
         100.0 * mean_cores,
         100.0 * max_cores
     )?;
-    for story in &members.stories {
+    for story in &members.false_death_details {
         writeln!(out, "    {story}")?;
     }
     Ok(())
@@ -119,14 +119,14 @@
 
 fn write_evacuations(out: &mut String, evacuated: &EvacuationReport) -> fmt::Result {
     let moved: Vec<String> = evacuated
-        .moved
+        .diverted_share_seconds
         .iter()
         .map(|(zone, seconds)| format!("{zone} {seconds:.1}"))
         .collect();
     writeln!(
         out,
         "  left           {} moves; seconds without, a balancer: {}",
-        evacuated.moves,
+        evacuated.share_changes,
         moved.join(", ")
     )
 }
--- a/crates/emulator-cli/src/report/fault_band.rs
+++ b/crates/emulator-cli/src/report/fault_band.rs
@@ -18,7 +18,7 @@
     pub fn of(scenario: &Scenario) -> Vec<Self> {
         let band = |fault: &Fault| Self {
             from: fault.at.seconds(),
-            until: fault.until.unwrap_or(scenario.time).seconds(),
+            until: fault.until.unwrap_or(scenario.duration).seconds(),
             name: fault_name(fault),
         };
         scenario.fault.iter().map(band).collect()
@@ -42,7 +42,7 @@
 
 /// The kind of a fault, as scenario files write it.
 fn fault_kind(fault: &Fault) -> String {
-    match toml::Value::try_from(&fault.what) {
+    match toml::Value::try_from(&fault.kind) {
         Ok(toml::Value::String(name)) => name,
         Ok(toml::Value::Table(table)) => table.keys().next().cloned().unwrap_or_default(),
         _ => String::new(),
--- a/crates/emulator/src/scenario/check/callers.rs
+++ b/crates/emulator/src/scenario/check/callers.rs
@@ -1,11 +1,11 @@
-//! Checks of groups of callers.
+//! Validation of groups of callers.
 
 use super::*;
-use crate::scenario::{CallerGroup, CallerRetries, Load, MOST_CALLS};
+use crate::scenario::{CallerGroup, CallerRetries, Load, MAX_CALLS};
 use crate::units::Span;
 
 impl Scenario {
-    pub(super) fn check_callers(&self) -> Check {
+    pub(super) fn check_callers(&self) -> CheckResult {
         self.callers.iter().try_for_each(|group| {
             let part = || ScenarioPart::Callers(group.name.clone());
             self.check_group(group)
@@ -14,16 +14,16 @@
         let calls: f64 = self
             .callers
             .iter()
-            .map(|group| group.load.most() * self.time.seconds())
+            .map(|group| group.load.max_rate() * self.duration.seconds())
             .sum();
-        if calls > MOST_CALLS {
-            let most = MOST_CALLS;
+        if calls > MAX_CALLS {
+            let most = MAX_CALLS;
             return Err(ScenarioError::TooManyCalls { calls, most });
         }
         Ok(())
     }
 
-    fn check_group(&self, group: &CallerGroup) -> Check {
+    fn check_group(&self, group: &CallerGroup) -> CheckResult {
         group
             .load
             .check()
@@ -41,14 +41,14 @@
         }
         self.check_zone(group.zone.as_ref())?;
         let thinks_not = matches!(group.load, Load::Closed { think: Span(0), .. });
-        if group.again != CallerRetries::Never && thinks_not {
+        if group.retries != CallerRetries::Never && thinks_not {
             return inconsistent("`load`: a crowd that asks again needs a `think` over 0");
         }
         Ok(())
     }
 
-    /// The classes that a group calls, and their shares.
-    fn check_mix(&self, group: &CallerGroup) -> Check {
+    /// Validates the classes that a group calls, and their shares.
+    fn check_mix(&self, group: &CallerGroup) -> CheckResult {
         for (class, share) in &group.classes {
             if self.class(class).is_none() {
                 return Err(ScenarioError::UnknownName {
--- a/crates/emulator/src/scenario/check/faults.rs
+++ b/crates/emulator/src/scenario/check/faults.rs
@@ -1,17 +1,17 @@
-//! Checks of the script of faults.
+//! Validation of faults.
 
 use super::*;
 use crate::scenario::{Fault, FaultKind, LinkFault};
 
 impl Scenario {
-    pub(super) fn check_faults(&self) -> Check {
+    pub(super) fn check_faults(&self) -> CheckResult {
         self.fault.iter().zip(1..).try_for_each(|(fault, number)| {
             self.check_fault(fault)
                 .map_err(|error| error.within(ScenarioPart::Fault(number)))
         })
     }
 
-    fn check_fault(&self, fault: &Fault) -> Check {
+    fn check_fault(&self, fault: &Fault) -> CheckResult {
         in_range("part", fault.part, 0.0, 1.0)?;
         if fault.until.is_some_and(|until| until <= fault.at) {
             return inconsistent("`until` is not after `at`");
@@ -29,17 +29,19 @@
         self.check_kind(fault)
     }
 
-    fn check_kind(&self, fault: &Fault) -> Check {
-        match &fault.what {
+    fn check_kind(&self, fault: &Fault) -> CheckResult {
+        match &fault.kind {
             FaultKind::Slow(times) | FaultKind::SlowLink(times) => {
                 in_range("what", *times, 0.01, 1e4)
             }
-            FaultKind::Lost(part) | FaultKind::Resets(part) => in_range("what", *part, 0.0, 1.0),
+            FaultKind::ResponseLoss(part) | FaultKind::Resets(part) => {
+                in_range("what", *part, 0.0, 1.0)
+            }
             FaultKind::Errors { share, class } => self.check_errors(*share, class.as_ref()),
             FaultKind::RollBalancers if fault.until.is_none() => {
                 inconsistent("`until` is missing: a roll has an end")
             }
-            FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::Stall
+            FaultKind::Restart { .. } | FaultKind::RollBalancers | FaultKind::PauseBalancers
                 if self.hits_sidecars(fault) =>
             {
                 inconsistent("`tier`: its balancers go with their nodos")
@@ -50,11 +52,11 @@
                 inconsistent("`zone` is missing: a cut has one, and a link begins in one")
             }
             FaultKind::Link(link) => self.check_link(link),
-            FaultKind::Between(_) if self.members.is_none() => {
+            FaultKind::MemberLink(_) if self.members.is_none() => {
                 inconsistent("there is no `[members]`: balancers do not speak")
             }
-            FaultKind::Between(between) => between.check(self),
-            FaultKind::PowerLoss { .. } | FaultKind::Stop if fault.until.is_none() => {
+            FaultKind::MemberLink(between) => between.check(self),
+            FaultKind::PowerLoss { .. } | FaultKind::SuspendUpstreams if fault.until.is_none() => {
                 inconsistent("`until` is missing: power comes back, and what stands still goes on")
             }
             _ => Ok(()),
@@ -67,7 +69,7 @@
         tier.is_some_and(|at| self.tier[at].sidecar)
     }
 
-    fn check_errors(&self, share: f64, class: Option<&String>) -> Check {
+    fn check_errors(&self, share: f64, class: Option<&String>) -> CheckResult {
         in_range("share", share, 0.0, 1.0)?;
         match class {
             Some(name) if self.class(name).is_none() => Err(ScenarioError::UnknownName {
@@ -79,7 +81,7 @@
         }
     }
 
-    fn check_link(&self, link: &LinkFault) -> Check {
+    fn check_link(&self, link: &LinkFault) -> CheckResult {
         self.check_zone(Some(&link.to))?;
         in_range("loss", link.loss, 0.0, 1.0)
     }
--- a/crates/emulator/src/scenario/settings.rs
+++ b/crates/emulator/src/scenario/settings.rs
@@ -1,11 +1,11 @@
-//! The engine's settings that a scenario gives its balancers.
+//! Engine settings of the balancers in a scenario.
 
 use super::{CallClass, CallEffect, CallGroup, Scenario};
 use woadstall_engine::Settings;
 use woadstall_engine::decisions::{Class, DedupScope, Effect, Tenant, ZoneId};
 
 impl Scenario {
-    /// What a balancer of a tier is told at its start.
+    /// Settings of a balancer of a tier in a zone.
     pub fn settings(&self, tier: usize, zone: u8) -> Settings {
         let class = |class: &CallClass| Class {
             latency_target: class.latency_target.0,
@@ -26,7 +26,11 @@
             late_value: class.late_value,
             value: class.value,
         };
-        let (depth, siblings, tier) = (self.depth(tier), self.senders(tier), &self.tier[tier]);
+        let (depth, siblings, tier) = (
+            self.depth(tier),
+            self.balancer_count(tier),
+            &self.tier[tier],
+        );
         Settings {
             classes: self.class.iter().map(class).collect(),
             tenants: self
@@ -49,17 +53,17 @@
                 .queries
                 .as_ref()
                 .map_or(0, |queries| queries.within.0),
-            may_cancel: self.limits.cancel,
+            may_cancel: self.limits.cancellation,
             max_retry_after: self.limits.max_retry_after.0,
-            max_attempts: self.limits.attempts,
-            idle_timeout: self.limits.idle.0.max(1),
+            max_attempts: self.limits.max_attempts,
+            idle_timeout: self.limits.idle_timeout.0.max(1),
             slow_start_capacity: tier.start_capacity,
             slow_start_overload: tier.overload_multiple,
             slow_start_window: tier.slow_start_window.0,
             in_flight_report_field: tier.probed.is_some().then_some(0),
             probes_for_load: tier.probed.is_some(),
             cross_zone_cost: self.limits.cross_zone_cost,
-            probe_cost: tier.probed.as_ref().map_or(0.0, |probed| probed.price),
+            probe_cost: tier.probed.as_ref().map_or(0.0, |probed| probed.cost),
         }
     }
 }
--- a/crates/emulator/src/world/build.rs
+++ b/crates/emulator/src/world/build.rs
@@ -1,21 +1,24 @@
-//! How a run is set up: upstreams, balancers, the front, and the first events.
+//! Sets up a run: upstreams, balancers, the front, and the first events.
 
 use super::*;
 
-impl World<'_> {
-    /// Sets up all that the scenario has, and plans its faults and first calls.
+impl Simulation<'_> {
+    /// Creates all entities of the scenario, and schedules its faults and first calls.
     pub(super) fn build(&mut self) {
         for tier in 0..self.scenario.tier.len() {
             self.add_upstreams(tier);
         }
-        self.sidecar = vec![None; self.upstreams.len()];
-        self.stopped = vec![Vec::new(); self.upstreams.len()];
+        self.sidecar_by_host = vec![None; self.upstreams.len()];
+        self.suspended_events = vec![Vec::new(); self.upstreams.len()];
         for tier in 0..self.scenario.tier.len() {
             self.add_balancers(tier);
         }
         if let Some(front) = &self.scenario.front {
-            let (uneven, idle_timeout, zones) =
-                (front.uneven, front.idle_timeout.0, &self.of_zone[0]);
+            let (uneven, idle_timeout, zones) = (
+                front.max_weight_ratio,
+                front.idle_timeout.0,
+                &self.balancers_by_zone[0],
+            );
             self.front = Some(Front::new(zones, uneven, idle_timeout, &mut self.front_rng));
         }
         self.plan_faults();
@@ -30,7 +33,7 @@
         let scenario = self.scenario;
         let tier = &scenario.tier[at];
         let calls = tier.calls.as_ref();
-        self.calls
+        self.downstream_by_tier
             .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
         for upstream in 0..tier.upstreams {
             let host = self.upstreams.len() as u32;
@@ -40,25 +43,28 @@
             let rng = stream(self.seed, Actor::Upstream, host);
             self.upstreams
                 .push(Upstream::new(name, at, tier, place, rng));
-            self.hosts.push(host);
+            self.upstream_by_host.push(host);
         }
-        self.of_zone.push(vec![Vec::new(); scenario.zones.len()]);
+        self.balancers_by_zone
+            .push(vec![Vec::new(); scenario.zones.len()]);
     }
 
-    /// The balancers before a tier: its own, or a sidecar for each upstream that calls it.
+    /// Adds the balancers of a tier: its own ones, or one sidecar for each upstream that calls the tier.
     fn add_balancers(&mut self, at: usize) {
         let tier = &self.scenario.tier[at];
         if !tier.sidecar {
             for balancer in 0..tier.balancers {
                 let zone = self.scenario.zone_in_turn(balancer);
                 let number = self.add_balancer(at, zone);
-                self.of_zone[at][usize::from(zone)].push(number);
+                self.balancers_by_zone[at][usize::from(zone)].push(number);
             }
             return;
         }
         for host in 0..self.upstreams.len() {
-            if self.calls[self.upstreams[host].tier].is_some_and(|(called, _)| called == at) {
-                self.sidecar[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
+            if self.downstream_by_tier[self.upstreams[host].tier]
+                .is_some_and(|(called, _)| called == at)
+            {
+                self.sidecar_by_host[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
             }
         }
     }
@@ -67,7 +73,7 @@
         for (fault, planned) in (0..).zip(&self.scenario.fault) {
             let position = planned.file_position.unwrap_or(fault);
             let rng = stream(self.seed, Actor::Fault, position);
-            self.faults.push(FaultTargets {
+            self.fault_targets.push(FaultTargets {
                 rng,
                 upstreams: Vec::new(),
                 balancers: Vec::new(),
@@ -101,33 +107,33 @@
     fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
         let (scenario, number) = (self.scenario, self.balancers.len() as u32);
         let mut clock = stream(self.seed, Actor::Balancer, number);
-        let offset = scenario.clocks.offset.0 as i64;
+        let offset = scenario.clocks.max_offset.0 as i64;
         let ahead = if offset > 0 {
             clock.random_range(-offset..=offset)
         } else {
             0
         };
-        let drift = scenario.clocks.drift * (2.0 * clock.random::<f64>() - 1.0);
-        let (mind_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
+        let drift = scenario.clocks.max_drift * (2.0 * clock.random::<f64>() - 1.0);
+        let (agent_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
         self.balancers.push(Balancer {
             tier,
             zone,
             agent: self
                 .policy
-                .agent(scenario.settings(tier, zone), mind_seed, local),
-            ahead,
-            drift,
-            network: stream(self.seed, Actor::Network, number),
-            registry: stream(self.seed, Actor::Registry, number),
-            seeds: clock,
+                .agent(scenario.settings(tier, zone), agent_seed, local),
+            clock_offset: ahead,
+            clock_drift: drift,
+            network_rng: stream(self.seed, Actor::Network, number),
+            registry_rng: stream(self.seed, Actor::Registry, number),
+            seed_rng: clock,
             pools: Vec::new(),
-            open: 0,
-            hosts: Vec::new(),
-            planned: Time::MAX,
+            open_connections: 0,
+            host_by_server: Vec::new(),
+            planned_tick: Time::MAX,
             alive: true,
             incarnation: 0,
-            stalled_until: 0,
-            leaving: false,
+            resume_at: 0,
+            draining: false,
             subscribed: scenario.registry.queries.is_none(),
             applied_changes: 0,
             updates: VecDeque::new(),
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -1,4 +1,4 @@
-//! Evacuation: the coordinator of the shipped crate in each balancer, on the facts of membership.
+//! Evacuation: each balancer runs the shipped crate's coordinator on top of its membership node.
 
 use super::*;
 use crate::evacuation::{EvacuationTracker, ShareChange};
@@ -9,15 +9,15 @@
 use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt};
 use woadstall_membership::Node;
 
-/// See the module's documentation.
+/// Evacuation coordinators of all balancers.
 pub(super) struct Coordinators {
-    every: Time,
-    all: Vec<Coordinator>,
-    /// How often the list of each had changed when its coordinator was told.
-    seen: Vec<u64>,
+    interval: Time,
+    coordinators: Vec<Coordinator>,
+    /// Revision of each balancer's upstream list that its coordinator received last.
+    listed_revisions: Vec<u64>,
     settings: Vec<CoordinatorSettings>,
     false_reporters: Vec<Option<FalseReport>>,
-    evacuated: EvacuationTracker,
+    tracker: EvacuationTracker,
 }
 
 impl Coordinators {
@@ -45,45 +45,47 @@
             false_reporters
                 .iter_mut()
                 .take(count)
-                .for_each(|liar| *liar = Some(false_reporting.says));
+                .for_each(|reporter| *reporter = Some(false_reporting.report));
         }
         Self {
-            every: of.every.0,
-            all: settings.iter().cloned().map(Coordinator::new).collect(),
-            seen: vec![u64::MAX; balancers.len()],
-            evacuated: EvacuationTracker::new(scenario.zones.clone(), balancers.len()),
+            interval: of.interval.0,
+            coordinators: settings.iter().cloned().map(Coordinator::new).collect(),
+            listed_revisions: vec![u64::MAX; balancers.len()],
+            tracker: EvacuationTracker::new(scenario.zones.clone(), balancers.len()),
             settings,
             false_reporters,
         }
     }
 
-    /// What a liar sees, whatever it is.
+    /// Applies a balancer's false reporting, if it has any, to a completed attempt.
     fn falsify(
         &self,
         at: usize,
         zone_of: impl Fn(ServerId) -> Option<usize>,
-        saw: CompletedAttempt,
+        completed: CompletedAttempt,
     ) -> CompletedAttempt {
         let own = self.settings[at].zone;
         match self.false_reporters[at] {
-            None => saw,
-            Some(FalseReport::AllWell) => CompletedAttempt {
+            None => completed,
+            Some(FalseReport::NoCallFails) => CompletedAttempt {
                 outcome: Outcome::Ok,
-                ..saw
+                ..completed
             },
-            Some(FalseReport::AllBad) => CompletedAttempt {
+            Some(FalseReport::AllCallsFail) => CompletedAttempt {
                 outcome: Outcome::Error,
-                ..saw
+                ..completed
             },
-            Some(FalseReport::OwnZoneBad) if zone_of(saw.server) == Some(own) => CompletedAttempt {
-                outcome: Outcome::Error,
-                ..saw
-            },
-            Some(FalseReport::OwnZoneBad) => saw,
+            Some(FalseReport::OwnZoneCallsFail) if zone_of(completed.server) == Some(own) => {
+                CompletedAttempt {
+                    outcome: Outcome::Error,
+                    ..completed
+                }
+            }
+            Some(FalseReport::OwnZoneCallsFail) => completed,
         }
     }
 
-    /// Hands a balancer's coordinator the end of an attempt, as the balancer reports it.
+    /// Passes a completed attempt to a balancer's coordinator, falsified if the balancer reports falsely.
     fn record_completed(&mut self, now: Time, at: usize, seen: &AttemptRecord) {
         let attempt = CompletedAttempt {
             id: AttemptId {
@@ -93,11 +95,11 @@
             server: seen.server,
             class: seen.class,
             outcome: seen.outcome,
-            took: seen.elapsed,
+            duration_ns: seen.elapsed,
         };
-        let zone_of = |server| self.all[at].zone_of(server);
+        let zone_of = |server| self.coordinators[at].zone_of(server);
         let attempt = self.falsify(at, zone_of, attempt);
-        self.all[at].record_completed(now, &attempt);
+        self.coordinators[at].record_completed(now, &attempt);
     }
 }
 
@@ -109,47 +111,49 @@
         },
         server: out.server,
         class: out.class,
-        age: out.age,
+        age_ns: out.age,
     }
 }
 
-impl World<'_> {
-    /// All of them begin.
-    pub(super) fn coordinators_begin(&mut self) {
+impl Simulation<'_> {
+    /// Starts all coordinators.
+    pub(super) fn start_coordinators(&mut self) {
         let Some(of) = &self.scenario.evacuation else {
             return;
         };
         let coordinators = Coordinators::new(of, self.scenario, &self.balancers);
-        let every = coordinators.every;
+        let every = coordinators.interval;
         self.coordinators = Some(coordinators);
         for at in 0..self.balancers.len() {
-            self.coordinator_begins(at);
-            // Not all at once.
+            self.reset_coordinator(at);
+            // The first rounds are spread over one interval.
             let first = every * (at as Time + 1) / self.balancers.len() as Time;
             self.event_queue
                 .at(first.max(1), Event::CoordinatorTimer(at as u32));
         }
     }
 
-    /// A process of a balancer begins, and knows nothing.
-    pub(super) fn coordinator_begins(&mut self, at: usize) {
+    /// Replaces a balancer's coordinator by an empty one, as its process starts.
+    pub(super) fn reset_coordinator(&mut self, at: usize) {
         let Some(coordinators) = &mut self.coordinators else {
             return;
         };
-        coordinators.all[at] = Coordinator::new(coordinators.settings[at].clone());
-        coordinators.seen[at] = u64::MAX;
-        coordinators.evacuated.begins(self.event_queue.now(), at);
-        self.balancers[at].agent.observe();
+        coordinators.coordinators[at] = Coordinator::new(coordinators.settings[at].clone());
+        coordinators.listed_revisions[at] = u64::MAX;
+        coordinators
+            .tracker
+            .balancer_started(self.event_queue.now(), at);
+        self.balancers[at].agent.record_attempts();
     }
 
-    /// A balancer's coordinator has its turn.
-    pub(super) fn coordinator(&mut self, at: usize) {
+    /// Runs one round of a balancer's coordinator.
+    pub(super) fn coordinator_timer(&mut self, at: usize) {
         let now = self.event_queue.now();
         let Some(coordinators) = &self.coordinators else {
             return;
         };
         self.event_queue
-            .after(coordinators.every, Event::CoordinatorTimer(at as u32));
+            .after(coordinators.interval, Event::CoordinatorTimer(at as u32));
         if self.balancers[at].alive && self.paused_until(at).is_none() {
             let node = self
                 .members
@@ -173,12 +177,15 @@
             return Vec::new();
         };
         let balancer = &mut self.balancers[at];
-        let local = balancer.local(now);
-        let observed = balancer.agent.take_observed();
-        if let Some((changes, all)) = balancer.agent.listed(coordinators.seen[at]) {
-            coordinators.seen[at] = changes;
+        let local = balancer.local_time(now);
+        let observed = balancer.agent.take_attempt_records();
+        if let Some((changes, all)) = balancer
+            .agent
+            .listed_upstreams(coordinators.listed_revisions[at])
+        {
+            coordinators.listed_revisions[at] = changes;
             let all = all.into_iter();
-            coordinators.all[at].set_servers(all.map(|of| ListedServer {
+            coordinators.coordinators[at].set_servers(all.map(|of| ListedServer {
                 server: of.server,
                 name: of.name,
                 boot_ms: of.boot_ms,
@@ -189,16 +196,16 @@
         for seen in observed {
             coordinators.record_completed(now, at, &seen);
         }
-        let outstanding = balancer.agent.outstanding(local).into_iter();
-        coordinators.all[at].record_pending(now, outstanding.map(pending_attempt));
-        let turn = coordinators.all[at].step(now, local / MS, node);
+        let outstanding = balancer.agent.attempts_in_flight(local).into_iter();
+        coordinators.coordinators[at].record_pending(now, outstanding.map(pending_attempt));
+        let turn = coordinators.coordinators[at].step(now, local / MS, node);
         for line in turn.lines {
             self.meter.log_line(&line.to_string());
         }
         for finding in &turn.verdicts {
             if let FailureDomain::Zone(zone, None) = finding.domain {
                 let share = f64::from(finding.share);
-                coordinators.evacuated.moved(ShareChange {
+                coordinators.tracker.record_share_change(ShareChange {
                     at: now,
                     balancer: at as u32,
                     zone: zone.0,
@@ -206,7 +213,7 @@
                 });
             }
         }
-        // The module's clock is the balancer's own.
+        // Verdicts expire by the balancer's own clock.
         let until = |finding: &Finding| local + finding.until.saturating_sub(now);
         turn.verdicts
             .iter()
@@ -217,13 +224,13 @@
             .collect()
     }
 
-    /// What came of it.
-    pub(super) fn coordinators_end(&mut self) -> Option<crate::evacuation::EvacuationReport> {
+    /// Report on evacuation at the end of the run.
+    pub(super) fn finish_coordinators(&mut self) -> Option<crate::evacuation::EvacuationReport> {
         let coordinators = self.coordinators.take()?;
         Some(
             coordinators
-                .evacuated
-                .end(self.event_queue.now().min(self.scenario.time.0)),
+                .tracker
+                .end(self.event_queue.now().min(self.scenario.duration.0)),
         )
     }
 }
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of domain decisions and orders and the JSON of a status, as members and tools of other
-//! versions write and read them.
+//! Golden tests of the bytes of domain decisions and orders and of the JSON of a status. Members and
+//! tools of other versions depend on these formats.
 
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 };
 use woadstall_health_reports::Subject;
 
-/// Compares bytes with the golden ones, written in hexadecimal digits.
+/// Compares bytes with the golden bytes, which are given in hexadecimal digits.
 fn assert_golden(bytes: &[u8], golden: &str) {
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, golden);
@@ -147,12 +147,12 @@
 
 fn status() -> Status {
     Status {
-        places: vec![
+        domains: vec![
             DomainStatus {
                 name: "zone norte".to_owned(),
                 phase: "left".to_owned(),
                 epoch: 3,
-                phase_for_s: 1.5,
+                phase_duration_s: 1.5,
                 share: 0.0,
                 reason: "an operator's word, leave; 90% of 40 calls fail".to_owned(),
                 reporters_against: 5,
@@ -193,7 +193,7 @@
     assert_eq!(serde_json::from_value::<Status>(golden).unwrap(), status());
 }
 
-/// The order of the fields, as they are written out.
+/// The order of the fields in the JSON text is part of the format.
 #[test]
 fn a_status_has_its_fields_in_the_golden_order() {
     let golden = concat!(
@@ -201,7 +201,7 @@
         r#""relapses":0,"nodos":0,"order":null,"order_ends_s":null,"not_followed":[]}],"odd":{},"unread":0}"#
     );
     let status = Status {
-        places: vec![DomainStatus::default()],
+        domains: vec![DomainStatus::default()],
         ..Status::default()
     };
     assert_eq!(serde_json::to_string(&status).unwrap(), golden);
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -50,7 +50,7 @@
     info!(
         scenario = key.scenario,
         through = key.policy,
-        seconds = scenario.time.seconds(),
+        seconds = scenario.duration.seconds(),
         "run starts"
     );
     let started = SystemTime::now();
@@ -89,7 +89,7 @@
 }
 
 fn exit_code(end: &RunResult, lag: &Lag) -> u8 {
-    let is_broken = end.broken() > 0;
+    let is_broken = end.breach_count() > 0;
     if lag.late as f64 > MAX_DELAYED_CALLS * lag.calls as f64 {
         let (late, calls, worst_ms) = (lag.late, lag.calls, lag.worst_ms);
         warn!(
@@ -105,7 +105,10 @@
 
 fn print_summary(end: &RunResult, lag: &Lag) {
     let (counts, latency) = (&end.counts, &end.latency);
-    println!("  worth served   {:.3} of what was offered", end.served);
+    println!(
+        "  worth served   {:.3} of what was offered",
+        end.served_value_fraction
+    );
     println!(
         "  calls          {} offered, {} on time, {} late, {} refused, {} failed",
         counts.offered, counts.on_time, counts.late, counts.refused, counts.failed
--- a/crates/load-test/src/upstream/requests.rs
+++ b/crates/load-test/src/upstream/requests.rs
@@ -85,7 +85,7 @@
         }
         let mean_service_ns = self.scenario.class[class].service.mean();
         let warm_rate = f64::from(state.model.workers()) * 1e9 / mean_service_ns;
-        if let Some(share) = state.model.count_warming_up(now, warm_rate) {
+        if let Some(share) = state.model.count_cold_arrival(now, warm_rate) {
             if !std::mem::replace(&mut state.model.overloaded, true) {
                 self.rules.record_overload(&state.model.name, share);
             }
@@ -99,12 +99,12 @@
         if state.model.active_faults.unresponsive {
             return Admission::Ignored;
         }
-        if state.model.errs(class) {
+        if state.model.draw_error(class) {
             return Admission::Error;
         }
         let number = state.next_request;
         state.next_request += 1;
-        match state.model.take(number) {
+        match state.model.accept(number) {
             ModelAdmission::Full => {
                 state.counts.rejected += 1;
                 Admission::Rejected
@@ -213,7 +213,7 @@
         }
         let State { model, queued, .. } = &mut *state;
         // A request whose caller has left is not started.
-        model.next(|next| {
+        model.next_request(|next| {
             queued
                 .remove(&next)
                 .is_some_and(|notification| notification.send(()).is_ok())
--- a/crates/node/src/core/api/coordination.rs
+++ b/crates/node/src/core/api/coordination.rs
@@ -1,4 +1,5 @@
-//! Requests and responses of the coordination service: locks, numbers, keys and watches.
+//! Parses requests and renders responses of the coordination service: locks, sequence numbers, keys
+//! and watches.
 
 use super::http::{HttpRequest, HttpResponse};
 use super::request::RequestError;
@@ -10,41 +11,44 @@
 use woadstall_coordination::outcome::Outcome;
 use woadstall_coordination::state::{Event, GroupEvents};
 
-/// Bytes of a name at most: of a lock, a holder, a sequence, a key or a group.
+/// Maximum length of the name of a lock, lock owner, sequence, key or group, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Bytes of a value at most.
+/// Maximum length of a value, in bytes.
 const MAX_VALUE_BYTES: usize = 64 << 10;
-/// The longest lease: a day, in milliseconds.
-const MAX_HOLD_MS: u64 = 24 * 60 * 60 * 1_000;
-/// The longest that a watch waits, in milliseconds.
+/// Maximum duration of a lease: one day, in milliseconds.
+const MAX_LEASE_MS: u64 = 24 * 60 * 60 * 1_000;
+/// Maximum time for which a watch waits for events, in milliseconds.
 const MAX_WAIT_MS: u64 = 30_000;
-/// How long a watch waits if its request does not say, in milliseconds.
+/// Time for which a watch waits if the request specifies no time, in milliseconds.
 const DEFAULT_WAIT_MS: u64 = 2_000;
 
-/// The kinds of resources, by their place in the path.
-const LOCKS: &str = "/v1/locks/";
-const NUMBERS: &str = "/v1/numbers/";
-const KEYS: &str = "/v1/cells/";
-const WATCHES: &str = "/v1/watch/";
+/// Path prefix of locks.
+const LOCKS_PATH: &str = "/v1/locks/";
+/// Path prefix of sequences.
+const SEQUENCES_PATH: &str = "/v1/numbers/";
+/// Path prefix of keys.
+const KEYS_PATH: &str = "/v1/cells/";
+/// Path prefix of watches.
+const WATCHES_PATH: &str = "/v1/watch/";
 
-/// Parses a request; `None` if its path is none of the service's.
+/// Parses a request; `None` if the path does not belong to the coordination service.
 ///
 /// # Errors
 ///
-/// The method is unknown, or names or body are invalid.
+/// Fails if the method is unknown or if a name, a parameter or the body is invalid.
 pub(super) fn parse(
     request: &HttpRequest,
     path: &str,
 ) -> Option<Result<CoordinationRequest, RequestError>> {
     let method = request.method.as_str();
-    if let Some(lock) = path.strip_prefix(LOCKS) {
+    if let Some(lock) = path.strip_prefix(LOCKS_PATH) {
         Some(parse_lock(request, method, lock).map(command))
-    } else if let Some(sequence) = path.strip_prefix(NUMBERS) {
-        Some(parse_number(method, sequence).map(command))
-    } else if let Some(key) = path.strip_prefix(KEYS) {
+    } else if let Some(sequence) = path.strip_prefix(SEQUENCES_PATH) {
+        Some(parse_sequence(method, sequence).map(command))
+    } else if let Some(key) = path.strip_prefix(KEYS_PATH) {
         Some(parse_key(request, method, key))
     } else {
-        let group = path.strip_prefix(WATCHES)?;
+        let group = path.strip_prefix(WATCHES_PATH)?;
         Some(parse_watch(request, method, group))
     }
 }
@@ -60,37 +64,37 @@
     let body = read_document(request)?;
     let root = FieldReader::new(&body);
     let findings = &mut Findings::default();
-    let lock = checked_name("(lock)", lock, findings);
-    let holder = root.field("holder").string(findings);
-    let holder = checked_name("holder", &holder, findings);
+    let lock = validate_name("(lock)", lock, findings);
+    let owner = root.field("holder").string(findings);
+    let owner = validate_name("holder", &owner, findings);
     let command = match method {
         "POST" => Command::AcquireLock {
             lock,
-            holder,
-            hold_ms: hold_ms(&root, findings),
+            owner,
+            lease_ms: read_lease_ms(&root, findings),
         },
         "PUT" => Command::RenewLock {
             lock,
-            holder,
+            owner,
             fencing_token: root.field("fence").integer(findings),
-            hold_ms: hold_ms(&root, findings),
+            lease_ms: read_lease_ms(&root, findings),
         },
         _ => Command::ReleaseLock {
             lock,
-            holder,
+            owner,
             fencing_token: root.field("fence").integer(findings),
         },
     };
-    without_findings(command, findings)
+    reject_findings(command, findings)
 }
 
-fn parse_number(method: &str, sequence: &str) -> Result<Command, RequestError> {
+fn parse_sequence(method: &str, sequence: &str) -> Result<Command, RequestError> {
     if method != "POST" {
         return Err(RequestError::UnknownMethod);
     }
     let findings = &mut Findings::default();
-    let sequence = checked_name("(number)", sequence, findings);
-    without_findings(Command::NextNumber { sequence }, findings)
+    let sequence = validate_name("(number)", sequence, findings);
+    reject_findings(Command::NextNumber { sequence }, findings)
 }
 
 fn parse_key(
@@ -99,10 +103,10 @@
     key: &str,
 ) -> Result<CoordinationRequest, RequestError> {
     let findings = &mut Findings::default();
-    let key = checked_name("(key)", key, findings);
+    let key = validate_name("(key)", key, findings);
     match method {
         "GET" => {
-            let query = without_findings(Query::Get { key }, findings)?;
+            let query = reject_findings(Query::Get { key }, findings)?;
             Ok(CoordinationRequest::Call(Call::Query(query)))
         }
         "PUT" => parse_put(request, key, findings).map(command),
@@ -120,10 +124,10 @@
     let if_revision = root.field("if_revision");
     let put = Command::Put {
         key,
-        value: value(&root.field("value"), findings),
+        value: read_value(&root.field("value"), findings),
         if_revision: if_revision.value().map(|_| if_revision.integer(findings)),
     };
-    without_findings(put, findings)
+    reject_findings(put, findings)
 }
 
 fn parse_watch(
@@ -135,19 +139,19 @@
         return Err(RequestError::UnknownMethod);
     }
     let findings = &mut Findings::default();
-    let group = checked_name("(group)", group_of(group), findings);
-    let after = parameter(request, "after", 0, findings);
-    let wait_ms = parameter(request, "wait_ms", DEFAULT_WAIT_MS, findings).min(MAX_WAIT_MS);
+    let group = validate_name("(group)", group_of(group), findings);
+    let after = read_parameter(request, "after", 0, findings);
+    let wait_ms = read_parameter(request, "wait_ms", DEFAULT_WAIT_MS, findings).min(MAX_WAIT_MS);
     let watch = WatchRequest {
         group,
         after,
         wait_ms,
     };
-    without_findings(watch, findings).map(CoordinationRequest::Watch)
+    reject_findings(watch, findings).map(CoordinationRequest::Watch)
 }
 
-/// A number in the query of a request.
-fn parameter(request: &HttpRequest, name: &str, default: u64, findings: &mut Findings) -> u64 {
+/// Reads a whole number from the query of a request.
+fn read_parameter(request: &HttpRequest, name: &str, default: u64, findings: &mut Findings) -> u64 {
     let Some(text) = request.parameter(name) else {
         return default;
     };
@@ -161,28 +165,31 @@
     Ok(serde_json::from_slice(&request.body)?)
 }
 
-fn checked_name(path: &str, name: &str, findings: &mut Findings) -> String {
+fn validate_name(path: &str, name: &str, findings: &mut Findings) -> String {
     if name.len() > MAX_NAME_BYTES {
         findings.add(path, format!("is longer than {MAX_NAME_BYTES} bytes"));
     }
-    // A field that is empty has its finding already.
+    // For names from the body, `FieldReader` has already added the finding.
     if name.is_empty() && path.starts_with('(') {
         findings.add(path, "must not be empty");
     }
     name.to_owned()
 }
 
-fn hold_ms(root: &FieldReader<'_>, findings: &mut Findings) -> u64 {
+fn read_lease_ms(root: &FieldReader<'_>, findings: &mut Findings) -> u64 {
     let field = root.field("hold_ms");
-    let found = findings.0.len();
-    let hold_ms = field.integer(findings);
-    if findings.0.len() == found && !(1..=MAX_HOLD_MS).contains(&hold_ms) {
-        findings.add(field.path(), format!("must be between 1 and {MAX_HOLD_MS}"));
+    let findings_before = findings.0.len();
+    let lease_ms = field.integer(findings);
+    if findings.0.len() == findings_before && !(1..=MAX_LEASE_MS).contains(&lease_ms) {
+        findings.add(
+            field.path(),
+            format!("must be between 1 and {MAX_LEASE_MS}"),
+        );
     }
-    hold_ms
+    lease_ms
 }
 
-fn value(field: &FieldReader<'_>, findings: &mut Findings) -> String {
+fn read_value(field: &FieldReader<'_>, findings: &mut Findings) -> String {
     let text = match field.value().map(Value::as_str) {
         Some(Some(text)) => text,
         Some(None) => {
@@ -201,7 +208,7 @@
     text.to_owned()
 }
 
-fn without_findings<T>(request: T, findings: &mut Findings) -> Result<T, RequestError> {
+fn reject_findings<T>(request: T, findings: &mut Findings) -> Result<T, RequestError> {
     if findings.is_empty() {
         Ok(request)
     } else {
@@ -209,12 +216,14 @@
     }
 }
 
-/// Renders a response. A status of 412, 429 or 503 says that the call has not taken effect and never
-/// will; where that is not known, it is 504.
+/// Renders a response. Status 412, 429 or 503 means that the call has not taken effect and never
+/// will. Status 504 means that the outcome of the call is unknown.
 pub(super) fn render(response: machine::Response) -> HttpResponse {
     match response {
         machine::Response::Executed(outcome) => render_outcome(outcome),
-        machine::Response::Events(found) => HttpResponse::json(200, events(&found).to_string()),
+        machine::Response::Events(found) => {
+            HttpResponse::json(200, render_events(&found).to_string())
+        }
         machine::Response::HistoryCompacted => {
             HttpResponse::text(410, "the history begins later\n")
         }
@@ -222,12 +231,13 @@
             HttpResponse::text(503, "not executed; ask another machine\n")
         }
         machine::Response::Overloaded => HttpResponse::text(429, "too many requests wait here\n"),
-        machine::Response::Unknown => unknown(),
+        machine::Response::Unknown => unknown_outcome(),
     }
 }
 
-/// It is not known whether the call was or will be executed.
-pub(super) fn unknown() -> HttpResponse {
+/// Builds the response to a call whose outcome is unknown: the call may have been executed or may
+/// still be executed.
+pub(super) fn unknown_outcome() -> HttpResponse {
     HttpResponse::text(504, "the outcome is not known\n")
 }
 
@@ -251,16 +261,16 @@
     HttpResponse::json(status, body.to_string())
 }
 
-fn events(found: &GroupEvents) -> Value {
-    let events: Vec<Value> = found.events.iter().map(event).collect();
+fn render_events(found: &GroupEvents) -> Value {
+    let events: Vec<Value> = found.events.iter().map(render_event).collect();
     json!({ "events": events, "revision": found.revision })
 }
 
-fn event(event: &Event) -> Value {
+fn render_event(event: &Event) -> Value {
     json!({ "name": &*event.key, "value": &*event.value, "revision": event.revision })
 }
 
-/// The status of the service on a machine as JSON. The keys are documented in
+/// Returns the status of the coordination service on a machine as JSON. The keys are documented in
 /// `docs/system-operators.md`.
 pub(in crate::core) fn coordination_status(machine: &CoordinationMachine) -> String {
     let replica = machine.replica();
--- a/src/net/metrics/evacuation.rs
+++ b/src/net/metrics/evacuation.rs
@@ -1,13 +1,12 @@
-//! Metrics of the failure domains that may be evacuated.
+//! Metrics of failure domains and their evacuation.
 
 use super::register;
 use crate::net::evacuation::EvacuationTask;
 use prometheus::{GaugeVec, IntGaugeVec, Opts, Registry};
 
-/// The label that names a failure domain.
+/// Label with the name of the failure domain.
 const DOMAIN_LABEL: &str = "place";
 
-/// Metrics of the failure domains.
 pub(super) struct EvacuationMetrics {
     evacuation: EvacuationTask,
     share: GaugeVec,
@@ -33,12 +32,13 @@
         })
     }
 
-    /// Reads the present values. Domains come and go: those that are in use again are shown no more.
+    /// Updates all gauges. Gauges are reset first, so that domains that have returned to normal use are no longer
+    /// exported.
     pub fn update(&self) {
         self.share.reset();
         self.epoch.reset();
         self.reporters_against.reset();
-        for domain in self.evacuation.status().places {
+        for domain in self.evacuation.status().domains {
             let name = [domain.name.as_str()];
             let against = domain.reporters_against as i64;
             self.share.with_label_values(&name).set(domain.share);
--- a/tests/coordination_soak.rs
+++ b/tests/coordination_soak.rs
@@ -38,9 +38,9 @@
 /// Three regions of two zones.
 const LAYOUT: Layout = Layout {
     cores: 6,
-    zones_in_region: 2,
+    zones_per_region: 2,
     fronts: 0,
-    tolerated: 2,
+    tolerated_failures: 2,
 };
 /// Seeds and seconds of faults where nothing else is asked for.
 const SEEDS: Range<u64> = 0..2;
