--- a/crates/demo/src/error.rs
+++ b/crates/demo/src/error.rs
@@ -1,17 +1,17 @@
-//! What may go wrong in a demonstration.
+//! Errors of a demonstration.
 
 use std::io;
 
-/// Why a demonstration could not be shown.
+/// The error with which a demonstration ends early.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// The scenario is not sound at the length that was asked for.
+    /// The scenario is invalid at the requested duration.
     #[error(transparent)]
     Scenario(Box<dyn std::error::Error + Send + Sync>),
-    /// The scenario could not be played.
+    /// The load test failed to run the scenario.
     #[error(transparent)]
     LoadTest(Box<dyn std::error::Error + Send + Sync>),
-    /// The runtime did not start, or this program was not found.
+    /// The tokio runtime could not be started, or the path of this program could not be determined.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -2,18 +2,18 @@
 
 use crate::error::DemoError;
 use woadstall_emulator::{Scenario, Span};
-use woadstall_load_test::{LoadResult, Path, run};
+use woadstall_load_test::{LoadResult, Path};
 
-/// What is played, with times for [`SCENARIO_SECONDS`].
+/// The scenario, with the times for a duration of [`SCENARIO_SECONDS`].
 const SCENARIO: &str = include_str!("../demo.toml");
 
-/// Length for which the scenario's times are written.
+/// Duration for which the times in [`SCENARIO`] are written, in seconds.
 const SCENARIO_SECONDS: f64 = 60.0;
 
-/// Seed of the callers' random numbers.
+/// Seed of the load test's random numbers.
 const SEED: u64 = 1;
 
-/// The scenario, with all times scaled to a length in seconds.
+/// Parses the scenario and scales its duration and the times of its faults to a duration in seconds.
 fn scaled_scenario(seconds: u64) -> Result<Scenario, DemoError> {
     let mut scenario =
         Scenario::read(SCENARIO).map_err(|error| DemoError::Scenario(error.into()))?;
@@ -29,48 +29,48 @@
     Ok(scenario)
 }
 
-/// Plays the scenario in so many seconds and prints what came of it. Whether every rule was kept and every call
-/// accounted for.
+/// Runs the scenario for a duration in seconds and prints the results. Returns whether all rules were kept and the outcome
+/// of every call is known.
 ///
 /// # Errors
 ///
-/// [`DemoError::Scenario`], if the scenario is not sound at this length; [`DemoError::Io`] and
-/// [`DemoError::LoadTest`], if it could not be played.
-pub fn show(seconds: u64) -> Result<bool, DemoError> {
+/// [`DemoError::Scenario`], if the scenario is invalid at this duration; [`DemoError::Io`], if the tokio runtime cannot be
+/// started; [`DemoError::LoadTest`], if the load test fails.
+pub fn run(seconds: u64) -> Result<bool, DemoError> {
     let scenario = scaled_scenario(seconds)?;
     let tier = &scenario.tier[0];
     println!(
-        "{} nodos, {:.0} calls a second by {} daemon and {} plug-in, for {seconds} s; one nodo dies half-way, and\n\
-         comes back cold",
+        "{} nodos, {:.0} calls per second through {} daemon and {} plug-in, for {seconds} s; one nodo is killed\n\
+         half-way through and restarts cold",
         tier.upstreams,
         scenario.callers[0].load.most(),
         tier.balancers,
         tier.balancers
     );
     let runtime = tokio::runtime::Runtime::new()?;
-    let played = runtime
-        .block_on(run(scenario, Path::Both, SEED))
+    let result = runtime
+        .block_on(woadstall_load_test::run(scenario, Path::Both, SEED))
         .map_err(|error| DemoError::LoadTest(error.into()))?;
-    print_results(&played);
-    let counts = &played.end.counts;
+    print_results(&result);
+    let counts = &result.end.counts;
     let ended = counts.on_time + counts.late + counts.refused + counts.failed;
-    Ok(played.end.broken() == 0 && ended == counts.offered)
+    Ok(result.end.broken() == 0 && ended == counts.offered)
 }
 
-/// Prints the responses by path and class, what each upstream saw, and the rules.
-fn print_results(played: &LoadResult) {
-    print_tally(played);
-    print_upstreams(played);
-    print_summary(played);
-    print_rules(played);
+/// Prints the responses by path and class, the counters of each upstream, a summary, and the violations of each rule.
+fn print_results(result: &LoadResult) {
+    print_tally(result);
+    print_upstreams(result);
+    print_summary(result);
+    print_rules(result);
 }
 
-fn print_tally(played: &LoadResult) {
+fn print_tally(result: &LoadResult) {
     println!(
         "\n{:<8} {:<14} {:<8} {:>8}",
         "path", "class", "answer", "requests"
     );
-    for (key, requests) in &played.tally {
+    for (key, requests) in &result.tally {
         println!(
             "{:<8} {:<14} {:<8} {requests:>8}",
             key.transport, key.class, key.result
@@ -78,12 +78,12 @@
     }
 }
 
-fn print_upstreams(played: &LoadResult) {
+fn print_upstreams(result: &LoadResult) {
     println!(
         "\n{:<8} {:>6} {:>6} {:>12}",
         "nodo", "came", "ran", "turned away"
     );
-    for upstream in &played.upstreams {
+    for upstream in &result.upstreams {
         println!(
             "{:<8} {:>6} {:>6} {:>12}",
             upstream.name, upstream.received, upstream.executed, upstream.rejected
@@ -91,8 +91,8 @@
     }
 }
 
-fn print_summary(played: &LoadResult) {
-    let (counts, latency) = (&played.end.counts, &played.end.latency);
+fn print_summary(result: &LoadResult) {
+    let (counts, latency) = (&result.end.counts, &result.end.latency);
     println!(
         "\n{} calls: {} on time, {} late, {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms",
         counts.offered,
@@ -105,8 +105,8 @@
     );
 }
 
-fn print_rules(played: &LoadResult) {
-    for (rule, count) in &played.end.breaches {
+fn print_rules(result: &LoadResult) {
+    for (rule, count) in &result.end.breaches {
         println!(
             "{rule}: {}",
             if *count == 0 {
@@ -116,7 +116,7 @@
             }
         );
     }
-    for breach in &played.end.first_breaches {
+    for breach in &result.end.first_breaches {
         println!("  {}", breach.text);
     }
 }
--- a/crates/demo/src/fleet/tests.rs
+++ b/crates/demo/src/fleet/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the scenario's length.
+//! Tests of the scaling of the scenario.
 
 use super::*;
 
 #[test]
-fn scenario_is_scaled_to_the_length() {
+fn scenario_is_scaled_to_the_duration() {
     let (minute, half) = (scaled_scenario(60).unwrap(), scaled_scenario(30).unwrap());
     assert_eq!(minute.time.seconds(), 60.0);
     assert_eq!(half.time.seconds(), 30.0);
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,8 +1,9 @@
-//! One command that shows the main job: mock upstreams, discovery, the daemon and a plug-in client, all on
-//! loopback, serving mixed traffic. Half-way one nodo dies, and comes back cold. At the end it prints who served
-//! what by each path, and whether the four rules held as far as callers and nodos can tell.
+//! Demonstration of the load balancer: mock upstreams, discovery, the daemon and a plug-in client, all on loopback, under
+//! mixed traffic. Half-way through, one upstream (a "nodo") is killed and later restarts cold. At the end the program
+//! prints the responses by path and class, the requests at each upstream, and whether the four rules of the load balancer
+//! were kept, as far as callers and upstreams can observe.
 //!
-//! `cargo run --release -p woadstall-demo [SECONDS]`
+//! Run it with `cargo run --release -p woadstall-demo [SECONDS]`.
 
 mod error;
 mod fleet;
@@ -15,34 +16,34 @@
 #[command(
     version,
     args_conflicts_with_subcommands = true,
-    about = "A fleet on loopback, fed by the daemon and a plug-in, while a nodo dies and comes back"
+    about = "Load-balances mixed traffic over nodos on loopback, by the daemon and a plug-in, while a nodo fails and restarts"
 )]
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
-    /// How long callers come, in seconds.
+    /// Duration of the traffic, in seconds.
     #[arg(default_value_t = 60, value_parser = clap::value_parser!(u64).range(6..=3600))]
     seconds: u64,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// The whole system instead: three core machines, two fronts, stand-in upstreams and an operator; a configuration changes,
-    /// and a core machine is killed.
+    /// Run the whole system instead: three core machines, two fronts and mock upstreams, while the configuration changes and
+    /// a core machine is killed.
     System,
 }
 
 fn main() -> ExitCode {
-    // The system's processes are this program again.
+    // `system` starts its core machines and fronts as child processes that run this program with other arguments.
     if let Some(code) = woadstall_node::cli::run() {
         return code;
     }
     let arguments = Arguments::parse();
-    let shown = match arguments.command {
-        Some(Command::System) => system::show(),
-        None => fleet::show(arguments.seconds),
+    let result = match arguments.command {
+        Some(Command::System) => system::run(),
+        None => fleet::run(arguments.seconds),
     };
-    match shown {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -1,4 +1,5 @@
-//! The serving system on loopback: bootstrap, a configuration, requests, a change, a killed core machine.
+//! The serving system on loopback: bootstrap, configuration, requests, a change of configuration, and the failure of a core
+//! machine.
 
 use crate::error::DemoError;
 use serde_json::{Value, json};
@@ -6,16 +7,16 @@
 use woadstall_mock_servers::http1::{Message, Reaction, Upstream};
 use woadstall_mock_servers::system::{System, call, response};
 
-/// Requests that are sent in each step.
+/// Number of requests that are sent in each step.
 const REQUESTS_PER_STEP: usize = 40;
 
-/// Steps in which requests are sent.
+/// Number of steps in which requests are sent.
 const STEPS: usize = 4;
 
-/// Fronts that start, and take requests in turn.
+/// Number of fronts, which receive the requests in turn.
 const FRONTS: u8 = 2;
 
-/// Upstreams that register, each at another core machine.
+/// Number of upstreams. Each registers at a different core machine.
 const UPSTREAMS: usize = 3;
 
 fn configuration(generation: u64, timeout_ms: u64) -> Value {
@@ -29,7 +30,7 @@
     })
 }
 
-/// Sends requests to the fronts in turn, and prints how many were served.
+/// Sends the requests of a step to the fronts in turn. Prints and returns how many were served.
 fn send_requests(system: &System, step: &str) -> usize {
     let started = Instant::now();
     let is_served = |number: &usize| {
@@ -46,7 +47,7 @@
     served
 }
 
-/// Starts upstreams and registers each at another core machine.
+/// Starts upstreams and registers each of them at a different core machine.
 fn register_upstreams(system: &System) -> Vec<Upstream> {
     let respond = |request: &Message| Reaction::Respond(response(request, "a draft"));
     let upstreams: Vec<Upstream> = (0..UPSTREAMS).map(|_| Upstream::start(respond)).collect();
@@ -54,7 +55,7 @@
         let name = format!("upstream-{number}");
         system.register(number, &name, "drafts", upstream.address, number);
     }
-    println!("three upstreams are registered, each at another core machine");
+    println!("three upstreams are registered, each at a different core machine");
     upstreams
 }
 
@@ -63,33 +64,33 @@
     let directory = call(system.directory(1), "GET", path, "", b"");
     let directory = directory.map(|response| String::from_utf8_lossy(&response.body).into_owned());
     println!(
-        "the directory of another core machine: {}",
+        "directory entry at core machine 1: {}",
         directory.unwrap_or_default()
     );
 }
 
-/// Shows the system; whether every request was served.
+/// Runs the system. Returns whether every request was served.
 ///
 /// # Errors
 ///
-/// [`DemoError::Io`], if this program is not found, which the system's processes are too.
-pub fn show() -> Result<bool, DemoError> {
+/// [`DemoError::Io`], if the path of this program cannot be determined. The processes of the system run this program.
+pub fn run() -> Result<bool, DemoError> {
     let program = std::env::current_exe()?;
-    println!("three core machines and two fronts start ...");
+    println!("starting three core machines and two fronts ...");
     let mut system = System::start(&program, FRONTS);
     system.configure(0, 0, &configuration(1, 2_000));
-    println!("configuration 1 is in force on both fronts");
+    println!("both fronts have applied configuration 1");
     let _upstreams = register_upstreams(&system);
-    let mut served = send_requests(&system, "a calm moment");
+    let mut served = send_requests(&system, "normal operation");
     system.configure(1, 1, &configuration(2, 3_000));
-    println!("configuration 2, given to another core machine, is in force on both fronts");
-    served += send_requests(&system, "after the change");
+    println!("both fronts have applied configuration 2, which was sent to core machine 1");
+    served += send_requests(&system, "after configuration change");
     system.kill_core(0);
-    served += send_requests(&system, "a core machine is killed");
+    served += send_requests(&system, "core machine 0 killed");
     system.configure(2, 2, &configuration(3, 2_500));
-    println!("configuration 3 is taken and in force without it");
+    println!("both fronts have applied configuration 3 while core machine 0 is down");
     system.start_core(0, false);
-    served += send_requests(&system, "it is back");
+    served += send_requests(&system, "core machine 0 restarted");
     print_directory(&system);
     Ok(served == STEPS * REQUESTS_PER_STEP)
 }
