--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -29,13 +29,13 @@
     Ok(scenario)
 }
 
-/// Runs the scenario for a duration in seconds and prints the results. Returns whether all rules were kept and the outcome
-/// of every call is known.
+/// Runs the scenario for a duration in seconds and prints the results. Returns whether all rules were kept and the
+/// outcome of every call is known.
 ///
 /// # Errors
 ///
-/// [`DemoError::Scenario`], if the scenario is invalid at this duration; [`DemoError::Io`], if the tokio runtime cannot be
-/// started; [`DemoError::LoadTest`], if the load test fails.
+/// [`DemoError::Scenario`], if the scenario is invalid at this duration; [`DemoError::Io`], if the tokio runtime cannot
+/// be started; [`DemoError::LoadTest`], if the load test fails.
 pub fn run(seconds: u64) -> Result<bool, DemoError> {
     let scenario = scaled_scenario(seconds)?;
     let tier = &scenario.tier[0];
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,7 +1,7 @@
-//! Demonstration of the load balancer: mock upstreams, discovery, the daemon and a plug-in client, all on loopback, under
-//! mixed traffic. Half-way through, one upstream (a "nodo") is killed and later restarts cold. At the end the program
-//! prints the responses by path and class, the requests at each upstream, and whether the four rules of the load balancer
-//! were kept, as far as callers and upstreams can observe.
+//! Demonstration of the load balancer: mock upstreams, discovery, the daemon and a plug-in client, all on loopback,
+//! under mixed traffic. Half-way through, one upstream (a "nodo") is killed and later restarts cold. At the end the
+//! program prints the responses by path and class, the requests at each upstream, and whether the four rules of the
+//! load balancer were kept, as far as callers and upstreams can observe.
 //!
 //! Run it with `cargo run --release -p woadstall-demo [SECONDS]`.
 
@@ -28,8 +28,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the whole system instead: three core machines, two fronts and mock upstreams, while the configuration changes and
-    /// a core machine is killed.
+    /// Run the whole system instead: three core machines, two fronts and mock upstreams, while the configuration
+    /// changes and a core machine is killed.
     System,
 }
 
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -1,5 +1,5 @@
-//! The serving system on loopback: bootstrap, configuration, requests, a change of configuration, and the failure of a core
-//! machine.
+//! The serving system on loopback: bootstrap, configuration, requests, a change of configuration, and the failure of a
+//! core machine.
 
 use crate::error::DemoError;
 use serde_json::{Value, json};
--- a/crates/mock-servers/src/grpc.rs
+++ b/crates/mock-servers/src/grpc.rs
@@ -30,7 +30,8 @@
     Stall,
     /// Resets the stream with this error.
     Reset(Reason),
-    /// Sends the message this number of times, the first time at once and then upon each notification; then sends status 0.
+    /// Sends the message this number of times, the first time at once and then upon each notification; then sends
+    /// status 0.
     Stream(Bytes, u32, Arc<Notify>),
     /// Sends one message, and then resets the stream with this error.
     MessageThenReset(Bytes, Reason),
@@ -54,7 +55,8 @@
 }
 
 impl ReceivedCall {
-    /// The caller's remaining time from `grpc-timeout`, in whole milliseconds. Panics if the header is missing or invalid.
+    /// The caller's remaining time from `grpc-timeout`, in whole milliseconds. Panics if the header is missing or
+    /// invalid.
     pub fn time_left_ms(&self) -> u64 {
         let text = self
             .headers
@@ -287,8 +289,8 @@
     .collect()
 }
 
-/// Sends a reply until it is complete or the caller cancels the call. Errors are ignored, because they mean that the caller
-/// has disconnected.
+/// Sends a reply until it is complete or the caller cancels the call. Errors are ignored, because they mean that the
+/// caller has disconnected.
 async fn send_reply(reply: Reply, mut respond: SendResponse<Bytes>) {
     let Some(reply) = wait_for_reply(reply, &mut respond).await else {
         return;
@@ -320,8 +322,8 @@
     }
 }
 
-/// Waits for the notification or time that delays a reply, and returns the inner reply; `None` if the caller cancels the
-/// call meanwhile.
+/// Waits for the notification or time that delays a reply, and returns the inner reply; `None` if the caller cancels
+/// the call meanwhile.
 async fn wait_for_reply(mut reply: Reply, respond: &mut SendResponse<Bytes>) -> Option<Reply> {
     loop {
         reply = match reply {
--- a/crates/mock-servers/src/http1.rs
+++ b/crates/mock-servers/src/http1.rs
@@ -181,8 +181,8 @@
             Reaction::Stall => {}
         }
     }
-    // Dropping the socket does not close the connection if a test is spawning a program at this moment: the child holds an
-    // inherited descriptor until it executes the program.
+    // Dropping the socket does not close the connection if a test is spawning a program at this moment: the child holds
+    // an inherited descriptor until it executes the program.
     output.shutdown(Shutdown::Both).ok();
     event_sender.send(UpstreamEvent::Closed).ok();
 }
@@ -228,8 +228,8 @@
         Self::start_failing("")
     }
 
-    /// Starts a server with an empty list that writes the text `first` in response to the first request and then closes its
-    /// connection. If `first` is empty, the first request is served normally.
+    /// Starts a server with an empty list that writes the text `first` in response to the first request and then closes
+    /// its connection. If `first` is empty, the first request is served normally.
     pub fn start_failing(first: &'static str) -> Self {
         let failed = AtomicBool::new(first.is_empty());
         let state = Arc::new((Mutex::new((1, String::new())), Condvar::new()));
@@ -425,8 +425,8 @@
     }
 }
 
-/// Returns the text of a request of a class (`look`, `pay` or `post`) with a unique id. `budget` is the value of the header
-/// `X-Budget`, in seconds.
+/// Returns the text of a request of a class (`look`, `pay` or `post`) with a unique id. `budget` is the value of the
+/// header `X-Budget`, in seconds.
 pub fn request(class: &str, budget: &str, body: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     named_request(
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,6 +1,6 @@
-//! Mock servers and processes for tests: upstreams over HTTP/1.1, HTTP/2 and gRPC, discovery, callers, and the processes
-//! of the serving system. All of them listen on loopback addresses and free ports. The functions panic if a socket fails,
-//! so that the test reports the failure.
+//! Mock servers and processes for tests: upstreams over HTTP/1.1, HTTP/2 and gRPC, discovery, callers, and the
+//! processes of the serving system. All of them listen on loopback addresses and free ports. The functions panic if a
+//! socket fails, so that the test reports the failure.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/mock-servers/src/simulated_upstream.rs
+++ b/crates/mock-servers/src/simulated_upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream with limited capacity: slots, a queue, a slow start, and an overload limit. It serves HTTP/1.1, HTTP/2 and
-//! gRPC on one port, and can be killed and restarted at the same address.
+//! An upstream with limited capacity: slots, a queue, a slow start, and an overload limit. It serves HTTP/1.1, HTTP/2
+//! and gRPC on one port, and can be killed and restarted at the same address.
 
 use crate::grpc::message;
 use bytes::Bytes;
@@ -32,8 +32,8 @@
     pub start_fraction: f64,
     /// Time over which the capacity grows linearly from `start_fraction` to the full capacity.
     pub slow_start: Duration,
-    /// Overload limit during the slow start, as a multiple of the present capacity. An upstream that receives more requests
-    /// than this within `window` becomes overloaded and rejects all further requests.
+    /// Overload limit during the slow start, as a multiple of the present capacity. An upstream that receives more
+    /// requests than this within `window` becomes overloaded and rejects all further requests.
     pub overload_factor: f64,
     /// Time over which the received requests are counted for `overload_factor`.
     pub window: Duration,
@@ -168,8 +168,8 @@
     })
 }
 
-/// Serves HTTP/1.1 and HTTP/2 on a listener until the returned set of tasks is dropped, which also closes all connections.
-/// An error of `respond` closes the connection of its request.
+/// Serves HTTP/1.1 and HTTP/2 on a listener until the returned set of tasks is dropped, which also closes all
+/// connections. An error of `respond` closes the connection of its request.
 pub fn serve_process<F, A, B, E>(listener: TcpListener, respond: F) -> JoinSet<()>
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
--- a/crates/mock-servers/src/stalled_listener.rs
+++ b/crates/mock-servers/src/stalled_listener.rs
@@ -14,7 +14,8 @@
 /// Number of connections that fill the listener's backlog. It exceeds the number that the backlog holds.
 const BACKLOG_CONNECTIONS: usize = 4;
 
-/// A listener with a full backlog. The kernel drops further SYNs, which the connecting side retransmits after one second.
+/// A listener with a full backlog. The kernel drops further SYNs, which the connecting side retransmits after one
+/// second.
 pub struct StalledListener {
     listener: Socket,
     address: SocketAddr,
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Empties the backlog, and accepts the next connection that the listener did not open itself; `None` if there is none
-    /// within `timeout`.
+    /// Empties the backlog, and accepts the next connection that the listener did not open itself; `None` if there is
+    /// none within `timeout`.
     pub fn accept(&mut self, timeout: Duration) -> Option<TcpStream> {
         let own: Vec<SockAddr> = self
             .backlog
--- a/crates/mock-servers/src/system.rs
+++ b/crates/mock-servers/src/system.rs
@@ -1,5 +1,5 @@
-//! The processes of the serving system on loopback addresses: core machines and fronts, with their settings files and logs,
-//! and an operator's calls.
+//! The processes of the serving system on loopback addresses: core machines and fronts, with their settings files and
+//! logs, and an operator's calls.
 
 use crate::http1::{Message, TEST_TIMEOUT};
 use serde_json::{Map, Value, json};
@@ -39,8 +39,8 @@
     }
 }
 
-/// Distinguishes the addresses of the systems in one test process. Without it, two systems could share an address and both
-/// find the same port free.
+/// Distinguishes the addresses of the systems in one test process. Without it, two systems could share an address and
+/// both find the same port free.
 static NEXT_SUBNET: AtomicU8 = AtomicU8::new(0);
 /// Number of ports of a system: control, directory, front, ready, and the first and last ephemeral port.
 const PORTS: usize = 6;
@@ -298,8 +298,8 @@
             .expect("the front is running")
     }
 
-    /// Sends a configuration to a core machine until it is accepted, and waits until all fronts have applied it. `base` is
-    /// the generation that it replaces.
+    /// Sends a configuration to a core machine until it is accepted, and waits until all fronts have applied it. `base`
+    /// is the generation that it replaces.
     pub fn configure(&self, core: u8, base: u64, configuration: &Value) {
         let headers = format!("If-Match: {base}\r\n");
         let body = configuration.to_string();
@@ -426,8 +426,8 @@
     )
 }
 
-/// Returns the text of an upstream's event stream, one chunk per event. The stream ends properly if `is_complete`, and is
-/// truncated otherwise.
+/// Returns the text of an upstream's event stream, one chunk per event. The stream ends properly if `is_complete`, and
+/// is truncated otherwise.
 pub fn events(request: &Message, events: &[&str], is_complete: bool) -> String {
     let mut text = format!(
         "{}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' file, `deploy/operator.toml`: the settings that operators control, in addition to the configuration that
-//! the platform writes.
+//! The operators' file, `deploy/operator.toml`: the settings that operators control, in addition to the configuration
+//! that the platform writes.
 //!
-//! The file and each of its sections are optional. A file with an unknown key or an invalid value is rejected as a whole,
-//! with a one-line error that names the field.
+//! The file and each of its sections are optional. A file with an unknown key or an invalid value is rejected as a
+//! whole, with a one-line error that names the field.
 
 mod error;
 mod evacuation;
--- a/crates/operator-config/src/plugin.rs
+++ b/crates/operator-config/src/plugin.rs
@@ -21,8 +21,8 @@
     /// HTTP/1.1, 128 times the maximum applies to all upstreams together.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// Class of each method, by the method's path. Calls of other methods are treated as unsafe to run twice, unless the
-    /// caller gives their class or the first segment of their path is the name of a class.
+    /// Class of each method, by the method's path. Calls of other methods are treated as unsafe to run twice, unless
+    /// the caller gives their class or the first segment of their path is the name of a class.
     #[serde(rename = "methods")]
     pub method_classes: BTreeMap<String, String>,
 }
--- a/crates/tower/src/call_classes.rs
+++ b/crates/tower/src/call_classes.rs
@@ -13,8 +13,8 @@
 /// Tenant index of calls whose tenant is not in the settings. These calls have no quota of their own.
 const UNNAMED_TENANT: usize = usize::MAX;
 
-/// The classes of the plug-in, in this order: the classes of the settings, the non-idempotent variant of each of them, and
-/// the class of calls whose class is unknown.
+/// The classes of the plug-in, in this order: the classes of the settings, the non-idempotent variant of each of them,
+/// and the class of calls whose class is unknown.
 pub(crate) struct CallClasses {
     names: Names,
     effects: Vec<Effect>,
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The class named in the [`CallInfo`], or else the class of the method, or else the class named by the first segment
-    /// of the path.
+    /// The class named in the [`CallInfo`], or else the class of the method, or else the class named by the first
+    /// segment of the path.
     fn named_class(&self, head: &Parts, info: &CallInfo) -> Option<usize> {
         if let Some(class) = &info.class {
             return self.names.class(class);
@@ -140,8 +140,8 @@
     }
 }
 
-/// Returns the class of calls whose class is unknown. It has the longest times and the lowest values of all named classes,
-/// and its calls must not run twice.
+/// Returns the class of calls whose class is unknown. It has the longest times and the lowest values of all named
+/// classes, and its calls must not run twice.
 fn unknown_class(named: &[Class]) -> Class {
     let longest = |time: fn(&Class) -> u64| named.iter().map(time).max().unwrap_or(1);
     let least = |value: fn(&Class) -> f64| named.iter().map(value).fold(f64::MAX, f64::min);
--- a/crates/tower/src/call_classes/tests.rs
+++ b/crates/tower/src/call_classes/tests.rs
@@ -32,8 +32,8 @@
 const NON_IDEMPOTENT: usize = 3;
 const UNKNOWN: usize = 6;
 
-/// Guards against a call running twice: only calls of a class that is safe, or keyed and sent with an idempotency key, may
-/// be retried after they may have run.
+/// Guards against a call running twice: only calls of a class that is safe, or keyed and sent with an idempotency key,
+/// may be retried after they may have run.
 #[test]
 fn unknown_calls_are_unsafe() {
     let effects = classes().effects;
--- a/crates/tower/src/call_info.rs
+++ b/crates/tower/src/call_info.rs
@@ -22,8 +22,8 @@
     pub class: Option<String>,
     /// Name of the tenant in the settings; the header `x-caller` by default.
     pub tenant: Option<String>,
-    /// How long the caller waits, at most one hour. The shortest of this, `grpc-timeout` and `x-budget` applies; if none
-    /// of them is given, the deadline of the class applies.
+    /// How long the caller waits, at most one hour. The shortest of this, `grpc-timeout` and `x-budget` applies; if
+    /// none of them is given, the deadline of the class applies.
     pub timeout: Option<Duration>,
     /// Estimated time that a server works on the call; the header `x-call-cost`, in microseconds, by default.
     pub work: Option<Duration>,
--- a/crates/tower/src/inherit_time.rs
+++ b/crates/tower/src/inherit_time.rs
@@ -17,10 +17,10 @@
     DEADLINE.try_with(|deadline| *deadline).ok()
 }
 
-/// A layer for a server, which limits the calls that a request handler makes through a [`crate::Balance`] to the deadline
-/// of the request that it serves. The deadline is read from the headers `grpc-timeout` and `x-budget`; it is one hour if
-/// neither is present, and at most one hour. Only calls made in the task that serves the request inherit the deadline;
-/// calls made in a spawned task do not.
+/// A layer for a server, which limits the calls that a request handler makes through a [`crate::Balance`] to the
+/// deadline of the request that it serves. The deadline is read from the headers `grpc-timeout` and `x-budget`; it is
+/// one hour if neither is present, and at most one hour. Only calls made in the task that serves the request inherit
+/// the deadline; calls made in a spawned task do not.
 ///
 /// ```
 /// # use tower_layer::Layer;
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -15,10 +15,10 @@
 //! # }
 //! ```
 //!
-//! Clones share all state. Dropping the last clone ends the plug-in's two tasks. A call's class, tenant, idempotency key
-//! and timeout are taken from a [`CallInfo`] in the request's extensions, or else from the request's path and headers.
-//! Calls of an unknown method are treated as unsafe to run twice. Only the plug-in retries; no layer below it does so on
-//! its own. `docs/plugin.md` has the tables of outcomes and the reasons for them.
+//! Clones share all state. Dropping the last clone ends the plug-in's two tasks. A call's class, tenant, idempotency
+//! key and timeout are taken from a [`CallInfo`] in the request's extensions, or else from the request's path and
+//! headers. Calls of an unknown method are treated as unsafe to run twice. Only the plug-in retries; no layer below it
+//! does so on its own. `docs/plugin.md` has the tables of outcomes and the reasons for them.
 
 mod builder;
 mod call_classes;
--- a/crates/tower/src/local_response.rs
+++ b/crates/tower/src/local_response.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// The response to a request whose body exceeds the replay limit, which HTTP/1.1 upstreams cannot receive. Nothing was
-    /// sent.
+    /// The response to a request whose body exceeds the replay limit, which HTTP/1.1 upstreams cannot receive. Nothing
+    /// was sent.
     pub(crate) fn body_too_large(self) -> Response<ResponseBody> {
         match self {
             Self::Grpc => trailers_only(
--- a/crates/tower/src/parity_tests.rs
+++ b/crates/tower/src/parity_tests.rs
@@ -13,8 +13,8 @@
 const UPSTREAMS: usize = 9;
 const START: Time = 1_700_000_000_000 * MS;
 
-/// A run of an engine under inputs drawn from a seed: endpoint lists, requests, ends of attempts, drained and terminated
-/// upstreams, disconnecting callers and timers.
+/// A run of an engine under inputs drawn from a seed: endpoint lists, requests, ends of attempts, drained and
+/// terminated upstreams, disconnecting callers and timers.
 struct RandomRun<'a> {
     engine: Engine<u32, u32>,
     names: &'a Names,
--- a/crates/tower/src/service.rs
+++ b/crates/tower/src/service.rs
@@ -43,8 +43,8 @@
         Self(Arc::new(shared))
     }
 
-    /// Applies a list of upstreams from the caller's own source. The list is either complete or contains only the entries
-    /// that changed.
+    /// Applies a list of upstreams from the caller's own source. The list is either complete or contains only the
+    /// entries that changed.
     pub fn update_endpoints(&self, listing: &EndpointList) {
         self.0.load_balancer.list(listing);
     }
@@ -73,8 +73,8 @@
         self.0.load_balancer.transport().open_connections()
     }
 
-    /// Responds to a request that arrived at `arrival`. `inherited` is the deadline of the request that the caller itself
-    /// serves, if known.
+    /// Responds to a request that arrived at `arrival`. `inherited` is the deadline of the request that the caller
+    /// itself serves, if known.
     async fn respond<B>(
         self,
         mut request: Request<B>,
@@ -160,7 +160,8 @@
 
     /// Sends the request. Dropping the future cancels the call; no further attempt is made for it.
     fn call(&mut self, request: Request<B>) -> Self::Future {
-        // The deadline is read here because the returned future may run in another task, without the task-local deadline.
+        // The deadline is read here because the returned future may run in another task, without the task-local
+        // deadline.
         let (balance, arrival, inherited) = (self.clone(), Instant::now(), inherited_deadline());
         Box::pin(async move { Ok(balance.respond(request, arrival, inherited).await) })
     }
--- a/crates/tower/src/timeout/tests.rs
+++ b/crates/tower/src/timeout/tests.rs
@@ -10,8 +10,8 @@
     }
 }
 
-/// Guards against upstreams being given more time than the caller has left: the formatted timeout must be rounded down and
-/// have at most eight digits.
+/// Guards against upstreams being given more time than the caller has left: the formatted timeout must be rounded down
+/// and have at most eight digits.
 #[test]
 fn formatted_timeouts_are_parsed_back() {
     for nanos in [
--- a/crates/tower/src/upstream_transport.rs
+++ b/crates/tower/src/upstream_transport.rs
@@ -11,8 +11,8 @@
 /// The protocol of the connections to upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Protocol {
-    /// HTTP/1.1, with one call at a time per connection. Request and response bodies are buffered completely and limited to
-    /// the replay limit.
+    /// HTTP/1.1, with one call at a time per connection. Request and response bodies are buffered completely and
+    /// limited to the replay limit.
     Http1,
     /// HTTP/2 with prior knowledge, as gRPC uses it.
     #[default]
--- a/crates/tower/tests/grpc.rs
+++ b/crates/tower/tests/grpc.rs
@@ -29,7 +29,8 @@
     }
 }
 
-/// Makes a call whose first attempt receives the reply `first`. Returns the caller's outcome and the number of attempts.
+/// Makes a call whose first attempt receives the reply `first`. Returns the caller's outcome and the number of
+/// attempts.
 async fn call_with_first_reply(path: &str, first: Reply) -> (Outcome, usize) {
     let upstream = GrpcUpstream::start(once(first)).await;
     let balance = balance(&[upstream.address]);
@@ -63,8 +64,8 @@
     }
 }
 
-/// Guards against unsafe calls running twice: after an attempt that may have run, only safe and keyed calls are retried.
-/// Unsafe calls, and calls of an unknown method, fail without advice to retry.
+/// Guards against unsafe calls running twice: after an attempt that may have run, only safe and keyed calls are
+/// retried. Unsafe calls, and calls of an unknown method, fail without advice to retry.
 #[tokio::test]
 async fn unsafe_requests_that_may_have_run_are_not_retried() {
     let rows = [
@@ -109,7 +110,8 @@
     }
 }
 
-/// Guards against unsafe calls running twice when a connection with many streams closes: each of the calls may have run.
+/// Guards against unsafe calls running twice when a connection with many streams closes: each of the calls may have
+/// run.
 #[tokio::test]
 async fn streams_on_a_lost_connection_are_not_retried() {
     let dying = RawHttp2Server::start(30, ScriptedAction::Close);
@@ -238,7 +240,8 @@
         .unwrap();
 }
 
-/// Guards against a graceful GOAWAY being treated as a failure: open streams finish, and later calls use a new connection.
+/// Guards against a graceful GOAWAY being treated as a failure: open streams finish, and later calls use a new
+/// connection.
 #[tokio::test]
 async fn graceful_goaway_loses_no_request() {
     let notify = Arc::new(Notify::new());
@@ -339,8 +342,8 @@
     assert!(upstream.next_call().await.time_left_ms() <= 150);
 }
 
-/// Guards against calls that continue after their caller has dropped them: the stream is reset, and no further attempt is
-/// made.
+/// Guards against calls that continue after their caller has dropped them: the stream is reset, and no further attempt
+/// is made.
 #[tokio::test]
 async fn dropped_call_resets_its_stream() {
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
@@ -433,8 +436,8 @@
     wait_until("the stream is reset", || upstream.in_flight() == 0).await;
 }
 
-/// Guards against calls that wait forever for an upstream that sends headers and then nothing. At the deadline a safe call
-/// is rejected, and an unsafe call fails because it may have run.
+/// Guards against calls that wait forever for an upstream that sends headers and then nothing. At the deadline a safe
+/// call is rejected, and an unsafe call fails because it may have run.
 #[tokio::test]
 async fn headers_without_trailers_time_out() {
     for (path, rejected) in [(LOOK, true), (POST, false)] {
@@ -453,8 +456,8 @@
     }
 }
 
-/// Guards against a retry with a truncated body: a body that exceeds the replay limit or has not been received completely
-/// cannot be sent twice.
+/// Guards against a retry with a truncated body: a body that exceeds the replay limit or has not been received
+/// completely cannot be sent twice.
 #[tokio::test]
 async fn bodies_beyond_the_replay_limit_have_one_attempt() {
     let upstream = GrpcUpstream::start(|_| Reply::Status(14, vec![("x-rejected", "1")])).await;
--- a/crates/tower/tests/tonic.rs
+++ b/crates/tower/tests/tonic.rs
@@ -1,5 +1,5 @@
-//! The plug-in with unmodified third-party clients: a generated tonic client, and hyper-util's client in front of a hyper
-//! server whose service is the plug-in.
+//! The plug-in with unmodified third-party clients: a generated tonic client, and hyper-util's client in front of a
+//! hyper server whose service is the plug-in.
 
 mod common;
 
--- a/crates/transport/src/http1/connection.rs
+++ b/crates/transport/src/http1/connection.rs
@@ -73,9 +73,9 @@
         })
     }
 
-    /// Whether the connection can take a request: nothing has arrived since the last response. On an idle connection the
-    /// next event is normally its close. The kernel is asked, because the runtime may not have reported the close yet and
-    /// a request written to a closed connection would be lost.
+    /// Whether the connection can take a request: nothing has arrived since the last response. On an idle connection
+    /// the next event is normally its close. The kernel is asked, because the runtime may not have reported the close
+    /// yet and a request written to a closed connection would be lost.
     pub fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.stream.has_no_pending_input()
     }
@@ -88,8 +88,8 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Shuts the socket down at once, because the aborted task holds it until the task is scheduled, and the upstream
-        // must see that the attempt was abandoned before another attempt is written.
+        // Shuts the socket down at once, because the aborted task holds it until the task is scheduled, and the
+        // upstream must see that the attempt was abandoned before another attempt is written.
         self.stream.shutdown_write().ok();
         self.task.abort();
         self.counts.open_connections.fetch_sub(1, Ordering::Relaxed);
--- a/crates/transport/src/http1/exchange.rs
+++ b/crates/transport/src/http1/exchange.rs
@@ -15,8 +15,8 @@
 use std::sync::atomic::Ordering;
 use woadstall_runtime::engine::{AttemptEnd, Outcome};
 
-/// Number of bytes of a large response that are received before it is streamed. A broken response that announces a large
-/// body rarely has more bytes than this, and can still be retried as long as none have been passed on.
+/// Number of bytes of a large response that are received before it is streamed. A broken response that announces a
+/// large body rarely has more bytes than this, and can still be retried as long as none have been passed on.
 const STREAMING_THRESHOLD: usize = 4 << 10;
 
 /// The result of an attempt that has ended.
@@ -168,9 +168,9 @@
     head.version < Version::HTTP_11 || connection_options(&head.headers).into_iter().any(is_close)
 }
 
-/// Returns the connection if it can take another request. After a complete response hyper reports it as ready, unless the
-/// upstream closes it. A connection whose response ended before the request was fully written might never become ready and
-/// is closed.
+/// Returns the connection if it can take another request. After a complete response hyper reports it as ready, unless
+/// the upstream closes it. A connection whose response ended before the request was fully written might never become
+/// ready and is closed.
 async fn reusable(mut connection: Connection, keeps_alive: bool) -> Option<Connection> {
     if !connection.progress.written.load(Ordering::Relaxed) {
         return None;
--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -60,8 +60,8 @@
 
 impl Http1 {
     /// Creates a transport without connections. `idle_timeout` is the time after which upstreams may close an idle
-    /// connection; the pool closes it earlier. `max_open` limits the open connections, idle and busy, and `max_body` the
-    /// bytes of a response body.
+    /// connection; the pool closes it earlier. `max_open` limits the open connections, idle and busy, and `max_body`
+    /// the bytes of a response body.
     pub fn new(names: &Names, idle_timeout: Duration, max_open: usize, max_body: usize) -> Self {
         let counts = Arc::<ConnectionCounts>::default();
         let pool = Pool::new(with_margin(idle_timeout), max_open, counts.clone());
@@ -141,9 +141,9 @@
         self.exchange(request, peer, limits, move || attempt.begin())
     }
 
-    /// Sends a request on a pooled connection or a new one and receives its response. `begin` returns how long the caller
-    /// still waits, or `None` if the attempt must not be made. The future is boxed because each future that wraps it would
-    /// otherwise store it twice.
+    /// Sends a request on a pooled connection or a new one and receives its response. `begin` returns how long the
+    /// caller still waits, or `None` if the attempt must not be made. The future is boxed because each future that
+    /// wraps it would otherwise store it twice.
     fn exchange(
         &self,
         mut request: Request<Bytes>,
--- a/crates/transport/src/http1/pool.rs
+++ b/crates/transport/src/http1/pool.rs
@@ -78,20 +78,20 @@
         }
     }
 
-    /// Ends the present epoch of an upstream: closes its idle connections, and keeps its busy connections from returning
-    /// to the pool.
+    /// Ends the present epoch of an upstream: closes its idle connections, and keeps its busy connections from
+    /// returning to the pool.
     pub fn retire(&mut self, server: ServerId) {
         self.upstreams.remove(&server);
     }
 
-    /// Ends the present epochs of all upstreams: closes all idle connections, and keeps the busy ones from returning to the
-    /// pool.
+    /// Ends the present epochs of all upstreams: closes all idle connections, and keeps the busy ones from returning to
+    /// the pool.
     pub fn clear(&mut self) {
         self.upstreams.clear();
     }
 
-    /// Returns the present epoch of the upstream, with the most recently used connection that is usable, or without one if
-    /// a connection may be opened. `None` if there is neither a usable connection nor capacity for a new one.
+    /// Returns the present epoch of the upstream, with the most recently used connection that is usable, or without one
+    /// if a connection may be opened. `None` if there is neither a usable connection nor capacity for a new one.
     pub fn check_out(&mut self, server: ServerId) -> Option<Checkout> {
         let next_epoch = &mut self.next_epoch;
         let pool = self.upstreams.entry(server).or_insert_with(|| {
--- a/crates/transport/src/http2/connection.rs
+++ b/crates/transport/src/http2/connection.rs
@@ -136,9 +136,9 @@
     }
 }
 
-/// Waits for the peer's settings, by means of a ping whose response follows them. Without the settings, the attempts that
-/// wait for a new connection would open more streams than the peer permits. The ping also detects a peer that accepts
-/// connections but does not read from them, before any request is sent.
+/// Waits for the peer's settings, by means of a ping whose response follows them. Without the settings, the attempts
+/// that wait for a new connection would open more streams than the peer permits. The ping also detects a peer that
+/// accepts connections but does not read from them, before any request is sent.
 async fn await_settings(ping_pong: Option<PingPong>) -> io::Result<()> {
     let Some(mut ping_pong) = ping_pong else {
         return Err(io::Error::other("the connection's ping handle is taken"));
--- a/crates/transport/src/http2/mod.rs
+++ b/crates/transport/src/http2/mod.rs
@@ -1,10 +1,10 @@
 //! Connections to upstreams over HTTP/2 with prior knowledge (RFC 9113). Each connection carries many attempts, one per
 //! stream.
 //!
-//! `h2` is used directly instead of through a client that hides streams. Whether the upstream can have executed a request
-//! depends on GOAWAY's last stream id and on REFUSED_STREAM, and a request that waits because of MAX_CONCURRENT_STREAMS
-//! must be known not to have been sent. A stream is opened only if the peer has capacity for it, so no stream waits
-//! inside `h2`.
+//! `h2` is used directly instead of through a client that hides streams. Whether the upstream can have executed a
+//! request depends on GOAWAY's last stream id and on REFUSED_STREAM, and a request that waits because of
+//! MAX_CONCURRENT_STREAMS must be known not to have been sent. A stream is opened only if the peer has capacity for it,
+//! so no stream waits inside `h2`.
 
 mod connection;
 mod pool;
--- a/crates/transport/src/http2/pool.rs
+++ b/crates/transport/src/http2/pool.rs
@@ -78,8 +78,8 @@
         upstreams.entry(server).or_insert_with(new).epoch
     }
 
-    /// Waits for a stream on a connection to a process of an upstream. Has no timeout; the caller must limit the wait. The
-    /// error is the outcome of the attempt.
+    /// Waits for a stream on a connection to a process of an upstream. Has no timeout; the caller must limit the wait.
+    /// The error is the outcome of the attempt.
     pub async fn lease(self: &Arc<Self>, peer: &Peer, epoch: u64) -> Result<StreamLease, Outcome> {
         loop {
             match self.try_lease(peer, epoch) {
@@ -95,8 +95,9 @@
         }
     }
 
-    /// Leases a stream, or returns what to wait for. Starts to open a connection if no open one has capacity. Connections
-    /// to an upstream are opened one at a time, so that many simultaneous attempts do not open one connection each.
+    /// Leases a stream, or returns what to wait for. Starts to open a connection if no open one has capacity.
+    /// Connections to an upstream are opened one at a time, so that many simultaneous attempts do not open one
+    /// connection each.
     fn try_lease(self: &Arc<Self>, peer: &Peer, epoch: u64) -> LeaseAttempt {
         let mut upstreams = lock(&self.upstreams);
         let upstream = upstreams
@@ -124,8 +125,8 @@
         let may_open = upstream.connections.len() < self.limits.max_connections;
         if !upstream.is_connecting && may_open {
             upstream.is_connecting = true;
-            // Runs in its own task because other attempts wait for the connection too, and the caller of this attempt may
-            // disconnect.
+            // Runs in its own task because other attempts wait for the connection too, and the caller of this attempt
+            // may disconnect.
             tokio::spawn(self.clone().connect(*peer, epoch));
         }
         LeaseAttempt::Wait(wait)
--- a/crates/transport/src/outbound_request.rs
+++ b/crates/transport/src/outbound_request.rs
@@ -87,8 +87,8 @@
 }
 
 impl OutboundRequest {
-    /// Buffers up to `limit` bytes of the body, so that a body within the limit can be sent again. Waits for a body whose
-    /// length is known to be within the limit. Of any other body, only the frames that are already available are
+    /// Buffers up to `limit` bytes of the body, so that a body within the limit can be sent again. Waits for a body
+    /// whose length is known to be within the limit. Of any other body, only the frames that are already available are
     /// buffered, because the upstream may respond before the body ends.
     ///
     /// `response_deadline` is the time by which a streamed response body must have ended.
--- a/crates/transport/src/shared_stream.rs
+++ b/crates/transport/src/shared_stream.rs
@@ -28,14 +28,15 @@
         &self.0
     }
 
-    /// Whether the kernel holds neither unread bytes nor the end of the stream or an error. Asks the kernel, because the
-    /// runtime may not have reported the latest readiness yet.
+    /// Whether the kernel holds neither unread bytes nor the end of the stream or an error. Asks the kernel, because
+    /// the runtime may not have reported the latest readiness yet.
     pub fn has_no_pending_input(&self) -> bool {
         let peeked = SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the runtime has reported that the peer closed or reset the connection. Unread bytes may precede the close.
+    /// Whether the runtime has reported that the peer closed or reset the connection. Unread bytes may precede the
+    /// close.
     pub fn is_read_closed(&self) -> bool {
         let cx = &mut Context::from_waker(Waker::noop());
         let ready = pin!(self.0.ready(Interest::READABLE)).poll(cx);
@@ -43,8 +44,8 @@
     }
 
     /// Waits for new input without reading it; input that has already been reported does not count. When reading
-    /// resumes, the bytes left unread must first be read with [`SharedStream::read_now`], since their readiness has been
-    /// cleared.
+    /// resumes, the bytes left unread must first be read with [`SharedStream::read_now`], since their readiness has
+    /// been cleared.
     pub fn poll_new_input(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         // `WouldBlock` makes the runtime clear the recorded readiness.
         let cleared: io::Result<()> = self
