--- a/crates/coordination-simulation/src/checks/lost.rs
+++ b/crates/coordination-simulation/src/checks/lost.rs
@@ -20,12 +20,12 @@
         age_ms: u64,
     },
     /// A watch that resumes at the end shows less than was acknowledged.
-    #[error("a watch was answered up to {}, not {}: {request}", lagging.revision, lagging.acknowledged)]
+    #[error("a watch was answered up to {}, not {}: {request}", lagging_watch.revision, lagging_watch.acknowledged)]
     WatchLags {
         /// What was asked.
         request: String,
         /// How far it lags.
-        lagging: LaggingWatch,
+        lagging_watch: LaggingWatch,
     },
     /// A call at the end was not answered.
     #[error("no answer at the end: {request}")]
@@ -42,12 +42,14 @@
 /// The first violation that is found.
 pub fn check(history: &History) -> Result<(), LostViolation> {
     for operation in &history.operations {
-        let (Some((watch, received_ms)), Some(Response::HistoryCompacted), Some(answered)) =
-            (operation.watch(), operation.response(), &operation.answered)
-        else {
+        let (Some((watch, received_ms)), Some(Response::HistoryCompacted), Some(completion)) = (
+            operation.watch(),
+            operation.response(),
+            &operation.completion,
+        ) else {
             continue;
         };
-        let age_ms = answered.at.at_ms - received_ms;
+        let age_ms = completion.at.at_ms - received_ms;
         if age_ms < HISTORY_MS {
             return Err(LostViolation::HistoryTooShort {
                 group: watch.group.clone(),
@@ -64,8 +66,11 @@
     if call.answered_ms.is_none() {
         return Err(LostViolation::NoAnswer { request });
     }
-    match call.lagging {
-        Some(lagging) => Err(LostViolation::WatchLags { request, lagging }),
+    match call.lagging_watch {
+        Some(lagging_watch) => Err(LostViolation::WatchLags {
+            request,
+            lagging_watch,
+        }),
         None => Ok(()),
     }
 }
--- a/crates/coordination-simulation/src/checks/mixed.rs
+++ b/crates/coordination-simulation/src/checks/mixed.rs
@@ -1,6 +1,6 @@
 //! Values show up only at the key to which they were put, each at one revision.
 
-use super::puts::{keys_by_revision, sightings};
+use super::observed_puts::{keys_by_revision, observed_puts};
 use crate::history::{History, Operation};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -59,19 +59,19 @@
         })
         .collect();
     let mut revisions: BTreeMap<(&str, &str), u64> = BTreeMap::new();
-    for sighting in sightings(history) {
-        let put = (sighting.key, sighting.value);
-        let (key, value) = (sighting.key.to_owned(), sighting.value.to_owned());
+    for observed in observed_puts(history) {
+        let put = (observed.key, observed.value);
+        let (key, value) = (observed.key.to_owned(), observed.value.to_owned());
         if !sent.contains(&put) {
             return Err(MixedViolation::UnknownValue { key, value });
         }
-        let first = *revisions.entry(put).or_insert(sighting.revision);
-        if first != sighting.revision {
+        let first = *revisions.entry(put).or_insert(observed.revision);
+        if first != observed.revision {
             return Err(MixedViolation::TwoRevisions {
                 key,
                 value,
                 first,
-                second: sighting.revision,
+                second: observed.revision,
             });
         }
     }
@@ -79,7 +79,7 @@
 }
 
 fn check_conflicts(history: &History) -> Result<(), MixedViolation> {
-    let groups = keys_by_revision(&sightings(history));
+    let groups = keys_by_revision(&observed_puts(history));
     let unclear: BTreeSet<&str> = keys_with_unclear_puts(history);
     for (operation, _, outcome) in history.executed() {
         let (Some(Command::Put { key, .. }), Outcome::RevisionConflict { current }) =
@@ -107,7 +107,10 @@
 /// The keys with puts that may or may not have taken effect.
 fn keys_with_unclear_puts(history: &History) -> BTreeSet<&str> {
     let is_unclear = |operation: &&Operation| {
-        let answer = operation.answered.as_ref().map(|answered| &answered.answer);
+        let answer = operation
+            .completion
+            .as_ref()
+            .map(|completion| &completion.answer);
         answer.is_none_or(|answer| answer.outcome().is_none() && !answer.is_rejection())
     };
     let unclear = history.operations.iter().filter(is_unclear);
--- a/crates/coordination-simulation/src/checks/mod.rs
+++ b/crates/coordination-simulation/src/checks/mod.rs
@@ -3,9 +3,9 @@
 
 mod lost;
 mod mixed;
+mod observed_puts;
 mod one;
 mod order;
-mod puts;
 mod refused;
 mod stale;
 
@@ -16,7 +16,7 @@
 pub use refused::RefusedViolation;
 pub use stale::StaleViolation;
 
-use crate::cluster::Disagreement;
+use crate::cluster::StateDivergence;
 use crate::history::History;
 use thiserror::Error;
 
@@ -43,7 +43,7 @@
     Lost(#[from] LostViolation),
     /// Two machines have come to different states.
     #[error(transparent)]
-    Disagreement(#[from] Disagreement),
+    StateDivergence(#[from] StateDivergence),
 }
 
 /// Checks all promises.
--- a/crates/coordination-simulation/src/checks/puts.rs
+++ b/crates/coordination-simulation/src/checks/observed_puts.rs
@@ -1,6 +1,6 @@
 //! The puts that a history shows to have taken effect.
 
-use crate::history::{History, Moment};
+use crate::history::{History, Timestamp};
 use std::collections::BTreeMap;
 use woadstall_coordination::command::{Command, Query, group_of};
 use woadstall_coordination::machine::Response;
@@ -8,27 +8,27 @@
 
 /// A value with its revision, as a client was told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Sighting<'a> {
+pub(super) struct ObservedPut<'a> {
     pub key: &'a str,
     pub value: &'a str,
     pub revision: u64,
     /// When the client was told.
-    pub at: Moment,
+    pub at: Timestamp,
 }
 
 /// All that clients were told by acknowledged puts, reads and watches.
-pub(super) fn sightings(history: &History) -> Vec<Sighting<'_>> {
-    let mut sightings = Vec::new();
+pub(super) fn observed_puts(history: &History) -> Vec<ObservedPut<'_>> {
+    let mut observed_puts = Vec::new();
     for operation in &history.operations {
-        let Some(answered) = &operation.answered else {
+        let Some(completion) = &operation.completion else {
             continue;
         };
-        let at = answered.at;
+        let at = completion.at;
         match operation.response() {
             Some(Response::Executed(Outcome::Put { revision })) => {
                 if let Some(Command::Put { key, value, .. }) = operation.command() {
                     let revision = *revision;
-                    sightings.push(Sighting {
+                    observed_puts.push(ObservedPut {
                         key,
                         value,
                         revision,
@@ -39,7 +39,7 @@
             Some(Response::Executed(Outcome::Value { value, revision })) => {
                 if let Some(Query::Get { key }) = operation.query() {
                     let revision = *revision;
-                    sightings.push(Sighting {
+                    observed_puts.push(ObservedPut {
                         key,
                         value,
                         revision,
@@ -48,7 +48,7 @@
                 }
             }
             Some(Response::Events(found)) => {
-                sightings.extend(found.events.iter().map(|event| Sighting {
+                observed_puts.extend(found.events.iter().map(|event| ObservedPut {
                     key: &event.key,
                     value: &event.value,
                     revision: event.revision,
@@ -58,17 +58,17 @@
             _ => {}
         }
     }
-    sightings
+    observed_puts
 }
 
 /// The keys that were put, by group and revision.
 pub(super) fn keys_by_revision<'a>(
-    sightings: &[Sighting<'a>],
+    observed_puts: &[ObservedPut<'a>],
 ) -> BTreeMap<&'a str, BTreeMap<u64, &'a str>> {
     let mut groups: BTreeMap<&str, BTreeMap<u64, &str>> = BTreeMap::new();
-    for sighting in sightings {
-        let group = groups.entry(group_of(sighting.key)).or_default();
-        group.insert(sighting.revision, sighting.key);
+    for observed in observed_puts {
+        let group = groups.entry(group_of(observed.key)).or_default();
+        group.insert(observed.revision, observed.key);
     }
     groups
 }
--- a/crates/coordination-simulation/src/checks/one.rs
+++ b/crates/coordination-simulation/src/checks/one.rs
@@ -1,6 +1,6 @@
 //! At most one holder of a lock, with a fencing token greater than those of all holders before.
 
-use crate::history::{Claim, History, Moment};
+use crate::history::{History, LeaseInterval, Timestamp};
 use std::collections::BTreeMap;
 use thiserror::Error;
 use woadstall_coordination::command::Command;
@@ -11,29 +11,29 @@
 pub enum OneViolation {
     /// Two callers regard a lock as theirs.
     #[error("two callers hold a lock at a time: {first:?} and {second:?}")]
-    TwoHolders {
-        /// The claim that began first.
-        first: Box<Claim>,
+    OverlappingLeases {
+        /// The interval that began first.
+        first: Box<LeaseInterval>,
         /// The other one.
-        second: Box<Claim>,
+        second: Box<LeaseInterval>,
     },
     /// A token is not greater than that of another holder, which was known before the call.
-    #[error("lock {lock}: {holder} got token {token} after {former_holder} had {former_token}")]
-    TokenNotRising {
+    #[error("lock {lock}: {owner} got token {token} after {previous_owner} had {previous_token}")]
+    TokenNotIncreasing {
         /// The lock.
         lock: String,
         /// The later holder.
-        holder: String,
+        owner: String,
         /// Its token.
         token: u64,
         /// The earlier holder.
-        former_holder: String,
+        previous_owner: String,
         /// Its token.
-        former_token: u64,
+        previous_token: u64,
     },
     /// Two holders got the same token.
     #[error("lock {lock}: {first} and {second} both got token {token}")]
-    SameToken {
+    DuplicateToken {
         /// The lock.
         lock: String,
         /// A holder.
@@ -48,10 +48,10 @@
 /// A lock that was acquired.
 #[derive(Clone, Copy, Debug)]
 struct Grant<'a> {
-    holder: &'a str,
+    owner: &'a str,
     token: u64,
-    called: Moment,
-    known: Moment,
+    invoked_at: Timestamp,
+    completed_at: Timestamp,
 }
 
 /// Checks the claims and the fencing tokens of a history.
@@ -60,29 +60,32 @@
 ///
 /// The first violation that is found.
 pub fn check(history: &History) -> Result<(), OneViolation> {
-    check_claims(&history.claims)?;
+    check_lease_intervals(&history.lease_intervals)?;
     for (lock, grants) in grants_by_lock(history) {
         check_tokens(lock, &grants)?;
     }
     Ok(())
 }
 
-fn check_claims(claims: &[Claim]) -> Result<(), OneViolation> {
-    let mut by_lock: BTreeMap<&str, Vec<&Claim>> = BTreeMap::new();
-    for claim in claims.iter().filter(|claim| claim.from_ms < claim.until_ms) {
-        by_lock.entry(&claim.lock).or_default().push(claim);
+fn check_lease_intervals(lease_intervals: &[LeaseInterval]) -> Result<(), OneViolation> {
+    let mut by_lock: BTreeMap<&str, Vec<&LeaseInterval>> = BTreeMap::new();
+    for interval in lease_intervals
+        .iter()
+        .filter(|interval| interval.start_ms < interval.end_ms)
+    {
+        by_lock.entry(&interval.lock).or_default().push(interval);
     }
-    for claims in by_lock.values_mut() {
-        claims.sort_by_key(|claim| claim.from_ms);
-        for (number, first) in claims.iter().enumerate() {
-            let overlapping = claims[number + 1..]
+    for lease_intervals in by_lock.values_mut() {
+        lease_intervals.sort_by_key(|interval| interval.start_ms);
+        for (number, first) in lease_intervals.iter().enumerate() {
+            let overlapping = lease_intervals[number + 1..]
                 .iter()
-                .take_while(|second| second.from_ms < first.until_ms);
+                .take_while(|second| second.start_ms < first.end_ms);
             if let Some(second) = overlapping
                 .into_iter()
-                .find(|second| second.holder != first.holder)
+                .find(|second| second.owner != first.owner)
             {
-                return Err(OneViolation::TwoHolders {
+                return Err(OneViolation::OverlappingLeases {
                     first: Box::new((*first).clone()),
                     second: Box::new((*second).clone()),
                 });
@@ -94,17 +97,17 @@
 
 fn grants_by_lock(history: &History) -> BTreeMap<&str, Vec<Grant<'_>>> {
     let mut by_lock: BTreeMap<&str, Vec<Grant<'_>>> = BTreeMap::new();
-    for (operation, known, outcome) in history.executed() {
+    for (operation, completed_at, outcome) in history.executed() {
         if let (
             Some(Command::AcquireLock { lock, owner, .. }),
             Outcome::LockAcquired { fencing_token },
         ) = (operation.command(), outcome)
         {
             by_lock.entry(lock).or_default().push(Grant {
-                holder: owner,
+                owner,
                 token: *fencing_token,
-                called: operation.called,
-                known,
+                invoked_at: operation.invoked_at,
+                completed_at,
             });
         }
     }
@@ -113,22 +116,22 @@
 
 fn check_tokens(lock: &str, grants: &[Grant<'_>]) -> Result<(), OneViolation> {
     for second in grants {
-        for first in grants.iter().filter(|first| first.holder != second.holder) {
+        for first in grants.iter().filter(|first| first.owner != second.owner) {
             if first.token == second.token {
-                return Err(OneViolation::SameToken {
+                return Err(OneViolation::DuplicateToken {
                     lock: lock.to_owned(),
-                    first: first.holder.to_owned(),
-                    second: second.holder.to_owned(),
+                    first: first.owner.to_owned(),
+                    second: second.owner.to_owned(),
                     token: first.token,
                 });
             }
-            if first.known < second.called && first.token > second.token {
-                return Err(OneViolation::TokenNotRising {
+            if first.completed_at < second.invoked_at && first.token > second.token {
+                return Err(OneViolation::TokenNotIncreasing {
                     lock: lock.to_owned(),
-                    holder: second.holder.to_owned(),
+                    owner: second.owner.to_owned(),
                     token: second.token,
-                    former_holder: first.holder.to_owned(),
-                    former_token: first.token,
+                    previous_owner: first.owner.to_owned(),
+                    previous_token: first.token,
                 });
             }
         }
--- a/crates/coordination-simulation/src/checks/order.rs
+++ b/crates/coordination-simulation/src/checks/order.rs
@@ -1,7 +1,7 @@
 //! Numbers and revisions rise, and watches show all puts in their order.
 
-use super::puts::{keys_by_revision, sightings};
-use crate::history::{History, Moment};
+use super::observed_puts::{keys_by_revision, observed_puts};
+use crate::history::{History, Timestamp};
 use std::collections::BTreeMap;
 use thiserror::Error;
 use woadstall_coordination::command::{Command, group_of};
@@ -14,25 +14,25 @@
 pub enum OrderViolation {
     /// A number was given out twice.
     #[error("sequence {sequence}: {value} was given out twice")]
-    NumberTwice {
+    DuplicateNumber {
         /// The sequence.
         sequence: String,
         /// The number.
         value: u64,
     },
     /// A number is not greater than one that was known before the call.
-    #[error("sequence {sequence}: {value} came after {former}")]
-    NumberNotRising {
+    #[error("sequence {sequence}: {value} came after {previous}")]
+    NumberNotIncreasing {
         /// The sequence.
         sequence: String,
         /// The later number.
         value: u64,
         /// The earlier number.
-        former: u64,
+        previous: u64,
     },
     /// A revision was given to two puts.
     #[error("group {group}: revision {revision} was given to {first:.60} and to {second:.60}")]
-    RevisionTwice {
+    DuplicateRevision {
         /// The group.
         group: String,
         /// The revision.
@@ -43,17 +43,17 @@
         second: String,
     },
     /// A revision is not greater than one that was known before the put was first sent.
-    #[error("group {group}: revision {revision} came after {former}")]
-    RevisionNotRising {
+    #[error("group {group}: revision {revision} came after {previous}")]
+    RevisionNotIncreasing {
         /// The group.
         group: String,
         /// The later revision.
         revision: u64,
         /// The earlier revision.
-        former: u64,
+        previous: u64,
     },
     /// A conditional put has replaced another revision than the one required.
-    #[error("key {key}: a put on top of revision {required} became {revision}, over {between}")]
+    #[error("key {key}: a put on top of revision {required} became {revision}, over {replaced}")]
     ConditionIgnored {
         /// The key.
         key: String,
@@ -62,11 +62,11 @@
         /// The revision that it got.
         revision: u64,
         /// The revision that it has replaced.
-        between: u64,
+        replaced: u64,
     },
     /// The events of a watch do not rise, or lie outside its span.
     #[error("group {group}: the events of a watch after {after} do not rise: {revisions:?}")]
-    EventsNotRising {
+    EventsOutOfOrder {
         /// The group.
         group: String,
         /// The revision after which the watch begins.
@@ -103,54 +103,57 @@
 
 /// A number or a revision that was given out.
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct Assigned {
     value: u64,
-    called: Moment,
-    known: Moment,
+    invoked_at: Timestamp,
+    known: Timestamp,
 }
 
 /// The first one that is not greater than one known before its call, with the latter.
-fn first_not_rising(given: &mut [Given]) -> Option<(u64, u64)> {
-    given.sort_by_key(|given| given.value);
+fn first_not_rising(assigned: &mut [Assigned]) -> Option<(u64, u64)> {
+    assigned.sort_by_key(|assigned| assigned.value);
     // From the greatest to the smallest: the earliest moment at which a greater one was known.
-    let mut earliest: Option<Given> = None;
-    for given in given.iter().rev() {
+    let mut earliest: Option<Assigned> = None;
+    for assigned in assigned.iter().rev() {
         if let Some(greater) = earliest
-            && greater.known < given.called
+            && greater.known < assigned.invoked_at
         {
-            return Some((given.value, greater.value));
+            return Some((assigned.value, greater.value));
         }
-        if earliest.is_none_or(|earliest| given.known < earliest.known) {
-            earliest = Some(*given);
+        if earliest.is_none_or(|earliest| assigned.known < earliest.known) {
+            earliest = Some(*assigned);
         }
     }
     None
 }
 
 fn check_numbers(history: &History) -> Result<(), OrderViolation> {
-    let mut sequences: BTreeMap<&str, Vec<Given>> = BTreeMap::new();
+    let mut sequences: BTreeMap<&str, Vec<Assigned>> = BTreeMap::new();
     for (operation, known, outcome) in history.executed() {
         if let (Some(Command::NextNumber { sequence }), Outcome::Number { value }) =
             (operation.command(), outcome)
         {
-            let (value, called) = (*value, operation.called);
-            sequences.entry(sequence).or_default().push(Given {
+            let (value, invoked_at) = (*value, operation.invoked_at);
+            sequences.entry(sequence).or_default().push(Assigned {
                 value,
-                called,
+                invoked_at,
                 known,
             });
         }
     }
-    for (sequence, mut given) in sequences {
-        if let Some((value, former)) = first_not_rising(&mut given) {
-            return Err(OrderViolation::NumberNotRising {
+    for (sequence, mut assigned) in sequences {
+        if let Some((value, previous)) = first_not_rising(&mut assigned) {
+            return Err(OrderViolation::NumberNotIncreasing {
                 sequence: sequence.to_owned(),
                 value,
-                former,
+                previous,
             });
         }
-        if let Some(pair) = given.windows(2).find(|pair| pair[0].value == pair[1].value) {
-            return Err(OrderViolation::NumberTwice {
+        if let Some(pair) = assigned
+            .windows(2)
+            .find(|pair| pair[0].value == pair[1].value)
+        {
+            return Err(OrderViolation::DuplicateNumber {
                 sequence: sequence.to_owned(),
                 value: pair[0].value,
             });
@@ -161,14 +164,14 @@
 
 fn check_revisions_once(history: &History) -> Result<(), OrderViolation> {
     let mut puts: BTreeMap<(&str, u64), (&str, &str)> = BTreeMap::new();
-    for sighting in sightings(history) {
-        let group = group_of(sighting.key);
-        let put = (sighting.key, sighting.value);
-        let known = *puts.entry((group, sighting.revision)).or_insert(put);
+    for observed in observed_puts(history) {
+        let group = group_of(observed.key);
+        let put = (observed.key, observed.value);
+        let known = *puts.entry((group, observed.revision)).or_insert(put);
         if known != put {
-            return Err(OrderViolation::RevisionTwice {
+            return Err(OrderViolation::DuplicateRevision {
                 group: group.to_owned(),
-                revision: sighting.revision,
+                revision: observed.revision,
                 first: format!("{}={}", known.0, known.1),
                 second: format!("{}={}", put.0, put.1),
             });
@@ -178,32 +181,34 @@
 }
 
 fn check_revisions_rise(history: &History) -> Result<(), OrderViolation> {
-    let mut first_calls: BTreeMap<(&str, &str), Moment> = BTreeMap::new();
+    let mut first_calls: BTreeMap<(&str, &str), Timestamp> = BTreeMap::new();
     for operation in &history.operations {
         if let Some(Command::Put { key, value, .. }) = operation.command() {
-            first_calls.entry((key, value)).or_insert(operation.called);
+            first_calls
+                .entry((key, value))
+                .or_insert(operation.invoked_at);
         }
     }
-    let mut groups: BTreeMap<&str, Vec<Given>> = BTreeMap::new();
-    for sighting in sightings(history) {
-        let Some(called) = first_calls.get(&(sighting.key, sighting.value)) else {
+    let mut groups: BTreeMap<&str, Vec<Assigned>> = BTreeMap::new();
+    for observed in observed_puts(history) {
+        let Some(invoked_at) = first_calls.get(&(observed.key, observed.value)) else {
             continue;
         };
         groups
-            .entry(group_of(sighting.key))
+            .entry(group_of(observed.key))
             .or_default()
-            .push(Given {
-                value: sighting.revision,
-                called: *called,
-                known: sighting.at,
+            .push(Assigned {
+                value: observed.revision,
+                invoked_at: *invoked_at,
+                known: observed.at,
             });
     }
-    for (group, mut given) in groups {
-        if let Some((revision, former)) = first_not_rising(&mut given) {
-            return Err(OrderViolation::RevisionNotRising {
+    for (group, mut assigned) in groups {
+        if let Some((revision, previous)) = first_not_rising(&mut assigned) {
+            return Err(OrderViolation::RevisionNotIncreasing {
                 group: group.to_owned(),
                 revision,
-                former,
+                previous,
             });
         }
     }
@@ -212,11 +217,11 @@
 
 fn check_conditions(history: &History) -> Result<(), OrderViolation> {
     let mut revisions: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
-    for sighting in sightings(history) {
+    for observed in observed_puts(history) {
         revisions
-            .entry(sighting.key)
+            .entry(observed.key)
             .or_default()
-            .push(sighting.revision);
+            .push(observed.revision);
     }
     for (operation, _, outcome) in history.executed() {
         let (
@@ -231,13 +236,13 @@
             continue;
         };
         let known = revisions.get(&**key).into_iter().flatten();
-        let mut between = known.filter(|known| *required < **known && **known < *revision);
-        if let Some(between) = between.next() {
+        let mut replaced = known.filter(|known| *required < **known && **known < *revision);
+        if let Some(replaced) = replaced.next() {
             return Err(OrderViolation::ConditionIgnored {
                 key: key.clone(),
                 required: *required,
                 revision: *revision,
-                between: *between,
+                replaced: *replaced,
             });
         }
     }
@@ -245,7 +250,7 @@
 }
 
 fn check_watches(history: &History) -> Result<(), OrderViolation> {
-    let groups = keys_by_revision(&sightings(history));
+    let groups = keys_by_revision(&observed_puts(history));
     for operation in &history.operations {
         let (Some((watch, _)), Some(Response::Events(found))) =
             (operation.watch(), operation.response())
@@ -253,13 +258,13 @@
             continue;
         };
         if watch.after > 0 {
-            check_span(&watch.group, watch.after, found, groups.get(&*watch.group))?;
+            check_watch_events(&watch.group, watch.after, found, groups.get(&*watch.group))?;
         }
     }
     Ok(())
 }
 
-fn check_span(
+fn check_watch_events(
     group: &str,
     after: u64,
     found: &GroupEvents,
@@ -271,15 +276,15 @@
         .iter()
         .all(|revision| after < *revision && *revision <= found.revision);
     if !is_rising || !is_inside || found.revision < after {
-        return Err(OrderViolation::EventsNotRising {
+        return Err(OrderViolation::EventsOutOfOrder {
             group: group.to_owned(),
             after,
             revisions,
         });
     }
     let known = puts.into_iter().flat_map(|puts| puts.keys());
-    let mut in_span = known.filter(|revision| after < **revision && **revision <= found.revision);
-    match in_span.find(|revision| !revisions.contains(revision)) {
+    let mut expected = known.filter(|revision| after < **revision && **revision <= found.revision);
+    match expected.find(|revision| !revisions.contains(revision)) {
         Some(revision) => Err(OrderViolation::EventSkipped {
             group: group.to_owned(),
             after,
--- a/crates/coordination-simulation/src/checks/refused.rs
+++ b/crates/coordination-simulation/src/checks/refused.rs
@@ -1,6 +1,6 @@
 //! What was rejected has not taken effect and never does.
 
-use super::puts::sightings;
+use super::observed_puts::observed_puts;
 use crate::history::History;
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -30,17 +30,17 @@
     let mut is_rejected: BTreeMap<(&str, &str), bool> = BTreeMap::new();
     for operation in &history.operations {
         if let Some(Command::Put { key, value, .. }) = operation.command() {
-            let answered = operation.answered.as_ref();
-            let rejected = answered.is_some_and(|answered| answered.answer.is_rejection());
+            let completion = operation.completion.as_ref();
+            let rejected = completion.is_some_and(|completion| completion.answer.is_rejection());
             *is_rejected.entry((key, value)).or_insert(true) &= rejected;
         }
     }
-    for sighting in sightings(history) {
-        if is_rejected.get(&(sighting.key, sighting.value)) == Some(&true) {
+    for observed in observed_puts(history) {
+        if is_rejected.get(&(observed.key, observed.value)) == Some(&true) {
             return Err(RefusedViolation {
-                key: sighting.key.to_owned(),
-                value: sighting.value.to_owned(),
-                revision: sighting.revision,
+                key: observed.key.to_owned(),
+                value: observed.value.to_owned(),
+                revision: observed.revision,
             });
         }
     }
--- a/crates/coordination-simulation/src/checks/stale.rs
+++ b/crates/coordination-simulation/src/checks/stale.rs
@@ -1,6 +1,6 @@
 //! A read shows at least what was acknowledged before it was sent.
 
-use crate::history::{History, Moment};
+use crate::history::{History, Timestamp};
 use std::collections::BTreeMap;
 use thiserror::Error;
 use woadstall_coordination::command::{Command, Query};
@@ -24,7 +24,7 @@
 ///
 /// The first stale read that is found.
 pub fn check(history: &History) -> Result<(), StaleViolation> {
-    let mut acknowledged: BTreeMap<&str, Vec<(Moment, u64)>> = BTreeMap::new();
+    let mut acknowledged: BTreeMap<&str, Vec<(Timestamp, u64)>> = BTreeMap::new();
     for (operation, at, outcome) in history.executed() {
         if let (Some(Command::Put { key, .. }), Outcome::Put { revision }) =
             (operation.command(), outcome)
@@ -41,7 +41,7 @@
             _ => 0,
         };
         let puts = acknowledged.get(&**key).into_iter().flatten();
-        let before = puts.filter(|(at, _)| *at < operation.called);
+        let before = puts.filter(|(at, _)| *at < operation.invoked_at);
         let newest = before.map(|(_, revision)| *revision).max();
         if let Some(acknowledged) = newest.filter(|newest| *newest > revision) {
             return Err(StaleViolation {
--- a/crates/coordination-simulation/src/clients/final_caller.rs
+++ b/crates/coordination-simulation/src/clients/final_client.rs
@@ -20,7 +20,7 @@
 
 /// The client.
 #[derive(Clone, Debug)]
-pub struct FinalCaller {
+pub struct FinalClient {
     request: Request,
     goal: FinalGoal,
     node: NodeIndex,
@@ -28,14 +28,14 @@
     number: usize,
 }
 
-impl FinalCaller {
+impl FinalClient {
     /// Adds a client that calls this machine first, and its place in the history.
     pub fn add(cluster: &mut Cluster, request: Request, goal: FinalGoal, node: NodeIndex) {
         let number = cluster.history.final_calls.len();
         cluster.history.final_calls.push(FinalCall {
             request: format!("{request:?} {goal:?}"),
             answered_ms: None,
-            lagging: None,
+            lagging_watch: None,
         });
         let client = Self {
             request,
@@ -47,7 +47,7 @@
     }
 
     /// How far an answer lags behind what was acknowledged, if it does.
-    fn lagging(&self, answer: &Answer) -> Option<LaggingWatch> {
+    fn lagging_watch(&self, answer: &Answer) -> Option<LaggingWatch> {
         let (FinalGoal::EventsUpTo(acknowledged), Answer::Response(Response::Events(found))) =
             (self.goal, answer)
         else {
@@ -85,25 +85,25 @@
     }
 }
 
-impl Client for FinalCaller {
-    fn on_wake(&mut self, context: &mut ClientContext<'_>) {
+impl Client for FinalClient {
+    fn on_timer(&mut self, context: &mut ClientContext<'_>) {
         context.call(self.node, self.request.clone());
     }
 
     fn on_answer(&mut self, context: &mut ClientContext<'_>, _: OperationId, answer: &Answer) {
         let now_ms = context.now_ms();
-        let lagging = self.lagging(answer);
+        let lagging_watch = self.lagging_watch(answer);
         let is_done = self.is_done(now_ms, answer);
         let call = &mut context.cluster.history.final_calls[self.number];
-        call.lagging = call.lagging.or(lagging);
+        call.lagging_watch = call.lagging_watch.or(lagging_watch);
         if is_done {
             call.answered_ms = Some(now_ms);
             return;
         }
         let is_progress = matches!(answer, Answer::Response(Response::Events(_)));
         if !is_progress {
-            self.node = context.another_node(self.node);
+            self.node = context.random_other_node(self.node);
         }
-        context.wake_in(RETRY_MS);
+        context.set_timer(RETRY_MS);
     }
 }
--- a/crates/coordination-simulation/src/clients/key_caller.rs
+++ b/crates/coordination-simulation/src/clients/key_client.rs
@@ -28,7 +28,7 @@
 
 /// The client.
 #[derive(Clone, Debug)]
-pub struct KeyCaller {
+pub struct KeyClient {
     name: String,
     keys: Vec<String>,
     node: NodeIndex,
@@ -40,7 +40,7 @@
     values: u64,
 }
 
-impl KeyCaller {
+impl KeyClient {
     /// A client that calls this machine first. Its name is part of its values.
     pub fn new(name: String, keys: Vec<String>, node: NodeIndex) -> Self {
         Self {
@@ -103,8 +103,8 @@
     }
 }
 
-impl Client for KeyCaller {
-    fn on_wake(&mut self, context: &mut ClientContext<'_>) {
+impl Client for KeyClient {
+    fn on_timer(&mut self, context: &mut ClientContext<'_>) {
         let call = self.next_call(context);
         context.call(self.node, Request::Call(call));
     }
@@ -116,10 +116,10 @@
         if let Some(outcome) = answer.outcome() {
             self.learn_revision(outcome);
             let pause_ms = context.cluster.random.u64(PAUSE_MS);
-            context.wake_in(pause_ms);
+            context.set_timer(pause_ms);
         } else {
-            self.node = context.another_node(self.node);
-            context.wake_in(RETRY_MS);
+            self.node = context.random_other_node(self.node);
+            context.set_timer(RETRY_MS);
         }
     }
 }
--- a/crates/coordination-simulation/src/clients/mod.rs
+++ b/crates/coordination-simulation/src/clients/mod.rs
@@ -1,16 +1,16 @@
 //! Clients, which behave as the users' applications do.
 
-mod final_caller;
-mod key_caller;
-mod lock_caller;
-mod number_caller;
-mod watcher;
+mod final_client;
+mod key_client;
+mod lock_client;
+mod sequence_client;
+mod watch_client;
 
-pub use final_caller::{FinalCaller, FinalGoal};
-pub use key_caller::KeyCaller;
-pub use lock_caller::{HoldStyle, LockCaller};
-pub use number_caller::NumberCaller;
-pub use watcher::{SavedRevision, SavedRevisions, Watcher};
+pub use final_client::{FinalClient, FinalGoal};
+pub use key_client::KeyClient;
+pub use lock_client::{LeaseUsage, LockClient};
+pub use sequence_client::SequenceClient;
+pub use watch_client::{SavedRevision, SavedRevisions, WatchClient};
 
 use crate::cluster::ClientContext;
 use crate::history::{Answer, OperationId};
@@ -21,7 +21,7 @@
 /// A client.
 pub trait Client {
     /// Its timer has ended.
-    fn on_wake(&mut self, context: &mut ClientContext<'_>);
+    fn on_timer(&mut self, context: &mut ClientContext<'_>);
 
     /// An operation is answered, or its time is over.
     fn on_answer(
--- a/crates/coordination-simulation/src/clients/number_caller.rs
+++ b/crates/coordination-simulation/src/clients/sequence_client.rs
@@ -12,20 +12,20 @@
 
 /// The client.
 #[derive(Clone, Debug)]
-pub struct NumberCaller {
+pub struct SequenceClient {
     sequence: String,
     node: NodeIndex,
 }
 
-impl NumberCaller {
+impl SequenceClient {
     /// A client that calls this machine first.
     pub fn new(sequence: String, node: NodeIndex) -> Self {
         Self { sequence, node }
     }
 }
 
-impl Client for NumberCaller {
-    fn on_wake(&mut self, context: &mut ClientContext<'_>) {
+impl Client for SequenceClient {
+    fn on_timer(&mut self, context: &mut ClientContext<'_>) {
         let sequence = self.sequence.clone();
         let call = Call::Command(Command::NextNumber { sequence });
         context.call(self.node, Request::Call(call));
@@ -34,10 +34,10 @@
     fn on_answer(&mut self, context: &mut ClientContext<'_>, _: OperationId, answer: &Answer) {
         if answer.outcome().is_some() {
             let pause_ms = context.cluster.random.u64(PAUSE_MS);
-            context.wake_in(pause_ms);
+            context.set_timer(pause_ms);
         } else {
-            self.node = context.another_node(self.node);
-            context.wake_in(RETRY_MS);
+            self.node = context.random_other_node(self.node);
+            context.set_timer(RETRY_MS);
         }
     }
 }
--- a/crates/coordination-simulation/src/clients/watcher.rs
+++ b/crates/coordination-simulation/src/clients/watch_client.rs
@@ -27,7 +27,7 @@
 
 /// The client.
 #[derive(Clone, Debug)]
-pub struct Watcher {
+pub struct WatchClient {
     group: String,
     node: NodeIndex,
     after: u64,
@@ -35,7 +35,7 @@
     saved: SavedRevisions,
 }
 
-impl Watcher {
+impl WatchClient {
     /// A client that asks this machine first.
     pub fn new(group: String, node: NodeIndex, saved: SavedRevisions) -> Self {
         Self {
@@ -58,8 +58,8 @@
     }
 }
 
-impl Client for Watcher {
-    fn on_wake(&mut self, context: &mut ClientContext<'_>) {
+impl Client for WatchClient {
+    fn on_timer(&mut self, context: &mut ClientContext<'_>) {
         let watch = WatchRequest {
             group: self.group.clone(),
             after: self.after,
@@ -75,7 +75,7 @@
             Answer::Response(Response::Events(found)) => {
                 self.save(context.now_ms(), found.revision);
                 if context.cluster.random.u8(..10) == 0 {
-                    self.node = context.another_node(self.node);
+                    self.node = context.random_other_node(self.node);
                 }
                 if found.revision == 0 {
                     pause_ms = RETRY_MS;
@@ -83,10 +83,10 @@
             }
             Answer::Response(Response::HistoryCompacted) => self.after = 0,
             _ => {
-                self.node = context.another_node(self.node);
+                self.node = context.random_other_node(self.node);
                 pause_ms = RETRY_MS;
             }
         }
-        context.wake_in(pause_ms);
+        context.set_timer(pause_ms);
     }
 }
--- a/crates/coordination-simulation/src/cluster/actions.rs
+++ b/crates/coordination-simulation/src/cluster/actions.rs
@@ -65,7 +65,7 @@
                 let operation = usize::try_from(token).unwrap_or(usize::MAX);
                 self.send_answer(operation, Answer::Response(response));
             }
-            Action::Log(event) => self.note(Some(node), event.to_string()),
+            Action::Log(event) => self.log_event(Some(node), event.to_string()),
         }
     }
 
--- a/crates/coordination-simulation/src/cluster/callers.rs
+++ b/crates/coordination-simulation/src/cluster/client_access.rs
@@ -53,7 +53,7 @@
     }
 
     /// Wakes the client after some milliseconds, and not at the time that it asked for before.
-    pub fn wake_in(&mut self, delay_ms: u64) {
+    pub fn set_timer(&mut self, delay_ms: u64) {
         let client = self.client;
         let slot = &mut self.cluster.clients[client];
         slot.last_wake += 1;
@@ -63,16 +63,19 @@
     }
 
     /// A machine other than this one, by chance.
-    pub fn another_node(&mut self, node: NodeIndex) -> NodeIndex {
-        let mut others = self.cluster.present();
+    pub fn random_other_node(&mut self, node: NodeIndex) -> NodeIndex {
+        let mut others = self.cluster.present_nodes();
         others.retain(|other| *other != node);
         self.cluster.random.choice(others).unwrap_or(node)
     }
 
     /// A machine by chance.
     pub fn any_node(&mut self) -> NodeIndex {
-        let present = self.cluster.present();
-        self.cluster.random.choice(present).unwrap_or_default()
+        let present_nodes = self.cluster.present_nodes();
+        self.cluster
+            .random
+            .choice(present_nodes)
+            .unwrap_or_default()
     }
 }
 
@@ -85,12 +88,12 @@
         });
         let client = self.clients.len() - 1;
         let cluster = self;
-        ClientContext { cluster, client }.wake_in(delay_ms);
+        ClientContext { cluster, client }.set_timer(delay_ms);
         client
     }
 
     /// All clients end; what they wait for does not concern them any more.
-    pub fn end_clients(&mut self) {
+    pub fn stop_clients(&mut self) {
         for slot in &mut self.clients {
             slot.client = None;
         }
@@ -111,14 +114,14 @@
 
     pub(super) fn wake(&mut self, client: ClientId, number: u64) {
         if self.clients[client].last_wake == number {
-            self.with_client(client, |client, context| client.on_wake(context));
+            self.with_client(client, |client, context| client.on_timer(context));
         }
     }
 
     /// A request arrives at a process.
     pub(super) fn submit(&mut self, operation: OperationId) {
-        let called = &self.history.operations[operation];
-        let (node, request) = (called.node, called.request.clone());
+        let submitted = &self.history.operations[operation];
+        let (node, request) = (submitted.node, submitted.request.clone());
         if self.nodes[node].is_shutting_down {
             self.send_answer(operation, Answer::Response(Response::NotExecuted));
             return;
--- a/crates/coordination-simulation/src/cluster/agreement.rs
+++ b/crates/coordination-simulation/src/cluster/divergence.rs
@@ -9,7 +9,7 @@
 /// Two machines have different states at one position of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("nodes {first} and {second} have different states at position {index} of the log")]
-pub struct Disagreement {
+pub struct StateDivergence {
     /// The position.
     pub index: u64,
     /// The node that had applied it first.
@@ -23,7 +23,7 @@
 pub(super) struct AppliedStates {
     by_index: BTreeMap<u64, (NodeIndex, u64)>,
     /// The first disagreement.
-    pub disagreement: Option<Disagreement>,
+    pub divergence: Option<StateDivergence>,
 }
 
 impl AppliedStates {
@@ -34,7 +34,7 @@
         let hash = hasher.finish();
         let (first, known) = *self.by_index.entry(index).or_insert((second, hash));
         if known != hash {
-            self.disagreement.get_or_insert(Disagreement {
+            self.divergence.get_or_insert(StateDivergence {
                 index,
                 first,
                 second,
--- a/crates/coordination-simulation/src/cluster/faults.rs
+++ b/crates/coordination-simulation/src/cluster/faults.rs
@@ -15,7 +15,7 @@
 impl Cluster {
     /// Kills a process, which starts again some milliseconds later; what it has not synced is lost.
     pub fn kill(&mut self, node: NodeIndex, down_ms: u64) {
-        self.note(Some(node), format!("fault kill for {down_ms}"));
+        self.log_event(Some(node), format!("fault kill for {down_ms}"));
         self.end(node, 0);
         self.schedule(down_ms, Event::Start { node });
     }
@@ -23,7 +23,7 @@
     /// A node loses power, and starts again some milliseconds later; any part of what was not synced
     /// is lost.
     pub fn lose_power(&mut self, node: NodeIndex, down_ms: u64) {
-        self.note(Some(node), format!("fault power for {down_ms}"));
+        self.log_event(Some(node), format!("fault power for {down_ms}"));
         let started = self.random.usize(..=self.nodes[node].disk.queued());
         self.end(node, started);
         self.schedule(down_ms, Event::Start { node });
@@ -31,7 +31,7 @@
 
     /// A node loses its disk, and starts again with an empty one and under a new identity.
     pub fn lose_disk(&mut self, node: NodeIndex, down_ms: u64) {
-        self.note(Some(node), format!("fault disk lost for {down_ms}"));
+        self.log_event(Some(node), format!("fault disk lost for {down_ms}"));
         self.end(node, 0);
         self.nodes[node].disk = SimulatedDisk::new(self.empty_disk_state());
         self.schedule(down_ms, Event::Start { node });
@@ -45,7 +45,7 @@
 
     /// Replaces a machine by an empty one at another address, which starts some milliseconds later.
     pub fn replace(&mut self, node: NodeIndex, down_ms: u64) {
-        self.note(Some(node), format!("fault replace for {down_ms}"));
+        self.log_event(Some(node), format!("fault replace for {down_ms}"));
         self.end(node, 0);
         self.nodes[node].is_present = false;
         let initial = self.empty_disk_state();
@@ -68,7 +68,7 @@
         if self.nodes[node].process.is_none() || self.is_frozen(node) {
             return;
         }
-        self.note(Some(node), format!("fault shutdown for {down_ms}"));
+        self.log_event(Some(node), format!("fault shutdown for {down_ms}"));
         self.nodes[node].is_shutting_down = true;
         self.call(node, |process, now| process.begin_shutdown(now));
         let incarnation = self.nodes[node].incarnation;
@@ -81,7 +81,7 @@
         if self.nodes[node].process.is_none() {
             return;
         }
-        self.note(Some(node), format!("fault freeze for {duration_ms}"));
+        self.log_event(Some(node), format!("fault freeze for {duration_ms}"));
         let until_ms = self.now_ms + duration_ms;
         let host = &mut self.nodes[node];
         host.frozen_until_ms = host.frozen_until_ms.max(until_ms);
@@ -91,7 +91,7 @@
 
     /// A disk syncs nothing for some milliseconds.
     pub fn stall_disk(&mut self, node: NodeIndex, duration_ms: u64) {
-        self.note(Some(node), format!("fault disk stall for {duration_ms}"));
+        self.log_event(Some(node), format!("fault disk stall for {duration_ms}"));
         let until_ms = self.now_ms + duration_ms;
         let disk = &mut self.nodes[node].disk;
         disk.stalled_until_ms = disk.stalled_until_ms.max(until_ms);
@@ -99,7 +99,7 @@
 
     /// The connections of a node break; packets on their way may arrive late.
     pub fn reset_connections(&mut self, node: NodeIndex) {
-        self.note(Some(node), "fault connections reset".to_owned());
+        self.log_event(Some(node), "fault connections reset".to_owned());
         for other in 0..self.nodes.len() {
             for (from, to) in [(node, other), (other, node)] {
                 self.reset_connection(Link { from, to });
@@ -109,7 +109,7 @@
 
     /// All faults end, and all processes run.
     pub fn clear_faults(&mut self) {
-        self.note(None, "all faults end".to_owned());
+        self.log_event(None, "all faults end".to_owned());
         self.heal();
         for node in 0..self.nodes.len() {
             self.nodes[node].disk.clear_faults();
--- a/crates/coordination-simulation/src/cluster/lifecycle.rs
+++ b/crates/coordination-simulation/src/cluster/lifecycle.rs
@@ -33,7 +33,7 @@
         let incarnation = host.incarnation;
         let phase_ms = self.random.u64(..TICK_MS);
         self.schedule(phase_ms, Event::Tick { node, incarnation });
-        self.note(Some(node), format!("process started seed={seed}"));
+        self.log_event(Some(node), format!("process started seed={seed}"));
         self.carry_out_actions(node);
     }
 
@@ -62,8 +62,8 @@
     }
 
     pub(super) fn known_addresses(&self) -> Vec<String> {
-        let present = self.present().into_iter();
-        present
+        let present_nodes = self.present_nodes().into_iter();
+        present_nodes
             .map(|node| self.nodes[node].address.clone())
             .collect()
     }
@@ -96,7 +96,7 @@
     fn disconnect_clients(&mut self, node: NodeIndex) {
         let operations = self.history.operations.iter().enumerate();
         let waiting = operations
-            .filter(|(_, operation)| operation.node == node && operation.answered.is_none());
+            .filter(|(_, operation)| operation.node == node && operation.completion.is_none());
         let waiting: Vec<OperationId> = waiting.map(|(number, _)| number).collect();
         for operation in waiting {
             self.send_answer(operation, Answer::Disconnected);
--- a/crates/coordination-simulation/src/cluster/mod.rs
+++ b/crates/coordination-simulation/src/cluster/mod.rs
@@ -2,8 +2,8 @@
 //! time.
 
 mod actions;
-mod agreement;
-mod callers;
+mod client_access;
+mod divergence;
 mod event;
 mod faults;
 mod lifecycle;
@@ -11,13 +11,13 @@
 mod partitions;
 mod time;
 
-pub use agreement::Disagreement;
-pub use callers::ClientContext;
+pub use client_access::ClientContext;
+pub use divergence::StateDivergence;
 pub use partitions::Direction;
 
 use crate::clients::Client;
 use crate::history::History;
-use agreement::AppliedStates;
+use divergence::AppliedStates;
 use event::Event;
 use node::Node;
 use partitions::Partition;
@@ -125,7 +125,7 @@
     }
 
     /// The nodes that were not removed.
-    pub fn present(&self) -> Vec<NodeIndex> {
+    pub fn present_nodes(&self) -> Vec<NodeIndex> {
         let nodes = 0..self.nodes.len();
         nodes.filter(|node| self.nodes[*node].is_present).collect()
     }
@@ -147,20 +147,20 @@
             replica.is_leader().then(|| replica.term())
         };
         let leaders = self
-            .present()
+            .present_nodes()
             .into_iter()
             .filter(|node| term(node).is_some());
         leaders.max_by_key(term)
     }
 
     /// Two states of different content at one position of the log, if there were any.
-    pub fn disagreement(&self) -> Option<&Disagreement> {
-        self.applied_states.disagreement.as_ref()
+    pub fn divergence(&self) -> Option<&StateDivergence> {
+        self.applied_states.divergence.as_ref()
     }
 
     /// Whether committed entries survive for certain when these nodes lose their disks: at least a
     /// quorum's complement of the voters keeps theirs.
-    pub fn may_lose_disks(&self, lost: &[NodeIndex]) -> bool {
+    pub fn can_lose_disks(&self, lost: &[NodeIndex]) -> bool {
         let keeps = |member: &Member| {
             let nodes = self.nodes.iter().enumerate();
             let mut kept = nodes.filter(|(node, _)| !lost.contains(node));
@@ -198,7 +198,7 @@
         ))
     }
 
-    fn note(&mut self, node: Option<NodeIndex>, text: String) {
+    fn log_event(&mut self, node: Option<NodeIndex>, text: String) {
         let at_ms = self.now_ms;
         self.log.push(LogRecord { at_ms, node, text });
     }
--- a/crates/coordination-simulation/src/cluster/partitions.rs
+++ b/crates/coordination-simulation/src/cluster/partitions.rs
@@ -26,7 +26,7 @@
 impl Cluster {
     /// Parts some nodes from all others for some milliseconds.
     pub fn partition(&mut self, nodes: &[NodeIndex], direction: Direction, duration_ms: u64) {
-        self.note(
+        self.log_event(
             None,
             format!("fault partition {nodes:?} {direction:?} for {duration_ms}"),
         );
--- a/crates/coordination-simulation/src/history.rs
+++ b/crates/coordination-simulation/src/history.rs
@@ -12,7 +12,7 @@
 
 /// A point in the course of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment {
+pub struct Timestamp {
     /// The time in milliseconds.
     pub at_ms: u64,
     /// The position among all that was recorded: orders moments of the same time.
@@ -67,9 +67,9 @@
 
 /// An answer, and when it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct Completion {
     /// When.
-    pub at: Moment,
+    pub at: Timestamp,
     /// The answer.
     pub answer: Answer,
 }
@@ -84,16 +84,16 @@
     /// What is asked.
     pub request: Request,
     /// When.
-    pub called: Moment,
+    pub invoked_at: Timestamp,
     /// The answer; `None` if the client no longer waits, or the simulation has ended.
-    pub answered: Option<Answered>,
+    pub completion: Option<Completion>,
 }
 
 impl Operation {
     /// The outcome, if it was executed, and when the client knew it.
-    pub fn outcome(&self) -> Option<(Moment, &Outcome)> {
-        let answered = self.answered.as_ref()?;
-        Some((answered.at, answered.answer.outcome()?))
+    pub fn outcome(&self) -> Option<(Timestamp, &Outcome)> {
+        let completion = self.completion.as_ref()?;
+        Some((completion.at, completion.answer.outcome()?))
     }
 
     /// The command, if it is one.
@@ -122,7 +122,7 @@
 
     /// The response, if there was one.
     pub fn response(&self) -> Option<&Response> {
-        match &self.answered.as_ref()?.answer {
+        match &self.completion.as_ref()?.answer {
             Answer::Response(response) => Some(response),
             Answer::Disconnected | Answer::TimedOut => None,
         }
@@ -131,17 +131,17 @@
 
 /// A time in which a caller regards a lock as its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct LeaseInterval {
     /// The lock.
     pub lock: String,
     /// The caller's name.
-    pub holder: String,
+    pub owner: String,
     /// The fencing token.
     pub fencing_token: u64,
     /// From when on, in milliseconds.
-    pub from_ms: u64,
+    pub start_ms: u64,
     /// Until when, in milliseconds, that moment not included.
-    pub until_ms: u64,
+    pub end_ms: u64,
 }
 
 /// A call that has to be answered at the end of a simulation.
@@ -152,7 +152,7 @@
     /// When it was answered, in milliseconds.
     pub answered_ms: Option<u64>,
     /// The first answer of a watch that lags behind what was acknowledged.
-    pub lagging: Option<LaggingWatch>,
+    pub lagging_watch: Option<LaggingWatch>,
 }
 
 /// A watch was answered with events up to a revision, although a greater one was acknowledged.
@@ -170,17 +170,17 @@
     /// Their operations, in the order of the calls.
     pub operations: Vec<Operation>,
     /// Their claims on locks.
-    pub claims: Vec<Claim>,
+    pub lease_intervals: Vec<LeaseInterval>,
     /// The calls at the end.
     pub final_calls: Vec<FinalCall>,
     recorded: u64,
 }
 
 impl History {
-    fn moment(&mut self, at_ms: u64) -> Moment {
+    fn next_timestamp(&mut self, at_ms: u64) -> Timestamp {
         self.recorded += 1;
         let order = self.recorded;
-        Moment { at_ms, order }
+        Timestamp { at_ms, order }
     }
 
     /// A client calls a machine.
@@ -191,28 +191,28 @@
         node: NodeIndex,
         request: Request,
     ) -> OperationId {
-        let called = self.moment(at_ms);
+        let invoked_at = self.next_timestamp(at_ms);
         self.operations.push(Operation {
             client,
             node,
             request,
-            called,
-            answered: None,
+            invoked_at,
+            completion: None,
         });
         self.operations.len() - 1
     }
 
     /// A client gets an answer. Returns whether it is the first one.
     pub fn answer(&mut self, at_ms: u64, operation: OperationId, answer: Answer) -> bool {
-        let at = self.moment(at_ms);
-        let answered = &mut self.operations[operation].answered;
-        let is_first = answered.is_none();
-        answered.get_or_insert(Answered { at, answer });
+        let at = self.next_timestamp(at_ms);
+        let completion = &mut self.operations[operation].completion;
+        let is_first = completion.is_none();
+        completion.get_or_insert(Completion { at, answer });
         is_first
     }
 
     /// The operations that were executed, with their outcomes and when these were known.
-    pub fn executed(&self) -> impl Iterator<Item = (&Operation, Moment, &Outcome)> {
+    pub fn executed(&self) -> impl Iterator<Item = (&Operation, Timestamp, &Outcome)> {
         self.operations.iter().filter_map(|operation| {
             let (at, outcome) = operation.outcome()?;
             Some((operation, at, outcome))
--- a/crates/coordination-simulation/src/scenario/faults.rs
+++ b/crates/coordination-simulation/src/scenario/faults.rs
@@ -53,14 +53,14 @@
     };
 
     fn faults(self) -> Vec<Fault> {
-        let kinds = [
+        let fault_kinds = [
             (
                 self.process_ends,
                 &[Fault::Kill, Fault::ShutDown, Fault::KillAll][..],
             ),
             (
                 self.power_losses,
-                &[Fault::LosePower, Fault::LosePower, Fault::LosePowerOfAll],
+                &[Fault::LosePower, Fault::LosePower, Fault::LosePowerOnAll],
             ),
             (
                 self.freezes,
@@ -71,15 +71,15 @@
                 &[
                     Fault::Isolate,
                     Fault::IsolateLeader,
-                    Fault::PartRegion,
-                    Fault::PartPair,
+                    Fault::PartitionRegion,
+                    Fault::PartitionPair,
                     Fault::ResetConnections,
                 ],
             ),
-            (self.stalls, &[Fault::StallDisk, Fault::StallDiskOfLeader]),
+            (self.stalls, &[Fault::StallDisk, Fault::StallLeaderDisk]),
             (self.disk_losses, &[Fault::LoseDisk, Fault::Replace]),
         ];
-        let wanted = kinds.into_iter().filter(|(is_wanted, _)| *is_wanted);
+        let wanted = fault_kinds.into_iter().filter(|(is_wanted, _)| *is_wanted);
         wanted
             .flat_map(|(_, faults)| faults.iter().copied())
             .collect()
@@ -94,24 +94,24 @@
     KillAll,
     ShutDown,
     LosePower,
-    LosePowerOfAll,
+    LosePowerOnAll,
     Freeze,
     FreezeLeader,
     Isolate,
     IsolateLeader,
-    PartRegion,
-    PartPair,
+    PartitionRegion,
+    PartitionPair,
     ResetConnections,
     StallDisk,
-    StallDiskOfLeader,
+    StallLeaderDisk,
     LoseDisk,
     Replace,
 }
 
 /// Lets some milliseconds pass in which faults strike.
-pub(super) fn strike(cluster: &mut Cluster, kinds: FaultKinds, duration_ms: u64) {
+pub(super) fn inject(cluster: &mut Cluster, fault_kinds: FaultKinds, duration_ms: u64) {
     let end_ms = cluster.now_ms + duration_ms;
-    let faults = kinds.faults();
+    let faults = fault_kinds.faults();
     if !faults.is_empty() {
         let number = cluster.random.usize(FAULTS);
         let random = &mut cluster.random;
@@ -122,7 +122,7 @@
             let wait_ms = (start_ms + time_ms) - cluster.now_ms;
             cluster.run(wait_ms);
             if let Some(fault) = cluster.random.choice(&faults).copied() {
-                fault.strike(cluster);
+                fault.inject(cluster);
             }
         }
     }
@@ -130,46 +130,57 @@
 }
 
 impl Fault {
-    fn strike(self, cluster: &mut Cluster) {
-        let present = cluster.present();
-        let node = cluster.random.choice(&present).copied().unwrap_or_default();
+    fn inject(self, cluster: &mut Cluster) {
+        let present_nodes = cluster.present_nodes();
+        let node = cluster
+            .random
+            .choice(&present_nodes)
+            .copied()
+            .unwrap_or_default();
         let leader = cluster.leader().unwrap_or(node);
         let duration_ms = cluster.random.u64(DURATION_MS);
         let down_ms = cluster.random.u64(DOWN_MS);
         match self {
             Self::Kill => cluster.kill(node, down_ms),
-            Self::KillAll => present.iter().for_each(|node| cluster.kill(*node, down_ms)),
+            Self::KillAll => present_nodes
+                .iter()
+                .for_each(|node| cluster.kill(*node, down_ms)),
             Self::ShutDown => cluster.shut_down(node, down_ms),
             Self::LosePower => cluster.lose_power(node, down_ms),
-            Self::LosePowerOfAll => {
-                let nodes = present.iter();
+            Self::LosePowerOnAll => {
+                let nodes = present_nodes.iter();
                 nodes.for_each(|node| cluster.lose_power(*node, down_ms));
             }
             Self::Freeze => cluster.freeze(node, duration_ms),
             Self::FreezeLeader => cluster.freeze(leader, duration_ms),
-            Self::Isolate => part(cluster, &[node], duration_ms),
-            Self::IsolateLeader => part(cluster, &[leader], duration_ms),
-            Self::PartRegion => {
+            Self::Isolate => partition_randomly(cluster, &[node], duration_ms),
+            Self::IsolateLeader => partition_randomly(cluster, &[leader], duration_ms),
+            Self::PartitionRegion => {
                 let region = cluster.region(node);
                 let in_region = |node: &NodeIndex| cluster.region(*node) == region;
-                let nodes: Vec<NodeIndex> = present.iter().copied().filter(in_region).collect();
-                part(cluster, &nodes, duration_ms);
+                let nodes: Vec<NodeIndex> =
+                    present_nodes.iter().copied().filter(in_region).collect();
+                partition_randomly(cluster, &nodes, duration_ms);
             }
-            Self::PartPair => {
-                let other = cluster.random.choice(&present).copied().unwrap_or(node);
-                part(cluster, &[node, other], duration_ms);
+            Self::PartitionPair => {
+                let other = cluster
+                    .random
+                    .choice(&present_nodes)
+                    .copied()
+                    .unwrap_or(node);
+                partition_randomly(cluster, &[node, other], duration_ms);
             }
             Self::ResetConnections => cluster.reset_connections(node),
             Self::StallDisk => cluster.stall_disk(node, duration_ms),
-            Self::StallDiskOfLeader => cluster.stall_disk(leader, duration_ms),
-            Self::LoseDisk if cluster.may_lose_disks(&[node]) => cluster.lose_disk(node, down_ms),
-            Self::Replace if cluster.may_lose_disks(&[node]) => cluster.replace(node, down_ms),
+            Self::StallLeaderDisk => cluster.stall_disk(leader, duration_ms),
+            Self::LoseDisk if cluster.can_lose_disks(&[node]) => cluster.lose_disk(node, down_ms),
+            Self::Replace if cluster.can_lose_disks(&[node]) => cluster.replace(node, down_ms),
             Self::LoseDisk | Self::Replace => cluster.lose_power(node, down_ms),
         }
     }
 }
 
-fn part(cluster: &mut Cluster, nodes: &[NodeIndex], duration_ms: u64) {
+fn partition_randomly(cluster: &mut Cluster, nodes: &[NodeIndex], duration_ms: u64) {
     let directions = [Direction::Inbound, Direction::Outbound, Direction::Both];
     let direction = cluster.random.choice(directions).unwrap_or(Direction::Both);
     cluster.partition(nodes, direction, duration_ms);
--- a/crates/coordination-simulation/src/scenario/ending.rs
+++ b/crates/coordination-simulation/src/scenario/final_phase.rs
@@ -3,7 +3,7 @@
 
 use super::faults::FaultKinds;
 use super::workload::{groups, keys, locks, sequences};
-use crate::clients::{FinalCaller, FinalGoal, SavedRevision};
+use crate::clients::{FinalClient, FinalGoal, SavedRevision};
 use crate::cluster::{Cluster, HISTORY_MS};
 use crate::history::Request;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 /// How long the final watches wait, in milliseconds.
 const WAIT_MS: u64 = 1_000;
 /// The lease of the final acquisitions, in milliseconds.
-const HOLD_MS: u64 = 2_000;
+const LEASE_MS: u64 = 2_000;
 /// The disks that are lost at a time.
 const LOST_DISKS: usize = 2;
 /// How long to wait for an acknowledgement after which the final fault strikes, in milliseconds.
@@ -25,49 +25,51 @@
 
 /// How a scenario ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum FinalFault {
     /// All faults end.
-    Calm,
+    NoFault,
     /// All processes are killed.
     KillAll,
     /// All machines lose power.
-    LosePowerOfAll,
+    LosePowerOnAll,
     /// Two disks are lost, and all other machines lose power at the same time.
     LoseTwoDisks,
 }
 
-impl Ending {
+impl FinalFault {
     /// One by chance, of those that belong to the kinds of faults.
-    pub(super) fn draw(random: &mut fastrand::Rng, kinds: FaultKinds) -> Self {
+    pub(super) fn draw(random: &mut fastrand::Rng, fault_kinds: FaultKinds) -> Self {
         let endings = [
-            (true, Self::Calm),
-            (kinds.process_ends, Self::KillAll),
-            (kinds.power_losses, Self::LosePowerOfAll),
-            (kinds.disk_losses, Self::LoseTwoDisks),
-            (kinds.disk_losses, Self::LoseTwoDisks),
+            (true, Self::NoFault),
+            (fault_kinds.process_ends, Self::KillAll),
+            (fault_kinds.power_losses, Self::LosePowerOnAll),
+            (fault_kinds.disk_losses, Self::LoseTwoDisks),
+            (fault_kinds.disk_losses, Self::LoseTwoDisks),
         ];
         let possible = endings.into_iter().filter(|(is_possible, _)| *is_possible);
-        let possible: Vec<Self> = possible.map(|(_, ending)| ending).collect();
-        random.choice(possible).unwrap_or(Self::Calm)
+        let possible: Vec<Self> = possible.map(|(_, final_fault)| final_fault).collect();
+        random.choice(possible).unwrap_or(Self::NoFault)
     }
 }
 
 /// Ends the clients and all faults, and strikes with the final one right after an acknowledgement.
 /// Returns the ending; disks are kept where more were lost before than the group bears.
-pub(super) fn strike(cluster: &mut Cluster, ending: Ending) -> Ending {
-    if ending != Ending::Calm {
+pub(super) fn inject(cluster: &mut Cluster, final_fault: FinalFault) -> FinalFault {
+    if final_fault != FinalFault::NoFault {
         wait_for_acknowledgement(cluster);
     }
-    cluster.end_clients();
+    cluster.stop_clients();
     cluster.clear_faults();
-    let present = cluster.present();
-    match ending {
-        Ending::Calm => {}
-        Ending::KillAll => present.iter().for_each(|node| cluster.kill(*node, DOWN_MS)),
-        Ending::LosePowerOfAll => lose_power(cluster, &present),
-        Ending::LoseTwoDisks => {
-            let lost = disks_to_lose(cluster, &present);
-            let others: Vec<NodeIndex> = present
+    let present_nodes = cluster.present_nodes();
+    match final_fault {
+        FinalFault::NoFault => {}
+        FinalFault::KillAll => present_nodes
+            .iter()
+            .for_each(|node| cluster.kill(*node, DOWN_MS)),
+        FinalFault::LosePowerOnAll => lose_power(cluster, &present_nodes),
+        FinalFault::LoseTwoDisks => {
+            let lost = disks_to_lose(cluster, &present_nodes);
+            let others: Vec<NodeIndex> = present_nodes
                 .iter()
                 .copied()
                 .filter(|node| !lost.contains(node))
@@ -76,11 +78,11 @@
             lost.iter()
                 .for_each(|node| cluster.lose_disk(*node, DOWN_MS));
             if lost.is_empty() {
-                return Ending::LosePowerOfAll;
+                return FinalFault::LosePowerOnAll;
             }
         }
     }
-    ending
+    final_fault
 }
 
 fn lose_power(cluster: &mut Cluster, nodes: &[NodeIndex]) {
@@ -89,11 +91,11 @@
 }
 
 /// Two disks that the group can lose now, or none.
-fn disks_to_lose(cluster: &mut Cluster, present: &[NodeIndex]) -> Vec<NodeIndex> {
-    let mut nodes = present.to_vec();
+fn disks_to_lose(cluster: &mut Cluster, present_nodes: &[NodeIndex]) -> Vec<NodeIndex> {
+    let mut nodes = present_nodes.to_vec();
     cluster.random.shuffle(&mut nodes);
     nodes.truncate(LOST_DISKS);
-    if cluster.may_lose_disks(&nodes) {
+    if cluster.can_lose_disks(&nodes) {
         nodes
     } else {
         Vec::new()
@@ -121,7 +123,7 @@
         let call = Call::Command(Command::AcquireLock {
             lock,
             owner: "final".to_owned(),
-            lease_ms: HOLD_MS,
+            lease_ms: LEASE_MS,
         });
         add(cluster, Request::Call(call), FinalGoal::Executed);
     }
@@ -166,7 +168,7 @@
 }
 
 fn add(cluster: &mut Cluster, request: Request, goal: FinalGoal) {
-    let present = cluster.present();
-    let node = cluster.random.choice(present).unwrap_or_default();
-    FinalCaller::add(cluster, request, goal, node);
+    let present_nodes = cluster.present_nodes();
+    let node = cluster.random.choice(present_nodes).unwrap_or_default();
+    FinalClient::add(cluster, request, goal, node);
 }
--- a/crates/coordination-simulation/src/scenario/mod.rs
+++ b/crates/coordination-simulation/src/scenario/mod.rs
@@ -1,12 +1,12 @@
 //! Scenarios: clients and faults that are drawn from a seed, and a final phase in which everything
 //! must be answered.
 
-mod ending;
 mod faults;
+mod final_phase;
 mod workload;
 
-pub use ending::Ending;
 pub use faults::{Fault, FaultKinds};
+pub use final_phase::FinalFault;
 
 use crate::checks::{self, Violation};
 use crate::clients::SavedRevisions;
@@ -25,40 +25,40 @@
     /// Determines the cluster, the clients and the faults.
     pub seed: u64,
     /// The faults that may strike.
-    pub kinds: FaultKinds,
+    pub fault_kinds: FaultKinds,
     /// How it ends; drawn if not given.
-    pub ending: Option<Ending>,
+    pub final_fault: Option<FinalFault>,
 }
 
 /// A scenario that has come to its end.
-pub struct Finished {
+pub struct ScenarioResult {
     /// The cluster at the end.
     pub cluster: Cluster,
     /// How it ended.
-    pub ending: Ending,
+    pub final_fault: FinalFault,
     /// The broken promise, if any.
     pub result: Result<(), Violation>,
 }
 
 impl Scenario {
     /// Runs the scenario, and checks what its clients have heard.
-    pub fn run(&self) -> Finished {
+    pub fn run(&self) -> ScenarioResult {
         let mut cluster = Cluster::new(self.seed, SIX_IN_THREE_REGIONS);
         cluster.run(STARTUP_MS);
         let saved = SavedRevisions::default();
         workload::add_clients(&mut cluster, &saved);
-        faults::strike(&mut cluster, self.kinds, TRAFFIC_MS);
-        let drawn = Ending::draw(&mut cluster.random, self.kinds);
-        let ending = ending::strike(&mut cluster, self.ending.unwrap_or(drawn));
-        ending::add_final_clients(&mut cluster, &saved.borrow());
+        faults::inject(&mut cluster, self.fault_kinds, TRAFFIC_MS);
+        let drawn = FinalFault::draw(&mut cluster.random, self.fault_kinds);
+        let final_fault = final_phase::inject(&mut cluster, self.final_fault.unwrap_or(drawn));
+        final_phase::add_final_clients(&mut cluster, &saved.borrow());
         cluster.run(FINAL_MS);
-        let result = match cluster.disagreement() {
-            Some(disagreement) => Err((*disagreement).into()),
+        let result = match cluster.divergence() {
+            Some(divergence) => Err((*divergence).into()),
             None => checks::check(&cluster.history),
         };
-        Finished {
+        ScenarioResult {
             cluster,
-            ending,
+            final_fault,
             result,
         }
     }
--- a/crates/coordination-simulation/src/scenario/workload.rs
+++ b/crates/coordination-simulation/src/scenario/workload.rs
@@ -1,6 +1,8 @@
 //! The clients of a scenario.
 
-use crate::clients::{HoldStyle, KeyCaller, LockCaller, NumberCaller, SavedRevisions, Watcher};
+use crate::clients::{
+    KeyClient, LeaseUsage, LockClient, SavedRevisions, SequenceClient, WatchClient,
+};
 use crate::cluster::Cluster;
 use woadstall_control_simulation::NodeIndex;
 
@@ -14,12 +16,12 @@
 /// Clients begin within so many milliseconds.
 const SPREAD_MS: u64 = 300;
 /// All competitors for a lock.
-const STYLES: [HoldStyle; 5] = [
-    HoldStyle::Brief,
-    HoldStyle::Brief,
-    HoldStyle::Long,
-    HoldStyle::Dying,
-    HoldStyle::Sleeping,
+const LEASE_USAGES: [LeaseUsage; 5] = [
+    LeaseUsage::ReleaseEarly,
+    LeaseUsage::ReleaseEarly,
+    LeaseUsage::RenewRepeatedly,
+    LeaseUsage::Crash,
+    LeaseUsage::Oversleep,
 ];
 
 /// The names of all locks.
@@ -47,35 +49,35 @@
 /// Adds all clients; watchers record what they have received in `saved`.
 pub(super) fn add_clients(cluster: &mut Cluster, saved: &SavedRevisions) {
     for lock in locks() {
-        for (number, style) in STYLES.into_iter().enumerate() {
-            let holder = format!("caller-{number}");
+        for (number, usage) in LEASE_USAGES.into_iter().enumerate() {
+            let owner = format!("caller-{number}");
             let node = any_node(cluster);
-            let caller = LockCaller::new(lock.clone(), holder, style, node);
+            let caller = LockClient::new(lock.clone(), owner, usage, node);
             add(cluster, caller);
         }
     }
     for sequence in sequences() {
         for _ in 0..CALLERS_OF_A_SEQUENCE {
-            let caller = NumberCaller::new(sequence.clone(), any_node(cluster));
+            let caller = SequenceClient::new(sequence.clone(), any_node(cluster));
             add(cluster, caller);
         }
     }
     for number in 0..KEY_CALLERS {
         let name = format!("value-{number}");
-        let caller = KeyCaller::new(name, keys(), any_node(cluster));
+        let caller = KeyClient::new(name, keys(), any_node(cluster));
         add(cluster, caller);
     }
     for group in groups() {
         for _ in 0..WATCHERS_OF_A_GROUP {
-            let watcher = Watcher::new(group.clone(), any_node(cluster), saved.clone());
-            add(cluster, watcher);
+            let watch_client = WatchClient::new(group.clone(), any_node(cluster), saved.clone());
+            add(cluster, watch_client);
         }
     }
 }
 
 fn any_node(cluster: &mut Cluster) -> NodeIndex {
-    let present = cluster.present();
-    cluster.random.choice(present).unwrap_or_default()
+    let present_nodes = cluster.present_nodes();
+    cluster.random.choice(present_nodes).unwrap_or_default()
 }
 
 fn add(cluster: &mut Cluster, client: impl crate::clients::Client + 'static) {
--- a/crates/coordination-simulation/tests/checks.rs
+++ b/crates/coordination-simulation/tests/checks.rs
@@ -9,7 +9,7 @@
     LostViolation, MixedViolation, OneViolation, OrderViolation, Violation, check,
 };
 use woadstall_coordination_simulation::history::{
-    Answer, Claim, FinalCall, History, LaggingWatch, Request,
+    Answer, FinalCall, History, LaggingWatch, LeaseInterval, Request,
 };
 
 const NODE: NodeIndex = 0;
@@ -48,8 +48,8 @@
         self.command(next_number(), Outcome::Number { value })
     }
 
-    fn acquire(&mut self, holder: &str, fencing_token: u64) -> &mut Self {
-        self.command(acquire(holder), Outcome::LockAcquired { fencing_token })
+    fn acquire(&mut self, owner: &str, fencing_token: u64) -> &mut Self {
+        self.command(acquire(owner), Outcome::LockAcquired { fencing_token })
     }
 
     fn read(&mut self, outcome: Outcome) -> &mut Self {
@@ -70,13 +70,13 @@
         self
     }
 
-    fn claim(&mut self, holder: &str, from_ms: u64, until_ms: u64) -> &mut Self {
-        self.history.claims.push(Claim {
+    fn claim(&mut self, owner: &str, start_ms: u64, end_ms: u64) -> &mut Self {
+        self.history.lease_intervals.push(LeaseInterval {
             lock: "lock".to_owned(),
-            holder: holder.to_owned(),
-            fencing_token: from_ms,
-            from_ms,
-            until_ms,
+            owner: owner.to_owned(),
+            fencing_token: start_ms,
+            start_ms,
+            end_ms,
         });
         self
     }
@@ -99,10 +99,10 @@
     Command::NextNumber { sequence }
 }
 
-fn acquire(holder: &str) -> Command {
+fn acquire(owner: &str) -> Command {
     Command::AcquireLock {
         lock: "lock".to_owned(),
-        owner: holder.to_owned(),
+        owner: owner.to_owned(),
         lease_ms: 1_000,
     }
 }
@@ -151,7 +151,7 @@
     assert!(
         matches!(
             violation,
-            Some(Violation::One(OneViolation::TwoHolders { .. }))
+            Some(Violation::One(OneViolation::OverlappingLeases { .. }))
         ),
         "{violation:?}"
     );
@@ -165,7 +165,7 @@
     assert!(
         matches!(
             violation,
-            Some(Violation::One(OneViolation::TokenNotRising { .. }))
+            Some(Violation::One(OneViolation::TokenNotIncreasing { .. }))
         ),
         "{violation:?}"
     );
@@ -175,7 +175,7 @@
     assert!(
         matches!(
             violation,
-            Some(Violation::One(OneViolation::SameToken { .. }))
+            Some(Violation::One(OneViolation::DuplicateToken { .. }))
         ),
         "{violation:?}"
     );
@@ -189,7 +189,7 @@
     assert!(
         matches!(
             violation,
-            Some(Violation::Order(OrderViolation::NumberNotRising { .. }))
+            Some(Violation::Order(OrderViolation::NumberNotIncreasing { .. }))
         ),
         "{violation:?}"
     );
@@ -211,7 +211,7 @@
     assert!(
         matches!(
             violation,
-            Some(Violation::Order(OrderViolation::RevisionTwice { .. }))
+            Some(Violation::Order(OrderViolation::DuplicateRevision { .. }))
         ),
         "{violation:?}"
     );
@@ -221,7 +221,9 @@
     assert!(
         matches!(
             violation,
-            Some(Violation::Order(OrderViolation::RevisionNotRising { .. }))
+            Some(Violation::Order(
+                OrderViolation::RevisionNotIncreasing { .. }
+            ))
         ),
         "{violation:?}"
     );
@@ -261,7 +263,7 @@
     assert!(
         matches!(
             violation,
-            Some(Violation::Order(OrderViolation::EventsNotRising { .. }))
+            Some(Violation::Order(OrderViolation::EventsOutOfOrder { .. }))
         ),
         "{violation:?}"
     );
@@ -349,19 +351,23 @@
 
 #[test]
 fn lost_finds_final_calls_without_an_answer_and_watches_that_lag() {
-    let lagging = LaggingWatch {
+    let lagging_watch = LaggingWatch {
         revision: 1,
         acknowledged: 2,
     };
-    for (answered_ms, lagging) in [(None, None), (Some(1), Some(lagging)), (Some(1), None)] {
+    for (answered_ms, lagging_watch) in [
+        (None, None),
+        (Some(1), Some(lagging_watch)),
+        (Some(1), None),
+    ] {
         let mut script = Script::default();
         script.history.final_calls.push(FinalCall {
             request: String::new(),
             answered_ms,
-            lagging,
+            lagging_watch,
         });
         let violation = script.violation();
-        let is_found = match lagging {
+        let is_found = match lagging_watch {
             Some(_) => matches!(
                 violation,
                 Some(Violation::Lost(LostViolation::WatchLags { .. }))
--- a/crates/coordination-simulation/tests/random_scenarios.rs
+++ b/crates/coordination-simulation/tests/random_scenarios.rs
@@ -1,7 +1,9 @@
 //! Scenarios with all faults, drawn from seeds. `WOADSTALL_SEEDS` sets their number, and
 //! `WOADSTALL_FIRST_SEED` the first of them.
 
-use woadstall_coordination_simulation::scenario::{Ending, FaultKinds, Finished, Scenario};
+use woadstall_coordination_simulation::scenario::{
+    FaultKinds, FinalFault, Scenario, ScenarioResult,
+};
 
 /// Seeds of each test, unless `WOADSTALL_SEEDS` is set.
 const SEEDS: u64 = 40;
@@ -23,22 +25,22 @@
 }
 
 /// Runs a scenario for each seed; fails with all seeds that have broken a promise.
-fn assert_promises_hold(kinds: FaultKinds, ending: Option<Ending>) {
+fn assert_promises_hold(fault_kinds: FaultKinds, final_fault: Option<FinalFault>) {
     let (mut failures, mut executed) = (Vec::new(), 0);
     for seed in seeds() {
         let scenario = Scenario {
             seed,
-            kinds,
-            ending,
+            fault_kinds,
+            final_fault,
         };
-        let Finished {
+        let ScenarioResult {
             cluster,
-            ending,
+            final_fault,
             result,
         } = scenario.run();
         executed += cluster.history.executed().count();
         if let Err(violation) = result {
-            failures.push(format!("seed {seed}, {ending:?}: {violation}"));
+            failures.push(format!("seed {seed}, {final_fault:?}: {violation}"));
         }
     }
     assert!(failures.is_empty(), "{}", failures.join("\n"));
@@ -51,7 +53,7 @@
 
 #[test]
 fn promises_hold_without_faults() {
-    assert_promises_hold(FaultKinds::NONE, Some(Ending::Calm));
+    assert_promises_hold(FaultKinds::NONE, Some(FinalFault::NoFault));
 }
 
 #[test]
@@ -61,7 +63,7 @@
 
 #[test]
 fn promises_hold_when_two_disks_are_lost_and_all_others_lose_power() {
-    assert_promises_hold(FaultKinds::NONE, Some(Ending::LoseTwoDisks));
+    assert_promises_hold(FaultKinds::NONE, Some(FinalFault::LoseTwoDisks));
 }
 
 /// One seed gives one run, however often it is run.
@@ -70,8 +72,8 @@
     for seed in 0..REPEATED_SEEDS {
         let scenario = Scenario {
             seed,
-            kinds: FaultKinds::ALL,
-            ending: None,
+            fault_kinds: FaultKinds::ALL,
+            final_fault: None,
         };
         let [first, second] = [(); 2].map(|()| scenario.run().cluster);
         let is_same = first.history.operations == second.history.operations;
--- a/crates/coordination-simulation/tests/watches.rs
+++ b/crates/coordination-simulation/tests/watches.rs
@@ -4,7 +4,7 @@
 use woadstall_coordination::command::{Call, Command};
 use woadstall_coordination::machine::WatchRequest;
 use woadstall_coordination_simulation::checks;
-use woadstall_coordination_simulation::clients::{FinalCaller, FinalGoal};
+use woadstall_coordination_simulation::clients::{FinalClient, FinalGoal};
 use woadstall_coordination_simulation::cluster::{Cluster, Direction, SIX_IN_THREE_REGIONS};
 use woadstall_coordination_simulation::history::Request;
 
@@ -27,7 +27,7 @@
         value: format!("value-{number}"),
         if_revision: None,
     });
-    FinalCaller::add(cluster, Request::Call(call), FinalGoal::Executed, node);
+    FinalClient::add(cluster, Request::Call(call), FinalGoal::Executed, node);
     cluster.run(CALL_MS);
 }
 
@@ -50,7 +50,7 @@
             },
             received_ms: cluster.now_ms,
         };
-        FinalCaller::add(
+        FinalClient::add(
             &mut cluster,
             watch,
             FinalGoal::EventsUpTo(PUTS_AFTER),
