--- a/crates/coordination-simulation/src/checks/lost.rs
+++ b/crates/coordination-simulation/src/checks/lost.rs
@@ -1,45 +1,50 @@
-//! Watches resume within the history, and at the end each call is answered. That what was
-//! acknowledged is still there is checked with ONE, ORDER and STALE, which cover the final calls.
+//! LOST: watches can resume from any recent revision, and every request of the final phase is
+//! answered. The checks of ONE, ORDER and STALE find lost acknowledged writes, because they cover the
+//! requests of the final phase too.
 
 use crate::cluster::HISTORY_MS;
 use crate::history::{FinalCall, History, LaggingWatch};
 use thiserror::Error;
 use woadstall_coordination::machine::Response;
 
-/// How something is lost.
+/// A violation of the rule LOST.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LostViolation {
-    /// A watch can't resume from a revision that was received not long ago.
-    #[error("group {group}: no history after revision {after}, received {age_ms} ms before")]
+    /// A watch could not resume from a revision that its client received less than [`HISTORY_MS`]
+    /// before.
+    #[error(
+        "group {group}: history after revision {after} was compacted; the client received that \
+         revision {age_ms} ms before"
+    )]
     HistoryTooShort {
-        /// The group.
+        /// Group of keys that was watched.
         group: String,
-        /// The revision.
+        /// Revision after which the watch was to start.
         after: u64,
-        /// How long ago it was received, in milliseconds.
+        /// Time between the receipt of the revision and the answer, in milliseconds.
         age_ms: u64,
     },
-    /// A watch that resumes at the end shows less than was acknowledged.
-    #[error("a watch was answered up to {}, not {}: {request}", lagging_watch.revision, lagging_watch.acknowledged)]
+    /// A watch of the final phase was answered without events that had been acknowledged.
+    #[error("watch ended at revision {}, but revision {} was acknowledged: {request}", lagging_watch.revision, lagging_watch.acknowledged)]
     WatchLags {
-        /// What was asked.
+        /// The request as text.
         request: String,
-        /// How far it lags.
+        /// The revisions of the answer and of the acknowledgement.
         lagging_watch: LaggingWatch,
     },
-    /// A call at the end was not answered.
-    #[error("no answer at the end: {request}")]
+    /// A request of the final phase was not answered.
+    #[error("request of the final phase was not answered: {request}")]
     NoAnswer {
-        /// What was asked.
+        /// The request as text.
         request: String,
     },
 }
 
-/// Checks the watches and the final calls of a history.
+/// Checks the watches and the requests of the final phase.
 ///
 /// # Errors
 ///
-/// The first violation that is found.
+/// Returns the first violation in the history.
 pub fn check(history: &History) -> Result<(), LostViolation> {
     for operation in &history.operations {
         let (Some((watch, received_ms)), Some(Response::HistoryCompacted), Some(completion)) = (
--- a/crates/coordination-simulation/src/checks/mixed.rs
+++ b/crates/coordination-simulation/src/checks/mixed.rs
@@ -1,4 +1,4 @@
-//! Values show up only at the key to which they were put, each at one revision.
+//! MIXED: a value is observed only at the key that it was put to, and at one revision.
 
 use super::observed_puts::{keys_by_revision, observed_puts};
 use crate::history::{History, Operation};
@@ -7,44 +7,44 @@
 use woadstall_coordination::command::{Command, group_of};
 use woadstall_coordination::outcome::Outcome;
 
-/// How values or revisions are mixed up.
+/// A violation of the rule MIXED.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MixedViolation {
-    /// Nobody put this value to this key.
-    #[error("key {key}: nobody put the value {value:.60}")]
+    /// A client observed a value that no client had put to the key.
+    #[error("key {key}: observed the value {value:.60}, which no client put")]
     UnknownValue {
-        /// The key.
+        /// Key at which the value was observed.
         key: String,
-        /// The value.
+        /// The observed value.
         value: String,
     },
-    /// A value has two revisions.
-    #[error("key {key}: the value {value:.60} has the revisions {first} and {second}")]
+    /// Clients observed one value at two revisions.
+    #[error("key {key}: observed the value {value:.60} at revisions {first} and {second}")]
     TwoRevisions {
-        /// The key.
+        /// Key at which the value was observed.
         key: String,
-        /// The value.
+        /// The value. A client resends a put, but uses its value for no other put.
         value: String,
-        /// A revision.
+        /// Revision of the first observation.
         first: u64,
-        /// Another revision.
+        /// Revision of a later observation.
         second: u64,
     },
-    /// A conflict names a revision that the key never had.
-    #[error("key {key}: a conflict names revision {revision}, which no put gave it")]
+    /// A revision conflict reports a revision that the key never had.
+    #[error("key {key}: a conflict reports revision {revision}, which no put of the key created")]
     UnknownRevision {
-        /// The key.
+        /// Key of the conditional put.
         key: String,
-        /// The revision.
+        /// Current revision according to the conflict.
         revision: u64,
     },
 }
 
-/// Checks the values and the conflicts of a history.
+/// Checks the observed values and the revision conflicts.
 ///
 /// # Errors
 ///
-/// The first violation that is found.
+/// Returns the first violation in the history.
 pub fn check(history: &History) -> Result<(), MixedViolation> {
     check_values(history)?;
     check_conflicts(history)
@@ -80,7 +80,7 @@
 
 fn check_conflicts(history: &History) -> Result<(), MixedViolation> {
     let groups = keys_by_revision(&observed_puts(history));
-    let unclear: BTreeSet<&str> = keys_with_unclear_puts(history);
+    let indeterminate: BTreeSet<&str> = keys_with_indeterminate_puts(history);
     for (operation, _, outcome) in history.executed() {
         let (Some(Command::Put { key, .. }), Outcome::RevisionConflict { current }) =
             (operation.command(), outcome)
@@ -88,11 +88,11 @@
             continue;
         };
         let group = groups.get(group_of(key));
-        let owner = group.and_then(|revisions| revisions.get(current)).copied();
-        let is_possible = match owner {
-            Some(owner) => owner == key,
-            // A put that nobody was told of may have given it.
-            None => *current == 0 || unclear.contains(&**key),
+        let changed_key = group.and_then(|revisions| revisions.get(current)).copied();
+        let is_possible = match changed_key {
+            Some(changed_key) => changed_key == key,
+            // A put with an indeterminate answer may have created the revision.
+            None => *current == 0 || indeterminate.contains(&**key),
         };
         if !is_possible {
             return Err(MixedViolation::UnknownRevision {
@@ -104,17 +104,17 @@
     Ok(())
 }
 
-/// The keys with puts that may or may not have taken effect.
-fn keys_with_unclear_puts(history: &History) -> BTreeSet<&str> {
-    let is_unclear = |operation: &&Operation| {
+/// Keys with puts whose answers leave open whether they took effect.
+fn keys_with_indeterminate_puts(history: &History) -> BTreeSet<&str> {
+    let is_indeterminate = |operation: &&Operation| {
         let answer = operation
             .completion
             .as_ref()
             .map(|completion| &completion.answer);
         answer.is_none_or(|answer| answer.outcome().is_none() && !answer.is_rejection())
     };
-    let unclear = history.operations.iter().filter(is_unclear);
-    let keys = unclear.filter_map(|operation| match operation.command() {
+    let indeterminate = history.operations.iter().filter(is_indeterminate);
+    let keys = indeterminate.filter_map(|operation| match operation.command() {
         Some(Command::Put { key, .. }) => Some(&**key),
         _ => None,
     });
--- a/crates/coordination-simulation/src/checks/mod.rs
+++ b/crates/coordination-simulation/src/checks/mod.rs
@@ -1,5 +1,5 @@
-//! The promises of the service as checks of a recorded history, each named after the users' rule
-//! for it.
+//! Checks of a recorded history against the guarantees of the service. Each check has the name of the
+//! rule that users know: ONE, ORDER, STALE, MIXED, REFUSED or LOST.
 
 mod lost;
 mod mixed;
@@ -20,37 +20,37 @@
 use crate::history::History;
 use thiserror::Error;
 
-/// A broken promise.
+/// A violated guarantee of the service.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// A lock has two holders.
+    /// A lock had two owners at a time, or a fencing token that did not increase.
     #[error("ONE: {0}")]
     One(#[from] OneViolation),
-    /// Numbers, revisions or events do not rise.
+    /// Sequence numbers, revisions or events of a watch were repeated, skipped or out of order.
     #[error("ORDER: {0}")]
     Order(#[from] OrderViolation),
-    /// A read is older than what was acknowledged.
+    /// A read returned a state older than a write that was acknowledged before the read.
     #[error("STALE: {0}")]
     Stale(#[from] StaleViolation),
-    /// A value shows up where nobody put it.
+    /// A value or a revision was reported for a key that it does not belong to.
     #[error("MIXED: {0}")]
     Mixed(#[from] MixedViolation),
-    /// A value shows up although its put was rejected.
+    /// A value was observed although its put was rejected.
     #[error("REFUSED: {0}")]
     Refused(#[from] RefusedViolation),
-    /// Something acknowledged is gone, or an answer fails to come.
+    /// Acknowledged data is gone, or a request of the final phase was not answered.
     #[error("LOST: {0}")]
     Lost(#[from] LostViolation),
-    /// Two machines have come to different states.
+    /// Two machines had different states at the same log position.
     #[error(transparent)]
     StateDivergence(#[from] StateDivergence),
 }
 
-/// Checks all promises.
+/// Checks a history against all rules.
 ///
 /// # Errors
 ///
-/// The first broken promise that is found.
+/// Returns the first violation, in the order ONE, ORDER, STALE, MIXED, REFUSED, LOST.
 pub fn check(history: &History) -> Result<(), Violation> {
     one::check(history)?;
     order::check(history)?;
--- a/crates/coordination-simulation/src/checks/observed_puts.rs
+++ b/crates/coordination-simulation/src/checks/observed_puts.rs
@@ -1,4 +1,4 @@
-//! The puts that a history shows to have taken effect.
+//! Puts that took effect, according to the answers in a history.
 
 use crate::history::{History, Timestamp};
 use std::collections::BTreeMap;
@@ -6,17 +6,17 @@
 use woadstall_coordination::machine::Response;
 use woadstall_coordination::outcome::Outcome;
 
-/// A value with its revision, as a client was told of it.
+/// A value and its revision, as a client received them in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ObservedPut<'a> {
     pub key: &'a str,
     pub value: &'a str,
     pub revision: u64,
-    /// When the client was told.
+    /// When the client received the answer.
     pub at: Timestamp,
 }
 
-/// All that clients were told by acknowledged puts, reads and watches.
+/// All values and revisions that clients received from acknowledged puts, reads and watches.
 pub(super) fn observed_puts(history: &History) -> Vec<ObservedPut<'_>> {
     let mut observed_puts = Vec::new();
     for operation in &history.operations {
@@ -61,7 +61,7 @@
     observed_puts
 }
 
-/// The keys that were put, by group and revision.
+/// The changed keys, by group and by the revision of the change.
 pub(super) fn keys_by_revision<'a>(
     observed_puts: &[ObservedPut<'a>],
 ) -> BTreeMap<&'a str, BTreeMap<u64, &'a str>> {
--- a/crates/coordination-simulation/src/checks/one.rs
+++ b/crates/coordination-simulation/src/checks/one.rs
@@ -1,4 +1,5 @@
-//! At most one holder of a lock, with a fencing token greater than those of all holders before.
+//! ONE: a lock has at most one owner at a time, and the fencing token of each owner is greater than
+//! the tokens of all previous owners.
 
 use crate::history::{History, LeaseInterval, Timestamp};
 use std::collections::BTreeMap;
@@ -6,46 +7,50 @@
 use woadstall_coordination::command::Command;
 use woadstall_coordination::outcome::Outcome;
 
-/// How a lock has more than one holder.
+/// A violation of the rule ONE.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OneViolation {
-    /// Two callers regard a lock as theirs.
-    #[error("two callers hold a lock at a time: {first:?} and {second:?}")]
+    /// Two clients relied on leases of one lock at the same time.
+    #[error("two clients owned a lock at the same time: {first:?} and {second:?}")]
     OverlappingLeases {
-        /// The interval that began first.
+        /// The interval that started first.
         first: Box<LeaseInterval>,
-        /// The other one.
+        /// The overlapping interval of another owner.
         second: Box<LeaseInterval>,
     },
-    /// A token is not greater than that of another holder, which was known before the call.
-    #[error("lock {lock}: {owner} got token {token} after {previous_owner} had {previous_token}")]
+    /// A fencing token is smaller than one that another owner had received before the lock was
+    /// requested.
+    #[error(
+        "lock {lock}: {owner} received token {token} after {previous_owner} had received \
+         {previous_token}"
+    )]
     TokenNotIncreasing {
-        /// The lock.
+        /// Name of the lock.
         lock: String,
-        /// The later holder.
+        /// The later owner.
         owner: String,
-        /// Its token.
+        /// Fencing token of the later owner.
         token: u64,
-        /// The earlier holder.
+        /// The earlier owner.
         previous_owner: String,
-        /// Its token.
+        /// Fencing token of the earlier owner.
         previous_token: u64,
     },
-    /// Two holders got the same token.
-    #[error("lock {lock}: {first} and {second} both got token {token}")]
+    /// Two owners received the same fencing token.
+    #[error("lock {lock}: {first} and {second} both received token {token}")]
     DuplicateToken {
-        /// The lock.
+        /// Name of the lock.
         lock: String,
-        /// A holder.
+        /// One owner.
         first: String,
-        /// Another holder.
+        /// The other owner.
         second: String,
-        /// The token of both.
+        /// The token that both owners received.
         token: u64,
     },
 }
 
-/// A lock that was acquired.
+/// A successful acquisition of a lock.
 #[derive(Clone, Copy, Debug)]
 struct Grant<'a> {
     owner: &'a str,
@@ -54,11 +59,11 @@
     completed_at: Timestamp,
 }
 
-/// Checks the claims and the fencing tokens of a history.
+/// Checks the lease intervals and the fencing tokens.
 ///
 /// # Errors
 ///
-/// The first violation that is found.
+/// Returns the first violation in the history.
 pub fn check(history: &History) -> Result<(), OneViolation> {
     check_lease_intervals(&history.lease_intervals)?;
     for (lock, grants) in grants_by_lock(history) {
--- a/crates/coordination-simulation/src/checks/order.rs
+++ b/crates/coordination-simulation/src/checks/order.rs
@@ -1,4 +1,4 @@
-//! Numbers and revisions rise, and watches show all puts in their order.
+//! ORDER: sequence numbers and revisions increase, and watches report all puts in order.
 
 use super::observed_puts::{keys_by_revision, observed_puts};
 use crate::history::{History, Timestamp};
@@ -9,90 +9,98 @@
 use woadstall_coordination::outcome::Outcome;
 use woadstall_coordination::state::GroupEvents;
 
-/// How an order is broken.
+/// A violation of the rule ORDER.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OrderViolation {
-    /// A number was given out twice.
-    #[error("sequence {sequence}: {value} was given out twice")]
+    /// A sequence returned a number twice.
+    #[error("sequence {sequence}: {value} was returned twice")]
     DuplicateNumber {
-        /// The sequence.
+        /// Name of the sequence.
         sequence: String,
-        /// The number.
+        /// The repeated number.
         value: u64,
     },
-    /// A number is not greater than one that was known before the call.
-    #[error("sequence {sequence}: {value} came after {previous}")]
+    /// A sequence returned a number smaller than one that a client had received before the call.
+    #[error("sequence {sequence}: {value} was returned after {previous}")]
     NumberNotIncreasing {
-        /// The sequence.
+        /// Name of the sequence.
         sequence: String,
         /// The later number.
         value: u64,
         /// The earlier number.
         previous: u64,
     },
-    /// A revision was given to two puts.
-    #[error("group {group}: revision {revision} was given to {first:.60} and to {second:.60}")]
+    /// Two puts have the same revision.
+    #[error("group {group}: revision {revision} was assigned to {first:.60} and to {second:.60}")]
     DuplicateRevision {
-        /// The group.
+        /// Group of the keys.
         group: String,
-        /// The revision.
+        /// The revision of both puts.
         revision: u64,
-        /// A put.
+        /// One put, as `key=value`.
         first: String,
-        /// Another put.
+        /// The other put, as `key=value`.
         second: String,
     },
-    /// A revision is not greater than one that was known before the put was first sent.
-    #[error("group {group}: revision {revision} came after {previous}")]
+    /// A put got a revision smaller than one that a client had observed before the put was first
+    /// sent.
+    #[error("group {group}: revision {revision} was assigned after {previous}")]
     RevisionNotIncreasing {
-        /// The group.
+        /// Group of the keys.
         group: String,
         /// The later revision.
         revision: u64,
         /// The earlier revision.
         previous: u64,
     },
-    /// A conditional put has replaced another revision than the one required.
-    #[error("key {key}: a put on top of revision {required} became {revision}, over {replaced}")]
+    /// A conditional put replaced a revision other than the required one.
+    #[error(
+        "key {key}: a put that requires revision {required} got revision {revision} and replaced \
+         revision {replaced}"
+    )]
     ConditionIgnored {
-        /// The key.
+        /// Key of the put.
         key: String,
-        /// The revision that the put requires.
+        /// Revision that the put requires.
         required: u64,
-        /// The revision that it got.
+        /// Revision that the put got.
         revision: u64,
-        /// The revision that it has replaced.
+        /// Revision between the two, which the put replaced.
         replaced: u64,
     },
-    /// The events of a watch do not rise, or lie outside its span.
-    #[error("group {group}: the events of a watch after {after} do not rise: {revisions:?}")]
+    /// The events of a watch are not in the order of their revisions, or have revisions outside the
+    /// range of the watch.
+    #[error(
+        "group {group}: a watch after revision {after} returned events out of order or out of \
+         range: {revisions:?}"
+    )]
     EventsOutOfOrder {
-        /// The group.
+        /// Group of keys that was watched.
         group: String,
-        /// The revision after which the watch begins.
+        /// Revision after which the watch starts.
         after: u64,
-        /// The revisions of its events.
+        /// Revisions of the events, as returned.
         revisions: Vec<u64>,
     },
-    /// A watch has skipped a put.
-    #[error("group {group}: a watch from {after} to {until} has skipped {revision}")]
+    /// A watch omitted a put within its range.
+    #[error("group {group}: a watch of revisions {after} to {until} skipped revision {revision}")]
     EventSkipped {
-        /// The group.
+        /// Group of keys that was watched.
         group: String,
-        /// The revision after which the watch begins.
+        /// Revision after which the watch starts.
         after: u64,
-        /// The revision up to which it goes.
+        /// Last revision that the answer covers.
         until: u64,
-        /// The revision that is missing.
+        /// Revision of the omitted put.
         revision: u64,
     },
 }
 
-/// Checks numbers, revisions and watches of a history.
+/// Checks sequence numbers, revisions and watches.
 ///
 /// # Errors
 ///
-/// The first violation that is found.
+/// Returns the first violation in the history.
 pub fn check(history: &History) -> Result<(), OrderViolation> {
     check_numbers(history)?;
     check_revisions_once(history)?;
@@ -101,26 +109,28 @@
     check_watches(history)
 }
 
-/// A number or a revision that was given out.
+/// A sequence number or a revision that the service assigned.
 #[derive(Clone, Copy, Debug)]
 struct Assigned {
     value: u64,
     invoked_at: Timestamp,
-    known: Timestamp,
+    observed_at: Timestamp,
 }
 
-/// The first one that is not greater than one known before its call, with the latter.
-fn first_not_rising(assigned: &mut [Assigned]) -> Option<(u64, u64)> {
+/// Finds a value smaller than one that was observed before the call of the smaller value. Returns
+/// the smaller and the greater value. Sorts the values as a side effect.
+fn first_not_increasing(assigned: &mut [Assigned]) -> Option<(u64, u64)> {
     assigned.sort_by_key(|assigned| assigned.value);
-    // From the greatest to the smallest: the earliest moment at which a greater one was known.
+    // The values are visited from the greatest to the smallest; `earliest` is the one among the
+    // greater values that was observed first.
     let mut earliest: Option<Assigned> = None;
     for assigned in assigned.iter().rev() {
         if let Some(greater) = earliest
-            && greater.known < assigned.invoked_at
+            && greater.observed_at < assigned.invoked_at
         {
             return Some((assigned.value, greater.value));
         }
-        if earliest.is_none_or(|earliest| assigned.known < earliest.known) {
+        if earliest.is_none_or(|earliest| assigned.observed_at < earliest.observed_at) {
             earliest = Some(*assigned);
         }
     }
@@ -129,7 +139,7 @@
 
 fn check_numbers(history: &History) -> Result<(), OrderViolation> {
     let mut sequences: BTreeMap<&str, Vec<Assigned>> = BTreeMap::new();
-    for (operation, known, outcome) in history.executed() {
+    for (operation, observed_at, outcome) in history.executed() {
         if let (Some(Command::NextNumber { sequence }), Outcome::Number { value }) =
             (operation.command(), outcome)
         {
@@ -137,12 +147,12 @@
             sequences.entry(sequence).or_default().push(Assigned {
                 value,
                 invoked_at,
-                known,
+                observed_at,
             });
         }
     }
     for (sequence, mut assigned) in sequences {
-        if let Some((value, previous)) = first_not_rising(&mut assigned) {
+        if let Some((value, previous)) = first_not_increasing(&mut assigned) {
             return Err(OrderViolation::NumberNotIncreasing {
                 sequence: sequence.to_owned(),
                 value,
@@ -200,11 +210,11 @@
             .push(Assigned {
                 value: observed.revision,
                 invoked_at: *invoked_at,
-                known: observed.at,
+                observed_at: observed.at,
             });
     }
     for (group, mut assigned) in groups {
-        if let Some((revision, previous)) = first_not_rising(&mut assigned) {
+        if let Some((revision, previous)) = first_not_increasing(&mut assigned) {
             return Err(OrderViolation::RevisionNotIncreasing {
                 group: group.to_owned(),
                 revision,
@@ -271,11 +281,11 @@
     puts: Option<&BTreeMap<u64, &str>>,
 ) -> Result<(), OrderViolation> {
     let revisions: Vec<u64> = found.events.iter().map(|event| event.revision).collect();
-    let is_rising = revisions.windows(2).all(|pair| pair[0] < pair[1]);
-    let is_inside = revisions
+    let is_increasing = revisions.windows(2).all(|pair| pair[0] < pair[1]);
+    let is_in_range = revisions
         .iter()
         .all(|revision| after < *revision && *revision <= found.revision);
-    if !is_rising || !is_inside || found.revision < after {
+    if !is_increasing || !is_in_range || found.revision < after {
         return Err(OrderViolation::EventsOutOfOrder {
             group: group.to_owned(),
             after,
--- a/crates/coordination-simulation/src/checks/refused.rs
+++ b/crates/coordination-simulation/src/checks/refused.rs
@@ -1,4 +1,4 @@
-//! What was rejected has not taken effect and never does.
+//! REFUSED: a rejected put has not taken effect and never does.
 
 use super::observed_puts::observed_puts;
 use crate::history::History;
@@ -6,26 +6,26 @@
 use thiserror::Error;
 use woadstall_coordination::command::Command;
 
-/// A value shows up although its put was rejected.
+/// A violation of the rule REFUSED: a value was observed although its put was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error(
-    "key {key}: the value {value:.60} shows up at revision {revision}, but its put was rejected"
+    "key {key}: observed the value {value:.60} at revision {revision}, but its put was rejected"
 )]
 pub struct RefusedViolation {
-    /// The key.
+    /// Key at which the value was observed.
     pub key: String,
-    /// The value.
+    /// The observed value.
     pub value: String,
-    /// Its revision.
+    /// Revision of the observed value.
     pub revision: u64,
 }
 
-/// Checks the rejected puts of a history. A put that was sent several times counts as rejected if
-/// each time it was.
+/// Checks the rejected puts. A put that was sent several times counts as rejected only if every
+/// attempt was rejected.
 ///
 /// # Errors
 ///
-/// The first violation that is found.
+/// Returns the first violation in the history.
 pub fn check(history: &History) -> Result<(), RefusedViolation> {
     let mut is_rejected: BTreeMap<(&str, &str), bool> = BTreeMap::new();
     for operation in &history.operations {
--- a/crates/coordination-simulation/src/checks/stale.rs
+++ b/crates/coordination-simulation/src/checks/stale.rs
@@ -1,4 +1,4 @@
-//! A read shows at least what was acknowledged before it was sent.
+//! STALE: a read reflects every put of the key that was acknowledged before the read was sent.
 
 use crate::history::{History, Timestamp};
 use std::collections::BTreeMap;
@@ -6,23 +6,25 @@
 use woadstall_coordination::command::{Command, Query};
 use woadstall_coordination::outcome::Outcome;
 
-/// A read is older than an acknowledged put.
+/// A violation of the rule STALE: a read returned a state older than an acknowledged put.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("key {key}: revision {revision} was read after revision {acknowledged} was acknowledged")]
+#[error(
+    "key {key}: read returned revision {revision} after revision {acknowledged} was acknowledged"
+)]
 pub struct StaleViolation {
-    /// The key.
+    /// Key that was read.
     pub key: String,
-    /// The revision that was read, 0 if the key was not found.
+    /// Revision that the read returned; 0 if the key was not found.
     pub revision: u64,
-    /// The revision that had been acknowledged.
+    /// Greatest revision of the key that was acknowledged before the read was sent.
     pub acknowledged: u64,
 }
 
-/// Checks the reads of a history.
+/// Checks the reads.
 ///
 /// # Errors
 ///
-/// The first stale read that is found.
+/// Returns the first stale read in the history.
 pub fn check(history: &History) -> Result<(), StaleViolation> {
     let mut acknowledged: BTreeMap<&str, Vec<(Timestamp, u64)>> = BTreeMap::new();
     for (operation, at, outcome) in history.executed() {
--- a/crates/coordination-simulation/src/clients/final_client.rs
+++ b/crates/coordination-simulation/src/clients/final_client.rs
@@ -1,4 +1,4 @@
-//! A client that repeats one call at the end of a simulation until it is answered.
+//! A client of the final phase of a simulation, which repeats one request until its goal is reached.
 
 use super::{Client, RETRY_MS};
 use crate::cluster::{ClientContext, Cluster};
@@ -6,32 +6,34 @@
 use woadstall_control_simulation::NodeIndex;
 use woadstall_coordination::machine::Response;
 
-/// An answer with more bytes of values may be the first part of a long list of events.
+/// Answers of watches with more bytes of values than this may be the first page of a longer list of
+/// events, and don't count as lagging.
 const PAGE_BYTES: usize = 200_000;
 
-/// What a client wants to hear.
+/// The answer that a client waits for before it stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalGoal {
-    /// That its call was executed.
+    /// The call was executed, with any outcome.
     Executed,
-    /// The events up to this revision.
+    /// A watch has covered all events up to this revision.
     EventsUpTo(u64),
 }
 
-/// The client.
+/// A client that sends one request until its goal is reached.
 #[derive(Clone, Debug)]
 pub struct FinalClient {
     request: Request,
     goal: FinalGoal,
     node: NodeIndex,
-    /// Its place among the final calls of the history.
-    number: usize,
+    /// Index of the request in [`History::final_calls`](crate::history::History::final_calls).
+    call_index: usize,
 }
 
 impl FinalClient {
-    /// Adds a client that calls this machine first, and its place in the history.
+    /// Adds a client that sends its request to `node` first, and records the request as a final call
+    /// of the history.
     pub fn add(cluster: &mut Cluster, request: Request, goal: FinalGoal, node: NodeIndex) {
-        let number = cluster.history.final_calls.len();
+        let call_index = cluster.history.final_calls.len();
         cluster.history.final_calls.push(FinalCall {
             request: format!("{request:?} {goal:?}"),
             answered_ms: None,
@@ -41,12 +43,13 @@
             request,
             goal,
             node,
-            number,
+            call_index,
         };
         cluster.add_client(Box::new(client), 0);
     }
 
-    /// How far an answer lags behind what was acknowledged, if it does.
+    /// The revisions of an answer and of the goal, if the answer of a watch ends before the goal and is
+    /// not a page of a longer list.
     fn lagging_watch(&self, answer: &Answer) -> Option<LaggingWatch> {
         let (FinalGoal::EventsUpTo(acknowledged), Answer::Response(Response::Events(found))) =
             (self.goal, answer)
@@ -62,7 +65,7 @@
         })
     }
 
-    /// Whether an answer is what was wanted.
+    /// Whether an answer reaches the goal. Moves the watch on to the revision of the answer.
     fn is_done(&mut self, now_ms: u64, answer: &Answer) -> bool {
         let Answer::Response(response) = answer else {
             return false;
@@ -78,7 +81,7 @@
                 *received_ms = now_ms;
                 found.revision >= revision
             }
-            // The check of the history decides whether this was due.
+            // The rule LOST decides whether the machine was allowed to compact the history.
             (FinalGoal::EventsUpTo(_), Response::HistoryCompacted, _) => true,
             _ => false,
         }
@@ -94,7 +97,7 @@
         let now_ms = context.now_ms();
         let lagging_watch = self.lagging_watch(answer);
         let is_done = self.is_done(now_ms, answer);
-        let call = &mut context.cluster.history.final_calls[self.number];
+        let call = &mut context.cluster.history.final_calls[self.call_index];
         call.lagging_watch = call.lagging_watch.or(lagging_watch);
         if is_done {
             call.answered_ms = Some(now_ms);
--- a/crates/coordination-simulation/src/clients/key_client.rs
+++ b/crates/coordination-simulation/src/clients/key_client.rs
@@ -9,53 +9,54 @@
 use woadstall_coordination::command::{Call, Command, Query};
 use woadstall_coordination::outcome::Outcome;
 
-/// Between two calls, in milliseconds.
+/// Pause between two calls, in milliseconds.
 const PAUSE_MS: Range<u64> = 20..200;
-/// For how long a put is resent, in milliseconds.
+/// How long a put without a clear answer is resent, in milliseconds.
 const RESEND_MS: u64 = 4_000;
-/// Bytes of a long value.
+/// Number of padding bytes in a long value.
 const LONG_VALUE_BYTES: usize = 30_000;
 
-/// A put that is not yet answered clearly.
+/// A put that is resent because no answer has said yet whether it was executed.
 #[derive(Clone, Debug)]
-struct UnclearPut {
+struct PendingPut {
     command: Command,
-    /// Until when it is resent, in milliseconds.
-    until_ms: u64,
-    /// Whether it is given up when a machine has rejected it.
-    ends_with_rejection: bool,
+    /// When the client stops resending the put, in milliseconds.
+    resend_until_ms: u64,
+    /// Whether the client stops resending the put once a machine has rejected it.
+    stops_after_rejection: bool,
 }
 
-/// The client.
+/// A client that puts and reads random keys, and resends puts without a clear answer.
 #[derive(Clone, Debug)]
 pub struct KeyClient {
     name: String,
     keys: Vec<String>,
     node: NodeIndex,
-    put: Option<UnclearPut>,
-    /// The revisions of the keys as far as the client knows them.
-    revisions: BTreeMap<String, u64>,
-    /// The key of the call that waits.
+    pending_put: Option<PendingPut>,
+    /// The last revision of each key that the client received.
+    known_revisions: BTreeMap<String, u64>,
+    /// Key of the pending call.
     current_key: String,
-    values: u64,
+    /// Number of values that the client has generated, which makes each value unique.
+    value_count: u64,
 }
 
 impl KeyClient {
-    /// A client that calls this machine first. Its name is part of its values.
+    /// A client that sends its first request to `node`. The values that it puts start with its name.
     pub fn new(name: String, keys: Vec<String>, node: NodeIndex) -> Self {
         Self {
             name,
             keys,
             node,
-            put: None,
-            revisions: BTreeMap::new(),
+            pending_put: None,
+            known_revisions: BTreeMap::new(),
             current_key: String::new(),
-            values: 0,
+            value_count: 0,
         }
     }
 
     fn next_call(&mut self, context: &mut ClientContext<'_>) -> Call {
-        if let Some(put) = &self.put {
+        if let Some(put) = &self.pending_put {
             return Call::Command(put.command.clone());
         }
         let random = &mut context.cluster.random;
@@ -64,27 +65,27 @@
         if random.u8(..5) < 2 {
             return Call::Query(Query::Get { key });
         }
-        self.values += 1;
-        let mut value = format!("{}-{}", self.name, self.values);
+        self.value_count += 1;
+        let mut value = format!("{}-{}", self.name, self.value_count);
         if random.u8(..8) == 0 {
             value.push_str(&"x".repeat(LONG_VALUE_BYTES));
         }
-        let known = self.revisions.get(&key).copied();
+        let known = self.known_revisions.get(&key).copied();
         let if_revision = known.filter(|_| random.bool());
         let command = Command::Put {
             key,
             value,
             if_revision,
         };
-        self.put = Some(UnclearPut {
+        self.pending_put = Some(PendingPut {
             command: command.clone(),
-            until_ms: context.cluster.now_ms + RESEND_MS,
-            ends_with_rejection: context.cluster.random.bool(),
+            resend_until_ms: context.cluster.now_ms + RESEND_MS,
+            stops_after_rejection: context.cluster.random.bool(),
         });
         Call::Command(command)
     }
 
-    fn learn_revision(&mut self, outcome: &Outcome) {
+    fn update_known_revision(&mut self, outcome: &Outcome) {
         let revision = match outcome {
             Outcome::Put { revision }
             | Outcome::Value { revision, .. }
@@ -92,14 +93,17 @@
             Outcome::KeyNotFound => 0,
             _ => return,
         };
-        self.revisions.insert(self.current_key.clone(), revision);
+        self.known_revisions
+            .insert(self.current_key.clone(), revision);
     }
 
-    fn is_put_over(&self, now_ms: u64, answer: &Answer) -> bool {
-        let Some(put) = &self.put else { return false };
+    fn is_put_finished(&self, now_ms: u64, answer: &Answer) -> bool {
+        let Some(put) = &self.pending_put else {
+            return false;
+        };
         answer.outcome().is_some()
-            || now_ms >= put.until_ms
-            || put.ends_with_rejection && answer.is_rejection()
+            || now_ms >= put.resend_until_ms
+            || put.stops_after_rejection && answer.is_rejection()
     }
 }
 
@@ -110,11 +114,11 @@
     }
 
     fn on_answer(&mut self, context: &mut ClientContext<'_>, _: OperationId, answer: &Answer) {
-        if self.is_put_over(context.now_ms(), answer) {
-            self.put = None;
+        if self.is_put_finished(context.now_ms(), answer) {
+            self.pending_put = None;
         }
         if let Some(outcome) = answer.outcome() {
-            self.learn_revision(outcome);
+            self.update_known_revision(outcome);
             let pause_ms = context.cluster.random.u64(PAUSE_MS);
             context.set_timer(pause_ms);
         } else {
--- a/crates/coordination-simulation/src/clients/lock_client.rs
+++ b/crates/coordination-simulation/src/clients/lock_client.rs
@@ -1,4 +1,4 @@
-//! A client that acquires, renews and releases a lock.
+//! A client that acquires, renews and releases the lease of a lock.
 
 use super::{Client, RETRY_MS};
 use crate::cluster::ClientContext;
@@ -8,47 +8,47 @@
 use woadstall_coordination::command::{Call, Command};
 use woadstall_coordination::outcome::Outcome;
 
-/// The duration of a lease, in milliseconds.
+/// Requested duration of a lease, in milliseconds.
 const LEASE_MS: Range<u64> = 400..3_000;
-/// How long a caller holds briefly, in milliseconds.
+/// Time after which [`LeaseUsage::ReleaseEarly`] releases the lock, in milliseconds.
 const EARLY_RELEASE_MS: Range<u64> = 20..250;
-/// How long a caller holds with renewals, in milliseconds.
+/// Time until a client that renews its lease releases the lock, in milliseconds.
 const HOLD_DURATION_MS: Range<u64> = 2_000..8_000;
-/// Before a caller tries again to get a lock, in milliseconds.
+/// Pause before a client tries again to acquire the lock, in milliseconds.
 const PAUSE_MS: Range<u64> = 20..300;
-/// After its death a caller is back under the same name, in milliseconds.
+/// Time between the crash of a client and its restart under the same owner name, in milliseconds.
 const RESTART_DELAY_MS: Range<u64> = 20..3_000;
-/// How long a caller sleeps beyond its time, in milliseconds.
+/// How long [`LeaseUsage::Oversleep`] waits after the end of its lease, in milliseconds.
 const OVERSLEEP_MS: Range<u64> = 20..1_500;
 
-/// How a caller holds a lock.
+/// How a client uses its leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseUsage {
-    /// It releases it soon.
+    /// Releases the lock soon, without renewals.
     ReleaseEarly,
-    /// It renews it for many seconds.
+    /// Renews the lease for several seconds, then releases the lock.
     RenewRepeatedly,
-    /// It dies while it holds it and comes back.
+    /// Crashes while it holds the lock, and restarts under the same owner name.
     Crash,
-    /// It sleeps beyond its time, then tries to renew.
+    /// Pauses until after the end of the lease, then tries to renew the lease.
     Oversleep,
 }
 
-/// The lease that a caller has.
+/// A lease as its owner sees it.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
-    /// Its claim in the history.
+    /// Index of the lease in the lease intervals of the history.
     interval_index: usize,
     fencing_token: u64,
-    /// When the caller's time runs out, in milliseconds.
+    /// When the lease expires, counted from the sending of the request, in milliseconds.
     expires_ms: u64,
-    /// When the caller means to release the lock, in milliseconds.
+    /// When the client plans to release the lock, in milliseconds.
     release_ms: u64,
 }
 
-/// What a caller does.
+/// State of the client.
 #[derive(Clone, Copy, Debug)]
-enum Activity {
+enum LockState {
     Idle,
     Acquiring,
     Holding(Lease),
@@ -56,34 +56,35 @@
     Releasing { fencing_token: u64 },
 }
 
-/// The client.
+/// A client that competes for one lock.
 #[derive(Clone, Debug)]
 pub struct LockClient {
     lock: String,
     owner: String,
     usage: LeaseUsage,
     node: NodeIndex,
-    activity: Activity,
-    /// The call that waits, with the time at which it was sent and the lease that it asks for.
+    state: LockState,
     pending: Option<PendingCall>,
 }
 
+/// A call that is not answered yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingCall {
     operation: OperationId,
     sent_ms: u64,
+    /// Requested duration of the lease; 0 for a release.
     lease_ms: u64,
 }
 
 impl LockClient {
-    /// A client that calls this machine first.
+    /// A client that sends its first request to `node`.
     pub fn new(lock: String, owner: String, usage: LeaseUsage, node: NodeIndex) -> Self {
         Self {
             lock,
             owner,
             usage,
             node,
-            activity: Activity::Idle,
+            state: LockState::Idle,
             pending: None,
         }
     }
@@ -99,7 +100,7 @@
     }
 
     fn acquire(&mut self, context: &mut ClientContext<'_>) {
-        self.activity = Activity::Acquiring;
+        self.state = LockState::Acquiring;
         let lease_ms = context.cluster.random.u64(LEASE_MS);
         let command = Command::AcquireLock {
             lock: self.lock.clone(),
@@ -110,7 +111,7 @@
     }
 
     fn renew(&mut self, context: &mut ClientContext<'_>, lease: Lease) {
-        self.activity = Activity::Renewing(lease);
+        self.state = LockState::Renewing(lease);
         let lease_ms = context.cluster.random.u64(LEASE_MS);
         let command = Command::RenewLock {
             lock: self.lock.clone(),
@@ -121,14 +122,14 @@
         self.send(context, command, lease_ms);
     }
 
-    /// Gives the lock up: the claim ends when the call is sent.
+    /// Releases the lock. The lease interval ends when the call is sent.
     fn release(&mut self, context: &mut ClientContext<'_>, lease: Lease) {
         end_lease_interval(context, lease);
         self.send_release(context, lease.fencing_token);
     }
 
     fn send_release(&mut self, context: &mut ClientContext<'_>, fencing_token: u64) {
-        self.activity = Activity::Releasing { fencing_token };
+        self.state = LockState::Releasing { fencing_token };
         let command = Command::ReleaseLock {
             lock: self.lock.clone(),
             owner: self.owner.clone(),
@@ -138,13 +139,13 @@
     }
 
     fn idle(&mut self, context: &mut ClientContext<'_>, pause_ms: Range<u64>) {
-        self.activity = Activity::Idle;
+        self.state = LockState::Idle;
         self.pending = None;
         let pause_ms = context.cluster.random.u64(pause_ms);
         context.set_timer(pause_ms);
     }
 
-    /// The caller dies; it forgets what it holds and what it waits for.
+    /// Simulates a crash: the client loses its lease and its pending call, and restarts later.
     fn crash(&mut self, context: &mut ClientContext<'_>, lease: Lease) {
         end_lease_interval(context, lease);
         if let Some(pending) = self.pending {
@@ -178,17 +179,17 @@
         }
     }
 
-    /// Holds the lock until the next thing to do with it.
+    /// Sets the timer for the next action on the held lease.
     fn schedule_lease_timer(&mut self, context: &mut ClientContext<'_>, lease: Lease) {
-        self.activity = Activity::Holding(lease);
+        self.state = LockState::Holding(lease);
         self.pending = None;
-        let left_ms = lease.expires_ms.saturating_sub(context.now_ms());
+        let remaining_ms = lease.expires_ms.saturating_sub(context.now_ms());
         let random = &mut context.cluster.random;
         let delay_ms = match self.usage {
-            LeaseUsage::ReleaseEarly => random.u64(EARLY_RELEASE_MS).min(left_ms),
-            LeaseUsage::RenewRepeatedly => left_ms / 3,
-            LeaseUsage::Crash => random.u64(..=left_ms),
-            LeaseUsage::Oversleep => left_ms + random.u64(OVERSLEEP_MS),
+            LeaseUsage::ReleaseEarly => random.u64(EARLY_RELEASE_MS).min(remaining_ms),
+            LeaseUsage::RenewRepeatedly => remaining_ms / 3,
+            LeaseUsage::Crash => random.u64(..=remaining_ms),
+            LeaseUsage::Oversleep => remaining_ms + random.u64(OVERSLEEP_MS),
         };
         context.set_timer(delay_ms);
     }
@@ -237,7 +238,7 @@
             }
             None => {
                 self.node = context.random_other_node(self.node);
-                self.activity = Activity::Holding(lease);
+                self.state = LockState::Holding(lease);
                 self.pending = None;
                 context.set_timer(RETRY_MS);
             }
@@ -263,7 +264,7 @@
     }
 }
 
-/// The caller no longer regards itself as the holder.
+/// Ends the lease interval now, unless the lease has expired before.
 fn end_lease_interval(context: &mut ClientContext<'_>, lease: Lease) {
     let now_ms = context.now_ms();
     let interval = &mut context.cluster.history.lease_intervals[lease.interval_index];
@@ -272,11 +273,11 @@
 
 impl Client for LockClient {
     fn on_timer(&mut self, context: &mut ClientContext<'_>) {
-        match self.activity {
-            Activity::Idle => self.acquire(context),
-            Activity::Holding(lease) => self.on_lease_timer(context, lease),
-            Activity::Releasing { fencing_token } => self.send_release(context, fencing_token),
-            Activity::Acquiring | Activity::Renewing(_) => {}
+        match self.state {
+            LockState::Idle => self.acquire(context),
+            LockState::Holding(lease) => self.on_lease_timer(context, lease),
+            LockState::Releasing { fencing_token } => self.send_release(context, fencing_token),
+            LockState::Acquiring | LockState::Renewing(_) => {}
         }
     }
 
@@ -289,10 +290,10 @@
         let Some(call) = self.pending.filter(|call| call.operation == operation) else {
             return;
         };
-        match self.activity {
-            Activity::Acquiring => self.on_acquire_answer(context, call, answer),
-            Activity::Renewing(lease) => self.on_renewal_answer(context, lease, call, answer),
-            Activity::Releasing { .. } if answer.outcome().is_none() => {
+        match self.state {
+            LockState::Acquiring => self.on_acquire_answer(context, call, answer),
+            LockState::Renewing(lease) => self.on_renewal_answer(context, lease, call, answer),
+            LockState::Releasing { .. } if answer.outcome().is_none() => {
                 self.node = context.random_other_node(self.node);
                 self.pending = None;
                 if context.cluster.random.bool() {
@@ -301,8 +302,8 @@
                     self.idle(context, PAUSE_MS);
                 }
             }
-            Activity::Releasing { .. } => self.idle(context, PAUSE_MS),
-            Activity::Idle | Activity::Holding(_) => {}
+            LockState::Releasing { .. } => self.idle(context, PAUSE_MS),
+            LockState::Idle | LockState::Holding(_) => {}
         }
     }
 }
--- a/crates/coordination-simulation/src/clients/mod.rs
+++ b/crates/coordination-simulation/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients, which behave as the users' applications do.
+//! Clients that behave like users' applications.
 
 mod final_client;
 mod key_client;
@@ -15,15 +15,15 @@
 use crate::cluster::ClientContext;
 use crate::history::{Answer, OperationId};
 
-/// How long a client waits before it calls another machine after a failure, in milliseconds.
+/// Delay between a failed call and its retry, usually on another machine, in milliseconds.
 const RETRY_MS: u64 = 60;
 
-/// A client.
+/// A client, driven by timers and answers.
 pub trait Client {
-    /// Its timer has ended.
+    /// Called when the client's timer expires.
     fn on_timer(&mut self, context: &mut ClientContext<'_>);
 
-    /// An operation is answered, or its time is over.
+    /// Called when an operation is answered or times out.
     fn on_answer(
         &mut self,
         context: &mut ClientContext<'_>,
--- a/crates/coordination-simulation/src/clients/sequence_client.rs
+++ b/crates/coordination-simulation/src/clients/sequence_client.rs
@@ -1,4 +1,4 @@
-//! A client that takes numbers of a sequence.
+//! A client that requests numbers of a sequence.
 
 use super::{Client, RETRY_MS};
 use crate::cluster::ClientContext;
@@ -7,10 +7,10 @@
 use woadstall_control_simulation::NodeIndex;
 use woadstall_coordination::command::{Call, Command};
 
-/// Between two numbers, in milliseconds.
+/// Pause between two requests, in milliseconds.
 const PAUSE_MS: Range<u64> = 40..300;
 
-/// The client.
+/// A client that repeatedly requests the next number of one sequence.
 #[derive(Clone, Debug)]
 pub struct SequenceClient {
     sequence: String,
@@ -18,7 +18,7 @@
 }
 
 impl SequenceClient {
-    /// A client that calls this machine first.
+    /// A client that sends its first request to `node`.
     pub fn new(sequence: String, node: NodeIndex) -> Self {
         Self { sequence, node }
     }
--- a/crates/coordination-simulation/src/cluster/actions.rs
+++ b/crates/coordination-simulation/src/cluster/actions.rs
@@ -1,5 +1,4 @@
-//! What processes ask for is carried out: packets are sent, records are written, clients are
-//! answered.
+//! Executes the actions that processes request: sends packets, writes records and answers clients.
 
 use super::Cluster;
 use super::event::Event;
@@ -9,42 +8,44 @@
 use woadstall_coordination::machine::{Action, CoordinationMachine};
 use woadstall_coordination::wire::Packet;
 
-/// The latency between zones of a region, in milliseconds: half a millisecond, rounded either way.
+/// Latency between zones of a region, in milliseconds: half a millisecond, rounded up or down at
+/// random.
 const ZONE_LATENCY_MS: std::ops::RangeInclusive<u64> = 0..=1;
-/// The latencies between regions in milliseconds, one a pair.
+/// Latencies between regions, in milliseconds. The sum of the two region numbers selects the entry.
 const REGION_LATENCY_MS: [u64; 2] = [35, 55];
-/// By how much the latency between regions varies at most, in milliseconds.
+/// Greatest random addition to the latency between regions, in milliseconds.
 const REGION_JITTER_MS: u64 = 3;
-/// How long a sync takes, in milliseconds.
+/// Duration of a disk sync, in milliseconds.
 const SYNC_MS: u64 = 5;
 
 impl Cluster {
-    /// Calls a process with the time of its own clock, and carries out what it asks for.
-    pub(super) fn call(
+    /// Runs `call` on the process of a node, if it runs, with the time of the process's own clock, and
+    /// executes the resulting actions.
+    pub(super) fn with_process(
         &mut self,
         node: NodeIndex,
         call: impl FnOnce(&mut CoordinationMachine, u64),
     ) {
         let host = &mut self.nodes[node];
-        let now = host.clock(self.now_ms);
+        let now_ms = host.clock_ms(self.now_ms);
         if let Some(process) = host.process.as_mut() {
-            call(process, now);
-            self.carry_out_actions(node);
+            call(process, now_ms);
+            self.execute_actions(node);
         }
     }
 
-    /// Carries out the actions of a process.
-    pub(super) fn carry_out_actions(&mut self, node: NodeIndex) {
+    /// Executes the pending actions of a process.
+    pub(super) fn execute_actions(&mut self, node: NodeIndex) {
         let Some(process) = self.nodes[node].process.as_mut() else {
             return;
         };
         for action in process.take_actions() {
-            self.carry_out(node, action);
+            self.execute_action(node, action);
         }
-        self.schedule_due(node);
+        self.schedule_deadline(node);
     }
 
-    fn carry_out(&mut self, node: NodeIndex, action: Action) {
+    fn execute_action(&mut self, node: NodeIndex, action: Action) {
         match action {
             Action::Connect { address } => {
                 self.nodes[node].connected.insert(address);
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The node at an internal address.
+    /// The node with an internal address, unless it was removed.
     pub(super) fn node_at(&self, address: &str) -> Option<NodeIndex> {
         let mut nodes = self.nodes.iter();
         nodes.position(|node| node.is_present && node.address == address)
--- a/crates/coordination-simulation/src/cluster/client_access.rs
+++ b/crates/coordination-simulation/src/cluster/client_access.rs
@@ -1,4 +1,4 @@
-//! The way between clients and machines. No partition concerns it.
+//! Transport between clients and machines, which partitions do not affect.
 
 use super::event::Event;
 use super::{ClientSlot, Cluster};
@@ -7,25 +7,26 @@
 use woadstall_control_simulation::NodeIndex;
 use woadstall_coordination::machine::Response;
 
-/// The latency between clients and machines, in milliseconds.
+/// One-way latency between clients and machines, in milliseconds.
 const CLIENT_LATENCY_MS: u64 = 1;
-/// How long clients wait for an answer, in milliseconds; for a watch beside its own time.
+/// How long clients wait for an answer, in milliseconds. For a watch, the wait time that it requests
+/// is added.
 const CLIENT_TIMEOUT_MS: u64 = 1_000;
 
-/// What a client can do while it handles an event.
+/// Operations available to a client while it handles an event.
 pub struct ClientContext<'a> {
-    /// The cluster.
+    /// The cluster that the client belongs to.
     pub cluster: &'a mut Cluster,
     client: ClientId,
 }
 
 impl ClientContext<'_> {
-    /// The current time in milliseconds.
+    /// Current virtual time, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.cluster.now_ms
     }
 
-    /// Calls a machine; the answer comes later.
+    /// Sends a request to a machine. [`Client::on_answer`] gets the answer.
     pub fn call(&mut self, node: NodeIndex, request: Request) -> OperationId {
         let wait_ms = match &request {
             Request::Watch { watch, .. } if watch.after > 0 => watch.wait_ms,
@@ -34,7 +35,7 @@
         let cluster = &mut *self.cluster;
         let operation = cluster
             .history
-            .call(cluster.now_ms, self.client, node, request);
+            .invoke(cluster.now_ms, self.client, node, request);
         cluster.schedule(CLIENT_LATENCY_MS, Event::Request { operation });
         let timeout = Event::Answer {
             operation,
@@ -44,32 +45,32 @@
         operation
     }
 
-    /// The client no longer waits for an operation.
+    /// Completes an operation as timed out, so that a later answer is ignored.
     pub fn abandon(&mut self, operation: OperationId) {
         let now_ms = self.cluster.now_ms;
         self.cluster
             .history
-            .answer(now_ms, operation, Answer::TimedOut);
+            .complete(now_ms, operation, Answer::TimedOut);
     }
 
-    /// Wakes the client after some milliseconds, and not at the time that it asked for before.
+    /// Sets the client's timer, which replaces the timer set before.
     pub fn set_timer(&mut self, delay_ms: u64) {
         let client = self.client;
         let slot = &mut self.cluster.clients[client];
-        slot.last_wake += 1;
-        let number = slot.last_wake;
+        slot.last_timer += 1;
+        let number = slot.last_timer;
         self.cluster
-            .schedule(delay_ms, Event::Wake { client, number });
+            .schedule(delay_ms, Event::ClientTimer { client, number });
     }
 
-    /// A machine other than this one, by chance.
+    /// A random machine other than `node`; `node` itself if it is the only one.
     pub fn random_other_node(&mut self, node: NodeIndex) -> NodeIndex {
         let mut others = self.cluster.present_nodes();
         others.retain(|other| *other != node);
         self.cluster.random.choice(others).unwrap_or(node)
     }
 
-    /// A machine by chance.
+    /// A random machine.
     pub fn any_node(&mut self) -> NodeIndex {
         let present_nodes = self.cluster.present_nodes();
         self.cluster
@@ -80,11 +81,11 @@
 }
 
 impl Cluster {
-    /// Adds a client, which is woken after some milliseconds.
+    /// Adds a client, whose timer first expires after `delay_ms`.
     pub fn add_client(&mut self, client: Box<dyn Client>, delay_ms: u64) -> ClientId {
         self.clients.push(ClientSlot {
             client: Some(client),
-            last_wake: 0,
+            last_timer: 0,
         });
         let client = self.clients.len() - 1;
         let cluster = self;
@@ -92,7 +93,7 @@
         client
     }
 
-    /// All clients end; what they wait for does not concern them any more.
+    /// Stops all clients. Their pending operations are never completed.
     pub fn stop_clients(&mut self) {
         for slot in &mut self.clients {
             slot.client = None;
@@ -104,21 +105,22 @@
         client: ClientId,
         call: impl FnOnce(&mut dyn Client, &mut ClientContext<'_>),
     ) {
-        let Some(mut taken) = self.clients[client].client.take() else {
+        let Some(mut handler) = self.clients[client].client.take() else {
             return;
         };
         let cluster = &mut *self;
-        call(&mut *taken, &mut ClientContext { cluster, client });
-        self.clients[client].client = Some(taken);
+        call(&mut *handler, &mut ClientContext { cluster, client });
+        self.clients[client].client = Some(handler);
     }
 
-    pub(super) fn wake(&mut self, client: ClientId, number: u64) {
-        if self.clients[client].last_wake == number {
+    /// Notifies a client of its timer, unless the timer was replaced.
+    pub(super) fn on_client_timer(&mut self, client: ClientId, number: u64) {
+        if self.clients[client].last_timer == number {
             self.with_client(client, |client, context| client.on_timer(context));
         }
     }
 
-    /// A request arrives at a process.
+    /// Passes a request to the process that it was sent to.
     pub(super) fn submit(&mut self, operation: OperationId) {
         let submitted = &self.history.operations[operation];
         let (node, request) = (submitted.node, submitted.request.clone());
@@ -127,13 +129,13 @@
             return;
         }
         let token = operation as u64;
-        self.call(node, |process, now| match request {
-            Request::Call(call) => process.submit(now, token, call),
-            Request::Watch { watch, .. } => process.watch(now, token, watch),
+        self.with_process(node, |process, now_ms| match request {
+            Request::Call(call) => process.submit(now_ms, token, call),
+            Request::Watch { watch, .. } => process.watch(now_ms, token, watch),
         });
     }
 
-    /// Nothing listens where a request arrives.
+    /// Answers a request to a machine without a running process.
     pub(super) fn refuse_connection(&mut self, operation: OperationId) {
         self.send_answer(operation, Answer::Disconnected);
     }
@@ -144,12 +146,12 @@
 
     pub(super) fn deliver_answer(&mut self, operation: OperationId, answer: Answer) {
         let client = self.history.operations[operation].client;
-        // A client that has ended hears nothing.
+        // A stopped client receives no answers, and the operation stays pending in the history.
         if self.clients[client].client.is_none() {
             return;
         }
         let now_ms = self.now_ms;
-        if self.history.answer(now_ms, operation, answer.clone()) {
+        if self.history.complete(now_ms, operation, answer.clone()) {
             self.with_client(client, |client, context| {
                 client.on_answer(context, operation, &answer);
             });
--- a/crates/coordination-simulation/src/cluster/divergence.rs
+++ b/crates/coordination-simulation/src/cluster/divergence.rs
@@ -1,4 +1,4 @@
-//! Machines that have applied the same position of the log have the same state.
+//! Detects machines whose states differ at the same log position.
 
 use super::Cluster;
 use std::collections::BTreeMap;
@@ -6,28 +6,29 @@
 use thiserror::Error;
 use woadstall_control_simulation::NodeIndex;
 
-/// Two machines have different states at one position of the log.
+/// Two machines had different states at the same log position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("nodes {first} and {second} have different states at position {index} of the log")]
+#[error("nodes {first} and {second} have different states at log position {index}")]
 pub struct StateDivergence {
-    /// The position.
+    /// The log position.
     pub index: u64,
-    /// The node that had applied it first.
+    /// The node that was first observed at this position.
     pub first: NodeIndex,
-    /// The other one.
+    /// The node with the other state.
     pub second: NodeIndex,
 }
 
-/// The states that were seen, by their position in the log.
+/// Hashes of the states that were observed, by log position.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AppliedStates {
+    /// The node that was first observed at each position, and the hash of its state.
     by_index: BTreeMap<u64, (NodeIndex, u64)>,
     /// The first disagreement.
     pub divergence: Option<StateDivergence>,
 }
 
 impl AppliedStates {
-    /// A node has a state at a position.
+    /// Compares the state of a node with the one first observed at the same position.
     pub fn observe(&mut self, second: NodeIndex, index: u64, state: &[u8]) {
         let mut hasher = DefaultHasher::new();
         hasher.write(state);
@@ -44,7 +45,7 @@
 }
 
 impl Cluster {
-    /// Compares the states of all machines with those seen so far.
+    /// Compares the states of all running machines with the states observed before.
     pub(super) fn compare_states(&mut self) {
         for node in 0..self.nodes.len() {
             if let Some(process) = &self.nodes[node].process {
--- a/crates/coordination-simulation/src/cluster/event.rs
+++ b/crates/coordination-simulation/src/cluster/event.rs
@@ -1,52 +1,53 @@
-//! What the cluster schedules.
+//! Events that the cluster schedules.
 
 use crate::history::{Answer, ClientId, OperationId};
 use woadstall_control_simulation::NodeIndex;
 use woadstall_control_simulation::network::{Link, PacketId};
 
-/// An event to come.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// A packet arrives.
+    /// A packet arrives at its receiver.
     Delivery {
         link: Link,
         packet: PacketId,
-        /// The incarnation that it is for; `None` for one of a former connection.
+        /// Incarnation of the receiving process; `None` for a late packet of a closed connection, which
+        /// any incarnation accepts.
         incarnation: Option<u64>,
     },
-    /// A connection that a process has opened is up.
+    /// A connection that a process opened is established.
     LinkUp { link: Link, incarnation: u64 },
-    /// A disk syncs a write of an incarnation.
+    /// The disk of a node finishes the sync of a write.
     Sync { node: NodeIndex, incarnation: u64 },
-    /// A process learns that records are durable.
+    /// A process is notified that its records up to `sequence` are durable.
     Persisted {
         node: NodeIndex,
         incarnation: u64,
         sequence: u64,
     },
-    /// A process ticks.
+    /// The periodic tick of a process.
     Tick { node: NodeIndex, incarnation: u64 },
-    /// A process has something to do at this time.
-    Due { node: NodeIndex, incarnation: u64 },
-    /// A frozen process goes on.
-    Thaw { node: NodeIndex, incarnation: u64 },
-    /// A process is started.
+    /// A deadline of a process, beside its periodic ticks.
+    Deadline { node: NodeIndex, incarnation: u64 },
+    /// A frozen process resumes.
+    Resume { node: NodeIndex, incarnation: u64 },
+    /// The process of a node starts.
     Start { node: NodeIndex },
-    /// A process ends after its shutdown was announced.
+    /// A process ends after the notice period of its shutdown.
     Stop { node: NodeIndex, incarnation: u64 },
     /// A partition ends.
     EndPartition { number: u64 },
-    /// Connections come up and time out.
-    Connections,
-    /// A request of a client arrives at a machine.
+    /// The periodic update of connections: they are established, released or timed out.
+    UpdateConnections,
+    /// A request arrives at a machine.
     Request { operation: OperationId },
-    /// An answer arrives at a client, or its time is over.
+    /// An answer arrives at a client, or the client's timeout expires.
     Answer {
         operation: OperationId,
         answer: Answer,
     },
-    /// A client's timer ends.
-    Wake { client: ClientId, number: u64 },
-    /// The states of the machines are compared.
+    /// A timer of a client expires.
+    ClientTimer { client: ClientId, number: u64 },
+    /// The periodic comparison of the states of all machines.
     CompareStates,
 }
--- a/crates/coordination-simulation/src/cluster/faults.rs
+++ b/crates/coordination-simulation/src/cluster/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of nodes: processes are killed, lose power, freeze and are shut down; disks stall and are
-//! lost; machines are replaced; connections break.
+//! Faults of nodes: killed, frozen and shut down processes, power losses, stalled and lost disks,
+//! replaced machines, and reset connections.
 
 use super::event::Event;
 use super::node::Node;
@@ -9,19 +9,19 @@
 use woadstall_control_simulation::disk::SimulatedDisk;
 use woadstall_control_simulation::network::Link;
 
-/// Milliseconds between the announcement of a shutdown and the end of the process.
+/// Time between the notice of a shutdown and the end of the process, in milliseconds.
 const SHUTDOWN_NOTICE_MS: u64 = 600;
 
 impl Cluster {
-    /// Kills a process, which starts again some milliseconds later; what it has not synced is lost.
+    /// Kills a process, which restarts after `down_ms`. Writes that were not synced are lost.
     pub fn kill(&mut self, node: NodeIndex, down_ms: u64) {
         self.log_event(Some(node), format!("fault kill for {down_ms}"));
         self.end(node, 0);
         self.schedule(down_ms, Event::Start { node });
     }
 
-    /// A node loses power, and starts again some milliseconds later; any part of what was not synced
-    /// is lost.
+    /// Cuts the power of a node, which restarts after `down_ms`. A random part of the writes that were
+    /// not synced is lost.
     pub fn lose_power(&mut self, node: NodeIndex, down_ms: u64) {
         self.log_event(Some(node), format!("fault power for {down_ms}"));
         let started = self.random.usize(..=self.nodes[node].disk.queued());
@@ -29,26 +29,28 @@
         self.schedule(down_ms, Event::Start { node });
     }
 
-    /// A node loses its disk, and starts again with an empty one and under a new identity.
+    /// Destroys the disk of a node, which restarts after `down_ms` with an empty disk and a new replica
+    /// id.
     pub fn lose_disk(&mut self, node: NodeIndex, down_ms: u64) {
         self.log_event(Some(node), format!("fault disk lost for {down_ms}"));
         self.end(node, 0);
-        self.nodes[node].disk = SimulatedDisk::new(self.empty_disk_state());
+        self.nodes[node].disk = SimulatedDisk::new(self.state_of_empty_disk());
         self.schedule(down_ms, Event::Start { node });
     }
 
-    fn empty_disk_state(&mut self) -> DurableState {
+    fn state_of_empty_disk(&mut self) -> DurableState {
         let id = self.next_replica_id;
         self.next_replica_id += 1;
         DurableState::new(id, Snapshot::default())
     }
 
-    /// Replaces a machine by an empty one at another address, which starts some milliseconds later.
+    /// Removes a machine, and adds an empty one at a new address in the same zone, which starts after
+    /// `down_ms`.
     pub fn replace(&mut self, node: NodeIndex, down_ms: u64) {
         self.log_event(Some(node), format!("fault replace for {down_ms}"));
         self.end(node, 0);
         self.nodes[node].is_present = false;
-        let initial = self.empty_disk_state();
+        let initial = self.state_of_empty_disk();
         let (zone, region) = (self.nodes[node].zone, self.nodes[node].region);
         let added = self.nodes.len();
         self.nodes
@@ -57,26 +59,27 @@
         for other in 0..self.nodes.len() {
             if let Some(process) = self.nodes[other].process.as_mut() {
                 process.set_known_addresses(known.clone());
-                self.carry_out_actions(other);
+                self.execute_actions(other);
             }
         }
         self.schedule(down_ms, Event::Start { node: added });
     }
 
-    /// A process is told that it will be ended, ends, and starts again some milliseconds later.
+    /// Shuts a process down in order: it gets notice, ends after the notice period, and restarts
+    /// `down_ms` later. Does nothing to a process that is frozen or does not run.
     pub fn shut_down(&mut self, node: NodeIndex, down_ms: u64) {
         if self.nodes[node].process.is_none() || self.is_frozen(node) {
             return;
         }
         self.log_event(Some(node), format!("fault shutdown for {down_ms}"));
         self.nodes[node].is_shutting_down = true;
-        self.call(node, |process, now| process.begin_shutdown(now));
+        self.with_process(node, |process, now_ms| process.begin_shutdown(now_ms));
         let incarnation = self.nodes[node].incarnation;
         self.schedule(SHUTDOWN_NOTICE_MS, Event::Stop { node, incarnation });
         self.schedule(SHUTDOWN_NOTICE_MS + down_ms, Event::Start { node });
     }
 
-    /// A process stands still for some milliseconds.
+    /// Freezes a process for `duration_ms`: it handles no events until then.
     pub fn freeze(&mut self, node: NodeIndex, duration_ms: u64) {
         if self.nodes[node].process.is_none() {
             return;
@@ -86,10 +89,10 @@
         let host = &mut self.nodes[node];
         host.frozen_until_ms = host.frozen_until_ms.max(until_ms);
         let incarnation = host.incarnation;
-        self.schedule(duration_ms, Event::Thaw { node, incarnation });
+        self.schedule(duration_ms, Event::Resume { node, incarnation });
     }
 
-    /// A disk syncs nothing for some milliseconds.
+    /// Stalls a disk for `duration_ms`: it completes no sync until then.
     pub fn stall_disk(&mut self, node: NodeIndex, duration_ms: u64) {
         self.log_event(Some(node), format!("fault disk stall for {duration_ms}"));
         let until_ms = self.now_ms + duration_ms;
@@ -97,7 +100,7 @@
         disk.stalled_until_ms = disk.stalled_until_ms.max(until_ms);
     }
 
-    /// The connections of a node break; packets on their way may arrive late.
+    /// Resets all connections of a node. Packets that the network holds back may still arrive late.
     pub fn reset_connections(&mut self, node: NodeIndex) {
         self.log_event(Some(node), "fault connections reset".to_owned());
         for other in 0..self.nodes.len() {
@@ -107,7 +110,7 @@
         }
     }
 
-    /// All faults end, and all processes run.
+    /// Ends all faults, and starts all processes that do not run.
     pub fn clear_faults(&mut self) {
         self.log_event(None, "all faults end".to_owned());
         self.heal();
@@ -115,7 +118,7 @@
             self.nodes[node].disk.clear_faults();
             if self.is_frozen(node) {
                 self.nodes[node].frozen_until_ms = 0;
-                self.thaw(node);
+                self.resume(node);
             }
         }
         self.start_all();
--- a/crates/coordination-simulation/src/cluster/lifecycle.rs
+++ b/crates/coordination-simulation/src/cluster/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Processes start and end.
+//! Start and end of processes.
 
 use super::Cluster;
 use super::event::Event;
@@ -11,7 +11,7 @@
 use woadstall_coordination::wire::MachineInfo;
 
 impl Cluster {
-    /// Starts a node's process on its disk, unless it runs or the node was removed.
+    /// Starts the process of a node from its disk, unless it runs already or the node was removed.
     pub fn start(&mut self, node: NodeIndex) {
         if self.nodes[node].process.is_some() || !self.nodes[node].is_present {
             return;
@@ -25,7 +25,7 @@
         host.started_ms = now_ms;
         host.frozen_until_ms = 0;
         host.is_shutting_down = false;
-        host.due_ms = None;
+        host.deadline_ms = None;
         let durable = host.disk.durable().clone();
         let mut process = CoordinationMachine::new(settings, durable, 0, seed);
         process.set_known_addresses(known);
@@ -34,7 +34,7 @@
         let phase_ms = self.random.u64(..TICK_MS);
         self.schedule(phase_ms, Event::Tick { node, incarnation });
         self.log_event(Some(node), format!("process started seed={seed}"));
-        self.carry_out_actions(node);
+        self.execute_actions(node);
     }
 
     /// Starts all processes that do not run.
@@ -55,8 +55,8 @@
         MachineSettings {
             machine,
             seeds: (0..self.topology.founders).map(super::address).collect(),
-            tolerated_failures: self.topology.tolerated,
-            history_ms: super::KEPT_HISTORY_MS,
+            tolerated_failures: self.topology.tolerated_failures,
+            history_ms: super::HISTORY_RETENTION_MS,
             incarnation,
         }
     }
@@ -68,8 +68,8 @@
             .collect()
     }
 
-    /// Ends a process. Of the writes that are queued the first `started_writes` were under way; a
-    /// random part of them is durable, perhaps torn.
+    /// Ends a process. The disk had started the first `started_writes` of its queued writes: a random
+    /// part of these becomes durable, and the last one may be torn.
     pub(super) fn end(&mut self, node: NodeIndex, started_writes: usize) {
         let host = &mut self.nodes[node];
         host.process = None;
@@ -85,14 +85,14 @@
         self.disconnect_clients(node);
     }
 
-    /// A connection is lost with the packets that it holds back.
+    /// Closes a connection and drops the packets that it holds back.
     fn drop_connection(&mut self, link: Link) {
         for packet in self.network.reset(self.now_ms, link) {
             self.packets.remove(&packet);
         }
     }
 
-    /// The clients that wait for a node lose their connections.
+    /// Answers all pending requests to a node with the loss of the connection.
     fn disconnect_clients(&mut self, node: NodeIndex) {
         let operations = self.history.operations.iter().enumerate();
         let waiting = operations
--- a/crates/coordination-simulation/src/cluster/mod.rs
+++ b/crates/coordination-simulation/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The cluster: nodes with their processes, disks and connections, and clients, driven by virtual
+//! The simulated cluster: nodes with processes, disks and connections, and clients, driven by virtual
 //! time.
 
 mod actions;
@@ -29,66 +29,68 @@
 use woadstall_coordination::machine::{CoordinationMachine, initial_snapshot};
 use woadstall_coordination::wire::Packet;
 
-/// The shape of a deployment.
+/// Size and layout of a cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
-    /// Its nodes, each in a zone of its own.
+    /// Number of nodes, each in a zone of its own.
     pub nodes: usize,
-    /// How many of them, the first ones, found the group.
+    /// Number of nodes, from the first one, that form the initial consensus group.
     pub founders: usize,
-    /// The regions that the nodes are spread over in turn.
+    /// Number of regions, to which nodes are assigned in turn.
     pub regions: usize,
-    /// Nodes that may be lost at a time.
-    pub tolerated: usize,
+    /// Number of nodes that may be lost at the same time.
+    pub tolerated_failures: usize,
 }
 
-/// Two machines in each of three regions.
+/// Two machines in each of three regions, of which two may be lost at the same time.
 pub const SIX_IN_THREE_REGIONS: Topology = Topology {
     nodes: 6,
     founders: 3,
     regions: 3,
-    tolerated: 2,
+    tolerated_failures: 2,
 };
 
-/// For how long watches may resume from a revision that they have received, in milliseconds.
+/// How long after the receipt of a revision a watch must be able to resume from it, in milliseconds.
 pub const HISTORY_MS: u64 = 5_000;
-/// For how long machines are told to keep the history: with the reserve that the process gives.
-const KEPT_HISTORY_MS: u64 = 2 * HISTORY_MS + 10_000;
-/// The replica id of the first disk that is added later; founders have 1 and up.
+/// History retention of the machines, in milliseconds: twice [`HISTORY_MS`] plus 10 s, the margin that
+/// the node process adds to its setting too.
+const HISTORY_RETENTION_MS: u64 = 2 * HISTORY_MS + 10_000;
+/// Replica id of the first disk that is added after the start; initial nodes have ids from 1.
 const FIRST_ADDED_REPLICA_ID: u64 = 1_001;
 
-/// A line that a process has logged, or a fault.
+/// A log line of a process, or the record of a fault.
 #[derive(Clone, Debug)]
 pub struct LogRecord {
-    /// When, in milliseconds.
+    /// Virtual time of the record, in milliseconds.
     pub at_ms: u64,
-    /// The node; `None` for what concerns all.
+    /// The affected node; `None` if the record concerns several nodes.
     pub node: Option<NodeIndex>,
-    /// The line.
+    /// Text of the log line, or description of the fault.
     pub text: String,
 }
 
-/// A client, and the number of its latest timer.
+/// A client with the number of its latest timer.
 struct ClientSlot {
+    /// `None` while the client handles an event, and after it was stopped.
     client: Option<Box<dyn Client>>,
-    last_wake: u64,
+    last_timer: u64,
 }
 
-/// The simulated cluster.
+/// The simulated cluster with its clients. The same seed and the same calls give the same run.
 pub struct Cluster {
-    /// The current time in milliseconds.
+    /// Current virtual time, in milliseconds.
     pub now_ms: u64,
-    /// The source of all chance.
+    /// Source of all random choices of the simulation.
     pub random: fastrand::Rng,
-    /// What clients did.
+    /// Requests and answers of the clients.
     pub history: History,
-    /// What processes have logged, and the faults.
+    /// Log lines of the processes, and the injected faults.
     pub log: Vec<LogRecord>,
     topology: Topology,
     network: Network,
     nodes: Vec<Node>,
     events: EventQueue<Event>,
-    /// Packets on their way.
+    /// Packets in flight.
     packets: BTreeMap<PacketId, Packet>,
     last_packet: PacketId,
     partitions: Vec<Partition>,
@@ -99,7 +101,7 @@
 }
 
 impl Cluster {
-    /// A deployment with all processes started.
+    /// Creates a cluster and starts all processes.
     pub fn new(seed: u64, topology: Topology) -> Self {
         let mut cluster = Self {
             now_ms: 0,
@@ -119,28 +121,28 @@
             next_replica_id: FIRST_ADDED_REPLICA_ID,
         };
         cluster.start_all();
-        cluster.schedule(0, Event::Connections);
+        cluster.schedule(0, Event::UpdateConnections);
         cluster.schedule(0, Event::CompareStates);
         cluster
     }
 
-    /// The nodes that were not removed.
+    /// The nodes that were not removed, with running and stopped processes.
     pub fn present_nodes(&self) -> Vec<NodeIndex> {
         let nodes = 0..self.nodes.len();
         nodes.filter(|node| self.nodes[*node].is_present).collect()
     }
 
-    /// The region of a node.
+    /// Number of the region that a node belongs to.
     pub fn region(&self, node: NodeIndex) -> usize {
         self.nodes[node].region
     }
 
-    /// A node's process, if it runs.
+    /// The process of a node; `None` if it does not run.
     pub fn process(&self, node: NodeIndex) -> Option<&CoordinationMachine> {
         self.nodes[node].process.as_ref()
     }
 
-    /// The leader of the newest term.
+    /// The leader of the newest term among the running processes.
     pub fn leader(&self) -> Option<NodeIndex> {
         let term = |node: &NodeIndex| {
             let replica = self.process(*node)?.replica();
@@ -153,17 +155,17 @@
         leaders.max_by_key(term)
     }
 
-    /// Two states of different content at one position of the log, if there were any.
+    /// The first divergence of two states that was observed.
     pub fn divergence(&self) -> Option<&StateDivergence> {
         self.applied_states.divergence.as_ref()
     }
 
-    /// Whether committed entries survive for certain when these nodes lose their disks: at least a
-    /// quorum's complement of the voters keeps theirs.
-    pub fn can_lose_disks(&self, lost: &[NodeIndex]) -> bool {
-        let keeps = |member: &Member| {
+    /// Whether all committed entries are certain to survive when these nodes lose their disks: in
+    /// every membership on any disk, a majority of the voters (and of the next voters) keeps its disk.
+    pub fn can_lose_disks(&self, lost_nodes: &[NodeIndex]) -> bool {
+        let keeps_disk = |member: &Member| {
             let nodes = self.nodes.iter().enumerate();
-            let mut kept = nodes.filter(|(node, _)| !lost.contains(node));
+            let mut kept = nodes.filter(|(node, _)| !lost_nodes.contains(node));
             kept.any(|(_, node)| node.is_present && node.disk.durable().id == member.id)
         };
         let memberships = self
@@ -173,13 +175,13 @@
         let mut known = memberships.filter(|membership| !membership.voters.is_empty());
         known.all(|membership| {
             membership.voters.is_empty()
-                || is_majority(&membership.voters, keeps)
+                || is_majority(&membership.voters, keeps_disk)
                     && (membership.next_voters.is_empty()
-                        || is_majority(&membership.next_voters, keeps))
+                        || is_majority(&membership.next_voters, keeps_disk))
         })
     }
 
-    /// What processes have logged and the state of their replicas, one a line.
+    /// The log and the state of the running replicas, with one line per record and per replica.
     pub fn describe(&self) -> String {
         let logged = self.log.iter().map(|line| match line.node {
             Some(node) => format!("{} node={node} {}", line.at_ms, line.text),
@@ -208,16 +210,16 @@
     }
 }
 
-fn is_majority(voters: &[Member], keeps: impl Fn(&Member) -> bool) -> bool {
-    2 * voters.iter().filter(|member| keeps(member)).count() > voters.len()
+fn is_majority(voters: &[Member], keeps_disk: impl Fn(&Member) -> bool) -> bool {
+    2 * voters.iter().filter(|member| keeps_disk(member)).count() > voters.len()
 }
 
-/// The internal address of the machine that was added as the node with this number.
+/// Internal address of the machine of a node.
 fn address(node: NodeIndex) -> String {
     format!("10.0.{node}.1:7730")
 }
 
-/// The nodes at the beginning: founders know each other, the rest begin with empty disks.
+/// The initial nodes. The disks of the founders contain the initial membership, all others are empty.
 fn initial_nodes(topology: Topology) -> Vec<Node> {
     let member = |node: NodeIndex| Member {
         id: node as u64 + 1,
--- a/crates/coordination-simulation/src/cluster/node.rs
+++ b/crates/coordination-simulation/src/cluster/node.rs
@@ -1,4 +1,4 @@
-//! A node: a process, if one runs, and what outlives it.
+//! A node: its process, its disk and the state that outlives the process.
 
 use super::event::Event;
 use std::collections::{BTreeSet, VecDeque};
@@ -8,33 +8,33 @@
 
 /// A node of the cluster.
 pub(super) struct Node {
-    /// Its internal address.
+    /// Address at which other machines reach the node.
     pub address: String,
     pub zone: usize,
     pub region: usize,
-    /// The process, if it runs.
+    /// The process; `None` if it does not run.
     pub process: Option<CoordinationMachine>,
     pub disk: SimulatedDisk,
-    /// The number of processes that were started here so far.
+    /// Number of processes that have been started on the node; identifies the current process.
     pub incarnation: u64,
-    /// When the process started, in milliseconds: its own clock counts from there.
+    /// When the process started, in milliseconds; the clock of the process starts at 0 then.
     pub started_ms: u64,
-    /// Until when the process is frozen, in milliseconds.
+    /// When the process resumes after a freeze, in milliseconds; 0 if it was not frozen.
     pub frozen_until_ms: u64,
-    /// What has arrived while it is frozen.
+    /// Events that arrived while the process is frozen.
     pub inbox: VecDeque<Event>,
-    /// Whether the process was told that it will be ended.
+    /// Whether the process got notice of its shutdown.
     pub is_shutting_down: bool,
-    /// When the process is to be called next, beside its ticks, in milliseconds.
-    pub due_ms: Option<u64>,
-    /// The addresses to which the process keeps connections.
+    /// Next scheduled deadline of the process beside its periodic ticks, in milliseconds.
+    pub deadline_ms: Option<u64>,
+    /// Addresses that the process wants to be connected to.
     pub connected: BTreeSet<String>,
-    /// Whether it was not removed.
+    /// Whether the node is part of the cluster; `false` once it was removed.
     pub is_present: bool,
 }
 
 impl Node {
-    /// A node whose process does not run yet.
+    /// A node whose process does not run yet, with a disk that contains `initial`.
     pub fn new(address: String, zone: usize, region: usize, initial: DurableState) -> Self {
         Self {
             address,
@@ -47,14 +47,14 @@
             frozen_until_ms: 0,
             inbox: VecDeque::new(),
             is_shutting_down: false,
-            due_ms: None,
+            deadline_ms: None,
             connected: BTreeSet::new(),
             is_present: true,
         }
     }
 
-    /// The process's own clock at a time.
-    pub fn clock(&self, now_ms: u64) -> u64 {
+    /// Time of the process's own clock at a virtual time, in milliseconds.
+    pub fn clock_ms(&self, now_ms: u64) -> u64 {
         now_ms - self.started_ms
     }
 }
--- a/crates/coordination-simulation/src/cluster/partitions.rs
+++ b/crates/coordination-simulation/src/cluster/partitions.rs
@@ -1,22 +1,22 @@
-//! Partitions that begin, overlap and end.
+//! Network partitions, which may overlap in time.
 
 use super::Cluster;
 use super::event::Event;
 use woadstall_control_simulation::NodeIndex;
 use woadstall_control_simulation::network::Link;
 
-/// The directions that a partition closes.
+/// Direction of the traffic that a partition blocks, seen from the partitioned nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Nothing reaches the nodes.
+    /// Traffic to the nodes is blocked.
     Inbound,
-    /// Nothing comes from the nodes.
+    /// Traffic from the nodes is blocked.
     Outbound,
-    /// Neither.
+    /// Traffic in both directions is blocked.
     Both,
 }
 
-/// A partition in force.
+/// An active partition with the links that it blocks.
 #[derive(Clone, Debug)]
 pub(super) struct Partition {
     number: u64,
@@ -24,7 +24,7 @@
 }
 
 impl Cluster {
-    /// Parts some nodes from all others for some milliseconds.
+    /// Partitions `nodes` from all other nodes for `duration_ms`.
     pub fn partition(&mut self, nodes: &[NodeIndex], direction: Direction, duration_ms: u64) {
         self.log_event(
             None,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether nothing passes over some link.
+    /// Whether at least one partition is active.
     pub fn is_partitioned(&self) -> bool {
         !self.partitions.is_empty()
     }
--- a/crates/coordination-simulation/src/cluster/time.rs
+++ b/crates/coordination-simulation/src/cluster/time.rs
@@ -1,4 +1,4 @@
-//! The passing of time: events of the queue, and connections that come up and time out.
+//! Progress of virtual time: dispatches scheduled events, and updates connections periodically.
 
 use super::Cluster;
 use super::event::Event;
@@ -6,26 +6,25 @@
 use woadstall_control_simulation::disk::Synced;
 use woadstall_control_simulation::network::{Link, PacketId};
 
-/// How often processes tick, in milliseconds.
+/// Interval of the ticks of a process, in milliseconds.
 pub(super) const TICK_MS: u64 = 50;
-/// How often connections are looked after, in milliseconds.
-const CONNECTIONS_MS: u64 = 50;
-/// How long a packet takes that a partition has held back, once the partition ends, in
-/// milliseconds.
-const RELEASE_MS: u64 = 1;
-/// How often the states of the machines are compared, in milliseconds.
-const COMPARE_MS: u64 = 2_000;
+/// Interval of connection updates, in milliseconds.
+const CONNECTION_UPDATE_MS: u64 = 50;
+/// Latency of a packet that a partition held back, from the end of the partition, in milliseconds.
+const RELEASE_LATENCY_MS: u64 = 1;
+/// Interval of state comparisons, in milliseconds.
+const STATE_COMPARISON_MS: u64 = 2_000;
 
 impl Cluster {
-    /// Lets some milliseconds pass.
-    pub fn run(&mut self, duration_ms: u64) {
+    /// Advances virtual time by `duration_ms` and handles all events that become due.
+    pub fn run_for(&mut self, duration_ms: u64) {
         let end_ms = self.now_ms + duration_ms;
-        while self.step(end_ms) {}
+        while self.step_until(end_ms) {}
         self.now_ms = end_ms;
     }
 
-    /// Handles the next event, if it is no later than `until_ms`.
-    pub fn step(&mut self, until_ms: u64) -> bool {
+    /// Handles the next event, if it is due by `until_ms`. Returns whether there was one.
+    pub fn step_until(&mut self, until_ms: u64) -> bool {
         let Some((at_ms, event)) = self.events.pop_until(until_ms) else {
             return false;
         };
@@ -40,12 +39,12 @@
             | Event::LinkUp { .. }
             | Event::Persisted { .. }
             | Event::Tick { .. }
-            | Event::Due { .. }
-            | Event::Request { .. } => self.handle_by_process(event),
+            | Event::Deadline { .. }
+            | Event::Request { .. } => self.handle_on_process(event),
             Event::Sync { node, incarnation } => self.sync(node, incarnation),
-            Event::Thaw { node, incarnation } => {
+            Event::Resume { node, incarnation } => {
                 if self.nodes[node].incarnation == incarnation && !self.is_frozen(node) {
-                    self.thaw(node);
+                    self.resume(node);
                 }
             }
             Event::Start { node } => self.start(node),
@@ -55,21 +54,21 @@
                 }
             }
             Event::EndPartition { number } => self.end_partition(number),
-            Event::Connections => {
+            Event::UpdateConnections => {
                 self.update_connections();
-                self.schedule(CONNECTIONS_MS, Event::Connections);
+                self.schedule(CONNECTION_UPDATE_MS, Event::UpdateConnections);
             }
             Event::Answer { operation, answer } => self.deliver_answer(operation, answer),
-            Event::Wake { client, number } => self.wake(client, number),
+            Event::ClientTimer { client, number } => self.on_client_timer(client, number),
             Event::CompareStates => {
                 self.compare_states();
-                self.schedule(COMPARE_MS, Event::CompareStates);
+                self.schedule(STATE_COMPARISON_MS, Event::CompareStates);
             }
         }
     }
 
-    /// An event for a process; a frozen one handles it when it goes on.
-    fn handle_by_process(&mut self, event: Event) {
+    /// Handles an event for a process. A frozen process gets the event when it resumes.
+    fn handle_on_process(&mut self, event: Event) {
         let Some(node) = self.receiver_of(&event) else {
             return;
         };
@@ -81,27 +80,28 @@
             Event::Delivery { link, packet, .. } => self.deliver(link, packet),
             Event::LinkUp { link, .. } => {
                 let address = self.nodes[link.to].address.clone();
-                self.call(link.from, |process, now| {
-                    process.connection_established(now, &address)
+                self.with_process(link.from, |process, now_ms| {
+                    process.connection_established(now_ms, &address)
                 });
             }
             Event::Persisted { sequence, .. } => {
-                self.call(node, |process, now| process.persisted(now, sequence));
+                self.with_process(node, |process, now_ms| process.persisted(now_ms, sequence));
             }
             Event::Tick { node, incarnation } => {
-                self.call(node, |process, now| process.tick(now));
+                self.with_process(node, |process, now_ms| process.tick(now_ms));
                 self.schedule(TICK_MS, Event::Tick { node, incarnation });
             }
-            Event::Due { .. } => {
-                self.nodes[node].due_ms = None;
-                self.call(node, |process, now| process.tick(now));
+            Event::Deadline { .. } => {
+                self.nodes[node].deadline_ms = None;
+                self.with_process(node, |process, now_ms| process.tick(now_ms));
             }
             Event::Request { operation } => self.submit(operation),
             _ => {}
         }
     }
 
-    /// The node whose process an event is for; `None` if that process has ended.
+    /// The node whose process receives an event; `None` if that process has ended, in which case the
+    /// event is discarded.
     fn receiver_of(&mut self, event: &Event) -> Option<NodeIndex> {
         let (node, incarnation) = match event {
             Event::Delivery {
@@ -112,7 +112,7 @@
                 node, incarnation, ..
             }
             | Event::Tick { node, incarnation }
-            | Event::Due { node, incarnation } => (*node, Some(*incarnation)),
+            | Event::Deadline { node, incarnation } => (*node, Some(*incarnation)),
             Event::Request { operation } => (self.history.operations[*operation].node, None),
             _ => return None,
         };
@@ -125,7 +125,7 @@
         runs.then_some(node)
     }
 
-    /// An event has come to a process that has ended.
+    /// Discards an event for a process that has ended. Clients are disconnected.
     fn discard(&mut self, event: &Event) {
         match event {
             Event::Delivery { packet, .. } => {
@@ -136,10 +136,11 @@
         }
     }
 
-    /// A frozen process goes on: it handles what has arrived, perhaps after its own timers.
-    pub(super) fn thaw(&mut self, node: NodeIndex) {
+    /// Resumes a frozen process, which handles the events that arrived meanwhile. In half of the cases
+    /// its own timers run before these events.
+    pub(super) fn resume(&mut self, node: NodeIndex) {
         if self.random.bool() {
-            self.call(node, |process, now| process.tick(now));
+            self.with_process(node, |process, now_ms| process.tick(now_ms));
         }
         for event in std::mem::take(&mut self.nodes[node].inbox) {
             self.handle(event);
@@ -151,8 +152,8 @@
             return;
         };
         let from = self.nodes[link.from].address.clone();
-        self.call(link.to, |process, now| {
-            process.receive_packet(now, &from, packet);
+        self.with_process(link.to, |process, now_ms| {
+            process.receive_packet(now_ms, &from, packet);
         });
     }
 
@@ -177,28 +178,31 @@
         }
     }
 
-    /// Schedules the call that a process has asked for.
-    pub(super) fn schedule_due(&mut self, node: NodeIndex) {
+    /// Schedules the next deadline of a process, unless an earlier one is scheduled.
+    pub(super) fn schedule_deadline(&mut self, node: NodeIndex) {
         let host = &mut self.nodes[node];
-        let Some(due) = host.process.as_ref().and_then(|process| process.next_due()) else {
+        let Some(deadline) = host.process.as_ref().and_then(|process| process.next_due()) else {
             return;
         };
-        let due_ms = (host.started_ms + due).max(self.now_ms);
-        if host.due_ms.is_some_and(|scheduled| scheduled <= due_ms) {
+        let deadline_ms = (host.started_ms + deadline).max(self.now_ms);
+        if host
+            .deadline_ms
+            .is_some_and(|scheduled| scheduled <= deadline_ms)
+        {
             return;
         }
-        host.due_ms = Some(due_ms);
+        host.deadline_ms = Some(deadline_ms);
         let incarnation = host.incarnation;
         self.events
-            .schedule(due_ms, Event::Due { node, incarnation });
+            .schedule(deadline_ms, Event::Deadline { node, incarnation });
     }
 
     /// Delivers packets whose partition has ended, resets connections that have timed out, and
-    /// establishes others.
+    /// establishes the connections that processes ask for.
     fn update_connections(&mut self) {
         for (link, packets) in self.network.take_released() {
             for packet in packets {
-                self.schedule_delivery(RELEASE_MS, link, packet);
+                self.schedule_delivery(RELEASE_LATENCY_MS, link, packet);
             }
         }
         for link in self.network.timed_out(self.now_ms) {
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Resets a connection. Packets that it held back may still arrive, over the former connection.
+    /// Resets a connection. The packets that it held back arrive late, over the closed connection.
     pub(super) fn reset_connection(&mut self, link: Link) {
         let packets = self.network.reset(self.now_ms, link);
         let delay_ms = self
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Schedules the delivery of a packet to the process that runs at the link's end now.
+    /// Schedules the delivery of a packet to the current process of the receiving node.
     pub(super) fn schedule_delivery(&mut self, delay_ms: u64, link: Link, packet: PacketId) {
         let incarnation = Some(self.nodes[link.to].incarnation);
         let delivery = Event::Delivery {
--- a/crates/coordination-simulation/src/history.rs
+++ b/crates/coordination-simulation/src/history.rs
@@ -1,51 +1,52 @@
-//! What clients have asked, what they were answered, and which locks they regarded as theirs.
+//! The recorded history of a simulation: requests of clients with their answers, and the intervals
+//! in which clients relied on their leases.
 
 use woadstall_control_simulation::NodeIndex;
 use woadstall_coordination::command::{Call, Command, Query};
 use woadstall_coordination::machine::{Response, WatchRequest};
 use woadstall_coordination::outcome::Outcome;
 
-/// The number of a client.
+/// Index of a client in the order in which clients were added.
 pub type ClientId = usize;
-/// The number of an operation in its history.
+/// Index of an operation in [`History::operations`].
 pub type OperationId = usize;
 
-/// A point in the course of a simulation.
+/// A virtual time with a sequence number that orders records of the same millisecond.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp {
-    /// The time in milliseconds.
+    /// Virtual time, in milliseconds.
     pub at_ms: u64,
-    /// The position among all that was recorded: orders moments of the same time.
-    pub order: u64,
+    /// Position among all recorded invocations and completions, from 1.
+    pub sequence_number: u64,
 }
 
-/// What a client asks.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// A call that is answered once.
+    /// A command or a query, which gets one answer.
     Call(Call),
-    /// A watch.
+    /// A watch of a group of keys.
     Watch {
-        /// The watch.
+        /// The request as the machine receives it.
         watch: WatchRequest,
-        /// When the client received the revision that the watch begins after, in milliseconds.
+        /// When the client received the revision after which the watch starts, in milliseconds.
         received_ms: u64,
     },
 }
 
-/// What a client hears.
+/// The result of a request as the client observes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A response.
+    /// The machine responded.
     Response(Response),
     /// The connection to the machine was lost or refused.
     Disconnected,
-    /// Nothing came in time.
+    /// No answer arrived before the client's timeout.
     TimedOut,
 }
 
 impl Answer {
-    /// The outcome, if the call was executed.
+    /// The outcome of the call; `None` if the answer does not confirm its execution.
     pub fn outcome(&self) -> Option<&Outcome> {
         match self {
             Self::Response(Response::Executed(outcome)) => Some(outcome),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether the answer promises that the call has changed nothing and never will.
+    /// Whether the answer guarantees that the call has had no effect and never will have one.
     pub fn is_rejection(&self) -> bool {
         match self {
             Self::Response(Response::NotExecuted | Response::Overloaded) => true,
@@ -65,38 +66,39 @@
     }
 }
 
-/// An answer, and when it came.
+/// The completion of an operation: its answer with the time of arrival at the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// When.
+    /// When the answer reached the client, or the client gave up.
     pub at: Timestamp,
-    /// The answer.
+    /// The first answer that the client received.
     pub answer: Answer,
 }
 
-/// A request with its answer.
+/// A request with its answer, as in a history for linearizability checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// Who asks.
+    /// The client that sent the request.
     pub client: ClientId,
-    /// The machine that was asked.
+    /// The machine that the request was sent to.
     pub node: NodeIndex,
-    /// What is asked.
+    /// The request, unchanged by resends (each resend is an operation of its own).
     pub request: Request,
-    /// When.
+    /// When the client sent the request.
     pub invoked_at: Timestamp,
-    /// The answer; `None` if the client no longer waits, or the simulation has ended.
+    /// The completion; `None` while the request is pending. A request stays pending forever if its
+    /// client was stopped or the simulation ended first.
     pub completion: Option<Completion>,
 }
 
 impl Operation {
-    /// The outcome, if it was executed, and when the client knew it.
+    /// When the client learned the outcome, and the outcome, if the operation was executed.
     pub fn outcome(&self) -> Option<(Timestamp, &Outcome)> {
         let completion = self.completion.as_ref()?;
         Some((completion.at, completion.answer.outcome()?))
     }
 
-    /// The command, if it is one.
+    /// The command that was sent; `None` for queries and watches.
     pub fn command(&self) -> Option<&Command> {
         match &self.request {
             Request::Call(Call::Command(command)) => Some(command),
@@ -104,7 +106,7 @@
         }
     }
 
-    /// The query, if it is one.
+    /// The query that was sent; `None` for commands and watches.
     pub fn query(&self) -> Option<&Query> {
         match &self.request {
             Request::Call(Call::Query(query)) => Some(query),
@@ -112,7 +114,8 @@
         }
     }
 
-    /// The watch, if it is one, and when its client received the revision that it begins after.
+    /// The watch request, and when the client received the revision after which the watch starts, in
+    /// milliseconds; `None` for commands and queries.
     pub fn watch(&self) -> Option<(&WatchRequest, u64)> {
         match &self.request {
             Request::Watch { watch, received_ms } => Some((watch, *received_ms)),
@@ -120,7 +123,7 @@
         }
     }
 
-    /// The response, if there was one.
+    /// The response of the machine, if one arrived in time.
     pub fn response(&self) -> Option<&Response> {
         match &self.completion.as_ref()?.answer {
             Answer::Response(response) => Some(response),
@@ -129,62 +132,64 @@
     }
 }
 
-/// A time in which a caller regards a lock as its own.
+/// An interval in which a client relies on a lease: it regards itself as the owner of the lock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseInterval {
-    /// The lock.
+    /// Name of the lock.
     pub lock: String,
-    /// The caller's name.
+    /// Name under which the client acquired the lock.
     pub owner: String,
-    /// The fencing token.
+    /// The fencing token that came with the lease.
     pub fencing_token: u64,
-    /// From when on, in milliseconds.
+    /// Start of the interval, in milliseconds.
     pub start_ms: u64,
-    /// Until when, in milliseconds, that moment not included.
+    /// End of the interval (exclusive), in milliseconds.
     pub end_ms: u64,
 }
 
-/// A call that has to be answered at the end of a simulation.
+/// A request of the final phase of a simulation, which must be answered before the simulation ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalCall {
-    /// What is asked, as text.
+    /// The request and its goal as text, for reports of violations.
     pub request: String,
-    /// When it was answered, in milliseconds.
+    /// When the goal of the request was reached, in milliseconds.
     pub answered_ms: Option<u64>,
-    /// The first answer of a watch that lags behind what was acknowledged.
+    /// The first answer of a watch that ended before an acknowledged revision.
     pub lagging_watch: Option<LaggingWatch>,
 }
 
-/// A watch was answered with events up to a revision, although a greater one was acknowledged.
+/// A watch whose answer ended at a revision below one that had already been acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaggingWatch {
-    /// The revision of the answer.
+    /// The revision up to which the answer covers the events.
     pub revision: u64,
-    /// The revision that was acknowledged.
+    /// The acknowledged revision that the answer should have covered.
     pub acknowledged: u64,
 }
 
-/// All that clients did.
+/// The history of all clients of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Their operations, in the order of the calls.
+    /// The operations, in the order of their invocation.
     pub operations: Vec<Operation>,
-    /// Their claims on locks.
+    /// The intervals in which clients relied on leases, in the order of acquisition.
     pub lease_intervals: Vec<LeaseInterval>,
-    /// The calls at the end.
+    /// The requests of the final phase.
     pub final_calls: Vec<FinalCall>,
-    recorded: u64,
+    last_sequence_number: u64,
 }
 
 impl History {
     fn next_timestamp(&mut self, at_ms: u64) -> Timestamp {
-        self.recorded += 1;
-        let order = self.recorded;
-        Timestamp { at_ms, order }
+        self.last_sequence_number += 1;
+        Timestamp {
+            at_ms,
+            sequence_number: self.last_sequence_number,
+        }
     }
 
-    /// A client calls a machine.
-    pub fn call(
+    /// Records that a client sent a request to a machine.
+    pub fn invoke(
         &mut self,
         at_ms: u64,
         client: ClientId,
@@ -202,8 +207,8 @@
         self.operations.len() - 1
     }
 
-    /// A client gets an answer. Returns whether it is the first one.
-    pub fn answer(&mut self, at_ms: u64, operation: OperationId, answer: Answer) -> bool {
+    /// Records an answer, unless the operation is already complete. Returns whether it was recorded.
+    pub fn complete(&mut self, at_ms: u64, operation: OperationId, answer: Answer) -> bool {
         let at = self.next_timestamp(at_ms);
         let completion = &mut self.operations[operation].completion;
         let is_first = completion.is_none();
@@ -211,7 +216,8 @@
         is_first
     }
 
-    /// The operations that were executed, with their outcomes and when these were known.
+    /// The operations that were executed, with the time at which the client learned the outcome and
+    /// with the outcome.
     pub fn executed(&self) -> impl Iterator<Item = (&Operation, Timestamp, &Outcome)> {
         self.operations.iter().filter_map(|operation| {
             let (at, outcome) = operation.outcome()?;
--- a/crates/coordination-simulation/src/lib.rs
+++ b/crates/coordination-simulation/src/lib.rs
@@ -1,13 +1,13 @@
-//! The coordination service in virtual time (deterministic simulation testing).
+//! Deterministic simulation testing of the coordination service in virtual time.
 //!
 //! A [`cluster::Cluster`] runs machines of the service over the simulated network and disks of
-//! `woadstall-control-simulation`, with processes that are killed, lose power, freeze, are shut down
-//! and replaced. [`clients`] call it as applications do: they stand outside all partitions, turn to
-//! another machine after a second without an answer, and resend what is unclear. All that they ask
-//! and hear is recorded as a [`history`], over which the [`checks`] decide whether a promise was
-//! broken. A [`scenario`] is drawn from a seed.
+//! `woadstall-control-simulation`. Processes are killed, lose power, freeze, are shut down and are
+//! replaced. [`clients`] call the service as applications do: partitions do not affect them, they
+//! switch to another machine after one second without an answer, and they resend requests without a
+//! clear answer. All requests and answers are recorded as a [`history`]. The [`checks`] find violations
+//! of the service's guarantees in the history. A [`scenario`] takes all random choices from a seed.
 //!
-//! All times are milliseconds of virtual time since the start of the cluster, unless said
+//! All times are milliseconds of virtual time since the start of the cluster, unless documented
 //! otherwise.
 
 pub mod checks;
--- a/crates/coordination-simulation/src/scenario/faults.rs
+++ b/crates/coordination-simulation/src/scenario/faults.rs
@@ -1,39 +1,39 @@
-//! Faults that are drawn from a seed, and overlap.
+//! Random fault injection. Faults may overlap.
 
 use crate::cluster::{Cluster, Direction};
 use std::ops::Range;
 use woadstall_control_simulation::NodeIndex;
 
-/// How many faults strike.
-const FAULTS: Range<usize> = 5..14;
-/// How long freezes, stalls and partitions last, in milliseconds.
+/// Number of injected faults.
+const FAULT_COUNT: Range<usize> = 5..14;
+/// Duration of freezes, stalls and partitions, in milliseconds.
 const DURATION_MS: Range<u64> = 100..6_000;
-/// How long a machine is down, in milliseconds.
+/// Downtime of a machine, in milliseconds.
 const DOWN_MS: Range<u64> = 200..2_500;
 
-/// The kinds of faults that may strike.
+/// The kinds of faults that may be injected.
 #[derive(Clone, Copy, Debug)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each field is a kind of its own"
+    reason = "the kinds of faults are independent of each other"
 )]
 pub struct FaultKinds {
-    /// Processes are killed and shut down.
+    /// Kills and shutdowns of processes.
     pub process_ends: bool,
-    /// Power is lost.
+    /// Power losses of one machine or of all.
     pub power_losses: bool,
-    /// Processes freeze.
+    /// Freezes of processes.
     pub freezes: bool,
-    /// Links are partitioned and connections reset.
+    /// Partitions and connection resets.
     pub network: bool,
-    /// Disks stall.
+    /// Stalls of disks.
     pub stalls: bool,
-    /// Disks are lost and machines replaced.
+    /// Losses of disks and replacements of machines.
     pub disk_losses: bool,
 }
 
 impl FaultKinds {
-    /// No fault.
+    /// No faults.
     pub const NONE: Self = Self {
         process_ends: false,
         power_losses: false,
@@ -42,7 +42,7 @@
         stalls: false,
         disk_losses: false,
     };
-    /// All faults.
+    /// Faults of all kinds.
     pub const ALL: Self = Self {
         process_ends: true,
         power_losses: true,
@@ -52,6 +52,7 @@
         disk_losses: true,
     };
 
+    /// The faults of the selected kinds. A fault that is listed twice is injected twice as often.
     fn faults(self) -> Vec<Fault> {
         let fault_kinds = [
             (
@@ -86,9 +87,9 @@
     }
 }
 
-/// A fault.
+/// A fault that is injected at a random time. Its node and its duration are random, too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs, reason = "the names say it")]
+#[allow(missing_docs, reason = "the names describe the faults")]
 pub enum Fault {
     Kill,
     KillAll,
@@ -108,25 +109,25 @@
     Replace,
 }
 
-/// Lets some milliseconds pass in which faults strike.
+/// Runs the cluster for `duration_ms` and injects random faults at random times.
 pub(super) fn inject(cluster: &mut Cluster, fault_kinds: FaultKinds, duration_ms: u64) {
     let end_ms = cluster.now_ms + duration_ms;
     let faults = fault_kinds.faults();
     if !faults.is_empty() {
-        let number = cluster.random.usize(FAULTS);
+        let count = cluster.random.usize(FAULT_COUNT);
         let random = &mut cluster.random;
-        let mut times: Vec<u64> = (0..number).map(|_| random.u64(..duration_ms)).collect();
+        let mut times: Vec<u64> = (0..count).map(|_| random.u64(..duration_ms)).collect();
         times.sort_unstable();
         let start_ms = cluster.now_ms;
         for time_ms in times {
             let wait_ms = (start_ms + time_ms) - cluster.now_ms;
-            cluster.run(wait_ms);
+            cluster.run_for(wait_ms);
             if let Some(fault) = cluster.random.choice(&faults).copied() {
                 fault.inject(cluster);
             }
         }
     }
-    cluster.run(end_ms - cluster.now_ms);
+    cluster.run_for(end_ms - cluster.now_ms);
 }
 
 impl Fault {
--- a/crates/coordination-simulation/src/scenario/final_phase.rs
+++ b/crates/coordination-simulation/src/scenario/final_phase.rs
@@ -1,5 +1,5 @@
-//! The end of a scenario: the faults end or a final one strikes, then clients ask for everything
-//! that was acknowledged.
+//! The final phase of a scenario: ends all faults, injects a final fault if one is chosen, and adds
+//! clients that request everything that was acknowledged before.
 
 use super::faults::FaultKinds;
 use super::workload::{groups, keys, locks, sequences};
@@ -12,32 +12,32 @@
 use woadstall_coordination::machine::WatchRequest;
 use woadstall_coordination::outcome::Outcome;
 
-/// How long all machines are down after a final fault, in milliseconds.
+/// Downtime of the machines after the final fault, in milliseconds.
 const DOWN_MS: u64 = 1_000;
-/// How long the final watches wait, in milliseconds.
-const WAIT_MS: u64 = 1_000;
-/// The lease of the final acquisitions, in milliseconds.
+/// How long a machine may wait for new events before it answers a final watch, in milliseconds.
+const WATCH_WAIT_MS: u64 = 1_000;
+/// Lease duration of the final lock acquisitions, in milliseconds.
 const LEASE_MS: u64 = 2_000;
-/// The disks that are lost at a time.
-const LOST_DISKS: usize = 2;
-/// How long to wait for an acknowledgement after which the final fault strikes, in milliseconds.
-const ACKNOWLEDGEMENT_MS: u64 = 2_000;
+/// Number of disks lost by [`FinalFault::LoseTwoDisks`].
+const LOST_DISK_COUNT: usize = 2;
+/// Longest wait for an acknowledgement before the final fault is injected, in milliseconds.
+const ACKNOWLEDGEMENT_TIMEOUT_MS: u64 = 2_000;
 
-/// How a scenario ends.
+/// The fault at the end of a scenario, after all other faults have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalFault {
-    /// All faults end.
+    /// No final fault.
     NoFault,
-    /// All processes are killed.
+    /// All processes are killed at the same time.
     KillAll,
-    /// All machines lose power.
+    /// All machines lose power at the same time.
     LosePowerOnAll,
-    /// Two disks are lost, and all other machines lose power at the same time.
+    /// Two machines lose their disks, and all others lose power at the same time.
     LoseTwoDisks,
 }
 
 impl FinalFault {
-    /// One by chance, of those that belong to the kinds of faults.
+    /// Chooses a random final fault of the given kinds.
     pub(super) fn draw(random: &mut fastrand::Rng, fault_kinds: FaultKinds) -> Self {
         let endings = [
             (true, Self::NoFault),
@@ -52,8 +52,9 @@
     }
 }
 
-/// Ends the clients and all faults, and strikes with the final one right after an acknowledgement.
-/// Returns the ending; disks are kept where more were lost before than the group bears.
+/// Stops the clients, ends all faults and injects the final fault, right after an acknowledgement so
+/// that the acknowledged write is at risk. Returns the injected fault: all machines lose power instead
+/// of two disks if the loss of these disks could lose committed entries.
 pub(super) fn inject(cluster: &mut Cluster, final_fault: FinalFault) -> FinalFault {
     if final_fault != FinalFault::NoFault {
         wait_for_acknowledgement(cluster);
@@ -90,11 +91,12 @@
     nodes.for_each(|node| cluster.lose_power(*node, DOWN_MS));
 }
 
-/// Two disks that the group can lose now, or none.
+/// Two random nodes whose disks can be lost without the loss of committed entries; empty if the two
+/// chosen nodes can't lose theirs.
 fn disks_to_lose(cluster: &mut Cluster, present_nodes: &[NodeIndex]) -> Vec<NodeIndex> {
     let mut nodes = present_nodes.to_vec();
     cluster.random.shuffle(&mut nodes);
-    nodes.truncate(LOST_DISKS);
+    nodes.truncate(LOST_DISK_COUNT);
     if cluster.can_lose_disks(&nodes) {
         nodes
     } else {
@@ -102,14 +104,15 @@
     }
 }
 
+/// Runs the cluster until the next operation is acknowledged, or until the timeout.
 fn wait_for_acknowledgement(cluster: &mut Cluster) {
-    let known = cluster.history.executed().count();
-    let end_ms = cluster.now_ms + ACKNOWLEDGEMENT_MS;
-    while cluster.history.executed().count() == known && cluster.step(end_ms) {}
+    let executed_before = cluster.history.executed().count();
+    let end_ms = cluster.now_ms + ACKNOWLEDGEMENT_TIMEOUT_MS;
+    while cluster.history.executed().count() == executed_before && cluster.step_until(end_ms) {}
 }
 
-/// Adds clients that read all keys, ask for numbers and locks, and resume watches from revisions
-/// that were saved.
+/// Adds clients that read all keys, request a number of each sequence, acquire each lock, and resume
+/// watches of each group from the oldest and the newest recent revision in `saved`.
 pub(super) fn add_final_clients(cluster: &mut Cluster, saved: &[SavedRevision]) {
     for key in keys() {
         let call = Call::Query(Query::Get { key });
@@ -147,7 +150,7 @@
         watch: WatchRequest {
             group: group.to_owned(),
             after: saved.revision,
-            wait_ms: WAIT_MS,
+            wait_ms: WATCH_WAIT_MS,
         },
         received_ms: saved.received_ms,
     }
--- a/crates/coordination-simulation/src/scenario/mod.rs
+++ b/crates/coordination-simulation/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: clients and faults that are drawn from a seed, and a final phase in which everything
-//! must be answered.
+//! Scenarios: random clients and faults that a seed determines, and a final phase in which every
+//! request must be answered.
 
 mod faults;
 mod final_phase;
@@ -12,46 +12,46 @@
 use crate::clients::SavedRevisions;
 use crate::cluster::{Cluster, SIX_IN_THREE_REGIONS};
 
-/// How long the machines have before clients begin to call, in milliseconds.
+/// Time for the machines to start before clients send requests, in milliseconds.
 const STARTUP_MS: u64 = 6_000;
-/// How long clients call while faults strike, in milliseconds.
+/// Duration of the phase with requests and faults, in milliseconds.
 const TRAFFIC_MS: u64 = 20_000;
-/// How long the final calls may take, in milliseconds.
-const FINAL_MS: u64 = 10_000;
+/// Duration of the final phase, within which its requests must be answered, in milliseconds.
+const FINAL_PHASE_MS: u64 = 10_000;
 
-/// A scenario, which always takes the same course.
+/// A scenario. Runs of the same scenario are identical.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// Determines the cluster, the clients and the faults.
+    /// Seed of all random choices: of the cluster, the clients and the faults.
     pub seed: u64,
-    /// The faults that may strike.
+    /// The kinds of faults that may be injected.
     pub fault_kinds: FaultKinds,
-    /// How it ends; drawn if not given.
+    /// The final fault; chosen at random among the kinds of faults if `None`.
     pub final_fault: Option<FinalFault>,
 }
 
-/// A scenario that has come to its end.
+/// The result of a scenario.
 pub struct ScenarioResult {
     /// The cluster at the end.
     pub cluster: Cluster,
-    /// How it ended.
+    /// The final fault that was injected, which may differ from the requested one.
     pub final_fault: FinalFault,
-    /// The broken promise, if any.
+    /// The first violated guarantee, if there is one.
     pub result: Result<(), Violation>,
 }
 
 impl Scenario {
-    /// Runs the scenario, and checks what its clients have heard.
+    /// Runs the scenario and checks the history of its clients.
     pub fn run(&self) -> ScenarioResult {
         let mut cluster = Cluster::new(self.seed, SIX_IN_THREE_REGIONS);
-        cluster.run(STARTUP_MS);
+        cluster.run_for(STARTUP_MS);
         let saved = SavedRevisions::default();
         workload::add_clients(&mut cluster, &saved);
         faults::inject(&mut cluster, self.fault_kinds, TRAFFIC_MS);
         let drawn = FinalFault::draw(&mut cluster.random, self.fault_kinds);
         let final_fault = final_phase::inject(&mut cluster, self.final_fault.unwrap_or(drawn));
         final_phase::add_final_clients(&mut cluster, &saved.borrow());
-        cluster.run(FINAL_MS);
+        cluster.run_for(FINAL_PHASE_MS);
         let result = match cluster.divergence() {
             Some(divergence) => Err((*divergence).into()),
             None => checks::check(&cluster.history),
--- a/crates/coordination-simulation/tests/checks.rs
+++ b/crates/coordination-simulation/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each check finds a wrong history and accepts a right one.
+//! Each check reports a violation in an invalid history and accepts a valid one.
 
 use woadstall_control_simulation::NodeIndex;
 use woadstall_coordination::command::{Call, Command, Query};
@@ -15,23 +15,23 @@
 const NODE: NodeIndex = 0;
 const KEY: &str = "g.key";
 
-/// A history that is written call by call; each call and each answer takes a millisecond.
+/// Builds a history operation by operation. Each request and each answer takes one millisecond.
 #[derive(Default)]
-struct Script {
+struct HistoryBuilder {
     history: History,
     now_ms: u64,
 }
 
-impl Script {
+impl HistoryBuilder {
     fn call(&mut self, request: Request) -> usize {
         self.now_ms += 1;
-        self.history.call(self.now_ms, 0, NODE, request)
+        self.history.invoke(self.now_ms, 0, NODE, request)
     }
 
     fn answer(&mut self, operation: usize, response: Response) {
         self.now_ms += 1;
         let answer = Answer::Response(response);
-        self.history.answer(self.now_ms, operation, answer);
+        self.history.complete(self.now_ms, operation, answer);
     }
 
     fn command(&mut self, command: Command, outcome: Outcome) -> &mut Self {
@@ -70,7 +70,7 @@
         self
     }
 
-    fn claim(&mut self, owner: &str, start_ms: u64, end_ms: u64) -> &mut Self {
+    fn lease_interval(&mut self, owner: &str, start_ms: u64, end_ms: u64) -> &mut Self {
         self.history.lease_intervals.push(LeaseInterval {
             lock: "lock".to_owned(),
             owner: owner.to_owned(),
@@ -125,29 +125,31 @@
 }
 
 #[test]
-fn a_right_history_is_accepted() {
-    let mut script = Script::default();
-    script.acquire("a", 1).acquire("b", 2).acquire("b", 3);
-    script
-        .claim("a", 0, 10)
-        .claim("b", 10, 20)
-        .claim("b", 15, 30);
-    script.number(1).number(3);
-    script.put("x", 1).put("y", 2).put("x", 1);
-    script.read(value("y", 2));
-    script.watch(1, 0, events(2, &[("y", 2)]));
-    script.command(
+fn a_valid_history_is_accepted() {
+    let mut builder = HistoryBuilder::default();
+    builder.acquire("a", 1).acquire("b", 2).acquire("b", 3);
+    builder
+        .lease_interval("a", 0, 10)
+        .lease_interval("b", 10, 20)
+        .lease_interval("b", 15, 30);
+    builder.number(1).number(3);
+    builder.put("x", 1).put("y", 2).put("x", 1);
+    builder.read(value("y", 2));
+    builder.watch(1, 0, events(2, &[("y", 2)]));
+    builder.command(
         put(KEY, "z", Some(1)),
         Outcome::RevisionConflict { current: 2 },
     );
-    assert_eq!(script.violation(), None);
+    assert_eq!(builder.violation(), None);
 }
 
 #[test]
-fn one_finds_two_holders_at_a_time() {
-    let mut script = Script::default();
-    script.claim("a", 0, 10).claim("b", 9, 20);
-    let violation = script.violation();
+fn one_finds_two_owners_at_the_same_time() {
+    let mut builder = HistoryBuilder::default();
+    builder
+        .lease_interval("a", 0, 10)
+        .lease_interval("b", 9, 20);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -158,10 +160,10 @@
 }
 
 #[test]
-fn one_finds_a_token_that_does_not_rise_and_one_given_twice() {
-    let mut script = Script::default();
-    script.acquire("a", 5).acquire("b", 4);
-    let violation = script.violation();
+fn one_finds_decreasing_and_repeated_tokens() {
+    let mut builder = HistoryBuilder::default();
+    builder.acquire("a", 5).acquire("b", 4);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -169,9 +171,9 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.acquire("a", 5).acquire("b", 5);
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.acquire("a", 5).acquire("b", 5);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -182,10 +184,10 @@
 }
 
 #[test]
-fn order_finds_numbers_that_repeat_or_fall_but_accepts_crossing_calls() {
-    let mut script = Script::default();
-    script.number(2).number(1);
-    let violation = script.violation();
+fn order_finds_repeated_or_decreasing_numbers_but_accepts_concurrent_calls() {
+    let mut builder = HistoryBuilder::default();
+    builder.number(2).number(1);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -193,21 +195,21 @@
         ),
         "{violation:?}"
     );
-    for (second, is_right) in [(1, true), (2, false)] {
-        let mut script = Script::default();
-        let operations = [0; 2].map(|_| script.call(Request::Call(Call::Command(next_number()))));
+    for (second, is_valid) in [(1, true), (2, false)] {
+        let mut builder = HistoryBuilder::default();
+        let operations = [0; 2].map(|_| builder.call(Request::Call(Call::Command(next_number()))));
         for (operation, value) in operations.into_iter().zip([2, second]) {
-            script.answer(operation, Response::Executed(Outcome::Number { value }));
+            builder.answer(operation, Response::Executed(Outcome::Number { value }));
         }
-        assert_eq!(script.violation().is_none(), is_right);
+        assert_eq!(builder.violation().is_none(), is_valid);
     }
 }
 
 #[test]
-fn order_finds_revisions_that_repeat_or_fall_and_conditions_that_are_ignored() {
-    let mut script = Script::default();
-    script.put("x", 1).put("y", 1);
-    let violation = script.violation();
+fn order_finds_repeated_or_decreasing_revisions_and_ignored_conditions() {
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("y", 1);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -215,9 +217,9 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.put("x", 2).put("y", 1);
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 2).put("y", 1);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -227,10 +229,10 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.put("x", 1).put("y", 2);
-    script.command(put(KEY, "z", Some(1)), Outcome::Put { revision: 3 });
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("y", 2);
+    builder.command(put(KEY, "z", Some(1)), Outcome::Put { revision: 3 });
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -241,11 +243,11 @@
 }
 
 #[test]
-fn order_finds_watches_that_skip_or_do_not_rise() {
-    let mut script = Script::default();
-    script.put("x", 1).put("y", 2).put("z", 3);
-    script.watch(1, 0, events(3, &[("z", 3)]));
-    let violation = script.violation();
+fn order_finds_watches_with_skipped_or_unordered_events() {
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("y", 2).put("z", 3);
+    builder.watch(1, 0, events(3, &[("z", 3)]));
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -256,10 +258,10 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.put("x", 1).put("y", 2).put("z", 3);
-    script.watch(1, 0, events(3, &[("z", 3), ("y", 2)]));
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("y", 2).put("z", 3);
+    builder.watch(1, 0, events(3, &[("z", 3), ("y", 2)]));
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -270,11 +272,11 @@
 }
 
 #[test]
-fn stale_finds_an_old_value_and_a_missing_key() {
+fn stale_finds_an_outdated_value_and_a_missing_key() {
     for outcome in [value("x", 1), Outcome::KeyNotFound] {
-        let mut script = Script::default();
-        script.put("x", 1).put("y", 2).read(outcome);
-        let violation = script.violation();
+        let mut builder = HistoryBuilder::default();
+        builder.put("x", 1).put("y", 2).read(outcome);
+        let violation = builder.violation();
         assert!(
             matches!(violation, Some(Violation::Stale(_))),
             "{violation:?}"
@@ -283,10 +285,10 @@
 }
 
 #[test]
-fn mixed_finds_values_nobody_put_and_revisions_nobody_got() {
-    let mut script = Script::default();
-    script.read(value("x", 1));
-    let violation = script.violation();
+fn mixed_finds_values_without_a_put_and_unknown_or_repeated_revisions() {
+    let mut builder = HistoryBuilder::default();
+    builder.read(value("x", 1));
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -294,9 +296,9 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.put("x", 1).put("x", 2);
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("x", 2);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -304,10 +306,10 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
+    let mut builder = HistoryBuilder::default();
     let conflict = Outcome::RevisionConflict { current: 7 };
-    script.command(put(KEY, "x", Some(0)), conflict);
-    let violation = script.violation();
+    builder.command(put(KEY, "x", Some(0)), conflict);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -318,19 +320,19 @@
 }
 
 #[test]
-fn refused_finds_a_value_whose_put_was_rejected_each_time_it_was_sent() {
-    for (unclear, is_right) in [(false, false), (true, true)] {
-        let mut script = Script::default();
+fn refused_finds_a_value_whose_put_was_rejected_at_every_attempt() {
+    for (is_retried, is_valid) in [(false, false), (true, true)] {
+        let mut builder = HistoryBuilder::default();
         let request = Request::Call(Call::Command(put(KEY, "x", None)));
-        let operation = script.call(request.clone());
-        script.answer(operation, Response::NotExecuted);
-        if unclear {
-            let operation = script.call(request);
-            script.answer(operation, Response::Unknown);
+        let operation = builder.call(request.clone());
+        builder.answer(operation, Response::NotExecuted);
+        if is_retried {
+            let operation = builder.call(request);
+            builder.answer(operation, Response::Unknown);
         }
-        script.read(value("x", 1));
-        let violation = script.violation();
-        assert_eq!(violation.is_none(), is_right, "{violation:?}");
+        builder.read(value("x", 1));
+        let violation = builder.violation();
+        assert_eq!(violation.is_none(), is_valid, "{violation:?}");
         if let Some(violation) = violation {
             assert!(matches!(violation, Violation::Refused(_)), "{violation:?}");
         }
@@ -338,19 +340,19 @@
 }
 
 #[test]
-fn lost_finds_a_history_that_is_too_short_and_accepts_an_old_revision() {
-    for (now_ms, is_right) in [(1_000, false), (60_000, true)] {
-        let mut script = Script {
+fn lost_finds_too_short_a_history_but_accepts_the_compaction_of_old_revisions() {
+    for (now_ms, is_valid) in [(1_000, false), (60_000, true)] {
+        let mut builder = HistoryBuilder {
             now_ms,
-            ..Script::default()
+            ..HistoryBuilder::default()
         };
-        script.watch(1, 0, Response::HistoryCompacted);
-        assert_eq!(script.violation().is_none(), is_right);
+        builder.watch(1, 0, Response::HistoryCompacted);
+        assert_eq!(builder.violation().is_none(), is_valid);
     }
 }
 
 #[test]
-fn lost_finds_final_calls_without_an_answer_and_watches_that_lag() {
+fn lost_finds_unanswered_final_calls_and_lagging_watches() {
     let lagging_watch = LaggingWatch {
         revision: 1,
         acknowledged: 2,
@@ -360,14 +362,14 @@
         (Some(1), Some(lagging_watch)),
         (Some(1), None),
     ] {
-        let mut script = Script::default();
-        script.history.final_calls.push(FinalCall {
+        let mut builder = HistoryBuilder::default();
+        builder.history.final_calls.push(FinalCall {
             request: String::new(),
             answered_ms,
             lagging_watch,
         });
-        let violation = script.violation();
-        let is_found = match lagging_watch {
+        let violation = builder.violation();
+        let is_expected = match lagging_watch {
             Some(_) => matches!(
                 violation,
                 Some(Violation::Lost(LostViolation::WatchLags { .. }))
@@ -378,6 +380,6 @@
             ),
             None => violation.is_none(),
         };
-        assert!(is_found, "{violation:?}");
+        assert!(is_expected, "{violation:?}");
     }
 }
--- a/crates/coordination-simulation/tests/random_scenarios.rs
+++ b/crates/coordination-simulation/tests/random_scenarios.rs
@@ -1,31 +1,32 @@
-//! Scenarios with all faults, drawn from seeds. `WOADSTALL_SEEDS` sets their number, and
-//! `WOADSTALL_FIRST_SEED` the first of them.
+//! Random scenarios with and without faults. `WOADSTALL_SEEDS` sets the number of seeds per test,
+//! `WOADSTALL_FIRST_SEED` the first seed.
 
 use woadstall_coordination_simulation::scenario::{
     FaultKinds, FinalFault, Scenario, ScenarioResult,
 };
 
-/// Seeds of each test, unless `WOADSTALL_SEEDS` is set.
+/// Number of seeds per test, unless `WOADSTALL_SEEDS` is set.
 const SEEDS: u64 = 40;
-/// Seeds that are run twice.
+/// Number of seeds that are run twice to compare the runs.
 const REPEATED_SEEDS: u64 = 4;
-/// Calls that must have been executed for each seed on average.
-const MIN_EXECUTED: usize = 300;
+/// Minimum number of executed calls per seed, on average, so that a scenario without requests does not
+/// pass.
+const MIN_EXECUTED_PER_SEED: usize = 300;
 
-fn number_from(variable: &str, otherwise: u64) -> u64 {
+fn number_from_env(variable: &str, default: u64) -> u64 {
     let value = std::env::var(variable).ok();
     value
         .and_then(|value| value.parse().ok())
-        .unwrap_or(otherwise)
+        .unwrap_or(default)
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let first = number_from("WOADSTALL_FIRST_SEED", 0);
-    first..first + number_from("WOADSTALL_SEEDS", SEEDS)
+    let first = number_from_env("WOADSTALL_FIRST_SEED", 0);
+    first..first + number_from_env("WOADSTALL_SEEDS", SEEDS)
 }
 
-/// Runs a scenario for each seed; fails with all seeds that have broken a promise.
-fn assert_promises_hold(fault_kinds: FaultKinds, final_fault: Option<FinalFault>) {
+/// Runs a scenario for each seed. Fails with a list of all seeds that violated a guarantee.
+fn assert_guarantees_hold(fault_kinds: FaultKinds, final_fault: Option<FinalFault>) {
     let (mut failures, mut executed) = (Vec::new(), 0);
     for seed in seeds() {
         let scenario = Scenario {
@@ -46,29 +47,29 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
     let seeds = seeds().count();
     assert!(
-        executed >= seeds * MIN_EXECUTED,
-        "only {executed} calls were executed"
+        executed >= seeds * MIN_EXECUTED_PER_SEED,
+        "only {executed} calls were executed for {seeds} seeds"
     );
 }
 
 #[test]
-fn promises_hold_without_faults() {
-    assert_promises_hold(FaultKinds::NONE, Some(FinalFault::NoFault));
+fn guarantees_hold_without_faults() {
+    assert_guarantees_hold(FaultKinds::NONE, Some(FinalFault::NoFault));
 }
 
 #[test]
-fn promises_hold_with_all_faults() {
-    assert_promises_hold(FaultKinds::ALL, None);
+fn guarantees_hold_with_all_faults() {
+    assert_guarantees_hold(FaultKinds::ALL, None);
 }
 
 #[test]
-fn promises_hold_when_two_disks_are_lost_and_all_others_lose_power() {
-    assert_promises_hold(FaultKinds::NONE, Some(FinalFault::LoseTwoDisks));
+fn guarantees_hold_when_two_disks_are_lost_and_all_others_lose_power() {
+    assert_guarantees_hold(FaultKinds::NONE, Some(FinalFault::LoseTwoDisks));
 }
 
-/// One seed gives one run, however often it is run.
+/// Two runs of the same seed have the same history and the same log.
 #[test]
-fn a_seed_repeats() {
+fn runs_of_the_same_seed_are_identical() {
     for seed in 0..REPEATED_SEEDS {
         let scenario = Scenario {
             seed,
@@ -77,7 +78,7 @@
         };
         let [first, second] = [(); 2].map(|()| scenario.run().cluster);
         let is_same = first.history.operations == second.history.operations;
-        assert!(is_same, "seed {seed} gave two runs");
+        assert!(is_same, "seed {seed}: two runs have different histories");
         assert_eq!(first.describe(), second.describe(), "seed {seed}");
     }
 }
--- a/crates/coordination-simulation/tests/watches.rs
+++ b/crates/coordination-simulation/tests/watches.rs
@@ -1,4 +1,4 @@
-//! Watches at machines that lag.
+//! Watches on machines that have not applied all committed entries.
 
 use woadstall_control_simulation::NodeIndex;
 use woadstall_coordination::command::{Call, Command};
@@ -8,17 +8,19 @@
 use woadstall_coordination_simulation::cluster::{Cluster, Direction, SIX_IN_THREE_REGIONS};
 use woadstall_coordination_simulation::history::Request;
 
-/// How long the machines have to form their group, in milliseconds.
+/// Time for the machines to form their consensus group, in milliseconds.
 const STARTUP_MS: u64 = 6_000;
-/// How long a call may take, in milliseconds.
+/// Time for a put to be executed, in milliseconds.
 const CALL_MS: u64 = 1_500;
-/// How long the partition lasts: longer than all calls, in milliseconds.
+/// Duration of the partition, in milliseconds; longer than all requests take.
 const PARTITION_MS: u64 = 20_000;
-/// How long the watch may take, in milliseconds.
+/// Time for the watch to reach the last revision, in milliseconds.
 const WATCH_MS: u64 = 5_000;
-const PUTS_BEFORE: u64 = 2;
-const PUTS_AFTER: u64 = 5;
-/// The greatest seed.
+/// Number of puts before the partition.
+const PUTS_BEFORE_PARTITION: u64 = 2;
+/// Number of all puts.
+const TOTAL_PUTS: u64 = 5;
+/// Number of seeds.
 const SEEDS: u64 = 5;
 
 fn put(cluster: &mut Cluster, node: NodeIndex, number: u64) {
@@ -28,20 +30,21 @@
         if_revision: None,
     });
     FinalClient::add(cluster, Request::Call(call), FinalGoal::Executed, node);
-    cluster.run(CALL_MS);
+    cluster.run_for(CALL_MS);
 }
 
-/// Incident LOST: a machine that was cut off answered a resumed watch with what it had.
+/// Incident LOST: a partitioned machine answered a resumed watch from its outdated state, without
+/// events that had been acknowledged. The machine must answer only once its state is current.
 #[test]
-fn a_resumed_watch_does_not_lag_at_a_machine_that_was_cut_off() {
+fn a_resumed_watch_does_not_lag_on_a_partitioned_machine() {
     for seed in 0..SEEDS {
         let mut cluster = Cluster::new(seed, SIX_IN_THREE_REGIONS);
-        cluster.run(STARTUP_MS);
+        cluster.run_for(STARTUP_MS);
         let leader = cluster.leader().expect("there is a leader");
-        (0..PUTS_BEFORE).for_each(|number| put(&mut cluster, leader, number));
-        let cut_off = (leader + 1) % SIX_IN_THREE_REGIONS.nodes;
-        cluster.partition(&[cut_off], Direction::Inbound, PARTITION_MS);
-        (PUTS_BEFORE..PUTS_AFTER).for_each(|number| put(&mut cluster, leader, number));
+        (0..PUTS_BEFORE_PARTITION).for_each(|number| put(&mut cluster, leader, number));
+        let partitioned = (leader + 1) % SIX_IN_THREE_REGIONS.nodes;
+        cluster.partition(&[partitioned], Direction::Inbound, PARTITION_MS);
+        (PUTS_BEFORE_PARTITION..TOTAL_PUTS).for_each(|number| put(&mut cluster, leader, number));
         let watch = Request::Watch {
             watch: WatchRequest {
                 group: "group".to_owned(),
@@ -53,10 +56,10 @@
         FinalClient::add(
             &mut cluster,
             watch,
-            FinalGoal::EventsUpTo(PUTS_AFTER),
-            cut_off,
+            FinalGoal::EventsUpTo(TOTAL_PUTS),
+            partitioned,
         );
-        cluster.run(WATCH_MS);
+        cluster.run_for(WATCH_MS);
         let result = checks::check(&cluster.history);
         assert_eq!(result, Ok(()), "seed {seed}");
     }
