--- a/crates/control-simulation/src/balancer.rs
+++ b/crates/control-simulation/src/balancer.rs
@@ -1,4 +1,4 @@
-//! A simulated balancer, which folds the change feed of a control process.
+//! A simulated balancer, which builds its state from the change feed of a control process.
 
 use std::collections::BTreeMap;
 use woadstall_control::feed::FeedEvent;
@@ -6,20 +6,20 @@
 use woadstall_control::state::ControlState;
 use woadstall_control::wire::Packet;
 
-/// What a balancer has learnt from its feed.
+/// The state of a balancer, as built from its feed.
 #[derive(Debug, Default)]
 pub struct Balancer {
-    /// The configuration state that it routes by.
+    /// The configuration state that the balancer routes by.
     pub state: ControlState,
-    /// The statuses of upstreams by id.
+    /// Statuses of upstreams, by upstream id.
     pub statuses: BTreeMap<String, UpstreamStatus>,
-    /// The generation in force after each packet of the feed.
+    /// The active generation after each packet of the feed.
     pub generations: Vec<u64>,
-    /// The epoch of the feed's journal.
+    /// Epoch of the feed's journal; offsets are only valid within an epoch.
     pub epoch: u64,
-    /// The offset behind the last event that was read.
+    /// Offset of the next event to read in the journal.
     pub offset: u64,
-    /// Whether the control process last said that it hears of a leader with a quorum.
+    /// Whether the control process last reported that it follows a leader with a quorum.
     pub in_quorum: bool,
 }
 
@@ -28,7 +28,7 @@
     ///
     /// # Panics
     ///
-    /// If a snapshot cannot be decoded: control processes send none such.
+    /// If a snapshot cannot be decoded. Control processes send only valid snapshots.
     pub fn receive(&mut self, packet: Packet) {
         match packet {
             Packet::Snapshot {
@@ -53,8 +53,8 @@
         self.generations.push(self.state.generation());
     }
 
-    /// Replaces the state by an encoded one if that is newer. A feed leaves it empty where the
-    /// balancer has it already.
+    /// Replaces the state by an encoded one, if the latter is newer. A feed sends an empty encoding if
+    /// the balancer already has the state.
     fn replace_state(&mut self, encoded: &[u8]) {
         if encoded.is_empty() {
             return;
--- a/crates/control-simulation/src/cluster/actions.rs
+++ b/crates/control-simulation/src/cluster/actions.rs
@@ -1,5 +1,4 @@
-//! What processes ask for is carried out: packets are sent, writes are queued, requests are
-//! answered.
+//! Executes the actions that processes request: sends packets, queues writes and records responses.
 
 use super::{Cluster, LogRecord, address};
 use crate::NodeIndex;
@@ -11,9 +10,8 @@
 use woadstall_control::wire::Packet;
 
 impl Cluster {
-    /// Carries out the actions of a process until it asks for nothing more, then checks its
-    /// invariants.
-    pub(super) fn carry_out_actions(&mut self, node: NodeIndex) {
+    /// Executes the actions of a process until it requests no more, then checks its invariants.
+    pub(super) fn execute_actions(&mut self, node: NodeIndex) {
         loop {
             let Some(process) = self.nodes[node].process.as_mut() else {
                 return;
@@ -24,7 +22,7 @@
             }
             actions
                 .into_iter()
-                .for_each(|action| self.carry_out(node, action));
+                .for_each(|action| self.execute_action(node, action));
         }
         let host = &self.nodes[node];
         let Some(process) = &host.process else { return };
@@ -38,10 +36,10 @@
         }
     }
 
-    fn carry_out(&mut self, node: NodeIndex, action: Action) {
+    fn execute_action(&mut self, node: NodeIndex, action: Action) {
         self.observe_action(node, &action);
         match action {
-            // All nodes are connected at all times.
+            // The cluster connects all nodes without requests.
             Action::Connect { .. } | Action::Disconnect { .. } => {}
             Action::Log(event) => self.log.push(LogRecord {
                 at_ms: self.now_ms,
@@ -64,10 +62,7 @@
                     .write_registrations(number, registrations);
                 self.schedule_sync(node);
             }
-            Action::Respond {
-                token,
-                response: answer,
-            } => self.on_response(node, token, answer),
+            Action::Respond { token, response } => self.on_response(node, token, response),
             Action::Deliver {
                 subscribers,
                 packet,
@@ -125,12 +120,13 @@
         }
         if let Some(process) = self.process(node) {
             let state = process.state();
-            let output = Output::of(&response, state.generation(), state.evacuated_zones.clone());
+            let output =
+                Output::from_response(&response, state.generation(), state.evacuated_zones.clone());
             self.check_durable_on_quorum(token, &output);
             self.history.complete(token, self.now_ms, output);
         }
         if self.responses.insert(token, response).is_some() {
-            self.invariants.fail(Violation::AnsweredTwice { token });
+            self.invariants.fail(Violation::DuplicateResponse { token });
         }
     }
 }
--- a/crates/control-simulation/src/cluster/checks.rs
+++ b/crates/control-simulation/src/cluster/checks.rs
@@ -1,4 +1,4 @@
-//! Checks over the whole cluster, and its state as text.
+//! Checks of the whole cluster, and a description of its state for failure reports.
 
 use super::Cluster;
 use crate::NodeIndex;
@@ -9,7 +9,7 @@
 use woadstall_control::registry::UpstreamStatus;
 
 impl Cluster {
-    /// A configuration that is acknowledged is on the disks of a quorum.
+    /// Checks that an acknowledged configuration is on the disks of a quorum.
     pub(super) fn check_durable_on_quorum(&mut self, token: u64, output: &Output) {
         let Some(Input::Put { generation, .. }) = self.history.pending(token) else {
             return;
@@ -36,8 +36,8 @@
         node.is_some_and(|node| has_generation(node.disk.durable(), generation))
     }
 
-    /// Checks, some time after all faults have ended, that each process and balancer knows what was
-    /// acknowledged, and that the history of operations is linearizable.
+    /// Checks that each process and balancer knows all acknowledged drainings, and that the history of
+    /// operations is linearizable. Call it only after the cluster has recovered from all faults.
     pub fn check_all(&mut self) {
         (0..self.len()).for_each(|node| self.check_acknowledged(node));
         if let Err(not_linearizable) = self.history.check() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What processes have logged and the state of their replicas, one a line.
+    /// The log and the state of the running replicas, with one line per record and per replica.
     pub fn describe(&self) -> String {
         let logged = self
             .log
--- a/crates/control-simulation/src/cluster/clients.rs
+++ b/crates/control-simulation/src/cluster/clients.rs
@@ -1,4 +1,4 @@
-//! Requests of operators, upstreams and balancers to processes.
+//! Requests of operators, upstreams and balancers to control processes.
 
 use super::Cluster;
 use crate::NodeIndex;
@@ -9,12 +9,12 @@
 use woadstall_control::registry::Registration;
 use woadstall_control::wire::SubscribeRequest;
 
-/// The name of all simulated balancers.
+/// Name of all simulated balancers.
 const BALANCER_NAME: &str = "front";
 
 impl Cluster {
-    /// Calls a process with the time in milliseconds and a new token, which it returns. Nothing
-    /// happens where no process runs or it is paused.
+    /// Runs `call` on the process of a node with the current time in milliseconds and a new token, and
+    /// returns the token. `call` is skipped if the process does not run or is paused.
     pub fn call(
         &mut self,
         node: NodeIndex,
@@ -27,26 +27,29 @@
         }
         if let Some(process) = self.nodes[node].process.as_mut() {
             call(process, now_ms, token);
-            self.carry_out_actions(node);
+            self.execute_actions(node);
         }
         token
     }
 
-    /// The token that the next call gets.
+    /// Token of the next call.
     fn next_token(&self) -> u64 {
         self.last_token + 1
     }
 
-    /// An operator submits a command. Returns the token of the request.
+    /// Submits a command as an operator. Returns the token of the request.
     pub fn submit(&mut self, node: NodeIndex, command: Command) -> u64 {
-        self.history
-            .invoke(self.next_token(), self.now_ms, Input::of(&command));
+        self.history.invoke(
+            self.next_token(),
+            self.now_ms,
+            Input::from_command(&command),
+        );
         self.call(node, |process, now_ms, token| {
             process.submit_command(now_ms, token, command)
         })
     }
 
-    /// An operator reads the configuration. Returns the token of the request.
+    /// Reads the configuration as an operator. Returns the token of the request.
     pub fn read(&mut self, node: NodeIndex) -> u64 {
         self.history
             .invoke(self.next_token(), self.now_ms, Input::Read);
@@ -55,7 +58,8 @@
         })
     }
 
-    /// An upstream sends a heartbeat. Returns the token of the request.
+    /// Sends the registration of an upstream, which is also its heartbeat. Returns the token of the
+    /// request.
     pub fn register(&mut self, node: NodeIndex, registration: Registration) -> u64 {
         if registration.status.is_terminating() {
             self.draining_requests
@@ -66,7 +70,7 @@
         })
     }
 
-    /// An upstream deregisters. Returns the token of the request.
+    /// Deregisters an upstream. Returns the token of the request.
     pub fn deregister(&mut self, node: NodeIndex, id: &str) -> u64 {
         self.draining_requests
             .insert(self.next_token(), id.to_owned());
@@ -75,12 +79,12 @@
         })
     }
 
-    /// A new balancer subscribes to a process's feed.
+    /// Subscribes a new balancer to the feed of a process.
     pub fn subscribe(&mut self, node: NodeIndex, subscriber: u64) {
         self.resubscribe(node, subscriber, Balancer::default());
     }
 
-    /// A balancer subscribes to a process's feed from where it has read so far.
+    /// Subscribes a balancer to the feed of a process, from the offset that the balancer has reached.
     pub fn resubscribe(&mut self, node: NodeIndex, subscriber: u64, balancer: Balancer) {
         let request = SubscribeRequest {
             balancer: BALANCER_NAME.to_owned(),
@@ -94,7 +98,7 @@
         });
     }
 
-    /// A balancer's subscription ends. Returns the balancer, if there was one.
+    /// Ends a subscription. Returns its balancer; `None` if there was no such subscription.
     pub fn unsubscribe(&mut self, node: NodeIndex, subscriber: u64) -> Option<Balancer> {
         self.call(node, |process, _, _| process.unsubscribe(subscriber));
         self.nodes[node].balancers.remove(&subscriber)
--- a/crates/control-simulation/src/cluster/lifecycle.rs
+++ b/crates/control-simulation/src/cluster/lifecycle.rs
@@ -1,5 +1,5 @@
-//! Faults and operations on nodes: processes start, stop, crash and pause; disks stall, reject
-//! writes and are lost.
+//! Operations and faults on nodes: start, stop, crash and pause of processes; stalls, rejected writes
+//! and losses of disks; partitions.
 
 use super::node::Node;
 use super::{Cluster, address};
@@ -12,11 +12,11 @@
 use woadstall_control::machine::{ControlMachine, MachineSettings};
 use woadstall_control::wire::MachineInfo;
 
-/// How often upstreams send heartbeats, in milliseconds.
+/// Interval of the heartbeats that processes expect from upstreams, in milliseconds.
 const UPSTREAM_HEARTBEAT_MS: u64 = 1_200;
 
 impl Cluster {
-    /// Starts a node's process on its disk, unless it runs or the node was removed.
+    /// Starts the process of a node from its disk, unless it runs already or the node was removed.
     pub fn start(&mut self, node: NodeIndex) {
         if self.nodes[node].process.is_some() || !self.nodes[node].is_present {
             return;
@@ -33,7 +33,7 @@
         self.observe(Observation::Start, |digest| {
             digest.node(node).number(incarnation).number(seed)
         });
-        self.carry_out_actions(node);
+        self.execute_actions(node);
     }
 
     /// Starts all processes that do not run.
@@ -61,13 +61,12 @@
         }
     }
 
-    /// Ends a process; writes that were not synced are lost.
+    /// Stops a process. Unsynced writes are lost.
     pub fn stop(&mut self, node: NodeIndex) {
         self.end(node, 0);
     }
 
-    /// Ends a process by a loss of power; a random part of what was not synced survives, perhaps
-    /// torn.
+    /// Ends a process by a power loss. A random part of the unsynced writes survives, possibly torn.
     pub fn crash(&mut self, node: NodeIndex) {
         let started = self.random.usize(..=self.nodes[node].disk.queued());
         self.end(node, started);
@@ -78,6 +77,7 @@
         (0..self.len()).for_each(|node| self.crash(node));
     }
 
+    /// Ends a process. The disk had started the first `started_writes` of its queued writes.
     fn end(&mut self, node: NodeIndex, started_writes: usize) {
         self.observe(Observation::End, |digest| {
             digest.node(node).number(started_writes as u64)
@@ -104,35 +104,35 @@
         }
     }
 
-    /// Ends a process and replaces its disk by an empty one: the node comes back under a new
-    /// replica id.
+    /// Stops a process and replaces its disk by an empty one. The node starts with a new replica id
+    /// next time.
     pub fn wipe_disk(&mut self, node: NodeIndex) {
         self.stop(node);
-        self.nodes[node].disk = SimulatedDisk::new(self.empty_disk_state());
+        self.nodes[node].disk = SimulatedDisk::new(self.state_of_empty_disk());
     }
 
-    fn empty_disk_state(&mut self) -> DurableState {
+    fn state_of_empty_disk(&mut self) -> DurableState {
         let id = self.next_replica_id;
         self.next_replica_id += 1;
         DurableState::new(id, Snapshot::default())
     }
 
-    /// Removes a node for good.
+    /// Stops a node and removes it permanently.
     pub fn remove(&mut self, node: NodeIndex) {
         self.stop(node);
         self.nodes[node].is_present = false;
     }
 
-    /// Adds a node with an empty disk and starts it. Returns its number.
+    /// Adds a node with an empty disk and starts it. Returns its index.
     pub fn add(&mut self) -> NodeIndex {
-        let initial = self.empty_disk_state();
+        let initial = self.state_of_empty_disk();
         self.nodes.push(Node::new(initial));
         let node = self.len() - 1;
         self.start(node);
         node
     }
 
-    /// Pauses a process for some milliseconds; what arrives waits.
+    /// Pauses a process for `duration_ms`. Packets that arrive meanwhile are delivered afterwards.
     pub fn pause(&mut self, node: NodeIndex, duration_ms: u64) {
         self.nodes[node].paused_until_ms = self.now_ms + duration_ms;
     }
@@ -141,12 +141,12 @@
         self.now_ms < self.nodes[node].paused_until_ms
     }
 
-    /// A disk syncs nothing for some milliseconds.
+    /// Stalls a disk for `duration_ms`: it completes no sync until then.
     pub fn stall_disk(&mut self, node: NodeIndex, duration_ms: u64) {
         self.nodes[node].disk.stalled_until_ms = self.now_ms + duration_ms;
     }
 
-    /// A disk rejects all writes for some milliseconds.
+    /// Lets a disk reject all writes for `duration_ms`.
     pub fn reject_writes(&mut self, node: NodeIndex, duration_ms: u64) {
         self.nodes[node].disk.rejects_until_ms = self.now_ms + duration_ms;
     }
--- a/crates/control-simulation/src/cluster/mod.rs
+++ b/crates/control-simulation/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The cluster: nodes with their processes, disks and connections, driven by virtual time.
+//! The simulated cluster: nodes with processes, disks and connections, driven by virtual time.
 
 mod actions;
 mod checks;
@@ -23,21 +23,21 @@
 use woadstall_control::machine::{CallResponse, ControlMachine, founding_snapshot};
 use woadstall_control::wire::Packet;
 
-/// The shape of a deployment.
+/// Size and layout of a cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
-    /// Its nodes, each in a zone of its own.
+    /// Number of nodes, each in a zone of its own.
     pub nodes: usize,
-    /// How many of them, the first ones, are the initial voters.
+    /// Number of nodes, from the first one, that are the initial voters.
     pub founders: usize,
-    /// The regions that the nodes are spread over in turn.
+    /// Number of regions, to which nodes are assigned in turn.
     pub regions: usize,
-    /// Nodes that may be lost at a time.
+    /// Number of nodes that may be lost at the same time.
     pub tolerated_failures: usize,
 }
 
 impl Topology {
-    /// Founders alone, each in a region of its own; any minority may be lost.
+    /// A cluster of founders, each in a region of its own, that tolerates the loss of any minority.
     pub const fn founders(nodes: usize) -> Self {
         Self {
             nodes,
@@ -48,62 +48,62 @@
     }
 }
 
-/// A line that a process has logged.
+/// A log line of a process.
 #[derive(Clone, Debug)]
 pub struct LogRecord {
-    /// When, in milliseconds.
+    /// Virtual time of the record, in milliseconds.
     pub at_ms: u64,
-    /// The node.
+    /// Node of the process.
     pub node: NodeIndex,
-    /// The line.
+    /// Text of the log line.
     pub text: String,
 }
 
-/// The replica id of the first disk that is added later; founders have 1 and up.
+/// Replica id of the first disk that is added after the start; initial nodes have ids from 1.
 const FIRST_ADDED_REPLICA_ID: u64 = 1_001;
 
-/// The simulated cluster.
+/// The simulated cluster. The same seed and the same calls give the same run.
 pub struct Cluster {
-    /// The current time in milliseconds.
+    /// Current virtual time, in milliseconds.
     pub now_ms: u64,
-    /// The source of all chance.
+    /// Source of all random choices of the simulation.
     pub random: fastrand::Rng,
     /// The network between nodes.
     pub network: Network,
-    /// What must hold after each event.
+    /// Invariants that are checked after each event, with the first violation.
     pub invariants: Invariants,
-    /// The operations of operators.
+    /// History of operators' operations.
     pub history: History,
-    /// What processes have logged.
+    /// Log lines of all processes.
     pub log: Vec<LogRecord>,
-    /// The responses so far, by the token of the request.
+    /// Responses, by the token of the request.
     pub responses: BTreeMap<u64, CallResponse>,
-    /// The digest of all events, if it is to be recorded.
+    /// Digest of all events; `None` if no digest is recorded.
     pub digest: Option<EventDigest>,
     topology: Topology,
     nodes: Vec<Node>,
     events: EventQueue<ScheduledEvent>,
-    /// All packets that were sent, by their number.
+    /// All packets that were sent, by packet id.
     packets: Vec<Packet>,
-    /// The upstreams whose draining was requested, by the token of the request.
+    /// Upstreams whose draining or deregistration was requested, by the token of the request.
     draining_requests: BTreeMap<u64, String>,
     last_token: u64,
     next_replica_id: u64,
 }
 
-/// The internal address of a node.
+/// Internal address of a node.
 pub fn address(node: NodeIndex) -> String {
     format!("10.0.{node}.1:7720")
 }
 
 impl Cluster {
-    /// Founders in a steady network, with all processes started.
+    /// Creates a cluster of founders with the network conditions [`STEADY`], and starts all processes.
     pub fn new(seed: u64, nodes: usize) -> Self {
-        Self::with(seed, Topology::founders(nodes), STEADY)
+        Self::with_topology(seed, Topology::founders(nodes), STEADY)
     }
 
-    /// A deployment with all processes started.
-    pub fn with(seed: u64, topology: Topology, conditions: NetworkConditions) -> Self {
+    /// Creates a cluster and starts all processes.
+    pub fn with_topology(seed: u64, topology: Topology, conditions: NetworkConditions) -> Self {
         let mut cluster = Self {
             now_ms: 0,
             random: fastrand::Rng::with_seed(seed),
@@ -125,32 +125,32 @@
         cluster
     }
 
-    /// The number of nodes that there ever were.
+    /// Number of nodes that were ever added, with the removed ones.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether there never was a node.
+    /// Whether no node was ever added.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Whether a node was not removed.
+    /// Whether a node is part of the cluster; `false` once it was removed.
     pub fn is_present(&self, node: NodeIndex) -> bool {
         self.nodes[node].is_present
     }
 
-    /// A node's process, if it runs.
+    /// The process of a node; `None` if it does not run.
     pub fn process(&self, node: NodeIndex) -> Option<&ControlMachine> {
         self.nodes[node].process.as_ref()
     }
 
-    /// A node's disk.
+    /// The disk of a node.
     pub fn disk(&self, node: NodeIndex) -> &SimulatedDisk {
         &self.nodes[node].disk
     }
 
-    /// The leader of the newest term.
+    /// The leader of the newest term among the running processes.
     pub fn leader(&self) -> Option<NodeIndex> {
         let is_leader = |node: &NodeIndex| {
             self.process(*node)
@@ -160,13 +160,13 @@
         (0..self.len()).filter(is_leader).max_by_key(term)
     }
 
-    /// All nodes but one.
+    /// All nodes except one.
     fn others(&self, node: NodeIndex) -> impl Iterator<Item = NodeIndex> + use<> {
         (0..self.len()).filter(move |other| *other != node)
     }
 }
 
-/// The nodes at the beginning: founders know each other, the rest begin with empty disks.
+/// The initial nodes. The disks of the founders contain the initial membership, all others are empty.
 fn initial_nodes(topology: Topology) -> Vec<Node> {
     let member = |node: NodeIndex| Member {
         id: node as u64 + 1,
--- a/crates/control-simulation/src/cluster/node.rs
+++ b/crates/control-simulation/src/cluster/node.rs
@@ -1,4 +1,4 @@
-//! A node: a process, if one runs, and what outlives it.
+//! A node: its process, its disk and the state that outlives the process.
 
 use crate::balancer::Balancer;
 use crate::disk::SimulatedDisk;
@@ -8,21 +8,21 @@
 
 /// A node of the cluster.
 pub(super) struct Node {
-    /// The control process, if it runs.
+    /// The control process; `None` if it does not run.
     pub(super) process: Option<ControlMachine>,
     pub(super) disk: SimulatedDisk,
-    /// The number of processes that were started here so far.
+    /// Number of processes that have been started on the node; identifies the current process.
     pub(super) incarnation: u64,
-    /// Until when the process is paused, in milliseconds.
+    /// End of a pause of the process, in milliseconds; 0 if it was not paused.
     pub(super) paused_until_ms: u64,
-    /// The balancers that read the process's feed, by subscription.
+    /// Balancers that read the feed of the process, by subscription.
     pub(super) balancers: BTreeMap<u64, Balancer>,
-    /// Whether it was not removed.
+    /// Whether the node is part of the cluster; `false` once it was removed.
     pub(super) is_present: bool,
 }
 
 impl Node {
-    /// A node whose process does not run yet.
+    /// A node whose process does not run yet, with a disk that contains `initial`.
     pub(super) fn new(initial: DurableState) -> Self {
         Self {
             process: None,
--- a/crates/control-simulation/src/cluster/observations.rs
+++ b/crates/control-simulation/src/cluster/observations.rs
@@ -1,4 +1,4 @@
-//! What is added to the digest of events.
+//! Adds observations to the digest of events.
 
 use super::Cluster;
 use super::node::Node;
@@ -9,7 +9,7 @@
 use woadstall_control::machine::{Action, ControlMachine};
 
 impl Cluster {
-    /// Adds an observation, if a digest is recorded.
+    /// Adds an observation to the digest, if one is recorded.
     pub(super) fn observe(
         &mut self,
         observation: Observation,
@@ -31,7 +31,8 @@
         });
     }
 
-    /// Adds an action. Log lines are not part of the digest: their text may change.
+    /// Adds an action to the digest, if one is recorded. Log lines are not part of the digest, so that
+    /// their text may change.
     pub(super) fn observe_action(&mut self, node: NodeIndex, action: &Action) {
         let Some(digest) = &mut self.digest else {
             return;
@@ -49,10 +50,7 @@
             }
             Action::Persist { sequence, record } => digest.number(*sequence).encoded(record),
             Action::PersistRegistrations { number } => digest.number(*number),
-            Action::Respond {
-                token,
-                response: answer,
-            } => digest.number(*token).response(answer),
+            Action::Respond { token, response } => digest.number(*token).response(response),
             Action::Deliver {
                 subscribers,
                 packet,
@@ -60,14 +58,13 @@
         };
     }
 
-    /// Ends the recording. Returns the digest of all events, of the final states of nodes and
-    /// balancers and of whether all checks have passed, and the number of observations that it
-    /// covers.
+    /// Ends the recording. Returns a digest and the number of observations that it covers. The digest
+    /// covers all events, the final states of nodes and balancers, and whether all checks passed.
     pub fn finish_digest(&mut self) -> (u64, u64) {
         let mut digest = self.digest.take().unwrap_or_default();
-        let is_sound = self.invariants.violation.is_none();
+        let holds_invariants = self.invariants.violation.is_none();
         let is_linearizable = self.history.check().is_ok();
-        let checks = u64::from(is_sound) + 2 * u64::from(is_linearizable);
+        let checks = u64::from(holds_invariants) + 2 * u64::from(is_linearizable);
         let next_random = self.random.u64(..);
         digest
             .observe(Observation::Final, self.now_ms)
--- a/crates/control-simulation/src/cluster/scheduled_event.rs
+++ b/crates/control-simulation/src/cluster/scheduled_event.rs
@@ -1,19 +1,19 @@
-//! What the cluster schedules.
+//! Events that the cluster schedules.
 
 use crate::NodeIndex;
 use crate::network::{Link, PacketId};
 
-/// An event to come.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScheduledEvent {
-    /// A packet arrives.
+    /// A packet arrives at its receiver.
     Delivery {
         link: Link,
         packet: PacketId,
-        /// The incarnation that it is for; `None` for one of a former connection, which any process
-        /// accepts.
+        /// Incarnation of the receiving process; `None` for a late packet of a closed connection, which
+        /// any incarnation accepts.
         incarnation: Option<u64>,
     },
-    /// A disk syncs a write of an incarnation.
+    /// The disk of a node finishes the sync of a write.
     Sync { node: NodeIndex, incarnation: u64 },
 }
--- a/crates/control-simulation/src/cluster/time.rs
+++ b/crates/control-simulation/src/cluster/time.rs
@@ -1,5 +1,4 @@
-//! The passing of time: events of the queue, ticks of processes, and connections that come up and
-//! time out.
+//! Progress of virtual time: handles scheduled events, ticks processes and updates connections.
 
 use super::scheduled_event::ScheduledEvent;
 use super::{Cluster, address};
@@ -8,19 +7,19 @@
 use crate::disk::Synced;
 use crate::network::{Link, PacketId};
 
-/// How often processes tick, in milliseconds.
+/// Interval of the ticks of all processes, in milliseconds.
 pub const TICK_MS: u64 = 50;
-/// How long a sync takes, in milliseconds.
+/// Duration of a disk sync, in milliseconds.
 const SYNC_MS: u64 = 5;
-/// How long a process waits before it retries rejected writes, in milliseconds.
+/// Delay before rejected writes are retried, in milliseconds.
 const SYNC_RETRY_MS: u64 = 200;
-/// How long a packet takes that a partition has held back, once the partition ends, in
-/// milliseconds.
-const RELEASE_MS: u64 = 1;
+/// Latency of a packet that a partition held back, from the end of the partition, in milliseconds.
+const RELEASE_LATENCY_MS: u64 = 1;
 
 impl Cluster {
-    /// Lets some milliseconds pass, up to a whole tick.
-    pub fn run(&mut self, duration_ms: u64) {
+    /// Advances virtual time by `duration_ms`, rounded up to a whole tick, and handles all events that
+    /// become due.
+    pub fn run_for(&mut self, duration_ms: u64) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
             let next_tick_ms = self.now_ms + TICK_MS - self.now_ms % TICK_MS;
@@ -40,16 +39,16 @@
         }
         if let Some(process) = self.nodes[node].process.as_mut() {
             process.tick(self.now_ms);
-            self.carry_out_actions(node);
+            self.execute_actions(node);
         }
     }
 
     /// Delivers packets whose partition has ended, resets connections that have timed out, and
-    /// establishes others.
+    /// establishes connections between all nodes that can reach each other.
     fn update_connections(&mut self) {
         for (link, packets) in self.network.take_released() {
             for packet in packets {
-                self.schedule_delivery(RELEASE_MS, link, packet);
+                self.schedule_delivery(RELEASE_LATENCY_MS, link, packet);
             }
         }
         for link in self.network.timed_out(self.now_ms) {
@@ -76,7 +75,8 @@
         });
     }
 
-    /// Packets that their sender gave up may still arrive, over a former connection.
+    /// Schedules the late delivery of packets that a connection held back when it was reset, if the
+    /// network conditions allow for late packets.
     fn schedule_delayed_deliveries(&mut self, link: Link, packets: Vec<PacketId>) {
         let max_delay_ms = self.network.conditions.delayed_delivery_ms;
         if max_delay_ms == 0 {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Schedules the delivery of a packet to the process that runs at the link's end now.
+    /// Schedules the delivery of a packet to the current process of the receiving node.
     pub(super) fn schedule_delivery(&mut self, delay_ms: u64, link: Link, packet: PacketId) {
         let incarnation = Some(self.nodes[link.to].incarnation);
         self.schedule(
@@ -106,7 +106,7 @@
         );
     }
 
-    /// Schedules the sync of a write that was queued now.
+    /// Schedules the sync of a write that was just queued.
     pub(super) fn schedule_sync(&mut self, node: NodeIndex) {
         let incarnation = self.nodes[node].incarnation;
         self.schedule(SYNC_MS, ScheduledEvent::Sync { node, incarnation });
@@ -155,7 +155,7 @@
                 .bytes(&packet.encode());
         }
         process.receive_packet(self.now_ms, &address(link.from), packet);
-        self.carry_out_actions(link.to);
+        self.execute_actions(link.to);
     }
 
     fn sync(&mut self, node: NodeIndex, incarnation: u64) {
@@ -172,10 +172,10 @@
         let synced = host.disk.sync(self.now_ms);
         self.observe_sync(node, synced);
         self.on_synced(node, synced);
-        self.carry_out_actions(node);
+        self.execute_actions(node);
     }
 
-    /// Notifies the process of what has become durable, or schedules a retry of what was rejected.
+    /// Notifies the process of newly durable data, or schedules a retry of rejected writes.
     fn on_synced(&mut self, node: NodeIndex, synced: Option<Synced>) {
         let host = &mut self.nodes[node];
         let Some(process) = host.process.as_mut() else {
--- a/crates/control-simulation/src/digest.rs
+++ b/crates/control-simulation/src/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of everything observable in a simulation, in the order in which it happens: times,
-//! bytes of messages and records, responses, commits and final states. It covers numbers and bytes
-//! alone, no names of types or fields, so that it stays the same as long as every event does.
+//! A digest of all observable events of a simulation, in order: times, bytes of packets and records,
+//! responses, commits and final states. The digest covers only numbers and bytes. Names of types and
+//! fields are left out, so that renames don't change it.
 
 use crate::NodeIndex;
 use nanoserde::SerBin;
@@ -10,26 +10,26 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// What an observation is about. The numbers are part of the digest.
+/// The kind of an observation. The numbers are part of the digest and must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A process starts.
+    /// A process starts, for the first time or again.
     Start = 1,
-    /// A process ends.
+    /// A process ends by a stop or a crash.
     End = 2,
     /// A process sends a packet.
     Send = 3,
     /// A packet is delivered to a process.
     Receive = 4,
-    /// A connection comes up.
+    /// A connection is established.
     Connect = 5,
-    /// A process requests a connection or its end.
+    /// A process requests that a connection be opened or closed.
     ConnectionRequest = 6,
     /// A process writes a record.
     WriteRecord = 7,
     /// A process writes its registrations.
     WriteRegistrations = 8,
-    /// A sync ends, successful or not.
+    /// A sync ends, with or without success.
     Sync = 9,
     /// A request is answered.
     Respond = 10,
@@ -37,11 +37,11 @@
     Deliver = 11,
     /// The state of a replica after its process has handled an event.
     ReplicaState = 12,
-    /// The state at the end.
+    /// The state of the cluster or of a node at the end of the simulation.
     Final = 13,
 }
 
-/// A digest that observations are added to.
+/// Accumulates observations into a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventDigest {
     hash: u64,
@@ -58,7 +58,7 @@
 }
 
 impl EventDigest {
-    /// Begins an observation at a time in milliseconds.
+    /// Starts an observation, with the virtual time in milliseconds.
     pub fn observe(&mut self, observation: Observation, now_ms: u64) -> &mut Self {
         self.observations += 1;
         self.number(observation as u64).number(now_ms)
@@ -70,7 +70,7 @@
         self
     }
 
-    /// Adds several numbers.
+    /// Adds several numbers, without their count.
     pub fn numbers(&mut self, numbers: &[u64]) -> &mut Self {
         for number in numbers {
             self.number(*number);
@@ -78,17 +78,17 @@
         self
     }
 
-    /// Adds the number of a node.
+    /// Adds the index of a node.
     pub fn node(&mut self, node: NodeIndex) -> &mut Self {
         self.number(node as u64)
     }
 
-    /// Adds a flag.
+    /// Adds a flag as 0 or 1.
     pub fn flag(&mut self, flag: bool) -> &mut Self {
         self.number(u64::from(flag))
     }
 
-    /// Adds bytes and their length.
+    /// Adds the number of the bytes and the bytes.
     pub fn bytes(&mut self, bytes: &[u8]) -> &mut Self {
         self.number(bytes.len() as u64);
         self.add(bytes);
@@ -111,7 +111,7 @@
         self
     }
 
-    /// Adds a response.
+    /// Adds the kind of a response and its contents.
     pub fn response(&mut self, response: &CallResponse) -> &mut Self {
         match response {
             CallResponse::Acknowledged => self.number(1),
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Adds the state of a process's replica: its term, leader, commit index, and what it has
-    /// applied.
+    /// Adds the state of a process's replica: term, leader, log and commit indexes, and the index and
+    /// generation of the applied state.
     pub fn replica_state(&mut self, process: &ControlMachine) -> &mut Self {
         let replica = process.replica();
         self.number(replica.term())
@@ -135,7 +135,7 @@
             .number(process.state().generation())
     }
 
-    /// The hash, and the number of observations that it covers.
+    /// The hash and the number of observations that it covers.
     pub fn finish(&self) -> (u64, u64) {
         (self.hash, self.observations)
     }
--- a/crates/control-simulation/src/disk.rs
+++ b/crates/control-simulation/src/disk.rs
@@ -1,5 +1,5 @@
-//! A node's simulated disk: the shipped storage on a medium that loses power, and the
-//! registrations. Writes are queued and made durable one after the other.
+//! The simulated disk of a node: the production storage on a simulated medium, and the persisted
+//! registrations. Writes are queued and synced one at a time.
 
 use crate::medium::SimulatedMedium;
 use std::collections::VecDeque;
@@ -7,7 +7,7 @@
 use woadstall_control::registry::Registration;
 use woadstall_storage::Storage;
 
-/// A write in the queue.
+/// A write that waits for its sync.
 #[derive(Clone, Debug)]
 enum QueuedWrite {
     Record {
@@ -20,36 +20,36 @@
     },
 }
 
-/// What a sync has made durable.
+/// The data that a sync has made durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Synced {
-    /// Records up to this sequence number.
+    /// All records up to this sequence number.
     Records(u64),
-    /// The registrations, as of the request with this number.
+    /// The registrations of the write request with this number.
     Registrations(u64),
 }
 
-/// The disk of a node.
+/// The simulated disk of a node.
 #[derive(Debug)]
 pub struct SimulatedDisk {
     storage: Storage<SimulatedMedium>,
-    /// The state that is synced; the storage's own is ahead of it while the disk rejects writes.
+    /// The synced state. The state in `storage` is ahead of it while the disk rejects writes.
     synced: DurableState,
-    /// Records that were rejected; the storage writes them with the next ones.
+    /// Rejected records, which the storage writes again with the next records.
     rejected: Vec<Record>,
-    /// The sequence number of the newest rejected record.
+    /// Sequence number of the newest rejected record.
     newest_rejected: Option<u64>,
-    /// The durable registrations.
+    /// The synced registrations.
     pub registrations: Vec<Registration>,
     queue: VecDeque<QueuedWrite>,
-    /// Until when nothing is synced, in milliseconds.
+    /// End of a stall, until which nothing is synced, in milliseconds; 0 without a stall.
     pub stalled_until_ms: u64,
-    /// Until when writes are rejected, in milliseconds.
+    /// End of the rejection of writes, in milliseconds; 0 if writes are accepted.
     pub rejects_until_ms: u64,
 }
 
 impl SimulatedDisk {
-    /// A disk with a replica's initial state.
+    /// A disk that contains the initial state of a replica.
     ///
     /// # Panics
     ///
@@ -72,18 +72,18 @@
         }
     }
 
-    /// The state that is durable.
+    /// The synced state of the replica.
     pub fn durable(&self) -> &DurableState {
         &self.synced
     }
 
-    /// Queues a record.
+    /// Queues the write of a record.
     pub fn write_record(&mut self, sequence: u64, record: Record) {
         self.queue
             .push_back(QueuedWrite::Record { sequence, record });
     }
 
-    /// Queues the registrations.
+    /// Queues the write of all registrations.
     pub fn write_registrations(&mut self, number: u64, registrations: Vec<Registration>) {
         self.queue.push_back(QueuedWrite::Registrations {
             number,
@@ -91,18 +91,18 @@
         });
     }
 
-    /// The number of queued writes.
+    /// Number of queued writes.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether a record was rejected and is to be retried.
+    /// Whether rejected records wait for a retry.
     pub fn has_rejected(&self) -> bool {
         self.newest_rejected.is_some()
     }
 
-    /// Writes and syncs the oldest queued write, or retries rejected records if nothing is queued.
-    /// Returns what has become durable, if anything.
+    /// Writes and syncs the oldest queued write, or retries rejected records if the queue is empty.
+    /// Returns the data that became durable, if any.
     pub fn sync(&mut self, now_ms: u64) -> Option<Synced> {
         let rejects_writes = now_ms < self.rejects_until_ms;
         self.storage.medium().rejects_writes = rejects_writes;
@@ -139,12 +139,12 @@
         Some(Synced::Records(sequence))
     }
 
-    /// Loses power while the first `started` queued writes are under way, then reads back what is
-    /// left of them.
+    /// Simulates a power loss while the first `started` queued writes are in progress, and reloads the
+    /// storage from the parts of the writes that survived.
     ///
     /// # Panics
     ///
-    /// If the storage cannot read what was synced before: the shipped storage promises that it can.
+    /// If the storage cannot read the synced data, which it guarantees to survive a power loss.
     pub fn lose_power(&mut self, started: usize, random: &mut fastrand::Rng) {
         self.storage.medium().rejects_writes = false;
         let records = self.take_queued_records(started);
@@ -157,7 +157,7 @@
         self.clear_faults();
         let mut medium = std::mem::take(self.storage.medium());
         medium.lose_power(random);
-        self.storage = Storage::load(medium).expect("what was synced can be read");
+        self.storage = Storage::load(medium).expect("synced data is readable");
         self.synced = self
             .storage
             .state()
@@ -165,7 +165,7 @@
             .expect("the disk was initialized");
     }
 
-    /// Empties the queue; returns the records among its first `started` writes.
+    /// Empties the queue. Returns the records among its first `started` writes.
     fn take_queued_records(&mut self, started: usize) -> Vec<Record> {
         let started = self.queue.drain(..).take(started);
         let records = started.filter_map(|write| match write {
--- a/crates/control-simulation/src/event_queue.rs
+++ b/crates/control-simulation/src/event_queue.rs
@@ -1,4 +1,5 @@
-//! The events to come, by time; those of the same time in the order in which they were scheduled.
+//! A queue of scheduled events, ordered by time. Events of the same time keep the order in which they
+//! were scheduled.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -6,7 +7,7 @@
 #[derive(Debug)]
 struct Entry<E> {
     at_ms: u64,
-    /// Makes the order of events of the same time that of their scheduling.
+    /// Number of the event in the order of scheduling, which orders events of the same time.
     sequence: u64,
     event: E,
 }
@@ -37,7 +38,7 @@
     }
 }
 
-/// The events to come.
+/// The scheduled events of a simulation.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     entries: BinaryHeap<Reverse<Entry<E>>>,
@@ -54,7 +55,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Schedules an event at a time in milliseconds.
+    /// Schedules an event at a virtual time, in milliseconds.
     pub fn schedule(&mut self, at_ms: u64, event: E) {
         self.scheduled += 1;
         self.entries.push(Reverse(Entry {
@@ -64,7 +65,7 @@
         }));
     }
 
-    /// Takes the next event with its time, if that is no later than `until_ms`.
+    /// Removes and returns the next event with its time, if it is due by `until_ms`.
     pub fn pop_until(&mut self, until_ms: u64) -> Option<(u64, E)> {
         let Reverse(next) = self.entries.peek()?;
         if next.at_ms > until_ms {
@@ -74,7 +75,7 @@
         Some((entry.at_ms, entry.event))
     }
 
-    /// The number of events that were scheduled so far.
+    /// Number of events that have been scheduled, with those already handled.
     pub fn scheduled(&self) -> u64 {
         self.scheduled
     }
--- a/crates/control-simulation/src/history/mod.rs
+++ b/crates/control-simulation/src/history/mod.rs
@@ -1,4 +1,4 @@
-//! The history of operators' operations on the cluster, and the check that it is linearizable.
+//! The history of operators' operations on the cluster, with a linearizability check.
 
 mod linearizability;
 mod model;
@@ -10,33 +10,33 @@
 use woadstall_control::command::Command;
 use woadstall_control::machine::CallResponse;
 
-/// How long a client waits for a response, in milliseconds. A command without a response takes
-/// effect within that time or never.
+/// How long a client waits for a response, in milliseconds. A command without a response takes effect
+/// within this time or never.
 pub const CLIENT_TIMEOUT_MS: u64 = 1_000;
 
-/// What an operation asks for.
+/// The request of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Put a configuration on top of a generation.
+    /// Replace the configuration of a generation by a new one.
     Put {
-        /// The generation that it builds on.
+        /// Generation that must be active for the put to succeed.
         base: u64,
-        /// Its own generation.
+        /// Generation of the new configuration.
         generation: u64,
-        /// Its identity: commands with the same digest are the same command.
+        /// Digest of the command; commands with the same digest are retries of one command.
         digest: u128,
     },
-    /// Evacuate a zone.
+    /// Evacuate the zone with this name.
     Evacuate(String),
-    /// End the evacuation of a zone.
+    /// End the evacuation of the zone with this name.
     EndEvacuation(String),
-    /// Read the configuration.
+    /// Read the configuration and the evacuated zones.
     Read,
 }
 
 impl Input {
-    /// The operation that submits a command.
-    pub fn of(command: &Command) -> Self {
+    /// The request that submits a command.
+    pub fn from_command(command: &Command) -> Self {
         match command {
             Command::Put { base, body } | Command::Patch { base, body } => {
                 let document: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
@@ -53,27 +53,31 @@
     }
 }
 
-/// What came of an operation.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// The command is committed, now or before.
+    /// The command is committed, by this operation or an earlier attempt.
     Committed,
-    /// Another generation is current.
+    /// The command was rejected because this other generation is active.
     Conflict(u64),
     /// The configuration was read.
     Read {
-        /// Its generation.
+        /// Generation of the configuration.
         generation: u64,
-        /// The evacuated zones at the process that answered.
+        /// Evacuated zones in the state of the process that responded.
         evacuated: BTreeSet<String>,
     },
-    /// The operation may have taken effect or not.
+    /// It is unknown whether the operation took effect.
     Unknown,
 }
 
 impl Output {
-    /// The output of a response, given by a process in this state.
-    pub fn of(response: &CallResponse, generation: u64, evacuated: BTreeSet<String>) -> Self {
+    /// The output for a response of a process with this generation and these evacuated zones.
+    pub fn from_response(
+        response: &CallResponse,
+        generation: u64,
+        evacuated: BTreeSet<String>,
+    ) -> Self {
         match response {
             CallResponse::Acknowledged => Self::Committed,
             CallResponse::Conflict { current } => Self::Conflict(*current),
@@ -86,27 +90,27 @@
     }
 }
 
-/// An operation with its times in milliseconds.
+/// A completed operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// What it asked for.
+    /// Request of the operation.
     pub input: Input,
-    /// When it was invoked.
+    /// When the client sent the request, in milliseconds.
     pub invoked_ms: u64,
-    /// When it returned, or its client timed out.
+    /// When the response was sent or the client timed out, in milliseconds.
     pub returned_ms: u64,
-    /// What came of it.
+    /// Result of the operation.
     pub output: Output,
 }
 
 impl Operation {
-    /// A read without a response constrains nothing.
-    fn is_vacuous(&self) -> bool {
+    /// Whether the operation is a read without a response, which the check can ignore.
+    fn is_irrelevant(&self) -> bool {
         self.input == Input::Read && self.output == Output::Unknown
     }
 }
 
-/// An operation without a response so far.
+/// An operation that waits for its response.
 #[derive(Clone, Debug)]
 struct PendingOperation {
     input: Input,
@@ -114,7 +118,7 @@
 }
 
 impl PendingOperation {
-    /// The operation as it is once its client has timed out.
+    /// The completed operation for the case that the client times out.
     fn timed_out(&self) -> Operation {
         Operation {
             input: self.input.clone(),
@@ -128,13 +132,13 @@
 /// All operations of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// By the token of the request.
+    /// Operations without a response, by the token of the request.
     pending: BTreeMap<u64, PendingOperation>,
     completed: Vec<Operation>,
 }
 
 impl History {
-    /// An operation is invoked.
+    /// Records the invocation of an operation.
     pub fn invoke(&mut self, token: u64, now_ms: u64, input: Input) {
         self.pending.insert(
             token,
@@ -145,12 +149,12 @@
         );
     }
 
-    /// The input of an operation that has not returned.
+    /// The input of a pending operation; `None` if no operation with this token is pending.
     pub fn pending(&self, token: u64) -> Option<&Input> {
         self.pending.get(&token).map(|operation| &operation.input)
     }
 
-    /// An operation returns. Tokens that are not pending are ignored.
+    /// Records the return of an operation. Ignores tokens of operations that are not pending.
     pub fn complete(&mut self, token: u64, now_ms: u64, output: Output) {
         if let Some(PendingOperation { input, invoked_ms }) = self.pending.remove(&token) {
             self.completed.push(Operation {
@@ -162,26 +166,26 @@
         }
     }
 
-    /// The number of operations that have returned.
+    /// Number of operations that have returned.
     pub fn completed(&self) -> usize {
         self.completed.len()
     }
 
-    /// Checks that the operations so far are linearizable.
+    /// Checks that the recorded operations are linearizable. Pending operations count as timed out.
     ///
     /// # Errors
     ///
-    /// If no order of some concurrent operations explains their outputs.
+    /// Returns the first group of concurrent operations whose outputs no sequential order explains.
     ///
     /// # Panics
     ///
-    /// If more operations are concurrent than one search supports.
+    /// If a group has more concurrent operations than the search supports.
     pub fn check(&self) -> Result<(), NotLinearizable> {
         let timed_out = self.pending.values().map(PendingOperation::timed_out);
         let mut operations: Vec<Operation> =
             self.completed.iter().cloned().chain(timed_out).collect();
         operations.sort_by_key(|operation| (operation.invoked_ms, operation.returned_ms));
-        operations.retain(|operation| !operation.is_vacuous());
+        operations.retain(|operation| !operation.is_irrelevant());
         check(operations)
     }
 }
--- a/crates/control-simulation/src/history/model.rs
+++ b/crates/control-simulation/src/history/model.rs
@@ -1,20 +1,19 @@
-//! The sequential specification: the state of one server that executes operations one after the
-//! other.
+//! The sequential specification: a single server that executes one operation after the other.
 
 use super::{Input, Operation, Output};
 use std::collections::BTreeSet;
 
-/// The state of that server.
+/// The state of the single server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Model {
     generation: u64,
     evacuated: BTreeSet<String>,
-    /// Digests of the commands that were committed.
+    /// Digests of the committed commands.
     committed: BTreeSet<u128>,
 }
 
 impl Model {
-    /// The state after an operation, if its output can be that of the server.
+    /// The state after an operation, or `None` if the server would return another output.
     pub(super) fn after(&self, operation: &Operation) -> Option<Self> {
         let mut next = self.clone();
         let output = next.execute(&operation.input);
--- a/crates/control-simulation/src/invariants.rs
+++ b/crates/control-simulation/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after each event.
+//! Invariants that are checked after each event.
 
 use crate::NodeIndex;
 use crate::balancer::Balancer;
@@ -12,94 +12,95 @@
 use woadstall_control::registry::UpstreamStatus;
 use woadstall_control::state::ControlState;
 
-/// Log entries that a process may keep at most, whatever happens.
+/// Maximum number of log entries of a process, which no fault may exceed.
 const MAX_LOG_ENTRIES: usize = 4_000;
 
-/// The part of the applied state that all processes are compared by.
+/// The part of the applied state that is compared between processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppliedState {
-    /// The generation in force.
+    /// The active generation.
     pub generation: u64,
-    /// The evacuated zones.
+    /// Names of the evacuated zones.
     pub evacuated: Vec<String>,
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Violation {
-    /// A log was not compacted.
-    #[error("node {node} keeps {entries} log entries, {MAX_LOG_ENTRIES} are allowed")]
+    /// A process did not compact its log.
+    #[error("node {node} has {entries} log entries, the limit is {MAX_LOG_ENTRIES}")]
     LogTooLong {
-        /// The node.
+        /// Node of the process.
         node: NodeIndex,
-        /// The entries of its log.
+        /// Number of entries in the log.
         entries: usize,
     },
-    /// Election safety (Raft, section 5.2).
+    /// Election safety (Raft paper, section 5.2): a term has at most one leader.
     #[error("term {term} has two leaders, replicas {first} and {second}")]
     TwoLeaders {
-        /// The term.
+        /// Term with two leaders.
         term: u64,
-        /// The replica that led in it first.
+        /// The leader that was observed first.
         first: ReplicaId,
-        /// Another one.
+        /// The other leader.
         second: ReplicaId,
     },
-    /// State machine safety (Raft, section 5.4.3).
-    #[error("node {node} has {found:?} after log index {index}, another one has {expected:?}")]
+    /// State machine safety (Raft paper, section 5.4.3): all processes have the same state after the
+    /// same log index.
+    #[error("node {node} has {found:?} after log index {index}, another node has {expected:?}")]
     StateDiverged {
-        /// The node.
+        /// Node with the diverging state.
         node: NodeIndex,
-        /// The log index.
+        /// Log index after which the states differ.
         index: u64,
-        /// Its state after that index.
+        /// State of the node after the log index.
         found: AppliedState,
-        /// The state of the first process that had applied that index.
+        /// State of the process that was first observed after the log index.
         expected: AppliedState,
     },
-    /// A process takes back that an upstream is draining or gone.
-    #[error("node {node} knew that upstream {upstream} was draining, and takes it back")]
-    DrainingTakenBack {
-        /// The node.
+    /// A process reports an upstream as active after it had reported the upstream as draining or gone.
+    #[error("node {node} reported upstream {upstream} as terminating before, but not any more")]
+    DrainingReverted {
+        /// Node of the process.
         node: NodeIndex,
-        /// The upstream's id.
+        /// Id of the upstream.
         upstream: String,
     },
-    /// A node or a balancer does not know of a draining that was acknowledged.
+    /// A node or a balancer treats an upstream as active although its draining was acknowledged.
     #[error(
-        "at node {node}, upstream {upstream} takes requests though its draining was acknowledged"
+        "node {node} treats upstream {upstream} as active although its draining was acknowledged"
     )]
     AcknowledgedDrainingLost {
-        /// The node, or the one whose feed the balancer reads.
+        /// The node; for a balancer, the node whose feed it reads.
         node: NodeIndex,
-        /// The upstream's id.
+        /// Id of the upstream.
         upstream: String,
     },
-    /// A balancer has gone back to a former configuration.
-    #[error("balancer {subscriber} of node {node} went from generation {before} back to {after}")]
-    BalancerWentBack {
-        /// The node whose feed it reads.
+    /// A balancer returned to an earlier configuration.
+    #[error("balancer {subscriber} of node {node} returned from generation {before} to {after}")]
+    GenerationDecreased {
+        /// Node whose feed the balancer reads.
         node: NodeIndex,
-        /// Its subscription.
+        /// Subscription of the balancer.
         subscriber: u64,
-        /// The generation before.
+        /// Active generation before the last packet of the feed.
         before: u64,
-        /// The generation now.
+        /// Active generation after the last packet of the feed.
         after: u64,
     },
-    /// A request was answered more than once.
-    #[error("request {token} was answered twice")]
-    AnsweredTwice {
-        /// The request's token.
+    /// A request got more than one response.
+    #[error("request {token} got two responses")]
+    DuplicateResponse {
+        /// Token of the request.
         token: u64,
     },
-    /// A configuration was acknowledged without a quorum of disks.
-    #[error("generation {generation} was acknowledged and is not on the disks of a quorum")]
+    /// A configuration was acknowledged before it was durable on a quorum of disks.
+    #[error("generation {generation} was acknowledged but is not durable on a quorum of disks")]
     AcknowledgedWithoutQuorum {
-        /// The generation.
+        /// Generation of the acknowledged configuration.
         generation: u64,
     },
-    /// The history of operations is not linearizable.
+    /// The history of operators' operations is not linearizable.
     #[error(transparent)]
     NotLinearizable(#[from] NotLinearizable),
 }
@@ -107,27 +108,27 @@
 /// Checks the invariants of all processes and balancers.
 #[derive(Debug, Default)]
 pub struct Invariants {
-    /// The first leader of each term.
+    /// The first observed leader of each term.
     leaders: BTreeMap<u64, ReplicaId>,
-    /// The state after each log index.
+    /// The first observed state after each log index.
     states: BTreeMap<u64, AppliedState>,
-    /// Upstreams that each process, by node and incarnation, has known to drain.
-    draining: BTreeMap<(NodeIndex, u64), BTreeSet<String>>,
-    /// Upstreams whose draining was acknowledged.
-    acknowledged: BTreeSet<String>,
-    /// The first violation.
+    /// Upstreams that each process has reported as terminating, by node and incarnation.
+    terminating: BTreeMap<(NodeIndex, u64), BTreeSet<String>>,
+    /// Upstreams whose draining or deregistration was acknowledged.
+    acknowledged_draining: BTreeSet<String>,
+    /// The first violation that was found.
     pub violation: Option<Violation>,
 }
 
 impl Invariants {
-    /// Records a violation, unless there was one before.
+    /// Records a violation, unless one is recorded already.
     pub fn fail(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
-    /// Records that the draining of an upstream was acknowledged.
+    /// Records that the draining or deregistration of an upstream was acknowledged.
     pub fn on_draining_acknowledged(&mut self, id: &str) {
-        self.acknowledged.insert(id.to_owned());
+        self.acknowledged_draining.insert(id.to_owned());
     }
 
     /// Checks a process after an event.
@@ -177,26 +178,26 @@
     }
 
     fn check_draining(&mut self, node: NodeIndex, incarnation: u64, process: &ControlMachine) {
-        let known = self.draining.entry((node, incarnation)).or_default();
-        let mut taken_back = None;
+        let known = self.terminating.entry((node, incarnation)).or_default();
+        let mut reverted = None;
         for registration in process.registrations() {
             if registration.status.is_terminating() {
                 known.insert(registration.id);
             } else if known.contains(&registration.id) {
-                taken_back = Some(registration.id);
+                reverted = Some(registration.id);
             }
         }
-        if let Some(upstream) = taken_back {
-            self.fail(Violation::DrainingTakenBack { node, upstream });
+        if let Some(upstream) = reverted {
+            self.fail(Violation::DrainingReverted { node, upstream });
         }
     }
 
-    /// Checks a balancer after a packet of its feed: its generation never goes back.
+    /// Checks after a packet of a feed that the generation of the balancer has not decreased.
     pub fn check_balancer(&mut self, node: NodeIndex, subscriber: u64, balancer: &Balancer) {
         if let [.., before, after] = balancer.generations[..]
             && after < before
         {
-            self.fail(Violation::BalancerWentBack {
+            self.fail(Violation::GenerationDecreased {
                 node,
                 subscriber,
                 before,
@@ -205,24 +206,25 @@
         }
     }
 
-    /// Checks, without faults, that the statuses known at a node hold each acknowledged draining.
+    /// Checks that a node or a balancer treats no upstream as active whose draining was acknowledged.
+    /// Valid only after the recovery from all faults.
     pub fn check_acknowledged(
         &mut self,
         node: NodeIndex,
         statuses: &BTreeMap<String, UpstreamStatus>,
     ) {
-        let takes_requests = |id: &&String| {
+        let is_active = |id: &&String| {
             statuses
                 .get(*id)
                 .is_some_and(|status| !status.is_terminating())
         };
-        if let Some(upstream) = self.acknowledged.iter().find(takes_requests).cloned() {
+        if let Some(upstream) = self.acknowledged_draining.iter().find(is_active).cloned() {
             self.fail(Violation::AcknowledgedDrainingLost { node, upstream });
         }
     }
 }
 
-/// Whether a disk has the configuration of a generation or a later one.
+/// Whether a disk contains the configuration of a generation or of a later one.
 pub fn has_generation(durable: &DurableState, generation: u64) -> bool {
     let is_in_entry = |entry: &Entry| match &entry.payload {
         EntryPayload::Command(bytes) => command_has_generation(bytes, generation),
--- a/crates/control-simulation/src/lib.rs
+++ b/crates/control-simulation/src/lib.rs
@@ -1,15 +1,15 @@
-//! The control plane as it is shipped, in virtual time (deterministic simulation testing).
+//! Deterministic simulation testing of the control plane in virtual time, with the production code of
+//! its state machines and storage.
 //!
-//! A [`cluster::Cluster`] runs control processes over a simulated network (latency, partitions in
-//! one direction, packets that arrive after their connection was given up, narrow links) and
-//! simulated disks (stalls, rejected writes, loss of what was not synced), with processes that
-//! crash, pause and restart, and with operators, upstreams and balancers as clients. [`invariants`]
-//! are checked after each event; whole [`history`] records of client operations are checked for
-//! linearizability. A [`scenario::Scenario`] is a list of steps, generated from a seed, that can be
-//! run again and shrunk.
+//! A [`cluster::Cluster`] runs control processes over a simulated network (latency, one-way
+//! partitions, limited bandwidth, packets that arrive after their connection was reset) and simulated
+//! disks (stalls, rejected writes, loss of unsynced writes). Processes crash, pause and restart.
+//! Operators, upstreams and balancers are the clients. The [`invariants`] are checked after each event,
+//! and the [`history`] of operators' requests is checked for linearizability. A [`scenario::Scenario`]
+//! is a list of steps, generated from a seed, that can be replayed and shrunk.
 //!
-//! All times are milliseconds of virtual time since the start of the cluster, unless said
-//! otherwise.
+//! All times are milliseconds of virtual time since the start of the cluster, unless
+//! documented otherwise.
 
 pub mod balancer;
 pub mod cluster;
@@ -22,5 +22,5 @@
 pub mod network;
 pub mod scenario;
 
-/// The number of a simulated node, from 0 in the order in which nodes were added.
+/// Index of a simulated node, from 0 in the order in which nodes were added.
 pub type NodeIndex = usize;
--- a/crates/control-simulation/src/medium.rs
+++ b/crates/control-simulation/src/medium.rs
@@ -1,14 +1,14 @@
-//! The bytes of a simulated disk. When power fails, each write that was not synced may be there,
-//! missing or torn on its own.
+//! The bytes of a simulated disk. After a power loss, each unsynced write may be present, missing or
+//! torn, independently of the others.
 
 use std::io;
 use std::path::PathBuf;
 use woadstall_storage::{SEGMENT_BYTES, SEGMENT_COUNT, StorageMedium};
 
-/// The unit of a disk, in bytes, that is written as a whole or not at all.
+/// Size of a sector in bytes. A disk writes a sector as a whole or not at all.
 const SECTOR_BYTES: usize = 512;
 
-/// A write that was not synced.
+/// A write that is not synced yet.
 #[derive(Clone, Debug)]
 struct UnsyncedWrite {
     file: usize,
@@ -16,22 +16,22 @@
     bytes: Vec<u8>,
 }
 
-/// The contents of all files.
+/// The simulated medium with the contents of all segment files.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedMedium {
-    /// The contents as a process reads them, by file.
+    /// Contents that a process reads, by file.
     visible: Vec<Vec<u8>>,
-    /// What survives a loss of power for certain, by file.
+    /// Contents that are certain to survive a power loss, by file.
     durable: Vec<Vec<u8>>,
     unsynced: Vec<UnsyncedWrite>,
-    /// Whether writes and syncs fail now, as on a full disk.
+    /// Whether writes and syncs fail, as on a full disk.
     pub rejects_writes: bool,
-    /// Whether power fails before the next sync is done, so that syncs fail.
+    /// Whether syncs fail because power is lost before they complete.
     pub fails_syncs: bool,
 }
 
 impl SimulatedMedium {
-    /// An empty disk.
+    /// A medium with empty files.
     pub fn empty() -> Self {
         let files = vec![Vec::new(); SEGMENT_COUNT];
         Self {
@@ -43,8 +43,7 @@
         }
     }
 
-    /// Power fails: of each write that was not synced all, nothing, a beginning or single sectors
-    /// are there.
+    /// Simulates a power loss: of each unsynced write all, nothing, a prefix or random sectors survive.
     pub fn lose_power(&mut self, random: &mut fastrand::Rng) {
         for UnsyncedWrite {
             file,
@@ -73,13 +72,13 @@
     file[offset..end].copy_from_slice(bytes);
 }
 
-/// How much of an unsynced write survives a loss of power.
+/// The part of an unsynced write that survives a power loss.
 enum Survival {
     All,
     Nothing,
-    /// The sectors that end at or before this number of bytes.
+    /// The sectors that end at or before this byte position.
     Prefix(usize),
-    /// Each sector with a chance of one half.
+    /// Each sector with a probability of one half.
     SingleSectors,
 }
 
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Whether the sector that ends at this number of bytes survives.
+    /// Whether the sector that ends at this byte position survives.
     fn keeps(&self, sector_end: usize, random: &mut fastrand::Rng) -> bool {
         match self {
             Self::All => true,
@@ -121,7 +120,7 @@
             "write beyond the end of a segment file"
         );
         let offset = usize::try_from(offset).unwrap_or(usize::MAX);
-        // A rejected write may have come as far as its first sector.
+        // A rejected write may still have written its first sector.
         let written = if self.rejects_writes {
             &bytes[..bytes.len().min(SECTOR_BYTES)]
         } else {
--- a/crates/control-simulation/src/network.rs
+++ b/crates/control-simulation/src/network.rs
@@ -1,29 +1,29 @@
-//! The simulated network: one ordered connection in each direction between each pair of nodes, as
-//! TCP gives it.
+//! The simulated network. Each pair of nodes has one connection per direction, which delivers packets
+//! in order like a TCP connection.
 
 use crate::NodeIndex;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds after which a sender gives up a connection on which nothing is acknowledged (the
+/// Time without an acknowledgement after which a sender closes a connection, in milliseconds (the TCP
 /// user timeout of RFC 5482).
 pub const USER_TIMEOUT_MS: u64 = 2_000;
-/// Milliseconds before a lost connection is established again.
+/// Minimum time before a reset connection is established again, in milliseconds.
 pub const RECONNECT_DELAY_MS: u64 = 250;
 
-/// The number of a packet among all that were sent.
+/// Number of a packet in the order of sending.
 pub type PacketId = usize;
 
-/// One direction between two nodes.
+/// One direction of traffic between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
-    /// The sender.
+    /// The sending node.
     pub from: NodeIndex,
-    /// The receiver.
+    /// The receiving node.
     pub to: NodeIndex,
 }
 
 impl Link {
-    /// The same two nodes in the other direction.
+    /// The link of the opposite direction.
     fn reversed(self) -> Self {
         Self {
             from: self.to,
@@ -32,28 +32,28 @@
     }
 }
 
-/// The latencies that a packet may have, drawn uniformly.
+/// Range of packet latencies, with a uniform distribution.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyRange {
-    /// The lowest, in milliseconds.
+    /// Minimum latency, in milliseconds.
     pub min_ms: u64,
-    /// The highest, in milliseconds.
+    /// Maximum latency, in milliseconds.
     pub max_ms: u64,
 }
 
-/// How the network behaves.
+/// Properties of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// The latency of a packet.
+    /// One-way latency of packets.
     pub latency: LatencyRange,
-    /// The bandwidth of a connection in bytes per millisecond; 0 for no limit.
+    /// Bandwidth of a connection, in bytes per millisecond; 0 for no limit.
     pub bytes_per_ms: u64,
-    /// The most milliseconds by which packets may still arrive after their sender gave up the
-    /// connection; 0 if they are lost.
+    /// Maximum delay of buffered packets that arrive after their connection was reset, in milliseconds;
+    /// 0 if these packets are lost.
     pub delayed_delivery_ms: u64,
 }
 
-/// Constant latency between regions, nothing arrives late.
+/// Constant latency as between regions, without late packets.
 pub const STEADY: NetworkConditions = NetworkConditions {
     latency: LatencyRange {
         min_ms: 60,
@@ -62,7 +62,7 @@
     bytes_per_ms: 0,
     delayed_delivery_ms: 0,
 };
-/// Varying latency, and packets of former connections that arrive late, among those of newer ones.
+/// Varying latency. Packets of reset connections arrive late, between packets of newer connections.
 pub const DELAYED_DELIVERY: NetworkConditions = NetworkConditions {
     latency: LatencyRange {
         min_ms: 5,
@@ -76,38 +76,38 @@
 #[derive(Clone, Debug, Default)]
 struct Connection {
     is_up: bool,
-    /// When the last packet sent so far arrives.
+    /// Arrival time of the last packet that was sent, in milliseconds.
     last_arrival_ms: u64,
-    /// When the link has transmitted all bytes sent so far.
+    /// When the link will have transmitted all bytes sent so far, in milliseconds.
     idle_at_ms: u64,
-    /// Packets that a partition holds back, oldest first.
+    /// Packets that a partition holds back, the oldest first.
     buffered: Vec<PacketId>,
-    /// Since when packets are buffered without an acknowledgement.
+    /// When the oldest unacknowledged packet was buffered, in milliseconds.
     buffered_since_ms: Option<u64>,
-    /// When it may be established again.
+    /// Earliest time to establish the connection again, in milliseconds.
     retry_at_ms: u64,
 }
 
-/// A packet on its way into the network.
+/// A packet to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Transmission {
-    /// The link that it takes.
+    /// Link over which the packet is sent.
     pub link: Link,
-    /// The packet.
+    /// Number of the packet.
     pub packet: PacketId,
-    /// Its size in bytes; only counted where the bandwidth is limited.
+    /// Size of the packet in bytes; only used if the bandwidth is limited.
     pub bytes: u64,
-    /// Its latency in milliseconds.
+    /// Latency of the packet, in milliseconds.
     pub latency_ms: u64,
 }
 
-/// All connections, and the partitions between nodes.
+/// The simulated network with all connections and partitions.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// How it behaves.
+    /// Latency, bandwidth and late delivery; may be changed during a simulation.
     pub conditions: NetworkConditions,
     connections: BTreeMap<Link, Connection>,
-    /// Links over which nothing passes.
+    /// Links that partitions block.
     partitioned: BTreeSet<Link>,
 }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Partitions one direction: nothing passes from one node to another any more.
+    /// Blocks all packets from one node to another, until [`Self::heal`].
     pub fn partition_direction(&mut self, from: NodeIndex, to: NodeIndex) {
         self.partitioned.insert(Link { from, to });
     }
@@ -137,20 +137,20 @@
         self.partitioned.clear();
     }
 
-    /// Whether packets pass over a link.
+    /// Whether no partition blocks a link.
     pub fn is_reachable(&self, link: Link) -> bool {
         !self.partitioned.contains(&link)
     }
 
-    /// Whether the connection over a link is up.
+    /// Whether the connection over a link is established.
     pub fn is_up(&self, link: Link) -> bool {
         self.connections
             .get(&link)
             .is_some_and(|connection| connection.is_up)
     }
 
-    /// Sends a packet at a time. Returns when it arrives, or `None` if it is buffered by a
-    /// partition or there is no connection.
+    /// Sends a packet. Returns its arrival time in milliseconds, or `None` if a partition holds it back
+    /// or the connection is not established.
     pub fn send(&mut self, now_ms: u64, transmission: Transmission) -> Option<u64> {
         let Transmission {
             link,
@@ -176,7 +176,8 @@
         Some(connection.last_arrival_ms)
     }
 
-    /// Establishes a connection if that is possible now. Returns whether it has come up.
+    /// Establishes a connection, unless it is established already, a partition blocks one of the
+    /// directions, or the reconnect delay has not passed. Returns whether it was established now.
     pub fn connect(&mut self, now_ms: u64, link: Link) -> bool {
         let is_reachable = self.is_reachable(link) && self.is_reachable(link.reversed());
         let connection = self.connections.entry(link).or_default();
@@ -190,7 +191,7 @@
         true
     }
 
-    /// Resets a connection. Returns the packets that it had buffered.
+    /// Resets a connection. Returns the packets that a partition held back on it.
     pub fn reset(&mut self, now_ms: u64, link: Link) -> Vec<PacketId> {
         let Some(connection) = self.connections.get_mut(&link) else {
             return Vec::new();
@@ -204,7 +205,7 @@
         buffered
     }
 
-    /// The links whose connection has reached [`USER_TIMEOUT_MS`].
+    /// Links whose connections have reached [`USER_TIMEOUT_MS`].
     pub fn timed_out(&self, now_ms: u64) -> Vec<Link> {
         let has_timed_out = |connection: &Connection| {
             let since_ms = connection.buffered_since_ms;
@@ -218,7 +219,7 @@
         timed_out.map(|(link, _)| *link).collect()
     }
 
-    /// Takes the packets whose partition has ended, by link and in order.
+    /// Removes and returns the packets whose partitions have ended, by link and in the order of sending.
     pub fn take_released(&mut self) -> Vec<(Link, Vec<PacketId>)> {
         let mut released = Vec::new();
         for (link, connection) in &mut self.connections {
--- a/crates/control-simulation/src/scenario/client.rs
+++ b/crates/control-simulation/src/scenario/client.rs
@@ -1,4 +1,4 @@
-//! The simulated clients of a scenario: an operator, and upstreams.
+//! Simulated clients of a scenario: an operator and upstreams.
 
 use super::fixtures::{configuration, registration};
 use crate::NodeIndex;
@@ -8,29 +8,29 @@
 use woadstall_control::machine::CallResponse;
 use woadstall_control::registry::UpstreamStatus;
 
-/// A configuration that was submitted.
+/// A put of a configuration that the operator submitted.
 #[derive(Clone, Copy, Debug)]
-struct Submitted {
-    /// The token of the request.
+struct SubmittedPut {
+    /// Token of the request.
     token: u64,
-    /// The generation of the configuration.
+    /// Generation of the submitted configuration.
     generation: u64,
 }
 
-/// An operator who builds on the newest generation known to be in force.
+/// An operator that replaces the newest generation that it has learned from responses.
 #[derive(Debug, Default)]
 pub(super) struct Operator {
-    submitted: Vec<Submitted>,
+    submitted: Vec<SubmittedPut>,
     newest_generation: u64,
-    /// The number of configurations made so far, by which those of one generation differ.
-    variant: u64,
+    /// Number of configurations created so far. Makes configurations of the same generation differ.
+    created: u64,
     last_command: Option<Command>,
 }
 
 impl Operator {
-    /// Learns the newest generation from the responses so far.
+    /// Updates the newest known generation from the responses.
     pub(super) fn read_responses(&mut self, cluster: &Cluster) {
-        for Submitted { token, generation } in &self.submitted {
+        for SubmittedPut { token, generation } in &self.submitted {
             let known = match cluster.responses.get(token) {
                 Some(CallResponse::Acknowledged) => *generation,
                 Some(CallResponse::Conflict { current }) => *current,
@@ -42,20 +42,20 @@
 
     /// Submits a new configuration. Returns the token of the request.
     pub(super) fn put(&mut self, cluster: &mut Cluster, node: NodeIndex) -> u64 {
-        self.variant += 1;
+        self.created += 1;
         let generation = self.newest_generation + 2;
-        let body = configuration(generation, self.variant);
+        let body = configuration(generation, self.created);
         let command = Command::Put {
             base: self.newest_generation,
             body,
         };
         self.last_command = Some(command.clone());
         let token = cluster.submit(node, command);
-        self.submitted.push(Submitted { token, generation });
+        self.submitted.push(SubmittedPut { token, generation });
         token
     }
 
-    /// Submits the last configuration once more.
+    /// Submits the last configuration again, unchanged.
     pub(super) fn retry_put(&self, cluster: &mut Cluster, node: NodeIndex) {
         if let Some(command) = self.last_command.clone() {
             cluster.submit(node, command);
@@ -63,19 +63,20 @@
     }
 }
 
-/// Steps after which an upstream is another one.
+/// Number of steps after which an upstream is replaced by one with a new id.
 const UPSTREAM_LIFETIME_STEPS: u64 = 64;
 
 /// Upstreams that register, drain and deregister.
 #[derive(Debug, Default)]
 pub(super) struct Upstreams {
+    /// Ids of the upstreams that have started to drain.
     draining: BTreeSet<String>,
 }
 
 impl Upstreams {
     pub(super) fn register(&self, cluster: &mut Cluster, node: NodeIndex, upstream: u8, step: u64) {
         let id = upstream_id(upstream, step);
-        // An upstream that drains says nothing else any more.
+        // A draining upstream never registers as ready again.
         if !self.draining.contains(&id) {
             cluster.register(node, registration(&id, step, UpstreamStatus::Ready));
         }
--- a/crates/control-simulation/src/scenario/fixtures.rs
+++ b/crates/control-simulation/src/scenario/fixtures.rs
@@ -4,10 +4,10 @@
 use woadstall_control::command::Command;
 use woadstall_control::registry::{Registration, UpstreamStatus};
 
-/// Concurrent requests that simulated upstreams take.
+/// Number of concurrent requests that a simulated upstream accepts.
 const CAPACITY: u64 = 4;
 
-/// A configuration of a generation as JSON; those of one generation differ by their `variant`.
+/// A configuration as JSON. Configurations of the same generation differ by their `variant`.
 pub fn configuration(generation: u64, variant: u64) -> Vec<u8> {
     let document = json!({
         "generation": generation, "services": [{ "name": "s" }],
@@ -19,7 +19,7 @@
     serde_json::to_vec(&document).unwrap_or_default()
 }
 
-/// A command that puts the configuration of a generation on top of another one.
+/// A command that replaces the configuration of generation `base` by one of `generation`.
 pub fn put(base: u64, generation: u64) -> Command {
     Command::Put {
         base,
@@ -27,7 +27,7 @@
     }
 }
 
-/// The registration of an upstream.
+/// The registration of an upstream of the service that [`configuration`] defines.
 pub fn registration(id: &str, sequence: u64, status: UpstreamStatus) -> Registration {
     Registration {
         id: id.to_owned(),
--- a/crates/control-simulation/src/scenario/generate.rs
+++ b/crates/control-simulation/src/scenario/generate.rs
@@ -1,26 +1,26 @@
-//! Scenarios are generated from a seed.
+//! Generates scenarios from a seed.
 
 use super::{DiskStep, Environment, NetworkStep, ProcessStep, RequestStep, Scenario, Step};
 use crate::NodeIndex;
 use fastrand::Rng;
 use std::ops::Range;
 
-/// The faults that a generated scenario may have.
+/// The kinds of faults that a generated scenario may contain.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultKinds {
-    /// Processes crash, shut down and are paused.
+    /// Crashes, shutdowns and pauses of single processes.
     pub processes: bool,
-    /// Nodes are partitioned.
+    /// Network partitions.
     pub partitions: bool,
-    /// Disks stall and reject writes.
+    /// Stalled disks and rejected writes.
     pub disk_stalls: bool,
-    /// Disks are lost one at a time, each with time to recover.
+    /// Losses of disks, one at a time with time to recover.
     pub disk_losses: bool,
-    /// All processes crash at the same time.
+    /// Crashes of all processes at the same time.
     pub power_losses: bool,
 }
 
-/// All of them.
+/// Faults of all kinds.
 pub const ALL_FAULTS: FaultKinds = FaultKinds {
     processes: true,
     partitions: true,
@@ -29,25 +29,26 @@
     power_losses: true,
 };
 
-/// Milliseconds that a node with a new disk has to recover before the next loss.
+/// Time for a node with a new disk to recover before the next loss, in milliseconds.
 const DISK_RECOVERY_MS: u64 = 9_000;
-/// Zones that are evacuated.
+/// Number of zones that scenarios evacuate.
 const ZONES: u8 = 3;
-/// Upstreams that register.
+/// Number of upstreams that register.
 const UPSTREAMS: u8 = 12;
-/// Kinds of steps, of which each has the same chance.
+/// Number of kinds of steps, which are equally probable.
 const STEP_KINDS: u8 = 32;
-/// Milliseconds that a process is paused.
+/// Duration of a pause of a process, in milliseconds.
 const PAUSE_MS: Range<u64> = 200..20_000;
-/// Milliseconds that a disk stalls or rejects writes.
+/// Duration of a stall or of rejected writes of a disk, in milliseconds.
 const DISK_FAULT_MS: Range<u64> = 200..8_000;
-/// Milliseconds of a step that only waits.
+/// Duration of a step without a request or a fault, in milliseconds.
 const LONG_WAIT_MS: Range<u64> = 10..3_000;
-/// Milliseconds between steps.
+/// Wait between steps, in milliseconds.
 const SHORT_WAIT_MS: Range<u64> = 1..250;
 
 impl Scenario {
-    /// Generates a scenario of about this many steps.
+    /// Generates a scenario of at least `steps` steps. The number may be exceeded by the last group of
+    /// related steps.
     pub fn generate(seed: u64, environment: Environment, faults: FaultKinds, steps: usize) -> Self {
         let random = Rng::with_seed(seed);
         let mut generator = Generator {
@@ -176,8 +177,7 @@
         }
     }
 
-    /// A disk is lost while there is no other fault, and the next fault comes once it has
-    /// recovered.
+    /// The loss of a disk. Before and after it, all faults end and the cluster gets time to recover.
     fn disk_loss(&mut self, node: NodeIndex) -> Vec<Step> {
         let loss = match self.faults.power_losses && self.random.bool() {
             true => DiskStep::WipeAndCrashAll { node },
--- a/crates/control-simulation/src/scenario/mod.rs
+++ b/crates/control-simulation/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: steps that are generated from a seed, run on a cluster, and shrunk to those that a
-//! failure needs.
+//! Scenarios: lists of steps that are generated from a seed and run on a cluster. A failing scenario is
+//! shrunk to the steps that reproduce the failure.
 
 mod client;
 mod generate;
@@ -21,17 +21,17 @@
 pub enum Step {
     /// A client sends a request.
     Request(RequestStep),
-    /// A process is started, ended or paused.
+    /// A process starts, ends or pauses.
     Process(ProcessStep),
     /// A disk is lost, stalls or rejects writes.
     Disk(DiskStep),
     /// Nodes are partitioned, or all partitions end.
     Network(NetworkStep),
-    /// All faults end, and all processes run.
+    /// All faults end, and all stopped processes start.
     ClearFaults,
-    /// Time passes.
+    /// Virtual time advances.
     Wait {
-        /// How long, in milliseconds.
+        /// Duration of the wait, in milliseconds.
         duration_ms: u64,
     },
 }
@@ -40,26 +40,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs, reason = "the fields are explained with their variants")]
 pub enum RequestStep {
-    /// An operator puts a configuration on top of the newest generation that it knows; with a
-    /// `rival`, another one on the same generation at the next node.
+    /// An operator replaces the newest generation that it knows. With `rival`, it submits a second
+    /// configuration for the same generation at the next node.
     Put { node: NodeIndex, rival: bool },
-    /// The last configuration is put once more, unchanged.
+    /// The operator submits the last configuration again, unchanged.
     RetryPut { node: NodeIndex },
-    /// A zone is evacuated.
+    /// An operator evacuates a zone.
     Evacuate { node: NodeIndex, zone: u8 },
-    /// The evacuation of a zone ends.
+    /// An operator ends the evacuation of a zone.
     EndEvacuation { node: NodeIndex, zone: u8 },
-    /// The configuration is read.
+    /// An operator reads the configuration.
     Read { node: NodeIndex },
     /// An upstream registers as ready.
     Register { node: NodeIndex, upstream: u8 },
     /// An upstream registers as draining.
     Drain { node: NodeIndex, upstream: u8 },
-    /// An upstream deregisters, perhaps without having drained.
+    /// An upstream deregisters, with or without draining before.
     Deregister { node: NodeIndex, upstream: u8 },
 }
 
-/// What happens to processes.
+/// An operation or a fault of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs, reason = "the fields are explained with their variants")]
 pub enum ProcessStep {
@@ -67,41 +67,41 @@
     Crash { node: NodeIndex },
     /// All processes crash.
     CrashAll,
-    /// A process is notified that it will be stopped, and stopped a little later.
+    /// A process gets notice of its shutdown, and stops after the notice period.
     Shutdown { node: NodeIndex },
     /// A process starts.
     Start { node: NodeIndex },
-    /// All processes start.
+    /// All stopped processes start.
     StartAll,
-    /// A process is paused for some milliseconds.
+    /// A process pauses for `duration_ms`.
     Pause { node: NodeIndex, duration_ms: u64 },
 }
 
-/// What happens to disks.
+/// A fault of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs, reason = "the fields are explained with their variants")]
 pub enum DiskStep {
-    /// A node loses its disk and starts again.
+    /// A node loses its disk and restarts with an empty one.
     Wipe { node: NodeIndex },
-    /// A node loses its disk while all others crash; then all start again.
+    /// A node loses its disk while all others crash, then all nodes restart.
     WipeAndCrashAll { node: NodeIndex },
-    /// A disk syncs nothing for some milliseconds.
+    /// A disk completes no sync for `duration_ms`.
     Stall { node: NodeIndex, duration_ms: u64 },
-    /// A disk rejects all writes for some milliseconds.
+    /// A disk rejects all writes for `duration_ms`.
     RejectWrites { node: NodeIndex, duration_ms: u64 },
 }
 
-/// What happens to the network.
+/// A start or an end of partitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs, reason = "the fields are explained with their variants")]
 pub enum NetworkStep {
-    /// A node is partitioned from all others, in both directions or one.
+    /// A node is partitioned from all others, in one direction or in both.
     Isolate {
         node: NodeIndex,
         inbound: bool,
         outbound: bool,
     },
-    /// The first nodes are partitioned from the rest.
+    /// The first `first` nodes are partitioned from all others.
     Split { first: usize },
     /// Two nodes are partitioned from each other.
     Partition { one: NodeIndex, other: NodeIndex },
@@ -109,22 +109,22 @@
     Heal,
 }
 
-/// What a scenario runs on.
+/// The cluster that a scenario runs on.
 #[derive(Clone, Copy, Debug)]
 pub struct Environment {
-    /// The nodes.
+    /// Size and layout of the cluster.
     pub topology: Topology,
-    /// The network between them.
+    /// Properties of the network between the nodes.
     pub network: NetworkConditions,
 }
 
-/// A scenario, which always takes the same course as far as its seed and steps determine it.
+/// A scenario. Runs of the same scenario are identical.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The seed of the cluster.
+    /// Seed of the random choices of the cluster.
     pub seed: u64,
-    /// What it runs on.
+    /// Cluster and network that the scenario runs on.
     pub environment: Environment,
-    /// Its steps in order.
+    /// Steps, in the order of execution.
     pub steps: Vec<Step>,
 }
--- a/crates/control-simulation/src/scenario/run.rs
+++ b/crates/control-simulation/src/scenario/run.rs
@@ -1,4 +1,4 @@
-//! A scenario is run: its steps one after the other, then the recovery from all faults.
+//! Runs scenarios: executes the steps, then checks that the cluster recovers from all faults.
 
 use super::client::{Operator, Upstreams};
 use super::{DiskStep, NetworkStep, ProcessStep, RequestStep, Scenario, Step};
@@ -9,49 +9,49 @@
 use woadstall_control::command::Command;
 use woadstall_control::machine::CallResponse;
 
-/// Milliseconds that a cluster has to elect a leader before the first step.
+/// Time for the cluster to elect a leader before the first step, in milliseconds.
 const STARTUP_MS: u64 = 6_000;
-/// Milliseconds that a cluster has to recover after the last fault.
+/// Time for the cluster to recover after the last fault, in milliseconds.
 const RECOVERY_MS: u64 = 15_000;
-/// Configurations that are put after the recovery; the last one must be committed.
+/// Number of configurations that are submitted after the recovery. The last one must be committed.
 const RECOVERY_PUTS: usize = 3;
-/// Milliseconds that each of them has.
+/// Time for each configuration to be committed after the recovery, in milliseconds.
 const RECOVERY_PUT_MS: u64 = 2_000;
-/// Milliseconds that a read has after the recovery.
+/// Time for a read to be answered after the recovery, in milliseconds.
 const RECOVERY_READ_MS: u64 = 1_100;
-/// Milliseconds from the notice of a shutdown to the end of the process.
+/// Time between the notice of a shutdown and the end of the process, in milliseconds.
 const SHUTDOWN_NOTICE_MS: u64 = 600;
-/// The subscription of the balancer at each node.
+/// Subscription of the balancer at each node.
 const SUBSCRIBER: u64 = 1;
 
-/// A scenario has failed.
+/// The failure of a scenario.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ScenarioError {
-    /// An invariant does not hold.
+    /// An invariant was violated.
     #[error(transparent)]
     Violation(#[from] Violation),
-    /// The cluster has not recovered: it commits no command.
-    #[error("no configuration is committed after all faults have ended: {response:?}")]
+    /// The cluster did not commit a configuration after all faults had ended.
+    #[error("no configuration was committed after all faults had ended: {response:?}")]
     NotWritable {
-        /// The response to the last one that was put, if there was any.
+        /// Response to the last configuration; `None` if there was no response.
         response: Option<CallResponse>,
     },
-    /// The cluster has not recovered: a node answers no read.
-    #[error("node {node} cannot read the configuration after all faults have ended")]
+    /// A node did not answer a read after all faults had ended.
+    #[error("node {node} did not answer a read after all faults had ended")]
     NotReadable {
-        /// The node.
+        /// Node that the read was sent to.
         node: NodeIndex,
     },
 }
 
 impl Scenario {
-    /// Runs the scenario. Returns the cluster after it has recovered.
+    /// Runs the scenario on a new cluster. Returns the cluster after its recovery.
     ///
     /// # Errors
     ///
-    /// If an invariant is violated, or the cluster does not recover.
+    /// If an invariant is violated or the cluster does not recover.
     pub fn run(&self) -> Result<Cluster, ScenarioError> {
-        let cluster = Cluster::with(
+        let cluster = Cluster::with_topology(
             self.seed,
             self.environment.topology,
             self.environment.network,
@@ -59,11 +59,11 @@
         self.run_on(cluster)
     }
 
-    /// Runs the steps on a cluster that was just started.
+    /// Runs the scenario on a cluster that was just started. Returns the cluster after its recovery.
     ///
     /// # Errors
     ///
-    /// If an invariant is violated, or the cluster does not recover.
+    /// If an invariant is violated or the cluster does not recover.
     pub fn run_on(&self, cluster: Cluster) -> Result<Cluster, ScenarioError> {
         let mut runner = Runner::new(cluster);
         for step in &self.steps {
@@ -75,17 +75,18 @@
     }
 }
 
+/// The state of a running scenario.
 struct Runner {
     cluster: Cluster,
     operator: Operator,
     upstreams: Upstreams,
-    /// The number of the current step, from 1.
+    /// Number of the current step, from 1.
     step: u64,
 }
 
 impl Runner {
     fn new(mut cluster: Cluster) -> Self {
-        cluster.run(STARTUP_MS);
+        cluster.run_for(STARTUP_MS);
         (0..cluster.len()).for_each(|node| cluster.subscribe(node, SUBSCRIBER));
         Self {
             cluster,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Fails if an invariant was violated.
+    /// Returns the first violated invariant as an error.
     fn check(&mut self) -> Result<(), ScenarioError> {
         match self.cluster.invariants.violation.take() {
             Some(violation) => Err(violation.into()),
@@ -112,7 +113,7 @@
             Step::Disk(step) => self.apply_to_disk(step),
             Step::Network(step) => self.apply_to_network(step),
             Step::ClearFaults => self.cluster.clear_faults(),
-            Step::Wait { duration_ms } => self.cluster.run(duration_ms),
+            Step::Wait { duration_ms } => self.cluster.run_for(duration_ms),
         }
     }
 
@@ -170,7 +171,7 @@
             ProcessStep::CrashAll => cluster.crash_all(),
             ProcessStep::Shutdown { node } => {
                 cluster.announce_shutdown(node);
-                cluster.run(SHUTDOWN_NOTICE_MS);
+                cluster.run_for(SHUTDOWN_NOTICE_MS);
                 cluster.stop(node);
             }
             ProcessStep::Start { node } => cluster.start(node),
@@ -227,12 +228,12 @@
         }
     }
 
-    /// All faults end: within a bounded time a configuration is committed, and each node answers
-    /// reads.
+    /// Ends all faults. Checks that within a bounded time the cluster commits a configuration and each
+    /// node answers reads.
     fn recover(&mut self) -> Result<(), ScenarioError> {
         self.cluster.clear_faults();
         self.cluster
-            .run(RECOVERY_MS + self.cluster.network.conditions.delayed_delivery_ms);
+            .run_for(RECOVERY_MS + self.cluster.network.conditions.delayed_delivery_ms);
         self.check_writable()?;
         for node in 0..self.cluster.len() {
             self.check_readable(node)?;
@@ -246,7 +247,7 @@
         let mut last_response = None;
         for _ in 0..RECOVERY_PUTS {
             let token = self.operator.put(&mut self.cluster, 0);
-            self.cluster.run(RECOVERY_PUT_MS);
+            self.cluster.run_for(RECOVERY_PUT_MS);
             self.operator.read_responses(&self.cluster);
             last_response = self.cluster.responses.get(&token).cloned();
         }
@@ -258,7 +259,7 @@
 
     fn check_readable(&mut self, node: NodeIndex) -> Result<(), ScenarioError> {
         let token = self.cluster.read(node);
-        self.cluster.run(RECOVERY_READ_MS);
+        self.cluster.run_for(RECOVERY_READ_MS);
         match self.cluster.responses.get(&token) {
             Some(CallResponse::Document(_)) => Ok(()),
             _ => Err(ScenarioError::NotReadable { node }),
--- a/crates/control-simulation/src/scenario/shrink.rs
+++ b/crates/control-simulation/src/scenario/shrink.rs
@@ -1,18 +1,18 @@
-//! A failing scenario is shrunk to the steps that the failure needs.
+//! Shrinks a failing scenario to the steps that reproduce the failure.
 
 use super::{Scenario, ScenarioError, Step};
 use crate::cluster::Cluster;
 use std::fmt;
 use thiserror::Error;
 
-/// A scenario that fails, with few steps.
+/// A failing scenario, shrunk to the steps that reproduce a failure.
 #[derive(Clone, Debug, Error)]
 pub struct FailedScenario {
-    /// The seed that it was generated from.
+    /// Seed of the scenario.
     pub seed: u64,
-    /// The steps that it needs.
+    /// Steps that remain after shrinking.
     pub steps: Vec<Step>,
-    /// Why all of its steps fail.
+    /// Failure of the complete scenario, before shrinking.
     #[source]
     pub error: ScenarioError,
 }
@@ -22,7 +22,7 @@
         let Self { seed, steps, error } = self;
         write!(
             formatter,
-            "seed {seed}: {error}\nit needs these {} steps:",
+            "seed {seed}: {error}\n{} steps remain after shrinking:",
             steps.len()
         )?;
         for step in steps {
@@ -33,11 +33,11 @@
 }
 
 impl Scenario {
-    /// Runs the scenario, and shrinks it if it fails.
+    /// Runs the scenario and shrinks it if it fails.
     ///
     /// # Errors
     ///
-    /// If it fails, with the steps that the failure needs.
+    /// If the scenario fails, with the steps that reproduce a failure.
     pub fn run_and_shrink(&self) -> Result<Cluster, FailedScenario> {
         self.run().map_err(|error| {
             let steps = self.shrink().steps;
@@ -49,20 +49,20 @@
         })
     }
 
-    /// Leaves out all stretches of steps without which the scenario fails as well: first halves,
-    /// then ever shorter ones, down to single steps.
+    /// Removes ranges of consecutive steps as long as the scenario still fails. The length of the ranges
+    /// starts at half of the steps and is halved down to single steps.
     pub fn shrink(&self) -> Self {
-        let mut needed = self.clone();
-        let mut length = needed.steps.len().div_ceil(2);
+        let mut remaining = self.clone();
+        let mut length = remaining.steps.len().div_ceil(2);
         while length > 0 {
-            needed.remove_stretches(length);
+            remaining.remove_ranges(length);
             length /= 2;
         }
-        needed
+        remaining
     }
 
-    /// Leaves out each stretch of a length without which the scenario fails as well.
-    fn remove_stretches(&mut self, length: usize) {
+    /// Removes each range of `length` steps without which the scenario still fails.
+    fn remove_ranges(&mut self, length: usize) {
         let mut start = 0;
         while start < self.steps.len() {
             let end = self.steps.len().min(start + length);
--- a/crates/control-simulation/tests/catch_up.rs
+++ b/crates/control-simulation/tests/catch_up.rs
@@ -1,16 +1,16 @@
-//! Nodes and balancers that were away catch up: by the log, by snapshots, by the feed.
+//! Nodes and balancers catch up after an absence, by log entries, snapshots or the feed.
 
 mod common;
 
-use common::{ClusterBuilder, assert_sound, commit, commit_at, read_generation};
+use common::{ClusterBuilder, assert_invariants, commit, commit_at, read_generation};
 use woadstall_control::command::Command;
 use woadstall_control::machine::CallResponse;
 use woadstall_control_simulation::network::{NetworkConditions, STEADY};
 use woadstall_control_simulation::scenario::fixtures::{configuration, put};
 
-/// Seeds of the test of balancers.
+/// Number of seeds of the test of balancers.
 const SEEDS: u64 = 20;
-/// Seeds of the tests of incidents.
+/// Number of seeds of the incident tests.
 const INCIDENT_SEEDS: u64 = 12;
 
 #[test]
@@ -23,7 +23,7 @@
             let node = cluster.random.usize(..3);
             let token = cluster.submit(node, put(generation, generation + 2));
             let time = cluster.random.u64(50..500);
-            cluster.run(time);
+            cluster.run_for(time);
             if cluster.responses.get(&token) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
@@ -36,11 +36,14 @@
             }
         }
         cluster.heal();
-        cluster.run(6_000);
+        cluster.run_for(6_000);
         let newest = read_generation(&mut cluster, 0);
         for node in 0..3 {
             let balancer = cluster.balancer(node, 1);
-            assert!(balancer.generations.is_sorted(), "a balancer went back");
+            assert!(
+                balancer.generations.is_sorted(),
+                "the generation of a balancer decreased"
+            );
             assert_eq!(Some(balancer.state.generation()), newest);
         }
     }
@@ -52,7 +55,7 @@
     let mut cluster = ClusterBuilder::new(8).build();
     for command in 0..COMMANDS {
         cluster.submit(0, put(command * 2, (command + 1) * 2));
-        cluster.run(300);
+        cluster.run_for(300);
     }
     let log = cluster.process(0).unwrap().replica().log();
     assert!(
@@ -62,21 +65,22 @@
     );
     cluster.wipe_disk(2);
     cluster.start(2);
-    cluster.run(8_000);
+    cluster.run_for(8_000);
     assert_eq!(read_generation(&mut cluster, 2), Some(COMMANDS * 2));
 }
 
-/// Incident 4: a member is isolated for 900 of 1,000 changes, gets its snapshot over a narrow link,
-/// crashes in the middle of it, and then is needed for a quorum.
+/// Incident 4: a member is isolated during 900 of 1,000 changes, receives a snapshot over a link with
+/// little bandwidth, and crashes during the transfer. Afterwards the group needs this member for a
+/// quorum.
 #[test]
-fn a_member_that_missed_hundreds_of_changes_catches_up_over_a_narrow_link() {
+fn a_member_that_missed_hundreds_of_changes_catches_up_over_a_low_bandwidth_link() {
     const CHANGES: u64 = 1_000;
     const ISOLATED_CHANGES: std::ops::Range<u64> = 50..950;
-    let narrow = NetworkConditions {
+    let low_bandwidth = NetworkConditions {
         bytes_per_ms: 100,
         ..STEADY
     };
-    let mut cluster = ClusterBuilder::new(1).network(narrow).build();
+    let mut cluster = ClusterBuilder::new(1).network(low_bandwidth).build();
     let leader = cluster.leader().unwrap();
     let (isolated, third) = ((leader + 1) % 3, (leader + 2) % 3);
     cluster.subscribe(isolated, 1);
@@ -94,31 +98,32 @@
         );
     }
     let newest = CHANGES * 2;
-    // Its snapshot is in flight: it crashes in the middle, more than once.
+    // The isolated member crashes several times while its snapshot is in flight.
     for _ in 0..3 {
-        cluster.run(1_000);
+        cluster.run_for(1_000);
         cluster.crash(isolated);
-        cluster.run(300);
+        cluster.run_for(300);
         cluster.start(isolated);
     }
-    cluster.run(20_000);
+    cluster.run_for(20_000);
     assert_eq!(
         cluster.process(isolated).unwrap().state().generation(),
         newest,
-        "it has not caught up"
+        "the isolated member has not caught up"
     );
-    // The others are lost: one its disk, one for good.
+    // The third node loses its disk and restarts. Then the leader crashes and stays down.
     cluster.wipe_disk(third);
     cluster.start(third);
-    cluster.run(20_000);
+    cluster.run_for(20_000);
     cluster.crash(leader);
-    cluster.run(5_000);
+    cluster.run_for(5_000);
     assert_eq!(read_generation(&mut cluster, isolated), Some(newest));
     commit(&mut cluster, &put(newest, newest + 1));
-    assert_sound(&mut cluster);
+    assert_invariants(&mut cluster);
 }
 
-/// A configuration of 40 kB that can't be compressed much, now and then.
+/// A put of a configuration. One in 100 changes contains 40 kB of random text, which is hard to
+/// compress.
 fn large(base: u64, generation: u64, change: u64) -> Command {
     let mut document: serde_json::Value =
         serde_json::from_slice(&configuration(generation, 0)).unwrap();
@@ -135,7 +140,8 @@
     }
 }
 
-/// Incident 4: a balancer comes back to a node that has installed a snapshot meanwhile.
+/// Incident 4: a balancer resubscribes at a node that installed a snapshot after the balancer had
+/// unsubscribed. The balancer must receive the changes that the node got by the snapshot.
 #[test]
 fn a_balancer_that_resubscribes_misses_no_change_that_its_node_got_as_a_snapshot() {
     for seed in 0..INCIDENT_SEEDS {
@@ -150,16 +156,16 @@
             commit_at(&mut cluster, leader, put(change * 2, (change + 1) * 2));
         }
         cluster.heal();
-        cluster.run(4_000);
+        cluster.run_for(4_000);
         cluster.resubscribe(isolated, 1, balancer);
         let newest = 1_100 * 2;
         commit_at(&mut cluster, leader, put(newest, newest + 2));
-        cluster.run(500);
+        cluster.run_for(500);
         assert_eq!(
             cluster.balancer(isolated, 1).state.generation(),
             newest + 2,
             "seed {seed}"
         );
-        assert_sound(&mut cluster);
+        assert_invariants(&mut cluster);
     }
 }
--- a/crates/control-simulation/tests/commands.rs
+++ b/crates/control-simulation/tests/commands.rs
@@ -1,8 +1,8 @@
-//! Commands of operators: commits, conflicts and retries.
+//! Commands of operators: commits, conflicts and retries of commands.
 
 mod common;
 
-use common::{ClusterBuilder, SIX, assert_sound, commit, read_generation};
+use common::{ClusterBuilder, SIX, assert_invariants, commit, read_generation};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use woadstall_control::command::Command;
@@ -11,20 +11,20 @@
 use woadstall_control_simulation::network::DELAYED_DELIVERY;
 use woadstall_control_simulation::scenario::fixtures::{configuration, put};
 
-/// Seeds of each test.
+/// Number of seeds of each test.
 const SEEDS: u64 = 20;
-/// Seeds of the tests of incidents.
+/// Base number of seeds of the incident tests.
 const INCIDENT_SEEDS: u64 = 12;
 
 #[rstest]
-#[case::at_a_leader_or_not(0)]
-#[case::elsewhere(1)]
-#[case::third(2)]
-fn a_command_is_committed_through_any_node_in_well_under_a_second(#[case] node: usize) {
+#[case::node_0(0)]
+#[case::node_1(1)]
+#[case::node_2(2)]
+fn a_command_is_committed_through_any_node_within_300_ms(#[case] node: usize) {
     let mut cluster = ClusterBuilder::new(1).build();
     let token = cluster.submit(node, put(0, 5));
     // Two round trips between regions: one to forward the command, one to replicate it.
-    cluster.run(300);
+    cluster.run_for(300);
     assert_eq!(
         cluster.responses.get(&token),
         Some(&CallResponse::Acknowledged)
@@ -38,14 +38,14 @@
 fn a_command_before_the_first_election_waits_for_a_leader() {
     let mut cluster = Cluster::new(2, 3);
     let token = cluster.submit(0, put(0, 5));
-    cluster.run(2_000);
+    cluster.run_for(2_000);
     assert!(cluster.responses.contains_key(&token));
-    let again = cluster.submit(1, put(0, 5));
-    cluster.run(1_000);
+    let retry = cluster.submit(1, put(0, 5));
+    cluster.run_for(1_000);
     assert_eq!(
-        cluster.responses.get(&again),
+        cluster.responses.get(&retry),
         Some(&CallResponse::Acknowledged),
-        "the same command again"
+        "response to the same command at another node"
     );
 }
 
@@ -55,24 +55,24 @@
         println!("seed {seed}");
         let mut cluster = ClusterBuilder::new(seed).build();
         cluster.submit(0, put(0, 5));
-        cluster.run(1_000);
+        cluster.run_for(1_000);
         let (one, other) = (cluster.submit(1, put(5, 7)), cluster.submit(2, put(5, 8)));
-        cluster.run(1_000);
+        cluster.run_for(1_000);
         let responses = [&cluster.responses[&one], &cluster.responses[&other]];
-        let won = responses
+        let acknowledged = responses
             .iter()
             .filter(|response| ***response == CallResponse::Acknowledged)
             .count();
-        let lost = responses
+        let conflicts = responses
             .iter()
             .filter(|response| matches!(response, CallResponse::Conflict { .. }))
             .count();
-        assert_eq!((won, lost), (1, 1), "{responses:?}");
+        assert_eq!((acknowledged, conflicts), (1, 1), "{responses:?}");
     }
 }
 
-/// Incident 2: two operators choose one generation; and a command is retried after its response was
-/// lost.
+/// Incident 2: two operators submit different configurations of the same generation, and both retry
+/// their commands after the responses were lost. Retries of the committed command must not be rejected.
 #[test]
 fn of_two_rival_configurations_one_is_committed_and_its_retries_are_never_rejected() {
     for seed in 0..INCIDENT_SEEDS * 2 {
@@ -95,11 +95,11 @@
                 .map(|operator| cluster.submit(nodes[operator], rivals[operator].clone()))
                 .collect();
             let wait = cluster.random.u64(..300);
-            cluster.run(wait);
-            // The node between command and response restarts.
+            cluster.run_for(wait);
+            // One of the nodes that received the commands restarts before it responds.
             cluster.crash(nodes[round % 2]);
             cluster.start(nodes[round % 2]);
-            // The responses are lost: both retry at other nodes.
+            // The operators treat the responses as lost, and both retry at other nodes.
             let mut committed = BTreeSet::new();
             for (operator, token) in first.iter().enumerate() {
                 if cluster.responses.get(token) == Some(&CallResponse::Acknowledged) {
@@ -110,13 +110,13 @@
                 for (operator, rival) in rivals.iter().enumerate() {
                     let node = (nodes[operator] + attempt + 1) % 6;
                     let token = cluster.submit(node, rival.clone());
-                    cluster.run(700);
+                    cluster.run_for(700);
                     match cluster.responses.get(&token) {
                         Some(CallResponse::Acknowledged) => drop(committed.insert(operator)),
                         Some(CallResponse::Conflict { .. }) => {
                             assert!(
                                 !committed.contains(&operator),
-                                "seed {seed}: committed, and rejected when retried"
+                                "seed {seed}: a retry of the committed command was rejected"
                             );
                         }
                         _ => {}
@@ -126,40 +126,40 @@
             assert_eq!(
                 committed.len(),
                 1,
-                "seed {seed}, round {round}: {committed:?} were committed"
+                "seed {seed}, round {round}: commands of operators {committed:?} were committed"
             );
             generation += 3;
         }
         cluster.clear_faults();
-        cluster.run(DELAYED_DELIVERY.delayed_delivery_ms + 5_000);
-        assert_sound(&mut cluster);
+        cluster.run_for(DELAYED_DELIVERY.delayed_delivery_ms + 5_000);
+        assert_invariants(&mut cluster);
     }
 }
 
-/// Incidents 2 and 5: what the leader responds to a former process of a node confirms nothing that
-/// the new one was asked for.
+/// Incidents 2 and 5: a node restarts while a command that it forwarded is pending at the leader. The
+/// leader's response to the old process must not confirm a command of the new process.
 #[test]
-fn a_response_to_a_former_process_confirms_no_other_command() {
-    let mut confirmed = 0;
+fn a_response_to_an_old_process_confirms_no_command_of_the_new_one() {
+    let mut relevant_seeds = 0;
     for seed in 0..INCIDENT_SEEDS * 4 {
         let mut cluster = ClusterBuilder::new(seed).build();
         let leader = cluster.leader().unwrap();
         let (forwarder, other) = ((leader + 1) % 3, (leader + 2) % 3);
-        // The command waits at the leader for a disk, while the node that forwarded it restarts.
+        // The command waits at the leader for the stalled disk, while the forwarding node restarts.
         cluster.stall_disk(other, 900);
         cluster.submit(forwarder, put(0, 5));
-        cluster.run(100);
+        cluster.run_for(100);
         cluster.crash(forwarder);
-        cluster.run(50);
+        cluster.run_for(50);
         cluster.start(forwarder);
         cluster.stall_disk(forwarder, 2_000);
-        cluster.run(350 + seed);
+        cluster.run_for(350 + seed);
         let next = cluster.submit(forwarder, put(0, 6));
-        cluster.run(2_000);
+        cluster.run_for(2_000);
         let current = cluster.process(leader).unwrap().state().generation();
         let response = cluster.responses.get(&next);
         if current == 5 {
-            confirmed += 1;
+            relevant_seeds += 1;
             assert_ne!(
                 response,
                 Some(&CallResponse::Acknowledged),
@@ -167,11 +167,11 @@
             );
         }
         cluster.clear_faults();
-        cluster.run(5_000);
-        assert_sound(&mut cluster);
+        cluster.run_for(5_000);
+        assert_invariants(&mut cluster);
     }
     assert!(
-        confirmed > INCIDENT_SEEDS,
-        "only {confirmed} seeds brought it about"
+        relevant_seeds > INCIDENT_SEEDS,
+        "only {relevant_seeds} seeds committed the command of the old process"
     );
 }
--- a/crates/control-simulation/tests/common/mod.rs
+++ b/crates/control-simulation/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Clusters and clients that the tests share.
+//! Clusters and client operations shared by the tests.
 
-#![allow(dead_code, reason = "each test binary uses a part of it")]
+#![allow(dead_code, reason = "each test binary uses only some of the items")]
 
 use woadstall_control::command::Command;
 use woadstall_control::machine::CallResponse;
@@ -9,37 +9,37 @@
 pub use woadstall_control_simulation::history::CLIENT_TIMEOUT_MS;
 use woadstall_control_simulation::network::{NetworkConditions, STEADY};
 
-/// Three founders in regions of their own.
+/// Three founders, each in a region of its own.
 pub const THREE: Topology = Topology::founders(3);
-/// Three founders and one more node in two regions.
+/// Three founders and one other node in two regions.
 pub const FOUR: Topology = Topology {
     nodes: 4,
     founders: 3,
     regions: 2,
     tolerated_failures: 1,
 };
-/// Three founders and three more nodes in three regions.
+/// Three founders and three other nodes in three regions.
 pub const SIX: Topology = Topology {
     nodes: 6,
     founders: 3,
     regions: 3,
     tolerated_failures: 2,
 };
-/// Milliseconds after which a node that is back no longer counts as lost.
+/// Time after its restart until a node no longer counts as lost, in milliseconds.
 pub const CATCH_UP_MS: u64 = 4_000;
-/// Milliseconds in which a cluster elects its first leader.
+/// Time for a cluster to elect its first leader, in milliseconds.
 const STARTUP_MS: u64 = 5_000;
-/// The subscription of the balancer at each node.
+/// Subscription of the balancer at each node.
 const SUBSCRIBER: u64 = 1;
 
-/// A cluster whose observable events go into a digest.
-pub fn recorded(seed: u64, topology: Topology, network: NetworkConditions) -> Cluster {
-    let mut cluster = Cluster::with(seed, topology, network);
+/// A cluster that records a digest of its events.
+pub fn cluster_with_digest(seed: u64, topology: Topology, network: NetworkConditions) -> Cluster {
+    let mut cluster = Cluster::with_topology(seed, topology, network);
     cluster.digest = Some(EventDigest::default());
     cluster
 }
 
-/// Sets a cluster up; by default three founders in a steady network that have elected a leader.
+/// Builds a cluster; by default three founders in a steady network that have elected a leader.
 pub struct ClusterBuilder {
     seed: u64,
     topology: Topology,
@@ -67,12 +67,12 @@
         Self { network, ..self }
     }
 
-    /// Sets the milliseconds that pass before the test begins.
+    /// Sets the virtual time that passes before the test starts, in milliseconds.
     pub fn startup_ms(self, startup_ms: u64) -> Self {
         Self { startup_ms, ..self }
     }
 
-    /// Has a balancer subscribe at each node once a leader is elected.
+    /// Subscribes a balancer at each node after the startup time.
     pub fn with_balancers(self) -> Self {
         Self {
             has_balancers: true,
@@ -81,8 +81,8 @@
     }
 
     pub fn build(self) -> Cluster {
-        let mut cluster = Cluster::with(self.seed, self.topology, self.network);
-        cluster.run(self.startup_ms);
+        let mut cluster = Cluster::with_topology(self.seed, self.topology, self.network);
+        cluster.run_for(self.startup_ms);
         if self.has_balancers {
             (0..cluster.len()).for_each(|node| cluster.subscribe(node, SUBSCRIBER));
         }
@@ -102,15 +102,14 @@
     }
 }
 
-/// Submits a command until it is committed, at one node after the other. Returns the number of
-/// retries.
+/// Submits a command to one node after the other until it is committed. Returns the number of retries.
 pub fn commit(cluster: &mut Cluster, command: &Command) -> usize {
     const MAX_ATTEMPTS: usize = 30;
     for attempt in 0..MAX_ATTEMPTS {
         let node = attempt % cluster.len();
         let token = cluster.submit(node, command.clone());
         for _ in 0..CLIENT_TIMEOUT_MS / 20 {
-            cluster.run(20);
+            cluster.run_for(20);
             if cluster.responses.contains_key(&token) {
                 break;
             }
@@ -118,10 +117,10 @@
         match cluster.responses.get(&token) {
             Some(CallResponse::Acknowledged) => return attempt,
             Some(CallResponse::Indeterminate) | None => {}
-            rejected => panic!("{command:?} is rejected when retried: {rejected:?}"),
+            rejected => panic!("{command:?} was rejected: {rejected:?}"),
         }
     }
-    panic!("{command:?} is never committed");
+    panic!("{command:?} was not committed in {MAX_ATTEMPTS} attempts");
 }
 
 /// Submits a command to one node until it is committed.
@@ -130,21 +129,22 @@
     for _ in 0..MAX_ATTEMPTS {
         let token = cluster.submit(node, command.clone());
         while !cluster.responses.contains_key(&token) {
-            cluster.run(20);
+            cluster.run_for(20);
         }
         match &cluster.responses[&token] {
             CallResponse::Acknowledged => return,
             CallResponse::Indeterminate => {}
-            rejected => panic!("{rejected:?}"),
+            rejected => panic!("the command was rejected: {rejected:?}"),
         }
     }
-    panic!("not committed in {MAX_ATTEMPTS} attempts");
+    panic!("the command was not committed in {MAX_ATTEMPTS} attempts");
 }
 
-/// The generation that a node reads, as an operator would.
+/// Reads the configuration from a node as an operator. Returns its generation; `None` if the node gave
+/// no configuration.
 pub fn read_generation(cluster: &mut Cluster, node: usize) -> Option<u64> {
     let token = cluster.read(node);
-    cluster.run(CLIENT_TIMEOUT_MS);
+    cluster.run_for(CLIENT_TIMEOUT_MS);
     match cluster.responses.get(&token) {
         Some(CallResponse::Document(document)) => {
             serde_json::from_slice::<serde_json::Value>(document).ok()?["generation"].as_u64()
@@ -153,8 +153,8 @@
     }
 }
 
-/// Checks all invariants after the faults have ended.
-pub fn assert_sound(cluster: &mut Cluster) {
+/// Checks all invariants. Call it only after the cluster has recovered from all faults.
+pub fn assert_invariants(cluster: &mut Cluster) {
     cluster.check_all();
     assert_eq!(cluster.invariants.violation, None);
 }
--- a/crates/control-simulation/tests/golden.rs
+++ b/crates/control-simulation/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Whole scenarios by a digest over all observable numbers and bytes: a change of names or shape
-//! changes no event.
+//! Golden tests: digests of all observable numbers and bytes of whole scenarios. Refactoring and renames
+//! must not change them.
 
 mod common;
 
-use common::{FOUR, SIX, THREE, recorded};
+use common::{FOUR, SIX, THREE, cluster_with_digest};
 use rstest::rstest;
 use woadstall_control::command::Command;
 use woadstall_control::registry::UpstreamStatus;
@@ -16,24 +16,28 @@
     Step,
 };
 
-/// Steps of a generated scenario.
+/// Number of steps of a generated scenario.
 const STEPS: usize = 60;
 
-const NARROW: NetworkConditions = NetworkConditions {
+/// 20 kB/s per connection, with late packets.
+const LOW_BANDWIDTH: NetworkConditions = NetworkConditions {
     bytes_per_ms: 20,
     ..DELAYED_DELIVERY
 };
+/// All faults except losses of disks and of power.
 const WITHOUT_LOSSES: FaultKinds = FaultKinds {
     disk_losses: false,
     power_losses: false,
     ..ALL_FAULTS
 };
 
-/// A scenario's seed, the digest of its events, and the number of observations that it covers.
+/// The seed of a scenario, the digest of its events, and the number of observations that the digest
+/// covers.
 type Golden = (u64, u64, u64);
 
-/// Recorded before pending calls had an order of their own: seeds are left out with which a process
-/// forwards or gives up several of them at a time. `a_seed_repeats` has those too.
+/// The digests were recorded when the order of pending calls was still unspecified. Therefore the seeds
+/// with which a process forwards or abandons several pending calls at a time are left out here. The test
+/// `runs_of_the_same_seed_are_identical` covers such seeds too.
 #[rstest]
 #[case::three_in_a_steady_network(THREE, STEADY, ALL_FAULTS, [
     (1_000, 0xcc8d_98c9_79e2_eb74, 9_516),
@@ -70,7 +74,7 @@
     (1_003, 0x9896_dd6f_ee96_17aa, 34_753),
     (1_004, 0xdfea_4f8f_1126_20b8, 33_326),
 ])]
-#[case::a_narrow_network(THREE, NARROW, ALL_FAULTS, [
+#[case::low_bandwidth(THREE, LOW_BANDWIDTH, ALL_FAULTS, [
     (1_000, 0xadd1_55cf_0c51_5495, 13_626),
     (1_001, 0xcf30_e3b0_9bba_a59c, 16_970),
     (1_002, 0xbb76_ae60_d6e2_4901, 10_757),
@@ -85,25 +89,25 @@
 ) {
     for (seed, digest, observations) in expected {
         let scenario = Scenario::generate(seed, Environment { topology, network }, faults, STEPS);
-        let cluster = scenario.run_on(recorded(seed, topology, network));
+        let cluster = scenario.run_on(cluster_with_digest(seed, topology, network));
         let found = cluster.expect("the scenario passes").finish_digest();
         assert_eq!(found, (digest, observations), "seed {seed}: {found:#x?}");
     }
 }
 
-/// The number of a kind of step, and what it has.
-fn numbers(step: Step) -> [u64; 4] {
+/// A numeric form of a step: the number of its kind, and its parameters.
+fn step_numbers(step: Step) -> [u64; 4] {
     match step {
-        Step::Request(request) => numbers_of_request(request),
-        Step::Process(step) => numbers_of_process_step(step),
-        Step::Disk(step) => numbers_of_disk_step(step),
-        Step::Network(step) => numbers_of_network_step(step),
+        Step::Request(request) => request_numbers(request),
+        Step::Process(step) => process_step_numbers(step),
+        Step::Disk(step) => disk_step_numbers(step),
+        Step::Network(step) => network_step_numbers(step),
         Step::ClearFaults => [23, 0, 0, 0],
         Step::Wait { duration_ms } => [24, duration_ms, 0, 0],
     }
 }
 
-fn numbers_of_request(request: RequestStep) -> [u64; 4] {
+fn request_numbers(request: RequestStep) -> [u64; 4] {
     match request {
         RequestStep::Put { node, rival } => [1, node as u64, u64::from(rival), 0],
         RequestStep::RetryPut { node } => [2, node as u64, 0, 0],
@@ -116,7 +120,7 @@
     }
 }
 
-fn numbers_of_process_step(step: ProcessStep) -> [u64; 4] {
+fn process_step_numbers(step: ProcessStep) -> [u64; 4] {
     match step {
         ProcessStep::Crash { node } => [9, node as u64, 0, 0],
         ProcessStep::Shutdown { node } => [10, node as u64, 0, 0],
@@ -127,7 +131,7 @@
     }
 }
 
-fn numbers_of_disk_step(step: DiskStep) -> [u64; 4] {
+fn disk_step_numbers(step: DiskStep) -> [u64; 4] {
     match step {
         DiskStep::Wipe { node } => [14, node as u64, 0, 0],
         DiskStep::WipeAndCrashAll { node } => [15, node as u64, 0, 0],
@@ -136,7 +140,7 @@
     }
 }
 
-fn numbers_of_network_step(step: NetworkStep) -> [u64; 4] {
+fn network_step_numbers(step: NetworkStep) -> [u64; 4] {
     match step {
         NetworkStep::Isolate {
             node,
@@ -152,7 +156,7 @@
 fn digest_of_steps(steps: &[Step]) -> u64 {
     let mut digest = EventDigest::default();
     for step in steps {
-        digest.numbers(&numbers(*step));
+        digest.numbers(&step_numbers(*step));
     }
     digest.finish().0
 }
@@ -177,8 +181,8 @@
     );
 }
 
-/// Two of three disks are lost at a time, which no group of three bears: the scenario fails, and is
-/// shrunk to these losses.
+/// The scenario fails because two of three disks are lost at the same time, which a group of three does
+/// not tolerate. Shrinking keeps only these two losses.
 #[test]
 fn a_failing_scenario_is_shrunk_to_the_recorded_steps() {
     let environment = Environment {
@@ -200,20 +204,20 @@
         Step::Process(ProcessStep::StartAll),
     ]);
     assert!(scenario.run().is_err());
-    let needed = scenario.shrink().steps;
+    let remaining = scenario.shrink().steps;
     assert_eq!(
-        (needed.len(), digest_of_steps(&needed)),
+        (remaining.len(), digest_of_steps(&remaining)),
         (2, 0xca9d_b272_80da_20c4),
-        "{needed:?}"
+        "{remaining:?}"
     );
 }
 
-/// What no generated scenario has: large configurations and patches, invalid commands, nodes that
-/// are added and removed, balancers that resubscribe, a log that is compacted, and a snapshot in
-/// chunks over a narrow link.
+/// A scenario with events that generated scenarios lack: large configurations and patches, invalid
+/// commands, added and removed nodes, balancers that resubscribe, a compacted log, and a snapshot that
+/// is transferred in chunks over a link with little bandwidth.
 #[test]
 fn a_scripted_scenario_has_the_recorded_events() {
-    let mut cluster = recorded(
+    let mut cluster = cluster_with_digest(
         5,
         FOUR,
         NetworkConditions {
@@ -221,7 +225,7 @@
             ..STEADY
         },
     );
-    cluster.run(8_000);
+    cluster.run_for(8_000);
     (0..3).for_each(|node| cluster.subscribe(node, 1));
     cluster.submit(
         0,
@@ -231,39 +235,39 @@
         },
     );
     cluster.submit(1, put(3, 4));
-    cluster.run(1_000);
-    let balancer = cluster.unsubscribe(1, 1).expect("there is a balancer");
+    cluster.run_for(1_000);
+    let balancer = cluster.unsubscribe(1, 1).expect("node 1 has a balancer");
     cluster.isolate(2);
     for change in 0..1_100 {
         cluster.submit(0, large(change * 2, (change + 1) * 2));
-        cluster.run(300);
+        cluster.run_for(300);
     }
     cluster.submit(1, patch(2_200, 2_202, &["t"]));
-    cluster.run(500);
+    cluster.run_for(500);
     cluster.submit(1, patch(2_200, 2_202, &["s", "t"]));
     cluster.register(1, registration("i-1", 1, UpstreamStatus::Ready));
-    cluster.run(1_000);
+    cluster.run_for(1_000);
     cluster.heal();
     cluster.resubscribe(1, 1, balancer);
-    cluster.run(4_000);
+    cluster.run_for(4_000);
     cluster.register(0, registration("i-1", 2, UpstreamStatus::Draining));
     let added = cluster.add();
-    cluster.run(10_000);
+    cluster.run_for(10_000);
     cluster.announce_shutdown(3);
-    cluster.run(600);
+    cluster.run_for(600);
     cluster.remove(3);
-    cluster.run(5_000);
+    cluster.run_for(5_000);
     cluster.wipe_disk(0);
-    cluster.run(100);
+    cluster.run_for(100);
     cluster.start(0);
-    cluster.run(10_000);
+    cluster.run_for(10_000);
     cluster.deregister(added, "i-1");
     cluster.read(added);
-    cluster.run(2_000);
+    cluster.run_for(2_000);
     cluster.check_all();
     let newest = cluster
         .process(added)
-        .expect("it runs")
+        .expect("the added node runs")
         .state()
         .generation();
     assert_eq!(
@@ -274,10 +278,11 @@
     assert_eq!(found, (0x0279_36db_498e_c3fb, 120_867), "{found:#x?}");
 }
 
-/// A configuration with 40 kB that can't be compressed much, now and then.
+/// A put of a configuration. If the generation is a multiple of 200, the configuration contains 40 kB
+/// of random text, which is hard to compress.
 fn large(base: u64, generation: u64) -> Command {
-    let mut document: serde_json::Value =
-        serde_json::from_slice(&configuration(generation, 0)).expect("it is a document");
+    let mut document: serde_json::Value = serde_json::from_slice(&configuration(generation, 0))
+        .expect("a configuration is valid JSON");
     if generation.is_multiple_of(200) {
         let mut random = fastrand::Rng::with_seed(generation);
         let padding: String = std::iter::repeat_with(|| random.alphanumeric())
@@ -287,7 +292,7 @@
     }
     Command::Put {
         base,
-        body: serde_json::to_vec(&document).expect("it is a document"),
+        body: serde_json::to_vec(&document).expect("a configuration is valid JSON"),
     }
 }
 
@@ -299,6 +304,6 @@
     let document = serde_json::json!({ "generation": generation, "services": services });
     Command::Patch {
         base,
-        body: serde_json::to_vec(&document).expect("it is a document"),
+        body: serde_json::to_vec(&document).expect("a configuration is valid JSON"),
     }
 }
--- a/crates/control-simulation/tests/linearizability.rs
+++ b/crates/control-simulation/tests/linearizability.rs
@@ -1,4 +1,4 @@
-//! The check of linearizability, on right and on wrong histories.
+//! The linearizability check, on linearizable and on other histories.
 
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -63,13 +63,13 @@
 }
 
 #[rstest]
-#[case::one_after_the_other(
+#[case::sequential_operations(
     history()
         .operation(0, 10, put(0, 5), Output::Committed)
         .operation(20, 30, put(5, 7), Output::Committed)
         .operation(40, 50, Input::Read, read(7, &[]))
 )]
-#[case::two_concurrent_ones_with_one_winner(
+#[case::concurrent_puts_with_one_commit(
     history()
         .operation(0, 10, put(0, 5), Output::Committed)
         .operation(20, 40, put(5, 7), Output::Committed)
@@ -86,7 +86,7 @@
         .operation(0, 10, put(0, 5), Output::Unknown)
         .operation(20, 30, Input::Read, read(5, &[]))
 )]
-#[case::an_unknown_command_that_did_not(
+#[case::an_unknown_command_without_effect(
     history()
         .operation(0, 10, put(0, 5), Output::Committed)
         .operation(11, 15, put(5, 7), Output::Unknown)
@@ -99,7 +99,7 @@
         .operation(21, 30, Input::Read, read(7, &[]))
         .operation(31, 40, Input::Read, read(7, &[]))
 )]
-#[case::evacuated_and_back(
+#[case::an_evacuation_that_ends(
     history()
         .operation(0, 10, put(0, 5), Output::Committed)
         .operation(20, 30, evacuate(), Output::Committed)
@@ -112,7 +112,7 @@
 }
 
 #[rstest]
-#[case::two_winners(
+#[case::concurrent_puts_that_both_commit(
     history()
         .operation(0, 10, put(0, 5), Output::Committed)
         .operation(20, 40, put(5, 7), Output::Committed)
@@ -124,7 +124,7 @@
         .operation(20, 30, put(5, 7), Output::Committed)
         .operation(40, 50, Input::Read, read(5, &[]))
 )]
-#[case::a_read_that_goes_back(
+#[case::a_read_older_than_an_earlier_read(
     history()
         .operation(0, 10, put(0, 5), Output::Committed)
         .operation(20, 90, put(5, 7), Output::Committed)
@@ -141,7 +141,7 @@
         .operation(0, 10, put(0, 5), Output::Committed)
         .operation(20, 30, put(0, 5), Output::Conflict(5))
 )]
-#[case::a_conflict_with_a_generation_that_never_was(
+#[case::a_conflict_with_a_generation_that_never_existed(
     history()
         .operation(0, 10, put(0, 5), Output::Committed)
         .operation(20, 30, put(5, 7), Output::Conflict(6))
@@ -172,5 +172,8 @@
     assert!(history.check().is_ok());
     history.invoke(3, CLIENT_TIMEOUT_MS + 30, put(0, 6));
     history.complete(3, CLIENT_TIMEOUT_MS + 40, Output::Committed);
-    assert!(history.check().is_err(), "it took effect before");
+    assert!(
+        history.check().is_err(),
+        "the put of generation 5 had already taken effect"
+    );
 }
--- a/crates/control-simulation/tests/node_losses.rs
+++ b/crates/control-simulation/tests/node_losses.rs
@@ -1,14 +1,14 @@
-//! Losses of disks, power and nodes, and the membership changes that repair them.
+//! Losses of disks, power and nodes, and the membership changes that repair the group.
 
 mod common;
 
-use common::{CATCH_UP_MS, ClusterBuilder, SIX, THREE, assert_sound, commit, read_generation};
+use common::{CATCH_UP_MS, ClusterBuilder, SIX, THREE, assert_invariants, commit, read_generation};
 use rstest::rstest;
 use woadstall_control::machine::CallResponse;
 use woadstall_control_simulation::cluster::{Cluster, Topology};
 use woadstall_control_simulation::scenario::fixtures::put;
 
-/// Seeds of each test.
+/// Number of seeds.
 const SEEDS: u64 = 20;
 
 #[test]
@@ -21,7 +21,7 @@
             let node = cluster.random.usize(..3);
             let token = cluster.submit(node, put(generation, generation + 3));
             while !cluster.responses.contains_key(&token) {
-                cluster.run(50);
+                cluster.run_for(50);
             }
             if cluster.responses[&token] == CallResponse::Acknowledged {
                 generation += 3;
@@ -32,38 +32,43 @@
                 .for_each(|node| cluster.stop(node));
             cluster.wipe_disk(wiped);
             (0..3).for_each(|node| cluster.start(node));
-            cluster.run(8_000);
-            let read = read_generation(&mut cluster, wiped).expect("a quorum is there");
+            cluster.run_for(8_000);
+            let read = read_generation(&mut cluster, wiped).expect("a quorum is available");
             assert!(
                 read >= generation,
-                "round {round}: {read} instead of {generation}"
+                "round {round}: read generation {read} after {generation} was acknowledged"
             );
             generation = read;
         }
     }
 }
 
-/// What happens to a node first.
+/// The loss of the first node.
 #[derive(Clone, Copy, Debug)]
 enum FirstLoss {
+    /// The node loses its disk and restarts.
     Wipe,
+    /// The node is removed and replaced by a new one.
     Replace,
+    /// A new node is added before the old one gets notice and is removed.
     ReplacePlanned,
 }
 
-/// What happens to the others then.
+/// The loss that follows the first one.
 #[derive(Clone, Copy, Debug)]
 enum SecondLoss {
-    /// All crash at any moment.
+    /// All nodes crash at the same time, possibly before the first node has caught up.
     Power,
-    /// Once the first has caught up, another one loses its disk.
+    /// Another node loses its disk after the first node has caught up.
     Wipe,
-    /// The same, and at that moment all others crash.
+    /// Another node loses its disk after the first node has caught up, and all others crash at the same
+    /// time.
     WipeAndPower,
-    /// Once the first has caught up, another one crashes and stays down.
+    /// Another node crashes after the first node has caught up, and stays down.
     Down,
 }
 
+/// Applies the first loss to a node. Returns the node that replaces it, or the node itself.
 fn apply_first(cluster: &mut Cluster, first: FirstLoss, node: usize) -> usize {
     match first {
         FirstLoss::Wipe => {
@@ -73,20 +78,21 @@
         }
         FirstLoss::Replace => {
             cluster.remove(node);
-            cluster.run(1_000);
+            cluster.run_for(1_000);
             cluster.add()
         }
         FirstLoss::ReplacePlanned => {
             let added = cluster.add();
-            cluster.run(1_000);
+            cluster.run_for(1_000);
             cluster.announce_shutdown(node);
-            cluster.run(600);
+            cluster.run_for(600);
             cluster.remove(node);
             added
         }
     }
 }
 
+/// Applies the second loss to a node, and restarts all nodes except one that stays down.
 fn apply_second(cluster: &mut Cluster, second: SecondLoss, node: usize) {
     let all: Vec<usize> = (0..cluster.len()).collect();
     match second {
@@ -106,7 +112,7 @@
     all.iter().for_each(|node| cluster.start(*node));
 }
 
-/// The number of moments of the second loss; `WOADSTALL_SEEDS` sets another one.
+/// Number of times of the losses to try; `WOADSTALL_SEEDS` overrides the default.
 fn steps() -> u64 {
     std::env::var("WOADSTALL_SEEDS")
         .ok()
@@ -114,7 +120,9 @@
         .unwrap_or(16)
 }
 
-/// Incident 3: every order of losses, around each step of the membership change.
+/// Incident 3: a second loss after the repair of a first one must leave a quorum with all acknowledged
+/// configurations. The test tries all combinations of losses at different times of the membership
+/// change.
 #[rstest]
 fn a_second_loss_after_a_repair_keeps_a_quorum_with_all_that_was_acknowledged(
     #[values(FirstLoss::Wipe, FirstLoss::Replace, FirstLoss::ReplacePlanned)] first: FirstLoss,
@@ -127,7 +135,7 @@
     second: SecondLoss,
     #[values(THREE, SIX)] topology: Topology,
 ) {
-    let is_any_moment = matches!(second, SecondLoss::Power);
+    let is_during_repair = matches!(second, SecondLoss::Power);
     for step in 0..steps() {
         for lost in 0..topology.nodes {
             let mut cluster = ClusterBuilder::new(step)
@@ -135,40 +143,40 @@
                 .startup_ms(9_000)
                 .build();
             commit(&mut cluster, &put(0, 5));
-            // The command is in flight while the node is lost, which may have the only copy of what
-            // is not acknowledged yet.
+            // The command is in flight while the node is lost. The node may have the only copy of the
+            // command, which is not acknowledged yet.
             cluster.submit(lost, put(5, 6));
-            cluster.run(step * 13);
-            let newcomer = apply_first(&mut cluster, first, lost);
-            let wait = if is_any_moment {
+            cluster.run_for(step * 13);
+            let repaired = apply_first(&mut cluster, first, lost);
+            let wait_ms = if is_during_repair {
                 step * 120
             } else {
                 CATCH_UP_MS + step * 17
             };
-            cluster.run(wait);
-            let victims =
-                (0..cluster.len()).filter(|node| *node != newcomer && cluster.is_present(*node));
-            let victim = victims.cycle().nth(step as usize % 3).unwrap();
-            let known = cluster.submit(victim, put(5, 6));
-            cluster.run(500);
-            let acknowledged = cluster.responses.get(&known) == Some(&CallResponse::Acknowledged);
-            apply_second(&mut cluster, second, victim);
-            cluster.run(CATCH_UP_MS);
-            let requests = (0..cluster.len())
+            cluster.run_for(wait_ms);
+            let candidates =
+                (0..cluster.len()).filter(|node| *node != repaired && cluster.is_present(*node));
+            let second_lost = candidates.cycle().nth(step as usize % 3).unwrap();
+            let token = cluster.submit(second_lost, put(5, 6));
+            cluster.run_for(500);
+            let acknowledged = cluster.responses.get(&token) == Some(&CallResponse::Acknowledged);
+            apply_second(&mut cluster, second, second_lost);
+            cluster.run_for(CATCH_UP_MS);
+            let running = (0..cluster.len())
                 .find(|node| cluster.process(*node).is_some())
                 .unwrap();
-            let Some(read) = read_generation(&mut cluster, requests) else {
-                let course = cluster.describe();
+            let Some(read) = read_generation(&mut cluster, running) else {
+                let description = cluster.describe();
                 panic!(
-                    "no quorum: {first:?}, {second:?}, step {step}, node {lost}, then {victim}\n{course}"
+                    "no quorum: {first:?} of node {lost}, then {second:?} of node {second_lost}, step {step}\n{description}"
                 );
             };
             assert!(
                 read >= if acknowledged { 6 } else { 5 },
-                "{first:?}, {second:?}, step {step}: generation {read}"
+                "{first:?}, {second:?}, step {step}: read generation {read}"
             );
             commit(&mut cluster, &put(read, read + 1));
-            assert_sound(&mut cluster);
+            assert_invariants(&mut cluster);
         }
     }
 }
--- a/crates/control-simulation/tests/partitions.rs
+++ b/crates/control-simulation/tests/partitions.rs
@@ -1,9 +1,9 @@
-//! Isolated nodes and messages that arrive late.
+//! Isolated nodes, and packets that arrive late.
 
 mod common;
 
 use common::{
-    CLIENT_TIMEOUT_MS, ClusterBuilder, assert_sound, commit, end_evacuation, evacuate,
+    CLIENT_TIMEOUT_MS, ClusterBuilder, assert_invariants, commit, end_evacuation, evacuate,
     read_generation,
 };
 use rstest::rstest;
@@ -13,9 +13,9 @@
 use woadstall_control_simulation::network::{DELAYED_DELIVERY, NetworkConditions, STEADY};
 use woadstall_control_simulation::scenario::fixtures::{put, registration};
 
-/// Seeds of each test.
+/// Number of seeds of each test.
 const SEEDS: u64 = 20;
-/// Seeds of the tests of incidents.
+/// Base number of seeds of the incident tests.
 const INCIDENT_SEEDS: u64 = 12;
 
 #[test]
@@ -27,7 +27,7 @@
         let other = (isolated + 1) % 3;
         cluster.isolate(isolated);
         let unknown = cluster.submit(isolated, put(0, 5));
-        cluster.run(5_000);
+        cluster.run_for(5_000);
         assert_eq!(
             cluster.responses.get(&unknown),
             Some(&CallResponse::Indeterminate)
@@ -35,21 +35,21 @@
         assert_eq!(
             read_generation(&mut cluster, isolated),
             None,
-            "it cannot know the newest generation"
+            "an isolated node cannot know the newest generation"
         );
         let committed = cluster.submit(other, put(0, 9));
-        cluster.run(1_000);
+        cluster.run_for(1_000);
         assert_eq!(
             cluster.responses.get(&committed),
             Some(&CallResponse::Acknowledged)
         );
         cluster.heal();
-        cluster.run(5_000);
+        cluster.run_for(5_000);
         assert_eq!(read_generation(&mut cluster, isolated), Some(9));
     }
 }
 
-/// Sends a request of each kind to a node. Returns their tokens.
+/// Sends one request of each kind to a node. Returns the tokens of the requests.
 fn send_all_requests(cluster: &mut Cluster, node: usize, generation: u64, second: u64) -> Vec<u64> {
     let rival = put(generation, generation + 100 + second);
     let evacuation = match second % 2 {
@@ -66,8 +66,9 @@
     ]
 }
 
-/// Incident 1: a node is isolated for twenty seconds with commands and reads, and what it sent
-/// arrives after the partition.
+/// Incident 1: an isolated node receives commands and reads for 20 s. The packets that it sent arrive
+/// after the partition ends. The node must neither confirm nor reject a request, and no command that it
+/// received may take effect.
 #[rstest]
 #[case::the_leader(true, STEADY)]
 #[case::a_follower(false, STEADY)]
@@ -91,7 +92,7 @@
             let requests = send_all_requests(&mut cluster, isolated, generation, second);
             let node = others[second as usize % 2];
             let next = cluster.submit(node, put(generation, generation + 2));
-            cluster.run(CLIENT_TIMEOUT_MS);
+            cluster.run_for(CLIENT_TIMEOUT_MS);
             if cluster.responses.get(&next) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
@@ -102,21 +103,21 @@
                     "seed {seed}, second {second}"
                 );
             }
-            // What arrives later than any connection keeps it can't be told from a new leader's
-            // messages.
+            // With delayed delivery, a follower can't distinguish packets that arrive after their
+            // connection was closed from those of a new leader, and may report a quorum.
             if second >= 2 && conditions.delayed_delivery_ms == 0 {
                 assert!(
                     !cluster.balancer(isolated, 1).in_quorum,
-                    "its balancers know that it hears of no quorum"
+                    "seed {seed}, second {second}: the isolated node reports a quorum to its balancers"
                 );
             }
         }
         assert!(
             generation > 5 + PARTITION_S,
-            "the others went on: {generation}"
+            "seed {seed}: the other nodes only reached generation {generation}"
         );
         cluster.heal();
-        cluster.run(3_000);
+        cluster.run_for(3_000);
         for node in 0..3 {
             assert_eq!(
                 read_generation(&mut cluster, node),
@@ -124,18 +125,18 @@
                 "seed {seed}, node {node}"
             );
         }
-        cluster.run(conditions.delayed_delivery_ms);
+        cluster.run_for(conditions.delayed_delivery_ms);
         let evacuated = &cluster.process(others[0]).unwrap().state().evacuated_zones;
         assert!(
             evacuated.is_empty(),
-            "seed {seed}: nobody acknowledged that {evacuated:?} is evacuated"
+            "seed {seed}: the unacknowledged evacuation of {evacuated:?} took effect"
         );
-        assert_sound(&mut cluster);
+        assert_invariants(&mut cluster);
     }
 }
 
-/// Incident 1: an evacuation that has ended does not come into force again by messages that arrive
-/// late.
+/// Incident 1: a late packet with an evacuation command must not evacuate a zone again after its
+/// evacuation was ended.
 #[test]
 fn a_delayed_evacuation_does_not_undo_later_commands() {
     for seed in 0..INCIDENT_SEEDS * 4 {
@@ -143,37 +144,37 @@
         commit(&mut cluster, &put(0, 5));
         let leader = cluster.leader().unwrap();
         let other = (leader + 1) % 3;
-        // What this node sends to the leader is delayed.
+        // Packets from this node to the leader are held back.
         cluster.network.partition_direction(other, leader);
         let delayed = cluster.submit(other, evacuate());
-        cluster.run(CLIENT_TIMEOUT_MS);
+        cluster.run_for(CLIENT_TIMEOUT_MS);
         assert_eq!(
             cluster.responses.get(&delayed),
             Some(&CallResponse::Indeterminate),
             "seed {seed}"
         );
-        let again = cluster.submit(leader, evacuate());
-        cluster.run(400);
+        let evacuation = cluster.submit(leader, evacuate());
+        cluster.run_for(400);
         assert_eq!(
-            cluster.responses.get(&again),
+            cluster.responses.get(&evacuation),
             Some(&CallResponse::Acknowledged),
             "seed {seed}"
         );
-        let back = cluster.submit(leader, end_evacuation());
-        cluster.run(400);
+        let ending = cluster.submit(leader, end_evacuation());
+        cluster.run_for(400);
         assert_eq!(
-            cluster.responses.get(&back),
+            cluster.responses.get(&ending),
             Some(&CallResponse::Acknowledged),
             "seed {seed}"
         );
-        // Now it arrives, in the same term.
+        // The delayed command arrives, in the same term.
         cluster.heal();
-        cluster.run(DELAYED_DELIVERY.delayed_delivery_ms + 3_000);
+        cluster.run_for(DELAYED_DELIVERY.delayed_delivery_ms + 3_000);
         let state = cluster.process(leader).unwrap().state();
         assert!(
             state.evacuated_zones.is_empty(),
-            "seed {seed}: evacuated again"
+            "seed {seed}: the delayed command evacuated the zone again"
         );
-        assert_sound(&mut cluster);
+        assert_invariants(&mut cluster);
     }
 }
--- a/crates/control-simulation/tests/random_scenarios.rs
+++ b/crates/control-simulation/tests/random_scenarios.rs
@@ -1,30 +1,32 @@
-//! Generated scenarios with all faults together, on small and large clusters. `WOADSTALL_SEEDS`
-//! sets the number of seeds.
+//! Generated scenarios with combinations of faults, on clusters of three to six nodes.
+//! `WOADSTALL_SEEDS` sets the number of seeds per test.
 
 mod common;
 
-use common::{FOUR, SIX, THREE, recorded};
+use common::{FOUR, SIX, THREE, cluster_with_digest};
 use rstest::rstest;
 use woadstall_control_simulation::cluster::Topology;
 use woadstall_control_simulation::network::{DELAYED_DELIVERY, NetworkConditions, STEADY};
 use woadstall_control_simulation::scenario::{ALL_FAULTS, Environment, FaultKinds, Scenario};
 
-/// Seeds of each test, unless `WOADSTALL_SEEDS` is set.
+/// Number of seeds per test, unless `WOADSTALL_SEEDS` is set.
 const SEEDS: u64 = 40;
-/// Steps of a scenario.
+/// Number of steps of a scenario.
 const STEPS: usize = 60;
-/// The first of the seeds that are run twice: others than those of the golden runs.
+/// The first seed that is run twice. The seeds differ from those of the golden tests.
 const FIRST_REPEATED_SEED: u64 = 2_000;
-/// Operations that must have completed for each seed on average.
-const MIN_COMPLETED: u64 = 5;
+/// Minimum number of completed operations per seed, on average.
+const MIN_COMPLETED_PER_SEED: u64 = 5;
 
-/// Without losses of disks and power: what a cluster must bear however many nodes are affected.
+/// All faults except losses of disks and of power. A cluster must tolerate these faults on any number
+/// of nodes.
 const WITHOUT_LOSSES: FaultKinds = FaultKinds {
     disk_losses: false,
     power_losses: false,
     ..ALL_FAULTS
 };
-const NARROW: NetworkConditions = NetworkConditions {
+/// 20 kB/s per connection, with late packets.
+const LOW_BANDWIDTH: NetworkConditions = NetworkConditions {
     bytes_per_ms: 20,
     ..DELAYED_DELIVERY
 };
@@ -36,21 +38,21 @@
         .unwrap_or(SEEDS)
 }
 
-/// The digest of everything observable in a run of a scenario, and how many observations it covers.
+/// Runs a scenario. Returns the digest of its events and the number of observations that it covers.
 fn digest_of(scenario: &Scenario) -> (u64, u64) {
     let Environment { topology, network } = scenario.environment;
-    let cluster = scenario.run_on(recorded(scenario.seed, topology, network));
+    let cluster = scenario.run_on(cluster_with_digest(scenario.seed, topology, network));
     cluster.expect("the scenario passes").finish_digest()
 }
 
-/// One seed gives one run, to the byte, wherever and however often it is run.
+/// Two runs of the same seed have the same digest of all observable bytes.
 #[rstest]
 #[case::three_with_delayed_delivery(THREE, DELAYED_DELIVERY, ALL_FAULTS)]
 #[case::four_in_two_regions(FOUR, DELAYED_DELIVERY, ALL_FAULTS)]
 #[case::six(SIX, DELAYED_DELIVERY, ALL_FAULTS)]
 #[case::six_without_losses(SIX, DELAYED_DELIVERY, WITHOUT_LOSSES)]
-#[case::a_narrow_network(THREE, NARROW, ALL_FAULTS)]
-fn a_seed_repeats(
+#[case::low_bandwidth(THREE, LOW_BANDWIDTH, ALL_FAULTS)]
+fn runs_of_the_same_seed_are_identical(
     #[case] topology: Topology,
     #[case] network: NetworkConditions,
     #[case] faults: FaultKinds,
@@ -64,7 +66,7 @@
         .collect();
     assert!(
         differing.is_empty(),
-        "seeds that gave two runs: {differing:?}"
+        "seeds whose runs differ: {differing:?}"
     );
 }
 
@@ -74,7 +76,7 @@
 #[case::four_in_two_regions(FOUR, DELAYED_DELIVERY, ALL_FAULTS)]
 #[case::six(SIX, DELAYED_DELIVERY, ALL_FAULTS)]
 #[case::six_without_losses(SIX, DELAYED_DELIVERY, WITHOUT_LOSSES)]
-#[case::a_narrow_network(THREE, NARROW, ALL_FAULTS)]
+#[case::low_bandwidth(THREE, LOW_BANDWIDTH, ALL_FAULTS)]
 fn no_invariant_is_violated(
     #[case] topology: Topology,
     #[case] network: NetworkConditions,
@@ -89,7 +91,7 @@
         }
     }
     assert!(
-        completed > seeds() * MIN_COMPLETED,
-        "only {completed} operations have completed"
+        completed > seeds() * MIN_COMPLETED_PER_SEED,
+        "only {completed} operations completed"
     );
 }
--- a/crates/control-simulation/tests/upstreams.rs
+++ b/crates/control-simulation/tests/upstreams.rs
@@ -1,14 +1,14 @@
-//! Registrations of upstreams: draining, heartbeats, and what survives faults.
+//! Registrations of upstreams: draining, heartbeats, and durability under faults.
 
 mod common;
 
-use common::{CATCH_UP_MS, CLIENT_TIMEOUT_MS, ClusterBuilder, assert_sound};
+use common::{CATCH_UP_MS, CLIENT_TIMEOUT_MS, ClusterBuilder, assert_invariants};
 use rstest::rstest;
 use woadstall_control::machine::CallResponse;
 use woadstall_control::registry::UpstreamStatus;
 use woadstall_control_simulation::scenario::fixtures::registration;
 
-/// Seeds of each test.
+/// Number of seeds of each test.
 const SEEDS: u64 = 12;
 
 #[test]
@@ -17,7 +17,7 @@
     cluster.call(0, |process, now_ms, token| {
         process.register(now_ms, token, registration("i-1", 1, UpstreamStatus::Ready))
     });
-    cluster.run(500);
+    cluster.run_for(500);
     let token = cluster.call(2, |process, now_ms, token| {
         process.register(
             now_ms,
@@ -27,9 +27,9 @@
     });
     assert!(
         !cluster.responses.contains_key(&token),
-        "nobody else has it yet"
+        "the draining was acknowledged before another node received it"
     );
-    cluster.run(300);
+    cluster.run_for(300);
     assert_eq!(
         cluster.responses.get(&token),
         Some(&CallResponse::Acknowledged)
@@ -46,7 +46,7 @@
 fn an_isolated_node_does_not_acknowledge_draining() {
     let mut cluster = ClusterBuilder::new(5).build();
     cluster.isolate(1);
-    cluster.run(100);
+    cluster.run_for(100);
     let token = cluster.call(1, |process, now_ms, token| {
         process.register(
             now_ms,
@@ -54,20 +54,20 @@
             registration("i-1", 1, UpstreamStatus::Draining),
         );
     });
-    cluster.run(1_500);
+    cluster.run_for(1_500);
     assert_eq!(
         cluster.responses.get(&token),
         Some(&CallResponse::Indeterminate)
     );
-    // Once the partition ends, the others learn of it all the same.
+    // The other nodes receive the draining after the partition ends, although it was not acknowledged.
     cluster.heal();
-    cluster.run(1_000);
+    cluster.run_for(1_000);
     let known = cluster.process(0).unwrap().registrations();
     assert_eq!(known[0].status, UpstreamStatus::Draining);
 }
 
 #[test]
-fn a_missed_heartbeat_is_judged_by_one_node_and_known_to_all() {
+fn a_timeout_is_detected_by_one_node_and_reported_by_all() {
     let mut cluster = ClusterBuilder::new(6).build();
     cluster.call(0, |process, now_ms, token| {
         process.register(now_ms, token, registration("i-1", 1, UpstreamStatus::Ready))
@@ -76,7 +76,7 @@
         process.register(now_ms, token, registration("i-2", 1, UpstreamStatus::Ready))
     });
     for sequence in 2..8 {
-        cluster.run(1_200);
+        cluster.run_for(1_200);
         cluster.call(1, |process, now_ms, token| {
             process.register(
                 now_ms,
@@ -107,16 +107,16 @@
     cluster.call(0, |process, now_ms, token| {
         process.register(now_ms, token, registration("i-1", 1, UpstreamStatus::Ready))
     });
-    cluster.run(500);
+    cluster.run_for(500);
     cluster.stop(1);
-    cluster.run(500);
+    cluster.run_for(500);
     cluster.start(1);
-    cluster.run(500);
+    cluster.run_for(500);
     assert_eq!(cluster.process(1).unwrap().registrations().len(), 1);
 }
 
-/// Incident 3: upstreams that have gone, and said nothing more, do not come back when power fails
-/// everywhere.
+/// Incident 3: upstreams that have drained or deregistered send no further requests. They must not
+/// become active again after a power loss of all nodes and the loss of one disk.
 #[rstest]
 #[case::drained(true)]
 #[case::deregistered_at_once(false)]
@@ -125,14 +125,14 @@
         for wiped in 0..3 {
             let mut cluster = ClusterBuilder::new(seed).build();
             cluster.register(0, registration("i-1", 1, UpstreamStatus::Ready));
-            cluster.run(1_000);
-            let at = cluster.random.usize(..3);
+            cluster.run_for(1_000);
+            let node = cluster.random.usize(..3);
             let token = match drains {
-                true => cluster.register(at, registration("i-1", 2, UpstreamStatus::Draining)),
-                false => cluster.deregister(at, "i-1"),
+                true => cluster.register(node, registration("i-1", 2, UpstreamStatus::Draining)),
+                false => cluster.deregister(node, "i-1"),
             };
             while !cluster.responses.contains_key(&token) {
-                cluster.run(10);
+                cluster.run_for(10);
             }
             assert_eq!(cluster.responses[&token], CallResponse::Acknowledged);
             (0..3)
@@ -140,7 +140,7 @@
                 .for_each(|node| cluster.crash(node));
             cluster.wipe_disk(wiped);
             (0..3).for_each(|node| cluster.start(node));
-            cluster.run(CATCH_UP_MS);
+            cluster.run_for(CATCH_UP_MS);
             for node in 0..3 {
                 let known = cluster.process(node).unwrap().registrations();
                 assert!(
@@ -149,12 +149,13 @@
                     known[0].status
                 );
             }
-            assert_sound(&mut cluster);
+            assert_invariants(&mut cluster);
         }
     }
 }
 
-/// Incident 5: an upstream deregisters at a node that does not know it, isolated or just started.
+/// Incident 5: an upstream deregisters at a node that does not know the upstream, because the node was
+/// isolated or has just started. The deregistration must reach all nodes and balancers.
 #[rstest]
 #[case::isolated(true)]
 #[case::just_started(false)]
@@ -166,14 +167,14 @@
         } else {
             cluster.stop(1);
         }
-        cluster.run(3_000);
+        cluster.run_for(3_000);
         cluster.register(0, registration("i-1", 1, UpstreamStatus::Ready));
-        cluster.run(1_000);
+        cluster.run_for(1_000);
         if !is_isolated {
             cluster.start(1);
         }
         let token = cluster.deregister(1, "i-1");
-        cluster.run(CLIENT_TIMEOUT_MS);
+        cluster.run_for(CLIENT_TIMEOUT_MS);
         if is_isolated {
             assert_eq!(
                 cluster.responses.get(&token),
@@ -182,7 +183,7 @@
             );
             cluster.heal();
         }
-        cluster.run(2_000);
+        cluster.run_for(2_000);
         for node in 0..3 {
             let known = cluster.process(node).unwrap().registrations();
             assert_eq!(
@@ -198,6 +199,6 @@
                 "seed {seed}"
             );
         }
-        assert_sound(&mut cluster);
+        assert_invariants(&mut cluster);
     }
 }
--- a/crates/coordination-simulation/src/checks/lost.rs
+++ b/crates/coordination-simulation/src/checks/lost.rs
@@ -1,6 +1,6 @@
 //! LOST: watches can resume from any recent revision, and every request of the final phase is
-//! answered. The checks of ONE, ORDER and STALE find lost acknowledged writes, because they cover the
-//! requests of the final phase too.
+//! answered. The checks of ONE, ORDER and STALE find lost acknowledged writes, because they cover
+//! the requests of the final phase too.
 
 use crate::cluster::HISTORY_MS;
 use crate::history::{FinalCall, History, LaggingWatch};
@@ -25,7 +25,11 @@
         age_ms: u64,
     },
     /// A watch of the final phase was answered without events that had been acknowledged.
-    #[error("watch ended at revision {}, but revision {} was acknowledged: {request}", lagging_watch.revision, lagging_watch.acknowledged)]
+    #[error(
+        "watch ended at revision {}, but revision {} was acknowledged: {request}",
+        lagging_watch.revision,
+        lagging_watch.acknowledged
+    )]
     WatchLags {
         /// The request as text.
         request: String,
--- a/crates/coordination-simulation/src/checks/mod.rs
+++ b/crates/coordination-simulation/src/checks/mod.rs
@@ -1,5 +1,5 @@
-//! Checks of a recorded history against the guarantees of the service. Each check has the name of the
-//! rule that users know: ONE, ORDER, STALE, MIXED, REFUSED or LOST.
+//! Checks of a recorded history against the guarantees of the service. Each check has the name of
+//! the rule that users know: ONE, ORDER, STALE, MIXED, REFUSED or LOST.
 
 mod lost;
 mod mixed;
--- a/crates/coordination-simulation/src/clients/final_client.rs
+++ b/crates/coordination-simulation/src/clients/final_client.rs
@@ -1,4 +1,5 @@
-//! A client of the final phase of a simulation, which repeats one request until its goal is reached.
+//! A client of the final phase of a simulation, which repeats one request until its goal is
+//! reached.
 
 use super::{Client, RETRY_MS};
 use crate::cluster::{ClientContext, Cluster};
@@ -30,8 +31,8 @@
 }
 
 impl FinalClient {
-    /// Adds a client that sends its request to `node` first, and records the request as a final call
-    /// of the history.
+    /// Adds a client that sends its request to `node` first, and records the request as a final
+    /// call of the history.
     pub fn add(cluster: &mut Cluster, request: Request, goal: FinalGoal, node: NodeIndex) {
         let call_index = cluster.history.final_calls.len();
         cluster.history.final_calls.push(FinalCall {
@@ -48,8 +49,8 @@
         cluster.add_client(Box::new(client), 0);
     }
 
-    /// The revisions of an answer and of the goal, if the answer of a watch ends before the goal and is
-    /// not a page of a longer list.
+    /// The revisions of an answer and of the goal, if the answer of a watch ends before the goal
+    /// and is not a page of a longer list.
     fn lagging_watch(&self, answer: &Answer) -> Option<LaggingWatch> {
         let (FinalGoal::EventsUpTo(acknowledged), Answer::Response(Response::Events(found))) =
             (self.goal, answer)
--- a/crates/coordination-simulation/src/clients/key_client.rs
+++ b/crates/coordination-simulation/src/clients/key_client.rs
@@ -42,7 +42,8 @@
 }
 
 impl KeyClient {
-    /// A client that sends its first request to `node`. The values that it puts start with its name.
+    /// A client that sends its first request to `node`. The values that it puts start with its
+    /// name.
     pub fn new(name: String, keys: Vec<String>, node: NodeIndex) -> Self {
         Self {
             name,
--- a/crates/coordination-simulation/src/cluster/actions.rs
+++ b/crates/coordination-simulation/src/cluster/actions.rs
@@ -19,8 +19,8 @@
 const SYNC_MS: u64 = 5;
 
 impl Cluster {
-    /// Runs `call` on the process of a node, if it runs, with the time of the process's own clock, and
-    /// executes the resulting actions.
+    /// Runs `call` on the process of a node, if it runs, with the time of the process's own clock,
+    /// and executes the resulting actions.
     pub(super) fn with_process(
         &mut self,
         node: NodeIndex,
--- a/crates/coordination-simulation/src/cluster/client_access.rs
+++ b/crates/coordination-simulation/src/cluster/client_access.rs
@@ -9,8 +9,8 @@
 
 /// One-way latency between clients and machines, in milliseconds.
 const CLIENT_LATENCY_MS: u64 = 1;
-/// How long clients wait for an answer, in milliseconds. For a watch, the wait time that it requests
-/// is added.
+/// How long clients wait for an answer, in milliseconds. For a watch, the wait time that it
+/// requests is added.
 const CLIENT_TIMEOUT_MS: u64 = 1_000;
 
 /// Operations available to a client while it handles an event.
--- a/crates/coordination-simulation/src/cluster/event.rs
+++ b/crates/coordination-simulation/src/cluster/event.rs
@@ -11,8 +11,8 @@
     Delivery {
         link: Link,
         packet: PacketId,
-        /// Incarnation of the receiving process; `None` for a late packet of a closed connection, which
-        /// any incarnation accepts.
+        /// Incarnation of the receiving process; `None` for a late packet of a closed connection,
+        /// which any incarnation accepts.
         incarnation: Option<u64>,
     },
     /// A connection that a process opened is established.
--- a/crates/coordination-simulation/src/cluster/faults.rs
+++ b/crates/coordination-simulation/src/cluster/faults.rs
@@ -20,8 +20,8 @@
         self.schedule(down_ms, Event::Start { node });
     }
 
-    /// Cuts the power of a node, which restarts after `down_ms`. A random part of the writes that were
-    /// not synced is lost.
+    /// Cuts the power of a node, which restarts after `down_ms`. A random part of the writes that
+    /// were not synced is lost.
     pub fn lose_power(&mut self, node: NodeIndex, down_ms: u64) {
         self.log_event(Some(node), format!("fault power for {down_ms}"));
         let started = self.random.usize(..=self.nodes[node].disk.queued());
@@ -29,8 +29,8 @@
         self.schedule(down_ms, Event::Start { node });
     }
 
-    /// Destroys the disk of a node, which restarts after `down_ms` with an empty disk and a new replica
-    /// id.
+    /// Destroys the disk of a node, which restarts after `down_ms` with an empty disk and a new
+    /// replica id.
     pub fn lose_disk(&mut self, node: NodeIndex, down_ms: u64) {
         self.log_event(Some(node), format!("fault disk lost for {down_ms}"));
         self.end(node, 0);
@@ -44,8 +44,8 @@
         DurableState::new(id, Snapshot::default())
     }
 
-    /// Removes a machine, and adds an empty one at a new address in the same zone, which starts after
-    /// `down_ms`.
+    /// Removes a machine, and adds an empty one at a new address in the same zone, which starts
+    /// after `down_ms`.
     pub fn replace(&mut self, node: NodeIndex, down_ms: u64) {
         self.log_event(Some(node), format!("fault replace for {down_ms}"));
         self.end(node, 0);
--- a/crates/coordination-simulation/src/cluster/lifecycle.rs
+++ b/crates/coordination-simulation/src/cluster/lifecycle.rs
@@ -68,8 +68,8 @@
             .collect()
     }
 
-    /// Ends a process. The disk had started the first `started_writes` of its queued writes: a random
-    /// part of these becomes durable, and the last one may be torn.
+    /// Ends a process. The disk had started the first `started_writes` of its queued writes: a
+    /// random part of these becomes durable, and the last one may be torn.
     pub(super) fn end(&mut self, node: NodeIndex, started_writes: usize) {
         let host = &mut self.nodes[node];
         host.process = None;
--- a/crates/coordination-simulation/src/cluster/mod.rs
+++ b/crates/coordination-simulation/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The simulated cluster: nodes with processes, disks and connections, and clients, driven by virtual
-//! time.
+//! The simulated cluster: nodes with processes, disks and connections, and clients, driven by
+//! virtual time.
 
 mod actions;
 mod client_access;
@@ -50,10 +50,11 @@
     tolerated_failures: 2,
 };
 
-/// How long after the receipt of a revision a watch must be able to resume from it, in milliseconds.
+/// How long after the receipt of a revision a watch must be able to resume from it, in
+/// milliseconds.
 pub const HISTORY_MS: u64 = 5_000;
-/// History retention of the machines, in milliseconds: twice [`HISTORY_MS`] plus 10 s, the margin that
-/// the node process adds to its setting too.
+/// History retention of the machines, in milliseconds: twice [`HISTORY_MS`] plus 10 s, the margin
+/// that the node process adds to its setting too.
 const HISTORY_RETENTION_MS: u64 = 2 * HISTORY_MS + 10_000;
 /// Replica id of the first disk that is added after the start; initial nodes have ids from 1.
 const FIRST_ADDED_REPLICA_ID: u64 = 1_001;
@@ -161,7 +162,8 @@
     }
 
     /// Whether all committed entries are certain to survive when these nodes lose their disks: in
-    /// every membership on any disk, a majority of the voters (and of the next voters) keeps its disk.
+    /// every membership on any disk, a majority of the voters (and of the next voters) keeps its
+    /// disk.
     pub fn can_lose_disks(&self, lost_nodes: &[NodeIndex]) -> bool {
         let keeps_disk = |member: &Member| {
             let nodes = self.nodes.iter().enumerate();
@@ -219,7 +221,8 @@
     format!("10.0.{node}.1:7730")
 }
 
-/// The initial nodes. The disks of the founders contain the initial membership, all others are empty.
+/// The initial nodes. The disks of the founders contain the initial membership, all others are
+/// empty.
 fn initial_nodes(topology: Topology) -> Vec<Node> {
     let member = |node: NodeIndex| Member {
         id: node as u64 + 1,
--- a/crates/coordination-simulation/src/cluster/time.rs
+++ b/crates/coordination-simulation/src/cluster/time.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The node whose process receives an event; `None` if that process has ended, in which case the
-    /// event is discarded.
+    /// The node whose process receives an event; `None` if that process has ended, in which case
+    /// the event is discarded.
     fn receiver_of(&mut self, event: &Event) -> Option<NodeIndex> {
         let (node, incarnation) = match event {
             Event::Delivery {
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Resumes a frozen process, which handles the events that arrived meanwhile. In half of the cases
-    /// its own timers run before these events.
+    /// Resumes a frozen process, which handles the events that arrived meanwhile. In half of the
+    /// cases its own timers run before these events.
     pub(super) fn resume(&mut self, node: NodeIndex) {
         if self.random.bool() {
             self.with_process(node, |process, now_ms| process.tick(now_ms));
--- a/crates/coordination-simulation/src/history.rs
+++ b/crates/coordination-simulation/src/history.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// The watch request, and when the client received the revision after which the watch starts, in
-    /// milliseconds; `None` for commands and queries.
+    /// The watch request, and when the client received the revision after which the watch starts,
+    /// in milliseconds; `None` for commands and queries.
     pub fn watch(&self) -> Option<(&WatchRequest, u64)> {
         match &self.request {
             Request::Watch { watch, received_ms } => Some((watch, *received_ms)),
@@ -207,7 +207,8 @@
         self.operations.len() - 1
     }
 
-    /// Records an answer, unless the operation is already complete. Returns whether it was recorded.
+    /// Records an answer, unless the operation is already complete. Returns whether it was
+    /// recorded.
     pub fn complete(&mut self, at_ms: u64, operation: OperationId, answer: Answer) -> bool {
         let at = self.next_timestamp(at_ms);
         let completion = &mut self.operations[operation].completion;
--- a/crates/coordination-simulation/src/scenario/final_phase.rs
+++ b/crates/coordination-simulation/src/scenario/final_phase.rs
@@ -52,9 +52,9 @@
     }
 }
 
-/// Stops the clients, ends all faults and injects the final fault, right after an acknowledgement so
-/// that the acknowledged write is at risk. Returns the injected fault: all machines lose power instead
-/// of two disks if the loss of these disks could lose committed entries.
+/// Stops the clients, ends all faults and injects the final fault, right after an acknowledgement
+/// so that the acknowledged write is at risk. Returns the injected fault: all machines lose power
+/// instead of two disks if the loss of these disks could lose committed entries.
 pub(super) fn inject(cluster: &mut Cluster, final_fault: FinalFault) -> FinalFault {
     if final_fault != FinalFault::NoFault {
         wait_for_acknowledgement(cluster);
@@ -111,8 +111,8 @@
     while cluster.history.executed().count() == executed_before && cluster.step_until(end_ms) {}
 }
 
-/// Adds clients that read all keys, request a number of each sequence, acquire each lock, and resume
-/// watches of each group from the oldest and the newest recent revision in `saved`.
+/// Adds clients that read all keys, request a number of each sequence, acquire each lock, and
+/// resume watches of each group from the oldest and the newest recent revision in `saved`.
 pub(super) fn add_final_clients(cluster: &mut Cluster, saved: &[SavedRevision]) {
     for key in keys() {
         let call = Call::Query(Query::Get { key });
--- a/crates/coordination-simulation/tests/random_scenarios.rs
+++ b/crates/coordination-simulation/tests/random_scenarios.rs
@@ -9,8 +9,8 @@
 const SEEDS: u64 = 40;
 /// Number of seeds that are run twice to compare the runs.
 const REPEATED_SEEDS: u64 = 4;
-/// Minimum number of executed calls per seed, on average, so that a scenario without requests does not
-/// pass.
+/// Minimum number of executed calls per seed, on average, so that a scenario without requests does
+/// not pass.
 const MIN_EXECUTED_PER_SEED: usize = 300;
 
 fn number_from_env(variable: &str, default: u64) -> u64 {
