--- a/crates/coordination-simulation/src/clients/mod.rs
+++ b/crates/coordination-simulation/src/clients/mod.rs
@@ -1,29 +1,29 @@
-//! Clients, which behave as the users' applications do.
+//! Clients that behave like users' applications.
 
-mod final_caller;
-mod key_caller;
-mod lock_caller;
-mod number_caller;
-mod watcher;
+mod final_client;
+mod key_client;
+mod lock_client;
+mod sequence_client;
+mod watch_client;
 
-pub use final_caller::{FinalCaller, FinalGoal};
-pub use key_caller::KeyCaller;
-pub use lock_caller::{HoldStyle, LockCaller};
-pub use number_caller::NumberCaller;
-pub use watcher::{SavedRevision, SavedRevisions, Watcher};
+pub use final_client::{FinalClient, FinalGoal};
+pub use key_client::KeyClient;
+pub use lock_client::{LeaseUsage, LockClient};
+pub use sequence_client::SequenceClient;
+pub use watch_client::{SavedRevision, SavedRevisions, WatchClient};
 
 use crate::cluster::ClientContext;
 use crate::history::{Answer, OperationId};
 
-/// How long a client waits before it calls another machine after a failure, in milliseconds.
+/// Delay between a failed call and its retry, usually on another machine, in milliseconds.
 const RETRY_MS: u64 = 60;
 
-/// A client.
+/// A client, driven by timers and answers.
 pub trait Client {
-    /// Its timer has ended.
-    fn on_wake(&mut self, context: &mut ClientContext<'_>);
+    /// Called when the client's timer expires.
+    fn on_timer(&mut self, context: &mut ClientContext<'_>);
 
-    /// An operation is answered, or its time is over.
+    /// Called when an operation is answered or times out.
     fn on_answer(
         &mut self,
         context: &mut ClientContext<'_>,
--- a/crates/coordination-simulation/tests/checks.rs
+++ b/crates/coordination-simulation/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each check finds a wrong history and accepts a right one.
+//! Each check reports a violation in an invalid history and accepts a valid one.
 
 use woadstall_control_simulation::NodeIndex;
 use woadstall_coordination::command::{Call, Command, Query};
@@ -9,29 +9,29 @@
     LostViolation, MixedViolation, OneViolation, OrderViolation, Violation, check,
 };
 use woadstall_coordination_simulation::history::{
-    Answer, Claim, FinalCall, History, LaggingWatch, Request,
+    Answer, FinalCall, History, LaggingWatch, LeaseInterval, Request,
 };
 
 const NODE: NodeIndex = 0;
 const KEY: &str = "g.key";
 
-/// A history that is written call by call; each call and each answer takes a millisecond.
+/// Builds a history operation by operation. Each request and each answer takes one millisecond.
 #[derive(Default)]
-struct Script {
+struct HistoryBuilder {
     history: History,
     now_ms: u64,
 }
 
-impl Script {
+impl HistoryBuilder {
     fn call(&mut self, request: Request) -> usize {
         self.now_ms += 1;
-        self.history.call(self.now_ms, 0, NODE, request)
+        self.history.invoke(self.now_ms, 0, NODE, request)
     }
 
     fn answer(&mut self, operation: usize, response: Response) {
         self.now_ms += 1;
         let answer = Answer::Response(response);
-        self.history.answer(self.now_ms, operation, answer);
+        self.history.complete(self.now_ms, operation, answer);
     }
 
     fn command(&mut self, command: Command, outcome: Outcome) -> &mut Self {
@@ -48,8 +48,8 @@
         self.command(next_number(), Outcome::Number { value })
     }
 
-    fn acquire(&mut self, holder: &str, fencing_token: u64) -> &mut Self {
-        self.command(acquire(holder), Outcome::LockAcquired { fencing_token })
+    fn acquire(&mut self, owner: &str, fencing_token: u64) -> &mut Self {
+        self.command(acquire(owner), Outcome::LockAcquired { fencing_token })
     }
 
     fn read(&mut self, outcome: Outcome) -> &mut Self {
@@ -70,13 +70,13 @@
         self
     }
 
-    fn claim(&mut self, holder: &str, from_ms: u64, until_ms: u64) -> &mut Self {
-        self.history.claims.push(Claim {
+    fn lease_interval(&mut self, owner: &str, start_ms: u64, end_ms: u64) -> &mut Self {
+        self.history.lease_intervals.push(LeaseInterval {
             lock: "lock".to_owned(),
-            holder: holder.to_owned(),
-            fencing_token: from_ms,
-            from_ms,
-            until_ms,
+            owner: owner.to_owned(),
+            fencing_token: start_ms,
+            start_ms,
+            end_ms,
         });
         self
     }
@@ -99,10 +99,10 @@
     Command::NextNumber { sequence }
 }
 
-fn acquire(holder: &str) -> Command {
+fn acquire(owner: &str) -> Command {
     Command::AcquireLock {
         lock: "lock".to_owned(),
-        owner: holder.to_owned(),
+        owner: owner.to_owned(),
         lease_ms: 1_000,
     }
 }
@@ -125,110 +125,114 @@
 }
 
 #[test]
-fn a_right_history_is_accepted() {
-    let mut script = Script::default();
-    script.acquire("a", 1).acquire("b", 2).acquire("b", 3);
-    script
-        .claim("a", 0, 10)
-        .claim("b", 10, 20)
-        .claim("b", 15, 30);
-    script.number(1).number(3);
-    script.put("x", 1).put("y", 2).put("x", 1);
-    script.read(value("y", 2));
-    script.watch(1, 0, events(2, &[("y", 2)]));
-    script.command(
+fn a_valid_history_is_accepted() {
+    let mut builder = HistoryBuilder::default();
+    builder.acquire("a", 1).acquire("b", 2).acquire("b", 3);
+    builder
+        .lease_interval("a", 0, 10)
+        .lease_interval("b", 10, 20)
+        .lease_interval("b", 15, 30);
+    builder.number(1).number(3);
+    builder.put("x", 1).put("y", 2).put("x", 1);
+    builder.read(value("y", 2));
+    builder.watch(1, 0, events(2, &[("y", 2)]));
+    builder.command(
         put(KEY, "z", Some(1)),
         Outcome::RevisionConflict { current: 2 },
     );
-    assert_eq!(script.violation(), None);
+    assert_eq!(builder.violation(), None);
 }
 
 #[test]
-fn one_finds_two_holders_at_a_time() {
-    let mut script = Script::default();
-    script.claim("a", 0, 10).claim("b", 9, 20);
-    let violation = script.violation();
+fn one_finds_two_owners_at_the_same_time() {
+    let mut builder = HistoryBuilder::default();
+    builder
+        .lease_interval("a", 0, 10)
+        .lease_interval("b", 9, 20);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
-            Some(Violation::One(OneViolation::TwoHolders { .. }))
+            Some(Violation::One(OneViolation::OverlappingLeases { .. }))
         ),
         "{violation:?}"
     );
 }
 
 #[test]
-fn one_finds_a_token_that_does_not_rise_and_one_given_twice() {
-    let mut script = Script::default();
-    script.acquire("a", 5).acquire("b", 4);
-    let violation = script.violation();
+fn one_finds_decreasing_and_repeated_tokens() {
+    let mut builder = HistoryBuilder::default();
+    builder.acquire("a", 5).acquire("b", 4);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
-            Some(Violation::One(OneViolation::TokenNotRising { .. }))
+            Some(Violation::One(OneViolation::TokenNotIncreasing { .. }))
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.acquire("a", 5).acquire("b", 5);
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.acquire("a", 5).acquire("b", 5);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
-            Some(Violation::One(OneViolation::SameToken { .. }))
+            Some(Violation::One(OneViolation::DuplicateToken { .. }))
         ),
         "{violation:?}"
     );
 }
 
 #[test]
-fn order_finds_numbers_that_repeat_or_fall_but_accepts_crossing_calls() {
-    let mut script = Script::default();
-    script.number(2).number(1);
-    let violation = script.violation();
+fn order_finds_repeated_or_decreasing_numbers_but_accepts_concurrent_calls() {
+    let mut builder = HistoryBuilder::default();
+    builder.number(2).number(1);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
-            Some(Violation::Order(OrderViolation::NumberNotRising { .. }))
+            Some(Violation::Order(OrderViolation::NumberNotIncreasing { .. }))
         ),
         "{violation:?}"
     );
-    for (second, is_right) in [(1, true), (2, false)] {
-        let mut script = Script::default();
-        let operations = [0; 2].map(|_| script.call(Request::Call(Call::Command(next_number()))));
+    for (second, is_valid) in [(1, true), (2, false)] {
+        let mut builder = HistoryBuilder::default();
+        let operations = [0; 2].map(|_| builder.call(Request::Call(Call::Command(next_number()))));
         for (operation, value) in operations.into_iter().zip([2, second]) {
-            script.answer(operation, Response::Executed(Outcome::Number { value }));
+            builder.answer(operation, Response::Executed(Outcome::Number { value }));
         }
-        assert_eq!(script.violation().is_none(), is_right);
+        assert_eq!(builder.violation().is_none(), is_valid);
     }
 }
 
 #[test]
-fn order_finds_revisions_that_repeat_or_fall_and_conditions_that_are_ignored() {
-    let mut script = Script::default();
-    script.put("x", 1).put("y", 1);
-    let violation = script.violation();
+fn order_finds_repeated_or_decreasing_revisions_and_ignored_conditions() {
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("y", 1);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
-            Some(Violation::Order(OrderViolation::RevisionTwice { .. }))
+            Some(Violation::Order(OrderViolation::DuplicateRevision { .. }))
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.put("x", 2).put("y", 1);
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 2).put("y", 1);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
-            Some(Violation::Order(OrderViolation::RevisionNotRising { .. }))
+            Some(Violation::Order(
+                OrderViolation::RevisionNotIncreasing { .. }
+            ))
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.put("x", 1).put("y", 2);
-    script.command(put(KEY, "z", Some(1)), Outcome::Put { revision: 3 });
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("y", 2);
+    builder.command(put(KEY, "z", Some(1)), Outcome::Put { revision: 3 });
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -239,11 +243,11 @@
 }
 
 #[test]
-fn order_finds_watches_that_skip_or_do_not_rise() {
-    let mut script = Script::default();
-    script.put("x", 1).put("y", 2).put("z", 3);
-    script.watch(1, 0, events(3, &[("z", 3)]));
-    let violation = script.violation();
+fn order_finds_watches_with_skipped_or_unordered_events() {
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("y", 2).put("z", 3);
+    builder.watch(1, 0, events(3, &[("z", 3)]));
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -254,25 +258,25 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.put("x", 1).put("y", 2).put("z", 3);
-    script.watch(1, 0, events(3, &[("z", 3), ("y", 2)]));
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("y", 2).put("z", 3);
+    builder.watch(1, 0, events(3, &[("z", 3), ("y", 2)]));
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
-            Some(Violation::Order(OrderViolation::EventsNotRising { .. }))
+            Some(Violation::Order(OrderViolation::EventsOutOfOrder { .. }))
         ),
         "{violation:?}"
     );
 }
 
 #[test]
-fn stale_finds_an_old_value_and_a_missing_key() {
+fn stale_finds_an_outdated_value_and_a_missing_key() {
     for outcome in [value("x", 1), Outcome::KeyNotFound] {
-        let mut script = Script::default();
-        script.put("x", 1).put("y", 2).read(outcome);
-        let violation = script.violation();
+        let mut builder = HistoryBuilder::default();
+        builder.put("x", 1).put("y", 2).read(outcome);
+        let violation = builder.violation();
         assert!(
             matches!(violation, Some(Violation::Stale(_))),
             "{violation:?}"
@@ -281,10 +285,10 @@
 }
 
 #[test]
-fn mixed_finds_values_nobody_put_and_revisions_nobody_got() {
-    let mut script = Script::default();
-    script.read(value("x", 1));
-    let violation = script.violation();
+fn mixed_finds_values_without_a_put_and_unknown_or_repeated_revisions() {
+    let mut builder = HistoryBuilder::default();
+    builder.read(value("x", 1));
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -292,9 +296,9 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
-    script.put("x", 1).put("x", 2);
-    let violation = script.violation();
+    let mut builder = HistoryBuilder::default();
+    builder.put("x", 1).put("x", 2);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -302,10 +306,10 @@
         ),
         "{violation:?}"
     );
-    let mut script = Script::default();
+    let mut builder = HistoryBuilder::default();
     let conflict = Outcome::RevisionConflict { current: 7 };
-    script.command(put(KEY, "x", Some(0)), conflict);
-    let violation = script.violation();
+    builder.command(put(KEY, "x", Some(0)), conflict);
+    let violation = builder.violation();
     assert!(
         matches!(
             violation,
@@ -316,19 +320,19 @@
 }
 
 #[test]
-fn refused_finds_a_value_whose_put_was_rejected_each_time_it_was_sent() {
-    for (unclear, is_right) in [(false, false), (true, true)] {
-        let mut script = Script::default();
+fn refused_finds_a_value_whose_put_was_rejected_at_every_attempt() {
+    for (is_retried, is_valid) in [(false, false), (true, true)] {
+        let mut builder = HistoryBuilder::default();
         let request = Request::Call(Call::Command(put(KEY, "x", None)));
-        let operation = script.call(request.clone());
-        script.answer(operation, Response::NotExecuted);
-        if unclear {
-            let operation = script.call(request);
-            script.answer(operation, Response::Unknown);
+        let operation = builder.call(request.clone());
+        builder.answer(operation, Response::NotExecuted);
+        if is_retried {
+            let operation = builder.call(request);
+            builder.answer(operation, Response::Unknown);
         }
-        script.read(value("x", 1));
-        let violation = script.violation();
-        assert_eq!(violation.is_none(), is_right, "{violation:?}");
+        builder.read(value("x", 1));
+        let violation = builder.violation();
+        assert_eq!(violation.is_none(), is_valid, "{violation:?}");
         if let Some(violation) = violation {
             assert!(matches!(violation, Violation::Refused(_)), "{violation:?}");
         }
@@ -336,32 +340,36 @@
 }
 
 #[test]
-fn lost_finds_a_history_that_is_too_short_and_accepts_an_old_revision() {
-    for (now_ms, is_right) in [(1_000, false), (60_000, true)] {
-        let mut script = Script {
+fn lost_finds_too_short_a_history_but_accepts_the_compaction_of_old_revisions() {
+    for (now_ms, is_valid) in [(1_000, false), (60_000, true)] {
+        let mut builder = HistoryBuilder {
             now_ms,
-            ..Script::default()
+            ..HistoryBuilder::default()
         };
-        script.watch(1, 0, Response::HistoryCompacted);
-        assert_eq!(script.violation().is_none(), is_right);
+        builder.watch(1, 0, Response::HistoryCompacted);
+        assert_eq!(builder.violation().is_none(), is_valid);
     }
 }
 
 #[test]
-fn lost_finds_final_calls_without_an_answer_and_watches_that_lag() {
-    let lagging = LaggingWatch {
+fn lost_finds_unanswered_final_calls_and_lagging_watches() {
+    let lagging_watch = LaggingWatch {
         revision: 1,
         acknowledged: 2,
     };
-    for (answered_ms, lagging) in [(None, None), (Some(1), Some(lagging)), (Some(1), None)] {
-        let mut script = Script::default();
-        script.history.final_calls.push(FinalCall {
+    for (answered_ms, lagging_watch) in [
+        (None, None),
+        (Some(1), Some(lagging_watch)),
+        (Some(1), None),
+    ] {
+        let mut builder = HistoryBuilder::default();
+        builder.history.final_calls.push(FinalCall {
             request: String::new(),
             answered_ms,
-            lagging,
+            lagging_watch,
         });
-        let violation = script.violation();
-        let is_found = match lagging {
+        let violation = builder.violation();
+        let is_expected = match lagging_watch {
             Some(_) => matches!(
                 violation,
                 Some(Violation::Lost(LostViolation::WatchLags { .. }))
@@ -372,6 +380,6 @@
             ),
             None => violation.is_none(),
         };
-        assert!(is_found, "{violation:?}");
+        assert!(is_expected, "{violation:?}");
     }
 }
